--- /dev/null
+++ b/gossip/wire_golden_test.go
@@ -0,0 +1,70 @@
+package gossip
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/fleet"
+)
+
+// goldenMessage is a message taken apart.
+type goldenMessage struct {
+	topic       byte
+	from        string
+	incarnation uint64
+	body        []byte
+}
+
+func cutMessage(encoded []byte) (any, error) {
+	topic, from, incarnation, body, err := cut(encoded)
+	return goldenMessage{topic, from, incarnation, body}, err
+}
+
+// Member metadata, lists of ended lives and message headers as members of a mixed fleet send them to each other.
+func TestGoldenGossipMessages(t *testing.T) {
+	identity := fleet.Identity{Cluster: "live", Tenants: []uint32{0x01020304, 0xfffefdfc}}
+	node := func(whose fleet.Identity) *Node { return &Node{o: Options{Whose: whose}, decoding: newDecoding()} }
+	full := fleet.Member{Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, Word: 7, Look: 9, Region: "eu-west", Zone: "eu-west-1a",
+		Program: "v1.2.3", Generation: 42, Parts: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", Since: 5}
+	decoded := full // neither Look nor Since is sent, and the address comes from the membership library
+	decoded.Look, decoded.Since, decoded.Addr = 0, 0, "192.0.2.9:7946"
+	member := func(name string, whose fleet.Identity, state, wantState fleet.State) goldenForm {
+		sent, want := full, decoded
+		sent.State, want.State = state, wantState
+		return goldenForm{name, func() ([]byte, error) { return node(whose).encodeMember(sent) },
+			func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, want}
+	}
+	shortest := fleet.Member{Name: "g", Incarnation: 1}
+	ends := []fleet.Member{{Name: "gateway-2", Incarnation: 11, State: fleet.Gone}, {Name: "gateway-3", Incarnation: 12, State: fleet.Left}}
+	requireGolden(t, "messages.golden", []goldenForm{
+		member("member", identity, fleet.Alive, fleet.Alive),
+		member("member-without-identity", fleet.Identity{}, fleet.Alive, fleet.Alive),
+		member("member-suspect", identity, fleet.Suspect, fleet.Alive),
+		member("member-leaving", identity, fleet.Left, fleet.Left),
+		{"member-shortest", func() ([]byte, error) { return node(fleet.Identity{}).encodeMember(shortest) },
+			func(encoded []byte) (any, error) { return node(fleet.Identity{}).decodeMember(encoded, "") }, shortest},
+		{"member-identity", func() ([]byte, error) { return node(identity).encodeMember(shortest) },
+			func(encoded []byte) (any, error) {
+				var received word
+				err := newDecoding().Unmarshal(encoded, &received)
+				return received.Whose, err
+			}, identity},
+		{"ended-lives", func() ([]byte, error) { return encodeEnds(ends), nil },
+			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, ends},
+		{"no-ended-lives", func() ([]byte, error) { return encodeEnds(nil), nil },
+			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, []fleet.Member(nil)},
+		{"message", func() ([]byte, error) { return head(2, full, []byte("body")), nil }, cutMessage,
+			goldenMessage{2, "gateway-1", 1_790_000_000_000_000_001, []byte("body")}},
+		{"message-of-ended-lives", func() ([]byte, error) { return head(wordTopic, shortest, encodeEnds(ends)), nil }, cutMessage,
+			goldenMessage{0, "g", 1, encodeEnds(ends)}},
+		{"node-name", func() ([]byte, error) { return []byte(keyOf("gateway-1", 0xdeadbeef)), nil },
+			func(encoded []byte) (any, error) { return string(encoded), nil }, "gateway-1#deadbeef"},
+	})
+}
+
+// The topic of the package's own messages, and limits that the receiver checks.
+func TestGoldenGossipConstants(t *testing.T) {
+	require.Equal(t, 0, wordTopic)
+	require.Equal(t, []int{512, 2 << 20, 2000, 256, 1 << 20}, []int{metaMost, wordsMost, listMost, headMost, BodyMost})
+}
