--- /dev/null
+++ b/peer/wire_golden_test.go
@@ -0,0 +1,173 @@
+package peer
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/learn"
+)
+
+func goldenReport() (learn.Head, []learn.Note) {
+	notes := []learn.Note{
+		{ID: "host-1:9200", Zone: 1, Since: 1_790_000_000_000, ShortN: 80, LongN: 200, Short: 120, Long: -90, Strikes: 2, Refused: 3, Quiet: 4,
+			Silent: 5000, Age: 1200, Bad: true},
+		{ID: "host-2:9200", Age: learn.NoAnswer}}
+	return learn.Head{Peer: "b", Place: "eu-west-1a", Serial: 3, List: 42, Age: 1500, Answers: 800, Usual: 120, Shortest: 35, Hosts: 2,
+		Zones: []learn.Zone{{Name: "eu-west-1b", N: 16, Slower: 250}, {Name: "eu-west-1c", N: 8, Slower: -3}}}, notes
+}
+
+func goldenStatus() Status {
+	return Status{Name: "b", Place: "eu-west-1a", UpMs: 123456, List: 42, Hosts: 2, Answered: 5, PutOff: 6, Load: 250, Waiting: 7, Running: 8, Held: 9,
+		Peers: []PeerStatus{{Name: "a", Last: "told", AgoMs: 1000, Told: 3, NextMs: 2000}}}
+}
+
+func goldenServer(admitted bool) *Server {
+	return &Server{Name: "b", Instance: 7, Allow: []string{"a"}, Done: func() {},
+		Admit: func(string) (bool, time.Duration) { return admitted, 1500 * time.Millisecond },
+		Report: func(context.Context) (learn.Head, []learn.Note, error) {
+			head, notes := goldenReport()
+			return head, notes, nil
+		},
+		Status:  func(context.Context) (Status, error) { return goldenStatus(), nil },
+		Refused: func(string, string) {}}
+}
+
+// respond is all that a server sends to a client that has sent a request.
+func respond(s *Server, request []byte) ([]byte, error) {
+	client, server := net.Pipe()
+	defer client.Close()
+	go s.talk(context.Background(), server)
+	if err := client.SetDeadline(time.Now().Add(wholeTime)); err != nil {
+		return nil, err
+	}
+	if _, err := client.Write(request); err != nil {
+		return nil, err
+	}
+	return io.ReadAll(client)
+}
+
+// query runs a client against a recorded response and tells what it sent.
+func query(client *Asking, response []byte, run func() error) (request []byte, err error) {
+	near, far := net.Pipe()
+	client.Dial = func(context.Context, string, string) (net.Conn, error) { return near, nil }
+	received := make(chan []byte, 1)
+	go func() {
+		defer far.Close()
+		_, _, room, err := readFrame(io.TeeReader(far, writerFunc(func(b []byte) { request = append(request, b...) })), nil)
+		if err == nil && len(room) > 0 {
+			_, _ = far.Write(response)
+		}
+		received <- request
+	}()
+	err = run()
+	near.Close()
+	return <-received, err
+}
+
+type writerFunc func(b []byte)
+
+func (f writerFunc) Write(b []byte) (int, error) { f(b); return len(b), nil }
+
+// goldenResult is how a query ended and what it brought.
+type goldenResult struct {
+	how    learn.Outcome
+	later  time.Duration
+	heads  []learn.Head
+	notes  []learn.Note
+	failed string
+}
+
+// Requests and whole responses of a connection, byte by byte: a client of this build reads what an earlier server sent, and a
+// server of this build answers an earlier client with the same bytes.
+func TestGoldenPeerConnections(t *testing.T) {
+	request := func(name string, instance uint64, want string) []byte {
+		b, err := appendFrame(nil, kindHello, hello{Version: version, Name: name, Instance: instance, Want: want})
+		require.NoError(t, err)
+		return b
+	}
+	reportRequest, statusRequest := request("a", 1, wantReport), request("a", 1, wantStatus)
+	unknownName, ownInstance := request("c", 1, wantReport), request("a", 7, wantReport)
+	otherVersion, err := appendFrame(nil, kindHello, hello{Version: version + 1, Name: "a", Instance: 1, Want: wantReport})
+	require.NoError(t, err)
+	unknownWant := bytes.Replace(reportRequest, []byte("report"), []byte("secret"), 1)
+
+	read := func(response []byte) (any, error) {
+		result := goldenResult{}
+		client := &Asking{Peer: "b", Me: "a", Instance: 1,
+			Head:  func(h learn.Head) error { result.heads = append(result.heads, h); return nil },
+			Notes: func(notes []learn.Note) error { result.notes = append(result.notes, notes...); return nil }}
+		sent, _ := query(client, response, func() error {
+			var err error
+			if result.how, result.later, err = client.Run(context.Background()); err != nil {
+				result.failed = err.Error()
+			}
+			return err
+		})
+		if !bytes.Equal(sent, reportRequest) {
+			return nil, errors.New("the client sent another request")
+		}
+		return result, nil
+	}
+	response := func(name string, admitted bool, request []byte, want goldenResult) goldenForm {
+		return goldenForm{name, func() ([]byte, error) { return respond(goldenServer(admitted), request) }, read, want}
+	}
+	decodeHello := func(encoded []byte) (any, error) {
+		kind, rest, _, err := readFrame(bytes.NewReader(encoded), nil)
+		if err != nil {
+			return nil, err
+		}
+		if kind != 'h' {
+			return nil, errors.New("no hello")
+		}
+		var decoded hello
+		err = decode(rest, &decoded)
+		return decoded, err
+	}
+	head, notes := goldenReport()
+	requireGolden(t, "connections.golden", []goldenForm{
+		{"request-report", func() ([]byte, error) { return reportRequest, nil }, decodeHello,
+			hello{Version: 1, Name: "a", Instance: 1, Want: "report"}},
+		{"request-status", func() ([]byte, error) { return statusRequest, nil }, decodeHello,
+			hello{Version: 1, Name: "a", Instance: 1, Want: "status"}},
+		response("response-report", true, reportRequest, goldenResult{how: learn.Told, heads: []learn.Head{head}, notes: notes}),
+		response("response-later", false, reportRequest, goldenResult{how: learn.Later, later: 1500 * time.Millisecond}),
+		response("response-unknown-name", true, unknownName,
+			goldenResult{how: learn.Refused, failed: "refused (name): the name is not among those that may ask"}),
+		response("response-own-instance", true, ownInstance,
+			goldenResult{how: learn.Myself, failed: "refused (self): you are talking to yourself"}),
+		response("response-other-version", true, otherVersion,
+			goldenResult{how: learn.Refused, failed: "refused (version): version 1 is spoken here"}),
+		response("response-unknown-want", true, unknownWant,
+			goldenResult{how: learn.Refused, failed: "refused (unusable): nothing known is wanted"}),
+		{"response-status", func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
+			func(encoded []byte) (any, error) {
+				client := &Asking{Peer: "b", Me: "a", Instance: 1}
+				var status Status
+				sent, err := query(client, encoded, func() (err error) { status, err = client.Status(context.Background()); return err })
+				if !bytes.Equal(sent, statusRequest) {
+					err = errors.Join(err, errors.New("the client sent another request"))
+				}
+				return status, err
+			}, goldenStatus()},
+		{"notes", func() ([]byte, error) { return EncodeNotes(notes) },
+			func(encoded []byte) (any, error) { return DecodeNotes(encoded) }, notes},
+		{"head", func() ([]byte, error) { return encoder.Marshal(head) },
+			func(encoded []byte) (any, error) { return DecodeHead(encoded) }, head},
+	})
+}
+
+// The numbers and words of the protocol, and limits that a receiver checks.
+func TestGoldenPeerConstants(t *testing.T) {
+	require.Equal(t, 1, version)
+	require.Equal(t, "hlnrset", string([]byte{kindHello, kindLater, kindNo, kindHead, kindNotes, kindEnd, kindStatus}))
+	require.Equal(t, []string{"report", "status"}, []string{wantReport, wantStatus})
+	require.Equal(t, []string{"version", "name", "self", "unusable"}, []string{noVersion, noName, noSelf, noUse})
+	require.Equal(t, []int{128 << 10, 4 << 20, 4, 8, 200}, []int{frameMost, totalMost, nestedMost, sumBytes, wordsMost})
+}
