--- /dev/null
+++ b/subscribers/golden_test.go
@@ -0,0 +1,204 @@
+package subscribers
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"chalkring/fault"
+	"chalkring/ledger"
+)
+
+// goldenRecord is a record with another value in each field.
+func goldenRecord() Record {
+	return Record{Consent: 11, Left: map[string]uint64{"n0": 12, "n1": 13}, Came: map[string]uint64{"n0": 14, "n1": 15}, Change: 16,
+		Details: Details{Type: "quick-picks", Query: "town:oslo", Every: 300_000, Blocks: []int{2, 0, 1}},
+		Places:  map[string]Place{"eu": {Generation: 17, Said: 18}, "us": {Generation: 0, Said: 19}},
+		Mark:    Mark{Number: Number{Turn: 20, N: 21, Gateway: "n0"}, Values: map[int]uint64{0: 22, 2: 23}}, Past: []uint64{24, 25}}
+}
+
+// Records, gateways' words and files' standings as the ledger of today's build holds them.
+func TestGoldenSubscriberRecords(t *testing.T) {
+	const file = "records.cbor.txt"
+	record := goldenRecord()
+	least := Record{Consent: 1, Change: 1, Details: Details{Type: "t", Every: EveryLeast}}
+	gone := record.left("n2", 1_700_000_000_000)
+	word, standing := Word{View: 31, Round: 32, Turn: 33}, Standing{Generation: 34, Sum: 35}
+	standingText, err := cbor.Marshal(standing)
+	require.NoError(t, err)
+	var all strings.Builder
+	all.WriteString(cborLine(t, "record, every field", record.Bytes()))
+	all.WriteString(cborLine(t, "record, fewest fields", least.Bytes()))
+	all.WriteString(cborLine(t, "record, unsubscribed", gone.Bytes()))
+	all.WriteString(cborLine(t, "word", word.Bytes()))
+	all.WriteString(cborLine(t, "standing", standingText))
+	requireGolden(t, file, []byte(all.String()))
+
+	for name, want := range map[string]Record{"record, every field": record, "record, fewest fields": least, "record, unsubscribed": gone} {
+		got, err := Read(goldenCBOR(t, file, name))
+		require.NoError(t, err)
+		require.Equal(t, want, got, name)
+	}
+	require.False(t, record.Off())
+	require.True(t, gone.Off())
+	require.Equal(t, word, WordOf(entryOf("subat/n0", Word{View: 99, Round: 31, Turn: 99}.Bytes(), goldenCBOR(t, file, "word"))))
+	require.Equal(t, standing, StandingOf(entryOf("subfile/eu", goldenCBOR(t, file, "standing"))))
+	f := File{Region: "eu", Generation: 34, Sum: 35}
+	admitted, err := f.Admit(Standing{Generation: 33, Sum: 99})
+	require.NoError(t, err)
+	require.Equal(t, standingText, admitted)
+}
+
+func entryOf(name string, values ...[]byte) (e ledger.Entry) {
+	e.Name = name
+	for _, value := range values {
+		e.Siblings = append(e.Siblings, ledger.Sibling{Value: value})
+	}
+	return e
+}
+
+// Names of the ledger, and hashes that are kept in it or that all gateways have to work out alike.
+func TestGoldenSubscriberNamesAndHashes(t *testing.T) {
+	record := goldenRecord()
+	key := Key{Tenant: "acme", ID: "s1"}
+	var all strings.Builder
+	fmt.Fprintln(&all, "prefixes", Prefix, WordPrefix, FilePrefix)
+	fmt.Fprintln(&all, "key", key.Name(), key)
+	fmt.Fprintf(&all, "record's form %016x\n", record.id())
+	fmt.Fprintf(&all, "unsubscribed record's form %016x\n", record.left("n0", 1).id())
+	fmt.Fprintf(&all, "details %016x\n", record.Details.hash())
+	fmt.Fprintf(&all, "past of a changed record %016x\n", record.changed(Details{Type: "t", Every: EveryLeast}).wrote(record).Past)
+	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
+	require.NoError(t, err)
+	f, err := ParseYAML(text)
+	require.NoError(t, err)
+	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", f.Sum, f.Lines[key].said)
+	list := NewList()
+	_, _, _, err = list.Take(entryOf(key.Name(), record.Bytes()))
+	require.NoError(t, err)
+	fmt.Fprintf(&all, "list's sum %016x\n", list.Sum())
+	fmt.Fprintln(&all, record.Words())
+	fmt.Fprintln(&all, record.left("n0", 1).Words())
+
+	members := []Member{{"n0", "eu", "eu-1", 1}, {"n1", "eu", "eu-2", 2}, {"n2", "us", "us-1", 3}}
+	g := NewGateway(0, members[0], Rules{Generation: 4})
+	for now := int64(second); now < 100*second && !g.Open(); now += second {
+		g.Heard(now, members, true)
+		word, say := g.Tick(now, 1_700_000_000_000)
+		if !say {
+			continue
+		}
+		fmt.Fprintf(&all, "word %x view %016x round %d turn %d\n", word.Bytes(), word.View, word.Round, word.Turn)
+		g.Said(word)
+		for _, m := range members[1:] {
+			g.Says(m.Name, word)
+		}
+	}
+	require.True(t, g.Open())
+	for i := range 8 {
+		k := Key{Tenant: "acme", ID: fmt.Sprint("s", i)}
+		g.Set(100*second, k, Record{Consent: 1, Change: 1, Details: Details{Type: "t", Every: 60 * second}, Places: map[string]Place{"eu": {}}}, true)
+		held := g.subs[k]
+		fmt.Fprintln(&all, "owner of", k, "is", g.owner(held), "rank here", g.Rank(k), "next search here at", held.at)
+	}
+	requireGolden(t, "names.txt", []byte(all.String()))
+	got, ok := KeyOf("sub/acme/s1")
+	require.True(t, ok)
+	require.Equal(t, key, got)
+}
+
+// YAML and JSON lines with every key, each with another value, say the same.
+func TestGoldenSubscriberFiles(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
+	require.NoError(t, err)
+	f, err := ParseYAML(text)
+	require.NoError(t, err)
+	s1, s2 := Key{Tenant: "acme", ID: "s1"}, Key{Tenant: "bolt", ID: "s2"}
+	require.Equal(t, "eu", f.Region)
+	require.EqualValues(t, 7, f.Generation)
+	require.Equal(t, "http://127.0.0.1:9300/{tenant}", f.Deliver)
+	require.Len(t, f.Lines, 2)
+	require.Equal(t, Details{Type: "quick-picks", Query: "town:oslo", Every: 300_000, Blocks: []int{2, 0, 1}}, f.Lines[s1].Details)
+	require.EqualValues(t, 3, f.Lines[s1].Consent)
+	require.Equal(t, Details{Type: "full-match", Every: 7 * 86_400 * second}, f.Lines[s2].Details)
+	require.EqualValues(t, 1, f.Lines[s2].Consent)
+
+	lines, err := os.ReadFile(filepath.Join("testdata", "every_key.jsonl"))
+	require.NoError(t, err)
+	same, err := ParseLines(lines)
+	require.NoError(t, err)
+	require.Equal(t, f, same)
+
+	var head Head
+	first, rest, _ := bytes.Cut(lines, []byte("\n"))
+	require.NoError(t, strict(first, &head))
+	require.Equal(t, Head{Region: "eu", Generation: 7, Count: 2, Deliver: "http://127.0.0.1:9300/{tenant}"}, head)
+	written, err := json.Marshal(head)
+	require.NoError(t, err)
+	for one := range bytes.Lines(rest) {
+		var e entry
+		require.NoError(t, strict(one, &e))
+		line, err := json.Marshal(e)
+		require.NoError(t, err)
+		written = append(append(written, '\n'), line...)
+	}
+	requireGolden(t, "every_key.jsonl", append(written, '\n'))
+}
+
+// Fault texts of both forms, with place and advice. A value of the wrong type is left out: the packages that read name
+// Go types in that text.
+func TestGoldenSubscriberFileFaults(t *testing.T) {
+	var all strings.Builder
+	for _, form := range []struct {
+		name    string
+		parse   func([]byte) (*File, error)
+		changes [][2]string
+	}{{"every_key.yaml", ParseYAML, [][2]string{{"region: eu", "region: e/u"}, {"generation: 7", "generation: 0"}, {"count: 2", "count: 3"},
+		{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"}, {"every: 30s", "every: often"}, {"every: 30s", "every: 500ms"}, {"id: s1", "id: s/1"},
+		{"type: quick-picks", "type: ''"}, {"[2, 0, 1]", "[2, 2]"}, {"consent: 3", "consent: 2000000000000"},
+		{"tenant: bolt, id: s2", "tenant: acme, id: s1"}, {"query:", "asks:"}}},
+		{"every_key.jsonl", ParseLines, [][2]string{{`"eu"`, `"e/u"`}, {`"generation":7`, `"generation":0`}, {`"count":2`, `"count":3`},
+			{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"}, {`"30s"`, `"often"`}, {`"30s"`, `"500ms"`}, {`"s1"`, `"s/1"`}, {`"quick-picks"`, `""`},
+			{"[2,0,1]", "[2,2]"}, {`"consent":3`, `"consent":2000000000000`}, {`"bolt","id":"s2"`, `"acme","id":"s1"`}, {`"query"`, `"asks"`},
+			{`"region"`, `"area"`}, {`"consent":3}`, `"consent":3}{}`}}}} {
+		text, err := os.ReadFile(filepath.Join("testdata", form.name))
+		require.NoError(t, err)
+		for _, change := range form.changes {
+			require.Contains(t, string(text), change[0])
+			_, err := form.parse([]byte(strings.Replace(string(text), change[0], change[1], 1)))
+			require.Error(t, err, change[1])
+			fmt.Fprintf(&all, "%s: %s -> %s\n  %s\n", form.name, change[0], change[1], strings.ReplaceAll(fault.Text(err), "\n", "\n  "))
+		}
+	}
+	requireGolden(t, "file_faults.txt", []byte(all.String()))
+}
+
+// Failures that stand in the log or answer a call, with their advice.
+func TestGoldenSubscriberErrors(t *testing.T) {
+	key := Key{Tenant: "acme", ID: "s1"}
+	var all strings.Builder
+	for _, err := range []error{&BadRecord{Name: "sub/acme/s1", Why: "why"}, &BadAsk{Key: key, Why: "why"}, &NotSubscribed{Key: key, Consent: 2},
+		&NotSubscribed{Key: key}, &Full{Held: 1, Most: 2}, &OldFile{Region: "eu", Generation: 1, Held: 2},
+		&OldFile{Region: "eu", Generation: 2, Held: 2}, &Stale{Key: key, Line: 1, Consent: 2}, &BadLine{Line: 3, Why: "why"}} {
+		fmt.Fprintln(&all, fault.Text(err))
+	}
+	for _, text := range [][]byte{make([]byte, 8<<10+1), {0xff}, Record{Consent: 0}.Bytes(),
+		Record{Consent: 1, Details: Details{Type: "t", Every: 1}}.Bytes(), Record{Consent: 1, Past: make([]uint64, 9)}.Bytes()} {
+		_, err := Read(text)
+		require.Error(t, err)
+		fmt.Fprintln(&all, err)
+	}
+	_, err := Reads(entryOf(key.Name(), []byte{0xff}))
+	fmt.Fprintln(&all, err)
+	number, err := json.Marshal(Number{Turn: 1, N: 2, Gateway: "n0"})
+	require.NoError(t, err)
+	fmt.Fprintf(&all, "%s\n", number)
+	requireGolden(t, "errors.txt", []byte(all.String()))
+}
