--- /dev/null
+++ b/fanout/golden_test.go
@@ -0,0 +1,180 @@
+package fanout
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"chalkring/fault"
+	"chalkring/ledger"
+	"chalkring/subscribers"
+)
+
+func goldenDelivery() Delivered {
+	return Delivered{Tenant: "acme", ID: "s1", Consent: 1, Number: subscribers.Number{Turn: 2, N: 3, Gateway: "n0"},
+		Last: subscribers.Number{Turn: 4, N: 5, Gateway: "n1"}, Period: 6,
+		Values: []Value{{Block: 7, Hash: "0123456789abcdef", Value: []byte("<value>")}, {Block: 8, Hash: "fedcba9876543210"}}}
+}
+
+// A delivery as it goes to its receiver: method, content type and body; and which statuses count as taken.
+func TestGoldenDeliveryRequest(t *testing.T) {
+	var got bytes.Buffer
+	status := http.StatusOK
+	receiver := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		got.Reset()
+		fmt.Fprintf(&got, "%s %s\nContent-Type: %s\n\n", r.Method, r.URL.Path, r.Header.Get("Content-Type"))
+		_, _ = io.Copy(&got, r.Body)
+		got.WriteByte('\n')
+		w.WriteHeader(status)
+	}))
+	defer client.CloseIdleConnections()
+	defer receiver.Close()
+	hand := Post(receiver.URL + "/acme")
+	require.NoError(t, hand(t.Context(), goldenDelivery()))
+	requireGolden(t, "delivery.http", got.Bytes())
+	for code, taken := range map[int]bool{200: true, 299: true, 300: false, 404: false, 500: false} {
+		status = code
+		if err := hand(t.Context(), goldenDelivery()); taken {
+			require.NoError(t, err, code)
+		} else {
+			require.ErrorContains(t, err, fmt.Sprintf("delivery to %s/acme: %d ", receiver.URL, code))
+		}
+	}
+
+	text, err := os.ReadFile(filepath.Join("testdata", "delivery.http"))
+	require.NoError(t, err)
+	_, body, _ := bytes.Cut(text, []byte("\n\n"))
+	reader := json.NewDecoder(bytes.NewReader(body))
+	reader.DisallowUnknownFields()
+	var d Delivered
+	require.NoError(t, reader.Decode(&d))
+	require.Equal(t, goldenDelivery(), d)
+}
+
+// Log lines, in JSON and as text, that need no running instance.
+func TestGoldenFanoutLogLines(t *testing.T) {
+	untimed := &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
+		if a.Key == slog.TimeKey {
+			return slog.Attr{}
+		}
+		return a
+	}}
+	var all bytes.Buffer
+	for _, handler := range []slog.Handler{slog.NewJSONHandler(&all, untimed), slog.NewTextHandler(&all, untimed)} {
+		g := New(Options{Me: subscribers.Member{Name: "n0", Region: "eu"}, File: "eu.yaml", Log: slog.New(handler)})
+		g.take(fileSeen{err: errors.New("why")})
+		g.take(fileSeen{file: &subscribers.File{Region: "us"}})
+		g.take(fileSeen{file: &subscribers.File{Region: "eu", Generation: 7}})
+		e := ledger.Entry{Name: "sub/acme/s1", Siblings: []ledger.Sibling{{Value: []byte{0xff}}}}
+		_, err := subscribers.Reads(e)
+		g.unread(e, err)
+		g.unread(e, err) // told once
+		key := subscribers.Key{Tenant: "acme", ID: "s1"}
+		g.tell("subscriber_delivery", fault.Attrs(&NotHanded{"http://receiver", errors.New("why")}, "subscriber", key, "number",
+			subscribers.Number{Turn: 1, N: 2, Gateway: "n0"})...)
+		g.quiet.Store(5)
+		g.tell("subscriber_conflict", "subscriber", key, "held", "one", "lost", "other")
+	}
+	requireGolden(t, "log_lines.txt", all.Bytes())
+}
+
+// Failures that stand in the log or answer a call, with their advice.
+func TestGoldenFanoutErrors(t *testing.T) {
+	var all strings.Builder
+	for _, err := range []error{&OtherRegion{File: "us", Own: "eu"}, &Bound{Tenant: "acme", Zone: "us-1"}, &NotHanded{"http://receiver", errors.New("why")},
+		&NotSearched{Why: "shed"}, Post("")(context.Background(), Delivered{})} {
+		fmt.Fprintln(&all, fault.Text(err))
+	}
+	requireGolden(t, "errors.txt", []byte(all.String()))
+}
+
+// The forms of a region's file are told apart by its name, and YAML lists from other files by their keys.
+func TestGoldenFanoutFileNames(t *testing.T) {
+	folder := t.TempDir()
+	lines := "{\"region\":\"eu\",\"generation\":1,\"count\":1}\n{\"tenant\":\"acme\",\"id\":\"s1\",\"type\":\"t\",\"query\":\"q\",\"every\":\"1s\"}\n"
+	for name, text := range map[string]string{"a.jsonl": lines, "a.json": lines,
+		"a.yaml": "region: eu\ngeneration: 1\ncount: 0\nsubscriptions: []\n"} {
+		path := filepath.Join(folder, name)
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+		f, err := ReadFile(path)
+		require.NoError(t, err, name)
+		require.Equal(t, "eu", f.Region)
+		require.Equal(t, name == "a.yaml", Is(path))
+	}
+}
+
+var attribute = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
+
+// A running instance: its entries in the ledger, and the attributes of each log line.
+func TestGoldenFanoutEntriesAndEvents(t *testing.T) {
+	t.Parallel()
+	s := newSite(t)
+	s1, s2 := "- {tenant: acme, id: s1, type: full-match, query: a, every: 1s}", "- {tenant: nobody, id: s2, type: full-match, query: a, every: 1s}"
+	s.file(1, s1, s2, "- {tenant: other, id: s3, type: full-match, query: a, every: 1s}")
+	g, book, end := s.run(1)
+	s.await("served", func() bool { return len(s.deliveries("s1")) > 0 })
+	s.await("not searched", s.logged("msg=subscriber_search"))
+	s.await("refused", s.logged("msg=subscriber_refused"))
+	key := subscribers.Key{Tenant: "acme", ID: "s1"}
+	s.await("noted", func() bool {
+		r, _ := g.Get(key)
+		return len(r.Mark.Values) > 0
+	})
+	var all strings.Builder
+	for _, name := range []string{"sub/acme/s1", "subat/n0", "subfile/eu"} {
+		e, there := book.Get(name)
+		require.True(t, there, name)
+		require.Len(t, e.Siblings, 1, name)
+		var fields map[int]any
+		require.NoError(t, cbor.Unmarshal(e.Siblings[0].Value, &fields), name)
+		fmt.Fprintln(&all, "entry", name, "has fields", slices.Sorted(maps.Keys(fields)))
+	}
+	s.deaf.Store(true)
+	s.words.Add(1)
+	s.await("not delivered", s.logged("msg=subscriber_delivery"))
+	s.deaf.Store(false)
+	require.NoError(t, g.Unsubscribe(t.Context(), key))
+	s.file(2, s1, s2)
+	s.await("stale", s.logged("msg=subscriber_stale"))
+	s.await("list", s.logged("msg=subscribers "))
+	end()
+
+	s.mu.Lock()
+	lines := strings.Split(s.log.String(), "\n")
+	s.mu.Unlock()
+	events := map[string]bool{}
+	for _, line := range lines {
+		var names []string
+		event := ""
+		for _, a := range attribute.FindAllStringSubmatch(line, -1) {
+			if a[1] == "msg" {
+				event = a[2]
+			} else if a[1] != "time" && a[1] != "left_out" {
+				names = append(names, a[1])
+			}
+		}
+		if strings.HasPrefix(event, "subscriber") {
+			events[fmt.Sprint("event ", event, " ", names)] = true
+		}
+	}
+	for _, event := range slices.Sorted(maps.Keys(events)) {
+		fmt.Fprintln(&all, event)
+	}
+	requireGolden(t, "entries_and_events.txt", []byte(all.String()))
+}
