--- /dev/null
+++ b/store/golden_test.go
@@ -0,0 +1,203 @@
+package store
+
+import (
+	"context"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	bolt "go.etcd.io/bbolt"
+)
+
+// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
+var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
+
+const (
+	goldenFile   = "testdata/store-v1.db"
+	goldenNewer  = "testdata/store-v2-required.db"
+	goldenRecord = "testdata/store-v1.records.json"
+)
+
+// goldenValues are the plain values in the golden store file, by bucket and key.
+var goldenValues = map[string]map[string]string{
+	"alpha": {"key": "value", "empty": "", "long": strings.Repeat("0123456789abcdef", 400)},
+	"beta":  {"key": "another value"},
+}
+
+var goldenEvents = []Event{
+	{No: 3, At: 1_700_000_000_003, Kind: "stop", Words: "planned"},
+	{No: 4, At: 1_700_000_000_004, Kind: "start", Words: "believes all: 3 hosts listed, notes of 2"},
+	{No: 5, At: 1_700_000_000_005, Kind: "list", Words: strings.Repeat("w", 240)},
+}
+
+// writeGoldenStore makes a store with overwritten and deleted keys, and a journal that has wrapped around.
+func writeGoldenStore(t *testing.T, path string) {
+	s, err := Open(path, Options{})
+	require.NoError(t, err)
+	require.NoError(t, s.Put(background, "alpha", map[string][]byte{"key": []byte("old"), "gone": []byte("x")}, nil))
+	for bucket, values := range goldenValues {
+		puts, deletes := map[string][]byte{}, []string(nil)
+		for key, value := range values {
+			puts[key] = []byte(value)
+		}
+		if bucket == "alpha" {
+			deletes = []string{"gone"}
+		}
+		require.NoError(t, s.Put(background, bucket, puts, deletes))
+	}
+	j, err := NewJournal(s, "events", 3)
+	require.NoError(t, err)
+	require.NoError(t, j.Add(background, []Event{
+		{At: 1_700_000_000_000, Kind: "start", Words: "a"},
+		{At: 1_700_000_000_001, Kind: "list", Words: "b"},
+		{At: 1_700_000_000_002, Kind: "list", Words: "c"},
+	}))
+	events := append([]Event(nil), goldenEvents...)
+	events[2].Words += "cut off"
+	require.NoError(t, j.Add(background, events))
+	require.NoError(t, s.Close(background))
+}
+
+// rawRecords are a file's bytes by bucket and key, read without package store; checksums are part of them.
+func rawRecords(t *testing.T, path string) map[string]map[string]string {
+	db, err := bolt.Open(path, 0o600, nil)
+	require.NoError(t, err)
+	defer db.Close()
+	all := map[string]map[string]string{}
+	require.NoError(t, db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
+			all[string(name)] = map[string]string{}
+			return b.ForEach(func(k, v []byte) error {
+				all[string(name)][string(k)] = hex.EncodeToString(v)
+				return nil
+			})
+		})
+	}))
+	return all
+}
+
+// copyGolden copies a golden file to a place of its own: opening a store locks and may write it.
+func copyGolden(t *testing.T, golden string) string {
+	text, err := os.ReadFile(golden)
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "store.db")
+	require.NoError(t, os.WriteFile(path, text, 0o600))
+	return path
+}
+
+// A store file of format 1 opens, is not set aside, and yields the values and the events it was written with.
+func TestGoldenStoreFile(t *testing.T) {
+	if *updateStored {
+		path := filepath.Join(t.TempDir(), "store.db")
+		writeGoldenStore(t, path)
+		text, err := os.ReadFile(path)
+		require.NoError(t, err)
+		require.NoError(t, os.WriteFile(goldenFile, text, 0o644))
+	}
+	path := copyGolden(t, goldenFile)
+	s, err := Open(path, Options{Told: func(err error) { t.Errorf("the golden file was reported: %v", err) }})
+	require.NoError(t, err)
+	defer s.Close(context.Background())
+	for bucket, values := range goldenValues {
+		got := map[string]string{}
+		require.NoError(t, s.Load(bucket, func(key string, value []byte) error { got[key] = string(value); return nil }))
+		require.Equal(t, values, got)
+	}
+	_, found, err := s.Get("alpha", "gone")
+	require.NoError(t, err)
+	require.False(t, found)
+	j, err := NewJournal(s, "events", 3)
+	require.NoError(t, err)
+	var events []Event
+	require.NoError(t, j.Each(0, "", func(e Event) bool { events = append(events, e); return true }))
+	require.Equal(t, goldenEvents, events)
+	require.NoError(t, j.Add(background, []Event{{At: 1_700_000_000_006, Kind: "stop"}}))
+	events = nil
+	require.NoError(t, j.Each(1_700_000_000_006, "stop", func(e Event) bool { events = append(events, e); return true }))
+	require.Equal(t, []Event{{No: 6, At: 1_700_000_000_006, Kind: "stop"}}, events, "numbers go on")
+	_, err = os.Stat(path + ".lock")
+	require.NoError(t, err, "the lock file's name")
+}
+
+// The same values written anew give the same records, byte for byte: buckets, keys, checksums, encoded events and the
+// file's state record. Page numbers and unused space are the library's and not compared.
+func TestGoldenStoreRecords(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "store.db")
+	writeGoldenStore(t, path)
+	got := rawRecords(t, path)
+	if *updateStored {
+		text, err := json.MarshalIndent(got, "", "  ")
+		require.NoError(t, err)
+		require.NoError(t, os.WriteFile(goldenRecord, append(text, '\n'), 0o644))
+	}
+	text, err := os.ReadFile(goldenRecord)
+	require.NoError(t, err)
+	var want map[string]map[string]string
+	require.NoError(t, json.Unmarshal(text, &want))
+	require.Equal(t, want, got)
+	require.Equal(t, want, rawRecords(t, copyGolden(t, goldenFile)), "the golden file has the golden records")
+}
+
+// A file that needs format 2 is refused and left as it is.
+func TestGoldenStoreFileThatNeedsNewerFormat(t *testing.T) {
+	if *updateStored {
+		path := copyGolden(t, goldenFile)
+		db, err := bolt.Open(path, 0o600, nil)
+		require.NoError(t, err)
+		require.NoError(t, db.Update(func(tx *bolt.Tx) error {
+			b := tx.Bucket([]byte("chalkring"))
+			record := append([]byte(nil), b.Get([]byte("state"))[8:]...)
+			record[0], record[4] = 2, 2
+			all, _ := sealed("chalkring", "state", record)
+			return b.Put([]byte("state"), all)
+		}))
+		require.NoError(t, db.Close())
+		text, err := os.ReadFile(path)
+		require.NoError(t, err)
+		require.NoError(t, os.WriteFile(goldenNewer, text, 0o644))
+	}
+	path := copyGolden(t, goldenNewer)
+	before, err := os.ReadFile(path)
+	require.NoError(t, err)
+	_, err = Open(path, Options{})
+	var newer *Newer
+	require.ErrorAs(t, err, &newer)
+	require.Equal(t, uint32(2), newer.Has)
+	require.Equal(t, uint32(1), newer.Can)
+	after, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, before, after)
+}
+
+// A file with one flipped bit in a value is set aside as NAME.aside-1, its bytes unchanged.
+func TestGoldenStoreFileDamaged(t *testing.T) {
+	path := copyGolden(t, goldenFile)
+	text, err := os.ReadFile(path)
+	require.NoError(t, err)
+	flipped := 0
+	for at := 0; ; {
+		n := strings.Index(string(text[at:]), "another value")
+		if n < 0 {
+			break
+		}
+		at += n
+		text[at] ^= 1
+		flipped++
+	}
+	require.Positive(t, flipped)
+	require.NoError(t, os.WriteFile(path, text, 0o600))
+	var aside *Aside
+	s, err := Open(path, Options{Told: func(err error) { require.ErrorAs(t, err, &aside) }})
+	require.NoError(t, err)
+	defer s.Close(context.Background())
+	require.NotNil(t, aside)
+	kept, err := os.ReadFile(path + ".aside-1")
+	require.NoError(t, err)
+	require.Equal(t, text, kept)
+	require.NoError(t, s.Load("beta", func(key string, _ []byte) error { t.Errorf("%s is still there", key); return nil }))
+}
