--- /dev/null
+++ b/recovery/golden_test.go
@@ -0,0 +1,103 @@
+package recovery
+
+import (
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"chalkring/learn"
+	"chalkring/members"
+)
+
+// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
+var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
+
+// storedGolden is what a golden file of hex digits holds; with -update-stored it is written first.
+func storedGolden(t *testing.T, name string, now []byte) []byte {
+	path := filepath.Join("testdata", name)
+	if *updateStored {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(hex.EncodeToString(now)+"\n"), 0o644))
+	}
+	text, err := os.ReadFile(path)
+	require.NoError(t, err)
+	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	require.NoError(t, err)
+	return want
+}
+
+// goldenBothWays checks that a value is encoded as the golden bytes, and that these are decoded to the value.
+func goldenBothWays[T any](t *testing.T, name string, value T) {
+	now, err := cbor.Marshal(value)
+	require.NoError(t, err)
+	want := storedGolden(t, name, now)
+	require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(now))
+	var got T
+	require.NoError(t, cbor.Unmarshal(want, &got))
+	require.Equal(t, value, got)
+}
+
+func TestGoldenStarts(t *testing.T) {
+	goldenBothWays(t, "starts.hex", Starts{At: []int64{1_700_000_000_000, 1_700_000_030_000}, Emptied: true})
+	goldenBothWays(t, "starts-after-planned-stop.hex", Starts{}.Stopped())
+}
+
+// Every field of a kept host is set to a value of its own, and each of its states is there. Hosts are maps by name.
+func TestGoldenHostList(t *testing.T) {
+	goldenBothWays(t, "host-list.hex", List{At: 1_700_000_000_000, Plan: 3, Discovery: 9,
+		Hosts: []members.Host{
+			{ID: "a0", Addr: "10.0.0.1:7000", Zone: "eu-1", Kind: "large", Cell: 2, State: members.Up, Weight: 1.5, StartedMS: 1_699_999_000_000, Line: 4, Column: 6},
+			{ID: "b0", Addr: "10.0.0.2:7000", Zone: "eu-2", State: members.Draining, Weight: 1},
+			{ID: "c0", Addr: "10.0.0.3:7000", State: members.Removed},
+		},
+		Gone: []Gone{{ID: "d0", By: "discovery", StartedMS: 1_699_999_500_000, At: 1_699_999_900_000}},
+	})
+	goldenBothWays(t, "host-list-empty.hex", List{At: 1})
+}
+
+func TestGoldenObservations(t *testing.T) {
+	goldenBothWays(t, "observations.hex", Notes{At: 1_700_000_000_000,
+		Head: learn.Head{Peer: "east-0", Place: "eu-1", Serial: 7, List: 9, Age: 1200, Answers: 800, Usual: 150, Shortest: 20, Hosts: 2,
+			Zones: []learn.Zone{{Name: "eu-1", N: 500, Slower: -3}, {Name: "eu-2", N: 300, Slower: 250}}},
+		All: []learn.Note{
+			{ID: "a0", Zone: 1, Since: 1_699_999_000_000, ShortN: 11, LongN: 12, Short: -13, Long: 14, Strikes: 15, Refused: 16, Quiet: 17, Silent: 18, Age: 19, Bad: true},
+			{ID: "b0", Age: learn.NoAnswer},
+		},
+	})
+}
+
+// What is believed of the golden list and observations names these sources and times.
+func TestGoldenBelieved(t *testing.T) {
+	read := func(name string, to any) {
+		require.NoError(t, cbor.Unmarshal(storedGoldenOnly(t, name), to))
+	}
+	var list List
+	var notes Notes
+	read("host-list.hex", &list)
+	read("observations.hex", &notes)
+	require.NoError(t, notes.Check())
+	b := Weigh(1_700_000_002_000, All, 3, &list, &notes)
+	require.Empty(t, b.Left)
+	require.Equal(t, "store", b.List.Source)
+	require.Equal(t, "#store", Peer)
+	require.Equal(t, []string{"all", "no_notes", "no_list", "nothing"},
+		[]string{All.String(), NoNotes.String(), NoList.String(), Nothing.String()}, "as events and log lines have them")
+	require.Equal(t, list.Hosts, b.List.Hosts)
+	require.Equal(t, []members.Gone{{ID: "d0", By: "discovery", StartedMS: 1_699_999_500_000, Ago: 1_020_000}}, b.List.Gone)
+	require.Equal(t, uint32(3200), b.Notes.Head.Age)
+	require.Equal(t, notes.All, b.Notes.All)
+}
+
+func storedGoldenOnly(t *testing.T, name string) []byte {
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	require.NoError(t, err)
+	return want
+}
