--- /dev/null
+++ b/share/golden_test.go
@@ -0,0 +1,119 @@
+package share
+
+import (
+	"context"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/ledger"
+	"chalkring/standin/memnet"
+)
+
+// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
+var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
+
+const goldenBucket = "testdata/share-bucket.json" // values in hex by key, from one instance
+
+// bucketDisk is a disk that knows which bucket it is asked for.
+type bucketDisk struct {
+	*disk
+	t *testing.T
+}
+
+func (d *bucketDisk) Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error {
+	if bucket != "share" {
+		d.t.Errorf("bucket %q", bucket)
+	}
+	return d.disk.Put(ctx, bucket, puts, deletes)
+}
+
+func (d *bucketDisk) Load(bucket string, f func(string, []byte) error) error {
+	if bucket != "share" {
+		d.t.Errorf("bucket %q", bucket)
+	}
+	return d.disk.Load(bucket, f)
+}
+
+func startOnDisk(t *testing.T, life uint64, d *disk) *Book {
+	b := Start(context.Background(), Options{Name: "east-0", Life: life, Net: memnet.New(1).Join("east-0"), Seed: 1,
+		Every: 50 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		Disk:  func(context.Context) (Disk, error) { return &bucketDisk{d, t}, nil },
+		Peers: func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} }})
+	<-b.Ready()
+	return b
+}
+
+func goldenDisk(t *testing.T) *disk {
+	text, err := os.ReadFile(goldenBucket)
+	require.NoError(t, err)
+	var all map[string]string
+	require.NoError(t, json.Unmarshal(text, &all))
+	d := &disk{data: map[string][]byte{}}
+	for key, value := range all {
+		d.data[key], err = hex.DecodeString(value)
+		require.NoError(t, err)
+	}
+	return d
+}
+
+// An instance that puts and deletes writes the golden bucket, byte for byte.
+func TestGoldenShareBucketWritten(t *testing.T) {
+	d := &disk{data: map[string][]byte{}}
+	b := startOnDisk(t, 1_700_000_000_000_000_000, d)
+	for _, kv := range [][2]string{{"x/one", "first"}, {"x/one", "second"}, {"x/two", ""}, {"y", "gone"}, {"zones/eu-1", "\x00\xff"}} {
+		_, err := b.Put(kv[0], []byte(kv[1]))
+		require.NoError(t, err)
+	}
+	_, err := b.Delete("y")
+	require.NoError(t, err)
+	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
+	defer stop()
+	require.NoError(t, b.Kept(ctx))
+	b.stop()
+	<-b.done
+	got := map[string]string{}
+	for key, value := range d.copy().data {
+		got[key] = hex.EncodeToString(value)
+	}
+	if *updateStored {
+		text, err := json.MarshalIndent(got, "", "  ")
+		require.NoError(t, err)
+		require.NoError(t, os.MkdirAll(filepath.Dir(goldenBucket), 0o755))
+		require.NoError(t, os.WriteFile(goldenBucket, append(text, '\n'), 0o644))
+	}
+	text, err := os.ReadFile(goldenBucket)
+	require.NoError(t, err)
+	var want map[string]string
+	require.NoError(t, json.Unmarshal(text, &want))
+	require.Equal(t, want, got)
+}
+
+// A later life of the instance reads the golden bucket and holds what was written.
+func TestGoldenShareBucketRead(t *testing.T) {
+	b := startOnDisk(t, 1_700_000_000_000_000_001, goldenDisk(t))
+	defer func() { b.stop(); <-b.done }()
+	actor := "east-0#1700000000000000000"
+	for name, want := range map[string]ledger.Sibling{
+		"x/one":      {Dot: ledger.Dot{Actor: actor, N: 2}, Value: []byte("second")},
+		"x/two":      {Dot: ledger.Dot{Actor: actor, N: 3}, Value: []byte{}},
+		"zones/eu-1": {Dot: ledger.Dot{Actor: actor, N: 5}, Value: []byte("\x00\xff")},
+	} {
+		e, ok := b.Get(name)
+		require.True(t, ok, name)
+		require.Equal(t, name, e.Name)
+		require.Equal(t, []ledger.Sibling{want}, e.Siblings)
+	}
+	_, ok := b.Get("y")
+	require.False(t, ok)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	require.Equal(t, ledger.Version{{Actor: actor, N: 6}}, b.l.Known(), "what the instance has seen, from its own key")
+}
