--- /dev/null
+++ b/coordinator/golden_stored_test.go
@@ -0,0 +1,203 @@
+package coordinator
+
+import (
+	"context"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"chalkring/learn"
+	"chalkring/members"
+	"chalkring/recovery"
+	"chalkring/store"
+	"chalkring/work"
+)
+
+// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
+var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
+
+// storedGolden is what a golden file of hex digits holds; with -update-stored it is written first.
+func storedGolden(t *testing.T, name string, now []byte) []byte {
+	path := filepath.Join("testdata", name)
+	if *updateStored {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(hex.EncodeToString(now)+"\n"), 0o644))
+	}
+	text, err := os.ReadFile(path)
+	require.NoError(t, err)
+	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	require.NoError(t, err)
+	return want
+}
+
+const goldenStore = "testdata/coordinator-store-v1.db"
+
+// goldenNow is when the golden store is opened: two seconds after its list and observations were written.
+const goldenNow = 1_700_000_002_000
+
+// fixedClock stands still.
+type fixedClock struct{}
+
+func (fixedClock) Now() time.Time                       { return time.UnixMilli(goldenNow) }
+func (fixedClock) After(time.Duration) <-chan time.Time { return nil }
+
+// goldenDeployment is a plan of which all that tells its deployment from others is fixed.
+func goldenDeployment(t *testing.T) *Plan {
+	plan, err := Parse([]byte(`{"name":"golden","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"known":{"version":3,"full":true,"servers":[
+{"id":"a","addr":"127.0.0.1:2","zone":"east","kind":"std","cell":0,"state":"up"},
+{"id":"b","addr":"127.0.0.1:3","zone":"west","kind":"std","cell":1,"state":"up"}]},
+"settings":{"Family":"fanout","Discovery":"subscribe","Balancers":1,"Tick":5.0,"FailureDomains":["east","west"],"MachineTypes":["std"],
+"Classes":[{"Name":"lookup","Aim":1500.0,"Deadline":5000.0,"Effect":"retryable","LateShare":0.1}],
+"Tenants":[{"Name":"acme","QuotaPerS":10.0}],
+"Specifics":{"Sets":2,"Reach":1,"Ranges":4,"PerCall":1,"NeedByClass":[1],"ClassFloor":[1],"FollowUp":[0]},
+"Permissions":{"MaxAttempts":3,"ConnIdle":15000.0,"DialTimeout":250.0,"StreamsPerConn":32,"SecondCopies":true,"Cancelling":true},
+"Safety":{}}}`))
+	require.NoError(t, err)
+	return plan
+}
+
+// goldenList and goldenNotes are what the golden store has of hosts.
+func goldenList() recovery.List {
+	return recovery.List{At: goldenNow - 2000, Plan: 3, Discovery: 9,
+		Hosts: []members.Host{
+			{ID: "a", Addr: "127.0.0.1:2", Zone: "east", Kind: "std", State: members.Up, Weight: 1, StartedMS: 1_699_999_000_000},
+			{ID: "b", Addr: "127.0.0.1:3", Zone: "west", Kind: "std", Cell: 1, State: members.Draining, Weight: 1},
+		},
+		Gone: []recovery.Gone{{ID: "c", By: "discovery", At: goldenNow - 12_000}}}
+}
+
+func goldenNotes() recovery.Notes {
+	return recovery.Notes{At: goldenNow - 2000,
+		Head: learn.Head{Peer: "golden", Place: "east", Serial: 7, List: 9, Age: 100, Answers: 800, Usual: 150, Shortest: 20, Hosts: 1,
+			Zones: []learn.Zone{{Name: "east", N: 500, Slower: -3}}},
+		All: []learn.Note{{ID: "a", ShortN: 11, LongN: 12, Short: -13, Long: 14, Age: 19}}}
+}
+
+func openGoldenKeep(t *testing.T, path string) *Keep {
+	k := newKeep(path, true, store.Options{}, work.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
+	t.Cleanup(k.Close)
+	_, err := k.Store(t.Context())
+	require.NoError(t, err)
+	return k
+}
+
+// writeGoldenKeep makes a store as a run with a planned stop leaves it.
+func writeGoldenKeep(t *testing.T, path string) {
+	k := openGoldenKeep(t, path)
+	puts := map[string][]byte{}
+	for key, v := range map[string]any{"list": goldenList(), "notes": goldenNotes(), "starts": recovery.Starts{}.Stopped()} {
+		text, err := cbor.Marshal(v)
+		require.NoError(t, err)
+		puts[key] = text
+	}
+	require.NoError(t, k.store.Put(t.Context(), "kept", puts, nil))
+	k.Event("stop", "planned")
+	require.NoError(t, k.flush(t.Context()))
+	k.Close()
+}
+
+// A store file that an earlier build has written is believed: its list, observations and events are there.
+func TestGoldenCoordinatorStore(t *testing.T) {
+	if *updateStored {
+		path := filepath.Join(t.TempDir(), "kept.db")
+		writeGoldenKeep(t, path)
+		text, err := os.ReadFile(path)
+		require.NoError(t, err)
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(goldenStore, text, 0o644))
+	}
+	text, err := os.ReadFile(goldenStore)
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "kept.db")
+	require.NoError(t, os.WriteFile(path, text, 0o600))
+	k := openGoldenKeep(t, path)
+	require.Empty(t, k.believed.Left)
+	require.NotNil(t, k.believed.List)
+	require.Equal(t, goldenList().Hosts, k.believed.List.Hosts)
+	require.Equal(t, []members.Gone{{ID: "c", By: "discovery", Ago: 120_000}}, k.believed.List.Gone)
+	require.NotNil(t, k.believed.Notes)
+	require.Equal(t, goldenNotes().All, k.believed.Notes.All)
+	require.NoError(t, k.flush(t.Context()))
+	var events []store.Event
+	require.NoError(t, k.events.Each(0, "", func(e store.Event) bool { events = append(events, e); return true }))
+	require.Equal(t, []store.Event{
+		{No: 0, At: goldenNow, Kind: "start", Words: "believes all: 0 hosts listed, notes of 0"},
+		{No: 1, At: goldenNow, Kind: "stop", Words: "planned"},
+		{No: 2, At: goldenNow, Kind: "start", Words: "believes all: 2 hosts listed, notes of 1"},
+	}, events)
+}
+
+// A start writes these bytes under bucket kept, and its event under bucket events.
+func TestGoldenCoordinatorStart(t *testing.T) {
+	k := openGoldenKeep(t, filepath.Join(t.TempDir(), "kept.db"))
+	require.NoError(t, k.flush(t.Context()))
+	for bucket, keys := range map[string][]string{"kept": {"starts", "whose"}, "events": {"00000000", "next"}} {
+		var got []string
+		require.NoError(t, k.store.Load(bucket, func(key string, value []byte) error {
+			got = append(got, key)
+			want := storedGolden(t, bucket+"-"+key+".hex", value)
+			require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(value), "%s %s", bucket, key)
+			return nil
+		}))
+		require.Equal(t, keys, got, bucket)
+	}
+	whose, found, err := k.store.Get("kept", "whose")
+	require.NoError(t, err)
+	require.True(t, found)
+	var text string
+	require.NoError(t, cbor.Unmarshal(whose, &text))
+	require.Equal(t, k.whose, text)
+}
+
+// A running coordinator writes its list and observations under these keys, in these forms, and a planned stop ends the
+// record of starts.
+func TestGoldenCoordinatorBucketOfARun(t *testing.T) {
+	first := start(t, 256, nil)
+	path := filepath.Join(t.TempDir(), "kept.db")
+	r := first.keeping(path, store.Options{})
+	r.logged("event=store ")
+	r.list.Answers <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
+	r.eventually("b1 is off", func() bool { return r.inForce() == "a0 a1 b0 " })
+	r.end()
+	s, err := store.Open(path, store.Options{})
+	require.NoError(t, err)
+	defer s.Close(context.Background())
+	all := map[string][]byte{}
+	require.NoError(t, s.Load("kept", func(key string, value []byte) error { all[key] = value; return nil }))
+	require.Len(t, all, 4)
+	require.Equal(t, "82f6f4", hex.EncodeToString(all["starts"]), "no starts, not emptied")
+	require.NotEmpty(t, all["whose"])
+	var list []any // at, plan's version, discovery's version, hosts, removals
+	require.NoError(t, cbor.Unmarshal(all["list"], &list))
+	require.Len(t, list, 5)
+	hosts, ok := list[3].([]any)
+	require.True(t, ok)
+	require.Len(t, hosts, 3)
+	host, ok := hosts[0].(map[any]any)
+	require.True(t, ok)
+	require.Len(t, host, 10)
+	for _, name := range []string{"ID", "Addr", "Zone", "Kind", "Cell", "State", "Weight", "StartedMS", "Line", "Column"} {
+		require.Contains(t, host, name)
+	}
+	require.Equal(t, []any{uint64(7), uint64(9)}, list[1:3], "the versions of the plan and of discovery")
+	gone, ok := list[4].([]any)
+	require.True(t, ok)
+	require.Len(t, gone, 1)
+	require.Equal(t, "b1", gone[0].([]any)[0])
+	var notes []any // at, head, observations
+	require.NoError(t, cbor.Unmarshal(all["notes"], &notes))
+	require.Len(t, notes, 3)
+	head, ok := notes[1].([]any)
+	require.True(t, ok)
+	require.Len(t, head, 10)
+}
