--- /dev/null
+++ b/coordinator/golden_metrics_test.go
@@ -0,0 +1,93 @@
+package coordinator
+
+import (
+	"fmt"
+	"math"
+	"net/http"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// metricsWithoutValues reads /metrics and takes the numbers at the lines' ends away.
+func metricsWithoutValues(t *testing.T, r *rig) string {
+	c := r.call()
+	c.send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
+	status, head, body, _ := c.answer()
+	require.Equal(t, http.StatusOK, status)
+	return fmt.Sprintf("content-type: %s\n%s", head["content-type"], regexp.MustCompile(`(?m) [-+0-9.eE]+$`).ReplaceAllString(body, " VALUE"))
+}
+
+// The names, labels and help texts of all metrics of a co-ordinator, in their order.
+func TestGoldenMetrics(t *testing.T) {
+	watching := startWatching(t, map[string]string{"Permissions.SecondCopies": "false"})
+	text := "shadow settings\n" + metricsWithoutValues(t, watching)
+	watching.end()
+	zoned := startZoned(t, eastOnly)
+	text += "residency\n" + metricsWithoutValues(t, zoned.rig)
+	zoned.end()
+	requireGolden(t, "metrics.golden", text)
+}
+
+// eventKeys are the events of a log with the keys beside them, each once, in alphabetical order; values are left out.
+func eventKeys(log string) string {
+	key := regexp.MustCompile(`(?:^| )([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+	var all []string
+	for _, line := range strings.Split(strings.TrimSpace(log), "\n") {
+		var keys []string
+		level, event := "", ""
+		for _, m := range key.FindAllStringSubmatch(line, -1) {
+			switch m[1] {
+			case "time":
+			case "level":
+				level = m[2]
+			case "event":
+				event = m[2]
+			default:
+				keys = append(keys, m[1])
+			}
+		}
+		all = append(all, fmt.Sprintf("%s %s: %s\n", event, level, strings.Join(keys, " ")))
+	}
+	slices.Sort(all)
+	return strings.Join(slices.Compact(all), "")
+}
+
+// The events and keys of the log that a start, a list, a changed plan, a search and a stop always write.
+func TestGoldenLogEvents(t *testing.T) {
+	r := start(t, 256, nil)
+	r.list.Answers <- `{"version":8,"full":false,"servers":[]}`
+	r.logged("how=Partial")
+	r.call().want("a", "all", http.StatusOK, wholeOfAll)
+	next, err := Parse(planOf(t, func(s map[string]any) { s["Added"] = 1 }))
+	require.NoError(t, err)
+	next.Discovery = script(t).Ln.Addr().String()
+	r.plans <- next
+	r.logged("waits_for_restart=")
+	r.end()
+	served := map[string]bool{"serving": true, "stopped": true, "list": true, "reloaded": true}
+	var kept []string
+	for _, line := range strings.Split(r.log.String(), "\n") {
+		if m := regexp.MustCompile(`event=(\S+)`).FindStringSubmatch(line); m != nil && served[m[1]] {
+			kept = append(kept, line)
+		}
+	}
+	text := "service\n" + eventKeys(strings.Join(kept, "\n"))
+
+	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
+	status, _ := z.as("acme", "acme1", "all")
+	require.Equal(t, http.StatusUnavailableForLegalReasons, status)
+	z.logged("event=residency_refused")
+	z.in.Put(z.standing(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
+	z.end()
+	kept = nil
+	for _, line := range strings.Split(z.log.String(), "\n") {
+		if strings.Contains(line, "event=residency_refused") {
+			kept = append(kept, line)
+		}
+	}
+	requireGolden(t, "log_events.golden", text+"residency\n"+eventKeys(strings.Join(kept, "\n")))
+}
