--- /dev/null
+++ b/internal/frame/golden_frames_test.go
@@ -0,0 +1,94 @@
+package frame
+
+import (
+	"bufio"
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// goldenFrames are the frames that a coordinator writes, by name. Each line of the golden file is a name and the quoted
+// bytes of the frame.
+func goldenFrames() string {
+	var out strings.Builder
+	add := func(name string, text []byte) { fmt.Fprintf(&out, "%s %q\n", name, text) }
+	one := AppendPart(Begin(nil, Call), "q-1.0", 0, []byte("d=240"), []byte("town:oslo"))
+	add("call-one-shard", End(one, 0))
+	two := AppendPart(Begin(nil, Call), "q-1.3", 3, []byte("d=240"), []byte("two\nlines é"))
+	two = AppendPart(two, "q-1.12.r", 12, []byte("d=1,from=3+12,whole=0"), nil)
+	add("call-two-shards", End(two, 0))
+	add("cancel", AppendCancel(nil, "q-1.12.r"))
+	add("cancel-behind-call", AppendCancel(End(AppendPart(Begin(nil, Call), "a.1", 1, []byte("d=9"), []byte("x")), 0), "a.1"))
+	return out.String()
+}
+
+// Frames to replicas are written with the bytes of the golden file.
+func TestGoldenFramesWritten(t *testing.T) {
+	compareGolden(t, "frames_written.golden", goldenFrames())
+}
+
+// Frames from replicas are read as the golden file says: a line is the frame's quoted bytes, behind it what is read of it.
+func TestGoldenFramesRead(t *testing.T) {
+	framed := func(letter byte, rest string) string { return string(End(append(Begin(nil, letter), rest...), 0)) }
+	var out strings.Builder
+	for _, text := range []string{
+		"\x00\x00\x00\x1eqq-1.0 good 1840277719 -\nvalue", "\x00\x00\x00\x0fqq good -5 -\n\n\n",
+		framed(Answer, "q.1 good +7 queue:2,x=1.5\nvalue\nof lines"), framed(Answer, "q.1 good 18446744073709551616 -\n"),
+		framed(Answer, "q.1 bad - -\n"), framed(Answer, "q.1 later - RetryAfter:250,load=0.5\n"),
+		framed(Answer, "q.1 later - broken\n"), framed(Answer, "q.1 good 5 a:nan\nv"), framed(Answer, "q.1 good x -\n"),
+		framed(Answer, "q.1 good 5 -"), framed(Answer, " good 5 -\n"), framed(Refuse, "cannot read that"),
+		framed(Call, "q.1 3 d=240 4\ntext"), framed(Cancel, "q.1"),
+		"\x00\x00\x00\x00", "\x00\x04\x00\x01q", "\x00\x00\x00\x09qshort", "\x00\x00",
+	} {
+		letter, rest, err := Read(bufio.NewReader(strings.NewReader(text)))
+		fmt.Fprintf(&out, "%q", text)
+		if err != nil {
+			fmt.Fprintf(&out, " unreadable\n")
+			continue
+		}
+		fmt.Fprintf(&out, " letter=%c", letter)
+		if letter != Answer {
+			fmt.Fprintf(&out, " rest=%q\n", rest)
+			continue
+		}
+		id, end, score, report, value, err := ReadAnswer(rest)
+		if err != nil {
+			fmt.Fprintf(&out, " unusable\n")
+			continue
+		}
+		var pairs []string
+		for name, v := range report {
+			pairs = append(pairs, name+"="+strconv.FormatFloat(v, 'g', -1, 64))
+		}
+		slices.Sort(pairs)
+		fmt.Fprintf(&out, " id=%q end=%q score=%q report=%q value=%q\n", id, end, score, strings.Join(pairs, ","), value)
+	}
+	compareGolden(t, "frames_read.golden", out.String())
+}
+
+// The golden bytes of a call are taken apart again by the reader of frames.
+func TestGoldenFramesReadBack(t *testing.T) {
+	text, err := os.ReadFile("testdata/frames_written.golden")
+	require.NoError(t, err)
+	var letters []string
+	for line := range strings.Lines(string(text)) {
+		name, quoted, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		frames, err := strconv.Unquote(quoted)
+		require.NoError(t, err)
+		src := bufio.NewReader(strings.NewReader(frames))
+		for {
+			letter, rest, err := Read(src)
+			if err != nil {
+				break
+			}
+			letters = append(letters, fmt.Sprintf("%s %c %d", name, letter, len(rest)))
+		}
+	}
+	require.Equal(t, []string{"call-one-shard m 25", "call-two-shards m 65", "cancel n 8", "cancel-behind-call m 13",
+		"cancel-behind-call n 3"}, letters)
+}
