--- a/coordinator/golden_test.go
+++ b/coordinator/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew: only after a change of the form that is meant")
+var updateGolden = flag.Bool("update-golden", false, "write the golden files in testdata anew; without it they are only compared")
 
 // requireGolden compares text with a golden file, byte for byte.
 func requireGolden(t *testing.T, name, text string) {
