--- a/logic/apart_test.go
+++ b/balancer/apart_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
--- a/logic/bounds.go
+++ b/balancer/bounds.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 const (
 	spotsMost  = 1 << 16 // spots whose replicas are kept: some dozen kinds of bounds over a thousand shards
--- a/logic/iface.go
+++ b/balancer/iface.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // Coordinator is what a protocol calls. Times are whole tenths of a millisecond, ids are the protocol's
 // own. A turn is: Clock, any number of the calls between, EndOfBatch. One goroutine at a time.
--- a/logic/logic.go
+++ b/balancer/logic.go
@@ -1,8 +1,8 @@
-// Package logic decides for one co-ordinator: which searches wait, how many parts are sent, to whom, what
+// Package balancer decides for one co-ordinator: which searches wait, how many parts are sent, to whom, what
 // is sent again, and when the answer goes out. A protocol makes one with New, hands it events by the calls
 // of Coordinator and carries out what it asks by Out; both stand in iface.go. Nothing happens but in such a
 // call, and the same calls give the same actions. docs/design.md tells what departs from TOFEC, and when.
-package logic
+package balancer
 
 import (
 	"cmp"
--- a/logic/wakes.go
+++ b/balancer/wakes.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // woken is what a wake leaves behind: a step that goes on then.
 type woken interface{ woken(c *coordinator) }
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -8,12 +8,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 // puppet stands in the module's place: it decides nothing, and keeps what it is told.
 type puppet struct {
-	logic.Coordinator
+	balancer.Coordinator
 	r        *rig
 	searches chan [2]uint64 // ids of a search and of its first part
 	last     uint64
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 // sentBytes collects what is written on connections, by address.
@@ -154,7 +154,7 @@
 
 // toldEntries stands in the decision module's place and keeps what it is told of lists.
 type toldEntries struct {
-	logic.Coordinator
+	balancer.Coordinator
 	out *strings.Builder
 }
 
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 	"chalkring/residency"
 	"chalkring/shadow"
 )
@@ -28,7 +28,7 @@
 	Means
 	log    *notes
 	plan   *Plan
-	module logic.Coordinator
+	module balancer.Coordinator
 	g      *errgroup.Group
 	ctx    context.Context
 	queue  chan func()
@@ -594,7 +594,7 @@
 	return in
 }
 
-// What the module asks for; see logic.Out.
+// What the module asks for; see balancer.Out.
 
 func (o *owner) Answer(id uint64, whole bool) {
 	s := o.searches[id]
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"chalkring/balancer"
 	"chalkring/learn"
-	"chalkring/logic"
 	"chalkring/peer"
 	"chalkring/standin"
 	fleet "chalkring/standin/rig"
@@ -41,7 +41,7 @@
 	told := make(chan struct{})
 	var all []string
 	require.True(r.t, r.owner.post(func() {
-		r.owner.module.Know(0, 100, func(b logic.Belief) { all = append(all, b.Replica) })
+		r.owner.module.Know(0, 100, func(b balancer.Belief) { all = append(all, b.Replica) })
 		close(told)
 	}))
 	<-told
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 // gates hold back connections: each that is opened waits until its address is let through.
@@ -255,7 +255,7 @@
 
 // deaf is a module that does nothing on hearing of an end; told, where it is not nil, keeps it.
 type deaf struct {
-	logic.Coordinator
+	balancer.Coordinator
 	told *[]string
 }
 
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -13,9 +13,9 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
+	"chalkring/balancer"
 	"chalkring/facts"
 	"chalkring/fault"
-	"chalkring/logic"
 	"chalkring/members"
 	"chalkring/residency"
 )
@@ -99,7 +99,7 @@
 	in               *residency.Standing
 	hosts            *residency.Hosts
 	tenants, classes []string // by place
-	bounds           map[tied]*logic.Bounds
+	bounds           map[tied]*balancer.Bounds
 	now, next        int64        // of this turn; when what holds changes by itself
 	until            atomic.Int64 // the lease's end, for connections' writers
 	gone             chan struct{}
@@ -117,7 +117,7 @@
 		}
 		return names
 	}
-	b := &bounding{o: o, r: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), bounds: map[tied]*logic.Bounds{},
+	b := &bounding{o: o, r: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), bounds: map[tied]*balancer.Bounds{},
 		gone: make(chan struct{})}
 	r.mu.Lock()
 	r.owners[b] = true
@@ -233,7 +233,7 @@
 	key := tied{s.tenant, s.qtype}
 	to := b.bounds[key]
 	if to == nil {
-		to = &logic.Bounds{May: func(shard int, replica string) bool { return b.may(tenant, class, shard, replica) }}
+		to = &balancer.Bounds{May: func(shard int, replica string) bool { return b.may(tenant, class, shard, replica) }}
 		b.bounds[key] = to
 	}
 	s.tied = true
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -1,5 +1,5 @@
 // Package coordinator is one chalkring co-ordinator on sockets. Read its plan, then Serve it: the decision
-// module in package logic decides, this package carries out. docs/architecture.md tells how the files fit.
+// module in package balancer decides, this package carries out. docs/architecture.md tells how the files fit.
 package coordinator
 
 import (
@@ -21,8 +21,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"chalkring/balancer"
 	"chalkring/facts"
-	"chalkring/logic"
 	"chalkring/members"
 	"chalkring/shadow"
 )
@@ -458,9 +458,9 @@
 	o.copies = p.facts["Permissions.SecondCopies"] == "true" || p.facts["Permissions.SecondCopies"] == "1"
 	o.base = o.start.UnixMicro() / 100
 	f := &front{o: o, gate: newGate(int(clientShare * float64(p.Sockets))), classes: p.names("Classes"), tenants: p.names("Tenants"), stopping: stopping}
-	if o.module = logic.New(o); p.next != nil {
+	if o.module = balancer.New(o); p.next != nil {
 		o.counts = &shadow.Counts{}
-		o.module = shadow.New(o, p.facts, p.next, o.counts, logic.New)
+		o.module = shadow.New(o, p.facts, p.next, o.counts, balancer.New)
 	}
 	if m.Keep != nil {
 		m.Peers = m.Keep.peers(m.Peers)
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -19,8 +19,8 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
+	"chalkring/balancer"
 	"chalkring/internal/http1"
-	"chalkring/logic"
 	"chalkring/standin"
 	fleet "chalkring/standin/rig"
 )
@@ -279,7 +279,7 @@
 
 // asksAgain is a module that asks again as the real one does after failures.
 type asksAgain struct {
-	logic.Coordinator
+	balancer.Coordinator
 	o      *owner
 	chance *rand.Rand
 	wait   time.Duration
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 type entry struct {
@@ -35,7 +35,7 @@
 type instance struct {
 	no   int
 	l    *link
-	c    logic.Coordinator
+	c    balancer.Coordinator
 	turn bool
 	dead bool // its module failed
 	gone bool // killed or started anew: nothing it asked for in this batch goes out
@@ -247,7 +247,7 @@
 		old.gone = true
 	}
 	i := &instance{no: no, l: l}
-	i.c = logic.New(i)
+	i.c = balancer.New(i)
 	l.instances[no] = i
 	l.touch(i)
 	i.guard(func() { i.c.Start(seed, settings) })
--- a/learn/learn_test.go
+++ b/learn/learn_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 // TestMain has property tests draw the same each time: CI gives one verdict. A flag on the command line holds over it.
@@ -41,13 +41,13 @@
 
 func bad(id string) Note { return Note{ID: id, Bad: true, Quiet: 5} }
 
-func of(heard []logic.Heard, id string) logic.Heard {
+func of(heard []balancer.Heard, id string) balancer.Heard {
 	for _, h := range heard {
-		if h.Of == logic.OfReplica && h.Replica == id {
+		if h.Of == balancer.OfReplica && h.Replica == id {
 			return h
 		}
 	}
-	return logic.Heard{}
+	return balancer.Heard{}
 }
 
 var note = rapid.Custom(func(t *rapid.T) Note {
@@ -63,7 +63,7 @@
 		reports := rapid.SliceOfN(rapid.SliceOfN(note, 1, 8), 1, 5).Draw(t, "reports")
 		ages := rapid.SliceOfN(rapid.Int64Range(0, reportLife), 5, 5).Draw(t, "ages")
 		now := int64(2 * reportLife)
-		shelf := func(order []int, times int) []logic.Heard {
+		shelf := func(order []int, times int) []balancer.Heard {
 			s := NewShelf("", nil)
 			for _, i := range order {
 				for range times {
@@ -98,7 +98,7 @@
 		ages := rapid.SliceOfN(rapid.Int64Range(0, reportLife/2), 4, 4).Draw(t, "ages")
 		older := rapid.SliceOfN(rapid.Int64Range(0, reportLife/2), 4, 4).Draw(t, "older")
 		now := int64(2 * reportLife)
-		shelf := func(more []int64) []logic.Heard {
+		shelf := func(more []int64) []balancer.Heard {
 			s := NewShelf("", nil)
 			for i, notes := range reports {
 				put(t, s, now-ages[i]-more[i], fmt.Sprint("p", i), notes...)
@@ -212,10 +212,10 @@
 	take := func(times float64) []Note {
 		taker := NewTaker(0, "a", "", 1, 1, nil)
 		usual := math.Log(50 * times)
-		taker.Tell(logic.Belief{Of: logic.OfFleet, Short: logic.Tally{N: 100, Mean: usual}, Long: logic.Tally{N: 100, Mean: usual}})
+		taker.Tell(balancer.Belief{Of: balancer.OfFleet, Short: balancer.Tally{N: 100, Mean: usual}, Long: balancer.Tally{N: 100, Mean: usual}})
 		for i, factor := range []float64{1, 1, 4} {
-			mean := logic.Tally{N: 10, Mean: math.Log(50 * times * factor)}
-			taker.Tell(logic.Belief{Of: logic.OfReplica, Replica: fmt.Sprint("h", i), Short: mean, Long: mean, Age: 10})
+			mean := balancer.Tally{N: 10, Mean: math.Log(50 * times * factor)}
+			taker.Tell(balancer.Belief{Of: balancer.OfReplica, Replica: fmt.Sprint("h", i), Short: mean, Long: mean, Age: 10})
 		}
 		return taker.Notes
 	}
@@ -236,8 +236,8 @@
 	put2(t, there, 0, head, n)
 	heard := here.Combine(0, all)
 	require.InDelta(t, 1.5, of(heard, "h1").Short.Mean, 1e-9)
-	require.Equal(t, logic.Heard{Of: logic.OfFleet, Usual: 400, Shortest: 30}, heard[0])
-	require.Equal(t, logic.OfZone, heard[1].Of)
+	require.Equal(t, balancer.Heard{Of: balancer.OfFleet, Usual: 400, Shortest: 30}, heard[0])
+	require.Equal(t, balancer.OfZone, heard[1].Of)
 	require.Equal(t, 0, heard[1].Zone, "zones go by name")
 	heard = there.Combine(0, all)
 	require.Len(t, heard, 1)
--- a/learn/report.go
+++ b/learn/report.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"math"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 const (
@@ -94,21 +94,21 @@
 }
 
 // Tell takes one belief in; the fleet's comes first.
-func (t *Taker) Tell(b logic.Belief) {
+func (t *Taker) Tell(b balancer.Belief) {
 	switch b.Of {
-	case logic.OfFleet:
+	case balancer.OfFleet:
 		t.usual = b.Short.Mean
 		t.Head.Answers = uint32(scaled(b.Short.N, countScale, math.MaxInt32))
 		t.Head.Usual = uint32(scaled(math.Exp(b.Short.Mean), 1, math.MaxInt32))
 		if b.Long.Mean > 0 {
 			t.Head.Shortest = uint32(scaled(math.Exp(b.Long.Mean), 1, math.MaxInt32))
 		}
-	case logic.OfZone:
+	case balancer.OfZone:
 		if b.Zone < len(t.zones) && len(t.Head.Zones) < ZonesMost {
 			t.Head.Zones = append(t.Head.Zones, Zone{Name: t.zones[b.Zone],
 				N: uint16(scaled(b.Short.N, countScale, math.MaxUint16)), Slower: t.slower(b.Short)})
 		}
-	case logic.OfReplica:
+	case balancer.OfReplica:
 		if len(t.Notes) >= HostsMost {
 			return
 		}
@@ -138,7 +138,7 @@
 	return h
 }
 
-func (t *Taker) slower(m logic.Tally) int16 {
+func (t *Taker) slower(m balancer.Tally) int16 {
 	if m.N == 0 {
 		return 0
 	}
--- a/learn/shelf.go
+++ b/learn/shelf.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 // Shelf keeps the last report of each peer and combines them. It is one goroutine's.
@@ -145,7 +145,7 @@
 	if r.head.Place != s.place && int(n.Zone) < len(r.head.Zones) {
 		way = max(0, float64(r.head.Zones[n.Zone].Slower)/logScale)
 	}
-	v := vote{shortN: weight(n.ShortN, age, logic.ShortSpan), longN: weight(n.LongN, age, logic.LongSpan),
+	v := vote{shortN: weight(n.ShortN, age, balancer.ShortSpan), longN: weight(n.LongN, age, balancer.LongSpan),
 		short: float64(n.Short)/logScale - way, long: float64(n.Long)/logScale - way}
 	if n.Bad && !r.self {
 		v.lasts = max(0, badLife-age)
@@ -161,7 +161,7 @@
 // Combine puts together what all reports say now. since gives the start of a host on the own list in ms, false
 // where it is not on it: what is told of a host that started at another time is of another life of it.
 // What was said before and no longer holds is in the result too, as nothing.
-func (s *Shelf) Combine(now int64, since func(host string) (ms int64, listed bool)) []logic.Heard {
+func (s *Shelf) Combine(now int64, since func(host string) (ms int64, listed bool)) []balancer.Heard {
 	s.Expire(now)
 	out := s.ofFleet(now)
 	hosts := map[string]bool{}
@@ -195,7 +195,7 @@
 			}
 			votes = append(votes, s.vote(now, r, n))
 		}
-		h := logic.Heard{Of: logic.OfReplica, Replica: id, Since: ms * tenthsPerMs}
+		h := balancer.Heard{Of: balancer.OfReplica, Replica: id, Since: ms * tenthsPerMs}
 		h.Short = settle(votes, func(v vote) (float64, float64) { return v.shortN, v.short })
 		h.Long = settle(votes, func(v vote) (float64, float64) { return v.longN, v.long })
 		h.Lasts = majority(votes)
@@ -211,20 +211,20 @@
 }
 
 // settle is the lower median of the slowness and the bounded sum of the weights; nothing where that is 'no slower'.
-func settle(votes []vote, of func(v vote) (n, slower float64)) logic.Tally {
+func settle(votes []vote, of func(v vote) (n, slower float64)) balancer.Tally {
 	sum, all := 0.0, make([]float64, 0, len(votes))
 	for _, v := range votes {
 		n, slower := of(v)
 		sum, all = sum+n, append(all, slower)
 	}
 	if len(all) == 0 || sum < noteLeast {
-		return logic.Tally{}
+		return balancer.Tally{}
 	}
 	slices.Sort(all)
 	if slower := all[(len(all)-1)/2]; slower > 0 {
-		return logic.Tally{N: min(oneVote, sum), Mean: slower}
+		return balancer.Tally{N: min(oneVote, sum), Mean: slower}
 	}
-	return logic.Tally{}
+	return balancer.Tally{}
 }
 
 // majority is how long more than half of the votes go on calling a host bad.
@@ -242,8 +242,8 @@
 
 // ofFleet puts the peers' usual and shortest times and their ways together. Only peers at the own place count:
 // from elsewhere the distance is in them.
-func (s *Shelf) ofFleet(now int64) []logic.Heard {
-	var out []logic.Heard
+func (s *Shelf) ofFleet(now int64) []balancer.Heard {
+	var out []balancer.Heard
 	var usual, shortest []float64
 	ways := map[int][]vote{}
 	near := 0
@@ -261,19 +261,19 @@
 		}
 		for _, z := range r.head.Zones {
 			if i, known := s.zones[z.Name]; known {
-				ways[i] = append(ways[i], vote{shortN: weight(z.N, max(0, now-r.taken), logic.ShortSpan),
+				ways[i] = append(ways[i], vote{shortN: weight(z.N, max(0, now-r.taken), balancer.ShortSpan),
 					short: float64(z.Slower) / logScale})
 			}
 		}
 	}
 	if len(usual) > 0 {
-		out = append(out, logic.Heard{Of: logic.OfFleet, Usual: middle(usual), Shortest: middle(shortest)})
+		out = append(out, balancer.Heard{Of: balancer.OfFleet, Usual: middle(usual), Shortest: middle(shortest)})
 	}
 	for _, i := range sortedKeys(ways) {
 		for len(ways[i]) < near {
 			ways[i] = append(ways[i], vote{})
 		}
-		h := logic.Heard{Of: logic.OfZone, Zone: i,
+		h := balancer.Heard{Of: balancer.OfZone, Zone: i,
 			Short: settle(ways[i], func(v vote) (float64, float64) { return v.shortN, v.short })}
 		if says := h.Short.N > 0; says || s.ways[i] {
 			out = append(out, h)
--- a/shadow/shadow.go
+++ b/shadow/shadow.go
@@ -9,7 +9,7 @@
 	"strings"
 	"sync/atomic"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 // Kinds of decisions that may differ, by how they are told.
@@ -102,8 +102,8 @@
 
 // Watch is a module and the watch on it.
 type Watch struct {
-	logic.Coordinator
-	out      logic.Out
+	balancer.Coordinator
+	out      balancer.Out
 	counts   *Counts
 	now, was shape
 	at       int64
@@ -139,7 +139,7 @@
 
 // New makes a module by make, with the watch between it and out. inForce are the settings it starts with, next those it
 // is held against too.
-func New(out logic.Out, inForce, next map[string]string, counts *Counts, make func(out logic.Out) logic.Coordinator) *Watch {
+func New(out balancer.Out, inForce, next map[string]string, counts *Counts, make func(out balancer.Out) balancer.Coordinator) *Watch {
 	w := &Watch{out: out, counts: counts, was: inForce, now: next, searches: map[uint64]*search{}, numbers: map[uint64]*search{},
 		parts: map[uint64]*part{}, replicas: map[string]*replica{}, listed: map[string]bool{}}
 	w.Coordinator = make(w)
--- a/shadow/shadow_test.go
+++ b/shadow/shadow_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/logic"
+	"chalkring/balancer"
 )
 
 // usual are settings as plans have them: type 0 needs six tenths of its parts, type 1 all.
@@ -33,7 +33,7 @@
 // tape carries out what a module asks for and writes it down. Replicas answer, fail, fall silent or lose connections by
 // chance, from the seed alone: the same requests have the same ends.
 type tape struct {
-	c       logic.Coordinator
+	c       balancer.Coordinator
 	chance  *rand.Rand
 	now     int64
 	acts    []string
@@ -111,9 +111,9 @@
 	x := &tape{chance: rand.New(rand.NewSource(seed)), now: 100, legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
 	counts := &Counts{}
 	if next == nil {
-		x.c = logic.New(x)
+		x.c = balancer.New(x)
 	} else {
-		x.c = New(x, inForce, next, counts, logic.New)
+		x.c = New(x, inForce, next, counts, balancer.New)
 	}
 	entries := func(how string, since int64, status string, n int) {
 		for i := range n {
@@ -188,7 +188,7 @@
 }
 
 // script is a module that does as it is told: for what the real one never does.
-type script struct{ logic.Coordinator }
+type script struct{ balancer.Coordinator }
 
 func (script) Clock(int64)                                                  {}
 func (script) Entry(string, int, int, int, string, float64, int64)          {}
@@ -200,7 +200,7 @@
 
 func scripted(next map[string]string) (*Watch, *Counts, *tape) {
 	counts, x := &Counts{}, &tape{chance: rand.New(rand.NewSource(1)), legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
-	w := New(x, usual, next, counts, func(logic.Out) logic.Coordinator { return script{} })
+	w := New(x, usual, next, counts, func(balancer.Out) balancer.Coordinator { return script{} })
 	x.c = w
 	w.Clock(1_000)
 	w.Entry("a", 0, 0, 0, "healthy", 1, 0)
@@ -242,7 +242,7 @@
 	next := with("Safety.LookBack", "5000")
 	_, _ = play(1, usual, next)
 	x := &tape{chance: rand.New(rand.NewSource(1)), legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
-	w := New(x, usual, next, &Counts{}, func(logic.Out) logic.Coordinator { return script{} })
+	w := New(x, usual, next, &Counts{}, func(balancer.Out) balancer.Coordinator { return script{} })
 	for i := range uint64(20_000) {
 		w.Clock(int64(i) * 100)
 		id := fmt.Sprint("r", i)
