--- a/fleet/swim/swim.go
+++ b/cluster/membership/swimsim/swim.go
@@ -1,7 +1,7 @@
-// Package swim plays a fleet on one handed-in clock: instances with the books and watches of package fleet, over a model
+// Package swimsim plays a fleet on one handed-in clock: instances with the books and watches of package fleet, over a model
 // of the gossip library's protocol and a drawn network that loses, delays and cuts. It has no I/O. Tests and lab look at
 // thousands of histories and at 300 instances with it, which no machine's sockets would give in time.
-package swim
+package swimsim
 
 import (
 	"container/heap"
--- a/fleet/swim/swim_test.go
+++ b/cluster/membership/swimsim/swim_test.go
@@ -1,4 +1,4 @@
-package swim
+package swimsim
 
 import (
 	"fmt"
--- a/lab/gossip.go
+++ b/lab/gossip.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"chalkring/cluster/membership/swimsim"
 	book "chalkring/fleet"
-	"chalkring/fleet/swim"
 	"chalkring/gossip"
 )
 
@@ -329,20 +329,20 @@
 // gossipModel plays the same with the model's clock and network.
 func gossipModel(seed int64, n int, out *Result) {
 	as := fmt.Sprint("model", n)
-	w := swim.New(seed, n)
+	w := swimsim.New(seed, n)
 	w.Loss = modelLoss
 	sides := make([]int, n)
 	w.Cut = func(from, to int) bool { return sides[from] != sides[to] }
 	b, next := newBooks(n), int64(0)
 	views := func() (all []view) {
 		for _, i := range w.All {
-			all = append(all, view{swim.Name(i.No), i.Up, sides[i.No], i.Book})
+			all = append(all, view{swimsim.Name(i.No), i.Up, sides[i.No], i.Book})
 		}
 		return all
 	}
 	span := func(at int64) time.Duration { return time.Duration(at) * 100 * time.Microsecond }
 	ticks := func(d time.Duration) int64 { return int64(d / (100 * time.Microsecond)) }
-	w.Look = func(at int64, w *swim.World) {
+	w.Look = func(at int64, w *swimsim.World) {
 		if at >= next {
 			next = at + ticks(modelLook)
 			b.look(span(at), views())
