--- a/fleet/fleet.go
+++ b/cluster/membership/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet keeps who of the fleet is there: a Book takes words on members and says which life of each name holds,
+// Package membership keeps who of the fleet is there: a Book takes words on members and says which life of each name holds,
 // whether more than half of those that count are heard, and which names are claimed by two. It has no I/O; times are
 // tenths of a millisecond of a clock that is handed in. The same words in any order, told once or often, leave the same
 // book. docs/fleet.md tells the rules and what holds in a partition.
-package fleet
+package membership
 
 import (
 	"cmp"
--- a/cluster/membership/swimsim/swim.go
+++ b/cluster/membership/swimsim/swim.go
@@ -1,4 +1,4 @@
-// Package swimsim plays a fleet on one handed-in clock: instances with the books and watches of package fleet, over a model
+// Package swimsim plays a fleet on one handed-in clock: instances with the books and watches of package membership, over a model
 // of the gossip library's protocol and a drawn network that loses, delays and cuts. It has no I/O. Tests and lab look at
 // thousands of histories and at 300 instances with it, which no machine's sockets would give in time.
 package swimsim
@@ -10,7 +10,7 @@
 	"math/rand"
 	"slices"
 
-	"chalkring/fleet"
+	"chalkring/cluster/membership"
 )
 
 // The library's times as package gossip sets them, in tenths of a millisecond, and about the sizes that it sends.
@@ -18,7 +18,7 @@
 	ms         = 10
 	Second     = 1000 * ms
 	probeEvery = 500 * ms
-	ackMost    = fleet.PingMost
+	ackMost    = membership.PingMost
 	newsEvery  = 200 * ms
 	newsNodes  = 3
 	newsMost   = 12 // items of a packet: 1400 bytes
@@ -56,17 +56,17 @@
 	Key  string
 	Up   bool
 	Held bool // stopped by SIGSTOP
-	Book *fleet.Book
+	Book *membership.Book
 	Sent int64 // bytes
 
 	w       *World
-	watch   *fleet.Watch
+	watch   *membership.Watch
 	nodes   map[string]*node
 	ids     []string // of nodes, in the order in which they came
 	round   []string
 	inc     uint32
 	news    []*item
-	said    fleet.Member
+	said    membership.Member
 	spoke   int64          // when
 	unheard bool           // somebody still speaks of a life before
 	held    []func()       // what its timers would have done meanwhile
@@ -74,20 +74,20 @@
 }
 
 type node struct {
-	m     fleet.Member
+	m     membership.Member
 	no    int
 	inc   uint32
-	state fleet.State // Alive, Suspect, Gone
+	state membership.State // Alive, Suspect, Gone
 	since int64
 }
 
 // item is a word that goes round.
 type item struct {
 	key   string
-	m     fleet.Member
+	m     membership.Member
 	no    int
 	inc   uint32
-	state fleet.State
+	state membership.State
 	left  int
 }
 
@@ -129,7 +129,7 @@
 	for _, i := range w.All {
 		for _, o := range w.All {
 			if o != i {
-				i.alive(item{key: o.Key, m: o.said, no: o.No, inc: 0, state: fleet.Alive})
+				i.alive(item{key: o.Key, m: o.said, no: o.No, inc: 0, state: membership.Alive})
 			}
 		}
 		i.news = nil
@@ -200,16 +200,16 @@
 // Start begins a new life of an instance that is down or has not been.
 func (w *World) Start(no int) {
 	w.spare += 1000
-	me := fleet.Member{Name: Name(no), Incarnation: uint64(w.spare), Addr: fmt.Sprint("addr-", no)}
-	i := &Instance{No: no, Key: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Up: true, w: w, Book: fleet.New(me, w.listed),
+	me := membership.Member{Name: Name(no), Incarnation: uint64(w.spare), Addr: fmt.Sprint("addr-", no)}
+	i := &Instance{No: no, Key: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Up: true, w: w, Book: membership.New(me, w.listed),
 		nodes: map[string]*node{}, last: map[string]int{}, said: me}
-	i.watch = fleet.NewWatch(i.Book, rand.New(rand.NewSource(w.dice.Int63())))
+	i.watch = membership.NewWatch(i.Book, rand.New(rand.NewSource(w.dice.Int63())))
 	w.All[no] = i
 	i.every(probeEvery, i.probe)
 	i.every(newsEvery, i.gossip)
 	pulls := int64(max(1, math.Ceil(math.Log2(float64(len(w.listed)))-5)+1)) // above 32 instances it is done less often
 	i.every(pulls*pullEvery, func() {
-		if key := i.some(1, func(n *node) bool { return n.state == fleet.Alive }); len(key) > 0 {
+		if key := i.some(1, func(n *node) bool { return n.state == membership.Alive }); len(key) > 0 {
 			i.exchange(i.nodes[key[0]].no)
 		}
 	})
@@ -226,9 +226,9 @@
 	i := w.All[no]
 	i.Book.Leave(w.Now)
 	i.sayMe()
-	word := fleet.Member{Name: i.said.Name, Incarnation: i.said.Incarnation, State: fleet.Left}
+	word := membership.Member{Name: i.said.Name, Incarnation: i.said.Incarnation, State: membership.Left}
 	for _, key := range i.ids {
-		if n := i.nodes[key]; n != nil && n.state != fleet.Gone {
+		if n := i.nodes[key]; n != nil && n.state != membership.Gone {
 			i.packet(n.no, pingBytes, func(to *Instance) { to.Book.Told(w.Now, word) })
 		}
 	}
@@ -328,7 +328,7 @@
 		key := i.round[0]
 		i.round = i.round[1:]
 		n := i.nodes[key]
-		if n == nil || n.state == fleet.Gone {
+		if n == nil || n.state == membership.Gone {
 			continue
 		}
 		inc := n.inc
@@ -337,7 +337,7 @@
 				return
 			}
 			found := i.streamed(key, n.no)
-			for _, help := range i.some(helpers, func(o *node) bool { return o.state == fleet.Alive }) {
+			for _, help := range i.some(helpers, func(o *node) bool { return o.state == membership.Alive }) {
 				i.packet(i.nodes[help].no, pingBytes, func(h *Instance) {
 					h.ping(key, n.no, func(ok bool) { found = found || ok })
 				})
@@ -368,7 +368,7 @@
 
 func (i *Instance) reap() {
 	i.ids = slices.DeleteFunc(i.ids, func(key string) bool {
-		if n := i.nodes[key]; n.state == fleet.Gone && i.w.Now-n.since > deadTold {
+		if n := i.nodes[key]; n.state == membership.Gone && i.w.Now-n.since > deadTold {
 			delete(i.nodes, key)
 			return true
 		}
@@ -386,7 +386,7 @@
 	if len(i.news) == 0 {
 		return
 	}
-	for _, key := range i.some(newsNodes, func(n *node) bool { return n.state != fleet.Gone || i.w.Now-n.since < deadTold }) {
+	for _, key := range i.some(newsNodes, func(n *node) bool { return n.state != membership.Gone || i.w.Now-n.since < deadTold }) {
 		if len(i.news) > 0 {
 			i.laden(i.nodes[key].no, 0, func(*Instance) {})
 		}
@@ -395,9 +395,9 @@
 
 func (i *Instance) take(t item) {
 	switch t.state {
-	case fleet.Alive:
+	case membership.Alive:
 		i.alive(t)
-	case fleet.Suspect:
+	case membership.Suspect:
 		i.suspect(t.key, t.inc)
 	default:
 		i.dead(t.key, t.inc)
@@ -407,7 +407,7 @@
 // refute answers words that this life is doubted.
 func (i *Instance) refute(inc uint32) {
 	i.inc = max(i.inc, inc) + 1
-	i.spread(i.Key, &node{m: i.said, no: i.No, inc: i.inc, state: fleet.Alive})
+	i.spread(i.Key, &node{m: i.said, no: i.No, inc: i.inc, state: membership.Alive})
 }
 
 func (i *Instance) alive(t item) {
@@ -419,23 +419,23 @@
 	}
 	n := i.nodes[t.key]
 	if n == nil {
-		n = &node{state: fleet.Gone}
+		n = &node{state: membership.Gone}
 		i.nodes[t.key] = n
 		i.ids = append(i.ids, t.key)
 	} else if t.inc <= n.inc {
 		return
 	}
 	was := *n
-	n.m, n.no, n.inc, n.state, n.since = t.m, t.no, t.inc, fleet.Alive, i.w.Now
+	n.m, n.no, n.inc, n.state, n.since = t.m, t.no, t.inc, membership.Alive, i.w.Now
 	i.spread(t.key, n)
 	i.last[n.m.Name] = n.no
-	if was.state == fleet.Gone || !was.m.Same(n.m) || was.m.Incarnation != n.m.Incarnation || was.m.State != n.m.State {
+	if was.state == membership.Gone || !was.m.Same(n.m) || was.m.Incarnation != n.m.Incarnation || was.m.State != n.m.State {
 		i.watch.There(i.w.Now, t.key, n.m)
 	}
 }
 
 // worse takes a word that a life is suspect or gone, nil where it is no news; of this life it is refuted.
-func (i *Instance) worse(key string, inc uint32, state fleet.State) *node {
+func (i *Instance) worse(key string, inc uint32, state membership.State) *node {
 	if key == i.Key {
 		if inc >= i.inc {
 			i.refute(inc)
@@ -452,20 +452,20 @@
 }
 
 func (i *Instance) suspect(key string, inc uint32) {
-	n := i.worse(key, inc, fleet.Suspect)
+	n := i.worse(key, inc, membership.Suspect)
 	if n == nil {
 		return
 	}
 	wait := int64(3 * max(1, math.Log10(float64(len(i.ids)+1))) * probeEvery)
 	i.later(wait, func() {
-		if n.state == fleet.Suspect && n.inc == inc {
+		if n.state == membership.Suspect && n.inc == inc {
 			i.dead(key, inc)
 		}
 	})
 }
 
 func (i *Instance) dead(key string, inc uint32) {
-	if i.worse(key, inc, fleet.Gone) != nil {
+	if i.worse(key, inc, membership.Gone) != nil {
 		i.watch.Missing(i.w.Now, key)
 	}
 }
@@ -489,19 +489,19 @@
 }
 
 func (i *Instance) whole() (all []item) {
-	all = append(all, item{key: i.Key, m: i.said, no: i.No, inc: i.inc, state: fleet.Alive})
+	all = append(all, item{key: i.Key, m: i.said, no: i.No, inc: i.inc, state: membership.Alive})
 	for _, key := range i.ids {
 		n := i.nodes[key]
 		state := n.state
-		if state == fleet.Gone {
-			state = fleet.Suspect // what one has given up the other looks at first
+		if state == membership.Gone {
+			state = membership.Suspect // what one has given up the other looks at first
 		}
 		all = append(all, item{key: key, m: n.m, no: n.no, inc: n.inc, state: state})
 	}
 	return all
 }
 
-func (i *Instance) merge(all []item, ended []fleet.Member) {
+func (i *Instance) merge(all []item, ended []membership.Member) {
 	for _, t := range all {
 		i.take(t)
 	}
@@ -531,7 +531,7 @@
 func (i *Instance) sayMe() {
 	i.said = i.Book.Me()
 	i.inc++
-	i.spread(i.Key, &node{m: i.said, no: i.No, inc: i.inc, state: fleet.Alive})
+	i.spread(i.Key, &node{m: i.said, no: i.No, inc: i.inc, state: membership.Alive})
 }
 
 func (i *Instance) tell() {
--- a/cluster/membership/swimsim/swim_test.go
+++ b/cluster/membership/swimsim/swim_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkring/fleet"
+	"chalkring/cluster/membership"
 )
 
 // settled is the time after which each has noticed what was done to the fleet, with packets lost on the way.
@@ -118,10 +118,10 @@
 	require.False(t, w.All[7].Book.Majority(w.Now), "the library alone would need half a minute")
 	w.Run(20 * Second)
 	for _, m := range w.All[7].Book.Members() {
-		require.NotEqual(t, fleet.Gone, m.State)
+		require.NotEqual(t, membership.Gone, m.State)
 	}
 	state, _ := w.All[0].Book.Standing(Name(7), w.All[7].Book.Me().Incarnation)
-	require.Equal(t, fleet.Gone, state)
+	require.Equal(t, membership.Gone, state)
 }
 
 func TestOneThatWasStoppedBelievesNothingOld(t *testing.T) {
--- a/fleet/watch.go
+++ b/cluster/membership/watch.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"cmp"
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -9,9 +9,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"chalkring/cluster/membership"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/fleet"
 	"chalkring/gossip"
 	"chalkring/installation"
 	"chalkring/share"
@@ -32,9 +32,9 @@
 // sharing is what an installation's instances share: who is there, and what is kept about it. Its features rest on it.
 type sharing struct {
 	file  installation.Fleet
-	whose fleet.Identity
+	whose membership.Identity
 	node  *gossip.Node
-	book  *fleet.Book
+	book  *membership.Book
 	log   *slog.Logger
 	clock func() int64 // tenths of a millisecond, the book's
 
@@ -61,8 +61,8 @@
 	if err != nil {
 		return nil, err
 	}
-	whose := fleet.IdentityOf(own.Cluster, plan.Site().Tenants)
-	o := gossip.Options{Whose: whose, Me: fleet.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, Program: built()}, Listed: own.Listed,
+	whose := membership.IdentityOf(own.Cluster, plan.Site().Tenants)
+	o := gossip.Options{Whose: whose, Me: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, Program: built()}, Listed: own.Listed,
 		Listen: own.Listen, Join: own.Join, Via: own.Via, Log: log, Seed: time.Now().UnixNano()}
 	if own.Key != "" {
 		if o.Key, o.Older, err = gossip.ReadKeys(own.Key); err != nil {
@@ -152,12 +152,12 @@
 	if err != nil || !found {
 		return err
 	}
-	var theirs fleet.Identity
+	var theirs membership.Identity
 	if err := cbor.Unmarshal(text, &theirs); err != nil {
 		return err
 	}
 	if theirs.Other(s.whose) {
-		return &fleet.OthersStore{Theirs: theirs, Ours: s.whose}
+		return &membership.OthersStore{Theirs: theirs, Ours: s.whose}
 	}
 	return nil
 }
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -16,7 +16,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"chalkring/fleet"
+	"chalkring/cluster/membership"
 	"chalkring/installation"
 	"chalkring/residency"
 	"chalkring/rollout"
@@ -113,15 +113,15 @@
 	require.Equal(t, []string{"life", "whose"}, keys)
 	l.s.leave()
 
-	var identity fleet.Identity
+	var identity membership.Identity
 	require.NoError(t, cbor.Unmarshal(want, &identity))
-	require.Equal(t, fleet.IdentityOf("live", []string{"acme"}), identity)
+	require.Equal(t, membership.IdentityOf("live", []string{"acme"}), identity)
 	s := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 	require.NoError(t, s.store.Put(t.Context(), "fleet", map[string][]byte{"whose": want}, nil))
 	s.whose = identity
 	require.NoError(t, s.mine(s.store))
-	s.whose = fleet.IdentityOf("trial", []string{"acme"})
-	var others *fleet.OthersStore
+	s.whose = membership.IdentityOf("trial", []string{"acme"})
+	var others *membership.OthersStore
 	require.ErrorAs(t, s.mine(s.store), &others)
 	require.Equal(t, identity, others.Theirs)
 }
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
+	"chalkring/cluster/membership"
 	"chalkring/coordinator"
 	"chalkring/fanout"
 	"chalkring/fault"
-	"chalkring/fleet"
 	"chalkring/subscribers"
 )
 
@@ -56,7 +56,7 @@
 		if !slices.Contains(h.Zones, m.Zone) {
 			h.Zones = append(h.Zones, m.Zone)
 		}
-		there := m.State == fleet.Alive || m.State == fleet.Suspect && now-m.Since < suspectFor
+		there := m.State == membership.Alive || m.State == membership.Suspect && now-m.Since < suspectFor
 		if there && slices.Contains(m.Parts, gatewayPart) && !slices.Contains(claimed, m.Name) {
 			h.Members = append(h.Members, subscribers.Member{Name: m.Name, Region: m.Region, Zone: m.Zone, Life: m.Incarnation})
 		}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,6 +1,6 @@
 // Package gossip finds out which instances of the fleet are there and carries messages between them, on one TCP and UDP
 // port, with hashicorp/memberlist behind it. Each life of an instance is a node of its own there, so that a restart never
-// speaks for the life before it. What is believed of whom is decided in package fleet; this one has the sockets, clocks
+// speaks for the life before it. What is believed of whom is decided in package membership; this one has the sockets, clocks
 // and goroutines. docs/fleet.md tells why this library, the rules, and what an operator does.
 package gossip
 
@@ -23,7 +23,7 @@
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/time/rate"
 
-	"chalkring/fleet"
+	"chalkring/cluster/membership"
 )
 
 const (
@@ -60,14 +60,14 @@
 
 // Options are what an instance starts with.
 type Options struct {
-	Whose  fleet.Identity    // of the fleet: instances of another are refused
-	Me     fleet.Member      // name, region, zone and the like; Incarnation is the start's time in ns where it is 0
-	Listed []string          // names of all instances that count for a majority
-	Listen string            // address and port, TCP and UDP, under which others reach it
-	Join   []string          // addresses of others to begin with; any one that is up will do
-	Via    map[string]string // by address that an instance names: where to reach it instead, through relays or NAT
-	Key    []byte            // 16, 24 or 32 bytes; without it all is plain and anybody is believed
-	Older  [][]byte          // keys that others may still use
+	Whose  membership.Identity // of the fleet: instances of another are refused
+	Me     membership.Member   // name, region, zone and the like; Incarnation is the start's time in ns where it is 0
+	Listed []string            // names of all instances that count for a majority
+	Listen string              // address and port, TCP and UDP, under which others reach it
+	Join   []string            // addresses of others to begin with; any one that is up will do
+	Via    map[string]string   // by address that an instance names: where to reach it instead, through relays or NAT
+	Key    []byte              // 16, 24 or 32 bytes; without it all is plain and anybody is believed
+	Older  [][]byte            // keys that others may still use
 	Log    *slog.Logger
 	Seed   int64                  // of all chance here; the library's own is not seeded
 	Drop   func(addr string) bool // tests: whether what goes to an address is lost
@@ -77,7 +77,7 @@
 type Node struct {
 	o        Options
 	log      *slog.Logger
-	book     *fleet.Book
+	book     *membership.Book
 	own      string // the library's name of this life
 	list     *memberlist.Memberlist
 	wire     *transport
@@ -99,7 +99,7 @@
 	kick chan struct{}
 
 	mu       sync.Mutex
-	watch    *fleet.Watch
+	watch    *membership.Watch
 	nodes    map[string]memberlist.Node // by the library's name
 	last     map[string]string          // address under which a listed name was there last
 	handlers map[byte]chan message
@@ -144,8 +144,8 @@
 	if me.Incarnation == 0 {
 		me.Incarnation = uint64(time.Now().UnixNano())
 	}
-	n.book = fleet.New(me, o.Listed)
-	n.watch = fleet.NewWatch(n.book, rand.New(rand.NewSource(o.Seed+1)))
+	n.book = membership.New(me, o.Listed)
+	n.watch = membership.NewWatch(n.book, rand.New(rand.NewSource(o.Seed+1)))
 	if !me.Usable() {
 		err = errWord
 	} else {
@@ -213,7 +213,7 @@
 	c.Transport, c.Logger = n.wire, logger
 	c.BindAddr, c.AdvertiseAddr = at.Addr().String(), at.Addr().String()
 	c.BindPort, c.AdvertisePort = n.wire.GetAutoBindPort(), n.wire.GetAutoBindPort()
-	c.ProbeInterval, c.ProbeTimeout = probeEvery, fleet.PingMost*100*time.Microsecond
+	c.ProbeInterval, c.ProbeTimeout = probeEvery, membership.PingMost*100*time.Microsecond
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult, c.AwarenessMaxMultiplier = missMost, 1, busyMost
 	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipEvery, gossipNodes, deadTold
 	c.PushPullInterval, c.TCPTimeout = pushPull, streamMost
@@ -228,7 +228,7 @@
 }
 
 // Book is who is there. It is changed by this package alone.
-func (n *Node) Book() *fleet.Book { return n.book }
+func (n *Node) Book() *membership.Book { return n.book }
 
 // Now is the clock by which the book's times are told: tenths of a millisecond since the start.
 func (n *Node) Now() int64 { return int64(time.Since(n.began) / (100 * time.Microsecond)) }
@@ -237,7 +237,7 @@
 func (n *Node) Sent() int64 { return n.wire.sent.Load() }
 
 // Update says anew what this instance runs and can take part in; name, incarnation and address stay.
-func (n *Node) Update(m fleet.Member) error {
+func (n *Node) Update(m membership.Member) error {
 	me := n.book.Me()
 	m.Name, m.Incarnation, m.Word, m.Addr, m.State = me.Name, me.Incarnation, me.Word+1, me.Addr, me.State
 	if !m.Usable() {
@@ -255,7 +255,7 @@
 func (n *Node) Before(incarnation uint64) {
 	me := n.book.Me()
 	if incarnation != me.Incarnation {
-		n.book.Told(n.Now(), fleet.Member{Name: me.Name, Incarnation: incarnation, State: fleet.Gone})
+		n.book.Told(n.Now(), membership.Member{Name: me.Name, Incarnation: incarnation, State: membership.Gone})
 		n.wake()
 	}
 }
@@ -336,7 +336,7 @@
 	}
 	said := n.list.UpdateNode(most)
 	me := n.book.Me()
-	word := head(wordTopic, me, encodeEnds([]fleet.Member{me}))
+	word := head(wordTopic, me, encodeEnds([]membership.Member{me}))
 	for _, one := range n.list.Members() { // guards against the library's word of leaving coming before ours
 		if one.Name != n.list.LocalNode().Name {
 			said = errors.Join(said, n.list.SendBestEffort(one, word))
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"chalkring/cluster/membership"
 	"chalkring/fault"
-	"chalkring/fleet"
 )
 
 func TestMain(m *testing.M) {
@@ -60,7 +60,7 @@
 
 func start(t *testing.T, w *world, name string, listed []string, change func(*Options)) *Node {
 	var addr atomic.Value
-	o := Options{Me: fleet.Member{Name: name, Region: "r", Zone: "z"}, Listed: listed, Listen: "127.0.0.1:0", Drop: w.drop(&addr)}
+	o := Options{Me: membership.Member{Name: name, Region: "r", Zone: "z"}, Listed: listed, Listen: "127.0.0.1:0", Drop: w.drop(&addr)}
 	if change != nil {
 		change(&o)
 	}
@@ -76,7 +76,7 @@
 	require.Eventually(t, f, patience, 20*time.Millisecond, what)
 }
 
-func state(n *Node, name string) fleet.State {
+func state(n *Node, name string) membership.State {
 	for _, m := range n.Book().Members() {
 		if m.Name == name {
 			return m.State
@@ -107,9 +107,9 @@
 	w.put(all[3], 1)
 	w.put(all[4], 1)
 	until(t, "a minority has no majority", func() bool { return !all[3].Book().Majority(0) && !all[4].Book().Majority(0) })
-	until(t, "the others give them up", func() bool { return state(all[0], "d") == fleet.Gone && state(all[0], "e") == fleet.Gone })
+	until(t, "the others give them up", func() bool { return state(all[0], "d") == membership.Gone && state(all[0], "e") == membership.Gone })
 	require.True(t, all[0].Book().Majority(0))
-	require.NotEqual(t, fleet.Gone, state(all[4], "a"), "a minority gives nobody up")
+	require.NotEqual(t, membership.Gone, state(all[4], "a"), "a minority gives nobody up")
 	w.put(all[3], 0)
 	w.put(all[4], 0)
 	for _, n := range all {
@@ -120,13 +120,13 @@
 
 	at := all[1].Book().Me()
 	all[1].Close()
-	until(t, "a kill is noticed", func() bool { return state(all[0], "b") == fleet.Gone })
+	until(t, "a kill is noticed", func() bool { return state(all[0], "b") == membership.Gone })
 	again := start(t, w, "b", []string{"a", "b", "c", "d", "e"}, func(o *Options) {
 		o.Listen, o.Join = at.Addr, []string{all[2].Book().Me().Addr}
 	})
-	until(t, "a restart is there", func() bool { return state(all[0], "b") == fleet.Alive })
+	until(t, "a restart is there", func() bool { return state(all[0], "b") == membership.Alive })
 	again.Leave(context.Background()) // on a busy machine it may say that nobody has the word yet
-	until(t, "leaving is no failure", func() bool { return state(all[0], "b") == fleet.Left && state(all[2], "b") == fleet.Left })
+	until(t, "leaving is no failure", func() bool { return state(all[0], "b") == membership.Left && state(all[2], "b") == membership.Left })
 }
 
 func TestTwoOfOneName(t *testing.T) {
@@ -241,7 +241,7 @@
 				via[other] = relay(t, other)
 			}
 		}
-		n, err := Start(t.Context(), Options{Me: fleet.Member{Name: fmt.Sprint("n", i)}, Listed: []string{"n0", "n1", "n2"}, Listen: addr,
+		n, err := Start(t.Context(), Options{Me: membership.Member{Name: fmt.Sprint("n", i)}, Listed: []string{"n0", "n1", "n2"}, Listen: addr,
 			Join: addrs, Via: via, Key: key, Drop: func(to string) bool { return false }})
 		require.NoError(t, err)
 		t.Cleanup(n.Close)
@@ -263,7 +263,7 @@
 	require.NoError(t, err)
 	defer ln.Close()
 	for _, o := range []Options{{Listen: ln.LocalAddr().String()}, {Listen: "here"}, {Listen: "0.0.0.0:1"}, {Listen: "127.0.0.1:0", Key: []byte("x")},
-		{Listen: "127.0.0.1:0", Me: fleet.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), Program: string(make([]byte, 200))}}} {
+		{Listen: "127.0.0.1:0", Me: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), Program: string(make([]byte, 200))}}} {
 		_, err := Start(t.Context(), o)
 		require.Error(t, err)
 		require.NotEmpty(t, fault.Advice(err), "%v", err)
@@ -317,10 +317,10 @@
 	join := []string{a.Book().Me().Addr}
 	b := start(t, w, "b", listed, func(o *Options) { o.Key, o.Join = key(2), join })
 	c := start(t, w, "c", listed, func(o *Options) { o.Key, o.Older, o.Join = key(1), [][]byte{key(2)}, join })
-	until(t, "one key", func() bool { return state(a, "c") == fleet.Alive && state(c, "a") == fleet.Alive })
+	until(t, "one key", func() bool { return state(a, "c") == membership.Alive && state(c, "a") == membership.Alive })
 	until(t, "the other is named", func() bool { return strings.Contains(out.String(), "fleet_key") })
-	require.Equal(t, fleet.State(-1), state(a, "b"))
-	require.Equal(t, fleet.State(-1), state(b, "a"))
+	require.Equal(t, membership.State(-1), state(a, "b"))
+	require.Equal(t, membership.State(-1), state(b, "a"))
 }
 
 type lockedLog struct {
--- a/gossip/others_test.go
+++ b/gossip/others_test.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/stretchr/testify/require"
 
-	"chalkring/fleet"
+	"chalkring/cluster/membership"
 )
 
 // logged is a log that a test can look at meanwhile.
@@ -44,7 +44,7 @@
 		logs[name] = &logged{}
 		n := start(t, w, name, listed, func(o *Options) {
 			o.Key, o.Log = bytes.Repeat([]byte{7}, 32), slog.New(slog.NewTextHandler(logs[name], nil))
-			o.Whose = fleet.IdentityOf("", []string{tenant, "other"})
+			o.Whose = membership.IdentityOf("", []string{tenant, "other"})
 			for _, j := range join {
 				o.Join = append(o.Join, j.Book().Me().Addr)
 			}
@@ -77,7 +77,7 @@
 	for name, n := range all {
 		for other := range all {
 			if listed := n.Book().Listed(other); !listed {
-				require.Equal(t, fleet.State(-1), state(n, other), "%s at %s", other, name)
+				require.Equal(t, membership.State(-1), state(n, other), "%s at %s", other, name)
 				require.Error(t, n.Send(t.Context(), other, 9, nil))
 			}
 		}
@@ -94,7 +94,7 @@
 	w := &world{side: map[string]int{}}
 	listed := []string{"a", "b", "c"}
 	var all []*Node
-	for i, id := range []fleet.Identity{fleet.IdentityOf("live", []string{"acme"}), {}, fleet.IdentityOf("", []string{"acme", "globex"})} {
+	for i, id := range []membership.Identity{membership.IdentityOf("live", []string{"acme"}), {}, membership.IdentityOf("", []string{"acme", "globex"})} {
 		all = append(all, start(t, w, listed[i], listed, func(o *Options) {
 			if o.Whose = id; i > 0 {
 				o.Join = []string{all[0].Book().Me().Addr}
--- a/gossip/run.go
+++ b/gossip/run.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/time/rate"
 
+	"chalkring/cluster/membership"
 	"chalkring/fault"
-	"chalkring/fleet"
 )
 
 // event is what the library told last of a life.
@@ -77,7 +77,7 @@
 	if len(node.Meta) > metaMost || n.decoding.Unmarshal(node.Meta, &w) != nil || !w.Whose.Usable() || !n.o.Whose.Other(w.Whose) {
 		return nil // what cannot be read is left to takeEvents
 	}
-	return &fleet.OthersInstance{Name: w.Name, Addr: node.Address(), Theirs: w.Whose, Ours: n.o.Whose}
+	return &membership.OthersInstance{Name: w.Name, Addr: node.Address(), Theirs: w.Whose, Ours: n.o.Whose}
 }
 
 // stranger tells whether an instance that sends has not been taken in, here or by the library.
@@ -170,10 +170,10 @@
 
 // seen is what run has told of last.
 type seen struct {
-	members   map[string]fleet.Member
+	members   map[string]membership.Member
 	conflicts []string
 	majority  bool
-	me        fleet.Member
+	me        membership.Member
 	said      time.Time // when I said last how I stand
 	joined    time.Time
 	refused   time.Time
@@ -186,7 +186,7 @@
 	answers := make(chan answer, 64)
 	tick := time.NewTicker(stepEvery)
 	defer tick.Stop()
-	s := &seen{members: map[string]fleet.Member{}, alone: n.began.Add(aloneAfter - aloneEvery)}
+	s := &seen{members: map[string]membership.Member{}, alone: n.began.Add(aloneAfter - aloneEvery)}
 	joining := make(chan struct{}, 1)
 	lines := rate.NewLimiter(linesRate, linesBurst)
 	for {
@@ -203,7 +203,7 @@
 		n.mu.Lock()
 		n.takeEvents()
 		n.watch.Tick(n.Now())
-		due, refused := n.watch.Due(n.Now()), []fleet.Refusal(nil)
+		due, refused := n.watch.Due(n.Now()), []membership.Refusal(nil)
 		if time.Since(s.refused) >= refusedEvery {
 			s.refused = time.Now()
 			refused = n.watch.Refused()
@@ -286,7 +286,7 @@
 
 // tell tells the log what has changed.
 func (n *Node) tell(s *seen, lines *rate.Limiter) {
-	now := map[string]fleet.Member{}
+	now := map[string]membership.Member{}
 	for _, m := range n.book.Members() {
 		now[m.Name] = m
 	}
--- a/gossip/wire_golden_test.go
+++ b/gossip/wire_golden_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/fleet"
+	"chalkring/cluster/membership"
 )
 
 // goldenMessage is a message taken apart.
@@ -23,27 +23,27 @@
 
 // Member metadata, lists of ended lives and message headers as members of a mixed fleet send them to each other.
 func TestGoldenGossipMessages(t *testing.T) {
-	identity := fleet.Identity{Cluster: "live", Tenants: []uint32{0x01020304, 0xfffefdfc}}
-	node := func(whose fleet.Identity) *Node { return &Node{o: Options{Whose: whose}, decoding: newDecoding()} }
-	full := fleet.Member{Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, Word: 7, Look: 9, Region: "eu-west", Zone: "eu-west-1a",
+	identity := membership.Identity{Cluster: "live", Tenants: []uint32{0x01020304, 0xfffefdfc}}
+	node := func(whose membership.Identity) *Node { return &Node{o: Options{Whose: whose}, decoding: newDecoding()} }
+	full := membership.Member{Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, Word: 7, Look: 9, Region: "eu-west", Zone: "eu-west-1a",
 		Program: "v1.2.3", Generation: 42, Parts: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", Since: 5}
 	decoded := full // neither Look nor Since is sent, and the address comes from the membership library
 	decoded.Look, decoded.Since, decoded.Addr = 0, 0, "192.0.2.9:7946"
-	member := func(name string, whose fleet.Identity, state, wantState fleet.State) goldenForm {
+	member := func(name string, whose membership.Identity, state, wantState membership.State) goldenForm {
 		sent, want := full, decoded
 		sent.State, want.State = state, wantState
 		return goldenForm{name, func() ([]byte, error) { return node(whose).encodeMember(sent) },
 			func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, want}
 	}
-	shortest := fleet.Member{Name: "g", Incarnation: 1}
-	ends := []fleet.Member{{Name: "gateway-2", Incarnation: 11, State: fleet.Gone}, {Name: "gateway-3", Incarnation: 12, State: fleet.Left}}
+	shortest := membership.Member{Name: "g", Incarnation: 1}
+	ends := []membership.Member{{Name: "gateway-2", Incarnation: 11, State: membership.Gone}, {Name: "gateway-3", Incarnation: 12, State: membership.Left}}
 	requireGolden(t, "messages.golden", []goldenForm{
-		member("member", identity, fleet.Alive, fleet.Alive),
-		member("member-without-identity", fleet.Identity{}, fleet.Alive, fleet.Alive),
-		member("member-suspect", identity, fleet.Suspect, fleet.Alive),
-		member("member-leaving", identity, fleet.Left, fleet.Left),
-		{"member-shortest", func() ([]byte, error) { return node(fleet.Identity{}).encodeMember(shortest) },
-			func(encoded []byte) (any, error) { return node(fleet.Identity{}).decodeMember(encoded, "") }, shortest},
+		member("member", identity, membership.Alive, membership.Alive),
+		member("member-without-identity", membership.Identity{}, membership.Alive, membership.Alive),
+		member("member-suspect", identity, membership.Suspect, membership.Alive),
+		member("member-leaving", identity, membership.Left, membership.Left),
+		{"member-shortest", func() ([]byte, error) { return node(membership.Identity{}).encodeMember(shortest) },
+			func(encoded []byte) (any, error) { return node(membership.Identity{}).decodeMember(encoded, "") }, shortest},
 		{"member-identity", func() ([]byte, error) { return node(identity).encodeMember(shortest) },
 			func(encoded []byte) (any, error) {
 				var received word
@@ -53,7 +53,7 @@
 		{"ended-lives", func() ([]byte, error) { return encodeEnds(ends), nil },
 			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, ends},
 		{"no-ended-lives", func() ([]byte, error) { return encodeEnds(nil), nil },
-			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, []fleet.Member(nil)},
+			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, []membership.Member(nil)},
 		{"message", func() ([]byte, error) { return head(2, full, []byte("body")), nil }, cutMessage,
 			goldenMessage{2, "gateway-1", 1_790_000_000_000_000_001, []byte("body")}},
 		{"message-of-ended-lives", func() ([]byte, error) { return head(wordTopic, shortest, encodeEnds(ends)), nil }, cutMessage,
--- a/gossip/words.go
+++ b/gossip/words.go
@@ -6,29 +6,29 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"chalkring/fleet"
+	"chalkring/cluster/membership"
 )
 
 const (
 	metaMost  = 512     // bytes that an instance says of itself: the library's bound
 	wordsMost = 2 << 20 // bytes of others' words at once: two ended lives of 1000 names take a fifth of it
-	listMost  = 2 * fleet.MembersMost
+	listMost  = 2 * membership.MembersMost
 	headMost  = 256 // bytes of a message before its body: name, incarnation, topic
 )
 
-// word is fleet.Member on the wire; the address is the gossip's own.
+// word is membership.Member on the wire; the address is the gossip's own.
 type word struct {
-	Name        string      `cbor:"1,keyasint"`
-	Incarnation uint64      `cbor:"2,keyasint"`
-	Word        uint64      `cbor:"3,keyasint,omitempty"`
-	State       fleet.State `cbor:"4,keyasint,omitempty"`
-	Region      string      `cbor:"5,keyasint,omitempty"`
-	Zone        string      `cbor:"6,keyasint,omitempty"`
-	Program     string      `cbor:"7,keyasint,omitempty"`
-	Generation  uint64      `cbor:"8,keyasint,omitempty"`
-	Parts       []string    `cbor:"9,keyasint,omitempty"`
+	Name        string           `cbor:"1,keyasint"`
+	Incarnation uint64           `cbor:"2,keyasint"`
+	Word        uint64           `cbor:"3,keyasint,omitempty"`
+	State       membership.State `cbor:"4,keyasint,omitempty"`
+	Region      string           `cbor:"5,keyasint,omitempty"`
+	Zone        string           `cbor:"6,keyasint,omitempty"`
+	Program     string           `cbor:"7,keyasint,omitempty"`
+	Generation  uint64           `cbor:"8,keyasint,omitempty"`
+	Parts       []string         `cbor:"9,keyasint,omitempty"`
 
-	Whose fleet.Identity `cbor:"10,keyasint,omitzero"` // of the fleet; what an instance from before it does not say
+	Whose membership.Identity `cbor:"10,keyasint,omitzero"` // of the fleet; what an instance from before it does not say
 }
 
 // newDecoding bounds what others send; made at a start, not when the program begins.
@@ -40,10 +40,10 @@
 	return mode
 }
 
-func (n *Node) encodeMember(m fleet.Member) ([]byte, error) {
+func (n *Node) encodeMember(m membership.Member) ([]byte, error) {
 	state := m.State
-	if state == fleet.Suspect {
-		state = fleet.Alive // no one suspects itself
+	if state == membership.Suspect {
+		state = membership.Alive // no one suspects itself
 	}
 	text, err := cbor.Marshal(word{m.Name, m.Incarnation, m.Word, state, m.Region, m.Zone, m.Program, m.Generation, m.Parts, n.o.Whose})
 	if err == nil && len(text) > metaMost {
@@ -54,8 +54,8 @@
 
 var errWord = errors.New("a word that cannot be used")
 
-func (w word) member(addr string) (fleet.Member, error) {
-	m := fleet.Member{Name: w.Name, Incarnation: w.Incarnation, Word: w.Word, State: w.State, Region: w.Region, Zone: w.Zone,
+func (w word) member(addr string) (membership.Member, error) {
+	m := membership.Member{Name: w.Name, Incarnation: w.Incarnation, Word: w.Word, State: w.State, Region: w.Region, Zone: w.Zone,
 		Program: w.Program, Generation: w.Generation, Parts: w.Parts, Addr: addr}
 	if !m.Usable() {
 		return m, errWord
@@ -63,18 +63,18 @@
 	return m, nil
 }
 
-func (n *Node) decodeMember(text []byte, addr string) (fleet.Member, error) {
+func (n *Node) decodeMember(text []byte, addr string) (membership.Member, error) {
 	var w word
 	if len(text) > metaMost {
-		return fleet.Member{}, errWord
+		return membership.Member{}, errWord
 	}
 	if err := n.decoding.Unmarshal(text, &w); err != nil {
-		return fleet.Member{}, err
+		return membership.Member{}, err
 	}
 	return w.member(addr)
 }
 
-func encodeEnds(all []fleet.Member) []byte {
+func encodeEnds(all []membership.Member) []byte {
 	words := []word{}
 	for _, m := range all {
 		words = append(words, word{Name: m.Name, Incarnation: m.Incarnation, State: m.State})
@@ -87,7 +87,7 @@
 }
 
 // decodeEnds takes words that lives are over, and no others.
-func (n *Node) decodeEnds(text []byte) (all []fleet.Member, err error) {
+func (n *Node) decodeEnds(text []byte) (all []membership.Member, err error) {
 	var words []word
 	if len(text) > wordsMost {
 		return nil, errWord
@@ -106,7 +106,7 @@
 }
 
 // head is put before a body: the topic, who sends it and in which life.
-func head(topic byte, me fleet.Member, body []byte) []byte {
+func head(topic byte, me membership.Member, body []byte) []byte {
 	out := make([]byte, 0, headMost+len(body))
 	out = append(out, topic, byte(len(me.Name)))
 	out = append(out, me.Name...)
--- a/lab/gossip.go
+++ b/lab/gossip.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	book "chalkring/cluster/membership"
 	"chalkring/cluster/membership/swimsim"
-	book "chalkring/fleet"
 	"chalkring/gossip"
 )
 
--- a/lab/sharer.go
+++ b/lab/sharer.go
@@ -10,7 +10,7 @@
 	"runtime"
 	"time"
 
-	who "chalkring/fleet"
+	who "chalkring/cluster/membership"
 	"chalkring/gossip"
 	"chalkring/installation"
 	"chalkring/ledger"
--- a/residency/lease.go
+++ b/residency/lease.go
@@ -91,7 +91,7 @@
 }
 
 // Heard takes an answer, while own is the newest generation this instance enforces; one tells that nobody else has its
-// name, and answers under names that two claim are left out (package fleet). True: the lease ends later than before.
+// name, and answers under names that two claim are left out (package membership). True: the lease ends later than before.
 func (l *Lease) Heard(now int64, v Voice, own uint64, span, slack int64, one bool) (renewed bool) {
 	l.ahead = max(l.ahead, v.Generation)
 	i := slices.IndexFunc(l.rounds, func(r round) bool { return r.nonce == v.Nonce })
