--- a/gossip/gossip_test.go
+++ b/cluster/gossip/gossip_test.go
@@ -274,7 +274,7 @@
 
 // Each error type has advice and stands in the page for those on call.
 func TestErrorTypesAreListed(t *testing.T) {
-	page, err := os.ReadFile("../docs/oncall.md")
+	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	all := []fault.Advised{&PortTaken{}, &AddressUnusable{}, &KeyUnusable{}, &KeyDiffers{}, &Alone{}, &NameTwice{}, &TooLong{}, &TooBig{}, &Away{}}
 	for _, e := range all {
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -9,10 +9,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"chalkring/cluster/gossip"
 	"chalkring/cluster/membership"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/gossip"
 	"chalkring/installation"
 	"chalkring/share"
 	"chalkring/store"
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -21,11 +21,11 @@
 	"github.com/alecthomas/kong"
 	"github.com/lmittmann/tint"
 
+	"chalkring/cluster/gossip"
 	"chalkring/coordinator"
 	"chalkring/fanout"
 	"chalkring/fault"
 	"chalkring/front/opensearch"
-	"chalkring/gossip"
 	"chalkring/installation"
 	"chalkring/members"
 	"chalkring/peer"
--- a/lab/gossip.go
+++ b/lab/gossip.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"chalkring/cluster/gossip"
 	book "chalkring/cluster/membership"
 	"chalkring/cluster/membership/swimsim"
-	"chalkring/gossip"
 )
 
 const (
--- a/lab/sharer.go
+++ b/lab/sharer.go
@@ -10,8 +10,8 @@
 	"runtime"
 	"time"
 
+	"chalkring/cluster/gossip"
 	who "chalkring/cluster/membership"
-	"chalkring/gossip"
 	"chalkring/installation"
 	"chalkring/ledger"
 	"chalkring/share"
