--- a/ledger/digest.go
+++ b/cluster/crdt/digest.go
@@ -1,4 +1,4 @@
-package ledger
+package crdt
 
 import "github.com/cespare/xxhash/v2"
 
--- a/ledger/ledger.go
+++ b/cluster/crdt/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger is state that instances change apart and merge again. It has no I/O. Entries lie under names; each has one
+// Package crdt is state that instances change apart and merge again. It has no I/O. Entries lie under names; each has one
 // sibling or, where instances changed it without having seen each other's change, several, and what its writers had
 // seen. Merging is commutative, associative and idempotent: no clock takes part. A delete leaves a tombstone until all
 // members that count have seen it. docs/ledger.md tells the rules and the options weighed.
@@ -6,7 +6,7 @@
 // A ledger also keeps the Known: a version of all changes, under whatever name, that are part of its state. A change that
 // the Known covers and that is not held was superseded or deleted: a copy of it that comes later, from a late message or
 // an older disk, is ignored, even long after the tombstone is gone.
-package ledger
+package crdt
 
 import (
 	"bytes"
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -18,10 +18,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
+	"chalkring/cluster/crdt"
 	"chalkring/coordinator"
 	"chalkring/fault"
 	"chalkring/installation"
-	"chalkring/ledger"
 	"chalkring/residency"
 	"chalkring/rollout"
 )
@@ -351,8 +351,8 @@
 			text = st.read(text)
 		}
 		now := st.clock()
-		var news []ledger.Entry
-		st.shared.Each(rollout.Prefix, func(e ledger.Entry) bool {
+		var news []crdt.Entry
+		st.shared.Each(rollout.Prefix, func(e crdt.Entry) bool {
 			if sum := sumOf(e); seen[e.Name] != sum {
 				seen[e.Name] = sum
 				news = append(news, e)
@@ -419,7 +419,7 @@
 }
 
 // sumOf tells states of an entry apart.
-func sumOf(e ledger.Entry) uint64 {
+func sumOf(e crdt.Entry) uint64 {
 	sum := xxhash.New()
 	for _, one := range e.Siblings {
 		fmt.Fprint(sum, one.Dot, one.Deleted)
--- a/fanout/fanout.go
+++ b/fanout/fanout.go
@@ -16,9 +16,9 @@
 
 	"golang.org/x/time/rate"
 
+	"chalkring/cluster/crdt"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/ledger"
 	"chalkring/subscribers"
 	"chalkring/work"
 )
@@ -51,11 +51,11 @@
 // Shared is what the instances share; package share's Book is one.
 type Shared interface {
 	Ready() <-chan struct{}
-	Get(name string) (ledger.Entry, bool)
-	Put(name string, value []byte) (ledger.Entry, error)
-	Delete(name string) (ledger.Entry, error)
-	Each(prefix string, f func(ledger.Entry) bool)
-	Update(name string, f func(e ledger.Entry) (value []byte, write bool, err error)) (ledger.Entry, error)
+	Get(name string) (crdt.Entry, bool)
+	Put(name string, value []byte) (crdt.Entry, error)
+	Delete(name string) (crdt.Entry, error)
+	Each(prefix string, f func(crdt.Entry) bool)
+	Update(name string, f func(e crdt.Entry) (value []byte, write bool, err error)) (crdt.Entry, error)
 	Watch(prefix string) (<-chan struct{}, func())
 	Kept(ctx context.Context) error
 }
@@ -103,7 +103,7 @@
 	behind map[subscribers.Key]uint64 // lines of the file told as stale, by the consent that they lack
 	refuse map[string]uint64          // entries told as unusable
 	reach  map[string]uint64          // stamps of words
-	todo   []ledger.Entry             // read and not yet taken
+	todo   []crdt.Entry               // read and not yet taken
 	filed  bool                       // the list is as it was when the file was last held against it
 	serial uint64
 	ended  bool
@@ -198,7 +198,7 @@
 }
 
 func (g *Gateway) write(k subscribers.Key, op subscribers.Op) error {
-	_, err := g.o.Shared.Update(k.Name(), func(e ledger.Entry) ([]byte, bool, error) { return subscribers.Write(e, op) })
+	_, err := g.o.Shared.Update(k.Name(), func(e crdt.Entry) ([]byte, bool, error) { return subscribers.Write(e, op) })
 	return err
 }
 
@@ -335,8 +335,8 @@
 
 // readWords takes in what the gateways say.
 func (g *Gateway) readWords() {
-	var all []ledger.Entry
-	g.o.Shared.Each(subscribers.WordPrefix, func(e ledger.Entry) bool {
+	var all []crdt.Entry
+	g.o.Shared.Each(subscribers.WordPrefix, func(e crdt.Entry) bool {
 		all = append(all, e)
 		return true
 	})
@@ -351,7 +351,7 @@
 // readList reads what has changed in the book.
 func (g *Gateway) readList() {
 	g.list.Reading()
-	g.o.Shared.Each(subscribers.Prefix, func(e ledger.Entry) bool {
+	g.o.Shared.Each(subscribers.Prefix, func(e crdt.Entry) bool {
 		if g.list.Changed(e) {
 			g.todo = append(g.todo, e)
 		}
@@ -391,7 +391,7 @@
 }
 
 // unread tells of an entry that cannot be read, once while it stands so.
-func (g *Gateway) unread(e ledger.Entry, err error) {
+func (g *Gateway) unread(e crdt.Entry, err error) {
 	stamp := subscribers.StampOf(e)
 	if g.refuse[e.Name] == stamp {
 		return
@@ -425,7 +425,7 @@
 	}
 	g.filed = true
 	var old *subscribers.OldFile
-	_, err := g.o.Shared.Update(subscribers.FilePrefix+g.file.Region, func(e ledger.Entry) ([]byte, bool, error) {
+	_, err := g.o.Shared.Update(subscribers.FilePrefix+g.file.Region, func(e crdt.Entry) ([]byte, bool, error) {
 		value, err := g.file.Admit(subscribers.StandingOf(e))
 		return value, value != nil, err
 	})
--- a/fanout/fanout_test.go
+++ b/fanout/fanout_test.go
@@ -21,9 +21,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"chalkring/cluster/crdt"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/ledger"
 	"chalkring/share"
 	"chalkring/standin"
 	"chalkring/standin/rig"
@@ -278,7 +278,7 @@
 	g, book, _ := s.run(1)
 	s.await("served", func() bool { return len(s.deliveries("s1")) > 0 })
 	s.await("not searched", s.logged("subscriber_search"))
-	_, err := book.Update(subscribers.Key{Tenant: "acme", ID: "s3"}.Name(), func(ledger.Entry) ([]byte, bool, error) { return []byte("?"), true, nil })
+	_, err := book.Update(subscribers.Key{Tenant: "acme", ID: "s3"}.Name(), func(crdt.Entry) ([]byte, bool, error) { return []byte("?"), true, nil })
 	require.NoError(t, err)
 	s.await("unread", s.logged("subscriber_unread"))
 	s.file(4)
--- a/fanout/golden_test.go
+++ b/fanout/golden_test.go
@@ -21,8 +21,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
+	"chalkring/cluster/crdt"
 	"chalkring/fault"
-	"chalkring/ledger"
 	"chalkring/subscribers"
 )
 
@@ -81,7 +81,7 @@
 		g.take(fileSeen{err: errors.New("why")})
 		g.take(fileSeen{file: &subscribers.File{Region: "us"}})
 		g.take(fileSeen{file: &subscribers.File{Region: "eu", Generation: 7}})
-		e := ledger.Entry{Name: "sub/acme/s1", Siblings: []ledger.Sibling{{Value: []byte{0xff}}}}
+		e := crdt.Entry{Name: "sub/acme/s1", Siblings: []crdt.Sibling{{Value: []byte{0xff}}}}
 		_, err := subscribers.Reads(e)
 		g.unread(e, err)
 		g.unread(e, err) // told once
--- a/lab/ledger.go
+++ b/lab/ledger.go
@@ -20,7 +20,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sync/errgroup"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 	"chalkring/standin/rig"
 )
 
@@ -474,7 +474,7 @@
 // ledgerAlone is what a ledger of so many names holds alone, and what they are as messages, both in bytes.
 func ledgerAlone(size int) (held, sent int64, err error) {
 	before := heap()
-	l := ledger.New("east-0#1796178064505317467")
+	l := crdt.New("east-0#1796178064505317467")
 	names := make([]string, 0, size)
 	for i := range size {
 		name := fmt.Sprintf("f/%016x", i)
--- a/lab/sharer.go
+++ b/lab/sharer.go
@@ -10,10 +10,10 @@
 	"runtime"
 	"time"
 
+	"chalkring/cluster/crdt"
 	"chalkring/cluster/gossip"
 	who "chalkring/cluster/membership"
 	"chalkring/installation"
-	"chalkring/ledger"
 	"chalkring/share"
 	"chalkring/store"
 )
@@ -120,7 +120,7 @@
 	})
 	mux.HandleFunc("/all", func(w http.ResponseWriter, r *http.Request) {
 		var all []string
-		book.Each(r.URL.RawQuery, func(e ledger.Entry) bool { all = append(all, e.Name); return true })
+		book.Each(r.URL.RawQuery, func(e crdt.Entry) bool { all = append(all, e.Name); return true })
 		_ = json.NewEncoder(w).Encode(all)
 	})
 	ln, err := net.Listen("tcp", plan.Listen)
--- a/lab/subscribers.go
+++ b/lab/subscribers.go
@@ -19,8 +19,8 @@
 	"sync/atomic"
 	"time"
 
+	"chalkring/cluster/crdt"
 	"chalkring/fanout"
-	"chalkring/ledger"
 	"chalkring/share"
 	"chalkring/standin"
 	"chalkring/standin/rig"
@@ -515,7 +515,7 @@
 			Disk: func(context.Context) (share.Disk, error) { return kept, nil }})
 		<-book.Ready()
 		on := map[string]bool{}
-		book.Each(subscribers.Prefix, func(e ledger.Entry) bool {
+		book.Each(subscribers.Prefix, func(e crdt.Entry) bool {
 			k, _ := subscribers.KeyOf(e.Name)
 			if rec, err := subscribers.Reads(e); err == nil {
 				on[k.ID] = !rec.Off()
--- a/share/golden_stored_test.go
+++ b/share/golden_stored_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 	"chalkring/standin/memnet"
 )
 
@@ -101,19 +101,19 @@
 	b := startOnDisk(t, 1_700_000_000_000_000_001, goldenDisk(t))
 	defer func() { b.stop(); <-b.done }()
 	actor := "east-0#1700000000000000000"
-	for name, want := range map[string]ledger.Sibling{
-		"x/one":      {Dot: ledger.Dot{Actor: actor, N: 2}, Value: []byte("second")},
-		"x/two":      {Dot: ledger.Dot{Actor: actor, N: 3}, Value: []byte{}},
-		"zones/eu-1": {Dot: ledger.Dot{Actor: actor, N: 5}, Value: []byte("\x00\xff")},
+	for name, want := range map[string]crdt.Sibling{
+		"x/one":      {Dot: crdt.Dot{Actor: actor, N: 2}, Value: []byte("second")},
+		"x/two":      {Dot: crdt.Dot{Actor: actor, N: 3}, Value: []byte{}},
+		"zones/eu-1": {Dot: crdt.Dot{Actor: actor, N: 5}, Value: []byte("\x00\xff")},
 	} {
 		e, ok := b.Get(name)
 		require.True(t, ok, name)
 		require.Equal(t, name, e.Name)
-		require.Equal(t, []ledger.Sibling{want}, e.Siblings)
+		require.Equal(t, []crdt.Sibling{want}, e.Siblings)
 	}
 	_, ok := b.Get("y")
 	require.False(t, ok)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	require.Equal(t, ledger.Version{{Actor: actor, N: 6}}, b.l.Known(), "what the instance has seen, from its own key")
+	require.Equal(t, crdt.Version{{Actor: actor, N: 6}}, b.l.Known(), "what the instance has seen, from its own key")
 }
--- a/share/keep.go
+++ b/share/keep.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 	"chalkring/work"
 )
 
@@ -38,13 +38,13 @@
 		}
 		return nil
 	}
-	var entries []ledger.Entry
-	var known ledger.Version
+	var entries []crdt.Entry
+	var known crdt.Version
 	var bad error
 	err = disk.Load(Bucket, func(key string, value []byte) error {
 		var err error
 		if name, ok := strings.CutPrefix(key, entryKey); ok {
-			var e ledger.Entry
+			var e crdt.Entry
 			if err = cbor.Unmarshal(value, &e); err == nil && e.Name != name {
 				err = errors.New("an entry under another's name")
 			}
@@ -67,14 +67,14 @@
 		known = nil
 	}
 	err = b.l.Restore(entries, known)
-	name := ledger.NameOf(b.l.Actor())
+	name := crdt.NameOf(b.l.Actor())
 	last := known.Ended(name)
 	for _, d := range known {
-		if ledger.NameOf(d.Actor) == name {
-			last = max(last, ledger.LifeOf(d.Actor))
+		if crdt.NameOf(d.Actor) == name {
+			last = max(last, crdt.LifeOf(d.Actor))
 		}
 	}
-	if last >= ledger.LifeOf(b.l.Actor()) {
+	if last >= crdt.LifeOf(b.l.Actor()) {
 		// Guards against a clock that was put back: a life must be later than the one before.
 		for _, e := range b.l.Renew(last+1, "") {
 			b.own(e.Name)
--- a/share/share.go
+++ b/share/share.go
@@ -16,8 +16,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"chalkring/cluster/crdt"
 	"chalkring/fault"
-	"chalkring/ledger"
 	"chalkring/work"
 )
 
@@ -37,18 +37,18 @@
 	keepEach    = 20 * time.Millisecond  // changes gathered for one transaction
 	keepBack    = 200 * time.Millisecond // first wait after a store that failed, doubled up to
 	keepBackTop = 10 * time.Second
-	diskWait    = 10 * time.Second              // for a disk; what it kept is taken in when it comes
-	keepBytes   = 32 << 20                      // of one transaction: the store holds it in memory
-	collectEach = 2                             // exchanges' times between two looks for what all have seen
-	rowEach     = 2                             // likewise between two rows of this instance, and
-	rowFew      = 10                            // instances, and for each more of them
-	rowMore     = second / 10                   // more between two looks and rows: each looks at what each says of each
-	deadMany    = ledger.TombstonesMost * 3 / 4 // tombstones from which on those that are not there are not waited for
-	AwayMost    = 24 * time.Hour                // an instance not heard for so long is not waited for by deletes
-	ForgetMost  = 7 * 24 * time.Hour            // one that is not listed and not heard for so long is forgotten
-	renewEach   = 10 * second                   // guards against two processes of one name that strike each other again and again
-	complainGap = 30 * second                   // between two log lines of one kind and instance
-	answersMost = 4                             // answers made at once
+	diskWait    = 10 * time.Second            // for a disk; what it kept is taken in when it comes
+	keepBytes   = 32 << 20                    // of one transaction: the store holds it in memory
+	collectEach = 2                           // exchanges' times between two looks for what all have seen
+	rowEach     = 2                           // likewise between two rows of this instance, and
+	rowFew      = 10                          // instances, and for each more of them
+	rowMore     = second / 10                 // more between two looks and rows: each looks at what each says of each
+	deadMany    = crdt.TombstonesMost * 3 / 4 // tombstones from which on those that are not there are not waited for
+	AwayMost    = 24 * time.Hour              // an instance not heard for so long is not waited for by deletes
+	ForgetMost  = 7 * 24 * time.Hour          // one that is not listed and not heard for so long is forgotten
+	renewEach   = 10 * second                 // guards against two processes of one name that strike each other again and again
+	complainGap = 30 * second                 // between two log lines of one kind and instance
+	answersMost = 4                           // answers made at once
 )
 
 // Net hands messages to other instances; package gossip is one.
@@ -88,7 +88,7 @@
 	stop  context.CancelFunc
 
 	mu       sync.Mutex
-	l        *ledger.Ledger
+	l        *crdt.Ledger
 	chance   *rand.Rand
 	disk     Disk
 	watches  map[*watch]bool
@@ -96,7 +96,7 @@
 	freshIn  map[string]bool
 	stirPush chan struct{}
 	dirty    map[string]bool
-	known    ledger.Version // that is on disk
+	known    crdt.Version // that is on disk
 	stirKeep chan struct{}
 	changes  uint64 // so far
 	kept     uint64 // of them those on disk
@@ -104,13 +104,13 @@
 	keptTold chan struct{} // closed and made anew as kept changes
 	run      uint64
 	open     map[string]*running
-	waiting  map[uint64]chan ledger.Answer
+	waiting  map[uint64]chan crdt.Answer
 	met      map[string]bool  // alive at the last look
 	heard    map[string]int64 // when each instance was last alive
 	renewed  int64
 	lookAt   int64
 	rowAt    int64
-	rowOf    ledger.Version
+	rowOf    crdt.Version
 	told     map[string]int64
 	stats    Stats
 }
@@ -122,7 +122,7 @@
 }
 
 type running struct {
-	x     *ledger.Exchange
+	x     *crdt.Exchange
 	since time.Time
 }
 
@@ -139,10 +139,10 @@
 	if o.Every <= 0 {
 		o.Every = time.Second
 	}
-	b := &Book{o: o, l: ledger.New(ledger.ActorOf(o.Name, max(1, o.Life))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
+	b := &Book{o: o, l: crdt.New(crdt.ActorOf(o.Name, max(1, o.Life))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
 		ready: make(chan struct{}), found: make(chan struct{}), done: make(chan struct{}), watches: map[*watch]bool{}, freshIn: map[string]bool{}, dirty: map[string]bool{},
 		stirPush: make(chan struct{}, 1), stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}),
-		open: map[string]*running{}, waiting: map[uint64]chan ledger.Answer{}, met: map[string]bool{}, heard: map[string]int64{},
+		open: map[string]*running{}, waiting: map[uint64]chan crdt.Answer{}, met: map[string]bool{}, heard: map[string]int64{},
 		told: map[string]int64{}, renewed: -renewEach, rowAt: -second << 8}
 	b.run = b.chance.Uint64() >> 1
 	b.ctx, b.stop = context.WithCancel(ctx)
@@ -210,7 +210,7 @@
 func (b *Book) Ready() <-chan struct{} { return b.ready }
 
 // Put writes a value; it supersedes every sibling that is held here.
-func (b *Book) Put(name string, value []byte) (ledger.Entry, error) {
+func (b *Book) Put(name string, value []byte) (crdt.Entry, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, err := b.l.Put(name, value)
@@ -221,7 +221,7 @@
 }
 
 // Delete deletes every sibling that is held here.
-func (b *Book) Delete(name string) (ledger.Entry, error) {
+func (b *Book) Delete(name string) (crdt.Entry, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, err := b.l.Delete(name)
@@ -232,7 +232,7 @@
 }
 
 // Get is the state of a name and whether it has a live value. Its values must not be changed.
-func (b *Book) Get(name string) (ledger.Entry, bool) {
+func (b *Book) Get(name string) (crdt.Entry, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.l.Get(name)
@@ -240,7 +240,7 @@
 
 // Each tells names with a live value that begin with prefix, in order, until f says no. f must be quick, since all else
 // waits for it, and must not call the Book.
-func (b *Book) Each(prefix string, f func(ledger.Entry) bool) {
+func (b *Book) Each(prefix string, f func(crdt.Entry) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.l.Each(prefix, f)
@@ -257,7 +257,7 @@
 func (b *Book) Digest() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.l.Digest(ledger.Node{})
+	return b.l.Digest(crdt.Node{})
 }
 
 // Stats are the counts so far.
@@ -373,7 +373,7 @@
 type push struct {
 	_     struct{} `cbor:",toarray"`
 	Actor string
-	Batch ledger.Batch
+	Batch crdt.Batch
 }
 
 func encode(kind byte, v any) ([]byte, error) {
@@ -405,8 +405,8 @@
 	var err error
 	switch body[0] {
 	case kindAsk:
-		var q ledger.Ask
-		if err = cbor.Unmarshal(body[1:], &q); err == nil && ledger.NameOf(q.Actor) == from {
+		var q crdt.Ask
+		if err = cbor.Unmarshal(body[1:], &q); err == nil && crdt.NameOf(q.Actor) == from {
 			_, err = b.pool.Add(work.Job{Name: "share answer", Kind: "answer", Priority: work.Usual, Deadline: second, Tries: 1},
 				func(ctx context.Context, a *work.Allowance) error { return b.answer(ctx, a, from, q) })
 			if err != nil {
@@ -414,7 +414,7 @@
 			}
 		}
 	case kindAnswer:
-		var a ledger.Answer
+		var a crdt.Answer
 		if err = cbor.Unmarshal(body[1:], &a); err == nil {
 			b.mu.Lock()
 			c := b.waiting[a.Run]
@@ -426,7 +426,7 @@
 		}
 	case kindFresh, kindLacks:
 		var p push
-		if err = cbor.Unmarshal(body[1:], &p); err == nil && ledger.NameOf(p.Actor) == from {
+		if err = cbor.Unmarshal(body[1:], &p); err == nil && crdt.NameOf(p.Actor) == from {
 			err = b.pushed(from, p, body[0] == kindFresh)
 		}
 	default:
@@ -453,21 +453,21 @@
 
 // struck goes on as a new life where others take this one as over.
 func (b *Book) struck(err error) bool {
-	var s *ledger.Struck
+	var s *crdt.Struck
 	if !errors.As(err, &s) {
 		return false
 	}
 	b.mu.Lock()
 	now := b.now()
 	did := now-b.renewed >= renewEach
-	var kept []ledger.Entry
+	var kept []crdt.Entry
 	if did {
 		b.renewed = now
 		peer := s.From
-		if ledger.LifeOf(peer) > 0 {
-			peer = ledger.NameOf(peer)
+		if crdt.LifeOf(peer) > 0 {
+			peer = crdt.NameOf(peer)
 		}
-		life := max(s.Before, ledger.LifeOf(b.l.Actor())) + 1
+		life := max(s.Before, crdt.LifeOf(b.l.Actor())) + 1
 		kept = b.l.Renew(life, peer)
 		clear(b.open)
 		for _, e := range kept {
@@ -481,7 +481,7 @@
 	return true
 }
 
-func (b *Book) answer(ctx context.Context, a *work.Allowance, from string, q ledger.Ask) error {
+func (b *Book) answer(ctx context.Context, a *work.Allowance, from string, q crdt.Ask) error {
 	b.mu.Lock()
 	out, err := b.l.Answer(from, q)
 	b.mu.Unlock()
@@ -572,7 +572,7 @@
 		b.open[peer] = r
 	}
 	x := r.x
-	answers := make(chan ledger.Answer, 1)
+	answers := make(chan crdt.Answer, 1)
 	b.waiting[x.Run()] = answers
 	b.mu.Unlock()
 	defer func() {
@@ -591,7 +591,7 @@
 		}
 		n, err := b.send(ctx, a, peer, kindAsk, q)
 		b.sent(n)
-		var out ledger.Answer
+		var out crdt.Answer
 		if err == nil {
 			out, err = await(ctx, answers, q)
 		}
@@ -619,7 +619,7 @@
 
 var errSilent = errors.New("no answer in time")
 
-func await(ctx context.Context, answers <-chan ledger.Answer, q ledger.Ask) (ledger.Answer, error) {
+func await(ctx context.Context, answers <-chan crdt.Answer, q crdt.Ask) (crdt.Answer, error) {
 	late := time.NewTimer(answerWait)
 	defer late.Stop()
 	for {
@@ -629,9 +629,9 @@
 				return out, nil
 			}
 		case <-late.C:
-			return ledger.Answer{}, errSilent
+			return crdt.Answer{}, errSilent
 		case <-ctx.Done():
-			return ledger.Answer{}, ctx.Err()
+			return crdt.Answer{}, ctx.Err()
 		}
 	}
 }
@@ -643,7 +643,7 @@
 }
 
 // take takes an answer in and sends what the other lacks.
-func (b *Book) take(ctx context.Context, a *work.Allowance, x *ledger.Exchange, out ledger.Answer) error {
+func (b *Book) take(ctx context.Context, a *work.Allowance, x *crdt.Exchange, out crdt.Answer) error {
 	b.mu.Lock()
 	away := x.Away
 	changed, lacks, err := x.Take(out)
@@ -651,7 +651,7 @@
 	batches := b.l.Batches(true, lacks)
 	actor := b.l.Actor()
 	if err != nil && !x.Done() {
-		if errors.Is(err, ledger.ErrStale) || !x.Began() {
+		if errors.Is(err, crdt.ErrStale) || !x.Began() {
 			delete(b.open, x.Peer())
 		}
 	}
@@ -659,10 +659,10 @@
 	if x.Away && !away {
 		b.o.Log.Warn("share_away", fault.Attrs(&Away{x.Peer(), x.Unseen})...)
 	}
-	if errors.Is(err, ledger.ErrStale) {
+	if errors.Is(err, crdt.ErrStale) {
 		return &Cut{x.Peer(), err}
 	}
-	if fault.Is[*ledger.Struck](err) {
+	if fault.Is[*crdt.Struck](err) {
 		return err
 	}
 	if err != nil {
--- a/share/wire_golden_test.go
+++ b/share/wire_golden_test.go
@@ -9,15 +9,15 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 )
 
 // idleBook is a copy whose goroutines are not started, so that a test alone changes it.
 func idleBook(actor string) *Book {
-	return &Book{o: Options{Name: ledger.NameOf(actor), Log: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
-		l: ledger.New(actor), watches: map[*watch]bool{}, freshIn: map[string]bool{}, stirPush: make(chan struct{}, 1),
+	return &Book{o: Options{Name: crdt.NameOf(actor), Log: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
+		l: crdt.New(actor), watches: map[*watch]bool{}, freshIn: map[string]bool{}, stirPush: make(chan struct{}, 1),
 		dirty: map[string]bool{}, stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}), open: map[string]*running{},
-		waiting: map[uint64]chan ledger.Answer{}, told: map[string]int64{}}
+		waiting: map[uint64]chan crdt.Answer{}, told: map[string]int64{}}
 }
 
 // goldenBook holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
@@ -30,7 +30,7 @@
 	require.NoError(t, err)
 	_, err = b.Delete("plan/b")
 	require.NoError(t, err)
-	other := ledger.New("gateway-2#9")
+	other := crdt.New("gateway-2#9")
 	for _, name := range []string{"plan/a", "plan/c"} {
 		_, err = other.Put(name, []byte("other"))
 		require.NoError(t, err)
@@ -47,7 +47,7 @@
 	names := []string{"plan/a", "plan/b", "plan/c"}
 	fresh := push{Actor: b.Actor(), Batch: b.l.Batches(false, names)[0]}
 	lacks := push{Actor: b.Actor(), Batch: b.l.Batches(true, names)[0]}
-	ask, ok := ledger.New("gateway-3#4").NewExchange("gateway-1", 17).Next()
+	ask, ok := crdt.New("gateway-3#4").NewExchange("gateway-1", 17).Next()
 	require.True(t, ok)
 	answer, err := b.l.Answer("gateway-3", ask)
 	require.NoError(t, err)
@@ -64,14 +64,14 @@
 		{"lacks", func() ([]byte, error) { return encode(kindLacks, lacks) }, received, contents(b)},
 		{"ask", func() ([]byte, error) { return encode(kindAsk, ask) }, func(encoded []byte) (any, error) {
 			require.Equal(t, byte(1), encoded[0])
-			var decoded ledger.Ask
+			var decoded crdt.Ask
 			err := cbor.Unmarshal(encoded[1:], &decoded)
 			return decoded, err
 		}, ask},
 		{"answer", func() ([]byte, error) { return encode(kindAnswer, answer) }, func(encoded []byte) (any, error) {
 			asker := idleBook("gateway-3#4")
 			close(asker.ready)
-			answers := make(chan ledger.Answer, 1)
+			answers := make(chan crdt.Answer, 1)
 			asker.waiting[17] = answers
 			asker.handle("gateway-1", encoded)
 			select {
@@ -87,7 +87,7 @@
 // contents are the entries with a live value, by name, and the digest of all.
 func contents(b *Book) map[string]any {
 	all := map[string]any{"digest": b.Digest()}
-	b.Each("", func(e ledger.Entry) bool {
+	b.Each("", func(e crdt.Entry) bool {
 		all[e.Name] = e.Siblings
 		return true
 	})
@@ -107,11 +107,11 @@
 		forms = append(forms, goldenForm{key, func() ([]byte, error) { return written.data[key], nil }, func(encoded []byte) (any, error) {
 			var err error
 			if key == "known" {
-				var known ledger.Version
+				var known crdt.Version
 				err = cbor.Unmarshal(encoded, &known)
 				return known, err
 			}
-			var entry ledger.Entry
+			var entry crdt.Entry
 			err = cbor.Unmarshal(encoded, &entry)
 			return entry, err
 		}, goldenRecord(b, key)})
--- a/subscribers/file.go
+++ b/subscribers/file.go
@@ -11,7 +11,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 	"chalkring/strictyaml"
 )
 
@@ -206,7 +206,7 @@
 }
 
 // StandingOf reads it; the greatest holds of those that were written apart.
-func StandingOf(e ledger.Entry) (s Standing) {
+func StandingOf(e crdt.Entry) (s Standing) {
 	for _, one := range e.Siblings {
 		var t Standing
 		if !one.Deleted && reading.Unmarshal(one.Value, &t) == nil && (t.Generation > s.Generation || t.Generation == s.Generation && t.Sum > s.Sum) {
--- a/subscribers/golden_test.go
+++ b/subscribers/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
+	"chalkring/cluster/crdt"
 	"chalkring/fault"
-	"chalkring/ledger"
 )
 
 // goldenRecord is a record with another value in each field.
@@ -56,10 +56,10 @@
 	require.Equal(t, standingText, admitted)
 }
 
-func entryOf(name string, values ...[]byte) (e ledger.Entry) {
+func entryOf(name string, values ...[]byte) (e crdt.Entry) {
 	e.Name = name
 	for _, value := range values {
-		e.Siblings = append(e.Siblings, ledger.Sibling{Value: value})
+		e.Siblings = append(e.Siblings, crdt.Sibling{Value: value})
 	}
 	return e
 }
--- a/subscribers/list.go
+++ b/subscribers/list.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // Write runs an op on the state of a name. The caller puts the value in the same step in which it read the entry:
 // guards against an unsubscription that comes in between and would be superseded without having been seen.
-func Write(e ledger.Entry, op Op) (value []byte, write bool, err error) {
+func Write(e crdt.Entry, op Op) (value []byte, write bool, err error) {
 	held, all, err := resolve(e)
 	if err != nil {
 		return nil, false, err // what cannot be read must not be superseded
@@ -47,7 +47,7 @@
 
 // resolve reads an entry: what holds of it, and all its records. Only gone ones are ever deleted from the ledger, long
 // after; one that was written beside that was written without having seen it, and so has not come anew: it is gone too.
-func resolve(e ledger.Entry) (held Record, all []Record, err error) {
+func resolve(e crdt.Entry) (held Record, all []Record, err error) {
 	forgotten := false
 	for _, s := range e.Siblings {
 		if s.Deleted {
@@ -73,7 +73,7 @@
 }
 
 // Reads is what holds of an entry.
-func Reads(e ledger.Entry) (Record, error) {
+func Reads(e crdt.Entry) (Record, error) {
 	r, _, err := resolve(e)
 	return r, err
 }
@@ -216,7 +216,7 @@
 
 // Take takes in an entry as the ledger holds it, also one it has taken before, which costs little. It tells whether
 // something is different now, and what did not hold, each once.
-func (l *List) Take(e ledger.Entry) (k Key, changed bool, events []Event, err error) {
+func (l *List) Take(e crdt.Entry) (k Key, changed bool, events []Event, err error) {
 	k, ours := KeyOf(e.Name)
 	if !ours {
 		return k, false, nil, &BadRecord{e.Name, "its name"}
@@ -274,7 +274,7 @@
 func (l *List) Reading() { l.reading++ }
 
 // Changed tells quickly whether an entry has to be taken.
-func (l *List) Changed(e ledger.Entry) bool {
+func (l *List) Changed(e crdt.Entry) bool {
 	k, _ := KeyOf(e.Name)
 	was := l.all[k]
 	if was != nil {
@@ -305,7 +305,7 @@
 }
 
 // StampOf names an entry's siblings.
-func StampOf(e ledger.Entry) uint64 {
+func StampOf(e crdt.Entry) uint64 {
 	d := newDigest()
 	for _, s := range e.Siblings {
 		d.text(s.Dot.Actor)
--- a/subscribers/model_test.go
+++ b/subscribers/model_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 )
 
 // world is a model of gateways in three regions on one clock, with links, disks and receivers. It judges by what was
@@ -53,7 +53,7 @@
 	up      bool
 	stopped int64 // until
 	full    bool  // its disk takes nothing
-	led     *ledger.Ledger
+	led     *crdt.Ledger
 	list    *List
 	gw      *Gateway
 	seen    map[string]bool // askings it knows of
@@ -67,7 +67,7 @@
 }
 
 type state struct {
-	entries map[string]ledger.Entry
+	entries map[string]crdt.Entry
 	seen    map[string]bool
 }
 
@@ -75,7 +75,7 @@
 	w := &world{t: t, r: rand.New(rand.NewSource(seed)), now: 1_700_000_000 * second, cut: map[[2]int]bool{}, truth: map[Key]uint64{},
 		subs: map[string]asking{}, got: map[Key][]receipt{}, nums: map[string]string{}, talk: 1}
 	for i := range regions * each {
-		n := &gate{w: w, i: i, region: i % regions, disk: state{map[string]ledger.Entry{}, map[string]bool{}}}
+		n := &gate{w: w, i: i, region: i % regions, disk: state{map[string]crdt.Entry{}, map[string]bool{}}}
 		w.nodes = append(w.nodes, n)
 		n.start(n.disk)
 	}
@@ -95,15 +95,15 @@
 func (n *gate) start(from state) {
 	n.life++
 	n.up, n.heard, n.stamps = true, nil, map[string]uint64{}
-	n.led, n.list, n.gw = ledger.New(fmt.Sprintf("%s#%d", n.name(), n.life)), NewList(), NewGateway(n.w.now, n.me(), Rules{})
+	n.led, n.list, n.gw = crdt.New(fmt.Sprintf("%s#%d", n.name(), n.life)), NewList(), NewGateway(n.w.now, n.me(), Rules{})
 	n.seen, n.lag = maps.Clone(from.seen), 2*second+n.w.r.Int63n(second)
 	_, err := n.led.Merge("disk", slices.Collect(maps.Values(from.entries)))
 	require.NoError(n.w.t, err)
 	n.take(n.all())
 }
 
-func (n *gate) all() (all []ledger.Entry) {
-	n.led.Each("", func(e ledger.Entry) bool { all = append(all, e); return true })
+func (n *gate) all() (all []crdt.Entry) {
+	n.led.Each("", func(e crdt.Entry) bool { all = append(all, e); return true })
 	return all
 }
 
@@ -112,7 +112,7 @@
 	if n.full {
 		return
 	}
-	n.disk = state{map[string]ledger.Entry{}, maps.Clone(n.seen)}
+	n.disk = state{map[string]crdt.Entry{}, maps.Clone(n.seen)}
 	for _, e := range n.all() {
 		n.disk.entries[e.Name] = e
 	}
@@ -120,12 +120,12 @@
 
 // exchange takes in what another holds.
 func (n *gate) exchange(o *gate) {
-	if n.led.Digest(ledger.Node{}) == o.led.Digest(ledger.Node{}) {
+	if n.led.Digest(crdt.Node{}) == o.led.Digest(crdt.Node{}) {
 		maps.Copy(n.seen, o.seen)
 		return
 	}
-	var other []ledger.Entry
-	o.led.Each("", func(e ledger.Entry) bool {
+	var other []crdt.Entry
+	o.led.Each("", func(e crdt.Entry) bool {
 		if n.stamps[e.Name] != o.stamps[e.Name] {
 			other = append(other, e)
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-func (n *gate) named(names ...string) (all []ledger.Entry) {
+func (n *gate) named(names ...string) (all []crdt.Entry) {
 	for _, name := range names {
 		e, _ := n.led.Get(name)
 		all = append(all, e)
@@ -148,7 +148,7 @@
 }
 
 // take reads what is new in the ledger.
-func (n *gate) take(entries []ledger.Entry) {
+func (n *gate) take(entries []crdt.Entry) {
 	for _, e := range entries {
 		n.stamps[e.Name] = StampOf(e)
 		if name, word := e.Name[len(WordPrefix):], e.Name[:len(WordPrefix)] == WordPrefix; word {
--- a/subscribers/serve.go
+++ b/subscribers/serve.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"chalkring/ledger"
+	"chalkring/cluster/crdt"
 )
 
 const (
@@ -57,7 +57,7 @@
 }
 
 // WordOf reads it: the last of those that stand.
-func WordOf(e ledger.Entry) (w Word) {
+func WordOf(e crdt.Entry) (w Word) {
 	for _, s := range e.Siblings {
 		var t Word
 		if !s.Deleted && len(s.Value) <= wordMost && reading.Unmarshal(s.Value, &t) == nil && t.compare(w) > 0 {
