--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cborForm is a value that is encoded and decoded with the library's defaults, as package share does.
+// cborForm is a value that is encoded and decoded with the library's defaults, as package replication does.
 func cborForm[T any](name string, value, want T) goldenForm {
 	return goldenForm{name, func() ([]byte, error) { return cbor.Marshal(value) },
 		func(encoded []byte) (any, error) {
--- a/share/share.go
+++ b/cluster/replication/share.go
@@ -1,8 +1,8 @@
-// Package share keeps the instances' copies of a ledger alike. A Book is its face for any goroutine. Fresh changes go to a
+// Package replication keeps the instances' copies of a ledger alike. A Book is its face for any goroutine. Fresh changes go to a
 // few others at once, and each that learns one hands it on; beside that each instance compares its copy with another's
 // every second, by digests, and takes and gives what differs. Changes are kept by a store where there is one. All of this
 // is background work within budgets of package work. docs/ledger.md tells the rules and figures.
-package share
+package replication
 
 import (
 	"context"
--- a/share/share_test.go
+++ b/cluster/replication/share_test.go
@@ -1,4 +1,4 @@
-package share
+package replication
 
 import (
 	"bytes"
@@ -273,7 +273,7 @@
 	require.NoError(t, f.books["a"].Kept(ctx))
 	f.books["a"].handle("b", []byte{9, 9})
 	require.Contains(t, f.log.String(), "share_message")
-	page, err := os.ReadFile("../docs/oncall.md")
+	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	for _, e := range []interface {
 		error
--- a/share/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -1,4 +1,4 @@
-package share
+package replication
 
 import (
 	"context"
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -11,10 +11,10 @@
 
 	"chalkring/cluster/gossip"
 	"chalkring/cluster/membership"
+	"chalkring/cluster/replication"
 	"chalkring/coordinator"
 	"chalkring/fault"
 	"chalkring/installation"
-	"chalkring/share"
 	"chalkring/store"
 )
 
@@ -44,7 +44,7 @@
 	keep   *coordinator.Keep      // whose store it is, nil where it is the instances' own
 	opened chan struct{}          // closed once the store is there, or is known not to be
 	store  *store.Store           // nil where there is none
-	shared *share.Book            // what the instances share
+	shared *replication.Book      // what the instances share
 	zones  *coordinator.Residency // nil where there are no contracts
 
 	handing bool // another process takes this one's place at once
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	s.book, s.clock = s.node.Book(), s.node.Now
-	s.shared = share.Start(context.Background(), share.Options{Name: own.Name, Life: s.book.Me().Incarnation, Net: s.node, Peers: s.peers,
+	s.shared = replication.Start(context.Background(), replication.Options{Name: own.Name, Life: s.book.Me().Incarnation, Net: s.node, Peers: s.peers,
 		Disk: s.disk, Log: log, Seed: o.Seed + 1})
 	go s.open()
 	return s, nil
@@ -89,7 +89,7 @@
 func (s *sharing) peers() (alive, listed []string) { return s.book.Others(), s.file.Listed }
 
 // disk waits for the store, as what is shared is kept there too.
-func (s *sharing) disk(ctx context.Context) (share.Disk, error) {
+func (s *sharing) disk(ctx context.Context) (replication.Disk, error) {
 	select {
 	case <-s.opened:
 	case <-ctx.Done():
--- a/fanout/fanout.go
+++ b/fanout/fanout.go
@@ -48,7 +48,7 @@
 	keepLeast   = 1024 // names of a list kept for reading
 )
 
-// Shared is what the instances share; package share's Book is one.
+// Shared is what the instances share; package replication's Book is one.
 type Shared interface {
 	Ready() <-chan struct{}
 	Get(name string) (crdt.Entry, bool)
--- a/lab/sharer.go
+++ b/lab/sharer.go
@@ -13,8 +13,8 @@
 	"chalkring/cluster/crdt"
 	"chalkring/cluster/gossip"
 	who "chalkring/cluster/membership"
+	"chalkring/cluster/replication"
 	"chalkring/installation"
-	"chalkring/share"
 	"chalkring/store"
 )
 
@@ -31,7 +31,7 @@
 	Alive  int   // others that are there
 	RSS    int64 // bytes
 	Heap   uint64
-	Stats  share.Stats
+	Stats  replication.Stats
 }
 
 // Sharer is an instance of the measurement of the ledger: a process with the program's membership, ledger and store, and in
@@ -62,14 +62,14 @@
 	peers := func() (alive, listed []string) {
 		return node.Book().Others(), own.Listed
 	}
-	disk := func(ctx context.Context) (share.Disk, error) {
+	disk := func(ctx context.Context) (replication.Disk, error) {
 		s, err := store.Open(own.Store, store.Options{Told: func(err error) { log.Warn("fleet_store", "error", err) }})
 		if err != nil {
 			return nil, err
 		}
 		return s, nil
 	}
-	book := share.Start(ctx, share.Options{Name: own.Name, Life: node.Book().Me().Incarnation, Net: node, Peers: peers, Disk: disk,
+	book := replication.Start(ctx, replication.Options{Name: own.Name, Life: node.Book().Me().Incarnation, Net: node, Peers: peers, Disk: disk,
 		Log: log, Seed: time.Now().UnixNano()})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
--- a/lab/subscribers.go
+++ b/lab/subscribers.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"chalkring/cluster/crdt"
+	"chalkring/cluster/replication"
 	"chalkring/fanout"
-	"chalkring/share"
 	"chalkring/standin"
 	"chalkring/standin/rig"
 	"chalkring/store"
@@ -511,8 +511,8 @@
 		if err != nil {
 			return 0, 0, fmt.Errorf("%s: %w", name, err)
 		}
-		book := share.Start(ctx, share.Options{Name: "reader", Life: 1, Net: alone{}, Peers: func() (a, b []string) { return nil, nil },
-			Disk: func(context.Context) (share.Disk, error) { return kept, nil }})
+		book := replication.Start(ctx, replication.Options{Name: "reader", Life: 1, Net: alone{}, Peers: func() (a, b []string) { return nil, nil },
+			Disk: func(context.Context) (replication.Disk, error) { return kept, nil }})
 		<-book.Ready()
 		on := map[string]bool{}
 		book.Each(subscribers.Prefix, func(e crdt.Entry) bool {
