--- a/learn/asking.go
+++ b/cluster/peerreport/asking.go
@@ -1,4 +1,4 @@
-package learn
+package peerreport
 
 import (
 	"math/rand"
--- a/learn/desk.go
+++ b/cluster/peerreport/desk.go
@@ -1,4 +1,4 @@
-package learn
+package peerreport
 
 const (
 	deskMost   = 2           // askers answered at once: each costs a buffer of slices and a writer
--- a/learn/report.go
+++ b/cluster/peerreport/report.go
@@ -1,9 +1,9 @@
-// Package learn decides what one co-ordinator takes from what others have found: what a report holds, how old it
+// Package peerreport decides what one co-ordinator takes from what others have found: what a report holds, how old it
 // is, how several are put together, how much each weighs, when one is dropped, whom to ask and whom to answer.
 // It has no I/O and no clock: times are handed in, in tenths of a millisecond of one co-ordinator's own clock.
 // Between co-ordinators only ages travel. docs/learning.md weighs the options. Way in: Take makes a report of
 // the module's beliefs, Shelf keeps others' reports and combines them, Asker and Desk are the two ends' manners.
-package learn
+package peerreport
 
 import (
 	"errors"
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 	"chalkring/members"
 	"chalkring/recovery"
 	"chalkring/store"
@@ -78,9 +78,9 @@
 
 func goldenNotes() recovery.Notes {
 	return recovery.Notes{At: goldenNow - 2000,
-		Head: learn.Head{Peer: "golden", Place: "east", Serial: 7, List: 9, Age: 100, Answers: 800, Usual: 150, Shortest: 20, Hosts: 1,
-			Zones: []learn.Zone{{Name: "east", N: 500, Slower: -3}}},
-		All: []learn.Note{{ID: "a", ShortN: 11, LongN: 12, Short: -13, Long: 14, Age: 19}}}
+		Head: peerreport.Head{Peer: "golden", Place: "east", Serial: 7, List: 9, Age: 100, Answers: 800, Usual: 150, Shortest: 20, Hosts: 1,
+			Zones: []peerreport.Zone{{Name: "east", N: 500, Slower: -3}}},
+		All: []peerreport.Note{{ID: "a", ShortN: 11, LongN: 12, Short: -13, Long: 14, Age: 19}}}
 }
 
 func openGoldenKeep(t *testing.T, path string) *Keep {
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 	"chalkring/members"
 	"chalkring/peer"
 	"chalkring/work"
@@ -53,13 +53,13 @@
 	stir     chan struct{} // the asker has to be looked at
 
 	mu     sync.Mutex
-	shelf  *learn.Shelf
-	asker  *learn.Asker
-	desk   *learn.Desk
+	shelf  *peerreport.Shelf
+	asker  *peerreport.Asker
+	desk   *peerreport.Desk
 	since  map[string]int64 // start of each listed host in ms
 	addrs  map[string]string
 	taking sync.Mutex // one snapshot at a time, which all askers share
-	taken  *learn.Taker
+	taken  *peerreport.Taker
 	serial uint64
 	load   float64
 
@@ -72,20 +72,20 @@
 	if p.Name == "" {
 		p.Name = name
 	}
-	l := &learner{o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: learn.NewDesk(),
+	l := &learner{o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewDesk(),
 		since: map[string]int64{}, addrs: map[string]string{}}
 	l.instance = xxhash.Sum64String(fmt.Sprint(name, o.plan.seed, o.Listener.Addr(), o.start.UnixNano()))
-	l.shelf = learn.NewShelf(p.Place, l.zones)
+	l.shelf = peerreport.NewShelf(p.Place, l.zones)
 	var names []string
 	for _, at := range p.Ask {
 		names = append(names, at.Name)
 	}
-	l.asker = learn.NewAsker(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.Refresh/tenth), names)
+	l.asker = peerreport.NewAsker(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.Refresh/tenth), names)
 	plan := work.NewPlan(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
 	l.pool = work.NewPool(o.Clock, plan, func(job string, err error) {
 		o.log.often("job", "job_given_up", "job", job, "error", err)
 		if name, asking := strings.CutPrefix(job, askPrefix); asking {
-			o.g.Go(func() error { l.ended(name, learn.Failed, 0, err); return nil }) // the pool must not be held up
+			o.g.Go(func() error { l.ended(name, peerreport.Failed, 0, err); return nil }) // the pool must not be held up
 		}
 	})
 	return l
@@ -167,19 +167,19 @@
 		return nil
 	})
 	if err != nil {
-		l.o.g.Go(func() error { l.ended(at.Name, learn.Failed, 0, err); return nil }) // start is called with the lock
+		l.o.g.Go(func() error { l.ended(at.Name, peerreport.Failed, 0, err); return nil }) // start is called with the lock
 	}
 }
 
-func (l *learner) askOne(ctx context.Context, at PeerAt, a *work.Allowance) (learn.Outcome, time.Duration, error) {
+func (l *learner) askOne(ctx context.Context, at PeerAt, a *work.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.o.clock()
 	asking := peer.Asking{Peer: at.Name, Addr: at.Addr, Me: l.p.Name, Instance: l.instance, Dial: l.o.Dial, Keys: l.p.Keys,
-		Head: func(h learn.Head) error {
+		Head: func(h peerreport.Head) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return l.shelf.Begin(asked, h)
 		},
-		Notes: func(notes []learn.Note) error {
+		Notes: func(notes []peerreport.Note) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return l.shelf.Add(at.Name, notes)
@@ -189,9 +189,9 @@
 }
 
 // ended takes in how an asking ended; a whole report goes to the module.
-func (l *learner) ended(name string, how learn.Outcome, later time.Duration, err error) {
+func (l *learner) ended(name string, how peerreport.Outcome, later time.Duration, err error) {
 	l.mu.Lock()
-	if how == learn.Told {
+	if how == peerreport.Told {
 		l.shelf.End(name)
 	} else {
 		l.shelf.Drop(name)
@@ -204,10 +204,10 @@
 	}
 	switch {
 	case l.o.ctx.Err() != nil:
-	case how == learn.Told:
+	case how == peerreport.Told:
 		hosts := l.feed()
 		l.o.log.Info("learned", "peer", name, "hosts", hosts)
-	case how == learn.Later:
+	case how == peerreport.Later:
 		l.o.log.often("peer_later", "peer_later", "peer", name, "wait", later)
 	default:
 		l.o.log.often("peer "+how.String(), "peer_failed", "peer", name, "how", how, "error", err)
@@ -224,7 +224,7 @@
 		return ms, listed
 	})
 	l.mu.Unlock()
-	for part := range slices.Chunk(heard, learn.SliceMost) {
+	for part := range slices.Chunk(heard, peerreport.SliceMost) {
 		if l.turn(func() {
 			for _, h := range part {
 				l.o.module.Hear(h)
@@ -308,7 +308,7 @@
 }
 
 // report gives the newest snapshot, or takes one. Askers that come meanwhile wait for it and share it.
-func (l *learner) report(ctx context.Context) (learn.Head, []learn.Note, error) {
+func (l *learner) report(ctx context.Context) (peerreport.Head, []peerreport.Note, error) {
 	l.taking.Lock()
 	defer l.taking.Unlock()
 	l.mu.Lock()
@@ -316,7 +316,7 @@
 	l.mu.Unlock()
 	if !fresh {
 		if err := l.take(ctx); err != nil {
-			return learn.Head{}, nil, err
+			return peerreport.Head{}, nil, err
 		}
 	}
 	return l.taken.HeadAt(l.o.clock()), l.taken.Notes, nil
@@ -326,12 +326,12 @@
 func (l *learner) take(ctx context.Context) error {
 	l.serial++
 	for {
-		t := learn.NewTaker(l.o.clock(), l.p.Name, l.p.Place, l.serial, l.version.Load(), l.zones)
+		t := peerreport.NewTaker(l.o.clock(), l.p.Name, l.p.Place, l.serial, l.version.Load(), l.zones)
 		for from := 0; ; {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err := l.turn(func() { from = l.o.module.Know(from, learn.SliceMost, t.Tell) }); err != nil {
+			if err := l.turn(func() { from = l.o.module.Know(from, peerreport.SliceMost, t.Tell) }); err != nil {
 				return err
 			}
 			if from == 0 {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"chalkring/balancer"
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 	"chalkring/peer"
 	"chalkring/standin"
 	fleet "chalkring/standin/rig"
@@ -127,15 +127,15 @@
 	r := startWith(t, 256, nil, p)
 	var g sync.WaitGroup
 	var mu sync.Mutex
-	count := map[learn.Outcome]int{}
+	count := map[peerreport.Outcome]int{}
 	for i := range 50 {
 		g.Go(func() {
 			how, later, _ := (&peer.Asking{Peer: "a", Addr: p.at().Addr, Me: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
-				Head: func(learn.Head) error { return nil }, Notes: func([]learn.Note) error { return nil }}).Run(context.Background())
+				Head: func(peerreport.Head) error { return nil }, Notes: func([]peerreport.Note) error { return nil }}).Run(context.Background())
 			mu.Lock()
 			defer mu.Unlock()
-			if count[how]++; how == learn.Later && later <= 0 {
-				count[learn.Failed]++
+			if count[how]++; how == peerreport.Later && later <= 0 {
+				count[peerreport.Failed]++
 			}
 		})
 	}
@@ -144,8 +144,8 @@
 		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
 	}
 	g.Wait()
-	require.Equal(t, 50, count[learn.Told]+count[learn.Later], "%v", count)
-	require.Positive(t, count[learn.Told])
+	require.Equal(t, 50, count[peerreport.Told]+count[peerreport.Later], "%v", count)
+	require.Positive(t, count[peerreport.Told])
 	r.end()
 }
 
@@ -156,8 +156,8 @@
 	served := make(chan error)
 	s := &peer.Server{Name: "b", Instance: 1, Allow: []string{"a"}, Done: func() {}, Refused: func(string, string) {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
-		Report: func(context.Context) (learn.Head, []learn.Note, error) {
-			return learn.Head{Peer: "b", Hosts: 1}, []learn.Note{{ID: "a0", Bad: true}}, nil
+		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
+			return peerreport.Head{Peer: "b", Hosts: 1}, []peerreport.Note{{ID: "a0", Bad: true}}, nil
 		}}
 	go func() { served <- s.Serve(ctx, ln) }()
 	p := named(t, "a", PeerAt{"b", ln.Addr().String()})
--- a/installation/installation.go
+++ b/installation/installation.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
+	"chalkring/cluster/peerreport"
 	"chalkring/facts"
-	"chalkring/learn"
 	"chalkring/query"
 	"chalkring/strictyaml"
 )
@@ -215,8 +215,8 @@
 }
 
 func (c *checker) name(path, text string) {
-	if text == "" || len(text) > learn.NameMost || strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }) {
-		c.fault(path, "%.40q is no name: 1 to %d letters without blanks", text, learn.NameMost)
+	if text == "" || len(text) > peerreport.NameMost || strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }) {
+		c.fault(path, "%.40q is no name: 1 to %d letters without blanks", text, peerreport.NameMost)
 	}
 }
 
@@ -228,8 +228,8 @@
 	if p.Name != "" {
 		c.name("$.peers.name", p.Name)
 	}
-	if len(p.Place) > learn.NameMost {
-		c.fault("$.peers.place", "over %d letters", learn.NameMost)
+	if len(p.Place) > peerreport.NameMost {
+		c.fault("$.peers.place", "over %d letters", peerreport.NameMost)
 	}
 	if p.Listen != "" {
 		c.address("$.peers.listen", p.Listen)
@@ -237,8 +237,8 @@
 	if p.Listen == "" && len(p.Allow) > 0 {
 		c.fault("$.peers.allow", "names are allowed, but nothing listens")
 	}
-	if len(p.Ask) > learn.PeersMost {
-		c.fault("$.peers.ask", "%d peers, %d at the most", len(p.Ask), learn.PeersMost)
+	if len(p.Ask) > peerreport.PeersMost {
+		c.fault("$.peers.ask", "%d peers, %d at the most", len(p.Ask), peerreport.PeersMost)
 	}
 	seen := map[string]bool{}
 	for i, one := range p.Ask {
--- a/lab/cost.go
+++ b/lab/cost.go
@@ -21,9 +21,9 @@
 	"syscall"
 	"time"
 
+	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
 	"chalkring/front/opensearch"
-	"chalkring/learn"
 	"chalkring/peer"
 	"chalkring/standin"
 	"chalkring/work"
@@ -315,8 +315,8 @@
 			g.Go(func() {
 				for ask.Err() == nil {
 					how, _, _ := (&peer.Asking{Peer: "n0", Addr: p.peer, Me: "asker", Dial: (&net.Dialer{}).DialContext,
-						Head: func(learn.Head) error { return nil }, Notes: func([]learn.Note) error { return nil }}).Run(ask)
-					if asked++; how == learn.Told {
+						Head: func(peerreport.Head) error { return nil }, Notes: func([]peerreport.Note) error { return nil }}).Run(ask)
+					if asked++; how == peerreport.Told {
 						answered++
 					}
 					time.Sleep(askWithout)
--- a/lab/learning.go
+++ b/lab/learning.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
-	"chalkring/learn"
 	"chalkring/peer"
 	"chalkring/standin"
 	"chalkring/work"
@@ -297,9 +297,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var notes []learn.Note
+	var notes []peerreport.Note
 	for i, e := range f.entries {
-		n := learn.Note{ID: e.ID, Since: uint64(e.StartedMS), ShortN: math.MaxUint16, LongN: math.MaxUint16}
+		n := peerreport.Note{ID: e.ID, Since: uint64(e.StartedMS), ShortN: math.MaxUint16, LongN: math.MaxUint16}
 		if i < hungHosts+slowHosts {
 			n.Short, n.Long = -3000, -3000
 		} else {
@@ -309,8 +309,8 @@
 	}
 	s := &peer.Server{Name: "liar", Instance: 1, Allow: learners(),
 		Admit: func(string) (bool, time.Duration) { return true, 0 }, Done: func() {},
-		Report: func(context.Context) (learn.Head, []learn.Note, error) {
-			return learn.Head{Peer: "liar", Serial: 1, Answers: math.MaxInt32, Usual: 100_000_000, Shortest: 1,
+		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
+			return peerreport.Head{Peer: "liar", Serial: 1, Answers: math.MaxInt32, Usual: 100_000_000, Shortest: 1,
 				Hosts: uint32(len(notes))}, notes, nil
 		},
 		Refused: func(string, string) {}}
--- a/peer/asking.go
+++ b/peer/asking.go
@@ -9,7 +9,7 @@
 	"net"
 	"time"
 
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 )
 
 // Asking asks one peer once.
@@ -21,25 +21,25 @@
 	Keys       *Keys // nil for plain TCP
 	// Head and Notes take what comes, as it comes; Spend takes the bytes from a budget and may wait. Guards
 	// against a report that is too large for what may be spent: it is taken slowly, and in time or not at all.
-	Head  func(h learn.Head) error
-	Notes func(notes []learn.Note) error
+	Head  func(h peerreport.Head) error
+	Notes func(notes []peerreport.Note) error
 	Spend func(ctx context.Context, bytes int, cpu time.Duration) error
 }
 
 // Run asks for a report and returns once it is whole or will not be. Guards against a peer that is unreachable,
 // silent, slow, endless, noise, or not the one that was meant: each ends within wholeTime, with what is held
 // bounded by one frame.
-func (a *Asking) Run(ctx context.Context) (how learn.Outcome, later time.Duration, err error) {
+func (a *Asking) Run(ctx context.Context) (how peerreport.Outcome, later time.Duration, err error) {
 	ctx, stop := context.WithTimeout(ctx, wholeTime)
 	defer stop()
 	conn, err := a.connect(ctx)
 	if err != nil {
-		return learn.Failed, 0, err
+		return peerreport.Failed, 0, err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	if err := a.send(conn, wantReport); err != nil {
-		return learn.Failed, 0, err
+		return peerreport.Failed, 0, err
 	}
 	src, total, sum := bufio.NewReader(conn), 0, summer()
 	var room []byte
@@ -49,14 +49,14 @@
 		var kind byte
 		var rest []byte
 		if kind, rest, room, err = readFrame(src, room); err != nil {
-			return learn.Failed, 0, err
+			return peerreport.Failed, 0, err
 		}
 		if total += len(rest) + 5; total > totalMost {
-			return learn.Failed, 0, fmt.Errorf("%w: over %d bytes", ErrBad, totalMost)
+			return peerreport.Failed, 0, fmt.Errorf("%w: over %d bytes", ErrBad, totalMost)
 		}
 		if a.Spend != nil {
 			if err = a.Spend(ctx, len(rest)+5, used); err != nil {
-				return learn.Failed, 0, err
+				return peerreport.Failed, 0, err
 			}
 		}
 		began := time.Now()
@@ -64,22 +64,22 @@
 		case kind == kindLater && !open:
 			var ms uint32
 			err = decode(rest, &ms)
-			return learn.Later, time.Duration(ms) * time.Millisecond, err
+			return peerreport.Later, time.Duration(ms) * time.Millisecond, err
 		case kind == kindNo && !open:
 			return refused(rest)
 		case kind == kindHead && !open:
-			var h learn.Head
+			var h peerreport.Head
 			if h, err = DecodeHead(rest); err != nil {
-				return learn.Failed, 0, err
+				return peerreport.Failed, 0, err
 			}
 			if h.Peer != a.Peer {
-				return learn.Refused, 0, fmt.Errorf("it calls itself %q, not %q", h.Peer, a.Peer)
+				return peerreport.Refused, 0, fmt.Errorf("it calls itself %q, not %q", h.Peer, a.Peer)
 			}
 			open = true
 			err = a.Head(h)
 		case kind == kindNotes && open:
 			sum.Write(rest)
-			var notes []learn.Note
+			var notes []peerreport.Note
 			if notes, err = DecodeNotes(rest); err == nil {
 				err = a.Notes(notes)
 			}
@@ -91,14 +91,14 @@
 				}
 			}
 			if err != nil {
-				return learn.Failed, 0, err
+				return peerreport.Failed, 0, err
 			}
-			return learn.Told, 0, nil
+			return peerreport.Told, 0, nil
 		default:
 			err = fmt.Errorf("%w: frame %q out of turn", ErrBad, kind)
 		}
 		if err != nil {
-			return learn.Failed, 0, err
+			return peerreport.Failed, 0, err
 		}
 		used = time.Since(began)
 	}
@@ -131,16 +131,16 @@
 	return s, decode(rest, &s)
 }
 
-func refused(rest []byte) (learn.Outcome, time.Duration, error) {
+func refused(rest []byte) (peerreport.Outcome, time.Duration, error) {
 	var n no
 	if err := decode(rest, &n); err != nil {
-		return learn.Failed, 0, err
+		return peerreport.Failed, 0, err
 	}
 	err := fmt.Errorf("refused (%.20s): %.200s", n.Code, n.Words)
 	if n.Code == noSelf {
-		return learn.Myself, 0, err
+		return peerreport.Myself, 0, err
 	}
-	return learn.Refused, 0, err
+	return peerreport.Refused, 0, err
 }
 
 // connect dials, and shakes hands where there are keys.
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -1,5 +1,5 @@
 // Package peer carries what co-ordinators tell each other: one asks, the other answers with a report in slices,
-// names a time to come back, or refuses. It reads and writes sockets and decides nothing: package learn does.
+// names a time to come back, or refuses. It reads and writes sockets and decides nothing: package peerreport does.
 // docs/learning.md describes the protocol. Way in: Asking.Run asks, Server.Serve answers, Keys holds the files
 // of mutual TLS.
 package peer
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 )
 
 const (
@@ -107,7 +107,7 @@
 	encoder = must(cbor.EncOptions{Sort: cbor.SortNone, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden}.EncMode())
 	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, MaxNestedLevels: nestedMost, MaxArrayElements: learn.SliceMost,
+		TagsMd: cbor.TagsForbidden, MaxNestedLevels: nestedMost, MaxArrayElements: peerreport.SliceMost,
 		MaxMapPairs: 16, UTF8: cbor.UTF8RejectInvalid}.DecMode())
 )
 
@@ -166,12 +166,12 @@
 }
 
 // DecodeNotes reads a slice and looks at each note.
-func DecodeNotes(text []byte) ([]learn.Note, error) {
-	var notes []learn.Note
+func DecodeNotes(text []byte) ([]peerreport.Note, error) {
+	var notes []peerreport.Note
 	if err := decode(text, &notes); err != nil {
 		return nil, err
 	}
-	if len(notes) > learn.SliceMost {
+	if len(notes) > peerreport.SliceMost {
 		return nil, fmt.Errorf("%w: %d notes in a slice", ErrBad, len(notes))
 	}
 	for i := range notes {
@@ -183,7 +183,7 @@
 }
 
 // DecodeHead reads a report's head and looks at it.
-func DecodeHead(text []byte) (h learn.Head, err error) {
+func DecodeHead(text []byte) (h peerreport.Head, err error) {
 	if err = decode(text, &h); err == nil {
 		if err = h.Check(); err != nil {
 			err = fmt.Errorf("%w: %w", ErrBad, err)
@@ -193,7 +193,7 @@
 }
 
 // EncodeNotes is a slice as it travels.
-func EncodeNotes(notes []learn.Note) ([]byte, error) { return encoder.Marshal(notes) }
+func EncodeNotes(notes []peerreport.Note) ([]byte, error) { return encoder.Marshal(notes) }
 
 // summer makes the checksum of all slices of a report.
 func summer() *xxhash.Digest { return xxhash.New() }
--- a/recovery/golden_stored_test.go
+++ b/recovery/golden_stored_test.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 	"chalkring/members"
 )
 
@@ -63,11 +63,11 @@
 
 func TestGoldenObservations(t *testing.T) {
 	goldenBothWays(t, "observations.hex", Notes{At: 1_700_000_000_000,
-		Head: learn.Head{Peer: "east-0", Place: "eu-1", Serial: 7, List: 9, Age: 1200, Answers: 800, Usual: 150, Shortest: 20, Hosts: 2,
-			Zones: []learn.Zone{{Name: "eu-1", N: 500, Slower: -3}, {Name: "eu-2", N: 300, Slower: 250}}},
-		All: []learn.Note{
+		Head: peerreport.Head{Peer: "east-0", Place: "eu-1", Serial: 7, List: 9, Age: 1200, Answers: 800, Usual: 150, Shortest: 20, Hosts: 2,
+			Zones: []peerreport.Zone{{Name: "eu-1", N: 500, Slower: -3}, {Name: "eu-2", N: 300, Slower: 250}}},
+		All: []peerreport.Note{
 			{ID: "a0", Zone: 1, Since: 1_699_999_000_000, ShortN: 11, LongN: 12, Short: -13, Long: 14, Strikes: 15, Refused: 16, Quiet: 17, Silent: 18, Age: 19, Bad: true},
-			{ID: "b0", Age: learn.NoAnswer},
+			{ID: "b0", Age: peerreport.NoAnswer},
 		},
 	})
 }
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -12,7 +12,7 @@
 	"fmt"
 	"time"
 
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 	"chalkring/members"
 )
 
@@ -109,8 +109,8 @@
 type Notes struct {
 	_    struct{} `cbor:",toarray"`
 	At   int64
-	Head learn.Head
-	All  []learn.Note
+	Head peerreport.Head
+	All  []peerreport.Note
 }
 
 // Believed is what counts of a store. Left tells what does not, and why, for the log.
@@ -180,7 +180,7 @@
 
 // Check looks at notes that come from a disk as at a peer's.
 func (n *Notes) Check() error {
-	if len(n.All) > learn.HostsMost || len(n.All) != int(n.Head.Hosts) {
+	if len(n.All) > peerreport.HostsMost || len(n.All) != int(n.Head.Hosts) {
 		return errors.New("notes of another number than told")
 	}
 	err := n.Head.Check()
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkring/learn"
+	"chalkring/cluster/peerreport"
 	"chalkring/members"
 )
 
@@ -68,7 +68,7 @@
 func kept() (*List, *Notes) {
 	l := Keep(now, 7, 8, []members.Entry{{Host: members.Host{ID: "h1", Addr: "a:1", Weight: 1, Line: 3}}},
 		[]members.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 20_000}})
-	return &l, &Notes{At: now, Head: learn.Head{Peer: "n", Age: 300, Hosts: 1}, All: []learn.Note{{ID: "h1", Bad: true}}}
+	return &l, &Notes{At: now, Head: peerreport.Head{Peer: "n", Age: 300, Hosts: 1}, All: []peerreport.Note{{ID: "h1", Bad: true}}}
 }
 
 func TestWhatIsBelievedByItsAge(t *testing.T) {
