--- a/peer/asking.go
+++ b/cluster/peerprotocol/asking.go
@@ -1,4 +1,4 @@
-package peer
+package peerprotocol
 
 import (
 	"bufio"
--- a/peer/wire.go
+++ b/cluster/peerprotocol/wire.go
@@ -1,8 +1,8 @@
-// Package peer carries what co-ordinators tell each other: one asks, the other answers with a report in slices,
+// Package peerprotocol carries what co-ordinators tell each other: one asks, the other answers with a report in slices,
 // names a time to come back, or refuses. It reads and writes sockets and decides nothing: package peerreport does.
 // docs/learning.md describes the protocol. Way in: Asking.Run asks, Server.Serve answers, Keys holds the files
 // of mutual TLS.
-package peer
+package peerprotocol
 
 import (
 	"encoding/binary"
--- a/cluster/peerreport/wire_golden_test.go
+++ b/cluster/peerreport/wire_golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A report's head and notes as peers of different builds exchange them. Package peer pins the frames around them.
+// A report's head and notes as peers of different builds exchange them. Package peerprotocol pins the frames around them.
 func TestGoldenReport(t *testing.T) {
 	head := Head{Peer: "gateway-1", Place: "eu-west-1a", Serial: 3, List: 42, Age: 1500, Answers: 800, Usual: 120, Shortest: 35, Hosts: 2,
 		Zones: []Zone{{Name: "eu-west-1b", N: 65535, Slower: -32768}, {Name: "eu-west-1c", N: 8, Slower: 32767}}}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -22,13 +22,13 @@
 	"github.com/lmittmann/tint"
 
 	"chalkring/cluster/gossip"
+	"chalkring/cluster/peerprotocol"
 	"chalkring/coordinator"
 	"chalkring/fanout"
 	"chalkring/fault"
 	"chalkring/front/opensearch"
 	"chalkring/installation"
 	"chalkring/members"
-	"chalkring/peer"
 	"chalkring/residency"
 	"chalkring/watch"
 	"chalkring/work"
@@ -297,11 +297,11 @@
 	return []coordinator.Front{f}, nil
 }
 
-func keysOf(t *installation.TLS, complain func(err error)) (*peer.Keys, error) {
+func keysOf(t *installation.TLS, complain func(err error)) (*peerprotocol.Keys, error) {
 	if t == nil {
 		return nil, nil
 	}
-	return peer.NewKeys(t.Certificate, t.Key, t.Authorities, complain)
+	return peerprotocol.NewKeys(t.Certificate, t.Key, t.Authorities, complain)
 }
 
 type check struct {
@@ -415,7 +415,7 @@
 	fmt.Fprintln(out, "PEER\tADDRESS\tPLACE\tUP\tLIST\tHOSTS\tTOLD\tPUT OFF\tLOAD\tJOBS\tHELD\tITS PEERS")
 	unreached := 0
 	for _, one := range file.Peers.Ask {
-		asking := peer.Asking{Peer: one.Name, Addr: one.Address, Me: p.Name, Dial: (&net.Dialer{}).DialContext, Keys: keys}
+		asking := peerprotocol.Asking{Peer: one.Name, Addr: one.Address, Me: p.Name, Dial: (&net.Dialer{}).DialContext, Keys: keys}
 		s, err := asking.Status(context.Background())
 		if err != nil {
 			unreached++
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -13,9 +13,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/members"
-	"chalkring/peer"
 	"chalkring/work"
 )
 
@@ -34,7 +34,7 @@
 	Listener    net.Listener // where others ask; nil answers nobody
 	Ask         []PeerAt
 	Allow       []string
-	Keys        *peer.Keys // nil for plain TCP
+	Keys        *peerprotocol.Keys // nil for plain TCP
 	Refresh     time.Duration
 	Budgets     map[string]work.Budget
 }
@@ -100,7 +100,7 @@
 	if l.p.Listener == nil {
 		return
 	}
-	s := &peer.Server{Name: l.p.Name, Instance: l.instance, Allow: l.p.Allow, Keys: l.p.Keys, Admit: l.admit,
+	s := &peerprotocol.Server{Name: l.p.Name, Instance: l.instance, Allow: l.p.Allow, Keys: l.p.Keys, Admit: l.admit,
 		Done: l.done, Report: l.report, Status: l.status, Spend: l.reply,
 		Refused: func(addr, why string) { o.log.often("peer_refused", "peer_refused", "client", addr, "why", why) }}
 	o.log.Info("peers", "listen", l.p.Listener.Addr().String(), "name", l.p.Name, "asks", len(l.p.Ask))
@@ -173,7 +173,7 @@
 
 func (l *learner) askOne(ctx context.Context, at PeerAt, a *work.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.o.clock()
-	asking := peer.Asking{Peer: at.Name, Addr: at.Addr, Me: l.p.Name, Instance: l.instance, Dial: l.o.Dial, Keys: l.p.Keys,
+	asking := peerprotocol.Asking{Peer: at.Name, Addr: at.Addr, Me: l.p.Name, Instance: l.instance, Dial: l.o.Dial, Keys: l.p.Keys,
 		Head: func(h peerreport.Head) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -370,16 +370,16 @@
 	}
 }
 
-func (l *learner) status(context.Context) (peer.Status, error) {
+func (l *learner) status(context.Context) (peerprotocol.Status, error) {
 	counts, waiting, running, load := l.pool.Counts()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.clock()
-	s := peer.Status{Name: l.p.Name, Place: l.p.Place, UpMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
+	s := peerprotocol.Status{Name: l.p.Name, Place: l.p.Place, UpMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
 		List: l.version.Load(), Hosts: uint32(len(l.since)), Answered: uint32(l.desk.Answers), PutOff: uint32(l.desk.Put),
 		Load: uint16(1000 * min(1, max(load, l.load))), Waiting: uint16(waiting), Running: uint16(running), Held: uint32(counts.Held)}
 	for _, p := range l.asker.Standings(now) {
-		one := peer.PeerStatus{Name: p.Name, Told: uint32(p.Told)}
+		one := peerprotocol.PeerStatus{Name: p.Name, Told: uint32(p.Told)}
 		if p.LastAt > 0 {
 			one.Last, one.AgoMs = p.Last.String(), uint64((now-p.LastAt)/10)
 		}
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/goleak"
 
 	"chalkring/balancer"
+	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
-	"chalkring/peer"
 	"chalkring/standin"
 	fleet "chalkring/standin/rig"
 	"chalkring/work"
@@ -61,7 +61,7 @@
 	b := startWith(t, 256, nil, pb)
 	b.logged("event=learned peer=a")
 	b.call().want("q", "all", 200, wholeOfAll)
-	s, err := (&peer.Asking{Addr: pb.at().Addr, Me: "a", Dial: (&net.Dialer{}).DialContext}).Status(context.Background())
+	s, err := (&peerprotocol.Asking{Addr: pb.at().Addr, Me: "a", Dial: (&net.Dialer{}).DialContext}).Status(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, uint32(4), s.Hosts)
 	require.Equal(t, "told", s.Peers[0].Last)
@@ -130,7 +130,7 @@
 	count := map[peerreport.Outcome]int{}
 	for i := range 50 {
 		g.Go(func() {
-			how, later, _ := (&peer.Asking{Peer: "a", Addr: p.at().Addr, Me: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
+			how, later, _ := (&peerprotocol.Asking{Peer: "a", Addr: p.at().Addr, Me: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
 				Head: func(peerreport.Head) error { return nil }, Notes: func([]peerreport.Note) error { return nil }}).Run(context.Background())
 			mu.Lock()
 			defer mu.Unlock()
@@ -154,7 +154,7 @@
 	ln := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error)
-	s := &peer.Server{Name: "b", Instance: 1, Allow: []string{"a"}, Done: func() {}, Refused: func(string, string) {},
+	s := &peerprotocol.Server{Name: "b", Instance: 1, Allow: []string{"a"}, Done: func() {}, Refused: func(string, string) {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
 		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
 			return peerreport.Head{Peer: "b", Hosts: 1}, []peerreport.Note{{ID: "a0", Bad: true}}, nil
--- a/lab/cost.go
+++ b/lab/cost.go
@@ -21,10 +21,10 @@
 	"syscall"
 	"time"
 
+	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
 	"chalkring/front/opensearch"
-	"chalkring/peer"
 	"chalkring/standin"
 	"chalkring/work"
 )
@@ -314,7 +314,7 @@
 		if asking {
 			g.Go(func() {
 				for ask.Err() == nil {
-					how, _, _ := (&peer.Asking{Peer: "n0", Addr: p.peer, Me: "asker", Dial: (&net.Dialer{}).DialContext,
+					how, _, _ := (&peerprotocol.Asking{Peer: "n0", Addr: p.peer, Me: "asker", Dial: (&net.Dialer{}).DialContext,
 						Head: func(peerreport.Head) error { return nil }, Notes: func([]peerreport.Note) error { return nil }}).Run(ask)
 					if asked++; how == peerreport.Told {
 						answered++
--- a/lab/learning.go
+++ b/lab/learning.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
+	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
-	"chalkring/peer"
 	"chalkring/standin"
 	"chalkring/work"
 )
@@ -307,7 +307,7 @@
 		}
 		notes = append(notes, n)
 	}
-	s := &peer.Server{Name: "liar", Instance: 1, Allow: learners(),
+	s := &peerprotocol.Server{Name: "liar", Instance: 1, Allow: learners(),
 		Admit: func(string) (bool, time.Duration) { return true, 0 }, Done: func() {},
 		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
 			return peerreport.Head{Peer: "liar", Serial: 1, Answers: math.MaxInt32, Usual: 100_000_000, Shortest: 1,
