--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -8,8 +8,8 @@
 	"os"
 
 	"chalkring/coordinator"
+	"chalkring/endpoints"
 	"chalkring/installation"
-	"chalkring/members"
 	"chalkring/watch"
 )
 
@@ -20,7 +20,7 @@
 }
 
 func (c *checkHosts) Run() error {
-	rules := members.Rules{}
+	rules := endpoints.Rules{}
 	if c.Plan != "" {
 		text, err := os.ReadFile(c.Plan)
 		if err != nil {
@@ -32,7 +32,7 @@
 		}
 		rules = plan.MemberRules()
 	}
-	book, bad := members.New(rules), false
+	book, bad := endpoints.New(rules), false
 	for i, path := range c.Files {
 		told, err := watch.Read(path)
 		if err == nil {
@@ -57,13 +57,13 @@
 }
 
 // listsOf watches the host files that an installation names, until ctx ends.
-func listsOf(ctx context.Context, m *installation.Members, log *slog.Logger) <-chan members.Told {
+func listsOf(ctx context.Context, m *installation.Members, log *slog.Logger) <-chan endpoints.Told {
 	if m == nil {
 		return nil
 	}
-	lists := make(chan members.Told)
+	lists := make(chan endpoints.Told)
 	files := &watch.Files{Paths: m.Files, Tell: func(e watch.Event) {
-		var fault members.Fault
+		var fault endpoints.Fault
 		switch {
 		case errors.As(e.Err, &fault):
 			log.Warn("host_file", "path", e.Path, "error", e.Err, "in_force", "its last list")
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -24,11 +24,11 @@
 	"chalkring/cluster/gossip"
 	"chalkring/cluster/peerprotocol"
 	"chalkring/coordinator"
+	"chalkring/endpoints"
 	"chalkring/fanout"
 	"chalkring/fault"
 	"chalkring/front/opensearch"
 	"chalkring/installation"
-	"chalkring/members"
 	"chalkring/residency"
 	"chalkring/watch"
 	"chalkring/work"
@@ -85,7 +85,7 @@
 	var more *coordinator.Peers
 	var fronts []coordinator.Front
 	hosts, owners := map[string]coordinator.HostKind{}, 1
-	var lists <-chan members.Told
+	var lists <-chan endpoints.Told
 	var keep *coordinator.Keep
 	var zones *coordinator.Residency
 	var steps *stages
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -11,14 +11,14 @@
 	"slices"
 	"time"
 
+	"chalkring/endpoints"
 	"chalkring/facts"
 	"chalkring/internal/http1"
-	"chalkring/members"
 )
 
 var states = map[string]string{"up": "healthy", "draining": "cordoned", "removed": "deregistered"}
 
-var memberStates = map[string]members.State{"healthy": members.Up, "cordoned": members.Draining, "deregistered": members.Removed}
+var memberStates = map[string]endpoints.State{"healthy": endpoints.Up, "cordoned": endpoints.Draining, "deregistered": endpoints.Removed}
 
 // readList looks at a whole list or changes and returns its version and what tells the owner and the module.
 func (o *owner) readList(all map[string]any) (version float64, hosts []listedHost, tell func(how string), err error) {
@@ -42,7 +42,7 @@
 		zone, kind := o.nth("FailureDomains", word(m["zone"])), o.nth("MachineTypes", word(m["kind"]))
 		hostKind := word(m["kind"])
 		present[id] = !gone
-		hosts = append(hosts, listedHost{id, addr, int64(since), int(cell), gone, false, members.Host{ID: id, Addr: addr,
+		hosts = append(hosts, listedHost{id, addr, int64(since), int(cell), gone, false, endpoints.Host{ID: id, Addr: addr,
 			Zone: word(m["zone"]), Kind: hostKind, Cell: int(cell), State: memberStates[status], Weight: cmp.Or(units, 1),
 			StartedMS: int64(since)}})
 		steps = append(steps, func() {
@@ -319,7 +319,7 @@
 		how = "Complete"
 	}
 	if o.members != nil {
-		err := o.members.discovered(listTold("discovery", members.Discovery, int64(v), full, anew, hosts))
+		err := o.members.discovered(listTold("discovery", endpoints.Discovery, int64(v), full, anew, hosts))
 		if err == nil {
 			*version = v
 		}
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/peerreport"
-	"chalkring/members"
+	"chalkring/endpoints"
 	"chalkring/recovery"
 	"chalkring/store"
 	"chalkring/work"
@@ -69,9 +69,9 @@
 // goldenList and goldenNotes are what the golden store has of hosts.
 func goldenList() recovery.List {
 	return recovery.List{At: goldenNow - 2000, Plan: 3, Discovery: 9,
-		Hosts: []members.Host{
-			{ID: "a", Addr: "127.0.0.1:2", Zone: "east", Kind: "std", State: members.Up, Weight: 1, StartedMS: 1_699_999_000_000},
-			{ID: "b", Addr: "127.0.0.1:3", Zone: "west", Kind: "std", Cell: 1, State: members.Draining, Weight: 1},
+		Hosts: []endpoints.Host{
+			{ID: "a", Addr: "127.0.0.1:2", Zone: "east", Kind: "std", State: endpoints.Up, Weight: 1, StartedMS: 1_699_999_000_000},
+			{ID: "b", Addr: "127.0.0.1:3", Zone: "west", Kind: "std", Cell: 1, State: endpoints.Draining, Weight: 1},
 		},
 		Gone: []recovery.Gone{{ID: "c", By: "discovery", At: goldenNow - 12_000}}}
 }
@@ -124,7 +124,7 @@
 	require.Empty(t, k.believed.Left)
 	require.NotNil(t, k.believed.List)
 	require.Equal(t, goldenList().Hosts, k.believed.List.Hosts)
-	require.Equal(t, []members.Gone{{ID: "c", By: "discovery", Ago: 120_000}}, k.believed.List.Gone)
+	require.Equal(t, []endpoints.Gone{{ID: "c", By: "discovery", Ago: 120_000}}, k.believed.List.Gone)
 	require.NotNil(t, k.believed.Notes)
 	require.Equal(t, goldenNotes().All, k.believed.Notes.All)
 	require.NoError(t, k.flush(t.Context()))
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -12,8 +12,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"chalkring/endpoints"
 	"chalkring/fault"
-	"chalkring/members"
 	"chalkring/recovery"
 	"chalkring/store"
 	"chalkring/work"
@@ -205,13 +205,13 @@
 }
 
 // Lists puts what was kept of the list before other sources' lists, which may be nil. It ends with ctx.
-func (k *Keep) Lists(ctx context.Context, more <-chan members.Told) <-chan members.Told {
-	out := make(chan members.Told)
+func (k *Keep) Lists(ctx context.Context, more <-chan endpoints.Told) <-chan endpoints.Told {
+	out := make(chan endpoints.Told)
 	go func() {
 		defer close(out)
 		opened := k.opened
 		for {
-			var t members.Told
+			var t endpoints.Told
 			select {
 			case <-opened:
 				if opened = nil; k.believed.List == nil {
@@ -334,7 +334,7 @@
 }
 
 // listed takes in the list in force.
-func (k *Keep) listed(list []members.Entry, gone []members.Gone) {
+func (k *Keep) listed(list []endpoints.Entry, gone []endpoints.Gone) {
 	l := recovery.Keep(k.clock.Now().UnixMilli(), k.plan, k.discovery.Load(), list, gone)
 	k.newest.Store(&l)
 }
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/peerreport"
-	"chalkring/members"
+	"chalkring/endpoints"
 	"chalkring/recovery"
 	"chalkring/standin"
 	"chalkring/store"
@@ -155,7 +155,7 @@
 func TestAStartGoesOnWithWhatItCanHave(t *testing.T) {
 	first := start(t, 256, nil)
 	path, now := filepath.Join(t.TempDir(), "kept"), time.Now().UnixMilli()
-	list := recovery.List{At: now, Plan: 7, Discovery: 8, Hosts: []members.Host{first.member("a0"), {ID: "c0", Addr: "127.0.0.1:1", Weight: 1}}}
+	list := recovery.List{At: now, Plan: 7, Discovery: 8, Hosts: []endpoints.Host{first.member("a0"), {ID: "c0", Addr: "127.0.0.1:1", Weight: 1}}}
 	crashed := func(n int) recovery.Starts {
 		s := recovery.Starts{}
 		for range n {
@@ -199,7 +199,7 @@
 	list, notes := recovery.List{At: now}, recovery.Notes{At: now, Head: peerreport.Head{Peer: "n", Hosts: 10_000}}
 	for i := range 10_000 {
 		id := fmt.Sprint("host-", i)
-		list.Hosts = append(list.Hosts, members.Host{ID: id, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Zone: "hall", Kind: "std", Weight: 1})
+		list.Hosts = append(list.Hosts, endpoints.Host{ID: id, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Zone: "hall", Kind: "std", Weight: 1})
 		notes.All = append(notes.All, peerreport.Note{ID: id, ShortN: 40, LongN: 80, Short: 120, Long: 90, Age: 300})
 	}
 	s, err := store.Open(filepath.Join(b.TempDir(), "kept"), store.Options{})
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -4,41 +4,41 @@
 	"fmt"
 	"time"
 
+	"chalkring/endpoints"
 	"chalkring/facts"
-	"chalkring/members"
 )
 
 // membership makes one list of what discovery, the plan and an installation's other sources tell. Its goroutine keeps
 // the book, so that the owner is handed a list in force at once and whole: no search sees parts of two.
 type membership struct {
 	o    *owner
-	book *members.Book
-	told chan discovered     // from discovery
-	more <-chan members.Told // from other sources
-	held map[string]string   // lists that are held back, as they were last logged
+	book *endpoints.Book
+	told chan discovered       // from discovery
+	more <-chan endpoints.Told // from other sources
+	held map[string]string     // lists that are held back, as they were last logged
 }
 
 // discovered is what discovery has told; refused hears why it is refused, or nil.
 type discovered struct {
-	members.Told
+	endpoints.Told
 	refused chan error
 }
 
 // newMembership begins with the plan's list.
-func newMembership(o *owner, more <-chan members.Told, version int64, known []listedHost) *membership {
-	m := &membership{o: o, book: members.New(o.plan.MemberRules()), told: make(chan discovered), more: more, held: map[string]string{}}
-	m.take(listTold("plan", members.Plan, version, true, false, known))
+func newMembership(o *owner, more <-chan endpoints.Told, version int64, known []listedHost) *membership {
+	m := &membership{o: o, book: endpoints.New(o.plan.MemberRules()), told: make(chan discovered), more: more, held: map[string]string{}}
+	m.take(listTold("plan", endpoints.Plan, version, true, false, known))
 	return m
 }
 
 // MemberRules are what a plan says of all hosts.
-func (p *Plan) MemberRules() members.Rules {
-	return members.Rules{Zones: p.list("FailureDomains"), Kinds: p.list("MachineTypes"),
+func (p *Plan) MemberRules() endpoints.Rules {
+	return endpoints.Rules{Zones: p.list("FailureDomains"), Kinds: p.list("MachineTypes"),
 		Sets: int(p.fact("Specifics.Sets")), Reach: int(p.fact("Specifics.Reach"))}
 }
 
-func listTold(source string, rank members.Rank, version int64, full, anew bool, hosts []listedHost) members.Told {
-	t := members.Told{Source: source, Rank: rank, Version: version, Partial: !full, Anew: anew}
+func listTold(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []listedHost) endpoints.Told {
+	t := endpoints.Told{Source: source, Rank: rank, Version: version, Partial: !full, Anew: anew}
 	for _, h := range hosts {
 		t.Hosts = append(t.Hosts, h.host)
 	}
@@ -47,7 +47,7 @@
 
 // discovered hands discovery's list on, and tells why it is refused. Guards against a version that counts as had while its
 // changes are not: they would not be told again.
-func (m *membership) discovered(t members.Told) error {
+func (m *membership) discovered(t endpoints.Told) error {
 	d := discovered{t, make(chan error, 1)}
 	select {
 	case m.told <- d:
@@ -93,7 +93,7 @@
 }
 
 // take tells the book a list, and the log what the book thinks of it.
-func (m *membership) take(t members.Told) (changed bool, err error) {
+func (m *membership) take(t endpoints.Told) (changed bool, err error) {
 	for i := range t.Hosts {
 		t.Hosts[i].Zone, t.Hosts[i].Kind = facts.PlainText(t.Hosts[i].Zone), facts.PlainText(t.Hosts[i].Kind)
 	}
@@ -108,7 +108,7 @@
 		m.o.log.often("list_held "+t.Source, "list_held", "source", t.Source, "why", why)
 		m.o.event("list_held", t.Source+": "+why)
 	}
-	if m.o.Keep != nil && t.Rank == members.Discovery && held[t.Source] == "" {
+	if m.o.Keep != nil && t.Rank == endpoints.Discovery && held[t.Source] == "" {
 		m.o.Keep.discovery.Store(t.Version)
 	}
 	m.held = held
@@ -126,11 +126,11 @@
 		present[e.ID] = true
 		hosts = append(hosts, listedHost{e.ID, e.Addr, e.StartedMS, e.Cell, false, e.Apart, e.Host})
 		zone, kind, status := o.nth("FailureDomains", e.Zone), o.nth("MachineTypes", e.Kind), "healthy"
-		if e.State == members.Draining {
+		if e.State == endpoints.Draining {
 			status = "cordoned"
 		}
 		steps = append(steps, func() {
-			o.place(e.ID, e.Addr, e.Kind, e.StartedMS*10, false, e.State == members.Draining)
+			o.place(e.ID, e.Addr, e.Kind, e.StartedMS*10, false, e.State == endpoints.Draining)
 			o.module.Entry(e.ID, zone, kind, e.Cell, status, e.Weight, e.StartedMS*10)
 		})
 	}
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -15,12 +15,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/members"
+	"chalkring/endpoints"
 	"chalkring/watch"
 )
 
 // withLists serves a second co-ordinator on a rig's hosts and list that has other sources of hosts too.
-func (r *rig) withLists(lists <-chan members.Told) *rig {
+func (r *rig) withLists(lists <-chan endpoints.Told) *rig {
 	ln := listen(r.t)
 	ctx, stop := context.WithCancel(context.Background())
 	more := &rig{t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
@@ -36,20 +36,20 @@
 	return more
 }
 
-func (r *rig) member(id string) members.Host {
+func (r *rig) member(id string) endpoints.Host {
 	h := r.replicas[id]
-	return members.Host{ID: id, Addr: h.Ln.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
+	return endpoints.Host{ID: id, Addr: h.Ln.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
 }
 
 // While lists change under load, what the owner works with in any turn is one list and never parts of two; each search
 // has its one whole answer.
 func TestListsAreNeverMixed(t *testing.T) {
 	first := start(t, 256, nil)
-	lists := make(chan members.Told)
+	lists := make(chan endpoints.Told)
 	r := first.withLists(lists)
-	told := func(v int64, on, off string) members.Told {
-		return members.Told{Source: "hosts.yaml", Rank: members.File, Version: v, Meant: true, Hosts: []members.Host{r.member("a" + on),
-			r.member("b" + on), {ID: "a" + off, State: members.Removed}, {ID: "b" + off, State: members.Removed}}}
+	told := func(v int64, on, off string) endpoints.Told {
+		return endpoints.Told{Source: "hosts.yaml", Rank: endpoints.File, Version: v, Meant: true, Hosts: []endpoints.Host{r.member("a" + on),
+			r.member("b" + on), {ID: "a" + off, State: endpoints.Removed}, {ID: "b" + off, State: endpoints.Removed}}}
 	}
 	lists <- told(1, "0", "1")
 	r.logged("entries=2")
@@ -128,7 +128,7 @@
 		return b.String()
 	}
 	write(text("a0", "a1", "b0", "b1"))
-	lists := make(chan members.Told)
+	lists := make(chan endpoints.Told)
 	ctx, stop := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -15,7 +15,7 @@
 
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
-	"chalkring/members"
+	"chalkring/endpoints"
 	"chalkring/work"
 )
 
@@ -398,5 +398,5 @@
 	cell     int
 	gone     bool
 	apart    bool // sources put it into different zones
-	host     members.Host
+	host     endpoints.Host
 }
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -14,9 +14,9 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"chalkring/balancer"
+	"chalkring/endpoints"
 	"chalkring/facts"
 	"chalkring/fault"
-	"chalkring/members"
 	"chalkring/residency"
 )
 
@@ -345,7 +345,7 @@
 	held := map[string]map[int]bool{}
 	_, hosts, _, err := (&owner{plan: p}).readList(p.known)
 	for _, h := range hosts {
-		if err != nil || h.gone || h.host.State != members.Up {
+		if err != nil || h.gone || h.host.State != endpoints.Up {
 			continue
 		}
 		zone := zoneName(h.host.Zone)
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/balancer"
-	"chalkring/members"
+	"chalkring/endpoints"
 	"chalkring/residency"
 )
 
@@ -24,7 +24,7 @@
 	in    *Residency
 	book  residency.Book
 	ahead atomic.Int64 // of the clock that contracts go by
-	lists chan members.Told
+	lists chan endpoints.Told
 }
 
 const eastOnly = "generation: 1\ndefault: anywhere\nhost_rest: 1h\ncontracts:\n- {tenant: acme, zones: [east]}"
@@ -42,7 +42,7 @@
 func startZoned(t *testing.T, text string) *zonedRig { return startZonedWith(t, text, nil, false) }
 
 func startZonedWith(t *testing.T, text string, zones map[string]string, several bool) *zonedRig {
-	z := &zonedRig{rig: &rig{t: t}, lists: make(chan members.Told)}
+	z := &zonedRig{rig: &rig{t: t}, lists: make(chan endpoints.Told)}
 	z.in = NewResidency(z.standing(text, math.MaxInt64), z.clock)
 	if zones == nil {
 		zones = map[string]string{"a0": "east", "b0": "east", "a1": "west", "b1": "west"}
@@ -270,9 +270,9 @@
 	}
 	c := z.call().send(request("acme1", "all", "", fourParts))
 	z.eventually("parts out", func() bool { return z.parts() >= 4 })
-	file := func(id, zone string, v int64) members.Told {
+	file := func(id, zone string, v int64) endpoints.Told {
 		h := z.replicas[id]
-		return members.Told{Source: "hosts.yaml", Rank: members.File, Version: v, Meant: true, Hosts: []members.Host{
+		return endpoints.Told{Source: "hosts.yaml", Rank: endpoints.File, Version: v, Meant: true, Hosts: []endpoints.Host{
 			{ID: id, Addr: h.Ln.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1}}}
 	}
 	z.lists <- file("a0", "west", 1)
--- a/coordinator/several.go
+++ b/coordinator/several.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"chalkring/members"
+	"chalkring/endpoints"
 )
 
 // Several serves with so many co-ordinators in one process, each with an owner and a module of its own and its part of
@@ -31,12 +31,12 @@
 	g, ctx := errgroup.WithContext(ctx)
 	over, end := context.WithCancel(context.WithoutCancel(ctx))
 	var left sync.WaitGroup
-	lists := make([]chan members.Told, n)
+	lists := make([]chan endpoints.Told, n)
 	for i := range n {
 		own := m
 		own.Listener, own.Plans = shared.shares[i], plans[i]
 		if m.Lists != nil {
-			lists[i] = make(chan members.Told)
+			lists[i] = make(chan endpoints.Told)
 			own.Lists = lists[i]
 		}
 		own.Log = slog.New(m.Log.Handler().WithAttrs([]slog.Attr{slog.Int("owner", i)}))
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -22,8 +22,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/balancer"
+	"chalkring/endpoints"
 	"chalkring/facts"
-	"chalkring/members"
 	"chalkring/shadow"
 )
 
@@ -141,11 +141,11 @@
 	Log      *slog.Logger // lines are handed to its handler by one goroutine
 	Plans    <-chan *Plan // that follow the first, as Reloads hands them on; may be nil
 
-	Hosts  map[string]HostKind // kinds of host that speak the OpenSearch-style API; may be nil
-	Fronts []Front             // other ways in for clients; may be none
-	Peers  *Peers              // what an installation allows beside the plan; may be nil
-	Lists  <-chan members.Told // of hosts, from other sources than discovery; may be nil, and may be closed
-	Keep   *Keep               // what is kept on disk; then Lists are its Lists; may be nil
+	Hosts  map[string]HostKind   // kinds of host that speak the OpenSearch-style API; may be nil
+	Fronts []Front               // other ways in for clients; may be none
+	Peers  *Peers                // what an installation allows beside the plan; may be nil
+	Lists  <-chan endpoints.Told // of hosts, from other sources than discovery; may be nil, and may be closed
+	Keep   *Keep                 // what is kept on disk; then Lists are its Lists; may be nil
 
 	Residency *Residency // contracts on where parts may run; nil for none
 	Ends      func(End)  // is told each search's end in a turn, so it may not wait; nil for none
--- a/members/golden_errors_test.go
+++ b/endpoints/golden_errors_test.go
@@ -1,4 +1,4 @@
-package members
+package endpoints
 
 import (
 	"fmt"
--- a/members/members.go
+++ b/endpoints/members.go
@@ -1,7 +1,7 @@
-// Package members makes one list of hosts of what several sources tell: the plan, a store, discovery, files. It has no
+// Package endpoints makes one list of hosts of what several sources tell: the plan, a store, discovery, files. It has no
 // I/O; times are tenths of a millisecond of a clock that is handed in. A Book takes what a source tells whole or not at
 // all and gives the list in force with a generation. docs/membership.md tells the precedence and the guards.
-package members
+package endpoints
 
 import (
 	"cmp"
--- a/lab/membership.go
+++ b/lab/membership.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"chalkring/coordinator"
-	"chalkring/members"
+	"chalkring/endpoints"
 	"chalkring/standin"
 	"chalkring/watch"
 )
@@ -63,7 +63,7 @@
 	if err := write(text(nil)); err != nil {
 		return Result{}, err
 	}
-	lists := make(chan members.Told)
+	lists := make(chan endpoints.Told)
 	watching, enough := context.WithCancel(ctx)
 	var mu sync.Mutex
 	told, refused := 0, 0
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -3,7 +3,7 @@
 //
 // The order at a start: the plan, which is there; the store, as soon as it is read; files; discovery; peers. None waits
 // for another, and the start waits for none: each source is believed from the moment at which it speaks, by the ranks
-// of package members, and what the store has told of hosts ends where discovery speaks. What was learned of hosts counts
+// of package endpoints, and what the store has told of hosts ends where discovery speaks. What was learned of hosts counts
 // as a peer's word does, by its age. docs/recovery.md tells the options weighed.
 package recovery
 
@@ -13,7 +13,7 @@
 	"time"
 
 	"chalkring/cluster/peerreport"
-	"chalkring/members"
+	"chalkring/endpoints"
 )
 
 const (
@@ -80,11 +80,11 @@
 	At        int64
 	Plan      int64
 	Discovery int64
-	Hosts     []members.Host
+	Hosts     []endpoints.Host
 	Gone      []Gone
 }
 
-// Gone is a removal as it is kept: its time, where package members has an age.
+// Gone is a removal as it is kept: its time, where package endpoints has an age.
 type Gone struct {
 	_         struct{} `cbor:",toarray"`
 	ID, By    string
@@ -93,7 +93,7 @@
 }
 
 // Keep is a list as it is kept, at a time.
-func Keep(now, plan, discovery int64, entries []members.Entry, gone []members.Gone) List {
+func Keep(now, plan, discovery int64, entries []endpoints.Entry, gone []endpoints.Gone) List {
 	l := List{At: now, Plan: plan, Discovery: discovery}
 	for _, e := range entries {
 		e.Line, e.Column = 0, 0
@@ -115,7 +115,7 @@
 
 // Believed is what counts of a store. Left tells what does not, and why, for the log.
 type Believed struct {
-	List  *members.Told
+	List  *endpoints.Told
 	Notes *Notes // its age is as of now
 	Left  []Left
 }
@@ -170,10 +170,10 @@
 	return b
 }
 
-func (l *List) told(now int64) *members.Told {
-	t := &members.Told{Source: Source, Rank: members.Store, Version: 1, Meant: true, Hosts: l.Hosts}
+func (l *List) told(now int64) *endpoints.Told {
+	t := &endpoints.Told{Source: Source, Rank: endpoints.Store, Version: 1, Meant: true, Hosts: l.Hosts}
 	for _, g := range l.Gone {
-		t.Gone = append(t.Gone, members.Gone{ID: g.ID, By: g.By, StartedMS: g.StartedMS, Ago: max(0, now-g.At) * tenthsPerMs})
+		t.Gone = append(t.Gone, endpoints.Gone{ID: g.ID, By: g.By, StartedMS: g.StartedMS, Ago: max(0, now-g.At) * tenthsPerMs})
 	}
 	return t
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"chalkring/cluster/peerreport"
-	"chalkring/members"
+	"chalkring/endpoints"
 )
 
 const now = int64(1_800_000_000_000)
@@ -66,8 +66,8 @@
 }
 
 func kept() (*List, *Notes) {
-	l := Keep(now, 7, 8, []members.Entry{{Host: members.Host{ID: "h1", Addr: "a:1", Weight: 1, Line: 3}}},
-		[]members.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 20_000}})
+	l := Keep(now, 7, 8, []endpoints.Entry{{Host: endpoints.Host{ID: "h1", Addr: "a:1", Weight: 1, Line: 3}}},
+		[]endpoints.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 20_000}})
 	return &l, &Notes{At: now, Head: peerreport.Head{Peer: "n", Age: 300, Hosts: 1}, All: []peerreport.Note{{ID: "h1", Bad: true}}}
 }
 
@@ -97,7 +97,7 @@
 	l, n := kept()
 	b := Weigh(now+2000, All, 8, l, n)
 	require.EqualValues(t, 2300, b.Notes.Head.Age)
-	require.Equal(t, []members.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 40_000}}, b.List.Gone)
+	require.Equal(t, []endpoints.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 40_000}}, b.List.Gone)
 	require.Zero(t, b.List.Hosts[0].Line)
 	require.NoError(t, b.Notes.Check())
 	n.Head.Hosts = 2
@@ -105,14 +105,14 @@
 	require.Empty(t, Weigh(now, All, 8, nil, nil))
 }
 
-// What was kept has the shape that package members takes, and what it knew to be removed stays so.
+// What was kept has the shape that package endpoints takes, and what it knew to be removed stays so.
 func TestAKeptListIsTaken(t *testing.T) {
 	l, n := kept()
 	b := Weigh(now+2000, All, 8, l, n)
-	book := members.New(members.Rules{})
+	book := endpoints.New(endpoints.Rules{})
 	_, err := book.Tell(1, *b.List)
 	require.NoError(t, err)
-	_, err = book.Tell(2, members.Told{Source: "slow", Rank: members.File, Version: 1, Hosts: []members.Host{{ID: "h2", Addr: "a:2", Weight: 1, StartedMS: 5}}})
+	_, err = book.Tell(2, endpoints.Told{Source: "slow", Rank: endpoints.File, Version: 1, Hosts: []endpoints.Host{{ID: "h2", Addr: "a:2", Weight: 1, StartedMS: 5}}})
 	require.NoError(t, err)
 	require.Len(t, book.List(), 1)
 }
--- a/watch/file.go
+++ b/watch/file.go
@@ -1,5 +1,5 @@
 // Package watch reads host lists from files and tells of each change, whole or not at all. file.go is the form,
-// watch.go sees when a file is at rest. What is in force then is package members' to decide.
+// watch.go sees when a file is at rest. What is in force then is package endpoints' to decide.
 package watch
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/goccy/go-yaml/ast"
 	"github.com/goccy/go-yaml/parser"
 
-	"chalkring/members"
+	"chalkring/endpoints"
 )
 
 const (
@@ -40,13 +40,13 @@
 	StartedMS int64    `yaml:"started_ms"`
 }
 
-var states = map[string]members.State{"": members.Up, "up": members.Up, "draining": members.Draining, "removed": members.Removed}
+var states = map[string]endpoints.State{"": endpoints.Up, "up": endpoints.Up, "draining": endpoints.Draining, "removed": endpoints.Removed}
 
 // Parse reads a file's text. A fault names line and column where it can.
-func Parse(name string, text []byte) (members.Told, error) {
-	told := members.Told{Source: name, Rank: members.File}
-	fault := func(line, column int, id, format string, v ...any) (members.Told, error) {
-		return members.Told{}, members.Fault{Source: name, ID: id, Line: line, Column: column, Why: fmt.Sprintf(format, v...)}
+func Parse(name string, text []byte) (endpoints.Told, error) {
+	told := endpoints.Told{Source: name, Rank: endpoints.File}
+	fault := func(line, column int, id, format string, v ...any) (endpoints.Told, error) {
+		return endpoints.Told{}, endpoints.Fault{Source: name, ID: id, Line: line, Column: column, Why: fmt.Sprintf(format, v...)}
 	}
 	if len(text) > fileMost {
 		return fault(0, 0, "", "over %d bytes", fileMost)
@@ -89,7 +89,7 @@
 		if math.IsNaN(weight) || math.IsInf(weight, 0) {
 			return fault(line, column, h.ID, "weight %g", weight)
 		}
-		told.Hosts = append(told.Hosts, members.Host{ID: h.ID, Addr: h.Address, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
+		told.Hosts = append(told.Hosts, endpoints.Host{ID: h.ID, Addr: h.Address, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
 			State: state, Weight: weight, StartedMS: h.StartedMS, Line: line, Column: column})
 	}
 	return told, nil
--- a/watch/golden_host_file_test.go
+++ b/watch/golden_host_file_test.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
-	"chalkring/members"
+	"chalkring/endpoints"
 )
 
 // goName is the name of a Go type and field, which the YAML library puts into its text; it is no part of the form.
@@ -97,5 +97,5 @@
 	_, err := Read("testdata/host_file_with_checksum.golden.yaml")
 	require.NoError(t, err)
 	_, err = Parse("f", []byte(strings.Replace(text, "hall", "hell", 1)))
-	require.ErrorAs(t, err, new(members.Fault))
+	require.ErrorAs(t, err, new(endpoints.Fault))
 }
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"chalkring/members"
+	"chalkring/endpoints"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -32,9 +32,9 @@
 func TestForms(t *testing.T) {
 	told, err := Parse("f", []byte(one))
 	require.NoError(t, err)
-	require.Equal(t, []members.Host{
+	require.Equal(t, []endpoints.Host{
 		{ID: "a", Addr: "127.0.0.1:1", Zone: "hall", Kind: "std", Weight: 1, Line: 2, Column: 6},
-		{ID: "b", Addr: "127.0.0.1:2", Cell: 1, State: members.Draining, Weight: 2.5, StartedMS: 7, Line: 3, Column: 5}}, told.Hosts)
+		{ID: "b", Addr: "127.0.0.1:2", Cell: 1, State: endpoints.Draining, Weight: 2.5, StartedMS: 7, Line: 3, Column: 5}}, told.Hosts)
 	json, err := Parse("f", []byte(`{"meant": true, "hosts": [{"id": "a", "address": "127.0.0.1:1", "cell": 0}]}`))
 	require.NoError(t, err)
 	require.True(t, json.Meant)
@@ -64,7 +64,7 @@
 	} {
 		_, err := Parse("f", []byte(text))
 		require.ErrorContains(t, err, want, "%.60q", text)
-		require.ErrorAs(t, err, new(members.Fault))
+		require.ErrorAs(t, err, new(endpoints.Fault))
 	}
 }
 
@@ -76,7 +76,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		told, err := Parse("f", text)
 		if err != nil {
-			require.ErrorAs(t, err, new(members.Fault))
+			require.ErrorAs(t, err, new(endpoints.Fault))
 			require.Empty(t, told.Hosts)
 		}
 	})
