--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -9,8 +9,8 @@
 
 	"chalkring/coordinator"
 	"chalkring/endpoints"
+	"chalkring/endpoints/hostfile"
 	"chalkring/installation"
-	"chalkring/watch"
 )
 
 // checkHosts looks at host files as serve would.
@@ -34,7 +34,7 @@
 	}
 	book, bad := endpoints.New(rules), false
 	for i, path := range c.Files {
-		told, err := watch.Read(path)
+		told, err := hostfile.Read(path)
 		if err == nil {
 			told.Version = int64(i + 1)
 			_, err = book.Tell(1, told)
@@ -62,7 +62,7 @@
 		return nil
 	}
 	lists := make(chan endpoints.Told)
-	files := &watch.Files{Paths: m.Files, Tell: func(e watch.Event) {
+	files := &hostfile.Files{Paths: m.Files, Tell: func(e hostfile.Event) {
 		var fault endpoints.Fault
 		switch {
 		case errors.As(e.Err, &fault):
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -25,12 +25,12 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/coordinator"
 	"chalkring/endpoints"
+	"chalkring/endpoints/hostfile"
 	"chalkring/fanout"
 	"chalkring/fault"
 	"chalkring/front/opensearch"
 	"chalkring/installation"
 	"chalkring/residency"
-	"chalkring/watch"
 	"chalkring/work"
 )
 
@@ -340,7 +340,7 @@
 				break
 			}
 			var file *installation.File
-			if text, fault := watch.Text(name); fault == nil && residency.Is(text) {
+			if text, fault := hostfile.Text(name); fault == nil && residency.Is(text) {
 				told, err = checkContracts(name, text, plan)
 				break
 			}
@@ -365,7 +365,7 @@
 			}
 			if err == nil && file.Fleet != nil && file.Fleet.Residency != "" {
 				var text []byte
-				if text, err = watch.Text(file.Fleet.Residency); err == nil {
+				if text, err = hostfile.Text(file.Fleet.Residency); err == nil {
 					_, err = checkContracts(file.Fleet.Residency, text, plan)
 				}
 			}
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -11,10 +11,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/coordinator"
+	"chalkring/endpoints/hostfile"
 	"chalkring/fault"
 	"chalkring/residency"
 	"chalkring/store"
-	"chalkring/watch"
 )
 
 const (
@@ -64,7 +64,7 @@
 	taught map[string]lesson
 	lapsed bool
 
-	files chan watch.Event
+	files chan hostfile.Event
 	words chan zonesMessage
 	done  chan saveDone
 }
@@ -93,9 +93,9 @@
 	}
 	start := time.Now()
 	base := start.UnixMicro() / 100
-	c := &contracts{s: s, site: plan.Site(), files: make(chan watch.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
+	c := &contracts{s: s, site: plan.Site(), files: make(chan hostfile.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
 		done: make(chan saveDone, 1), lapsed: true, clock: func() int64 { return base + int64(time.Since(start)/(100*time.Microsecond)) }}
-	text, err := watch.Text(s.file.Residency)
+	text, err := hostfile.Text(s.file.Residency)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	s.zones = coordinator.NewResidency(c.book.Standing(c.lease.Until()), c.clock)
 	s.node.Handle(zonesTopic, c.hear)
 	s.work.Go(func() {
-		files := &watch.Files{Paths: []string{s.file.Residency}, Texts: true, Tell: func(e watch.Event) {
+		files := &hostfile.Files{Paths: []string{s.file.Residency}, Texts: true, Tell: func(e hostfile.Event) {
 			select {
 			case c.files <- e:
 			case <-s.ctx.Done():
@@ -236,7 +236,7 @@
 	}
 }
 
-func (c *contracts) file(e watch.Event) {
+func (c *contracts) file(e hostfile.Event) {
 	if e.Err != nil {
 		c.s.log.Warn("residency_file", fault.Attrs(e.Err, "path", e.Path, "in_force", c.book.Generation())...)
 		return
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/endpoints"
-	"chalkring/watch"
+	"chalkring/endpoints/hostfile"
 )
 
 // withLists serves a second co-ordinator on a rig's hosts and list that has other sources of hosts too.
@@ -132,7 +132,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
-		(&watch.Files{Paths: []string{path}, Tell: func(e watch.Event) {
+		(&hostfile.Files{Paths: []string{path}, Tell: func(e hostfile.Event) {
 			if e.Err == nil {
 				select {
 				case lists <- e.Told:
--- a/watch/file.go
+++ b/endpoints/hostfile/file.go
@@ -1,6 +1,6 @@
-// Package watch reads host lists from files and tells of each change, whole or not at all. file.go is the form,
+// Package hostfile reads host lists from files and tells of each change, whole or not at all. file.go is the form,
 // watch.go sees when a file is at rest. What is in force then is package endpoints' to decide.
-package watch
+package hostfile
 
 import (
 	"bytes"
--- a/watch/golden_host_file_test.go
+++ b/endpoints/hostfile/golden_host_file_test.go
@@ -1,4 +1,4 @@
-package watch
+package hostfile
 
 import (
 	"fmt"
@@ -56,7 +56,7 @@
 
 // Host files in all forms that are read: YAML, JSON, with a checksum line, and the sample of deploy/.
 func TestGoldenHostFiles(t *testing.T) {
-	sample, err := os.ReadFile("../deploy/hosts.yaml")
+	sample, err := os.ReadFile("../../deploy/hosts.yaml")
 	require.NoError(t, err)
 	var out strings.Builder
 	for _, x := range [][2]string{{"all keys, YAML", allHostKeysYAML}, {"all keys, JSON", allHostKeysJSON},
--- a/watch/inode.go
+++ b/endpoints/hostfile/inode.go
@@ -1,6 +1,6 @@
 //go:build unix
 
-package watch
+package hostfile
 
 import (
 	"io/fs"
--- a/watch/watch.go
+++ b/endpoints/hostfile/watch.go
@@ -1,4 +1,4 @@
-package watch
+package hostfile
 
 import (
 	"context"
--- a/lab/membership.go
+++ b/lab/membership.go
@@ -13,8 +13,8 @@
 
 	"chalkring/coordinator"
 	"chalkring/endpoints"
+	"chalkring/endpoints/hostfile"
 	"chalkring/standin"
-	"chalkring/watch"
 )
 
 const (
@@ -69,7 +69,7 @@
 	told, refused := 0, 0
 	var g sync.WaitGroup
 	g.Go(func() {
-		(&watch.Files{Paths: []string{path}, Tell: func(e watch.Event) {
+		(&hostfile.Files{Paths: []string{path}, Tell: func(e hostfile.Event) {
 			mu.Lock()
 			if told++; e.Err != nil {
 				refused++
