--- a/cmd/chalkring/held_test.go
+++ b/cmd/chalkring/held_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/rollout"
+	"chalkring/control/rollout"
 	"chalkring/store"
 )
 
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/control/rollout"
 	"chalkring/coordinator"
 	"chalkring/installation"
-	"chalkring/rollout"
 )
 
 const (
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/control/rollout"
 	"chalkring/coordinator"
 	"chalkring/fault"
 	"chalkring/installation"
-	"chalkring/rollout"
 )
 
 // A change is held against the plan that it lands on: a place that is not there, or that another class has, is refused by name.
--- a/rollout/cases_test.go
+++ b/control/rollout/cases_test.go
@@ -128,7 +128,7 @@
 
 // A file that is cut anywhere is not taken, and says why.
 func TestCutFileIsNotTaken(t *testing.T) {
-	text, err := os.ReadFile("../deploy/rollout.yaml")
+	text, err := os.ReadFile("../../deploy/rollout.yaml")
 	require.NoError(t, err)
 	f, err := Parse("rollout.yaml", text)
 	require.NoError(t, err)
@@ -149,7 +149,7 @@
 		{"silent: 4m", "silent: 4s", "silent"},
 		{"then: back", "then: so what", "then"},
 	} {
-		text, err := os.ReadFile("../deploy/rollout.yaml")
+		text, err := os.ReadFile("../../deploy/rollout.yaml")
 		require.NoError(t, err)
 		require.Contains(t, string(text), c.from)
 		_, err = Parse("rollout.yaml", []byte(strings.Replace(string(text), c.from, c.to, 1)))
@@ -179,12 +179,12 @@
 
 // Each failure that an operator may see says what to do, and stands in docs/oncall.md.
 func TestErrorsAreListed(t *testing.T) {
-	page, err := os.ReadFile("../docs/oncall.md")
+	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	for _, e := range []fault.Advised{&FileFault{}, &EntryFault{}, &Stopped{}, &Differs{}, &OldFile{}, &OtherList{}, &NotTaken{}, &TooBig{}, &Waits{}} {
 		require.NotEmpty(t, e.Advice(), "%T", e)
 	}
-	for _, file := range []string{"change.go", "desk.go", "errors.go", "word.go", "../cmd/chalkring/rollout.go", "../cmd/chalkring/keeper.go"} {
+	for _, file := range []string{"change.go", "desk.go", "errors.go", "word.go", "../../cmd/chalkring/rollout.go", "../../cmd/chalkring/keeper.go"} {
 		tree, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 		require.NoError(t, err)
 		for _, d := range tree.Decls {
