--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/membership"
+	"chalkring/control/residency"
 	"chalkring/control/rollout"
 	"chalkring/installation"
-	"chalkring/residency"
 	"chalkring/store"
 )
 
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -23,6 +23,7 @@
 
 	"chalkring/cluster/gossip"
 	"chalkring/cluster/peerprotocol"
+	"chalkring/control/residency"
 	"chalkring/coordinator"
 	"chalkring/endpoints"
 	"chalkring/endpoints/hostfile"
@@ -30,7 +31,6 @@
 	"chalkring/fault"
 	"chalkring/front/opensearch"
 	"chalkring/installation"
-	"chalkring/residency"
 	"chalkring/work"
 )
 
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -10,10 +10,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"chalkring/control/residency"
 	"chalkring/coordinator"
 	"chalkring/endpoints/hostfile"
 	"chalkring/fault"
-	"chalkring/residency"
 	"chalkring/store"
 )
 
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/control/residency"
 	"chalkring/coordinator"
 	"chalkring/installation"
-	"chalkring/residency"
 )
 
 const contractsWait = 20 * time.Second // for what has to come; no verdict rests on anything coming sooner
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -19,11 +19,11 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/cluster/crdt"
+	"chalkring/control/residency"
 	"chalkring/control/rollout"
 	"chalkring/coordinator"
 	"chalkring/fault"
 	"chalkring/installation"
-	"chalkring/residency"
 )
 
 const (
--- a/residency/residency_test.go
+++ b/control/residency/residency_test.go
@@ -60,7 +60,7 @@
 	}
 	require.True(t, Is([]byte(head+"contracts:\n- {tenant: acme, zones: [eu-1]}")))
 	require.False(t, Is([]byte("peers:\n  name: n0")))
-	page, err := os.ReadFile("../docs/oncall.md")
+	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	for _, err := range []fault.Advised{&Refused{Why: NoHolder}, &Refused{Why: Lapsed}, &Refused{Why: Ended}, &Stale{}, &Differs{}, &Missing{}, &Unreached{},
 		&LeaseEnded{}, &LeaseEnded{Apart: 1}, &Late{}, &Unread{errors.New("x")}} {
@@ -68,7 +68,7 @@
 		require.NotEmpty(t, err.Error())
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*residency.")+"`", "docs/oncall.md lists it")
 	}
-	text, err := os.ReadFile("../deploy/residency.yaml")
+	text, err := os.ReadFile("../../deploy/residency.yaml")
 	require.NoError(t, err)
 	require.True(t, Is(text))
 	p, err := Parse("deploy/residency.yaml", text, Site{})
--- a/coordinator/door.go
+++ b/coordinator/door.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"chalkring/residency"
+	"chalkring/control/residency"
 )
 
 const frontShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/residency"
+	"chalkring/control/residency"
 )
 
 // quotedLines writes bytes of the wire, a quoted line for each of theirs, behind a mark: > for what is sent, of which long
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/balancer"
-	"chalkring/residency"
+	"chalkring/control/residency"
 	"chalkring/shadow"
 )
 
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -14,10 +14,10 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"chalkring/balancer"
+	"chalkring/control/residency"
 	"chalkring/endpoints"
 	"chalkring/facts"
 	"chalkring/fault"
-	"chalkring/residency"
 )
 
 // Residency is what holds in a process whose installation has contracts: the standing in force, told to each
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/balancer"
+	"chalkring/control/residency"
 	"chalkring/endpoints"
-	"chalkring/residency"
 )
 
 // zonedRig has a0 and b0 in zone east, a1 and b1 in zone west, and contracts.
--- a/front/opensearch/golden_responses_test.go
+++ b/front/opensearch/golden_responses_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/control/residency"
 	"chalkring/coordinator"
-	"chalkring/residency"
 	"chalkring/standin"
 )
 
--- a/front/opensearch/opensearch_test.go
+++ b/front/opensearch/opensearch_test.go
@@ -27,9 +27,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"chalkring/control/residency"
 	"chalkring/coordinator"
 	"chalkring/query"
-	"chalkring/residency"
 	"chalkring/standin"
 )
 
