--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -4,10 +4,10 @@
 	"slices"
 
 	"chalkring/cluster/membership"
+	"chalkring/control/subscribers"
 	"chalkring/coordinator"
 	"chalkring/fanout"
 	"chalkring/fault"
-	"chalkring/subscribers"
 )
 
 const (
--- a/fanout/fanout.go
+++ b/fanout/fanout.go
@@ -17,9 +17,9 @@
 	"golang.org/x/time/rate"
 
 	"chalkring/cluster/crdt"
+	"chalkring/control/subscribers"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/subscribers"
 	"chalkring/work"
 )
 
--- a/fanout/fanout_test.go
+++ b/fanout/fanout_test.go
@@ -23,11 +23,11 @@
 
 	"chalkring/cluster/crdt"
 	"chalkring/cluster/replication"
+	"chalkring/control/subscribers"
 	"chalkring/coordinator"
 	"chalkring/fault"
 	"chalkring/standin"
 	"chalkring/standin/rig"
-	"chalkring/subscribers"
 )
 
 const patience = 20 * time.Second // for what has to come; no verdict rests on anything coming sooner
--- a/fanout/golden_test.go
+++ b/fanout/golden_test.go
@@ -22,8 +22,8 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/crdt"
+	"chalkring/control/subscribers"
 	"chalkring/fault"
-	"chalkring/subscribers"
 )
 
 func goldenDelivery() Delivered {
--- a/lab/subscribers.go
+++ b/lab/subscribers.go
@@ -21,11 +21,11 @@
 
 	"chalkring/cluster/crdt"
 	"chalkring/cluster/replication"
+	"chalkring/control/subscribers"
 	"chalkring/fanout"
 	"chalkring/standin"
 	"chalkring/standin/rig"
 	"chalkring/store"
-	"chalkring/subscribers"
 )
 
 const (
