--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -23,11 +23,11 @@
 
 	"chalkring/cluster/gossip"
 	"chalkring/cluster/peerprotocol"
+	"chalkring/control/fanout"
 	"chalkring/control/residency"
 	"chalkring/coordinator"
 	"chalkring/endpoints"
 	"chalkring/endpoints/hostfile"
-	"chalkring/fanout"
 	"chalkring/fault"
 	"chalkring/front/opensearch"
 	"chalkring/installation"
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"chalkring/cluster/membership"
+	"chalkring/control/fanout"
 	"chalkring/control/subscribers"
 	"chalkring/coordinator"
-	"chalkring/fanout"
 	"chalkring/fault"
 )
 
--- a/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -300,7 +300,7 @@
 
 // Each failure says what to do, and stands on the on-call page.
 func TestFailuresSayWhatToDo(t *testing.T) {
-	page, err := os.ReadFile("../docs/oncall.md")
+	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	for _, err := range []error{&subscribers.BadRecord{}, &subscribers.BadAsk{}, &subscribers.NotSubscribed{}, &subscribers.Full{}, &subscribers.OldFile{},
 		&subscribers.Stale{}, &subscribers.BadLine{}, &OtherRegion{}, &NotHanded{Err: os.ErrClosed}, &NotSearched{}, &Bound{}} {
@@ -310,10 +310,10 @@
 }
 
 func TestExampleCanBeUsed(t *testing.T) {
-	f, err := ReadFile("../deploy/subscribers.yaml")
+	f, err := ReadFile("../../deploy/subscribers.yaml")
 	require.NoError(t, err)
 	require.Len(t, f.Lines, 2)
 	require.EqualValues(t, 2, f.Lines[subscribers.Key{Tenant: "acme", ID: "all-picks"}].Consent)
-	require.True(t, Is("../deploy/subscribers.yaml"))
-	require.False(t, Is("../deploy/fleet.yaml"))
+	require.True(t, Is("../../deploy/subscribers.yaml"))
+	require.False(t, Is("../../deploy/fleet.yaml"))
 }
--- a/lab/subscribers.go
+++ b/lab/subscribers.go
@@ -21,8 +21,8 @@
 
 	"chalkring/cluster/crdt"
 	"chalkring/cluster/replication"
+	"chalkring/control/fanout"
 	"chalkring/control/subscribers"
-	"chalkring/fanout"
 	"chalkring/standin"
 	"chalkring/standin/rig"
 	"chalkring/store"
