--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -18,7 +18,7 @@
 
 	"chalkring/balancer"
 	"chalkring/control/residency"
-	"chalkring/shadow"
+	"chalkring/control/shadow"
 )
 
 // owner owns the module. All but queue, asks, moves, log and ctx is touched by its goroutine alone; fronts, replicas'
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -22,9 +22,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/balancer"
+	"chalkring/control/shadow"
 	"chalkring/endpoints"
 	"chalkring/facts"
-	"chalkring/shadow"
 )
 
 // The constants of the network. What the settings state is not among them.
--- a/coordinator/watching.go
+++ b/coordinator/watching.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"chalkring/shadow"
+	"chalkring/control/shadow"
 )
 
 // tellWatched writes what other settings would have decided otherwise: one line each shadowEach, if anything came.
