--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -15,7 +15,7 @@
 	"chalkring/coordinator"
 	"chalkring/fault"
 	"chalkring/installation"
-	"chalkring/store"
+	"chalkring/storage/store"
 )
 
 const (
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -20,7 +20,7 @@
 	"chalkring/control/residency"
 	"chalkring/control/rollout"
 	"chalkring/installation"
-	"chalkring/store"
+	"chalkring/storage/store"
 )
 
 // updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
--- a/cmd/chalkring/held_test.go
+++ b/cmd/chalkring/held_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/control/rollout"
-	"chalkring/store"
+	"chalkring/storage/store"
 )
 
 // A store that the process before still holds is taken once that lets go. Contracts that were kept in it hold from then on,
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -14,7 +14,7 @@
 	"chalkring/coordinator"
 	"chalkring/endpoints/hostfile"
 	"chalkring/fault"
-	"chalkring/store"
+	"chalkring/storage/store"
 )
 
 const (
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -18,7 +18,7 @@
 	"chalkring/cluster/peerreport"
 	"chalkring/endpoints"
 	"chalkring/recovery"
-	"chalkring/store"
+	"chalkring/storage/store"
 	"chalkring/work"
 )
 
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -15,7 +15,7 @@
 	"chalkring/endpoints"
 	"chalkring/fault"
 	"chalkring/recovery"
-	"chalkring/store"
+	"chalkring/storage/store"
 	"chalkring/work"
 )
 
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -21,7 +21,7 @@
 	"chalkring/endpoints"
 	"chalkring/recovery"
 	"chalkring/standin"
-	"chalkring/store"
+	"chalkring/storage/store"
 	"chalkring/work"
 )
 
--- a/coordinator/other_store_test.go
+++ b/coordinator/other_store_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/store"
+	"chalkring/storage/store"
 )
 
 // A store that another deployment's co-ordinator has written is not believed: no search goes to that one's hosts.
--- a/lab/sharer.go
+++ b/lab/sharer.go
@@ -15,7 +15,7 @@
 	who "chalkring/cluster/membership"
 	"chalkring/cluster/replication"
 	"chalkring/installation"
-	"chalkring/store"
+	"chalkring/storage/store"
 )
 
 // sharerOp writes a name, or deletes it where Value is nil.
--- a/lab/subscribers.go
+++ b/lab/subscribers.go
@@ -25,7 +25,7 @@
 	"chalkring/control/subscribers"
 	"chalkring/standin"
 	"chalkring/standin/rig"
-	"chalkring/store"
+	"chalkring/storage/store"
 )
 
 const (
--- a/store/errors_test.go
+++ b/storage/store/errors_test.go
@@ -24,7 +24,7 @@
 		&Full{Err: errAnew}, &Bounded{}, &ReadOnly{Err: errAnew}, &Slow{Err: errAnew}, &Failed{Err: errAnew}} {
 		all[fmt.Sprintf("%T", e)[len("*store."):]] = e
 	}
-	page, err := os.ReadFile("../docs/oncall.md")
+	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	file, err := parser.ParseFile(token.NewFileSet(), "errors.go", nil, 0)
 	require.NoError(t, err)
