--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -17,7 +17,7 @@
 
 	"chalkring/cluster/peerreport"
 	"chalkring/endpoints"
-	"chalkring/recovery"
+	"chalkring/storage/recovery"
 	"chalkring/storage/store"
 	"chalkring/work"
 )
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -14,7 +14,7 @@
 
 	"chalkring/endpoints"
 	"chalkring/fault"
-	"chalkring/recovery"
+	"chalkring/storage/recovery"
 	"chalkring/storage/store"
 	"chalkring/work"
 )
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -19,8 +19,8 @@
 
 	"chalkring/cluster/peerreport"
 	"chalkring/endpoints"
-	"chalkring/recovery"
 	"chalkring/standin"
+	"chalkring/storage/recovery"
 	"chalkring/storage/store"
 	"chalkring/work"
 )
