--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -12,9 +12,9 @@
 	"chalkring/cluster/gossip"
 	"chalkring/cluster/membership"
 	"chalkring/cluster/replication"
+	"chalkring/config"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/installation"
 	"chalkring/storage/store"
 )
 
@@ -31,7 +31,7 @@
 
 // sharing is what an installation's instances share: who is there, and what is kept about it. Its features rest on it.
 type sharing struct {
-	file  installation.Fleet
+	file  config.Fleet
 	whose membership.Identity
 	node  *gossip.Node
 	book  *membership.Book
@@ -53,7 +53,7 @@
 
 // sharingOf starts what the section fleet turns on; nil where there is no such section. It waits for no other instance and
 // for no disk.
-func sharingOf(file *installation.File, plan *coordinator.Plan, keep *coordinator.Keep, log *slog.Logger) (*sharing, error) {
+func sharingOf(file *config.File, plan *coordinator.Plan, keep *coordinator.Keep, log *slog.Logger) (*sharing, error) {
 	if file.Fleet == nil {
 		return nil, nil
 	}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -23,6 +23,7 @@
 
 	"chalkring/cluster/gossip"
 	"chalkring/cluster/peerprotocol"
+	"chalkring/config"
 	"chalkring/control/fanout"
 	"chalkring/control/residency"
 	"chalkring/coordinator"
@@ -30,7 +31,6 @@
 	"chalkring/endpoints/hostfile"
 	"chalkring/fault"
 	"chalkring/front/opensearch"
-	"chalkring/installation"
 	"chalkring/work"
 )
 
@@ -90,7 +90,7 @@
 	var zones *coordinator.Residency
 	var steps *stages
 	if s.Installation != "" {
-		file, err := installation.Read(s.Installation)
+		file, err := config.Read(s.Installation)
 		if err != nil {
 			return noStart(err)
 		}
@@ -209,7 +209,7 @@
 }
 
 // logOf is the log as an installation wants it.
-func logOf(l installation.Log, to io.Writer) *slog.Logger {
+func logOf(l config.Log, to io.Writer) *slog.Logger {
 	var least slog.Level
 	least.UnmarshalText([]byte(l.Level)) // the file's check has seen it
 	if l.Format == "terminal" {
@@ -219,20 +219,20 @@
 }
 
 // settingsOf puts an installation's settings over the plan's, and those to be watched beside them.
-func settingsOf(file *installation.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
+func settingsOf(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
 	site := plan.Site()
 	if err := file.Fits(site.Classes, site.Tenants); err != nil {
 		return nil, err
 	}
-	plan, err := plan.With(installation.Over(file.Settings))
+	plan, err := plan.With(config.Over(file.Settings))
 	if err != nil || file.Shadow == nil {
 		return plan, err
 	}
-	return plan.Watching(installation.Over(file.Shadow.Settings))
+	return plan.Watching(config.Over(file.Shadow.Settings))
 }
 
 // peersOf opens what an installation's peers need.
-func peersOf(ctx context.Context, file *installation.File, name string, log *slog.Logger) (*coordinator.Peers, error) {
+func peersOf(ctx context.Context, file *config.File, name string, log *slog.Logger) (*coordinator.Peers, error) {
 	p := file.Peers
 	if p == nil {
 		return nil, nil
@@ -259,7 +259,7 @@
 }
 
 // keepOf begins to open what this process keeps on disk, nil where nothing is.
-func keepOf(file *installation.File, plan *coordinator.Plan, log *slog.Logger) *coordinator.Keep {
+func keepOf(file *config.File, plan *coordinator.Plan, log *slog.Logger) *coordinator.Keep {
 	path, alone := file.Store, true
 	if f := file.Fleet; f != nil && f.Store != "" && (path == "" || path == f.Store) {
 		path, alone = f.Store, false
@@ -270,12 +270,12 @@
 	return coordinator.NewKeep(path, alone, budgetOf(file.Background["keep"]), plan, coordinator.SystemClock{}, log)
 }
 
-func budgetOf(w installation.Work) work.Budget {
+func budgetOf(w config.Work) work.Budget {
 	return work.Budget{Concurrent: w.Concurrent, Bytes: w.BytesPerSecond, CPU: w.CPUPerSecond}
 }
 
 // frontsOf opens what an installation's other fronts need.
-func frontsOf(ctx context.Context, file *installation.File, log *slog.Logger) ([]coordinator.Front, error) {
+func frontsOf(ctx context.Context, file *config.File, log *slog.Logger) ([]coordinator.Front, error) {
 	o := file.OpenSearch
 	if o == nil {
 		return nil, nil
@@ -297,7 +297,7 @@
 	return []coordinator.Front{f}, nil
 }
 
-func keysOf(t *installation.TLS, complain func(err error)) (*peerprotocol.Keys, error) {
+func keysOf(t *config.TLS, complain func(err error)) (*peerprotocol.Keys, error) {
 	if t == nil {
 		return nil, nil
 	}
@@ -339,12 +339,12 @@
 				_, err = fanout.ReadFile(name)
 				break
 			}
-			var file *installation.File
+			var file *config.File
 			if text, fault := hostfile.Text(name); fault == nil && residency.Is(text) {
 				told, err = checkContracts(name, text, plan)
 				break
 			}
-			if file, err = installation.Read(name); err == nil && file.Peers != nil {
+			if file, err = config.Read(name); err == nil && file.Peers != nil {
 				if _, err = keysOf(file.Peers.TLS, nil); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
@@ -396,7 +396,7 @@
 }
 
 func (p *peers) Run() error {
-	file, err := installation.Read(p.Installation)
+	file, err := config.Read(p.Installation)
 	if err != nil {
 		return err
 	}
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/config"
 	"chalkring/control/rollout"
 	"chalkring/coordinator"
-	"chalkring/installation"
 )
 
 const (
@@ -21,15 +21,15 @@
 )
 
 // ofCustomer is an instance of a fleet whose plan has these tenants, beside the store at path.
-func ofCustomer(t *testing.T, path, tenant string, change func(f *installation.Fleet)) *lived {
+func ofCustomer(t *testing.T, path, tenant string, change func(f *config.Fleet)) *lived {
 	plan, err := coordinator.Parse([]byte(strings.Replace(zonedPlan, `{"Name":"acme",`, `{"Name":"`+tenant+`",`, 1)))
 	require.NoError(t, err)
-	f := &installation.Fleet{Name: "east-0", Listen: "127.0.0.1:0", Listed: []string{"east-0"}, Store: path}
+	f := &config.Fleet{Name: "east-0", Listen: "127.0.0.1:0", Listed: []string{"east-0"}, Store: path}
 	if change != nil {
 		change(f)
 	}
 	l := &lived{t: t}
-	l.s, err = sharingOf(&installation.File{Fleet: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l.s, err = sharingOf(&config.File{Fleet: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
 	t.Cleanup(l.s.leave)
 	select {
@@ -94,7 +94,7 @@
 // Two fleets of one customer are told apart by their names; a store from before anything was kept of whose it is counts as
 // the fleet's own.
 func TestFleetsOfOneCustomer(t *testing.T) {
-	named := func(name string) func(f *installation.Fleet) { return func(f *installation.Fleet) { f.Cluster = name } }
+	named := func(name string) func(f *config.Fleet) { return func(f *config.Fleet) { f.Cluster = name } }
 	path := filepath.Join(t.TempDir(), "fleet.db")
 	first := ofCustomer(t, path, "acme", named("live"))
 	fills(t, first)
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/config"
 	"chalkring/control/rollout"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/installation"
 )
 
 // A change is held against the plan that it lands on: a place that is not there, or that another class has, is refused by name.
@@ -27,7 +27,7 @@
 		{map[string]string{"Classes.0.Aim": "5", "Classes.0.Name": "full-match"}, `Classes.0.Name is "full-match", the plan has "lookup"`},
 	} {
 		st := &stages{state: standing{Runs: &rollout.Change{Number: 4, Settings: c.settings}}}
-		laid, err := st.laid(&installation.File{}, plan)
+		laid, err := st.laid(&config.File{}, plan)
 		if c.want == "" {
 			require.NoError(t, err)
 			require.NotNil(t, laid)
@@ -59,7 +59,7 @@
 	require.NoError(t, os.WriteFile(wrong, []byte("settings:\n  Classes.7.Aim: 5\n"), 0o600))
 	require.NoError(t, os.WriteFile(site, []byte(zonedPlan), 0o600))
 	for name, want := range map[string]string{good: "", wrong: "[2:18] settings.'Classes.7.Aim': the plan has 1 classes"} {
-		file, err := installation.Read(name)
+		file, err := config.Read(name)
 		require.NoError(t, err)
 		_, err = settingsOf(file, plan)
 		checked := (&checkFiles{Files: []string{name, site}}).Run()
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/config"
 	"chalkring/control/residency"
 	"chalkring/coordinator"
-	"chalkring/installation"
 )
 
 const contractsWait = 20 * time.Second // for what has to come; no verdict rests on anything coming sooner
@@ -62,7 +62,7 @@
 	plan, err := coordinator.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
 	l := &lived{t: t, dir: dir}
-	f := &installation.Fleet{Name: name, Listen: addrs[name], Residency: filepath.Join(dir, "contracts.yaml")}
+	f := &config.Fleet{Name: name, Listen: addrs[name], Residency: filepath.Join(dir, "contracts.yaml")}
 	for other, addr := range addrs {
 		f.Listed, f.Join = append(f.Listed, other), append(f.Join, addr)
 	}
@@ -72,7 +72,7 @@
 	if _, err := os.Stat(f.Residency); err != nil {
 		l.file(contractsOne)
 	}
-	l.s, err = sharingOf(&installation.File{Fleet: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l.s, err = sharingOf(&config.File{Fleet: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
 	l.in, err = contractsOf(plan, l.s)
 	require.NoError(t, err)
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -19,11 +19,11 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/cluster/crdt"
+	"chalkring/config"
 	"chalkring/control/residency"
 	"chalkring/control/rollout"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/installation"
 )
 
 const (
@@ -109,10 +109,10 @@
 }
 
 // rolls tells whether an installation takes part in changes.
-func rolls(file *installation.File) bool { return file.Fleet != nil && file.Fleet.Rollout != "" }
+func rolls(file *config.File) bool { return file.Fleet != nil && file.Fleet.Rollout != "" }
 
 // checkRollout looks at the change file that an installation names, if there is one now, and at what it needs.
-func checkRollout(file *installation.File) error {
+func checkRollout(file *config.File) error {
 	if file.Fleet.Store == "" {
 		return &NoStore{}
 	}
@@ -273,7 +273,7 @@
 	if c == nil {
 		return nil
 	}
-	wrong := installation.Misplaced(c.Settings, st.site.Classes, st.site.Tenants)
+	wrong := config.Misplaced(c.Settings, st.site.Classes, st.site.Tenants)
 	for _, name := range slices.Sorted(maps.Keys(wrong)) { // the same fault each time
 		return &OtherPlan{c.Number, name, wrong[name]}
 	}
@@ -281,7 +281,7 @@
 }
 
 // laid puts the change that runs over an installation's settings.
-func (st *stages) laid(file *installation.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
+func (st *stages) laid(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
 	st.sums.aims = plan.Aims() // both sides are held against the same
 	st.site = plan.Site()
 	c := st.runs()
@@ -291,7 +291,7 @@
 	if c == nil {
 		return plan, nil
 	}
-	over := installation.Over(file.Settings)
+	over := config.Over(file.Settings)
 	maps.Copy(over, c.Settings)
 	return plan.With(over)
 }
--- a/installation/places_test.go
+++ b/config/places_test.go
@@ -1,4 +1,4 @@
-package installation
+package config
 
 import (
 	"testing"
--- a/lab/sharer.go
+++ b/lab/sharer.go
@@ -14,7 +14,7 @@
 	"chalkring/cluster/gossip"
 	who "chalkring/cluster/membership"
 	"chalkring/cluster/replication"
-	"chalkring/installation"
+	"chalkring/config"
 	"chalkring/storage/store"
 )
 
@@ -37,7 +37,7 @@
 // Sharer is an instance of the measurement of the ledger: a process with the program's membership, ledger and store, and in
 // place of its front and features a listener by which the measurement writes and reads entries. It runs until it is killed.
 func Sharer(ctx context.Context, path string) error {
-	file, err := installation.Read(path)
+	file, err := config.Read(path)
 	if err != nil {
 		return err
 	}
