--- a/config/installation.go
+++ b/config/installation.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"chalkring/cluster/peerreport"
-	"chalkring/facts"
+	"chalkring/config/settings"
 	"chalkring/query"
 	"chalkring/strictyaml"
 )
@@ -91,9 +91,9 @@
 }
 
 // Over names a file's settings as the plan's are named.
-func Over(settings map[string]any) map[string]string {
+func Over(values map[string]any) map[string]string {
 	over := map[string]string{}
-	facts.Flatten(over, "", settings)
+	settings.Flatten(over, "", values)
 	for name := range over {
 		if strings.HasSuffix(name, ".count") { // lists of objects set some of their places
 			delete(over, name)
@@ -357,16 +357,16 @@
 }
 
 // settings have to be such as the module reads, each by itself; lists by query type are held against the plan later.
-func (c *checker) settings(at string, settings map[string]any) {
-	if err := facts.Flatten(map[string]string{}, "", settings); err != nil {
+func (c *checker) settings(at string, values map[string]any) {
+	if err := settings.Flatten(map[string]string{}, "", values); err != nil {
 		c.fault(at, "%v", err)
 	}
-	over := Over(settings)
+	over := Over(values)
 	for _, name := range slices.Sorted(maps.Keys(over)) {
 		path := at + "." + index.ReplaceAllString(name, "[$1]")
-		if !facts.Known(name) {
+		if !settings.Known(name) {
 			c.fault(path, "no such setting")
-		} else if err := facts.Check(name, over[name]); err != nil {
+		} else if err := settings.Check(name, over[name]); err != nil {
 			c.fault(path, "%v", err)
 		}
 	}
--- a/facts/facts.go
+++ b/config/settings/facts.go
@@ -1,6 +1,6 @@
-// Package facts knows which settings the decision module reads and what they may be. A plan and an installation's file
+// Package settings knows which settings the decision module reads and what they may be. A plan and an installation's file
 // are held against it before anything starts: a bad setting ends the start and not a search. It decides nothing else.
-package facts
+package settings
 
 import (
 	"fmt"
--- a/facts/twice_test.go
+++ b/config/settings/twice_test.go
@@ -1,4 +1,4 @@
-package facts
+package settings
 
 import (
 	"testing"
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"chalkring/facts"
+	"chalkring/config/settings"
 	"chalkring/strictyaml"
 )
 
@@ -176,7 +176,7 @@
 		d.Fault("$.then", "%.40q is neither back nor stop", v.Then)
 	}
 	c.Then = then
-	if err := facts.Flatten(c.Settings, "", v.Settings); err != nil {
+	if err := settings.Flatten(c.Settings, "", v.Settings); err != nil {
 		d.Fault("$.settings", "%v", err)
 	}
 	if len(v.Settings) == 0 {
@@ -186,9 +186,9 @@
 		d.Fault("$.settings", "%d settings, over %d", len(c.Settings), settingsMost)
 	}
 	for name, value := range c.Settings {
-		if err := facts.Check(name, value); err != nil {
+		if err := settings.Check(name, value); err != nil {
 			d.Fault("$.settings."+name, "%v", err)
-		} else if !facts.Known(name) && !placeName.MatchString(name) {
+		} else if !settings.Known(name) && !placeName.MatchString(name) {
 			d.Fault("$.settings."+name, "no setting that the decision module reads")
 		}
 	}
@@ -280,12 +280,12 @@
 		return c
 	}
 	c.From = before.Number
-	settings := maps.Clone(before.Settings)
-	if settings == nil {
-		settings = map[string]string{}
+	values := maps.Clone(before.Settings)
+	if values == nil {
+		values = map[string]string{}
 	}
-	maps.Copy(settings, c.Settings)
-	if c.Settings = settings; c.Program.Path == "" {
+	maps.Copy(values, c.Settings)
+	if c.Settings = values; c.Program.Path == "" {
 		c.Program = before.Program
 	}
 	return c
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"chalkring/config/settings"
 	"chalkring/endpoints"
-	"chalkring/facts"
 )
 
 // membership makes one list of what discovery, the plan and an installation's other sources tell. Its goroutine keeps
@@ -95,7 +95,7 @@
 // take tells the book a list, and the log what the book thinks of it.
 func (m *membership) take(t endpoints.Told) (changed bool, err error) {
 	for i := range t.Hosts {
-		t.Hosts[i].Zone, t.Hosts[i].Kind = facts.PlainText(t.Hosts[i].Zone), facts.PlainText(t.Hosts[i].Kind)
+		t.Hosts[i].Zone, t.Hosts[i].Kind = settings.PlainText(t.Hosts[i].Zone), settings.PlainText(t.Hosts[i].Kind)
 	}
 	changed, err = m.book.Tell(m.o.clock(), t)
 	if err != nil {
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -14,9 +14,9 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"chalkring/balancer"
+	"chalkring/config/settings"
 	"chalkring/control/residency"
 	"chalkring/endpoints"
-	"chalkring/facts"
 	"chalkring/fault"
 )
 
@@ -63,7 +63,7 @@
 
 // Holds tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
 func (r *Residency) Holds(tenant, zone string) bool {
-	return r.Standing().Holds(r.clock(), facts.PlainText(tenant), zoneName(zone))
+	return r.Standing().Holds(r.clock(), settings.PlainText(tenant), zoneName(zone))
 }
 
 // Caught counts parts that the second guard kept from going out: each is a fault of this program.
@@ -178,7 +178,7 @@
 	if name == "" {
 		return ""
 	}
-	return facts.PlainText(name)
+	return settings.PlainText(name)
 }
 
 // changed looks at all open searches anew, in their order.
@@ -331,7 +331,7 @@
 func (p *Plan) Site() residency.Site {
 	names := func(list string) (names []string) {
 		for _, name := range p.named[list] {
-			names = append(names, facts.PlainText(name))
+			names = append(names, settings.PlainText(name))
 		}
 		return names
 	}
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -22,9 +22,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/balancer"
+	"chalkring/config/settings"
 	"chalkring/control/shadow"
 	"chalkring/endpoints"
-	"chalkring/facts"
 )
 
 // The constants of the network. What the settings state is not among them.
@@ -202,12 +202,12 @@
 		return nil, errors.New("limits: cores, memory_mb and sockets (16 at least) are needed")
 	}
 	p.Cores, p.MemoryMB, p.Sockets = cores, int(memory), int(sockets)
-	settings, ok := all["settings"].(map[string]any)
+	values, ok := all["settings"].(map[string]any)
 	if !ok {
 		return nil, errors.New("settings are missing")
 	}
 	p.facts = map[string]string{}
-	if err := cmp.Or(facts.Flatten(p.facts, "", settings), p.readNames(settings)); err != nil {
+	if err := cmp.Or(settings.Flatten(p.facts, "", values), p.readNames(values)); err != nil {
 		return nil, err
 	}
 	if p.known, ok = all["known"].(map[string]any); !ok {
@@ -278,11 +278,11 @@
 // readNames keeps the names of classes and tenants as the file has them: requests bear them so, while the module's form
 // has no blanks and commas. Guards against a request that is handled by what is another's: two classes, tenants or zones
 // that one name stands for in either form.
-func (p *Plan) readNames(settings map[string]any) error {
+func (p *Plan) readNames(values map[string]any) error {
 	p.named = map[string][]string{}
 	for _, list := range []string{"Classes", "Tenants"} {
-		items, ok := settings[list].([]any)
-		if !ok && settings[list] != nil {
+		items, ok := values[list].([]any)
+		if !ok && values[list] != nil {
 			return fmt.Errorf("setting %s is no list of objects", list)
 		}
 		seen := map[string]namedAt{}
@@ -297,27 +297,27 @@
 			case string:
 				name = v
 			default:
-				name = facts.PlainText(v)
+				name = settings.PlainText(v)
 			}
 			if name == "" {
 				return fmt.Errorf("setting %s is missing", place)
 			}
-			if other, twice := seen[facts.PlainText(name)]; twice {
+			if other, twice := seen[settings.PlainText(name)]; twice {
 				return &SameName{place, name, other.place, other.name}
 			}
-			seen[facts.PlainText(name)] = namedAt{place, name}
+			seen[settings.PlainText(name)] = namedAt{place, name}
 			p.named[list] = append(p.named[list], name)
 		}
 	}
-	zones, _ := settings["FailureDomains"].([]any)
+	zones, _ := values["FailureDomains"].([]any)
 	seen := map[string]namedAt{}
 	for i, zone := range zones {
 		name, place := word(zone), fmt.Sprintf("FailureDomains.%d", i)
-		other, twice := seen[facts.PlainText(name)]
+		other, twice := seen[settings.PlainText(name)]
 		if twice && other.name != name { // one that is there twice is one zone
 			return &SameName{place, name, other.place, other.name}
 		}
-		seen[facts.PlainText(name)] = namedAt{place, name}
+		seen[settings.PlainText(name)] = namedAt{place, name}
 	}
 	return nil
 }
@@ -368,7 +368,7 @@
 			return fmt.Errorf("setting Specifics.%s has %d places for %d classes", name, n, p.count("Classes"))
 		}
 	}
-	return facts.CheckAll(p.facts, p.count("Classes"))
+	return settings.CheckAll(p.facts, p.count("Classes"))
 }
 
 // With is the plan with an installation's settings over its own; one that is bad leaves the plan as it is.
@@ -416,7 +416,7 @@
 func (p *Plan) names(list string) map[string]int {
 	m := map[string]int{}
 	for i, name := range p.named[list] {
-		m[name], m[facts.PlainText(name)] = i, i
+		m[name], m[settings.PlainText(name)] = i, i
 	}
 	return m
 }
