--- a/config/installation.go
+++ b/config/installation.go
@@ -15,8 +15,8 @@
 
 	"chalkring/cluster/peerreport"
 	"chalkring/config/settings"
+	"chalkring/config/strictyaml"
 	"chalkring/query"
-	"chalkring/strictyaml"
 )
 
 const (
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -15,10 +15,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"chalkring/config/strictyaml"
 	"chalkring/control/subscribers"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/strictyaml"
 	"chalkring/work"
 )
 
--- a/control/residency/file.go
+++ b/control/residency/file.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"chalkring/config/settings"
-	"chalkring/strictyaml"
+	"chalkring/config/strictyaml"
 )
 
 // Site is what a plan knows of an installation; lists that are nil, and no blocks, are not looked at.
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -17,7 +17,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/config/settings"
-	"chalkring/strictyaml"
+	"chalkring/config/strictyaml"
 )
 
 const (
--- a/control/subscribers/file.go
+++ b/control/subscribers/file.go
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/cluster/crdt"
-	"chalkring/strictyaml"
+	"chalkring/config/strictyaml"
 )
 
 const (
--- a/endpoints/hostfile/watch.go
+++ b/endpoints/hostfile/watch.go
@@ -13,8 +13,8 @@
 
 	"github.com/fsnotify/fsnotify"
 
+	"chalkring/config/strictyaml"
 	"chalkring/endpoints"
-	"chalkring/strictyaml"
 )
 
 const (
