--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/fault"
-	"chalkring/query"
+	"chalkring/opensearch/query"
 )
 
 // goName is the name of a Go type and field, which the YAML library puts into its text; it is no part of the form.
--- a/config/installation.go
+++ b/config/installation.go
@@ -16,7 +16,7 @@
 	"chalkring/cluster/peerreport"
 	"chalkring/config/settings"
 	"chalkring/config/strictyaml"
-	"chalkring/query"
+	"chalkring/opensearch/query"
 )
 
 const (
--- a/coordinator/tongues.go
+++ b/coordinator/tongues.go
@@ -14,7 +14,7 @@
 	"unicode/utf8"
 
 	"chalkring/internal/frame"
-	"chalkring/query"
+	"chalkring/opensearch/query"
 )
 
 const (
--- a/front/opensearch/opensearch_test.go
+++ b/front/opensearch/opensearch_test.go
@@ -29,7 +29,7 @@
 
 	"chalkring/control/residency"
 	"chalkring/coordinator"
-	"chalkring/query"
+	"chalkring/opensearch/query"
 	"chalkring/standin"
 )
 
--- a/front/opensearch/search.go
+++ b/front/opensearch/search.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/coordinator"
-	"chalkring/query"
+	"chalkring/opensearch/query"
 )
 
 // asked is one search with what its URL or header line says.
--- a/front/opensearch/server.go
+++ b/front/opensearch/server.go
@@ -26,7 +26,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/coordinator"
-	"chalkring/query"
+	"chalkring/opensearch/query"
 )
 
 const (
--- a/lab/opensearch.go
+++ b/lab/opensearch.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"chalkring/front/opensearch"
-	"chalkring/query"
+	"chalkring/opensearch/query"
 	"chalkring/standin"
 )
 
--- a/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/query"
+	"chalkring/opensearch/query"
 	"chalkring/standin"
 )
 
--- a/query/query_test.go
+++ b/opensearch/query/query_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkring/query"
+	"chalkring/opensearch/query"
 	"chalkring/standin"
 )
 
