--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -30,7 +30,7 @@
 	"chalkring/endpoints"
 	"chalkring/endpoints/hostfile"
 	"chalkring/fault"
-	"chalkring/front/opensearch"
+	"chalkring/opensearch/frontend"
 	"chalkring/work"
 )
 
@@ -280,14 +280,14 @@
 	if o == nil {
 		return nil, nil
 	}
-	f := &opensearch.Front{}
+	f := &frontend.Front{}
 	for _, x := range o.Indices {
-		f.Indices = append(f.Indices, opensearch.Index{Name: x.Name, Type: x.Type, Partner: x.Partner, Blocks: x.Blocks,
+		f.Indices = append(f.Indices, frontend.Index{Name: x.Name, Type: x.Type, Partner: x.Partner, Blocks: x.Blocks,
 			Placed: x.Placed})
 	}
 	var err error
 	if o.TLS != nil {
-		if f.TLS, err = opensearch.TLS(o.TLS.Certificate, o.TLS.Key, o.TLS.Authorities); err != nil {
+		if f.TLS, err = frontend.TLS(o.TLS.Certificate, o.TLS.Key, o.TLS.Authorities); err != nil {
 			return nil, err
 		}
 	}
--- a/lab/cost.go
+++ b/lab/cost.go
@@ -24,7 +24,7 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
-	"chalkring/front/opensearch"
+	"chalkring/opensearch/frontend"
 	"chalkring/standin"
 	"chalkring/work"
 )
@@ -146,7 +146,7 @@
 	if more.Listener, err = net.Listen("tcp", os.Getenv(nodeInstance)); err != nil {
 		return err
 	}
-	front := &opensearch.Front{Indices: []opensearch.Index{{Name: "members", Type: fullMatch}}}
+	front := &frontend.Front{Indices: []frontend.Index{{Name: "members", Type: fullMatch}}}
 	for b := range plan.Blocks() {
 		front.Indices[0].Blocks = append(front.Indices[0].Blocks, b)
 	}
--- a/lab/opensearch.go
+++ b/lab/opensearch.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"chalkring/front/opensearch"
+	"chalkring/opensearch/frontend"
 	"chalkring/opensearch/query"
 	"chalkring/standin"
 )
@@ -106,9 +106,9 @@
 		return err
 	}
 	defer f.close()
-	front := &opensearch.Front{}
+	front := &frontend.Front{}
 	for _, qtype := range []string{fullMatch, quickPicks} {
-		x := opensearch.Index{Name: map[string]string{fullMatch: "members", quickPicks: "picks"}[qtype], Type: qtype}
+		x := frontend.Index{Name: map[string]string{fullMatch: "members", quickPicks: "picks"}[qtype], Type: qtype}
 		for b := range sets {
 			x.Blocks = append(x.Blocks, b)
 		}
--- a/front/opensearch/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -1,4 +1,4 @@
-package opensearch
+package frontend
 
 import (
 	"bufio"
--- a/front/opensearch/server.go
+++ b/opensearch/frontend/server.go
@@ -1,7 +1,7 @@
-// Package opensearch is the OpenSearch-style way in for clients: it turns the API's requests into searches for the
+// Package frontend is the OpenSearch-style way in for clients: it turns the API's requests into searches for the
 // owner and their results into the API's answers. It decides nothing about hosts: package query reads and merges, the
 // module behind the door picks, repeats and sheds. docs/opensearch.md has the table of what is done.
-package opensearch
+package frontend
 
 import (
 	"compress/gzip"
