--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"chalkring/internal/benchwire"
+	"chalkring/internal/simwire"
 )
 
 func main() {
-	if err := benchwire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -19,8 +19,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/internal/benchwire"
 	"chalkring/internal/frame"
+	"chalkring/internal/simwire"
 )
 
 func TestSearchesAreAnswered(t *testing.T) {
@@ -877,7 +877,7 @@
 		wire += strings.ReplaceAll(fmt.Sprintf(" C.Name=%s C.Aim=4000.0 C.Deadline=8000.0 C.Effect=retryable C.LateShare=0.5",
 			name), "C.", fmt.Sprintf("Classes.%d.", i))
 	}
-	require.Equal(t, benchwire.Facts(strings.Fields(wire)), p.facts)
+	require.Equal(t, simwire.Facts(strings.Fields(wire)), p.facts)
 	require.Equal(t, int64(-0x73e0cf2d85a4169c), p.seed)
 }
 
--- a/internal/benchwire/benchwire.go
+++ b/internal/simwire/benchwire.go
@@ -1,5 +1,5 @@
-// Package benchwire carries the simulator's wire to and from the decision module. It decides nothing.
-package benchwire
+// Package simwire carries the simulator's wire to and from the decision module. It decides nothing.
+package simwire
 
 import (
 	"bufio"
--- a/internal/benchwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simwire
 
 import (
 	"flag"
