--- a/cluster/replication/keep.go
+++ b/cluster/replication/keep.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/cluster/crdt"
-	"chalkring/work"
+	"chalkring/internal/scheduler"
 )
 
 // Keys in the store's bucket.
@@ -20,7 +20,7 @@
 )
 
 // load takes in what the store kept.
-func (b *Book) load(ctx context.Context, _ *work.Allowance) error {
+func (b *Book) load(ctx context.Context, _ *scheduler.Allowance) error {
 	begin := func() { b.begun.Do(func() { close(b.ready) }) }
 	late := time.AfterFunc(diskWait, begin)
 	defer func() {
@@ -100,7 +100,7 @@
 
 // keep writes changes to the store, until ctx ends: the entries, and with the last of them the Known, in one transaction
 // where they fit, so that the Known on disk never says more than the entries there.
-func (b *Book) keep(ctx context.Context, _ *work.Allowance) error {
+func (b *Book) keep(ctx context.Context, _ *scheduler.Allowance) error {
 	select {
 	case <-b.found:
 	case <-ctx.Done():
--- a/cluster/replication/share.go
+++ b/cluster/replication/share.go
@@ -1,7 +1,7 @@
 // Package replication keeps the instances' copies of a ledger alike. A Book is its face for any goroutine. Fresh changes go to a
 // few others at once, and each that learns one hands it on; beside that each instance compares its copy with another's
 // every second, by digests, and takes and gives what differs. Changes are kept by a store where there is one. All of this
-// is background work within budgets of package work. docs/ledger.md tells the rules and figures.
+// is background work within budgets of package scheduler. docs/ledger.md tells the rules and figures.
 package replication
 
 import (
@@ -18,7 +18,7 @@
 
 	"chalkring/cluster/crdt"
 	"chalkring/fault"
-	"chalkring/work"
+	"chalkring/internal/scheduler"
 )
 
 const (
@@ -78,7 +78,7 @@
 // Book is the copy of one instance. Its calls are safe from any goroutine; none waits for another instance or a disk but Kept.
 type Book struct {
 	o     Options
-	pool  *work.Pool
+	pool  *scheduler.Pool
 	start time.Time
 	ready chan struct{}
 	begun sync.Once     // of ready
@@ -146,9 +146,9 @@
 		told: map[string]int64{}, renewed: -renewEach, rowAt: -second << 8}
 	b.run = b.chance.Uint64() >> 1
 	b.ctx, b.stop = context.WithCancel(ctx)
-	plan := work.NewPlan(rand.New(rand.NewSource(o.Seed+1)), map[string]work.Budget{
+	plan := scheduler.NewPlan(rand.New(rand.NewSource(o.Seed+1)), map[string]scheduler.Budget{
 		"exchange": {Bytes: BytesUsual}, "answer": {Concurrent: answersMost, Bytes: BytesUsual}, "fresh": {Bytes: BytesUsual}})
-	b.pool = work.NewPool(clock{}, plan, func(job string, err error) { b.complain("share_job", job, err) })
+	b.pool = scheduler.NewPool(clock{}, plan, func(job string, err error) { b.complain("share_job", job, err) })
 	o.Net.Handle(Topic, b.handle)
 	go func() {
 		defer close(b.done)
@@ -156,14 +156,14 @@
 	}()
 	every := int64(o.Every / (100 * time.Microsecond))
 	for _, j := range []struct {
-		work.Job
-		do func(context.Context, *work.Allowance) error
+		scheduler.Job
+		do func(context.Context, *scheduler.Allowance) error
 	}{
-		{work.Job{Name: "share load", Kind: "load", Priority: work.Urgent}, b.load},
-		{work.Job{Name: "share exchange", Kind: "exchange", Priority: work.Usual, Every: every, Spread: every / 4}, b.round},
-		{work.Job{Name: "share fresh", Kind: "fresh", Priority: work.Urgent}, b.push},
-		{work.Job{Name: "share keep", Kind: "keep", Priority: work.Urgent}, b.keep},
-		{work.Job{Name: "share collect", Kind: "collect", Priority: work.Idle, Every: collectEach * every}, b.collect},
+		{scheduler.Job{Name: "share load", Kind: "load", Priority: scheduler.Urgent}, b.load},
+		{scheduler.Job{Name: "share exchange", Kind: "exchange", Priority: scheduler.Usual, Every: every, Spread: every / 4}, b.round},
+		{scheduler.Job{Name: "share fresh", Kind: "fresh", Priority: scheduler.Urgent}, b.push},
+		{scheduler.Job{Name: "share keep", Kind: "keep", Priority: scheduler.Urgent}, b.keep},
+		{scheduler.Job{Name: "share collect", Kind: "collect", Priority: scheduler.Idle, Every: collectEach * every}, b.collect},
 	} {
 		if _, err := b.pool.Add(j.Job, j.do); err != nil {
 			b.complain("share_job", j.Name, err)
@@ -381,7 +381,7 @@
 	return append([]byte{kind}, body...), err
 }
 
-func (b *Book) send(ctx context.Context, a *work.Allowance, to string, kind byte, v any) (int, error) {
+func (b *Book) send(ctx context.Context, a *scheduler.Allowance, to string, kind byte, v any) (int, error) {
 	body, err := encode(kind, v)
 	if err != nil {
 		return 0, err
@@ -407,8 +407,8 @@
 	case kindAsk:
 		var q crdt.Ask
 		if err = cbor.Unmarshal(body[1:], &q); err == nil && crdt.NameOf(q.Actor) == from {
-			_, err = b.pool.Add(work.Job{Name: "share answer", Kind: "answer", Priority: work.Usual, Deadline: second, Tries: 1},
-				func(ctx context.Context, a *work.Allowance) error { return b.answer(ctx, a, from, q) })
+			_, err = b.pool.Add(scheduler.Job{Name: "share answer", Kind: "answer", Priority: scheduler.Usual, Deadline: second, Tries: 1},
+				func(ctx context.Context, a *scheduler.Allowance) error { return b.answer(ctx, a, from, q) })
 			if err != nil {
 				return // it asks again
 			}
@@ -481,7 +481,7 @@
 	return true
 }
 
-func (b *Book) answer(ctx context.Context, a *work.Allowance, from string, q crdt.Ask) error {
+func (b *Book) answer(ctx context.Context, a *scheduler.Allowance, from string, q crdt.Ask) error {
 	b.mu.Lock()
 	out, err := b.l.Answer(from, q)
 	b.mu.Unlock()
@@ -497,7 +497,7 @@
 }
 
 // round is an exchange with another, and with more while they bring something.
-func (b *Book) round(ctx context.Context, a *work.Allowance) error {
+func (b *Book) round(ctx context.Context, a *scheduler.Allowance) error {
 	if !b.isReady() {
 		return nil
 	}
@@ -563,7 +563,7 @@
 }
 
 // exchange asks one instance until nothing is left to ask, or it does not answer. It tells whether something differed.
-func (b *Book) exchange(ctx context.Context, a *work.Allowance, peer string) (more bool, err error) {
+func (b *Book) exchange(ctx context.Context, a *scheduler.Allowance, peer string) (more bool, err error) {
 	b.mu.Lock()
 	r := b.open[peer]
 	if r == nil || r.x.Done() || time.Since(r.since) > openMost {
@@ -643,7 +643,7 @@
 }
 
 // take takes an answer in and sends what the other lacks.
-func (b *Book) take(ctx context.Context, a *work.Allowance, x *crdt.Exchange, out crdt.Answer) error {
+func (b *Book) take(ctx context.Context, a *scheduler.Allowance, x *crdt.Exchange, out crdt.Answer) error {
 	b.mu.Lock()
 	away := x.Away
 	changed, lacks, err := x.Take(out)
@@ -678,7 +678,7 @@
 }
 
 // push tells fresh changes to a few others, until ctx ends.
-func (b *Book) push(ctx context.Context, a *work.Allowance) error {
+func (b *Book) push(ctx context.Context, a *scheduler.Allowance) error {
 	select {
 	case <-b.ready:
 	case <-ctx.Done():
@@ -718,7 +718,7 @@
 }
 
 // collect forgets deletes that all have seen, and tells how far this copy reaches.
-func (b *Book) collect(ctx context.Context, _ *work.Allowance) error {
+func (b *Book) collect(ctx context.Context, _ *scheduler.Allowance) error {
 	if !b.isReady() {
 		return nil
 	}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -30,8 +30,8 @@
 	"chalkring/endpoints"
 	"chalkring/endpoints/hostfile"
 	"chalkring/fault"
+	"chalkring/internal/scheduler"
 	"chalkring/opensearch/frontend"
-	"chalkring/work"
 )
 
 type line struct {
@@ -241,7 +241,7 @@
 		name = p.Name
 	}
 	more := &coordinator.Peers{Name: name, Place: p.Place, Allow: p.Allow, Refresh: p.Refresh,
-		Budgets: map[string]work.Budget{}}
+		Budgets: map[string]scheduler.Budget{}}
 	for kind, w := range file.Background {
 		more.Budgets[kind] = budgetOf(w)
 	}
@@ -270,8 +270,8 @@
 	return coordinator.NewKeep(path, alone, budgetOf(file.Background["keep"]), plan, coordinator.SystemClock{}, log)
 }
 
-func budgetOf(w config.Work) work.Budget {
-	return work.Budget{Concurrent: w.Concurrent, Bytes: w.BytesPerSecond, CPU: w.CPUPerSecond}
+func budgetOf(w config.Work) scheduler.Budget {
+	return scheduler.Budget{Concurrent: w.Concurrent, Bytes: w.BytesPerSecond, CPU: w.CPUPerSecond}
 }
 
 // frontsOf opens what an installation's other fronts need.
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -20,7 +20,7 @@
 	"chalkring/control/subscribers"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/work"
+	"chalkring/internal/scheduler"
 )
 
 const (
@@ -93,7 +93,7 @@
 
 	// Of the goroutine of Serve alone.
 	door   *coordinator.Door
-	pool   *work.Pool
+	pool   *scheduler.Pool
 	list   *subscribers.List
 	gate   *subscribers.Gateway
 	file   *subscribers.File
@@ -225,8 +225,8 @@
 	defer stop()
 	g.door = d
 	g.gate = subscribers.NewGateway(now(), g.o.Me, g.o.Rules())
-	plan := work.NewPlan(rand.New(rand.NewSource(g.o.Seed)), map[string]work.Budget{standing: {Concurrent: together}})
-	g.pool = work.NewPool(coordinator.SystemClock{}, plan, func(string, error) {})
+	plan := scheduler.NewPlan(rand.New(rand.NewSource(g.o.Seed)), map[string]scheduler.Budget{standing: {Concurrent: together}})
+	g.pool = scheduler.NewPool(coordinator.SystemClock{}, plan, func(string, error) {})
 	wait.Go(func() { _ = g.pool.Run(running) })
 	files := make(chan fileSeen)
 	if g.o.File != "" {
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -19,7 +19,7 @@
 	"chalkring/control/subscribers"
 	"chalkring/coordinator"
 	"chalkring/fault"
-	"chalkring/work"
+	"chalkring/internal/scheduler"
 )
 
 const fileMost = 64 << 20 // bytes of a region's file
@@ -103,9 +103,9 @@
 	for _, r := range runs {
 		g.serial++
 		name := fmt.Sprintf("sub-%s-%d", g.o.Me.Name, g.serial)
-		job := work.Job{Name: name, Kind: standing, Priority: work.Usual, Tries: 1}
+		job := scheduler.Job{Name: name, Kind: standing, Priority: scheduler.Usual, Tries: 1}
 		begun := time.Now()
-		_, err := g.pool.Add(job, func(ctx context.Context, a *work.Allowance) error {
+		_, err := g.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
 			if time.Since(begun) > lateMost {
 				g.back(ctx, r, nil)
 				return nil
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -17,9 +17,9 @@
 
 	"chalkring/cluster/peerreport"
 	"chalkring/endpoints"
+	"chalkring/internal/scheduler"
 	"chalkring/storage/recovery"
 	"chalkring/storage/store"
-	"chalkring/work"
 )
 
 // updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
@@ -84,7 +84,7 @@
 }
 
 func openGoldenKeep(t *testing.T, path string) *Keep {
-	k := newKeep(path, true, store.Options{}, work.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
+	k := newKeep(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
 	t.Cleanup(k.Close)
 	_, err := k.Store(t.Context())
 	require.NoError(t, err)
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -14,9 +14,9 @@
 
 	"chalkring/endpoints"
 	"chalkring/fault"
+	"chalkring/internal/scheduler"
 	"chalkring/storage/recovery"
 	"chalkring/storage/store"
-	"chalkring/work"
 )
 
 const (
@@ -42,10 +42,10 @@
 // one more peer's report, and background jobs write.
 type Keep struct {
 	path   string
-	alone  bool        // nothing else is in the store
-	budget work.Budget // of its writes
-	plan   int64       // version of the plan's list
-	whose  string      // the plan's own, as Plan.whose tells it
+	alone  bool             // nothing else is in the store
+	budget scheduler.Budget // of its writes
+	plan   int64            // version of the plan's list
+	whose  string           // the plan's own, as Plan.whose tells it
 	clock  Clock
 	log    *notes
 	own    context.CancelFunc
@@ -70,11 +70,11 @@
 
 // NewKeep begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
 // nothing else keeps anything there, so that a crash loop may put all of it aside.
-func NewKeep(path string, alone bool, budget work.Budget, plan *Plan, clock Clock, log *slog.Logger) *Keep {
+func NewKeep(path string, alone bool, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Keep {
 	return newKeep(path, alone, store.Options{}, budget, plan, clock, log)
 }
 
-func newKeep(path string, alone bool, o store.Options, budget work.Budget, plan *Plan, clock Clock, log *slog.Logger) *Keep {
+func newKeep(path string, alone bool, o store.Options, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Keep {
 	version, _ := amount(plan.known["version"])
 	ctx, stop := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
@@ -272,7 +272,7 @@
 	}
 	own.Budgets = maps.Clone(own.Budgets)
 	if own.Budgets == nil {
-		own.Budgets = map[string]work.Budget{}
+		own.Budgets = map[string]scheduler.Budget{}
 	}
 	own.Budgets[keepKind] = k.budget
 	return &own
@@ -288,8 +288,8 @@
 		if n := k.believed.Notes; n != nil {
 			k.recall(o, n)
 		}
-		job := work.Job{Name: "keep", Kind: keepKind, Priority: work.Usual, After: int64(keepFirst / tenth), Every: int64(keepEach / tenth)}
-		_, err := o.peers.pool.Add(job, func(ctx context.Context, a *work.Allowance) error {
+		job := scheduler.Job{Name: "keep", Kind: keepKind, Priority: scheduler.Usual, After: int64(keepFirst / tenth), Every: int64(keepEach / tenth)}
+		_, err := o.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
 			ctx, stop := context.WithTimeout(ctx, keepWait)
 			defer stop()
 			return k.write(ctx, o, a, false)
@@ -340,7 +340,7 @@
 }
 
 // write writes what is new. Its last write also tells that the stop was planned.
-func (k *Keep) write(ctx context.Context, o *owner, a *work.Allowance, last bool) (err error) {
+func (k *Keep) write(ctx context.Context, o *owner, a *scheduler.Allowance, last bool) (err error) {
 	select {
 	case k.turn <- struct{}{}:
 		defer func() { <-k.turn }()
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -19,10 +19,10 @@
 
 	"chalkring/cluster/peerreport"
 	"chalkring/endpoints"
+	"chalkring/internal/scheduler"
 	"chalkring/standin"
 	"chalkring/storage/recovery"
 	"chalkring/storage/store"
-	"chalkring/work"
 )
 
 // keeping serves a co-ordinator on a rig's hosts that keeps what it knows at a path; its discovery is away.
@@ -34,7 +34,7 @@
 	plan.Discovery = more.list.Ln.Addr().String()
 	more.plan = &plan
 	log, look := NewLog(more.log, false, slog.LevelInfo), make(chan *owner, 1)
-	k := newKeep(path, true, o, work.Budget{}, more.plan, SystemClock{}, log)
+	k := newKeep(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
 	go func() {
 		err := more.plan.Serve(ctx, Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Log: log,
 			Keep: k, Lists: k.Lists(ctx, nil), look: look})
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -16,7 +16,7 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/endpoints"
-	"chalkring/work"
+	"chalkring/internal/scheduler"
 )
 
 const (
@@ -36,7 +36,7 @@
 	Allow       []string
 	Keys        *peerprotocol.Keys // nil for plain TCP
 	Refresh     time.Duration
-	Budgets     map[string]work.Budget
+	Budgets     map[string]scheduler.Budget
 }
 
 // PeerAt is a peer and where it listens.
@@ -47,7 +47,7 @@
 type learner struct {
 	o        *owner
 	p        *Peers
-	pool     *work.Pool
+	pool     *scheduler.Pool
 	instance uint64
 	zones    []string
 	stir     chan struct{} // the asker has to be looked at
@@ -81,8 +81,8 @@
 		names = append(names, at.Name)
 	}
 	l.asker = peerreport.NewAsker(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.Refresh/tenth), names)
-	plan := work.NewPlan(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
-	l.pool = work.NewPool(o.Clock, plan, func(job string, err error) {
+	plan := scheduler.NewPlan(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
+	l.pool = scheduler.NewPool(o.Clock, plan, func(job string, err error) {
 		o.log.often("job", "job_given_up", "job", job, "error", err)
 		if name, asking := strings.CutPrefix(job, askPrefix); asking {
 			o.g.Go(func() error { l.ended(name, peerreport.Failed, 0, err); return nil }) // the pool must not be held up
@@ -158,8 +158,8 @@
 func (l *learner) start(name string) {
 	i := slices.IndexFunc(l.p.Ask, func(at PeerAt) bool { return at.Name == name })
 	at := l.p.Ask[i]
-	job := work.Job{Name: askPrefix + name, Kind: askKind, Priority: work.Urgent, Tries: 1, Deadline: int64(askJob / tenth)}
-	_, err := l.pool.Add(job, func(ctx context.Context, a *work.Allowance) error {
+	job := scheduler.Job{Name: askPrefix + name, Kind: askKind, Priority: scheduler.Urgent, Tries: 1, Deadline: int64(askJob / tenth)}
+	_, err := l.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
 		how, later, err := l.askOne(ctx, at, a)
 		began := time.Now()
 		l.ended(at.Name, how, later, err)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (l *learner) askOne(ctx context.Context, at PeerAt, a *work.Allowance) (peerreport.Outcome, time.Duration, error) {
+func (l *learner) askOne(ctx context.Context, at PeerAt, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.o.clock()
 	asking := peerprotocol.Asking{Peer: at.Name, Addr: at.Addr, Me: l.p.Name, Instance: l.instance, Dial: l.o.Dial, Keys: l.p.Keys,
 		Head: func(h peerreport.Head) error {
@@ -354,8 +354,8 @@
 // reply takes an answer's bytes from the budget of answers, as a job that is on its way already.
 func (l *learner) reply(ctx context.Context, bytes int, cpu time.Duration) error {
 	done := make(chan error, 1)
-	_, err := l.pool.Add(work.Job{Name: "answer", Kind: replyKind, Priority: work.Usual, Tries: 1},
-		func(ctx context.Context, a *work.Allowance) error {
+	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: replyKind, Priority: scheduler.Usual, Tries: 1},
+		func(ctx context.Context, a *scheduler.Allowance) error {
 			done <- a.Spend(ctx, bytes, cpu)
 			return nil
 		})
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -16,9 +16,9 @@
 	"chalkring/balancer"
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
+	"chalkring/internal/scheduler"
 	"chalkring/standin"
 	fleet "chalkring/standin/rig"
-	"chalkring/work"
 )
 
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 // named is a co-ordinator's side towards peers, at a free port.
 func named(t *testing.T, name string, ask ...PeerAt) *Peers {
 	return &Peers{Name: name, Listener: listen(t), Ask: ask, Allow: []string{"a", "b", "c"},
-		Budgets: map[string]work.Budget{"ask": {Concurrent: 4}, "answer": {Concurrent: 4}}}
+		Budgets: map[string]scheduler.Budget{"ask": {Concurrent: 4}, "answer": {Concurrent: 4}}}
 }
 
 func (p *Peers) at() PeerAt { return PeerAt{p.Name, p.Listener.Addr().String()} }
--- a/work/plan.go
+++ b/internal/scheduler/plan.go
@@ -1,9 +1,9 @@
-// Package work schedules what is done beside the searches: asking peers and answering them, later the host list,
+// Package scheduler schedules what is done beside the searches: asking peers and answering them, later the host list,
 // storage and reports. A Plan decides, on a clock that is handed in, which job may run now: by priority, within
 // the budgets of its kind, before its deadline, spread by chance, with waits that grow after failures. Searches
 // always go first: under load jobs wait. A Pool runs them. Neither has I/O. docs/learning.md tells the options
 // weighed. Times are tenths of a millisecond of the clock handed in.
-package work
+package scheduler
 
 import (
 	"cmp"
--- a/work/pool.go
+++ b/internal/scheduler/pool.go
@@ -1,4 +1,4 @@
-package work
+package scheduler
 
 import (
 	"context"
--- a/lab/cost.go
+++ b/lab/cost.go
@@ -24,9 +24,9 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
+	"chalkring/internal/scheduler"
 	"chalkring/opensearch/frontend"
 	"chalkring/standin"
-	"chalkring/work"
 )
 
 const (
@@ -142,7 +142,7 @@
 	if hosts := os.Getenv(nodeFloor); hosts != "" {
 		return Floor(ctx, ln, strings.Split(hosts, ","))
 	}
-	more := &coordinator.Peers{Allow: []string{"asker"}, Budgets: map[string]work.Budget{"answer": {Concurrent: 4}}}
+	more := &coordinator.Peers{Allow: []string{"asker"}, Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}}
 	if more.Listener, err = net.Listen("tcp", os.Getenv(nodeInstance)); err != nil {
 		return err
 	}
--- a/lab/learning.go
+++ b/lab/learning.go
@@ -14,8 +14,8 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
+	"chalkring/internal/scheduler"
 	"chalkring/standin"
-	"chalkring/work"
 )
 
 const (
@@ -75,7 +75,7 @@
 		return Result{}, err
 	}
 	running, err := f.start("running", uint64(seed), count, &coordinator.Peers{Name: "running", Listener: ln,
-		Allow: learners(), Budgets: map[string]work.Budget{"answer": {Concurrent: 4}}})
+		Allow: learners(), Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}})
 	if err != nil {
 		return Result{}, err
 	}
