--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -10,7 +10,7 @@
 	"chalkring/config"
 	"chalkring/control/rollout"
 	"chalkring/coordinator"
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 // A change is held against the plan that it lands on: a place that is not there, or that another class has, is refused by name.
@@ -34,7 +34,7 @@
 			continue
 		}
 		require.ErrorContains(t, err, "change 4 does not fit this plan: "+c.want)
-		require.NotEmpty(t, fault.Advice(err))
+		require.NotEmpty(t, advice.Advice(err))
 		step := st.step(t.Context(), &rollout.Step{Change: st.state.Runs})
 		require.Equal(t, err, step, "before it restarts for it")
 	}
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -7,7 +7,7 @@
 	"chalkring/control/fanout"
 	"chalkring/control/subscribers"
 	"chalkring/coordinator"
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 const (
@@ -42,7 +42,7 @@
 		me := s.book.Me()
 		me.Parts = slices.DeleteFunc(slices.Clone(me.Parts), func(part string) bool { return part == gatewayPart })
 		if err := s.node.Update(me); err != nil {
-			s.log.Warn("subscriber_refused", fault.Attrs(err, "subscriber", "this gateway's leaving")...)
+			s.log.Warn("subscriber_refused", advice.Attrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
 	return []coordinator.Front{fanout.New(fanout.Options{Shared: s.shared, Heard: s.gateways, Rules: s.rules, File: s.file.Subscribers, Log: s.log,
--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/fault"
+	"chalkring/internal/advice"
 	"chalkring/opensearch/query"
 )
 
@@ -174,7 +174,7 @@
 		for _, line := range strings.Split(err.Error(), "\n") {
 			fmt.Fprintf(&out, "  error: %s\n", goName.ReplaceAllString(line, "Go $1 NAME"))
 		}
-		fmt.Fprintf(&out, "  advice: %s\n", fault.Advice(err))
+		fmt.Fprintf(&out, "  advice: %s\n", advice.Advice(err))
 	}
 	for _, text := range []string{
 		// the file as a whole
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -25,7 +25,7 @@
 	"chalkring/cluster/replication"
 	"chalkring/control/subscribers"
 	"chalkring/coordinator"
-	"chalkring/fault"
+	"chalkring/internal/advice"
 	"chalkring/standin"
 	"chalkring/standin/rig"
 )
@@ -266,7 +266,7 @@
 	err := g.Unsubscribe(ctx, subscribers.Key{Tenant: "acme", ID: "s1"})
 	var unkept *replication.Unkept
 	require.ErrorAs(t, err, &unkept)
-	require.NotEmpty(t, fault.Advice(err))
+	require.NotEmpty(t, advice.Advice(err))
 	_, on := g.Get(subscribers.Key{Tenant: "acme", ID: "s1"})
 	require.False(t, on, "all the same it is off")
 }
@@ -304,7 +304,7 @@
 	require.NoError(t, err)
 	for _, err := range []error{&subscribers.BadRecord{}, &subscribers.BadAsk{}, &subscribers.NotSubscribed{}, &subscribers.Full{}, &subscribers.OldFile{},
 		&subscribers.Stale{}, &subscribers.BadLine{}, &OtherRegion{}, &NotHanded{Err: os.ErrClosed}, &NotSearched{}, &Bound{}} {
-		require.NotEmpty(t, fault.Advice(fmt.Errorf("wrapped: %w", err)))
+		require.NotEmpty(t, advice.Advice(fmt.Errorf("wrapped: %w", err)))
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*")+"`")
 	}
 }
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -23,7 +23,7 @@
 
 	"chalkring/cluster/crdt"
 	"chalkring/control/subscribers"
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 func goldenDelivery() Delivered {
@@ -86,7 +86,7 @@
 		g.unread(e, err)
 		g.unread(e, err) // told once
 		key := subscribers.Key{Tenant: "acme", ID: "s1"}
-		g.tell("subscriber_delivery", fault.Attrs(&NotHanded{"http://receiver", errors.New("why")}, "subscriber", key, "number",
+		g.tell("subscriber_delivery", advice.Attrs(&NotHanded{"http://receiver", errors.New("why")}, "subscriber", key, "number",
 			subscribers.Number{Turn: 1, N: 2, Gateway: "n0"})...)
 		g.quiet.Store(5)
 		g.tell("subscriber_conflict", "subscriber", key, "held", "one", "lost", "other")
@@ -99,7 +99,7 @@
 	var all strings.Builder
 	for _, err := range []error{&OtherRegion{File: "us", Own: "eu"}, &Bound{Tenant: "acme", Zone: "us-1"}, &NotHanded{"http://receiver", errors.New("why")},
 		&NotSearched{Why: "shed"}, Post("")(context.Background(), Delivered{})} {
-		fmt.Fprintln(&all, fault.Text(err))
+		fmt.Fprintln(&all, advice.Text(err))
 	}
 	requireGolden(t, "errors.txt", []byte(all.String()))
 }
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -18,7 +18,7 @@
 	"chalkring/config/strictyaml"
 	"chalkring/control/subscribers"
 	"chalkring/coordinator"
-	"chalkring/fault"
+	"chalkring/internal/advice"
 	"chalkring/internal/scheduler"
 )
 
@@ -140,7 +140,7 @@
 		why = map[int]string{coordinator.Shed: "shed", coordinator.Errored: "errored", coordinator.NameOpen: "its name is open"}[given.Kind]
 	}
 	if why != "" || err != nil {
-		g.tell("subscriber_search", fault.Attrs(&NotSearched{why}, "subscriber", r.Key)...)
+		g.tell("subscriber_search", advice.Attrs(&NotSearched{why}, "subscriber", r.Key)...)
 		return nil
 	}
 	values = map[int][]byte{}
@@ -200,11 +200,11 @@
 		return
 	}
 	if err != nil {
-		g.tell("subscriber_delivery", fault.Attrs(err, "subscriber", d.Key, "number", d.Number)...)
+		g.tell("subscriber_delivery", advice.Attrs(err, "subscriber", d.Key, "number", d.Number)...)
 		return
 	}
 	if err := g.write(d.Key, subscribers.Delivered(d.Consent, mark)); err != nil {
-		g.tell("subscriber_refused", fault.Attrs(err, "subscriber", d.Key)...)
+		g.tell("subscriber_refused", advice.Attrs(err, "subscriber", d.Key)...)
 	}
 }
 
--- a/coordinator/golden_plan_test.go
+++ b/coordinator/golden_plan_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 // goldenPlan has each key that a plan may have.
@@ -91,7 +91,7 @@
 // logLine is an error as the line that the service logs at start.
 func logLine(event string, err error) string {
 	var out bytes.Buffer
-	NewLog(&out, false, slog.LevelInfo).Error(event, fault.Attrs(err)...)
+	NewLog(&out, false, slog.LevelInfo).Error(event, advice.Attrs(err)...)
 	return timeOfLine.ReplaceAllString(strings.TrimSpace(out.String()), "time=TIME ")
 }
 
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/endpoints"
-	"chalkring/fault"
+	"chalkring/internal/advice"
 	"chalkring/internal/scheduler"
 	"chalkring/storage/recovery"
 	"chalkring/storage/store"
@@ -89,9 +89,9 @@
 				return
 			}
 			if !told {
-				k.log.Warn("store_away", fault.Attrs(k.err, "path", path)...)
+				k.log.Warn("store_away", advice.Attrs(k.err, "path", path)...)
 			}
-			if !fault.Is[*store.Busy](k.err) {
+			if !advice.Is[*store.Busy](k.err) {
 				return
 			}
 			select {
@@ -107,7 +107,7 @@
 // open opens the store, notes the start on disk, and only then believes what is there.
 func (k *Keep) open(path string, o store.Options) error {
 	o.Told = func(err error) {
-		k.log.Warn("store_told", fault.Attrs(err)...)
+		k.log.Warn("store_told", advice.Attrs(err)...)
 		k.Event("store", err.Error())
 	}
 	began := k.clock.Now()
@@ -257,7 +257,7 @@
 	defer stop()
 	if s, _ := k.Store(ctx); s != nil {
 		if err := s.Close(ctx); err != nil {
-			k.log.Warn("store_failed", fault.Attrs(err)...)
+			k.log.Warn("store_failed", advice.Attrs(err)...)
 		}
 	}
 	k.own()
@@ -349,7 +349,7 @@
 	}
 	defer func() {
 		if err != nil && o.ctx.Err() == nil {
-			o.log.often("store_failed", "store_failed", fault.Attrs(err)...)
+			o.log.often("store_failed", "store_failed", advice.Attrs(err)...)
 		}
 	}()
 	l, began, puts := o.peers, time.Now(), map[string][]byte{}
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -10,7 +10,7 @@
 	"strings"
 	"syscall"
 
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 // PlanTooLong is a file with more than planMost bytes.
@@ -67,7 +67,7 @@
 				p, err = p.With(first.over)
 			}
 			if err != nil {
-				out.Error("reload_failed", fault.Attrs(err)...)
+				out.Error("reload_failed", advice.Attrs(err)...)
 				continue
 			}
 			// The variable holds over the file only while the file's own address is as it was at the start, or is
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -17,7 +17,7 @@
 	"chalkring/config/settings"
 	"chalkring/control/residency"
 	"chalkring/endpoints"
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 // Residency is what holds in a process whose installation has contracts: the standing in force, told to each
@@ -302,7 +302,7 @@
 		return nil
 	}
 	b.r.refused.Inc()
-	b.o.log.often("residency_refused "+s.barred.Tenant, "residency_refused", fault.Attrs(s.barred)...)
+	b.o.log.often("residency_refused "+s.barred.Tenant, "residency_refused", advice.Attrs(s.barred)...)
 	return s.barred
 }
 
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/fault"
+	"chalkring/internal/advice"
 	"chalkring/internal/http1"
 	"chalkring/standin"
 	fleet "chalkring/standin/rig"
@@ -368,7 +368,7 @@
 		_, err := Read(env)
 		var no *PlanTooLong
 		require.Equal(t, !fits, errors.As(err, &no), "%v", err)
-		require.Equal(t, !fits, fault.Advice(err) != "")
+		require.Equal(t, !fits, advice.Advice(err) != "")
 	}
 }
 
--- a/fault/fault.go
+++ b/internal/advice/fault.go
@@ -1,6 +1,6 @@
-// Package fault is how a failure that an operator may see says what to do. Each package keeps error types of its own;
+// Package advice is how a failure that an operator may see says what to do. Each package keeps error types of its own;
 // one that gives advice is found here through whatever wraps it, so that the log, `check` and `serve` tell it alike.
-package fault
+package advice
 
 import (
 	"errors"
--- a/fault/fault_test.go
+++ b/internal/advice/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package advice
 
 import (
 	"errors"
--- a/storage/store/errors.go
+++ b/storage/store/errors.go
@@ -9,7 +9,7 @@
 
 	berrors "go.etcd.io/bbolt/errors"
 
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 // Busy is a store that another process holds.
@@ -157,7 +157,7 @@
 
 func typed(path string, err error) error {
 	switch {
-	case err == nil || fault.Is[fault.Advised](err):
+	case err == nil || advice.Is[advice.Advised](err):
 		return err
 	case is(err, syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG):
 		return &Full{path, err}
--- a/storage/store/errors_test.go
+++ b/storage/store/errors_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 	berrors "go.etcd.io/bbolt/errors"
 
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 // Each error type of the package has advice and stands in the page for those on call.
 func TestErrorTypesAreListed(t *testing.T) {
-	all := map[string]fault.Advised{}
-	for _, e := range []fault.Advised{&Busy{}, &Damaged{}, &Aside{Why: errAnew}, &Crowded{Why: errAnew}, &Rewound{}, &NotStore{}, &Newer{},
+	all := map[string]advice.Advised{}
+	for _, e := range []advice.Advised{&Busy{}, &Damaged{}, &Aside{Why: errAnew}, &Crowded{Why: errAnew}, &Rewound{}, &NotStore{}, &Newer{},
 		&Full{Err: errAnew}, &Bounded{}, &ReadOnly{Err: errAnew}, &Slow{Err: errAnew}, &Failed{Err: errAnew}} {
 		all[fmt.Sprintf("%T", e)[len("*store."):]] = e
 	}
--- a/storage/store/store.go
+++ b/storage/store/store.go
@@ -23,7 +23,7 @@
 	"github.com/gofrs/flock"
 	bolt "go.etcd.io/bbolt"
 
-	"chalkring/fault"
+	"chalkring/internal/advice"
 )
 
 const (
@@ -139,7 +139,7 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		err = s.make()
-	case fault.Is[*Damaged](err):
+	case advice.Is[*Damaged](err):
 		err = s.aside(err)
 	case err == nil && s.o.Anew:
 		err = s.aside(errAnew)
@@ -334,7 +334,7 @@
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.doubt = err; fault.Is[*Damaged](err) {
+		if s.doubt = err; advice.Is[*Damaged](err) {
 			s.broken = err // the library's locks may be held for good
 		}
 	}
@@ -360,7 +360,7 @@
 		err = s.openFile()
 	}
 	switch {
-	case fault.Is[*Damaged](err):
+	case advice.Is[*Damaged](err):
 		s.broken = err
 		return err
 	case err != nil:
