--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/crdt"
-	"chalkring/standin/memnet"
+	"chalkring/internal/testnet"
 )
 
 // updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
@@ -43,7 +43,7 @@
 }
 
 func startOnDisk(t *testing.T, life uint64, d *disk) *Book {
-	b := Start(context.Background(), Options{Name: "east-0", Life: life, Net: memnet.New(1).Join("east-0"), Seed: 1,
+	b := Start(context.Background(), Options{Name: "east-0", Life: life, Net: testnet.New(1).Join("east-0"), Seed: 1,
 		Every: 50 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
 		Disk:  func(context.Context) (Disk, error) { return &bucketDisk{d, t}, nil },
 		Peers: func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} }})
--- a/cluster/replication/share_test.go
+++ b/cluster/replication/share_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/crdt"
-	"chalkring/standin/memnet"
+	"chalkring/internal/testnet"
 )
 
 // disk is a store in memory that can be put back, and can fail.
@@ -63,12 +63,12 @@
 
 type fleet struct {
 	t     *testing.T
-	net   *memnet.Net
+	net   *testnet.Net
 	names []string
 	life  uint64
 	disks map[string]*disk
 	books map[string]*Book
-	nodes map[string]*memnet.Node
+	nodes map[string]*testnet.Node
 	log   *lines
 
 	opened chan struct{} // disks that are opened later
@@ -92,7 +92,7 @@
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t: t, net: memnet.New(1), names: names, disks: map[string]*disk{}, books: map[string]*Book{}, nodes: map[string]*memnet.Node{}, log: &lines{},
+	f := &fleet{t: t, net: testnet.New(1), names: names, disks: map[string]*disk{}, books: map[string]*Book{}, nodes: map[string]*testnet.Node{}, log: &lines{},
 		opened: make(chan struct{})}
 	close(f.opened)
 	for _, n := range names {
--- a/standin/memnet/memnet.go
+++ b/internal/testnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network between instances in one process, with links that are cut, slow, or lose messages by a seed.
-package memnet
+// Package testnet is a network between instances in one process, with links that are cut, slow, or lose messages by a seed.
+package testnet
 
 import (
 	"context"
