--- a/cmd/chalkring/rollout_test.go
+++ b/cmd/chalkring/rollout_test.go
@@ -11,12 +11,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/standin/rig"
+	"chalkring/internal/clustertest"
 )
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	rig.Clean()
+	clustertest.Clean()
 	os.Exit(code)
 }
 
@@ -25,25 +25,25 @@
 // rolling is three processes in three regions that take part in changes, under light load.
 type rolling struct {
 	t *testing.T
-	*rig.Rig
+	*clustertest.Rig
 	ctx     context.Context
-	answers chan []rig.Answer
+	answers chan []clustertest.Answer
 	stop    context.CancelFunc
 }
 
 func roll(t *testing.T, program string) *rolling {
 	ctx, cancel := context.WithTimeout(context.Background(), rollWithin)
 	t.Cleanup(cancel)
-	s := rig.Shape{Seed: 1, Program: program}
+	s := clustertest.Shape{Seed: 1, Program: program}
 	var listed []string
 	for i, region := range []string{"east", "north", "west"} {
-		s.Places = append(s.Places, rig.Place{Name: region, Region: region, Zone: region + "-1"})
+		s.Places = append(s.Places, clustertest.Place{Name: region, Region: region, Zone: region + "-1"})
 		listed = append(listed, region)
-		for cell := range rig.Blocks {
-			s.Hosts = append(s.Hosts, rig.Host{ID: fmt.Sprintf("h%d%d", i, cell), Zone: region + "-1", Cell: cell})
+		for cell := range clustertest.Blocks {
+			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprintf("h%d%d", i, cell), Zone: region + "-1", Cell: cell})
 		}
 	}
-	s.File = func(w rig.Wired) string {
+	s.File = func(w clustertest.Wired) string {
 		var join, via strings.Builder
 		for _, o := range w.Others {
 			fmt.Fprintf(&join, " %q,", o.Fleet)
@@ -52,14 +52,14 @@
 		return fmt.Sprintf("fleet: {name: %s, region: %s, zone: %s, listen: %q, join: [%s], via: {%s}, listed: [%s], store: fleet.db, "+
 			"rollout: rollout.yaml}\n", w.Name, w.Region, w.Zone, w.Fleet, join.String(), via.String(), strings.Join(listed, ", "))
 	}
-	r, err := rig.New(ctx, s)
+	r, err := clustertest.New(ctx, s)
 	for try := 1; err != nil && try < 3; try++ { // another process may have taken a port meanwhile
-		r, err = rig.New(ctx, s)
+		r, err = clustertest.New(ctx, s)
 	}
 	require.NoError(t, err)
 	t.Cleanup(func() { r.Close() })
 	load, stop := context.WithCancel(ctx)
-	one := &rolling{t, r, ctx, make(chan []rig.Answer, 1), stop}
+	one := &rolling{t, r, ctx, make(chan []clustertest.Answer, 1), stop}
 	go func() { one.answers <- r.Play(load, r.Asks(1, "q", 60, rollWithin, 5*time.Second, "acme")) }()
 	return one
 }
@@ -102,7 +102,7 @@
 // a machine that is busy clients are late by themselves.
 func (r *rolling) judge() {
 	r.stop()
-	v := r.Judge(<-r.answers, rig.Rules{})
+	v := r.Judge(<-r.answers, clustertest.Rules{})
 	for _, b := range v.Broken {
 		require.NotContains(r.t, []string{"refused", "true_answer", "known_part"}, b.Name, "%s\n%s", b.First, r.all())
 	}
@@ -119,9 +119,9 @@
 func builds(t *testing.T) (old, new string) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
-	old, err := rig.Program(ctx, "-ldflags=-X=main.release=1.4")
+	old, err := clustertest.Program(ctx, "-ldflags=-X=main.release=1.4")
 	require.NoError(t, err)
-	new, err = rig.Program(ctx, "-ldflags=-X=main.release=1.5")
+	new, err = clustertest.Program(ctx, "-ldflags=-X=main.release=1.5")
 	require.NoError(t, err)
 	return old, new
 }
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -16,9 +16,9 @@
 	"chalkring/balancer"
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
+	fleet "chalkring/internal/clustertest"
 	"chalkring/internal/scheduler"
 	"chalkring/standin"
-	fleet "chalkring/standin/rig"
 )
 
 func TestMain(m *testing.M) {
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	fleet "chalkring/internal/clustertest"
 	"chalkring/internal/http1"
 	"chalkring/standin"
-	fleet "chalkring/standin/rig"
 )
 
 // process starts a process of the program with two hosts a block.
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/advice"
+	fleet "chalkring/internal/clustertest"
 	"chalkring/internal/http1"
 	"chalkring/standin"
-	fleet "chalkring/standin/rig"
 )
 
 const endsWithin = 10 * time.Second // a process whose clients are gone; measured at under 2 s
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -20,9 +20,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/balancer"
+	fleet "chalkring/internal/clustertest"
 	"chalkring/internal/http1"
 	"chalkring/standin"
-	fleet "chalkring/standin/rig"
 )
 
 // agent is discovery whose calls fail as they are told to, one after another; those after them are answered well.
--- a/standin/rig/rig.go
+++ b/internal/clustertest/rig.go
@@ -1,11 +1,11 @@
-// Package rig runs several processes of the program on loopback and breaks what is between them. Each instance has its
+// Package clustertest runs several processes of the program on loopback and breaks what is between them. Each instance has its
 // plan, its installation file and a folder; hosts, discovery and clients are stand-ins in the rig's own process. Every
 // way from an instance to another, and where wanted to hosts and discovery, leads through a relay whose faults a
 // schedule sets, and an auditor judges by what hosts and clients saw. New starts it, Close ends it.
 //
 // On a relay a connect always stands: through a cut it hears nothing until the cut is over, to an instance that is gone
 // it is reset. Bytes that a cut holds back come through once it is over, as a kernel would send them again.
-package rig
+package clustertest
 
 import (
 	"cmp"
--- a/standin/rig/schedule.go
+++ b/internal/clustertest/schedule.go
@@ -1,4 +1,4 @@
-package rig
+package clustertest
 
 import (
 	"context"
--- a/lab/classes_test.go
+++ b/lab/classes_test.go
@@ -9,21 +9,21 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/internal/clustertest"
 	"chalkring/standin"
-	"chalkring/standin/rig"
 )
 
 // A type that is a twentieth of the searches counts as any other: in trouble its served share is not given up for that of
 // the rest, though it needs every block and they need three quarters.
 func TestATwentiethCounts(t *testing.T) {
-	defer rig.Clean()
+	defer clustertest.Clean()
 	for name, x := range map[string]struct {
 		rate  float64
 		spoil func(host int, r *rand.Rand) time.Duration // of a part; less than 0 never answers
 	}{
 		"more load than there is room for": {260, func(int, *rand.Rand) time.Duration { return 16 * time.Millisecond }},
 		"half of the hosts silent, too much for the rest": {120, func(host int, _ *rand.Rand) time.Duration {
-			if host < rig.Blocks {
+			if host < clustertest.Blocks {
 				return -1
 			}
 			return 16 * time.Millisecond
@@ -31,19 +31,19 @@
 	} {
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 		defer stop()
-		s := rig.Shape{Seed: 1, Places: []rig.Place{{Name: "n"}}}
-		for i := range 2 * rig.Blocks {
+		s := clustertest.Shape{Seed: 1, Places: []clustertest.Place{{Name: "n"}}}
+		for i := range 2 * clustertest.Blocks {
 			chance := rand.New(rand.NewSource(int64(i)))
 			work := make(chan struct{}, 1)
 			work <- struct{}{}
-			s.Hosts = append(s.Hosts, rig.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % rig.Blocks,
+			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % clustertest.Blocks,
 				Do: standin.Workers(ctx, 1, func() time.Duration {
 					<-work
 					defer func() { work <- struct{}{} }()
 					return x.spoil(i, chance)
 				})})
 		}
-		r, err := rig.New(ctx, s)
+		r, err := clustertest.New(ctx, s)
 		require.NoError(t, err)
 		defer r.Close()
 		asks := r.Asks(1, "k", x.rate, 6*time.Second, 2*time.Second, "acme")
@@ -53,7 +53,7 @@
 			}
 		}
 		answers := r.Play(ctx, asks)
-		require.Empty(t, r.Judge(answers, rig.Rules{}).Missed())
+		require.Empty(t, r.Judge(answers, clustertest.Rules{}).Missed())
 		all, good := map[string]float64{}, map[string]float64{}
 		for _, a := range answers {
 			if all[a.Type]++; a.Status == 200 && a.Took < time.Second {
--- a/lab/fleetrig_test.go
+++ b/lab/fleetrig_test.go
@@ -9,15 +9,15 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/standin/rig"
+	"chalkring/internal/clustertest"
 )
 
 // Real processes find each other through relays, tell a cut from a kill from a leave, and serve through all of it.
 func TestFleetOfProcesses(t *testing.T) {
-	defer rig.Clean()
+	defer clustertest.Clean()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	r, err := startRig(ctx, 1, 1, func(w rig.Wired) string {
+	r, err := startRig(ctx, 1, 1, func(w clustertest.Wired) string {
 		return fleetText(w, map[string]string{"store": w.Dir + "/fleet.db"})
 	}, nil)
 	require.NoError(t, err)
@@ -30,13 +30,13 @@
 	for _, name := range names {
 		logged(name, "event=fleet_majority majority=true", 1)
 	}
-	answers := make(chan []rig.Answer, 1)
+	answers := make(chan []clustertest.Answer, 1)
 	go func() { answers <- r.Play(ctx, r.Asks(1, "f", 20, 12*time.Second, 5*time.Second, "acme")) }()
 
 	cut := func(on bool) {
 		for _, other := range names[1:] {
-			r.Edit("east-0", other, func(f *rig.Fault) { f.Cut = on })
-			r.Edit(other, "east-0", func(f *rig.Fault) { f.Cut = on })
+			r.Edit("east-0", other, func(f *clustertest.Fault) { f.Cut = on })
+			r.Edit(other, "east-0", func(f *clustertest.Fault) { f.Cut = on })
 		}
 	}
 	cut(true)
@@ -58,7 +58,7 @@
 	for _, name := range names {
 		require.NotContains(t, r.Log(name), "fleet_name_twice", "a restart is no second claim")
 	}
-	v := r.Judge(<-answers, rig.Rules{})
+	v := r.Judge(<-answers, clustertest.Rules{})
 	require.Empty(t, v.Missed())
 	require.Greater(t, v.Good, v.Searches*9/10, fmt.Sprint(v))
 }
--- a/lab/ledger.go
+++ b/lab/ledger.go
@@ -21,7 +21,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/cluster/crdt"
-	"chalkring/standin/rig"
+	"chalkring/internal/clustertest"
 )
 
 const (
@@ -39,7 +39,7 @@
 )
 
 type sharers struct {
-	r     *rig.Rig
+	r     *clustertest.Rig
 	ctx   context.Context
 	names []string
 
@@ -183,7 +183,7 @@
 }
 
 func (s *sharers) cut(a, b string, cut bool) {
-	s.r.Edit(a, b, func(f *rig.Fault) { f.Cut = cut })
+	s.r.Edit(a, b, func(f *clustertest.Fault) { f.Cut = cut })
 }
 
 // Ledger measures what instances share on real processes in three regions: killed while they write, their links cut and slow,
@@ -204,10 +204,10 @@
 	if err := os.WriteFile(program, []byte(fmt.Sprintf("#!/bin/sh\nshift\nexec %q sharer \"$@\"\n", self)), 0o700); err != nil {
 		return Result{}, err
 	}
-	r, err := startRig(ctx, seed, ledgerEach, func(w rig.Wired) string {
+	r, err := startRig(ctx, seed, ledgerEach, func(w clustertest.Wired) string {
 		return fleetText(w, map[string]string{"store": ledgerStore})
-	}, func(shape *rig.Shape) {
-		shape.Program, shape.Hosts, shape.Relayed = program, shape.Hosts[:rig.Blocks], false
+	}, func(shape *clustertest.Shape) {
+		shape.Program, shape.Hosts, shape.Relayed = program, shape.Hosts[:clustertest.Blocks], false
 	})
 	if err != nil {
 		return Result{}, err
--- a/lab/recovery.go
+++ b/lab/recovery.go
@@ -16,8 +16,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"chalkring/internal/clustertest"
 	"chalkring/standin"
-	"chalkring/standin/rig"
 )
 
 const (
@@ -48,10 +48,10 @@
 func Recovery(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 57*time.Second)
 	defer stop()
-	defer rig.Clean()
+	defer clustertest.Clean()
 	chance := rand.New(rand.NewSource(seed))
 	var healed, gone atomic.Bool
-	shape := rig.Shape{Seed: seed, Relayed: true, File: func(w rig.Wired) string {
+	shape := clustertest.Shape{Seed: seed, Relayed: true, File: func(w clustertest.Wired) string {
 		if strings.HasPrefix(w.Name, "kept") {
 			return "store: kept.db\n"
 		}
@@ -59,16 +59,16 @@
 	}}
 	for i := range recoverEach {
 		for _, kind := range []string{"kept", "cold"} {
-			shape.Places = append(shape.Places, rig.Place{Name: fmt.Sprintf("%s-%d", kind, i), Region: "east", Zone: "east-1"})
+			shape.Places = append(shape.Places, clustertest.Place{Name: fmt.Sprintf("%s-%d", kind, i), Region: "east", Zone: "east-1"})
 		}
 	}
 	hung, left := map[string]bool{}, map[string]bool{}
-	for cell := range rig.Blocks {
+	for cell := range clustertest.Blocks {
 		for i := range recoverHosts {
 			id := fmt.Sprintf("h%d%d", cell, i)
 			hung[id] = i == 0 || i == 1 && cell%2 == 0
 			left[id] = i == 2 && cell%2 == 1
-			shape.Hosts = append(shape.Hosts, rig.Host{ID: id, Zone: "east-1", Cell: cell, Do: func(p standin.Part) {
+			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: id, Zone: "east-1", Cell: cell, Do: func(p standin.Part) {
 				if hung[id] && !healed.Load() || left[id] && gone.Load() {
 					return
 				}
@@ -76,7 +76,7 @@
 			}})
 		}
 	}
-	r, err := rig.New(ctx, shape)
+	r, err := clustertest.New(ctx, shape)
 	if err != nil {
 		return Result{}, err
 	}
@@ -90,8 +90,8 @@
 		})
 	})
 	lives, mu := map[string]*reborn{}, sync.Mutex{}
-	var all []rig.Answer
-	play := func(name, id string, length time.Duration) []rig.Answer {
+	var all []clustertest.Answer
+	play := func(name, id string, length time.Duration) []clustertest.Answer {
 		asks := r.Asks(seed, id+"-"+name, recoverRate, length, labPatience, "acme", "other")
 		for i := range asks {
 			asks[i].To = []string{name}
@@ -115,7 +115,7 @@
 				case <-time.After(kill):
 				case <-ctx.Done():
 				}
-				r.Edit(name, "list", func(f *rig.Fault) { f.Refuse = true })
+				r.Edit(name, "list", func(f *clustertest.Fault) { f.Refuse = true })
 				err := r.Kill(ctx, name)
 				warm.Wait()
 				return err
@@ -138,7 +138,7 @@
 				mu.Lock()
 				lives[phase+" "+kind].saw(ready, got)
 				mu.Unlock()
-				r.Edit(name, "list", func(f *rig.Fault) { f.Refuse = false })
+				r.Edit(name, "list", func(f *clustertest.Fault) { f.Refuse = false })
 				if phase == "healed" {
 					return nil
 				}
@@ -175,7 +175,7 @@
 			l.removed++
 		}
 	}
-	out.judged(r.Judge(all, rig.Rules{}))
+	out.judged(r.Judge(all, clustertest.Rules{}))
 	for _, phase := range phases {
 		kept, cold := lives[phase+" kept"], lives[phase+" cold"]
 		out.Fields[phase] = map[string]any{"kept": kept.fields(), "cold": cold.fields()}
@@ -186,7 +186,7 @@
 
 // spoil kills the instances with a store once more and spoils what they kept: bits at drawn places in one, the end cut off
 // at a drawn length in the other. They start and serve all the same; aside counts the stores that were put aside.
-func spoil(ctx context.Context, r *rig.Rig, chance *rand.Rand, play func(name, id string, length time.Duration) []rig.Answer) (aside int, err error) {
+func spoil(ctx context.Context, r *clustertest.Rig, chance *rand.Rand, play func(name, id string, length time.Duration) []clustertest.Answer) (aside int, err error) {
 	for i := range recoverEach {
 		name := fmt.Sprintf("kept-%d", i)
 		if err := r.Kill(ctx, name); err != nil {
@@ -219,7 +219,7 @@
 }
 
 // saw takes in one life's answers.
-func (l *reborn) saw(ready time.Duration, got []rig.Answer) {
+func (l *reborn) saw(ready time.Duration, got []clustertest.Answer) {
 	first := recoverLook
 	for _, a := range got {
 		if a.Finals != 1 {
--- a/lab/residency.go
+++ b/lab/residency.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"chalkring/internal/clustertest"
 	"chalkring/standin"
-	"chalkring/standin/rig"
 )
 
 const (
@@ -45,7 +45,7 @@
 func Residency(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
-	defer rig.Clean()
+	defer clustertest.Clean()
 	calm := watchStalls(ctx)
 	var with, without zonesRun
 	var g sync.WaitGroup
@@ -106,7 +106,7 @@
 
 // zonesRun is what came of one run.
 type zonesRun struct {
-	verdict                rig.Verdict
+	verdict                clustertest.Verdict
 	broken                 map[string]int
 	share                  map[string]float64 // served, by tenant
 	outside, caught        int
@@ -132,7 +132,7 @@
 func playZones(ctx context.Context, seed int64, bound bool) (run zonesRun, err error) {
 	chance := rand.New(rand.NewSource(seed))
 	zones := []string{"eu-1", "us-1", "ap-1", "sea-1"}
-	shape := rig.Shape{Seed: seed, Settings: rig.Settings(5, zones), Places: []rig.Place{{Name: "e1", Region: "eu", Zone: "eu-1"},
+	shape := clustertest.Shape{Seed: seed, Settings: clustertest.Settings(5, zones), Places: []clustertest.Place{{Name: "e1", Region: "eu", Zone: "eu-1"},
 		{Name: "e2", Region: "eu", Zone: "eu-1"}, {Name: "u1", Region: "us", Zone: "us-1"}, {Name: "u2", Region: "us", Zone: "us-1"},
 		{Name: "p1", Region: "ap", Zone: "ap-1"}}}
 	var tenants []any
@@ -141,12 +141,12 @@
 	}
 	shape.Settings["Tenants"] = tenants
 	for _, zone := range zones[:3] {
-		for cell := range rig.Blocks {
-			shape.Hosts = append(shape.Hosts, rig.Host{ID: fmt.Sprintf("%s-%d", zone, cell), Zone: zone, Cell: cell})
+		for cell := range clustertest.Blocks {
+			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: fmt.Sprintf("%s-%d", zone, cell), Zone: zone, Cell: cell})
 		}
 	}
-	shape.Hosts = append(shape.Hosts, rig.Host{ID: "sea-1-0", Zone: "sea-1", Cell: 0})
-	shape.File = func(w rig.Wired) string {
+	shape.Hosts = append(shape.Hosts, clustertest.Host{ID: "sea-1-0", Zone: "sea-1", Cell: 0})
+	shape.File = func(w clustertest.Wired) string {
 		more := map[string]string{"store": "kept.db"}
 		if bound {
 			more["residency"] = "contracts.yaml"
@@ -156,7 +156,7 @@
 		}
 		return fleetText(w, more)
 	}
-	r, err := rig.New(ctx, shape)
+	r, err := clustertest.New(ctx, shape)
 	if err != nil {
 		return run, err
 	}
@@ -176,9 +176,9 @@
 	minority := names[:1+chance.Intn(2)]
 	given, others := names[len(minority)], names[len(minority):]
 	killed := zonesTighten + time.Duration(chance.Int63n(int64(700*time.Millisecond)))
-	s := rig.Schedule{Seed: seed}
+	s := clustertest.Schedule{Seed: seed}
 	add := func(at time.Duration, verb string, args ...string) {
-		s.Events = append(s.Events, rig.Event{At: at.Round(time.Millisecond), Verb: verb, Args: args})
+		s.Events = append(s.Events, clustertest.Event{At: at.Round(time.Millisecond), Verb: verb, Args: args})
 	}
 	add(zonesCut+time.Duration(chance.Int63n(int64(zonesTighten-zonesCut))), "cut", strings.Join(minority, ",")+"<>"+strings.Join(others, ","))
 	add(zonesTighten, "do", "tighten", given)
@@ -221,7 +221,7 @@
 		},
 	}
 	asks := r.Asks(seed, "z", zonesRate, zonesFor, zonesPatience, "acme", "acme", "nomad", "lone", "other", "other")
-	answers := make(chan []rig.Answer, 1)
+	answers := make(chan []clustertest.Answer, 1)
 	go func() { answers <- r.Play(ctx, asks) }()
 	err = r.Run(ctx, s, actions)
 	got := <-answers
@@ -230,7 +230,7 @@
 	}
 	run.share = servedShares(got)
 	if !bound {
-		run.verdict = r.Judge(got, rig.Rules{})
+		run.verdict = r.Judge(got, clustertest.Rules{})
 		return run, nil
 	}
 	if run.agreed, err = firstLogged(r, names, "event=residency_agreed generation=2", tightened); err != nil {
@@ -262,7 +262,7 @@
 		}
 		return true
 	}
-	run.verdict = r.Judge(got, rig.Rules{Allowed: allowed})
+	run.verdict = r.Judge(got, clustertest.Rules{Allowed: allowed})
 	run.broken = map[string]int{}
 	for _, b := range run.verdict.Broken {
 		run.broken[b.Name] = b.Count
@@ -324,13 +324,13 @@
 }
 
 // servedAgain waits until an instance answers a tenant's search.
-func servedAgain(ctx context.Context, r *rig.Rig, name, tenant string) error {
+func servedAgain(ctx context.Context, r *clustertest.Rig, name, tenant string) error {
 	for n := 0; ; n++ {
 		s := standin.Search{ID: fmt.Sprintf("again-%s-%s-%d", tenant, name, n), Type: quickPicks, Tenant: tenant, Patience: zonesPatience}
-		for b := range rig.Blocks {
+		for b := range clustertest.Blocks {
 			s.Shards = append(s.Shards, b)
 		}
-		got := r.Play(ctx, []rig.Ask{{Search: s, To: []string{name}}})
+		got := r.Play(ctx, []clustertest.Ask{{Search: s, To: []string{name}}})
 		if len(got) == 1 && got[0].Status == http.StatusOK {
 			return nil
 		}
@@ -342,7 +342,7 @@
 }
 
 // servedShares are the shares of searches that were answered, by tenant.
-func servedShares(all []rig.Answer) map[string]float64 {
+func servedShares(all []clustertest.Answer) map[string]float64 {
 	good, n := map[string]float64{}, map[string]float64{}
 	for _, a := range all {
 		if n[a.Tenant]++; a.Status == http.StatusOK {
@@ -356,7 +356,7 @@
 }
 
 // firstLogged is how long after a time the first instance wrote a line.
-func firstLogged(r *rig.Rig, names []string, text string, since time.Time) (first time.Duration, err error) {
+func firstLogged(r *clustertest.Rig, names []string, text string, since time.Time) (first time.Duration, err error) {
 	for _, name := range names {
 		for line := range strings.Lines(r.Log(name)) {
 			if !strings.Contains(line, text) {
@@ -379,7 +379,7 @@
 }
 
 // metric reads one figure of an instance's /metrics.
-func metric(ctx context.Context, r *rig.Rig, instance, name string) (v float64, err error) {
+func metric(ctx context.Context, r *clustertest.Rig, instance, name string) (v float64, err error) {
 	_, text, err := r.Get(ctx, instance, "/metrics")
 	if err != nil {
 		return 0, err
--- a/lab/rigs.go
+++ b/lab/rigs.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"chalkring/standin/rig"
+	"chalkring/internal/clustertest"
 )
 
 // Regions of the measurements with real processes: each has a zone of its name with -1 behind it and hosts for all blocks.
@@ -15,24 +15,24 @@
 
 // startRig starts real processes, so many in each region, named as the region with a number, with a relay on every way; file
 // gives each one's installation, edit changes what else the rig is made of, both may be nil.
-func startRig(ctx context.Context, seed int64, each int, file func(w rig.Wired) string, edit func(s *rig.Shape)) (*rig.Rig, error) {
-	s := rig.Shape{Seed: seed, Relayed: true, File: file}
+func startRig(ctx context.Context, seed int64, each int, file func(w clustertest.Wired) string, edit func(s *clustertest.Shape)) (*clustertest.Rig, error) {
+	s := clustertest.Shape{Seed: seed, Relayed: true, File: file}
 	for n, region := range regions {
 		for i := range each {
-			s.Places = append(s.Places, rig.Place{Name: fmt.Sprintf("%s-%d", region, i), Region: region, Zone: region + "-1"})
+			s.Places = append(s.Places, clustertest.Place{Name: fmt.Sprintf("%s-%d", region, i), Region: region, Zone: region + "-1"})
 		}
-		for cell := range rig.Blocks {
-			s.Hosts = append(s.Hosts, rig.Host{ID: fmt.Sprintf("h%d%d", n, cell), Zone: region + "-1", Cell: cell})
+		for cell := range clustertest.Blocks {
+			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprintf("h%d%d", n, cell), Zone: region + "-1", Cell: cell})
 		}
 	}
 	if edit != nil {
 		edit(&s)
 	}
-	return rig.New(ctx, s)
+	return clustertest.New(ctx, s)
 }
 
 // sides are the instances of one region, and all others.
-func sides(r *rig.Rig, region string) (mine, others []string) {
+func sides(r *clustertest.Rig, region string) (mine, others []string) {
 	for _, name := range r.Names() {
 		if r.Wired(name).Region == region {
 			mine = append(mine, name)
@@ -44,12 +44,12 @@
 }
 
 // logged tells whether any instance has written a text.
-func logged(r *rig.Rig, text string) bool {
+func logged(r *clustertest.Rig, text string) bool {
 	return slices.ContainsFunc(r.Names(), func(name string) bool { return strings.Contains(r.Log(name), text) })
 }
 
 // fleetText is the section fleet of an installation file for an instance; more are further lines of it, by name.
-func fleetText(w rig.Wired, more map[string]string) string {
+func fleetText(w clustertest.Wired, more map[string]string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet:\n  name: %s\n  region: %s\n  zone: %s\n  listen: %s\n  join:\n", w.Name, w.Region, w.Zone, w.Fleet)
 	listed := []string{w.Name}
@@ -69,7 +69,7 @@
 }
 
 // judged puts a verdict into a result: its counts into the line, what is broken among what was missed.
-func (r *Result) judged(v rig.Verdict) {
+func (r *Result) judged(v clustertest.Verdict) {
 	if r.Fields == nil {
 		r.Fields = map[string]any{}
 	}
@@ -79,7 +79,7 @@
 }
 
 // worthOf is what a run's answers are worth to its clients, as a share of all being good and within the latency target.
-func worthOf(answers []rig.Answer) float64 {
+func worthOf(answers []clustertest.Answer) float64 {
 	sum := 0.0
 	for _, a := range answers {
 		sum += worth(a.Status, a.Took)
--- a/lab/rigs_test.go
+++ b/lab/rigs_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/standin/rig"
+	"chalkring/internal/clustertest"
 )
 
 // lastOf is the last line of a log that holds a text.
@@ -25,7 +25,7 @@
 }
 
 // astray names what an instance believes by its log, in its last life, of a fleet that is whole again and should not.
-func astray(r *rig.Rig, name string) string {
+func astray(r *clustertest.Rig, name string) string {
 	log := r.Life(name)
 	if at := lastOf(log, "event=fleet_majority"); at != "" && !strings.Contains(at, "majority=true") {
 		return fmt.Sprintf("%s: %s", name, at)
@@ -42,7 +42,7 @@
 // once all is healed each sees each. The text of the schedule stands in what fails, and plays the same faults again;
 // RIG_SEED names other seeds than the ones that are always played.
 func TestFleetUnderDrawnFaults(t *testing.T) {
-	defer rig.Clean()
+	defer clustertest.Clean()
 	seeds := []int64{3, 4}
 	if n, err := strconv.ParseInt(os.Getenv("RIG_SEED"), 10, 64); err == nil {
 		seeds = []int64{n}
@@ -50,20 +50,20 @@
 	for _, seed := range seeds {
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 		defer stop()
-		r, err := startRig(ctx, seed, 2, func(w rig.Wired) string { return fleetText(w, map[string]string{"store": "fleet.db"}) }, nil)
+		r, err := startRig(ctx, seed, 2, func(w clustertest.Wired) string { return fleetText(w, map[string]string{"store": "fleet.db"}) }, nil)
 		require.NoError(t, err)
 		defer r.Close()
 		far := []string{"list"}
 		for _, e := range r.List("east-0") {
 			far = append(far, e.ID)
 		}
-		s := rig.Draw(seed, r.Names(), far, 18, 5*time.Second, 2, "kill", "stop", "cut", "delay", "reset", "drop", "hang", "trickle", "refuse", "split", "split")
+		s := clustertest.Draw(seed, r.Names(), far, 18, 5*time.Second, 2, "kill", "stop", "cut", "delay", "reset", "drop", "hang", "trickle", "refuse", "split", "split")
 		ran := make(chan error, 1)
 		go func() { ran <- r.Run(ctx, s, nil) }()
 		answers := r.Play(ctx, r.Asks(seed, "q", 100, 5*time.Second, 3*time.Second, "acme", "other"))
 		require.NoError(t, <-ran, "%s", s)
 		var out Result
-		out.judged(r.Judge(answers, rig.Rules{}))
+		out.judged(r.Judge(answers, clustertest.Rules{}))
 		if len(out.Missed) > 0 {
 			for _, name := range r.Names() {
 				t.Logf("%s:\n%s", name, r.Life(name))
--- a/lab/rollout.go
+++ b/lab/rollout.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"chalkring/internal/clustertest"
 	"chalkring/standin"
-	"chalkring/standin/rig"
 )
 
 const (
@@ -33,16 +33,16 @@
 // same faults: one that changes nothing, and one that is given a change which costs most of its answers, and after it one
 // that does no harm, under a partition, a kill and a delay.
 func Rollout(ctx context.Context, seed int64) (out Result, err error) {
-	defer rig.Clean()
-	if _, err := rig.Program(ctx); err != nil { // a cold build is not the fleet's time
+	defer clustertest.Clean()
+	if _, err := clustertest.Program(ctx); err != nil { // a cold build is not the fleet's time
 		return out, err
 	}
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
-	file := func(w rig.Wired) string {
+	file := func(w clustertest.Wired) string {
 		return "log: {level: info}\n" + fleetText(w, map[string]string{"rollout": "rollout.yaml", "store": "fleet.db"})
 	}
-	busy := func(s *rig.Shape) {
+	busy := func(s *clustertest.Shape) {
 		s.Relayed = false // the faults are between instances
 		for i := range s.Hosts {
 			drawn := uniform(seed+int64(i), 0, time.Second)
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	var rigs [2]*rig.Rig
+	var rigs [2]*clustertest.Rig
 	for i := range rigs {
 		if rigs[i], err = startRig(ctx, seed, rolloutEach, file, busy); err != nil {
 			return out, err
@@ -63,7 +63,7 @@
 		defer rigs[i].Close()
 	}
 	r, names, chance := rigs[1], rigs[1].Names(), rand.New(rand.NewSource(seed))
-	var answers [2][]rig.Answer
+	var answers [2][]clustertest.Answer
 	var g sync.WaitGroup
 	for i := range rigs {
 		g.Go(func() {
@@ -104,14 +104,14 @@
 		return out, err
 	}
 	given := time.Since(began)
-	var faults rig.Schedule
+	var faults clustertest.Schedule
 	mine, others := sides(r, regions[chance.Intn(len(regions))])
 	at := 500 + chance.Intn(3000)
 	killed := others[chance.Intn(len(others))]
 	text := fmt.Sprintf("seed %d\nat 0s delay %s>* %dms 5ms\nat %dms cut %s<>%s\nat %dms heal\nat %dms kill %s\nat %dms start %s\n", seed,
 		others[chance.Intn(len(others))], 10+chance.Intn(30), at, strings.Join(mine, ","), strings.Join(others, ","), at+2500, at+3500, killed,
 		at+4000, killed)
-	if faults, err = rig.Parse(text); err != nil {
+	if faults, err = clustertest.Parse(text); err != nil {
 		return out, err
 	}
 	ran := make(chan error, 2)
@@ -126,7 +126,7 @@
 		}
 	}
 	g.Wait()
-	v := r.Judge(answers[1], rig.Rules{})
+	v := r.Judge(answers[1], clustertest.Rules{})
 	out.judged(v)
 	refused := 0
 	for _, b := range v.Broken {
--- a/lab/subscribers.go
+++ b/lab/subscribers.go
@@ -23,8 +23,8 @@
 	"chalkring/cluster/replication"
 	"chalkring/control/fanout"
 	"chalkring/control/subscribers"
+	"chalkring/internal/clustertest"
 	"chalkring/standin"
-	"chalkring/standin/rig"
 	"chalkring/storage/store"
 )
 
@@ -54,7 +54,7 @@
 
 // lists are the regions' files and what has to come of them.
 type lists struct {
-	r          *rig.Rig
+	r          *clustertest.Rig
 	generation int
 	files      map[string]map[string]listed // by region and id
 	off        map[string]bool
@@ -119,7 +119,7 @@
 func Subscribers(ctx context.Context, seed int64) (out Result, err error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
-	defer rig.Clean()
+	defer clustertest.Clean()
 	chance, got, news := rand.New(rand.NewSource(seed)), &receivers{}, atomic.Int64{}
 	l := &lists{generation: 1, files: map[string]map[string]listed{}, off: map[string]bool{}, url: map[string]string{}}
 	var long, watched, both []string
@@ -144,7 +144,7 @@
 			}
 		}
 	}
-	shape := func(s *rig.Shape) {
+	shape := func(s *clustertest.Shape) {
 		for i := range s.Hosts {
 			s.Hosts[i].Do = func(p standin.Part) {
 				time.AfterFunc(2*time.Millisecond, func() {
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	r, err := startRig(ctx, seed, listEach, func(w rig.Wired) string {
+	r, err := startRig(ctx, seed, listEach, func(w clustertest.Wired) string {
 		_ = l.write(w.Region, func(_, text string) error {
 			return os.WriteFile(filepath.Join(w.Dir, "list.jsonl"), []byte(text), 0o600)
 		}, w.Name)
@@ -190,7 +190,7 @@
 		return out, fmt.Errorf("no one list at the start: %+v", l.states())
 	}
 	phase("start")
-	var answers []rig.Answer
+	var answers []clustertest.Answer
 	var clients sync.WaitGroup
 	loading, loaded := context.WithCancel(ctx)
 	defer loaded()
@@ -230,7 +230,7 @@
 	cut := func(from, to string, is bool) {
 		for _, a := range of(from) {
 			for _, b := range of(to) {
-				r.Edit(a, b, func(f *rig.Fault) { f.Cut = is })
+				r.Edit(a, b, func(f *clustertest.Fault) { f.Cut = is })
 			}
 		}
 	}
@@ -368,7 +368,7 @@
 		"served_after_leaving": tally.gone, "not_served": tally.missing, "backward": tally.backward, "two_contents": tally.twice,
 		"doubled": tally.doubled, "doubled_bound": bound, "doubled_calm": tally.calm, "deliveries": tally.count,
 		"one_list_seconds": round(seconds), "one_view": served, "one_view_seconds": round(viewed), "sent_bytes": sent, "list_bytes": held * len(names), "phases": phases}
-	out.judged(r.Judge(answers, rig.Rules{}))
+	out.judged(r.Judge(answers, clustertest.Rules{}))
 	out.Fields["worth"] = round(worthOf(answers))
 	miss := func(broken bool, format string, v ...any) {
 		if broken {
@@ -505,7 +505,7 @@
 func (alone) Handle(byte, func(string, []byte))                {}
 
 // onDisks reads what each instance's store holds: entries that have to be subscribed and are not, and the other way.
-func onDisks(ctx context.Context, r *rig.Rig, want, off map[string]bool) (lost, back int, err error) {
+func onDisks(ctx context.Context, r *clustertest.Rig, want, off map[string]bool) (lost, back int, err error) {
 	for _, name := range r.Names() {
 		kept, err := store.Open(filepath.Join(r.Wired(name).Dir, "fleet.db"), store.Options{})
 		if err != nil {
