--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -27,7 +27,7 @@
 	"chalkring/coordinator"
 	"chalkring/internal/advice"
 	"chalkring/internal/clustertest"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const patience = 20 * time.Second // for what has to come; no verdict rests on anything coming sooner
@@ -77,7 +77,7 @@
 	disk  *disk
 	path  string
 	post  *httptest.Server
-	list  *standin.Discovery
+	list  *fake.Discovery
 	words atomic.Int64 // that hosts say
 	deaf  atomic.Bool  // the receiver takes deliveries and says that it has not
 
@@ -101,9 +101,9 @@
 		}
 	}))
 	t.Cleanup(s.post.Close)
-	var entries []standin.Entry
+	var entries []fake.Entry
 	for i := range 8 {
-		h, err := standin.NewHost(fmt.Sprint("h", i), i, false, func(p standin.Part) {
+		h, err := fake.NewHost(fmt.Sprint("h", i), i, false, func(p fake.Part) {
 			word := s.words.Load()
 			if p.Shard > 0 {
 				word = 0 // one block changes
@@ -112,10 +112,10 @@
 		})
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
-		entries = append(entries, standin.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+		entries = append(entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 	}
 	var err error
-	s.list, err = standin.NewDiscovery(entries)
+	s.list, err = fake.NewDiscovery(entries)
 	require.NoError(t, err)
 	t.Cleanup(s.list.Close)
 	return s
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
+	"chalkring/internal/fake"
 	"chalkring/internal/http1"
-	"chalkring/standin"
 )
 
 // leavings are the ways in which a client's connection ends.
@@ -331,7 +331,7 @@
 		require.NoError(t, err)
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(patience))
-		_, err = conn.Write([]byte(standin.Search{ID: fmt.Sprint("c", i), Type: "full-match", Shards: []int{0, 1, 2, 3},
+		_, err = conn.Write([]byte(fake.Search{ID: fmt.Sprint("c", i), Type: "full-match", Shards: []int{0, 1, 2, 3},
 			Patience: 2 * time.Second, Tenant: "acme"}.Text()))
 		require.NoError(t, err)
 		conns = append(conns, conn)
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 // crossing is a connection on a TCP socket that stops at named moments for as long as what stands there takes; nil passes.
@@ -336,7 +336,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var armed atomic.Bool
-			hosts := map[string]*standin.Host{} // by address
+			hosts := map[string]*fake.Host{} // by address
 			var mu sync.Mutex
 			r := crossed(t, 256, func(settings map[string]any) {
 				placed(settings, "Classes", 1)["Effect"] = "fragile"
--- a/coordinator/effects_test.go
+++ b/coordinator/effects_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const remembers = 400 * time.Millisecond // how long a host drops a repeat
@@ -22,12 +22,12 @@
 	mu                sync.Mutex
 	chance            *rand.Rand
 	effects           map[string]int
-	memory            map[*standin.Host]map[string]time.Time
+	memory            map[*fake.Host]map[string]time.Time
 	ended             map[net.Conn]bool // of a host's earlier life
 	repeats, restarts int
 }
 
-func (d *doers) restart(h *standin.Host) {
+func (d *doers) restart(h *fake.Host) {
 	for _, conn := range h.Drop() {
 		d.ended[conn] = true
 	}
@@ -36,7 +36,7 @@
 }
 
 // take is what a host does with a part.
-func (d *doers) take(h *standin.Host, p asked) {
+func (d *doers) take(h *fake.Host, p asked) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	draw := d.chance.Intn(10_000)
@@ -93,7 +93,7 @@
 		may["SecondCopies"], may["MaxAttempts"], may["DialTimeout"] = false, 4, 250.0
 	})
 	d := &doers{chance: rand.New(rand.NewSource(32)), effects: map[string]int{}, ended: map[net.Conn]bool{},
-		memory: map[*standin.Host]map[string]time.Time{}}
+		memory: map[*fake.Host]map[string]time.Time{}}
 	for _, h := range r.replicas {
 		d.memory[h] = map[string]time.Time{}
 	}
--- a/coordinator/ends_test.go
+++ b/coordinator/ends_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 // Each search's end is told once, with its class and its sub-requests, also where its client leaves.
@@ -18,7 +18,7 @@
 	require.Equal(t, [3]int{1, Answered, 4}, [3]int{e.Type, e.Kind, e.Subs})
 	require.Positive(t, e.Took)
 	for _, h := range r.replicas {
-		h.Set(func(standin.Part) {})
+		h.Set(func(fake.Part) {})
 	}
 	c := r.call().send(request("s2", "all", "", fourParts))
 	r.eventually("parts of the second search", func() bool { return r.parts() >= 8 })
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -19,8 +19,8 @@
 
 	"chalkring/cluster/peerreport"
 	"chalkring/endpoints"
+	"chalkring/internal/fake"
 	"chalkring/internal/scheduler"
-	"chalkring/standin"
 	"chalkring/storage/recovery"
 	"chalkring/storage/store"
 )
@@ -94,7 +94,7 @@
 	r.logged("event=store ")
 	r.list.Answers <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
 	r.eventually("b1 is off", func() bool { return r.inForce() == "a0 a1 b0 " })
-	r.replicas["a0"].Set(func(standin.Part) {}) // hangs
+	r.replicas["a0"].Set(func(fake.Part) {}) // hangs
 	r.asks("a0", 12)
 	require.True(t, r.heard("a0"))
 	r.end()
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -22,8 +22,8 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/endpoints"
+	"chalkring/internal/fake"
 	"chalkring/internal/http1"
-	"chalkring/standin"
 )
 
 // places is a network within a test's own time: who listens at a name is dialed there, anyone else refuses.
@@ -54,7 +54,7 @@
 type lists struct {
 	mu       sync.Mutex
 	version  int
-	entries  []standin.Entry
+	entries  []fake.Entry
 	changed  chan struct{}
 	done     chan struct{}
 	faults   []string
@@ -78,12 +78,12 @@
 }
 
 // hosts is a list whose first host is at an address.
-func hosts(addr string) []standin.Entry {
-	return []standin.Entry{{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
+func hosts(addr string) []fake.Entry {
+	return []fake.Entry{{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
 		{ID: "b0", Addr: "10.0.0.9:1", Zone: "z one", Kind: "small", Cell: 1, State: "up"}}
 }
 
-func (d *lists) tell(version int, entries []standin.Entry) {
+func (d *lists) tell(version int, entries []fake.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version, d.entries = version, entries
@@ -160,9 +160,9 @@
 		case "older":
 			text = fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, index-1)
 		case "same":
-			text = standin.ListText(index, nil)
+			text = fake.ListText(index, nil)
 		case "half", "trickle":
-			out := http1.AppendResponse(nil, 200, "", []byte(standin.ListText(index+1, hosts("10.0.0.7:1"))), true)
+			out := http1.AppendResponse(nil, 200, "", []byte(fake.ListText(index+1, hosts("10.0.0.7:1"))), true)
 			for _, b := range out[:len(out)/2] {
 				if _, err := conn.Write([]byte{b}); err != nil {
 					return
@@ -177,7 +177,7 @@
 		limit := time.After(time.Duration(wait) * time.Millisecond)
 		for text == "" {
 			d.mu.Lock()
-			version, changed, list := d.version, d.changed, standin.ListText(d.version, d.entries)
+			version, changed, list := d.version, d.changed, fake.ListText(d.version, d.entries)
 			d.mu.Unlock()
 			if whole || version > index {
 				text = list
@@ -251,7 +251,7 @@
 	text, _ := json.Marshal(settings)
 	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, seed,
-		standin.ListText(1, hosts("10.0.0.1:1")), text))
+		fake.ListText(1, hosts("10.0.0.1:1")), text))
 	require.NoError(t, err)
 	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *Plan), plan: p}
 	way := &places{up: map[string]func(net.Conn){}}
@@ -418,7 +418,7 @@
 		lost    bool     // the watch is, as they do
 		faults  []string // after that
 		version int      // that discovery has from then on
-		hosts   []standin.Entry
+		hosts   []fake.Entry
 		later   time.Duration // after which it knows hosts again
 		limit   time.Duration // beside the wait of a call
 	}{
@@ -659,7 +659,7 @@
 			t.Run(fmt.Sprint(name, " ", together), func(t *testing.T) {
 				r := start(t, 256, nil)
 				<-r.list.Calls
-				next, err := standin.NewHost("b1", 1, true, asked.Good)
+				next, err := fake.NewHost("b1", 1, true, asked.Good)
 				require.NoError(t, err)
 				t.Cleanup(next.Close)
 				version := 7
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -17,8 +17,8 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	fleet "chalkring/internal/clustertest"
+	"chalkring/internal/fake"
 	"chalkring/internal/scheduler"
-	"chalkring/standin"
 )
 
 func TestMain(m *testing.M) {
@@ -177,7 +177,7 @@
 		return n
 	}
 	require.Equal(t, 1, heard())
-	other, err := standin.NewHost("a0", 0, true, asked.Good)
+	other, err := fake.NewHost("a0", 0, true, asked.Good)
 	require.NoError(t, err)
 	t.Cleanup(other.Close)
 	r.list.Answers <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 
 	fleet "chalkring/internal/clustertest"
+	"chalkring/internal/fake"
 	"chalkring/internal/http1"
-	"chalkring/standin"
 )
 
 // process starts a process of the program with two hosts a block.
@@ -40,7 +40,7 @@
 func TestConnectionsThatStayOpenAtTheEnd(t *testing.T) {
 	r := process(t, nil)
 	text := func(id string) string {
-		return standin.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Text()
+		return fake.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Text()
 	}
 	var mu sync.Mutex
 	answers, fates := map[int]int{}, []string(nil)
@@ -156,7 +156,7 @@
 		return conn
 	}
 	text := func(id string) string {
-		return standin.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 8 * time.Second, Tenant: "acme"}.Text()
+		return fake.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 8 * time.Second, Tenant: "acme"}.Text()
 	}
 	send := func(conn net.Conn, text string) {
 		_, err := conn.Write([]byte(text))
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -19,8 +19,8 @@
 
 	"chalkring/internal/advice"
 	fleet "chalkring/internal/clustertest"
+	"chalkring/internal/fake"
 	"chalkring/internal/http1"
-	"chalkring/standin"
 )
 
 const endsWithin = 10 * time.Second // a process whose clients are gone; measured at under 2 s
@@ -28,7 +28,7 @@
 // life is one process of the program over four hosts on loopback, with a plan in a file.
 type life struct {
 	t     *testing.T
-	hosts []*standin.Host
+	hosts []*fake.Host
 	plan  map[string]any
 	file  string
 	addr  string
@@ -40,15 +40,15 @@
 // newLife prepares a process and does not start it.
 func newLife(t *testing.T) *life {
 	l := &life{t: t, file: filepath.Join(t.TempDir(), "plan.json")}
-	var entries []standin.Entry
+	var entries []fake.Entry
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
-		h, err := standin.NewHost(id, int(id[0]-'a'), true, asked.Good)
+		h, err := fake.NewHost(id, int(id[0]-'a'), true, asked.Good)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		l.hosts = append(l.hosts, h)
-		entries = append(entries, standin.Entry{ID: id, Addr: h.Ln.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, State: "up"})
+		entries = append(entries, fake.Entry{ID: id, Addr: h.Ln.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, State: "up"})
 	}
-	d, err := standin.NewDiscovery(entries)
+	d, err := fake.NewDiscovery(entries)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	free := listen(t)
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/internal/fake"
 	"chalkring/internal/http1"
-	"chalkring/standin"
 )
 
 // patience is how long a test waits for what has to come; no verdict rests on anything coming sooner.
@@ -35,7 +35,7 @@
 "SecondCopies":true,"Cancelling":true,"RetryAfter":true,"MaxRetryAfter":500.0},
 "Safety":{"Cold":1000.0,"ColdFrom":0.3,"FallMultiple":3.0,"Fall":2000.0,"DrainGrace":250.0,"AskWithin":500.0}}`
 
-type asked = standin.Part
+type asked = fake.Part
 
 // writes collects what is written to a connection.
 type writes struct {
@@ -58,8 +58,8 @@
 // rig is one co-ordinator with stand-ins around it.
 type rig struct {
 	t        *testing.T
-	replicas map[string]*standin.Host
-	list     *standin.Script
+	replicas map[string]*fake.Host
+	list     *fake.Script
 	plans    chan *Plan
 	plan     *Plan
 	addr     string
@@ -107,8 +107,8 @@
 	r.eventually("log line "+text, func() bool { return strings.Contains(r.log.String(), text) })
 }
 
-func script(t *testing.T) *standin.Script {
-	d, err := standin.NewScript()
+func script(t *testing.T) *fake.Script {
+	d, err := fake.NewScript()
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	return d
@@ -124,7 +124,7 @@
 // entry is a replica's line in discovery's form.
 func (r *rig) entry(id, state string) string {
 	s := r.replicas[id]
-	return standin.Entry{ID: id, Addr: s.Ln.Addr().String(), Zone: cmp.Or(r.zones[id], "z one"), Kind: "small", Cell: s.Cell, State: state}.Text()
+	return fake.Entry{ID: id, Addr: s.Ln.Addr().String(), Zone: cmp.Or(r.zones[id], "z one"), Kind: "small", Cell: s.Cell, State: state}.Text()
 }
 
 // start sets up replicas a0 and a1 of cell 0, b0 and b1 of cell 1, and serves. edit changes the settings.
@@ -152,11 +152,11 @@
 
 func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), over, next map[string]string,
 	more func(m *Means)) *rig {
-	r := &rig{t: t, replicas: map[string]*standin.Host{}, log: &journal{}, ended: make(chan error, 1),
+	r := &rig{t: t, replicas: map[string]*fake.Host{}, log: &journal{}, ended: make(chan error, 1),
 		list: script(t), plans: make(chan *Plan), zones: zones}
 	var known []string
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
-		s, err := standin.NewHost(id, int(id[0]-'a'), true, asked.Good)
+		s, err := fake.NewHost(id, int(id[0]-'a'), true, asked.Good)
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
 		r.replicas[id] = s
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -21,8 +21,8 @@
 
 	"chalkring/balancer"
 	fleet "chalkring/internal/clustertest"
+	"chalkring/internal/fake"
 	"chalkring/internal/http1"
-	"chalkring/standin"
 )
 
 // agent is discovery whose calls fail as they are told to, one after another; those after them are answered well.
@@ -32,7 +32,7 @@
 
 	mu      sync.Mutex
 	version int
-	entries []standin.Entry
+	entries []fake.Entry
 	changed chan struct{}
 	faults  []string
 }
@@ -95,7 +95,7 @@
 		text := ""
 		for text == "" {
 			a.mu.Lock()
-			version, changed, list := a.version, a.changed, standin.ListText(a.version, a.entries)
+			version, changed, list := a.version, a.changed, fake.ListText(a.version, a.entries)
 			a.mu.Unlock()
 			if version > index && fault != "late" {
 				text = list
@@ -131,7 +131,7 @@
 }
 
 // tell changes the list.
-func (a *agent) tell(entries []standin.Entry) time.Time {
+func (a *agent) tell(entries []fake.Entry) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version, a.entries = a.version+1, entries
--- a/internal/clustertest/audit.go
+++ b/internal/clustertest/audit.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -57,7 +57,7 @@
 	parts []Took
 }
 
-func (a *Audit) moved(entries []standin.Entry) {
+func (a *Audit) moved(entries []fake.Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.zones = map[string]string{}
@@ -66,7 +66,7 @@
 	}
 }
 
-func (a *Audit) took(host string, p standin.Part) {
+func (a *Audit) took(host string, p fake.Part) {
 	id, second := strings.CutSuffix(p.ID, ".r")
 	if dot := strings.LastIndexByte(id, '.'); dot >= 0 {
 		id = id[:dot]
--- a/internal/clustertest/clients.go
+++ b/internal/clustertest/clients.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
+	"chalkring/internal/fake"
 	"chalkring/internal/http1"
-	"chalkring/standin"
 )
 
 const extraWait = 2 * time.Millisecond // for a second answer that is there already when a connection is put away
@@ -19,7 +19,7 @@
 // Ask is a search of a client's schedule with the instances that it goes to: the first, and where no answer comes of
 // that, the next.
 type Ask struct {
-	standin.Search
+	fake.Search
 	To []string
 }
 
@@ -37,7 +37,7 @@
 			return all
 		}
 		id, first := fmt.Sprintf("%s-%d", name, len(all)), chance.Intn(len(names))
-		a := Ask{Search: standin.Search{At: at, ID: id, Query: id, Type: "quick-picks", Shards: shards, Patience: patience}}
+		a := Ask{Search: fake.Search{At: at, ID: id, Query: id, Type: "quick-picks", Shards: shards, Patience: patience}}
 		if chance.Intn(3) == 0 {
 			a.Type = "full-match"
 		}
@@ -136,7 +136,7 @@
 
 // ask sends a search to one instance; done where nothing more is to be tried. A kept connection that the other side has
 // closed before any byte of the answer is followed by another one at the same instance: clients cannot know of the close.
-func (p *pool) ask(s standin.Search, t *Try, out *Answer) (done bool) {
+func (p *pool) ask(s fake.Search, t *Try, out *Answer) (done bool) {
 	until := time.Now().Add(s.Patience + giveUp)
 	for {
 		c, err := p.take(time.Until(until))
--- a/internal/clustertest/rig.go
+++ b/internal/clustertest/rig.go
@@ -25,7 +25,7 @@
 	"syscall"
 	"time"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 // Place is one instance.
@@ -38,7 +38,7 @@
 type Host struct {
 	ID, Zone string
 	Cell     int
-	Do       func(p standin.Part)
+	Do       func(p fake.Part)
 }
 
 // Shape is what a rig is made of.
@@ -82,10 +82,10 @@
 type instance struct {
 	wired Wired
 	out   *output
-	list  *standin.Discovery
-	zoned []standin.Entry // the list as it reaches its hosts
-	run   *process        // its last life
-	spell *down           // since it was ended or stopped
+	list  *fake.Discovery
+	zoned []fake.Entry // the list as it reaches its hosts
+	run   *process     // its last life
+	spell *down        // since it was ended or stopped
 }
 
 // down is a time in which an instance was not there to answer.
@@ -103,7 +103,7 @@
 	shape Shape
 	net   *network
 	dir   string
-	hosts []*standin.Host
+	hosts []*fake.Host
 
 	lag atomic.Int64 // nanoseconds by which this process was held up at the most
 
@@ -159,13 +159,13 @@
 
 func (r *Rig) wire() error {
 	zones := map[string]bool{}
-	var entries []standin.Entry
+	var entries []fake.Entry
 	for _, h := range r.shape.Hosts {
 		do := h.Do
 		if do == nil {
-			do = func(p standin.Part) { time.AfterFunc(2*time.Millisecond, p.Good) }
+			do = func(p fake.Part) { time.AfterFunc(2*time.Millisecond, p.Good) }
 		}
-		host, err := standin.NewHost(h.ID, h.Cell, false, func(p standin.Part) {
+		host, err := fake.NewHost(h.ID, h.Cell, false, func(p fake.Part) {
 			r.Audit.took(h.ID, p)
 			do(p)
 		})
@@ -174,7 +174,7 @@
 		}
 		r.hosts = append(r.hosts, host)
 		zones[h.Zone] = true
-		entries = append(entries, standin.Entry{ID: h.ID, Addr: host.Ln.Addr().String(), Zone: h.Zone, Kind: "std",
+		entries = append(entries, fake.Entry{ID: h.ID, Addr: host.Ln.Addr().String(), Zone: h.Zone, Kind: "std",
 			State: "up", Cell: h.Cell})
 	}
 	r.Audit.moved(entries)
@@ -205,7 +205,7 @@
 			}
 		}
 		var err error
-		if i.list, err = standin.NewDiscovery(i.zoned); err != nil {
+		if i.list, err = fake.NewDiscovery(i.zoned); err != nil {
 			return err
 		}
 		for name, addr := range r.shape.Outside {
@@ -561,14 +561,14 @@
 }
 
 // List is what discovery tells an instance.
-func (r *Rig) List(name string) []standin.Entry {
+func (r *Rig) List(name string) []fake.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.all[name].zoned)
 }
 
 // Tell has discovery tell a list that edit makes of the one there is; addresses are left alone.
-func (r *Rig) Tell(edit func(e *standin.Entry)) {
+func (r *Rig) Tell(edit func(e *fake.Entry)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k, p := range r.shape.Places {
--- a/internal/clustertest/rig_test.go
+++ b/internal/clustertest/rig_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const patience = 20 * time.Second // for what has to come; no verdict rests on anything coming sooner
@@ -208,7 +208,7 @@
 	ran := make(chan error, 1)
 	go func() {
 		ran <- r.Run(ctx, s, map[string]func([]string) error{"move": func([]string) error {
-			r.Tell(func(e *standin.Entry) {
+			r.Tell(func(e *fake.Entry) {
 				if e.ID == "ha" {
 					e.State = "draining"
 				}
@@ -234,17 +234,17 @@
 // The auditor finds what is wrong.
 func TestAuditFindsWhatIsWrong(t *testing.T) {
 	r := &Rig{}
-	r.Audit.moved([]standin.Entry{{ID: "h", Zone: "z1"}})
+	r.Audit.moved([]fake.Entry{{ID: "h", Zone: "z1"}})
 	now := time.Now()
 	ask := func(id string) Ask {
-		return Ask{Search: standin.Search{ID: id, Query: id, Type: "k", Shards: []int{0, 1}, Tenant: "acme", Patience: time.Second}}
+		return Ask{Search: fake.Search{ID: id, Query: id, Type: "k", Shards: []int{0, 1}, Tenant: "acme", Patience: time.Second}}
 	}
 	for _, id := range []string{"a.0", "a.0", "a~1.1", "a.7", "a.0.r"} {
 		shard := int(id[len(id)-1] - '0')
 		if id == "a.0.r" {
 			shard = 0
 		}
-		r.Audit.took("h", standin.Part{ID: id, Shard: shard})
+		r.Audit.took("h", fake.Part{ID: id, Shard: shard})
 	}
 	good := `{"answers":[{"range":0,"blob":"a@0"},{"range":1,"blob":"a@1!"}]}`
 	answers := []Answer{
--- a/standin/host.go
+++ b/internal/fake/host.go
@@ -1,6 +1,6 @@
-// Package standin plays the outside of a co-ordinator on loopback sockets: hosts that take parts, discovery, and
+// Package fake plays the outside of a co-ordinator on loopback sockets: hosts that take parts, discovery, and
 // clients, each with the failures it is told to have. Tests and the lab use it; the program never does.
-package standin
+package fake
 
 import (
 	"bufio"
--- a/standin/searchhost.go
+++ b/internal/fake/searchhost.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"io"
--- a/lab/classes_test.go
+++ b/lab/classes_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/clustertest"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 // A type that is a twentieth of the searches counts as any other: in trouble its served share is not given up for that of
@@ -37,7 +37,7 @@
 			work := make(chan struct{}, 1)
 			work <- struct{}{}
 			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % clustertest.Blocks,
-				Do: standin.Workers(ctx, 1, func() time.Duration {
+				Do: fake.Workers(ctx, 1, func() time.Duration {
 					<-work
 					defer func() { work <- struct{}{} }()
 					return x.spoil(i, chance)
--- a/lab/clients.go
+++ b/lab/clients.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -63,7 +63,7 @@
 	for c := range n {
 		g.Go(func() {
 			chance := rand.New(rand.NewSource(seed + int64(c)))
-			s := standin.Search{Patience: 5 * time.Second}
+			s := fake.Search{Patience: 5 * time.Second}
 			for b := range sets {
 				s.Shards = append(s.Shards, b)
 			}
--- a/lab/cost.go
+++ b/lab/cost.go
@@ -24,9 +24,9 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
+	"chalkring/internal/fake"
 	"chalkring/internal/scheduler"
 	"chalkring/opensearch/frontend"
-	"chalkring/standin"
 )
 
 const (
@@ -252,9 +252,9 @@
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	value := strings.Repeat("v", valueBytes)
-	f, err := newFleet(16, func(i int) func(p standin.Part) {
+	f, err := newFleet(16, func(i int) func(p fake.Part) {
 		wait := uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond)
-		return func(p standin.Part) {
+		return func(p fake.Part) {
 			time.AfterFunc(wait(), func() { p.Reply("good", "1", value) })
 		}
 	})
@@ -266,9 +266,9 @@
 	if err != nil {
 		return Result{}, err
 	}
-	most, ended := 0.0, make(chan []standin.Result)
-	go func() { ended <- standin.Load(ctx, p.addr, schedule(seed, "m", memoryRate, memoryFor, memoryWait)) }()
-	var got []standin.Result
+	most, ended := 0.0, make(chan []fake.Result)
+	go func() { ended <- fake.Load(ctx, p.addr, schedule(seed, "m", memoryRate, memoryFor, memoryWait)) }()
+	var got []fake.Result
 	for got == nil {
 		select {
 		case got = <-ended:
@@ -324,7 +324,7 @@
 			})
 		}
 		before := p.cpu()
-		got := standin.Load(ctx, p.addr, schedule(seed+int64(i), fmt.Sprintf("c%d-%t", i, asking), costRate, costFor, labPatience))
+		got := fake.Load(ctx, p.addr, schedule(seed+int64(i), fmt.Sprintf("c%d-%t", i, asking), costRate, costFor, labPatience))
 		cpu = p.cpu() - before
 		enough()
 		g.Wait()
--- a/lab/counts.go
+++ b/lab/counts.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -54,8 +54,8 @@
 		if size == "large" {
 			value = strings.Repeat("v", countLarge)
 		}
-		f, err := newFleet(16, func(int) func(p standin.Part) {
-			return func(p standin.Part) {
+		f, err := newFleet(16, func(int) func(p fake.Part) {
+			return func(p fake.Part) {
 				answer := func() { p.Reply("good", "1", value) }
 				if p.Shard < sets*3/4 || !strings.HasPrefix(p.ID, quickPicks) {
 					answer()
@@ -99,7 +99,7 @@
 	}
 	defer conn.Close()
 	src := bufio.NewReader(conn)
-	s := standin.Search{Type: qtype, Patience: 5 * time.Second}
+	s := fake.Search{Type: qtype, Patience: 5 * time.Second}
 	for b := range sets {
 		s.Shards = append(s.Shards, b)
 	}
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -1,4 +1,4 @@
-// Package lab measures what the project claims, on loopback sockets with the stand-ins of package standin. Each
+// Package lab measures what the project claims, on loopback sockets with the stand-ins of package fake. Each
 // measurement is a function of a seed that ends by itself within a minute; Measures names them.
 package lab
 
@@ -16,7 +16,7 @@
 	"time"
 
 	"chalkring/coordinator"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 // Result is what a measurement found: the fields of its line, and each aim that was missed.
@@ -75,35 +75,35 @@
 
 // fleet is a set of stand-in hosts with discovery.
 type fleet struct {
-	hosts   []*standin.Host
-	search  []*standin.SearchHost
-	entries []standin.Entry
-	list    *standin.Discovery
+	hosts   []*fake.Host
+	search  []*fake.SearchHost
+	entries []fake.Entry
+	list    *fake.Discovery
 }
 
 // newFleet starts hosts, two a set and more where there are more; kind gives what the i-th does with its parts.
-func newFleet(n int, kind func(i int) func(p standin.Part)) (*fleet, error) {
+func newFleet(n int, kind func(i int) func(p fake.Part)) (*fleet, error) {
 	f := &fleet{}
 	for i := range n {
-		h, err := standin.NewHost(fmt.Sprintf("h-%02d", i), i%sets, false, kind(i))
+		h, err := fake.NewHost(fmt.Sprintf("h-%02d", i), i%sets, false, kind(i))
 		if err != nil {
 			f.close()
 			return nil, err
 		}
 		f.hosts = append(f.hosts, h)
-		f.entries = append(f.entries, standin.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std",
+		f.entries = append(f.entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std",
 			State: "up", Cell: h.Cell})
 	}
 	var err error
-	f.list, err = standin.NewDiscovery(f.entries)
+	f.list, err = fake.NewDiscovery(f.entries)
 	return f, err
 }
 
 // soundFleet starts hosts that answer all in 2 to 4 ms.
 func soundFleet(n int, seed int64) (*fleet, error) {
-	return newFleet(n, func(i int) func(p standin.Part) {
+	return newFleet(n, func(i int) func(p fake.Part) {
 		wait := uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond)
-		return func(p standin.Part) { time.AfterFunc(wait(), p.Good) }
+		return func(p fake.Part) { time.AfterFunc(wait(), p.Good) }
 	})
 }
 
@@ -169,9 +169,9 @@
 }
 
 // schedule draws searches at a rate for so long: two thirds quick-picks, one third full-match, over all shards.
-func schedule(seed int64, name string, rate float64, length, patience time.Duration) []standin.Search {
+func schedule(seed int64, name string, rate float64, length, patience time.Duration) []fake.Search {
 	chance := rand.New(rand.NewSource(seed))
-	var all []standin.Search
+	var all []fake.Search
 	shards := make([]int, sets)
 	for i := range shards {
 		shards[i] = i
@@ -181,7 +181,7 @@
 		if at >= length {
 			return all
 		}
-		s := standin.Search{At: at, ID: fmt.Sprintf("%s-%d", name, len(all)), Type: quickPicks, Shards: shards,
+		s := fake.Search{At: at, ID: fmt.Sprintf("%s-%d", name, len(all)), Type: quickPicks, Shards: shards,
 			Patience: patience}
 		if chance.Intn(3) == 0 {
 			s.Type = fullMatch
--- a/lab/learning.go
+++ b/lab/learning.go
@@ -14,8 +14,8 @@
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
+	"chalkring/internal/fake"
 	"chalkring/internal/scheduler"
-	"chalkring/standin"
 )
 
 const (
@@ -48,18 +48,18 @@
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	cold := &tally{n: map[string]int{}}
-	f, err := newFleet(learnHosts, func(i int) func(p standin.Part) {
+	f, err := newFleet(learnHosts, func(i int) func(p fake.Part) {
 		switch {
 		case i < hungHosts:
-			return func(standin.Part) {}
+			return func(fake.Part) {}
 		case i < hungHosts+slowHosts:
-			return standin.Workers(ctx, 16, uniform(seed+int64(i), 40*time.Millisecond, 80*time.Millisecond))
+			return fake.Workers(ctx, 16, uniform(seed+int64(i), 40*time.Millisecond, 80*time.Millisecond))
 		}
-		do := standin.Workers(ctx, 16, uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond))
+		do := fake.Workers(ctx, 16, uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond))
 		if i < learnHosts-coldHosts {
 			return do
 		}
-		return func(p standin.Part) {
+		return func(p fake.Part) {
 			kind, _, _ := strings.Cut(p.ID, "-")
 			cold.add(kind)
 			do(p)
@@ -95,7 +95,7 @@
 	var g sync.WaitGroup
 	loading, enough := context.WithCancel(ctx)
 	g.Go(func() {
-		standin.Load(loading, running.addr, schedule(seed, "running", learnRate, time.Minute, labPatience))
+		fake.Load(loading, running.addr, schedule(seed, "running", learnRate, time.Minute, labPatience))
 	})
 	select {
 	case <-time.After(warmUp):
@@ -109,7 +109,7 @@
 	cold.on.Store(true)
 	time.AfterFunc(coldTime, func() { cold.on.Store(false) })
 
-	results, nodes, mu := map[string][][]standin.Result{}, []*node{running}, sync.Mutex{}
+	results, nodes, mu := map[string][][]fake.Result{}, []*node{running}, sync.Mutex{}
 	var learners sync.WaitGroup
 	for k := range repeats {
 		for _, kind := range starts {
@@ -124,7 +124,7 @@
 			}
 			nodes = append(nodes, n)
 			learners.Go(func() {
-				got := standin.Load(ctx, n.addr, schedule(seed+int64(k)+1, fmt.Sprintf("%s-%d", kind, k), learnRate,
+				got := fake.Load(ctx, n.addr, schedule(seed+int64(k)+1, fmt.Sprintf("%s-%d", kind, k), learnRate,
 					learnFor, labPatience))
 				mu.Lock()
 				results[kind] = append(results[kind], got)
@@ -144,7 +144,7 @@
 }
 
 // sumUp makes a measurement's line of what the learners saw.
-func sumUp(results map[string][][]standin.Result, cold *tally) Result {
+func sumUp(results map[string][][]fake.Result, cold *tally) Result {
 	var late []float64
 	for _, runs := range results {
 		for _, run := range runs {
@@ -160,7 +160,7 @@
 	steadyAt, gEarly, gAll, p99 := map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, kind := range starts {
 		var at, early, all []float64
-		var firsts []standin.Result
+		var firsts []fake.Result
 		for _, run := range results[kind] {
 			at = append(at, steadyAfter(run, steady).Seconds())
 			early = append(early, meanWorth(run, earlyFor))
@@ -193,7 +193,7 @@
 
 // steadyAfter is when service has become steady: the begin of the first calmWindows in a row whose answers take no
 // longer than calmTimes the steady time.
-func steadyAfter(run []standin.Result, steady float64) time.Duration {
+func steadyAfter(run []fake.Result, steady float64) time.Duration {
 	n := int(learnFor / window)
 	sums, counts := make([]float64, n), make([]float64, n)
 	for _, r := range run {
@@ -214,7 +214,7 @@
 	return learnFor
 }
 
-func meanWorth(run []standin.Result, until time.Duration) float64 {
+func meanWorth(run []fake.Result, until time.Duration) float64 {
 	var all []float64
 	for _, r := range run {
 		if r.At < until {
@@ -224,7 +224,7 @@
 	return mean(all)
 }
 
-func meanTook(runs [][]standin.Result, until time.Duration) float64 {
+func meanTook(runs [][]fake.Result, until time.Duration) float64 {
 	var all []float64
 	for _, run := range runs {
 		for _, r := range run {
@@ -252,7 +252,7 @@
 	return all[len(all)/2]
 }
 
-func quantile(run []standin.Result, q float64) time.Duration {
+func quantile(run []fake.Result, q float64) time.Duration {
 	var all []time.Duration
 	for _, r := range run {
 		all = append(all, r.Took)
@@ -265,10 +265,10 @@
 
 // shareAbove draws learners of two kinds anew, again and again, and tells in which share of the draws the first kind's
 // quantile is above so many times the second's.
-func shareAbove(a, b [][]standin.Result, times float64) float64 {
+func shareAbove(a, b [][]fake.Result, times float64) float64 {
 	chance, above := rand.New(rand.NewSource(1)), 0
-	draw := func(runs [][]standin.Result) time.Duration {
-		var all []standin.Result
+	draw := func(runs [][]fake.Result) time.Duration {
+		var all []fake.Result
 		for range runs {
 			run := runs[chance.Intn(len(runs))]
 			all = append(all, run[:min(len(run), firstOnes)]...)
--- a/lab/membership.go
+++ b/lab/membership.go
@@ -14,7 +14,7 @@
 	"chalkring/coordinator"
 	"chalkring/endpoints"
 	"chalkring/endpoints/hostfile"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -35,7 +35,7 @@
 		return Result{}, err
 	}
 	defer f.close()
-	decoy, err := standin.NewHost("decoy", 0, false, standin.Part.Good)
+	decoy, err := fake.NewHost("decoy", 0, false, fake.Part.Good)
 	if err != nil {
 		return Result{}, err
 	}
@@ -46,10 +46,10 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "hosts.yaml")
-	line := func(h *standin.Host) string {
+	line := func(h *fake.Host) string {
 		return fmt.Sprintf("  - {id: %s, address: %q, zone: hall, kind: std, cell: %d}\n", h.ID, h.Ln.Addr(), h.Cell)
 	}
-	text := func(away []*standin.Host, more ...*standin.Host) string {
+	text := func(away []*fake.Host, more ...*fake.Host) string {
 		var b strings.Builder
 		b.WriteString("hosts:\n")
 		for _, h := range append(slices.Clone(f.hosts), more...) {
@@ -89,19 +89,19 @@
 		g.Wait()
 		return Result{}, err
 	}
-	ended := make(chan []standin.Result, 1)
+	ended := make(chan []fake.Result, 1)
 	go func() {
-		ended <- standin.Load(ctx, n.addr, schedule(seed, "w", membershipRate, membershipFor, labPatience))
+		ended <- fake.Load(ctx, n.addr, schedule(seed, "w", membershipRate, membershipFor, labPatience))
 	}()
 	chance := rand.New(rand.NewSource(seed))
 	type drop struct {
-		host *standin.Host
+		host *fake.Host
 		at   time.Time
 		took int // when the time for new work was over, -1 until then
 	}
 	var away []*drop
 	late, drops, writes, bad := 0, 0, 0, 0
-	gone := func() (all []*standin.Host) {
+	gone := func() (all []*fake.Host) {
 		for _, d := range away {
 			all = append(all, d.host)
 		}
--- a/lab/opensearch.go
+++ b/lab/opensearch.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
+	"chalkring/internal/fake"
 	"chalkring/opensearch/frontend"
 	"chalkring/opensearch/query"
-	"chalkring/standin"
 )
 
 const (
@@ -84,13 +84,13 @@
 	return out, ctx.Err()
 }
 
-func drawMembers(chance *rand.Rand) (blocks []*standin.Members, all *standin.Members) {
-	all = &standin.Members{Index: "members"}
+func drawMembers(chance *rand.Rand) (blocks []*fake.Members, all *fake.Members) {
+	all = &fake.Members{Index: "members"}
 	for range sets {
-		blocks = append(blocks, &standin.Members{Index: "members"})
+		blocks = append(blocks, &fake.Members{Index: "members"})
 	}
 	for i := range osMembers {
-		m := standin.Member{ID: fmt.Sprintf("m%05d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
+		m := fake.Member{ID: fmt.Sprintf("m%05d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
 			"town": []string{"oslo", "bergen", "hamar", "moss"}[chance.Intn(4)]}}
 		b := blocks[chance.Intn(sets)]
 		b.All, all.All = append(b.All, m), append(all.All, m)
@@ -127,9 +127,9 @@
 }
 
 // membersFleet starts two hosts a block set of a kind; hang makes one of them hang.
-func membersFleet(kind string, blocks []*standin.Members) (f *fleet, hang func(), err error) {
+func membersFleet(kind string, blocks []*fake.Members) (f *fleet, hang func(), err error) {
 	if kind == "own" {
-		answer := func(p standin.Part) {
+		answer := func(p fake.Part) {
 			text, err := blocks[p.Shard].Search([]byte(p.Text))
 			if err != nil {
 				p.Reply("bad", "-", "")
@@ -137,26 +137,26 @@
 			}
 			p.Reply("good", "1", string(text))
 		}
-		f, err = newFleet(2*sets, func(int) func(p standin.Part) { return func(p standin.Part) { go answer(p) } })
+		f, err = newFleet(2*sets, func(int) func(p fake.Part) { return func(p fake.Part) { go answer(p) } })
 		if err != nil {
 			return nil, nil, err
 		}
-		return f, func() { f.hosts[0].Set(func(standin.Part) {}) }, nil
+		return f, func() { f.hosts[0].Set(func(fake.Part) {}) }, nil
 	}
 	f = &fleet{}
-	held := map[int]*standin.Members{}
+	held := map[int]*fake.Members{}
 	for i, b := range blocks {
 		held[i] = b
 	}
 	for i := range 2 * sets {
-		h, err := standin.NewSearchHost(fmt.Sprintf("s-%02d", i), i%sets, held)
+		h, err := fake.NewSearchHost(fmt.Sprintf("s-%02d", i), i%sets, held)
 		if err != nil {
 			return nil, nil, err
 		}
 		f.search = append(f.search, h)
-		f.entries = append(f.entries, standin.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: searchKind, State: "up", Cell: h.Cell})
+		f.entries = append(f.entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: searchKind, State: "up", Cell: h.Cell})
 	}
-	f.list, err = standin.NewDiscovery(f.entries)
+	f.list, err = fake.NewDiscovery(f.entries)
 	return f, func() {
 		f.search[0].Set(func(_ http.ResponseWriter, r *http.Request, _ []byte) { <-r.Context().Done() })
 	}, err
--- a/lab/ordinary.go
+++ b/lab/ordinary.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -125,7 +125,7 @@
 	value := strings.Repeat("v", valueBytes)
 	for i, h := range f.hosts {
 		wait := uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond)
-		h.Set(func(p standin.Part) { time.AfterFunc(wait(), func() { p.Reply("good", "1", value) }) })
+		h.Set(func(p fake.Part) { time.AfterFunc(wait(), func() { p.Reply("good", "1", value) }) })
 	}
 	p, err := f.launch(ctx, seed)
 	if err != nil {
@@ -134,7 +134,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		standin.Load(ctx, p.addr, schedule(seed, "h", heldRate, heldFor, patience))
+		fake.Load(ctx, p.addr, schedule(seed, "h", heldRate, heldFor, patience))
 	}()
 	for {
 		select {
--- a/lab/owners.go
+++ b/lab/owners.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"time"
 
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -21,7 +21,7 @@
 func Owners(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 50*time.Second)
 	defer stop()
-	f, err := newFleet(64, func(int) func(p standin.Part) { return standin.Part.Good })
+	f, err := newFleet(64, func(int) func(p fake.Part) { return fake.Part.Good })
 	if err != nil {
 		return Result{}, err
 	}
--- a/lab/recovery.go
+++ b/lab/recovery.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/internal/clustertest"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -68,7 +68,7 @@
 			id := fmt.Sprintf("h%d%d", cell, i)
 			hung[id] = i == 0 || i == 1 && cell%2 == 0
 			left[id] = i == 2 && cell%2 == 1
-			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: id, Zone: "east-1", Cell: cell, Do: func(p standin.Part) {
+			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: id, Zone: "east-1", Cell: cell, Do: func(p fake.Part) {
 				if hung[id] && !healed.Load() || left[id] && gone.Load() {
 					return
 				}
@@ -83,7 +83,7 @@
 	defer r.Close()
 	time.AfterFunc(time.Second, func() {
 		gone.Store(true)
-		r.Tell(func(e *standin.Entry) {
+		r.Tell(func(e *fake.Entry) {
 			if left[e.ID] {
 				e.State = "removed"
 			}
--- a/lab/residency.go
+++ b/lab/residency.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"chalkring/internal/clustertest"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -212,7 +212,7 @@
 		},
 		"move": func([]string) error {
 			moved = time.Now()
-			r.Tell(func(e *standin.Entry) {
+			r.Tell(func(e *fake.Entry) {
 				if e.ID == "eu-1-3" {
 					e.Zone = "us-1"
 				}
@@ -326,7 +326,7 @@
 // servedAgain waits until an instance answers a tenant's search.
 func servedAgain(ctx context.Context, r *clustertest.Rig, name, tenant string) error {
 	for n := 0; ; n++ {
-		s := standin.Search{ID: fmt.Sprintf("again-%s-%s-%d", tenant, name, n), Type: quickPicks, Tenant: tenant, Patience: zonesPatience}
+		s := fake.Search{ID: fmt.Sprintf("again-%s-%s-%d", tenant, name, n), Type: quickPicks, Tenant: tenant, Patience: zonesPatience}
 		for b := range clustertest.Blocks {
 			s.Shards = append(s.Shards, b)
 		}
--- a/lab/rollout.go
+++ b/lab/rollout.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"chalkring/internal/clustertest"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 const (
@@ -46,7 +46,7 @@
 		s.Relayed = false // the faults are between instances
 		for i := range s.Hosts {
 			drawn := uniform(seed+int64(i), 0, time.Second)
-			s.Hosts[i].Do = func(p standin.Part) {
+			s.Hosts[i].Do = func(p fake.Part) {
 				if drawn() < time.Duration(rolloutBusy*float64(time.Second)) {
 					p.Reply("later", "-", "")
 					return
--- a/lab/subscribers.go
+++ b/lab/subscribers.go
@@ -24,7 +24,7 @@
 	"chalkring/control/fanout"
 	"chalkring/control/subscribers"
 	"chalkring/internal/clustertest"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 	"chalkring/storage/store"
 )
 
@@ -146,7 +146,7 @@
 	}
 	shape := func(s *clustertest.Shape) {
 		for i := range s.Hosts {
-			s.Hosts[i].Do = func(p standin.Part) {
+			s.Hosts[i].Do = func(p fake.Part) {
 				time.AfterFunc(2*time.Millisecond, func() {
 					if strings.HasPrefix(p.Text, "watch") {
 						p.Reply("good", "100", fmt.Sprintf("%s news %d", p.Text, news.Load()))
--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -17,7 +17,7 @@
 
 	"chalkring/control/residency"
 	"chalkring/coordinator"
-	"chalkring/standin"
+	"chalkring/internal/fake"
 )
 
 // What differs from run to run is replaced by #: the date, the time taken, ports, start and running times, and the
@@ -125,14 +125,14 @@
 func TestGoldenPartialResponses(t *testing.T) {
 	r := start(t)
 	for _, i := range []int{0, 4} { // both holders of two shards
-		r.hosts[i].Set(func(standin.Part) {})
+		r.hosts[i].Set(func(fake.Part) {})
 	}
 	var out strings.Builder
 	const body = `{"size":0,"track_total_hits":true}`
 	r.exchange(&out, "whole with some of the shards", "POST", "/picks/_search", body)
 	r.exchange(&out, "shards that answer", "POST", "/members/_search?preference=_shards:1,2", body)
 	for _, h := range r.hosts {
-		h.Set(func(p standin.Part) { p.Reply("bad", "-", "") })
+		h.Set(func(p fake.Part) { p.Reply("bad", "-", "") })
 	}
 	r.exchange(&out, "hosts that fail", "POST", "/members/_search", body)
 	compareGolden(t, "partial_responses.golden", out.String())
@@ -155,7 +155,7 @@
 func TestGoldenTasks(t *testing.T) {
 	r := start(t)
 	for _, h := range r.hosts {
-		h.Set(func(standin.Part) {})
+		h.Set(func(fake.Part) {})
 	}
 	var out, search strings.Builder
 	ended := make(chan struct{})
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -29,8 +29,8 @@
 
 	"chalkring/control/residency"
 	"chalkring/coordinator"
+	"chalkring/internal/fake"
 	"chalkring/opensearch/query"
-	"chalkring/standin"
 )
 
 const settings = `{"Family":"fanout","Discovery":"subscribe","Balancers":1,"Tick":5.0,"FailureDomains":["hall"],
@@ -49,12 +49,12 @@
 type rig struct {
 	t      *testing.T
 	url    string
-	hosts  []*standin.Host
-	search []*standin.SearchHost // in their place, where hosts speak the API
-	own    string                // address of the own front
-	blocks []*standin.Members
-	all    standin.Members
-	list   *standin.Discovery
+	hosts  []*fake.Host
+	search []*fake.SearchHost // in their place, where hosts speak the API
+	own    string             // address of the own front
+	blocks []*fake.Members
+	all    fake.Members
+	list   *fake.Discovery
 	stop   context.CancelFunc
 	ended  chan error
 	client *http.Client
@@ -71,34 +71,34 @@
 	r.all.Index = "members"
 	placed := &query.Placement{Shards: 8}
 	for range 8 {
-		r.blocks = append(r.blocks, &standin.Members{Index: "members"})
+		r.blocks = append(r.blocks, &fake.Members{Index: "members"})
 	}
 	towns := []string{"oslo", "bergen", "hamar"}
 	for i := range 400 {
-		m := standin.Member{ID: fmt.Sprintf("m%03d", i), Fields: map[string]any{"town": towns[chance.Intn(3)], "age": float64(18 + chance.Intn(50))}}
+		m := fake.Member{ID: fmt.Sprintf("m%03d", i), Fields: map[string]any{"town": towns[chance.Intn(3)], "age": float64(18 + chance.Intn(50))}}
 		r.all.All = append(r.all.All, m)
 		b := r.blocks[placed.Block(m.ID)]
 		b.All = append(b.All, m)
 	}
-	var entries []standin.Entry
+	var entries []fake.Entry
 	for i := range 8 {
 		if speak {
-			held := map[int]*standin.Members{i % 4: r.blocks[i%4], i%4 + 4: r.blocks[i%4+4]}
-			h, err := standin.NewSearchHost(fmt.Sprintf("h%d", i), i%4, held)
+			held := map[int]*fake.Members{i % 4: r.blocks[i%4], i%4 + 4: r.blocks[i%4+4]}
+			h, err := fake.NewSearchHost(fmt.Sprintf("h%d", i), i%4, held)
 			require.NoError(t, err)
 			t.Cleanup(h.Close)
 			r.search = append(r.search, h)
-			entries = append(entries, standin.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "search", State: "up", Cell: h.Cell})
+			entries = append(entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "search", State: "up", Cell: h.Cell})
 			continue
 		}
-		h, err := standin.NewHost(fmt.Sprintf("h%d", i), i%4, false, r.good)
+		h, err := fake.NewHost(fmt.Sprintf("h%d", i), i%4, false, r.good)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		r.hosts = append(r.hosts, h)
-		entries = append(entries, standin.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+		entries = append(entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 	}
 	var err error
-	r.list, err = standin.NewDiscovery(entries)
+	r.list, err = fake.NewDiscovery(entries)
 	require.NoError(t, err)
 	t.Cleanup(r.list.Close)
 	listen := func() net.Listener {
@@ -140,7 +140,7 @@
 }
 
 // answer is what a sound host says to a part; index names are the search's own.
-func (r *rig) answer(p standin.Part) []byte {
+func (r *rig) answer(p fake.Part) []byte {
 	b := *r.blocks[p.Shard]
 	text, err := b.Search([]byte(p.Text))
 	if err != nil {
@@ -149,7 +149,7 @@
 	return text
 }
 
-func (r *rig) good(p standin.Part) { p.Reply("good", "1", string(r.answer(p))) }
+func (r *rig) good(p fake.Part) { p.Reply("good", "1", string(r.answer(p))) }
 
 func (r *rig) do(method, path, body string, head ...string) (int, map[string]any, http.Header) {
 	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
@@ -188,8 +188,8 @@
 // Whole answers are what one block with all members says, also with a host that hangs and one that spoils its answers.
 func TestSearches(t *testing.T) {
 	r := start(t)
-	r.hosts[0].Set(func(standin.Part) {})
-	r.hosts[5].Set(func(p standin.Part) { p.Reply("good", "1", `{"timed_out":false}`) })
+	r.hosts[0].Set(func(fake.Part) {})
+	r.hosts[5].Set(func(p fake.Part) { p.Reply("good", "1", `{"timed_out":false}`) })
 	var g sync.WaitGroup
 	for i := range 40 {
 		g.Go(func() {
@@ -223,7 +223,7 @@
 func TestPartsThatLack(t *testing.T) {
 	r := start(t)
 	for _, i := range []int{0, 4} { // both holders of two blocks
-		r.hosts[i].Set(func(standin.Part) {})
+		r.hosts[i].Set(func(fake.Part) {})
 	}
 	status, m, _ := r.do("POST", "/nowhere/_search", `{}`)
 	require.Equal(t, 404, status)
@@ -243,7 +243,7 @@
 // A host of the own protocol that answers with another block's members in good form has failed its part.
 func TestAnotherBlock(t *testing.T) {
 	r := start(t)
-	r.hosts[0].Set(func(p standin.Part) {
+	r.hosts[0].Set(func(p fake.Part) {
 		text, _ := r.blocks[(p.Shard+4)%8].Search([]byte(p.Text))
 		p.Reply("good", "1", string(text))
 	})
@@ -260,10 +260,10 @@
 // A block that no listed host holds is told before anything is sent.
 func TestUnknownBlocks(t *testing.T) {
 	r := start(t)
-	var left []standin.Entry
+	var left []fake.Entry
 	for i, h := range r.hosts {
 		if i%4 != 3 {
-			left = append(left, standin.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+			left = append(left, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
 	r.list.Tell(left)
@@ -294,9 +294,9 @@
 	release := make(chan struct{})
 	for i, h := range r.hosts {
 		if i%4 == 3 {
-			h.Set(func(standin.Part) {})
+			h.Set(func(fake.Part) {})
 		} else {
-			h.Set(func(p standin.Part) { go func() { <-release; r.good(p) }() })
+			h.Set(func(p fake.Part) { go func() { <-release; r.good(p) }() })
 		}
 	}
 	type end struct {
@@ -311,10 +311,10 @@
 		}()
 	}
 	require.Eventually(t, func() bool { return r.hosts[0].Took()+r.hosts[4].Took() >= 2 }, 10*time.Second, time.Millisecond)
-	var left []standin.Entry
+	var left []fake.Entry
 	for i, h := range r.hosts {
 		if i%4 != 3 {
-			left = append(left, standin.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+			left = append(left, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
 	r.list.Tell(left)
@@ -368,7 +368,7 @@
 
 	// A client that leaves in the middle of fifty takes all of them along.
 	for _, h := range r.hosts {
-		h.Set(func(standin.Part) {})
+		h.Set(func(fake.Part) {})
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, "POST", r.url+"/_msearch", strings.NewReader(text))
@@ -393,7 +393,7 @@
 func TestTasks(t *testing.T) {
 	r := start(t)
 	for _, h := range r.hosts {
-		h.Set(func(standin.Part) {})
+		h.Set(func(fake.Part) {})
 	}
 	type end struct {
 		status int
@@ -433,7 +433,7 @@
 	began := time.Now()
 	var g sync.WaitGroup
 	for _, h := range r.hosts {
-		h.Set(func(standin.Part) {})
+		h.Set(func(fake.Part) {})
 	}
 	var refused, other atomic.Int64
 	for range 60 {
@@ -557,7 +557,7 @@
 	r := start(t)
 	release := make(chan struct{})
 	for _, h := range r.hosts {
-		h.Set(func(p standin.Part) { go func() { <-release; r.good(p) }() })
+		h.Set(func(p fake.Part) { go func() { <-release; r.good(p) }() })
 	}
 	got := make(chan int)
 	go func() { s, _, _ := r.do("POST", "/members/_search", `{}`); got <- s }()
--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/internal/fake"
 	"chalkring/opensearch/query"
-	"chalkring/standin"
 )
 
 var goldenRequests = []string{`{}`, `{"size":0,"track_total_hits":true}`, `{"_source":["a*"],"sort":["_score"],"min_score":0.5}`,
@@ -99,6 +99,6 @@
 	compareGolden(t, "placement.golden", out.String())
 }
 
-func membersOf(all []standin.Member) standin.Members {
-	return standin.Members{Index: "members", All: all}
+func membersOf(all []fake.Member) fake.Members {
+	return fake.Members{Index: "members", All: all}
 }
