--- a/cmd/chalklab/main.go
+++ b/cmd/chalklab/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"chalkring/lab"
+	"chalkring/internal/benchmark"
 )
 
 type line struct {
@@ -33,7 +33,7 @@
 func (d *demo) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return lab.Demo(ctx, d.Listen)
+	return benchmark.Demo(ctx, d.Listen)
 }
 
 // node is the co-ordinator's process of the measurements that look at memory and CPU time.
@@ -42,7 +42,7 @@
 func (node) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return lab.Node(ctx)
+	return benchmark.Node(ctx)
 }
 
 // sharer is an instance's process of the measurement of the ledger.
@@ -53,7 +53,7 @@
 func (s *sharer) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return lab.Sharer(ctx, s.Installation)
+	return benchmark.Sharer(ctx, s.Installation)
 }
 
 type measure struct {
@@ -64,7 +64,7 @@
 var errMissed = errors.New("an aim was missed")
 
 func (m *measure) Run() error {
-	do := lab.Measures[m.Name]
+	do := benchmark.Measures[m.Name]
 	if do == nil {
 		return fmt.Errorf("no measurement %q; there are %s", m.Name, names())
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func names() string { return strings.Join(slices.Sorted(maps.Keys(lab.Measures)), ", ") }
+func names() string { return strings.Join(slices.Sorted(maps.Keys(benchmark.Measures)), ", ") }
 
 func main() {
 	k := kong.Parse(&line{}, kong.Name("chalklab"), kong.Description("Measures chalkring on loopback."),
--- a/lab/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -1,6 +1,6 @@
-// Package lab measures what the project claims, on loopback sockets with the stand-ins of package fake. Each
+// Package benchmark measures what the project claims, on loopback sockets with the stand-ins of package fake. Each
 // measurement is a function of a seed that ends by itself within a minute; Measures names them.
-package lab
+package benchmark
 
 import (
 	"context"
--- a/lab/rigs.go
+++ b/internal/benchmark/rigs.go
@@ -1,4 +1,4 @@
-package lab
+package benchmark
 
 import (
 	"context"
