--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -41,11 +41,11 @@
 	work   sync.WaitGroup  // what features do in the background, until ctx ends
 	ctx    context.Context // ends as the instance leaves
 	stop   context.CancelFunc
-	keep   *coordinator.Keep      // whose store it is, nil where it is the instances' own
-	opened chan struct{}          // closed once the store is there, or is known not to be
-	store  *store.Store           // nil where there is none
-	shared *replication.Book      // what the instances share
-	zones  *coordinator.Residency // nil where there are no contracts
+	keep   *coordinator.Persistence    // whose store it is, nil where it is the instances' own
+	opened chan struct{}               // closed once the store is there, or is known not to be
+	store  *store.Store                // nil where there is none
+	shared *replication.Book           // what the instances share
+	zones  *coordinator.ResidencyGuard // nil where there are no contracts
 
 	handing bool // another process takes this one's place at once
 	left    sync.Once
@@ -53,7 +53,7 @@
 
 // sharingOf starts what the section fleet turns on; nil where there is no such section. It waits for no other instance and
 // for no disk.
-func sharingOf(file *config.File, plan *coordinator.Plan, keep *coordinator.Keep, log *slog.Logger) (*sharing, error) {
+func sharingOf(file *config.File, plan *coordinator.Plan, keep *coordinator.Persistence, log *slog.Logger) (*sharing, error) {
 	if file.Fleet == nil {
 		return nil, nil
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	whose := membership.IdentityOf(own.Cluster, plan.Site().Tenants)
+	whose := membership.IdentityOf(own.Cluster, plan.ResidencySite().Tenants)
 	o := gossip.Options{Whose: whose, Me: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, Program: built()}, Listed: own.Listed,
 		Listen: own.Listen, Join: own.Join, Via: own.Via, Log: log, Seed: time.Now().UnixNano()}
 	if own.Key != "" {
@@ -172,7 +172,7 @@
 		return nil
 	}
 	if s.keep != nil {
-		kept, err := s.keep.Store(s.ctx)
+		kept, err := s.keep.WaitForStore(s.ctx)
 		if err != nil { // it has told what is wrong
 			return nil
 		}
--- a/cmd/chalkring/held_test.go
+++ b/cmd/chalkring/held_test.go
@@ -32,7 +32,7 @@
 		t.Fatal("the store is not taken")
 	}
 	require.NotNil(t, a.s.store)
-	a.eventually("what was kept is in force", func() bool { return a.may("east") && !a.may("west") && a.in.Standing().Generation == 2 })
+	a.eventually("what was kept is in force", func() bool { return a.may("east") && !a.may("west") && a.in.Policy().Generation == 2 })
 	_, found, err := a.s.store.Get(zonesBucket, policy)
 	require.NoError(t, err)
 	require.True(t, found, a.text())
--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Plan, err)
 		}
-		rules = plan.MemberRules()
+		rules = plan.EndpointRules()
 	}
 	book, bad := endpoints.New(rules), false
 	for i, path := range c.Files {
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -67,8 +67,8 @@
 
 func (s *serve) Run(hangUps chan os.Signal) error {
 	signal.Ignore(syscall.SIGPIPE) // guards against an end by a line of the log whose reader has gone
-	told := coordinator.Unstalled(os.Stderr)
-	log := coordinator.NewLog(told, false, slog.LevelInfo)
+	told := coordinator.NewStallGuardWriter(os.Stderr)
+	log := coordinator.NewLogger(told, false, slog.LevelInfo)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	noStart := func(err error) error {
@@ -82,12 +82,12 @@
 	if err != nil {
 		return noStart(err)
 	}
-	var more *coordinator.Peers
-	var fronts []coordinator.Front
+	var more *coordinator.PeerOptions
+	var fronts []coordinator.Frontend
 	hosts, owners := map[string]coordinator.HostKind{}, 1
 	var lists <-chan endpoints.Told
-	var keep *coordinator.Keep
-	var zones *coordinator.Residency
+	var keep *coordinator.Persistence
+	var zones *coordinator.ResidencyGuard
 	var steps *stages
 	if s.Installation != "" {
 		file, err := config.Read(s.Installation)
@@ -139,23 +139,23 @@
 		fronts = append(fronts, gateway...)
 		owners = max(1, file.Owners)
 		if lists = listsOf(ctx, file.Members, log); keep != nil {
-			lists = keep.Lists(ctx, lists)
+			lists = keep.PrependStoredUpdate(ctx, lists)
 		}
 		for kind, h := range file.Hosts {
-			hosts[kind] = coordinator.HostKind{Index: h.Index, Placed: h.Placed}
+			hosts[kind] = coordinator.HostKind{Index: h.Index, Placement: h.Placed}
 		}
 	}
-	plan.Bound()
-	plan.FitDescriptors(log)
-	means := coordinator.Means{Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{}, Log: log, Peers: more,
-		Fronts: fronts, Hosts: hosts, Lists: lists, Keep: keep, Residency: zones,
-		Plans: coordinator.Reloads(ctx, plan, hangUps, os.Getenv, log)}
+	plan.ApplyRuntimeLimits()
+	plan.LimitDescriptors(log)
+	means := coordinator.Options{Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{}, Logger: log, Peers: more,
+		Frontends: fronts, HostKinds: hosts, EndpointUpdates: lists, Persistence: keep, Residency: zones,
+		PlanUpdates: coordinator.WatchPlanReloads(ctx, plan, hangUps, os.Getenv, log)}
 	if steps != nil {
 		ctx = steps.serving(ctx, &means)
 	} else if means.Listener, err = listen(ctx, plan.Listen, log); err != nil {
 		return noStart(err)
 	}
-	if err := plan.Several(ctx, means, owners); err != nil {
+	if err := plan.ServeSharded(ctx, means, owners); err != nil {
 		log.Error("failed", "error", err)
 		return exit(1)
 	}
@@ -215,24 +215,24 @@
 	if l.Format == "terminal" {
 		return slog.New(tint.NewHandler(to, &tint.Options{Level: least, TimeFormat: time.TimeOnly + ".000"}))
 	}
-	return coordinator.NewLog(to, l.Format == "json", least)
+	return coordinator.NewLogger(to, l.Format == "json", least)
 }
 
 // settingsOf puts an installation's settings over the plan's, and those to be watched beside them.
 func settingsOf(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
-	site := plan.Site()
+	site := plan.ResidencySite()
 	if err := file.Fits(site.Classes, site.Tenants); err != nil {
 		return nil, err
 	}
-	plan, err := plan.With(config.Over(file.Settings))
+	plan, err := plan.WithSettings(config.Over(file.Settings))
 	if err != nil || file.Shadow == nil {
 		return plan, err
 	}
-	return plan.Watching(config.Over(file.Shadow.Settings))
+	return plan.WithShadowSettings(config.Over(file.Shadow.Settings))
 }
 
 // peersOf opens what an installation's peers need.
-func peersOf(ctx context.Context, file *config.File, name string, log *slog.Logger) (*coordinator.Peers, error) {
+func peersOf(ctx context.Context, file *config.File, name string, log *slog.Logger) (*coordinator.PeerOptions, error) {
 	p := file.Peers
 	if p == nil {
 		return nil, nil
@@ -240,13 +240,13 @@
 	if p.Name != "" {
 		name = p.Name
 	}
-	more := &coordinator.Peers{Name: name, Place: p.Place, Allow: p.Allow, Refresh: p.Refresh,
+	more := &coordinator.PeerOptions{Name: name, Location: p.Place, AllowedPeers: p.Allow, RefreshInterval: p.Refresh,
 		Budgets: map[string]scheduler.Budget{}}
 	for kind, w := range file.Background {
 		more.Budgets[kind] = budgetOf(w)
 	}
 	for _, one := range p.Ask {
-		more.Ask = append(more.Ask, coordinator.PeerAt{Name: one.Name, Addr: one.Address})
+		more.PollTargets = append(more.PollTargets, coordinator.PeerAddress{Name: one.Name, Addr: one.Address})
 	}
 	var err error
 	if more.Keys, err = keysOf(p.TLS, func(err error) { log.Error("keys_failed", "error", err) }); err != nil {
@@ -259,7 +259,7 @@
 }
 
 // keepOf begins to open what this process keeps on disk, nil where nothing is.
-func keepOf(file *config.File, plan *coordinator.Plan, log *slog.Logger) *coordinator.Keep {
+func keepOf(file *config.File, plan *coordinator.Plan, log *slog.Logger) *coordinator.Persistence {
 	path, alone := file.Store, true
 	if f := file.Fleet; f != nil && f.Store != "" && (path == "" || path == f.Store) {
 		path, alone = f.Store, false
@@ -267,7 +267,7 @@
 	if path == "" {
 		return nil
 	}
-	return coordinator.NewKeep(path, alone, budgetOf(file.Background["keep"]), plan, coordinator.SystemClock{}, log)
+	return coordinator.NewPersistence(path, alone, budgetOf(file.Background["keep"]), plan, coordinator.SystemClock{}, log)
 }
 
 func budgetOf(w config.Work) scheduler.Budget {
@@ -275,7 +275,7 @@
 }
 
 // frontsOf opens what an installation's other fronts need.
-func frontsOf(ctx context.Context, file *config.File, log *slog.Logger) ([]coordinator.Front, error) {
+func frontsOf(ctx context.Context, file *config.File, log *slog.Logger) ([]coordinator.Frontend, error) {
 	o := file.OpenSearch
 	if o == nil {
 		return nil, nil
@@ -294,7 +294,7 @@
 	if f.Listener, err = listen(ctx, o.Listen, log); err != nil {
 		return nil, err
 	}
-	return []coordinator.Front{f}, nil
+	return []coordinator.Frontend{f}, nil
 }
 
 func keysOf(t *config.TLS, complain func(err error)) (*peerprotocol.Keys, error) {
@@ -355,7 +355,7 @@
 				}
 			}
 			if err == nil && plan != nil {
-				site := plan.Site()
+				site := plan.ResidencySite()
 				if err = file.Fits(site.Classes, site.Tenants); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -87,13 +87,13 @@
 
 // contractsOf starts what the section fleet's residency turns on; nil where it names no file. A file that cannot be used
 // ends the start: nobody could tell whom it would have bound.
-func contractsOf(plan *coordinator.Plan, s *sharing) (*coordinator.Residency, error) {
+func contractsOf(plan *coordinator.Plan, s *sharing) (*coordinator.ResidencyGuard, error) {
 	if s == nil || s.file.Residency == "" {
 		return nil, nil
 	}
 	start := time.Now()
 	base := start.UnixMicro() / 100
-	c := &contracts{s: s, site: plan.Site(), files: make(chan hostfile.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
+	c := &contracts{s: s, site: plan.ResidencySite(), files: make(chan hostfile.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
 		done: make(chan saveDone, 1), lapsed: true, clock: func() int64 { return base + int64(time.Since(start)/(100*time.Microsecond)) }}
 	text, err := hostfile.Text(s.file.Residency)
 	if err != nil {
@@ -106,7 +106,7 @@
 	kept := c.load()
 	c.lease = residency.NewLease(s.file.Name, s.file.Listed, kept)
 	c.tell(p)
-	s.zones = coordinator.NewResidency(c.book.Standing(c.lease.Until()), c.clock)
+	s.zones = coordinator.NewResidencyGuard(c.book.Standing(c.lease.Until()), c.clock)
 	s.node.Handle(zonesTopic, c.hear)
 	s.work.Go(func() {
 		files := &hostfile.Files{Paths: []string{s.file.Residency}, Texts: true, Tell: func(e hostfile.Event) {
@@ -177,7 +177,7 @@
 // take puts a policy in force: first here, then on the disk, then in what others are told.
 func (c *contracts) take(p *residency.Policy) {
 	if c.tell(p) {
-		c.s.zones.Put(c.book.Standing(c.lease.Until()))
+		c.s.zones.SetPolicy(c.book.Standing(c.lease.Until()))
 		c.save()
 		c.ask()
 	}
@@ -229,7 +229,7 @@
 
 // renewed puts a later end of the lease in force.
 func (c *contracts) renewed() {
-	c.s.zones.Put(c.s.zones.Standing().With(c.lease.Until()))
+	c.s.zones.SetPolicy(c.s.zones.Policy().With(c.lease.Until()))
 	if c.lapsed {
 		c.lapsed = false
 		c.s.log.Info("residency_lease", "generation", c.book.Generation())
@@ -259,7 +259,7 @@
 	if c.disk == nil && c.s.store != nil {
 		c.load()
 		c.kept = 0
-		c.s.zones.Put(c.book.Standing(c.lease.Until()))
+		c.s.zones.SetPolicy(c.book.Standing(c.lease.Until()))
 	}
 }
 
@@ -301,7 +301,7 @@
 
 // ask begins a round. The question tells what is in force here, so that whoever lacks it is told.
 func (c *contracts) ask() {
-	now, in := c.clock(), c.s.zones.Standing()
+	now, in := c.clock(), c.s.zones.Policy()
 	c.next = now + residency.Each(in.Lease)
 	if c.lease.Alone(now, in.Lease) {
 		c.renewed()
@@ -353,7 +353,7 @@
 		if slices.Contains(conflicts, m.from) {
 			return
 		}
-		now, in := c.clock(), c.s.zones.Standing()
+		now, in := c.clock(), c.s.zones.Policy()
 		v := residency.Voice{From: m.from, Nonce: w.Nonce, Generation: w.Generation, Wall: w.Wall, Sure: w.Sure}
 		agreed := c.lease.Agreed()
 		if c.lease.Heard(now, v, top, in.Lease, in.Slack, !slices.Contains(conflicts, c.s.file.Name)) {
@@ -406,14 +406,14 @@
 // holds tells whether what is kept about a tenant's searches may be in a zone: written there, or sent to an instance in
 // it. Others hold counts and digests. Without contracts it may be anywhere.
 func (s *sharing) holds(tenant, zone string) bool {
-	return s.zones == nil || s.zones.Holds(tenant, zone)
+	return s.zones == nil || s.zones.MayStoreInZone(tenant, zone)
 }
 
 // checkContracts looks at a file of contracts, with a plan against its tenants, zones and blocks.
 func checkContracts(path string, text []byte, plan *coordinator.Plan) (told string, err error) {
 	site := residency.Site{}
 	if plan != nil {
-		site = plan.Site()
+		site = plan.ResidencySite()
 	}
 	p, err := residency.Parse(path, text, site)
 	if err != nil {
@@ -423,7 +423,7 @@
 		return fmt.Sprintf("can be used, %d contracts; no plan was named to hold them against", len(p.Contracts)), nil
 	}
 	var faults []error
-	for _, u := range p.Reach(plan.Blocks(), plan.Holds()) {
+	for _, u := range p.Reach(plan.BlockCount(), plan.ZoneHoldsBlockFunc()) {
 		faults = append(faults, u)
 	}
 	return fmt.Sprintf("can be used, %d contracts", len(p.Contracts)), errors.Join(faults...)
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -40,7 +40,7 @@
 type lived struct {
 	t   *testing.T
 	s   *sharing
-	in  *coordinator.Residency
+	in  *coordinator.ResidencyGuard
 	dir string
 	mu  sync.Mutex
 	log bytes.Buffer
@@ -86,7 +86,7 @@
 
 // may tells whether acme's parts may run in a zone now.
 func (l *lived) may(zone string) bool {
-	in, now := l.in.Standing(), time.Now().UnixMicro()/100
+	in, now := l.in.Policy(), time.Now().UnixMicro()/100
 	r := in.Rule(now, "acme", "lookup", 0)
 	return r.Allows(in.Zone(zone))
 }
@@ -126,12 +126,12 @@
 	a.eventually("agreed", func() bool { return strings.Contains(a.text(), "residency_agreed generation=2") })
 	c.file(contractsTwo + "- {block: 0, zones: [west]}\n")
 	for _, l := range all {
-		l.eventually("the stricter of both", func() bool { return !l.may("west") && !l.may("east") && l.in.Standing().Generation == 2 })
+		l.eventually("the stricter of both", func() bool { return !l.may("west") && !l.may("east") && l.in.Policy().Generation == 2 })
 		l.eventually("told", func() bool { return strings.Contains(l.text(), "with other words") })
 	}
 	b.file(strings.Replace(contractsTwo, "generation: 2", "generation: 3", 1))
 	for _, l := range all {
-		l.eventually("one again", func() bool { return l.may("east") && l.in.Standing().Generation == 3 })
+		l.eventually("one again", func() bool { return l.may("east") && l.in.Policy().Generation == 3 })
 	}
 	require.True(t, a.s.holds("acme", "east"))
 	require.False(t, a.s.holds("acme", "west"))
@@ -143,7 +143,7 @@
 	a.s.leave()
 	a.file(contractsOne) // an old file is put back
 	a = live(t, dirs["a"], "a", addrs, true)
-	require.EqualValues(t, 3, a.in.Standing().Generation)
+	require.EqualValues(t, 3, a.in.Policy().Generation)
 	require.Contains(t, a.text(), "residency_policy_refused")
 	require.False(t, a.may("east"), "it hears nobody")
 	b = live(t, dirs["b"], "b", addrs, true)
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -101,10 +101,10 @@
 	desk   *rollout.Desk
 	site   residency.Site // of the plan
 	sums   sums
-	inside chan net.Conn      // to it from within, past the socket: another process may hold that too
-	own    *coordinator.Keep  // what is kept beside, nil for nothing
-	alone  bool               // nothing but the socket, the store and the network is held
-	stop   context.CancelFunc // the serving
+	inside chan net.Conn            // to it from within, past the socket: another process may hold that too
+	own    *coordinator.Persistence // what is kept beside, nil for nothing
+	alone  bool                     // nothing but the socket, the store and the network is held
+	stop   context.CancelFunc       // the serving
 	done   chan struct{}
 }
 
@@ -282,8 +282,8 @@
 
 // laid puts the change that runs over an installation's settings.
 func (st *stages) laid(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
-	st.sums.aims = plan.Aims() // both sides are held against the same
-	st.site = plan.Site()
+	st.sums.aims = plan.LatencyObjectives() // both sides are held against the same
+	st.site = plan.ResidencySite()
 	c := st.runs()
 	if err := st.fits(c); err != nil {
 		return nil, err
@@ -293,15 +293,15 @@
 	}
 	over := config.Over(file.Settings)
 	maps.Copy(over, c.Settings)
-	return plan.With(over)
+	return plan.WithSettings(over)
 }
 
 // serving is the context of the serving: it ends for a step too. means is given what counts for the comparison.
-func (st *stages) serving(ctx context.Context, means *coordinator.Means) context.Context {
+func (st *stages) serving(ctx context.Context, means *coordinator.Options) context.Context {
 	ctx, st.stop = context.WithCancel(ctx)
-	st.alone = (means.Peers == nil || means.Peers.Listener == nil) && len(means.Fronts) == 0
-	st.own = means.Keep
-	means.Listener, means.Ends = newDoorway(st.ln, st.inside), st.sums.ended
+	st.alone = (means.Peers == nil || means.Peers.Listener == nil) && len(means.Frontends) == 0
+	st.own = means.Persistence
+	means.Listener, means.OnSearchEnd = newDoorway(st.ln, st.inside), st.sums.ended
 	dial := means.Dial
 	means.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		st.sums.connects.Add(1)
@@ -584,21 +584,21 @@
 }
 
 // ended is the owner's: it waits for nothing.
-func (s *sums) ended(e coordinator.End) {
+func (s *sums) ended(e coordinator.SearchEnd) {
 	if e.Type < 0 || e.Type >= len(s.classes) {
 		return
 	}
 	c := &s.classes[e.Type]
 	c.asked.Add(1)
-	c.subs[rollout.SubBucket(e.Subs)].Add(1)
-	switch e.Kind {
-	case coordinator.Answered:
+	c.subs[rollout.SubBucket(e.Attempts)].Add(1)
+	switch e.Outcome {
+	case coordinator.OutcomeAnswered:
 		c.served.Add(1)
-		c.times[rollout.TimeBucket(int64(e.Took/tenth))].Add(1)
-		if e.Type < len(s.aims) && e.Took > s.aims[e.Type] {
+		c.times[rollout.TimeBucket(int64(e.Duration/tenth))].Add(1)
+		if e.Type < len(s.aims) && e.Duration > s.aims[e.Type] {
 			c.late.Add(1)
 		}
-	case coordinator.Shed:
+	case coordinator.OutcomeShed:
 		c.shed.Add(1)
 	}
 }
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -26,7 +26,7 @@
 }
 
 // gatewayOf is the fan-out gateway that the section fleet turns on; none where it names no file of subscriptions.
-func gatewayOf(s *sharing) ([]coordinator.Front, error) {
+func gatewayOf(s *sharing) ([]coordinator.Frontend, error) {
 	if s == nil || s.file.Subscribers == "" {
 		return nil, nil
 	}
@@ -45,7 +45,7 @@
 			s.log.Warn("subscriber_refused", advice.Attrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
-	return []coordinator.Front{fanout.New(fanout.Options{Shared: s.shared, Heard: s.gateways, Rules: s.rules, File: s.file.Subscribers, Log: s.log,
+	return []coordinator.Frontend{fanout.New(fanout.Options{Shared: s.shared, Heard: s.gateways, Rules: s.rules, File: s.file.Subscribers, Log: s.log,
 		Me: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Life: me.Incarnation}, Seed: int64(me.Incarnation), Bytes: s.bytes, Left: left})}, nil
 }
 
@@ -71,7 +71,7 @@
 	if s.zones == nil {
 		return subscribers.Rules{}
 	}
-	return subscribers.Rules{Generation: s.zones.Standing().Generation, Holds: s.holds}
+	return subscribers.Rules{Generation: s.zones.Policy().Generation, Holds: s.holds}
 }
 
 func (s *sharing) bytes() (held int, sent uint64) {
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -92,7 +92,7 @@
 	turns chan func()
 
 	// Of the goroutine of Serve alone.
-	door   *coordinator.Door
+	door   *coordinator.SearchAPI
 	pool   *scheduler.Pool
 	list   *subscribers.List
 	gate   *subscribers.Gateway
@@ -208,7 +208,7 @@
 func now() int64 { return time.Now().UnixMicro() / 100 }
 
 // Serve runs the gateway until stopping is done and what is on its way has ended, or ctx ends.
-func (g *Gateway) Serve(ctx, stopping context.Context, d *coordinator.Door) error {
+func (g *Gateway) Serve(ctx, stopping context.Context, d *coordinator.SearchAPI) error {
 	select {
 	case <-g.o.Shared.Ready():
 	case <-stopping.Done():
@@ -241,7 +241,7 @@
 	var unread, unheard bool
 	var read, filed, forgot, left time.Time
 	rest := readEach
-	busy, at := d.Busy(), time.Now()
+	busy, at := d.BusyTime(), time.Now()
 	for {
 		select {
 		case <-changes:
@@ -263,7 +263,7 @@
 			return nil
 		}
 		t := time.Now()
-		if spent := d.Busy(); t.After(at) {
+		if spent := d.BusyTime(); t.After(at) {
 			late := t.Sub(at) - turnEach // a wake that comes late tells of a machine that is full
 			g.pool.Load(min(1, max(float64(spent-busy), float64(late))/float64(t.Sub(at))))
 			busy, at = spent, t
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -156,8 +156,8 @@
 		}})
 	ended := make(chan error, 1)
 	go func() {
-		ended <- plan.Serve(ctx, coordinator.Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
-			Log: log, Fronts: []coordinator.Front{g}})
+		ended <- plan.Serve(ctx, coordinator.Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
+			Logger: log, Frontends: []coordinator.Frontend{g}})
 	}()
 	end = sync.OnceFunc(func() {
 		stop()
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -123,21 +123,21 @@
 func (g *Gateway) search(ctx context.Context, name string, r subscribers.Run) (values map[int][]byte) {
 	blocks := r.Blocks
 	if len(blocks) == 0 {
-		for b := range min(g.door.Blocks(), subscribers.BlocksMost) {
+		for b := range min(g.door.BlockCount(), subscribers.BlocksMost) {
 			blocks = append(blocks, b)
 		}
 	}
-	given, err := g.door.Search(ctx, coordinator.Asked{Name: strings.ReplaceAll(name, ".", "_"), Type: r.Type, Tenant: r.Key.Tenant, Text: []byte(r.Query),
-		Shards: blocks, Patience: g.door.Patience(r.Type),
-		Check: func(_ int, value []byte) (any, error) { return bytes.Clone(value), nil }})
+	given, err := g.door.Search(ctx, coordinator.SearchRequest{ID: strings.ReplaceAll(name, ".", "_"), Type: r.Type, Tenant: r.Key.Tenant, Body: []byte(r.Query),
+		Shards: blocks, Timeout: g.door.SearchTimeout(r.Type),
+		DecodeValue: func(_ int, value []byte) (any, error) { return bytes.Clone(value), nil }})
 	why := ""
 	switch {
 	case ctx.Err() != nil:
 		return nil
 	case err != nil:
 		why = err.Error()
-	case given.Kind != coordinator.Answered:
-		why = map[int]string{coordinator.Shed: "shed", coordinator.Errored: "errored", coordinator.NameOpen: "its name is open"}[given.Kind]
+	case given.Outcome != coordinator.OutcomeAnswered:
+		why = map[int]string{coordinator.OutcomeShed: "shed", coordinator.OutcomeFailed: "errored", coordinator.OutcomeDuplicateID: "its name is open"}[given.Outcome]
 	}
 	if why != "" || err != nil {
 		g.tell("subscriber_search", advice.Attrs(&NotSearched{why}, "subscriber", r.Key)...)
@@ -145,7 +145,7 @@
 	}
 	values = map[int][]byte{}
 	for _, p := range given.Parts {
-		values[p.Shard], _ = p.Read.([]byte)
+		values[p.Shard], _ = p.Value.([]byte)
 	}
 	return values
 }
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -104,8 +104,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		ended <- r.plan.Serve(ctx, Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Log: NewLog(r.log, false, slog.LevelInfo), look: look})
+		ended <- r.plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look})
 	}()
 	o := <-look
 	dial := func() *caller {
@@ -149,8 +149,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.t.Cleanup(stop)
 	go func() {
-		ended <- r.plan.Serve(ctx, Means{Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Log: NewLog(r.log, false, slog.LevelInfo), look: look})
+		ended <- r.plan.Serve(ctx, Options{Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look})
 	}()
 	<-look
 	var callers []net.Conn
--- a/coordinator/connect_test.go
+++ b/coordinator/connect_test.go
@@ -17,7 +17,7 @@
 func TestConnectionsThatNeverComeUp(t *testing.T) {
 	var mu sync.Mutex
 	tried := map[string]int{}
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Means) {
+	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			mu.Lock()
@@ -72,7 +72,7 @@
 			var mu sync.Mutex
 			var made []*counted
 			g := &errgroup.Group{}
-			o := &owner{g: g, Means: Means{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			o := &owner{g: g, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				conn, err := x.ways[dials.Add(1)-1](ctx)
 				if err != nil {
 					return nil, err
@@ -120,7 +120,7 @@
 // detector holds it.
 func TestNewPlanWhileConnectsAreLate(t *testing.T) {
 	var late atomic.Int32
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Means) {
+	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if late.Add(1) <= 8 {
@@ -134,7 +134,7 @@
 	c.send(request("q", "all", "", fourParts))
 	for n := 255; ; n-- { // one after another, until further connects have been tried
 		p := *r.plan
-		p.Sockets = n
+		p.MaxSockets = n
 		r.plans <- &p
 		if late.Load() > 4 {
 			break
--- a/coordinator/contain_test.go
+++ b/coordinator/contain_test.go
@@ -43,7 +43,7 @@
 // One of a replica's bytes ends that connection as a spoilt answer does, and one of discovery's is a list that failed.
 func TestFaultsOfHostsAreContained(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Means) {
+	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := own(ctx, network, addr)
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -623,7 +623,7 @@
 func TestListWithoutEnd(t *testing.T) {
 	list := script(t)
 	o := &owner{plan: &Plan{Discovery: list.Ln.Addr().String()}, ctx: context.Background(),
-		Means: Means{Dial: (&net.Dialer{}).DialContext}}
+		Options: Options{Dial: (&net.Dialer{}).DialContext}}
 	list.Answers <- `{"version":0,"full":true,"servers":[]}`
 	require.ErrorContains(t, o.watch(o.ctx, &asking{at: o.plan.Discovery}, nil), "nothing new")
 	require.Equal(t, "/v1/servers?index=0&wait=2000", <-list.Calls)
@@ -663,7 +663,7 @@
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Calls)
 	next := script(t)
 	p := *r.plan
-	p.Discovery, p.Sockets = next.Ln.Addr().String(), 16
+	p.Discovery, p.MaxSockets = next.Ln.Addr().String(), 16
 	r.plans <- &p
 	require.Equal(t, "/v1/servers", <-next.Calls)
 	next.Answers <- fmt.Sprintf(`{"version":3,"full":true,"servers":[%s,%s,%s]}`, r.entry("a0", "draining"),
@@ -705,7 +705,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	out, signals := &journal{}, make(chan os.Signal)
-	plans := Reloads(ctx, first, signals, env, NewLog(out, false, slog.LevelInfo))
+	plans := WatchPlanReloads(ctx, first, signals, env, NewLogger(out, false, slog.LevelInfo))
 	for _, x := range [][3]string{{"file", `"Added":1,`, "variable"}, {"elsewhere", "", "elsewhere"}, {"broken", "{", ""},
 		{"elsewhere", "", "elsewhere"}, {"elsewhere", `"Balancers":-1,`, ""}, {"elsewhere", "", "elsewhere"}} {
 		write(x[0], x[1])
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -111,8 +111,8 @@
 // crossed starts a co-ordinator whose clients' and replicas' connections are made crossings by accepts and dials; either
 // may be nil, and more too.
 func crossed(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *crossing),
-	dials func(addr string, c *crossing), more func(m *Means)) *rig {
-	return startIn(t, nil, sockets, edit, nil, nil, func(m *Means) {
+	dials func(addr string, c *crossing), more func(m *Options)) *rig {
+	return startIn(t, nil, sockets, edit, nil, nil, func(m *Options) {
 		m.Listener = &accepting{TCPListener: m.Listener.(*net.TCPListener), made: accepts}
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -230,7 +230,7 @@
 func TestConnectionsThatWaitForRoomAtTheStop(t *testing.T) {
 	const sockets, more, room = 16, 6, 8
 	gate, closing := make(chan struct{}), make(chan struct{}, 64)
-	r := crossed(t, sockets, nil, nil, nil, func(m *Means) {
+	r := crossed(t, sockets, nil, nil, nil, func(m *Options) {
 		m.Listener.(*accepting).deadline = func() { closing <- struct{}{} }
 		m.Clock = clocked{held: stopQuiet, gate: make(chan time.Time)} // which ends the wait for room
 	})
--- a/coordinator/door.go
+++ b/coordinator/door.go
@@ -14,18 +14,18 @@
 
 const frontShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
 
-// Front is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
+// Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
 // returns; it ends at once with ctx. It hands searches in by the door.
-type Front interface {
-	Serve(ctx, stopping context.Context, d *Door) error
+type Frontend interface {
+	Serve(ctx, stopping context.Context, d *SearchAPI) error
 }
 
-// Door hands other fronts' searches to the owner: the same module and the same rules as for the own front.
-type Door struct {
-	Name        string // of the co-ordinator
-	Connections int    // that the front may hold
-	RetryAfter  bool   // clients may be told when to come back
-	Log         func(kind, event string, v ...any)
+// SearchAPI hands other fronts' searches to the owner: the same module and the same rules as for the own front.
+type SearchAPI struct {
+	CoordinatorName string // of the co-ordinator
+	MaxConnections  int    // that the front may hold
+	SendRetryAfter  bool   // clients may be told when to come back
+	LogEvent        func(kind, event string, v ...any)
 
 	o                *owner
 	classes, tenants map[string]int
@@ -38,51 +38,51 @@
 	holders map[int]int // listed hosts by cell
 }
 
-// Asked is one search. Check looks at a host's value for a part before it counts as in, in the goroutine of the
+// SearchRequest is one search. Check looks at a host's value for a part before it counts as in, in the goroutine of the
 // connection it came on: one that it refuses is an errored sub-request. What it gives back stands in the result.
-type Asked struct {
-	Name     string // of all that are open, no two may bear one
-	Type     string
-	Tenant   string
-	Text     []byte
-	Shards   []int // in equal weights
-	Retry    bool
-	Patience time.Duration
-	Check    func(shard int, value []byte) (any, error)
+type SearchRequest struct {
+	ID          string // of all that are open, no two may bear one
+	Type        string
+	Tenant      string
+	Body        []byte
+	Shards      []int // in equal weights
+	IsRetry     bool
+	Timeout     time.Duration
+	DecodeValue func(shard int, value []byte) (any, error)
 }
 
 // How a search ended.
 const (
-	Answered = answered
-	Shed     = shed
-	Errored  = errored
-	NameOpen = taken
-	Barred   = barred
-	Left     = left // of an End alone
+	OutcomeAnswered         = answered
+	OutcomeShed             = shed
+	OutcomeFailed           = errored
+	OutcomeDuplicateID      = taken
+	OutcomeResidencyRefused = barred
+	OutcomeClientGone       = left // of an End alone
 )
 
-// Given is a final answer.
-type Given struct {
-	Kind    int
-	Whole   bool
-	RetryIn time.Duration // of Shed, 0 where none is named
-	Sent    bool          // of Shed and Errored: hosts were asked
-	Parts   []GivenPart   // that are in
-	Barred  *residency.Refused
+// SearchResult is a final answer.
+type SearchResult struct {
+	Outcome          int
+	Complete         bool
+	RetryAfter       time.Duration // of Shed, 0 where none is named
+	Dispatched       bool          // of Shed and Errored: hosts were asked
+	Parts            []PartResult  // that are in
+	ResidencyRefusal *residency.Refused
 }
 
-// GivenPart is a part that is in, with what Check gave for it.
-type GivenPart struct {
+// PartResult is a part that is in, with what Check gave for it.
+type PartResult struct {
 	Shard int
-	Read  any
+	Value any
 }
 
-// ErrAsked is a search that cannot be taken.
-var ErrAsked = errors.New("no such type or partner")
+// ErrUnknownTypeOrTenant is a search that cannot be taken.
+var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
 
-func newDoor(o *owner) *Door {
-	d := &Door{Name: o.plan.Name, o: o, RetryAfter: o.plan.facts["Permissions.RetryAfter"] == "true", classes: o.plan.names("Classes"), tenants: o.plan.names("Tenants"),
-		Connections: max(1, int(frontShare*float64(o.plan.Sockets))), Log: o.log.often, cells: map[string]int{},
+func newDoor(o *owner) *SearchAPI {
+	d := &SearchAPI{CoordinatorName: o.plan.Name, o: o, SendRetryAfter: o.plan.facts["Permissions.RetryAfter"] == "true", classes: o.plan.names("Classes"), tenants: o.plan.names("Tenants"),
+		MaxConnections: max(1, int(frontShare*float64(o.plan.MaxSockets))), LogEvent: o.log.often, cells: map[string]int{},
 		addrs: map[string]string{}, holders: map[int]int{}, sets: int(o.plan.fact("Specifics.Sets")), reach: int(o.plan.fact("Specifics.Reach"))}
 	for _, v := range o.plan.spans("Deadline") {
 		if v <= 0 || v > longWait {
@@ -93,28 +93,28 @@
 	return d
 }
 
-// Knows tells whether there is such a type, and such a partner where partners are named at all.
-func (d *Door) Knows(qtype, tenant string) error {
+// ValidateTypeAndTenant tells whether there is such a type, and such a partner where partners are named at all.
+func (d *SearchAPI) ValidateTypeAndTenant(qtype, tenant string) error {
 	if _, ok := d.classes[qtype]; !ok {
-		return fmt.Errorf("%w: type %q", ErrAsked, qtype)
+		return fmt.Errorf("%w: type %q", ErrUnknownTypeOrTenant, qtype)
 	}
 	if _, ok := d.tenants[tenant]; !ok && len(d.tenants) > 0 {
-		return fmt.Errorf("%w: partner %q", ErrAsked, tenant)
+		return fmt.Errorf("%w: partner %q", ErrUnknownTypeOrTenant, tenant)
 	}
 	return nil
 }
 
-// Patience is how long a search of a type may take at the most.
-func (d *Door) Patience(qtype string) time.Duration { return d.patience[d.classes[qtype]] }
+// SearchTimeout is how long a search of a type may take at the most.
+func (d *SearchAPI) SearchTimeout(qtype string) time.Duration { return d.patience[d.classes[qtype]] }
 
-// Busy is how much time the owner has spent in turns so far: background work holds back by it.
-func (d *Door) Busy() time.Duration { return time.Duration(d.o.busy.Load()) }
+// BusyTime is how much time the owner has spent in turns so far: background work holds back by it.
+func (d *SearchAPI) BusyTime() time.Duration { return time.Duration(d.o.busy.Load()) }
 
-// Blocks tells how many blocks there are.
-func (d *Door) Blocks() int { return d.o.plan.Blocks() }
+// BlockCount tells how many blocks there are.
+func (d *SearchAPI) BlockCount() int { return d.o.plan.BlockCount() }
 
-// Held tells whether a listed host holds a block.
-func (d *Door) Held(block int) bool {
+// HasBlockHost tells whether a listed host holds a block.
+func (d *SearchAPI) HasBlockHost(block int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for j := range d.reach {
@@ -125,8 +125,8 @@
 	return false
 }
 
-// Holders names the listed hosts that hold a block, with their addresses.
-func (d *Door) Holders(block int) (names, addrs []string) {
+// BlockHosts names the listed hosts that hold a block, with their addresses.
+func (d *SearchAPI) BlockHosts(block int) (names, addrs []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, cell := range d.cells {
@@ -141,15 +141,15 @@
 	return names, addrs
 }
 
-// Hosts counts the listed hosts.
-func (d *Door) Hosts() int {
+// HostCount counts the listed hosts.
+func (d *SearchAPI) HostCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.cells)
 }
 
 // listed takes in a list or changes of it.
-func (d *Door) listed(full bool, hosts []listedHost) {
+func (d *SearchAPI) listed(full bool, hosts []listedHost) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if full {
@@ -168,31 +168,31 @@
 }
 
 // Search hands a search in and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
-func (d *Door) Search(ctx context.Context, a Asked) (Given, error) {
-	if err := d.Knows(a.Type, a.Tenant); err != nil {
-		return Given{}, err
+func (d *SearchAPI) Search(ctx context.Context, a SearchRequest) (SearchResult, error) {
+	if err := d.ValidateTypeAndTenant(a.Type, a.Tenant); err != nil {
+		return SearchResult{}, err
 	}
-	if !plainName(a.Name) || strings.ContainsRune(a.Name, '.') || len(a.Shards) == 0 {
-		return Given{}, fmt.Errorf("a search named %.40q over %d blocks", a.Name, len(a.Shards))
+	if !plainName(a.ID) || strings.ContainsRune(a.ID, '.') || len(a.Shards) == 0 {
+		return SearchResult{}, fmt.Errorf("a search named %.40q over %d blocks", a.ID, len(a.Shards))
 	}
 	o := d.o
-	out, first := make(chan Given, 1), []behind(nil)
+	out, first := make(chan SearchResult, 1), []behind(nil)
 	now := o.Clock.Now()
-	s := &search{name: a.Name, text: a.Text, qtype: d.classes[a.Type], tenant: d.tenants[a.Tenant], retry: a.Retry,
-		came: now, patience: o.within(min(a.Patience, longWait), now), shards: slices.Clone(a.Shards), check: a.Check}
+	s := &search{name: a.ID, text: a.Body, qtype: d.classes[a.Type], tenant: d.tenants[a.Tenant], retry: a.IsRetry,
+		came: now, patience: o.within(min(a.Timeout, longWait), now), shards: slices.Clone(a.Shards), check: a.DecodeValue}
 	for range a.Shards {
 		s.weights = append(s.weights, 1/float64(len(a.Shards)))
 	}
 	s.reply = func(r result) {
 		first = slices.Clone(r.behind)
-		g := Given{Kind: r.kind, Whole: r.whole, RetryIn: time.Duration(r.retryIn) * tenth, Sent: r.sent, Barred: r.barred}
+		g := SearchResult{Outcome: r.kind, Complete: r.whole, RetryAfter: time.Duration(r.retryIn) * tenth, Dispatched: r.sent, ResidencyRefusal: r.barred}
 		for _, p := range r.parts {
-			g.Parts = append(g.Parts, GivenPart{Shard: p.shard, Read: p.read})
+			g.Parts = append(g.Parts, PartResult{Shard: p.shard, Value: p.read})
 		}
 		out <- g
 	}
 	if !o.post(func() { o.take(s) }) {
-		return Given{}, closing
+		return SearchResult{}, closing
 	}
 	select {
 	case g := <-out:
@@ -200,8 +200,8 @@
 		return g, nil
 	case <-ctx.Done():
 		o.post(func() { o.withdraw(s) })
-		return Given{}, ctx.Err()
+		return SearchResult{}, ctx.Err()
 	case <-o.ctx.Done():
-		return Given{}, closing
+		return SearchResult{}, closing
 	}
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -149,8 +149,8 @@
 	defer stop()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- p.Serve(ctx, Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Log: NewLog(io.Discard, false, slog.LevelInfo)})
+		ended <- p.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(io.Discard, false, slog.LevelInfo)})
 	}()
 	var out strings.Builder
 	exchange(t, &out, ln.Addr().String(), "health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -258,7 +258,7 @@
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	var out strings.Builder
 	exchange(t, &out, z.addr, "no holder", request("q1", "all", "", fourParts))
-	z.in.Put(z.in.Standing().With(z.clock() - 1))
+	z.in.SetPolicy(z.in.Policy().With(z.clock() - 1))
 	exchange(t, &out, z.addr, "lease ended", request("q2", "all", "Connection: close\r\n", fourParts))
 	for _, why := range []string{residency.NoHolder, residency.Lapsed, residency.Ended} {
 		status, body := barredBody(&residency.Refused{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Why: why, Generation: 7})
@@ -274,7 +274,7 @@
 func TestGoldenMetricsResponse(t *testing.T) {
 	watching := startWatching(t, map[string]string{"Permissions.SecondCopies": "false"})
 	z := startZoned(t, eastOnly)
-	z.in.Put(z.standing(eastOnly, math.MaxInt64))
+	z.in.SetPolicy(z.standing(eastOnly, math.MaxInt64))
 	var out strings.Builder
 	for _, r := range []*rig{watching, z.rig} {
 		c := dialRaw(t, r.addr)
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -81,7 +81,7 @@
 	status, _ := z.as("acme", "acme1", "all")
 	require.Equal(t, http.StatusUnavailableForLegalReasons, status)
 	z.logged("event=residency_refused")
-	z.in.Put(z.standing(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
+	z.in.SetPolicy(z.standing(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
 	z.end()
 	kept = nil
 	for _, line := range strings.Split(z.log.String(), "\n") {
--- a/coordinator/golden_plan_test.go
+++ b/coordinator/golden_plan_test.go
@@ -47,7 +47,7 @@
 	line("seed", p.seed)
 	line("limits.cores", p.Cores)
 	line("limits.memory_mb", p.MemoryMB)
-	line("limits.sockets", p.Sockets)
+	line("limits.sockets", p.MaxSockets)
 	for _, name := range slices.Sorted(maps.Keys(p.facts)) {
 		line("settings", name+"="+p.facts[name])
 	}
@@ -57,11 +57,11 @@
 			line(list, fmt.Sprintf("%q is %d", name, places[name]))
 		}
 	}
-	line("aims", p.Aims())
-	line("blocks", p.Blocks())
-	site := p.Site()
+	line("aims", p.LatencyObjectives())
+	line("blocks", p.BlockCount())
+	site := p.ResidencySite()
 	line("site", fmt.Sprintf("%q %q %q %d", site.Tenants, site.Classes, site.Zones, site.Blocks))
-	rules := p.MemberRules()
+	rules := p.EndpointRules()
 	line("rules", fmt.Sprintf("%q %q %d %d", rules.Zones, rules.Kinds, rules.Sets, rules.Reach))
 	_, hosts, _, err := (&owner{plan: p}).readList(p.known)
 	line("known", err)
@@ -78,7 +78,7 @@
 	require.NoError(t, err)
 	fmt.Fprintln(&out, "plan")
 	describePlan(&out, p)
-	over, err := p.With(map[string]string{"Permissions.RetryAfter": "true", "Classes.1.Aim": "50"})
+	over, err := p.WithSettings(map[string]string{"Permissions.RetryAfter": "true", "Classes.1.Aim": "50"})
 	require.NoError(t, err)
 	fmt.Fprintln(&out, "with an installation's settings")
 	describePlan(&out, over)
@@ -91,7 +91,7 @@
 // logLine is an error as the line that the service logs at start.
 func logLine(event string, err error) string {
 	var out bytes.Buffer
-	NewLog(&out, false, slog.LevelInfo).Error(event, advice.Attrs(err)...)
+	NewLogger(&out, false, slog.LevelInfo).Error(event, advice.Attrs(err)...)
 	return timeOfLine.ReplaceAllString(strings.TrimSpace(out.String()), "time=TIME ")
 }
 
@@ -149,11 +149,11 @@
 	}
 	p, err := Parse([]byte(goldenPlan))
 	require.NoError(t, err)
-	_, err = p.With(map[string]string{"Tick": "-1"})
+	_, err = p.WithSettings(map[string]string{"Tick": "-1"})
 	write("an installation's setting", err)
-	_, err = p.With(map[string]string{"Specifics.ClassFloor": "1"})
+	_, err = p.WithSettings(map[string]string{"Specifics.ClassFloor": "1"})
 	write("an installation's list", err)
-	_, err = p.Watching(map[string]string{"Safety.ColdFrom": "2"})
+	_, err = p.WithShadowSettings(map[string]string{"Safety.ColdFrom": "2"})
 	write("a setting that is watched", err)
 	requireGolden(t, "plan_errors.golden", out.String())
 }
@@ -212,7 +212,7 @@
 	var out bytes.Buffer
 	for _, json := range []bool{false, true} {
 		for _, level := range []slog.Level{slog.LevelDebug, slog.LevelWarn} {
-			log := NewLog(&out, json, level)
+			log := NewLogger(&out, json, level)
 			log.Debug("first", "count", 1)
 			log.Info("second", "name", "a b", "event", "inner")
 			log.Error("third", "error", fmt.Errorf("it is %q", "x"))
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -45,7 +45,7 @@
 // startRecorded starts a coordinator whose bytes to replicas and discovery are collected.
 func startRecorded(t *testing.T) (*rig, *sentBytes) {
 	sent := &sentBytes{text: map[string]string{}}
-	return startIn(t, nil, 256, nil, nil, nil, func(m *Means) {
+	return startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		dial := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dial(ctx, network, addr)
@@ -174,7 +174,7 @@
 	require.NoError(t, err)
 	var out strings.Builder
 	o := &owner{plan: p, fleet: map[string]*replica{}, module: toldEntries{out: &out}, log: newNotes(SystemClock{}, slog.DiscardHandler),
-		Means: Means{Hosts: map[string]HostKind{"search": {Index: "members"}}}, timers: map[uint64]*moduleWake{}}
+		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: map[uint64]*moduleWake{}}
 	for body := range strings.Lines(string(bodies)) {
 		fmt.Fprint(&out, body)
 		all, err := object([]byte(body))
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -83,10 +83,10 @@
 		All: []peerreport.Note{{ID: "a", ShortN: 11, LongN: 12, Short: -13, Long: 14, Age: 19}}}
 }
 
-func openGoldenKeep(t *testing.T, path string) *Keep {
+func openGoldenKeep(t *testing.T, path string) *Persistence {
 	k := newKeep(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
 	t.Cleanup(k.Close)
-	_, err := k.Store(t.Context())
+	_, err := k.WaitForStore(t.Context())
 	require.NoError(t, err)
 	return k
 }
@@ -101,7 +101,7 @@
 		puts[key] = text
 	}
 	require.NoError(t, k.store.Put(t.Context(), "kept", puts, nil))
-	k.Event("stop", "planned")
+	k.RecordEvent("stop", "planned")
 	require.NoError(t, k.flush(t.Context()))
 	k.Close()
 }
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -37,10 +37,10 @@
 	whoseKey    = "whose"
 )
 
-// Keep keeps what a restart can use on disk: the list in force, what the module knows of hosts, starts and events.
+// Persistence keeps what a restart can use on disk: the list in force, what the module knows of hosts, starts and events.
 // Nothing waits for it: it opens its store beside the start, what it finds comes as one more source of the list and as
 // one more peer's report, and background jobs write.
-type Keep struct {
+type Persistence struct {
 	path   string
 	alone  bool             // nothing else is in the store
 	budget scheduler.Budget // of its writes
@@ -68,17 +68,17 @@
 	closed    sync.Once
 }
 
-// NewKeep begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
+// NewPersistence begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
 // nothing else keeps anything there, so that a crash loop may put all of it aside.
-func NewKeep(path string, alone bool, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Keep {
+func NewPersistence(path string, alone bool, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Persistence {
 	return newKeep(path, alone, store.Options{}, budget, plan, clock, log)
 }
 
-func newKeep(path string, alone bool, o store.Options, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Keep {
+func newKeep(path string, alone bool, o store.Options, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Persistence {
 	version, _ := amount(plan.known["version"])
 	ctx, stop := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
-	k := &Keep{path: path, alone: alone, budget: budget, plan: int64(version), whose: plan.whose(), clock: clock, log: newNotes(clock, log.Handler()),
+	k := &Persistence{path: path, alone: alone, budget: budget, plan: int64(version), whose: plan.whose(), clock: clock, log: newNotes(clock, log.Handler()),
 		own: stop, enough: enough, opened: make(chan struct{}), turn: make(chan struct{}, 1)}
 	k.discovery.Store(k.plan)
 	k.writes.Go(func() { k.log.write(ctx) })
@@ -105,10 +105,10 @@
 }
 
 // open opens the store, notes the start on disk, and only then believes what is there.
-func (k *Keep) open(path string, o store.Options) error {
+func (k *Persistence) open(path string, o store.Options) error {
 	o.Told = func(err error) {
 		k.log.Warn("store_told", advice.Attrs(err)...)
-		k.Event("store", err.Error())
+		k.RecordEvent("store", err.Error())
 	}
 	began := k.clock.Now()
 	s, err := store.Open(path, o)
@@ -120,7 +120,7 @@
 	if level > recovery.All {
 		k.log.Warn("crash_loop", "starts", len(starts.At), "believes", level.String(),
 			"do", "Look in the log for why the earlier runs ended; a planned stop, or a minute without a start, ends the loop.")
-		k.Event("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.At), level))
+		k.RecordEvent("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.At), level))
 	}
 	if level == recovery.Nothing {
 		if err := s.Close(context.Background()); err != nil {
@@ -173,12 +173,12 @@
 	}
 	k.log.Info("store", "path", path, "believes", level.String(), "listed", hosts, "notes", known,
 		"took", k.clock.Now().Sub(began).Round(time.Millisecond))
-	k.Event("start", fmt.Sprintf("believes %s: %d hosts listed, notes of %d", level, hosts, known))
+	k.RecordEvent("start", fmt.Sprintf("believes %s: %d hosts listed, notes of %d", level, hosts, known))
 	return nil
 }
 
 // read is one kept value; what is missing or in another form is nothing.
-func read[T any](k *Keep, s *store.Store, key string) (v T) {
+func read[T any](k *Persistence, s *store.Store, key string) (v T) {
 	text, found, err := s.Get(keptBucket, key)
 	if err == nil && found {
 		err = cbor.Unmarshal(text, &v)
@@ -192,10 +192,10 @@
 }
 
 // Path is where the store is.
-func (k *Keep) Path() string { return k.path }
+func (k *Persistence) Path() string { return k.path }
 
-// Store waits until the store is open, or cannot be: for one that another process holds, until that lets go.
-func (k *Keep) Store(ctx context.Context) (*store.Store, error) {
+// WaitForStore waits until the store is open, or cannot be: for one that another process holds, until that lets go.
+func (k *Persistence) WaitForStore(ctx context.Context) (*store.Store, error) {
 	select {
 	case <-k.opened:
 		return k.store, k.err
@@ -204,8 +204,8 @@
 	}
 }
 
-// Lists puts what was kept of the list before other sources' lists, which may be nil. It ends with ctx.
-func (k *Keep) Lists(ctx context.Context, more <-chan endpoints.Told) <-chan endpoints.Told {
+// PrependStoredUpdate puts what was kept of the list before other sources' lists, which may be nil. It ends with ctx.
+func (k *Persistence) PrependStoredUpdate(ctx context.Context, more <-chan endpoints.Told) <-chan endpoints.Told {
 	out := make(chan endpoints.Told)
 	go func() {
 		defer close(out)
@@ -237,8 +237,8 @@
 	return out
 }
 
-// Event notes something for the journal; it waits for nothing.
-func (k *Keep) Event(kind, words string) {
+// RecordEvent notes something for the journal; it waits for nothing.
+func (k *Persistence) RecordEvent(kind, words string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.waiting) >= keepRoom {
@@ -249,13 +249,13 @@
 }
 
 // Close lets go of the store. It waits a little for a write that is on its way, and for one that is stuck not at all.
-func (k *Keep) Close() { k.closed.Do(k.letGo) }
+func (k *Persistence) Close() { k.closed.Do(k.letGo) }
 
-func (k *Keep) letGo() {
+func (k *Persistence) letGo() {
 	k.enough()
 	ctx, stop := context.WithTimeout(context.Background(), keepClose)
 	defer stop()
-	if s, _ := k.Store(ctx); s != nil {
+	if s, _ := k.WaitForStore(ctx); s != nil {
 		if err := s.Close(ctx); err != nil {
 			k.log.Warn("store_failed", advice.Attrs(err)...)
 		}
@@ -265,8 +265,8 @@
 }
 
 // peers are those of an installation, or none, with room for the writes.
-func (k *Keep) peers(p *Peers) *Peers {
-	own := Peers{}
+func (k *Persistence) peers(p *PeerOptions) *PeerOptions {
+	own := PeerOptions{}
 	if p != nil {
 		own = *p
 	}
@@ -280,9 +280,9 @@
 
 // run is the co-ordinator's side: what was kept of hosts is told as a peer's report, then jobs write. stopping ends at
 // the start of a planned stop.
-func (k *Keep) run(o *owner, stopping context.Context) {
+func (k *Persistence) run(o *owner, stopping context.Context) {
 	o.g.Go(func() error {
-		if _, err := k.Store(o.ctx); err != nil {
+		if _, err := k.WaitForStore(o.ctx); err != nil {
 			return nil // it was told
 		}
 		if n := k.believed.Notes; n != nil {
@@ -304,17 +304,17 @@
 		}
 		ctx, stop := context.WithTimeout(o.ctx, keepLast)
 		defer stop()
-		k.Event("stop", "planned")
+		k.RecordEvent("stop", "planned")
 		k.write(ctx, o, nil, true)
 		return nil
 	})
 }
 
 // recall tells what an earlier run knew of hosts as one peer's report.
-func (k *Keep) recall(o *owner, n *recovery.Notes) {
+func (k *Persistence) recall(o *owner, n *recovery.Notes) {
 	l, h := o.peers, n.Head
 	since := int64(k.clock.Now().Sub(time.UnixMilli(n.At)) / tenth) // the machine's clock tells how long the start has taken
-	h.Peer, h.Place = recovery.Peer, l.p.Place
+	h.Peer, h.Place = recovery.Peer, l.p.Location
 	l.mu.Lock()
 	err := l.shelf.Begin(o.clock()-max(0, since), h)
 	if err == nil {
@@ -334,13 +334,13 @@
 }
 
 // listed takes in the list in force.
-func (k *Keep) listed(list []endpoints.Entry, gone []endpoints.Gone) {
+func (k *Persistence) listed(list []endpoints.Entry, gone []endpoints.Gone) {
 	l := recovery.Keep(k.clock.Now().UnixMilli(), k.plan, k.discovery.Load(), list, gone)
 	k.newest.Store(&l)
 }
 
 // write writes what is new. Its last write also tells that the stop was planned.
-func (k *Keep) write(ctx context.Context, o *owner, a *scheduler.Allowance, last bool) (err error) {
+func (k *Persistence) write(ctx context.Context, o *owner, a *scheduler.Allowance, last bool) (err error) {
 	select {
 	case k.turn <- struct{}{}:
 		defer func() { <-k.turn }()
@@ -398,7 +398,7 @@
 }
 
 // flush writes the events that wait; they wait on if it fails.
-func (k *Keep) flush(ctx context.Context) error {
+func (k *Persistence) flush(ctx context.Context) error {
 	k.mu.Lock()
 	events, left := k.waiting, k.leftOut
 	k.waiting, k.leftOut = nil, 0
@@ -421,7 +421,7 @@
 
 // event is for parts that may have no Keep.
 func (o *owner) event(kind, words string) {
-	if o.Keep != nil {
-		o.Keep.Event(kind, words)
+	if o.Persistence != nil {
+		o.Persistence.RecordEvent(kind, words)
 	}
 }
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -33,11 +33,11 @@
 	plan := *r.plan
 	plan.Discovery = more.list.Ln.Addr().String()
 	more.plan = &plan
-	log, look := NewLog(more.log, false, slog.LevelInfo), make(chan *owner, 1)
+	log, look := NewLogger(more.log, false, slog.LevelInfo), make(chan *owner, 1)
 	k := newKeep(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
 	go func() {
-		err := more.plan.Serve(ctx, Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Log: log,
-			Keep: k, Lists: k.Lists(ctx, nil), look: look})
+		err := more.plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Logger: log,
+			Persistence: k, EndpointUpdates: k.PrependStoredUpdate(ctx, nil), look: look})
 		k.Close()
 		more.ended <- err
 	}()
@@ -46,7 +46,7 @@
 	return more
 }
 
-func (r *rig) keeper() *Keep { return r.owner.Keep }
+func (r *rig) keeper() *Persistence { return r.owner.Persistence }
 
 // kept writes into a store as an earlier run would have.
 func kept(t *testing.T, path string, puts map[string]any) {
@@ -205,7 +205,7 @@
 	s, err := store.Open(filepath.Join(b.TempDir(), "kept"), store.Options{})
 	require.NoError(b, err)
 	defer s.Close(context.Background())
-	k := &Keep{log: newNotes(SystemClock{}, slog.DiscardHandler)}
+	k := &Persistence{log: newNotes(SystemClock{}, slog.DiscardHandler)}
 	bytes := 0
 	for b.Loop() {
 		puts := map[string][]byte{}
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -241,7 +241,7 @@
 }
 
 // follow starts one; time.Now and all waits are the test's.
-func follow(t *testing.T, seed int, at map[string]*lists, edit func(s map[string]any), more func(m *Means)) *follower {
+func follow(t *testing.T, seed int, at map[string]*lists, edit func(s map[string]any), more func(m *Options)) *follower {
 	settings := map[string]any{}
 	require.NoError(t, json.Unmarshal([]byte(testSettings), &settings))
 	settings["Safety"].(map[string]any)["AskWithin"] = 10000.0
@@ -260,8 +260,8 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	look, ended := make(chan *owner, 1), make(chan error, 1)
-	m := Means{Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, Plans: f.plans, look: look,
-		Log: NewLog(f.log, false, slog.LevelInfo), Dial: dialer(way, at)}
+	m := Options{Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, look: look,
+		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at)}
 	if more != nil {
 		more(&m)
 	}
@@ -495,7 +495,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	signals := make(chan os.Signal)
-	plans := Reloads(ctx, first, signals, env, slog.New(slog.DiscardHandler))
+	plans := WatchPlanReloads(ctx, first, signals, env, slog.New(slog.DiscardHandler))
 	for _, x := range [][2]string{{`"discovery":"elsewhere",`, "elsewhere"}, {"", "variable"}, {"", "variable"},
 		{`"discovery":"again",`, "again"}, {`"discovery":"again",`, "again"}} {
 		write(x[0])
@@ -526,7 +526,7 @@
 			dialed := make(chan string, 16)
 			r := startIn(t, nil, 256, func(s map[string]any) {
 				s["Permissions"].(map[string]any)["DialTimeout"] = 8000.0
-			}, nil, nil, func(m *Means) {
+			}, nil, nil, func(m *Options) {
 				m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					mu.Lock()
 					up := held[addr]
@@ -575,7 +575,7 @@
 // Where lists have several sources, changes of discovery's that are refused are told again until they can be taken: none of
 // them is lost with the version that brought it.
 func TestRefusedChangesAreToldAgain(t *testing.T) {
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Means) { m.Lists = make(chan endpoints.Told) })
+	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Told) })
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Calls)
 	good := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a0", "draining"), r.entry("b1", "up"))
 	bad := strings.Replace(good, `"state":"up","weight":1.0`, `"state":"up","weight":-1.0`, 1)
@@ -597,7 +597,7 @@
 func TestWaitsBeginAgainWithSeveralSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newLists()
-		f := follow(t, 1, map[string]*lists{"first": d}, nil, func(m *Means) { m.Lists = make(chan endpoints.Told) })
+		f := follow(t, 1, map[string]*lists{"first": d}, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Told) })
 		defer f.stop()
 		fail := func(times int) {
 			d.mu.Lock()
@@ -740,8 +740,8 @@
 	defer stop()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended}
 	go func() {
-		ended <- plan.Serve(ctx, Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Log: NewLog(next.log, false, slog.LevelInfo), look: look})
+		ended <- plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look})
 	}()
 	<-look
 	<-other.Calls
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// NewLog writes lines of key=value text, or JSON objects, one an event: time, level, event and what belongs to it.
-func NewLog(to io.Writer, json bool, least slog.Level) *slog.Logger {
+// NewLogger writes lines of key=value text, or JSON objects, one an event: time, level, event and what belongs to it.
+func NewLogger(to io.Writer, json bool, least slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: least, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.MessageKey {
 			a.Key = "event"
@@ -37,10 +37,10 @@
 
 var errStalled = errors.New("the log is not read")
 
-// Unstalled writes to a file that another may read late or never, such as a pipe: what is not taken within logStall is
+// NewStallGuardWriter writes to a file that another may read late or never, such as a pipe: what is not taken within logStall is
 // given up with an error, and so is, at once, all that follows until it is taken. Guards against a process that can neither
 // end nor take new plans since nobody reads what it says. What is written is out when Write returns without an error.
-func Unstalled(to io.Writer) io.Writer {
+func NewStallGuardWriter(to io.Writer) io.Writer {
 	u := &unstalled{texts: make(chan []byte), done: make(chan error, 1)}
 	go func() {
 		for text := range u.texts {
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -26,13 +26,13 @@
 
 // newMembership begins with the plan's list.
 func newMembership(o *owner, more <-chan endpoints.Told, version int64, known []listedHost) *membership {
-	m := &membership{o: o, book: endpoints.New(o.plan.MemberRules()), told: make(chan discovered), more: more, held: map[string]string{}}
+	m := &membership{o: o, book: endpoints.New(o.plan.EndpointRules()), told: make(chan discovered), more: more, held: map[string]string{}}
 	m.take(listTold("plan", endpoints.Plan, version, true, false, known))
 	return m
 }
 
-// MemberRules are what a plan says of all hosts.
-func (p *Plan) MemberRules() endpoints.Rules {
+// EndpointRules are what a plan says of all hosts.
+func (p *Plan) EndpointRules() endpoints.Rules {
 	return endpoints.Rules{Zones: p.list("FailureDomains"), Kinds: p.list("MachineTypes"),
 		Sets: int(p.fact("Specifics.Sets")), Reach: int(p.fact("Specifics.Reach"))}
 }
@@ -108,8 +108,8 @@
 		m.o.log.often("list_held "+t.Source, "list_held", "source", t.Source, "why", why)
 		m.o.event("list_held", t.Source+": "+why)
 	}
-	if m.o.Keep != nil && t.Rank == endpoints.Discovery && held[t.Source] == "" {
-		m.o.Keep.discovery.Store(t.Version)
+	if m.o.Persistence != nil && t.Rank == endpoints.Discovery && held[t.Source] == "" {
+		m.o.Persistence.discovery.Store(t.Version)
 	}
 	m.held = held
 	return changed, nil
@@ -134,8 +134,8 @@
 			o.module.Entry(e.ID, zone, kind, e.Cell, status, e.Weight, e.StartedMS*10)
 		})
 	}
-	if o.Keep != nil {
-		o.Keep.listed(list, m.book.Removed(o.clock()))
+	if o.Persistence != nil {
+		o.Persistence.listed(list, m.book.Removed(o.clock()))
 		o.event("list", fmt.Sprintf("generation %d, %d hosts", generation, len(hosts)))
 	}
 	ok := o.post(func() { o.listInForce("Complete", generation, hosts, present, steps) })
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -27,8 +27,8 @@
 		log: &journal{}, plan: r.plan}
 	look := make(chan *owner, 1)
 	go func() {
-		more.ended <- r.plan.Serve(ctx, Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Log: NewLog(more.log, false, slog.LevelInfo), Lists: lists, look: look})
+		more.ended <- r.plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, look: look})
 	}()
 	more.owner = <-look
 	r.t.Cleanup(stop)
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -25,7 +25,7 @@
 // connections and discovery post closures to queue. It waits for nothing but that queue and its next wake,
 // so they may wait for it. The queue is bounded by queueRoom; while it is full, sockets are not read.
 type owner struct {
-	Means
+	Options
 	log    *notes
 	plan   *Plan
 	module balancer.Coordinator
@@ -77,7 +77,7 @@
 	lastly  atomic.Bool               // each answer ends its connection, as stopMost is over
 	peers   *learner                  // nil where peers are not allowed
 	members *membership               // nil where discovery is the only source of lists
-	door    *Door                     // nil where there is no other front
+	door    *SearchAPI                // nil where there is no other front
 	counts  *shadow.Counts            // nil where no other settings are watched
 	zones   *bounding                 // nil where there are no contracts
 
@@ -266,8 +266,8 @@
 	if err == nil {
 		tell("Persisted")
 		o.tellListed(true, int64(version), hosts)
-		if o.Lists != nil {
-			o.members = newMembership(o, o.Lists, int64(version), hosts)
+		if o.EndpointUpdates != nil {
+			o.members = newMembership(o, o.EndpointUpdates, int64(version), hosts)
 		}
 	}
 	o.module.EndOfBatch()
@@ -513,22 +513,22 @@
 	return first
 }
 
-// End is how a search ended, for those that keep sums beside the owner.
-type End struct {
-	Type, Kind int           // its class; Answered, Shed, Errored, Barred or Left
-	Took       time.Duration // since it came
-	Subs       int           // sub-requests made for it
+// SearchEnd is how a search ended, for those that keep sums beside the owner.
+type SearchEnd struct {
+	Type, Outcome int           // its class; Answered, Shed, Errored, Barred or Left
+	Duration      time.Duration // since it came
+	Attempts      int           // sub-requests made for it
 }
 
 func (o *owner) tellEnd(s *search, kind int) {
-	if o.Ends == nil {
+	if o.OnSearchEnd == nil {
 		return
 	}
-	e := End{Type: s.qtype, Kind: kind, Took: o.Clock.Now().Sub(s.came)}
+	e := SearchEnd{Type: s.qtype, Outcome: kind, Duration: o.Clock.Now().Sub(s.came)}
 	for _, p := range s.parts {
-		e.Subs += len(p.subs)
+		e.Attempts += len(p.subs)
 	}
-	o.Ends(e)
+	o.OnSearchEnd(e)
 }
 
 // hold counts what a search holds, against memory that follows what answers happen to be long. The module turns
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -27,26 +27,26 @@
 	replyKind = "answer"
 )
 
-// Peers is what an installation allows beside the plan: co-ordinators that learn from one another. Without it
+// PeerOptions is what an installation allows beside the plan: co-ordinators that learn from one another. Without it
 // none of this file runs.
-type Peers struct {
-	Name, Place string
-	Listener    net.Listener // where others ask; nil answers nobody
-	Ask         []PeerAt
-	Allow       []string
-	Keys        *peerprotocol.Keys // nil for plain TCP
-	Refresh     time.Duration
-	Budgets     map[string]scheduler.Budget
+type PeerOptions struct {
+	Name, Location  string
+	Listener        net.Listener // where others ask; nil answers nobody
+	PollTargets     []PeerAddress
+	AllowedPeers    []string
+	Keys            *peerprotocol.Keys // nil for plain TCP
+	RefreshInterval time.Duration
+	Budgets         map[string]scheduler.Budget
 }
 
-// PeerAt is a peer and where it listens.
-type PeerAt struct{ Name, Addr string }
+// PeerAddress is a peer and where it listens.
+type PeerAddress struct{ Name, Addr string }
 
 // learner is the co-ordinator's side towards its peers. The owner never waits for it: it takes slices of knowledge
 // from the owner and gives slices of what was heard through the owner's queue, one at a time, each small.
 type learner struct {
 	o        *owner
-	p        *Peers
+	p        *PeerOptions
 	pool     *scheduler.Pool
 	instance uint64
 	zones    []string
@@ -67,7 +67,7 @@
 	feeding sync.Mutex   // one hand-over to the module at a time
 }
 
-func newLearner(o *owner, p *Peers) *learner {
+func newLearner(o *owner, p *PeerOptions) *learner {
 	now, name := o.clock(), o.plan.Name
 	if p.Name == "" {
 		p.Name = name
@@ -75,12 +75,12 @@
 	l := &learner{o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewDesk(),
 		since: map[string]int64{}, addrs: map[string]string{}}
 	l.instance = xxhash.Sum64String(fmt.Sprint(name, o.plan.seed, o.Listener.Addr(), o.start.UnixNano()))
-	l.shelf = peerreport.NewShelf(p.Place, l.zones)
+	l.shelf = peerreport.NewShelf(p.Location, l.zones)
 	var names []string
-	for _, at := range p.Ask {
+	for _, at := range p.PollTargets {
 		names = append(names, at.Name)
 	}
-	l.asker = peerreport.NewAsker(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.Refresh/tenth), names)
+	l.asker = peerreport.NewAsker(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.RefreshInterval/tenth), names)
 	plan := scheduler.NewPlan(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
 	l.pool = scheduler.NewPool(o.Clock, plan, func(job string, err error) {
 		o.log.often("job", "job_given_up", "job", job, "error", err)
@@ -100,10 +100,10 @@
 	if l.p.Listener == nil {
 		return
 	}
-	s := &peerprotocol.Server{Name: l.p.Name, Instance: l.instance, Allow: l.p.Allow, Keys: l.p.Keys, Admit: l.admit,
+	s := &peerprotocol.Server{Name: l.p.Name, Instance: l.instance, Allow: l.p.AllowedPeers, Keys: l.p.Keys, Admit: l.admit,
 		Done: l.done, Report: l.report, Status: l.status, Spend: l.reply,
 		Refused: func(addr, why string) { o.log.often("peer_refused", "peer_refused", "client", addr, "why", why) }}
-	o.log.Info("peers", "listen", l.p.Listener.Addr().String(), "name", l.p.Name, "asks", len(l.p.Ask))
+	o.log.Info("peers", "listen", l.p.Listener.Addr().String(), "name", l.p.Name, "asks", len(l.p.PollTargets))
 	o.g.Go(func() error { return s.Serve(o.ctx, l.p.Listener) })
 }
 
@@ -156,8 +156,8 @@
 
 // start makes a job of asking one peer.
 func (l *learner) start(name string) {
-	i := slices.IndexFunc(l.p.Ask, func(at PeerAt) bool { return at.Name == name })
-	at := l.p.Ask[i]
+	i := slices.IndexFunc(l.p.PollTargets, func(at PeerAddress) bool { return at.Name == name })
+	at := l.p.PollTargets[i]
 	job := scheduler.Job{Name: askPrefix + name, Kind: askKind, Priority: scheduler.Urgent, Tries: 1, Deadline: int64(askJob / tenth)}
 	_, err := l.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
 		how, later, err := l.askOne(ctx, at, a)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (l *learner) askOne(ctx context.Context, at PeerAt, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
+func (l *learner) askOne(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.o.clock()
 	asking := peerprotocol.Asking{Peer: at.Name, Addr: at.Addr, Me: l.p.Name, Instance: l.instance, Dial: l.o.Dial, Keys: l.p.Keys,
 		Head: func(h peerreport.Head) error {
@@ -326,7 +326,7 @@
 func (l *learner) take(ctx context.Context) error {
 	l.serial++
 	for {
-		t := peerreport.NewTaker(l.o.clock(), l.p.Name, l.p.Place, l.serial, l.version.Load(), l.zones)
+		t := peerreport.NewTaker(l.o.clock(), l.p.Name, l.p.Location, l.serial, l.version.Load(), l.zones)
 		for from := 0; ; {
 			if ctx.Err() != nil {
 				return ctx.Err()
@@ -375,7 +375,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.clock()
-	s := peerprotocol.Status{Name: l.p.Name, Place: l.p.Place, UpMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
+	s := peerprotocol.Status{Name: l.p.Name, Place: l.p.Location, UpMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
 		List: l.version.Load(), Hosts: uint32(len(l.since)), Answered: uint32(l.desk.Answers), PutOff: uint32(l.desk.Put),
 		Load: uint16(1000 * min(1, max(load, l.load))), Waiting: uint16(waiting), Running: uint16(running), Held: uint32(counts.Held)}
 	for _, p := range l.asker.Standings(now) {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -29,12 +29,12 @@
 }
 
 // named is a co-ordinator's side towards peers, at a free port.
-func named(t *testing.T, name string, ask ...PeerAt) *Peers {
-	return &Peers{Name: name, Listener: listen(t), Ask: ask, Allow: []string{"a", "b", "c"},
+func named(t *testing.T, name string, ask ...PeerAddress) *PeerOptions {
+	return &PeerOptions{Name: name, Listener: listen(t), PollTargets: ask, AllowedPeers: []string{"a", "b", "c"},
 		Budgets: map[string]scheduler.Budget{"ask": {Concurrent: 4}, "answer": {Concurrent: 4}}}
 }
 
-func (p *Peers) at() PeerAt { return PeerAt{p.Name, p.Listener.Addr().String()} }
+func (p *PeerOptions) at() PeerAddress { return PeerAddress{p.Name, p.Listener.Addr().String()} }
 
 // heard counts the replicas of which the module has heard something.
 func (r *rig) heard(id string) (bad bool) {
@@ -75,8 +75,8 @@
 	deaf := listen(t)
 	gone := listen(t)
 	gone.Close()
-	p := named(t, "a", PeerAt{"deaf", deaf.Addr().String()}, PeerAt{"gone", gone.Addr().String()})
-	p.Ask = append(p.Ask, PeerAt{"self", p.at().Addr})
+	p := named(t, "a", PeerAddress{"deaf", deaf.Addr().String()}, PeerAddress{"gone", gone.Addr().String()})
+	p.PollTargets = append(p.PollTargets, PeerAddress{"self", p.at().Addr})
 	began := time.Now()
 	r := startWith(t, 256, nil, p)
 	c := r.call()
@@ -95,7 +95,7 @@
 // Two that both start cold and ask each other, and one that hears from both while a list changes.
 func TestColdOnesAskEachOther(t *testing.T) {
 	pa, pb := named(t, "a"), named(t, "b")
-	pa.Ask, pb.Ask = []PeerAt{pb.at()}, []PeerAt{pa.at()}
+	pa.PollTargets, pb.PollTargets = []PeerAddress{pb.at()}, []PeerAddress{pa.at()}
 	a, b := startWith(t, 256, nil, pa), startWith(t, 256, nil, pb)
 	a.logged("event=learned peer=b")
 	b.logged("event=learned peer=a")
@@ -122,7 +122,7 @@
 func TestFiftyAskOne(t *testing.T) {
 	p := named(t, "a")
 	for i := range 50 {
-		p.Allow = append(p.Allow, fmt.Sprint("n", i))
+		p.AllowedPeers = append(p.AllowedPeers, fmt.Sprint("n", i))
 	}
 	r := startWith(t, 256, nil, p)
 	var g sync.WaitGroup
@@ -160,7 +160,7 @@
 			return peerreport.Head{Peer: "b", Hosts: 1}, []peerreport.Note{{ID: "a0", Bad: true}}, nil
 		}}
 	go func() { served <- s.Serve(ctx, ln) }()
-	p := named(t, "a", PeerAt{"b", ln.Addr().String()})
+	p := named(t, "a", PeerAddress{"b", ln.Addr().String()})
 	r := startWith(t, 256, nil, p)
 	r.logged("event=learned peer=b hosts=1")
 	stop()
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -13,15 +13,15 @@
 	"chalkring/internal/advice"
 )
 
-// PlanTooLong is a file with more than planMost bytes.
-type PlanTooLong struct{ Path string }
+// PlanTooLargeError is a file with more than planMost bytes.
+type PlanTooLargeError struct{ Path string }
 
-func (e *PlanTooLong) Error() string {
+func (e *PlanTooLargeError) Error() string {
 	return fmt.Sprintf("%s has more than %d bytes", e.Path, planMost)
 }
 
 // Advice tells an operator what to do.
-func (e *PlanTooLong) Advice() string {
+func (e *PlanTooLargeError) Advice() string {
 	return "Look whether GW_CONFIG names the plan; a plan with 20,000 known hosts is shorter."
 }
 
@@ -34,25 +34,25 @@
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, planMost+1))
 	if err == nil && len(text) > planMost {
-		err = &PlanTooLong{path}
+		err = &PlanTooLargeError{path}
 	}
 	return text, err
 }
 
-// FitDescriptors takes no more descriptors from the plan than the system lets the process have. Guards against clients
+// LimitDescriptors takes no more descriptors from the plan than the system lets the process have. Guards against clients
 // that use up all there are: none would be left for replicas.
-func (p *Plan) FitDescriptors(log *slog.Logger) {
+func (p *Plan) LimitDescriptors(log *slog.Logger) {
 	var most syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most) == nil && most.Cur < uint64(p.Sockets) {
-		log.Warn("few_descriptors", "sockets", p.Sockets, "limit", most.Cur,
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most) == nil && most.Cur < uint64(p.MaxSockets) {
+		log.Warn("few_descriptors", "sockets", p.MaxSockets, "limit", most.Cur,
 			"do", "Raise the limit on open files (ulimit -n) to the plan's sockets.")
-		p.Sockets = max(socketsLeast, int(most.Cur))
+		p.MaxSockets = max(socketsLeast, int(most.Cur))
 	}
 }
 
-// Reloads reads the plan again at each signal and hands it on, for Means.Plans. One that cannot be read or
+// WatchPlanReloads reads the plan again at each signal and hands it on, for Means.Plans. One that cannot be read or
 // lacks something changes nothing. The runtime's bounds follow a new plan at once.
-func Reloads(ctx context.Context, first *Plan, signals <-chan os.Signal, env func(string) string,
+func WatchPlanReloads(ctx context.Context, first *Plan, signals <-chan os.Signal, env func(string) string,
 	out *slog.Logger) <-chan *Plan {
 	plans := make(chan *Plan)
 	go func() {
@@ -64,7 +64,7 @@
 			}
 			p, err := Read(env)
 			if err == nil {
-				p, err = p.With(first.over)
+				p, err = p.WithSettings(first.over)
 			}
 			if err != nil {
 				out.Error("reload_failed", advice.Attrs(err)...)
@@ -76,8 +76,8 @@
 			if p.inFile != last.inFile {
 				p.Discovery = p.inFile
 			}
-			p.Bound()
-			p.FitDescriptors(out)
+			p.ApplyRuntimeLimits()
+			p.LimitDescriptors(out)
 			last = p
 			select {
 			case plans <- p:
@@ -121,14 +121,14 @@
 	for {
 		select {
 		case p := <-plans:
-			o.log.Info("reloaded", "discovery", p.Discovery, "sockets", p.Sockets, "memory_mb", p.MemoryMB,
+			o.log.Info("reloaded", "discovery", p.Discovery, "sockets", p.MaxSockets, "memory_mb", p.MemoryMB,
 				"waits_for_restart", o.plan.differs(p))
-			room := int(clientShare * float64(p.Sockets))
+			room := int(clientShare * float64(p.MaxSockets))
 			if o.door != nil {
-				room -= o.door.Connections
+				room -= o.door.MaxConnections
 			}
 			f.gate.resize(room)
-			o.post(func() { o.sockets, o.room = p.Sockets, p.room() })
+			o.post(func() { o.sockets, o.room = p.MaxSockets, p.room() })
 			select {
 			case o.moves <- p.Discovery:
 			case <-o.ctx.Done():
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -42,7 +42,7 @@
 		may := settings["Permissions"].(map[string]any)
 		may["DialTimeout"], may["StreamsPerConn"] = float64(patience/time.Millisecond), 1
 		settings["Specifics"].(map[string]any)["PerCall"] = 1
-	}, nil, nil, func(m *Means) {
+	}, nil, nil, func(m *Options) {
 		m.Dial = func(ctx context.Context, _, addr string) (net.Conn, error) {
 			tried.Add(1)
 			defer tried.Add(-1)
@@ -69,7 +69,7 @@
 		if edit != nil {
 			edit(settings)
 		}
-	}, nil, nil, func(m *Means) {
+	}, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			waits := <-gated
@@ -202,7 +202,7 @@
 		class := settings["Classes"].([]any)[1].(map[string]any)
 		class["Effect"], class["RepeatWindow"] = "dedup", 4000.0
 		settings["Permissions"].(map[string]any)["SecondCopies"] = false
-	}, nil, nil, func(m *Means) {
+	}, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if _, of := hosts.Load(addr); of && dials.Add(1) == 1 {
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -20,9 +20,9 @@
 	"chalkring/internal/advice"
 )
 
-// Residency is what holds in a process whose installation has contracts: the standing in force, told to each
+// ResidencyGuard is what holds in a process whose installation has contracts: the standing in force, told to each
 // co-ordinator, and what is counted. It is safe for several goroutines.
-type Residency struct {
+type ResidencyGuard struct {
 	clock func() int64 // wall time in tenths of a millisecond, counted on
 
 	mu     sync.Mutex
@@ -33,20 +33,20 @@
 	caught, refused, calledOff, puts, fenced *metrics.Counter
 }
 
-// NewResidency begins with what is known at the start; with nothing known, nothing runs anywhere. Clock is wall time in tenths of a millisecond that never goes back.
-func NewResidency(first *residency.Standing, clock func() int64) *Residency {
+// NewResidencyGuard begins with what is known at the start; with nothing known, nothing runs anywhere. Clock is wall time in tenths of a millisecond that never goes back.
+func NewResidencyGuard(first *residency.Standing, clock func() int64) *ResidencyGuard {
 	if first == nil {
 		first = residency.Nothing()
 	}
-	r := &Residency{clock: clock, in: first, owners: map[*bounding]bool{}, set: metrics.NewSet()}
+	r := &ResidencyGuard{clock: clock, in: first, owners: map[*bounding]bool{}, set: metrics.NewSet()}
 	r.caught = r.set.NewCounter("chalkring_residency_caught_total")
 	r.refused = r.set.NewCounter("chalkring_residency_refused_total")
 	r.calledOff = r.set.NewCounter("chalkring_residency_called_off_total")
 	r.fenced = r.set.NewCounter("chalkring_residency_fenced_total")
 	r.puts = r.set.NewCounter("chalkring_residency_standings_total")
-	r.set.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Standing().Generation) })
+	r.set.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
 	r.set.NewGauge("chalkring_residency_lease_seconds", func() float64 {
-		if in := r.Standing(); in.Until < math.MaxInt64 { // one that never ends has no length
+		if in := r.Policy(); in.Until < math.MaxInt64 { // one that never ends has no length
 			return max(0, float64(in.Until-r.clock())/10_000)
 		}
 		return -1
@@ -54,24 +54,24 @@
 	return r
 }
 
-// Standing is what is in force.
-func (r *Residency) Standing() *residency.Standing {
+// Policy is what is in force.
+func (r *ResidencyGuard) Policy() *residency.Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.in
 }
 
-// Holds tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
-func (r *Residency) Holds(tenant, zone string) bool {
-	return r.Standing().Holds(r.clock(), settings.PlainText(tenant), zoneName(zone))
+// MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
+func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
+	return r.Policy().Holds(r.clock(), settings.PlainText(tenant), zoneName(zone))
 }
 
-// Caught counts parts that the second guard kept from going out: each is a fault of this program.
-func (r *Residency) Caught() uint64 { return r.caught.Get() }
+// BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
+func (r *ResidencyGuard) BlockedDispatches() uint64 { return r.caught.Get() }
 
-// Put puts a standing in force and returns once every co-ordinator of the process keeps to it: from then on nothing that
+// SetPolicy puts a standing in force and returns once every co-ordinator of the process keeps to it: from then on nothing that
 // it forbids is sent, and what was out has been called off.
-func (r *Residency) Put(s *residency.Standing) {
+func (r *ResidencyGuard) SetPolicy(s *residency.Standing) {
 	r.mu.Lock()
 	r.in = s
 	owners := slices.Collect(maps.Keys(r.owners))
@@ -90,12 +90,12 @@
 }
 
 // write tells what is counted in the common text form.
-func (r *Residency) write(to io.Writer) { r.set.WritePrometheus(to) }
+func (r *ResidencyGuard) write(to io.Writer) { r.set.WritePrometheus(to) }
 
 // bounding binds one owner's searches to the hosts that their contracts leave. It is the owner's.
 type bounding struct {
 	o                *owner
-	r                *Residency
+	r                *ResidencyGuard
 	in               *residency.Standing
 	hosts            *residency.Hosts
 	tenants, classes []string // by place
@@ -110,7 +110,7 @@
 // tied is what searches that are bound alike have in common.
 type tied struct{ tenant, qtype int }
 
-func newBounding(o *owner, r *Residency) *bounding {
+func newBounding(o *owner, r *ResidencyGuard) *bounding {
 	name := func(list string) (names []string) {
 		for i := range o.plan.count(list) {
 			names = append(names, o.plan.facts[fmt.Sprintf("%s.%d.Name", list, i)])
@@ -327,8 +327,8 @@
 	return b.Bytes()
 }
 
-// Site is what a plan says of tenants, types, zones and blocks; contracts are held against it.
-func (p *Plan) Site() residency.Site {
+// ResidencySite is what a plan says of tenants, types, zones and blocks; contracts are held against it.
+func (p *Plan) ResidencySite() residency.Site {
 	names := func(list string) (names []string) {
 		for _, name := range p.named[list] {
 			names = append(names, settings.PlainText(name))
@@ -336,12 +336,12 @@
 		return names
 	}
 	return residency.Site{Tenants: append([]string{}, names("Tenants")...), Classes: names("Classes"),
-		Zones: append([]string{}, p.list("FailureDomains")...), Blocks: p.Blocks()}
+		Zones: append([]string{}, p.list("FailureDomains")...), Blocks: p.BlockCount()}
 }
 
-// Holds tells which hosts' zones hold a block by the plan's own list: hosts that are up.
-func (p *Plan) Holds() func(zone string, block int) bool {
-	rules := p.MemberRules()
+// ZoneHoldsBlockFunc tells which hosts' zones hold a block by the plan's own list: hosts that are up.
+func (p *Plan) ZoneHoldsBlockFunc() func(zone string, block int) bool {
+	rules := p.EndpointRules()
 	held := map[string]map[int]bool{}
 	_, hosts, _, err := (&owner{plan: p}).readList(p.known)
 	for _, h := range hosts {
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -21,7 +21,7 @@
 // zonedRig has a0 and b0 in zone east, a1 and b1 in zone west, and contracts.
 type zonedRig struct {
 	*rig
-	in    *Residency
+	in    *ResidencyGuard
 	book  residency.Book
 	ahead atomic.Int64 // of the clock that contracts go by
 	lists chan endpoints.Told
@@ -43,13 +43,13 @@
 
 func startZonedWith(t *testing.T, text string, zones map[string]string, several bool) *zonedRig {
 	z := &zonedRig{rig: &rig{t: t}, lists: make(chan endpoints.Told)}
-	z.in = NewResidency(z.standing(text, math.MaxInt64), z.clock)
+	z.in = NewResidencyGuard(z.standing(text, math.MaxInt64), z.clock)
 	if zones == nil {
 		zones = map[string]string{"a0": "east", "b0": "east", "a1": "west", "b1": "west"}
 	}
-	z.rig = startIn(t, zones, 256, func(s map[string]any) { s["FailureDomains"] = []string{"east", "west"} }, nil, nil, func(m *Means) {
+	z.rig = startIn(t, zones, 256, func(s map[string]any) { s["FailureDomains"] = []string{"east", "west"} }, nil, nil, func(m *Options) {
 		if m.Residency = z.in; several {
-			m.Lists = z.lists
+			m.EndpointUpdates = z.lists
 		}
 	})
 	return z
@@ -107,7 +107,7 @@
 	require.Zero(t, z.outside("a0", "b0"))
 	parts, _, _, _ := z.replicas["a1"].Seen()
 	require.NotEmpty(t, parts, "others use all")
-	require.Zero(t, z.in.Caught())
+	require.Zero(t, z.in.BlockedDispatches())
 }
 
 // unbound is a module that does not hear what its searches may use.
@@ -122,7 +122,7 @@
 	status, _ := z.as("acme", "acme1", "all")
 	require.Contains(t, []int{500, 503}, status)
 	require.Zero(t, z.outside())
-	require.Positive(t, z.in.Caught())
+	require.Positive(t, z.in.BlockedDispatches())
 	z.logged("event=residency_guard tenant=acme")
 	req, err := http.NewRequest(http.MethodGet, "http://"+z.addr+"/metrics", nil)
 	require.NoError(t, err)
@@ -131,7 +131,7 @@
 	require.NoError(t, err)
 	text, _ := io.ReadAll(res.Body)
 	res.Body.Close()
-	require.Contains(t, string(text), fmt.Sprintf("chalkring_residency_caught_total %d", z.in.Caught()))
+	require.Contains(t, string(text), fmt.Sprintf("chalkring_residency_caught_total %d", z.in.BlockedDispatches()))
 	z.end()
 }
 
@@ -148,20 +148,20 @@
 	z.logged("event=residency_refused")
 	z.logged("block 1: " + residency.NoHolder)
 	part := strings.Replace(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), "[east]", "[east], otherwise: part", 1)
-	z.in.Put(z.standing(part, math.MaxInt64))
+	z.in.SetPolicy(z.standing(part, math.MaxInt64))
 	status, body = z.as("acme", "acme2", "some") // half is enough
 	require.Equal(t, 200, status, body)
 	require.NotContains(t, body, `"range":1`)
 	status, _ = z.as("acme", "acme3", "all")
 	require.Equal(t, 451, status)
-	z.in.Put(z.in.Standing().With(z.clock() - 1))
+	z.in.SetPolicy(z.in.Policy().With(z.clock() - 1))
 	status, body = z.as("acme", "acme4", "some")
 	require.Equal(t, 503, status)
 	require.Contains(t, body, residency.Lapsed)
 	status, _ = z.as("other", "other1", "all")
 	require.Equal(t, 200, status)
 	require.Zero(t, z.outside("a0", "a1"))
-	require.Zero(t, z.in.Caught())
+	require.Zero(t, z.in.BlockedDispatches())
 }
 
 // The policy tightens with a search in flight: what is out elsewhere is called off, nothing new goes there, and there is
@@ -183,13 +183,13 @@
 			next := strings.Replace(eastOnly, "generation: 1", "generation: 2", 1)
 			switch how {
 			case "moves inside":
-				z.in.Put(z.standing(next, math.MaxInt64))
+				z.in.SetPolicy(z.standing(next, math.MaxInt64))
 			case "has nobody":
 				want = 451
-				z.in.Put(z.standing(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
+				z.in.SetPolicy(z.standing(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
 			case "lease ends":
 				want = 503
-				z.in.Put(z.in.Standing().With(z.clock() + 2_000))
+				z.in.SetPolicy(z.in.Policy().With(z.clock() + 2_000))
 			}
 			if how != "lease ends" { // Put has returned: all is called off already
 				done := make(chan int)
@@ -213,7 +213,7 @@
 			} else {
 				require.Equal(t, 4, z.parts())
 			}
-			require.Zero(t, z.in.Caught())
+			require.Zero(t, z.in.BlockedDispatches())
 		})
 	}
 }
@@ -242,12 +242,12 @@
 		return n
 	}
 	z.eventually("the second step is out", func() bool { return second() == 2 })
-	z.in.Put(z.standing(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
+	z.in.SetPolicy(z.standing(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
 	status, _, body, _ := c.answer()
 	require.Equal(t, 451, status)
 	require.Contains(t, body, `"block":1`)
 	require.Equal(t, 2, second())
-	require.Zero(t, z.in.Caught())
+	require.Zero(t, z.in.BlockedDispatches())
 }
 
 // outOn counts parts out at hosts.
@@ -292,7 +292,7 @@
 		require.Equal(t, 200, status, body)
 	}
 	require.Len(t, first(z.replicas["a0"].Seen()), before, "nothing new for a host whose sources differ")
-	require.Zero(t, z.in.Caught())
+	require.Zero(t, z.in.BlockedDispatches())
 }
 
 func first[T any](v T, _ []string, _, _ int) T { return v }
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -366,7 +366,7 @@
 		padded := append(bytes.Repeat([]byte(" "), long-len(text)), text...)
 		require.NoError(t, os.WriteFile(l.file, padded, 0o600))
 		_, err := Read(env)
-		var no *PlanTooLong
+		var no *PlanTooLargeError
 		require.Equal(t, !fits, errors.As(err, &no), "%v", err)
 		require.Equal(t, !fits, advice.Advice(err) != "")
 	}
--- a/coordinator/several.go
+++ b/coordinator/several.go
@@ -15,11 +15,11 @@
 	"chalkring/endpoints"
 )
 
-// Several serves with so many co-ordinators in one process, each with an owner and a module of its own and its part of
+// ServeSharded serves with so many co-ordinators in one process, each with an owner and a module of its own and its part of
 // the clients' connections, descriptors, memory and budget: an owner takes one core at the most. To the rules that all
 // co-ordinators keep together they are so many more, and that is what their settings say. Other fronts, peers and
 // what is kept on disk are the first one's.
-func (p *Plan) Several(ctx context.Context, m Means, n int) error {
+func (p *Plan) ServeSharded(ctx context.Context, m Options, n int) error {
 	if n <= 1 {
 		return p.Serve(ctx, m)
 	}
@@ -34,14 +34,14 @@
 	lists := make([]chan endpoints.Told, n)
 	for i := range n {
 		own := m
-		own.Listener, own.Plans = shared.shares[i], plans[i]
-		if m.Lists != nil {
+		own.Listener, own.PlanUpdates = shared.shares[i], plans[i]
+		if m.EndpointUpdates != nil {
 			lists[i] = make(chan endpoints.Told)
-			own.Lists = lists[i]
+			own.EndpointUpdates = lists[i]
 		}
-		own.Log = slog.New(m.Log.Handler().WithAttrs([]slog.Attr{slog.Int("owner", i)}))
+		own.Logger = slog.New(m.Logger.Handler().WithAttrs([]slog.Attr{slog.Int("owner", i)}))
 		if i > 0 {
-			own.Fronts, own.Peers, own.Keep = nil, nil, nil
+			own.Frontends, own.Peers, own.Persistence = nil, nil, nil
 		}
 		left.Add(1)
 		g.Go(func() error {
@@ -59,7 +59,7 @@
 		return nil
 	})
 	g.Go(func() error {
-		more := m.Lists
+		more := m.EndpointUpdates
 		for {
 			select {
 			case t, ok := <-more:
@@ -76,7 +76,7 @@
 						return nil
 					}
 				}
-			case next := <-m.Plans:
+			case next := <-m.PlanUpdates:
 				for i, to := range plans {
 					select {
 					case to <- next.share(i, n):
@@ -95,7 +95,7 @@
 // share is the plan of one of several.
 func (p *Plan) share(i, n int) *Plan {
 	own := *p
-	own.Sockets, own.MemoryMB = p.Sockets/n, max(1, p.MemoryMB/n)
+	own.MaxSockets, own.MemoryMB = p.MaxSockets/n, max(1, p.MemoryMB/n)
 	own.seed = p.seed + int64(i)*seedStep
 	own.facts, own.next = maps.Clone(p.facts), maps.Clone(p.next)
 	for _, all := range []map[string]string{own.facts, own.next} {
--- a/coordinator/several_test.go
+++ b/coordinator/several_test.go
@@ -24,8 +24,8 @@
 	defer stop()
 	plans, ended := make(chan *Plan), make(chan error, 1)
 	go func() {
-		ended <- r.plan.Several(ctx, Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Log: NewLog(&log, false, slog.LevelInfo), Plans: plans}, 3)
+		ended <- r.plan.ServeSharded(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(&log, false, slog.LevelInfo), PlanUpdates: plans}, 3)
 	}()
 	own := &rig{t: t, addr: ln.Addr().String(), log: &log}
 	own.eventually("all serve", func() bool { return strings.Count(log.String(), "event=serving") == 3 })
@@ -70,9 +70,9 @@
 
 // To all others several owners are so many co-ordinators, with one's descriptors, memory and budget between them.
 func TestSharesOfAPlan(t *testing.T) {
-	p := &Plan{Sockets: 100, MemoryMB: 190, seed: 5, facts: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
+	p := &Plan{MaxSockets: 100, MemoryMB: 190, seed: 5, facts: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
 	own := p.share(1, 4)
-	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.Sockets, own.MemoryMB, own.facts["Balancers"], own.facts["Safety.ExtraFloor"]})
+	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.MaxSockets, own.MemoryMB, own.facts["Balancers"], own.facts["Safety.ExtraFloor"]})
 	require.NotEqual(t, p.seed, own.seed)
 	require.Equal(t, "3", p.facts["Balancers"])
 	delete(p.facts, "Safety.ExtraFloor")
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -132,7 +132,7 @@
 	return startWith(t, sockets, edit, nil)
 }
 
-func startWith(t *testing.T, sockets int, edit func(settings map[string]any), peers *Peers) *rig {
+func startWith(t *testing.T, sockets int, edit func(settings map[string]any), peers *PeerOptions) *rig {
 	return startPlan(t, sockets, edit, peers, nil, nil)
 }
 
@@ -146,12 +146,12 @@
 	return startPlan(t, 256, nil, nil, over, next)
 }
 
-func startPlan(t *testing.T, sockets int, edit func(settings map[string]any), peers *Peers, over, next map[string]string) *rig {
-	return startIn(t, nil, sockets, edit, over, next, func(m *Means) { m.Peers = peers })
+func startPlan(t *testing.T, sockets int, edit func(settings map[string]any), peers *PeerOptions, over, next map[string]string) *rig {
+	return startIn(t, nil, sockets, edit, over, next, func(m *Options) { m.Peers = peers })
 }
 
 func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), over, next map[string]string,
-	more func(m *Means)) *rig {
+	more func(m *Options)) *rig {
 	r := &rig{t: t, replicas: map[string]*fake.Host{}, log: &journal{}, ended: make(chan error, 1),
 		list: script(t), plans: make(chan *Plan), zones: zones}
 	var known []string
@@ -173,18 +173,18 @@
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"version":7,"full":true,"servers":[%s]},
 		"settings":%s}`, ln.Addr(), r.list.Ln.Addr(), sockets, strings.Join(known, ","), text))
 	require.NoError(t, err)
-	p, err = p.With(over)
+	p, err = p.WithSettings(over)
 	require.NoError(t, err)
 	if next != nil {
-		p, err = p.Watching(next)
+		p, err = p.WithShadowSettings(next)
 		require.NoError(t, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r.addr, r.stop, r.plan = ln.Addr().String(), stop, p
 	look := make(chan *owner, 1)
 	go func() {
-		m := Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Log: NewLog(r.log, false, slog.LevelInfo), Plans: r.plans, look: look}
+		m := Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, look: look}
 		more(&m)
 		r.ended <- p.Serve(ctx, m)
 	}()
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -109,7 +109,7 @@
 // Plan is what one co-ordinator is told at start.
 type Plan struct {
 	Name, Listen, Discovery string
-	Sockets, MemoryMB       int
+	MaxSockets, MemoryMB    int
 	Cores                   float64
 
 	inFile string // discovery, as the file has it
@@ -133,22 +133,22 @@
 func (SystemClock) Now() time.Time                         { return time.Now() }
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// Means is what a co-ordinator works with.
-type Means struct {
-	Listener net.Listener
-	Dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	Clock    Clock
-	Log      *slog.Logger // lines are handed to its handler by one goroutine
-	Plans    <-chan *Plan // that follow the first, as Reloads hands them on; may be nil
+// Options is what a co-ordinator works with.
+type Options struct {
+	Listener    net.Listener
+	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	Clock       Clock
+	Logger      *slog.Logger // lines are handed to its handler by one goroutine
+	PlanUpdates <-chan *Plan // that follow the first, as Reloads hands them on; may be nil
 
-	Hosts  map[string]HostKind   // kinds of host that speak the OpenSearch-style API; may be nil
-	Fronts []Front               // other ways in for clients; may be none
-	Peers  *Peers                // what an installation allows beside the plan; may be nil
-	Lists  <-chan endpoints.Told // of hosts, from other sources than discovery; may be nil, and may be closed
-	Keep   *Keep                 // what is kept on disk; then Lists are its Lists; may be nil
+	HostKinds       map[string]HostKind   // kinds of host that speak the OpenSearch-style API; may be nil
+	Frontends       []Frontend            // other ways in for clients; may be none
+	Peers           *PeerOptions          // what an installation allows beside the plan; may be nil
+	EndpointUpdates <-chan endpoints.Told // of hosts, from other sources than discovery; may be nil, and may be closed
+	Persistence     *Persistence          // what is kept on disk; then Lists are its Lists; may be nil
 
-	Residency *Residency // contracts on where parts may run; nil for none
-	Ends      func(End)  // is told each search's end in a turn, so it may not wait; nil for none
+	Residency   *ResidencyGuard // contracts on where parts may run; nil for none
+	OnSearchEnd func(SearchEnd) // is told each search's end in a turn, so it may not wait; nil for none
 
 	look chan<- *owner // for tests that count what is held
 }
@@ -201,7 +201,7 @@
 	if !ok1 || !ok2 || !ok3 || cores <= 0 || memory < 1 || sockets < socketsLeast {
 		return nil, errors.New("limits: cores, memory_mb and sockets (16 at least) are needed")
 	}
-	p.Cores, p.MemoryMB, p.Sockets = cores, int(memory), int(sockets)
+	p.Cores, p.MemoryMB, p.MaxSockets = cores, int(memory), int(sockets)
 	values, ok := all["settings"].(map[string]any)
 	if !ok {
 		return nil, errors.New("settings are missing")
@@ -303,7 +303,7 @@
 				return fmt.Errorf("setting %s is missing", place)
 			}
 			if other, twice := seen[settings.PlainText(name)]; twice {
-				return &SameName{place, name, other.place, other.name}
+				return &DuplicateNameError{place, name, other.place, other.name}
 			}
 			seen[settings.PlainText(name)] = namedAt{place, name}
 			p.named[list] = append(p.named[list], name)
@@ -315,7 +315,7 @@
 		name, place := word(zone), fmt.Sprintf("FailureDomains.%d", i)
 		other, twice := seen[settings.PlainText(name)]
 		if twice && other.name != name { // one that is there twice is one zone
-			return &SameName{place, name, other.place, other.name}
+			return &DuplicateNameError{place, name, other.place, other.name}
 		}
 		seen[settings.PlainText(name)] = namedAt{place, name}
 	}
@@ -324,18 +324,18 @@
 
 type namedAt struct{ place, name string }
 
-// SameName are two names in the settings that a request or a host could mean by one word.
-type SameName struct{ Place, Name, OtherPlace, Other string }
+// DuplicateNameError are two names in the settings that a request or a host could mean by one word.
+type DuplicateNameError struct{ Setting, Name, OtherSetting, OtherName string }
 
-func (e *SameName) Error() string {
-	if e.Name == e.Other {
-		return fmt.Sprintf("setting %s: %q is %s too", e.Place, e.Name, e.OtherPlace)
+func (e *DuplicateNameError) Error() string {
+	if e.Name == e.OtherName {
+		return fmt.Sprintf("setting %s: %q is %s too", e.Setting, e.Name, e.OtherSetting)
 	}
-	return fmt.Sprintf("setting %s: %q cannot be told from %q in %s", e.Place, e.Name, e.Other, e.OtherPlace)
+	return fmt.Sprintf("setting %s: %q cannot be told from %q in %s", e.Setting, e.Name, e.OtherName, e.OtherSetting)
 }
 
 // Advice tells an operator what to do.
-func (e *SameName) Advice() string {
+func (e *DuplicateNameError) Advice() string {
 	return "Give each class, tenant and zone of the plan a name of its own; a blank or a comma counts as an underscore."
 }
 
@@ -371,17 +371,17 @@
 	return settings.CheckAll(p.facts, p.count("Classes"))
 }
 
-// With is the plan with an installation's settings over its own; one that is bad leaves the plan as it is.
-func (p *Plan) With(over map[string]string) (*Plan, error) {
+// WithSettings is the plan with an installation's settings over its own; one that is bad leaves the plan as it is.
+func (p *Plan) WithSettings(over map[string]string) (*Plan, error) {
 	own := *p
 	own.over, own.facts = over, maps.Clone(p.facts)
 	maps.Copy(own.facts, over)
 	return &own, own.check()
 }
 
-// Watching is the plan with settings that its decisions are to be held against too.
-func (p *Plan) Watching(next map[string]string) (*Plan, error) {
-	then, err := p.With(next)
+// WithShadowSettings is the plan with settings that its decisions are to be held against too.
+func (p *Plan) WithShadowSettings(next map[string]string) (*Plan, error) {
+	then, err := p.WithSettings(next)
 	if err != nil {
 		return nil, fmt.Errorf("shadow: %w", err)
 	}
@@ -396,8 +396,8 @@
 	return list
 }
 
-// Aims are the times by which answers are in time, by type.
-func (p *Plan) Aims() []time.Duration { return p.spans("Aim") }
+// LatencyObjectives are the times by which answers are in time, by type.
+func (p *Plan) LatencyObjectives() []time.Duration { return p.spans("Aim") }
 
 // spans are the types' times of one name, 0 where the settings have none.
 func (p *Plan) spans(name string) (all []time.Duration) {
@@ -407,8 +407,8 @@
 	return all
 }
 
-// Blocks tells how many blocks there are.
-func (p *Plan) Blocks() int { return int(p.fact("Specifics.Ranges")) }
+// BlockCount tells how many blocks there are.
+func (p *Plan) BlockCount() int { return int(p.fact("Specifics.Ranges")) }
 
 func (p *Plan) count(list string) int { return int(p.fact(list + ".count")) }
 
@@ -427,8 +427,8 @@
 		p.facts["Specifics.Sets"], p.facts["Specifics.Reach"], p.facts["Specifics.Ranges"]})
 }
 
-// Bound tells the runtime what this co-ordinator was given of its machine.
-func (p *Plan) Bound() {
+// ApplyRuntimeLimits tells the runtime what this co-ordinator was given of its machine.
+func (p *Plan) ApplyRuntimeLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	debug.SetMemoryLimit(int64(memoryShare * float64(p.MemoryMB) * (1 << 20)))
 }
@@ -438,15 +438,15 @@
 
 // Serve works until ctx ends and all that was taken is answered; then it returns nil, and no goroutine of
 // it is left.
-func (p *Plan) Serve(ctx context.Context, m Means) (err error) {
+func (p *Plan) Serve(ctx context.Context, m Options) (err error) {
 	g, work := errgroup.WithContext(context.WithoutCancel(ctx))
 	stopping, stop := context.WithCancel(work)
 	defer stop()
-	o := &owner{plan: p, Means: m, log: newNotes(m.Clock, m.Log.Handler()), g: g, ctx: work, queue: make(chan func(), queueRoom),
+	o := &owner{plan: p, Options: m, log: newNotes(m.Clock, m.Logger.Handler()), g: g, ctx: work, queue: make(chan func(), queueRoom),
 		start: m.Clock.Now(), searches: map[uint64]*search{}, names: map[string]bool{}, parts: map[uint64]*part{}, timers: map[uint64]*moduleWake{},
 		lingering: map[*subRequest]*lingering{},
-		fleet:     map[string]*replica{}, asks: make(chan struct{}, 1), moves: make(chan string), sockets: p.Sockets,
-		blocks: p.Blocks(), streams: int(p.fact("Permissions.StreamsPerConn")), perCall: int(p.fact("Specifics.PerCall")),
+		fleet:     map[string]*replica{}, asks: make(chan struct{}, 1), moves: make(chan string), sockets: p.MaxSockets,
+		blocks: p.BlockCount(), streams: int(p.fact("Permissions.StreamsPerConn")), perCall: int(p.fact("Specifics.PerCall")),
 		maxAttempts: int(p.fact("Permissions.MaxAttempts")), clients: map[*link]bool{},
 		room: p.room()}
 	for i := range p.count("Classes") {
@@ -457,13 +457,13 @@
 	}
 	o.copies = p.facts["Permissions.SecondCopies"] == "true" || p.facts["Permissions.SecondCopies"] == "1"
 	o.base = o.start.UnixMicro() / 100
-	f := &front{o: o, gate: newGate(int(clientShare * float64(p.Sockets))), classes: p.names("Classes"), tenants: p.names("Tenants"), stopping: stopping}
+	f := &front{o: o, gate: newGate(int(clientShare * float64(p.MaxSockets))), classes: p.names("Classes"), tenants: p.names("Tenants"), stopping: stopping}
 	if o.module = balancer.New(o); p.next != nil {
 		o.counts = &shadow.Counts{}
 		o.module = shadow.New(o, p.facts, p.next, o.counts, balancer.New)
 	}
-	if m.Keep != nil {
-		m.Peers = m.Keep.peers(m.Peers)
+	if m.Persistence != nil {
+		m.Peers = m.Persistence.peers(m.Peers)
 	}
 	if m.Peers != nil {
 		o.peers = newLearner(o, m.Peers)
@@ -472,9 +472,9 @@
 		o.zones = newBounding(o, m.Residency)
 		defer o.zones.leave()
 	}
-	if len(m.Fronts) > 0 {
-		o.door, o.fronts = newDoor(o), len(m.Fronts)
-		f.gate.resize(int(clientShare*float64(p.Sockets)) - o.door.Connections)
+	if len(m.Frontends) > 0 {
+		o.door, o.fronts = newDoor(o), len(m.Frontends)
+		f.gate.resize(int(clientShare*float64(p.MaxSockets)) - o.door.MaxConnections)
 	}
 	if err := o.begin(); err != nil {
 		m.Listener.Close()
@@ -488,11 +488,11 @@
 	if o.peers != nil {
 		o.peers.run()
 	}
-	if m.Keep != nil {
-		m.Keep.run(o, ctx)
+	if m.Persistence != nil {
+		m.Persistence.run(o, ctx)
 	}
 	g.Go(f.accept)
-	for _, front := range m.Fronts {
+	for _, front := range m.Frontends {
 		g.Go(func() error {
 			err := front.Serve(work, stopping, o.door)
 			o.post(func() { o.fronts-- })
@@ -503,14 +503,14 @@
 		g.Go(o.members.run)
 	}
 	g.Go(o.follow)
-	g.Go(func() error { return f.reload(m.Plans) })
+	g.Go(func() error { return f.reload(m.PlanUpdates) })
 	g.Go(func() error { return o.windUp(ctx, stop) })
 	o.log.Info("serving", "name", p.Name, "listen", m.Listener.Addr().String(), "discovery", p.Discovery,
-		"sockets", p.Sockets, "memory_mb", p.MemoryMB, "cores", p.Cores)
+		"sockets", p.MaxSockets, "memory_mb", p.MemoryMB, "cores", p.Cores)
 	if err = g.Wait(); errors.Is(err, errDone) {
 		err = nil
 	}
-	m.Log.Info("stopped", "name", p.Name, "error", err)
+	m.Logger.Info("stopped", "name", p.Name, "error", err)
 	return err
 }
 
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -313,7 +313,7 @@
 				o := &owner{g: g, ctx: work, asks: make(chan struct{}, 1), moves: make(chan string), queue: make(chan func(), queueRoom),
 					log: newNotes(clock, slog.DiscardHandler), plan: &Plan{seed: int64(i), facts: map[string]string{"Discovery": by,
 						"Balancers": fmt.Sprint(n)}, known: map[string]any{"version": json.Number("1")}}}
-				o.Means = Means{Clock: clock, Dial: func(context.Context, string, string) (net.Conn, error) {
+				o.Options = Options{Clock: clock, Dial: func(context.Context, string, string) (net.Conn, error) {
 					mu.Lock()
 					defer mu.Unlock()
 					dials[i] = append(dials[i], clock.Now().Sub(began))
--- a/coordinator/tongues.go
+++ b/coordinator/tongues.go
@@ -36,12 +36,12 @@
 // HostKind is a kind of host, by the list's kind, that speaks the OpenSearch-style API; its members are in Index, in
 // blocks by the API's rule where Placed says so.
 type HostKind struct {
-	Index  string
-	Placed *query.Placement
+	Index     string
+	Placement *query.Placement
 }
 
 func (o *owner) tongueOf(kind string) tongue {
-	if k, ok := o.Hosts[kind]; ok {
+	if k, ok := o.HostKinds[kind]; ok {
 		return openSearch{k}
 	}
 	return frames{}
@@ -195,7 +195,7 @@
 	case status != http.StatusOK:
 		return "Failed", fmt.Errorf("status %d", status)
 	}
-	if err := query.CheckAnswer(k.Index, k.Placed, shard, body); err != nil {
+	if err := query.CheckAnswer(k.Index, k.Placement, shard, body); err != nil {
 		return "Failed", err
 	}
 	return "Ok", nil
--- a/coordinator/variables_test.go
+++ b/coordinator/variables_test.go
@@ -33,7 +33,7 @@
 		require.Equal(t, "variable", first.Discovery)
 		ctx, stop := context.WithCancel(context.Background())
 		signals := make(chan os.Signal)
-		plans := Reloads(ctx, first, signals, env, NewLog(out, false, slog.LevelInfo))
+		plans := WatchPlanReloads(ctx, first, signals, env, NewLogger(out, false, slog.LevelInfo))
 		for _, x := range []struct {
 			discovery, settings, want string
 			cut                       int
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	plan.Bound()
+	plan.ApplyRuntimeLimits()
 	ln, err := net.Listen("tcp", plan.Listen)
 	if err != nil {
 		return err
@@ -142,12 +142,12 @@
 	if hosts := os.Getenv(nodeFloor); hosts != "" {
 		return Floor(ctx, ln, strings.Split(hosts, ","))
 	}
-	more := &coordinator.Peers{Allow: []string{"asker"}, Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}}
+	more := &coordinator.PeerOptions{AllowedPeers: []string{"asker"}, Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}}
 	if more.Listener, err = net.Listen("tcp", os.Getenv(nodeInstance)); err != nil {
 		return err
 	}
 	front := &frontend.Front{Indices: []frontend.Index{{Name: "members", Type: fullMatch}}}
-	for b := range plan.Blocks() {
+	for b := range plan.BlockCount() {
 		front.Indices[0].Blocks = append(front.Indices[0].Blocks, b)
 	}
 	if front.Listener, err = net.Listen("tcp", os.Getenv(nodeFront)); err != nil {
@@ -164,9 +164,9 @@
 	if cores, err := strconv.Atoi(os.Getenv(nodeCores)); err == nil {
 		runtime.GOMAXPROCS(cores)
 	}
-	return plan.Several(ctx, coordinator.Means{Fronts: []coordinator.Front{front},
-		Hosts: map[string]coordinator.HostKind{searchKind: {Index: "members"}}, Listener: ln, Dial: dial,
-		Clock: coordinator.SystemClock{}, Log: coordinator.NewLog(io.Discard, false, slog.LevelError), Peers: more}, owners)
+	return plan.ServeSharded(ctx, coordinator.Options{Frontends: []coordinator.Frontend{front},
+		HostKinds: map[string]coordinator.HostKind{searchKind: {Index: "members"}}, Listener: ln, Dial: dial,
+		Clock: coordinator.SystemClock{}, Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Peers: more}, owners)
 }
 
 // tellCounts answers each line asked for with the counts so far.
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -128,13 +128,13 @@
 }
 
 // start runs a co-ordinator in this process until it is stopped.
-func (f *fleet) start(name string, seed uint64, coordinators int, peers *coordinator.Peers,
-	fronts ...coordinator.Front) (*node, error) {
-	return f.startWith(name, seed, coordinators, func(m *coordinator.Means) { m.Peers, m.Fronts = peers, fronts })
+func (f *fleet) start(name string, seed uint64, coordinators int, peers *coordinator.PeerOptions,
+	fronts ...coordinator.Frontend) (*node, error) {
+	return f.startWith(name, seed, coordinators, func(m *coordinator.Options) { m.Peers, m.Frontends = peers, fronts })
 }
 
 // startWith runs one with more means.
-func (f *fleet) startWith(name string, seed uint64, coordinators int, more func(m *coordinator.Means)) (*node, error) {
+func (f *fleet) startWith(name string, seed uint64, coordinators int, more func(m *coordinator.Options)) (*node, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -149,9 +149,9 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &node{name: name, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
-	means := coordinator.Means{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
-		Log:   coordinator.NewLog(io.Discard, false, slog.LevelError),
-		Hosts: map[string]coordinator.HostKind{searchKind: {Index: "members"}}}
+	means := coordinator.Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
+		Logger:    coordinator.NewLogger(io.Discard, false, slog.LevelError),
+		HostKinds: map[string]coordinator.HostKind{searchKind: {Index: "members"}}}
 	more(&means)
 	go func() { n.ended <- plan.Serve(ctx, means) }()
 	return n, nil
--- a/internal/benchmark/learning.go
+++ b/internal/benchmark/learning.go
@@ -74,8 +74,8 @@
 	if err != nil {
 		return Result{}, err
 	}
-	running, err := f.start("running", uint64(seed), count, &coordinator.Peers{Name: "running", Listener: ln,
-		Allow: learners(), Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}})
+	running, err := f.start("running", uint64(seed), count, &coordinator.PeerOptions{Name: "running", Listener: ln,
+		AllowedPeers: learners(), Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}})
 	if err != nil {
 		return Result{}, err
 	}
@@ -113,9 +113,9 @@
 	var learners sync.WaitGroup
 	for k := range repeats {
 		for _, kind := range starts {
-			var peers *coordinator.Peers
+			var peers *coordinator.PeerOptions
 			if kind != "cold" {
-				peers = &coordinator.Peers{Name: fmt.Sprint("learner-", k), Ask: []coordinator.PeerAt{{Name: names[kind], Addr: at[kind]}}}
+				peers = &coordinator.PeerOptions{Name: fmt.Sprint("learner-", k), PollTargets: []coordinator.PeerAddress{{Name: names[kind], Addr: at[kind]}}}
 			}
 			n, err := f.start(kind, uint64(seed)+uint64(k)+1, count, peers)
 			if err != nil {
--- a/internal/benchmark/membership.go
+++ b/internal/benchmark/membership.go
@@ -83,7 +83,7 @@
 			}
 		}}).Run(watching)
 	})
-	n, err := f.startWith("n0", uint64(seed), 1, func(m *coordinator.Means) { m.Lists = lists })
+	n, err := f.startWith("n0", uint64(seed), 1, func(m *coordinator.Options) { m.EndpointUpdates = lists })
 	if err != nil {
 		enough()
 		g.Wait()
--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -180,8 +180,8 @@
 	var book residency.Book
 	_, err = book.Tell(p)
 	require.NoError(t, err)
-	r := startFull(t, false, nil, func(m *coordinator.Means) {
-		m.Residency = coordinator.NewResidency(book.Standing(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
+	r := startFull(t, false, nil, func(m *coordinator.Options) {
+		m.Residency = coordinator.NewResidencyGuard(book.Standing(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
 	})
 	var out strings.Builder
 	r.exchange(&out, "contract", "POST", "/scarce/_search", "{}")
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -65,7 +65,7 @@
 
 func startWith(t *testing.T, speak bool) *rig { return startFull(t, speak, nil) }
 
-func startFull(t *testing.T, speak bool, conf *tls.Config, more ...func(m *coordinator.Means)) *rig {
+func startFull(t *testing.T, speak bool, conf *tls.Config, more ...func(m *coordinator.Options)) *rig {
 	r := &rig{t: t, ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	chance := rand.New(rand.NewSource(7))
 	r.all.Index = "members"
@@ -118,9 +118,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop, r.url = stop, "http://"+other.Addr().String()
 	go func() {
-		m := coordinator.Means{Listener: own, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
-			Log: coordinator.NewLog(io.Discard, false, slog.LevelError), Fronts: []coordinator.Front{front},
-			Hosts: map[string]coordinator.HostKind{"search": {Index: "members", Placed: placed}}}
+		m := coordinator.Options{Listener: own, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
+			Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Frontends: []coordinator.Frontend{front},
+			HostKinds: map[string]coordinator.HostKind{"search": {Index: "members", Placement: placed}}}
 		for _, do := range more {
 			do(&m)
 		}
@@ -461,8 +461,8 @@
 	var book residency.Book
 	_, err = book.Tell(p)
 	require.NoError(t, err)
-	r := startFull(t, false, nil, func(m *coordinator.Means) {
-		m.Residency = coordinator.NewResidency(book.Standing(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
+	r := startFull(t, false, nil, func(m *coordinator.Options) {
+		m.Residency = coordinator.NewResidencyGuard(book.Standing(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
 	})
 	status, m, _ := r.do("POST", "/scarce/_search", `{}`)
 	require.Equal(t, 403, status)
--- a/opensearch/frontend/search.go
+++ b/opensearch/frontend/search.go
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, b := range a.blocks {
-		if !f.d.Held(b) {
+		if !f.d.HasBlockHost(b) {
 			return nil, notFound(x.Name, "no such shard [%s][%d]: no listed host holds it", x.Name, b)
 		}
 	}
@@ -179,35 +179,35 @@
 		return out
 	}
 	defer f.close(t)
-	patience := f.d.Patience(a.index.Type)
+	patience := f.d.SearchTimeout(a.index.Type)
 	for _, v := range []time.Duration{a.q.Timeout, a.within} {
 		if v > 0 {
 			patience = min(patience, max(v, partLong))
 		}
 	}
-	given, err := f.d.Search(ctx, coordinator.Asked{Name: f.prefix + strconv.FormatUint(t.id, 10),
-		Type: a.index.Type, Tenant: a.index.Partner, Text: a.q.Part(), Shards: a.blocks, Patience: patience, Retry: a.retry,
-		Check: a.check})
+	given, err := f.d.Search(ctx, coordinator.SearchRequest{ID: f.prefix + strconv.FormatUint(t.id, 10),
+		Type: a.index.Type, Tenant: a.index.Partner, Body: a.q.Part(), Shards: a.blocks, Timeout: patience, IsRetry: a.retry,
+		DecodeValue: a.check})
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
 		return fault(400, "task_cancelled_exception", "%v", errCancelled)
 	case err != nil:
 		return fault(503, "search_phase_execution_exception", "the co-ordinator is stopping")
-	case given.Kind == coordinator.Barred:
-		return fault(403, "security_exception", "residency: %v", given.Barred)
-	case given.Kind == coordinator.Shed && given.Sent: // not for want of room: hosts failed it
+	case given.Outcome == coordinator.OutcomeResidencyRefused:
+		return fault(403, "security_exception", "residency: %v", given.ResidencyRefusal)
+	case given.Outcome == coordinator.OutcomeShed && given.Dispatched: // not for want of room: hosts failed it
 		return fault(503, "search_phase_execution_exception", "not enough blocks could be asked; trying again is harmless")
-	case given.Kind == coordinator.Shed:
+	case given.Outcome == coordinator.OutcomeShed:
 		out := fault(429, "rejected_execution_exception", "there is no room for this search now")
-		if f.d.RetryAfter {
-			out.wait = max(given.RetryIn, time.Millisecond) // whole seconds on the wire: one at least
+		if f.d.SendRetryAfter {
+			out.wait = max(given.RetryAfter, time.Millisecond) // whole seconds on the wire: one at least
 		}
 		return out
-	case given.Kind != coordinator.Answered && time.Since(t.began) >= patience-2*partLong:
+	case given.Outcome != coordinator.OutcomeAnswered && time.Since(t.began) >= patience-2*partLong:
 		return fault(504, "timeout_exception", "not enough blocks answered within %v", patience)
-	case given.Kind != coordinator.Answered:
+	case given.Outcome != coordinator.OutcomeAnswered:
 		return fault(503, "search_phase_execution_exception", "not enough blocks answered")
-	case !given.Whole && !a.partial:
+	case !given.Complete && !a.partial:
 		return fault(503, "search_phase_execution_exception",
 			"Partial shards failure: %d of %d blocks answered, and the whole is asked for", len(given.Parts), len(a.blocks))
 	}
@@ -232,11 +232,11 @@
 
 // answer puts together what a search has come to. Blocks that are not in stand among the failures, those that were
 // not needed too: what they hold is not in the answer.
-func (a *asked) answer(given coordinator.Given, took time.Duration) reply {
-	o := query.Outcome{Took: took.Milliseconds(), TimedOut: !given.Whole}
+func (a *asked) answer(given coordinator.SearchResult, took time.Duration) reply {
+	o := query.Outcome{Took: took.Milliseconds(), TimedOut: !given.Complete}
 	in := map[int]bool{}
 	for _, p := range given.Parts {
-		if read, ok := p.Read.(*query.Answer); ok {
+		if read, ok := p.Value.(*query.Answer); ok {
 			o.Answers = append(o.Answers, read)
 			in[p.Shard] = true
 		}
@@ -246,7 +246,7 @@
 			continue
 		}
 		failure := query.Failure{Shard: b, Index: a.index.Name, Type: "timeout_exception", Reason: "no answer in time"}
-		if given.Whole {
+		if given.Complete {
 			failure.Type, failure.Reason = "task_cancelled_exception", "called off: enough blocks for a "+a.index.Type+" search were in"
 		}
 		o.Failures = append(o.Failures, failure)
--- a/opensearch/frontend/server.go
+++ b/opensearch/frontend/server.go
@@ -60,7 +60,7 @@
 	TLS      *tls.Config // nil for plain HTTP
 	Indices  []Index
 
-	d      *coordinator.Door
+	d      *coordinator.SearchAPI
 	prefix string // of its searches' names: no other start has the same
 
 	mu    sync.Mutex
@@ -83,24 +83,24 @@
 	errLeft      = errors.New("the client has left")
 )
 
-// Serve implements coordinator.Front.
-func (f *Front) Serve(ctx, stopping context.Context, d *coordinator.Door) error {
-	f.d, f.prefix, f.tasks = d, fmt.Sprintf("os-%s-%d-", d.Name, time.Now().UnixNano()), map[uint64]*task{}
+// Serve implements coordinator.Frontend.
+func (f *Front) Serve(ctx, stopping context.Context, d *coordinator.SearchAPI) error {
+	f.d, f.prefix, f.tasks = d, fmt.Sprintf("os-%s-%d-", d.CoordinatorName, time.Now().UnixNano()), map[uint64]*task{}
 	for _, x := range f.Indices {
-		if err := d.Knows(x.Type, x.Partner); err != nil {
+		if err := d.ValidateTypeAndTenant(x.Type, x.Partner); err != nil {
 			f.Listener.Close()
 			return fmt.Errorf("index %s: %w", x.Name, err)
 		}
 		for _, b := range x.Blocks {
-			if b < 0 || b >= d.Blocks() {
+			if b < 0 || b >= d.BlockCount() {
 				f.Listener.Close()
-				return fmt.Errorf("index %s: there is no block %d, %d are known", x.Name, b, d.Blocks())
+				return fmt.Errorf("index %s: there is no block %d, %d are known", x.Name, b, d.BlockCount())
 			}
 		}
 	}
 	s := &http.Server{Handler: f, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, IdleTimeout: idleTime,
 		MaxHeaderBytes: headMost, TLSConfig: f.TLS, ErrorLog: nil, BaseContext: func(net.Listener) context.Context { return ctx }}
-	ln := netutil.LimitListener(f.Listener, d.Connections)
+	ln := netutil.LimitListener(f.Listener, d.MaxConnections)
 	if f.TLS != nil {
 		ln = tls.NewListener(ln, f.TLS)
 	}
@@ -287,7 +287,7 @@
 }
 
 func (f *Front) root() reply {
-	return encoded(map[string]any{"name": f.d.Name, "cluster_name": "chalkring", "tagline": productWords,
+	return encoded(map[string]any{"name": f.d.CoordinatorName, "cluster_name": "chalkring", "tagline": productWords,
 		"version": map[string]any{"distribution": "chalkring", "number": "2.0.0", "minimum_wire_compatibility_version": "2.0.0"}})
 }
 
@@ -296,7 +296,7 @@
 	status, active, lacking := "green", 0, 0
 	for _, x := range f.Indices {
 		for _, b := range x.Blocks {
-			switch names, _ := f.d.Holders(b); len(names) {
+			switch names, _ := f.d.BlockHosts(b); len(names) {
 			case 0:
 				status, lacking = "red", lacking+1
 			case 1:
@@ -309,7 +309,7 @@
 		}
 	}
 	return encoded(map[string]any{"cluster_name": "chalkring", "status": status, "timed_out": false,
-		"number_of_nodes": f.d.Hosts(), "number_of_data_nodes": f.d.Hosts(), "active_primary_shards": active,
+		"number_of_nodes": f.d.HostCount(), "number_of_data_nodes": f.d.HostCount(), "active_primary_shards": active,
 		"active_shards": active, "relocating_shards": 0, "initializing_shards": 0, "unassigned_shards": lacking})
 }
 
@@ -340,7 +340,7 @@
 	var rows [][]string
 	for _, x := range f.Indices {
 		for _, b := range x.Blocks {
-			names, addrs := f.d.Holders(b)
+			names, addrs := f.d.BlockHosts(b)
 			if len(names) == 0 {
 				rows = append(rows, []string{x.Name, strconv.Itoa(b), "p", "UNASSIGNED", "-", "-"})
 			}
@@ -369,11 +369,11 @@
 		if t.opaque != "" {
 			headers["X-Opaque-Id"] = t.opaque
 		}
-		all[fmt.Sprintf("%s:%d", f.d.Name, id)] = map[string]any{"node": f.d.Name, "id": id, "action": t.action,
+		all[fmt.Sprintf("%s:%d", f.d.CoordinatorName, id)] = map[string]any{"node": f.d.CoordinatorName, "id": id, "action": t.action,
 			"description": "indices[" + t.index + "]", "cancellable": true, "headers": headers,
 			"start_time_in_millis": t.began.UnixMilli(), "running_time_in_nanos": time.Since(t.began).Nanoseconds()}
 	}
-	return encoded(map[string]any{"nodes": map[string]any{f.d.Name: map[string]any{"name": f.d.Name, "tasks": all}}})
+	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{"name": f.d.CoordinatorName, "tasks": all}}})
 }
 
 func (f *Front) cancelTask(name string) reply {
@@ -382,12 +382,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.tasks[id]
-	if err != nil || node != f.d.Name || t == nil {
+	if err != nil || node != f.d.CoordinatorName || t == nil {
 		return fault(404, "resource_not_found_exception", "task [%.100s] is not open", name)
 	}
 	t.stop(errCancelled)
-	return encoded(map[string]any{"nodes": map[string]any{f.d.Name: map[string]any{"name": f.d.Name,
-		"tasks": map[string]any{name: map[string]any{"node": f.d.Name, "id": id, "action": t.action, "cancelled": true}}}}})
+	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{"name": f.d.CoordinatorName,
+		"tasks": map[string]any{name: map[string]any{"node": f.d.CoordinatorName, "id": id, "action": t.action, "cancelled": true}}}}})
 }
 
 // TLS reads the files of a front with TLS; with authorities, clients need a certificate that comes from them.
