--- a/config/installation.go
+++ b/config/installation.go
@@ -364,9 +364,9 @@
 	over := Over(values)
 	for _, name := range slices.Sorted(maps.Keys(over)) {
 		path := at + "." + index.ReplaceAllString(name, "[$1]")
-		if !settings.Known(name) {
+		if !settings.IsKnown(name) {
 			c.fault(path, "no such setting")
-		} else if err := settings.Check(name, over[name]); err != nil {
+		} else if err := settings.Validate(name, over[name]); err != nil {
 			c.fault(path, "%v", err)
 		}
 	}
--- a/config/settings/facts.go
+++ b/config/settings/facts.go
@@ -33,11 +33,11 @@
 
 var place = regexp.MustCompile(`\.\d+\.`)
 
-// Known tells whether the module reads a setting of this name.
-func Known(name string) bool { return rules[place.ReplaceAllString(name, ".*.")] != nil }
+// IsKnown tells whether the module reads a setting of this name.
+func IsKnown(name string) bool { return rules[place.ReplaceAllString(name, ".*.")] != nil }
 
-// Check looks at one setting. A name that the module does not read may be anything.
-func Check(name, text string) error {
+// Validate looks at one setting. A name that the module does not read may be anything.
+func Validate(name, text string) error {
 	ok := rules[place.ReplaceAllString(name, ".*.")]
 	if ok == nil {
 		return nil
@@ -48,15 +48,15 @@
 	return nil
 }
 
-// CheckAll looks at all settings, and at the lists by query type: they have a place for each of so many.
-func CheckAll(all map[string]string, types int) error {
+// ValidateAll looks at all settings, and at the lists by query type: they have a place for each of so many.
+func ValidateAll(all map[string]string, types int) error {
 	var names []string
 	for name := range all {
 		names = append(names, name)
 	}
 	slices.Sort(names) // the same fault each time
 	for _, name := range names {
-		if err := Check(name, all[name]); err != nil {
+		if err := Validate(name, all[name]); err != nil {
 			return err
 		}
 		switch name {
@@ -175,7 +175,7 @@
 			case map[string]any, []any:
 				more(path+"."+strconv.Itoa(i), item)
 			default:
-				plain = append(plain, PlainText(item))
+				plain = append(plain, FormatValue(item))
 			}
 		}
 		if len(plain) < len(v) {
@@ -184,13 +184,13 @@
 			put(path, strings.Join(plain, ","))
 		}
 	default:
-		put(path, PlainText(v))
+		put(path, FormatValue(v))
 	}
 	return err
 }
 
-// PlainText is a plain value as the wire writes it.
-func PlainText(v any) string {
+// FormatValue is a plain value as the wire writes it.
+func FormatValue(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return "-"
--- a/config/settings/facts_test.go
+++ b/config/settings/facts_test.go
@@ -21,7 +21,7 @@
 		{"Classes.0.Effect", "odd", `setting Classes.0.Effect: "odd" is none of retryable, dedup, fragile`},
 		{"Safety.FallMultiple", "Inf", `setting Safety.FallMultiple: "Inf" is no number`},
 	} {
-		require.EqualError(t, CheckAll(map[string]string{c.name: c.text}, 2), c.wrong)
+		require.EqualError(t, ValidateAll(map[string]string{c.name: c.text}, 2), c.wrong)
 	}
 }
 
@@ -30,9 +30,9 @@
 	Flatten(all, "", map[string]any{"Colour": "blue", "Permissions": map[string]any{"SecondCopies": false, "Odd": []any{1, "x"}},
 		"Specifics": map[string]any{"NeedByClass": []any{0.6, 1}, "ClassFloor": []any{1, 0.5}, "FollowUp": []any{0, 3}},
 		"Classes":   []any{map[string]any{"Deadline": 4000.5}, map[string]any{"Effect": "dedup"}}})
-	require.NoError(t, CheckAll(all, 2)) // a floor above the need is ordinary, and names that nothing reads are allowed
+	require.NoError(t, ValidateAll(all, 2)) // a floor above the need is ordinary, and names that nothing reads are allowed
 	require.Equal(t, []string{"false", "0.6,1", "4000.5", "2"}, []string{all["Permissions.SecondCopies"],
 		all["Specifics.NeedByClass"], all["Classes.0.Deadline"], all["Classes.count"]})
-	require.True(t, Known("Classes.12.Deadline"))
-	require.False(t, Known("Permissions.Odd"))
+	require.True(t, IsKnown("Classes.12.Deadline"))
+	require.False(t, IsKnown("Permissions.Odd"))
 }
--- a/config/settings/golden_settings_test.go
+++ b/config/settings/golden_settings_test.go
@@ -25,9 +25,9 @@
 func TestGoldenSettingNames(t *testing.T) {
 	require.ElementsMatch(t, settingNames, slices.Collect(maps.Keys(rules)))
 	for _, name := range settingNames {
-		require.True(t, Known(strings.ReplaceAll(name, "*", "12")), name)
-		require.False(t, Known(strings.ToLower(name)), name)
-		require.False(t, Known(name+"s"), name)
+		require.True(t, IsKnown(strings.ReplaceAll(name, "*", "12")), name)
+		require.False(t, IsKnown(strings.ToLower(name)), name)
+		require.False(t, IsKnown(name+"s"), name)
 	}
 }
 
@@ -39,7 +39,7 @@
 	for _, name := range append(slices.Clone(settingNames), "Family", "FailureDomains", "Classes.*.Name", "Permissions.Other") {
 		name = strings.ReplaceAll(name, "*", "3")
 		for _, text := range texts {
-			fmt.Fprintf(&out, "%s=%q: %v\n", name, text, Check(name, text))
+			fmt.Fprintf(&out, "%s=%q: %v\n", name, text, Validate(name, text))
 		}
 	}
 	requireGolden(t, "setting_errors.golden", out.String())
@@ -50,10 +50,10 @@
 	for _, name := range settingNames {
 		name = strings.ReplaceAll(name, "*", "3")
 		for _, text := range []string{"1", "1,1", "1,1,1"} {
-			fmt.Fprintf(&out, "%s=%q with 2 classes: %v\n", name, text, CheckAll(map[string]string{name: text}, 2))
+			fmt.Fprintf(&out, "%s=%q with 2 classes: %v\n", name, text, ValidateAll(map[string]string{name: text}, 2))
 		}
 	}
-	fmt.Fprintf(&out, "two errors: %v\n", CheckAll(map[string]string{"Tick": "x", "Balancers": "0"}, 1))
+	fmt.Fprintf(&out, "two errors: %v\n", ValidateAll(map[string]string{"Tick": "x", "Balancers": "0"}, 1))
 	requireGolden(t, "setting_list_errors.golden", out.String())
 }
 
--- a/control/residency/file.go
+++ b/control/residency/file.go
@@ -165,9 +165,9 @@
 
 func contract(doc *strictyaml.Doc, at string, e entry, known siteIndex) Contract {
 	for i, zone := range e.Zones { // as settings and lists have them
-		e.Zones[i] = settings.PlainText(zone)
+		e.Zones[i] = settings.FormatValue(zone)
 	}
-	if e.Tenant, e.Class = settings.PlainText(e.Tenant), settings.PlainText(e.Class); e.Zones == nil {
+	if e.Tenant, e.Class = settings.FormatValue(e.Tenant), settings.FormatValue(e.Class); e.Zones == nil {
 		e.Zones = []string{}
 	}
 	c := Contract{Tenant: e.Tenant, Class: e.Class, Block: -1, Zones: e.Zones}
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -186,9 +186,9 @@
 		d.Fault("$.settings", "%d settings, over %d", len(c.Settings), settingsMost)
 	}
 	for name, value := range c.Settings {
-		if err := settings.Check(name, value); err != nil {
+		if err := settings.Validate(name, value); err != nil {
 			d.Fault("$.settings."+name, "%v", err)
-		} else if !settings.Known(name) && !placeName.MatchString(name) {
+		} else if !settings.IsKnown(name) && !placeName.MatchString(name) {
 			d.Fault("$.settings."+name, "no setting that the decision module reads")
 		}
 	}
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -88,7 +88,7 @@
 // nth is the place of a name in a list of the settings; a name that is not there comes after all.
 func (o *owner) nth(list, name string) int {
 	names := o.plan.list(list)
-	if i := slices.Index(names, settings.PlainText(name)); i >= 0 {
+	if i := slices.Index(names, settings.FormatValue(name)); i >= 0 {
 		return i
 	}
 	return len(names)
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -95,7 +95,7 @@
 // take tells the book a list, and the log what the book thinks of it.
 func (m *membership) take(t endpoints.Told) (changed bool, err error) {
 	for i := range t.Hosts {
-		t.Hosts[i].Zone, t.Hosts[i].Kind = settings.PlainText(t.Hosts[i].Zone), settings.PlainText(t.Hosts[i].Kind)
+		t.Hosts[i].Zone, t.Hosts[i].Kind = settings.FormatValue(t.Hosts[i].Zone), settings.FormatValue(t.Hosts[i].Kind)
 	}
 	changed, err = m.book.Tell(m.o.clock(), t)
 	if err != nil {
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -63,7 +63,7 @@
 
 // MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
 func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
-	return r.Policy().Holds(r.clock(), settings.PlainText(tenant), zoneName(zone))
+	return r.Policy().Holds(r.clock(), settings.FormatValue(tenant), zoneName(zone))
 }
 
 // BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
@@ -178,7 +178,7 @@
 	if name == "" {
 		return ""
 	}
-	return settings.PlainText(name)
+	return settings.FormatValue(name)
 }
 
 // changed looks at all open searches anew, in their order.
@@ -331,7 +331,7 @@
 func (p *Plan) ResidencySite() residency.Site {
 	names := func(list string) (names []string) {
 		for _, name := range p.named[list] {
-			names = append(names, settings.PlainText(name))
+			names = append(names, settings.FormatValue(name))
 		}
 		return names
 	}
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -297,15 +297,15 @@
 			case string:
 				name = v
 			default:
-				name = settings.PlainText(v)
+				name = settings.FormatValue(v)
 			}
 			if name == "" {
 				return fmt.Errorf("setting %s is missing", place)
 			}
-			if other, twice := seen[settings.PlainText(name)]; twice {
+			if other, twice := seen[settings.FormatValue(name)]; twice {
 				return &DuplicateNameError{place, name, other.place, other.name}
 			}
-			seen[settings.PlainText(name)] = namedAt{place, name}
+			seen[settings.FormatValue(name)] = namedAt{place, name}
 			p.named[list] = append(p.named[list], name)
 		}
 	}
@@ -313,11 +313,11 @@
 	seen := map[string]namedAt{}
 	for i, zone := range zones {
 		name, place := word(zone), fmt.Sprintf("FailureDomains.%d", i)
-		other, twice := seen[settings.PlainText(name)]
+		other, twice := seen[settings.FormatValue(name)]
 		if twice && other.name != name { // one that is there twice is one zone
 			return &DuplicateNameError{place, name, other.place, other.name}
 		}
-		seen[settings.PlainText(name)] = namedAt{place, name}
+		seen[settings.FormatValue(name)] = namedAt{place, name}
 	}
 	return nil
 }
@@ -368,7 +368,7 @@
 			return fmt.Errorf("setting Specifics.%s has %d places for %d classes", name, n, p.count("Classes"))
 		}
 	}
-	return settings.CheckAll(p.facts, p.count("Classes"))
+	return settings.ValidateAll(p.facts, p.count("Classes"))
 }
 
 // WithSettings is the plan with an installation's settings over its own; one that is bad leaves the plan as it is.
@@ -416,7 +416,7 @@
 func (p *Plan) names(list string) map[string]int {
 	m := map[string]int{}
 	for i, name := range p.named[list] {
-		m[name], m[settings.PlainText(name)] = i, i
+		m[name], m[settings.FormatValue(name)] = i, i
 	}
 	return m
 }
