--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -333,10 +333,10 @@
 		told := "can be used"
 		switch filepath.Ext(name) {
 		case ".jsonl":
-			_, err = fanout.ReadFile(name)
+			_, err = fanout.ReadRegionFile(name)
 		case ".yaml", ".yml":
-			if fanout.Is(name) {
-				_, err = fanout.ReadFile(name)
+			if fanout.IsRegionFile(name) {
+				_, err = fanout.ReadRegionFile(name)
 				break
 			}
 			var file *config.File
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -45,12 +45,12 @@
 			s.log.Warn("subscriber_refused", advice.Attrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
-	return []coordinator.Frontend{fanout.New(fanout.Options{Shared: s.shared, Heard: s.gateways, Rules: s.rules, File: s.file.Subscribers, Log: s.log,
-		Me: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Life: me.Incarnation}, Seed: int64(me.Incarnation), Bytes: s.bytes, Left: left})}, nil
+	return []coordinator.Frontend{fanout.New(fanout.Options{Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.Subscribers, Log: s.log,
+		Self: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Life: me.Incarnation}, Seed: int64(me.Incarnation), ReplicationBytes: s.bytes, OnDrained: left})}, nil
 }
 
 // gateways are those that are heard now. A name that two claim is nobody's: numbers of deliveries rest on names.
-func (s *sharing) gateways() (h fanout.Heard) {
+func (s *sharing) gateways() (h fanout.Membership) {
 	now, claimed := s.clock(), s.book.Conflicts()
 	for _, m := range s.book.Members() {
 		if !slices.Contains(h.Zones, m.Zone) {
@@ -62,7 +62,7 @@
 		}
 	}
 	heard, of := s.book.Heard(now)
-	h.Majority, h.All = s.book.Majority(now), heard == of
+	h.HasMajority, h.Complete = s.book.Majority(now), heard == of
 	return h
 }
 
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -48,8 +48,8 @@
 	keepLeast   = 1024 // names of a list kept for reading
 )
 
-// Shared is what the instances share; package replication's Book is one.
-type Shared interface {
+// ReplicatedStore is what the instances share; package replication's Book is one.
+type ReplicatedStore interface {
 	Ready() <-chan struct{}
 	Get(name string) (crdt.Entry, bool)
 	Put(name string, value []byte) (crdt.Entry, error)
@@ -60,26 +60,26 @@
 	Kept(ctx context.Context) error
 }
 
-// Heard is who is there, by membership.
-type Heard struct {
-	Members  []subscribers.Member // alive gateways, this one among them
-	Zones    []string             // of all instances that are known, gateways or not: the list lies in all of them
-	Majority bool                 // more than half of the listed are heard
-	All      bool                 // all of them are
+// Membership is who is there, by membership.
+type Membership struct {
+	Members     []subscribers.Member // alive gateways, this one among them
+	Zones       []string             // of all instances that are known, gateways or not: the list lies in all of them
+	HasMajority bool                 // more than half of the listed are heard
+	Complete    bool                 // all of them are
 }
 
 // Options are how a gateway is run.
 type Options struct {
-	Me     subscribers.Member
-	Shared Shared
-	Heard  func() Heard
-	Rules  func() subscribers.Rules // where tenants may be served; nil for anywhere
-	File   string                   // of the region; none where empty
-	Hand   Hand                     // where deliveries go; by HTTP to the file's address where nil
-	Log    *slog.Logger
-	Seed   int64
-	Left   func()                         // told once nobody is served here any more, for membership; may be nil
-	Bytes  func() (held int, sent uint64) // of what is shared, and that were sent for it; nil for not known
+	Self             subscribers.Member
+	Store            ReplicatedStore
+	Membership       func() Membership
+	Rules            func() subscribers.Rules // where tenants may be served; nil for anywhere
+	FilePath         string                   // of the region; none where empty
+	Deliver          DeliverFunc              // where deliveries go; by HTTP to the file's address where nil
+	Log              *slog.Logger
+	Seed             int64
+	OnDrained        func()                         // told once nobody is served here any more, for membership; may be nil
+	ReplicationBytes func() (held int, sent uint64) // of what is shared, and that were sent for it; nil for not known
 }
 
 // Gateway runs. Its calls are safe from any goroutine.
@@ -142,14 +142,14 @@
 	if err := g.bound(k.Tenant); err != nil {
 		return err
 	}
-	if _, there := g.o.Shared.Get(k.Name()); !there && g.held.Load() >= subscribers.ListMost {
+	if _, there := g.o.Store.Get(k.Name()); !there && g.held.Load() >= subscribers.ListMost {
 		return &subscribers.Full{Held: int(g.held.Load()), Most: subscribers.ListMost}
 	}
-	return g.call(ctx, k, subscribers.Subscribe(k, g.o.Me.Region, d))
+	return g.call(ctx, k, subscribers.Subscribe(k, g.o.Self.Region, d))
 }
 
-// Change gives one who is subscribed other details.
-func (g *Gateway) Change(ctx context.Context, k subscribers.Key, d subscribers.Details) error {
+// ChangeDetails gives one who is subscribed other details.
+func (g *Gateway) ChangeDetails(ctx context.Context, k subscribers.Key, d subscribers.Details) error {
 	if err := g.bound(k.Tenant); err != nil {
 		return err
 	}
@@ -158,12 +158,12 @@
 
 // Unsubscribe takes one off.
 func (g *Gateway) Unsubscribe(ctx context.Context, k subscribers.Key) error {
-	return g.call(ctx, k, subscribers.Unsubscribe(k, g.o.Me.Name, wall()))
+	return g.call(ctx, k, subscribers.Unsubscribe(k, g.o.Self.Name, wall()))
 }
 
 // Get tells whether a subscriber is subscribed, and to what.
 func (g *Gateway) Get(k subscribers.Key) (subscribers.Record, bool) {
-	e, _ := g.o.Shared.Get(k.Name())
+	e, _ := g.o.Store.Get(k.Name())
 	r, err := subscribers.Reads(e)
 	return r, err == nil && !r.Off()
 }
@@ -172,14 +172,14 @@
 	ctx, stop := context.WithTimeout(ctx, callWait)
 	defer stop()
 	select {
-	case <-g.o.Shared.Ready(): // what is written before has not seen what the disk keeps
+	case <-g.o.Store.Ready(): // what is written before has not seen what the disk keeps
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	if err := g.write(k, op); err != nil {
 		return err
 	}
-	return g.o.Shared.Kept(ctx)
+	return g.o.Store.Kept(ctx)
 }
 
 // bound tells which zone a tenant's contract keeps its entries from, of those in which the list lies; nil where all may
@@ -189,16 +189,16 @@
 	if holds == nil {
 		return nil
 	}
-	for _, zone := range g.o.Heard().Zones {
+	for _, zone := range g.o.Membership().Zones {
 		if !holds(tenant, zone) {
-			return &Bound{tenant, zone}
+			return &ZoneForbiddenError{tenant, zone}
 		}
 	}
 	return nil
 }
 
 func (g *Gateway) write(k subscribers.Key, op subscribers.Op) error {
-	_, err := g.o.Shared.Update(k.Name(), func(e crdt.Entry) ([]byte, bool, error) { return subscribers.Write(e, op) })
+	_, err := g.o.Store.Update(k.Name(), func(e crdt.Entry) ([]byte, bool, error) { return subscribers.Write(e, op) })
 	return err
 }
 
@@ -210,7 +210,7 @@
 // Serve runs the gateway until stopping is done and what is on its way has ended, or ctx ends.
 func (g *Gateway) Serve(ctx, stopping context.Context, d *coordinator.SearchAPI) error {
 	select {
-	case <-g.o.Shared.Ready():
+	case <-g.o.Store.Ready():
 	case <-stopping.Done():
 		return nil
 	case <-ctx.Done():
@@ -218,23 +218,23 @@
 	}
 	running, stop := context.WithCancel(ctx)
 	var wait sync.WaitGroup
-	if g.o.Left != nil {
-		defer g.o.Left()
+	if g.o.OnDrained != nil {
+		defer g.o.OnDrained()
 	}
 	defer wait.Wait()
 	defer stop()
 	g.door = d
-	g.gate = subscribers.NewGateway(now(), g.o.Me, g.o.Rules())
+	g.gate = subscribers.NewGateway(now(), g.o.Self, g.o.Rules())
 	plan := scheduler.NewPlan(rand.New(rand.NewSource(g.o.Seed)), map[string]scheduler.Budget{standing: {Concurrent: together}})
 	g.pool = scheduler.NewPool(coordinator.SystemClock{}, plan, func(string, error) {})
 	wait.Go(func() { _ = g.pool.Run(running) })
 	files := make(chan fileSeen)
-	if g.o.File != "" {
-		wait.Go(func() { watchFile(running, g.o.File, files) })
+	if g.o.FilePath != "" {
+		wait.Go(func() { watchFile(running, g.o.FilePath, files) })
 	}
-	changes, end := g.o.Shared.Watch(subscribers.Prefix)
+	changes, end := g.o.Store.Watch(subscribers.Prefix)
 	defer end()
-	words, endWords := g.o.Shared.Watch(subscribers.WordPrefix)
+	words, endWords := g.o.Store.Watch(subscribers.WordPrefix)
 	defer endWords()
 	turn := time.NewTicker(turnEach)
 	defer turn.Stop()
@@ -286,9 +286,9 @@
 		if g.ended && (g.gate.Handing() == 0 || t.Sub(left) > deliverMost) {
 			return nil
 		}
-		h := g.o.Heard()
+		h := g.o.Membership()
 		g.gate.Rules(now(), g.o.Rules())
-		g.gate.Heard(now(), h.Members, h.Majority)
+		g.gate.Heard(now(), h.Members, h.HasMajority)
 		if word, say := g.gate.Tick(now(), wall()); say {
 			g.say(word)
 		}
@@ -297,10 +297,10 @@
 				filed = time.Time{} // there is more of it
 			}
 		}
-		if h.All && t.Sub(forgot) >= forgetEach {
+		if h.Complete && t.Sub(forgot) >= forgetEach {
 			forgot = t
 			for _, k := range g.list.Forget(wall(), forgetStep) {
-				if _, err := g.o.Shared.Delete(k.Name()); err != nil {
+				if _, err := g.o.Store.Delete(k.Name()); err != nil {
 					g.tell("subscriber_refused", advice.Attrs(err, "subscriber", k)...)
 				}
 			}
@@ -312,8 +312,8 @@
 			g.fresh, g.told = false, t
 			on, off := g.list.Counts()
 			c, held, sent := g.gate.Counts(), 0, uint64(0)
-			if g.o.Bytes != nil {
-				held, sent = g.o.Bytes()
+			if g.o.ReplicationBytes != nil {
+				held, sent = g.o.ReplicationBytes()
 			}
 			g.log.Info("subscribers", "list", fmt.Sprintf("%016x", g.list.Sum()), "view", fmt.Sprintf("%016x", c.View), "gateways", c.Gateways, "subscribed", on,
 				"unsubscribed", off, "served", c.Served, "waiting", c.Waiting, "turn", c.Turn, "views", c.Views, "runs", c.Runs,
@@ -325,7 +325,7 @@
 
 // say puts this gateway's word into the book.
 func (g *Gateway) say(w subscribers.Word) {
-	if _, err := g.o.Shared.Put(subscribers.WordPrefix+g.o.Me.Name, w.Bytes()); err != nil {
+	if _, err := g.o.Store.Put(subscribers.WordPrefix+g.o.Self.Name, w.Bytes()); err != nil {
 		g.tell("subscriber_refused", advice.Attrs(err, "subscriber", "this gateway's word: nobody is served here")...)
 		return
 	}
@@ -336,7 +336,7 @@
 // readWords takes in what the gateways say.
 func (g *Gateway) readWords() {
 	var all []crdt.Entry
-	g.o.Shared.Each(subscribers.WordPrefix, func(e crdt.Entry) bool {
+	g.o.Store.Each(subscribers.WordPrefix, func(e crdt.Entry) bool {
 		all = append(all, e)
 		return true
 	})
@@ -351,7 +351,7 @@
 // readList reads what has changed in the book.
 func (g *Gateway) readList() {
 	g.list.Reading()
-	g.o.Shared.Each(subscribers.Prefix, func(e crdt.Entry) bool {
+	g.o.Store.Each(subscribers.Prefix, func(e crdt.Entry) bool {
 		if g.list.Changed(e) {
 			g.todo = append(g.todo, e)
 		}
@@ -405,14 +405,14 @@
 
 // take takes in what the region's file says now.
 func (g *Gateway) take(f fileSeen) {
-	if f.err == nil && f.file.Region != g.o.Me.Region {
-		f.err = &OtherRegion{f.file.Region, g.o.Me.Region}
+	if f.err == nil && f.file.Region != g.o.Self.Region {
+		f.err = &RegionMismatchError{f.file.Region, g.o.Self.Region}
 	}
 	if f.err != nil {
-		g.log.Warn("subscriber_file", advice.Attrs(f.err, "path", g.o.File, "in_force", "its last list")...)
+		g.log.Warn("subscriber_file", advice.Attrs(f.err, "path", g.o.FilePath, "in_force", "its last list")...)
 		return
 	}
-	g.log.Info("subscriber_file", "path", g.o.File, "generation", f.file.Generation, "subscriptions", len(f.file.Lines))
+	g.log.Info("subscriber_file", "path", g.o.FilePath, "generation", f.file.Generation, "subscriptions", len(f.file.Lines))
 	g.file, g.since = f.file, time.Now()
 	g.filed = false
 	clear(g.behind)
@@ -425,12 +425,12 @@
 	}
 	g.filed = true
 	var old *subscribers.OldFile
-	_, err := g.o.Shared.Update(subscribers.FilePrefix+g.file.Region, func(e crdt.Entry) ([]byte, bool, error) {
+	_, err := g.o.Store.Update(subscribers.FilePrefix+g.file.Region, func(e crdt.Entry) ([]byte, bool, error) {
 		value, err := g.file.Admit(subscribers.StandingOf(e))
 		return value, value != nil, err
 	})
 	if errors.As(err, &old) {
-		g.log.Warn("subscriber_file", advice.Attrs(err, "path", g.o.File, "in_force", "what the instances share")...)
+		g.log.Warn("subscriber_file", advice.Attrs(err, "path", g.o.FilePath, "in_force", "what the instances share")...)
 		g.file = nil
 		return false
 	} else if err != nil {
@@ -458,7 +458,7 @@
 			g.tell("subscriber_refused", advice.Attrs(why, "subscriber", k)...)
 			continue
 		}
-		if err := g.write(k, g.file.Op(k, g.o.Me.Name, wall())); err != nil {
+		if err := g.write(k, g.file.Op(k, g.o.Self.Name, wall())); err != nil {
 			g.tell("subscriber_refused", advice.Attrs(err, "subscriber", k)...)
 			continue
 		}
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -82,14 +82,14 @@
 	deaf  atomic.Bool  // the receiver takes deliveries and says that it has not
 
 	mu  sync.Mutex
-	got []Delivered
+	got []DeliveryMessage
 	log strings.Builder
 }
 
 func newSite(t *testing.T) *site {
 	s := &site{t: t, disk: &disk{held: map[string][]byte{}}, path: filepath.Join(t.TempDir(), "eu.yaml")}
 	s.post = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var d Delivered
+		var d DeliveryMessage
 		if json.NewDecoder(r.Body).Decode(&d) != nil || r.URL.Path != "/"+d.Tenant {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -149,8 +149,8 @@
 		Disk: func(context.Context) (replication.Disk, error) { return s.disk, nil }})
 	me := subscribers.Member{Name: "n0", Region: "eu", Life: life}
 	log := slog.New(slog.NewTextHandler(s, nil))
-	g = New(Options{Me: me, Shared: book, File: s.path, Log: log,
-		Heard: func() Heard { return Heard{[]subscribers.Member{me}, []string{"eu-1", "us-1"}, true, true} },
+	g = New(Options{Self: me, Store: book, FilePath: s.path, Log: log,
+		Membership: func() Membership { return Membership{[]subscribers.Member{me}, []string{"eu-1", "us-1"}, true, true} },
 		Rules: func() subscribers.Rules {
 			return subscribers.Rules{Holds: func(tenant, zone string) bool { return tenant != "other" || zone == "eu-1" }}
 		}})
@@ -183,7 +183,7 @@
 }
 
 // deliveries are those to one subscriber so far.
-func (s *site) deliveries(id string) (all []Delivered) {
+func (s *site) deliveries(id string) (all []DeliveryMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.got {
@@ -216,7 +216,7 @@
 	require.Len(t, got[1].Values, 1, "only what changed")
 	require.Equal(t, got[1], got[2], "one number has one content")
 	require.Positive(t, got[1].Number.Compare(first.Number))
-	require.Equal(t, first.Number, got[1].Last)
+	require.Equal(t, first.Number, got[1].Previous)
 
 	key := subscribers.Key{Tenant: "acme", ID: "s1"}
 	require.NoError(t, g.Unsubscribe(t.Context(), key))
@@ -289,7 +289,7 @@
 	s.await("half", s.logged("the file is not whole"))
 	_, on := g.Get(subscribers.Key{Tenant: "acme", ID: "s1"})
 	require.True(t, on)
-	var bound *Bound
+	var bound *ZoneForbiddenError
 	elsewhere := subscribers.Key{Tenant: "other", ID: "s4"}
 	require.ErrorAs(t, g.Subscribe(t.Context(), elsewhere, subscribers.Details{Type: "full-match", Every: subscribers.EveryLeast}), &bound)
 	s.file(7, "- {tenant: other, id: s4, type: full-match, query: a, every: 1s}")
@@ -303,17 +303,17 @@
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	for _, err := range []error{&subscribers.BadRecord{}, &subscribers.BadAsk{}, &subscribers.NotSubscribed{}, &subscribers.Full{}, &subscribers.OldFile{},
-		&subscribers.Stale{}, &subscribers.BadLine{}, &OtherRegion{}, &NotHanded{Err: os.ErrClosed}, &NotSearched{}, &Bound{}} {
+		&subscribers.Stale{}, &subscribers.BadLine{}, &RegionMismatchError{}, &DeliveryFailedError{Err: os.ErrClosed}, &SearchFailedError{}, &ZoneForbiddenError{}} {
 		require.NotEmpty(t, advice.Advice(fmt.Errorf("wrapped: %w", err)))
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*")+"`")
 	}
 }
 
 func TestExampleCanBeUsed(t *testing.T) {
-	f, err := ReadFile("../../deploy/subscribers.yaml")
+	f, err := ReadRegionFile("../../deploy/subscribers.yaml")
 	require.NoError(t, err)
 	require.Len(t, f.Lines, 2)
 	require.EqualValues(t, 2, f.Lines[subscribers.Key{Tenant: "acme", ID: "all-picks"}].Consent)
-	require.True(t, Is("../../deploy/subscribers.yaml"))
-	require.False(t, Is("../../deploy/fleet.yaml"))
+	require.True(t, IsRegionFile("../../deploy/subscribers.yaml"))
+	require.False(t, IsRegionFile("../../deploy/fleet.yaml"))
 }
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -26,10 +26,10 @@
 	"chalkring/internal/advice"
 )
 
-func goldenDelivery() Delivered {
-	return Delivered{Tenant: "acme", ID: "s1", Consent: 1, Number: subscribers.Number{Turn: 2, N: 3, Gateway: "n0"},
-		Last: subscribers.Number{Turn: 4, N: 5, Gateway: "n1"}, Period: 6,
-		Values: []Value{{Block: 7, Hash: "0123456789abcdef", Value: []byte("<value>")}, {Block: 8, Hash: "fedcba9876543210"}}}
+func goldenDelivery() DeliveryMessage {
+	return DeliveryMessage{Tenant: "acme", ID: "s1", Consent: 1, Number: subscribers.Number{Turn: 2, N: 3, Gateway: "n0"},
+		Previous: subscribers.Number{Turn: 4, N: 5, Gateway: "n1"}, Period: 6,
+		Values: []BlockValue{{Block: 7, Hash: "0123456789abcdef", Value: []byte("<value>")}, {Block: 8, Hash: "fedcba9876543210"}}}
 }
 
 // A delivery as it goes to its receiver: method, content type and body; and which statuses count as taken.
@@ -45,7 +45,7 @@
 	}))
 	defer client.CloseIdleConnections()
 	defer receiver.Close()
-	hand := Post(receiver.URL + "/acme")
+	hand := DeliverByHTTP(receiver.URL + "/acme")
 	require.NoError(t, hand(t.Context(), goldenDelivery()))
 	requireGolden(t, "delivery.http", got.Bytes())
 	for code, taken := range map[int]bool{200: true, 299: true, 300: false, 404: false, 500: false} {
@@ -62,7 +62,7 @@
 	_, body, _ := bytes.Cut(text, []byte("\n\n"))
 	reader := json.NewDecoder(bytes.NewReader(body))
 	reader.DisallowUnknownFields()
-	var d Delivered
+	var d DeliveryMessage
 	require.NoError(t, reader.Decode(&d))
 	require.Equal(t, goldenDelivery(), d)
 }
@@ -77,7 +77,7 @@
 	}}
 	var all bytes.Buffer
 	for _, handler := range []slog.Handler{slog.NewJSONHandler(&all, untimed), slog.NewTextHandler(&all, untimed)} {
-		g := New(Options{Me: subscribers.Member{Name: "n0", Region: "eu"}, File: "eu.yaml", Log: slog.New(handler)})
+		g := New(Options{Self: subscribers.Member{Name: "n0", Region: "eu"}, FilePath: "eu.yaml", Log: slog.New(handler)})
 		g.take(fileSeen{err: errors.New("why")})
 		g.take(fileSeen{file: &subscribers.File{Region: "us"}})
 		g.take(fileSeen{file: &subscribers.File{Region: "eu", Generation: 7}})
@@ -86,7 +86,7 @@
 		g.unread(e, err)
 		g.unread(e, err) // told once
 		key := subscribers.Key{Tenant: "acme", ID: "s1"}
-		g.tell("subscriber_delivery", advice.Attrs(&NotHanded{"http://receiver", errors.New("why")}, "subscriber", key, "number",
+		g.tell("subscriber_delivery", advice.Attrs(&DeliveryFailedError{"http://receiver", errors.New("why")}, "subscriber", key, "number",
 			subscribers.Number{Turn: 1, N: 2, Gateway: "n0"})...)
 		g.quiet.Store(5)
 		g.tell("subscriber_conflict", "subscriber", key, "held", "one", "lost", "other")
@@ -97,8 +97,8 @@
 // Failures that stand in the log or answer a call, with their advice.
 func TestGoldenFanoutErrors(t *testing.T) {
 	var all strings.Builder
-	for _, err := range []error{&OtherRegion{File: "us", Own: "eu"}, &Bound{Tenant: "acme", Zone: "us-1"}, &NotHanded{"http://receiver", errors.New("why")},
-		&NotSearched{Why: "shed"}, Post("")(context.Background(), Delivered{})} {
+	for _, err := range []error{&RegionMismatchError{FileRegion: "us", OwnRegion: "eu"}, &ZoneForbiddenError{Tenant: "acme", Zone: "us-1"}, &DeliveryFailedError{"http://receiver", errors.New("why")},
+		&SearchFailedError{Reason: "shed"}, DeliverByHTTP("")(context.Background(), DeliveryMessage{})} {
 		fmt.Fprintln(&all, advice.Text(err))
 	}
 	requireGolden(t, "errors.txt", []byte(all.String()))
@@ -112,10 +112,10 @@
 		"a.yaml": "region: eu\ngeneration: 1\ncount: 0\nsubscriptions: []\n"} {
 		path := filepath.Join(folder, name)
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		f, err := ReadFile(path)
+		f, err := ReadRegionFile(path)
 		require.NoError(t, err, name)
 		require.Equal(t, "eu", f.Region)
-		require.Equal(t, name == "a.yaml", Is(path))
+		require.Equal(t, name == "a.yaml", IsRegionFile(path))
 	}
 }
 
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -24,73 +24,75 @@
 
 const fileMost = 64 << 20 // bytes of a region's file
 
-// Value is what a block answered.
-type Value struct {
+// BlockValue is what a block answered.
+type BlockValue struct {
 	Block int    `json:"block"`
 	Hash  string `json:"hash"`            // of the value, also of one that is too long to be delivered
 	Value []byte `json:"value,omitempty"` // in base64; left out over 64 KiB
 }
 
-// Delivered is what is handed over: the blocks whose values are others than those handed over before. A receiver drops
+// DeliveryMessage is what is handed over: the blocks whose values are others than those handed over before. A receiver drops
 // a number that it had; of two gateways' numbers the higher is the later, but while regions were cut off from each other.
-type Delivered struct {
-	Tenant  string             `json:"tenant"`
-	ID      string             `json:"id"`
-	Consent uint64             `json:"consent"`
-	Number  subscribers.Number `json:"number"`
-	Last    subscribers.Number `json:"last"` // the one before, as far as it is known
-	Period  int64              `json:"period"`
-	Values  []Value            `json:"values"`
+type DeliveryMessage struct {
+	Tenant   string             `json:"tenant"`
+	ID       string             `json:"id"`
+	Consent  uint64             `json:"consent"`
+	Number   subscribers.Number `json:"number"`
+	Previous subscribers.Number `json:"last"` // the one before, as far as it is known
+	Period   int64              `json:"period"`
+	Values   []BlockValue       `json:"values"`
 }
 
-// Hand hands a delivery over; an error says that it may not have arrived.
-type Hand func(ctx context.Context, d Delivered) error
+// DeliverFunc hands a delivery over; an error says that it may not have arrived.
+type DeliverFunc func(ctx context.Context, d DeliveryMessage) error
 
-// OtherRegion is another region's file.
-type OtherRegion struct{ File, Own string }
+// RegionMismatchError is another region's file.
+type RegionMismatchError struct{ FileRegion, OwnRegion string }
 
-func (e *OtherRegion) Error() string {
-	return fmt.Sprintf("the file is region %s's, this instance stands in %s", e.File, e.Own)
+func (e *RegionMismatchError) Error() string {
+	return fmt.Sprintf("the file is region %s's, this instance stands in %s", e.FileRegion, e.OwnRegion)
 }
 
 // Advice tells an operator what to do.
-func (e *OtherRegion) Advice() string {
+func (e *RegionMismatchError) Advice() string {
 	return "Put the own region's file in place, or mend `region` in it or in the section `fleet`."
 }
 
-// Bound is a subscription of a tenant whose contract keeps its entries from a zone in which the list lies.
-type Bound struct{ Tenant, Zone string }
+// ZoneForbiddenError is a subscription of a tenant whose contract keeps its entries from a zone in which the list lies.
+type ZoneForbiddenError struct{ Tenant, Zone string }
 
-func (e *Bound) Error() string {
+func (e *ZoneForbiddenError) Error() string {
 	return fmt.Sprintf("entries of tenant %.60q may not be in zone %.60q, where instances of this fleet keep the list", e.Tenant, e.Zone)
 }
 
 // Advice tells an operator what to do.
-func (e *Bound) Advice() string {
+func (e *ZoneForbiddenError) Advice() string {
 	return "Serve the tenant by a fleet of its own whose instances all stand in zones of its contract."
 }
 
-// NotHanded is a delivery that its receiver did not take.
-type NotHanded struct {
-	To  string
-	Err error
+// DeliveryFailedError is a delivery that its receiver did not take.
+type DeliveryFailedError struct {
+	Destination string
+	Err         error
 }
 
-func (e *NotHanded) Error() string { return fmt.Sprintf("delivery to %s: %v", e.To, e.Err) }
-func (e *NotHanded) Unwrap() error { return e.Err }
+func (e *DeliveryFailedError) Error() string {
+	return fmt.Sprintf("delivery to %s: %v", e.Destination, e.Err)
+}
+func (e *DeliveryFailedError) Unwrap() error { return e.Err }
 
 // Advice tells an operator what to do.
-func (e *NotHanded) Advice() string {
+func (e *DeliveryFailedError) Advice() string {
 	return "Look at the receiver; what it lacks is handed over after the next search of the subscriber."
 }
 
-// NotSearched is a standing search that brought nothing.
-type NotSearched struct{ Why string }
+// SearchFailedError is a standing search that brought nothing.
+type SearchFailedError struct{ Reason string }
 
-func (e *NotSearched) Error() string { return "standing search: " + e.Why }
+func (e *SearchFailedError) Error() string { return "standing search: " + e.Reason }
 
 // Advice tells an operator what to do.
-func (e *NotSearched) Advice() string {
+func (e *SearchFailedError) Advice() string {
 	return "If it repeats: see whether type and tenant stand in the plan, and whether hosts have room; it runs again after its period."
 }
 
@@ -102,7 +104,7 @@
 	runs, _ := g.gate.Due(now(), 2*together)
 	for _, r := range runs {
 		g.serial++
-		name := fmt.Sprintf("sub-%s-%d", g.o.Me.Name, g.serial)
+		name := fmt.Sprintf("sub-%s-%d", g.o.Self.Name, g.serial)
 		job := scheduler.Job{Name: name, Kind: standing, Priority: scheduler.Usual, Tries: 1}
 		begun := time.Now()
 		_, err := g.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
@@ -140,7 +142,7 @@
 		why = map[int]string{coordinator.OutcomeShed: "shed", coordinator.OutcomeFailed: "errored", coordinator.OutcomeDuplicateID: "its name is open"}[given.Outcome]
 	}
 	if why != "" || err != nil {
-		g.tell("subscriber_search", advice.Attrs(&NotSearched{why}, "subscriber", r.Key)...)
+		g.tell("subscriber_search", advice.Attrs(&SearchFailedError{why}, "subscriber", r.Key)...)
 		return nil
 	}
 	values = map[int][]byte{}
@@ -182,17 +184,17 @@
 	}) || !ok {
 		return
 	}
-	out := Delivered{Tenant: d.Key.Tenant, ID: d.Key.ID, Consent: d.Consent, Number: d.Number, Last: d.Last, Period: d.Period}
+	out := DeliveryMessage{Tenant: d.Key.Tenant, ID: d.Key.ID, Consent: d.Consent, Number: d.Number, Previous: d.Last, Period: d.Period}
 	for _, b := range d.Blocks {
-		v := Value{Block: b, Hash: fmt.Sprintf("%016x", hashes[b]), Value: values[b]}
+		v := BlockValue{Block: b, Hash: fmt.Sprintf("%016x", hashes[b]), Value: values[b]}
 		if len(v.Value) > valueMost {
 			v.Value = nil
 		}
 		out.Values = append(out.Values, v)
 	}
-	hand := g.o.Hand
+	hand := g.o.Deliver
 	if hand == nil {
-		hand = Post(strings.ReplaceAll(to, "{tenant}", d.Key.Tenant))
+		hand = DeliverByHTTP(strings.ReplaceAll(to, "{tenant}", d.Key.Tenant))
 	}
 	err := handOver(ctx, hand, out)
 	var mark subscribers.Mark
@@ -209,7 +211,7 @@
 }
 
 // handOver tries a few times, with one number.
-func handOver(ctx context.Context, hand Hand, d Delivered) (err error) {
+func handOver(ctx context.Context, hand DeliverFunc, d DeliveryMessage) (err error) {
 	ctx, stop := context.WithTimeout(ctx, deliverMost)
 	defer stop()
 	for i := range tries {
@@ -229,29 +231,29 @@
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: together, IdleConnTimeout: time.Minute, Proxy: nil}}
 
-// Post is a delivery by HTTP: a POST with the delivery as JSON, taken with a status from 200 to 299.
-func Post(url string) Hand {
-	return func(ctx context.Context, d Delivered) error {
+// DeliverByHTTP is a delivery by HTTP: a POST with the delivery as JSON, taken with a status from 200 to 299.
+func DeliverByHTTP(url string) DeliverFunc {
+	return func(ctx context.Context, d DeliveryMessage) error {
 		if url == "" {
-			return &NotHanded{"nobody", errors.New("the region's file names no address under deliver")}
+			return &DeliveryFailedError{"nobody", errors.New("the region's file names no address under deliver")}
 		}
 		body, err := json.Marshal(d)
 		if err != nil {
-			return &NotHanded{url, err}
+			return &DeliveryFailedError{url, err}
 		}
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 		if err != nil {
-			return &NotHanded{url, err}
+			return &DeliveryFailedError{url, err}
 		}
 		req.Header.Set("Content-Type", "application/json")
 		res, err := client.Do(req)
 		if err != nil {
-			return &NotHanded{url, err}
+			return &DeliveryFailedError{url, err}
 		}
 		defer res.Body.Close()
 		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 1<<16))
 		if res.StatusCode < 200 || res.StatusCode > 299 {
-			return &NotHanded{url, errors.New(res.Status)}
+			return &DeliveryFailedError{url, errors.New(res.Status)}
 		}
 		return nil
 	}
@@ -262,8 +264,8 @@
 	err  error
 }
 
-// ReadFile reads a region's file: YAML, or JSON lines where its name ends so.
-func ReadFile(path string) (f *subscribers.File, err error) {
+// ReadRegionFile reads a region's file: YAML, or JSON lines where its name ends so.
+func ReadRegionFile(path string) (f *subscribers.File, err error) {
 	text, err := strictyaml.Text(path, fileMost)
 	if err != nil {
 		return nil, err
@@ -279,8 +281,8 @@
 	return f, nil
 }
 
-// Is tells whether a YAML file looks like a region's list.
-func Is(path string) bool {
+// IsRegionFile tells whether a YAML file looks like a region's list.
+func IsRegionFile(path string) bool {
 	text, err := os.ReadFile(path)
 	return err == nil && bytes.Contains(append([]byte("\n"), text...), []byte("\nsubscriptions:"))
 }
@@ -302,7 +304,7 @@
 		if s != read && (s == was || !begun) {
 			var f *subscribers.File
 			if read = s; err == nil {
-				f, err = ReadFile(path)
+				f, err = ReadRegionFile(path)
 			}
 			select {
 			case seen <- fileSeen{f, err}:
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -89,14 +89,14 @@
 }
 
 type received struct {
-	fanout.Delivered
+	fanout.DeliveryMessage
 	region string
 	at     time.Time
 }
 
 func (r *receivers) take(region string) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		var d fanout.Delivered
+		var d fanout.DeliveryMessage
 		if json.NewDecoder(q.Body).Decode(&d) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
