--- a/cluster/gossip/gossip_test.go
+++ b/cluster/gossip/gossip_test.go
@@ -156,8 +156,8 @@
 	big := bytes.Repeat([]byte("x"), BodyMost)
 	require.NoError(t, all[0].Send(t.Context(), "b", 7, big))
 	require.Equal(t, append([]byte("a:"), big...), <-got)
-	require.True(t, advice.Is[*TooBig](all[0].Send(t.Context(), "b", 7, make([]byte, BodyMost+1))))
-	require.True(t, advice.Is[*Away](all[0].Send(t.Context(), "x", 7, nil)))
+	require.True(t, advice.HasType[*TooBig](all[0].Send(t.Context(), "b", 7, make([]byte, BodyMost+1))))
+	require.True(t, advice.HasType[*Away](all[0].Send(t.Context(), "x", 7, nil)))
 	m := all[0].Book().Me()
 	m.Generation, m.Program, m.Parts = 9, "v2", []string{"rollout"}
 	require.NoError(t, all[0].Update(m))
@@ -170,7 +170,7 @@
 	}
 	require.Error(t, all[0].Update(m))
 	m.Parts = m.Parts[:8]
-	require.True(t, advice.Is[*TooLong](all[0].Update(m)))
+	require.True(t, advice.HasType[*TooLong](all[0].Update(m)))
 }
 
 // relay passes packets and connections on, as a relay between halls would.
@@ -266,17 +266,17 @@
 		{Listen: "127.0.0.1:0", Me: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), Program: string(make([]byte, 200))}}} {
 		_, err := Start(t.Context(), o)
 		require.Error(t, err)
-		require.NotEmpty(t, advice.Advice(err), "%v", err)
+		require.NotEmpty(t, advice.For(err), "%v", err)
 	}
 	_, err = Start(t.Context(), Options{Listen: ln.LocalAddr().String()})
-	require.True(t, advice.Is[*PortTaken](err), "%v", err)
+	require.True(t, advice.HasType[*PortTaken](err), "%v", err)
 }
 
 // Each error type has advice and stands in the page for those on call.
 func TestErrorTypesAreListed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	all := []advice.Advised{&PortTaken{}, &AddressUnusable{}, &KeyUnusable{}, &KeyDiffers{}, &Alone{}, &NameTwice{}, &TooLong{}, &TooBig{}, &Away{}}
+	all := []advice.Provider{&PortTaken{}, &AddressUnusable{}, &KeyUnusable{}, &KeyDiffers{}, &Alone{}, &NameTwice{}, &TooLong{}, &TooBig{}, &Away{}}
 	for _, e := range all {
 		name := reflect.TypeOf(e).Elem().Name()
 		require.Contains(t, string(page), "| `"+name+"` |")
@@ -300,11 +300,11 @@
 		strings.Repeat(one+"\n", 5): "line 5: more than 4 keys", strings.Repeat(" ", keyFileBytes+1): "over"} {
 		write(text)
 		_, _, err := ReadKeys(path)
-		require.True(t, advice.Is[*KeyUnusable](err))
+		require.True(t, advice.HasType[*KeyUnusable](err))
 		require.ErrorContains(t, err, want)
 	}
 	_, _, err = ReadKeys(path + ".not")
-	require.True(t, advice.Is[*KeyUnusable](err))
+	require.True(t, advice.HasType[*KeyUnusable](err))
 }
 
 // One with another key is not believed, and said so; one with both keys hears both.
--- a/cluster/gossip/run.go
+++ b/cluster/gossip/run.go
@@ -48,7 +48,7 @@
 	n := d.node()
 	err := n.other(node)
 	if err != nil && n.others.Allow() {
-		n.log.Warn("fleet_other", advice.Attrs(err)...)
+		n.log.Warn("fleet_other", advice.LogAttrs(err)...)
 	}
 	return err
 }
@@ -303,7 +303,7 @@
 	conflicts := n.book.Conflicts()
 	for _, name := range conflicts {
 		if !slices.Contains(s.conflicts, name) {
-			n.log.Error("fleet_name_twice", advice.Attrs(&NameTwice{name})...)
+			n.log.Error("fleet_name_twice", advice.LogAttrs(&NameTwice{name})...)
 		}
 	}
 	for _, name := range s.conflicts {
@@ -327,7 +327,7 @@
 	n.mu.Unlock()
 	if !s.anybody && len(n.o.Join) > 0 && time.Since(s.alone) >= aloneEvery {
 		s.alone = time.Now()
-		n.log.Warn("fleet_alone", advice.Attrs(&Alone{Tried: n.o.Join})...)
+		n.log.Warn("fleet_alone", advice.LogAttrs(&Alone{Tried: n.o.Join})...)
 	}
 	n.chance.Shuffle(len(absent), func(i, j int) { absent[i], absent[j] = absent[j], absent[i] })
 	absent = absent[:min(len(absent), joinAtOnce)]
--- a/cluster/replication/share.go
+++ b/cluster/replication/share.go
@@ -193,7 +193,7 @@
 	}
 	b.mu.Unlock()
 	if !quiet {
-		b.o.Log.Warn(line, advice.Attrs(err, "with", who)...)
+		b.o.Log.Warn(line, advice.LogAttrs(err, "with", who)...)
 	}
 }
 
@@ -476,7 +476,7 @@
 	}
 	b.mu.Unlock()
 	if did {
-		b.o.Log.Warn("share_struck", advice.Attrs(s, "kept", len(kept))...)
+		b.o.Log.Warn("share_struck", advice.LogAttrs(s, "kept", len(kept))...)
 	}
 	return true
 }
@@ -657,12 +657,12 @@
 	}
 	b.mu.Unlock()
 	if x.Away && !away {
-		b.o.Log.Warn("share_away", advice.Attrs(&Away{x.Peer(), x.Unseen})...)
+		b.o.Log.Warn("share_away", advice.LogAttrs(&Away{x.Peer(), x.Unseen})...)
 	}
 	if errors.Is(err, crdt.ErrStale) {
 		return &Cut{x.Peer(), err}
 	}
-	if advice.Is[*crdt.Struck](err) {
+	if advice.HasType[*crdt.Struck](err) {
 		return err
 	}
 	if err != nil {
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -163,7 +163,7 @@
 }
 
 func (s *sharing) complain(err error) {
-	s.log.Warn("fleet_store", advice.Attrs(err, "path", s.file.Store)...)
+	s.log.Warn("fleet_store", advice.LogAttrs(err, "path", s.file.Store)...)
 }
 
 // openStore opens the store, nil where there is none.
@@ -186,7 +186,7 @@
 		if s.ctx.Err() == nil && !told {
 			s.complain(err)
 		}
-		if !advice.Is[*store.Busy](err) {
+		if !advice.HasType[*store.Busy](err) {
 			return nil
 		}
 		select { // guards against a process before it that is slow to let go: without a store nothing of its changes and contracts holds
@@ -209,14 +209,14 @@
 	defer stop()
 	write, enough := context.WithTimeout(ctx, closeMost) // guards against a disk that hangs: the others are told all the same
 	if err := s.shared.Close(write); err != nil {
-		s.log.Warn("fleet_shared", advice.Attrs(err)...)
+		s.log.Warn("fleet_shared", advice.LogAttrs(err)...)
 	}
 	enough()
 	s.stop()
 	if s.handing { // its next life speaks over this one
 		s.node.Close()
 	} else if err := s.node.Leave(ctx); err != nil {
-		s.log.Warn("fleet_leave", advice.Attrs(err)...)
+		s.log.Warn("fleet_leave", advice.LogAttrs(err)...)
 	}
 	ended := make(chan struct{})
 	go func() {
--- a/cmd/chalkring/keeper.go
+++ b/cmd/chalkring/keeper.go
@@ -112,7 +112,7 @@
 			k.program = end.next.Program
 		case trying > 0 && !end.served:
 			why := &DidNotServe{k.program, end.why()}
-			log.Error("rollout_fell", advice.Attrs(why, "program", k.good)...)
+			log.Error("rollout_fell", advice.LogAttrs(why, "program", k.good)...)
 			k.program, k.fell, trying = k.good, end.why(), 0
 		case !served: // a start that fails is told as ever
 			return end.err
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -75,7 +75,7 @@
 		if ctx.Err() != nil && errors.Is(err, context.Canceled) { // told to end while it waited
 			return nil
 		}
-		log.Error("no_start", advice.Attrs(err)...)
+		log.Error("no_start", advice.LogAttrs(err)...)
 		return exit(1)
 	}
 	plan, err := coordinator.Read(os.Getenv)
@@ -379,7 +379,7 @@
 		}
 		if err != nil {
 			bad = true
-			fmt.Fprintln(os.Stderr, advice.Text(err))
+			fmt.Fprintln(os.Stderr, advice.Describe(err))
 			continue
 		}
 		fmt.Println(name+":", told)
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		require.ErrorContains(t, err, "change 4 does not fit this plan: "+c.want)
-		require.NotEmpty(t, advice.Advice(err))
+		require.NotEmpty(t, advice.For(err))
 		step := st.step(t.Context(), &rollout.Step{Change: st.state.Runs})
 		require.Equal(t, err, step, "before it restarts for it")
 	}
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -124,7 +124,7 @@
 // load takes what was kept, and tells whether that is all that this instance knew.
 func (c *contracts) load() bool {
 	unread := func(err error) bool {
-		c.s.log.Warn("residency_unread", advice.Attrs(&residency.Unread{Err: err})...)
+		c.s.log.Warn("residency_unread", advice.LogAttrs(&residency.Unread{Err: err})...)
 		return false
 	}
 	select {
@@ -161,14 +161,14 @@
 	before := c.book.Generation()
 	changed, err := c.book.Tell(p)
 	if err != nil {
-		c.s.log.Warn("residency_policy_refused", advice.Attrs(err, "held", changed)...)
+		c.s.log.Warn("residency_policy_refused", advice.LogAttrs(err, "held", changed)...)
 	}
 	if changed {
 		c.sum = sumOfPolicies(c.book.Policies())
 		c.s.log.Info("residency_policy", "source", p.Source, "generation", p.Generation, "beside", p.Beside, "contracts", len(p.Contracts),
 			"before", before)
 		if lacks := c.book.Lacks(); lacks != nil {
-			c.s.log.Warn("residency_policy_missing", advice.Attrs(lacks)...)
+			c.s.log.Warn("residency_policy_missing", advice.LogAttrs(lacks)...)
 		}
 	}
 	return changed
@@ -202,7 +202,7 @@
 		case d := <-c.done:
 			c.saving = false
 			if d.err != nil && c.s.ctx.Err() == nil {
-				c.s.log.Warn("residency_save", advice.Attrs(d.err, "generation", d.generation)...)
+				c.s.log.Warn("residency_save", advice.LogAttrs(d.err, "generation", d.generation)...)
 			} else if d.err == nil {
 				c.saved, c.kept = max(c.saved, d.generation), d.sum
 				c.ask()
@@ -224,7 +224,7 @@
 	c.lapsed = true
 	heard, of := c.s.book.Heard(c.s.clock())
 	err := &residency.LeaseEnded{Generation: c.book.Generation(), Heard: heard, Of: of, Apart: c.lease.Apart()}
-	c.s.log.Warn("residency_lease_ended", advice.Attrs(err)...)
+	c.s.log.Warn("residency_lease_ended", advice.LogAttrs(err)...)
 }
 
 // renewed puts a later end of the lease in force.
@@ -238,12 +238,12 @@
 
 func (c *contracts) file(e hostfile.Event) {
 	if e.Err != nil {
-		c.s.log.Warn("residency_file", advice.Attrs(e.Err, "path", e.Path, "in_force", c.book.Generation())...)
+		c.s.log.Warn("residency_file", advice.LogAttrs(e.Err, "path", e.Path, "in_force", c.book.Generation())...)
 		return
 	}
 	p, err := residency.Parse(e.Path, e.Text, c.site)
 	if err != nil {
-		c.s.log.Warn("residency_file", advice.Attrs(err, "path", e.Path, "in_force", c.book.Generation())...)
+		c.s.log.Warn("residency_file", advice.LogAttrs(err, "path", e.Path, "in_force", c.book.Generation())...)
 		return
 	}
 	c.take(p)
@@ -365,7 +365,7 @@
 	case zonesPolicy:
 		p, err := residency.Parse("instance "+m.from, w.Text, residency.Site{})
 		if err != nil { // its form is newer than this program: what it says is not known, and the lease shows it
-			c.s.log.Warn("residency_policy_refused", advice.Attrs(err, "held", false)...)
+			c.s.log.Warn("residency_policy_refused", advice.LogAttrs(err, "held", false)...)
 			return
 		}
 		c.take(p)
@@ -377,7 +377,7 @@
 	at := func(t int64) string { return time.UnixMicro(t * 100).UTC().Format(time.RFC3339) }
 	c.s.log.Info("residency_agreed", "generation", c.lease.Agreed(), "in_force_everywhere", at(now+in.Lease))
 	if in.By > 0 && now+in.Lease > in.By {
-		c.s.log.Warn("residency_late", advice.Attrs(&residency.Late{Generation: c.lease.Agreed(), By: at(in.By)})...)
+		c.s.log.Warn("residency_late", advice.LogAttrs(&residency.Late{Generation: c.lease.Agreed(), By: at(in.By)})...)
 	}
 }
 
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -198,7 +198,7 @@
 }
 
 func (st *stages) fail(number, turn uint64, why string) {
-	st.log.Error("rollout_not_taken", advice.Attrs(&rollout.NotTaken{Number: number, Why: why})...)
+	st.log.Error("rollout_not_taken", advice.LogAttrs(&rollout.NotTaken{Number: number, Why: why})...)
 	st.state.Try, st.state.Number, st.state.Failed, st.state.Why = nil, number, turn, why
 }
 
@@ -218,7 +218,7 @@
 	}
 	if err != nil {
 		st.state = standing{}
-		st.log.Error("rollout_store", advice.Attrs(err, "path", st.file.Store)...)
+		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.Store)...)
 		return
 	}
 	if st.kept = found && st.state.Clean; !found { // a crash may have cut off the last words to the disk
@@ -247,7 +247,7 @@
 	defer stop()
 	err = st.store.Put(ctx, rolloutBucket, map[string][]byte{standingKey: text}, nil)
 	if err != nil {
-		st.log.Error("rollout_store", advice.Attrs(err, "path", st.file.Store)...)
+		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.Store)...)
 	}
 	return err
 }
@@ -365,7 +365,7 @@
 					continue
 				}
 				if err := st.desk.Heard(now, e.Name, one.Value); err != nil {
-					st.log.Warn("rollout_entry", advice.Attrs(err)...)
+					st.log.Warn("rollout_entry", advice.LogAttrs(err)...)
 				}
 			}
 		}
@@ -378,24 +378,24 @@
 		out := st.desk.Look(now)
 		for name, value := range out.Put {
 			if _, err := st.shared.Put(name, value); err != nil {
-				st.log.Warn("rollout_put", advice.Attrs(err, "name", name)...)
+				st.log.Warn("rollout_put", advice.LogAttrs(err, "name", name)...)
 			}
 		}
 		for _, name := range out.Delete {
 			if _, err := st.shared.Delete(name); err != nil {
-				st.log.Warn("rollout_put", advice.Attrs(err, "name", name)...)
+				st.log.Warn("rollout_put", advice.LogAttrs(err, "name", name)...)
 			}
 		}
 		for _, n := range out.Notes {
 			if n.Err != nil {
-				st.log.Warn(n.Event, advice.Attrs(n.Err, n.Attrs...)...)
+				st.log.Warn(n.Event, advice.LogAttrs(n.Err, n.Attrs...)...)
 			} else {
 				st.log.Info(n.Event, n.Attrs...)
 			}
 		}
 		if out.Step != nil {
 			if err := st.step(ctx, out.Step); err != nil {
-				st.log.Error("rollout_not_taken", advice.Attrs(err, "number", out.Step.To)...)
+				st.log.Error("rollout_not_taken", advice.LogAttrs(err, "number", out.Step.To)...)
 				st.desk.NotTaken(err.Error())
 			} else {
 				st.stop()
@@ -440,7 +440,7 @@
 	me := st.book.Me()
 	me.Generation = numberOf(st.state.Runs)
 	if err := st.node.Update(me); err != nil {
-		st.log.Warn("rollout_put", advice.Attrs(err, "name", me.Name)...)
+		st.log.Warn("rollout_put", advice.LogAttrs(err, "name", me.Name)...)
 	}
 	st.desk.Serves(st.clock())
 	st.log.Info("rollout_serves", "number", numberOf(st.state.Runs), "after", numberOf(st.state.Before))
@@ -555,7 +555,7 @@
 	}
 	if err != nil {
 		if before != nil {
-			st.log.Warn("rollout_file", advice.Attrs(&rollout.FileFault{Path: st.file.Rollout, Err: err})...)
+			st.log.Warn("rollout_file", advice.LogAttrs(&rollout.FileFault{Path: st.file.Rollout, Err: err})...)
 		}
 		return nil
 	}
@@ -564,7 +564,7 @@
 	}
 	f, err := rollout.Parse(st.file.Rollout, text)
 	if err != nil {
-		st.log.Warn("rollout_file", advice.Attrs(err)...)
+		st.log.Warn("rollout_file", advice.LogAttrs(err)...)
 		return text
 	}
 	st.log.Info("rollout_file", "change", f.Change.Name, "number", f.Change.Number, "order", f.Order, "turn", f.Turn)
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -42,7 +42,7 @@
 		me := s.book.Me()
 		me.Parts = slices.DeleteFunc(slices.Clone(me.Parts), func(part string) bool { return part == gatewayPart })
 		if err := s.node.Update(me); err != nil {
-			s.log.Warn("subscriber_refused", advice.Attrs(err, "subscriber", "this gateway's leaving")...)
+			s.log.Warn("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
 	return []coordinator.Frontend{fanout.New(fanout.Options{Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.Subscribers, Log: s.log,
--- a/config/fleet_test.go
+++ b/config/fleet_test.go
@@ -24,8 +24,8 @@
 	f, err := Parse([]byte(sound), "")
 	require.NoError(t, err)
 	_, err = f.Fleet.As("c")
-	require.True(t, advice.Is[*NotListed](err))
-	require.NotEmpty(t, advice.Advice(err))
+	require.True(t, advice.HasType[*NotListed](err))
+	require.NotEmpty(t, advice.For(err))
 	page, err := os.ReadFile("../docs/oncall.md")
 	require.NoError(t, err)
 	require.Contains(t, string(page), "| `NotListed` |")
@@ -47,6 +47,6 @@
 	} {
 		_, err := Parse([]byte(text), "")
 		require.ErrorContains(t, err, want, text)
-		require.NotEmpty(t, advice.Advice(err), text)
+		require.NotEmpty(t, advice.For(err), text)
 	}
 }
--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -174,7 +174,7 @@
 		for _, line := range strings.Split(err.Error(), "\n") {
 			fmt.Fprintf(&out, "  error: %s\n", goName.ReplaceAllString(line, "Go $1 NAME"))
 		}
-		fmt.Fprintf(&out, "  advice: %s\n", advice.Advice(err))
+		fmt.Fprintf(&out, "  advice: %s\n", advice.For(err))
 	}
 	for _, text := range []string{
 		// the file as a whole
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -301,7 +301,7 @@
 			forgot = t
 			for _, k := range g.list.Forget(wall(), forgetStep) {
 				if _, err := g.o.Store.Delete(k.Name()); err != nil {
-					g.tell("subscriber_refused", advice.Attrs(err, "subscriber", k)...)
+					g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", k)...)
 				}
 			}
 		}
@@ -326,7 +326,7 @@
 // say puts this gateway's word into the book.
 func (g *Gateway) say(w subscribers.Word) {
 	if _, err := g.o.Store.Put(subscribers.WordPrefix+g.o.Self.Name, w.Bytes()); err != nil {
-		g.tell("subscriber_refused", advice.Attrs(err, "subscriber", "this gateway's word: nobody is served here")...)
+		g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's word: nobody is served here")...)
 		return
 	}
 	g.gate.Said(w)
@@ -400,7 +400,7 @@
 		clear(g.refuse)
 	}
 	g.refuse[e.Name] = stamp
-	g.tell("subscriber_unread", advice.Attrs(err)...)
+	g.tell("subscriber_unread", advice.LogAttrs(err)...)
 }
 
 // take takes in what the region's file says now.
@@ -409,7 +409,7 @@
 		f.err = &RegionMismatchError{f.file.Region, g.o.Self.Region}
 	}
 	if f.err != nil {
-		g.log.Warn("subscriber_file", advice.Attrs(f.err, "path", g.o.FilePath, "in_force", "its last list")...)
+		g.log.Warn("subscriber_file", advice.LogAttrs(f.err, "path", g.o.FilePath, "in_force", "its last list")...)
 		return
 	}
 	g.log.Info("subscriber_file", "path", g.o.FilePath, "generation", f.file.Generation, "subscriptions", len(f.file.Lines))
@@ -430,11 +430,11 @@
 		return value, value != nil, err
 	})
 	if errors.As(err, &old) {
-		g.log.Warn("subscriber_file", advice.Attrs(err, "path", g.o.FilePath, "in_force", "what the instances share")...)
+		g.log.Warn("subscriber_file", advice.LogAttrs(err, "path", g.o.FilePath, "in_force", "what the instances share")...)
 		g.file = nil
 		return false
 	} else if err != nil {
-		g.tell("subscriber_refused", advice.Attrs(err)...)
+		g.tell("subscriber_refused", advice.LogAttrs(err)...)
 		return false
 	}
 	ranks := int(time.Since(g.since) / rankWait)
@@ -442,7 +442,7 @@
 	for _, s := range stale {
 		if len(g.behind) < keepLeast && g.behind[s.Key] != s.Consent {
 			g.behind[s.Key] = s.Consent
-			g.tell("subscriber_stale", advice.Attrs(s)...)
+			g.tell("subscriber_stale", advice.LogAttrs(s)...)
 		}
 	}
 	barred, wrote := map[string]error{}, 0
@@ -455,11 +455,11 @@
 			why = nil // one that leaves may always
 		}
 		if why != nil {
-			g.tell("subscriber_refused", advice.Attrs(why, "subscriber", k)...)
+			g.tell("subscriber_refused", advice.LogAttrs(why, "subscriber", k)...)
 			continue
 		}
 		if err := g.write(k, g.file.Op(k, g.o.Self.Name, wall())); err != nil {
-			g.tell("subscriber_refused", advice.Attrs(err, "subscriber", k)...)
+			g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", k)...)
 			continue
 		}
 		wrote++
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -266,7 +266,7 @@
 	err := g.Unsubscribe(ctx, subscribers.Key{Tenant: "acme", ID: "s1"})
 	var unkept *replication.Unkept
 	require.ErrorAs(t, err, &unkept)
-	require.NotEmpty(t, advice.Advice(err))
+	require.NotEmpty(t, advice.For(err))
 	_, on := g.Get(subscribers.Key{Tenant: "acme", ID: "s1"})
 	require.False(t, on, "all the same it is off")
 }
@@ -304,7 +304,7 @@
 	require.NoError(t, err)
 	for _, err := range []error{&subscribers.BadRecord{}, &subscribers.BadAsk{}, &subscribers.NotSubscribed{}, &subscribers.Full{}, &subscribers.OldFile{},
 		&subscribers.Stale{}, &subscribers.BadLine{}, &RegionMismatchError{}, &DeliveryFailedError{Err: os.ErrClosed}, &SearchFailedError{}, &ZoneForbiddenError{}} {
-		require.NotEmpty(t, advice.Advice(fmt.Errorf("wrapped: %w", err)))
+		require.NotEmpty(t, advice.For(fmt.Errorf("wrapped: %w", err)))
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*")+"`")
 	}
 }
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -86,7 +86,7 @@
 		g.unread(e, err)
 		g.unread(e, err) // told once
 		key := subscribers.Key{Tenant: "acme", ID: "s1"}
-		g.tell("subscriber_delivery", advice.Attrs(&DeliveryFailedError{"http://receiver", errors.New("why")}, "subscriber", key, "number",
+		g.tell("subscriber_delivery", advice.LogAttrs(&DeliveryFailedError{"http://receiver", errors.New("why")}, "subscriber", key, "number",
 			subscribers.Number{Turn: 1, N: 2, Gateway: "n0"})...)
 		g.quiet.Store(5)
 		g.tell("subscriber_conflict", "subscriber", key, "held", "one", "lost", "other")
@@ -99,7 +99,7 @@
 	var all strings.Builder
 	for _, err := range []error{&RegionMismatchError{FileRegion: "us", OwnRegion: "eu"}, &ZoneForbiddenError{Tenant: "acme", Zone: "us-1"}, &DeliveryFailedError{"http://receiver", errors.New("why")},
 		&SearchFailedError{Reason: "shed"}, DeliverByHTTP("")(context.Background(), DeliveryMessage{})} {
-		fmt.Fprintln(&all, advice.Text(err))
+		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	requireGolden(t, "errors.txt", []byte(all.String()))
 }
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -142,7 +142,7 @@
 		why = map[int]string{coordinator.OutcomeShed: "shed", coordinator.OutcomeFailed: "errored", coordinator.OutcomeDuplicateID: "its name is open"}[given.Outcome]
 	}
 	if why != "" || err != nil {
-		g.tell("subscriber_search", advice.Attrs(&SearchFailedError{why}, "subscriber", r.Key)...)
+		g.tell("subscriber_search", advice.LogAttrs(&SearchFailedError{why}, "subscriber", r.Key)...)
 		return nil
 	}
 	values = map[int][]byte{}
@@ -202,11 +202,11 @@
 		return
 	}
 	if err != nil {
-		g.tell("subscriber_delivery", advice.Attrs(err, "subscriber", d.Key, "number", d.Number)...)
+		g.tell("subscriber_delivery", advice.LogAttrs(err, "subscriber", d.Key, "number", d.Number)...)
 		return
 	}
 	if err := g.write(d.Key, subscribers.Delivered(d.Consent, mark)); err != nil {
-		g.tell("subscriber_refused", advice.Attrs(err, "subscriber", d.Key)...)
+		g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", d.Key)...)
 	}
 }
 
--- a/control/residency/golden_test.go
+++ b/control/residency/golden_test.go
@@ -51,14 +51,14 @@
 		require.Contains(t, string(text), change[0])
 		_, err := Parse("policy.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)), site)
 		require.Error(t, err, change[1])
-		fmt.Fprintf(&all, "%s -> %s\n  %s\n", change[0], change[1], strings.ReplaceAll(advice.Text(err), "\n", "\n  "))
+		fmt.Fprintf(&all, "%s -> %s\n  %s\n", change[0], change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
 	for _, more := range []string{"", "contracts:\n- {tenant: acme, zones: [eu-1]}\n- {tenant: acme, zones: [eu-2]}",
 		"contracts:\n- {tenant: acme, zones: [eu-1], until: 2027-01-01T00:00:00Z}\n- {tenant: acme, zones: [eu-2], from: 2027-01-02T00:00:00Z}",
 		"contracts:\n- {block: 1, tenant: acme, zones: [eu-1]}", "contracts:\n- {zones: [eu-1]}"} {
 		_, err := Parse("policy.yaml", []byte(head+more), site)
 		require.Error(t, err)
-		fmt.Fprintf(&all, "%s\n  %s\n", more, strings.ReplaceAll(advice.Text(err), "\n", "\n  "))
+		fmt.Fprintf(&all, "%s\n  %s\n", more, strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
 	requireGolden(t, "file_faults.txt", []byte(all.String()))
 }
@@ -73,7 +73,7 @@
 		&Late{Generation: 12, By: "2026-12-01T12:00:00Z"}, &Unread{errors.New("why")},
 		&Unreached{Source: "policy.yaml", Line: 9, Column: 5, Who: "block 3", Blocks: []int{1, 2, 3, 7}},
 		&Unreached{Source: "policy.yaml", Line: 9, Column: 5, Who: "tenant acme, class lookup", Blocks: []int{4}, Part: true}} {
-		fmt.Fprintln(&all, advice.Text(err))
+		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	requireGolden(t, "errors.txt", []byte(all.String()))
 }
--- a/control/residency/residency_test.go
+++ b/control/residency/residency_test.go
@@ -56,13 +56,13 @@
 	} {
 		_, err := Parse("file", []byte(text), site)
 		require.ErrorContains(t, err, want, text)
-		require.NotEmpty(t, advice.Advice(err), text)
+		require.NotEmpty(t, advice.For(err), text)
 	}
 	require.True(t, Is([]byte(head+"contracts:\n- {tenant: acme, zones: [eu-1]}")))
 	require.False(t, Is([]byte("peers:\n  name: n0")))
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	for _, err := range []advice.Advised{&Refused{Why: NoHolder}, &Refused{Why: Lapsed}, &Refused{Why: Ended}, &Stale{}, &Differs{}, &Missing{}, &Unreached{},
+	for _, err := range []advice.Provider{&Refused{Why: NoHolder}, &Refused{Why: Lapsed}, &Refused{Why: Ended}, &Stale{}, &Differs{}, &Missing{}, &Unreached{},
 		&LeaseEnded{}, &LeaseEnded{Apart: 1}, &Late{}, &Unread{errors.New("x")}} {
 		require.NotEmpty(t, err.Advice())
 		require.NotEmpty(t, err.Error())
@@ -168,10 +168,10 @@
 	require.True(t, changed)
 	require.Nil(t, b.Lacks())
 	_, err = b.Tell(parse(t, strings.Replace(old, "3", "2", 1)))
-	require.True(t, advice.Is[*Stale](err))
+	require.True(t, advice.HasType[*Stale](err))
 	changed, err = b.Tell(parse(t, strings.Replace(next, "us-1", "eu-1", 1)))
 	require.True(t, changed)
-	require.True(t, advice.Is[*Differs](err))
+	require.True(t, advice.HasType[*Differs](err))
 	require.False(t, b.Standing(never).may(1, "acme", "deep", 0, "us-1"))
 }
 
--- a/control/rollout/cases_test.go
+++ b/control/rollout/cases_test.go
@@ -135,7 +135,7 @@
 	require.Equal(t, 4, len(f.Change.Stages))
 	for n := range len(strings.TrimRight(string(text), "\n")) - 1 {
 		_, err := Parse("rollout.yaml", text[:n])
-		require.NotEmpty(t, advice.Advice(err), "%d bytes", n)
+		require.NotEmpty(t, advice.For(err), "%d bytes", n)
 	}
 }
 
@@ -181,7 +181,7 @@
 func TestErrorsAreListed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	for _, e := range []advice.Advised{&FileFault{}, &EntryFault{}, &Stopped{}, &Differs{}, &OldFile{}, &OtherList{}, &NotTaken{}, &TooBig{}, &Waits{}} {
+	for _, e := range []advice.Provider{&FileFault{}, &EntryFault{}, &Stopped{}, &Differs{}, &OldFile{}, &OtherList{}, &NotTaken{}, &TooBig{}, &Waits{}} {
 		require.NotEmpty(t, e.Advice(), "%T", e)
 	}
 	for _, file := range []string{"change.go", "desk.go", "errors.go", "word.go", "../../cmd/chalkring/rollout.go", "../../cmd/chalkring/keeper.go"} {
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -187,7 +187,7 @@
 		require.Contains(t, string(text), change[0])
 		_, err := Parse("c.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)))
 		require.Error(t, err, change[1])
-		fmt.Fprintf(&all, "%s -> %s\n  %s\n", strings.TrimSpace(change[0]), change[1], strings.ReplaceAll(advice.Text(err), "\n", "\n  "))
+		fmt.Fprintf(&all, "%s -> %s\n  %s\n", strings.TrimSpace(change[0]), change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
 	requireGolden(t, "file_faults.txt", []byte(all.String()))
 }
@@ -200,7 +200,7 @@
 		&OldFile{Number: 1, Known: 2}, &OtherList{Number: 1, Theirs: 2, Ours: 3}, &NotTaken{Number: 1, Why: "why"},
 		&TooBig{Number: 1, Bytes: 2}, &Waits{Number: 1, Step: 2, Why: "why"}, &EntryFault{"rollout/word/n0", errors.New("why")},
 		&FileFault{"c.yaml", errors.New("why")}} {
-		fmt.Fprintln(&all, advice.Text(err))
+		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	fmt.Fprintln(&all, Go, Stop, Back)
 	requireGolden(t, "errors.txt", []byte(all.String()))
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -174,7 +174,7 @@
 			require.Contains(t, string(text), change[0])
 			_, err := form.parse([]byte(strings.Replace(string(text), change[0], change[1], 1)))
 			require.Error(t, err, change[1])
-			fmt.Fprintf(&all, "%s: %s -> %s\n  %s\n", form.name, change[0], change[1], strings.ReplaceAll(advice.Text(err), "\n", "\n  "))
+			fmt.Fprintf(&all, "%s: %s -> %s\n  %s\n", form.name, change[0], change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 		}
 	}
 	requireGolden(t, "file_faults.txt", []byte(all.String()))
@@ -187,7 +187,7 @@
 	for _, err := range []error{&BadRecord{Name: "sub/acme/s1", Why: "why"}, &BadAsk{Key: key, Why: "why"}, &NotSubscribed{Key: key, Consent: 2},
 		&NotSubscribed{Key: key}, &Full{Held: 1, Most: 2}, &OldFile{Region: "eu", Generation: 1, Held: 2},
 		&OldFile{Region: "eu", Generation: 2, Held: 2}, &Stale{Key: key, Line: 1, Consent: 2}, &BadLine{Line: 3, Why: "why"}} {
-		fmt.Fprintln(&all, advice.Text(err))
+		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	for _, text := range [][]byte{make([]byte, 8<<10+1), {0xff}, Record{Consent: 0}.Bytes(),
 		Record{Consent: 1, Details: Details{Type: "t", Every: 1}}.Bytes(), Record{Consent: 1, Past: make([]uint64, 9)}.Bytes()} {
--- a/control/subscribers/list_test.go
+++ b/control/subscribers/list_test.go
@@ -167,7 +167,7 @@
 	}
 	stale := a.reads(file(t, 2, one, two), 4000)
 	require.Len(t, stale, 1)
-	require.Contains(t, advice.Advice(stale[0]), "consent: 2")
+	require.Contains(t, advice.For(stale[0]), "consent: 2")
 	again := strings.Replace(one, "}", ", consent: 2}", 1)
 	a.reads(file(t, 3, again, two), 5000)
 	require.True(t, a.on(key), "asked again, knowing of it")
@@ -193,7 +193,7 @@
 	} {
 		_, err := ParseYAML([]byte(text))
 		require.ErrorContains(t, err, want)
-		require.NotEmpty(t, advice.Advice(err))
+		require.NotEmpty(t, advice.For(err))
 	}
 	_, err := ParseLines([]byte("{\"region\":\"eu\",\"generation\":1,\"count\":1}\n{\"tenant\":\"a\",\"id\":\"b\",\"type\":\"t\",\"every\":\"1s\",\"x\":1}\n"))
 	require.ErrorContains(t, err, "[2:1]")
--- a/coordinator/golden_plan_test.go
+++ b/coordinator/golden_plan_test.go
@@ -91,7 +91,7 @@
 // logLine is an error as the line that the service logs at start.
 func logLine(event string, err error) string {
 	var out bytes.Buffer
-	NewLogger(&out, false, slog.LevelInfo).Error(event, advice.Attrs(err)...)
+	NewLogger(&out, false, slog.LevelInfo).Error(event, advice.LogAttrs(err)...)
 	return timeOfLine.ReplaceAllString(strings.TrimSpace(out.String()), "time=TIME ")
 }
 
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -89,9 +89,9 @@
 				return
 			}
 			if !told {
-				k.log.Warn("store_away", advice.Attrs(k.err, "path", path)...)
+				k.log.Warn("store_away", advice.LogAttrs(k.err, "path", path)...)
 			}
-			if !advice.Is[*store.Busy](k.err) {
+			if !advice.HasType[*store.Busy](k.err) {
 				return
 			}
 			select {
@@ -107,7 +107,7 @@
 // open opens the store, notes the start on disk, and only then believes what is there.
 func (k *Persistence) open(path string, o store.Options) error {
 	o.Told = func(err error) {
-		k.log.Warn("store_told", advice.Attrs(err)...)
+		k.log.Warn("store_told", advice.LogAttrs(err)...)
 		k.RecordEvent("store", err.Error())
 	}
 	began := k.clock.Now()
@@ -257,7 +257,7 @@
 	defer stop()
 	if s, _ := k.WaitForStore(ctx); s != nil {
 		if err := s.Close(ctx); err != nil {
-			k.log.Warn("store_failed", advice.Attrs(err)...)
+			k.log.Warn("store_failed", advice.LogAttrs(err)...)
 		}
 	}
 	k.own()
@@ -349,7 +349,7 @@
 	}
 	defer func() {
 		if err != nil && o.ctx.Err() == nil {
-			o.log.often("store_failed", "store_failed", advice.Attrs(err)...)
+			o.log.often("store_failed", "store_failed", advice.LogAttrs(err)...)
 		}
 	}()
 	l, began, puts := o.peers, time.Now(), map[string][]byte{}
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -67,7 +67,7 @@
 				p, err = p.WithSettings(first.over)
 			}
 			if err != nil {
-				out.Error("reload_failed", advice.Attrs(err)...)
+				out.Error("reload_failed", advice.LogAttrs(err)...)
 				continue
 			}
 			// The variable holds over the file only while the file's own address is as it was at the start, or is
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -302,7 +302,7 @@
 		return nil
 	}
 	b.r.refused.Inc()
-	b.o.log.often("residency_refused "+s.barred.Tenant, "residency_refused", advice.Attrs(s.barred)...)
+	b.o.log.often("residency_refused "+s.barred.Tenant, "residency_refused", advice.LogAttrs(s.barred)...)
 	return s.barred
 }
 
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -368,7 +368,7 @@
 		_, err := Read(env)
 		var no *PlanTooLargeError
 		require.Equal(t, !fits, errors.As(err, &no), "%v", err)
-		require.Equal(t, !fits, advice.Advice(err) != "")
+		require.Equal(t, !fits, advice.For(err) != "")
 	}
 }
 
--- a/internal/advice/fault.go
+++ b/internal/advice/fault.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Advised is a failure with one sentence on what an operator can do.
-type Advised interface {
+// Provider is a failure with one sentence on what an operator can do.
+type Provider interface {
 	error
 	Advice() string
 }
 
 const adviceMost = 8 // sentences told of one failure: a file with a hundred faults has them in its own words
 
-// Advice is what an operator can do about err: the sentences of all failures in it, each once, in their order; empty
+// For is what an operator can do about err: the sentences of all failures in it, each once, in their order; empty
 // where none has any.
-func Advice(err error) string {
+func For(err error) string {
 	var said []string
-	walk(err, func(a Advised) {
+	walk(err, func(a Provider) {
 		for _, s := range said {
 			if s == a.Advice() {
 				return
@@ -33,11 +33,11 @@
 }
 
 // walk goes through what err wraps, joined ones too, and stops below each failure that has advice.
-func walk(err error, tell func(Advised)) {
+func walk(err error, tell func(Provider)) {
 	if err == nil {
 		return
 	}
-	if a, ok := err.(Advised); ok {
+	if a, ok := err.(Provider); ok {
 		tell(a)
 		return
 	}
@@ -51,25 +51,25 @@
 	}
 }
 
-// Attrs are a failure and its advice as a log line's pairs.
-func Attrs(err error, more ...any) []any {
+// LogAttrs are a failure and its advice as a log line's pairs.
+func LogAttrs(err error, more ...any) []any {
 	more = append(more, "error", err)
-	if do := Advice(err); do != "" {
+	if do := For(err); do != "" {
 		more = append(more, "do", do)
 	}
 	return more
 }
 
-// Text is a failure and its advice for a person who reads it on a terminal.
-func Text(err error) string {
-	if do := Advice(err); do != "" {
+// Describe is a failure and its advice for a person who reads it on a terminal.
+func Describe(err error) string {
+	if do := For(err); do != "" {
 		return err.Error() + "\n  what to do: " + do
 	}
 	return err.Error()
 }
 
-// Is tells whether a failure of type T is in err.
-func Is[T error](err error) bool {
+// HasType tells whether a failure of type T is in err.
+func HasType[T error](err error) bool {
 	var t T
 	return errors.As(err, &t)
 }
--- a/storage/store/errors.go
+++ b/storage/store/errors.go
@@ -157,7 +157,7 @@
 
 func typed(path string, err error) error {
 	switch {
-	case err == nil || advice.Is[advice.Advised](err):
+	case err == nil || advice.HasType[advice.Provider](err):
 		return err
 	case is(err, syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG):
 		return &Full{path, err}
--- a/storage/store/errors_test.go
+++ b/storage/store/errors_test.go
@@ -19,8 +19,8 @@
 
 // Each error type of the package has advice and stands in the page for those on call.
 func TestErrorTypesAreListed(t *testing.T) {
-	all := map[string]advice.Advised{}
-	for _, e := range []advice.Advised{&Busy{}, &Damaged{}, &Aside{Why: errAnew}, &Crowded{Why: errAnew}, &Rewound{}, &NotStore{}, &Newer{},
+	all := map[string]advice.Provider{}
+	for _, e := range []advice.Provider{&Busy{}, &Damaged{}, &Aside{Why: errAnew}, &Crowded{Why: errAnew}, &Rewound{}, &NotStore{}, &Newer{},
 		&Full{Err: errAnew}, &Bounded{}, &ReadOnly{Err: errAnew}, &Slow{Err: errAnew}, &Failed{Err: errAnew}} {
 		all[fmt.Sprintf("%T", e)[len("*store."):]] = e
 	}
--- a/storage/store/store.go
+++ b/storage/store/store.go
@@ -139,7 +139,7 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		err = s.make()
-	case advice.Is[*Damaged](err):
+	case advice.HasType[*Damaged](err):
 		err = s.aside(err)
 	case err == nil && s.o.Anew:
 		err = s.aside(errAnew)
@@ -334,7 +334,7 @@
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.doubt = err; advice.Is[*Damaged](err) {
+		if s.doubt = err; advice.HasType[*Damaged](err) {
 			s.broken = err // the library's locks may be held for good
 		}
 	}
@@ -360,7 +360,7 @@
 		err = s.openFile()
 	}
 	switch {
-	case advice.Is[*Damaged](err):
+	case advice.HasType[*Damaged](err):
 		s.broken = err
 		return err
 	case err != nil:
--- a/storage/store/store_test.go
+++ b/storage/store/store_test.go
@@ -142,7 +142,7 @@
 	again := s.Put(background, "n", map[string][]byte{"again": make([]byte, 90000)}, nil)
 	held := 0
 	read := s.Load("n", func(string, []byte) error { held++; return nil })
-	fmt.Println("full", advice.Is[*Full](err), advice.Is[*Full](again), held == n, read)
+	fmt.Println("full", advice.HasType[*Full](err), advice.HasType[*Full](again), held == n, read)
 	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was)
 	err = s.Put(background, "n", map[string][]byte{"after": {1}}, nil)
 	fmt.Println("after", err, n)
@@ -200,7 +200,7 @@
 	var told []error
 	s, err := Open(path, Options{Told: func(err error) { told = append(told, err) }})
 	if err != nil {
-		require.True(t, advice.Is[*NotStore](err) || advice.Is[*Newer](err), "%v", err)
+		require.True(t, advice.HasType[*NotStore](err) || advice.HasType[*Newer](err), "%v", err)
 		left, _ := os.ReadFile(path)
 		require.Equal(t, text, left, "a file that was refused is left alone")
 		return "refused"
@@ -208,7 +208,7 @@
 	defer func() { require.NoError(t, s.Close(background)) }()
 	m, how := all(t, s, "a"), ""
 	switch {
-	case len(told) > 0 && advice.Is[*Aside](told[0]):
+	case len(told) > 0 && advice.HasType[*Aside](told[0]):
 		require.Empty(t, m)
 		left, err := os.ReadFile(path + ".aside-1")
 		require.NoError(t, err)
@@ -278,7 +278,7 @@
 	dir := filepath.Join(t.TempDir(), "d")
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	_, err := Open(dir, Options{})
-	require.True(t, advice.Is[*NotStore](err), "%v", err)
+	require.True(t, advice.HasType[*NotStore](err), "%v", err)
 }
 
 func TestANewerFormatIsRefusedUnlessItSaysThatItCanBeRead(t *testing.T) {
@@ -300,7 +300,7 @@
 		}))
 		require.NoError(t, db.Close())
 		s, err = Open(path, Options{})
-		require.Equal(t, refused, advice.Is[*Newer](err), "%v", err)
+		require.Equal(t, refused, advice.HasType[*Newer](err), "%v", err)
 		if !refused {
 			require.Equal(t, map[string]string{"k": "v"}, all(t, s, "a"))
 			require.NoError(t, s.Close(background))
@@ -313,12 +313,12 @@
 	c, lines := child(t, "write", path)
 	require.True(t, lines.Scan())
 	_, err := Open(path, Options{LockWait: 50 * time.Millisecond})
-	require.True(t, advice.Is[*Busy](err), "%v", err)
+	require.True(t, advice.HasType[*Busy](err), "%v", err)
 	require.NoError(t, c.Process.Kill())
 	c.Wait()
 	s, _ := open(t, path, Options{})
 	_, err = Open(path, Options{LockWait: 50 * time.Millisecond})
-	require.True(t, advice.Is[*Busy](err), "%v", err)
+	require.True(t, advice.HasType[*Busy](err), "%v", err)
 	require.NoError(t, s.Close(background))
 	require.Error(t, s.Put(background, "a", map[string][]byte{"k": nil}, nil))
 }
@@ -334,8 +334,8 @@
 		defer syscall.Setfsuid(0)
 	}
 	_, err := Open(filepath.Join(dir, "s"), Options{})
-	require.True(t, advice.Is[*ReadOnly](err), "%v", err)
-	require.NotEmpty(t, advice.Advice(err))
+	require.True(t, advice.HasType[*ReadOnly](err), "%v", err)
+	require.NotEmpty(t, advice.For(err))
 }
 
 func TestASlowDiskHoldsUpNoReaderAndNoStop(t *testing.T) {
@@ -347,10 +347,10 @@
 		return ctx
 	}
 	for range 2 { // one that is on its way, one that waits for it
-		require.True(t, advice.Is[*Slow](s.Put(short(), "a", map[string][]byte{"k": []byte("v")}, nil)))
+		require.True(t, advice.HasType[*Slow](s.Put(short(), "a", map[string][]byte{"k": []byte("v")}, nil)))
 	}
 	require.Empty(t, all(t, s, "a"))
-	require.True(t, advice.Is[*Slow](s.Close(short())))
+	require.True(t, advice.HasType[*Slow](s.Close(short())))
 	close(held)
 	require.NoError(t, s.Put(background, "a", map[string][]byte{"l": []byte("w")}, nil))
 	require.Equal(t, map[string]string{"k": "v", "l": "w"}, all(t, s, "a"))
@@ -364,7 +364,7 @@
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 		s, err := Open(path, Options{})
 		if n == asideMost {
-			require.True(t, advice.Is[*Crowded](err), "%v", err)
+			require.True(t, advice.HasType[*Crowded](err), "%v", err)
 			continue
 		}
 		require.NoError(t, err)
@@ -378,14 +378,14 @@
 func TestBounds(t *testing.T) {
 	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{BytesMost: 1 << 20})
 	for _, c := range []struct{ bucket, key string }{{"", "k"}, {ownBucket, "k"}, {"a", ""}, {"a", strings.Repeat("k", KeyMost+1)}} {
-		require.True(t, advice.Is[*Bounded](s.Put(background, c.bucket, map[string][]byte{c.key: nil}, nil)))
+		require.True(t, advice.HasType[*Bounded](s.Put(background, c.bucket, map[string][]byte{c.key: nil}, nil)))
 	}
 	err := error(nil)
 	n := 0
 	for ; err == nil && n < 100; n++ {
 		err = s.Put(background, "a", map[string][]byte{fmt.Sprint(n): make([]byte, 50_000)}, nil)
 	}
-	require.True(t, advice.Is[*Bounded](err), "%v", err)
+	require.True(t, advice.HasType[*Bounded](err), "%v", err)
 	require.NoError(t, s.Put(background, "a", nil, []string{"0", "1", "2", "3", "4"}))
 	require.Len(t, all(t, s, "a"), n-1-5)
 }
@@ -510,13 +510,13 @@
 	}
 	require.NoError(t, s.Put(background, "a", puts, nil))
 	require.NoError(t, os.Truncate(path, 8192))
-	require.True(t, advice.Is[*Damaged](s.Load("a", func(string, []byte) error { return nil })))
-	require.True(t, advice.Is[*Damaged](s.Put(background, "a", puts, nil)))
-	require.True(t, advice.Is[*Damaged](s.Put(background, "a", puts, nil)))
+	require.True(t, advice.HasType[*Damaged](s.Load("a", func(string, []byte) error { return nil })))
+	require.True(t, advice.HasType[*Damaged](s.Put(background, "a", puts, nil)))
+	require.True(t, advice.HasType[*Damaged](s.Put(background, "a", puts, nil)))
 	ctx, stop := context.WithTimeout(background, time.Second)
 	defer stop()
 	require.NoError(t, s.Close(ctx))
 	again, told := open(t, path, Options{})
-	require.True(t, advice.Is[*Aside](told[0]))
+	require.True(t, advice.HasType[*Aside](told[0]))
 	require.Empty(t, all(t, again, "a"))
 }
