--- a/cluster/membership/swimsim/swim.go
+++ b/cluster/membership/swimsim/swim.go
@@ -34,14 +34,14 @@
 	listBytes  = 130 // a member in an exchange of all
 )
 
-// World is the clock, the network and the instances.
-type World struct {
-	Now  int64
-	Loss float64                  // share of packets; streams come through
-	Slow int64                    // longest way from one to another
-	Cut  func(from, to int) bool  // by number; nil for none
-	All  []*Instance              // in order of number, with their latest lives
-	Look func(at int64, w *World) // called every 100 ms; may be nil
+// Cluster is the clock, the network and the instances.
+type Cluster struct {
+	Now           int64
+	PacketLoss    float64                    // share of packets; streams come through
+	MaxLatency    int64                      // longest way from one to another
+	IsPartitioned func(from, to int) bool    // by number; nil for none
+	Instances     []*Instance                // in order of number, with their latest lives
+	OnStep        func(at int64, w *Cluster) // called every 100 ms; may be nil
 
 	dice   *rand.Rand
 	queue  events
@@ -52,14 +52,14 @@
 
 // Instance is one process's life.
 type Instance struct {
-	No   int
-	Key  string
-	Up   bool
-	Held bool // stopped by SIGSTOP
-	Book *membership.Book
-	Sent int64 // bytes
-
-	w       *World
+	Index     int
+	NodeName  string
+	Running   bool
+	Paused    bool // stopped by SIGSTOP
+	Table     *membership.Book
+	BytesSent int64 // bytes
+
+	w       *Cluster
 	watch   *membership.Watch
 	nodes   map[string]*node
 	ids     []string // of nodes, in the order in which they came
@@ -111,35 +111,35 @@
 	return last
 }
 
-// New makes a world of so many instances, all up, that know the first few of them to begin with.
-func New(seed int64, n int) *World {
-	w := &World{dice: rand.New(rand.NewSource(seed)), Slow: 40 * ms}
+// NewCluster makes a world of so many instances, all up, that know the first few of them to begin with.
+func NewCluster(seed int64, n int) *Cluster {
+	w := &Cluster{dice: rand.New(rand.NewSource(seed)), MaxLatency: 40 * ms}
 	for no := range n {
-		w.listed = append(w.listed, Name(no))
+		w.listed = append(w.listed, InstanceName(no))
 	}
 	for no := range n {
-		w.All = append(w.All, nil)
+		w.Instances = append(w.Instances, nil)
 		w.Start(no)
 	}
 	return w
 }
 
-// Know has all know each other, with no word on its way, as a fleet does that has stood for long.
-func (w *World) Know() {
-	for _, i := range w.All {
-		for _, o := range w.All {
+// Converge has all know each other, with no word on its way, as a fleet does that has stood for long.
+func (w *Cluster) Converge() {
+	for _, i := range w.Instances {
+		for _, o := range w.Instances {
 			if o != i {
-				i.alive(item{key: o.Key, m: o.said, no: o.No, inc: 0, state: membership.Alive})
+				i.alive(item{key: o.NodeName, m: o.said, no: o.Index, inc: 0, state: membership.Alive})
 			}
 		}
 		i.news = nil
 	}
 }
 
-// Name is the name of an instance.
-func Name(no int) string { return fmt.Sprintf("n%03d", no) }
+// InstanceName is the name of an instance.
+func InstanceName(no int) string { return fmt.Sprintf("n%03d", no) }
 
-func (w *World) after(wait int64, do func()) {
+func (w *Cluster) after(wait int64, do func()) {
 	w.serial++
 	heap.Push(&w.queue, event{w.Now + wait, w.serial, do})
 }
@@ -147,9 +147,9 @@
 // later calls f while the life lasts; one that is held calls it as it goes on.
 func (i *Instance) later(wait int64, f func()) {
 	i.w.after(wait, func() {
-		if i.Held {
+		if i.Paused {
 			i.held = append(i.held, f)
-		} else if i.Up {
+		} else if i.Running {
 			f()
 		}
 	})
@@ -165,31 +165,31 @@
 	i.later(i.w.dice.Int63n(period), again)
 }
 
-// Hold stops a process as SIGSTOP does; what is sent to it is lost. Go lets it go on.
-func (w *World) Hold(no int) { w.All[no].Held = true }
+// Pause stops a process as SIGSTOP does; what is sent to it is lost. Go lets it go on.
+func (w *Cluster) Pause(no int) { w.Instances[no].Paused = true }
 
-func (w *World) Go(no int) {
-	i := w.All[no]
-	if !i.Held {
+func (w *Cluster) Resume(no int) {
+	i := w.Instances[no]
+	if !i.Paused {
 		return
 	}
-	i.Held = false
+	i.Paused = false
 	late := i.held
 	i.held = nil
 	for _, f := range late {
-		if i.Up {
+		if i.Running {
 			f()
 		}
 	}
 }
 
-// Run plays until a time.
-func (w *World) Run(until int64) {
+// RunUntil plays until a time.
+func (w *Cluster) RunUntil(until int64) {
 	for next := w.Now; len(w.queue) > 0 && w.queue[0].at <= until; {
 		e := heap.Pop(&w.queue).(event)
-		for ; w.Look != nil && next <= e.at; next += stepEvery {
+		for ; w.OnStep != nil && next <= e.at; next += stepEvery {
 			w.Now = next
-			w.Look(next, w)
+			w.OnStep(next, w)
 		}
 		w.Now = e.at
 		e.do()
@@ -198,13 +198,13 @@
 }
 
 // Start begins a new life of an instance that is down or has not been.
-func (w *World) Start(no int) {
+func (w *Cluster) Start(no int) {
 	w.spare += 1000
-	me := membership.Member{Name: Name(no), Incarnation: uint64(w.spare), Addr: fmt.Sprint("addr-", no)}
-	i := &Instance{No: no, Key: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Up: true, w: w, Book: membership.New(me, w.listed),
+	me := membership.Member{Name: InstanceName(no), Incarnation: uint64(w.spare), Addr: fmt.Sprint("addr-", no)}
+	i := &Instance{Index: no, NodeName: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Running: true, w: w, Table: membership.New(me, w.listed),
 		nodes: map[string]*node{}, last: map[string]int{}, said: me}
-	i.watch = membership.NewWatch(i.Book, rand.New(rand.NewSource(w.dice.Int63())))
-	w.All[no] = i
+	i.watch = membership.NewWatch(i.Table, rand.New(rand.NewSource(w.dice.Int63())))
+	w.Instances[no] = i
 	i.every(probeEvery, i.probe)
 	i.every(newsEvery, i.gossip)
 	pulls := int64(max(1, math.Ceil(math.Log2(float64(len(w.listed)))-5)+1)) // above 32 instances it is done less often
@@ -219,32 +219,32 @@
 }
 
 // Kill ends a life without a word.
-func (w *World) Kill(no int) { w.All[no].Up, w.All[no].Held = false, false }
+func (w *Cluster) Kill(no int) { w.Instances[no].Running, w.Instances[no].Paused = false, false }
 
 // Leave ends one on purpose.
-func (w *World) Leave(no int) {
-	i := w.All[no]
-	i.Book.Leave(w.Now)
+func (w *Cluster) Leave(no int) {
+	i := w.Instances[no]
+	i.Table.Leave(w.Now)
 	i.sayMe()
 	word := membership.Member{Name: i.said.Name, Incarnation: i.said.Incarnation, State: membership.Left}
 	for _, key := range i.ids {
 		if n := i.nodes[key]; n != nil && n.state != membership.Gone {
-			i.packet(n.no, pingBytes, func(to *Instance) { to.Book.Told(w.Now, word) })
+			i.packet(n.no, pingBytes, func(to *Instance) { to.Table.Told(w.Now, word) })
 		}
 	}
 	i.gossip()
-	w.after(newsEvery, func() { i.gossip(); i.Up = false })
+	w.after(newsEvery, func() { i.gossip(); i.Running = false })
 }
 
 // packet carries f to another, if it comes through; whoever is up there gets it.
 func (i *Instance) packet(no, size int, f func(to *Instance)) {
 	w := i.w
-	i.Sent += int64(size)
-	if w.cut(i.No, no) || w.dice.Float64() < w.Loss {
+	i.BytesSent += int64(size)
+	if w.cut(i.Index, no) || w.dice.Float64() < w.PacketLoss {
 		return
 	}
-	w.after(ms+w.dice.Int63n(w.Slow), func() {
-		if to := w.All[no]; to.Up && !to.Held && !w.cut(i.No, no) {
+	w.after(ms+w.dice.Int63n(w.MaxLatency), func() {
+		if to := w.Instances[no]; to.Running && !to.Paused && !w.cut(i.Index, no) {
 			f(to)
 		}
 	})
@@ -283,10 +283,10 @@
 func (i *Instance) ping(key string, no int, done func(ok bool)) {
 	over := false
 	i.laden(no, pingBytes, func(to *Instance) {
-		if to.Key != key {
+		if to.NodeName != key {
 			return // another life at that address
 		}
-		to.laden(i.No, pingBytes, func(back *Instance) {
+		to.laden(i.Index, pingBytes, func(back *Instance) {
 			if back == i && !over {
 				over = true
 				done(true)
@@ -353,17 +353,17 @@
 }
 
 // cut tells whether packets of one to another are lost.
-func (w *World) cut(from, to int) bool { return w.Cut != nil && w.Cut(from, to) }
+func (w *Cluster) cut(from, to int) bool { return w.IsPartitioned != nil && w.IsPartitioned(from, to) }
 
 // reaches tells whether a connection to another would come up.
 func (i *Instance) reaches(to *Instance) bool {
-	return to.Up && !to.Held && !i.w.cut(i.No, to.No) && !i.w.cut(to.No, i.No)
+	return to.Running && !to.Paused && !i.w.cut(i.Index, to.Index) && !i.w.cut(to.Index, i.Index)
 }
 
 // streamed tells whether a connection to a life would bring an answer.
 func (i *Instance) streamed(key string, no int) bool {
-	to := i.w.All[no]
-	return to.Key == key && i.reaches(to)
+	to := i.w.Instances[no]
+	return to.NodeName == key && i.reaches(to)
 }
 
 func (i *Instance) reap() {
@@ -407,11 +407,11 @@
 // refute answers words that this life is doubted.
 func (i *Instance) refute(inc uint32) {
 	i.inc = max(i.inc, inc) + 1
-	i.spread(i.Key, &node{m: i.said, no: i.No, inc: i.inc, state: membership.Alive})
+	i.spread(i.NodeName, &node{m: i.said, no: i.Index, inc: i.inc, state: membership.Alive})
 }
 
 func (i *Instance) alive(t item) {
-	if t.key == i.Key {
+	if t.key == i.NodeName {
 		if t.inc > i.inc {
 			i.refute(t.inc)
 		}
@@ -436,7 +436,7 @@
 
 // worse takes a word that a life is suspect or gone, nil where it is no news; of this life it is refuted.
 func (i *Instance) worse(key string, inc uint32, state membership.State) *node {
-	if key == i.Key {
+	if key == i.NodeName {
 		if inc >= i.inc {
 			i.refute(inc)
 		}
@@ -472,24 +472,24 @@
 
 // exchange gives both sides all that the other knows, over a stream.
 func (i *Instance) exchange(no int) {
-	to := i.w.All[no]
+	to := i.w.Instances[no]
 	if to == i || !i.reaches(to) {
 		return
 	}
-	i.w.after(2*ms+i.w.dice.Int63n(2*i.w.Slow), func() {
-		if !i.Up || i.Held || !i.reaches(to) {
+	i.w.after(2*ms+i.w.dice.Int63n(2*i.w.MaxLatency), func() {
+		if !i.Running || i.Paused || !i.reaches(to) {
 			return
 		}
 		mine, his := i.whole(), to.whole()
-		i.merge(his, to.Book.Ended())
-		to.merge(mine, i.Book.Ended())
-		i.Sent += int64(listBytes * len(mine))
-		to.Sent += int64(listBytes * len(his))
+		i.merge(his, to.Table.Ended())
+		to.merge(mine, i.Table.Ended())
+		i.BytesSent += int64(listBytes * len(mine))
+		to.BytesSent += int64(listBytes * len(his))
 	})
 }
 
 func (i *Instance) whole() (all []item) {
-	all = append(all, item{key: i.Key, m: i.said, no: i.No, inc: i.inc, state: membership.Alive})
+	all = append(all, item{key: i.NodeName, m: i.said, no: i.Index, inc: i.inc, state: membership.Alive})
 	for _, key := range i.ids {
 		n := i.nodes[key]
 		state := n.state
@@ -506,7 +506,7 @@
 		i.take(t)
 	}
 	for _, m := range ended {
-		i.Book.Told(i.w.Now, m)
+		i.Table.Told(i.w.Now, m)
 	}
 }
 
@@ -522,23 +522,23 @@
 		}
 		i.ping(key, n.no, func(ok bool) { i.watch.Answered(i.w.Now, key, ok) })
 	}
-	if me := i.Book.Me(); me.Incarnation != i.said.Incarnation || !me.Same(i.said) || i.unheard && now-i.spoke >= Second {
+	if me := i.Table.Me(); me.Incarnation != i.said.Incarnation || !me.Same(i.said) || i.unheard && now-i.spoke >= Second {
 		i.unheard, i.spoke = false, now
 		i.sayMe()
 	}
 }
 
 func (i *Instance) sayMe() {
-	i.said = i.Book.Me()
+	i.said = i.Table.Me()
 	i.inc++
-	i.spread(i.Key, &node{m: i.said, no: i.No, inc: i.inc, state: membership.Alive})
+	i.spread(i.NodeName, &node{m: i.said, no: i.Index, inc: i.inc, state: membership.Alive})
 }
 
 func (i *Instance) tell() {
 	for _, r := range i.watch.Refused() {
 		i.packet(i.nodes[r.Key].no, pingBytes, func(to *Instance) {
 			for _, m := range r.Ends {
-				to.Book.Told(i.w.Now, m)
+				to.Table.Told(i.w.Now, m)
 			}
 			to.unheard = true
 		})
@@ -547,14 +547,14 @@
 
 // join tries some of those that are not there; the first few instances are known to begin with.
 func (i *Instance) join() {
-	there := map[int]bool{i.No: true}
+	there := map[int]bool{i.Index: true}
 	for _, key := range i.ids {
 		if i.watch.Here(key) {
 			there[i.nodes[key].no] = true
 		}
 	}
 	var absent []int
-	for no := range min(3, len(i.w.All)) {
+	for no := range min(3, len(i.w.Instances)) {
 		if !there[no] {
 			there[no], absent = true, append(absent, no)
 		}
--- a/cluster/membership/swimsim/swim_test.go
+++ b/cluster/membership/swimsim/swim_test.go
@@ -16,39 +16,39 @@
 // history is drawn faults on a small fleet; what must hold is looked at ten times a second.
 func history(t *rapid.T) {
 	n := rapid.IntRange(3, 7).Draw(t, "instances")
-	w := New(rapid.Int64().Draw(t, "seed"), n)
-	w.Loss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "loss")
+	w := NewCluster(rapid.Int64().Draw(t, "seed"), n)
+	w.PacketLoss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "loss")
 	side, changed := make([]int, n), int64(0)
 	deaf := [2]int{-1, -1} // one way that carries nothing
-	w.Cut = func(from, to int) bool { return side[from] != side[to] || deaf == [2]int{from, to} }
+	w.IsPartitioned = func(from, to int) bool { return side[from] != side[to] || deaf == [2]int{from, to} }
 	highest := map[string]uint64{}
 	over := map[string]bool{}
-	w.Look = func(at int64, w *World) {
-		for _, i := range w.All {
-			if !i.Up || i.Held {
+	w.OnStep = func(at int64, w *Cluster) {
+		for _, i := range w.Instances {
+			if !i.Running || i.Paused {
 				continue
 			}
 			with := 0
-			for _, o := range w.All {
-				if o.Up && !o.Held && side[o.No] == side[i.No] {
+			for _, o := range w.Instances {
+				if o.Running && !o.Paused && side[o.Index] == side[i.Index] {
 					with++
 				}
 			}
 			if at-changed > settled && 2*with <= n {
-				require.False(t, i.Book.Majority(at), "%s goes on among %d of %d", i.Key, with, n)
+				require.False(t, i.Table.Majority(at), "%s goes on among %d of %d", i.NodeName, with, n)
 			}
-			for _, m := range i.Book.Members() {
-				at := i.Key + " of " + m.Name
+			for _, m := range i.Table.Members() {
+				at := i.NodeName + " of " + m.Name
 				require.GreaterOrEqual(t, m.Incarnation, highest[at], "%s: an old incarnation came back", at)
 				highest[at] = m.Incarnation
 				life := fmt.Sprint(at, m.Incarnation)
 				require.False(t, over[life] && !m.State.Over(), "%s: a life that was over came back", life)
 				over[life] = m.State.Over()
 			}
-			require.Empty(t, i.Book.Conflicts())
+			require.Empty(t, i.Table.Conflicts())
 		}
 	}
-	w.Run(5 * Second)
+	w.RunUntil(5 * Second)
 	for range rapid.IntRange(1, 5).Draw(t, "faults") {
 		no := rapid.IntRange(0, n-1).Draw(t, "whom")
 		switch rapid.SampledFrom([]string{"cut", "cut", "kill", "start", "leave", "heal", "one way", "hold", "go"}).Draw(t, "what") {
@@ -59,7 +59,7 @@
 		case "kill":
 			w.Kill(no)
 		case "leave":
-			if w.All[no].Up && !w.All[no].Held {
+			if w.Instances[no].Running && !w.Instances[no].Paused {
 				w.Leave(no)
 			}
 		case "start":
@@ -68,36 +68,36 @@
 		case "heal":
 			clear(side)
 		case "hold":
-			w.Hold(no)
+			w.Pause(no)
 		case "go":
-			w.Go(no)
+			w.Resume(no)
 		case "one way":
 			deaf = [2]int{no, rapid.IntRange(0, n-1).Draw(t, "to")}
 		}
 		changed = w.Now
-		w.Run(w.Now + rapid.Int64Range(Second, 20*Second).Draw(t, "for"))
+		w.RunUntil(w.Now + rapid.Int64Range(Second, 20*Second).Draw(t, "for"))
 	}
 	clear(side)
-	changed, w.Loss, deaf = w.Now, 0, [2]int{-1, -1}
-	for no, i := range w.All {
-		w.Go(no)
-		if !i.Up {
+	changed, w.PacketLoss, deaf = w.Now, 0, [2]int{-1, -1}
+	for no, i := range w.Instances {
+		w.Resume(no)
+		if !i.Running {
 			w.Start(no)
 		}
 	}
-	w.Run(w.Now + 20*Second)
-	for _, i := range w.All {
-		heard, _ := i.Book.Heard(w.Now)
-		require.Equal(t, n, heard, "%s: all are back", i.Key)
-		for _, m := range i.Book.Members() {
-			require.Equal(t, w.All[0].Book.Members()[slot(w, m.Name)].Incarnation, m.Incarnation, "one book")
+	w.RunUntil(w.Now + 20*Second)
+	for _, i := range w.Instances {
+		heard, _ := i.Table.Heard(w.Now)
+		require.Equal(t, n, heard, "%s: all are back", i.NodeName)
+		for _, m := range i.Table.Members() {
+			require.Equal(t, w.Instances[0].Table.Members()[slot(w, m.Name)].Incarnation, m.Incarnation, "one book")
 		}
 	}
 }
 
-func slot(w *World, name string) (at int) {
-	for at = range w.All {
-		if Name(at) == name {
+func slot(w *Cluster, name string) (at int) {
+	for at = range w.Instances {
+		if InstanceName(at) == name {
 			return at
 		}
 	}
@@ -107,36 +107,36 @@
 func TestDrawnHistories(t *testing.T) { rapid.Check(t, history) }
 
 func TestOneAloneNoticesAtOnce(t *testing.T) {
-	w := New(1, 60)
-	w.Run(10 * Second)
-	for _, i := range w.All {
-		heard, _ := i.Book.Heard(w.Now)
+	w := NewCluster(1, 60)
+	w.RunUntil(10 * Second)
+	for _, i := range w.Instances {
+		heard, _ := i.Table.Heard(w.Now)
 		require.Equal(t, 60, heard)
 	}
-	w.Cut = func(from, to int) bool { return (from == 7) != (to == 7) }
-	w.Run(13 * Second)
-	require.False(t, w.All[7].Book.Majority(w.Now), "the library alone would need half a minute")
-	w.Run(20 * Second)
-	for _, m := range w.All[7].Book.Members() {
+	w.IsPartitioned = func(from, to int) bool { return (from == 7) != (to == 7) }
+	w.RunUntil(13 * Second)
+	require.False(t, w.Instances[7].Table.Majority(w.Now), "the library alone would need half a minute")
+	w.RunUntil(20 * Second)
+	for _, m := range w.Instances[7].Table.Members() {
 		require.NotEqual(t, membership.Gone, m.State)
 	}
-	state, _ := w.All[0].Book.Standing(Name(7), w.All[7].Book.Me().Incarnation)
+	state, _ := w.Instances[0].Table.Standing(InstanceName(7), w.Instances[7].Table.Me().Incarnation)
 	require.Equal(t, membership.Gone, state)
 }
 
 func TestOneThatWasStoppedBelievesNothingOld(t *testing.T) {
-	w := New(2, 5)
-	w.Run(6 * Second)
-	require.True(t, w.All[3].Book.Majority(w.Now))
-	w.Hold(3)
-	w.Run(7 * Second)
-	w.Cut = func(from, to int) bool { return (from == 3) != (to == 3) }
-	w.Run(20 * Second)
-	require.False(t, w.All[3].Book.Majority(w.Now), "before it has done anything")
-	w.Go(3)
-	w.Look = func(at int64, w *World) { require.False(t, w.All[3].Book.Majority(at)) }
-	w.Run(30 * Second)
-	w.Cut, w.Look = nil, nil
-	w.Run(36 * Second)
-	require.True(t, w.All[3].Book.Majority(w.Now))
+	w := NewCluster(2, 5)
+	w.RunUntil(6 * Second)
+	require.True(t, w.Instances[3].Table.Majority(w.Now))
+	w.Pause(3)
+	w.RunUntil(7 * Second)
+	w.IsPartitioned = func(from, to int) bool { return (from == 3) != (to == 3) }
+	w.RunUntil(20 * Second)
+	require.False(t, w.Instances[3].Table.Majority(w.Now), "before it has done anything")
+	w.Resume(3)
+	w.OnStep = func(at int64, w *Cluster) { require.False(t, w.Instances[3].Table.Majority(at)) }
+	w.RunUntil(30 * Second)
+	w.IsPartitioned, w.OnStep = nil, nil
+	w.RunUntil(36 * Second)
+	require.True(t, w.Instances[3].Table.Majority(w.Now))
 }
--- a/internal/benchmark/gossip.go
+++ b/internal/benchmark/gossip.go
@@ -329,35 +329,35 @@
 // gossipModel plays the same with the model's clock and network.
 func gossipModel(seed int64, n int, out *Result) {
 	as := fmt.Sprint("model", n)
-	w := swimsim.New(seed, n)
-	w.Loss = modelLoss
+	w := swimsim.NewCluster(seed, n)
+	w.PacketLoss = modelLoss
 	sides := make([]int, n)
-	w.Cut = func(from, to int) bool { return sides[from] != sides[to] }
+	w.IsPartitioned = func(from, to int) bool { return sides[from] != sides[to] }
 	b, next := newBooks(n), int64(0)
 	views := func() (all []view) {
-		for _, i := range w.All {
-			all = append(all, view{swimsim.Name(i.No), i.Up, sides[i.No], i.Book})
+		for _, i := range w.Instances {
+			all = append(all, view{swimsim.InstanceName(i.Index), i.Running, sides[i.Index], i.Table})
 		}
 		return all
 	}
 	span := func(at int64) time.Duration { return time.Duration(at) * 100 * time.Microsecond }
 	ticks := func(d time.Duration) int64 { return int64(d / (100 * time.Microsecond)) }
-	w.Look = func(at int64, w *swimsim.World) {
+	w.OnStep = func(at int64, w *swimsim.Cluster) {
 		if at >= next {
 			next = at + ticks(modelLook)
 			b.look(span(at), views())
 		}
 	}
 	sent := func() (sum int64) {
-		for _, i := range w.All {
-			sum += i.Sent
+		for _, i := range w.Instances {
+			sum += i.BytesSent
 		}
 		return sum
 	}
-	w.Know()
-	w.Run(ticks(modelSettle))
+	w.Converge()
+	w.RunUntil(ticks(modelSettle))
 	before := sent()
-	w.Run(w.Now + ticks(gossipCalm))
+	w.RunUntil(w.Now + ticks(gossipCalm))
 	out.Fields[as+"_bytes_each_s"] = math.Round(float64(sent()-before) / gossipCalm.Seconds() / float64(n))
 	chance := rand.New(rand.NewSource(seed))
 	order := chance.Perm(n)
@@ -366,15 +366,15 @@
 	}
 	b.begin(span(w.Now))
 	before = sent()
-	w.Run(w.Now + ticks(gossipCut))
+	w.RunUntil(w.Now + ticks(gossipCut))
 	out.Fields[as+"_cut_bytes_each_s"] = math.Round(float64(sent()-before) / gossipCut.Seconds() / float64(n))
 	b.fields(out, as+"_cut", views())
 	clear(sides)
 	b.healed(span(w.Now))
-	w.Run(w.Now + ticks(gossipBack))
-	for _, i := range w.All {
-		if heard, of := i.Book.Heard(w.Now); heard < of*95/100 {
-			out.Missed = append(out.Missed, fmt.Sprintf("%s: %s hears %d of %d after the cut", as, i.Key, heard, of))
+	w.RunUntil(w.Now + ticks(gossipBack))
+	for _, i := range w.Instances {
+		if heard, of := i.Table.Heard(w.Now); heard < of*95/100 {
+			out.Missed = append(out.Missed, fmt.Sprintf("%s: %s hears %d of %d after the cut", as, i.NodeName, heard, of))
 			break
 		}
 	}
@@ -383,7 +383,7 @@
 	for _, i := range order[:int(killShare*float64(n))] {
 		w.Kill(i)
 	}
-	w.Run(w.Now + ticks(gossipKilled))
+	w.RunUntil(w.Now + ticks(gossipKilled))
 	b.fields(out, as+"_kill", views())
 	b.judge(out, as)
 }
