--- a/cluster/gossip/gossip.go
+++ b/cluster/gossip/gossip.go
@@ -77,7 +77,7 @@
 type Node struct {
 	o        Options
 	log      *slog.Logger
-	book     *membership.Book
+	book     *membership.Table
 	own      string // the library's name of this life
 	list     *memberlist.Memberlist
 	wire     *transport
@@ -99,7 +99,7 @@
 	kick chan struct{}
 
 	mu       sync.Mutex
-	watch    *membership.Watch
+	watch    *membership.FailureDetector
 	nodes    map[string]memberlist.Node // by the library's name
 	last     map[string]string          // address under which a listed name was there last
 	handlers map[byte]chan message
@@ -144,9 +144,9 @@
 	if me.Incarnation == 0 {
 		me.Incarnation = uint64(time.Now().UnixNano())
 	}
-	n.book = membership.New(me, o.Listed)
-	n.watch = membership.NewWatch(n.book, rand.New(rand.NewSource(o.Seed+1)))
-	if !me.Usable() {
+	n.book = membership.NewTable(me, o.Listed)
+	n.watch = membership.NewFailureDetector(n.book, rand.New(rand.NewSource(o.Seed+1)))
+	if !me.IsValid() {
 		err = errWord
 	} else {
 		_, err = n.encodeMember(me)
@@ -207,13 +207,13 @@
 
 func (n *Node) config(at netip.AddrPort, logger *stdlog.Logger) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
-	me := n.book.Me()
+	me := n.book.Self()
 	n.own = keyOf(me.Name, me.Incarnation)
 	c.Name = n.own
 	c.Transport, c.Logger = n.wire, logger
 	c.BindAddr, c.AdvertiseAddr = at.Addr().String(), at.Addr().String()
 	c.BindPort, c.AdvertisePort = n.wire.GetAutoBindPort(), n.wire.GetAutoBindPort()
-	c.ProbeInterval, c.ProbeTimeout = probeEvery, membership.PingMost*100*time.Microsecond
+	c.ProbeInterval, c.ProbeTimeout = probeEvery, membership.PingTimeout*100*time.Microsecond
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult, c.AwarenessMaxMultiplier = missMost, 1, busyMost
 	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipEvery, gossipNodes, deadTold
 	c.PushPullInterval, c.TCPTimeout = pushPull, streamMost
@@ -228,7 +228,7 @@
 }
 
 // Book is who is there. It is changed by this package alone.
-func (n *Node) Book() *membership.Book { return n.book }
+func (n *Node) Book() *membership.Table { return n.book }
 
 // Now is the clock by which the book's times are told: tenths of a millisecond since the start.
 func (n *Node) Now() int64 { return int64(time.Since(n.began) / (100 * time.Microsecond)) }
@@ -238,24 +238,24 @@
 
 // Update says anew what this instance runs and can take part in; name, incarnation and address stay.
 func (n *Node) Update(m membership.Member) error {
-	me := n.book.Me()
-	m.Name, m.Incarnation, m.Word, m.Addr, m.State = me.Name, me.Incarnation, me.Word+1, me.Addr, me.State
-	if !m.Usable() {
+	me := n.book.Self()
+	m.Name, m.Incarnation, m.MetaVersion, m.Addr, m.State = me.Name, me.Incarnation, me.MetaVersion+1, me.Addr, me.State
+	if !m.IsValid() {
 		return errWord
 	}
 	if _, err := n.encodeMember(m); err != nil {
 		return err
 	}
-	n.book.Change(n.Now(), m)
+	n.book.UpdateSelf(n.Now(), m)
 	n.wake()
 	return nil
 }
 
 // Before takes from this instance's own store which life it had before: that one is over, whatever others believe.
 func (n *Node) Before(incarnation uint64) {
-	me := n.book.Me()
+	me := n.book.Self()
 	if incarnation != me.Incarnation {
-		n.book.Told(n.Now(), membership.Member{Name: me.Name, Incarnation: incarnation, State: membership.Gone})
+		n.book.ApplyUpdate(n.Now(), membership.Member{Name: me.Name, Incarnation: incarnation, State: membership.Dead})
 		n.wake()
 	}
 }
@@ -267,7 +267,7 @@
 		return &TooBig{to, len(body)}
 	}
 	n.mu.Lock()
-	node, there := n.nodes[n.watch.Key(to)]
+	node, there := n.nodes[n.watch.NodeName(to)]
 	closed := n.closed
 	n.mu.Unlock()
 	if !there || closed {
@@ -289,7 +289,7 @@
 	}
 	n.work.Go(func() {
 		defer func() { <-n.sends }()
-		done <- n.list.SendReliable(&node, head(topic, n.book.Me(), body))
+		done <- n.list.SendReliable(&node, head(topic, n.book.Self(), body))
 	})
 	n.mu.Unlock()
 	select {
@@ -335,7 +335,7 @@
 		most = max(time.Millisecond, min(most, time.Until(until)/3))
 	}
 	said := n.list.UpdateNode(most)
-	me := n.book.Me()
+	me := n.book.Self()
 	word := head(wordTopic, me, encodeEnds([]membership.Member{me}))
 	for _, one := range n.list.Members() { // guards against the library's word of leaving coming before ours
 		if one.Name != n.list.LocalNode().Name {
--- a/cluster/gossip/gossip_test.go
+++ b/cluster/gossip/gossip_test.go
@@ -55,7 +55,7 @@
 func (w *world) put(n *Node, side int) {
 	w.Lock()
 	defer w.Unlock()
-	w.side[n.Book().Me().Addr] = side
+	w.side[n.Book().Self().Addr] = side
 }
 
 func start(t *testing.T, w *world, name string, listed []string, change func(*Options)) *Node {
@@ -66,7 +66,7 @@
 	}
 	n, err := Start(t.Context(), o)
 	require.NoError(t, err)
-	addr.Store(n.Book().Me().Addr)
+	addr.Store(n.Book().Self().Addr)
 	t.Cleanup(n.Close)
 	return n
 }
@@ -89,12 +89,12 @@
 	for _, name := range names {
 		all = append(all, start(t, w, name, names, func(o *Options) {
 			if len(all) > 0 {
-				o.Join = []string{all[0].Book().Me().Addr}
+				o.Join = []string{all[0].Book().Self().Addr}
 			}
 		}))
 	}
 	for _, n := range all {
-		until(t, "all are heard", func() bool { heard, of := n.Book().Heard(0); return heard == of })
+		until(t, "all are heard", func() bool { heard, of := n.Book().CountAliveVoters(0); return heard == of })
 	}
 	return all
 }
@@ -103,26 +103,26 @@
 	t.Parallel()
 	w := &world{side: map[string]int{}}
 	all := fleetOf(t, w, "a", "b", "c", "d", "e")
-	was := all[4].Book().Me().Incarnation
+	was := all[4].Book().Self().Incarnation
 	w.put(all[3], 1)
 	w.put(all[4], 1)
-	until(t, "a minority has no majority", func() bool { return !all[3].Book().Majority(0) && !all[4].Book().Majority(0) })
-	until(t, "the others give them up", func() bool { return state(all[0], "d") == membership.Gone && state(all[0], "e") == membership.Gone })
-	require.True(t, all[0].Book().Majority(0))
-	require.NotEqual(t, membership.Gone, state(all[4], "a"), "a minority gives nobody up")
+	until(t, "a minority has no majority", func() bool { return !all[3].Book().HasMajority(0) && !all[4].Book().HasMajority(0) })
+	until(t, "the others give them up", func() bool { return state(all[0], "d") == membership.Dead && state(all[0], "e") == membership.Dead })
+	require.True(t, all[0].Book().HasMajority(0))
+	require.NotEqual(t, membership.Dead, state(all[4], "a"), "a minority gives nobody up")
 	w.put(all[3], 0)
 	w.put(all[4], 0)
 	for _, n := range all {
-		until(t, "all are back", func() bool { heard, _ := n.Book().Heard(0); return heard == 5 })
+		until(t, "all are back", func() bool { heard, _ := n.Book().CountAliveVoters(0); return heard == 5 })
 	}
-	require.Greater(t, all[4].Book().Me().Incarnation, was, "as another incarnation")
-	require.Empty(t, all[0].Book().Conflicts())
+	require.Greater(t, all[4].Book().Self().Incarnation, was, "as another incarnation")
+	require.Empty(t, all[0].Book().NameConflicts())
 
-	at := all[1].Book().Me()
+	at := all[1].Book().Self()
 	all[1].Close()
-	until(t, "a kill is noticed", func() bool { return state(all[0], "b") == membership.Gone })
+	until(t, "a kill is noticed", func() bool { return state(all[0], "b") == membership.Dead })
 	again := start(t, w, "b", []string{"a", "b", "c", "d", "e"}, func(o *Options) {
-		o.Listen, o.Join = at.Addr, []string{all[2].Book().Me().Addr}
+		o.Listen, o.Join = at.Addr, []string{all[2].Book().Self().Addr}
 	})
 	until(t, "a restart is there", func() bool { return state(all[0], "b") == membership.Alive })
 	again.Leave(context.Background()) // on a busy machine it may say that nobody has the word yet
@@ -133,18 +133,21 @@
 	t.Parallel()
 	w := &world{side: map[string]int{}}
 	all := fleetOf(t, w, "a", "b", "c")
-	two := start(t, w, "c", []string{"a", "b", "c"}, func(o *Options) { o.Join = []string{all[0].Book().Me().Addr} })
+	two := start(t, w, "c", []string{"a", "b", "c"}, func(o *Options) { o.Join = []string{all[0].Book().Self().Addr} })
 	for _, n := range append(all, two) {
-		until(t, "all say so", func() bool { return len(n.Book().Conflicts()) == 1 && n.Book().Conflicts()[0] == "c" })
+		until(t, "all say so", func() bool { return len(n.Book().NameConflicts()) == 1 && n.Book().NameConflicts()[0] == "c" })
 	}
-	require.False(t, two.Book().Majority(0))
-	require.False(t, all[2].Book().Majority(0))
-	until(t, "it is not counted", func() bool { heard, _ := all[0].Book().Heard(0); return heard == 2 })
+	require.False(t, two.Book().HasMajority(0))
+	require.False(t, all[2].Book().HasMajority(0))
+	until(t, "it is not counted", func() bool { heard, _ := all[0].Book().CountAliveVoters(0); return heard == 2 })
 	two.Close()
 	for _, n := range all {
-		until(t, "over with the second", func() bool { heard, _ := n.Book().Heard(0); return heard == 3 && len(n.Book().Conflicts()) == 0 })
+		until(t, "over with the second", func() bool {
+			heard, _ := n.Book().CountAliveVoters(0)
+			return heard == 3 && len(n.Book().NameConflicts()) == 0
+		})
 	}
-	require.Greater(t, all[2].Book().Me().Incarnation, two.Book().Me().Incarnation, "the older life is not outlived by a dead one")
+	require.Greater(t, all[2].Book().Self().Incarnation, two.Book().Self().Incarnation, "the older life is not outlived by a dead one")
 }
 
 func TestMessagesAndWhatIsSaid(t *testing.T) {
@@ -158,18 +161,18 @@
 	require.Equal(t, append([]byte("a:"), big...), <-got)
 	require.True(t, advice.HasType[*TooBig](all[0].Send(t.Context(), "b", 7, make([]byte, BodyMost+1))))
 	require.True(t, advice.HasType[*Away](all[0].Send(t.Context(), "x", 7, nil)))
-	m := all[0].Book().Me()
-	m.Generation, m.Program, m.Parts = 9, "v2", []string{"rollout"}
+	m := all[0].Book().Self()
+	m.SettingsGeneration, m.ProgramVersion, m.Capabilities = 9, "v2", []string{"rollout"}
 	require.NoError(t, all[0].Update(m))
 	until(t, "what is said comes through", func() bool {
 		m := all[1].Book().Members()[0]
-		return m.Generation == 9 && m.Program == "v2" && len(m.Parts) == 1
+		return m.SettingsGeneration == 9 && m.ProgramVersion == "v2" && len(m.Capabilities) == 1
 	})
 	for range 16 {
-		m.Parts = append(m.Parts, string(bytes.Repeat([]byte("p"), 100)))
+		m.Capabilities = append(m.Capabilities, string(bytes.Repeat([]byte("p"), 100)))
 	}
 	require.Error(t, all[0].Update(m))
-	m.Parts = m.Parts[:8]
+	m.Capabilities = m.Capabilities[:8]
 	require.True(t, advice.HasType[*TooLong](all[0].Update(m)))
 }
 
@@ -248,11 +251,11 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		until(t, "through relays", func() bool { heard, _ := n.Book().Heard(0); return heard == 3 })
+		until(t, "through relays", func() bool { heard, _ := n.Book().CountAliveVoters(0); return heard == 3 })
 	}
 	for range 20 { // acknowledgements come back through them too
 		time.Sleep(100 * time.Millisecond)
-		heard, _ := all[0].Book().Heard(0)
+		heard, _ := all[0].Book().CountAliveVoters(0)
 		require.Equal(t, 3, heard)
 	}
 }
@@ -263,7 +266,7 @@
 	require.NoError(t, err)
 	defer ln.Close()
 	for _, o := range []Options{{Listen: ln.LocalAddr().String()}, {Listen: "here"}, {Listen: "0.0.0.0:1"}, {Listen: "127.0.0.1:0", Key: []byte("x")},
-		{Listen: "127.0.0.1:0", Me: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), Program: string(make([]byte, 200))}}} {
+		{Listen: "127.0.0.1:0", Me: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), ProgramVersion: string(make([]byte, 200))}}} {
 		_, err := Start(t.Context(), o)
 		require.Error(t, err)
 		require.NotEmpty(t, advice.For(err), "%v", err)
@@ -314,7 +317,7 @@
 	key := func(b byte) []byte { return bytes.Repeat([]byte{b}, 32) }
 	listed := []string{"a", "b", "c"}
 	a := start(t, w, "a", listed, func(o *Options) { o.Key, o.Log = key(1), slog.New(slog.NewTextHandler(out, nil)) })
-	join := []string{a.Book().Me().Addr}
+	join := []string{a.Book().Self().Addr}
 	b := start(t, w, "b", listed, func(o *Options) { o.Key, o.Join = key(2), join })
 	c := start(t, w, "c", listed, func(o *Options) { o.Key, o.Older, o.Join = key(1), [][]byte{key(2)}, join })
 	until(t, "one key", func() bool { return state(a, "c") == membership.Alive && state(c, "a") == membership.Alive })
--- a/cluster/gossip/others_test.go
+++ b/cluster/gossip/others_test.go
@@ -44,9 +44,9 @@
 		logs[name] = &logged{}
 		n := start(t, w, name, listed, func(o *Options) {
 			o.Key, o.Log = bytes.Repeat([]byte{7}, 32), slog.New(slog.NewTextHandler(logs[name], nil))
-			o.Whose = membership.IdentityOf("", []string{tenant, "other"})
+			o.Whose = membership.NewIdentity("", []string{tenant, "other"})
 			for _, j := range join {
-				o.Join = append(o.Join, j.Book().Me().Addr)
+				o.Join = append(o.Join, j.Book().Self().Addr)
 			}
 		})
 		n.Handle(9, func(from string, body []byte) { heard <- from + " " + string(body) })
@@ -59,13 +59,13 @@
 	d := of("d", "globex", globex, c, b)
 	all := map[string]*Node{"a": a, "b": b, "c": c, "d": d}
 	for name, n := range all {
-		until(t, "its own are heard", func() bool { heard, of := n.Book().Heard(0); return heard == of })
+		until(t, "its own are heard", func() bool { heard, of := n.Book().CountAliveVoters(0); return heard == of })
 		until(t, "the others are refused", func() bool { return strings.Contains(logs[name].String(), "msg=fleet_other") })
 	}
 	// An instance whose address another fleet's now has sends to that: the message comes and is not heard.
-	at := netip.MustParseAddrPort(a.Book().Me().Addr)
+	at := netip.MustParseAddrPort(a.Book().Self().Addr)
 	to := &memberlist.Node{Name: a.own, Addr: at.Addr().AsSlice(), Port: at.Port()}
-	require.NoError(t, c.list.SendReliable(to, head(9, c.Book().Me(), []byte("of another"))))
+	require.NoError(t, c.list.SendReliable(to, head(9, c.Book().Self(), []byte("of another"))))
 	time.Sleep(strangerMost + joinEvery) // tries to join come again meanwhile
 	require.NoError(t, b.Send(t.Context(), "a", 9, []byte("its own")))
 	select {
@@ -76,7 +76,7 @@
 	}
 	for name, n := range all {
 		for other := range all {
-			if listed := n.Book().Listed(other); !listed {
+			if listed := n.Book().IsVoter(other); !listed {
 				require.Equal(t, membership.State(-1), state(n, other), "%s at %s", other, name)
 				require.Error(t, n.Send(t.Context(), other, 9, nil))
 			}
@@ -94,14 +94,14 @@
 	w := &world{side: map[string]int{}}
 	listed := []string{"a", "b", "c"}
 	var all []*Node
-	for i, id := range []membership.Identity{membership.IdentityOf("live", []string{"acme"}), {}, membership.IdentityOf("", []string{"acme", "globex"})} {
+	for i, id := range []membership.Identity{membership.NewIdentity("live", []string{"acme"}), {}, membership.NewIdentity("", []string{"acme", "globex"})} {
 		all = append(all, start(t, w, listed[i], listed, func(o *Options) {
 			if o.Whose = id; i > 0 {
-				o.Join = []string{all[0].Book().Me().Addr}
+				o.Join = []string{all[0].Book().Self().Addr}
 			}
 		}))
 	}
 	for _, n := range all {
-		until(t, "all are heard", func() bool { heard, of := n.Book().Heard(0); return heard == of })
+		until(t, "all are heard", func() bool { heard, of := n.Book().CountAliveVoters(0); return heard == of })
 	}
 }
--- a/cluster/gossip/run.go
+++ b/cluster/gossip/run.go
@@ -25,7 +25,7 @@
 func (d *delegate) node() *Node { return (*Node)(d) }
 
 func (d *delegate) NodeMeta(limit int) []byte {
-	text, err := d.node().encodeMember(d.book.Me())
+	text, err := d.node().encodeMember(d.book.Self())
 	if err != nil || len(text) > limit {
 		return nil // Start and Update have looked at it
 	}
@@ -34,7 +34,7 @@
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte { return nil }
 
-func (d *delegate) LocalState(join bool) []byte { return encodeEnds(d.book.Ended()) }
+func (d *delegate) LocalState(join bool) []byte { return encodeEnds(d.book.EndedIncarnations()) }
 
 func (d *delegate) MergeRemoteState(text []byte, join bool) { d.node().takeEnds(text) }
 
@@ -74,18 +74,18 @@
 // other tells whether an instance is of another fleet.
 func (n *Node) other(node *memberlist.Node) error {
 	var w word
-	if len(node.Meta) > metaMost || n.decoding.Unmarshal(node.Meta, &w) != nil || !w.Whose.Usable() || !n.o.Whose.Other(w.Whose) {
+	if len(node.Meta) > metaMost || n.decoding.Unmarshal(node.Meta, &w) != nil || !w.Whose.IsValid() || !n.o.Whose.ConflictsWith(w.Whose) {
 		return nil // what cannot be read is left to takeEvents
 	}
-	return &membership.OthersInstance{Name: w.Name, Addr: node.Address(), Theirs: w.Whose, Ours: n.o.Whose}
+	return &membership.ForeignInstanceError{Name: w.Name, Addr: node.Address(), Theirs: w.Whose, Ours: n.o.Whose}
 }
 
 // stranger tells whether an instance that sends has not been taken in, here or by the library.
 func (n *Node) stranger(name string, incarnation uint64) bool {
-	if !n.o.Whose.Known() { // nobody is refused
+	if !n.o.Whose.IsSpecified() { // nobody is refused
 		return false
 	}
-	if _, known := n.book.Standing(name, incarnation); known {
+	if _, known := n.book.IncarnationState(name, incarnation); known {
 		return false
 	}
 	n.events.Lock()
@@ -117,7 +117,7 @@
 		}
 		return
 	}
-	if state, known := n.book.Standing(from, incarnation); known && state.Over() { // guards against an old voice
+	if state, known := n.book.IncarnationState(from, incarnation); known && state.IsTerminal() { // guards against an old voice
 		return
 	}
 	// Guards against an instance of another fleet at an address where one of this fleet was: who was refused is not heard.
@@ -149,7 +149,7 @@
 		return false
 	}
 	for _, m := range all {
-		n.book.Told(n.Now(), m)
+		n.book.ApplyUpdate(n.Now(), m)
 		mine = mine || m.Name == n.o.Me.Name
 	}
 	n.wake()
@@ -196,24 +196,24 @@
 		case <-n.kick:
 		case a := <-answers:
 			n.mu.Lock()
-			n.watch.Answered(n.Now(), a.key, a.ok)
+			n.watch.RecordPingResult(n.Now(), a.key, a.ok)
 			n.mu.Unlock()
 		case <-tick.C:
 		}
 		n.mu.Lock()
 		n.takeEvents()
 		n.watch.Tick(n.Now())
-		due, refused := n.watch.Due(n.Now()), []membership.Refusal(nil)
+		due, refused := n.watch.DuePings(n.Now()), []membership.RejectedNode(nil)
 		if time.Since(s.refused) >= refusedEvery {
 			s.refused = time.Now()
-			refused = n.watch.Refused()
+			refused = n.watch.RejectedNodes()
 		}
 		nodes := make(map[string]memberlist.Node, len(due))
 		for _, key := range due {
 			nodes[key] = n.nodes[key]
 		}
 		for _, r := range refused {
-			nodes[r.Key] = n.nodes[r.Key]
+			nodes[r.NodeName] = n.nodes[r.NodeName]
 		}
 		n.mu.Unlock()
 		for _, key := range due {
@@ -221,10 +221,10 @@
 			n.work.Go(func() { n.ping(key, node, answers) })
 		}
 		for _, r := range refused {
-			node := nodes[r.Key]
-			n.list.SendBestEffort(&node, head(wordTopic, n.book.Me(), encodeEnds(r.Ends)))
+			node := nodes[r.NodeName]
+			n.list.SendBestEffort(&node, head(wordTopic, n.book.Self(), encodeEnds(r.EndedIncarnations)))
 		}
-		if me := n.book.Me(); !me.Same(s.me) || me.Incarnation != s.me.Incarnation ||
+		if me := n.book.Self(); !me.EqualMetadata(s.me) || me.Incarnation != s.me.Incarnation ||
 			n.unheard.Load() && time.Since(s.said) >= sayEvery { // guards against words of mine that were lost on the way
 			n.unheard.Store(false)
 			s.said = time.Now()
@@ -264,21 +264,21 @@
 			continue
 		}
 		if !e.there {
-			n.watch.Missing(now, key)
+			n.watch.RecordNodeMissing(now, key)
 			continue
 		}
 		m, err := n.decodeMember(e.node.Meta, e.node.Address())
 		if err != nil {
 			continue
 		}
-		n.watch.There(now, key, m)
+		n.watch.RecordNodeAlive(now, key, m)
 		n.nodes[key] = e.node
-		if n.book.Listed(m.Name) {
+		if n.book.IsVoter(m.Name) {
 			n.last[m.Name] = m.Addr
 		}
 	}
 	for key := range n.nodes { // lives that the watch has done with
-		if !n.watch.Follows(key) {
+		if !n.watch.IsTracked(key) {
 			delete(n.nodes, key)
 		}
 	}
@@ -292,15 +292,15 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		m, was := now[name], s.members[name]
-		if was.Name != "" && m.State == was.State && m.Incarnation == was.Incarnation && m.Same(was) && m.Addr == was.Addr {
+		if was.Name != "" && m.State == was.State && m.Incarnation == was.Incarnation && m.EqualMetadata(was) && m.Addr == was.Addr {
 			continue
 		}
 		if lines.Allow() {
 			n.log.Info("fleet_member", "name", m.Name, "state", m.State.String(), "incarnation", m.Incarnation, "addr", m.Addr,
-				"region", m.Region, "zone", m.Zone, "program", m.Program, "generation", m.Generation)
+				"region", m.Region, "zone", m.Zone, "program", m.ProgramVersion, "generation", m.SettingsGeneration)
 		}
 	}
-	conflicts := n.book.Conflicts()
+	conflicts := n.book.NameConflicts()
 	for _, name := range conflicts {
 		if !slices.Contains(s.conflicts, name) {
 			n.log.Error("fleet_name_twice", advice.LogAttrs(&NameTwice{name})...)
@@ -311,8 +311,8 @@
 			n.log.Info("fleet_name_settled", "name", name)
 		}
 	}
-	if majority := n.book.Majority(n.Now()); majority != s.majority {
-		heard, of := n.book.Heard(n.Now())
+	if majority := n.book.HasMajority(n.Now()); majority != s.majority {
+		heard, of := n.book.CountAliveVoters(n.Now())
 		n.log.Info("fleet_majority", "majority", majority, "heard", heard, "of", of)
 		s.majority = majority
 	}
@@ -350,9 +350,9 @@
 func (n *Node) absent() (all []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	there := map[string]bool{n.book.Me().Addr: true}
+	there := map[string]bool{n.book.Self().Addr: true}
 	for key, node := range n.nodes {
-		if n.watch.Here(key) {
+		if n.watch.IsPresent(key) {
 			there[node.Address()] = true
 		}
 	}
@@ -363,7 +363,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.last)) {
-		if addr := n.last[name]; !there[addr] && n.book.Listed(name) {
+		if addr := n.last[name]; !there[addr] && n.book.IsVoter(name) {
 			there[addr] = true
 			all = append(all, addr)
 		}
--- a/cluster/gossip/wire_golden_test.go
+++ b/cluster/gossip/wire_golden_test.go
@@ -25,10 +25,10 @@
 func TestGoldenGossipMessages(t *testing.T) {
 	identity := membership.Identity{Cluster: "live", Tenants: []uint32{0x01020304, 0xfffefdfc}}
 	node := func(whose membership.Identity) *Node { return &Node{o: Options{Whose: whose}, decoding: newDecoding()} }
-	full := membership.Member{Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, Word: 7, Look: 9, Region: "eu-west", Zone: "eu-west-1a",
-		Program: "v1.2.3", Generation: 42, Parts: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", Since: 5}
+	full := membership.Member{Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, MetaVersion: 7, SuspicionVersion: 9, Region: "eu-west", Zone: "eu-west-1a",
+		ProgramVersion: "v1.2.3", SettingsGeneration: 42, Capabilities: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", StateSince: 5}
 	decoded := full // neither Look nor Since is sent, and the address comes from the membership library
-	decoded.Look, decoded.Since, decoded.Addr = 0, 0, "192.0.2.9:7946"
+	decoded.SuspicionVersion, decoded.StateSince, decoded.Addr = 0, 0, "192.0.2.9:7946"
 	member := func(name string, whose membership.Identity, state, wantState membership.State) goldenForm {
 		sent, want := full, decoded
 		sent.State, want.State = state, wantState
@@ -36,7 +36,7 @@
 			func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, want}
 	}
 	shortest := membership.Member{Name: "g", Incarnation: 1}
-	ends := []membership.Member{{Name: "gateway-2", Incarnation: 11, State: membership.Gone}, {Name: "gateway-3", Incarnation: 12, State: membership.Left}}
+	ends := []membership.Member{{Name: "gateway-2", Incarnation: 11, State: membership.Dead}, {Name: "gateway-3", Incarnation: 12, State: membership.Left}}
 	requireGolden(t, "messages.golden", []goldenForm{
 		member("member", identity, membership.Alive, membership.Alive),
 		member("member-without-identity", membership.Identity{}, membership.Alive, membership.Alive),
--- a/cluster/gossip/words.go
+++ b/cluster/gossip/words.go
@@ -12,7 +12,7 @@
 const (
 	metaMost  = 512     // bytes that an instance says of itself: the library's bound
 	wordsMost = 2 << 20 // bytes of others' words at once: two ended lives of 1000 names take a fifth of it
-	listMost  = 2 * membership.MembersMost
+	listMost  = 2 * membership.MaxMembers
 	headMost  = 256 // bytes of a message before its body: name, incarnation, topic
 )
 
@@ -45,7 +45,7 @@
 	if state == membership.Suspect {
 		state = membership.Alive // no one suspects itself
 	}
-	text, err := cbor.Marshal(word{m.Name, m.Incarnation, m.Word, state, m.Region, m.Zone, m.Program, m.Generation, m.Parts, n.o.Whose})
+	text, err := cbor.Marshal(word{m.Name, m.Incarnation, m.MetaVersion, state, m.Region, m.Zone, m.ProgramVersion, m.SettingsGeneration, m.Capabilities, n.o.Whose})
 	if err == nil && len(text) > metaMost {
 		err = &TooLong{len(text)}
 	}
@@ -55,9 +55,9 @@
 var errWord = errors.New("a word that cannot be used")
 
 func (w word) member(addr string) (membership.Member, error) {
-	m := membership.Member{Name: w.Name, Incarnation: w.Incarnation, Word: w.Word, State: w.State, Region: w.Region, Zone: w.Zone,
-		Program: w.Program, Generation: w.Generation, Parts: w.Parts, Addr: addr}
-	if !m.Usable() {
+	m := membership.Member{Name: w.Name, Incarnation: w.Incarnation, MetaVersion: w.Word, State: w.State, Region: w.Region, Zone: w.Zone,
+		ProgramVersion: w.Program, SettingsGeneration: w.Generation, Capabilities: w.Parts, Addr: addr}
+	if !m.IsValid() {
 		return m, errWord
 	}
 	return m, nil
@@ -97,7 +97,7 @@
 	}
 	for _, w := range words {
 		m, err := word{Name: w.Name, Incarnation: w.Incarnation, State: w.State}.member("")
-		if err != nil || !m.State.Over() {
+		if err != nil || !m.State.IsTerminal() {
 			return nil, errWord
 		}
 		all = append(all, m)
--- a/cluster/membership/identity_test.go
+++ b/cluster/membership/identity_test.go
@@ -38,15 +38,15 @@
 		"no tenants":                          {side{"", nil}, side{"", []string{"acme"}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := IdentityOf(c.a.cluster, c.a.tenants), IdentityOf(c.b.cluster, c.b.tenants)
-			require.Equal(t, c.other, a.Other(b))
-			require.Equal(t, c.other, b.Other(a))
-			require.False(t, a.Other(a))
-			require.True(t, a.Usable())
+			a, b := NewIdentity(c.a.cluster, c.a.tenants), NewIdentity(c.b.cluster, c.b.tenants)
+			require.Equal(t, c.other, a.ConflictsWith(b))
+			require.Equal(t, c.other, b.ConflictsWith(a))
+			require.False(t, a.ConflictsWith(a))
+			require.True(t, a.IsValid())
 		})
 	}
-	require.False(t, Identity{}.Known())
-	require.Contains(t, (&OthersStore{Identity{Cluster: "live"}, Identity{Cluster: "trial"}}).Error(), `cluster "live"; this one: cluster "trial"`)
-	require.NotEmpty(t, (&OthersStore{}).Advice())
-	require.NotEmpty(t, (&OthersInstance{}).Advice())
+	require.False(t, Identity{}.IsSpecified())
+	require.Contains(t, (&ForeignStoreError{Identity{Cluster: "live"}, Identity{Cluster: "trial"}}).Error(), `cluster "live"; this one: cluster "trial"`)
+	require.NotEmpty(t, (&ForeignStoreError{}).Advice())
+	require.NotEmpty(t, (&ForeignInstanceError{}).Advice())
 }
--- a/cluster/membership/swimsim/swim.go
+++ b/cluster/membership/swimsim/swim.go
@@ -18,7 +18,7 @@
 	ms         = 10
 	Second     = 1000 * ms
 	probeEvery = 500 * ms
-	ackMost    = membership.PingMost
+	ackMost    = membership.PingTimeout
 	newsEvery  = 200 * ms
 	newsNodes  = 3
 	newsMost   = 12 // items of a packet: 1400 bytes
@@ -56,11 +56,11 @@
 	NodeName  string
 	Running   bool
 	Paused    bool // stopped by SIGSTOP
-	Table     *membership.Book
+	Table     *membership.Table
 	BytesSent int64 // bytes
 
 	w       *Cluster
-	watch   *membership.Watch
+	watch   *membership.FailureDetector
 	nodes   map[string]*node
 	ids     []string // of nodes, in the order in which they came
 	round   []string
@@ -201,9 +201,9 @@
 func (w *Cluster) Start(no int) {
 	w.spare += 1000
 	me := membership.Member{Name: InstanceName(no), Incarnation: uint64(w.spare), Addr: fmt.Sprint("addr-", no)}
-	i := &Instance{Index: no, NodeName: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Running: true, w: w, Table: membership.New(me, w.listed),
+	i := &Instance{Index: no, NodeName: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Running: true, w: w, Table: membership.NewTable(me, w.listed),
 		nodes: map[string]*node{}, last: map[string]int{}, said: me}
-	i.watch = membership.NewWatch(i.Table, rand.New(rand.NewSource(w.dice.Int63())))
+	i.watch = membership.NewFailureDetector(i.Table, rand.New(rand.NewSource(w.dice.Int63())))
 	w.Instances[no] = i
 	i.every(probeEvery, i.probe)
 	i.every(newsEvery, i.gossip)
@@ -228,8 +228,8 @@
 	i.sayMe()
 	word := membership.Member{Name: i.said.Name, Incarnation: i.said.Incarnation, State: membership.Left}
 	for _, key := range i.ids {
-		if n := i.nodes[key]; n != nil && n.state != membership.Gone {
-			i.packet(n.no, pingBytes, func(to *Instance) { to.Table.Told(w.Now, word) })
+		if n := i.nodes[key]; n != nil && n.state != membership.Dead {
+			i.packet(n.no, pingBytes, func(to *Instance) { to.Table.ApplyUpdate(w.Now, word) })
 		}
 	}
 	i.gossip()
@@ -328,7 +328,7 @@
 		key := i.round[0]
 		i.round = i.round[1:]
 		n := i.nodes[key]
-		if n == nil || n.state == membership.Gone {
+		if n == nil || n.state == membership.Dead {
 			continue
 		}
 		inc := n.inc
@@ -368,7 +368,7 @@
 
 func (i *Instance) reap() {
 	i.ids = slices.DeleteFunc(i.ids, func(key string) bool {
-		if n := i.nodes[key]; n.state == membership.Gone && i.w.Now-n.since > deadTold {
+		if n := i.nodes[key]; n.state == membership.Dead && i.w.Now-n.since > deadTold {
 			delete(i.nodes, key)
 			return true
 		}
@@ -386,7 +386,7 @@
 	if len(i.news) == 0 {
 		return
 	}
-	for _, key := range i.some(newsNodes, func(n *node) bool { return n.state != membership.Gone || i.w.Now-n.since < deadTold }) {
+	for _, key := range i.some(newsNodes, func(n *node) bool { return n.state != membership.Dead || i.w.Now-n.since < deadTold }) {
 		if len(i.news) > 0 {
 			i.laden(i.nodes[key].no, 0, func(*Instance) {})
 		}
@@ -419,7 +419,7 @@
 	}
 	n := i.nodes[t.key]
 	if n == nil {
-		n = &node{state: membership.Gone}
+		n = &node{state: membership.Dead}
 		i.nodes[t.key] = n
 		i.ids = append(i.ids, t.key)
 	} else if t.inc <= n.inc {
@@ -429,8 +429,8 @@
 	n.m, n.no, n.inc, n.state, n.since = t.m, t.no, t.inc, membership.Alive, i.w.Now
 	i.spread(t.key, n)
 	i.last[n.m.Name] = n.no
-	if was.state == membership.Gone || !was.m.Same(n.m) || was.m.Incarnation != n.m.Incarnation || was.m.State != n.m.State {
-		i.watch.There(i.w.Now, t.key, n.m)
+	if was.state == membership.Dead || !was.m.EqualMetadata(n.m) || was.m.Incarnation != n.m.Incarnation || was.m.State != n.m.State {
+		i.watch.RecordNodeAlive(i.w.Now, t.key, n.m)
 	}
 }
 
@@ -465,8 +465,8 @@
 }
 
 func (i *Instance) dead(key string, inc uint32) {
-	if i.worse(key, inc, membership.Gone) != nil {
-		i.watch.Missing(i.w.Now, key)
+	if i.worse(key, inc, membership.Dead) != nil {
+		i.watch.RecordNodeMissing(i.w.Now, key)
 	}
 }
 
@@ -481,8 +481,8 @@
 			return
 		}
 		mine, his := i.whole(), to.whole()
-		i.merge(his, to.Table.Ended())
-		to.merge(mine, i.Table.Ended())
+		i.merge(his, to.Table.EndedIncarnations())
+		to.merge(mine, i.Table.EndedIncarnations())
 		i.BytesSent += int64(listBytes * len(mine))
 		to.BytesSent += int64(listBytes * len(his))
 	})
@@ -493,7 +493,7 @@
 	for _, key := range i.ids {
 		n := i.nodes[key]
 		state := n.state
-		if state == membership.Gone {
+		if state == membership.Dead {
 			state = membership.Suspect // what one has given up the other looks at first
 		}
 		all = append(all, item{key: key, m: n.m, no: n.no, inc: n.inc, state: state})
@@ -506,7 +506,7 @@
 		i.take(t)
 	}
 	for _, m := range ended {
-		i.Table.Told(i.w.Now, m)
+		i.Table.ApplyUpdate(i.w.Now, m)
 	}
 }
 
@@ -514,31 +514,31 @@
 func (i *Instance) step() {
 	now := i.w.Now
 	i.watch.Tick(now)
-	for _, key := range i.watch.Due(now) {
+	for _, key := range i.watch.DuePings(now) {
 		n := i.nodes[key]
 		if n == nil { // the library has forgotten it
-			i.watch.Answered(now, key, false)
+			i.watch.RecordPingResult(now, key, false)
 			continue
 		}
-		i.ping(key, n.no, func(ok bool) { i.watch.Answered(i.w.Now, key, ok) })
+		i.ping(key, n.no, func(ok bool) { i.watch.RecordPingResult(i.w.Now, key, ok) })
 	}
-	if me := i.Table.Me(); me.Incarnation != i.said.Incarnation || !me.Same(i.said) || i.unheard && now-i.spoke >= Second {
+	if me := i.Table.Self(); me.Incarnation != i.said.Incarnation || !me.EqualMetadata(i.said) || i.unheard && now-i.spoke >= Second {
 		i.unheard, i.spoke = false, now
 		i.sayMe()
 	}
 }
 
 func (i *Instance) sayMe() {
-	i.said = i.Table.Me()
+	i.said = i.Table.Self()
 	i.inc++
 	i.spread(i.NodeName, &node{m: i.said, no: i.Index, inc: i.inc, state: membership.Alive})
 }
 
 func (i *Instance) tell() {
-	for _, r := range i.watch.Refused() {
-		i.packet(i.nodes[r.Key].no, pingBytes, func(to *Instance) {
-			for _, m := range r.Ends {
-				to.Table.Told(i.w.Now, m)
+	for _, r := range i.watch.RejectedNodes() {
+		i.packet(i.nodes[r.NodeName].no, pingBytes, func(to *Instance) {
+			for _, m := range r.EndedIncarnations {
+				to.Table.ApplyUpdate(i.w.Now, m)
 			}
 			to.unheard = true
 		})
@@ -549,7 +549,7 @@
 func (i *Instance) join() {
 	there := map[int]bool{i.Index: true}
 	for _, key := range i.ids {
-		if i.watch.Here(key) {
+		if i.watch.IsPresent(key) {
 			there[i.nodes[key].no] = true
 		}
 	}
--- a/cluster/membership/swimsim/swim_test.go
+++ b/cluster/membership/swimsim/swim_test.go
@@ -35,17 +35,17 @@
 				}
 			}
 			if at-changed > settled && 2*with <= n {
-				require.False(t, i.Table.Majority(at), "%s goes on among %d of %d", i.NodeName, with, n)
+				require.False(t, i.Table.HasMajority(at), "%s goes on among %d of %d", i.NodeName, with, n)
 			}
 			for _, m := range i.Table.Members() {
 				at := i.NodeName + " of " + m.Name
 				require.GreaterOrEqual(t, m.Incarnation, highest[at], "%s: an old incarnation came back", at)
 				highest[at] = m.Incarnation
 				life := fmt.Sprint(at, m.Incarnation)
-				require.False(t, over[life] && !m.State.Over(), "%s: a life that was over came back", life)
-				over[life] = m.State.Over()
+				require.False(t, over[life] && !m.State.IsTerminal(), "%s: a life that was over came back", life)
+				over[life] = m.State.IsTerminal()
 			}
-			require.Empty(t, i.Table.Conflicts())
+			require.Empty(t, i.Table.NameConflicts())
 		}
 	}
 	w.RunUntil(5 * Second)
@@ -87,7 +87,7 @@
 	}
 	w.RunUntil(w.Now + 20*Second)
 	for _, i := range w.Instances {
-		heard, _ := i.Table.Heard(w.Now)
+		heard, _ := i.Table.CountAliveVoters(w.Now)
 		require.Equal(t, n, heard, "%s: all are back", i.NodeName)
 		for _, m := range i.Table.Members() {
 			require.Equal(t, w.Instances[0].Table.Members()[slot(w, m.Name)].Incarnation, m.Incarnation, "one book")
@@ -110,33 +110,33 @@
 	w := NewCluster(1, 60)
 	w.RunUntil(10 * Second)
 	for _, i := range w.Instances {
-		heard, _ := i.Table.Heard(w.Now)
+		heard, _ := i.Table.CountAliveVoters(w.Now)
 		require.Equal(t, 60, heard)
 	}
 	w.IsPartitioned = func(from, to int) bool { return (from == 7) != (to == 7) }
 	w.RunUntil(13 * Second)
-	require.False(t, w.Instances[7].Table.Majority(w.Now), "the library alone would need half a minute")
+	require.False(t, w.Instances[7].Table.HasMajority(w.Now), "the library alone would need half a minute")
 	w.RunUntil(20 * Second)
 	for _, m := range w.Instances[7].Table.Members() {
-		require.NotEqual(t, membership.Gone, m.State)
+		require.NotEqual(t, membership.Dead, m.State)
 	}
-	state, _ := w.Instances[0].Table.Standing(InstanceName(7), w.Instances[7].Table.Me().Incarnation)
-	require.Equal(t, membership.Gone, state)
+	state, _ := w.Instances[0].Table.IncarnationState(InstanceName(7), w.Instances[7].Table.Self().Incarnation)
+	require.Equal(t, membership.Dead, state)
 }
 
 func TestOneThatWasStoppedBelievesNothingOld(t *testing.T) {
 	w := NewCluster(2, 5)
 	w.RunUntil(6 * Second)
-	require.True(t, w.Instances[3].Table.Majority(w.Now))
+	require.True(t, w.Instances[3].Table.HasMajority(w.Now))
 	w.Pause(3)
 	w.RunUntil(7 * Second)
 	w.IsPartitioned = func(from, to int) bool { return (from == 3) != (to == 3) }
 	w.RunUntil(20 * Second)
-	require.False(t, w.Instances[3].Table.Majority(w.Now), "before it has done anything")
+	require.False(t, w.Instances[3].Table.HasMajority(w.Now), "before it has done anything")
 	w.Resume(3)
-	w.OnStep = func(at int64, w *Cluster) { require.False(t, w.Instances[3].Table.Majority(at)) }
+	w.OnStep = func(at int64, w *Cluster) { require.False(t, w.Instances[3].Table.HasMajority(at)) }
 	w.RunUntil(30 * Second)
 	w.IsPartitioned, w.OnStep = nil, nil
 	w.RunUntil(36 * Second)
-	require.True(t, w.Instances[3].Table.Majority(w.Now))
+	require.True(t, w.Instances[3].Table.HasMajority(w.Now))
 }
--- a/cluster/membership/watch.go
+++ b/cluster/membership/watch.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	ms        = 10
-	PingEvery = 500 * ms        // between pings of one listed instance after the other, and of one that is doubted
-	PingMost  = 300 * ms        // that an answer may take: the longest way round the earth and a busy machine
-	fresh     = 1500 * ms       // that an answer counts for a sweep asked for after it: the gossip gives nobody up sooner after a cut
-	slower    = 3               // doublings of the time between pings of one that stays doubted
-	triesMost = 3               // pings unanswered after which an instance is suspect: of ten packets one may be lost
-	seatsMost = 2 * MembersMost // lives that a watch follows: each name's and the one before it
+	ms           = 10
+	PingInterval = 500 * ms       // between pings of one listed instance after the other, and of one that is doubted
+	PingTimeout  = 300 * ms       // that an answer may take: the longest way round the earth and a busy machine
+	fresh        = 1500 * ms      // that an answer counts for a sweep asked for after it: the gossip gives nobody up sooner after a cut
+	slower       = 3              // doublings of the time between pings of one that stays doubted
+	triesMost    = 3              // pings unanswered after which an instance is suspect: of ten packets one may be lost
+	seatsMost    = 2 * MaxMembers // lives that a watch follows: each name's and the one before it
 )
 
-// Watch decides whom an instance pings itself and what the book is told of whom. The gossip's own detection looks at one
+// FailureDetector decides whom an instance pings itself and what the book is told of whom. The gossip's own detection looks at one
 // instance after the other: one that is cut off from 300 would count them as heard for minutes. So the first that does not
 // answer makes the watch ping all listed at once, again while more are found, and those that do not answer are suspect.
 // What the gossip gives up is only suspect too, until all listed have been pinged since, it has not answered, and more
 // than half are heard: those that are cut off give nobody up. It is one goroutine's.
-type Watch struct {
-	book  *Book
+type FailureDetector struct {
+	book  *Table
 	dice  *rand.Rand
 	seats map[string]*seat
 	gone  int      // seats that are missing
@@ -48,21 +48,21 @@
 	swept   int64 // when the last ping was sent of which the end counts for a sweep
 }
 
-func NewWatch(book *Book, dice *rand.Rand) *Watch {
-	return &Watch{book: book, dice: dice, seats: map[string]*seat{}}
+func NewFailureDetector(book *Table, dice *rand.Rand) *FailureDetector {
+	return &FailureDetector{book: book, dice: dice, seats: map[string]*seat{}}
 }
 
-// There takes from the gossip that a life is there or has changed; key is the gossip's name of it.
-func (w *Watch) There(now int64, key string, m Member) {
+// RecordNodeAlive takes from the gossip that a life is there or has changed; key is the gossip's name of it.
+func (w *FailureDetector) RecordNodeAlive(now int64, key string, m Member) {
 	s := w.seats[key]
 	if s == nil {
-		if len(w.seats) >= seatsMost || !m.Usable() {
+		if len(w.seats) >= seatsMost || !m.IsValid() {
 			return
 		}
-		s = &seat{listed: w.book.Listed(m.Name)}
+		s = &seat{listed: w.book.IsVoter(m.Name)}
 		w.seats[key] = s
 	} else if s.m.Incarnation != m.Incarnation {
-		w.book.Told(now, Member{Name: s.m.Name, Incarnation: s.m.Incarnation, State: Gone}) // it says so itself
+		w.book.ApplyUpdate(now, Member{Name: s.m.Name, Incarnation: s.m.Incarnation, State: Dead}) // it says so itself
 	}
 	s.m = m
 	if s.missing != 0 {
@@ -71,23 +71,23 @@
 		w.gone--
 	}
 	w.tell(now, s)
-	if m.State.Over() {
+	if m.State.IsTerminal() {
 		delete(w.seats, key)
 	}
 }
 
 // tell tells the book how a seat stands.
-func (w *Watch) tell(now int64, s *seat) {
+func (w *FailureDetector) tell(now int64, s *seat) {
 	m := s.m
-	m.Look = s.look
-	if !m.State.Over() && (s.doubt || s.missing != 0) {
+	m.SuspicionVersion = s.look
+	if !m.State.IsTerminal() && (s.doubt || s.missing != 0) {
 		m.State = Suspect
 	}
-	w.book.Told(now, m)
+	w.book.ApplyUpdate(now, m)
 }
 
-// Missing takes from the gossip that it has given a life up.
-func (w *Watch) Missing(now int64, key string) {
+// RecordNodeMissing takes from the gossip that it has given a life up.
+func (w *FailureDetector) RecordNodeMissing(now int64, key string) {
 	if s := w.seats[key]; s != nil && s.missing == 0 {
 		s.missing, s.again = max(1, now), 0
 		if s.tries < triesMost {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Due are the lives to ping now; Answered has to be called for each.
-func (w *Watch) Due(now int64) (keys []string) {
+// DuePings are the lives to ping now; Answered has to be called for each.
+func (w *FailureDetector) DuePings(now int64) (keys []string) {
 	for key, s := range w.seats {
 		if s.asked == 0 && s.listed && (w.sweeps(s) || s.again != 0 && now >= s.again) {
 			keys = append(keys, key)
@@ -109,7 +109,7 @@
 	}
 	slices.Sort(keys)
 	if now >= w.next {
-		w.next = now + PingEvery
+		w.next = now + PingInterval
 		if key := w.turn(); key != "" && !slices.Contains(keys, key) {
 			keys = append(keys, key)
 		}
@@ -121,7 +121,7 @@
 }
 
 // turn is the next of the round, which all that are listed and there are in once, in an order of chance.
-func (w *Watch) turn() string {
+func (w *FailureDetector) turn() string {
 	if len(w.round) == 0 {
 		for _, key := range slices.Sorted(maps.Keys(w.seats)) {
 			if w.seats[key].listed {
@@ -141,10 +141,10 @@
 }
 
 // sweeps tells whether a sweep still wants to ping a seat.
-func (w *Watch) sweeps(s *seat) bool { return s.swept < w.sweep-fresh }
+func (w *FailureDetector) sweeps(s *seat) bool { return s.swept < w.sweep-fresh }
 
-// Answered takes how a ping ended.
-func (w *Watch) Answered(now int64, key string, ok bool) {
+// RecordPingResult takes how a ping ended.
+func (w *FailureDetector) RecordPingResult(now int64, key string, ok bool) {
 	s := w.seats[key]
 	if s == nil {
 		return
@@ -159,7 +159,7 @@
 	w.giveUp(now)
 }
 
-func (w *Watch) answered(now int64, s *seat, sent int64) {
+func (w *FailureDetector) answered(now int64, s *seat, sent int64) {
 	s.swept, s.tries = max(s.swept, sent), 0
 	if s.doubt {
 		s.doubt = false
@@ -167,11 +167,11 @@
 		w.tell(now, s)
 	}
 	if s.missing != 0 { // guards against giving up one that lives: the gossip will have it back, or it dies later
-		s.missing, s.again = max(1, now), now+PingEvery
+		s.missing, s.again = max(1, now), now+PingInterval
 	}
 }
 
-func (w *Watch) unanswered(now int64, s *seat, sent int64) {
+func (w *FailureDetector) unanswered(now int64, s *seat, sent int64) {
 	s.tries++
 	if s.tries < triesMost {
 		s.again = now
@@ -179,7 +179,7 @@
 	}
 	s.swept = max(s.swept, sent)
 	if s.missing == 0 { // or else the gossip says when it is back
-		s.again = now + PingEvery<<min(slower, s.tries-triesMost)
+		s.again = now + PingInterval<<min(slower, s.tries-triesMost)
 	}
 	if !s.doubt {
 		s.doubt, w.found = true, true
@@ -192,7 +192,7 @@
 }
 
 // open tells whether a sweep is under way.
-func (w *Watch) open() bool {
+func (w *FailureDetector) open() bool {
 	for _, s := range w.seats {
 		if s.listed && w.sweeps(s) {
 			return true
@@ -203,13 +203,13 @@
 
 // Tick gives up those that are missing where that may be; to be called ten times a second. Where that was not done, the
 // process was stopped or had no time, and all are looked at anew before any of them counts.
-func (w *Watch) Tick(now int64) {
-	if w.tick != 0 && now-w.tick > StaleMost {
+func (w *FailureDetector) Tick(now int64) {
+	if w.tick != 0 && now-w.tick > MaxDetectorStaleness {
 		w.blind, w.sweep = true, max(1, now)
 	}
 	w.tick = now
 	if w.blind = w.blind && w.open(); !w.blind {
-		w.book.Looked(now)
+		w.book.MarkDetectorCurrent(now)
 	}
 	if w.found && now >= w.sweep+fresh && !w.open() { // guards against those that answered just before a cut
 		w.found, w.sweep = false, now
@@ -217,8 +217,8 @@
 	w.giveUp(now)
 }
 
-func (w *Watch) giveUp(now int64) {
-	if w.gone == 0 || w.open() || !w.book.Majority(now) { // guards against a minority's word that all the others are gone
+func (w *FailureDetector) giveUp(now int64) {
+	if w.gone == 0 || w.open() || !w.book.HasMajority(now) { // guards against a minority's word that all the others are gone
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(w.seats)) {
@@ -227,33 +227,33 @@
 			continue
 		}
 		over := s.m
-		over.State = Gone
-		w.book.Told(now, over)
+		over.State = Dead
+		w.book.ApplyUpdate(now, over)
 		w.gone--
 		delete(w.seats, key)
 	}
 }
 
-// Refusal is a life, by the gossip's name, and the words on the ends of its name's lives that it is to be told.
-type Refusal struct {
-	Key  string
-	Ends []Member
+// RejectedNode is a life, by the gossip's name, and the words on the ends of its name's lives that it is to be told.
+type RejectedNode struct {
+	NodeName          string
+	EndedIncarnations []Member
 }
 
-// Refused are the lives that the gossip has as there but that are over in the book, or older than one that is over: they
+// RejectedNodes are the lives that the gossip has as there but that are over in the book, or older than one that is over: they
 // are to be told so, and come back as another incarnation.
-func (w *Watch) Refused() (all []Refusal) {
+func (w *FailureDetector) RejectedNodes() (all []RejectedNode) {
 	for key, s := range w.seats {
-		if s.missing == 0 && w.book.Outlived(s.m.Name, s.m.Incarnation) {
-			all = append(all, Refusal{key, w.book.Ended(s.m.Name)})
+		if s.missing == 0 && w.book.RequiresNewIncarnation(s.m.Name, s.m.Incarnation) {
+			all = append(all, RejectedNode{key, w.book.EndedIncarnations(s.m.Name)})
 		}
 	}
-	slices.SortFunc(all, func(x, y Refusal) int { return cmp.Compare(x.Key, y.Key) })
+	slices.SortFunc(all, func(x, y RejectedNode) int { return cmp.Compare(x.NodeName, y.NodeName) })
 	return all
 }
 
-// Key is the gossip's name of a member's latest life that is there; empty where none is.
-func (w *Watch) Key(name string) (key string) {
+// NodeName is the gossip's name of a member's latest life that is there; empty where none is.
+func (w *FailureDetector) NodeName(name string) (key string) {
 	var best *seat
 	for _, at := range slices.Sorted(maps.Keys(w.seats)) {
 		s := w.seats[at]
@@ -264,6 +264,8 @@
 	return key
 }
 
-// Follows tells whether a life is followed at all, Here whether the gossip has it as there.
-func (w *Watch) Follows(key string) bool { return w.seats[key] != nil }
-func (w *Watch) Here(key string) bool    { return w.seats[key] != nil && w.seats[key].missing == 0 }
+// IsTracked tells whether a life is followed at all, Here whether the gossip has it as there.
+func (w *FailureDetector) IsTracked(key string) bool { return w.seats[key] != nil }
+func (w *FailureDetector) IsPresent(key string) bool {
+	return w.seats[key] != nil && w.seats[key].missing == 0
+}
--- a/cluster/membership/wire_golden_test.go
+++ b/cluster/membership/wire_golden_test.go
@@ -20,21 +20,21 @@
 	}
 	tenants := []string{"zeta", "alpha", "beta", "gamma", "delta", "epsilon", "eta", "theta", "iota", "alpha"}
 	requireGolden(t, "identity.golden", []goldenForm{
-		form("empty", IdentityOf("", nil), Identity{}),
-		form("cluster", IdentityOf("live", nil), Identity{Cluster: "live"}),
-		form("tenants", IdentityOf("", []string{"acme", "globex", "acme"}), Identity{Tenants: []uint32{0x218f91ac, 0x846fec0c}}),
-		form("most-tenants", IdentityOf("live", tenants), Identity{Cluster: "live", Tenants: []uint32{0x1a801ff8,
+		form("empty", NewIdentity("", nil), Identity{}),
+		form("cluster", NewIdentity("live", nil), Identity{Cluster: "live"}),
+		form("tenants", NewIdentity("", []string{"acme", "globex", "acme"}), Identity{Tenants: []uint32{0x218f91ac, 0x846fec0c}}),
+		form("most-tenants", NewIdentity("live", tenants), Identity{Cluster: "live", Tenants: []uint32{0x1a801ff8,
 			0x1dda5848, 0x2ee59b31, 0x398e98c4, 0x63d80dae, 0x75049e0f, 0x99332154, 0xafa801a1}}),
 		{"tenant-hash", func() ([]byte, error) {
-			return binary.BigEndian.AppendUint32(nil, IdentityOf("", []string{"acme"}).Tenants[0]), nil
+			return binary.BigEndian.AppendUint32(nil, NewIdentity("", []string{"acme"}).Tenants[0]), nil
 		}, func(encoded []byte) (any, error) { return binary.BigEndian.Uint32(encoded), nil }, uint32(0x846fec0c)},
 	})
 }
 
 // The numbers of a member's state travel in gossip, and both limits are checked by the receiver.
 func TestGoldenMemberStates(t *testing.T) {
-	require.Equal(t, []int{0, 1, 2, 3}, []int{int(Alive), int(Suspect), int(Gone), int(Left)})
-	require.Equal(t, []string{"alive", "suspect", "gone", "left"}, []string{Alive.String(), Suspect.String(), Gone.String(), Left.String()})
-	require.Equal(t, []int{40, 8}, []int{ClusterMost, tenantsMost})
-	require.Equal(t, []int{1000, 100, 200, 16}, []int{MembersMost, NameMost, TextMost, PartsMost})
+	require.Equal(t, []int{0, 1, 2, 3}, []int{int(Alive), int(Suspect), int(Dead), int(Left)})
+	require.Equal(t, []string{"alive", "suspect", "gone", "left"}, []string{Alive.String(), Suspect.String(), Dead.String(), Left.String()})
+	require.Equal(t, []int{40, 8}, []int{MaxClusterNameBytes, tenantsMost})
+	require.Equal(t, []int{1000, 100, 200, 16}, []int{MaxMembers, MaxNameBytes, MaxTextBytes, MaxCapabilities})
 }
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -34,7 +34,7 @@
 	file  config.Fleet
 	whose membership.Identity
 	node  *gossip.Node
-	book  *membership.Book
+	book  *membership.Table
 	log   *slog.Logger
 	clock func() int64 // tenths of a millisecond, the book's
 
@@ -61,8 +61,8 @@
 	if err != nil {
 		return nil, err
 	}
-	whose := membership.IdentityOf(own.Cluster, plan.ResidencySite().Tenants)
-	o := gossip.Options{Whose: whose, Me: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, Program: built()}, Listed: own.Listed,
+	whose := membership.NewIdentity(own.Cluster, plan.ResidencySite().Tenants)
+	o := gossip.Options{Whose: whose, Me: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Listed: own.Listed,
 		Listen: own.Listen, Join: own.Join, Via: own.Via, Log: log, Seed: time.Now().UnixNano()}
 	if own.Key != "" {
 		if o.Key, o.Older, err = gossip.ReadKeys(own.Key); err != nil {
@@ -79,14 +79,14 @@
 		return nil, err
 	}
 	s.book, s.clock = s.node.Book(), s.node.Now
-	s.shared = replication.Start(context.Background(), replication.Options{Name: own.Name, Life: s.book.Me().Incarnation, Net: s.node, Peers: s.peers,
+	s.shared = replication.Start(context.Background(), replication.Options{Name: own.Name, Life: s.book.Self().Incarnation, Net: s.node, Peers: s.peers,
 		Disk: s.disk, Log: log, Seed: o.Seed + 1})
 	go s.open()
 	return s, nil
 }
 
 // peers are the others that are there now, and all that count.
-func (s *sharing) peers() (alive, listed []string) { return s.book.Others(), s.file.Listed }
+func (s *sharing) peers() (alive, listed []string) { return s.book.AlivePeers(), s.file.Listed }
 
 // disk waits for the store, as what is shared is kept there too.
 func (s *sharing) disk(ctx context.Context) (replication.Disk, error) {
@@ -133,8 +133,8 @@
 	defer late.Stop()
 	ctx, stop := context.WithTimeout(s.ctx, lifeWait)
 	defer stop()
-	puts := map[string][]byte{lifeKey: binary.BigEndian.AppendUint64(nil, s.book.Me().Incarnation)}
-	if s.whose.Known() {
+	puts := map[string][]byte{lifeKey: binary.BigEndian.AppendUint64(nil, s.book.Self().Incarnation)}
+	if s.whose.IsSpecified() {
 		if puts[whoseKey], err = cbor.Marshal(s.whose); err != nil {
 			s.complain(err)
 			delete(puts, whoseKey)
@@ -156,8 +156,8 @@
 	if err := cbor.Unmarshal(text, &theirs); err != nil {
 		return err
 	}
-	if theirs.Other(s.whose) {
-		return &membership.OthersStore{Theirs: theirs, Ours: s.whose}
+	if theirs.ConflictsWith(s.whose) {
+		return &membership.ForeignStoreError{Theirs: theirs, Ours: s.whose}
 	}
 	return nil
 }
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -99,7 +99,7 @@
 	require.NoError(t, err)
 	require.True(t, found)
 	require.Len(t, life, 8)
-	incarnation := l.s.book.Me().Incarnation
+	incarnation := l.s.book.Self().Incarnation
 	for i := range 8 {
 		require.Equal(t, byte(incarnation>>(56-8*i)), life[i], "the highest byte first")
 	}
@@ -115,13 +115,13 @@
 
 	var identity membership.Identity
 	require.NoError(t, cbor.Unmarshal(want, &identity))
-	require.Equal(t, membership.IdentityOf("live", []string{"acme"}), identity)
+	require.Equal(t, membership.NewIdentity("live", []string{"acme"}), identity)
 	s := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 	require.NoError(t, s.store.Put(t.Context(), "fleet", map[string][]byte{"whose": want}, nil))
 	s.whose = identity
 	require.NoError(t, s.mine(s.store))
-	s.whose = membership.IdentityOf("trial", []string{"acme"})
-	var others *membership.OthersStore
+	s.whose = membership.NewIdentity("trial", []string{"acme"})
+	var others *membership.ForeignStoreError
 	require.ErrorAs(t, s.mine(s.store), &others)
 	require.Equal(t, identity, others.Theirs)
 }
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -222,7 +222,7 @@
 		return
 	}
 	c.lapsed = true
-	heard, of := c.s.book.Heard(c.s.clock())
+	heard, of := c.s.book.CountAliveVoters(c.s.clock())
 	err := &residency.LeaseEnded{Generation: c.book.Generation(), Heard: heard, Of: of, Apart: c.lease.Apart()}
 	c.s.log.Warn("residency_lease_ended", advice.LogAttrs(err)...)
 }
@@ -349,7 +349,7 @@
 		if w.Generation < top || w.Generation == top && w.Sum != c.sum {
 			c.teach(m.from)
 		}
-		conflicts := c.s.book.Conflicts()
+		conflicts := c.s.book.NameConflicts()
 		if slices.Contains(conflicts, m.from) {
 			return
 		}
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -328,7 +328,7 @@
 // run looks again and again until the serving ends.
 func (st *stages) run(ctx context.Context) {
 	defer close(st.done)
-	me := st.book.Me()
+	me := st.book.Self()
 	st.desk = rollout.New(rollout.Start{Me: rollout.Place{Name: me.Name, Region: me.Region, Zone: me.Zone}, Life: me.Incarnation,
 		Listed: st.file.Listed, Runs: numberOf(st.runs()), Failed: st.state.Failed, Number: st.state.Number, Why: st.state.Why,
 		Starts: st.state.Starts, First: !st.kept, Now: st.clock()})
@@ -373,7 +373,7 @@
 		for _, m := range st.book.Members() {
 			places = append(places, rollout.Place{Name: m.Name, Region: m.Region, Zone: m.Zone})
 		}
-		st.desk.Places(places, st.book.Conflicts())
+		st.desk.Places(places, st.book.NameConflicts())
 		st.desk.Sums(st.sums.now())
 		out := st.desk.Look(now)
 		for name, value := range out.Put {
@@ -437,8 +437,8 @@
 	if err := tellKeeper(st.keeper, said{Serving: true}); err != nil {
 		st.log.Error("rollout_keeper", "error", err)
 	}
-	me := st.book.Me()
-	me.Generation = numberOf(st.state.Runs)
+	me := st.book.Self()
+	me.SettingsGeneration = numberOf(st.state.Runs)
 	if err := st.node.Update(me); err != nil {
 		st.log.Warn("rollout_put", advice.LogAttrs(err, "name", me.Name)...)
 	}
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -33,14 +33,14 @@
 	if s.file.Region == "" {
 		return nil, &NoRegion{}
 	}
-	me := s.book.Me()
-	me.Parts = append(slices.Clone(me.Parts), gatewayPart)
+	me := s.book.Self()
+	me.Capabilities = append(slices.Clone(me.Capabilities), gatewayPart)
 	if err := s.node.Update(me); err != nil {
 		return nil, err
 	}
 	left := func() { // so that others serve in its place while it finishes its clients' searches
-		me := s.book.Me()
-		me.Parts = slices.DeleteFunc(slices.Clone(me.Parts), func(part string) bool { return part == gatewayPart })
+		me := s.book.Self()
+		me.Capabilities = slices.DeleteFunc(slices.Clone(me.Capabilities), func(part string) bool { return part == gatewayPart })
 		if err := s.node.Update(me); err != nil {
 			s.log.Warn("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
 		}
@@ -51,18 +51,18 @@
 
 // gateways are those that are heard now. A name that two claim is nobody's: numbers of deliveries rest on names.
 func (s *sharing) gateways() (h fanout.Membership) {
-	now, claimed := s.clock(), s.book.Conflicts()
+	now, claimed := s.clock(), s.book.NameConflicts()
 	for _, m := range s.book.Members() {
 		if !slices.Contains(h.Zones, m.Zone) {
 			h.Zones = append(h.Zones, m.Zone)
 		}
-		there := m.State == membership.Alive || m.State == membership.Suspect && now-m.Since < suspectFor
-		if there && slices.Contains(m.Parts, gatewayPart) && !slices.Contains(claimed, m.Name) {
+		there := m.State == membership.Alive || m.State == membership.Suspect && now-m.StateSince < suspectFor
+		if there && slices.Contains(m.Capabilities, gatewayPart) && !slices.Contains(claimed, m.Name) {
 			h.Members = append(h.Members, subscribers.Member{Name: m.Name, Region: m.Region, Zone: m.Zone, Life: m.Incarnation})
 		}
 	}
-	heard, of := s.book.Heard(now)
-	h.HasMajority, h.Complete = s.book.Majority(now), heard == of
+	heard, of := s.book.CountAliveVoters(now)
+	h.HasMajority, h.Complete = s.book.HasMajority(now), heard == of
 	return h
 }
 
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	joinMost = 64                     // addresses to begin with: any one that is up will do
-	viaMost  = membership.MembersMost // addresses reached another way
+	joinMost = 64                    // addresses to begin with: any one that is up will do
+	viaMost  = membership.MaxMembers // addresses reached another way
 )
 
 // Fleet is this instance among those that decide together. docs/fleet.md and deploy/fleet.yaml tell what may stand in it.
@@ -60,8 +60,8 @@
 	}
 	if p.Cluster != "" {
 		c.name("$.fleet.cluster", p.Cluster)
-		if len(p.Cluster) > membership.ClusterMost {
-			c.fault("$.fleet.cluster", "%d letters, %d at the most", len(p.Cluster), membership.ClusterMost)
+		if len(p.Cluster) > membership.MaxClusterNameBytes {
+			c.fault("$.fleet.cluster", "%d letters, %d at the most", len(p.Cluster), membership.MaxClusterNameBytes)
 		}
 	}
 	if p.Name != "" {
@@ -91,9 +91,9 @@
 		c.address("$.fleet.via", addr)
 		c.address("$.fleet.via.'"+addr+"'", p.Via[addr])
 	}
-	if len(p.Listed) == 0 || len(p.Listed) > membership.MembersMost {
+	if len(p.Listed) == 0 || len(p.Listed) > membership.MaxMembers {
 		c.doc.FaultDo("$.fleet.listed", "Name every instance of the fleet, the same list on all of them.",
-			"%d names, 1 to %d are wanted", len(p.Listed), membership.MembersMost)
+			"%d names, 1 to %d are wanted", len(p.Listed), membership.MaxMembers)
 	}
 	seen := map[string]bool{}
 	for i, name := range p.Listed {
--- a/internal/benchmark/gossip.go
+++ b/internal/benchmark/gossip.go
@@ -36,7 +36,7 @@
 	name string
 	up   bool
 	side int
-	book *book.Book
+	book *book.Table
 }
 
 // with is how many of all are up on its side, itself counted.
@@ -90,17 +90,17 @@
 		}
 		few := 2*v.with(all) <= b.listed
 		if few && b.fault > 0 {
-			if majority := v.book.Majority(0); !majority && b.lost[v.name] == 0 {
+			if majority := v.book.HasMajority(0); !majority && b.lost[v.name] == 0 {
 				b.lost[v.name] = since
 			} else if majority && since > gossip.DetectMost.Seconds() {
 				b.minority = append(b.minority, v.name)
 			}
 		}
-		v.book.Each(func(m book.Member) {
+		v.book.ForEach(func(m book.Member) {
 			p, target := between{v.name, m.Name}, by[m.Name]
 			was, known := b.states[p]
 			b.states[p] = m
-			if known && (m.Incarnation < was.Incarnation || m.Incarnation == was.Incarnation && was.State.Over() && !m.State.Over()) {
+			if known && (m.Incarnation < was.Incarnation || m.Incarnation == was.Incarnation && was.State.IsTerminal() && !m.State.IsTerminal()) {
 				b.old = append(b.old, fmt.Sprintf("%s of %s: %d after %d", v.name, m.Name, m.Incarnation, was.Incarnation))
 			}
 			reached := target.up && target.side == v.side
@@ -113,7 +113,7 @@
 			if m.State != book.Alive && b.missed[p] == 0 {
 				b.missed[p] = since
 			}
-			if m.State.Over() && b.gaveUp[p] == 0 && !few {
+			if m.State.IsTerminal() && b.gaveUp[p] == 0 && !few {
 				b.gaveUp[p] = since
 			}
 		})
@@ -224,7 +224,7 @@
 		names, addrs = append(names, fmt.Sprintf("g%02d", i)), append(addrs, "")
 	}
 	for i := range n {
-		node, err := gossip.Start(ctx, gossip.Options{Me: book.Member{Name: names[i], Region: "lab", Zone: "lab-1", Program: "lab"},
+		node, err := gossip.Start(ctx, gossip.Options{Me: book.Member{Name: names[i], Region: "lab", Zone: "lab-1", ProgramVersion: "lab"},
 			Listed: names, Listen: "127.0.0.1:0", Join: slices.Clone(addrs[:min(3, i)]), Seed: seed*1000 + int64(i),
 			Drop: func(to string) bool {
 				mu.Lock()
@@ -236,7 +236,7 @@
 		}
 		defer node.Close()
 		mu.Lock()
-		addrs[i] = node.Book().Me().Addr
+		addrs[i] = node.Book().Self().Addr
 		mu.Unlock()
 		nodes, all = append(nodes, node), append(all, view{name: names[i], up: true, book: node.Book()})
 	}
@@ -255,7 +255,7 @@
 	never := func() bool { return false }
 	whole := func() bool {
 		for _, v := range all {
-			if heard, of := v.book.Heard(0); v.up && heard < of {
+			if heard, of := v.book.CountAliveVoters(0); v.up && heard < of {
 				return false
 			}
 		}
@@ -373,7 +373,7 @@
 	b.healed(span(w.Now))
 	w.RunUntil(w.Now + ticks(gossipBack))
 	for _, i := range w.Instances {
-		if heard, of := i.Table.Heard(w.Now); heard < of*95/100 {
+		if heard, of := i.Table.CountAliveVoters(w.Now); heard < of*95/100 {
 			out.Missed = append(out.Missed, fmt.Sprintf("%s: %s hears %d of %d after the cut", as, i.NodeName, heard, of))
 			break
 		}
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	peers := func() (alive, listed []string) {
-		return node.Book().Others(), own.Listed
+		return node.Book().AlivePeers(), own.Listed
 	}
 	disk := func(ctx context.Context) (replication.Disk, error) {
 		s, err := store.Open(own.Store, store.Options{Told: func(err error) { log.Warn("fleet_store", "error", err) }})
@@ -69,7 +69,7 @@
 		}
 		return s, nil
 	}
-	book := replication.Start(ctx, replication.Options{Name: own.Name, Life: node.Book().Me().Incarnation, Net: node, Peers: peers, Disk: disk,
+	book := replication.Start(ctx, replication.Options{Name: own.Name, Life: node.Book().Self().Incarnation, Net: node, Peers: peers, Disk: disk,
 		Log: log, Seed: time.Now().UnixNano()})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
