--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -280,14 +280,14 @@
 	if o == nil {
 		return nil, nil
 	}
-	f := &frontend.Front{}
+	f := &frontend.Server{}
 	for _, x := range o.Indices {
-		f.Indices = append(f.Indices, frontend.Index{Name: x.Name, Type: x.Type, Partner: x.Partner, Blocks: x.Blocks,
-			Placed: x.Placed})
+		f.Indices = append(f.Indices, frontend.Index{Name: x.Name, SearchType: x.Type, Tenant: x.Partner, Blocks: x.Blocks,
+			Placement: x.Placed})
 	}
 	var err error
 	if o.TLS != nil {
-		if f.TLS, err = frontend.TLS(o.TLS.Certificate, o.TLS.Key, o.TLS.Authorities); err != nil {
+		if f.TLSConfig, err = frontend.LoadTLS(o.TLS.Certificate, o.TLS.Key, o.TLS.Authorities); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -146,7 +146,7 @@
 	if more.Listener, err = net.Listen("tcp", os.Getenv(nodeInstance)); err != nil {
 		return err
 	}
-	front := &frontend.Front{Indices: []frontend.Index{{Name: "members", Type: fullMatch}}}
+	front := &frontend.Server{Indices: []frontend.Index{{Name: "members", SearchType: fullMatch}}}
 	for b := range plan.BlockCount() {
 		front.Indices[0].Blocks = append(front.Indices[0].Blocks, b)
 	}
--- a/internal/benchmark/opensearch.go
+++ b/internal/benchmark/opensearch.go
@@ -106,9 +106,9 @@
 		return err
 	}
 	defer f.close()
-	front := &frontend.Front{}
+	front := &frontend.Server{}
 	for _, qtype := range []string{fullMatch, quickPicks} {
-		x := frontend.Index{Name: map[string]string{fullMatch: "members", quickPicks: "picks"}[qtype], Type: qtype}
+		x := frontend.Index{Name: map[string]string{fullMatch: "members", quickPicks: "picks"}[qtype], SearchType: qtype}
 		for b := range sets {
 			x.Blocks = append(x.Blocks, b)
 		}
--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -140,7 +140,7 @@
 
 // A search beyond those that may be open gets the bytes of the golden file, Retry-After among them.
 func TestGoldenTooManySearches(t *testing.T) {
-	f := &Front{Indices: []Index{{Name: "members"}}, tasks: map[uint64]*task{}}
+	f := &Server{Indices: []Index{{Name: "members"}}, tasks: map[uint64]*task{}}
 	for id := range uint64(tasksMost) {
 		f.tasks[id] = &task{id: id}
 	}
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -113,7 +113,7 @@
 		r.list.Known(), settings))
 	require.NoError(t, err)
 	eight := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	front := &Front{Listener: other, TLS: conf, Indices: []Index{{"members", "full-match", "acme", eight, placed},
+	front := &Server{Listener: other, TLSConfig: conf, Indices: []Index{{"members", "full-match", "acme", eight, placed},
 		{"picks", "quick-picks", "acme", eight, placed}, {"scarce", "full-match", "scarce", eight, placed}}}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop, r.url = stop, "http://"+other.Addr().String()
@@ -473,7 +473,7 @@
 
 // With TLS the front speaks it, and asks for certificates where authorities are named.
 func TestTLS(t *testing.T) {
-	_, err := TLS("nowhere.pem", "nowhere.key", "")
+	_, err := LoadTLS("nowhere.pem", "nowhere.key", "")
 	require.Error(t, err)
 	s := httptest.NewTLSServer(nil) // brings a certificate for loopback
 	defer s.Close()
@@ -484,13 +484,13 @@
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), pem.EncodeToMemory(block), 0o600))
 	}
 	file := func(name string) string { return filepath.Join(dir, name) }
-	conf, err := TLS(file("c.pem"), file("c.key"), "")
+	conf, err := LoadTLS(file("c.pem"), file("c.key"), "")
 	require.NoError(t, err)
 	require.Equal(t, tls.NoClientCert, conf.ClientAuth)
-	strict, err := TLS(file("c.pem"), file("c.key"), file("c.pem"))
+	strict, err := LoadTLS(file("c.pem"), file("c.key"), file("c.pem"))
 	require.NoError(t, err)
 	require.Equal(t, tls.RequireAndVerifyClientCert, strict.ClientAuth)
-	_, err = TLS(file("c.pem"), file("c.key"), file("c.key"))
+	_, err = LoadTLS(file("c.pem"), file("c.key"), file("c.key"))
 	require.Error(t, err)
 	r := startFull(t, false, conf)
 	r.client = s.Client()
--- a/opensearch/frontend/search.go
+++ b/opensearch/frontend/search.go
@@ -46,7 +46,7 @@
 )
 
 // read makes a search of a body and what stands in its URL or header line.
-func (f *Front) read(index string, values url.Values, text []byte) (*asked, error) {
+func (f *Server) read(index string, values url.Values, text []byte) (*asked, error) {
 	x, err := f.find(index)
 	if err != nil {
 		return nil, err
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func (f *Front) search(r *http.Request, index string, count bool) reply {
+func (f *Server) search(r *http.Request, index string, count bool) reply {
 	text, err := body(r, bodyMost)
 	if err != nil {
 		return faultOf(err)
@@ -170,7 +170,7 @@
 }
 
 // run hands a search in and makes its final answer.
-func (f *Front) run(ctx context.Context, a *asked) reply {
+func (f *Server) run(ctx context.Context, a *asked) reply {
 	action := "indices:data/read/search"
 	ctx, t, err := f.open(ctx, action, a.opaque, a.index.Name)
 	if err != nil {
@@ -179,14 +179,14 @@
 		return out
 	}
 	defer f.close(t)
-	patience := f.d.SearchTimeout(a.index.Type)
+	patience := f.d.SearchTimeout(a.index.SearchType)
 	for _, v := range []time.Duration{a.q.Timeout, a.within} {
 		if v > 0 {
 			patience = min(patience, max(v, partLong))
 		}
 	}
 	given, err := f.d.Search(ctx, coordinator.SearchRequest{ID: f.prefix + strconv.FormatUint(t.id, 10),
-		Type: a.index.Type, Tenant: a.index.Partner, Body: a.q.Part(), Shards: a.blocks, Timeout: patience, IsRetry: a.retry,
+		Type: a.index.SearchType, Tenant: a.index.Tenant, Body: a.q.Part(), Shards: a.blocks, Timeout: patience, IsRetry: a.retry,
 		DecodeValue: a.check})
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
@@ -219,7 +219,7 @@
 func (a *asked) check(shard int, value []byte) (any, error) {
 	read, err := a.q.ReadAnswer(shard, "", value)
 	if err == nil {
-		err = read.Placed(a.index.Placed)
+		err = read.Placed(a.index.Placement)
 	}
 	if err != nil {
 		return nil, err
@@ -247,7 +247,7 @@
 		}
 		failure := query.Failure{Shard: b, Index: a.index.Name, Type: "timeout_exception", Reason: "no answer in time"}
 		if given.Complete {
-			failure.Type, failure.Reason = "task_cancelled_exception", "called off: enough blocks for a "+a.index.Type+" search were in"
+			failure.Type, failure.Reason = "task_cancelled_exception", "called off: enough blocks for a "+a.index.SearchType+" search were in"
 		}
 		o.Failures = append(o.Failures, failure)
 	}
@@ -268,7 +268,7 @@
 }
 
 // multi runs the searches of a msearch, each by itself: each has one final answer, in order.
-func (f *Front) multi(r *http.Request, index string) reply {
+func (f *Server) multi(r *http.Request, index string) reply {
 	text, err := body(r, multiMost)
 	if err != nil {
 		return faultOf(err)
@@ -315,7 +315,7 @@
 }
 
 // one is one search of a msearch. What is wrong with its lines spoils it alone.
-func (f *Front) one(r *http.Request, index string, values url.Values, head, text []byte) reply {
+func (f *Server) one(r *http.Request, index string, values url.Values, head, text []byte) reply {
 	own := url.Values{}
 	for name, v := range values {
 		own[name] = v
@@ -346,7 +346,7 @@
 }
 
 // validate tells whether a query can be used, without sending anything.
-func (f *Front) validate(r *http.Request, index string) reply {
+func (f *Server) validate(r *http.Request, index string) reply {
 	text, err := body(r, bodyMost)
 	if err != nil {
 		return faultOf(err)
--- a/opensearch/frontend/server.go
+++ b/opensearch/frontend/server.go
@@ -49,16 +49,16 @@
 
 // Index is one index of the installation: what its searches are to the module.
 type Index struct {
-	Name, Type, Partner string
-	Blocks              []int
-	Placed              *query.Placement // the rule by which members are in them, nil where it is not the API's
+	Name, SearchType, Tenant string
+	Blocks                   []int
+	Placement                *query.Placement // the rule by which members are in them, nil where it is not the API's
 }
 
-// Front serves the API on a listener.
-type Front struct {
-	Listener net.Listener
-	TLS      *tls.Config // nil for plain HTTP
-	Indices  []Index
+// Server serves the API on a listener.
+type Server struct {
+	Listener  net.Listener
+	TLSConfig *tls.Config // nil for plain HTTP
+	Indices   []Index
 
 	d      *coordinator.SearchAPI
 	prefix string // of its searches' names: no other start has the same
@@ -84,10 +84,10 @@
 )
 
 // Serve implements coordinator.Frontend.
-func (f *Front) Serve(ctx, stopping context.Context, d *coordinator.SearchAPI) error {
+func (f *Server) Serve(ctx, stopping context.Context, d *coordinator.SearchAPI) error {
 	f.d, f.prefix, f.tasks = d, fmt.Sprintf("os-%s-%d-", d.CoordinatorName, time.Now().UnixNano()), map[uint64]*task{}
 	for _, x := range f.Indices {
-		if err := d.ValidateTypeAndTenant(x.Type, x.Partner); err != nil {
+		if err := d.ValidateTypeAndTenant(x.SearchType, x.Tenant); err != nil {
 			f.Listener.Close()
 			return fmt.Errorf("index %s: %w", x.Name, err)
 		}
@@ -99,10 +99,10 @@
 		}
 	}
 	s := &http.Server{Handler: f, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, IdleTimeout: idleTime,
-		MaxHeaderBytes: headMost, TLSConfig: f.TLS, ErrorLog: nil, BaseContext: func(net.Listener) context.Context { return ctx }}
+		MaxHeaderBytes: headMost, TLSConfig: f.TLSConfig, ErrorLog: nil, BaseContext: func(net.Listener) context.Context { return ctx }}
 	ln := netutil.LimitListener(f.Listener, d.MaxConnections)
-	if f.TLS != nil {
-		ln = tls.NewListener(ln, f.TLS)
+	if f.TLSConfig != nil {
+		ln = tls.NewListener(ln, f.TLSConfig)
 	}
 	var g errgroup.Group
 	g.Go(func() error {
@@ -141,7 +141,7 @@
 }
 
 // ServeHTTP answers one request.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if opaque := r.Header.Get("X-Opaque-Id"); opaque != "" {
 		w.Header().Set("X-Opaque-Id", opaque[:min(len(opaque), opaqueMost)])
 	}
@@ -168,7 +168,7 @@
 }
 
 // route finds what a request asks for.
-func (f *Front) route(r *http.Request) reply {
+func (f *Server) route(r *http.Request) reply {
 	path := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	get, post := r.Method == http.MethodGet || r.Method == http.MethodHead, r.Method == http.MethodPost
 	index := ""
@@ -237,7 +237,7 @@
 
 // find gives the index of a name, the only one where none is named. A block that no listed host holds ends a search
 // before anything is sent.
-func (f *Front) find(name string) (Index, error) {
+func (f *Server) find(name string) (Index, error) {
 	if name == "" || name == "_all" || name == "*" {
 		if len(f.Indices) == 1 {
 			return f.Indices[0], nil
@@ -261,7 +261,7 @@
 }
 
 // open registers a search; its context ends by a task request too.
-func (f *Front) open(ctx context.Context, action, opaque, index string) (context.Context, *task, error) {
+func (f *Server) open(ctx context.Context, action, opaque, index string) (context.Context, *task, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.tasks) >= tasksMost {
@@ -274,7 +274,7 @@
 	return ctx, t, nil
 }
 
-func (f *Front) close(t *task) {
+func (f *Server) close(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.stop(errLeft)
@@ -286,13 +286,13 @@
 	return reply{status: 200, body: text}
 }
 
-func (f *Front) root() reply {
+func (f *Server) root() reply {
 	return encoded(map[string]any{"name": f.d.CoordinatorName, "cluster_name": "chalkring", "tagline": productWords,
 		"version": map[string]any{"distribution": "chalkring", "number": "2.0.0", "minimum_wire_compatibility_version": "2.0.0"}})
 }
 
 // health is green where every block of every index has two holders, yellow with one, red with none.
-func (f *Front) health() reply {
+func (f *Server) health() reply {
 	status, active, lacking := "green", 0, 0
 	for _, x := range f.Indices {
 		for _, b := range x.Blocks {
@@ -336,7 +336,7 @@
 	return reply{status: 200, body: []byte(b.String()), text: true}
 }
 
-func (f *Front) catShards(r *http.Request) reply {
+func (f *Server) catShards(r *http.Request) reply {
 	var rows [][]string
 	for _, x := range f.Indices {
 		for _, b := range x.Blocks {
@@ -352,15 +352,15 @@
 	return table(r, []string{"index", "shard", "prirep", "state", "ip", "node"}, rows)
 }
 
-func (f *Front) catIndices(r *http.Request) reply {
+func (f *Server) catIndices(r *http.Request) reply {
 	var rows [][]string
 	for _, x := range f.Indices {
-		rows = append(rows, []string{x.Name, "open", strconv.Itoa(len(x.Blocks)), x.Type})
+		rows = append(rows, []string{x.Name, "open", strconv.Itoa(len(x.Blocks)), x.SearchType})
 	}
 	return table(r, []string{"index", "status", "pri", "type"}, rows)
 }
 
-func (f *Front) listTasks() reply {
+func (f *Server) listTasks() reply {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := map[string]any{}
@@ -376,7 +376,7 @@
 	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{"name": f.d.CoordinatorName, "tasks": all}}})
 }
 
-func (f *Front) cancelTask(name string) reply {
+func (f *Server) cancelTask(name string) reply {
 	node, number, _ := strings.Cut(name, ":")
 	id, err := strconv.ParseUint(number, 10, 64)
 	f.mu.Lock()
@@ -390,8 +390,8 @@
 		"tasks": map[string]any{name: map[string]any{"node": f.d.CoordinatorName, "id": id, "action": t.action, "cancelled": true}}}}})
 }
 
-// TLS reads the files of a front with TLS; with authorities, clients need a certificate that comes from them.
-func TLS(certificate, key, authorities string) (*tls.Config, error) {
+// LoadTLS reads the files of a front with LoadTLS; with authorities, clients need a certificate that comes from them.
+func LoadTLS(certificate, key, authorities string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
 		return nil, fmt.Errorf("certificate %s with key %s: %w", certificate, key, err)
