--- a/cluster/gossip/gossip.go
+++ b/cluster/gossip/gossip.go
@@ -27,50 +27,50 @@
 )
 
 const (
-	BodyMost     = 1 << 20                // bytes of a message's body
-	DetectMost   = 6 * time.Second        // within which one that has ended, or is cut off, counts no more, up to 300 instances
-	probeEvery   = 500 * time.Millisecond // between the library's probes of one instance after the other
-	missMost     = 3                      // probe times (more above 10 instances) that a suspect has to answer
-	busyMost     = 2                      // times that a probe may take longer while this instance is slow itself
-	gossipEvery  = 200 * time.Millisecond // between packets of news, to three instances each
-	gossipNodes  = 3                      // instances that news goes to at once
-	pushPull     = 15 * time.Second       // between exchanges of all that is known, longer above 32 instances
-	deadTold     = 30 * time.Second       // that one given up is still sent news: it may be back
-	dialMost     = time.Second            // for a connection to come up: longer than any way round the earth
-	streamMost   = 5 * time.Second        // for an exchange or message on a connection: 1 MiB at 2 Mbit/s
-	stepEvery    = 100 * time.Millisecond // between looks at what is due
-	joinEvery    = time.Second            // between tries to reach those that are not there
-	joinAtOnce   = 3                      // of them that are tried at once
-	sayEvery     = time.Second            // between words of mine to those that still speak of an earlier life
-	refusedEvery = 500 * time.Millisecond // between words to one whose life is over here
-	aloneAfter   = 10 * time.Second       // without anybody reached, before the log says so
-	aloneEvery   = time.Minute            // between such lines
-	leaveMost    = 500 * time.Millisecond // for the word of leaving to go out
-	sendsMost    = 16                     // messages on their way at once
-	queueMost    = 16                     // messages of a topic that wait for their handler
-	queueWait    = 2 * time.Second        // for room there
-	othersEvery  = 10 * time.Second       // between lines on other fleets' instances: each second brings a try
-	strangerMost = time.Second            // for word of an instance to come after a message of its: both go out at once
-	strangerLook = 10 * time.Millisecond  // between looks for it
-	portTries    = 20                     // for a free port where any will do
-	wordTopic    = 0                      // the package's own messages: words that lives are over
+	MaxBodyBytes     = 1 << 20                // bytes of a message's body
+	MaxDetectionTime = 6 * time.Second        // within which one that has ended, or is cut off, counts no more, up to 300 instances
+	probeEvery       = 500 * time.Millisecond // between the library's probes of one instance after the other
+	missMost         = 3                      // probe times (more above 10 instances) that a suspect has to answer
+	busyMost         = 2                      // times that a probe may take longer while this instance is slow itself
+	gossipEvery      = 200 * time.Millisecond // between packets of news, to three instances each
+	gossipNodes      = 3                      // instances that news goes to at once
+	pushPull         = 15 * time.Second       // between exchanges of all that is known, longer above 32 instances
+	deadTold         = 30 * time.Second       // that one given up is still sent news: it may be back
+	dialMost         = time.Second            // for a connection to come up: longer than any way round the earth
+	streamMost       = 5 * time.Second        // for an exchange or message on a connection: 1 MiB at 2 Mbit/s
+	stepEvery        = 100 * time.Millisecond // between looks at what is due
+	joinEvery        = time.Second            // between tries to reach those that are not there
+	joinAtOnce       = 3                      // of them that are tried at once
+	sayEvery         = time.Second            // between words of mine to those that still speak of an earlier life
+	refusedEvery     = 500 * time.Millisecond // between words to one whose life is over here
+	aloneAfter       = 10 * time.Second       // without anybody reached, before the log says so
+	aloneEvery       = time.Minute            // between such lines
+	leaveMost        = 500 * time.Millisecond // for the word of leaving to go out
+	sendsMost        = 16                     // messages on their way at once
+	queueMost        = 16                     // messages of a topic that wait for their handler
+	queueWait        = 2 * time.Second        // for room there
+	othersEvery      = 10 * time.Second       // between lines on other fleets' instances: each second brings a try
+	strangerMost     = time.Second            // for word of an instance to come after a message of its: both go out at once
+	strangerLook     = 10 * time.Millisecond  // between looks for it
+	portTries        = 20                     // for a free port where any will do
+	wordTopic        = 0                      // the package's own messages: words that lives are over
 )
 
 var errDropped = errors.New("dropped on purpose")
 
 // Options are what an instance starts with.
 type Options struct {
-	Whose  membership.Identity // of the fleet: instances of another are refused
-	Me     membership.Member   // name, region, zone and the like; Incarnation is the start's time in ns where it is 0
-	Listed []string            // names of all instances that count for a majority
-	Listen string              // address and port, TCP and UDP, under which others reach it
-	Join   []string            // addresses of others to begin with; any one that is up will do
-	Via    map[string]string   // by address that an instance names: where to reach it instead, through relays or NAT
-	Key    []byte              // 16, 24 or 32 bytes; without it all is plain and anybody is believed
-	Older  [][]byte            // keys that others may still use
-	Log    *slog.Logger
-	Seed   int64                  // of all chance here; the library's own is not seeded
-	Drop   func(addr string) bool // tests: whether what goes to an address is lost
+	Identity      membership.Identity // of the fleet: instances of another are refused
+	Self          membership.Member   // name, region, zone and the like; Incarnation is the start's time in ns where it is 0
+	Voters        []string            // names of all instances that count for a majority
+	ListenAddr    string              // address and port, TCP and UDP, under which others reach it
+	JoinAddrs     []string            // addresses of others to begin with; any one that is up will do
+	AddrOverrides map[string]string   // by address that an instance names: where to reach it instead, through relays or NAT
+	Key           []byte              // 16, 24 or 32 bytes; without it all is plain and anybody is believed
+	OldKeys       [][]byte            // keys that others may still use
+	Logger        *slog.Logger
+	Seed          int64                  // of all chance here; the library's own is not seeded
+	ShouldDrop    func(addr string) bool // tests: whether what goes to an address is lost
 }
 
 // Node is this instance in the fleet.
@@ -116,19 +116,19 @@
 // Start listens and begins to look for the others; it waits for none of them. The node ends with ctx, without a word, or
 // by Leave.
 func Start(ctx context.Context, o Options) (*Node, error) {
-	at, err := netip.ParseAddrPort(o.Listen)
+	at, err := netip.ParseAddrPort(o.ListenAddr)
 	if err == nil && at.Addr().IsUnspecified() {
 		err = errors.New("others cannot reach it under that")
 	}
 	if err != nil {
-		return nil, &AddressUnusable{o.Listen, err}
+		return nil, &InvalidAddressError{o.ListenAddr, err}
 	}
-	for _, key := range append([][]byte{o.Key}, o.Older...) {
+	for _, key := range append([][]byte{o.Key}, o.OldKeys...) {
 		if _, err := aes.NewCipher(key); err != nil && len(key) > 0 {
-			return nil, &KeyUnusable{Path: "given", Why: fmt.Sprintf("%d bytes, 16, 24 or 32 are wanted", len(key))}
+			return nil, &InvalidKeyFileError{Path: "given", Reason: fmt.Sprintf("%d bytes, 16, 24 or 32 are wanted", len(key))}
 		}
 	}
-	n := &Node{o: o, log: o.Log, decoding: newDecoding(), began: time.Now(), sends: make(chan struct{}, sendsMost),
+	n := &Node{o: o, log: o.Logger, decoding: newDecoding(), began: time.Now(), sends: make(chan struct{}, sendsMost),
 		chance: rand.New(rand.NewSource(o.Seed)), kick: make(chan struct{}, 1), nodes: map[string]memberlist.Node{},
 		last: map[string]string{}, handlers: map[byte]chan message{}, gone: make(chan struct{}), others: rate.NewLimiter(rate.Every(othersEvery), 1)}
 	n.events.of = map[string]event{}
@@ -139,12 +139,12 @@
 	if err := n.listen(at, logger); err != nil {
 		return nil, err
 	}
-	me := o.Me
+	me := o.Self
 	me.Addr = net.JoinHostPort(at.Addr().String(), fmt.Sprint(n.wire.GetAutoBindPort()))
 	if me.Incarnation == 0 {
 		me.Incarnation = uint64(time.Now().UnixNano())
 	}
-	n.book = membership.NewTable(me, o.Listed)
+	n.book = membership.NewTable(me, o.Voters)
 	n.watch = membership.NewFailureDetector(n.book, rand.New(rand.NewSource(o.Seed+1)))
 	if !me.IsValid() {
 		err = errWord
@@ -170,9 +170,9 @@
 	if at.Port() != 0 {
 		tries = 1
 		if err := free(at.String()); errors.Is(err, syscall.EADDRINUSE) {
-			return &PortTaken{at.String(), err}
+			return &AddressInUseError{at.String(), err}
 		} else if err != nil {
-			return &AddressUnusable{at.String(), err}
+			return &InvalidAddressError{at.String(), err}
 		}
 	}
 	var wire *memberlist.NetTransport
@@ -180,11 +180,11 @@
 	for range tries {
 		if wire, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{at.Addr().String()},
 			BindPort: int(at.Port()), Logger: logger}); err == nil {
-			n.wire = &transport{NetTransport: wire, via: n.o.Via, drop: n.o.Drop}
+			n.wire = &transport{NetTransport: wire, via: n.o.AddrOverrides, drop: n.o.ShouldDrop}
 			return nil
 		}
 	}
-	return &AddressUnusable{at.String(), err}
+	return &InvalidAddressError{at.String(), err}
 }
 
 // free looks by hand whether an address can be listened on, since the library tells a taken port only in words.
@@ -222,22 +222,22 @@
 	c.Delegate, c.Events, c.Alive, c.Merge = (*delegate)(n), (*delegate)(n), (*delegate)(n), (*delegate)(n)
 	if len(n.o.Key) > 0 {
 		c.SecretKey = n.o.Key
-		c.Keyring, _ = memberlist.NewKeyring(n.o.Older, n.o.Key) // lengths were looked at by Start
+		c.Keyring, _ = memberlist.NewKeyring(n.o.OldKeys, n.o.Key) // lengths were looked at by Start
 	}
 	return c
 }
 
-// Book is who is there. It is changed by this package alone.
-func (n *Node) Book() *membership.Table { return n.book }
+// Membership is who is there. It is changed by this package alone.
+func (n *Node) Membership() *membership.Table { return n.book }
 
 // Now is the clock by which the book's times are told: tenths of a millisecond since the start.
 func (n *Node) Now() int64 { return int64(time.Since(n.began) / (100 * time.Microsecond)) }
 
-// Sent is how many bytes have been sent so far.
-func (n *Node) Sent() int64 { return n.wire.sent.Load() }
+// BytesSent is how many bytes have been sent so far.
+func (n *Node) BytesSent() int64 { return n.wire.sent.Load() }
 
-// Update says anew what this instance runs and can take part in; name, incarnation and address stay.
-func (n *Node) Update(m membership.Member) error {
+// UpdateSelf says anew what this instance runs and can take part in; name, incarnation and address stay.
+func (n *Node) UpdateSelf(m membership.Member) error {
 	me := n.book.Self()
 	m.Name, m.Incarnation, m.MetaVersion, m.Addr, m.State = me.Name, me.Incarnation, me.MetaVersion+1, me.Addr, me.State
 	if !m.IsValid() {
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// Before takes from this instance's own store which life it had before: that one is over, whatever others believe.
-func (n *Node) Before(incarnation uint64) {
+// EndPreviousIncarnation takes from this instance's own store which life it had before: that one is over, whatever others believe.
+func (n *Node) EndPreviousIncarnation(incarnation uint64) {
 	me := n.book.Self()
 	if incarnation != me.Incarnation {
 		n.book.ApplyUpdate(n.Now(), membership.Member{Name: me.Name, Incarnation: incarnation, State: membership.Dead})
@@ -263,29 +263,29 @@
 // Send hands a message to an instance that is there, on a connection of its own. It waits for the bytes to be written,
 // so it is for background work alone; nil does not say that the other has handled them.
 func (n *Node) Send(ctx context.Context, to string, topic byte, body []byte) error {
-	if len(body) > BodyMost {
-		return &TooBig{to, len(body)}
+	if len(body) > MaxBodyBytes {
+		return &MessageTooLargeError{to, len(body)}
 	}
 	n.mu.Lock()
 	node, there := n.nodes[n.watch.NodeName(to)]
 	closed := n.closed
 	n.mu.Unlock()
 	if !there || closed {
-		return &Away{to}
+		return &PeerUnavailableError{to}
 	}
 	select {
 	case n.sends <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-n.ctx.Done():
-		return &Away{to}
+		return &PeerUnavailableError{to}
 	}
 	done := make(chan error, 1)
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
 		<-n.sends
-		return &Away{to}
+		return &PeerUnavailableError{to}
 	}
 	n.work.Go(func() {
 		defer func() { <-n.sends }()
--- a/cluster/gossip/gossip_test.go
+++ b/cluster/gossip/gossip_test.go
@@ -55,18 +55,18 @@
 func (w *world) put(n *Node, side int) {
 	w.Lock()
 	defer w.Unlock()
-	w.side[n.Book().Self().Addr] = side
+	w.side[n.Membership().Self().Addr] = side
 }
 
 func start(t *testing.T, w *world, name string, listed []string, change func(*Options)) *Node {
 	var addr atomic.Value
-	o := Options{Me: membership.Member{Name: name, Region: "r", Zone: "z"}, Listed: listed, Listen: "127.0.0.1:0", Drop: w.drop(&addr)}
+	o := Options{Self: membership.Member{Name: name, Region: "r", Zone: "z"}, Voters: listed, ListenAddr: "127.0.0.1:0", ShouldDrop: w.drop(&addr)}
 	if change != nil {
 		change(&o)
 	}
 	n, err := Start(t.Context(), o)
 	require.NoError(t, err)
-	addr.Store(n.Book().Self().Addr)
+	addr.Store(n.Membership().Self().Addr)
 	t.Cleanup(n.Close)
 	return n
 }
@@ -77,7 +77,7 @@
 }
 
 func state(n *Node, name string) membership.State {
-	for _, m := range n.Book().Members() {
+	for _, m := range n.Membership().Members() {
 		if m.Name == name {
 			return m.State
 		}
@@ -89,12 +89,12 @@
 	for _, name := range names {
 		all = append(all, start(t, w, name, names, func(o *Options) {
 			if len(all) > 0 {
-				o.Join = []string{all[0].Book().Self().Addr}
+				o.JoinAddrs = []string{all[0].Membership().Self().Addr}
 			}
 		}))
 	}
 	for _, n := range all {
-		until(t, "all are heard", func() bool { heard, of := n.Book().CountAliveVoters(0); return heard == of })
+		until(t, "all are heard", func() bool { heard, of := n.Membership().CountAliveVoters(0); return heard == of })
 	}
 	return all
 }
@@ -103,26 +103,26 @@
 	t.Parallel()
 	w := &world{side: map[string]int{}}
 	all := fleetOf(t, w, "a", "b", "c", "d", "e")
-	was := all[4].Book().Self().Incarnation
+	was := all[4].Membership().Self().Incarnation
 	w.put(all[3], 1)
 	w.put(all[4], 1)
-	until(t, "a minority has no majority", func() bool { return !all[3].Book().HasMajority(0) && !all[4].Book().HasMajority(0) })
+	until(t, "a minority has no majority", func() bool { return !all[3].Membership().HasMajority(0) && !all[4].Membership().HasMajority(0) })
 	until(t, "the others give them up", func() bool { return state(all[0], "d") == membership.Dead && state(all[0], "e") == membership.Dead })
-	require.True(t, all[0].Book().HasMajority(0))
+	require.True(t, all[0].Membership().HasMajority(0))
 	require.NotEqual(t, membership.Dead, state(all[4], "a"), "a minority gives nobody up")
 	w.put(all[3], 0)
 	w.put(all[4], 0)
 	for _, n := range all {
-		until(t, "all are back", func() bool { heard, _ := n.Book().CountAliveVoters(0); return heard == 5 })
+		until(t, "all are back", func() bool { heard, _ := n.Membership().CountAliveVoters(0); return heard == 5 })
 	}
-	require.Greater(t, all[4].Book().Self().Incarnation, was, "as another incarnation")
-	require.Empty(t, all[0].Book().NameConflicts())
+	require.Greater(t, all[4].Membership().Self().Incarnation, was, "as another incarnation")
+	require.Empty(t, all[0].Membership().NameConflicts())
 
-	at := all[1].Book().Self()
+	at := all[1].Membership().Self()
 	all[1].Close()
 	until(t, "a kill is noticed", func() bool { return state(all[0], "b") == membership.Dead })
 	again := start(t, w, "b", []string{"a", "b", "c", "d", "e"}, func(o *Options) {
-		o.Listen, o.Join = at.Addr, []string{all[2].Book().Self().Addr}
+		o.ListenAddr, o.JoinAddrs = at.Addr, []string{all[2].Membership().Self().Addr}
 	})
 	until(t, "a restart is there", func() bool { return state(all[0], "b") == membership.Alive })
 	again.Leave(context.Background()) // on a busy machine it may say that nobody has the word yet
@@ -133,21 +133,23 @@
 	t.Parallel()
 	w := &world{side: map[string]int{}}
 	all := fleetOf(t, w, "a", "b", "c")
-	two := start(t, w, "c", []string{"a", "b", "c"}, func(o *Options) { o.Join = []string{all[0].Book().Self().Addr} })
+	two := start(t, w, "c", []string{"a", "b", "c"}, func(o *Options) { o.JoinAddrs = []string{all[0].Membership().Self().Addr} })
 	for _, n := range append(all, two) {
-		until(t, "all say so", func() bool { return len(n.Book().NameConflicts()) == 1 && n.Book().NameConflicts()[0] == "c" })
+		until(t, "all say so", func() bool {
+			return len(n.Membership().NameConflicts()) == 1 && n.Membership().NameConflicts()[0] == "c"
+		})
 	}
-	require.False(t, two.Book().HasMajority(0))
-	require.False(t, all[2].Book().HasMajority(0))
-	until(t, "it is not counted", func() bool { heard, _ := all[0].Book().CountAliveVoters(0); return heard == 2 })
+	require.False(t, two.Membership().HasMajority(0))
+	require.False(t, all[2].Membership().HasMajority(0))
+	until(t, "it is not counted", func() bool { heard, _ := all[0].Membership().CountAliveVoters(0); return heard == 2 })
 	two.Close()
 	for _, n := range all {
 		until(t, "over with the second", func() bool {
-			heard, _ := n.Book().CountAliveVoters(0)
-			return heard == 3 && len(n.Book().NameConflicts()) == 0
+			heard, _ := n.Membership().CountAliveVoters(0)
+			return heard == 3 && len(n.Membership().NameConflicts()) == 0
 		})
 	}
-	require.Greater(t, all[2].Book().Self().Incarnation, two.Book().Self().Incarnation, "the older life is not outlived by a dead one")
+	require.Greater(t, all[2].Membership().Self().Incarnation, two.Membership().Self().Incarnation, "the older life is not outlived by a dead one")
 }
 
 func TestMessagesAndWhatIsSaid(t *testing.T) {
@@ -156,24 +158,24 @@
 	all := fleetOf(t, w, "a", "b")
 	got := make(chan []byte, 10)
 	all[1].Handle(7, func(from string, body []byte) { got <- append([]byte(from+":"), body...) })
-	big := bytes.Repeat([]byte("x"), BodyMost)
+	big := bytes.Repeat([]byte("x"), MaxBodyBytes)
 	require.NoError(t, all[0].Send(t.Context(), "b", 7, big))
 	require.Equal(t, append([]byte("a:"), big...), <-got)
-	require.True(t, advice.HasType[*TooBig](all[0].Send(t.Context(), "b", 7, make([]byte, BodyMost+1))))
-	require.True(t, advice.HasType[*Away](all[0].Send(t.Context(), "x", 7, nil)))
-	m := all[0].Book().Self()
+	require.True(t, advice.HasType[*MessageTooLargeError](all[0].Send(t.Context(), "b", 7, make([]byte, MaxBodyBytes+1))))
+	require.True(t, advice.HasType[*PeerUnavailableError](all[0].Send(t.Context(), "x", 7, nil)))
+	m := all[0].Membership().Self()
 	m.SettingsGeneration, m.ProgramVersion, m.Capabilities = 9, "v2", []string{"rollout"}
-	require.NoError(t, all[0].Update(m))
+	require.NoError(t, all[0].UpdateSelf(m))
 	until(t, "what is said comes through", func() bool {
-		m := all[1].Book().Members()[0]
+		m := all[1].Membership().Members()[0]
 		return m.SettingsGeneration == 9 && m.ProgramVersion == "v2" && len(m.Capabilities) == 1
 	})
 	for range 16 {
 		m.Capabilities = append(m.Capabilities, string(bytes.Repeat([]byte("p"), 100)))
 	}
-	require.Error(t, all[0].Update(m))
+	require.Error(t, all[0].UpdateSelf(m))
 	m.Capabilities = m.Capabilities[:8]
-	require.True(t, advice.HasType[*TooLong](all[0].Update(m)))
+	require.True(t, advice.HasType[*MetadataTooLargeError](all[0].UpdateSelf(m)))
 }
 
 // relay passes packets and connections on, as a relay between halls would.
@@ -244,18 +246,18 @@
 				via[other] = relay(t, other)
 			}
 		}
-		n, err := Start(t.Context(), Options{Me: membership.Member{Name: fmt.Sprint("n", i)}, Listed: []string{"n0", "n1", "n2"}, Listen: addr,
-			Join: addrs, Via: via, Key: key, Drop: func(to string) bool { return false }})
+		n, err := Start(t.Context(), Options{Self: membership.Member{Name: fmt.Sprint("n", i)}, Voters: []string{"n0", "n1", "n2"}, ListenAddr: addr,
+			JoinAddrs: addrs, AddrOverrides: via, Key: key, ShouldDrop: func(to string) bool { return false }})
 		require.NoError(t, err)
 		t.Cleanup(n.Close)
 		all = append(all, n)
 	}
 	for _, n := range all {
-		until(t, "through relays", func() bool { heard, _ := n.Book().CountAliveVoters(0); return heard == 3 })
+		until(t, "through relays", func() bool { heard, _ := n.Membership().CountAliveVoters(0); return heard == 3 })
 	}
 	for range 20 { // acknowledgements come back through them too
 		time.Sleep(100 * time.Millisecond)
-		heard, _ := all[0].Book().CountAliveVoters(0)
+		heard, _ := all[0].Membership().CountAliveVoters(0)
 		require.Equal(t, 3, heard)
 	}
 }
@@ -265,21 +267,21 @@
 	ln, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	for _, o := range []Options{{Listen: ln.LocalAddr().String()}, {Listen: "here"}, {Listen: "0.0.0.0:1"}, {Listen: "127.0.0.1:0", Key: []byte("x")},
-		{Listen: "127.0.0.1:0", Me: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), ProgramVersion: string(make([]byte, 200))}}} {
+	for _, o := range []Options{{ListenAddr: ln.LocalAddr().String()}, {ListenAddr: "here"}, {ListenAddr: "0.0.0.0:1"}, {ListenAddr: "127.0.0.1:0", Key: []byte("x")},
+		{ListenAddr: "127.0.0.1:0", Self: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), ProgramVersion: string(make([]byte, 200))}}} {
 		_, err := Start(t.Context(), o)
 		require.Error(t, err)
 		require.NotEmpty(t, advice.For(err), "%v", err)
 	}
-	_, err = Start(t.Context(), Options{Listen: ln.LocalAddr().String()})
-	require.True(t, advice.HasType[*PortTaken](err), "%v", err)
+	_, err = Start(t.Context(), Options{ListenAddr: ln.LocalAddr().String()})
+	require.True(t, advice.HasType[*AddressInUseError](err), "%v", err)
 }
 
 // Each error type has advice and stands in the page for those on call.
 func TestErrorTypesAreListed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	all := []advice.Provider{&PortTaken{}, &AddressUnusable{}, &KeyUnusable{}, &KeyDiffers{}, &Alone{}, &NameTwice{}, &TooLong{}, &TooBig{}, &Away{}}
+	all := []advice.Provider{&AddressInUseError{}, &InvalidAddressError{}, &InvalidKeyFileError{}, &KeyMismatchError{}, &IsolatedError{}, &NameConflictError{}, &MetadataTooLargeError{}, &MessageTooLargeError{}, &PeerUnavailableError{}}
 	for _, e := range all {
 		name := reflect.TypeOf(e).Elem().Name()
 		require.Contains(t, string(page), "| `"+name+"` |")
@@ -295,19 +297,19 @@
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	one, two := strings.Repeat("A", 43)+"=", strings.Repeat("B", 42)+"A="
 	write("# new\n" + one + "\n\n" + two + "\n")
-	key, older, err := ReadKeys(path)
+	key, older, err := ReadKeyFile(path)
 	require.NoError(t, err)
 	require.Equal(t, make([]byte, 32), key)
 	require.Len(t, older, 1)
 	for text, want := range map[string]string{"": "holds no key", "A": "line 1: is no base64", one + "\nAAAA\n": "line 2: 3 bytes",
 		strings.Repeat(one+"\n", 5): "line 5: more than 4 keys", strings.Repeat(" ", keyFileBytes+1): "over"} {
 		write(text)
-		_, _, err := ReadKeys(path)
-		require.True(t, advice.HasType[*KeyUnusable](err))
+		_, _, err := ReadKeyFile(path)
+		require.True(t, advice.HasType[*InvalidKeyFileError](err))
 		require.ErrorContains(t, err, want)
 	}
-	_, _, err = ReadKeys(path + ".not")
-	require.True(t, advice.HasType[*KeyUnusable](err))
+	_, _, err = ReadKeyFile(path + ".not")
+	require.True(t, advice.HasType[*InvalidKeyFileError](err))
 }
 
 // One with another key is not believed, and said so; one with both keys hears both.
@@ -316,10 +318,10 @@
 	w, out := &world{side: map[string]int{}}, &lockedLog{}
 	key := func(b byte) []byte { return bytes.Repeat([]byte{b}, 32) }
 	listed := []string{"a", "b", "c"}
-	a := start(t, w, "a", listed, func(o *Options) { o.Key, o.Log = key(1), slog.New(slog.NewTextHandler(out, nil)) })
-	join := []string{a.Book().Self().Addr}
-	b := start(t, w, "b", listed, func(o *Options) { o.Key, o.Join = key(2), join })
-	c := start(t, w, "c", listed, func(o *Options) { o.Key, o.Older, o.Join = key(1), [][]byte{key(2)}, join })
+	a := start(t, w, "a", listed, func(o *Options) { o.Key, o.Logger = key(1), slog.New(slog.NewTextHandler(out, nil)) })
+	join := []string{a.Membership().Self().Addr}
+	b := start(t, w, "b", listed, func(o *Options) { o.Key, o.JoinAddrs = key(2), join })
+	c := start(t, w, "c", listed, func(o *Options) { o.Key, o.OldKeys, o.JoinAddrs = key(1), [][]byte{key(2)}, join })
 	until(t, "one key", func() bool { return state(a, "c") == membership.Alive && state(c, "a") == membership.Alive })
 	until(t, "the other is named", func() bool { return strings.Contains(out.String(), "fleet_key") })
 	require.Equal(t, membership.State(-1), state(a, "b"))
--- a/cluster/gossip/log.go
+++ b/cluster/gossip/log.go
@@ -35,7 +35,7 @@
 	if strings.Contains(words, "ecrypt") { // by another key, or by none
 		if l.keys.Allow() {
 			_, from, _ := strings.Cut(words, "from=")
-			l.n.log.Warn("fleet_key", advice.LogAttrs(&KeyDiffers{From: from})...)
+			l.n.log.Warn("fleet_key", advice.LogAttrs(&KeyMismatchError{From: from})...)
 		}
 		return len(line), nil
 	}
--- a/cluster/gossip/others_test.go
+++ b/cluster/gossip/others_test.go
@@ -43,10 +43,10 @@
 	of := func(name, tenant string, listed []string, join ...*Node) *Node {
 		logs[name] = &logged{}
 		n := start(t, w, name, listed, func(o *Options) {
-			o.Key, o.Log = bytes.Repeat([]byte{7}, 32), slog.New(slog.NewTextHandler(logs[name], nil))
-			o.Whose = membership.NewIdentity("", []string{tenant, "other"})
+			o.Key, o.Logger = bytes.Repeat([]byte{7}, 32), slog.New(slog.NewTextHandler(logs[name], nil))
+			o.Identity = membership.NewIdentity("", []string{tenant, "other"})
 			for _, j := range join {
-				o.Join = append(o.Join, j.Book().Self().Addr)
+				o.JoinAddrs = append(o.JoinAddrs, j.Membership().Self().Addr)
 			}
 		})
 		n.Handle(9, func(from string, body []byte) { heard <- from + " " + string(body) })
@@ -59,13 +59,13 @@
 	d := of("d", "globex", globex, c, b)
 	all := map[string]*Node{"a": a, "b": b, "c": c, "d": d}
 	for name, n := range all {
-		until(t, "its own are heard", func() bool { heard, of := n.Book().CountAliveVoters(0); return heard == of })
+		until(t, "its own are heard", func() bool { heard, of := n.Membership().CountAliveVoters(0); return heard == of })
 		until(t, "the others are refused", func() bool { return strings.Contains(logs[name].String(), "msg=fleet_other") })
 	}
 	// An instance whose address another fleet's now has sends to that: the message comes and is not heard.
-	at := netip.MustParseAddrPort(a.Book().Self().Addr)
+	at := netip.MustParseAddrPort(a.Membership().Self().Addr)
 	to := &memberlist.Node{Name: a.own, Addr: at.Addr().AsSlice(), Port: at.Port()}
-	require.NoError(t, c.list.SendReliable(to, head(9, c.Book().Self(), []byte("of another"))))
+	require.NoError(t, c.list.SendReliable(to, head(9, c.Membership().Self(), []byte("of another"))))
 	time.Sleep(strangerMost + joinEvery) // tries to join come again meanwhile
 	require.NoError(t, b.Send(t.Context(), "a", 9, []byte("its own")))
 	select {
@@ -76,7 +76,7 @@
 	}
 	for name, n := range all {
 		for other := range all {
-			if listed := n.Book().IsVoter(other); !listed {
+			if listed := n.Membership().IsVoter(other); !listed {
 				require.Equal(t, membership.State(-1), state(n, other), "%s at %s", other, name)
 				require.Error(t, n.Send(t.Context(), other, 9, nil))
 			}
@@ -96,12 +96,12 @@
 	var all []*Node
 	for i, id := range []membership.Identity{membership.NewIdentity("live", []string{"acme"}), {}, membership.NewIdentity("", []string{"acme", "globex"})} {
 		all = append(all, start(t, w, listed[i], listed, func(o *Options) {
-			if o.Whose = id; i > 0 {
-				o.Join = []string{all[0].Book().Self().Addr}
+			if o.Identity = id; i > 0 {
+				o.JoinAddrs = []string{all[0].Membership().Self().Addr}
 			}
 		}))
 	}
 	for _, n := range all {
-		until(t, "all are heard", func() bool { heard, of := n.Book().CountAliveVoters(0); return heard == of })
+		until(t, "all are heard", func() bool { heard, of := n.Membership().CountAliveVoters(0); return heard == of })
 	}
 }
--- a/cluster/gossip/run.go
+++ b/cluster/gossip/run.go
@@ -74,15 +74,15 @@
 // other tells whether an instance is of another fleet.
 func (n *Node) other(node *memberlist.Node) error {
 	var w word
-	if len(node.Meta) > metaMost || n.decoding.Unmarshal(node.Meta, &w) != nil || !w.Whose.IsValid() || !n.o.Whose.ConflictsWith(w.Whose) {
+	if len(node.Meta) > metaMost || n.decoding.Unmarshal(node.Meta, &w) != nil || !w.Whose.IsValid() || !n.o.Identity.ConflictsWith(w.Whose) {
 		return nil // what cannot be read is left to takeEvents
 	}
-	return &membership.ForeignInstanceError{Name: w.Name, Addr: node.Address(), Theirs: w.Whose, Ours: n.o.Whose}
+	return &membership.ForeignInstanceError{Name: w.Name, Addr: node.Address(), Theirs: w.Whose, Ours: n.o.Identity}
 }
 
 // stranger tells whether an instance that sends has not been taken in, here or by the library.
 func (n *Node) stranger(name string, incarnation uint64) bool {
-	if !n.o.Whose.IsSpecified() { // nobody is refused
+	if !n.o.Identity.IsSpecified() { // nobody is refused
 		return false
 	}
 	if _, known := n.book.IncarnationState(name, incarnation); known {
@@ -150,7 +150,7 @@
 	}
 	for _, m := range all {
 		n.book.ApplyUpdate(n.Now(), m)
-		mine = mine || m.Name == n.o.Me.Name
+		mine = mine || m.Name == n.o.Self.Name
 	}
 	n.wake()
 	return mine
@@ -303,7 +303,7 @@
 	conflicts := n.book.NameConflicts()
 	for _, name := range conflicts {
 		if !slices.Contains(s.conflicts, name) {
-			n.log.Error("fleet_name_twice", advice.LogAttrs(&NameTwice{name})...)
+			n.log.Error("fleet_name_twice", advice.LogAttrs(&NameConflictError{name})...)
 		}
 	}
 	for _, name := range s.conflicts {
@@ -325,9 +325,9 @@
 	n.mu.Lock()
 	s.anybody = s.anybody || len(n.nodes) > 0
 	n.mu.Unlock()
-	if !s.anybody && len(n.o.Join) > 0 && time.Since(s.alone) >= aloneEvery {
+	if !s.anybody && len(n.o.JoinAddrs) > 0 && time.Since(s.alone) >= aloneEvery {
 		s.alone = time.Now()
-		n.log.Warn("fleet_alone", advice.LogAttrs(&Alone{Tried: n.o.Join})...)
+		n.log.Warn("fleet_alone", advice.LogAttrs(&IsolatedError{Tried: n.o.JoinAddrs})...)
 	}
 	n.chance.Shuffle(len(absent), func(i, j int) { absent[i], absent[j] = absent[j], absent[i] })
 	absent = absent[:min(len(absent), joinAtOnce)]
@@ -356,7 +356,7 @@
 			there[node.Address()] = true
 		}
 	}
-	for _, addr := range n.o.Join {
+	for _, addr := range n.o.JoinAddrs {
 		if !there[addr] {
 			there[addr] = true
 			all = append(all, addr)
--- a/cluster/gossip/wire_golden_test.go
+++ b/cluster/gossip/wire_golden_test.go
@@ -24,7 +24,9 @@
 // Member metadata, lists of ended lives and message headers as members of a mixed fleet send them to each other.
 func TestGoldenGossipMessages(t *testing.T) {
 	identity := membership.Identity{Cluster: "live", Tenants: []uint32{0x01020304, 0xfffefdfc}}
-	node := func(whose membership.Identity) *Node { return &Node{o: Options{Whose: whose}, decoding: newDecoding()} }
+	node := func(whose membership.Identity) *Node {
+		return &Node{o: Options{Identity: whose}, decoding: newDecoding()}
+	}
 	full := membership.Member{Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, MetaVersion: 7, SuspicionVersion: 9, Region: "eu-west", Zone: "eu-west-1a",
 		ProgramVersion: "v1.2.3", SettingsGeneration: 42, Capabilities: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", StateSince: 5}
 	decoded := full // neither Look nor Since is sent, and the address comes from the membership library
@@ -66,5 +68,5 @@
 // The topic of the package's own messages, and limits that the receiver checks.
 func TestGoldenGossipConstants(t *testing.T) {
 	require.Equal(t, 0, wordTopic)
-	require.Equal(t, []int{512, 2 << 20, 2000, 256, 1 << 20}, []int{metaMost, wordsMost, listMost, headMost, BodyMost})
+	require.Equal(t, []int{512, 2 << 20, 2000, 256, 1 << 20}, []int{metaMost, wordsMost, listMost, headMost, MaxBodyBytes})
 }
--- a/cluster/gossip/words.go
+++ b/cluster/gossip/words.go
@@ -45,9 +45,9 @@
 	if state == membership.Suspect {
 		state = membership.Alive // no one suspects itself
 	}
-	text, err := cbor.Marshal(word{m.Name, m.Incarnation, m.MetaVersion, state, m.Region, m.Zone, m.ProgramVersion, m.SettingsGeneration, m.Capabilities, n.o.Whose})
+	text, err := cbor.Marshal(word{m.Name, m.Incarnation, m.MetaVersion, state, m.Region, m.Zone, m.ProgramVersion, m.SettingsGeneration, m.Capabilities, n.o.Identity})
 	if err == nil && len(text) > metaMost {
-		err = &TooLong{len(text)}
+		err = &MetadataTooLargeError{len(text)}
 	}
 	return text, err
 }
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -62,10 +62,10 @@
 		return nil, err
 	}
 	whose := membership.NewIdentity(own.Cluster, plan.ResidencySite().Tenants)
-	o := gossip.Options{Whose: whose, Me: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Listed: own.Listed,
-		Listen: own.Listen, Join: own.Join, Via: own.Via, Log: log, Seed: time.Now().UnixNano()}
+	o := gossip.Options{Identity: whose, Self: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Voters: own.Listed,
+		ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.Via, Logger: log, Seed: time.Now().UnixNano()}
 	if own.Key != "" {
-		if o.Key, o.Older, err = gossip.ReadKeys(own.Key); err != nil {
+		if o.Key, o.OldKeys, err = gossip.ReadKeyFile(own.Key); err != nil {
 			return nil, err
 		}
 	}
@@ -78,7 +78,7 @@
 		s.stop()
 		return nil, err
 	}
-	s.book, s.clock = s.node.Book(), s.node.Now
+	s.book, s.clock = s.node.Membership(), s.node.Now
 	s.shared = replication.Start(context.Background(), replication.Options{Name: own.Name, Life: s.book.Self().Incarnation, Net: s.node, Peers: s.peers,
 		Disk: s.disk, Log: log, Seed: o.Seed + 1})
 	go s.open()
@@ -126,7 +126,7 @@
 	if err != nil {
 		s.complain(err)
 	} else if found && len(before) == 8 {
-		s.node.Before(binary.BigEndian.Uint64(before))
+		s.node.EndPreviousIncarnation(binary.BigEndian.Uint64(before))
 	}
 	// Nothing else is written before whose the store is; guards against a disk that hangs: what it holds is there all the same.
 	late := time.AfterFunc(lifeSoon, told)
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -350,7 +350,7 @@
 				}
 			}
 			if err == nil && file.Fleet != nil && file.Fleet.Key != "" {
-				if _, _, err = gossip.ReadKeys(file.Fleet.Key); err != nil {
+				if _, _, err = gossip.ReadKeyFile(file.Fleet.Key); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -439,7 +439,7 @@
 	}
 	me := st.book.Self()
 	me.SettingsGeneration = numberOf(st.state.Runs)
-	if err := st.node.Update(me); err != nil {
+	if err := st.node.UpdateSelf(me); err != nil {
 		st.log.Warn("rollout_put", advice.LogAttrs(err, "name", me.Name)...)
 	}
 	st.desk.Serves(st.clock())
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -35,13 +35,13 @@
 	}
 	me := s.book.Self()
 	me.Capabilities = append(slices.Clone(me.Capabilities), gatewayPart)
-	if err := s.node.Update(me); err != nil {
+	if err := s.node.UpdateSelf(me); err != nil {
 		return nil, err
 	}
 	left := func() { // so that others serve in its place while it finishes its clients' searches
 		me := s.book.Self()
 		me.Capabilities = slices.DeleteFunc(slices.Clone(me.Capabilities), func(part string) bool { return part == gatewayPart })
-		if err := s.node.Update(me); err != nil {
+		if err := s.node.UpdateSelf(me); err != nil {
 			s.log.Warn("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
--- a/internal/benchmark/gossip.go
+++ b/internal/benchmark/gossip.go
@@ -92,7 +92,7 @@
 		if few && b.fault > 0 {
 			if majority := v.book.HasMajority(0); !majority && b.lost[v.name] == 0 {
 				b.lost[v.name] = since
-			} else if majority && since > gossip.DetectMost.Seconds() {
+			} else if majority && since > gossip.MaxDetectionTime.Seconds() {
 				b.minority = append(b.minority, v.name)
 			}
 		}
@@ -163,7 +163,7 @@
 	if len(lost) > 0 {
 		missed = lost // of the other side a majority may learn later: it goes on in any case
 	}
-	if len(missed) > 0 && slices.Max(missed) > (gossip.DetectMost+modelLook).Seconds() {
+	if len(missed) > 0 && slices.Max(missed) > (gossip.MaxDetectionTime+modelLook).Seconds() {
 		out.Missed = append(out.Missed, fmt.Sprintf("%s: counted for %.1f s", as, slices.Max(missed)))
 	}
 }
@@ -224,9 +224,9 @@
 		names, addrs = append(names, fmt.Sprintf("g%02d", i)), append(addrs, "")
 	}
 	for i := range n {
-		node, err := gossip.Start(ctx, gossip.Options{Me: book.Member{Name: names[i], Region: "lab", Zone: "lab-1", ProgramVersion: "lab"},
-			Listed: names, Listen: "127.0.0.1:0", Join: slices.Clone(addrs[:min(3, i)]), Seed: seed*1000 + int64(i),
-			Drop: func(to string) bool {
+		node, err := gossip.Start(ctx, gossip.Options{Self: book.Member{Name: names[i], Region: "lab", Zone: "lab-1", ProgramVersion: "lab"},
+			Voters: names, ListenAddr: "127.0.0.1:0", JoinAddrs: slices.Clone(addrs[:min(3, i)]), Seed: seed*1000 + int64(i),
+			ShouldDrop: func(to string) bool {
 				mu.Lock()
 				defer mu.Unlock()
 				return sides[addrs[i]] != sides[to]
@@ -236,9 +236,9 @@
 		}
 		defer node.Close()
 		mu.Lock()
-		addrs[i] = node.Book().Self().Addr
+		addrs[i] = node.Membership().Self().Addr
 		mu.Unlock()
-		nodes, all = append(nodes, node), append(all, view{name: names[i], up: true, book: node.Book()})
+		nodes, all = append(nodes, node), append(all, view{name: names[i], up: true, book: node.Membership()})
 	}
 	b, began := newBooks(n), time.Now()
 	watch := func(most time.Duration, enough func() bool) error {
@@ -271,7 +271,7 @@
 	out.Fields[as+"_whole_s"] = round(time.Since(began).Seconds())
 	sent := func() (sum int64) {
 		for _, node := range nodes {
-			sum += node.Sent()
+			sum += node.BytesSent()
 		}
 		return sum
 	}
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -54,13 +54,13 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stdout, nil))
-	node, err := gossip.Start(ctx, gossip.Options{Me: who.Member{Name: own.Name, Region: own.Region, Zone: own.Zone},
-		Listed: own.Listed, Listen: own.Listen, Join: own.Join, Via: own.Via, Log: log, Seed: time.Now().UnixNano()})
+	node, err := gossip.Start(ctx, gossip.Options{Self: who.Member{Name: own.Name, Region: own.Region, Zone: own.Zone},
+		Voters: own.Listed, ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.Via, Logger: log, Seed: time.Now().UnixNano()})
 	if err != nil {
 		return err
 	}
 	peers := func() (alive, listed []string) {
-		return node.Book().AlivePeers(), own.Listed
+		return node.Membership().AlivePeers(), own.Listed
 	}
 	disk := func(ctx context.Context) (replication.Disk, error) {
 		s, err := store.Open(own.Store, store.Options{Told: func(err error) { log.Warn("fleet_store", "error", err) }})
@@ -69,7 +69,7 @@
 		}
 		return s, nil
 	}
-	book := replication.Start(ctx, replication.Options{Name: own.Name, Life: node.Book().Self().Incarnation, Net: node, Peers: peers, Disk: disk,
+	book := replication.Start(ctx, replication.Options{Name: own.Name, Life: node.Membership().Self().Incarnation, Net: node, Peers: peers, Disk: disk,
 		Log: log, Seed: time.Now().UnixNano()})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
