--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -31,7 +31,7 @@
 
 // sharing is what an installation's instances share: who is there, and what is kept about it. Its features rest on it.
 type sharing struct {
-	file  config.Fleet
+	file  config.Cluster
 	whose membership.Identity
 	node  *gossip.Node
 	book  *membership.Table
@@ -57,20 +57,20 @@
 	if file.Fleet == nil {
 		return nil, nil
 	}
-	own, err := file.Fleet.As(plan.Name)
+	own, err := file.Fleet.ForInstance(plan.Name)
 	if err != nil {
 		return nil, err
 	}
-	whose := membership.NewIdentity(own.Cluster, plan.ResidencySite().Tenants)
-	o := gossip.Options{Identity: whose, Self: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Voters: own.Listed,
-		ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.Via, Logger: log, Seed: time.Now().UnixNano()}
-	if own.Key != "" {
-		if o.Key, o.OldKeys, err = gossip.ReadKeyFile(own.Key); err != nil {
+	whose := membership.NewIdentity(own.ClusterName, plan.ResidencySite().Tenants)
+	o := gossip.Options{Identity: whose, Self: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Voters: own.VotingMembers,
+		ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.AddressOverrides, Logger: log, Seed: time.Now().UnixNano()}
+	if own.KeyFile != "" {
+		if o.Key, o.OldKeys, err = gossip.ReadKeyFile(own.KeyFile); err != nil {
 			return nil, err
 		}
 	}
 	s := &sharing{file: own, whose: whose, log: log, opened: make(chan struct{})}
-	if keep != nil && keep.Path() == own.Store {
+	if keep != nil && keep.Path() == own.StoreFile {
 		s.keep = keep
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
@@ -86,7 +86,7 @@
 }
 
 // peers are the others that are there now, and all that count.
-func (s *sharing) peers() (alive, listed []string) { return s.book.AlivePeers(), s.file.Listed }
+func (s *sharing) peers() (alive, listed []string) { return s.book.AlivePeers(), s.file.VotingMembers }
 
 // disk waits for the store, as what is shared is kept there too.
 func (s *sharing) disk(ctx context.Context) (replication.Disk, error) {
@@ -163,12 +163,12 @@
 }
 
 func (s *sharing) complain(err error) {
-	s.log.Warn("fleet_store", advice.LogAttrs(err, "path", s.file.Store)...)
+	s.log.Warn("fleet_store", advice.LogAttrs(err, "path", s.file.StoreFile)...)
 }
 
 // openStore opens the store, nil where there is none.
 func (s *sharing) openStore() *store.Store {
-	if s.file.Store == "" {
+	if s.file.StoreFile == "" {
 		return nil
 	}
 	if s.keep != nil {
@@ -179,7 +179,7 @@
 		return kept
 	}
 	for told := false; ; told = true {
-		kept, err := store.Open(s.file.Store, store.Options{Told: s.complain})
+		kept, err := store.Open(s.file.StoreFile, store.Options{Told: s.complain})
 		if err == nil {
 			return kept
 		}
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -65,7 +65,7 @@
 	kept, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, kept.Close(context.Background())) })
-	s := &sharing{file: config.Fleet{Name: "east-0", Store: path}, log: slog.New(slog.DiscardHandler), ctx: t.Context(),
+	s := &sharing{file: config.Cluster{Name: "east-0", StoreFile: path}, log: slog.New(slog.DiscardHandler), ctx: t.Context(),
 		opened: make(chan struct{}), store: kept}
 	close(s.opened)
 	return s
@@ -94,7 +94,7 @@
 // The incarnation and the fleet's identity are written as the golden bytes under bucket fleet.
 func TestGoldenFleetBucket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.db")
-	l := ofCustomer(t, path, "acme", func(f *config.Fleet) { f.Cluster = "live" })
+	l := ofCustomer(t, path, "acme", func(f *config.Cluster) { f.ClusterName = "live" })
 	life, found, err := l.s.store.Get("fleet", "life")
 	require.NoError(t, err)
 	require.True(t, found)
--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -57,7 +57,7 @@
 }
 
 // listsOf watches the host files that an installation names, until ctx ends.
-func listsOf(ctx context.Context, m *config.Members, log *slog.Logger) <-chan endpoints.Told {
+func listsOf(ctx context.Context, m *config.EndpointSources, log *slog.Logger) <-chan endpoints.Told {
 	if m == nil {
 		return nil
 	}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -142,7 +142,7 @@
 			lists = keep.PrependStoredUpdate(ctx, lists)
 		}
 		for kind, h := range file.Hosts {
-			hosts[kind] = coordinator.HostKind{Index: h.Index, Placement: h.Placed}
+			hosts[kind] = coordinator.HostKind{Index: h.Index, Placement: h.Placement}
 		}
 	}
 	plan.ApplyRuntimeLimits()
@@ -221,14 +221,14 @@
 // settingsOf puts an installation's settings over the plan's, and those to be watched beside them.
 func settingsOf(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
 	site := plan.ResidencySite()
-	if err := file.Fits(site.Classes, site.Tenants); err != nil {
+	if err := file.CheckAgainstPlan(site.Classes, site.Tenants); err != nil {
 		return nil, err
 	}
-	plan, err := plan.WithSettings(config.Over(file.Settings))
+	plan, err := plan.WithSettings(config.FlattenSettings(file.Settings))
 	if err != nil || file.Shadow == nil {
 		return plan, err
 	}
-	return plan.WithShadowSettings(config.Over(file.Shadow.Settings))
+	return plan.WithShadowSettings(config.FlattenSettings(file.Shadow.Settings))
 }
 
 // peersOf opens what an installation's peers need.
@@ -240,12 +240,12 @@
 	if p.Name != "" {
 		name = p.Name
 	}
-	more := &coordinator.PeerOptions{Name: name, Location: p.Place, AllowedPeers: p.Allow, RefreshInterval: p.Refresh,
+	more := &coordinator.PeerOptions{Name: name, Location: p.Locality, AllowedPeers: p.AllowedPeers, RefreshInterval: p.RefreshInterval,
 		Budgets: map[string]scheduler.Budget{}}
 	for kind, w := range file.Background {
 		more.Budgets[kind] = budgetOf(w)
 	}
-	for _, one := range p.Ask {
+	for _, one := range p.PollTargets {
 		more.PollTargets = append(more.PollTargets, coordinator.PeerAddress{Name: one.Name, Addr: one.Address})
 	}
 	var err error
@@ -261,8 +261,8 @@
 // keepOf begins to open what this process keeps on disk, nil where nothing is.
 func keepOf(file *config.File, plan *coordinator.Plan, log *slog.Logger) *coordinator.Persistence {
 	path, alone := file.Store, true
-	if f := file.Fleet; f != nil && f.Store != "" && (path == "" || path == f.Store) {
-		path, alone = f.Store, false
+	if f := file.Fleet; f != nil && f.StoreFile != "" && (path == "" || path == f.StoreFile) {
+		path, alone = f.StoreFile, false
 	}
 	if path == "" {
 		return nil
@@ -270,8 +270,8 @@
 	return coordinator.NewPersistence(path, alone, budgetOf(file.Background["keep"]), plan, coordinator.SystemClock{}, log)
 }
 
-func budgetOf(w config.Work) scheduler.Budget {
-	return scheduler.Budget{Concurrent: w.Concurrent, Bytes: w.BytesPerSecond, CPU: w.CPUPerSecond}
+func budgetOf(w config.WorkBudget) scheduler.Budget {
+	return scheduler.Budget{Concurrent: w.MaxConcurrent, Bytes: w.BytesPerSecond, CPU: w.CPUPerSecond}
 }
 
 // frontsOf opens what an installation's other fronts need.
@@ -282,8 +282,8 @@
 	}
 	f := &frontend.Server{}
 	for _, x := range o.Indices {
-		f.Indices = append(f.Indices, frontend.Index{Name: x.Name, SearchType: x.Type, Tenant: x.Partner, Blocks: x.Blocks,
-			Placement: x.Placed})
+		f.Indices = append(f.Indices, frontend.Index{Name: x.Name, SearchType: x.Type, Tenant: x.Tenant, Blocks: x.Blocks,
+			Placement: x.Placement})
 	}
 	var err error
 	if o.TLS != nil {
@@ -349,24 +349,24 @@
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
-			if err == nil && file.Fleet != nil && file.Fleet.Key != "" {
-				if _, _, err = gossip.ReadKeyFile(file.Fleet.Key); err != nil {
+			if err == nil && file.Fleet != nil && file.Fleet.KeyFile != "" {
+				if _, _, err = gossip.ReadKeyFile(file.Fleet.KeyFile); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
 			if err == nil && plan != nil {
 				site := plan.ResidencySite()
-				if err = file.Fits(site.Classes, site.Tenants); err != nil {
+				if err = file.CheckAgainstPlan(site.Classes, site.Tenants); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
 			if err == nil && rolls(file) {
 				err = checkRollout(file)
 			}
-			if err == nil && file.Fleet != nil && file.Fleet.Residency != "" {
+			if err == nil && file.Fleet != nil && file.Fleet.ResidencyFile != "" {
 				var text []byte
-				if text, err = hostfile.Text(file.Fleet.Residency); err == nil {
-					_, err = checkContracts(file.Fleet.Residency, text, plan)
+				if text, err = hostfile.Text(file.Fleet.ResidencyFile); err == nil {
+					_, err = checkContracts(file.Fleet.ResidencyFile, text, plan)
 				}
 			}
 		default:
@@ -400,7 +400,7 @@
 	if err != nil {
 		return err
 	}
-	if file.Peers == nil || len(file.Peers.Ask) == 0 {
+	if file.Peers == nil || len(file.Peers.PollTargets) == 0 {
 		return fmt.Errorf("%s names no peers to ask", p.Installation)
 	}
 	if file.Peers.Name != "" {
@@ -414,7 +414,7 @@
 	defer out.Flush()
 	fmt.Fprintln(out, "PEER\tADDRESS\tPLACE\tUP\tLIST\tHOSTS\tTOLD\tPUT OFF\tLOAD\tJOBS\tHELD\tITS PEERS")
 	unreached := 0
-	for _, one := range file.Peers.Ask {
+	for _, one := range file.Peers.PollTargets {
 		asking := peerprotocol.Asking{Peer: one.Name, Addr: one.Address, Me: p.Name, Dial: (&net.Dialer{}).DialContext, Keys: keys}
 		s, err := asking.Status(context.Background())
 		if err != nil {
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -21,10 +21,10 @@
 )
 
 // ofCustomer is an instance of a fleet whose plan has these tenants, beside the store at path.
-func ofCustomer(t *testing.T, path, tenant string, change func(f *config.Fleet)) *lived {
+func ofCustomer(t *testing.T, path, tenant string, change func(f *config.Cluster)) *lived {
 	plan, err := coordinator.Parse([]byte(strings.Replace(zonedPlan, `{"Name":"acme",`, `{"Name":"`+tenant+`",`, 1)))
 	require.NoError(t, err)
-	f := &config.Fleet{Name: "east-0", Listen: "127.0.0.1:0", Listed: []string{"east-0"}, Store: path}
+	f := &config.Cluster{Name: "east-0", Listen: "127.0.0.1:0", VotingMembers: []string{"east-0"}, StoreFile: path}
 	if change != nil {
 		change(f)
 	}
@@ -94,7 +94,7 @@
 // Two fleets of one customer are told apart by their names; a store from before anything was kept of whose it is counts as
 // the fleet's own.
 func TestFleetsOfOneCustomer(t *testing.T) {
-	named := func(name string) func(f *config.Fleet) { return func(f *config.Fleet) { f.Cluster = name } }
+	named := func(name string) func(f *config.Cluster) { return func(f *config.Cluster) { f.ClusterName = name } }
 	path := filepath.Join(t.TempDir(), "fleet.db")
 	first := ofCustomer(t, path, "acme", named("live"))
 	fills(t, first)
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -88,28 +88,28 @@
 // contractsOf starts what the section fleet's residency turns on; nil where it names no file. A file that cannot be used
 // ends the start: nobody could tell whom it would have bound.
 func contractsOf(plan *coordinator.Plan, s *sharing) (*coordinator.ResidencyGuard, error) {
-	if s == nil || s.file.Residency == "" {
+	if s == nil || s.file.ResidencyFile == "" {
 		return nil, nil
 	}
 	start := time.Now()
 	base := start.UnixMicro() / 100
 	c := &contracts{s: s, site: plan.ResidencySite(), files: make(chan hostfile.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
 		done: make(chan saveDone, 1), lapsed: true, clock: func() int64 { return base + int64(time.Since(start)/(100*time.Microsecond)) }}
-	text, err := hostfile.Text(s.file.Residency)
+	text, err := hostfile.Text(s.file.ResidencyFile)
 	if err != nil {
 		return nil, err
 	}
-	p, err := residency.Parse(s.file.Residency, text, c.site)
+	p, err := residency.Parse(s.file.ResidencyFile, text, c.site)
 	if err != nil {
 		return nil, err
 	}
 	kept := c.load()
-	c.lease = residency.NewLease(s.file.Name, s.file.Listed, kept)
+	c.lease = residency.NewLease(s.file.Name, s.file.VotingMembers, kept)
 	c.tell(p)
 	s.zones = coordinator.NewResidencyGuard(c.book.Standing(c.lease.Until()), c.clock)
 	s.node.Handle(zonesTopic, c.hear)
 	s.work.Go(func() {
-		files := &hostfile.Files{Paths: []string{s.file.Residency}, Texts: true, Tell: func(e hostfile.Event) {
+		files := &hostfile.Files{Paths: []string{s.file.ResidencyFile}, Texts: true, Tell: func(e hostfile.Event) {
 			select {
 			case c.files <- e:
 			case <-s.ctx.Done():
@@ -133,7 +133,7 @@
 		return unread(errors.New("the store is not open yet"))
 	}
 	if c.s.store == nil {
-		if c.s.file.Store != "" {
+		if c.s.file.StoreFile != "" {
 			return unread(errors.New("there is no store"))
 		}
 		return false
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -62,14 +62,14 @@
 	plan, err := coordinator.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
 	l := &lived{t: t, dir: dir}
-	f := &config.Fleet{Name: name, Listen: addrs[name], Residency: filepath.Join(dir, "contracts.yaml")}
+	f := &config.Cluster{Name: name, Listen: addrs[name], ResidencyFile: filepath.Join(dir, "contracts.yaml")}
 	for other, addr := range addrs {
-		f.Listed, f.Join = append(f.Listed, other), append(f.Join, addr)
+		f.VotingMembers, f.Join = append(f.VotingMembers, other), append(f.Join, addr)
 	}
 	if stored {
-		f.Store = filepath.Join(dir, "kept.db")
+		f.StoreFile = filepath.Join(dir, "kept.db")
 	}
-	if _, err := os.Stat(f.Residency); err != nil {
+	if _, err := os.Stat(f.ResidencyFile); err != nil {
 		l.file(contractsOne)
 	}
 	l.s, err = sharingOf(&config.File{Fleet: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -109,19 +109,19 @@
 }
 
 // rolls tells whether an installation takes part in changes.
-func rolls(file *config.File) bool { return file.Fleet != nil && file.Fleet.Rollout != "" }
+func rolls(file *config.File) bool { return file.Fleet != nil && file.Fleet.RolloutFile != "" }
 
 // checkRollout looks at the change file that an installation names, if there is one now, and at what it needs.
 func checkRollout(file *config.File) error {
-	if file.Fleet.Store == "" {
+	if file.Fleet.StoreFile == "" {
 		return &NoStore{}
 	}
-	text, err := os.ReadFile(file.Fleet.Rollout)
+	text, err := os.ReadFile(file.Fleet.RolloutFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err == nil {
-		_, err = rollout.Parse(file.Fleet.Rollout, text)
+		_, err = rollout.Parse(file.Fleet.RolloutFile, text)
 	}
 	return err
 }
@@ -130,7 +130,7 @@
 
 // stagesOf finds out what this process is to run. errHanded: another program is, and the keeper starts it.
 func stagesOf(s *sharing) (*stages, error) {
-	if s.file.Store == "" {
+	if s.file.StoreFile == "" {
 		return nil, &NoStore{}
 	}
 	st := &stages{sharing: s, inside: make(chan net.Conn), done: make(chan struct{})}
@@ -218,7 +218,7 @@
 	}
 	if err != nil {
 		st.state = standing{}
-		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.Store)...)
+		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.StoreFile)...)
 		return
 	}
 	if st.kept = found && st.state.Clean; !found { // a crash may have cut off the last words to the disk
@@ -247,7 +247,7 @@
 	defer stop()
 	err = st.store.Put(ctx, rolloutBucket, map[string][]byte{standingKey: text}, nil)
 	if err != nil {
-		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.Store)...)
+		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.StoreFile)...)
 	}
 	return err
 }
@@ -273,7 +273,7 @@
 	if c == nil {
 		return nil
 	}
-	wrong := config.Misplaced(c.Settings, st.site.Classes, st.site.Tenants)
+	wrong := config.MisplacedSettings(c.Settings, st.site.Classes, st.site.Tenants)
 	for _, name := range slices.Sorted(maps.Keys(wrong)) { // the same fault each time
 		return &OtherPlan{c.Number, name, wrong[name]}
 	}
@@ -291,7 +291,7 @@
 	if c == nil {
 		return plan, nil
 	}
-	over := config.Over(file.Settings)
+	over := config.FlattenSettings(file.Settings)
 	maps.Copy(over, c.Settings)
 	return plan.WithSettings(over)
 }
@@ -330,7 +330,7 @@
 	defer close(st.done)
 	me := st.book.Self()
 	st.desk = rollout.New(rollout.Start{Me: rollout.Place{Name: me.Name, Region: me.Region, Zone: me.Zone}, Life: me.Incarnation,
-		Listed: st.file.Listed, Runs: numberOf(st.runs()), Failed: st.state.Failed, Number: st.state.Number, Why: st.state.Why,
+		Listed: st.file.VotingMembers, Runs: numberOf(st.runs()), Failed: st.state.Failed, Number: st.state.Number, Why: st.state.Why,
 		Starts: st.state.Starts, First: !st.kept, Now: st.clock()})
 	stirred, unwatch := st.shared.Watch(rollout.Prefix)
 	defer unwatch()
@@ -548,21 +548,21 @@
 
 // read looks at the change file; what cannot be used is told once and changes nothing.
 func (st *stages) read(before []byte) []byte {
-	text, err := os.ReadFile(st.file.Rollout)
+	text, err := os.ReadFile(st.file.RolloutFile)
 	if errors.Is(err, os.ErrNotExist) {
 		st.desk.File(nil)
 		return nil
 	}
 	if err != nil {
 		if before != nil {
-			st.log.Warn("rollout_file", advice.LogAttrs(&rollout.FileFault{Path: st.file.Rollout, Err: err})...)
+			st.log.Warn("rollout_file", advice.LogAttrs(&rollout.FileFault{Path: st.file.RolloutFile, Err: err})...)
 		}
 		return nil
 	}
 	if bytes.Equal(text, before) {
 		return before
 	}
-	f, err := rollout.Parse(st.file.Rollout, text)
+	f, err := rollout.Parse(st.file.RolloutFile, text)
 	if err != nil {
 		st.log.Warn("rollout_file", advice.LogAttrs(err)...)
 		return text
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -27,7 +27,7 @@
 
 // gatewayOf is the fan-out gateway that the section fleet turns on; none where it names no file of subscriptions.
 func gatewayOf(s *sharing) ([]coordinator.Frontend, error) {
-	if s == nil || s.file.Subscribers == "" {
+	if s == nil || s.file.SubscribersFile == "" {
 		return nil, nil
 	}
 	if s.file.Region == "" {
@@ -45,7 +45,7 @@
 			s.log.Warn("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
-	return []coordinator.Frontend{fanout.New(fanout.Options{Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.Subscribers, Log: s.log,
+	return []coordinator.Frontend{fanout.New(fanout.Options{Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.SubscribersFile, Log: s.log,
 		Self: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Life: me.Incarnation}, Seed: int64(me.Incarnation), ReplicationBytes: s.bytes, OnDrained: left})}, nil
 }
 
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -14,41 +14,41 @@
 	viaMost  = membership.MaxMembers // addresses reached another way
 )
 
-// Fleet is this instance among those that decide together. docs/fleet.md and deploy/fleet.yaml tell what may stand in it.
-type Fleet struct {
-	Cluster     string            `yaml:"cluster"` // the fleet's own name, the same on all its instances; told by the plan's tenants where it is left out
-	Name        string            `yaml:"name"`    // its own, the plan's where it is left out
-	Region      string            `yaml:"region"`  // where it stands
-	Zone        string            `yaml:"zone"`
-	Listen      string            `yaml:"listen"` // TCP and UDP; the address under which others reach it
-	Join        []string          `yaml:"join"`   // others to begin with; its own may be among them
-	Via         map[string]string `yaml:"via"`    // by others' addresses: where to reach them instead
-	Listed      []string          `yaml:"listed"` // names of all that count for a majority
-	Key         string            `yaml:"key"`    // file of keys; all is plain text where it is left out
-	Store       string            `yaml:"store"`  // file in which what is shared is kept; in memory alone where it is left out
-	Rollout     string            `yaml:"rollout"`
-	Residency   string            `yaml:"residency"`
-	Subscribers string            `yaml:"subscribers"`
+// Cluster is this instance among those that decide together. docs/fleet.md and deploy/fleet.yaml tell what may stand in it.
+type Cluster struct {
+	ClusterName      string            `yaml:"cluster"` // the fleet's own name, the same on all its instances; told by the plan's tenants where it is left out
+	Name             string            `yaml:"name"`    // its own, the plan's where it is left out
+	Region           string            `yaml:"region"`  // where it stands
+	Zone             string            `yaml:"zone"`
+	Listen           string            `yaml:"listen"` // TCP and UDP; the address under which others reach it
+	Join             []string          `yaml:"join"`   // others to begin with; its own may be among them
+	AddressOverrides map[string]string `yaml:"via"`    // by others' addresses: where to reach them instead
+	VotingMembers    []string          `yaml:"listed"` // names of all that count for a majority
+	KeyFile          string            `yaml:"key"`    // file of keys; all is plain text where it is left out
+	StoreFile        string            `yaml:"store"`  // file in which what is shared is kept; in memory alone where it is left out
+	RolloutFile      string            `yaml:"rollout"`
+	ResidencyFile    string            `yaml:"residency"`
+	SubscribersFile  string            `yaml:"subscribers"`
 }
 
-// NotListed is an instance whose name is not among those that count.
-type NotListed struct{ Name string }
+// NotListedError is an instance whose name is not among those that count.
+type NotListedError struct{ Name string }
 
-func (e *NotListed) Error() string {
+func (e *NotListedError) Error() string {
 	return fmt.Sprintf("fleet.listed: %q, this instance's own name, is not in it", e.Name)
 }
-func (e *NotListed) Advice() string {
+func (e *NotListedError) Advice() string {
 	return "Name every instance in `fleet.listed`, the same list on all of them, or mend `fleet.name`."
 }
 
-// As is the section of an instance whose plan has this name.
-func (f *Fleet) As(name string) (Fleet, error) {
+// ForInstance is the section of an instance whose plan has this name.
+func (f *Cluster) ForInstance(name string) (Cluster, error) {
 	own := *f
 	if own.Name == "" {
 		own.Name = name
 	}
-	if !slices.Contains(own.Listed, own.Name) {
-		return own, &NotListed{own.Name}
+	if !slices.Contains(own.VotingMembers, own.Name) {
+		return own, &NotListedError{own.Name}
 	}
 	return own, nil
 }
@@ -58,10 +58,10 @@
 	if p == nil {
 		return
 	}
-	if p.Cluster != "" {
-		c.name("$.fleet.cluster", p.Cluster)
-		if len(p.Cluster) > membership.MaxClusterNameBytes {
-			c.fault("$.fleet.cluster", "%d letters, %d at the most", len(p.Cluster), membership.MaxClusterNameBytes)
+	if p.ClusterName != "" {
+		c.name("$.fleet.cluster", p.ClusterName)
+		if len(p.ClusterName) > membership.MaxClusterNameBytes {
+			c.fault("$.fleet.cluster", "%d letters, %d at the most", len(p.ClusterName), membership.MaxClusterNameBytes)
 		}
 	}
 	if p.Name != "" {
@@ -84,19 +84,19 @@
 	for i, addr := range p.Join {
 		c.address(fmt.Sprintf("$.fleet.join[%d]", i), addr)
 	}
-	if len(p.Via) > viaMost {
-		c.fault("$.fleet.via", "%d addresses, %d at the most", len(p.Via), viaMost)
+	if len(p.AddressOverrides) > viaMost {
+		c.fault("$.fleet.via", "%d addresses, %d at the most", len(p.AddressOverrides), viaMost)
 	}
-	for _, addr := range slices.Sorted(maps.Keys(p.Via)) {
+	for _, addr := range slices.Sorted(maps.Keys(p.AddressOverrides)) {
 		c.address("$.fleet.via", addr)
-		c.address("$.fleet.via.'"+addr+"'", p.Via[addr])
+		c.address("$.fleet.via.'"+addr+"'", p.AddressOverrides[addr])
 	}
-	if len(p.Listed) == 0 || len(p.Listed) > membership.MaxMembers {
+	if len(p.VotingMembers) == 0 || len(p.VotingMembers) > membership.MaxMembers {
 		c.doc.FaultDo("$.fleet.listed", "Name every instance of the fleet, the same list on all of them.",
-			"%d names, 1 to %d are wanted", len(p.Listed), membership.MaxMembers)
+			"%d names, 1 to %d are wanted", len(p.VotingMembers), membership.MaxMembers)
 	}
 	seen := map[string]bool{}
-	for i, name := range p.Listed {
+	for i, name := range p.VotingMembers {
 		at := fmt.Sprintf("$.fleet.listed[%d]", i)
 		c.name(at, name)
 		if seen[name] {
@@ -104,8 +104,8 @@
 		}
 		seen[name] = true
 	}
-	if p.Name != "" && len(p.Listed) > 0 && !seen[p.Name] {
-		c.doc.FaultDo("$.fleet.listed", (&NotListed{}).Advice(), "%q, this instance's own name, is not in it", p.Name)
+	if p.Name != "" && len(p.VotingMembers) > 0 && !seen[p.Name] {
+		c.doc.FaultDo("$.fleet.listed", (&NotListedError{}).Advice(), "%q, this instance's own name, is not in it", p.Name)
 	}
-	from(dir, &p.Key, &p.Store, &p.Rollout, &p.Residency, &p.Subscribers)
+	from(dir, &p.KeyFile, &p.StoreFile, &p.RolloutFile, &p.ResidencyFile, &p.SubscribersFile)
 }
--- a/config/fleet_test.go
+++ b/config/fleet_test.go
@@ -12,24 +12,24 @@
 func TestFleetExample(t *testing.T) {
 	f, err := Read("../deploy/fleet.yaml")
 	require.NoError(t, err)
-	own, err := f.Fleet.As("n9")
+	own, err := f.Fleet.ForInstance("n9")
 	require.NoError(t, err)
 	require.Equal(t, "east-0", own.Name)
-	require.Equal(t, "10.1.0.9:7500", own.Via["10.2.0.1:7500"])
-	require.Contains(t, own.Store, "../deploy/")
+	require.Equal(t, "10.1.0.9:7500", own.AddressOverrides["10.2.0.1:7500"])
+	require.Contains(t, own.StoreFile, "../deploy/")
 }
 
 func TestFleetFaults(t *testing.T) {
 	const sound = "fleet:\n  listen: 127.0.0.1:7500\n  listed: [a, b]\n"
 	f, err := Parse([]byte(sound), "")
 	require.NoError(t, err)
-	_, err = f.Fleet.As("c")
-	require.True(t, advice.HasType[*NotListed](err))
+	_, err = f.Fleet.ForInstance("c")
+	require.True(t, advice.HasType[*NotListedError](err))
 	require.NotEmpty(t, advice.For(err))
 	page, err := os.ReadFile("../docs/oncall.md")
 	require.NoError(t, err)
-	require.Contains(t, string(page), "| `NotListed` |")
-	own, err := f.Fleet.As("b")
+	require.Contains(t, string(page), "| `NotListedError` |")
+	own, err := f.Fleet.ForInstance("b")
 	require.NoError(t, err)
 	require.Equal(t, "b", own.Name)
 	for text, want := range map[string]string{
--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -87,46 +87,46 @@
 	}
 	if p := f.Peers; p != nil {
 		line("peers.name", p.Name)
-		line("peers.place", p.Place)
+		line("peers.place", p.Locality)
 		line("peers.listen", p.Listen)
-		for _, one := range p.Ask {
+		for _, one := range p.PollTargets {
 			line("peers.ask", one.Name+" at "+one.Address)
 		}
-		line("peers.allow", quoted(p.Allow))
-		line("peers.refresh", p.Refresh)
+		line("peers.allow", quoted(p.AllowedPeers))
+		line("peers.refresh", p.RefreshInterval)
 		tls("peers.tls", p.TLS)
 	}
 	if o := f.OpenSearch; o != nil {
 		line("opensearch.listen", o.Listen)
 		tls("opensearch.tls", o.TLS)
 		for _, x := range o.Indices {
-			line("opensearch.indices", fmt.Sprintf("%q type %q partner %q blocks %v placed %s", x.Name, x.Type, x.Partner, x.Blocks, placed(x.Placed)))
+			line("opensearch.indices", fmt.Sprintf("%q type %q partner %q blocks %v placed %s", x.Name, x.Type, x.Tenant, x.Blocks, placed(x.Placement)))
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(f.Hosts)) {
-		line("hosts."+kind, f.Hosts[kind].Index+" placed "+placed(f.Hosts[kind].Placed))
+		line("hosts."+kind, f.Hosts[kind].Index+" placed "+placed(f.Hosts[kind].Placement))
 	}
 	for _, kind := range slices.Sorted(maps.Keys(f.Background)) {
 		w := f.Background[kind]
-		line("background."+kind, fmt.Sprintf("%g B/s, %g CPU, %d at once", w.BytesPerSecond, w.CPUPerSecond, w.Concurrent))
+		line("background."+kind, fmt.Sprintf("%g B/s, %g CPU, %d at once", w.BytesPerSecond, w.CPUPerSecond, w.MaxConcurrent))
 	}
 	if f.Members != nil {
 		line("members.files", quoted(f.Members.Files))
 	}
 	line("store", f.Store)
-	for _, name := range slices.Sorted(maps.Keys(Over(f.Settings))) {
-		line("settings", name+"="+Over(f.Settings)[name])
+	for _, name := range slices.Sorted(maps.Keys(FlattenSettings(f.Settings))) {
+		line("settings", name+"="+FlattenSettings(f.Settings)[name])
 	}
 	if f.Shadow != nil {
-		for _, name := range slices.Sorted(maps.Keys(Over(f.Shadow.Settings))) {
-			line("shadow.settings", name+"="+Over(f.Shadow.Settings)[name])
+		for _, name := range slices.Sorted(maps.Keys(FlattenSettings(f.Shadow.Settings))) {
+			line("shadow.settings", name+"="+FlattenSettings(f.Shadow.Settings)[name])
 		}
 	}
 	if p := f.Fleet; p != nil {
-		line("fleet", quoted([]string{p.Cluster, p.Name, p.Region, p.Zone, p.Listen, p.Key, p.Store, p.Rollout, p.Residency, p.Subscribers}))
+		line("fleet", quoted([]string{p.ClusterName, p.Name, p.Region, p.Zone, p.Listen, p.KeyFile, p.StoreFile, p.RolloutFile, p.ResidencyFile, p.SubscribersFile}))
 		line("fleet.join", quoted(p.Join))
-		line("fleet.via", p.Via)
-		line("fleet.listed", quoted(p.Listed))
+		line("fleet.via", p.AddressOverrides)
+		line("fleet.listed", quoted(p.VotingMembers))
 	}
 	line("owners", f.Owners)
 	line("log", f.Log.Format+" "+f.Log.Level)
@@ -234,7 +234,7 @@
 	write("a file's error has its name before it", err)
 	f, err := Parse([]byte(fleet), "")
 	require.NoError(t, err)
-	_, err = f.Fleet.As("c")
+	_, err = f.Fleet.ForInstance("c")
 	write("an instance that is not listed", err)
 	requireGolden(t, "installation_errors.golden", out.String())
 }
@@ -250,7 +250,7 @@
 		f, err := Parse([]byte(text), "")
 		fmt.Fprintf(&out, "%q\n", text)
 		if err == nil {
-			err = f.Fits([]string{"lookup", "full"}, []string{"acme"})
+			err = f.CheckAgainstPlan([]string{"lookup", "full"}, []string{"acme"})
 		}
 		fmt.Fprintf(&out, "  error: %s\n", strings.ReplaceAll(fmt.Sprint(err), "\n", "\n  error: "))
 	}
--- a/config/installation.go
+++ b/config/installation.go
@@ -36,31 +36,31 @@
 
 // File is what an installation turns on.
 type File struct {
-	Peers      *Peers          `yaml:"peers"`
-	OpenSearch *OpenSearch     `yaml:"opensearch"`
-	Hosts      map[string]Host `yaml:"hosts"` // by the list's kind: those that do not speak the platform's frames
-	Background map[string]Work `yaml:"background"`
-	Members    *Members        `yaml:"members"`
-	Store      string          `yaml:"store"`    // file that keeps what a restart can use; from the folder of the YAML file
-	Settings   map[string]any  `yaml:"settings"` // over the plan's, in the plan's form
-	Shadow     *Shadow         `yaml:"shadow"`
-	Fleet      *Fleet          `yaml:"fleet"`
-	Owners     int             `yaml:"owners"` // co-ordinators in the process, one for each core it has; 1 where left out
-	Log        Log             `yaml:"log"`
+	Peers      *Peers                `yaml:"peers"`
+	OpenSearch *OpenSearch           `yaml:"opensearch"`
+	Hosts      map[string]HostKind   `yaml:"hosts"` // by the list's kind: those that do not speak the platform's frames
+	Background map[string]WorkBudget `yaml:"background"`
+	Members    *EndpointSources      `yaml:"members"`
+	Store      string                `yaml:"store"`    // file that keeps what a restart can use; from the folder of the YAML file
+	Settings   map[string]any        `yaml:"settings"` // over the plan's, in the plan's form
+	Shadow     *Shadow               `yaml:"shadow"`
+	Fleet      *Cluster              `yaml:"fleet"`
+	Owners     int                   `yaml:"owners"` // co-ordinators in the process, one for each core it has; 1 where left out
+	Log        Log                   `yaml:"log"`
 
 	doc *strictyaml.Doc // it was read from
 }
 
 // Peers are the co-ordinators that this one learns from, and those it tells.
 type Peers struct {
-	Name    string        `yaml:"name"`    // its own, the plan's where it is left out
-	Place   string        `yaml:"place"`   // where it stands; ways to zones are believed from the same place only
-	Listen  string        `yaml:"listen"`  // where others ask; nothing listens where it is left out
-	Ask     []Peer        `yaml:"ask"`     // whom it asks
-	Allow   []string      `yaml:"allow"`   // who may ask, by name
-	Again   string        `yaml:"refresh"` // between askings after the first half minute; 0 asks no more
-	Refresh time.Duration `yaml:"-"`       // the same, read
-	TLS     *TLS          `yaml:"tls"`     // without it all is plain text and names are believed
+	Name            string        `yaml:"name"`    // its own, the plan's where it is left out
+	Locality        string        `yaml:"place"`   // where it stands; ways to zones are believed from the same place only
+	Listen          string        `yaml:"listen"`  // where others ask; nothing listens where it is left out
+	PollTargets     []Peer        `yaml:"ask"`     // whom it asks
+	AllowedPeers    []string      `yaml:"allow"`   // who may ask, by name
+	RefreshText     string        `yaml:"refresh"` // between askings after the first half minute; 0 asks no more
+	RefreshInterval time.Duration `yaml:"-"`       // the same, read
+	TLS             *TLS          `yaml:"tls"`     // without it all is plain text and names are believed
 }
 
 // OpenSearch is the front that speaks the OpenSearch-style API.
@@ -72,16 +72,16 @@
 
 // Index is one index: what its searches are to the co-ordinator.
 type Index struct {
-	Name    string `yaml:"name"`
-	Type    string `yaml:"type"`    // of query, as the plan's settings name it
-	Partner string `yaml:"partner"` // likewise; left out where the plan names none
-	Blocks  []int  `yaml:"blocks"`  // member blocks
+	Name   string `yaml:"name"`
+	Type   string `yaml:"type"`    // of query, as the plan's settings name it
+	Tenant string `yaml:"partner"` // likewise; left out where the plan names none
+	Blocks []int  `yaml:"blocks"`  // member blocks
 
-	Placed *query.Placement `yaml:"placed"` // the rule by which members are in them; left out where it is not the API's
+	Placement *query.Placement `yaml:"placed"` // the rule by which members are in them; left out where it is not the API's
 }
 
-// Members are sources of the host list beside discovery.
-type Members struct {
+// EndpointSources are sources of the host list beside discovery.
+type EndpointSources struct {
 	Files []string `yaml:"files"` // files, and folders of them; from the folder of the YAML file
 }
 
@@ -90,8 +90,8 @@
 	Settings map[string]any `yaml:"settings"`
 }
 
-// Over names a file's settings as the plan's are named.
-func Over(values map[string]any) map[string]string {
+// FlattenSettings names a file's settings as the plan's are named.
+func FlattenSettings(values map[string]any) map[string]string {
 	over := map[string]string{}
 	settings.Flatten(over, "", values)
 	for name := range over {
@@ -102,10 +102,10 @@
 	return over
 }
 
-// Host is a kind of host that speaks the OpenSearch-style API.
-type Host struct {
-	Index  string           `yaml:"index"`  // in which it keeps members
-	Placed *query.Placement `yaml:"placed"` // as an index's
+// HostKind is a kind of host that speaks the OpenSearch-style API.
+type HostKind struct {
+	Index     string           `yaml:"index"`  // in which it keeps members
+	Placement *query.Placement `yaml:"placed"` // as an index's
 }
 
 // Peer is one to ask.
@@ -121,15 +121,15 @@
 	Authorities string `yaml:"authorities"`
 }
 
-// Work bounds one kind of background work: ask, answer or keep.
-type Work struct {
+// WorkBudget bounds one kind of background work: ask, answer or keep.
+type WorkBudget struct {
 	BytesPerSecond float64 `yaml:"bytes_per_second"`
 	CPUPerSecond   float64 `yaml:"cpu_per_second"`
-	Concurrent     int     `yaml:"concurrent"`
+	MaxConcurrent  int     `yaml:"concurrent"`
 }
 
-// Kinds are the kinds of background work that may be bounded.
-var Kinds = []string{"ask", "answer", "keep"}
+// BackgroundKinds are the kinds of background work that may be bounded.
+var BackgroundKinds = []string{"ask", "answer", "keep"}
 
 // Log says how the log is written.
 type Log struct {
@@ -164,7 +164,7 @@
 	c.fleet(f, dir)
 	for kind, h := range f.Hosts {
 		c.name("$.hosts."+kind+".index", h.Index)
-		c.placed("$.hosts."+kind+".placed", h.Placed)
+		c.placed("$.hosts."+kind+".placed", h.Placement)
 	}
 	c.background(f)
 	c.log(f)
@@ -228,20 +228,20 @@
 	if p.Name != "" {
 		c.name("$.peers.name", p.Name)
 	}
-	if len(p.Place) > peerreport.NameMost {
+	if len(p.Locality) > peerreport.NameMost {
 		c.fault("$.peers.place", "over %d letters", peerreport.NameMost)
 	}
 	if p.Listen != "" {
 		c.address("$.peers.listen", p.Listen)
 	}
-	if p.Listen == "" && len(p.Allow) > 0 {
+	if p.Listen == "" && len(p.AllowedPeers) > 0 {
 		c.fault("$.peers.allow", "names are allowed, but nothing listens")
 	}
-	if len(p.Ask) > peerreport.PeersMost {
-		c.fault("$.peers.ask", "%d peers, %d at the most", len(p.Ask), peerreport.PeersMost)
+	if len(p.PollTargets) > peerreport.PeersMost {
+		c.fault("$.peers.ask", "%d peers, %d at the most", len(p.PollTargets), peerreport.PeersMost)
 	}
 	seen := map[string]bool{}
-	for i, one := range p.Ask {
+	for i, one := range p.PollTargets {
 		at := fmt.Sprintf("$.peers.ask[%d]", i)
 		c.name(at+".name", one.Name)
 		c.address(at+".address", one.Address)
@@ -250,17 +250,17 @@
 		}
 		seen[one.Name] = true
 	}
-	for i, name := range p.Allow {
+	for i, name := range p.AllowedPeers {
 		c.name(fmt.Sprintf("$.peers.allow[%d]", i), name)
 	}
-	if p.Again != "" {
+	if p.RefreshText != "" {
 		var err error
-		if p.Refresh, err = time.ParseDuration(p.Again); err != nil {
-			c.fault("$.peers.refresh", "%.40q is no time such as 30s", p.Again)
+		if p.RefreshInterval, err = time.ParseDuration(p.RefreshText); err != nil {
+			c.fault("$.peers.refresh", "%.40q is no time such as 30s", p.RefreshText)
 		}
 	}
-	if p.Refresh != 0 && (p.Refresh < refreshLow || p.Refresh > refreshMost) {
-		c.fault("$.peers.refresh", "%v is not from %v to %v", p.Refresh, refreshLow, refreshMost)
+	if p.RefreshInterval != 0 && (p.RefreshInterval < refreshLow || p.RefreshInterval > refreshMost) {
+		c.fault("$.peers.refresh", "%v is not from %v to %v", p.RefreshInterval, refreshLow, refreshMost)
 	}
 	c.tls("$.peers.tls.", p.TLS, dir, "certificate", "key", "authorities")
 }
@@ -308,8 +308,8 @@
 		if len(slices.Compact(sorted)) < len(x.Blocks) || len(sorted) > 0 && sorted[0] < 0 {
 			c.fault(at+".blocks", "a block is there twice or under 0")
 		}
-		c.placed(at+".placed", x.Placed)
-		if x.Placed != nil && len(sorted) > 0 && sorted[len(sorted)-1] >= x.Placed.Shards {
+		c.placed(at+".placed", x.Placement)
+		if x.Placement != nil && len(sorted) > 0 && sorted[len(sorted)-1] >= x.Placement.Shards {
 			c.fault(at+".placed", "block %d is not under number_of_shards", sorted[len(sorted)-1])
 		}
 	}
@@ -325,22 +325,22 @@
 	for name, w := range f.Background {
 		at := "$.background." + name
 		known := false
-		for _, kind := range Kinds {
+		for _, kind := range BackgroundKinds {
 			known = known || kind == name
 		}
 		switch {
 		case !known:
-			c.fault(at, "no such kind of work; there are %s", strings.Join(Kinds, " and "))
+			c.fault(at, "no such kind of work; there are %s", strings.Join(BackgroundKinds, " and "))
 		case w.BytesPerSecond != 0 && !(w.BytesPerSecond >= rateLow):
 			c.fault(at+".bytes_per_second", "%g is under %d", w.BytesPerSecond, rateLow)
 		case w.CPUPerSecond != 0 && !(w.CPUPerSecond > 0 && w.CPUPerSecond <= cpuMost):
 			c.fault(at+".cpu_per_second", "%g is not above 0 and up to %g", w.CPUPerSecond, cpuMost)
-		case w.Concurrent < 0 || w.Concurrent > jobsMost:
-			c.fault(at+".concurrent", "%d is not from 1 to %d", w.Concurrent, jobsMost)
+		case w.MaxConcurrent < 0 || w.MaxConcurrent > jobsMost:
+			c.fault(at+".concurrent", "%d is not from 1 to %d", w.MaxConcurrent, jobsMost)
 		}
 	}
-	all := map[string]Work{}
-	for _, kind := range Kinds {
+	all := map[string]WorkBudget{}
+	for _, kind := range BackgroundKinds {
 		w := f.Background[kind]
 		if w.BytesPerSecond == 0 {
 			w.BytesPerSecond = defaultRate
@@ -348,8 +348,8 @@
 		if w.CPUPerSecond == 0 {
 			w.CPUPerSecond = defaultCPU
 		}
-		if w.Concurrent == 0 {
-			w.Concurrent = defaultJobs
+		if w.MaxConcurrent == 0 {
+			w.MaxConcurrent = defaultJobs
 		}
 		all[kind] = w
 	}
@@ -361,7 +361,7 @@
 	if err := settings.Flatten(map[string]string{}, "", values); err != nil {
 		c.fault(at, "%v", err)
 	}
-	over := Over(values)
+	over := FlattenSettings(values)
 	for _, name := range slices.Sorted(maps.Keys(over)) {
 		path := at + "." + index.ReplaceAllString(name, "[$1]")
 		if !settings.IsKnown(name) {
--- a/config/installation_test.go
+++ b/config/installation_test.go
@@ -26,11 +26,11 @@
 	require.NoError(t, os.WriteFile(path, []byte(whole), 0o600))
 	f, err := Read(path)
 	require.NoError(t, err)
-	require.Equal(t, 30*time.Second, f.Peers.Refresh)
-	require.Equal(t, []Peer{{"n1", "127.0.0.1:7401"}}, f.Peers.Ask)
+	require.Equal(t, 30*time.Second, f.Peers.RefreshInterval)
+	require.Equal(t, []Peer{{"n1", "127.0.0.1:7401"}}, f.Peers.PollTargets)
 	require.Equal(t, filepath.Join(filepath.Dir(path), "a.pem"), f.Peers.TLS.Certificate)
 	require.Equal(t, "/k/a.key", f.Peers.TLS.Key)
-	require.Equal(t, 2, f.Background["ask"].Concurrent)
+	require.Equal(t, 2, f.Background["ask"].MaxConcurrent)
 	require.Positive(t, f.Background["answer"].BytesPerSecond, "what is left out has its bound")
 	require.Equal(t, Log{"json", "info"}, f.Log)
 	f, err = Parse(nil, "")
@@ -88,8 +88,8 @@
 	f, err := Parse([]byte("settings: {Permissions: {RetryAfter: false}}\nshadow:\n  settings:\n    Specifics: {ClassFloor: [0.5, 1]}\n"+
 		"    Classes: [{Deadline: 4000}]\n"), "")
 	require.NoError(t, err)
-	require.Equal(t, map[string]string{"Permissions.RetryAfter": "false"}, Over(f.Settings))
-	require.Equal(t, map[string]string{"Specifics.ClassFloor": "0.5,1", "Classes.0.Deadline": "4000"}, Over(f.Shadow.Settings))
+	require.Equal(t, map[string]string{"Permissions.RetryAfter": "false"}, FlattenSettings(f.Settings))
+	require.Equal(t, map[string]string{"Specifics.ClassFloor": "0.5,1", "Classes.0.Deadline": "4000"}, FlattenSettings(f.Shadow.Settings))
 }
 
 func FuzzParse(f *testing.F) {
--- a/config/places.go
+++ b/config/places.go
@@ -11,10 +11,10 @@
 // inList is a setting of an object in one of the plan's lists: the list, the place, and what it sets there.
 var inList = regexp.MustCompile(`^(Classes|Tenants)\.(\d+)\.(.+)$`)
 
-// Misplaced tells which settings do not fit a plan with these classes and tenants, in its order, and why: a place that there
+// MisplacedSettings tells which settings do not fit a plan with these classes and tenants, in its order, and why: a place that there
 // is not, or one that holds another name than `Name` says. Guards against settings that are passed over in silence, or land on
 // another class where a plan has another order.
-func Misplaced(over map[string]string, classes, tenants []string) map[string]string {
+func MisplacedSettings(over map[string]string, classes, tenants []string) map[string]string {
 	wrong := map[string]string{}
 	for name, value := range over {
 		part := inList.FindStringSubmatch(name)
@@ -36,8 +36,8 @@
 	return wrong
 }
 
-// Fits looks whether a file's settings, and those that decisions are held against, fit a plan with these classes and tenants.
-func (f *File) Fits(classes, tenants []string) error {
+// CheckAgainstPlan looks whether a file's settings, and those that decisions are held against, fit a plan with these classes and tenants.
+func (f *File) CheckAgainstPlan(classes, tenants []string) error {
 	if f.doc == nil {
 		return nil
 	}
@@ -46,7 +46,7 @@
 		return before
 	}
 	look := func(at string, settings map[string]any) {
-		wrong := Misplaced(Over(settings), classes, tenants)
+		wrong := MisplacedSettings(FlattenSettings(settings), classes, tenants)
 		for _, name := range slices.Sorted(maps.Keys(wrong)) {
 			path := at + "." + index.ReplaceAllString(name, "[$1]")
 			if _, flat := settings[name]; flat {
--- a/config/places_test.go
+++ b/config/places_test.go
@@ -20,7 +20,7 @@
 		f, err := Parse([]byte(text), "")
 		require.NoError(t, err, text)
 		for range 2 { // looking again tells the same
-			if err = f.Fits(classes, tenants); want == "" {
+			if err = f.CheckAgainstPlan(classes, tenants); want == "" {
 				require.NoError(t, err, text)
 			} else {
 				require.ErrorContains(t, err, want, text)
@@ -28,14 +28,14 @@
 			}
 		}
 	}
-	require.NoError(t, (&File{}).Fits(nil, nil))
+	require.NoError(t, (&File{}).CheckAgainstPlan(nil, nil))
 }
 
 // A setting may say whose place it means.
 func TestMisplacedNames(t *testing.T) {
 	plan := []string{"full", "lookup"}
-	require.Empty(t, Misplaced(map[string]string{"Classes.1.Name": "lookup", "Classes.1.Aim": "5", "Specifics.FollowUp": "0,0", "Classes.count": "9"}, plan, nil))
+	require.Empty(t, MisplacedSettings(map[string]string{"Classes.1.Name": "lookup", "Classes.1.Aim": "5", "Specifics.FollowUp": "0,0", "Classes.count": "9"}, plan, nil))
 	require.Equal(t, map[string]string{"Classes.0.Name": `is "lookup", the plan has "full" at this place`},
-		Misplaced(map[string]string{"Classes.0.Name": "lookup", "Classes.0.Aim": "5"}, plan, nil))
-	require.Contains(t, Misplaced(map[string]string{"Classes.99999999999999999999.Aim": "5"}, plan, nil), "Classes.99999999999999999999.Aim")
+		MisplacedSettings(map[string]string{"Classes.0.Name": "lookup", "Classes.0.Aim": "5"}, plan, nil))
+	require.Contains(t, MisplacedSettings(map[string]string{"Classes.99999999999999999999.Aim": "5"}, plan, nil), "Classes.99999999999999999999.Aim")
 }
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -49,21 +49,21 @@
 	if err := json.Unmarshal(text, &plan); err != nil {
 		return err
 	}
-	own, err := file.Fleet.As(file.Fleet.Name)
+	own, err := file.Fleet.ForInstance(file.Fleet.Name)
 	if err != nil {
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stdout, nil))
 	node, err := gossip.Start(ctx, gossip.Options{Self: who.Member{Name: own.Name, Region: own.Region, Zone: own.Zone},
-		Voters: own.Listed, ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.Via, Logger: log, Seed: time.Now().UnixNano()})
+		Voters: own.VotingMembers, ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.AddressOverrides, Logger: log, Seed: time.Now().UnixNano()})
 	if err != nil {
 		return err
 	}
 	peers := func() (alive, listed []string) {
-		return node.Membership().AlivePeers(), own.Listed
+		return node.Membership().AlivePeers(), own.VotingMembers
 	}
 	disk := func(ctx context.Context) (replication.Disk, error) {
-		s, err := store.Open(own.Store, store.Options{Told: func(err error) { log.Warn("fleet_store", "error", err) }})
+		s, err := store.Open(own.StoreFile, store.Options{Told: func(err error) { log.Warn("fleet_store", "error", err) }})
 		if err != nil {
 			return nil, err
 		}
