--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -877,7 +877,7 @@
 		wire += strings.ReplaceAll(fmt.Sprintf(" C.Name=%s C.Aim=4000.0 C.Deadline=8000.0 C.Effect=retryable C.LateShare=0.5",
 			name), "C.", fmt.Sprintf("Classes.%d.", i))
 	}
-	require.Equal(t, simwire.Facts(strings.Fields(wire)), p.facts)
+	require.Equal(t, simwire.ParseSettings(strings.Fields(wire)), p.facts)
 	require.Equal(t, int64(-0x73e0cf2d85a4169c), p.seed)
 }
 
--- a/internal/simwire/benchwire.go
+++ b/internal/simwire/benchwire.go
@@ -222,8 +222,8 @@
 	l.sets[int(f.whole(0))] = list
 }
 
-// Facts are the settings as the module hears them, from the wire's pairs.
-func Facts(pairs []string) map[string]string {
+// ParseSettings are the settings as the module hears them, from the wire's pairs.
+func ParseSettings(pairs []string) map[string]string {
 	settings := map[string]string{}
 	for _, pair := range pairs {
 		name, value, ok := strings.Cut(pair, "=")
@@ -242,7 +242,7 @@
 	}
 	v := fields(f[1:])
 	no, seed := int(v.whole(0)), v.whole(1)
-	settings := Facts(f[3:])
+	settings := ParseSettings(f[3:])
 	if old := l.instances[no]; old != nil {
 		old.gone = true
 	}
