--- a/coordinator/tongues.go
+++ b/coordinator/tongues.go
@@ -55,7 +55,7 @@
 func (frames) waits() bool          { return true }
 
 func (frames) call(o *owner, dst []byte, c *call) []byte {
-	dst = frame.Begin(dst, frame.Call)
+	dst = frame.Begin(dst, frame.TypeBatch)
 	var room [listMost]byte
 	for _, sub := range c.subs {
 		list := strconv.AppendInt(append(room[:0], "d="...), max(1, (sub.due-o.now)/10), 10)
@@ -73,7 +73,7 @@
 				list = append(list, ",whole=0"...)
 			}
 		}
-		dst = frame.AppendPart(dst, sub.name, sub.p.shard, list, sub.p.s.text)
+		dst = frame.AppendShardRequest(dst, sub.name, sub.p.shard, list, sub.p.s.text)
 	}
 	return frame.End(dst, 0)
 }
@@ -101,13 +101,13 @@
 		if _, err := src.Peek(1); err != nil {
 			return endingOf(err)
 		}
-		if limited = !frame.Whole(src); limited {
+		if limited = !frame.IsBuffered(src); limited {
 			conn.SetReadDeadline(time.Now().Add(frameTime))
 		}
 		tell, err := hearOne(o, l, src)
-		if err == nil && frame.Whole(src) {
+		if err == nil && frame.IsBuffered(src) {
 			all := []func(){tell}
-			for err == nil && frame.Whole(src) {
+			for err == nil && frame.IsBuffered(src) {
 				if tell, err = hearOne(o, l, src); tell != nil {
 					all = append(all, tell)
 				}
@@ -130,25 +130,25 @@
 // hearOne reads one frame and gives what the owner is to do with it; nil for one that cannot be used.
 func hearOne(o *owner, l *line, src *bufio.Reader) (tell func(), err error) {
 	letter, rest, err := frame.Read(src)
-	if err != nil && !errors.Is(err, frame.ErrBad) {
+	if err != nil && !errors.Is(err, frame.ErrMalformed) {
 		return nil, endingOf(err)
 	}
-	if letter == frame.Refuse && err == nil {
+	if letter == frame.TypeReject && err == nil {
 		o.log.often("frame_refused", "frame_refused", "replica", l.r.id, "words", string(rest[:min(len(rest), wordsMost)]))
 		return nil, complained
 	}
-	if letter != frame.Answer && err == nil {
-		err = fmt.Errorf("%w: letter %q", frame.ErrBad, letter)
+	if letter != frame.TypeAnswer && err == nil {
+		err = fmt.Errorf("%w: letter %q", frame.ErrMalformed, letter)
 	}
 	var id, end, score, value []byte
 	var report map[string]float64
 	if err == nil {
 		own := bytes.Clone(rest) // what it lies in is read over; the reader of a connection holds no more than that
-		id, end, score, report, value, err = frame.ReadAnswer(own)
+		id, end, score, report, value, err = frame.ParseAnswer(own)
 	}
 	outcome := outcomes[string(end)]
 	if err == nil && (outcome == "" || outcome == "Ok" && (score == nil || !utf8.Valid(value))) {
-		err = fmt.Errorf("%w: end %.20q, score %s, value %.40q", frame.ErrBad, end, score, value)
+		err = fmt.Errorf("%w: end %.20q, score %s, value %.40q", frame.ErrMalformed, end, score, value)
 	}
 	if err != nil {
 		o.log.often("bad_frame", "bad_frame", "replica", l.r.id, "error", err)
@@ -161,7 +161,7 @@
 			o.log.often("bad_value", "bad_value", "replica", l.r.id, "error", err)
 		}
 	}
-	fits := frame.Fits(src)
+	fits := frame.IsPlausibleReply(src)
 	return func() {
 		l.shut = l.shut || !fits // a good answer counts whatever comes behind it
 		o.answer(l, id, outcome, score, report, value, read)
@@ -221,7 +221,7 @@
 		n, err := io.Copy(&b, io.LimitReader(res.Body, hostBodyMost+1))
 		res.Body.Close()
 		if err != nil || n > hostBodyMost {
-			return k.spoilt(o, l, fmt.Errorf("%d bytes: %w", n, errors.Join(err, frame.ErrBad)))
+			return k.spoilt(o, l, fmt.Errorf("%d bytes: %w", n, errors.Join(err, frame.ErrMalformed)))
 		}
 		asked := make(chan *subRequest, 1)
 		if !o.post(func() {
--- a/internal/benchmark/floor.go
+++ b/internal/benchmark/floor.go
@@ -112,7 +112,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.open[id] = s
-	h.out = frame.End(frame.AppendPart(frame.Begin(h.out[:0], frame.Call), id, shard, []byte("d=1000"), []byte("c41e77d0")), 0)
+	h.out = frame.End(frame.AppendShardRequest(frame.Begin(h.out[:0], frame.TypeBatch), id, shard, []byte("d=1000"), []byte("c41e77d0")), 0)
 	h.conn.Write(h.out)
 }
 
@@ -123,7 +123,7 @@
 		if err != nil {
 			return
 		}
-		id, _, _, _, value, err := frame.ReadAnswer(rest)
+		id, _, _, _, value, err := frame.ParseAnswer(rest)
 		if err != nil {
 			return
 		}
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -26,7 +26,7 @@
 
 // Reply answers the part.
 func (p Part) Reply(end string, score string, value string) {
-	p.Conn.Write(frame.End(append(frame.Begin(nil, frame.Answer),
+	p.Conn.Write(frame.End(append(frame.Begin(nil, frame.TypeAnswer),
 		fmt.Sprintf("%s %s %s -\n%s", p.ID, end, score, value)...), 0))
 }
 
@@ -157,7 +157,7 @@
 			return
 		}
 		h.mu.Lock()
-		if letter == frame.Cancel {
+		if letter == frame.TypeCancel {
 			if h.keep {
 				h.given = append(h.given, string(rest))
 			}
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	Call   = 'm' // parts for a replica
-	Cancel = 'n' // a part that is given up
-	Answer = 'q' // how a part ended
-	Refuse = 'r' // the frame before could not be used
+	TypeBatch  = 'm' // parts for a replica
+	TypeCancel = 'n' // a part that is given up
+	TypeAnswer = 'q' // how a part ended
+	TypeReject = 'r' // the frame before could not be used
 
 	longest     = 256 << 10 // bytes of a frame: several times the longest body that clients may send
 	scoreDigits = 40        // digits of a score: more than any machine's whole numbers have
@@ -36,7 +36,7 @@
 	}
 	n := binary.BigEndian.Uint32(head)
 	if n == 0 || n > longest {
-		return 0, nil, fmt.Errorf("%w: length %d", ErrBad, n)
+		return 0, nil, fmt.Errorf("%w: length %d", ErrMalformed, n)
 	}
 	if size := int(n) + 4; size <= src.Size() {
 		if rest, err = src.Peek(size); err == nil {
@@ -56,8 +56,8 @@
 	return 0, nil, err
 }
 
-// Whole tells whether a whole frame, or one that cannot be used, has come already: Read will not wait for it.
-func Whole(src *bufio.Reader) bool {
+// IsBuffered tells whether a whole frame, or one that cannot be used, has come already: Read will not wait for it.
+func IsBuffered(src *bufio.Reader) bool {
 	if src.Buffered() < 4 {
 		return false
 	}
@@ -66,34 +66,34 @@
 	return n == 0 || n > longest || src.Buffered() >= int(n)+4
 }
 
-// Fits tells whether what has come behind a frame can be an answer or a refusal, as far as it is there.
-func Fits(src *bufio.Reader) bool {
+// IsPlausibleReply tells whether what has come behind a frame can be an answer or a refusal, as far as it is there.
+func IsPlausibleReply(src *bufio.Reader) bool {
 	head, _ := src.Peek(min(5, src.Buffered()))
 	if len(head) >= 4 {
 		if n := binary.BigEndian.Uint32(head); n == 0 || n > longest {
 			return false
 		}
 	}
-	return len(head) == 0 || head[0] == 0 && (len(head) < 5 || head[4] == Answer || head[4] == Refuse)
+	return len(head) == 0 || head[0] == 0 && (len(head) < 5 || head[4] == TypeAnswer || head[4] == TypeReject)
 }
 
-// ErrBad is a frame that cannot be used.
-var ErrBad = errors.New("bad frame")
+// ErrMalformed is a frame that cannot be used.
+var ErrMalformed = errors.New("bad frame")
 
-// ReadAnswer takes an Answer frame apart; what it gives lies in rest. Score, the digits of a whole number, is nil where
+// ParseAnswer takes an Answer frame apart; what it gives lies in rest. Score, the digits of a whole number, is nil where
 // the end has none; a report that cannot be read is none.
-func ReadAnswer(rest []byte) (id, end, score []byte, report map[string]float64, value []byte, err error) {
+func ParseAnswer(rest []byte) (id, end, score []byte, report map[string]float64, value []byte, err error) {
 	line, value, ok := bytes.Cut(rest, []byte("\n"))
 	id, more, ok1 := bytes.Cut(line, []byte(" "))
 	end, more, ok2 := bytes.Cut(more, []byte(" "))
 	score, told, ok3 := bytes.Cut(more, []byte(" "))
 	if !ok || !ok1 || !ok2 || !ok3 || len(id) == 0 || bytes.IndexByte(told, ' ') >= 0 {
-		return nil, nil, nil, nil, nil, fmt.Errorf("%w: answer line %.60q", ErrBad, line)
+		return nil, nil, nil, nil, nil, fmt.Errorf("%w: answer line %.60q", ErrMalformed, line)
 	}
 	if string(score) == "-" {
 		score = nil
 	} else if !whole(score) {
-		return nil, nil, nil, nil, nil, fmt.Errorf("%w: score %.60q", ErrBad, score)
+		return nil, nil, nil, nil, nil, fmt.Errorf("%w: score %.60q", ErrMalformed, score)
 	}
 	if string(told) != "-" {
 		report = readReport(string(told))
@@ -139,8 +139,8 @@
 	return dst
 }
 
-// AppendPart adds a part to an open Call frame.
-func AppendPart(dst []byte, id string, shard int, list, text []byte) []byte {
+// AppendShardRequest adds a part to an open Call frame.
+func AppendShardRequest(dst []byte, id string, shard int, list, text []byte) []byte {
 	dst = append(append(dst, id...), ' ')
 	dst = append(strconv.AppendInt(dst, int64(shard), 10), ' ')
 	dst = append(append(dst, list...), ' ')
@@ -150,5 +150,5 @@
 
 // AppendCancel adds a whole Cancel frame.
 func AppendCancel(dst []byte, id string) []byte {
-	return End(append(Begin(dst, Cancel), id...), len(dst))
+	return End(append(Begin(dst, TypeCancel), id...), len(dst))
 }
--- a/internal/frame/golden_frames_test.go
+++ b/internal/frame/golden_frames_test.go
@@ -17,13 +17,13 @@
 func goldenFrames() string {
 	var out strings.Builder
 	add := func(name string, text []byte) { fmt.Fprintf(&out, "%s %q\n", name, text) }
-	one := AppendPart(Begin(nil, Call), "q-1.0", 0, []byte("d=240"), []byte("town:oslo"))
+	one := AppendShardRequest(Begin(nil, TypeBatch), "q-1.0", 0, []byte("d=240"), []byte("town:oslo"))
 	add("call-one-shard", End(one, 0))
-	two := AppendPart(Begin(nil, Call), "q-1.3", 3, []byte("d=240"), []byte("two\nlines é"))
-	two = AppendPart(two, "q-1.12.r", 12, []byte("d=1,from=3+12,whole=0"), nil)
+	two := AppendShardRequest(Begin(nil, TypeBatch), "q-1.3", 3, []byte("d=240"), []byte("two\nlines é"))
+	two = AppendShardRequest(two, "q-1.12.r", 12, []byte("d=1,from=3+12,whole=0"), nil)
 	add("call-two-shards", End(two, 0))
 	add("cancel", AppendCancel(nil, "q-1.12.r"))
-	add("cancel-behind-call", AppendCancel(End(AppendPart(Begin(nil, Call), "a.1", 1, []byte("d=9"), []byte("x")), 0), "a.1"))
+	add("cancel-behind-call", AppendCancel(End(AppendShardRequest(Begin(nil, TypeBatch), "a.1", 1, []byte("d=9"), []byte("x")), 0), "a.1"))
 	return out.String()
 }
 
@@ -38,11 +38,11 @@
 	var out strings.Builder
 	for _, text := range []string{
 		"\x00\x00\x00\x1eqq-1.0 good 1840277719 -\nvalue", "\x00\x00\x00\x0fqq good -5 -\n\n\n",
-		framed(Answer, "q.1 good +7 queue:2,x=1.5\nvalue\nof lines"), framed(Answer, "q.1 good 18446744073709551616 -\n"),
-		framed(Answer, "q.1 bad - -\n"), framed(Answer, "q.1 later - RetryAfter:250,load=0.5\n"),
-		framed(Answer, "q.1 later - broken\n"), framed(Answer, "q.1 good 5 a:nan\nv"), framed(Answer, "q.1 good x -\n"),
-		framed(Answer, "q.1 good 5 -"), framed(Answer, " good 5 -\n"), framed(Refuse, "cannot read that"),
-		framed(Call, "q.1 3 d=240 4\ntext"), framed(Cancel, "q.1"),
+		framed(TypeAnswer, "q.1 good +7 queue:2,x=1.5\nvalue\nof lines"), framed(TypeAnswer, "q.1 good 18446744073709551616 -\n"),
+		framed(TypeAnswer, "q.1 bad - -\n"), framed(TypeAnswer, "q.1 later - RetryAfter:250,load=0.5\n"),
+		framed(TypeAnswer, "q.1 later - broken\n"), framed(TypeAnswer, "q.1 good 5 a:nan\nv"), framed(TypeAnswer, "q.1 good x -\n"),
+		framed(TypeAnswer, "q.1 good 5 -"), framed(TypeAnswer, " good 5 -\n"), framed(TypeReject, "cannot read that"),
+		framed(TypeBatch, "q.1 3 d=240 4\ntext"), framed(TypeCancel, "q.1"),
 		"\x00\x00\x00\x00", "\x00\x04\x00\x01q", "\x00\x00\x00\x09qshort", "\x00\x00",
 	} {
 		letter, rest, err := Read(bufio.NewReader(strings.NewReader(text)))
@@ -52,11 +52,11 @@
 			continue
 		}
 		fmt.Fprintf(&out, " letter=%c", letter)
-		if letter != Answer {
+		if letter != TypeAnswer {
 			fmt.Fprintf(&out, " rest=%q\n", rest)
 			continue
 		}
-		id, end, score, report, value, err := ReadAnswer(rest)
+		id, end, score, report, value, err := ParseAnswer(rest)
 		if err != nil {
 			fmt.Fprintf(&out, " unusable\n")
 			continue
