--- a/coordinator/apart_test.go
+++ b/coordinator/apart_test.go
@@ -55,14 +55,14 @@
 						want := [2]map[string]int{{"some": 500, "all": 200, "deep": 200}, {"deep": 500, "all": 500, "some": 200}}[at][class]
 						text := strings.Replace(request(fmt.Sprint("r", rounds, "c", n, "i", i), class, "", fourParts), "X-Tenant: acme", "X-Tenant: "+tenant, 1)
 						c.Write([]byte(text))
-						status, _, body, _, err := c.rd.Response()
+						status, _, body, _, err := c.rd.ReadResponse()
 						if !(err == nil && status == want) {
 							t.Errorf("co-ordinator %d, %s: %d %s %v, want %d", at, class, status, body, err, want)
 						}
 						if other := "X-Tenant: " + []string{"globex", "acme"}[at]; i%4 == 0 {
 							for _, field := range []string{other, "X-Other: x"} {
 								c.Write([]byte(strings.Replace(text, "X-Tenant: "+tenant, field, 1)))
-								if status, _, _, _, err := c.rd.Response(); err != nil || status != 400 {
+								if status, _, _, _, err := c.rd.ReadResponse(); err != nil || status != 400 {
 									t.Errorf("co-ordinator %d, %s: %d %v", at, field, status, err)
 								}
 							}
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -339,7 +339,7 @@
 	time.Sleep(takeOn)
 	require.NoError(t, r.Signal("n", syscall.SIGCONT))
 	for i, conn := range conns {
-		status, _, _, _, err := http1.NewReader(conn, make([]byte, 16<<10)).Response()
+		status, _, _, _, err := http1.NewReader(conn, make([]byte, 16<<10)).ReadResponse()
 		require.NoError(t, err, "connection %d", i)
 		require.Contains(t, []int{200, 503}, status, "connection %d", i)
 	}
@@ -421,7 +421,7 @@
 					continue
 				case 2: // is refused
 					c.Write([]byte(strings.Replace(text, "X-Tenant: acme", "X-Tenant: nobody", 1)))
-					if status, _, got, _, err := c.rd.Response(); err != nil || status != 400 || string(got) != "{}" {
+					if status, _, got, _, err := c.rd.ReadResponse(); err != nil || status != 400 || string(got) != "{}" {
 						faults <- fmt.Sprint(id, " refused: ", status, err)
 						return
 					}
@@ -433,7 +433,7 @@
 				var got struct {
 					Answers []struct{ Blob string }
 				}
-				status, _, answer, _, err := c.rd.Response()
+				status, _, answer, _, err := c.rd.ReadResponse()
 				if err == nil && status == 200 {
 					err = json.Unmarshal(answer, &got)
 				}
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -186,7 +186,7 @@
 		default:
 			c.rest(time.Now().Add(quietTime))
 		}
-		if err := c.rd.Await(); err != nil {
+		if err := c.rd.AwaitMessage(); err != nil {
 			return endingOf(err)
 		}
 		if c.awaits() {
@@ -211,7 +211,7 @@
 			c.until = time.Now().Add(lateLook)
 		}
 		c.limit(c.until)
-		method, target, head, body, keep, err := c.rd.Request()
+		method, target, head, body, keep, err := c.rd.ReadRequest()
 		came := c.o.Clock.Now()
 		c.first, c.looked, c.late = time.Time{}, time.Time{}, false
 		if err == nil {
@@ -220,14 +220,14 @@
 			err = c.request(method, target, head, body, keep, came)
 		}
 		var no refusal
-		var bad http1.Fault
+		var bad http1.InvalidMessageError
 		switch {
 		case errors.As(err, &no): // the next request can be told from this one
 			c.o.log.often("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", no.status, "error", no.text)
 			c.respond(no.status, "", []byte("{}"), keep)
 		case errors.As(err, &bad):
 			c.o.log.often("bad_request", "bad_request", "client", c.conn.RemoteAddr().String(),
-				"status", bad.Status, "error", bad.Text)
+				"status", bad.Status, "error", bad.Message)
 			c.respond(bad.Status, "", []byte("{}"), false)
 			c.linger((*buf)[:bufferSize])
 			c.settled(ctx)
@@ -260,8 +260,8 @@
 	c.more.Store(true)
 	defer c.more.Store(false)
 	for c.awaits() {
-		switch err := c.rd.Ahead(); {
-		case errors.Is(err, http1.ErrFull):
+		switch err := c.rd.ReadAhead(); {
+		case errors.Is(err, http1.ErrBufferFull):
 			return c.settled(ctx)
 		case err != nil && !errors.Is(err, errInTurn):
 			return err
@@ -467,7 +467,7 @@
 	if c.now == nil {
 		return nil
 	}
-	err := c.rd.Look(c.now)
+	err := c.rd.ReadAvailable(c.now)
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return endingOf(err)
 	}
@@ -579,7 +579,7 @@
 			return
 		}
 		keep, last := c.ends(keep)
-		*b = appendAnswer(http1.AppendHead(*b, 200, "", size, keep), r)
+		*b = appendAnswer(http1.AppendResponseHead(*b, 200, "", size, keep), r)
 		c.give(&parcel{b: b, last: last})
 	}
 }
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -245,7 +245,7 @@
 	time.Sleep(2 * lateLook) // the listener's time is over; no verdict rests on it
 	close(gate)
 	for i, c := range all {
-		status, _, _, _, err := c.rd.Response()
+		status, _, _, _, err := c.rd.ReadResponse()
 		require.NoError(t, err, "connection %d\n%s", i, r.log)
 		require.Contains(t, []int{200, 503}, status)
 	}
@@ -419,7 +419,7 @@
 	}
 	close(gate)
 	for i, c := range callers[5:] {
-		status, _, _, _, err := c.rd.Response()
+		status, _, _, _, err := c.rd.ReadResponse()
 		require.NoError(t, err, "%d", i)
 		require.Contains(t, []int{200, 503}, status)
 	}
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -251,12 +251,12 @@
 			asked, before, anew := time.Now(), a.version, a.anew
 			conn.SetDeadline(asked.Add(wait + watchSlack))
 			a.due = asked.Add(max(askLate, wait+watchSlack))
-			if _, err = conn.Write(http1.AppendGet(nil, target, a.at)); err != nil {
+			if _, err = conn.Write(http1.AppendGetRequest(nil, target, a.at)); err != nil {
 				break
 			}
 			var status int
 			var body []byte
-			if status, _, body, keep, err = rd.Response(); err == nil && status != 200 {
+			if status, _, body, keep, err = rd.ReadResponse(); err == nil && status != 200 {
 				err = fmt.Errorf("status %d", status)
 			}
 			if err == nil {
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -132,7 +132,7 @@
 	d.mu.Unlock()
 	rd := http1.NewReader(conn, make([]byte, bufferSize))
 	for {
-		_, target, _, _, _, err := rd.Request()
+		_, target, _, _, _, err := rd.ReadRequest()
 		if err != nil {
 			return
 		}
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -69,7 +69,7 @@
 				conn, err := ln.Accept()
 				require.NoError(t, err)
 				rd := http1.NewReader(conn, make([]byte, bufferSize))
-				_, target, _, _, _, err := rd.Request()
+				_, target, _, _, _, err := rd.ReadRequest()
 				require.NoError(t, err)
 				conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" + body))
 				if resets {
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -79,7 +79,7 @@
 				for range together {
 					var status int
 					if err == nil {
-						status, _, _, _, err = rd.Response()
+						status, _, _, _, err = rd.ReadResponse()
 					}
 					mu.Lock()
 					switch {
@@ -164,7 +164,7 @@
 	}
 	for i := range 6 {
 		send(dial(), text(fmt.Sprint("first", i)))
-		status, _, _, _, err := readers[i].Response()
+		status, _, _, _, err := readers[i].ReadResponse()
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
 	}
@@ -187,7 +187,7 @@
 	time.Sleep(quietTime + 500*time.Millisecond)
 	require.NoError(t, r.Signal("n", syscall.SIGCONT))
 	for i, rd := range readers {
-		status, _, _, _, err := rd.Response()
+		status, _, _, _, err := rd.ReadResponse()
 		require.NoError(t, err, "connection %d", i)
 		require.Contains(t, []int{200, 503}, status, "connection %d", i)
 	}
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -109,7 +109,7 @@
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(time.Second))
 		conn.Write([]byte("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))
-		status, _, _, _, err := http1.NewReader(conn, make([]byte, 16<<10)).Response()
+		status, _, _, _, err := http1.NewReader(conn, make([]byte, 16<<10)).ReadResponse()
 		return err == nil && status == 200
 	})
 }
@@ -144,7 +144,7 @@
 	defer conn.Close()
 	_, err := conn.Write([]byte(request(id, "all", "", fourParts)))
 	require.NoError(l.t, err)
-	status, _, body, _, err := rd.Response()
+	status, _, body, _, err := rd.ReadResponse()
 	require.NoError(l.t, err, "%s", l.log)
 	require.Equal(l.t, 200, status)
 	require.JSONEq(l.t, wholeOfAll, string(body))
@@ -211,7 +211,7 @@
 	time.Sleep(takeOn + 100*time.Millisecond)
 	l.signal(syscall.SIGCONT)
 	for i, rd := range readers {
-		status, _, _, _, err := rd.Response()
+		status, _, _, _, err := rd.ReadResponse()
 		require.NoError(t, err, "connection %d\n%s", i, l.log)
 		require.Contains(t, []int{200, 503}, status)
 	}
@@ -303,7 +303,7 @@
 	half.Write([]byte(text[len(text)/2:]))
 	open = append(open, one{half, halfRd})
 	for i, c := range open {
-		status, _, _, _, err := c.rd.Response()
+		status, _, _, _, err := c.rd.ReadResponse()
 		require.NoError(t, err, "connection %d\n%s", i, l.log)
 		require.Contains(t, []int{200, 500, 503}, status)
 		c.conn.Close()
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -243,7 +243,7 @@
 }
 
 func (c *caller) answer() (status int, head map[string]string, body string, keep bool) {
-	status, head, text, keep, err := c.rd.Response()
+	status, head, text, keep, err := c.rd.ReadResponse()
 	require.NoError(c.r.t, err, "%s", c.r.log)
 	return status, head, string(text), keep
 }
--- a/coordinator/stop_crossing_test.go
+++ b/coordinator/stop_crossing_test.go
@@ -27,12 +27,12 @@
 	_, rd := l.dial()
 	c, crd := l.dial()
 	c.Write([]byte("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))
-	status, _, _, _, err := crd.Response()
+	status, _, _, _, err := crd.ReadResponse()
 	require.NoError(t, err)
 	require.Equal(t, 503, status)
 	l.signal(syscall.SIGTERM)
 	l.over(0)
-	_, _, _, _, err = rd.Response()              // of the one that asked nothing
+	_, _, _, _, err = rd.ReadResponse()          // of the one that asked nothing
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF) // the end in good order, and no answer
 }
 
@@ -90,7 +90,7 @@
 		require.Fail(t, "does not end")
 	}
 	for i, rd := range open {
-		_, _, _, _, err := rd.Response()
+		_, _, _, _, err := rd.ReadResponse()
 		require.True(t, errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "%d: %v", i, err)
 	}
 	for _, h := range l.hosts {
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -65,7 +65,7 @@
 	defer conn.Close()
 	rd := http1.NewReader(conn, make([]byte, 16<<10))
 	for {
-		_, target, _, _, _, err := rd.Request()
+		_, target, _, _, _, err := rd.ReadRequest()
 		if err != nil {
 			return
 		}
--- a/internal/benchmark/floor.go
+++ b/internal/benchmark/floor.go
@@ -78,7 +78,7 @@
 	s := &floorSearch{done: make(chan struct{}, 1)}
 	var body, out []byte
 	for {
-		_, target, head, _, _, err := rd.Request()
+		_, target, head, _, _, err := rd.ReadRequest()
 		if err != nil {
 			return
 		}
--- a/internal/clustertest/clients.go
+++ b/internal/clustertest/clients.go
@@ -147,11 +147,11 @@
 		c.SetDeadline(until)
 		begun := false // an answer
 		if _, err = c.Write([]byte(s.Text())); err == nil {
-			if err = c.rd.Await(); err == nil {
+			if err = c.rd.AwaitMessage(); err == nil {
 				begun = true
 				var body []byte
 				var keep bool
-				if out.Status, _, body, keep, err = c.rd.Response(); err == nil {
+				if out.Status, _, body, keep, err = c.rd.ReadResponse(); err == nil {
 					out.Body, out.Finals, t.Fault = string(body), out.Finals+1, ""
 					p.put(c, keep, out)
 					return true
@@ -175,7 +175,7 @@
 // put keeps a connection for the next search, once it is seen that no second answer stands on it.
 func (p *pool) put(c *kept, keep bool, out *Answer) {
 	c.SetReadDeadline(time.Now().Add(extraWait))
-	if err := c.rd.Await(); err == nil {
+	if err := c.rd.AwaitMessage(); err == nil {
 		out.Finals++
 		keep = false
 	} else if e, ok := err.(net.Error); !ok || !e.Timeout() {
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -101,7 +101,7 @@
 			conn.Close()
 			continue
 		}
-		status, _, text, keep, err := http1.NewReader(conn, make([]byte, 16<<10)).Response()
+		status, _, text, keep, err := http1.NewReader(conn, make([]byte, 16<<10)).ReadResponse()
 		if err != nil {
 			conn.Close()
 			if kept {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -68,7 +68,7 @@
 func requests(conn net.Conn, reply func(target string) string) {
 	rd := http1.NewReader(conn, make([]byte, 16<<10))
 	for {
-		_, target, _, _, _, err := rd.Request()
+		_, target, _, _, _, err := rd.ReadRequest()
 		if err != nil {
 			return
 		}
--- a/internal/http1/golden_heads_test.go
+++ b/internal/http1/golden_heads_test.go
@@ -18,8 +18,8 @@
 	fmt.Fprintf(&out, "%q\n", AppendResponse(nil, 503, "Retry-After: 0.2500", []byte("{}"), true))
 	fmt.Fprintf(&out, "%q\n", AppendResponse(nil, 503, "Retry-After: 0.2500", []byte("{}"), false))
 	fmt.Fprintf(&out, "%q\n", AppendResponse([]byte("before"), 200, "", nil, true))
-	fmt.Fprintf(&out, "%q\n", AppendHead(nil, 200, "X-More: 1", 12345, false))
-	fmt.Fprintf(&out, "%q\n", AppendGet(nil, "/v1/servers?index=7&wait=2000", "10.0.0.1:7000"))
+	fmt.Fprintf(&out, "%q\n", AppendResponseHead(nil, 200, "X-More: 1", 12345, false))
+	fmt.Fprintf(&out, "%q\n", AppendGetRequest(nil, "/v1/servers?index=7&wait=2000", "10.0.0.1:7000"))
 	compareGolden(t, "messages_written.golden", out.String())
 }
 
@@ -33,7 +33,7 @@
 
 // errorText is the status that the sender of an unusable message gets; "ends" stands for an end inside the message.
 func errorText(err error) string {
-	var bad Fault
+	var bad InvalidMessageError
 	if errors.As(err, &bad) {
 		return fmt.Sprint("status ", bad.Status)
 	}
@@ -62,7 +62,7 @@
 		"GET / HTTP/1.1\r\nHost: x\r\nbad name: 1\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\nA: \x01\r\n\r\n", "GET / HTTP/1.1\r\nHost",
 		"GET / HTTP/1.1\r\nHost: x\r\nLong: " + strings.Repeat("a", 8200) + "\r\n\r\n",
 	} {
-		method, target, head, body, keep, err := NewReader(strings.NewReader(text), buf).Request()
+		method, target, head, body, keep, err := NewReader(strings.NewReader(text), buf).ReadRequest()
 		fmt.Fprintf(&out, "request %.200q", text)
 		if err != nil {
 			fmt.Fprintf(&out, " %s\n", errorText(err))
@@ -75,7 +75,7 @@
 		"HTTP/1.0 200 OK\r\n\r\nup to the end", "HTTP/1.1 304 Not Modified\r\nX-A: b\r\n\r\n", "HTTP/1.1 503\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", "HTTP/1.1 20 OK\r\n\r\n", "SMTP 200 OK\r\n\r\n",
 	} {
-		status, head, body, keep, err := NewReader(strings.NewReader(text), buf).Response()
+		status, head, body, keep, err := NewReader(strings.NewReader(text), buf).ReadResponse()
 		fmt.Fprintf(&out, "response %q", text)
 		if err != nil {
 			fmt.Fprintf(&out, " %s\n", errorText(err))
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -15,20 +15,20 @@
 	bodyMost = 64 << 10 // bytes of a body: the protocol's limit
 )
 
-// Fault is a message that cannot be used; Status is what its sender is told.
-type Fault struct {
-	Status int
-	Text   string
+// InvalidMessageError is a message that cannot be used; Status is what its sender is told.
+type InvalidMessageError struct {
+	Status  int
+	Message string
 }
 
-func (f Fault) Error() string { return f.Text }
+func (f InvalidMessageError) Error() string { return f.Message }
 
 func fault(status int, format string, v ...any) error {
-	return Fault{status, fmt.Sprintf(format, v...)}
+	return InvalidMessageError{status, fmt.Sprintf(format, v...)}
 }
 
-// ErrFull is a buffer with no room to read on.
-var ErrFull = errors.New("the buffer is full")
+// ErrBufferFull is a buffer with no room to read on.
+var ErrBufferFull = errors.New("the buffer is full")
 
 // Reader takes messages off a stream, which may be split at any byte.
 type Reader struct {
@@ -44,8 +44,8 @@
 // NewReader reads by way of buf, which no one else may use meanwhile; it has to hold a head.
 func NewReader(src io.Reader, buf []byte) *Reader { return &Reader{src: src, buf: buf} }
 
-// Await returns once the first byte of the next message is there; empty lines before it are passed over.
-func (r *Reader) Await() error {
+// AwaitMessage returns once the first byte of the next message is there; empty lines before it are passed over.
+func (r *Reader) AwaitMessage() error {
 	for {
 		for ; r.r < r.w; r.r++ {
 			if b := r.buf[r.r]; b != '\r' && b != '\n' {
@@ -58,24 +58,24 @@
 	}
 }
 
-// Ahead reads on behind what is there while no message is being taken, so that an end is seen; ErrFull once there is no
+// ReadAhead reads on behind what is there while no message is being taken, so that an end is seen; ErrBufferFull once there is no
 // room for more.
-func (r *Reader) Ahead() error {
+func (r *Reader) ReadAhead() error {
 	if r.r == 0 && r.w == len(r.buf) {
-		return ErrFull
+		return ErrBufferFull
 	}
 	return r.fill()
 }
 
-// Look reads by a read that does not wait what has come behind the message that was taken last, which still holds.
-func (r *Reader) Look(read func(p []byte) (int, error)) error {
+// ReadAvailable reads by a read that does not wait what has come behind the message that was taken last, which still holds.
+func (r *Reader) ReadAvailable(read func(p []byte) (int, error)) error {
 	for r.w < len(r.buf) {
 		n, err := read(r.buf[r.w:])
 		if r.w += max(n, 0); err != nil {
 			return err
 		}
 	}
-	return ErrFull
+	return ErrBufferFull
 }
 
 func (r *Reader) fill() error {
@@ -194,9 +194,9 @@
 	return strings.ToLower(name)
 }
 
-// Request takes one request. Keep tells whether its sender keeps the connection. Head and body hold until the next
+// ReadRequest takes one request. Keep tells whether its sender keeps the connection. Head and body hold until the next
 // call.
-func (r *Reader) Request() (method, target string, head map[string]string, body []byte, keep bool, err error) {
+func (r *Reader) ReadRequest() (method, target string, head map[string]string, body []byte, keep bool, err error) {
 	r.left = headMost
 	r.whole()
 	start := ""
@@ -234,8 +234,8 @@
 	return
 }
 
-// Response takes one response to a request other than HEAD. Head and body hold until the next call.
-func (r *Reader) Response() (status int, head map[string]string, body []byte, keep bool, err error) {
+// ReadResponse takes one response to a request other than HEAD. Head and body hold until the next call.
+func (r *Reader) ReadResponse() (status int, head map[string]string, body []byte, keep bool, err error) {
 	r.left = headMost
 	r.whole()
 	start, err := r.line()
@@ -380,11 +380,11 @@
 
 // AppendResponse adds a response with a JSON body and one more header line, if not empty.
 func AppendResponse(dst []byte, status int, extra string, body []byte, keep bool) []byte {
-	return append(AppendHead(dst, status, extra, len(body), keep), body...)
+	return append(AppendResponseHead(dst, status, extra, len(body), keep), body...)
 }
 
-// AppendHead adds the head of a response whose JSON body of so many bytes is to follow.
-func AppendHead(dst []byte, status int, extra string, length int, keep bool) []byte {
+// AppendResponseHead adds the head of a response whose JSON body of so many bytes is to follow.
+func AppendResponseHead(dst []byte, status int, extra string, length int, keep bool) []byte {
 	dst = append(strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(status), 10), ' ')
 	dst = append(append(dst, reasons[status]...), "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	dst = append(strconv.AppendInt(dst, int64(length), 10), "\r\n"...)
@@ -397,7 +397,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendGet adds a request for target.
-func AppendGet(dst []byte, target, host string) []byte {
+// AppendGetRequest adds a request for target.
+func AppendGetRequest(dst []byte, target, host string) []byte {
 	return fmt.Appendf(dst, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, host)
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -22,11 +22,11 @@
 		one := NewReader(bytes.NewReader(text), make([]byte, 16<<10))
 		two := NewReader(iotest.OneByteReader(bytes.NewReader(text)), make([]byte, 16<<10))
 		for {
-			method, target, head, body, keep, err := one.Request()
-			method2, target2, head2, body2, keep2, err2 := two.Request()
+			method, target, head, body, keep, err := one.ReadRequest()
+			method2, target2, head2, body2, keep2, err2 := two.ReadRequest()
 			require.Equal(t, err, err2)
 			if err != nil {
-				var bad Fault
+				var bad InvalidMessageError
 				require.True(t, errors.As(err, &bad) || errors.Is(err, io.ErrUnexpectedEOF), err)
 				return
 			}
@@ -43,7 +43,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r := NewReader(bytes.NewReader(text), make([]byte, 16<<10))
 		for {
-			_, _, body, _, err := r.Response()
+			_, _, body, _, err := r.ReadResponse()
 			if err != nil {
 				return
 			}
@@ -58,7 +58,7 @@
 func TestResponses(t *testing.T) {
 	text := AppendResponse(nil, 503, "Retry-After: 0.0500", []byte("{}"), false)
 	r := NewReader(iotest.OneByteReader(bytes.NewReader(text)), make([]byte, 16<<10))
-	status, head, body, keep, err := r.Response()
+	status, head, body, keep, err := r.ReadResponse()
 	require.NoError(t, err)
 	require.Equal(t, 503, status)
 	require.Equal(t, "0.0500", head["retry-after"])
@@ -68,12 +68,12 @@
 		"HTTP/1.0 200 OK\r\n\r\nto the end":                                                   "to the end",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n": "abc",
 	} {
-		_, _, body, _, err := NewReader(strings.NewReader(text), make([]byte, 16<<10)).Response()
+		_, _, body, _, err := NewReader(strings.NewReader(text), make([]byte, 16<<10)).ReadResponse()
 		require.NoError(t, err)
 		require.Equal(t, want, string(body))
 	}
 	_, _, _, _, err = NewReader(strings.NewReader("HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("a", bodyMost+1)),
-		make([]byte, 16<<10)).Response()
+		make([]byte, 16<<10)).ReadResponse()
 	require.ErrorContains(t, err, "body over")
 }
 
@@ -99,11 +99,11 @@
 	body := "64\r\n" + first + "\r\nbb8;x=\"y\"\r\n" + second + "\r\n0\r\nTrailer: 1\r\n\r\n"
 	for start, read := range map[string]func(r *Reader) ([]byte, error){
 		"POST /a HTTP/1.1\r\nHost: x\r\n": func(r *Reader) ([]byte, error) {
-			_, _, _, body, _, err := r.Request()
+			_, _, _, body, _, err := r.ReadRequest()
 			return body, err
 		},
 		"HTTP/1.1 200 OK\r\n": func(r *Reader) ([]byte, error) {
-			_, _, body, _, err := r.Response()
+			_, _, body, _, err := r.ReadResponse()
 			return body, err
 		},
 	} {
@@ -148,8 +148,8 @@
 			if one {
 				src = iotest.OneByteReader(src)
 			}
-			_, _, _, _, _, err := NewReader(src, make([]byte, 16<<10)).Request()
-			var bad Fault
+			_, _, _, _, _, err := NewReader(src, make([]byte, 16<<10)).ReadRequest()
+			var bad InvalidMessageError
 			require.ErrorAs(t, err, &bad, "%q", fields)
 			require.Equal(t, status, bad.Status, "%q", fields)
 		}
