--- a/cmd/benchmark/main.go
+++ b/cmd/benchmark/main.go
@@ -33,7 +33,7 @@
 func (d *demo) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return benchmark.Demo(ctx, d.Listen)
+	return benchmark.ServeDemo(ctx, d.Listen)
 }
 
 // node is the co-ordinator's process of the measurements that look at memory and CPU time.
@@ -42,7 +42,7 @@
 func (node) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return benchmark.Node(ctx)
+	return benchmark.RunCoordinator(ctx)
 }
 
 // sharer is an instance's process of the measurement of the ledger.
@@ -53,7 +53,7 @@
 func (s *sharer) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return benchmark.Sharer(ctx, s.Installation)
+	return benchmark.RunReplicator(ctx, s.Installation)
 }
 
 type measure struct {
@@ -64,7 +64,7 @@
 var errMissed = errors.New("an aim was missed")
 
 func (m *measure) Run() error {
-	do := benchmark.Measures[m.Name]
+	do := benchmark.Measurements[m.Name]
 	if do == nil {
 		return fmt.Errorf("no measurement %q; there are %s", m.Name, names())
 	}
@@ -76,21 +76,21 @@
 		return err
 	}
 	r.Fields["measure"], r.Fields["seed"], r.Fields["seconds"] = m.Name, m.Seed, time.Since(began).Round(time.Second).Seconds()
-	if len(r.Missed) > 0 {
-		r.Fields["missed"] = r.Missed
+	if len(r.MissedGoals) > 0 {
+		r.Fields["missed"] = r.MissedGoals
 	}
 	text, err := json.Marshal(r.Fields)
 	if err != nil {
 		return err
 	}
 	fmt.Println(string(text))
-	if len(r.Missed) > 0 {
+	if len(r.MissedGoals) > 0 {
 		return errMissed
 	}
 	return nil
 }
 
-func names() string { return strings.Join(slices.Sorted(maps.Keys(benchmark.Measures)), ", ") }
+func names() string { return strings.Join(slices.Sorted(maps.Keys(benchmark.Measurements)), ", ") }
 
 func main() {
 	k := kong.Parse(&line{}, kong.Name("chalklab"), kong.Description("Measures chalkring on loopback."),
--- a/internal/benchmark/clients.go
+++ b/internal/benchmark/clients.go
@@ -22,9 +22,9 @@
 
 var closedLoops = []int{4, 16, 64, 256} // clients that each ask one search after another
 
-// Clients measures the throughput of one co-ordinator under more and more clients that ask one search after another:
+// MeasureClients measures the throughput of one co-ordinator under more and more clients that ask one search after another:
 // past saturation it must not fall far.
-func Clients(ctx context.Context, seed int64) (Result, error) {
+func MeasureClients(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	f, err := soundFleet(16, seed)
@@ -42,7 +42,7 @@
 		out.Fields[fmt.Sprintf("clients_%d", closedLoops[i])] = r.fields()
 	}
 	if last < closedLeast*best {
-		out.Missed = append(out.Missed, fmt.Sprintf("%.0f searches/s with %d clients, %.0f at best", last, closedLoops[len(closedLoops)-1], best))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%.0f searches/s with %d clients, %.0f at best", last, closedLoops[len(closedLoops)-1], best))
 	}
 	return out, ctx.Err()
 }
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -123,8 +123,8 @@
 	return f.launch(ctx, seed, nodeFloor+"="+strings.Join(hosts, ","))
 }
 
-// Node is the co-ordinator's process: the plan that GW_CONFIG names, and an answering peer.
-func Node(ctx context.Context) error {
+// RunCoordinator is the co-ordinator's process: the plan that GW_CONFIG names, and an answering peer.
+func RunCoordinator(ctx context.Context) error {
 	plan, err := coordinator.Read(os.Getenv)
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		ln, dial = countingListener{ln}, countingDial
 	}
 	if hosts := os.Getenv(nodeFloor); hosts != "" {
-		return Floor(ctx, ln, strings.Split(hosts, ","))
+		return ServeBaseline(ctx, ln, strings.Split(hosts, ","))
 	}
 	more := &coordinator.PeerOptions{AllowedPeers: []string{"asker"}, Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}}
 	if more.Listener, err = net.Listen("tcp", os.Getenv(nodeInstance)); err != nil {
@@ -246,9 +246,9 @@
 	return (user + system) / clockTicks
 }
 
-// Memory measures the resident memory of one co-ordinator at 2,000 searches a second whose clients wait a minute:
+// MeasureMemory measures the resident memory of one co-ordinator at 2,000 searches a second whose clients wait a minute:
 // it follows what is open, not rate times patience, and stays under the plan's limit.
-func Memory(ctx context.Context, seed int64) (Result, error) {
+func MeasureMemory(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	value := strings.Repeat("v", valueBytes)
@@ -288,14 +288,14 @@
 	out := Result{Fields: map[string]any{"searches": len(got), "answered": answered, "resident_mb": round(most),
 		"limit_mb": memoryMB, "p99_ms": round(1000 * quantile(got, 0.99).Seconds())}}
 	if most > memoryMB {
-		out.Missed = append(out.Missed, fmt.Sprintf("%.0f MB resident, over the limit of %d MB", most, memoryMB))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%.0f MB resident, over the limit of %d MB", most, memoryMB))
 	}
 	return out, ctx.Err()
 }
 
-// PeerCost measures what a peer that asks without pause costs the searches of the one it asks: the CPU time of its
+// MeasurePeerCost measures what a peer that asks without pause costs the searches of the one it asks: the CPU time of its
 // process a search, with the peer and without in turn.
-func PeerCost(ctx context.Context, seed int64) (Result, error) {
+func MeasurePeerCost(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	f, err := soundFleet(64, seed)
@@ -355,7 +355,7 @@
 		"more": round(more), "p50_ms_alone": round(1000 * median(p50Without)), "p50_ms_asked": round(1000 * median(p50With)),
 		"askings": asked, "answered": answered}}
 	if more > costMost {
-		out.Missed = append(out.Missed, fmt.Sprintf("a search costs %.1f%% more CPU time with a peer asking", 100*more))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("a search costs %.1f%% more CPU time with a peer asking", 100*more))
 	}
 	return out, ctx.Err()
 }
--- a/internal/benchmark/counts.go
+++ b/internal/benchmark/counts.go
@@ -39,9 +39,9 @@
 	Copied float64 `json:"copied"` // bytes read and written
 }
 
-// Counts counts what an ordinary search costs in allocations, reads, writes and bytes, for both query types with small
+// MeasureCounts counts what an ordinary search costs in allocations, reads, writes and bytes, for both query types with small
 // and large values, and holds them against the committed baseline: a rise of more than a twentieth is a miss.
-func Counts(ctx context.Context, seed int64) (Result, error) {
+func MeasureCounts(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	var want map[string]counted
@@ -79,7 +79,7 @@
 			for what, pair := range map[string][2]float64{"allocs": {got.Allocs, w.Allocs}, "bytes": {got.Bytes, w.Bytes},
 				"reads": {got.Reads, w.Reads}, "writes": {got.Writes, w.Writes}, "copied": {got.Copied, w.Copied}} {
 				if pair[0] > countRise*pair[1] {
-					out.Missed = append(out.Missed, fmt.Sprintf("%s: %.1f %s a search, %.1f in the baseline", name, pair[0], what, pair[1]))
+					out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: %.1f %s a search, %.1f in the baseline", name, pair[0], what, pair[1]))
 				}
 			}
 		}
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -21,27 +21,27 @@
 
 // Result is what a measurement found: the fields of its line, and each aim that was missed.
 type Result struct {
-	Fields map[string]any
-	Missed []string
-}
-
-// Measures are the measurements by name.
-var Measures = map[string]func(ctx context.Context, seed int64) (Result, error){
-	"clients":     Clients,
-	"counts":      Counts,
-	"fleet":       Gossip,
-	"learning":    Learning,
-	"ledger":      Ledger,
-	"membership":  Membership,
-	"memory":      Memory,
-	"ordinary":    Ordinary,
-	"owners":      Owners,
-	"peers":       PeerCost,
-	"rollout":     Rollout,
-	"opensearch":  OpenSearch,
-	"recovery":    Recovery,
-	"residency":   Residency,
-	"subscribers": Subscribers,
+	Fields      map[string]any
+	MissedGoals []string
+}
+
+// Measurements are the measurements by name.
+var Measurements = map[string]func(ctx context.Context, seed int64) (Result, error){
+	"clients":     MeasureClients,
+	"counts":      MeasureCounts,
+	"fleet":       MeasureGossip,
+	"learning":    MeasureLearning,
+	"ledger":      MeasureLedger,
+	"membership":  MeasureMembership,
+	"memory":      MeasureMemory,
+	"ordinary":    MeasureOrdinarySearch,
+	"owners":      MeasureEventLoops,
+	"peers":       MeasurePeerCost,
+	"rollout":     MeasureRollout,
+	"opensearch":  MeasureOpenSearch,
+	"recovery":    MeasureRecovery,
+	"residency":   MeasureResidency,
+	"subscribers": MeasureSubscribers,
 }
 
 const (
--- a/internal/benchmark/floor.go
+++ b/internal/benchmark/floor.go
@@ -39,8 +39,8 @@
 	done   chan struct{}
 }
 
-// Floor serves until ctx ends; hosts are in the order of their sets.
-func Floor(ctx context.Context, ln net.Listener, hosts []string) error {
+// ServeBaseline serves until ctx ends; hosts are in the order of their sets.
+func ServeBaseline(ctx context.Context, ln net.Listener, hosts []string) error {
 	f := &floor{}
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
--- a/internal/benchmark/gossip.go
+++ b/internal/benchmark/gossip.go
@@ -158,29 +158,29 @@
 	}
 	out.Fields[as+"_given_up_later"] = late
 	if never > 0 {
-		out.Missed = append(out.Missed, fmt.Sprintf("%s: %d ends or cuts never noticed", as, never))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: %d ends or cuts never noticed", as, never))
 	}
 	if len(lost) > 0 {
 		missed = lost // of the other side a majority may learn later: it goes on in any case
 	}
 	if len(missed) > 0 && slices.Max(missed) > (gossip.MaxDetectionTime+modelLook).Seconds() {
-		out.Missed = append(out.Missed, fmt.Sprintf("%s: counted for %.1f s", as, slices.Max(missed)))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: counted for %.1f s", as, slices.Max(missed)))
 	}
 }
 
 func (b *books) judge(out *Result, as string) {
 	out.Fields[as+"_false_suspicions"] = b.wrong
 	if len(b.minority) > 0 {
-		out.Missed = append(out.Missed, fmt.Sprintf("%s: minority reports a majority: %s", as, b.minority[0]))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: minority reports a majority: %s", as, b.minority[0]))
 	}
 	if len(b.old) > 0 {
-		out.Missed = append(out.Missed, as+": an old incarnation came back: "+b.old[0])
+		out.MissedGoals = append(out.MissedGoals, as+": an old incarnation came back: "+b.old[0])
 	}
 }
 
-// Gossip measures how long instances take to notice cuts and ends, and what that costs: 3 and 30 on loopback, 300 in the
+// MeasureGossip measures how long instances take to notice cuts and ends, and what that costs: 3 and 30 on loopback, 300 in the
 // model.
-func Gossip(ctx context.Context, seed int64) (Result, error) {
+func MeasureGossip(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
 	out := Result{Fields: map[string]any{}}
@@ -192,7 +192,7 @@
 			err := gossipNodes(both, seed, n, &one)
 			mu.Lock()
 			defer mu.Unlock()
-			out.Missed = append(out.Missed, one.Missed...)
+			out.MissedGoals = append(out.MissedGoals, one.MissedGoals...)
 			maps.Copy(out.Fields, one.Fields)
 			return err
 		})
@@ -206,8 +206,8 @@
 		return Result{}, err
 	}
 	maps.Copy(out.Fields, model.Fields)
-	out.Missed = append(out.Missed, model.Missed...)
-	slices.Sort(out.Missed)
+	out.MissedGoals = append(out.MissedGoals, model.MissedGoals...)
+	slices.Sort(out.MissedGoals)
 	return out, ctx.Err()
 }
 
@@ -265,7 +265,7 @@
 		return err
 	}
 	if !whole() {
-		out.Missed = append(out.Missed, as+": they never found each other")
+		out.MissedGoals = append(out.MissedGoals, as+": they never found each other")
 		return nil
 	}
 	out.Fields[as+"_whole_s"] = round(time.Since(began).Seconds())
@@ -309,7 +309,7 @@
 	}
 	out.Fields[as+"_back_s"] = round(time.Since(at).Seconds())
 	if !whole() {
-		out.Missed = append(out.Missed, as+": not whole again after the cut")
+		out.MissedGoals = append(out.MissedGoals, as+": not whole again after the cut")
 	}
 
 	chance.Shuffle(n, func(i, j int) { order[i], order[j] = order[j], order[i] })
@@ -374,7 +374,7 @@
 	w.RunUntil(w.Now + ticks(gossipBack))
 	for _, i := range w.Instances {
 		if heard, of := i.Table.CountAliveVoters(w.Now); heard < of*95/100 {
-			out.Missed = append(out.Missed, fmt.Sprintf("%s: %s hears %d of %d after the cut", as, i.NodeName, heard, of))
+			out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: %s hears %d of %d after the cut", as, i.NodeName, heard, of))
 			break
 		}
 	}
--- a/internal/benchmark/learning.go
+++ b/internal/benchmark/learning.go
@@ -41,10 +41,10 @@
 // kinds of start.
 var starts = []string{"cold", "warm", "lying", "dead"}
 
-// Learning measures what a new co-ordinator gains by asking a running one, and what a lying or dead peer costs it:
+// MeasureLearning measures what a new co-ordinator gains by asking a running one, and what a lying or dead peer costs it:
 // learners of all kinds start at one moment, with the same schedules of searches, beside a co-ordinator that has run
 // for a while. Twelve of 64 hosts hang, eight are slow, four have just started.
-func Learning(ctx context.Context, seed int64) (Result, error) {
+func MeasureLearning(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	cold := &tally{n: map[string]int{}}
@@ -172,7 +172,7 @@
 			"g_30s": round(gAll[kind]), "p99_first_200_ms": round(p99[kind]), "sent_cold": cold.n[kind],
 			"mean_first_1s_ms": round(1000 * meanTook(results[kind], time.Second))}
 	}
-	miss := func(format string, v ...any) { out.Missed = append(out.Missed, fmt.Sprintf(format, v...)) }
+	miss := func(format string, v ...any) { out.MissedGoals = append(out.MissedGoals, fmt.Sprintf(format, v...)) }
 	if steadyAt["warm"] > 0.5*steadyAt["cold"] {
 		miss("warm is steady after %.2f s, cold after %.2f s: over half", steadyAt["warm"], steadyAt["cold"])
 	}
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -186,9 +186,9 @@
 	s.r.Edit(a, b, func(f *clustertest.Fault) { f.Cut = cut })
 }
 
-// Ledger measures what instances share on real processes in three regions: killed while they write, their links cut and slow,
+// MeasureLedger measures what instances share on real processes in three regions: killed while they write, their links cut and slow,
 // disks put back and damaged; then at full size, with a partition between regions.
-func Ledger(ctx context.Context, seed int64) (Result, error) {
+func MeasureLedger(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
 	dir, err := os.MkdirTemp("", "chalklab")
@@ -315,10 +315,10 @@
 	out.Fields["kills_written"], out.Fields["kills_deleted"] = len(s.live), len(s.dead)
 	out.Fields["kills_alike_s"], out.Fields["kills_s"] = took.Seconds(), time.Since(began).Seconds()
 	if lost > 0 {
-		out.Missed = append(out.Missed, "entries lost after kills")
+		out.MissedGoals = append(out.MissedGoals, "entries lost after kills")
 	}
 	if back > 0 {
-		out.Missed = append(out.Missed, "entries came back after kills")
+		out.MissedGoals = append(out.MissedGoals, "entries came back after kills")
 	}
 	return nil
 }
@@ -464,10 +464,10 @@
 	for bad, what := range map[string]bool{"entries lost": lost > 0, "entries came back": back > 0, "healed too late": took > ledgerHeal,
 		"the difference costs too many bytes": perDiff > ledgerDiffMost*float64(list), "too much memory": st.RSS > ledgerMemory} {
 		if what {
-			out.Missed = append(out.Missed, bad)
+			out.MissedGoals = append(out.MissedGoals, bad)
 		}
 	}
-	slices.Sort(out.Missed)
+	slices.Sort(out.MissedGoals)
 	return nil
 }
 
--- a/internal/benchmark/membership.go
+++ b/internal/benchmark/membership.go
@@ -25,9 +25,9 @@
 	membershipAway  = 3                      // hosts that may be off the list at once
 )
 
-// Membership measures what a watched file does to searches: it is written several times a second, cut, spoilt, with hosts
+// MeasureMembership measures what a watched file does to searches: it is written several times a second, cut, spoilt, with hosts
 // that are not there, and whole with hosts dropped and brought back, under load.
-func Membership(ctx context.Context, seed int64) (Result, error) {
+func MeasureMembership(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 50*time.Second)
 	defer stop()
 	f, err := soundFleet(24, seed)
@@ -183,16 +183,16 @@
 		"told": told, "refused_by_form": refused, "drops": drops, "sent_to_dropped": late, "sent_to_decoy": decoy.Took(),
 		"p99_ms": round(1000 * quantile(got, 0.99).Seconds())}}
 	if wrong > 0 || answered < len(got)*99/100 {
-		out.Missed = append(out.Missed, fmt.Sprintf("%d of %d searches answered, %d wrongly", answered, len(got), wrong))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d of %d searches answered, %d wrongly", answered, len(got), wrong))
 	}
 	if late > 0 {
-		out.Missed = append(out.Missed, fmt.Sprintf("%d parts sent to hosts dropped %v before", late, membershipQuiet))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d parts sent to hosts dropped %v before", late, membershipQuiet))
 	}
 	if decoy.Took() > 0 {
-		out.Missed = append(out.Missed, fmt.Sprintf("%d parts sent to a host of bad files alone", decoy.Took()))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d parts sent to a host of bad files alone", decoy.Took()))
 	}
 	if drops == 0 || bad == 0 {
-		out.Missed = append(out.Missed, "no drop or no bad file was drawn")
+		out.MissedGoals = append(out.MissedGoals, "no drop or no bad file was drawn")
 	}
 	return out, ctx.Err()
 }
--- a/internal/benchmark/opensearch.go
+++ b/internal/benchmark/opensearch.go
@@ -42,10 +42,10 @@
 	want map[string]any
 }
 
-// OpenSearch measures the API's front and hosts beside the own ones, in all four pairs, with a host of each kind that
+// MeasureOpenSearch measures the API's front and hosts beside the own ones, in all four pairs, with a host of each kind that
 // hangs in the last stretch: CPU time and allocations of the co-ordinator a search, answer times, and every answer
 // against a reference over all members.
-func OpenSearch(ctx context.Context, seed int64) (Result, error) {
+func MeasureOpenSearch(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
 	chance := rand.New(rand.NewSource(seed))
@@ -79,7 +79,7 @@
 	ratio := cpu[pairs[1]] / cpu[pairs[0]]
 	out.Fields["api_front_over_own"] = round(ratio)
 	if ratio > osMost {
-		out.Missed = append(out.Missed, fmt.Sprintf("the API's front costs %.2f times the own front's CPU time", ratio))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("the API's front costs %.2f times the own front's CPU time", ratio))
 	}
 	return out, ctx.Err()
 }
@@ -98,8 +98,8 @@
 	return blocks, all
 }
 
-// Demo serves the API on an address before stand-in hosts with members, until ctx ends.
-func Demo(ctx context.Context, listen string) error {
+// ServeDemo serves the API on an address before stand-in hosts with members, until ctx ends.
+func ServeDemo(ctx context.Context, listen string) error {
 	blocks, _ := drawMembers(rand.New(rand.NewSource(1)))
 	f, _, err := membersFleet("api", blocks)
 	if err != nil {
@@ -212,7 +212,7 @@
 		}
 		out.Fields[who.name()] = fields
 		if s.lost+s.doubled+s.wrong > 0 {
-			out.Missed = append(out.Missed, fmt.Sprintf("%s: %d lost, %d doubled, %d wrong", who.name(), s.lost, s.doubled, s.wrong))
+			out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: %d lost, %d doubled, %d wrong", who.name(), s.lost, s.doubled, s.wrong))
 		}
 	}
 	return p.end()
--- a/internal/benchmark/ordinary.go
+++ b/internal/benchmark/ordinary.go
@@ -24,9 +24,9 @@
 	ordinaryBudget = 58 * time.Second
 )
 
-// Ordinary measures what an ordinary search costs under more and more clients, with a plain program beside it that
+// MeasureOrdinarySearch measures what an ordinary search costs under more and more clients, with a plain program beside it that
 // makes the reads and writes a search needs; and that memory follows what is open, not how long clients would wait.
-func Ordinary(ctx context.Context, seed int64) (Result, error) {
+func MeasureOrdinarySearch(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, ordinaryBudget)
 	defer stop()
 	out := Result{Fields: map[string]any{}}
@@ -52,16 +52,16 @@
 		out.Fields[fmt.Sprintf("cpu_over_floor_%d", n)] = round(p.cpu / q.cpu)
 		out.Fields[fmt.Sprintf("p99_over_floor_%d", n)] = round(p.p99 / q.p99)
 		if p.tally.wrong+p.tally.missing+p.tally.doubled > 0 {
-			out.Missed = append(out.Missed, fmt.Sprintf("%d wrong, %d missing, %d doubled answers with %d clients",
+			out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d wrong, %d missing, %d doubled answers with %d clients",
 				p.tally.wrong, p.tally.missing, p.tally.doubled, n))
 		}
 	}
 	few, most := program[slices.Index(closedLoops, fewClients)], program[len(program)-1]
 	if most.rate < fullLeast*best {
-		out.Missed = append(out.Missed, fmt.Sprintf("%.0f searches/s with the most clients, %.0f at best", most.rate, best))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%.0f searches/s with the most clients, %.0f at best", most.rate, best))
 	}
 	if most.cpu > crowdMost*few.cpu {
-		out.Missed = append(out.Missed, fmt.Sprintf("%.0f us CPU a search with the most clients, %.0f with %d", 1e6*most.cpu,
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%.0f us CPU a search with the most clients, %.0f with %d", 1e6*most.cpu,
 			1e6*few.cpu, fewClients))
 	}
 	short, err := f.held(ctx, seed, heldShort)
@@ -74,7 +74,7 @@
 	}
 	out.Fields["resident_mb_patience_5s"], out.Fields["resident_mb_patience_60s"] = round(short), round(long)
 	if long > heldMost*short {
-		out.Missed = append(out.Missed, fmt.Sprintf("%.1f MB where clients wait %v, %.1f where they wait %v", long, heldLong, short, heldShort))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%.1f MB where clients wait %v, %.1f where they wait %v", long, heldLong, short, heldShort))
 	}
 	return out, ctx.Err()
 }
--- a/internal/benchmark/owners.go
+++ b/internal/benchmark/owners.go
@@ -16,9 +16,9 @@
 	ownersLeast   = 1.2             // times one owner's searches a second on the same cores that as many owners bring
 )
 
-// Owners measures what more cores bring: one owner on one core, one owner whose connections are spread over several,
+// MeasureEventLoops measures what more cores bring: one owner on one core, one owner whose connections are spread over several,
 // and as many owners as cores. Hosts answer at once, so that the co-ordinator's own work bounds it.
-func Owners(ctx context.Context, seed int64) (Result, error) {
+func MeasureEventLoops(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 50*time.Second)
 	defer stop()
 	f, err := newFleet(64, func(int) func(p fake.Part) { return fake.Part.Good })
@@ -43,14 +43,14 @@
 			"missing": t.missing, "doubled": t.doubled, "resident_mb": round(p.resident()),
 			"cpu_us": round(1e6 * (p.cpu() - before) / float64(max(1, len(t.took)+t.shed)))}
 		if t.wrong+t.missing+t.doubled > 0 {
-			out.Missed = append(out.Missed, fmt.Sprintf("%s: %d wrong, %d missing, %d doubled", way.name, t.wrong, t.missing, t.doubled))
+			out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: %d wrong, %d missing, %d doubled", way.name, t.wrong, t.missing, t.doubled))
 		}
 		if err := p.end(); err != nil {
 			return Result{}, err
 		}
 	}
 	if rates["several_owners"] < ownersLeast*rates["one_owner"] && runtime.NumCPU() >= 2*ownersCores {
-		out.Missed = append(out.Missed, fmt.Sprintf("%.0f searches/s with several owners, %.0f with one on as many cores",
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%.0f searches/s with several owners, %.0f with one on as many cores",
 			rates["several_owners"], rates["one_owner"]))
 	}
 	return out, ctx.Err()
--- a/internal/benchmark/recovery.go
+++ b/internal/benchmark/recovery.go
@@ -42,10 +42,10 @@
 	silent, removed, lost     int // parts to hosts that hang and that have left; searches without one final answer
 }
 
-// Recovery kills processes with and without a store at drawn points, under load, and starts them again while discovery
+// MeasureRecovery kills processes with and without a store at drawn points, under load, and starts them again while discovery
 // is away: a third of the hosts hang, some have left since the plan was written. Then once more, with all healed
 // meanwhile.
-func Recovery(ctx context.Context, seed int64) (Result, error) {
+func MeasureRecovery(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 57*time.Second)
 	defer stop()
 	defer clustertest.Clean()
@@ -153,7 +153,7 @@
 	for _, name := range r.Names() {
 		for _, bad := range []string{"event=store_away", "event=store_told", "event=store_failed", "event=crash_loop"} {
 			if strings.Contains(r.Log(name), bad) {
-				out.Missed = append(out.Missed, name+" logged "+bad)
+				out.MissedGoals = append(out.MissedGoals, name+" logged "+bad)
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 		return Result{}, err
 	}
 	if out.Fields["put_aside"] = aside; aside < recoverEach {
-		out.Missed = append(out.Missed, fmt.Sprintf("%d of %d spoilt stores were put aside", aside, recoverEach))
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d of %d spoilt stores were put aside", aside, recoverEach))
 	}
 	for _, p := range r.Audit.Parts() {
 		phase, rest, _ := strings.Cut(p.Search, "-")
@@ -247,7 +247,7 @@
 // against holds lives with a store against those without.
 func (l *reborn) against(out *Result, phase string, cold *reborn) {
 	miss := func(format string, v ...any) {
-		out.Missed = append(out.Missed, phase+": "+fmt.Sprintf(format, v...))
+		out.MissedGoals = append(out.MissedGoals, phase+": "+fmt.Sprintf(format, v...))
 	}
 	if l.lost > 0 {
 		miss("%d searches lost after ready", l.lost)
--- a/internal/benchmark/residency.go
+++ b/internal/benchmark/residency.go
@@ -39,10 +39,10 @@
 	zonesAtOnce    = 300 * time.Millisecond // for a refusal that needs nobody, on a machine that is busy
 )
 
-// Residency has five processes in three regions keep tenants inside their zones, through a partition while a contract
+// MeasureResidency has five processes in three regions keep tenants inside their zones, through a partition while a contract
 // tightens, a kill between writing and telling it, a tenant that moves to another region and a host that does. The
 // hosts' own records say where parts ran. The same load and faults without contracts run beside it.
-func Residency(ctx context.Context, seed int64) (Result, error) {
+func MeasureResidency(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
 	defer clustertest.Clean()
@@ -63,7 +63,7 @@
 		"free_share_without_contracts": round(without.share["other"]), "tighten_to_last_ms": with.last.Milliseconds(),
 		"agreed_ms": with.agreed.Milliseconds(), "refused": with.refused, "refused_p99_ms": round(1000 * with.refusedP99.Seconds()),
 		"late": with.broken["in_time"], "bound_share": round(with.share["acme"]), "leases_ended": with.lapses, "schedule": with.schedule}}
-	miss := func(format string, v ...any) { out.Missed = append(out.Missed, fmt.Sprintf(format, v...)) }
+	miss := func(format string, v ...any) { out.MissedGoals = append(out.MissedGoals, fmt.Sprintf(format, v...)) }
 	for _, b := range with.verdict.Broken {
 		if b.Name != "in_time" { // on a machine that is busy
 			miss("%s broken %d times, first: %s", b.Name, b.Count, b.First)
@@ -77,9 +77,9 @@
 	}
 	stalled := calm()
 	out.Fields["stalled_ms"] = stalled.Milliseconds()
-	if len(out.Missed) > 0 && stalled > zonesStall {
+	if len(out.MissedGoals) > 0 && stalled > zonesStall {
 		return Result{}, fmt.Errorf("no verdict: this machine held processes up for %v, and times mean nothing: %s", stalled,
-			strings.Join(out.Missed, "; "))
+			strings.Join(out.MissedGoals, "; "))
 	}
 	return out, ctx.Err()
 }
--- a/internal/benchmark/rigs.go
+++ b/internal/benchmark/rigs.go
@@ -75,7 +75,7 @@
 	}
 	maps.Copy(r.Fields, map[string]any{"searches": v.Searches, "good": v.Good, "shed": v.Shed, "excused": v.Excused,
 		"parts": v.Parts, "refused": v.Refused, "closed": v.Closed, "broken": len(v.Broken)})
-	r.Missed = append(r.Missed, v.Missed()...)
+	r.MissedGoals = append(r.MissedGoals, v.Missed()...)
 }
 
 // worthOf is what a run's answers are worth to its clients, as a share of all being good and within the latency target.
--- a/internal/benchmark/rigs_test.go
+++ b/internal/benchmark/rigs_test.go
@@ -64,12 +64,12 @@
 		require.NoError(t, <-ran, "%s", s)
 		var out Result
 		out.judged(r.Judge(answers, clustertest.Rules{}))
-		if len(out.Missed) > 0 {
+		if len(out.MissedGoals) > 0 {
 			for _, name := range r.Names() {
 				t.Logf("%s:\n%s", name, r.Life(name))
 			}
 		}
-		require.Empty(t, out.Missed, "%s", s)
+		require.Empty(t, out.MissedGoals, "%s", s)
 		require.Greater(t, worthOf(answers), 0.6, "%v\n%s", out.Fields, s)
 		healed := time.Now()
 		for _, name := range r.Names() {
--- a/internal/benchmark/rollout.go
+++ b/internal/benchmark/rollout.go
@@ -29,10 +29,10 @@
 		"  - {share: 1, watch: 500ms}\ntogether: 0.34\ncold: 300ms\nready: 2s\nsilent: 8s\nsearches: 40\nworse: {unreached: 2, sub_requests: 0.45, median: 0.45, tail: 0.3}\n...\n", number, settings)
 }
 
-// Rollout measures changes in stages on two fleets of six real processes in three regions, with the same clients and the
+// MeasureRollout measures changes in stages on two fleets of six real processes in three regions, with the same clients and the
 // same faults: one that changes nothing, and one that is given a change which costs most of its answers, and after it one
 // that does no harm, under a partition, a kill and a delay.
-func Rollout(ctx context.Context, seed int64) (out Result, err error) {
+func MeasureRollout(ctx context.Context, seed int64) (out Result, err error) {
 	defer clustertest.Clean()
 	if _, err := clustertest.Program(ctx); err != nil { // a cold build is not the fleet's time
 		return out, err
@@ -142,7 +142,7 @@
 	out.Fields["G"], out.Fields["G_unchanged"] = worthOf(answers[1]), still
 	missed := func(bad bool, format string, more ...any) {
 		if bad {
-			out.Missed = append(out.Missed, fmt.Sprintf(format, more...))
+			out.MissedGoals = append(out.MissedGoals, fmt.Sprintf(format, more...))
 		}
 	}
 	missed(still < rolloutRoom, "the fleet that changed nothing had G %.3f: this machine is too busy for a verdict", still)
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -34,9 +34,9 @@
 	Stats  replication.Stats
 }
 
-// Sharer is an instance of the measurement of the ledger: a process with the program's membership, ledger and store, and in
+// RunReplicator is an instance of the measurement of the ledger: a process with the program's membership, ledger and store, and in
 // place of its front and features a listener by which the measurement writes and reads entries. It runs until it is killed.
-func Sharer(ctx context.Context, path string) error {
+func RunReplicator(ctx context.Context, path string) error {
 	file, err := config.Read(path)
 	if err != nil {
 		return err
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -113,10 +113,10 @@
 	return slices.Clone(r.got)
 }
 
-// Subscribers measures lists of subscribers on six real processes in three regions: the regions are cut off from each
+// MeasureSubscribers measures lists of subscribers on six real processes in three regions: the regions are cut off from each
 // other in a drawn way, change their files on both sides, lose processes, which come back on their disks or older ones,
 // and are joined again.
-func Subscribers(ctx context.Context, seed int64) (out Result, err error) {
+func MeasureSubscribers(ctx context.Context, seed int64) (out Result, err error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
 	defer clustertest.Clean()
@@ -372,7 +372,7 @@
 	out.Fields["worth"] = round(worthOf(answers))
 	miss := func(broken bool, format string, v ...any) {
 		if broken {
-			out.Missed = append(out.Missed, fmt.Sprintf(format, v...))
+			out.MissedGoals = append(out.MissedGoals, fmt.Sprintf(format, v...))
 		}
 	}
 	miss(!one || seconds > listOne.Seconds(), "one list after %.1f s: %+v", seconds, states)
