--- a/cluster/peerprotocol/asking.go
+++ b/cluster/peerprotocol/asking.go
@@ -21,8 +21,8 @@
 	Keys       *Keys // nil for plain TCP
 	// Head and Notes take what comes, as it comes; Spend takes the bytes from a budget and may wait. Guards
 	// against a report that is too large for what may be spent: it is taken slowly, and in time or not at all.
-	Head  func(h peerreport.Head) error
-	Notes func(notes []peerreport.Note) error
+	Head  func(h peerreport.ReportHeader) error
+	Notes func(notes []peerreport.Observation) error
 	Spend func(ctx context.Context, bytes int, cpu time.Duration) error
 }
 
@@ -34,12 +34,12 @@
 	defer stop()
 	conn, err := a.connect(ctx)
 	if err != nil {
-		return peerreport.Failed, 0, err
+		return peerreport.OutcomeFailed, 0, err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	if err := a.send(conn, wantReport); err != nil {
-		return peerreport.Failed, 0, err
+		return peerreport.OutcomeFailed, 0, err
 	}
 	src, total, sum := bufio.NewReader(conn), 0, summer()
 	var room []byte
@@ -49,14 +49,14 @@
 		var kind byte
 		var rest []byte
 		if kind, rest, room, err = readFrame(src, room); err != nil {
-			return peerreport.Failed, 0, err
+			return peerreport.OutcomeFailed, 0, err
 		}
 		if total += len(rest) + 5; total > totalMost {
-			return peerreport.Failed, 0, fmt.Errorf("%w: over %d bytes", ErrBad, totalMost)
+			return peerreport.OutcomeFailed, 0, fmt.Errorf("%w: over %d bytes", ErrBad, totalMost)
 		}
 		if a.Spend != nil {
 			if err = a.Spend(ctx, len(rest)+5, used); err != nil {
-				return peerreport.Failed, 0, err
+				return peerreport.OutcomeFailed, 0, err
 			}
 		}
 		began := time.Now()
@@ -64,22 +64,22 @@
 		case kind == kindLater && !open:
 			var ms uint32
 			err = decode(rest, &ms)
-			return peerreport.Later, time.Duration(ms) * time.Millisecond, err
+			return peerreport.OutcomeDeferred, time.Duration(ms) * time.Millisecond, err
 		case kind == kindNo && !open:
 			return refused(rest)
 		case kind == kindHead && !open:
-			var h peerreport.Head
+			var h peerreport.ReportHeader
 			if h, err = DecodeHead(rest); err != nil {
-				return peerreport.Failed, 0, err
+				return peerreport.OutcomeFailed, 0, err
 			}
 			if h.Peer != a.Peer {
-				return peerreport.Refused, 0, fmt.Errorf("it calls itself %q, not %q", h.Peer, a.Peer)
+				return peerreport.OutcomeRejected, 0, fmt.Errorf("it calls itself %q, not %q", h.Peer, a.Peer)
 			}
 			open = true
 			err = a.Head(h)
 		case kind == kindNotes && open:
 			sum.Write(rest)
-			var notes []peerreport.Note
+			var notes []peerreport.Observation
 			if notes, err = DecodeNotes(rest); err == nil {
 				err = a.Notes(notes)
 			}
@@ -91,14 +91,14 @@
 				}
 			}
 			if err != nil {
-				return peerreport.Failed, 0, err
+				return peerreport.OutcomeFailed, 0, err
 			}
-			return peerreport.Told, 0, nil
+			return peerreport.OutcomeReceived, 0, nil
 		default:
 			err = fmt.Errorf("%w: frame %q out of turn", ErrBad, kind)
 		}
 		if err != nil {
-			return peerreport.Failed, 0, err
+			return peerreport.OutcomeFailed, 0, err
 		}
 		used = time.Since(began)
 	}
@@ -134,13 +134,13 @@
 func refused(rest []byte) (peerreport.Outcome, time.Duration, error) {
 	var n no
 	if err := decode(rest, &n); err != nil {
-		return peerreport.Failed, 0, err
+		return peerreport.OutcomeFailed, 0, err
 	}
 	err := fmt.Errorf("refused (%.20s): %.200s", n.Code, n.Words)
 	if n.Code == noSelf {
-		return peerreport.Myself, 0, err
+		return peerreport.OutcomeSelf, 0, err
 	}
-	return peerreport.Refused, 0, err
+	return peerreport.OutcomeRejected, 0, err
 }
 
 // connect dials, and shakes hands where there are keys.
--- a/cluster/peerprotocol/peer_test.go
+++ b/cluster/peerprotocol/peer_test.go
@@ -36,11 +36,11 @@
 	return ln
 }
 
-func hosts(n int) []peerreport.Note {
-	notes := make([]peerreport.Note, n)
+func hosts(n int) []peerreport.Observation {
+	notes := make([]peerreport.Observation, n)
 	for i := range notes {
-		notes[i] = peerreport.Note{ID: fmt.Sprintf("host-%05d", i), ShortN: 80, LongN: 200, Short: 120, Long: -90,
-			Since: 1_790_000_000_000, Age: 1200, Bad: i%9 == 0}
+		notes[i] = peerreport.Observation{HostID: fmt.Sprintf("host-%05d", i), ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90,
+			StartedMs: 1_790_000_000_000, AgeMs: 1200, IsOutlier: i%9 == 0}
 	}
 	return notes
 }
@@ -51,8 +51,8 @@
 	notes := hosts(n)
 	s := &Server{Name: "b", Instance: 7, Allow: []string{"a"}, Done: func() {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
-		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
-			return peerreport.Head{Peer: "b", Serial: 1, Hosts: uint32(n)}, notes, nil
+		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+			return peerreport.ReportHeader{Peer: "b", Serial: 1, HostCount: uint32(n)}, notes, nil
 		},
 		Status:  func(context.Context) (Status, error) { return Status{Name: "b", Hosts: uint32(n)}, nil },
 		Refused: func(_, words string) { why.Store(words) }}
@@ -69,8 +69,8 @@
 // ask asks and counts the hosts that came.
 func ask(addr string, edit func(a *Asking)) (how peerreport.Outcome, later time.Duration, got int, err error) {
 	a := &Asking{Peer: "b", Addr: addr, Me: "a", Instance: 1, Dial: (&net.Dialer{}).DialContext,
-		Head:  func(peerreport.Head) error { return nil },
-		Notes: func(notes []peerreport.Note) error { got += len(notes); return nil }}
+		Head:  func(peerreport.ReportHeader) error { return nil },
+		Notes: func(notes []peerreport.Observation) error { got += len(notes); return nil }}
 	if edit != nil {
 		edit(a)
 	}
@@ -82,7 +82,7 @@
 	addr, _ := serve(t, 10_000, nil)
 	how, _, got, err := ask(addr, nil)
 	require.NoError(t, err)
-	require.Equal(t, peerreport.Told, how)
+	require.Equal(t, peerreport.OutcomeReceived, how)
 	require.Equal(t, 10_000, got)
 	s, err := (&Asking{Addr: addr, Me: "a", Dial: (&net.Dialer{}).DialContext}).Status(context.Background())
 	require.NoError(t, err)
@@ -96,16 +96,16 @@
 	})
 	how, later, _, err := ask(addr, func(a *Asking) { a.Me = "busy" })
 	require.NoError(t, err)
-	require.Equal(t, peerreport.Later, how)
+	require.Equal(t, peerreport.OutcomeDeferred, how)
 	require.Equal(t, 1500*time.Millisecond, later)
 	how, _, _, err = ask(addr, func(a *Asking) { a.Me = "stranger" })
-	require.Equal(t, peerreport.Refused, how)
+	require.Equal(t, peerreport.OutcomeRejected, how)
 	require.ErrorContains(t, err, "name")
 	require.NotEmpty(t, refused())
 	how, _, _, _ = ask(addr, func(a *Asking) { a.Instance = 7 })
-	require.Equal(t, peerreport.Myself, how)
+	require.Equal(t, peerreport.OutcomeSelf, how)
 	how, _, _, err = ask(addr, func(a *Asking) { a.Peer = "c" })
-	require.Equal(t, peerreport.Refused, how, "%v", err)
+	require.Equal(t, peerreport.OutcomeRejected, how, "%v", err)
 	for text, code := range map[string]string{
 		"\x00\x00\x00\x02hx":        noUse,
 		"\x00\x00\x00\x01s":         noUse,
@@ -140,7 +140,7 @@
 		require.NoError(t, err)
 		return b
 	}
-	head := frame(kindHead, peerreport.Head{Peer: "b", Hosts: 1000})
+	head := frame(kindHead, peerreport.ReportHeader{Peer: "b", HostCount: 1000})
 	slice := frame(kindNotes, hosts(10))
 	say := func(text []byte) func(conn net.Conn) { return func(conn net.Conn) { conn.Write(text) } }
 	gone := listen(t)
@@ -166,7 +166,7 @@
 		"two heads":        say(append(append([]byte(nil), head...), head...)),
 		"no checksum":      say(append(append([]byte(nil), head...), frame(kindEnd, []byte("12345678"))...)),
 		"later in between": say(append(append([]byte(nil), head...), frame(kindLater, uint32(1))...)),
-		"bad names":        say(append(append([]byte(nil), head...), frame(kindNotes, []peerreport.Note{{ID: "a b"}})...)),
+		"bad names":        say(append(append([]byte(nil), head...), frame(kindNotes, []peerreport.Observation{{HostID: "a b"}})...)),
 		"endless": func(conn net.Conn) {
 			for conn.Write(head); ; {
 				if _, err := conn.Write(slice); err != nil {
@@ -195,14 +195,14 @@
 			}
 			began := time.Now()
 			how, _, _, err := ask(addr, func(a *Asking) {
-				a.Notes = func(notes []peerreport.Note) error {
+				a.Notes = func(notes []peerreport.Observation) error {
 					if a.Instance += uint64(len(notes)); a.Instance > 1000 {
 						return fmt.Errorf("more hosts than the head tells")
 					}
 					return nil
 				}
 			})
-			require.Equal(t, peerreport.Failed, how)
+			require.Equal(t, peerreport.OutcomeFailed, how)
 			require.Error(t, err)
 			require.Less(t, time.Since(began), wholeTime+5*time.Second)
 		})
@@ -261,17 +261,17 @@
 	with := func(k *Keys) func(*Asking) { return func(x *Asking) { x.Keys = k } }
 	how, _, got, err := ask(addr, with(a.keys("a", nil)))
 	require.NoError(t, err)
-	require.Equal(t, peerreport.Told, how)
+	require.Equal(t, peerreport.OutcomeReceived, how)
 	require.Equal(t, 3, got)
 	how, _, _, _ = ask(addr, with(other.keys("a", nil)))
-	require.Equal(t, peerreport.Failed, how, "another authority")
+	require.Equal(t, peerreport.OutcomeFailed, how, "another authority")
 	how, _, _, _ = ask(addr, nil)
-	require.Equal(t, peerreport.Failed, how, "no keys at all")
+	require.Equal(t, peerreport.OutcomeFailed, how, "no keys at all")
 	require.Eventually(t, func() bool { return strings.Contains(refused(), "handshake") }, 10*time.Second, time.Millisecond)
 	how, _, _, _ = ask(addr, with(a.keys("b", nil)))
-	require.Equal(t, peerreport.Refused, how, "the certificate of another name")
+	require.Equal(t, peerreport.OutcomeRejected, how, "the certificate of another name")
 	how, _, _, _ = ask(addr, func(x *Asking) { x.Keys, x.Peer = a.keys("a", nil), "c" })
-	require.Equal(t, peerreport.Failed, how, "not the peer that was meant")
+	require.Equal(t, peerreport.OutcomeFailed, how, "not the peer that was meant")
 
 	// Half replaced: the last good pair stays in force, and that is told once. Whole again: the new one is taken.
 	k := a.keys("a", func(err error) { complaints <- err })
@@ -287,19 +287,19 @@
 	require.NotEqual(t, before.Certificate, now.Certificate)
 	how, _, _, err = ask(addr, with(k))
 	require.NoError(t, err)
-	require.Equal(t, peerreport.Told, how)
+	require.Equal(t, peerreport.OutcomeReceived, how)
 }
 
 func FuzzFrames(f *testing.F) {
 	slice, _ := EncodeNotes(hosts(3))
-	head, _ := appendFrame(nil, kindHead, peerreport.Head{Peer: "b", Zones: []peerreport.Zone{{Name: "z"}}})
+	head, _ := appendFrame(nil, kindHead, peerreport.ReportHeader{Peer: "b", Zones: []peerreport.ZoneObservation{{Name: "z"}}})
 	f.Add(slice)
 	f.Add(head[5:])
 	f.Add(bytes.Repeat([]byte{0x81}, 4000))
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if notes, err := DecodeNotes(text); err == nil {
-			require.LessOrEqual(t, len(notes), peerreport.SliceMost)
+			require.LessOrEqual(t, len(notes), peerreport.MaxChunkObservations)
 			again, err := EncodeNotes(notes)
 			require.NoError(t, err)
 			back, err := DecodeNotes(again)
@@ -307,7 +307,7 @@
 			require.Equal(t, notes, back)
 		}
 		if h, err := DecodeHead(text); err == nil {
-			require.NoError(t, peerreport.NewShelf("", nil).Begin(0, h))
+			require.NoError(t, peerreport.NewReportStore("", nil).BeginReport(0, h))
 		}
 		framed := append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 		if _, rest, _, err := readFrame(bytes.NewReader(framed), nil); err == nil {
@@ -320,8 +320,8 @@
 	notes, bytes := hosts(10_000), 0
 	for b.Loop() {
 		bytes = 0
-		for at := 0; at < len(notes); at += peerreport.SliceMost {
-			text, _ := EncodeNotes(notes[at:min(len(notes), at+peerreport.SliceMost)])
+		for at := 0; at < len(notes); at += peerreport.MaxChunkObservations {
+			text, _ := EncodeNotes(notes[at:min(len(notes), at+peerreport.MaxChunkObservations)])
 			bytes += len(text)
 		}
 	}
--- a/cluster/peerprotocol/server.go
+++ b/cluster/peerprotocol/server.go
@@ -26,7 +26,7 @@
 	Admit func(name string) (ok bool, later time.Duration)
 	Done  func()
 	// Report gives what is known now; Spend takes bytes from a budget.
-	Report func(ctx context.Context) (peerreport.Head, []peerreport.Note, error)
+	Report func(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error)
 	Status func(ctx context.Context) (Status, error)
 	Spend  func(ctx context.Context, bytes int, cpu time.Duration) error
 	// Refused is told of askers that got no answer; strangers can bring that about at will.
@@ -154,7 +154,7 @@
 	if s.put(conn, kindHead, head) != nil {
 		return
 	}
-	for part := range slices.Chunk(notes, peerreport.SliceMost) {
+	for part := range slices.Chunk(notes, peerreport.MaxChunkObservations) {
 		began := time.Now()
 		b, err := appendFrame(nil, kindNotes, part)
 		if err != nil {
--- a/cluster/peerprotocol/wire.go
+++ b/cluster/peerprotocol/wire.go
@@ -107,7 +107,7 @@
 	encoder = must(cbor.EncOptions{Sort: cbor.SortNone, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden}.EncMode())
 	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, MaxNestedLevels: nestedMost, MaxArrayElements: peerreport.SliceMost,
+		TagsMd: cbor.TagsForbidden, MaxNestedLevels: nestedMost, MaxArrayElements: peerreport.MaxChunkObservations,
 		MaxMapPairs: 16, UTF8: cbor.UTF8RejectInvalid}.DecMode())
 )
 
@@ -166,16 +166,16 @@
 }
 
 // DecodeNotes reads a slice and looks at each note.
-func DecodeNotes(text []byte) ([]peerreport.Note, error) {
-	var notes []peerreport.Note
+func DecodeNotes(text []byte) ([]peerreport.Observation, error) {
+	var notes []peerreport.Observation
 	if err := decode(text, &notes); err != nil {
 		return nil, err
 	}
-	if len(notes) > peerreport.SliceMost {
+	if len(notes) > peerreport.MaxChunkObservations {
 		return nil, fmt.Errorf("%w: %d notes in a slice", ErrBad, len(notes))
 	}
 	for i := range notes {
-		if err := notes[i].Check(); err != nil {
+		if err := notes[i].Validate(); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBad, err)
 		}
 	}
@@ -183,9 +183,9 @@
 }
 
 // DecodeHead reads a report's head and looks at it.
-func DecodeHead(text []byte) (h peerreport.Head, err error) {
+func DecodeHead(text []byte) (h peerreport.ReportHeader, err error) {
 	if err = decode(text, &h); err == nil {
-		if err = h.Check(); err != nil {
+		if err = h.Validate(); err != nil {
 			err = fmt.Errorf("%w: %w", ErrBad, err)
 		}
 	}
@@ -193,7 +193,7 @@
 }
 
 // EncodeNotes is a slice as it travels.
-func EncodeNotes(notes []peerreport.Note) ([]byte, error) { return encoder.Marshal(notes) }
+func EncodeNotes(notes []peerreport.Observation) ([]byte, error) { return encoder.Marshal(notes) }
 
 // summer makes the checksum of all slices of a report.
 func summer() *xxhash.Digest { return xxhash.New() }
--- a/cluster/peerprotocol/wire_golden_test.go
+++ b/cluster/peerprotocol/wire_golden_test.go
@@ -14,13 +14,13 @@
 	"chalkring/cluster/peerreport"
 )
 
-func goldenReport() (peerreport.Head, []peerreport.Note) {
-	notes := []peerreport.Note{
-		{ID: "host-1:9200", Zone: 1, Since: 1_790_000_000_000, ShortN: 80, LongN: 200, Short: 120, Long: -90, Strikes: 2, Refused: 3, Quiet: 4,
-			Silent: 5000, Age: 1200, Bad: true},
-		{ID: "host-2:9200", Age: peerreport.NoAnswer}}
-	return peerreport.Head{Peer: "b", Place: "eu-west-1a", Serial: 3, List: 42, Age: 1500, Answers: 800, Usual: 120, Shortest: 35, Hosts: 2,
-		Zones: []peerreport.Zone{{Name: "eu-west-1b", N: 16, Slower: 250}, {Name: "eu-west-1c", N: 8, Slower: -3}}}, notes
+func goldenReport() (peerreport.ReportHeader, []peerreport.Observation) {
+	notes := []peerreport.Observation{
+		{HostID: "host-1:9200", ZoneIndex: 1, StartedMs: 1_790_000_000_000, ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90, ConsecutiveFailures: 2, ConnectFailures: 3, UnansweredRequests: 4,
+			SilentMs: 5000, AgeMs: 1200, IsOutlier: true},
+		{HostID: "host-2:9200", AgeMs: peerreport.NeverAnswered}}
+	return peerreport.ReportHeader{Peer: "b", Locality: "eu-west-1a", Serial: 3, ListVersion: 42, AgeMs: 1500, AnswerCount: 800, FleetLatency: 120, MinLatency: 35, HostCount: 2,
+		Zones: []peerreport.ZoneObservation{{Name: "eu-west-1b", Samples: 16, LogSlowdown: 250}, {Name: "eu-west-1c", Samples: 8, LogSlowdown: -3}}}, notes
 }
 
 func goldenStatus() Status {
@@ -31,7 +31,7 @@
 func goldenServer(admitted bool) *Server {
 	return &Server{Name: "b", Instance: 7, Allow: []string{"a"}, Done: func() {},
 		Admit: func(string) (bool, time.Duration) { return admitted, 1500 * time.Millisecond },
-		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
+		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			head, notes := goldenReport()
 			return head, notes, nil
 		},
@@ -79,8 +79,8 @@
 type goldenResult struct {
 	how    peerreport.Outcome
 	later  time.Duration
-	heads  []peerreport.Head
-	notes  []peerreport.Note
+	heads  []peerreport.ReportHeader
+	notes  []peerreport.Observation
 	failed string
 }
 
@@ -101,8 +101,8 @@
 	read := func(response []byte) (any, error) {
 		result := goldenResult{}
 		client := &Asking{Peer: "b", Me: "a", Instance: 1,
-			Head:  func(h peerreport.Head) error { result.heads = append(result.heads, h); return nil },
-			Notes: func(notes []peerreport.Note) error { result.notes = append(result.notes, notes...); return nil }}
+			Head:  func(h peerreport.ReportHeader) error { result.heads = append(result.heads, h); return nil },
+			Notes: func(notes []peerreport.Observation) error { result.notes = append(result.notes, notes...); return nil }}
 		sent, _ := query(client, response, func() error {
 			var err error
 			if result.how, result.later, err = client.Run(context.Background()); err != nil {
@@ -136,16 +136,16 @@
 			hello{Version: 1, Name: "a", Instance: 1, Want: "report"}},
 		{"request-status", func() ([]byte, error) { return statusRequest, nil }, decodeHello,
 			hello{Version: 1, Name: "a", Instance: 1, Want: "status"}},
-		response("response-report", true, reportRequest, goldenResult{how: peerreport.Told, heads: []peerreport.Head{head}, notes: notes}),
-		response("response-later", false, reportRequest, goldenResult{how: peerreport.Later, later: 1500 * time.Millisecond}),
+		response("response-report", true, reportRequest, goldenResult{how: peerreport.OutcomeReceived, heads: []peerreport.ReportHeader{head}, notes: notes}),
+		response("response-later", false, reportRequest, goldenResult{how: peerreport.OutcomeDeferred, later: 1500 * time.Millisecond}),
 		response("response-unknown-name", true, unknownName,
-			goldenResult{how: peerreport.Refused, failed: "refused (name): the name is not among those that may ask"}),
+			goldenResult{how: peerreport.OutcomeRejected, failed: "refused (name): the name is not among those that may ask"}),
 		response("response-own-instance", true, ownInstance,
-			goldenResult{how: peerreport.Myself, failed: "refused (self): you are talking to yourself"}),
+			goldenResult{how: peerreport.OutcomeSelf, failed: "refused (self): you are talking to yourself"}),
 		response("response-other-version", true, otherVersion,
-			goldenResult{how: peerreport.Refused, failed: "refused (version): version 1 is spoken here"}),
+			goldenResult{how: peerreport.OutcomeRejected, failed: "refused (version): version 1 is spoken here"}),
 		response("response-unknown-want", true, unknownWant,
-			goldenResult{how: peerreport.Refused, failed: "refused (unusable): nothing known is wanted"}),
+			goldenResult{how: peerreport.OutcomeRejected, failed: "refused (unusable): nothing known is wanted"}),
 		{"response-status", func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
 			func(encoded []byte) (any, error) {
 				client := &Asking{Peer: "b", Me: "a", Instance: 1}
--- a/cluster/peerreport/asking.go
+++ b/cluster/peerreport/asking.go
@@ -21,20 +21,20 @@
 type Outcome int
 
 const (
-	Told    Outcome = iota // a whole report came
-	Later                  // the peer named a time to come back
-	Failed                 // unreachable, silent, slow, broken off, or what came cannot be used
-	Refused                // the peer does not know us, or speaks another version
-	Myself                 // it is this very instance
+	OutcomeReceived Outcome = iota // a whole report came
+	OutcomeDeferred                // the peer named a time to come back
+	OutcomeFailed                  // unreachable, silent, slow, broken off, or what came cannot be used
+	OutcomeRejected                // the peer does not know us, or speaks another version
+	OutcomeSelf                    // it is this very instance
 )
 
 func (o Outcome) String() string {
 	return [...]string{"told", "later", "failed", "refused", "myself"}[o]
 }
 
-// Asker decides when which peer is asked. A young co-ordinator asks all at once and some times again; a grown one
+// Poller decides when which peer is asked. A young co-ordinator asks all at once and some times again; a grown one
 // asks each refresh, where that is wanted. It is one goroutine's.
-type Asker struct {
+type Poller struct {
 	chance  *rand.Rand
 	began   int64
 	refresh int64 // between askings of a grown one; 0 for never
@@ -52,27 +52,27 @@
 	lastAt int64
 }
 
-// Standing is how a peer stands, for those who look.
-type Standing struct {
-	Name   string
-	Asking bool
-	Last   Outcome
-	LastAt int64 // 0 where it has not been asked yet
-	Told   int   // reports had
-	NextAt int64 // 0 for never
+// PollStatus is how a peer stands, for those who look.
+type PollStatus struct {
+	Name          string
+	InFlight      bool
+	LastOutcome   Outcome
+	LastOutcomeAt int64 // 0 where it has not been asked yet
+	ReportCount   int   // reports had
+	NextPollAt    int64 // 0 for never
 }
 
-// NewAsker begins with all peers due at once.
-func NewAsker(chance *rand.Rand, now, refresh int64, peers []string) *Asker {
-	a := &Asker{chance: chance, began: now, refresh: refresh}
-	for _, name := range peers[:min(len(peers), PeersMost)] {
+// NewPoller begins with all peers due at once.
+func NewPoller(chance *rand.Rand, now, refresh int64, peers []string) *Poller {
+	a := &Poller{chance: chance, began: now, refresh: refresh}
+	for _, name := range peers[:min(len(peers), MaxPeers)] {
 		a.peers = append(a.peers, &asked{name: name, at: now})
 	}
 	return a
 }
 
-// Due names the peers to ask now and counts them as being asked.
-func (a *Asker) Due(now int64) []string {
+// DuePeers names the peers to ask now and counts them as being asked.
+func (a *Poller) DuePeers(now int64) []string {
 	var names []string
 	for _, p := range a.peers {
 		if !p.out && !p.never && now >= p.at && a.wants(p, now) {
@@ -85,10 +85,10 @@
 
 // wants tells whether knowledge is still sought: from the start on until own answers know better, after that only
 // where it is to be refreshed. A peer that never told anything is tried on while young alone.
-func (a *Asker) wants(p *asked, now int64) bool { return a.refresh > 0 || now-a.began < youngTime }
+func (a *Poller) wants(p *asked, now int64) bool { return a.refresh > 0 || now-a.began < youngTime }
 
-// NextAt is when Due has to be looked at again, 0 for never.
-func (a *Asker) NextAt(now int64) int64 {
+// NextPollAt is when Due has to be looked at again, 0 for never.
+func (a *Poller) NextPollAt(now int64) int64 {
 	next := int64(0)
 	for _, p := range a.peers {
 		if !p.out && !p.never && a.wants(p, max(now, p.at)) && (next == 0 || p.at < next) {
@@ -98,8 +98,8 @@
 	return next
 }
 
-// Ended takes in how an asking ended; later is the wait that the peer named, if it named one.
-func (a *Asker) Ended(now int64, name string, how Outcome, later int64) {
+// RecordOutcome takes in how an asking ended; later is the wait that the peer named, if it named one.
+func (a *Poller) RecordOutcome(now int64, name string, how Outcome, later int64) {
 	i := slices.IndexFunc(a.peers, func(p *asked) bool { return p.name == name })
 	if i < 0 {
 		return
@@ -108,32 +108,32 @@
 	p.out, p.last, p.lastAt = false, how, now
 	wait := int64(0)
 	switch how {
-	case Told:
+	case OutcomeReceived:
 		p.told++
 		p.fails = 0
 		if wait = youngAgain; now+wait-a.began >= youngTime && a.refresh > 0 {
 			wait = a.refresh
 		}
-	case Later:
+	case OutcomeDeferred:
 		wait = max(laterLeast, min(laterMost, later))
-	case Failed:
+	case OutcomeFailed:
 		wait = min(failMost, int64(failFirst)<<min(p.fails, failCut))
 		p.fails++
-	case Refused:
+	case OutcomeRejected:
 		wait = refusedFor
-	case Myself:
+	case OutcomeSelf:
 		p.never = true
 	}
 	p.at = now + wait + int64(spread*float64(wait)*a.chance.Float64())
 }
 
-// Standings tells how all peers stand.
-func (a *Asker) Standings(now int64) []Standing {
-	var out []Standing
+// Statuses tells how all peers stand.
+func (a *Poller) Statuses(now int64) []PollStatus {
+	var out []PollStatus
 	for _, p := range a.peers {
-		s := Standing{Name: p.name, Asking: p.out, Last: p.last, LastAt: p.lastAt, Told: p.told}
+		s := PollStatus{Name: p.name, InFlight: p.out, LastOutcome: p.last, LastOutcomeAt: p.lastAt, ReportCount: p.told}
 		if !p.never && a.wants(p, max(now, p.at)) {
-			s.NextAt = p.at
+			s.NextPollAt = p.at
 		}
 		out = append(out, s)
 	}
--- a/cluster/peerreport/desk.go
+++ b/cluster/peerreport/desk.go
@@ -12,28 +12,28 @@
 	retakeMost = 3           // times that a snapshot is begun again because the list changed under it
 )
 
-// Desk decides who is answered: few at once, each name now and then, nobody while searches need the owner. All
+// Admission decides who is answered: few at once, each name now and then, nobody while searches need the owner. All
 // others are told when to come back, at times handed out one after another, so that they do not come back
 // together. Guards against fifty that restart at once and ask one peer. It is one goroutine's.
-type Desk struct {
-	busy    float64
-	serving int
-	slot    int64 // the last come-back time handed out
-	names   map[string]int64
-	order   []string
-	takenAt int64 // of the newest snapshot, 0 for none
-	retakes int
-	Answers int // askers answered
-	Put     int // askers put off
+type Admission struct {
+	busy     float64
+	serving  int
+	slot     int64 // the last come-back time handed out
+	names    map[string]int64
+	order    []string
+	takenAt  int64 // of the newest snapshot, 0 for none
+	retakes  int
+	Admitted int // askers answered
+	Deferred int // askers put off
 }
 
-func NewDesk() *Desk { return &Desk{names: map[string]int64{}} }
+func NewAdmission() *Admission { return &Admission{names: map[string]int64{}} }
 
-// Busy notes the share of its time that the owner spends in turns.
-func (d *Desk) Busy(share float64) { d.busy = share }
+// SetLoad notes the share of its time that the owner spends in turns.
+func (d *Admission) SetLoad(share float64) { d.busy = share }
 
-// Ask tells whether an asker is answered now, or else after how long it is to come back.
-func (d *Desk) Ask(now int64, name string) (ok bool, later int64) {
+// Admit tells whether an asker is answered now, or else after how long it is to come back.
+func (d *Admission) Admit(now int64, name string) (ok bool, later int64) {
 	last, known := d.names[name]
 	switch {
 	case d.busy > busyMost:
@@ -51,15 +51,15 @@
 			d.order = d.order[1:]
 		}
 		d.serving++
-		d.Answers++
+		d.Admitted++
 		return true, 0
 	}
-	d.Put++
+	d.Deferred++
 	return false, later
 }
 
 // handOut gives the next free come-back time, as a wait.
-func (d *Desk) handOut(now int64) int64 {
+func (d *Admission) handOut(now int64) int64 {
 	d.slot = max(d.slot, now) + slotEvery
 	if d.slot > now+slotsMost {
 		d.slot = now + slotsMost
@@ -67,18 +67,18 @@
 	return d.slot - now
 }
 
-// Done tells that an asker has its answer, or has left.
-func (d *Desk) Done() { d.serving = max(0, d.serving-1) }
+// Release tells that an asker has its answer, or has left.
+func (d *Admission) Release() { d.serving = max(0, d.serving-1) }
 
-// Fresh tells whether the newest snapshot may be answered with once more.
-func (d *Desk) Fresh(now int64) bool { return d.takenAt > 0 && now-d.takenAt < freshFor }
+// IsSnapshotFresh tells whether the newest snapshot may be answered with once more.
+func (d *Admission) IsSnapshotFresh(now int64) bool { return d.takenAt > 0 && now-d.takenAt < freshFor }
 
-// Taken notes that a snapshot is complete that was begun at a time.
-func (d *Desk) Taken(began int64) { d.takenAt, d.retakes = began, 0 }
+// RecordSnapshot notes that a snapshot is complete that was begun at a time.
+func (d *Admission) RecordSnapshot(began int64) { d.takenAt, d.retakes = began, 0 }
 
-// Retake tells whether a snapshot is begun again because the list changed under it; at last it is sent as it is:
+// AllowSnapshotRetake tells whether a snapshot is begun again because the list changed under it; at last it is sent as it is:
 // each note stands by itself, and one host told twice counts once.
-func (d *Desk) Retake() bool {
+func (d *Admission) AllowSnapshotRetake() bool {
 	d.retakes++
 	return d.retakes <= retakeMost
 }
--- a/cluster/peerreport/learn_test.go
+++ b/cluster/peerreport/learn_test.go
@@ -25,21 +25,23 @@
 func all(string) (int64, bool) { return 0, true }
 
 // put places a whole report of notes on a shelf.
-func put(t require.TestingT, s *Shelf, asked int64, peer string, notes ...Note) {
-	put2(t, s, asked, Head{Peer: peer, Serial: uint64(asked), Hosts: uint32(len(notes))}, notes...)
+func put(t require.TestingT, s *ReportStore, asked int64, peer string, notes ...Observation) {
+	put2(t, s, asked, ReportHeader{Peer: peer, Serial: uint64(asked), HostCount: uint32(len(notes))}, notes...)
 }
 
-func put2(t require.TestingT, s *Shelf, asked int64, h Head, notes ...Note) {
-	require.NoError(t, s.Begin(asked, h))
-	require.NoError(t, s.Add(h.Peer, notes))
-	s.End(h.Peer)
+func put2(t require.TestingT, s *ReportStore, asked int64, h ReportHeader, notes ...Observation) {
+	require.NoError(t, s.BeginReport(asked, h))
+	require.NoError(t, s.AddObservations(h.Peer, notes))
+	s.CompleteReport(h.Peer)
 }
 
-func slow(id string, thousandths int16) Note {
-	return Note{ID: id, ShortN: 80, LongN: 80, Short: thousandths, Long: thousandths}
+func slow(id string, thousandths int16) Observation {
+	return Observation{HostID: id, ShortSamples: 80, LongSamples: 80, ShortLogSlowdown: thousandths, LongLogSlowdown: thousandths}
 }
 
-func bad(id string) Note { return Note{ID: id, Bad: true, Quiet: 5} }
+func bad(id string) Observation {
+	return Observation{HostID: id, IsOutlier: true, UnansweredRequests: 5}
+}
 
 func of(heard []balancer.Heard, id string) balancer.Heard {
 	for _, h := range heard {
@@ -50,10 +52,10 @@
 	return balancer.Heard{}
 }
 
-var note = rapid.Custom(func(t *rapid.T) Note {
-	return Note{ID: fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "id")), ShortN: rapid.Uint16().Draw(t, "shortN"),
-		LongN: rapid.Uint16().Draw(t, "longN"), Short: rapid.Int16().Draw(t, "short"), Long: rapid.Int16().Draw(t, "long"),
-		Bad: rapid.Bool().Draw(t, "bad")}
+var note = rapid.Custom(func(t *rapid.T) Observation {
+	return Observation{HostID: fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "id")), ShortSamples: rapid.Uint16().Draw(t, "shortN"),
+		LongSamples: rapid.Uint16().Draw(t, "longN"), ShortLogSlowdown: rapid.Int16().Draw(t, "short"), LongLogSlowdown: rapid.Int16().Draw(t, "long"),
+		IsOutlier: rapid.Bool().Draw(t, "bad")}
 })
 
 // Some peers' reports, in any order: the same is combined of them. No host weighs more than the module would
@@ -64,10 +66,10 @@
 		ages := rapid.SliceOfN(rapid.Int64Range(0, reportLife), 5, 5).Draw(t, "ages")
 		now := int64(2 * reportLife)
 		shelf := func(order []int, times int) []balancer.Heard {
-			s := NewShelf("", nil)
+			s := NewReportStore("", nil)
 			for _, i := range order {
 				for range times {
-					put2(t, s, now-ages[i], Head{Peer: fmt.Sprint("p", i), Serial: 7, Hosts: uint32(len(reports[i]))}, reports[i]...)
+					put2(t, s, now-ages[i], ReportHeader{Peer: fmt.Sprint("p", i), Serial: 7, HostCount: uint32(len(reports[i]))}, reports[i]...)
 				}
 			}
 			return s.Combine(now, all)
@@ -99,7 +101,7 @@
 		older := rapid.SliceOfN(rapid.Int64Range(0, reportLife/2), 4, 4).Draw(t, "older")
 		now := int64(2 * reportLife)
 		shelf := func(more []int64) []balancer.Heard {
-			s := NewShelf("", nil)
+			s := NewReportStore("", nil)
 			for i, notes := range reports {
 				put(t, s, now-ages[i]-more[i], fmt.Sprint("p", i), notes...)
 			}
@@ -121,7 +123,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Int16Range(0, 3000).Draw(t, "a"), rapid.Int16Range(0, 3000).Draw(t, "b")
 		lies := rapid.SliceOfN(note, 1, 8).Draw(t, "lies")
-		s := NewShelf("", nil)
+		s := NewReportStore("", nil)
 		put(t, s, 0, "honest-1", slow("h1", a))
 		put(t, s, 0, "honest-2", slow("h1", b))
 		put(t, s, 0, "liar", lies...)
@@ -137,7 +139,7 @@
 }
 
 func TestMajority(t *testing.T) {
-	s := NewShelf("", nil)
+	s := NewReportStore("", nil)
 	put(t, s, 0, "a", bad("h1"), slow("h2", 0), slow("h3", 0), slow("h4", 0))
 	require.True(t, of(s.Combine(0, all), "h1").Bad, "the only word there is")
 	put(t, s, 0, "b", slow("h1", 0))
@@ -149,12 +151,12 @@
 	require.Equal(t, int64(badLife-second), of(s.Combine(second, all), "h1").Lasts)
 	require.False(t, of(s.Combine(badLife, all), "h1").Bad, "too old")
 	require.Empty(t, s.Combine(reportLife+1, all))
-	require.Zero(t, s.Peers())
+	require.Zero(t, s.ReportCount())
 }
 
 // A peer to which over half of its hosts look bad tells of itself.
 func TestOwnTrouble(t *testing.T) {
-	s := NewShelf("", nil)
+	s := NewReportStore("", nil)
 	put(t, s, 0, "a", bad("h1"), bad("h2"), bad("h3"), slow("h4", 0))
 	require.Empty(t, s.Combine(0, all))
 }
@@ -163,16 +165,16 @@
 func TestOtherMachines(t *testing.T) {
 	started := map[string]int64{"h1": 0}
 	since := func(id string) (int64, bool) { ms, ok := started[id]; return ms, ok }
-	s := NewShelf("", nil)
+	s := NewReportStore("", nil)
 	n := bad("h1")
-	n.Since = 500
+	n.StartedMs = 500
 	put(t, s, 0, "a", n, bad("h2"), slow("h3", 0), slow("h4", 0), slow("h5", 0))
 	require.Empty(t, s.Combine(0, since), "another life of h1; h2 is not listed")
 	started["h1"], started["h2"] = 500, 0
 	heard := s.Combine(1, since)
 	require.True(t, of(heard, "h1").Bad, "the list follows")
 	require.True(t, of(heard, "h2").Bad, "it came to the list after the report")
-	s.Moved(10, "h2")
+	s.InvalidateHost(10, "h2")
 	heard = s.Combine(11, since)
 	require.False(t, of(heard, "h2").Bad, "an older note is of another machine")
 	require.True(t, of(heard, "h1").Bad)
@@ -181,7 +183,7 @@
 	delete(started, "h2")
 	require.False(t, of(s.Combine(20, since), "h2").Bad, "it has left")
 	for i := range 3 * movedMost {
-		s.Moved(30, fmt.Sprint("m", i))
+		s.InvalidateHost(30, fmt.Sprint("m", i))
 	}
 	require.LessOrEqual(t, len(s.moved), movedMost)
 }
@@ -189,49 +191,49 @@
 // A report broken off leaves the one before; notes without a head, beyond what the head tells, from too many
 // peers or of no proper name are refused.
 func TestBounds(t *testing.T) {
-	s := NewShelf("", nil)
+	s := NewReportStore("", nil)
 	put(t, s, 0, "a", bad("h1"), slow("h2", 0), slow("h3", 0))
-	require.NoError(t, s.Begin(10, Head{Peer: "a", Serial: 2, Hosts: 1}))
+	require.NoError(t, s.BeginReport(10, ReportHeader{Peer: "a", Serial: 2, HostCount: 1}))
 	require.True(t, of(s.Combine(10, all), "h1").Bad)
-	require.Error(t, s.Add("a", []Note{slow("h1", 0), slow("h2", 0)}))
-	s.Drop("a")
+	require.Error(t, s.AddObservations("a", []Observation{slow("h1", 0), slow("h2", 0)}))
+	s.AbortReport("a")
 	require.True(t, of(s.Combine(10, all), "h1").Bad)
-	require.Error(t, s.Add("a", []Note{bad("h1")}))
-	require.Error(t, s.Add("nobody", nil))
-	require.Error(t, s.Begin(0, Head{Peer: "b", Hosts: HostsMost + 1}))
-	require.Error(t, s.Begin(0, Head{Peer: "with blank "}))
-	require.Error(t, s.Begin(0, Head{Peer: "b", Zones: []Zone{{Name: ""}}}))
-	for i := range PeersMost - 1 {
+	require.Error(t, s.AddObservations("a", []Observation{bad("h1")}))
+	require.Error(t, s.AddObservations("nobody", nil))
+	require.Error(t, s.BeginReport(0, ReportHeader{Peer: "b", HostCount: MaxHosts + 1}))
+	require.Error(t, s.BeginReport(0, ReportHeader{Peer: "with blank "}))
+	require.Error(t, s.BeginReport(0, ReportHeader{Peer: "b", Zones: []ZoneObservation{{Name: ""}}}))
+	for i := range MaxPeers - 1 {
 		put(t, s, 0, fmt.Sprint("p", i))
 	}
-	require.Error(t, s.Begin(0, Head{Peer: "one more"}))
+	require.Error(t, s.BeginReport(0, ReportHeader{Peer: "one more"}))
 }
 
 // What a peer under overload sees is slow all over: relative to its usual time it tells nothing.
 func TestOverloadedPeer(t *testing.T) {
-	take := func(times float64) []Note {
-		taker := NewTaker(0, "a", "", 1, 1, nil)
+	take := func(times float64) []Observation {
+		taker := NewReportBuilder(0, "a", "", 1, 1, nil)
 		usual := math.Log(50 * times)
-		taker.Tell(balancer.Belief{Of: balancer.OfFleet, Short: balancer.Tally{N: 100, Mean: usual}, Long: balancer.Tally{N: 100, Mean: usual}})
+		taker.AddBelief(balancer.Belief{Of: balancer.OfFleet, Short: balancer.Tally{N: 100, Mean: usual}, Long: balancer.Tally{N: 100, Mean: usual}})
 		for i, factor := range []float64{1, 1, 4} {
 			mean := balancer.Tally{N: 10, Mean: math.Log(50 * times * factor)}
-			taker.Tell(balancer.Belief{Of: balancer.OfReplica, Replica: fmt.Sprint("h", i), Short: mean, Long: mean, Age: 10})
+			taker.AddBelief(balancer.Belief{Of: balancer.OfReplica, Replica: fmt.Sprint("h", i), Short: mean, Long: mean, Age: 10})
 		}
-		return taker.Notes
+		return taker.Observations
 	}
 	calm := take(1)
 	require.Equal(t, calm, take(30))
-	require.InDelta(t, math.Log(4)*logScale, float64(calm[2].Short), 1)
-	require.Zero(t, calm[0].Short)
+	require.InDelta(t, math.Log(4)*logScale, float64(calm[2].ShortLogSlowdown), 1)
+	require.Zero(t, calm[0].ShortLogSlowdown)
 }
 
 // From another place the way to a zone is taken out; ways and usual times are believed from the own place alone.
 func TestPlaces(t *testing.T) {
 	n := slow("h1", 1500)
-	n.Zone = 1
-	head := Head{Peer: "a", Place: "east", Hosts: 1, Answers: 1000, Usual: 400, Shortest: 30,
-		Zones: []Zone{{Name: "z0", N: 80}, {Name: "z1", N: 80, Slower: 1400}}}
-	here, there := NewShelf("east", []string{"z1"}), NewShelf("west", []string{"z0", "z1"})
+	n.ZoneIndex = 1
+	head := ReportHeader{Peer: "a", Locality: "east", HostCount: 1, AnswerCount: 1000, FleetLatency: 400, MinLatency: 30,
+		Zones: []ZoneObservation{{Name: "z0", Samples: 80}, {Name: "z1", Samples: 80, LogSlowdown: 1400}}}
+	here, there := NewReportStore("east", []string{"z1"}), NewReportStore("west", []string{"z0", "z1"})
 	put2(t, here, 0, head, n)
 	put2(t, there, 0, head, n)
 	heard := here.Combine(0, all)
@@ -245,45 +247,45 @@
 }
 
 func TestAsking(t *testing.T) {
-	a := NewAsker(rand.New(rand.NewSource(1)), 100, 0, []string{"a", "b", "c", "d"})
-	require.Equal(t, []string{"a", "b", "c", "d"}, a.Due(100), "all at once, at once")
-	require.Empty(t, a.Due(200), "they are being asked")
-	require.Zero(t, a.NextAt(200))
-	a.Ended(1000, "a", Told, 0)
-	a.Ended(1000, "b", Later, 70*second)
-	a.Ended(1000, "c", Failed, 0)
-	a.Ended(1000, "d", Myself, 0)
-	a.Ended(1000, "nobody", Told, 0)
-	require.Empty(t, a.Due(1000+failFirst-1))
-	require.Equal(t, []string{"c"}, a.Due(1000+2*failFirst))
+	a := NewPoller(rand.New(rand.NewSource(1)), 100, 0, []string{"a", "b", "c", "d"})
+	require.Equal(t, []string{"a", "b", "c", "d"}, a.DuePeers(100), "all at once, at once")
+	require.Empty(t, a.DuePeers(200), "they are being asked")
+	require.Zero(t, a.NextPollAt(200))
+	a.RecordOutcome(1000, "a", OutcomeReceived, 0)
+	a.RecordOutcome(1000, "b", OutcomeDeferred, 70*second)
+	a.RecordOutcome(1000, "c", OutcomeFailed, 0)
+	a.RecordOutcome(1000, "d", OutcomeSelf, 0)
+	a.RecordOutcome(1000, "nobody", OutcomeReceived, 0)
+	require.Empty(t, a.DuePeers(1000+failFirst-1))
+	require.Equal(t, []string{"c"}, a.DuePeers(1000+2*failFirst))
 	waits := []int64{}
 	now := int64(1000 + 2*failFirst)
 	for range 4 {
-		a.Ended(now, "c", Failed, 0)
-		next := a.NextAt(now)
-		for _, name := range a.Due(next) {
+		a.RecordOutcome(now, "c", OutcomeFailed, 0)
+		next := a.NextPollAt(now)
+		for _, name := range a.DuePeers(next) {
 			if name == "a" {
-				a.Ended(next, "a", Told, 0)
+				a.RecordOutcome(next, "a", OutcomeReceived, 0)
 			}
 		}
 		waits = append(waits, next-now)
 		now = max(now, next) + 20*second
-		a.Due(now)
+		a.DuePeers(now)
 	}
 	require.Less(t, waits[0], int64(2*second))
-	require.Zero(t, NewAsker(rand.New(rand.NewSource(1)), 0, 0, []string{"a"}).NextAt(youngTime), "grown: never again")
-	b := NewAsker(rand.New(rand.NewSource(1)), 0, 60*second, []string{"a"})
-	b.Due(0)
-	b.Ended(youngTime, "a", Told, 0)
-	require.GreaterOrEqual(t, b.NextAt(youngTime), int64(youngTime+60*second))
-	for _, s := range a.Standings(now) {
-		require.False(t, s.Name == "d" && s.NextAt > 0, "itself is never asked again")
+	require.Zero(t, NewPoller(rand.New(rand.NewSource(1)), 0, 0, []string{"a"}).NextPollAt(youngTime), "grown: never again")
+	b := NewPoller(rand.New(rand.NewSource(1)), 0, 60*second, []string{"a"})
+	b.DuePeers(0)
+	b.RecordOutcome(youngTime, "a", OutcomeReceived, 0)
+	require.GreaterOrEqual(t, b.NextPollAt(youngTime), int64(youngTime+60*second))
+	for _, s := range a.Statuses(now) {
+		require.False(t, s.Name == "d" && s.NextPollAt > 0, "itself is never asked again")
 	}
 }
 
 // Fifty ask at once: a few are answered, the others get times that are spread, and all are answered by and by.
 func TestDesk(t *testing.T) {
-	d := NewDesk()
+	d := NewAdmission()
 	due, answered, now := map[string]int64{}, map[string]bool{}, int64(0)
 	for i := range 50 {
 		due[fmt.Sprint("n", i)] = 0
@@ -295,7 +297,7 @@
 			if at := due[name]; at > now || answered[name] {
 				continue
 			}
-			if ok, later := d.Ask(now, name); ok {
+			if ok, later := d.Admit(now, name); ok {
 				answered[name] = true
 				served++
 			} else {
@@ -306,32 +308,32 @@
 		}
 		require.LessOrEqual(t, served, deskMost)
 		for range served {
-			d.Done()
+			d.Release()
 		}
 	}
 	require.Len(t, answered, 50)
 	require.Less(t, now, int64(30*second))
 	now += 2 * second
-	ok, later := d.Ask(now, "n1")
+	ok, later := d.Admit(now, "n1")
 	require.True(t, ok)
-	_, later = d.Ask(now+1, "n1")
+	_, later = d.Admit(now+1, "n1")
 	require.Equal(t, int64(nameEvery-1), later, "a name has to wait")
-	d.Busy(0.9)
-	ok, later = d.Ask(now+5*second, "n2")
+	d.SetLoad(0.9)
+	ok, later = d.Admit(now+5*second, "n2")
 	require.False(t, ok, "searches go first")
 	require.GreaterOrEqual(t, later, int64(busyWait))
 	for i := range 4 * namesMost {
-		d.Busy(0)
-		d.Ask(now+6*second, fmt.Sprint("x", i))
-		d.Done()
+		d.SetLoad(0)
+		d.Admit(now+6*second, fmt.Sprint("x", i))
+		d.Release()
 	}
 	require.LessOrEqual(t, len(d.names), namesMost)
 }
 
 func BenchmarkMerge(b *testing.B) {
-	s := NewShelf("", nil)
+	s := NewReportStore("", nil)
 	for p := range 3 {
-		notes := make([]Note, 10_000)
+		notes := make([]Observation, 10_000)
 		for i := range notes {
 			notes[i] = slow(fmt.Sprintf("host-%05d", i), int16(i%2000))
 		}
--- a/cluster/peerreport/shelf.go
+++ b/cluster/peerreport/shelf.go
@@ -9,14 +9,14 @@
 	"chalkring/balancer"
 )
 
-// Shelf keeps the last report of each peer and combines them. It is one goroutine's.
+// ReportStore keeps the last report of each peer and combines them. It is one goroutine's.
 //
 // Of a host, the peers' slowness is put together by the lower median, one vote a peer whatever it weighs: a mean
 // follows one liar as far as it likes, a weighted median follows the freshest. A peer that tells nothing of a
 // host votes for 'as usual', so that hosts which only one speaks of are not believed bad on its word where others
 // have reported. How much the result weighs is the sum of what the notes weigh, each bounded and decayed
 // by its age, so that more age never weighs more. A host is bad where more than half of the peers say so.
-type Shelf struct {
+type ReportStore struct {
 	place   string
 	zones   map[string]int
 	reports map[string]*report // whole ones, by peer
@@ -28,15 +28,15 @@
 }
 
 type report struct {
-	head  Head
+	head  ReportHeader
 	taken int64 // own time that its first note was taken at the latest
-	notes map[string]*Note
+	notes map[string]*Observation
 	self  bool // it tells of its peer's own trouble
 }
 
-// NewShelf is an empty shelf of a co-ordinator at a place with the settings' zones.
-func NewShelf(place string, zones []string) *Shelf {
-	s := &Shelf{place: place, zones: map[string]int{}, reports: map[string]*report{}, coming: map[string]*report{},
+// NewReportStore is an empty shelf of a co-ordinator at a place with the settings' zones.
+func NewReportStore(place string, zones []string) *ReportStore {
+	s := &ReportStore{place: place, zones: map[string]int{}, reports: map[string]*report{}, coming: map[string]*report{},
 		moved: map[string]int64{}, told: map[string]bool{}, ways: map[int]bool{}}
 	for i, name := range zones {
 		s.zones[name] = i
@@ -44,17 +44,17 @@
 	return s
 }
 
-// Begin takes a report's head. asked is when the peer was asked: what it found is no younger than that, less the
+// BeginReport takes a report's head. asked is when the peer was asked: what it found is no younger than that, less the
 // age it tells, and no clock but ours has a say. The same report once more counts once, with the age it had.
-func (s *Shelf) Begin(asked int64, h Head) error {
-	if err := h.Check(); err != nil {
+func (s *ReportStore) BeginReport(asked int64, h ReportHeader) error {
+	if err := h.Validate(); err != nil {
 		return err
 	}
 	old := s.reports[h.Peer]
-	if old == nil && len(s.reports)+len(s.coming) >= PeersMost {
-		return fmt.Errorf("%d peers have reported already", PeersMost)
+	if old == nil && len(s.reports)+len(s.coming) >= MaxPeers {
+		return fmt.Errorf("%d peers have reported already", MaxPeers)
 	}
-	r := &report{head: h, taken: asked - int64(h.Age)*tenthsPerMs, notes: map[string]*Note{}}
+	r := &report{head: h, taken: asked - int64(h.AgeMs)*tenthsPerMs, notes: map[string]*Observation{}}
 	if old != nil && old.head.Serial == h.Serial {
 		r.taken = min(r.taken, max(old.taken, r.taken-sameSlack))
 	}
@@ -62,29 +62,29 @@
 	return nil
 }
 
-// Add takes a slice of the report that a peer has begun. One host told twice counts once, as it came last.
-func (s *Shelf) Add(peer string, notes []Note) error {
+// AddObservations takes a slice of the report that a peer has begun. One host told twice counts once, as it came last.
+func (s *ReportStore) AddObservations(peer string, notes []Observation) error {
 	r := s.coming[peer]
 	if r == nil {
 		return fmt.Errorf("notes of %.40q without a head", peer)
 	}
 	for i := range notes {
 		n := notes[i]
-		if err := n.Check(); err != nil {
+		if err := n.Validate(); err != nil {
 			return err
 		}
-		r.notes[n.ID] = &n
-		if len(r.notes) > int(r.head.Hosts) {
-			return fmt.Errorf("more hosts than the %d that the head tells", r.head.Hosts)
+		r.notes[n.HostID] = &n
+		if len(r.notes) > int(r.head.HostCount) {
+			return fmt.Errorf("more hosts than the %d that the head tells", r.head.HostCount)
 		}
 	}
 	return nil
 }
 
-// End closes the report that a peer has begun: from now on it counts, in the place of the one before. One that
+// CompleteReport closes the report that a peer has begun: from now on it counts, in the place of the one before. One that
 // tells of its peer's own trouble keeps no suspicions: where half of a fleet looks bad from one place, it is the
 // place.
-func (s *Shelf) End(peer string) {
+func (s *ReportStore) CompleteReport(peer string) {
 	r := s.coming[peer]
 	if r == nil {
 		return
@@ -92,7 +92,7 @@
 	delete(s.coming, peer)
 	bad := 0
 	for _, n := range r.notes {
-		if n.Bad {
+		if n.IsOutlier {
 			bad++
 		}
 	}
@@ -100,11 +100,11 @@
 	s.reports[peer] = r
 }
 
-// Drop forgets what came of a report that broke off; a whole one before it still counts.
-func (s *Shelf) Drop(peer string) { delete(s.coming, peer) }
+// AbortReport forgets what came of a report that broke off; a whole one before it still counts.
+func (s *ReportStore) AbortReport(peer string) { delete(s.coming, peer) }
 
-// Moved tells that a host has changed its address, left or come back: older notes are of another machine.
-func (s *Shelf) Moved(now int64, host string) {
+// InvalidateHost tells that a host has changed its address, left or come back: older notes are of another machine.
+func (s *ReportStore) InvalidateHost(now int64, host string) {
 	if _, known := s.moved[host]; !known {
 		s.order = append(s.order, host)
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// Expire drops what is too old to count, and tells whether anything is left.
-func (s *Shelf) Expire(now int64) (left bool) {
+// ExpireReports drops what is too old to count, and tells whether anything is left.
+func (s *ReportStore) ExpireReports(now int64) (left bool) {
 	for peer, r := range s.reports {
 		if now-r.taken > reportLife {
 			delete(s.reports, peer)
@@ -128,8 +128,8 @@
 	return len(s.reports) > 0
 }
 
-// Peers counts the reports that count.
-func (s *Shelf) Peers() int { return len(s.reports) }
+// ReportCount counts the reports that count.
+func (s *ReportStore) ReportCount() int { return len(s.reports) }
 
 // vote is what one peer says of one host or zone.
 type vote struct {
@@ -139,15 +139,15 @@
 }
 
 // vote weighs a note by its age. From another place, the way to the host's zone is taken out first.
-func (s *Shelf) vote(now int64, r *report, n *Note) vote {
+func (s *ReportStore) vote(now int64, r *report, n *Observation) vote {
 	age := max(0, now-r.taken)
 	var way float64
-	if r.head.Place != s.place && int(n.Zone) < len(r.head.Zones) {
-		way = max(0, float64(r.head.Zones[n.Zone].Slower)/logScale)
+	if r.head.Locality != s.place && int(n.ZoneIndex) < len(r.head.Zones) {
+		way = max(0, float64(r.head.Zones[n.ZoneIndex].LogSlowdown)/logScale)
 	}
-	v := vote{shortN: weight(n.ShortN, age, balancer.ShortSpan), longN: weight(n.LongN, age, balancer.LongSpan),
-		short: float64(n.Short)/logScale - way, long: float64(n.Long)/logScale - way}
-	if n.Bad && !r.self {
+	v := vote{shortN: weight(n.ShortSamples, age, balancer.ShortSpan), longN: weight(n.LongSamples, age, balancer.LongSpan),
+		short: float64(n.ShortLogSlowdown)/logScale - way, long: float64(n.LongLogSlowdown)/logScale - way}
+	if n.IsOutlier && !r.self {
 		v.lasts = max(0, badLife-age)
 	}
 	return v
@@ -161,8 +161,8 @@
 // Combine puts together what all reports say now. since gives the start of a host on the own list in ms, false
 // where it is not on it: what is told of a host that started at another time is of another life of it.
 // What was said before and no longer holds is in the result too, as nothing.
-func (s *Shelf) Combine(now int64, since func(host string) (ms int64, listed bool)) []balancer.Heard {
-	s.Expire(now)
+func (s *ReportStore) Combine(now int64, since func(host string) (ms int64, listed bool)) []balancer.Heard {
+	s.ExpireReports(now)
 	out := s.ofFleet(now)
 	hosts := map[string]bool{}
 	for _, r := range s.reports {
@@ -189,7 +189,7 @@
 		for _, peer := range peers {
 			r := s.reports[peer]
 			n := r.notes[id]
-			if moved, known := s.moved[id]; n == nil || int64(n.Since) != ms || known && r.taken <= moved {
+			if moved, known := s.moved[id]; n == nil || int64(n.StartedMs) != ms || known && r.taken <= moved {
 				votes = append(votes, vote{}) // as usual
 				continue
 			}
@@ -242,27 +242,27 @@
 
 // ofFleet puts the peers' usual and shortest times and their ways together. Only peers at the own place count:
 // from elsewhere the distance is in them.
-func (s *Shelf) ofFleet(now int64) []balancer.Heard {
+func (s *ReportStore) ofFleet(now int64) []balancer.Heard {
 	var out []balancer.Heard
 	var usual, shortest []float64
 	ways := map[int][]vote{}
 	near := 0
 	for _, peer := range sortedKeys(s.reports) {
 		r := s.reports[peer]
-		if r.head.Place != s.place {
+		if r.head.Locality != s.place {
 			continue
 		}
 		near++
-		if float64(r.head.Answers)/countScale >= fewAnswers {
-			usual = append(usual, float64(r.head.Usual))
-			if r.head.Shortest > 0 {
-				shortest = append(shortest, float64(r.head.Shortest))
+		if float64(r.head.AnswerCount)/countScale >= fewAnswers {
+			usual = append(usual, float64(r.head.FleetLatency))
+			if r.head.MinLatency > 0 {
+				shortest = append(shortest, float64(r.head.MinLatency))
 			}
 		}
 		for _, z := range r.head.Zones {
 			if i, known := s.zones[z.Name]; known {
-				ways[i] = append(ways[i], vote{shortN: weight(z.N, max(0, now-r.taken), balancer.ShortSpan),
-					short: float64(z.Slower) / logScale})
+				ways[i] = append(ways[i], vote{shortN: weight(z.Samples, max(0, now-r.taken), balancer.ShortSpan),
+					short: float64(z.LogSlowdown) / logScale})
 			}
 		}
 	}
--- a/config/installation.go
+++ b/config/installation.go
@@ -215,8 +215,8 @@
 }
 
 func (c *checker) name(path, text string) {
-	if text == "" || len(text) > peerreport.NameMost || strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }) {
-		c.fault(path, "%.40q is no name: 1 to %d letters without blanks", text, peerreport.NameMost)
+	if text == "" || len(text) > peerreport.MaxNameBytes || strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }) {
+		c.fault(path, "%.40q is no name: 1 to %d letters without blanks", text, peerreport.MaxNameBytes)
 	}
 }
 
@@ -228,8 +228,8 @@
 	if p.Name != "" {
 		c.name("$.peers.name", p.Name)
 	}
-	if len(p.Locality) > peerreport.NameMost {
-		c.fault("$.peers.place", "over %d letters", peerreport.NameMost)
+	if len(p.Locality) > peerreport.MaxNameBytes {
+		c.fault("$.peers.place", "over %d letters", peerreport.MaxNameBytes)
 	}
 	if p.Listen != "" {
 		c.address("$.peers.listen", p.Listen)
@@ -237,8 +237,8 @@
 	if p.Listen == "" && len(p.AllowedPeers) > 0 {
 		c.fault("$.peers.allow", "names are allowed, but nothing listens")
 	}
-	if len(p.PollTargets) > peerreport.PeersMost {
-		c.fault("$.peers.ask", "%d peers, %d at the most", len(p.PollTargets), peerreport.PeersMost)
+	if len(p.PollTargets) > peerreport.MaxPeers {
+		c.fault("$.peers.ask", "%d peers, %d at the most", len(p.PollTargets), peerreport.MaxPeers)
 	}
 	seen := map[string]bool{}
 	for i, one := range p.PollTargets {
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -78,9 +78,9 @@
 
 func goldenNotes() recovery.Notes {
 	return recovery.Notes{At: goldenNow - 2000,
-		Head: peerreport.Head{Peer: "golden", Place: "east", Serial: 7, List: 9, Age: 100, Answers: 800, Usual: 150, Shortest: 20, Hosts: 1,
-			Zones: []peerreport.Zone{{Name: "east", N: 500, Slower: -3}}},
-		All: []peerreport.Note{{ID: "a", ShortN: 11, LongN: 12, Short: -13, Long: 14, Age: 19}}}
+		Head: peerreport.ReportHeader{Peer: "golden", Locality: "east", Serial: 7, ListVersion: 9, AgeMs: 100, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 1,
+			Zones: []peerreport.ZoneObservation{{Name: "east", Samples: 500, LogSlowdown: -3}}},
+		All: []peerreport.Observation{{HostID: "a", ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, AgeMs: 19}}}
 }
 
 func openGoldenKeep(t *testing.T, path string) *Persistence {
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -314,16 +314,16 @@
 func (k *Persistence) recall(o *owner, n *recovery.Notes) {
 	l, h := o.peers, n.Head
 	since := int64(k.clock.Now().Sub(time.UnixMilli(n.At)) / tenth) // the machine's clock tells how long the start has taken
-	h.Peer, h.Place = recovery.Peer, l.p.Location
+	h.Peer, h.Locality = recovery.Peer, l.p.Location
 	l.mu.Lock()
-	err := l.shelf.Begin(o.clock()-max(0, since), h)
+	err := l.shelf.BeginReport(o.clock()-max(0, since), h)
 	if err == nil {
-		err = l.shelf.Add(h.Peer, n.All)
+		err = l.shelf.AddObservations(h.Peer, n.All)
 	}
 	if err == nil {
-		l.shelf.End(h.Peer)
+		l.shelf.CompleteReport(h.Peer)
 	} else {
-		l.shelf.Drop(h.Peer)
+		l.shelf.AbortReport(h.Peer)
 	}
 	l.mu.Unlock()
 	if err != nil {
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -196,11 +196,11 @@
 // BenchmarkKept writes and reads what is kept of 10,000 hosts.
 func BenchmarkKept(b *testing.B) {
 	now := time.Now().UnixMilli()
-	list, notes := recovery.List{At: now}, recovery.Notes{At: now, Head: peerreport.Head{Peer: "n", Hosts: 10_000}}
+	list, notes := recovery.List{At: now}, recovery.Notes{At: now, Head: peerreport.ReportHeader{Peer: "n", HostCount: 10_000}}
 	for i := range 10_000 {
 		id := fmt.Sprint("host-", i)
 		list.Hosts = append(list.Hosts, endpoints.Host{ID: id, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Zone: "hall", Kind: "std", Weight: 1})
-		notes.All = append(notes.All, peerreport.Note{ID: id, ShortN: 40, LongN: 80, Short: 120, Long: 90, Age: 300})
+		notes.All = append(notes.All, peerreport.Observation{HostID: id, ShortSamples: 40, LongSamples: 80, ShortLogSlowdown: 120, LongLogSlowdown: 90, AgeMs: 300})
 	}
 	s, err := store.Open(filepath.Join(b.TempDir(), "kept"), store.Options{})
 	require.NoError(b, err)
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -53,13 +53,13 @@
 	stir     chan struct{} // the asker has to be looked at
 
 	mu     sync.Mutex
-	shelf  *peerreport.Shelf
-	asker  *peerreport.Asker
-	desk   *peerreport.Desk
+	shelf  *peerreport.ReportStore
+	asker  *peerreport.Poller
+	desk   *peerreport.Admission
 	since  map[string]int64 // start of each listed host in ms
 	addrs  map[string]string
 	taking sync.Mutex // one snapshot at a time, which all askers share
-	taken  *peerreport.Taker
+	taken  *peerreport.ReportBuilder
 	serial uint64
 	load   float64
 
@@ -72,20 +72,20 @@
 	if p.Name == "" {
 		p.Name = name
 	}
-	l := &learner{o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewDesk(),
+	l := &learner{o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewAdmission(),
 		since: map[string]int64{}, addrs: map[string]string{}}
 	l.instance = xxhash.Sum64String(fmt.Sprint(name, o.plan.seed, o.Listener.Addr(), o.start.UnixNano()))
-	l.shelf = peerreport.NewShelf(p.Location, l.zones)
+	l.shelf = peerreport.NewReportStore(p.Location, l.zones)
 	var names []string
 	for _, at := range p.PollTargets {
 		names = append(names, at.Name)
 	}
-	l.asker = peerreport.NewAsker(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.RefreshInterval/tenth), names)
+	l.asker = peerreport.NewPoller(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.RefreshInterval/tenth), names)
 	plan := scheduler.NewPlan(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
 	l.pool = scheduler.NewPool(o.Clock, plan, func(job string, err error) {
 		o.log.often("job", "job_given_up", "job", job, "error", err)
 		if name, asking := strings.CutPrefix(job, askPrefix); asking {
-			o.g.Go(func() error { l.ended(name, peerreport.Failed, 0, err); return nil }) // the pool must not be held up
+			o.g.Go(func() error { l.ended(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not be held up
 		}
 	})
 	return l
@@ -125,8 +125,8 @@
 		l.pool.Load(share)
 		l.mu.Lock()
 		l.load = share
-		l.desk.Busy(share)
-		l.shelf.Expire(l.o.clock())
+		l.desk.SetLoad(share)
+		l.shelf.ExpireReports(l.o.clock())
 		l.mu.Unlock()
 	}
 }
@@ -136,10 +136,10 @@
 	for {
 		l.mu.Lock()
 		now := l.o.clock()
-		for _, name := range l.asker.Due(now) {
+		for _, name := range l.asker.DuePeers(now) {
 			l.start(name)
 		}
-		next := l.asker.NextAt(now)
+		next := l.asker.NextPollAt(now)
 		l.mu.Unlock()
 		var wake <-chan time.Time
 		if next > 0 {
@@ -167,22 +167,22 @@
 		return nil
 	})
 	if err != nil {
-		l.o.g.Go(func() error { l.ended(at.Name, peerreport.Failed, 0, err); return nil }) // start is called with the lock
+		l.o.g.Go(func() error { l.ended(at.Name, peerreport.OutcomeFailed, 0, err); return nil }) // start is called with the lock
 	}
 }
 
 func (l *learner) askOne(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.o.clock()
 	asking := peerprotocol.Asking{Peer: at.Name, Addr: at.Addr, Me: l.p.Name, Instance: l.instance, Dial: l.o.Dial, Keys: l.p.Keys,
-		Head: func(h peerreport.Head) error {
+		Head: func(h peerreport.ReportHeader) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.shelf.Begin(asked, h)
+			return l.shelf.BeginReport(asked, h)
 		},
-		Notes: func(notes []peerreport.Note) error {
+		Notes: func(notes []peerreport.Observation) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.shelf.Add(at.Name, notes)
+			return l.shelf.AddObservations(at.Name, notes)
 		},
 		Spend: a.Spend}
 	return asking.Run(ctx)
@@ -191,12 +191,12 @@
 // ended takes in how an asking ended; a whole report goes to the module.
 func (l *learner) ended(name string, how peerreport.Outcome, later time.Duration, err error) {
 	l.mu.Lock()
-	if how == peerreport.Told {
-		l.shelf.End(name)
+	if how == peerreport.OutcomeReceived {
+		l.shelf.CompleteReport(name)
 	} else {
-		l.shelf.Drop(name)
+		l.shelf.AbortReport(name)
 	}
-	l.asker.Ended(l.o.clock(), name, how, int64(later/tenth))
+	l.asker.RecordOutcome(l.o.clock(), name, how, int64(later/tenth))
 	l.mu.Unlock()
 	select {
 	case l.stir <- struct{}{}:
@@ -204,10 +204,10 @@
 	}
 	switch {
 	case l.o.ctx.Err() != nil:
-	case how == peerreport.Told:
+	case how == peerreport.OutcomeReceived:
 		hosts := l.feed()
 		l.o.log.Info("learned", "peer", name, "hosts", hosts)
-	case how == peerreport.Later:
+	case how == peerreport.OutcomeDeferred:
 		l.o.log.often("peer_later", "peer_later", "peer", name, "wait", later)
 	default:
 		l.o.log.often("peer "+how.String(), "peer_failed", "peer", name, "how", how, "error", err)
@@ -224,7 +224,7 @@
 		return ms, listed
 	})
 	l.mu.Unlock()
-	for part := range slices.Chunk(heard, peerreport.SliceMost) {
+	for part := range slices.Chunk(heard, peerreport.MaxChunkObservations) {
 		if l.turn(func() {
 			for _, h := range part {
 				l.o.module.Hear(h)
@@ -257,7 +257,7 @@
 	now, moved := l.o.clock(), false
 	present := map[string]bool{}
 	move := func(id string) {
-		l.shelf.Moved(now, id)
+		l.shelf.InvalidateHost(now, id)
 		moved = true
 	}
 	for _, h := range hosts {
@@ -284,7 +284,7 @@
 			}
 		}
 	}
-	feed := moved && l.shelf.Peers() > 0
+	feed := moved && l.shelf.ReportCount() > 0
 	l.mu.Unlock()
 	l.version.Store(version)
 	if feed {
@@ -297,41 +297,41 @@
 func (l *learner) admit(name string) (ok bool, later time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ok, wait := l.desk.Ask(l.o.clock(), name)
+	ok, wait := l.desk.Admit(l.o.clock(), name)
 	return ok, time.Duration(wait) * tenth
 }
 
 func (l *learner) done() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.desk.Done()
+	l.desk.Release()
 }
 
 // report gives the newest snapshot, or takes one. Askers that come meanwhile wait for it and share it.
-func (l *learner) report(ctx context.Context) (peerreport.Head, []peerreport.Note, error) {
+func (l *learner) report(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 	l.taking.Lock()
 	defer l.taking.Unlock()
 	l.mu.Lock()
-	fresh := l.taken != nil && l.desk.Fresh(l.o.clock())
+	fresh := l.taken != nil && l.desk.IsSnapshotFresh(l.o.clock())
 	l.mu.Unlock()
 	if !fresh {
 		if err := l.take(ctx); err != nil {
-			return peerreport.Head{}, nil, err
+			return peerreport.ReportHeader{}, nil, err
 		}
 	}
-	return l.taken.HeadAt(l.o.clock()), l.taken.Notes, nil
+	return l.taken.HeaderAt(l.o.clock()), l.taken.Observations, nil
 }
 
 // take makes a snapshot, SliceMost hosts a turn.
 func (l *learner) take(ctx context.Context) error {
 	l.serial++
 	for {
-		t := peerreport.NewTaker(l.o.clock(), l.p.Name, l.p.Location, l.serial, l.version.Load(), l.zones)
+		t := peerreport.NewReportBuilder(l.o.clock(), l.p.Name, l.p.Location, l.serial, l.version.Load(), l.zones)
 		for from := 0; ; {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err := l.turn(func() { from = l.o.module.Know(from, peerreport.SliceMost, t.Tell) }); err != nil {
+			if err := l.turn(func() { from = l.o.module.Know(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
 				return err
 			}
 			if from == 0 {
@@ -339,9 +339,9 @@
 			}
 		}
 		l.mu.Lock()
-		again := t.Changed(l.version.Load()) && l.desk.Retake()
+		again := t.ListChanged(l.version.Load()) && l.desk.AllowSnapshotRetake()
 		if !again {
-			l.desk.Taken(l.o.clock() - t.AgeAt(l.o.clock()))
+			l.desk.RecordSnapshot(l.o.clock() - t.AgeAt(l.o.clock()))
 		}
 		l.mu.Unlock()
 		if !again {
@@ -376,15 +376,15 @@
 	defer l.mu.Unlock()
 	now := l.o.clock()
 	s := peerprotocol.Status{Name: l.p.Name, Place: l.p.Location, UpMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
-		List: l.version.Load(), Hosts: uint32(len(l.since)), Answered: uint32(l.desk.Answers), PutOff: uint32(l.desk.Put),
+		List: l.version.Load(), Hosts: uint32(len(l.since)), Answered: uint32(l.desk.Admitted), PutOff: uint32(l.desk.Deferred),
 		Load: uint16(1000 * min(1, max(load, l.load))), Waiting: uint16(waiting), Running: uint16(running), Held: uint32(counts.Held)}
-	for _, p := range l.asker.Standings(now) {
-		one := peerprotocol.PeerStatus{Name: p.Name, Told: uint32(p.Told)}
-		if p.LastAt > 0 {
-			one.Last, one.AgoMs = p.Last.String(), uint64((now-p.LastAt)/10)
+	for _, p := range l.asker.Statuses(now) {
+		one := peerprotocol.PeerStatus{Name: p.Name, Told: uint32(p.ReportCount)}
+		if p.LastOutcomeAt > 0 {
+			one.Last, one.AgoMs = p.LastOutcome.String(), uint64((now-p.LastOutcomeAt)/10)
 		}
-		if p.NextAt > now {
-			one.NextMs = uint64((p.NextAt - now) / 10)
+		if p.NextPollAt > now {
+			one.NextMs = uint64((p.NextPollAt - now) / 10)
 		}
 		s.Peers = append(s.Peers, one)
 	}
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -131,11 +131,11 @@
 	for i := range 50 {
 		g.Go(func() {
 			how, later, _ := (&peerprotocol.Asking{Peer: "a", Addr: p.at().Addr, Me: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
-				Head: func(peerreport.Head) error { return nil }, Notes: func([]peerreport.Note) error { return nil }}).Run(context.Background())
+				Head: func(peerreport.ReportHeader) error { return nil }, Notes: func([]peerreport.Observation) error { return nil }}).Run(context.Background())
 			mu.Lock()
 			defer mu.Unlock()
-			if count[how]++; how == peerreport.Later && later <= 0 {
-				count[peerreport.Failed]++
+			if count[how]++; how == peerreport.OutcomeDeferred && later <= 0 {
+				count[peerreport.OutcomeFailed]++
 			}
 		})
 	}
@@ -144,8 +144,8 @@
 		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
 	}
 	g.Wait()
-	require.Equal(t, 50, count[peerreport.Told]+count[peerreport.Later], "%v", count)
-	require.Positive(t, count[peerreport.Told])
+	require.Equal(t, 50, count[peerreport.OutcomeReceived]+count[peerreport.OutcomeDeferred], "%v", count)
+	require.Positive(t, count[peerreport.OutcomeReceived])
 	r.end()
 }
 
@@ -156,8 +156,8 @@
 	served := make(chan error)
 	s := &peerprotocol.Server{Name: "b", Instance: 1, Allow: []string{"a"}, Done: func() {}, Refused: func(string, string) {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
-		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
-			return peerreport.Head{Peer: "b", Hosts: 1}, []peerreport.Note{{ID: "a0", Bad: true}}, nil
+		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+			return peerreport.ReportHeader{Peer: "b", HostCount: 1}, []peerreport.Observation{{HostID: "a0", IsOutlier: true}}, nil
 		}}
 	go func() { served <- s.Serve(ctx, ln) }()
 	p := named(t, "a", PeerAddress{"b", ln.Addr().String()})
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -315,8 +315,8 @@
 			g.Go(func() {
 				for ask.Err() == nil {
 					how, _, _ := (&peerprotocol.Asking{Peer: "n0", Addr: p.peer, Me: "asker", Dial: (&net.Dialer{}).DialContext,
-						Head: func(peerreport.Head) error { return nil }, Notes: func([]peerreport.Note) error { return nil }}).Run(ask)
-					if asked++; how == peerreport.Told {
+						Head: func(peerreport.ReportHeader) error { return nil }, Notes: func([]peerreport.Observation) error { return nil }}).Run(ask)
+					if asked++; how == peerreport.OutcomeReceived {
 						answered++
 					}
 					time.Sleep(askWithout)
--- a/internal/benchmark/learning.go
+++ b/internal/benchmark/learning.go
@@ -297,21 +297,21 @@
 	if err != nil {
 		return nil, err
 	}
-	var notes []peerreport.Note
+	var notes []peerreport.Observation
 	for i, e := range f.entries {
-		n := peerreport.Note{ID: e.ID, Since: uint64(e.StartedMS), ShortN: math.MaxUint16, LongN: math.MaxUint16}
+		n := peerreport.Observation{HostID: e.ID, StartedMs: uint64(e.StartedMS), ShortSamples: math.MaxUint16, LongSamples: math.MaxUint16}
 		if i < hungHosts+slowHosts {
-			n.Short, n.Long = -3000, -3000
+			n.ShortLogSlowdown, n.LongLogSlowdown = -3000, -3000
 		} else {
-			n.Short, n.Long, n.Bad, n.Quiet, n.Silent = 3000, 3000, i%2 == 0, 9, 9000
+			n.ShortLogSlowdown, n.LongLogSlowdown, n.IsOutlier, n.UnansweredRequests, n.SilentMs = 3000, 3000, i%2 == 0, 9, 9000
 		}
 		notes = append(notes, n)
 	}
 	s := &peerprotocol.Server{Name: "liar", Instance: 1, Allow: learners(),
 		Admit: func(string) (bool, time.Duration) { return true, 0 }, Done: func() {},
-		Report: func(context.Context) (peerreport.Head, []peerreport.Note, error) {
-			return peerreport.Head{Peer: "liar", Serial: 1, Answers: math.MaxInt32, Usual: 100_000_000, Shortest: 1,
-				Hosts: uint32(len(notes))}, notes, nil
+		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+			return peerreport.ReportHeader{Peer: "liar", Serial: 1, AnswerCount: math.MaxInt32, FleetLatency: 100_000_000, MinLatency: 1,
+				HostCount: uint32(len(notes))}, notes, nil
 		},
 		Refused: func(string, string) {}}
 	go s.Serve(ctx, ln)
--- a/storage/recovery/golden_stored_test.go
+++ b/storage/recovery/golden_stored_test.go
@@ -63,11 +63,11 @@
 
 func TestGoldenObservations(t *testing.T) {
 	goldenBothWays(t, "observations.hex", Notes{At: 1_700_000_000_000,
-		Head: peerreport.Head{Peer: "east-0", Place: "eu-1", Serial: 7, List: 9, Age: 1200, Answers: 800, Usual: 150, Shortest: 20, Hosts: 2,
-			Zones: []peerreport.Zone{{Name: "eu-1", N: 500, Slower: -3}, {Name: "eu-2", N: 300, Slower: 250}}},
-		All: []peerreport.Note{
-			{ID: "a0", Zone: 1, Since: 1_699_999_000_000, ShortN: 11, LongN: 12, Short: -13, Long: 14, Strikes: 15, Refused: 16, Quiet: 17, Silent: 18, Age: 19, Bad: true},
-			{ID: "b0", Age: peerreport.NoAnswer},
+		Head: peerreport.ReportHeader{Peer: "east-0", Locality: "eu-1", Serial: 7, ListVersion: 9, AgeMs: 1200, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 2,
+			Zones: []peerreport.ZoneObservation{{Name: "eu-1", Samples: 500, LogSlowdown: -3}, {Name: "eu-2", Samples: 300, LogSlowdown: 250}}},
+		All: []peerreport.Observation{
+			{HostID: "a0", ZoneIndex: 1, StartedMs: 1_699_999_000_000, ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, ConsecutiveFailures: 15, ConnectFailures: 16, UnansweredRequests: 17, SilentMs: 18, AgeMs: 19, IsOutlier: true},
+			{HostID: "b0", AgeMs: peerreport.NeverAnswered},
 		},
 	})
 }
@@ -90,7 +90,7 @@
 		[]string{All.String(), NoNotes.String(), NoList.String(), Nothing.String()}, "as events and log lines have them")
 	require.Equal(t, list.Hosts, b.List.Hosts)
 	require.Equal(t, []endpoints.Gone{{ID: "d0", By: "discovery", StartedMS: 1_699_999_500_000, Ago: 1_020_000}}, b.List.Gone)
-	require.Equal(t, uint32(3200), b.Notes.Head.Age)
+	require.Equal(t, uint32(3200), b.Notes.Head.AgeMs)
 	require.Equal(t, notes.All, b.Notes.All)
 }
 
--- a/storage/recovery/recovery.go
+++ b/storage/recovery/recovery.go
@@ -109,8 +109,8 @@
 type Notes struct {
 	_    struct{} `cbor:",toarray"`
 	At   int64
-	Head peerreport.Head
-	All  []peerreport.Note
+	Head peerreport.ReportHeader
+	All  []peerreport.Observation
 }
 
 // Believed is what counts of a store. Left tells what does not, and why, for the log.
@@ -158,12 +158,12 @@
 			left("notes", "several starts within a minute")
 		case age < 0:
 			left("notes", "the clock has gone back by %v: their age is not known", -time.Duration(age)*time.Millisecond)
-		case age+int64(notes.Head.Age) > notesLife:
+		case age+int64(notes.Head.AgeMs) > notesLife:
 			left("notes", "they are %v old", time.Duration(age)*time.Millisecond)
 		default:
 			own := *notes
 			own.At = now
-			own.Head.Age += uint32(age)
+			own.Head.AgeMs += uint32(age)
 			b.Notes = &own
 		}
 	}
@@ -180,12 +180,12 @@
 
 // Check looks at notes that come from a disk as at a peer's.
 func (n *Notes) Check() error {
-	if len(n.All) > peerreport.HostsMost || len(n.All) != int(n.Head.Hosts) {
+	if len(n.All) > peerreport.MaxHosts || len(n.All) != int(n.Head.HostCount) {
 		return errors.New("notes of another number than told")
 	}
-	err := n.Head.Check()
+	err := n.Head.Validate()
 	for i := range n.All {
-		err = errors.Join(err, n.All[i].Check())
+		err = errors.Join(err, n.All[i].Validate())
 	}
 	return err
 }
--- a/storage/recovery/recovery_test.go
+++ b/storage/recovery/recovery_test.go
@@ -68,7 +68,7 @@
 func kept() (*List, *Notes) {
 	l := Keep(now, 7, 8, []endpoints.Entry{{Host: endpoints.Host{ID: "h1", Addr: "a:1", Weight: 1, Line: 3}}},
 		[]endpoints.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 20_000}})
-	return &l, &Notes{At: now, Head: peerreport.Head{Peer: "n", Age: 300, Hosts: 1}, All: []peerreport.Note{{ID: "h1", Bad: true}}}
+	return &l, &Notes{At: now, Head: peerreport.ReportHeader{Peer: "n", AgeMs: 300, HostCount: 1}, All: []peerreport.Observation{{HostID: "h1", IsOutlier: true}}}
 }
 
 func TestWhatIsBelievedByItsAge(t *testing.T) {
@@ -96,11 +96,11 @@
 	}
 	l, n := kept()
 	b := Weigh(now+2000, All, 8, l, n)
-	require.EqualValues(t, 2300, b.Notes.Head.Age)
+	require.EqualValues(t, 2300, b.Notes.Head.AgeMs)
 	require.Equal(t, []endpoints.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 40_000}}, b.List.Gone)
 	require.Zero(t, b.List.Hosts[0].Line)
 	require.NoError(t, b.Notes.Check())
-	n.Head.Hosts = 2
+	n.Head.HostCount = 2
 	require.Error(t, n.Check())
 	require.Empty(t, Weigh(now, All, 8, nil, nil))
 }
