--- a/cluster/crdt/digest.go
+++ b/cluster/crdt/digest.go
@@ -6,42 +6,44 @@
 // those the next, and 64 of those the root. A sum is the wrapped sum of what is below, so that a change costs four
 // additions. Names are spread by hash and not by range, so that no prefix makes one part of the tree deep.
 const (
-	Levels  = 3 // below the root
-	buckets = 1 << 16
+	DigestTreeDepth = 3 // below the root
+	buckets         = 1 << 16
 )
 
 var (
-	widths = [Levels + 1]int{1, 64, 64 * 64, buckets}
-	fans   = [Levels]int{64, 64, 16} // children of a node of that level
+	widths = [DigestTreeDepth + 1]int{1, 64, 64 * 64, buckets}
+	fans   = [DigestTreeDepth]int{64, 64, 16} // children of a node of that level
 )
 
-// Node is a range of names: Level 0 is all of them, Level 3 a bucket.
-type Node struct {
+// TreeNode is a range of names: Level 0 is all of them, Level 3 a bucket.
+type TreeNode struct {
 	_     struct{} `cbor:",toarray"`
 	Level uint8
 	Index uint16
 }
 
-func (n Node) sound() bool { return int(n.Level) <= Levels && int(n.Index) < widths[n.Level] }
+func (n TreeNode) sound() bool {
+	return int(n.Level) <= DigestTreeDepth && int(n.Index) < widths[n.Level]
+}
 
 // Children are the ranges that make up this one.
-func (n Node) Children() []Node {
-	if n.Level >= Levels {
+func (n TreeNode) Children() []TreeNode {
+	if n.Level >= DigestTreeDepth {
 		return nil
 	}
 	f := fans[n.Level]
-	out := make([]Node, f)
+	out := make([]TreeNode, f)
 	for i := range out {
-		out[i] = Node{Level: n.Level + 1, Index: uint16(int(n.Index)*f + i)}
+		out[i] = TreeNode{Level: n.Level + 1, Index: uint16(int(n.Index)*f + i)}
 	}
 	return out
 }
 
 // Digest stands for the siblings of all names in a range: the same ones have the same digest.
-func (l *Ledger) Digest(n Node) uint64 { return l.tree.sums[n.Level][n.Index] }
+func (l *Map) Digest(n TreeNode) uint64 { return l.tree.sums[n.Level][n.Index] }
 
 type tree struct {
-	sums  [Levels + 1]map[uint16]uint64
+	sums  [DigestTreeDepth + 1]map[uint16]uint64
 	names map[uint16][]*held
 }
 
@@ -56,7 +58,7 @@
 
 func (t *tree) add(bucket uint16, sum uint64) {
 	i := int(bucket)
-	for level := Levels; level >= 0; level-- {
+	for level := DigestTreeDepth; level >= 0; level-- {
 		if s := t.sums[level][uint16(i)] + sum; s != 0 {
 			t.sums[level][uint16(i)] = s
 		} else {
--- a/cluster/crdt/fleet_test.go
+++ b/cluster/crdt/fleet_test.go
@@ -27,7 +27,7 @@
 }
 
 type instance struct {
-	l      *Ledger
+	l      *Map
 	held   map[Dot]bool // changes that this life, or the disk it began with, has held at any time
 	now    map[Dot]bool
 	asks   map[string]*Exchange
@@ -40,9 +40,9 @@
 	batch Batch
 }
 
-func wholes(l *Ledger) (out []Entry) {
+func wholes(l *Map) (out []Entry) {
 	for _, e := range all(l) {
-		e, _ = l.Whole(e.Name)
+		e, _ = l.StorableEntry(e.Name)
 		out = append(out, e)
 	}
 	return out
@@ -77,7 +77,7 @@
 func (w *world) start(name string, d disk) {
 	w.life++
 	w.logf("start %s %d", name, w.life)
-	in := &instance{l: New(ActorOf(name, w.life)), held: copyOf(d.held), now: copyOf(d.now), asks: map[string]*Exchange{}}
+	in := &instance{l: NewMap(FormatActor(name, w.life)), held: copyOf(d.held), now: copyOf(d.now), asks: map[string]*Exchange{}}
 	require.NoError(w.t, in.l.Restore(d.entries, d.known))
 	if old := w.at[name]; old != nil {
 		in.disks = old.disks
@@ -119,7 +119,7 @@
 		return true
 	})
 	if fmt.Sprint(is) != fmt.Sprint(in.now) {
-		w.logf("  %s holds %v known %v", in.l.Actor(), is, in.l.Known())
+		w.logf("  %s holds %v known %v", in.l.Actor(), is, in.l.KnownVersion())
 	}
 	for d := range is {
 		require.False(w.t, in.held[d] && !in.now[d], "%v came back at %s", d, name)
@@ -154,25 +154,25 @@
 }
 
 func (w *world) push(to string, p late) {
-	if w.cut[[2]string{NameOf(p.from), to}] || NameOf(p.from) == to {
+	if w.cut[[2]string{ActorName(p.from), to}] || ActorName(p.from) == to {
 		return
 	}
 	in := w.at[to]
 	w.logf("push to %s %v", to, p)
-	if _, err := in.l.TakeBatch(p.from, p.batch); err != nil {
-		w.renew(to, NameOf(p.from), err)
+	if _, err := in.l.MergeBatch(p.from, p.batch); err != nil {
+		w.renew(to, ActorName(p.from), err)
 	}
 	w.look(to)
 }
 
 func (w *world) renew(name, peer string, err error) {
-	var s *Struck
+	var s *SupersededError
 	require.ErrorAs(w.t, err, &s)
 	in := w.at[name]
-	w.life = max(w.life, s.Before) + 1
+	w.life = max(w.life, s.EndedBefore) + 1
 	olds := map[string][]Dot{}
 	in.l.names.Scan(func(key string, h *held) bool { olds[key] = dots(h.Entry); return true })
-	for _, e := range in.l.Renew(w.life, peer) {
+	for _, e := range in.l.BeginIncarnation(w.life, peer) {
 		for _, s := range e.Siblings {
 			if s.Dot.Actor == in.l.Actor() {
 				var over []Dot
@@ -193,26 +193,26 @@
 func (w *world) step(name, peer string, lossy bool) (whole bool) {
 	in, other := w.at[name], w.at[peer]
 	x := in.asks[peer]
-	if x == nil || x.Done() {
+	if x == nil || x.IsDone() {
 		w.run++
 		x = in.l.NewExchange(peer, w.run)
 		in.asks[peer] = x
 	}
-	x.Again()
-	ask, ok := x.Next()
+	x.RetryRequest()
+	ask, ok := x.NextRequest()
 	require.True(w.t, ok)
 	if w.cut[[2]string{name, peer}] || w.cut[[2]string{peer, name}] || lossy && rapid.IntRange(0, 4).Draw(w.t, "lost") == 0 {
 		return false
 	}
-	w.logf("ask %s to %s %v", name, peer, ask.Want)
-	a, err := other.l.Answer(name, ask)
+	w.logf("ask %s to %s %v", name, peer, ask.WantedBuckets)
+	a, err := other.l.HandleRequest(name, ask)
 	require.NoError(w.t, err)
 	if lossy && rapid.IntRange(0, 3).Draw(w.t, "meanwhile") == 0 {
 		w.write(name)
 	}
-	_, lacks, err := x.Take(a)
+	_, lacks, err := x.ApplyResponse(a)
 	if err != nil {
-		if err == ErrStale {
+		if err == ErrPeerRestarted {
 			delete(in.asks, peer)
 			return !lossy // one that takes the other's life as over waits until it asks and is told so
 		}
@@ -226,19 +226,19 @@
 			w.push(peer, w.late[len(w.late)-1])
 		}
 	}
-	return x.Whole()
+	return x.IsComplete()
 }
 
 func (w *world) collect(name string, away []string) {
 	in := w.at[name]
 	w.logf("collect %s away %v", name, away)
 	for _, f := range w.forgot { // one that began anew since must be told again
-		in.l.Forget(f)
+		in.l.ForgetInstance(f)
 	}
-	in.l.Counting(w.names, away)
-	in.l.Collect()
+	in.l.SetMembers(w.names, away)
+	in.l.CollectTombstones()
 	w.look(name)
-	in.l.Mine()
+	in.l.NextRow()
 }
 
 func (w *world) heal() {
@@ -255,7 +255,7 @@
 		}
 		for _, a := range w.names {
 			// Whatever each has forgotten by itself: two rounds of exchanges make all alike.
-			require.True(w.t, round == 0 || w.at[a].l.Digest(Node{}) == w.at[w.names[0]].l.Digest(Node{}), "%s is not alike", a)
+			require.True(w.t, round == 0 || w.at[a].l.Digest(TreeNode{}) == w.at[w.names[0]].l.Digest(TreeNode{}), "%s is not alike", a)
 		}
 		for i, a := range w.names {
 			if round != 1 || i == 0 { // once by one alone
@@ -297,9 +297,9 @@
 				}
 				w.collect(a, away)
 			case 10:
-				in.disks = append(in.disks, disk{wholes(in.l), in.l.Known(), copyOf(in.held), copyOf(in.now)})
+				in.disks = append(in.disks, disk{wholes(in.l), in.l.KnownVersion(), copyOf(in.held), copyOf(in.now)})
 			case 11:
-				d := disk{wholes(in.l), in.l.Known(), copyOf(in.held), copyOf(in.now)}
+				d := disk{wholes(in.l), in.l.KnownVersion(), copyOf(in.held), copyOf(in.now)}
 				if rough && rapid.Bool().Draw(t, "older") {
 					// Copies that are newer than the one taken are not taken later: no one keeps two lines of one disk.
 					k := rapid.IntRange(0, len(in.disks)).Draw(t, "disk")
@@ -313,7 +313,7 @@
 					w.names = slices.DeleteFunc(slices.Clone(w.names), func(n string) bool { return n == b })
 					delete(w.at, b)
 					for _, other := range w.at {
-						other.l.Forget(b)
+						other.l.ForgetInstance(b)
 						delete(other.asks, b)
 					}
 					w.forgot = append(w.forgot, b)
@@ -349,7 +349,7 @@
 	for _, name := range w.names {
 		in := w.at[name]
 		require.Equal(w.t, first.now, in.now, "%s and %s", w.names[0], name)
-		require.Equal(w.t, first.l.Digest(Node{}), in.l.Digest(Node{}))
+		require.Equal(w.t, first.l.Digest(TreeNode{}), in.l.Digest(TreeNode{}))
 		for d := range in.now {
 			require.False(w.t, over[d], "%v was superseded and came back", d)
 		}
--- a/cluster/crdt/ledger.go
+++ b/cluster/crdt/ledger.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	EntriesMost    = 100_000  // names with a live value: a Put of one more is refused
-	TombstonesMost = 50_000   // names that were deleted and are remembered
-	HeldMost       = 200_000  // names of either kind: what two sides of a partition may bring together
-	ValueMost      = 8 << 10  // bytes of a value
-	NameMost       = 512      // bytes of a name
-	ActorMost      = 280      // bytes of an actor: an instance's name and a number
-	BytesMost      = 96 << 20 // bytes of all names and values: with what is beside them they fit a store
-	SiblingsMost   = 64       // of one name, so that its state goes in one message of half a megabyte
+	MaxEntries    = 100_000  // names with a live value: a Put of one more is refused
+	MaxTombstones = 50_000   // names that were deleted and are remembered
+	MaxNames      = 200_000  // names of either kind: what two sides of a partition may bring together
+	MaxValueBytes = 8 << 10  // bytes of a value
+	MaxNameBytes  = 512      // bytes of a name
+	MaxActorBytes = 280      // bytes of an actor: an instance's name and a number
+	MaxTotalBytes = 96 << 20 // bytes of all names and values: with what is beside them they fit a store
+	MaxSiblings   = 64       // of one name, so that its state goes in one message of half a megabyte
 )
 
 // Sibling is one value of a name.
@@ -40,19 +40,19 @@
 
 // Entry is the state of a name.
 type Entry struct {
-	_        struct{} `cbor:",toarray"`
-	Name     string
-	Siblings []Sibling // in order of dots; several were written apart, and the caller resolves them and Puts the outcome
-	Seen     Version   // the siblings' changes and those that their writers had seen
+	_             struct{} `cbor:",toarray"`
+	Name          string
+	Siblings      []Sibling // in order of dots; several were written apart, and the caller resolves them and Puts the outcome
+	CausalContext Version   // the siblings' changes and those that their writers had seen
 }
 
-// Live tells whether a sibling is no tombstone.
-func (e Entry) Live() bool {
+// IsLive tells whether a sibling is no tombstone.
+func (e Entry) IsLive() bool {
 	return slices.ContainsFunc(e.Siblings, func(s Sibling) bool { return !s.Deleted })
 }
 
-// Ledger is one instance's copy. It is one goroutine's.
-type Ledger struct {
+// Map is one instance's copy. It is one goroutine's.
+type Map struct {
 	actor  string
 	known  Version
 	names  btree.Map[string, *held]
@@ -67,7 +67,7 @@
 	rows         map[string]Row // of other instances, the latest of each
 	reached      map[string]Row // the latest that the Known here covers
 	mine         Row
-	ends         map[string]End
+	ends         map[string]IncarnationEnd
 	counting     []string
 	forgot, away map[string]bool
 }
@@ -80,38 +80,38 @@
 	bucket uint16
 }
 
-// New is an empty ledger. The actor must be new with each start: two lives that share one lose changes.
-func New(actor string) *Ledger {
-	l := &Ledger{actor: actor, dead: map[string]*held{}, actors: map[string]string{}, rows: map[string]Row{}, reached: map[string]Row{}, forgot: map[string]bool{}, ends: map[string]End{}}
+// NewMap is an empty ledger. The actor must be new with each start: two lives that share one lose changes.
+func NewMap(actor string) *Map {
+	l := &Map{actor: actor, dead: map[string]*held{}, actors: map[string]string{}, rows: map[string]Row{}, reached: map[string]Row{}, forgot: map[string]bool{}, ends: map[string]IncarnationEnd{}}
 	l.tree.init()
 	return l
 }
 
 // Actor is the name that own changes carry.
-func (l *Ledger) Actor() string { return l.actor }
+func (l *Map) Actor() string { return l.actor }
 
-// Known covers all changes that are part of the state here.
-func (l *Ledger) Known() Version { return l.known }
+// KnownVersion covers all changes that are part of the state here.
+func (l *Map) KnownVersion() Version { return l.known }
 
 // Counts tells how many names have a live value, how many are remembered without one, and their bytes.
-func (l *Ledger) Counts() (live, dead, bytes int) {
+func (l *Map) Counts() (live, dead, bytes int) {
 	return l.names.Len() - len(l.dead), len(l.dead), l.bytes
 }
 
 // Put writes a value; it supersedes every sibling that is held here.
-func (l *Ledger) Put(name string, value []byte) (Entry, error) {
-	if len(value) > ValueMost {
-		return Entry{}, &TooBig{name, "value", len(value), ValueMost}
+func (l *Map) Put(name string, value []byte) (Entry, error) {
+	if len(value) > MaxValueBytes {
+		return Entry{}, &TooLargeError{name, "value", len(value), MaxValueBytes}
 	}
 	h, _ := l.names.Get(name)
-	if live, _, _ := l.Counts(); (h == nil || !h.Live()) && live >= EntriesMost {
-		return Entry{}, &Full{name, "entries", live, EntriesMost}
+	if live, _, _ := l.Counts(); (h == nil || !h.IsLive()) && live >= MaxEntries {
+		return Entry{}, &CapacityExceededError{name, "entries", live, MaxEntries}
 	}
 	return l.write(h, name, Sibling{Value: bytes.Clone(value)})
 }
 
 // Delete leaves a tombstone in place of every sibling that is held here. A name that has none stays without.
-func (l *Ledger) Delete(name string) (Entry, error) {
+func (l *Map) Delete(name string) (Entry, error) {
 	h, _ := l.names.Get(name)
 	if h == nil || len(h.Siblings) == 0 {
 		return Entry{Name: name}, nil
@@ -119,65 +119,65 @@
 	if len(h.Siblings) == 1 && h.Siblings[0].Deleted {
 		return h.Entry, nil
 	}
-	if len(l.dead) >= TombstonesMost && h.Live() {
-		return Entry{}, &Full{name, "tombstones", len(l.dead), TombstonesMost}
+	if len(l.dead) >= MaxTombstones && h.IsLive() {
+		return Entry{}, &CapacityExceededError{name, "tombstones", len(l.dead), MaxTombstones}
 	}
 	return l.write(h, name, Sibling{Deleted: true})
 }
 
-func (l *Ledger) write(h *held, name string, s Sibling) (Entry, error) {
-	if name == "" || len(name) > NameMost {
-		return Entry{}, &TooBig{name, "name", len(name), NameMost}
+func (l *Map) write(h *held, name string, s Sibling) (Entry, error) {
+	if name == "" || len(name) > MaxNameBytes {
+		return Entry{}, &TooLargeError{name, "name", len(name), MaxNameBytes}
 	}
-	if more := len(name) + len(s.Value); more+l.bytes > BytesMost && !s.Deleted {
-		return Entry{}, &Full{name, "bytes", l.bytes, BytesMost}
+	if more := len(name) + len(s.Value); more+l.bytes > MaxTotalBytes && !s.Deleted {
+		return Entry{}, &CapacityExceededError{name, "bytes", l.bytes, MaxTotalBytes}
 	}
-	s.Dot = Dot{Actor: l.actor, N: l.known.Of(l.actor) + 1}
+	s.Dot = Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor) + 1}
 	e := Entry{Name: name, Siblings: []Sibling{s}}
 	var under Version
 	if h != nil {
-		e.Name, e.Seen, under = h.Name, h.Seen, h.under
+		e.Name, e.CausalContext, under = h.Name, h.CausalContext, h.under
 	} else {
 		if l.rebase {
 			l.base, l.rebase = l.known, false
 		}
 		under = l.base
 	}
-	e.Seen = e.Seen.With(s.Dot)
+	e.CausalContext = e.CausalContext.With(s.Dot)
 	l.known = l.known.With(s.Dot)
 	l.set(h, e, under)
 	return e, nil
 }
 
 // Get is the state of a name and whether it has a live value; a name that was deleted is told with its tombstone.
-func (l *Ledger) Get(name string) (Entry, bool) {
+func (l *Map) Get(name string) (Entry, bool) {
 	h, ok := l.names.Get(name)
 	if !ok {
 		return Entry{Name: name}, false
 	}
-	return h.Entry, h.Live()
+	return h.Entry, h.IsLive()
 }
 
-// Each tells the names with a live value that begin with prefix, in order, until f says no. f must not change the ledger.
-func (l *Ledger) Each(prefix string, f func(Entry) bool) {
+// ScanPrefix tells the names with a live value that begin with prefix, in order, until f says no. f must not change the ledger.
+func (l *Map) ScanPrefix(prefix string, f func(Entry) bool) {
 	l.names.Ascend(prefix, func(name string, h *held) bool {
-		return strings.HasPrefix(name, prefix) && (!h.Live() || f(h.Entry))
+		return strings.HasPrefix(name, prefix) && (!h.IsLive() || f(h.Entry))
 	})
 }
 
 // Merge takes in states of names as another instance holds them, in any order and any number of times. It tells which names
 // have other siblings now. Entries that cannot be taken are left out and told in err; the others are taken.
-func (l *Ledger) Merge(from string, entries []Entry) (changed []string, err error) {
-	return l.TakeBatch(from, Batch{Entries: entries})
+func (l *Map) Merge(from string, entries []Entry) (changed []string, err error) {
+	return l.MergeBatch(from, Batch{Entries: entries})
 }
 
 // Batch is states of names that are told together.
 type Batch struct {
-	_       struct{} `cbor:",toarray"`
-	Known   Version  // of the sender as it held these states, or before: what it knew and did not send under a name was superseded
-	Entries []Entry
-	Under   []Version // more that was seen under some of the names
-	Of      []uint16  // for each entry the place of its Under and 1, 0 for none; may be shorter
+	_              struct{} `cbor:",toarray"`
+	Known          Version  // of the sender as it held these states, or before: what it knew and did not send under a name was superseded
+	Entries        []Entry
+	ExtraContexts  []Version // more that was seen under some of the names
+	ContextIndexes []uint16  // for each entry the place of its Under and 1, 0 for none; may be shorter
 }
 
 const undersMost = 64 // versions told beside the Known; more go with the entries themselves
@@ -192,7 +192,7 @@
 
 // add adds a state and tells about how many bytes more the batch has by it.
 func (p *packer) add(h *held) (bytes int) {
-	p.Entries, p.Of = append(p.Entries, h.Entry), append(p.Of, 0)
+	p.Entries, p.ContextIndexes = append(p.Entries, h.Entry), append(p.ContextIndexes, 0)
 	bytes = h.cost()
 	if len(h.under) == 0 {
 		return bytes
@@ -201,18 +201,18 @@
 	if i < 0 {
 		rest := h.under.beyond(p.Known)
 		place := uint16(0)
-		if len(rest) > 0 && len(p.Under) < undersMost {
-			p.Under = append(p.Under, rest)
-			place = uint16(len(p.Under))
+		if len(rest) > 0 && len(p.ExtraContexts) < undersMost {
+			p.ExtraContexts = append(p.ExtraContexts, rest)
+			place = uint16(len(p.ExtraContexts))
 			bytes += rest.size()
 		}
 		i = len(p.froms)
 		p.froms, p.rests, p.place = append(p.froms, h.under), append(p.rests, rest), append(p.place, place)
 	}
-	if last := len(p.Of) - 1; p.place[i] > 0 {
-		p.Of[last] = p.place[i]
+	if last := len(p.ContextIndexes) - 1; p.place[i] > 0 {
+		p.ContextIndexes[last] = p.place[i]
 	} else if len(p.rests[i]) > 0 {
-		p.Entries[last].Seen = h.Seen.Join(p.rests[i])
+		p.Entries[last].CausalContext = h.CausalContext.Join(p.rests[i])
 		bytes += p.rests[i].size()
 	}
 	return bytes
@@ -221,15 +221,15 @@
 // same tells whether two versions are one in memory.
 func same(a, b Version) bool { return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) }
 
-// Batches are the states of these names for another instance in messages of about MessageBytes, with the Known or, for fresh
+// BuildBatches are the states of these names for another instance in messages of about TargetMessageBytes, with the Known or, for fresh
 // changes, without.
-func (l *Ledger) Batches(known bool, names []string) (out []Batch) {
+func (l *Map) BuildBatches(known bool, names []string) (out []Batch) {
 	for len(names) > 0 {
 		var p packer
 		if known {
 			p.Known = l.known
 		}
-		room := MessageBytes - p.Known.size()
+		room := TargetMessageBytes - p.Known.size()
 		for room > 0 && len(names) > 0 {
 			if h, ok := l.names.Get(names[0]); ok {
 				room -= p.add(h)
@@ -243,28 +243,28 @@
 	return out
 }
 
-// Whole is a name's state with what was seen under it beyond the Known, so that it says the same in a store beside that. It
+// StorableEntry is a name's state with what was seen under it beyond the Known, so that it says the same in a store beside that. It
 // is no entry where nothing is held.
-func (l *Ledger) Whole(name string) (Entry, bool) {
+func (l *Map) StorableEntry(name string) (Entry, bool) {
 	h, ok := l.names.Get(name)
 	if !ok {
 		return Entry{}, false
 	}
 	e := h.Entry
-	e.Seen = e.Seen.Join(h.under.beyond(l.known))
+	e.CausalContext = e.CausalContext.Join(h.under.beyond(l.known))
 	return e, true
 }
 
-// TakeBatch takes in a batch.
-func (l *Ledger) TakeBatch(from string, b Batch) (changed []string, err error) {
+// MergeBatch takes in a batch.
+func (l *Map) MergeBatch(from string, b Batch) (changed []string, err error) {
 	unders, err := l.unders(from, b)
 	if err != nil {
 		return nil, err
 	}
-	if l.over(from) || l.forgot[NameOf(from)] {
+	if l.over(from) || l.forgot[ActorName(from)] {
 		return nil, nil // a late message of an earlier life, whose later one has told what it held, or of one given up
 	}
-	return l.take(from, b.Entries, b.Of, unders)
+	return l.take(from, b.Entries, b.ContextIndexes, unders)
 }
 
 // told is a version that goes with states, and whether it says more than is known here.
@@ -274,29 +274,29 @@
 }
 
 // unders are the versions of a batch by place, 0 for its Known alone.
-func (l *Ledger) unders(from string, b Batch) ([]told, error) {
-	sound := b.Known.sound() && len(b.Under) <= undersMost && len(b.Of) <= len(b.Entries)
-	for _, u := range b.Under {
+func (l *Map) unders(from string, b Batch) ([]told, error) {
+	sound := b.Known.sound() && len(b.ExtraContexts) <= undersMost && len(b.ContextIndexes) <= len(b.Entries)
+	for _, u := range b.ExtraContexts {
 		sound = sound && u.sound()
 	}
 	if !sound {
-		return nil, &Unsound{from, "a version out of order"}
+		return nil, &InvalidDataError{from, "a version out of order"}
 	}
 	if err := l.struck(from, b.Known); err != nil {
 		return nil, err
 	}
-	out := make([]told, len(b.Under)+1)
+	out := make([]told, len(b.ExtraContexts)+1)
 	out[0].Version = l.own(b.Known)
-	for i, u := range b.Under {
+	for i, u := range b.ExtraContexts {
 		out[i+1].Version = l.own(b.Known.Join(u))
 	}
 	for i := range out {
-		out[i].news = !out[i].Within(l.known)
+		out[i].news = !out[i].IsCoveredBy(l.known)
 	}
 	return out, nil
 }
 
-func (l *Ledger) take(from string, entries []Entry, of []uint16, unders []told) (changed []string, err error) {
+func (l *Map) take(from string, entries []Entry, of []uint16, unders []told) (changed []string, err error) {
 	var errs []error
 	for i, e := range entries {
 		k := 0
@@ -304,11 +304,11 @@
 			k = int(of[i])
 		}
 		if k >= len(unders) {
-			errs = append(errs, &Unsound{from, "an entry of a version that there is not"})
+			errs = append(errs, &InvalidDataError{from, "an entry of a version that there is not"})
 			continue
 		}
 		if why := e.unsound(); why != "" {
-			errs = append(errs, &Unsound{from, why})
+			errs = append(errs, &InvalidDataError{from, why})
 			continue
 		}
 		did, err := l.merge(e, unders[k])
@@ -330,18 +330,18 @@
 // unsound says why an entry from outside cannot be used, or nothing.
 func (e Entry) unsound() string {
 	switch {
-	case e.Name == "" || len(e.Name) > NameMost:
+	case e.Name == "" || len(e.Name) > MaxNameBytes:
 		return "a name without or with too many bytes"
-	case len(e.Siblings) > SiblingsMost:
+	case len(e.Siblings) > MaxSiblings:
 		return "an entry with too many siblings"
-	case !e.Seen.sound():
+	case !e.CausalContext.sound():
 		return "a version out of order"
 	}
 	for i, s := range e.Siblings {
 		switch {
-		case len(s.Value) > ValueMost:
+		case len(s.Value) > MaxValueBytes:
 			return "a value with too many bytes"
-		case s.Dot.N == 0 || !soundActor(s.Dot.Actor) || !e.Seen.Covers(s.Dot):
+		case s.Dot.Counter == 0 || !soundActor(s.Dot.Actor) || !e.CausalContext.Covers(s.Dot):
 			return "a sibling that its entry has not seen"
 		case i > 0 && e.Siblings[i-1].Dot.compare(s.Dot) >= 0:
 			return "siblings out of order"
@@ -350,7 +350,7 @@
 	return ""
 }
 
-func (l *Ledger) merge(e Entry, theirs told) (changed bool, err error) {
+func (l *Map) merge(e Entry, theirs told) (changed bool, err error) {
 	h, _ := l.names.Get(e.Name)
 	var ours Entry
 	var under Version
@@ -379,12 +379,12 @@
 		}
 		switch {
 		case c < 0:
-			if !e.Seen.Covers(a[0].Dot) && !theirs.Covers(a[0].Dot) {
+			if !e.CausalContext.Covers(a[0].Dot) && !theirs.Covers(a[0].Dot) {
 				add(a[0], true)
 			}
 			a = a[1:]
 		case c > 0:
-			if !ours.Seen.Covers(b[0].Dot) && !l.known.Covers(b[0].Dot) && !under.Covers(b[0].Dot) {
+			if !ours.CausalContext.Covers(b[0].Dot) && !l.known.Covers(b[0].Dot) && !under.Covers(b[0].Dot) {
 				add(b[0], false)
 			}
 			b = b[1:]
@@ -400,9 +400,9 @@
 		}
 	}
 	changed = len(out) != was || same != was
-	seen := ours.Seen.Join(e.Seen)
-	more := theirs.news && !theirs.Within(under)
-	if !changed && !more && seen.Within(ours.Seen) {
+	seen := ours.CausalContext.Join(e.CausalContext)
+	more := theirs.news && !theirs.IsCoveredBy(under)
+	if !changed && !more && seen.IsCoveredBy(ours.CausalContext) {
 		return false, nil
 	}
 	if more {
@@ -410,12 +410,12 @@
 	}
 	if changed {
 		switch {
-		case len(out) > SiblingsMost:
-			return false, &Crowded{e.Name, len(out), SiblingsMost}
-		case h == nil && l.names.Len() >= HeldMost:
-			return false, &Full{e.Name, "entries", l.names.Len(), HeldMost}
-		case live > 0 && l.bytes > BytesMost:
-			return false, &Full{e.Name, "bytes", l.bytes, BytesMost}
+		case len(out) > MaxSiblings:
+			return false, &TooManySiblingsError{e.Name, len(out), MaxSiblings}
+		case h == nil && l.names.Len() >= MaxNames:
+			return false, &CapacityExceededError{e.Name, "entries", l.names.Len(), MaxNames}
+		case live > 0 && l.bytes > MaxTotalBytes:
+			return false, &CapacityExceededError{e.Name, "bytes", l.bytes, MaxTotalBytes}
 		}
 	}
 	if h == nil {
@@ -423,7 +423,7 @@
 	} else {
 		e.Name = h.Name
 	}
-	e.Siblings, e.Seen = slices.Clip(out), l.own(seen)
+	e.Siblings, e.CausalContext = slices.Clip(out), l.own(seen)
 	for i := range e.Siblings {
 		e.Siblings[i].Dot.Actor = l.intern(e.Siblings[i].Dot.Actor)
 	}
@@ -432,7 +432,7 @@
 }
 
 // joined is the join of two versions, one in memory for all names of which it is asked one after another.
-func (l *Ledger) joined(a, b Version) Version {
+func (l *Map) joined(a, b Version) Version {
 	if len(a) == 0 || same(a, b) {
 		return b
 	}
@@ -443,7 +443,7 @@
 }
 
 // own is v with actors' names that are held once.
-func (l *Ledger) own(v Version) Version {
+func (l *Map) own(v Version) Version {
 	v = slices.Clone(v)
 	for i := range v {
 		v[i].Actor = l.intern(v[i].Actor)
@@ -451,7 +451,7 @@
 	return v
 }
 
-func (l *Ledger) intern(actor string) string {
+func (l *Map) intern(actor string) string {
 	if s, ok := l.actors[actor]; ok {
 		return s
 	}
@@ -461,13 +461,13 @@
 }
 
 // set puts a state in place of the one held, or drops it where it says no more than the Known.
-func (l *Ledger) set(h *held, e Entry, under Version) {
+func (l *Map) set(h *held, e Entry, under Version) {
 	if h != nil {
 		l.tree.take(h)
 		l.bytes -= h.size()
 		delete(l.dead, h.Name)
 	}
-	if len(e.Siblings) == 0 && e.Seen.Within(l.known) {
+	if len(e.Siblings) == 0 && e.CausalContext.IsCoveredBy(l.known) {
 		if h != nil {
 			l.names.Delete(h.Name)
 			l.rebase = true
@@ -481,7 +481,7 @@
 	h.Entry, h.sum, h.under = e, e.sum(), under
 	l.tree.put(h)
 	l.bytes += h.size()
-	if !h.Live() {
+	if !h.IsLive() {
 		l.dead[h.Name] = h
 	}
 }
@@ -510,7 +510,7 @@
 	part(e.Name)
 	for _, s := range e.Siblings {
 		part(s.Dot.Actor)
-		k := s.Dot.N << 1
+		k := s.Dot.Counter << 1
 		if s.Deleted {
 			k |= 1
 		}
--- a/cluster/crdt/ledger_test.go
+++ b/cluster/crdt/ledger_test.go
@@ -11,16 +11,16 @@
 )
 
 // state is all that l holds and remembers, as text.
-func state(l *Ledger) string {
+func state(l *Map) string {
 	var b strings.Builder
 	l.names.Scan(func(name string, h *held) bool {
-		fmt.Fprintln(&b, name, h.Siblings, h.Seen)
+		fmt.Fprintln(&b, name, h.Siblings, h.CausalContext)
 		return true
 	})
 	return b.String()
 }
 
-func all(l *Ledger) (out []Entry) {
+func all(l *Map) (out []Entry) {
 	l.names.Scan(func(_ string, h *held) bool { out = append(out, h.Entry); return true })
 	return out
 }
@@ -33,7 +33,7 @@
 }
 
 // write does a drawn change and says what it superseded.
-func write(t *rapid.T, l *Ledger, name string) (was, is Entry) {
+func write(t *rapid.T, l *Map, name string) (was, is Entry) {
 	was, _ = l.Get(name)
 	var err error
 	if rapid.IntRange(0, 2).Draw(t, "delete") == 0 {
@@ -50,7 +50,7 @@
 // What is left of a name is the changes that no later one had seen, whatever the order and number of messages.
 func TestMergeKeepsWhatNothingSuperseded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ls := []*Ledger{New("x#1"), New("y#1"), New("z#1")}
+		ls := []*Map{NewMap("x#1"), NewMap("y#1"), NewMap("z#1")}
 		var sent []Entry
 		written, gone := map[string][]Dot{}, map[Dot]bool{}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
@@ -83,7 +83,7 @@
 			_, err := l.Merge("x", all(ls[0]))
 			require.NoError(t, err)
 			require.Equal(t, state(ls[0]), state(l))
-			require.Equal(t, ls[0].Digest(Node{}), l.Digest(Node{}))
+			require.Equal(t, ls[0].Digest(TreeNode{}), l.Digest(TreeNode{}))
 		}
 		for name, ds := range written {
 			e, _ := ls[0].Get(name)
@@ -100,7 +100,7 @@
 
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ls := []*Ledger{New("x#1"), New("y#1"), New("z#1")}
+		ls := []*Map{NewMap("x#1"), NewMap("y#1"), NewMap("z#1")}
 		for range rapid.IntRange(0, 15).Draw(t, "steps") {
 			l := rapid.SampledFrom(ls).Draw(t, "who")
 			if rapid.Bool().Draw(t, "write") {
@@ -111,8 +111,8 @@
 				require.NoError(t, err)
 			}
 		}
-		merged := func(of ...*Ledger) *Ledger {
-			m := New("m#1")
+		merged := func(of ...*Map) *Map {
+			m := NewMap("m#1")
 			for _, l := range of {
 				_, err := m.Merge(l.Actor(), all(l))
 				require.NoError(t, err)
@@ -127,38 +127,38 @@
 }
 
 func TestBounds(t *testing.T) {
-	l := New("x#1")
-	var big *TooBig
-	_, err := l.Put("a", make([]byte, ValueMost+1))
+	l := NewMap("x#1")
+	var big *TooLargeError
+	_, err := l.Put("a", make([]byte, MaxValueBytes+1))
 	require.ErrorAs(t, err, &big)
-	_, err = l.Put(strings.Repeat("n", NameMost+1), nil)
+	_, err = l.Put(strings.Repeat("n", MaxNameBytes+1), nil)
 	require.ErrorAs(t, err, &big)
 	_, err = l.Put("", nil)
 	require.ErrorAs(t, err, &big)
-	for i := range EntriesMost {
+	for i := range MaxEntries {
 		_, err := l.Put(fmt.Sprint(i), []byte("v"))
 		require.NoError(t, err)
 	}
-	var full *Full
+	var full *CapacityExceededError
 	_, err = l.Put("more", nil)
 	require.ErrorAs(t, err, &full)
 	_, err = l.Put("7", nil)
 	require.NoError(t, err)
-	for i := range TombstonesMost {
+	for i := range MaxTombstones {
 		_, err := l.Delete(fmt.Sprint(i))
 		require.NoError(t, err)
 	}
 	_, err = l.Delete("70000")
 	require.ErrorAs(t, err, &full)
 	require.Contains(t, full.Advice(), "Bring back")
-	var unsound *Unsound
-	_, err = l.Merge("y", []Entry{{Name: "z", Siblings: []Sibling{{Dot: Dot{Actor: "y#1", N: 1}}}}})
+	var unsound *InvalidDataError
+	_, err = l.Merge("y", []Entry{{Name: "z", Siblings: []Sibling{{Dot: Dot{Actor: "y#1", Counter: 1}}}}})
 	require.ErrorAs(t, err, &unsound)
-	crowd := make([]Entry, SiblingsMost+1)
+	crowd := make([]Entry, MaxSiblings+1)
 	for i := range crowd {
-		crowd[i], _ = New(fmt.Sprintf("c%03d#1", i)).Put("crowd", nil)
+		crowd[i], _ = NewMap(fmt.Sprintf("c%03d#1", i)).Put("crowd", nil)
 	}
-	var crowded *Crowded
+	var crowded *TooManySiblingsError
 	_, err = l.Merge("y", crowd)
 	require.ErrorAs(t, err, &crowded)
 	_, err = l.Put("crowd", nil)
@@ -169,32 +169,32 @@
 
 // Two processes of one name: the earlier goes on as a new life and keeps what no one else had.
 func TestStruckLifeKeepsItsChanges(t *testing.T) {
-	one, two, other := New("a#1"), New("a#2"), New("b#1")
-	for _, l := range []*Ledger{one, two, other} {
-		l.Counting([]string{"a", "b"}, nil)
+	one, two, other := NewMap("a#1"), NewMap("a#2"), NewMap("b#1")
+	for _, l := range []*Map{one, two, other} {
+		l.SetMembers([]string{"a", "b"}, nil)
 	}
 	_, _ = one.Put("told", []byte("1"))
-	_, err := other.TakeBatch("a#1", batch(one, true, "told"))
+	_, err := other.MergeBatch("a#1", batch(one, true, "told"))
 	require.NoError(t, err)
 	for range 3 { // the later life and the other settle the earlier one
-		two.Mine()
-		other.Mine()
-		for _, p := range [][2]*Ledger{{two, other}, {other, two}} {
+		two.NextRow()
+		other.NextRow()
+		for _, p := range [][2]*Map{{two, other}, {other, two}} {
 			meet(t, p[0], p[1])
 		}
 	}
-	require.EqualValues(t, 2, other.Known().Ended("a"))
+	require.EqualValues(t, 2, other.KnownVersion().EndedBefore("a"))
 	_, _ = one.Put("untold", []byte("2"))
 	x := one.NewExchange("b", 1)
-	q, _ := x.Next()
-	a, err := other.Answer("a", q)
+	q, _ := x.NextRequest()
+	a, err := other.HandleRequest("a", q)
 	require.NoError(t, err)
-	_, _, err = x.Take(a)
-	var struck *Struck
+	_, _, err = x.ApplyResponse(a)
+	var struck *SupersededError
 	require.ErrorAs(t, err, &struck)
-	require.EqualValues(t, 2, struck.Before)
+	require.EqualValues(t, 2, struck.EndedBefore)
 	require.Contains(t, struck.Advice(), "second process")
-	require.Len(t, one.Renew(3, "b"), 2)
+	require.Len(t, one.BeginIncarnation(3, "b"), 2)
 	require.Equal(t, "a#3", one.Actor())
 	meet(t, one, other)
 	meet(t, other, one)
@@ -206,43 +206,43 @@
 }
 
 // meet is an exchange to its end.
-func meet(t *testing.T, l, other *Ledger) {
-	x := l.NewExchange(NameOf(other.Actor()), 7)
+func meet(t *testing.T, l, other *Map) {
+	x := l.NewExchange(ActorName(other.Actor()), 7)
 	for {
-		q, ok := x.Next()
+		q, ok := x.NextRequest()
 		if !ok {
 			break
 		}
-		a, err := other.Answer(NameOf(l.Actor()), q)
+		a, err := other.HandleRequest(ActorName(l.Actor()), q)
 		require.NoError(t, err)
-		_, lacks, err := x.Take(a)
+		_, lacks, err := x.ApplyResponse(a)
 		require.NoError(t, err)
-		_, err = other.TakeBatch(l.Actor(), batch(l, true, lacks...))
+		_, err = other.MergeBatch(l.Actor(), batch(l, true, lacks...))
 		require.NoError(t, err)
 	}
-	require.True(t, x.Whole())
+	require.True(t, x.IsComplete())
 }
 
 // One that was away for so long that a delete was forgotten without it brings nothing back, and is told what it kept.
 func TestAwayForLong(t *testing.T) {
-	a, b := New("a#1"), New("b#1")
+	a, b := NewMap("a#1"), NewMap("b#1")
 	_, _ = a.Put("x", []byte("1"))
 	meet(t, b, a)
 	_, _ = b.Put("y", []byte("unseen"))
 	_, _ = a.Delete("x")
-	a.Counting([]string{"a", "b"}, []string{"b"})
-	require.Equal(t, []string{"x"}, a.Collect())
+	a.SetMembers([]string{"a", "b"}, []string{"b"})
+	require.Equal(t, []string{"x"}, a.CollectTombstones())
 	x := b.NewExchange("a", 1)
-	q, _ := x.Next()
-	answer, err := a.Answer("b", q)
+	q, _ := x.NextRequest()
+	answer, err := a.HandleRequest("b", q)
 	require.NoError(t, err)
-	_, _, err = x.Take(answer)
+	_, _, err = x.ApplyResponse(answer)
 	require.NoError(t, err)
-	require.True(t, x.Away)
-	require.Equal(t, []string{"y"}, x.Unseen)
+	require.True(t, x.MissedDeletes)
+	require.Equal(t, []string{"y"}, x.UnsyncedNames)
 	meet(t, a, b)
 	meet(t, b, a)
-	for _, l := range []*Ledger{a, b} {
+	for _, l := range []*Map{a, b} {
 		_, ok := l.Get("x")
 		require.False(t, ok)
 		_, ok = l.Get("y")
@@ -251,7 +251,7 @@
 }
 
 func TestExchangeFollowsTheDifferenceAndGoesOnWhereItWasCut(t *testing.T) {
-	a, b := New("a#1"), New("b#1")
+	a, b := NewMap("a#1"), NewMap("b#1")
 	for i := range 20_000 {
 		_, _ = a.Put(fmt.Sprint("name", i), []byte("some value of a name"))
 	}
@@ -261,44 +261,44 @@
 	}
 	x := b.NewExchange("a", 1)
 	most, all, want := 0, 0, 0
-	for n := 0; !x.Done(); n++ {
-		q, ok := x.Next()
+	for n := 0; !x.IsDone(); n++ {
+		q, ok := x.NextRequest()
 		require.True(t, ok)
 		if n%2 == 0 && n > 0 { // this question is lost; nothing that was had is asked again
-			x.Again()
+			x.RetryRequest()
 			continue
 		}
-		out, err := a.Answer("b", q)
+		out, err := a.HandleRequest("b", q)
 		require.NoError(t, err)
 		text, err := cbor.Marshal(out)
 		require.NoError(t, err)
-		most, all, want = max(most, len(text)), all+len(text), want+len(q.Want)
-		_, _, err = x.Take(out)
+		most, all, want = max(most, len(text)), all+len(text), want+len(q.WantedBuckets)
+		_, _, err = x.ApplyResponse(out)
 		require.NoError(t, err)
 	}
-	require.True(t, x.Whole())
-	require.Equal(t, a.Digest(Node{}), b.Digest(Node{}))
+	require.True(t, x.IsComplete())
+	require.Equal(t, a.Digest(TreeNode{}), b.Digest(TreeNode{}))
 	require.Less(t, most, 64<<10)
-	require.Equal(t, x.Differing, want)
+	require.Equal(t, x.DifferingBuckets, want)
 	require.Less(t, all, 100<<10, "200 of 20,000 differ: the list is over a megabyte")
 }
 
 // A tombstone that one has forgotten goes with the other that knows no less, too: else their copies differ for ever.
 func TestForgottenTombstoneGoesWithWhoKnowsAsMuch(t *testing.T) {
-	a, b := New("a#1"), New("b#1")
+	a, b := NewMap("a#1"), NewMap("b#1")
 	_, _ = a.Put("x", []byte("1"))
 	_, _ = a.Delete("x")
 	meet(t, b, a)
 	meet(t, a, b)
-	a.Counting([]string{"a"}, nil)
-	require.Equal(t, []string{"x"}, a.Collect())
-	require.Equal(t, a.Known(), b.Known())
+	a.SetMembers([]string{"a"}, nil)
+	require.Equal(t, []string{"x"}, a.CollectTombstones())
+	require.Equal(t, a.KnownVersion(), b.KnownVersion())
 	meet(t, b, a)
-	require.Equal(t, a.Digest(Node{}), b.Digest(Node{}))
+	require.Equal(t, a.Digest(TreeNode{}), b.Digest(TreeNode{}))
 }
 
 // batch is the states of these names in one piece, whatever their bytes.
-func batch(l *Ledger, known bool, names ...string) Batch {
+func batch(l *Map, known bool, names ...string) Batch {
 	var p packer
 	if known {
 		p.Known = l.known
--- a/cluster/crdt/rows.go
+++ b/cluster/crdt/rows.go
@@ -9,92 +9,92 @@
 // Row is what one life of an instance says of itself: how far its state reaches. Rows travel with exchanges; from all of
 // them together each instance knows by itself which deletes everyone has seen.
 type Row struct {
-	_     struct{} `cbor:",toarray"`
-	Actor string
-	Seq   uint64 // a later row of the same life has a greater one
-	Known Version
-	Ends  []End // lives whose end was noticed and is not yet settled
+	_               struct{} `cbor:",toarray"`
+	Actor           string
+	Seq             uint64 // a later row of the same life has a greater one
+	Known           Version
+	IncarnationEnds []IncarnationEnd // lives whose end was noticed and is not yet settled
 }
 
-// End says that an instance noticed the end of all lives of another before one: it takes nothing from them any more, and
+// IncarnationEnd says that an instance noticed the end of all lives of another before one: it takes nothing from them any more, and
 // all it ever took from them is part of its state at its own change At.
-type End struct {
-	_          struct{} `cbor:",toarray"`
-	Name       string
-	Before, At uint64
+type IncarnationEnd struct {
+	_               struct{} `cbor:",toarray"`
+	Name            string
+	Before, NotedAt uint64
 }
 
-// RowMark names a row that is held, so that only later ones are sent.
-type RowMark struct {
+// RowVersion names a row that is held, so that only later ones are sent.
+type RowVersion struct {
 	_     struct{} `cbor:",toarray"`
 	Actor string
 	Seq   uint64
 }
 
 const (
-	RowsMost  = 4096 // instances whose rows are held
+	MaxRows   = 4096 // instances whose rows are held
 	seenShort = 3    // actors in an entry's Seen over which those of no sibling are left out once all have the state
 )
 
-// Mine is a new row of this instance.
-func (l *Ledger) Mine() Row {
+// NextRow is a new row of this instance.
+func (l *Map) NextRow() Row {
 	if l.mine.Seq == 0 {
-		l.end(NameOf(l.actor), LifeOf(l.actor))
+		l.end(ActorName(l.actor), ActorIncarnation(l.actor))
 	}
 	r := Row{Actor: l.actor, Seq: l.mine.Seq + 1, Known: l.known}
 	for _, e := range l.ends {
-		r.Ends = append(r.Ends, e)
+		r.IncarnationEnds = append(r.IncarnationEnds, e)
 	}
-	slices.SortFunc(r.Ends, func(a, b End) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(r.IncarnationEnds, func(a, b IncarnationEnd) int { return strings.Compare(a.Name, b.Name) })
 	l.mine = r
 	return r
 }
 
 // end notes that the lives of name before one are over.
-func (l *Ledger) end(name string, before uint64) {
-	if l.ends[name].Before >= before || l.known.Ended(name) >= before {
+func (l *Map) end(name string, before uint64) {
+	if l.ends[name].Before >= before || l.known.EndedBefore(name) >= before {
 		return
 	}
-	l.known = l.known.With(Dot{Actor: l.actor, N: l.known.Of(l.actor) + 1})
-	l.ends[name] = End{Name: name, Before: before, At: l.known.Of(l.actor)}
+	l.known = l.known.With(Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor) + 1})
+	l.ends[name] = IncarnationEnd{Name: name, Before: before, NotedAt: l.known.LastCounter(l.actor)}
 }
 
 // over tells whether a later life of the same instance is known.
-func (l *Ledger) over(actor string) bool {
-	name, life := NameOf(actor), LifeOf(actor)
-	return life > 0 && (life < l.ends[name].Before || life < l.known.Ended(name))
+func (l *Map) over(actor string) bool {
+	name, life := ActorName(actor), ActorIncarnation(actor)
+	return life > 0 && (life < l.ends[name].Before || life < l.known.EndedBefore(name))
 }
 
-// Forget stops waiting for an instance that will not come back. What it told someone stays. One that comes back all the same
+// ForgetInstance stops waiting for an instance that will not come back. What it told someone stays. One that comes back all the same
 // is heard again from its next row on; of others' ended lives it may then hold changes that are no longer taken.
-func (l *Ledger) Forget(name string) {
+func (l *Map) ForgetInstance(name string) {
 	delete(l.rows, name)
 	delete(l.reached, name)
 	l.forgot[name] = true
 }
 
-// Marks names the rows held.
-func (l *Ledger) Marks() []RowMark {
-	out := make([]RowMark, 0, len(l.rows)+1)
+// RowVersions names the rows held.
+func (l *Map) RowVersions() []RowVersion {
+	out := make([]RowVersion, 0, len(l.rows)+1)
 	for _, r := range l.rows {
-		out = append(out, RowMark{Actor: r.Actor, Seq: r.Seq})
+		out = append(out, RowVersion{Actor: r.Actor, Seq: r.Seq})
 	}
 	if l.mine.Seq > 0 {
-		out = append(out, RowMark{Actor: l.actor, Seq: l.mine.Seq})
+		out = append(out, RowVersion{Actor: l.actor, Seq: l.mine.Seq})
 	}
-	slices.SortFunc(out, func(a, b RowMark) int { return strings.Compare(a.Actor, b.Actor) })
+	slices.SortFunc(out, func(a, b RowVersion) int { return strings.Compare(a.Actor, b.Actor) })
 	return out
 }
 
-// Rows are rows that are later than marks, of up to about so many bytes.
-func (l *Ledger) Rows(marks []RowMark, bytes int) (out []Row) {
-	held := make(map[string]RowMark, len(marks))
+// RowsSince are rows that are later than marks, of up to about so many bytes.
+func (l *Map) RowsSince(marks []RowVersion, bytes int) (out []Row) {
+	held := make(map[string]RowVersion, len(marks))
 	for _, m := range marks {
-		held[NameOf(m.Actor)] = m
+		held[ActorName(m.Actor)] = m
 	}
 	later := func(r Row) bool {
-		m := held[NameOf(r.Actor)]
-		a, b := LifeOf(r.Actor), LifeOf(m.Actor)
+		m := held[ActorName(r.Actor)]
+		a, b := ActorIncarnation(r.Actor), ActorIncarnation(m.Actor)
 		return a > b || a == b && r.Seq > m.Seq
 	}
 	if l.mine.Seq > 0 && later(l.mine) {
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (l *Ledger) rowNames() []string {
+func (l *Map) rowNames() []string {
 	out := make([]string, 0, len(l.rows))
 	for name := range l.rows {
 		out = append(out, name)
@@ -129,18 +129,18 @@
 	return n
 }
 
-func (r Row) size() int { return len(r.Actor) + 12 + r.Known.size() + 40*len(r.Ends) }
+func (r Row) size() int { return len(r.Actor) + 12 + r.Known.size() + 40*len(r.IncarnationEnds) }
 
-// TakeRows takes rows in that are later than those held.
-func (l *Ledger) TakeRows(from string, rows []Row) error {
+// MergeRows takes rows in that are later than those held.
+func (l *Map) MergeRows(from string, rows []Row) error {
 	for _, r := range rows {
-		if !soundActor(r.Actor) || r.Seq == 0 || !r.Known.sound() || len(r.Ends) > RowsMost {
-			return &Unsound{from, "a row that cannot be used"}
+		if !soundActor(r.Actor) || r.Seq == 0 || !r.Known.sound() || len(r.IncarnationEnds) > MaxRows {
+			return &InvalidDataError{from, "a row that cannot be used"}
 		}
-		name := NameOf(r.Actor)
+		name := ActorName(r.Actor)
 		old, ok := l.rows[name]
-		a, b := LifeOf(r.Actor), LifeOf(old.Actor)
-		if name == NameOf(l.actor) || l.over(r.Actor) || ok && (a < b || a == b && r.Seq <= old.Seq) || !ok && len(l.rows) >= RowsMost {
+		a, b := ActorIncarnation(r.Actor), ActorIncarnation(old.Actor)
+		if name == ActorName(l.actor) || l.over(r.Actor) || ok && (a < b || a == b && r.Seq <= old.Seq) || !ok && len(l.rows) >= MaxRows {
 			continue
 		}
 		r.Actor, r.Known = l.intern(r.Actor), l.own(r.Known)
@@ -151,9 +151,9 @@
 	return nil
 }
 
-// Counting names all instances there are, and those of them that are away for so long that deletes are forgotten without
+// SetMembers names all instances there are, and those of them that are away for so long that deletes are forgotten without
 // them. Nothing is forgotten before it was called.
-func (l *Ledger) Counting(all, away []string) {
+func (l *Map) SetMembers(all, away []string) {
 	l.counting, l.away = append([]string{}, all...), map[string]bool{}
 	for _, n := range away {
 		l.away[n] = true
@@ -162,7 +162,7 @@
 
 // settling are the instances that must have noticed the end of a life before it is settled: all that were ever heard of and
 // were not forgotten, away or not, since what they hold of that life is nowhere else perhaps.
-func (l *Ledger) settling() map[string]bool {
+func (l *Map) settling() map[string]bool {
 	out := map[string]bool{}
 	for _, n := range l.counting {
 		out[n] = true
@@ -172,21 +172,21 @@
 	}
 	for _, d := range l.known {
 		if !isMark(d.Actor) {
-			out[NameOf(d.Actor)] = true
+			out[ActorName(d.Actor)] = true
 		}
 	}
 	for n := range l.forgot {
 		delete(out, n)
 	}
-	delete(out, NameOf(l.actor))
+	delete(out, ActorName(l.actor))
 	return out
 }
 
-// Stable is what all instances that count have seen, by rows of theirs whose whole state is part of the one here: so that
+// StableVersion is what all instances that count have seen, by rows of theirs whose whole state is part of the one here: so that
 // what any of them wrote before it saw a delete is here, beside the tombstone.
-func (l *Ledger) Stable() (Version, bool) {
+func (l *Map) StableVersion() (Version, bool) {
 	for name, r := range l.rows {
-		if r.Known.Within(l.known) {
+		if r.Known.IsCoveredBy(l.known) {
 			l.reached[name] = r
 		}
 	}
@@ -195,7 +195,7 @@
 	}
 	s := l.known
 	for _, name := range l.counting {
-		if name == NameOf(l.actor) || l.away[name] {
+		if name == ActorName(l.actor) || l.away[name] {
 			continue
 		}
 		r, ok := l.reached[name]
@@ -208,7 +208,7 @@
 }
 
 // settleEnds covers, by one mark each, the lives that everyone knows to be over and whose changes are all here.
-func (l *Ledger) settleEnds() {
+func (l *Map) settleEnds() {
 	if len(l.ends) == 0 || l.counting == nil {
 		return
 	}
@@ -217,41 +217,41 @@
 		before := mine.Before
 		for other := range all {
 			r := l.rows[other]
-			i := slices.IndexFunc(r.Ends, func(e End) bool { return e.Name == name })
-			if i < 0 || !l.known.Covers(Dot{Actor: r.Actor, N: r.Ends[i].At}) {
+			i := slices.IndexFunc(r.IncarnationEnds, func(e IncarnationEnd) bool { return e.Name == name })
+			if i < 0 || !l.known.Covers(Dot{Actor: r.Actor, Counter: r.IncarnationEnds[i].NotedAt}) {
 				before = 0 // not noticed there, or settled there: the mark comes with the next exchange
 				break
 			}
-			before = min(before, r.Ends[i].Before)
+			before = min(before, r.IncarnationEnds[i].Before)
 		}
-		if before > l.known.Ended(name) {
-			l.known = l.known.With(Dot{Actor: name + "#", N: before})
+		if before > l.known.EndedBefore(name) {
+			l.known = l.known.With(Dot{Actor: name + "#", Counter: before})
 		}
-		if l.known.Ended(name) >= mine.Before {
+		if l.known.EndedBefore(name) >= mine.Before {
 			delete(l.ends, name)
 		}
 	}
 }
 
-// Collect forgets tombstones that all instances that count have seen, and tells their names.
-func (l *Ledger) Collect() (dropped []string) {
+// CollectTombstones forgets tombstones that all instances that count have seen, and tells their names.
+func (l *Map) CollectTombstones() (dropped []string) {
 	l.settleEnds()
-	stable, ok := l.Stable()
+	stable, ok := l.StableVersion()
 	for _, h := range l.dead {
-		if ok && h.Seen.Within(stable) || len(h.Siblings) == 0 && h.Seen.Within(l.known) {
+		if ok && h.CausalContext.IsCoveredBy(stable) || len(h.Siblings) == 0 && h.CausalContext.IsCoveredBy(l.known) {
 			l.set(h, Entry{}, nil)
 			dropped = append(dropped, h.Name)
 		}
 	}
 	l.names.Scan(func(_ string, h *held) bool {
 		// Only once all have this state itself: a change that all have seen is not yet one that all know to be superseded.
-		if !ok || len(h.under) == 0 && len(h.Seen) <= seenShort || !h.Seen.Within(stable) {
+		if !ok || len(h.under) == 0 && len(h.CausalContext) <= seenShort || !h.CausalContext.IsCoveredBy(stable) {
 			return true
 		}
-		if len(h.Seen) > seenShort {
-			h.Seen = h.shortSeen()
+		if len(h.CausalContext) > seenShort {
+			h.CausalContext = h.shortSeen()
 		}
-		if h.under.Within(l.known) {
+		if h.under.IsCoveredBy(l.known) {
 			h.under = nil
 		}
 		return true
@@ -262,7 +262,7 @@
 // shortSeen is of the Seen what its siblings need.
 func (e Entry) shortSeen() Version {
 	out := make(Version, 0, len(e.Siblings))
-	for _, d := range e.Seen {
+	for _, d := range e.CausalContext {
 		if slices.ContainsFunc(e.Siblings, func(s Sibling) bool { return s.Dot.Actor == d.Actor }) {
 			out = append(out, d)
 		}
@@ -270,34 +270,34 @@
 	return out
 }
 
-// Struck says that others took this life as over, since a later one with the same name came.
-type Struck struct {
-	From   string
-	Before uint64 // lives before this one are over
+// SupersededError says that others took this life as over, since a later one with the same name came.
+type SupersededError struct {
+	From        string
+	EndedBefore uint64 // lives before this one are over
 }
 
-func (e *Struck) Error() string {
+func (e *SupersededError) Error() string {
 	return "ledger: " + e.From + " takes this life of the instance as over"
 }
 
 // Advice says what an operator can do.
-func (e *Struck) Advice() string {
+func (e *SupersededError) Advice() string {
 	return "Look for a second process with this instance's name and stop one; this one goes on as a new life and keeps its changes."
 }
 
 // struck tells whether a version from outside takes this life as over.
-func (l *Ledger) struck(from string, known Version) error {
-	if before := known.Ended(NameOf(l.actor)); before > LifeOf(l.actor) {
-		return &Struck{from, before}
+func (l *Map) struck(from string, known Version) error {
+	if before := known.EndedBefore(ActorName(l.actor)); before > ActorIncarnation(l.actor) {
+		return &SupersededError{from, before}
 	}
 	return nil
 }
 
-// Renew goes on as a new life. Changes of this life that peer, by what is known of it here, has not seen are made again as
+// BeginIncarnation goes on as a new life. Changes of this life that peer, by what is known of it here, has not seen are made again as
 // changes of the new one, so that they are kept; they are told.
-func (l *Ledger) Renew(life uint64, peer string) (kept []Entry) {
-	name, old, seen := NameOf(l.actor), l.actor, l.rows[peer].Known
-	l.actor, l.mine, l.ends = ActorOf(name, life), Row{}, map[string]End{}
+func (l *Map) BeginIncarnation(life uint64, peer string) (kept []Entry) {
+	name, old, seen := ActorName(l.actor), l.actor, l.rows[peer].Known
+	l.actor, l.mine, l.ends = FormatActor(name, life), Row{}, map[string]IncarnationEnd{}
 	l.names.Scan(func(_ string, h *held) bool {
 		var siblings []Sibling
 		for i, s := range h.Siblings {
@@ -305,14 +305,14 @@
 				if siblings == nil {
 					siblings = slices.Clone(h.Siblings)
 				}
-				siblings[i].Dot = Dot{Actor: l.actor, N: l.known.Of(l.actor) + 1}
+				siblings[i].Dot = Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor) + 1}
 				l.known = l.known.With(siblings[i].Dot)
 			}
 		}
 		if siblings != nil {
 			e := h.Entry
 			slices.SortFunc(siblings, func(a, b Sibling) int { return a.Dot.compare(b.Dot) })
-			e.Siblings, e.Seen = siblings, e.Seen.With(Dot{Actor: l.actor, N: l.known.Of(l.actor)})
+			e.Siblings, e.CausalContext = siblings, e.CausalContext.With(Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor)})
 			kept = append(kept, e)
 		}
 		return true
@@ -325,9 +325,9 @@
 }
 
 // Restore takes in what a store kept of this instance's copy: entries first, then the Known of the same or an earlier moment.
-func (l *Ledger) Restore(entries []Entry, known Version) error {
+func (l *Map) Restore(entries []Entry, known Version) error {
 	if !known.sound() {
-		return &Unsound{"the store", "a version out of order"}
+		return &InvalidDataError{"the store", "a version out of order"}
 	}
 	_, err := l.Merge("the store", entries)
 	if err == nil {
--- a/cluster/crdt/version.go
+++ b/cluster/crdt/version.go
@@ -11,23 +11,23 @@
 // Dot names one change: the Nth of an actor. An actor is one life of one instance, so that an instance that comes back
 // with an older disk never gives a dot twice.
 type Dot struct {
-	_     struct{} `cbor:",toarray"`
-	Actor string   // instance name # life
-	N     uint64   // from 1 on
+	_       struct{} `cbor:",toarray"`
+	Actor   string   // instance name # life
+	Counter uint64   // from 1 on
 }
 
 func (d Dot) compare(o Dot) int {
 	if c := cmp.Compare(d.Actor, o.Actor); c != 0 {
 		return c
 	}
-	return cmp.Compare(d.N, o.N)
+	return cmp.Compare(d.Counter, o.Counter)
 }
 
-// NameOf is the instance that an actor was a life of.
-func NameOf(actor string) string { return actor[:max(0, strings.LastIndexByte(actor, '#'))] }
+// ActorName is the instance that an actor was a life of.
+func ActorName(actor string) string { return actor[:max(0, strings.LastIndexByte(actor, '#'))] }
 
-// LifeOf is the number of an actor's life, 0 where it has none. A later life has a greater one.
-func LifeOf(actor string) uint64 {
+// ActorIncarnation is the number of an actor's life, 0 where it has none. A later life has a greater one.
+func ActorIncarnation(actor string) uint64 {
 	n, err := strconv.ParseUint(actor[strings.LastIndexByte(actor, '#')+1:], 10, 64)
 	if err != nil {
 		return 0
@@ -35,8 +35,8 @@
 	return n
 }
 
-// ActorOf names a life of an instance.
-func ActorOf(name string, life uint64) string { return name + "#" + strconv.FormatUint(life, 10) }
+// FormatActor names a life of an instance.
+func FormatActor(name string, life uint64) string { return name + "#" + strconv.FormatUint(life, 10) }
 
 // Version says which changes were seen: of each actor in it all up to its N. An actor without a life, as in "name#", stands
 // for all lives of that instance before the Nth: so a version grows with the instances and not with their restarts. It is
@@ -49,32 +49,32 @@
 
 func isMark(actor string) bool { return strings.HasSuffix(actor, "#") }
 
-// Ended is the life before which all lives of an instance are covered, 0 for none.
-func (v Version) Ended(name string) uint64 {
+// EndedBefore is the life before which all lives of an instance are covered, 0 for none.
+func (v Version) EndedBefore(name string) uint64 {
 	if i, ok := v.find(name + "#"); ok {
-		return v[i].N
+		return v[i].Counter
 	}
 	return 0
 }
 
-// Of is the last change of an actor that was seen, 0 for none.
-func (v Version) Of(actor string) uint64 {
+// LastCounter is the last change of an actor that was seen, 0 for none.
+func (v Version) LastCounter(actor string) uint64 {
 	i, ok := v.find(actor)
 	if ok {
-		return v[i].N
+		return v[i].Counter
 	}
 	// The mark lies before the lives of its instance, so that it is near.
 	if len(v) == 0 || isMark(actor) {
 		return 0
 	}
-	if j, ok := v[:i].find(actor[:strings.LastIndexByte(actor, '#')+1]); ok && LifeOf(actor) < v[j].N {
+	if j, ok := v[:i].find(actor[:strings.LastIndexByte(actor, '#')+1]); ok && ActorIncarnation(actor) < v[j].Counter {
 		return math.MaxUint64
 	}
 	return 0
 }
 
 // Covers tells whether a change was seen.
-func (v Version) Covers(d Dot) bool { return d.N <= v.Of(d.Actor) }
+func (v Version) Covers(d Dot) bool { return d.Counter <= v.LastCounter(d.Actor) }
 
 // With is v and d and all before it.
 func (v Version) With(d Dot) Version {
@@ -103,11 +103,13 @@
 		return v
 	}
 	old := slices.Clone(v)
-	return slices.DeleteFunc(v, func(d Dot) bool { return !isMark(d.Actor) && LifeOf(d.Actor) < old.Ended(NameOf(d.Actor)) })
+	return slices.DeleteFunc(v, func(d Dot) bool {
+		return !isMark(d.Actor) && ActorIncarnation(d.Actor) < old.EndedBefore(ActorName(d.Actor))
+	})
 }
 
-// Within tells whether o has seen all that v has.
-func (v Version) Within(o Version) bool {
+// IsCoveredBy tells whether o has seen all that v has.
+func (v Version) IsCoveredBy(o Version) bool {
 	for _, d := range v {
 		if !o.Covers(d) {
 			return false
@@ -118,10 +120,10 @@
 
 // Join is what either has seen.
 func (v Version) Join(o Version) Version {
-	if o.Within(v) {
+	if o.IsCoveredBy(v) {
 		return v
 	}
-	if v.Within(o) {
+	if v.IsCoveredBy(o) {
 		return o
 	}
 	out := make(Version, 0, len(v)+len(o))
@@ -133,7 +135,7 @@
 			out, o = append(out, o[0]), o[1:]
 		default:
 			d := v[0]
-			d.N = max(d.N, o[0].N)
+			d.Counter = max(d.Counter, o[0].Counter)
 			out, v, o = append(out, d), v[1:], o[1:]
 		}
 	}
@@ -144,7 +146,7 @@
 func (v Version) meet(o Version) Version {
 	var out Version
 	for _, d := range v {
-		if d.N = min(d.N, o.Of(d.Actor)); d.N > 0 {
+		if d.Counter = min(d.Counter, o.LastCounter(d.Actor)); d.Counter > 0 {
 			out = append(out, d)
 		}
 	}
@@ -169,7 +171,7 @@
 // sound tells whether a version from outside can be used.
 func (v Version) sound() bool {
 	for i, d := range v {
-		if d.N == 0 || !isMark(d.Actor) && !soundActor(d.Actor) || len(d.Actor) < 2 || len(d.Actor) > ActorMost ||
+		if d.Counter == 0 || !isMark(d.Actor) && !soundActor(d.Actor) || len(d.Actor) < 2 || len(d.Actor) > MaxActorBytes ||
 			i > 0 && v[i-1].Actor >= d.Actor {
 			return false
 		}
@@ -177,4 +179,6 @@
 	return true
 }
 
-func soundActor(a string) bool { return NameOf(a) != "" && len(a) <= ActorMost && LifeOf(a) > 0 }
+func soundActor(a string) bool {
+	return ActorName(a) != "" && len(a) <= MaxActorBytes && ActorIncarnation(a) > 0
+}
--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -19,33 +19,33 @@
 }
 
 // goldenLedger is a copy with a plain entry, a tombstone, concurrent siblings and a row of another instance.
-func goldenLedger(t *testing.T) *Ledger {
-	l := New("gateway-1#7")
+func goldenLedger(t *testing.T) *Map {
+	l := NewMap("gateway-1#7")
 	_, err := l.Put("plan/a", []byte{0, 1, 0xff})
 	require.NoError(t, err)
 	_, err = l.Put("plan/b", []byte("old"))
 	require.NoError(t, err)
 	_, err = l.Delete("plan/b")
 	require.NoError(t, err)
-	other := New("gateway-2#9")
+	other := NewMap("gateway-2#9")
 	_, err = other.Put("plan/a", []byte("other"))
 	require.NoError(t, err)
 	entry, _ := other.Get("plan/a")
 	_, err = l.Merge("gateway-2#9", []Entry{entry})
 	require.NoError(t, err)
-	require.NoError(t, l.TakeRows("gateway-2", []Row{other.Mine()}))
-	l.Mine()
+	require.NoError(t, l.MergeRows("gateway-2", []Row{other.NextRow()}))
+	l.NextRow()
 	return l
 }
 
 // Entries, versions, batches and rows: in messages and, for entries and versions, in the store.
 func TestGoldenLedgerRecords(t *testing.T) {
-	first, second := Dot{Actor: "gateway-1#7", N: 3}, Dot{Actor: "gateway-2#9", N: 1 << 40}
-	version := Version{{Actor: "gateway-0#", N: 12}, first, second}
-	entry := Entry{Name: "plan/a", Siblings: []Sibling{{Dot: first, Value: []byte{0, 1, 0xff}}, {Dot: second, Deleted: true}}, Seen: version}
-	batch := Batch{Known: version, Entries: []Entry{entry, {Name: "plan/b", Siblings: []Sibling{{Dot: first, Value: []byte{}}}, Seen: Version{first}}},
-		Under: []Version{{second}}, Of: []uint16{1, 0}}
-	row := Row{Actor: "gateway-1#7", Seq: 4, Known: version, Ends: []End{{Name: "gateway-2", Before: 9, At: 2}}}
+	first, second := Dot{Actor: "gateway-1#7", Counter: 3}, Dot{Actor: "gateway-2#9", Counter: 1 << 40}
+	version := Version{{Actor: "gateway-0#", Counter: 12}, first, second}
+	entry := Entry{Name: "plan/a", Siblings: []Sibling{{Dot: first, Value: []byte{0, 1, 0xff}}, {Dot: second, Deleted: true}}, CausalContext: version}
+	batch := Batch{Known: version, Entries: []Entry{entry, {Name: "plan/b", Siblings: []Sibling{{Dot: first, Value: []byte{}}}, CausalContext: Version{first}}},
+		ExtraContexts: []Version{{second}}, ContextIndexes: []uint16{1, 0}}
+	row := Row{Actor: "gateway-1#7", Seq: 4, Known: version, IncarnationEnds: []IncarnationEnd{{Name: "gateway-2", Before: 9, NotedAt: 2}}}
 	held, _ := goldenLedger(t).Get("plan/a")
 	deleted, _ := goldenLedger(t).Get("plan/b")
 	requireGolden(t, "records.golden", []goldenForm{
@@ -56,49 +56,49 @@
 		cborForm("tombstone", entry.Siblings[1], entry.Siblings[1]),
 		cborForm("entry", entry, entry),
 		cborForm("entry-empty", Entry{}, Entry{}),
-		cborForm("entry-held", held, Entry{Name: "plan/a", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", N: 1}, Value: []byte{0, 1, 0xff}},
-			{Dot: Dot{Actor: "gateway-2#9", N: 1}, Value: []byte("other")}}, Seen: Version{{Actor: "gateway-1#7", N: 1}, {Actor: "gateway-2#9", N: 1}}}),
-		cborForm("entry-deleted", deleted, Entry{Name: "plan/b", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", N: 3}, Deleted: true}},
-			Seen: Version{{Actor: "gateway-1#7", N: 3}}}),
+		cborForm("entry-held", held, Entry{Name: "plan/a", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", Counter: 1}, Value: []byte{0, 1, 0xff}},
+			{Dot: Dot{Actor: "gateway-2#9", Counter: 1}, Value: []byte("other")}}, CausalContext: Version{{Actor: "gateway-1#7", Counter: 1}, {Actor: "gateway-2#9", Counter: 1}}}),
+		cborForm("entry-deleted", deleted, Entry{Name: "plan/b", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", Counter: 3}, Deleted: true}},
+			CausalContext: Version{{Actor: "gateway-1#7", Counter: 3}}}),
 		cborForm("batch", batch, batch),
 		cborForm("batch-empty", Batch{}, Batch{}),
 		cborForm("row", row, row),
-		cborForm("row-mark", RowMark{Actor: "gateway-1#7", Seq: 4}, RowMark{Actor: "gateway-1#7", Seq: 4}),
-		{"actor", func() ([]byte, error) { return []byte(ActorOf("gateway-1", 1_790_000_000_000_000_001)), nil },
+		cborForm("row-mark", RowVersion{Actor: "gateway-1#7", Seq: 4}, RowVersion{Actor: "gateway-1#7", Seq: 4}),
+		{"actor", func() ([]byte, error) { return []byte(FormatActor("gateway-1", 1_790_000_000_000_000_001)), nil },
 			func(encoded []byte) (any, error) {
-				return []any{NameOf(string(encoded)), LifeOf(string(encoded))}, nil
+				return []any{ActorName(string(encoded)), ActorIncarnation(string(encoded))}, nil
 			}, []any{"gateway-1", uint64(1_790_000_000_000_000_001)}},
 	})
 }
 
 // Questions and answers of an exchange, field by field and as a ledger makes them.
 func TestGoldenExchangeMessages(t *testing.T) {
-	version := Version{{Actor: "gateway-1#7", N: 3}}
-	ask := Ask{Run: 5, Seq: 6, Actor: "gateway-1#7", Marks: []RowMark{{Actor: "gateway-2#9", Seq: 8}}, First: true,
-		Nodes: []Node{{Level: 1, Index: 63}}, Want: []Bucket{{Index: 65535, Sums: []uint64{1, 1 << 63}}}}
-	answer := Answer{Run: 5, Seq: 6, Actor: "gateway-2#9", Before: 10, Away: true, Sum: 1 << 62,
-		Rows: []Row{{Actor: "gateway-2#9", Seq: 1, Known: version}}, Sums: [][]uint64{{1, 2}, {3}},
-		States: []Held{{Index: 65535, N: 2, Lacks: []uint64{4}, More: true}},
-		Batch:  Batch{Known: version, Entries: []Entry{{Name: "plan/a"}}, Of: []uint16{0}}}
+	version := Version{{Actor: "gateway-1#7", Counter: 3}}
+	ask := ExchangeRequest{ExchangeID: 5, RequestSeq: 6, Actor: "gateway-1#7", RowVersions: []RowVersion{{Actor: "gateway-2#9", Seq: 8}}, First: true,
+		Nodes: []TreeNode{{Level: 1, Index: 63}}, WantedBuckets: []BucketDigest{{Index: 65535, EntryDigests: []uint64{1, 1 << 63}}}}
+	answer := ExchangeResponse{ExchangeID: 5, RequestSeq: 6, Actor: "gateway-2#9", EndedBefore: 10, MissedDeletes: true, RootDigest: 1 << 62,
+		Rows: []Row{{Actor: "gateway-2#9", Seq: 1, Known: version}}, ChildDigests: [][]uint64{{1, 2}, {3}},
+		BucketStates: []BucketState{{Index: 65535, EntryCount: 2, MissingDigests: []uint64{4}, HasMore: true}},
+		Batch:        Batch{Known: version, Entries: []Entry{{Name: "plan/a"}}, ContextIndexes: []uint16{0}}}
 
-	asker := New("gateway-3#4")
+	asker := NewMap("gateway-3#4")
 	exchange := asker.NewExchange("gateway-1", 17)
-	firstAsk, ok := exchange.Next()
+	firstAsk, ok := exchange.NextRequest()
 	require.True(t, ok)
 	holder := goldenLedger(t)
-	firstAnswer, err := holder.Answer("gateway-3", firstAsk)
+	firstAnswer, err := holder.HandleRequest("gateway-3", firstAsk)
 	require.NoError(t, err)
-	bucket := Bucket{Index: bucketOf("plan/a"), Sums: []uint64{99}}
-	entriesAnswer, err := holder.Answer("gateway-3", Ask{Run: 17, Seq: 2, Actor: "gateway-3#4", Nodes: []Node{{Level: 2, Index: bucket.Index / 16}},
-		Want: []Bucket{bucket}})
+	bucket := BucketDigest{Index: bucketOf("plan/a"), EntryDigests: []uint64{99}}
+	entriesAnswer, err := holder.HandleRequest("gateway-3", ExchangeRequest{ExchangeID: 17, RequestSeq: 2, Actor: "gateway-3#4", Nodes: []TreeNode{{Level: 2, Index: bucket.Index / 16}},
+		WantedBuckets: []BucketDigest{bucket}})
 	require.NoError(t, err)
 	require.Len(t, entriesAnswer.Batch.Entries, 1)
 	requireGolden(t, "exchange.golden", []goldenForm{
 		cborForm("ask", ask, ask),
-		cborForm("ask-empty", Ask{}, Ask{}),
+		cborForm("ask-empty", ExchangeRequest{}, ExchangeRequest{}),
 		cborForm("answer", answer, answer),
-		cborForm("answer-empty", Answer{}, Answer{}),
-		cborForm("first-ask", firstAsk, Ask{Run: 17, Seq: 1, Actor: "gateway-3#4", Marks: []RowMark{}, First: true}),
+		cborForm("answer-empty", ExchangeResponse{}, ExchangeResponse{}),
+		cborForm("first-ask", firstAsk, ExchangeRequest{ExchangeID: 17, RequestSeq: 1, Actor: "gateway-3#4", RowVersions: []RowVersion{}, First: true}),
 		cborForm("first-answer", firstAnswer, firstAnswer),
 		cborForm("entries-answer", entriesAnswer, entriesAnswer),
 	})
@@ -107,23 +107,23 @@
 // An exchange that answers of an earlier build bring to its end.
 func TestGoldenExchangeIsTakenIn(t *testing.T) {
 	golden := readGolden(t, "testdata/exchange.golden")
-	l := New("gateway-3#4")
+	l := NewMap("gateway-3#4")
 	exchange := l.NewExchange("gateway-1", 17)
-	_, ok := exchange.Next()
+	_, ok := exchange.NextRequest()
 	require.True(t, ok)
-	var answer Answer
+	var answer ExchangeResponse
 	require.NoError(t, cbor.Unmarshal(golden["first-answer"], &answer))
-	_, _, err := exchange.Take(answer)
+	_, _, err := exchange.ApplyResponse(answer)
 	require.NoError(t, err)
-	require.Equal(t, uint64(5), l.rows["gateway-1"].Known.Of("gateway-1#7"), "the row of the answering instance")
+	require.Equal(t, uint64(5), l.rows["gateway-1"].Known.LastCounter("gateway-1#7"), "the row of the answering instance")
 	holder := goldenLedger(t)
-	for ask, more := exchange.Next(); more; ask, more = exchange.Next() {
-		answer, err := holder.Answer("gateway-3", ask)
+	for ask, more := exchange.NextRequest(); more; ask, more = exchange.NextRequest() {
+		answer, err := holder.HandleRequest("gateway-3", ask)
 		require.NoError(t, err)
-		_, _, err = exchange.Take(answer)
+		_, _, err = exchange.ApplyResponse(answer)
 		require.NoError(t, err)
 	}
-	require.Equal(t, answer.Sum, l.Digest(Node{}), "the digest that the earlier build told")
+	require.Equal(t, answer.RootDigest, l.Digest(TreeNode{}), "the digest that the earlier build told")
 }
 
 // Digests are compared between instances of different builds.
@@ -137,22 +137,22 @@
 	tombstone, _ := l.Get("plan/b")
 	bucket := bucketOf("plan/a")
 	requireGolden(t, "digests.golden", []goldenForm{
-		digest("entry-siblings", siblings.sum(), l.Digest(Node{Level: 3, Index: bucket})),
-		digest("entry-tombstone", tombstone.sum(), l.Digest(Node{Level: 3, Index: bucketOf("plan/b")})),
-		digest("root", l.Digest(Node{}), siblings.sum()+tombstone.sum()),
-		digest("level-1", l.Digest(Node{Level: 1, Index: bucket >> 10}), siblings.sum()),
-		digest("level-2", l.Digest(Node{Level: 2, Index: bucket >> 4}), siblings.sum()),
+		digest("entry-siblings", siblings.sum(), l.Digest(TreeNode{Level: 3, Index: bucket})),
+		digest("entry-tombstone", tombstone.sum(), l.Digest(TreeNode{Level: 3, Index: bucketOf("plan/b")})),
+		digest("root", l.Digest(TreeNode{}), siblings.sum()+tombstone.sum()),
+		digest("level-1", l.Digest(TreeNode{Level: 1, Index: bucket >> 10}), siblings.sum()),
+		digest("level-2", l.Digest(TreeNode{Level: 2, Index: bucket >> 4}), siblings.sum()),
 		digest("bucket-of-name", uint64(bucket), uint64(bucket)),
 	})
-	require.Len(t, Node{}.Children(), 64)
-	require.Equal(t, Node{Level: 2, Index: 5*64 + 63}, Node{Level: 1, Index: 5}.Children()[63])
-	require.Equal(t, Node{Level: 3, Index: 7*16 + 15}, Node{Level: 2, Index: 7}.Children()[15])
+	require.Len(t, TreeNode{}.Children(), 64)
+	require.Equal(t, TreeNode{Level: 2, Index: 5*64 + 63}, TreeNode{Level: 1, Index: 5}.Children()[63])
+	require.Equal(t, TreeNode{Level: 3, Index: 7*16 + 15}, TreeNode{Level: 2, Index: 7}.Children()[15])
 }
 
 // Limits that a receiver checks: an instance of another build is refused beyond them.
 func TestGoldenLedgerLimits(t *testing.T) {
-	require.Equal(t, []int{3, 1 << 16}, []int{Levels, buckets})
+	require.Equal(t, []int{3, 1 << 16}, []int{DigestTreeDepth, buckets})
 	require.Equal(t, []int{100_000, 50_000, 200_000, 8 << 10, 512, 280, 96 << 20, 64},
-		[]int{EntriesMost, TombstonesMost, HeldMost, ValueMost, NameMost, ActorMost, BytesMost, SiblingsMost})
-	require.Equal(t, []int{48 << 10, 80, 400, 4096, 64}, []int{MessageBytes, nodesMost, wantsMost, RowsMost, undersMost})
+		[]int{MaxEntries, MaxTombstones, MaxNames, MaxValueBytes, MaxNameBytes, MaxActorBytes, MaxTotalBytes, MaxSiblings})
+	require.Equal(t, []int{48 << 10, 80, 400, 4096, 64}, []int{TargetMessageBytes, nodesMost, wantsMost, MaxRows, undersMost})
 }
--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -102,9 +102,9 @@
 	defer func() { b.stop(); <-b.done }()
 	actor := "east-0#1700000000000000000"
 	for name, want := range map[string]crdt.Sibling{
-		"x/one":      {Dot: crdt.Dot{Actor: actor, N: 2}, Value: []byte("second")},
-		"x/two":      {Dot: crdt.Dot{Actor: actor, N: 3}, Value: []byte{}},
-		"zones/eu-1": {Dot: crdt.Dot{Actor: actor, N: 5}, Value: []byte("\x00\xff")},
+		"x/one":      {Dot: crdt.Dot{Actor: actor, Counter: 2}, Value: []byte("second")},
+		"x/two":      {Dot: crdt.Dot{Actor: actor, Counter: 3}, Value: []byte{}},
+		"zones/eu-1": {Dot: crdt.Dot{Actor: actor, Counter: 5}, Value: []byte("\x00\xff")},
 	} {
 		e, ok := b.Get(name)
 		require.True(t, ok, name)
@@ -115,5 +115,5 @@
 	require.False(t, ok)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	require.Equal(t, crdt.Version{{Actor: actor, N: 6}}, b.l.Known(), "what the instance has seen, from its own key")
+	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, b.l.KnownVersion(), "what the instance has seen, from its own key")
 }
--- a/cluster/replication/keep.go
+++ b/cluster/replication/keep.go
@@ -67,16 +67,16 @@
 		known = nil
 	}
 	err = b.l.Restore(entries, known)
-	name := crdt.NameOf(b.l.Actor())
-	last := known.Ended(name)
+	name := crdt.ActorName(b.l.Actor())
+	last := known.EndedBefore(name)
 	for _, d := range known {
-		if crdt.NameOf(d.Actor) == name {
-			last = max(last, crdt.LifeOf(d.Actor))
+		if crdt.ActorName(d.Actor) == name {
+			last = max(last, crdt.ActorIncarnation(d.Actor))
 		}
 	}
-	if last >= crdt.LifeOf(b.l.Actor()) {
+	if last >= crdt.ActorIncarnation(b.l.Actor()) {
 		// Guards against a clock that was put back: a life must be later than the one before.
-		for _, e := range b.l.Renew(last+1, "") {
+		for _, e := range b.l.BeginIncarnation(last+1, "") {
 			b.own(e.Name)
 		}
 	}
@@ -136,7 +136,7 @@
 
 func (b *Book) keepOnce(ctx context.Context) error {
 	b.mu.Lock()
-	known, changes, whole := b.l.Known(), b.changes, true
+	known, changes, whole := b.l.KnownVersion(), b.changes, true
 	names := make([]string, 0, len(b.dirty))
 	for n := range b.dirty {
 		names = append(names, n)
@@ -145,7 +145,7 @@
 	puts, deletes, bytes := map[string][]byte{}, []string(nil), 0
 	var failed error
 	for i, n := range names {
-		e, ok := b.l.Whole(n)
+		e, ok := b.l.StorableEntry(n)
 		if !ok {
 			deletes = append(deletes, entryKey+n)
 			continue
--- a/cluster/replication/share.go
+++ b/cluster/replication/share.go
@@ -37,18 +37,18 @@
 	keepEach    = 20 * time.Millisecond  // changes gathered for one transaction
 	keepBack    = 200 * time.Millisecond // first wait after a store that failed, doubled up to
 	keepBackTop = 10 * time.Second
-	diskWait    = 10 * time.Second            // for a disk; what it kept is taken in when it comes
-	keepBytes   = 32 << 20                    // of one transaction: the store holds it in memory
-	collectEach = 2                           // exchanges' times between two looks for what all have seen
-	rowEach     = 2                           // likewise between two rows of this instance, and
-	rowFew      = 10                          // instances, and for each more of them
-	rowMore     = second / 10                 // more between two looks and rows: each looks at what each says of each
-	deadMany    = crdt.TombstonesMost * 3 / 4 // tombstones from which on those that are not there are not waited for
-	AwayMost    = 24 * time.Hour              // an instance not heard for so long is not waited for by deletes
-	ForgetMost  = 7 * 24 * time.Hour          // one that is not listed and not heard for so long is forgotten
-	renewEach   = 10 * second                 // guards against two processes of one name that strike each other again and again
-	complainGap = 30 * second                 // between two log lines of one kind and instance
-	answersMost = 4                           // answers made at once
+	diskWait    = 10 * time.Second           // for a disk; what it kept is taken in when it comes
+	keepBytes   = 32 << 20                   // of one transaction: the store holds it in memory
+	collectEach = 2                          // exchanges' times between two looks for what all have seen
+	rowEach     = 2                          // likewise between two rows of this instance, and
+	rowFew      = 10                         // instances, and for each more of them
+	rowMore     = second / 10                // more between two looks and rows: each looks at what each says of each
+	deadMany    = crdt.MaxTombstones * 3 / 4 // tombstones from which on those that are not there are not waited for
+	AwayMost    = 24 * time.Hour             // an instance not heard for so long is not waited for by deletes
+	ForgetMost  = 7 * 24 * time.Hour         // one that is not listed and not heard for so long is forgotten
+	renewEach   = 10 * second                // guards against two processes of one name that strike each other again and again
+	complainGap = 30 * second                // between two log lines of one kind and instance
+	answersMost = 4                          // answers made at once
 )
 
 // Net hands messages to other instances; package gossip is one.
@@ -88,7 +88,7 @@
 	stop  context.CancelFunc
 
 	mu       sync.Mutex
-	l        *crdt.Ledger
+	l        *crdt.Map
 	chance   *rand.Rand
 	disk     Disk
 	watches  map[*watch]bool
@@ -104,7 +104,7 @@
 	keptTold chan struct{} // closed and made anew as kept changes
 	run      uint64
 	open     map[string]*running
-	waiting  map[uint64]chan crdt.Answer
+	waiting  map[uint64]chan crdt.ExchangeResponse
 	met      map[string]bool  // alive at the last look
 	heard    map[string]int64 // when each instance was last alive
 	renewed  int64
@@ -139,10 +139,10 @@
 	if o.Every <= 0 {
 		o.Every = time.Second
 	}
-	b := &Book{o: o, l: crdt.New(crdt.ActorOf(o.Name, max(1, o.Life))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
+	b := &Book{o: o, l: crdt.NewMap(crdt.FormatActor(o.Name, max(1, o.Life))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
 		ready: make(chan struct{}), found: make(chan struct{}), done: make(chan struct{}), watches: map[*watch]bool{}, freshIn: map[string]bool{}, dirty: map[string]bool{},
 		stirPush: make(chan struct{}, 1), stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}),
-		open: map[string]*running{}, waiting: map[uint64]chan crdt.Answer{}, met: map[string]bool{}, heard: map[string]int64{},
+		open: map[string]*running{}, waiting: map[uint64]chan crdt.ExchangeResponse{}, met: map[string]bool{}, heard: map[string]int64{},
 		told: map[string]int64{}, renewed: -renewEach, rowAt: -second << 8}
 	b.run = b.chance.Uint64() >> 1
 	b.ctx, b.stop = context.WithCancel(ctx)
@@ -243,7 +243,7 @@
 func (b *Book) Each(prefix string, f func(crdt.Entry) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.l.Each(prefix, f)
+	b.l.ScanPrefix(prefix, f)
 }
 
 // Actor names this life in the dots of its changes.
@@ -257,7 +257,7 @@
 func (b *Book) Digest() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.l.Digest(crdt.Node{})
+	return b.l.Digest(crdt.TreeNode{})
 }
 
 // Stats are the counts so far.
@@ -405,8 +405,8 @@
 	var err error
 	switch body[0] {
 	case kindAsk:
-		var q crdt.Ask
-		if err = cbor.Unmarshal(body[1:], &q); err == nil && crdt.NameOf(q.Actor) == from {
+		var q crdt.ExchangeRequest
+		if err = cbor.Unmarshal(body[1:], &q); err == nil && crdt.ActorName(q.Actor) == from {
 			_, err = b.pool.Add(scheduler.Job{Name: "share answer", Kind: "answer", Priority: scheduler.Usual, Deadline: second, Tries: 1},
 				func(ctx context.Context, a *scheduler.Allowance) error { return b.answer(ctx, a, from, q) })
 			if err != nil {
@@ -414,10 +414,10 @@
 			}
 		}
 	case kindAnswer:
-		var a crdt.Answer
+		var a crdt.ExchangeResponse
 		if err = cbor.Unmarshal(body[1:], &a); err == nil {
 			b.mu.Lock()
-			c := b.waiting[a.Run]
+			c := b.waiting[a.ExchangeID]
 			b.mu.Unlock()
 			select {
 			case c <- a:
@@ -426,7 +426,7 @@
 		}
 	case kindFresh, kindLacks:
 		var p push
-		if err = cbor.Unmarshal(body[1:], &p); err == nil && crdt.NameOf(p.Actor) == from {
+		if err = cbor.Unmarshal(body[1:], &p); err == nil && crdt.ActorName(p.Actor) == from {
 			err = b.pushed(from, p, body[0] == kindFresh)
 		}
 	default:
@@ -439,7 +439,7 @@
 
 func (b *Book) pushed(from string, p push, fresh bool) error {
 	b.mu.Lock()
-	changed, err := b.l.TakeBatch(p.Actor, p.Batch)
+	changed, err := b.l.MergeBatch(p.Actor, p.Batch)
 	b.noted(changed)
 	if fresh && len(changed) > 0 {
 		b.tell(changed)
@@ -453,7 +453,7 @@
 
 // struck goes on as a new life where others take this one as over.
 func (b *Book) struck(err error) bool {
-	var s *crdt.Struck
+	var s *crdt.SupersededError
 	if !errors.As(err, &s) {
 		return false
 	}
@@ -464,11 +464,11 @@
 	if did {
 		b.renewed = now
 		peer := s.From
-		if crdt.LifeOf(peer) > 0 {
-			peer = crdt.NameOf(peer)
+		if crdt.ActorIncarnation(peer) > 0 {
+			peer = crdt.ActorName(peer)
 		}
-		life := max(s.Before, crdt.LifeOf(b.l.Actor())) + 1
-		kept = b.l.Renew(life, peer)
+		life := max(s.EndedBefore, crdt.ActorIncarnation(b.l.Actor())) + 1
+		kept = b.l.BeginIncarnation(life, peer)
 		clear(b.open)
 		for _, e := range kept {
 			b.own(e.Name)
@@ -481,9 +481,9 @@
 	return true
 }
 
-func (b *Book) answer(ctx context.Context, a *scheduler.Allowance, from string, q crdt.Ask) error {
+func (b *Book) answer(ctx context.Context, a *scheduler.Allowance, from string, q crdt.ExchangeRequest) error {
 	b.mu.Lock()
-	out, err := b.l.Answer(from, q)
+	out, err := b.l.HandleRequest(from, q)
 	b.mu.Unlock()
 	if err != nil {
 		b.complain("share_message", from, err)
@@ -566,32 +566,32 @@
 func (b *Book) exchange(ctx context.Context, a *scheduler.Allowance, peer string) (more bool, err error) {
 	b.mu.Lock()
 	r := b.open[peer]
-	if r == nil || r.x.Done() || time.Since(r.since) > openMost {
+	if r == nil || r.x.IsDone() || time.Since(r.since) > openMost {
 		b.run++
 		r = &running{b.l.NewExchange(peer, b.run), time.Now()}
 		b.open[peer] = r
 	}
 	x := r.x
-	answers := make(chan crdt.Answer, 1)
-	b.waiting[x.Run()] = answers
+	answers := make(chan crdt.ExchangeResponse, 1)
+	b.waiting[x.ID()] = answers
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		delete(b.waiting, x.Run())
+		delete(b.waiting, x.ID())
 		b.mu.Unlock()
 	}()
 	tries := 0
 	for {
 		b.mu.Lock()
-		x.Again()
-		q, ok := x.Next()
+		x.RetryRequest()
+		q, ok := x.NextRequest()
 		b.mu.Unlock()
 		if !ok {
 			break
 		}
 		n, err := b.send(ctx, a, peer, kindAsk, q)
 		b.sent(n)
-		var out crdt.Answer
+		var out crdt.ExchangeResponse
 		if err == nil {
 			out, err = await(ctx, answers, q)
 		}
@@ -611,27 +611,27 @@
 	if b.open[peer] == r {
 		delete(b.open, peer)
 	}
-	if x.Whole() {
+	if x.IsComplete() {
 		stir(b.stirKeep) // the Known has grown
 	}
-	return x.Differing > 0, nil
+	return x.DifferingBuckets > 0, nil
 }
 
 var errSilent = errors.New("no answer in time")
 
-func await(ctx context.Context, answers <-chan crdt.Answer, q crdt.Ask) (crdt.Answer, error) {
+func await(ctx context.Context, answers <-chan crdt.ExchangeResponse, q crdt.ExchangeRequest) (crdt.ExchangeResponse, error) {
 	late := time.NewTimer(answerWait)
 	defer late.Stop()
 	for {
 		select {
 		case out := <-answers:
-			if out.Seq == q.Seq {
+			if out.RequestSeq == q.RequestSeq {
 				return out, nil
 			}
 		case <-late.C:
-			return crdt.Answer{}, errSilent
+			return crdt.ExchangeResponse{}, errSilent
 		case <-ctx.Done():
-			return crdt.Answer{}, ctx.Err()
+			return crdt.ExchangeResponse{}, ctx.Err()
 		}
 	}
 }
@@ -643,26 +643,26 @@
 }
 
 // take takes an answer in and sends what the other lacks.
-func (b *Book) take(ctx context.Context, a *scheduler.Allowance, x *crdt.Exchange, out crdt.Answer) error {
+func (b *Book) take(ctx context.Context, a *scheduler.Allowance, x *crdt.Exchange, out crdt.ExchangeResponse) error {
 	b.mu.Lock()
-	away := x.Away
-	changed, lacks, err := x.Take(out)
+	away := x.MissedDeletes
+	changed, lacks, err := x.ApplyResponse(out)
 	b.noted(changed)
-	batches := b.l.Batches(true, lacks)
+	batches := b.l.BuildBatches(true, lacks)
 	actor := b.l.Actor()
-	if err != nil && !x.Done() {
-		if errors.Is(err, crdt.ErrStale) || !x.Began() {
+	if err != nil && !x.IsDone() {
+		if errors.Is(err, crdt.ErrPeerRestarted) || !x.HasStarted() {
 			delete(b.open, x.Peer())
 		}
 	}
 	b.mu.Unlock()
-	if x.Away && !away {
-		b.o.Log.Warn("share_away", advice.LogAttrs(&Away{x.Peer(), x.Unseen})...)
+	if x.MissedDeletes && !away {
+		b.o.Log.Warn("share_away", advice.LogAttrs(&Away{x.Peer(), x.UnsyncedNames})...)
 	}
-	if errors.Is(err, crdt.ErrStale) {
+	if errors.Is(err, crdt.ErrPeerRestarted) {
 		return &Cut{x.Peer(), err}
 	}
-	if advice.HasType[*crdt.Struck](err) {
+	if advice.HasType[*crdt.SupersededError](err) {
 		return err
 	}
 	if err != nil {
@@ -695,7 +695,7 @@
 		names := b.fresh
 		b.fresh = nil
 		clear(b.freshIn)
-		batches := b.l.Batches(false, names)
+		batches := b.l.BuildBatches(false, names)
 		actor := b.l.Actor()
 		b.mu.Unlock()
 		for _, batch := range batches {
@@ -744,15 +744,15 @@
 		gone := time.Duration(now-at) * 100 * time.Microsecond
 		if gone > ForgetMost && !slices.Contains(listed, n) {
 			delete(b.heard, n)
-			b.l.Forget(n)
+			b.l.ForgetInstance(n)
 			continue
 		}
 		if all = append(all, n); gone > AwayMost || dead >= deadMany && gone > 0 {
 			away = append(away, n)
 		}
 	}
-	b.l.Counting(all, away)
-	dropped := b.l.Collect()
+	b.l.SetMembers(all, away)
+	dropped := b.l.CollectTombstones()
 	b.noted(dropped)
 	if dead >= deadMany && len(away) > 0 && len(dropped) > 0 {
 		b.o.Log.Warn("share_tombstones", "held", dead, "forgotten", len(dropped), "away", away)
@@ -762,8 +762,8 @@
 	default:
 		return nil // a row says that all of earlier lives is told: the disk may hold more of them
 	}
-	if !slices.Equal(b.l.Known(), b.rowOf) && now-b.rowAt >= rowEach*int64(b.o.Every/(100*time.Microsecond)) {
-		r := b.l.Mine()
+	if !slices.Equal(b.l.KnownVersion(), b.rowOf) && now-b.rowAt >= rowEach*int64(b.o.Every/(100*time.Microsecond)) {
+		r := b.l.NextRow()
 		b.rowAt, b.rowOf = now, r.Known
 	}
 	return nil
--- a/cluster/replication/share_test.go
+++ b/cluster/replication/share_test.go
@@ -278,7 +278,7 @@
 	for _, e := range []interface {
 		error
 		Advice() string
-	}{unkept, &Unread{"k", err}, &Cut{"b", err}, &Garbled{"b", err}, &Away{"b", nil}, &crdt.TooBig{}, &crdt.Full{}, &crdt.Struck{}, &crdt.Unsound{}, &crdt.Crowded{}} {
+	}{unkept, &Unread{"k", err}, &Cut{"b", err}, &Garbled{"b", err}, &Away{"b", nil}, &crdt.TooLargeError{}, &crdt.CapacityExceededError{}, &crdt.SupersededError{}, &crdt.InvalidDataError{}, &crdt.TooManySiblingsError{}} {
 		require.NotEmpty(t, e.Advice())
 		require.NotEmpty(t, e.Error())
 		require.Contains(t, string(page), "`"+strings.SplitN(fmt.Sprintf("%T", e), ".", 2)[1]+"`")
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -14,10 +14,10 @@
 
 // idleBook is a copy whose goroutines are not started, so that a test alone changes it.
 func idleBook(actor string) *Book {
-	return &Book{o: Options{Name: crdt.NameOf(actor), Log: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
-		l: crdt.New(actor), watches: map[*watch]bool{}, freshIn: map[string]bool{}, stirPush: make(chan struct{}, 1),
+	return &Book{o: Options{Name: crdt.ActorName(actor), Log: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
+		l: crdt.NewMap(actor), watches: map[*watch]bool{}, freshIn: map[string]bool{}, stirPush: make(chan struct{}, 1),
 		dirty: map[string]bool{}, stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}), open: map[string]*running{},
-		waiting: map[uint64]chan crdt.Answer{}, told: map[string]int64{}}
+		waiting: map[uint64]chan crdt.ExchangeResponse{}, told: map[string]int64{}}
 }
 
 // goldenBook holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
@@ -30,12 +30,12 @@
 	require.NoError(t, err)
 	_, err = b.Delete("plan/b")
 	require.NoError(t, err)
-	other := crdt.New("gateway-2#9")
+	other := crdt.NewMap("gateway-2#9")
 	for _, name := range []string{"plan/a", "plan/c"} {
 		_, err = other.Put(name, []byte("other"))
 		require.NoError(t, err)
 	}
-	for _, batch := range other.Batches(false, []string{"plan/a", "plan/c"}) {
+	for _, batch := range other.BuildBatches(false, []string{"plan/a", "plan/c"}) {
 		require.NoError(t, b.pushed("gateway-2", push{Actor: "gateway-2#9", Batch: batch}, true))
 	}
 	return b
@@ -45,11 +45,11 @@
 func TestGoldenShareMessages(t *testing.T) {
 	b := goldenBook(t)
 	names := []string{"plan/a", "plan/b", "plan/c"}
-	fresh := push{Actor: b.Actor(), Batch: b.l.Batches(false, names)[0]}
-	lacks := push{Actor: b.Actor(), Batch: b.l.Batches(true, names)[0]}
-	ask, ok := crdt.New("gateway-3#4").NewExchange("gateway-1", 17).Next()
+	fresh := push{Actor: b.Actor(), Batch: b.l.BuildBatches(false, names)[0]}
+	lacks := push{Actor: b.Actor(), Batch: b.l.BuildBatches(true, names)[0]}
+	ask, ok := crdt.NewMap("gateway-3#4").NewExchange("gateway-1", 17).NextRequest()
 	require.True(t, ok)
-	answer, err := b.l.Answer("gateway-3", ask)
+	answer, err := b.l.HandleRequest("gateway-3", ask)
 	require.NoError(t, err)
 
 	// A push is taken in by a copy that holds nothing, as a handler of the network would.
@@ -64,14 +64,14 @@
 		{"lacks", func() ([]byte, error) { return encode(kindLacks, lacks) }, received, contents(b)},
 		{"ask", func() ([]byte, error) { return encode(kindAsk, ask) }, func(encoded []byte) (any, error) {
 			require.Equal(t, byte(1), encoded[0])
-			var decoded crdt.Ask
+			var decoded crdt.ExchangeRequest
 			err := cbor.Unmarshal(encoded[1:], &decoded)
 			return decoded, err
 		}, ask},
 		{"answer", func() ([]byte, error) { return encode(kindAnswer, answer) }, func(encoded []byte) (any, error) {
 			asker := idleBook("gateway-3#4")
 			close(asker.ready)
-			answers := make(chan crdt.Answer, 1)
+			answers := make(chan crdt.ExchangeResponse, 1)
 			asker.waiting[17] = answers
 			asker.handle("gateway-1", encoded)
 			select {
@@ -123,15 +123,15 @@
 	loaded.o.Disk = func(context.Context) (Disk, error) { return &disk{data: readGolden(t, "testdata/store.golden")}, nil }
 	require.NoError(t, loaded.load(context.Background(), nil))
 	require.Equal(t, want, contents(loaded))
-	require.Equal(t, b.l.Known(), loaded.l.Known())
+	require.Equal(t, b.l.KnownVersion(), loaded.l.KnownVersion())
 	require.Equal(t, "gateway-1#8", loaded.Actor())
 }
 
 func goldenRecord(b *Book, key string) any {
 	if key == "known" {
-		return b.l.Known()
+		return b.l.KnownVersion()
 	}
-	entry, _ := b.l.Whole(key[len("e/"):])
+	entry, _ := b.l.StorableEntry(key[len("e/"):])
 	return entry
 }
 
--- a/control/subscribers/list.go
+++ b/control/subscribers/list.go
@@ -309,7 +309,7 @@
 	d := newDigest()
 	for _, s := range e.Siblings {
 		d.text(s.Dot.Actor)
-		d.number(s.Dot.N)
+		d.number(s.Dot.Counter)
 	}
 	return d.sum()
 }
--- a/control/subscribers/list_test.go
+++ b/control/subscribers/list_test.go
@@ -19,11 +19,11 @@
 // desk is one instance's ledger with what the program does around it.
 type desk struct {
 	t *testing.T
-	*crdt.Ledger
+	*crdt.Map
 	list *List
 }
 
-func newDesk(t *testing.T, actor string) *desk { return &desk{t, crdt.New(actor), NewList()} }
+func newDesk(t *testing.T, actor string) *desk { return &desk{t, crdt.NewMap(actor), NewList()} }
 
 func (d *desk) do(k Key, op Op) error {
 	e, _ := d.Get(k.Name())
@@ -40,7 +40,7 @@
 func (d *desk) meets(o *desk, keys ...Key) (events []Event) {
 	for _, k := range keys {
 		e, _ := o.Get(k.Name())
-		_, err := d.TakeBatch("o", crdt.Batch{Known: o.Known(), Entries: []crdt.Entry{e}})
+		_, err := d.MergeBatch("o", crdt.Batch{Known: o.KnownVersion(), Entries: []crdt.Entry{e}})
 		require.NoError(d.t, err)
 		e, _ = d.Get(k.Name())
 		_, _, told, err := d.list.Take(e)
@@ -200,7 +200,7 @@
 	f := file(t, 2)
 	value, err := f.Admit(Standing{1, 9})
 	require.NoError(t, err)
-	l := crdt.New("a#1")
+	l := crdt.NewMap("a#1")
 	e, err := l.Put(FilePrefix+"eu", value)
 	require.NoError(t, err)
 	value, err = f.Admit(StandingOf(e))
@@ -243,7 +243,7 @@
 	})
 	b.Run("take 90000", func(b *testing.B) {
 		f, _ := ParseLines([]byte(all.String()))
-		d := &desk{nil, crdt.New("a#1"), NewList()}
+		d := &desk{nil, crdt.NewMap("a#1"), NewList()}
 		for k := range f.Lines {
 			e, _ := d.Get(k.Name())
 			value, _, _ := Write(e, f.Op(k, "a", 1))
@@ -251,7 +251,7 @@
 		}
 		for b.Loop() {
 			l, g := NewList(), NewGateway(0, Member{Name: "g"}, Rules{})
-			d.Each(Prefix, func(e crdt.Entry) bool {
+			d.ScanPrefix(Prefix, func(e crdt.Entry) bool {
 				k, _, _, _ := l.Take(e)
 				r, _ := l.Get(k)
 				g.Set(0, k, r, true)
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -53,7 +53,7 @@
 	up      bool
 	stopped int64 // until
 	full    bool  // its disk takes nothing
-	led     *crdt.Ledger
+	led     *crdt.Map
 	list    *List
 	gw      *Gateway
 	seen    map[string]bool // askings it knows of
@@ -95,7 +95,7 @@
 func (n *gate) start(from state) {
 	n.life++
 	n.up, n.heard, n.stamps = true, nil, map[string]uint64{}
-	n.led, n.list, n.gw = crdt.New(fmt.Sprintf("%s#%d", n.name(), n.life)), NewList(), NewGateway(n.w.now, n.me(), Rules{})
+	n.led, n.list, n.gw = crdt.NewMap(fmt.Sprintf("%s#%d", n.name(), n.life)), NewList(), NewGateway(n.w.now, n.me(), Rules{})
 	n.seen, n.lag = maps.Clone(from.seen), 2*second+n.w.r.Int63n(second)
 	_, err := n.led.Merge("disk", slices.Collect(maps.Values(from.entries)))
 	require.NoError(n.w.t, err)
@@ -103,7 +103,7 @@
 }
 
 func (n *gate) all() (all []crdt.Entry) {
-	n.led.Each("", func(e crdt.Entry) bool { all = append(all, e); return true })
+	n.led.ScanPrefix("", func(e crdt.Entry) bool { all = append(all, e); return true })
 	return all
 }
 
@@ -120,12 +120,12 @@
 
 // exchange takes in what another holds.
 func (n *gate) exchange(o *gate) {
-	if n.led.Digest(crdt.Node{}) == o.led.Digest(crdt.Node{}) {
+	if n.led.Digest(crdt.TreeNode{}) == o.led.Digest(crdt.TreeNode{}) {
 		maps.Copy(n.seen, o.seen)
 		return
 	}
 	var other []crdt.Entry
-	o.led.Each("", func(e crdt.Entry) bool {
+	o.led.ScanPrefix("", func(e crdt.Entry) bool {
 		if n.stamps[e.Name] != o.stamps[e.Name] {
 			other = append(other, e)
 		}
@@ -173,7 +173,7 @@
 	require.NoError(n.w.t, err)
 	after, err := Read(value)
 	require.NoError(n.w.t, err)
-	id := fmt.Sprintf("%s#%d %d", n.name(), n.life, n.led.Known().Of(n.led.Actor()))
+	id := fmt.Sprintf("%s#%d %d", n.name(), n.life, n.led.KnownVersion().LastCounter(n.led.Actor()))
 	if !after.Off() && (before.Off() || after.Consent > before.Consent) {
 		n.w.subs[id], n.seen[id] = asking{k, true, maps.Clone(n.seen)}, true
 	}
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -474,7 +474,7 @@
 // ledgerAlone is what a ledger of so many names holds alone, and what they are as messages, both in bytes.
 func ledgerAlone(size int) (held, sent int64, err error) {
 	before := heap()
-	l := crdt.New("east-0#1796178064505317467")
+	l := crdt.NewMap("east-0#1796178064505317467")
 	names := make([]string, 0, size)
 	for i := range size {
 		name := fmt.Sprintf("f/%016x", i)
@@ -484,7 +484,7 @@
 		names = append(names, name)
 	}
 	held = heap() - before - int64(size)*40 // the names' list here
-	for _, b := range l.Batches(true, names) {
+	for _, b := range l.BuildBatches(true, names) {
 		text, err := cbor.Marshal(b)
 		if err != nil {
 			return 0, 0, err
