--- a/balancer/apart_test.go
+++ b/balancer/apart_test.go
@@ -93,7 +93,7 @@
 	search := func(id uint64, qtype, tenant, first, n int, grace int64, retry bool) {
 		s.finals[id] = 1
 		s.turn(func() {
-			s.c.Search(id, classes[qtype], tenants[tenant], "-", grace*10, id, n, retry)
+			s.c.AddSearch(id, classes[qtype], tenants[tenant], "-", grace*10, id, n, retry)
 			var shards []string
 			for i := range n {
 				shards = append(shards, fmt.Sprint(first+i))
--- a/balancer/books.go
+++ b/balancer/books.go
@@ -8,28 +8,28 @@
 
 // What keeps the books of a co-ordinator: its start, its list, its searches' parts and ends. Nothing is decided here.
 
-func New(out Out) Coordinator {
+func New(out Actions) Balancer {
 	return &coordinator{out: out, fleet: map[string]*replica{}, held: map[uint64]*search{},
 		numbers: map[uint64]*search{}, next: map[uint64]*try{}, wakes: map[uint64]woken{},
 		holding: map[int][]*replica{}, full: map[int]bool{},
 		askWait: askFirst, limit: math.Inf(1), firstUsual: firstPace}
 }
 
-func (c *coordinator) Clock(now int64) { c.now = now; clear(c.full) }
+func (c *coordinator) BeginIteration(now int64) { c.now = now; clear(c.full) }
 
-func (c *coordinator) Start(seed int64, settings map[string]string) {
+func (c *coordinator) Configure(seed int64, settings map[string]string) {
 	c.facts, c.chance = newFacts(settings), rand.New(rand.NewSource(seed))
 	c.sets, c.reach = int(c.facts.num("Specifics.Sets")), int(c.facts.num("Specifics.Reach"))
 	c.spells = make([]sum, int(c.facts.opt("Classes.count", 0)))
 	c.tenants = make([]bucket, int(c.facts.opt("Tenants.count", 0)))
 	if c.facts.text["Discovery"] == "subscribe" {
-		c.out.Watch()
+		c.out.WatchEndpoints()
 	}
 }
 
 func (c *coordinator) maxTries() int { return int(c.facts.opt("Permissions.MaxAttempts", 1)) }
 
-func (c *coordinator) Entry(id string, zone, kind, cell int, status string, units float64, since int64) {
+func (c *coordinator) AddEndpoint(id string, zone, kind, cell int, status string, units float64, since int64) {
 	c.fresh = append(c.fresh, func(keep map[string]bool) {
 		keep[id] = true
 		r := c.fleet[id]
@@ -50,7 +50,7 @@
 	})
 }
 
-func (c *coordinator) ListDone(how string, revision int64) {
+func (c *coordinator) CommitEndpoints(how string, revision int64) {
 	entries := c.fresh
 	c.fresh = nil
 	if how == "Error" {
@@ -73,7 +73,7 @@
 	c.flights.quiets = c.listed
 }
 
-func (c *coordinator) Part(id, number uint64, shard int, weight float64) {
+func (c *coordinator) AddShardRequest(id, number uint64, shard int, weight float64) {
 	c.count(&c.taken)
 	s := c.numbers[number]
 	if s == nil || s.over {
@@ -118,7 +118,7 @@
 	delete(c.numbers, s.number)
 }
 
-func (c *coordinator) Withdrawn(id uint64) {
+func (c *coordinator) CancelSearch(id uint64) {
 	if s := c.held[id]; s != nil {
 		c.left = slices.DeleteFunc(c.left, func(l leaver) bool { return c.now-l.at > leaveSpan })
 		c.left = append(c.left, leaver{s.qtype, s.tenant, s.count, s.first, s.came, c.now})
--- a/balancer/bounds.go
+++ b/balancer/bounds.go
@@ -25,7 +25,7 @@
 	all, known := c.bound.holding[spot]
 	if !known {
 		for _, r := range c.listing(p.shard % c.sets) {
-			if p.s.bounds.May(p.shard, r.id) {
+			if p.s.bounds.Allows(p.shard, r.id) {
 				all = append(all, r)
 			}
 		}
@@ -37,9 +37,9 @@
 	return all
 }
 
-// Bind does not ask whether calling off is allowed: guards against a part that runs on where it may not, and against an
+// RestrictReplicas does not ask whether calling off is allowed: guards against a part that runs on where it may not, and against an
 // answer from there that would count.
-func (c *coordinator) Bind(id uint64, to *Bounds, lacks func(shard int) (end bool)) {
+func (c *coordinator) RestrictReplicas(id uint64, to *ReplicaRestriction, lacks func(shard int) (end bool)) {
 	s := c.held[id]
 	if s == nil || s.over {
 		return
@@ -58,9 +58,9 @@
 		}
 		out := false
 		for _, t := range p.tries {
-			if t.out && !to.May(p.shard, t.r.id) {
+			if t.out && !to.Allows(p.shard, t.r.id) {
 				c.release(t)
-				c.out.Cancel(p.id, t.leg)
+				c.out.CancelAttempt(p.id, t.leg)
 			}
 			out = out || t.out
 		}
@@ -74,7 +74,7 @@
 	}
 	switch {
 	case end:
-		c.out.Error(s.id)
+		c.out.FailSearch(s.id)
 		c.end(s)
 	case lost:
 		if s.left > 0 {
--- a/balancer/bounds_test.go
+++ b/balancer/bounds_test.go
@@ -20,19 +20,19 @@
 		for run := range 2 {
 			text := draw(rand.New(rand.NewSource(int64(i))))
 			chance := rand.New(rand.NewSource(int64(i)))
-			bounds := map[uint64]*Bounds{}
+			bounds := map[uint64]*ReplicaRestriction{}
 			ended := map[uint64]bool{}
 			begun := strings.Index(text, "when")
 			s := begin(t, text[:begun])
 			s.sends = func(search uint64, replica string) {
 				if b := bounds[search]; b != nil {
 					sent++
-					require.True(t, b.May(0, replica), "stream %d: search %d at %s", i, search, replica)
+					require.True(t, b.Allows(0, replica), "stream %d: search %d at %s", i, search, replica)
 				}
 				require.False(t, ended[search])
 			}
 			all := slices.Clone(s.c.(*coordinator).list)
-			draw := func() *Bounds {
+			draw := func() *ReplicaRestriction {
 				var in []string
 				for _, r := range all {
 					if chance.Intn(3) > 0 {
@@ -41,7 +41,7 @@
 						elsewhere++
 					}
 				}
-				return &Bounds{May: func(_ int, replica string) bool { return slices.Contains(in, replica) }}
+				return &ReplicaRestriction{Allows: func(_ int, replica string) bool { return slices.Contains(in, replica) }}
 			}
 			shared := draw()
 			s.bind = func(search uint64) {
@@ -51,7 +51,7 @@
 				if bounds[search] == nil || chance.Intn(2) == 0 {
 					bounds[search] = shared
 				}
-				s.c.Bind(search, bounds[search], func(int) bool {
+				s.c.RestrictReplicas(search, bounds[search], func(int) bool {
 					ended[search] = search%3 == 1
 					return ended[search]
 				})
@@ -65,7 +65,7 @@
 					for _, id := range open {
 						again++
 						bounds[id] = shared
-						s.c.Bind(id, shared, func(int) bool { return false })
+						s.c.RestrictReplicas(id, shared, func(int) bool { return false })
 					}
 				}
 			}
@@ -89,7 +89,7 @@
 
 func (s *stage) bound(id uint64, end bool, in ...string) (lacking []int) {
 	s.turn(func() {
-		s.c.Bind(id, &Bounds{May: func(_ int, replica string) bool { return slices.Contains(in, replica) }},
+		s.c.RestrictReplicas(id, &ReplicaRestriction{Allows: func(_ int, replica string) bool { return slices.Contains(in, replica) }},
 			func(shard int) bool { lacking = append(lacking, shard); return end })
 	})
 	return lacking
@@ -117,7 +117,7 @@
 	require.Equal(t, []int{1}, s.bound(1, true, "a"))
 	require.Contains(t, s.acts, "error 1")
 	bind := func(search uint64) {
-		s.c.Bind(search, &Bounds{May: func(_ int, replica string) bool { return replica == "a" }}, func(int) bool { return false })
+		s.c.RestrictReplicas(search, &ReplicaRestriction{Allows: func(_ int, replica string) bool { return replica == "a" }}, func(int) bool { return false })
 	}
 	s.bind = bind
 	s.lines("mark\nsearch 2 0 4000 0,0,0,1\nat 500\nexpect 1 answer true 2\nexpect 0 send .* b")
--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -11,16 +11,16 @@
 	ended map[uint64]bool
 }
 
-func (b *bench) Send(part uint64, _ string, _ int64) { b.sent = append(b.sent, part) }
-func (b *bench) Cancel(uint64, int)                  {}
-func (b *bench) Answer(search uint64, _ bool)        { b.ended[search] = true }
-func (b *bench) Shed(search uint64, _ int64)         { b.ended[search] = true }
-func (b *bench) Error(search uint64)                 { b.ended[search] = true }
-func (b *bench) Wake(int64, uint64)                  {}
-func (b *bench) Unwake(uint64)                       {}
-func (b *bench) Probe(string)                        {}
-func (b *bench) Watch()                              {}
-func (b *bench) Note(string)                         {}
+func (b *bench) SendAttempt(part uint64, _ string, _ int64) { b.sent = append(b.sent, part) }
+func (b *bench) CancelAttempt(uint64, int)                  {}
+func (b *bench) AnswerSearch(search uint64, _ bool)         { b.ended[search] = true }
+func (b *bench) ShedSearch(search uint64, _ int64)          { b.ended[search] = true }
+func (b *bench) FailSearch(search uint64)                   { b.ended[search] = true }
+func (b *bench) SetTimer(int64, uint64)                     {}
+func (b *bench) CancelTimer(uint64)                         {}
+func (b *bench) ProbeReplica(string)                        {}
+func (b *bench) WatchEndpoints()                            {}
+func (b *bench) LogMessage(string)                          {}
 
 func module(replicas int) (*bench, *coordinator) {
 	b := &bench{ended: map[uint64]bool{}}
@@ -30,24 +30,24 @@
 		"Classes.1.Effect": "retryable", "Specifics.NeedByClass": "0.75,1", "Specifics.ClassFloor": "0.75,1",
 		"Specifics.FollowUp": "0,0", "Permissions.MaxAttempts": "3", "Permissions.SecondCopies": "true",
 		"Permissions.Cancelling": "true", "Safety.Cold": "10000"}
-	c.Clock(10)
-	c.Start(1, facts)
+	c.BeginIteration(10)
+	c.Configure(1, facts)
 	for i := range replicas {
-		c.Entry(fmt.Sprint("r", i), 0, 0, i%8, "healthy", 1, 0)
+		c.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%8, "healthy", 1, 0)
 	}
-	c.ListDone("Persisted", 1)
-	c.EndOfBatch()
+	c.CommitEndpoints("Persisted", 1)
+	c.EndIteration()
 	return b, c
 }
 
 // one plays a search of eight parts from its arrival to its answer.
 func (b *bench) one(c *coordinator, id uint64, qtype int) {
-	c.Clock(c.now + 10)
-	c.Search(id, qtype, 0, "", 30_000, id, 8, false)
+	c.BeginIteration(c.now + 10)
+	c.AddSearch(id, qtype, 0, "", 30_000, id, 8, false)
 	for p := range uint64(8) {
-		c.Part(id<<4|p, id, int(p), 0.125)
+		c.AddShardRequest(id<<4|p, id, int(p), 0.125)
 	}
-	c.EndOfBatch()
+	c.EndIteration()
 	b.land(c)
 	delete(b.ended, id)
 }
@@ -57,9 +57,9 @@
 	sent := b.sent
 	b.sent = b.sent[:0]
 	for _, p := range sent {
-		c.Clock(c.now + 3)
-		c.Outcome(p, 0, "Ok", 25, false, nil)
-		c.EndOfBatch()
+		c.BeginIteration(c.now + 3)
+		c.RecordAttemptOutcome(p, 0, "Ok", 25, false, nil)
+		c.EndIteration()
 	}
 }
 
@@ -91,28 +91,28 @@
 			id := uint64(1000)
 			more := func() {
 				id++
-				c.Search(id, 1, 0, "", 600_000, id, 8, false)
+				c.AddSearch(id, 1, 0, "", 600_000, id, 8, false)
 				for part := range uint64(8) {
-					c.Part(id<<4|part, id, int(part), 0.125)
+					c.AddShardRequest(id<<4|part, id, int(part), 0.125)
 				}
 			}
 			for range n + 8 {
 				more()
 			}
-			c.EndOfBatch()
+			c.EndIteration()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				c.Clock(c.now + 1)
+				c.BeginIteration(c.now + 1)
 				if len(p.sent) > 0 {
 					part := p.sent[0]
 					p.sent = p.sent[1:]
-					c.Outcome(part, 0, "Ok", 25, false, nil)
+					c.RecordAttemptOutcome(part, 0, "Ok", 25, false, nil)
 				}
 				for len(c.queue) < n {
 					more()
 				}
-				c.EndOfBatch()
+				c.EndIteration()
 			}
 		})
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -58,7 +58,7 @@
 // member is one co-ordinator of it.
 type member struct {
 	f     *fleet
-	c     Coordinator
+	c     Balancer
 	next  uint64
 	legs  map[uint64]int
 	gone  map[[2]uint64]bool
@@ -73,9 +73,9 @@
 
 // turn has a module do something, in a turn of its own.
 func (m *member) turn(do func()) {
-	m.c.Clock(m.f.now)
+	m.c.BeginIteration(m.f.now)
 	do()
-	m.c.EndOfBatch()
+	m.c.EndIteration()
 }
 
 func (m *member) ends(part uint64, leg int, ending string, after int64) {
@@ -86,12 +86,12 @@
 			if sent <= f.lost && ending == "Ok" {
 				ending = "ResetByPeer"
 			}
-			m.turn(func() { m.c.Outcome(part, leg, ending, m.f.now-sent, false, nil) })
+			m.turn(func() { m.c.RecordAttemptOutcome(part, leg, ending, m.f.now-sent, false, nil) })
 		}
 	})
 }
 
-func (m *member) Send(part uint64, replica string, timeout int64) {
+func (m *member) SendAttempt(part uint64, replica string, timeout int64) {
 	m.f.sent[replica] = append(m.f.sent[replica], m.f.now)
 	leg := m.legs[part]
 	m.legs[part]++
@@ -102,17 +102,17 @@
 	}
 }
 
-func (m *member) Cancel(part uint64, leg int) { m.ends(part, leg, "Canceled", 1) }
-func (m *member) Answer(id uint64, _ bool)    { m.final(id) }
-func (m *member) Shed(id uint64, _ int64)     { m.final(id) }
-func (m *member) Error(id uint64)             { m.final(id) }
-func (m *member) Wake(wait int64, label uint64) {
-	m.f.after(wait, func() { m.turn(func() { m.c.Timer(label) }) })
+func (m *member) CancelAttempt(part uint64, leg int) { m.ends(part, leg, "Canceled", 1) }
+func (m *member) AnswerSearch(id uint64, _ bool)     { m.final(id) }
+func (m *member) ShedSearch(id uint64, _ int64)      { m.final(id) }
+func (m *member) FailSearch(id uint64)               { m.final(id) }
+func (m *member) SetTimer(wait int64, label uint64) {
+	m.f.after(wait, func() { m.turn(func() { m.c.HandleTimer(label) }) })
 }
-func (m *member) Unwake(uint64) {}
-func (m *member) Probe(string)  {}
-func (m *member) Note(string)   {}
-func (m *member) Watch()        { m.f.asked = append(m.f.asked, m.f.now) }
+func (m *member) CancelTimer(uint64)  {}
+func (m *member) ProbeReplica(string) {}
+func (m *member) LogMessage(string)   {}
+func (m *member) WatchEndpoints()     { m.f.asked = append(m.f.asked, m.f.now) }
 
 func (m *member) final(id uint64) {
 	if m.f.now >= m.due[id] {
@@ -123,9 +123,9 @@
 
 func (m *member) list(how string, since []int64) {
 	for i, at := range since {
-		m.c.Entry(fmt.Sprint("r", i), 0, 0, i%fleetSets, "healthy", 1, at)
+		m.c.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%fleetSets, "healthy", 1, at)
 	}
-	m.c.ListDone(how, 1)
+	m.c.CommitEndpoints(how, 1)
 }
 
 func startFleet(n int) *fleet {
@@ -145,7 +145,7 @@
 		total += m.share
 		f.all = append(f.all, m)
 		m.turn(func() {
-			m.c.Start(int64(i+1), facts)
+			m.c.Configure(int64(i+1), facts)
 			m.list("Persisted", make([]int64, fleetHosts))
 		})
 	}
@@ -158,9 +158,9 @@
 				m.next++
 				id, first := m.next, chance.Intn(fleetSets)
 				m.due[id] = f.now + 40_000
-				m.c.Search(id, chance.Intn(2), 0, "", 40_000, id, fleetEach, false)
+				m.c.AddSearch(id, chance.Intn(2), 0, "", 40_000, id, fleetEach, false)
 				for i := range fleetEach {
-					m.c.Part(id*100+uint64(i), id, (first+i)%fleetSets, 1.0/fleetEach)
+					m.c.AddShardRequest(id*100+uint64(i), id, (first+i)%fleetSets, 1.0/fleetEach)
 				}
 			})
 			f.after(int64(chance.ExpFloat64()*10_000/(fleetRate*m.share)), search)
@@ -251,7 +251,7 @@
 			f.asked = nil
 			failed := f.now
 			for _, m := range f.all {
-				m.turn(func() { m.c.ListDone("Error", 0) })
+				m.turn(func() { m.c.CommitEndpoints("Error", 0) })
 			}
 			f.play(9_000)
 			require.Len(t, f.asked, n)
--- a/balancer/heard_test.go
+++ b/balancer/heard_test.go
@@ -9,18 +9,18 @@
 )
 
 // known collects what the module hands out, in slices of so many.
-func known(c Coordinator, most int) (all []Belief) {
+func known(c Balancer, most int) (all []Observation) {
 	for from := 0; ; {
-		if from = c.Know(from, most, func(b Belief) { all = append(all, b) }); from == 0 {
+		if from = c.ExportObservations(from, most, func(b Observation) { all = append(all, b) }); from == 0 {
 			return all
 		}
 	}
 }
 
-func (s *stage) hear(h ...Heard) {
+func (s *stage) hear(h ...GossipedObservation) {
 	s.turn(func() {
 		for _, one := range h {
-			s.c.Hear(one)
+			s.c.ImportObservation(one)
 		}
 	})
 }
@@ -40,21 +40,21 @@
 	s := begin(t, "start a/0 b/0 c/0\nwhen a,b Ok 20\nwhen c ConnectError 1\nsteady 40 50 1 4000 0,0")
 	for _, most := range []int{1, 2, 100} {
 		all := known(s.c, most)
-		require.Equal(t, OfFleet, all[0].Of)
+		require.Equal(t, ScopeFleet, all[0].Scope)
 		var ids []string
 		for _, b := range all {
-			if b.Of == OfReplica {
+			if b.Scope == ScopeReplica {
 				ids = append(ids, b.Replica)
-				require.Equal(t, b.Replica == "c", b.Bad)
+				require.Equal(t, b.Replica == "c", b.Outlier)
 			}
 		}
 		require.Equal(t, []string{"a", "b", "c"}, ids)
 	}
-	require.InDelta(t, math.Log(200), known(s.c, 9)[0].Short.Mean, 0.3)
+	require.InDelta(t, math.Log(200), known(s.c, 9)[0].ShortWindow.Mean, 0.3)
 	other := begin(t, "start a/0 b/0 c/0")
 	before := known(other.c, 9)
-	other.hear(Heard{Of: OfReplica, Replica: "c", Bad: true, Lasts: 100_000, Short: Tally{3, 2}, Long: Tally{3, 2}},
-		Heard{Of: OfZone, Short: Tally{3, 2}})
+	other.hear(GossipedObservation{Scope: ScopeReplica, Replica: "c", Outlier: true, OutlierDuration: 100_000, ShortWindow: DecayingMean{3, 2}, LongWindow: DecayingMean{3, 2}},
+		GossipedObservation{Scope: ScopeZone, ShortWindow: DecayingMean{3, 2}})
 	after := known(other.c, 9)
 	require.Equal(t, before[1:], after[1:])
 }
@@ -63,7 +63,7 @@
 // spare, and with its first answer it is taken back.
 func TestHeardBad(t *testing.T) {
 	s := begin(t, "start a/0 b/0\nwhen a,b Ok 20")
-	s.hear(Heard{Of: OfReplica, Replica: "a", Bad: true, Lasts: 200_000})
+	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", Outlier: true, OutlierDuration: 200_000})
 	s.lines("mark steady 50 10 1 4000 0,0") // none to spare
 	require.Zero(t, s.sent("a"), "%v", s.acts)
 	s.lines("mark steady 100 10 0 4000 0,0,0,0,0") // 60% are enough
@@ -73,11 +73,11 @@
 // No peer can take a replica away: where all others are full, gone or cold it takes parts, and the belief ends.
 func TestHeardBadIsNoBan(t *testing.T) {
 	s := begin(t, "start a/0 b/0\nwhen a,b Ok 20\nlist Partial b/0/cordoned")
-	s.hear(Heard{Of: OfReplica, Replica: "a", Bad: true, Lasts: 200_000})
+	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", Outlier: true, OutlierDuration: 200_000})
 	s.lines("mark steady 20 60 1 4000 0,0")
 	require.Positive(t, s.sent("a"))
 	s = begin(t, "start a/0 b/0\nwhen a,b Ok 20")
-	s.hear(Heard{Of: OfReplica, Replica: "a", Bad: true, Lasts: math.MaxInt64 / 2})
+	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", Outlier: true, OutlierDuration: math.MaxInt64 / 2})
 	s.to(s.now + heardSpan)
 	s.lines("mark steady 20 60 1 4000 0,0")
 	require.Greater(t, s.sent("a"), 5)
@@ -88,7 +88,7 @@
 	parts := func(hear bool) int {
 		s := begin(t, "start a/0 b/0\nwhen b Ok 20\nsilent a")
 		if hear {
-			s.hear(Heard{Of: OfReplica, Replica: "a", Bad: true, Lasts: 200_000})
+			s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", Outlier: true, OutlierDuration: 200_000})
 		}
 		s.lines("mark steady 90 10 0 4000 0,0,0,0,0")
 		return s.sent("a")
@@ -103,8 +103,8 @@
 	share := func(hear bool, facts string) int {
 		s := begin(t, facts+"\nstart a/0 b/0 c/0/healthy/5\nwhen a,b,c Ok 20")
 		if hear {
-			s.hear(Heard{Of: OfReplica, Replica: "a", Short: Tally{9, -5}, Long: Tally{9, -5}},
-				Heard{Of: OfReplica, Replica: "c", Since: 50, Short: Tally{9, -5}, Long: Tally{9, -5}})
+			s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{9, -5}, LongWindow: DecayingMean{9, -5}},
+				GossipedObservation{Scope: ScopeReplica, Replica: "c", ReplicaStart: 50, ShortWindow: DecayingMean{9, -5}, LongWindow: DecayingMean{9, -5}})
 		}
 		s.lines("mark steady 100 20 1 4000 0")
 		return s.sent("a")*1000 + s.sent("c")
@@ -120,22 +120,22 @@
 	c := s.c.(*coordinator)
 	slowness := func() float64 { return c.slowness(c.fleet["a"]) }
 	before := slowness()
-	s.hear(Heard{Of: OfReplica, Replica: "a", Short: Tally{1e9, 1e9}, Long: Tally{1e9, 1e9}})
+	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{1e9, 1e9}, LongWindow: DecayingMean{1e9, 1e9}})
 	require.InDelta(t, before, slowness(), 0.01, "own answers weigh more already")
 	s = begin(t, "start a/0 b/0\nwhen a,b Ok 20")
 	c = s.c.(*coordinator)
-	s.hear(Heard{Of: OfReplica, Replica: "a", Short: Tally{1e9, 1e9}},
-		Heard{Of: OfReplica, Replica: "a", Since: 7, Short: Tally{0, 0}}, // of another life: not taken
-		Heard{Of: OfReplica, Replica: "nobody", Bad: true}, Heard{Of: OfZone, Zone: 9}, Heard{Of: OfZone, Zone: -1})
+	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{1e9, 1e9}},
+		GossipedObservation{Scope: ScopeReplica, Replica: "a", ReplicaStart: 7, ShortWindow: DecayingMean{0, 0}}, // of another life: not taken
+		GossipedObservation{Scope: ScopeReplica, Replica: "nobody", Outlier: true}, GossipedObservation{Scope: ScopeZone, Zone: 9}, GossipedObservation{Scope: ScopeZone, Zone: -1})
 	first := slowness()
 	require.Greater(t, first, 2.0)
 	require.LessOrEqual(t, first, heardSlow)
 	s.to(s.now + paceSpan)
-	c.Clock(s.now)
+	c.BeginIteration(s.now)
 	require.Less(t, slowness(), first, "it fades")
 	s.lines("steady 10 20 1 4000 0,0")
 	require.Less(t, slowness(), 1.3)
-	s.hear(Heard{Of: OfReplica, Replica: "a", Short: Tally{3, 2}, Bad: true, Lasts: 9})
+	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{3, 2}, Outlier: true, OutlierDuration: 9})
 	s.turn(func() { s.list("Complete", []string{"a/0/healthy/100", "b/0"}) })
 	require.InDelta(t, 1, slowness(), 1e-9, "a restart ends what was heard")
 }
@@ -144,7 +144,7 @@
 func TestHeardTimes(t *testing.T) {
 	for _, v := range []float64{1e-9, 1e12, math.Inf(1)} {
 		s := begin(t, "start a/0 b/0\nwhen b Ok 20\nsilent a")
-		s.hear(Heard{Of: OfFleet, Usual: v, Shortest: v})
+		s.hear(GossipedObservation{Scope: ScopeFleet, FleetLatency: v, ShortestLatency: v})
 		s.lines("mark steady 10 100 1 2000 0,0")
 		s.lines("expect 10 answer true .*")
 	}
@@ -153,26 +153,26 @@
 // One slice of a list of 10,000 that is all known: the owner's time for it.
 func BenchmarkKnow(b *testing.B) {
 	c := New(discard{}).(*coordinator)
-	c.Start(1, map[string]string{"Specifics.Sets": "1", "Specifics.Reach": "1"})
-	c.Clock(1)
+	c.Configure(1, map[string]string{"Specifics.Sets": "1", "Specifics.Reach": "1"})
+	c.BeginIteration(1)
 	for i := range 10_000 {
-		c.Entry(fmt.Sprintf("host-%05d", i), 0, 0, 0, "healthy", 1, 0)
+		c.AddEndpoint(fmt.Sprintf("host-%05d", i), 0, 0, 0, "healthy", 1, 0)
 	}
-	c.ListDone("Complete", 1)
+	c.CommitEndpoints("Complete", 1)
 	for _, r := range c.list {
 		r.took(1, 5)
 		r.answered = 1
 	}
 	told := 0
 	for b.Loop() {
-		c.Know(512, 512, func(Belief) { told++ })
+		c.ExportObservations(512, 512, func(Observation) { told++ })
 	}
 	require.Positive(b, told)
 }
 
-type discard struct{ Out }
+type discard struct{ Actions }
 
-func (discard) Watch() {}
+func (discard) WatchEndpoints() {}
 
 // A replica that refuses and names a time is left alone until then, and asked again after it.
 func TestRefusalsTime(t *testing.T) {
--- a/balancer/know.go
+++ b/balancer/know.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Know hands out what own sub-requests have shown: the fleet and zones first, then so many replicas a call,
+// ExportObservations hands out what own sub-requests have shown: the fleet and zones first, then so many replicas a call,
 // those with nothing to tell left out. What was heard is not in it: a rumour would go round and count twice.
-func (c *coordinator) Know(from, most int, tell func(b Belief)) (next int) {
+func (c *coordinator) ExportObservations(from, most int, tell func(b Observation)) (next int) {
 	if from == 0 {
 		n, _ := c.pace.read(c.now, fleetSpan)
-		tell(Belief{Of: OfFleet, Short: Tally{n, math.Log(c.common())}, Long: Tally{n, math.Log(max(1, c.best))}})
+		tell(Observation{Scope: ScopeFleet, ShortWindow: DecayingMean{n, math.Log(c.common())}, LongWindow: DecayingMean{n, math.Log(max(1, c.best))}})
 		for zone := range c.ways {
-			tell(Belief{Of: OfZone, Zone: zone, Short: c.ways[zone].pace.tally(c.now, paceSpan)})
+			tell(Observation{Scope: ScopeZone, Zone: zone, ShortWindow: c.ways[zone].pace.tally(c.now, paceSpan)})
 		}
 	}
 	to := min(len(c.list), max(from, from+most))
@@ -52,7 +52,7 @@
 	}
 }
 
-func (c *coordinator) Outcome(part uint64, leg int, ending string, wait int64, over bool,
+func (c *coordinator) RecordAttemptOutcome(part uint64, leg int, ending string, wait int64, over bool,
 	report map[string]float64) {
 	key := part<<8 | uint64(leg)
 	if t := c.next[key]; t != nil {
@@ -61,9 +61,9 @@
 	}
 }
 
-func (c *coordinator) ProbeResult(string, string, int64, map[string]float64) {}
+func (c *coordinator) RecordProbeResult(string, string, int64, map[string]float64) {}
 
-func (c *coordinator) Held(share float64) { c.fullness = share }
+func (c *coordinator) SetUtilization(share float64) { c.fullness = share }
 
 func (c *coordinator) warm(r *replica) bool {
 	return r.since == 0 || c.now >= r.since+c.facts.span("Safety.Cold")
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -91,10 +91,10 @@
 func (c *coordinator) askAgain() {
 	wait := min(c.askWait, int64(c.facts.opt("Safety.AskWithin", askMost)*3)) // missed lists count after 6 s
 	c.askWait = min(2*c.askWait, askMost)
-	c.after(wait+c.chance.Int63n(wait/4+1), doing(c.out.Watch))
+	c.after(wait+c.chance.Int63n(wait/4+1), doing(c.out.WatchEndpoints))
 }
 
-func (c *coordinator) Search(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int,
+func (c *coordinator) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int,
 	retry bool) {
 	c.backlog = memory*c.backlog + (1-memory)*float64(len(c.queue))
 	s := &search{id: id, number: number, qtype: qtype, came: c.now, first: c.now, step: 1, count: count}
@@ -139,7 +139,7 @@
 
 // Leaving the queue.
 
-func (c *coordinator) EndOfBatch() {
+func (c *coordinator) EndIteration() {
 	for i := 0; c.sendWaiting() && i < len(c.queue) && !c.busy(); {
 		s := c.queue[i]
 		switch {
@@ -639,7 +639,7 @@
 	} else if !c.facts.yes("Permissions.Cancelling") && len(p.tries) < c.maxTries() && p.s.effect != "fragile" {
 		patience = min(patience, aloneRatio*c.overdueAfter())
 	}
-	c.out.Send(p.id, r.id, patience)
+	c.out.SendAttempt(p.id, r.id, patience)
 	c.next[p.id<<8|uint64(t.leg)] = t
 }
 
@@ -817,7 +817,7 @@
 		t.r.took(c.now, pace)
 	}
 	c.release(t)
-	c.out.Cancel(t.p.id, t.leg)
+	c.out.CancelAttempt(t.p.id, t.leg)
 }
 
 // enough tells whether an answer may go out from so much, marked whole or not: never under the least share.
@@ -842,7 +842,7 @@
 		s.firstWhole = whole
 		c.spent(s)
 	}
-	c.out.Answer(s.id, whole && s.firstWhole)
+	c.out.AnswerSearch(s.id, whole && s.firstWhole)
 	if s.step == 1 && c.facts.nth("Specifics.FollowUp", s.qtype, 0) > 0 {
 		c.drop(s)
 		s.step, s.parts, s.in, s.most, s.need, s.copies = 2, nil, 0, 0, 1, 0
@@ -862,7 +862,7 @@
 	if !s.over && c.harmless(s) {
 		c.shed(s)
 	} else if !s.over {
-		c.out.Error(s.id)
+		c.out.FailSearch(s.id)
 		c.end(s)
 	}
 }
@@ -876,7 +876,7 @@
 		}
 		advice = min(int64(wait), c.facts.span("Permissions.MaxRetryAfter"))
 	}
-	c.out.Shed(s.id, advice)
+	c.out.ShedSearch(s.id, advice)
 	c.end(s)
 }
 
@@ -950,26 +950,26 @@
 	return false
 }
 
-// Hear takes a heard belief in, in the place of the one before. Guards against a start that knows nothing,
+// ImportObservation takes a heard belief in, in the place of the one before. Guards against a start that knows nothing,
 // and against peers that are wrong: hearsay only takes from a replica, weighs heardMost answers at the most,
 // gives way to own ones, and fades. A replica said to be bad comes after the others, with one part at a time,
 // until it answers here: no peer can take it away.
-func (c *coordinator) Hear(h Heard) {
-	take := func(t Tally) hearsay {
-		return hearsay{min(heardMost, t.N), max(0, min(math.Log(heardSlow), t.Mean)), c.now}
+func (c *coordinator) ImportObservation(h GossipedObservation) {
+	take := func(t DecayingMean) hearsay {
+		return hearsay{min(heardMost, t.Weight), max(0, min(math.Log(heardSlow), t.Mean)), c.now}
 	}
 	switch r := c.fleet[h.Replica]; {
-	case h.Of == OfFleet && h.Usual > 0:
-		c.firstUsual, c.usualAt = max(firstPace/heardSway, min(firstPace, h.Usual)), 0 // longer would bar copies
-		if c.best == 0 && h.Shortest > 0 {
-			c.best, c.bestAt = min(c.common(), max(h.Shortest, heardBest*c.common())), c.now
-		}
-	case h.Of == OfZone && h.Zone >= 0 && h.Zone < len(c.ways):
-		c.ways[h.Zone].heard = take(h.Short)
-	case h.Of == OfReplica && r != nil && r.since == h.Since:
-		r.short, r.long, r.doubtTo = take(h.Short), take(h.Long), 0
-		if n, _ := r.past.read(c.now, pastSpan); h.Bad && n < 1 {
-			r.doubtTo = c.now + min(heardSpan, h.Lasts)
+	case h.Scope == ScopeFleet && h.FleetLatency > 0:
+		c.firstUsual, c.usualAt = max(firstPace/heardSway, min(firstPace, h.FleetLatency)), 0 // longer would bar copies
+		if c.best == 0 && h.ShortestLatency > 0 {
+			c.best, c.bestAt = min(c.common(), max(h.ShortestLatency, heardBest*c.common())), c.now
+		}
+	case h.Scope == ScopeZone && h.Zone >= 0 && h.Zone < len(c.ways):
+		c.ways[h.Zone].heard = take(h.ShortWindow)
+	case h.Scope == ScopeReplica && r != nil && r.since == h.ReplicaStart:
+		r.short, r.long, r.doubtTo = take(h.ShortWindow), take(h.LongWindow), 0
+		if n, _ := r.past.read(c.now, pastSpan); h.Outlier && n < 1 {
+			r.doubtTo = c.now + min(heardSpan, h.OutlierDuration)
 			c.doubtsTo = max(c.doubtsTo, r.doubtTo)
 			r.trialAt = max(r.trialAt, c.now+c.chance.Int63n(trialWait)) // not all learners' trials at once
 		}
--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -30,7 +30,7 @@
 
 type stage struct {
 	t       *testing.T
-	c       Coordinator
+	c       Balancer
 	now     int64
 	acts    []string // since the last mark
 	all     []string
@@ -58,18 +58,18 @@
 	i := sort.Search(len(s.later), func(i int) bool { return s.later[i].at > s.now+wait })
 	s.later = slices.Insert(s.later, i, due{s.now + wait, do})
 }
-func (s *stage) Cancel(part uint64, leg int) {
+func (s *stage) CancelAttempt(part uint64, leg int) {
 	require.True(s.t, s.bind != nil || s.facts["Permissions.Cancelling"] == "true")
 	s.act("cancel %d.%d", part, leg)
 	s.end(part, leg, "Canceled", 10)
 }
-func (s *stage) Wake(wait int64, label uint64)     { s.plan(wait, func() { s.c.Timer(label) }) }
-func (s *stage) Unwake(uint64)                     {}
-func (s *stage) Probe(replica string)              { s.act("probe %s", replica) }
-func (s *stage) Watch()                            { s.act("watch") }
-func (s *stage) Note(text string)                  { s.act("note %s", text) }
-func (s *stage) Shed(search uint64, retryIn int64) { s.final(search, "shed") }
-func (s *stage) Error(search uint64)               { s.final(search, "error") }
+func (s *stage) SetTimer(wait int64, label uint64)       { s.plan(wait, func() { s.c.HandleTimer(label) }) }
+func (s *stage) CancelTimer(uint64)                      {}
+func (s *stage) ProbeReplica(replica string)             { s.act("probe %s", replica) }
+func (s *stage) WatchEndpoints()                         { s.act("watch") }
+func (s *stage) LogMessage(text string)                  { s.act("note %s", text) }
+func (s *stage) ShedSearch(search uint64, retryIn int64) { s.final(search, "shed") }
+func (s *stage) FailSearch(search uint64)                { s.final(search, "error") }
 
 func (s *stage) final(search uint64, how string) {
 	s.act("%s %d", how, search)
@@ -77,7 +77,7 @@
 	require.GreaterOrEqual(s.t, s.finals[search], 0, "second final answer to %d", search)
 }
 
-func (s *stage) Answer(search uint64, whole bool) {
+func (s *stage) AnswerSearch(search uint64, whole bool) {
 	if shards := s.steps[search]; shards != "" {
 		delete(s.steps, search)
 		s.act("first %d %v", search, whole)
@@ -87,7 +87,7 @@
 	s.final(search, fmt.Sprintf("answer %v", whole))
 }
 
-func (s *stage) Send(part uint64, replica string, timeout int64) {
+func (s *stage) SendAttempt(part uint64, replica string, timeout int64) {
 	s.act("send %d %s", part, replica)
 	if s.sends != nil {
 		s.sends(s.owner[part], replica)
@@ -111,7 +111,7 @@
 		if key := [2]uint64{part, uint64(leg)}; !s.ended[key] {
 			s.ended[key] = true
 			s.out[part]--
-			s.c.Outcome(part, leg, ending, s.now-sent, false, s.report)
+			s.c.RecordAttemptOutcome(part, leg, ending, s.now-sent, false, s.report)
 		}
 	})
 }
@@ -141,9 +141,9 @@
 }
 
 func (s *stage) turn(do func()) {
-	s.c.Clock(s.now)
+	s.c.BeginIteration(s.now)
 	do()
-	s.c.EndOfBatch()
+	s.c.EndIteration()
 	if s.recount {
 		s.recounted()
 	}
@@ -169,7 +169,7 @@
 			w, _ = strconv.ParseFloat(strings.Split(weights, ",")[i], 64)
 		}
 		s.owner[first+uint64(i)] = search
-		s.c.Part(first+uint64(i), search, int(s.num(shard)), w)
+		s.c.AddShardRequest(first+uint64(i), search, int(s.num(shard)), w)
 	}
 	if s.bind != nil {
 		s.bind(search)
@@ -181,7 +181,7 @@
 	w = append(w, "", "")
 	s.finals[id] = 1
 	s.turn(func() {
-		s.c.Search(id, int(s.num(w[0])), 0, "-", s.num(w[1])*10, id, strings.Count(w[2], ",")+1, w[4] == "again")
+		s.c.AddSearch(id, int(s.num(w[0])), 0, "-", s.num(w[1])*10, id, strings.Count(w[2], ",")+1, w[4] == "again")
 		s.parts(id, id*100, w[2], w[3])
 	})
 }
@@ -192,9 +192,9 @@
 		if len(f) == 5 {
 			f = []string{f[0], f[1], f[2], f[4]}
 		}
-		s.c.Entry(f[0], strings.Count(f[0], "far"), 0, int(s.num(f[1])), f[2], 1, s.num(f[3])*10)
+		s.c.AddEndpoint(f[0], strings.Count(f[0], "far"), 0, int(s.num(f[1])), f[2], 1, s.num(f[3])*10)
 	}
-	s.c.ListDone(how, 1)
+	s.c.CommitEndpoints(how, 1)
 }
 
 func (s *stage) line(w []string) {
@@ -205,7 +205,7 @@
 			s.facts[name] = value
 		}
 	case "start":
-		s.turn(func() { s.c.Start(7, s.facts); s.list("Persisted", w[1:]) })
+		s.turn(func() { s.c.Configure(7, s.facts); s.list("Persisted", w[1:]) })
 		s.to(100)
 	case "list":
 		s.turn(func() { s.list(w[1], w[2:]) })
@@ -228,12 +228,12 @@
 	case "held":
 		share, err := strconv.ParseFloat(w[1], 64)
 		require.NoError(s.t, err)
-		s.turn(func() { s.c.Held(share) })
+		s.turn(func() { s.c.SetUtilization(share) })
 	case "second":
 		s.steps[uint64(s.num(w[1]))] = w[2]
 	case "withdraw":
 		s.finals[uint64(s.num(w[1]))] = 0
-		s.turn(func() { s.c.Withdrawn(uint64(s.num(w[1]))) })
+		s.turn(func() { s.c.CancelSearch(uint64(s.num(w[1]))) })
 	case "mark":
 		if s.acts = nil; len(w) > 1 {
 			s.line(w[1:])
@@ -317,17 +317,17 @@
 // Replicas that have left are forgotten, told of one by one or by a whole list.
 func TestReplicasThatLeave(t *testing.T) {
 	c := New(nil).(*coordinator)
-	c.Start(1, map[string]string{"Specifics.Sets": "1", "Specifics.Reach": "1"})
+	c.Configure(1, map[string]string{"Specifics.Sets": "1", "Specifics.Reach": "1"})
 	for i := range 100 {
-		c.Clock(int64(i + 1))
+		c.BeginIteration(int64(i + 1))
 		id := func(n int) string { return fmt.Sprint("r", n) }
-		c.Entry(id(2*i), 0, 0, 0, "healthy", 1, 0)
-		c.Entry(id(2*i+1), 0, 0, 0, "healthy", 1, 0)
-		c.Entry(id(2*i-2), 0, 0, 0, "deregistered", 1, 0)
-		c.ListDone("Partial", int64(i))
+		c.AddEndpoint(id(2*i), 0, 0, 0, "healthy", 1, 0)
+		c.AddEndpoint(id(2*i+1), 0, 0, 0, "healthy", 1, 0)
+		c.AddEndpoint(id(2*i-2), 0, 0, 0, "deregistered", 1, 0)
+		c.CommitEndpoints("Partial", int64(i))
 		require.LessOrEqual(t, len(c.list), 3)
-		c.Entry(id(2*i), 0, 0, 0, "healthy", 1, 0)
-		c.ListDone("Complete", int64(i))
+		c.AddEndpoint(id(2*i), 0, 0, 0, "healthy", 1, 0)
+		c.CommitEndpoints("Complete", int64(i))
 		require.Len(t, c.list, 1)
 		require.Len(t, c.fleet, 1)
 		require.Equal(t, 1, c.listed)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -10,7 +10,7 @@
 
 // coordinator is what one co-ordinator holds.
 type coordinator struct {
-	out      Out
+	out      Actions
 	chance   *rand.Rand
 	facts    siteFacts
 	now      int64
@@ -84,10 +84,10 @@
 	beyond         bool // more than its tenant's share
 	effect         string
 	parts          []*part
-	slab           []part  // room for parts that are still to come
-	in, need, most float64 // weight in, weight for a whole answer, weight that can still come
-	copies, lost   int     // further sub-requests sent; connections dropped under its parts once begun
-	bounds         *Bounds // nil where it may use any replica
+	slab           []part              // room for parts that are still to come
+	in, need, most float64             // weight in, weight for a whole answer, weight that can still come
+	copies, lost   int                 // further sub-requests sent; connections dropped under its parts once begun
+	bounds         *ReplicaRestriction // nil where it may use any replica
 
 	dueWake, usefulWake uint64
 }
@@ -285,23 +285,23 @@
 	return n / (span * (1 - math.Exp(-max(least, float64(now-m.start))/span)))
 }
 
-func (m *sum) tally(now int64, span float64) Tally {
+func (m *sum) tally(now int64, span float64) DecayingMean {
 	n, total := m.read(now, span)
 	if n == 0 {
-		return Tally{}
+		return DecayingMean{}
 	}
-	return Tally{n, total / n}
+	return DecayingMean{n, total / n}
 }
 
 // belief is what travels of a replica.
-func (r *replica) belief(now int64, bad bool) Belief {
-	b := Belief{Of: OfReplica, Replica: r.id, Zone: r.zone, Since: r.since, Strikes: r.strikes, Refused: r.refused,
-		Quiet: r.quiet, Age: -1, Bad: bad, Short: r.pace.tally(now, paceSpan), Long: r.past.tally(now, pastSpan)}
+func (r *replica) belief(now int64, bad bool) Observation {
+	b := Observation{Scope: ScopeReplica, Replica: r.id, Zone: r.zone, ReplicaStart: r.since, ConsecutiveFailures: r.strikes, ConsecutiveConnectFailures: r.refused,
+		UnansweredRequests: r.quiet, LastAnswerAge: -1, Outlier: bad, ShortWindow: r.pace.tally(now, paceSpan), LongWindow: r.past.tally(now, pastSpan)}
 	if r.quiet > 0 {
-		b.Silent = now - r.quietSince
+		b.SilentFor = now - r.quietSince
 	}
 	if r.answered > 0 {
-		b.Age = now - r.answered
+		b.LastAnswerAge = now - r.answered
 	}
 	return b
 }
--- a/balancer/wakes.go
+++ b/balancer/wakes.go
@@ -21,7 +21,7 @@
 func (c *coordinator) after(wait int64, do woken) uint64 {
 	c.label++
 	c.wakes[c.label] = do
-	c.out.Wake(max(wait, 1), c.label)
+	c.out.SetTimer(max(wait, 1), c.label)
 	return c.label
 }
 
@@ -30,11 +30,11 @@
 func (c *coordinator) unwake(label uint64) {
 	if c.wakes[label] != nil {
 		delete(c.wakes, label)
-		c.out.Unwake(label)
+		c.out.CancelTimer(label)
 	}
 }
 
-func (c *coordinator) Timer(label uint64) {
+func (c *coordinator) HandleTimer(label uint64) {
 	if do := c.wakes[label]; do != nil {
 		delete(c.wakes, label)
 		do.woken(c)
--- a/cluster/peerreport/learn_test.go
+++ b/cluster/peerreport/learn_test.go
@@ -43,13 +43,13 @@
 	return Observation{HostID: id, IsOutlier: true, UnansweredRequests: 5}
 }
 
-func of(heard []balancer.Heard, id string) balancer.Heard {
+func of(heard []balancer.GossipedObservation, id string) balancer.GossipedObservation {
 	for _, h := range heard {
-		if h.Of == balancer.OfReplica && h.Replica == id {
+		if h.Scope == balancer.ScopeReplica && h.Replica == id {
 			return h
 		}
 	}
-	return balancer.Heard{}
+	return balancer.GossipedObservation{}
 }
 
 var note = rapid.Custom(func(t *rapid.T) Observation {
@@ -65,7 +65,7 @@
 		reports := rapid.SliceOfN(rapid.SliceOfN(note, 1, 8), 1, 5).Draw(t, "reports")
 		ages := rapid.SliceOfN(rapid.Int64Range(0, reportLife), 5, 5).Draw(t, "ages")
 		now := int64(2 * reportLife)
-		shelf := func(order []int, times int) []balancer.Heard {
+		shelf := func(order []int, times int) []balancer.GossipedObservation {
 			s := NewReportStore("", nil)
 			for _, i := range order {
 				for range times {
@@ -83,11 +83,11 @@
 		require.Equal(t, first, shelf(order, 1), "the order of peers")
 		require.Equal(t, first, shelf(order, 2), "twice counts once")
 		for _, h := range first {
-			require.LessOrEqual(t, h.Short.N, oneVote)
-			require.LessOrEqual(t, h.Long.N, oneVote)
-			require.GreaterOrEqual(t, h.Short.Mean, 0.0)
-			require.LessOrEqual(t, h.Lasts, int64(badLife))
-			require.False(t, math.IsNaN(h.Short.Mean+h.Short.N+h.Long.Mean+h.Long.N))
+			require.LessOrEqual(t, h.ShortWindow.Weight, oneVote)
+			require.LessOrEqual(t, h.LongWindow.Weight, oneVote)
+			require.GreaterOrEqual(t, h.ShortWindow.Mean, 0.0)
+			require.LessOrEqual(t, h.OutlierDuration, int64(badLife))
+			require.False(t, math.IsNaN(h.ShortWindow.Mean+h.ShortWindow.Weight+h.LongWindow.Mean+h.LongWindow.Weight))
 		}
 	})
 }
@@ -100,7 +100,7 @@
 		ages := rapid.SliceOfN(rapid.Int64Range(0, reportLife/2), 4, 4).Draw(t, "ages")
 		older := rapid.SliceOfN(rapid.Int64Range(0, reportLife/2), 4, 4).Draw(t, "older")
 		now := int64(2 * reportLife)
-		shelf := func(more []int64) []balancer.Heard {
+		shelf := func(more []int64) []balancer.GossipedObservation {
 			s := NewReportStore("", nil)
 			for i, notes := range reports {
 				put(t, s, now-ages[i]-more[i], fmt.Sprint("p", i), notes...)
@@ -110,9 +110,9 @@
 		young, old := shelf(make([]int64, 4)), shelf(older)
 		for _, h := range old {
 			y := of(young, h.Replica)
-			require.LessOrEqual(t, h.Short.N, y.Short.N+1e-9, h.Replica)
-			require.LessOrEqual(t, h.Long.N, y.Long.N+1e-9, h.Replica)
-			require.LessOrEqual(t, h.Lasts, y.Lasts, h.Replica)
+			require.LessOrEqual(t, h.ShortWindow.Weight, y.ShortWindow.Weight+1e-9, h.Replica)
+			require.LessOrEqual(t, h.LongWindow.Weight, y.LongWindow.Weight+1e-9, h.Replica)
+			require.LessOrEqual(t, h.OutlierDuration, y.OutlierDuration, h.Replica)
 		}
 	})
 }
@@ -128,11 +128,11 @@
 		put(t, s, 0, "honest-2", slow("h1", b))
 		put(t, s, 0, "liar", lies...)
 		for _, h := range s.Combine(0, all) {
-			require.False(t, h.Bad, h.Replica)
+			require.False(t, h.Outlier, h.Replica)
 			if h.Replica == "h1" {
-				require.LessOrEqual(t, h.Short.Mean, float64(max(a, b))/logScale)
+				require.LessOrEqual(t, h.ShortWindow.Mean, float64(max(a, b))/logScale)
 			} else {
-				require.Zero(t, h.Short.Mean, "only the liar speaks of it")
+				require.Zero(t, h.ShortWindow.Mean, "only the liar speaks of it")
 			}
 		}
 	})
@@ -141,15 +141,15 @@
 func TestMajority(t *testing.T) {
 	s := NewReportStore("", nil)
 	put(t, s, 0, "a", bad("h1"), slow("h2", 0), slow("h3", 0), slow("h4", 0))
-	require.True(t, of(s.Combine(0, all), "h1").Bad, "the only word there is")
+	require.True(t, of(s.Combine(0, all), "h1").Outlier, "the only word there is")
 	put(t, s, 0, "b", slow("h1", 0))
 	h := of(s.Combine(0, all), "h1")
 	require.Equal(t, "h1", h.Replica, "what was told and no longer holds is taken back")
-	require.False(t, h.Bad, "one of two")
+	require.False(t, h.Outlier, "one of two")
 	put(t, s, 0, "c", bad("h1"))
-	require.True(t, of(s.Combine(0, all), "h1").Bad, "two of three")
-	require.Equal(t, int64(badLife-second), of(s.Combine(second, all), "h1").Lasts)
-	require.False(t, of(s.Combine(badLife, all), "h1").Bad, "too old")
+	require.True(t, of(s.Combine(0, all), "h1").Outlier, "two of three")
+	require.Equal(t, int64(badLife-second), of(s.Combine(second, all), "h1").OutlierDuration)
+	require.False(t, of(s.Combine(badLife, all), "h1").Outlier, "too old")
 	require.Empty(t, s.Combine(reportLife+1, all))
 	require.Zero(t, s.ReportCount())
 }
@@ -172,16 +172,16 @@
 	require.Empty(t, s.Combine(0, since), "another life of h1; h2 is not listed")
 	started["h1"], started["h2"] = 500, 0
 	heard := s.Combine(1, since)
-	require.True(t, of(heard, "h1").Bad, "the list follows")
-	require.True(t, of(heard, "h2").Bad, "it came to the list after the report")
+	require.True(t, of(heard, "h1").Outlier, "the list follows")
+	require.True(t, of(heard, "h2").Outlier, "it came to the list after the report")
 	s.InvalidateHost(10, "h2")
 	heard = s.Combine(11, since)
-	require.False(t, of(heard, "h2").Bad, "an older note is of another machine")
-	require.True(t, of(heard, "h1").Bad)
+	require.False(t, of(heard, "h2").Outlier, "an older note is of another machine")
+	require.True(t, of(heard, "h1").Outlier)
 	put(t, s, 20, "a", bad("h2"), slow("h3", 0), slow("h4", 0))
-	require.True(t, of(s.Combine(20, since), "h2").Bad, "a newer one counts")
+	require.True(t, of(s.Combine(20, since), "h2").Outlier, "a newer one counts")
 	delete(started, "h2")
-	require.False(t, of(s.Combine(20, since), "h2").Bad, "it has left")
+	require.False(t, of(s.Combine(20, since), "h2").Outlier, "it has left")
 	for i := range 3 * movedMost {
 		s.InvalidateHost(30, fmt.Sprint("m", i))
 	}
@@ -194,10 +194,10 @@
 	s := NewReportStore("", nil)
 	put(t, s, 0, "a", bad("h1"), slow("h2", 0), slow("h3", 0))
 	require.NoError(t, s.BeginReport(10, ReportHeader{Peer: "a", Serial: 2, HostCount: 1}))
-	require.True(t, of(s.Combine(10, all), "h1").Bad)
+	require.True(t, of(s.Combine(10, all), "h1").Outlier)
 	require.Error(t, s.AddObservations("a", []Observation{slow("h1", 0), slow("h2", 0)}))
 	s.AbortReport("a")
-	require.True(t, of(s.Combine(10, all), "h1").Bad)
+	require.True(t, of(s.Combine(10, all), "h1").Outlier)
 	require.Error(t, s.AddObservations("a", []Observation{bad("h1")}))
 	require.Error(t, s.AddObservations("nobody", nil))
 	require.Error(t, s.BeginReport(0, ReportHeader{Peer: "b", HostCount: MaxHosts + 1}))
@@ -214,10 +214,10 @@
 	take := func(times float64) []Observation {
 		taker := NewReportBuilder(0, "a", "", 1, 1, nil)
 		usual := math.Log(50 * times)
-		taker.AddBelief(balancer.Belief{Of: balancer.OfFleet, Short: balancer.Tally{N: 100, Mean: usual}, Long: balancer.Tally{N: 100, Mean: usual}})
+		taker.AddBelief(balancer.Observation{Scope: balancer.ScopeFleet, ShortWindow: balancer.DecayingMean{Weight: 100, Mean: usual}, LongWindow: balancer.DecayingMean{Weight: 100, Mean: usual}})
 		for i, factor := range []float64{1, 1, 4} {
-			mean := balancer.Tally{N: 10, Mean: math.Log(50 * times * factor)}
-			taker.AddBelief(balancer.Belief{Of: balancer.OfReplica, Replica: fmt.Sprint("h", i), Short: mean, Long: mean, Age: 10})
+			mean := balancer.DecayingMean{Weight: 10, Mean: math.Log(50 * times * factor)}
+			taker.AddBelief(balancer.Observation{Scope: balancer.ScopeReplica, Replica: fmt.Sprint("h", i), ShortWindow: mean, LongWindow: mean, LastAnswerAge: 10})
 		}
 		return taker.Observations
 	}
@@ -237,13 +237,13 @@
 	put2(t, here, 0, head, n)
 	put2(t, there, 0, head, n)
 	heard := here.Combine(0, all)
-	require.InDelta(t, 1.5, of(heard, "h1").Short.Mean, 1e-9)
-	require.Equal(t, balancer.Heard{Of: balancer.OfFleet, Usual: 400, Shortest: 30}, heard[0])
-	require.Equal(t, balancer.OfZone, heard[1].Of)
+	require.InDelta(t, 1.5, of(heard, "h1").ShortWindow.Mean, 1e-9)
+	require.Equal(t, balancer.GossipedObservation{Scope: balancer.ScopeFleet, FleetLatency: 400, ShortestLatency: 30}, heard[0])
+	require.Equal(t, balancer.ScopeZone, heard[1].Scope)
 	require.Equal(t, 0, heard[1].Zone, "zones go by name")
 	heard = there.Combine(0, all)
 	require.Len(t, heard, 1)
-	require.InDelta(t, 0.1, of(heard, "h1").Short.Mean, 1e-9)
+	require.InDelta(t, 0.1, of(heard, "h1").ShortWindow.Mean, 1e-9)
 }
 
 func TestAsking(t *testing.T) {
--- a/cluster/peerreport/report.go
+++ b/cluster/peerreport/report.go
@@ -94,32 +94,32 @@
 }
 
 // AddBelief takes one belief in; the fleet's comes first.
-func (t *ReportBuilder) AddBelief(b balancer.Belief) {
-	switch b.Of {
-	case balancer.OfFleet:
-		t.usual = b.Short.Mean
-		t.Header.AnswerCount = uint32(scaled(b.Short.N, countScale, math.MaxInt32))
-		t.Header.FleetLatency = uint32(scaled(math.Exp(b.Short.Mean), 1, math.MaxInt32))
-		if b.Long.Mean > 0 {
-			t.Header.MinLatency = uint32(scaled(math.Exp(b.Long.Mean), 1, math.MaxInt32))
+func (t *ReportBuilder) AddBelief(b balancer.Observation) {
+	switch b.Scope {
+	case balancer.ScopeFleet:
+		t.usual = b.ShortWindow.Mean
+		t.Header.AnswerCount = uint32(scaled(b.ShortWindow.Weight, countScale, math.MaxInt32))
+		t.Header.FleetLatency = uint32(scaled(math.Exp(b.ShortWindow.Mean), 1, math.MaxInt32))
+		if b.LongWindow.Mean > 0 {
+			t.Header.MinLatency = uint32(scaled(math.Exp(b.LongWindow.Mean), 1, math.MaxInt32))
 		}
-	case balancer.OfZone:
+	case balancer.ScopeZone:
 		if b.Zone < len(t.zones) && len(t.Header.Zones) < MaxZones {
 			t.Header.Zones = append(t.Header.Zones, ZoneObservation{Name: t.zones[b.Zone],
-				Samples: uint16(scaled(b.Short.N, countScale, math.MaxUint16)), LogSlowdown: t.slower(b.Short)})
+				Samples: uint16(scaled(b.ShortWindow.Weight, countScale, math.MaxUint16)), LogSlowdown: t.slower(b.ShortWindow)})
 		}
-	case balancer.OfReplica:
+	case balancer.ScopeReplica:
 		if len(t.Observations) >= MaxHosts {
 			return
 		}
-		n := Observation{HostID: b.Replica, ZoneIndex: uint8(min(b.Zone, MaxZones)), StartedMs: uint64(max(0, b.Since) / tenthsPerMs),
-			ShortSamples: uint16(scaled(b.Short.N, countScale, math.MaxUint16)), ShortLogSlowdown: t.slower(b.Short),
-			LongSamples: uint16(scaled(b.Long.N, countScale, math.MaxUint16)), LongLogSlowdown: t.slower(b.Long),
-			ConsecutiveFailures: uint8(min(b.Strikes, math.MaxUint8)), ConnectFailures: uint8(min(b.Refused, math.MaxUint8)),
-			UnansweredRequests: uint8(min(b.Quiet, math.MaxUint8)),
-			SilentMs:           uint32(min(b.Silent/tenthsPerMs, math.MaxUint32-1)), AgeMs: NeverAnswered, IsOutlier: b.Bad}
-		if b.Age >= 0 {
-			n.AgeMs = uint32(min(b.Age/tenthsPerMs, math.MaxUint32-1))
+		n := Observation{HostID: b.Replica, ZoneIndex: uint8(min(b.Zone, MaxZones)), StartedMs: uint64(max(0, b.ReplicaStart) / tenthsPerMs),
+			ShortSamples: uint16(scaled(b.ShortWindow.Weight, countScale, math.MaxUint16)), ShortLogSlowdown: t.slower(b.ShortWindow),
+			LongSamples: uint16(scaled(b.LongWindow.Weight, countScale, math.MaxUint16)), LongLogSlowdown: t.slower(b.LongWindow),
+			ConsecutiveFailures: uint8(min(b.ConsecutiveFailures, math.MaxUint8)), ConnectFailures: uint8(min(b.ConsecutiveConnectFailures, math.MaxUint8)),
+			UnansweredRequests: uint8(min(b.UnansweredRequests, math.MaxUint8)),
+			SilentMs:           uint32(min(b.SilentFor/tenthsPerMs, math.MaxUint32-1)), AgeMs: NeverAnswered, IsOutlier: b.Outlier}
+		if b.LastAnswerAge >= 0 {
+			n.AgeMs = uint32(min(b.LastAnswerAge/tenthsPerMs, math.MaxUint32-1))
 		}
 		t.Observations = append(t.Observations, n)
 	}
@@ -138,8 +138,8 @@
 	return h
 }
 
-func (t *ReportBuilder) slower(m balancer.Tally) int16 {
-	if m.N == 0 {
+func (t *ReportBuilder) slower(m balancer.DecayingMean) int16 {
+	if m.Weight == 0 {
 		return 0
 	}
 	return int16(scaled(m.Mean-t.usual, logScale, math.MaxInt16))
--- a/cluster/peerreport/shelf.go
+++ b/cluster/peerreport/shelf.go
@@ -145,7 +145,7 @@
 	if r.head.Locality != s.place && int(n.ZoneIndex) < len(r.head.Zones) {
 		way = max(0, float64(r.head.Zones[n.ZoneIndex].LogSlowdown)/logScale)
 	}
-	v := vote{shortN: weight(n.ShortSamples, age, balancer.ShortSpan), longN: weight(n.LongSamples, age, balancer.LongSpan),
+	v := vote{shortN: weight(n.ShortSamples, age, balancer.ShortWindow), longN: weight(n.LongSamples, age, balancer.LongWindow),
 		short: float64(n.ShortLogSlowdown)/logScale - way, long: float64(n.LongLogSlowdown)/logScale - way}
 	if n.IsOutlier && !r.self {
 		v.lasts = max(0, badLife-age)
@@ -161,7 +161,7 @@
 // Combine puts together what all reports say now. since gives the start of a host on the own list in ms, false
 // where it is not on it: what is told of a host that started at another time is of another life of it.
 // What was said before and no longer holds is in the result too, as nothing.
-func (s *ReportStore) Combine(now int64, since func(host string) (ms int64, listed bool)) []balancer.Heard {
+func (s *ReportStore) Combine(now int64, since func(host string) (ms int64, listed bool)) []balancer.GossipedObservation {
 	s.ExpireReports(now)
 	out := s.ofFleet(now)
 	hosts := map[string]bool{}
@@ -195,12 +195,12 @@
 			}
 			votes = append(votes, s.vote(now, r, n))
 		}
-		h := balancer.Heard{Of: balancer.OfReplica, Replica: id, Since: ms * tenthsPerMs}
-		h.Short = settle(votes, func(v vote) (float64, float64) { return v.shortN, v.short })
-		h.Long = settle(votes, func(v vote) (float64, float64) { return v.longN, v.long })
-		h.Lasts = majority(votes)
-		h.Bad = h.Lasts > 0
-		if says := h.Bad || h.Short.N > 0 || h.Long.N > 0; says || s.told[id] {
+		h := balancer.GossipedObservation{Scope: balancer.ScopeReplica, Replica: id, ReplicaStart: ms * tenthsPerMs}
+		h.ShortWindow = settle(votes, func(v vote) (float64, float64) { return v.shortN, v.short })
+		h.LongWindow = settle(votes, func(v vote) (float64, float64) { return v.longN, v.long })
+		h.OutlierDuration = majority(votes)
+		h.Outlier = h.OutlierDuration > 0
+		if says := h.Outlier || h.ShortWindow.Weight > 0 || h.LongWindow.Weight > 0; says || s.told[id] {
 			out = append(out, h)
 			if s.told[id] = true; !says {
 				delete(s.told, id)
@@ -211,20 +211,20 @@
 }
 
 // settle is the lower median of the slowness and the bounded sum of the weights; nothing where that is 'no slower'.
-func settle(votes []vote, of func(v vote) (n, slower float64)) balancer.Tally {
+func settle(votes []vote, of func(v vote) (n, slower float64)) balancer.DecayingMean {
 	sum, all := 0.0, make([]float64, 0, len(votes))
 	for _, v := range votes {
 		n, slower := of(v)
 		sum, all = sum+n, append(all, slower)
 	}
 	if len(all) == 0 || sum < noteLeast {
-		return balancer.Tally{}
+		return balancer.DecayingMean{}
 	}
 	slices.Sort(all)
 	if slower := all[(len(all)-1)/2]; slower > 0 {
-		return balancer.Tally{N: min(oneVote, sum), Mean: slower}
+		return balancer.DecayingMean{Weight: min(oneVote, sum), Mean: slower}
 	}
-	return balancer.Tally{}
+	return balancer.DecayingMean{}
 }
 
 // majority is how long more than half of the votes go on calling a host bad.
@@ -242,8 +242,8 @@
 
 // ofFleet puts the peers' usual and shortest times and their ways together. Only peers at the own place count:
 // from elsewhere the distance is in them.
-func (s *ReportStore) ofFleet(now int64) []balancer.Heard {
-	var out []balancer.Heard
+func (s *ReportStore) ofFleet(now int64) []balancer.GossipedObservation {
+	var out []balancer.GossipedObservation
 	var usual, shortest []float64
 	ways := map[int][]vote{}
 	near := 0
@@ -261,21 +261,21 @@
 		}
 		for _, z := range r.head.Zones {
 			if i, known := s.zones[z.Name]; known {
-				ways[i] = append(ways[i], vote{shortN: weight(z.Samples, max(0, now-r.taken), balancer.ShortSpan),
+				ways[i] = append(ways[i], vote{shortN: weight(z.Samples, max(0, now-r.taken), balancer.ShortWindow),
 					short: float64(z.LogSlowdown) / logScale})
 			}
 		}
 	}
 	if len(usual) > 0 {
-		out = append(out, balancer.Heard{Of: balancer.OfFleet, Usual: middle(usual), Shortest: middle(shortest)})
+		out = append(out, balancer.GossipedObservation{Scope: balancer.ScopeFleet, FleetLatency: middle(usual), ShortestLatency: middle(shortest)})
 	}
 	for _, i := range sortedKeys(ways) {
 		for len(ways[i]) < near {
 			ways[i] = append(ways[i], vote{})
 		}
-		h := balancer.Heard{Of: balancer.OfZone, Zone: i,
-			Short: settle(ways[i], func(v vote) (float64, float64) { return v.shortN, v.short })}
-		if says := h.Short.N > 0; says || s.ways[i] {
+		h := balancer.GossipedObservation{Scope: balancer.ScopeZone, Zone: i,
+			ShortWindow: settle(ways[i], func(v vote) (float64, float64) { return v.shortN, v.short })}
+		if says := h.ShortWindow.Weight > 0; says || s.ways[i] {
 			out = append(out, h)
 			s.ways[i] = says
 		}
--- a/control/shadow/shadow.go
+++ b/control/shadow/shadow.go
@@ -102,8 +102,8 @@
 
 // Watch is a module and the watch on it.
 type Watch struct {
-	balancer.Coordinator
-	out      balancer.Out
+	balancer.Balancer
+	out      balancer.Actions
 	counts   *Counts
 	now, was shape
 	at       int64
@@ -139,10 +139,10 @@
 
 // New makes a module by make, with the watch between it and out. inForce are the settings it starts with, next those it
 // is held against too.
-func New(out balancer.Out, inForce, next map[string]string, counts *Counts, make func(out balancer.Out) balancer.Coordinator) *Watch {
+func New(out balancer.Actions, inForce, next map[string]string, counts *Counts, make func(out balancer.Actions) balancer.Balancer) *Watch {
 	w := &Watch{out: out, counts: counts, was: inForce, now: next, searches: map[uint64]*search{}, numbers: map[uint64]*search{},
 		parts: map[uint64]*part{}, replicas: map[string]*replica{}, listed: map[string]bool{}}
-	w.Coordinator = make(w)
+	w.Balancer = make(w)
 	return w
 }
 
@@ -154,12 +154,12 @@
 
 // What the module hears.
 
-func (w *Watch) Clock(now int64) {
+func (w *Watch) BeginIteration(now int64) {
 	w.at = now
-	w.Coordinator.Clock(now)
+	w.Balancer.BeginIteration(now)
 }
 
-func (w *Watch) Entry(id string, zone, kind, cell int, status string, units float64, since int64) {
+func (w *Watch) AddEndpoint(id string, zone, kind, cell int, status string, units float64, since int64) {
 	w.listed[id] = true
 	r := w.replicas[id]
 	if r == nil {
@@ -172,11 +172,11 @@
 	} else if r.drained == 0 {
 		r.drained = w.at
 	}
-	w.Coordinator.Entry(id, zone, kind, cell, status, units, since)
+	w.Balancer.AddEndpoint(id, zone, kind, cell, status, units, since)
 }
 
-// ListDone forgets replicas that have left for longer than either grace.
-func (w *Watch) ListDone(how string, revision int64) {
+// CommitEndpoints forgets replicas that have left for longer than either grace.
+func (w *Watch) CommitEndpoints(how string, revision int64) {
 	grace := max(w.was.span("Safety.DrainGrace"), w.now.span("Safety.DrainGrace"))
 	for id, r := range w.replicas {
 		if how != "Partial" && how != "Error" && !w.listed[id] && r.drained == 0 {
@@ -187,14 +187,14 @@
 		}
 	}
 	clear(w.listed)
-	w.Coordinator.ListDone(how, revision)
+	w.Balancer.CommitEndpoints(how, revision)
 }
 
-func (w *Watch) Search(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int, retry bool) {
+func (w *Watch) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int, retry bool) {
 	s := &search{id: id, number: number, qtype: qtype, step: 1}
 	w.searches[id], w.numbers[number] = s, s
 	w.note(&w.taken)
-	w.Coordinator.Search(id, qtype, tenant, key, grace, number, count, retry)
+	w.Balancer.AddSearch(id, qtype, tenant, key, grace, number, count, retry)
 }
 
 // note keeps a time for the longer of the two budgets.
@@ -209,21 +209,21 @@
 	*list = append(*list, w.at)
 }
 
-func (w *Watch) Part(id, number uint64, shard int, weight float64) {
+func (w *Watch) AddShardRequest(id, number uint64, shard int, weight float64) {
 	w.note(&w.taken)
 	if s := w.numbers[number]; s != nil {
 		w.parts[id] = &part{s: s, weight: weight}
 		s.parts = append(s.parts, id)
 	}
-	w.Coordinator.Part(id, number, shard, weight)
+	w.Balancer.AddShardRequest(id, number, shard, weight)
 }
 
-func (w *Watch) Withdrawn(id uint64) {
-	w.Coordinator.Withdrawn(id)
+func (w *Watch) CancelSearch(id uint64) {
+	w.Balancer.CancelSearch(id)
 	w.end(w.searches[id])
 }
 
-func (w *Watch) Outcome(id uint64, leg int, ending string, wait int64, over bool, report map[string]float64) {
+func (w *Watch) RecordAttemptOutcome(id uint64, leg int, ending string, wait int64, over bool, report map[string]float64) {
 	if p := w.parts[id]; p != nil {
 		p.out--
 		if ending == "Ok" && !p.in && p.s.step == 1 {
@@ -231,16 +231,16 @@
 			p.s.in += p.weight
 		}
 	}
-	w.Coordinator.Outcome(id, leg, ending, wait, over, report)
+	w.Balancer.RecordAttemptOutcome(id, leg, ending, wait, over, report)
 }
 
 // What the module asks for.
 
-func (w *Watch) Send(id uint64, to string, timeout int64) {
+func (w *Watch) SendAttempt(id uint64, to string, timeout int64) {
 	if p := w.parts[id]; p != nil {
 		w.send(p, w.replicas[to])
 	}
-	w.out.Send(id, to, timeout)
+	w.out.SendAttempt(id, to, timeout)
 }
 
 func (w *Watch) send(p *part, r *replica) {
@@ -266,10 +266,10 @@
 	p.out++
 }
 
-func (w *Watch) Answer(id uint64, whole bool) {
+func (w *Watch) AnswerSearch(id uint64, whole bool) {
 	s := w.searches[id]
 	if s == nil {
-		w.out.Answer(id, whole)
+		w.out.AnswerSearch(id, whole)
 		return
 	}
 	if s.step == 1 {
@@ -278,7 +278,7 @@
 	if s.step++; s.step > 2 || w.was.nth("Specifics.FollowUp", s.qtype, 0) == 0 {
 		w.end(s)
 	}
-	w.out.Answer(id, whole)
+	w.out.AnswerSearch(id, whole)
 }
 
 func (w *Watch) answered(s *search) {
@@ -287,16 +287,16 @@
 	w.differ(InPart, may != mayNext || may && whole != wholeNext)
 }
 
-func (w *Watch) Shed(id uint64, retryIn int64) {
+func (w *Watch) ShedSearch(id uint64, retryIn int64) {
 	w.differ(RetryAfter, w.now.advice(retryIn) != w.was.advice(retryIn) ||
 		w.was.yes("Permissions.RetryAfter") != w.now.yes("Permissions.RetryAfter"))
 	w.given(w.searches[id])
-	w.out.Shed(id, retryIn)
+	w.out.ShedSearch(id, retryIn)
 }
 
-func (w *Watch) Error(id uint64) {
+func (w *Watch) FailSearch(id uint64) {
 	w.given(w.searches[id])
-	w.out.Error(id)
+	w.out.FailSearch(id)
 }
 
 // given ends a search that was given up: what was in might have been answered.
@@ -318,9 +318,9 @@
 	}
 }
 
-func (w *Watch) Cancel(id uint64, leg int)     { w.out.Cancel(id, leg) }
-func (w *Watch) Wake(wait int64, label uint64) { w.out.Wake(wait, label) }
-func (w *Watch) Unwake(label uint64)           { w.out.Unwake(label) }
-func (w *Watch) Probe(replica string)          { w.out.Probe(replica) }
-func (w *Watch) Watch()                        { w.out.Watch() }
-func (w *Watch) Note(text string)              { w.out.Note(text) }
+func (w *Watch) CancelAttempt(id uint64, leg int)  { w.out.CancelAttempt(id, leg) }
+func (w *Watch) SetTimer(wait int64, label uint64) { w.out.SetTimer(wait, label) }
+func (w *Watch) CancelTimer(label uint64)          { w.out.CancelTimer(label) }
+func (w *Watch) ProbeReplica(replica string)       { w.out.ProbeReplica(replica) }
+func (w *Watch) WatchEndpoints()                   { w.out.WatchEndpoints() }
+func (w *Watch) LogMessage(text string)            { w.out.LogMessage(text) }
--- a/control/shadow/shadow_test.go
+++ b/control/shadow/shadow_test.go
@@ -33,7 +33,7 @@
 // tape carries out what a module asks for and writes it down. Replicas answer, fail, fall silent or lose connections by
 // chance, from the seed alone: the same requests have the same ends.
 type tape struct {
-	c       balancer.Coordinator
+	c       balancer.Balancer
 	chance  *rand.Rand
 	now     int64
 	acts    []string
@@ -53,19 +53,19 @@
 	i := sort.Search(len(x.dues), func(i int) bool { return x.dues[i].at > x.now+wait })
 	x.dues = slices.Insert(x.dues, i, due{x.now + wait, do})
 }
-func (x *tape) Answer(id uint64, whole bool)  { x.act("answer %d %v", id, whole) }
-func (x *tape) Shed(id uint64, retryIn int64) { x.act("shed %d %d", id, retryIn) }
-func (x *tape) Error(id uint64)               { x.act("error %d", id) }
-func (x *tape) Wake(wait int64, label uint64) { x.plan(wait, func() { x.c.Timer(label) }) }
-func (x *tape) Unwake(uint64)                 {}
-func (x *tape) Probe(id string)               { x.act("probe %s", id) }
-func (x *tape) Watch()                        {}
-func (x *tape) Note(text string)              { x.act("note %s", text) }
-func (x *tape) Cancel(id uint64, leg int) {
+func (x *tape) AnswerSearch(id uint64, whole bool)  { x.act("answer %d %v", id, whole) }
+func (x *tape) ShedSearch(id uint64, retryIn int64) { x.act("shed %d %d", id, retryIn) }
+func (x *tape) FailSearch(id uint64)                { x.act("error %d", id) }
+func (x *tape) SetTimer(wait int64, label uint64)   { x.plan(wait, func() { x.c.HandleTimer(label) }) }
+func (x *tape) CancelTimer(uint64)                  {}
+func (x *tape) ProbeReplica(id string)              { x.act("probe %s", id) }
+func (x *tape) WatchEndpoints()                     {}
+func (x *tape) LogMessage(text string)              { x.act("note %s", text) }
+func (x *tape) CancelAttempt(id uint64, leg int) {
 	x.act("cancel %d %d", id, leg)
 	x.end(id, leg, "Canceled", 5)
 }
-func (x *tape) Send(id uint64, to string, _ int64) {
+func (x *tape) SendAttempt(id uint64, to string, _ int64) {
 	x.act("send %d %s", id, to)
 	leg := x.legs[id]
 	x.legs[id]++
@@ -85,15 +85,15 @@
 	x.plan(wait, func() {
 		if key := [2]uint64{id, uint64(leg)}; !x.settled[key] {
 			x.settled[key] = true
-			x.c.Outcome(id, leg, how, wait, false, nil)
+			x.c.RecordAttemptOutcome(id, leg, how, wait, false, nil)
 		}
 	})
 }
 
 func (x *tape) turn(do func()) {
-	x.c.Clock(x.now)
+	x.c.BeginIteration(x.now)
 	do()
-	x.c.EndOfBatch()
+	x.c.EndIteration()
 }
 
 func (x *tape) until(at int64) {
@@ -117,11 +117,11 @@
 	}
 	entries := func(how string, since int64, status string, n int) {
 		for i := range n {
-			x.c.Entry(fmt.Sprint("r", i), 0, 0, i%2, status, 1, since)
+			x.c.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%2, status, 1, since)
 		}
-		x.c.ListDone(how, x.now)
+		x.c.CommitEndpoints(how, x.now)
 	}
-	x.turn(func() { x.c.Start(7, inForce); entries("Persisted", 0, "healthy", 8) })
+	x.turn(func() { x.c.Configure(7, inForce); entries("Persisted", 0, "healthy", 8) })
 	for i := range 130 {
 		id := uint64(i+1) * 100
 		x.turn(func() {
@@ -131,14 +131,14 @@
 			case 60:
 				entries("Partial", x.now, "healthy", 2)
 			}
-			x.c.Search(id, i%2, 0, "-", 30_000, id, 5, i%7 == 0)
+			x.c.AddSearch(id, i%2, 0, "-", 30_000, id, 5, i%7 == 0)
 			for p := range uint64(5) {
-				x.c.Part(id+1+p, id, int(p)%2, 0.2)
+				x.c.AddShardRequest(id+1+p, id, int(p)%2, 0.2)
 			}
 		})
 		x.until(x.now + 150)
 		if i%50 == 49 {
-			x.turn(func() { x.c.Withdrawn(id) })
+			x.turn(func() { x.c.CancelSearch(id) })
 		}
 	}
 	x.until(x.now + 100_000)
@@ -188,26 +188,26 @@
 }
 
 // script is a module that does as it is told: for what the real one never does.
-type script struct{ balancer.Coordinator }
+type script struct{ balancer.Balancer }
 
-func (script) Clock(int64)                                                  {}
-func (script) Entry(string, int, int, int, string, float64, int64)          {}
-func (script) ListDone(string, int64)                                       {}
-func (script) Search(uint64, int, int, string, int64, uint64, int, bool)    {}
-func (script) Part(uint64, uint64, int, float64)                            {}
-func (script) Outcome(uint64, int, string, int64, bool, map[string]float64) {}
-func (script) Withdrawn(uint64)                                             {}
+func (script) BeginIteration(int64)                                                      {}
+func (script) AddEndpoint(string, int, int, int, string, float64, int64)                 {}
+func (script) CommitEndpoints(string, int64)                                             {}
+func (script) AddSearch(uint64, int, int, string, int64, uint64, int, bool)              {}
+func (script) AddShardRequest(uint64, uint64, int, float64)                              {}
+func (script) RecordAttemptOutcome(uint64, int, string, int64, bool, map[string]float64) {}
+func (script) CancelSearch(uint64)                                                       {}
 
 func scripted(next map[string]string) (*Watch, *Counts, *tape) {
 	counts, x := &Counts{}, &tape{chance: rand.New(rand.NewSource(1)), legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
-	w := New(x, usual, next, counts, func(balancer.Out) balancer.Coordinator { return script{} })
+	w := New(x, usual, next, counts, func(balancer.Actions) balancer.Balancer { return script{} })
 	x.c = w
-	w.Clock(1_000)
-	w.Entry("a", 0, 0, 0, "healthy", 1, 0)
-	w.ListDone("Complete", 1)
-	w.Search(1, 0, 0, "-", 40_000, 1, 5, false)
+	w.BeginIteration(1_000)
+	w.AddEndpoint("a", 0, 0, 0, "healthy", 1, 0)
+	w.CommitEndpoints("Complete", 1)
+	w.AddSearch(1, 0, 0, "-", 40_000, 1, 5, false)
 	for p := range uint64(5) {
-		w.Part(10+p, 1, 0, 0.2)
+		w.AddShardRequest(10+p, 1, 0, 0.2)
 	}
 	return w, counts, x
 }
@@ -215,23 +215,23 @@
 // A drain that is told goes on being one after the list has dropped the replica; the longer grace keeps it known.
 func TestDrain(t *testing.T) {
 	w, counts, _ := scripted(with("Safety.DrainGrace", "250"))
-	w.Entry("a", 0, 0, 0, "cordoned", 1, 0)
-	w.ListDone("Partial", 2)
-	w.Clock(1_000 + 2_000)
-	w.Send(10, "a", 0) // within neither's... 200 ms: within both
+	w.AddEndpoint("a", 0, 0, 0, "cordoned", 1, 0)
+	w.CommitEndpoints("Partial", 2)
+	w.BeginIteration(1_000 + 2_000)
+	w.SendAttempt(10, "a", 0) // within neither's... 200 ms: within both
 	require.Zero(t, counts.Total())
-	w.Clock(1_000 + 3_000)
-	w.Send(11, "a", 0) // 300 ms: past 250, within 1,000
+	w.BeginIteration(1_000 + 3_000)
+	w.SendAttempt(11, "a", 0) // 300 ms: past 250, within 1,000
 	require.EqualValues(t, 1, counts[Drain].Load())
-	w.Clock(1_000 + 20_000)
-	w.Send(12, "a", 0) // past both: a broken rule, but none of the settings' making
+	w.BeginIteration(1_000 + 20_000)
+	w.SendAttempt(12, "a", 0) // past both: a broken rule, but none of the settings' making
 	require.EqualValues(t, 1, counts.Total())
 }
 
 func TestExtra(t *testing.T) {
 	w, counts, _ := scripted(with("Specifics.NeedByClass", "0.4,1"))
 	for p := range uint64(5) {
-		w.Send(10+p, "a", 0)
+		w.SendAttempt(10+p, "a", 0)
 	}
 	require.EqualValues(t, 1, counts[Extra].Load(), "the third of five parts")
 	require.EqualValues(t, 1, counts.Total())
@@ -242,22 +242,22 @@
 	next := with("Safety.LookBack", "5000")
 	_, _ = play(1, usual, next)
 	x := &tape{chance: rand.New(rand.NewSource(1)), legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
-	w := New(x, usual, next, &Counts{}, func(balancer.Out) balancer.Coordinator { return script{} })
+	w := New(x, usual, next, &Counts{}, func(balancer.Actions) balancer.Balancer { return script{} })
 	for i := range uint64(20_000) {
-		w.Clock(int64(i) * 100)
+		w.BeginIteration(int64(i) * 100)
 		id := fmt.Sprint("r", i)
-		w.Entry(id, 0, 0, 0, "healthy", 1, 0)
-		w.ListDone("Complete", int64(i))
-		w.Search(i*10, 0, 0, "-", 100, i, 2, false)
-		w.Part(i*10+1, i, 0, 0.5)
-		w.Part(i*10+2, i, 1, 0.5)
+		w.AddEndpoint(id, 0, 0, 0, "healthy", 1, 0)
+		w.CommitEndpoints("Complete", int64(i))
+		w.AddSearch(i*10, 0, 0, "-", 100, i, 2, false)
+		w.AddShardRequest(i*10+1, i, 0, 0.5)
+		w.AddShardRequest(i*10+2, i, 1, 0.5)
 		switch i % 3 {
 		case 0:
-			w.Answer(i*10, true)
+			w.AnswerSearch(i*10, true)
 		case 1:
-			w.Shed(i*10, 0)
+			w.ShedSearch(i*10, 0)
 		default:
-			w.Withdrawn(i * 10)
+			w.CancelSearch(i * 10)
 		}
 	}
 	require.Empty(t, w.searches)
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -850,12 +850,12 @@
 func TestNothingGivenUpAfterTheAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{begun: true, written: false} {
 		o, _, s := oneOut(stage)
-		o.Cancel(2, 0)
+		o.CancelAttempt(2, 0)
 		require.Equal(t, ends, len(o.finish(s)) == 1, "stage %d", stage)
 
 		o, _, s = oneOut(stage)
 		o.finish(s)
-		o.Cancel(2, 0)
+		o.CancelAttempt(2, 0)
 		require.Empty(t, s.begun, "stage %d", stage)
 	}
 }
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -47,7 +47,7 @@
 			StartedMS: int64(since)}})
 		steps = append(steps, func() {
 			o.place(id, addr, hostKind, int64(since*10), gone, status == "cordoned")
-			o.module.Entry(id, zone, kind, int(cell), status, units, int64(since*10))
+			o.module.AddEndpoint(id, zone, kind, int(cell), status, units, int64(since*10))
 		})
 	}
 	return version, hosts, func(how string) { o.listInForce(how, int64(version), hosts, present, steps) }, nil
@@ -69,7 +69,7 @@
 	if o.zones != nil {
 		o.zones.listed(how, hosts)
 	}
-	if o.module.ListDone(how, version); o.zones != nil {
+	if o.module.CommitEndpoints(how, version); o.zones != nil {
 		o.zones.changed()
 	}
 	o.log.Info("list", "how", how, "version", version, "entries", len(hosts))
@@ -124,7 +124,7 @@
 		a.at, a.anew, a.failed = at, true, false
 		if moved, pause = true, askPause; asked {
 			v := int64(a.version)
-			o.post(func() { o.module.ListDone("Partial", v) }) // nothing new: the module's waits begin again too
+			o.post(func() { o.module.CommitEndpoints("Partial", v) }) // nothing new: the module's waits begin again too
 		}
 	}
 	wait := func(d time.Duration) {
@@ -189,7 +189,7 @@
 			case <-o.asks: // of a subscription before this one
 			default:
 			}
-			o.post(func() { o.module.ListDone("Error", 0) })
+			o.post(func() { o.module.CommitEndpoints("Error", 0) })
 			continue
 		}
 		if atOnce {
@@ -272,7 +272,7 @@
 				a.sound, a.anew = true, false
 				if a.failed && (!news && !anew || o.members != nil) { // the module's waits begin again too: it hears of lists alone
 					v := int64(a.version)
-					o.post(func() { o.module.ListDone("Partial", v) })
+					o.post(func() { o.module.CommitEndpoints("Partial", v) })
 				}
 				a.failed = false
 			}
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -13,7 +13,7 @@
 
 // puppet stands in the module's place: it decides nothing, and keeps what it is told.
 type puppet struct {
-	balancer.Coordinator
+	balancer.Balancer
 	r        *rig
 	searches chan [2]uint64 // ids of a search and of its first part
 	last     uint64
@@ -21,26 +21,26 @@
 	asked    func(id uint64, qtype, tenant int, key string, grace int64, retry bool) // may be nil
 }
 
-func (p *puppet) Search(id uint64, qtype, tenant int, key string, grace int64, _ uint64, _ int, retry bool) {
+func (p *puppet) AddSearch(id uint64, qtype, tenant int, key string, grace int64, _ uint64, _ int, retry bool) {
 	if p.last = id; p.asked != nil {
 		p.asked(id, qtype, tenant, key, grace, retry)
 	}
 }
-func (p *puppet) Part(id, number uint64, shard int, _ float64) {
+func (p *puppet) AddShardRequest(id, number uint64, shard int, _ float64) {
 	if p.last == number && shard == 0 {
 		p.searches <- [2]uint64{number, id}
 	}
 }
-func (p *puppet) Outcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
+func (p *puppet) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
 	p.outcomes <- ending
 }
-func (*puppet) Clock(int64)                                         {}
-func (*puppet) EndOfBatch()                                         {}
-func (*puppet) Held(float64)                                        {}
-func (*puppet) Withdrawn(uint64)                                    {}
-func (*puppet) Timer(uint64)                                        {}
-func (*puppet) ListDone(string, int64)                              {}
-func (*puppet) Entry(string, int, int, int, string, float64, int64) {}
+func (*puppet) BeginIteration(int64)                                      {}
+func (*puppet) EndIteration()                                             {}
+func (*puppet) SetUtilization(float64)                                    {}
+func (*puppet) CancelSearch(uint64)                                       {}
+func (*puppet) HandleTimer(uint64)                                        {}
+func (*puppet) CommitEndpoints(string, int64)                             {}
+func (*puppet) AddEndpoint(string, int, int, int, string, float64, int64) {}
 
 // puppet puts one in the module's place.
 func (r *rig) puppet() *puppet {
@@ -108,10 +108,10 @@
 			<-a.hold
 			c := a.call().send(request("other", "all", "", onePart))
 			ids := <-a.p.searches
-			a.inTurn(func(o *owner) { o.Send(ids[1], "a0", 0) })
+			a.inTurn(func(o *owner) { o.SendAttempt(ids[1], "a0", 0) })
 			(<-a.hold).Good()
 			a.p.told("Ok")
-			a.inTurn(func(o *owner) { o.Answer(ids[0], true) })
+			a.inTurn(func(o *owner) { o.AnswerSearch(ids[0], true) })
 			status, _, _, _ := c.answer()
 			require.Equal(a.t, 200, status)
 			a.p.untold()
@@ -124,7 +124,7 @@
 				return ended
 			})
 			a.p.untold()
-			a.inTurn(func(o *owner) { o.Error(o.parts[a.part].s.id) })
+			a.inTurn(func(o *owner) { o.FailSearch(o.parts[a.part].s.id) })
 		}, "Canceled"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -136,7 +136,7 @@
 			r.replicas["a0"].Set(func(p asked) { a.hold <- p })
 			c := r.call().send(request("q", "all", "", onePart))
 			a.part = (<-a.p.searches)[1]
-			r.inTurn(func(o *owner) { o.Send(a.part, "a0", 0) })
+			r.inTurn(func(o *owner) { o.SendAttempt(a.part, "a0", 0) })
 			r.eventually("it is out", func() bool {
 				r.inTurn(func(o *owner) { // maybe in the turn that sends it, before it has a connection
 					if lines := o.fleet["a0"].lines; len(lines) > 0 {
@@ -145,14 +145,14 @@
 				})
 				return a.l != nil && r.replicas["a0"].Took() == 1
 			})
-			r.inTurn(func(o *owner) { o.Cancel(a.part, 0) })
+			r.inTurn(func(o *owner) { o.CancelAttempt(a.part, 0) })
 			x.then(a)
 			a.p.told(x.told)
 			r.inTurn(func(o *owner) {
 				require.Empty(t, o.lingering)
 				if p := o.parts[a.part]; p != nil {
 					require.Equal(t, x.told == "Ok", p.in)
-					o.Error(p.s.id)
+					o.FailSearch(p.s.id)
 				}
 			})
 			status, _, _, _ := c.answer()
@@ -175,7 +175,7 @@
 		l.missed = func(p *parcel) { o.post(func() { o.tooLate(l, p) }) }
 		p := s.parts[0]
 		p.subs[0].sent, p.subs[0].r = now, l.r
-		o.Cancel(p.id, 0)
+		o.CancelAttempt(p.id, 0)
 		c := &call{line: l}
 		sub := &subRequest{p: p, leg: 1, name: "q.0", call: c, due: 50_000, r: l.r}
 		c.subs, l.subs, p.subs = []*subRequest{sub}, []*subRequest{sub}, append(p.subs, sub)
@@ -265,7 +265,7 @@
 		require.Equal(t, one{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
 		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
 		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
-		r.inTurn(func(o *owner) { o.Shed(id, 0) })
+		r.inTurn(func(o *owner) { o.ShedSearch(id, 0) })
 		status, _, _, _ := c.answer()
 		require.Equal(t, 503, status)
 	}
@@ -282,7 +282,7 @@
 			o.zones = &bounding{}
 		}
 		p := s.parts[0]
-		o.Cancel(p.id, 0)
+		o.CancelAttempt(p.id, 0)
 		require.Empty(t, o.next)
 		o.answer(l, []byte("q.0"), "Ok", zero, nil, []byte("v"), nil)
 		require.Equal(t, []string{map[bool]string{false: "Ok", true: "Canceled"}[bound]}, told)
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -174,7 +174,7 @@
 				for _, p := range o.searches[s.id].parts {
 					if p.step == step && p.shard == shard {
 						there = true
-						o.Send(p.id, []string{"a0", "b0"}[shard%2], 0)
+						o.SendAttempt(p.id, []string{"a0", "b0"}[shard%2], 0)
 					}
 				}
 			})
@@ -184,7 +184,7 @@
 	}
 }
 
-func (s searchUnderTest) settle(whole bool) { s.inTurn(func(o *owner) { o.Answer(s.id, whole) }) }
+func (s searchUnderTest) settle(whole bool) { s.inTurn(func(o *owner) { o.AnswerSearch(s.id, whole) }) }
 
 // Searches get the bytes of the golden file for each way in which they end: whole, in part, after two steps, shed, failed, and
 // never begun. The test makes the decisions, so that nothing is normalised.
@@ -228,12 +228,12 @@
 			s.answerShards(2, 1)
 			s.settle(false)
 		}},
-		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.Shed(s.id, 0) }) }},
-		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.Shed(s.id, 2500) }) }},
+		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 0) }) }},
+		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 2500) }) }},
 		{"shed with a wait, close", "all", "Connection: close\r\n", fourParts,
-			func(s searchUnderTest) { s.inTurn(func(o *owner) { o.Shed(s.id, 12345) }) }},
-		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.Error(s.id) }) }},
-		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.Error(s.id) }) }},
+			func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 12345) }) }},
+		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
+		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
 	} {
 		text := request(fmt.Sprint("q", i), x.class, x.head, x.body)
 		c := dialRaw(t, r.addr).send(text)
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -66,11 +66,11 @@
 	r.replicas["a0"].Set(func(p asked) { held <- p })
 	c := r.call().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
 	ids := <-module.searches
-	r.inTurn(func(o *owner) { o.Send(ids[1], "a0", 0) })
+	r.inTurn(func(o *owner) { o.SendAttempt(ids[1], "a0", 0) })
 	<-held
-	r.inTurn(func(o *owner) { o.Cancel(ids[1], 0) })
+	r.inTurn(func(o *owner) { o.CancelAttempt(ids[1], 0) })
 	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Seen(); return len(given) == 1 })
-	r.inTurn(func(o *owner) { o.Error(ids[0]) })
+	r.inTurn(func(o *owner) { o.FailSearch(ids[0]) })
 	c.answer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Ln.Addr().String()), "d=# ")
 	requireGolden(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
@@ -154,7 +154,7 @@
 
 // toldEntries stands in the decision module's place and keeps what it is told of lists.
 type toldEntries struct {
-	balancer.Coordinator
+	balancer.Balancer
 	out *strings.Builder
 }
 
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -131,7 +131,7 @@
 		}
 		steps = append(steps, func() {
 			o.place(e.ID, e.Addr, e.Kind, e.StartedMS*10, false, e.State == endpoints.Draining)
-			o.module.Entry(e.ID, zone, kind, e.Cell, status, e.Weight, e.StartedMS*10)
+			o.module.AddEndpoint(e.ID, zone, kind, e.Cell, status, e.Weight, e.StartedMS*10)
 		})
 	}
 	if o.Persistence != nil {
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -28,7 +28,7 @@
 	Options
 	log    *notes
 	plan   *Plan
-	module balancer.Coordinator
+	module balancer.Balancer
 	g      *errgroup.Group
 	ctx    context.Context
 	queue  chan func()
@@ -208,7 +208,7 @@
 	if len(o.spare) < spareMost {
 		o.spare = append(o.spare, w)
 	}
-	o.module.Timer(label)
+	o.module.HandleTimer(label)
 }
 
 type wakes struct {
@@ -260,8 +260,8 @@
 		}
 	}()
 	o.now = o.clock()
-	o.module.Clock(o.now)
-	o.module.Start(o.plan.seed, o.plan.facts)
+	o.module.BeginIteration(o.now)
+	o.module.Configure(o.plan.seed, o.plan.facts)
 	version, hosts, tell, err := o.readList(o.plan.known)
 	if err == nil {
 		tell("Persisted")
@@ -270,7 +270,7 @@
 			o.members = newMembership(o, o.EndpointUpdates, int64(version), hosts)
 		}
 	}
-	o.module.EndOfBatch()
+	o.module.EndIteration()
 	if o.counts != nil {
 		o.tellWatched(0)
 	}
@@ -323,7 +323,7 @@
 	}
 }
 
-// turn is one turn of the module: all that is queued by now, the wakes that are due, EndOfBatch.
+// turn is one turn of the module: all that is queued by now, the wakes that are due, EndIteration.
 func (o *owner) turn(first func()) {
 	late := o.catchUp()
 	began := time.Now()
@@ -332,7 +332,7 @@
 	if o.now == o.sentAt { // what two turns send is two calls: the module tells them apart by time
 		o.now++
 	}
-	o.module.Clock(o.now)
+	o.module.BeginIteration(o.now)
 	if o.zones != nil {
 		o.zones.turn()
 	}
@@ -367,8 +367,8 @@
 	}
 	clear(due)
 	o.due = due
-	o.module.Held(float64(o.bytes+o.unsent.Load()) / o.room)
-	o.module.EndOfBatch()
+	o.module.SetUtilization(float64(o.bytes+o.unsent.Load()) / o.room)
+	o.module.EndIteration()
 	o.sendCalls()
 }
 
@@ -474,7 +474,7 @@
 	o.searches[s.id] = s
 	o.beat()
 	o.hold(s, searchBytes+len(s.text)+partBytes*len(s.shards))
-	o.module.Search(s.id, s.qtype, s.tenant, s.key, s.due-o.now, s.id, len(s.shards), s.retry)
+	o.module.AddSearch(s.id, s.qtype, s.tenant, s.key, s.due-o.now, s.id, len(s.shards), s.retry)
 	o.addParts(s, s.shards, s.weights)
 }
 
@@ -495,7 +495,7 @@
 		p.name, text = text[:n], text[n:]
 	}
 	for i, p := range s.parts[from:] {
-		o.module.Part(p.id, s.id, p.shard, weights[i])
+		o.module.AddShardRequest(p.id, s.id, p.shard, weights[i])
 	}
 	if o.zones != nil {
 		o.zones.bind(s)
@@ -509,7 +509,7 @@
 	}
 	o.tellEnd(s, left)
 	first = o.finish(s)
-	o.module.Withdrawn(s.id)
+	o.module.CancelSearch(s.id)
 	return first
 }
 
@@ -594,9 +594,9 @@
 	return in
 }
 
-// What the module asks for; see balancer.Out.
+// What the module asks for; see balancer.Actions.
 
-func (o *owner) Answer(id uint64, whole bool) {
+func (o *owner) AnswerSearch(id uint64, whole bool) {
 	s := o.searches[id]
 	if s == nil {
 		return
@@ -637,8 +637,8 @@
 	o.addParts(s, shards, weights)
 }
 
-func (o *owner) Shed(id uint64, retryIn int64) { o.end(id, result{kind: shed, retryIn: retryIn}) }
-func (o *owner) Error(id uint64)               { o.end(id, result{kind: errored}) }
+func (o *owner) ShedSearch(id uint64, retryIn int64) { o.end(id, result{kind: shed, retryIn: retryIn}) }
+func (o *owner) FailSearch(id uint64)                { o.end(id, result{kind: errored}) }
 
 func (o *owner) end(id uint64, r result) {
 	if s := o.searches[id]; s != nil {
@@ -652,7 +652,7 @@
 	}
 }
 
-func (o *owner) Wake(wait int64, label uint64) {
+func (o *owner) SetTimer(wait int64, label uint64) {
 	var w *moduleWake
 	if n := len(o.spare); n > 0 {
 		w, o.spare = o.spare[n-1], o.spare[:n-1]
@@ -664,7 +664,7 @@
 	o.await(&w.wake, max(wait, 1), w)
 }
 
-func (o *owner) Unwake(label uint64) {
+func (o *owner) CancelTimer(label uint64) {
 	w := o.timers[label]
 	if w == nil {
 		return
@@ -676,18 +676,18 @@
 	o.unwake(&w.wake)
 }
 
-func (o *owner) Watch() {
+func (o *owner) WatchEndpoints() {
 	select {
 	case o.asks <- struct{}{}:
 	default: // asked already
 	}
 }
 
-// Probe is answered at once with nothing: the protocol has no message for it.
-func (o *owner) Probe(id string) {
-	o.later(func() { o.module.ProbeResult(id, "ConnectError", 0, nil) })
+// ProbeReplica is answered at once with nothing: the protocol has no message for it.
+func (o *owner) ProbeReplica(id string) {
+	o.later(func() { o.module.RecordProbeResult(id, "ConnectError", 0, nil) })
 }
 
-func (o *owner) Note(text string) {
+func (o *owner) LogMessage(text string) {
 	o.log.Info("note", "text", strings.ToValidUTF8(text, "?"))
 }
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -227,7 +227,7 @@
 	for part := range slices.Chunk(heard, peerreport.MaxChunkObservations) {
 		if l.turn(func() {
 			for _, h := range part {
-				l.o.module.Hear(h)
+				l.o.module.ImportObservation(h)
 			}
 		}) != nil {
 			break
@@ -331,7 +331,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err := l.turn(func() { from = l.o.module.Know(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
+			if err := l.turn(func() { from = l.o.module.ExportObservations(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
 				return err
 			}
 			if from == 0 {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -41,7 +41,7 @@
 	told := make(chan struct{})
 	var all []string
 	require.True(r.t, r.owner.post(func() {
-		r.owner.module.Know(0, 100, func(b balancer.Belief) { all = append(all, b.Replica) })
+		r.owner.module.ExportObservations(0, 100, func(b balancer.Observation) { all = append(all, b.Replica) })
 		close(told)
 	}))
 	<-told
@@ -170,7 +170,7 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, h := range l.shelf.Combine(r.owner.clock(), func(string) (int64, bool) { return 0, true }) {
-			if h.Bad {
+			if h.Outlier {
 				n++
 			}
 		}
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -248,18 +248,18 @@
 		o.keyed = []bool{true}
 		p := s.parts[0]
 		p.subs[0].sent = 7
-		o.Cancel(p.id, 0)
+		o.CancelAttempt(p.id, 0)
 		require.Equal(t, first, o.firstSent(&subRequest{p: p, leg: 1}), "stage %d", stage)
 	}
 }
 
 // deaf is a module that does nothing on hearing of an end; told, where it is not nil, keeps it.
 type deaf struct {
-	balancer.Coordinator
+	balancer.Balancer
 	told *[]string
 }
 
-func (d deaf) Outcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
+func (d deaf) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
 	if d.told != nil {
 		*d.told = append(*d.told, ending)
 	}
@@ -309,7 +309,7 @@
 func TestCalledOffUnsent(t *testing.T) {
 	for stage, outcome := range map[int32]string{queued: "Ignored", begun: "Canceled", written: "Canceled"} {
 		o, _, _ := oneOut(stage)
-		o.Cancel(2, 0)
+		o.CancelAttempt(2, 0)
 		require.Equal(t, outcome, o.next[0].outcome, "stage %d", stage)
 	}
 }
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -64,8 +64,8 @@
 // awake is its time-out.
 func (sub *subRequest) awake(o *owner) { o.giveUp(sub, "TimedOut") }
 
-// Send starts a sub-request; it travels at the end of the turn, with others to that replica.
-func (o *owner) Send(id uint64, to string, timeout int64) {
+// SendAttempt starts a sub-request; it travels at the end of the turn, with others to that replica.
+func (o *owner) SendAttempt(id uint64, to string, timeout int64) {
 	p, r := o.parts[id], o.fleet[to]
 	if p == nil {
 		return
@@ -113,8 +113,8 @@
 	o.await(&sub.wake, timeout, sub)
 }
 
-// Cancel gives a sub-request up.
-func (o *owner) Cancel(id uint64, leg int) {
+// CancelAttempt gives a sub-request up.
+func (o *owner) CancelAttempt(id uint64, leg int) {
 	if p := o.parts[id]; p != nil && leg < len(p.subs) {
 		o.giveUp(p.subs[leg], "Canceled")
 	}
@@ -282,7 +282,7 @@
 func (o *owner) landed(sub *subRequest, outcome string, report map[string]float64) {
 	sub.p.untold--
 	sub.never = sub.never || outcome == "Ignored" || outcome == "ConnectError" || outcome == "QueueFull"
-	o.module.Outcome(sub.p.id, int(sub.leg), outcome, o.now-sub.sent, sub.p.over(), report)
+	o.module.RecordAttemptOutcome(sub.p.id, int(sub.leg), outcome, o.now-sub.sent, sub.p.over(), report)
 	o.drop(sub.p)
 }
 
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -99,7 +99,7 @@
 	in               *residency.Standing
 	hosts            *residency.Hosts
 	tenants, classes []string // by place
-	bounds           map[tied]*balancer.Bounds
+	bounds           map[tied]*balancer.ReplicaRestriction
 	now, next        int64        // of this turn; when what holds changes by itself
 	until            atomic.Int64 // the lease's end, for connections' writers
 	gone             chan struct{}
@@ -117,7 +117,7 @@
 		}
 		return names
 	}
-	b := &bounding{o: o, r: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), bounds: map[tied]*balancer.Bounds{},
+	b := &bounding{o: o, r: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), bounds: map[tied]*balancer.ReplicaRestriction{},
 		gone: make(chan struct{})}
 	r.mu.Lock()
 	r.owners[b] = true
@@ -226,20 +226,20 @@
 	if b.in.Free(b.now, tenant, class) {
 		if s.tied {
 			s.tied = false
-			b.o.module.Bind(s.id, nil, nil)
+			b.o.module.RestrictReplicas(s.id, nil, nil)
 		}
 		return
 	}
 	key := tied{s.tenant, s.qtype}
 	to := b.bounds[key]
 	if to == nil {
-		to = &balancer.Bounds{May: func(shard int, replica string) bool { return b.may(tenant, class, shard, replica) }}
+		to = &balancer.ReplicaRestriction{Allows: func(shard int, replica string) bool { return b.may(tenant, class, shard, replica) }}
 		b.bounds[key] = to
 	}
 	s.tied = true
 	b.binding = s
 	out := b.out(s)
-	b.o.module.Bind(s.id, to, func(shard int) bool {
+	b.o.module.RestrictReplicas(s.id, to, func(shard int) bool {
 		rule := b.in.Rule(b.now, tenant, class, shard)
 		if s.barred == nil {
 			s.barred = &residency.Refused{Tenant: tenant, Class: class, Block: shard, Why: residency.NoHolder, Generation: b.in.Generation}
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -111,9 +111,9 @@
 }
 
 // unbound is a module that does not hear what its searches may use.
-type unbound struct{ balancer.Coordinator }
+type unbound struct{ balancer.Balancer }
 
-func (unbound) Bind(uint64, *balancer.Bounds, func(int) bool) {}
+func (unbound) RestrictReplicas(uint64, *balancer.ReplicaRestriction, func(int) bool) {}
 
 // The first guard is broken on purpose: nothing leaves, each is counted, and the search has one final answer.
 func TestSecondGuardFailsClosed(t *testing.T) {
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -279,13 +279,13 @@
 
 // asksAgain is a module that asks again as the real one does after failures.
 type asksAgain struct {
-	balancer.Coordinator
+	balancer.Balancer
 	o      *owner
 	chance *rand.Rand
 	wait   time.Duration
 }
 
-func (m *asksAgain) ListDone(string, int64) {
+func (m *asksAgain) CommitEndpoints(string, int64) {
 	wait := m.o.Clock.After(m.wait + time.Duration(m.chance.Int63n(int64(m.wait/4))))
 	m.wait = min(2*m.wait, 3*time.Second)
 	go func() {
--- a/internal/simwire/benchwire.go
+++ b/internal/simwire/benchwire.go
@@ -35,7 +35,7 @@
 type instance struct {
 	no   int
 	l    *link
-	c    balancer.Coordinator
+	c    balancer.Balancer
 	turn bool
 	dead bool // its module failed
 	gone bool // killed or started anew: nothing it asked for in this batch goes out
@@ -68,7 +68,7 @@
 		f.whole(1)
 		l.events()
 		for _, i := range l.touched {
-			i.guard(i.c.EndOfBatch)
+			i.guard(i.c.EndIteration)
 			if !i.gone {
 				l.out.Write(i.acts)
 			}
@@ -250,14 +250,14 @@
 	i.c = balancer.New(i)
 	l.instances[no] = i
 	l.touch(i)
-	i.guard(func() { i.c.Start(seed, settings) })
+	i.guard(func() { i.c.Configure(seed, settings) })
 }
 
 func (l *link) touch(i *instance) {
 	if !i.turn {
 		i.turn = true
 		l.touched = append(l.touched, i)
-		i.guard(func() { i.c.Clock(l.now) })
+		i.guard(func() { i.c.BeginIteration(l.now) })
 	}
 }
 
@@ -285,32 +285,32 @@
 				panic(fault{fmt.Sprintf("no list number %s", f[3])})
 			}
 			for _, e := range list {
-				i.guard(func() { i.c.Entry(e.replica, e.zone, e.kind, e.cell, e.status, e.units, e.since) })
+				i.guard(func() { i.c.AddEndpoint(e.replica, e.zone, e.kind, e.cell, e.status, e.units, e.since) })
 			}
 		}
-		i.guard(func() { i.c.ListDone(how, rev) })
+		i.guard(func() { i.c.CommitEndpoints(how, rev) })
 	case "inbound":
 		id, number, shard := f.id(1), uint64(f.whole(7)), int(f.whole(8))
 		qtype, tenant, grace, bits := int(f.whole(2)), int(f.whole(3)), f.time(5), f.whole(10)
 		f.float(6)
 		if amount := f.float(9); shard < 0 {
-			i.guard(func() { i.c.Search(id, qtype, tenant, f[4], grace, number, int(amount), bits&2 != 0) })
+			i.guard(func() { i.c.AddSearch(id, qtype, tenant, f[4], grace, number, int(amount), bits&2 != 0) })
 		} else {
-			i.guard(func() { i.c.Part(id, number, shard, amount) })
+			i.guard(func() { i.c.AddShardRequest(id, number, shard, amount) })
 		}
 	case "returned":
 		part, leg, ending, wait := f.id(1), int(f.whole(2)), f.text(4), f.time(5)
 		over, report := f.yes(6), f.report(7)
-		i.guard(func() { i.c.Outcome(part, leg, ending, wait, over, report) })
+		i.guard(func() { i.c.RecordAttemptOutcome(part, leg, ending, wait, over, report) })
 	case "checked":
 		ending, replica, wait, report := f.text(1), f.text(2), f.time(3), f.report(4)
-		i.guard(func() { i.c.ProbeResult(replica, ending, wait, report) })
+		i.guard(func() { i.c.RecordProbeResult(replica, ending, wait, report) })
 	case "withdrawn":
 		id := f.id(1)
-		i.guard(func() { i.c.Withdrawn(id) })
+		i.guard(func() { i.c.CancelSearch(id) })
 	case "fired":
 		label := uint64(f.whole(1))
-		i.guard(func() { i.c.Timer(label) })
+		i.guard(func() { i.c.HandleTimer(label) })
 	case "first_byte", "mail": // no streamed types and no peers here
 	}
 }
@@ -349,15 +349,15 @@
 	return 0
 }
 
-func (i *instance) Send(part uint64, replica string, timeout int64) {
+func (i *instance) SendAttempt(part uint64, replica string, timeout int64) {
 	i.act("route", part, replica, ms(timeout))
 }
-func (i *instance) Cancel(part uint64, leg int)       { i.act("stop_attempt", part, leg) }
-func (i *instance) Answer(search uint64, whole bool)  { i.act("settle_query", search, bit(whole)) }
-func (i *instance) Shed(search uint64, retryIn int64) { i.act("bounce", search, ms(retryIn)) }
-func (i *instance) Error(search uint64)               { i.act("report_failure", search) }
-func (i *instance) Wake(wait int64, label uint64)     { i.act("notify_me", ms(wait), label) }
-func (i *instance) Unwake(uint64)                     {} // the wire has no such word; Timer ignores it
-func (i *instance) Probe(replica string)              { i.act("health_check", replica) }
-func (i *instance) Watch()                            { i.act("track", 1) }
-func (i *instance) Note(text string)                  { i.act("log", text) }
+func (i *instance) CancelAttempt(part uint64, leg int)      { i.act("stop_attempt", part, leg) }
+func (i *instance) AnswerSearch(search uint64, whole bool)  { i.act("settle_query", search, bit(whole)) }
+func (i *instance) ShedSearch(search uint64, retryIn int64) { i.act("bounce", search, ms(retryIn)) }
+func (i *instance) FailSearch(search uint64)                { i.act("report_failure", search) }
+func (i *instance) SetTimer(wait int64, label uint64)       { i.act("notify_me", ms(wait), label) }
+func (i *instance) CancelTimer(uint64)                      {} // the wire has no such word; Timer ignores it
+func (i *instance) ProbeReplica(replica string)             { i.act("health_check", replica) }
+func (i *instance) WatchEndpoints()                         { i.act("track", 1) }
+func (i *instance) LogMessage(text string)                  { i.act("log", text) }
