--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -32,12 +32,12 @@
 		}
 		rules = plan.EndpointRules()
 	}
-	book, bad := endpoints.New(rules), false
+	book, bad := endpoints.NewRegistry(rules), false
 	for i, path := range c.Files {
 		told, err := hostfile.Read(path)
 		if err == nil {
 			told.Version = int64(i + 1)
-			_, err = book.Tell(1, told)
+			_, err = book.Apply(1, told)
 		}
 		if err != nil {
 			bad = true
@@ -46,7 +46,7 @@
 		}
 		fmt.Printf("%s: can be used, %d hosts\n", path, len(told.Hosts))
 	}
-	for _, set := range book.Unheld() {
+	for _, set := range book.UncoveredSets() {
 		bad = true
 		fmt.Fprintf(os.Stderr, "no host of these files that is up holds block set %d\n", set)
 	}
@@ -57,13 +57,13 @@
 }
 
 // listsOf watches the host files that an installation names, until ctx ends.
-func listsOf(ctx context.Context, m *config.EndpointSources, log *slog.Logger) <-chan endpoints.Told {
+func listsOf(ctx context.Context, m *config.EndpointSources, log *slog.Logger) <-chan endpoints.Update {
 	if m == nil {
 		return nil
 	}
-	lists := make(chan endpoints.Told)
+	lists := make(chan endpoints.Update)
 	files := &hostfile.Files{Paths: m.Files, Tell: func(e hostfile.Event) {
-		var fault endpoints.Fault
+		var fault endpoints.InvalidListError
 		switch {
 		case errors.As(e.Err, &fault):
 			log.Warn("host_file", "path", e.Path, "error", e.Err, "in_force", "its last list")
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -85,7 +85,7 @@
 	var more *coordinator.PeerOptions
 	var fronts []coordinator.Frontend
 	hosts, owners := map[string]coordinator.HostKind{}, 1
-	var lists <-chan endpoints.Told
+	var lists <-chan endpoints.Update
 	var keep *coordinator.Persistence
 	var zones *coordinator.ResidencyGuard
 	var steps *stages
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -18,7 +18,7 @@
 
 var states = map[string]string{"up": "healthy", "draining": "cordoned", "removed": "deregistered"}
 
-var memberStates = map[string]endpoints.State{"healthy": endpoints.Up, "cordoned": endpoints.Draining, "deregistered": endpoints.Removed}
+var memberStates = map[string]endpoints.State{"healthy": endpoints.StateUp, "cordoned": endpoints.StateDraining, "deregistered": endpoints.StateRemoved}
 
 // readList looks at a whole list or changes and returns its version and what tells the owner and the module.
 func (o *owner) readList(all map[string]any) (version float64, hosts []listedHost, tell func(how string), err error) {
@@ -319,7 +319,7 @@
 		how = "Complete"
 	}
 	if o.members != nil {
-		err := o.members.discovered(listTold("discovery", endpoints.Discovery, int64(v), full, anew, hosts))
+		err := o.members.discovered(listTold("discovery", endpoints.RankDiscovery, int64(v), full, anew, hosts))
 		if err == nil {
 			*version = v
 		}
--- a/coordinator/golden_plan_test.go
+++ b/coordinator/golden_plan_test.go
@@ -62,7 +62,7 @@
 	site := p.ResidencySite()
 	line("site", fmt.Sprintf("%q %q %q %d", site.Tenants, site.Classes, site.Zones, site.Blocks))
 	rules := p.EndpointRules()
-	line("rules", fmt.Sprintf("%q %q %d %d", rules.Zones, rules.Kinds, rules.Sets, rules.Reach))
+	line("rules", fmt.Sprintf("%q %q %d %d", rules.Zones, rules.Kinds, rules.BlockSets, rules.SetsPerHost))
 	_, hosts, _, err := (&owner{plan: p}).readList(p.known)
 	line("known", err)
 	for _, h := range hosts {
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -70,8 +70,8 @@
 func goldenList() recovery.List {
 	return recovery.List{At: goldenNow - 2000, Plan: 3, Discovery: 9,
 		Hosts: []endpoints.Host{
-			{ID: "a", Addr: "127.0.0.1:2", Zone: "east", Kind: "std", State: endpoints.Up, Weight: 1, StartedMS: 1_699_999_000_000},
-			{ID: "b", Addr: "127.0.0.1:3", Zone: "west", Kind: "std", Cell: 1, State: endpoints.Draining, Weight: 1},
+			{ID: "a", Addr: "127.0.0.1:2", Zone: "east", Kind: "std", State: endpoints.StateUp, Weight: 1, StartedMS: 1_699_999_000_000},
+			{ID: "b", Addr: "127.0.0.1:3", Zone: "west", Kind: "std", Cell: 1, State: endpoints.StateDraining, Weight: 1},
 		},
 		Gone: []recovery.Gone{{ID: "c", By: "discovery", At: goldenNow - 12_000}}}
 }
@@ -124,7 +124,7 @@
 	require.Empty(t, k.believed.Left)
 	require.NotNil(t, k.believed.List)
 	require.Equal(t, goldenList().Hosts, k.believed.List.Hosts)
-	require.Equal(t, []endpoints.Gone{{ID: "c", By: "discovery", Ago: 120_000}}, k.believed.List.Gone)
+	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.believed.List.Removals)
 	require.NotNil(t, k.believed.Notes)
 	require.Equal(t, goldenNotes().All, k.believed.Notes.All)
 	require.NoError(t, k.flush(t.Context()))
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -205,13 +205,13 @@
 }
 
 // PrependStoredUpdate puts what was kept of the list before other sources' lists, which may be nil. It ends with ctx.
-func (k *Persistence) PrependStoredUpdate(ctx context.Context, more <-chan endpoints.Told) <-chan endpoints.Told {
-	out := make(chan endpoints.Told)
+func (k *Persistence) PrependStoredUpdate(ctx context.Context, more <-chan endpoints.Update) <-chan endpoints.Update {
+	out := make(chan endpoints.Update)
 	go func() {
 		defer close(out)
 		opened := k.opened
 		for {
-			var t endpoints.Told
+			var t endpoints.Update
 			select {
 			case <-opened:
 				if opened = nil; k.believed.List == nil {
@@ -334,7 +334,7 @@
 }
 
 // listed takes in the list in force.
-func (k *Persistence) listed(list []endpoints.Entry, gone []endpoints.Gone) {
+func (k *Persistence) listed(list []endpoints.Endpoint, gone []endpoints.Removal) {
 	l := recovery.Keep(k.clock.Now().UnixMilli(), k.plan, k.discovery.Load(), list, gone)
 	k.newest.Store(&l)
 }
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -575,7 +575,7 @@
 // Where lists have several sources, changes of discovery's that are refused are told again until they can be taken: none of
 // them is lost with the version that brought it.
 func TestRefusedChangesAreToldAgain(t *testing.T) {
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Told) })
+	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Calls)
 	good := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a0", "draining"), r.entry("b1", "up"))
 	bad := strings.Replace(good, `"state":"up","weight":1.0`, `"state":"up","weight":-1.0`, 1)
@@ -597,7 +597,7 @@
 func TestWaitsBeginAgainWithSeveralSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newLists()
-		f := follow(t, 1, map[string]*lists{"first": d}, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Told) })
+		f := follow(t, 1, map[string]*lists{"first": d}, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
 		defer f.stop()
 		fail := func(times int) {
 			d.mu.Lock()
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -12,33 +12,33 @@
 // the book, so that the owner is handed a list in force at once and whole: no search sees parts of two.
 type membership struct {
 	o    *owner
-	book *endpoints.Book
-	told chan discovered       // from discovery
-	more <-chan endpoints.Told // from other sources
-	held map[string]string     // lists that are held back, as they were last logged
+	book *endpoints.Registry
+	told chan discovered         // from discovery
+	more <-chan endpoints.Update // from other sources
+	held map[string]string       // lists that are held back, as they were last logged
 }
 
 // discovered is what discovery has told; refused hears why it is refused, or nil.
 type discovered struct {
-	endpoints.Told
+	endpoints.Update
 	refused chan error
 }
 
 // newMembership begins with the plan's list.
-func newMembership(o *owner, more <-chan endpoints.Told, version int64, known []listedHost) *membership {
-	m := &membership{o: o, book: endpoints.New(o.plan.EndpointRules()), told: make(chan discovered), more: more, held: map[string]string{}}
-	m.take(listTold("plan", endpoints.Plan, version, true, false, known))
+func newMembership(o *owner, more <-chan endpoints.Update, version int64, known []listedHost) *membership {
+	m := &membership{o: o, book: endpoints.NewRegistry(o.plan.EndpointRules()), told: make(chan discovered), more: more, held: map[string]string{}}
+	m.take(listTold("plan", endpoints.RankPlan, version, true, false, known))
 	return m
 }
 
 // EndpointRules are what a plan says of all hosts.
 func (p *Plan) EndpointRules() endpoints.Rules {
 	return endpoints.Rules{Zones: p.list("FailureDomains"), Kinds: p.list("MachineTypes"),
-		Sets: int(p.fact("Specifics.Sets")), Reach: int(p.fact("Specifics.Reach"))}
+		BlockSets: int(p.fact("Specifics.Sets")), SetsPerHost: int(p.fact("Specifics.Reach"))}
 }
 
-func listTold(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []listedHost) endpoints.Told {
-	t := endpoints.Told{Source: source, Rank: rank, Version: version, Partial: !full, Anew: anew}
+func listTold(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []listedHost) endpoints.Update {
+	t := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
 	for _, h := range hosts {
 		t.Hosts = append(t.Hosts, h.host)
 	}
@@ -47,7 +47,7 @@
 
 // discovered hands discovery's list on, and tells why it is refused. Guards against a version that counts as had while its
 // changes are not: they would not be told again.
-func (m *membership) discovered(t endpoints.Told) error {
+func (m *membership) discovered(t endpoints.Update) error {
 	d := discovered{t, make(chan error, 1)}
 	select {
 	case m.told <- d:
@@ -66,14 +66,14 @@
 	o := m.o
 	for {
 		var due <-chan time.Time
-		if at := m.book.Next(); at > 0 {
+		if at := m.book.NextTick(); at > 0 {
 			due = o.Clock.After(time.Duration(max(at-o.clock(), 1)) * tenth)
 		}
 		changed := false
 		select {
 		case d := <-m.told:
 			var err error
-			changed, err = m.take(d.Told)
+			changed, err = m.take(d.Update)
 			d.refused <- err
 		case t, ok := <-m.more:
 			if !ok {
@@ -93,22 +93,22 @@
 }
 
 // take tells the book a list, and the log what the book thinks of it.
-func (m *membership) take(t endpoints.Told) (changed bool, err error) {
+func (m *membership) take(t endpoints.Update) (changed bool, err error) {
 	for i := range t.Hosts {
 		t.Hosts[i].Zone, t.Hosts[i].Kind = settings.FormatValue(t.Hosts[i].Zone), settings.FormatValue(t.Hosts[i].Kind)
 	}
-	changed, err = m.book.Tell(m.o.clock(), t)
+	changed, err = m.book.Apply(m.o.clock(), t)
 	if err != nil {
 		m.o.log.often("list_refused "+t.Source, "list_refused", "source", t.Source, "error", err)
 		m.o.event("list_refused", t.Source+": "+err.Error())
 		return false, err
 	}
-	held := m.book.Held()
+	held := m.book.HeldBackSources()
 	if why := held[t.Source]; why != "" && why != m.held[t.Source] {
 		m.o.log.often("list_held "+t.Source, "list_held", "source", t.Source, "why", why)
 		m.o.event("list_held", t.Source+": "+why)
 	}
-	if m.o.Persistence != nil && t.Rank == endpoints.Discovery && held[t.Source] == "" {
+	if m.o.Persistence != nil && t.Rank == endpoints.RankDiscovery && held[t.Source] == "" {
 		m.o.Persistence.discovery.Store(t.Version)
 	}
 	m.held = held
@@ -124,18 +124,18 @@
 	list := m.book.List()
 	for _, e := range list {
 		present[e.ID] = true
-		hosts = append(hosts, listedHost{e.ID, e.Addr, e.StartedMS, e.Cell, false, e.Apart, e.Host})
+		hosts = append(hosts, listedHost{e.ID, e.Addr, e.StartedMS, e.Cell, false, e.ZoneConflict, e.Host})
 		zone, kind, status := o.nth("FailureDomains", e.Zone), o.nth("MachineTypes", e.Kind), "healthy"
-		if e.State == endpoints.Draining {
+		if e.State == endpoints.StateDraining {
 			status = "cordoned"
 		}
 		steps = append(steps, func() {
-			o.place(e.ID, e.Addr, e.Kind, e.StartedMS*10, false, e.State == endpoints.Draining)
+			o.place(e.ID, e.Addr, e.Kind, e.StartedMS*10, false, e.State == endpoints.StateDraining)
 			o.module.AddEndpoint(e.ID, zone, kind, e.Cell, status, e.Weight, e.StartedMS*10)
 		})
 	}
 	if o.Persistence != nil {
-		o.Persistence.listed(list, m.book.Removed(o.clock()))
+		o.Persistence.listed(list, m.book.Removals(o.clock()))
 		o.event("list", fmt.Sprintf("generation %d, %d hosts", generation, len(hosts)))
 	}
 	ok := o.post(func() { o.listInForce("Complete", generation, hosts, present, steps) })
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -20,7 +20,7 @@
 )
 
 // withLists serves a second co-ordinator on a rig's hosts and list that has other sources of hosts too.
-func (r *rig) withLists(lists <-chan endpoints.Told) *rig {
+func (r *rig) withLists(lists <-chan endpoints.Update) *rig {
 	ln := listen(r.t)
 	ctx, stop := context.WithCancel(context.Background())
 	more := &rig{t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
@@ -45,11 +45,11 @@
 // has its one whole answer.
 func TestListsAreNeverMixed(t *testing.T) {
 	first := start(t, 256, nil)
-	lists := make(chan endpoints.Told)
+	lists := make(chan endpoints.Update)
 	r := first.withLists(lists)
-	told := func(v int64, on, off string) endpoints.Told {
-		return endpoints.Told{Source: "hosts.yaml", Rank: endpoints.File, Version: v, Meant: true, Hosts: []endpoints.Host{r.member("a" + on),
-			r.member("b" + on), {ID: "a" + off, State: endpoints.Removed}, {ID: "b" + off, State: endpoints.Removed}}}
+	told := func(v int64, on, off string) endpoints.Update {
+		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{r.member("a" + on),
+			r.member("b" + on), {ID: "a" + off, State: endpoints.StateRemoved}, {ID: "b" + off, State: endpoints.StateRemoved}}}
 	}
 	lists <- told(1, "0", "1")
 	r.logged("entries=2")
@@ -128,7 +128,7 @@
 		return b.String()
 	}
 	write(text("a0", "a1", "b0", "b1"))
-	lists := make(chan endpoints.Told)
+	lists := make(chan endpoints.Update)
 	ctx, stop := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -345,16 +345,16 @@
 	held := map[string]map[int]bool{}
 	_, hosts, _, err := (&owner{plan: p}).readList(p.known)
 	for _, h := range hosts {
-		if err != nil || h.gone || h.host.State != endpoints.Up {
+		if err != nil || h.gone || h.host.State != endpoints.StateUp {
 			continue
 		}
 		zone := zoneName(h.host.Zone)
 		if held[zone] == nil {
 			held[zone] = map[int]bool{}
 		}
-		for j := range rules.Reach {
-			held[zone][((h.cell-j)%rules.Sets+rules.Sets)%rules.Sets] = true
+		for j := range rules.SetsPerHost {
+			held[zone][((h.cell-j)%rules.BlockSets+rules.BlockSets)%rules.BlockSets] = true
 		}
 	}
-	return func(zone string, block int) bool { return held[zone][block%max(1, rules.Sets)] }
+	return func(zone string, block int) bool { return held[zone][block%max(1, rules.BlockSets)] }
 }
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -24,7 +24,7 @@
 	in    *ResidencyGuard
 	book  residency.Book
 	ahead atomic.Int64 // of the clock that contracts go by
-	lists chan endpoints.Told
+	lists chan endpoints.Update
 }
 
 const eastOnly = "generation: 1\ndefault: anywhere\nhost_rest: 1h\ncontracts:\n- {tenant: acme, zones: [east]}"
@@ -42,7 +42,7 @@
 func startZoned(t *testing.T, text string) *zonedRig { return startZonedWith(t, text, nil, false) }
 
 func startZonedWith(t *testing.T, text string, zones map[string]string, several bool) *zonedRig {
-	z := &zonedRig{rig: &rig{t: t}, lists: make(chan endpoints.Told)}
+	z := &zonedRig{rig: &rig{t: t}, lists: make(chan endpoints.Update)}
 	z.in = NewResidencyGuard(z.standing(text, math.MaxInt64), z.clock)
 	if zones == nil {
 		zones = map[string]string{"a0": "east", "b0": "east", "a1": "west", "b1": "west"}
@@ -270,9 +270,9 @@
 	}
 	c := z.call().send(request("acme1", "all", "", fourParts))
 	z.eventually("parts out", func() bool { return z.parts() >= 4 })
-	file := func(id, zone string, v int64) endpoints.Told {
+	file := func(id, zone string, v int64) endpoints.Update {
 		h := z.replicas[id]
-		return endpoints.Told{Source: "hosts.yaml", Rank: endpoints.File, Version: v, Meant: true, Hosts: []endpoints.Host{
+		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{
 			{ID: id, Addr: h.Ln.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1}}}
 	}
 	z.lists <- file("a0", "west", 1)
--- a/coordinator/several.go
+++ b/coordinator/several.go
@@ -31,12 +31,12 @@
 	g, ctx := errgroup.WithContext(ctx)
 	over, end := context.WithCancel(context.WithoutCancel(ctx))
 	var left sync.WaitGroup
-	lists := make([]chan endpoints.Told, n)
+	lists := make([]chan endpoints.Update, n)
 	for i := range n {
 		own := m
 		own.Listener, own.PlanUpdates = shared.shares[i], plans[i]
 		if m.EndpointUpdates != nil {
-			lists[i] = make(chan endpoints.Told)
+			lists[i] = make(chan endpoints.Update)
 			own.EndpointUpdates = lists[i]
 		}
 		own.Logger = slog.New(m.Logger.Handler().WithAttrs([]slog.Attr{slog.Int("owner", i)}))
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -141,11 +141,11 @@
 	Logger      *slog.Logger // lines are handed to its handler by one goroutine
 	PlanUpdates <-chan *Plan // that follow the first, as Reloads hands them on; may be nil
 
-	HostKinds       map[string]HostKind   // kinds of host that speak the OpenSearch-style API; may be nil
-	Frontends       []Frontend            // other ways in for clients; may be none
-	Peers           *PeerOptions          // what an installation allows beside the plan; may be nil
-	EndpointUpdates <-chan endpoints.Told // of hosts, from other sources than discovery; may be nil, and may be closed
-	Persistence     *Persistence          // what is kept on disk; then Lists are its Lists; may be nil
+	HostKinds       map[string]HostKind     // kinds of host that speak the OpenSearch-style API; may be nil
+	Frontends       []Frontend              // other ways in for clients; may be none
+	Peers           *PeerOptions            // what an installation allows beside the plan; may be nil
+	EndpointUpdates <-chan endpoints.Update // of hosts, from other sources than discovery; may be nil, and may be closed
+	Persistence     *Persistence            // what is kept on disk; then Lists are its Lists; may be nil
 
 	Residency   *ResidencyGuard // contracts on where parts may run; nil for none
 	OnSearchEnd func(SearchEnd) // is told each search's end in a turn, so it may not wait; nil for none
--- a/endpoints/golden_errors_test.go
+++ b/endpoints/golden_errors_test.go
@@ -9,7 +9,7 @@
 // Errors of host lists, reasons for which a list is held back, and the numbers of states and ranks.
 func TestGoldenHostListErrors(t *testing.T) {
 	long := strings.Repeat("x", 201)
-	rules := Rules{Zones: []string{"east", "west"}, Kinds: []string{"std"}, Sets: 2, Reach: 1}
+	rules := Rules{Zones: []string{"east", "west"}, Kinds: []string{"std"}, BlockSets: 2, SetsPerHost: 1}
 	good := Host{ID: "a", Addr: "127.0.0.1:1", Zone: "east", Kind: "std", Cell: 1, Weight: 1, Line: 2, Column: 5}
 	with := func(change func(h *Host)) Host {
 		h := good
@@ -21,55 +21,55 @@
 	var out strings.Builder
 	for _, x := range []struct {
 		title string
-		list  Told
+		list  Update
 	}{
-		{"good", Told{Hosts: []Host{good, second}}},
-		{"no id", Told{Hosts: []Host{with(func(h *Host) { h.ID = "" })}}},
-		{"long id", Told{Hosts: []Host{with(func(h *Host) { h.ID = long })}}},
-		{"long address", Told{Hosts: []Host{with(func(h *Host) { h.Addr = long })}}},
-		{"long zone", Told{Hosts: []Host{with(func(h *Host) { h.Zone = long })}}},
-		{"long kind", Told{Hosts: []Host{with(func(h *Host) { h.Kind = long })}}},
-		{"twice", Told{Hosts: []Host{good, with(func(h *Host) { h.Line = 3 })}}},
-		{"state below", Told{Hosts: []Host{with(func(h *Host) { h.State = -1 })}}},
-		{"state above", Told{Hosts: []Host{with(func(h *Host) { h.State = 3 })}}},
-		{"no address", Told{Hosts: []Host{with(func(h *Host) { h.Addr = "" })}}},
-		{"removed without address", Told{Hosts: []Host{with(func(h *Host) { h.Addr, h.State = "", Removed })}}},
-		{"same address", Told{Hosts: []Host{good, with(func(h *Host) { h.ID = "b" })}}},
-		{"no weight", Told{Hosts: []Host{with(func(h *Host) { h.Weight = 0 })}}},
-		{"weight below", Told{Hosts: []Host{with(func(h *Host) { h.Weight = -1 })}}},
-		{"weight above", Told{Hosts: []Host{with(func(h *Host) { h.Weight = 1000.5 })}}},
-		{"zone", Told{Hosts: []Host{with(func(h *Host) { h.Zone = "north" })}}},
-		{"kind", Told{Hosts: []Host{with(func(h *Host) { h.Kind = "" })}}},
-		{"cell below", Told{Hosts: []Host{with(func(h *Host) { h.Cell = -1 })}}},
-		{"cell above", Told{Hosts: []Host{with(func(h *Host) { h.Cell = 2 })}}},
-		{"start", Told{Hosts: []Host{with(func(h *Host) { h.StartedMS = -1 })}}},
-		{"not in a file", Told{Hosts: []Host{with(func(h *Host) { h.Weight, h.Line, h.Column = 0, 0, 0 })}}},
-		{"too many hosts", Told{Hosts: many}},
-		{"removal without id", Told{Gone: []Gone{{ID: "", By: "discovery"}}}},
-		{"removal by a long name", Told{Gone: []Gone{{ID: "a", By: long}}}},
-		{"too many removals", Told{Gone: make([]Gone, 20_001)}},
-		{"changes in place of a list", Told{Anew: true, Partial: true}},
+		{"good", Update{Hosts: []Host{good, second}}},
+		{"no id", Update{Hosts: []Host{with(func(h *Host) { h.ID = "" })}}},
+		{"long id", Update{Hosts: []Host{with(func(h *Host) { h.ID = long })}}},
+		{"long address", Update{Hosts: []Host{with(func(h *Host) { h.Addr = long })}}},
+		{"long zone", Update{Hosts: []Host{with(func(h *Host) { h.Zone = long })}}},
+		{"long kind", Update{Hosts: []Host{with(func(h *Host) { h.Kind = long })}}},
+		{"twice", Update{Hosts: []Host{good, with(func(h *Host) { h.Line = 3 })}}},
+		{"state below", Update{Hosts: []Host{with(func(h *Host) { h.State = -1 })}}},
+		{"state above", Update{Hosts: []Host{with(func(h *Host) { h.State = 3 })}}},
+		{"no address", Update{Hosts: []Host{with(func(h *Host) { h.Addr = "" })}}},
+		{"removed without address", Update{Hosts: []Host{with(func(h *Host) { h.Addr, h.State = "", StateRemoved })}}},
+		{"same address", Update{Hosts: []Host{good, with(func(h *Host) { h.ID = "b" })}}},
+		{"no weight", Update{Hosts: []Host{with(func(h *Host) { h.Weight = 0 })}}},
+		{"weight below", Update{Hosts: []Host{with(func(h *Host) { h.Weight = -1 })}}},
+		{"weight above", Update{Hosts: []Host{with(func(h *Host) { h.Weight = 1000.5 })}}},
+		{"zone", Update{Hosts: []Host{with(func(h *Host) { h.Zone = "north" })}}},
+		{"kind", Update{Hosts: []Host{with(func(h *Host) { h.Kind = "" })}}},
+		{"cell below", Update{Hosts: []Host{with(func(h *Host) { h.Cell = -1 })}}},
+		{"cell above", Update{Hosts: []Host{with(func(h *Host) { h.Cell = 2 })}}},
+		{"start", Update{Hosts: []Host{with(func(h *Host) { h.StartedMS = -1 })}}},
+		{"not in a file", Update{Hosts: []Host{with(func(h *Host) { h.Weight, h.Line, h.Column = 0, 0, 0 })}}},
+		{"too many hosts", Update{Hosts: many}},
+		{"removal without id", Update{Removals: []Removal{{ID: "", RemovedBy: "discovery"}}}},
+		{"removal by a long name", Update{Removals: []Removal{{ID: "a", RemovedBy: long}}}},
+		{"too many removals", Update{Removals: make([]Removal, 20_001)}},
+		{"changes in place of a list", Update{VersionReset: true, Partial: true}},
 	} {
-		x.list.Source, x.list.Rank, x.list.Version = "hosts.yaml", File, 1
-		changed, err := New(rules).Tell(1, x.list)
+		x.list.Source, x.list.Rank, x.list.Version = "hosts.yaml", RankFile, 1
+		changed, err := NewRegistry(rules).Apply(1, x.list)
 		fmt.Fprintf(&out, "%s: changed=%t error: %v\n", x.title, changed, err)
 	}
 
-	book := New(rules)
+	book := NewRegistry(rules)
 	var all []Host
 	for i := range 8 {
 		all = append(all, Host{ID: fmt.Sprint("h", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Zone: "east", Kind: "std", Cell: i / 7, Weight: 1})
 	}
 	tell := func(version int64, hosts []Host) {
-		if _, err := book.Tell(1, Told{Source: "hosts.yaml", Rank: File, Version: version, Hosts: hosts}); err != nil {
+		if _, err := book.Apply(1, Update{Source: "hosts.yaml", Rank: RankFile, Version: version, Hosts: hosts}); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&out, "held back: %v\n", book.Held())
+		fmt.Fprintf(&out, "held back: %v\n", book.HeldBackSources())
 	}
 	tell(1, all)
 	tell(2, all[4:])
 	tell(3, all[:7])
 	fmt.Fprintf(&out, "states: up=%d draining=%d removed=%d\nranks: plan=%d store=%d discovery=%d file=%d\n",
-		Up, Draining, Removed, Plan, Store, Discovery, File)
+		StateUp, StateDraining, StateRemoved, RankPlan, RankStore, RankDiscovery, RankFile)
 	requireGolden(t, "host_list_errors.golden", out.String())
 }
--- a/endpoints/hostfile/file.go
+++ b/endpoints/hostfile/file.go
@@ -40,13 +40,13 @@
 	StartedMS int64    `yaml:"started_ms"`
 }
 
-var states = map[string]endpoints.State{"": endpoints.Up, "up": endpoints.Up, "draining": endpoints.Draining, "removed": endpoints.Removed}
+var states = map[string]endpoints.State{"": endpoints.StateUp, "up": endpoints.StateUp, "draining": endpoints.StateDraining, "removed": endpoints.StateRemoved}
 
 // Parse reads a file's text. A fault names line and column where it can.
-func Parse(name string, text []byte) (endpoints.Told, error) {
-	told := endpoints.Told{Source: name, Rank: endpoints.File}
-	fault := func(line, column int, id, format string, v ...any) (endpoints.Told, error) {
-		return endpoints.Told{}, endpoints.Fault{Source: name, ID: id, Line: line, Column: column, Why: fmt.Sprintf(format, v...)}
+func Parse(name string, text []byte) (endpoints.Update, error) {
+	told := endpoints.Update{Source: name, Rank: endpoints.RankFile}
+	fault := func(line, column int, id, format string, v ...any) (endpoints.Update, error) {
+		return endpoints.Update{}, endpoints.InvalidListError{Source: name, HostID: id, Line: line, Column: column, Reason: fmt.Sprintf(format, v...)}
 	}
 	if len(text) > fileMost {
 		return fault(0, 0, "", "over %d bytes", fileMost)
@@ -71,7 +71,7 @@
 	if f.Hosts == nil { // an empty file is more likely cut than meant
 		return fault(1, 1, "", "no hosts; an empty list is hosts: []")
 	}
-	told.Meant = f.Meant
+	told.Confirmed = f.Meant
 	at := places(tree.Docs[0].Body)
 	for i, h := range *f.Hosts {
 		line, column := 0, 0
--- a/endpoints/hostfile/golden_host_file_test.go
+++ b/endpoints/hostfile/golden_host_file_test.go
@@ -23,7 +23,7 @@
 		fmt.Fprintf(out, "  error: %s\n", goName.ReplaceAllString(err.Error(), "Go $1 NAME"))
 		return
 	}
-	fmt.Fprintf(out, "  source=%s rank=%d version=%d partial=%t meant=%t\n", told.Source, told.Rank, told.Version, told.Partial, told.Meant)
+	fmt.Fprintf(out, "  source=%s rank=%d version=%d partial=%t meant=%t\n", told.Source, told.Rank, told.Version, told.Partial, told.Confirmed)
 	for _, h := range told.Hosts {
 		fmt.Fprintf(out, "  id=%q address=%q zone=%q kind=%q cell=%d state=%d weight=%g started_ms=%d at [%d:%d]\n",
 			h.ID, h.Addr, h.Zone, h.Kind, h.Cell, h.State, h.Weight, h.StartedMS, h.Line, h.Column)
@@ -97,5 +97,5 @@
 	_, err := Read("testdata/host_file_with_checksum.golden.yaml")
 	require.NoError(t, err)
 	_, err = Parse("f", []byte(strings.Replace(text, "hall", "hell", 1)))
-	require.ErrorAs(t, err, new(endpoints.Fault))
+	require.ErrorAs(t, err, new(endpoints.InvalidListError))
 }
--- a/endpoints/hostfile/watch.go
+++ b/endpoints/hostfile/watch.go
@@ -27,7 +27,7 @@
 // Event is what has become of a file: a list, or its text, or why there is none.
 type Event struct {
 	Path string
-	Told endpoints.Told
+	Told endpoints.Update
 	Text []byte // where texts are told
 	Err  error
 }
@@ -59,10 +59,10 @@
 }
 
 // Read reads a file as it is, without waiting for it to rest.
-func Read(path string) (endpoints.Told, error) {
+func Read(path string) (endpoints.Update, error) {
 	text, err := Text(path)
 	if err != nil {
-		return endpoints.Told{}, err
+		return endpoints.Update{}, err
 	}
 	return Parse(path, text)
 }
@@ -210,7 +210,7 @@
 		}
 		f.read = s
 		if err != nil {
-			var fault endpoints.Fault
+			var fault endpoints.InvalidListError
 			if !errors.As(err, &fault) {
 				err = fmt.Errorf("%s: %w", path, err)
 			}
--- a/endpoints/hostfile/watch_test.go
+++ b/endpoints/hostfile/watch_test.go
@@ -34,10 +34,10 @@
 	require.NoError(t, err)
 	require.Equal(t, []endpoints.Host{
 		{ID: "a", Addr: "127.0.0.1:1", Zone: "hall", Kind: "std", Weight: 1, Line: 2, Column: 6},
-		{ID: "b", Addr: "127.0.0.1:2", Cell: 1, State: endpoints.Draining, Weight: 2.5, StartedMS: 7, Line: 3, Column: 5}}, told.Hosts)
+		{ID: "b", Addr: "127.0.0.1:2", Cell: 1, State: endpoints.StateDraining, Weight: 2.5, StartedMS: 7, Line: 3, Column: 5}}, told.Hosts)
 	json, err := Parse("f", []byte(`{"meant": true, "hosts": [{"id": "a", "address": "127.0.0.1:1", "cell": 0}]}`))
 	require.NoError(t, err)
-	require.True(t, json.Meant)
+	require.True(t, json.Confirmed)
 	require.Len(t, json.Hosts, 1)
 	sum := fmt.Sprintf("%s%016x\n%s", sumPrefix, xxhash.Sum64String(one), one)
 	_, err = Parse("f", []byte(sum))
@@ -64,7 +64,7 @@
 	} {
 		_, err := Parse("f", []byte(text))
 		require.ErrorContains(t, err, want, "%.60q", text)
-		require.ErrorAs(t, err, new(endpoints.Fault))
+		require.ErrorAs(t, err, new(endpoints.InvalidListError))
 	}
 }
 
@@ -76,7 +76,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		told, err := Parse("f", text)
 		if err != nil {
-			require.ErrorAs(t, err, new(endpoints.Fault))
+			require.ErrorAs(t, err, new(endpoints.InvalidListError))
 			require.Empty(t, told.Hosts)
 		}
 	})
--- a/endpoints/members.go
+++ b/endpoints/members.go
@@ -27,9 +27,9 @@
 type State int
 
 const (
-	Up State = iota
-	Draining
-	Removed
+	StateUp State = iota
+	StateDraining
+	StateRemoved
 )
 
 // Host is one entry of a source's list. Line and Column are where it stands, if it stands in a file.
@@ -46,65 +46,65 @@
 type Rank int
 
 const (
-	Plan Rank = iota
-	Store
-	Discovery
-	File
+	RankPlan Rank = iota
+	RankStore
+	RankDiscovery
+	RankFile
 )
 
-// Told is what a source tells: all of its hosts, or those that changed. Meant says that an operator knows of it what the
+// Update is what a source tells: all of its hosts, or those that changed. Meant says that an operator knows of it what the
 // guards would hold back.
-type Told struct {
-	Source  string
-	Rank    Rank
-	Version int64
-	Anew    bool // its versions have begun again
-	Partial bool
-	Meant   bool
-	Hosts   []Host
-	Gone    []Gone // removals that it remembers, of any source
+type Update struct {
+	Source       string
+	Rank         Rank
+	Version      int64
+	VersionReset bool // its versions have begun again
+	Partial      bool
+	Confirmed    bool
+	Hosts        []Host
+	Removals     []Removal // removals that it remembers, of any source
 }
 
-// Gone is a host that a source has taken off its list, and how long ago. It holds for what is left of the time for
+// Removal is a host that a source has taken off its list, and how long ago. It holds for what is left of the time for
 // which removals are remembered.
-type Gone struct {
-	ID, By    string
-	StartedMS int64
-	Ago       int64
+type Removal struct {
+	ID, RemovedBy string
+	StartedMS     int64
+	Age           int64
 }
 
-// Fault is why a list is refused.
-type Fault struct {
+// InvalidListError is why a list is refused.
+type InvalidListError struct {
 	Source       string
-	ID           string
+	HostID       string
 	Line, Column int
-	Why          string
+	Reason       string
 }
 
-func (f Fault) Error() string {
+func (f InvalidListError) Error() string {
 	at := ""
 	if f.Line > 0 {
 		at = fmt.Sprintf("[%d:%d] ", f.Line, f.Column)
 	}
-	if f.ID != "" {
-		at += fmt.Sprintf("host %.60q: ", f.ID)
+	if f.HostID != "" {
+		at += fmt.Sprintf("host %.60q: ", f.HostID)
 	}
-	return f.Source + ": " + at + f.Why
+	return f.Source + ": " + at + f.Reason
 }
 
 // Rules are what the installation knows of all hosts. Zones, kinds and the range of cells bind files alone: what other
 // programs tell may be ahead of the plan.
 type Rules struct {
-	Zones, Kinds []string // that there are; any where there are none
-	Sets, Reach  int      // a host of cell c holds the sets from c-Reach+1 on to c, of so many; no look at holders where 0
+	Zones, Kinds           []string // that there are; any where there are none
+	BlockSets, SetsPerHost int      // a host of cell c holds the sets from c-Reach+1 on to c, of so many; no look at holders where 0
 }
 
-// Entry is a host of the list in force, with the source whose particulars hold and, if it drains, those that say so.
-type Entry struct {
+// Endpoint is a host of the list in force, with the source whose particulars hold and, if it drains, those that say so.
+type Endpoint struct {
 	Host
-	Source  string
-	Drained []string
-	Apart   bool // sources put it, or its address, into different zones
+	Source       string
+	DrainedBy    []string
+	ZoneConflict bool // sources put it, or its address, into different zones
 }
 
 // source is what one has told.
@@ -113,7 +113,7 @@
 	rank    Rank
 	version int64
 	hosts   map[string]Host
-	pending *Told // held back
+	pending *Update // held back
 	until   int64
 	why     string
 	ends    int64 // when it counts no more, 0 for never
@@ -126,31 +126,31 @@
 	started int64 // the life that was removed: a later one is another
 }
 
-// Book keeps what all sources have told, and the list in force. It is one goroutine's.
-type Book struct {
+// Registry keeps what all sources have told, and the list in force. It is one goroutine's.
+type Registry struct {
 	rules      Rules
 	sources    map[string]*source
 	removed    map[string]removal
-	list       map[string]Entry
+	list       map[string]Endpoint
 	generation int64
 }
 
-func New(rules Rules) *Book {
-	return &Book{rules: rules, sources: map[string]*source{}, removed: map[string]removal{}, list: map[string]Entry{}}
+func NewRegistry(rules Rules) *Registry {
+	return &Registry{rules: rules, sources: map[string]*source{}, removed: map[string]removal{}, list: map[string]Endpoint{}}
 }
 
 // Generation counts the changes of the list in force.
-func (b *Book) Generation() int64 { return b.generation }
+func (b *Registry) Generation() int64 { return b.generation }
 
 // List is the list in force, by id.
-func (b *Book) List() []Entry {
+func (b *Registry) List() []Endpoint {
 	all := slices.Collect(maps.Values(b.list))
-	slices.SortFunc(all, func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(all, func(x, y Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 	return all
 }
 
-// Held names the sources whose last list is held back, with why.
-func (b *Book) Held() map[string]string {
+// HeldBackSources names the sources whose last list is held back, with why.
+func (b *Registry) HeldBackSources() map[string]string {
 	out := map[string]string{}
 	for name, s := range b.sources {
 		switch {
@@ -163,19 +163,19 @@
 	return out
 }
 
-// Removed are the removals that are remembered, by id.
-func (b *Book) Removed(now int64) []Gone {
-	var all []Gone
+// Removals are the removals that are remembered, by id.
+func (b *Registry) Removals(now int64) []Removal {
+	var all []Removal
 	for id, r := range b.removed {
-		all = append(all, Gone{id, r.by, r.started, max(0, now-r.at)})
+		all = append(all, Removal{id, r.by, r.started, max(0, now-r.at)})
 	}
-	slices.SortFunc(all, func(x, y Gone) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(all, func(x, y Removal) int { return cmp.Compare(x.ID, y.ID) })
 	return all
 }
 
-// Tell takes what a source tells, whole or not at all, and says whether the list in force has changed. A fault changes
+// Apply takes what a source tells, whole or not at all, and says whether the list in force has changed. A fault changes
 // nothing; so does a version that is not above the last.
-func (b *Book) Tell(now int64, t Told) (changed bool, err error) {
+func (b *Registry) Apply(now int64, t Update) (changed bool, err error) {
 	if err := b.check(t); err != nil {
 		return false, err
 	}
@@ -184,17 +184,17 @@
 		s = &source{name: t.Source, version: oldest, hosts: map[string]Host{}}
 		b.sources[t.Source] = s
 	}
-	if t.Version <= s.version && !t.Anew {
+	if t.Version <= s.version && !t.VersionReset {
 		return false, nil
 	}
-	if t.Anew && t.Partial {
-		return false, Fault{Source: t.Source, Why: "changes in place of the whole list"}
+	if t.VersionReset && t.Partial {
+		return false, InvalidListError{Source: t.Source, Reason: "changes in place of the whole list"}
 	}
 	s.rank = t.Rank
 	if t.Partial && s.pending != nil { // to what it told last, held back or not
 		t = merged(s, *s.pending, t)
 	}
-	if why := b.holds(s, t); why != "" && !t.Meant {
+	if why := b.holds(s, t); why != "" && !t.Confirmed {
 		if s.pending == nil {
 			s.until = now + holdBack
 		}
@@ -204,15 +204,15 @@
 	s.pending = nil
 	b.take(now, s, t)
 	changed = b.settle(now)
-	if (t.Rank == Discovery || t.Rank == Store) && b.discovered() && b.retire(now) {
+	if (t.Rank == RankDiscovery || t.Rank == RankStore) && b.discovered() && b.retire(now) {
 		changed = b.settle(now) || changed
 	}
 	return changed, nil
 }
 
-func (b *Book) discovered() bool {
+func (b *Registry) discovered() bool {
 	for _, s := range b.sources {
-		if s.rank == Discovery && s.version != oldest {
+		if s.rank == RankDiscovery && s.version != oldest {
 			return true
 		}
 	}
@@ -221,9 +221,9 @@
 
 // retire ends what a store has told once discovery speaks: what only an earlier run knew is not told again. Guards
 // against a first list that is cut: where many hosts would go with the store, it counts for a while longer.
-func (b *Book) retire(now int64) (ended bool) {
+func (b *Registry) retire(now int64) (ended bool) {
 	for name, s := range b.sources {
-		if s.rank != Store || s.ends > 0 {
+		if s.rank != RankStore || s.ends > 0 {
 			continue
 		}
 		alone := 0
@@ -242,15 +242,15 @@
 	return ended
 }
 
-// Forget takes out a source that has left for good, such as a file that an operator has deleted on purpose. A source
+// RemoveSource takes out a source that has left for good, such as a file that an operator has deleted on purpose. A source
 // that is only silent is not forgotten: what it told last holds.
-func (b *Book) Forget(now int64, name string) (changed bool) {
+func (b *Registry) RemoveSource(now int64, name string) (changed bool) {
 	delete(b.sources, name)
 	return b.settle(now)
 }
 
 // Tick takes lists whose time of being held back is over, and forgets removals that are old.
-func (b *Book) Tick(now int64) (changed bool) {
+func (b *Registry) Tick(now int64) (changed bool) {
 	for _, name := range slices.Sorted(maps.Keys(b.sources)) {
 		if s := b.sources[name]; s.pending != nil && now >= s.until {
 			t := *s.pending
@@ -263,8 +263,8 @@
 	return b.settle(now)
 }
 
-// Next is when Tick has something to do, 0 for never.
-func (b *Book) Next() (at int64) {
+// NextTick is when Tick has something to do, 0 for never.
+func (b *Registry) NextTick() (at int64) {
 	note := func(t int64) {
 		if at == 0 || t < at {
 			at = t
@@ -284,11 +284,11 @@
 	return at
 }
 
-// Unheld are the block sets that no host that is up holds.
-func (b *Book) Unheld() (sets []int) {
+// UncoveredSets are the block sets that no host that is up holds.
+func (b *Registry) UncoveredSets() (sets []int) {
 	held := b.holders(func(yield func(Host) bool) {
 		for _, e := range b.list {
-			if e.State == Up && !yield(e.Host) {
+			if e.State == StateUp && !yield(e.Host) {
 				return
 			}
 		}
@@ -302,18 +302,18 @@
 }
 
 // holders tells which block sets some hosts hold.
-func (b *Book) holders(of func(yield func(Host) bool)) []bool {
-	sets := make([]bool, b.rules.Sets)
+func (b *Registry) holders(of func(yield func(Host) bool)) []bool {
+	sets := make([]bool, b.rules.BlockSets)
 	for h := range of {
-		for i := range b.rules.Reach {
-			sets[((h.Cell-i)%b.rules.Sets+b.rules.Sets)%b.rules.Sets] = true
+		for i := range b.rules.SetsPerHost {
+			sets[((h.Cell-i)%b.rules.BlockSets+b.rules.BlockSets)%b.rules.BlockSets] = true
 		}
 	}
 	return sets
 }
 
 // merged is a held-back list with later changes of it.
-func merged(s *source, held, t Told) Told {
+func merged(s *source, held, t Update) Update {
 	all := map[string]Host{}
 	if held.Partial {
 		maps.Copy(all, s.hosts)
@@ -321,22 +321,22 @@
 	for _, h := range append(slices.Clone(held.Hosts), t.Hosts...) {
 		all[h.ID] = h
 	}
-	t.Partial, t.Meant = false, t.Meant || held.Meant
+	t.Partial, t.Confirmed = false, t.Confirmed || held.Confirmed
 	t.Hosts = slices.SortedFunc(maps.Values(all), func(x, y Host) int { return cmp.Compare(x.ID, y.ID) })
 	return t
 }
 
 // check looks at a list by itself.
-func (b *Book) check(t Told) error {
+func (b *Registry) check(t Update) error {
 	fault := func(h Host, format string, v ...any) error {
-		return Fault{t.Source, h.ID, h.Line, h.Column, fmt.Sprintf(format, v...)}
+		return InvalidListError{t.Source, h.ID, h.Line, h.Column, fmt.Sprintf(format, v...)}
 	}
-	if n := max(len(t.Hosts), len(t.Gone)); n > hostsMost {
+	if n := max(len(t.Hosts), len(t.Removals)); n > hostsMost {
 		return fault(Host{}, "%d hosts, %d at the most", n, hostsMost)
 	}
-	for _, g := range t.Gone {
-		if g.ID == "" || len(g.ID) > textMost || len(g.By) > textMost {
-			return fault(Host{ID: g.ID}, "a removal by %.40q", g.By)
+	for _, g := range t.Removals {
+		if g.ID == "" || len(g.ID) > textMost || len(g.RemovedBy) > textMost {
+			return fault(Host{ID: g.ID}, "a removal by %.40q", g.RemovedBy)
 		}
 	}
 	ids, addrs := map[string]bool{}, map[string]string{}
@@ -348,10 +348,10 @@
 			return fault(h, "a text of over %d bytes", textMost)
 		case ids[h.ID]:
 			return fault(h, "is there twice")
-		case h.State < Up || h.State > Removed:
+		case h.State < StateUp || h.State > StateRemoved:
 			return fault(h, "state %d", h.State)
 		}
-		if ids[h.ID] = true; h.State == Removed {
+		if ids[h.ID] = true; h.State == StateRemoved {
 			continue
 		}
 		switch other := addrs[h.Addr]; {
@@ -361,12 +361,12 @@
 			return fault(h, "has the address %s of host %.60q", h.Addr, other)
 		case !(h.Weight > 0) || h.Weight > weightMost:
 			return fault(h, "weight %g is not above 0 and up to %g", h.Weight, weightMost)
-		case t.Rank == File && len(b.rules.Zones) > 0 && !slices.Contains(b.rules.Zones, h.Zone):
+		case t.Rank == RankFile && len(b.rules.Zones) > 0 && !slices.Contains(b.rules.Zones, h.Zone):
 			return fault(h, "unknown zone %.60q", h.Zone)
-		case t.Rank == File && len(b.rules.Kinds) > 0 && !slices.Contains(b.rules.Kinds, h.Kind):
+		case t.Rank == RankFile && len(b.rules.Kinds) > 0 && !slices.Contains(b.rules.Kinds, h.Kind):
 			return fault(h, "unknown kind %.60q", h.Kind)
-		case h.Cell < 0 || t.Rank == File && b.rules.Sets > 0 && h.Cell >= b.rules.Sets:
-			return fault(h, "cell %d is not from 0 to %d", h.Cell, b.rules.Sets-1)
+		case h.Cell < 0 || t.Rank == RankFile && b.rules.BlockSets > 0 && h.Cell >= b.rules.BlockSets:
+			return fault(h, "cell %d is not from 0 to %d", h.Cell, b.rules.BlockSets-1)
 		case h.StartedMS < 0:
 			return fault(h, "started_ms %d", h.StartedMS)
 		}
@@ -377,33 +377,33 @@
 
 // holds tells why a list is to be held back: it drops too many hosts of its source at once, or the last holder of a
 // block. Guards against a file that was cut at a line's end, and against a source that has lost its memory.
-func (b *Book) holds(s *source, t Told) string {
+func (b *Registry) holds(s *source, t Update) string {
 	after := b.after(s, t)
 	was, gone := 0, 0
 	for id, h := range s.hosts {
-		if h.State == Removed {
+		if h.State == StateRemoved {
 			continue
 		}
 		was++
-		if n, ok := after[id]; !ok || n.State == Removed {
+		if n, ok := after[id]; !ok || n.State == StateRemoved {
 			gone++
 		}
 	}
 	if gone > dropFew && float64(gone) > dropMost*float64(was) {
 		return fmt.Sprintf("drops %d of %d hosts", gone, was)
 	}
-	if b.rules.Sets == 0 || len(b.list) == 0 {
+	if b.rules.BlockSets == 0 || len(b.list) == 0 {
 		return ""
 	}
-	unheld := b.Unheld()
+	unheld := b.UncoveredSets()
 	now := b.holders(func(yield func(Host) bool) {
 		for id, e := range b.list { // others' hosts stay as they are
-			if _, own := s.hosts[id]; !own && e.State == Up && !yield(e.Host) {
+			if _, own := s.hosts[id]; !own && e.State == StateUp && !yield(e.Host) {
 				return
 			}
 		}
 		for _, h := range after {
-			if h.State == Up && !yield(h) {
+			if h.State == StateUp && !yield(h) {
 				return
 			}
 		}
@@ -417,7 +417,7 @@
 }
 
 // after is what a source will have told.
-func (b *Book) after(s *source, t Told) map[string]Host {
+func (b *Registry) after(s *source, t Update) map[string]Host {
 	after := map[string]Host{}
 	if t.Partial {
 		maps.Copy(after, s.hosts)
@@ -429,17 +429,17 @@
 }
 
 // take puts a list in the place of the source's last.
-func (b *Book) take(now int64, s *source, t Told) {
+func (b *Registry) take(now int64, s *source, t Update) {
 	after := b.after(s, t)
 	for id, h := range s.hosts {
-		if n, ok := after[id]; h.State != Removed && (!ok || n.State == Removed) {
+		if n, ok := after[id]; h.State != StateRemoved && (!ok || n.State == StateRemoved) {
 			b.removed[id] = removal{s.name, now, h.StartedMS}
 		}
 	}
 	for id, h := range after {
 		r, gone := b.removed[id]
 		switch {
-		case h.State == Removed:
+		case h.State == StateRemoved:
 			if !gone {
 				b.removed[id] = removal{s.name, now, h.StartedMS}
 			}
@@ -449,17 +449,17 @@
 		}
 	}
 	s.hosts, s.version = after, t.Version
-	for _, g := range t.Gone {
-		if _, known := b.removed[g.ID]; !known && max(0, g.Ago) < remember && !b.listedSince(g) {
-			b.removed[g.ID] = removal{g.By, now - max(0, g.Ago), g.StartedMS}
+	for _, g := range t.Removals {
+		if _, known := b.removed[g.ID]; !known && max(0, g.Age) < remember && !b.listedSince(g) {
+			b.removed[g.ID] = removal{g.RemovedBy, now - max(0, g.Age), g.StartedMS}
 		}
 	}
 }
 
 // listedSince tells whether a host that was removed has come back: its remover lists it, or any source another life of it.
-func (b *Book) listedSince(g Gone) bool {
+func (b *Registry) listedSince(g Removal) bool {
 	for name, s := range b.sources {
-		if h, ok := s.hosts[g.ID]; ok && (name == g.By || h.StartedMS > g.StartedMS) {
+		if h, ok := s.hosts[g.ID]; ok && (name == g.RemovedBy || h.StartedMS > g.StartedMS) {
 			return true
 		}
 	}
@@ -467,7 +467,7 @@
 }
 
 // settle works out the list in force.
-func (b *Book) settle(now int64) (changed bool) {
+func (b *Registry) settle(now int64) (changed bool) {
 	for id, r := range b.removed {
 		if now >= r.at+remember {
 			delete(b.removed, id)
@@ -482,7 +482,7 @@
 		}
 		delete(b.removed, old)
 	}
-	list := map[string]Entry{}
+	list := map[string]Endpoint{}
 	order := slices.SortedFunc(maps.Values(b.sources), func(x, y *source) int {
 		return cmp.Or(cmp.Compare(y.rank, x.rank), cmp.Compare(x.name, y.name))
 	})
@@ -497,25 +497,25 @@
 			if !known {
 				if other, taken := addrs[h.Addr]; taken && other != id {
 					if o := list[other]; o.Zone != h.Zone && h.Zone != "" {
-						o.Apart = true
+						o.ZoneConflict = true
 						list[other] = o
 					}
 					continue // a lower source knows this address under another id: the higher one's holds
 				}
 				addrs[h.Addr] = id
-				e = Entry{Host: h, Source: s.name}
+				e = Endpoint{Host: h, Source: s.name}
 			}
-			e.Apart = e.Apart || e.Zone != h.Zone && h.Zone != ""
-			if e.StartedMS = max(e.StartedMS, h.StartedMS); h.State == Draining {
-				e.State = Draining
-				e.Drained = append(e.Drained, s.name)
+			e.ZoneConflict = e.ZoneConflict || e.Zone != h.Zone && h.Zone != ""
+			if e.StartedMS = max(e.StartedMS, h.StartedMS); h.State == StateDraining {
+				e.State = StateDraining
+				e.DrainedBy = append(e.DrainedBy, s.name)
 			}
 			list[id] = e
 		}
 	}
-	same := maps.EqualFunc(list, b.list, func(x, y Entry) bool {
+	same := maps.EqualFunc(list, b.list, func(x, y Endpoint) bool {
 		x.Line, x.Column, y.Line, y.Column = 0, 0, 0, 0
-		return x.Host == y.Host && x.Source == y.Source && x.Apart == y.Apart && slices.Equal(x.Drained, y.Drained)
+		return x.Host == y.Host && x.Source == y.Source && x.ZoneConflict == y.ZoneConflict && slices.Equal(x.DrainedBy, y.DrainedBy)
 	})
 	if b.list = list; !same {
 		b.generation++
--- a/endpoints/members_test.go
+++ b/endpoints/members_test.go
@@ -28,73 +28,73 @@
 	return all
 }
 
-func ids(b *Book) (all []string) {
+func ids(b *Registry) (all []string) {
 	for _, e := range b.List() {
 		all = append(all, e.ID)
 	}
 	return all
 }
 
-func tell(t require.TestingT, b *Book, now int64, told Told) bool {
-	changed, err := b.Tell(now, told)
+func tell(t require.TestingT, b *Registry, now int64, told Update) bool {
+	changed, err := b.Apply(now, told)
 	require.NoError(t, err)
 	return changed
 }
 
-var rules = Rules{Zones: []string{"hall", "far"}, Kinds: []string{"std"}, Sets: 4, Reach: 1}
+var rules = Rules{Zones: []string{"hall", "far"}, Kinds: []string{"std"}, BlockSets: 4, SetsPerHost: 1}
 
 func TestPrecedence(t *testing.T) {
-	b := New(rules)
-	require.True(t, tell(t, b, 1, Told{Source: "plan", Rank: Plan, Version: 1, Hosts: fleet(8)}))
+	b := NewRegistry(rules)
+	require.True(t, tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: fleet(8)}))
 	require.EqualValues(t, 1, b.Generation())
-	require.False(t, tell(t, b, 2, Told{Source: "plan", Rank: Plan, Version: 1, Hosts: fleet(4)}), "no newer version")
+	require.False(t, tell(t, b, 2, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: fleet(4)}), "no newer version")
 	moved := fleet(8)
 	moved[3].Addr, moved[3].Weight = "127.0.0.2:1", 2
-	require.True(t, tell(t, b, 3, Told{Source: "hosts.yaml", Rank: File, Version: 1, Hosts: moved[3:4]}))
+	require.True(t, tell(t, b, 3, Update{Source: "hosts.yaml", Rank: RankFile, Version: 1, Hosts: moved[3:4]}))
 	require.Equal(t, "127.0.0.2:1", b.List()[3].Addr, "a file's particulars hold over the plan's")
 	require.Equal(t, "hosts.yaml", b.List()[3].Source)
 	require.Equal(t, "plan", b.List()[2].Source)
-	require.False(t, tell(t, b, 4, Told{Source: "discovery", Rank: Discovery, Version: 7, Hosts: fleet(8)[3:4]}), "nor does one between")
-	require.True(t, b.Forget(5, "hosts.yaml"))
+	require.False(t, tell(t, b, 4, Update{Source: "discovery", Rank: RankDiscovery, Version: 7, Hosts: fleet(8)[3:4]}), "nor does one between")
+	require.True(t, b.RemoveSource(5, "hosts.yaml"))
 	require.Equal(t, "127.0.0.1:h3", b.List()[3].Addr)
 	require.EqualValues(t, 3, b.Generation())
 }
 
 // A drain that any source tells holds until that source takes it back, whatever others say.
 func TestDrains(t *testing.T) {
-	b := New(rules)
-	tell(t, b, 1, Told{Source: "discovery", Rank: Discovery, Version: 1, Hosts: fleet(8)})
+	b := NewRegistry(rules)
+	tell(t, b, 1, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: fleet(8)})
 	drained := fleet(8)[:1]
-	drained[0].State = Draining
-	require.True(t, tell(t, b, 2, Told{Source: "discovery", Rank: Discovery, Version: 2, Partial: true, Hosts: drained}))
+	drained[0].State = StateDraining
+	require.True(t, tell(t, b, 2, Update{Source: "discovery", Rank: RankDiscovery, Version: 2, Partial: true, Hosts: drained}))
 	up := fleet(8)[:1]
-	tell(t, b, 3, Told{Source: "hosts.yaml", Rank: File, Version: 1, Hosts: up})
-	require.Equal(t, Draining, b.List()[0].State, "a file names a drained host as up")
-	require.Equal(t, []string{"discovery"}, b.List()[0].Drained)
-	require.True(t, tell(t, b, 4, Told{Source: "discovery", Rank: Discovery, Version: 3, Partial: true, Hosts: up}))
-	require.Equal(t, Up, b.List()[0].State)
+	tell(t, b, 3, Update{Source: "hosts.yaml", Rank: RankFile, Version: 1, Hosts: up})
+	require.Equal(t, StateDraining, b.List()[0].State, "a file names a drained host as up")
+	require.Equal(t, []string{"discovery"}, b.List()[0].DrainedBy)
+	require.True(t, tell(t, b, 4, Update{Source: "discovery", Rank: RankDiscovery, Version: 3, Partial: true, Hosts: up}))
+	require.Equal(t, StateUp, b.List()[0].State)
 }
 
 // A host that one source has removed is not brought back by a slower one, but by the remover, by a new life or by time.
 func TestRemovals(t *testing.T) {
 	for _, back := range []string{"remover", "life", "time"} {
-		b := New(rules)
-		tell(t, b, 1, Told{Source: "plan", Rank: Plan, Version: 1, Hosts: fleet(9)})
-		tell(t, b, 2, Told{Source: "discovery", Rank: Discovery, Version: 1, Hosts: fleet(9)})
-		require.True(t, tell(t, b, 3, Told{Source: "discovery", Rank: Discovery, Version: 2, Hosts: fleet(9)[1:]}))
+		b := NewRegistry(rules)
+		tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: fleet(9)})
+		tell(t, b, 2, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: fleet(9)})
+		require.True(t, tell(t, b, 3, Update{Source: "discovery", Rank: RankDiscovery, Version: 2, Hosts: fleet(9)[1:]}))
 		require.NotContains(t, ids(b), "h0")
-		require.False(t, tell(t, b, 4, Told{Source: "plan", Rank: Plan, Version: 2, Hosts: fleet(9)}))
-		tell(t, b, 5, Told{Source: "hosts.yaml", Rank: File, Version: 2, Hosts: fleet(9)[1:]})
+		require.False(t, tell(t, b, 4, Update{Source: "plan", Rank: RankPlan, Version: 2, Hosts: fleet(9)}))
+		tell(t, b, 5, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(9)[1:]})
 		require.NotContains(t, ids(b), "h0")
 		switch again := fleet(9); back {
 		case "remover":
-			require.True(t, tell(t, b, 6, Told{Source: "discovery", Rank: Discovery, Version: 3, Hosts: again}))
+			require.True(t, tell(t, b, 6, Update{Source: "discovery", Rank: RankDiscovery, Version: 3, Hosts: again}))
 		case "life":
 			again[0].StartedMS = 5
-			require.True(t, tell(t, b, 6, Told{Source: "hosts.yaml", Rank: File, Version: 3, Hosts: again}))
+			require.True(t, tell(t, b, 6, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Hosts: again}))
 		case "time":
 			require.False(t, b.Tick(3+remember-1))
-			require.EqualValues(t, 3+remember, b.Next())
+			require.EqualValues(t, 3+remember, b.NextTick())
 			require.True(t, b.Tick(3+remember))
 		}
 		require.Contains(t, ids(b), "h0", back)
@@ -104,48 +104,48 @@
 // A list that drops much at once, or the last holder of a block, is held back for a while and told, unless it is meant;
 // the next list that does not takes its place.
 func TestHeldBack(t *testing.T) {
-	begin := func() *Book {
-		b := New(rules)
-		tell(t, b, 1, Told{Source: "hosts.yaml", Rank: File, Version: 1, Hosts: fleet(12)})
+	begin := func() *Registry {
+		b := NewRegistry(rules)
+		tell(t, b, 1, Update{Source: "hosts.yaml", Rank: RankFile, Version: 1, Hosts: fleet(12)})
 		return b
 	}
 	b := begin()
-	require.False(t, tell(t, b, 10, Told{Source: "hosts.yaml", Rank: File, Version: 2, Hosts: fleet(6)}))
-	require.Equal(t, map[string]string{"hosts.yaml": "drops 6 of 12 hosts"}, b.Held())
+	require.False(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6)}))
+	require.Equal(t, map[string]string{"hosts.yaml": "drops 6 of 12 hosts"}, b.HeldBackSources())
 	require.Len(t, b.List(), 12)
 	require.False(t, b.Tick(10+holdBack-1))
 	require.True(t, b.Tick(10+holdBack), "nobody has mended it: it is what the source says")
 	require.Len(t, b.List(), 6)
-	require.Empty(t, b.Held())
+	require.Empty(t, b.HeldBackSources())
 
 	b = begin()
-	tell(t, b, 10, Told{Source: "hosts.yaml", Rank: File, Version: 2, Hosts: fleet(6)})
-	require.False(t, tell(t, b, 20, Told{Source: "hosts.yaml", Rank: File, Version: 3, Hosts: fleet(12)}))
-	require.Empty(t, b.Held(), "a source that goes back")
+	tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6)})
+	require.False(t, tell(t, b, 20, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Hosts: fleet(12)}))
+	require.Empty(t, b.HeldBackSources(), "a source that goes back")
 	require.False(t, b.Tick(10+holdBack))
 	require.Len(t, b.List(), 12)
 
 	b = begin()
-	require.True(t, tell(t, b, 10, Told{Source: "hosts.yaml", Rank: File, Version: 2, Hosts: fleet(6), Meant: true}))
+	require.True(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6), Confirmed: true}))
 	require.Len(t, b.List(), 6)
 
 	b = begin()
 	alone := slices.DeleteFunc(fleet(12), func(h Host) bool { return h.Cell == 3 })
-	require.False(t, tell(t, b, 10, Told{Source: "hosts.yaml", Rank: File, Version: 2, Hosts: alone}))
-	require.Equal(t, "leaves block set 3 without a holder", b.Held()["hosts.yaml"])
-	tell(t, b, 11, Told{Source: "discovery", Rank: Discovery, Version: 1, Hosts: []Host{host("other", 3)}})
-	require.True(t, tell(t, b, 12, Told{Source: "hosts.yaml", Rank: File, Version: 3, Hosts: alone}), "another source's host holds it")
+	require.False(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: alone}))
+	require.Equal(t, "leaves block set 3 without a holder", b.HeldBackSources()["hosts.yaml"])
+	tell(t, b, 11, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: []Host{host("other", 3)}})
+	require.True(t, tell(t, b, 12, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Hosts: alone}), "another source's host holds it")
 
 	b = begin() // changes of a list that is held back are changes of that list
-	tell(t, b, 10, Told{Source: "hosts.yaml", Rank: File, Version: 2, Hosts: fleet(6)})
-	tell(t, b, 11, Told{Source: "hosts.yaml", Rank: File, Version: 3, Partial: true, Hosts: []Host{host("new", 1)}})
+	tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6)})
+	tell(t, b, 11, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Partial: true, Hosts: []Host{host("new", 1)}})
 	b.Tick(10 + holdBack)
 	require.Len(t, b.List(), 7)
 }
 
 func TestRefused(t *testing.T) {
-	b := New(rules)
-	tell(t, b, 1, Told{Source: "plan", Version: 1, Hosts: fleet(4)})
+	b := NewRegistry(rules)
+	tell(t, b, 1, Update{Source: "plan", Version: 1, Hosts: fleet(4)})
 	for why, edit := range map[string]func(all []Host) []Host{
 		"is there twice":         func(all []Host) []Host { return append(all, all[0]) },
 		"has the address":        func(all []Host) []Host { all[1].Addr = all[0].Addr; return all },
@@ -161,22 +161,22 @@
 	} {
 		all := fleet(4)
 		all[1].Line, all[1].Column = 7, 3
-		_, err := b.Tell(2, Told{Source: "hosts.yaml", Rank: File, Version: 9, Hosts: edit(all)})
+		_, err := b.Apply(2, Update{Source: "hosts.yaml", Rank: RankFile, Version: 9, Hosts: edit(all)})
 		require.ErrorContains(t, err, why)
 		require.Len(t, b.List(), 4)
 		require.EqualValues(t, 1, b.Generation())
 	}
-	_, err := b.Tell(3, Told{Source: "plan", Version: 0, Anew: true, Partial: true})
+	_, err := b.Apply(3, Update{Source: "plan", Version: 0, VersionReset: true, Partial: true})
 	require.Error(t, err)
 	again := fleet(4)
 	again[2].Weight = 3
-	require.False(t, tell(t, b, 4, Told{Source: "plan", Version: 0, Hosts: again}))
-	require.True(t, tell(t, b, 5, Told{Source: "plan", Version: 0, Anew: true, Hosts: again}), "versions have begun again")
+	require.False(t, tell(t, b, 4, Update{Source: "plan", Version: 0, Hosts: again}))
+	require.True(t, tell(t, b, 5, Update{Source: "plan", Version: 0, VersionReset: true, Hosts: again}), "versions have begun again")
 }
 
 // drawList draws some of ten hosts for a source.
-func drawList(t *rapid.T, name string, rank Rank, version int64) Told {
-	told := Told{Source: name, Rank: rank, Version: version, Meant: rapid.Bool().Draw(t, "meant")}
+func drawList(t *rapid.T, name string, rank Rank, version int64) Update {
+	told := Update{Source: name, Rank: rank, Version: version, Confirmed: rapid.Bool().Draw(t, "meant")}
 	for i := range 10 {
 		if rapid.Bool().Draw(t, "listed") {
 			h := host(fmt.Sprint("h", i), i%4)
@@ -192,14 +192,14 @@
 // The order in which sources tell their first lists does not matter beyond their precedence, once none is held back.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var lists []Told
+		var lists []Update
 		for rank, name := range []string{"plan", "store", "discovery", "hosts.yaml"} {
 			told := drawList(t, name, Rank(rank), 1)
-			told.Hosts = slices.DeleteFunc(told.Hosts, func(h Host) bool { return h.State == Removed || h.Weight == 0 })
+			told.Hosts = slices.DeleteFunc(told.Hosts, func(h Host) bool { return h.State == StateRemoved || h.Weight == 0 })
 			lists = append(lists, told)
 		}
-		play := func(order []Told) *Book {
-			b := New(rules)
+		play := func(order []Update) *Registry {
+			b := NewRegistry(rules)
 			for i, told := range order {
 				tell(t, b, int64(i+1), told)
 			}
@@ -215,25 +215,25 @@
 // source has removed, or to two hosts at one address; and a generation is a change.
 func TestNothingIsMadeUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now, last := New(rules), int64(1), ""
+		b, now, last := NewRegistry(rules), int64(1), ""
 		told := map[string]map[string]Host{} // all that a source ever told, by id and particulars
 		version := int64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			now += int64(rapid.IntRange(1, 2*holdBack).Draw(t, "wait"))
 			name := rapid.SampledFrom([]string{"plan", "discovery", "hosts.yaml"}).Draw(t, "source")
-			rank := map[string]Rank{"plan": Plan, "discovery": Discovery, "hosts.yaml": File}[name]
+			rank := map[string]Rank{"plan": RankPlan, "discovery": RankDiscovery, "hosts.yaml": RankFile}[name]
 			version++
 			list := drawList(t, name, rank, version)
 			list.Partial = rapid.Bool().Draw(t, "partial")
 			before := b.Generation()
-			if _, err := b.Tell(now, list); err != nil {
+			if _, err := b.Apply(now, list); err != nil {
 				require.Equal(t, before, b.Generation(), "a refused list changes nothing")
 			} else {
 				if told[name] == nil {
 					told[name] = map[string]Host{}
 				}
 				for _, h := range list.Hosts {
-					h.State = Up
+					h.State = StateUp
 					told[name][fmt.Sprint(h)] = h
 				}
 			}
@@ -241,10 +241,10 @@
 			addrs := map[string]bool{}
 			for _, e := range b.List() {
 				h := e.Host
-				h.State = Up
+				h.State = StateUp
 				require.Contains(t, told[e.Source], fmt.Sprint(h))
-				require.NotEqual(t, Removed, e.State)
-				require.Equal(t, e.State == Draining, len(e.Drained) > 0)
+				require.NotEqual(t, StateRemoved, e.State)
+				require.Equal(t, e.State == StateDraining, len(e.DrainedBy) > 0)
 				require.False(t, addrs[e.Addr])
 				addrs[e.Addr] = true
 			}
@@ -257,7 +257,7 @@
 
 // What a store told of hosts ends where discovery speaks, at once where that takes few hosts away.
 func TestAStoreEndsWhereDiscoverySpeaks(t *testing.T) {
-	names := func(b *Book) (all []string) {
+	names := func(b *Registry) (all []string) {
 		for _, e := range b.List() {
 			all = append(all, e.ID)
 		}
@@ -265,11 +265,11 @@
 	}
 	for _, storeFirst := range []bool{true, false} {
 		for _, few := range []bool{true, false} {
-			b, was, now := New(rules), fleet(12), fleet(12)[:4]
+			b, was, now := NewRegistry(rules), fleet(12), fleet(12)[:4]
 			if few {
 				now = fleet(12)[:10]
 			}
-			lists := []Told{{Source: "store", Rank: Store, Version: 1, Meant: true, Hosts: was}, {Source: "discovery", Rank: Discovery, Version: 9, Hosts: now}}
+			lists := []Update{{Source: "store", Rank: RankStore, Version: 1, Confirmed: true, Hosts: was}, {Source: "discovery", Rank: RankDiscovery, Version: 9, Hosts: now}}
 			if !storeFirst {
 				slices.Reverse(lists)
 			}
@@ -277,12 +277,12 @@
 			tell(t, b, 2, lists[1])
 			if !few {
 				require.Len(t, names(b), 12)
-				require.Len(t, b.Held(), 1)
-				require.EqualValues(t, 2+holdBack, b.Next())
-				require.True(t, b.Tick(b.Next()))
+				require.Len(t, b.HeldBackSources(), 1)
+				require.EqualValues(t, 2+holdBack, b.NextTick())
+				require.True(t, b.Tick(b.NextTick()))
 			}
 			require.Len(t, names(b), len(now))
-			require.Empty(t, b.Held())
+			require.Empty(t, b.HeldBackSources())
 		}
 	}
 }
@@ -290,43 +290,43 @@
 // A removal that a store remembers keeps a slower source from bringing the host back, for what is left of its time; its
 // remover, or a later life, does bring it back.
 func TestRemovalsThatWereKept(t *testing.T) {
-	old := New(rules)
-	tell(t, old, 1, Told{Source: "discovery", Rank: Discovery, Version: 5, Hosts: fleet(8)})
-	tell(t, old, 2, Told{Source: "discovery", Rank: Discovery, Version: 6, Partial: true, Hosts: []Host{{ID: "h3", State: Removed}, {ID: "h4", State: Removed}}})
-	gone := old.Removed(100 * second)
-	require.Equal(t, []Gone{{ID: "h3", By: "discovery", Ago: 100*second - 2}, {ID: "h4", By: "discovery", Ago: 100*second - 2}}, gone)
-	begin := func() *Book {
-		b := New(rules)
-		tell(t, b, 1, Told{Source: "plan", Rank: Plan, Version: 5, Hosts: fleet(8)})
-		require.True(t, tell(t, b, 2, Told{Source: "store", Rank: Store, Version: 1, Meant: true, Gone: gone}))
+	old := NewRegistry(rules)
+	tell(t, old, 1, Update{Source: "discovery", Rank: RankDiscovery, Version: 5, Hosts: fleet(8)})
+	tell(t, old, 2, Update{Source: "discovery", Rank: RankDiscovery, Version: 6, Partial: true, Hosts: []Host{{ID: "h3", State: StateRemoved}, {ID: "h4", State: StateRemoved}}})
+	gone := old.Removals(100 * second)
+	require.Equal(t, []Removal{{ID: "h3", RemovedBy: "discovery", Age: 100*second - 2}, {ID: "h4", RemovedBy: "discovery", Age: 100*second - 2}}, gone)
+	begin := func() *Registry {
+		b := NewRegistry(rules)
+		tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 5, Hosts: fleet(8)})
+		require.True(t, tell(t, b, 2, Update{Source: "store", Rank: RankStore, Version: 1, Confirmed: true, Removals: gone}))
 		require.Len(t, b.List(), 6)
 		return b
 	}
 	b := begin()
-	tell(t, b, 3, Told{Source: "slow.yaml", Rank: File, Version: 1, Hosts: fleet(8)})
+	tell(t, b, 3, Update{Source: "slow.yaml", Rank: RankFile, Version: 1, Hosts: fleet(8)})
 	require.Len(t, b.List(), 6, "a slower source")
-	require.Equal(t, 4+remember-100*second, int(b.Next()))
-	require.True(t, b.Tick(b.Next()))
+	require.Equal(t, 4+remember-100*second, int(b.NextTick()))
+	require.True(t, b.Tick(b.NextTick()))
 	require.Len(t, b.List(), 8, "its time is over")
 	b = begin()
-	tell(t, b, 3, Told{Source: "discovery", Rank: Discovery, Version: 7, Hosts: fleet(8)[:4]})
+	tell(t, b, 3, Update{Source: "discovery", Rank: RankDiscovery, Version: 7, Hosts: fleet(8)[:4]})
 	require.Len(t, b.List(), 7, "its remover lists one again")
 	later := fleet(8)
 	later[4].StartedMS = 7
-	tell(t, b, 4, Told{Source: "later.yaml", Rank: File, Version: 1, Hosts: later})
+	tell(t, b, 4, Update{Source: "later.yaml", Rank: RankFile, Version: 1, Hosts: later})
 	require.Len(t, b.List(), 8, "another life")
-	tell(t, b, 5, Told{Source: "late", Rank: Store, Version: 1, Meant: true, Gone: gone})
+	tell(t, b, 5, Update{Source: "late", Rank: RankStore, Version: 1, Confirmed: true, Removals: gone})
 	require.Len(t, b.List(), 8, "told after both have come back")
-	_, err := b.Tell(6, Told{Source: "store", Rank: Store, Version: 2, Gone: []Gone{{By: "x"}}})
+	_, err := b.Apply(6, Update{Source: "store", Rank: RankStore, Version: 2, Removals: []Removal{{RemovedBy: "x"}}})
 	require.Error(t, err)
 }
 
 func BenchmarkThreeSources(b *testing.B) {
 	all := fleet(10_000)
-	book := New(rules)
+	book := NewRegistry(rules)
 	for i := range b.N {
 		for rank, name := range []string{"plan", "discovery", "hosts.yaml"} {
-			if _, err := book.Tell(int64(i+1), Told{Source: name, Rank: Rank(rank), Version: int64(i + 1), Hosts: all}); err != nil {
+			if _, err := book.Apply(int64(i+1), Update{Source: name, Rank: Rank(rank), Version: int64(i + 1), Hosts: all}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -335,19 +335,19 @@
 
 // Sources that put a host, or what stands at its address, into different zones: the entry says so until they agree.
 func TestZonesThatDiffer(t *testing.T) {
-	b := New(Rules{})
+	b := NewRegistry(Rules{})
 	tell := func(source string, rank Rank, version int64, hosts ...Host) {
 		for i := range hosts {
 			hosts[i].Weight = 1
 		}
-		_, err := b.Tell(1, Told{Source: source, Rank: rank, Version: version, Meant: true, Hosts: hosts})
+		_, err := b.Apply(1, Update{Source: source, Rank: rank, Version: version, Confirmed: true, Hosts: hosts})
 		require.NoError(t, err)
 	}
-	tell("discovery", Discovery, 1, Host{ID: "a", Addr: "1", Zone: "east"}, Host{ID: "b", Addr: "2", Zone: "east"}, Host{ID: "c", Addr: "3"})
-	tell("file", File, 1, Host{ID: "a", Addr: "1", Zone: "west"}, Host{ID: "x", Addr: "2", Zone: "west"}, Host{ID: "c", Addr: "3", Zone: "west"})
+	tell("discovery", RankDiscovery, 1, Host{ID: "a", Addr: "1", Zone: "east"}, Host{ID: "b", Addr: "2", Zone: "east"}, Host{ID: "c", Addr: "3"})
+	tell("file", RankFile, 1, Host{ID: "a", Addr: "1", Zone: "west"}, Host{ID: "x", Addr: "2", Zone: "west"}, Host{ID: "c", Addr: "3", Zone: "west"})
 	apart := func() (ids string) {
 		for _, e := range b.List() {
-			if e.Apart {
+			if e.ZoneConflict {
 				ids += e.ID
 			}
 		}
@@ -355,7 +355,7 @@
 	}
 	require.Equal(t, "ax", apart(), "c's zone is told by one alone")
 	before := b.Generation()
-	tell("file", File, 2, Host{ID: "a", Addr: "1", Zone: "east"}, Host{ID: "x", Addr: "2", Zone: "west"})
+	tell("file", RankFile, 2, Host{ID: "a", Addr: "1", Zone: "east"}, Host{ID: "x", Addr: "2", Zone: "west"})
 	require.Equal(t, "x", apart())
 	require.Greater(t, b.Generation(), before)
 }
--- a/internal/benchmark/membership.go
+++ b/internal/benchmark/membership.go
@@ -63,7 +63,7 @@
 	if err := write(text(nil)); err != nil {
 		return Result{}, err
 	}
-	lists := make(chan endpoints.Told)
+	lists := make(chan endpoints.Update)
 	watching, enough := context.WithCancel(ctx)
 	var mu sync.Mutex
 	told, refused := 0, 0
--- a/storage/recovery/golden_stored_test.go
+++ b/storage/recovery/golden_stored_test.go
@@ -52,9 +52,9 @@
 func TestGoldenHostList(t *testing.T) {
 	goldenBothWays(t, "host-list.hex", List{At: 1_700_000_000_000, Plan: 3, Discovery: 9,
 		Hosts: []endpoints.Host{
-			{ID: "a0", Addr: "10.0.0.1:7000", Zone: "eu-1", Kind: "large", Cell: 2, State: endpoints.Up, Weight: 1.5, StartedMS: 1_699_999_000_000, Line: 4, Column: 6},
-			{ID: "b0", Addr: "10.0.0.2:7000", Zone: "eu-2", State: endpoints.Draining, Weight: 1},
-			{ID: "c0", Addr: "10.0.0.3:7000", State: endpoints.Removed},
+			{ID: "a0", Addr: "10.0.0.1:7000", Zone: "eu-1", Kind: "large", Cell: 2, State: endpoints.StateUp, Weight: 1.5, StartedMS: 1_699_999_000_000, Line: 4, Column: 6},
+			{ID: "b0", Addr: "10.0.0.2:7000", Zone: "eu-2", State: endpoints.StateDraining, Weight: 1},
+			{ID: "c0", Addr: "10.0.0.3:7000", State: endpoints.StateRemoved},
 		},
 		Gone: []Gone{{ID: "d0", By: "discovery", StartedMS: 1_699_999_500_000, At: 1_699_999_900_000}},
 	})
@@ -89,7 +89,7 @@
 	require.Equal(t, []string{"all", "no_notes", "no_list", "nothing"},
 		[]string{All.String(), NoNotes.String(), NoList.String(), Nothing.String()}, "as events and log lines have them")
 	require.Equal(t, list.Hosts, b.List.Hosts)
-	require.Equal(t, []endpoints.Gone{{ID: "d0", By: "discovery", StartedMS: 1_699_999_500_000, Ago: 1_020_000}}, b.List.Gone)
+	require.Equal(t, []endpoints.Removal{{ID: "d0", RemovedBy: "discovery", StartedMS: 1_699_999_500_000, Age: 1_020_000}}, b.List.Removals)
 	require.Equal(t, uint32(3200), b.Notes.Head.AgeMs)
 	require.Equal(t, notes.All, b.Notes.All)
 }
--- a/storage/recovery/recovery.go
+++ b/storage/recovery/recovery.go
@@ -93,14 +93,14 @@
 }
 
 // Keep is a list as it is kept, at a time.
-func Keep(now, plan, discovery int64, entries []endpoints.Entry, gone []endpoints.Gone) List {
+func Keep(now, plan, discovery int64, entries []endpoints.Endpoint, gone []endpoints.Removal) List {
 	l := List{At: now, Plan: plan, Discovery: discovery}
 	for _, e := range entries {
 		e.Line, e.Column = 0, 0
 		l.Hosts = append(l.Hosts, e.Host)
 	}
 	for _, g := range gone {
-		l.Gone = append(l.Gone, Gone{ID: g.ID, By: g.By, StartedMS: g.StartedMS, At: now - g.Ago/tenthsPerMs})
+		l.Gone = append(l.Gone, Gone{ID: g.ID, By: g.RemovedBy, StartedMS: g.StartedMS, At: now - g.Age/tenthsPerMs})
 	}
 	return l
 }
@@ -115,7 +115,7 @@
 
 // Believed is what counts of a store. Left tells what does not, and why, for the log.
 type Believed struct {
-	List  *endpoints.Told
+	List  *endpoints.Update
 	Notes *Notes // its age is as of now
 	Left  []Left
 }
@@ -170,10 +170,10 @@
 	return b
 }
 
-func (l *List) told(now int64) *endpoints.Told {
-	t := &endpoints.Told{Source: Source, Rank: endpoints.Store, Version: 1, Meant: true, Hosts: l.Hosts}
+func (l *List) told(now int64) *endpoints.Update {
+	t := &endpoints.Update{Source: Source, Rank: endpoints.RankStore, Version: 1, Confirmed: true, Hosts: l.Hosts}
 	for _, g := range l.Gone {
-		t.Gone = append(t.Gone, endpoints.Gone{ID: g.ID, By: g.By, StartedMS: g.StartedMS, Ago: max(0, now-g.At) * tenthsPerMs})
+		t.Removals = append(t.Removals, endpoints.Removal{ID: g.ID, RemovedBy: g.By, StartedMS: g.StartedMS, Age: max(0, now-g.At) * tenthsPerMs})
 	}
 	return t
 }
--- a/storage/recovery/recovery_test.go
+++ b/storage/recovery/recovery_test.go
@@ -66,8 +66,8 @@
 }
 
 func kept() (*List, *Notes) {
-	l := Keep(now, 7, 8, []endpoints.Entry{{Host: endpoints.Host{ID: "h1", Addr: "a:1", Weight: 1, Line: 3}}},
-		[]endpoints.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 20_000}})
+	l := Keep(now, 7, 8, []endpoints.Endpoint{{Host: endpoints.Host{ID: "h1", Addr: "a:1", Weight: 1, Line: 3}}},
+		[]endpoints.Removal{{ID: "h2", RemovedBy: "discovery", StartedMS: 5, Age: 20_000}})
 	return &l, &Notes{At: now, Head: peerreport.ReportHeader{Peer: "n", AgeMs: 300, HostCount: 1}, All: []peerreport.Observation{{HostID: "h1", IsOutlier: true}}}
 }
 
@@ -97,7 +97,7 @@
 	l, n := kept()
 	b := Weigh(now+2000, All, 8, l, n)
 	require.EqualValues(t, 2300, b.Notes.Head.AgeMs)
-	require.Equal(t, []endpoints.Gone{{ID: "h2", By: "discovery", StartedMS: 5, Ago: 40_000}}, b.List.Gone)
+	require.Equal(t, []endpoints.Removal{{ID: "h2", RemovedBy: "discovery", StartedMS: 5, Age: 40_000}}, b.List.Removals)
 	require.Zero(t, b.List.Hosts[0].Line)
 	require.NoError(t, b.Notes.Check())
 	n.Head.HostCount = 2
@@ -109,10 +109,10 @@
 func TestAKeptListIsTaken(t *testing.T) {
 	l, n := kept()
 	b := Weigh(now+2000, All, 8, l, n)
-	book := endpoints.New(endpoints.Rules{})
-	_, err := book.Tell(1, *b.List)
+	book := endpoints.NewRegistry(endpoints.Rules{})
+	_, err := book.Apply(1, *b.List)
 	require.NoError(t, err)
-	_, err = book.Tell(2, endpoints.Told{Source: "slow", Rank: endpoints.File, Version: 1, Hosts: []endpoints.Host{{ID: "h2", Addr: "a:2", Weight: 1, StartedMS: 5}}})
+	_, err = book.Apply(2, endpoints.Update{Source: "slow", Rank: endpoints.RankFile, Version: 1, Hosts: []endpoints.Host{{ID: "h2", Addr: "a:2", Weight: 1, StartedMS: 5}}})
 	require.NoError(t, err)
 	require.Len(t, book.List(), 1)
 }
