--- a/cluster/peerprotocol/asking.go
+++ b/cluster/peerprotocol/asking.go
@@ -12,24 +12,24 @@
 	"chalkring/cluster/peerreport"
 )
 
-// Asking asks one peer once.
-type Asking struct {
-	Peer, Addr string // its name, as it must call itself, and where it listens
-	Me         string // the own name
-	Instance   uint64
-	Dial       func(ctx context.Context, network, addr string) (net.Conn, error)
-	Keys       *Keys // nil for plain TCP
-	// Head and Notes take what comes, as it comes; Spend takes the bytes from a budget and may wait. Guards
+// Client asks one peer once.
+type Client struct {
+	PeerName, Addr string // its name, as it must call itself, and where it listens
+	LocalName      string // the own name
+	InstanceID     uint64
+	Dial           func(ctx context.Context, network, addr string) (net.Conn, error)
+	Credentials    *Credentials // nil for plain TCP
+	// OnHeader and Notes take what comes, as it comes; Spend takes the bytes from a budget and may wait. Guards
 	// against a report that is too large for what may be spent: it is taken slowly, and in time or not at all.
-	Head  func(h peerreport.ReportHeader) error
-	Notes func(notes []peerreport.Observation) error
-	Spend func(ctx context.Context, bytes int, cpu time.Duration) error
+	OnHeader       func(h peerreport.ReportHeader) error
+	OnObservations func(notes []peerreport.Observation) error
+	SpendBudget    func(ctx context.Context, bytes int, cpu time.Duration) error
 }
 
-// Run asks for a report and returns once it is whole or will not be. Guards against a peer that is unreachable,
+// FetchReport asks for a report and returns once it is whole or will not be. Guards against a peer that is unreachable,
 // silent, slow, endless, noise, or not the one that was meant: each ends within wholeTime, with what is held
 // bounded by one frame.
-func (a *Asking) Run(ctx context.Context) (how peerreport.Outcome, later time.Duration, err error) {
+func (a *Client) FetchReport(ctx context.Context) (how peerreport.Outcome, later time.Duration, err error) {
 	ctx, stop := context.WithTimeout(ctx, wholeTime)
 	defer stop()
 	conn, err := a.connect(ctx)
@@ -52,10 +52,10 @@
 			return peerreport.OutcomeFailed, 0, err
 		}
 		if total += len(rest) + 5; total > totalMost {
-			return peerreport.OutcomeFailed, 0, fmt.Errorf("%w: over %d bytes", ErrBad, totalMost)
+			return peerreport.OutcomeFailed, 0, fmt.Errorf("%w: over %d bytes", ErrInvalidMessage, totalMost)
 		}
-		if a.Spend != nil {
-			if err = a.Spend(ctx, len(rest)+5, used); err != nil {
+		if a.SpendBudget != nil {
+			if err = a.SpendBudget(ctx, len(rest)+5, used); err != nil {
 				return peerreport.OutcomeFailed, 0, err
 			}
 		}
@@ -69,25 +69,25 @@
 			return refused(rest)
 		case kind == kindHead && !open:
 			var h peerreport.ReportHeader
-			if h, err = DecodeHead(rest); err != nil {
+			if h, err = DecodeHeader(rest); err != nil {
 				return peerreport.OutcomeFailed, 0, err
 			}
-			if h.Peer != a.Peer {
-				return peerreport.OutcomeRejected, 0, fmt.Errorf("it calls itself %q, not %q", h.Peer, a.Peer)
+			if h.Peer != a.PeerName {
+				return peerreport.OutcomeRejected, 0, fmt.Errorf("it calls itself %q, not %q", h.Peer, a.PeerName)
 			}
 			open = true
-			err = a.Head(h)
+			err = a.OnHeader(h)
 		case kind == kindNotes && open:
 			sum.Write(rest)
 			var notes []peerreport.Observation
-			if notes, err = DecodeNotes(rest); err == nil {
-				err = a.Notes(notes)
+			if notes, err = DecodeObservations(rest); err == nil {
+				err = a.OnObservations(notes)
 			}
 		case kind == kindEnd && open:
 			var told []byte
 			if err = decode(rest, &told); err == nil {
 				if len(told) != sumBytes || binary.BigEndian.Uint64(told) != sum.Sum64() {
-					err = fmt.Errorf("%w: checksum", ErrBad)
+					err = fmt.Errorf("%w: checksum", ErrInvalidMessage)
 				}
 			}
 			if err != nil {
@@ -95,7 +95,7 @@
 			}
 			return peerreport.OutcomeReceived, 0, nil
 		default:
-			err = fmt.Errorf("%w: frame %q out of turn", ErrBad, kind)
+			err = fmt.Errorf("%w: frame %q out of turn", ErrInvalidMessage, kind)
 		}
 		if err != nil {
 			return peerreport.OutcomeFailed, 0, err
@@ -104,8 +104,8 @@
 	}
 }
 
-// Status asks a peer how it stands.
-func (a *Asking) Status(ctx context.Context) (s Status, err error) {
+// FetchStatus asks a peer how it stands.
+func (a *Client) FetchStatus(ctx context.Context) (s Status, err error) {
 	ctx, stop := context.WithTimeout(ctx, wholeTime)
 	defer stop()
 	conn, err := a.connect(ctx)
@@ -126,7 +126,7 @@
 		_, _, err = refused(rest)
 		return s, err
 	case kind != kindStatus:
-		return s, fmt.Errorf("%w: frame %q", ErrBad, kind)
+		return s, fmt.Errorf("%w: frame %q", ErrInvalidMessage, kind)
 	}
 	return s, decode(rest, &s)
 }
@@ -144,14 +144,14 @@
 }
 
 // connect dials, and shakes hands where there are keys.
-func (a *Asking) connect(ctx context.Context) (net.Conn, error) {
+func (a *Client) connect(ctx context.Context) (net.Conn, error) {
 	up, stop := context.WithTimeout(ctx, dialTime)
 	defer stop()
 	conn, err := a.Dial(up, "tcp", a.Addr)
-	if err != nil || a.Keys == nil {
+	if err != nil || a.Credentials == nil {
 		return conn, err
 	}
-	conf, err := a.Keys.client(a.Peer)
+	conf, err := a.Credentials.client(a.PeerName)
 	if err != nil {
 		conn.Close()
 		return nil, err
@@ -166,8 +166,8 @@
 	return secure, nil
 }
 
-func (a *Asking) send(conn net.Conn, want string) error {
-	b, err := appendFrame(nil, kindHello, hello{Version: version, Name: a.Me, Instance: a.Instance, Want: want})
+func (a *Client) send(conn net.Conn, want string) error {
+	b, err := appendFrame(nil, kindHello, hello{Version: version, Name: a.LocalName, Instance: a.InstanceID, Want: want})
 	if err != nil {
 		return err
 	}
--- a/cluster/peerprotocol/keys.go
+++ b/cluster/peerprotocol/keys.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Keys holds a certificate, its key and the authorities that peers' certificates come from, in files that are read
+// Credentials holds a certificate, its key and the authorities that peers' certificates come from, in files that are read
 // again when they change. Guards against a pair that is half replaced: what cannot be used leaves the last good
 // one in force and is told once.
-type Keys struct {
+type Credentials struct {
 	cert, key, authorities string
 	complain               func(err error)
 
@@ -28,14 +28,14 @@
 	size int64
 }
 
-// NewKeys reads the files a first time; complain is told of later ones that cannot be used, and must not wait.
-func NewKeys(cert, key, authorities string, complain func(err error)) (*Keys, error) {
-	k := &Keys{cert: cert, key: key, authorities: authorities, complain: complain}
+// NewCredentials reads the files a first time; complain is told of later ones that cannot be used, and must not wait.
+func NewCredentials(cert, key, authorities string, complain func(err error)) (*Credentials, error) {
+	k := &Credentials{cert: cert, key: key, authorities: authorities, complain: complain}
 	k.seen, _ = k.marks()
 	return k, k.load()
 }
 
-func (k *Keys) marks() (m [3]mark, err error) {
+func (k *Credentials) marks() (m [3]mark, err error) {
 	for i, name := range []string{k.cert, k.key, k.authorities} {
 		info, e := os.Stat(name)
 		if e != nil {
@@ -47,7 +47,7 @@
 	return m, err
 }
 
-func (k *Keys) load() error {
+func (k *Credentials) load() error {
 	pair, err := tls.LoadX509KeyPair(k.cert, k.key)
 	if err != nil {
 		return fmt.Errorf("certificate %s with key %s: %w", k.cert, k.key, err)
@@ -65,7 +65,7 @@
 }
 
 // current reads what has changed since the last time.
-func (k *Keys) current() (tls.Certificate, *x509.CertPool) {
+func (k *Credentials) current() (tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if m, err := k.marks(); m != k.seen {
@@ -80,14 +80,14 @@
 }
 
 // server is the present configuration for one asker's handshake: its certificate must come from the authorities.
-func (k *Keys) server() (*tls.Config, error) {
+func (k *Credentials) server() (*tls.Config, error) {
 	pair, roots := k.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, ClientCAs: roots,
 		ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true}, nil
 }
 
 // client is the present configuration for asking a peer, whose certificate must bear its name.
-func (k *Keys) client(peer string) (*tls.Config, error) {
+func (k *Credentials) client(peer string) (*tls.Config, error) {
 	pair, roots := k.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: roots,
 		ServerName: peer}, nil
--- a/cluster/peerprotocol/peer_test.go
+++ b/cluster/peerprotocol/peer_test.go
@@ -49,13 +49,13 @@
 func serve(t *testing.T, n int, edit func(s *Server)) (addr string, refused func() string) {
 	why := atomic.Value{}
 	notes := hosts(n)
-	s := &Server{Name: "b", Instance: 7, Allow: []string{"a"}, Done: func() {},
+	s := &Server{Name: "b", InstanceID: 7, AllowedNames: []string{"a"}, Release: func() {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
-		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			return peerreport.ReportHeader{Peer: "b", Serial: 1, HostCount: uint32(n)}, notes, nil
 		},
-		Status:  func(context.Context) (Status, error) { return Status{Name: "b", Hosts: uint32(n)}, nil },
-		Refused: func(_, words string) { why.Store(words) }}
+		BuildStatus: func(context.Context) (Status, error) { return Status{Name: "b", HostCount: uint32(n)}, nil },
+		OnRejected:  func(_, words string) { why.Store(words) }}
 	if edit != nil {
 		edit(s)
 	}
@@ -67,14 +67,14 @@
 }
 
 // ask asks and counts the hosts that came.
-func ask(addr string, edit func(a *Asking)) (how peerreport.Outcome, later time.Duration, got int, err error) {
-	a := &Asking{Peer: "b", Addr: addr, Me: "a", Instance: 1, Dial: (&net.Dialer{}).DialContext,
-		Head:  func(peerreport.ReportHeader) error { return nil },
-		Notes: func(notes []peerreport.Observation) error { got += len(notes); return nil }}
+func ask(addr string, edit func(a *Client)) (how peerreport.Outcome, later time.Duration, got int, err error) {
+	a := &Client{PeerName: "b", Addr: addr, LocalName: "a", InstanceID: 1, Dial: (&net.Dialer{}).DialContext,
+		OnHeader:       func(peerreport.ReportHeader) error { return nil },
+		OnObservations: func(notes []peerreport.Observation) error { got += len(notes); return nil }}
 	if edit != nil {
 		edit(a)
 	}
-	how, later, err = a.Run(context.Background())
+	how, later, err = a.FetchReport(context.Background())
 	return how, later, got, err
 }
 
@@ -84,27 +84,27 @@
 	require.NoError(t, err)
 	require.Equal(t, peerreport.OutcomeReceived, how)
 	require.Equal(t, 10_000, got)
-	s, err := (&Asking{Addr: addr, Me: "a", Dial: (&net.Dialer{}).DialContext}).Status(context.Background())
+	s, err := (&Client{Addr: addr, LocalName: "a", Dial: (&net.Dialer{}).DialContext}).FetchStatus(context.Background())
 	require.NoError(t, err)
-	require.Equal(t, uint32(10_000), s.Hosts)
+	require.Equal(t, uint32(10_000), s.HostCount)
 }
 
 func TestWhatAskersAreTold(t *testing.T) {
 	addr, refused := serve(t, 3, func(s *Server) {
 		s.Admit = func(name string) (bool, time.Duration) { return name != "busy", 1500 * time.Millisecond }
-		s.Allow = append(s.Allow, "busy")
+		s.AllowedNames = append(s.AllowedNames, "busy")
 	})
-	how, later, _, err := ask(addr, func(a *Asking) { a.Me = "busy" })
+	how, later, _, err := ask(addr, func(a *Client) { a.LocalName = "busy" })
 	require.NoError(t, err)
 	require.Equal(t, peerreport.OutcomeDeferred, how)
 	require.Equal(t, 1500*time.Millisecond, later)
-	how, _, _, err = ask(addr, func(a *Asking) { a.Me = "stranger" })
+	how, _, _, err = ask(addr, func(a *Client) { a.LocalName = "stranger" })
 	require.Equal(t, peerreport.OutcomeRejected, how)
 	require.ErrorContains(t, err, "name")
 	require.NotEmpty(t, refused())
-	how, _, _, _ = ask(addr, func(a *Asking) { a.Instance = 7 })
+	how, _, _, _ = ask(addr, func(a *Client) { a.InstanceID = 7 })
 	require.Equal(t, peerreport.OutcomeSelf, how)
-	how, _, _, err = ask(addr, func(a *Asking) { a.Peer = "c" })
+	how, _, _, err = ask(addr, func(a *Client) { a.PeerName = "c" })
 	require.Equal(t, peerreport.OutcomeRejected, how, "%v", err)
 	for text, code := range map[string]string{
 		"\x00\x00\x00\x02hx":        noUse,
@@ -194,9 +194,9 @@
 				}()
 			}
 			began := time.Now()
-			how, _, _, err := ask(addr, func(a *Asking) {
-				a.Notes = func(notes []peerreport.Observation) error {
-					if a.Instance += uint64(len(notes)); a.Instance > 1000 {
+			how, _, _, err := ask(addr, func(a *Client) {
+				a.OnObservations = func(notes []peerreport.Observation) error {
+					if a.InstanceID += uint64(len(notes)); a.InstanceID > 1000 {
 						return fmt.Errorf("more hosts than the head tells")
 					}
 					return nil
@@ -244,9 +244,9 @@
 	a.write(name+".key", "EC PRIVATE KEY", text)
 }
 
-func (a *authority) keys(name string, complain func(error)) *Keys {
+func (a *authority) keys(name string, complain func(error)) *Credentials {
 	file := func(n string) string { return filepath.Join(a.dir, n) }
-	k, err := NewKeys(file(name+".pem"), file(name+".key"), file("ca.pem"), complain)
+	k, err := NewCredentials(file(name+".pem"), file(name+".key"), file("ca.pem"), complain)
 	require.NoError(a.t, err)
 	return k
 }
@@ -257,8 +257,8 @@
 	a.issue("b", "b", 3)
 	other.issue("a", "a", 4)
 	complaints := make(chan error, 8)
-	addr, refused := serve(t, 3, func(s *Server) { s.Keys = a.keys("b", func(err error) { complaints <- err }) })
-	with := func(k *Keys) func(*Asking) { return func(x *Asking) { x.Keys = k } }
+	addr, refused := serve(t, 3, func(s *Server) { s.Credentials = a.keys("b", func(err error) { complaints <- err }) })
+	with := func(k *Credentials) func(*Client) { return func(x *Client) { x.Credentials = k } }
 	how, _, got, err := ask(addr, with(a.keys("a", nil)))
 	require.NoError(t, err)
 	require.Equal(t, peerreport.OutcomeReceived, how)
@@ -270,7 +270,7 @@
 	require.Eventually(t, func() bool { return strings.Contains(refused(), "handshake") }, 10*time.Second, time.Millisecond)
 	how, _, _, _ = ask(addr, with(a.keys("b", nil)))
 	require.Equal(t, peerreport.OutcomeRejected, how, "the certificate of another name")
-	how, _, _, _ = ask(addr, func(x *Asking) { x.Keys, x.Peer = a.keys("a", nil), "c" })
+	how, _, _, _ = ask(addr, func(x *Client) { x.Credentials, x.PeerName = a.keys("a", nil), "c" })
 	require.Equal(t, peerreport.OutcomeFailed, how, "not the peer that was meant")
 
 	// Half replaced: the last good pair stays in force, and that is told once. Whole again: the new one is taken.
@@ -291,22 +291,22 @@
 }
 
 func FuzzFrames(f *testing.F) {
-	slice, _ := EncodeNotes(hosts(3))
+	slice, _ := EncodeObservations(hosts(3))
 	head, _ := appendFrame(nil, kindHead, peerreport.ReportHeader{Peer: "b", Zones: []peerreport.ZoneObservation{{Name: "z"}}})
 	f.Add(slice)
 	f.Add(head[5:])
 	f.Add(bytes.Repeat([]byte{0x81}, 4000))
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if notes, err := DecodeNotes(text); err == nil {
+		if notes, err := DecodeObservations(text); err == nil {
 			require.LessOrEqual(t, len(notes), peerreport.MaxChunkObservations)
-			again, err := EncodeNotes(notes)
+			again, err := EncodeObservations(notes)
 			require.NoError(t, err)
-			back, err := DecodeNotes(again)
+			back, err := DecodeObservations(again)
 			require.NoError(t, err)
 			require.Equal(t, notes, back)
 		}
-		if h, err := DecodeHead(text); err == nil {
+		if h, err := DecodeHeader(text); err == nil {
 			require.NoError(t, peerreport.NewReportStore("", nil).BeginReport(0, h))
 		}
 		framed := append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
@@ -321,7 +321,7 @@
 	for b.Loop() {
 		bytes = 0
 		for at := 0; at < len(notes); at += peerreport.MaxChunkObservations {
-			text, _ := EncodeNotes(notes[at:min(len(notes), at+peerreport.MaxChunkObservations)])
+			text, _ := EncodeObservations(notes[at:min(len(notes), at+peerreport.MaxChunkObservations)])
 			bytes += len(text)
 		}
 	}
--- a/cluster/peerprotocol/server.go
+++ b/cluster/peerprotocol/server.go
@@ -18,19 +18,19 @@
 
 // Server answers askers. What it is given may wait; none of it is the owner's goroutine.
 type Server struct {
-	Name     string
-	Instance uint64
-	Allow    []string // names that may ask
-	Keys     *Keys    // nil for plain TCP, where names are taken as they are told
+	Name         string
+	InstanceID   uint64
+	AllowedNames []string     // names that may ask
+	Credentials  *Credentials // nil for plain TCP, where names are taken as they are told
 	// Admit tells whether an asker is answered now, or else when it is to come back; Done follows each that was.
-	Admit func(name string) (ok bool, later time.Duration)
-	Done  func()
-	// Report gives what is known now; Spend takes bytes from a budget.
-	Report func(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error)
-	Status func(ctx context.Context) (Status, error)
-	Spend  func(ctx context.Context, bytes int, cpu time.Duration) error
-	// Refused is told of askers that got no answer; strangers can bring that about at will.
-	Refused func(addr, why string)
+	Admit   func(name string) (ok bool, later time.Duration)
+	Release func()
+	// BuildReport gives what is known now; Spend takes bytes from a budget.
+	BuildReport func(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error)
+	BuildStatus func(ctx context.Context) (Status, error)
+	SpendBudget func(ctx context.Context, bytes int, cpu time.Duration) error
+	// OnRejected is told of askers that got no answer; strangers can bring that about at will.
+	OnRejected func(addr, why string)
 }
 
 // Serve answers until ctx ends or the listener is closed, and then returns with no goroutine left.
@@ -80,15 +80,15 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	conn.SetDeadline(time.Now().Add(helloTime))
 	addr, certified := conn.RemoteAddr().String(), []string(nil)
-	if s.Keys != nil {
-		conf, err := s.Keys.server()
+	if s.Credentials != nil {
+		conf, err := s.Credentials.server()
 		if err != nil {
-			s.Refused(addr, err.Error())
+			s.OnRejected(addr, err.Error())
 			return
 		}
 		secure := tls.Server(conn, conf)
 		if err := secure.HandshakeContext(ctx); err != nil {
-			s.Refused(addr, "handshake: "+err.Error())
+			s.OnRejected(addr, "handshake: "+err.Error())
 			return
 		}
 		certified = names(secure.ConnectionState())
@@ -101,8 +101,8 @@
 	}
 	code, words := "", ""
 	switch {
-	case err != nil && !errors.Is(err, ErrBad):
-		s.Refused(addr, err.Error())
+	case err != nil && !errors.Is(err, ErrInvalidMessage):
+		s.OnRejected(addr, err.Error())
 		return
 	case err != nil:
 		code, words = noUse, err.Error()
@@ -110,24 +110,24 @@
 		code, words = noUse, "no hello"
 	case h.Version != version:
 		code, words = noVersion, "version 1 is spoken here"
-	case !slices.Contains(s.Allow, h.Name):
+	case !slices.Contains(s.AllowedNames, h.Name):
 		code, words = noName, "the name is not among those that may ask"
-	case s.Keys != nil && !slices.Contains(certified, h.Name):
+	case s.Credentials != nil && !slices.Contains(certified, h.Name):
 		code, words = noName, "the certificate is of another name"
-	case h.Instance == s.Instance && h.Want == wantReport:
+	case h.Instance == s.InstanceID && h.Want == wantReport:
 		code, words = noSelf, "you are talking to yourself"
 	}
 	conn.SetDeadline(time.Time{})
 	if code != "" {
 		if code != noSelf {
-			s.Refused(addr, words)
+			s.OnRejected(addr, words)
 		}
 		s.put(conn, kindNo, no{Code: code, Words: words[:min(len(words), wordsMost)]})
 		return
 	}
 	switch h.Want {
 	case wantStatus:
-		if st, err := s.Status(ctx); err == nil {
+		if st, err := s.BuildStatus(ctx); err == nil {
 			s.put(conn, kindStatus, st)
 		}
 	case wantReport:
@@ -136,7 +136,7 @@
 			s.put(conn, kindLater, uint32(min(later, time.Hour).Milliseconds()))
 			return
 		}
-		defer s.Done()
+		defer s.Release()
 		s.report(ctx, conn)
 	default:
 		s.put(conn, kindNo, no{Code: noUse, Words: "nothing known is wanted"})
@@ -145,7 +145,7 @@
 
 // report sends a report slice by slice. Each is encoded when the one before is out: one is held.
 func (s *Server) report(ctx context.Context, conn net.Conn) {
-	head, notes, err := s.Report(ctx)
+	head, notes, err := s.BuildReport(ctx)
 	if err != nil {
 		s.put(conn, kindLater, uint32(time.Second.Milliseconds()))
 		return
@@ -158,11 +158,11 @@
 		began := time.Now()
 		b, err := appendFrame(nil, kindNotes, part)
 		if err != nil {
-			s.Refused(conn.RemoteAddr().String(), err.Error())
+			s.OnRejected(conn.RemoteAddr().String(), err.Error())
 			return
 		}
 		sum.Write(b[5:])
-		if s.Spend != nil && s.Spend(ctx, len(b), time.Since(began)) != nil {
+		if s.SpendBudget != nil && s.SpendBudget(ctx, len(b), time.Since(began)) != nil {
 			return
 		}
 		conn.SetWriteDeadline(time.Now().Add(frameTime))
--- a/cluster/peerprotocol/wire.go
+++ b/cluster/peerprotocol/wire.go
@@ -75,33 +75,33 @@
 
 // Status is how a co-ordinator stands, for the operators.
 type Status struct {
-	_        struct{} `cbor:",toarray"`
-	Name     string
-	Place    string
-	UpMs     uint64
-	List     int64
-	Hosts    uint32
-	Answered uint32 // askers that got a report
-	PutOff   uint32 // askers that were told to come back
-	Load     uint16 // share of the owner's time in turns, in thousandths
-	Waiting  uint16 // background jobs
-	Running  uint16
-	Held     uint32 // times that a due job waited for searches
-	Peers    []PeerStatus
+	_               struct{} `cbor:",toarray"`
+	Name            string
+	Locality        string
+	UptimeMs        uint64
+	ListVersion     int64
+	HostCount       uint32
+	ReportsServed   uint32 // askers that got a report
+	ReportsDeferred uint32 // askers that were told to come back
+	LoadPermille    uint16 // share of the owner's time in turns, in thousandths
+	WaitingJobs     uint16 // background jobs
+	RunningJobs     uint16
+	HeldJobs        uint32 // times that a due job waited for searches
+	Peers           []PeerStatus
 }
 
 // PeerStatus is how one of its peers stands with it.
 type PeerStatus struct {
-	_      struct{} `cbor:",toarray"`
-	Name   string
-	Last   string // how the last asking ended, empty for none yet
-	AgoMs  uint64
-	Told   uint32
-	NextMs uint64 // until it is asked again, 0 for never or now
+	_                struct{} `cbor:",toarray"`
+	Name             string
+	LastOutcome      string // how the last asking ended, empty for none yet
+	LastOutcomeAgoMs uint64
+	ReportCount      uint32
+	NextPollInMs     uint64 // until it is asked again, 0 for never or now
 }
 
-// ErrBad is what came and cannot be used.
-var ErrBad = errors.New("bad peer message")
+// ErrInvalidMessage is what came and cannot be used.
+var ErrInvalidMessage = errors.New("bad peer message")
 
 var (
 	encoder = must(cbor.EncOptions{Sort: cbor.SortNone, IndefLength: cbor.IndefLengthForbidden,
@@ -139,7 +139,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n == 0 || n > frameMost {
-		return 0, nil, buf, fmt.Errorf("%w: length %d", ErrBad, n)
+		return 0, nil, buf, fmt.Errorf("%w: length %d", ErrInvalidMessage, n)
 	}
 	buf = buf[:0]
 	for left := int(n) - 1; left > 0; {
@@ -160,40 +160,42 @@
 // decode reads the one item of a frame.
 func decode(text []byte, into any) error {
 	if err := decoder.Unmarshal(text, into); err != nil {
-		return fmt.Errorf("%w: %w", ErrBad, err)
+		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	return nil
 }
 
-// DecodeNotes reads a slice and looks at each note.
-func DecodeNotes(text []byte) ([]peerreport.Observation, error) {
+// DecodeObservations reads a slice and looks at each note.
+func DecodeObservations(text []byte) ([]peerreport.Observation, error) {
 	var notes []peerreport.Observation
 	if err := decode(text, &notes); err != nil {
 		return nil, err
 	}
 	if len(notes) > peerreport.MaxChunkObservations {
-		return nil, fmt.Errorf("%w: %d notes in a slice", ErrBad, len(notes))
+		return nil, fmt.Errorf("%w: %d notes in a slice", ErrInvalidMessage, len(notes))
 	}
 	for i := range notes {
 		if err := notes[i].Validate(); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrBad, err)
+			return nil, fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 		}
 	}
 	return notes, nil
 }
 
-// DecodeHead reads a report's head and looks at it.
-func DecodeHead(text []byte) (h peerreport.ReportHeader, err error) {
+// DecodeHeader reads a report's head and looks at it.
+func DecodeHeader(text []byte) (h peerreport.ReportHeader, err error) {
 	if err = decode(text, &h); err == nil {
 		if err = h.Validate(); err != nil {
-			err = fmt.Errorf("%w: %w", ErrBad, err)
+			err = fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 		}
 	}
 	return h, err
 }
 
-// EncodeNotes is a slice as it travels.
-func EncodeNotes(notes []peerreport.Observation) ([]byte, error) { return encoder.Marshal(notes) }
+// EncodeObservations is a slice as it travels.
+func EncodeObservations(notes []peerreport.Observation) ([]byte, error) {
+	return encoder.Marshal(notes)
+}
 
 // summer makes the checksum of all slices of a report.
 func summer() *xxhash.Digest { return xxhash.New() }
--- a/cluster/peerprotocol/wire_golden_test.go
+++ b/cluster/peerprotocol/wire_golden_test.go
@@ -24,19 +24,19 @@
 }
 
 func goldenStatus() Status {
-	return Status{Name: "b", Place: "eu-west-1a", UpMs: 123456, List: 42, Hosts: 2, Answered: 5, PutOff: 6, Load: 250, Waiting: 7, Running: 8, Held: 9,
-		Peers: []PeerStatus{{Name: "a", Last: "told", AgoMs: 1000, Told: 3, NextMs: 2000}}}
+	return Status{Name: "b", Locality: "eu-west-1a", UptimeMs: 123456, ListVersion: 42, HostCount: 2, ReportsServed: 5, ReportsDeferred: 6, LoadPermille: 250, WaitingJobs: 7, RunningJobs: 8, HeldJobs: 9,
+		Peers: []PeerStatus{{Name: "a", LastOutcome: "told", LastOutcomeAgoMs: 1000, ReportCount: 3, NextPollInMs: 2000}}}
 }
 
 func goldenServer(admitted bool) *Server {
-	return &Server{Name: "b", Instance: 7, Allow: []string{"a"}, Done: func() {},
+	return &Server{Name: "b", InstanceID: 7, AllowedNames: []string{"a"}, Release: func() {},
 		Admit: func(string) (bool, time.Duration) { return admitted, 1500 * time.Millisecond },
-		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			head, notes := goldenReport()
 			return head, notes, nil
 		},
-		Status:  func(context.Context) (Status, error) { return goldenStatus(), nil },
-		Refused: func(string, string) {}}
+		BuildStatus: func(context.Context) (Status, error) { return goldenStatus(), nil },
+		OnRejected:  func(string, string) {}}
 }
 
 // respond is all that a server sends to a client that has sent a request.
@@ -54,7 +54,7 @@
 }
 
 // query runs a client against a recorded response and tells what it sent.
-func query(client *Asking, response []byte, run func() error) (request []byte, err error) {
+func query(client *Client, response []byte, run func() error) (request []byte, err error) {
 	near, far := net.Pipe()
 	client.Dial = func(context.Context, string, string) (net.Conn, error) { return near, nil }
 	received := make(chan []byte, 1)
@@ -100,12 +100,12 @@
 
 	read := func(response []byte) (any, error) {
 		result := goldenResult{}
-		client := &Asking{Peer: "b", Me: "a", Instance: 1,
-			Head:  func(h peerreport.ReportHeader) error { result.heads = append(result.heads, h); return nil },
-			Notes: func(notes []peerreport.Observation) error { result.notes = append(result.notes, notes...); return nil }}
+		client := &Client{PeerName: "b", LocalName: "a", InstanceID: 1,
+			OnHeader:       func(h peerreport.ReportHeader) error { result.heads = append(result.heads, h); return nil },
+			OnObservations: func(notes []peerreport.Observation) error { result.notes = append(result.notes, notes...); return nil }}
 		sent, _ := query(client, response, func() error {
 			var err error
-			if result.how, result.later, err = client.Run(context.Background()); err != nil {
+			if result.how, result.later, err = client.FetchReport(context.Background()); err != nil {
 				result.failed = err.Error()
 			}
 			return err
@@ -148,18 +148,18 @@
 			goldenResult{how: peerreport.OutcomeRejected, failed: "refused (unusable): nothing known is wanted"}),
 		{"response-status", func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
 			func(encoded []byte) (any, error) {
-				client := &Asking{Peer: "b", Me: "a", Instance: 1}
+				client := &Client{PeerName: "b", LocalName: "a", InstanceID: 1}
 				var status Status
-				sent, err := query(client, encoded, func() (err error) { status, err = client.Status(context.Background()); return err })
+				sent, err := query(client, encoded, func() (err error) { status, err = client.FetchStatus(context.Background()); return err })
 				if !bytes.Equal(sent, statusRequest) {
 					err = errors.Join(err, errors.New("the client sent another request"))
 				}
 				return status, err
 			}, goldenStatus()},
-		{"notes", func() ([]byte, error) { return EncodeNotes(notes) },
-			func(encoded []byte) (any, error) { return DecodeNotes(encoded) }, notes},
+		{"notes", func() ([]byte, error) { return EncodeObservations(notes) },
+			func(encoded []byte) (any, error) { return DecodeObservations(encoded) }, notes},
 		{"head", func() ([]byte, error) { return encoder.Marshal(head) },
-			func(encoded []byte) (any, error) { return DecodeHead(encoded) }, head},
+			func(encoded []byte) (any, error) { return DecodeHeader(encoded) }, head},
 	})
 }
 
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -297,11 +297,11 @@
 	return []coordinator.Frontend{f}, nil
 }
 
-func keysOf(t *config.TLS, complain func(err error)) (*peerprotocol.Keys, error) {
+func keysOf(t *config.TLS, complain func(err error)) (*peerprotocol.Credentials, error) {
 	if t == nil {
 		return nil, nil
 	}
-	return peerprotocol.NewKeys(t.Certificate, t.Key, t.Authorities, complain)
+	return peerprotocol.NewCredentials(t.Certificate, t.Key, t.Authorities, complain)
 }
 
 type check struct {
@@ -415,8 +415,8 @@
 	fmt.Fprintln(out, "PEER\tADDRESS\tPLACE\tUP\tLIST\tHOSTS\tTOLD\tPUT OFF\tLOAD\tJOBS\tHELD\tITS PEERS")
 	unreached := 0
 	for _, one := range file.Peers.PollTargets {
-		asking := peerprotocol.Asking{Peer: one.Name, Addr: one.Address, Me: p.Name, Dial: (&net.Dialer{}).DialContext, Keys: keys}
-		s, err := asking.Status(context.Background())
+		asking := peerprotocol.Client{PeerName: one.Name, Addr: one.Address, LocalName: p.Name, Dial: (&net.Dialer{}).DialContext, Credentials: keys}
+		s, err := asking.FetchStatus(context.Background())
 		if err != nil {
 			unreached++
 			fmt.Fprintf(out, "%s\t%s\t%v\n", one.Name, one.Address, err)
@@ -424,15 +424,15 @@
 		}
 		var its []string
 		for _, q := range s.Peers {
-			last := q.Last
+			last := q.LastOutcome
 			if last == "" {
 				last = "not asked"
 			}
 			its = append(its, fmt.Sprintf("%s:%s", q.Name, last))
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d%%\t%d+%d\t%d\t%s\n", one.Name, one.Address, s.Place,
-			(time.Duration(s.UpMs) * time.Millisecond).Round(time.Second), s.List, s.Hosts, s.Answered, s.PutOff,
-			s.Load/10, s.Running, s.Waiting, s.Held, strings.Join(its, " "))
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d%%\t%d+%d\t%d\t%s\n", one.Name, one.Address, s.Locality,
+			(time.Duration(s.UptimeMs) * time.Millisecond).Round(time.Second), s.ListVersion, s.HostCount, s.ReportsServed, s.ReportsDeferred,
+			s.LoadPermille/10, s.RunningJobs, s.WaitingJobs, s.HeldJobs, strings.Join(its, " "))
 	}
 	if unreached > 0 {
 		out.Flush()
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -34,7 +34,7 @@
 	Listener        net.Listener // where others ask; nil answers nobody
 	PollTargets     []PeerAddress
 	AllowedPeers    []string
-	Keys            *peerprotocol.Keys // nil for plain TCP
+	Keys            *peerprotocol.Credentials // nil for plain TCP
 	RefreshInterval time.Duration
 	Budgets         map[string]scheduler.Budget
 }
@@ -100,9 +100,9 @@
 	if l.p.Listener == nil {
 		return
 	}
-	s := &peerprotocol.Server{Name: l.p.Name, Instance: l.instance, Allow: l.p.AllowedPeers, Keys: l.p.Keys, Admit: l.admit,
-		Done: l.done, Report: l.report, Status: l.status, Spend: l.reply,
-		Refused: func(addr, why string) { o.log.often("peer_refused", "peer_refused", "client", addr, "why", why) }}
+	s := &peerprotocol.Server{Name: l.p.Name, InstanceID: l.instance, AllowedNames: l.p.AllowedPeers, Credentials: l.p.Keys, Admit: l.admit,
+		Release: l.done, BuildReport: l.report, BuildStatus: l.status, SpendBudget: l.reply,
+		OnRejected: func(addr, why string) { o.log.often("peer_refused", "peer_refused", "client", addr, "why", why) }}
 	o.log.Info("peers", "listen", l.p.Listener.Addr().String(), "name", l.p.Name, "asks", len(l.p.PollTargets))
 	o.g.Go(func() error { return s.Serve(o.ctx, l.p.Listener) })
 }
@@ -173,19 +173,19 @@
 
 func (l *learner) askOne(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.o.clock()
-	asking := peerprotocol.Asking{Peer: at.Name, Addr: at.Addr, Me: l.p.Name, Instance: l.instance, Dial: l.o.Dial, Keys: l.p.Keys,
-		Head: func(h peerreport.ReportHeader) error {
+	asking := peerprotocol.Client{PeerName: at.Name, Addr: at.Addr, LocalName: l.p.Name, InstanceID: l.instance, Dial: l.o.Dial, Credentials: l.p.Keys,
+		OnHeader: func(h peerreport.ReportHeader) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return l.shelf.BeginReport(asked, h)
 		},
-		Notes: func(notes []peerreport.Observation) error {
+		OnObservations: func(notes []peerreport.Observation) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return l.shelf.AddObservations(at.Name, notes)
 		},
-		Spend: a.Spend}
-	return asking.Run(ctx)
+		SpendBudget: a.Spend}
+	return asking.FetchReport(ctx)
 }
 
 // ended takes in how an asking ended; a whole report goes to the module.
@@ -375,16 +375,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.clock()
-	s := peerprotocol.Status{Name: l.p.Name, Place: l.p.Location, UpMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
-		List: l.version.Load(), Hosts: uint32(len(l.since)), Answered: uint32(l.desk.Admitted), PutOff: uint32(l.desk.Deferred),
-		Load: uint16(1000 * min(1, max(load, l.load))), Waiting: uint16(waiting), Running: uint16(running), Held: uint32(counts.Held)}
+	s := peerprotocol.Status{Name: l.p.Name, Locality: l.p.Location, UptimeMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
+		ListVersion: l.version.Load(), HostCount: uint32(len(l.since)), ReportsServed: uint32(l.desk.Admitted), ReportsDeferred: uint32(l.desk.Deferred),
+		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Held)}
 	for _, p := range l.asker.Statuses(now) {
-		one := peerprotocol.PeerStatus{Name: p.Name, Told: uint32(p.ReportCount)}
+		one := peerprotocol.PeerStatus{Name: p.Name, ReportCount: uint32(p.ReportCount)}
 		if p.LastOutcomeAt > 0 {
-			one.Last, one.AgoMs = p.LastOutcome.String(), uint64((now-p.LastOutcomeAt)/10)
+			one.LastOutcome, one.LastOutcomeAgoMs = p.LastOutcome.String(), uint64((now-p.LastOutcomeAt)/10)
 		}
 		if p.NextPollAt > now {
-			one.NextMs = uint64((p.NextPollAt - now) / 10)
+			one.NextPollInMs = uint64((p.NextPollAt - now) / 10)
 		}
 		s.Peers = append(s.Peers, one)
 	}
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -61,10 +61,10 @@
 	b := startWith(t, 256, nil, pb)
 	b.logged("event=learned peer=a")
 	b.call().want("q", "all", 200, wholeOfAll)
-	s, err := (&peerprotocol.Asking{Addr: pb.at().Addr, Me: "a", Dial: (&net.Dialer{}).DialContext}).Status(context.Background())
+	s, err := (&peerprotocol.Client{Addr: pb.at().Addr, LocalName: "a", Dial: (&net.Dialer{}).DialContext}).FetchStatus(context.Background())
 	require.NoError(t, err)
-	require.Equal(t, uint32(4), s.Hosts)
-	require.Equal(t, "told", s.Peers[0].Last)
+	require.Equal(t, uint32(4), s.HostCount)
+	require.Equal(t, "told", s.Peers[0].LastOutcome)
 	a.end()
 	b.end()
 }
@@ -130,8 +130,8 @@
 	count := map[peerreport.Outcome]int{}
 	for i := range 50 {
 		g.Go(func() {
-			how, later, _ := (&peerprotocol.Asking{Peer: "a", Addr: p.at().Addr, Me: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
-				Head: func(peerreport.ReportHeader) error { return nil }, Notes: func([]peerreport.Observation) error { return nil }}).Run(context.Background())
+			how, later, _ := (&peerprotocol.Client{PeerName: "a", Addr: p.at().Addr, LocalName: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
+				OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil }}).FetchReport(context.Background())
 			mu.Lock()
 			defer mu.Unlock()
 			if count[how]++; how == peerreport.OutcomeDeferred && later <= 0 {
@@ -154,9 +154,9 @@
 	ln := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error)
-	s := &peerprotocol.Server{Name: "b", Instance: 1, Allow: []string{"a"}, Done: func() {}, Refused: func(string, string) {},
+	s := &peerprotocol.Server{Name: "b", InstanceID: 1, AllowedNames: []string{"a"}, Release: func() {}, OnRejected: func(string, string) {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
-		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			return peerreport.ReportHeader{Peer: "b", HostCount: 1}, []peerreport.Observation{{HostID: "a0", IsOutlier: true}}, nil
 		}}
 	go func() { served <- s.Serve(ctx, ln) }()
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -314,8 +314,8 @@
 		if asking {
 			g.Go(func() {
 				for ask.Err() == nil {
-					how, _, _ := (&peerprotocol.Asking{Peer: "n0", Addr: p.peer, Me: "asker", Dial: (&net.Dialer{}).DialContext,
-						Head: func(peerreport.ReportHeader) error { return nil }, Notes: func([]peerreport.Observation) error { return nil }}).Run(ask)
+					how, _, _ := (&peerprotocol.Client{PeerName: "n0", Addr: p.peer, LocalName: "asker", Dial: (&net.Dialer{}).DialContext,
+						OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil }}).FetchReport(ask)
 					if asked++; how == peerreport.OutcomeReceived {
 						answered++
 					}
--- a/internal/benchmark/learning.go
+++ b/internal/benchmark/learning.go
@@ -307,13 +307,13 @@
 		}
 		notes = append(notes, n)
 	}
-	s := &peerprotocol.Server{Name: "liar", Instance: 1, Allow: learners(),
-		Admit: func(string) (bool, time.Duration) { return true, 0 }, Done: func() {},
-		Report: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+	s := &peerprotocol.Server{Name: "liar", InstanceID: 1, AllowedNames: learners(),
+		Admit: func(string) (bool, time.Duration) { return true, 0 }, Release: func() {},
+		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			return peerreport.ReportHeader{Peer: "liar", Serial: 1, AnswerCount: math.MaxInt32, FleetLatency: 100_000_000, MinLatency: 1,
 				HostCount: uint32(len(notes))}, notes, nil
 		},
-		Refused: func(string, string) {}}
+		OnRejected: func(string, string) {}}
 	go s.Serve(ctx, ln)
 	return ln, nil
 }
