--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -83,7 +83,7 @@
 		if p == nil {
 			return "none"
 		}
-		return fmt.Sprintf("%d of %d, %d slots", p.Shards, p.RoutingShards, p.Slots())
+		return fmt.Sprintf("%d of %d, %d slots", p.Shards, p.RoutingShards, p.EffectiveRoutingShards())
 	}
 	if p := f.Peers; p != nil {
 		line("peers.name", p.Name)
--- a/config/installation.go
+++ b/config/installation.go
@@ -316,7 +316,7 @@
 }
 
 func (c *checker) placed(at string, p *query.Placement) {
-	if p != nil && !p.Check() {
+	if p != nil && !p.IsValid() {
 		c.fault(at, "number_of_shards is from 1 to 1024, number_of_routing_shards a multiple of it or left out")
 	}
 }
--- a/coordinator/tongues.go
+++ b/coordinator/tongues.go
@@ -195,7 +195,7 @@
 	case status != http.StatusOK:
 		return "Failed", fmt.Errorf("status %d", status)
 	}
-	if err := query.CheckAnswer(k.Index, k.Placement, shard, body); err != nil {
+	if err := query.CheckResponse(k.Index, k.Placement, shard, body); err != nil {
 		return "Failed", err
 	}
 	return "Ok", nil
--- a/internal/benchmark/opensearch.go
+++ b/internal/benchmark/opensearch.go
@@ -315,19 +315,19 @@
 				Blob  string
 			}
 		}
-		q, err := query.Parse([]byte(s.body))
+		q, err := query.ParseRequest([]byte(s.body))
 		if json.Unmarshal(body, &m) != nil || err != nil || !m.Total {
 			return false
 		}
-		var o query.Outcome
+		var o query.SearchOutcome
 		for _, a := range m.Answers {
-			read, err := q.ReadAnswer(a.Range, "members", []byte(a.Blob))
+			read, err := q.ParseResponse(a.Range, "members", []byte(a.Blob))
 			if err != nil {
 				return false
 			}
-			o.Answers = append(o.Answers, read)
+			o.Responses = append(o.Responses, read)
 		}
-		body = q.Merge(o)
+		body = q.MergeResponses(o)
 	}
 	var m map[string]any
 	if json.Unmarshal(body, &m) != nil {
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -77,7 +77,7 @@
 	for i := range 400 {
 		m := fake.Member{ID: fmt.Sprintf("m%03d", i), Fields: map[string]any{"town": towns[chance.Intn(3)], "age": float64(18 + chance.Intn(50))}}
 		r.all.All = append(r.all.All, m)
-		b := r.blocks[placed.Block(m.ID)]
+		b := r.blocks[placed.ShardFor(m.ID)]
 		b.All = append(b.All, m)
 	}
 	var entries []fake.Entry
@@ -610,14 +610,14 @@
 	text, _ := r.all.Search([]byte(`{"size":30,"sort":[{"age":{"order":"asc"}},{"_id":{}}],"track_total_hits":true}`))
 	var want map[string]any
 	require.NoError(t, json.Unmarshal(text, &want))
-	q, err := query.Parse([]byte(body))
+	q, err := query.ParseRequest([]byte(body))
 	require.NoError(t, err)
 	for name, do := range map[string]func(http.ResponseWriter, *http.Request, []byte){
 		"sound": nil,
 		"another block": func(w http.ResponseWriter, req *http.Request, _ []byte) {
 			var block int
 			fmt.Sscanf(req.URL.Query().Get("preference"), "_shards:%d", &block)
-			text, _ := r.blocks[(block+4)%8].Search(q.Part())
+			text, _ := r.blocks[(block+4)%8].Search(q.ShardRequestBody())
 			w.Write(text)
 		},
 		"429":             status(429),
--- a/opensearch/frontend/search.go
+++ b/opensearch/frontend/search.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	q, err := query.Parse(text)
+	q, err := query.ParseRequest(text)
 	if err != nil {
 		return nil, err
 	}
@@ -67,21 +67,21 @@
 		case name == "allow_partial_search_results":
 			a.partial, err = strconv.ParseBool(v)
 		case name == "cancel_after_time_interval":
-			a.within, err = query.Span(v)
+			a.within, err = query.ParseDuration(v)
 		case name == "timeout":
-			q.Timeout, err = query.Span(v)
+			q.Timeout, err = query.ParseDuration(v)
 		case name == "size":
-			q.Size, err = bounded(v, query.WindowMost-q.From)
+			q.Size, err = bounded(v, query.MaxResultWindow-q.From)
 		case name == "from":
-			q.From, err = bounded(v, query.WindowMost-q.Size)
+			q.From, err = bounded(v, query.MaxResultWindow-q.Size)
 		case name == "track_total_hits":
 			switch v {
 			case "true":
-				q.TrackTotal = math.MaxInt
+				q.TrackTotalHits = math.MaxInt
 			case "false":
-				q.TrackTotal = 0
+				q.TrackTotalHits = 0
 			default:
-				q.TrackTotal, err = bounded(v, math.MaxInt32)
+				q.TrackTotalHits, err = bounded(v, math.MaxInt32)
 			}
 		case name == "preference":
 			err = a.prefer(v)
@@ -92,11 +92,11 @@
 			err = fmt.Errorf("parameter [%s] with [%.40s] is known to the API and not done here", name, v)
 		}
 		if err != nil {
-			var e *query.Error
+			var e *query.APIError
 			if errors.As(err, &e) {
 				return nil, e
 			}
-			return nil, &query.Error{Status: 400, Type: "illegal_argument_exception", Reason: err.Error()}
+			return nil, &query.APIError{Status: 400, Type: "illegal_argument_exception", Reason: err.Error()}
 		}
 	}
 	for _, b := range a.blocks {
@@ -139,7 +139,7 @@
 			return fmt.Errorf("[%.40s] is no number of a block", one)
 		}
 		if !slices.Contains(a.index.Blocks, b) {
-			return &query.Error{Status: 404, Type: "index_not_found_exception",
+			return &query.APIError{Status: 404, Type: "index_not_found_exception",
 				Reason: fmt.Sprintf("no such shard [%s][%d]", a.index.Name, b)}
 		}
 		if slices.Contains(a.blocks, b) && !slices.Contains(blocks, b) {
@@ -164,7 +164,7 @@
 	}
 	a.opaque, a.retry = r.Header.Get("X-Opaque-Id"), r.Header.Get("X-Retry") == "1"
 	if a.count = count; count {
-		a.q.Size, a.q.From, a.q.TrackTotal, a.q.Aggs = 0, 0, math.MaxInt, nil
+		a.q.Size, a.q.From, a.q.TrackTotalHits, a.q.Aggregations = 0, 0, math.MaxInt, nil
 	}
 	return f.run(r.Context(), a)
 }
@@ -186,7 +186,7 @@
 		}
 	}
 	given, err := f.d.Search(ctx, coordinator.SearchRequest{ID: f.prefix + strconv.FormatUint(t.id, 10),
-		Type: a.index.SearchType, Tenant: a.index.Tenant, Body: a.q.Part(), Shards: a.blocks, Timeout: patience, IsRetry: a.retry,
+		Type: a.index.SearchType, Tenant: a.index.Tenant, Body: a.q.ShardRequestBody(), Shards: a.blocks, Timeout: patience, IsRetry: a.retry,
 		DecodeValue: a.check})
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
@@ -217,9 +217,9 @@
 // check looks at a host's value for a part. What its host calls the index is the hosts' side's to look at; towards the
 // client a hit is of the index that was asked.
 func (a *asked) check(shard int, value []byte) (any, error) {
-	read, err := a.q.ReadAnswer(shard, "", value)
+	read, err := a.q.ParseResponse(shard, "", value)
 	if err == nil {
-		err = read.Placed(a.index.Placement)
+		err = read.CheckPlacement(a.index.Placement)
 	}
 	if err != nil {
 		return nil, err
@@ -233,11 +233,11 @@
 // answer puts together what a search has come to. Blocks that are not in stand among the failures, those that were
 // not needed too: what they hold is not in the answer.
 func (a *asked) answer(given coordinator.SearchResult, took time.Duration) reply {
-	o := query.Outcome{Took: took.Milliseconds(), TimedOut: !given.Complete}
+	o := query.SearchOutcome{TookMillis: took.Milliseconds(), TimedOut: !given.Complete}
 	in := map[int]bool{}
 	for _, p := range given.Parts {
-		if read, ok := p.Value.(*query.Answer); ok {
-			o.Answers = append(o.Answers, read)
+		if read, ok := p.Value.(*query.ShardResponse); ok {
+			o.Responses = append(o.Responses, read)
 			in[p.Shard] = true
 		}
 	}
@@ -245,13 +245,13 @@
 		if in[b] {
 			continue
 		}
-		failure := query.Failure{Shard: b, Index: a.index.Name, Type: "timeout_exception", Reason: "no answer in time"}
+		failure := query.ShardFailure{Shard: b, Index: a.index.Name, Type: "timeout_exception", Reason: "no answer in time"}
 		if given.Complete {
 			failure.Type, failure.Reason = "task_cancelled_exception", "called off: enough blocks for a "+a.index.SearchType+" search were in"
 		}
 		o.Failures = append(o.Failures, failure)
 	}
-	text := a.q.Merge(o)
+	text := a.q.MergeResponses(o)
 	if !a.count {
 		return reply{status: 200, body: text}
 	}
@@ -356,7 +356,7 @@
 		return faultOf(err)
 	}
 	explain := r.URL.Query().Get("explain") != "" && r.URL.Query().Get("explain") != "false"
-	_, err = query.Parse(text)
+	_, err = query.ParseRequest(text)
 	out := map[string]any{"valid": err == nil, "_shards": map[string]any{"total": 1, "successful": 1, "failed": 0}}
 	if explain {
 		one := map[string]any{"index": x.Name, "valid": err == nil}
--- a/opensearch/frontend/server.go
+++ b/opensearch/frontend/server.go
@@ -128,14 +128,14 @@
 }
 
 func fault(status int, kind, format string, v ...any) reply {
-	e := &query.Error{Status: status, Type: kind, Reason: fmt.Sprintf(format, v...)}
-	return reply{status: status, body: e.Body()}
+	e := &query.APIError{Status: status, Type: kind, Reason: fmt.Sprintf(format, v...)}
+	return reply{status: status, body: e.ResponseBody()}
 }
 
 func faultOf(err error) reply {
-	var e *query.Error
+	var e *query.APIError
 	if errors.As(err, &e) {
-		return reply{status: e.Status, body: e.Body()}
+		return reply{status: e.Status, body: e.ResponseBody()}
 	}
 	return fault(400, "illegal_argument_exception", "%v", err)
 }
@@ -215,22 +215,22 @@
 	case "gzip":
 		z, err := gzip.NewReader(in)
 		if err != nil {
-			return nil, &query.Error{Status: 400, Type: "parse_exception", Reason: "the body is no gzip"}
+			return nil, &query.APIError{Status: 400, Type: "parse_exception", Reason: "the body is no gzip"}
 		}
 		in = z
 	default:
-		return nil, &query.Error{Status: 415, Type: "illegal_argument_exception", Reason: fmt.Sprintf("Content-Encoding [%.40s]", packed)}
+		return nil, &query.APIError{Status: 415, Type: "illegal_argument_exception", Reason: fmt.Sprintf("Content-Encoding [%.40s]", packed)}
 	}
 	text, err := io.ReadAll(io.LimitReader(in, most+1))
 	var large *http.MaxBytesError
 	var late net.Error
 	switch {
 	case errors.As(err, &large) || int64(len(text)) > most:
-		return nil, &query.Error{Status: 413, Type: "illegal_argument_exception", Reason: fmt.Sprintf("a body of over %d bytes", most)}
+		return nil, &query.APIError{Status: 413, Type: "illegal_argument_exception", Reason: fmt.Sprintf("a body of over %d bytes", most)}
 	case errors.As(err, &late) && late.Timeout():
-		return nil, &query.Error{Status: 408, Type: "timeout_exception", Reason: "the body did not come in time"}
+		return nil, &query.APIError{Status: 408, Type: "timeout_exception", Reason: "the body did not come in time"}
 	case err != nil:
-		return nil, &query.Error{Status: 400, Type: "parse_exception", Reason: "the body cannot be read"}
+		return nil, &query.APIError{Status: 400, Type: "parse_exception", Reason: "the body cannot be read"}
 	}
 	return text, nil
 }
@@ -242,11 +242,11 @@
 		if len(f.Indices) == 1 {
 			return f.Indices[0], nil
 		}
-		return Index{}, &query.Error{Status: 400, Type: "illegal_argument_exception",
+		return Index{}, &query.APIError{Status: 400, Type: "illegal_argument_exception",
 			Reason: "a search over several indices is known to the API and not done here: name one"}
 	}
 	if strings.ContainsAny(name, ",*") {
-		return Index{}, &query.Error{Status: 400, Type: "illegal_argument_exception",
+		return Index{}, &query.APIError{Status: 400, Type: "illegal_argument_exception",
 			Reason: fmt.Sprintf("index [%.100s]: lists and wildcards are known to the API and not done here", name)}
 	}
 	i := slices.IndexFunc(f.Indices, func(x Index) bool { return x.Name == name })
@@ -257,7 +257,7 @@
 }
 
 func notFound(index, format string, v ...any) error {
-	return &query.Error{Status: 404, Type: "index_not_found_exception", Reason: fmt.Sprintf(format, v...)}
+	return &query.APIError{Status: 404, Type: "index_not_found_exception", Reason: fmt.Sprintf(format, v...)}
 }
 
 // open registers a search; its context ends by a task request too.
@@ -265,7 +265,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.tasks) >= tasksMost {
-		return nil, nil, &query.Error{Status: 429, Type: "rejected_execution_exception", Reason: "too many searches are open"}
+		return nil, nil, &query.APIError{Status: 429, Type: "rejected_execution_exception", Reason: "too many searches are open"}
 	}
 	f.last++
 	ctx, stop := context.WithCancelCause(ctx)
--- a/opensearch/query/answer.go
+++ b/opensearch/query/answer.go
@@ -352,11 +352,11 @@
 	return nil
 }
 
-// ReadAnswer takes a host's answer to a part apart and looks at all that a whole rests on. Guards against a host that
+// ParseResponse takes a host's answer to a part apart and looks at all that a whole rests on. Guards against a host that
 // answers in valid syntax and leaves its part out, ran out of time, speaks of another index, doubles a hit, sends
 // them in no order or more than were asked for, gives scores that are no numbers, or a total below its hits. What it
 // gives holds the text, which must not change.
-func (q *Request) ReadAnswer(shard int, index string, text []byte) (*Answer, error) {
+func (q *Request) ParseResponse(shard int, index string, text []byte) (*ShardResponse, error) {
 	if len(text) > answerMost {
 		return nil, spoilt("%d bytes", len(text))
 	}
@@ -373,7 +373,7 @@
 	if len(r.found) > q.From+q.Size {
 		return nil, spoilt("%d hits, %d were asked for", len(r.found), q.From+q.Size)
 	}
-	out := &Answer{Shard: shard, Parts: 1, Hits: r.found, Early: r.early}
+	out := &ShardResponse{Shard: shard, ShardCount: 1, Hits: r.found, TerminatedEarly: r.early}
 	var aggs map[string]any
 	if len(r.aggs) > 0 {
 		d := json.NewDecoder(bytes.NewReader(r.aggs))
@@ -383,21 +383,21 @@
 		}
 	}
 	switch {
-	case q.TrackTotal == 0:
-		out.Total, out.AtLeast = len(out.Hits), true
+	case q.TrackTotalHits == 0:
+		out.Total, out.TotalIsLowerBound = len(out.Hits), true
 	case r.total < len(out.Hits) || r.relation != "eq" && r.relation != "gte":
 		return nil, spoilt("a total of %d %.20q for %d hits", r.total, r.relation, len(out.Hits))
 	default:
-		out.Total, out.AtLeast = r.total, r.relation == "gte"
+		out.Total, out.TotalIsLowerBound = r.total, r.relation == "gte"
 	}
 	if err := q.checkHits(out.Hits, shard, index); err != nil {
 		return nil, err
 	}
 	out.aggs = []partAnswer{{shard, aggs}}
-	if len(q.Aggs) == 0 {
+	if len(q.Aggregations) == 0 {
 		return out, nil
 	}
-	return out, q.checkAggs(q.Aggs, aggs)
+	return out, q.checkAggs(q.Aggregations, aggs)
 }
 
 func (q *Request) checkHits(hits []Hit, shard int, index string) error {
@@ -433,9 +433,9 @@
 	return nil
 }
 
-// CheckAnswer looks at a host's answer apart from what was asked: that it is one, in time, of one part that did not
+// CheckResponse looks at a host's answer apart from what was asked: that it is one, in time, of one part that did not
 // fail, of the right index and, where a placement is known, of the right block.
-func CheckAnswer(index string, placed *Placement, shard int, text []byte) error {
+func CheckResponse(index string, placed *Placement, shard int, text []byte) error {
 	r := answers.Get().(*answerReader)
 	defer r.release()
 	if err := r.read(text, false); err != nil {
--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -28,7 +28,7 @@
 func TestGoldenShardRequests(t *testing.T) {
 	var out strings.Builder
 	for _, text := range goldenRequests {
-		fmt.Fprintf(&out, "%s\n%s\n", text, parse(t, text).Part())
+		fmt.Fprintf(&out, "%s\n%s\n", text, parse(t, text).ShardRequestBody())
 	}
 	compareGolden(t, "shard_requests.golden", out.String())
 }
@@ -41,26 +41,26 @@
 	for _, text := range goldenRequests {
 		q := parse(t, text)
 		fmt.Fprintf(&out, "request %s\n", text)
-		var answers []*query.Answer
+		var answers []*query.ShardResponse
 		for shard := range 2 {
 			block := membersOf(all[shard*12 : shard*12+12])
-			told, err := block.Search(q.Part())
+			told, err := block.Search(q.ShardRequestBody())
 			if err != nil {
 				fmt.Fprintf(&out, "no answer by the stand-in\n")
 				continue
 			}
 			fmt.Fprintf(&out, "shard %d %s\n", shard, told)
-			answer, err := q.ReadAnswer(shard, block.Index, told)
+			answer, err := q.ParseResponse(shard, block.Index, told)
 			require.NoError(t, err, "%s", told)
 			answers = append(answers, answer)
 		}
 		if len(answers) < 2 {
 			continue
 		}
-		fmt.Fprintf(&out, "whole %s\n", q.Merge(query.Outcome{Answers: answers, Took: 12}))
-		fmt.Fprintf(&out, "partial %s\n", q.Merge(query.Outcome{Answers: answers[:1], Took: 1999, TimedOut: true,
-			Failures: []query.Failure{{Shard: 1, Index: "members", Type: "timeout_exception", Reason: "no answer \"in\" time"}}}))
-		fmt.Fprintf(&out, "skipped %s\n", q.Merge(query.Outcome{Answers: answers[1:], Skipped: 3}))
+		fmt.Fprintf(&out, "whole %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers, TookMillis: 12}))
+		fmt.Fprintf(&out, "partial %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers[:1], TookMillis: 1999, TimedOut: true,
+			Failures: []query.ShardFailure{{Shard: 1, Index: "members", Type: "timeout_exception", Reason: "no answer \"in\" time"}}}))
+		fmt.Fprintf(&out, "skipped %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers[1:], Skipped: 3}))
 	}
 	compareGolden(t, "merged_answers.golden", out.String())
 }
@@ -78,10 +78,10 @@
 		`{"aggs":{"a":{"terms":{"field":"x","order":{"_count":"asc"}}}}}`, `[]`, `{} {}`,
 		"{\"query\":{\"term\":{\"a\":\"\xff\"}}}", `{"a":` + strings.Repeat(" ", 1<<20) + `1}`,
 	} {
-		_, err := query.Parse([]byte(text))
-		var refused *query.Error
+		_, err := query.ParseRequest([]byte(text))
+		var refused *query.APIError
 		require.ErrorAs(t, err, &refused, "%.80s", text)
-		fmt.Fprintf(&out, "%.100q\n%d %s\n", text, refused.Status, refused.Body())
+		fmt.Fprintf(&out, "%.100q\n%d %s\n", text, refused.Status, refused.ResponseBody())
 	}
 	compareGolden(t, "request_errors.golden", out.String())
 }
@@ -90,9 +90,9 @@
 func TestGoldenPlacement(t *testing.T) {
 	var out strings.Builder
 	for _, p := range []query.Placement{{Shards: 1}, {Shards: 3}, {Shards: 8}, {Shards: 5, RoutingShards: 30}} {
-		fmt.Fprintf(&out, "%d %d:", p.Shards, p.Slots())
+		fmt.Fprintf(&out, "%d %d:", p.Shards, p.EffectiveRoutingShards())
 		for _, id := range []string{"", "a", "m0007", "é", "日本", "a long routing value of some words", "🙂"} {
-			fmt.Fprintf(&out, " %d", p.Block(id))
+			fmt.Fprintf(&out, " %d", p.ShardFor(id))
 		}
 		out.WriteByte('\n')
 	}
--- a/opensearch/query/json.go
+++ b/opensearch/query/json.go
@@ -19,41 +19,41 @@
 
 // Bounds of one search. Each is far beyond what member searches need.
 const (
-	textMost    = 1 << 20 // bytes of a body
-	depthMost   = 64      // objects and lists within one another
-	nodesMost   = 50_000  // values in a body
-	clausesMost = 1024    // clauses of a query: the API's own bound
-	termsMost   = 10_000  // values of a terms or ids clause: less than the API's, since each part carries them
-	WindowMost  = 10_000  // from and size together: the API's own bound; search_after goes on beyond it
-	sortMost    = 8       // sort keys
-	aggsMost    = 64      // aggregations
-	aggDepth    = 4       // of them within one another
-	bucketsMost = 1_000   // buckets of a terms aggregation
-	nameMost    = 256     // bytes of a field's or aggregation's name
-	nodesRoom   = 16      // values that get room together: a small search's
-	fewNames    = 16      // names of an object up to which each is held against each
+	textMost        = 1 << 20 // bytes of a body
+	depthMost       = 64      // objects and lists within one another
+	nodesMost       = 50_000  // values in a body
+	clausesMost     = 1024    // clauses of a query: the API's own bound
+	termsMost       = 10_000  // values of a terms or ids clause: less than the API's, since each part carries them
+	MaxResultWindow = 10_000  // from and size together: the API's own bound; search_after goes on beyond it
+	sortMost        = 8       // sort keys
+	aggsMost        = 64      // aggregations
+	aggDepth        = 4       // of them within one another
+	bucketsMost     = 1_000   // buckets of a terms aggregation
+	nameMost        = 256     // bytes of a field's or aggregation's name
+	nodesRoom       = 16      // values that get room together: a small search's
+	fewNames        = 16      // names of an object up to which each is held against each
 )
 
-// Error is a refusal in the API's own form.
-type Error struct {
-	Status    int
-	Type      string
-	Reason    string
-	Line, Col int // 0 where the place says nothing
+// APIError is a refusal in the API's own form.
+type APIError struct {
+	Status       int
+	Type         string
+	Reason       string
+	Line, Column int // 0 where the place says nothing
 }
 
-func (e *Error) Error() string {
+func (e *APIError) Error() string {
 	if e.Line > 0 {
-		return fmt.Sprintf("[%d:%d] %s", e.Line, e.Col, e.Reason)
+		return fmt.Sprintf("[%d:%d] %s", e.Line, e.Column, e.Reason)
 	}
 	return e.Reason
 }
 
-// Body is the error as the API answers it.
-func (e *Error) Body() []byte {
+// ResponseBody is the error as the API answers it.
+func (e *APIError) ResponseBody() []byte {
 	cause := map[string]any{"type": e.Type, "reason": e.Reason}
 	if e.Line > 0 {
-		cause["line"], cause["col"] = e.Line, e.Col
+		cause["line"], cause["col"] = e.Line, e.Column
 	}
 	b, _ := json.Marshal(map[string]any{"error": map[string]any{"root_cause": []any{cause}, "type": e.Type,
 		"reason": e.Reason, "line": cause["line"], "col": cause["col"]}, "status": e.Status})
@@ -97,14 +97,14 @@
 }
 
 // fault is a parsing_exception at a place.
-func (r *reader) fault(at int, format string, v ...any) *Error {
+func (r *reader) fault(at int, format string, v ...any) *APIError {
 	before := r.src[:min(at, len(r.src))]
-	return &Error{Status: 400, Type: "parsing_exception", Reason: fmt.Sprintf(format, v...),
-		Line: 1 + bytes.Count(before, []byte("\n")), Col: len(before) - bytes.LastIndexByte(before, '\n')}
+	return &APIError{Status: 400, Type: "parsing_exception", Reason: fmt.Sprintf(format, v...),
+		Line: 1 + bytes.Count(before, []byte("\n")), Column: len(before) - bytes.LastIndexByte(before, '\n')}
 }
 
-func illegal(format string, v ...any) *Error {
-	return &Error{Status: 400, Type: "illegal_argument_exception", Reason: fmt.Sprintf(format, v...)}
+func illegal(format string, v ...any) *APIError {
+	return &APIError{Status: 400, Type: "illegal_argument_exception", Reason: fmt.Sprintf(format, v...)}
 }
 
 // read makes the tree of a whole body; an empty one is an empty object. Guards against nesting without end, duplicate
@@ -112,7 +112,7 @@
 func read(text []byte) (*reader, *node, error) {
 	r := &reader{src: text}
 	if len(text) > textMost {
-		return nil, nil, &Error{Status: 413, Type: "illegal_argument_exception",
+		return nil, nil, &APIError{Status: 413, Type: "illegal_argument_exception",
 			Reason: fmt.Sprintf("a body of %d bytes, %d at the most", len(text), textMost)}
 	}
 	if !utf8.Valid(text) {
--- a/opensearch/query/merge.go
+++ b/opensearch/query/merge.go
@@ -18,38 +18,38 @@
 	exactKeys   = keysMost
 )
 
-// Failure is a part that is not in, and why.
-type Failure struct {
+// ShardFailure is a part that is not in, and why.
+type ShardFailure struct {
 	Shard  int
 	Index  string
 	Type   string
 	Reason string
 }
 
-// Outcome is what a search has come to: the parts that are in, and those that are not.
-type Outcome struct {
-	Answers  []*Answer
-	Failures []Failure
-	Skipped  int   // parts that were not needed
-	Took     int64 // ms
-	TimedOut bool
+// SearchOutcome is what a search has come to: the parts that are in, and those that are not.
+type SearchOutcome struct {
+	Responses  []*ShardResponse
+	Failures   []ShardFailure
+	Skipped    int   // parts that were not needed
+	TookMillis int64 // ms
+	TimedOut   bool
 }
 
-// Merge puts the parts' answers together as the API answers a search. It does not depend on the order they came in.
+// MergeResponses puts the parts' answers together as the API answers a search. It does not depend on the order they came in.
 // A member on two parts counts once, as the part with the lower number has it. Totals and aggregations of less than
 // all parts are told as such: the relation of the total is gte, and _shards tells how many are in.
-func (q *Request) Merge(o Outcome) []byte {
-	whole := q.join(o.Answers)
-	merged, doubled := q.all(o.Answers)
-	whole.Doubled += doubled
-	hits, total, atLeast := merged[:min(len(merged), q.From+q.Size)], whole.Total, whole.AtLeast
+func (q *Request) MergeResponses(o SearchOutcome) []byte {
+	whole := q.join(o.Responses)
+	merged, doubled := q.all(o.Responses)
+	whole.DuplicateHits += doubled
+	hits, total, atLeast := merged[:min(len(merged), q.From+q.Size)], whole.Total, whole.TotalIsLowerBound
 	atLeast = atLeast || len(o.Failures)+o.Skipped > 0
 	var best *float64
-	if k := q.Sort[0]; k.Field == "_score" && k.Desc && len(hits) > 0 && len(q.After) == 0 {
+	if k := q.Sort[0]; k.Field == "_score" && k.Descending && len(hits) > 0 && len(q.SearchAfter) == 0 {
 		best = hits[0].Score
 	}
-	if total -= whole.Doubled; q.TrackTotal < math.MaxInt && total > q.TrackTotal {
-		total, atLeast = q.TrackTotal, true
+	if total -= whole.DuplicateHits; q.TrackTotalHits < math.MaxInt && total > q.TrackTotalHits {
+		total, atLeast = q.TrackTotalHits, true
 	}
 	if len(hits) > q.From {
 		hits = hits[q.From:]
@@ -74,15 +74,15 @@
 		dst = append(dst, ']')
 	}
 	dst = strconv.AppendInt(append(dst, `,"skipped":`...), int64(o.Skipped), 10)
-	dst = strconv.AppendInt(append(dst, `,"successful":`...), int64(whole.Parts+o.Skipped), 10)
-	dst = strconv.AppendInt(append(dst, `,"total":`...), int64(whole.Parts+len(o.Failures)+o.Skipped), 10)
+	dst = strconv.AppendInt(append(dst, `,"successful":`...), int64(whole.ShardCount+o.Skipped), 10)
+	dst = strconv.AppendInt(append(dst, `,"total":`...), int64(whole.ShardCount+len(o.Failures)+o.Skipped), 10)
 	dst = append(dst, '}')
-	if len(q.Aggs) > 0 {
+	if len(q.Aggregations) > 0 {
 		var got []map[string]any
 		for _, p := range whole.aggs {
 			got = append(got, p.aggs)
 		}
-		text, _ := json.Marshal(mergeAggs(q.Aggs, got))
+		text, _ := json.Marshal(mergeAggs(q.Aggregations, got))
 		dst = append(append(dst, `,"aggregations":`...), text...)
 	}
 	dst = append(dst, `,"hits":{"hits":[`...)
@@ -90,10 +90,10 @@
 		if i > 0 {
 			dst = append(dst, ',')
 		}
-		dst = hits[i].append(dst, q.Sorted)
+		dst = hits[i].append(dst, q.SortRequested)
 	}
 	dst = appendScore(append(dst, `],"max_score":`...), best)
-	if q.TrackTotal > 0 {
+	if q.TrackTotalHits > 0 {
 		relation := "eq"
 		if atLeast {
 			relation = "gte"
@@ -102,11 +102,11 @@
 		dst = append(strconv.AppendInt(dst, int64(total), 10), '}')
 	}
 	dst = append(dst, '}')
-	if whole.Early {
+	if whole.TerminatedEarly {
 		dst = append(dst, `,"terminated_early":true`...)
 	}
 	dst = strconv.AppendBool(append(dst, `,"timed_out":`...), o.TimedOut)
-	return append(strconv.AppendInt(append(dst, `,"took":`...), o.Took, 10), '}')
+	return append(strconv.AppendInt(append(dst, `,"took":`...), o.TookMillis, 10), '}')
 }
 
 // append writes a hit: what its host gave as the source, byte for byte.
@@ -148,12 +148,12 @@
 	return append(dst, text...)
 }
 
-// Join puts answers together so that they can be joined or merged further: whatever the order and the grouping, the
+// JoinResponses puts answers together so that they can be joined or merged further: whatever the order and the grouping, the
 // result is the same. All hits stay, since one that is beyond the page may be there twice in what comes later.
-func (q *Request) Join(answers ...*Answer) *Answer {
+func (q *Request) JoinResponses(answers ...*ShardResponse) *ShardResponse {
 	out := q.join(answers)
 	hits, doubled := q.all(answers)
-	out.Doubled += doubled
+	out.DuplicateHits += doubled
 	for _, h := range hits {
 		out.Hits = append(out.Hits, *h)
 	}
@@ -161,12 +161,12 @@
 }
 
 // join adds up all but the hits.
-func (q *Request) join(answers []*Answer) *Answer {
-	out := &Answer{Shard: math.MaxInt}
+func (q *Request) join(answers []*ShardResponse) *ShardResponse {
+	out := &ShardResponse{Shard: math.MaxInt}
 	for _, a := range answers {
 		out.Shard = min(out.Shard, a.Shard)
-		out.Parts, out.Total, out.Doubled = out.Parts+a.Parts, out.Total+a.Total, out.Doubled+a.Doubled
-		out.AtLeast, out.Early = out.AtLeast || a.AtLeast, out.Early || a.Early
+		out.ShardCount, out.Total, out.DuplicateHits = out.ShardCount+a.ShardCount, out.Total+a.Total, out.DuplicateHits+a.DuplicateHits
+		out.TotalIsLowerBound, out.TerminatedEarly = out.TotalIsLowerBound || a.TotalIsLowerBound, out.TerminatedEarly || a.TerminatedEarly
 		out.aggs = append(out.aggs, a.aggs...)
 	}
 	slices.SortStableFunc(out.aggs, func(x, y partAnswer) int { return x.shard - y.shard })
@@ -205,7 +205,7 @@
 
 // all merges the hits of all answers, a member that is there twice as its first, and counts the others. The heap holds
 // a list an answer, so that no more is held than the answers themselves.
-func (q *Request) all(answers []*Answer) (hits []*Hit, doubled int) {
+func (q *Request) all(answers []*ShardResponse) (hits []*Hit, doubled int) {
 	c := cursors{q, make([][]Hit, 0, len(answers))}
 	n := 0
 	for _, a := range answers {
@@ -237,7 +237,7 @@
 	return hits, doubled
 }
 
-func mergeAggs(aggs []Agg, got []map[string]any) map[string]any {
+func mergeAggs(aggs []Aggregation, got []map[string]any) map[string]any {
 	out := map[string]any{}
 	for _, a := range aggs {
 		of := func(suffix string) (all []map[string]any) {
@@ -306,13 +306,13 @@
 
 // mergeTerms adds up buckets. A part whose list was cut may hold up to its last count of any key that it did not
 // tell: that is the error bound of the whole, as the API tells it.
-func mergeTerms(a Agg, all []map[string]any) map[string]any {
+func mergeTerms(a Aggregation, all []map[string]any) map[string]any {
 	buckets, others, bound := map[string]*bucket{}, int64(0), int64(0)
 	for _, one := range all {
 		rest, _ := number(one["sum_other_doc_count"])
 		others += int64(rest)
 		list := one["buckets"].([]any)
-		if n := len(list); rest > 0 && n > 0 && !a.ByKey {
+		if n := len(list); rest > 0 && n > 0 && !a.OrderByKey {
 			last, _ := number(list[n-1].(map[string]any)["doc_count"])
 			bound += int64(last)
 		}
@@ -334,10 +334,10 @@
 		list = append(list, b)
 	}
 	slices.SortFunc(list, func(x, y *bucket) int {
-		if !a.ByKey && x.count != y.count {
+		if !a.OrderByKey && x.count != y.count {
 			return int(y.count - x.count)
 		}
-		return order(x.key, y.key, SortKey{Desc: a.ByKey && !a.Asc})
+		return order(x.key, y.key, SortKey{Descending: a.OrderByKey && !a.Ascending})
 	})
 	out := []any{}
 	for i, b := range list {
@@ -346,8 +346,8 @@
 			continue
 		}
 		m := map[string]any{"key": b.key, "doc_count": b.count}
-		if len(a.Subs) > 0 {
-			for name, v := range mergeAggs(a.Subs, b.subs) {
+		if len(a.SubAggregations) > 0 {
+			for name, v := range mergeAggs(a.SubAggregations, b.subs) {
 				m[name] = v
 			}
 		}
@@ -383,7 +383,7 @@
 }
 
 // mergePoints puts the parts' quantiles into one digest, each point with the weight of its part.
-func mergePoints(a Agg, points, counts []map[string]any) map[string]any {
+func mergePoints(a Aggregation, points, counts []map[string]any) map[string]any {
 	digest := tdigest.NewWithCompression(compression)
 	total := 0.0
 	for i, one := range points {
@@ -407,7 +407,7 @@
 		}
 	}
 	out := map[string]any{}
-	for _, p := range a.Percents {
+	for _, p := range a.Percentiles {
 		name := fmt.Sprint(p)
 		if !strings.Contains(name, ".") {
 			name += ".0"
--- a/opensearch/query/parse.go
+++ b/opensearch/query/parse.go
@@ -12,30 +12,30 @@
 
 // Clause is one clause of a query, checked.
 type Clause struct {
-	Kind      string
-	Field     string
-	Values    []any                // of term, terms, ids, prefix and match
-	Bounds    map[string]any       // of range: gt, gte, lt, lte
-	And       bool                 // of match: every word has to be there
-	Of        map[string][]*Clause // of bool: must, filter, should, must_not; of constant_score: filter
-	MinShould int                  // of bool: should clauses that have to match
-	Boost     float64
+	Kind               string
+	Field              string
+	Values             []any                // of term, terms, ids, prefix and match
+	Bounds             map[string]any       // of range: gt, gte, lt, lte
+	MatchAll           bool                 // of match: every word has to be there
+	Clauses            map[string][]*Clause // of bool: must, filter, should, must_not; of constant_score: filter
+	MinimumShouldMatch int                  // of bool: should clauses that have to match
+	Boost              float64
 }
 
 // SortKey is one key of a sort; Missing is "_first" or "_last", or a value that stands for a missing one.
 type SortKey struct {
-	Field   string
-	Desc    bool
-	Missing any
+	Field      string
+	Descending bool
+	Missing    any
 }
 
-// Agg is one aggregation.
-type Agg struct {
-	Name, Kind, Field string
-	Size              int       // of terms
-	Percents          []float64 // of percentiles
-	ByKey, Asc        bool      // of terms: the order
-	Subs              []Agg
+// Aggregation is one aggregation.
+type Aggregation struct {
+	Name, Kind, Field     string
+	Size                  int       // of terms
+	Percentiles           []float64 // of percentiles
+	OrderByKey, Ascending bool      // of terms: the order
+	SubAggregations       []Aggregation
 }
 
 // Request is a search, checked and normalised.
@@ -43,16 +43,16 @@
 	Query          *Clause
 	From, Size     int
 	Sort           []SortKey // the last is _id
-	Sorted         bool      // the client named a sort: hits carry their sort values
-	After          []any
-	Source         bool
-	Includes       []string
-	Excludes       []string
-	TrackTotal     int // hits counted at least; math.MaxInt for all, 0 for none
+	SortRequested  bool      // the client named a sort: hits carry their sort values
+	SearchAfter    []any
+	IncludeSource  bool
+	SourceIncludes []string
+	SourceExcludes []string
+	TrackTotalHits int // hits counted at least; math.MaxInt for all, 0 for none
 	MinScore       *float64
 	Timeout        time.Duration // 0 for none
 	TerminateAfter int
-	Aggs           []Agg
+	Aggregations   []Aggregation
 }
 
 const (
@@ -96,13 +96,13 @@
 	return r.fault(at, "unknown %s [%.100s]", what, word)
 }
 
-// Parse reads and checks a search's body.
-func Parse(text []byte) (*Request, error) {
+// ParseRequest reads and checks a search's body.
+func ParseRequest(text []byte) (*Request, error) {
 	r, n, err := read(text)
 	if err != nil {
 		return nil, err
 	}
-	q := &Request{Query: &Clause{Kind: "match_all", Boost: 1}, Size: sizeUsual, Source: true, TrackTotal: trackUsual}
+	q := &Request{Query: &Clause{Kind: "match_all", Boost: 1}, Size: sizeUsual, IncludeSource: true, TrackTotalHits: trackUsual}
 	clauses := 0
 	for i, f := range n.fields {
 		word := n.names[i].text
@@ -110,9 +110,9 @@
 		case "query":
 			q.Query, err = r.clause(f, &clauses)
 		case "from":
-			q.From, err = r.whole(f, word, 0, WindowMost)
+			q.From, err = r.whole(f, word, 0, MaxResultWindow)
 		case "size":
-			q.Size, err = r.whole(f, word, 0, WindowMost)
+			q.Size, err = r.whole(f, word, 0, MaxResultWindow)
 		case "sort":
 			err = r.sort(f, q)
 		case "search_after":
@@ -132,12 +132,12 @@
 		case "terminate_after":
 			q.TerminateAfter, err = r.whole(f, word, 0, math.MaxInt32)
 		case "aggs", "aggregations":
-			if len(q.Aggs) > 0 {
+			if len(q.Aggregations) > 0 {
 				err = r.fault(n.names[i].at, "both aggs and aggregations")
 				break
 			}
 			count := 0
-			q.Aggs, err = r.aggs(f, 1, &count)
+			q.Aggregations, err = r.aggs(f, 1, &count)
 		default:
 			err = r.notDone(knownBody, word, n.names[i].at, "part of a search")
 		}
@@ -150,22 +150,22 @@
 
 // check looks at what belongs together.
 func (q *Request) check() error {
-	if q.From+q.Size > WindowMost {
+	if q.From+q.Size > MaxResultWindow {
 		return illegal("Result window is too large, from + size must be less than or equal to: [%d] but was [%d]. "+
-			"Use search_after beyond it.", WindowMost, q.From+q.Size)
+			"Use search_after beyond it.", MaxResultWindow, q.From+q.Size)
 	}
 	if len(q.Sort) == 0 {
-		q.Sort = []SortKey{{Field: "_score", Desc: true}}
+		q.Sort = []SortKey{{Field: "_score", Descending: true}}
 	}
-	if len(q.After) > 0 {
-		if !q.Sorted {
+	if len(q.SearchAfter) > 0 {
+		if !q.SortRequested {
 			return illegal("search_after needs a sort")
 		}
 		if q.From > 0 {
 			return illegal("`from` parameter must be set to 0 when `search_after` is used.")
 		}
-		if n := len(q.Sort); len(q.After) != n && !(len(q.After) == n+1 && q.Sort[n-1].Field != "_id") {
-			return illegal("search_after has %d value(s) but sort has %d.", len(q.After), n)
+		if n := len(q.Sort); len(q.SearchAfter) != n && !(len(q.SearchAfter) == n+1 && q.Sort[n-1].Field != "_id") {
+			return illegal("search_after has %d value(s) but sort has %d.", len(q.SearchAfter), n)
 		}
 	}
 	for i, k := range q.Sort {
@@ -176,15 +176,15 @@
 	if q.Sort[len(q.Sort)-1].Field != "_id" {
 		q.Sort = append(q.Sort, SortKey{Field: "_id", Missing: "_last"})
 	}
-	if n := len(q.After); n > 0 && n < len(q.Sort) { // behind all members that share the values told, as the API has it
-		q.After = append(q.After, string(utf8.MaxRune))
+	if n := len(q.SearchAfter); n > 0 && n < len(q.Sort) { // behind all members that share the values told, as the API has it
+		q.SearchAfter = append(q.SearchAfter, string(utf8.MaxRune))
 	}
 	return nil
 }
 
 func (r *reader) clause(n *node, count *int) (*Clause, error) {
 	if *count++; *count > clausesMost {
-		return nil, &Error{Status: 400, Type: "too_many_clauses", Reason: "maxClauseCount is set to " + strconv.Itoa(clausesMost)}
+		return nil, &APIError{Status: 400, Type: "too_many_clauses", Reason: "maxClauseCount is set to " + strconv.Itoa(clausesMost)}
 	}
 	if err := r.want(n, object, "query"); err != nil {
 		return nil, err
@@ -240,7 +240,7 @@
 	case "bool":
 		err = r.boolClause(body, c, count)
 	case "constant_score":
-		c.Of = map[string][]*Clause{}
+		c.Clauses = map[string][]*Clause{}
 		err = r.want(body, object, kind)
 		if err == nil {
 			err = r.only(body, kind, c, func(word string, f *node) (bool, error) {
@@ -248,11 +248,11 @@
 					return false, nil
 				}
 				sub, err := r.clause(f, count)
-				c.Of[word] = []*Clause{sub}
+				c.Clauses[word] = []*Clause{sub}
 				return true, err
 			})
 		}
-		if err == nil && len(c.Of["filter"]) == 0 {
+		if err == nil && len(c.Clauses["filter"]) == 0 {
 			err = r.fault(body.at, "[constant_score] has no filter")
 		}
 	default:
@@ -323,7 +323,7 @@
 		err = r.only(f, c.Kind, c, func(w string, g *node) (bool, error) {
 			if c.Kind == "match" && w == "operator" {
 				op := strings.ToLower(g.text)
-				if c.And = op == "and"; op != "and" && op != "or" {
+				if c.MatchAll = op == "and"; op != "and" && op != "or" {
 					return true, r.fault(g.at, "[operator] is neither and nor or")
 				}
 				return true, nil
@@ -418,7 +418,7 @@
 	if err := r.want(n, object, c.Kind); err != nil {
 		return err
 	}
-	c.Of = map[string][]*Clause{}
+	c.Clauses = map[string][]*Clause{}
 	var least *node
 	err := r.only(n, c.Kind, c, func(word string, f *node) (bool, error) {
 		switch word {
@@ -432,7 +432,7 @@
 				if err != nil {
 					return true, err
 				}
-				c.Of[word] = append(c.Of[word], sub)
+				c.Clauses[word] = append(c.Clauses[word], sub)
 			}
 			return true, nil
 		case "minimum_should_match":
@@ -444,9 +444,9 @@
 	if err != nil {
 		return err
 	}
-	should := len(c.Of["should"])
-	if c.MinShould = 0; should > 0 && len(c.Of["must"])+len(c.Of["filter"]) == 0 {
-		c.MinShould = 1
+	should := len(c.Clauses["should"])
+	if c.MinimumShouldMatch = 0; should > 0 && len(c.Clauses["must"])+len(c.Clauses["filter"]) == 0 {
+		c.MinimumShouldMatch = 1
 	}
 	if least == nil {
 		return nil
@@ -468,7 +468,7 @@
 	if v < 0 {
 		v = should + v
 	}
-	c.MinShould = max(0, v)
+	c.MinimumShouldMatch = max(0, v)
 	return nil
 }
 
@@ -485,10 +485,10 @@
 		switch {
 		case item.kind == str:
 			k.Field = item.text
-			k.Desc = k.Field == "_score"
+			k.Descending = k.Field == "_score"
 		case item.kind == object && len(item.names) == 1:
 			k.Field = item.names[0].text
-			k.Desc = k.Field == "_score"
+			k.Descending = k.Field == "_score"
 			f := item.fields[0]
 			if f.kind == str {
 				f = &node{kind: object, at: f.at, names: []name{{"order", f.at}}, fields: []*node{f}}
@@ -499,7 +499,7 @@
 			for i, g := range f.fields {
 				switch word := f.names[i].text; word {
 				case "order":
-					if k.Desc = g.text == "desc"; g.kind != str || g.text != "asc" && g.text != "desc" {
+					if k.Descending = g.text == "desc"; g.kind != str || g.text != "asc" && g.text != "desc" {
 						return r.fault(g.at, "[order] is neither asc nor desc")
 					}
 				case "missing":
@@ -525,7 +525,7 @@
 		case slices.ContainsFunc(q.Sort, func(o SortKey) bool { return o.Field == k.Field }):
 			return r.fault(item.at, "sort key [%.100s] is there twice", k.Field)
 		}
-		q.Sort, q.Sorted = append(q.Sort, k), true
+		q.Sort, q.SortRequested = append(q.Sort, k), true
 	}
 	return nil
 }
@@ -538,10 +538,10 @@
 		if item.kind == object || item.kind == list {
 			return r.fault(item.at, "[search_after] holds plain values")
 		}
-		q.After = append(q.After, item.raw())
+		q.SearchAfter = append(q.SearchAfter, item.raw())
 	}
-	if len(q.After) == 0 || len(q.After) > sortMost+1 {
-		return r.fault(n.at, "[search_after] has %d values", len(q.After))
+	if len(q.SearchAfter) == 0 || len(q.SearchAfter) > sortMost+1 {
+		return r.fault(n.at, "[search_after] has %d values", len(q.SearchAfter))
 	}
 	return nil
 }
@@ -564,16 +564,16 @@
 	var err error
 	switch n.kind {
 	case truth:
-		q.Source = n.text == "true"
+		q.IncludeSource = n.text == "true"
 	case str, list:
-		q.Includes, err = strs(n)
+		q.SourceIncludes, err = strs(n)
 	case object:
 		for i, f := range n.fields {
 			switch n.names[i].text {
 			case "includes", "include":
-				q.Includes, err = strs(f)
+				q.SourceIncludes, err = strs(f)
 			case "excludes", "exclude":
-				q.Excludes, err = strs(f)
+				q.SourceExcludes, err = strs(f)
 			default:
 				err = r.fault(n.names[i].at, "[_source] does not know [%.100s]", n.names[i].text)
 			}
@@ -590,11 +590,11 @@
 func (r *reader) track(n *node, q *Request) (err error) {
 	switch {
 	case n.kind == truth && n.text == "true":
-		q.TrackTotal = math.MaxInt
+		q.TrackTotalHits = math.MaxInt
 	case n.kind == truth:
-		q.TrackTotal = 0
+		q.TrackTotalHits = 0
 	default:
-		q.TrackTotal, err = r.whole(n, "track_total_hits", 1, math.MaxInt32)
+		q.TrackTotalHits, err = r.whole(n, "track_total_hits", 1, math.MaxInt32)
 	}
 	return err
 }
@@ -603,15 +603,15 @@
 	if err := r.want(n, str, "timeout"); err != nil {
 		return 0, err
 	}
-	d, err := Span(n.text)
+	d, err := ParseDuration(n.text)
 	if err != nil {
 		return 0, r.fault(n.at, "%v", err)
 	}
 	return d, nil
 }
 
-// Span reads a time in the API's units: nanos, micros, ms, s, m, h, d.
-func Span(text string) (time.Duration, error) {
+// ParseDuration reads a time in the API's units: nanos, micros, ms, s, m, h, d.
+func ParseDuration(text string) (time.Duration, error) {
 	for _, u := range []struct {
 		word string
 		each time.Duration
@@ -631,19 +631,19 @@
 	return 0, illegal("[%.40s] is no time such as 500ms or 2s", text)
 }
 
-func (r *reader) aggs(n *node, depth int, count *int) ([]Agg, error) {
+func (r *reader) aggs(n *node, depth int, count *int) ([]Aggregation, error) {
 	if err := r.want(n, object, "aggs"); err != nil {
 		return nil, err
 	}
 	if depth > aggDepth {
 		return nil, illegal("aggregations over %d deep", aggDepth)
 	}
-	var all []Agg
+	var all []Aggregation
 	for i, f := range n.fields {
 		if *count++; *count > aggsMost {
 			return nil, illegal("over %d aggregations", aggsMost)
 		}
-		a := Agg{Name: n.names[i].text}
+		a := Aggregation{Name: n.names[i].text}
 		if a.Name == "" || len(a.Name) > nameMost || strings.ContainsAny(a.Name, "[]>") {
 			return nil, r.fault(n.names[i].at, "[%.100s] is no name for an aggregation", a.Name)
 		}
@@ -676,7 +676,7 @@
 				return nil, r.fault(subs.at, "[%s] takes no aggregations of its own", a.Kind)
 			}
 			var err error
-			if a.Subs, err = r.aggs(subs, depth+1, count); err != nil {
+			if a.SubAggregations, err = r.aggs(subs, depth+1, count); err != nil {
 				return nil, err
 			}
 		}
@@ -685,7 +685,7 @@
 	return all, nil
 }
 
-func (r *reader) agg(n *node, a *Agg, at int) error {
+func (r *reader) agg(n *node, a *Aggregation, at int) error {
 	switch a.Kind {
 	case "terms", "min", "max", "sum", "avg", "value_count", "cardinality", "percentiles":
 	default:
@@ -694,7 +694,7 @@
 	if err := r.want(n, object, a.Kind); err != nil {
 		return err
 	}
-	a.Size, a.Percents = termsUsual, percentsUsual
+	a.Size, a.Percentiles = termsUsual, percentsUsual
 	var err error
 	for i, f := range n.fields {
 		word := n.names[i].text
@@ -724,27 +724,27 @@
 	return nil
 }
 
-func (r *reader) order(n *node, a *Agg) error {
+func (r *reader) order(n *node, a *Aggregation) error {
 	if n.kind != object || len(n.names) != 1 {
 		return illegal("an order of several keys is known to the API and not done here")
 	}
-	if a.ByKey = n.names[0].text == "_key"; !a.ByKey && n.names[0].text != "_count" {
+	if a.OrderByKey = n.names[0].text == "_key"; !a.OrderByKey && n.names[0].text != "_count" {
 		return illegal("order by [%.100s] is known to the API and not done here; by _count or _key is", n.names[0].text)
 	}
-	if a.Asc = n.fields[0].text == "asc"; !a.Asc && n.fields[0].text != "desc" {
+	if a.Ascending = n.fields[0].text == "asc"; !a.Ascending && n.fields[0].text != "desc" {
 		return r.fault(n.fields[0].at, "[order] is neither asc nor desc")
 	}
-	if a.Asc && !a.ByKey {
+	if a.Ascending && !a.OrderByKey {
 		return illegal("order by rising _count is known to the API and not done here: its errors have no bound")
 	}
 	return nil
 }
 
-func (r *reader) percents(n *node, a *Agg) error {
+func (r *reader) percents(n *node, a *Aggregation) error {
 	if err := r.want(n, list, "percents"); err != nil {
 		return err
 	}
-	a.Percents = nil
+	a.Percentiles = nil
 	for _, item := range n.items {
 		v, err := r.number(item, "percents")
 		if err != nil {
@@ -753,10 +753,10 @@
 		if v < 0 || v > 100 {
 			return r.fault(item.at, "a percent of %g", v)
 		}
-		a.Percents = append(a.Percents, v)
+		a.Percentiles = append(a.Percentiles, v)
 	}
-	if len(a.Percents) == 0 || len(a.Percents) > 100 {
-		return r.fault(n.at, "%d percents", len(a.Percents))
+	if len(a.Percentiles) == 0 || len(a.Percentiles) > 100 {
+		return r.fault(n.at, "%d percents", len(a.Percentiles))
 	}
 	return nil
 }
--- a/opensearch/query/part.go
+++ b/opensearch/query/part.go
@@ -25,27 +25,27 @@
 	asTerms  = "#terms"
 )
 
-// Part is the body that a part asks a host with: the same for all parts of a search. Each asks for all hits that the
+// ShardRequestBody is the body that a part asks a host with: the same for all parts of a search. Each asks for all hits that the
 // whole may need, under one fixed order that ends with _id, and for what its aggregations are put together from.
-func (q *Request) Part() []byte {
+func (q *Request) ShardRequestBody() []byte {
 	dst := append(make([]byte, 0, 512), '{') // names come sorted: equal searches have equal texts
 	switch {
-	case !q.Source:
+	case !q.IncludeSource:
 		dst = append(dst, `"_source":false,`...)
-	case len(q.Includes)+len(q.Excludes) > 0:
-		dst = appendTexts(append(dst, `"_source":{"excludes":`...), q.Excludes)
-		dst = append(appendTexts(append(dst, `,"includes":`...), q.Includes), `},`...)
+	case len(q.SourceIncludes)+len(q.SourceExcludes) > 0:
+		dst = appendTexts(append(dst, `"_source":{"excludes":`...), q.SourceExcludes)
+		dst = append(appendTexts(append(dst, `,"includes":`...), q.SourceIncludes), `},`...)
 	}
-	if len(q.Aggs) > 0 {
-		text, _ := json.Marshal(partAggs(q.Aggs))
+	if len(q.Aggregations) > 0 {
+		text, _ := json.Marshal(partAggs(q.Aggregations))
 		dst = append(append(append(dst, `"aggs":`...), text...), ',')
 	}
 	if q.MinScore != nil {
 		dst = append(appendValue(append(dst, `"min_score":`...), *q.MinScore), ',')
 	}
 	dst = q.Query.append(append(dst, `"query":`...))
-	if len(q.After) > 0 {
-		dst = appendValues(append(dst, `,"search_after":`...), q.After)
+	if len(q.SearchAfter) > 0 {
+		dst = appendValues(append(dst, `,"search_after":`...), q.SearchAfter)
 	}
 	dst = append(strconv.AppendInt(append(dst, `,"size":`...), int64(q.From+q.Size), 10), `,"sort":[`...)
 	scores := false
@@ -59,7 +59,7 @@
 		} else if k.Field != "_id" {
 			dst = append(appendValue(append(dst, `"missing":`...), k.Missing), ',')
 		}
-		if k.Desc {
+		if k.Descending {
 			dst = append(dst, `"order":"desc"}}`...)
 		} else {
 			dst = append(dst, `"order":"asc"}}`...)
@@ -72,13 +72,13 @@
 	if scores {
 		dst = append(dst, `,"track_scores":true`...)
 	}
-	switch dst = append(dst, `,"track_total_hits":`...); q.TrackTotal {
+	switch dst = append(dst, `,"track_total_hits":`...); q.TrackTotalHits {
 	case math.MaxInt:
 		dst = append(dst, "true"...)
 	case 0:
 		dst = append(dst, "false"...)
 	default:
-		dst = strconv.AppendInt(dst, int64(q.TrackTotal), 10)
+		dst = strconv.AppendInt(dst, int64(q.TrackTotalHits), 10)
 	}
 	return append(dst, '}')
 }
@@ -106,7 +106,7 @@
 		field("value")
 		dst = appendValue(dst, c.Values[0])
 	case "match":
-		if c.And {
+		if c.MatchAll {
 			field("operator")
 			dst = append(dst, `"and"`...)
 		}
@@ -130,18 +130,18 @@
 		}
 	case "constant_score":
 		field("filter")
-		dst = c.Of["filter"][0].append(dst)
+		dst = c.Clauses["filter"][0].append(dst)
 	case "bool":
-		if len(c.Of["should"]) > 0 {
+		if len(c.Clauses["should"]) > 0 {
 			field("minimum_should_match")
-			dst = strconv.AppendInt(dst, int64(c.MinShould), 10)
+			dst = strconv.AppendInt(dst, int64(c.MinimumShouldMatch), 10)
 		}
 		for _, word := range []string{"filter", "must", "must_not", "should"} {
-			if c.Of[word] == nil {
+			if c.Clauses[word] == nil {
 				continue
 			}
 			field(word)
-			dst = appendList(dst, c.Of[word], func(dst []byte, sub *Clause) []byte { return sub.append(dst) })
+			dst = appendList(dst, c.Clauses[word], func(dst []byte, sub *Clause) []byte { return sub.append(dst) })
 		}
 	}
 	if dst = append(dst, `}}`...); inner {
@@ -179,23 +179,23 @@
 	return append(dst, ']')
 }
 
-func partAggs(aggs []Agg) map[string]any {
+func partAggs(aggs []Aggregation) map[string]any {
 	out := map[string]any{}
 	for _, a := range aggs {
 		switch a.Kind {
 		case "terms":
 			order := map[string]any{"_count": "desc"}
 			size := a.Size + a.Size/2 + shardExtra
-			if a.ByKey {
+			if a.OrderByKey {
 				order = map[string]any{"_key": "desc"}
-				if a.Asc {
+				if a.Ascending {
 					order["_key"] = "asc"
 				}
 				size = a.Size // by key, no part can miss a bucket that belongs to the whole
 			}
 			one := map[string]any{"terms": map[string]any{"field": a.Field, "size": size, "order": order}}
-			if len(a.Subs) > 0 {
-				one["aggs"] = partAggs(a.Subs)
+			if len(a.SubAggregations) > 0 {
+				one["aggs"] = partAggs(a.SubAggregations)
 			}
 			out[a.Name+asTerms] = one
 		case "cardinality":
@@ -249,16 +249,16 @@
 	return []byte("null"), nil
 }
 
-// Answer is what a host answered to a part, checked, or several such joined.
-type Answer struct {
-	Shard   int // the lowest of those that are joined
-	Parts   int // how many are
-	Total   int
-	Doubled int  // hits that were there more than once
-	AtLeast bool // the total is a lower bound
-	Early   bool // a host stopped at terminate_after
-	Hits    []Hit
-	aggs    []partAnswer
+// ShardResponse is what a host answered to a part, checked, or several such joined.
+type ShardResponse struct {
+	Shard             int // the lowest of those that are joined
+	ShardCount        int // how many are
+	Total             int
+	DuplicateHits     int  // hits that were there more than once
+	TotalIsLowerBound bool // the total is a lower bound
+	TerminatedEarly   bool // a host stopped at terminate_after
+	Hits              []Hit
+	aggs              []partAnswer
 }
 
 // partAnswer is what one part told for the aggregations.
@@ -267,8 +267,8 @@
 	aggs  map[string]any
 }
 
-// Placed looks that all hits are of the block that was asked, by the rule that places them.
-func (a *Answer) Placed(p *Placement) error {
+// CheckPlacement looks that all hits are of the block that was asked, by the rule that places them.
+func (a *ShardResponse) CheckPlacement(p *Placement) error {
 	for _, h := range a.Hits {
 		if err := p.holds(a.Shard, h.ID, h.routing); err != nil {
 			return err
@@ -277,15 +277,15 @@
 	return nil
 }
 
-// ErrAnswer is a host's answer that cannot be used. The part may have run; the host has failed it.
-var ErrAnswer = errors.New("a host's answer that cannot be used")
+// ErrInvalidResponse is a host's answer that cannot be used. The part may have run; the host has failed it.
+var ErrInvalidResponse = errors.New("a host's answer that cannot be used")
 
 func spoilt(format string, v ...any) error {
-	return fmt.Errorf("%w: %s", ErrAnswer, fmt.Sprintf(format, v...))
+	return fmt.Errorf("%w: %s", ErrInvalidResponse, fmt.Sprintf(format, v...))
 }
 
 // checkAggs looks that all that was asked for is there in its form.
-func (q *Request) checkAggs(aggs []Agg, got map[string]any) error {
+func (q *Request) checkAggs(aggs []Aggregation, got map[string]any) error {
 	for name, asked := range partAggs(aggs) {
 		one, _ := got[name].(map[string]any)
 		if one == nil {
@@ -320,11 +320,11 @@
 		}
 	}
 	for _, a := range aggs {
-		if len(a.Subs) == 0 {
+		if len(a.SubAggregations) == 0 {
 			continue
 		}
 		for _, b := range got[a.Name+asTerms].(map[string]any)["buckets"].([]any) {
-			if err := q.checkAggs(a.Subs, b.(map[string]any)); err != nil {
+			if err := q.checkAggs(a.SubAggregations, b.(map[string]any)); err != nil {
 				return err
 			}
 		}
@@ -366,7 +366,7 @@
 			c = exact(json.Number(v.text), json.Number(w.text))
 		}
 	}
-	if k.Desc {
+	if k.Descending {
 		c = -c
 	}
 	return c
@@ -401,7 +401,7 @@
 	default:
 		c = strings.Compare(fmt.Sprint(a), fmt.Sprint(b))
 	}
-	if k.Desc {
+	if k.Descending {
 		c = -c
 	}
 	return c
--- a/opensearch/query/place.go
+++ b/opensearch/query/place.go
@@ -21,8 +21,8 @@
 	RoutingShards int `yaml:"number_of_routing_shards"`
 }
 
-// Slots are the routing shards in force.
-func (p Placement) Slots() int {
+// EffectiveRoutingShards are the routing shards in force.
+func (p Placement) EffectiveRoutingShards() int {
 	if p.RoutingShards > 0 {
 		return p.RoutingShards
 	}
@@ -30,18 +30,18 @@
 	return p.Shards << splits
 }
 
-// Check looks at the numbers: the API wants the one to be a multiple of the other.
-func (p Placement) Check() bool {
-	return p.Shards > 0 && p.Shards <= slotsMost && p.RoutingShards >= 0 && p.Slots()%p.Shards == 0
+// IsValid looks at the numbers: the API wants the one to be a multiple of the other.
+func (p Placement) IsValid() bool {
+	return p.Shards > 0 && p.Shards <= slotsMost && p.RoutingShards >= 0 && p.EffectiveRoutingShards()%p.Shards == 0
 }
 
-// Block is where the member with this routing value is.
-func (p Placement) Block(routing string) int {
+// ShardFor is where the member with this routing value is.
+func (p Placement) ShardFor(routing string) int {
 	var text []byte
 	for _, unit := range utf16.Encode([]rune(routing)) {
 		text = binary.LittleEndian.AppendUint16(text, unit)
 	}
-	slots := p.Slots()
+	slots := p.EffectiveRoutingShards()
 	slot := int(int32(murmur3.SeedSum32(0, text))) % slots
 	if slot < 0 {
 		slot += slots
@@ -58,7 +58,7 @@
 	if p == nil {
 		return nil
 	}
-	if own := p.Block(routing); own != shard {
+	if own := p.ShardFor(routing); own != shard {
 		return spoilt("hit %.60q is of block %d, %d was asked", id, own, shard)
 	}
 	return nil
--- a/opensearch/query/query_test.go
+++ b/opensearch/query/query_test.go
@@ -28,7 +28,7 @@
 }
 
 func parse(t require.TestingT, text string) *query.Request {
-	q, err := query.Parse([]byte(text))
+	q, err := query.ParseRequest([]byte(text))
 	require.NoError(t, err, text)
 	return q
 }
@@ -104,7 +104,7 @@
 }
 
 // split deals members to parts and answers each; the result is in no fixed order.
-func split(t require.TestingT, q *query.Request, all []fake.Member, parts int, c *rand.Rand) []*query.Answer {
+func split(t require.TestingT, q *query.Request, all []fake.Member, parts int, c *rand.Rand) []*query.ShardResponse {
 	blocks := make([]fake.Members, parts)
 	for _, m := range all {
 		b := &blocks[c.Intn(parts)]
@@ -112,13 +112,13 @@
 			b.All = append(b.All, m)
 		}
 	}
-	var answers []*query.Answer
+	var answers []*query.ShardResponse
 	for i := range blocks {
 		blocks[i].Index = "members"
-		text, err := blocks[i].Search(q.Part())
+		text, err := blocks[i].Search(q.ShardRequestBody())
 		require.NoError(t, err)
-		a, err := q.ReadAnswer(i, "members", text)
-		require.NoError(t, err, "%s\n%s", q.Part(), text)
+		a, err := q.ParseResponse(i, "members", text)
+		require.NoError(t, err, "%s\n%s", q.ShardRequestBody(), text)
 		answers = append(answers, a)
 	}
 	c.Shuffle(len(answers), func(i, j int) { answers[i], answers[j] = answers[j], answers[i] })
@@ -143,8 +143,8 @@
 		c := rand.New(rand.NewSource(int64(i)))
 		text := search(c)
 		q := parse(t, text)
-		one := decoded(t, q.Merge(query.Outcome{Answers: split(t, q, all, 1, c)}))
-		more := decoded(t, q.Merge(query.Outcome{Answers: split(t, q, all, 1+c.Intn(12), c)}))
+		one := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 1, c)}))
+		more := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 1+c.Intn(12), c)}))
 		require.Equal(t, one["hits"], more["hits"], text)
 		a, b := one["aggregations"].(map[string]any), more["aggregations"].(map[string]any)
 		p, r := a["p"], b["p"]
@@ -160,7 +160,7 @@
 		}
 		// An independent look at totals and the order of hits.
 		ref := fake.Members{Index: "members", All: all}
-		got, err := ref.Search(q.Part())
+		got, err := ref.Search(q.ShardRequestBody())
 		require.NoError(t, err)
 		want := decoded(t, got)["hits"].(map[string]any)
 		require.Equal(t, want["total"], more["hits"].(map[string]any)["total"])
@@ -184,13 +184,13 @@
 		q := parse(t, search(c))
 		twice := append(slices.Clone(all), all[:c.Intn(40)]...)
 		parts := split(t, q, twice, 1+c.Intn(9), c)
-		want := string(q.Merge(query.Outcome{Answers: parts}))
+		want := string(q.MergeResponses(query.SearchOutcome{Responses: parts}))
 		for len(parts) > 1 {
 			i := c.Intn(len(parts) - 1)
 			n := 1 + c.Intn(len(parts)-i)
-			joined := q.Join(parts[i : i+n]...)
+			joined := q.JoinResponses(parts[i : i+n]...)
 			parts = append(append(slices.Clone(parts[:i]), parts[i+n:]...), joined)
-			require.Equal(t, want, string(q.Merge(query.Outcome{Answers: parts})))
+			require.Equal(t, want, string(q.MergeResponses(query.SearchOutcome{Responses: parts})))
 		}
 	})
 }
@@ -202,23 +202,23 @@
 		"The quick brown fox jumps over the lazy cog": 0x4e63d2ad} {
 		for _, shards := range []int{1, 2, 5, 8, 64} {
 			p := query.Placement{Shards: shards}
-			slots := int64(p.Slots())
+			slots := int64(p.EffectiveRoutingShards())
 			slot := (int64(int32(hash))%slots + slots) % slots
-			require.EqualValues(t, slot/(slots/int64(shards)), p.Block(text), text)
+			require.EqualValues(t, slot/(slots/int64(shards)), p.ShardFor(text), text)
 		}
 	}
-	require.Equal(t, 1024, query.Placement{Shards: 1}.Slots())
-	require.Equal(t, 640, query.Placement{Shards: 5}.Slots())
-	require.False(t, query.Placement{Shards: 5, RoutingShards: 8}.Check())
+	require.Equal(t, 1024, query.Placement{Shards: 1}.EffectiveRoutingShards())
+	require.Equal(t, 640, query.Placement{Shards: 5}.EffectiveRoutingShards())
+	require.False(t, query.Placement{Shards: 5, RoutingShards: 8}.IsValid())
 	hit := func(more string) []byte {
 		return []byte(`{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"hits":[{"_index":"i","_id":"hello"` + more + `}]}}`)
 	}
 	p := &query.Placement{Shards: 2, RoutingShards: 2}
-	own, other := p.Block("hello"), p.Block("hello w")
+	own, other := p.ShardFor("hello"), p.ShardFor("hello w")
 	require.NotEqual(t, own, other, "the test wants two texts of two blocks")
-	require.NoError(t, query.CheckAnswer("i", p, own, hit("")))
-	require.ErrorIs(t, query.CheckAnswer("i", p, other, hit("")), query.ErrAnswer)
-	require.NoError(t, query.CheckAnswer("i", p, other, hit(`,"_routing":"hello w"`)))
+	require.NoError(t, query.CheckResponse("i", p, own, hit("")))
+	require.ErrorIs(t, query.CheckResponse("i", p, other, hit("")), query.ErrInvalidResponse)
+	require.NoError(t, query.CheckResponse("i", p, other, hit(`,"_routing":"hello w"`)))
 }
 
 // Pages by search_after, one after another, are all members once.
@@ -229,7 +229,7 @@
 	after := ""
 	for range 20 {
 		q := parse(t, `{"size":10,"sort":[{"town":"asc"},{"rank":{"missing":"_first"}}]`+after+`}`)
-		hits := decoded(t, q.Merge(query.Outcome{Answers: split(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any)
+		hits := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any)
 		if len(hits) == 0 {
 			break
 		}
@@ -241,7 +241,7 @@
 	}
 	require.Len(t, got, 150)
 	q := parse(t, `{"size":100,"sort":["town"],"search_after":["green"]}`) // without the id: none of that town again
-	for _, h := range decoded(t, q.Merge(query.Outcome{Answers: split(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any) {
+	for _, h := range decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any) {
 		require.Equal(t, "red", h.(map[string]any)["_source"].(map[string]any)["town"])
 	}
 	slices.Sort(got)
@@ -252,15 +252,15 @@
 func TestHonest(t *testing.T) {
 	q := parse(t, `{"track_total_hits":true}`)
 	block := fake.Members{Index: "members", All: members(1, 5)}
-	text, _ := block.Search(q.Part())
-	a, err := q.ReadAnswer(0, "members", text)
+	text, _ := block.Search(q.ShardRequestBody())
+	a, err := q.ParseResponse(0, "members", text)
 	require.NoError(t, err)
-	b, _ := q.ReadAnswer(1, "members", text)
-	whole := decoded(t, q.Merge(query.Outcome{Answers: []*query.Answer{b, a}}))
+	b, _ := q.ParseResponse(1, "members", text)
+	whole := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{b, a}}))
 	require.Equal(t, map[string]any{"value": 5.0, "relation": "eq"}, whole["hits"].(map[string]any)["total"])
 	require.Len(t, whole["hits"].(map[string]any)["hits"], 5)
-	part := decoded(t, q.Merge(query.Outcome{Answers: []*query.Answer{a}, Skipped: 1,
-		Failures: []query.Failure{{Shard: 2, Index: "members", Type: "timed_out", Reason: "late"}}}))
+	part := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{a}, Skipped: 1,
+		Failures: []query.ShardFailure{{Shard: 2, Index: "members", Type: "timed_out", Reason: "late"}}}))
 	require.Equal(t, "gte", part["hits"].(map[string]any)["total"].(map[string]any)["relation"])
 	shards := part["_shards"].(map[string]any)
 	require.Equal(t, []any{3.0, 2.0, 1.0, 1.0}, []any{shards["total"], shards["successful"], shards["skipped"], shards["failed"]})
@@ -305,22 +305,22 @@
 		`{} {}`: "behind the end",
 		`{"a":` + strings.Repeat(" ", 1<<20) + `1}`: "a body of",
 	} {
-		_, err := query.Parse([]byte(text))
+		_, err := query.ParseRequest([]byte(text))
 		assert.ErrorContains(t, err, want, "%.80s", text)
-		var e *query.Error
+		var e *query.APIError
 		require.ErrorAs(t, err, &e)
 		require.Contains(t, []int{400, 413}, e.Status)
-		require.True(t, json.Valid(e.Body()))
+		require.True(t, json.Valid(e.ResponseBody()))
 	}
 }
 
 // Numbers beyond 2^53 keep their digits and their order.
 func TestLargeNumbers(t *testing.T) {
 	q := parse(t, `{"query":{"term":{"a":9007199254740993}},"sort":["a"],"search_after":[9007199254740993]}`)
-	require.Contains(t, string(q.Part()), `"value":9007199254740993`)
-	require.Contains(t, string(q.Part()), `"search_after":[9007199254740993,`)
+	require.Contains(t, string(q.ShardRequestBody()), `"value":9007199254740993`)
+	require.Contains(t, string(q.ShardRequestBody()), `"search_after":[9007199254740993,`)
 	answer := func(first, second string) error {
-		_, err := q.ReadAnswer(0, "", []byte(fmt.Sprintf(`{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{
+		_, err := q.ParseResponse(0, "", []byte(fmt.Sprintf(`{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{
 			"total":{"value":2,"relation":"eq"},"hits":[{"_id":"x","sort":[%s,"x"]},{"_id":"y","sort":[%s,"y"]}]}}`, first, second)))
 		return err
 	}
@@ -332,9 +332,9 @@
 func TestSpoiltAnswers(t *testing.T) {
 	q := parse(t, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"},"aggs":{"m":{"max":{"field":"age"}}}}}}`)
 	block := fake.Members{Index: "members", All: members(1, 9)}
-	good, err := block.Search(q.Part())
+	good, err := block.Search(q.ShardRequestBody())
 	require.NoError(t, err)
-	_, err = q.ReadAnswer(0, "members", good)
+	_, err = q.ParseResponse(0, "members", good)
 	require.NoError(t, err)
 	edit := func(do func(m, hits map[string]any)) []byte {
 		m := decoded(t, good)
@@ -366,8 +366,8 @@
 			delete(b, "m#stats")
 		}),
 	} {
-		_, err := q.ReadAnswer(0, "members", text)
-		require.ErrorIs(t, err, query.ErrAnswer, name)
+		_, err := q.ParseResponse(0, "members", text)
+		require.ErrorIs(t, err, query.ErrInvalidResponse, name)
 	}
 }
 
@@ -375,7 +375,7 @@
 func TestBrokenAnswers(t *testing.T) {
 	q := parse(t, `{"size":3,"sort":["age"]}`)
 	block := fake.Members{Index: "members", All: members(1, 9)}
-	good, _ := block.Search(q.Part())
+	good, _ := block.Search(q.ShardRequestBody())
 	c, read := rand.New(rand.NewSource(1)), 0
 	for range 60_000 {
 		text, at := slices.Clone(good), c.Intn(len(good))
@@ -388,7 +388,7 @@
 		default:
 			text = slices.Insert(text, at, with)
 		}
-		if _, err := q.ReadAnswer(0, "members", text); err == nil {
+		if _, err := q.ParseResponse(0, "members", text); err == nil {
 			read++
 			require.True(t, json.Valid(text), "%s", text)
 		}
@@ -404,14 +404,14 @@
 		`{"query":{"constant_score":{"filter":{"terms":{"a":["x",9007199254740993,true]}}}},"sort":[{"a":"desc"}],"search_after":["\u00e9"]}`,
 		`{"query":{"ids":{"values":["1","\\"]}},"terminate_after":5,"track_total_hits":7}`, `{"query":{"match_none":{"boost":3}}}`} {
 		q := parse(t, text)
-		require.True(t, json.Valid(q.Part()), "%s", q.Part())
-		require.Equal(t, string(q.Part()), string(parse(t, string(q.Part())).Part()))
-		require.Equal(t, string(q.Part()), string(parse(t, " "+text+" ").Part()))
+		require.True(t, json.Valid(q.ShardRequestBody()), "%s", q.ShardRequestBody())
+		require.Equal(t, string(q.ShardRequestBody()), string(parse(t, string(q.ShardRequestBody())).ShardRequestBody()))
+		require.Equal(t, string(q.ShardRequestBody()), string(parse(t, " "+text+" ").ShardRequestBody()))
 	}
 	require.JSONEq(t, `{"query":{"bool":{"boost":2,"minimum_should_match":1,"should":[{"match":{"d":{"query":"u v","operator":"and"}}}]}},
 		"size":10,"sort":[{"age":{"order":"desc","missing":"_last"}},{"_id":{"order":"asc"}}],"track_total_hits":10000,
 		"_source":{"includes":["a"],"excludes":["b"]}}`, string(parse(t, `{"query":{"bool":{"should":[{"match":{"d":{"query":"u v",
-		"operator":"and"}}}],"boost":2}},"sort":[{"age":"desc"}],"_source":{"includes":["a"],"excludes":["b"]}}`).Part()))
+		"operator":"and"}}}],"boost":2}},"sort":[{"age":"desc"}],"_source":{"includes":["a"],"excludes":["b"]}}`).ShardRequestBody()))
 }
 
 func TestTermsBound(t *testing.T) {
@@ -425,7 +425,7 @@
 			all = append(all, fake.Member{ID: fmt.Sprint(i), Fields: map[string]any{"k": key}})
 		}
 		c := rand.New(rand.NewSource(rapid.Int64().Draw(t, "split")))
-		got := decoded(t, q.Merge(query.Outcome{Answers: split(t, q, all, 4, c)}))["aggregations"].(map[string]any)["t"].(map[string]any)
+		got := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 4, c)}))["aggregations"].(map[string]any)["t"].(map[string]any)
 		sum := got["sum_other_doc_count"].(float64)
 		for _, b := range got["buckets"].([]any) {
 			m := b.(map[string]any)
@@ -442,9 +442,9 @@
 	}
 	f.Add([]byte(`{"query":{"bool":{"should":{"match_all":{}},"minimum_should_match":"-50%"}}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if q, err := query.Parse(text); err == nil {
-			_, err := query.Parse(q.Part())
-			require.True(t, err == nil || len(q.Aggs) > 0, "what is asked of a host is of the language too: %v", err)
+		if q, err := query.ParseRequest(text); err == nil {
+			_, err := query.ParseRequest(q.ShardRequestBody())
+			require.True(t, err == nil || len(q.Aggregations) > 0, "what is asked of a host is of the language too: %v", err)
 		}
 	})
 }
@@ -452,12 +452,12 @@
 func FuzzAnswer(f *testing.F) {
 	q := parse(f, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"}},"p":{"percentiles":{"field":"age"}}}}`)
 	block := fake.Members{Index: "members", All: members(1, 9)}
-	good, _ := block.Search(q.Part())
+	good, _ := block.Search(q.ShardRequestBody())
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if a, err := q.ReadAnswer(0, "members", text); err == nil {
+		if a, err := q.ParseResponse(0, "members", text); err == nil {
 			require.True(t, json.Valid(text), "what is no JSON is refused, also where it is passed over")
-			require.True(t, json.Valid(q.Merge(query.Outcome{Answers: []*query.Answer{a}})))
+			require.True(t, json.Valid(q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{a}})))
 		}
 	})
 }
@@ -465,7 +465,7 @@
 func BenchmarkParse(b *testing.B) {
 	text := []byte(search(rand.New(rand.NewSource(3))))
 	for b.Loop() {
-		query.Parse(text)
+		query.ParseRequest(text)
 	}
 }
 
@@ -473,17 +473,17 @@
 	q := parse(b, `{"size":100}`)
 	answers := split(b, q, members(1, 9000), 30, rand.New(rand.NewSource(1)))
 	for b.Loop() {
-		q.Merge(query.Outcome{Answers: answers})
+		q.MergeResponses(query.SearchOutcome{Responses: answers})
 	}
 }
 
 func BenchmarkReadAnswer(b *testing.B) {
 	q := parse(b, `{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}}],"track_total_hits":true}`)
 	block := fake.Members{Index: "members", All: members(1, 200)}
-	text, _ := block.Search(q.Part())
+	text, _ := block.Search(q.ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
-		q.ReadAnswer(0, "", text)
+		q.ParseResponse(0, "", text)
 	}
 }
 
@@ -491,16 +491,16 @@
 func BenchmarkWhole(b *testing.B) {
 	body := []byte(`{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}},{"_id":{}}],"track_total_hits":true}`)
 	block := fake.Members{Index: "members", All: members(1, 200)}
-	text, _ := block.Search(parse(b, string(body)).Part())
+	text, _ := block.Search(parse(b, string(body)).ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
 		q := parse(b, string(body))
-		q.Part()
-		var o query.Outcome
+		q.ShardRequestBody()
+		var o query.SearchOutcome
 		for shard := range 8 {
-			a, _ := q.ReadAnswer(shard, "", text)
-			o.Answers = append(o.Answers, a)
+			a, _ := q.ParseResponse(shard, "", text)
+			o.Responses = append(o.Responses, a)
 		}
-		q.Merge(o)
+		q.MergeResponses(o)
 	}
 }
