--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -67,20 +67,20 @@
 }
 
 // goldenList and goldenNotes are what the golden store has of hosts.
-func goldenList() recovery.List {
-	return recovery.List{At: goldenNow - 2000, Plan: 3, Discovery: 9,
+func goldenList() recovery.EndpointList {
+	return recovery.EndpointList{SavedAt: goldenNow - 2000, PlanVersion: 3, DiscoveryVersion: 9,
 		Hosts: []endpoints.Host{
 			{ID: "a", Addr: "127.0.0.1:2", Zone: "east", Kind: "std", State: endpoints.StateUp, Weight: 1, StartedMS: 1_699_999_000_000},
 			{ID: "b", Addr: "127.0.0.1:3", Zone: "west", Kind: "std", Cell: 1, State: endpoints.StateDraining, Weight: 1},
 		},
-		Gone: []recovery.Gone{{ID: "c", By: "discovery", At: goldenNow - 12_000}}}
+		Removals: []recovery.Removal{{ID: "c", RemovedBy: "discovery", RemovedAt: goldenNow - 12_000}}}
 }
 
-func goldenNotes() recovery.Notes {
-	return recovery.Notes{At: goldenNow - 2000,
+func goldenNotes() recovery.Observations {
+	return recovery.Observations{SavedAt: goldenNow - 2000,
 		Head: peerreport.ReportHeader{Peer: "golden", Locality: "east", Serial: 7, ListVersion: 9, AgeMs: 100, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 1,
 			Zones: []peerreport.ZoneObservation{{Name: "east", Samples: 500, LogSlowdown: -3}}},
-		All: []peerreport.Observation{{HostID: "a", ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, AgeMs: 19}}}
+		Entries: []peerreport.Observation{{HostID: "a", ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, AgeMs: 19}}}
 }
 
 func openGoldenKeep(t *testing.T, path string) *Persistence {
@@ -95,7 +95,7 @@
 func writeGoldenKeep(t *testing.T, path string) {
 	k := openGoldenKeep(t, path)
 	puts := map[string][]byte{}
-	for key, v := range map[string]any{"list": goldenList(), "notes": goldenNotes(), "starts": recovery.Starts{}.Stopped()} {
+	for key, v := range map[string]any{"list": goldenList(), "notes": goldenNotes(), "starts": recovery.StartRecord{}.RecordPlannedStop()} {
 		text, err := cbor.Marshal(v)
 		require.NoError(t, err)
 		puts[key] = text
@@ -121,12 +121,12 @@
 	path := filepath.Join(t.TempDir(), "kept.db")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	k := openGoldenKeep(t, path)
-	require.Empty(t, k.believed.Left)
-	require.NotNil(t, k.believed.List)
-	require.Equal(t, goldenList().Hosts, k.believed.List.Hosts)
-	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.believed.List.Removals)
-	require.NotNil(t, k.believed.Notes)
-	require.Equal(t, goldenNotes().All, k.believed.Notes.All)
+	require.Empty(t, k.believed.Discarded)
+	require.NotNil(t, k.believed.Update)
+	require.Equal(t, goldenList().Hosts, k.believed.Update.Hosts)
+	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.believed.Update.Removals)
+	require.NotNil(t, k.believed.Observations)
+	require.Equal(t, goldenNotes().Entries, k.believed.Observations.Entries)
 	require.NoError(t, k.flush(t.Context()))
 	var events []store.Event
 	require.NoError(t, k.events.Each(0, "", func(e store.Event) bool { events = append(events, e); return true }))
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -55,13 +55,13 @@
 
 	store    *store.Store
 	err      error
-	believed recovery.Believed
+	believed recovery.Restored
 	events   *store.Journal
 
-	newest    atomic.Pointer[recovery.List] // the list in force; At is when it came to be
-	discovery atomic.Int64                  // newest version that discovery told
-	turn      chan struct{}                 // one write at a time
-	written   *recovery.List                // the list as it was last written
+	newest    atomic.Pointer[recovery.EndpointList] // the list in force; At is when it came to be
+	discovery atomic.Int64                          // newest version that discovery told
+	turn      chan struct{}                         // one write at a time
+	written   *recovery.EndpointList                // the list as it was last written
 	mu        sync.Mutex
 	waiting   []store.Event
 	leftOut   int
@@ -116,13 +116,13 @@
 		return err
 	}
 	now := began.UnixMilli()
-	starts, level := read[recovery.Starts](k, s, startsKey).Begin(now, k.alone)
-	if level > recovery.All {
-		k.log.Warn("crash_loop", "starts", len(starts.At), "believes", level.String(),
+	starts, level := read[recovery.StartRecord](k, s, startsKey).RecordStart(now, k.alone)
+	if level > recovery.TrustAll {
+		k.log.Warn("crash_loop", "starts", len(starts.RecentStarts), "believes", level.String(),
 			"do", "Look in the log for why the earlier runs ended; a planned stop, or a minute without a start, ends the loop.")
-		k.RecordEvent("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.At), level))
+		k.RecordEvent("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.RecentStarts), level))
 	}
-	if level == recovery.Nothing {
+	if level == recovery.TrustNothing {
 		if err := s.Close(context.Background()); err != nil {
 			return err
 		}
@@ -152,24 +152,24 @@
 		return errors.Join(err, s.Close(context.Background()))
 	}
 	k.store = s
-	var list *recovery.List
-	if l := read[recovery.List](k, s, listKey); l.At > 0 {
+	var list *recovery.EndpointList
+	if l := read[recovery.EndpointList](k, s, listKey); l.SavedAt > 0 {
 		list = &l
 	}
-	var notes *recovery.Notes
-	if n := read[recovery.Notes](k, s, notesKey); n.At > 0 && n.Check() == nil {
+	var notes *recovery.Observations
+	if n := read[recovery.Observations](k, s, notesKey); n.SavedAt > 0 && n.Validate() == nil {
 		notes = &n
 	}
-	k.believed = recovery.Weigh(now, level, k.plan, list, notes)
-	for _, l := range k.believed.Left {
-		k.log.Info("left_out", "what", l.What, "why", l.Why)
+	k.believed = recovery.Restore(now, level, k.plan, list, notes)
+	for _, l := range k.believed.Discarded {
+		k.log.Info("left_out", "what", l.Item, "why", l.Reason)
 	}
 	hosts, known := 0, 0
-	if k.believed.List != nil {
-		hosts = len(k.believed.List.Hosts)
+	if k.believed.Update != nil {
+		hosts = len(k.believed.Update.Hosts)
 	}
-	if k.believed.Notes != nil {
-		known = len(k.believed.Notes.All)
+	if k.believed.Observations != nil {
+		known = len(k.believed.Observations.Entries)
 	}
 	k.log.Info("store", "path", path, "believes", level.String(), "listed", hosts, "notes", known,
 		"took", k.clock.Now().Sub(began).Round(time.Millisecond))
@@ -214,10 +214,10 @@
 			var t endpoints.Update
 			select {
 			case <-opened:
-				if opened = nil; k.believed.List == nil {
+				if opened = nil; k.believed.Update == nil {
 					continue
 				}
-				t = *k.believed.List
+				t = *k.believed.Update
 			case told, ok := <-more:
 				if !ok {
 					more = nil
@@ -285,7 +285,7 @@
 		if _, err := k.WaitForStore(o.ctx); err != nil {
 			return nil // it was told
 		}
-		if n := k.believed.Notes; n != nil {
+		if n := k.believed.Observations; n != nil {
 			k.recall(o, n)
 		}
 		job := scheduler.Job{Name: "keep", Kind: keepKind, Priority: scheduler.Usual, After: int64(keepFirst / tenth), Every: int64(keepEach / tenth)}
@@ -311,14 +311,14 @@
 }
 
 // recall tells what an earlier run knew of hosts as one peer's report.
-func (k *Persistence) recall(o *owner, n *recovery.Notes) {
+func (k *Persistence) recall(o *owner, n *recovery.Observations) {
 	l, h := o.peers, n.Head
-	since := int64(k.clock.Now().Sub(time.UnixMilli(n.At)) / tenth) // the machine's clock tells how long the start has taken
-	h.Peer, h.Locality = recovery.Peer, l.p.Location
+	since := int64(k.clock.Now().Sub(time.UnixMilli(n.SavedAt)) / tenth) // the machine's clock tells how long the start has taken
+	h.Peer, h.Locality = recovery.PeerName, l.p.Location
 	l.mu.Lock()
 	err := l.shelf.BeginReport(o.clock()-max(0, since), h)
 	if err == nil {
-		err = l.shelf.AddObservations(h.Peer, n.All)
+		err = l.shelf.AddObservations(h.Peer, n.Entries)
 	}
 	if err == nil {
 		l.shelf.CompleteReport(h.Peer)
@@ -330,12 +330,12 @@
 		o.log.Info("left_out", "what", notesKey, "why", err.Error())
 		return
 	}
-	o.log.Info("learned", "peer", recovery.Peer, "hosts", l.feed())
+	o.log.Info("learned", "peer", recovery.PeerName, "hosts", l.feed())
 }
 
 // listed takes in the list in force.
 func (k *Persistence) listed(list []endpoints.Endpoint, gone []endpoints.Removal) {
-	l := recovery.Keep(k.clock.Now().UnixMilli(), k.plan, k.discovery.Load(), list, gone)
+	l := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.plan, k.discovery.Load(), list, gone)
 	k.newest.Store(&l)
 }
 
@@ -363,20 +363,20 @@
 		return err
 	}
 	now := k.clock.Now()
-	err = put(notesKey, recovery.Notes{At: now.UnixMilli(), Head: head, All: all})
+	err = put(notesKey, recovery.Observations{SavedAt: now.UnixMilli(), Head: head, Entries: all})
 	list := k.newest.Load()
-	changed := list != nil && (list != k.written || now.Sub(time.UnixMilli(list.At)) > keepAgain)
+	changed := list != nil && (list != k.written || now.Sub(time.UnixMilli(list.SavedAt)) > keepAgain)
 	if changed {
 		if list == k.written {
 			own := *list
-			own.At = now.UnixMilli()
+			own.SavedAt = now.UnixMilli()
 			k.newest.CompareAndSwap(list, &own)
 			list = &own
 		}
 		err = errors.Join(err, put(listKey, list))
 	}
 	if last {
-		err = errors.Join(err, put(startsKey, recovery.Starts{}.Stopped()))
+		err = errors.Join(err, put(startsKey, recovery.StartRecord{}.RecordPlannedStop()))
 	}
 	bytes := 0
 	for _, text := range puts {
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -155,11 +155,11 @@
 func TestAStartGoesOnWithWhatItCanHave(t *testing.T) {
 	first := start(t, 256, nil)
 	path, now := filepath.Join(t.TempDir(), "kept"), time.Now().UnixMilli()
-	list := recovery.List{At: now, Plan: 7, Discovery: 8, Hosts: []endpoints.Host{first.member("a0"), {ID: "c0", Addr: "127.0.0.1:1", Weight: 1}}}
-	crashed := func(n int) recovery.Starts {
-		s := recovery.Starts{}
+	list := recovery.EndpointList{SavedAt: now, PlanVersion: 7, DiscoveryVersion: 8, Hosts: []endpoints.Host{first.member("a0"), {ID: "c0", Addr: "127.0.0.1:1", Weight: 1}}}
+	crashed := func(n int) recovery.StartRecord {
+		s := recovery.StartRecord{}
 		for range n {
-			s, _ = s.Begin(time.Now().UnixMilli(), true)
+			s, _ = s.RecordStart(time.Now().UnixMilli(), true)
 		}
 		return s
 	}
@@ -196,11 +196,11 @@
 // BenchmarkKept writes and reads what is kept of 10,000 hosts.
 func BenchmarkKept(b *testing.B) {
 	now := time.Now().UnixMilli()
-	list, notes := recovery.List{At: now}, recovery.Notes{At: now, Head: peerreport.ReportHeader{Peer: "n", HostCount: 10_000}}
+	list, notes := recovery.EndpointList{SavedAt: now}, recovery.Observations{SavedAt: now, Head: peerreport.ReportHeader{Peer: "n", HostCount: 10_000}}
 	for i := range 10_000 {
 		id := fmt.Sprint("host-", i)
 		list.Hosts = append(list.Hosts, endpoints.Host{ID: id, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Zone: "hall", Kind: "std", Weight: 1})
-		notes.All = append(notes.All, peerreport.Observation{HostID: id, ShortSamples: 40, LongSamples: 80, ShortLogSlowdown: 120, LongLogSlowdown: 90, AgeMs: 300})
+		notes.Entries = append(notes.Entries, peerreport.Observation{HostID: id, ShortSamples: 40, LongSamples: 80, ShortLogSlowdown: 120, LongLogSlowdown: 90, AgeMs: 300})
 	}
 	s, err := store.Open(filepath.Join(b.TempDir(), "kept"), store.Options{})
 	require.NoError(b, err)
@@ -215,9 +215,9 @@
 			bytes += len(puts[key])
 		}
 		require.NoError(b, s.Put(context.Background(), keptBucket, puts, nil))
-		l, n := read[recovery.List](k, s, listKey), read[recovery.Notes](k, s, notesKey)
-		weighed := recovery.Weigh(now+1, recovery.All, 0, &l, &n)
-		require.Len(b, weighed.Notes.All, 10_000)
+		l, n := read[recovery.EndpointList](k, s, listKey), read[recovery.Observations](k, s, notesKey)
+		weighed := recovery.Restore(now+1, recovery.TrustAll, 0, &l, &n)
+		require.Len(b, weighed.Observations.Entries, 10_000)
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes")
 }
--- a/storage/recovery/golden_stored_test.go
+++ b/storage/recovery/golden_stored_test.go
@@ -44,28 +44,28 @@
 }
 
 func TestGoldenStarts(t *testing.T) {
-	goldenBothWays(t, "starts.hex", Starts{At: []int64{1_700_000_000_000, 1_700_000_030_000}, Emptied: true})
-	goldenBothWays(t, "starts-after-planned-stop.hex", Starts{}.Stopped())
+	goldenBothWays(t, "starts.hex", StartRecord{RecentStarts: []int64{1_700_000_000_000, 1_700_000_030_000}, StoreQuarantined: true})
+	goldenBothWays(t, "starts-after-planned-stop.hex", StartRecord{}.RecordPlannedStop())
 }
 
 // Every field of a kept host is set to a value of its own, and each of its states is there. Hosts are maps by name.
 func TestGoldenHostList(t *testing.T) {
-	goldenBothWays(t, "host-list.hex", List{At: 1_700_000_000_000, Plan: 3, Discovery: 9,
+	goldenBothWays(t, "host-list.hex", EndpointList{SavedAt: 1_700_000_000_000, PlanVersion: 3, DiscoveryVersion: 9,
 		Hosts: []endpoints.Host{
 			{ID: "a0", Addr: "10.0.0.1:7000", Zone: "eu-1", Kind: "large", Cell: 2, State: endpoints.StateUp, Weight: 1.5, StartedMS: 1_699_999_000_000, Line: 4, Column: 6},
 			{ID: "b0", Addr: "10.0.0.2:7000", Zone: "eu-2", State: endpoints.StateDraining, Weight: 1},
 			{ID: "c0", Addr: "10.0.0.3:7000", State: endpoints.StateRemoved},
 		},
-		Gone: []Gone{{ID: "d0", By: "discovery", StartedMS: 1_699_999_500_000, At: 1_699_999_900_000}},
+		Removals: []Removal{{ID: "d0", RemovedBy: "discovery", StartedMS: 1_699_999_500_000, RemovedAt: 1_699_999_900_000}},
 	})
-	goldenBothWays(t, "host-list-empty.hex", List{At: 1})
+	goldenBothWays(t, "host-list-empty.hex", EndpointList{SavedAt: 1})
 }
 
 func TestGoldenObservations(t *testing.T) {
-	goldenBothWays(t, "observations.hex", Notes{At: 1_700_000_000_000,
+	goldenBothWays(t, "observations.hex", Observations{SavedAt: 1_700_000_000_000,
 		Head: peerreport.ReportHeader{Peer: "east-0", Locality: "eu-1", Serial: 7, ListVersion: 9, AgeMs: 1200, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 2,
 			Zones: []peerreport.ZoneObservation{{Name: "eu-1", Samples: 500, LogSlowdown: -3}, {Name: "eu-2", Samples: 300, LogSlowdown: 250}}},
-		All: []peerreport.Observation{
+		Entries: []peerreport.Observation{
 			{HostID: "a0", ZoneIndex: 1, StartedMs: 1_699_999_000_000, ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, ConsecutiveFailures: 15, ConnectFailures: 16, UnansweredRequests: 17, SilentMs: 18, AgeMs: 19, IsOutlier: true},
 			{HostID: "b0", AgeMs: peerreport.NeverAnswered},
 		},
@@ -77,21 +77,21 @@
 	read := func(name string, to any) {
 		require.NoError(t, cbor.Unmarshal(storedGoldenOnly(t, name), to))
 	}
-	var list List
-	var notes Notes
+	var list EndpointList
+	var notes Observations
 	read("host-list.hex", &list)
 	read("observations.hex", &notes)
-	require.NoError(t, notes.Check())
-	b := Weigh(1_700_000_002_000, All, 3, &list, &notes)
-	require.Empty(t, b.Left)
-	require.Equal(t, "store", b.List.Source)
-	require.Equal(t, "#store", Peer)
+	require.NoError(t, notes.Validate())
+	b := Restore(1_700_000_002_000, TrustAll, 3, &list, &notes)
+	require.Empty(t, b.Discarded)
+	require.Equal(t, "store", b.Update.Source)
+	require.Equal(t, "#store", PeerName)
 	require.Equal(t, []string{"all", "no_notes", "no_list", "nothing"},
-		[]string{All.String(), NoNotes.String(), NoList.String(), Nothing.String()}, "as events and log lines have them")
-	require.Equal(t, list.Hosts, b.List.Hosts)
-	require.Equal(t, []endpoints.Removal{{ID: "d0", RemovedBy: "discovery", StartedMS: 1_699_999_500_000, Age: 1_020_000}}, b.List.Removals)
-	require.Equal(t, uint32(3200), b.Notes.Head.AgeMs)
-	require.Equal(t, notes.All, b.Notes.All)
+		[]string{TrustAll.String(), TrustWithoutObservations.String(), TrustWithoutEndpoints.String(), TrustNothing.String()}, "as events and log lines have them")
+	require.Equal(t, list.Hosts, b.Update.Hosts)
+	require.Equal(t, []endpoints.Removal{{ID: "d0", RemovedBy: "discovery", StartedMS: 1_699_999_500_000, Age: 1_020_000}}, b.Update.Removals)
+	require.Equal(t, uint32(3200), b.Observations.Head.AgeMs)
+	require.Equal(t, notes.Entries, b.Observations.Entries)
 }
 
 func storedGoldenOnly(t *testing.T, name string) []byte {
--- a/storage/recovery/recovery.go
+++ b/storage/recovery/recovery.go
@@ -25,136 +25,136 @@
 	tenthsPerMs = 10
 )
 
-// Level is how much of the store is believed; each is less than the one before.
-type Level int
+// TrustLevel is how much of the store is believed; each is less than the one before.
+type TrustLevel int
 
 const (
-	All     Level = iota
-	NoNotes       // what was learned of hosts is left out
-	NoList        // so is the list
-	Nothing       // the whole store is put aside
+	TrustAll                 TrustLevel = iota
+	TrustWithoutObservations            // what was learned of hosts is left out
+	TrustWithoutEndpoints               // so is the list
+	TrustNothing                        // the whole store is put aside
 )
 
-func (l Level) String() string {
+func (l TrustLevel) String() string {
 	return [...]string{"all", "no_notes", "no_list", "nothing"}[l]
 }
 
-// Starts is the record of starts that is written before anything else is believed.
-type Starts struct {
-	_       struct{} `cbor:",toarray"`
-	At      []int64  // of late, that no planned stop followed
-	Emptied bool     // the store has been put aside in this loop already
+// StartRecord is the record of starts that is written before anything else is believed.
+type StartRecord struct {
+	_                struct{} `cbor:",toarray"`
+	RecentStarts     []int64  // of late, that no planned stop followed
+	StoreQuarantined bool     // the store has been put aside in this loop already
 }
 
-// Begin notes a start, and tells how much is believed. The record has to be on the disk before it is. A store that is not
+// RecordStart notes a start, and tells how much is believed. The record has to be on the disk before it is. A store that is not
 // this package's alone is never put aside: what others have in it may be nowhere else.
-func (s Starts) Begin(now int64, alone bool) (Starts, Level) {
-	next := Starts{Emptied: s.Emptied}
-	for _, at := range s.At {
+func (s StartRecord) RecordStart(now int64, alone bool) (StartRecord, TrustLevel) {
+	next := StartRecord{StoreQuarantined: s.StoreQuarantined}
+	for _, at := range s.RecentStarts {
 		if at = min(at, now); now-at < loopSpan { // a clock that went back: it was before now, and no one knows when
-			next.At = append(next.At, at)
+			next.RecentStarts = append(next.RecentStarts, at)
 		}
 	}
-	if len(next.At) == 0 {
-		next.Emptied = false
+	if len(next.RecentStarts) == 0 {
+		next.StoreQuarantined = false
 	}
-	next.At = append(next.At, now)
-	next.At = next.At[max(0, len(next.At)-startsMost):]
-	level := min(Nothing, max(All, Level(len(next.At)-loopFirst+1)))
-	if level == Nothing {
-		if next.Emptied || !alone {
-			return next, NoList // in the first case what is there was written in this loop; more aside gains nothing
+	next.RecentStarts = append(next.RecentStarts, now)
+	next.RecentStarts = next.RecentStarts[max(0, len(next.RecentStarts)-startsMost):]
+	level := min(TrustNothing, max(TrustAll, TrustLevel(len(next.RecentStarts)-loopFirst+1)))
+	if level == TrustNothing {
+		if next.StoreQuarantined || !alone {
+			return next, TrustWithoutEndpoints // in the first case what is there was written in this loop; more aside gains nothing
 		}
-		next.Emptied = true
+		next.StoreQuarantined = true
 	}
 	return next, level
 }
 
-// Stopped is the record after a planned stop.
-func (s Starts) Stopped() Starts { return Starts{} }
+// RecordPlannedStop is the record after a planned stop.
+func (s StartRecord) RecordPlannedStop() StartRecord { return StartRecord{} }
 
-// List is the list in force as it is kept. Plan is the version of the plan's own list in that run, Discovery the newest
+// EndpointList is the list in force as it is kept. Plan is the version of the plan's own list in that run, Discovery the newest
 // that discovery had told.
-type List struct {
-	_         struct{} `cbor:",toarray"`
-	At        int64
-	Plan      int64
-	Discovery int64
-	Hosts     []endpoints.Host
-	Gone      []Gone
+type EndpointList struct {
+	_                struct{} `cbor:",toarray"`
+	SavedAt          int64
+	PlanVersion      int64
+	DiscoveryVersion int64
+	Hosts            []endpoints.Host
+	Removals         []Removal
 }
 
-// Gone is a removal as it is kept: its time, where package endpoints has an age.
-type Gone struct {
-	_         struct{} `cbor:",toarray"`
-	ID, By    string
-	StartedMS int64
-	At        int64
+// Removal is a removal as it is kept: its time, where package endpoints has an age.
+type Removal struct {
+	_             struct{} `cbor:",toarray"`
+	ID, RemovedBy string
+	StartedMS     int64
+	RemovedAt     int64
 }
 
-// Keep is a list as it is kept, at a time.
-func Keep(now, plan, discovery int64, entries []endpoints.Endpoint, gone []endpoints.Removal) List {
-	l := List{At: now, Plan: plan, Discovery: discovery}
+// NewEndpointList is a list as it is kept, at a time.
+func NewEndpointList(now, plan, discovery int64, entries []endpoints.Endpoint, gone []endpoints.Removal) EndpointList {
+	l := EndpointList{SavedAt: now, PlanVersion: plan, DiscoveryVersion: discovery}
 	for _, e := range entries {
 		e.Line, e.Column = 0, 0
 		l.Hosts = append(l.Hosts, e.Host)
 	}
 	for _, g := range gone {
-		l.Gone = append(l.Gone, Gone{ID: g.ID, By: g.RemovedBy, StartedMS: g.StartedMS, At: now - g.Age/tenthsPerMs})
+		l.Removals = append(l.Removals, Removal{ID: g.ID, RemovedBy: g.RemovedBy, StartedMS: g.StartedMS, RemovedAt: now - g.Age/tenthsPerMs})
 	}
 	return l
 }
 
-// Notes are what was learned of hosts as it is kept: a report such as peers get, whose age is as of At.
-type Notes struct {
-	_    struct{} `cbor:",toarray"`
-	At   int64
-	Head peerreport.ReportHeader
-	All  []peerreport.Observation
+// Observations are what was learned of hosts as it is kept: a report such as peers get, whose age is as of At.
+type Observations struct {
+	_       struct{} `cbor:",toarray"`
+	SavedAt int64
+	Head    peerreport.ReportHeader
+	Entries []peerreport.Observation
 }
 
-// Believed is what counts of a store. Left tells what does not, and why, for the log.
-type Believed struct {
-	List  *endpoints.Update
-	Notes *Notes // its age is as of now
-	Left  []Left
+// Restored is what counts of a store. Left tells what does not, and why, for the log.
+type Restored struct {
+	Update       *endpoints.Update
+	Observations *Observations // its age is as of now
+	Discarded    []DiscardedItem
 }
 
-// Left is something that is not believed.
-type Left struct{ What, Why string }
+// DiscardedItem is something that is not believed.
+type DiscardedItem struct{ Item, Reason string }
 
 // The store's names among the list's sources, and among peers, whose names are an installation's.
 const (
-	Source = "store"
-	Peer   = "#store"
+	SourceName = "store"
+	PeerName   = "#store"
 )
 
-// Weigh decides what counts of a list and of notes, either of which may be missing. planVersion is that of the plan's
+// Restore decides what counts of a list and of notes, either of which may be missing. planVersion is that of the plan's
 // own list.
-func Weigh(now int64, level Level, planVersion int64, list *List, notes *Notes) (b Believed) {
+func Restore(now int64, level TrustLevel, planVersion int64, list *EndpointList, notes *Observations) (b Restored) {
 	left := func(what string, format string, v ...any) {
-		b.Left = append(b.Left, Left{what, fmt.Sprintf(format, v...)})
+		b.Discarded = append(b.Discarded, DiscardedItem{what, fmt.Sprintf(format, v...)})
 	}
 	if list != nil {
-		age := now - list.At
+		age := now - list.SavedAt
 		switch {
-		case level >= NoList:
+		case level >= TrustWithoutEndpoints:
 			left("list", "several starts within a minute")
 		case age > listLife:
 			left("list", "it is %v old", time.Duration(age)*time.Millisecond)
-		case planVersion > list.Plan && planVersion > list.Discovery: // a version of discovery that has begun again is low
-			left("list", "the plan's is of version %d, it is of %d", planVersion, list.Discovery)
+		case planVersion > list.PlanVersion && planVersion > list.DiscoveryVersion: // a version of discovery that has begun again is low
+			left("list", "the plan's is of version %d, it is of %d", planVersion, list.DiscoveryVersion)
 		default:
-			b.List = list.told(now)
+			b.Update = list.told(now)
 			if age < 0 {
 				left("ages of removals", "the clock has gone back by %v", -time.Duration(age)*time.Millisecond)
 			}
 		}
 	}
 	if notes != nil {
-		age := now - notes.At
+		age := now - notes.SavedAt
 		switch {
-		case level >= NoNotes:
+		case level >= TrustWithoutObservations:
 			left("notes", "several starts within a minute")
 		case age < 0:
 			left("notes", "the clock has gone back by %v: their age is not known", -time.Duration(age)*time.Millisecond)
@@ -162,30 +162,30 @@
 			left("notes", "they are %v old", time.Duration(age)*time.Millisecond)
 		default:
 			own := *notes
-			own.At = now
+			own.SavedAt = now
 			own.Head.AgeMs += uint32(age)
-			b.Notes = &own
+			b.Observations = &own
 		}
 	}
 	return b
 }
 
-func (l *List) told(now int64) *endpoints.Update {
-	t := &endpoints.Update{Source: Source, Rank: endpoints.RankStore, Version: 1, Confirmed: true, Hosts: l.Hosts}
-	for _, g := range l.Gone {
-		t.Removals = append(t.Removals, endpoints.Removal{ID: g.ID, RemovedBy: g.By, StartedMS: g.StartedMS, Age: max(0, now-g.At) * tenthsPerMs})
+func (l *EndpointList) told(now int64) *endpoints.Update {
+	t := &endpoints.Update{Source: SourceName, Rank: endpoints.RankStore, Version: 1, Confirmed: true, Hosts: l.Hosts}
+	for _, g := range l.Removals {
+		t.Removals = append(t.Removals, endpoints.Removal{ID: g.ID, RemovedBy: g.RemovedBy, StartedMS: g.StartedMS, Age: max(0, now-g.RemovedAt) * tenthsPerMs})
 	}
 	return t
 }
 
-// Check looks at notes that come from a disk as at a peer's.
-func (n *Notes) Check() error {
-	if len(n.All) > peerreport.MaxHosts || len(n.All) != int(n.Head.HostCount) {
+// Validate looks at notes that come from a disk as at a peer's.
+func (n *Observations) Validate() error {
+	if len(n.Entries) > peerreport.MaxHosts || len(n.Entries) != int(n.Head.HostCount) {
 		return errors.New("notes of another number than told")
 	}
 	err := n.Head.Validate()
-	for i := range n.All {
-		err = errors.Join(err, n.All[i].Validate())
+	for i := range n.Entries {
+		err = errors.Join(err, n.Entries[i].Validate())
 	}
 	return err
 }
