--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -137,7 +137,7 @@
 	texts := []string{contractsOne, strings.Replace(contractsTwo, "generation: 2", "generation: 2\nbeside: 1", 1)}
 	texts = append(texts, strings.Replace(texts[1], "lease: 2s", "lease: 3s", 1)) // another wording of one generation
 	for _, text := range texts {
-		p, err := residency.Parse("file", []byte(text), residency.Site{})
+		p, err := residency.ParsePolicy("file", []byte(text), residency.Site{})
 		require.NoError(t, err)
 		c.tell(p)
 	}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -340,7 +340,7 @@
 				break
 			}
 			var file *config.File
-			if text, fault := hostfile.Text(name); fault == nil && residency.Is(text) {
+			if text, fault := hostfile.Text(name); fault == nil && residency.IsPolicyFile(text) {
 				told, err = checkContracts(name, text, plan)
 				break
 			}
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -54,7 +54,7 @@
 	disk  *store.Store // what it keeps is in the book; nil where there is none as yet
 	clock func() int64
 
-	book   residency.Book
+	book   residency.PolicyRegistry
 	sum    uint64 // of all that the book holds, to tell it from what is not
 	lease  *residency.Lease
 	saved  uint64 // generation that a kill cannot take away
@@ -99,14 +99,14 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := residency.Parse(s.file.ResidencyFile, text, c.site)
+	p, err := residency.ParsePolicy(s.file.ResidencyFile, text, c.site)
 	if err != nil {
 		return nil, err
 	}
 	kept := c.load()
 	c.lease = residency.NewLease(s.file.Name, s.file.VotingMembers, kept)
 	c.tell(p)
-	s.zones = coordinator.NewResidencyGuard(c.book.Standing(c.lease.Until()), c.clock)
+	s.zones = coordinator.NewResidencyGuard(c.book.Compile(c.lease.ExpiresAt()), c.clock)
 	s.node.Handle(zonesTopic, c.hear)
 	s.work.Go(func() {
 		files := &hostfile.Files{Paths: []string{s.file.ResidencyFile}, Texts: true, Tell: func(e hostfile.Event) {
@@ -124,7 +124,7 @@
 // load takes what was kept, and tells whether that is all that this instance knew.
 func (c *contracts) load() bool {
 	unread := func(err error) bool {
-		c.s.log.Warn("residency_unread", advice.LogAttrs(&residency.Unread{Err: err})...)
+		c.s.log.Warn("residency_unread", advice.LogAttrs(&residency.PoliciesUnreadableError{Err: err})...)
 		return false
 	}
 	select {
@@ -141,7 +141,7 @@
 	c.disk = c.s.store
 	var faults []error
 	err := c.disk.Load(zonesBucket, func(key string, value []byte) error {
-		p, err := residency.Parse("store "+key, value, residency.Site{})
+		p, err := residency.ParsePolicy("store "+key, value, residency.Site{})
 		if err != nil {
 			faults = append(faults, err)
 			return nil
@@ -152,22 +152,22 @@
 	if err = errors.Join(append(faults, err)...); err != nil {
 		return unread(err)
 	}
-	c.saved = c.book.Generation()
+	c.saved = c.book.NewestGeneration()
 	return true
 }
 
 // tell takes a policy into the book and says what has come of it.
 func (c *contracts) tell(p *residency.Policy) (changed bool) {
-	before := c.book.Generation()
-	changed, err := c.book.Tell(p)
+	before := c.book.NewestGeneration()
+	changed, err := c.book.AddPolicy(p)
 	if err != nil {
 		c.s.log.Warn("residency_policy_refused", advice.LogAttrs(err, "held", changed)...)
 	}
 	if changed {
 		c.sum = sumOfPolicies(c.book.Policies())
-		c.s.log.Info("residency_policy", "source", p.Source, "generation", p.Generation, "beside", p.Beside, "contracts", len(p.Contracts),
+		c.s.log.Info("residency_policy", "source", p.Source, "generation", p.Generation, "beside", p.CompanionGeneration, "contracts", len(p.Contracts),
 			"before", before)
-		if lacks := c.book.Lacks(); lacks != nil {
+		if lacks := c.book.MissingPolicy(); lacks != nil {
 			c.s.log.Warn("residency_policy_missing", advice.LogAttrs(lacks)...)
 		}
 	}
@@ -177,7 +177,7 @@
 // take puts a policy in force: first here, then on the disk, then in what others are told.
 func (c *contracts) take(p *residency.Policy) {
 	if c.tell(p) {
-		c.s.zones.SetPolicy(c.book.Standing(c.lease.Until()))
+		c.s.zones.SetPolicy(c.book.Compile(c.lease.ExpiresAt()))
 		c.save()
 		c.ask()
 	}
@@ -190,7 +190,7 @@
 		now := c.clock()
 		wait := max(1, c.next-now)
 		if !c.lapsed {
-			wait = min(wait, max(1, c.lease.Until()-now))
+			wait = min(wait, max(1, c.lease.ExpiresAt()-now))
 		}
 		select {
 		case <-c.s.ctx.Done():
@@ -218,32 +218,32 @@
 
 // look notices that the lease has ended. Searches go by its end themselves; this is for the log.
 func (c *contracts) look() {
-	if now := c.clock(); c.lapsed || now < c.lease.Until() {
+	if now := c.clock(); c.lapsed || now < c.lease.ExpiresAt() {
 		return
 	}
 	c.lapsed = true
 	heard, of := c.s.book.CountAliveVoters(c.s.clock())
-	err := &residency.LeaseEnded{Generation: c.book.Generation(), Heard: heard, Of: of, Apart: c.lease.Apart()}
+	err := &residency.LeaseExpiredError{Generation: c.book.NewestGeneration(), Reachable: heard, Listed: of, SkewedClocks: c.lease.CountSkewedClocks()}
 	c.s.log.Warn("residency_lease_ended", advice.LogAttrs(err)...)
 }
 
 // renewed puts a later end of the lease in force.
 func (c *contracts) renewed() {
-	c.s.zones.SetPolicy(c.s.zones.Policy().With(c.lease.Until()))
+	c.s.zones.SetPolicy(c.s.zones.Policy().WithLeaseExpiry(c.lease.ExpiresAt()))
 	if c.lapsed {
 		c.lapsed = false
-		c.s.log.Info("residency_lease", "generation", c.book.Generation())
+		c.s.log.Info("residency_lease", "generation", c.book.NewestGeneration())
 	}
 }
 
 func (c *contracts) file(e hostfile.Event) {
 	if e.Err != nil {
-		c.s.log.Warn("residency_file", advice.LogAttrs(e.Err, "path", e.Path, "in_force", c.book.Generation())...)
+		c.s.log.Warn("residency_file", advice.LogAttrs(e.Err, "path", e.Path, "in_force", c.book.NewestGeneration())...)
 		return
 	}
-	p, err := residency.Parse(e.Path, e.Text, c.site)
+	p, err := residency.ParsePolicy(e.Path, e.Text, c.site)
 	if err != nil {
-		c.s.log.Warn("residency_file", advice.LogAttrs(err, "path", e.Path, "in_force", c.book.Generation())...)
+		c.s.log.Warn("residency_file", advice.LogAttrs(err, "path", e.Path, "in_force", c.book.NewestGeneration())...)
 		return
 	}
 	c.take(p)
@@ -259,14 +259,14 @@
 	if c.disk == nil && c.s.store != nil {
 		c.load()
 		c.kept = 0
-		c.s.zones.SetPolicy(c.book.Standing(c.lease.Until()))
+		c.s.zones.SetPolicy(c.book.Compile(c.lease.ExpiresAt()))
 	}
 }
 
 // save has what is held written where a kill cannot take it away; until then this instance's word is the one before.
 func (c *contracts) save() {
 	c.late()
-	top, sum := c.book.Generation(), c.sum
+	top, sum := c.book.NewestGeneration(), c.sum
 	if c.saving || c.kept == sum {
 		return
 	}
@@ -302,13 +302,13 @@
 // ask begins a round. The question tells what is in force here, so that whoever lacks it is told.
 func (c *contracts) ask() {
 	now, in := c.clock(), c.s.zones.Policy()
-	c.next = now + residency.Each(in.Lease)
-	if c.lease.Alone(now, in.Lease) {
+	c.next = now + residency.RenewalInterval(in.LeaseDuration)
+	if c.lease.RenewSoleMember(now, in.LeaseDuration) {
 		c.renewed()
 		return
 	}
-	q := zonesWord{Kind: zonesQuestion, Nonce: c.lease.Ask(now), Generation: c.book.Generation(), Sum: c.sum}
-	for _, to := range c.lease.Whom() {
+	q := zonesWord{Kind: zonesQuestion, Nonce: c.lease.BeginRound(now), Generation: c.book.NewestGeneration(), Sum: c.sum}
+	for _, to := range c.lease.SelectPeers() {
 		c.send(to, q)
 	}
 }
@@ -338,10 +338,10 @@
 }
 
 func (c *contracts) word(m zonesMessage) {
-	w, top := m.word, c.book.Generation()
+	w, top := m.word, c.book.NewestGeneration()
 	switch w.Kind {
 	case zonesQuestion:
-		c.send(m.from, zonesWord{Kind: zonesAnswer, Nonce: w.Nonce, Generation: min(c.saved, top), Sum: c.sum, Wall: c.clock(), Sure: c.lease.Sure()})
+		c.send(m.from, zonesWord{Kind: zonesAnswer, Nonce: w.Nonce, Generation: min(c.saved, top), Sum: c.sum, Wall: c.clock(), Sure: c.lease.IsVoter()})
 		if w.Generation < top {
 			c.teach(m.from)
 		}
@@ -354,16 +354,16 @@
 			return
 		}
 		now, in := c.clock(), c.s.zones.Policy()
-		v := residency.Voice{From: m.from, Nonce: w.Nonce, Generation: w.Generation, Wall: w.Wall, Sure: w.Sure}
-		agreed := c.lease.Agreed()
-		if c.lease.Heard(now, v, top, in.Lease, in.Slack, !slices.Contains(conflicts, c.s.file.Name)) {
+		v := residency.LeaseAcknowledgement{From: m.from, Nonce: w.Nonce, Generation: w.Generation, WallTime: w.Wall, Voter: w.Sure}
+		agreed := c.lease.MajorityGeneration()
+		if c.lease.HandleAcknowledgement(now, v, top, in.LeaseDuration, in.MaxClockSkew, !slices.Contains(conflicts, c.s.file.Name)) {
 			c.renewed()
 		}
-		if c.lease.Agreed() > agreed {
+		if c.lease.MajorityGeneration() > agreed {
 			c.told(now, in)
 		}
 	case zonesPolicy:
-		p, err := residency.Parse("instance "+m.from, w.Text, residency.Site{})
+		p, err := residency.ParsePolicy("instance "+m.from, w.Text, residency.Site{})
 		if err != nil { // its form is newer than this program: what it says is not known, and the lease shows it
 			c.s.log.Warn("residency_policy_refused", advice.LogAttrs(err, "held", false)...)
 			return
@@ -373,11 +373,11 @@
 }
 
 // told says since when a generation is known to be with more than half, and until when all keep to it.
-func (c *contracts) told(now int64, in *residency.Standing) {
+func (c *contracts) told(now int64, in *residency.CompiledPolicy) {
 	at := func(t int64) string { return time.UnixMicro(t * 100).UTC().Format(time.RFC3339) }
-	c.s.log.Info("residency_agreed", "generation", c.lease.Agreed(), "in_force_everywhere", at(now+in.Lease))
-	if in.By > 0 && now+in.Lease > in.By {
-		c.s.log.Warn("residency_late", advice.LogAttrs(&residency.Late{Generation: c.lease.Agreed(), By: at(in.By)})...)
+	c.s.log.Info("residency_agreed", "generation", c.lease.MajorityGeneration(), "in_force_everywhere", at(now+in.LeaseDuration))
+	if in.EnforcementDeadline > 0 && now+in.LeaseDuration > in.EnforcementDeadline {
+		c.s.log.Warn("residency_late", advice.LogAttrs(&residency.EnforcementOverdueError{Generation: c.lease.MajorityGeneration(), Deadline: at(in.EnforcementDeadline)})...)
 	}
 }
 
@@ -415,7 +415,7 @@
 	if plan != nil {
 		site = plan.ResidencySite()
 	}
-	p, err := residency.Parse(path, text, site)
+	p, err := residency.ParsePolicy(path, text, site)
 	if err != nil {
 		return "", err
 	}
@@ -423,7 +423,7 @@
 		return fmt.Sprintf("can be used, %d contracts; no plan was named to hold them against", len(p.Contracts)), nil
 	}
 	var faults []error
-	for _, u := range p.Reach(plan.BlockCount(), plan.ZoneHoldsBlockFunc()) {
+	for _, u := range p.FindUnreachableBlocks(plan.BlockCount(), plan.ZoneHoldsBlockFunc()) {
 		faults = append(faults, u)
 	}
 	return fmt.Sprintf("can be used, %d contracts", len(p.Contracts)), errors.Join(faults...)
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -87,8 +87,8 @@
 // may tells whether acme's parts may run in a zone now.
 func (l *lived) may(zone string) bool {
 	in, now := l.in.Policy(), time.Now().UnixMicro()/100
-	r := in.Rule(now, "acme", "lookup", 0)
-	return r.Allows(in.Zone(zone))
+	r := in.RuleFor(now, "acme", "lookup", 0)
+	return r.AllowsZone(in.ZoneIndex(zone))
 }
 
 func (l *lived) eventually(why string, ok func() bool) {
@@ -157,7 +157,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "can be used, 1 contracts", told)
 	_, err = checkContracts("contracts", []byte(contractsTwo), plan)
-	var u *residency.Unreached
+	var u *residency.UnreachableBlocksError
 	require.ErrorAs(t, err, &u)
 	require.Equal(t, "contracts: [5:12] tenant acme could not reach blocks 1, 3: its searches there are refused", u.Error())
 	dir := t.TempDir()
--- a/control/residency/file.go
+++ b/control/residency/file.go
@@ -43,13 +43,13 @@
 
 // Contract is one contract of a file. It names a tenant, a tenant's class, or a block.
 type Contract struct {
-	Tenant, Class string
-	Block         int // -1 where it names a tenant
-	Zones         []string
-	From, Until   int64 // wall time; the least and the greatest where left out
-	Part          bool
-	Keep          bool
-	ThenDefault   bool // after its end the default holds; elsewhere nothing runs
+	Tenant, Class     string
+	Block             int // -1 where it names a tenant
+	Zones             []string
+	From, Until       int64 // wall time; the least and the greatest where left out
+	AllowPartial      bool
+	KeepOnLeaseExpiry bool
+	DefaultAfterEnd   bool // after its end the default holds; elsewhere nothing runs
 }
 
 // who is what a contract is about.
@@ -72,35 +72,35 @@
 
 // Policy is a file that was read whole.
 type Policy struct {
-	Source     string
-	Generation uint64
-	Beside     uint64 // the generation that holds too until a later one stands beside nothing; 0 for none
-	By         int64  // wall time by which its tightenings are stated to be in force everywhere, 0 for none
-	Nowhere    bool   // tenants without a contract run nowhere; elsewhere anywhere
-	Lease      int64
-	Slack      int64 // how far apart the instances' clocks may be
-	Rest       int64 // that a host whose zone has changed is in no zone
-	Contracts  []Contract
-	Text       []byte
+	Source              string
+	Generation          uint64
+	CompanionGeneration uint64 // the generation that holds too until a later one stands beside nothing; 0 for none
+	EnforcementDeadline int64  // wall time by which its tightenings are stated to be in force everywhere, 0 for none
+	DenyByDefault       bool   // tenants without a contract run nowhere; elsewhere anywhere
+	LeaseDuration       int64
+	MaxClockSkew        int64 // how far apart the instances' clocks may be
+	HostHoldDown        int64 // that a host whose zone has changed is in no zone
+	Contracts           []Contract
+	Text                []byte
 
 	doc *strictyaml.Doc
 }
 
-// Is tells whether a YAML file is one of contracts: it has them, or a generation, at its top.
-func Is(text []byte) bool {
+// IsPolicyFile tells whether a YAML file is one of contracts: it has them, or a generation, at its top.
+func IsPolicyFile(text []byte) bool {
 	var top map[string]any
 	_, err := strictyaml.Decode(text, fileMost, &top)
 	return err == nil && (top["contracts"] != nil || top["generation"] != nil)
 }
 
-// Parse reads a file's text and looks at all of it; name says whose it is. Faults name line and column.
-func Parse(name string, text []byte, site Site) (*Policy, error) {
+// ParsePolicy reads a file's text and looks at all of it; name says whose it is. Faults name line and column.
+func ParsePolicy(name string, text []byte, site Site) (*Policy, error) {
 	var f form
 	doc, err := strictyaml.Decode(text, fileMost, &f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	p := &Policy{Source: name, Generation: f.Generation, Beside: f.Beside, Text: slices.Clone(text), doc: doc}
+	p := &Policy{Source: name, Generation: f.Generation, CompanionGeneration: f.Beside, Text: slices.Clone(text), doc: doc}
 	if f.Generation == 0 || f.Generation == math.MaxUint64 {
 		doc.Fault("$.generation", "%d: a number from 1 on that rises with each change is needed", f.Generation)
 	}
@@ -110,14 +110,14 @@
 	switch f.Default {
 	case "anywhere":
 	case "nowhere":
-		p.Nowhere = true
+		p.DenyByDefault = true
 	default:
 		doc.Fault("$.default", "%.40q is neither anywhere nor nowhere: where tenants without a contract run has to be said", f.Default)
 	}
-	p.By = moment(doc, "$.in_force_by", f.By, 0)
-	p.Lease = duration(doc, "$.lease", f.Lease, leaseDefault, leaseLeast, leaseMost)
-	p.Slack = duration(doc, "$.clocks", f.Clocks, slackDefault, 0, slackMost)
-	p.Rest = duration(doc, "$.host_rest", f.Rest, restDefault, 0, restMost)
+	p.EnforcementDeadline = moment(doc, "$.in_force_by", f.By, 0)
+	p.LeaseDuration = duration(doc, "$.lease", f.Lease, leaseDefault, leaseLeast, leaseMost)
+	p.MaxClockSkew = duration(doc, "$.clocks", f.Clocks, slackDefault, 0, slackMost)
+	p.HostHoldDown = duration(doc, "$.host_rest", f.Rest, restDefault, 0, restMost)
 	if f.Contracts == nil { // a file that is cut is more likely than one that means none
 		doc.Fault("$", "no contracts; none at all is contracts: []")
 		f.Contracts = &[]entry{}
@@ -213,9 +213,9 @@
 	if c.From >= c.Until {
 		doc.Fault(at+".until", "is not after from")
 	}
-	c.Part = one(doc, at+".otherwise", e.Otherwise, "refuse", "part")
-	c.Keep = one(doc, at+".lease_ends", e.LeaseEnds, "refuse", "keep")
-	if c.ThenDefault = one(doc, at+".after", e.After, "refuse", "default"); c.ThenDefault && c.Until == never {
+	c.AllowPartial = one(doc, at+".otherwise", e.Otherwise, "refuse", "part")
+	c.KeepOnLeaseExpiry = one(doc, at+".lease_ends", e.LeaseEnds, "refuse", "keep")
+	if c.DefaultAfterEnd = one(doc, at+".after", e.After, "refuse", "default"); c.DefaultAfterEnd && c.Until == never {
 		doc.Fault(at+".after", "has no end to come after")
 	}
 	return c
@@ -275,10 +275,10 @@
 		for n := 1; n < len(of); n++ {
 			before, after := &p.Contracts[of[n-1]], &p.Contracts[of[n]]
 			at := fmt.Sprintf("$.contracts[%d]", of[n])
-			switch line, _ := p.Place(of[n-1]); {
+			switch line, _ := p.ContractPosition(of[n-1]); {
 			case after.From < before.Until:
 				p.doc.Fault(at+".from", "%s has two contracts at once: that of line %d has not ended", w, line)
-			case after.From > before.Until && !before.ThenDefault:
+			case after.From > before.Until && !before.DefaultAfterEnd:
 				p.doc.Fault(at+".from", "%s has a gap of %v after the contract of line %d", w,
 					time.Duration(after.From-before.Until)*100*time.Microsecond, line)
 			}
@@ -286,33 +286,33 @@
 	}
 }
 
-// Place is line and column of a contract.
-func (p *Policy) Place(i int) (line, column int) {
+// ContractPosition is line and column of a contract.
+func (p *Policy) ContractPosition(i int) (line, column int) {
 	if line, column = p.doc.Place(fmt.Sprintf("$.contracts[%d].tenant", i)); line == 0 {
 		line, column = p.doc.Place(fmt.Sprintf("$.contracts[%d].block", i))
 	}
 	return line, column
 }
 
-// Unreached is what `check` tells of a contract: blocks that no host in its zones holds.
-type Unreached struct {
+// UnreachableBlocksError is what `check` tells of a contract: blocks that no host in its zones holds.
+type UnreachableBlocksError struct {
 	Source       string
 	Line, Column int
-	Who          string
+	Subject      string
 	Blocks       []int
-	Part         bool
+	AllowPartial bool
 }
 
-func (u *Unreached) Error() string {
+func (u *UnreachableBlocksError) Error() string {
 	then := "its searches there are refused"
-	if u.Part {
+	if u.AllowPartial {
 		then = "its searches there lack them, or are refused"
 	}
-	return fmt.Sprintf("%s: [%d:%d] %s could not reach %s: %s", u.Source, u.Line, u.Column, u.Who, runs(u.Blocks), then)
+	return fmt.Sprintf("%s: [%d:%d] %s could not reach %s: %s", u.Source, u.Line, u.Column, u.Subject, runs(u.Blocks), then)
 }
 
 // Advice tells an operator what to do.
-func (u *Unreached) Advice() string {
+func (u *UnreachableBlocksError) Advice() string {
 	return "Put hosts that hold these blocks into the contract's zones before it begins, or take the blocks out of what the tenant searches."
 }
 
@@ -339,12 +339,12 @@
 	return text
 }
 
-// Reach looks at which blocks each contract could not reach, of so many, where holds tells whether some host of a zone
+// FindUnreachableBlocks looks at which blocks each contract could not reach, of so many, where holds tells whether some host of a zone
 // holds a block.
-func (p *Policy) Reach(blocks int, holds func(zone string, block int) bool) (all []*Unreached) {
+func (p *Policy) FindUnreachableBlocks(blocks int, holds func(zone string, block int) bool) (all []*UnreachableBlocksError) {
 	for i := range p.Contracts {
 		c := &p.Contracts[i]
-		u := &Unreached{Source: p.Source, Who: c.who().String(), Part: c.Part}
+		u := &UnreachableBlocksError{Source: p.Source, Subject: c.who().String(), AllowPartial: c.AllowPartial}
 		for b := range blocks {
 			if c.Block >= 0 && c.Block != b {
 				continue
@@ -354,7 +354,7 @@
 			}
 		}
 		if len(u.Blocks) > 0 {
-			u.Line, u.Column = p.Place(i)
+			u.Line, u.Column = p.ContractPosition(i)
 			all = append(all, u)
 		}
 	}
--- a/control/residency/golden_test.go
+++ b/control/residency/golden_test.go
@@ -18,22 +18,22 @@
 func TestGoldenResidencyFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
-	require.True(t, Is(text))
-	p, err := Parse("every_key.yaml", text, site)
+	require.True(t, IsPolicyFile(text))
+	p, err := ParsePolicy("every_key.yaml", text, site)
 	require.NoError(t, err)
 	p.doc = nil
-	require.Equal(t, &Policy{Source: "every_key.yaml", Generation: 12, Beside: 11, By: wall("2026-12-01T12:00:00Z"), Nowhere: true, Lease: 60_000,
-		Slack: 4000, Rest: 5_400_000, Text: text, Contracts: []Contract{
+	require.Equal(t, &Policy{Source: "every_key.yaml", Generation: 12, CompanionGeneration: 11, EnforcementDeadline: wall("2026-12-01T12:00:00Z"), DenyByDefault: true, LeaseDuration: 60_000,
+		MaxClockSkew: 4000, HostHoldDown: 5_400_000, Text: text, Contracts: []Contract{
 			{Tenant: "acme", Class: "lookup", Block: -1, Zones: []string{"eu-1", "eu-2"}, From: wall("2026-06-30T22:00:00Z"),
-				Until: wall("2027-06-30T22:00:00Z"), Part: true, Keep: true, ThenDefault: true},
+				Until: wall("2027-06-30T22:00:00Z"), AllowPartial: true, KeepOnLeaseExpiry: true, DefaultAfterEnd: true},
 			{Block: 3, Zones: []string{"us-1"}, From: math.MinInt64, Until: never}}}, p)
 
 	text, err = os.ReadFile(filepath.Join("testdata", "fewest_keys.yaml"))
 	require.NoError(t, err)
-	p, err = Parse("fewest_keys.yaml", text, site)
+	p, err = ParsePolicy("fewest_keys.yaml", text, site)
 	require.NoError(t, err)
 	p.doc = nil
-	require.Equal(t, &Policy{Source: "fewest_keys.yaml", Generation: 1, Lease: 50_000, Slack: 5000, Rest: 6_000_000, Text: text}, p)
+	require.Equal(t, &Policy{Source: "fewest_keys.yaml", Generation: 1, LeaseDuration: 50_000, MaxClockSkew: 5000, HostHoldDown: 6_000_000, Text: text}, p)
 }
 
 // Fault texts of policy files, with place and advice. A value of the wrong type is left out: the YAML package names Go
@@ -49,14 +49,14 @@
 		{"after: default", "after: all"}, {"after: refuse", "after: default"}, {"block: 3", "block: 4"}, {"block: 3", "class: lookup"},
 		{"clocks:", "clock:"}} {
 		require.Contains(t, string(text), change[0])
-		_, err := Parse("policy.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)), site)
+		_, err := ParsePolicy("policy.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)), site)
 		require.Error(t, err, change[1])
 		fmt.Fprintf(&all, "%s -> %s\n  %s\n", change[0], change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
 	for _, more := range []string{"", "contracts:\n- {tenant: acme, zones: [eu-1]}\n- {tenant: acme, zones: [eu-2]}",
 		"contracts:\n- {tenant: acme, zones: [eu-1], until: 2027-01-01T00:00:00Z}\n- {tenant: acme, zones: [eu-2], from: 2027-01-02T00:00:00Z}",
 		"contracts:\n- {block: 1, tenant: acme, zones: [eu-1]}", "contracts:\n- {zones: [eu-1]}"} {
-		_, err := Parse("policy.yaml", []byte(head+more), site)
+		_, err := ParsePolicy("policy.yaml", []byte(head+more), site)
 		require.Error(t, err)
 		fmt.Fprintf(&all, "%s\n  %s\n", more, strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
@@ -66,13 +66,13 @@
 // Failures that stand in the log, in answers to clients and in what a check prints, with their advice.
 func TestGoldenResidencyErrors(t *testing.T) {
 	var all strings.Builder
-	for _, err := range []error{&Refused{Tenant: "acme", Block: 3, Why: NoHolder, Generation: 12},
-		&Refused{Tenant: "acme", Block: -1, Why: Lapsed, Generation: 12}, &Refused{Tenant: "acme", Block: -1, Why: Ended, Generation: 12},
-		&Stale{Source: "policy.yaml", Generation: 11, Have: 12}, &Differs{Source: "policy.yaml", Generation: 12}, &Missing{Generation: 12, Beside: 11},
-		&LeaseEnded{Generation: 12, Heard: 1, Of: 3}, &LeaseEnded{Generation: 12, Heard: 1, Of: 3, Apart: 2},
-		&Late{Generation: 12, By: "2026-12-01T12:00:00Z"}, &Unread{errors.New("why")},
-		&Unreached{Source: "policy.yaml", Line: 9, Column: 5, Who: "block 3", Blocks: []int{1, 2, 3, 7}},
-		&Unreached{Source: "policy.yaml", Line: 9, Column: 5, Who: "tenant acme, class lookup", Blocks: []int{4}, Part: true}} {
+	for _, err := range []error{&SearchRejectedError{Tenant: "acme", Block: 3, Reason: ReasonNoEligibleHost, Generation: 12},
+		&SearchRejectedError{Tenant: "acme", Block: -1, Reason: ReasonLeaseExpired, Generation: 12}, &SearchRejectedError{Tenant: "acme", Block: -1, Reason: ReasonContractEnded, Generation: 12},
+		&StalePolicyError{Source: "policy.yaml", Generation: 11, NewestGeneration: 12}, &ConflictingPoliciesError{Source: "policy.yaml", Generation: 12}, &MissingPolicyError{Generation: 12, CompanionGeneration: 11},
+		&LeaseExpiredError{Generation: 12, Reachable: 1, Listed: 3}, &LeaseExpiredError{Generation: 12, Reachable: 1, Listed: 3, SkewedClocks: 2},
+		&EnforcementOverdueError{Generation: 12, Deadline: "2026-12-01T12:00:00Z"}, &PoliciesUnreadableError{errors.New("why")},
+		&UnreachableBlocksError{Source: "policy.yaml", Line: 9, Column: 5, Subject: "block 3", Blocks: []int{1, 2, 3, 7}},
+		&UnreachableBlocksError{Source: "policy.yaml", Line: 9, Column: 5, Subject: "tenant acme, class lookup", Blocks: []int{4}, AllowPartial: true}} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	requireGolden(t, "errors.txt", []byte(all.String()))
--- a/control/residency/hosts.go
+++ b/control/residency/hosts.go
@@ -3,13 +3,13 @@
 // Host is an entry of the list in force.
 type Host struct {
 	ID, Addr, Zone string
-	Apart          bool // sources put it into different zones
-	Gone           bool
+	ZoneConflict   bool // sources put it into different zones
+	Removed        bool
 }
 
-// Hosts knows in which zone each host is. A host whose zone is unknown, differs between sources or has changed of late
+// HostZones knows in which zone each host is. A host whose zone is unknown, differs between sources or has changed of late
 // is in none; so is one that stands at an address where another zone was, under whichever name. It is one goroutine's.
-type Hosts struct {
+type HostZones struct {
 	rest  int64
 	ids   map[string]*stay
 	at    map[string]*stay
@@ -26,16 +26,16 @@
 	here  bool
 }
 
-// NewHosts makes one that puts hosts whose zone has changed into none for rest.
-func NewHosts(rest int64) *Hosts {
-	return &Hosts{rest: rest, ids: map[string]*stay{}, at: map[string]*stay{}, next: never}
+// NewHostZones makes one that puts hosts whose zone has changed into none for rest.
+func NewHostZones(rest int64) *HostZones {
+	return &HostZones{rest: rest, ids: map[string]*stay{}, at: map[string]*stay{}, next: never}
 }
 
-// Rests puts another rest into force.
-func (h *Hosts) Rests(rest int64) { h.stale, h.rest = h.stale || rest != h.rest, rest }
+// SetHoldDown puts another rest into force.
+func (h *HostZones) SetHoldDown(rest int64) { h.stale, h.rest = h.stale || rest != h.rest, rest }
 
-// Told takes a whole list, or changes of it.
-func (h *Hosts) Told(now int64, whole bool, list []Host) {
+// UpdateHosts takes a whole list, or changes of it.
+func (h *HostZones) UpdateHosts(now int64, whole bool, list []Host) {
 	var before map[string]bool
 	if whole {
 		before = make(map[string]bool, len(h.ids))
@@ -46,10 +46,10 @@
 	}
 	for _, host := range list {
 		zone := host.Zone
-		if host.Apart {
+		if host.ZoneConflict {
 			zone = ""
 		}
-		if host.Gone {
+		if host.Removed {
 			h.left(now, host.ID)
 			continue
 		}
@@ -68,7 +68,7 @@
 }
 
 // left notes that a host was listed up to now, and something may have stood at its address.
-func (h *Hosts) left(now int64, id string) {
+func (h *HostZones) left(now int64, id string) {
 	if s := h.ids[id]; s != nil {
 		s.here, s.seen = false, now
 		if a := h.at[s.addr]; a != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-func (h *Hosts) note(in map[string]*stay, key, zone string, now int64) *stay {
+func (h *HostZones) note(in map[string]*stay, key, zone string, now int64) *stay {
 	s := in[key]
 	if s == nil {
 		s = &stay{zone: zone}
@@ -91,7 +91,7 @@
 }
 
 // forget bounds what is remembered of hosts that have left: what has rested means nothing any more.
-func (h *Hosts) forget(now int64) {
+func (h *HostZones) forget(now int64) {
 	listed := make(map[string]bool, len(h.ids))
 	for id, s := range h.ids {
 		if s.here {
@@ -108,7 +108,7 @@
 }
 
 // Zone is the zone that a host is in, empty for none.
-func (h *Hosts) Zone(now int64, id string) string {
+func (h *HostZones) Zone(now int64, id string) string {
 	s := h.ids[id]
 	if s == nil || !s.here || h.rests(now, s) {
 		return ""
@@ -119,10 +119,10 @@
 	return s.zone
 }
 
-func (h *Hosts) rests(now int64, s *stay) bool { return s.since != 0 && now < s.since+h.rest }
+func (h *HostZones) rests(now int64, s *stay) bool { return s.since != 0 && now < s.since+h.rest }
 
-// Next is when some host's rest is over; never where none rests.
-func (h *Hosts) Next(now int64) int64 {
+// NextHoldDownEnd is when some host's rest is over; never where none rests.
+func (h *HostZones) NextHoldDownEnd(now int64) int64 {
 	if !h.stale && now < h.next {
 		return h.next
 	}
--- a/control/residency/lease.go
+++ b/control/residency/lease.go
@@ -38,13 +38,13 @@
 	level    int    // voices that have it
 }
 
-// Voice is an answer to a round.
-type Voice struct {
+// LeaseAcknowledgement is an answer to a round.
+type LeaseAcknowledgement struct {
 	From       string
 	Nonce      uint64
 	Generation uint64
-	Wall       int64 // the answerer's clock
-	Sure       bool  // its word counts
+	WallTime   int64 // the answerer's clock
+	Voter      bool  // its word counts
 }
 
 // NewLease makes one for an instance of those that count. Kept tells that what it knew when it last ended is known now.
@@ -54,34 +54,34 @@
 	return &Lease{me: me, listed: slices.Compact(listed), sure: kept}
 }
 
-// Need is how many instances make more than half.
-func (l *Lease) Need() int { return len(l.listed)/2 + 1 }
+// QuorumSize is how many instances make more than half.
+func (l *Lease) QuorumSize() int { return len(l.listed)/2 + 1 }
 
-// Sure tells whether this instance's own answers count.
-func (l *Lease) Sure() bool { return l.sure }
+// IsVoter tells whether this instance's own answers count.
+func (l *Lease) IsVoter() bool { return l.sure }
 
-// Ahead is the newest generation that any answer has named.
-func (l *Lease) Ahead() uint64 { return l.ahead }
+// HighestSeenGeneration is the newest generation that any answer has named.
+func (l *Lease) HighestSeenGeneration() uint64 { return l.ahead }
 
-// Apart is how many instances' clocks are apart from this one's, by their last answers.
-func (l *Lease) Apart() int { return len(l.apart) }
+// CountSkewedClocks is how many instances' clocks are apart from this one's, by their last answers.
+func (l *Lease) CountSkewedClocks() int { return len(l.apart) }
 
-// Until is when the lease ends.
-func (l *Lease) Until() int64 { return l.until }
+// ExpiresAt is when the lease ends.
+func (l *Lease) ExpiresAt() int64 { return l.until }
 
-// Whom are those that the next round asks: each time the next ones, so that all are met.
-func (l *Lease) Whom() []string {
+// SelectPeers are those that the next round asks: each time the next ones, so that all are met.
+func (l *Lease) SelectPeers() []string {
 	others := slices.DeleteFunc(slices.Clone(l.listed), func(name string) bool { return name == l.me })
 	if n := len(others); n > allMost {
-		most := min(n, l.Need()+l.Need()/4)
+		most := min(n, l.QuorumSize()+l.QuorumSize()/4)
 		l.place = (l.place + most) % n
 		others = slices.Concat(others[l.place:], others[:l.place])[:most]
 	}
 	return others
 }
 
-// Ask begins a round and gives its number, to be sent with the question.
-func (l *Lease) Ask(now int64) (nonce uint64) {
+// BeginRound begins a round and gives its number, to be sent with the question.
+func (l *Lease) BeginRound(now int64) (nonce uint64) {
 	l.nonce++
 	if len(l.rounds) >= roundsMost {
 		l.rounds = l.rounds[1:]
@@ -90,9 +90,9 @@
 	return l.nonce
 }
 
-// Heard takes an answer, while own is the newest generation this instance enforces; one tells that nobody else has its
+// HandleAcknowledgement takes an answer, while own is the newest generation this instance enforces; one tells that nobody else has its
 // name, and answers under names that two claim are left out (package membership). True: the lease ends later than before.
-func (l *Lease) Heard(now int64, v Voice, own uint64, span, slack int64, one bool) (renewed bool) {
+func (l *Lease) HandleAcknowledgement(now int64, v LeaseAcknowledgement, own uint64, span, slack int64, one bool) (renewed bool) {
 	l.ahead = max(l.ahead, v.Generation)
 	i := slices.IndexFunc(l.rounds, func(r round) bool { return r.nonce == v.Nonce })
 	who, known := slices.BinarySearch(l.listed, v.From)
@@ -103,7 +103,7 @@
 	if v.Generation > own {
 		r.sound = false // the question goes out again once that one is known
 	}
-	if v.Wall < r.at-slack || v.Wall > now+slack { // guards against a clock that is apart: from and until mean nothing by it
+	if v.WallTime < r.at-slack || v.WallTime > now+slack { // guards against a clock that is apart: from and until mean nothing by it
 		if l.apart == nil {
 			l.apart = map[string]bool{}
 		}
@@ -117,24 +117,24 @@
 	if r.own != own {
 		r.own, r.level = own, 0
 	}
-	if v.Sure {
+	if v.Voter {
 		if r.voices++; v.Generation == own {
 			r.level++
 		}
 	} else {
 		r.learners++
 	}
-	if l.sure && r.level+1 >= l.Need() {
+	if l.sure && r.level+1 >= l.QuorumSize() {
 		l.agreed = max(l.agreed, own)
 	}
 	return l.settle(now, r, span, one)
 }
 
-// Agreed is the newest generation that more than half are known to have: one lease later it is in force everywhere.
-func (l *Lease) Agreed() uint64 { return l.agreed }
+// MajorityGeneration is the newest generation that more than half are known to have: one lease later it is in force everywhere.
+func (l *Lease) MajorityGeneration() uint64 { return l.agreed }
 
-// Alone renews the lease of an instance that is listed alone.
-func (l *Lease) Alone(now, span int64) bool {
+// RenewSoleMember renews the lease of an instance that is listed alone.
+func (l *Lease) RenewSoleMember(now, span int64) bool {
 	return len(l.listed) == 1 && l.listed[0] == l.me && l.settle(now, &round{at: now, sound: true}, span, true)
 }
 
@@ -146,7 +146,7 @@
 	if l.sure {
 		own = 1
 	}
-	if r.voices+own < l.Need() && r.voices+r.learners+1 < len(l.listed) {
+	if r.voices+own < l.QuorumSize() && r.voices+r.learners+1 < len(l.listed) {
 		return false
 	}
 	l.sure = true // it knows what more than half know
@@ -157,5 +157,5 @@
 	return true
 }
 
-// Each is how long to wait between two rounds.
-func Each(span int64) int64 { return max(1, span/roundsEach) }
+// RenewalInterval is how long to wait between two rounds.
+func RenewalInterval(span int64) int64 { return max(1, span/roundsEach) }
--- a/control/residency/residency_test.go
+++ b/control/residency/residency_test.go
@@ -19,7 +19,7 @@
 var site = Site{Tenants: []string{"acme", "bolt", "core"}, Classes: []string{"lookup", "deep"}, Zones: []string{"eu-1", "eu-2", "us-1"}, Blocks: 4}
 
 func parse(t require.TestingT, text string) *Policy {
-	p, err := Parse("file", []byte(text), site)
+	p, err := ParsePolicy("file", []byte(text), site)
 	require.NoError(t, err)
 	return p
 }
@@ -54,41 +54,41 @@
 		head + "contracts:\n- {tenant: acme, zones: [eu-1], until: 2027-01-01T00:00:00Z}\n- {tenant: acme, zones: [eu-2], from: 2027-01-02T00:00:00Z}": "[5:39] contracts[1].from: tenant acme has a gap of 24h0m0s after the contract of line 4",
 		head + "contracts: []\nzone: x": "unknown field",
 	} {
-		_, err := Parse("file", []byte(text), site)
+		_, err := ParsePolicy("file", []byte(text), site)
 		require.ErrorContains(t, err, want, text)
 		require.NotEmpty(t, advice.For(err), text)
 	}
-	require.True(t, Is([]byte(head+"contracts:\n- {tenant: acme, zones: [eu-1]}")))
-	require.False(t, Is([]byte("peers:\n  name: n0")))
+	require.True(t, IsPolicyFile([]byte(head+"contracts:\n- {tenant: acme, zones: [eu-1]}")))
+	require.False(t, IsPolicyFile([]byte("peers:\n  name: n0")))
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	for _, err := range []advice.Provider{&Refused{Why: NoHolder}, &Refused{Why: Lapsed}, &Refused{Why: Ended}, &Stale{}, &Differs{}, &Missing{}, &Unreached{},
-		&LeaseEnded{}, &LeaseEnded{Apart: 1}, &Late{}, &Unread{errors.New("x")}} {
+	for _, err := range []advice.Provider{&SearchRejectedError{Reason: ReasonNoEligibleHost}, &SearchRejectedError{Reason: ReasonLeaseExpired}, &SearchRejectedError{Reason: ReasonContractEnded}, &StalePolicyError{}, &ConflictingPoliciesError{}, &MissingPolicyError{}, &UnreachableBlocksError{},
+		&LeaseExpiredError{}, &LeaseExpiredError{SkewedClocks: 1}, &EnforcementOverdueError{}, &PoliciesUnreadableError{errors.New("x")}} {
 		require.NotEmpty(t, err.Advice())
 		require.NotEmpty(t, err.Error())
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*residency.")+"`", "docs/oncall.md lists it")
 	}
 	text, err := os.ReadFile("../../deploy/residency.yaml")
 	require.NoError(t, err)
-	require.True(t, Is(text))
-	p, err := Parse("deploy/residency.yaml", text, Site{})
+	require.True(t, IsPolicyFile(text))
+	p, err := ParsePolicy("deploy/residency.yaml", text, Site{})
 	require.NoError(t, err)
 	require.Len(t, p.Contracts, 5)
 }
 
-func standing(t require.TestingT, until int64, texts ...string) *Standing {
-	var b Book
+func standing(t require.TestingT, until int64, texts ...string) *CompiledPolicy {
+	var b PolicyRegistry
 	for _, text := range texts {
-		changed, err := b.Tell(parse(t, text))
+		changed, err := b.AddPolicy(parse(t, text))
 		require.NoError(t, err)
 		require.True(t, changed)
 	}
-	return b.Standing(until)
+	return b.Compile(until)
 }
 
-func (s *Standing) may(now int64, tenant, class string, block int, zone string) bool {
-	r := s.Rule(now, tenant, class, block)
-	return r.Allows(s.Zone(zone))
+func (s *CompiledPolicy) may(now int64, tenant, class string, block int, zone string) bool {
+	r := s.RuleFor(now, tenant, class, block)
+	return r.AllowsZone(s.ZoneIndex(zone))
 }
 
 // Where several contracts apply, the strictest of all holds; a zone that no contract names is nobody's; a contract's end
@@ -115,23 +115,23 @@
 		}
 		require.Equal(t, x.want, strings.Join(got, " "), x)
 	}
-	r := s.Rule(now, "acme", "lookup", 0)
-	require.True(t, r.Part)
-	r = s.Rule(now, "acme", "deep", 0)
-	require.False(t, r.Part, "one of both refuses")
-	require.True(t, s.Holds(now, "acme", "eu-2"))
-	require.False(t, s.Holds(now, "acme", "eu-1"), "the class deep may not be there")
-	require.True(t, s.Holds(now, "else", "us-9"))
+	r := s.RuleFor(now, "acme", "lookup", 0)
+	require.True(t, r.AllowPartial)
+	r = s.RuleFor(now, "acme", "deep", 0)
+	require.False(t, r.AllowPartial, "one of both refuses")
+	require.True(t, s.AllowsTenantData(now, "acme", "eu-2"))
+	require.False(t, s.AllowsTenantData(now, "acme", "eu-1"), "the class deep may not be there")
+	require.True(t, s.AllowsTenantData(now, "else", "us-9"))
 	later := wall("2028-01-01T00:00:00Z")
-	r = s.Rule(later, "bolt", "deep", 0)
-	require.True(t, r.Over)
+	r = s.RuleFor(later, "bolt", "deep", 0)
+	require.True(t, r.ContractEnded)
 	require.False(t, s.may(later, "bolt", "deep", 0, "eu-1"))
 	require.True(t, s.may(later, "core", "deep", 0, "us-1"))
 	begins := wall("2026-06-01T00:00:00Z")
-	require.True(t, s.may(begins-s.Slack-1, "core", "deep", 0, "us-1"))
-	require.False(t, s.may(begins-s.Slack, "core", "deep", 0, "us-1"), "clocks may be apart")
-	require.Equal(t, begins-s.Slack, s.Next(begins-second))
-	require.False(t, s.Free(now, "else", "deep"))
+	require.True(t, s.may(begins-s.MaxClockSkew-1, "core", "deep", 0, "us-1"))
+	require.False(t, s.may(begins-s.MaxClockSkew, "core", "deep", 0, "us-1"), "clocks may be apart")
+	require.Equal(t, begins-s.MaxClockSkew, s.NextChangeAt(begins-second))
+	require.False(t, s.IsUnrestricted(now, "else", "deep"))
 	none := standing(t, never, "generation: 1\ndefault: nowhere\ncontracts: []")
 	require.False(t, none.may(now, "else", "deep", 0, "eu-1"))
 }
@@ -143,9 +143,9 @@
 	require.False(t, s.may(100, "acme", "deep", 0, "eu-1"))
 	require.True(t, s.may(100, "bolt", "deep", 0, "eu-1"))
 	require.True(t, s.may(100, "core", "deep", 0, "us-1"))
-	require.Equal(t, int64(100), s.Next(7))
+	require.Equal(t, int64(100), s.NextChangeAt(7))
 	blind := standing(t, never, head+"beside: 2\ncontracts:\n- {tenant: acme, zones: [eu-1]}")
-	require.True(t, blind.Blind)
+	require.True(t, blind.Incomplete)
 	require.False(t, blind.may(1, "acme", "deep", 0, "eu-1"))
 }
 
@@ -160,19 +160,19 @@
 	require.False(t, s.may(1, "bolt", "deep", 0, "eu-1"))
 	s = standing(t, never, old, next, strings.Replace(strings.Replace(next, "4", "5", 1), "beside: 3\n", "", 1))
 	require.True(t, s.may(1, "acme", "deep", 0, "us-1"))
-	var b Book
-	b.Tell(parse(t, next))
-	require.Equal(t, &Missing{4, 3}, b.Lacks())
-	changed, err := b.Tell(parse(t, old))
+	var b PolicyRegistry
+	b.AddPolicy(parse(t, next))
+	require.Equal(t, &MissingPolicyError{4, 3}, b.MissingPolicy())
+	changed, err := b.AddPolicy(parse(t, old))
 	require.NoError(t, err)
 	require.True(t, changed)
-	require.Nil(t, b.Lacks())
-	_, err = b.Tell(parse(t, strings.Replace(old, "3", "2", 1)))
-	require.True(t, advice.HasType[*Stale](err))
-	changed, err = b.Tell(parse(t, strings.Replace(next, "us-1", "eu-1", 1)))
+	require.Nil(t, b.MissingPolicy())
+	_, err = b.AddPolicy(parse(t, strings.Replace(old, "3", "2", 1)))
+	require.True(t, advice.HasType[*StalePolicyError](err))
+	changed, err = b.AddPolicy(parse(t, strings.Replace(next, "us-1", "eu-1", 1)))
 	require.True(t, changed)
-	require.True(t, advice.HasType[*Differs](err))
-	require.False(t, b.Standing(never).may(1, "acme", "deep", 0, "us-1"))
+	require.True(t, advice.HasType[*ConflictingPoliciesError](err))
+	require.False(t, b.Compile(never).may(1, "acme", "deep", 0, "us-1"))
 }
 
 // Generations never fall, and the same policies in any order, told once or often, leave the same in force.
@@ -189,28 +189,28 @@
 		if len(all) == 0 {
 			return
 		}
-		tell := func(order []*Policy) *Book {
-			b := &Book{}
+		tell := func(order []*Policy) *PolicyRegistry {
+			b := &PolicyRegistry{}
 			for _, p := range order {
-				was := b.Generation()
-				b.Tell(p)
-				require.GreaterOrEqual(t, b.Generation(), was)
+				was := b.NewestGeneration()
+				b.AddPolicy(p)
+				require.GreaterOrEqual(t, b.NewestGeneration(), was)
 			}
 			for _, p := range order { // what was too early is told again
-				b.Tell(p)
+				b.AddPolicy(p)
 			}
 			return b
 		}
 		x := tell(all)
 		y := tell(rapid.Permutation(append(slices.Clone(all), all[0])).Draw(t, "order"))
 		require.Equal(t, x.Policies(), y.Policies())
-		require.Equal(t, x.Standing(never), y.Standing(never))
+		require.Equal(t, x.Compile(never), y.Compile(never))
 		for _, zone := range site.Zones { // no wording of the newest widens another
-			may := x.Standing(never).may(1, "acme", "deep", 0, zone)
+			may := x.Compile(never).may(1, "acme", "deep", 0, zone)
 			for _, p := range x.Policies() {
-				one := Book{}
-				one.Tell(p)
-				if s := one.Standing(never); !s.Blind {
+				one := PolicyRegistry{}
+				one.AddPolicy(p)
+				if s := one.Compile(never); !s.Incomplete {
 					require.True(t, !may || s.may(1, "acme", "deep", 0, zone))
 				}
 			}
@@ -220,16 +220,16 @@
 
 // A host is in a zone only where all that is known of it and its address agrees and has rested.
 func TestHostsInNoZone(t *testing.T) {
-	h := NewHosts(100)
-	one := func(now int64, hosts ...Host) { h.Told(now, true, hosts) }
-	one(10, Host{ID: "a", Addr: "1", Zone: "eu-1"}, Host{ID: "b", Addr: "2"}, Host{ID: "c", Addr: "3", Zone: "eu-1", Apart: true})
+	h := NewHostZones(100)
+	one := func(now int64, hosts ...Host) { h.UpdateHosts(now, true, hosts) }
+	one(10, Host{ID: "a", Addr: "1", Zone: "eu-1"}, Host{ID: "b", Addr: "2"}, Host{ID: "c", Addr: "3", Zone: "eu-1", ZoneConflict: true})
 	require.Equal(t, "eu-1", h.Zone(10, "a"))
 	require.Empty(t, h.Zone(10, "b"), "unknown")
 	require.Empty(t, h.Zone(10, "c"), "sources differ")
 	require.Empty(t, h.Zone(10, "d"))
 	one(20, Host{ID: "a", Addr: "1", Zone: "us-1"}) // moves under a search
 	require.Empty(t, h.Zone(20, "a"))
-	require.Equal(t, int64(120), h.Next(20))
+	require.Equal(t, int64(120), h.NextHoldDownEnd(20))
 	require.Equal(t, "us-1", h.Zone(120, "a"))
 	one(130, Host{ID: "a2", Addr: "1", Zone: "us-1"}) // renamed, and true to its word
 	require.Equal(t, "us-1", h.Zone(130, "a2"))
@@ -241,23 +241,23 @@
 	one(601, Host{ID: "z", Addr: "7", Zone: "eu-1"})
 	require.Len(t, h.ids, 1, "those that left are forgotten after the rest")
 	require.Len(t, h.at, 1)
-	h.Told(700, false, []Host{{ID: "z", Gone: true}})
-	h.Told(710, false, []Host{{ID: "z", Addr: "7", Zone: "us-1"}})
+	h.UpdateHosts(700, false, []Host{{ID: "z", Removed: true}})
+	h.UpdateHosts(710, false, []Host{{ID: "z", Addr: "7", Zone: "us-1"}})
 	require.Empty(t, h.Zone(710, "z"), "it was there until 700")
 }
 
 // 10,000 contracts and two policies side by side: no allocation a look-up; the benchmark has its time.
-func many(t testing.TB) *Standing {
+func many(t testing.TB) *CompiledPolicy {
 	var b strings.Builder
 	b.WriteString("default: anywhere\ncontracts:\n")
 	for i := range contractsMost {
 		fmt.Fprintf(&b, "- {tenant: tenant-%d, zones: [eu-%d, eu-9]}\n", i, i%7)
 	}
-	p, err := Parse("many", []byte("generation: 1\n"+b.String()), Site{})
+	p, err := ParsePolicy("many", []byte("generation: 1\n"+b.String()), Site{})
 	require.NoError(t, err)
-	var book Book
-	book.Tell(p)
-	return book.Standing(never)
+	var book PolicyRegistry
+	book.AddPolicy(p)
+	return book.Compile(never)
 }
 
 func TestLookUpAllocatesNothing(t *testing.T) {
@@ -266,10 +266,10 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("tenant-%d", i*17)
 	}
-	zone := s.Zone("eu-9")
+	zone := s.ZoneIndex("eu-9")
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		r := s.Rule(5, names[n%len(names)], "deep", 3)
-		if n++; r.Bound && r.Allows(zone) {
+		r := s.RuleFor(5, names[n%len(names)], "deep", 3)
+		if n++; r.Restricted && r.AllowsZone(zone) {
 			in++
 		}
 	}))
@@ -282,11 +282,11 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("tenant-%d", i*17)
 	}
-	zone := s.Zone("eu-9")
+	zone := s.ZoneIndex("eu-9")
 	in := 0
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if r := s.Rule(5, names[i%len(names)], "deep", 3); r.Allows(zone) {
+		if r := s.RuleFor(5, names[i%len(names)], "deep", 3); r.AllowsZone(zone) {
 			in++
 		}
 	}
@@ -299,11 +299,11 @@
 	const span, slack, step = 3 * second, second / 2, second / 10
 	old := parse(t, "generation: 1\nlease: 3s\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-1, us-1]}")
 	next := parse(t, "generation: 2\nlease: 3s\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-1]}")
-	in := map[uint64]*Standing{}
+	in := map[uint64]*CompiledPolicy{}
 	for g, p := range []*Policy{old, next} {
-		var b Book
-		b.Tell(p)
-		in[uint64(g+1)] = b.Standing(0)
+		var b PolicyRegistry
+		b.AddPolicy(p)
+		in[uint64(g+1)] = b.Compile(0)
 	}
 	renewed, refused, isolated := 0, 0, 0
 	history := func(t require.TestingT, chance *rand.Rand, n int, calm, end int64) {
@@ -313,7 +313,7 @@
 		}
 		type instance struct {
 			lease *Lease
-			book  *Book
+			book  *PolicyRegistry
 			disk  *Policy
 			off   int64
 			asks  int64
@@ -324,13 +324,13 @@
 		begin := func(i int, kept bool) {
 			x := all[i]
 			x.life++
-			x.lease, x.book, x.asks = NewLease(names[i], names, kept), &Book{}, 0
-			x.book.Tell(old)
+			x.lease, x.book, x.asks = NewLease(names[i], names, kept), &PolicyRegistry{}, 0
+			x.book.AddPolicy(old)
 			if kept && x.disk != nil {
-				x.book.Tell(x.disk)
+				x.book.AddPolicy(x.disk)
 			}
 			if i == 0 && given {
-				x.book.Tell(next) // its operator's file
+				x.book.AddPolicy(next) // its operator's file
 			}
 		}
 		for i := range all {
@@ -365,7 +365,7 @@
 		}
 		learn := func(i int) { // on disk before it is told
 			all[i].disk = next
-			all[i].book.Tell(next)
+			all[i].book.AddPolicy(next)
 		}
 		at, most := chance.Int63n(calm/2), int64(0)
 		for now := int64(step); now <= end; now += step {
@@ -398,34 +398,34 @@
 			have := 0
 			for i, x := range all {
 				local := now + x.off
-				if x.lease.Alone(local, span) {
+				if x.lease.RenewSoleMember(local, span) {
 					renewed++
 				}
 				if local >= x.asks {
-					x.asks = local + Each(span)
-					nonce, gen := x.lease.Ask(local), x.book.Generation()
-					for _, name := range x.lease.Whom() {
+					x.asks = local + RenewalInterval(span)
+					nonce, gen := x.lease.BeginRound(local), x.book.NewestGeneration()
+					for _, name := range x.lease.SelectPeers() {
 						j, _ := slices.BinarySearch(names, name)
 						send(now, i, j, func() {
 							y := all[j]
-							if gen == 2 && y.book.Generation() < 2 {
+							if gen == 2 && y.book.NewestGeneration() < 2 {
 								learn(j)
 							}
-							v := Voice{names[j], nonce, y.book.Generation(), y.asks, y.lease.Sure()}
-							v.Wall = now + y.off // about when it was asked
-							has := y.book.Generation() == 2
+							v := LeaseAcknowledgement{names[j], nonce, y.book.NewestGeneration(), y.asks, y.lease.IsVoter()}
+							v.WallTime = now + y.off // about when it was asked
+							has := y.book.NewestGeneration() == 2
 							send(now, j, i, func() {
-								if has && x.book.Generation() < 2 && chance.Intn(2) == 0 {
+								if has && x.book.NewestGeneration() < 2 && chance.Intn(2) == 0 {
 									learn(i)
 								}
-								if x.lease.Heard(now+x.off, v, x.book.Generation(), span, slack, true) {
+								if x.lease.HandleAcknowledgement(now+x.off, v, x.book.NewestGeneration(), span, slack, true) {
 									renewed++
 								}
 							})
 						})
 					}
 				}
-				if x.book.Generation() == 2 && x.lease.Sure() {
+				if x.book.NewestGeneration() == 2 && x.lease.IsVoter() {
 					have++
 				}
 			}
@@ -433,7 +433,7 @@
 				most = now
 			}
 			for i, x := range all {
-				s := in[x.book.Generation()].With(x.lease.Until())
+				s := in[x.book.NewestGeneration()].WithLeaseExpiry(x.lease.ExpiresAt())
 				if most > 0 && now > most+span {
 					require.False(t, s.may(now+x.off, "acme", "deep", 0, "us-1"), "instance %d at %d, most since %d", i, now, most)
 				}
@@ -443,8 +443,8 @@
 			}
 		}
 		for i, x := range all {
-			require.Equal(t, uint64(2), x.book.Generation(), "instance %d", i)
-			s := x.book.Standing(x.lease.Until())
+			require.Equal(t, uint64(2), x.book.NewestGeneration(), "instance %d", i)
+			s := x.book.Compile(x.lease.ExpiresAt())
 			if near := x.off < 1800*second; near {
 				require.True(t, s.may(end+x.off, "acme", "deep", 0, "eu-1"), "instance %d of %d", i, n)
 			} else {
@@ -466,11 +466,11 @@
 // What a check tells of blocks that a tenant could not reach.
 func TestReach(t *testing.T) {
 	p := parse(t, head+"contracts:\n- {tenant: acme, zones: [eu-1]}\n- {block: 3, zones: [us-1], otherwise: part}\n- {tenant: bolt, zones: [us-1]}")
-	got := p.Reach(4, func(zone string, block int) bool { return zone == "us-1" && block != 3 || zone == "eu-1" && block == 1 })
+	got := p.FindUnreachableBlocks(4, func(zone string, block int) bool { return zone == "us-1" && block != 3 || zone == "eu-1" && block == 1 })
 	require.Len(t, got, 3)
 	require.Equal(t, "file: [4:12] tenant acme could not reach blocks 0, 2-3: its searches there are refused", got[0].Error())
 	require.Equal(t, "file: [5:11] block 3 could not reach block 3: its searches there lack them, or are refused", got[1].Error())
-	var u *Unreached
+	var u *UnreachableBlocksError
 	require.True(t, errors.As(fmt.Errorf("x: %w", got[2]), &u))
 }
 
@@ -479,21 +479,21 @@
 func TestLeaseCountsFromTheQuestion(t *testing.T) {
 	const span = 10 * second
 	l := NewLease("a", []string{"a", "b", "c"}, true)
-	nonce := l.Ask(second)
-	require.True(t, l.Heard(9*second, Voice{From: "b", Nonce: nonce, Generation: 1, Wall: 9 * second, Sure: true}, 1, span, second, true))
-	require.Equal(t, 11*second, int(l.Until()))
-	require.Equal(t, uint64(1), l.Agreed())
+	nonce := l.BeginRound(second)
+	require.True(t, l.HandleAcknowledgement(9*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, WallTime: 9 * second, Voter: true}, 1, span, second, true))
+	require.Equal(t, 11*second, int(l.ExpiresAt()))
+	require.Equal(t, uint64(1), l.MajorityGeneration())
 	l = NewLease("a", []string{"a", "b", "c"}, false)
-	nonce = l.Ask(second)
-	require.False(t, l.Heard(2*second, Voice{From: "b", Nonce: nonce, Generation: 1, Wall: 2 * second, Sure: true}, 1, span, second, true))
-	require.False(t, l.Heard(2*second, Voice{From: "b", Nonce: nonce, Generation: 1, Wall: 2 * second, Sure: true}, 1, span, second, true), "doubled")
-	require.False(t, l.Heard(2*second, Voice{From: "x", Nonce: nonce, Generation: 1, Wall: 2 * second, Sure: true}, 1, span, second, true), "not listed")
-	require.True(t, l.Heard(2*second, Voice{From: "c", Nonce: nonce, Generation: 1, Wall: 2 * second}, 1, span, second, true), "all have answered")
-	require.False(t, l.Heard(3*second, Voice{From: "b", Nonce: l.Ask(3 * second), Generation: 2, Wall: 3 * second, Sure: true}, 1, span, second, true))
-	require.Equal(t, uint64(2), l.Ahead())
+	nonce = l.BeginRound(second)
+	require.False(t, l.HandleAcknowledgement(2*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, WallTime: 2 * second, Voter: true}, 1, span, second, true))
+	require.False(t, l.HandleAcknowledgement(2*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, WallTime: 2 * second, Voter: true}, 1, span, second, true), "doubled")
+	require.False(t, l.HandleAcknowledgement(2*second, LeaseAcknowledgement{From: "x", Nonce: nonce, Generation: 1, WallTime: 2 * second, Voter: true}, 1, span, second, true), "not listed")
+	require.True(t, l.HandleAcknowledgement(2*second, LeaseAcknowledgement{From: "c", Nonce: nonce, Generation: 1, WallTime: 2 * second}, 1, span, second, true), "all have answered")
+	require.False(t, l.HandleAcknowledgement(3*second, LeaseAcknowledgement{From: "b", Nonce: l.BeginRound(3 * second), Generation: 2, WallTime: 3 * second, Voter: true}, 1, span, second, true))
+	require.Equal(t, uint64(2), l.HighestSeenGeneration())
 }
 
 func TestNothingKnownRunsNowhere(t *testing.T) {
-	require.False(t, Nothing().may(1, "acme", "deep", 0, "eu-1"))
-	require.False(t, Nothing().Free(1, "acme", "deep"))
+	require.False(t, DenyAll().may(1, "acme", "deep", 0, "eu-1"))
+	require.False(t, DenyAll().IsUnrestricted(1, "acme", "deep"))
 }
--- a/control/residency/table.go
+++ b/control/residency/table.go
@@ -29,15 +29,15 @@
 	edges   []int64 // times at which some contract begins or ends, in order
 }
 
-// Standing is what is in force: compiled, and never changed. Its look-ups neither wait nor allocate.
-type Standing struct {
-	Generation uint64 // the newest that is known
-	Lease      int64
-	Slack      int64
-	Rest       int64
-	By         int64
-	Until      int64 // when the lease ends, by the clock of the wall times; never where there is no fleet to hear
-	Blind      bool  // a policy that must be held beside another is not known here
+// CompiledPolicy is what is in force: compiled, and never changed. Its look-ups neither wait nor allocate.
+type CompiledPolicy struct {
+	Generation          uint64 // the newest that is known
+	LeaseDuration       int64
+	MaxClockSkew        int64
+	HostHoldDown        int64
+	EnforcementDeadline int64
+	LeaseExpiry         int64 // when the lease ends, by the clock of the wall times; never where there is no fleet to hear
+	Incomplete          bool  // a policy that must be held beside another is not known here
 
 	tables []*table
 	zones  map[string]int
@@ -45,10 +45,10 @@
 
 // compile makes one table of a policy; zones are numbered together for all that are held.
 func compile(p *Policy, zones map[string]int) *table {
-	t := &table{tenants: map[string]*row{}, blocks: map[int][]span{}, usual: Rule{Bound: p.Nowhere}, slack: p.Slack}
+	t := &table{tenants: map[string]*row{}, blocks: map[int][]span{}, usual: Rule{Restricted: p.DenyByDefault}, slack: p.MaxClockSkew}
 	for i := range p.Contracts {
 		c := &p.Contracts[i]
-		s := span{from: c.From, until: c.Until, thenDefault: c.ThenDefault, rule: Rule{Bound: true, Part: c.Part, Keep: c.Keep}}
+		s := span{from: c.From, until: c.Until, thenDefault: c.DefaultAfterEnd, rule: Rule{Restricted: true, AllowPartial: c.AllowPartial, KeepOnLeaseExpiry: c.KeepOnLeaseExpiry}}
 		for _, zone := range c.Zones {
 			n, known := zones[zone]
 			if !known {
@@ -61,7 +61,7 @@
 		}
 		for _, at := range []int64{c.From, c.Until} {
 			if at > 0 && at < never {
-				t.edges = append(t.edges, at-p.Slack, at+p.Slack)
+				t.edges = append(t.edges, at-p.MaxClockSkew, at+p.MaxClockSkew)
 			}
 		}
 		if c.Block >= 0 {
@@ -109,7 +109,7 @@
 		case s.thenDefault:
 			return Rule{}, false
 		}
-		return Rule{Bound: true, Over: true, Keep: s.rule.Keep}, true
+		return Rule{Restricted: true, ContractEnded: true, KeepOnLeaseExpiry: s.rule.KeepOnLeaseExpiry}, true
 	}
 	return Rule{}, false
 }
@@ -145,49 +145,49 @@
 	return r
 }
 
-// Rule is what holds for a search of a tenant's class at a time, for one block of it, or with -1 without the contracts
+// RuleFor is what holds for a search of a tenant's class at a time, for one block of it, or with -1 without the contracts
 // of blocks: the stricter of all contracts that apply.
-func (s *Standing) Rule(now int64, tenant, class string, block int) Rule {
+func (s *CompiledPolicy) RuleFor(now int64, tenant, class string, block int) Rule {
 	r := s.tables[0].rule(now, tenant, class, block)
 	for _, t := range s.tables[1:] {
 		r = r.and(t.rule(now, tenant, class, block))
 	}
-	if r.Bound && (s.Blind || now >= s.Until) && !r.Keep {
-		r.Zones, r.Lapse = Zones{}, true
+	if r.Restricted && (s.Incomplete || now >= s.LeaseExpiry) && !r.KeepOnLeaseExpiry {
+		r.Zones, r.LeaseExpired = ZoneSet{}, true
 	}
 	return r
 }
 
-// Free tells whether a search of a tenant's class may run anywhere, on any block.
-func (s *Standing) Free(now int64, tenant, class string) bool {
+// IsUnrestricted tells whether a search of a tenant's class may run anywhere, on any block.
+func (s *CompiledPolicy) IsUnrestricted(now int64, tenant, class string) bool {
 	for _, t := range s.tables {
 		if len(t.blocks) > 0 {
 			return false
 		}
 	}
-	return !s.Rule(now, tenant, class, -1).Bound
+	return !s.RuleFor(now, tenant, class, -1).Restricted
 }
 
-// Zone is a zone's number, -1 for one that no contract names: nobody under contract may run there.
-func (s *Standing) Zone(name string) int {
+// ZoneIndex is a zone's number, -1 for one that no contract names: nobody under contract may run there.
+func (s *CompiledPolicy) ZoneIndex(name string) int {
 	if n, known := s.zones[name]; known {
 		return n
 	}
 	return -1
 }
 
-// Holds tells whether what is kept about a tenant's searches (names, predicates, entries) may be in a zone: written
+// AllowsTenantData tells whether what is kept about a tenant's searches (names, predicates, entries) may be in a zone: written
 // there, or sent to an instance in it. Others hold counts and digests. All contracts on the tenant's classes bind it.
-func (s *Standing) Holds(now int64, tenant, zone string) bool {
-	n := s.Zone(zone)
-	r := s.Rule(now, tenant, "", -1)
-	if !r.Allows(n) {
+func (s *CompiledPolicy) AllowsTenantData(now int64, tenant, zone string) bool {
+	n := s.ZoneIndex(zone)
+	r := s.RuleFor(now, tenant, "", -1)
+	if !r.AllowsZone(n) {
 		return false
 	}
 	for _, t := range s.tables {
 		if own := t.tenants[tenant]; own != nil {
 			for class := range own.classes {
-				if r = s.Rule(now, tenant, class, -1); !r.Allows(n) {
+				if r = s.RuleFor(now, tenant, class, -1); !r.AllowsZone(n) {
 					return false
 				}
 			}
@@ -196,11 +196,11 @@
 	return true
 }
 
-// Next is when time alone changes what holds: a contract's edge or the end of the lease; never where there is none.
-func (s *Standing) Next(now int64) int64 {
+// NextChangeAt is when time alone changes what holds: a contract's edge or the end of the lease; never where there is none.
+func (s *CompiledPolicy) NextChangeAt(now int64) int64 {
 	next := int64(never)
-	if s.Until > now {
-		next = s.Until
+	if s.LeaseExpiry > now {
+		next = s.LeaseExpiry
 	}
 	for _, t := range s.tables {
 		if i, _ := slices.BinarySearch(t.edges, now+1); i < len(t.edges) {
@@ -211,7 +211,7 @@
 }
 
 // Tenants are those that some contract names, in order.
-func (s *Standing) Tenants() []string {
+func (s *CompiledPolicy) Tenants() []string {
 	all := map[string]bool{}
 	for _, t := range s.tables {
 		for name := range t.tenants {
--- a/coordinator/door.go
+++ b/coordinator/door.go
@@ -68,7 +68,7 @@
 	RetryAfter       time.Duration // of Shed, 0 where none is named
 	Dispatched       bool          // of Shed and Errored: hosts were asked
 	Parts            []PartResult  // that are in
-	ResidencyRefusal *residency.Refused
+	ResidencyRefusal *residency.SearchRejectedError
 }
 
 // PartResult is a part that is in, with what Check gave for it.
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -258,10 +258,10 @@
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	var out strings.Builder
 	exchange(t, &out, z.addr, "no holder", request("q1", "all", "", fourParts))
-	z.in.SetPolicy(z.in.Policy().With(z.clock() - 1))
+	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
 	exchange(t, &out, z.addr, "lease ended", request("q2", "all", "Connection: close\r\n", fourParts))
-	for _, why := range []string{residency.NoHolder, residency.Lapsed, residency.Ended} {
-		status, body := barredBody(&residency.Refused{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Why: why, Generation: 7})
+	for _, why := range []string{residency.ReasonNoEligibleHost, residency.ReasonLeaseExpired, residency.ReasonContractEnded} {
+		status, body := barredBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
 		fmt.Fprintf(&out, "== body\n< %d %q\n", status, body)
 	}
 	requireGolden(t, "contract_errors.golden", out.String())
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -114,8 +114,8 @@
 	bytes int64    // that it holds
 	begun []behind // frames of sub-requests given up whose last byte was not out then
 
-	tied   bool               // its parts may not run everywhere
-	barred *residency.Refused // why some of them can run nowhere
+	tied   bool                           // its parts may not run everywhere
+	barred *residency.SearchRejectedError // why some of them can run nowhere
 }
 
 // result is a final answer.
@@ -126,7 +126,7 @@
 	sent    bool     // a sub-request was made for it
 	parts   []*part  // that are in, in the search's order
 	behind  []behind // what has to be out before it is
-	barred  *residency.Refused
+	barred  *residency.SearchRejectedError
 }
 
 const (
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -26,7 +26,7 @@
 	clock func() int64 // wall time in tenths of a millisecond, counted on
 
 	mu     sync.Mutex
-	in     *residency.Standing
+	in     *residency.CompiledPolicy
 	owners map[*bounding]bool
 
 	set                                      *metrics.Set
@@ -34,9 +34,9 @@
 }
 
 // NewResidencyGuard begins with what is known at the start; with nothing known, nothing runs anywhere. Clock is wall time in tenths of a millisecond that never goes back.
-func NewResidencyGuard(first *residency.Standing, clock func() int64) *ResidencyGuard {
+func NewResidencyGuard(first *residency.CompiledPolicy, clock func() int64) *ResidencyGuard {
 	if first == nil {
-		first = residency.Nothing()
+		first = residency.DenyAll()
 	}
 	r := &ResidencyGuard{clock: clock, in: first, owners: map[*bounding]bool{}, set: metrics.NewSet()}
 	r.caught = r.set.NewCounter("chalkring_residency_caught_total")
@@ -46,8 +46,8 @@
 	r.puts = r.set.NewCounter("chalkring_residency_standings_total")
 	r.set.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
 	r.set.NewGauge("chalkring_residency_lease_seconds", func() float64 {
-		if in := r.Policy(); in.Until < math.MaxInt64 { // one that never ends has no length
-			return max(0, float64(in.Until-r.clock())/10_000)
+		if in := r.Policy(); in.LeaseExpiry < math.MaxInt64 { // one that never ends has no length
+			return max(0, float64(in.LeaseExpiry-r.clock())/10_000)
 		}
 		return -1
 	})
@@ -55,7 +55,7 @@
 }
 
 // Policy is what is in force.
-func (r *ResidencyGuard) Policy() *residency.Standing {
+func (r *ResidencyGuard) Policy() *residency.CompiledPolicy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.in
@@ -63,7 +63,7 @@
 
 // MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
 func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
-	return r.Policy().Holds(r.clock(), settings.FormatValue(tenant), zoneName(zone))
+	return r.Policy().AllowsTenantData(r.clock(), settings.FormatValue(tenant), zoneName(zone))
 }
 
 // BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
@@ -71,7 +71,7 @@
 
 // SetPolicy puts a standing in force and returns once every co-ordinator of the process keeps to it: from then on nothing that
 // it forbids is sent, and what was out has been called off.
-func (r *ResidencyGuard) SetPolicy(s *residency.Standing) {
+func (r *ResidencyGuard) SetPolicy(s *residency.CompiledPolicy) {
 	r.mu.Lock()
 	r.in = s
 	owners := slices.Collect(maps.Keys(r.owners))
@@ -96,8 +96,8 @@
 type bounding struct {
 	o                *owner
 	r                *ResidencyGuard
-	in               *residency.Standing
-	hosts            *residency.Hosts
+	in               *residency.CompiledPolicy
+	hosts            *residency.HostZones
 	tenants, classes []string // by place
 	bounds           map[tied]*balancer.ReplicaRestriction
 	now, next        int64        // of this turn; when what holds changes by itself
@@ -123,8 +123,8 @@
 	r.owners[b] = true
 	b.in = r.in
 	r.mu.Unlock()
-	b.hosts = residency.NewHosts(b.in.Rest)
-	b.until.Store(b.in.Until)
+	b.hosts = residency.NewHostZones(b.in.HostHoldDown)
+	b.until.Store(b.in.LeaseExpiry)
 	return b
 }
 
@@ -152,11 +152,11 @@
 }
 
 // put takes a standing. A renewed lease changes nothing for those that are open.
-func (b *bounding) put(s *residency.Standing) {
-	renewed := s.Renews(b.in) && b.now < b.in.Until
+func (b *bounding) put(s *residency.CompiledPolicy) {
+	renewed := s.DiffersOnlyInLease(b.in) && b.now < b.in.LeaseExpiry
 	b.in = s
-	b.until.Store(s.Until)
-	b.hosts.Rests(s.Rest)
+	b.until.Store(s.LeaseExpiry)
+	b.hosts.SetHoldDown(s.HostHoldDown)
 	if renewed {
 		b.await()
 		return
@@ -168,9 +168,9 @@
 func (b *bounding) listed(how string, hosts []listedHost) {
 	told := make([]residency.Host, 0, len(hosts))
 	for _, h := range hosts {
-		told = append(told, residency.Host{ID: h.id, Addr: h.addr, Zone: zoneName(h.host.Zone), Apart: h.apart, Gone: h.gone})
+		told = append(told, residency.Host{ID: h.id, Addr: h.addr, Zone: zoneName(h.host.Zone), ZoneConflict: h.apart, Removed: h.gone})
 	}
-	b.hosts.Told(b.now, how != "Partial", told)
+	b.hosts.UpdateHosts(b.now, how != "Partial", told)
 }
 
 // zoneName is a zone's name in the form that settings have; a zone that is not told is none.
@@ -194,7 +194,7 @@
 
 // await looks again when what holds changes by itself.
 func (b *bounding) await() {
-	b.next = min(b.in.Next(b.now), b.hosts.Next(b.now))
+	b.next = min(b.in.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
 	b.o.unwake(&b.wake)
 	if b.next < math.MaxInt64 {
 		b.o.await(&b.wake, max(1, min(b.next-b.now, int64(lookAgain/tenth))), doing(b.look))
@@ -223,7 +223,7 @@
 		return
 	}
 	tenant, class := b.name(s)
-	if b.in.Free(b.now, tenant, class) {
+	if b.in.IsUnrestricted(b.now, tenant, class) {
 		if s.tied {
 			s.tied = false
 			b.o.module.RestrictReplicas(s.id, nil, nil)
@@ -240,17 +240,17 @@
 	b.binding = s
 	out := b.out(s)
 	b.o.module.RestrictReplicas(s.id, to, func(shard int) bool {
-		rule := b.in.Rule(b.now, tenant, class, shard)
+		rule := b.in.RuleFor(b.now, tenant, class, shard)
 		if s.barred == nil {
-			s.barred = &residency.Refused{Tenant: tenant, Class: class, Block: shard, Why: residency.NoHolder, Generation: b.in.Generation}
+			s.barred = &residency.SearchRejectedError{Tenant: tenant, Class: class, Block: shard, Reason: residency.ReasonNoEligibleHost, Generation: b.in.Generation}
 			switch {
-			case rule.Lapse:
-				s.barred.Why = residency.Lapsed
-			case rule.Over:
-				s.barred.Why = residency.Ended
+			case rule.LeaseExpired:
+				s.barred.Reason = residency.ReasonLeaseExpired
+			case rule.ContractEnded:
+				s.barred.Reason = residency.ReasonContractEnded
 			}
 		}
-		return !rule.Part || rule.Lapse || rule.Over
+		return !rule.AllowPartial || rule.LeaseExpired || rule.ContractEnded
 	})
 	if b.binding = nil; out > 0 {
 		b.r.calledOff.Add(out - b.out(s))
@@ -270,8 +270,8 @@
 }
 
 func (b *bounding) may(tenant, class string, shard int, replica string) bool {
-	rule := b.in.Rule(b.now, tenant, class, shard)
-	return rule.Allows(b.in.Zone(b.hosts.Zone(b.now, replica)))
+	rule := b.in.RuleFor(b.now, tenant, class, shard)
+	return rule.AllowsZone(b.in.ZoneIndex(b.hosts.Zone(b.now, replica)))
 }
 
 // guard is the second one, where bytes leave: what is not allowed there by the contracts themselves, whatever the module
@@ -281,9 +281,9 @@
 	for i := 0; i < len(c.subs); {
 		sub := c.subs[i]
 		tenant, class := b.name(sub.p.s)
-		rule := b.in.Rule(b.now, tenant, class, sub.p.shard)
-		if rule.Allows(b.in.Zone(b.hosts.Zone(b.now, sub.r.id))) {
-			fenced = fenced || rule.Bound && !rule.Keep
+		rule := b.in.RuleFor(b.now, tenant, class, sub.p.shard)
+		if rule.AllowsZone(b.in.ZoneIndex(b.hosts.Zone(b.now, sub.r.id))) {
+			fenced = fenced || rule.Restricted && !rule.KeepOnLeaseExpiry
 			i++
 			continue
 		}
@@ -297,7 +297,7 @@
 }
 
 // refuses tells a final answer that a contract has brought about.
-func (b *bounding) refuses(s *search) *residency.Refused {
+func (b *bounding) refuses(s *search) *residency.SearchRejectedError {
 	if b == nil || b.binding != s || s.barred == nil {
 		return nil
 	}
@@ -307,11 +307,11 @@
 }
 
 // barredBody is the own front's answer to a refused search. 503 where another instance may know more.
-func barredBody(r *residency.Refused) (status int, body []byte) {
-	if status = 451; r.Why == residency.Lapsed {
+func barredBody(r *residency.SearchRejectedError) (status int, body []byte) {
+	if status = 451; r.Reason == residency.ReasonLeaseExpired {
 		status = 503
 	}
-	body, _ = json.Marshal(map[string]any{"error": "residency", "tenant": r.Tenant, "block": r.Block, "why": r.Why})
+	body, _ = json.Marshal(map[string]any{"error": "residency", "tenant": r.Tenant, "block": r.Block, "why": r.Reason})
 	return status, body
 }
 
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -22,7 +22,7 @@
 type zonedRig struct {
 	*rig
 	in    *ResidencyGuard
-	book  residency.Book
+	book  residency.PolicyRegistry
 	ahead atomic.Int64 // of the clock that contracts go by
 	lists chan endpoints.Update
 }
@@ -31,12 +31,12 @@
 
 func (z *zonedRig) clock() int64 { return time.Now().UnixMicro()/100 + z.ahead.Load() }
 
-func (z *zonedRig) standing(text string, until int64) *residency.Standing {
-	p, err := residency.Parse("contracts", []byte(text), residency.Site{})
+func (z *zonedRig) standing(text string, until int64) *residency.CompiledPolicy {
+	p, err := residency.ParsePolicy("contracts", []byte(text), residency.Site{})
 	require.NoError(z.t, err)
-	_, err = z.book.Tell(p)
+	_, err = z.book.AddPolicy(p)
 	require.NoError(z.t, err)
-	return z.book.Standing(until)
+	return z.book.Compile(until)
 }
 
 func startZoned(t *testing.T, text string) *zonedRig { return startZonedWith(t, text, nil, false) }
@@ -142,11 +142,11 @@
 	began := time.Now()
 	status, body := z.as("acme", "acme1", "all")
 	require.Equal(t, 451, status)
-	require.JSONEq(t, `{"error":"residency","tenant":"acme","block":1,"why":"`+residency.NoHolder+`"}`, body)
+	require.JSONEq(t, `{"error":"residency","tenant":"acme","block":1,"why":"`+residency.ReasonNoEligibleHost+`"}`, body)
 	require.Less(t, time.Since(began), 6*time.Second, "its patience is 8 s")
 	require.Zero(t, z.parts())
 	z.logged("event=residency_refused")
-	z.logged("block 1: " + residency.NoHolder)
+	z.logged("block 1: " + residency.ReasonNoEligibleHost)
 	part := strings.Replace(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), "[east]", "[east], otherwise: part", 1)
 	z.in.SetPolicy(z.standing(part, math.MaxInt64))
 	status, body = z.as("acme", "acme2", "some") // half is enough
@@ -154,10 +154,10 @@
 	require.NotContains(t, body, `"range":1`)
 	status, _ = z.as("acme", "acme3", "all")
 	require.Equal(t, 451, status)
-	z.in.SetPolicy(z.in.Policy().With(z.clock() - 1))
+	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
 	status, body = z.as("acme", "acme4", "some")
 	require.Equal(t, 503, status)
-	require.Contains(t, body, residency.Lapsed)
+	require.Contains(t, body, residency.ReasonLeaseExpired)
 	status, _ = z.as("other", "other1", "all")
 	require.Equal(t, 200, status)
 	require.Zero(t, z.outside("a0", "a1"))
@@ -189,7 +189,7 @@
 				z.in.SetPolicy(z.standing(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
 			case "lease ends":
 				want = 503
-				z.in.SetPolicy(z.in.Policy().With(z.clock() + 2_000))
+				z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() + 2_000))
 			}
 			if how != "lease ends" { // Put has returned: all is called off already
 				done := make(chan int)
--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -175,13 +175,13 @@
 
 // A search that a contract refuses gets the bytes of the golden file; so do errors that no request brings about at will.
 func TestGoldenRefusals(t *testing.T) {
-	p, err := residency.Parse("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
+	p, err := residency.ParsePolicy("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
 	require.NoError(t, err)
-	var book residency.Book
-	_, err = book.Tell(p)
+	var book residency.PolicyRegistry
+	_, err = book.AddPolicy(p)
 	require.NoError(t, err)
 	r := startFull(t, false, nil, func(m *coordinator.Options) {
-		m.Residency = coordinator.NewResidencyGuard(book.Standing(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
+		m.Residency = coordinator.NewResidencyGuard(book.Compile(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
 	})
 	var out strings.Builder
 	r.exchange(&out, "contract", "POST", "/scarce/_search", "{}")
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -456,17 +456,17 @@
 
 // A tenant whose contract leaves no host is refused with its name; another tenant's index is not touched.
 func TestRefusedByContract(t *testing.T) {
-	p, err := residency.Parse("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
+	p, err := residency.ParsePolicy("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
 	require.NoError(t, err)
-	var book residency.Book
-	_, err = book.Tell(p)
+	var book residency.PolicyRegistry
+	_, err = book.AddPolicy(p)
 	require.NoError(t, err)
 	r := startFull(t, false, nil, func(m *coordinator.Options) {
-		m.Residency = coordinator.NewResidencyGuard(book.Standing(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
+		m.Residency = coordinator.NewResidencyGuard(book.Compile(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
 	})
 	status, m, _ := r.do("POST", "/scarce/_search", `{}`)
 	require.Equal(t, 403, status)
-	require.Contains(t, reason(m), "tenant scarce, block 0: "+residency.NoHolder)
+	require.Contains(t, reason(m), "tenant scarce, block 0: "+residency.ReasonNoEligibleHost)
 	status, _, _ = r.do("POST", "/members/_search", `{}`)
 	require.Equal(t, 200, status)
 }
