--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -42,13 +42,13 @@
 
 // goldenChange has every field set. One setting alone: a map's order is not fixed in the stored form.
 func goldenChange(number uint64) *rollout.Change {
-	return &rollout.Change{Name: "shorter-aim", Number: number, From: number - 1, Settings: map[string]string{"Classes.0.Aim": "5"},
+	return &rollout.Change{Name: "shorter-aim", Number: number, BaseNumber: number - 1, Settings: map[string]string{"Classes.0.Aim": "5"},
 		Program: rollout.Program{Path: "/opt/chalkring-2", Version: "2.0"},
-		Stages:  []rollout.Stage{{Count: 1, For: 600_000}, {Share: 0.5, For: 1_200_000}},
-		Cold:    300_000, Together: 0.25, Ready: 100_000, Silent: 50_000, Searches: 1000,
-		Worse: rollout.Worse{Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, Subs: 0.06, Connects: 1.5, Memory: 1.25,
-			Restarts: 2, Unreached: 3, FalseStops: 0.001},
-		Then: rollout.Back}
+		Stages:  []rollout.Stage{{Count: 1, WatchDuration: 600_000}, {Fraction: 0.5, WatchDuration: 1_200_000}},
+		WarmUp:  300_000, MaxConcurrentFraction: 0.25, ReadyTimeout: 100_000, SilenceTimeout: 50_000, MinSearches: 1000,
+		RegressionLimits: rollout.RegressionLimits{Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, SubRequests: 0.06, Connections: 1.5, Memory: 1.25,
+			Restarts: 2, Unreachable: 3, FalseStopProbability: 0.001},
+		OnRegression: rollout.OrderRollBack}
 }
 
 // goldenStanding are the forms in which an instance keeps what it runs.
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	othersRollout = rollout.Prefix + "kept"
+	othersRollout = rollout.KeyPrefix + "kept"
 	settleMost    = 20 * time.Second // for what has to come; no verdict rests on anything coming sooner
 )
 
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -35,7 +35,7 @@
 		}
 		require.ErrorContains(t, err, "change 4 does not fit this plan: "+c.want)
 		require.NotEmpty(t, advice.For(err))
-		step := st.step(t.Context(), &rollout.Step{Change: st.state.Runs})
+		step := st.step(t.Context(), &rollout.Restart{Change: st.state.Runs})
 		require.Equal(t, err, step, "before it restarts for it")
 	}
 }
@@ -43,7 +43,7 @@
 // A change file may say which class or tenant a setting means.
 func TestChangeFileNamesAPlace(t *testing.T) {
 	text := "name: c\nnumber: 1\nstages: [{share: 1}]\nsettings: {Classes.0.Aim: 5, Classes.0.Name: lookup, Classes.0.Other: x}\n...\n"
-	_, err := rollout.Parse("f", []byte(text))
+	_, err := rollout.ParseChangeFile("f", []byte(text))
 	require.ErrorContains(t, err, "Classes.0.Other")
 	require.NotContains(t, err.Error(), "Classes.0.Name")
 }
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -98,7 +98,7 @@
 	state  standing
 	missed bool // the store was not there in time: what it keeps is not known, and is left as it is
 	kept   bool // what the last life promised is known: it ended as it was told to
-	desk   *rollout.Desk
+	desk   *rollout.Controller
 	site   residency.Site // of the plan
 	sums   sums
 	inside chan net.Conn            // to it from within, past the socket: another process may hold that too
@@ -121,7 +121,7 @@
 		return nil
 	}
 	if err == nil {
-		_, err = rollout.Parse(file.Fleet.RolloutFile, text)
+		_, err = rollout.ParseChangeFile(file.Fleet.RolloutFile, text)
 	}
 	return err
 }
@@ -198,7 +198,7 @@
 }
 
 func (st *stages) fail(number, turn uint64, why string) {
-	st.log.Error("rollout_not_taken", advice.LogAttrs(&rollout.NotTaken{Number: number, Why: why})...)
+	st.log.Error("rollout_not_taken", advice.LogAttrs(&rollout.ChangeNotAppliedError{Number: number, Reason: why})...)
 	st.state.Try, st.state.Number, st.state.Failed, st.state.Why = nil, number, turn, why
 }
 
@@ -329,10 +329,10 @@
 func (st *stages) run(ctx context.Context) {
 	defer close(st.done)
 	me := st.book.Self()
-	st.desk = rollout.New(rollout.Start{Me: rollout.Place{Name: me.Name, Region: me.Region, Zone: me.Zone}, Life: me.Incarnation,
-		Listed: st.file.VotingMembers, Runs: numberOf(st.runs()), Failed: st.state.Failed, Number: st.state.Number, Why: st.state.Why,
-		Starts: st.state.Starts, First: !st.kept, Now: st.clock()})
-	stirred, unwatch := st.shared.Watch(rollout.Prefix)
+	st.desk = rollout.New(rollout.InitialState{Self: rollout.Instance{Name: me.Name, Region: me.Region, Zone: me.Zone}, Incarnation: me.Incarnation,
+		Members: st.file.VotingMembers, RunningNumber: numberOf(st.runs()), FailedEpoch: st.state.Failed, FailedNumber: st.state.Number, FailureReason: st.state.Why,
+		UnplannedRestarts: st.state.Starts, NoSavedState: !st.kept, Now: st.clock()})
+	stirred, unwatch := st.shared.Watch(rollout.KeyPrefix)
 	defer unwatch()
 	serves := make(chan struct{})
 	go st.awaitServing(ctx, serves)
@@ -352,7 +352,7 @@
 		}
 		now := st.clock()
 		var news []crdt.Entry
-		st.shared.Each(rollout.Prefix, func(e crdt.Entry) bool {
+		st.shared.Each(rollout.KeyPrefix, func(e crdt.Entry) bool {
 			if sum := sumOf(e); seen[e.Name] != sum {
 				seen[e.Name] = sum
 				news = append(news, e)
@@ -364,18 +364,18 @@
 				if one.Deleted {
 					continue
 				}
-				if err := st.desk.Heard(now, e.Name, one.Value); err != nil {
+				if err := st.desk.HandleEntry(now, e.Name, one.Value); err != nil {
 					st.log.Warn("rollout_entry", advice.LogAttrs(err)...)
 				}
 			}
 		}
-		var places []rollout.Place
+		var places []rollout.Instance
 		for _, m := range st.book.Members() {
-			places = append(places, rollout.Place{Name: m.Name, Region: m.Region, Zone: m.Zone})
+			places = append(places, rollout.Instance{Name: m.Name, Region: m.Region, Zone: m.Zone})
 		}
-		st.desk.Places(places, st.book.NameConflicts())
-		st.desk.Sums(st.sums.now())
-		out := st.desk.Look(now)
+		st.desk.SetInstances(places, st.book.NameConflicts())
+		st.desk.SetStats(st.sums.now())
+		out := st.desk.Decide(now)
 		for name, value := range out.Put {
 			if _, err := st.shared.Put(name, value); err != nil {
 				st.log.Warn("rollout_put", advice.LogAttrs(err, "name", name)...)
@@ -386,23 +386,23 @@
 				st.log.Warn("rollout_put", advice.LogAttrs(err, "name", name)...)
 			}
 		}
-		for _, n := range out.Notes {
+		for _, n := range out.Events {
 			if n.Err != nil {
-				st.log.Warn(n.Event, advice.LogAttrs(n.Err, n.Attrs...)...)
+				st.log.Warn(n.Name, advice.LogAttrs(n.Err, n.Attrs...)...)
 			} else {
-				st.log.Info(n.Event, n.Attrs...)
+				st.log.Info(n.Name, n.Attrs...)
 			}
 		}
-		if out.Step != nil {
-			if err := st.step(ctx, out.Step); err != nil {
-				st.log.Error("rollout_not_taken", advice.LogAttrs(err, "number", out.Step.To)...)
-				st.desk.NotTaken(err.Error())
+		if out.Restart != nil {
+			if err := st.step(ctx, out.Restart); err != nil {
+				st.log.Error("rollout_not_taken", advice.LogAttrs(err, "number", out.Restart.TargetNumber)...)
+				st.desk.RecordRestartFailure(err.Error())
 			} else {
 				st.stop()
 				return
 			}
 		}
-		wait := min(max(time.Duration(out.Next-now)*tenth, lookLeast), lookMost)
+		wait := min(max(time.Duration(out.NextDecisionAt-now)*tenth, lookLeast), lookMost)
 		select {
 		case <-time.After(lookLeast):
 		case <-ctx.Done():
@@ -442,12 +442,12 @@
 	if err := st.node.UpdateSelf(me); err != nil {
 		st.log.Warn("rollout_put", advice.LogAttrs(err, "name", me.Name)...)
 	}
-	st.desk.Serves(st.clock())
+	st.desk.MarkServing(st.clock())
 	st.log.Info("rollout_serves", "number", numberOf(st.state.Runs), "after", numberOf(st.state.Before))
 }
 
 // step has this process followed by one that runs the change.
-func (st *stages) step(ctx context.Context, s *rollout.Step) error {
+func (st *stages) step(ctx context.Context, s *rollout.Restart) error {
 	if err := st.fits(s.Change); err != nil {
 		return err
 	}
@@ -462,7 +462,7 @@
 			return &WrongVersion{program, s.Change.Program.Version, got}
 		}
 	}
-	st.state.Try = &try{To: s.Change, Turn: s.Turn, Ready: s.Ready}
+	st.state.Try = &try{To: s.Change, Turn: s.Epoch, Ready: s.ReadyTimeout}
 	st.state.Clean = true
 	if err := st.save(); err != nil {
 		st.state.Try = nil
@@ -477,7 +477,7 @@
 			st.own.Close()
 		}
 	}
-	return tellKeeper(st.keeper, said{Next: &next{program, time.Duration(s.Ready) * tenth, !st.alone}})
+	return tellKeeper(st.keeper, said{Next: &next{program, time.Duration(s.ReadyTimeout) * tenth, !st.alone}})
 }
 
 // awaitServing asks this instance itself until it serves.
@@ -550,35 +550,35 @@
 func (st *stages) read(before []byte) []byte {
 	text, err := os.ReadFile(st.file.RolloutFile)
 	if errors.Is(err, os.ErrNotExist) {
-		st.desk.File(nil)
+		st.desk.SetFile(nil)
 		return nil
 	}
 	if err != nil {
 		if before != nil {
-			st.log.Warn("rollout_file", advice.LogAttrs(&rollout.FileFault{Path: st.file.RolloutFile, Err: err})...)
+			st.log.Warn("rollout_file", advice.LogAttrs(&rollout.InvalidChangeFileError{Path: st.file.RolloutFile, Err: err})...)
 		}
 		return nil
 	}
 	if bytes.Equal(text, before) {
 		return before
 	}
-	f, err := rollout.Parse(st.file.RolloutFile, text)
+	f, err := rollout.ParseChangeFile(st.file.RolloutFile, text)
 	if err != nil {
 		st.log.Warn("rollout_file", advice.LogAttrs(err)...)
 		return text
 	}
-	st.log.Info("rollout_file", "change", f.Change.Name, "number", f.Change.Number, "order", f.Order, "turn", f.Turn)
-	st.desk.File(f)
+	st.log.Info("rollout_file", "change", f.Change.Name, "number", f.Change.Number, "order", f.Order, "turn", f.Epoch)
+	st.desk.SetFile(f)
 	return text
 }
 
 // sums are counted by the owner as searches end, and read beside it.
 type sums struct {
 	connects atomic.Uint64
-	classes  [rollout.ClassesMost]struct {
+	classes  [rollout.MaxClasses]struct {
 		asked, served, late, shed atomic.Uint64
-		times                     [rollout.TimeBuckets]atomic.Uint64
-		subs                      [rollout.SubBuckets]atomic.Uint64
+		times                     [rollout.LatencyBucketCount]atomic.Uint64
+		subs                      [rollout.SubRequestBucketCount]atomic.Uint64
 	}
 	aims []time.Duration // by when answers of each class are in time
 }
@@ -590,11 +590,11 @@
 	}
 	c := &s.classes[e.Type]
 	c.asked.Add(1)
-	c.subs[rollout.SubBucket(e.Attempts)].Add(1)
+	c.subs[rollout.SubRequestBucket(e.Attempts)].Add(1)
 	switch e.Outcome {
 	case coordinator.OutcomeAnswered:
 		c.served.Add(1)
-		c.times[rollout.TimeBucket(int64(e.Duration/tenth))].Add(1)
+		c.times[rollout.LatencyBucket(int64(e.Duration/tenth))].Add(1)
 		if e.Type < len(s.aims) && e.Duration > s.aims[e.Type] {
 			c.late.Add(1)
 		}
@@ -604,20 +604,20 @@
 }
 
 // now is how they stand. Those that went well are read first, so that they are never more than were asked.
-func (s *sums) now() rollout.Sums {
+func (s *sums) now() rollout.InstanceStats {
 	sample := []metrics.Sample{{Name: memoryMetric}}
 	metrics.Read(sample)
-	all := rollout.Sums{Connects: s.connects.Load(), Memory: sample[0].Value.Uint64(), Classes: make([]rollout.Class, max(1, min(len(s.aims), len(s.classes))))}
+	all := rollout.InstanceStats{Connections: s.connects.Load(), MemoryBytes: sample[0].Value.Uint64(), Classes: make([]rollout.ClassStats, max(1, min(len(s.aims), len(s.classes))))}
 	for i := range all.Classes {
 		from, c := &s.classes[i], &all.Classes[i]
 		c.Late, c.Shed, c.Served = from.late.Load(), from.shed.Load(), from.served.Load()
-		for b := range c.Times {
-			c.Times[b] = from.times[b].Load()
+		for b := range c.Latencies {
+			c.Latencies[b] = from.times[b].Load()
 		}
-		for b := range c.Subs {
-			c.Subs[b] = from.subs[b].Load()
+		for b := range c.SubRequests {
+			c.SubRequests[b] = from.subs[b].Load()
 		}
-		c.Asked = from.asked.Load()
+		c.Requests = from.asked.Load()
 	}
 	return all
 }
--- a/control/rollout/cases_test.go
+++ b/control/rollout/cases_test.go
@@ -47,13 +47,13 @@
 // The first that takes a change is killed as it reports, and comes back: the change goes on. It stays away: it is stopped,
 // and the side that lost it neither goes on nor leaves the others behind.
 func TestFirstIsKilledAsItReports(t *testing.T) {
-	for away, want := range map[int64]Kind{5 * second: Go, 500 * second: Back} {
+	for away, want := range map[int64]Order{5 * second: OrderProceed, 500 * second: OrderRollBack} {
 		w := newWorld(t, 9, 1)
 		w.give(change(1), 0)
 		var first *node
 		require.True(t, w.run(300*second, func() bool {
 			for _, n := range w.nodes {
-				if n.runs == 1 && n.desk != nil && n.desk.me.Since >= 0 {
+				if n.runs == 1 && n.desk != nil && n.desk.me.ServingFor >= 0 {
 					first = n
 				}
 			}
@@ -61,8 +61,8 @@
 		}))
 		w.kill(first, away)
 		require.True(t, w.run(1500*second, w.agreed))
-		require.Equal(t, want, w.nodes[0].desk.me.Verdict.Kind)
-		if want == Back {
+		require.Equal(t, want, w.nodes[0].desk.me.Verdict.Order)
+		if want == OrderRollBack {
 			require.Len(t, w.reached[1], 1)
 		}
 	}
@@ -73,7 +73,7 @@
 func TestMissedChangesAreCaughtUp(t *testing.T) {
 	w := newWorld(t, 7, 1)
 	w.run(70*second, nil)
-	var all []Place
+	var all []Instance
 	for _, n := range w.nodes {
 		all = append(all, n.place)
 	}
@@ -114,7 +114,7 @@
 	w.give(other, 7)
 	require.True(t, w.run(300*second, func() bool {
 		for _, n := range w.nodes {
-			if n.desk == nil || n.desk.cur == nil || n.desk.me.Verdict.Kind != Stop {
+			if n.desk == nil || n.desk.cur == nil || n.desk.me.Verdict.Order != OrderStop {
 				return false
 			}
 		}
@@ -130,11 +130,11 @@
 func TestCutFileIsNotTaken(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/rollout.yaml")
 	require.NoError(t, err)
-	f, err := Parse("rollout.yaml", text)
+	f, err := ParseChangeFile("rollout.yaml", text)
 	require.NoError(t, err)
 	require.Equal(t, 4, len(f.Change.Stages))
 	for n := range len(strings.TrimRight(string(text), "\n")) - 1 {
-		_, err := Parse("rollout.yaml", text[:n])
+		_, err := ParseChangeFile("rollout.yaml", text[:n])
 		require.NotEmpty(t, advice.For(err), "%d bytes", n)
 	}
 }
@@ -152,16 +152,16 @@
 		text, err := os.ReadFile("../../deploy/rollout.yaml")
 		require.NoError(t, err)
 		require.Contains(t, string(text), c.from)
-		_, err = Parse("rollout.yaml", []byte(strings.Replace(string(text), c.from, c.to, 1)))
+		_, err = ParseChangeFile("rollout.yaml", []byte(strings.Replace(string(text), c.from, c.to, 1)))
 		require.ErrorContains(t, err, c.want)
 	}
 }
 
 // Every stage holds about its share of each zone, whatever the change's name.
 func TestStagesGoOverZonesAlike(t *testing.T) {
-	var all []Place
+	var all []Instance
 	for i := range 300 {
-		all = append(all, Place{fmt.Sprint("n", i), fmt.Sprint("r", i%3), fmt.Sprint("z", i%6/3)})
+		all = append(all, Instance{fmt.Sprint("n", i), fmt.Sprint("r", i%3), fmt.Sprint("z", i%6/3)})
 	}
 	for seed := range 50 {
 		r := rosterOf(fmt.Sprint("change", seed), all)
@@ -181,7 +181,7 @@
 func TestErrorsAreListed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	for _, e := range []advice.Provider{&FileFault{}, &EntryFault{}, &Stopped{}, &Differs{}, &OldFile{}, &OtherList{}, &NotTaken{}, &TooBig{}, &Waits{}} {
+	for _, e := range []advice.Provider{&InvalidChangeFileError{}, &InvalidEntryError{}, &ChangeStoppedError{}, &ConflictingChangesError{}, &StaleChangeFileError{}, &MemberListMismatchError{}, &ChangeNotAppliedError{}, &ChangeTooLargeError{}, &StepDelayedError{}} {
 		require.NotEmpty(t, e.Advice(), "%T", e)
 	}
 	for _, file := range []string{"change.go", "desk.go", "errors.go", "word.go", "../../cmd/chalkring/rollout.go", "../../cmd/chalkring/keeper.go"} {
@@ -201,15 +201,15 @@
 	later := map[int]any{1: map[int]any{1: "a", 9: "new"}, 2: 7, 3: 1, 10: 4, 11: 20, 12: map[int]any{1: 3, 2: 4, 3: "new"}, 99: []int{1}}
 	text, err := encoding.Marshal(later)
 	require.NoError(t, err)
-	d := New(Start{Me: Place{Name: "b"}, Life: 1, Listed: []string{"a", "b"}})
-	require.NoError(t, d.Heard(1, WordKey("a"), text))
-	require.Equal(t, Ask{No: 3, To: 4}, d.words["a"].Ask)
-	require.Equal(t, uint64(4), d.words["a"].Runs)
-	var spoilt *EntryFault
-	require.ErrorAs(t, d.Heard(2, WordKey("b2"), text), &spoilt) // a word under another's name
-	require.ErrorAs(t, d.Heard(2, WordKey("a"), text[:9]), &spoilt)
+	d := New(InitialState{Self: Instance{Name: "b"}, Incarnation: 1, Members: []string{"a", "b"}})
+	require.NoError(t, d.HandleEntry(1, StatusMessageKey("a"), text))
+	require.Equal(t, PermitRequest{Number: 3, TargetNumber: 4}, d.words["a"].PermitRequest)
+	require.Equal(t, uint64(4), d.words["a"].RunningNumber)
+	var spoilt *InvalidEntryError
+	require.ErrorAs(t, d.HandleEntry(2, StatusMessageKey("b2"), text), &spoilt) // a word under another's name
+	require.ErrorAs(t, d.HandleEntry(2, StatusMessageKey("a"), text[:9]), &spoilt)
 	earlier, err := encoding.Marshal(map[int]any{1: map[int]any{1: "a"}, 2: 6, 3: 9, 10: 3})
 	require.NoError(t, err)
-	require.NoError(t, d.Heard(3, WordKey("a"), earlier)) // a life before: late
-	require.Equal(t, uint64(4), d.words["a"].Runs)
+	require.NoError(t, d.HandleEntry(3, StatusMessageKey("a"), earlier)) // a life before: late
+	require.Equal(t, uint64(4), d.words["a"].RunningNumber)
 }
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -32,47 +32,47 @@
 )
 
 // What an operator wants of a change.
-type Kind int
+type Order int
 
 const (
-	Go   Kind = iota // on through the stages
-	Stop             // nobody takes it any more; who has it keeps it
-	Back             // who has it goes back to what was before it
+	OrderProceed  Order = iota // on through the stages
+	OrderStop                  // nobody takes it any more; who has it keeps it
+	OrderRollBack              // who has it goes back to what was before it
 )
 
 // placeName is a setting that changes nothing: which class or tenant those beside it mean. Each instance holds it against its plan.
 var placeName = regexp.MustCompile(`^(Classes|Tenants)\.\d+\.Name$`)
 
-var kinds = map[string]Kind{"": Go, "go": Go, "stop": Stop, "back": Back}
+var kinds = map[string]Order{"": OrderProceed, "go": OrderProceed, "stop": OrderStop, "back": OrderRollBack}
 
-func (k Kind) String() string { return [...]string{"go", "stop", "back"}[k] }
+func (k Order) String() string { return [...]string{"go", "stop", "back"}[k] }
 
 // Stage is one step of a change: how much of the fleet has it then, and how long that is watched.
 type Stage struct {
-	Count int     `yaml:"count" cbor:"1,keyasint,omitempty"` // instances, or
-	Share float64 `yaml:"share" cbor:"2,keyasint,omitempty"` // of all instances
-	Watch string  `yaml:"watch" cbor:"-"`
-	For   int64   `yaml:"-" cbor:"3,keyasint"` // the same, read
+	Count         int     `yaml:"count" cbor:"1,keyasint,omitempty"` // instances, or
+	Fraction      float64 `yaml:"share" cbor:"2,keyasint,omitempty"` // of all instances
+	WatchText     string  `yaml:"watch" cbor:"-"`
+	WatchDuration int64   `yaml:"-" cbor:"3,keyasint"` // the same, read
 }
 
-// Worse is how far the new side may lie behind the old before it counts as worse.
-type Worse struct {
-	Served     float64 `yaml:"served" cbor:"1,keyasint"`       // of the served share of searches
-	Late       float64 `yaml:"late" cbor:"2,keyasint"`         // more late answers, as a share
-	Shed       float64 `yaml:"shed" cbor:"3,keyasint"`         // more shed, as a share
-	Median     float64 `yaml:"median" cbor:"4,keyasint"`       // more answers over the old side's median, as a share
-	Tail       float64 `yaml:"tail" cbor:"5,keyasint"`         // more over the time that 5% of the old side's exceed
-	Subs       float64 `yaml:"sub_requests" cbor:"6,keyasint"` // more searches with over the old side's usual sub-requests
-	Connects   float64 `yaml:"connects" cbor:"7,keyasint"`     // times the old side's connects a search
-	Memory     float64 `yaml:"memory" cbor:"8,keyasint"`       // times the old side's median memory
-	Restarts   int     `yaml:"restarts" cbor:"9,keyasint"`     // of one instance that nobody asked for
-	Unreached  int     `yaml:"unreached" cbor:"10,keyasint"`   // instances with the change that fell silent
-	FalseStops float64 `yaml:"false_stops" cbor:"11,keyasint"` // chance that a change no worse than that is stopped
+// RegressionLimits is how far the new side may lie behind the old before it counts as worse.
+type RegressionLimits struct {
+	Served               float64 `yaml:"served" cbor:"1,keyasint"`       // of the served share of searches
+	Late                 float64 `yaml:"late" cbor:"2,keyasint"`         // more late answers, as a share
+	Shed                 float64 `yaml:"shed" cbor:"3,keyasint"`         // more shed, as a share
+	Median               float64 `yaml:"median" cbor:"4,keyasint"`       // more answers over the old side's median, as a share
+	Tail                 float64 `yaml:"tail" cbor:"5,keyasint"`         // more over the time that 5% of the old side's exceed
+	SubRequests          float64 `yaml:"sub_requests" cbor:"6,keyasint"` // more searches with over the old side's usual sub-requests
+	Connections          float64 `yaml:"connects" cbor:"7,keyasint"`     // times the old side's connects a search
+	Memory               float64 `yaml:"memory" cbor:"8,keyasint"`       // times the old side's median memory
+	Restarts             int     `yaml:"restarts" cbor:"9,keyasint"`     // of one instance that nobody asked for
+	Unreachable          int     `yaml:"unreached" cbor:"10,keyasint"`   // instances with the change that fell silent
+	FalseStopProbability float64 `yaml:"false_stops" cbor:"11,keyasint"` // chance that a change no worse than that is stopped
 }
 
 // usualWorse holds where a file says nothing.
-var usualWorse = Worse{Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, Subs: 0.15, Connects: 3, Memory: 1.5,
-	Restarts: 2, Unreached: 1, FalseStops: 0.02}
+var usualWorse = RegressionLimits{Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
+	Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02}
 
 // Program is an executable and how what its `version` tells has to begin.
 type Program struct {
@@ -82,70 +82,72 @@
 
 // form is a change file.
 type form struct {
-	Name     string         `yaml:"name"`
-	Number   uint64         `yaml:"number"`
-	Order    string         `yaml:"order"`
-	Turn     uint64         `yaml:"turn"`
-	Settings map[string]any `yaml:"settings"`
-	Program  *Program       `yaml:"program"`
-	Stages   []Stage        `yaml:"stages"`
-	Together float64        `yaml:"together"`
-	Cold     string         `yaml:"cold"`
-	Ready    string         `yaml:"ready"`
-	Silent   string         `yaml:"silent"`
-	Searches *int           `yaml:"searches"`
-	Worse    Worse          `yaml:"worse"`
-	Then     string         `yaml:"then"`
+	Name     string           `yaml:"name"`
+	Number   uint64           `yaml:"number"`
+	Order    string           `yaml:"order"`
+	Turn     uint64           `yaml:"turn"`
+	Settings map[string]any   `yaml:"settings"`
+	Program  *Program         `yaml:"program"`
+	Stages   []Stage          `yaml:"stages"`
+	Together float64          `yaml:"together"`
+	Cold     string           `yaml:"cold"`
+	Ready    string           `yaml:"ready"`
+	Silent   string           `yaml:"silent"`
+	Searches *int             `yaml:"searches"`
+	Worse    RegressionLimits `yaml:"worse"`
+	Then     string           `yaml:"then"`
 }
 
 // Change is what a file names, laid over what was in force before it. It never changes once it is told.
 type Change struct {
-	Name     string            `cbor:"1,keyasint"`
-	Number   uint64            `cbor:"2,keyasint"` // rises with each change
-	From     uint64            `cbor:"3,keyasint"` // the number in force before it, 0 for the instances' own files
-	Settings map[string]string `cbor:"4,keyasint"` // all that is laid over the instances' files, what From had among it
-	Program  Program           `cbor:"5,keyasint"` // empty for the installed one
-	Stages   []Stage           `cbor:"6,keyasint"`
-	Together float64           `cbor:"7,keyasint"`
-	Cold     int64             `cbor:"8,keyasint"`
-	Ready    int64             `cbor:"9,keyasint"`
-	Silent   int64             `cbor:"10,keyasint"`
-	Searches int               `cbor:"11,keyasint"`
-	Worse    Worse             `cbor:"12,keyasint"`
-	Then     Kind              `cbor:"13,keyasint"`
+	Name                  string            `cbor:"1,keyasint"`
+	Number                uint64            `cbor:"2,keyasint"` // rises with each change
+	BaseNumber            uint64            `cbor:"3,keyasint"` // the number in force before it, 0 for the instances' own files
+	Settings              map[string]string `cbor:"4,keyasint"` // all that is laid over the instances' files, what From had among it
+	Program               Program           `cbor:"5,keyasint"` // empty for the installed one
+	Stages                []Stage           `cbor:"6,keyasint"`
+	MaxConcurrentFraction float64           `cbor:"7,keyasint"`
+	WarmUp                int64             `cbor:"8,keyasint"`
+	ReadyTimeout          int64             `cbor:"9,keyasint"`
+	SilenceTimeout        int64             `cbor:"10,keyasint"`
+	MinSearches           int               `cbor:"11,keyasint"`
+	RegressionLimits      RegressionLimits  `cbor:"12,keyasint"`
+	OnRegression          Order             `cbor:"13,keyasint"`
 }
 
-// File is a change file as one instance reads it: the change, and what the operator wants of it at present.
-type File struct {
+// ChangeFile is a change file as one instance reads it: the change, and what the operator wants of it at present.
+type ChangeFile struct {
 	Change Change // without From, and with its own settings alone
-	Order  Kind
-	Turn   uint64 // rises with each new order
+	Order  Order
+	Epoch  uint64 // rises with each new order
 }
 
-// FileFault is a change file that cannot be used, whole: nothing of it is taken.
-type FileFault struct {
+// InvalidChangeFileError is a change file that cannot be used, whole: nothing of it is taken.
+type InvalidChangeFileError struct {
 	Path string
 	Err  error
 }
 
-func (f *FileFault) Error() string { return fmt.Sprintf("change file %s: %v", f.Path, f.Err) }
-func (f *FileFault) Unwrap() error { return f.Err }
+func (f *InvalidChangeFileError) Error() string {
+	return fmt.Sprintf("change file %s: %v", f.Path, f.Err)
+}
+func (f *InvalidChangeFileError) Unwrap() error { return f.Err }
 
 // Advice tells an operator what to do.
-func (f *FileFault) Advice() string {
+func (f *InvalidChangeFileError) Advice() string {
 	return "Mend the file, or write it whole and end it with a line of three dots; until then the change told before it holds."
 }
 
-// Parse reads a change file's text.
-func Parse(path string, text []byte) (*File, error) {
+// ParseChangeFile reads a change file's text.
+func ParseChangeFile(path string, text []byte) (*ChangeFile, error) {
 	f, err := parse(text)
 	if err != nil {
-		return nil, &FileFault{path, err}
+		return nil, &InvalidChangeFileError{path, err}
 	}
 	return f, nil
 }
 
-func parse(text []byte) (*File, error) {
+func parse(text []byte) (*ChangeFile, error) {
 	body, ok := bytes.CutSuffix(bytes.TrimRight(text, "\r\n\t "), []byte("\n"+endMark))
 	if !ok { // guards against a file that is read while it is written
 		return nil, &strictyaml.Fault{What: "the last line is not " + endMark + ", so the file may be cut",
@@ -156,8 +158,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := Change{Name: v.Name, Number: v.Number, Settings: map[string]string{}, Stages: v.Stages, Together: v.Together,
-		Searches: 200, Worse: v.Worse}
+	c := Change{Name: v.Name, Number: v.Number, Settings: map[string]string{}, Stages: v.Stages, MaxConcurrentFraction: v.Together,
+		MinSearches: 200, RegressionLimits: v.Worse}
 	if len(v.Name) > nameMost || !plain(v.Name) {
 		d.Fault("$.name", "%.40q is no name of letters, digits and .-_ of %d at most", v.Name, nameMost)
 	}
@@ -171,11 +173,11 @@
 	if v.Turn == 0 {
 		d.Fault("$.turn", "has to be 1 or more, and higher with each new order")
 	}
-	then, ok := map[string]Kind{"": Back, "back": Back, "stop": Stop}[v.Then]
+	then, ok := map[string]Order{"": OrderRollBack, "back": OrderRollBack, "stop": OrderStop}[v.Then]
 	if !ok {
 		d.Fault("$.then", "%.40q is neither back nor stop", v.Then)
 	}
-	c.Then = then
+	c.OnRegression = then
 	if err := settings.Flatten(c.Settings, "", v.Settings); err != nil {
 		d.Fault("$.settings", "%v", err)
 	}
@@ -207,49 +209,49 @@
 	}
 	for i := range c.Stages {
 		s, at := &c.Stages[i], fmt.Sprintf("$.stages[%d]", i)
-		if (s.Count > 0) == (s.Share > 0) || s.Count < 0 || !(s.Share >= 0 && s.Share <= 1) {
+		if (s.Count > 0) == (s.Fraction > 0) || s.Count < 0 || !(s.Fraction >= 0 && s.Fraction <= 1) {
 			d.Fault(at, "one of count (1 or more) and share (up to 1) is wanted")
 		}
-		s.For = span(d, at+".watch", s.Watch, 0, 5*time.Minute)
+		s.WatchDuration = span(d, at+".watch", s.WatchText, 0, 5*time.Minute)
 	}
-	if n := len(c.Stages); n > 0 && c.Stages[n-1].Share != 1 {
+	if n := len(c.Stages); n > 0 && c.Stages[n-1].Fraction != 1 {
 		d.Fault(fmt.Sprintf("$.stages[%d]", n-1), "the last stage has to be share: 1")
 	}
-	if !(c.Together > 0 && c.Together <= 1) {
-		d.Fault("$.together", "%g is no share above 0", c.Together)
+	if !(c.MaxConcurrentFraction > 0 && c.MaxConcurrentFraction <= 1) {
+		d.Fault("$.together", "%g is no share above 0", c.MaxConcurrentFraction)
 	}
 	if v.Searches != nil {
-		if c.Searches = *v.Searches; c.Searches < 0 {
-			d.Fault("$.searches", "%d is under 0", c.Searches)
+		if c.MinSearches = *v.Searches; c.MinSearches < 0 {
+			d.Fault("$.searches", "%d is under 0", c.MinSearches)
 		}
 	}
-	c.Cold = span(d, "$.cold", v.Cold, 0, 30*time.Second)
-	c.Ready = span(d, "$.ready", v.Ready, 100*time.Millisecond, 30*time.Second)
-	c.Silent = span(d, "$.silent", v.Silent, time.Second, 4*time.Minute)
-	if c.Silent < leaseTimes*c.Ready {
+	c.WarmUp = span(d, "$.cold", v.Cold, 0, 30*time.Second)
+	c.ReadyTimeout = span(d, "$.ready", v.Ready, 100*time.Millisecond, 30*time.Second)
+	c.SilenceTimeout = span(d, "$.silent", v.Silent, time.Second, 4*time.Minute)
+	if c.SilenceTimeout < leaseTimes*c.ReadyTimeout {
 		d.Fault("$.silent", "has to be %d times ready at least: a restart and its way back have to fit", leaseTimes)
 	}
-	checkWorse(d, &c.Worse)
-	return &File{Change: c, Order: order, Turn: v.Turn}, d.Err()
+	checkWorse(d, &c.RegressionLimits)
+	return &ChangeFile{Change: c, Order: order, Epoch: v.Turn}, d.Err()
 }
 
-func checkWorse(d *strictyaml.Doc, w *Worse) {
+func checkWorse(d *strictyaml.Doc, w *RegressionLimits) {
 	for name, v := range map[string]float64{"served": w.Served, "late": w.Late, "shed": w.Shed, "median": w.Median,
-		"tail": w.Tail, "sub_requests": w.Subs} {
+		"tail": w.Tail, "sub_requests": w.SubRequests} {
 		if !(v > 0 && v < 0.5) {
 			d.Fault("$.worse."+name, "%g is no share above 0 and under 0.5", v)
 		}
 	}
-	for name, v := range map[string]float64{"connects": w.Connects, "memory": w.Memory} {
+	for name, v := range map[string]float64{"connects": w.Connections, "memory": w.Memory} {
 		if !(v > 1) || math.IsInf(v, 0) {
 			d.Fault("$.worse."+name, "%g is no factor above 1", v)
 		}
 	}
-	if w.Restarts < 1 || w.Unreached < 1 {
+	if w.Restarts < 1 || w.Unreachable < 1 {
 		d.Fault("$.worse", "restarts and unreached have to be 1 or more")
 	}
-	if !(w.FalseStops > 0 && w.FalseStops <= 0.05) {
-		d.Fault("$.worse.false_stops", "%g is no chance above 0 and up to 0.05", w.FalseStops)
+	if !(w.FalseStopProbability > 0 && w.FalseStopProbability <= 0.05) {
+		d.Fault("$.worse.false_stops", "%g is no chance above 0 and up to 0.05", w.FalseStopProbability)
 	}
 }
 
@@ -279,7 +281,7 @@
 	if before == nil {
 		return c
 	}
-	c.From = before.Number
+	c.BaseNumber = before.Number
 	values := maps.Clone(before.Settings)
 	if values == nil {
 		values = map[string]string{}
--- a/control/rollout/desk.go
+++ b/control/rollout/desk.go
@@ -19,74 +19,74 @@
 	askWait    = second      // before asking again, at the least; by chance up to four times as long
 )
 
-// Note is something that an operator should read in the log.
-type Note struct {
-	Event string
+// LogEvent is something that an operator should read in the log.
+type LogEvent struct {
+	Name  string
 	Err   error // nil where nothing is wrong
 	Attrs []any
 }
 
-// Step is a restart that is due now: into a change, or nil for the instance's own files.
-type Step struct {
-	To     uint64
-	Change *Change
-	Turn   uint64
-	Ready  int64 // time in which it has to serve
+// Restart is a restart that is due now: into a change, or nil for the instance's own files.
+type Restart struct {
+	TargetNumber uint64
+	Change       *Change
+	Epoch        uint64
+	ReadyTimeout int64 // time in which it has to serve
 }
 
-// Out is what a look leads to.
-type Out struct {
-	Put    map[string][]byte
-	Delete []string
-	Step   *Step
-	Notes  []Note
-	Next   int64 // time of the next look at the latest
+// Decision is what a look leads to.
+type Decision struct {
+	Put            map[string][]byte
+	Delete         []string
+	Restart        *Restart
+	Events         []LogEvent
+	NextDecisionAt int64 // time of the next look at the latest
 }
 
-// Start is what an instance knows of itself when its process begins.
-type Start struct {
-	Me     Place
-	Life   uint64   // higher than in any start before
-	Listed []string // all that count for a majority
-	Runs   uint64   // number of the change that the process runs with, 0 for its own files
-	Failed uint64   // turn of the change that it could not take, with Number
-	Number uint64   // of that change
-	Why    string   // it could not
-	Starts int      // that nobody asked for, with what it runs
-	First  bool     // nothing is on disk: what was granted before is not known
-	Now    int64
+// InitialState is what an instance knows of itself when its process begins.
+type InitialState struct {
+	Self              Instance
+	Incarnation       uint64   // higher than in any start before
+	Members           []string // all that count for a majority
+	RunningNumber     uint64   // number of the change that the process runs with, 0 for its own files
+	FailedEpoch       uint64   // turn of the change that it could not take, with Number
+	FailedNumber      uint64   // of that change
+	FailureReason     string   // it could not
+	UnplannedRestarts int      // that nobody asked for, with what it runs
+	NoSavedState      bool     // nothing is on disk: what was granted before is not known
+	Now               int64
 }
 
-// Desk decides for one instance. It is one goroutine's. What it holds is bounded by wordsMost words, changesMost
+// Controller decides for one instance. It is one goroutine's. What it holds is bounded by wordsMost words, changesMost
 // changes and one comparison.
-type Desk struct {
-	Start
+type Controller struct {
+	InitialState
 	began  int64
 	now    int64
 	listed map[string]bool
 
-	places    map[string]Place
+	places    map[string]Instance
 	conflicts map[string]bool
 	words     map[string]*heard
 	changes   map[uint64]map[string]*Change
-	rosters   map[string][]Place // by key
-	file      *File
+	rosters   map[string][]Instance // by key
+	file      *ChangeFile
 
 	cur      *Change
 	digest   string
 	seenAt   int64 // when cur was first known
 	steps    []step
 	roster   *roster
-	me       Word
+	me       StatusMessage
 	acks     map[string]grant
 	askedAt  int64
 	waitTo   int64 // before asking again
 	askNo    uint64
 	served   int64 // when it began to serve with what it runs, -1 before
 	warm     int64 // when it told sums first
-	sums     *Sums
+	sums     *InstanceStats
 	taking   bool
-	evidence *Evidence
+	evidence *RegressionAnalysis
 	lookedAt int64
 	spokeAt  int64
 	changed  bool // since the last word
@@ -94,46 +94,46 @@
 	open     int // steps that more than half have voted for
 	told     map[string]bool
 	seats    []seat
-	out      Out
+	out      Decision
 }
 
 type heard struct {
-	Word
+	StatusMessage
 	at int64 // when it was new here
 }
 
 // seat is one listed instance as a look sees it.
 type seat struct {
 	name  string
-	w     *Word // nil where it has said nothing
+	w     *StatusMessage // nil where it has said nothing
 	fresh bool
 	mute  bool // its name is claimed by two
 }
 
 type grant struct {
-	Ask
+	PermitRequest
 	at   int64
 	step int
 }
 
 // New begins with what is known at a process's start.
-func New(s Start) *Desk {
-	d := &Desk{Start: s, began: s.Now, now: s.Now, listed: map[string]bool{}, places: map[string]Place{}, conflicts: map[string]bool{},
-		words: map[string]*heard{}, changes: map[uint64]map[string]*Change{}, rosters: map[string][]Place{}, acks: map[string]grant{},
+func New(s InitialState) *Controller {
+	d := &Controller{InitialState: s, began: s.Now, now: s.Now, listed: map[string]bool{}, places: map[string]Instance{}, conflicts: map[string]bool{},
+		words: map[string]*heard{}, changes: map[uint64]map[string]*Change{}, rosters: map[string][]Instance{}, acks: map[string]grant{},
 		served: -1, told: map[string]bool{}}
-	for _, name := range s.Listed {
+	for _, name := range s.Members {
 		d.listed[name] = true
 	}
-	d.places[s.Me.Name] = s.Me
-	d.me = Word{Place: s.Me, Life: s.Life, Runs: s.Runs, Since: -1, Starts: s.Starts}
+	d.places[s.Self.Name] = s.Self
+	d.me = StatusMessage{Instance: s.Self, Incarnation: s.Incarnation, RunningNumber: s.RunningNumber, ServingFor: -1, UnplannedRestarts: s.UnplannedRestarts}
 	return d
 }
 
-// File takes in the operator's file, whenever it was read.
-func (d *Desk) File(f *File) { d.file = f }
+// SetFile takes in the operator's file, whenever it was read.
+func (d *Controller) SetFile(f *ChangeFile) { d.file = f }
 
-// Places takes in who stands where, and which names are claimed by two: they have no say.
-func (d *Desk) Places(all []Place, conflicts []string) {
+// SetInstances takes in who stands where, and which names are claimed by two: they have no say.
+func (d *Controller) SetInstances(all []Instance, conflicts []string) {
 	for _, p := range all {
 		if len(d.places) < wordsMost || d.places[p.Name].Name != "" {
 			d.places[p.Name] = p
@@ -145,33 +145,33 @@
 	}
 }
 
-// Serves tells that the instance answers clients with what it runs.
-func (d *Desk) Serves(now int64) {
+// MarkServing tells that the instance answers clients with what it runs.
+func (d *Controller) MarkServing(now int64) {
 	if d.served < 0 {
 		d.served, d.changed = now, true
 	}
 }
 
-// NotTaken tells that a step came to nothing before the process had left: it runs what it ran.
-func (d *Desk) NotTaken(why string) {
+// ChangeNotAppliedError tells that a step came to nothing before the process had left: it runs what it ran.
+func (d *Controller) RecordRestartFailure(why string) {
 	d.taking, d.changed = false, true
-	d.me.Ask, d.me.Failed, d.Why = Ask{}, d.me.Verdict.Turn, why
+	d.me.PermitRequest, d.me.FailedEpoch, d.FailureReason = PermitRequest{}, d.me.Verdict.Epoch, why
 }
 
-// Sums takes in the instance's own sums since it serves; those of the time while it is cold are taken off.
-func (d *Desk) Sums(s Sums) { d.sums = &s }
+// SetStats takes in the instance's own sums since it serves; those of the time while it is cold are taken off.
+func (d *Controller) SetStats(s InstanceStats) { d.sums = &s }
 
-// Heard takes in an entry of the ledger. Entries may come late, twice and in any order.
-func (d *Desk) Heard(now int64, key string, value []byte) error {
+// HandleEntry takes in an entry of the ledger. Entries may come late, twice and in any order.
+func (d *Controller) HandleEntry(now int64, key string, value []byte) error {
 	d.now = max(d.now, now)
 	switch {
 	case strings.HasPrefix(key, wordPrefix):
-		var w Word
+		var w StatusMessage
 		if err := decode(key, value, &w); err != nil {
 			return err
 		}
-		if w.Place.Name != key[len(wordPrefix):] || len(w.Acks) > acksMost {
-			return &EntryFault{key, fmt.Errorf("a word of %.40q with %d grants", w.Place.Name, len(w.Acks))}
+		if w.Instance.Name != key[len(wordPrefix):] || len(w.PermitGrants) > acksMost {
+			return &InvalidEntryError{key, fmt.Errorf("a word of %.40q with %d grants", w.Instance.Name, len(w.PermitGrants))}
 		}
 		d.hear(w)
 	case strings.HasPrefix(key, changePrefix):
@@ -180,8 +180,8 @@
 		if err := decode(key, value, c); err != nil {
 			return err
 		}
-		if !ok || c.Number != number || c.Digest() != digest || len(c.Stages) == 0 || c.From >= c.Number {
-			return &EntryFault{key, fmt.Errorf("not what its name says")}
+		if !ok || c.Number != number || c.Digest() != digest || len(c.Stages) == 0 || c.BaseNumber >= c.Number {
+			return &InvalidEntryError{key, fmt.Errorf("not what its name says")}
 		}
 		if d.changes[number] == nil {
 			d.changes[number] = map[string]*Change{}
@@ -209,9 +209,9 @@
 }
 
 // hear takes in a word.
-func (d *Desk) hear(w Word) {
-	name := w.Place.Name
-	if name == d.Me.Name {
+func (d *Controller) hear(w StatusMessage) {
+	name := w.Instance.Name
+	if name == d.Self.Name {
 		d.recall(w)
 		return
 	}
@@ -222,32 +222,32 @@
 		}
 		h = &heard{}
 		d.words[name] = h
-	} else if !w.after(&h.Word) { // guards against a late message: versions, votes and verdicts never go backward
+	} else if !w.after(&h.StatusMessage) { // guards against a late message: versions, votes and verdicts never go backward
 		return
 	}
-	h.Word, h.at = w, d.now
+	h.StatusMessage, h.at = w, d.now
 }
 
 // recall takes back what an earlier life of this instance had promised.
-func (d *Desk) recall(w Word) {
-	if w.Life >= d.Life { // of this life: said by itself
+func (d *Controller) recall(w StatusMessage) {
+	if w.Incarnation >= d.Incarnation { // of this life: said by itself
 		return
 	}
-	d.askNo = max(d.askNo, w.Ask.No)
-	if d.me.Number == 0 {
-		d.me.Number, d.me.Digest, d.me.Verdict, d.me.Roster = w.Number, w.Digest, w.Verdict, w.Roster
-		d.me.Turn, d.me.Stage, d.me.Failed = w.Turn, w.Stage, w.Failed
-		for _, a := range w.Acks {
-			d.acks[a.Name] = grant{Ask: Ask{No: a.No}, at: d.now, step: -1}
+	d.askNo = max(d.askNo, w.PermitRequest.Number)
+	if d.me.ChangeNumber == 0 {
+		d.me.ChangeNumber, d.me.ChangeDigest, d.me.Verdict, d.me.RosterDigest = w.ChangeNumber, w.ChangeDigest, w.Verdict, w.RosterDigest
+		d.me.StageEpoch, d.me.ApprovedSteps, d.me.FailedEpoch = w.StageEpoch, w.ApprovedSteps, w.FailedEpoch
+		for _, a := range w.PermitGrants {
+			d.acks[a.InstanceName] = grant{PermitRequest: PermitRequest{Number: a.RequestNumber}, at: d.now, step: -1}
 		}
-	} else if w.Number == d.me.Number && w.Digest == d.me.Digest && d.me.Roster == "" {
-		d.me.Roster = w.Roster
+	} else if w.ChangeNumber == d.me.ChangeNumber && w.ChangeDigest == d.me.ChangeDigest && d.me.RosterDigest == "" {
+		d.me.RosterDigest = w.RosterDigest
 	}
 }
 
 // fresh tells that an instance was heard of late.
-func (d *Desk) fresh(name string) bool {
-	if name == d.Me.Name {
+func (d *Controller) fresh(name string) bool {
+	if name == d.Self.Name {
 		return !d.conflicts[name]
 	}
 	h := d.words[name]
@@ -255,19 +255,19 @@
 }
 
 // word is what an instance said last.
-func (d *Desk) word(name string) *Word {
-	if name == d.Me.Name {
+func (d *Controller) word(name string) *StatusMessage {
+	if name == d.Self.Name {
 		return &d.me
 	}
 	if h := d.words[name]; h != nil {
-		return &h.Word
+		return &h.StatusMessage
 	}
 	return nil
 }
 
 // silentFor is how long nothing was heard of an instance.
-func (d *Desk) silentFor(name string) int64 {
-	if name == d.Me.Name {
+func (d *Controller) silentFor(name string) int64 {
+	if name == d.Self.Name {
 		return 0
 	}
 	since := max(d.began, d.seenAt)
@@ -277,25 +277,25 @@
 	return d.now - since
 }
 
-func (d *Desk) pace() int64 {
+func (d *Controller) pace() int64 {
 	if d.cur == nil {
 		return paceIdle
 	}
-	return min(paceMost, max(paceLeast, d.cur.Silent/paceParts))
+	return min(paceMost, max(paceLeast, d.cur.SilenceTimeout/paceParts))
 }
 
-func (d *Desk) seat() {
+func (d *Controller) seat() {
 	d.seats = d.seats[:0]
-	for _, name := range d.Listed {
+	for _, name := range d.Members {
 		d.seats = append(d.seats, seat{name, d.word(name), d.fresh(name), d.conflicts[name]})
 	}
 }
 
 // more tells that a number of listed instances is more than half.
-func (d *Desk) more(n int) bool { return 2*n > len(d.listed) }
+func (d *Controller) more(n int) bool { return 2*n > len(d.listed) }
 
 // majority tells that more than half of the listed, this one with them, are heard freshly.
-func (d *Desk) majority() bool {
+func (d *Controller) majority() bool {
 	n := 0
 	for i := range d.seats {
 		n += btoi(d.seats[i].fresh)
@@ -303,24 +303,24 @@
 	return d.more(n) && d.takesPart()
 }
 
-func (d *Desk) takesPart() bool { return d.listed[d.Me.Name] && !d.conflicts[d.Me.Name] }
+func (d *Controller) takesPart() bool { return d.listed[d.Self.Name] && !d.conflicts[d.Self.Name] }
 
-func (d *Desk) note(event string, err error, attrs ...any) {
-	d.out.Notes = append(d.out.Notes, Note{event, err, attrs})
+func (d *Controller) note(event string, err error, attrs ...any) {
+	d.out.Events = append(d.out.Events, LogEvent{event, err, attrs})
 }
 
 // once notes what holds for a while a single time for each change and turn.
-func (d *Desk) once(event string, err error, attrs ...any) {
+func (d *Controller) once(event string, err error, attrs ...any) {
 	if key := event + fmt.Sprint(err); !d.told[key] && len(d.told) < 64 {
 		d.told[key] = true
 		d.note(event, err, attrs...)
 	}
 }
 
-// Look decides, on all that is known by now.
-func (d *Desk) Look(now int64) Out {
+// Decide decides, on all that is known by now.
+func (d *Controller) Decide(now int64) Decision {
 	d.now = max(d.now, now)
-	d.out = Out{Put: map[string][]byte{}}
+	d.out = Decision{Put: map[string][]byte{}}
 	before := d.me
 	d.seat()
 	d.tell()
@@ -336,19 +336,19 @@
 		d.move()
 	}
 	d.speak(&before)
-	d.out.Next = d.now + d.pace()/2
+	d.out.NextDecisionAt = d.now + d.pace()/2
 	return d.out
 }
 
 // tell publishes the operator's file: the change if it is new, and what is wanted of it.
-func (d *Desk) tell() {
+func (d *Controller) tell() {
 	f := d.file
 	if f == nil || !d.takesPart() {
 		return
 	}
 	number, highest := f.Change.Number, d.highest()
 	if number < highest {
-		d.once("rollout_file_old", &OldFile{Number: number, Known: highest})
+		d.once("rollout_file_old", &StaleChangeFileError{Number: number, CurrentNumber: highest})
 		return
 	}
 	var before *Change
@@ -357,7 +357,7 @@
 		if c == nil || c.Number != number {
 			return // settled first
 		}
-		if before = d.content(c.From); c.From != 0 && before == nil {
+		if before = d.content(c.BaseNumber); c.BaseNumber != 0 && before == nil {
 			return
 		}
 	} else {
@@ -365,19 +365,19 @@
 			return
 		}
 		for _, h := range d.words {
-			if h.Number > highest { // its change is still to come
+			if h.ChangeNumber > highest { // its change is still to come
 				return
 			}
 		}
 		if c := d.cur; c != nil {
-			from := c.From
+			from := c.BaseNumber
 			if d.closed() {
 				from = c.Number
 			}
 			if before = d.content(from); from != 0 && before == nil {
 				return
 			}
-		} else if d.Runs != 0 {
+		} else if d.RunningNumber != 0 {
 			return // the changes before it come with the ledger
 		}
 	}
@@ -385,8 +385,8 @@
 	digest := c.Digest()
 	if d.changes[number][digest] == nil {
 		text, _ := encoding.Marshal(&c)
-		if len(text) > ValueMost {
-			d.once("rollout_too_big", &TooBig{Number: number, Bytes: len(text)})
+		if len(text) > MaxEntryBytes {
+			d.once("rollout_too_big", &ChangeTooLargeError{Number: number, Bytes: len(text)})
 			return
 		}
 		if d.changes[number] == nil {
@@ -394,19 +394,19 @@
 		}
 		d.changes[number][digest] = &c
 		d.out.Put[changeKey(number, digest)] = text
-		d.note("rollout_told", nil, "change", c.Name, "number", number, "digest", digest, "from", c.From)
+		d.note("rollout_told", nil, "change", c.Name, "number", number, "digest", digest, "from", c.BaseNumber)
 	}
 	if d.cur != nil && d.cur.Number == number && digest == d.digest {
-		v := Verdict{Turn: f.Turn, Kind: f.Order}
-		if f.Order != Go {
-			v.Why, v.By = "the operator's file", d.Me.Name
+		v := Verdict{Epoch: f.Epoch, Order: f.Order}
+		if f.Order != OrderProceed {
+			v.Reason, v.DecidedBy = "the operator's file", d.Self.Name
 		}
 		d.rule(v)
 	}
 }
 
 // highest is the highest number that was told, 0 for none.
-func (d *Desk) highest() (number uint64) {
+func (d *Controller) highest() (number uint64) {
 	for n := range d.changes {
 		number = max(number, n)
 	}
@@ -414,7 +414,7 @@
 }
 
 // content is a change that was told, nil for the instances' own files or one that is not known.
-func (d *Desk) content(number uint64) *Change {
+func (d *Controller) content(number uint64) *Change {
 	for _, digest := range slices.Sorted(maps.Keys(d.changes[number])) {
 		return d.changes[number][digest]
 	}
@@ -422,28 +422,28 @@
 }
 
 // settle finds the change that is in force: the highest number that was told. A later one ends those before it.
-func (d *Desk) settle() {
+func (d *Controller) settle() {
 	highest := d.highest()
 	if highest == 0 || d.cur != nil && d.cur.Number == highest || d.taking { // a step that is begun is ended first
 		return
 	}
 	digest := slices.Sorted(maps.Keys(d.changes[highest]))[0]
-	if d.me.Number == highest && d.changes[highest][d.me.Digest] != nil { // what an earlier life spoke of
-		digest = d.me.Digest
+	if d.me.ChangeNumber == highest && d.changes[highest][d.me.ChangeDigest] != nil { // what an earlier life spoke of
+		digest = d.me.ChangeDigest
 	} else {
-		d.me.Number, d.me.Digest, d.me.Verdict, d.me.Roster, d.me.Turn, d.me.Stage, d.me.Failed = highest, digest, Verdict{Turn: 1}, "", 0, 0, 0
+		d.me.ChangeNumber, d.me.ChangeDigest, d.me.Verdict, d.me.RosterDigest, d.me.StageEpoch, d.me.ApprovedSteps, d.me.FailedEpoch = highest, digest, Verdict{Epoch: 1}, "", 0, 0, 0
 	}
-	d.me.Ask, d.askedAt = Ask{}, 0
+	d.me.PermitRequest, d.askedAt = PermitRequest{}, 0
 	d.cur, d.digest, d.seenAt, d.roster = d.changes[highest][digest], digest, d.now, nil
 	d.votedAt = d.now
 	d.steps, d.evidence, d.open = d.cur.steps(len(d.listed)), nil, 0
 	clear(d.told)
-	if d.Number == highest && d.Start.Failed > 0 {
-		d.me.Failed = max(d.me.Failed, d.Start.Failed)
+	if d.FailedNumber == highest && d.InitialState.FailedEpoch > 0 {
+		d.me.FailedEpoch = max(d.me.FailedEpoch, d.InitialState.FailedEpoch)
 	}
-	d.note("rollout_change", nil, "change", d.cur.Name, "number", highest, "from", d.cur.From, "steps", len(d.steps))
+	d.note("rollout_change", nil, "change", d.cur.Name, "number", highest, "from", d.cur.BaseNumber, "steps", len(d.steps))
 	for n := range d.changes { // what is behind the base is of no use to anyone who keeps up
-		if n < d.cur.From {
+		if n < d.cur.BaseNumber {
 			for digest := range d.changes[n] {
 				d.out.Delete = append(d.out.Delete, changeKey(n, digest))
 			}
@@ -459,89 +459,89 @@
 }
 
 // rule takes a verdict in; the ruling one of all that were ever heard holds.
-func (d *Desk) rule(v Verdict) {
-	if len(v.Why) > verdictWords {
-		v.Why = v.Why[:verdictWords]
+func (d *Controller) rule(v Verdict) {
+	if len(v.Reason) > verdictWords {
+		v.Reason = v.Reason[:verdictWords]
 	}
 	was := d.me.Verdict
 	if !v.over(was) {
 		return
 	}
 	d.me.Verdict, d.changed = v, true
-	if v.Turn > was.Turn {
+	if v.Epoch > was.Epoch {
 		d.evidence = nil
 		clear(d.told)
 	}
 	switch {
-	case v.Kind != was.Kind && v.Kind != Go:
-		d.note("rollout_stopped", &Stopped{Change: d.cur.Name, Number: d.cur.Number, Verdict: v})
-	case v.Turn > was.Turn && v.Kind == Go:
-		d.note("rollout_resumed", nil, "change", d.cur.Name, "number", d.cur.Number, "turn", v.Turn)
+	case v.Order != was.Order && v.Order != OrderProceed:
+		d.note("rollout_stopped", &ChangeStoppedError{Change: d.cur.Name, Number: d.cur.Number, Verdict: v})
+	case v.Epoch > was.Epoch && v.Order == OrderProceed:
+		d.note("rollout_resumed", nil, "change", d.cur.Name, "number", d.cur.Number, "turn", v.Epoch)
 	}
 }
 
 // stop says that the change goes no further, and what follows from that.
-func (d *Desk) stop(why string, kind Kind) {
-	if v := d.me.Verdict; v.Kind == Go {
-		d.rule(Verdict{Turn: v.Turn, Kind: kind, Why: why, By: d.Me.Name})
+func (d *Controller) stop(why string, kind Order) {
+	if v := d.me.Verdict; v.Order == OrderProceed {
+		d.rule(Verdict{Epoch: v.Epoch, Order: kind, Reason: why, DecidedBy: d.Self.Name})
 	}
 }
 
 // same tells that a word speaks of the change in force.
-func (d *Desk) same(w *Word) bool {
-	return w != nil && w.Number == d.cur.Number && w.Digest == d.digest
+func (d *Controller) same(w *StatusMessage) bool {
+	return w != nil && w.ChangeNumber == d.cur.Number && w.ChangeDigest == d.digest
 }
 
 // gather takes over what others have ruled.
-func (d *Desk) gather() {
+func (d *Controller) gather() {
 	for _, h := range d.words {
-		if h.Number == d.cur.Number && h.Verdict.Turn > 0 { // of either digest: a stop is a stop
+		if h.ChangeNumber == d.cur.Number && h.Verdict.Epoch > 0 { // of either digest: a stop is a stop
 			d.rule(h.Verdict)
 		}
 	}
 	if d.served >= 0 {
-		d.me.Since = d.now - d.served
+		d.me.ServingFor = d.now - d.served
 	}
-	if d.me.Since < d.cur.Cold || d.me.Since < 0 { // a restart's own cost is not the change's
-		d.me.Sums, d.warm = nil, 0
+	if d.me.ServingFor < d.cur.WarmUp || d.me.ServingFor < 0 { // a restart's own cost is not the change's
+		d.me.Stats, d.warm = nil, 0
 	}
 }
 
 // judge says stop where the change does worse, or cannot go on.
-func (d *Desk) judge() {
+func (d *Controller) judge() {
 	c := d.cur
 	if all := d.changes[c.Number]; len(all) > 1 {
-		err := &Differs{Number: c.Number, Digests: slices.Sorted(maps.Keys(all))}
+		err := &ConflictingChangesError{Number: c.Number, Digests: slices.Sorted(maps.Keys(all))}
 		d.once("rollout_differs", err)
-		d.stop(err.Error(), Stop)
+		d.stop(err.Error(), OrderStop)
 	}
-	if d.me.Failed == d.me.Verdict.Turn && d.me.Failed > 0 {
-		d.once("rollout_not_taken", &NotTaken{Number: c.Number, Why: d.Why})
-		d.stop("could not be taken: "+d.Why, c.Then)
+	if d.me.FailedEpoch == d.me.Verdict.Epoch && d.me.FailedEpoch > 0 {
+		d.once("rollout_not_taken", &ChangeNotAppliedError{Number: c.Number, Reason: d.FailureReason})
+		d.stop("could not be taken: "+d.FailureReason, c.OnRegression)
 	}
-	if d.me.Runs == c.Number && d.Starts >= c.Worse.Restarts {
-		d.stop(fmt.Sprintf("restarted %d times by itself", d.Starts), c.Then)
+	if d.me.RunningNumber == c.Number && d.UnplannedRestarts >= c.RegressionLimits.Restarts {
+		d.stop(fmt.Sprintf("restarted %d times by itself", d.UnplannedRestarts), c.OnRegression)
 	}
 	if d.closed() {
 		return
 	}
-	if d.majority() && d.me.Verdict.Kind == Go {
+	if d.majority() && d.me.Verdict.Order == OrderProceed {
 		lost := 0
 		for _, s := range d.seats {
-			if w := s.w; w != nil && (w.Runs == c.Number || w.Number == c.Number && w.Ask.To == c.Number) && !s.mute && !s.fresh &&
-				d.silentFor(s.name) > c.Silent {
+			if w := s.w; w != nil && (w.RunningNumber == c.Number || w.ChangeNumber == c.Number && w.PermitRequest.TargetNumber == c.Number) && !s.mute && !s.fresh &&
+				d.silentFor(s.name) > c.SilenceTimeout {
 				lost++
 			}
 		}
-		if lost >= c.Worse.Unreached {
-			d.stop(fmt.Sprintf("%d instances with it are not heard for %d s", lost, c.Silent/second), c.Then)
+		if lost >= c.RegressionLimits.Unreachable {
+			d.stop(fmt.Sprintf("%d instances with it are not heard for %d s", lost, c.SilenceTimeout/second), c.OnRegression)
 		}
 	}
-	if d.me.Verdict.Kind != Go {
+	if d.me.Verdict.Order != OrderProceed {
 		return
 	}
 	if d.evidence == nil {
-		d.evidence, d.lookedAt = NewEvidence(c.Worse), d.now
+		d.evidence, d.lookedAt = NewRegressionAnalysis(c.RegressionLimits), d.now
 	}
 	if d.now-d.lookedAt < d.pace() {
 		return
@@ -550,28 +550,28 @@
 	var all []Sample
 	for _, s := range d.seats {
 		w := s.w
-		if !s.fresh || w.Sums == nil || w.Runs != c.Number && w.Runs != c.From {
+		if !s.fresh || w.Stats == nil || w.RunningNumber != c.Number && w.RunningNumber != c.BaseNumber {
 			continue
 		}
-		all = append(all, Sample{Name: s.name, Region: w.Place.Region, Zone: w.Place.Zone, New: w.Runs == c.Number, Life: w.Life,
-			Sums: *w.Sums})
+		all = append(all, Sample{Name: s.name, Region: w.Instance.Region, Zone: w.Instance.Zone, HasChange: w.RunningNumber == c.Number, Incarnation: w.Incarnation,
+			Stats: *w.Stats})
 	}
-	d.evidence.Look(all)
-	if found := d.evidence.Found(); found != "" {
-		d.stop(found, c.Then)
+	d.evidence.AddSamples(all)
+	if found := d.evidence.DescribeRegression(); found != "" {
+		d.stop(found, c.OnRegression)
 	}
 }
 
 // elect votes, once for each change, for who is in which stage: for what others have voted for, or what is known here.
-func (d *Desk) elect() {
+func (d *Controller) elect() {
 	c := d.cur
 	votes := map[string]int{}
 	for _, s := range d.seats {
-		if d.same(s.w) && s.w.Roster != "" {
-			votes[s.w.Roster]++
+		if d.same(s.w) && s.w.RosterDigest != "" {
+			votes[s.w.RosterDigest]++
 		}
 	}
-	if d.me.Roster == "" && d.takesPart() && !d.amnesia() {
+	if d.me.RosterDigest == "" && d.takesPart() && !d.amnesia() {
 		best := ""
 		for _, digest := range slices.Sorted(maps.Keys(votes)) {
 			if d.rosters[rosterKey(c.Number, digest)] != nil && (best == "" || votes[digest] > votes[best]) {
@@ -579,31 +579,31 @@
 			}
 		}
 		if best == "" && d.majority() {
-			all, known := make([]Place, 0, len(d.listed)), 0
+			all, known := make([]Instance, 0, len(d.listed)), 0
 			for _, name := range slices.Sorted(maps.Keys(d.listed)) {
 				p, ok := d.places[name]
 				if w := d.word(name); !ok && w != nil {
-					p, ok = w.Place, true
+					p, ok = w.Instance, true
 				}
 				known += btoi(ok)
 				p.Name = name
 				all = append(all, p)
 			}
-			if known == len(all) || d.now-d.seenAt > c.Silent {
+			if known == len(all) || d.now-d.seenAt > c.SilenceTimeout {
 				r := d.rosterOf(all)
 				best = r.digest
 				d.rosters[rosterKey(c.Number, best)], d.out.Put[rosterKey(c.Number, best)] = all, packRoster(all)
 			}
 		}
 		if best != "" {
-			d.me.Roster, d.changed = best, true
+			d.me.RosterDigest, d.changed = best, true
 		}
 	}
-	if d.me.Roster != "" && (d.roster == nil || d.roster.digest != d.me.Roster) {
-		if all := d.rosters[rosterKey(c.Number, d.me.Roster)]; len(all) == len(d.listed) {
+	if d.me.RosterDigest != "" && (d.roster == nil || d.roster.digest != d.me.RosterDigest) {
+		if all := d.rosters[rosterKey(c.Number, d.me.RosterDigest)]; len(all) == len(d.listed) {
 			d.roster = d.rosterOf(all)
 		} else if all != nil {
-			d.once("rollout_waits", &OtherList{Number: c.Number, Theirs: len(all), Ours: len(d.listed)})
+			d.once("rollout_waits", &MemberListMismatchError{Number: c.Number, RemoteCount: len(all), LocalCount: len(d.listed)})
 		}
 	}
 	all, most := 0, 0
@@ -611,30 +611,30 @@
 		all, most = all+n, max(most, n)
 	}
 	if all == len(d.listed) && !d.more(most) {
-		d.stop("instances know different zones of each other", Stop)
+		d.stop("instances know different zones of each other", OrderStop)
 	}
 }
 
-func (d *Desk) rosterOf(all []Place) *roster {
+func (d *Controller) rosterOf(all []Instance) *roster {
 	return rosterOf(fmt.Sprint(d.cur.Name, "/", d.cur.Number), all)
 }
 
 // amnesia tells that this process may have granted or voted in a life that it knows nothing of.
-func (d *Desk) amnesia() bool { return d.First && d.now-d.began < d.lease() }
+func (d *Controller) amnesia() bool { return d.NoSavedState && d.now-d.began < d.lease() }
 
 // lease is how long a grant holds.
-func (d *Desk) lease() int64 { return d.cur.Silent }
+func (d *Controller) lease() int64 { return d.cur.SilenceTimeout }
 
 // opened is how many steps more than half of the listed have voted for. Votes are never taken back within a turn, so
 // it never falls.
-func (d *Desk) opened() int {
+func (d *Controller) opened() int {
 	if d.roster == nil {
 		return 0
 	}
 	votes := make([]int, len(d.steps)+2)
 	for _, s := range d.seats {
-		if w := s.w; d.same(w) && w.Roster == d.me.Roster && w.Turn == d.me.Verdict.Turn && !s.mute {
-			for s := range min(w.Stage, len(d.steps)+1) {
+		if w := s.w; d.same(w) && w.RosterDigest == d.me.RosterDigest && w.StageEpoch == d.me.Verdict.Epoch && !s.mute {
+			for s := range min(w.ApprovedSteps, len(d.steps)+1) {
 				votes[s+1]++
 			}
 		}
@@ -648,55 +648,57 @@
 }
 
 // closed tells that the change is everywhere, and stays.
-func (d *Desk) closed() bool { return d.open > len(d.steps) && d.me.Verdict.Kind == Go }
+func (d *Controller) closed() bool {
+	return d.open > len(d.steps) && d.me.Verdict.Order == OrderProceed
+}
 
 // vote lets the next step begin where this instance finds that it may.
-func (d *Desk) vote() {
+func (d *Controller) vote() {
 	v := d.me.Verdict
-	if d.me.Turn != v.Turn {
-		d.me.Turn, d.me.Stage = v.Turn, 0
+	if d.me.StageEpoch != v.Epoch {
+		d.me.StageEpoch, d.me.ApprovedSteps = v.Epoch, 0
 	}
-	if v.Kind != Go || d.roster == nil || d.amnesia() || !d.takesPart() {
+	if v.Order != OrderProceed || d.roster == nil || d.amnesia() || !d.takesPart() {
 		return
 	}
-	if d.open > d.me.Stage { // more than half have seen enough
-		d.me.Stage, d.changed = d.open, true
+	if d.open > d.me.ApprovedSteps { // more than half have seen enough
+		d.me.ApprovedSteps, d.changed = d.open, true
 		return
 	}
-	if d.me.Stage > len(d.steps) || d.open < d.me.Stage || !d.majority() {
+	if d.me.ApprovedSteps > len(d.steps) || d.open < d.me.ApprovedSteps || !d.majority() {
 		return
 	}
 	if why := d.holds(); why != "" {
-		if k := d.me.Stage; d.now-d.votedAt > d.cur.Silent && (k == 0 || d.now-d.votedAt > d.cur.Silent+d.cur.Cold+d.steps[k-1].watch) {
-			d.once("rollout_waits", &Waits{Number: d.cur.Number, Step: k + 1, Why: why})
+		if k := d.me.ApprovedSteps; d.now-d.votedAt > d.cur.SilenceTimeout && (k == 0 || d.now-d.votedAt > d.cur.SilenceTimeout+d.cur.WarmUp+d.steps[k-1].watch) {
+			d.once("rollout_waits", &StepDelayedError{Number: d.cur.Number, Step: k + 1, Reason: why})
 		}
 		return
 	}
 	d.votedAt = d.now
-	d.me.Stage++
+	d.me.ApprovedSteps++
 	d.changed = true
-	d.note("rollout_stage", nil, "change", d.cur.Name, "number", d.cur.Number, "step", d.me.Stage, "of", len(d.steps),
+	d.note("rollout_stage", nil, "change", d.cur.Name, "number", d.cur.Number, "step", d.me.ApprovedSteps, "of", len(d.steps),
 		"searches", d.searches())
 }
 
-func (d *Desk) searches() uint64 {
+func (d *Controller) searches() uint64 {
 	if d.evidence == nil {
 		return 0
 	}
-	return d.evidence.Searches()
+	return d.evidence.CountSearches()
 }
 
 // holds tells what keeps the next step from beginning, "" for nothing.
-func (d *Desk) holds() string {
-	c, k := d.cur, d.me.Stage
+func (d *Controller) holds() string {
+	c, k := d.cur, d.me.ApprovedSteps
 	fresh := 0
 	for _, s := range d.seats {
 		w := s.w
-		if !s.fresh || !d.same(w) || w.Roster != d.me.Roster {
+		if !s.fresh || !d.same(w) || w.RosterDigest != d.me.RosterDigest {
 			continue
 		}
 		fresh++
-		if w.Runs != c.Number && w.Runs != c.From && k == 0 {
+		if w.RunningNumber != c.Number && w.RunningNumber != c.BaseNumber && k == 0 {
 			return s.name + " still runs an earlier change"
 		}
 	}
@@ -713,15 +715,15 @@
 	for i, p := range d.roster.order[:d.steps[k-1].to] {
 		w := d.word(p.Name)
 		if !d.fresh(p.Name) {
-			if d.silentFor(p.Name) <= c.Silent {
+			if d.silentFor(p.Name) <= c.SilenceTimeout {
 				return p.Name + " is not heard"
 			}
 			continue // passed over: it takes the change when it is back
 		}
-		if w.Runs != c.Number || w.Since < 0 {
+		if w.RunningNumber != c.Number || w.ServingFor < 0 {
 			return p.Name + " has not taken it"
 		}
-		if long := w.Since >= c.Cold+d.steps[k-1].watch; long {
+		if long := w.ServingFor >= c.WarmUp+d.steps[k-1].watch; long {
 			watched++
 		} else if i >= from {
 			return p.Name + " is still watched"
@@ -730,12 +732,12 @@
 	if watched == 0 {
 		return "nobody that has it is left to be watched"
 	}
-	old := slices.ContainsFunc(d.seats, func(s seat) bool { return s.fresh && s.w.Runs == c.From })
+	old := slices.ContainsFunc(d.seats, func(s seat) bool { return s.fresh && s.w.RunningNumber == c.BaseNumber })
 	if old && d.steps[k-1].to < len(d.roster.order) { // there is something to set it beside
-		if d.evidence == nil || d.evidence.Searches() < uint64(c.Searches) {
+		if d.evidence == nil || d.evidence.CountSearches() < uint64(c.MinSearches) {
 			return "too few searches"
 		}
-		if value, _ := d.evidence.Value(); value > holdAt {
+		if value, _ := d.evidence.EValue(); value > holdAt {
 			return "it may be worse"
 		}
 	}
@@ -744,9 +746,9 @@
 
 // grant answers those that wish to restart. All that an instance grants at a time are of one step, and two majorities
 // share an instance: so those that restart at once are never more than one step's, whatever is late or lost.
-func (d *Desk) grant() {
+func (d *Controller) grant() {
 	for name, g := range d.acks {
-		if w := d.word(name); w != nil && w.Ask.No != g.No && name != d.Me.Name || d.now-g.at > d.lease() || name == d.Me.Name && d.me.Ask.No != g.No {
+		if w := d.word(name); w != nil && w.PermitRequest.Number != g.Number && name != d.Self.Name || d.now-g.at > d.lease() || name == d.Self.Name && d.me.PermitRequest.Number != g.Number {
 			delete(d.acks, name)
 		}
 	}
@@ -759,18 +761,18 @@
 	}
 	held, some := batch{}, false
 	for _, g := range d.acks {
-		held, some = batch{g.To, g.step}, true
+		held, some = batch{g.TargetNumber, g.step}, true
 	}
 	wishes := map[batch][]string{}
 	for _, s := range d.seats {
 		w := s.w
-		if !s.fresh || w.Ask.No == 0 || !d.same(w) || !d.allowed(w) {
+		if !s.fresh || w.PermitRequest.Number == 0 || !d.same(w) || !d.allowed(w) {
 			continue
 		}
 		if _, has := d.acks[s.name]; has {
 			continue
 		}
-		b := batch{w.Ask.To, stepOf(d.steps, d.roster.at[s.name])}
+		b := batch{w.PermitRequest.TargetNumber, stepOf(d.steps, d.roster.at[s.name])}
 		wishes[b] = append(wishes[b], s.name)
 	}
 	if !some {
@@ -782,92 +784,92 @@
 		}
 	}
 	for _, name := range wishes[held] {
-		d.acks[name] = grant{Ask: d.word(name).Ask, at: d.now, step: held.step}
+		d.acks[name] = grant{PermitRequest: d.word(name).PermitRequest, at: d.now, step: held.step}
 		d.changed = true
 	}
 }
 
 // allowed tells whether an instance may restart into what it wishes, by what is known here.
-func (d *Desk) allowed(w *Word) bool {
+func (d *Controller) allowed(w *StatusMessage) bool {
 	c, v := d.cur, d.me.Verdict
-	if w.Roster != d.me.Roster {
+	if w.RosterDigest != d.me.RosterDigest {
 		return false
 	}
-	switch w.Ask.To {
+	switch w.PermitRequest.TargetNumber {
 	case c.Number:
-		return v.Kind == Go && d.me.Stage >= stepOf(d.steps, d.roster.at[w.Place.Name]) && w.Runs == c.From && w.Failed != v.Turn
-	case c.From:
-		return w.Runs == c.Number && v.Kind == Back || w.Runs != c.Number && w.Runs != c.From
+		return v.Order == OrderProceed && d.me.ApprovedSteps >= stepOf(d.steps, d.roster.at[w.Instance.Name]) && w.RunningNumber == c.BaseNumber && w.FailedEpoch != v.Epoch
+	case c.BaseNumber:
+		return w.RunningNumber == c.Number && v.Order == OrderRollBack || w.RunningNumber != c.Number && w.RunningNumber != c.BaseNumber
 	}
 	return false
 }
 
 // move decides this instance's own step: what it should run, whether it may ask, and whether it is granted.
-func (d *Desk) move() {
+func (d *Controller) move() {
 	c, v := d.cur, d.me.Verdict
-	to := d.me.Runs
+	to := d.me.RunningNumber
 	switch {
-	case d.me.Runs != c.Number && d.me.Runs != c.From: // it has missed what came before, or a later change ended its own
-		to = c.From
-	case v.Kind == Back:
-		to = c.From
-	case v.Kind == Go && d.roster != nil && d.open >= stepOf(d.steps, d.roster.at[d.Me.Name]) && d.me.Failed != v.Turn:
+	case d.me.RunningNumber != c.Number && d.me.RunningNumber != c.BaseNumber: // it has missed what came before, or a later change ended its own
+		to = c.BaseNumber
+	case v.Order == OrderRollBack:
+		to = c.BaseNumber
+	case v.Order == OrderProceed && d.roster != nil && d.open >= stepOf(d.steps, d.roster.at[d.Self.Name]) && d.me.FailedEpoch != v.Epoch:
 		to = c.Number
 	}
 	if d.served < 0 || d.taking {
 		return
 	}
-	if to == d.me.Runs || to != 0 && d.content(to) == nil || d.roster == nil || !d.majority() {
-		if d.me.Ask.No != 0 {
-			d.me.Ask, d.changed = Ask{}, true
+	if to == d.me.RunningNumber || to != 0 && d.content(to) == nil || d.roster == nil || !d.majority() {
+		if d.me.PermitRequest.Number != 0 {
+			d.me.PermitRequest, d.changed = PermitRequest{}, true
 		}
 		return
 	}
-	if d.me.Ask.No != 0 && d.me.Ask.To != to || d.me.Ask.No != 0 && d.now-d.askedAt > c.Silent/askParts {
+	if d.me.PermitRequest.Number != 0 && d.me.PermitRequest.TargetNumber != to || d.me.PermitRequest.Number != 0 && d.now-d.askedAt > c.SilenceTimeout/askParts {
 		// Guards against two steps that hold each other up with grants of a part of the fleet each.
-		d.me.Ask, d.changed = Ask{}, true
-		d.waitTo = d.now + askWait*(1+int64(d.roster.at[d.Me.Name]+int(d.askNo))%4)
+		d.me.PermitRequest, d.changed = PermitRequest{}, true
+		d.waitTo = d.now + askWait*(1+int64(d.roster.at[d.Self.Name]+int(d.askNo))%4)
 	}
-	if d.me.Ask.No == 0 {
+	if d.me.PermitRequest.Number == 0 {
 		if d.now < d.waitTo {
 			return
 		}
 		d.askNo++
-		d.me.Ask, d.askedAt, d.changed = Ask{No: d.askNo, To: to}, d.now, true
+		d.me.PermitRequest, d.askedAt, d.changed = PermitRequest{Number: d.askNo, TargetNumber: to}, d.now, true
 		d.grant()
 	}
 	granted := 0
 	for _, s := range d.seats {
 		w := s.w
-		if s.name == d.Me.Name {
-			if g, ok := d.acks[s.name]; ok && g.No == d.me.Ask.No {
+		if s.name == d.Self.Name {
+			if g, ok := d.acks[s.name]; ok && g.Number == d.me.PermitRequest.Number {
 				granted++
 			}
-		} else if w != nil && !s.mute && slices.Contains(w.Acks, Ack{d.Me.Name, d.me.Ask.No}) {
+		} else if w != nil && !s.mute && slices.Contains(w.PermitGrants, PermitGrant{d.Self.Name, d.me.PermitRequest.Number}) {
 			granted++
 		}
 	}
 	if d.more(granted) {
 		d.taking = true
-		d.out.Step = &Step{To: to, Change: d.content(to), Turn: v.Turn, Ready: c.Ready}
-		d.note("rollout_step", nil, "number", to, "from", d.me.Runs, "granted", granted)
+		d.out.Restart = &Restart{TargetNumber: to, Change: d.content(to), Epoch: v.Epoch, ReadyTimeout: c.ReadyTimeout}
+		d.note("rollout_step", nil, "number", to, "from", d.me.RunningNumber, "granted", granted)
 	}
 }
 
 // speak tells the others, when there is something new or it is time.
-func (d *Desk) speak(before *Word) {
-	if d.sums != nil && d.served >= 0 && (d.cur == nil || d.now-d.served >= d.cur.Cold) {
-		d.me.Sums = d.sums
+func (d *Controller) speak(before *StatusMessage) {
+	if d.sums != nil && d.served >= 0 && (d.cur == nil || d.now-d.served >= d.cur.WarmUp) {
+		d.me.Stats = d.sums
 	}
-	d.me.Acks = d.me.Acks[:0:0]
+	d.me.PermitGrants = d.me.PermitGrants[:0:0]
 	for _, name := range slices.Sorted(maps.Keys(d.acks)) {
-		d.me.Acks = append(d.me.Acks, Ack{name, d.acks[name].No})
+		d.me.PermitGrants = append(d.me.PermitGrants, PermitGrant{name, d.acks[name].Number})
 	}
-	if !d.changed && d.me.Beat > 0 && d.now-d.spokeAt < d.pace() && slices.Equal(before.Acks, d.me.Acks) {
+	if !d.changed && d.me.Sequence > 0 && d.now-d.spokeAt < d.pace() && slices.Equal(before.PermitGrants, d.me.PermitGrants) {
 		return
 	}
-	d.me.Beat++
+	d.me.Sequence++
 	d.spokeAt, d.changed = d.now, false
 	text, _ := encoding.Marshal(&d.me)
-	d.out.Put[WordKey(d.Me.Name)] = text
+	d.out.Put[StatusMessageKey(d.Self.Name)] = text
 }
--- a/control/rollout/errors.go
+++ b/control/rollout/errors.go
@@ -5,106 +5,106 @@
 	"strings"
 )
 
-// Stopped is a change that goes no further.
-type Stopped struct {
+// ChangeStoppedError is a change that goes no further.
+type ChangeStoppedError struct {
 	Change  string
 	Number  uint64
 	Verdict Verdict
 }
 
-func (s *Stopped) Error() string {
-	return fmt.Sprintf("change %s, number %d: %s, said by %s: %s", s.Change, s.Number, s.Verdict.Kind, s.Verdict.By, s.Verdict.Why)
+func (s *ChangeStoppedError) Error() string {
+	return fmt.Sprintf("change %s, number %d: %s, said by %s: %s", s.Change, s.Number, s.Verdict.Order, s.Verdict.DecidedBy, s.Verdict.Reason)
 }
 
 // Advice tells an operator what to do.
-func (s *Stopped) Advice() string {
+func (s *ChangeStoppedError) Advice() string {
 	return "Find the cause; then write order: go with a higher turn to go on, order: back with a higher turn to take it back, or a new change with a higher number."
 }
 
-// Differs is a number under which different changes were told.
-type Differs struct {
+// ConflictingChangesError is a number under which different changes were told.
+type ConflictingChangesError struct {
 	Number  uint64
 	Digests []string
 }
 
-func (e *Differs) Error() string {
+func (e *ConflictingChangesError) Error() string {
 	return fmt.Sprintf("change files differ under number %d: %s", e.Number, strings.Join(e.Digests, ", "))
 }
 
 // Advice tells an operator what to do.
-func (e *Differs) Advice() string {
+func (e *ConflictingChangesError) Advice() string {
 	return "Make the files the same and give them a number that was not used yet; until then nobody takes either."
 }
 
-// OldFile is a change file whose number the fleet has passed.
-type OldFile struct{ Number, Known uint64 }
+// StaleChangeFileError is a change file whose number the fleet has passed.
+type StaleChangeFileError struct{ Number, CurrentNumber uint64 }
 
-func (e *OldFile) Error() string {
-	return fmt.Sprintf("the change file has number %d, the fleet is at %d", e.Number, e.Known)
+func (e *StaleChangeFileError) Error() string {
+	return fmt.Sprintf("the change file has number %d, the fleet is at %d", e.Number, e.CurrentNumber)
 }
 
 // Advice tells an operator what to do.
-func (e *OldFile) Advice() string {
+func (e *StaleChangeFileError) Advice() string {
 	return "Bring the file up to date, or take it away; it is not used."
 }
 
-// OtherList is a fleet whose instances are listed differently.
-type OtherList struct {
-	Number       uint64
-	Theirs, Ours int
+// MemberListMismatchError is a fleet whose instances are listed differently.
+type MemberListMismatchError struct {
+	Number                  uint64
+	RemoteCount, LocalCount int
 }
 
-func (e *OtherList) Error() string {
-	return fmt.Sprintf("change %d waits: %d instances are listed here, %d elsewhere", e.Number, e.Ours, e.Theirs)
+func (e *MemberListMismatchError) Error() string {
+	return fmt.Sprintf("change %d waits: %d instances are listed here, %d elsewhere", e.Number, e.LocalCount, e.RemoteCount)
 }
 
 // Advice tells an operator what to do.
-func (e *OtherList) Advice() string {
+func (e *MemberListMismatchError) Advice() string {
 	return "Make the list of instances the same in all installation files and restart those that differed."
 }
 
-// NotTaken is a change that this instance could not take; it runs what it ran before.
-type NotTaken struct {
+// ChangeNotAppliedError is a change that this instance could not take; it runs what it ran before.
+type ChangeNotAppliedError struct {
 	Number uint64
-	Why    string
+	Reason string
 }
 
-func (e *NotTaken) Error() string {
-	return fmt.Sprintf("change %d could not be taken here: %s", e.Number, e.Why)
+func (e *ChangeNotAppliedError) Error() string {
+	return fmt.Sprintf("change %d could not be taken here: %s", e.Number, e.Reason)
 }
 
 // Advice tells an operator what to do.
-func (e *NotTaken) Advice() string {
+func (e *ChangeNotAppliedError) Advice() string {
 	return "Look at the log lines before this one; put the program in place or mend the settings, then go on with a higher turn."
 }
 
-// TooBig is a change that with all that is in force under it fits no entry of the ledger.
-type TooBig struct {
+// ChangeTooLargeError is a change that with all that is in force under it fits no entry of the ledger.
+type ChangeTooLargeError struct {
 	Number uint64
 	Bytes  int
 }
 
-func (e *TooBig) Error() string {
-	return fmt.Sprintf("change %d has %d bytes with what is in force under it, over %d", e.Number, e.Bytes, ValueMost)
+func (e *ChangeTooLargeError) Error() string {
+	return fmt.Sprintf("change %d has %d bytes with what is in force under it, over %d", e.Number, e.Bytes, MaxEntryBytes)
 }
 
 // Advice tells an operator what to do.
-func (e *TooBig) Advice() string {
+func (e *ChangeTooLargeError) Advice() string {
 	return "Move settings that are in force everywhere from earlier changes into the installation files."
 }
 
-// Waits is a step that has not begun long after it could have.
-type Waits struct {
+// StepDelayedError is a step that has not begun long after it could have.
+type StepDelayedError struct {
 	Number uint64
 	Step   int
-	Why    string
+	Reason string
 }
 
-func (e *Waits) Error() string {
-	return fmt.Sprintf("change %d, step %d waits: %s", e.Number, e.Step, e.Why)
+func (e *StepDelayedError) Error() string {
+	return fmt.Sprintf("change %d, step %d waits: %s", e.Number, e.Step, e.Reason)
 }
 
 // Advice tells an operator what to do.
-func (e *Waits) Advice() string {
+func (e *StepDelayedError) Advice() string {
 	return "Bring back what is missing; where the first instance is gone for good, give the change a new number, which draws another."
 }
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -19,66 +19,66 @@
 )
 
 // everyBucket is a class's sums with another number in each field and bucket.
-func everyBucket() Class {
-	c := Class{Asked: 1001, Served: 1002, Late: 1003, Shed: 1004}
-	for i := range c.Times {
-		c.Times[i] = uint64(100 + i)
+func everyBucket() ClassStats {
+	c := ClassStats{Requests: 1001, Served: 1002, Late: 1003, Shed: 1004}
+	for i := range c.Latencies {
+		c.Latencies[i] = uint64(100 + i)
 	}
-	for i := range c.Subs {
-		c.Subs[i] = uint64(200 + i)
+	for i := range c.SubRequests {
+		c.SubRequests[i] = uint64(200 + i)
 	}
 	return c
 }
 
 // goldenWord is a status message with another value in each field.
-func goldenWord() Word {
-	return Word{Place: Place{Name: "n0", Region: "eu", Zone: "eu-1"}, Life: 21, Beat: 22, Number: 23, Digest: "0123456789abcdef",
-		Verdict: Verdict{Turn: 24, Kind: Back, Why: "worse by served", By: "n1"}, Roster: "fedcba9876543210", Turn: 25, Stage: 26,
-		Runs: 27, Since: 28, Ask: Ask{No: 29, To: 30}, Acks: []Ack{{Name: "n2", No: 31}, {Name: "n3", No: 32}}, Failed: 33, Starts: 34,
-		Sums: &Sums{Classes: []Class{everyBucket(), {Asked: 1}}, Connects: 35, Memory: 36}}
+func goldenWord() StatusMessage {
+	return StatusMessage{Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 21, Sequence: 22, ChangeNumber: 23, ChangeDigest: "0123456789abcdef",
+		Verdict: Verdict{Epoch: 24, Order: OrderRollBack, Reason: "worse by served", DecidedBy: "n1"}, RosterDigest: "fedcba9876543210", StageEpoch: 25, ApprovedSteps: 26,
+		RunningNumber: 27, ServingFor: 28, PermitRequest: PermitRequest{Number: 29, TargetNumber: 30}, PermitGrants: []PermitGrant{{InstanceName: "n2", RequestNumber: 31}, {InstanceName: "n3", RequestNumber: 32}}, FailedEpoch: 33, UnplannedRestarts: 34,
+		Stats: &InstanceStats{Classes: []ClassStats{everyBucket(), {Requests: 1}}, Connections: 35, MemoryBytes: 36}}
 }
 
 // goldenChange is a change with another value in each field.
 func goldenChange() Change {
-	return Change{Name: "c", Number: 41, From: 40, Settings: map[string]string{"Safety.ExtraFloor": "0.5", "Classes.0.Name": "lookup"},
+	return Change{Name: "c", Number: 41, BaseNumber: 40, Settings: map[string]string{"Safety.ExtraFloor": "0.5", "Classes.0.Name": "lookup"},
 		Program: Program{Path: "/opt/chalkring", Version: "chalkring 2.5"},
-		Stages:  []Stage{{Count: 1, Watch: "not sent", For: 42}, {Share: 0.25, For: 43}, {Share: 1, For: 44}}, Together: 0.125, Cold: 45, Ready: 46,
-		Silent: 47, Searches: 48, Worse: Worse{Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, Subs: 0.06, Connects: 7,
-			Memory: 8, Restarts: 9, Unreached: 10, FalseStops: 0.005}, Then: Stop}
+		Stages:  []Stage{{Count: 1, WatchText: "not sent", WatchDuration: 42}, {Fraction: 0.25, WatchDuration: 43}, {Fraction: 1, WatchDuration: 44}}, MaxConcurrentFraction: 0.125, WarmUp: 45, ReadyTimeout: 46,
+		SilenceTimeout: 47, MinSearches: 48, RegressionLimits: RegressionLimits{Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, SubRequests: 0.06, Connections: 7,
+			Memory: 8, Restarts: 9, Unreachable: 10, FalseStopProbability: 0.005}, OnRegression: OrderStop}
 }
 
 // Status messages and changes as instances of today's build send and keep them.
 func TestGoldenRolloutMessages(t *testing.T) {
 	const file = "messages.cbor.txt"
-	least := Word{Place: Place{Name: "n0", Region: "eu", Zone: "eu-1"}, Life: 1, Since: -1}
+	least := StatusMessage{Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 1, ServingFor: -1}
 	word, change := goldenWord(), goldenChange()
-	own := Change{Name: "c", Number: 1, Settings: map[string]string{}, Stages: []Stage{{Share: 1}}, Together: 1, Then: Back}
+	own := Change{Name: "c", Number: 1, Settings: map[string]string{}, Stages: []Stage{{Fraction: 1}}, MaxConcurrentFraction: 1, OnRegression: OrderRollBack}
 	var all strings.Builder
 	for _, m := range []struct {
 		name  string
 		value any
 	}{{"status, every field", &word}, {"status, fewest fields", &least}, {"change, every field", &change}, {"change, fewest fields", &own},
-		{"verdict go", &Verdict{Turn: 1, Kind: Go}}, {"verdict stop", &Verdict{Turn: 2, Kind: Stop, Why: "w", By: "n"}},
-		{"verdict back", &Verdict{Turn: 3, Kind: Back, Why: "w", By: "n"}}} {
+		{"verdict go", &Verdict{Epoch: 1, Order: OrderProceed}}, {"verdict stop", &Verdict{Epoch: 2, Order: OrderStop, Reason: "w", DecidedBy: "n"}},
+		{"verdict back", &Verdict{Epoch: 3, Order: OrderRollBack, Reason: "w", DecidedBy: "n"}}} {
 		text, err := encoding.Marshal(m.value)
 		require.NoError(t, err)
 		all.WriteString(cborLine(t, m.name, text))
 	}
 	requireGolden(t, file, []byte(all.String()))
 
-	var gotWord, gotLeast Word
+	var gotWord, gotLeast StatusMessage
 	require.NoError(t, decode("k", goldenCBOR(t, file, "status, every field"), &gotWord))
 	require.Equal(t, word, gotWord)
 	require.NoError(t, decode("k", goldenCBOR(t, file, "status, fewest fields"), &gotLeast))
 	require.Equal(t, least, gotLeast)
 	var gotChange Change
 	require.NoError(t, decode("k", goldenCBOR(t, file, "change, every field"), &gotChange))
-	change.Stages[0].Watch = ""
+	change.Stages[0].WatchText = ""
 	require.Equal(t, change, gotChange)
-	for name, kind := range map[string]Kind{"go": Go, "stop": Stop, "back": Back} {
+	for name, kind := range map[string]Order{"go": OrderProceed, "stop": OrderStop, "back": OrderRollBack} {
 		var v Verdict
 		require.NoError(t, decode("k", goldenCBOR(t, file, "verdict "+name), &v))
-		require.Equal(t, kind, v.Kind)
+		require.Equal(t, kind, v.Order)
 	}
 }
 
@@ -86,7 +86,7 @@
 func TestGoldenRolloutMessageReading(t *testing.T) {
 	v := Verdict{}
 	require.NoError(t, decode("k", []byte{0xa2, 0x01, 0x05, 0x18, 0x63, 0x01}, &v)) // {1: 5, 99: 1}
-	require.EqualValues(t, 5, v.Turn)
+	require.EqualValues(t, 5, v.Epoch)
 	require.EqualError(t, decode("rollout/word/n0", []byte{0xff}, &v), `shared entry "rollout/word/n0": cbor: unexpected "break" code`)
 	require.EqualError(t, decode("rollout/word/n0", make([]byte, 1<<20+1), &v), `shared entry "rollout/word/n0": 1048577 bytes`)
 }
@@ -95,10 +95,10 @@
 func TestGoldenRolloutNamesAndDigests(t *testing.T) {
 	change := goldenChange()
 	var all strings.Builder
-	fmt.Fprintln(&all, "prefix", Prefix)
+	fmt.Fprintln(&all, "prefix", KeyPrefix)
 	fmt.Fprintln(&all, "change key", changeKey(41, "0123456789abcdef"))
 	fmt.Fprintln(&all, "roster key", rosterKey(41, "fedcba9876543210"))
-	fmt.Fprintln(&all, "status key", WordKey("n0"))
+	fmt.Fprintln(&all, "status key", StatusMessageKey("n0"))
 	fmt.Fprintln(&all, "change digest", change.Digest())
 	places := goldenPlaces()
 	r := rosterOf("c/41", places)
@@ -107,10 +107,10 @@
 		fmt.Fprintln(&all, "roster order", p.Name, p.Region, p.Zone)
 	}
 	for _, tenths := range []int64{-1, 0, 9, 10, 19, 20, 30, 40, 60, 1000, 10_000, 100_000, 1_000_000} {
-		fmt.Fprintln(&all, "time bucket of", tenths, "is", TimeBucket(tenths))
+		fmt.Fprintln(&all, "time bucket of", tenths, "is", LatencyBucket(tenths))
 	}
 	for _, n := range []int{-1, 0, 1, 2, 3, 4, 6, 100, 1024, 5000} {
-		fmt.Fprintln(&all, "sub-request bucket of", n, "is", SubBucket(n))
+		fmt.Fprintln(&all, "sub-request bucket of", n, "is", SubRequestBucket(n))
 	}
 	requireGolden(t, "names.txt", []byte(all.String()))
 	number, digest, ok := numbered("00000000000000000041/0123456789abcdef")
@@ -119,9 +119,9 @@
 	require.Equal(t, "0123456789abcdef", digest)
 }
 
-func goldenPlaces() (all []Place) {
+func goldenPlaces() (all []Instance) {
 	for i := range 7 {
-		all = append(all, Place{Name: fmt.Sprintf("n%d", i), Region: fmt.Sprintf("r%d", i%2), Zone: fmt.Sprintf("z%d", i%3)})
+		all = append(all, Instance{Name: fmt.Sprintf("n%d", i), Region: fmt.Sprintf("r%d", i%2), Zone: fmt.Sprintf("z%d", i%3)})
 	}
 	return all
 }
@@ -150,26 +150,26 @@
 func TestGoldenRolloutFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
-	f, err := Parse("every_key.yaml", text)
+	f, err := ParseChangeFile("every_key.yaml", text)
 	require.NoError(t, err)
-	require.Equal(t, &File{Change: Change{Name: "every-key", Number: 12, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
+	require.Equal(t, &ChangeFile{Change: Change{Name: "every-key", Number: 12, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
 		Program: Program{Path: "/opt/chalkring/2.5/chalkring", Version: "chalkring 2.5"},
-		Stages: []Stage{{Count: 2, Watch: "5m", For: 3_000_000}, {Share: 0.25, Watch: "90s", For: 900_000},
-			{Share: 1, Watch: "2m", For: 1_200_000}},
-		Together: 0.125, Cold: 310_000, Ready: 200_000, Silent: 1_800_000, Searches: 201,
-		Worse: Worse{Served: 0.011, Late: 0.031, Shed: 0.021, Median: 0.151, Tail: 0.051, Subs: 0.152, Connects: 3.5, Memory: 1.6,
-			Restarts: 4, Unreached: 5, FalseStops: 0.025},
-		Then: Stop}, Order: Stop, Turn: 3}, f)
+		Stages: []Stage{{Count: 2, WatchText: "5m", WatchDuration: 3_000_000}, {Fraction: 0.25, WatchText: "90s", WatchDuration: 900_000},
+			{Fraction: 1, WatchText: "2m", WatchDuration: 1_200_000}},
+		MaxConcurrentFraction: 0.125, WarmUp: 310_000, ReadyTimeout: 200_000, SilenceTimeout: 1_800_000, MinSearches: 201,
+		RegressionLimits: RegressionLimits{Served: 0.011, Late: 0.031, Shed: 0.021, Median: 0.151, Tail: 0.051, SubRequests: 0.152, Connections: 3.5, Memory: 1.6,
+			Restarts: 4, Unreachable: 5, FalseStopProbability: 0.025},
+		OnRegression: OrderStop}, Order: OrderStop, Epoch: 3}, f)
 
 	text, err = os.ReadFile(filepath.Join("testdata", "fewest_keys.yaml"))
 	require.NoError(t, err)
-	f, err = Parse("fewest_keys.yaml", text)
+	f, err = ParseChangeFile("fewest_keys.yaml", text)
 	require.NoError(t, err)
-	require.Equal(t, &File{Change: Change{Name: "fewest-keys", Number: 1, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
-		Stages: []Stage{{Share: 1, For: 3_000_000}}, Together: 1, Cold: 300_000, Ready: 300_000, Silent: 2_400_000, Searches: 200,
-		Worse: Worse{Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, Subs: 0.15, Connects: 3, Memory: 1.5,
-			Restarts: 2, Unreached: 1, FalseStops: 0.02},
-		Then: Back}, Order: Go, Turn: 1}, f)
+	require.Equal(t, &ChangeFile{Change: Change{Name: "fewest-keys", Number: 1, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
+		Stages: []Stage{{Fraction: 1, WatchDuration: 3_000_000}}, MaxConcurrentFraction: 1, WarmUp: 300_000, ReadyTimeout: 300_000, SilenceTimeout: 2_400_000, MinSearches: 200,
+		RegressionLimits: RegressionLimits{Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
+			Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02},
+		OnRegression: OrderRollBack}, Order: OrderProceed, Epoch: 1}, f)
 }
 
 // Fault texts of change files, with place and advice. A value of the wrong type is left out: the YAML package names Go
@@ -185,7 +185,7 @@
 		{"served: 0.011", "served: 0.5"}, {"connects: 3.5", "connects: 1"}, {"restarts: 4", "restarts: 0"}, {"false_stops: 0.025", "false_stops: 0.5"},
 		{"cold: 31s", "colder: 31s"}} {
 		require.Contains(t, string(text), change[0])
-		_, err := Parse("c.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)))
+		_, err := ParseChangeFile("c.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)))
 		require.Error(t, err, change[1])
 		fmt.Fprintf(&all, "%s -> %s\n  %s\n", strings.TrimSpace(change[0]), change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
@@ -194,37 +194,37 @@
 
 // Failures that stand in the log, with their advice.
 func TestGoldenRolloutErrors(t *testing.T) {
-	verdict := Verdict{Turn: 2, Kind: Stop, Why: "why", By: "n1"}
+	verdict := Verdict{Epoch: 2, Order: OrderStop, Reason: "why", DecidedBy: "n1"}
 	var all strings.Builder
-	for _, err := range []error{&Stopped{Change: "c", Number: 1, Verdict: verdict}, &Differs{Number: 1, Digests: []string{"a", "b"}},
-		&OldFile{Number: 1, Known: 2}, &OtherList{Number: 1, Theirs: 2, Ours: 3}, &NotTaken{Number: 1, Why: "why"},
-		&TooBig{Number: 1, Bytes: 2}, &Waits{Number: 1, Step: 2, Why: "why"}, &EntryFault{"rollout/word/n0", errors.New("why")},
-		&FileFault{"c.yaml", errors.New("why")}} {
+	for _, err := range []error{&ChangeStoppedError{Change: "c", Number: 1, Verdict: verdict}, &ConflictingChangesError{Number: 1, Digests: []string{"a", "b"}},
+		&StaleChangeFileError{Number: 1, CurrentNumber: 2}, &MemberListMismatchError{Number: 1, RemoteCount: 2, LocalCount: 3}, &ChangeNotAppliedError{Number: 1, Reason: "why"},
+		&ChangeTooLargeError{Number: 1, Bytes: 2}, &StepDelayedError{Number: 1, Step: 2, Reason: "why"}, &InvalidEntryError{"rollout/word/n0", errors.New("why")},
+		&InvalidChangeFileError{"c.yaml", errors.New("why")}} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
-	fmt.Fprintln(&all, Go, Stop, Back)
+	fmt.Fprintln(&all, OrderProceed, OrderStop, OrderRollBack)
 	requireGolden(t, "errors.txt", []byte(all.String()))
 }
 
 // What a look finds worse is sent as the verdict's reason.
 func TestGoldenRolloutEvidence(t *testing.T) {
-	sides := func(oldNow, newNow Sums) string {
-		e := NewEvidence(usualWorse)
-		sample := func(name string, isNew bool, s Sums) Sample {
-			return Sample{Name: name, Region: "eu", Zone: "eu-1", New: isNew, Life: 1, Sums: s}
+	sides := func(oldNow, newNow InstanceStats) string {
+		e := NewRegressionAnalysis(usualWorse)
+		sample := func(name string, isNew bool, s InstanceStats) Sample {
+			return Sample{Name: name, Region: "eu", Zone: "eu-1", HasChange: isNew, Incarnation: 1, Stats: s}
 		}
-		zero := Sums{Classes: make([]Class, 1)}
-		for _, s := range [][2]Sums{{zero, zero}, {oldNow, newNow}} {
-			e.Look([]Sample{sample("a", false, s[0]), sample("b", false, s[0]), sample("c", false, s[0]), sample("d", true, s[1])})
+		zero := InstanceStats{Classes: make([]ClassStats, 1)}
+		for _, s := range [][2]InstanceStats{{zero, zero}, {oldNow, newNow}} {
+			e.AddSamples([]Sample{sample("a", false, s[0]), sample("b", false, s[0]), sample("c", false, s[0]), sample("d", true, s[1])})
 		}
-		return e.Found()
+		return e.DescribeRegression()
 	}
-	class := func(asked, served uint64) []Class { return []Class{{Asked: asked, Served: served}} }
+	class := func(asked, served uint64) []ClassStats { return []ClassStats{{Requests: asked, Served: served}} }
 	var all strings.Builder
-	fmt.Fprintln(&all, "same:", sides(Sums{Classes: class(500, 499)}, Sums{Classes: class(500, 499)}))
-	fmt.Fprintln(&all, "served:", sides(Sums{Classes: class(1000, 1000)}, Sums{Classes: class(1000, 500)}))
-	fmt.Fprintln(&all, "connects:", sides(Sums{Classes: class(500, 500), Connects: 50}, Sums{Classes: class(500, 500), Connects: 5000}))
-	fmt.Fprintln(&all, "memory:", sides(Sums{Classes: class(1, 1), Memory: 100 << 20}, Sums{Classes: class(1, 1), Memory: 900 << 20}))
+	fmt.Fprintln(&all, "same:", sides(InstanceStats{Classes: class(500, 499)}, InstanceStats{Classes: class(500, 499)}))
+	fmt.Fprintln(&all, "served:", sides(InstanceStats{Classes: class(1000, 1000)}, InstanceStats{Classes: class(1000, 500)}))
+	fmt.Fprintln(&all, "connects:", sides(InstanceStats{Classes: class(500, 500), Connections: 50}, InstanceStats{Classes: class(500, 500), Connections: 5000}))
+	fmt.Fprintln(&all, "memory:", sides(InstanceStats{Classes: class(1, 1), MemoryBytes: 100 << 20}, InstanceStats{Classes: class(1, 1), MemoryBytes: 900 << 20}))
 	for m := range metrics {
 		fmt.Fprintln(&all, "metric", bet{slot{class: 1, place: [2]string{"eu", "*"}}, m})
 	}
@@ -234,17 +234,17 @@
 // One listed instance takes a change, and another takes it back: its shared entries and log events, look by look.
 func TestGoldenRolloutEntriesAndEvents(t *testing.T) {
 	text := "name: c\nnumber: 1\norder: %s\nturn: %d\nsettings: {Safety: {ExtraFloor: 0.5}}\nstages:\n  - {share: 1, watch: 1s}\ncold: 1s\nready: 1s\nsilent: 10s\n...\n"
-	file := func(order string, turn int) *File {
-		f, err := Parse("c.yaml", fmt.Appendf(nil, text, order, turn))
+	file := func(order string, turn int) *ChangeFile {
+		f, err := ParseChangeFile("c.yaml", fmt.Appendf(nil, text, order, turn))
 		require.NoError(t, err)
 		return f
 	}
 	now := int64(1)
 	var all strings.Builder
-	look := func(d *Desk, times int) (step *Step) {
+	look := func(d *Controller, times int) (step *Restart) {
 		for range times {
 			now += second / 2
-			out := d.Look(now)
+			out := d.Decide(now)
 			fmt.Fprintf(&all, "look at %d\n", now)
 			for _, key := range slices.Sorted(maps.Keys(out.Put)) {
 				value := out.Put[key]
@@ -256,33 +256,33 @@
 			for _, key := range out.Delete {
 				fmt.Fprintln(&all, "delete", key)
 			}
-			for _, n := range out.Notes {
-				fmt.Fprintln(&all, "event", n.Event, n.Attrs, n.Err)
+			for _, n := range out.Events {
+				fmt.Fprintln(&all, "event", n.Name, n.Attrs, n.Err)
 			}
-			if out.Step != nil {
-				fmt.Fprintln(&all, "restart into", out.Step.To, "turn", out.Step.Turn, "ready", out.Step.Ready)
-				return out.Step
+			if out.Restart != nil {
+				fmt.Fprintln(&all, "restart into", out.Restart.TargetNumber, "turn", out.Restart.Epoch, "ready", out.Restart.ReadyTimeout)
+				return out.Restart
 			}
 		}
 		return nil
 	}
-	start := Start{Me: Place{Name: "n0", Region: "eu", Zone: "eu-1"}, Life: 1, Listed: []string{"n0"}, Now: now}
+	start := InitialState{Self: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 1, Members: []string{"n0"}, Now: now}
 	d := New(start)
-	d.File(file("go", 1))
-	d.Serves(now)
+	d.SetFile(file("go", 1))
+	d.MarkServing(now)
 	require.NotNil(t, look(d, 20))
-	start.Life, start.Runs, start.Now = 2, 1, now
+	start.Incarnation, start.RunningNumber, start.Now = 2, 1, now
 	entries := map[string][]byte{}
 	c := d.cur
 	entries[changeKey(1, c.Digest())], _ = encoding.Marshal(c)
-	entries[rosterKey(1, d.me.Roster)] = packRoster([]Place{start.Me})
-	entries[WordKey("n0")], _ = encoding.Marshal(&d.me)
+	entries[rosterKey(1, d.me.RosterDigest)] = packRoster([]Instance{start.Self})
+	entries[StatusMessageKey("n0")], _ = encoding.Marshal(&d.me)
 	d = New(start)
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
-		require.NoError(t, d.Heard(now, key, entries[key]))
+		require.NoError(t, d.HandleEntry(now, key, entries[key]))
 	}
-	d.File(file("back", 2))
-	d.Serves(now)
+	d.SetFile(file("back", 2))
+	d.MarkServing(now)
 	require.NotNil(t, look(d, 20))
 	requireGolden(t, "entries_and_events.txt", []byte(all.String()))
 }
--- a/control/rollout/model_test.go
+++ b/control/rollout/model_test.go
@@ -38,28 +38,28 @@
 type message struct {
 	at int64
 	to int
-	w  *Word
+	w  *StatusMessage
 }
 
 type node struct {
 	i       int
-	place   Place
+	place   Instance
 	life    uint64
-	desk    *Desk
+	desk    *Controller
 	book    map[string][]byte // changes and rosters
-	words   map[string]*Word
+	words   map[string]*StatusMessage
 	runs    uint64
 	from    uint64
-	up      int64 // when it is up, 0 while it is
-	rolling *Step // it restarts by
+	up      int64    // when it is up, 0 while it is
+	rolling *Restart // it restarts by
 	tries   int
 	failed  uint64
 	number  uint64
 	why     string
 	starts  int
 	served  int64
-	sums    Sums
-	file    *File
+	sums    InstanceStats
+	file    *ChangeFile
 	killed  bool
 }
 
@@ -71,8 +71,8 @@
 		w.offset = append(w.offset, w.chance.Int63n(3600*second)) // clocks an hour apart
 	}
 	for i := range n {
-		w.nodes = append(w.nodes, &node{i: i, place: Place{w.names[i], fmt.Sprintf("r%d", i%3), fmt.Sprintf("z%d", i%6/3)},
-			book: map[string][]byte{}, words: map[string]*Word{}})
+		w.nodes = append(w.nodes, &node{i: i, place: Instance{w.names[i], fmt.Sprintf("r%d", i%3), fmt.Sprintf("z%d", i%6/3)},
+			book: map[string][]byte{}, words: map[string]*StatusMessage{}})
 		w.start(w.nodes[i], true)
 	}
 	return w
@@ -82,23 +82,23 @@
 	n.life++
 	n.up = 0
 	now := w.now + w.offset[n.i]
-	n.desk = New(Start{Me: n.place, Life: n.life, Listed: w.names, Runs: n.runs, Failed: n.failed, Number: n.number, Why: n.why,
-		Starts: n.starts, First: first, Now: now})
-	var all []Place
+	n.desk = New(InitialState{Self: n.place, Incarnation: n.life, Members: w.names, RunningNumber: n.runs, FailedEpoch: n.failed, FailedNumber: n.number, FailureReason: n.why,
+		UnplannedRestarts: n.starts, NoSavedState: first, Now: now})
+	var all []Instance
 	for _, o := range w.nodes {
 		all = append(all, o.place)
 	}
-	n.desk.Places(all, nil)
-	n.desk.File(n.file)
+	n.desk.SetInstances(all, nil)
+	n.desk.SetFile(n.file)
 	for _, key := range slices.Sorted(maps.Keys(n.book)) {
-		require.NoError(w.t, n.desk.Heard(now, key, n.book[key]))
+		require.NoError(w.t, n.desk.HandleEntry(now, key, n.book[key]))
 	}
 	for _, word := range n.words {
 		n.desk.now = max(n.desk.now, now)
 		n.desk.hear(*word)
 	}
-	n.sums, n.served = Sums{Classes: make([]Class, 1), Memory: 100 << 20}, w.now
-	n.desk.Serves(now)
+	n.sums, n.served = InstanceStats{Classes: make([]ClassStats, 1), MemoryBytes: 100 << 20}, w.now
+	n.desk.MarkServing(now)
 }
 
 // kill ends a process at once; one that restarted into a change tries it again, twice.
@@ -109,11 +109,11 @@
 	}
 }
 
-func (w *world) hear(n *node, word *Word) {
-	if have := n.words[word.Place.Name]; have != nil && !word.after(have) {
+func (w *world) hear(n *node, word *StatusMessage) {
+	if have := n.words[word.Instance.Name]; have != nil && !word.after(have) {
 		return
 	}
-	n.words[word.Place.Name] = word
+	n.words[word.Instance.Name] = word
 	if n.desk != nil {
 		n.desk.now = max(n.desk.now, w.now+w.offset[n.i])
 		n.desk.hear(*word)
@@ -126,7 +126,7 @@
 		if b.book[key] == nil {
 			b.book[key] = text
 			if b.desk != nil {
-				require.NoError(w.t, b.desk.Heard(w.now+w.offset[b.i], key, text))
+				require.NoError(w.t, b.desk.HandleEntry(w.now+w.offset[b.i], key, text))
 			}
 		}
 	}
@@ -157,18 +157,18 @@
 			continue
 		}
 		w.serve(n)
-		out := n.desk.Look(w.now + w.offset[n.i])
+		out := n.desk.Decide(w.now + w.offset[n.i])
 		for key, text := range out.Put {
 			if strings.HasPrefix(key, wordPrefix) {
-				word := &Word{}
+				word := &StatusMessage{}
 				require.NoError(w.t, decode(key, text, word))
 				n.words[n.place.Name] = word
 			} else {
 				n.book[key] = text
 			}
 		}
-		if out.Step != nil {
-			w.step(n, out.Step)
+		if out.Restart != nil {
+			w.step(n, out.Restart)
 		}
 	}
 	for range 2 {
@@ -190,24 +190,24 @@
 	}
 }
 
-func (w *world) step(n *node, s *Step) {
+func (w *world) step(n *node, s *Restart) {
 	w.steps++
 	n.rolling, n.desk, n.tries = s, nil, 0
-	n.up = w.now + w.pace + w.chance.Int63n(max(1, s.Ready/2))
-	if w.reached[s.To] == nil {
-		w.reached[s.To] = map[string]bool{}
+	n.up = w.now + w.pace + w.chance.Int63n(max(1, s.ReadyTimeout/2))
+	if w.reached[s.TargetNumber] == nil {
+		w.reached[s.TargetNumber] = map[string]bool{}
 	}
-	w.reached[s.To][n.place.Name] = true
+	w.reached[s.TargetNumber][n.place.Name] = true
 }
 
 // back is a process that is up again.
 func (w *world) back(n *node) {
 	if s := n.rolling; s != nil {
 		n.rolling = nil
-		if n.tries++; w.takes(n, s.To) {
-			n.from, n.runs, n.starts = n.runs, s.To, 0
+		if n.tries++; w.takes(n, s.TargetNumber) {
+			n.from, n.runs, n.starts = n.runs, s.TargetNumber, 0
 		} else {
-			n.failed, n.number, n.why = s.Turn, s.To, "does not serve"
+			n.failed, n.number, n.why = s.Epoch, s.TargetNumber, "does not serve"
 		}
 	}
 	w.start(n, n.killed) // its last words may not have been on the disk
@@ -225,12 +225,12 @@
 	for range asked {
 		if w.chance.Float64() < share {
 			ok++
-			c.Times[8+w.chance.Intn(6)]++
-			c.Subs[7+w.chance.Intn(3)]++
+			c.Latencies[8+w.chance.Intn(6)]++
+			c.SubRequests[7+w.chance.Intn(3)]++
 		}
 	}
-	c.Asked, c.Served, c.Shed = c.Asked+asked, c.Served+ok, c.Shed+asked-ok
-	n.desk.Sums(Sums{Classes: append([]Class(nil), n.sums.Classes...), Memory: n.sums.Memory})
+	c.Requests, c.Served, c.Shed = c.Requests+asked, c.Served+ok, c.Shed+asked-ok
+	n.desk.SetStats(InstanceStats{Classes: append([]ClassStats(nil), n.sums.Classes...), MemoryBytes: n.sums.MemoryBytes})
 }
 
 // src is math/rand's source as gonum takes it.
@@ -267,12 +267,12 @@
 		if d.cur.Number != first.cur.Number || d.digest != first.digest || d.me.Verdict != first.me.Verdict {
 			return false
 		}
-		switch d.me.Verdict.Kind {
-		case Back:
-			if n.runs != d.cur.From {
+		switch d.me.Verdict.Order {
+		case OrderRollBack:
+			if n.runs != d.cur.BaseNumber {
 				return false
 			}
-		case Go:
+		case OrderProceed:
 			if !d.closed() || n.runs != d.cur.Number {
 				return false
 			}
@@ -281,22 +281,22 @@
 	return true
 }
 
-func change(number uint64, more ...string) *File {
+func change(number uint64, more ...string) *ChangeFile {
 	text := fmt.Sprintf("name: c\nnumber: %d\nsettings: {Safety: {ExtraFloor: 0.5}}\nstages:\n  - {count: 1, watch: 20s}\n"+
 		"  - {share: 0.25, watch: 20s}\n  - {share: 1, watch: 5s}\ncold: 2s\nready: 6s\nsilent: 60s\nsearches: 10\n%s\n...\n",
 		number, strings.Join(more, "\n"))
-	f, err := Parse("c.yaml", []byte(text))
+	f, err := ParseChangeFile("c.yaml", []byte(text))
 	if err != nil {
 		panic(err)
 	}
 	return f
 }
 
-func (w *world) give(f *File, to ...int) {
+func (w *world) give(f *ChangeFile, to ...int) {
 	for _, i := range to {
 		w.nodes[i].file = f
 		if w.nodes[i].desk != nil {
-			w.nodes[i].desk.File(f)
+			w.nodes[i].desk.SetFile(f)
 		}
 	}
 }
@@ -309,7 +309,7 @@
 	}
 	w.pace, w.most = 4*second, 75
 	f := change(1, "together: 0.25")
-	f.Change.Silent = 100 * second
+	f.Change.SilenceTimeout = 100 * second
 	w.give(f, 17)
 	require.True(t, w.run(900*second, w.closed))
 	require.Len(t, w.reached[1], 300)
@@ -370,13 +370,13 @@
 				w.loss = 0.5
 			case "wipe": // an empty disk: it learns what it had said from the others
 				if one := w.nodes[rapid.IntRange(0, n-1).Draw(t, "wiped")]; one.desk != nil && one.runs == 0 {
-					one.book, one.words = map[string][]byte{}, map[string]*Word{}
+					one.book, one.words = map[string][]byte{}, map[string]*StatusMessage{}
 					w.start(one, true)
 				}
 			case "order":
 				turn++
 				g := *f
-				g.Turn, g.Order = turn, rapid.SampledFrom([]Kind{Go, Stop, Back}).Draw(t, "order")
+				g.Epoch, g.Order = turn, rapid.SampledFrom([]Order{OrderProceed, OrderStop, OrderRollBack}).Draw(t, "order")
 				f = &g
 				w.give(f, rapid.IntRange(0, n-1).Draw(t, "file"))
 			case "second":
@@ -390,7 +390,7 @@
 			for _, one := range w.nodes {
 				if d := one.desk; d != nil && d.cur != nil {
 					t.Logf("%s runs %d of %d from %d, %+v open %d/%d stage %d roster %s ask %v acks %v failed %d amn %v: %s", one.place.Name, one.runs, d.cur.Number,
-						d.cur.From, d.me.Verdict, d.open, len(d.steps), d.me.Stage, d.me.Roster, d.me.Ask, d.acks, d.me.Failed, d.amnesia(), d.holdsNow())
+						d.cur.BaseNumber, d.me.Verdict, d.open, len(d.steps), d.me.ApprovedSteps, d.me.RosterDigest, d.me.PermitRequest, d.acks, d.me.FailedEpoch, d.amnesia(), d.holdsNow())
 				} else {
 					t.Logf("%s %v", one.place.Name, one.desk != nil)
 				}
@@ -401,13 +401,15 @@
 }
 
 // granted is how long a step may still come of what was granted before: the wish's time, and the restart's.
-func granted(f *File) int64 { return f.Change.Silent/askParts + f.Change.Ready + 3*second }
+func granted(f *ChangeFile) int64 {
+	return f.Change.SilenceTimeout/askParts + f.Change.ReadyTimeout + 3*second
+}
 
-func (d *Desk) holdsNow() string {
+func (d *Controller) holdsNow() string {
 	if d.roster == nil {
 		return "no roster"
 	}
-	if d.me.Stage > len(d.steps) {
+	if d.me.ApprovedSteps > len(d.steps) {
 		return "closed"
 	}
 	return d.holds()
--- a/control/rollout/roster.go
+++ b/control/rollout/roster.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is where an instance stands.
-type Place struct {
+// Instance is where an instance stands.
+type Instance struct {
 	Name   string `cbor:"1,keyasint"`
 	Region string `cbor:"2,keyasint"`
 	Zone   string `cbor:"3,keyasint"`
@@ -19,14 +19,14 @@
 // roster is the order in which the instances listed take a change, the same for all that agree on it.
 type roster struct {
 	digest string
-	order  []Place
+	order  []Instance
 	at     map[string]int
 }
 
 // rosterOf orders instances by a hash of change and name, each zone's and region's evenly through the whole.
-func rosterOf(change string, all []Place) *roster {
+func rosterOf(change string, all []Instance) *roster {
 	type ranked struct {
-		Place
+		Instance
 		key  float64
 		hash uint64
 	}
@@ -36,7 +36,7 @@
 		if zones[zone] == nil {
 			regions[p.Region] = append(regions[p.Region], zone)
 		}
-		zones[zone] = append(zones[zone], ranked{Place: p, hash: xxhash.Sum64String(change + "\x00" + p.Name)})
+		zones[zone] = append(zones[zone], ranked{Instance: p, hash: xxhash.Sum64String(change + "\x00" + p.Name)})
 	}
 	// Zones take their turns in an order of their own, one of each region after another.
 	type turn struct {
@@ -69,7 +69,7 @@
 	r := &roster{at: map[string]int{}}
 	sum := xxhash.New()
 	for i, p := range line {
-		r.order = append(r.order, p.Place)
+		r.order = append(r.order, p.Instance)
 		r.at[p.Name] = i
 		fmt.Fprintf(sum, "%q %q %q\n", p.Name, p.Region, p.Zone)
 	}
@@ -85,12 +85,12 @@
 
 // steps are a change's stages over n instances; a stage with more than may restart together is several.
 func (c *Change) steps(n int) (all []step) {
-	had, most := 0, max(1, int(c.Together*float64(n)))
+	had, most := 0, max(1, int(c.MaxConcurrentFraction*float64(n)))
 	for _, s := range c.Stages {
-		to := min(n, max(s.Count, int(math.Ceil(s.Share*float64(n)-1e-9))))
+		to := min(n, max(s.Count, int(math.Ceil(s.Fraction*float64(n)-1e-9))))
 		if to <= had {
 			if k := len(all); k > 0 { // adds nobody: those that have it are watched longer
-				all[k-1].watch = max(all[k-1].watch, s.For)
+				all[k-1].watch = max(all[k-1].watch, s.WatchDuration)
 			}
 			continue
 		}
@@ -98,7 +98,7 @@
 			had = min(to, had+most)
 			all = append(all, step{to: had})
 		}
-		all[len(all)-1].watch = s.For
+		all[len(all)-1].watch = s.WatchDuration
 	}
 	return all
 }
--- a/control/rollout/word.go
+++ b/control/rollout/word.go
@@ -10,87 +10,89 @@
 
 // Where what instances share about changes stands in the ledger.
 const (
-	Prefix       = "rollout/"
-	changePrefix = Prefix + "change/" // number/digest: a Change, which never changes
-	rosterPrefix = Prefix + "roster/" // number/digest: places in order of names, likewise
-	wordPrefix   = Prefix + "word/"   // instance: its Word, written by it alone
-	changesMost  = 16                 // changes that are kept: those before the one in force are of no use
-	digestsMost  = 4                  // of one number: two already stop it
-	wordsMost    = 4096               // instances that are heard: ten times the largest fleet
-	ValueMost    = 1 << 20            // bytes of an entry
-	rosterMost   = 1 << 20            // bytes of a roster unpacked: wordsMost places
-	verdictWords = 300                // bytes of why
-	acksMost     = 1024               // grants that an instance holds: a step of the largest fleet
+	KeyPrefix     = "rollout/"
+	changePrefix  = KeyPrefix + "change/" // number/digest: a Change, which never changes
+	rosterPrefix  = KeyPrefix + "roster/" // number/digest: places in order of names, likewise
+	wordPrefix    = KeyPrefix + "word/"   // instance: its Word, written by it alone
+	changesMost   = 16                    // changes that are kept: those before the one in force are of no use
+	digestsMost   = 4                     // of one number: two already stop it
+	wordsMost     = 4096                  // instances that are heard: ten times the largest fleet
+	MaxEntryBytes = 1 << 20               // bytes of an entry
+	rosterMost    = 1 << 20               // bytes of a roster unpacked: wordsMost places
+	verdictWords  = 300                   // bytes of why
+	acksMost      = 1024                  // grants that an instance holds: a step of the largest fleet
 )
 
 // Verdict is what is to become of a change. The higher turn rules; within it, going back over stopping over going on.
 type Verdict struct {
-	Turn uint64 `cbor:"1,keyasint"`
-	Kind Kind   `cbor:"2,keyasint"`
-	Why  string `cbor:"3,keyasint,omitempty"`
-	By   string `cbor:"4,keyasint,omitempty"`
+	Epoch     uint64 `cbor:"1,keyasint"`
+	Order     Order  `cbor:"2,keyasint"`
+	Reason    string `cbor:"3,keyasint,omitempty"`
+	DecidedBy string `cbor:"4,keyasint,omitempty"`
 }
 
 // over tells whether a verdict rules over another. Of two that mean the same, one has to rule everywhere.
 func (v Verdict) over(w Verdict) bool {
 	switch {
-	case v.Turn != w.Turn:
-		return v.Turn > w.Turn
-	case v.Kind != w.Kind:
-		return v.Kind > w.Kind
-	case v.By != w.By:
-		return v.By < w.By && v.By != "" || w.By == ""
+	case v.Epoch != w.Epoch:
+		return v.Epoch > w.Epoch
+	case v.Order != w.Order:
+		return v.Order > w.Order
+	case v.DecidedBy != w.DecidedBy:
+		return v.DecidedBy < w.DecidedBy && v.DecidedBy != "" || w.DecidedBy == ""
 	}
-	return v.Why < w.Why
+	return v.Reason < w.Reason
 }
 
-// Ask is a wish to restart into a change, 0 for none; its number rises.
-type Ask struct {
-	No uint64 `cbor:"1,keyasint"`
-	To uint64 `cbor:"2,keyasint"`
+// PermitRequest is a wish to restart into a change, 0 for none; its number rises.
+type PermitRequest struct {
+	Number       uint64 `cbor:"1,keyasint"`
+	TargetNumber uint64 `cbor:"2,keyasint"`
 }
 
-// Ack says that the wish of an instance is granted.
-type Ack struct {
-	Name string `cbor:"1,keyasint"`
-	No   uint64 `cbor:"2,keyasint"`
+// PermitGrant says that the wish of an instance is granted.
+type PermitGrant struct {
+	InstanceName  string `cbor:"1,keyasint"`
+	RequestNumber uint64 `cbor:"2,keyasint"`
 }
 
-// Word is all that an instance tells the others. A later one, by life and beat, takes an earlier one's place.
-type Word struct {
-	Place   Place   `cbor:"1,keyasint"`
-	Life    uint64  `cbor:"2,keyasint"` // of the process, rises with each start
-	Beat    uint64  `cbor:"3,keyasint"` // rises with each word of a life
-	Number  uint64  `cbor:"4,keyasint"` // of the change that it speaks of
-	Digest  string  `cbor:"5,keyasint"`
-	Verdict Verdict `cbor:"6,keyasint"`
-	Roster  string  `cbor:"7,keyasint"` // its vote for who is in which stage; once for each change
-	Turn    uint64  `cbor:"8,keyasint"` // of the verdict under which Stage was voted
-	Stage   int     `cbor:"9,keyasint"` // steps that may begin, by its vote; one more than there are closes the change
-	Runs    uint64  `cbor:"10,keyasint"`
-	Since   int64   `cbor:"11,keyasint"` // how long it has served with that, by its own clock; -1 while it does not serve
-	Ask     Ask     `cbor:"12,keyasint"`
-	Acks    []Ack   `cbor:"13,keyasint,omitempty"`
-	Failed  uint64  `cbor:"14,keyasint,omitempty"` // turn in which it could not take Number
-	Starts  int     `cbor:"15,keyasint,omitempty"` // that nobody asked for, with what it runs
-	Sums    *Sums   `cbor:"16,keyasint,omitempty"` // since it was warm; nil before
+// StatusMessage is all that an instance tells the others. A later one, by life and beat, takes an earlier one's place.
+type StatusMessage struct {
+	Instance          Instance       `cbor:"1,keyasint"`
+	Incarnation       uint64         `cbor:"2,keyasint"` // of the process, rises with each start
+	Sequence          uint64         `cbor:"3,keyasint"` // rises with each word of a life
+	ChangeNumber      uint64         `cbor:"4,keyasint"` // of the change that it speaks of
+	ChangeDigest      string         `cbor:"5,keyasint"`
+	Verdict           Verdict        `cbor:"6,keyasint"`
+	RosterDigest      string         `cbor:"7,keyasint"` // its vote for who is in which stage; once for each change
+	StageEpoch        uint64         `cbor:"8,keyasint"` // of the verdict under which Stage was voted
+	ApprovedSteps     int            `cbor:"9,keyasint"` // steps that may begin, by its vote; one more than there are closes the change
+	RunningNumber     uint64         `cbor:"10,keyasint"`
+	ServingFor        int64          `cbor:"11,keyasint"` // how long it has served with that, by its own clock; -1 while it does not serve
+	PermitRequest     PermitRequest  `cbor:"12,keyasint"`
+	PermitGrants      []PermitGrant  `cbor:"13,keyasint,omitempty"`
+	FailedEpoch       uint64         `cbor:"14,keyasint,omitempty"` // turn in which it could not take Number
+	UnplannedRestarts int            `cbor:"15,keyasint,omitempty"` // that nobody asked for, with what it runs
+	Stats             *InstanceStats `cbor:"16,keyasint,omitempty"` // since it was warm; nil before
 }
 
-func (w *Word) after(v *Word) bool {
-	return w.Life > v.Life || w.Life == v.Life && w.Beat > v.Beat
+func (w *StatusMessage) after(v *StatusMessage) bool {
+	return w.Incarnation > v.Incarnation || w.Incarnation == v.Incarnation && w.Sequence > v.Sequence
 }
 
-// EntryFault is an entry of the ledger that cannot be used; it counts as not said.
-type EntryFault struct {
+// InvalidEntryError is an entry of the ledger that cannot be used; it counts as not said.
+type InvalidEntryError struct {
 	Key string
 	Err error
 }
 
-func (f *EntryFault) Error() string { return fmt.Sprintf("shared entry %.80q: %v", f.Key, f.Err) }
-func (f *EntryFault) Unwrap() error { return f.Err }
+func (f *InvalidEntryError) Error() string {
+	return fmt.Sprintf("shared entry %.80q: %v", f.Key, f.Err)
+}
+func (f *InvalidEntryError) Unwrap() error { return f.Err }
 
 // Advice tells an operator what to do.
-func (f *EntryFault) Advice() string {
+func (f *InvalidEntryError) Advice() string {
 	return "Look which program the instance runs: programs more than one version apart may not understand each other."
 }
 
@@ -102,8 +104,8 @@
 	return fmt.Sprintf("%s%020d/%s", rosterPrefix, number, digest)
 }
 
-// WordKey is where an instance's word stands.
-func WordKey(name string) string { return wordPrefix + name }
+// StatusMessageKey is where an instance's word stands.
+func StatusMessageKey(name string) string { return wordPrefix + name }
 
 // numbered takes the part of a key behind its prefix apart.
 func numbered(rest string) (number uint64, digest string, ok bool) {
@@ -115,7 +117,7 @@
 }
 
 // packRoster writes places, in order of names, so that a few hundred fit an entry.
-func packRoster(all []Place) []byte {
+func packRoster(all []Instance) []byte {
 	text, _ := encoding.Marshal(all)
 	var b bytes.Buffer
 	w, _ := flate.NewWriter(&b, flate.BestCompression)
@@ -124,27 +126,27 @@
 	return b.Bytes()
 }
 
-func unpackRoster(key string, value []byte) (all []Place, err error) {
-	if len(value) > ValueMost {
-		return nil, &EntryFault{key, fmt.Errorf("%d bytes", len(value))}
+func unpackRoster(key string, value []byte) (all []Instance, err error) {
+	if len(value) > MaxEntryBytes {
+		return nil, &InvalidEntryError{key, fmt.Errorf("%d bytes", len(value))}
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(value)), rosterMost))
 	if err == nil {
 		err = decoding.Unmarshal(text, &all)
 	}
 	if err != nil {
-		return nil, &EntryFault{key, err}
+		return nil, &InvalidEntryError{key, err}
 	}
 	return all, nil
 }
 
 // decode reads an entry; fields that a later version has added are passed over.
 func decode(key string, value []byte, into any) error {
-	if len(value) > ValueMost {
-		return &EntryFault{key, fmt.Errorf("%d bytes", len(value))}
+	if len(value) > MaxEntryBytes {
+		return &InvalidEntryError{key, fmt.Errorf("%d bytes", len(value))}
 	}
 	if err := decoding.Unmarshal(value, into); err != nil {
-		return &EntryFault{key, err}
+		return &InvalidEntryError{key, err}
 	}
 	return nil
 }
--- a/control/rollout/worse.go
+++ b/control/rollout/worse.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	TimeBuckets  = 32       // of answer times, half a doubling each from 1 ms: up to 65 s
-	SubBuckets   = 20       // of sub-requests a search, half a doubling each from 1: up to 1,024
-	ClassesMost  = 8        // classes that are compared, the first of them: their sums fit an entry
-	temper       = 0.75     // power of each bet: searches that fail together count as half as many, and stay fair
-	oddsLeast    = 1.25     // times the old side's odds that pass in any case: sides differ by luck that no count shows
-	holdAt       = 1.5      // evidence over which nobody goes on yet: either it grows to a stop or it fades
-	blockMost    = 2048     // searches of a side in one look at a place that are reckoned with one by one: bounds the work
-	countLeast   = 200      // searches of the new side before connects are judged
-	connectsOver = 100.0    // connects over what is allowed before they are judged: a few reconnects are chance
-	memoryOver   = 64 << 20 // bytes likewise: a small process's memory doubles by chance
-	memoryLeast  = 3        // instances of the old side with a median worth its name
+	LatencyBucketCount    = 32       // of answer times, half a doubling each from 1 ms: up to 65 s
+	SubRequestBucketCount = 20       // of sub-requests a search, half a doubling each from 1: up to 1,024
+	MaxClasses            = 8        // classes that are compared, the first of them: their sums fit an entry
+	temper                = 0.75     // power of each bet: searches that fail together count as half as many, and stay fair
+	oddsLeast             = 1.25     // times the old side's odds that pass in any case: sides differ by luck that no count shows
+	holdAt                = 1.5      // evidence over which nobody goes on yet: either it grows to a stop or it fades
+	blockMost             = 2048     // searches of a side in one look at a place that are reckoned with one by one: bounds the work
+	countLeast            = 200      // searches of the new side before connects are judged
+	connectsOver          = 100.0    // connects over what is allowed before they are judged: a few reconnects are chance
+	memoryOver            = 64 << 20 // bytes likewise: a small process's memory doubles by chance
+	memoryLeast           = 3        // instances of the old side with a median worth its name
 )
 
 // odds are the bets: how many times the odds that still pass the new side's may be.
 var odds = [...]float64{1.5, 2.5, 5, 12}
 
-// Class are an instance's sums over one class of searches since it was warm; they only rise.
-type Class struct {
-	Asked  uint64              `cbor:"1,keyasint"`
-	Served uint64              `cbor:"2,keyasint"`
-	Late   uint64              `cbor:"3,keyasint"` // of the served
-	Shed   uint64              `cbor:"4,keyasint"`
-	Times  [TimeBuckets]uint64 `cbor:"5,keyasint"` // answers by TimeBucket
-	Subs   [SubBuckets]uint64  `cbor:"6,keyasint"` // searches by SubBucket
+// ClassStats are an instance's sums over one class of searches since it was warm; they only rise.
+type ClassStats struct {
+	Requests    uint64                        `cbor:"1,keyasint"`
+	Served      uint64                        `cbor:"2,keyasint"`
+	Late        uint64                        `cbor:"3,keyasint"` // of the served
+	Shed        uint64                        `cbor:"4,keyasint"`
+	Latencies   [LatencyBucketCount]uint64    `cbor:"5,keyasint"` // answers by LatencyBucket
+	SubRequests [SubRequestBucketCount]uint64 `cbor:"6,keyasint"` // searches by SubRequestBucket
 }
 
-// Sums are all of an instance's.
-type Sums struct {
-	Classes  []Class `cbor:"1,keyasint"`
-	Connects uint64  `cbor:"2,keyasint"`
-	Memory   uint64  `cbor:"3,keyasint"` // bytes at present; the one that may fall
+// InstanceStats are all of an instance's.
+type InstanceStats struct {
+	Classes     []ClassStats `cbor:"1,keyasint"`
+	Connections uint64       `cbor:"2,keyasint"`
+	MemoryBytes uint64       `cbor:"3,keyasint"` // bytes at present; the one that may fall
 }
 
-// TimeBucket is where an answer's time stands, in tenths of a millisecond.
-func TimeBucket(took int64) int { return bucket(uint64(max(0, took)/10), TimeBuckets) }
+// LatencyBucket is where an answer's time stands, in tenths of a millisecond.
+func LatencyBucket(took int64) int { return bucket(uint64(max(0, took)/10), LatencyBucketCount) }
 
-// SubBucket is where a number of sub-requests stands.
-func SubBucket(n int) int { return bucket(uint64(max(0, n)), SubBuckets) }
+// SubRequestBucket is where a number of sub-requests stands.
+func SubRequestBucket(n int) int { return bucket(uint64(max(0, n)), SubRequestBucketCount) }
 
 // bucket is 0 for 0, then two for each doubling.
 func bucket(v uint64, most int) int {
@@ -67,9 +67,9 @@
 // Sample is one instance's sums as one look finds them.
 type Sample struct {
 	Name, Region, Zone string
-	New                bool
-	Life               uint64 // sums begin anew with it
-	Sums               Sums
+	HasChange          bool
+	Incarnation        uint64 // sums begin anew with it
+	Stats              InstanceStats
 }
 
 // metric is one thing that may be worse.
@@ -88,25 +88,25 @@
 var metricNames = [metrics]string{"served", "late", "shed", "median", "tail", "sub_requests"}
 var metricWeights = [metrics]float64{0.5, 0.1, 0.1, 0.1, 0.1, 0.1} // of the evidence: what is served matters most
 
-func (w *Worse) margin(m metric) float64 {
-	return [metrics]float64{w.Served, w.Late, w.Shed, w.Median, w.Tail, w.Subs}[m]
+func (w *RegressionLimits) margin(m metric) float64 {
+	return [metrics]float64{w.Served, w.Late, w.Shed, w.Median, w.Tail, w.SubRequests}[m]
 }
 
-// Evidence compares old and new side by side, look after look. Each look compares what was added since the last, in
+// RegressionAnalysis compares old and new side by side, look after look. Each look compares what was added since the last, in
 // each place where both sides have instances and each class: given how many searches of both went wrong together, is the
 // new side's part of them larger than its part of the searches and the margin explain. That is a bet against 'no worse'
 // whose money is a product of likelihood ratios (Fisher's noncentral hypergeometric), fair whatever the hosts do to
 // both sides; over all looks, and over bets that begin at any of them, it grows to 1/α with a chance of at most α
 // however often it is looked at. It is one goroutine's. Bounded: metrics x (classes + places) bets.
-type Evidence struct {
-	worse  Worse
+type RegressionAnalysis struct {
+	worse  RegressionLimits
 	looks  int
 	spent  float64 // of the weight of bets that begin at a look
 	seen   map[string]*Sample
-	past   map[slot]*Class // the old side's, up to the last look
+	past   map[slot]*ClassStats // the old side's, up to the last look
 	money  map[bet]*[len(odds)]float64
 	shares map[bet]*[4]uint64 // bad and all, old and new
-	new    Class              // all of it
+	new    ClassStats         // all of it
 	who    uint64             // hash of who is on which side
 	place  [][2]string        // of each of them, as they are handed in
 	sides  [2]struct{ asked, connects uint64 }
@@ -124,38 +124,38 @@
 	metric metric
 }
 
-// NewEvidence begins to compare.
-func NewEvidence(w Worse) *Evidence {
-	return &Evidence{worse: w, seen: map[string]*Sample{}, past: map[slot]*Class{}, money: map[bet]*[len(odds)]float64{}, shares: map[bet]*[4]uint64{},
+// NewRegressionAnalysis begins to compare.
+func NewRegressionAnalysis(w RegressionLimits) *RegressionAnalysis {
+	return &RegressionAnalysis{worse: w, seen: map[string]*Sample{}, past: map[slot]*ClassStats{}, money: map[bet]*[len(odds)]float64{}, shares: map[bet]*[4]uint64{},
 		places: map[[2]string]bool{}}
 }
 
-func (c *Class) add(now, before *Class) {
-	c.Asked += now.Asked - before.Asked
+func (c *ClassStats) add(now, before *ClassStats) {
+	c.Requests += now.Requests - before.Requests
 	c.Served += now.Served - before.Served
 	c.Late += now.Late - before.Late
 	c.Shed += now.Shed - before.Shed
-	for i := range c.Times {
-		c.Times[i] += now.Times[i] - before.Times[i]
+	for i := range c.Latencies {
+		c.Latencies[i] += now.Latencies[i] - before.Latencies[i]
 	}
-	for i := range c.Subs {
-		c.Subs[i] += now.Subs[i] - before.Subs[i]
+	for i := range c.SubRequests {
+		c.SubRequests[i] += now.SubRequests[i] - before.SubRequests[i]
 	}
 }
 
 // rises tells that no sum is under what it was: anything else is another life, or no sums at all.
-func rises(now, before *Class) bool {
-	for i := range now.Times {
-		if now.Times[i] < before.Times[i] {
+func rises(now, before *ClassStats) bool {
+	for i := range now.Latencies {
+		if now.Latencies[i] < before.Latencies[i] {
 			return false
 		}
 	}
-	for i := range now.Subs {
-		if now.Subs[i] < before.Subs[i] {
+	for i := range now.SubRequests {
+		if now.SubRequests[i] < before.SubRequests[i] {
 			return false
 		}
 	}
-	return now.Asked >= before.Asked && now.Served >= before.Served && now.Late >= before.Late && now.Shed >= before.Shed
+	return now.Requests >= before.Requests && now.Served >= before.Served && now.Late >= before.Late && now.Shed >= before.Shed
 }
 
 // placesOf matches the sides: by zone where both have instances, what is left by region, the rest all together.
@@ -168,7 +168,7 @@
 		both := map[[2]string]int{}
 		for i := range all {
 			if place[i] == none {
-				both[level(&all[i])] |= 1 << btoi(all[i].New)
+				both[level(&all[i])] |= 1 << btoi(all[i].HasChange)
 			}
 		}
 		for i := range all {
@@ -187,48 +187,48 @@
 	return 0
 }
 
-// Look takes in the samples of all instances that are warm.
-func (e *Evidence) Look(all []Sample) {
+// AddSamples takes in the samples of all instances that are warm.
+func (e *RegressionAnalysis) AddSamples(all []Sample) {
 	e.looks++
 	first := 1 / (float64(e.looks) * float64(e.looks+1)) // of the weight for bets that begin now; they sum to 1
 	who := xxhash.New()
 	for i := range all {
 		who.WriteString(all[i].Name)
-		who.Write([]byte{0, byte(btoi(all[i].New))})
+		who.Write([]byte{0, byte(btoi(all[i].HasChange))})
 	}
 	if sum := who.Sum64(); sum != e.who || e.place == nil { // who is on which side seldom changes
 		e.who, e.place = sum, placesOf(all)
 	}
-	added := map[slot]*[2]Class{}
+	added := map[slot]*[2]ClassStats{}
 	classes := 0
 	for i := range all {
 		s := &all[i]
-		if len(s.Sums.Classes) > ClassesMost {
-			s.Sums.Classes = s.Sums.Classes[:ClassesMost]
+		if len(s.Stats.Classes) > MaxClasses {
+			s.Stats.Classes = s.Stats.Classes[:MaxClasses]
 		}
 		before := e.seen[s.Name]
 		e.seen[s.Name] = s
-		if before == nil || before.Life != s.Life { // what it had before it was seen, warm, is not set beside anything
+		if before == nil || before.Incarnation != s.Incarnation { // what it had before it was seen, warm, is not set beside anything
 			continue
 		}
-		classes = max(classes, len(s.Sums.Classes))
-		for c := range s.Sums.Classes {
-			var was Class
-			if c < len(before.Sums.Classes) {
-				was = before.Sums.Classes[c]
+		classes = max(classes, len(s.Stats.Classes))
+		for c := range s.Stats.Classes {
+			var was ClassStats
+			if c < len(before.Stats.Classes) {
+				was = before.Stats.Classes[c]
 			}
-			if !rises(&s.Sums.Classes[c], &was) || e.place[i] == [2]string{} {
+			if !rises(&s.Stats.Classes[c], &was) || e.place[i] == [2]string{} {
 				continue
 			}
 			at := slot{c, e.place[i]}
 			if added[at] == nil {
-				added[at] = &[2]Class{}
+				added[at] = &[2]ClassStats{}
 			}
-			added[at][btoi(s.New)].add(&s.Sums.Classes[c], &was)
-			e.sides[btoi(s.New)].asked += s.Sums.Classes[c].Asked - was.Asked
+			added[at][btoi(s.HasChange)].add(&s.Stats.Classes[c], &was)
+			e.sides[btoi(s.HasChange)].asked += s.Stats.Classes[c].Requests - was.Requests
 		}
-		if s.Sums.Connects >= before.Sums.Connects {
-			e.sides[btoi(s.New)].connects += s.Sums.Connects - before.Sums.Connects
+		if s.Stats.Connections >= before.Stats.Connections {
+			e.sides[btoi(s.HasChange)].connects += s.Stats.Connections - before.Stats.Connections
 		}
 	}
 	gain := map[bet]*[len(odds)]float64{}
@@ -242,7 +242,7 @@
 		e.places[at.place] = true
 		past := e.past[at]
 		if past == nil {
-			past = &Class{}
+			past = &ClassStats{}
 			e.past[at] = past
 		}
 		for m := range metrics {
@@ -267,8 +267,8 @@
 				}
 			}
 		}
-		past.add(&sides[0], &Class{})
-		e.new.add(&sides[1], &Class{})
+		past.add(&sides[0], &ClassStats{})
+		e.new.add(&sides[1], &ClassStats{})
 	}
 	for b := range gain {
 		if e.money[b] == nil { // it has earned nothing so far
@@ -302,12 +302,12 @@
 
 // usual is the old side's share that counts as bad under a metric, of what was seen before this look, and for the
 // metrics that need one the bucket above which it does.
-func usual(past *Class, m metric) (f float64, cut int, ok bool) {
+func usual(past *ClassStats, m metric) (f float64, cut int, ok bool) {
 	switch m {
 	case median, tail:
-		cut, ok = cutOf(past.Times[:], [...]float64{median: 0.5, tail: 0.05}[m])
+		cut, ok = cutOf(past.Latencies[:], [...]float64{median: 0.5, tail: 0.05}[m])
 	case subs:
-		cut, ok = cutOf(past.Subs[:], 0.25)
+		cut, ok = cutOf(past.SubRequests[:], 0.25)
 	default:
 		ok = true
 	}
@@ -336,7 +336,7 @@
 }
 
 // count is how many are bad under a metric, and of how many.
-func count(c *Class, m metric, cut int) (bad, all uint64) {
+func count(c *ClassStats, m metric, cut int) (bad, all uint64) {
 	above := func(of []uint64) (bad, all uint64) {
 		for b, n := range of {
 			if all += n; b > cut {
@@ -347,15 +347,15 @@
 	}
 	switch m {
 	case served:
-		return c.Asked - min(c.Asked, c.Served), c.Asked
+		return c.Requests - min(c.Requests, c.Served), c.Requests
 	case late:
 		return c.Late, max(c.Served, c.Late)
 	case shed:
-		return c.Shed, max(c.Asked, c.Shed)
+		return c.Shed, max(c.Requests, c.Shed)
 	case subs:
-		return above(c.Subs[:])
+		return above(c.SubRequests[:])
 	}
-	return above(c.Times[:])
+	return above(c.Latencies[:])
 }
 
 // oddsOver is what a margin on a share is in odds.
@@ -404,8 +404,8 @@
 	return logs
 }
 
-// Value is the money of all bets together, 1 at the start, and what has earned most of it.
-func (e *Evidence) Value() (value float64, what string) {
+// EValue is the money of all bets together, 1 at the start, and what has earned most of it.
+func (e *RegressionAnalysis) EValue() (value float64, what string) {
 	classes := map[int]bool{}
 	for at := range e.past {
 		classes[at.class] = true
@@ -448,24 +448,24 @@
 	return text
 }
 
-// Searches counts the new side's.
-func (e *Evidence) Searches() uint64 { return e.sides[1].asked }
+// CountSearches counts the new side's.
+func (e *RegressionAnalysis) CountSearches() uint64 { return e.sides[1].asked }
 
-// Found tells what is worse, "" for nothing so far.
-func (e *Evidence) Found() string {
-	if value, what := e.Value(); value >= 1/e.worse.FalseStops {
+// DescribeRegression tells what is worse, "" for nothing so far.
+func (e *RegressionAnalysis) DescribeRegression() string {
+	if value, what := e.EValue(); value >= 1/e.worse.FalseStopProbability {
 		bad, all := count(&e.new, served, 0)
 		return fmt.Sprintf("worse by %s: evidence %.3g of %.3g after %d searches, %d not served", what, value,
-			1/e.worse.FalseStops, all, bad)
+			1/e.worse.FalseStopProbability, all, bad)
 	}
 	o, n := e.sides[0], e.sides[1]
-	if allowed := e.worse.Connects * float64(o.connects) / float64(max(1, o.asked)) * float64(n.asked); n.asked >= countLeast &&
+	if allowed := e.worse.Connections * float64(o.connects) / float64(max(1, o.asked)) * float64(n.asked); n.asked >= countLeast &&
 		o.asked >= countLeast && float64(n.connects) > allowed+connectsOver {
 		return fmt.Sprintf("worse by connects: %d in %d searches, %d in %d on the old side", n.connects, n.asked, o.connects, o.asked)
 	}
 	var memory [2][]uint64
 	for _, s := range e.seen {
-		memory[btoi(s.New)] = append(memory[btoi(s.New)], s.Sums.Memory)
+		memory[btoi(s.HasChange)] = append(memory[btoi(s.HasChange)], s.Stats.MemoryBytes)
 	}
 	if len(memory[0]) >= memoryLeast && len(memory[1]) > 0 {
 		slices.Sort(memory[0])
--- a/control/rollout/worse_test.go
+++ b/control/rollout/worse_test.go
@@ -13,7 +13,7 @@
 type side struct {
 	life uint64
 	n    int
-	sums Sums
+	sums InstanceStats
 }
 
 // rollout300 plays stages of 1, 15 and 75 of 300 instances, each watched for five minutes and looked at every ten
@@ -23,17 +23,17 @@
 func rollout300(seed int64, worse func(class, zone int, at float64, trouble bool) float64) (step int, at float64) {
 	chance := rand.New(rand.NewSource(seed))
 	from := src{chance}
-	e := NewEvidence(usualWorse)
+	e := NewRegressionAnalysis(usualWorse)
 	classes := []float64{0.6, 0.3, 0.1}
 	var sides [6][2]side
 	all := func() (samples []Sample) {
 		for z := range sides {
 			for s := range sides[z] {
 				if one := &sides[z][s]; one.n > 0 {
-					one.sums.Memory = 100 << 20
+					one.sums.MemoryBytes = 100 << 20
 					samples = append(samples, Sample{Name: string(rune('a'+z)) + string(rune('0'+s)), Region: string(rune('a' + z/2)),
-						Zone: string(rune('a' + z)), New: s == 1, Life: one.life, Sums: Sums{Classes: append([]Class(nil), one.sums.Classes...),
-							Memory: one.sums.Memory}})
+						Zone: string(rune('a' + z)), HasChange: s == 1, Incarnation: one.life, Stats: InstanceStats{Classes: append([]ClassStats(nil), one.sums.Classes...),
+							MemoryBytes: one.sums.MemoryBytes}})
 				}
 			}
 		}
@@ -50,10 +50,10 @@
 			sides[z][1].n, sides[z][0].n = has, 50-has
 			for s := range sides[z] {
 				sides[z][s].life++
-				sides[z][s].sums = Sums{Classes: make([]Class, len(classes))}
+				sides[z][s].sums = InstanceStats{Classes: make([]ClassStats, len(classes))}
 			}
 		}
-		e.Look(all())
+		e.AddSamples(all())
 		if atStages {
 			trouble = 7
 		}
@@ -81,21 +81,21 @@
 							lost = distuv.Binomial{N: asked, P: p, Src: from}.Rand()
 						}
 						k := &one.sums.Classes[c]
-						k.Asked += uint64(asked)
+						k.Requests += uint64(asked)
 						k.Served += uint64(asked - lost)
 						k.Shed += uint64(lost)
 						for range int(asked - lost) {
-							k.Times[6+chance.Intn(8)]++
-							k.Subs[8+chance.Intn(4)]++
+							k.Latencies[6+chance.Intn(8)]++
+							k.SubRequests[8+chance.Intn(4)]++
 						}
 					}
 				}
 			}
-			e.Look(all())
-			if e.Found() != "" {
+			e.AddSamples(all())
+			if e.DescribeRegression() != "" {
 				return step + 1, clock
 			}
-			if value, _ := e.Value(); look >= 30 && value <= holdAt {
+			if value, _ := e.EValue(); look >= 30 && value <= holdAt {
 				break
 			}
 			if look > 90 { // held back for good
