--- a/control/shadow/shadow.go
+++ b/control/shadow/shadow.go
@@ -14,19 +14,19 @@
 
 // Kinds of decisions that may differ, by how they are told.
 const (
-	RetryAfter = iota // a time to come back
-	SecondCopy        // a sub-request beside another of its part
-	Extra             // a part beyond those that a whole answer needs
-	InPart            // an answer that lacks parts, is whole with fewer, or is not given
-	Attempts          // a further sub-request beyond the most
-	Budget            // a further sub-request beyond the budget
-	ColdShare         // a sub-request to a replica that counts as cold
-	Drain             // a sub-request to a replica that drains, after the grace
+	KindRetryAfter     = iota // a time to come back
+	KindHedgedRequest         // a sub-request beside another of its part
+	KindExtraPart             // a part beyond those that a whole answer needs
+	KindPartialAnswer         // an answer that lacks parts, is whole with fewer, or is not given
+	KindAttemptLimit          // a further sub-request beyond the most
+	KindRetryBudget           // a further sub-request beyond the budget
+	KindSlowStartShare        // a sub-request to a replica that counts as cold
+	KindDraining              // a sub-request to a replica that drains, after the grace
 	kinds
 )
 
-// Names are the kinds' in metrics and the log.
-var Names = [kinds]string{"retry_after", "second_copy", "extra", "answer_in_part", "attempts", "budget", "cold_share", "drain"}
+// KindNames are the kinds' in metrics and the log.
+var KindNames = [kinds]string{"retry_after", "second_copy", "extra", "answer_in_part", "attempts", "budget", "cold_share", "drain"}
 
 const (
 	tiny      = 1e-4 // that shares of parts may miss their sum by: the rules' own slack
@@ -34,11 +34,11 @@
 	looksMost = 1e6  // times kept for a budget: what a co-ordinator may hold many times over
 )
 
-// Counts are read by any goroutine.
-type Counts [kinds]atomic.Int64
+// DivergenceCounts are read by any goroutine.
+type DivergenceCounts [kinds]atomic.Int64
 
 // Total is how often any kind differed.
-func (c *Counts) Total() (n int64) {
+func (c *DivergenceCounts) Total() (n int64) {
 	for i := range c {
 		n += c[i].Load()
 	}
@@ -100,11 +100,11 @@
 	return len(list) - i
 }
 
-// Watch is a module and the watch on it.
-type Watch struct {
+// Comparator is a module and the watch on it.
+type Comparator struct {
 	balancer.Balancer
 	out      balancer.Actions
-	counts   *Counts
+	counts   *DivergenceCounts
 	now, was shape
 	at       int64
 	searches map[uint64]*search
@@ -139,14 +139,14 @@
 
 // New makes a module by make, with the watch between it and out. inForce are the settings it starts with, next those it
 // is held against too.
-func New(out balancer.Actions, inForce, next map[string]string, counts *Counts, make func(out balancer.Actions) balancer.Balancer) *Watch {
-	w := &Watch{out: out, counts: counts, was: inForce, now: next, searches: map[uint64]*search{}, numbers: map[uint64]*search{},
+func New(out balancer.Actions, inForce, next map[string]string, counts *DivergenceCounts, make func(out balancer.Actions) balancer.Balancer) *Comparator {
+	w := &Comparator{out: out, counts: counts, was: inForce, now: next, searches: map[uint64]*search{}, numbers: map[uint64]*search{},
 		parts: map[uint64]*part{}, replicas: map[string]*replica{}, listed: map[string]bool{}}
 	w.Balancer = make(w)
 	return w
 }
 
-func (w *Watch) differ(kind int, do bool) {
+func (w *Comparator) differ(kind int, do bool) {
 	if do {
 		w.counts[kind].Add(1)
 	}
@@ -154,12 +154,12 @@
 
 // What the module hears.
 
-func (w *Watch) BeginIteration(now int64) {
+func (w *Comparator) BeginIteration(now int64) {
 	w.at = now
 	w.Balancer.BeginIteration(now)
 }
 
-func (w *Watch) AddEndpoint(id string, zone, kind, cell int, status string, units float64, since int64) {
+func (w *Comparator) AddEndpoint(id string, zone, kind, cell int, status string, units float64, since int64) {
 	w.listed[id] = true
 	r := w.replicas[id]
 	if r == nil {
@@ -176,7 +176,7 @@
 }
 
 // CommitEndpoints forgets replicas that have left for longer than either grace.
-func (w *Watch) CommitEndpoints(how string, revision int64) {
+func (w *Comparator) CommitEndpoints(how string, revision int64) {
 	grace := max(w.was.span("Safety.DrainGrace"), w.now.span("Safety.DrainGrace"))
 	for id, r := range w.replicas {
 		if how != "Partial" && how != "Error" && !w.listed[id] && r.drained == 0 {
@@ -190,7 +190,7 @@
 	w.Balancer.CommitEndpoints(how, revision)
 }
 
-func (w *Watch) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int, retry bool) {
+func (w *Comparator) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int, retry bool) {
 	s := &search{id: id, number: number, qtype: qtype, step: 1}
 	w.searches[id], w.numbers[number] = s, s
 	w.note(&w.taken)
@@ -198,7 +198,7 @@
 }
 
 // note keeps a time for the longer of the two budgets.
-func (w *Watch) note(list *[]int64) {
+func (w *Comparator) note(list *[]int64) {
 	span := max(w.was.span("Safety.LookBack"), w.now.span("Safety.LookBack"))
 	if span == 0 {
 		return
@@ -209,7 +209,7 @@
 	*list = append(*list, w.at)
 }
 
-func (w *Watch) AddShardRequest(id, number uint64, shard int, weight float64) {
+func (w *Comparator) AddShardRequest(id, number uint64, shard int, weight float64) {
 	w.note(&w.taken)
 	if s := w.numbers[number]; s != nil {
 		w.parts[id] = &part{s: s, weight: weight}
@@ -218,12 +218,12 @@
 	w.Balancer.AddShardRequest(id, number, shard, weight)
 }
 
-func (w *Watch) CancelSearch(id uint64) {
+func (w *Comparator) CancelSearch(id uint64) {
 	w.Balancer.CancelSearch(id)
 	w.end(w.searches[id])
 }
 
-func (w *Watch) RecordAttemptOutcome(id uint64, leg int, ending string, wait int64, over bool, report map[string]float64) {
+func (w *Comparator) RecordAttemptOutcome(id uint64, leg int, ending string, wait int64, over bool, report map[string]float64) {
 	if p := w.parts[id]; p != nil {
 		p.out--
 		if ending == "Ok" && !p.in && p.s.step == 1 {
@@ -236,37 +236,37 @@
 
 // What the module asks for.
 
-func (w *Watch) SendAttempt(id uint64, to string, timeout int64) {
+func (w *Comparator) SendAttempt(id uint64, to string, timeout int64) {
 	if p := w.parts[id]; p != nil {
 		w.send(p, w.replicas[to])
 	}
 	w.out.SendAttempt(id, to, timeout)
 }
 
-func (w *Watch) send(p *part, r *replica) {
+func (w *Comparator) send(p *part, r *replica) {
 	s := p.s
 	if p.tries == 0 && s.step == 1 {
 		needed := func(in shape) bool { return s.sent < in.nth("Specifics.NeedByClass", s.qtype, 1)-tiny }
-		w.differ(Extra, needed(w.was) != needed(w.now))
+		w.differ(KindExtraPart, needed(w.was) != needed(w.now))
 		s.sent += p.weight
 	}
 	if p.tries > 0 {
 		allowed := func(in shape) bool { return float64(p.tries) < in.num("Permissions.MaxAttempts", 1) }
-		w.differ(Attempts, allowed(w.was) != allowed(w.now))
-		w.differ(Budget, w.was.within(w.at, w.taken, w.further) != w.now.within(w.at, w.taken, w.further))
+		w.differ(KindAttemptLimit, allowed(w.was) != allowed(w.now))
+		w.differ(KindRetryBudget, w.was.within(w.at, w.taken, w.further) != w.now.within(w.at, w.taken, w.further))
 		w.note(&w.further)
 	}
-	w.differ(SecondCopy, p.out > 0 && w.was.yes("Permissions.SecondCopies") != w.now.yes("Permissions.SecondCopies"))
+	w.differ(KindHedgedRequest, p.out > 0 && w.was.yes("Permissions.SecondCopies") != w.now.yes("Permissions.SecondCopies"))
 	if r != nil {
-		w.differ(ColdShare, w.was.cold(w.at, r.since) != w.now.cold(w.at, r.since))
+		w.differ(KindSlowStartShare, w.was.cold(w.at, r.since) != w.now.cold(w.at, r.since))
 		late := func(in shape) bool { return r.drained > 0 && w.at > r.drained+in.span("Safety.DrainGrace") }
-		w.differ(Drain, late(w.was) != late(w.now))
+		w.differ(KindDraining, late(w.was) != late(w.now))
 	}
 	p.tries++
 	p.out++
 }
 
-func (w *Watch) AnswerSearch(id uint64, whole bool) {
+func (w *Comparator) AnswerSearch(id uint64, whole bool) {
 	s := w.searches[id]
 	if s == nil {
 		w.out.AnswerSearch(id, whole)
@@ -281,33 +281,33 @@
 	w.out.AnswerSearch(id, whole)
 }
 
-func (w *Watch) answered(s *search) {
+func (w *Comparator) answered(s *search) {
 	may, whole := w.was.answer(s.qtype, s.in)
 	mayNext, wholeNext := w.now.answer(s.qtype, s.in)
-	w.differ(InPart, may != mayNext || may && whole != wholeNext)
+	w.differ(KindPartialAnswer, may != mayNext || may && whole != wholeNext)
 }
 
-func (w *Watch) ShedSearch(id uint64, retryIn int64) {
-	w.differ(RetryAfter, w.now.advice(retryIn) != w.was.advice(retryIn) ||
+func (w *Comparator) ShedSearch(id uint64, retryIn int64) {
+	w.differ(KindRetryAfter, w.now.advice(retryIn) != w.was.advice(retryIn) ||
 		w.was.yes("Permissions.RetryAfter") != w.now.yes("Permissions.RetryAfter"))
 	w.given(w.searches[id])
 	w.out.ShedSearch(id, retryIn)
 }
 
-func (w *Watch) FailSearch(id uint64) {
+func (w *Comparator) FailSearch(id uint64) {
 	w.given(w.searches[id])
 	w.out.FailSearch(id)
 }
 
 // given ends a search that was given up: what was in might have been answered.
-func (w *Watch) given(s *search) {
+func (w *Comparator) given(s *search) {
 	if s != nil && s.step == 1 {
 		w.answered(s)
 	}
 	w.end(s)
 }
 
-func (w *Watch) end(s *search) {
+func (w *Comparator) end(s *search) {
 	if s == nil {
 		return
 	}
@@ -318,9 +318,9 @@
 	}
 }
 
-func (w *Watch) CancelAttempt(id uint64, leg int)  { w.out.CancelAttempt(id, leg) }
-func (w *Watch) SetTimer(wait int64, label uint64) { w.out.SetTimer(wait, label) }
-func (w *Watch) CancelTimer(label uint64)          { w.out.CancelTimer(label) }
-func (w *Watch) ProbeReplica(replica string)       { w.out.ProbeReplica(replica) }
-func (w *Watch) WatchEndpoints()                   { w.out.WatchEndpoints() }
-func (w *Watch) LogMessage(text string)            { w.out.LogMessage(text) }
+func (w *Comparator) CancelAttempt(id uint64, leg int)  { w.out.CancelAttempt(id, leg) }
+func (w *Comparator) SetTimer(wait int64, label uint64) { w.out.SetTimer(wait, label) }
+func (w *Comparator) CancelTimer(label uint64)          { w.out.CancelTimer(label) }
+func (w *Comparator) ProbeReplica(replica string)       { w.out.ProbeReplica(replica) }
+func (w *Comparator) WatchEndpoints()                   { w.out.WatchEndpoints() }
+func (w *Comparator) LogMessage(text string)            { w.out.LogMessage(text) }
--- a/control/shadow/shadow_test.go
+++ b/control/shadow/shadow_test.go
@@ -107,9 +107,9 @@
 }
 
 // play records a stream: a list with a release, searches of both types, clients that leave.
-func play(seed int64, inForce, next map[string]string) ([]string, *Counts) {
+func play(seed int64, inForce, next map[string]string) ([]string, *DivergenceCounts) {
 	x := &tape{chance: rand.New(rand.NewSource(seed)), now: 100, legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
-	counts := &Counts{}
+	counts := &DivergenceCounts{}
 	if next == nil {
 		x.c = balancer.New(x)
 	} else {
@@ -153,8 +153,8 @@
 			"Specifics.ClassFloor", "0.2,0.2", "Safety.LookBack", "5000", "Safety.ExtraFloor", "1", "Safety.FurtherRatio", "0.01",
 			"Safety.Cold", "1000", "Permissions.MaxAttempts", "2", "Specifics.NeedByClass", "0.6,0.8"))
 		require.Equal(t, plain, watched)
-		for _, kind := range []int{RetryAfter, SecondCopy, Extra, InPart, Attempts, Budget, ColdShare} {
-			require.Positive(t, counts[kind].Load(), Names[kind])
+		for _, kind := range []int{KindRetryAfter, KindHedgedRequest, KindExtraPart, KindPartialAnswer, KindAttemptLimit, KindRetryBudget, KindSlowStartShare} {
+			require.Positive(t, counts[kind].Load(), KindNames[kind])
 		}
 	}
 }
@@ -169,19 +169,19 @@
 // Each kind is raised by what differs in its settings, and no other is.
 func TestEachKindAlone(t *testing.T) {
 	for kind, differs := range map[int][]string{
-		RetryAfter: {"Permissions.RetryAfter", "false"},
-		SecondCopy: {"Permissions.SecondCopies", "false"},
-		InPart:     {"Specifics.ClassFloor", "0.6,0.3"},
-		Attempts:   {"Permissions.MaxAttempts", "2"},
-		Budget:     {"Safety.LookBack", "5000", "Safety.ExtraFloor", "1", "Safety.FurtherRatio", "0.01"},
-		ColdShare:  {"Safety.Cold", "1000"},
+		KindRetryAfter:     {"Permissions.RetryAfter", "false"},
+		KindHedgedRequest:  {"Permissions.SecondCopies", "false"},
+		KindPartialAnswer:  {"Specifics.ClassFloor", "0.6,0.3"},
+		KindAttemptLimit:   {"Permissions.MaxAttempts", "2"},
+		KindRetryBudget:    {"Safety.LookBack", "5000", "Safety.ExtraFloor", "1", "Safety.FurtherRatio", "0.01"},
+		KindSlowStartShare: {"Safety.Cold", "1000"},
 	} {
 		_, counts := play(3, usual, with(differs...))
 		for other := range counts {
 			if got := counts[other].Load(); other == kind {
-				require.Positive(t, got, Names[kind])
+				require.Positive(t, got, KindNames[kind])
 			} else {
-				require.Zero(t, got, "%s where only %s differs", Names[other], Names[kind])
+				require.Zero(t, got, "%s where only %s differs", KindNames[other], KindNames[kind])
 			}
 		}
 	}
@@ -198,8 +198,8 @@
 func (script) RecordAttemptOutcome(uint64, int, string, int64, bool, map[string]float64) {}
 func (script) CancelSearch(uint64)                                                       {}
 
-func scripted(next map[string]string) (*Watch, *Counts, *tape) {
-	counts, x := &Counts{}, &tape{chance: rand.New(rand.NewSource(1)), legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
+func scripted(next map[string]string) (*Comparator, *DivergenceCounts, *tape) {
+	counts, x := &DivergenceCounts{}, &tape{chance: rand.New(rand.NewSource(1)), legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
 	w := New(x, usual, next, counts, func(balancer.Actions) balancer.Balancer { return script{} })
 	x.c = w
 	w.BeginIteration(1_000)
@@ -222,7 +222,7 @@
 	require.Zero(t, counts.Total())
 	w.BeginIteration(1_000 + 3_000)
 	w.SendAttempt(11, "a", 0) // 300 ms: past 250, within 1,000
-	require.EqualValues(t, 1, counts[Drain].Load())
+	require.EqualValues(t, 1, counts[KindDraining].Load())
 	w.BeginIteration(1_000 + 20_000)
 	w.SendAttempt(12, "a", 0) // past both: a broken rule, but none of the settings' making
 	require.EqualValues(t, 1, counts.Total())
@@ -233,7 +233,7 @@
 	for p := range uint64(5) {
 		w.SendAttempt(10+p, "a", 0)
 	}
-	require.EqualValues(t, 1, counts[Extra].Load(), "the third of five parts")
+	require.EqualValues(t, 1, counts[KindExtraPart].Load(), "the third of five parts")
 	require.EqualValues(t, 1, counts.Total())
 }
 
@@ -242,7 +242,7 @@
 	next := with("Safety.LookBack", "5000")
 	_, _ = play(1, usual, next)
 	x := &tape{chance: rand.New(rand.NewSource(1)), legs: map[uint64]int{}, settled: map[[2]uint64]bool{}}
-	w := New(x, usual, next, &Counts{}, func(balancer.Actions) balancer.Balancer { return script{} })
+	w := New(x, usual, next, &DivergenceCounts{}, func(balancer.Actions) balancer.Balancer { return script{} })
 	for i := range uint64(20_000) {
 		w.BeginIteration(int64(i) * 100)
 		id := fmt.Sprint("r", i)
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -78,7 +78,7 @@
 	peers   *learner                  // nil where peers are not allowed
 	members *membership               // nil where discovery is the only source of lists
 	door    *SearchAPI                // nil where there is no other front
-	counts  *shadow.Counts            // nil where no other settings are watched
+	counts  *shadow.DivergenceCounts  // nil where no other settings are watched
 	zones   *bounding                 // nil where there are no contracts
 
 	room   float64      // bytes for open searches and their answers
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -459,7 +459,7 @@
 	o.base = o.start.UnixMicro() / 100
 	f := &front{o: o, gate: newGate(int(clientShare * float64(p.MaxSockets))), classes: p.names("Classes"), tenants: p.names("Tenants"), stopping: stopping}
 	if o.module = balancer.New(o); p.next != nil {
-		o.counts = &shadow.Counts{}
+		o.counts = &shadow.DivergenceCounts{}
 		o.module = shadow.New(o, p.facts, p.next, o.counts, balancer.New)
 	}
 	if m.Persistence != nil {
--- a/coordinator/watching.go
+++ b/coordinator/watching.go
@@ -12,7 +12,7 @@
 	if n := o.counts.Total(); n != last {
 		last = n
 		var v []any
-		for kind, name := range shadow.Names {
+		for kind, name := range shadow.KindNames {
 			v = append(v, name, o.counts[kind].Load())
 		}
 		o.log.Info("shadow", v...)
@@ -21,11 +21,11 @@
 }
 
 // shadowMetrics are the same counts in the common text form.
-func shadowMetrics(counts *shadow.Counts) []byte {
+func shadowMetrics(counts *shadow.DivergenceCounts) []byte {
 	var b strings.Builder
 	b.WriteString("# HELP chalkring_shadow_differs_total Decisions that the shadow settings would have made otherwise.\n" +
 		"# TYPE chalkring_shadow_differs_total counter\n")
-	for kind, name := range shadow.Names {
+	for kind, name := range shadow.KindNames {
 		fmt.Fprintf(&b, "chalkring_shadow_differs_total{kind=%q} %d\n", name, counts[kind].Load())
 	}
 	return []byte(b.String())
