--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -42,11 +42,11 @@
 	return d.disk.Load(bucket, f)
 }
 
-func startOnDisk(t *testing.T, life uint64, d *disk) *Book {
-	b := Start(context.Background(), Options{Name: "east-0", Life: life, Net: testnet.New(1).Join("east-0"), Seed: 1,
-		Every: 50 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
-		Disk:  func(context.Context) (Disk, error) { return &bucketDisk{d, t}, nil },
-		Peers: func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} }})
+func startOnDisk(t *testing.T, life uint64, d *disk) *Replicator {
+	b := Start(context.Background(), Options{InstanceName: "east-0", Incarnation: life, Transport: testnet.New(1).Join("east-0"), Seed: 1,
+		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
+		OpenStorage: func(context.Context) (Storage, error) { return &bucketDisk{d, t}, nil },
+		Peers:       func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} }})
 	<-b.Ready()
 	return b
 }
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	require.NoError(t, b.Kept(ctx))
+	require.NoError(t, b.WaitPersisted(ctx))
 	b.stop()
 	<-b.done
 	got := map[string]string{}
--- a/cluster/replication/keep.go
+++ b/cluster/replication/keep.go
@@ -20,7 +20,7 @@
 )
 
 // load takes in what the store kept.
-func (b *Book) load(ctx context.Context, _ *scheduler.Allowance) error {
+func (b *Replicator) load(ctx context.Context, _ *scheduler.Allowance) error {
 	begin := func() { b.begun.Do(func() { close(b.ready) }) }
 	late := time.AfterFunc(diskWait, begin)
 	defer func() {
@@ -28,20 +28,20 @@
 		close(b.found)
 		begin()
 	}()
-	if b.o.Disk == nil {
+	if b.o.OpenStorage == nil {
 		return nil
 	}
-	disk, err := b.o.Disk(ctx)
+	disk, err := b.o.OpenStorage(ctx)
 	if err != nil || disk == nil {
 		if err != nil && ctx.Err() == nil {
-			b.complain("share_store", b.o.Name, &Unread{Bucket, err})
+			b.complain("share_store", b.o.InstanceName, &UnreadableStateError{StoreBucket, err})
 		}
 		return nil
 	}
 	var entries []crdt.Entry
 	var known crdt.Version
 	var bad error
-	err = disk.Load(Bucket, func(key string, value []byte) error {
+	err = disk.Load(StoreBucket, func(key string, value []byte) error {
 		var err error
 		if name, ok := strings.CutPrefix(key, entryKey); ok {
 			var e crdt.Entry
@@ -53,12 +53,12 @@
 			err = cbor.Unmarshal(value, &known)
 		}
 		if err != nil && bad == nil {
-			bad = &Unread{key, err}
+			bad = &UnreadableStateError{key, err}
 		}
 		return nil
 	})
 	if bad == nil && err != nil {
-		bad = &Unread{Bucket, err}
+		bad = &UnreadableStateError{StoreBucket, err}
 	}
 	b.mu.Lock()
 	b.disk = disk
@@ -93,14 +93,14 @@
 	}
 	b.mu.Unlock()
 	if err := errors.Join(bad, err); err != nil {
-		b.complain("share_store", b.o.Name, err)
+		b.complain("share_store", b.o.InstanceName, err)
 	}
 	return nil
 }
 
 // keep writes changes to the store, until ctx ends: the entries, and with the last of them the Known, in one transaction
 // where they fit, so that the Known on disk never says more than the entries there.
-func (b *Book) keep(ctx context.Context, _ *scheduler.Allowance) error {
+func (b *Replicator) keep(ctx context.Context, _ *scheduler.Allowance) error {
 	select {
 	case <-b.found:
 	case <-ctx.Done():
@@ -119,7 +119,7 @@
 		pause := keepEach
 		if err := b.keepOnce(ctx); err != nil {
 			if ctx.Err() == nil {
-				b.complain("share_store", b.o.Name, &Unkept{err})
+				b.complain("share_store", b.o.InstanceName, &NotPersistedError{err})
 			}
 			pause, wait = wait, min(2*wait, keepBackTop)
 			stir(b.stirKeep)
@@ -134,7 +134,7 @@
 	}
 }
 
-func (b *Book) keepOnce(ctx context.Context) error {
+func (b *Replicator) keepOnce(ctx context.Context) error {
 	b.mu.Lock()
 	known, changes, whole := b.l.KnownVersion(), b.changes, true
 	names := make([]string, 0, len(b.dirty))
@@ -183,7 +183,7 @@
 		deletes = nil // what is gone may be told as old by the Known alone: with it
 	}
 	if len(puts) > 0 || len(deletes) > 0 {
-		err = b.disk.Put(ctx, Bucket, puts, deletes)
+		err = b.disk.Put(ctx, StoreBucket, puts, deletes)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cluster/replication/share.go
+++ b/cluster/replication/share.go
@@ -22,61 +22,61 @@
 )
 
 const (
-	Topic       = 2       // of the messages, among those of the network
-	Bucket      = "share" // of the store
-	BytesUsual  = 2 << 20 // a second for questions and what they bring, for answers, and for fresh changes each
-	second      = 10_000  // in tenths of a millisecond
-	chainMost   = 8       // exchanges one after another while they bring something: a healed fleet is alike sooner
-	answerWait  = 2 * time.Second
-	sendWait    = 2 * time.Second
-	askTries    = 2                      // questions without an answer after which an exchange is left for a later round
-	openMost    = 10 * time.Minute       // age at which an exchange that was cut is begun anew
-	fanOut      = 3                      // others that a fresh change goes to from each that learns it
-	pushEach    = 200 * time.Millisecond // between two times of telling fresh changes; the first goes at once
-	freshMost   = 512                    // names told at once to others; what is written in bulk is left to the exchanges
-	keepEach    = 20 * time.Millisecond  // changes gathered for one transaction
-	keepBack    = 200 * time.Millisecond // first wait after a store that failed, doubled up to
-	keepBackTop = 10 * time.Second
-	diskWait    = 10 * time.Second           // for a disk; what it kept is taken in when it comes
-	keepBytes   = 32 << 20                   // of one transaction: the store holds it in memory
-	collectEach = 2                          // exchanges' times between two looks for what all have seen
-	rowEach     = 2                          // likewise between two rows of this instance, and
-	rowFew      = 10                         // instances, and for each more of them
-	rowMore     = second / 10                // more between two looks and rows: each looks at what each says of each
-	deadMany    = crdt.MaxTombstones * 3 / 4 // tombstones from which on those that are not there are not waited for
-	AwayMost    = 24 * time.Hour             // an instance not heard for so long is not waited for by deletes
-	ForgetMost  = 7 * 24 * time.Hour         // one that is not listed and not heard for so long is forgotten
-	renewEach   = 10 * second                // guards against two processes of one name that strike each other again and again
-	complainGap = 30 * second                // between two log lines of one kind and instance
-	answersMost = 4                          // answers made at once
+	Topic                 = 2       // of the messages, among those of the network
+	StoreBucket           = "share" // of the store
+	DefaultBytesPerSecond = 2 << 20 // a second for questions and what they bring, for answers, and for fresh changes each
+	second                = 10_000  // in tenths of a millisecond
+	chainMost             = 8       // exchanges one after another while they bring something: a healed fleet is alike sooner
+	answerWait            = 2 * time.Second
+	sendWait              = 2 * time.Second
+	askTries              = 2                      // questions without an answer after which an exchange is left for a later round
+	openMost              = 10 * time.Minute       // age at which an exchange that was cut is begun anew
+	fanOut                = 3                      // others that a fresh change goes to from each that learns it
+	pushEach              = 200 * time.Millisecond // between two times of telling fresh changes; the first goes at once
+	freshMost             = 512                    // names told at once to others; what is written in bulk is left to the exchanges
+	keepEach              = 20 * time.Millisecond  // changes gathered for one transaction
+	keepBack              = 200 * time.Millisecond // first wait after a store that failed, doubled up to
+	keepBackTop           = 10 * time.Second
+	diskWait              = 10 * time.Second           // for a disk; what it kept is taken in when it comes
+	keepBytes             = 32 << 20                   // of one transaction: the store holds it in memory
+	collectEach           = 2                          // exchanges' times between two looks for what all have seen
+	rowEach               = 2                          // likewise between two rows of this instance, and
+	rowFew                = 10                         // instances, and for each more of them
+	rowMore               = second / 10                // more between two looks and rows: each looks at what each says of each
+	deadMany              = crdt.MaxTombstones * 3 / 4 // tombstones from which on those that are not there are not waited for
+	AbsenceTimeout        = 24 * time.Hour             // an instance not heard for so long is not waited for by deletes
+	ForgetTimeout         = 7 * 24 * time.Hour         // one that is not listed and not heard for so long is forgotten
+	renewEach             = 10 * second                // guards against two processes of one name that strike each other again and again
+	complainGap           = 30 * second                // between two log lines of one kind and instance
+	answersMost           = 4                          // answers made at once
 )
 
-// Net hands messages to other instances; package gossip is one.
-type Net interface {
+// Transport hands messages to other instances; package gossip is one.
+type Transport interface {
 	Send(ctx context.Context, to string, topic byte, body []byte) error
 	Handle(topic byte, f func(from string, body []byte))
 }
 
-// Disk keeps entries; package store is one. Put returns once they are on disk.
-type Disk interface {
+// Storage keeps entries; package store is one. Put returns once they are on disk.
+type Storage interface {
 	Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error
 	Load(bucket string, f func(key string, value []byte) error) error
 }
 
 // Options are how a Book is run.
 type Options struct {
-	Name  string
-	Life  uint64 // another with each start, best the time in ns
-	Net   Net
-	Peers func() (alive, listed []string)                  // others that can be sent to now, and all that count, alive or not
-	Disk  func(ctx context.Context) (disk Disk, err error) // waits until it is open; nil where there is none
-	Log   *slog.Logger
-	Seed  int64
-	Every time.Duration // between two exchanges, 0 for a second
-}
-
-// Book is the copy of one instance. Its calls are safe from any goroutine; none waits for another instance or a disk but Kept.
-type Book struct {
+	InstanceName     string
+	Incarnation      uint64 // another with each start, best the time in ns
+	Transport        Transport
+	Peers            func() (alive, listed []string)                     // others that can be sent to now, and all that count, alive or not
+	OpenStorage      func(ctx context.Context) (disk Storage, err error) // waits until it is open; nil where there is none
+	Logger           *slog.Logger
+	Seed             int64
+	ExchangeInterval time.Duration // between two exchanges, 0 for a second
+}
+
+// Replicator is the copy of one instance. Its calls are safe from any goroutine; none waits for another instance or a disk but Kept.
+type Replicator struct {
 	o     Options
 	pool  *scheduler.Pool
 	start time.Time
@@ -90,7 +90,7 @@
 	mu       sync.Mutex
 	l        *crdt.Map
 	chance   *rand.Rand
-	disk     Disk
+	disk     Storage
 	watches  map[*watch]bool
 	fresh    []string
 	freshIn  map[string]bool
@@ -117,8 +117,8 @@
 
 // Stats are counts so far.
 type Stats struct {
-	Live, Dead, Bytes       int    // names with a value, names remembered without one, bytes of them
-	SentExchange, SentFresh uint64 // bytes
+	LiveEntries, Tombstones, StoredBytes int    // names with a value, names remembered without one, bytes of them
+	ExchangeBytesSent, UpdateBytesSent   uint64 // bytes
 }
 
 type running struct {
@@ -132,14 +132,14 @@
 }
 
 // Start begins to share. It ends with ctx or Close.
-func Start(ctx context.Context, o Options) *Book {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+func Start(ctx context.Context, o Options) *Replicator {
+	if o.Logger == nil {
+		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	if o.Every <= 0 {
-		o.Every = time.Second
+	if o.ExchangeInterval <= 0 {
+		o.ExchangeInterval = time.Second
 	}
-	b := &Book{o: o, l: crdt.NewMap(crdt.FormatActor(o.Name, max(1, o.Life))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
+	b := &Replicator{o: o, l: crdt.NewMap(crdt.FormatActor(o.InstanceName, max(1, o.Incarnation))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
 		ready: make(chan struct{}), found: make(chan struct{}), done: make(chan struct{}), watches: map[*watch]bool{}, freshIn: map[string]bool{}, dirty: map[string]bool{},
 		stirPush: make(chan struct{}, 1), stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}),
 		open: map[string]*running{}, waiting: map[uint64]chan crdt.ExchangeResponse{}, met: map[string]bool{}, heard: map[string]int64{},
@@ -147,14 +147,14 @@
 	b.run = b.chance.Uint64() >> 1
 	b.ctx, b.stop = context.WithCancel(ctx)
 	plan := scheduler.NewPlan(rand.New(rand.NewSource(o.Seed+1)), map[string]scheduler.Budget{
-		"exchange": {Bytes: BytesUsual}, "answer": {Concurrent: answersMost, Bytes: BytesUsual}, "fresh": {Bytes: BytesUsual}})
+		"exchange": {Bytes: DefaultBytesPerSecond}, "answer": {Concurrent: answersMost, Bytes: DefaultBytesPerSecond}, "fresh": {Bytes: DefaultBytesPerSecond}})
 	b.pool = scheduler.NewPool(clock{}, plan, func(job string, err error) { b.complain("share_job", job, err) })
-	o.Net.Handle(Topic, b.handle)
+	o.Transport.Handle(Topic, b.handle)
 	go func() {
 		defer close(b.done)
 		_ = b.pool.Run(b.ctx)
 	}()
-	every := int64(o.Every / (100 * time.Microsecond))
+	every := int64(o.ExchangeInterval / (100 * time.Microsecond))
 	for _, j := range []struct {
 		scheduler.Job
 		do func(context.Context, *scheduler.Allowance) error
@@ -177,10 +177,10 @@
 func (clock) Now() time.Time                         { return time.Now() }
 func (clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-func (b *Book) now() int64 { return int64(time.Since(b.start) / (100 * time.Microsecond)) }
+func (b *Replicator) now() int64 { return int64(time.Since(b.start) / (100 * time.Microsecond)) }
 
 // complain writes a log line, but not again and again.
-func (b *Book) complain(line, who string, err error) {
+func (b *Replicator) complain(line, who string, err error) {
 	b.mu.Lock()
 	now := b.now()
 	at, ok := b.told[line+who]
@@ -193,13 +193,13 @@
 	}
 	b.mu.Unlock()
 	if !quiet {
-		b.o.Log.Warn(line, advice.LogAttrs(err, "with", who)...)
+		b.o.Logger.Warn(line, advice.LogAttrs(err, "with", who)...)
 	}
 }
 
 // Close writes what is not yet on disk, as long as ctx lasts, and ends.
-func (b *Book) Close(ctx context.Context) error {
-	err := b.Kept(ctx)
+func (b *Replicator) Close(ctx context.Context) error {
+	err := b.WaitPersisted(ctx)
 	b.stop()
 	<-b.done
 	return err
@@ -207,10 +207,10 @@
 
 // Ready is closed once what a store kept is there, or is known not to be, or has not come in ten seconds: a disk that hangs
 // must not keep an instance from the others. What is put before has not seen it.
-func (b *Book) Ready() <-chan struct{} { return b.ready }
+func (b *Replicator) Ready() <-chan struct{} { return b.ready }
 
 // Put writes a value; it supersedes every sibling that is held here.
-func (b *Book) Put(name string, value []byte) (crdt.Entry, error) {
+func (b *Replicator) Put(name string, value []byte) (crdt.Entry, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, err := b.l.Put(name, value)
@@ -221,7 +221,7 @@
 }
 
 // Delete deletes every sibling that is held here.
-func (b *Book) Delete(name string) (crdt.Entry, error) {
+func (b *Replicator) Delete(name string) (crdt.Entry, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, err := b.l.Delete(name)
@@ -232,46 +232,46 @@
 }
 
 // Get is the state of a name and whether it has a live value. Its values must not be changed.
-func (b *Book) Get(name string) (crdt.Entry, bool) {
+func (b *Replicator) Get(name string) (crdt.Entry, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.l.Get(name)
 }
 
-// Each tells names with a live value that begin with prefix, in order, until f says no. f must be quick, since all else
+// ScanPrefix tells names with a live value that begin with prefix, in order, until f says no. f must be quick, since all else
 // waits for it, and must not call the Book.
-func (b *Book) Each(prefix string, f func(crdt.Entry) bool) {
+func (b *Replicator) ScanPrefix(prefix string, f func(crdt.Entry) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.l.ScanPrefix(prefix, f)
 }
 
 // Actor names this life in the dots of its changes.
-func (b *Book) Actor() string {
+func (b *Replicator) Actor() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.l.Actor()
 }
 
 // Digest stands for all that is held: two instances with the same one hold the same.
-func (b *Book) Digest() uint64 {
+func (b *Replicator) Digest() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.l.Digest(crdt.TreeNode{})
 }
 
 // Stats are the counts so far.
-func (b *Book) Stats() Stats {
+func (b *Replicator) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stats
-	s.Live, s.Dead, s.Bytes = b.l.Counts()
+	s.LiveEntries, s.Tombstones, s.StoredBytes = b.l.Counts()
 	return s
 }
 
 // Watch tells that something under prefix may have changed, by one value however often it did; it begins with one. The
 // call given back ends it.
-func (b *Book) Watch(prefix string) (<-chan struct{}, func()) {
+func (b *Replicator) Watch(prefix string) (<-chan struct{}, func()) {
 	w := &watch{prefix, make(chan struct{}, 1)}
 	w.c <- struct{}{}
 	b.mu.Lock()
@@ -284,12 +284,12 @@
 	}
 }
 
-// Kept waits until all changes so far are on disk. Without a store nothing is waited for.
-func (b *Book) Kept(ctx context.Context) error {
+// WaitPersisted waits until all changes so far are on disk. Without a store nothing is waited for.
+func (b *Replicator) WaitPersisted(ctx context.Context) error {
 	select {
 	case <-b.found:
 	case <-ctx.Done():
-		return &Unkept{ctx.Err()}
+		return &NotPersistedError{ctx.Err()}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -305,20 +305,20 @@
 			err = b.ctx.Err()
 		}
 		if b.mu.Lock(); err != nil {
-			return &Unkept{err}
+			return &NotPersistedError{err}
 		}
 	}
 	return nil
 }
 
 // own notes an own change; the lock is held.
-func (b *Book) own(name string) {
+func (b *Replicator) own(name string) {
 	b.noted([]string{name})
 	b.tell([]string{name})
 }
 
 // noted notes changed names for disk and watches; the lock is held.
-func (b *Book) noted(names []string) {
+func (b *Replicator) noted(names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -335,7 +335,7 @@
 }
 
 // tell has fresh changes told to a few others; the lock is held.
-func (b *Book) tell(names []string) {
+func (b *Replicator) tell(names []string) {
 	for _, n := range names {
 		if !b.freshIn[n] && len(b.fresh) < freshMost {
 			b.freshIn[n] = true
@@ -353,9 +353,9 @@
 }
 
 // alive are some others that can be sent to, in an order by chance.
-func (b *Book) alive() (alive, listed []string) {
+func (b *Replicator) alive() (alive, listed []string) {
 	alive, listed = b.o.Peers()
-	alive = slices.DeleteFunc(slices.Clone(alive), func(n string) bool { return n == b.o.Name })
+	alive = slices.DeleteFunc(slices.Clone(alive), func(n string) bool { return n == b.o.InstanceName })
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.chance.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
@@ -381,7 +381,7 @@
 	return append([]byte{kind}, body...), err
 }
 
-func (b *Book) send(ctx context.Context, a *scheduler.Allowance, to string, kind byte, v any) (int, error) {
+func (b *Replicator) send(ctx context.Context, a *scheduler.Allowance, to string, kind byte, v any) (int, error) {
 	body, err := encode(kind, v)
 	if err != nil {
 		return 0, err
@@ -391,11 +391,11 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, sendWait)
 	defer stop()
-	return len(body), b.o.Net.Send(ctx, to, Topic, body)
+	return len(body), b.o.Transport.Send(ctx, to, Topic, body)
 }
 
 // handle takes a message. It does not wait.
-func (b *Book) handle(from string, body []byte) {
+func (b *Replicator) handle(from string, body []byte) {
 	if !b.isReady() {
 		return // what the store kept comes first: until then this copy knows less than it told before
 	}
@@ -433,11 +433,11 @@
 		err = errors.New("a kind that there is not")
 	}
 	if err != nil {
-		b.complain("share_message", from, &Garbled{from, err})
+		b.complain("share_message", from, &InvalidMessageError{from, err})
 	}
 }
 
-func (b *Book) pushed(from string, p push, fresh bool) error {
+func (b *Replicator) pushed(from string, p push, fresh bool) error {
 	b.mu.Lock()
 	changed, err := b.l.MergeBatch(p.Actor, p.Batch)
 	b.noted(changed)
@@ -452,7 +452,7 @@
 }
 
 // struck goes on as a new life where others take this one as over.
-func (b *Book) struck(err error) bool {
+func (b *Replicator) struck(err error) bool {
 	var s *crdt.SupersededError
 	if !errors.As(err, &s) {
 		return false
@@ -476,12 +476,12 @@
 	}
 	b.mu.Unlock()
 	if did {
-		b.o.Log.Warn("share_struck", advice.LogAttrs(s, "kept", len(kept))...)
+		b.o.Logger.Warn("share_struck", advice.LogAttrs(s, "kept", len(kept))...)
 	}
 	return true
 }
 
-func (b *Book) answer(ctx context.Context, a *scheduler.Allowance, from string, q crdt.ExchangeRequest) error {
+func (b *Replicator) answer(ctx context.Context, a *scheduler.Allowance, from string, q crdt.ExchangeRequest) error {
 	b.mu.Lock()
 	out, err := b.l.HandleRequest(from, q)
 	b.mu.Unlock()
@@ -491,13 +491,13 @@
 	}
 	n, err := b.send(ctx, a, from, kindAnswer, out)
 	if b.sent(n); err != nil && ctx.Err() == nil {
-		b.complain("share_exchange", from, &Cut{from, err})
+		b.complain("share_exchange", from, &ExchangeInterruptedError{from, err})
 	}
 	return nil
 }
 
 // round is an exchange with another, and with more while they bring something.
-func (b *Book) round(ctx context.Context, a *scheduler.Allowance) error {
+func (b *Replicator) round(ctx context.Context, a *scheduler.Allowance) error {
 	if !b.isReady() {
 		return nil
 	}
@@ -520,7 +520,7 @@
 	return nil
 }
 
-func (b *Book) isReady() bool {
+func (b *Replicator) isReady() bool {
 	select {
 	case <-b.ready:
 		return true
@@ -530,7 +530,7 @@
 }
 
 // choose names whom to exchange with: one that is newly there, one with whom an exchange was cut, or any.
-func (b *Book) choose() string {
+func (b *Replicator) choose() string {
 	alive, _ := b.alive()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -563,7 +563,7 @@
 }
 
 // exchange asks one instance until nothing is left to ask, or it does not answer. It tells whether something differed.
-func (b *Book) exchange(ctx context.Context, a *scheduler.Allowance, peer string) (more bool, err error) {
+func (b *Replicator) exchange(ctx context.Context, a *scheduler.Allowance, peer string) (more bool, err error) {
 	b.mu.Lock()
 	r := b.open[peer]
 	if r == nil || r.x.IsDone() || time.Since(r.since) > openMost {
@@ -599,7 +599,7 @@
 			if tries++; tries < askTries && ctx.Err() == nil {
 				continue
 			}
-			return false, &Cut{peer, err}
+			return false, &ExchangeInterruptedError{peer, err}
 		}
 		tries = 0
 		if err := b.take(ctx, a, x, out); err != nil {
@@ -636,14 +636,14 @@
 	}
 }
 
-func (b *Book) sent(n int) {
+func (b *Replicator) sent(n int) {
 	b.mu.Lock()
-	b.stats.SentExchange += uint64(n)
+	b.stats.ExchangeBytesSent += uint64(n)
 	b.mu.Unlock()
 }
 
 // take takes an answer in and sends what the other lacks.
-func (b *Book) take(ctx context.Context, a *scheduler.Allowance, x *crdt.Exchange, out crdt.ExchangeResponse) error {
+func (b *Replicator) take(ctx context.Context, a *scheduler.Allowance, x *crdt.Exchange, out crdt.ExchangeResponse) error {
 	b.mu.Lock()
 	away := x.MissedDeletes
 	changed, lacks, err := x.ApplyResponse(out)
@@ -657,10 +657,10 @@
 	}
 	b.mu.Unlock()
 	if x.MissedDeletes && !away {
-		b.o.Log.Warn("share_away", advice.LogAttrs(&Away{x.Peer(), x.UnsyncedNames})...)
+		b.o.Logger.Warn("share_away", advice.LogAttrs(&LongAbsenceError{x.Peer(), x.UnsyncedNames})...)
 	}
 	if errors.Is(err, crdt.ErrPeerRestarted) {
-		return &Cut{x.Peer(), err}
+		return &ExchangeInterruptedError{x.Peer(), err}
 	}
 	if advice.HasType[*crdt.SupersededError](err) {
 		return err
@@ -671,14 +671,14 @@
 	for _, batch := range batches {
 		n, err := b.send(ctx, a, x.Peer(), kindLacks, push{Actor: actor, Batch: batch})
 		if b.sent(n); err != nil {
-			return &Cut{x.Peer(), err}
+			return &ExchangeInterruptedError{x.Peer(), err}
 		}
 	}
 	return nil
 }
 
 // push tells fresh changes to a few others, until ctx ends.
-func (b *Book) push(ctx context.Context, a *scheduler.Allowance) error {
+func (b *Replicator) push(ctx context.Context, a *scheduler.Allowance) error {
 	select {
 	case <-b.ready:
 	case <-ctx.Done():
@@ -702,10 +702,10 @@
 			for _, n := range to {
 				bytes, err := b.send(ctx, a, n, kindFresh, push{Actor: actor, Batch: batch})
 				b.mu.Lock()
-				b.stats.SentFresh += uint64(bytes)
+				b.stats.UpdateBytesSent += uint64(bytes)
 				b.mu.Unlock()
 				if err != nil && ctx.Err() == nil {
-					b.complain("share_fresh", n, &Cut{n, err}) // the exchanges bring it
+					b.complain("share_fresh", n, &ExchangeInterruptedError{n, err}) // the exchanges bring it
 				}
 			}
 		}
@@ -718,7 +718,7 @@
 }
 
 // collect forgets deletes that all have seen, and tells how far this copy reaches.
-func (b *Book) collect(ctx context.Context, _ *scheduler.Allowance) error {
+func (b *Replicator) collect(ctx context.Context, _ *scheduler.Allowance) error {
 	if !b.isReady() {
 		return nil
 	}
@@ -742,12 +742,12 @@
 	var all, away []string
 	for n, at := range b.heard {
 		gone := time.Duration(now-at) * 100 * time.Microsecond
-		if gone > ForgetMost && !slices.Contains(listed, n) {
+		if gone > ForgetTimeout && !slices.Contains(listed, n) {
 			delete(b.heard, n)
 			b.l.ForgetInstance(n)
 			continue
 		}
-		if all = append(all, n); gone > AwayMost || dead >= deadMany && gone > 0 {
+		if all = append(all, n); gone > AbsenceTimeout || dead >= deadMany && gone > 0 {
 			away = append(away, n)
 		}
 	}
@@ -755,14 +755,14 @@
 	dropped := b.l.CollectTombstones()
 	b.noted(dropped)
 	if dead >= deadMany && len(away) > 0 && len(dropped) > 0 {
-		b.o.Log.Warn("share_tombstones", "held", dead, "forgotten", len(dropped), "away", away)
+		b.o.Logger.Warn("share_tombstones", "held", dead, "forgotten", len(dropped), "away", away)
 	}
 	select {
 	case <-b.found:
 	default:
 		return nil // a row says that all of earlier lives is told: the disk may hold more of them
 	}
-	if !slices.Equal(b.l.KnownVersion(), b.rowOf) && now-b.rowAt >= rowEach*int64(b.o.Every/(100*time.Microsecond)) {
+	if !slices.Equal(b.l.KnownVersion(), b.rowOf) && now-b.rowAt >= rowEach*int64(b.o.ExchangeInterval/(100*time.Microsecond)) {
 		r := b.l.NextRow()
 		b.rowAt, b.rowOf = now, r.Known
 	}
--- a/cluster/replication/share_test.go
+++ b/cluster/replication/share_test.go
@@ -67,7 +67,7 @@
 	names []string
 	life  uint64
 	disks map[string]*disk
-	books map[string]*Book
+	books map[string]*Replicator
 	nodes map[string]*testnet.Node
 	log   *lines
 
@@ -92,7 +92,7 @@
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t: t, net: testnet.New(1), names: names, disks: map[string]*disk{}, books: map[string]*Book{}, nodes: map[string]*testnet.Node{}, log: &lines{},
+	f := &fleet{t: t, net: testnet.New(1), names: names, disks: map[string]*disk{}, books: map[string]*Replicator{}, nodes: map[string]*testnet.Node{}, log: &lines{},
 		opened: make(chan struct{})}
 	close(f.opened)
 	for _, n := range names {
@@ -107,21 +107,21 @@
 	return f
 }
 
-func (f *fleet) start(name string) *Book {
+func (f *fleet) start(name string) *Replicator {
 	b := f.begin(name)
 	<-b.Ready()
 	return b
 }
 
-func (f *fleet) begin(name string) *Book {
+func (f *fleet) begin(name string) *Replicator {
 	f.life++
 	node := f.net.Join(name)
 	f.nodes[name] = node
 	d := f.disks[name]
 	opened := f.opened
-	f.books[name] = Start(context.Background(), Options{Name: name, Life: f.life, Net: node, Seed: int64(f.life),
-		Every: 50 * time.Millisecond, Log: slog.New(slog.NewTextHandler(f.log, nil)),
-		Disk: func(context.Context) (Disk, error) { <-opened; return d, nil },
+	f.books[name] = Start(context.Background(), Options{InstanceName: name, Incarnation: f.life, Transport: node, Seed: int64(f.life),
+		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.NewTextHandler(f.log, nil)),
+		OpenStorage: func(context.Context) (Storage, error) { <-opened; return d, nil },
 		Peers: func() (alive, listed []string) {
 			for _, n := range f.names {
 				if f.net.Reaches(name, n) {
@@ -154,7 +154,7 @@
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
-func value(b *Book, name string) string {
+func value(b *Replicator, name string) string {
 	e, ok := b.Get(name)
 	if !ok {
 		return ""
@@ -180,7 +180,7 @@
 	require.NoError(t, err)
 	f.alike()
 	for _, b := range f.books {
-		require.Eventually(t, func() bool { s := b.Stats(); return s.Live+s.Dead == 0 }, 20*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { s := b.Stats(); return s.LiveEntries+s.Tombstones == 0 }, 20*time.Second, 10*time.Millisecond)
 	}
 }
 
@@ -219,16 +219,16 @@
 	f.alike()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	require.NoError(t, f.books["b"].Kept(ctx))
+	require.NoError(t, f.books["b"].WaitPersisted(ctx))
 	old := f.disks["b"].copy()
 	for i := range 10 {
 		_, _ = f.books["c"].Delete(fmt.Sprint(i))
 	}
 	for _, b := range f.books {
-		require.Eventually(t, func() bool { s := b.Stats(); return s.Live == 10 && s.Dead == 0 }, 20*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { s := b.Stats(); return s.LiveEntries == 10 && s.Tombstones == 0 }, 20*time.Second, 10*time.Millisecond)
 	}
 	for _, n := range f.names { // what the others know must outlive them
-		require.NoError(t, f.books[n].Kept(ctx))
+		require.NoError(t, f.books[n].WaitPersisted(ctx))
 	}
 	for _, n := range f.names {
 		f.kill(n)
@@ -261,8 +261,8 @@
 	f.alike()
 	short, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer stop()
-	var unkept *Unkept
-	require.ErrorAs(t, f.books["a"].Kept(short), &unkept)
+	var unkept *NotPersistedError
+	require.ErrorAs(t, f.books["a"].WaitPersisted(short), &unkept)
 	require.Contains(t, f.log.String(), "share_store")
 	require.Contains(t, f.log.String(), "no space left")
 	d.mu.Lock()
@@ -270,7 +270,7 @@
 	d.mu.Unlock()
 	ctx, stop2 := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop2()
-	require.NoError(t, f.books["a"].Kept(ctx))
+	require.NoError(t, f.books["a"].WaitPersisted(ctx))
 	f.books["a"].handle("b", []byte{9, 9})
 	require.Contains(t, f.log.String(), "share_message")
 	page, err := os.ReadFile("../../docs/oncall.md")
@@ -278,7 +278,7 @@
 	for _, e := range []interface {
 		error
 		Advice() string
-	}{unkept, &Unread{"k", err}, &Cut{"b", err}, &Garbled{"b", err}, &Away{"b", nil}, &crdt.TooLargeError{}, &crdt.CapacityExceededError{}, &crdt.SupersededError{}, &crdt.InvalidDataError{}, &crdt.TooManySiblingsError{}} {
+	}{unkept, &UnreadableStateError{"k", err}, &ExchangeInterruptedError{"b", err}, &InvalidMessageError{"b", err}, &LongAbsenceError{"b", nil}, &crdt.TooLargeError{}, &crdt.CapacityExceededError{}, &crdt.SupersededError{}, &crdt.InvalidDataError{}, &crdt.TooManySiblingsError{}} {
 		require.NotEmpty(t, e.Advice())
 		require.NotEmpty(t, e.Error())
 		require.Contains(t, string(page), "`"+strings.SplitN(fmt.Sprintf("%T", e), ".", 2)[1]+"`")
@@ -297,7 +297,7 @@
 		require.NoError(t, err)
 	}
 	_, _ = f.books["a"].Delete("before")
-	require.Eventually(t, func() bool { return f.books["a"].Stats().Dead < deadMany }, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return f.books["a"].Stats().Tombstones < deadMany }, 20*time.Second, 10*time.Millisecond)
 	_, _ = f.books["b"].Put("meanwhile", []byte("w"))
 	f.net.Split()
 	f.alike()
@@ -312,7 +312,7 @@
 	f.alike()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	require.NoError(t, f.books["a"].Kept(ctx))
+	require.NoError(t, f.books["a"].WaitPersisted(ctx))
 	f.kill("a")
 	_, _ = f.books["b"].Put("x", []byte("newer"))
 	f.opened = make(chan struct{})
@@ -322,7 +322,7 @@
 	close(f.opened)
 	<-a.found
 	require.Equal(t, "newer", value(a, "x"))
-	require.NoError(t, a.Kept(ctx))
+	require.NoError(t, a.WaitPersisted(ctx))
 	f.kill("a")
 	f.start("a")
 	require.Equal(t, "newer", value(f.books["a"], "x"), "from disk")
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -13,15 +13,15 @@
 )
 
 // idleBook is a copy whose goroutines are not started, so that a test alone changes it.
-func idleBook(actor string) *Book {
-	return &Book{o: Options{Name: crdt.ActorName(actor), Log: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
+func idleBook(actor string) *Replicator {
+	return &Replicator{o: Options{InstanceName: crdt.ActorName(actor), Logger: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
 		l: crdt.NewMap(actor), watches: map[*watch]bool{}, freshIn: map[string]bool{}, stirPush: make(chan struct{}, 1),
 		dirty: map[string]bool{}, stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}), open: map[string]*running{},
 		waiting: map[uint64]chan crdt.ExchangeResponse{}, told: map[string]int64{}}
 }
 
 // goldenBook holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
-func goldenBook(t *testing.T) *Book {
+func goldenBook(t *testing.T) *Replicator {
 	b := idleBook("gateway-1#7")
 	close(b.ready)
 	_, err := b.Put("plan/a", []byte{0, 1, 0xff})
@@ -85,9 +85,9 @@
 }
 
 // contents are the entries with a live value, by name, and the digest of all.
-func contents(b *Book) map[string]any {
+func contents(b *Replicator) map[string]any {
 	all := map[string]any{"digest": b.Digest()}
-	b.Each("", func(e crdt.Entry) bool {
+	b.ScanPrefix("", func(e crdt.Entry) bool {
 		all[e.Name] = e.Siblings
 		return true
 	})
@@ -120,14 +120,16 @@
 	requireGolden(t, "store.golden", forms)
 
 	loaded := idleBook("gateway-1#8")
-	loaded.o.Disk = func(context.Context) (Disk, error) { return &disk{data: readGolden(t, "testdata/store.golden")}, nil }
+	loaded.o.OpenStorage = func(context.Context) (Storage, error) {
+		return &disk{data: readGolden(t, "testdata/store.golden")}, nil
+	}
 	require.NoError(t, loaded.load(context.Background(), nil))
 	require.Equal(t, want, contents(loaded))
 	require.Equal(t, b.l.KnownVersion(), loaded.l.KnownVersion())
 	require.Equal(t, "gateway-1#8", loaded.Actor())
 }
 
-func goldenRecord(b *Book, key string) any {
+func goldenRecord(b *Replicator, key string) any {
 	if key == "known" {
 		return b.l.KnownVersion()
 	}
@@ -139,5 +141,5 @@
 func TestGoldenShareConstants(t *testing.T) {
 	require.Equal(t, 2, Topic)
 	require.Equal(t, []byte{1, 2, 3, 4}, []byte{kindAsk, kindAnswer, kindFresh, kindLacks})
-	require.Equal(t, []string{"share", "e/", "known"}, []string{Bucket, entryKey, knownKey})
+	require.Equal(t, []string{"share", "e/", "known"}, []string{StoreBucket, entryKey, knownKey})
 }
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -44,7 +44,7 @@
 	keep   *coordinator.Persistence    // whose store it is, nil where it is the instances' own
 	opened chan struct{}               // closed once the store is there, or is known not to be
 	store  *store.Store                // nil where there is none
-	shared *replication.Book           // what the instances share
+	shared *replication.Replicator     // what the instances share
 	zones  *coordinator.ResidencyGuard // nil where there are no contracts
 
 	handing bool // another process takes this one's place at once
@@ -79,8 +79,8 @@
 		return nil, err
 	}
 	s.book, s.clock = s.node.Membership(), s.node.Now
-	s.shared = replication.Start(context.Background(), replication.Options{Name: own.Name, Life: s.book.Self().Incarnation, Net: s.node, Peers: s.peers,
-		Disk: s.disk, Log: log, Seed: o.Seed + 1})
+	s.shared = replication.Start(context.Background(), replication.Options{InstanceName: own.Name, Incarnation: s.book.Self().Incarnation, Transport: s.node, Peers: s.peers,
+		OpenStorage: s.disk, Logger: log, Seed: o.Seed + 1})
 	go s.open()
 	return s, nil
 }
@@ -89,7 +89,7 @@
 func (s *sharing) peers() (alive, listed []string) { return s.book.AlivePeers(), s.file.VotingMembers }
 
 // disk waits for the store, as what is shared is kept there too.
-func (s *sharing) disk(ctx context.Context) (replication.Disk, error) {
+func (s *sharing) disk(ctx context.Context) (replication.Storage, error) {
 	select {
 	case <-s.opened:
 	case <-ctx.Done():
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -49,7 +49,7 @@
 	}
 	ctx, stop := context.WithTimeout(t.Context(), settleMost)
 	defer stop()
-	require.NoError(t, l.s.shared.Kept(ctx))
+	require.NoError(t, l.s.shared.WaitPersisted(ctx))
 	st := &stages{sharing: l.s, state: standing{Runs: &rollout.Change{Name: "c", Number: 7, Settings: map[string]string{"Classes.0.Aim": "5"}}}}
 	require.NoError(t, st.save())
 	require.NoError(t, l.s.store.Put(ctx, zonesBucket, map[string][]byte{"policy": []byte("generation: 9")}, nil))
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -352,7 +352,7 @@
 		}
 		now := st.clock()
 		var news []crdt.Entry
-		st.shared.Each(rollout.KeyPrefix, func(e crdt.Entry) bool {
+		st.shared.ScanPrefix(rollout.KeyPrefix, func(e crdt.Entry) bool {
 			if sum := sumOf(e); seen[e.Name] != sum {
 				seen[e.Name] = sum
 				news = append(news, e)
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -76,5 +76,5 @@
 
 func (s *sharing) bytes() (held int, sent uint64) {
 	now := s.shared.Stats()
-	return now.Bytes, now.SentExchange + now.SentFresh
+	return now.StoredBytes, now.ExchangeBytesSent + now.UpdateBytesSent
 }
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -54,10 +54,10 @@
 	Get(name string) (crdt.Entry, bool)
 	Put(name string, value []byte) (crdt.Entry, error)
 	Delete(name string) (crdt.Entry, error)
-	Each(prefix string, f func(crdt.Entry) bool)
+	ScanPrefix(prefix string, f func(crdt.Entry) bool)
 	Update(name string, f func(e crdt.Entry) (value []byte, write bool, err error)) (crdt.Entry, error)
 	Watch(prefix string) (<-chan struct{}, func())
-	Kept(ctx context.Context) error
+	WaitPersisted(ctx context.Context) error
 }
 
 // Membership is who is there, by membership.
@@ -179,7 +179,7 @@
 	if err := g.write(k, op); err != nil {
 		return err
 	}
-	return g.o.Store.Kept(ctx)
+	return g.o.Store.WaitPersisted(ctx)
 }
 
 // bound tells which zone a tenant's contract keeps its entries from, of those in which the list lies; nil where all may
@@ -336,7 +336,7 @@
 // readWords takes in what the gateways say.
 func (g *Gateway) readWords() {
 	var all []crdt.Entry
-	g.o.Store.Each(subscribers.WordPrefix, func(e crdt.Entry) bool {
+	g.o.Store.ScanPrefix(subscribers.WordPrefix, func(e crdt.Entry) bool {
 		all = append(all, e)
 		return true
 	})
@@ -351,7 +351,7 @@
 // readList reads what has changed in the book.
 func (g *Gateway) readList() {
 	g.list.Reading()
-	g.o.Store.Each(subscribers.Prefix, func(e crdt.Entry) bool {
+	g.o.Store.ScanPrefix(subscribers.Prefix, func(e crdt.Entry) bool {
 		if g.list.Changed(e) {
 			g.todo = append(g.todo, e)
 		}
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -136,7 +136,7 @@
 }
 
 // run starts an instance; the call given back ends it.
-func (s *site) run(life uint64) (g *Gateway, book *replication.Book, end func()) {
+func (s *site) run(life uint64) (g *Gateway, book *replication.Replicator, end func()) {
 	settings, err := json.Marshal(clustertest.Settings(1, []string{"hall"}))
 	require.NoError(s.t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -145,8 +145,8 @@
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, ln.Addr(), s.list.Ln.Addr(), s.list.Known(), settings))
 	require.NoError(s.t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	book = replication.Start(context.Background(), replication.Options{Name: "n0", Life: life, Net: nobody{}, Peers: func() (a, b []string) { return nil, []string{"n0"} },
-		Disk: func(context.Context) (replication.Disk, error) { return s.disk, nil }})
+	book = replication.Start(context.Background(), replication.Options{InstanceName: "n0", Incarnation: life, Transport: nobody{}, Peers: func() (a, b []string) { return nil, []string{"n0"} },
+		OpenStorage: func(context.Context) (replication.Storage, error) { return s.disk, nil }})
 	me := subscribers.Member{Name: "n0", Region: "eu", Life: life}
 	log := slog.New(slog.NewTextHandler(s, nil))
 	g = New(Options{Self: me, Store: book, FilePath: s.path, Log: log,
@@ -264,7 +264,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer stop()
 	err := g.Unsubscribe(ctx, subscribers.Key{Tenant: "acme", ID: "s1"})
-	var unkept *replication.Unkept
+	var unkept *replication.NotPersistedError
 	require.ErrorAs(t, err, &unkept)
 	require.NotEmpty(t, advice.For(err))
 	_, on := g.Get(subscribers.Key{Tenant: "acme", ID: "s1"})
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -329,7 +329,7 @@
 		if err != nil {
 			return 0, err
 		}
-		bytes += st.Stats.SentExchange + st.Stats.SentFresh
+		bytes += st.Stats.ExchangeBytesSent + st.Stats.UpdateBytesSent
 	}
 	return bytes, nil
 }
@@ -448,13 +448,13 @@
 	if err != nil {
 		return err
 	}
-	alone, list, err := ledgerAlone(st.Stats.Live)
+	alone, list, err := ledgerAlone(st.Stats.LiveEntries)
 	if err != nil {
 		return err
 	}
 	n := float64(len(s.names))
 	perDiff := float64(end-start) / n
-	out.Fields["names"], out.Fields["tombstones"] = st.Stats.Live, st.Stats.Dead
+	out.Fields["names"], out.Fields["tombstones"] = st.Stats.LiveEntries, st.Stats.Tombstones
 	out.Fields["lost"], out.Fields["back"] = lost, back
 	out.Fields["heal_s"], out.Fields["heal_members_s"] = took.Seconds(), seen.Seconds()
 	out.Fields["list_bytes"], out.Fields["difference_bytes_each"] = list, int64(perDiff)
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -62,15 +62,15 @@
 	peers := func() (alive, listed []string) {
 		return node.Membership().AlivePeers(), own.VotingMembers
 	}
-	disk := func(ctx context.Context) (replication.Disk, error) {
+	disk := func(ctx context.Context) (replication.Storage, error) {
 		s, err := store.Open(own.StoreFile, store.Options{Told: func(err error) { log.Warn("fleet_store", "error", err) }})
 		if err != nil {
 			return nil, err
 		}
 		return s, nil
 	}
-	book := replication.Start(ctx, replication.Options{Name: own.Name, Life: node.Membership().Self().Incarnation, Net: node, Peers: peers, Disk: disk,
-		Log: log, Seed: time.Now().UnixNano()})
+	book := replication.Start(ctx, replication.Options{InstanceName: own.Name, Incarnation: node.Membership().Self().Incarnation, Transport: node, Peers: peers, OpenStorage: disk,
+		Logger: log, Seed: time.Now().UnixNano()})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		select {
@@ -101,7 +101,7 @@
 				return
 			}
 		}
-		if err := book.Kept(r.Context()); err != nil {
+		if err := book.WaitPersisted(r.Context()); err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
@@ -120,7 +120,7 @@
 	})
 	mux.HandleFunc("/all", func(w http.ResponseWriter, r *http.Request) {
 		var all []string
-		book.Each(r.URL.RawQuery, func(e crdt.Entry) bool { all = append(all, e.Name); return true })
+		book.ScanPrefix(r.URL.RawQuery, func(e crdt.Entry) bool { all = append(all, e.Name); return true })
 		_ = json.NewEncoder(w).Encode(all)
 	})
 	ln, err := net.Listen("tcp", plan.Listen)
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -511,11 +511,11 @@
 		if err != nil {
 			return 0, 0, fmt.Errorf("%s: %w", name, err)
 		}
-		book := replication.Start(ctx, replication.Options{Name: "reader", Life: 1, Net: alone{}, Peers: func() (a, b []string) { return nil, nil },
-			Disk: func(context.Context) (replication.Disk, error) { return kept, nil }})
+		book := replication.Start(ctx, replication.Options{InstanceName: "reader", Incarnation: 1, Transport: alone{}, Peers: func() (a, b []string) { return nil, nil },
+			OpenStorage: func(context.Context) (replication.Storage, error) { return kept, nil }})
 		<-book.Ready()
 		on := map[string]bool{}
-		book.Each(subscribers.Prefix, func(e crdt.Entry) bool {
+		book.ScanPrefix(subscribers.Prefix, func(e crdt.Entry) bool {
 			k, _ := subscribers.KeyOf(e.Name)
 			if rec, err := subscribers.Reads(e); err == nil {
 				on[k.ID] = !rec.Off()
