--- a/cluster/replication/share_test.go
+++ b/cluster/replication/share_test.go
@@ -63,7 +63,7 @@
 
 type fleet struct {
 	t     *testing.T
-	net   *testnet.Net
+	net   *testnet.Network
 	names []string
 	life  uint64
 	disks map[string]*disk
@@ -124,7 +124,7 @@
 		OpenStorage: func(context.Context) (Storage, error) { <-opened; return d, nil },
 		Peers: func() (alive, listed []string) {
 			for _, n := range f.names {
-				if f.net.Reaches(name, n) {
+				if f.net.IsConnected(name, n) {
 					alive = append(alive, n)
 				}
 			}
@@ -186,12 +186,12 @@
 
 func TestSidesOfAPartitionBecomeAlike(t *testing.T) {
 	f := newFleet(t, "a", "b", "c", "d")
-	f.net.Trouble(time.Millisecond, 3*time.Millisecond, 0.05)
+	f.net.SetFaults(time.Millisecond, 3*time.Millisecond, 0.05)
 	for i := range 300 {
 		_, _ = f.books["a"].Put(fmt.Sprint(i), []byte("before"))
 	}
 	f.alike()
-	f.net.Split([]string{"a", "b"}, []string{"c", "d"})
+	f.net.Partition([]string{"a", "b"}, []string{"c", "d"})
 	for i := range 100 {
 		_, _ = f.books["a"].Delete(fmt.Sprint(i))
 		_, _ = f.books["d"].Put(fmt.Sprint(i+50), []byte("d"))
@@ -200,7 +200,7 @@
 	require.Eventually(t, func() bool {
 		return f.books["a"].Digest() == f.books["b"].Digest() && f.books["c"].Digest() == f.books["d"].Digest()
 	}, 20*time.Second, 10*time.Millisecond)
-	f.net.Split()
+	f.net.Partition()
 	f.alike()
 	for _, b := range f.books {
 		require.Empty(t, value(b, "7"), "deleted on one side, untouched on the other")
@@ -289,7 +289,7 @@
 	f := newFleet(t, "a", "b")
 	_, _ = f.books["a"].Put("before", []byte("v"))
 	f.alike()
-	f.net.Split([]string{"a"}, []string{"b"})
+	f.net.Partition([]string{"a"}, []string{"b"})
 	for i := range deadMany + 10 {
 		_, err := f.books["a"].Put(fmt.Sprint(i), nil)
 		require.NoError(t, err)
@@ -299,7 +299,7 @@
 	_, _ = f.books["a"].Delete("before")
 	require.Eventually(t, func() bool { return f.books["a"].Stats().Tombstones < deadMany }, 20*time.Second, 10*time.Millisecond)
 	_, _ = f.books["b"].Put("meanwhile", []byte("w"))
-	f.net.Split()
+	f.net.Partition()
 	f.alike()
 	require.Empty(t, value(f.books["b"], "before"))
 	require.Equal(t, "w", value(f.books["a"], "meanwhile"))
--- a/internal/testnet/memnet.go
+++ b/internal/testnet/memnet.go
@@ -13,8 +13,8 @@
 
 var errCut = errors.New("memnet: the link is cut")
 
-// Net is the network. Its calls are safe from any goroutine.
-type Net struct {
+// Network is the network. Its calls are safe from any goroutine.
+type Network struct {
 	mu     sync.Mutex
 	chance *rand.Rand
 	cut    map[[2]string]bool
@@ -25,19 +25,19 @@
 }
 
 // New is a network that draws by seed what it loses and how long what it delays takes.
-func New(seed int64) *Net {
-	return &Net{chance: rand.New(rand.NewSource(seed)), cut: map[[2]string]bool{}, nodes: map[string]*Node{}}
+func New(seed int64) *Network {
+	return &Network{chance: rand.New(rand.NewSource(seed)), cut: map[[2]string]bool{}, nodes: map[string]*Node{}}
 }
 
-// Trouble delays each message, by chance up to jitter more, and loses a part of them.
-func (n *Net) Trouble(delay, jitter time.Duration, lose float64) {
+// SetFaults delays each message, by chance up to jitter more, and loses a part of them.
+func (n *Network) SetFaults(delay, jitter time.Duration, lose float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay, n.jitter, n.lose = delay, jitter, lose
 }
 
-// Split cuts all links between the groups, and mends those within.
-func (n *Net) Split(groups ...[]string) {
+// Partition cuts all links between the groups, and mends those within.
+func (n *Network) Partition(groups ...[]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.cut)
@@ -54,15 +54,15 @@
 	}
 }
 
-// Reaches tells whether both ways between two are open and both are up.
-func (n *Net) Reaches(a, b string) bool {
+// IsConnected tells whether both ways between two are open and both are up.
+func (n *Network) IsConnected(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[a] != nil && n.nodes[b] != nil && !n.cut[[2]string{a, b}] && !n.cut[[2]string{b, a}]
 }
 
 // Join puts an instance on the network, in place of an earlier life of it.
-func (n *Net) Join(name string) *Node {
+func (n *Network) Join(name string) *Node {
 	ctx, stop := context.WithCancel(context.Background())
 	node := &Node{net: n, name: name, ctx: ctx, stop: stop, topics: map[byte]chan message{}}
 	n.mu.Lock()
@@ -76,7 +76,7 @@
 
 // Node is one instance's place.
 type Node struct {
-	net  *Net
+	net  *Network
 	name string
 	ctx  context.Context
 	stop context.CancelFunc
