--- a/cmd/chalkring/rollout_test.go
+++ b/cmd/chalkring/rollout_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	clustertest.Clean()
+	clustertest.RemoveBuilds()
 	os.Exit(code)
 }
 
@@ -25,29 +25,29 @@
 // rolling is three processes in three regions that take part in changes, under light load.
 type rolling struct {
 	t *testing.T
-	*clustertest.Rig
+	*clustertest.Cluster
 	ctx     context.Context
-	answers chan []clustertest.Answer
+	answers chan []clustertest.ClientResult
 	stop    context.CancelFunc
 }
 
 func roll(t *testing.T, program string) *rolling {
 	ctx, cancel := context.WithTimeout(context.Background(), rollWithin)
 	t.Cleanup(cancel)
-	s := clustertest.Shape{Seed: 1, Program: program}
+	s := clustertest.Config{Seed: 1, ProgramPath: program}
 	var listed []string
 	for i, region := range []string{"east", "north", "west"} {
-		s.Places = append(s.Places, clustertest.Place{Name: region, Region: region, Zone: region + "-1"})
+		s.Instances = append(s.Instances, clustertest.Instance{Name: region, Region: region, Zone: region + "-1"})
 		listed = append(listed, region)
-		for cell := range clustertest.Blocks {
+		for cell := range clustertest.BlockCount {
 			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprintf("h%d%d", i, cell), Zone: region + "-1", Cell: cell})
 		}
 	}
-	s.File = func(w clustertest.Wired) string {
+	s.InstallationFile = func(w clustertest.InstanceAddresses) string {
 		var join, via strings.Builder
-		for _, o := range w.Others {
+		for _, o := range w.Peers {
 			fmt.Fprintf(&join, " %q,", o.Fleet)
-			fmt.Fprintf(&via, " %q: %q,", o.Fleet, o.FleetVia)
+			fmt.Fprintf(&via, " %q: %q,", o.Fleet, o.FleetRelay)
 		}
 		return fmt.Sprintf("fleet: {name: %s, region: %s, zone: %s, listen: %q, join: [%s], via: {%s}, listed: [%s], store: fleet.db, "+
 			"rollout: rollout.yaml}\n", w.Name, w.Region, w.Zone, w.Fleet, join.String(), via.String(), strings.Join(listed, ", "))
@@ -59,13 +59,15 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { r.Close() })
 	load, stop := context.WithCancel(ctx)
-	one := &rolling{t, r, ctx, make(chan []clustertest.Answer, 1), stop}
-	go func() { one.answers <- r.Play(load, r.Asks(1, "q", 60, rollWithin, 5*time.Second, "acme")) }()
+	one := &rolling{t, r, ctx, make(chan []clustertest.ClientResult, 1), stop}
+	go func() {
+		one.answers <- r.PlaySearches(load, r.DrawSearches(1, "q", 60, rollWithin, 5*time.Second, "acme"))
+	}()
 	return one
 }
 
 func (r *rolling) give(to string, number int, program, version string, more ...string) {
-	require.NoError(r.t, r.Write(to, "rollout.yaml", fmt.Sprintf("name: c\nnumber: %d\nprogram: {path: %q, version: %q}\n"+
+	require.NoError(r.t, r.WriteFile(to, "rollout.yaml", fmt.Sprintf("name: c\nnumber: %d\nprogram: {path: %q, version: %q}\n"+
 		"stages: [{count: 1, watch: 3s}, {share: 1, watch: 200ms}]\ntogether: 0.34\ncold: 100ms\nready: 3s\nsilent: 12s\nsearches: 0\n%s\n...\n",
 		number, program, version, strings.Join(more, "\n"))))
 }
@@ -73,7 +75,7 @@
 // logged waits until any of the instances has logged a text, and gives its name.
 func (r *rolling) logged(text string) (who string) {
 	require.Eventually(r.t, func() bool {
-		for _, name := range r.Names() {
+		for _, name := range r.InstanceNames() {
 			if strings.Contains(r.Log(name), text) {
 				who = name
 				return true
@@ -85,7 +87,7 @@
 }
 
 func (r *rolling) all() (text string) {
-	for _, name := range r.Names() {
+	for _, name := range r.InstanceNames() {
 		text += r.Log(name)
 	}
 	return text
@@ -93,8 +95,8 @@
 
 // everywhere waits until each instance has logged a text so often.
 func (r *rolling) everywhere(text string, times int) {
-	for _, name := range r.Names() {
-		require.NoError(r.t, r.Logged(r.ctx, name, text, times))
+	for _, name := range r.InstanceNames() {
+		require.NoError(r.t, r.WaitLogged(r.ctx, name, text, times))
 	}
 }
 
@@ -102,8 +104,8 @@
 // a machine that is busy clients are late by themselves.
 func (r *rolling) judge() {
 	r.stop()
-	v := r.Judge(<-r.answers, clustertest.Rules{})
-	for _, b := range v.Broken {
+	v := r.Judge(<-r.answers, clustertest.AuditRules{})
+	for _, b := range v.Violations {
 		require.NotContains(r.t, []string{"refused", "true_answer", "known_part"}, b.Name, "%s\n%s", b.First, r.all())
 	}
 	require.Positive(r.t, v.Good)
@@ -119,9 +121,9 @@
 func builds(t *testing.T) (old, new string) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
-	old, err := clustertest.Program(ctx, "-ldflags=-X=main.release=1.4")
+	old, err := clustertest.BuildProgram(ctx, "-ldflags=-X=main.release=1.4")
 	require.NoError(t, err)
-	new, err = clustertest.Program(ctx, "-ldflags=-X=main.release=1.5")
+	new, err = clustertest.BuildProgram(ctx, "-ldflags=-X=main.release=1.5")
 	require.NoError(t, err)
 	return old, new
 }
@@ -136,8 +138,8 @@
 	require.NoError(t, r.Kill(r.ctx, first)) // while it takes over, or just before or after that
 	require.NoError(t, r.Start(r.ctx, first))
 	r.everywhere("event=rollout_serves number=1 ", 1)
-	for _, name := range r.Names() {
-		link, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", r.Pid(name)))
+	for _, name := range r.InstanceNames() {
+		link, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", r.PID(name)))
 		require.NoError(t, err)
 		require.Equal(t, old, link, "the keeper stays")
 	}
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -137,7 +137,7 @@
 
 // run starts an instance; the call given back ends it.
 func (s *site) run(life uint64) (g *Gateway, book *replication.Replicator, end func()) {
-	settings, err := json.Marshal(clustertest.Settings(1, []string{"hall"}))
+	settings, err := json.Marshal(clustertest.DefaultSettings(1, []string{"hall"}))
 	require.NoError(s.t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(s.t, err)
@@ -207,7 +207,7 @@
 	g, book, end := s.run(1)
 	s.await("first of both", func() bool { return len(s.deliveries("s1")) > 0 && len(s.deliveries("s2")) > 0 })
 	first := s.deliveries("s1")[0]
-	require.Len(t, first.Values, clustertest.Blocks, "at first all is new")
+	require.Len(t, first.Values, clustertest.BlockCount, "at first all is new")
 	s.deaf.Store(true)
 	s.words.Add(1)
 	s.await("the same number again", func() bool { return len(s.deliveries("s1")) >= 3 })
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -322,12 +322,12 @@
 	ctx, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
-	require.NoError(t, r.Logged(ctx, "n", "event=stopping", 1))
+	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
 	time.Sleep(takeOn / 2)
 	require.NoError(t, r.Signal("n", syscall.SIGSTOP))
 	var conns []net.Conn
 	for i := range 100 {
-		conn, err := net.Dial("tcp", r.Wired("n").Client)
+		conn, err := net.Dial("tcp", r.Addresses("n").Client)
 		require.NoError(t, err)
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(patience))
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.Cleanup(func(code int) {
-		fleet.Clean()
+		fleet.RemoveBuilds()
 		os.Exit(code)
 	}))
 }
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -19,10 +19,10 @@
 )
 
 // process starts a process of the program with two hosts a block.
-func process(t *testing.T, edit func(s *fleet.Shape)) *fleet.Rig {
-	s := fleet.Shape{Seed: 1, Places: []fleet.Place{{Name: "n"}}}
-	for i := range 2 * fleet.Blocks {
-		s.Hosts = append(s.Hosts, fleet.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % fleet.Blocks})
+func process(t *testing.T, edit func(s *fleet.Config)) *fleet.Cluster {
+	s := fleet.Config{Seed: 1, Instances: []fleet.Instance{{Name: "n"}}}
+	for i := range 2 * fleet.BlockCount {
+		s.Hosts = append(s.Hosts, fleet.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % fleet.BlockCount})
 	}
 	if edit != nil {
 		edit(&s)
@@ -55,7 +55,7 @@
 	}
 	var g sync.WaitGroup
 	for k := range 8 {
-		conn, err := net.Dial("tcp", r.Wired("n").Client)
+		conn, err := net.Dial("tcp", r.Addresses("n").Client)
 		require.NoError(t, err)
 		defer conn.Close()
 		g.Go(func() {
@@ -106,10 +106,10 @@
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
 	ctx, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
-	require.NoError(t, r.Logged(ctx, "n", "event=stopping", 1))
+	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
 	close(term)
 	require.Eventually(t, func() bool { // no new connection is taken any more
-		_, err := r.Health(ctx, "n")
+		_, err := r.GetHealth(ctx, "n")
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}, patience, 10*time.Millisecond)
 	mu.Lock()
@@ -132,12 +132,12 @@
 // A process whose clients close, or stay without a word, ends by itself after SIGTERM.
 func TestEndWithIdleConnections(t *testing.T) {
 	r := process(t, nil)
-	conn, err := net.Dial("tcp", r.Wired("n").Client)
+	conn, err := net.Dial("tcp", r.Addresses("n").Client)
 	require.NoError(t, err)
 	defer conn.Close()
 	ctx, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
-	require.NoError(t, r.Term(ctx, "n"))
+	require.NoError(t, r.Terminate(ctx, "n"))
 	require.Contains(t, r.Log("n"), "event=stopped")
 }
 
@@ -148,7 +148,7 @@
 	var conns []net.Conn
 	var readers []*http1.Reader
 	dial := func() net.Conn {
-		conn, err := net.Dial("tcp", r.Wired("n").Client)
+		conn, err := net.Dial("tcp", r.Addresses("n").Client)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(patience))
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -73,7 +73,7 @@
 func (l *life) start(out *os.File, before ...string) {
 	ctx, stop := context.WithTimeout(context.Background(), 6*patience) // the program is built first
 	defer stop()
-	path, err := fleet.Program(ctx)
+	path, err := fleet.BuildProgram(ctx)
 	require.NoError(l.t, err)
 	args := append(before, path)
 	l.cmd, l.log, l.ended = exec.Command(args[0], args[1:]...), &journal{}, make(chan error, 1)
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -169,8 +169,8 @@
 		"a pushed list, over a watch that is silent": {[]string{"silent"}, 1, "automatic", afterWait, 0},
 	} {
 		a := newAgent(t, x.faults...)
-		r := process(t, func(s *fleet.Shape) {
-			s.List, s.Settings = a.ln.Addr().String(), fleet.Settings(1, []string{"z"})
+		r := process(t, func(s *fleet.Config) {
+			s.DiscoveryAddress, s.Settings = a.ln.Addr().String(), fleet.DefaultSettings(1, []string{"z"})
 			s.Settings["Discovery"] = x.by
 		})
 		all.Go(func() error {
@@ -182,8 +182,8 @@
 				}
 			}
 			time.Sleep(x.pending)
-			changed := a.tell(r.List("n"))
-			if err := r.Logged(ctx, "n", "how=Complete version=2", 1); err != nil {
+			changed := a.tell(r.Endpoints("n"))
+			if err := r.WaitLogged(ctx, "n", "how=Complete version=2", 1); err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
 			took := time.Since(changed)
@@ -202,30 +202,30 @@
 func TestWhenAListIsToldAtAStartAndAfterSIGHUP(t *testing.T) {
 	t.Parallel()
 	a, next := newAgent(t), newAgent(t, "silent")
-	r := process(t, func(s *fleet.Shape) { s.List = a.ln.Addr().String() })
+	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
 	ctx, stop := context.WithTimeout(context.Background(), 2*patience)
 	defer stop()
 	for range 3 { // versions there are ahead of the other agent's
-		a.tell(r.List("n"))
+		a.tell(r.Endpoints("n"))
 	}
-	require.NoError(t, r.Logged(ctx, "n", "how=Complete version=4", 1))
+	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=4", 1))
 	require.NoError(t, r.Kill(ctx, "n"))
-	a.tell(r.List("n"))
+	a.tell(r.Endpoints("n"))
 	require.NoError(t, r.Start(ctx, "n"))
 	began := time.Now()
-	require.NoError(t, r.Logged(ctx, "n", "how=Complete version=5", 1))
+	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=5", 1))
 	t.Logf("told %v after it serves", time.Since(began).Round(time.Millisecond))
 	require.Less(t, time.Since(began), time.Second)
-	next.entries = r.List("n")
-	require.NoError(t, r.Edited("n", "plan.json", a.ln.Addr().String(), next.ln.Addr().String()))
+	next.entries = r.Endpoints("n")
+	require.NoError(t, r.ReplaceInFile("n", "plan.json", a.ln.Addr().String(), next.ln.Addr().String()))
 	require.NoError(t, r.Signal("n", syscall.SIGHUP))
 	hup := time.Now()
-	require.NoError(t, r.Logged(ctx, "n", "how=Complete version=1", 1))
+	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=1", 1))
 	t.Logf("the new agent's list is told %v after SIGHUP", time.Since(hup).Round(time.Millisecond))
 	require.Less(t, time.Since(hup), 6*time.Second)
 	time.Sleep(4*time.Second - time.Since(hup))
-	changed := next.tell(r.List("n"))
-	require.NoError(t, r.Logged(ctx, "n", "how=Complete version=2", 1))
+	changed := next.tell(r.Endpoints("n"))
+	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=2", 1))
 	require.Less(t, time.Since(changed), time.Second)
 }
 
--- a/internal/benchmark/classes_test.go
+++ b/internal/benchmark/classes_test.go
@@ -16,14 +16,14 @@
 // A type that is a twentieth of the searches counts as any other: in trouble its served share is not given up for that of
 // the rest, though it needs every block and they need three quarters.
 func TestATwentiethCounts(t *testing.T) {
-	defer clustertest.Clean()
+	defer clustertest.RemoveBuilds()
 	for name, x := range map[string]struct {
 		rate  float64
 		spoil func(host int, r *rand.Rand) time.Duration // of a part; less than 0 never answers
 	}{
 		"more load than there is room for": {260, func(int, *rand.Rand) time.Duration { return 16 * time.Millisecond }},
 		"half of the hosts silent, too much for the rest": {120, func(host int, _ *rand.Rand) time.Duration {
-			if host < clustertest.Blocks {
+			if host < clustertest.BlockCount {
 				return -1
 			}
 			return 16 * time.Millisecond
@@ -31,13 +31,13 @@
 	} {
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 		defer stop()
-		s := clustertest.Shape{Seed: 1, Places: []clustertest.Place{{Name: "n"}}}
-		for i := range 2 * clustertest.Blocks {
+		s := clustertest.Config{Seed: 1, Instances: []clustertest.Instance{{Name: "n"}}}
+		for i := range 2 * clustertest.BlockCount {
 			chance := rand.New(rand.NewSource(int64(i)))
 			work := make(chan struct{}, 1)
 			work <- struct{}{}
-			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % clustertest.Blocks,
-				Do: fake.Workers(ctx, 1, func() time.Duration {
+			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % clustertest.BlockCount,
+				Handler: fake.Workers(ctx, 1, func() time.Duration {
 					<-work
 					defer func() { work <- struct{}{} }()
 					return x.spoil(i, chance)
@@ -46,17 +46,17 @@
 		r, err := clustertest.New(ctx, s)
 		require.NoError(t, err)
 		defer r.Close()
-		asks := r.Asks(1, "k", x.rate, 6*time.Second, 2*time.Second, "acme")
+		asks := r.DrawSearches(1, "k", x.rate, 6*time.Second, 2*time.Second, "acme")
 		for i := range asks {
 			if asks[i].Type = "quick-picks"; i%20 == 0 {
 				asks[i].Type = "full-match"
 			}
 		}
-		answers := r.Play(ctx, asks)
-		require.Empty(t, r.Judge(answers, clustertest.Rules{}).Missed())
+		answers := r.PlaySearches(ctx, asks)
+		require.Empty(t, r.Judge(answers, clustertest.AuditRules{}).DescribeViolations())
 		all, good := map[string]float64{}, map[string]float64{}
 		for _, a := range answers {
-			if all[a.Type]++; a.Status == 200 && a.Took < time.Second {
+			if all[a.Type]++; a.Status == 200 && a.Latency < time.Second {
 				good[a.Type]++
 			}
 		}
--- a/internal/benchmark/fleetrig_test.go
+++ b/internal/benchmark/fleetrig_test.go
@@ -14,10 +14,10 @@
 
 // Real processes find each other through relays, tell a cut from a kill from a leave, and serve through all of it.
 func TestFleetOfProcesses(t *testing.T) {
-	defer clustertest.Clean()
+	defer clustertest.RemoveBuilds()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	r, err := startRig(ctx, 1, 1, func(w clustertest.Wired) string {
+	r, err := startRig(ctx, 1, 1, func(w clustertest.InstanceAddresses) string {
 		return fleetText(w, map[string]string{"store": w.Dir + "/fleet.db"})
 	}, nil)
 	require.NoError(t, err)
@@ -25,18 +25,20 @@
 	names := []string{"east-0", "north-0", "west-0"}
 	logged := func(name, text string, times int) {
 		t.Helper()
-		require.NoError(t, r.Logged(ctx, name, text, times), "%s: %s\n%s", name, text, r.Log(name))
+		require.NoError(t, r.WaitLogged(ctx, name, text, times), "%s: %s\n%s", name, text, r.Log(name))
 	}
 	for _, name := range names {
 		logged(name, "event=fleet_majority majority=true", 1)
 	}
-	answers := make(chan []clustertest.Answer, 1)
-	go func() { answers <- r.Play(ctx, r.Asks(1, "f", 20, 12*time.Second, 5*time.Second, "acme")) }()
+	answers := make(chan []clustertest.ClientResult, 1)
+	go func() {
+		answers <- r.PlaySearches(ctx, r.DrawSearches(1, "f", 20, 12*time.Second, 5*time.Second, "acme"))
+	}()
 
 	cut := func(on bool) {
 		for _, other := range names[1:] {
-			r.Edit("east-0", other, func(f *clustertest.Fault) { f.Cut = on })
-			r.Edit(other, "east-0", func(f *clustertest.Fault) { f.Cut = on })
+			r.EditLink("east-0", other, func(f *clustertest.LinkFault) { f.Cut = on })
+			r.EditLink(other, "east-0", func(f *clustertest.LinkFault) { f.Cut = on })
 		}
 	}
 	cut(true)
@@ -52,13 +54,13 @@
 	logged("east-0", "event=fleet_member name=west-0 state=gone", 1)
 	require.NoError(t, r.Start(ctx, "west-0"))
 	logged("east-0", "event=fleet_member name=west-0 state=alive", before+1)
-	require.NoError(t, r.Term(ctx, "west-0"))
+	require.NoError(t, r.Terminate(ctx, "west-0"))
 	logged("east-0", "event=fleet_member name=west-0 state=left", 1)
 	logged("north-0", "event=fleet_member name=west-0 state=left", 1)
 	for _, name := range names {
 		require.NotContains(t, r.Log(name), "fleet_name_twice", "a restart is no second claim")
 	}
-	v := r.Judge(<-answers, clustertest.Rules{})
-	require.Empty(t, v.Missed())
+	v := r.Judge(<-answers, clustertest.AuditRules{})
+	require.Empty(t, v.DescribeViolations())
 	require.Greater(t, v.Good, v.Searches*9/10, fmt.Sprint(v))
 }
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -39,7 +39,7 @@
 )
 
 type sharers struct {
-	r     *clustertest.Rig
+	r     *clustertest.Cluster
 	ctx   context.Context
 	names []string
 
@@ -56,7 +56,7 @@
 	}
 	ctx, stop := context.WithTimeout(s.ctx, 20*time.Second)
 	defer stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.r.Wired(name).Client+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.r.Addresses(name).Client+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 }
 
 func (s *sharers) cut(a, b string, cut bool) {
-	s.r.Edit(a, b, func(f *clustertest.Fault) { f.Cut = cut })
+	s.r.EditLink(a, b, func(f *clustertest.LinkFault) { f.Cut = cut })
 }
 
 // MeasureLedger measures what instances share on real processes in three regions: killed while they write, their links cut and slow,
@@ -204,16 +204,16 @@
 	if err := os.WriteFile(program, []byte(fmt.Sprintf("#!/bin/sh\nshift\nexec %q sharer \"$@\"\n", self)), 0o700); err != nil {
 		return Result{}, err
 	}
-	r, err := startRig(ctx, seed, ledgerEach, func(w clustertest.Wired) string {
+	r, err := startRig(ctx, seed, ledgerEach, func(w clustertest.InstanceAddresses) string {
 		return fleetText(w, map[string]string{"store": ledgerStore})
-	}, func(shape *clustertest.Shape) {
-		shape.Program, shape.Hosts, shape.Relayed = program, shape.Hosts[:clustertest.Blocks], false
+	}, func(shape *clustertest.Config) {
+		shape.ProgramPath, shape.Hosts, shape.Relayed = program, shape.Hosts[:clustertest.BlockCount], false
 	})
 	if err != nil {
 		return Result{}, err
 	}
 	defer r.Close()
-	s := &sharers{r: r, ctx: ctx, names: r.Names(), live: map[string]bool{}, dead: map[string]bool{}}
+	s := &sharers{r: r, ctx: ctx, names: r.InstanceNames(), live: map[string]bool{}, dead: map[string]bool{}}
 	out := Result{Fields: map[string]any{"processes": len(s.names)}}
 	if err := s.kills(&out, seed); err != nil {
 		return out, fmt.Errorf("kills: %w", err)
@@ -264,7 +264,7 @@
 	chance := rand.New(rand.NewSource(seed))
 	for i := range ledgerOlder + ledgerFlipped {
 		name := s.names[chance.Intn(len(s.names))]
-		if err := s.r.Copy(name, ledgerStore, "older.db"); err != nil {
+		if err := s.r.CopyPath(name, ledgerStore, "older.db"); err != nil {
 			return err
 		}
 		for _, n := range s.names {
@@ -280,12 +280,12 @@
 		}
 		if done.Add(1); i < ledgerOlder {
 			olds.Add(1)
-			if err := s.r.Copy(name, "older.db", ledgerStore); err != nil {
+			if err := s.r.CopyPath(name, "older.db", ledgerStore); err != nil {
 				return err
 			}
 		} else {
 			flips.Add(1)
-			path := filepath.Join(s.r.Wired(name).Dir, ledgerStore)
+			path := filepath.Join(s.r.Addresses(name).Dir, ledgerStore)
 			text, err := os.ReadFile(path)
 			if err != nil {
 				return err
@@ -363,13 +363,13 @@
 	if err := s.r.Kill(s.ctx, s.names[0]); err != nil {
 		return err
 	}
-	disk, err := os.ReadFile(filepath.Join(s.r.Wired(s.names[0]).Dir, ledgerStore))
+	disk, err := os.ReadFile(filepath.Join(s.r.Addresses(s.names[0]).Dir, ledgerStore))
 	if err != nil {
 		return err
 	}
 	for i, n := range s.names {
 		if i > 0 {
-			if err := os.WriteFile(filepath.Join(s.r.Wired(n).Dir, ledgerStore), disk, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(s.r.Addresses(n).Dir, ledgerStore), disk, 0o600); err != nil {
 				return err
 			}
 		}
--- a/internal/benchmark/recovery.go
+++ b/internal/benchmark/recovery.go
@@ -48,10 +48,10 @@
 func MeasureRecovery(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 57*time.Second)
 	defer stop()
-	defer clustertest.Clean()
+	defer clustertest.RemoveBuilds()
 	chance := rand.New(rand.NewSource(seed))
 	var healed, gone atomic.Bool
-	shape := clustertest.Shape{Seed: seed, Relayed: true, File: func(w clustertest.Wired) string {
+	shape := clustertest.Config{Seed: seed, Relayed: true, InstallationFile: func(w clustertest.InstanceAddresses) string {
 		if strings.HasPrefix(w.Name, "kept") {
 			return "store: kept.db\n"
 		}
@@ -59,16 +59,16 @@
 	}}
 	for i := range recoverEach {
 		for _, kind := range []string{"kept", "cold"} {
-			shape.Places = append(shape.Places, clustertest.Place{Name: fmt.Sprintf("%s-%d", kind, i), Region: "east", Zone: "east-1"})
+			shape.Instances = append(shape.Instances, clustertest.Instance{Name: fmt.Sprintf("%s-%d", kind, i), Region: "east", Zone: "east-1"})
 		}
 	}
 	hung, left := map[string]bool{}, map[string]bool{}
-	for cell := range clustertest.Blocks {
+	for cell := range clustertest.BlockCount {
 		for i := range recoverHosts {
 			id := fmt.Sprintf("h%d%d", cell, i)
 			hung[id] = i == 0 || i == 1 && cell%2 == 0
 			left[id] = i == 2 && cell%2 == 1
-			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: id, Zone: "east-1", Cell: cell, Do: func(p fake.Part) {
+			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: id, Zone: "east-1", Cell: cell, Handler: func(p fake.Part) {
 				if hung[id] && !healed.Load() || left[id] && gone.Load() {
 					return
 				}
@@ -83,20 +83,20 @@
 	defer r.Close()
 	time.AfterFunc(time.Second, func() {
 		gone.Store(true)
-		r.Tell(func(e *fake.Entry) {
+		r.EditEndpoints(func(e *fake.Entry) {
 			if left[e.ID] {
 				e.State = "removed"
 			}
 		})
 	})
 	lives, mu := map[string]*reborn{}, sync.Mutex{}
-	var all []clustertest.Answer
-	play := func(name, id string, length time.Duration) []clustertest.Answer {
-		asks := r.Asks(seed, id+"-"+name, recoverRate, length, labPatience, "acme", "other")
+	var all []clustertest.ClientResult
+	play := func(name, id string, length time.Duration) []clustertest.ClientResult {
+		asks := r.DrawSearches(seed, id+"-"+name, recoverRate, length, labPatience, "acme", "other")
 		for i := range asks {
-			asks[i].To = []string{name}
+			asks[i].Targets = []string{name}
 		}
-		got := r.Play(ctx, asks)
+		got := r.PlaySearches(ctx, asks)
 		mu.Lock()
 		defer mu.Unlock()
 		all = append(all, got...)
@@ -106,7 +106,7 @@
 	for _, phase := range phases {
 		lives[phase+" kept"], lives[phase+" cold"] = &reborn{}, &reborn{}
 		var g errgroup.Group
-		for _, name := range r.Names() {
+		for _, name := range r.InstanceNames() {
 			kill := recoverWarm + time.Duration(chance.Int63n(int64(recoverDrawn)))
 			g.Go(func() error {
 				var warm sync.WaitGroup
@@ -115,7 +115,7 @@
 				case <-time.After(kill):
 				case <-ctx.Done():
 				}
-				r.Edit(name, "list", func(f *clustertest.Fault) { f.Refuse = true })
+				r.EditLink(name, "list", func(f *clustertest.LinkFault) { f.Refuse = true })
 				err := r.Kill(ctx, name)
 				warm.Wait()
 				return err
@@ -126,7 +126,7 @@
 		}
 		healed.Store(phase == "healed")
 		g = errgroup.Group{}
-		for _, name := range r.Names() {
+		for _, name := range r.InstanceNames() {
 			kind, _, _ := strings.Cut(name, "-")
 			g.Go(func() error {
 				began := time.Now()
@@ -138,11 +138,11 @@
 				mu.Lock()
 				lives[phase+" "+kind].saw(ready, got)
 				mu.Unlock()
-				r.Edit(name, "list", func(f *clustertest.Fault) { f.Refuse = false })
+				r.EditLink(name, "list", func(f *clustertest.LinkFault) { f.Refuse = false })
 				if phase == "healed" {
 					return nil
 				}
-				return errors.Join(r.Term(ctx, name), r.Start(ctx, name)) // a planned stop: three kills would be a crash loop
+				return errors.Join(r.Terminate(ctx, name), r.Start(ctx, name)) // a planned stop: three kills would be a crash loop
 			})
 		}
 		if err := g.Wait(); err != nil {
@@ -150,7 +150,7 @@
 		}
 	}
 	out := Result{Fields: map[string]any{}}
-	for _, name := range r.Names() {
+	for _, name := range r.InstanceNames() {
 		for _, bad := range []string{"event=store_away", "event=store_told", "event=store_failed", "event=crash_loop"} {
 			if strings.Contains(r.Log(name), bad) {
 				out.MissedGoals = append(out.MissedGoals, name+" logged "+bad)
@@ -164,8 +164,8 @@
 	if out.Fields["put_aside"] = aside; aside < recoverEach {
 		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d of %d spoilt stores were put aside", aside, recoverEach))
 	}
-	for _, p := range r.Audit.Parts() {
-		phase, rest, _ := strings.Cut(p.Search, "-")
+	for _, p := range r.Audit.ShardRequests() {
+		phase, rest, _ := strings.Cut(p.SearchID, "-")
 		kind, _, _ := strings.Cut(rest, "-")
 		switch l := lives[phase+" "+kind]; {
 		case l == nil:
@@ -175,7 +175,7 @@
 			l.removed++
 		}
 	}
-	out.judged(r.Judge(all, clustertest.Rules{}))
+	out.judged(r.Judge(all, clustertest.AuditRules{}))
 	for _, phase := range phases {
 		kept, cold := lives[phase+" kept"], lives[phase+" cold"]
 		out.Fields[phase] = map[string]any{"kept": kept.fields(), "cold": cold.fields()}
@@ -186,13 +186,13 @@
 
 // spoil kills the instances with a store once more and spoils what they kept: bits at drawn places in one, the end cut off
 // at a drawn length in the other. They start and serve all the same; aside counts the stores that were put aside.
-func spoil(ctx context.Context, r *clustertest.Rig, chance *rand.Rand, play func(name, id string, length time.Duration) []clustertest.Answer) (aside int, err error) {
+func spoil(ctx context.Context, r *clustertest.Cluster, chance *rand.Rand, play func(name, id string, length time.Duration) []clustertest.ClientResult) (aside int, err error) {
 	for i := range recoverEach {
 		name := fmt.Sprintf("kept-%d", i)
 		if err := r.Kill(ctx, name); err != nil {
 			return 0, err
 		}
-		path := filepath.Join(r.Wired(name).Dir, "kept.db")
+		path := filepath.Join(r.Addresses(name).Dir, "kept.db")
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return 0, err
@@ -219,17 +219,17 @@
 }
 
 // saw takes in one life's answers.
-func (l *reborn) saw(ready time.Duration, got []clustertest.Answer) {
+func (l *reborn) saw(ready time.Duration, got []clustertest.ClientResult) {
 	first := recoverLook
 	for _, a := range got {
-		if a.Finals != 1 {
+		if a.FinalCount != 1 {
 			l.lost++
 		}
 		if a.Status == 200 {
-			first = min(first, a.At+a.Took)
+			first = min(first, a.At+a.Latency)
 		}
 		if a.At < recoverEarly {
-			l.early = append(l.early, 1000*a.Took.Seconds())
+			l.early = append(l.early, 1000*a.Latency.Seconds())
 		}
 	}
 	l.ready = append(l.ready, 1000*ready.Seconds())
--- a/internal/benchmark/residency.go
+++ b/internal/benchmark/residency.go
@@ -45,7 +45,7 @@
 func MeasureResidency(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
-	defer clustertest.Clean()
+	defer clustertest.RemoveBuilds()
 	calm := watchStalls(ctx)
 	var with, without zonesRun
 	var g sync.WaitGroup
@@ -58,13 +58,13 @@
 	if err != nil {
 		return Result{}, err
 	}
-	out := Result{Fields: map[string]any{"searches": with.verdict.Searches, "parts": with.verdict.Parts, "outside": with.outside,
+	out := Result{Fields: map[string]any{"searches": with.verdict.Searches, "parts": with.verdict.ShardRequests, "outside": with.outside,
 		"caught": with.caught, "without_one_answer": with.broken["one_answer"], "free_share": round(with.share["other"]),
 		"free_share_without_contracts": round(without.share["other"]), "tighten_to_last_ms": with.last.Milliseconds(),
 		"agreed_ms": with.agreed.Milliseconds(), "refused": with.refused, "refused_p99_ms": round(1000 * with.refusedP99.Seconds()),
 		"late": with.broken["in_time"], "bound_share": round(with.share["acme"]), "leases_ended": with.lapses, "schedule": with.schedule}}
 	miss := func(format string, v ...any) { out.MissedGoals = append(out.MissedGoals, fmt.Sprintf(format, v...)) }
-	for _, b := range with.verdict.Broken {
+	for _, b := range with.verdict.Violations {
 		if b.Name != "in_time" { // on a machine that is busy
 			miss("%s broken %d times, first: %s", b.Name, b.Count, b.First)
 		}
@@ -132,7 +132,7 @@
 func playZones(ctx context.Context, seed int64, bound bool) (run zonesRun, err error) {
 	chance := rand.New(rand.NewSource(seed))
 	zones := []string{"eu-1", "us-1", "ap-1", "sea-1"}
-	shape := clustertest.Shape{Seed: seed, Settings: clustertest.Settings(5, zones), Places: []clustertest.Place{{Name: "e1", Region: "eu", Zone: "eu-1"},
+	shape := clustertest.Config{Seed: seed, Settings: clustertest.DefaultSettings(5, zones), Instances: []clustertest.Instance{{Name: "e1", Region: "eu", Zone: "eu-1"},
 		{Name: "e2", Region: "eu", Zone: "eu-1"}, {Name: "u1", Region: "us", Zone: "us-1"}, {Name: "u2", Region: "us", Zone: "us-1"},
 		{Name: "p1", Region: "ap", Zone: "ap-1"}}}
 	var tenants []any
@@ -141,12 +141,12 @@
 	}
 	shape.Settings["Tenants"] = tenants
 	for _, zone := range zones[:3] {
-		for cell := range clustertest.Blocks {
+		for cell := range clustertest.BlockCount {
 			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: fmt.Sprintf("%s-%d", zone, cell), Zone: zone, Cell: cell})
 		}
 	}
 	shape.Hosts = append(shape.Hosts, clustertest.Host{ID: "sea-1-0", Zone: "sea-1", Cell: 0})
-	shape.File = func(w clustertest.Wired) string {
+	shape.InstallationFile = func(w clustertest.InstanceAddresses) string {
 		more := map[string]string{"store": "kept.db"}
 		if bound {
 			more["residency"] = "contracts.yaml"
@@ -161,12 +161,12 @@
 		return run, err
 	}
 	defer r.Close()
-	names := r.Names()
+	names := r.InstanceNames()
 	if bound { // the first lease is held before anything is asked
 		up, stop := context.WithTimeout(ctx, 10*time.Second)
 		defer stop()
 		for _, name := range names {
-			if err := r.Logged(up, name, "event=residency_lease ", 1); err != nil {
+			if err := r.WaitLogged(up, name, "event=residency_lease ", 1); err != nil {
 				return run, err
 			}
 		}
@@ -194,7 +194,7 @@
 		if !bound {
 			return nil
 		}
-		return r.Write(name, "contracts.yaml", text)
+		return r.WriteFile(name, "contracts.yaml", text)
 	}
 	actions := map[string]func([]string) error{
 		"tighten": func(to []string) error {
@@ -212,7 +212,7 @@
 		},
 		"move": func([]string) error {
 			moved = time.Now()
-			r.Tell(func(e *fake.Entry) {
+			r.EditEndpoints(func(e *fake.Entry) {
 				if e.ID == "eu-1-3" {
 					e.Zone = "us-1"
 				}
@@ -220,17 +220,17 @@
 			return nil
 		},
 	}
-	asks := r.Asks(seed, "z", zonesRate, zonesFor, zonesPatience, "acme", "acme", "nomad", "lone", "other", "other")
-	answers := make(chan []clustertest.Answer, 1)
-	go func() { answers <- r.Play(ctx, asks) }()
-	err = r.Run(ctx, s, actions)
+	asks := r.DrawSearches(seed, "z", zonesRate, zonesFor, zonesPatience, "acme", "acme", "nomad", "lone", "other", "other")
+	answers := make(chan []clustertest.ClientResult, 1)
+	go func() { answers <- r.PlaySearches(ctx, asks) }()
+	err = r.RunSchedule(ctx, s, actions)
 	got := <-answers
 	if err != nil {
 		return run, err
 	}
 	run.share = servedShares(got)
 	if !bound {
-		run.verdict = r.Judge(got, clustertest.Rules{})
+		run.verdict = r.Judge(got, clustertest.AuditRules{})
 		return run, nil
 	}
 	if run.agreed, err = firstLogged(r, names, "event=residency_agreed generation=2", tightened); err != nil {
@@ -262,9 +262,9 @@
 		}
 		return true
 	}
-	run.verdict = r.Judge(got, clustertest.Rules{Allowed: allowed})
+	run.verdict = r.Judge(got, clustertest.AuditRules{AllowsZone: allowed})
 	run.broken = map[string]int{}
-	for _, b := range run.verdict.Broken {
+	for _, b := range run.verdict.Violations {
 		run.broken[b.Name] = b.Count
 	}
 	run.outside = run.broken["allowed_zone"]
@@ -274,8 +274,8 @@
 		tenant[a.ID] = a.Tenant
 		if strings.Contains(a.Body, `"residency"`) {
 			run.refused++
-			if len(a.Tries) == 1 {
-				refused = append(refused, a.Took)
+			if len(a.Attempts) == 1 {
+				refused = append(refused, a.Latency)
 			}
 		}
 		switch {
@@ -285,8 +285,8 @@
 			run.missed = append(run.missed, a.ID+": a refusal that does not name the tenant: "+a.Body)
 		}
 	}
-	for _, p := range r.Audit.Parts() {
-		if tenant[p.Search] == "acme" && p.Zone == "us-1" && p.At.After(tightened) && (moved.IsZero() || p.At.Before(moved)) {
+	for _, p := range r.Audit.ShardRequests() {
+		if tenant[p.SearchID] == "acme" && p.Zone == "us-1" && p.At.After(tightened) && (moved.IsZero() || p.At.Before(moved)) {
 			run.last = max(run.last, p.At.Sub(tightened))
 		}
 	}
@@ -324,13 +324,13 @@
 }
 
 // servedAgain waits until an instance answers a tenant's search.
-func servedAgain(ctx context.Context, r *clustertest.Rig, name, tenant string) error {
+func servedAgain(ctx context.Context, r *clustertest.Cluster, name, tenant string) error {
 	for n := 0; ; n++ {
 		s := fake.Search{ID: fmt.Sprintf("again-%s-%s-%d", tenant, name, n), Type: quickPicks, Tenant: tenant, Patience: zonesPatience}
-		for b := range clustertest.Blocks {
+		for b := range clustertest.BlockCount {
 			s.Shards = append(s.Shards, b)
 		}
-		got := r.Play(ctx, []clustertest.Ask{{Search: s, To: []string{name}}})
+		got := r.PlaySearches(ctx, []clustertest.ScheduledSearch{{Search: s, Targets: []string{name}}})
 		if len(got) == 1 && got[0].Status == http.StatusOK {
 			return nil
 		}
@@ -342,7 +342,7 @@
 }
 
 // servedShares are the shares of searches that were answered, by tenant.
-func servedShares(all []clustertest.Answer) map[string]float64 {
+func servedShares(all []clustertest.ClientResult) map[string]float64 {
 	good, n := map[string]float64{}, map[string]float64{}
 	for _, a := range all {
 		if n[a.Tenant]++; a.Status == http.StatusOK {
@@ -356,7 +356,7 @@
 }
 
 // firstLogged is how long after a time the first instance wrote a line.
-func firstLogged(r *clustertest.Rig, names []string, text string, since time.Time) (first time.Duration, err error) {
+func firstLogged(r *clustertest.Cluster, names []string, text string, since time.Time) (first time.Duration, err error) {
 	for _, name := range names {
 		for line := range strings.Lines(r.Log(name)) {
 			if !strings.Contains(line, text) {
@@ -379,7 +379,7 @@
 }
 
 // metric reads one figure of an instance's /metrics.
-func metric(ctx context.Context, r *clustertest.Rig, instance, name string) (v float64, err error) {
+func metric(ctx context.Context, r *clustertest.Cluster, instance, name string) (v float64, err error) {
 	_, text, err := r.Get(ctx, instance, "/metrics")
 	if err != nil {
 		return 0, err
--- a/internal/benchmark/rigs_test.go
+++ b/internal/benchmark/rigs_test.go
@@ -25,12 +25,12 @@
 }
 
 // astray names what an instance believes by its log, in its last life, of a fleet that is whole again and should not.
-func astray(r *clustertest.Rig, name string) string {
-	log := r.Life(name)
+func astray(r *clustertest.Cluster, name string) string {
+	log := r.LogSinceLaunch(name)
 	if at := lastOf(log, "event=fleet_majority"); at != "" && !strings.Contains(at, "majority=true") {
 		return fmt.Sprintf("%s: %s", name, at)
 	}
-	for _, o := range r.Wired(name).Others {
+	for _, o := range r.Addresses(name).Peers {
 		if at := lastOf(log, "event=fleet_member name="+o.Name+" "); !strings.Contains(at, "state=alive") {
 			return fmt.Sprintf("%s: %s of %s", name, at, o.Name)
 		}
@@ -42,7 +42,7 @@
 // once all is healed each sees each. The text of the schedule stands in what fails, and plays the same faults again;
 // RIG_SEED names other seeds than the ones that are always played.
 func TestFleetUnderDrawnFaults(t *testing.T) {
-	defer clustertest.Clean()
+	defer clustertest.RemoveBuilds()
 	seeds := []int64{3, 4}
 	if n, err := strconv.ParseInt(os.Getenv("RIG_SEED"), 10, 64); err == nil {
 		seeds = []int64{n}
@@ -50,29 +50,31 @@
 	for _, seed := range seeds {
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 		defer stop()
-		r, err := startRig(ctx, seed, 2, func(w clustertest.Wired) string { return fleetText(w, map[string]string{"store": "fleet.db"}) }, nil)
+		r, err := startRig(ctx, seed, 2, func(w clustertest.InstanceAddresses) string {
+			return fleetText(w, map[string]string{"store": "fleet.db"})
+		}, nil)
 		require.NoError(t, err)
 		defer r.Close()
 		far := []string{"list"}
-		for _, e := range r.List("east-0") {
+		for _, e := range r.Endpoints("east-0") {
 			far = append(far, e.ID)
 		}
-		s := clustertest.Draw(seed, r.Names(), far, 18, 5*time.Second, 2, "kill", "stop", "cut", "delay", "reset", "drop", "hang", "trickle", "refuse", "split", "split")
+		s := clustertest.DrawSchedule(seed, r.InstanceNames(), far, 18, 5*time.Second, 2, "kill", "stop", "cut", "delay", "reset", "drop", "hang", "trickle", "refuse", "split", "split")
 		ran := make(chan error, 1)
-		go func() { ran <- r.Run(ctx, s, nil) }()
-		answers := r.Play(ctx, r.Asks(seed, "q", 100, 5*time.Second, 3*time.Second, "acme", "other"))
+		go func() { ran <- r.RunSchedule(ctx, s, nil) }()
+		answers := r.PlaySearches(ctx, r.DrawSearches(seed, "q", 100, 5*time.Second, 3*time.Second, "acme", "other"))
 		require.NoError(t, <-ran, "%s", s)
 		var out Result
-		out.judged(r.Judge(answers, clustertest.Rules{}))
+		out.judged(r.Judge(answers, clustertest.AuditRules{}))
 		if len(out.MissedGoals) > 0 {
-			for _, name := range r.Names() {
-				t.Logf("%s:\n%s", name, r.Life(name))
+			for _, name := range r.InstanceNames() {
+				t.Logf("%s:\n%s", name, r.LogSinceLaunch(name))
 			}
 		}
 		require.Empty(t, out.MissedGoals, "%s", s)
 		require.Greater(t, worthOf(answers), 0.6, "%v\n%s", out.Fields, s)
 		healed := time.Now()
-		for _, name := range r.Names() {
+		for _, name := range r.InstanceNames() {
 			require.Eventually(t, func() bool { return astray(r, name) == "" }, 20*time.Second, 10*time.Millisecond, "%s\n%s\n%s",
 				name, s, r.Log(name))
 		}
--- a/internal/benchmark/rollout.go
+++ b/internal/benchmark/rollout.go
@@ -33,20 +33,20 @@
 // same faults: one that changes nothing, and one that is given a change which costs most of its answers, and after it one
 // that does no harm, under a partition, a kill and a delay.
 func MeasureRollout(ctx context.Context, seed int64) (out Result, err error) {
-	defer clustertest.Clean()
-	if _, err := clustertest.Program(ctx); err != nil { // a cold build is not the fleet's time
+	defer clustertest.RemoveBuilds()
+	if _, err := clustertest.BuildProgram(ctx); err != nil { // a cold build is not the fleet's time
 		return out, err
 	}
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
-	file := func(w clustertest.Wired) string {
+	file := func(w clustertest.InstanceAddresses) string {
 		return "log: {level: info}\n" + fleetText(w, map[string]string{"rollout": "rollout.yaml", "store": "fleet.db"})
 	}
-	busy := func(s *clustertest.Shape) {
+	busy := func(s *clustertest.Config) {
 		s.Relayed = false // the faults are between instances
 		for i := range s.Hosts {
 			drawn := uniform(seed+int64(i), 0, time.Second)
-			s.Hosts[i].Do = func(p fake.Part) {
+			s.Hosts[i].Handler = func(p fake.Part) {
 				if drawn() < time.Duration(rolloutBusy*float64(time.Second)) {
 					p.Reply("later", "-", "")
 					return
@@ -55,19 +55,19 @@
 			}
 		}
 	}
-	var rigs [2]*clustertest.Rig
+	var rigs [2]*clustertest.Cluster
 	for i := range rigs {
 		if rigs[i], err = startRig(ctx, seed, rolloutEach, file, busy); err != nil {
 			return out, err
 		}
 		defer rigs[i].Close()
 	}
-	r, names, chance := rigs[1], rigs[1].Names(), rand.New(rand.NewSource(seed))
-	var answers [2][]clustertest.Answer
+	r, names, chance := rigs[1], rigs[1].InstanceNames(), rand.New(rand.NewSource(seed))
+	var answers [2][]clustertest.ClientResult
 	var g sync.WaitGroup
 	for i := range rigs {
 		g.Go(func() {
-			answers[i] = rigs[i].Play(ctx, rigs[i].Asks(seed, "q", rolloutRate, rolloutFor, labPatience, "acme", "other"))
+			answers[i] = rigs[i].PlaySearches(ctx, rigs[i].DrawSearches(seed, "q", rolloutRate, rolloutFor, labPatience, "acme", "other"))
 		})
 	}
 	defer g.Wait()
@@ -89,7 +89,7 @@
 		return ok()
 	}
 	give := func(number int, settings string) error {
-		return r.Write(names[chance.Intn(len(names))], "rollout.yaml", rolloutChange(number, settings))
+		return r.WriteFile(names[chance.Intn(len(names))], "rollout.yaml", rolloutChange(number, settings))
 	}
 	if err := give(1, `{Permissions: {MaxAttempts: 1}}`); err != nil {
 		return out, err
@@ -111,12 +111,12 @@
 	text := fmt.Sprintf("seed %d\nat 0s delay %s>* %dms 5ms\nat %dms cut %s<>%s\nat %dms heal\nat %dms kill %s\nat %dms start %s\n", seed,
 		others[chance.Intn(len(others))], 10+chance.Intn(30), at, strings.Join(mine, ","), strings.Join(others, ","), at+2500, at+3500, killed,
 		at+4000, killed)
-	if faults, err = clustertest.Parse(text); err != nil {
+	if faults, err = clustertest.ParseSchedule(text); err != nil {
 		return out, err
 	}
 	ran := make(chan error, 2)
 	for _, one := range rigs {
-		go func() { ran <- one.Run(ctx, faults, nil) }()
+		go func() { ran <- one.RunSchedule(ctx, faults, nil) }()
 	}
 	all := until(rolloutFor-time.Second, func() bool { return serving(2) == len(names) })
 	took := time.Since(began) - given
@@ -126,10 +126,10 @@
 		}
 	}
 	g.Wait()
-	v := r.Judge(answers[1], clustertest.Rules{})
+	v := r.Judge(answers[1], clustertest.AuditRules{})
 	out.judged(v)
 	refused := 0
-	for _, b := range v.Broken {
+	for _, b := range v.Violations {
 		if b.Name == "refused" {
 			refused = b.Count
 		}
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -54,7 +54,7 @@
 
 // lists are the regions' files and what has to come of them.
 type lists struct {
-	r          *clustertest.Rig
+	r          *clustertest.Cluster
 	generation int
 	files      map[string]map[string]listed // by region and id
 	off        map[string]bool
@@ -119,7 +119,7 @@
 func MeasureSubscribers(ctx context.Context, seed int64) (out Result, err error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
-	defer clustertest.Clean()
+	defer clustertest.RemoveBuilds()
 	chance, got, news := rand.New(rand.NewSource(seed)), &receivers{}, atomic.Int64{}
 	l := &lists{generation: 1, files: map[string]map[string]listed{}, off: map[string]bool{}, url: map[string]string{}}
 	var long, watched, both []string
@@ -144,9 +144,9 @@
 			}
 		}
 	}
-	shape := func(s *clustertest.Shape) {
+	shape := func(s *clustertest.Config) {
 		for i := range s.Hosts {
-			s.Hosts[i].Do = func(p fake.Part) {
+			s.Hosts[i].Handler = func(p fake.Part) {
 				time.AfterFunc(2*time.Millisecond, func() {
 					if strings.HasPrefix(p.Text, "watch") {
 						p.Reply("good", "100", fmt.Sprintf("%s news %d", p.Text, news.Load()))
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	r, err := startRig(ctx, seed, listEach, func(w clustertest.Wired) string {
+	r, err := startRig(ctx, seed, listEach, func(w clustertest.InstanceAddresses) string {
 		_ = l.write(w.Region, func(_, text string) error {
 			return os.WriteFile(filepath.Join(w.Dir, "list.jsonl"), []byte(text), 0o600)
 		}, w.Name)
@@ -180,7 +180,7 @@
 			}
 		}
 	}()
-	names, step := r.Names(), time.Now()
+	names, step := r.InstanceNames(), time.Now()
 	phases := map[string]float64{}
 	phase := func(name string) {
 		phases[name], step = time.Since(step).Round(100*time.Millisecond).Seconds(), time.Now()
@@ -190,12 +190,12 @@
 		return out, fmt.Errorf("no one list at the start: %+v", l.states())
 	}
 	phase("start")
-	var answers []clustertest.Answer
+	var answers []clustertest.ClientResult
 	var clients sync.WaitGroup
 	loading, loaded := context.WithCancel(ctx)
 	defer loaded()
 	clients.Go(func() {
-		answers = r.Play(loading, r.Asks(seed, "q", listRate, time.Minute, labPatience, "acme", "other"))
+		answers = r.PlaySearches(loading, r.DrawSearches(seed, "q", listRate, time.Minute, labPatience, "acme", "other"))
 	})
 	defer clients.Wait()
 	defer loaded()
@@ -220,7 +220,7 @@
 	older := ""
 	if chance.Intn(2) == 0 {
 		older = of(x)[chance.Intn(listEach)]
-		if err := restart(older, func() error { return r.Copy(older, "fleet.db", "older.db") }); err != nil {
+		if err := restart(older, func() error { return r.CopyPath(older, "fleet.db", "older.db") }); err != nil {
 			return out, err
 		}
 		if err := wait(ctx, 2*time.Second); err != nil {
@@ -230,7 +230,7 @@
 	cut := func(from, to string, is bool) {
 		for _, a := range of(from) {
 			for _, b := range of(to) {
-				r.Edit(a, b, func(f *clustertest.Fault) { f.Cut = is })
+				r.EditLink(a, b, func(f *clustertest.LinkFault) { f.Cut = is })
 			}
 		}
 	}
@@ -268,7 +268,7 @@
 	}
 	want, changed := l.change(chance, x, y, both)
 	for _, region := range regions {
-		if err := l.write(region, func(name, text string) error { return r.Write(name, "list.jsonl", text) }, of(region)...); err != nil {
+		if err := l.write(region, func(name, text string) error { return r.WriteFile(name, "list.jsonl", text) }, of(region)...); err != nil {
 			return out, err
 		}
 	}
@@ -283,7 +283,7 @@
 	}
 	if older != "" {
 		kills = append(kills, older, older)
-		if err := restart(older, func() error { return r.Copy(older, "older.db", "fleet.db") }); err != nil {
+		if err := restart(older, func() error { return r.CopyPath(older, "older.db", "fleet.db") }); err != nil {
 			return out, err
 		}
 	}
@@ -332,7 +332,7 @@
 	again := changed.left[0]
 	l.generation++
 	l.files[x][again] = listed{"watch " + again, listEvery, 2}
-	if err := l.write(x, func(name, text string) error { return r.Write(name, "list.jsonl", text) }, of(x)...); err != nil {
+	if err := l.write(x, func(name, text string) error { return r.WriteFile(name, "list.jsonl", text) }, of(x)...); err != nil {
 		return out, err
 	}
 	back := l.until(ctx, 6*time.Second, func(s []listState) bool { return oneList(s) && s[0].on == len(want)+1 })
@@ -347,7 +347,7 @@
 	ends := make([]error, len(names))
 	var ending sync.WaitGroup
 	for i, name := range names {
-		ending.Go(func() { ends[i] = r.Term(ctx, name) })
+		ending.Go(func() { ends[i] = r.Terminate(ctx, name) })
 	}
 	ending.Wait()
 	if err := errors.Join(ends...); err != nil {
@@ -368,7 +368,7 @@
 		"served_after_leaving": tally.gone, "not_served": tally.missing, "backward": tally.backward, "two_contents": tally.twice,
 		"doubled": tally.doubled, "doubled_bound": bound, "doubled_calm": tally.calm, "deliveries": tally.count,
 		"one_list_seconds": round(seconds), "one_view": served, "one_view_seconds": round(viewed), "sent_bytes": sent, "list_bytes": held * len(names), "phases": phases}
-	out.judged(r.Judge(answers, clustertest.Rules{}))
+	out.judged(r.Judge(answers, clustertest.AuditRules{}))
 	out.Fields["worth"] = round(worthOf(answers))
 	miss := func(broken bool, format string, v ...any) {
 		if broken {
@@ -458,7 +458,7 @@
 
 // states are what the instances told last.
 func (l *lists) states() (all []listState) {
-	for _, name := range l.r.Names() {
+	for _, name := range l.r.InstanceNames() {
 		var s listState
 		if found := listLine.FindAllStringSubmatch(l.r.Log(name), -1); len(found) > 0 {
 			m := found[len(found)-1]
@@ -505,9 +505,9 @@
 func (alone) Handle(byte, func(string, []byte))                {}
 
 // onDisks reads what each instance's store holds: entries that have to be subscribed and are not, and the other way.
-func onDisks(ctx context.Context, r *clustertest.Rig, want, off map[string]bool) (lost, back int, err error) {
-	for _, name := range r.Names() {
-		kept, err := store.Open(filepath.Join(r.Wired(name).Dir, "fleet.db"), store.Options{})
+func onDisks(ctx context.Context, r *clustertest.Cluster, want, off map[string]bool) (lost, back int, err error) {
+	for _, name := range r.InstanceNames() {
+		kept, err := store.Open(filepath.Join(r.Addresses(name).Dir, "fleet.db"), store.Options{})
 		if err != nil {
 			return 0, 0, fmt.Errorf("%s: %w", name, err)
 		}
--- a/internal/clustertest/clients.go
+++ b/internal/clustertest/clients.go
@@ -16,18 +16,18 @@
 
 const extraWait = 2 * time.Millisecond // for a second answer that is there already when a connection is put away
 
-// Ask is a search of a client's schedule with the instances that it goes to: the first, and where no answer comes of
+// ScheduledSearch is a search of a client's schedule with the instances that it goes to: the first, and where no answer comes of
 // that, the next.
-type Ask struct {
+type ScheduledSearch struct {
 	fake.Search
-	To []string
+	Targets []string
 }
 
-// Asks draws searches at a rate for so long, over all blocks, two of three of the first type, tenants and instances
+// DrawSearches draws searches at a rate for so long, over all blocks, two of three of the first type, tenants and instances
 // (each followed by all others) by turns of chance.
-func (r *Rig) Asks(seed int64, name string, rate float64, length, patience time.Duration, tenants ...string) (all []Ask) {
-	chance, names := rand.New(rand.NewSource(seed)), r.Names()
-	shards := make([]int, Blocks)
+func (r *Cluster) DrawSearches(seed int64, name string, rate float64, length, patience time.Duration, tenants ...string) (all []ScheduledSearch) {
+	chance, names := rand.New(rand.NewSource(seed)), r.InstanceNames()
+	shards := make([]int, BlockCount)
 	for i := range shards {
 		shards[i] = i
 	}
@@ -37,7 +37,7 @@
 			return all
 		}
 		id, first := fmt.Sprintf("%s-%d", name, len(all)), chance.Intn(len(names))
-		a := Ask{Search: fake.Search{At: at, ID: id, Query: id, Type: "quick-picks", Shards: shards, Patience: patience}}
+		a := ScheduledSearch{Search: fake.Search{At: at, ID: id, Query: id, Type: "quick-picks", Shards: shards, Patience: patience}}
 		if chance.Intn(3) == 0 {
 			a.Type = "full-match"
 		}
@@ -45,18 +45,18 @@
 			a.Tenant = tenants[chance.Intn(len(tenants))]
 		}
 		for i := range names {
-			a.To = append(a.To, names[(first+i)%len(names)])
+			a.Targets = append(a.Targets, names[(first+i)%len(names)])
 		}
 		all = append(all, a)
 	}
 }
 
-// Play sends searches at their times, however slow the answers before them are, over kept connections, and returns what
+// PlaySearches sends searches at their times, however slow the answers before them are, over kept connections, and returns what
 // came of each once all have ended. Without Query a search's own id is asked for, so that answers cannot be mixed up.
-func (r *Rig) Play(ctx context.Context, asks []Ask) []Answer {
-	answers, pools := make([]Answer, len(asks)), map[string]*pool{}
-	for _, name := range r.Names() {
-		pools[name] = &pool{addr: r.Wired(name).Client}
+func (r *Cluster) PlaySearches(ctx context.Context, asks []ScheduledSearch) []ClientResult {
+	answers, pools := make([]ClientResult, len(asks)), map[string]*pool{}
+	for _, name := range r.InstanceNames() {
+		pools[name] = &pool{addr: r.Addresses(name).Client}
 		defer pools[name].close()
 	}
 	var g sync.WaitGroup
@@ -78,10 +78,10 @@
 }
 
 // one plays a search to its end.
-func one(a Ask, pools map[string]*pool) (out Answer) {
-	out = Answer{Ask: a, Sent: time.Now()}
-	defer func() { out.Took = time.Since(out.Sent) }()
-	for i, to := range a.To {
+func one(a ScheduledSearch, pools map[string]*pool) (out ClientResult) {
+	out = ClientResult{ScheduledSearch: a, Sent: time.Now()}
+	defer func() { out.Latency = time.Since(out.Sent) }()
+	for i, to := range a.Targets {
 		s := a.Search
 		if s.Patience = time.Until(out.Sent.Add(a.Patience)); s.Patience <= 0 {
 			break
@@ -89,10 +89,10 @@
 		if i > 0 {
 			s.ID = fmt.Sprint(a.ID, againBy, i)
 		}
-		t := Try{To: to, From: time.Now()}
+		t := Attempt{Target: to, StartedAt: time.Now()}
 		done := pools[to].ask(s, &t, &out)
-		t.Until = time.Now()
-		if out.Tries = append(out.Tries, t); done {
+		t.EndedAt = time.Now()
+		if out.Attempts = append(out.Attempts, t); done {
 			break
 		}
 	}
@@ -136,12 +136,12 @@
 
 // ask sends a search to one instance; done where nothing more is to be tried. A kept connection that the other side has
 // closed before any byte of the answer is followed by another one at the same instance: clients cannot know of the close.
-func (p *pool) ask(s fake.Search, t *Try, out *Answer) (done bool) {
+func (p *pool) ask(s fake.Search, t *Attempt, out *ClientResult) (done bool) {
 	until := time.Now().Add(s.Patience + giveUp)
 	for {
 		c, err := p.take(time.Until(until))
 		if err != nil {
-			t.Fault, t.Refused = err.Error(), errors.Is(err, syscall.ECONNREFUSED)
+			t.Failure, t.Refused = err.Error(), errors.Is(err, syscall.ECONNREFUSED)
 			return false
 		}
 		c.SetDeadline(until)
@@ -152,14 +152,14 @@
 				var body []byte
 				var keep bool
 				if out.Status, _, body, keep, err = c.rd.ReadResponse(); err == nil {
-					out.Body, out.Finals, t.Fault = string(body), out.Finals+1, ""
+					out.Body, out.FinalCount, t.Failure = string(body), out.FinalCount+1, ""
 					p.put(c, keep, out)
 					return true
 				}
 			}
 		}
 		c.Close()
-		out.Status, t.Fault = 0, err.Error()
+		out.Status, t.Failure = 0, err.Error()
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			return true
@@ -168,15 +168,15 @@
 			t.Closed = true
 			return false
 		}
-		out.Stale++
+		out.StaleConnections++
 	}
 }
 
 // put keeps a connection for the next search, once it is seen that no second answer stands on it.
-func (p *pool) put(c *kept, keep bool, out *Answer) {
+func (p *pool) put(c *kept, keep bool, out *ClientResult) {
 	c.SetReadDeadline(time.Now().Add(extraWait))
 	if err := c.rd.AwaitMessage(); err == nil {
-		out.Finals++
+		out.FinalCount++
 		keep = false
 	} else if e, ok := err.(net.Error); !ok || !e.Timeout() {
 		keep = false
--- a/internal/clustertest/net.go
+++ b/internal/clustertest/net.go
@@ -26,22 +26,22 @@
 	udpLongest = 64 << 10
 )
 
-// Fault is what a link does to what is carried one way. The zero value carries all at once.
-type Fault struct {
-	Cut     bool          // nothing comes through: datagrams are lost, bytes and connects wait until it is over
-	Hang    bool          // as Cut for streams alone: connections stand and carry nothing
-	Refuse  bool          // open connections and each new one are reset, datagrams are lost
-	Drop    float64       // share of datagrams that is lost; so large a share of a stream's pieces comes 200 ms late
-	Delay   time.Duration // before anything comes through
-	Jitter  time.Duration // up to so much more, drawn; streams keep their order, datagrams do not
-	Trickle int           // bytes a second of a stream; 0 for no bound
+// LinkFault is what a link does to what is carried one way. The zero value carries all at once.
+type LinkFault struct {
+	Cut            bool          // nothing comes through: datagrams are lost, bytes and connects wait until it is over
+	Hang           bool          // as Cut for streams alone: connections stand and carry nothing
+	Refuse         bool          // open connections and each new one are reset, datagrams are lost
+	Drop           float64       // share of datagrams that is lost; so large a share of a stream's pieces comes 200 ms late
+	Delay          time.Duration // before anything comes through
+	Jitter         time.Duration // up to so much more, drawn; streams keep their order, datagrams do not
+	BytesPerSecond int           // bytes a second of a stream; 0 for no bound
 }
 
 // network is the relays of a rig with the faults of their links.
 type network struct {
 	mu      sync.Mutex
 	links   map[[2]string]bool // relays there are; complete before the first fault
-	faults  map[[2]string]Fault
+	faults  map[[2]string]LinkFault
 	changed chan struct{}
 	open    map[*stream]bool
 	chance  *rand.Rand
@@ -52,12 +52,12 @@
 }
 
 func newNetwork(seed int64) *network {
-	return &network{links: map[[2]string]bool{}, faults: map[[2]string]Fault{}, changed: make(chan struct{}), open: map[*stream]bool{},
+	return &network{links: map[[2]string]bool{}, faults: map[[2]string]LinkFault{}, changed: make(chan struct{}), open: map[*stream]bool{},
 		chance: rand.New(rand.NewSource(seed)), done: make(chan struct{})}
 }
 
 // edit changes what a link does one way.
-func (n *network) edit(from, to string, do func(f *Fault)) {
+func (n *network) edit(from, to string, do func(f *LinkFault)) {
 	n.mu.Lock()
 	f := n.faults[[2]string{from, to}]
 	do(&f)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (n *network) at(from, to string) (Fault, chan struct{}) {
+func (n *network) at(from, to string) (LinkFault, chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults[[2]string{from, to}], n.changed
@@ -107,7 +107,7 @@
 	return n.chance.Float64() < share
 }
 
-func (n *network) wait(f Fault) time.Duration {
+func (n *network) wait(f LinkFault) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := f.Delay
@@ -372,7 +372,7 @@
 }
 
 // free waits until the link carries streams that way.
-func (n *network) free(s *stream, from, to string) (Fault, bool) {
+func (n *network) free(s *stream, from, to string) (LinkFault, bool) {
 	for {
 		f, changed := n.at(from, to)
 		if !f.Cut && !f.Hang {
@@ -439,9 +439,9 @@
 				return
 			}
 			size := len(rest)
-			if f.Trickle > 0 {
-				size = min(size, max(1, f.Trickle*int(trickle)/int(time.Second)))
-				if !s.sleep(time.Duration(size) * time.Second / time.Duration(f.Trickle)) {
+			if f.BytesPerSecond > 0 {
+				size = min(size, max(1, f.BytesPerSecond*int(trickle)/int(time.Second)))
+				if !s.sleep(time.Duration(size) * time.Second / time.Duration(f.BytesPerSecond)) {
 					return
 				}
 			}
--- a/internal/clustertest/ports_test.go
+++ b/internal/clustertest/ports_test.go
@@ -13,22 +13,22 @@
 func TestLaunchWaitsForPorts(t *testing.T) {
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	program, err := Program(ctx)
+	program, err := BuildProgram(ctx)
 	require.NoError(t, err)
-	r, err := New(ctx, Shape{Seed: 1, Program: program, Places: []Place{{Name: "a", Region: "r", Zone: "z"}},
+	r, err := New(ctx, Config{Seed: 1, ProgramPath: program, Instances: []Instance{{Name: "a", Region: "r", Zone: "z"}},
 		Hosts: []Host{{ID: "h", Zone: "z"}}})
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	require.NoError(t, r.Kill(ctx, "a"))
 	const held = 300 * time.Millisecond
-	tcp, err := net.Listen("tcp", r.Wired("a").Client)
+	tcp, err := net.Listen("tcp", r.Addresses("a").Client)
 	require.NoError(t, err)
-	udp, err := net.ListenPacket("udp", r.Wired("a").Fleet)
+	udp, err := net.ListenPacket("udp", r.Addresses("a").Fleet)
 	require.NoError(t, err)
 	time.AfterFunc(held, func() { tcp.Close() })
 	time.AfterFunc(2*held, func() { udp.Close() })
 	require.NoError(t, r.Start(ctx, "a"))
-	require.NotContains(t, r.Life("a"), "no_start")
+	require.NotContains(t, r.LogSinceLaunch("a"), "no_start")
 }
 
 // Ports that nobody lets go of are told by their address.
--- a/internal/clustertest/process.go
+++ b/internal/clustertest/process.go
@@ -29,9 +29,9 @@
 	paths map[string]string
 }
 
-// Program builds cmd/chalkring with the given flags of go build (none, or such as -ldflags=-X=...), once in the life of
+// BuildProgram builds cmd/chalkring with the given flags of go build (none, or such as -ldflags=-X=...), once in the life of
 // this process for each set of flags, and returns its path. Folders that earlier processes left are taken away.
-func Program(ctx context.Context, flags ...string) (string, error) {
+func BuildProgram(ctx context.Context, flags ...string) (string, error) {
 	built.Lock()
 	defer built.Unlock()
 	key := strings.Join(flags, "\x00")
@@ -61,8 +61,8 @@
 	return path, nil
 }
 
-// Clean takes away what Program built; for TestMain and the end of a measurement.
-func Clean() {
+// RemoveBuilds takes away what Program built; for TestMain and the end of a measurement.
+func RemoveBuilds() {
 	built.Lock()
 	defer built.Unlock()
 	built.paths = nil
--- a/internal/clustertest/rig.go
+++ b/internal/clustertest/rig.go
@@ -28,59 +28,59 @@
 	"chalkring/internal/fake"
 )
 
-// Place is one instance.
-type Place struct {
+// Instance is one instance.
+type Instance struct {
 	Name, Region, Zone string
-	Program            string // path; the shape's where it is empty
+	ProgramPath        string // path; the shape's where it is empty
 }
 
 // Host is one stand-in host; Do answers its parts, after 2 ms well where it is nil.
 type Host struct {
 	ID, Zone string
 	Cell     int
-	Do       func(p fake.Part)
+	Handler  func(p fake.Part)
 }
 
-// Shape is what a rig is made of.
-type Shape struct {
-	Seed     int64
-	Program  string // path of the built program; Program's without flags where it is empty
-	Places   []Place
-	Hosts    []Host
-	Relayed  bool                 // the ways to hosts and discovery lead through relays too
-	Outside  map[string]string    // further addresses that instances reach through relays, by name
-	List     string               // address of discovery; the rig's own, which Tell changes, where it is empty
-	Settings map[string]any       // of the plan; Settings(...) where nil
-	File     func(w Wired) string // text of the installation file; none is given to the program where nil or empty
+// Config is what a rig is made of.
+type Config struct {
+	Seed             int64
+	ProgramPath      string // path of the built program; Program's without flags where it is empty
+	Instances        []Instance
+	Hosts            []Host
+	Relayed          bool                             // the ways to hosts and discovery lead through relays too
+	External         map[string]string                // further addresses that instances reach through relays, by name
+	DiscoveryAddress string                           // address of discovery; the rig's own, which Tell changes, where it is empty
+	Settings         map[string]any                   // of the plan; Settings(...) where nil
+	InstallationFile func(w InstanceAddresses) string // text of the installation file; none is given to the program where nil or empty
 }
 
-// Other is another instance as one reaches it.
-type Other struct {
-	Place
-	Fleet, FleetVia string // its advertised address for TCP and UDP, and the relay to it
-	PeerVia         string // the relay to its Peer address
+// Peer is another instance as one reaches it.
+type Peer struct {
+	Instance
+	Fleet, FleetRelay string // its advertised address for TCP and UDP, and the relay to it
+	PeerRelay         string // the relay to its Peer address
 }
 
-// Wired is what an instance's installation file may name.
-type Wired struct {
-	Place
+// InstanceAddresses is what an instance's installation file may name.
+type InstanceAddresses struct {
+	Instance
 	Dir                 string // its folder, which restarts leave as it is
 	Client, Fleet, Peer string // where it listens
-	Others              []Other
-	Outside             map[string]string // relays
+	Peers               []Peer
+	External            map[string]string // relays
 }
 
-// Via is the installation's fleet.via: the relay for each advertised address.
-func (w Wired) Via() map[string]string {
+// RelayAddresses is the installation's fleet.via: the relay for each advertised address.
+func (w InstanceAddresses) RelayAddresses() map[string]string {
 	via := map[string]string{}
-	for _, o := range w.Others {
-		via[o.Fleet] = o.FleetVia
+	for _, o := range w.Peers {
+		via[o.Fleet] = o.FleetRelay
 	}
 	return via
 }
 
 type instance struct {
-	wired Wired
+	wired InstanceAddresses
 	out   *output
 	list  *fake.Discovery
 	zoned []fake.Entry // the list as it reaches its hosts
@@ -95,12 +95,12 @@
 	asked    bool      // by SIGTERM: what it had taken is owed an answer
 }
 
-// Rig is what runs. Its methods are safe for all.
-type Rig struct {
+// Cluster is what runs. Its methods are safe for all.
+type Cluster struct {
 	Audit Audit
 
 	once  sync.Once
-	shape Shape
+	shape Config
 	net   *network
 	dir   string
 	hosts []*fake.Host
@@ -113,7 +113,7 @@
 }
 
 // feelLag measures how busy the machine is: bounds of time are wider by it.
-func (r *Rig) feelLag() {
+func (r *Cluster) feelLag() {
 	for began := time.Now(); ; began = time.Now() {
 		select {
 		case <-r.net.done:
@@ -129,16 +129,16 @@
 const lagEach = 10 * time.Millisecond
 
 // New wires a rig and starts all its instances; on an error nothing of it is left.
-func New(ctx context.Context, shape Shape) (_ *Rig, err error) {
-	r := &Rig{shape: shape, net: newNetwork(shape.Seed), all: map[string]*instance{}}
+func New(ctx context.Context, shape Config) (_ *Cluster, err error) {
+	r := &Cluster{shape: shape, net: newNetwork(shape.Seed), all: map[string]*instance{}}
 	r.net.all.Go(r.feelLag)
 	defer func() {
 		if err != nil {
 			r.Close()
 		}
 	}()
-	if r.shape.Program == "" {
-		if r.shape.Program, err = Program(ctx); err != nil {
+	if r.shape.ProgramPath == "" {
+		if r.shape.ProgramPath, err = BuildProgram(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -149,19 +149,19 @@
 		return nil, err
 	}
 	var g sync.WaitGroup
-	faults := make([]error, len(shape.Places))
-	for i, p := range shape.Places {
+	faults := make([]error, len(shape.Instances))
+	for i, p := range shape.Instances {
 		g.Go(func() { faults[i] = r.Start(ctx, p.Name) })
 	}
 	g.Wait()
 	return r, errors.Join(faults...)
 }
 
-func (r *Rig) wire() error {
+func (r *Cluster) wire() error {
 	zones := map[string]bool{}
 	var entries []fake.Entry
 	for _, h := range r.shape.Hosts {
-		do := h.Do
+		do := h.Handler
 		if do == nil {
 			do = func(p fake.Part) { time.AfterFunc(2*time.Millisecond, p.Good) }
 		}
@@ -179,10 +179,10 @@
 	}
 	r.Audit.moved(entries)
 	if r.shape.Settings == nil {
-		r.shape.Settings = Settings(len(r.shape.Places), slices.Sorted(maps.Keys(zones)))
+		r.shape.Settings = DefaultSettings(len(r.shape.Instances), slices.Sorted(maps.Keys(zones)))
 	}
-	for _, p := range r.shape.Places {
-		i := &instance{wired: Wired{Place: p, Dir: filepath.Join(r.dir, p.Name), Outside: map[string]string{}},
+	for _, p := range r.shape.Instances {
+		i := &instance{wired: InstanceAddresses{Instance: p, Dir: filepath.Join(r.dir, p.Name), External: map[string]string{}},
 			out: &output{more: make(chan struct{})}}
 		r.all[p.Name] = i
 		for _, at := range []*string{&i.wired.Client, &i.wired.Fleet, &i.wired.Peer} {
@@ -208,14 +208,14 @@
 		if i.list, err = fake.NewDiscovery(i.zoned); err != nil {
 			return err
 		}
-		for name, addr := range r.shape.Outside {
-			if i.wired.Outside[name], err = r.net.relay(p.Name, name, addr, false); err != nil {
+		for name, addr := range r.shape.External {
+			if i.wired.External[name], err = r.net.relay(p.Name, name, addr, false); err != nil {
 				return err
 			}
 		}
 	}
-	for _, p := range r.shape.Places {
-		for _, q := range r.shape.Places {
+	for _, p := range r.shape.Instances {
+		for _, q := range r.shape.Instances {
 			if p.Name == q.Name {
 				continue
 			}
@@ -228,10 +228,10 @@
 			if err != nil {
 				return err
 			}
-			from.wired.Others = append(from.wired.Others, Other{q, to.wired.Fleet, fleet, peer})
+			from.wired.Peers = append(from.wired.Peers, Peer{q, to.wired.Fleet, fleet, peer})
 		}
 	}
-	for k, p := range r.shape.Places {
+	for k, p := range r.shape.Instances {
 		if err := r.plan(k, r.all[p.Name]); err != nil {
 			return err
 		}
@@ -240,8 +240,8 @@
 }
 
 // plan writes an instance's files.
-func (r *Rig) plan(k int, i *instance) error {
-	list := cmp.Or(r.shape.List, i.list.Ln.Addr().String())
+func (r *Cluster) plan(k int, i *instance) error {
+	list := cmp.Or(r.shape.DiscoveryAddress, i.list.Ln.Addr().String())
 	if r.shape.Relayed {
 		var err error
 		if list, err = r.net.relay(i.wired.Name, "list", list, false); err != nil {
@@ -255,17 +255,17 @@
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1.0,"memory_mb":192,`+
 		`"sockets":1024},"known":%s,"settings":%s}`, i.wired.Name, i.wired.Client, list, uint64(r.shape.Seed)<<8+uint64(k)+1,
 		i.list.Known(), settings)
-	if err := r.Write(i.wired.Name, "plan.json", text); err != nil || r.shape.File == nil {
+	if err := r.WriteFile(i.wired.Name, "plan.json", text); err != nil || r.shape.InstallationFile == nil {
 		return err
 	}
-	if text = r.shape.File(i.wired); text == "" {
+	if text = r.shape.InstallationFile(i.wired); text == "" {
 		return nil
 	}
-	return r.Write(i.wired.Name, "installation.yaml", text)
+	return r.WriteFile(i.wired.Name, "installation.yaml", text)
 }
 
-// Settings are those of a plan: eight blocks, each in two of eight cells, two types of query, tenants acme and other.
-func Settings(instances int, zones []string) map[string]any {
+// DefaultSettings are those of a plan: eight blocks, each in two of eight cells, two types of query, tenants acme and other.
+func DefaultSettings(instances int, zones []string) map[string]any {
 	class := func(name string) map[string]any {
 		return map[string]any{"Name": name, "Aim": 1000.0, "Deadline": 3000.0, "Effect": "retryable", "LateShare": 0.5}
 	}
@@ -273,7 +273,7 @@
 		"FailureDomains": zones, "MachineTypes": []string{"std"},
 		"Classes": []any{class("quick-picks"), class("full-match")},
 		"Tenants": []any{map[string]any{"Name": "acme", "QuotaPerS": 1000.0}, map[string]any{"Name": "other", "QuotaPerS": 1000.0}},
-		"Specifics": map[string]any{"Sets": Blocks, "Reach": 2, "Ranges": Blocks, "PerCall": 1,
+		"Specifics": map[string]any{"Sets": BlockCount, "Reach": 2, "Ranges": BlockCount, "PerCall": 1,
 			"NeedByClass": []float64{0.75, 1}, "ClassFloor": []float64{0.75, 1}, "FollowUp": []int{0, 0}},
 		"Permissions": map[string]any{"MaxAttempts": 3, "ConnIdle": 60000.0, "DialTimeout": 250.0, "StreamsPerConn": 32,
 			"SecondCopies": true, "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 500.0},
@@ -281,10 +281,10 @@
 			"DrainGrace": 2000.0, "AskWithin": 10000.0}}
 }
 
-// Blocks is how many there are under Settings.
-const Blocks = 8
+// BlockCount is how many there are under Settings.
+const BlockCount = 8
 
-func (r *Rig) named(name string) (*instance, error) {
+func (r *Cluster) named(name string) (*instance, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i := r.all[name]; i != nil {
@@ -294,7 +294,7 @@
 }
 
 // last is an instance with its last life, nil before the first.
-func (r *Rig) last(name string) (*instance, *process, error) {
+func (r *Cluster) last(name string) (*instance, *process, error) {
 	i, err := r.named(name)
 	if err != nil {
 		return nil, nil, err
@@ -304,24 +304,24 @@
 	return i, i.run, nil
 }
 
-// Wired tells how an instance stands.
-func (r *Rig) Wired(name string) Wired {
+// Addresses tells how an instance stands.
+func (r *Cluster) Addresses(name string) InstanceAddresses {
 	if i, err := r.named(name); err == nil {
 		return i.wired
 	}
-	return Wired{}
+	return InstanceAddresses{}
 }
 
 // Start starts an instance that is not running, and waits until it serves.
-func (r *Rig) Start(ctx context.Context, name string) error {
+func (r *Cluster) Start(ctx context.Context, name string) error {
 	if err := r.Launch(name); err != nil {
 		return err
 	}
-	return r.Serving(ctx, name)
+	return r.WaitServing(ctx, name)
 }
 
 // Launch starts an instance without waiting for it, once its ports are free.
-func (r *Rig) Launch(name string) error {
+func (r *Cluster) Launch(name string) error {
 	i, err := r.named(name)
 	if err != nil {
 		return err
@@ -331,9 +331,9 @@
 	if _, err := os.Stat(file); err == nil {
 		args = []string{"serve", "--installation", file}
 	}
-	path := i.wired.Program
+	path := i.wired.ProgramPath
 	if path == "" {
-		path = r.shape.Program
+		path = r.shape.ProgramPath
 	}
 	if _, run, _ := r.last(name); run == nil || run.over() {
 		if err := letGo(portWithin, i.wired.Client, i.wired.Fleet, i.wired.Peer); err != nil {
@@ -351,8 +351,8 @@
 	return err
 }
 
-// Serving waits until /healthz of an instance says that it serves.
-func (r *Rig) Serving(ctx context.Context, name string) error {
+// WaitServing waits until /healthz of an instance says that it serves.
+func (r *Cluster) WaitServing(ctx context.Context, name string) error {
 	i, err := r.named(name)
 	if err != nil {
 		return err
@@ -360,7 +360,7 @@
 	ctx, stop := context.WithTimeout(ctx, upWithin)
 	defer stop()
 	for {
-		if status, _ := r.Health(ctx, name); status == http.StatusOK {
+		if status, _ := r.GetHealth(ctx, name); status == http.StatusOK {
 			r.up(i)
 			return nil
 		}
@@ -377,8 +377,8 @@
 	}
 }
 
-// Health asks /healthz of an instance and gives the status.
-func (r *Rig) Health(ctx context.Context, name string) (int, error) {
+// GetHealth asks /healthz of an instance and gives the status.
+func (r *Cluster) GetHealth(ctx context.Context, name string) (int, error) {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
 	status, _, err := r.Get(ctx, name, "/healthz")
@@ -386,8 +386,8 @@
 }
 
 // Get asks a path of an instance, on a connection of its own, and gives the status and what came with it.
-func (r *Rig) Get(ctx context.Context, name, path string) (status int, body []byte, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Wired(name).Client+path, nil)
+func (r *Cluster) Get(ctx context.Context, name, path string) (status int, body []byte, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Addresses(name).Client+path, nil)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -402,7 +402,7 @@
 }
 
 // fell notes that an instance is not there from now on, up that it is again.
-func (r *Rig) fell(i *instance, asked bool) {
+func (r *Cluster) fell(i *instance, asked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i.spell != nil {
@@ -413,7 +413,7 @@
 	r.downs = append(r.downs, i.spell)
 }
 
-func (r *Rig) up(i *instance) {
+func (r *Cluster) up(i *instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i.spell != nil {
@@ -423,7 +423,7 @@
 
 // Signal sends a signal to an instance. After SIGSTOP it counts as down until SIGCONT, after SIGKILL and SIGTERM until it
 // serves again.
-func (r *Rig) Signal(name string, s syscall.Signal) error {
+func (r *Cluster) Signal(name string, s syscall.Signal) error {
 	i, run, err := r.last(name)
 	if err != nil {
 		return err
@@ -444,23 +444,23 @@
 }
 
 // Kill ends an instance by SIGKILL, with all that it started, and waits until it is gone.
-func (r *Rig) Kill(ctx context.Context, name string) error {
+func (r *Cluster) Kill(ctx context.Context, name string) error {
 	if err := r.Signal(name, syscall.SIGKILL); err != nil {
 		return err
 	}
-	return r.Ended(ctx, name)
+	return r.WaitExit(ctx, name)
 }
 
-// Term ends an instance by SIGTERM; the error tells that it did not end, or not with 0.
-func (r *Rig) Term(ctx context.Context, name string) error {
+// Terminate ends an instance by SIGTERM; the error tells that it did not end, or not with 0.
+func (r *Cluster) Terminate(ctx context.Context, name string) error {
 	if err := r.Signal(name, syscall.SIGTERM); err != nil {
 		return err
 	}
-	return r.Ended(ctx, name)
+	return r.WaitExit(ctx, name)
 }
 
-// Ended waits for an instance's end. One that was killed has ended well by that.
-func (r *Rig) Ended(ctx context.Context, name string) error {
+// WaitExit waits for an instance's end. One that was killed has ended well by that.
+func (r *Cluster) WaitExit(ctx context.Context, name string) error {
 	_, run, err := r.last(name)
 	if err != nil {
 		return err
@@ -474,8 +474,8 @@
 	return nil
 }
 
-// Pid is that of an instance's last life.
-func (r *Rig) Pid(name string) int {
+// PID is that of an instance's last life.
+func (r *Cluster) PID(name string) int {
 	_, run, err := r.last(name)
 	if err != nil {
 		return 0
@@ -484,7 +484,7 @@
 }
 
 // Log is the newest of what an instance wrote, all lives together.
-func (r *Rig) Log(name string) string {
+func (r *Cluster) Log(name string) string {
 	i, err := r.named(name)
 	if err != nil {
 		return ""
@@ -493,8 +493,8 @@
 	return text
 }
 
-// Life is what an instance wrote since it was launched last; empty where that is so long ago that it is not kept.
-func (r *Rig) Life(name string) string {
+// LogSinceLaunch is what an instance wrote since it was launched last; empty where that is so long ago that it is not kept.
+func (r *Cluster) LogSinceLaunch(name string) string {
 	log := r.Log(name)
 	at := strings.LastIndex(log, lifeMark)
 	if at < 0 {
@@ -503,8 +503,8 @@
 	return log[at+len(lifeMark):]
 }
 
-// Logged waits until an instance's output has so many lines that hold the text.
-func (r *Rig) Logged(ctx context.Context, name, text string, times int) error {
+// WaitLogged waits until an instance's output has so many lines that hold the text.
+func (r *Cluster) WaitLogged(ctx context.Context, name, text string, times int) error {
 	i, err := r.named(name)
 	if err != nil {
 		return err
@@ -522,28 +522,28 @@
 	}
 }
 
-// Write puts a file into an instance's folder, whole at once.
-func (r *Rig) Write(name, file, text string) error {
-	path := filepath.Join(r.Wired(name).Dir, file)
+// WriteFile puts a file into an instance's folder, whole at once.
+func (r *Cluster) WriteFile(name, file, text string) error {
+	path := filepath.Join(r.Addresses(name).Dir, file)
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// Edited puts a text in the place of another, wherever it stands in a file of an instance's folder.
-func (r *Rig) Edited(name, file, old, text string) error {
-	was, err := os.ReadFile(filepath.Join(r.Wired(name).Dir, file))
+// ReplaceInFile puts a text in the place of another, wherever it stands in a file of an instance's folder.
+func (r *Cluster) ReplaceInFile(name, file, old, text string) error {
+	was, err := os.ReadFile(filepath.Join(r.Addresses(name).Dir, file))
 	if err != nil {
 		return err
 	}
-	return r.Write(name, file, strings.ReplaceAll(string(was), old, text))
+	return r.WriteFile(name, file, strings.ReplaceAll(string(was), old, text))
 }
 
-// Copy puts what lies under one path of an instance's folder in the place of another: an older store is taken back
+// CopyPath puts what lies under one path of an instance's folder in the place of another: an older store is taken back
 // so, after it was kept so.
-func (r *Rig) Copy(name, from, to string) error {
-	dir := r.Wired(name).Dir
+func (r *Cluster) CopyPath(name, from, to string) error {
+	dir := r.Addresses(name).Dir
 	from, to = filepath.Join(dir, from), filepath.Join(dir, to)
 	if err := os.RemoveAll(to); err != nil {
 		return err
@@ -560,18 +560,18 @@
 	return os.WriteFile(to, text, 0o600)
 }
 
-// List is what discovery tells an instance.
-func (r *Rig) List(name string) []fake.Entry {
+// Endpoints is what discovery tells an instance.
+func (r *Cluster) Endpoints(name string) []fake.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.all[name].zoned)
 }
 
-// Tell has discovery tell a list that edit makes of the one there is; addresses are left alone.
-func (r *Rig) Tell(edit func(e *fake.Entry)) {
+// EditEndpoints has discovery tell a list that edit makes of the one there is; addresses are left alone.
+func (r *Cluster) EditEndpoints(edit func(e *fake.Entry)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k, p := range r.shape.Places {
+	for k, p := range r.shape.Instances {
 		i := r.all[p.Name]
 		i.zoned = slices.Clone(i.zoned)
 		for n := range i.zoned {
@@ -584,19 +584,19 @@
 	}
 }
 
-// Edit changes what the link from one to another does one way; hosts go by their ids, discovery is list.
-func (r *Rig) Edit(from, to string, do func(f *Fault)) { r.net.edit(from, to, do) }
+// EditLink changes what the link from one to another does one way; hosts go by their ids, discovery is list.
+func (r *Cluster) EditLink(from, to string, do func(f *LinkFault)) { r.net.edit(from, to, do) }
 
-// Names are the instances in the shape's order.
-func (r *Rig) Names() (all []string) {
-	for _, p := range r.shape.Places {
+// InstanceNames are the instances in the shape's order.
+func (r *Cluster) InstanceNames() (all []string) {
+	for _, p := range r.shape.Instances {
 		all = append(all, p.Name)
 	}
 	return all
 }
 
 // Close ends all that the rig started, reaps it, and takes its folder away; more calls do nothing.
-func (r *Rig) Close() {
+func (r *Cluster) Close() {
 	r.once.Do(func() {
 		for _, i := range r.all {
 			if i.run != nil {
--- a/internal/clustertest/rig_test.go
+++ b/internal/clustertest/rig_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	Clean()
+	RemoveBuilds()
 	if code == 0 {
 		if err := goleak.Find(); err != nil {
 			os.Stderr.WriteString(err.Error())
@@ -93,7 +93,7 @@
 	}
 	sound()
 	for _, way := range [][2]string{{"a", "b"}, {"b", "a"}} {
-		n.edit(way[0], way[1], func(f *Fault) { f.Cut = true })
+		n.edit(way[0], way[1], func(f *LinkFault) { f.Cut = true })
 		_, err := round(t, udp, 50*time.Millisecond)
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "datagrams are lost")
 		_, err = round(t, tcp, 50*time.Millisecond)
@@ -104,23 +104,23 @@
 		require.NoError(t, err, "bytes that were held come through")
 		sound()
 	}
-	n.edit("a", "b", func(f *Fault) { f.Delay, f.Jitter = 60*time.Millisecond, 20*time.Millisecond })
+	n.edit("a", "b", func(f *LinkFault) { f.Delay, f.Jitter = 60*time.Millisecond, 20*time.Millisecond })
 	for _, c := range []net.Conn{tcp, udp} {
 		took, err := round(t, c, patience)
 		require.NoError(t, err)
 		require.GreaterOrEqual(t, took, 60*time.Millisecond)
 	}
-	n.edit("a", "b", func(f *Fault) { *f = Fault{Drop: 1} })
+	n.edit("a", "b", func(f *LinkFault) { *f = LinkFault{Drop: 1} })
 	_, err := round(t, udp, 50*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	took, err := round(t, tcp, patience)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, took, again)
-	n.edit("a", "b", func(f *Fault) { *f = Fault{Trickle: 50} })
+	n.edit("a", "b", func(f *LinkFault) { *f = LinkFault{BytesPerSecond: 50} })
 	took, err = round(t, tcp, patience)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, took, 90*time.Millisecond)
-	n.edit("a", "b", func(f *Fault) { *f = Fault{Hang: true} })
+	n.edit("a", "b", func(f *LinkFault) { *f = LinkFault{Hang: true} })
 	_, err = round(t, udp, patience)
 	require.NoError(t, err, "a hang is of streams")
 	_, err = round(t, tcp, 50*time.Millisecond)
@@ -132,7 +132,7 @@
 	require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	tcp = dial("tcp")
 	sound()
-	n.edit("a", "b", func(f *Fault) { f.Refuse = true })
+	n.edit("a", "b", func(f *LinkFault) { f.Refuse = true })
 	_, err = round(t, tcp, patience)
 	require.Error(t, err)
 	c, err := net.Dial("tcp", via) // it may be reset as it is made
@@ -145,14 +145,14 @@
 
 func TestScheduleIsReadStrictly(t *testing.T) {
 	text := "seed 7\nat 3.2s cut a>b\nat 3.3s delay a,b<>* 40ms 20ms\nat 4s kill c # now\nat 4s do tighten acme\nat 5s heal\n"
-	s, err := Parse(text)
+	s, err := ParseSchedule(text)
 	require.NoError(t, err)
 	require.Len(t, s.Events, 5)
 	for bad, line := range map[string]int{"at 1s cut a": 1, "seed x": 1, "at 2s heal\nat 1s heal": 2, "at 1s drop a>b 1.5": 1,
 		"at 1s delay a>b": 1, "\nat 1h heal": 2, "at 1s melt a": 1, "at 1s cut >b": 1, "heal": 1, "at 1s trickle a>b NaN": 1,
 		"at 1s kill": 1} {
-		_, err := Parse(bad)
-		var fault *BadLine
+		_, err := ParseSchedule(bad)
+		var fault *InvalidLineError
 		require.ErrorAs(t, err, &fault, bad)
 		require.Equal(t, line, fault.Line, bad)
 		require.NotEmpty(t, fault.Advice())
@@ -164,12 +164,12 @@
 		draw := func() Schedule { return Schedule{} }
 		seed, n := rapid.Int64().Draw(t, "seed"), rapid.IntRange(0, 30).Draw(t, "troubles")
 		draw = func() Schedule {
-			return Draw(seed, []string{"a", "b", "c"}, []string{"list", "ha"}, n, 20*time.Second, 1, "cut", "delay", "drop", "trickle", "hang", "refuse",
+			return DrawSchedule(seed, []string{"a", "b", "c"}, []string{"list", "ha"}, n, 20*time.Second, 1, "cut", "delay", "drop", "trickle", "hang", "refuse",
 				"reset", "kill", "stop", "term", "split")
 		}
 		s := draw()
 		require.Equal(t, s.String(), draw().String())
-		again, err := Parse(s.String())
+		again, err := ParseSchedule(s.String())
 		require.NoError(t, err)
 		require.Equal(t, s.String(), again.String())
 		gone := map[string]bool{}
@@ -187,8 +187,8 @@
 	})
 }
 
-func shape() Shape {
-	s := Shape{Seed: 1, Relayed: true, Places: []Place{{Name: "a", Region: "east"}, {Name: "b", Region: "east"}, {Name: "c", Region: "west"}}}
+func shape() Config {
+	s := Config{Seed: 1, Relayed: true, Instances: []Instance{{Name: "a", Region: "east"}, {Name: "b", Region: "east"}, {Name: "c", Region: "west"}}}
 	for i := range 16 {
 		s.Hosts = append(s.Hosts, Host{ID: "h" + string(rune('a'+i)), Zone: []string{"z1", "z2"}[i/8], Cell: i % 8})
 	}
@@ -202,13 +202,13 @@
 	r, err := New(ctx, shape())
 	require.NoError(t, err)
 	defer r.Close()
-	s, err := Parse("at 200ms kill a\nat 400ms cut b<>ha,hb\nat 600ms start a\nat 800ms stop c\nat 1s reset b>hc\nat 1.2s cont c\n" +
+	s, err := ParseSchedule("at 200ms kill a\nat 400ms cut b<>ha,hb\nat 600ms start a\nat 800ms stop c\nat 1s reset b>hc\nat 1.2s cont c\n" +
 		"at 1500ms heal\nat 1600ms term b\nat 2200ms start b\nat 2300ms do move")
 	require.NoError(t, err)
 	ran := make(chan error, 1)
 	go func() {
-		ran <- r.Run(ctx, s, map[string]func([]string) error{"move": func([]string) error {
-			r.Tell(func(e *fake.Entry) {
+		ran <- r.RunSchedule(ctx, s, map[string]func([]string) error{"move": func([]string) error {
+			r.EditEndpoints(func(e *fake.Entry) {
 				if e.ID == "ha" {
 					e.State = "draining"
 				}
@@ -216,14 +216,14 @@
 			return nil
 		}})
 	}()
-	answers := r.Play(ctx, r.Asks(1, "q", 100, 3*time.Second, 3*time.Second, "acme", "other"))
+	answers := r.PlaySearches(ctx, r.DrawSearches(1, "q", 100, 3*time.Second, 3*time.Second, "acme", "other"))
 	require.NoError(t, <-ran)
-	v := r.Judge(answers, Rules{Allowed: func(string, string, time.Time) bool { return true }})
-	require.Empty(t, v.Missed(), "%s", s)
+	v := r.Judge(answers, AuditRules{AllowsZone: func(string, string, time.Time) bool { return true }})
+	require.Empty(t, v.DescribeViolations(), "%s", s)
 	require.Greater(t, v.Good, v.Searches*3/4, "%+v\n%s", v, r.Log("a"))
-	require.Positive(t, v.Parts)
-	pids := []int{r.Pid("a"), r.Pid("b"), r.Pid("c")}
-	dir := r.Wired("a").Dir
+	require.Positive(t, v.ShardRequests)
+	pids := []int{r.PID("a"), r.PID("b"), r.PID("c")}
+	dir := r.Addresses("a").Dir
 	r.Close()
 	for _, pid := range pids {
 		require.ErrorIs(t, syscall.Kill(pid, 0), syscall.ESRCH)
@@ -233,11 +233,11 @@
 
 // The auditor finds what is wrong.
 func TestAuditFindsWhatIsWrong(t *testing.T) {
-	r := &Rig{}
+	r := &Cluster{}
 	r.Audit.moved([]fake.Entry{{ID: "h", Zone: "z1"}})
 	now := time.Now()
-	ask := func(id string) Ask {
-		return Ask{Search: fake.Search{ID: id, Query: id, Type: "k", Shards: []int{0, 1}, Tenant: "acme", Patience: time.Second}}
+	ask := func(id string) ScheduledSearch {
+		return ScheduledSearch{Search: fake.Search{ID: id, Query: id, Type: "k", Shards: []int{0, 1}, Tenant: "acme", Patience: time.Second}}
 	}
 	for _, id := range []string{"a.0", "a.0", "a~1.1", "a.7", "a.0.r"} {
 		shard := int(id[len(id)-1] - '0')
@@ -247,23 +247,23 @@
 		r.Audit.took("h", fake.Part{ID: id, Shard: shard})
 	}
 	good := `{"answers":[{"range":0,"blob":"a@0"},{"range":1,"blob":"a@1!"}]}`
-	answers := []Answer{
-		{Ask: ask("a"), Sent: now, Status: 200, Finals: 1, Body: good},
-		{Ask: ask("b"), Sent: now, Status: 200, Finals: 1, Body: good}, // another's answer
-		{Ask: ask("c"), Sent: now, Status: 503, Finals: 2},
-		{Ask: ask("d"), Sent: now, Tries: []Try{{To: "x", From: now, Until: now.Add(time.Second), Refused: true, Fault: "refused"}}},
-		{Ask: ask("e"), Sent: now, Status: 503, Finals: 1, Took: 3 * time.Second},
-		{Ask: ask("f"), Sent: now, Tries: []Try{{To: "y", From: now, Until: now.Add(time.Second), Closed: true, Fault: "EOF"}}},
+	answers := []ClientResult{
+		{ScheduledSearch: ask("a"), Sent: now, Status: 200, FinalCount: 1, Body: good},
+		{ScheduledSearch: ask("b"), Sent: now, Status: 200, FinalCount: 1, Body: good}, // another's answer
+		{ScheduledSearch: ask("c"), Sent: now, Status: 503, FinalCount: 2},
+		{ScheduledSearch: ask("d"), Sent: now, Attempts: []Attempt{{Target: "x", StartedAt: now, EndedAt: now.Add(time.Second), Refused: true, Failure: "refused"}}},
+		{ScheduledSearch: ask("e"), Sent: now, Status: 503, FinalCount: 1, Latency: 3 * time.Second},
+		{ScheduledSearch: ask("f"), Sent: now, Attempts: []Attempt{{Target: "y", StartedAt: now, EndedAt: now.Add(time.Second), Closed: true, Failure: "EOF"}}},
 	}
 	r.downs = []*down{{name: "y", from: now.Add(time.Millisecond)}}
-	v := r.Judge(answers, Rules{Allowed: func(tenant, zone string, _ time.Time) bool { return tenant != "acme" || zone != "z1" },
-		Once: func(string) bool { return true }})
+	v := r.Judge(answers, AuditRules{AllowsZone: func(tenant, zone string, _ time.Time) bool { return tenant != "acme" || zone != "z1" },
+		AtMostOnce: func(string) bool { return true }})
 	count := map[string]int{}
-	for _, b := range v.Broken {
+	for _, b := range v.Violations {
 		count[b.Name] = b.Count
 	}
 	require.Equal(t, map[string]int{"true_answer": 1, "one_answer": 2, "refused": 1, "in_time": 1, "known_part": 1, "allowed_zone": 5,
 		"once": 1}, count)
 	require.Equal(t, 1, v.Excused)
-	require.Len(t, v.Missed(), 7)
+	require.Len(t, v.DescribeViolations(), 7)
 }
--- a/internal/clustertest/schedule.go
+++ b/internal/clustertest/schedule.go
@@ -43,19 +43,19 @@
 	Events []Event
 }
 
-// BadLine is a line of a schedule that cannot be used.
-type BadLine struct {
-	Line int
-	Text string
-	Why  string
+// InvalidLineError is a line of a schedule that cannot be used.
+type InvalidLineError struct {
+	Line   int
+	Text   string
+	Reason string
 }
 
-func (e *BadLine) Error() string {
-	return fmt.Sprintf("schedule, line %d, %q: %s", e.Line, e.Text, e.Why)
+func (e *InvalidLineError) Error() string {
+	return fmt.Sprintf("schedule, line %d, %q: %s", e.Line, e.Text, e.Reason)
 }
 
 // Advice says what to do.
-func (e *BadLine) Advice() string {
+func (e *InvalidLineError) Advice() string {
 	return "write the line as the comment of rig.Schedule shows, or take it out"
 }
 
@@ -76,13 +76,13 @@
 	return b.String()
 }
 
-// Parse reads a schedule; events stand in order of time.
-func Parse(text string) (s Schedule, err error) {
+// ParseSchedule reads a schedule; events stand in order of time.
+func ParseSchedule(text string) (s Schedule, err error) {
 	lines := strings.Split(text, "\n")
 	for i, line := range lines {
 		plain, _, _ := strings.Cut(line, "#")
 		words := strings.Fields(plain)
-		bad := func(why string) (Schedule, error) { return Schedule{}, &BadLine{i + 1, line, why} }
+		bad := func(why string) (Schedule, error) { return Schedule{}, &InvalidLineError{i + 1, line, why} }
 		switch {
 		case len(words) == 0:
 		case words[0] == "seed" && len(words) == 2 && len(s.Events) == 0:
@@ -144,7 +144,7 @@
 }
 
 // fault is what a link's event does to it.
-func (e Event) fault() (func(f *Fault), error) {
+func (e Event) fault() (func(f *LinkFault), error) {
 	var times []time.Duration
 	var number float64
 	for _, word := range e.Args[min(1, len(e.Args)):] {
@@ -162,7 +162,7 @@
 		}
 		number = v
 	}
-	return func(f *Fault) {
+	return func(f *LinkFault) {
 		switch e.Verb {
 		case "cut":
 			f.Cut = true
@@ -173,22 +173,22 @@
 		case "drop":
 			f.Drop = number
 		case "trickle":
-			f.Trickle = int(number)
+			f.BytesPerSecond = int(number)
 		case "delay":
 			if f.Delay, f.Jitter = times[0], 0; len(times) > 1 {
 				f.Jitter = times[1]
 			}
 		case "heal":
-			*f = Fault{}
+			*f = LinkFault{}
 		}
 	}, nil
 }
 
-// Draw makes a schedule of a seed: so many troubles on the named instances within a time, of the verbs that are given,
+// DrawSchedule makes a schedule of a seed: so many troubles on the named instances within a time, of the verbs that are given,
 // each ended again before the time is over; at the end all links are healed and all instances run. At most keep of the
 // instances are killed or stopped at once. One link in three goes to what is far: hosts, discovery. Among the verbs may be
 // split, a cut that parts all instances in two sides.
-func Draw(seed int64, names, far []string, troubles int, length time.Duration, keep int, verbs ...string) Schedule {
+func DrawSchedule(seed int64, names, far []string, troubles int, length time.Duration, keep int, verbs ...string) Schedule {
 	chance, s := rand.New(rand.NewSource(seed)), Schedule{Seed: seed}
 	add := func(at time.Duration, verb string, args ...string) {
 		s.Events = append(s.Events, Event{at.Round(time.Millisecond), verb, args})
@@ -255,9 +255,9 @@
 	return s
 }
 
-// Run carries out a schedule on the rig and returns when its last event is done, with what could not be done. Starts
+// RunSchedule carries out a schedule on the rig and returns when its last event is done, with what could not be done. Starts
 // go on beside the events that follow, and are awaited in the end. actions are what do names.
-func (r *Rig) Run(ctx context.Context, s Schedule, actions map[string]func(args []string) error) error {
+func (r *Cluster) RunSchedule(ctx context.Context, s Schedule, actions map[string]func(args []string) error) error {
 	began := time.Now()
 	var mu sync.Mutex
 	var faults []error
@@ -293,7 +293,7 @@
 			switch {
 			case e.Verb == "start":
 				starts.Go(func() {
-					if err := r.Ended(ctx, name); err == nil || ctx.Err() == nil {
+					if err := r.WaitExit(ctx, name); err == nil || ctx.Err() == nil {
 						note(r.Start(ctx, name))
 					}
 				})
@@ -309,14 +309,14 @@
 }
 
 // which are the instances that a list names.
-func (r *Rig) which(list string) []string {
+func (r *Cluster) which(list string) []string {
 	if list == "*" {
-		return r.Names()
+		return r.InstanceNames()
 	}
 	return strings.Split(list, ",")
 }
 
-func (r *Rig) onLinks(e Event) error {
+func (r *Cluster) onLinks(e Event) error {
 	do, err := e.fault()
 	if err != nil {
 		return err
