--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -77,7 +77,7 @@
 	disk  *disk
 	path  string
 	post  *httptest.Server
-	list  *fake.Discovery
+	list  *fake.DiscoveryServer
 	words atomic.Int64 // that hosts say
 	deaf  atomic.Bool  // the receiver takes deliveries and says that it has not
 
@@ -101,9 +101,9 @@
 		}
 	}))
 	t.Cleanup(s.post.Close)
-	var entries []fake.Entry
+	var entries []fake.Endpoint
 	for i := range 8 {
-		h, err := fake.NewHost(fmt.Sprint("h", i), i, false, func(p fake.Part) {
+		h, err := fake.NewHost(fmt.Sprint("h", i), i, false, func(p fake.ShardRequest) {
 			word := s.words.Load()
 			if p.Shard > 0 {
 				word = 0 // one block changes
@@ -112,10 +112,10 @@
 		})
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
-		entries = append(entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+		entries = append(entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 	}
 	var err error
-	s.list, err = fake.NewDiscovery(entries)
+	s.list, err = fake.NewDiscoveryServer(entries)
 	require.NoError(t, err)
 	t.Cleanup(s.list.Close)
 	return s
@@ -142,7 +142,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(s.t, err)
 	plan, err := coordinator.Parse(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, ln.Addr(), s.list.Ln.Addr(), s.list.Known(), settings))
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, ln.Addr(), s.list.Listener.Addr(), s.list.KnownEndpoints(), settings))
 	require.NoError(s.t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	book = replication.Start(context.Background(), replication.Options{InstanceName: "n0", Incarnation: life, Transport: nobody{}, Peers: func() (a, b []string) { return nil, []string{"n0"} },
--- a/coordinator/apart_test.go
+++ b/coordinator/apart_test.go
@@ -25,7 +25,7 @@
 		var mu sync.Mutex
 		met := map[string]bool{}
 		for _, h := range r.replicas {
-			h.Set(func(p asked) { // the first sub-request of each search's part at shard 0 may have run
+			h.SetHandler(func(p asked) { // the first sub-request of each search's part at shard 0 may have run
 				mu.Lock()
 				first := p.Shard == 0 && !met[p.ID]
 				met[p.ID] = true
@@ -34,7 +34,7 @@
 					p.Reply("bad", "-", "")
 					return
 				}
-				p.Good()
+				p.ReplyGood()
 			})
 		}
 		return r
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -32,7 +32,7 @@
 // given counts the parts that hosts were told to give up.
 func (r *rig) given() (n int) {
 	for _, s := range r.replicas {
-		_, given, _, _ := s.Seen()
+		_, given, _, _ := s.Observed()
 		n += len(given)
 	}
 	return n
@@ -41,7 +41,7 @@
 // allow has the hosts answer, or be silent.
 func (r *rig) allow(do func(asked)) {
 	for _, s := range r.replicas {
-		s.Set(do)
+		s.SetHandler(do)
 	}
 }
 
@@ -283,7 +283,7 @@
 			r := start(t, 256, nil)
 			call, end := r.piped()
 			gate := make(chan struct{})
-			r.allow(func(a asked) { go func() { <-gate; a.Good() }() })
+			r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 			h := halves{nil, make(chan struct{})}
 			c := call(func(conn net.Conn) net.Conn { h.Conn = conn; return h })
 			c.send(request("first", "all", x.head, fourParts))
@@ -332,7 +332,7 @@
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(patience))
 		_, err = conn.Write([]byte(fake.Search{ID: fmt.Sprint("c", i), Type: "full-match", Shards: []int{0, 1, 2, 3},
-			Patience: 2 * time.Second, Tenant: "acme"}.Text()))
+			Patience: 2 * time.Second, Tenant: "acme"}.Encode()))
 		require.NoError(t, err)
 		conns = append(conns, conn)
 	}
@@ -471,7 +471,7 @@
 	r := start(t, 16, nil)
 	call, end := r.piped()
 	gate := make(chan struct{})
-	r.allow(func(a asked) { go func() { <-gate; a.Good() }() })
+	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var busy []*caller
 	for i := range 8 { // all the room
 		busy = append(busy, call(nil).send(request(fmt.Sprint("busy", i), "all", "", fourParts)))
--- a/coordinator/contain_test.go
+++ b/coordinator/contain_test.go
@@ -57,7 +57,7 @@
 	c.want("before", "all", 200, wholeOfAll)
 	hosts := map[string]bool{}
 	for _, h := range r.replicas {
-		hosts[h.Ln.Addr().String()] = true
+		hosts[h.Listener.Addr().String()] = true
 	}
 	at.Store(&hosts)
 	c.send(request("while", "all", "", fourParts))
@@ -71,7 +71,7 @@
 		return status == 200
 	})
 	at.Store(&map[string]bool{r.plan.Discovery: true})
-	r.list.Answers <- `{"version":9,"full":false,"servers":[]}`
+	r.list.Responses <- `{"version":9,"full":false,"servers":[]}`
 	r.logged("event=list_failed")
 	at.Store(nil)
 	c.want("last", "all", 200, wholeOfAll)
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -33,7 +33,7 @@
 	c.want("q1", "all", 200, wholeOfAll)
 	c.want("q2", "all", 200, wholeOfAll) // the connection stays
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
-		parts, _, conns, _ := r.replicas[id].Seen()
+		parts, _, conns, _ := r.replicas[id].Observed()
 		require.LessOrEqual(t, conns, 1, "connections are used again")
 		for _, p := range parts {
 			require.Equal(t, r.replicas[id].Cell, p.Shard%2)
@@ -60,9 +60,9 @@
 	r := start(t, 256, nil)
 	scores := []string{"5", "18446744073709551616", "-3", "5"}
 	for _, s := range r.replicas {
-		s.Set(func(a asked) {
+		s.SetHandler(func(a asked) {
 			if strings.HasSuffix(a.ID, ".r") {
-				a.Good()
+				a.ReplyGood()
 				return
 			}
 			a.Reply("good", scores[a.Shard], "first")
@@ -71,7 +71,7 @@
 	r.call().want("q", "deep", 200, `{"total":true,"answers":[{"range":1,"blob":"what@1!"},{"range":0,"blob":"what@0!"}]}`)
 	var second []string
 	for _, s := range r.replicas {
-		parts, _, _, _ := s.Seen()
+		parts, _, _, _ := s.Observed()
 		for _, p := range parts {
 			if strings.HasSuffix(p.ID, ".r") {
 				_, rest, _ := strings.Cut(p.List, ",")
@@ -155,7 +155,7 @@
 		}
 	}
 	for _, s := range r.replicas {
-		parts, _, _, _ := s.Seen()
+		parts, _, _, _ := s.Observed()
 		require.Empty(t, parts)
 	}
 	chunked := strings.Replace(ok, "Content-Length: "+fmt.Sprint(len(fourParts)), "Transfer-Encoding: chunked", 1)
@@ -172,7 +172,7 @@
 	r := start(t, 256, nil)
 	var got atomic.Int32
 	for _, s := range r.replicas {
-		s.Set(func(asked) { got.Add(1) })
+		s.SetHandler(func(asked) { got.Add(1) })
 	}
 	c := r.call().send(request("q", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return got.Load() == 4 })
@@ -180,7 +180,7 @@
 	r.eventually("parts are given up", func() bool {
 		n := 0
 		for _, s := range r.replicas {
-			_, given, _, _ := s.Seen()
+			_, given, _, _ := s.Observed()
 			n += len(given)
 		}
 		return n == 4
@@ -193,14 +193,14 @@
 	r := start(t, 256, nil)
 	held, gate := make(chan asked, 1), make(chan struct{})
 	for _, s := range r.replicas {
-		s.Set(func(a asked) {
+		s.SetHandler(func(a asked) {
 			switch {
 			case a.Shard == 3 && strings.HasPrefix(a.ID, "q1"):
 				held <- a
 			case strings.HasPrefix(a.ID, "q1"):
-				go func() { <-gate; a.Good() }()
+				go func() { <-gate; a.ReplyGood() }()
 			default:
-				a.Good()
+				a.ReplyGood()
 			}
 		})
 	}
@@ -223,11 +223,11 @@
 	close(gate)
 	status, _, _, _ := c.answer()
 	require.Equal(t, 200, status)
-	a.Good()
+	a.ReplyGood()
 	a.Reply("good", "1", "unknown part")
 	c.want("q2", "all", 200, wholeOfAll)
 	for _, s := range r.replicas {
-		_, _, conns, _ := s.Seen()
+		_, _, conns, _ := s.Observed()
 		require.LessOrEqual(t, conns, 1)
 	}
 	require.NotContains(t, r.log.String(), "bad_frame")
@@ -239,7 +239,7 @@
 	r := start(t, 256, nil)
 	gate := make(chan struct{})
 	for _, s := range r.replicas {
-		s.Set(func(a asked) { go func() { <-gate; a.Good() }() })
+		s.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	}
 	c := r.call().send(request("same", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return r.parts() == 4 })
@@ -258,7 +258,7 @@
 func TestSentAhead(t *testing.T) {
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
-		s.Set(func(asked) {})
+		s.SetHandler(func(asked) {})
 	}
 	c := r.call().send(request("first", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return r.parts() == 4 })
@@ -266,7 +266,7 @@
 	require.Equal(t, 400, status)
 	require.False(t, keep)
 	for id := range r.replicas {
-		r.replicas[id].Set(asked.Good)
+		r.replicas[id].SetHandler(asked.ReplyGood)
 	}
 	r.call().want("last", "all", 200, wholeOfAll)
 	require.Equal(t, 8, r.parts())
@@ -279,7 +279,7 @@
 	r := start(t, 16, nil)
 	held := make(chan asked, 4)
 	for _, s := range r.replicas {
-		s.Set(func(a asked) { held <- a })
+		s.SetHandler(func(a asked) { held <- a })
 	}
 	busy := r.call().send(request("q", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return len(held) == 4 })
@@ -294,7 +294,7 @@
 	r.logged("end=displaced")
 	require.LessOrEqual(t, strings.Count(r.log.String(), "end=displaced"), 2, "a line a second")
 	for range 4 {
-		(<-held).Good()
+		(<-held).ReplyGood()
 	}
 	status, _, text, _ := busy.answer()
 	require.Equal(t, 200, status)
@@ -325,7 +325,7 @@
 		{"bad score", func(a asked) { a.Reply("good", "1.5", "x") }, "end=garbled"},
 		{"long score", func(a asked) { a.Reply("good", strings.Repeat("9", 41), "x") }, "end=garbled"},
 		{"no text", func(a asked) { a.Reply("good", "1", "\xff") }, "end=garbled"},
-		{"another id", func(a asked) { a.ID += "0"; a.Good() }, "end=garbled"},
+		{"another id", func(a asked) { a.ID += "0"; a.ReplyGood() }, "end=garbled"},
 		{"a length that does not come", raw("\x00\x00\x01\x00qabc"), "end=slow"},
 		{"refused", framed('r', "what is that"), `event=frame_refused replica=a0 words="what is that"`},
 		{"bad", func(a asked) { a.Reply("bad", "-", "") }, ""},
@@ -335,10 +335,10 @@
 			t.Parallel()
 			r := start(t, 256, nil)
 			c := r.call()
-			r.replicas["a0"].Set(x.do)
+			r.replicas["a0"].SetHandler(x.do)
 			for i := range 20 { // until one of them met a0
 				c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
-				if parts, _, _, _ := r.replicas["a0"].Seen(); len(parts) > 0 {
+				if parts, _, _, _ := r.replicas["a0"].Observed(); len(parts) > 0 {
 					break
 				}
 			}
@@ -352,17 +352,17 @@
 // the replicas take as much as before.
 func TestSpoiltIsNoCrash(t *testing.T) {
 	r := start(t, 256, nil)
-	r.list.Answers <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
+	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
 		r.entry("b1", "draining"))
 	r.logged("how=Partial")
 	var spoilt [2]atomic.Bool
 	for i, id := range []string{"a0", "b0"} {
-		r.replicas[id].Set(func(a asked) {
+		r.replicas[id].SetHandler(func(a asked) {
 			if spoilt[i].CompareAndSwap(false, true) {
 				a.Conn.Write([]byte("noise in place of an answer"))
 				return
 			}
-			a.Good()
+			a.ReplyGood()
 		})
 	}
 	c := r.call()
@@ -376,7 +376,7 @@
 // A good answer counts whatever comes behind it, and with a report that cannot be read.
 func TestGoodAnswerWithMore(t *testing.T) {
 	for name, more := range map[string]func(a asked){
-		"a copy":  func(a asked) { a.Good() },
+		"a copy":  func(a asked) { a.ReplyGood() },
 		"noise":   func(a asked) { a.Conn.Write([]byte("noise behind the answer")) },
 		"nothing": func(asked) {},
 	} {
@@ -384,11 +384,11 @@
 			t.Parallel()
 			r := start(t, 256, nil)
 			for _, s := range r.replicas {
-				s.Set(func(a asked) {
+				s.SetHandler(func(a asked) {
 					both := &strings.Builder{}
 					there := a.Conn
 					a.Conn = writes{there, both}
-					a.Good()
+					a.ReplyGood()
 					more(a)
 					there.Write([]byte(strings.ReplaceAll(both.String(), " -\n", " ?\n")))
 				})
@@ -410,8 +410,8 @@
 	o := &owner{queue: make(chan func(), 4), ctx: context.Background(), log: newNotes(SystemClock{}, slog.DiscardHandler)}
 	l := &line{link: newLink(o.ctx, 1), r: &replica{id: "a0"}, past: map[string]uint64{"q.1": 1}}
 	go func() {
-		asked{ID: "q.1", Conn: there}.Good()
-		asked{ID: "q.1", Conn: writesMore{there, []byte("noise")}}.Good()
+		asked{ID: "q.1", Conn: there}.ReplyGood()
+		asked{ID: "q.1", Conn: writesMore{there, []byte("noise")}}.ReplyGood()
 	}()
 	heard := make(chan error, 1)
 	go func() { heard <- frames{}.hear(o, l, here) }()
@@ -426,16 +426,16 @@
 // swallowed goes out again.
 func TestSilentConnection(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Permissions"].(map[string]any)["DialTimeout"] = 100 })
-	r.list.Answers <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
+	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("how=Partial")
 	c, d := r.call(), r.call()
 	c.want("first", "all", 200, wholeOfAll)
 	var dead atomic.Value // the connection
-	r.replicas["a0"].Set(func(a asked) {
+	r.replicas["a0"].SetHandler(func(a asked) {
 		if dead.CompareAndSwap(nil, a.Conn) || dead.Load() == a.Conn {
 			return
 		}
-		a.Good()
+		a.ReplyGood()
 	})
 	c.send(request("swallowed", "all", "", fourParts))
 	r.eventually("it is out", func() bool { return dead.Load() != nil })
@@ -452,15 +452,15 @@
 // A search that fells replicas is given up while more of its parts are out on the connection that ended.
 func TestSearchThatFells(t *testing.T) {
 	r := start(t, 256, nil)
-	r.list.Answers <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
+	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
 		r.entry("b1", "draining"))
 	r.logged("how=Partial")
 	reset := func(a asked) {
 		a.Conn.(*net.TCPConn).SetLinger(0)
 		a.Conn.Close()
 	}
-	r.replicas["b0"].Set(reset)
-	r.replicas["a0"].Set(func(a asked) {
+	r.replicas["b0"].SetHandler(reset)
+	r.replicas["a0"].SetHandler(func(a asked) {
 		if a.Shard == 2 {
 			r.logged("replica=b0")
 			reset(a)
@@ -471,8 +471,8 @@
 		{"range":2,"portion":0.4}],"predicate":"poison"}`))
 	status, _, _, _ := c.answer()
 	require.Equal(t, 503, status)
-	r.replicas["a0"].Set(asked.Good)
-	r.replicas["b0"].Set(asked.Good)
+	r.replicas["a0"].SetHandler(asked.ReplyGood)
+	r.replicas["b0"].SetHandler(asked.ReplyGood)
 	c.want("next", "all", 200, wholeOfAll)
 	r.end()
 }
@@ -484,17 +484,17 @@
 		s["Permissions"].(map[string]any)["DialTimeout"] = 100
 		s["Permissions"].(map[string]any)["ConnIdle"] = 100
 	})
-	r.replicas["a0"].Set(func(asked) {})
+	r.replicas["a0"].SetHandler(func(asked) {})
 	c := r.call()
 	for i := range 20 {
 		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
-		if parts, _, _, _ := r.replicas["a0"].Seen(); len(parts) > 0 {
+		if parts, _, _, _ := r.replicas["a0"].Observed(); len(parts) > 0 {
 			break
 		}
 	}
 	for _, s := range r.replicas {
 		r.eventually("closed", func() bool {
-			_, _, conns, open := s.Seen()
+			_, _, conns, open := s.Observed()
 			return conns > 0 && open == 0
 		})
 	}
@@ -544,7 +544,7 @@
 // A replica that refuses connections, and one that never was where the list says, cost no search.
 func TestReplicaDown(t *testing.T) {
 	r := start(t, 256, nil)
-	r.replicas["a0"].Ln.Close()
+	r.replicas["a0"].Listener.Close()
 	c := r.call()
 	for i := range 20 {
 		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
@@ -580,39 +580,39 @@
 // for again.
 func TestListChanges(t *testing.T) {
 	r := start(t, 256, nil)
-	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Calls)
+	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	said := func(version int, full bool, entries ...string) {
-		r.list.Answers <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(entries, ","))
+		r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 	}
 	said(8, false, r.entry("a0", "draining"), r.entry("b1", "removed"))
-	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Calls)
+	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
 	r.logged("how=Partial version=8")
 	c := r.call()
 	for i := range 10 {
 		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
 	}
 	for _, id := range []string{"a0", "b1"} {
-		parts, _, _, _ := r.replicas[id].Seen()
+		parts, _, _, _ := r.replicas[id].Observed()
 		require.Empty(t, parts)
 	}
-	_, _, _, open := r.replicas["a1"].Seen()
+	_, _, _, open := r.replicas["a1"].Observed()
 	require.Equal(t, 1, open)
 	for _, id := range []string{"a1", "b0"} { // parts of one turn to one replica share a call
-		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[id].Calls())
+		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[id].BatchSizes())
 	}
 	for _, bad := range []string{`{"version":9,"full":false,"servers":[{"id":"a1","addr":"","state":"up","cell":0}]}`,
 		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"127.0.0.1:1","state":"odd","cell":0}]}`,
 		`{"version":9`, `{"version":6,"full":true,"servers":[]}`, `{"version":8,"full":false,"servers":[]}`,
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 nonsense\r\n\r\n", ""} {
-		r.list.Answers <- bad
-		require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Calls, bad)
+		r.list.Responses <- bad
+		require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets, bad)
 	}
 	c.want("still", "all", 200, wholeOfAll)
 	require.Equal(t, 8, strings.Count(r.log.String(), "event=list_failed"))
 	said(12, true, r.entry("a0", "up"), r.entry("b0", "up")) // whole: a1 is gone, and its connection goes
-	r.eventually("a1 is left", func() bool { _, _, _, open := r.replicas["a1"].Seen(); return open == 0 })
+	r.eventually("a1 is left", func() bool { _, _, _, open := r.replicas["a1"].Observed(); return open == 0 })
 	c.want("after", "all", 200, wholeOfAll)
-	parts, _, _, _ := r.replicas["a0"].Seen()
+	parts, _, _, _ := r.replicas["a0"].Observed()
 	require.Len(t, parts, 2)
 	r.end()
 	require.NotContains(t, r.log.String(), "event=fault")
@@ -622,21 +622,21 @@
 // wait counts as a failed call.
 func TestListWithoutEnd(t *testing.T) {
 	list := script(t)
-	o := &owner{plan: &Plan{Discovery: list.Ln.Addr().String()}, ctx: context.Background(),
+	o := &owner{plan: &Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
 		Options: Options{Dial: (&net.Dialer{}).DialContext}}
-	list.Answers <- `{"version":0,"full":true,"servers":[]}`
+	list.Responses <- `{"version":0,"full":true,"servers":[]}`
 	require.ErrorContains(t, o.watch(o.ctx, &asking{at: o.plan.Discovery}, nil), "nothing new")
-	require.Equal(t, "/v1/servers?index=0&wait=2000", <-list.Calls)
-	close(list.Answers)
+	require.Equal(t, "/v1/servers?index=0&wait=2000", <-list.Targets)
+	close(list.Responses)
 }
 
 // Discovery that says nothing is asked again within seconds; many co-ordinators ask more seldom.
 func TestSilentDiscovery(t *testing.T) {
 	t.Parallel()
 	r := start(t, 256, nil)
-	<-r.list.Calls
+	<-r.list.Targets
 	began := time.Now()
-	<-r.list.Calls
+	<-r.list.Targets
 	require.Less(t, time.Since(began), 4*time.Second+patience/2)
 	require.Contains(t, r.log.String(), "event=list_failed")
 	for n, want := range map[string]time.Duration{"1": 2, "3": 3, "150": 20} {
@@ -648,10 +648,10 @@
 // Where the list comes by itself, calls are made without the module asking, and go on after failures.
 func TestListByItself(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Discovery"] = "automatic" })
-	<-r.list.Calls
-	r.list.Answers <- ""
-	<-r.list.Calls
-	r.list.Answers <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, r.entry("a0", "draining"))
+	<-r.list.Targets
+	r.list.Responses <- ""
+	<-r.list.Targets
+	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, r.entry("a0", "draining"))
 	r.logged("how=Partial version=9")
 	r.end()
 }
@@ -660,29 +660,29 @@
 // are asked again there. Searches go on.
 func TestNewPlan(t *testing.T) {
 	r := start(t, 256, nil)
-	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Calls)
+	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	next := script(t)
 	p := *r.plan
-	p.Discovery, p.MaxSockets = next.Ln.Addr().String(), 16
+	p.Discovery, p.MaxSockets = next.Listener.Addr().String(), 16
 	r.plans <- &p
-	require.Equal(t, "/v1/servers", <-next.Calls)
-	next.Answers <- fmt.Sprintf(`{"version":3,"full":true,"servers":[%s,%s,%s]}`, r.entry("a0", "draining"),
+	require.Equal(t, "/v1/servers", <-next.Targets)
+	next.Responses <- fmt.Sprintf(`{"version":3,"full":true,"servers":[%s,%s,%s]}`, r.entry("a0", "draining"),
 		r.entry("a1", "up"), r.entry("b0", "up"))
-	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Calls)
+	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
 	r.logged("how=Complete version=3 entries=3")
 	c := r.call()
 	c.want("q", "all", 200, wholeOfAll)
 	for id, want := range map[string]int{"a0": 0, "a1": 2, "b0": 2, "b1": 0} {
-		parts, _, _, _ := r.replicas[id].Seen()
+		parts, _, _, _ := r.replicas[id].Observed()
 		require.Len(t, parts, want, id)
 	}
 	for range 20 { // the new number of descriptors holds
 		r.call()
 	}
 	r.logged("end=displaced")
-	next.Answers <- "" // fails: the module asks again, at the same place
-	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Calls)
-	require.Empty(t, r.list.Calls)
+	next.Responses <- "" // fails: the module asks again, at the same place
+	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
+	require.Empty(t, r.list.Targets)
 	r.end()
 }
 
@@ -730,9 +730,9 @@
 	release := make(chan struct{})
 	var got atomic.Int32
 	for _, s := range r.replicas {
-		s.Set(func(a asked) {
+		s.SetHandler(func(a asked) {
 			got.Add(1)
-			go func() { <-release; a.Good() }()
+			go func() { <-release; a.ReplyGood() }()
 		})
 	}
 	idle, early, late := r.call(), r.call(), r.call()
@@ -755,10 +755,10 @@
 	}
 	r.end()
 	for _, s := range r.replicas {
-		s.Ln.Close()
+		s.Listener.Close()
 	}
-	r.list.Ln.Close()
-	close(r.list.Answers)
+	r.list.Listener.Close()
+	close(r.list.Responses)
 	r.eventually("goroutines end", func() bool { return runtime.NumGoroutine() <= before+1 })
 }
 
@@ -768,7 +768,7 @@
 	const busy = time.Second // that a crowded machine may be late by; without the bound it is four
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
-		s.Set(func(asked) {})
+		s.SetHandler(func(asked) {})
 	}
 	late := r.call()
 	late.want("first", "none", 400, "") // the connection is taken before the end
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -234,7 +234,7 @@
 		m.Listener.(*accepting).deadline = func() { closing <- struct{}{} }
 		m.Clock = clocked{held: stopQuiet, gate: make(chan time.Time)} // which ends the wait for room
 	})
-	r.allow(func(a asked) { go func() { <-gate; a.Good() }() })
+	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var all []*caller
 	for i := range room + more {
 		all = append(all, r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
@@ -352,16 +352,16 @@
 					if !armed.CompareAndSwap(true, false) {
 						return 0, false
 					}
-					before := h.Took()
+					before := h.CountRequests()
 					n, err := c.TCPConn.Write(p[:x.part(p)])
 					require.NoError(t, err)
-					for x.whole && h.Took() == before { // its answer is held back
+					for x.whole && h.CountRequests() == before { // its answer is held back
 						time.Sleep(time.Millisecond)
 					}
-					for taken := 0; taken == 0; _, _, _, taken = h.Seen() { // the host may not have it yet
+					for taken := 0; taken == 0; _, _, _, taken = h.Observed() { // the host may not have it yet
 						time.Sleep(time.Millisecond)
 					}
-					h.Reset()
+					h.ResetConnections()
 					arrived(t, c.TCPConn)
 					return n, true
 				}
@@ -369,17 +369,17 @@
 			mu.Lock()
 			for _, h := range r.replicas {
 				if h.Cell == 0 {
-					hosts[h.Ln.Addr().String()] = h
+					hosts[h.Listener.Addr().String()] = h
 				}
 			}
 			mu.Unlock()
 			var met sync.Map
 			for _, h := range r.replicas {
-				h.Set(func(p asked) {
+				h.SetHandler(func(p asked) {
 					if _, before := met.LoadOrStore(p.ID, true); !before && x.whole && strings.HasSuffix(p.ID, ".0") {
 						return
 					}
-					p.Good()
+					p.ReplyGood()
 				})
 			}
 			armed.Store(true)
--- a/coordinator/effects_test.go
+++ b/coordinator/effects_test.go
@@ -28,7 +28,7 @@
 }
 
 func (d *doers) restart(h *fake.Host) {
-	for _, conn := range h.Drop() {
+	for _, conn := range h.CloseConnections() {
 		d.ended[conn] = true
 	}
 	d.memory[h] = map[string]time.Time{}
@@ -69,14 +69,14 @@
 		p.Conn.Close() // its answer is lost
 	case draw < 270:
 		p.Conn.Close()
-		time.AfterFunc(20*time.Millisecond, p.Good) // after the reset
+		time.AfterFunc(20*time.Millisecond, p.ReplyGood) // after the reset
 	case draw < 320:
 		p.Reply("bad", "-", "")
 	case draw < 340: // never answers
 	case draw < 348:
 		d.restart(h) // after it took effect
 	default:
-		time.AfterFunc(time.Duration(draw%4)*time.Millisecond, p.Good)
+		time.AfterFunc(time.Duration(draw%4)*time.Millisecond, p.ReplyGood)
 	}
 }
 
@@ -98,7 +98,7 @@
 		d.memory[h] = map[string]time.Time{}
 	}
 	for _, h := range r.replicas {
-		h.Set(func(p asked) { d.take(h, p) })
+		h.SetHandler(func(p asked) { d.take(h, p) })
 	}
 	var g sync.WaitGroup
 	status := make([]map[int]int, callers)
--- a/coordinator/ends_test.go
+++ b/coordinator/ends_test.go
@@ -18,7 +18,7 @@
 	require.Equal(t, [3]int{1, OutcomeAnswered, 4}, [3]int{e.Type, e.Outcome, e.Attempts})
 	require.Positive(t, e.Duration)
 	for _, h := range r.replicas {
-		h.Set(func(fake.Part) {})
+		h.SetHandler(func(fake.ShardRequest) {})
 	}
 	c := r.call().send(request("s2", "all", "", fourParts))
 	r.eventually("parts of the second search", func() bool { return r.parts() >= 8 })
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -91,7 +91,7 @@
 			first := <-a.hold
 			a.eventually("the cancel frame has come", func() bool { return a.given() == 1 })
 			a.p.untold()
-			first.Good()
+			first.ReplyGood()
 		}, "Ok"},
 		"refused all the same": {false, func(a at) {
 			first := <-a.hold
@@ -102,20 +102,20 @@
 			first := <-a.hold
 			a.inTurn(func(o *owner) { o.retire(a.l) })
 			a.p.untold()
-			first.Good()
+			first.ReplyGood()
 		}, "Ok"},
 		"another is heard, then the other side resets it": {false, func(a at) {
 			<-a.hold
 			c := a.call().send(request("other", "all", "", onePart))
 			ids := <-a.p.searches
 			a.inTurn(func(o *owner) { o.SendAttempt(ids[1], "a0", 0) })
-			(<-a.hold).Good()
+			(<-a.hold).ReplyGood()
 			a.p.told("Ok")
 			a.inTurn(func(o *owner) { o.AnswerSearch(ids[0], true) })
 			status, _, _, _ := c.answer()
 			require.Equal(a.t, 200, status)
 			a.p.untold()
-			a.replicas["a0"].Reset()
+			a.replicas["a0"].ResetConnections()
 		}, "Canceled"},
 		"closed on this side, then its search ends": {false, func(a at) {
 			a.inTurn(func(*owner) { a.l.cut(retired) })
@@ -133,7 +133,7 @@
 				settings["Permissions"].(map[string]any)["SecondCopies"] = x.copies
 			}, nil, nil, nil)
 			a := at{r, make(chan asked, 8), r.puppet(), 0, nil}
-			r.replicas["a0"].Set(func(p asked) { a.hold <- p })
+			r.replicas["a0"].SetHandler(func(p asked) { a.hold <- p })
 			c := r.call().send(request("q", "all", "", onePart))
 			a.part = (<-a.p.searches)[1]
 			r.inTurn(func(o *owner) { o.SendAttempt(a.part, "a0", 0) })
@@ -143,7 +143,7 @@
 						a.l = lines[0]
 					}
 				})
-				return a.l != nil && r.replicas["a0"].Took() == 1
+				return a.l != nil && r.replicas["a0"].CountRequests() == 1
 			})
 			r.inTurn(func(o *owner) { o.CancelAttempt(a.part, 0) })
 			x.then(a)
@@ -216,7 +216,7 @@
 	let(id)
 	r.eventually("the connection is up", func() bool { return r.up(id) })
 	r.call().want("next", "all", 200, wholeOfAll) // by the same connection, behind what would have gone out
-	parts, _, _, _ := r.replicas[id].Seen()
+	parts, _, _, _ := r.replicas[id].Observed()
 	require.Len(t, parts, 2)
 	for _, p := range parts {
 		require.True(t, strings.HasPrefix(p.ID, "next."), p.ID)
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -143,7 +143,7 @@
 	list, ln := script(t), listen(t)
 	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":0,"servers":[]},"settings":%s}`,
-		ln.Addr(), list.Ln.Addr(), testSettings))
+		ln.Addr(), list.Listener.Addr(), testSettings))
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -191,7 +191,7 @@
 func TestGoldenClientResponses(t *testing.T) {
 	r := start(t, 1024, nil)
 	for _, host := range r.replicas {
-		host.Set(func(p asked) {
+		host.SetHandler(func(p asked) {
 			switch {
 			case p.Text == "escaped":
 				p.Reply("good", "1", "quote \" backslash \\ line\nend\r tab\t bell\a del\x7f <&> é \u2028 🙂")
@@ -200,7 +200,7 @@
 			case p.Shard == 2:
 				p.Reply("good", "7", "")
 			default:
-				p.Good()
+				p.ReplyGood()
 			}
 		})
 	}
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -59,12 +59,12 @@
 // The events and keys of the log that a start, a list, a changed plan, a search and a stop always write.
 func TestGoldenLogEvents(t *testing.T) {
 	r := start(t, 256, nil)
-	r.list.Answers <- `{"version":8,"full":false,"servers":[]}`
+	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	r.logged("how=Partial")
 	r.call().want("a", "all", http.StatusOK, wholeOfAll)
 	next, err := Parse(planOf(t, func(s map[string]any) { s["Added"] = 1 }))
 	require.NoError(t, err)
-	next.Discovery = script(t).Ln.Addr().String()
+	next.Discovery = script(t).Listener.Addr().String()
 	r.plans <- next
 	r.logged("waits_for_restart=")
 	r.end()
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -63,16 +63,16 @@
 	r, sent := startRecorded(t)
 	module := r.puppet()
 	held := make(chan asked, 1)
-	r.replicas["a0"].Set(func(p asked) { held <- p })
+	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
 	c := r.call().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
 	ids := <-module.searches
 	r.inTurn(func(o *owner) { o.SendAttempt(ids[1], "a0", 0) })
 	<-held
 	r.inTurn(func(o *owner) { o.CancelAttempt(ids[1], 0) })
-	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Seen(); return len(given) == 1 })
+	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Observed(); return len(given) == 1 })
 	r.inTurn(func(o *owner) { o.FailSearch(ids[0]) })
 	c.answer()
-	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Ln.Addr().String()), "d=# ")
+	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
 	requireGolden(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
 	r.end()
 }
@@ -135,14 +135,14 @@
 func TestGoldenDiscoveryRequests(t *testing.T) {
 	r, sent := startRecorded(t)
 	whole := fmt.Sprintf(`"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
-	<-r.list.Calls
-	r.list.Answers <- `{"version":12,"full":false,"servers":[]}`
-	<-r.list.Calls
-	r.list.Answers <- `{"version":3,` + whole
-	<-r.list.Calls
-	r.list.Answers <- `{"version":3,` + whole
-	<-r.list.Calls
-	addr := r.list.Ln.Addr().String()
+	<-r.list.Targets
+	r.list.Responses <- `{"version":12,"full":false,"servers":[]}`
+	<-r.list.Targets
+	r.list.Responses <- `{"version":3,` + whole
+	<-r.list.Targets
+	r.list.Responses <- `{"version":3,` + whole
+	<-r.list.Targets
+	addr := r.list.Listener.Addr().String()
 	requests := strings.SplitAfter(strings.ReplaceAll(sent.at(addr), addr, "DISCOVERY"), "\r\n\r\n")
 	var out strings.Builder
 	for _, text := range requests[:4] {
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -166,7 +166,7 @@
 	path := filepath.Join(t.TempDir(), "kept.db")
 	r := first.keeping(path, store.Options{})
 	r.logged("event=store ")
-	r.list.Answers <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
+	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
 	r.eventually("b1 is off", func() bool { return r.inForce() == "a0 a1 b0 " })
 	r.end()
 	s, err := store.Open(path, store.Options{})
--- a/coordinator/held_test.go
+++ b/coordinator/held_test.go
@@ -49,10 +49,10 @@
 	long := strings.Repeat("v", 20_000)
 	held := make(chan asked, 1)
 	for _, s := range r.replicas {
-		s.Set(func(a asked) {
+		s.SetHandler(func(a asked) {
 			switch {
 			case !strings.HasPrefix(a.ID, "first"):
-				a.Good()
+				a.ReplyGood()
 			case a.Shard == 3:
 				held <- a
 			default:
@@ -76,7 +76,7 @@
 	status, head, _, _ := r.call().send(request("second", "all", "", fourParts)).answer()
 	require.Equal(t, 503, status)
 	require.NotEmpty(t, head["retry-after"])
-	a.Good()
+	a.ReplyGood()
 	status, _, text, _ := first.answer()
 	require.Equal(t, 200, status)
 	require.Equal(t, 3, strings.Count(text, long))
--- a/coordinator/held_up_test.go
+++ b/coordinator/held_up_test.go
@@ -25,7 +25,7 @@
 			l.holding()
 			took := func() (n int) {
 				for _, h := range l.hosts {
-					n += h.Took()
+					n += h.CountRequests()
 				}
 				return n
 			}
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -31,7 +31,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	more := &rig{t: r.t, replicas: r.replicas, list: script(r.t), addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1), log: &journal{}}
 	plan := *r.plan
-	plan.Discovery = more.list.Ln.Addr().String()
+	plan.Discovery = more.list.Listener.Addr().String()
 	more.plan = &plan
 	log, look := NewLogger(more.log, false, slog.LevelInfo), make(chan *owner, 1)
 	k := newKeep(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
@@ -78,11 +78,11 @@
 
 // asks sends so many searches and tells how many parts a host took of them.
 func (r *rig) asks(host string, n int) int {
-	before, c := r.replicas[host].Took(), r.call()
+	before, c := r.replicas[host].CountRequests(), r.call()
 	for i := range n {
 		c.want(fmt.Sprint(r.addr, "-", before, "-", i), "all", 200, wholeOfAll)
 	}
-	return r.replicas[host].Took() - before
+	return r.replicas[host].CountRequests() - before
 }
 
 // What was learned of hosts and the list in force are there after a planned stop, with discovery away: a host that hangs
@@ -92,9 +92,9 @@
 	path := filepath.Join(t.TempDir(), "kept")
 	r := first.keeping(path, store.Options{})
 	r.logged("event=store ")
-	r.list.Answers <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
+	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
 	r.eventually("b1 is off", func() bool { return r.inForce() == "a0 a1 b0 " })
-	r.replicas["a0"].Set(func(fake.Part) {}) // hangs
+	r.replicas["a0"].SetHandler(func(fake.ShardRequest) {}) // hangs
 	r.asks("a0", 12)
 	require.True(t, r.heard("a0"))
 	r.end()
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -54,7 +54,7 @@
 type lists struct {
 	mu       sync.Mutex
 	version  int
-	entries  []fake.Entry
+	entries  []fake.Endpoint
 	changed  chan struct{}
 	done     chan struct{}
 	faults   []string
@@ -78,12 +78,12 @@
 }
 
 // hosts is a list whose first host is at an address.
-func hosts(addr string) []fake.Entry {
-	return []fake.Entry{{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
+func hosts(addr string) []fake.Endpoint {
+	return []fake.Endpoint{{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
 		{ID: "b0", Addr: "10.0.0.9:1", Zone: "z one", Kind: "small", Cell: 1, State: "up"}}
 }
 
-func (d *lists) tell(version int, entries []fake.Entry) {
+func (d *lists) tell(version int, entries []fake.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version, d.entries = version, entries
@@ -160,9 +160,9 @@
 		case "older":
 			text = fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, index-1)
 		case "same":
-			text = fake.ListText(index, nil)
+			text = fake.EncodeEndpointList(index, nil)
 		case "half", "trickle":
-			out := http1.AppendResponse(nil, 200, "", []byte(fake.ListText(index+1, hosts("10.0.0.7:1"))), true)
+			out := http1.AppendResponse(nil, 200, "", []byte(fake.EncodeEndpointList(index+1, hosts("10.0.0.7:1"))), true)
 			for _, b := range out[:len(out)/2] {
 				if _, err := conn.Write([]byte{b}); err != nil {
 					return
@@ -177,7 +177,7 @@
 		limit := time.After(time.Duration(wait) * time.Millisecond)
 		for text == "" {
 			d.mu.Lock()
-			version, changed, list := d.version, d.changed, fake.ListText(d.version, d.entries)
+			version, changed, list := d.version, d.changed, fake.EncodeEndpointList(d.version, d.entries)
 			d.mu.Unlock()
 			if whole || version > index {
 				text = list
@@ -251,7 +251,7 @@
 	text, _ := json.Marshal(settings)
 	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, seed,
-		fake.ListText(1, hosts("10.0.0.1:1")), text))
+		fake.EncodeEndpointList(1, hosts("10.0.0.1:1")), text))
 	require.NoError(t, err)
 	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *Plan), plan: p}
 	way := &places{up: map[string]func(net.Conn){}}
@@ -418,7 +418,7 @@
 		lost    bool     // the watch is, as they do
 		faults  []string // after that
 		version int      // that discovery has from then on
-		hosts   []fake.Entry
+		hosts   []fake.Endpoint
 		later   time.Duration // after which it knows hosts again
 		limit   time.Duration // beside the wait of a call
 	}{
@@ -545,15 +545,15 @@
 			at, up := map[string]string{}, map[string]chan struct{}{}
 			mu.Lock()
 			for _, id := range []string{"a0", "a1"} {
-				addr := r.replicas[id].Ln.Addr().String()
+				addr := r.replicas[id].Listener.Addr().String()
 				at[addr], up[id] = id, make(chan struct{})
 				held[addr] = up[id]
 			}
 			mu.Unlock()
-			<-r.list.Calls
+			<-r.list.Targets
 			c := r.call().send(request("q", "all", "", fourParts))
 			id := at[<-dialed]
-			r.list.Answers <- answer(r, id)
+			r.list.Responses <- answer(r, id)
 			r.logged("version=8")
 			time.Sleep(300 * time.Millisecond) // longer than the grace
 			close(up[id])
@@ -566,7 +566,7 @@
 			status, _, text, _ := c.answer()
 			require.Equal(t, 200, status)
 			require.JSONEq(t, wholeOfAll, text)
-			require.Zero(t, r.replicas[id].Took(), r.log)
+			require.Zero(t, r.replicas[id].CountRequests(), r.log)
 			r.end()
 		})
 	}
@@ -576,20 +576,20 @@
 // them is lost with the version that brought it.
 func TestRefusedChangesAreToldAgain(t *testing.T) {
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
-	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Calls)
+	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	good := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a0", "draining"), r.entry("b1", "up"))
 	bad := strings.Replace(good, `"state":"up","weight":1.0`, `"state":"up","weight":-1.0`, 1)
 	require.NotEqual(t, good, bad)
-	r.list.Answers <- bad
-	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Calls)
+	r.list.Responses <- bad
+	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	r.logged("event=list_refused")
-	r.list.Answers <- good
-	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Calls)
+	r.list.Responses <- good
+	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
 	c := r.call()
 	for i := range 10 {
 		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
 	}
-	require.Zero(t, r.replicas["a0"].Took())
+	require.Zero(t, r.replicas["a0"].CountRequests())
 	r.end()
 }
 
@@ -625,18 +625,18 @@
 // is not lost with it.
 func TestTheLongestList(t *testing.T) {
 	r := start(t, 256, nil)
-	<-r.list.Calls
+	<-r.list.Targets
 	text := func(version, size int) string {
 		list := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s,%s,%s,`, version, r.entry("a0", "up"), r.entry("a1", "up"), r.entry("b0", "up"))
 		return list + strings.Repeat(" ", size-len(list)-len(r.entry("b1", "up"))-3) + r.entry("b1", "up") + "]}\n"
 	}
-	r.list.Answers <- text(8, 64<<10)
+	r.list.Responses <- text(8, 64<<10)
 	r.logged("how=Complete version=8")
-	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Calls)
-	r.list.Answers <- text(9, 64<<10+1)
-	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Calls)
+	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
+	r.list.Responses <- text(9, 64<<10+1)
+	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
 	r.logged("body over 65536 bytes")
-	r.list.Answers <- text(9, 30<<10)
+	r.list.Responses <- text(9, 30<<10)
 	r.logged("how=Complete version=9")
 	r.end()
 }
@@ -649,32 +649,32 @@
 			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), `"started_ms":0`, `"started_ms":5`, 1)}
 		},
 		"at another": func(r *rig, moved string) []string {
-			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Ln.Addr().String(), moved, 1)}
+			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Listener.Addr().String(), moved, 1)}
 		},
 		"at another, never removed": func(r *rig, moved string) []string {
-			return []string{strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Ln.Addr().String(), moved, 1)}
+			return []string{strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Listener.Addr().String(), moved, 1)}
 		},
 	} {
 		for _, together := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, " ", together), func(t *testing.T) {
 				r := start(t, 256, nil)
-				<-r.list.Calls
-				next, err := fake.NewHost("b1", 1, true, asked.Good)
+				<-r.list.Targets
+				next, err := fake.NewHost("b1", 1, true, asked.ReplyGood)
 				require.NoError(t, err)
 				t.Cleanup(next.Close)
 				version := 7
 				tell := func(entries ...string) {
 					version++
-					r.list.Answers <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version, strings.Join(entries, ","))
+					r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version, strings.Join(entries, ","))
 					r.logged(fmt.Sprintf("version=%d ", version))
 				}
 				tell(r.entry("b0", "draining")) // so that b1 gets the part
 				held := make(chan asked, 16)
-				r.replicas["b1"].Set(func(a asked) { held <- a })
+				r.replicas["b1"].SetHandler(func(a asked) { held <- a })
 				c := r.call().send(request("first", "all", "", fourParts))
 				a := <-held
-				r.replicas["b1"].Set(asked.Good)
-				entries := back(r, next.Ln.Addr().String())
+				r.replicas["b1"].SetHandler(asked.ReplyGood)
+				entries := back(r, next.Listener.Addr().String())
 				if together {
 					tell(entries...)
 				} else {
@@ -685,9 +685,9 @@
 				for i := range 5 {
 					r.call().want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
 				}
-				a.Good()
+				a.ReplyGood()
 				for len(held) > 0 {
-					(<-held).Good()
+					(<-held).ReplyGood()
 				}
 				status, _, text, _ := c.answer()
 				require.Equal(t, 200, status, text)
@@ -699,7 +699,7 @@
 				r.owner.post(func() { h := r.owner.fleet["b1"]; look <- h != nil && !h.gone })
 				require.True(t, <-look)
 				if name != "at its address" {
-					require.Positive(t, next.Took())
+					require.Positive(t, next.CountRequests())
 				}
 				r.end()
 				require.NotContains(t, r.log.String(), "event=fault")
@@ -712,8 +712,8 @@
 // back. At a start such a list is not yet one: health is bad until a host is known.
 func TestAListWithoutHosts(t *testing.T) {
 	r := start(t, 256, nil)
-	<-r.list.Calls
-	r.list.Answers <- `{"version":8,"full":true,"servers":[]}`
+	<-r.list.Targets
+	r.list.Responses <- `{"version":8,"full":true,"servers":[]}`
 	r.logged("version=8 entries=0")
 	c := r.call().send(request("none", "all", "", fourParts))
 	health := func(r *rig) int {
@@ -724,7 +724,7 @@
 	require.Zero(t, r.parts())
 	all := fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, strings.Replace(r.entry("a0", "up"), "1.0", "0", 1),
 		strings.Replace(r.entry("b0", "up"), "1.0", "-3", 1)) // weights are not this side's to judge
-	r.list.Answers <- all
+	r.list.Responses <- all
 	r.logged("version=9 entries=2")
 	status, _, text, _ := c.answer()
 	require.Equal(t, 200, status)
@@ -732,7 +732,7 @@
 	plan := *r.plan
 	plan.known = map[string]any{"version": json.Number("7"), "full": true, "servers": []any{}}
 	other := script(t)
-	plan.Discovery = other.Ln.Addr().String()
+	plan.Discovery = other.Listener.Addr().String()
 	r.end()
 
 	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
@@ -744,9 +744,9 @@
 			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look})
 	}()
 	<-look
-	<-other.Calls
+	<-other.Targets
 	require.Equal(t, 503, health(next))
-	other.Answers <- all
+	other.Responses <- all
 	next.logged("version=9 entries=2")
 	require.Equal(t, 200, health(next))
 	next.end()
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -24,7 +24,7 @@
 	r := start(t, 256, func(settings map[string]any) { settings["Balancers"] = 300 })
 	plan, other := *r.plan, script(t)
 	plan.known = map[string]any{"version": plan.known["version"], "full": true, "servers": []any{}}
-	plan.Discovery = other.Ln.Addr().String()
+	plan.Discovery = other.Listener.Addr().String()
 	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -34,14 +34,14 @@
 			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look})
 	}()
 	next.owner = <-look
-	require.Equal(t, "/v1/servers", <-other.Calls) // falls silent
+	require.Equal(t, "/v1/servers", <-other.Targets) // falls silent
 	began := time.Now()
-	require.Equal(t, "/v1/servers", <-other.Calls)
+	require.Equal(t, "/v1/servers", <-other.Targets)
 	require.Less(t, time.Since(began), 6*time.Second)
-	other.Answers <- "" // to the silent call, whose connection has ended
-	other.Answers <- fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
+	other.Responses <- "" // to the silent call, whose connection has ended
+	other.Responses <- fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
 	next.logged("version=9 ")
-	require.Equal(t, "/v1/servers?index=9", strings.SplitN(<-other.Calls, "&", 2)[0])
+	require.Equal(t, "/v1/servers?index=9", strings.SplitN(<-other.Targets, "&", 2)[0])
 	next.call().want("q", "all", 200, wholeOfAll)
 	next.end()
 	r.end()
@@ -133,21 +133,21 @@
 			}
 		}
 	}, nil)
-	<-r.list.Calls
-	old.Store(r.list.Ln.Addr().String())
-	r.list.Answers <- fmt.Sprintf(`{"version":99,"full":true,"servers":[%s]}`, r.entry("b0", "up"))
+	<-r.list.Targets
+	old.Store(r.list.Listener.Addr().String())
+	r.list.Responses <- fmt.Sprintf(`{"version":99,"full":true,"servers":[%s]}`, r.entry("b0", "up"))
 	<-read
 	next := script(t)
 	p := *r.plan
-	p.Discovery = next.Ln.Addr().String()
+	p.Discovery = next.Listener.Addr().String()
 	r.plans <- &p
 	r.logged("event=reloaded")
 	close(gate)
-	require.Equal(t, "/v1/servers", <-next.Calls)
-	next.Answers <- fmt.Sprintf(`{"version":3,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b1", "up"))
+	require.Equal(t, "/v1/servers", <-next.Targets)
+	next.Responses <- fmt.Sprintf(`{"version":3,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b1", "up"))
 	r.logged("version=3 ")
-	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Calls)
+	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
 	r.call().want("q", "all", 200, wholeOfAll)
-	require.Zero(t, r.replicas["b0"].Took())
+	require.Zero(t, r.replicas["b0"].CountRequests())
 	r.end()
 }
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -38,7 +38,7 @@
 
 func (r *rig) member(id string) endpoints.Host {
 	h := r.replicas[id]
-	return endpoints.Host{ID: id, Addr: h.Ln.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
+	return endpoints.Host{ID: id, Addr: h.Listener.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
 }
 
 // While lists change under load, what the owner works with in any turn is one list and never parts of two; each search
@@ -150,15 +150,15 @@
 	}
 	r.eventually("all hosts take parts", func() bool {
 		ask()
-		return r.replicas["a0"].Took() > 0 && r.replicas["a1"].Took() > 0
+		return r.replicas["a0"].CountRequests() > 0 && r.replicas["a1"].CountRequests() > 0
 	})
 	write(text("a0", "b0", "b1"))
 	dropped := time.Now()
-	last := r.replicas["a1"].Took()
+	last := r.replicas["a1"].CountRequests()
 	quiet := time.Now()
 	r.eventually("the dropped host takes no more", func() bool {
 		ask()
-		if took := r.replicas["a1"].Took(); took != last {
+		if took := r.replicas["a1"].CountRequests(); took != last {
 			last, quiet = took, time.Now()
 		}
 		return time.Since(quiet) > 2500*time.Millisecond
@@ -170,14 +170,14 @@
 	r.logged("list_refused")
 	require.Contains(t, r.log.String(), "[3:6]")
 	ask()
-	before := r.replicas["b1"].Took()
-	r.eventually("the last good list is in force", func() bool { ask(); return r.replicas["b1"].Took() > before })
+	before := r.replicas["b1"].CountRequests()
+	r.eventually("the last good list is in force", func() bool { ask(); return r.replicas["b1"].CountRequests() > before })
 
 	drained := strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"draining"`)
 	answer := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, drained)
 	r.eventually("the drain is in force", func() bool {
 		select { // calls that have been given up take some
-		case r.list.Answers <- answer:
+		case r.list.Responses <- answer:
 		default:
 		}
 		ask()
@@ -185,11 +185,11 @@
 	})
 	write(text("a0", "b0", "b1") + "# again\n")
 	time.Sleep(500 * time.Millisecond)
-	before = r.replicas["b1"].Took()
+	before = r.replicas["b1"].CountRequests()
 	for range 20 {
 		ask()
 	}
-	require.Equal(t, before, r.replicas["b1"].Took())
+	require.Equal(t, before, r.replicas["b1"].CountRequests())
 	r.end()
 	stop()
 	watching.Wait()
--- a/coordinator/other_store_test.go
+++ b/coordinator/other_store_test.go
@@ -16,7 +16,7 @@
 	one := start(t, 256, nil)
 	r := one.keeping(path, store.Options{})
 	r.logged("event=store ")
-	r.list.Answers <- `{"version":9,"full":false,"servers":[` + strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"draining"`) + `]}`
+	r.list.Responses <- `{"version":9,"full":false,"servers":[` + strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"draining"`) + `]}`
 	r.logged("version=9")
 	r.asks("a0", 3)
 	r.end()
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -52,7 +52,7 @@
 func TestLearnsFromARunningOne(t *testing.T) {
 	pa := named(t, "a")
 	a := startWith(t, 256, nil, pa)
-	a.replicas["a0"].Ln.Close()
+	a.replicas["a0"].Listener.Close()
 	for i := range 40 {
 		a.call().want(fmt.Sprint("w", i), "all", 200, "")
 	}
@@ -106,7 +106,7 @@
 	pc := named(t, "c", pa.at(), pb.at())
 	c := startWith(t, 256, nil, pc)
 	for i := range 8 {
-		c.list.Answers <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, 8+i,
+		c.list.Responses <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, 8+i,
 			c.entry("a0", []string{"draining", "up"}[i%2]))
 		c.call().want(fmt.Sprint("z", i), "all", 200, wholeOfAll)
 	}
@@ -177,11 +177,11 @@
 		return n
 	}
 	require.Equal(t, 1, heard())
-	other, err := fake.NewHost("a0", 0, true, asked.Good)
+	other, err := fake.NewHost("a0", 0, true, asked.ReplyGood)
 	require.NoError(t, err)
 	t.Cleanup(other.Close)
-	r.list.Answers <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
-		strings.Replace(r.entry("a0", "up"), r.replicas["a0"].Ln.Addr().String(), other.Ln.Addr().String(), 1))
+	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
+		strings.Replace(r.entry("a0", "up"), r.replicas["a0"].Listener.Addr().String(), other.Listener.Addr().String(), 1))
 	r.eventually("the older note counts no more", func() bool { return heard() == 0 })
 	r.call().want("q", "all", 200, wholeOfAll)
 	r.end()
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -40,7 +40,7 @@
 func TestConnectionsThatStayOpenAtTheEnd(t *testing.T) {
 	r := process(t, nil)
 	text := func(id string) string {
-		return fake.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Text()
+		return fake.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Encode()
 	}
 	var mu sync.Mutex
 	answers, fates := map[int]int{}, []string(nil)
@@ -156,7 +156,7 @@
 		return conn
 	}
 	text := func(id string) string {
-		return fake.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 8 * time.Second, Tenant: "acme"}.Text()
+		return fake.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 8 * time.Second, Tenant: "acme"}.Encode()
 	}
 	send := func(conn net.Conn, text string) {
 		_, err := conn.Write([]byte(text))
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -86,10 +86,10 @@
 	})
 	waits := map[string]bool{}
 	for _, id := range []string{"a0", "a1"} {
-		waits[r.replicas[id].Ln.Addr().String()] = true
+		waits[r.replicas[id].Listener.Addr().String()] = true
 	}
 	gated <- waits
-	return r, func(id string) { close(g.at(r.replicas[id].Ln.Addr().String())) }
+	return r, func(id string) { close(g.at(r.replicas[id].Listener.Addr().String())) }
 }
 
 // inTurn does something in a turn of the owner's and waits for it.
@@ -136,7 +136,7 @@
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
 	for _, id := range []string{"a0", "a1"} {
-		parts, _, _, _ := r.replicas[id].Seen()
+		parts, _, _, _ := r.replicas[id].Observed()
 		for _, p := range parts {
 			told, err := strconv.Atoi(strings.TrimPrefix(p.List, "d="))
 			require.NoError(t, err)
@@ -161,7 +161,7 @@
 			return fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s]}`, r.entry(other, "up"), r.entry("b0", "up"))
 		},
 		"moved": func(r *rig, id, other string) string {
-			addr := func(id string) string { return r.replicas[id].Ln.Addr().String() }
+			addr := func(id string) string { return r.replicas[id].Listener.Addr().String() }
 			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
 				strings.Replace(r.entry(id, "up"), addr(id), addr(other), 1))
 		},
@@ -180,13 +180,13 @@
 				id, other = other, id
 			}
 			let(other)
-			r.list.Answers <- list(r, id, other)
+			r.list.Responses <- list(r, id, other)
 			r.eventually("they are taken back", func() bool { return r.waiting(id) == 0 })
 			let(id)
 			status, _, text, _ := c.answer()
 			require.Equal(t, 200, status)
 			require.JSONEq(t, wholeOfAll, text)
-			parts, _, _, _ := r.replicas[id].Seen()
+			parts, _, _, _ := r.replicas[id].Observed()
 			require.Empty(t, parts)
 			r.end()
 		})
@@ -212,7 +212,7 @@
 		}
 	})
 	for _, id := range []string{"a0", "a1"} {
-		hosts.Store(r.replicas[id].Ln.Addr().String(), true)
+		hosts.Store(r.replicas[id].Listener.Addr().String(), true)
 	}
 	c := r.call()
 	c.send(request("q", "all", "", `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`))
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -58,7 +58,7 @@
 // outside counts parts of acme's that hosts got which are not named.
 func (z *zonedRig) outside(in ...string) (n int) {
 	for id, h := range z.replicas {
-		if parts, _, _, _ := h.Seen(); !strings.Contains(strings.Join(in, " "), id) {
+		if parts, _, _, _ := h.Observed(); !strings.Contains(strings.Join(in, " "), id) {
 			for _, p := range parts {
 				if !strings.HasPrefix(p.ID, "other") {
 					n++
@@ -80,12 +80,12 @@
 // records; others use all. The second guard has nothing to catch.
 func TestPartsStayInTheirZones(t *testing.T) {
 	z := startZoned(t, eastOnly)
-	z.replicas["a0"].Set(func(p asked) { // the slow one inside is copied, and tried again, nowhere else
+	z.replicas["a0"].SetHandler(func(p asked) { // the slow one inside is copied, and tried again, nowhere else
 		if time.Sleep(400 * time.Millisecond); p.Shard == 0 {
 			p.Reply("bad", "0", "")
 			return
 		}
-		p.Good()
+		p.ReplyGood()
 	})
 	var g sync.WaitGroup
 	for i := range 12 {
@@ -97,7 +97,7 @@
 		})
 	}
 	g.Wait()
-	z.replicas["a0"].Set(asked.Good)
+	z.replicas["a0"].SetHandler(asked.ReplyGood)
 	for n, until := 0, time.Now().Add(patience); ; n++ {
 		if status, _ := z.as("acme", fmt.Sprint("acme-again", n), "all"); status == 200 {
 			break
@@ -105,7 +105,7 @@
 		require.True(t, time.Now().Before(until), "answers again\n%s", z.log)
 	}
 	require.Zero(t, z.outside("a0", "b0"))
-	parts, _, _, _ := z.replicas["a1"].Seen()
+	parts, _, _, _ := z.replicas["a1"].Observed()
 	require.NotEmpty(t, parts, "others use all")
 	require.Zero(t, z.in.BlockedDispatches())
 }
@@ -171,13 +171,13 @@
 		t.Run(how, func(t *testing.T) {
 			z := startZoned(t, strings.Replace(eastOnly, "[east]", "[west]", 1))
 			for _, h := range z.replicas {
-				h.Set(func(asked) {})
+				h.SetHandler(func(asked) {})
 			}
 			c := z.call().send(request("acme1", "all", "", fourParts))
 			z.eventually("parts out", func() bool { return z.parts() == 4 })
 			require.Zero(t, z.outside("a1", "b1"))
 			for _, h := range z.replicas {
-				h.Set(asked.Good)
+				h.SetHandler(asked.ReplyGood)
 			}
 			want := 200
 			next := strings.Replace(eastOnly, "generation: 1", "generation: 2", 1)
@@ -201,7 +201,7 @@
 			z.eventually("called off at the hosts", func() bool {
 				n := 0
 				for _, id := range []string{"a1", "b1"} {
-					_, given, _, _ := z.replicas[id].Seen()
+					_, given, _, _ := z.replicas[id].Observed()
 					n += len(given)
 				}
 				return n == 4
@@ -224,16 +224,16 @@
 	z := startZonedWith(t, strings.Replace(eastOnly, "[east]", "[east, west]", 1),
 		map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	for _, h := range z.replicas {
-		h.Set(func(p asked) {
+		h.SetHandler(func(p asked) {
 			if !strings.HasSuffix(p.ID, ".r") {
-				p.Good()
+				p.ReplyGood()
 			}
 		})
 	}
 	c := z.call().send(request("acme1", "deep", "", fourParts))
 	second := func() (n int) {
 		for _, h := range z.replicas {
-			for _, p := range first(h.Seen()) {
+			for _, p := range first(h.Observed()) {
 				if strings.HasSuffix(p.ID, ".r") {
 					n++
 				}
@@ -266,14 +266,14 @@
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "east", "b1": "east"}, true)
 	release := make(chan struct{})
 	for _, id := range []string{"a0", "a1"} {
-		z.replicas[id].Set(func(p asked) { <-release; p.Good() })
+		z.replicas[id].SetHandler(func(p asked) { <-release; p.ReplyGood() })
 	}
 	c := z.call().send(request("acme1", "all", "", fourParts))
 	z.eventually("parts out", func() bool { return z.parts() >= 4 })
 	file := func(id, zone string, v int64) endpoints.Update {
 		h := z.replicas[id]
 		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{
-			{ID: id, Addr: h.Ln.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1}}}
+			{ID: id, Addr: h.Listener.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1}}}
 	}
 	z.lists <- file("a0", "west", 1)
 	zone := func(id string) string {
@@ -283,7 +283,7 @@
 	}
 	z.eventually("in no zone", func() bool { return zone("a0") == "" })
 	require.Equal(t, "east", zone("a1"))
-	before := len(first(z.replicas["a0"].Seen()))
+	before := len(first(z.replicas["a0"].Observed()))
 	close(release)
 	status, _, body, _ := c.answer()
 	require.Equal(t, 200, status, body)
@@ -291,7 +291,7 @@
 		status, body = z.as("acme", fmt.Sprint("acme-after", i), "all")
 		require.Equal(t, 200, status, body)
 	}
-	require.Len(t, first(z.replicas["a0"].Seen()), before, "nothing new for a host whose sources differ")
+	require.Len(t, first(z.replicas["a0"].Observed()), before, "nothing new for a host whose sources differ")
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -40,22 +40,22 @@
 // newLife prepares a process and does not start it.
 func newLife(t *testing.T) *life {
 	l := &life{t: t, file: filepath.Join(t.TempDir(), "plan.json")}
-	var entries []fake.Entry
+	var entries []fake.Endpoint
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
-		h, err := fake.NewHost(id, int(id[0]-'a'), true, asked.Good)
+		h, err := fake.NewHost(id, int(id[0]-'a'), true, asked.ReplyGood)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		l.hosts = append(l.hosts, h)
-		entries = append(entries, fake.Entry{ID: id, Addr: h.Ln.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, State: "up"})
+		entries = append(entries, fake.Endpoint{ID: id, Addr: h.Listener.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, State: "up"})
 	}
-	d, err := fake.NewDiscovery(entries)
+	d, err := fake.NewDiscoveryServer(entries)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	free := listen(t)
 	l.addr = free.Addr().String()
 	free.Close()
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, l.addr, d.Ln.Addr(), d.Known(), testSettings)
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, l.addr, d.Listener.Addr(), d.KnownEndpoints(), testSettings)
 	require.NoError(t, json.Unmarshal([]byte(text), &l.plan))
 	l.write()
 	return l
@@ -267,7 +267,7 @@
 func (l *life) holding() chan asked {
 	held := make(chan asked, 1024)
 	for _, h := range l.hosts {
-		h.Set(func(p asked) { held <- p })
+		h.SetHandler(func(p asked) { held <- p })
 	}
 	return held
 }
@@ -311,7 +311,7 @@
 	time.Sleep(50 * time.Millisecond)
 	sent := func() (n int) {
 		for _, h := range l.hosts {
-			n += h.Took()
+			n += h.CountRequests()
 		}
 		return n
 	}
--- a/coordinator/several_test.go
+++ b/coordinator/several_test.go
@@ -45,7 +45,7 @@
 	own.eventually("all have the plan", func() bool { return strings.Count(log.String(), "event=reloaded") == 3 })
 	gate := make(chan struct{})
 	for _, h := range r.replicas {
-		h.Set(func(a asked) { go func() { <-gate; a.Good() }() })
+		h.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	}
 	last := []*caller{own.call(), own.call(), own.call()}
 	for i, c := range last {
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -35,7 +35,7 @@
 "SecondCopies":true,"Cancelling":true,"RetryAfter":true,"MaxRetryAfter":500.0},
 "Safety":{"Cold":1000.0,"ColdFrom":0.3,"FallMultiple":3.0,"Fall":2000.0,"DrainGrace":250.0,"AskWithin":500.0}}`
 
-type asked = fake.Part
+type asked = fake.ShardRequest
 
 // writes collects what is written to a connection.
 type writes struct {
@@ -59,7 +59,7 @@
 type rig struct {
 	t        *testing.T
 	replicas map[string]*fake.Host
-	list     *fake.Script
+	list     *fake.ScriptedDiscovery
 	plans    chan *Plan
 	plan     *Plan
 	addr     string
@@ -97,7 +97,7 @@
 // parts counts those that all replicas got.
 func (r *rig) parts() (n int) {
 	for _, s := range r.replicas {
-		parts, _, _, _ := s.Seen()
+		parts, _, _, _ := s.Observed()
 		n += len(parts)
 	}
 	return n
@@ -107,8 +107,8 @@
 	r.eventually("log line "+text, func() bool { return strings.Contains(r.log.String(), text) })
 }
 
-func script(t *testing.T) *fake.Script {
-	d, err := fake.NewScript()
+func script(t *testing.T) *fake.ScriptedDiscovery {
+	d, err := fake.NewScriptedDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	return d
@@ -124,7 +124,7 @@
 // entry is a replica's line in discovery's form.
 func (r *rig) entry(id, state string) string {
 	s := r.replicas[id]
-	return fake.Entry{ID: id, Addr: s.Ln.Addr().String(), Zone: cmp.Or(r.zones[id], "z one"), Kind: "small", Cell: s.Cell, State: state}.Text()
+	return fake.Endpoint{ID: id, Addr: s.Listener.Addr().String(), Zone: cmp.Or(r.zones[id], "z one"), Kind: "small", Cell: s.Cell, State: state}.Encode()
 }
 
 // start sets up replicas a0 and a1 of cell 0, b0 and b1 of cell 1, and serves. edit changes the settings.
@@ -156,7 +156,7 @@
 		list: script(t), plans: make(chan *Plan), zones: zones}
 	var known []string
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
-		s, err := fake.NewHost(id, int(id[0]-'a'), true, asked.Good)
+		s, err := fake.NewHost(id, int(id[0]-'a'), true, asked.ReplyGood)
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
 		r.replicas[id] = s
@@ -171,7 +171,7 @@
 	ln := listen(t)
 	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"version":7,"full":true,"servers":[%s]},
-		"settings":%s}`, ln.Addr(), r.list.Ln.Addr(), sockets, strings.Join(known, ","), text))
+		"settings":%s}`, ln.Addr(), r.list.Listener.Addr(), sockets, strings.Join(known, ","), text))
 	require.NoError(t, err)
 	p, err = p.WithSettings(over)
 	require.NoError(t, err)
--- a/coordinator/started_again_test.go
+++ b/coordinator/started_again_test.go
@@ -13,17 +13,17 @@
 // one may lead to a life that is over, of a machine that went without a word.
 func TestAHostThatHasStartedAgain(t *testing.T) {
 	r := start(t, 256, nil)
-	<-r.list.Calls
+	<-r.list.Targets
 	c := r.call()
 	c.want("first", "all", 200, wholeOfAll)
-	r.list.Answers <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
+	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("version=8 ")
 	c.want("second", "all", 200, wholeOfAll) // by a0
-	conns := func() int { _, _, n, _ := r.replicas["a0"].Seen(); return n }
+	conns := func() int { _, _, n, _ := r.replicas["a0"].Observed(); return n }
 	before := conns()
 	time.Sleep(2 * time.Millisecond) // so that the start is after its connections
 	tell := func(version int, started time.Time) {
-		r.list.Answers <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version,
+		r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version,
 			strings.Replace(r.entry("a0", "up"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, started.UnixMilli()), 1))
 		r.logged(fmt.Sprintf("version=%d ", version))
 	}
@@ -40,24 +40,24 @@
 // before is told by that one's connection alone.
 func TestAnotherHostAtTheAddress(t *testing.T) {
 	r := start(t, 256, nil)
-	<-r.list.Calls
-	r.list.Answers <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
+	<-r.list.Targets
+	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("version=8 ")
 	held := make(chan asked, 16)
-	r.replicas["a0"].Set(func(p asked) { held <- p })
+	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
 	c := r.call().send(request("first", "all", "", fourParts))
 	first := <-held
-	r.replicas["a0"].Set(asked.Good)
-	conns := func() int { _, _, n, _ := r.replicas["a0"].Seen(); return n }
+	r.replicas["a0"].SetHandler(asked.ReplyGood)
+	conns := func() int { _, _, n, _ := r.replicas["a0"].Observed(); return n }
 	before := conns()
-	r.list.Answers <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s,%s]}`, r.entry("a0", "removed"),
+	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s,%s]}`, r.entry("a0", "removed"),
 		strings.Replace(r.entry("a0", "up"), `"id":"a0"`, `"id":"a9"`, 1))
 	r.logged("version=9 ")
 	r.call().want("second", "all", 200, wholeOfAll)
 	require.Greater(t, conns(), before)
-	first.Good()
+	first.ReplyGood()
 	for len(held) > 0 {
-		(<-held).Good()
+		(<-held).ReplyGood()
 	}
 	status, _, text, _ := c.answer()
 	require.Equal(t, 200, status)
--- a/coordinator/stop_crossing_test.go
+++ b/coordinator/stop_crossing_test.go
@@ -94,9 +94,9 @@
 		require.True(t, errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "%d: %v", i, err)
 	}
 	for _, h := range l.hosts {
-		h.Set(asked.Good)
+		h.SetHandler(asked.ReplyGood)
 	}
-	a.Good() // late, to a process that is gone
+	a.ReplyGood() // late, to a process that is gone
 	l.start(nil)
 	l.ready()
 	l.served("next")
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -32,7 +32,7 @@
 
 	mu      sync.Mutex
 	version int
-	entries []fake.Entry
+	entries []fake.Endpoint
 	changed chan struct{}
 	faults  []string
 }
@@ -95,7 +95,7 @@
 		text := ""
 		for text == "" {
 			a.mu.Lock()
-			version, changed, list := a.version, a.changed, fake.ListText(a.version, a.entries)
+			version, changed, list := a.version, a.changed, fake.EncodeEndpointList(a.version, a.entries)
 			a.mu.Unlock()
 			if version > index && fault != "late" {
 				text = list
@@ -131,7 +131,7 @@
 }
 
 // tell changes the list.
-func (a *agent) tell(entries []fake.Entry) time.Time {
+func (a *agent) tell(entries []fake.Endpoint) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version, a.entries = a.version+1, entries
--- a/coordinator/variables_test.go
+++ b/coordinator/variables_test.go
@@ -61,7 +61,7 @@
 // is handled by.
 func TestNewOrderAtASignal(t *testing.T) {
 	r := start(t, 256, nil)
-	r.list.Answers <- `{"version":8,"full":false,"servers":[]}`
+	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	c := r.call()
 	both := func(id string) {
 		c.want(id+"a", "all", 200, wholeOfAll) // some would be whole with half of its parts, in another order
@@ -75,7 +75,7 @@
 		placed(s, "Tenants", 0)["Name"], placed(s, "Tenants", 1)["Name"] = "globex", "acme"
 	}))
 	require.NoError(t, err)
-	next.Discovery = script(t).Ln.Addr().String()
+	next.Discovery = script(t).Listener.Addr().String()
 	r.plans <- next
 	r.logged("waits_for_restart=listen,settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name")
 	both("after")
--- a/coordinator/watching_test.go
+++ b/coordinator/watching_test.go
@@ -13,7 +13,7 @@
 func TestWatching(t *testing.T) {
 	r := startWatching(t, map[string]string{"Permissions.SecondCopies": "false", "Specifics.ClassFloor": "0.5,0.5,0.5"})
 	for _, id := range []string{"a0", "a1"} {
-		r.replicas[id].Set(func(asked) {})
+		r.replicas[id].SetHandler(func(asked) {})
 	}
 	c := r.call()
 	c.send(strings.Replace(request("q1", "all", "", fourParts), "8.000", "1.000", 1))
@@ -60,7 +60,7 @@
 	next := map[string]string{"Permissions.SecondCopies": "false", "Permissions.MaxAttempts": "1", "Specifics.ClassFloor": "0.5,0.5,0.5"}
 	step := func(over, watched map[string]string) (copies, whole, short int, metrics string) {
 		r := startOver(t, over, watched)
-		r.replicas["a0"].Set(func(asked) {})
+		r.replicas["a0"].SetHandler(func(asked) {})
 		c := r.call()
 		for i := range 4 {
 			c.send(strings.Replace(request(fmt.Sprint("q", i), "all", "", fourParts), "8.000", "1.500", 1))
@@ -76,7 +76,7 @@
 		}
 		seen := map[string]int{}
 		for _, h := range r.replicas {
-			parts, _, _, _ := h.Seen()
+			parts, _, _, _ := h.Observed()
 			for _, p := range parts {
 				if seen[p.ID]++; seen[p.ID] > 1 {
 					copies++
--- a/internal/benchmark/classes_test.go
+++ b/internal/benchmark/classes_test.go
@@ -37,7 +37,7 @@
 			work := make(chan struct{}, 1)
 			work <- struct{}{}
 			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % clustertest.BlockCount,
-				Handler: fake.Workers(ctx, 1, func() time.Duration {
+				Handler: fake.NewWorkerPool(ctx, 1, func() time.Duration {
 					<-work
 					defer func() { work <- struct{}{} }()
 					return x.spoil(i, chance)
--- a/internal/benchmark/clients.go
+++ b/internal/benchmark/clients.go
@@ -86,7 +86,7 @@
 				began := time.Now()
 				conn.SetDeadline(began.Add(6 * time.Second))
 				s.ID, s.Type = fmt.Sprintf("k%d-%d-%d", n, c, i), []string{quickPicks, quickPicks, fullMatch}[chance.Intn(3)]
-				if _, err := conn.Write([]byte(s.Text())); err != nil {
+				if _, err := conn.Write([]byte(s.Encode())); err != nil {
 					own.missing++
 					return
 				}
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -85,8 +85,8 @@
 	facts, _ := json.Marshal(settings(1))
 	path := filepath.Join(dir, "plan.json")
 	if err := os.WriteFile(path, fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"%016x",
-		"limits":{"cores":1.0,"memory_mb":%d,"sockets":1024},"known":%s,"settings":%s}`, p.addr, f.list.Ln.Addr(),
-		uint64(seed), memoryMB, f.list.Known(), facts), 0o600); err != nil {
+		"limits":{"cores":1.0,"memory_mb":%d,"sockets":1024},"known":%s,"settings":%s}`, p.addr, f.list.Listener.Addr(),
+		uint64(seed), memoryMB, f.list.KnownEndpoints(), facts), 0o600); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.CommandContext(ctx, self, "node")
@@ -252,9 +252,9 @@
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	value := strings.Repeat("v", valueBytes)
-	f, err := newFleet(16, func(i int) func(p fake.Part) {
+	f, err := newFleet(16, func(i int) func(p fake.ShardRequest) {
 		wait := uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond)
-		return func(p fake.Part) {
+		return func(p fake.ShardRequest) {
 			time.AfterFunc(wait(), func() { p.Reply("good", "1", value) })
 		}
 	})
@@ -266,9 +266,11 @@
 	if err != nil {
 		return Result{}, err
 	}
-	most, ended := 0.0, make(chan []fake.Result)
-	go func() { ended <- fake.Load(ctx, p.addr, schedule(seed, "m", memoryRate, memoryFor, memoryWait)) }()
-	var got []fake.Result
+	most, ended := 0.0, make(chan []fake.SearchResult)
+	go func() {
+		ended <- fake.PlaySearches(ctx, p.addr, schedule(seed, "m", memoryRate, memoryFor, memoryWait))
+	}()
+	var got []fake.SearchResult
 	for got == nil {
 		select {
 		case got = <-ended:
@@ -324,7 +326,7 @@
 			})
 		}
 		before := p.cpu()
-		got := fake.Load(ctx, p.addr, schedule(seed+int64(i), fmt.Sprintf("c%d-%t", i, asking), costRate, costFor, labPatience))
+		got := fake.PlaySearches(ctx, p.addr, schedule(seed+int64(i), fmt.Sprintf("c%d-%t", i, asking), costRate, costFor, labPatience))
 		cpu = p.cpu() - before
 		enough()
 		g.Wait()
--- a/internal/benchmark/counts.go
+++ b/internal/benchmark/counts.go
@@ -54,8 +54,8 @@
 		if size == "large" {
 			value = strings.Repeat("v", countLarge)
 		}
-		f, err := newFleet(16, func(int) func(p fake.Part) {
-			return func(p fake.Part) {
+		f, err := newFleet(16, func(int) func(p fake.ShardRequest) {
+			return func(p fake.ShardRequest) {
 				answer := func() { p.Reply("good", "1", value) }
 				if p.Shard < sets*3/4 || !strings.HasPrefix(p.ID, quickPicks) {
 					answer()
@@ -109,7 +109,7 @@
 			n++
 			s.ID = fmt.Sprintf("%s-%07d", qtype, n)
 			conn.SetDeadline(time.Now().Add(6 * time.Second))
-			if _, err := conn.Write([]byte(s.Text())); err != nil {
+			if _, err := conn.Write([]byte(s.Encode())); err != nil {
 				return err
 			}
 			res, err := http.ReadResponse(src, nil)
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -77,12 +77,12 @@
 type fleet struct {
 	hosts   []*fake.Host
 	search  []*fake.SearchHost
-	entries []fake.Entry
-	list    *fake.Discovery
+	entries []fake.Endpoint
+	list    *fake.DiscoveryServer
 }
 
 // newFleet starts hosts, two a set and more where there are more; kind gives what the i-th does with its parts.
-func newFleet(n int, kind func(i int) func(p fake.Part)) (*fleet, error) {
+func newFleet(n int, kind func(i int) func(p fake.ShardRequest)) (*fleet, error) {
 	f := &fleet{}
 	for i := range n {
 		h, err := fake.NewHost(fmt.Sprintf("h-%02d", i), i%sets, false, kind(i))
@@ -91,19 +91,19 @@
 			return nil, err
 		}
 		f.hosts = append(f.hosts, h)
-		f.entries = append(f.entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std",
+		f.entries = append(f.entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std",
 			State: "up", Cell: h.Cell})
 	}
 	var err error
-	f.list, err = fake.NewDiscovery(f.entries)
+	f.list, err = fake.NewDiscoveryServer(f.entries)
 	return f, err
 }
 
 // soundFleet starts hosts that answer all in 2 to 4 ms.
 func soundFleet(n int, seed int64) (*fleet, error) {
-	return newFleet(n, func(i int) func(p fake.Part) {
+	return newFleet(n, func(i int) func(p fake.ShardRequest) {
 		wait := uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond)
-		return func(p fake.Part) { time.AfterFunc(wait(), p.Good) }
+		return func(p fake.ShardRequest) { time.AfterFunc(wait(), p.ReplyGood) }
 	})
 }
 
@@ -142,7 +142,7 @@
 	facts, _ := json.Marshal(settings(coordinators))
 	plan, err := coordinator.Parse(fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, name, ln.Addr(),
-		f.list.Ln.Addr(), seed, f.list.Known(), facts))
+		f.list.Listener.Addr(), seed, f.list.KnownEndpoints(), facts))
 	if err != nil {
 		ln.Close()
 		return nil, err
--- a/internal/benchmark/learning.go
+++ b/internal/benchmark/learning.go
@@ -48,18 +48,18 @@
 	ctx, stop := context.WithTimeout(ctx, 55*time.Second)
 	defer stop()
 	cold := &tally{n: map[string]int{}}
-	f, err := newFleet(learnHosts, func(i int) func(p fake.Part) {
+	f, err := newFleet(learnHosts, func(i int) func(p fake.ShardRequest) {
 		switch {
 		case i < hungHosts:
-			return func(fake.Part) {}
+			return func(fake.ShardRequest) {}
 		case i < hungHosts+slowHosts:
-			return fake.Workers(ctx, 16, uniform(seed+int64(i), 40*time.Millisecond, 80*time.Millisecond))
+			return fake.NewWorkerPool(ctx, 16, uniform(seed+int64(i), 40*time.Millisecond, 80*time.Millisecond))
 		}
-		do := fake.Workers(ctx, 16, uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond))
+		do := fake.NewWorkerPool(ctx, 16, uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond))
 		if i < learnHosts-coldHosts {
 			return do
 		}
-		return func(p fake.Part) {
+		return func(p fake.ShardRequest) {
 			kind, _, _ := strings.Cut(p.ID, "-")
 			cold.add(kind)
 			do(p)
@@ -95,7 +95,7 @@
 	var g sync.WaitGroup
 	loading, enough := context.WithCancel(ctx)
 	g.Go(func() {
-		fake.Load(loading, running.addr, schedule(seed, "running", learnRate, time.Minute, labPatience))
+		fake.PlaySearches(loading, running.addr, schedule(seed, "running", learnRate, time.Minute, labPatience))
 	})
 	select {
 	case <-time.After(warmUp):
@@ -105,11 +105,11 @@
 	for i := learnHosts - coldHosts; i < learnHosts; i++ {
 		fresh[i].StartedMS = time.Now().UnixMilli()
 	}
-	f.list.Tell(fresh)
+	f.list.SetEndpoints(fresh)
 	cold.on.Store(true)
 	time.AfterFunc(coldTime, func() { cold.on.Store(false) })
 
-	results, nodes, mu := map[string][][]fake.Result{}, []*node{running}, sync.Mutex{}
+	results, nodes, mu := map[string][][]fake.SearchResult{}, []*node{running}, sync.Mutex{}
 	var learners sync.WaitGroup
 	for k := range repeats {
 		for _, kind := range starts {
@@ -124,7 +124,7 @@
 			}
 			nodes = append(nodes, n)
 			learners.Go(func() {
-				got := fake.Load(ctx, n.addr, schedule(seed+int64(k)+1, fmt.Sprintf("%s-%d", kind, k), learnRate,
+				got := fake.PlaySearches(ctx, n.addr, schedule(seed+int64(k)+1, fmt.Sprintf("%s-%d", kind, k), learnRate,
 					learnFor, labPatience))
 				mu.Lock()
 				results[kind] = append(results[kind], got)
@@ -144,13 +144,13 @@
 }
 
 // sumUp makes a measurement's line of what the learners saw.
-func sumUp(results map[string][][]fake.Result, cold *tally) Result {
+func sumUp(results map[string][][]fake.SearchResult, cold *tally) Result {
 	var late []float64
 	for _, runs := range results {
 		for _, run := range runs {
 			for _, r := range run {
 				if r.At >= steadyFrom {
-					late = append(late, r.Took.Seconds())
+					late = append(late, r.Latency.Seconds())
 				}
 			}
 		}
@@ -160,7 +160,7 @@
 	steadyAt, gEarly, gAll, p99 := map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, kind := range starts {
 		var at, early, all []float64
-		var firsts []fake.Result
+		var firsts []fake.SearchResult
 		for _, run := range results[kind] {
 			at = append(at, steadyAfter(run, steady).Seconds())
 			early = append(early, meanWorth(run, earlyFor))
@@ -193,12 +193,12 @@
 
 // steadyAfter is when service has become steady: the begin of the first calmWindows in a row whose answers take no
 // longer than calmTimes the steady time.
-func steadyAfter(run []fake.Result, steady float64) time.Duration {
+func steadyAfter(run []fake.SearchResult, steady float64) time.Duration {
 	n := int(learnFor / window)
 	sums, counts := make([]float64, n), make([]float64, n)
 	for _, r := range run {
 		i := min(n-1, int(r.At/window))
-		sums[i] += r.Took.Seconds()
+		sums[i] += r.Latency.Seconds()
 		counts[i]++
 	}
 	calm := 0
@@ -214,22 +214,22 @@
 	return learnFor
 }
 
-func meanWorth(run []fake.Result, until time.Duration) float64 {
+func meanWorth(run []fake.SearchResult, until time.Duration) float64 {
 	var all []float64
 	for _, r := range run {
 		if r.At < until {
-			all = append(all, worth(r.Status, r.Took))
+			all = append(all, worth(r.Status, r.Latency))
 		}
 	}
 	return mean(all)
 }
 
-func meanTook(runs [][]fake.Result, until time.Duration) float64 {
+func meanTook(runs [][]fake.SearchResult, until time.Duration) float64 {
 	var all []float64
 	for _, run := range runs {
 		for _, r := range run {
 			if r.At < until {
-				all = append(all, r.Took.Seconds())
+				all = append(all, r.Latency.Seconds())
 			}
 		}
 	}
@@ -252,10 +252,10 @@
 	return all[len(all)/2]
 }
 
-func quantile(run []fake.Result, q float64) time.Duration {
+func quantile(run []fake.SearchResult, q float64) time.Duration {
 	var all []time.Duration
 	for _, r := range run {
-		all = append(all, r.Took)
+		all = append(all, r.Latency)
 	}
 	slices.Sort(all)
 	return all[min(len(all)-1, int(q*float64(len(all))))]
@@ -265,10 +265,10 @@
 
 // shareAbove draws learners of two kinds anew, again and again, and tells in which share of the draws the first kind's
 // quantile is above so many times the second's.
-func shareAbove(a, b [][]fake.Result, times float64) float64 {
+func shareAbove(a, b [][]fake.SearchResult, times float64) float64 {
 	chance, above := rand.New(rand.NewSource(1)), 0
-	draw := func(runs [][]fake.Result) time.Duration {
-		var all []fake.Result
+	draw := func(runs [][]fake.SearchResult) time.Duration {
+		var all []fake.SearchResult
 		for range runs {
 			run := runs[chance.Intn(len(runs))]
 			all = append(all, run[:min(len(run), firstOnes)]...)
--- a/internal/benchmark/membership.go
+++ b/internal/benchmark/membership.go
@@ -35,7 +35,7 @@
 		return Result{}, err
 	}
 	defer f.close()
-	decoy, err := fake.NewHost("decoy", 0, false, fake.Part.Good)
+	decoy, err := fake.NewHost("decoy", 0, false, fake.ShardRequest.ReplyGood)
 	if err != nil {
 		return Result{}, err
 	}
@@ -47,7 +47,7 @@
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "hosts.yaml")
 	line := func(h *fake.Host) string {
-		return fmt.Sprintf("  - {id: %s, address: %q, zone: hall, kind: std, cell: %d}\n", h.ID, h.Ln.Addr(), h.Cell)
+		return fmt.Sprintf("  - {id: %s, address: %q, zone: hall, kind: std, cell: %d}\n", h.ID, h.Listener.Addr(), h.Cell)
 	}
 	text := func(away []*fake.Host, more ...*fake.Host) string {
 		var b strings.Builder
@@ -89,9 +89,9 @@
 		g.Wait()
 		return Result{}, err
 	}
-	ended := make(chan []fake.Result, 1)
+	ended := make(chan []fake.SearchResult, 1)
 	go func() {
-		ended <- fake.Load(ctx, n.addr, schedule(seed, "w", membershipRate, membershipFor, labPatience))
+		ended <- fake.PlaySearches(ctx, n.addr, schedule(seed, "w", membershipRate, membershipFor, labPatience))
 	}()
 	chance := rand.New(rand.NewSource(seed))
 	type drop struct {
@@ -109,7 +109,7 @@
 	}
 	look := func() {
 		for _, d := range away {
-			switch took := d.host.Took(); {
+			switch took := d.host.CountRequests(); {
 			case time.Since(d.at) < membershipQuiet:
 			case d.took < 0:
 				d.took = took
@@ -180,7 +180,7 @@
 		}
 	}
 	out := Result{Fields: map[string]any{"searches": len(got), "answered": answered, "wrong": wrong, "writes": writes, "bad": bad,
-		"told": told, "refused_by_form": refused, "drops": drops, "sent_to_dropped": late, "sent_to_decoy": decoy.Took(),
+		"told": told, "refused_by_form": refused, "drops": drops, "sent_to_dropped": late, "sent_to_decoy": decoy.CountRequests(),
 		"p99_ms": round(1000 * quantile(got, 0.99).Seconds())}}
 	if wrong > 0 || answered < len(got)*99/100 {
 		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d of %d searches answered, %d wrongly", answered, len(got), wrong))
@@ -188,8 +188,8 @@
 	if late > 0 {
 		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d parts sent to hosts dropped %v before", late, membershipQuiet))
 	}
-	if decoy.Took() > 0 {
-		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d parts sent to a host of bad files alone", decoy.Took()))
+	if decoy.CountRequests() > 0 {
+		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d parts sent to a host of bad files alone", decoy.CountRequests()))
 	}
 	if drops == 0 || bad == 0 {
 		out.MissedGoals = append(out.MissedGoals, "no drop or no bad file was drawn")
--- a/internal/benchmark/opensearch.go
+++ b/internal/benchmark/opensearch.go
@@ -84,16 +84,16 @@
 	return out, ctx.Err()
 }
 
-func drawMembers(chance *rand.Rand) (blocks []*fake.Members, all *fake.Members) {
-	all = &fake.Members{Index: "members"}
+func drawMembers(chance *rand.Rand) (blocks []*fake.ShardDocuments, all *fake.ShardDocuments) {
+	all = &fake.ShardDocuments{Index: "members"}
 	for range sets {
-		blocks = append(blocks, &fake.Members{Index: "members"})
+		blocks = append(blocks, &fake.ShardDocuments{Index: "members"})
 	}
 	for i := range osMembers {
-		m := fake.Member{ID: fmt.Sprintf("m%05d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
+		m := fake.Document{ID: fmt.Sprintf("m%05d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
 			"town": []string{"oslo", "bergen", "hamar", "moss"}[chance.Intn(4)]}}
 		b := blocks[chance.Intn(sets)]
-		b.All, all.All = append(b.All, m), append(all.All, m)
+		b.Documents, all.Documents = append(b.Documents, m), append(all.Documents, m)
 	}
 	return blocks, all
 }
@@ -127,9 +127,9 @@
 }
 
 // membersFleet starts two hosts a block set of a kind; hang makes one of them hang.
-func membersFleet(kind string, blocks []*fake.Members) (f *fleet, hang func(), err error) {
+func membersFleet(kind string, blocks []*fake.ShardDocuments) (f *fleet, hang func(), err error) {
 	if kind == "own" {
-		answer := func(p fake.Part) {
+		answer := func(p fake.ShardRequest) {
 			text, err := blocks[p.Shard].Search([]byte(p.Text))
 			if err != nil {
 				p.Reply("bad", "-", "")
@@ -137,14 +137,14 @@
 			}
 			p.Reply("good", "1", string(text))
 		}
-		f, err = newFleet(2*sets, func(int) func(p fake.Part) { return func(p fake.Part) { go answer(p) } })
+		f, err = newFleet(2*sets, func(int) func(p fake.ShardRequest) { return func(p fake.ShardRequest) { go answer(p) } })
 		if err != nil {
 			return nil, nil, err
 		}
-		return f, func() { f.hosts[0].Set(func(fake.Part) {}) }, nil
+		return f, func() { f.hosts[0].SetHandler(func(fake.ShardRequest) {}) }, nil
 	}
 	f = &fleet{}
-	held := map[int]*fake.Members{}
+	held := map[int]*fake.ShardDocuments{}
 	for i, b := range blocks {
 		held[i] = b
 	}
@@ -154,11 +154,11 @@
 			return nil, nil, err
 		}
 		f.search = append(f.search, h)
-		f.entries = append(f.entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: searchKind, State: "up", Cell: h.Cell})
+		f.entries = append(f.entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: searchKind, State: "up", Cell: h.Cell})
 	}
-	f.list, err = fake.NewDiscovery(f.entries)
+	f.list, err = fake.NewDiscoveryServer(f.entries)
 	return f, func() {
-		f.search[0].Set(func(_ http.ResponseWriter, r *http.Request, _ []byte) { <-r.Context().Done() })
+		f.search[0].SetHandler(func(_ http.ResponseWriter, r *http.Request, _ []byte) { <-r.Context().Done() })
 	}, err
 }
 
--- a/internal/benchmark/ordinary.go
+++ b/internal/benchmark/ordinary.go
@@ -125,7 +125,7 @@
 	value := strings.Repeat("v", valueBytes)
 	for i, h := range f.hosts {
 		wait := uniform(seed+int64(i), 2*time.Millisecond, 4*time.Millisecond)
-		h.Set(func(p fake.Part) { time.AfterFunc(wait(), func() { p.Reply("good", "1", value) }) })
+		h.SetHandler(func(p fake.ShardRequest) { time.AfterFunc(wait(), func() { p.Reply("good", "1", value) }) })
 	}
 	p, err := f.launch(ctx, seed)
 	if err != nil {
@@ -134,7 +134,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		fake.Load(ctx, p.addr, schedule(seed, "h", heldRate, heldFor, patience))
+		fake.PlaySearches(ctx, p.addr, schedule(seed, "h", heldRate, heldFor, patience))
 	}()
 	for {
 		select {
--- a/internal/benchmark/owners.go
+++ b/internal/benchmark/owners.go
@@ -21,7 +21,7 @@
 func MeasureEventLoops(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 50*time.Second)
 	defer stop()
-	f, err := newFleet(64, func(int) func(p fake.Part) { return fake.Part.Good })
+	f, err := newFleet(64, func(int) func(p fake.ShardRequest) { return fake.ShardRequest.ReplyGood })
 	if err != nil {
 		return Result{}, err
 	}
--- a/internal/benchmark/recovery.go
+++ b/internal/benchmark/recovery.go
@@ -68,11 +68,11 @@
 			id := fmt.Sprintf("h%d%d", cell, i)
 			hung[id] = i == 0 || i == 1 && cell%2 == 0
 			left[id] = i == 2 && cell%2 == 1
-			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: id, Zone: "east-1", Cell: cell, Handler: func(p fake.Part) {
+			shape.Hosts = append(shape.Hosts, clustertest.Host{ID: id, Zone: "east-1", Cell: cell, Handler: func(p fake.ShardRequest) {
 				if hung[id] && !healed.Load() || left[id] && gone.Load() {
 					return
 				}
-				time.AfterFunc(2*time.Millisecond, p.Good)
+				time.AfterFunc(2*time.Millisecond, p.ReplyGood)
 			}})
 		}
 	}
@@ -83,7 +83,7 @@
 	defer r.Close()
 	time.AfterFunc(time.Second, func() {
 		gone.Store(true)
-		r.EditEndpoints(func(e *fake.Entry) {
+		r.EditEndpoints(func(e *fake.Endpoint) {
 			if left[e.ID] {
 				e.State = "removed"
 			}
--- a/internal/benchmark/residency.go
+++ b/internal/benchmark/residency.go
@@ -212,7 +212,7 @@
 		},
 		"move": func([]string) error {
 			moved = time.Now()
-			r.EditEndpoints(func(e *fake.Entry) {
+			r.EditEndpoints(func(e *fake.Endpoint) {
 				if e.ID == "eu-1-3" {
 					e.Zone = "us-1"
 				}
--- a/internal/benchmark/rollout.go
+++ b/internal/benchmark/rollout.go
@@ -46,12 +46,12 @@
 		s.Relayed = false // the faults are between instances
 		for i := range s.Hosts {
 			drawn := uniform(seed+int64(i), 0, time.Second)
-			s.Hosts[i].Handler = func(p fake.Part) {
+			s.Hosts[i].Handler = func(p fake.ShardRequest) {
 				if drawn() < time.Duration(rolloutBusy*float64(time.Second)) {
 					p.Reply("later", "-", "")
 					return
 				}
-				time.AfterFunc(2*time.Millisecond, p.Good)
+				time.AfterFunc(2*time.Millisecond, p.ReplyGood)
 			}
 		}
 	}
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -146,12 +146,12 @@
 	}
 	shape := func(s *clustertest.Config) {
 		for i := range s.Hosts {
-			s.Hosts[i].Handler = func(p fake.Part) {
+			s.Hosts[i].Handler = func(p fake.ShardRequest) {
 				time.AfterFunc(2*time.Millisecond, func() {
 					if strings.HasPrefix(p.Text, "watch") {
 						p.Reply("good", "100", fmt.Sprintf("%s news %d", p.Text, news.Load()))
 					} else {
-						p.Good()
+						p.ReplyGood()
 					}
 				})
 			}
--- a/internal/clustertest/audit.go
+++ b/internal/clustertest/audit.go
@@ -57,7 +57,7 @@
 	parts []ObservedRequest
 }
 
-func (a *Audit) moved(entries []fake.Entry) {
+func (a *Audit) moved(entries []fake.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.zones = map[string]string{}
@@ -66,7 +66,7 @@
 	}
 }
 
-func (a *Audit) took(host string, p fake.Part) {
+func (a *Audit) took(host string, p fake.ShardRequest) {
 	id, second := strings.CutSuffix(p.ID, ".r")
 	if dot := strings.LastIndexByte(id, '.'); dot >= 0 {
 		id = id[:dot]
--- a/internal/clustertest/clients.go
+++ b/internal/clustertest/clients.go
@@ -146,7 +146,7 @@
 		}
 		c.SetDeadline(until)
 		begun := false // an answer
-		if _, err = c.Write([]byte(s.Text())); err == nil {
+		if _, err = c.Write([]byte(s.Encode())); err == nil {
 			if err = c.rd.AwaitMessage(); err == nil {
 				begun = true
 				var body []byte
--- a/internal/clustertest/rig.go
+++ b/internal/clustertest/rig.go
@@ -38,7 +38,7 @@
 type Host struct {
 	ID, Zone string
 	Cell     int
-	Handler  func(p fake.Part)
+	Handler  func(p fake.ShardRequest)
 }
 
 // Config is what a rig is made of.
@@ -82,10 +82,10 @@
 type instance struct {
 	wired InstanceAddresses
 	out   *output
-	list  *fake.Discovery
-	zoned []fake.Entry // the list as it reaches its hosts
-	run   *process     // its last life
-	spell *down        // since it was ended or stopped
+	list  *fake.DiscoveryServer
+	zoned []fake.Endpoint // the list as it reaches its hosts
+	run   *process        // its last life
+	spell *down           // since it was ended or stopped
 }
 
 // down is a time in which an instance was not there to answer.
@@ -159,13 +159,13 @@
 
 func (r *Cluster) wire() error {
 	zones := map[string]bool{}
-	var entries []fake.Entry
+	var entries []fake.Endpoint
 	for _, h := range r.shape.Hosts {
 		do := h.Handler
 		if do == nil {
-			do = func(p fake.Part) { time.AfterFunc(2*time.Millisecond, p.Good) }
+			do = func(p fake.ShardRequest) { time.AfterFunc(2*time.Millisecond, p.ReplyGood) }
 		}
-		host, err := fake.NewHost(h.ID, h.Cell, false, func(p fake.Part) {
+		host, err := fake.NewHost(h.ID, h.Cell, false, func(p fake.ShardRequest) {
 			r.Audit.took(h.ID, p)
 			do(p)
 		})
@@ -174,7 +174,7 @@
 		}
 		r.hosts = append(r.hosts, host)
 		zones[h.Zone] = true
-		entries = append(entries, fake.Entry{ID: h.ID, Addr: host.Ln.Addr().String(), Zone: h.Zone, Kind: "std",
+		entries = append(entries, fake.Endpoint{ID: h.ID, Addr: host.Listener.Addr().String(), Zone: h.Zone, Kind: "std",
 			State: "up", Cell: h.Cell})
 	}
 	r.Audit.moved(entries)
@@ -205,7 +205,7 @@
 			}
 		}
 		var err error
-		if i.list, err = fake.NewDiscovery(i.zoned); err != nil {
+		if i.list, err = fake.NewDiscoveryServer(i.zoned); err != nil {
 			return err
 		}
 		for name, addr := range r.shape.External {
@@ -241,7 +241,7 @@
 
 // plan writes an instance's files.
 func (r *Cluster) plan(k int, i *instance) error {
-	list := cmp.Or(r.shape.DiscoveryAddress, i.list.Ln.Addr().String())
+	list := cmp.Or(r.shape.DiscoveryAddress, i.list.Listener.Addr().String())
 	if r.shape.Relayed {
 		var err error
 		if list, err = r.net.relay(i.wired.Name, "list", list, false); err != nil {
@@ -254,7 +254,7 @@
 	}
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1.0,"memory_mb":192,`+
 		`"sockets":1024},"known":%s,"settings":%s}`, i.wired.Name, i.wired.Client, list, uint64(r.shape.Seed)<<8+uint64(k)+1,
-		i.list.Known(), settings)
+		i.list.KnownEndpoints(), settings)
 	if err := r.WriteFile(i.wired.Name, "plan.json", text); err != nil || r.shape.InstallationFile == nil {
 		return err
 	}
@@ -561,14 +561,14 @@
 }
 
 // Endpoints is what discovery tells an instance.
-func (r *Cluster) Endpoints(name string) []fake.Entry {
+func (r *Cluster) Endpoints(name string) []fake.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.all[name].zoned)
 }
 
 // EditEndpoints has discovery tell a list that edit makes of the one there is; addresses are left alone.
-func (r *Cluster) EditEndpoints(edit func(e *fake.Entry)) {
+func (r *Cluster) EditEndpoints(edit func(e *fake.Endpoint)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k, p := range r.shape.Instances {
@@ -580,7 +580,7 @@
 		if k == 0 {
 			r.Audit.moved(i.zoned)
 		}
-		i.list.Tell(i.zoned)
+		i.list.SetEndpoints(i.zoned)
 	}
 }
 
--- a/internal/clustertest/rig_test.go
+++ b/internal/clustertest/rig_test.go
@@ -208,7 +208,7 @@
 	ran := make(chan error, 1)
 	go func() {
 		ran <- r.RunSchedule(ctx, s, map[string]func([]string) error{"move": func([]string) error {
-			r.EditEndpoints(func(e *fake.Entry) {
+			r.EditEndpoints(func(e *fake.Endpoint) {
 				if e.ID == "ha" {
 					e.State = "draining"
 				}
@@ -234,7 +234,7 @@
 // The auditor finds what is wrong.
 func TestAuditFindsWhatIsWrong(t *testing.T) {
 	r := &Cluster{}
-	r.Audit.moved([]fake.Entry{{ID: "h", Zone: "z1"}})
+	r.Audit.moved([]fake.Endpoint{{ID: "h", Zone: "z1"}})
 	now := time.Now()
 	ask := func(id string) ScheduledSearch {
 		return ScheduledSearch{Search: fake.Search{ID: id, Query: id, Type: "k", Shards: []int{0, 1}, Tenant: "acme", Patience: time.Second}}
@@ -244,7 +244,7 @@
 		if id == "a.0.r" {
 			shard = 0
 		}
-		r.Audit.took("h", fake.Part{ID: id, Shard: shard})
+		r.Audit.took("h", fake.ShardRequest{ID: id, Shard: shard})
 	}
 	good := `{"answers":[{"range":0,"blob":"a@0"},{"range":1,"blob":"a@1!"}]}`
 	answers := []ClientResult{
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -23,8 +23,8 @@
 	Query    string // some where empty
 }
 
-// Text is the request.
-func (s Search) Text() string {
+// Encode is the request.
+func (s Search) Encode() string {
 	var parts []string
 	for _, shard := range s.Shards {
 		parts = append(parts, fmt.Sprintf(`{"range":%d,"portion":%g}`, shard, 1/float64(len(s.Shards))))
@@ -38,19 +38,19 @@
 		"Content-Length: %d\r\n\r\n%s", s.Type, s.ID, s.Type, s.Patience.Seconds(), tenant, len(body), body)
 }
 
-// Result is what came of a search; its time counts from when it was due, not from when it could be sent.
-type Result struct {
-	At     time.Duration
-	Took   time.Duration
-	Status int // 0 for no answer
-	Type   string
-	Body   string
+// SearchResult is what came of a search; its time counts from when it was due, not from when it could be sent.
+type SearchResult struct {
+	At      time.Duration
+	Latency time.Duration
+	Status  int // 0 for no answer
+	Type    string
+	Body    string
 }
 
-// Load plays a schedule against a co-ordinator, each search at its time however slow the answers before it are, over
+// PlaySearches plays a schedule against a co-ordinator, each search at its time however slow the answers before it are, over
 // connections that are kept and of which more are opened when all are busy.
-func Load(ctx context.Context, addr string, searches []Search) []Result {
-	results := make([]Result, len(searches))
+func PlaySearches(ctx context.Context, addr string, searches []Search) []SearchResult {
+	results := make([]SearchResult, len(searches))
 	idle := make(chan net.Conn, len(searches))
 	var g sync.WaitGroup
 	start := time.Now()
@@ -64,9 +64,9 @@
 			break
 		}
 		g.Go(func() {
-			r := Result{At: s.At, Type: s.Type}
+			r := SearchResult{At: s.At, Type: s.Type}
 			r.Status, r.Body = one(addr, s, idle)
-			r.Took = time.Since(start) - s.At
+			r.Latency = time.Since(start) - s.At
 			results[i] = r
 		})
 	}
@@ -97,7 +97,7 @@
 			}
 		}
 		conn.SetDeadline(time.Now().Add(s.Patience + time.Second))
-		if _, err := conn.Write([]byte(s.Text())); err != nil {
+		if _, err := conn.Write([]byte(s.Encode())); err != nil {
 			conn.Close()
 			continue
 		}
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -12,36 +12,36 @@
 	"chalkring/internal/http1"
 )
 
-// Script is discovery whose calls are answered by the next text of Answers: a whole response, or the body of a
+// ScriptedDiscovery is discovery whose calls are answered by the next text of Answers: a whole response, or the body of a
 // good one; an empty one ends the connection.
-type Script struct {
-	Ln      net.Listener
-	Answers chan string
-	Calls   chan string // targets
-	done    chan struct{}
+type ScriptedDiscovery struct {
+	Listener  net.Listener
+	Responses chan string
+	Targets   chan string // targets
+	done      chan struct{}
 }
 
 // Close ends it with all that waits for an answer of it.
-func (d *Script) Close() {
-	d.Ln.Close()
+func (d *ScriptedDiscovery) Close() {
+	d.Listener.Close()
 	close(d.done)
 }
 
-func NewScript() (*Script, error) {
+func NewScriptedDiscovery() (*ScriptedDiscovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Script{Ln: ln, Answers: make(chan string, 16), Calls: make(chan string, 64), done: make(chan struct{})}
+	d := &ScriptedDiscovery{Listener: ln, Responses: make(chan string, 16), Targets: make(chan string, 64), done: make(chan struct{})}
 	go each(ln, func(conn net.Conn) {
 		requests(conn, func(target string) string {
 			select {
-			case d.Calls <- target:
+			case d.Targets <- target:
 			case <-d.done:
 				return ""
 			}
 			select {
-			case text := <-d.Answers:
+			case text := <-d.Responses:
 				return text
 			case <-d.done:
 				return ""
@@ -85,57 +85,57 @@
 	}
 }
 
-// Entry is one host of a list as discovery tells it.
-type Entry struct {
+// Endpoint is one host of a list as discovery tells it.
+type Endpoint struct {
 	ID, Addr, Zone, Kind, State string
 	Cell                        int
 	StartedMS                   int64
 }
 
-// Text is the entry in discovery's form.
-func (e Entry) Text() string {
+// Encode is the entry in discovery's form.
+func (e Endpoint) Encode() string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`,
 		e.ID, e.Addr, e.Zone, e.Kind, e.Cell, e.State, e.StartedMS)
 }
 
-// ListText is a whole list in discovery's form.
-func ListText(version int, entries []Entry) string {
+// EncodeEndpointList is a whole list in discovery's form.
+func EncodeEndpointList(version int, entries []Endpoint) string {
 	var texts []string
 	for _, e := range entries {
-		texts = append(texts, e.Text())
+		texts = append(texts, e.Encode())
 	}
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(texts, ","))
 }
 
-// Discovery holds a list and tells its changes to those that watch.
-type Discovery struct {
-	Ln net.Listener
+// DiscoveryServer holds a list and tells its changes to those that watch.
+type DiscoveryServer struct {
+	Listener net.Listener
 
 	mu      sync.Mutex
 	version int
-	entries []Entry
+	entries []Endpoint
 	changed chan struct{}
 	done    chan struct{}
 }
 
 // Close ends it with all that waits for a change.
-func (d *Discovery) Close() {
-	d.Ln.Close()
+func (d *DiscoveryServer) Close() {
+	d.Listener.Close()
 	close(d.done)
 }
 
-func NewDiscovery(entries []Entry) (*Discovery, error) {
+func NewDiscoveryServer(entries []Endpoint) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Ln: ln, version: 1, entries: entries, changed: make(chan struct{}), done: make(chan struct{})}
+	d := &DiscoveryServer{Listener: ln, version: 1, entries: entries, changed: make(chan struct{}), done: make(chan struct{})}
 	go each(ln, func(conn net.Conn) { requests(conn, d.reply) })
 	return d, nil
 }
 
-// Tell puts a new list in the place of the old.
-func (d *Discovery) Tell(entries []Entry) {
+// SetEndpoints puts a new list in the place of the old.
+func (d *DiscoveryServer) SetEndpoints(entries []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -144,14 +144,14 @@
 	d.changed = make(chan struct{})
 }
 
-// Known is the list as a plan's known has it.
-func (d *Discovery) Known() string {
+// KnownEndpoints is the list as a plan's known has it.
+func (d *DiscoveryServer) KnownEndpoints() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return ListText(d.version, d.entries)
+	return EncodeEndpointList(d.version, d.entries)
 }
 
-func (d *Discovery) reply(target string) string {
+func (d *DiscoveryServer) reply(target string) string {
 	u, err := url.Parse(target)
 	if err != nil {
 		return ""
@@ -164,7 +164,7 @@
 		version, changed := d.version, d.changed
 		d.mu.Unlock()
 		if version > index {
-			return d.Known()
+			return d.KnownEndpoints()
 		}
 		select {
 		case <-changed:
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -15,8 +15,8 @@
 	"chalkring/internal/frame"
 )
 
-// Part is one part as a host got it.
-type Part struct {
+// ShardRequest is one part as a host got it.
+type ShardRequest struct {
 	ID    string
 	Shard int
 	List  string
@@ -25,13 +25,13 @@
 }
 
 // Reply answers the part.
-func (p Part) Reply(end string, score string, value string) {
+func (p ShardRequest) Reply(end string, score string, value string) {
 	p.Conn.Write(frame.End(append(frame.Begin(nil, frame.TypeAnswer),
 		fmt.Sprintf("%s %s %s -\n%s", p.ID, end, score, value)...), 0))
 }
 
-// Good answers with a value that tells what was asked.
-func (p Part) Good() {
+// ReplyGood answers with a value that tells what was asked.
+func (p ShardRequest) ReplyGood() {
 	value := fmt.Sprintf("%s@%d", p.Text, p.Shard)
 	if strings.HasSuffix(p.ID, ".r") {
 		value += "!"
@@ -41,14 +41,14 @@
 
 // Host is a profile host: what Set names is called for each part, in a goroutine a connection.
 type Host struct {
-	ID   string
-	Cell int
-	Ln   net.Listener
+	ID       string
+	Cell     int
+	Listener net.Listener
 
 	mu     sync.Mutex
-	do     func(p Part)
+	do     func(p ShardRequest)
 	keep   bool // every part, for Seen
-	parts  []Part
+	parts  []ShardRequest
 	frames []int // parts in each call
 	given  []string
 	took   int
@@ -58,17 +58,17 @@
 }
 
 // NewHost listens on a free port of loopback. With keep it remembers every part.
-func NewHost(id string, cell int, keep bool, do func(p Part)) (*Host, error) {
+func NewHost(id string, cell int, keep bool, do func(p ShardRequest)) (*Host, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{ID: id, Cell: cell, Ln: ln, do: do, keep: keep, open: map[net.Conn]bool{}}
+	h := &Host{ID: id, Cell: cell, Listener: ln, do: do, keep: keep, open: map[net.Conn]bool{}}
 	go h.serve()
 	return h, nil
 }
 
-func (h *Host) Set(do func(p Part)) {
+func (h *Host) SetHandler(do func(p ShardRequest)) {
 	h.mu.Lock()
 	h.do = do
 	h.mu.Unlock()
@@ -76,7 +76,7 @@
 
 // Close ends the host and its connections.
 func (h *Host) Close() {
-	h.Ln.Close()
+	h.Listener.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.shut = true
@@ -85,8 +85,8 @@
 	}
 }
 
-// Drop ends all connections and goes on listening, as a host does that starts again at once; it tells which.
-func (h *Host) Drop() (ended []net.Conn) {
+// CloseConnections ends all connections and goes on listening, as a host does that starts again at once; it tells which.
+func (h *Host) CloseConnections() (ended []net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for conn := range h.open {
@@ -96,8 +96,8 @@
 	return ended
 }
 
-// Reset ends all connections with a reset and goes on listening.
-func (h *Host) Reset() {
+// ResetConnections ends all connections with a reset and goes on listening.
+func (h *Host) ResetConnections() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for conn := range h.open {
@@ -106,22 +106,22 @@
 	}
 }
 
-// Seen gives the parts it got, the ids that were given up, and its connections made and open.
-func (h *Host) Seen() (parts []Part, given []string, conns, open int) {
+// Observed gives the parts it got, the ids that were given up, and its connections made and open.
+func (h *Host) Observed() (parts []ShardRequest, given []string, conns, open int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]Part(nil), h.parts...), append([]string(nil), h.given...), h.conns, len(h.open)
+	return append([]ShardRequest(nil), h.parts...), append([]string(nil), h.given...), h.conns, len(h.open)
 }
 
-// Took counts the parts it got.
-func (h *Host) Took() int {
+// CountRequests counts the parts it got.
+func (h *Host) CountRequests() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.took
 }
 
-// Calls gives the parts of each call.
-func (h *Host) Calls() []int {
+// BatchSizes gives the parts of each call.
+func (h *Host) BatchSizes() []int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]int(nil), h.frames...)
@@ -129,7 +129,7 @@
 
 func (h *Host) serve() {
 	for {
-		conn, err := h.Ln.Accept()
+		conn, err := h.Listener.Accept()
 		if err != nil {
 			return
 		}
@@ -170,7 +170,7 @@
 		h.mu.Unlock()
 		for len(rest) > 0 {
 			line, more, _ := bytes.Cut(rest, []byte("\n"))
-			p, length := Part{Conn: conn}, 0
+			p, length := ShardRequest{Conn: conn}, 0
 			fmt.Sscanf(string(line), "%s %d %s %d", &p.ID, &p.Shard, &p.List, &length)
 			p.Text, rest = string(more[:length]), more[length:]
 			h.mu.Lock()
@@ -185,10 +185,10 @@
 	}
 }
 
-// Workers answers parts by a number of workers, each after the time that wait names; more parts queue, as on a host
+// NewWorkerPool answers parts by a number of workers, each after the time that wait names; more parts queue, as on a host
 // with so many cores. wait of less than 0 never answers.
-func Workers(ctx context.Context, n int, wait func() time.Duration) func(p Part) {
-	queue := make(chan Part, 1<<14)
+func NewWorkerPool(ctx context.Context, n int, wait func() time.Duration) func(p ShardRequest) {
+	queue := make(chan ShardRequest, 1<<14)
 	for range n {
 		go func() {
 			for {
@@ -200,7 +200,7 @@
 					}
 					select {
 					case <-time.After(d):
-						p.Good()
+						p.ReplyGood()
 					case <-ctx.Done():
 						return
 					}
@@ -210,7 +210,7 @@
 			}
 		}()
 	}
-	return func(p Part) {
+	return func(p ShardRequest) {
 		select {
 		case queue <- p:
 		default:
--- a/internal/fake/members.go
+++ b/internal/fake/members.go
@@ -10,34 +10,34 @@
 	"strings"
 )
 
-// Member is one member of a block: its id and its fields.
-type Member struct {
+// Document is one member of a block: its id and its fields.
+type Document struct {
 	ID     string
 	Fields map[string]any // string, float64, bool, or a list of them
 }
 
-// Members are one block's, held in memory. Search answers the OpenSearch-style language over them as one shard of an
+// ShardDocuments are one block's, held in memory. Search answers the OpenSearch-style language over them as one shard of an
 // index does. It reads plain JSON and shares no code with package query, so that each checks the other.
-type Members struct {
-	Index string
-	All   []Member
+type ShardDocuments struct {
+	Index     string
+	Documents []Document
 }
 
 type found struct {
-	m     *Member
+	m     *Document
 	score float64
 	sort  []any
 }
 
 // Search answers a search's body.
-func (b *Members) Search(text []byte) ([]byte, error) {
+func (b *ShardDocuments) Search(text []byte) ([]byte, error) {
 	var body map[string]any
 	if err := json.Unmarshal(text, &body); err != nil {
 		return nil, err
 	}
 	var hits []found
-	for i := range b.All {
-		m := &b.All[i]
+	for i := range b.Documents {
+		m := &b.Documents[i]
 		ok, score := true, 1.0
 		if q, there := body["query"].(map[string]any); there {
 			ok, score = match(q, m)
@@ -118,7 +118,7 @@
 }
 
 // values are a field's, as a list.
-func values(m *Member, field string) []any {
+func values(m *Document, field string) []any {
 	switch v := m.Fields[field].(type) {
 	case nil:
 		return nil
@@ -129,7 +129,7 @@
 	}
 }
 
-func match(q map[string]any, m *Member) (bool, float64) {
+func match(q map[string]any, m *Document) (bool, float64) {
 	for kind, b := range q {
 		body := b.(map[string]any)
 		boost := 1.0
@@ -226,7 +226,7 @@
 	return 0, false
 }
 
-func matchBool(body map[string]any, m *Member, boost float64) (bool, float64) {
+func matchBool(body map[string]any, m *Document, boost float64) (bool, float64) {
 	each := func(word string) (n, matched int, score float64) {
 		list, _ := body[word].([]any)
 		for _, one := range list {
--- a/internal/fake/searchhost.go
+++ b/internal/fake/searchhost.go
@@ -12,11 +12,11 @@
 
 // SearchHost is a profile host that speaks the OpenSearch-style API over HTTP: each request asks for one block.
 type SearchHost struct {
-	ID   string
-	Cell int
-	Ln   net.Listener
+	ID       string
+	Cell     int
+	Listener net.Listener
 
-	blocks map[int]*Members
+	blocks map[int]*ShardDocuments
 	do     atomic.Pointer[func(w http.ResponseWriter, r *http.Request, good []byte)]
 	took   atomic.Int64
 	left   atomic.Int64 // requests whose asker went before the answer
@@ -24,26 +24,26 @@
 }
 
 // NewSearchHost listens on a free port of loopback.
-func NewSearchHost(id string, cell int, blocks map[int]*Members) (*SearchHost, error) {
+func NewSearchHost(id string, cell int, blocks map[int]*ShardDocuments) (*SearchHost, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h := &SearchHost{ID: id, Cell: cell, Ln: ln, blocks: blocks}
+	h := &SearchHost{ID: id, Cell: cell, Listener: ln, blocks: blocks}
 	h.server = &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	go h.server.Serve(ln)
 	return h, nil
 }
 
-// Set names what is done with each request, which is handed the good answer; nil gives that.
-func (h *SearchHost) Set(do func(w http.ResponseWriter, r *http.Request, good []byte)) {
+// SetHandler names what is done with each request, which is handed the good answer; nil gives that.
+func (h *SearchHost) SetHandler(do func(w http.ResponseWriter, r *http.Request, good []byte)) {
 	h.do.Store(&do)
 }
 
 func (h *SearchHost) Close() { h.server.Close() }
 
-// Took counts its requests, and those whose asker went before the answer.
-func (h *SearchHost) Took() (took, left int) { return int(h.took.Load()), int(h.left.Load()) }
+// CountRequests counts its requests, and those whose asker went before the answer.
+func (h *SearchHost) CountRequests() (took, left int) { return int(h.took.Load()), int(h.left.Load()) }
 
 func (h *SearchHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.took.Add(1)
--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -125,14 +125,14 @@
 func TestGoldenPartialResponses(t *testing.T) {
 	r := start(t)
 	for _, i := range []int{0, 4} { // both holders of two shards
-		r.hosts[i].Set(func(fake.Part) {})
+		r.hosts[i].SetHandler(func(fake.ShardRequest) {})
 	}
 	var out strings.Builder
 	const body = `{"size":0,"track_total_hits":true}`
 	r.exchange(&out, "whole with some of the shards", "POST", "/picks/_search", body)
 	r.exchange(&out, "shards that answer", "POST", "/members/_search?preference=_shards:1,2", body)
 	for _, h := range r.hosts {
-		h.Set(func(p fake.Part) { p.Reply("bad", "-", "") })
+		h.SetHandler(func(p fake.ShardRequest) { p.Reply("bad", "-", "") })
 	}
 	r.exchange(&out, "hosts that fail", "POST", "/members/_search", body)
 	compareGolden(t, "partial_responses.golden", out.String())
@@ -155,7 +155,7 @@
 func TestGoldenTasks(t *testing.T) {
 	r := start(t)
 	for _, h := range r.hosts {
-		h.Set(func(fake.Part) {})
+		h.SetHandler(func(fake.ShardRequest) {})
 	}
 	var out, search strings.Builder
 	ended := make(chan struct{})
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -52,9 +52,9 @@
 	hosts  []*fake.Host
 	search []*fake.SearchHost // in their place, where hosts speak the API
 	own    string             // address of the own front
-	blocks []*fake.Members
-	all    fake.Members
-	list   *fake.Discovery
+	blocks []*fake.ShardDocuments
+	all    fake.ShardDocuments
+	list   *fake.DiscoveryServer
 	stop   context.CancelFunc
 	ended  chan error
 	client *http.Client
@@ -71,34 +71,34 @@
 	r.all.Index = "members"
 	placed := &query.Placement{Shards: 8}
 	for range 8 {
-		r.blocks = append(r.blocks, &fake.Members{Index: "members"})
+		r.blocks = append(r.blocks, &fake.ShardDocuments{Index: "members"})
 	}
 	towns := []string{"oslo", "bergen", "hamar"}
 	for i := range 400 {
-		m := fake.Member{ID: fmt.Sprintf("m%03d", i), Fields: map[string]any{"town": towns[chance.Intn(3)], "age": float64(18 + chance.Intn(50))}}
-		r.all.All = append(r.all.All, m)
+		m := fake.Document{ID: fmt.Sprintf("m%03d", i), Fields: map[string]any{"town": towns[chance.Intn(3)], "age": float64(18 + chance.Intn(50))}}
+		r.all.Documents = append(r.all.Documents, m)
 		b := r.blocks[placed.ShardFor(m.ID)]
-		b.All = append(b.All, m)
+		b.Documents = append(b.Documents, m)
 	}
-	var entries []fake.Entry
+	var entries []fake.Endpoint
 	for i := range 8 {
 		if speak {
-			held := map[int]*fake.Members{i % 4: r.blocks[i%4], i%4 + 4: r.blocks[i%4+4]}
+			held := map[int]*fake.ShardDocuments{i % 4: r.blocks[i%4], i%4 + 4: r.blocks[i%4+4]}
 			h, err := fake.NewSearchHost(fmt.Sprintf("h%d", i), i%4, held)
 			require.NoError(t, err)
 			t.Cleanup(h.Close)
 			r.search = append(r.search, h)
-			entries = append(entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "search", State: "up", Cell: h.Cell})
+			entries = append(entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "search", State: "up", Cell: h.Cell})
 			continue
 		}
 		h, err := fake.NewHost(fmt.Sprintf("h%d", i), i%4, false, r.good)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		r.hosts = append(r.hosts, h)
-		entries = append(entries, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+		entries = append(entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 	}
 	var err error
-	r.list, err = fake.NewDiscovery(entries)
+	r.list, err = fake.NewDiscoveryServer(entries)
 	require.NoError(t, err)
 	t.Cleanup(r.list.Close)
 	listen := func() net.Listener {
@@ -109,8 +109,8 @@
 	own, other := listen(), listen()
 	r.own = own.Addr().String()
 	plan, err := coordinator.Parse(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, own.Addr(), r.list.Ln.Addr(),
-		r.list.Known(), settings))
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, own.Addr(), r.list.Listener.Addr(),
+		r.list.KnownEndpoints(), settings))
 	require.NoError(t, err)
 	eight := []int{0, 1, 2, 3, 4, 5, 6, 7}
 	front := &Server{Listener: other, TLSConfig: conf, Indices: []Index{{"members", "full-match", "acme", eight, placed},
@@ -140,7 +140,7 @@
 }
 
 // answer is what a sound host says to a part; index names are the search's own.
-func (r *rig) answer(p fake.Part) []byte {
+func (r *rig) answer(p fake.ShardRequest) []byte {
 	b := *r.blocks[p.Shard]
 	text, err := b.Search([]byte(p.Text))
 	if err != nil {
@@ -149,7 +149,7 @@
 	return text
 }
 
-func (r *rig) good(p fake.Part) { p.Reply("good", "1", string(r.answer(p))) }
+func (r *rig) good(p fake.ShardRequest) { p.Reply("good", "1", string(r.answer(p))) }
 
 func (r *rig) do(method, path, body string, head ...string) (int, map[string]any, http.Header) {
 	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
@@ -188,8 +188,8 @@
 // Whole answers are what one block with all members says, also with a host that hangs and one that spoils its answers.
 func TestSearches(t *testing.T) {
 	r := start(t)
-	r.hosts[0].Set(func(fake.Part) {})
-	r.hosts[5].Set(func(p fake.Part) { p.Reply("good", "1", `{"timed_out":false}`) })
+	r.hosts[0].SetHandler(func(fake.ShardRequest) {})
+	r.hosts[5].SetHandler(func(p fake.ShardRequest) { p.Reply("good", "1", `{"timed_out":false}`) })
 	var g sync.WaitGroup
 	for i := range 40 {
 		g.Go(func() {
@@ -211,7 +211,7 @@
 	status, m, _ := r.do("GET", "/members/_count", `{"query":{"term":{"town":"oslo"}}}`)
 	require.Equal(t, 200, status)
 	n := 0.0
-	for _, one := range r.all.All {
+	for _, one := range r.all.Documents {
 		if one.Fields["town"] == "oslo" {
 			n++
 		}
@@ -223,7 +223,7 @@
 func TestPartsThatLack(t *testing.T) {
 	r := start(t)
 	for _, i := range []int{0, 4} { // both holders of two blocks
-		r.hosts[i].Set(func(fake.Part) {})
+		r.hosts[i].SetHandler(func(fake.ShardRequest) {})
 	}
 	status, m, _ := r.do("POST", "/nowhere/_search", `{}`)
 	require.Equal(t, 404, status)
@@ -243,7 +243,7 @@
 // A host of the own protocol that answers with another block's members in good form has failed its part.
 func TestAnotherBlock(t *testing.T) {
 	r := start(t)
-	r.hosts[0].Set(func(p fake.Part) {
+	r.hosts[0].SetHandler(func(p fake.ShardRequest) {
 		text, _ := r.blocks[(p.Shard+4)%8].Search([]byte(p.Text))
 		p.Reply("good", "1", string(text))
 	})
@@ -260,24 +260,24 @@
 // A block that no listed host holds is told before anything is sent.
 func TestUnknownBlocks(t *testing.T) {
 	r := start(t)
-	var left []fake.Entry
+	var left []fake.Endpoint
 	for i, h := range r.hosts {
 		if i%4 != 3 {
-			left = append(left, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+			left = append(left, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
-	r.list.Tell(left)
+	r.list.SetEndpoints(left)
 	require.Eventually(t, func() bool { s, _, _ := r.do("POST", "/members/_search", `{}`); return s == 404 }, 10*time.Second, 5*time.Millisecond)
 	before := 0
 	for _, h := range r.hosts {
-		before += h.Took()
+		before += h.CountRequests()
 	}
 	status, m, _ := r.do("POST", "/members/_search", `{}`)
 	require.Equal(t, 404, status)
 	require.Contains(t, reason(m), "no such shard [members][3]")
 	after := 0
 	for _, h := range r.hosts {
-		after += h.Took()
+		after += h.CountRequests()
 	}
 	require.Equal(t, before, after)
 	status, _, _ = r.do("POST", "/members/_search?preference=_shards:0,1", `{}`)
@@ -294,9 +294,9 @@
 	release := make(chan struct{})
 	for i, h := range r.hosts {
 		if i%4 == 3 {
-			h.Set(func(fake.Part) {})
+			h.SetHandler(func(fake.ShardRequest) {})
 		} else {
-			h.Set(func(p fake.Part) { go func() { <-release; r.good(p) }() })
+			h.SetHandler(func(p fake.ShardRequest) { go func() { <-release; r.good(p) }() })
 		}
 	}
 	type end struct {
@@ -310,14 +310,14 @@
 			got <- end{s, m}
 		}()
 	}
-	require.Eventually(t, func() bool { return r.hosts[0].Took()+r.hosts[4].Took() >= 2 }, 10*time.Second, time.Millisecond)
-	var left []fake.Entry
+	require.Eventually(t, func() bool { return r.hosts[0].CountRequests()+r.hosts[4].CountRequests() >= 2 }, 10*time.Second, time.Millisecond)
+	var left []fake.Endpoint
 	for i, h := range r.hosts {
 		if i%4 != 3 {
-			left = append(left, fake.Entry{ID: h.ID, Addr: h.Ln.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+			left = append(left, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
-	r.list.Tell(left)
+	r.list.SetEndpoints(left)
 	close(release)
 	for range 2 {
 		e := <-got
@@ -368,7 +368,7 @@
 
 	// A client that leaves in the middle of fifty takes all of them along.
 	for _, h := range r.hosts {
-		h.Set(func(fake.Part) {})
+		h.SetHandler(func(fake.ShardRequest) {})
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, "POST", r.url+"/_msearch", strings.NewReader(text))
@@ -393,7 +393,7 @@
 func TestTasks(t *testing.T) {
 	r := start(t)
 	for _, h := range r.hosts {
-		h.Set(func(fake.Part) {})
+		h.SetHandler(func(fake.ShardRequest) {})
 	}
 	type end struct {
 		status int
@@ -433,7 +433,7 @@
 	began := time.Now()
 	var g sync.WaitGroup
 	for _, h := range r.hosts {
-		h.Set(func(fake.Part) {})
+		h.SetHandler(func(fake.ShardRequest) {})
 	}
 	var refused, other atomic.Int64
 	for range 60 {
@@ -557,11 +557,11 @@
 	r := start(t)
 	release := make(chan struct{})
 	for _, h := range r.hosts {
-		h.Set(func(p fake.Part) { go func() { <-release; r.good(p) }() })
+		h.SetHandler(func(p fake.ShardRequest) { go func() { <-release; r.good(p) }() })
 	}
 	got := make(chan int)
 	go func() { s, _, _ := r.do("POST", "/members/_search", `{}`); got <- s }()
-	require.Eventually(t, func() bool { return r.hosts[0].Took()+r.hosts[4].Took() > 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.hosts[0].CountRequests()+r.hosts[4].CountRequests() > 0 }, 10*time.Second, time.Millisecond)
 	r.stop()
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
@@ -660,7 +660,7 @@
 			}
 		},
 	} {
-		r.search[0].Set(do)
+		r.search[0].SetHandler(do)
 		for range 3 {
 			code, m, _ := r.do("POST", "/members/_search", body)
 			require.Equal(t, 200, code, "%s: %v", name, m)
@@ -673,11 +673,11 @@
 		require.Len(t, m["answers"], 8)
 	}
 	// A part that is given up ends its connection, and its host sees that.
-	r.search[0].Set(func(_ http.ResponseWriter, req *http.Request, _ []byte) { <-req.Context().Done() })
-	_, before := r.search[0].Took()
+	r.search[0].SetHandler(func(_ http.ResponseWriter, req *http.Request, _ []byte) { <-req.Context().Done() })
+	_, before := r.search[0].CountRequests()
 	require.Eventually(t, func() bool {
 		code, _, _ := r.do("POST", "/picks/_search", `{}`)
-		_, left := r.search[0].Took()
+		_, left := r.search[0].CountRequests()
 		return code == 200 && left > before
 	}, 15*time.Second, 10*time.Millisecond)
 }
--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -99,6 +99,6 @@
 	compareGolden(t, "placement.golden", out.String())
 }
 
-func membersOf(all []fake.Member) fake.Members {
-	return fake.Members{Index: "members", All: all}
+func membersOf(all []fake.Document) fake.ShardDocuments {
+	return fake.ShardDocuments{Index: "members", Documents: all}
 }
--- a/opensearch/query/query_test.go
+++ b/opensearch/query/query_test.go
@@ -34,12 +34,12 @@
 }
 
 // members draws some with fields of all kinds, missing ones and lists among them.
-func members(seed int64, n int) []fake.Member {
+func members(seed int64, n int) []fake.Document {
 	chance := rand.New(rand.NewSource(seed))
 	words := strings.Fields("red green blue chess tango hiking opera jazz")
-	var all []fake.Member
+	var all []fake.Document
 	for i := range n {
-		m := fake.Member{ID: fmt.Sprintf("m%04d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
+		m := fake.Document{ID: fmt.Sprintf("m%04d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
 			"town": words[chance.Intn(3)], "about": words[chance.Intn(8)] + " " + words[chance.Intn(8)]}}
 		if chance.Intn(4) > 0 {
 			m.Fields["rank"] = float64(chance.Intn(9)) / 2
@@ -104,12 +104,12 @@
 }
 
 // split deals members to parts and answers each; the result is in no fixed order.
-func split(t require.TestingT, q *query.Request, all []fake.Member, parts int, c *rand.Rand) []*query.ShardResponse {
-	blocks := make([]fake.Members, parts)
+func split(t require.TestingT, q *query.Request, all []fake.Document, parts int, c *rand.Rand) []*query.ShardResponse {
+	blocks := make([]fake.ShardDocuments, parts)
 	for _, m := range all {
 		b := &blocks[c.Intn(parts)]
-		if !slices.ContainsFunc(b.All, func(other fake.Member) bool { return other.ID == m.ID }) {
-			b.All = append(b.All, m)
+		if !slices.ContainsFunc(b.Documents, func(other fake.Document) bool { return other.ID == m.ID }) {
+			b.Documents = append(b.Documents, m)
 		}
 	}
 	var answers []*query.ShardResponse
@@ -159,7 +159,7 @@
 			require.InDelta(t, x, y, 6, text)
 		}
 		// An independent look at totals and the order of hits.
-		ref := fake.Members{Index: "members", All: all}
+		ref := fake.ShardDocuments{Index: "members", Documents: all}
 		got, err := ref.Search(q.ShardRequestBody())
 		require.NoError(t, err)
 		want := decoded(t, got)["hits"].(map[string]any)
@@ -251,7 +251,7 @@
 // A member on two parts counts once, and less than all parts is told as such.
 func TestHonest(t *testing.T) {
 	q := parse(t, `{"track_total_hits":true}`)
-	block := fake.Members{Index: "members", All: members(1, 5)}
+	block := fake.ShardDocuments{Index: "members", Documents: members(1, 5)}
 	text, _ := block.Search(q.ShardRequestBody())
 	a, err := q.ParseResponse(0, "members", text)
 	require.NoError(t, err)
@@ -331,7 +331,7 @@
 // Every answer that a whole must not rest on.
 func TestSpoiltAnswers(t *testing.T) {
 	q := parse(t, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"},"aggs":{"m":{"max":{"field":"age"}}}}}}`)
-	block := fake.Members{Index: "members", All: members(1, 9)}
+	block := fake.ShardDocuments{Index: "members", Documents: members(1, 9)}
 	good, err := block.Search(q.ShardRequestBody())
 	require.NoError(t, err)
 	_, err = q.ParseResponse(0, "members", good)
@@ -374,7 +374,7 @@
 // An answer with a byte changed, left out or put in is read only if it is JSON still, also where it is passed over.
 func TestBrokenAnswers(t *testing.T) {
 	q := parse(t, `{"size":3,"sort":["age"]}`)
-	block := fake.Members{Index: "members", All: members(1, 9)}
+	block := fake.ShardDocuments{Index: "members", Documents: members(1, 9)}
 	good, _ := block.Search(q.ShardRequestBody())
 	c, read := rand.New(rand.NewSource(1)), 0
 	for range 60_000 {
@@ -418,11 +418,11 @@
 	q := parse(t, `{"size":0,"aggs":{"t":{"terms":{"field":"k","size":3}}}}`)
 	rapid.Check(t, func(t *rapid.T) {
 		counts := map[string]float64{}
-		var all []fake.Member
+		var all []fake.Document
 		for i, k := range rapid.SliceOfN(rapid.IntRange(0, 60), 50, 400).Draw(t, "keys") {
 			key := fmt.Sprint("k", k)
 			counts[key]++
-			all = append(all, fake.Member{ID: fmt.Sprint(i), Fields: map[string]any{"k": key}})
+			all = append(all, fake.Document{ID: fmt.Sprint(i), Fields: map[string]any{"k": key}})
 		}
 		c := rand.New(rand.NewSource(rapid.Int64().Draw(t, "split")))
 		got := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 4, c)}))["aggregations"].(map[string]any)["t"].(map[string]any)
@@ -451,7 +451,7 @@
 
 func FuzzAnswer(f *testing.F) {
 	q := parse(f, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"}},"p":{"percentiles":{"field":"age"}}}}`)
-	block := fake.Members{Index: "members", All: members(1, 9)}
+	block := fake.ShardDocuments{Index: "members", Documents: members(1, 9)}
 	good, _ := block.Search(q.ShardRequestBody())
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -479,7 +479,7 @@
 
 func BenchmarkReadAnswer(b *testing.B) {
 	q := parse(b, `{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}}],"track_total_hits":true}`)
-	block := fake.Members{Index: "members", All: members(1, 200)}
+	block := fake.ShardDocuments{Index: "members", Documents: members(1, 200)}
 	text, _ := block.Search(q.ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
@@ -490,7 +490,7 @@
 // What the language costs of one search over eight parts, hosts apart.
 func BenchmarkWhole(b *testing.B) {
 	body := []byte(`{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}},{"_id":{}}],"track_total_hits":true}`)
-	block := fake.Members{Index: "members", All: members(1, 200)}
+	block := fake.ShardDocuments{Index: "members", Documents: members(1, 200)}
 	text, _ := block.Search(parse(b, string(body)).ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
