--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -179,14 +179,14 @@
 		return kept
 	}
 	for told := false; ; told = true {
-		kept, err := store.Open(s.file.StoreFile, store.Options{Told: s.complain})
+		kept, err := store.Open(s.file.StoreFile, store.Options{OnRecovery: s.complain})
 		if err == nil {
 			return kept
 		}
 		if s.ctx.Err() == nil && !told {
 			s.complain(err)
 		}
-		if !advice.HasType[*store.Busy](err) {
+		if !advice.HasType[*store.LockedError](err) {
 			return nil
 		}
 		select { // guards against a process before it that is slow to let go: without a store nothing of its changes and contracts holds
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -129,11 +129,11 @@
 	require.Equal(t, goldenNotes().Entries, k.believed.Observations.Entries)
 	require.NoError(t, k.flush(t.Context()))
 	var events []store.Event
-	require.NoError(t, k.events.Each(0, "", func(e store.Event) bool { events = append(events, e); return true }))
+	require.NoError(t, k.events.ForEach(0, "", func(e store.Event) bool { events = append(events, e); return true }))
 	require.Equal(t, []store.Event{
-		{No: 0, At: goldenNow, Kind: "start", Words: "believes all: 0 hosts listed, notes of 0"},
-		{No: 1, At: goldenNow, Kind: "stop", Words: "planned"},
-		{No: 2, At: goldenNow, Kind: "start", Words: "believes all: 2 hosts listed, notes of 1"},
+		{Sequence: 0, UnixMs: goldenNow, Kind: "start", Message: "believes all: 0 hosts listed, notes of 0"},
+		{Sequence: 1, UnixMs: goldenNow, Kind: "stop", Message: "planned"},
+		{Sequence: 2, UnixMs: goldenNow, Kind: "start", Message: "believes all: 2 hosts listed, notes of 1"},
 	}, events)
 }
 
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -56,7 +56,7 @@
 	store    *store.Store
 	err      error
 	believed recovery.Restored
-	events   *store.Journal
+	events   *store.EventLog
 
 	newest    atomic.Pointer[recovery.EndpointList] // the list in force; At is when it came to be
 	discovery atomic.Int64                          // newest version that discovery told
@@ -91,7 +91,7 @@
 			if !told {
 				k.log.Warn("store_away", advice.LogAttrs(k.err, "path", path)...)
 			}
-			if !advice.HasType[*store.Busy](k.err) {
+			if !advice.HasType[*store.LockedError](k.err) {
 				return
 			}
 			select {
@@ -106,7 +106,7 @@
 
 // open opens the store, notes the start on disk, and only then believes what is there.
 func (k *Persistence) open(path string, o store.Options) error {
-	o.Told = func(err error) {
+	o.OnRecovery = func(err error) {
 		k.log.Warn("store_told", advice.LogAttrs(err)...)
 		k.RecordEvent("store", err.Error())
 	}
@@ -127,7 +127,7 @@
 			return err
 		}
 		anew := o
-		anew.Anew = true
+		anew.Recreate = true
 		if s, err = store.Open(path, anew); err != nil {
 			return err
 		}
@@ -146,7 +146,7 @@
 		err = s.Put(context.Background(), keptBucket, map[string][]byte{startsKey: text, whoseKey: mine}, others)
 	}
 	if err == nil {
-		k.events, err = store.NewJournal(s, eventBucket, 0)
+		k.events, err = store.NewEventLog(s, eventBucket, 0)
 	}
 	if err != nil {
 		return errors.Join(err, s.Close(context.Background()))
@@ -245,7 +245,7 @@
 		k.leftOut++
 		return
 	}
-	k.waiting = append(k.waiting, store.Event{At: k.clock.Now().UnixMilli(), Kind: kind, Words: words})
+	k.waiting = append(k.waiting, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: words})
 }
 
 // Close lets go of the store. It waits a little for a write that is on its way, and for one that is stuck not at all.
@@ -404,12 +404,12 @@
 	k.waiting, k.leftOut = nil, 0
 	k.mu.Unlock()
 	if left > 0 {
-		events = append(events, store.Event{At: k.clock.Now().UnixMilli(), Kind: "left_out", Words: fmt.Sprint(left, " events")})
+		events = append(events, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: "left_out", Message: fmt.Sprint(left, " events")})
 	}
 	if len(events) == 0 {
 		return nil
 	}
-	err := k.events.Add(ctx, events)
+	err := k.events.Append(ctx, events)
 	if err != nil {
 		k.mu.Lock()
 		k.waiting = append(events, k.waiting...)
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -113,10 +113,10 @@
 	s, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
-	j, err := store.NewJournal(s, eventBucket, 0)
+	j, err := store.NewEventLog(s, eventBucket, 0)
 	require.NoError(t, err)
 	kinds := map[string]int{}
-	require.NoError(t, j.Each(0, "", func(e store.Event) bool { kinds[e.Kind]++; return true }))
+	require.NoError(t, j.ForEach(0, "", func(e store.Event) bool { kinds[e.Kind]++; return true }))
 	require.Equal(t, 2, kinds["start"])
 	require.Equal(t, 2, kinds["stop"])
 	require.Positive(t, kinds["list"])
@@ -128,7 +128,7 @@
 	for name, disk := range map[string]func() error{"slow": func() error { time.Sleep(5 * time.Second); return nil },
 		"full": func() error { return syscall.ENOSPC }} {
 		var bad atomic.Bool
-		r := first.keeping(filepath.Join(t.TempDir(), "kept"), store.Options{Disk: func(string) error {
+		r := first.keeping(filepath.Join(t.TempDir(), "kept"), store.Options{BeforeWrite: func(string) error {
 			if bad.Load() {
 				return disk()
 			}
@@ -180,7 +180,7 @@
 			text, _ := json.Marshal(list)
 			require.NoError(t, os.WriteFile(at, text, 0o600))
 		}
-		r := first.keeping(at, store.Options{LockWait: 100 * time.Millisecond})
+		r := first.keeping(at, store.Options{LockTimeout: 100 * time.Millisecond})
 		r.asks("b0", 2)
 		r.logged("event=store_away")
 		require.Contains(t, r.log.String(), want)
--- a/storage/store/golden_stored_test.go
+++ b/storage/store/golden_stored_test.go
@@ -30,9 +30,9 @@
 }
 
 var goldenEvents = []Event{
-	{No: 3, At: 1_700_000_000_003, Kind: "stop", Words: "planned"},
-	{No: 4, At: 1_700_000_000_004, Kind: "start", Words: "believes all: 3 hosts listed, notes of 2"},
-	{No: 5, At: 1_700_000_000_005, Kind: "list", Words: strings.Repeat("w", 240)},
+	{Sequence: 3, UnixMs: 1_700_000_000_003, Kind: "stop", Message: "planned"},
+	{Sequence: 4, UnixMs: 1_700_000_000_004, Kind: "start", Message: "believes all: 3 hosts listed, notes of 2"},
+	{Sequence: 5, UnixMs: 1_700_000_000_005, Kind: "list", Message: strings.Repeat("w", 240)},
 }
 
 // writeGoldenStore makes a store with overwritten and deleted keys, and a journal that has wrapped around.
@@ -50,16 +50,16 @@
 		}
 		require.NoError(t, s.Put(background, bucket, puts, deletes))
 	}
-	j, err := NewJournal(s, "events", 3)
+	j, err := NewEventLog(s, "events", 3)
 	require.NoError(t, err)
-	require.NoError(t, j.Add(background, []Event{
-		{At: 1_700_000_000_000, Kind: "start", Words: "a"},
-		{At: 1_700_000_000_001, Kind: "list", Words: "b"},
-		{At: 1_700_000_000_002, Kind: "list", Words: "c"},
+	require.NoError(t, j.Append(background, []Event{
+		{UnixMs: 1_700_000_000_000, Kind: "start", Message: "a"},
+		{UnixMs: 1_700_000_000_001, Kind: "list", Message: "b"},
+		{UnixMs: 1_700_000_000_002, Kind: "list", Message: "c"},
 	}))
 	events := append([]Event(nil), goldenEvents...)
-	events[2].Words += "cut off"
-	require.NoError(t, j.Add(background, events))
+	events[2].Message += "cut off"
+	require.NoError(t, j.Append(background, events))
 	require.NoError(t, s.Close(background))
 }
 
@@ -100,7 +100,7 @@
 		require.NoError(t, os.WriteFile(goldenFile, text, 0o644))
 	}
 	path := copyGolden(t, goldenFile)
-	s, err := Open(path, Options{Told: func(err error) { t.Errorf("the golden file was reported: %v", err) }})
+	s, err := Open(path, Options{OnRecovery: func(err error) { t.Errorf("the golden file was reported: %v", err) }})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
 	for bucket, values := range goldenValues {
@@ -111,15 +111,15 @@
 	_, found, err := s.Get("alpha", "gone")
 	require.NoError(t, err)
 	require.False(t, found)
-	j, err := NewJournal(s, "events", 3)
+	j, err := NewEventLog(s, "events", 3)
 	require.NoError(t, err)
 	var events []Event
-	require.NoError(t, j.Each(0, "", func(e Event) bool { events = append(events, e); return true }))
+	require.NoError(t, j.ForEach(0, "", func(e Event) bool { events = append(events, e); return true }))
 	require.Equal(t, goldenEvents, events)
-	require.NoError(t, j.Add(background, []Event{{At: 1_700_000_000_006, Kind: "stop"}}))
+	require.NoError(t, j.Append(background, []Event{{UnixMs: 1_700_000_000_006, Kind: "stop"}}))
 	events = nil
-	require.NoError(t, j.Each(1_700_000_000_006, "stop", func(e Event) bool { events = append(events, e); return true }))
-	require.Equal(t, []Event{{No: 6, At: 1_700_000_000_006, Kind: "stop"}}, events, "numbers go on")
+	require.NoError(t, j.ForEach(1_700_000_000_006, "stop", func(e Event) bool { events = append(events, e); return true }))
+	require.Equal(t, []Event{{Sequence: 6, UnixMs: 1_700_000_000_006, Kind: "stop"}}, events, "numbers go on")
 	_, err = os.Stat(path + ".lock")
 	require.NoError(t, err, "the lock file's name")
 }
@@ -165,10 +165,10 @@
 	before, err := os.ReadFile(path)
 	require.NoError(t, err)
 	_, err = Open(path, Options{})
-	var newer *Newer
+	var newer *NewerFormatError
 	require.ErrorAs(t, err, &newer)
-	require.Equal(t, uint32(2), newer.Has)
-	require.Equal(t, uint32(1), newer.Can)
+	require.Equal(t, uint32(2), newer.FileFormat)
+	require.Equal(t, uint32(1), newer.SupportedFormat)
 	after, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.Equal(t, before, after)
@@ -191,8 +191,8 @@
 	}
 	require.Positive(t, flipped)
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	var aside *Aside
-	s, err := Open(path, Options{Told: func(err error) { require.ErrorAs(t, err, &aside) }})
+	var aside *QuarantinedError
+	s, err := Open(path, Options{OnRecovery: func(err error) { require.ErrorAs(t, err, &aside) }})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
 	require.NotNil(t, aside)
--- a/storage/store/journal.go
+++ b/storage/store/journal.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	EventsMost = 10_000 // events kept: some weeks of an installation's trouble, under 3 MB
-	wordsMost  = 240    // bytes of an event's words
-	nextKey    = "next" // where the number of the next event is kept
+	MaxEvents = 10_000 // events kept: some weeks of an installation's trouble, under 3 MB
+	wordsMost = 240    // bytes of an event's words
+	nextKey   = "next" // where the number of the next event is kept
 )
 
 // Event is something that happened, for those who look back.
 type Event struct {
-	_     struct{} `cbor:",toarray"`
-	No    uint64   // one more with each; numbers go on over restarts
-	At    int64    // Unix ms
-	Kind  string
-	Words string
+	_        struct{} `cbor:",toarray"`
+	Sequence uint64   // one more with each; numbers go on over restarts
+	UnixMs   int64    // Unix ms
+	Kind     string
+	Message  string
 }
 
-// Journal keeps the last events in a bucket: each has the place of the one so many before it.
-type Journal struct {
+// EventLog keeps the last events in a bucket: each has the place of the one so many before it.
+type EventLog struct {
 	s      *Store
 	bucket string
 	most   uint64
@@ -35,9 +35,9 @@
 	next   uint64
 }
 
-// NewJournal goes on with what is in the bucket. most is how many events are kept, 0 for EventsMost.
-func NewJournal(s *Store, bucket string, most int) (*Journal, error) {
-	j := &Journal{s: s, bucket: bucket, most: uint64(cmp.Or(most, EventsMost))}
+// NewEventLog goes on with what is in the bucket. most is how many events are kept, 0 for MaxEvents.
+func NewEventLog(s *Store, bucket string, most int) (*EventLog, error) {
+	j := &EventLog{s: s, bucket: bucket, most: uint64(cmp.Or(most, MaxEvents))}
 	v, found, err := s.Get(bucket, nextKey)
 	if err == nil && found && len(v) == 8 {
 		j.next = binary.LittleEndian.Uint64(v)
@@ -45,14 +45,14 @@
 	return j, err
 }
 
-// Add writes events, all or none. Their numbers are the journal's.
-func (j *Journal) Add(ctx context.Context, events []Event) error {
+// Append writes events, all or none. Their numbers are the journal's.
+func (j *EventLog) Append(ctx context.Context, events []Event) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	next, puts := j.next, map[string][]byte{}
 	for _, e := range events {
-		e.No = next
-		e.Words = e.Words[:min(len(e.Words), wordsMost)]
+		e.Sequence = next
+		e.Message = e.Message[:min(len(e.Message), wordsMost)]
 		text, err := cbor.Marshal(e)
 		if err != nil {
 			return err
@@ -68,8 +68,8 @@
 	return err
 }
 
-// Each gives the events from a time on, of one kind or, where that is empty, of all, the oldest first.
-func (j *Journal) Each(since int64, kind string, f func(e Event) bool) error {
+// ForEach gives the events from a time on, of one kind or, where that is empty, of all, the oldest first.
+func (j *EventLog) ForEach(since int64, kind string, f func(e Event) bool) error {
 	var all []Event
 	err := j.s.Load(j.bucket, func(key string, value []byte) error {
 		if key == nextKey {
@@ -77,14 +77,14 @@
 		}
 		var e Event
 		if err := cbor.Unmarshal(value, &e); err != nil {
-			return &Damaged{j.s.path, fmt.Sprintf("event %s: %v", key, err)}
+			return &CorruptedError{j.s.path, fmt.Sprintf("event %s: %v", key, err)}
 		}
-		if e.At >= since && (kind == "" || e.Kind == kind) {
+		if e.UnixMs >= since && (kind == "" || e.Kind == kind) {
 			all = append(all, e)
 		}
 		return nil
 	})
-	slices.SortFunc(all, func(a, b Event) int { return cmp.Compare(a.No, b.No) })
+	slices.SortFunc(all, func(a, b Event) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	for i := 0; err == nil && i < len(all) && f(all[i]); i++ {
 	}
 	return err
--- a/storage/store/pages.go
+++ b/storage/store/pages.go
@@ -48,16 +48,18 @@
 	all  uint64 // bytes of them and their keys
 }
 
-// whole looks at all of a file, and returns what it holds. Errors are *Damaged, *NotStore, *Newer and the reader's.
+// whole looks at all of a file, and returns what it holds. Errors are *Damaged, *UnrecognizedFileError, *Newer and the reader's.
 func whole(path string, in io.ReaderAt, size int64) (l *look, err error) {
 	l = &look{in: in, size: size, free: map[uint64]bool{}, seen: map[uint64]bool{}}
-	damaged := func(format string, v ...any) (*look, error) { return l, &Damaged{path, fmt.Sprintf(format, v...)} }
+	damaged := func(format string, v ...any) (*look, error) {
+		return l, &CorruptedError{path, fmt.Sprintf(format, v...)}
+	}
 	root, freelist, found := l.meta()
 	if !found {
 		if l.looksLikeOne() {
 			return damaged("no head is whole")
 		}
-		return l, &NotStore{path, "it has no head of one"}
+		return l, &UnrecognizedFileError{path, "it has no head of one"}
 	}
 	if int64(l.pages) > size/int64(l.pageSize) {
 		return damaged("%d pages of %d bytes do not fit its %d bytes", l.pages, l.pageSize, size)
@@ -72,7 +74,7 @@
 	case l.head == nil:
 		return damaged("the record of its state is missing")
 	case l.head.Least > format:
-		return l, &Newer{path, l.head.Least, format}
+		return l, &NewerFormatError{path, l.head.Least, format}
 	case l.head.Sum != l.sum || l.head.Records != l.n || l.head.Bytes != l.all:
 		return damaged("%d records are there, sum %x; written were %d, sum %x", l.n, l.sum, l.head.Records, l.head.Sum)
 	}
--- a/storage/store/store.go
+++ b/storage/store/store.go
@@ -27,34 +27,34 @@
 )
 
 const (
-	format      = 1                     // that this program writes, and the newest it reads
-	ownBucket   = "chalkring"           // the program's own bucket: what the file is, and the sum of all in it
-	headKey     = "state"               // its one key
-	sumBytes    = 8                     // bytes of a checksum before each value
-	headBytes   = 40                    // of the state's record
-	lockWait    = time.Second           // for another process to let go: one that ends does so at once
-	lockLook    = 20 * time.Millisecond // between two tries for that
-	asideMost   = 8                     // stores kept under other names: a fault that comes again does not fill the disk
-	BytesMost   = 128 << 20             // bytes of all keys and values: 100,000 entries of a kilobyte
-	fileTimes   = 4                     // times that bound, and a little, that the file may grow to: pages half full, and
-	fileMore    = 1 << 20               // room for what is rewritten
-	KeyMost     = 1 << 10               // bytes of a key or of a bucket's name
-	ValueMost   = 16 << 20              // bytes of a value: a list of 20,000 hosts is 4 MB
-	PutMost     = 64 << 20              // bytes of one transaction: it is held in memory twice
-	slackLeast  = 1 << 20               // bytes of a file under which unused ones are not worth a rewriting
-	slackTimes  = 4                     // times the bytes in use at which a start writes the file anew
-	compactStep = 1 << 20               // bytes of one transaction of a rewriting
-	fileMode    = 0o600                 // it may hold what tenants searched for
-	folderMode  = 0o700
+	format              = 1                     // that this program writes, and the newest it reads
+	ownBucket           = "chalkring"           // the program's own bucket: what the file is, and the sum of all in it
+	headKey             = "state"               // its one key
+	sumBytes            = 8                     // bytes of a checksum before each value
+	headBytes           = 40                    // of the state's record
+	lockWait            = time.Second           // for another process to let go: one that ends does so at once
+	lockLook            = 20 * time.Millisecond // between two tries for that
+	asideMost           = 8                     // stores kept under other names: a fault that comes again does not fill the disk
+	MaxBytes            = 128 << 20             // bytes of all keys and values: 100,000 entries of a kilobyte
+	fileTimes           = 4                     // times that bound, and a little, that the file may grow to: pages half full, and
+	fileMore            = 1 << 20               // room for what is rewritten
+	MaxKeyBytes         = 1 << 10               // bytes of a key or of a bucket's name
+	MaxValueBytes       = 16 << 20              // bytes of a value: a list of 20,000 hosts is 4 MB
+	MaxTransactionBytes = 64 << 20              // bytes of one transaction: it is held in memory twice
+	slackLeast          = 1 << 20               // bytes of a file under which unused ones are not worth a rewriting
+	slackTimes          = 4                     // times the bytes in use at which a start writes the file anew
+	compactStep         = 1 << 20               // bytes of one transaction of a rewriting
+	fileMode            = 0o600                 // it may hold what tenants searched for
+	folderMode          = 0o700
 )
 
 // Options are how a store is opened.
 type Options struct {
-	Told      func(err error)         // is told what was put aside or read as an older state; may be nil, must not wait
-	Anew      bool                    // puts what is there aside and begins with an empty store
-	BytesMost int64                   // of all keys and values, 0 for BytesMost
-	LockWait  time.Duration           // for another process, 0 for a second
-	Disk      func(step string) error // for tests: runs before a transaction is written; may wait or fail
+	OnRecovery  func(err error)         // is told what was put aside or read as an older state; may be nil, must not wait
+	Recreate    bool                    // puts what is there aside and begins with an empty store
+	MaxBytes    int64                   // of all keys and values, 0 for MaxBytes
+	LockTimeout time.Duration           // for another process, 0 for a second
+	BeforeWrite func(step string) error // for tests: runs before a transaction is written; may wait or fail
 }
 
 // Store is an open store. Its calls are safe from any goroutine, and wait for the disk.
@@ -98,28 +98,28 @@
 }
 
 // Open takes the store at path, alone, or makes it with its folder. Errors are of this package's types: *Busy,
-// *Newer, *NotStore, *Crowded, *ReadOnly, *Full, *Failed. A damaged one is put aside (*Aside goes to Told).
+// *Newer, *UnrecognizedFileError, *Crowded, *ReadOnlyError, *Full, *Failed. A damaged one is put aside (*Aside goes to Told).
 func Open(path string, o Options) (s *Store, err error) {
-	if o.BytesMost <= 0 {
-		o.BytesMost = BytesMost
+	if o.MaxBytes <= 0 {
+		o.MaxBytes = MaxBytes
 	}
-	if o.LockWait <= 0 {
-		o.LockWait = lockWait
+	if o.LockTimeout <= 0 {
+		o.LockTimeout = lockWait
 	}
-	if o.Told == nil {
-		o.Told = func(error) {}
+	if o.OnRecovery == nil {
+		o.OnRecovery = func(error) {}
 	}
 	s = &Store{path: path, o: o, turn: make(chan struct{}, 1)}
 	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
 		return nil, s.told(err)
 	}
 	s.lock = flock.New(path+".lock", flock.SetPermissions(fileMode))
-	ctx, cancel := context.WithTimeout(context.Background(), o.LockWait)
+	ctx, cancel := context.WithTimeout(context.Background(), o.LockTimeout)
 	defer cancel()
 	if held, err := s.lock.TryLockContext(ctx, lockLook); !held {
 		s.lock.Close()
 		if errors.Is(err, context.DeadlineExceeded) {
-			return nil, &Busy{path}
+			return nil, &LockedError{path}
 		}
 		return nil, s.told(err)
 	}
@@ -139,12 +139,12 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		err = s.make()
-	case advice.HasType[*Damaged](err):
+	case advice.HasType[*CorruptedError](err):
 		err = s.aside(err)
-	case err == nil && s.o.Anew:
+	case err == nil && s.o.Recreate:
 		err = s.aside(errAnew)
 	case err == nil && l.rewound:
-		s.o.Told(&Rewound{s.path})
+		s.o.OnRecovery(&RolledBackError{s.path})
 	}
 	if err != nil {
 		return err
@@ -167,9 +167,9 @@
 	case err != nil:
 		return nil, err
 	case !info.Mode().IsRegular():
-		return nil, &NotStore{s.path, "it is no file"}
+		return nil, &UnrecognizedFileError{s.path, "it is no file"}
 	case info.Size() == 0:
-		return nil, &Damaged{s.path, "it is empty"}
+		return nil, &CorruptedError{s.path, "it is empty"}
 	}
 	f, err := os.Open(s.path)
 	if err != nil {
@@ -189,10 +189,10 @@
 		if err := os.Rename(s.path, to); err != nil {
 			return err
 		}
-		s.o.Told(&Aside{s.path, to, why})
+		s.o.OnRecovery(&QuarantinedError{s.path, to, why})
 		return s.make()
 	}
-	return &Crowded{s.path, why}
+	return &QuarantineFullError{s.path, why}
 }
 
 // make writes an empty store beside its place and then gives it its name: a start that is killed leaves no half of one.
@@ -236,7 +236,7 @@
 }
 
 func (s *Store) library() *bolt.Options {
-	return &bolt.Options{Timeout: s.o.LockWait, MaxSize: int(fileTimes*s.o.BytesMost + fileMore), NoStatistics: true}
+	return &bolt.Options{Timeout: s.o.LockTimeout, MaxSize: int(fileTimes*s.o.MaxBytes + fileMore), NoStatistics: true}
 }
 
 func (s *Store) openFile() error {
@@ -267,7 +267,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if v := recover(); v != nil {
-			err = &Damaged{path, fmt.Sprint("while it was in use: ", v)}
+			err = &CorruptedError{path, fmt.Sprint("while it was in use: ", v)}
 		}
 	}()
 	return do()
@@ -285,7 +285,7 @@
 	select {
 	case s.turn <- struct{}{}:
 	case <-ctx.Done():
-		return &Slow{s.path, ctx.Err()}
+		return &WriteTimeoutError{s.path, ctx.Err()}
 	}
 	done := make(chan error, 1)
 	go func() {
@@ -296,28 +296,28 @@
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return &Slow{s.path, ctx.Err()}
+		return &WriteTimeoutError{s.path, ctx.Err()}
 	}
 }
 
 func (s *Store) fits(bucket string, puts map[string][]byte, deletes []string) error {
 	most := func(what string, n, most int) error {
 		if n > most {
-			return &Bounded{s.path, fmt.Sprintf("%s of %d bytes, %d at the most", what, n, most)}
+			return &SizeLimitError{s.path, fmt.Sprintf("%s of %d bytes, %d at the most", what, n, most)}
 		}
 		return nil
 	}
 	if bucket == "" || bucket == ownBucket {
-		return &Bounded{s.path, fmt.Sprintf("no bucket can be called %q", bucket)}
+		return &SizeLimitError{s.path, fmt.Sprintf("no bucket can be called %q", bucket)}
 	}
-	err, all := most("a bucket's name", len(bucket), KeyMost), 0
+	err, all := most("a bucket's name", len(bucket), MaxKeyBytes), 0
 	for _, key := range slices.Concat(deletes, slices.Collect(maps.Keys(puts))) {
 		if all += len(key) + len(puts[key]); key == "" {
-			return &Bounded{s.path, "an empty key"}
+			return &SizeLimitError{s.path, "an empty key"}
 		}
-		err = errors.Join(err, most("a key", len(key), KeyMost), most("a value", len(puts[key]), ValueMost))
+		err = errors.Join(err, most("a key", len(key), MaxKeyBytes), most("a value", len(puts[key]), MaxValueBytes))
 	}
-	return errors.Join(err, most("a write", all, PutMost))
+	return errors.Join(err, most("a write", all, MaxTransactionBytes))
 }
 
 // write is one transaction. After one that failed the file is closed and looked at before the next: what the library
@@ -334,7 +334,7 @@
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.doubt = err; advice.HasType[*Damaged](err) {
+		if s.doubt = err; advice.HasType[*CorruptedError](err) {
 			s.broken = err // the library's locks may be held for good
 		}
 	}
@@ -360,7 +360,7 @@
 		err = s.openFile()
 	}
 	switch {
-	case advice.HasType[*Damaged](err):
+	case advice.HasType[*CorruptedError](err):
 		s.broken = err
 		return err
 	case err != nil:
@@ -379,11 +379,11 @@
 	own := tx.Bucket([]byte(ownBucket))
 	value, _, err := opened([]byte(ownBucket), []byte(headKey), own.Get([]byte(headKey)))
 	if err != nil {
-		return &Damaged{s.path, err.Error()}
+		return &CorruptedError{s.path, err.Error()}
 	}
 	h, err := readHead(value)
 	if err != nil {
-		return &Damaged{s.path, err.Error()}
+		return &CorruptedError{s.path, err.Error()}
 	}
 	b, err := tx.CreateBucketIfNotExists([]byte(bucket))
 	if err != nil {
@@ -412,8 +412,8 @@
 		h.Records++
 		h.Bytes += uint64(len(key) + len(record))
 	}
-	if len(puts) > 0 && h.Bytes > uint64(s.o.BytesMost) {
-		return &Bounded{s.path, fmt.Sprintf("the write would bring it to %d bytes, %d at the most", h.Bytes, s.o.BytesMost)}
+	if len(puts) > 0 && h.Bytes > uint64(s.o.MaxBytes) {
+		return &SizeLimitError{s.path, fmt.Sprintf("the write would bring it to %d bytes, %d at the most", h.Bytes, s.o.MaxBytes)}
 	}
 	h.Writes++
 	h.Format, h.Least = format, format
@@ -421,8 +421,8 @@
 	if err := own.Put([]byte(headKey), record); err != nil {
 		return err
 	}
-	if s.o.Disk != nil {
-		return s.o.Disk("write")
+	if s.o.BeforeWrite != nil {
+		return s.o.BeforeWrite("write")
 	}
 	return nil
 }
@@ -443,7 +443,7 @@
 		return b.ForEach(func(k, v []byte) error {
 			value, _, err := opened([]byte(bucket), k, v)
 			if err != nil {
-				return &Damaged{s.path, err.Error()}
+				return &CorruptedError{s.path, err.Error()}
 			}
 			all = append(all, record{string(k), slices.Clone(value)})
 			return nil
@@ -462,7 +462,7 @@
 			if v := b.Get([]byte(key)); v != nil {
 				own, _, err := opened([]byte(bucket), []byte(key), v)
 				if err != nil {
-					return &Damaged{s.path, err.Error()}
+					return &CorruptedError{s.path, err.Error()}
 				}
 				value, found = slices.Clone(own), true
 			}
@@ -491,7 +491,7 @@
 	case s.turn <- struct{}{}:
 		defer func() { <-s.turn }()
 	case <-ctx.Done():
-		return &Slow{s.path, ctx.Err()}
+		return &WriteTimeoutError{s.path, ctx.Err()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -502,6 +502,6 @@
 	if s.db != nil && s.broken == nil {
 		err = guarded(s.path, s.db.Close)
 	}
-	s.broken, s.db = &Failed{s.path, errClosed}, nil
+	s.broken, s.db = &IOError{s.path, errClosed}, nil
 	return s.told(errors.Join(err, s.lock.Close()))
 }
--- a/storage/store/store_test.go
+++ b/storage/store/store_test.go
@@ -77,7 +77,7 @@
 
 func open(t testing.TB, path string, o Options) (*Store, []error) {
 	var told []error
-	o.Told = func(err error) { told = append(told, err) }
+	o.OnRecovery = func(err error) { told = append(told, err) }
 	s, err := Open(path, o)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.Close(background) })
@@ -142,7 +142,7 @@
 	again := s.Put(background, "n", map[string][]byte{"again": make([]byte, 90000)}, nil)
 	held := 0
 	read := s.Load("n", func(string, []byte) error { held++; return nil })
-	fmt.Println("full", advice.HasType[*Full](err), advice.HasType[*Full](again), held == n, read)
+	fmt.Println("full", advice.HasType[*DiskFullError](err), advice.HasType[*DiskFullError](again), held == n, read)
 	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was)
 	err = s.Put(background, "n", map[string][]byte{"after": {1}}, nil)
 	fmt.Println("after", err, n)
@@ -198,9 +198,9 @@
 	path := filepath.Join(t.TempDir(), "s")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	var told []error
-	s, err := Open(path, Options{Told: func(err error) { told = append(told, err) }})
+	s, err := Open(path, Options{OnRecovery: func(err error) { told = append(told, err) }})
 	if err != nil {
-		require.True(t, advice.HasType[*NotStore](err) || advice.HasType[*Newer](err), "%v", err)
+		require.True(t, advice.HasType[*UnrecognizedFileError](err) || advice.HasType[*NewerFormatError](err), "%v", err)
 		left, _ := os.ReadFile(path)
 		require.Equal(t, text, left, "a file that was refused is left alone")
 		return "refused"
@@ -208,7 +208,7 @@
 	defer func() { require.NoError(t, s.Close(background)) }()
 	m, how := all(t, s, "a"), ""
 	switch {
-	case len(told) > 0 && advice.HasType[*Aside](told[0]):
+	case len(told) > 0 && advice.HasType[*QuarantinedError](told[0]):
 		require.Empty(t, m)
 		left, err := os.ReadFile(path + ".aside-1")
 		require.NoError(t, err)
@@ -278,7 +278,7 @@
 	dir := filepath.Join(t.TempDir(), "d")
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	_, err := Open(dir, Options{})
-	require.True(t, advice.HasType[*NotStore](err), "%v", err)
+	require.True(t, advice.HasType[*UnrecognizedFileError](err), "%v", err)
 }
 
 func TestANewerFormatIsRefusedUnlessItSaysThatItCanBeRead(t *testing.T) {
@@ -300,7 +300,7 @@
 		}))
 		require.NoError(t, db.Close())
 		s, err = Open(path, Options{})
-		require.Equal(t, refused, advice.HasType[*Newer](err), "%v", err)
+		require.Equal(t, refused, advice.HasType[*NewerFormatError](err), "%v", err)
 		if !refused {
 			require.Equal(t, map[string]string{"k": "v"}, all(t, s, "a"))
 			require.NoError(t, s.Close(background))
@@ -312,13 +312,13 @@
 	path := filepath.Join(t.TempDir(), "s")
 	c, lines := child(t, "write", path)
 	require.True(t, lines.Scan())
-	_, err := Open(path, Options{LockWait: 50 * time.Millisecond})
-	require.True(t, advice.HasType[*Busy](err), "%v", err)
+	_, err := Open(path, Options{LockTimeout: 50 * time.Millisecond})
+	require.True(t, advice.HasType[*LockedError](err), "%v", err)
 	require.NoError(t, c.Process.Kill())
 	c.Wait()
 	s, _ := open(t, path, Options{})
-	_, err = Open(path, Options{LockWait: 50 * time.Millisecond})
-	require.True(t, advice.HasType[*Busy](err), "%v", err)
+	_, err = Open(path, Options{LockTimeout: 50 * time.Millisecond})
+	require.True(t, advice.HasType[*LockedError](err), "%v", err)
 	require.NoError(t, s.Close(background))
 	require.Error(t, s.Put(background, "a", map[string][]byte{"k": nil}, nil))
 }
@@ -334,23 +334,23 @@
 		defer syscall.Setfsuid(0)
 	}
 	_, err := Open(filepath.Join(dir, "s"), Options{})
-	require.True(t, advice.HasType[*ReadOnly](err), "%v", err)
+	require.True(t, advice.HasType[*ReadOnlyError](err), "%v", err)
 	require.NotEmpty(t, advice.For(err))
 }
 
 func TestASlowDiskHoldsUpNoReaderAndNoStop(t *testing.T) {
 	held := make(chan struct{})
-	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{Disk: func(string) error { <-held; return nil }})
+	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{BeforeWrite: func(string) error { <-held; return nil }})
 	short := func() context.Context {
 		ctx, cancel := context.WithTimeout(background, 20*time.Millisecond)
 		t.Cleanup(cancel)
 		return ctx
 	}
 	for range 2 { // one that is on its way, one that waits for it
-		require.True(t, advice.HasType[*Slow](s.Put(short(), "a", map[string][]byte{"k": []byte("v")}, nil)))
+		require.True(t, advice.HasType[*WriteTimeoutError](s.Put(short(), "a", map[string][]byte{"k": []byte("v")}, nil)))
 	}
 	require.Empty(t, all(t, s, "a"))
-	require.True(t, advice.HasType[*Slow](s.Close(short())))
+	require.True(t, advice.HasType[*WriteTimeoutError](s.Close(short())))
 	close(held)
 	require.NoError(t, s.Put(background, "a", map[string][]byte{"l": []byte("w")}, nil))
 	require.Equal(t, map[string]string{"k": "v", "l": "w"}, all(t, s, "a"))
@@ -364,7 +364,7 @@
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 		s, err := Open(path, Options{})
 		if n == asideMost {
-			require.True(t, advice.HasType[*Crowded](err), "%v", err)
+			require.True(t, advice.HasType[*QuarantineFullError](err), "%v", err)
 			continue
 		}
 		require.NoError(t, err)
@@ -376,16 +376,16 @@
 }
 
 func TestBounds(t *testing.T) {
-	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{BytesMost: 1 << 20})
-	for _, c := range []struct{ bucket, key string }{{"", "k"}, {ownBucket, "k"}, {"a", ""}, {"a", strings.Repeat("k", KeyMost+1)}} {
-		require.True(t, advice.HasType[*Bounded](s.Put(background, c.bucket, map[string][]byte{c.key: nil}, nil)))
+	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{MaxBytes: 1 << 20})
+	for _, c := range []struct{ bucket, key string }{{"", "k"}, {ownBucket, "k"}, {"a", ""}, {"a", strings.Repeat("k", MaxKeyBytes+1)}} {
+		require.True(t, advice.HasType[*SizeLimitError](s.Put(background, c.bucket, map[string][]byte{c.key: nil}, nil)))
 	}
 	err := error(nil)
 	n := 0
 	for ; err == nil && n < 100; n++ {
 		err = s.Put(background, "a", map[string][]byte{fmt.Sprint(n): make([]byte, 50_000)}, nil)
 	}
-	require.True(t, advice.HasType[*Bounded](err), "%v", err)
+	require.True(t, advice.HasType[*SizeLimitError](err), "%v", err)
 	require.NoError(t, s.Put(background, "a", nil, []string{"0", "1", "2", "3", "4"}))
 	require.Len(t, all(t, s, "a"), n-1-5)
 }
@@ -397,7 +397,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		runs++
 		path, fails := filepath.Join(dir, fmt.Sprint(runs)), error(nil)
-		o := Options{Told: func(err error) { t.Fatalf("%v", err) }, Disk: func(string) error { return fails }}
+		o := Options{OnRecovery: func(err error) { t.Fatalf("%v", err) }, BeforeWrite: func(string) error { return fails }}
 		s, err := Open(path, o)
 		require.NoError(t, err)
 		defer func() { s.Close(background); os.Remove(path) }()
@@ -457,18 +457,18 @@
 	path := filepath.Join(t.TempDir(), "s")
 	for run := range 3 {
 		s, _ := open(t, path, Options{})
-		j, err := NewJournal(s, "events", 10)
+		j, err := NewEventLog(s, "events", 10)
 		require.NoError(t, err)
 		for i := range 3 {
 			at := int64(100*run + i)
-			require.NoError(t, j.Add(background, []Event{{At: at, Kind: "start", Words: strings.Repeat("w", 1000)}, {At: at, Kind: "list", Words: "b"}}))
+			require.NoError(t, j.Append(background, []Event{{UnixMs: at, Kind: "start", Message: strings.Repeat("w", 1000)}, {UnixMs: at, Kind: "list", Message: "b"}}))
 		}
 		if run == 2 {
 			var all []uint64
-			require.NoError(t, j.Each(0, "", func(e Event) bool { all = append(all, e.No); return true }))
+			require.NoError(t, j.ForEach(0, "", func(e Event) bool { all = append(all, e.Sequence); return true }))
 			require.Equal(t, []uint64{8, 9, 10, 11, 12, 13, 14, 15, 16, 17}, all)
 			n := 0
-			require.NoError(t, j.Each(201, "start", func(e Event) bool { n++; return len(e.Words) == wordsMost }))
+			require.NoError(t, j.ForEach(201, "start", func(e Event) bool { n++; return len(e.Message) == wordsMost }))
 			require.Equal(t, 2, n)
 		}
 		require.NoError(t, s.Close(background))
@@ -510,13 +510,13 @@
 	}
 	require.NoError(t, s.Put(background, "a", puts, nil))
 	require.NoError(t, os.Truncate(path, 8192))
-	require.True(t, advice.HasType[*Damaged](s.Load("a", func(string, []byte) error { return nil })))
-	require.True(t, advice.HasType[*Damaged](s.Put(background, "a", puts, nil)))
-	require.True(t, advice.HasType[*Damaged](s.Put(background, "a", puts, nil)))
+	require.True(t, advice.HasType[*CorruptedError](s.Load("a", func(string, []byte) error { return nil })))
+	require.True(t, advice.HasType[*CorruptedError](s.Put(background, "a", puts, nil)))
+	require.True(t, advice.HasType[*CorruptedError](s.Put(background, "a", puts, nil)))
 	ctx, stop := context.WithTimeout(background, time.Second)
 	defer stop()
 	require.NoError(t, s.Close(ctx))
 	again, told := open(t, path, Options{})
-	require.True(t, advice.HasType[*Aside](told[0]))
+	require.True(t, advice.HasType[*QuarantinedError](told[0]))
 	require.Empty(t, all(t, again, "a"))
 }
