--- a/config/fleet.go
+++ b/config/fleet.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if at, err := netip.ParseAddrPort(p.Listen); err == nil && at.Addr().IsUnspecified() {
-		c.doc.FaultDo("$.fleet.listen", "Name the one address of this machine under which the other instances reach it.",
+		c.doc.AddErrorWithRemedy("$.fleet.listen", "Name the one address of this machine under which the other instances reach it.",
 			"%q says not where others reach it", p.Listen)
 	} else {
 		c.address("$.fleet.listen", p.Listen)
@@ -92,7 +92,7 @@
 		c.address("$.fleet.via.'"+addr+"'", p.AddressOverrides[addr])
 	}
 	if len(p.VotingMembers) == 0 || len(p.VotingMembers) > membership.MaxMembers {
-		c.doc.FaultDo("$.fleet.listed", "Name every instance of the fleet, the same list on all of them.",
+		c.doc.AddErrorWithRemedy("$.fleet.listed", "Name every instance of the fleet, the same list on all of them.",
 			"%d names, 1 to %d are wanted", len(p.VotingMembers), membership.MaxMembers)
 	}
 	seen := map[string]bool{}
@@ -105,7 +105,7 @@
 		seen[name] = true
 	}
 	if p.Name != "" && len(p.VotingMembers) > 0 && !seen[p.Name] {
-		c.doc.FaultDo("$.fleet.listed", (&NotListedError{}).Advice(), "%q, this instance's own name, is not in it", p.Name)
+		c.doc.AddErrorWithRemedy("$.fleet.listed", (&NotListedError{}).Advice(), "%q, this instance's own name, is not in it", p.Name)
 	}
 	from(dir, &p.KeyFile, &p.StoreFile, &p.RolloutFile, &p.ResidencyFile, &p.SubscribersFile)
 }
--- a/config/installation.go
+++ b/config/installation.go
@@ -48,7 +48,7 @@
 	Owners     int                   `yaml:"owners"` // co-ordinators in the process, one for each core it has; 1 where left out
 	Log        Log                   `yaml:"log"`
 
-	doc *strictyaml.Doc // it was read from
+	doc *strictyaml.Document // it was read from
 }
 
 // Peers are the co-ordinators that this one learns from, and those it tells.
@@ -139,7 +139,7 @@
 
 // Read reads a file and looks at all of it.
 func Read(path string) (*File, error) {
-	text, err := strictyaml.Text(path, fileMost)
+	text, err := strictyaml.ReadFile(path, fileMost)
 	if err != nil {
 		return nil, err
 	}
@@ -203,10 +203,10 @@
 }
 
 // checker looks at what was read and notes what is wrong and where.
-type checker struct{ doc *strictyaml.Doc }
+type checker struct{ doc *strictyaml.Document }
 
 // fault names a fault at a path such as $.peers.ask[0].address.
-func (c *checker) fault(path, format string, v ...any) { c.doc.Fault(path, format, v...) }
+func (c *checker) fault(path, format string, v ...any) { c.doc.AddError(path, format, v...) }
 
 func (c *checker) address(path, text string) {
 	if at, err := netip.ParseAddrPort(text); err != nil || at.Port() == 0 {
--- a/config/strictyaml/golden_errors_test.go
+++ b/config/strictyaml/golden_errors_test.go
@@ -48,12 +48,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		doc.Fault(path, "%d is over %d", 3, 1)
+		doc.AddError(path, "%d is over %d", 3, 1)
 		write(path, doc.Err())
-		doc.FaultDo(path, "Say how long.", "is missing")
+		doc.AddErrorWithRemedy(path, "Say how long.", "is missing")
 		write(path+" twice", doc.Err())
 	}
-	_, err := Text("testdata/nowhere.yaml", 10)
+	_, err := ReadFile("testdata/nowhere.yaml", 10)
 	write("no such file", err)
 	requireGolden(t, "errors.golden", out.String())
 }
--- a/config/strictyaml/strictyaml.go
+++ b/config/strictyaml/strictyaml.go
@@ -15,14 +15,14 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Fault is one thing wrong with a file.
-type Fault struct {
-	Line, Column int    // 0 where the file as a whole is meant
-	Path         string // such as contracts[0].zones; empty for the file as a whole
-	What, Do     string
+// InvalidFileError is one thing wrong with a file.
+type InvalidFileError struct {
+	Line, Column    int    // 0 where the file as a whole is meant
+	Path            string // such as contracts[0].zones; empty for the file as a whole
+	Problem, Remedy string
 }
 
-func (f *Fault) Error() string {
+func (f *InvalidFileError) Error() string {
 	where := ""
 	if f.Line > 0 {
 		where = fmt.Sprintf("[%d:%d] ", f.Line, f.Column)
@@ -30,22 +30,22 @@
 	if f.Path != "" {
 		where += f.Path + ": "
 	}
-	return where + f.What
+	return where + f.Problem
 }
 
 // Advice tells an operator what to do.
-func (f *Fault) Advice() string { return f.Do }
+func (f *InvalidFileError) Advice() string { return f.Remedy }
 
 const mendFile = "Mend the place that is named; `chalkring check FILE` looks at the file again."
 
-// Doc is a file that was read, and what is wrong with it.
-type Doc struct {
+// Document is a file that was read, and what is wrong with it.
+type Document struct {
 	tree   *ast.File
 	faults []error
 }
 
-// Text is a file's text, cut a byte beyond the most that Decode is to take.
-func Text(path string, most int) ([]byte, error) {
+// ReadFile is a file's text, cut a byte beyond the most that Decode is to take.
+func ReadFile(path string, most int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -55,44 +55,46 @@
 }
 
 // Decode reads text of at most so many bytes into what into points at. An error means that nothing more can be checked.
-func Decode(text []byte, most int, into any) (*Doc, error) {
+func Decode(text []byte, most int, into any) (*Document, error) {
 	if len(text) > most {
-		return nil, &Fault{What: fmt.Sprintf("over %d bytes", most), Do: "Split the file, or look whether it is the right one."}
+		return nil, &InvalidFileError{Problem: fmt.Sprintf("over %d bytes", most), Remedy: "Split the file, or look whether it is the right one."}
 	}
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
 		return nil, plain(err)
 	}
 	if len(tree.Docs) > 1 {
-		return nil, &Fault{What: "more than one document", Do: "Keep one document; take out the lines of three dashes."}
+		return nil, &InvalidFileError{Problem: "more than one document", Remedy: "Keep one document; take out the lines of three dashes."}
 	}
 	if err := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(into); err != nil && err != io.EOF {
 		return nil, plain(err)
 	}
-	return &Doc{tree: tree}, nil
+	return &Document{tree: tree}, nil
 }
 
 // plain is a library's error in one line: position and words, without the piece of source it shows.
 func plain(err error) error {
 	line, _, _ := strings.Cut(err.Error(), "\n")
-	return &Fault{What: strings.TrimSpace(line), Do: mendFile}
+	return &InvalidFileError{Problem: strings.TrimSpace(line), Remedy: mendFile}
 }
 
-// Fault notes what is wrong at a path such as $.peers.ask[0].address, or at the nearest place above it that is there.
-func (d *Doc) Fault(path, format string, v ...any) { d.FaultDo(path, mendFile, format, v...) }
+// AddError notes what is wrong at a path such as $.peers.ask[0].address, or at the nearest place above it that is there.
+func (d *Document) AddError(path, format string, v ...any) {
+	d.AddErrorWithRemedy(path, mendFile, format, v...)
+}
 
-// FaultDo is Fault with advice of its own.
-func (d *Doc) FaultDo(path, do, format string, v ...any) {
-	f := &Fault{Path: strings.TrimPrefix(path, "$."), What: fmt.Sprintf(format, v...), Do: do}
+// AddErrorWithRemedy is Fault with advice of its own.
+func (d *Document) AddErrorWithRemedy(path, do, format string, v ...any) {
+	f := &InvalidFileError{Path: strings.TrimPrefix(path, "$."), Problem: fmt.Sprintf(format, v...), Remedy: do}
 	for at := path; at != "" && f.Line == 0; {
-		f.Line, f.Column = d.Place(at)
+		f.Line, f.Column = d.Position(at)
 		at = at[:max(0, strings.LastIndexAny(at, ".["))]
 	}
 	d.faults = append(d.faults, f)
 }
 
-// Place is line and column of a path; 0, 0 where it is not in the file.
-func (d *Doc) Place(path string) (line, column int) {
+// Position is line and column of a path; 0, 0 where it is not in the file.
+func (d *Document) Position(path string) (line, column int) {
 	p, err := yaml.PathString(path)
 	if err != nil {
 		return 0, 0
@@ -106,4 +108,4 @@
 }
 
 // Err is all that was noted, nil for nothing.
-func (d *Doc) Err() error { return errors.Join(d.faults...) }
+func (d *Document) Err() error { return errors.Join(d.faults...) }
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -266,7 +266,7 @@
 
 // ReadRegionFile reads a region's file: YAML, or JSON lines where its name ends so.
 func ReadRegionFile(path string) (f *subscribers.File, err error) {
-	text, err := strictyaml.Text(path, fileMost)
+	text, err := strictyaml.ReadFile(path, fileMost)
 	if err != nil {
 		return nil, err
 	}
--- a/control/residency/file.go
+++ b/control/residency/file.go
@@ -83,7 +83,7 @@
 	Contracts           []Contract
 	Text                []byte
 
-	doc *strictyaml.Doc
+	doc *strictyaml.Document
 }
 
 // IsPolicyFile tells whether a YAML file is one of contracts: it has them, or a generation, at its top.
@@ -102,28 +102,28 @@
 	}
 	p := &Policy{Source: name, Generation: f.Generation, CompanionGeneration: f.Beside, Text: slices.Clone(text), doc: doc}
 	if f.Generation == 0 || f.Generation == math.MaxUint64 {
-		doc.Fault("$.generation", "%d: a number from 1 on that rises with each change is needed", f.Generation)
+		doc.AddError("$.generation", "%d: a number from 1 on that rises with each change is needed", f.Generation)
 	}
 	if f.Beside >= f.Generation && f.Beside > 0 {
-		doc.Fault("$.beside", "%d is no generation before %d", f.Beside, f.Generation)
+		doc.AddError("$.beside", "%d is no generation before %d", f.Beside, f.Generation)
 	}
 	switch f.Default {
 	case "anywhere":
 	case "nowhere":
 		p.DenyByDefault = true
 	default:
-		doc.Fault("$.default", "%.40q is neither anywhere nor nowhere: where tenants without a contract run has to be said", f.Default)
+		doc.AddError("$.default", "%.40q is neither anywhere nor nowhere: where tenants without a contract run has to be said", f.Default)
 	}
 	p.EnforcementDeadline = moment(doc, "$.in_force_by", f.By, 0)
 	p.LeaseDuration = duration(doc, "$.lease", f.Lease, leaseDefault, leaseLeast, leaseMost)
 	p.MaxClockSkew = duration(doc, "$.clocks", f.Clocks, slackDefault, 0, slackMost)
 	p.HostHoldDown = duration(doc, "$.host_rest", f.Rest, restDefault, 0, restMost)
 	if f.Contracts == nil { // a file that is cut is more likely than one that means none
-		doc.Fault("$", "no contracts; none at all is contracts: []")
+		doc.AddError("$", "no contracts; none at all is contracts: []")
 		f.Contracts = &[]entry{}
 	}
 	if len(*f.Contracts) > contractsMost {
-		doc.Fault("$.contracts", "%d contracts, %d at the most", len(*f.Contracts), contractsMost)
+		doc.AddError("$.contracts", "%d contracts, %d at the most", len(*f.Contracts), contractsMost)
 		f.Contracts = &[]entry{}
 	}
 	known := newSiteIndex(site)
@@ -132,7 +132,7 @@
 		p.Contracts = append(p.Contracts, contract(doc, fmt.Sprintf("$.contracts[%d]", i), e, known))
 		for _, zone := range e.Zones {
 			if zones[zone] = true; len(zones) == zonesMost+1 {
-				doc.Fault(fmt.Sprintf("$.contracts[%d].zones", i), "over %d zones in a file", zonesMost)
+				doc.AddError(fmt.Sprintf("$.contracts[%d].zones", i), "over %d zones in a file", zonesMost)
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 	return siteIndex{of(s.Tenants), of(s.Classes), of(s.Zones), s.Blocks}
 }
 
-func contract(doc *strictyaml.Doc, at string, e entry, known siteIndex) Contract {
+func contract(doc *strictyaml.Document, at string, e entry, known siteIndex) Contract {
 	for i, zone := range e.Zones { // as settings and lists have them
 		e.Zones[i] = settings.FormatValue(zone)
 	}
@@ -173,86 +173,86 @@
 	c := Contract{Tenant: e.Tenant, Class: e.Class, Block: -1, Zones: e.Zones}
 	name := func(field, text string, of map[string]bool) {
 		if len(text) > textMost {
-			doc.Fault(at+"."+field, "over %d bytes", textMost)
+			doc.AddError(at+"."+field, "over %d bytes", textMost)
 		} else if of != nil && !of[text] {
-			doc.Fault(at+"."+field, "unknown %s %.60q: the plan names none such", field, text)
+			doc.AddError(at+"."+field, "unknown %s %.60q: the plan names none such", field, text)
 		}
 	}
 	switch {
 	case e.Block != nil && (e.Tenant != "" || e.Class != ""):
-		doc.Fault(at+".block", "a contract names a tenant or a block, not both")
+		doc.AddError(at+".block", "a contract names a tenant or a block, not both")
 	case e.Block != nil:
 		if c.Block = *e.Block; c.Block < 0 || known.blocks > 0 && c.Block >= known.blocks {
-			doc.Fault(at+".block", "%d is no block: there are %d, from 0 on", c.Block, known.blocks)
+			doc.AddError(at+".block", "%d is no block: there are %d, from 0 on", c.Block, known.blocks)
 			c.Block = max(0, c.Block)
 		}
 	case e.Tenant == "" && e.Class != "":
-		doc.Fault(at+".class", "a class without its tenant")
+		doc.AddError(at+".class", "a class without its tenant")
 	case e.Tenant == "":
-		doc.Fault(at, "names neither a tenant nor a block")
+		doc.AddError(at, "names neither a tenant nor a block")
 	default:
 		if name("tenant", e.Tenant, known.tenants); e.Class != "" {
 			name("class", e.Class, known.classes)
 		}
 	}
 	if len(e.Zones) == 0 {
-		doc.Fault(at, "names no zones")
+		doc.AddError(at, "names no zones")
 	}
 	for i, zone := range e.Zones {
 		place := fmt.Sprintf("zones[%d]", i)
 		switch {
 		case zone == "" || len(zone) > textMost:
-			doc.Fault(at+"."+place, "a zone's name has 1 to %d bytes", textMost)
+			doc.AddError(at+"."+place, "a zone's name has 1 to %d bytes", textMost)
 		case known.zones != nil && !known.zones[zone]:
-			doc.Fault(at+"."+place, "unknown zone %.60q: the plan names none such", zone)
+			doc.AddError(at+"."+place, "unknown zone %.60q: the plan names none such", zone)
 		case slices.Contains(e.Zones[:i], zone):
-			doc.Fault(at+"."+place, "zone %.60q is there twice", zone)
+			doc.AddError(at+"."+place, "zone %.60q is there twice", zone)
 		}
 	}
 	c.From, c.Until = moment(doc, at+".from", e.From, math.MinInt64), moment(doc, at+".until", e.Until, never)
 	if c.From >= c.Until {
-		doc.Fault(at+".until", "is not after from")
+		doc.AddError(at+".until", "is not after from")
 	}
 	c.AllowPartial = one(doc, at+".otherwise", e.Otherwise, "refuse", "part")
 	c.KeepOnLeaseExpiry = one(doc, at+".lease_ends", e.LeaseEnds, "refuse", "keep")
 	if c.DefaultAfterEnd = one(doc, at+".after", e.After, "refuse", "default"); c.DefaultAfterEnd && c.Until == never {
-		doc.Fault(at+".after", "has no end to come after")
+		doc.AddError(at+".after", "has no end to come after")
 	}
 	return c
 }
 
 // one tells whether a text is the second of two words; the first holds where it is left out.
-func one(doc *strictyaml.Doc, at, text, usual, other string) bool {
+func one(doc *strictyaml.Document, at, text, usual, other string) bool {
 	if text != "" && text != usual && text != other {
-		doc.Fault(at, "%.40q is neither %s nor %s", text, usual, other)
+		doc.AddError(at, "%.40q is neither %s nor %s", text, usual, other)
 	}
 	return text == other
 }
 
-func moment(doc *strictyaml.Doc, at, text string, missing int64) int64 {
+func moment(doc *strictyaml.Document, at, text string, missing int64) int64 {
 	if text == "" {
 		return missing
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil || t.Unix() <= 0 {
-		doc.Fault(at, "%.40q is no time such as 2026-12-01T00:00:00Z", text)
+		doc.AddError(at, "%.40q is no time such as 2026-12-01T00:00:00Z", text)
 		return missing
 	}
 	return t.UnixMicro() / 100
 }
 
-func duration(doc *strictyaml.Doc, at, text string, missing, least, most int64) int64 {
+func duration(doc *strictyaml.Document, at, text string, missing, least, most int64) int64 {
 	if text == "" {
 		return missing
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		doc.Fault(at, "%.40q is no time such as 5s", text)
+		doc.AddError(at, "%.40q is no time such as 5s", text)
 		return missing
 	}
 	v := d.Microseconds() / 100
 	if v < least || v > most {
-		doc.Fault(at, "%v is not from %v to %v", d, time.Duration(least)*100*time.Microsecond, time.Duration(most)*100*time.Microsecond)
+		doc.AddError(at, "%v is not from %v to %v", d, time.Duration(least)*100*time.Microsecond, time.Duration(most)*100*time.Microsecond)
 		return missing
 	}
 	return v
@@ -277,9 +277,9 @@
 			at := fmt.Sprintf("$.contracts[%d]", of[n])
 			switch line, _ := p.ContractPosition(of[n-1]); {
 			case after.From < before.Until:
-				p.doc.Fault(at+".from", "%s has two contracts at once: that of line %d has not ended", w, line)
+				p.doc.AddError(at+".from", "%s has two contracts at once: that of line %d has not ended", w, line)
 			case after.From > before.Until && !before.DefaultAfterEnd:
-				p.doc.Fault(at+".from", "%s has a gap of %v after the contract of line %d", w,
+				p.doc.AddError(at+".from", "%s has a gap of %v after the contract of line %d", w,
 					time.Duration(after.From-before.Until)*100*time.Microsecond, line)
 			}
 		}
@@ -288,8 +288,8 @@
 
 // ContractPosition is line and column of a contract.
 func (p *Policy) ContractPosition(i int) (line, column int) {
-	if line, column = p.doc.Place(fmt.Sprintf("$.contracts[%d].tenant", i)); line == 0 {
-		line, column = p.doc.Place(fmt.Sprintf("$.contracts[%d].block", i))
+	if line, column = p.doc.Position(fmt.Sprintf("$.contracts[%d].tenant", i)); line == 0 {
+		line, column = p.doc.Position(fmt.Sprintf("$.contracts[%d].block", i))
 	}
 	return line, column
 }
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -150,8 +150,8 @@
 func parse(text []byte) (*ChangeFile, error) {
 	body, ok := bytes.CutSuffix(bytes.TrimRight(text, "\r\n\t "), []byte("\n"+endMark))
 	if !ok { // guards against a file that is read while it is written
-		return nil, &strictyaml.Fault{What: "the last line is not " + endMark + ", so the file may be cut",
-			Do: "End the file with a line of three dots."}
+		return nil, &strictyaml.InvalidFileError{Problem: "the last line is not " + endMark + ", so the file may be cut",
+			Remedy: "End the file with a line of three dots."}
 	}
 	v := form{Worse: usualWorse, Together: 1, Turn: 1}
 	d, err := strictyaml.Decode(body, fileMost, &v)
@@ -161,108 +161,108 @@
 	c := Change{Name: v.Name, Number: v.Number, Settings: map[string]string{}, Stages: v.Stages, MaxConcurrentFraction: v.Together,
 		MinSearches: 200, RegressionLimits: v.Worse}
 	if len(v.Name) > nameMost || !plain(v.Name) {
-		d.Fault("$.name", "%.40q is no name of letters, digits and .-_ of %d at most", v.Name, nameMost)
+		d.AddError("$.name", "%.40q is no name of letters, digits and .-_ of %d at most", v.Name, nameMost)
 	}
 	if v.Number == 0 {
-		d.Fault("$.number", "has to be 1 or more, and higher than any change before")
+		d.AddError("$.number", "has to be 1 or more, and higher than any change before")
 	}
 	order, ok := kinds[v.Order]
 	if !ok {
-		d.Fault("$.order", "%.40q is none of go, stop and back", v.Order)
+		d.AddError("$.order", "%.40q is none of go, stop and back", v.Order)
 	}
 	if v.Turn == 0 {
-		d.Fault("$.turn", "has to be 1 or more, and higher with each new order")
+		d.AddError("$.turn", "has to be 1 or more, and higher with each new order")
 	}
 	then, ok := map[string]Order{"": OrderRollBack, "back": OrderRollBack, "stop": OrderStop}[v.Then]
 	if !ok {
-		d.Fault("$.then", "%.40q is neither back nor stop", v.Then)
+		d.AddError("$.then", "%.40q is neither back nor stop", v.Then)
 	}
 	c.OnRegression = then
 	if err := settings.Flatten(c.Settings, "", v.Settings); err != nil {
-		d.Fault("$.settings", "%v", err)
+		d.AddError("$.settings", "%v", err)
 	}
 	if len(v.Settings) == 0 {
 		c.Settings = map[string]string{}
 	}
 	if len(c.Settings) > settingsMost {
-		d.Fault("$.settings", "%d settings, over %d", len(c.Settings), settingsMost)
+		d.AddError("$.settings", "%d settings, over %d", len(c.Settings), settingsMost)
 	}
 	for name, value := range c.Settings {
 		if err := settings.Validate(name, value); err != nil {
-			d.Fault("$.settings."+name, "%v", err)
+			d.AddError("$.settings."+name, "%v", err)
 		} else if !settings.IsKnown(name) && !placeName.MatchString(name) {
-			d.Fault("$.settings."+name, "no setting that the decision module reads")
+			d.AddError("$.settings."+name, "no setting that the decision module reads")
 		}
 	}
 	if v.Program != nil {
 		if c.Program = *v.Program; c.Program.Path == "" || c.Program.Path[0] != '/' {
-			d.Fault("$.program.path", "%.80q is no absolute path", c.Program.Path)
+			d.AddError("$.program.path", "%.80q is no absolute path", c.Program.Path)
 		}
 		if c.Program.Version == "" {
-			d.Fault("$.program.version", "is missing: what its `version` has to begin with")
+			d.AddError("$.program.version", "is missing: what its `version` has to begin with")
 		}
 	} else if len(c.Settings) == 0 {
-		d.Fault("$.settings", "neither settings nor a program: nothing would change")
+		d.AddError("$.settings", "neither settings nor a program: nothing would change")
 	}
 	if len(c.Stages) == 0 || len(c.Stages) > stagesMost {
-		d.Fault("$.stages", "%d stages; 1 to %d are wanted", len(c.Stages), stagesMost)
+		d.AddError("$.stages", "%d stages; 1 to %d are wanted", len(c.Stages), stagesMost)
 	}
 	for i := range c.Stages {
 		s, at := &c.Stages[i], fmt.Sprintf("$.stages[%d]", i)
 		if (s.Count > 0) == (s.Fraction > 0) || s.Count < 0 || !(s.Fraction >= 0 && s.Fraction <= 1) {
-			d.Fault(at, "one of count (1 or more) and share (up to 1) is wanted")
+			d.AddError(at, "one of count (1 or more) and share (up to 1) is wanted")
 		}
 		s.WatchDuration = span(d, at+".watch", s.WatchText, 0, 5*time.Minute)
 	}
 	if n := len(c.Stages); n > 0 && c.Stages[n-1].Fraction != 1 {
-		d.Fault(fmt.Sprintf("$.stages[%d]", n-1), "the last stage has to be share: 1")
+		d.AddError(fmt.Sprintf("$.stages[%d]", n-1), "the last stage has to be share: 1")
 	}
 	if !(c.MaxConcurrentFraction > 0 && c.MaxConcurrentFraction <= 1) {
-		d.Fault("$.together", "%g is no share above 0", c.MaxConcurrentFraction)
+		d.AddError("$.together", "%g is no share above 0", c.MaxConcurrentFraction)
 	}
 	if v.Searches != nil {
 		if c.MinSearches = *v.Searches; c.MinSearches < 0 {
-			d.Fault("$.searches", "%d is under 0", c.MinSearches)
+			d.AddError("$.searches", "%d is under 0", c.MinSearches)
 		}
 	}
 	c.WarmUp = span(d, "$.cold", v.Cold, 0, 30*time.Second)
 	c.ReadyTimeout = span(d, "$.ready", v.Ready, 100*time.Millisecond, 30*time.Second)
 	c.SilenceTimeout = span(d, "$.silent", v.Silent, time.Second, 4*time.Minute)
 	if c.SilenceTimeout < leaseTimes*c.ReadyTimeout {
-		d.Fault("$.silent", "has to be %d times ready at least: a restart and its way back have to fit", leaseTimes)
+		d.AddError("$.silent", "has to be %d times ready at least: a restart and its way back have to fit", leaseTimes)
 	}
 	checkWorse(d, &c.RegressionLimits)
 	return &ChangeFile{Change: c, Order: order, Epoch: v.Turn}, d.Err()
 }
 
-func checkWorse(d *strictyaml.Doc, w *RegressionLimits) {
+func checkWorse(d *strictyaml.Document, w *RegressionLimits) {
 	for name, v := range map[string]float64{"served": w.Served, "late": w.Late, "shed": w.Shed, "median": w.Median,
 		"tail": w.Tail, "sub_requests": w.SubRequests} {
 		if !(v > 0 && v < 0.5) {
-			d.Fault("$.worse."+name, "%g is no share above 0 and under 0.5", v)
+			d.AddError("$.worse."+name, "%g is no share above 0 and under 0.5", v)
 		}
 	}
 	for name, v := range map[string]float64{"connects": w.Connections, "memory": w.Memory} {
 		if !(v > 1) || math.IsInf(v, 0) {
-			d.Fault("$.worse."+name, "%g is no factor above 1", v)
+			d.AddError("$.worse."+name, "%g is no factor above 1", v)
 		}
 	}
 	if w.Restarts < 1 || w.Unreachable < 1 {
-		d.Fault("$.worse", "restarts and unreached have to be 1 or more")
+		d.AddError("$.worse", "restarts and unreached have to be 1 or more")
 	}
 	if !(w.FalseStopProbability > 0 && w.FalseStopProbability <= 0.05) {
-		d.Fault("$.worse.false_stops", "%g is no chance above 0 and up to 0.05", w.FalseStopProbability)
+		d.AddError("$.worse.false_stops", "%g is no chance above 0 and up to 0.05", w.FalseStopProbability)
 	}
 }
 
 // span reads a length of time, in tenths of a millisecond.
-func span(d *strictyaml.Doc, path, text string, least, usual time.Duration) int64 {
+func span(d *strictyaml.Document, path, text string, least, usual time.Duration) int64 {
 	if text == "" {
 		return int64(usual / tenth)
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil || v < least || v > watchMost {
-		d.Fault(path, "%.40q is no time of %v to %v, such as 90s", text, least, watchMost)
+		d.AddError(path, "%.40q is no time of %v to %v, such as 90s", text, least, watchMost)
 	}
 	return int64(v / tenth)
 }
--- a/control/subscribers/file.go
+++ b/control/subscribers/file.go
@@ -69,11 +69,11 @@
 		return nil, err
 	}
 	told := 0
-	f := in.Head.file(len(in.Subscriptions), func(at, why string) { doc.Fault("$."+at, "%s", why) })
+	f := in.Head.file(len(in.Subscriptions), func(at, why string) { doc.AddError("$."+at, "%s", why) })
 	for i, e := range in.Subscriptions {
 		if why := f.add(e); why != "" && told < toldMost {
 			told++
-			doc.Fault(fmt.Sprintf("$.subscriptions[%d]", i), "%s", why)
+			doc.AddError(fmt.Sprintf("$.subscriptions[%d]", i), "%s", why)
 		}
 	}
 	f.sum()
--- a/endpoints/hostfile/watch.go
+++ b/endpoints/hostfile/watch.go
@@ -69,7 +69,7 @@
 
 // Text is a file's text as it is, cut a byte beyond the most that is read.
 func Text(path string) ([]byte, error) {
-	return strictyaml.Text(path, fileMost)
+	return strictyaml.ReadFile(path, fileMost)
 }
 
 // Run tells of each file that is there, and then of each change, until ctx ends. What a file told last holds while it is
