--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -46,7 +46,7 @@
 		}
 	}
 	return []coordinator.Frontend{fanout.New(fanout.Options{Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.SubscribersFile, Log: s.log,
-		Self: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Life: me.Incarnation}, Seed: int64(me.Incarnation), ReplicationBytes: s.bytes, OnDrained: left})}, nil
+		Self: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Incarnation: me.Incarnation}, Seed: int64(me.Incarnation), ReplicationBytes: s.bytes, OnDrained: left})}, nil
 }
 
 // gateways are those that are heard now. A name that two claim is nobody's: numbers of deliveries rest on names.
@@ -58,7 +58,7 @@
 		}
 		there := m.State == membership.Alive || m.State == membership.Suspect && now-m.StateSince < suspectFor
 		if there && slices.Contains(m.Capabilities, gatewayPart) && !slices.Contains(claimed, m.Name) {
-			h.Members = append(h.Members, subscribers.Member{Name: m.Name, Region: m.Region, Zone: m.Zone, Life: m.Incarnation})
+			h.Members = append(h.Members, subscribers.Member{Name: m.Name, Region: m.Region, Zone: m.Zone, Incarnation: m.Incarnation})
 		}
 	}
 	heard, of := s.book.CountAliveVoters(now)
@@ -67,11 +67,11 @@
 }
 
 // rules are the zones in which contracts let tenants' entries be.
-func (s *sharing) rules() subscribers.Rules {
+func (s *sharing) rules() subscribers.PlacementRules {
 	if s.zones == nil {
-		return subscribers.Rules{}
+		return subscribers.PlacementRules{}
 	}
-	return subscribers.Rules{Generation: s.zones.Policy().Generation, Holds: s.holds}
+	return subscribers.PlacementRules{Generation: s.zones.Policy().Generation, AllowsTenantData: s.holds}
 }
 
 func (s *sharing) bytes() (held int, sent uint64) {
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -73,9 +73,9 @@
 	Self             subscribers.Member
 	Store            ReplicatedStore
 	Membership       func() Membership
-	Rules            func() subscribers.Rules // where tenants may be served; nil for anywhere
-	FilePath         string                   // of the region; none where empty
-	Deliver          DeliverFunc              // where deliveries go; by HTTP to the file's address where nil
+	Rules            func() subscribers.PlacementRules // where tenants may be served; nil for anywhere
+	FilePath         string                            // of the region; none where empty
+	Deliver          DeliverFunc                       // where deliveries go; by HTTP to the file's address where nil
 	Log              *slog.Logger
 	Seed             int64
 	OnDrained        func()                         // told once nobody is served here any more, for membership; may be nil
@@ -96,7 +96,7 @@
 	pool   *scheduler.Pool
 	list   *subscribers.List
 	gate   *subscribers.Gateway
-	file   *subscribers.File
+	file   *subscribers.RegionFile
 	since  time.Time // of the file
 	fresh  bool      // the list has changed since it was told
 	told   time.Time
@@ -118,7 +118,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	if o.Rules == nil {
-		o.Rules = func() subscribers.Rules { return subscribers.Rules{} }
+		o.Rules = func() subscribers.PlacementRules { return subscribers.PlacementRules{} }
 	}
 	return &Gateway{o: o, log: o.Log, lines: rate.NewLimiter(linesASec, linesASec), turns: make(chan func(), 64),
 		list: subscribers.NewList(), behind: map[subscribers.Key]uint64{}, refuse: map[string]uint64{}, reach: map[string]uint64{}}
@@ -142,8 +142,8 @@
 	if err := g.bound(k.Tenant); err != nil {
 		return err
 	}
-	if _, there := g.o.Store.Get(k.Name()); !there && g.held.Load() >= subscribers.ListMost {
-		return &subscribers.Full{Held: int(g.held.Load()), Most: subscribers.ListMost}
+	if _, there := g.o.Store.Get(k.LedgerKey()); !there && g.held.Load() >= subscribers.MaxSubscriptions {
+		return &subscribers.ListFullError{Count: int(g.held.Load()), Max: subscribers.MaxSubscriptions}
 	}
 	return g.call(ctx, k, subscribers.Subscribe(k, g.o.Self.Region, d))
 }
@@ -153,7 +153,7 @@
 	if err := g.bound(k.Tenant); err != nil {
 		return err
 	}
-	return g.call(ctx, k, subscribers.Change(k, d))
+	return g.call(ctx, k, subscribers.ChangeDetails(k, d))
 }
 
 // Unsubscribe takes one off.
@@ -163,12 +163,12 @@
 
 // Get tells whether a subscriber is subscribed, and to what.
 func (g *Gateway) Get(k subscribers.Key) (subscribers.Record, bool) {
-	e, _ := g.o.Store.Get(k.Name())
-	r, err := subscribers.Reads(e)
-	return r, err == nil && !r.Off()
+	e, _ := g.o.Store.Get(k.LedgerKey())
+	r, err := subscribers.ResolveEntry(e)
+	return r, err == nil && !r.IsUnsubscribed()
 }
 
-func (g *Gateway) call(ctx context.Context, k subscribers.Key, op subscribers.Op) error {
+func (g *Gateway) call(ctx context.Context, k subscribers.Key, op subscribers.RecordUpdate) error {
 	ctx, stop := context.WithTimeout(ctx, callWait)
 	defer stop()
 	select {
@@ -185,7 +185,7 @@
 // bound tells which zone a tenant's contract keeps its entries from, of those in which the list lies; nil where all may
 // have them. What would be kept where it must not be is not taken at all.
 func (g *Gateway) bound(tenant string) error {
-	holds := g.o.Rules().Holds
+	holds := g.o.Rules().AllowsTenantData
 	if holds == nil {
 		return nil
 	}
@@ -197,8 +197,8 @@
 	return nil
 }
 
-func (g *Gateway) write(k subscribers.Key, op subscribers.Op) error {
-	_, err := g.o.Store.Update(k.Name(), func(e crdt.Entry) ([]byte, bool, error) { return subscribers.Write(e, op) })
+func (g *Gateway) write(k subscribers.Key, op subscribers.RecordUpdate) error {
+	_, err := g.o.Store.Update(k.LedgerKey(), func(e crdt.Entry) ([]byte, bool, error) { return subscribers.ApplyUpdate(e, op) })
 	return err
 }
 
@@ -232,9 +232,9 @@
 	if g.o.FilePath != "" {
 		wait.Go(func() { watchFile(running, g.o.FilePath, files) })
 	}
-	changes, end := g.o.Store.Watch(subscribers.Prefix)
+	changes, end := g.o.Store.Watch(subscribers.KeyPrefix)
 	defer end()
-	words, endWords := g.o.Store.Watch(subscribers.WordPrefix)
+	words, endWords := g.o.Store.Watch(subscribers.StatusMessageKeyPrefix)
 	defer endWords()
 	turn := time.NewTicker(turnEach)
 	defer turn.Stop()
@@ -283,12 +283,12 @@
 		if stopping.Err() != nil && !g.ended {
 			g.ended, left = true, t
 		}
-		if g.ended && (g.gate.Handing() == 0 || t.Sub(left) > deliverMost) {
+		if g.ended && (g.gate.CountDeliveries() == 0 || t.Sub(left) > deliverMost) {
 			return nil
 		}
 		h := g.o.Membership()
-		g.gate.Rules(now(), g.o.Rules())
-		g.gate.Heard(now(), h.Members, h.HasMajority)
+		g.gate.SetRules(now(), g.o.Rules())
+		g.gate.UpdateMembers(now(), h.Members, h.HasMajority)
 		if word, say := g.gate.Tick(now(), wall()); say {
 			g.say(word)
 		}
@@ -299,24 +299,24 @@
 		}
 		if h.Complete && t.Sub(forgot) >= forgetEach {
 			forgot = t
-			for _, k := range g.list.Forget(wall(), forgetStep) {
-				if _, err := g.o.Store.Delete(k.Name()); err != nil {
+			for _, k := range g.list.FindExpiredTombstones(wall(), forgetStep) {
+				if _, err := g.o.Store.Delete(k.LedgerKey()); err != nil {
 					g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", k)...)
 				}
 			}
 		}
-		if open := g.gate.Open(); open != g.open {
+		if open := g.gate.IsServing(); open != g.open {
 			g.open, g.fresh = open, true
 		}
 		if g.fresh && t.Sub(g.told) >= tellEach {
 			g.fresh, g.told = false, t
-			on, off := g.list.Counts()
-			c, held, sent := g.gate.Counts(), 0, uint64(0)
+			on, off := g.list.CountSubscriptions()
+			c, held, sent := g.gate.Stats(), 0, uint64(0)
 			if g.o.ReplicationBytes != nil {
 				held, sent = g.o.ReplicationBytes()
 			}
-			g.log.Info("subscribers", "list", fmt.Sprintf("%016x", g.list.Sum()), "view", fmt.Sprintf("%016x", c.View), "gateways", c.Gateways, "subscribed", on,
-				"unsubscribed", off, "served", c.Served, "waiting", c.Waiting, "turn", c.Turn, "views", c.Views, "runs", c.Runs,
+			g.log.Info("subscribers", "list", fmt.Sprintf("%016x", g.list.Digest()), "view", fmt.Sprintf("%016x", c.View), "gateways", c.Gateways, "subscribed", on,
+				"unsubscribed", off, "served", c.Served, "waiting", c.Unassigned, "turn", c.Epoch, "views", c.ViewChanges, "runs", c.Runs,
 				"deliveries", c.Deliveries, "failed", c.Failed, "repeated", c.Repeated, "conflicts", g.conflicts, "bytes", held, "sent", sent)
 		}
 		g.due()
@@ -324,42 +324,42 @@
 }
 
 // say puts this gateway's word into the book.
-func (g *Gateway) say(w subscribers.Word) {
-	if _, err := g.o.Store.Put(subscribers.WordPrefix+g.o.Self.Name, w.Bytes()); err != nil {
+func (g *Gateway) say(w subscribers.StatusMessage) {
+	if _, err := g.o.Store.Put(subscribers.StatusMessageKeyPrefix+g.o.Self.Name, w.Encode()); err != nil {
 		g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's word: nobody is served here")...)
 		return
 	}
-	g.gate.Said(w)
+	g.gate.ConfirmStatusMessage(w)
 	g.fresh = true
 }
 
 // readWords takes in what the gateways say.
 func (g *Gateway) readWords() {
 	var all []crdt.Entry
-	g.o.Store.ScanPrefix(subscribers.WordPrefix, func(e crdt.Entry) bool {
+	g.o.Store.ScanPrefix(subscribers.StatusMessageKeyPrefix, func(e crdt.Entry) bool {
 		all = append(all, e)
 		return true
 	})
 	for _, e := range all {
-		if s := subscribers.StampOf(e); g.reach[e.Name] != s {
+		if s := subscribers.EntryDigest(e); g.reach[e.Name] != s {
 			g.reach[e.Name] = s
-			g.gate.Says(e.Name[len(subscribers.WordPrefix):], subscribers.WordOf(e))
+			g.gate.HandleStatusMessage(e.Name[len(subscribers.StatusMessageKeyPrefix):], subscribers.DecodeStatusMessage(e))
 		}
 	}
 }
 
 // readList reads what has changed in the book.
 func (g *Gateway) readList() {
-	g.list.Reading()
-	g.o.Store.ScanPrefix(subscribers.Prefix, func(e crdt.Entry) bool {
-		if g.list.Changed(e) {
+	g.list.BeginScan()
+	g.o.Store.ScanPrefix(subscribers.KeyPrefix, func(e crdt.Entry) bool {
+		if g.list.NeedsUpdate(e) {
 			g.todo = append(g.todo, e)
 		}
 		return true
 	})
-	for _, k := range g.list.Gone() {
-		g.list.Drop(k)
-		g.gate.Set(now(), k, subscribers.Record{}, false)
+	for _, k := range g.list.FindRemoved() {
+		g.list.Remove(k)
+		g.gate.SetRecord(now(), k, subscribers.Record{}, false)
 		g.fresh, g.filed = true, false
 	}
 }
@@ -369,30 +369,30 @@
 	some := g.todo[:min(len(g.todo), takeStep)]
 	t := now()
 	for _, e := range some {
-		k, changed, events, err := g.list.Take(e)
+		k, changed, events, err := g.list.ApplyEntry(e)
 		if err != nil {
 			g.unread(e, err)
 		}
 		for _, v := range events {
 			g.conflicts++
-			g.tell("subscriber_conflict", "subscriber", v.Key, "held", v.Held, "lost", v.Lost)
+			g.tell("subscriber_conflict", "subscriber", v.Key, "held", v.Kept, "lost", v.Discarded)
 		}
 		if changed {
 			g.fresh, g.filed = true, false
 			r, there := g.list.Get(k)
-			g.gate.Set(t, k, r, there)
+			g.gate.SetRecord(t, k, r, there)
 		}
 	}
 	if g.todo = g.todo[len(some):]; len(g.todo) == 0 {
 		g.todo = nil
 	}
-	on, off := g.list.Counts()
+	on, off := g.list.CountSubscriptions()
 	g.held.Store(int64(on + off))
 }
 
 // unread tells of an entry that cannot be read, once while it stands so.
 func (g *Gateway) unread(e crdt.Entry, err error) {
-	stamp := subscribers.StampOf(e)
+	stamp := subscribers.EntryDigest(e)
 	if g.refuse[e.Name] == stamp {
 		return
 	}
@@ -424,9 +424,9 @@
 		return false
 	}
 	g.filed = true
-	var old *subscribers.OldFile
-	_, err := g.o.Store.Update(subscribers.FilePrefix+g.file.Region, func(e crdt.Entry) ([]byte, bool, error) {
-		value, err := g.file.Admit(subscribers.StandingOf(e))
+	var old *subscribers.StaleFileError
+	_, err := g.o.Store.Update(subscribers.RegionFileKeyPrefix+g.file.Region, func(e crdt.Entry) ([]byte, bool, error) {
+		value, err := g.file.Admit(subscribers.DecodeFileStatus(e))
 		return value, value != nil, err
 	})
 	if errors.As(err, &old) {
@@ -438,10 +438,10 @@
 		return false
 	}
 	ranks := int(time.Since(g.since) / rankWait)
-	keys, stale := g.file.Differs(g.list, func(k subscribers.Key) bool { return g.gate.Rank(k) <= ranks }, fileStep)
+	keys, stale := g.file.FindChanges(g.list, func(k subscribers.Key) bool { return g.gate.FileWriterRank(k) <= ranks }, fileStep)
 	for _, s := range stale {
-		if len(g.behind) < keepLeast && g.behind[s.Key] != s.Consent {
-			g.behind[s.Key] = s.Consent
+		if len(g.behind) < keepLeast && g.behind[s.Key] != s.UnsubscribedConsent {
+			g.behind[s.Key] = s.UnsubscribedConsent
 			g.tell("subscriber_stale", advice.LogAttrs(s)...)
 		}
 	}
@@ -458,7 +458,7 @@
 			g.tell("subscriber_refused", advice.LogAttrs(why, "subscriber", k)...)
 			continue
 		}
-		if err := g.write(k, g.file.Op(k, g.o.Self.Name, wall())); err != nil {
+		if err := g.write(k, g.file.UpdateFor(k, g.o.Self.Name, wall())); err != nil {
 			g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", k)...)
 			continue
 		}
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -147,12 +147,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	book = replication.Start(context.Background(), replication.Options{InstanceName: "n0", Incarnation: life, Transport: nobody{}, Peers: func() (a, b []string) { return nil, []string{"n0"} },
 		OpenStorage: func(context.Context) (replication.Storage, error) { return s.disk, nil }})
-	me := subscribers.Member{Name: "n0", Region: "eu", Life: life}
+	me := subscribers.Member{Name: "n0", Region: "eu", Incarnation: life}
 	log := slog.New(slog.NewTextHandler(s, nil))
 	g = New(Options{Self: me, Store: book, FilePath: s.path, Log: log,
 		Membership: func() Membership { return Membership{[]subscribers.Member{me}, []string{"eu-1", "us-1"}, true, true} },
-		Rules: func() subscribers.Rules {
-			return subscribers.Rules{Holds: func(tenant, zone string) bool { return tenant != "other" || zone == "eu-1" }}
+		Rules: func() subscribers.PlacementRules {
+			return subscribers.PlacementRules{AllowsTenantData: func(tenant, zone string) bool { return tenant != "other" || zone == "eu-1" }}
 		}})
 	ended := make(chan error, 1)
 	go func() {
@@ -228,9 +228,9 @@
 	s.words.Add(1)
 	s.await("the other goes on", func() bool { return len(s.deliveries("s2")) > len(before) })
 	s.await("noted", func() bool {
-		e, _ := book.Get(subscribers.Key{Tenant: "acme", ID: "s2"}.Name())
-		r, _ := subscribers.Reads(e)
-		return len(r.Mark.Values) > 0
+		e, _ := book.Get(subscribers.Key{Tenant: "acme", ID: "s2"}.LedgerKey())
+		r, _ := subscribers.ResolveEntry(e)
+		return len(r.Checkpoint.Values) > 0
 	})
 	end()
 
@@ -238,11 +238,11 @@
 	last := s.deliveries("s2")[len(s.deliveries("s2"))-1]
 	s.words.Add(1)
 	g, _, _ = s.run(2) // with its disk, and the file that still has both lines
-	s.await("goes on", func() bool { return s.deliveries("s2")[len(s.deliveries("s2"))-1].Number.Turn > last.Number.Turn })
+	s.await("goes on", func() bool { return s.deliveries("s2")[len(s.deliveries("s2"))-1].Number.Epoch > last.Number.Epoch })
 	now := s.deliveries("s2")[len(s.deliveries("s2"))-1]
 	require.Len(t, now.Values, 1, "what was delivered before the restart is not again")
 	require.Len(t, s.deliveries("s1"), quiet, "unsubscribed stays so")
-	require.NoError(t, g.Subscribe(t.Context(), key, subscribers.Details{Type: "full-match", Query: "a", Every: subscribers.EveryLeast}))
+	require.NoError(t, g.Subscribe(t.Context(), key, subscribers.Details{Type: "full-match", Query: "a", Interval: subscribers.MinInterval}))
 	s.await("anew", func() bool { return len(s.deliveries("s1")) > quiet })
 	require.EqualValues(t, 2, s.deliveries("s1")[quiet].Consent)
 	s.file(3, two)
@@ -278,7 +278,7 @@
 	g, book, _ := s.run(1)
 	s.await("served", func() bool { return len(s.deliveries("s1")) > 0 })
 	s.await("not searched", s.logged("subscriber_search"))
-	_, err := book.Update(subscribers.Key{Tenant: "acme", ID: "s3"}.Name(), func(crdt.Entry) ([]byte, bool, error) { return []byte("?"), true, nil })
+	_, err := book.Update(subscribers.Key{Tenant: "acme", ID: "s3"}.LedgerKey(), func(crdt.Entry) ([]byte, bool, error) { return []byte("?"), true, nil })
 	require.NoError(t, err)
 	s.await("unread", s.logged("subscriber_unread"))
 	s.file(4)
@@ -291,10 +291,10 @@
 	require.True(t, on)
 	var bound *ZoneForbiddenError
 	elsewhere := subscribers.Key{Tenant: "other", ID: "s4"}
-	require.ErrorAs(t, g.Subscribe(t.Context(), elsewhere, subscribers.Details{Type: "full-match", Every: subscribers.EveryLeast}), &bound)
+	require.ErrorAs(t, g.Subscribe(t.Context(), elsewhere, subscribers.Details{Type: "full-match", Interval: subscribers.MinInterval}), &bound)
 	s.file(7, "- {tenant: other, id: s4, type: full-match, query: a, every: 1s}")
 	s.await("barred", s.logged("may not be in zone"))
-	_, there := book.Get(elsewhere.Name())
+	_, there := book.Get(elsewhere.LedgerKey())
 	require.False(t, there, "nothing of it is kept")
 }
 
@@ -302,8 +302,8 @@
 func TestFailuresSayWhatToDo(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	for _, err := range []error{&subscribers.BadRecord{}, &subscribers.BadAsk{}, &subscribers.NotSubscribed{}, &subscribers.Full{}, &subscribers.OldFile{},
-		&subscribers.Stale{}, &subscribers.BadLine{}, &RegionMismatchError{}, &DeliveryFailedError{Err: os.ErrClosed}, &SearchFailedError{}, &ZoneForbiddenError{}} {
+	for _, err := range []error{&subscribers.InvalidRecordError{}, &subscribers.InvalidSubscriptionError{}, &subscribers.NotSubscribedError{}, &subscribers.ListFullError{}, &subscribers.StaleFileError{},
+		&subscribers.StaleLineError{}, &subscribers.InvalidLineError{}, &RegionMismatchError{}, &DeliveryFailedError{Err: os.ErrClosed}, &SearchFailedError{}, &ZoneForbiddenError{}} {
 		require.NotEmpty(t, advice.For(fmt.Errorf("wrapped: %w", err)))
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*")+"`")
 	}
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -27,8 +27,8 @@
 )
 
 func goldenDelivery() DeliveryMessage {
-	return DeliveryMessage{Tenant: "acme", ID: "s1", Consent: 1, Number: subscribers.Number{Turn: 2, N: 3, Gateway: "n0"},
-		Previous: subscribers.Number{Turn: 4, N: 5, Gateway: "n1"}, Period: 6,
+	return DeliveryMessage{Tenant: "acme", ID: "s1", Consent: 1, Number: subscribers.DeliveryNumber{Epoch: 2, Sequence: 3, Gateway: "n0"},
+		Previous: subscribers.DeliveryNumber{Epoch: 4, Sequence: 5, Gateway: "n1"}, Period: 6,
 		Values: []BlockValue{{Block: 7, Hash: "0123456789abcdef", Value: []byte("<value>")}, {Block: 8, Hash: "fedcba9876543210"}}}
 }
 
@@ -79,15 +79,15 @@
 	for _, handler := range []slog.Handler{slog.NewJSONHandler(&all, untimed), slog.NewTextHandler(&all, untimed)} {
 		g := New(Options{Self: subscribers.Member{Name: "n0", Region: "eu"}, FilePath: "eu.yaml", Log: slog.New(handler)})
 		g.take(fileSeen{err: errors.New("why")})
-		g.take(fileSeen{file: &subscribers.File{Region: "us"}})
-		g.take(fileSeen{file: &subscribers.File{Region: "eu", Generation: 7}})
+		g.take(fileSeen{file: &subscribers.RegionFile{Region: "us"}})
+		g.take(fileSeen{file: &subscribers.RegionFile{Region: "eu", Generation: 7}})
 		e := crdt.Entry{Name: "sub/acme/s1", Siblings: []crdt.Sibling{{Value: []byte{0xff}}}}
-		_, err := subscribers.Reads(e)
+		_, err := subscribers.ResolveEntry(e)
 		g.unread(e, err)
 		g.unread(e, err) // told once
 		key := subscribers.Key{Tenant: "acme", ID: "s1"}
 		g.tell("subscriber_delivery", advice.LogAttrs(&DeliveryFailedError{"http://receiver", errors.New("why")}, "subscriber", key, "number",
-			subscribers.Number{Turn: 1, N: 2, Gateway: "n0"})...)
+			subscribers.DeliveryNumber{Epoch: 1, Sequence: 2, Gateway: "n0"})...)
 		g.quiet.Store(5)
 		g.tell("subscriber_conflict", "subscriber", key, "held", "one", "lost", "other")
 	}
@@ -134,7 +134,7 @@
 	key := subscribers.Key{Tenant: "acme", ID: "s1"}
 	s.await("noted", func() bool {
 		r, _ := g.Get(key)
-		return len(r.Mark.Values) > 0
+		return len(r.Checkpoint.Values) > 0
 	})
 	var all strings.Builder
 	for _, name := range []string{"sub/acme/s1", "subat/n0", "subfile/eu"} {
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -34,13 +34,13 @@
 // DeliveryMessage is what is handed over: the blocks whose values are others than those handed over before. A receiver drops
 // a number that it had; of two gateways' numbers the higher is the later, but while regions were cut off from each other.
 type DeliveryMessage struct {
-	Tenant   string             `json:"tenant"`
-	ID       string             `json:"id"`
-	Consent  uint64             `json:"consent"`
-	Number   subscribers.Number `json:"number"`
-	Previous subscribers.Number `json:"last"` // the one before, as far as it is known
-	Period   int64              `json:"period"`
-	Values   []BlockValue       `json:"values"`
+	Tenant   string                     `json:"tenant"`
+	ID       string                     `json:"id"`
+	Consent  uint64                     `json:"consent"`
+	Number   subscribers.DeliveryNumber `json:"number"`
+	Previous subscribers.DeliveryNumber `json:"last"` // the one before, as far as it is known
+	Period   int64                      `json:"period"`
+	Values   []BlockValue               `json:"values"`
 }
 
 // DeliverFunc hands a delivery over; an error says that it may not have arrived.
@@ -101,7 +101,7 @@
 	if g.ended {
 		return
 	}
-	runs, _ := g.gate.Due(now(), 2*together)
+	runs, _ := g.gate.StartDueSearches(now(), 2*together)
 	for _, r := range runs {
 		g.serial++
 		name := fmt.Sprintf("sub-%s-%d", g.o.Self.Name, g.serial)
@@ -116,16 +116,16 @@
 			return nil
 		})
 		if err != nil {
-			g.gate.Ran(now(), r, nil)
+			g.gate.CompleteSearch(now(), r, nil)
 		}
 	}
 }
 
 // search runs one and gives its values by block.
-func (g *Gateway) search(ctx context.Context, name string, r subscribers.Run) (values map[int][]byte) {
+func (g *Gateway) search(ctx context.Context, name string, r subscribers.DueSearch) (values map[int][]byte) {
 	blocks := r.Blocks
 	if len(blocks) == 0 {
-		for b := range min(g.door.BlockCount(), subscribers.BlocksMost) {
+		for b := range min(g.door.BlockCount(), subscribers.MaxBlocks) {
 			blocks = append(blocks, b)
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // back takes in what a search brought, and hands over what is to be delivered.
-func (g *Gateway) back(ctx context.Context, r subscribers.Run, values map[int][]byte) {
+func (g *Gateway) back(ctx context.Context, r subscribers.DueSearch, values map[int][]byte) {
 	hashes := map[int]uint64{}
 	for b, v := range values {
 		hashes[b] = xxhash.Sum64(v)
@@ -178,13 +178,13 @@
 	var ok bool
 	var to string
 	if !g.turn(ctx, func() {
-		if d, ok = g.gate.Ran(now(), r, hashes); g.file != nil {
-			to = g.file.Deliver
+		if d, ok = g.gate.CompleteSearch(now(), r, hashes); g.file != nil {
+			to = g.file.DeliveryURL
 		}
 	}) || !ok {
 		return
 	}
-	out := DeliveryMessage{Tenant: d.Key.Tenant, ID: d.Key.ID, Consent: d.Consent, Number: d.Number, Previous: d.Last, Period: d.Period}
+	out := DeliveryMessage{Tenant: d.Key.Tenant, ID: d.Key.ID, Consent: d.Consent, Number: d.Number, Previous: d.Previous, Period: d.Period}
 	for _, b := range d.Blocks {
 		v := BlockValue{Block: b, Hash: fmt.Sprintf("%016x", hashes[b]), Value: values[b]}
 		if len(v.Value) > valueMost {
@@ -197,15 +197,15 @@
 		hand = DeliverByHTTP(strings.ReplaceAll(to, "{tenant}", d.Key.Tenant))
 	}
 	err := handOver(ctx, hand, out)
-	var mark subscribers.Mark
-	if !g.turn(ctx, func() { mark = g.gate.Handed(now(), d, err == nil) }) {
+	var mark subscribers.DeliveryCheckpoint
+	if !g.turn(ctx, func() { mark = g.gate.CompleteDelivery(now(), d, err == nil) }) {
 		return
 	}
 	if err != nil {
 		g.tell("subscriber_delivery", advice.LogAttrs(err, "subscriber", d.Key, "number", d.Number)...)
 		return
 	}
-	if err := g.write(d.Key, subscribers.Delivered(d.Consent, mark)); err != nil {
+	if err := g.write(d.Key, subscribers.RecordDelivery(d.Consent, mark)); err != nil {
 		g.tell("subscriber_refused", advice.LogAttrs(err, "subscriber", d.Key)...)
 	}
 }
@@ -260,18 +260,18 @@
 }
 
 type fileSeen struct {
-	file *subscribers.File
+	file *subscribers.RegionFile
 	err  error
 }
 
 // ReadRegionFile reads a region's file: YAML, or JSON lines where its name ends so.
-func ReadRegionFile(path string) (f *subscribers.File, err error) {
+func ReadRegionFile(path string) (f *subscribers.RegionFile, err error) {
 	text, err := strictyaml.ReadFile(path, fileMost)
 	if err != nil {
 		return nil, err
 	}
 	if strings.HasPrefix(filepath.Ext(path), ".json") {
-		f, err = subscribers.ParseLines(text)
+		f, err = subscribers.ParseJSONLines(text)
 	} else {
 		f, err = subscribers.ParseYAML(text)
 	}
@@ -302,7 +302,7 @@
 			s = stamp{info.Size(), info.ModTime(), false}
 		}
 		if s != read && (s == was || !begun) {
-			var f *subscribers.File
+			var f *subscribers.RegionFile
 			if read = s; err == nil {
 				f, err = ReadRegionFile(path)
 			}
--- a/control/subscribers/file.go
+++ b/control/subscribers/file.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	FilePrefix  = "subfile/" // of the ledger's names that say which file of a region is in force
-	yamlMost    = 512 << 10  // bytes of a YAML file, some 5,000 lines: read whole with every place in it, which takes 30 kB a line
-	linesMost   = 64 << 20   // bytes of a file of JSON lines
-	consentMost = 1 << 40    // a consent is counted up by hand
-	toldMost    = 16         // faults of one file that are named
+	RegionFileKeyPrefix = "subfile/" // of the ledger's names that say which file of a region is in force
+	yamlMost            = 512 << 10  // bytes of a YAML file, some 5,000 lines: read whole with every place in it, which takes 30 kB a line
+	linesMost           = 64 << 20   // bytes of a file of JSON lines
+	consentMost         = 1 << 40    // a consent is counted up by hand
+	toldMost            = 16         // faults of one file that are named
 )
 
-// Line is what a file says of a subscriber.
-type Line struct {
+// FileLine is what a file says of a subscriber.
+type FileLine struct {
 	Details
 	Consent uint64
 	said    uint64 // hash of the details
 }
 
-// File is a region's list. Its lines are subscribed; one that stood in it and does not any more has unsubscribed. A
+// RegionFile is a region's list. Its lines are subscribed; one that stood in it and does not any more has unsubscribed. A
 // file is the subscriber's word only with the consent that stands in it, so reading it again brings nobody back.
-type File struct {
-	Region     string
-	Generation int64
-	Lines      map[Key]Line
-	Sum        uint64 // of all that it says
-	Deliver    string
+type RegionFile struct {
+	Region      string
+	Generation  int64
+	Lines       map[Key]FileLine
+	Digest      uint64 // of all that it says
+	DeliveryURL string
 }
 
 // Head is what a file says of itself. It and entry are the forms of YAML and of JSON lines alike.
@@ -59,7 +59,7 @@
 }
 
 // ParseYAML reads a region's file whole.
-func ParseYAML(text []byte) (*File, error) {
+func ParseYAML(text []byte) (*RegionFile, error) {
 	var in struct {
 		Head          `yaml:",inline"`
 		Subscriptions []entry `yaml:"subscriptions"`
@@ -80,35 +80,35 @@
 	return f, doc.Err()
 }
 
-// BadLine is what is wrong with one line of a file of JSON lines.
-type BadLine struct {
-	Line int
-	Why  string
+// InvalidLineError is what is wrong with one line of a file of JSON lines.
+type InvalidLineError struct {
+	Line   int
+	Reason string
 }
 
-func (e *BadLine) Error() string { return fmt.Sprintf("[%d:1] %s", e.Line, e.Why) }
-func (e *BadLine) Advice() string {
+func (e *InvalidLineError) Error() string { return fmt.Sprintf("[%d:1] %s", e.Line, e.Reason) }
+func (e *InvalidLineError) Advice() string {
 	return "Mend the line that is named; `chalkring check FILE` looks at the file again. Until then the last good file is in force."
 }
 
-// ParseLines reads the same as JSON lines, the first with region, generation and count: files of 100,000 lines, which
+// ParseJSONLines reads the same as JSON lines, the first with region, generation and count: files of 100,000 lines, which
 // YAML takes too long for.
-func ParseLines(text []byte) (*File, error) {
+func ParseJSONLines(text []byte) (*RegionFile, error) {
 	if len(text) > linesMost {
-		return nil, &BadLine{0, fmt.Sprintf("over %d bytes", linesMost)}
+		return nil, &InvalidLineError{0, fmt.Sprintf("over %d bytes", linesMost)}
 	}
 	var errs []error
 	fault := func(line int, why string) {
 		if len(errs) < toldMost {
-			errs = append(errs, &BadLine{line, why})
+			errs = append(errs, &InvalidLineError{line, why})
 		}
 	}
 	first, rest, _ := bytes.Cut(text, []byte("\n"))
 	var h Head
 	if err := strict(first, &h); err != nil {
-		return nil, &BadLine{1, "the first line has region, generation and count: " + err.Error()}
+		return nil, &InvalidLineError{1, "the first line has region, generation and count: " + err.Error()}
 	}
-	f, seen := &File{Lines: map[Key]Line{}}, 0
+	f, seen := &RegionFile{Lines: map[Key]FileLine{}}, 0
 	for n := 2; len(rest) > 0; n++ {
 		var one []byte
 		one, rest, _ = bytes.Cut(rest, []byte("\n"))
@@ -144,7 +144,7 @@
 
 // file is a head's file. The count guards against a file that was read half-written: the lines that are missing would
 // have unsubscribed.
-func (h Head) file(lines int, fault func(at, why string)) *File {
+func (h Head) file(lines int, fault func(at, why string)) *RegionFile {
 	if !isRegion(h.Region) {
 		fault("region", fmt.Sprintf("%.40q is no name: 1 to %d letters without blanks and strokes", h.Region, regionMost))
 	}
@@ -157,19 +157,19 @@
 	if at, err := url.Parse(h.Deliver); h.Deliver != "" && (err != nil || at.Scheme != "http" && at.Scheme != "https" || at.Host == "") {
 		fault("deliver", fmt.Sprintf("%.60q is no http address", h.Deliver))
 	}
-	if lines > ListMost {
-		fault("count", fmt.Sprintf("%d subscriptions, %d at the most", lines, ListMost))
+	if lines > MaxSubscriptions {
+		fault("count", fmt.Sprintf("%d subscriptions, %d at the most", lines, MaxSubscriptions))
 	}
-	return &File{Region: h.Region, Generation: h.Generation, Lines: make(map[Key]Line, lines), Deliver: h.Deliver}
+	return &RegionFile{Region: h.Region, Generation: h.Generation, Lines: make(map[Key]FileLine, lines), DeliveryURL: h.Deliver}
 }
 
-func (f *File) add(e entry) (why string) {
+func (f *RegionFile) add(e entry) (why string) {
 	k := Key{e.Tenant, e.ID}
 	every, err := time.ParseDuration(e.Every)
 	if err != nil {
 		return fmt.Sprintf("every: %.40q is no time such as 30s", e.Every)
 	}
-	l := Line{Details{e.Type, e.Query, int64(every / (100 * time.Microsecond)), e.Blocks}, max(1, e.Consent), 0}
+	l := FileLine{Details{e.Type, e.Query, int64(every / (100 * time.Microsecond)), e.Blocks}, max(1, e.Consent), 0}
 	if why = k.check(); why == "" {
 		why = l.check()
 	}
@@ -186,30 +186,30 @@
 	return why
 }
 
-func (f *File) sum() {
+func (f *RegionFile) sum() {
 	d := newDigest()
-	d.text(f.Deliver)
-	f.Sum = d.sum()
+	d.text(f.DeliveryURL)
+	f.Digest = d.sum()
 	for k, l := range f.Lines { // whatever the order of lines
 		d := newDigest()
-		d.text(k.Name())
+		d.text(k.LedgerKey())
 		d.number(l.said)
 		d.number(l.Consent)
-		f.Sum += d.sum()
+		f.Digest += d.sum()
 	}
 }
 
-// Standing is which file of a region is in force, as the ledger holds it.
-type Standing struct {
+// FileStatus is which file of a region is in force, as the ledger holds it.
+type FileStatus struct {
 	Generation int64  `cbor:"1,keyasint"`
-	Sum        uint64 `cbor:"2,keyasint"`
+	Digest     uint64 `cbor:"2,keyasint"`
 }
 
-// StandingOf reads it; the greatest holds of those that were written apart.
-func StandingOf(e crdt.Entry) (s Standing) {
+// DecodeFileStatus reads it; the greatest holds of those that were written apart.
+func DecodeFileStatus(e crdt.Entry) (s FileStatus) {
 	for _, one := range e.Siblings {
-		var t Standing
-		if !one.Deleted && reading.Unmarshal(one.Value, &t) == nil && (t.Generation > s.Generation || t.Generation == s.Generation && t.Sum > s.Sum) {
+		var t FileStatus
+		if !one.Deleted && reading.Unmarshal(one.Value, &t) == nil && (t.Generation > s.Generation || t.Generation == s.Generation && t.Digest > s.Digest) {
 			s = t
 		}
 	}
@@ -218,48 +218,48 @@
 
 // Admit tells whether a file may be in force beside what the ledger says, and what the ledger is to hold; nil where it
 // says so already.
-func (f *File) Admit(held Standing) (value []byte, err error) {
-	if f.Generation < held.Generation || f.Generation == held.Generation && f.Sum != held.Sum {
-		return nil, &OldFile{f.Region, f.Generation, held.Generation}
+func (f *RegionFile) Admit(held FileStatus) (value []byte, err error) {
+	if f.Generation < held.Generation || f.Generation == held.Generation && f.Digest != held.Digest {
+		return nil, &StaleFileError{f.Region, f.Generation, held.Generation}
 	}
 	if f.Generation == held.Generation {
 		return nil, nil
 	}
-	return cbor.Marshal(Standing{f.Generation, f.Sum})
+	return cbor.Marshal(FileStatus{f.Generation, f.Digest})
 }
 
 // Said is what a file's word about one subscriber comes to, against what holds.
-func (f *File) said(k Key, held Record, there bool, who string, wallMS uint64) (next Record, write bool, stale *Stale) {
+func (f *RegionFile) said(k Key, held Record, there bool, who string, wallMS uint64) (next Record, write bool, stale *StaleLineError) {
 	line, stands := f.Lines[k]
-	place, here := held.Places[f.Region]
-	mine := Place{f.Generation, line.said}
+	place, here := held.Attachments[f.Region]
+	mine := Attachment{f.Generation, line.said}
 	switch {
 	case !stands:
-		if there && !held.Off() && here && place.Generation > 0 && place.Generation < f.Generation {
+		if there && !held.IsUnsubscribed() && here && place.Generation > 0 && place.Generation < f.Generation {
 			return held.left(who, wallMS), true, nil
 		}
 	case !there || line.Consent > held.Consent:
 		return held.anew(line.Consent, line.Details, f.Region, mine), true, nil
-	case held.Off():
-		return held, false, &Stale{k, line.Consent, held.Consent}
-	case line.Consent == held.Consent && (!here || place.Generation < f.Generation && place.Said != mine.Said):
-		held.Places = joinPlaces(held.Places, map[string]Place{f.Region: mine})
+	case held.IsUnsubscribed():
+		return held, false, &StaleLineError{k, line.Consent, held.Consent}
+	case line.Consent == held.Consent && (!here || place.Generation < f.Generation && place.DetailsHash != mine.DetailsHash):
+		held.Attachments = joinPlaces(held.Attachments, map[string]Attachment{f.Region: mine})
 		return held.changed(line.Details), true, nil
 	}
 	return held, false, nil
 }
 
-// Op is the file's word about one subscriber, taken in by an instance.
-func (f *File) Op(k Key, who string, wallMS uint64) Op {
+// UpdateFor is the file's word about one subscriber, taken in by an instance.
+func (f *RegionFile) UpdateFor(k Key, who string, wallMS uint64) RecordUpdate {
 	return func(held Record, there bool) (Record, bool, error) {
 		next, write, _ := f.said(k, held, there, who, wallMS)
 		return next, write, nil
 	}
 }
 
-// Differs names the subscribers about whom the file has a word that does not stand in the list yet, and the lines about
+// FindChanges names the subscribers about whom the file has a word that does not stand in the list yet, and the lines about
 // those that have left.
-func (f *File) Differs(l *List, mine func(Key) bool, most int) (keys []Key, stale []*Stale) {
+func (f *RegionFile) FindChanges(l *List, mine func(Key) bool, most int) (keys []Key, stale []*StaleLineError) {
 	look := func(k Key, held Record, there bool) {
 		if len(keys) >= most {
 			return
@@ -276,7 +276,7 @@
 		held, there := l.Get(k)
 		look(k, held, there)
 	}
-	l.Each(func(k Key, held Record) {
+	l.ForEach(func(k Key, held Record) {
 		if _, stands := f.Lines[k]; !stands {
 			look(k, held, true)
 		}
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -18,40 +18,40 @@
 
 // goldenRecord is a record with another value in each field.
 func goldenRecord() Record {
-	return Record{Consent: 11, Left: map[string]uint64{"n0": 12, "n1": 13}, Came: map[string]uint64{"n0": 14, "n1": 15}, Change: 16,
-		Details: Details{Type: "quick-picks", Query: "town:oslo", Every: 300_000, Blocks: []int{2, 0, 1}},
-		Places:  map[string]Place{"eu": {Generation: 17, Said: 18}, "us": {Generation: 0, Said: 19}},
-		Mark:    Mark{Number: Number{Turn: 20, N: 21, Gateway: "n0"}, Values: map[int]uint64{0: 22, 2: 23}}, Past: []uint64{24, 25}}
+	return Record{Consent: 11, Unsubscriptions: map[string]uint64{"n0": 12, "n1": 13}, SeenUnsubscriptions: map[string]uint64{"n0": 14, "n1": 15}, Revision: 16,
+		Details:     Details{Type: "quick-picks", Query: "town:oslo", Interval: 300_000, Blocks: []int{2, 0, 1}},
+		Attachments: map[string]Attachment{"eu": {Generation: 17, DetailsHash: 18}, "us": {Generation: 0, DetailsHash: 19}},
+		Checkpoint:  DeliveryCheckpoint{Number: DeliveryNumber{Epoch: 20, Sequence: 21, Gateway: "n0"}, Values: map[int]uint64{0: 22, 2: 23}}, PriorHashes: []uint64{24, 25}}
 }
 
 // Records, gateways' words and files' standings as the ledger of today's build holds them.
 func TestGoldenSubscriberRecords(t *testing.T) {
 	const file = "records.cbor.txt"
 	record := goldenRecord()
-	least := Record{Consent: 1, Change: 1, Details: Details{Type: "t", Every: EveryLeast}}
+	least := Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: MinInterval}}
 	gone := record.left("n2", 1_700_000_000_000)
-	word, standing := Word{View: 31, Round: 32, Turn: 33}, Standing{Generation: 34, Sum: 35}
+	word, standing := StatusMessage{View: 31, Round: 32, Epoch: 33}, FileStatus{Generation: 34, Digest: 35}
 	standingText, err := cbor.Marshal(standing)
 	require.NoError(t, err)
 	var all strings.Builder
-	all.WriteString(cborLine(t, "record, every field", record.Bytes()))
-	all.WriteString(cborLine(t, "record, fewest fields", least.Bytes()))
-	all.WriteString(cborLine(t, "record, unsubscribed", gone.Bytes()))
-	all.WriteString(cborLine(t, "word", word.Bytes()))
+	all.WriteString(cborLine(t, "record, every field", record.Encode()))
+	all.WriteString(cborLine(t, "record, fewest fields", least.Encode()))
+	all.WriteString(cborLine(t, "record, unsubscribed", gone.Encode()))
+	all.WriteString(cborLine(t, "word", word.Encode()))
 	all.WriteString(cborLine(t, "standing", standingText))
 	requireGolden(t, file, []byte(all.String()))
 
 	for name, want := range map[string]Record{"record, every field": record, "record, fewest fields": least, "record, unsubscribed": gone} {
-		got, err := Read(goldenCBOR(t, file, name))
+		got, err := DecodeRecord(goldenCBOR(t, file, name))
 		require.NoError(t, err)
 		require.Equal(t, want, got, name)
 	}
-	require.False(t, record.Off())
-	require.True(t, gone.Off())
-	require.Equal(t, word, WordOf(entryOf("subat/n0", Word{View: 99, Round: 31, Turn: 99}.Bytes(), goldenCBOR(t, file, "word"))))
-	require.Equal(t, standing, StandingOf(entryOf("subfile/eu", goldenCBOR(t, file, "standing"))))
-	f := File{Region: "eu", Generation: 34, Sum: 35}
-	admitted, err := f.Admit(Standing{Generation: 33, Sum: 99})
+	require.False(t, record.IsUnsubscribed())
+	require.True(t, gone.IsUnsubscribed())
+	require.Equal(t, word, DecodeStatusMessage(entryOf("subat/n0", StatusMessage{View: 99, Round: 31, Epoch: 99}.Encode(), goldenCBOR(t, file, "word"))))
+	require.Equal(t, standing, DecodeFileStatus(entryOf("subfile/eu", goldenCBOR(t, file, "standing"))))
+	f := RegionFile{Region: "eu", Generation: 34, Digest: 35}
+	admitted, err := f.Admit(FileStatus{Generation: 33, Digest: 99})
 	require.NoError(t, err)
 	require.Equal(t, standingText, admitted)
 }
@@ -69,47 +69,47 @@
 	record := goldenRecord()
 	key := Key{Tenant: "acme", ID: "s1"}
 	var all strings.Builder
-	fmt.Fprintln(&all, "prefixes", Prefix, WordPrefix, FilePrefix)
-	fmt.Fprintln(&all, "key", key.Name(), key)
+	fmt.Fprintln(&all, "prefixes", KeyPrefix, StatusMessageKeyPrefix, RegionFileKeyPrefix)
+	fmt.Fprintln(&all, "key", key.LedgerKey(), key)
 	fmt.Fprintf(&all, "record's form %016x\n", record.id())
 	fmt.Fprintf(&all, "unsubscribed record's form %016x\n", record.left("n0", 1).id())
 	fmt.Fprintf(&all, "details %016x\n", record.Details.hash())
-	fmt.Fprintf(&all, "past of a changed record %016x\n", record.changed(Details{Type: "t", Every: EveryLeast}).wrote(record).Past)
+	fmt.Fprintf(&all, "past of a changed record %016x\n", record.changed(Details{Type: "t", Interval: MinInterval}).wrote(record).PriorHashes)
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
 	f, err := ParseYAML(text)
 	require.NoError(t, err)
-	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", f.Sum, f.Lines[key].said)
+	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", f.Digest, f.Lines[key].said)
 	list := NewList()
-	_, _, _, err = list.Take(entryOf(key.Name(), record.Bytes()))
+	_, _, _, err = list.ApplyEntry(entryOf(key.LedgerKey(), record.Encode()))
 	require.NoError(t, err)
-	fmt.Fprintf(&all, "list's sum %016x\n", list.Sum())
-	fmt.Fprintln(&all, record.Words())
-	fmt.Fprintln(&all, record.left("n0", 1).Words())
+	fmt.Fprintf(&all, "list's sum %016x\n", list.Digest())
+	fmt.Fprintln(&all, record.Describe())
+	fmt.Fprintln(&all, record.left("n0", 1).Describe())
 
 	members := []Member{{"n0", "eu", "eu-1", 1}, {"n1", "eu", "eu-2", 2}, {"n2", "us", "us-1", 3}}
-	g := NewGateway(0, members[0], Rules{Generation: 4})
-	for now := int64(second); now < 100*second && !g.Open(); now += second {
-		g.Heard(now, members, true)
+	g := NewGateway(0, members[0], PlacementRules{Generation: 4})
+	for now := int64(second); now < 100*second && !g.IsServing(); now += second {
+		g.UpdateMembers(now, members, true)
 		word, say := g.Tick(now, 1_700_000_000_000)
 		if !say {
 			continue
 		}
-		fmt.Fprintf(&all, "word %x view %016x round %d turn %d\n", word.Bytes(), word.View, word.Round, word.Turn)
-		g.Said(word)
+		fmt.Fprintf(&all, "word %x view %016x round %d turn %d\n", word.Encode(), word.View, word.Round, word.Epoch)
+		g.ConfirmStatusMessage(word)
 		for _, m := range members[1:] {
-			g.Says(m.Name, word)
+			g.HandleStatusMessage(m.Name, word)
 		}
 	}
-	require.True(t, g.Open())
+	require.True(t, g.IsServing())
 	for i := range 8 {
 		k := Key{Tenant: "acme", ID: fmt.Sprint("s", i)}
-		g.Set(100*second, k, Record{Consent: 1, Change: 1, Details: Details{Type: "t", Every: 60 * second}, Places: map[string]Place{"eu": {}}}, true)
+		g.SetRecord(100*second, k, Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: 60 * second}, Attachments: map[string]Attachment{"eu": {}}}, true)
 		held := g.subs[k]
-		fmt.Fprintln(&all, "owner of", k, "is", g.owner(held), "rank here", g.Rank(k), "next search here at", held.at)
+		fmt.Fprintln(&all, "owner of", k, "is", g.owner(held), "rank here", g.FileWriterRank(k), "next search here at", held.at)
 	}
 	requireGolden(t, "names.txt", []byte(all.String()))
-	got, ok := KeyOf("sub/acme/s1")
+	got, ok := ParseKey("sub/acme/s1")
 	require.True(t, ok)
 	require.Equal(t, key, got)
 }
@@ -123,16 +123,16 @@
 	s1, s2 := Key{Tenant: "acme", ID: "s1"}, Key{Tenant: "bolt", ID: "s2"}
 	require.Equal(t, "eu", f.Region)
 	require.EqualValues(t, 7, f.Generation)
-	require.Equal(t, "http://127.0.0.1:9300/{tenant}", f.Deliver)
+	require.Equal(t, "http://127.0.0.1:9300/{tenant}", f.DeliveryURL)
 	require.Len(t, f.Lines, 2)
-	require.Equal(t, Details{Type: "quick-picks", Query: "town:oslo", Every: 300_000, Blocks: []int{2, 0, 1}}, f.Lines[s1].Details)
+	require.Equal(t, Details{Type: "quick-picks", Query: "town:oslo", Interval: 300_000, Blocks: []int{2, 0, 1}}, f.Lines[s1].Details)
 	require.EqualValues(t, 3, f.Lines[s1].Consent)
-	require.Equal(t, Details{Type: "full-match", Every: 7 * 86_400 * second}, f.Lines[s2].Details)
+	require.Equal(t, Details{Type: "full-match", Interval: 7 * 86_400 * second}, f.Lines[s2].Details)
 	require.EqualValues(t, 1, f.Lines[s2].Consent)
 
 	lines, err := os.ReadFile(filepath.Join("testdata", "every_key.jsonl"))
 	require.NoError(t, err)
-	same, err := ParseLines(lines)
+	same, err := ParseJSONLines(lines)
 	require.NoError(t, err)
 	require.Equal(t, f, same)
 
@@ -158,13 +158,13 @@
 	var all strings.Builder
 	for _, form := range []struct {
 		name    string
-		parse   func([]byte) (*File, error)
+		parse   func([]byte) (*RegionFile, error)
 		changes [][2]string
 	}{{"every_key.yaml", ParseYAML, [][2]string{{"region: eu", "region: e/u"}, {"generation: 7", "generation: 0"}, {"count: 2", "count: 3"},
 		{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"}, {"every: 30s", "every: often"}, {"every: 30s", "every: 500ms"}, {"id: s1", "id: s/1"},
 		{"type: quick-picks", "type: ''"}, {"[2, 0, 1]", "[2, 2]"}, {"consent: 3", "consent: 2000000000000"},
 		{"tenant: bolt, id: s2", "tenant: acme, id: s1"}, {"query:", "asks:"}}},
-		{"every_key.jsonl", ParseLines, [][2]string{{`"eu"`, `"e/u"`}, {`"generation":7`, `"generation":0`}, {`"count":2`, `"count":3`},
+		{"every_key.jsonl", ParseJSONLines, [][2]string{{`"eu"`, `"e/u"`}, {`"generation":7`, `"generation":0`}, {`"count":2`, `"count":3`},
 			{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"}, {`"30s"`, `"often"`}, {`"30s"`, `"500ms"`}, {`"s1"`, `"s/1"`}, {`"quick-picks"`, `""`},
 			{"[2,0,1]", "[2,2]"}, {`"consent":3`, `"consent":2000000000000`}, {`"bolt","id":"s2"`, `"acme","id":"s1"`}, {`"query"`, `"asks"`},
 			{`"region"`, `"area"`}, {`"consent":3}`, `"consent":3}{}`}}}} {
@@ -184,20 +184,20 @@
 func TestGoldenSubscriberErrors(t *testing.T) {
 	key := Key{Tenant: "acme", ID: "s1"}
 	var all strings.Builder
-	for _, err := range []error{&BadRecord{Name: "sub/acme/s1", Why: "why"}, &BadAsk{Key: key, Why: "why"}, &NotSubscribed{Key: key, Consent: 2},
-		&NotSubscribed{Key: key}, &Full{Held: 1, Most: 2}, &OldFile{Region: "eu", Generation: 1, Held: 2},
-		&OldFile{Region: "eu", Generation: 2, Held: 2}, &Stale{Key: key, Line: 1, Consent: 2}, &BadLine{Line: 3, Why: "why"}} {
+	for _, err := range []error{&InvalidRecordError{Name: "sub/acme/s1", Reason: "why"}, &InvalidSubscriptionError{Key: key, Reason: "why"}, &NotSubscribedError{Key: key, UnsubscribedConsent: 2},
+		&NotSubscribedError{Key: key}, &ListFullError{Count: 1, Max: 2}, &StaleFileError{Region: "eu", Generation: 1, CurrentGeneration: 2},
+		&StaleFileError{Region: "eu", Generation: 2, CurrentGeneration: 2}, &StaleLineError{Key: key, LineConsent: 1, UnsubscribedConsent: 2}, &InvalidLineError{Line: 3, Reason: "why"}} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
-	for _, text := range [][]byte{make([]byte, 8<<10+1), {0xff}, Record{Consent: 0}.Bytes(),
-		Record{Consent: 1, Details: Details{Type: "t", Every: 1}}.Bytes(), Record{Consent: 1, Past: make([]uint64, 9)}.Bytes()} {
-		_, err := Read(text)
+	for _, text := range [][]byte{make([]byte, 8<<10+1), {0xff}, Record{Consent: 0}.Encode(),
+		Record{Consent: 1, Details: Details{Type: "t", Interval: 1}}.Encode(), Record{Consent: 1, PriorHashes: make([]uint64, 9)}.Encode()} {
+		_, err := DecodeRecord(text)
 		require.Error(t, err)
 		fmt.Fprintln(&all, err)
 	}
-	_, err := Reads(entryOf(key.Name(), []byte{0xff}))
+	_, err := ResolveEntry(entryOf(key.LedgerKey(), []byte{0xff}))
 	fmt.Fprintln(&all, err)
-	number, err := json.Marshal(Number{Turn: 1, N: 2, Gateway: "n0"})
+	number, err := json.Marshal(DeliveryNumber{Epoch: 1, Sequence: 2, Gateway: "n0"})
 	require.NoError(t, err)
 	fmt.Fprintf(&all, "%s\n", number)
 	requireGolden(t, "errors.txt", []byte(all.String()))
--- a/control/subscribers/list_test.go
+++ b/control/subscribers/list_test.go
@@ -13,7 +13,7 @@
 
 var (
 	key   = Key{"acme", "s1"}
-	asked = Details{Type: "lookup", Query: "a", Every: 30 * second}
+	asked = Details{Type: "lookup", Query: "a", Interval: 30 * second}
 )
 
 // desk is one instance's ledger with what the program does around it.
@@ -25,25 +25,25 @@
 
 func newDesk(t *testing.T, actor string) *desk { return &desk{t, crdt.NewMap(actor), NewList()} }
 
-func (d *desk) do(k Key, op Op) error {
-	e, _ := d.Get(k.Name())
-	value, write, err := Write(e, op)
+func (d *desk) do(k Key, op RecordUpdate) error {
+	e, _ := d.Get(k.LedgerKey())
+	value, write, err := ApplyUpdate(e, op)
 	if write {
-		e, err = d.Put(k.Name(), value)
+		e, err = d.Put(k.LedgerKey(), value)
 		require.NoError(d.t, err)
-		_, _, _, err = d.list.Take(e)
+		_, _, _, err = d.list.ApplyEntry(e)
 	}
 	return err
 }
 
 // meets takes in what another holds, deletes too, and gives what is told of it.
-func (d *desk) meets(o *desk, keys ...Key) (events []Event) {
+func (d *desk) meets(o *desk, keys ...Key) (events []WriteConflict) {
 	for _, k := range keys {
-		e, _ := o.Get(k.Name())
+		e, _ := o.Get(k.LedgerKey())
 		_, err := d.MergeBatch("o", crdt.Batch{Known: o.KnownVersion(), Entries: []crdt.Entry{e}})
 		require.NoError(d.t, err)
-		e, _ = d.Get(k.Name())
-		_, _, told, err := d.list.Take(e)
+		e, _ = d.Get(k.LedgerKey())
+		_, _, told, err := d.list.ApplyEntry(e)
 		require.NoError(d.t, err)
 		events = append(events, told...)
 	}
@@ -52,7 +52,7 @@
 
 func (d *desk) on(k Key) bool {
 	r, there := d.list.Get(k)
-	return there && !r.Off()
+	return there && !r.IsUnsubscribed()
 }
 
 func TestUnsubscribedAfterAnOlderDiskIsNoAnsweredOne(t *testing.T) {
@@ -75,18 +75,18 @@
 	require.NoError(t, a.do(key, Unsubscribe(key, "a", 1000)))
 	more := asked
 	more.Query = "b"
-	require.NoError(t, b.do(key, Change(key, more)))
+	require.NoError(t, b.do(key, ChangeDetails(key, more)))
 	for _, d := range []*desk{a, b} {
 		o := map[*desk]*desk{a: b, b: a}[d]
 		events := d.meets(o, key)
 		require.Len(t, events, 1)
-		require.Contains(t, events[0].Held, "unsubscribed")
-		require.Contains(t, events[0].Lost, "change 2")
+		require.Contains(t, events[0].Kept, "unsubscribed")
+		require.Contains(t, events[0].Discarded, "change 2")
 		require.Empty(t, d.meets(o, key))
 		require.False(t, d.on(key))
 	}
-	var not *NotSubscribed
-	require.ErrorAs(t, b.do(key, Change(key, asked)), &not)
+	var not *NotSubscribedError
+	require.ErrorAs(t, b.do(key, ChangeDetails(key, asked)), &not)
 	require.NoError(t, b.do(key, Subscribe(key, "us", asked)))
 	require.True(t, b.on(key))
 }
@@ -96,31 +96,31 @@
 	require.NoError(t, a.do(key, Subscribe(key, "eu", asked)))
 	away.meets(a, key)
 	require.NoError(t, a.do(key, Unsubscribe(key, "a", 1000)))
-	require.Empty(t, a.list.Forget(1000+keepDays*86_400_000, 10))
-	require.Equal(t, []Key{key}, a.list.Forget(1001+keepDays*86_400_000, 10))
-	e, err := a.Delete(key.Name())
+	require.Empty(t, a.list.FindExpiredTombstones(1000+keepDays*86_400_000, 10))
+	require.Equal(t, []Key{key}, a.list.FindExpiredTombstones(1001+keepDays*86_400_000, 10))
+	e, err := a.Delete(key.LedgerKey())
 	require.NoError(t, err)
-	_, changed, _, err := a.list.Take(e)
+	_, changed, _, err := a.list.ApplyEntry(e)
 	require.NoError(t, err)
 	require.True(t, changed)
 	more := asked
 	more.Query = "b"
-	require.NoError(t, away.do(key, Change(key, more))) // longer away than it is remembered
+	require.NoError(t, away.do(key, ChangeDetails(key, more))) // longer away than it is remembered
 	a.meets(away, key)
 	require.False(t, a.on(key))
 }
 
 func TestNewerFormIsNotWrittenOver(t *testing.T) {
 	a := newDesk(t, "a#1")
-	_, err := a.Put(key.Name(), []byte("another version's"))
+	_, err := a.Put(key.LedgerKey(), []byte("another version's"))
 	require.NoError(t, err)
-	var bad *BadRecord
+	var bad *InvalidRecordError
 	require.ErrorAs(t, a.do(key, Subscribe(key, "eu", asked)), &bad)
-	e, _ := a.Get(key.Name())
+	e, _ := a.Get(key.LedgerKey())
 	require.Equal(t, "another version's", string(e.Siblings[0].Value))
 }
 
-func file(t *testing.T, generation int, lines ...string) *File {
+func file(t *testing.T, generation int, lines ...string) *RegionFile {
 	f, err := ParseYAML(fmt.Appendf(nil, "region: eu\ngeneration: %d\ncount: %d\nsubscriptions:\n%s", generation, len(lines), strings.Join(lines, "\n")))
 	require.NoError(t, err)
 	if len(lines) > 0 {
@@ -134,19 +134,19 @@
 			}
 			jsonl += strings.TrimPrefix(l, "- ") + "\n"
 		}
-		same, err := ParseLines([]byte(jsonl))
+		same, err := ParseJSONLines([]byte(jsonl))
 		require.NoError(t, err, jsonl)
 		require.Equal(t, f, same)
 	}
 	return f
 }
 
-func (d *desk) reads(f *File, wallMS uint64) (stale []*Stale) {
-	keys, stale := f.Differs(d.list, func(Key) bool { return true }, 100)
+func (d *desk) reads(f *RegionFile, wallMS uint64) (stale []*StaleLineError) {
+	keys, stale := f.FindChanges(d.list, func(Key) bool { return true }, 100)
 	for _, k := range keys {
-		require.NoError(d.t, d.do(k, f.Op(k, "a", wallMS)))
+		require.NoError(d.t, d.do(k, f.UpdateFor(k, "a", wallMS)))
 	}
-	keys, _ = f.Differs(d.list, func(Key) bool { return true }, 100)
+	keys, _ = f.FindChanges(d.list, func(Key) bool { return true }, 100)
 	require.Empty(d.t, keys, "a file that was read says nothing more")
 	return stale
 }
@@ -171,7 +171,7 @@
 	again := strings.Replace(one, "}", ", consent: 2}", 1)
 	a.reads(file(t, 3, again, two), 5000)
 	require.True(t, a.on(key), "asked again, knowing of it")
-	require.NoError(t, a.do(other, Change(other, asked)))
+	require.NoError(t, a.do(other, ChangeDetails(other, asked)))
 	a.reads(file(t, 4, again, two), 6000)
 	r, _ := a.list.Get(other)
 	require.Equal(t, asked, r.Details, "a line that says what it said before takes no change back")
@@ -195,19 +195,19 @@
 		require.ErrorContains(t, err, want)
 		require.NotEmpty(t, advice.For(err))
 	}
-	_, err := ParseLines([]byte("{\"region\":\"eu\",\"generation\":1,\"count\":1}\n{\"tenant\":\"a\",\"id\":\"b\",\"type\":\"t\",\"every\":\"1s\",\"x\":1}\n"))
+	_, err := ParseJSONLines([]byte("{\"region\":\"eu\",\"generation\":1,\"count\":1}\n{\"tenant\":\"a\",\"id\":\"b\",\"type\":\"t\",\"every\":\"1s\",\"x\":1}\n"))
 	require.ErrorContains(t, err, "[2:1]")
 	f := file(t, 2)
-	value, err := f.Admit(Standing{1, 9})
+	value, err := f.Admit(FileStatus{1, 9})
 	require.NoError(t, err)
 	l := crdt.NewMap("a#1")
-	e, err := l.Put(FilePrefix+"eu", value)
+	e, err := l.Put(RegionFileKeyPrefix+"eu", value)
 	require.NoError(t, err)
-	value, err = f.Admit(StandingOf(e))
+	value, err = f.Admit(DecodeFileStatus(e))
 	require.NoError(t, err)
 	require.Nil(t, value)
-	for _, held := range []Standing{{3, f.Sum}, {2, f.Sum + 1}} {
-		var old *OldFile
+	for _, held := range []FileStatus{{3, f.Digest}, {2, f.Digest + 1}} {
+		var old *StaleFileError
 		_, err = f.Admit(held)
 		require.ErrorAs(t, err, &old)
 	}
@@ -236,25 +236,25 @@
 	b.Run("lines 90000", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := ParseLines([]byte(all.String())); err != nil {
+			if _, err := ParseJSONLines([]byte(all.String())); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 	b.Run("take 90000", func(b *testing.B) {
-		f, _ := ParseLines([]byte(all.String()))
+		f, _ := ParseJSONLines([]byte(all.String()))
 		d := &desk{nil, crdt.NewMap("a#1"), NewList()}
 		for k := range f.Lines {
-			e, _ := d.Get(k.Name())
-			value, _, _ := Write(e, f.Op(k, "a", 1))
-			_, _ = d.Put(k.Name(), value)
+			e, _ := d.Get(k.LedgerKey())
+			value, _, _ := ApplyUpdate(e, f.UpdateFor(k, "a", 1))
+			_, _ = d.Put(k.LedgerKey(), value)
 		}
 		for b.Loop() {
-			l, g := NewList(), NewGateway(0, Member{Name: "g"}, Rules{})
-			d.ScanPrefix(Prefix, func(e crdt.Entry) bool {
-				k, _, _, _ := l.Take(e)
+			l, g := NewList(), NewGateway(0, Member{Name: "g"}, PlacementRules{})
+			d.ScanPrefix(KeyPrefix, func(e crdt.Entry) bool {
+				k, _, _, _ := l.ApplyEntry(e)
 				r, _ := l.Get(k)
-				g.Set(0, k, r, true)
+				g.SetRecord(0, k, r, true)
 				return true
 			})
 		}
@@ -264,32 +264,32 @@
 // A word from before a split is not taken for one after it, and turns go above all that were seen.
 func TestHandOverWaitsForWordsOfItsRound(t *testing.T) {
 	now := int64(1000 * second)
-	g := NewGateway(now, Member{Name: "a", Region: "eu", Life: 1}, Rules{})
-	g.Says("b", Word{View: 1, Round: 7, Turn: 9_000_000})
-	g.Set(now, key, Record{Consent: 1, Change: 1, Details: asked, Places: map[string]Place{"eu": {}}}, true)
-	var word Word
+	g := NewGateway(now, Member{Name: "a", Region: "eu", Incarnation: 1}, PlacementRules{})
+	g.HandleStatusMessage("b", StatusMessage{View: 1, Round: 7, Epoch: 9_000_000})
+	g.SetRecord(now, key, Record{Consent: 1, Revision: 1, Details: asked, Attachments: map[string]Attachment{"eu": {}}}, true)
+	var word StatusMessage
 	tick := func() (say bool) {
 		for range 30 {
 			now += second / 10
-			g.Heard(now, []Member{{Name: "a", Region: "eu", Life: 1}, {Name: "b", Region: "eu", Life: 3}}, true)
+			g.UpdateMembers(now, []Member{{Name: "a", Region: "eu", Incarnation: 1}, {Name: "b", Region: "eu", Incarnation: 3}}, true)
 			if w, ok := g.Tick(now, 1_000_000); ok {
 				word, say = w, true
-				g.Said(w)
+				g.ConfirmStatusMessage(w)
 			}
 		}
 		return say
 	}
 	require.True(t, tick())
 	require.EqualValues(t, 8, word.Round)
-	g.Says("b", Word{View: word.View, Round: 7, Turn: 9_000_001})
+	g.HandleStatusMessage("b", StatusMessage{View: word.View, Round: 7, Epoch: 9_000_001})
 	require.False(t, tick())
-	require.False(t, g.Open())
-	g.Says("b", Word{View: word.View, Round: 8, Turn: 9_000_002})
+	require.False(t, g.IsServing())
+	g.HandleStatusMessage("b", StatusMessage{View: word.View, Round: 8, Epoch: 9_000_002})
 	require.True(t, tick())
-	require.True(t, g.Open())
-	require.EqualValues(t, 9_000_003, word.Turn)
-	g.Says("b", Word{View: word.View, Round: 9, Turn: 9_000_004}) // it has been apart, and what it sent has higher numbers
+	require.True(t, g.IsServing())
+	require.EqualValues(t, 9_000_003, word.Epoch)
+	g.HandleStatusMessage("b", StatusMessage{View: word.View, Round: 9, Epoch: 9_000_004}) // it has been apart, and what it sent has higher numbers
 	require.True(t, tick())
 	require.EqualValues(t, 9, word.Round)
-	require.EqualValues(t, 9_000_005, word.Turn)
+	require.EqualValues(t, 9_000_005, word.Epoch)
 }
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -41,7 +41,7 @@
 
 type receipt struct {
 	at      int64
-	number  Number
+	number  DeliveryNumber
 	content string
 	calm    bool
 }
@@ -95,7 +95,7 @@
 func (n *gate) start(from state) {
 	n.life++
 	n.up, n.heard, n.stamps = true, nil, map[string]uint64{}
-	n.led, n.list, n.gw = crdt.NewMap(fmt.Sprintf("%s#%d", n.name(), n.life)), NewList(), NewGateway(n.w.now, n.me(), Rules{})
+	n.led, n.list, n.gw = crdt.NewMap(fmt.Sprintf("%s#%d", n.name(), n.life)), NewList(), NewGateway(n.w.now, n.me(), PlacementRules{})
 	n.seen, n.lag = maps.Clone(from.seen), 2*second+n.w.r.Int63n(second)
 	_, err := n.led.Merge("disk", slices.Collect(maps.Values(from.entries)))
 	require.NoError(n.w.t, err)
@@ -150,34 +150,34 @@
 // take reads what is new in the ledger.
 func (n *gate) take(entries []crdt.Entry) {
 	for _, e := range entries {
-		n.stamps[e.Name] = StampOf(e)
-		if name, word := e.Name[len(WordPrefix):], e.Name[:len(WordPrefix)] == WordPrefix; word {
-			n.gw.Says(name, WordOf(e))
-		} else if k, changed, _, err := n.list.Take(e); changed {
+		n.stamps[e.Name] = EntryDigest(e)
+		if name, word := e.Name[len(StatusMessageKeyPrefix):], e.Name[:len(StatusMessageKeyPrefix)] == StatusMessageKeyPrefix; word {
+			n.gw.HandleStatusMessage(name, DecodeStatusMessage(e))
+		} else if k, changed, _, err := n.list.ApplyEntry(e); changed {
 			require.NoError(n.w.t, err)
 			r, there := n.list.Get(k)
-			n.gw.Set(n.w.now, k, r, there)
+			n.gw.SetRecord(n.w.now, k, r, there)
 		}
 	}
 }
 
 // do runs an op as the program does: read, decide and put in one step; what it came to is noted as asked.
-func (n *gate) do(k Key, op Op) {
-	e, _ := n.led.Get(k.Name())
+func (n *gate) do(k Key, op RecordUpdate) {
+	e, _ := n.led.Get(k.LedgerKey())
 	before, _, _ := resolve(e)
-	value, write, err := Write(e, op)
+	value, write, err := ApplyUpdate(e, op)
 	if err != nil || !write {
 		return
 	}
-	_, err = n.led.Put(k.Name(), value)
+	_, err = n.led.Put(k.LedgerKey(), value)
 	require.NoError(n.w.t, err)
-	after, err := Read(value)
+	after, err := DecodeRecord(value)
 	require.NoError(n.w.t, err)
 	id := fmt.Sprintf("%s#%d %d", n.name(), n.life, n.led.KnownVersion().LastCounter(n.led.Actor()))
-	if !after.Off() && (before.Off() || after.Consent > before.Consent) {
+	if !after.IsUnsubscribed() && (before.IsUnsubscribed() || after.Consent > before.Consent) {
 		n.w.subs[id], n.seen[id] = asking{k, true, maps.Clone(n.seen)}, true
 	}
-	n.take(n.named(k.Name()))
+	n.take(n.named(k.LedgerKey()))
 	n.save()
 }
 
@@ -234,7 +234,7 @@
 				for _, i := range n.heard {
 					members = append(members, w.nodes[i].me())
 				}
-				n.gw.Heard(w.now, members, 2*len(members) > len(w.nodes))
+				n.gw.UpdateMembers(w.now, members, 2*len(members) > len(w.nodes))
 			}
 		} else {
 			n.heardAt = 0
@@ -251,15 +251,15 @@
 			n.handedOver()
 		}
 		if say {
-			_, err := n.led.Put(WordPrefix+n.name(), word.Bytes())
+			_, err := n.led.Put(StatusMessageKeyPrefix+n.name(), word.Encode())
 			require.NoError(w.t, err)
-			n.gw.Said(word)
-			n.stamps[WordPrefix+n.name()] = StampOf(n.named(WordPrefix + n.name())[0])
+			n.gw.ConfirmStatusMessage(word)
+			n.stamps[StatusMessageKeyPrefix+n.name()] = EntryDigest(n.named(StatusMessageKeyPrefix + n.name())[0])
 			n.save()
 		}
-		runs, _ := n.gw.Due(w.now, 100)
+		runs, _ := n.gw.StartDueSearches(w.now, 100)
 		for _, r := range runs {
-			d, ok := n.gw.Ran(w.now, r, map[int]uint64{0: w.truth[r.Key]})
+			d, ok := n.gw.CompleteSearch(w.now, r, map[int]uint64{0: w.truth[r.Key]})
 			if !ok {
 				continue
 			}
@@ -267,8 +267,8 @@
 				w.receive(n, d)
 			}
 			arrived := w.r.Float64() >= w.loss
-			if mark := n.gw.Handed(w.now, d, arrived); arrived {
-				n.do(d.Key, Delivered(d.Consent, mark))
+			if mark := n.gw.CompleteDelivery(w.now, d, arrived); arrived {
+				n.do(d.Key, RecordDelivery(d.Consent, mark))
 			}
 		}
 	}
@@ -282,7 +282,7 @@
 // receive judges a delivery as its receiver sees it.
 func (w *world) receive(n *gate, d Delivery) {
 	content := fmt.Sprint(d.Consent, d.Blocks, d.values)
-	name := d.Key.Name() + d.Number.String()
+	name := d.Key.LedgerKey() + d.Number.String()
 	if was, again := w.nums[name]; again {
 		require.Equal(w.t, was, content, "a number came with other content")
 		return
@@ -325,7 +325,7 @@
 		}
 		if w.calmNow() {
 			r, _ := w.nodes[0].list.Get(k)
-			require.Equal(w.t, !r.Off(), len(by) == 1, "%v: %d gateways serve, off %v", k, len(by), r.Off())
+			require.Equal(w.t, !r.IsUnsubscribed(), len(by) == 1, "%v: %d gateways serve, off %v", k, len(by), r.IsUnsubscribed())
 		}
 	}
 }
@@ -368,11 +368,11 @@
 		var form []byte
 		for _, n := range w.nodes {
 			r, there := n.list.Get(k)
-			require.Equal(w.t, want, there && !r.Off(), "%v at %s: %s; not answered: %v", k, n.name(), r.Words(), left)
-			if r.Past = nil; form == nil {
-				form = r.Bytes()
+			require.Equal(w.t, want, there && !r.IsUnsubscribed(), "%v at %s: %s; not answered: %v", k, n.name(), r.Describe(), left)
+			if r.PriorHashes = nil; form == nil {
+				form = r.Encode()
 			}
-			require.Equal(w.t, form, r.Bytes(), "%v is two at the end", k)
+			require.Equal(w.t, form, r.Encode(), "%v is two at the end", k)
 		}
 	}
 }
@@ -380,7 +380,7 @@
 func (w *world) key() Key { return Key{"t", fmt.Sprint("s", w.r.Intn(len(w.truth)))} }
 
 func (w *world) details() Details {
-	return Details{Type: "lookup", Query: fmt.Sprint(w.r.Intn(4)), Every: (1 + w.r.Int63n(4)) * second}
+	return Details{Type: "lookup", Query: fmt.Sprint(w.r.Intn(4)), Interval: (1 + w.r.Int63n(4)) * second}
 }
 
 // ask has someone ask something of a gateway.
@@ -395,7 +395,7 @@
 		w.subs[id], n.seen[id] = asking{key: k}, true
 		n.do(k, Unsubscribe(k, n.name(), uint64(w.now/10)))
 	case 1:
-		n.do(k, Change(k, w.details()))
+		n.do(k, ChangeDetails(k, w.details()))
 	default:
 		n.do(k, Subscribe(k, n.me().Region, w.details()))
 	}
--- a/control/subscribers/record.go
+++ b/control/subscribers/record.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	Prefix     = "sub/"              // of the ledger's names that are subscriptions
-	second     = 10_000              // in tenths of a millisecond
-	nameMost   = 128                 // bytes of a tenant's name or an id
-	queryMost  = 4096                // bytes of a query: standing searches are short, and 100,000 of them are in memory
-	BlocksMost = 64                  // blocks that a standing search reads: each has a mark of 8 bytes
-	EveryLeast = 1 * second          // shortest period: a gateway serves thousands
-	everyMost  = 7 * 86_400 * second // longest: a week
-	pastMost   = 8                   // earlier forms that a record knows as its own: changes made beside its last few
-	valueMost  = 8 << 10             // bytes of a record, as the ledger takes them: query, marks and places fit
-	leftMost   = 16                  // instances whose unsubscriptions of one subscriber are remembered
-	placesMost = 16                  // regions that one subscriber is attached to
-	regionMost = 64                  // bytes of a region's name
+	KeyPrefix   = "sub/"              // of the ledger's names that are subscriptions
+	second      = 10_000              // in tenths of a millisecond
+	nameMost    = 128                 // bytes of a tenant's name or an id
+	queryMost   = 4096                // bytes of a query: standing searches are short, and 100,000 of them are in memory
+	MaxBlocks   = 64                  // blocks that a standing search reads: each has a mark of 8 bytes
+	MinInterval = 1 * second          // shortest period: a gateway serves thousands
+	everyMost   = 7 * 86_400 * second // longest: a week
+	pastMost    = 8                   // earlier forms that a record knows as its own: changes made beside its last few
+	valueMost   = 8 << 10             // bytes of a record, as the ledger takes them: query, marks and places fit
+	leftMost    = 16                  // instances whose unsubscriptions of one subscriber are remembered
+	placesMost  = 16                  // regions that one subscriber is attached to
+	regionMost  = 64                  // bytes of a region's name
 )
 
 // Key names a subscription: no two of a tenant bear one id.
 type Key struct{ Tenant, ID string }
 
-// Name is the key's name in the ledger.
-func (k Key) Name() string { return Prefix + k.Tenant + "/" + k.ID }
+// LedgerKey is the key's name in the ledger.
+func (k Key) LedgerKey() string { return KeyPrefix + k.Tenant + "/" + k.ID }
 
 func (k Key) String() string { return k.Tenant + "/" + k.ID }
 
-// KeyOf reads a ledger's name.
-func KeyOf(name string) (Key, bool) {
-	rest, ours := strings.CutPrefix(name, Prefix)
+// ParseKey reads a ledger's name.
+func ParseKey(name string) (Key, bool) {
+	rest, ours := strings.CutPrefix(name, KeyPrefix)
 	tenant, id, whole := strings.Cut(rest, "/")
 	k := Key{tenant, id}
 	return k, ours && whole && k.check() == ""
@@ -60,10 +60,10 @@
 
 // Details are what is asked for, and how often.
 type Details struct {
-	Type   string `cbor:"1,keyasint"`           // of search, as the plan names it
-	Query  string `cbor:"2,keyasint"`           // handed to hosts as it is
-	Every  int64  `cbor:"3,keyasint"`           // period
-	Blocks []int  `cbor:"4,keyasint,omitempty"` // that are read; all where none are named
+	Type     string `cbor:"1,keyasint"`           // of search, as the plan names it
+	Query    string `cbor:"2,keyasint"`           // handed to hosts as it is
+	Interval int64  `cbor:"3,keyasint"`           // period
+	Blocks   []int  `cbor:"4,keyasint,omitempty"` // that are read; all where none are named
 }
 
 func (d Details) check() string {
@@ -74,38 +74,38 @@
 		return "the type is missing"
 	case len(d.Query) > queryMost:
 		return fmt.Sprintf("a query of %d bytes, %d at the most", len(d.Query), queryMost)
-	case d.Every < EveryLeast || d.Every > everyMost:
-		return fmt.Sprintf("a period of %.1f s is not from 1 s to a week", float64(d.Every)/second)
-	case len(d.Blocks) > BlocksMost:
-		return fmt.Sprintf("%d blocks, %d at the most", len(d.Blocks), BlocksMost)
+	case d.Interval < MinInterval || d.Interval > everyMost:
+		return fmt.Sprintf("a period of %.1f s is not from 1 s to a week", float64(d.Interval)/second)
+	case len(d.Blocks) > MaxBlocks:
+		return fmt.Sprintf("%d blocks, %d at the most", len(d.Blocks), MaxBlocks)
 	case len(sorted) > 0 && sorted[0] < 0, len(slices.Compact(sorted)) < len(d.Blocks):
 		return "a block is there twice or under 0"
 	}
 	return ""
 }
 
-// Place is what a region's file said of a subscriber when its word was last taken: an older copy of the file says
+// Attachment is what a region's file said of a subscriber when its word was last taken: an older copy of the file says
 // nothing new, and what it says again is no change.
-type Place struct {
-	Generation int64  `cbor:"1,keyasint"` // of the file; 0 for a call, which no file takes back
-	Said       uint64 `cbor:"2,keyasint"` // hash of the details
+type Attachment struct {
+	Generation  int64  `cbor:"1,keyasint"` // of the file; 0 for a call, which no file takes back
+	DetailsHash uint64 `cbor:"2,keyasint"` // hash of the details
 }
 
-// Number is a delivery's: turns rise over all gateways, N within a turn. No two gateways bear one name.
-type Number struct {
-	Turn    uint64 `cbor:"1,keyasint" json:"turn"`
-	N       uint64 `cbor:"2,keyasint" json:"n"`
-	Gateway string `cbor:"3,keyasint" json:"gateway"`
+// DeliveryNumber is a delivery's: turns rise over all gateways, N within a turn. No two gateways bear one name.
+type DeliveryNumber struct {
+	Epoch    uint64 `cbor:"1,keyasint" json:"turn"`
+	Sequence uint64 `cbor:"2,keyasint" json:"n"`
+	Gateway  string `cbor:"3,keyasint" json:"gateway"`
 }
 
 // Compare orders numbers.
-func (n Number) Compare(m Number) int {
-	return cmp.Or(cmp.Compare(n.Turn, m.Turn), cmp.Compare(n.N, m.N), cmp.Compare(n.Gateway, m.Gateway))
+func (n DeliveryNumber) Compare(m DeliveryNumber) int {
+	return cmp.Or(cmp.Compare(n.Epoch, m.Epoch), cmp.Compare(n.Sequence, m.Sequence), cmp.Compare(n.Gateway, m.Gateway))
 }
 
-// Mark is what was delivered last: a gateway that takes over goes on from there.
-type Mark struct {
-	Number Number         `cbor:"1,keyasint"`
+// DeliveryCheckpoint is what was delivered last: a gateway that takes over goes on from there.
+type DeliveryCheckpoint struct {
+	Number DeliveryNumber `cbor:"1,keyasint"`
 	Values map[int]uint64 `cbor:"2,keyasint,omitempty"` // hash of the last delivered value by block
 }
 
@@ -115,20 +115,20 @@
 // subscriber have one join: so even a record that has lost its place in the ledger's history (a restore from an older
 // disk) cannot bring a subscriber back while any instance has the word that it left.
 type Record struct {
-	Consent uint64            `cbor:"1,keyasint"` // how often it subscribed anew; details of a higher one hold
-	Left    map[string]uint64 `cbor:"2,keyasint,omitempty"`
-	Came    map[string]uint64 `cbor:"3,keyasint,omitempty"`
-	Change  uint64            `cbor:"4,keyasint,omitempty"` // of the details within this consent
-	Details Details           `cbor:"5,keyasint,omitzero"`  // nothing where an unsubscription was written
-	Places  map[string]Place  `cbor:"6,keyasint,omitempty"` // regions that it is attached to
-	Mark    Mark              `cbor:"7,keyasint,omitzero"`
-	Past    []uint64          `cbor:"8,keyasint,omitempty"` // forms that the writer had seen, the last ones
+	Consent             uint64                `cbor:"1,keyasint"` // how often it subscribed anew; details of a higher one hold
+	Unsubscriptions     map[string]uint64     `cbor:"2,keyasint,omitempty"`
+	SeenUnsubscriptions map[string]uint64     `cbor:"3,keyasint,omitempty"`
+	Revision            uint64                `cbor:"4,keyasint,omitempty"` // of the details within this consent
+	Details             Details               `cbor:"5,keyasint,omitzero"`  // nothing where an unsubscription was written
+	Attachments         map[string]Attachment `cbor:"6,keyasint,omitempty"` // regions that it is attached to
+	Checkpoint          DeliveryCheckpoint    `cbor:"7,keyasint,omitzero"`
+	PriorHashes         []uint64              `cbor:"8,keyasint,omitempty"` // forms that the writer had seen, the last ones
 }
 
-// Off tells whether the subscriber has left.
-func (r Record) Off() bool {
-	for who, n := range r.Left {
-		if n > r.Came[who] {
+// IsUnsubscribed tells whether the subscriber has left.
+func (r Record) IsUnsubscribed() bool {
+	for who, n := range r.Unsubscriptions {
+		if n > r.SeenUnsubscriptions[who] {
 			return true
 		}
 	}
@@ -137,7 +137,7 @@
 
 // leftMS is the wall's time of the last unsubscription in ms, by the instance that took it in.
 func (r Record) leftMS() (ms uint64) {
-	for _, n := range r.Left {
+	for _, n := range r.Unsubscriptions {
 		ms = max(ms, n)
 	}
 	return ms
@@ -145,18 +145,18 @@
 
 // left is r without what it was subscribed to.
 func (r Record) left(who string, wallMS uint64) Record {
-	n := Record{Consent: max(1, r.Consent), Left: maps.Clone(r.Left), Came: r.Came}
-	if n.Left == nil {
-		n.Left = map[string]uint64{}
+	n := Record{Consent: max(1, r.Consent), Unsubscriptions: maps.Clone(r.Unsubscriptions), SeenUnsubscriptions: r.SeenUnsubscriptions}
+	if n.Unsubscriptions == nil {
+		n.Unsubscriptions = map[string]uint64{}
 	}
 	// The wall guards against a count that an older disk has set back: a number that was answered is not given again.
-	n.Left[who] = max(n.Left[who]+1, r.Came[who]+1, wallMS)
+	n.Unsubscriptions[who] = max(n.Unsubscriptions[who]+1, r.SeenUnsubscriptions[who]+1, wallMS)
 	return n
 }
 
 // anew is a subscription made knowing of r.
-func (r Record) anew(consent uint64, d Details, region string, at Place) Record {
-	return Record{Consent: consent, Left: r.Left, Came: most(r.Came, r.Left), Change: 1, Details: d, Places: map[string]Place{region: at}}
+func (r Record) anew(consent uint64, d Details, region string, at Attachment) Record {
+	return Record{Consent: consent, Unsubscriptions: r.Unsubscriptions, SeenUnsubscriptions: most(r.SeenUnsubscriptions, r.Unsubscriptions), Revision: 1, Details: d, Attachments: map[string]Attachment{region: at}}
 }
 
 // most has the greater number of each name.
@@ -174,19 +174,19 @@
 // pruned bounds what is remembered of unsubscriptions: the oldest that were answered go first. One that turns up again
 // takes the subscriber off, which is the safe side.
 func (r Record) pruned() Record {
-	for len(r.Left) > leftMost {
-		who := slices.SortedFunc(maps.Keys(r.Left), func(a, b string) int {
+	for len(r.Unsubscriptions) > leftMost {
+		who := slices.SortedFunc(maps.Keys(r.Unsubscriptions), func(a, b string) int {
 			answered := func(w string) int {
-				if r.Left[w] > r.Came[w] {
+				if r.Unsubscriptions[w] > r.SeenUnsubscriptions[w] {
 					return 1
 				}
 				return 0
 			}
-			return cmp.Or(answered(a)-answered(b), cmp.Compare(r.Left[a], r.Left[b]), cmp.Compare(a, b))
+			return cmp.Or(answered(a)-answered(b), cmp.Compare(r.Unsubscriptions[a], r.Unsubscriptions[b]), cmp.Compare(a, b))
 		})[0]
-		r.Left, r.Came = maps.Clone(r.Left), maps.Clone(r.Came)
-		delete(r.Left, who)
-		delete(r.Came, who)
+		r.Unsubscriptions, r.SeenUnsubscriptions = maps.Clone(r.Unsubscriptions), maps.Clone(r.SeenUnsubscriptions)
+		delete(r.Unsubscriptions, who)
+		delete(r.SeenUnsubscriptions, who)
 	}
 	return r
 }
@@ -209,8 +209,8 @@
 	}()
 )
 
-// Bytes is a record's form in the ledger, one for each content.
-func (r Record) Bytes() []byte {
+// Encode is a record's form in the ledger, one for each content.
+func (r Record) Encode() []byte {
 	text, err := form.Marshal(r)
 	if err != nil {
 		panic(err) // no value of the type fails
@@ -218,22 +218,22 @@
 	return text
 }
 
-// Read reads a record as the ledger holds it. What other instances wrote is checked as what a file says.
-func Read(text []byte) (r Record, err error) {
+// DecodeRecord reads a record as the ledger holds it. What other instances wrote is checked as what a file says.
+func DecodeRecord(text []byte) (r Record, err error) {
 	if len(text) > valueMost {
-		return r, &BadRecord{Why: fmt.Sprintf("%d bytes", len(text))}
+		return r, &InvalidRecordError{Reason: fmt.Sprintf("%d bytes", len(text))}
 	}
 	if err := reading.Unmarshal(text, &r); err != nil {
-		return r, &BadRecord{Why: err.Error()}
+		return r, &InvalidRecordError{Reason: err.Error()}
 	}
 	switch {
 	case r.Consent == 0 || r.Consent > 2*consentMost:
-		return r, &BadRecord{Why: fmt.Sprintf("consent %d", r.Consent)}
-	case len(r.Places) > placesMost || len(r.Past) > pastMost || len(r.Mark.Values) > BlocksMost || len(r.Left) > leftMost || len(r.Came) > leftMost:
-		return r, &BadRecord{Why: "more than it may hold"}
+		return r, &InvalidRecordError{Reason: fmt.Sprintf("consent %d", r.Consent)}
+	case len(r.Attachments) > placesMost || len(r.PriorHashes) > pastMost || len(r.Checkpoint.Values) > MaxBlocks || len(r.Unsubscriptions) > leftMost || len(r.SeenUnsubscriptions) > leftMost:
+		return r, &InvalidRecordError{Reason: "more than it may hold"}
 	}
 	if why := r.Details.check(); why != "" && r.Details.Type != "" {
-		return r, &BadRecord{Why: why}
+		return r, &InvalidRecordError{Reason: why}
 	}
 	return r, nil
 }
@@ -241,59 +241,59 @@
 // id names a record's form: what a person would call the same subscription, whoever wrote it and whatever was
 // delivered since.
 func (r Record) id() uint64 {
-	if r.Off() {
-		return xxhash.Sum64(Record{Consent: r.Consent}.Bytes())
+	if r.IsUnsubscribed() {
+		return xxhash.Sum64(Record{Consent: r.Consent}.Encode())
 	}
-	return xxhash.Sum64(Record{Consent: r.Consent, Details: r.Details}.Bytes())
+	return xxhash.Sum64(Record{Consent: r.Consent, Details: r.Details}.Encode())
 }
 
 func (d Details) same(o Details) bool {
-	return d.Type == o.Type && d.Query == o.Query && d.Every == o.Every && slices.Equal(d.Blocks, o.Blocks)
+	return d.Type == o.Type && d.Query == o.Query && d.Interval == o.Interval && slices.Equal(d.Blocks, o.Blocks)
 }
 
-func (d Details) hash() uint64 { return xxhash.Sum64(Record{Details: d}.Bytes()) }
+func (d Details) hash() uint64 { return xxhash.Sum64(Record{Details: d}.Encode()) }
 
 // after orders two records of one consent by what they say.
 func (r Record) after(o Record) int {
-	if c := cmp.Compare(r.Change, o.Change); c != 0 {
+	if c := cmp.Compare(r.Revision, o.Revision); c != 0 {
 		return c
 	}
-	return cmp.Or(bytes.Compare(Record{Details: r.Details}.Bytes(), Record{Details: o.Details}.Bytes()), slices.Compare(r.Past, o.Past))
+	return cmp.Or(bytes.Compare(Record{Details: r.Details}.Encode(), Record{Details: o.Details}.Encode()), slices.Compare(r.PriorHashes, o.PriorHashes))
 }
 
-// Join is what holds of two records: every unsubscription and every answer to one; the details of the higher consent,
+// MergeRecords is what holds of two records: every unsubscription and every answer to one; the details of the higher consent,
 // within one those that were changed more often, the greater bytes among equals. Attachments and marks of one consent
 // are put together. It is commutative, associative and idempotent.
-func Join(a, b Record) Record {
+func MergeRecords(a, b Record) Record {
 	r, other := a, b
 	if c := cmp.Compare(b.Consent, a.Consent); c > 0 || c == 0 && b.after(a) > 0 {
 		r, other = b, a
 	}
-	r.Left, r.Came = most(r.Left, other.Left), most(r.Came, other.Came)
+	r.Unsubscriptions, r.SeenUnsubscriptions = most(r.Unsubscriptions, other.Unsubscriptions), most(r.SeenUnsubscriptions, other.SeenUnsubscriptions)
 	if r.Consent == other.Consent {
-		r.Places = joinPlaces(r.Places, other.Places)
-		if other.Mark.after(r.Mark) > 0 {
-			r.Mark = other.Mark
+		r.Attachments = joinPlaces(r.Attachments, other.Attachments)
+		if other.Checkpoint.after(r.Checkpoint) > 0 {
+			r.Checkpoint = other.Checkpoint
 		}
 	}
 	return r
 }
 
-func (m Mark) after(o Mark) int {
+func (m DeliveryCheckpoint) after(o DeliveryCheckpoint) int {
 	if c := m.Number.Compare(o.Number); c != 0 {
 		return c
 	}
-	return bytes.Compare(Record{Mark: m}.Bytes(), Record{Mark: o}.Bytes())
+	return bytes.Compare(Record{Checkpoint: m}.Encode(), Record{Checkpoint: o}.Encode())
 }
 
-func joinPlaces(a, b map[string]Place) map[string]Place {
+func joinPlaces(a, b map[string]Attachment) map[string]Attachment {
 	if len(b) == 0 {
 		return a
 	}
-	all := map[string]Place{}
-	for _, m := range []map[string]Place{a, b} {
+	all := map[string]Attachment{}
+	for _, m := range []map[string]Attachment{a, b} {
 		for region, p := range m {
-			if q, there := all[region]; !there || cmp.Or(cmp.Compare(p.Generation, q.Generation), cmp.Compare(p.Said, q.Said)) > 0 {
+			if q, there := all[region]; !there || cmp.Or(cmp.Compare(p.Generation, q.Generation), cmp.Compare(p.DetailsHash, q.DetailsHash)) > 0 {
 				all[region] = p
 			}
 		}
@@ -304,17 +304,17 @@
 // wrote makes next a record that is written over those seen: it knows their forms as its past.
 func (r Record) wrote(seen ...Record) Record {
 	own := r.id()
-	r.Past = nil
+	r.PriorHashes = nil
 	add := func(id uint64) {
-		if !slices.Contains(r.Past, id) && len(r.Past) < pastMost && id != own {
-			r.Past = append(r.Past, id)
+		if !slices.Contains(r.PriorHashes, id) && len(r.PriorHashes) < pastMost && id != own {
+			r.PriorHashes = append(r.PriorHashes, id)
 		}
 	}
 	for _, s := range seen {
 		add(s.id())
 	}
 	for _, s := range seen {
-		for _, id := range s.Past {
+		for _, id := range s.PriorHashes {
 			add(id)
 		}
 	}
@@ -325,20 +325,20 @@
 func joined(all []Record) Record {
 	held := all[0]
 	for _, r := range all[1:] {
-		held = Join(held, r)
+		held = MergeRecords(held, r)
 	}
 	return held
 }
 
-// Lost are those of several records written apart whose word does not hold and was not known to any other.
-func Lost(all []Record) (held Record, lost []Record) {
+// ResolveConflict are those of several records written apart whose word does not hold and was not known to any other.
+func ResolveConflict(all []Record) (held Record, lost []Record) {
 	held = joined(all)
 	known := []uint64{held.id()}
 	for _, r := range all {
-		known = append(known, r.Past...)
+		known = append(known, r.PriorHashes...)
 	}
 	for _, r := range all {
-		if id := r.id(); !slices.Contains(known, id) && !(r.Off() && held.Off()) {
+		if id := r.id(); !slices.Contains(known, id) && !(r.IsUnsubscribed() && held.IsUnsubscribed()) {
 			lost, known = append(lost, r), append(known, id)
 		}
 	}
--- a/control/subscribers/serve.go
+++ b/control/subscribers/serve.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	WordPrefix = "subat/"     // of the ledger's names under which gateways say what they serve by
-	settle     = 1 * second   // that the members heard stand still before they count: a healing brings many at once
-	unsettled  = 5 * second   // of change upon change after which they count as they are
-	handMost   = 10 * second  // wait for the word of one that says nothing before serving without it: one that hangs is found out by then
-	handTop    = 30 * second  // and for those that say another view: hearing each other one-sidedly must not end all service
-	startWait  = 10 * second  // that a new process waits for others to be heard, so that it does not take itself for a side
-	stallMost  = 2 * second   // between two turns of the owner, after which a gateway takes itself for replaced
-	stallWait  = 5 * second   // then to hear how the others stand
-	takeAfter  = 60 * second  // that a region is not heard before a majority serves those attached to it
-	lateMost   = 600 * second // that a clock may be set on before the times of searches are drawn anew
-	wordMost   = 256          // bytes of a gateway's word
-	flightMost = 256          // searches and deliveries at once
+	StatusMessageKeyPrefix = "subat/"     // of the ledger's names under which gateways say what they serve by
+	settle                 = 1 * second   // that the members heard stand still before they count: a healing brings many at once
+	unsettled              = 5 * second   // of change upon change after which they count as they are
+	handMost               = 10 * second  // wait for the word of one that says nothing before serving without it: one that hangs is found out by then
+	handTop                = 30 * second  // and for those that say another view: hearing each other one-sidedly must not end all service
+	startWait              = 10 * second  // that a new process waits for others to be heard, so that it does not take itself for a side
+	stallMost              = 2 * second   // between two turns of the owner, after which a gateway takes itself for replaced
+	stallWait              = 5 * second   // then to hear how the others stand
+	takeAfter              = 60 * second  // that a region is not heard before a majority serves those attached to it
+	lateMost               = 600 * second // that a clock may be set on before the times of searches are drawn anew
+	wordMost               = 256          // bytes of a gateway's word
+	flightMost             = 256          // searches and deliveries at once
 )
 
 // Member is a gateway that is alive and takes part. Life is another with each start.
 type Member struct {
 	Name, Region, Zone string
-	Life               uint64
+	Incarnation        uint64
 }
 
-// Word is what a gateway says in the ledger: by which view it serves, having ended all that was another's by that
+// StatusMessage is what a gateway says in the ledger: by which view it serves, having ended all that was another's by that
 // view; in which round of agreement; and the highest turn it has taken. Rounds only rise, so that a word from before a
 // split is not taken for one after it.
-type Word struct {
+type StatusMessage struct {
 	View  uint64 `cbor:"1,keyasint"`
 	Round uint64 `cbor:"2,keyasint"`
-	Turn  uint64 `cbor:"3,keyasint"`
+	Epoch uint64 `cbor:"3,keyasint"`
 }
 
-// Bytes is its form in the ledger.
-func (w Word) Bytes() []byte {
+// Encode is its form in the ledger.
+func (w StatusMessage) Encode() []byte {
 	text, err := cbor.Marshal(w)
 	if err != nil {
 		panic(err) // no value of the type fails
@@ -52,14 +52,14 @@
 	return text
 }
 
-func (w Word) compare(o Word) int {
-	return cmp.Or(cmp.Compare(w.Round, o.Round), cmp.Compare(w.Turn, o.Turn), cmp.Compare(w.View, o.View))
+func (w StatusMessage) compare(o StatusMessage) int {
+	return cmp.Or(cmp.Compare(w.Round, o.Round), cmp.Compare(w.Epoch, o.Epoch), cmp.Compare(w.View, o.View))
 }
 
-// WordOf reads it: the last of those that stand.
-func WordOf(e crdt.Entry) (w Word) {
+// DecodeStatusMessage reads it: the last of those that stand.
+func DecodeStatusMessage(e crdt.Entry) (w StatusMessage) {
 	for _, s := range e.Siblings {
-		var t Word
+		var t StatusMessage
 		if !s.Deleted && len(s.Value) <= wordMost && reading.Unmarshal(s.Value, &t) == nil && t.compare(w) > 0 {
 			w = t
 		}
@@ -67,8 +67,8 @@
 	return w
 }
 
-// Run is a standing search that is due.
-type Run struct {
+// DueSearch is a standing search that is due.
+type DueSearch struct {
 	Key     Key
 	Consent uint64
 	Details
@@ -78,27 +78,27 @@
 
 // Delivery is what is handed over: the blocks whose values are others than those delivered last.
 type Delivery struct {
-	Key          Key
-	Consent      uint64
-	Number, Last Number // Last is the one before, as far as it is known
-	Period       int64
-	Blocks       []int
-	values       map[int]uint64
-	of           *sub
+	Key              Key
+	Consent          uint64
+	Number, Previous DeliveryNumber // Last is the one before, as far as it is known
+	Period           int64
+	Blocks           []int
+	values           map[int]uint64
+	of               *sub
 }
 
-// Rules say where a tenant's subscribers may be served.
-type Rules struct {
-	Holds      func(tenant, zone string) bool // whether a tenant's entries may be in a zone; nil for anywhere
-	Generation uint64                         // changes with them, alike on all gateways
+// PlacementRules say where a tenant's subscribers may be served.
+type PlacementRules struct {
+	AllowsTenantData func(tenant, zone string) bool // whether a tenant's entries may be in a zone; nil for anywhere
+	Generation       uint64                         // changes with them, alike on all gateways
 }
 
-// Counts is what a gateway has done.
-type Counts struct {
-	Served, Held, Waiting              int // subscribers: served here, on the list, without a gateway that may serve them
+// GatewayStats is what a gateway has done.
+type GatewayStats struct {
+	Served, Listed, Unassigned         int // subscribers: served here, on the list, without a gateway that may serve them
 	Runs, Deliveries, Failed, Repeated int
-	Views                              int
-	Turn                               uint64
+	ViewChanges                        int
+	Epoch                              uint64
 	Gateways                           int    // of the view
 	View                               uint64 // that is served by, 0 while a hand-over is under way
 }
@@ -111,8 +111,8 @@
 // stands in the ledger. So of those with one view no two serve one subscriber, and numbers rise from one to the next.
 type Gateway struct {
 	me    Member
-	rules Rules
-	words map[string]Word
+	rules PlacementRules
+	words map[string]StatusMessage
 	spoke map[string]int64 // when each word was heard
 	subs  map[Key]*sub
 	due   beats
@@ -130,7 +130,7 @@
 	allowed map[string][]member // of it, by tenant
 	hash    uint64              // of the view, 0 for none
 	round   uint64
-	said    Word // stands in the ledger
+	said    StatusMessage // stands in the ledger
 	claimed uint64
 	since   int64 // of the pause
 	open    bool  // subscribers are served
@@ -142,7 +142,7 @@
 	not     int64  // before then none does
 	flight  int    // searches and deliveries
 	handing int    // deliveries
-	counts  Counts
+	counts  GatewayStats
 }
 
 type member struct {
@@ -163,13 +163,13 @@
 }
 
 // NewGateway begins at a time and serves nobody yet.
-func NewGateway(now int64, me Member, rules Rules) *Gateway {
-	return &Gateway{me: me, rules: rules, words: map[string]Word{}, spoke: map[string]int64{}, subs: map[Key]*sub{}, gone: map[string]int64{},
+func NewGateway(now int64, me Member, rules PlacementRules) *Gateway {
+	return &Gateway{me: me, rules: rules, words: map[string]StatusMessage{}, spoke: map[string]int64{}, subs: map[Key]*sub{}, gone: map[string]int64{},
 		allowed: map[string][]member{}, taken: map[string]bool{}, regions: map[string]bool{}, last: now, starts: now + startWait}
 }
 
-// Heard takes in which gateways are alive, this one among them, and whether they are more than half of those listed.
-func (g *Gateway) Heard(now int64, members []Member, majority bool) {
+// UpdateMembers takes in which gateways are alive, this one among them, and whether they are more than half of those listed.
+func (g *Gateway) UpdateMembers(now int64, members []Member, majority bool) {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	if majority != g.majority || !slices.Equal(members, g.heard) {
@@ -188,60 +188,60 @@
 	}
 }
 
-// Rules takes in the rules that hold now.
-func (g *Gateway) Rules(now int64, rules Rules) {
+// SetRules takes in the rules that hold now.
+func (g *Gateway) SetRules(now int64, rules PlacementRules) {
 	if rules.Generation != g.rules.Generation {
 		g.heardAt = now
 	}
 	g.rules = rules
 }
 
-// Open tells that no hand-over is under way.
-func (g *Gateway) Open() bool { return g.open }
+// IsServing tells that no hand-over is under way.
+func (g *Gateway) IsServing() bool { return g.open }
 
-// Handing tells how many deliveries are on their way.
-func (g *Gateway) Handing() int { return g.handing }
+// CountDeliveries tells how many deliveries are on their way.
+func (g *Gateway) CountDeliveries() int { return g.handing }
 
-// Says takes in a gateway's word out of the ledger, also its own of an earlier life.
-func (g *Gateway) Says(name string, w Word) {
+// HandleStatusMessage takes in a gateway's word out of the ledger, also its own of an earlier life.
+func (g *Gateway) HandleStatusMessage(name string, w StatusMessage) {
 	if g.words[name] != w {
 		g.spoke[name] = g.last
 	}
-	g.words[name], g.most, g.rounds = w, max(g.most, w.Turn), max(g.rounds, w.Round)
+	g.words[name], g.most, g.rounds = w, max(g.most, w.Epoch), max(g.rounds, w.Round)
 }
 
-// Said takes in that a word of this gateway stands in the ledger.
-func (g *Gateway) Said(w Word) {
+// ConfirmStatusMessage takes in that a word of this gateway stands in the ledger.
+func (g *Gateway) ConfirmStatusMessage(w StatusMessage) {
 	g.said = w
-	g.Says(g.me.Name, w)
+	g.HandleStatusMessage(g.me.Name, w)
 }
 
-// Set takes in what the list holds for a subscriber; there is false for one that is not on it.
-func (g *Gateway) Set(now int64, k Key, r Record, there bool) {
+// SetRecord takes in what the list holds for a subscriber; there is false for one that is not on it.
+func (g *Gateway) SetRecord(now int64, k Key, r Record, there bool) {
 	s := g.subs[k]
-	if !there || r.Off() {
+	if !there || r.IsUnsubscribed() {
 		if s != nil {
 			g.end(s)
 			delete(g.subs, k)
 		}
 		return
 	}
-	g.most = max(g.most, r.Mark.Number.Turn)
+	g.most = max(g.most, r.Checkpoint.Number.Epoch)
 	if s == nil {
-		s = &sub{key: k, hash: xxhash.Sum64String(k.Name()), place: -1}
+		s = &sub{key: k, hash: xxhash.Sum64String(k.LedgerKey()), place: -1}
 		g.subs[k] = s
 	}
 	if s.Consent != r.Consent || !s.Details.same(r.Details) {
 		s.pending = nil
 	}
-	beat := s.Details.Every != r.Details.Every
-	for region := range r.Places {
+	beat := s.Details.Interval != r.Details.Interval
+	for region := range r.Attachments {
 		if !g.regions[region] {
 			g.regions[region], g.gone[region] = true, now
 		}
 	}
-	if s.Consent == r.Consent && s.Mark.after(r.Mark) > 0 { // its own, on the way to the ledger
-		r.Mark = s.Mark
+	if s.Consent == r.Consent && s.Checkpoint.after(r.Checkpoint) > 0 { // its own, on the way to the ledger
+		r.Checkpoint = s.Checkpoint
 	}
 	s.Record = r
 	if !g.place(s, now) && beat && s.served {
@@ -282,7 +282,7 @@
 }
 
 func (g *Gateway) attached(s *sub) bool {
-	for region := range s.Places {
+	for region := range s.Attachments {
 		if _, gone := g.gone[region]; !gone || g.taken[region] {
 			return true
 		}
@@ -311,13 +311,13 @@
 
 // may are the gateways of the view that stand in a zone where the tenant's entries may be.
 func (g *Gateway) may(tenant string) []member {
-	if g.rules.Holds == nil {
+	if g.rules.AllowsTenantData == nil {
 		return g.view
 	}
 	all, known := g.allowed[tenant]
 	if !known {
 		for _, m := range g.view {
-			if g.rules.Holds(tenant, m.Zone) {
+			if g.rules.AllowsTenantData(tenant, m.Zone) {
 				all = append(all, m)
 			}
 		}
@@ -326,23 +326,23 @@
 	return all
 }
 
-// Rank tells how many gateways of this one's region come before it with a file's line about a subscriber: one writes,
+// FileWriterRank tells how many gateways of this one's region come before it with a file's line about a subscriber: one writes,
 // and the next ones only if it does not.
-func (g *Gateway) Rank(k Key) int {
-	_, above := g.rank(k.Tenant, xxhash.Sum64String(k.Name()), g.me.Region)
+func (g *Gateway) FileWriterRank(k Key) int {
+	_, above := g.rank(k.Tenant, xxhash.Sum64String(k.LedgerKey()), g.me.Region)
 	return above
 }
 
 // Tick moves the view on. word is to be put into the ledger under this gateway's name where say is true; the caller
 // tells by Said once it stands there.
-func (g *Gateway) Tick(now int64, wallMS uint64) (word Word, say bool) {
+func (g *Gateway) Tick(now int64, wallMS uint64) (word StatusMessage, say bool) {
 	if now-g.last > stallMost { // guards against a process that was stopped: others may serve in its place
 		g.hash, g.not = 0, now+stallWait
 		g.pause(now)
 	}
 	g.last = max(now, g.last)
 	if now < g.not || now < g.starts && !g.majority || g.heard == nil {
-		return Word{}, false
+		return StatusMessage{}, false
 	}
 	if hash := g.sum(); hash == g.hash {
 		g.changedAt = 0
@@ -353,19 +353,19 @@
 	}
 	switch {
 	case g.hash == 0:
-		return Word{}, false
+		return StatusMessage{}, false
 	case g.raise():
 		g.pause(now)
 	case g.open:
 		g.takeOver(now)
-		return Word{}, false
+		return StatusMessage{}, false
 	case g.handing > 0 && now-g.since < handMost: // an end is on its way: the other must not begin
-		return Word{}, false
+		return StatusMessage{}, false
 	}
 	if g.claimed == 0 && g.said.View == g.hash && g.said.Round == g.round && (g.agreed() || g.late(now)) {
 		g.claimed = max(g.most+1, wallMS)
 	}
-	if want := (Word{g.hash, g.round, max(g.claimed, g.said.Turn)}); want != g.said {
+	if want := (StatusMessage{g.hash, g.round, max(g.claimed, g.said.Epoch)}); want != g.said {
 		return want, true
 	}
 	if g.claimed > 0 { // the turn stands in the ledger
@@ -375,7 +375,7 @@
 			g.place(s, g.since-handMost) // searches that fell into the hand-over, or before it was seen, run now
 		}
 	}
-	return Word{}, false
+	return StatusMessage{}, false
 }
 
 // raise takes part in another's later round, and goes past words of an earlier life that stand beside this one's.
@@ -397,7 +397,7 @@
 		if over := g.majority && now-since >= takeAfter; over != g.taken[region] {
 			g.taken[region] = over
 			for _, s := range g.subs {
-				if _, there := s.Places[region]; there {
+				if _, there := s.Attachments[region]; there {
 					g.place(s, now)
 				}
 			}
@@ -413,14 +413,14 @@
 		d.text(m.Name)
 		d.text(m.Region)
 		d.text(m.Zone)
-		d.number(m.Life)
+		d.number(m.Incarnation)
 	}
 	return max(1, d.sum())
 }
 
 // adopt makes the gateways that are heard the view.
 func (g *Gateway) adopt(now int64, hash uint64) {
-	g.counts.Views++
+	g.counts.ViewChanges++
 	clear(g.allowed)
 	g.hash, g.changedAt, g.round, g.view = hash, 0, g.rounds+1, nil
 	for _, m := range g.heard {
@@ -464,7 +464,7 @@
 // beat sets the time of the next search: each subscriber has a beat of its own within its period, the same on all
 // gateways, so that those of a gateway that is gone come spread over the period.
 func (g *Gateway) beat(s *sub, from int64) {
-	every := s.Details.Every
+	every := s.Details.Interval
 	s.at = from + every - ((from-int64(s.hash%uint64(every)))%every+every)%every
 	if s.place >= 0 {
 		heap.Fix(&g.due, s.place)
@@ -474,14 +474,14 @@
 }
 
 func (s *sub) period(now int64) int64 {
-	return (now - int64(s.hash%uint64(s.Details.Every))) / s.Details.Every
+	return (now - int64(s.hash%uint64(s.Details.Interval))) / s.Details.Interval
 }
 
-// Due names searches to start now, so many at the most; each is ended by Ran. next is when to ask again, 0 for not
+// StartDueSearches names searches to start now, so many at the most; each is ended by Ran. next is when to ask again, 0 for not
 // before something changes.
-func (g *Gateway) Due(now int64, most int) (runs []Run, next int64) {
+func (g *Gateway) StartDueSearches(now int64, most int) (runs []DueSearch, next int64) {
 	for len(g.due) > 0 && g.due[0].at <= now && len(runs) < most && g.flight < flightMost {
-		if s := g.due[0]; g.rules.Holds != nil && !g.rules.Holds(s.key.Tenant, g.me.Zone) { // a contract's time has come, or nobody can know
+		if s := g.due[0]; g.rules.AllowsTenantData != nil && !g.rules.AllowsTenantData(s.key.Tenant, g.me.Zone) { // a contract's time has come, or nobody can know
 			g.beat(s, now)
 			continue
 		}
@@ -489,24 +489,24 @@
 		s.flying = true
 		g.flight++
 		g.counts.Runs++
-		runs = append(runs, Run{s.key, s.Consent, s.Details, s.period(now), s})
+		runs = append(runs, DueSearch{s.key, s.Consent, s.Details, s.period(now), s})
 	}
 	if len(g.due) > 0 {
 		next = g.due[0].at
-		if next > now+lateMost+g.due[0].Details.Every { // guards against a clock that was set back by far
+		if next > now+lateMost+g.due[0].Details.Interval { // guards against a clock that was set back by far
 			g.beat(g.due[0], now)
 		}
 	}
 	return runs, next
 }
 
-// Ran takes in how a search ended: hashes of the values by block, without those that are not in. It tells what is to be
+// CompleteSearch takes in how a search ended: hashes of the values by block, without those that are not in. It tells what is to be
 // delivered; then Handed ends the run. Nothing is delivered for one who has left or is another's since.
-func (g *Gateway) Ran(now int64, r Run, values map[int]uint64) (d Delivery, ok bool) {
+func (g *Gateway) CompleteSearch(now int64, r DueSearch, values map[int]uint64) (d Delivery, ok bool) {
 	s := r.of
 	changed, content := []int{}, newDigest()
 	for _, b := range slices.Sorted(maps.Keys(values)) {
-		if v, had := s.Mark.Values[b]; !had || v != values[b] {
+		if v, had := s.Checkpoint.Values[b]; !had || v != values[b] {
 			changed = append(changed, b)
 			content.number(uint64(b))
 			content.number(values[b])
@@ -516,19 +516,19 @@
 		g.landed(now, s)
 		return d, false
 	}
-	d = Delivery{Key: r.Key, Consent: r.Consent, Last: s.Mark.Number, Period: r.Period, Blocks: changed, values: map[int]uint64{}, of: s}
-	for b, v := range s.Mark.Values {
+	d = Delivery{Key: r.Key, Consent: r.Consent, Previous: s.Checkpoint.Number, Period: r.Period, Blocks: changed, values: map[int]uint64{}, of: s}
+	for b, v := range s.Checkpoint.Values {
 		if len(r.Blocks) == 0 || slices.Contains(r.Blocks, b) {
 			d.values[b] = v
 		}
 	}
 	maps.Copy(d.values, values)
-	if sum := content.sum(); s.pending != nil && s.content == sum && s.pending.Number.Turn == g.turn {
+	if sum := content.sum(); s.pending != nil && s.content == sum && s.pending.Number.Epoch == g.turn {
 		d.Number = s.pending.Number // the same again: the first one may have arrived
 		g.counts.Repeated++
 	} else {
 		g.n++
-		s.content, d.Number = sum, Number{g.turn, g.n, g.me.Name}
+		s.content, d.Number = sum, DeliveryNumber{g.turn, g.n, g.me.Name}
 	}
 	s.pending = &d
 	g.handing++
@@ -536,14 +536,14 @@
 	return d, true
 }
 
-// Handed takes in how a delivery ended. Of one that arrived it gives what the ledger is to hold.
-func (g *Gateway) Handed(now int64, d Delivery, arrived bool) (mark Mark) {
+// CompleteDelivery takes in how a delivery ended. Of one that arrived it gives what the ledger is to hold.
+func (g *Gateway) CompleteDelivery(now int64, d Delivery, arrived bool) (mark DeliveryCheckpoint) {
 	s := d.of
 	g.handing--
 	if arrived {
-		mark = Mark{d.Number, d.values}
-		if s.pending = nil; s.Consent == d.Consent && mark.after(s.Mark) > 0 {
-			s.Mark = mark
+		mark = DeliveryCheckpoint{d.Number, d.values}
+		if s.pending = nil; s.Consent == d.Consent && mark.after(s.Checkpoint) > 0 {
+			s.Checkpoint = mark
 		}
 	} else {
 		g.counts.Failed++
@@ -559,23 +559,25 @@
 	}
 }
 
-// Counts tells how the gateway stands.
-func (g *Gateway) Counts() Counts {
+// Stats tells how the gateway stands.
+func (g *Gateway) Stats() GatewayStats {
 	c := g.counts
-	if c.Held, c.Turn, c.Gateways = len(g.subs), g.turn, len(g.view); g.open {
+	if c.Listed, c.Epoch, c.Gateways = len(g.subs), g.turn, len(g.view); g.open {
 		c.View = g.hash
 	}
 	for _, s := range g.subs {
 		if s.served {
 			c.Served++
 		} else if !g.attached(s) || len(g.may(s.key.Tenant)) == 0 {
-			c.Waiting++
+			c.Unassigned++
 		}
 	}
 	return c
 }
 
-func (n Number) String() string { return fmt.Sprintf("%d.%d.%s", n.Turn, n.N, n.Gateway) }
+func (n DeliveryNumber) String() string {
+	return fmt.Sprintf("%d.%d.%s", n.Epoch, n.Sequence, n.Gateway)
+}
 
 // beats are the subscribers served here, in the order of their next searches.
 type beats []*sub
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -515,10 +515,10 @@
 			OpenStorage: func(context.Context) (replication.Storage, error) { return kept, nil }})
 		<-book.Ready()
 		on := map[string]bool{}
-		book.ScanPrefix(subscribers.Prefix, func(e crdt.Entry) bool {
-			k, _ := subscribers.KeyOf(e.Name)
-			if rec, err := subscribers.Reads(e); err == nil {
-				on[k.ID] = !rec.Off()
+		book.ScanPrefix(subscribers.KeyPrefix, func(e crdt.Entry) bool {
+			k, _ := subscribers.ParseKey(e.Name)
+			if rec, err := subscribers.ResolveEntry(e); err == nil {
+				on[k.ID] = !rec.IsUnsubscribed()
 			}
 			return true
 		})
@@ -545,8 +545,8 @@
 
 // judge looks at deliveries in the order in which they came; between began and settled the regions were apart.
 func judge(got []received, began, settled, calm time.Time, want, off map[string]bool) (t deliveriesSeen) {
-	type last struct{ all, gateway subscribers.Number }
-	content, had, top := map[string]string{}, map[string]map[string]received{}, map[string]subscribers.Number{}
+	type last struct{ all, gateway subscribers.DeliveryNumber }
+	content, had, top := map[string]string{}, map[string]map[string]received{}, map[string]subscribers.DeliveryNumber{}
 	after := map[string]bool{}
 	for _, d := range got {
 		t.count++
