--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -62,7 +62,7 @@
 		return nil
 	}
 	lists := make(chan endpoints.Update)
-	files := &hostfile.Files{Paths: m.Files, Tell: func(e hostfile.Event) {
+	files := &hostfile.Watcher{Paths: m.Files, Notify: func(e hostfile.Event) {
 		var fault endpoints.InvalidListError
 		switch {
 		case errors.As(e.Err, &fault):
@@ -70,9 +70,9 @@
 		case e.Err != nil:
 			log.Warn("host_file_away", "path", e.Path, "error", e.Err)
 		default:
-			log.Info("host_file", "path", e.Path, "hosts", len(e.Told.Hosts))
+			log.Info("host_file", "path", e.Path, "hosts", len(e.Update.Hosts))
 			select {
-			case lists <- e.Told:
+			case lists <- e.Update:
 			case <-ctx.Done():
 			}
 		}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -340,7 +340,7 @@
 				break
 			}
 			var file *config.File
-			if text, fault := hostfile.Text(name); fault == nil && residency.IsPolicyFile(text) {
+			if text, fault := hostfile.ReadText(name); fault == nil && residency.IsPolicyFile(text) {
 				told, err = checkContracts(name, text, plan)
 				break
 			}
@@ -365,7 +365,7 @@
 			}
 			if err == nil && file.Fleet != nil && file.Fleet.ResidencyFile != "" {
 				var text []byte
-				if text, err = hostfile.Text(file.Fleet.ResidencyFile); err == nil {
+				if text, err = hostfile.ReadText(file.Fleet.ResidencyFile); err == nil {
 					_, err = checkContracts(file.Fleet.ResidencyFile, text, plan)
 				}
 			}
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -95,7 +95,7 @@
 	base := start.UnixMicro() / 100
 	c := &contracts{s: s, site: plan.ResidencySite(), files: make(chan hostfile.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
 		done: make(chan saveDone, 1), lapsed: true, clock: func() int64 { return base + int64(time.Since(start)/(100*time.Microsecond)) }}
-	text, err := hostfile.Text(s.file.ResidencyFile)
+	text, err := hostfile.ReadText(s.file.ResidencyFile)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	s.zones = coordinator.NewResidencyGuard(c.book.Compile(c.lease.ExpiresAt()), c.clock)
 	s.node.Handle(zonesTopic, c.hear)
 	s.work.Go(func() {
-		files := &hostfile.Files{Paths: []string{s.file.ResidencyFile}, Texts: true, Tell: func(e hostfile.Event) {
+		files := &hostfile.Watcher{Paths: []string{s.file.ResidencyFile}, RawText: true, Notify: func(e hostfile.Event) {
 			select {
 			case c.files <- e:
 			case <-s.ctx.Done():
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -132,10 +132,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
-		(&hostfile.Files{Paths: []string{path}, Tell: func(e hostfile.Event) {
+		(&hostfile.Watcher{Paths: []string{path}, Notify: func(e hostfile.Event) {
 			if e.Err == nil {
 				select {
-				case lists <- e.Told:
+				case lists <- e.Update:
 				case <-ctx.Done():
 				}
 			}
--- a/endpoints/hostfile/watch.go
+++ b/endpoints/hostfile/watch.go
@@ -26,17 +26,17 @@
 
 // Event is what has become of a file: a list, or its text, or why there is none.
 type Event struct {
-	Path string
-	Told endpoints.Update
-	Text []byte // where texts are told
-	Err  error
+	Path   string
+	Update endpoints.Update
+	Text   []byte // where texts are told
+	Err    error
 }
 
-// Files watches files, and folders of them (*.yaml, *.yml and *.json).
-type Files struct {
-	Paths []string
-	Texts bool // files of another kind: their texts are told as they are, and whoever hears of them reads them
-	Tell  func(e Event)
+// Watcher watches files, and folders of them (*.yaml, *.yml and *.json).
+type Watcher struct {
+	Paths   []string
+	RawText bool // files of another kind: their texts are told as they are, and whoever hears of them reads them
+	Notify  func(e Event)
 
 	seen  map[string]*file
 	count int64
@@ -60,21 +60,21 @@
 
 // Read reads a file as it is, without waiting for it to rest.
 func Read(path string) (endpoints.Update, error) {
-	text, err := Text(path)
+	text, err := ReadText(path)
 	if err != nil {
 		return endpoints.Update{}, err
 	}
 	return Parse(path, text)
 }
 
-// Text is a file's text as it is, cut a byte beyond the most that is read.
-func Text(path string) ([]byte, error) {
+// ReadText is a file's text as it is, cut a byte beyond the most that is read.
+func ReadText(path string) ([]byte, error) {
 	return strictyaml.ReadFile(path, fileMost)
 }
 
 // Run tells of each file that is there, and then of each change, until ctx ends. What a file told last holds while it is
 // away or cannot be used: each such state is told once.
-func (w *Files) Run(ctx context.Context) error {
+func (w *Watcher) Run(ctx context.Context) error {
 	w.seen = map[string]*file{}
 	notify, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -114,15 +114,15 @@
 	}
 }
 
-func (w *Files) kind() string {
-	if w.Texts {
+func (w *Watcher) kind() string {
+	if w.RawText {
 		return "text"
 	}
 	return "list"
 }
 
 // dirs are the folders to watch: of the files, and of what links point to.
-func (w *Files) dirs() (all []string) {
+func (w *Watcher) dirs() (all []string) {
 	add := func(dir string) {
 		if !slices.Contains(all, dir) {
 			all = append(all, dir)
@@ -141,7 +141,7 @@
 }
 
 // paths are the files there are now.
-func (w *Files) paths() (all []string) {
+func (w *Watcher) paths() (all []string) {
 	for _, path := range w.Paths {
 		info, err := os.Stat(path)
 		if err != nil || !info.IsDir() {
@@ -160,12 +160,12 @@
 }
 
 // look reads files that are at rest in another state than they were read in. True where one is not at rest yet.
-func (w *Files) look(now time.Time) (again bool) {
+func (w *Watcher) look(now time.Time) (again bool) {
 	paths := w.paths()
 	for path, f := range w.seen {
 		if !slices.Contains(paths, path) && !f.gone {
 			f.gone = true
-			w.Tell(Event{Path: path, Err: fmt.Errorf("%s: %w; its last %s holds", path, fs.ErrNotExist, w.kind())})
+			w.Notify(Event{Path: path, Err: fmt.Errorf("%s: %w; its last %s holds", path, fs.ErrNotExist, w.kind())})
 		}
 	}
 	for _, path := range paths {
@@ -178,7 +178,7 @@
 		if err != nil {
 			if !f.gone {
 				f.gone = true
-				w.Tell(Event{Path: path, Err: fmt.Errorf("%w; its last %s holds", err, w.kind())})
+				w.Notify(Event{Path: path, Err: fmt.Errorf("%w; its last %s holds", err, w.kind())})
 			}
 			continue
 		}
@@ -196,10 +196,10 @@
 			continue
 		}
 		e := Event{Path: path}
-		if w.Texts {
-			e.Text, err = Text(path)
+		if w.RawText {
+			e.Text, err = ReadText(path)
 		} else {
-			e.Told, err = Read(path)
+			e.Update, err = Read(path)
 		}
 		if after, fault := stampOf(path); fault != nil || after != s { // it changed under the reading
 			f.stamp, f.since, again = after, now, true
@@ -214,12 +214,12 @@
 			if !errors.As(err, &fault) {
 				err = fmt.Errorf("%s: %w", path, err)
 			}
-			w.Tell(Event{Path: path, Err: err})
+			w.Notify(Event{Path: path, Err: err})
 			continue
 		}
 		w.count++
-		e.Told.Version = w.count
-		w.Tell(e)
+		e.Update.Version = w.count
+		w.Notify(e)
 	}
 	return again
 }
--- a/endpoints/hostfile/watch_test.go
+++ b/endpoints/hostfile/watch_test.go
@@ -109,7 +109,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		(&Files{Paths: paths, Tell: s.tell}).Run(ctx)
+		(&Watcher{Paths: paths, Notify: s.tell}).Run(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-ended })
 	return s
@@ -140,7 +140,7 @@
 	write(t, path, hosts("x"))
 	s := run(t, dir)
 	good := func(n int) func(Event) bool {
-		return func(e Event) bool { return e.Err == nil && len(e.Told.Hosts) == n && e.Path == path }
+		return func(e Event) bool { return e.Err == nil && len(e.Update.Hosts) == n && e.Path == path }
 	}
 	s.wait(t, 1, good(1))
 	n, _ := s.last()
@@ -204,8 +204,8 @@
 		if e.Err != nil {
 			continue // a text cut inside a host; what is cut at a line's end is the guards' of members, or a checksum's
 		}
-		for _, h := range e.Told.Hosts {
-			require.Equal(t, e.Told.Hosts[0].ID, h.ID)
+		for _, h := range e.Update.Hosts {
+			require.Equal(t, e.Update.Hosts[0].ID, h.ID)
 		}
 	}
 }
--- a/internal/benchmark/membership.go
+++ b/internal/benchmark/membership.go
@@ -69,7 +69,7 @@
 	told, refused := 0, 0
 	var g sync.WaitGroup
 	g.Go(func() {
-		(&hostfile.Files{Paths: []string{path}, Tell: func(e hostfile.Event) {
+		(&hostfile.Watcher{Paths: []string{path}, Notify: func(e hostfile.Event) {
 			mu.Lock()
 			if told++; e.Err != nil {
 				refused++
@@ -77,7 +77,7 @@
 			mu.Unlock()
 			if e.Err == nil {
 				select {
-				case lists <- e.Told:
+				case lists <- e.Update:
 				case <-watching.Done():
 				}
 			}
