--- a/cluster/replication/share.go
+++ b/cluster/replication/share.go
@@ -146,8 +146,8 @@
 		told: map[string]int64{}, renewed: -renewEach, rowAt: -second << 8}
 	b.run = b.chance.Uint64() >> 1
 	b.ctx, b.stop = context.WithCancel(ctx)
-	plan := scheduler.NewPlan(rand.New(rand.NewSource(o.Seed+1)), map[string]scheduler.Budget{
-		"exchange": {Bytes: DefaultBytesPerSecond}, "answer": {Concurrent: answersMost, Bytes: DefaultBytesPerSecond}, "fresh": {Bytes: DefaultBytesPerSecond}})
+	plan := scheduler.NewSchedule(rand.New(rand.NewSource(o.Seed+1)), map[string]scheduler.Budget{
+		"exchange": {BytesPerSecond: DefaultBytesPerSecond}, "answer": {MaxConcurrent: answersMost, BytesPerSecond: DefaultBytesPerSecond}, "fresh": {BytesPerSecond: DefaultBytesPerSecond}})
 	b.pool = scheduler.NewPool(clock{}, plan, func(job string, err error) { b.complain("share_job", job, err) })
 	o.Transport.Handle(Topic, b.handle)
 	go func() {
@@ -159,11 +159,11 @@
 		scheduler.Job
 		do func(context.Context, *scheduler.Allowance) error
 	}{
-		{scheduler.Job{Name: "share load", Kind: "load", Priority: scheduler.Urgent}, b.load},
-		{scheduler.Job{Name: "share exchange", Kind: "exchange", Priority: scheduler.Usual, Every: every, Spread: every / 4}, b.round},
-		{scheduler.Job{Name: "share fresh", Kind: "fresh", Priority: scheduler.Urgent}, b.push},
-		{scheduler.Job{Name: "share keep", Kind: "keep", Priority: scheduler.Urgent}, b.keep},
-		{scheduler.Job{Name: "share collect", Kind: "collect", Priority: scheduler.Idle, Every: collectEach * every}, b.collect},
+		{scheduler.Job{Name: "share load", Kind: "load", Priority: scheduler.PriorityUrgent}, b.load},
+		{scheduler.Job{Name: "share exchange", Kind: "exchange", Priority: scheduler.PriorityNormal, Interval: every, Jitter: every / 4}, b.round},
+		{scheduler.Job{Name: "share fresh", Kind: "fresh", Priority: scheduler.PriorityUrgent}, b.push},
+		{scheduler.Job{Name: "share keep", Kind: "keep", Priority: scheduler.PriorityUrgent}, b.keep},
+		{scheduler.Job{Name: "share collect", Kind: "collect", Priority: scheduler.PriorityIdle, Interval: collectEach * every}, b.collect},
 	} {
 		if _, err := b.pool.Add(j.Job, j.do); err != nil {
 			b.complain("share_job", j.Name, err)
@@ -407,7 +407,7 @@
 	case kindAsk:
 		var q crdt.ExchangeRequest
 		if err = cbor.Unmarshal(body[1:], &q); err == nil && crdt.ActorName(q.Actor) == from {
-			_, err = b.pool.Add(scheduler.Job{Name: "share answer", Kind: "answer", Priority: scheduler.Usual, Deadline: second, Tries: 1},
+			_, err = b.pool.Add(scheduler.Job{Name: "share answer", Kind: "answer", Priority: scheduler.PriorityNormal, Deadline: second, MaxFailures: 1},
 				func(ctx context.Context, a *scheduler.Allowance) error { return b.answer(ctx, a, from, q) })
 			if err != nil {
 				return // it asks again
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -271,7 +271,7 @@
 }
 
 func budgetOf(w config.WorkBudget) scheduler.Budget {
-	return scheduler.Budget{Concurrent: w.MaxConcurrent, Bytes: w.BytesPerSecond, CPU: w.CPUPerSecond}
+	return scheduler.Budget{MaxConcurrent: w.MaxConcurrent, BytesPerSecond: w.BytesPerSecond, CPUPerSecond: w.CPUPerSecond}
 }
 
 // frontsOf opens what an installation's other fronts need.
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -225,7 +225,7 @@
 	defer stop()
 	g.door = d
 	g.gate = subscribers.NewGateway(now(), g.o.Self, g.o.Rules())
-	plan := scheduler.NewPlan(rand.New(rand.NewSource(g.o.Seed)), map[string]scheduler.Budget{standing: {Concurrent: together}})
+	plan := scheduler.NewSchedule(rand.New(rand.NewSource(g.o.Seed)), map[string]scheduler.Budget{standing: {MaxConcurrent: together}})
 	g.pool = scheduler.NewPool(coordinator.SystemClock{}, plan, func(string, error) {})
 	wait.Go(func() { _ = g.pool.Run(running) })
 	files := make(chan fileSeen)
@@ -265,7 +265,7 @@
 		t := time.Now()
 		if spent := d.BusyTime(); t.After(at) {
 			late := t.Sub(at) - turnEach // a wake that comes late tells of a machine that is full
-			g.pool.Load(min(1, max(float64(spent-busy), float64(late))/float64(t.Sub(at))))
+			g.pool.RecordLoad(min(1, max(float64(spent-busy), float64(late))/float64(t.Sub(at))))
 			busy, at = spent, t
 		}
 		if unheard {
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -105,7 +105,7 @@
 	for _, r := range runs {
 		g.serial++
 		name := fmt.Sprintf("sub-%s-%d", g.o.Self.Name, g.serial)
-		job := scheduler.Job{Name: name, Kind: standing, Priority: scheduler.Usual, Tries: 1}
+		job := scheduler.Job{Name: name, Kind: standing, Priority: scheduler.PriorityNormal, MaxFailures: 1}
 		begun := time.Now()
 		_, err := g.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
 			if time.Since(begun) > lateMost {
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -288,7 +288,7 @@
 		if n := k.believed.Observations; n != nil {
 			k.recall(o, n)
 		}
-		job := scheduler.Job{Name: "keep", Kind: keepKind, Priority: scheduler.Usual, After: int64(keepFirst / tenth), Every: int64(keepEach / tenth)}
+		job := scheduler.Job{Name: "keep", Kind: keepKind, Priority: scheduler.PriorityNormal, Delay: int64(keepFirst / tenth), Interval: int64(keepEach / tenth)}
 		_, err := o.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
 			ctx, stop := context.WithTimeout(ctx, keepWait)
 			defer stop()
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -81,7 +81,7 @@
 		names = append(names, at.Name)
 	}
 	l.asker = peerreport.NewPoller(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.RefreshInterval/tenth), names)
-	plan := scheduler.NewPlan(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
+	plan := scheduler.NewSchedule(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
 	l.pool = scheduler.NewPool(o.Clock, plan, func(job string, err error) {
 		o.log.often("job", "job_given_up", "job", job, "error", err)
 		if name, asking := strings.CutPrefix(job, askPrefix); asking {
@@ -122,7 +122,7 @@
 		late := float64(now.Sub(before)-lookEach) / float64(now.Sub(before))
 		before, busy = now, turned
 		share = min(1, max(share, late, float64(len(l.o.queue))/queueRoom))
-		l.pool.Load(share)
+		l.pool.RecordLoad(share)
 		l.mu.Lock()
 		l.load = share
 		l.desk.SetLoad(share)
@@ -158,7 +158,7 @@
 func (l *learner) start(name string) {
 	i := slices.IndexFunc(l.p.PollTargets, func(at PeerAddress) bool { return at.Name == name })
 	at := l.p.PollTargets[i]
-	job := scheduler.Job{Name: askPrefix + name, Kind: askKind, Priority: scheduler.Urgent, Tries: 1, Deadline: int64(askJob / tenth)}
+	job := scheduler.Job{Name: askPrefix + name, Kind: askKind, Priority: scheduler.PriorityUrgent, MaxFailures: 1, Deadline: int64(askJob / tenth)}
 	_, err := l.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
 		how, later, err := l.askOne(ctx, at, a)
 		began := time.Now()
@@ -354,7 +354,7 @@
 // reply takes an answer's bytes from the budget of answers, as a job that is on its way already.
 func (l *learner) reply(ctx context.Context, bytes int, cpu time.Duration) error {
 	done := make(chan error, 1)
-	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: replyKind, Priority: scheduler.Usual, Tries: 1},
+	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: replyKind, Priority: scheduler.PriorityNormal, MaxFailures: 1},
 		func(ctx context.Context, a *scheduler.Allowance) error {
 			done <- a.Spend(ctx, bytes, cpu)
 			return nil
@@ -377,7 +377,7 @@
 	now := l.o.clock()
 	s := peerprotocol.Status{Name: l.p.Name, Locality: l.p.Location, UptimeMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
 		ListVersion: l.version.Load(), HostCount: uint32(len(l.since)), ReportsServed: uint32(l.desk.Admitted), ReportsDeferred: uint32(l.desk.Deferred),
-		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Held)}
+		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Deferred)}
 	for _, p := range l.asker.Statuses(now) {
 		one := peerprotocol.PeerStatus{Name: p.Name, ReportCount: uint32(p.ReportCount)}
 		if p.LastOutcomeAt > 0 {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -31,7 +31,7 @@
 // named is a co-ordinator's side towards peers, at a free port.
 func named(t *testing.T, name string, ask ...PeerAddress) *PeerOptions {
 	return &PeerOptions{Name: name, Listener: listen(t), PollTargets: ask, AllowedPeers: []string{"a", "b", "c"},
-		Budgets: map[string]scheduler.Budget{"ask": {Concurrent: 4}, "answer": {Concurrent: 4}}}
+		Budgets: map[string]scheduler.Budget{"ask": {MaxConcurrent: 4}, "answer": {MaxConcurrent: 4}}}
 }
 
 func (p *PeerOptions) at() PeerAddress { return PeerAddress{p.Name, p.Listener.Addr().String()} }
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -142,7 +142,7 @@
 	if hosts := os.Getenv(nodeFloor); hosts != "" {
 		return ServeBaseline(ctx, ln, strings.Split(hosts, ","))
 	}
-	more := &coordinator.PeerOptions{AllowedPeers: []string{"asker"}, Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}}
+	more := &coordinator.PeerOptions{AllowedPeers: []string{"asker"}, Budgets: map[string]scheduler.Budget{"answer": {MaxConcurrent: 4}}}
 	if more.Listener, err = net.Listen("tcp", os.Getenv(nodeInstance)); err != nil {
 		return err
 	}
--- a/internal/benchmark/learning.go
+++ b/internal/benchmark/learning.go
@@ -75,7 +75,7 @@
 		return Result{}, err
 	}
 	running, err := f.start("running", uint64(seed), count, &coordinator.PeerOptions{Name: "running", Listener: ln,
-		AllowedPeers: learners(), Budgets: map[string]scheduler.Budget{"answer": {Concurrent: 4}}})
+		AllowedPeers: learners(), Budgets: map[string]scheduler.Budget{"answer": {MaxConcurrent: 4}}})
 	if err != nil {
 		return Result{}, err
 	}
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -17,7 +17,7 @@
 
 const (
 	second    = 10_000      // in tenths of a millisecond
-	JobsMost  = 1024        // jobs that may wait or run: more are refused, so that nothing grows without end
+	MaxJobs   = 1024        // jobs that may wait or run: more are refused, so that nothing grows without end
 	backFirst = second / 2  // first wait after a failure, where the job states none
 	backMost  = 60 * second // longest wait after failures
 	backCut   = 16          // failures after which the wait grows no more
@@ -34,48 +34,48 @@
 type Priority int
 
 const (
-	Urgent Priority = iota // a start waits for it: it may run while the owner is loaded, not while it is full
-	Usual
-	Idle // only while the owner has more than enough time
+	PriorityUrgent Priority = iota // a start waits for it: it may run while the owner is loaded, not while it is full
+	PriorityNormal
+	PriorityIdle // only while the owner has more than enough time
 )
 
 // Job is something to do once, or again and again.
 type Job struct {
-	Name     string
-	Kind     string // whose budget it spends
-	Priority Priority
-	After    int64 // wait before it may start
-	Spread   int64 // more wait, by chance up to so much
-	Deadline int64 // from now on; a job that has not started by then is given up, 0 for none
-	Every    int64 // wait before it is due again after it went well, 0 for once
-	Back     int64 // first wait after a failure, 0 for the usual one; doubles each time
-	Tries    int   // failures after which it is given up, 0 for never
+	Name           string
+	Kind           string // whose budget it spends
+	Priority       Priority
+	Delay          int64 // wait before it may start
+	Jitter         int64 // more wait, by chance up to so much
+	Deadline       int64 // from now on; a job that has not started by then is given up, 0 for none
+	Interval       int64 // wait before it is due again after it went well, 0 for once
+	InitialBackoff int64 // first wait after a failure, 0 for the usual one; doubles each time
+	MaxFailures    int   // failures after which it is given up, 0 for never
 }
 
 // Budget bounds a kind of job.
 type Budget struct {
-	Concurrent int     // jobs that run at once, 0 for one
-	Bytes      float64 // a second, 0 for no bound
-	CPU        float64 // seconds a second, 0 for no bound
+	MaxConcurrent  int     // jobs that run at once, 0 for one
+	BytesPerSecond float64 // a second, 0 for no bound
+	CPUPerSecond   float64 // seconds a second, 0 for no bound
 }
 
-// ID names a job in its Plan.
-type ID uint64
+// JobID names a job in its Plan.
+type JobID uint64
 
 // Why a job ended for good.
 var (
-	ErrDeadline = errors.New("its deadline has passed")
-	ErrTries    = errors.New("it has failed too often")
-	ErrFull     = fmt.Errorf("%d jobs wait already", JobsMost)
+	ErrDeadlinePassed  = errors.New("its deadline has passed")
+	ErrTooManyFailures = errors.New("it has failed too often")
+	ErrTooManyJobs     = fmt.Errorf("%d jobs wait already", MaxJobs)
 )
 
-// Plan holds the jobs and decides. It is one goroutine's.
-type Plan struct {
+// Schedule holds the jobs and decides. It is one goroutine's.
+type Schedule struct {
 	chance *rand.Rand
 	kinds  map[string]*kind
-	jobs   map[ID]*entry
+	jobs   map[JobID]*entry
 	due    queue
-	last   ID
+	last   JobID
 	load   float64
 	loadAt int64
 	counts Counts
@@ -83,9 +83,9 @@
 
 // Counts is what has become of jobs so far.
 type Counts struct {
-	Started, Done, Failed, GivenUp, Canceled int
-	Held                                     int // times that a job that was due waited for searches
-	Starved                                  int // jobs that waited very long for them
+	Started, Completed, Failed, Abandoned, Canceled int
+	Deferred                                        int // times that a job that was due waited for searches
+	Starved                                         int // jobs that waited very long for them
 }
 
 type kind struct {
@@ -117,7 +117,7 @@
 
 type entry struct {
 	Job
-	id      ID
+	id      JobID
 	at      int64 // when it may start
 	first   int64 // when it became due
 	limit   int64 // its deadline
@@ -150,9 +150,9 @@
 	return v
 }
 
-// NewPlan is an empty plan; kinds that budgets does not name have one job at a time and no other bound.
-func NewPlan(chance *rand.Rand, budgets map[string]Budget) *Plan {
-	p := &Plan{chance: chance, kinds: map[string]*kind{}, jobs: map[ID]*entry{}}
+// NewSchedule is an empty plan; kinds that budgets does not name have one job at a time and no other bound.
+func NewSchedule(chance *rand.Rand, budgets map[string]Budget) *Schedule {
+	p := &Schedule{chance: chance, kinds: map[string]*kind{}, jobs: map[JobID]*entry{}}
 	for name, b := range budgets {
 		p.kinds[name] = newKind(b)
 	}
@@ -160,12 +160,12 @@
 }
 
 func newKind(b Budget) *kind {
-	k := &kind{Budget: b, bytes: bucket{rate: b.Bytes / second}, cpu: bucket{rate: b.CPU / second}}
+	k := &kind{Budget: b, bytes: bucket{rate: b.BytesPerSecond / second}, cpu: bucket{rate: b.CPUPerSecond / second}}
 	k.bytes.left, k.cpu.left = k.bytes.rate*burst, k.cpu.rate*burst
 	return k
 }
 
-func (p *Plan) kind(name string) *kind {
+func (p *Schedule) kind(name string) *kind {
 	if p.kinds[name] == nil {
 		p.kinds[name] = newKind(Budget{})
 	}
@@ -173,12 +173,12 @@
 }
 
 // Add takes a job in.
-func (p *Plan) Add(now int64, j Job) (ID, error) {
-	if len(p.jobs) >= JobsMost {
-		return 0, ErrFull
+func (p *Schedule) Add(now int64, j Job) (JobID, error) {
+	if len(p.jobs) >= MaxJobs {
+		return 0, ErrTooManyJobs
 	}
 	p.last++
-	e := &entry{Job: j, id: p.last, at: now + j.After + p.upTo(j.Spread), limit: math.MaxInt64}
+	e := &entry{Job: j, id: p.last, at: now + j.Delay + p.upTo(j.Jitter), limit: math.MaxInt64}
 	if j.Deadline > 0 {
 		e.limit = now + j.Deadline
 	}
@@ -188,7 +188,7 @@
 	return e.id, nil
 }
 
-func (p *Plan) upTo(most int64) int64 {
+func (p *Schedule) upTo(most int64) int64 {
 	if most <= 0 {
 		return 0
 	}
@@ -196,7 +196,7 @@
 }
 
 // Cancel takes a job back. One that runs is told by its context; its end then changes nothing.
-func (p *Plan) Cancel(id ID) {
+func (p *Schedule) Cancel(id JobID) {
 	e := p.jobs[id]
 	if e == nil {
 		return
@@ -207,25 +207,25 @@
 	}
 }
 
-func (p *Plan) remove(e *entry) {
+func (p *Schedule) remove(e *entry) {
 	delete(p.jobs, e.id)
 	if e.place >= 0 && e.place < len(p.due) && p.due[e.place] == e {
 		heap.Remove(&p.due, e.place)
 	}
 }
 
-// Load notes the share of its time that the owner spends in turns.
-func (p *Plan) Load(now int64, share float64) {
+// RecordLoad notes the share of its time that the owner spends in turns.
+func (p *Schedule) RecordLoad(now int64, share float64) {
 	keep := math.Exp(-float64(max(0, now-p.loadAt)) / loadSpan)
 	p.load, p.loadAt = p.load*keep+share*(1-keep), max(now, p.loadAt)
 }
 
 // admits tells whether searches leave time for a job of that priority.
-func (p *Plan) admits(priority Priority) bool {
+func (p *Schedule) admits(priority Priority) bool {
 	switch priority {
-	case Urgent:
+	case PriorityUrgent:
 		return p.load < loadFull
-	case Usual:
+	case PriorityNormal:
 		return p.load < loadHigh
 	}
 	return p.load < loadHigh/2
@@ -236,9 +236,9 @@
 	return float64(e.Priority) - float64(max(0, now-e.first))/agePerLvl
 }
 
-// Next names the jobs that start now, counts them as running, and tells which were given up, and when it wants to be
+// StartDue names the jobs that start now, counts them as running, and tells which were given up, and when it wants to be
 // asked again, 0 for not before something changes.
-func (p *Plan) Next(now int64) (start []ID, gaveUp []ID, again int64) {
+func (p *Schedule) StartDue(now int64) (start []JobID, gaveUp []JobID, again int64) {
 	var due []*entry
 	for len(p.due) > 0 && p.due[0].at <= now {
 		due = append(due, heap.Pop(&p.due).(*entry))
@@ -256,7 +256,7 @@
 	})
 	for _, e := range due {
 		if now > e.limit {
-			p.counts.GivenUp++
+			p.counts.Abandoned++
 			delete(p.jobs, e.id)
 			gaveUp = append(gaveUp, e.id)
 			continue
@@ -264,11 +264,11 @@
 		k := p.kind(e.Kind)
 		wait := max(k.bytes.ready(now), k.cpu.ready(now))
 		switch {
-		case k.running >= max(1, k.Concurrent): // looked at again when one of its kind ends
+		case k.running >= max(1, k.MaxConcurrent): // looked at again when one of its kind ends
 		case wait > 0:
 			sooner(now + wait)
 		case !p.admits(e.Priority):
-			p.counts.Held++
+			p.counts.Deferred++
 			if !e.told && now-e.first > starved {
 				e.told = true
 				p.counts.Starved++
@@ -291,7 +291,7 @@
 
 // Spend takes bytes and processor time (in seconds) from a kind's budget and returns how long to wait before more
 // is spent.
-func (p *Plan) Spend(now int64, id ID, bytes int, cpu float64) (wait int64) {
+func (p *Schedule) Spend(now int64, id JobID, bytes int, cpu float64) (wait int64) {
 	e := p.jobs[id]
 	if e == nil {
 		return 0
@@ -305,8 +305,8 @@
 	return max(k.bytes.ready(now), k.cpu.ready(now))
 }
 
-// Ended takes in how a run ended. It tells whether the job is done for good, and why where it was given up.
-func (p *Plan) Ended(now int64, id ID, err error) (over bool, why error) {
+// RecordResult takes in how a run ended. It tells whether the job is done for good, and why where it was given up.
+func (p *Schedule) RecordResult(now int64, id JobID, err error) (over bool, why error) {
 	e := p.jobs[id]
 	if e == nil || !e.running {
 		return true, nil
@@ -314,44 +314,44 @@
 	p.kind(e.Kind).running--
 	e.running = false
 	if err == nil {
-		p.counts.Done++
+		p.counts.Completed++
 	} else {
 		p.counts.Failed++
 	}
-	wait := e.Every
+	wait := e.Interval
 	switch {
 	case e.gone:
 		p.remove(e)
 		return true, nil
-	case err == nil && e.Every == 0:
+	case err == nil && e.Interval == 0:
 		p.remove(e)
 		return true, nil
 	case err == nil:
 		e.fails = 0
 	default:
-		back := e.Back
+		back := e.InitialBackoff
 		if back <= 0 {
 			back = backFirst
 		}
 		wait = min(backMost, back<<min(e.fails, backCut))
-		if e.fails++; e.Tries > 0 && e.fails >= e.Tries {
-			p.counts.GivenUp++
+		if e.fails++; e.MaxFailures > 0 && e.fails >= e.MaxFailures {
+			p.counts.Abandoned++
 			p.remove(e)
-			return true, ErrTries
+			return true, ErrTooManyFailures
 		}
 	}
 	e.at = now + wait + p.upTo(int64(spread*float64(wait)))
 	if e.first, e.told = e.at, false; e.at > e.limit {
-		p.counts.GivenUp++
+		p.counts.Abandoned++
 		p.remove(e)
-		return true, ErrDeadline
+		return true, ErrDeadlinePassed
 	}
 	heap.Push(&p.due, e)
 	return false, nil
 }
 
 // Counts tells what has become of jobs, how many wait or run, and the load they see.
-func (p *Plan) Counts() (c Counts, waiting, running int, load float64) {
+func (p *Schedule) Counts() (c Counts, waiting, running int, load float64) {
 	for _, k := range p.kinds {
 		running += k.running
 	}
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -23,8 +23,8 @@
 	stir  chan struct{}
 
 	mu   sync.Mutex
-	plan *Plan
-	runs map[ID]*run
+	plan *Schedule
+	runs map[JobID]*run
 }
 
 type run struct {
@@ -34,8 +34,8 @@
 }
 
 // NewPool is a pool for a plan. fault is told of jobs that were given up; it must not wait.
-func NewPool(clock Clock, plan *Plan, fault func(name string, err error)) *Pool {
-	return &Pool{clock: clock, start: clock.Now(), plan: plan, fault: fault, stir: make(chan struct{}, 1), runs: map[ID]*run{}}
+func NewPool(clock Clock, plan *Schedule, fault func(name string, err error)) *Pool {
+	return &Pool{clock: clock, start: clock.Now(), plan: plan, fault: fault, stir: make(chan struct{}, 1), runs: map[JobID]*run{}}
 }
 
 // now is the plan's time; it begins at 1, since 0 is 'never' there.
@@ -49,7 +49,7 @@
 }
 
 // Add takes a job in. do ends when its context does; it takes what it spends from its allowance.
-func (p *Pool) Add(j Job, do func(ctx context.Context, a *Allowance) error) (ID, error) {
+func (p *Pool) Add(j Job, do func(ctx context.Context, a *Allowance) error) (JobID, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id, err := p.plan.Add(p.now(), j)
@@ -61,7 +61,7 @@
 }
 
 // Cancel takes a job back and ends its run.
-func (p *Pool) Cancel(id ID) {
+func (p *Pool) Cancel(id JobID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.plan.Cancel(id)
@@ -73,11 +73,11 @@
 	p.stirred()
 }
 
-// Load notes the share of its time that the owner spends in turns; jobs wait by it.
-func (p *Pool) Load(share float64) {
+// RecordLoad notes the share of its time that the owner spends in turns; jobs wait by it.
+func (p *Pool) RecordLoad(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.plan.Load(p.now(), share)
+	p.plan.RecordLoad(p.now(), share)
 }
 
 // Counts tells what has become of jobs so far.
@@ -95,7 +95,7 @@
 	defer stop()
 	for {
 		p.mu.Lock()
-		start, gaveUp, again := p.plan.Next(p.now())
+		start, gaveUp, again := p.plan.StartDue(p.now())
 		for _, id := range start {
 			r := p.runs[id]
 			var own context.Context
@@ -103,7 +103,7 @@
 			g.Go(func() { p.run(own, id, r) })
 		}
 		for _, id := range gaveUp {
-			p.fault(p.runs[id].name, ErrDeadline)
+			p.fault(p.runs[id].name, ErrDeadlinePassed)
 			delete(p.runs, id)
 		}
 		var wake <-chan time.Time
@@ -121,7 +121,7 @@
 }
 
 // run is one run of a job. Guards against one that panics: it has failed, and nothing else has.
-func (p *Pool) run(ctx context.Context, id ID, r *run) {
+func (p *Pool) run(ctx context.Context, id JobID, r *run) {
 	err := func() (err error) {
 		defer func() {
 			if v := recover(); v != nil {
@@ -135,7 +135,7 @@
 	defer p.mu.Unlock()
 	r.ctx()
 	r.ctx = nil
-	if over, why := p.plan.Ended(p.now(), id, err); over {
+	if over, why := p.plan.RecordResult(p.now(), id, err); over {
 		delete(p.runs, id)
 		if why != nil && !calledOff {
 			p.fault(r.name, fmt.Errorf("%w: %w", why, err))
@@ -147,7 +147,7 @@
 // Allowance is what a job takes from its kind's budget.
 type Allowance struct {
 	pool *Pool
-	id   ID
+	id   JobID
 }
 
 // Spend takes bytes and processor time and waits until the budget has recovered, or ctx ends.
--- a/internal/scheduler/work_test.go
+++ b/internal/scheduler/work_test.go
@@ -24,9 +24,11 @@
 	os.Exit(m.Run())
 }
 
-func newPlan(budgets map[string]Budget) *Plan { return NewPlan(rand.New(rand.NewSource(1)), budgets) }
+func newPlan(budgets map[string]Budget) *Schedule {
+	return NewSchedule(rand.New(rand.NewSource(1)), budgets)
+}
 
-func add(t require.TestingT, p *Plan, now int64, j Job) ID {
+func add(t require.TestingT, p *Schedule, now int64, j Job) JobID {
 	id, err := p.Add(now, j)
 	require.NoError(t, err)
 	return id
@@ -34,48 +36,48 @@
 
 func TestPriorities(t *testing.T) {
 	p := newPlan(nil)
-	idle := add(t, p, 0, Job{Priority: Idle})
-	usual := add(t, p, 0, Job{Priority: Usual})
-	urgent := add(t, p, 0, Job{Priority: Urgent})
-	for _, want := range []ID{urgent, usual, idle} {
-		start, _, _ := p.Next(10)
-		require.Equal(t, []ID{want}, start, "one of a kind at a time, the most urgent first")
-		over, why := p.Ended(20, want, nil)
+	idle := add(t, p, 0, Job{Priority: PriorityIdle})
+	usual := add(t, p, 0, Job{Priority: PriorityNormal})
+	urgent := add(t, p, 0, Job{Priority: PriorityUrgent})
+	for _, want := range []JobID{urgent, usual, idle} {
+		start, _, _ := p.StartDue(10)
+		require.Equal(t, []JobID{want}, start, "one of a kind at a time, the most urgent first")
+		over, why := p.RecordResult(20, want, nil)
 		require.True(t, over)
 		require.NoError(t, why)
 	}
-	old := add(t, p, 0, Job{Priority: Idle})
-	young := add(t, p, 3*agePerLvl, Job{Priority: Urgent})
-	start, _, _ := p.Next(3 * agePerLvl)
-	require.Equal(t, []ID{old}, start, "long waiting lifts a job")
-	p.Ended(3*agePerLvl, old, nil)
-	start, _, _ = p.Next(3 * agePerLvl)
-	require.Equal(t, []ID{young}, start)
+	old := add(t, p, 0, Job{Priority: PriorityIdle})
+	young := add(t, p, 3*agePerLvl, Job{Priority: PriorityUrgent})
+	start, _, _ := p.StartDue(3 * agePerLvl)
+	require.Equal(t, []JobID{old}, start, "long waiting lifts a job")
+	p.RecordResult(3*agePerLvl, old, nil)
+	start, _, _ = p.StartDue(3 * agePerLvl)
+	require.Equal(t, []JobID{young}, start)
 }
 
 // Under load jobs wait and that is counted; urgent ones go on a while, and all do when it is over.
 func TestSearchesGoFirst(t *testing.T) {
-	p := newPlan(map[string]Budget{"": {Concurrent: 9}})
-	p.Load(0, 0.8)
-	p.Load(10*second, 0.8)
-	urgent := add(t, p, 10*second, Job{Priority: Urgent})
-	usual := add(t, p, 10*second, Job{Priority: Usual})
-	start, _, again := p.Next(10 * second)
-	require.Equal(t, []ID{urgent}, start)
+	p := newPlan(map[string]Budget{"": {MaxConcurrent: 9}})
+	p.RecordLoad(0, 0.8)
+	p.RecordLoad(10*second, 0.8)
+	urgent := add(t, p, 10*second, Job{Priority: PriorityUrgent})
+	usual := add(t, p, 10*second, Job{Priority: PriorityNormal})
+	start, _, again := p.StartDue(10 * second)
+	require.Equal(t, []JobID{urgent}, start)
 	require.Positive(t, again)
-	p.Load(20*second, 1)
-	add(t, p, 20*second, Job{Priority: Urgent})
-	start, _, _ = p.Next(20 * second)
+	p.RecordLoad(20*second, 1)
+	add(t, p, 20*second, Job{Priority: PriorityUrgent})
+	start, _, _ = p.StartDue(20 * second)
 	require.Empty(t, start)
-	p.Next(50 * second)
+	p.StartDue(50 * second)
 	counts, waiting, running, load := p.Counts()
 	require.Equal(t, 1, counts.Starved)
 	require.Equal(t, 2, waiting)
 	require.Equal(t, 1, running)
 	require.Greater(t, load, 0.9)
-	require.Positive(t, counts.Held)
-	p.Load(60*second, 0)
-	start, _, _ = p.Next(60 * second)
+	require.Positive(t, counts.Deferred)
+	p.RecordLoad(60*second, 0)
+	start, _, _ = p.StartDue(60 * second)
 	require.Len(t, start, 2)
 	require.Contains(t, start, usual)
 }
@@ -84,44 +86,44 @@
 	p := newPlan(nil)
 	first := add(t, p, 0, Job{})
 	late := add(t, p, 0, Job{Deadline: second})
-	start, _, again := p.Next(0)
-	require.Equal(t, []ID{first}, start)
+	start, _, again := p.StartDue(0)
+	require.Equal(t, []JobID{first}, start)
 	require.Equal(t, int64(second+1), again)
-	_, gaveUp, _ := p.Next(second + 1)
-	require.Equal(t, []ID{late}, gaveUp)
-	p.Ended(second+1, first, nil)
+	_, gaveUp, _ := p.StartDue(second + 1)
+	require.Equal(t, []JobID{late}, gaveUp)
+	p.RecordResult(second+1, first, nil)
 
-	again1 := add(t, p, 0, Job{Every: 10 * second, Back: second, Tries: 3})
+	again1 := add(t, p, 0, Job{Interval: 10 * second, InitialBackoff: second, MaxFailures: 3})
 	now, last := int64(2*second), int64(0)
 	for i := range 3 {
-		start, _, _ = p.Next(now)
-		require.Equal(t, []ID{again1}, start)
-		over, why := p.Ended(now, again1, errors.New("failed"))
+		start, _, _ = p.StartDue(now)
+		require.Equal(t, []JobID{again1}, start)
+		over, why := p.RecordResult(now, again1, errors.New("failed"))
 		require.Equal(t, i == 2, over)
 		if over {
-			require.Equal(t, ErrTries, why)
+			require.Equal(t, ErrTooManyFailures, why)
 			break
 		}
-		_, _, next := p.Next(now)
+		_, _, next := p.StartDue(now)
 		require.Greater(t, next-now, last, "waits grow")
 		last, now = next-now, next
 	}
-	tick := add(t, p, now, Job{Every: 10 * second})
-	p.Next(now)
-	over, _ := p.Ended(now, tick, nil)
+	tick := add(t, p, now, Job{Interval: 10 * second})
+	p.StartDue(now)
+	over, _ := p.RecordResult(now, tick, nil)
 	require.False(t, over)
-	_, _, next := p.Next(now)
+	_, _, next := p.StartDue(now)
 	require.GreaterOrEqual(t, next, now+10*second)
 	require.LessOrEqual(t, next, now+13*second)
 	p.Cancel(tick)
 	_, waiting, _, _ := p.Counts()
 	require.Zero(t, waiting)
 	p.Cancel(tick)
-	for range JobsMost {
+	for range MaxJobs {
 		add(t, p, 0, Job{})
 	}
 	_, err := p.Add(0, Job{})
-	require.Equal(t, ErrFull, err)
+	require.Equal(t, ErrTooManyJobs, err)
 }
 
 // Whatever is asked of a plan: no kind has more running than its budget has places, bytes spent stay within what the
@@ -130,18 +132,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 4).Draw(t, "concurrent")
 		rate := rapid.Float64Range(100, 1e6).Draw(t, "rate")
-		p := newPlan(map[string]Budget{"k": {Concurrent: most, Bytes: rate}})
+		p := newPlan(map[string]Budget{"k": {MaxConcurrent: most, BytesPerSecond: rate}})
 		now, spent, largest := int64(0), 0.0, 0.0
-		running, wait := map[ID]int64{}, int64(0)
-		ended := map[ID]bool{}
+		running, wait := map[JobID]int64{}, int64(0)
+		ended := map[JobID]bool{}
 		for range 200 {
 			now += rapid.Int64Range(0, second/4).Draw(t, "step")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				p.Add(now, Job{Kind: "k", Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
-					After: rapid.Int64Range(0, second).Draw(t, "after")})
+					Delay: rapid.Int64Range(0, second).Draw(t, "after")})
 			case 1:
-				start, _, _ := p.Next(now)
+				start, _, _ := p.StartDue(now)
 				for _, id := range start {
 					require.False(t, ended[id])
 					running[id] = now
@@ -159,7 +161,7 @@
 				}
 			case 3:
 				for id := range running {
-					over, _ := p.Ended(now, id, nil)
+					over, _ := p.RecordResult(now, id, nil)
 					require.True(t, over)
 					ended[id] = true
 					delete(running, id)
@@ -181,20 +183,20 @@
 func TestPool(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	told := make(chan string, 8)
-	p := NewPool(clock{}, newPlan(map[string]Budget{"": {Concurrent: 8, Bytes: 1000}}),
+	p := NewPool(clock{}, newPlan(map[string]Budget{"": {MaxConcurrent: 8, BytesPerSecond: 1000}}),
 		func(name string, err error) { told <- fmt.Sprint(name, " ", err) })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- p.Run(ctx) }()
 	ran, tries := make(chan string, 8), atomic.Int32{}
-	must := func(j Job, do func(ctx context.Context, a *Allowance) error) ID {
+	must := func(j Job, do func(ctx context.Context, a *Allowance) error) JobID {
 		id, err := p.Add(j, do)
 		require.NoError(t, err)
 		return id
 	}
 	must(Job{Name: "plain"}, func(context.Context, *Allowance) error { ran <- "plain"; return nil })
-	must(Job{Name: "panics", Tries: 1}, func(context.Context, *Allowance) error { panic("ouch") })
-	must(Job{Name: "again", Back: 10}, func(context.Context, *Allowance) error {
+	must(Job{Name: "panics", MaxFailures: 1}, func(context.Context, *Allowance) error { panic("ouch") })
+	must(Job{Name: "again", InitialBackoff: 10}, func(context.Context, *Allowance) error {
 		if tries.Add(1) < 3 {
 			return errors.New("not yet")
 		}
