--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -158,11 +158,11 @@
 	out *strings.Builder
 }
 
-func (m toldEntries) Entry(replica string, zone, kind, cell int, status string, units float64, since int64) {
+func (m toldEntries) AddEndpoint(replica string, zone, kind, cell int, status string, units float64, since int64) {
 	fmt.Fprintf(m.out, "  entry %q zone=%d kind=%d cell=%d %s weight=%g since=%d\n", replica, zone, kind, cell, status, units, since)
 }
 
-func (m toldEntries) ListDone(how string, version int64) {
+func (m toldEntries) CommitEndpoints(how string, version int64) {
 	fmt.Fprintf(m.out, "  list %s %d\n", how, version)
 }
 
