--- a/balancer/apart_test.go
+++ b/balancer/apart_test.go
@@ -22,17 +22,21 @@
 
 func drawSite(c *rand.Rand) site {
 	pick := func(of ...string) string { return of[c.Intn(len(of))] }
-	w := site{facts: map[string]string{"Specifics.Sets": "2", "Specifics.Reach": pick("1", "2"), "Balancers": pick("1", "3"),
+	w := site{facts: map[string]string{
+		"Specifics.Sets": "2", "Specifics.Reach": pick("1", "2"), "Balancers": pick("1", "3"),
 		"Specifics.PerCall": pick("1", "3"), "Permissions.MaxAttempts": pick("1", "2", "4"), "Permissions.SecondCopies": pick("true", "false"),
-		"Permissions.Cancelling": pick("true", "false"), "Tick": pick("1", "5")}, lists: map[string][]string{}}
+		"Permissions.Cancelling": pick("true", "false"), "Tick": pick("1", "5"),
+	}, lists: map[string][]string{}}
 	if c.Intn(2) == 0 {
 		w.facts["Safety.LookBack"], w.facts["Safety.FurtherRatio"], w.facts["Safety.ExtraFloor"] = "3000", "0.1", "2"
 	}
 	for i := range 4 {
 		aim := 50 + c.Intn(1500)
-		w.classes = append(w.classes, map[string]string{"Name": fmt.Sprint("type", i), "Aim": fmt.Sprint(aim),
+		w.classes = append(w.classes, map[string]string{
+			"Name": fmt.Sprint("type", i), "Aim": fmt.Sprint(aim),
 			"Deadline": fmt.Sprint(aim + c.Intn(2000)), "Effect": pick("retryable", "dedup", "fragile"), "LateShare": pick("0", "0.03", "0.4"),
-			"RepeatWindow": pick("0", "1", "150", "2000")})
+			"RepeatWindow": pick("0", "1", "150", "2000"),
+		})
 		need := pick("0.4", "0.75", "1")
 		for name, v := range map[string]string{"NeedByClass": need, "ClassFloor": pick(need, "0.25"), "FollowUp": pick("0", "0", "2"), "ShortWorth": pick("0.5", "1")} {
 			w.lists[name] = append(w.lists[name], v)
--- a/balancer/books.go
+++ b/balancer/books.go
@@ -9,10 +9,12 @@
 // What keeps the books of a co-ordinator: its start, its list, its searches' parts and ends. Nothing is decided here.
 
 func New(out Actions) Balancer {
-	return &coordinator{out: out, fleet: map[string]*replica{}, held: map[uint64]*search{},
+	return &coordinator{
+		out: out, fleet: map[string]*replica{}, held: map[uint64]*search{},
 		numbers: map[uint64]*search{}, next: map[uint64]*try{}, wakes: map[uint64]woken{},
 		holding: map[int][]*replica{}, full: map[int]bool{},
-		askWait: askFirst, limit: math.Inf(1), firstUsual: firstPace}
+		askWait: askFirst, limit: math.Inf(1), firstUsual: firstPace,
+	}
 }
 
 func (c *coordinator) BeginIteration(now int64) { c.now = now; clear(c.full) }
--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -25,11 +25,13 @@
 func module(replicas int) (*bench, *coordinator) {
 	b := &bench{ended: map[uint64]bool{}}
 	c := New(b).(*coordinator)
-	facts := map[string]string{"Tick": "5", "Balancers": "1", "Specifics.Sets": "8", "Specifics.Reach": "2",
+	facts := map[string]string{
+		"Tick": "5", "Balancers": "1", "Specifics.Sets": "8", "Specifics.Reach": "2",
 		"Specifics.PerCall": "1", "Classes.0.Aim": "3000", "Classes.0.Effect": "retryable", "Classes.1.Aim": "60000",
 		"Classes.1.Effect": "retryable", "Specifics.NeedByClass": "0.75,1", "Specifics.ClassFloor": "0.75,1",
 		"Specifics.FollowUp": "0,0", "Permissions.MaxAttempts": "3", "Permissions.SecondCopies": "true",
-		"Permissions.Cancelling": "true", "Safety.Cold": "10000"}
+		"Permissions.Cancelling": "true", "Safety.Cold": "10000",
+	}
 	c.BeginIteration(10)
 	c.Configure(1, facts)
 	for i := range replicas {
--- a/balancer/know.go
+++ b/balancer/know.go
@@ -53,7 +53,8 @@
 }
 
 func (c *coordinator) RecordAttemptOutcome(part uint64, leg int, ending string, wait int64, over bool,
-	report map[string]float64) {
+	report map[string]float64,
+) {
 	key := part<<8 | uint64(leg)
 	if t := c.next[key]; t != nil {
 		delete(c.next, key)
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -95,7 +95,8 @@
 }
 
 func (c *coordinator) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int,
-	retry bool) {
+	retry bool,
+) {
 	c.backlog = memory*c.backlog + (1-memory)*float64(len(c.queue))
 	s := &search{id: id, number: number, qtype: qtype, came: c.now, first: c.now, step: 1, count: count}
 	s.tenant, s.slab = tenant, make([]part, 0, count)
--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -54,15 +54,18 @@
 func (s *stage) act(format string, v ...any) {
 	s.acts, s.all = append(s.acts, fmt.Sprintf(format, v...)), append(s.all, fmt.Sprintf(format, v...))
 }
+
 func (s *stage) plan(wait int64, do func()) {
 	i := sort.Search(len(s.later), func(i int) bool { return s.later[i].at > s.now+wait })
 	s.later = slices.Insert(s.later, i, due{s.now + wait, do})
 }
+
 func (s *stage) CancelAttempt(part uint64, leg int) {
 	require.True(s.t, s.bind != nil || s.facts["Permissions.Cancelling"] == "true")
 	s.act("cancel %d.%d", part, leg)
 	s.end(part, leg, "Canceled", 10)
 }
+
 func (s *stage) SetTimer(wait int64, label uint64)       { s.plan(wait, func() { s.c.HandleTimer(label) }) }
 func (s *stage) CancelTimer(uint64)                      {}
 func (s *stage) ProbeReplica(replica string)             { s.act("probe %s", replica) }
@@ -269,9 +272,11 @@
 func begin(t *testing.T, text string) *stage { return beginWith(t, text, false) }
 
 func beginWith(t *testing.T, text string, recount bool) *stage {
-	s := &stage{t: t, facts: map[string]string{}, replies: map[string][]string{}, legs: map[uint64]int{},
+	s := &stage{
+		t: t, facts: map[string]string{}, replies: map[string][]string{}, legs: map[uint64]int{},
 		lossy: map[string]uint64{}, out: map[uint64]int{}, ended: map[[2]uint64]bool{}, now: 10, recount: recount,
-		owner: map[uint64]uint64{}, finals: map[uint64]int{}, steps: map[uint64]string{}}
+		owner: map[uint64]uint64{}, finals: map[uint64]int{}, steps: map[uint64]string{},
+	}
 	s.c = New(s)
 	s.line(append([]string{"facts"}, strings.Fields(usualFacts)...))
 	s.lines(text)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -295,8 +295,10 @@
 
 // belief is what travels of a replica.
 func (r *replica) belief(now int64, bad bool) Observation {
-	b := Observation{Scope: ScopeReplica, Replica: r.id, Zone: r.zone, ReplicaStart: r.since, ConsecutiveFailures: r.strikes, ConsecutiveConnectFailures: r.refused,
-		UnansweredRequests: r.quiet, LastAnswerAge: -1, Outlier: bad, ShortWindow: r.pace.tally(now, paceSpan), LongWindow: r.past.tally(now, pastSpan)}
+	b := Observation{
+		Scope: ScopeReplica, Replica: r.id, Zone: r.zone, ReplicaStart: r.since, ConsecutiveFailures: r.strikes, ConsecutiveConnectFailures: r.refused,
+		UnansweredRequests: r.quiet, LastAnswerAge: -1, Outlier: bad, ShortWindow: r.pace.tally(now, paceSpan), LongWindow: r.past.tally(now, pastSpan),
+	}
 	if r.quiet > 0 {
 		b.SilentFor = now - r.quietSince
 	}
--- a/clienttest/client_test.go
+++ b/clienttest/client_test.go
@@ -37,17 +37,21 @@
 	client, err := opensearchapi.NewClient(opensearchapi.Config{Client: opensearch.Config{Addresses: []string{"http://" + addr}}})
 	require.NoError(t, err)
 
-	found, err := client.Search(ctx, &opensearchapi.SearchReq{Indices: []string{"members"},
+	found, err := client.Search(ctx, &opensearchapi.SearchReq{
+		Indices: []string{"members"},
 		Body: strings.NewReader(`{"query":{"term":{"town":"oslo"}},"sort":["age"],"size":5,"track_total_hits":true,
-			"aggs":{"mean":{"avg":{"field":"age"}}}}`)})
+			"aggs":{"mean":{"avg":{"field":"age"}}}}`),
+	})
 	require.NoError(t, err)
 	require.Len(t, found.Hits.Hits, 5)
 	require.Equal(t, 8, found.Shards.Successful)
 	require.Contains(t, string(found.Aggregations), "mean")
 	require.Equal(t, "members", found.Hits.Hits[0].Index)
 
-	count, err := client.Indices.Count(ctx, &opensearchapi.IndicesCountReq{Indices: []string{"members"},
-		Body: strings.NewReader(`{"query":{"term":{"town":"oslo"}}}`)})
+	count, err := client.Indices.Count(ctx, &opensearchapi.IndicesCountReq{
+		Indices: []string{"members"},
+		Body:    strings.NewReader(`{"query":{"term":{"town":"oslo"}}}`),
+	})
 	require.NoError(t, err)
 	require.Equal(t, found.Hits.Total.Value, count.Count)
 
--- a/cluster/crdt/fleet_test.go
+++ b/cluster/crdt/fleet_test.go
@@ -64,8 +64,10 @@
 }
 
 func newWorld(t *rapid.T, n int) *world {
-	w := &world{t: t, at: map[string]*instance{}, past: map[Dot]map[Dot]bool{}, name: map[Dot]string{}, gone: map[Dot]bool{},
-		cut: map[[2]string]bool{}}
+	w := &world{
+		t: t, at: map[string]*instance{}, past: map[Dot]map[Dot]bool{}, name: map[Dot]string{}, gone: map[Dot]bool{},
+		cut: map[[2]string]bool{},
+	}
 	for i := range n {
 		name := string(rune('p' + i))
 		w.names = append(w.names, name)
--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -10,12 +10,14 @@
 
 // cborForm is a value that is encoded and decoded with the library's defaults, as package replication does.
 func cborForm[T any](name string, value, want T) goldenForm {
-	return goldenForm{name, func() ([]byte, error) { return cbor.Marshal(value) },
+	return goldenForm{
+		name, func() ([]byte, error) { return cbor.Marshal(value) },
 		func(encoded []byte) (any, error) {
 			var decoded T
 			err := cbor.Unmarshal(encoded, &decoded)
 			return decoded, err
-		}, want}
+		}, want,
+	}
 }
 
 // goldenLedger is a copy with a plain entry, a tombstone, concurrent siblings and a row of another instance.
@@ -43,8 +45,10 @@
 	first, second := Dot{Actor: "gateway-1#7", Counter: 3}, Dot{Actor: "gateway-2#9", Counter: 1 << 40}
 	version := Version{{Actor: "gateway-0#", Counter: 12}, first, second}
 	entry := Entry{Name: "plan/a", Siblings: []Sibling{{Dot: first, Value: []byte{0, 1, 0xff}}, {Dot: second, Deleted: true}}, CausalContext: version}
-	batch := Batch{Known: version, Entries: []Entry{entry, {Name: "plan/b", Siblings: []Sibling{{Dot: first, Value: []byte{}}}, CausalContext: Version{first}}},
-		ExtraContexts: []Version{{second}}, ContextIndexes: []uint16{1, 0}}
+	batch := Batch{
+		Known: version, Entries: []Entry{entry, {Name: "plan/b", Siblings: []Sibling{{Dot: first, Value: []byte{}}}, CausalContext: Version{first}}},
+		ExtraContexts: []Version{{second}}, ContextIndexes: []uint16{1, 0},
+	}
 	row := Row{Actor: "gateway-1#7", Seq: 4, Known: version, IncarnationEnds: []IncarnationEnd{{Name: "gateway-2", Before: 9, NotedAt: 2}}}
 	held, _ := goldenLedger(t).Get("plan/a")
 	deleted, _ := goldenLedger(t).Get("plan/b")
@@ -56,30 +60,41 @@
 		cborForm("tombstone", entry.Siblings[1], entry.Siblings[1]),
 		cborForm("entry", entry, entry),
 		cborForm("entry-empty", Entry{}, Entry{}),
-		cborForm("entry-held", held, Entry{Name: "plan/a", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", Counter: 1}, Value: []byte{0, 1, 0xff}},
-			{Dot: Dot{Actor: "gateway-2#9", Counter: 1}, Value: []byte("other")}}, CausalContext: Version{{Actor: "gateway-1#7", Counter: 1}, {Actor: "gateway-2#9", Counter: 1}}}),
-		cborForm("entry-deleted", deleted, Entry{Name: "plan/b", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", Counter: 3}, Deleted: true}},
-			CausalContext: Version{{Actor: "gateway-1#7", Counter: 3}}}),
+		cborForm("entry-held", held, Entry{Name: "plan/a", Siblings: []Sibling{
+			{Dot: Dot{Actor: "gateway-1#7", Counter: 1}, Value: []byte{0, 1, 0xff}},
+			{Dot: Dot{Actor: "gateway-2#9", Counter: 1}, Value: []byte("other")},
+		}, CausalContext: Version{{Actor: "gateway-1#7", Counter: 1}, {Actor: "gateway-2#9", Counter: 1}}}),
+		cborForm("entry-deleted", deleted, Entry{
+			Name: "plan/b", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", Counter: 3}, Deleted: true}},
+			CausalContext: Version{{Actor: "gateway-1#7", Counter: 3}},
+		}),
 		cborForm("batch", batch, batch),
 		cborForm("batch-empty", Batch{}, Batch{}),
 		cborForm("row", row, row),
 		cborForm("row-mark", RowVersion{Actor: "gateway-1#7", Seq: 4}, RowVersion{Actor: "gateway-1#7", Seq: 4}),
-		{"actor", func() ([]byte, error) { return []byte(FormatActor("gateway-1", 1_790_000_000_000_000_001)), nil },
+		{
+			"actor", func() ([]byte, error) { return []byte(FormatActor("gateway-1", 1_790_000_000_000_000_001)), nil },
 			func(encoded []byte) (any, error) {
 				return []any{ActorName(string(encoded)), ActorIncarnation(string(encoded))}, nil
-			}, []any{"gateway-1", uint64(1_790_000_000_000_000_001)}},
+			},
+			[]any{"gateway-1", uint64(1_790_000_000_000_000_001)},
+		},
 	})
 }
 
 // Questions and answers of an exchange, field by field and as a ledger makes them.
 func TestGoldenExchangeMessages(t *testing.T) {
 	version := Version{{Actor: "gateway-1#7", Counter: 3}}
-	ask := ExchangeRequest{ExchangeID: 5, RequestSeq: 6, Actor: "gateway-1#7", RowVersions: []RowVersion{{Actor: "gateway-2#9", Seq: 8}}, First: true,
-		Nodes: []TreeNode{{Level: 1, Index: 63}}, WantedBuckets: []BucketDigest{{Index: 65535, EntryDigests: []uint64{1, 1 << 63}}}}
-	answer := ExchangeResponse{ExchangeID: 5, RequestSeq: 6, Actor: "gateway-2#9", EndedBefore: 10, MissedDeletes: true, RootDigest: 1 << 62,
+	ask := ExchangeRequest{
+		ExchangeID: 5, RequestSeq: 6, Actor: "gateway-1#7", RowVersions: []RowVersion{{Actor: "gateway-2#9", Seq: 8}}, First: true,
+		Nodes: []TreeNode{{Level: 1, Index: 63}}, WantedBuckets: []BucketDigest{{Index: 65535, EntryDigests: []uint64{1, 1 << 63}}},
+	}
+	answer := ExchangeResponse{
+		ExchangeID: 5, RequestSeq: 6, Actor: "gateway-2#9", EndedBefore: 10, MissedDeletes: true, RootDigest: 1 << 62,
 		Rows: []Row{{Actor: "gateway-2#9", Seq: 1, Known: version}}, ChildDigests: [][]uint64{{1, 2}, {3}},
 		BucketStates: []BucketState{{Index: 65535, EntryCount: 2, MissingDigests: []uint64{4}, HasMore: true}},
-		Batch:        Batch{Known: version, Entries: []Entry{{Name: "plan/a"}}, ContextIndexes: []uint16{0}}}
+		Batch:        Batch{Known: version, Entries: []Entry{{Name: "plan/a"}}, ContextIndexes: []uint16{0}},
+	}
 
 	asker := NewMap("gateway-3#4")
 	exchange := asker.NewExchange("gateway-1", 17)
@@ -89,8 +104,10 @@
 	firstAnswer, err := holder.HandleRequest("gateway-3", firstAsk)
 	require.NoError(t, err)
 	bucket := BucketDigest{Index: bucketOf("plan/a"), EntryDigests: []uint64{99}}
-	entriesAnswer, err := holder.HandleRequest("gateway-3", ExchangeRequest{ExchangeID: 17, RequestSeq: 2, Actor: "gateway-3#4", Nodes: []TreeNode{{Level: 2, Index: bucket.Index / 16}},
-		WantedBuckets: []BucketDigest{bucket}})
+	entriesAnswer, err := holder.HandleRequest("gateway-3", ExchangeRequest{
+		ExchangeID: 17, RequestSeq: 2, Actor: "gateway-3#4", Nodes: []TreeNode{{Level: 2, Index: bucket.Index / 16}},
+		WantedBuckets: []BucketDigest{bucket},
+	})
 	require.NoError(t, err)
 	require.Len(t, entriesAnswer.Batch.Entries, 1)
 	requireGolden(t, "exchange.golden", []goldenForm{
@@ -130,8 +147,10 @@
 func TestGoldenDigests(t *testing.T) {
 	l := goldenLedger(t)
 	digest := func(name string, value, want uint64) goldenForm {
-		return goldenForm{name, func() ([]byte, error) { return binary.BigEndian.AppendUint64(nil, value), nil },
-			func(encoded []byte) (any, error) { return binary.BigEndian.Uint64(encoded), nil }, want}
+		return goldenForm{
+			name, func() ([]byte, error) { return binary.BigEndian.AppendUint64(nil, value), nil },
+			func(encoded []byte) (any, error) { return binary.BigEndian.Uint64(encoded), nil }, want,
+		}
 	}
 	siblings, _ := l.Get("plan/a")
 	tombstone, _ := l.Get("plan/b")
--- a/cluster/gossip/errors.go
+++ b/cluster/gossip/errors.go
@@ -46,6 +46,7 @@
 	}
 	return fmt.Sprintf("fleet: key file %s: %s", e.Path, e.Reason)
 }
+
 func (e *InvalidKeyFileError) Advice() string {
 	return "Write 32 random bytes in base64 to the key file (`openssl rand -base64 32`), the same on all instances, readable by the program alone."
 }
@@ -56,6 +57,7 @@
 func (e *KeyMismatchError) Error() string {
 	return "fleet: what " + e.From + " sends is not under a key that is held here"
 }
+
 func (e *KeyMismatchError) Advice() string {
 	return "Compare the key files of both instances; while keys are changed, each file names the old and the new one."
 }
@@ -66,6 +68,7 @@
 func (e *IsolatedError) Error() string {
 	return "fleet: no other instance has been reached at " + strings.Join(e.Tried, ", ")
 }
+
 func (e *IsolatedError) Advice() string {
 	return "Look whether the instances named by `fleet.join` are up, whether TCP and UDP pass on their ports both ways, and whether the key is the same; it is tried again every second."
 }
@@ -76,6 +79,7 @@
 func (e *NameConflictError) Error() string {
 	return fmt.Sprintf("fleet: two instances claim the name %q; neither takes part in votes", e.Name)
 }
+
 func (e *NameConflictError) Advice() string {
 	return "Give one of the two another `fleet.name` and restart it; if both came from one copied disk, empty the copy's store first."
 }
@@ -86,6 +90,7 @@
 func (e *MetadataTooLargeError) Error() string {
 	return fmt.Sprintf("fleet: what this instance says of itself takes %d bytes, %d at the most", e.Bytes, metaMost)
 }
+
 func (e *MetadataTooLargeError) Advice() string {
 	return "Shorten `fleet.name`, `fleet.region` or `fleet.zone`."
 }
@@ -99,6 +104,7 @@
 func (e *MessageTooLargeError) Error() string {
 	return fmt.Sprintf("fleet: a message of %d bytes to %s, %d at the most", e.Bytes, e.To, MaxBodyBytes)
 }
+
 func (e *MessageTooLargeError) Advice() string {
 	return "This is a fault of the program: report it with the log line."
 }
--- a/cluster/gossip/gossip.go
+++ b/cluster/gossip/gossip.go
@@ -128,9 +128,11 @@
 			return nil, &InvalidKeyFileError{Path: "given", Reason: fmt.Sprintf("%d bytes, 16, 24 or 32 are wanted", len(key))}
 		}
 	}
-	n := &Node{o: o, log: o.Logger, decoding: newDecoding(), began: time.Now(), sends: make(chan struct{}, sendsMost),
+	n := &Node{
+		o: o, log: o.Logger, decoding: newDecoding(), began: time.Now(), sends: make(chan struct{}, sendsMost),
 		chance: rand.New(rand.NewSource(o.Seed)), kick: make(chan struct{}, 1), nodes: map[string]memberlist.Node{},
-		last: map[string]string{}, handlers: map[byte]chan message{}, gone: make(chan struct{}), others: rate.NewLimiter(rate.Every(othersEvery), 1)}
+		last: map[string]string{}, handlers: map[byte]chan message{}, gone: make(chan struct{}), others: rate.NewLimiter(rate.Every(othersEvery), 1),
+	}
 	n.events.of = map[string]event{}
 	if n.log == nil {
 		n.log = slog.New(slog.DiscardHandler)
@@ -178,8 +180,10 @@
 	var wire *memberlist.NetTransport
 	var err error
 	for range tries {
-		if wire, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{at.Addr().String()},
-			BindPort: int(at.Port()), Logger: logger}); err == nil {
+		if wire, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+			BindAddrs: []string{at.Addr().String()},
+			BindPort:  int(at.Port()), Logger: logger,
+		}); err == nil {
 			n.wire = &transport{NetTransport: wire, via: n.o.AddrOverrides, drop: n.o.ShouldDrop}
 			return nil
 		}
--- a/cluster/gossip/gossip_test.go
+++ b/cluster/gossip/gossip_test.go
@@ -246,8 +246,10 @@
 				via[other] = relay(t, other)
 			}
 		}
-		n, err := Start(t.Context(), Options{Self: membership.Member{Name: fmt.Sprint("n", i)}, Voters: []string{"n0", "n1", "n2"}, ListenAddr: addr,
-			JoinAddrs: addrs, AddrOverrides: via, Key: key, ShouldDrop: func(to string) bool { return false }})
+		n, err := Start(t.Context(), Options{
+			Self: membership.Member{Name: fmt.Sprint("n", i)}, Voters: []string{"n0", "n1", "n2"}, ListenAddr: addr,
+			JoinAddrs: addrs, AddrOverrides: via, Key: key, ShouldDrop: func(to string) bool { return false },
+		})
 		require.NoError(t, err)
 		t.Cleanup(n.Close)
 		all = append(all, n)
@@ -267,8 +269,13 @@
 	ln, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	for _, o := range []Options{{ListenAddr: ln.LocalAddr().String()}, {ListenAddr: "here"}, {ListenAddr: "0.0.0.0:1"}, {ListenAddr: "127.0.0.1:0", Key: []byte("x")},
-		{ListenAddr: "127.0.0.1:0", Self: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), ProgramVersion: string(make([]byte, 200))}}} {
+	for _, o := range []Options{
+		{ListenAddr: ln.LocalAddr().String()},
+		{ListenAddr: "here"},
+		{ListenAddr: "0.0.0.0:1"},
+		{ListenAddr: "127.0.0.1:0", Key: []byte("x")},
+		{ListenAddr: "127.0.0.1:0", Self: membership.Member{Name: "n", Zone: string(make([]byte, 200)), Region: string(make([]byte, 200)), ProgramVersion: string(make([]byte, 200))}},
+	} {
 		_, err := Start(t.Context(), o)
 		require.Error(t, err)
 		require.NotEmpty(t, advice.For(err), "%v", err)
@@ -301,8 +308,10 @@
 	require.NoError(t, err)
 	require.Equal(t, make([]byte, 32), key)
 	require.Len(t, older, 1)
-	for text, want := range map[string]string{"": "holds no key", "A": "line 1: is no base64", one + "\nAAAA\n": "line 2: 3 bytes",
-		strings.Repeat(one+"\n", 5): "line 5: more than 4 keys", strings.Repeat(" ", keyFileBytes+1): "over"} {
+	for text, want := range map[string]string{
+		"": "holds no key", "A": "line 1: is no base64", one + "\nAAAA\n": "line 2: 3 bytes",
+		strings.Repeat(one+"\n", 5): "line 5: more than 4 keys", strings.Repeat(" ", keyFileBytes+1): "over",
+	} {
 		write(text)
 		_, _, err := ReadKeyFile(path)
 		require.True(t, advice.HasType[*InvalidKeyFileError](err))
--- a/cluster/gossip/wire_golden_test.go
+++ b/cluster/gossip/wire_golden_test.go
@@ -27,15 +27,19 @@
 	node := func(whose membership.Identity) *Node {
 		return &Node{o: Options{Identity: whose}, decoding: newDecoding()}
 	}
-	full := membership.Member{Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, MetaVersion: 7, SuspicionVersion: 9, Region: "eu-west", Zone: "eu-west-1a",
-		ProgramVersion: "v1.2.3", SettingsGeneration: 42, Capabilities: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", StateSince: 5}
+	full := membership.Member{
+		Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, MetaVersion: 7, SuspicionVersion: 9, Region: "eu-west", Zone: "eu-west-1a",
+		ProgramVersion: "v1.2.3", SettingsGeneration: 42, Capabilities: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", StateSince: 5,
+	}
 	decoded := full // neither Look nor Since is sent, and the address comes from the membership library
 	decoded.SuspicionVersion, decoded.StateSince, decoded.Addr = 0, 0, "192.0.2.9:7946"
 	member := func(name string, whose membership.Identity, state, wantState membership.State) goldenForm {
 		sent, want := full, decoded
 		sent.State, want.State = state, wantState
-		return goldenForm{name, func() ([]byte, error) { return node(whose).encodeMember(sent) },
-			func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, want}
+		return goldenForm{
+			name, func() ([]byte, error) { return node(whose).encodeMember(sent) },
+			func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, want,
+		}
 	}
 	shortest := membership.Member{Name: "g", Incarnation: 1}
 	ends := []membership.Member{{Name: "gateway-2", Incarnation: 11, State: membership.Dead}, {Name: "gateway-3", Incarnation: 12, State: membership.Left}}
@@ -44,24 +48,38 @@
 		member("member-without-identity", membership.Identity{}, membership.Alive, membership.Alive),
 		member("member-suspect", identity, membership.Suspect, membership.Alive),
 		member("member-leaving", identity, membership.Left, membership.Left),
-		{"member-shortest", func() ([]byte, error) { return node(membership.Identity{}).encodeMember(shortest) },
-			func(encoded []byte) (any, error) { return node(membership.Identity{}).decodeMember(encoded, "") }, shortest},
-		{"member-identity", func() ([]byte, error) { return node(identity).encodeMember(shortest) },
+		{
+			"member-shortest", func() ([]byte, error) { return node(membership.Identity{}).encodeMember(shortest) },
+			func(encoded []byte) (any, error) { return node(membership.Identity{}).decodeMember(encoded, "") }, shortest,
+		},
+		{
+			"member-identity", func() ([]byte, error) { return node(identity).encodeMember(shortest) },
 			func(encoded []byte) (any, error) {
 				var received word
 				err := newDecoding().Unmarshal(encoded, &received)
 				return received.Whose, err
-			}, identity},
-		{"ended-lives", func() ([]byte, error) { return encodeEnds(ends), nil },
-			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, ends},
-		{"no-ended-lives", func() ([]byte, error) { return encodeEnds(nil), nil },
-			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, []membership.Member(nil)},
-		{"message", func() ([]byte, error) { return head(2, full, []byte("body")), nil }, cutMessage,
-			goldenMessage{2, "gateway-1", 1_790_000_000_000_000_001, []byte("body")}},
-		{"message-of-ended-lives", func() ([]byte, error) { return head(wordTopic, shortest, encodeEnds(ends)), nil }, cutMessage,
-			goldenMessage{0, "g", 1, encodeEnds(ends)}},
-		{"node-name", func() ([]byte, error) { return []byte(keyOf("gateway-1", 0xdeadbeef)), nil },
-			func(encoded []byte) (any, error) { return string(encoded), nil }, "gateway-1#deadbeef"},
+			}, identity,
+		},
+		{
+			"ended-lives", func() ([]byte, error) { return encodeEnds(ends), nil },
+			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, ends,
+		},
+		{
+			"no-ended-lives", func() ([]byte, error) { return encodeEnds(nil), nil },
+			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, []membership.Member(nil),
+		},
+		{
+			"message", func() ([]byte, error) { return head(2, full, []byte("body")), nil }, cutMessage,
+			goldenMessage{2, "gateway-1", 1_790_000_000_000_000_001, []byte("body")},
+		},
+		{
+			"message-of-ended-lives", func() ([]byte, error) { return head(wordTopic, shortest, encodeEnds(ends)), nil }, cutMessage,
+			goldenMessage{0, "g", 1, encodeEnds(ends)},
+		},
+		{
+			"node-name", func() ([]byte, error) { return []byte(keyOf("gateway-1", 0xdeadbeef)), nil },
+			func(encoded []byte) (any, error) { return string(encoded), nil }, "gateway-1#deadbeef",
+		},
 	})
 }
 
--- a/cluster/gossip/words.go
+++ b/cluster/gossip/words.go
@@ -55,8 +55,10 @@
 var errWord = errors.New("a word that cannot be used")
 
 func (w word) member(addr string) (membership.Member, error) {
-	m := membership.Member{Name: w.Name, Incarnation: w.Incarnation, MetaVersion: w.Word, State: w.State, Region: w.Region, Zone: w.Zone,
-		ProgramVersion: w.Program, SettingsGeneration: w.Generation, Capabilities: w.Parts, Addr: addr}
+	m := membership.Member{
+		Name: w.Name, Incarnation: w.Incarnation, MetaVersion: w.Word, State: w.State, Region: w.Region, Zone: w.Zone,
+		ProgramVersion: w.Program, SettingsGeneration: w.Generation, Capabilities: w.Parts, Addr: addr,
+	}
 	if !m.IsValid() {
 		return m, errWord
 	}
--- a/cluster/membership/fleet_test.go
+++ b/cluster/membership/fleet_test.go
@@ -165,8 +165,13 @@
 
 func TestBookIsBounded(t *testing.T) {
 	b := NewTable(at("a", 1, Alive), listed)
-	for _, m := range []Member{{}, {Name: "x"}, at(strings.Repeat("x", MaxNameBytes+1), 1, Alive), at("x", 1, 4), at("x", 1<<64-1, Alive),
-		{Name: "x", Incarnation: 1, Capabilities: make([]string, MaxCapabilities+1)}, {Name: "x", Incarnation: 1, Zone: strings.Repeat("z", MaxTextBytes+1)}} {
+	for _, m := range []Member{
+		{},
+		{Name: "x"},
+		at(strings.Repeat("x", MaxNameBytes+1), 1, Alive), at("x", 1, 4), at("x", 1<<64-1, Alive),
+		{Name: "x", Incarnation: 1, Capabilities: make([]string, MaxCapabilities+1)},
+		{Name: "x", Incarnation: 1, Zone: strings.Repeat("z", MaxTextBytes+1)},
+	} {
 		require.False(t, b.ApplyUpdate(1, m))
 	}
 	for i := range MaxMembers {
--- a/cluster/membership/swimsim/swim.go
+++ b/cluster/membership/swimsim/swim.go
@@ -201,8 +201,10 @@
 func (w *Cluster) Start(no int) {
 	w.spare += 1000
 	me := membership.Member{Name: InstanceName(no), Incarnation: uint64(w.spare), Addr: fmt.Sprint("addr-", no)}
-	i := &Instance{Index: no, NodeName: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Running: true, w: w, Table: membership.NewTable(me, w.listed),
-		nodes: map[string]*node{}, last: map[string]int{}, said: me}
+	i := &Instance{
+		Index: no, NodeName: fmt.Sprintf("%s#%d", me.Name, me.Incarnation), Running: true, w: w, Table: membership.NewTable(me, w.listed),
+		nodes: map[string]*node{}, last: map[string]int{}, said: me,
+	}
 	i.watch = membership.NewFailureDetector(i.Table, rand.New(rand.NewSource(w.dice.Int63())))
 	w.Instances[no] = i
 	i.every(probeEvery, i.probe)
--- a/cluster/membership/watch.go
+++ b/cluster/membership/watch.go
@@ -266,6 +266,7 @@
 
 // IsTracked tells whether a life is followed at all, Here whether the gossip has it as there.
 func (w *FailureDetector) IsTracked(key string) bool { return w.seats[key] != nil }
+
 func (w *FailureDetector) IsPresent(key string) bool {
 	return w.seats[key] != nil && w.seats[key].missing == 0
 }
--- a/cluster/peerprotocol/keys.go
+++ b/cluster/peerprotocol/keys.go
@@ -82,15 +82,19 @@
 // server is the present configuration for one asker's handshake: its certificate must come from the authorities.
 func (k *Credentials) server() (*tls.Config, error) {
 	pair, roots := k.current()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, ClientCAs: roots,
-		ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true}, nil
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, ClientCAs: roots,
+		ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
+	}, nil
 }
 
 // client is the present configuration for asking a peer, whose certificate must bear its name.
 func (k *Credentials) client(peer string) (*tls.Config, error) {
 	pair, roots := k.current()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: roots,
-		ServerName: peer}, nil
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: roots,
+		ServerName: peer,
+	}, nil
 }
 
 // names are those that a peer's certificate proves.
--- a/cluster/peerprotocol/peer_test.go
+++ b/cluster/peerprotocol/peer_test.go
@@ -39,8 +39,10 @@
 func hosts(n int) []peerreport.Observation {
 	notes := make([]peerreport.Observation, n)
 	for i := range notes {
-		notes[i] = peerreport.Observation{HostID: fmt.Sprintf("host-%05d", i), ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90,
-			StartedMs: 1_790_000_000_000, AgeMs: 1200, IsOutlier: i%9 == 0}
+		notes[i] = peerreport.Observation{
+			HostID: fmt.Sprintf("host-%05d", i), ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90,
+			StartedMs: 1_790_000_000_000, AgeMs: 1200, IsOutlier: i%9 == 0,
+		}
 	}
 	return notes
 }
@@ -49,13 +51,15 @@
 func serve(t *testing.T, n int, edit func(s *Server)) (addr string, refused func() string) {
 	why := atomic.Value{}
 	notes := hosts(n)
-	s := &Server{Name: "b", InstanceID: 7, AllowedNames: []string{"a"}, Release: func() {},
+	s := &Server{
+		Name: "b", InstanceID: 7, AllowedNames: []string{"a"}, Release: func() {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
 		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			return peerreport.ReportHeader{Peer: "b", Serial: 1, HostCount: uint32(n)}, notes, nil
 		},
 		BuildStatus: func(context.Context) (Status, error) { return Status{Name: "b", HostCount: uint32(n)}, nil },
-		OnRejected:  func(_, words string) { why.Store(words) }}
+		OnRejected:  func(_, words string) { why.Store(words) },
+	}
 	if edit != nil {
 		edit(s)
 	}
@@ -68,9 +72,11 @@
 
 // ask asks and counts the hosts that came.
 func ask(addr string, edit func(a *Client)) (how peerreport.Outcome, later time.Duration, got int, err error) {
-	a := &Client{PeerName: "b", Addr: addr, LocalName: "a", InstanceID: 1, Dial: (&net.Dialer{}).DialContext,
+	a := &Client{
+		PeerName: "b", Addr: addr, LocalName: "a", InstanceID: 1, Dial: (&net.Dialer{}).DialContext,
 		OnHeader:       func(peerreport.ReportHeader) error { return nil },
-		OnObservations: func(notes []peerreport.Observation) error { got += len(notes); return nil }}
+		OnObservations: func(notes []peerreport.Observation) error { got += len(notes); return nil },
+	}
 	if edit != nil {
 		edit(a)
 	}
@@ -220,8 +226,10 @@
 func newAuthority(t *testing.T) *authority {
 	a := &authority{t: t, dir: t.TempDir()}
 	a.key, _ = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	a.cert = &x509.Certificate{SerialNumber: big.NewInt(1), IsCA: true, BasicConstraintsValid: true,
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign}
+	a.cert = &x509.Certificate{
+		SerialNumber: big.NewInt(1), IsCA: true, BasicConstraintsValid: true,
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign,
+	}
 	der, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &a.key.PublicKey, a.key)
 	require.NoError(t, err)
 	a.write("ca.pem", "CERTIFICATE", der)
@@ -235,9 +243,11 @@
 // issue writes name.pem and name.key for a certificate of subject.
 func (a *authority) issue(name, subject string, serial int64) {
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: big.NewInt(serial),
-		Subject: pkix.Name{CommonName: subject}, DNSNames: []string{subject}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(time.Hour)}, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{
+		SerialNumber: big.NewInt(serial),
+		Subject:      pkix.Name{CommonName: subject}, DNSNames: []string{subject}, NotBefore: time.Now().Add(-time.Hour),
+		NotAfter: time.Now().Add(time.Hour),
+	}, a.cert, &key.PublicKey, a.key)
 	require.NoError(a.t, err)
 	text, _ := x509.MarshalECPrivateKey(key)
 	a.write(name+".pem", "CERTIFICATE", der)
--- a/cluster/peerprotocol/wire.go
+++ b/cluster/peerprotocol/wire.go
@@ -104,11 +104,15 @@
 var ErrInvalidMessage = errors.New("bad peer message")
 
 var (
-	encoder = must(cbor.EncOptions{Sort: cbor.SortNone, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.EncMode())
-	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+	encoder = must(cbor.EncOptions{
+		Sort: cbor.SortNone, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden,
+	}.EncMode())
+	decoder = must(cbor.DecOptions{
+		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, MaxNestedLevels: nestedMost, MaxArrayElements: peerreport.MaxChunkObservations,
-		MaxMapPairs: 16, UTF8: cbor.UTF8RejectInvalid}.DecMode())
+		MaxMapPairs: 16, UTF8: cbor.UTF8RejectInvalid,
+	}.DecMode())
 )
 
 func must[T any](v T, err error) T {
--- a/cluster/peerprotocol/wire_golden_test.go
+++ b/cluster/peerprotocol/wire_golden_test.go
@@ -16,27 +16,36 @@
 
 func goldenReport() (peerreport.ReportHeader, []peerreport.Observation) {
 	notes := []peerreport.Observation{
-		{HostID: "host-1:9200", ZoneIndex: 1, StartedMs: 1_790_000_000_000, ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90, ConsecutiveFailures: 2, ConnectFailures: 3, UnansweredRequests: 4,
-			SilentMs: 5000, AgeMs: 1200, IsOutlier: true},
-		{HostID: "host-2:9200", AgeMs: peerreport.NeverAnswered}}
-	return peerreport.ReportHeader{Peer: "b", Locality: "eu-west-1a", Serial: 3, ListVersion: 42, AgeMs: 1500, AnswerCount: 800, FleetLatency: 120, MinLatency: 35, HostCount: 2,
-		Zones: []peerreport.ZoneObservation{{Name: "eu-west-1b", Samples: 16, LogSlowdown: 250}, {Name: "eu-west-1c", Samples: 8, LogSlowdown: -3}}}, notes
+		{
+			HostID: "host-1:9200", ZoneIndex: 1, StartedMs: 1_790_000_000_000, ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90, ConsecutiveFailures: 2, ConnectFailures: 3, UnansweredRequests: 4,
+			SilentMs: 5000, AgeMs: 1200, IsOutlier: true,
+		},
+		{HostID: "host-2:9200", AgeMs: peerreport.NeverAnswered},
+	}
+	return peerreport.ReportHeader{
+		Peer: "b", Locality: "eu-west-1a", Serial: 3, ListVersion: 42, AgeMs: 1500, AnswerCount: 800, FleetLatency: 120, MinLatency: 35, HostCount: 2,
+		Zones: []peerreport.ZoneObservation{{Name: "eu-west-1b", Samples: 16, LogSlowdown: 250}, {Name: "eu-west-1c", Samples: 8, LogSlowdown: -3}},
+	}, notes
 }
 
 func goldenStatus() Status {
-	return Status{Name: "b", Locality: "eu-west-1a", UptimeMs: 123456, ListVersion: 42, HostCount: 2, ReportsServed: 5, ReportsDeferred: 6, LoadPermille: 250, WaitingJobs: 7, RunningJobs: 8, HeldJobs: 9,
-		Peers: []PeerStatus{{Name: "a", LastOutcome: "told", LastOutcomeAgoMs: 1000, ReportCount: 3, NextPollInMs: 2000}}}
+	return Status{
+		Name: "b", Locality: "eu-west-1a", UptimeMs: 123456, ListVersion: 42, HostCount: 2, ReportsServed: 5, ReportsDeferred: 6, LoadPermille: 250, WaitingJobs: 7, RunningJobs: 8, HeldJobs: 9,
+		Peers: []PeerStatus{{Name: "a", LastOutcome: "told", LastOutcomeAgoMs: 1000, ReportCount: 3, NextPollInMs: 2000}},
+	}
 }
 
 func goldenServer(admitted bool) *Server {
-	return &Server{Name: "b", InstanceID: 7, AllowedNames: []string{"a"}, Release: func() {},
+	return &Server{
+		Name: "b", InstanceID: 7, AllowedNames: []string{"a"}, Release: func() {},
 		Admit: func(string) (bool, time.Duration) { return admitted, 1500 * time.Millisecond },
 		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			head, notes := goldenReport()
 			return head, notes, nil
 		},
 		BuildStatus: func(context.Context) (Status, error) { return goldenStatus(), nil },
-		OnRejected:  func(string, string) {}}
+		OnRejected:  func(string, string) {},
+	}
 }
 
 // respond is all that a server sends to a client that has sent a request.
@@ -100,9 +109,11 @@
 
 	read := func(response []byte) (any, error) {
 		result := goldenResult{}
-		client := &Client{PeerName: "b", LocalName: "a", InstanceID: 1,
+		client := &Client{
+			PeerName: "b", LocalName: "a", InstanceID: 1,
 			OnHeader:       func(h peerreport.ReportHeader) error { result.heads = append(result.heads, h); return nil },
-			OnObservations: func(notes []peerreport.Observation) error { result.notes = append(result.notes, notes...); return nil }}
+			OnObservations: func(notes []peerreport.Observation) error { result.notes = append(result.notes, notes...); return nil },
+		}
 		sent, _ := query(client, response, func() error {
 			var err error
 			if result.how, result.later, err = client.FetchReport(context.Background()); err != nil {
@@ -132,10 +143,14 @@
 	}
 	head, notes := goldenReport()
 	requireGolden(t, "connections.golden", []goldenForm{
-		{"request-report", func() ([]byte, error) { return reportRequest, nil }, decodeHello,
-			hello{Version: 1, Name: "a", Instance: 1, Want: "report"}},
-		{"request-status", func() ([]byte, error) { return statusRequest, nil }, decodeHello,
-			hello{Version: 1, Name: "a", Instance: 1, Want: "status"}},
+		{
+			"request-report", func() ([]byte, error) { return reportRequest, nil }, decodeHello,
+			hello{Version: 1, Name: "a", Instance: 1, Want: "report"},
+		},
+		{
+			"request-status", func() ([]byte, error) { return statusRequest, nil }, decodeHello,
+			hello{Version: 1, Name: "a", Instance: 1, Want: "status"},
+		},
 		response("response-report", true, reportRequest, goldenResult{how: peerreport.OutcomeReceived, heads: []peerreport.ReportHeader{head}, notes: notes}),
 		response("response-later", false, reportRequest, goldenResult{how: peerreport.OutcomeDeferred, later: 1500 * time.Millisecond}),
 		response("response-unknown-name", true, unknownName,
@@ -146,7 +161,8 @@
 			goldenResult{how: peerreport.OutcomeRejected, failed: "refused (version): version 1 is spoken here"}),
 		response("response-unknown-want", true, unknownWant,
 			goldenResult{how: peerreport.OutcomeRejected, failed: "refused (unusable): nothing known is wanted"}),
-		{"response-status", func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
+		{
+			"response-status", func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
 			func(encoded []byte) (any, error) {
 				client := &Client{PeerName: "b", LocalName: "a", InstanceID: 1}
 				var status Status
@@ -155,11 +171,16 @@
 					err = errors.Join(err, errors.New("the client sent another request"))
 				}
 				return status, err
-			}, goldenStatus()},
-		{"notes", func() ([]byte, error) { return EncodeObservations(notes) },
-			func(encoded []byte) (any, error) { return DecodeObservations(encoded) }, notes},
-		{"head", func() ([]byte, error) { return encoder.Marshal(head) },
-			func(encoded []byte) (any, error) { return DecodeHeader(encoded) }, head},
+			}, goldenStatus(),
+		},
+		{
+			"notes", func() ([]byte, error) { return EncodeObservations(notes) },
+			func(encoded []byte) (any, error) { return DecodeObservations(encoded) }, notes,
+		},
+		{
+			"head", func() ([]byte, error) { return encoder.Marshal(head) },
+			func(encoded []byte) (any, error) { return DecodeHeader(encoded) }, head,
+		},
 	})
 }
 
--- a/cluster/peerreport/learn_test.go
+++ b/cluster/peerreport/learn_test.go
@@ -53,9 +53,11 @@
 }
 
 var note = rapid.Custom(func(t *rapid.T) Observation {
-	return Observation{HostID: fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "id")), ShortSamples: rapid.Uint16().Draw(t, "shortN"),
+	return Observation{
+		HostID: fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "id")), ShortSamples: rapid.Uint16().Draw(t, "shortN"),
 		LongSamples: rapid.Uint16().Draw(t, "longN"), ShortLogSlowdown: rapid.Int16().Draw(t, "short"), LongLogSlowdown: rapid.Int16().Draw(t, "long"),
-		IsOutlier: rapid.Bool().Draw(t, "bad")}
+		IsOutlier: rapid.Bool().Draw(t, "bad"),
+	}
 })
 
 // Some peers' reports, in any order: the same is combined of them. No host weighs more than the module would
@@ -231,8 +233,10 @@
 func TestPlaces(t *testing.T) {
 	n := slow("h1", 1500)
 	n.ZoneIndex = 1
-	head := ReportHeader{Peer: "a", Locality: "east", HostCount: 1, AnswerCount: 1000, FleetLatency: 400, MinLatency: 30,
-		Zones: []ZoneObservation{{Name: "z0", Samples: 80}, {Name: "z1", Samples: 80, LogSlowdown: 1400}}}
+	head := ReportHeader{
+		Peer: "a", Locality: "east", HostCount: 1, AnswerCount: 1000, FleetLatency: 400, MinLatency: 30,
+		Zones: []ZoneObservation{{Name: "z0", Samples: 80}, {Name: "z1", Samples: 80, LogSlowdown: 1400}},
+	}
 	here, there := NewReportStore("east", []string{"z1"}), NewReportStore("west", []string{"z0", "z1"})
 	put2(t, here, 0, head, n)
 	put2(t, there, 0, head, n)
--- a/cluster/peerreport/report.go
+++ b/cluster/peerreport/report.go
@@ -105,19 +105,23 @@
 		}
 	case balancer.ScopeZone:
 		if b.Zone < len(t.zones) && len(t.Header.Zones) < MaxZones {
-			t.Header.Zones = append(t.Header.Zones, ZoneObservation{Name: t.zones[b.Zone],
-				Samples: uint16(scaled(b.ShortWindow.Weight, countScale, math.MaxUint16)), LogSlowdown: t.slower(b.ShortWindow)})
+			t.Header.Zones = append(t.Header.Zones, ZoneObservation{
+				Name:    t.zones[b.Zone],
+				Samples: uint16(scaled(b.ShortWindow.Weight, countScale, math.MaxUint16)), LogSlowdown: t.slower(b.ShortWindow),
+			})
 		}
 	case balancer.ScopeReplica:
 		if len(t.Observations) >= MaxHosts {
 			return
 		}
-		n := Observation{HostID: b.Replica, ZoneIndex: uint8(min(b.Zone, MaxZones)), StartedMs: uint64(max(0, b.ReplicaStart) / tenthsPerMs),
+		n := Observation{
+			HostID: b.Replica, ZoneIndex: uint8(min(b.Zone, MaxZones)), StartedMs: uint64(max(0, b.ReplicaStart) / tenthsPerMs),
 			ShortSamples: uint16(scaled(b.ShortWindow.Weight, countScale, math.MaxUint16)), ShortLogSlowdown: t.slower(b.ShortWindow),
 			LongSamples: uint16(scaled(b.LongWindow.Weight, countScale, math.MaxUint16)), LongLogSlowdown: t.slower(b.LongWindow),
 			ConsecutiveFailures: uint8(min(b.ConsecutiveFailures, math.MaxUint8)), ConnectFailures: uint8(min(b.ConsecutiveConnectFailures, math.MaxUint8)),
 			UnansweredRequests: uint8(min(b.UnansweredRequests, math.MaxUint8)),
-			SilentMs:           uint32(min(b.SilentFor/tenthsPerMs, math.MaxUint32-1)), AgeMs: NeverAnswered, IsOutlier: b.Outlier}
+			SilentMs:           uint32(min(b.SilentFor/tenthsPerMs, math.MaxUint32-1)), AgeMs: NeverAnswered, IsOutlier: b.Outlier,
+		}
 		if b.LastAnswerAge >= 0 {
 			n.AgeMs = uint32(min(b.LastAnswerAge/tenthsPerMs, math.MaxUint32-1))
 		}
--- a/cluster/peerreport/shelf.go
+++ b/cluster/peerreport/shelf.go
@@ -36,8 +36,10 @@
 
 // NewReportStore is an empty shelf of a co-ordinator at a place with the settings' zones.
 func NewReportStore(place string, zones []string) *ReportStore {
-	s := &ReportStore{place: place, zones: map[string]int{}, reports: map[string]*report{}, coming: map[string]*report{},
-		moved: map[string]int64{}, told: map[string]bool{}, ways: map[int]bool{}}
+	s := &ReportStore{
+		place: place, zones: map[string]int{}, reports: map[string]*report{}, coming: map[string]*report{},
+		moved: map[string]int64{}, told: map[string]bool{}, ways: map[int]bool{},
+	}
 	for i, name := range zones {
 		s.zones[name] = i
 	}
@@ -145,8 +147,10 @@
 	if r.head.Locality != s.place && int(n.ZoneIndex) < len(r.head.Zones) {
 		way = max(0, float64(r.head.Zones[n.ZoneIndex].LogSlowdown)/logScale)
 	}
-	v := vote{shortN: weight(n.ShortSamples, age, balancer.ShortWindow), longN: weight(n.LongSamples, age, balancer.LongWindow),
-		short: float64(n.ShortLogSlowdown)/logScale - way, long: float64(n.LongLogSlowdown)/logScale - way}
+	v := vote{
+		shortN: weight(n.ShortSamples, age, balancer.ShortWindow), longN: weight(n.LongSamples, age, balancer.LongWindow),
+		short: float64(n.ShortLogSlowdown)/logScale - way, long: float64(n.LongLogSlowdown)/logScale - way,
+	}
 	if n.IsOutlier && !r.self {
 		v.lasts = max(0, badLife-age)
 	}
@@ -261,8 +265,10 @@
 		}
 		for _, z := range r.head.Zones {
 			if i, known := s.zones[z.Name]; known {
-				ways[i] = append(ways[i], vote{shortN: weight(z.Samples, max(0, now-r.taken), balancer.ShortWindow),
-					short: float64(z.LogSlowdown) / logScale})
+				ways[i] = append(ways[i], vote{
+					shortN: weight(z.Samples, max(0, now-r.taken), balancer.ShortWindow),
+					short:  float64(z.LogSlowdown) / logScale,
+				})
 			}
 		}
 	}
@@ -273,8 +279,10 @@
 		for len(ways[i]) < near {
 			ways[i] = append(ways[i], vote{})
 		}
-		h := balancer.GossipedObservation{Scope: balancer.ScopeZone, Zone: i,
-			ShortWindow: settle(ways[i], func(v vote) (float64, float64) { return v.shortN, v.short })}
+		h := balancer.GossipedObservation{
+			Scope: balancer.ScopeZone, Zone: i,
+			ShortWindow: settle(ways[i], func(v vote) (float64, float64) { return v.shortN, v.short }),
+		}
 		if says := h.ShortWindow.Weight > 0; says || s.ways[i] {
 			out = append(out, h)
 			s.ways[i] = says
--- a/cluster/peerreport/wire_golden_test.go
+++ b/cluster/peerreport/wire_golden_test.go
@@ -10,10 +10,14 @@
 
 // A report's head and notes as peers of different builds exchange them. Package peerprotocol pins the frames around them.
 func TestGoldenReport(t *testing.T) {
-	head := ReportHeader{Peer: "gateway-1", Locality: "eu-west-1a", Serial: 3, ListVersion: 42, AgeMs: 1500, AnswerCount: 800, FleetLatency: 120, MinLatency: 35, HostCount: 2,
-		Zones: []ZoneObservation{{Name: "eu-west-1b", Samples: 65535, LogSlowdown: -32768}, {Name: "eu-west-1c", Samples: 8, LogSlowdown: 32767}}}
-	note := Observation{HostID: "host-1:9200", ZoneIndex: 1, StartedMs: 1_790_000_000_000, ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90, ConsecutiveFailures: 2, ConnectFailures: 3, UnansweredRequests: 4,
-		SilentMs: 5000, AgeMs: 1200, IsOutlier: true}
+	head := ReportHeader{
+		Peer: "gateway-1", Locality: "eu-west-1a", Serial: 3, ListVersion: 42, AgeMs: 1500, AnswerCount: 800, FleetLatency: 120, MinLatency: 35, HostCount: 2,
+		Zones: []ZoneObservation{{Name: "eu-west-1b", Samples: 65535, LogSlowdown: -32768}, {Name: "eu-west-1c", Samples: 8, LogSlowdown: 32767}},
+	}
+	note := Observation{
+		HostID: "host-1:9200", ZoneIndex: 1, StartedMs: 1_790_000_000_000, ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90, ConsecutiveFailures: 2, ConnectFailures: 3, UnansweredRequests: 4,
+		SilentMs: 5000, AgeMs: 1200, IsOutlier: true,
+	}
 	form := func(name string, value any, decode func(encoded []byte) (any, error)) goldenForm {
 		return goldenForm{name, func() ([]byte, error) { return cbor.Marshal(value) }, decode, value}
 	}
--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -43,10 +43,12 @@
 }
 
 func startOnDisk(t *testing.T, life uint64, d *disk) *Replicator {
-	b := Start(context.Background(), Options{InstanceName: "east-0", Incarnation: life, Transport: testnet.New(1).Join("east-0"), Seed: 1,
+	b := Start(context.Background(), Options{
+		InstanceName: "east-0", Incarnation: life, Transport: testnet.New(1).Join("east-0"), Seed: 1,
 		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
 		OpenStorage: func(context.Context) (Storage, error) { return &bucketDisk{d, t}, nil },
-		Peers:       func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} }})
+		Peers:       func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} },
+	})
 	<-b.Ready()
 	return b
 }
--- a/cluster/replication/share.go
+++ b/cluster/replication/share.go
@@ -139,15 +139,18 @@
 	if o.ExchangeInterval <= 0 {
 		o.ExchangeInterval = time.Second
 	}
-	b := &Replicator{o: o, l: crdt.NewMap(crdt.FormatActor(o.InstanceName, max(1, o.Incarnation))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
+	b := &Replicator{
+		o: o, l: crdt.NewMap(crdt.FormatActor(o.InstanceName, max(1, o.Incarnation))), chance: rand.New(rand.NewSource(o.Seed)), start: time.Now(),
 		ready: make(chan struct{}), found: make(chan struct{}), done: make(chan struct{}), watches: map[*watch]bool{}, freshIn: map[string]bool{}, dirty: map[string]bool{},
 		stirPush: make(chan struct{}, 1), stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}),
 		open: map[string]*running{}, waiting: map[uint64]chan crdt.ExchangeResponse{}, met: map[string]bool{}, heard: map[string]int64{},
-		told: map[string]int64{}, renewed: -renewEach, rowAt: -second << 8}
+		told: map[string]int64{}, renewed: -renewEach, rowAt: -second << 8,
+	}
 	b.run = b.chance.Uint64() >> 1
 	b.ctx, b.stop = context.WithCancel(ctx)
 	plan := scheduler.NewSchedule(rand.New(rand.NewSource(o.Seed+1)), map[string]scheduler.Budget{
-		"exchange": {BytesPerSecond: DefaultBytesPerSecond}, "answer": {MaxConcurrent: answersMost, BytesPerSecond: DefaultBytesPerSecond}, "fresh": {BytesPerSecond: DefaultBytesPerSecond}})
+		"exchange": {BytesPerSecond: DefaultBytesPerSecond}, "answer": {MaxConcurrent: answersMost, BytesPerSecond: DefaultBytesPerSecond}, "fresh": {BytesPerSecond: DefaultBytesPerSecond},
+	})
 	b.pool = scheduler.NewPool(clock{}, plan, func(job string, err error) { b.complain("share_job", job, err) })
 	o.Transport.Handle(Topic, b.handle)
 	go func() {
--- a/cluster/replication/share_test.go
+++ b/cluster/replication/share_test.go
@@ -92,8 +92,10 @@
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t: t, net: testnet.New(1), names: names, disks: map[string]*disk{}, books: map[string]*Replicator{}, nodes: map[string]*testnet.Node{}, log: &lines{},
-		opened: make(chan struct{})}
+	f := &fleet{
+		t: t, net: testnet.New(1), names: names, disks: map[string]*disk{}, books: map[string]*Replicator{}, nodes: map[string]*testnet.Node{}, log: &lines{},
+		opened: make(chan struct{}),
+	}
 	close(f.opened)
 	for _, n := range names {
 		f.disks[n] = &disk{data: map[string][]byte{}}
@@ -119,7 +121,8 @@
 	f.nodes[name] = node
 	d := f.disks[name]
 	opened := f.opened
-	f.books[name] = Start(context.Background(), Options{InstanceName: name, Incarnation: f.life, Transport: node, Seed: int64(f.life),
+	f.books[name] = Start(context.Background(), Options{
+		InstanceName: name, Incarnation: f.life, Transport: node, Seed: int64(f.life),
 		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.NewTextHandler(f.log, nil)),
 		OpenStorage: func(context.Context) (Storage, error) { <-opened; return d, nil },
 		Peers: func() (alive, listed []string) {
@@ -129,7 +132,8 @@
 				}
 			}
 			return alive, f.names
-		}})
+		},
+	})
 	return f.books[name]
 }
 
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -14,10 +14,12 @@
 
 // idleBook is a copy whose goroutines are not started, so that a test alone changes it.
 func idleBook(actor string) *Replicator {
-	return &Replicator{o: Options{InstanceName: crdt.ActorName(actor), Logger: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
+	return &Replicator{
+		o: Options{InstanceName: crdt.ActorName(actor), Logger: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
 		l: crdt.NewMap(actor), watches: map[*watch]bool{}, freshIn: map[string]bool{}, stirPush: make(chan struct{}, 1),
 		dirty: map[string]bool{}, stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}), open: map[string]*running{},
-		waiting: map[uint64]chan crdt.ExchangeResponse{}, told: map[string]int64{}}
+		waiting: map[uint64]chan crdt.ExchangeResponse{}, told: map[string]int64{},
+	}
 }
 
 // goldenBook holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -62,8 +62,10 @@
 		return nil, err
 	}
 	whose := membership.NewIdentity(own.ClusterName, plan.ResidencySite().Tenants)
-	o := gossip.Options{Identity: whose, Self: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Voters: own.VotingMembers,
-		ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.AddressOverrides, Logger: log, Seed: time.Now().UnixNano()}
+	o := gossip.Options{
+		Identity: whose, Self: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Voters: own.VotingMembers,
+		ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.AddressOverrides, Logger: log, Seed: time.Now().UnixNano(),
+	}
 	if own.KeyFile != "" {
 		if o.Key, o.OldKeys, err = gossip.ReadKeyFile(own.KeyFile); err != nil {
 			return nil, err
@@ -79,8 +81,10 @@
 		return nil, err
 	}
 	s.book, s.clock = s.node.Membership(), s.node.Now
-	s.shared = replication.Start(context.Background(), replication.Options{InstanceName: own.Name, Incarnation: s.book.Self().Incarnation, Transport: s.node, Peers: s.peers,
-		OpenStorage: s.disk, Logger: log, Seed: o.Seed + 1})
+	s.shared = replication.Start(context.Background(), replication.Options{
+		InstanceName: own.Name, Incarnation: s.book.Self().Incarnation, Transport: s.node, Peers: s.peers,
+		OpenStorage: s.disk, Logger: log, Seed: o.Seed + 1,
+	})
 	go s.open()
 	return s, nil
 }
--- a/cmd/chalkring/golden_cli_test.go
+++ b/cmd/chalkring/golden_cli_test.go
@@ -62,8 +62,16 @@
 func TestGoldenHelp(t *testing.T) {
 	var out strings.Builder
 	dir := t.TempDir()
-	for _, args := range [][]string{{"--help"}, {"serve", "--help"}, {"check", "--help"}, {"check", "files", "--help"},
-		{"check", "hosts", "--help"}, {"peers", "--help"}, {"search", "--help"}, {"version", "--help"}} {
+	for _, args := range [][]string{
+		{"--help"},
+		{"serve", "--help"},
+		{"check", "--help"},
+		{"check", "files", "--help"},
+		{"check", "hosts", "--help"},
+		{"peers", "--help"},
+		{"search", "--help"},
+		{"version", "--help"},
+	} {
 		command(t, &out, dir, nil, args...)
 	}
 	requireGolden(t, "help.golden", out.String())
@@ -73,10 +81,21 @@
 func TestGoldenCommandErrors(t *testing.T) {
 	var out strings.Builder
 	dir := t.TempDir()
-	for _, args := range [][]string{{"other"}, {"--other"}, {"check"}, {"check", "hosts"}, {"check", "nowhere.yaml"}, {"peers"},
-		{"peers", "--installation=nowhere.yaml"}, {"search"}, {"search", "--address=127.0.0.1:1", "--index=a", "--type=b"},
-		{"search", "--address=127.0.0.1:1", "--wait=soon"}, {"search", "--address=127.0.0.1:1", "--blocks=x"},
-		{"search", "--address=127.0.0.1:1", "--size=x"}, {"version", "more"}} {
+	for _, args := range [][]string{
+		{"other"},
+		{"--other"},
+		{"check"},
+		{"check", "hosts"},
+		{"check", "nowhere.yaml"},
+		{"peers"},
+		{"peers", "--installation=nowhere.yaml"},
+		{"search"},
+		{"search", "--address=127.0.0.1:1", "--index=a", "--type=b"},
+		{"search", "--address=127.0.0.1:1", "--wait=soon"},
+		{"search", "--address=127.0.0.1:1", "--blocks=x"},
+		{"search", "--address=127.0.0.1:1", "--size=x"},
+		{"version", "more"},
+	} {
 		command(t, &out, dir, nil, args...)
 	}
 	requireGolden(t, "command_errors.golden", out.String())
@@ -127,14 +146,16 @@
 func TestGoldenCheck(t *testing.T) {
 	var out strings.Builder
 	dir := testFiles(t)
-	for _, args := range []string{"plan.json", "plan.json installation.yaml", "installation.yaml", "files plan.json", "plan_no_json.json",
+	for _, args := range []string{
+		"plan.json", "plan.json installation.yaml", "installation.yaml", "files plan.json", "plan_no_json.json",
 		"plan_setting.json", "plan_names.json", "unknown_key.yaml", "two_errors.yaml", "wrong_type.yaml", "setting.yaml", "setting_place.yaml",
 		"setting_place.yaml plan.json", "setting_place.yaml plan_setting.json", "no_keys.yaml", "no_gossip_keys.yaml", "not_listed.yaml",
 		"no_store.yaml", "rolls.yaml", "resides.yaml", "resides.yaml plan.json", "contracts.yaml", "contracts.yaml plan.json",
 		"contracts_zone.yaml plan.json", "contracts_reach.yaml plan.json", "contracts_key.yaml", "subscribers.yaml", "subscribers_few.yaml",
 		"plan.json unknown_key.yaml installation.yaml plan_setting.json", "hosts hosts.yaml", "hosts --plan plan.json hosts.yaml hosts_more.json",
 		"hosts --plan plan.json hosts_one_set.yaml", "hosts --plan plan.json hosts_zone.yaml hosts.yaml", "hosts hosts_checksum.yaml",
-		"hosts hosts_unknown_key.yml", "hosts --plan plan_setting.json hosts.yaml", "hosts.yaml"} {
+		"hosts hosts_unknown_key.yml", "hosts --plan plan_setting.json hosts.yaml", "hosts.yaml",
+	} {
 		command(t, &out, dir, nil, append([]string{"check"}, strings.Fields(args)...)...)
 	}
 	requireGolden(t, "check.golden", out.String())
--- a/cmd/chalkring/golden_search_test.go
+++ b/cmd/chalkring/golden_search_test.go
@@ -96,8 +96,10 @@
 // The table of `chalkring peers`, with a peer that is not there.
 func TestGoldenPeers(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"none.yaml": "log: {format: json}\n",
-		"one.yaml": "peers:\n  name: a\n  ask: [{name: b, address: '127.0.0.1:1'}]\n"} {
+	for name, text := range map[string]string{
+		"none.yaml": "log: {format: json}\n",
+		"one.yaml":  "peers:\n  name: a\n  ask: [{name: b, address: '127.0.0.1:1'}]\n",
+	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
 	var out strings.Builder
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -42,20 +42,26 @@
 
 // goldenChange has every field set. One setting alone: a map's order is not fixed in the stored form.
 func goldenChange(number uint64) *rollout.Change {
-	return &rollout.Change{Name: "shorter-aim", Number: number, BaseNumber: number - 1, Settings: map[string]string{"Classes.0.Aim": "5"},
+	return &rollout.Change{
+		Name: "shorter-aim", Number: number, BaseNumber: number - 1, Settings: map[string]string{"Classes.0.Aim": "5"},
 		Program: rollout.Program{Path: "/opt/chalkring-2", Version: "2.0"},
 		Stages:  []rollout.Stage{{Count: 1, WatchDuration: 600_000}, {Fraction: 0.5, WatchDuration: 1_200_000}},
 		WarmUp:  300_000, MaxConcurrentFraction: 0.25, ReadyTimeout: 100_000, SilenceTimeout: 50_000, MinSearches: 1000,
-		RegressionLimits: rollout.RegressionLimits{Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, SubRequests: 0.06, Connections: 1.5, Memory: 1.25,
-			Restarts: 2, Unreachable: 3, FalseStopProbability: 0.001},
-		OnRegression: rollout.OrderRollBack}
+		RegressionLimits: rollout.RegressionLimits{
+			Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, SubRequests: 0.06, Connections: 1.5, Memory: 1.25,
+			Restarts: 2, Unreachable: 3, FalseStopProbability: 0.001,
+		},
+		OnRegression: rollout.OrderRollBack,
+	}
 }
 
 // goldenStanding are the forms in which an instance keeps what it runs.
 func goldenStanding() map[string]standing {
 	return map[string]standing{
-		"rollout-standing.hex": {Runs: goldenChange(7), Before: goldenChange(6), Try: &try{To: goldenChange(8), Turn: 3, Count: 1, Ready: 100_000},
-			Turn: 2, Starts: 4, Clean: true, Failed: 5, Number: 9, Why: "did not serve in time"},
+		"rollout-standing.hex": {
+			Runs: goldenChange(7), Before: goldenChange(6), Try: &try{To: goldenChange(8), Turn: 3, Count: 1, Ready: 100_000},
+			Turn: 2, Starts: 4, Clean: true, Failed: 5, Number: 9, Why: "did not serve in time",
+		},
 		"rollout-standing-empty.hex": {},
 	}
 }
@@ -65,8 +71,10 @@
 	kept, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, kept.Close(context.Background())) })
-	s := &sharing{file: config.Cluster{Name: "east-0", StoreFile: path}, log: slog.New(slog.DiscardHandler), ctx: t.Context(),
-		opened: make(chan struct{}), store: kept}
+	s := &sharing{
+		file: config.Cluster{Name: "east-0", StoreFile: path}, log: slog.New(slog.DiscardHandler), ctx: t.Context(),
+		opened: make(chan struct{}), store: kept,
+	}
 	close(s.opened)
 	return s
 }
@@ -193,8 +201,11 @@
 
 // What a serving process tells its keeper, a line each, and the names that both know each other by.
 func TestGoldenKeeperLines(t *testing.T) {
-	values := []said{{Serving: true}, {Next: &next{Program: "/opt/chalkring-2", Ready: 10 * time.Second, After: true}},
-		{Serving: true, Next: &next{Program: "/opt/chalkring", Ready: 1500 * time.Millisecond}}}
+	values := []said{
+		{Serving: true},
+		{Next: &next{Program: "/opt/chalkring-2", Ready: 10 * time.Second, After: true}},
+		{Serving: true, Next: &next{Program: "/opt/chalkring", Ready: 1500 * time.Millisecond}},
+	}
 	from, to, err := os.Pipe()
 	require.NoError(t, err)
 	defer from.Close()
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -147,9 +147,11 @@
 	}
 	plan.ApplyRuntimeLimits()
 	plan.LimitDescriptors(log)
-	means := coordinator.Options{Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{}, Logger: log, Peers: more,
+	means := coordinator.Options{
+		Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{}, Logger: log, Peers: more,
 		Frontends: fronts, HostKinds: hosts, EndpointUpdates: lists, Persistence: keep, Residency: zones,
-		PlanUpdates: coordinator.WatchPlanReloads(ctx, plan, hangUps, os.Getenv, log)}
+		PlanUpdates: coordinator.WatchPlanReloads(ctx, plan, hangUps, os.Getenv, log),
+	}
 	if steps != nil {
 		ctx = steps.serving(ctx, &means)
 	} else if means.Listener, err = listen(ctx, plan.Listen, log); err != nil {
@@ -240,8 +242,10 @@
 	if p.Name != "" {
 		name = p.Name
 	}
-	more := &coordinator.PeerOptions{Name: name, Location: p.Locality, AllowedPeers: p.AllowedPeers, RefreshInterval: p.RefreshInterval,
-		Budgets: map[string]scheduler.Budget{}}
+	more := &coordinator.PeerOptions{
+		Name: name, Location: p.Locality, AllowedPeers: p.AllowedPeers, RefreshInterval: p.RefreshInterval,
+		Budgets: map[string]scheduler.Budget{},
+	}
 	for kind, w := range file.Background {
 		more.Budgets[kind] = budgetOf(w)
 	}
@@ -282,8 +286,10 @@
 	}
 	f := &frontend.Server{}
 	for _, x := range o.Indices {
-		f.Indices = append(f.Indices, frontend.Index{Name: x.Name, SearchType: x.Type, Tenant: x.Tenant, Blocks: x.Blocks,
-			Placement: x.Placement})
+		f.Indices = append(f.Indices, frontend.Index{
+			Name: x.Name, SearchType: x.Type, Tenant: x.Tenant, Blocks: x.Blocks,
+			Placement: x.Placement,
+		})
 	}
 	var err error
 	if o.TLS != nil {
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -93,8 +93,10 @@
 	}
 	start := time.Now()
 	base := start.UnixMicro() / 100
-	c := &contracts{s: s, site: plan.ResidencySite(), files: make(chan hostfile.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
-		done: make(chan saveDone, 1), lapsed: true, clock: func() int64 { return base + int64(time.Since(start)/(100*time.Microsecond)) }}
+	c := &contracts{
+		s: s, site: plan.ResidencySite(), files: make(chan hostfile.Event), words: make(chan zonesMessage, zonesRoom), taught: map[string]lesson{},
+		done: make(chan saveDone, 1), lapsed: true, clock: func() int64 { return base + int64(time.Since(start)/(100*time.Microsecond)) },
+	}
 	text, err := hostfile.ReadText(s.file.ResidencyFile)
 	if err != nil {
 		return nil, err
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -329,9 +329,11 @@
 func (st *stages) run(ctx context.Context) {
 	defer close(st.done)
 	me := st.book.Self()
-	st.desk = rollout.New(rollout.InitialState{Self: rollout.Instance{Name: me.Name, Region: me.Region, Zone: me.Zone}, Incarnation: me.Incarnation,
+	st.desk = rollout.New(rollout.InitialState{
+		Self: rollout.Instance{Name: me.Name, Region: me.Region, Zone: me.Zone}, Incarnation: me.Incarnation,
 		Members: st.file.VotingMembers, RunningNumber: numberOf(st.runs()), FailedEpoch: st.state.Failed, FailedNumber: st.state.Number, FailureReason: st.state.Why,
-		UnplannedRestarts: st.state.Starts, NoSavedState: !st.kept, Now: st.clock()})
+		UnplannedRestarts: st.state.Starts, NoSavedState: !st.kept, Now: st.clock(),
+	})
 	stirred, unwatch := st.shared.Watch(rollout.KeyPrefix)
 	defer unwatch()
 	serves := make(chan struct{})
@@ -482,7 +484,8 @@
 
 // awaitServing asks this instance itself until it serves.
 func (st *stages) awaitServing(ctx context.Context, serves chan struct{}) {
-	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{
+		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			here, there := net.Pipe()
 			select {
@@ -491,7 +494,8 @@
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-		}}}
+		},
+	}}
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://inside/healthz", nil)
 		if err == nil {
--- a/cmd/chalkring/search.go
+++ b/cmd/chalkring/search.go
@@ -106,8 +106,10 @@
 	}
 	var id [8]byte
 	rand.Read(id[:])
-	for name, v := range map[string]string{"X-Request-Id": fmt.Sprintf("%x", id), "X-Class": s.Type, "X-Tenant": s.Partner,
-		"X-Deadline": strconv.FormatFloat(s.Wait.Seconds(), 'f', 3, 64)} {
+	for name, v := range map[string]string{
+		"X-Request-Id": fmt.Sprintf("%x", id), "X-Class": s.Type, "X-Tenant": s.Partner,
+		"X-Deadline": strconv.FormatFloat(s.Wait.Seconds(), 'f', 3, 64),
+	} {
 		if v != "" {
 			req.Header.Set(name, v)
 		}
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -45,8 +45,10 @@
 			s.log.Warn("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
-	return []coordinator.Frontend{fanout.New(fanout.Options{Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.SubscribersFile, Log: s.log,
-		Self: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Incarnation: me.Incarnation}, Seed: int64(me.Incarnation), ReplicationBytes: s.bytes, OnDrained: left})}, nil
+	return []coordinator.Frontend{fanout.New(fanout.Options{
+		Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.SubscribersFile, Log: s.log,
+		Self: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Incarnation: me.Incarnation}, Seed: int64(me.Incarnation), ReplicationBytes: s.bytes, OnDrained: left,
+	})}, nil
 }
 
 // gateways are those that are heard now. A name that two claim is nobody's: numbers of deliveries rest on names.
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -37,6 +37,7 @@
 func (e *NotListedError) Error() string {
 	return fmt.Sprintf("fleet.listed: %q, this instance's own name, is not in it", e.Name)
 }
+
 func (e *NotListedError) Advice() string {
 	return "Name every instance in `fleet.listed`, the same list on all of them, or mend `fleet.name`."
 }
--- a/config/settings/facts_test.go
+++ b/config/settings/facts_test.go
@@ -27,12 +27,16 @@
 
 func TestWhatMayStand(t *testing.T) {
 	all := map[string]string{}
-	Flatten(all, "", map[string]any{"Colour": "blue", "Permissions": map[string]any{"SecondCopies": false, "Odd": []any{1, "x"}},
+	Flatten(all, "", map[string]any{
+		"Colour": "blue", "Permissions": map[string]any{"SecondCopies": false, "Odd": []any{1, "x"}},
 		"Specifics": map[string]any{"NeedByClass": []any{0.6, 1}, "ClassFloor": []any{1, 0.5}, "FollowUp": []any{0, 3}},
-		"Classes":   []any{map[string]any{"Deadline": 4000.5}, map[string]any{"Effect": "dedup"}}})
+		"Classes":   []any{map[string]any{"Deadline": 4000.5}, map[string]any{"Effect": "dedup"}},
+	})
 	require.NoError(t, ValidateAll(all, 2)) // a floor above the need is ordinary, and names that nothing reads are allowed
-	require.Equal(t, []string{"false", "0.6,1", "4000.5", "2"}, []string{all["Permissions.SecondCopies"],
-		all["Specifics.NeedByClass"], all["Classes.0.Deadline"], all["Classes.count"]})
+	require.Equal(t, []string{"false", "0.6,1", "4000.5", "2"}, []string{
+		all["Permissions.SecondCopies"],
+		all["Specifics.NeedByClass"], all["Classes.0.Deadline"], all["Classes.count"],
+	})
 	require.True(t, IsKnown("Classes.12.Deadline"))
 	require.False(t, IsKnown("Permissions.Odd"))
 }
--- a/config/settings/golden_settings_test.go
+++ b/config/settings/golden_settings_test.go
@@ -12,7 +12,8 @@
 )
 
 // settingNames are the settings that the balancer reads.
-var settingNames = []string{"Balancers", "Tick",
+var settingNames = []string{
+	"Balancers", "Tick",
 	"Specifics.Sets", "Specifics.Reach", "Specifics.Ranges", "Specifics.PerCall", "Specifics.NeedByClass",
 	"Specifics.ClassFloor", "Specifics.ShortWorth", "Specifics.FollowUp",
 	"Permissions.SecondCopies", "Permissions.Cancelling", "Permissions.RetryAfter", "Permissions.MaxRetryAfter",
@@ -20,7 +21,8 @@
 	"Safety.AskWithin", "Safety.Cold", "Safety.ColdFrom", "Safety.DrainGrace", "Safety.Fall", "Safety.FallMultiple",
 	"Safety.ExtraFloor", "Safety.FurtherRatio", "Safety.LookBack",
 	"Classes.*.Aim", "Classes.*.Deadline", "Classes.*.RepeatWindow", "Classes.*.LateShare", "Classes.*.Effect",
-	"Tenants.*.QuotaPerS"}
+	"Tenants.*.QuotaPerS",
+}
 
 func TestGoldenSettingNames(t *testing.T) {
 	require.ElementsMatch(t, settingNames, slices.Collect(maps.Keys(rules)))
@@ -33,8 +35,10 @@
 
 // Each setting is checked against texts that separate the kinds of check; the golden file holds the errors.
 func TestGoldenSettingErrors(t *testing.T) {
-	texts := []string{"", "-1", "0", "0.5", "1", "1.5", "7", "2147483647", "2147483648", "1e400", "NaN", "Inf", "many",
-		"true", "false", "yes", "retryable", "dedup", "fragile", "0.5,1", "0.5,-1", "1,1.5", "1,", "1 ,2"}
+	texts := []string{
+		"", "-1", "0", "0.5", "1", "1.5", "7", "2147483647", "2147483648", "1e400", "NaN", "Inf", "many",
+		"true", "false", "yes", "retryable", "dedup", "fragile", "0.5,1", "0.5,-1", "1,1.5", "1,", "1 ,2",
+	}
 	var out strings.Builder
 	for _, name := range append(slices.Clone(settingNames), "Family", "FailureDomains", "Classes.*.Name", "Permissions.Other") {
 		name = strings.ReplaceAll(name, "*", "3")
--- a/config/strictyaml/golden_errors_test.go
+++ b/config/strictyaml/golden_errors_test.go
@@ -33,16 +33,20 @@
 			fmt.Fprintf(&out, "  advice: %s\n", advised.Advice())
 		}
 	}
-	for _, text := range []string{"", "stages: []\n", "other: 1\n", "stages:\n  - {share: 1, lable: x}\n", "small: 1000\n",
+	for _, text := range []string{
+		"", "stages: []\n", "other: 1\n", "stages:\n  - {share: 1, lable: x}\n", "small: 1000\n",
 		"small: x\n", "small: [1\n", "small: 1\n---\nsmall: 2\n", "small: 1\nsmall: 2\n", "stages: 7\n", "- 1\n",
-		"stages:\n\t- share: 1\n", "small: *unknown\n", "any: {a: 1}\n" + strings.Repeat("#", 200)} {
+		"stages:\n\t- share: 1\n", "small: *unknown\n", "any: {a: 1}\n" + strings.Repeat("#", 200),
+	} {
 		var v file
 		_, err := Decode([]byte(text), 100, &v)
 		write(fmt.Sprintf("%.60q", text), err)
 	}
 	text := "stages:\n  - share: 0.1\n  - share: 3\n    label: x\nany: {a.b: 1, c: [1, {d: 2}]}\n"
-	for _, path := range []string{"$.stages[1].share", "$.stages[1].label", "$.stages[0].label", "$.stages[7].share", "$.stages",
-		"$.small", "$.any.c[1].d", "$.any.'a.b'", "$.any.'x.y'", "$", ""} {
+	for _, path := range []string{
+		"$.stages[1].share", "$.stages[1].label", "$.stages[0].label", "$.stages[7].share", "$.stages",
+		"$.small", "$.any.c[1].d", "$.any.'a.b'", "$.any.'x.y'", "$", "",
+	} {
 		var v file
 		doc, err := Decode([]byte(text), 1000, &v)
 		if err != nil {
--- a/config/strictyaml/strictyaml_test.go
+++ b/config/strictyaml/strictyaml_test.go
@@ -22,8 +22,10 @@
 }
 
 func TestWhatCannotBeReadIsRefused(t *testing.T) {
-	for name, text := range map[string]string{"field": "other: 1\n", "documents": "a: 1\n---\na: 2\n", "form": "a: [1\n",
-		"size": "a: 10000000000\n"} {
+	for name, text := range map[string]string{
+		"field": "other: 1\n", "documents": "a: 1\n---\na: 2\n", "form": "a: [1\n",
+		"size": "a: 10000000000\n",
+	} {
 		var v struct{ A int8 }
 		_, err := Decode([]byte(text), 12, &v)
 		var f *InvalidFileError
--- a/control/fanout/fanout.go
+++ b/control/fanout/fanout.go
@@ -120,8 +120,10 @@
 	if o.Rules == nil {
 		o.Rules = func() subscribers.PlacementRules { return subscribers.PlacementRules{} }
 	}
-	return &Gateway{o: o, log: o.Log, lines: rate.NewLimiter(linesASec, linesASec), turns: make(chan func(), 64),
-		list: subscribers.NewList(), behind: map[subscribers.Key]uint64{}, refuse: map[string]uint64{}, reach: map[string]uint64{}}
+	return &Gateway{
+		o: o, log: o.Log, lines: rate.NewLimiter(linesASec, linesASec), turns: make(chan func(), 64),
+		list: subscribers.NewList(), behind: map[subscribers.Key]uint64{}, refuse: map[string]uint64{}, reach: map[string]uint64{},
+	}
 }
 
 // tell writes a line that others can bring about at will, so many a second.
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -145,19 +145,25 @@
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, ln.Addr(), s.list.Listener.Addr(), s.list.KnownEndpoints(), settings))
 	require.NoError(s.t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	book = replication.Start(context.Background(), replication.Options{InstanceName: "n0", Incarnation: life, Transport: nobody{}, Peers: func() (a, b []string) { return nil, []string{"n0"} },
-		OpenStorage: func(context.Context) (replication.Storage, error) { return s.disk, nil }})
+	book = replication.Start(context.Background(), replication.Options{
+		InstanceName: "n0", Incarnation: life, Transport: nobody{}, Peers: func() (a, b []string) { return nil, []string{"n0"} },
+		OpenStorage: func(context.Context) (replication.Storage, error) { return s.disk, nil },
+	})
 	me := subscribers.Member{Name: "n0", Region: "eu", Incarnation: life}
 	log := slog.New(slog.NewTextHandler(s, nil))
-	g = New(Options{Self: me, Store: book, FilePath: s.path, Log: log,
+	g = New(Options{
+		Self: me, Store: book, FilePath: s.path, Log: log,
 		Membership: func() Membership { return Membership{[]subscribers.Member{me}, []string{"eu-1", "us-1"}, true, true} },
 		Rules: func() subscribers.PlacementRules {
 			return subscribers.PlacementRules{AllowsTenantData: func(tenant, zone string) bool { return tenant != "other" || zone == "eu-1" }}
-		}})
+		},
+	})
 	ended := make(chan error, 1)
 	go func() {
-		ended <- plan.Serve(ctx, coordinator.Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
-			Logger: log, Frontends: []coordinator.Frontend{g}})
+		ended <- plan.Serve(ctx, coordinator.Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
+			Logger: log, Frontends: []coordinator.Frontend{g},
+		})
 	}()
 	end = sync.OnceFunc(func() {
 		stop()
@@ -302,8 +308,10 @@
 func TestFailuresSayWhatToDo(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	for _, err := range []error{&subscribers.InvalidRecordError{}, &subscribers.InvalidSubscriptionError{}, &subscribers.NotSubscribedError{}, &subscribers.ListFullError{}, &subscribers.StaleFileError{},
-		&subscribers.StaleLineError{}, &subscribers.InvalidLineError{}, &RegionMismatchError{}, &DeliveryFailedError{Err: os.ErrClosed}, &SearchFailedError{}, &ZoneForbiddenError{}} {
+	for _, err := range []error{
+		&subscribers.InvalidRecordError{}, &subscribers.InvalidSubscriptionError{}, &subscribers.NotSubscribedError{}, &subscribers.ListFullError{}, &subscribers.StaleFileError{},
+		&subscribers.StaleLineError{}, &subscribers.InvalidLineError{}, &RegionMismatchError{}, &DeliveryFailedError{Err: os.ErrClosed}, &SearchFailedError{}, &ZoneForbiddenError{},
+	} {
 		require.NotEmpty(t, advice.For(fmt.Errorf("wrapped: %w", err)))
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*")+"`")
 	}
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -27,9 +27,11 @@
 )
 
 func goldenDelivery() DeliveryMessage {
-	return DeliveryMessage{Tenant: "acme", ID: "s1", Consent: 1, Number: subscribers.DeliveryNumber{Epoch: 2, Sequence: 3, Gateway: "n0"},
+	return DeliveryMessage{
+		Tenant: "acme", ID: "s1", Consent: 1, Number: subscribers.DeliveryNumber{Epoch: 2, Sequence: 3, Gateway: "n0"},
 		Previous: subscribers.DeliveryNumber{Epoch: 4, Sequence: 5, Gateway: "n1"}, Period: 6,
-		Values: []BlockValue{{Block: 7, Hash: "0123456789abcdef", Value: []byte("<value>")}, {Block: 8, Hash: "fedcba9876543210"}}}
+		Values: []BlockValue{{Block: 7, Hash: "0123456789abcdef", Value: []byte("<value>")}, {Block: 8, Hash: "fedcba9876543210"}},
+	}
 }
 
 // A delivery as it goes to its receiver: method, content type and body; and which statuses count as taken.
@@ -97,8 +99,10 @@
 // Failures that stand in the log or answer a call, with their advice.
 func TestGoldenFanoutErrors(t *testing.T) {
 	var all strings.Builder
-	for _, err := range []error{&RegionMismatchError{FileRegion: "us", OwnRegion: "eu"}, &ZoneForbiddenError{Tenant: "acme", Zone: "us-1"}, &DeliveryFailedError{"http://receiver", errors.New("why")},
-		&SearchFailedError{Reason: "shed"}, DeliverByHTTP("")(context.Background(), DeliveryMessage{})} {
+	for _, err := range []error{
+		&RegionMismatchError{FileRegion: "us", OwnRegion: "eu"}, &ZoneForbiddenError{Tenant: "acme", Zone: "us-1"}, &DeliveryFailedError{"http://receiver", errors.New("why")},
+		&SearchFailedError{Reason: "shed"}, DeliverByHTTP("")(context.Background(), DeliveryMessage{}),
+	} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	requireGolden(t, "errors.txt", []byte(all.String()))
@@ -108,8 +112,10 @@
 func TestGoldenFanoutFileNames(t *testing.T) {
 	folder := t.TempDir()
 	lines := "{\"region\":\"eu\",\"generation\":1,\"count\":1}\n{\"tenant\":\"acme\",\"id\":\"s1\",\"type\":\"t\",\"query\":\"q\",\"every\":\"1s\"}\n"
-	for name, text := range map[string]string{"a.jsonl": lines, "a.json": lines,
-		"a.yaml": "region: eu\ngeneration: 1\ncount: 0\nsubscriptions: []\n"} {
+	for name, text := range map[string]string{
+		"a.jsonl": lines, "a.json": lines,
+		"a.yaml": "region: eu\ngeneration: 1\ncount: 0\nsubscriptions: []\n",
+	} {
 		path := filepath.Join(folder, name)
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		f, err := ReadRegionFile(path)
--- a/control/fanout/run.go
+++ b/control/fanout/run.go
@@ -129,9 +129,11 @@
 			blocks = append(blocks, b)
 		}
 	}
-	given, err := g.door.Search(ctx, coordinator.SearchRequest{ID: strings.ReplaceAll(name, ".", "_"), Type: r.Type, Tenant: r.Key.Tenant, Body: []byte(r.Query),
+	given, err := g.door.Search(ctx, coordinator.SearchRequest{
+		ID: strings.ReplaceAll(name, ".", "_"), Type: r.Type, Tenant: r.Key.Tenant, Body: []byte(r.Query),
 		Shards: blocks, Timeout: g.door.SearchTimeout(r.Type),
-		DecodeValue: func(_ int, value []byte) (any, error) { return bytes.Clone(value), nil }})
+		DecodeValue: func(_ int, value []byte) (any, error) { return bytes.Clone(value), nil },
+	})
 	why := ""
 	switch {
 	case ctx.Err() != nil:
--- a/control/residency/residency.go
+++ b/control/residency/residency.go
@@ -64,8 +64,10 @@
 	case !r.Restricted:
 		return o
 	}
-	return Rule{Zones: r.Zones.and(o.Zones), Restricted: true, AllowPartial: r.AllowPartial && o.AllowPartial, KeepOnLeaseExpiry: r.KeepOnLeaseExpiry && o.KeepOnLeaseExpiry,
-		ContractEnded: r.ContractEnded || o.ContractEnded, LeaseExpired: r.LeaseExpired || o.LeaseExpired}
+	return Rule{
+		Zones: r.Zones.and(o.Zones), Restricted: true, AllowPartial: r.AllowPartial && o.AllowPartial, KeepOnLeaseExpiry: r.KeepOnLeaseExpiry && o.KeepOnLeaseExpiry,
+		ContractEnded: r.ContractEnded || o.ContractEnded, LeaseExpired: r.LeaseExpired || o.LeaseExpired,
+	}
 }
 
 // Why a search is refused.
--- a/control/residency/residency_test.go
+++ b/control/residency/residency_test.go
@@ -62,8 +62,10 @@
 	require.False(t, IsPolicyFile([]byte("peers:\n  name: n0")))
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	for _, err := range []advice.Provider{&SearchRejectedError{Reason: ReasonNoEligibleHost}, &SearchRejectedError{Reason: ReasonLeaseExpired}, &SearchRejectedError{Reason: ReasonContractEnded}, &StalePolicyError{}, &ConflictingPoliciesError{}, &MissingPolicyError{}, &UnreachableBlocksError{},
-		&LeaseExpiredError{}, &LeaseExpiredError{SkewedClocks: 1}, &EnforcementOverdueError{}, &PoliciesUnreadableError{errors.New("x")}} {
+	for _, err := range []advice.Provider{
+		&SearchRejectedError{Reason: ReasonNoEligibleHost}, &SearchRejectedError{Reason: ReasonLeaseExpired}, &SearchRejectedError{Reason: ReasonContractEnded}, &StalePolicyError{}, &ConflictingPoliciesError{}, &MissingPolicyError{}, &UnreachableBlocksError{},
+		&LeaseExpiredError{}, &LeaseExpiredError{SkewedClocks: 1}, &EnforcementOverdueError{}, &PoliciesUnreadableError{errors.New("x")},
+	} {
 		require.NotEmpty(t, err.Advice())
 		require.NotEmpty(t, err.Error())
 		require.Contains(t, string(page), "`"+strings.TrimPrefix(fmt.Sprintf("%T", err), "*residency.")+"`", "docs/oncall.md lists it")
@@ -105,8 +107,15 @@
 		tenant, class string
 		block         int
 		want          string
-	}{{"acme", "lookup", 0, "eu-1 eu-2"}, {"acme", "lookup", 2, "eu-1"}, {"acme", "deep", 0, "eu-2"}, {"acme", "deep", 2, ""},
-		{"bolt", "deep", 0, "eu-1"}, {"else", "lookup", 0, "eu-1 eu-2 us-1 us-9"}, {"else", "lookup", 2, "eu-1 us-1"}} {
+	}{
+		{"acme", "lookup", 0, "eu-1 eu-2"},
+		{"acme", "lookup", 2, "eu-1"},
+		{"acme", "deep", 0, "eu-2"},
+		{"acme", "deep", 2, ""},
+		{"bolt", "deep", 0, "eu-1"},
+		{"else", "lookup", 0, "eu-1 eu-2 us-1 us-9"},
+		{"else", "lookup", 2, "eu-1 us-1"},
+	} {
 		var got []string
 		for _, zone := range []string{"eu-1", "eu-2", "us-1", "us-9"} {
 			if s.may(now, x.tenant, x.class, x.block, zone) {
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -71,8 +71,10 @@
 }
 
 // usualWorse holds where a file says nothing.
-var usualWorse = RegressionLimits{Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
-	Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02}
+var usualWorse = RegressionLimits{
+	Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
+	Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02,
+}
 
 // Program is an executable and how what its `version` tells has to begin.
 type Program struct {
@@ -150,16 +152,20 @@
 func parse(text []byte) (*ChangeFile, error) {
 	body, ok := bytes.CutSuffix(bytes.TrimRight(text, "\r\n\t "), []byte("\n"+endMark))
 	if !ok { // guards against a file that is read while it is written
-		return nil, &strictyaml.InvalidFileError{Problem: "the last line is not " + endMark + ", so the file may be cut",
-			Remedy: "End the file with a line of three dots."}
+		return nil, &strictyaml.InvalidFileError{
+			Problem: "the last line is not " + endMark + ", so the file may be cut",
+			Remedy:  "End the file with a line of three dots.",
+		}
 	}
 	v := form{Worse: usualWorse, Together: 1, Turn: 1}
 	d, err := strictyaml.Decode(body, fileMost, &v)
 	if err != nil {
 		return nil, err
 	}
-	c := Change{Name: v.Name, Number: v.Number, Settings: map[string]string{}, Stages: v.Stages, MaxConcurrentFraction: v.Together,
-		MinSearches: 200, RegressionLimits: v.Worse}
+	c := Change{
+		Name: v.Name, Number: v.Number, Settings: map[string]string{}, Stages: v.Stages, MaxConcurrentFraction: v.Together,
+		MinSearches: 200, RegressionLimits: v.Worse,
+	}
 	if len(v.Name) > nameMost || !plain(v.Name) {
 		d.AddError("$.name", "%.40q is no name of letters, digits and .-_ of %d at most", v.Name, nameMost)
 	}
@@ -236,8 +242,10 @@
 }
 
 func checkWorse(d *strictyaml.Document, w *RegressionLimits) {
-	for name, v := range map[string]float64{"served": w.Served, "late": w.Late, "shed": w.Shed, "median": w.Median,
-		"tail": w.Tail, "sub_requests": w.SubRequests} {
+	for name, v := range map[string]float64{
+		"served": w.Served, "late": w.Late, "shed": w.Shed, "median": w.Median,
+		"tail": w.Tail, "sub_requests": w.SubRequests,
+	} {
 		if !(v > 0 && v < 0.5) {
 			d.AddError("$.worse."+name, "%g is no share above 0 and under 0.5", v)
 		}
--- a/control/rollout/desk.go
+++ b/control/rollout/desk.go
@@ -118,9 +118,11 @@
 
 // New begins with what is known at a process's start.
 func New(s InitialState) *Controller {
-	d := &Controller{InitialState: s, began: s.Now, now: s.Now, listed: map[string]bool{}, places: map[string]Instance{}, conflicts: map[string]bool{},
+	d := &Controller{
+		InitialState: s, began: s.Now, now: s.Now, listed: map[string]bool{}, places: map[string]Instance{}, conflicts: map[string]bool{},
 		words: map[string]*heard{}, changes: map[uint64]map[string]*Change{}, rosters: map[string][]Instance{}, acks: map[string]grant{},
-		served: -1, told: map[string]bool{}}
+		served: -1, told: map[string]bool{},
+	}
 	for _, name := range s.Members {
 		d.listed[name] = true
 	}
@@ -553,8 +555,10 @@
 		if !s.fresh || w.Stats == nil || w.RunningNumber != c.Number && w.RunningNumber != c.BaseNumber {
 			continue
 		}
-		all = append(all, Sample{Name: s.name, Region: w.Instance.Region, Zone: w.Instance.Zone, HasChange: w.RunningNumber == c.Number, Incarnation: w.Incarnation,
-			Stats: *w.Stats})
+		all = append(all, Sample{
+			Name: s.name, Region: w.Instance.Region, Zone: w.Instance.Zone, HasChange: w.RunningNumber == c.Number, Incarnation: w.Incarnation,
+			Stats: *w.Stats,
+		})
 	}
 	d.evidence.AddSamples(all)
 	if found := d.evidence.DescribeRegression(); found != "" {
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -32,19 +32,25 @@
 
 // goldenWord is a status message with another value in each field.
 func goldenWord() StatusMessage {
-	return StatusMessage{Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 21, Sequence: 22, ChangeNumber: 23, ChangeDigest: "0123456789abcdef",
+	return StatusMessage{
+		Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 21, Sequence: 22, ChangeNumber: 23, ChangeDigest: "0123456789abcdef",
 		Verdict: Verdict{Epoch: 24, Order: OrderRollBack, Reason: "worse by served", DecidedBy: "n1"}, RosterDigest: "fedcba9876543210", StageEpoch: 25, ApprovedSteps: 26,
 		RunningNumber: 27, ServingFor: 28, PermitRequest: PermitRequest{Number: 29, TargetNumber: 30}, PermitGrants: []PermitGrant{{InstanceName: "n2", RequestNumber: 31}, {InstanceName: "n3", RequestNumber: 32}}, FailedEpoch: 33, UnplannedRestarts: 34,
-		Stats: &InstanceStats{Classes: []ClassStats{everyBucket(), {Requests: 1}}, Connections: 35, MemoryBytes: 36}}
+		Stats: &InstanceStats{Classes: []ClassStats{everyBucket(), {Requests: 1}}, Connections: 35, MemoryBytes: 36},
+	}
 }
 
 // goldenChange is a change with another value in each field.
 func goldenChange() Change {
-	return Change{Name: "c", Number: 41, BaseNumber: 40, Settings: map[string]string{"Safety.ExtraFloor": "0.5", "Classes.0.Name": "lookup"},
+	return Change{
+		Name: "c", Number: 41, BaseNumber: 40, Settings: map[string]string{"Safety.ExtraFloor": "0.5", "Classes.0.Name": "lookup"},
 		Program: Program{Path: "/opt/chalkring", Version: "chalkring 2.5"},
 		Stages:  []Stage{{Count: 1, WatchText: "not sent", WatchDuration: 42}, {Fraction: 0.25, WatchDuration: 43}, {Fraction: 1, WatchDuration: 44}}, MaxConcurrentFraction: 0.125, WarmUp: 45, ReadyTimeout: 46,
-		SilenceTimeout: 47, MinSearches: 48, RegressionLimits: RegressionLimits{Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, SubRequests: 0.06, Connections: 7,
-			Memory: 8, Restarts: 9, Unreachable: 10, FalseStopProbability: 0.005}, OnRegression: OrderStop}
+		SilenceTimeout: 47, MinSearches: 48, RegressionLimits: RegressionLimits{
+			Served: 0.01, Late: 0.02, Shed: 0.03, Median: 0.04, Tail: 0.05, SubRequests: 0.06, Connections: 7,
+			Memory: 8, Restarts: 9, Unreachable: 10, FalseStopProbability: 0.005,
+		}, OnRegression: OrderStop,
+	}
 }
 
 // Status messages and changes as instances of today's build send and keep them.
@@ -57,9 +63,15 @@
 	for _, m := range []struct {
 		name  string
 		value any
-	}{{"status, every field", &word}, {"status, fewest fields", &least}, {"change, every field", &change}, {"change, fewest fields", &own},
-		{"verdict go", &Verdict{Epoch: 1, Order: OrderProceed}}, {"verdict stop", &Verdict{Epoch: 2, Order: OrderStop, Reason: "w", DecidedBy: "n"}},
-		{"verdict back", &Verdict{Epoch: 3, Order: OrderRollBack, Reason: "w", DecidedBy: "n"}}} {
+	}{
+		{"status, every field", &word},
+		{"status, fewest fields", &least},
+		{"change, every field", &change},
+		{"change, fewest fields", &own},
+		{"verdict go", &Verdict{Epoch: 1, Order: OrderProceed}},
+		{"verdict stop", &Verdict{Epoch: 2, Order: OrderStop, Reason: "w", DecidedBy: "n"}},
+		{"verdict back", &Verdict{Epoch: 3, Order: OrderRollBack, Reason: "w", DecidedBy: "n"}},
+	} {
 		text, err := encoding.Marshal(m.value)
 		require.NoError(t, err)
 		all.WriteString(cborLine(t, m.name, text))
@@ -152,24 +164,35 @@
 	require.NoError(t, err)
 	f, err := ParseChangeFile("every_key.yaml", text)
 	require.NoError(t, err)
-	require.Equal(t, &ChangeFile{Change: Change{Name: "every-key", Number: 12, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
+	require.Equal(t, &ChangeFile{Change: Change{
+		Name: "every-key", Number: 12, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
 		Program: Program{Path: "/opt/chalkring/2.5/chalkring", Version: "chalkring 2.5"},
-		Stages: []Stage{{Count: 2, WatchText: "5m", WatchDuration: 3_000_000}, {Fraction: 0.25, WatchText: "90s", WatchDuration: 900_000},
-			{Fraction: 1, WatchText: "2m", WatchDuration: 1_200_000}},
+		Stages: []Stage{
+			{Count: 2, WatchText: "5m", WatchDuration: 3_000_000},
+			{Fraction: 0.25, WatchText: "90s", WatchDuration: 900_000},
+			{Fraction: 1, WatchText: "2m", WatchDuration: 1_200_000},
+		},
 		MaxConcurrentFraction: 0.125, WarmUp: 310_000, ReadyTimeout: 200_000, SilenceTimeout: 1_800_000, MinSearches: 201,
-		RegressionLimits: RegressionLimits{Served: 0.011, Late: 0.031, Shed: 0.021, Median: 0.151, Tail: 0.051, SubRequests: 0.152, Connections: 3.5, Memory: 1.6,
-			Restarts: 4, Unreachable: 5, FalseStopProbability: 0.025},
-		OnRegression: OrderStop}, Order: OrderStop, Epoch: 3}, f)
+		RegressionLimits: RegressionLimits{
+			Served: 0.011, Late: 0.031, Shed: 0.021, Median: 0.151, Tail: 0.051, SubRequests: 0.152, Connections: 3.5, Memory: 1.6,
+			Restarts: 4, Unreachable: 5, FalseStopProbability: 0.025,
+		},
+		OnRegression: OrderStop,
+	}, Order: OrderStop, Epoch: 3}, f)
 
 	text, err = os.ReadFile(filepath.Join("testdata", "fewest_keys.yaml"))
 	require.NoError(t, err)
 	f, err = ParseChangeFile("fewest_keys.yaml", text)
 	require.NoError(t, err)
-	require.Equal(t, &ChangeFile{Change: Change{Name: "fewest-keys", Number: 1, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
+	require.Equal(t, &ChangeFile{Change: Change{
+		Name: "fewest-keys", Number: 1, Settings: map[string]string{"Safety.ExtraFloor": "0.5"},
 		Stages: []Stage{{Fraction: 1, WatchDuration: 3_000_000}}, MaxConcurrentFraction: 1, WarmUp: 300_000, ReadyTimeout: 300_000, SilenceTimeout: 2_400_000, MinSearches: 200,
-		RegressionLimits: RegressionLimits{Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
-			Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02},
-		OnRegression: OrderRollBack}, Order: OrderProceed, Epoch: 1}, f)
+		RegressionLimits: RegressionLimits{
+			Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
+			Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02,
+		},
+		OnRegression: OrderRollBack,
+	}, Order: OrderProceed, Epoch: 1}, f)
 }
 
 // Fault texts of change files, with place and advice. A value of the wrong type is left out: the YAML package names Go
@@ -178,12 +201,28 @@
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
 	var all strings.Builder
-	for _, change := range [][2]string{{"...\n", ""}, {"name: every-key", "name: every key"}, {"number: 12", "number: 0"},
-		{"order: stop", "order: halt"}, {"turn: 3", "turn: 0"}, {"then: stop", "then: go"}, {"ExtraFloor: 0.5", "ExtraFlor: 0.5"},
-		{"path: /opt", "path: opt"}, {", version: chalkring 2.5", ""}, {"count: 2", "count: 2, share: 0.1"}, {"watch: 90s", "watch: soon"},
-		{"share: 1,", "share: 0.9,"}, {"together: 0.125", "together: 0"}, {"searches: 201", "searches: -1"}, {"silent: 3m", "silent: 1m"},
-		{"served: 0.011", "served: 0.5"}, {"connects: 3.5", "connects: 1"}, {"restarts: 4", "restarts: 0"}, {"false_stops: 0.025", "false_stops: 0.5"},
-		{"cold: 31s", "colder: 31s"}} {
+	for _, change := range [][2]string{
+		{"...\n", ""},
+		{"name: every-key", "name: every key"},
+		{"number: 12", "number: 0"},
+		{"order: stop", "order: halt"},
+		{"turn: 3", "turn: 0"},
+		{"then: stop", "then: go"},
+		{"ExtraFloor: 0.5", "ExtraFlor: 0.5"},
+		{"path: /opt", "path: opt"},
+		{", version: chalkring 2.5", ""},
+		{"count: 2", "count: 2, share: 0.1"},
+		{"watch: 90s", "watch: soon"},
+		{"share: 1,", "share: 0.9,"},
+		{"together: 0.125", "together: 0"},
+		{"searches: 201", "searches: -1"},
+		{"silent: 3m", "silent: 1m"},
+		{"served: 0.011", "served: 0.5"},
+		{"connects: 3.5", "connects: 1"},
+		{"restarts: 4", "restarts: 0"},
+		{"false_stops: 0.025", "false_stops: 0.5"},
+		{"cold: 31s", "colder: 31s"},
+	} {
 		require.Contains(t, string(text), change[0])
 		_, err := ParseChangeFile("c.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)))
 		require.Error(t, err, change[1])
@@ -196,10 +235,12 @@
 func TestGoldenRolloutErrors(t *testing.T) {
 	verdict := Verdict{Epoch: 2, Order: OrderStop, Reason: "why", DecidedBy: "n1"}
 	var all strings.Builder
-	for _, err := range []error{&ChangeStoppedError{Change: "c", Number: 1, Verdict: verdict}, &ConflictingChangesError{Number: 1, Digests: []string{"a", "b"}},
+	for _, err := range []error{
+		&ChangeStoppedError{Change: "c", Number: 1, Verdict: verdict}, &ConflictingChangesError{Number: 1, Digests: []string{"a", "b"}},
 		&StaleChangeFileError{Number: 1, CurrentNumber: 2}, &MemberListMismatchError{Number: 1, RemoteCount: 2, LocalCount: 3}, &ChangeNotAppliedError{Number: 1, Reason: "why"},
 		&ChangeTooLargeError{Number: 1, Bytes: 2}, &StepDelayedError{Number: 1, Step: 2, Reason: "why"}, &InvalidEntryError{"rollout/word/n0", errors.New("why")},
-		&InvalidChangeFileError{"c.yaml", errors.New("why")}} {
+		&InvalidChangeFileError{"c.yaml", errors.New("why")},
+	} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	fmt.Fprintln(&all, OrderProceed, OrderStop, OrderRollBack)
--- a/control/rollout/model_test.go
+++ b/control/rollout/model_test.go
@@ -64,15 +64,19 @@
 }
 
 func newWorld(t require.TestingT, n int, seed int64) *world {
-	w := &world{t: t, chance: rand.New(rand.NewSource(seed)), now: 1, cut: func(a, b int) bool { return false }, good: 0.995, bad: 0.995,
-		rate: 1, takes: func(*node, uint64) bool { return true }, reached: map[uint64]map[string]bool{}, pace: second}
+	w := &world{
+		t: t, chance: rand.New(rand.NewSource(seed)), now: 1, cut: func(a, b int) bool { return false }, good: 0.995, bad: 0.995,
+		rate: 1, takes: func(*node, uint64) bool { return true }, reached: map[uint64]map[string]bool{}, pace: second,
+	}
 	for i := range n {
 		w.names = append(w.names, fmt.Sprintf("n%03d", i))
 		w.offset = append(w.offset, w.chance.Int63n(3600*second)) // clocks an hour apart
 	}
 	for i := range n {
-		w.nodes = append(w.nodes, &node{i: i, place: Instance{w.names[i], fmt.Sprintf("r%d", i%3), fmt.Sprintf("z%d", i%6/3)},
-			book: map[string][]byte{}, words: map[string]*StatusMessage{}})
+		w.nodes = append(w.nodes, &node{
+			i: i, place: Instance{w.names[i], fmt.Sprintf("r%d", i%3), fmt.Sprintf("z%d", i%6/3)},
+			book: map[string][]byte{}, words: map[string]*StatusMessage{},
+		})
 		w.start(w.nodes[i], true)
 	}
 	return w
@@ -82,8 +86,10 @@
 	n.life++
 	n.up = 0
 	now := w.now + w.offset[n.i]
-	n.desk = New(InitialState{Self: n.place, Incarnation: n.life, Members: w.names, RunningNumber: n.runs, FailedEpoch: n.failed, FailedNumber: n.number, FailureReason: n.why,
-		UnplannedRestarts: n.starts, NoSavedState: first, Now: now})
+	n.desk = New(InitialState{
+		Self: n.place, Incarnation: n.life, Members: w.names, RunningNumber: n.runs, FailedEpoch: n.failed, FailedNumber: n.number, FailureReason: n.why,
+		UnplannedRestarts: n.starts, NoSavedState: first, Now: now,
+	})
 	var all []Instance
 	for _, o := range w.nodes {
 		all = append(all, o.place)
--- a/control/rollout/worse.go
+++ b/control/rollout/worse.go
@@ -85,8 +85,10 @@
 	metrics
 )
 
-var metricNames = [metrics]string{"served", "late", "shed", "median", "tail", "sub_requests"}
-var metricWeights = [metrics]float64{0.5, 0.1, 0.1, 0.1, 0.1, 0.1} // of the evidence: what is served matters most
+var (
+	metricNames   = [metrics]string{"served", "late", "shed", "median", "tail", "sub_requests"}
+	metricWeights = [metrics]float64{0.5, 0.1, 0.1, 0.1, 0.1, 0.1} // of the evidence: what is served matters most
+)
 
 func (w *RegressionLimits) margin(m metric) float64 {
 	return [metrics]float64{w.Served, w.Late, w.Shed, w.Median, w.Tail, w.SubRequests}[m]
@@ -126,8 +128,10 @@
 
 // NewRegressionAnalysis begins to compare.
 func NewRegressionAnalysis(w RegressionLimits) *RegressionAnalysis {
-	return &RegressionAnalysis{worse: w, seen: map[string]*Sample{}, past: map[slot]*ClassStats{}, money: map[bet]*[len(odds)]float64{}, shares: map[bet]*[4]uint64{},
-		places: map[[2]string]bool{}}
+	return &RegressionAnalysis{
+		worse: w, seen: map[string]*Sample{}, past: map[slot]*ClassStats{}, money: map[bet]*[len(odds)]float64{}, shares: map[bet]*[4]uint64{},
+		places: map[[2]string]bool{},
+	}
 }
 
 func (c *ClassStats) add(now, before *ClassStats) {
@@ -164,7 +168,8 @@
 	for _, level := range []func(s *Sample) [2]string{
 		func(s *Sample) [2]string { return [2]string{s.Region, s.Zone} },
 		func(s *Sample) [2]string { return [2]string{s.Region, "*"} },
-		func(*Sample) [2]string { return [2]string{"*", "*"} }} {
+		func(*Sample) [2]string { return [2]string{"*", "*"} },
+	} {
 		both := map[[2]string]int{}
 		for i := range all {
 			if place[i] == none {
--- a/control/rollout/worse_test.go
+++ b/control/rollout/worse_test.go
@@ -31,9 +31,13 @@
 			for s := range sides[z] {
 				if one := &sides[z][s]; one.n > 0 {
 					one.sums.MemoryBytes = 100 << 20
-					samples = append(samples, Sample{Name: string(rune('a'+z)) + string(rune('0'+s)), Region: string(rune('a' + z/2)),
-						Zone: string(rune('a' + z)), HasChange: s == 1, Incarnation: one.life, Stats: InstanceStats{Classes: append([]ClassStats(nil), one.sums.Classes...),
-							MemoryBytes: one.sums.MemoryBytes}})
+					samples = append(samples, Sample{
+						Name: string(rune('a'+z)) + string(rune('0'+s)), Region: string(rune('a' + z/2)),
+						Zone: string(rune('a' + z)), HasChange: s == 1, Incarnation: one.life, Stats: InstanceStats{
+							Classes:     append([]ClassStats(nil), one.sums.Classes...),
+							MemoryBytes: one.sums.MemoryBytes,
+						},
+					})
 				}
 			}
 		}
--- a/control/shadow/shadow.go
+++ b/control/shadow/shadow.go
@@ -140,8 +140,10 @@
 // New makes a module by make, with the watch between it and out. inForce are the settings it starts with, next those it
 // is held against too.
 func New(out balancer.Actions, inForce, next map[string]string, counts *DivergenceCounts, make func(out balancer.Actions) balancer.Balancer) *Comparator {
-	w := &Comparator{out: out, counts: counts, was: inForce, now: next, searches: map[uint64]*search{}, numbers: map[uint64]*search{},
-		parts: map[uint64]*part{}, replicas: map[string]*replica{}, listed: map[string]bool{}}
+	w := &Comparator{
+		out: out, counts: counts, was: inForce, now: next, searches: map[uint64]*search{}, numbers: map[uint64]*search{},
+		parts: map[uint64]*part{}, replicas: map[string]*replica{}, listed: map[string]bool{},
+	}
 	w.Balancer = make(w)
 	return w
 }
--- a/control/shadow/shadow_test.go
+++ b/control/shadow/shadow_test.go
@@ -14,13 +14,15 @@
 )
 
 // usual are settings as plans have them: type 0 needs six tenths of its parts, type 1 all.
-var usual = map[string]string{"Tick": "5", "Balancers": "2", "Specifics.Sets": "2", "Specifics.Reach": "1",
+var usual = map[string]string{
+	"Tick": "5", "Balancers": "2", "Specifics.Sets": "2", "Specifics.Reach": "1",
 	"Specifics.PerCall": "1", "Classes.count": "2", "Classes.0.Aim": "1500", "Classes.0.Effect": "retryable",
 	"Classes.0.LateShare": "0", "Classes.1.Aim": "1500", "Classes.1.Effect": "retryable", "Classes.1.LateShare": "0",
 	"Specifics.NeedByClass": "0.6,1", "Specifics.ClassFloor": "0.6,1", "Specifics.FollowUp": "0,0",
 	"Permissions.MaxAttempts": "3", "Permissions.SecondCopies": "true", "Permissions.Cancelling": "true",
 	"Permissions.RetryAfter": "true", "Permissions.MaxRetryAfter": "500", "Safety.Cold": "10000", "Safety.ColdFrom": "0.2",
-	"Safety.FallMultiple": "2", "Safety.Fall": "2000", "Safety.DrainGrace": "1000"}
+	"Safety.FallMultiple": "2", "Safety.Fall": "2000", "Safety.DrainGrace": "1000",
+}
 
 func with(pairs ...string) map[string]string {
 	all := maps.Clone(usual)
@@ -65,6 +67,7 @@
 	x.act("cancel %d %d", id, leg)
 	x.end(id, leg, "Canceled", 5)
 }
+
 func (x *tape) SendAttempt(id uint64, to string, _ int64) {
 	x.act("send %d %s", id, to)
 	leg := x.legs[id]
--- a/control/subscribers/faults.go
+++ b/control/subscribers/faults.go
@@ -8,6 +8,7 @@
 func (e *InvalidRecordError) Error() string {
 	return fmt.Sprintf("entry %.80q is no subscription: %s", e.Name, e.Reason)
 }
+
 func (e *InvalidRecordError) Advice() string {
 	return "See which instance runs another version; the entry is passed over and its subscriber is not served here."
 }
@@ -21,6 +22,7 @@
 func (e *InvalidSubscriptionError) Error() string {
 	return fmt.Sprintf("subscription %.80s: %s", e.Key, e.Reason)
 }
+
 func (e *InvalidSubscriptionError) Advice() string {
 	return "Mend the subscription where it comes from; nothing of it was taken in."
 }
@@ -37,6 +39,7 @@
 	}
 	return fmt.Sprintf("%s is not subscribed", e.Key)
 }
+
 func (e *NotSubscribedError) Advice() string {
 	return "Subscribe it anew if the subscriber wants it; a change alone brings nobody back."
 }
@@ -47,6 +50,7 @@
 func (e *ListFullError) Error() string {
 	return fmt.Sprintf("%d subscriptions are held, %d at the most", e.Count, e.Max)
 }
+
 func (e *ListFullError) Advice() string {
 	return "Split the tenants over two fleets; unsubscribed entries go by themselves after 90 days while all instances are heard."
 }
@@ -63,6 +67,7 @@
 	}
 	return fmt.Sprintf("the file of region %s has generation %d, %d is in force", e.Region, e.Generation, e.CurrentGeneration)
 }
+
 func (e *StaleFileError) Advice() string {
 	return "Give the file that is meant a generation above the one in force; until then nothing of it is taken in."
 }
@@ -76,6 +81,7 @@
 func (e *StaleLineError) Error() string {
 	return fmt.Sprintf("%s stands in the file with consent %d and unsubscribed at %d", e.Key, e.LineConsent, e.UnsubscribedConsent)
 }
+
 func (e *StaleLineError) Advice() string {
 	return fmt.Sprintf("Take the line out; only if the subscriber asked again since, give it consent: %d.", e.UnsubscribedConsent+1)
 }
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -18,10 +18,12 @@
 
 // goldenRecord is a record with another value in each field.
 func goldenRecord() Record {
-	return Record{Consent: 11, Unsubscriptions: map[string]uint64{"n0": 12, "n1": 13}, SeenUnsubscriptions: map[string]uint64{"n0": 14, "n1": 15}, Revision: 16,
+	return Record{
+		Consent: 11, Unsubscriptions: map[string]uint64{"n0": 12, "n1": 13}, SeenUnsubscriptions: map[string]uint64{"n0": 14, "n1": 15}, Revision: 16,
 		Details:     Details{Type: "quick-picks", Query: "town:oslo", Interval: 300_000, Blocks: []int{2, 0, 1}},
 		Attachments: map[string]Attachment{"eu": {Generation: 17, DetailsHash: 18}, "us": {Generation: 0, DetailsHash: 19}},
-		Checkpoint:  DeliveryCheckpoint{Number: DeliveryNumber{Epoch: 20, Sequence: 21, Gateway: "n0"}, Values: map[int]uint64{0: 22, 2: 23}}, PriorHashes: []uint64{24, 25}}
+		Checkpoint:  DeliveryCheckpoint{Number: DeliveryNumber{Epoch: 20, Sequence: 21, Gateway: "n0"}, Values: map[int]uint64{0: 22, 2: 23}}, PriorHashes: []uint64{24, 25},
+	}
 }
 
 // Records, gateways' words and files' standings as the ledger of today's build holds them.
@@ -160,14 +162,38 @@
 		name    string
 		parse   func([]byte) (*RegionFile, error)
 		changes [][2]string
-	}{{"every_key.yaml", ParseYAML, [][2]string{{"region: eu", "region: e/u"}, {"generation: 7", "generation: 0"}, {"count: 2", "count: 3"},
-		{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"}, {"every: 30s", "every: often"}, {"every: 30s", "every: 500ms"}, {"id: s1", "id: s/1"},
-		{"type: quick-picks", "type: ''"}, {"[2, 0, 1]", "[2, 2]"}, {"consent: 3", "consent: 2000000000000"},
-		{"tenant: bolt, id: s2", "tenant: acme, id: s1"}, {"query:", "asks:"}}},
-		{"every_key.jsonl", ParseJSONLines, [][2]string{{`"eu"`, `"e/u"`}, {`"generation":7`, `"generation":0`}, {`"count":2`, `"count":3`},
-			{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"}, {`"30s"`, `"often"`}, {`"30s"`, `"500ms"`}, {`"s1"`, `"s/1"`}, {`"quick-picks"`, `""`},
-			{"[2,0,1]", "[2,2]"}, {`"consent":3`, `"consent":2000000000000`}, {`"bolt","id":"s2"`, `"acme","id":"s1"`}, {`"query"`, `"asks"`},
-			{`"region"`, `"area"`}, {`"consent":3}`, `"consent":3}{}`}}}} {
+	}{
+		{"every_key.yaml", ParseYAML, [][2]string{
+			{"region: eu", "region: e/u"},
+			{"generation: 7", "generation: 0"},
+			{"count: 2", "count: 3"},
+			{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"},
+			{"every: 30s", "every: often"},
+			{"every: 30s", "every: 500ms"},
+			{"id: s1", "id: s/1"},
+			{"type: quick-picks", "type: ''"},
+			{"[2, 0, 1]", "[2, 2]"},
+			{"consent: 3", "consent: 2000000000000"},
+			{"tenant: bolt, id: s2", "tenant: acme, id: s1"},
+			{"query:", "asks:"},
+		}},
+		{"every_key.jsonl", ParseJSONLines, [][2]string{
+			{`"eu"`, `"e/u"`},
+			{`"generation":7`, `"generation":0`},
+			{`"count":2`, `"count":3`},
+			{"http://127.0.0.1:9300/{tenant}", "127.0.0.1"},
+			{`"30s"`, `"often"`},
+			{`"30s"`, `"500ms"`},
+			{`"s1"`, `"s/1"`},
+			{`"quick-picks"`, `""`},
+			{"[2,0,1]", "[2,2]"},
+			{`"consent":3`, `"consent":2000000000000`},
+			{`"bolt","id":"s2"`, `"acme","id":"s1"`},
+			{`"query"`, `"asks"`},
+			{`"region"`, `"area"`},
+			{`"consent":3}`, `"consent":3}{}`},
+		}},
+	} {
 		text, err := os.ReadFile(filepath.Join("testdata", form.name))
 		require.NoError(t, err)
 		for _, change := range form.changes {
@@ -184,13 +210,19 @@
 func TestGoldenSubscriberErrors(t *testing.T) {
 	key := Key{Tenant: "acme", ID: "s1"}
 	var all strings.Builder
-	for _, err := range []error{&InvalidRecordError{Name: "sub/acme/s1", Reason: "why"}, &InvalidSubscriptionError{Key: key, Reason: "why"}, &NotSubscribedError{Key: key, UnsubscribedConsent: 2},
+	for _, err := range []error{
+		&InvalidRecordError{Name: "sub/acme/s1", Reason: "why"}, &InvalidSubscriptionError{Key: key, Reason: "why"}, &NotSubscribedError{Key: key, UnsubscribedConsent: 2},
 		&NotSubscribedError{Key: key}, &ListFullError{Count: 1, Max: 2}, &StaleFileError{Region: "eu", Generation: 1, CurrentGeneration: 2},
-		&StaleFileError{Region: "eu", Generation: 2, CurrentGeneration: 2}, &StaleLineError{Key: key, LineConsent: 1, UnsubscribedConsent: 2}, &InvalidLineError{Line: 3, Reason: "why"}} {
+		&StaleFileError{Region: "eu", Generation: 2, CurrentGeneration: 2}, &StaleLineError{Key: key, LineConsent: 1, UnsubscribedConsent: 2}, &InvalidLineError{Line: 3, Reason: "why"},
+	} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
-	for _, text := range [][]byte{make([]byte, 8<<10+1), {0xff}, Record{Consent: 0}.Encode(),
-		Record{Consent: 1, Details: Details{Type: "t", Interval: 1}}.Encode(), Record{Consent: 1, PriorHashes: make([]uint64, 9)}.Encode()} {
+	for _, text := range [][]byte{
+		make([]byte, 8<<10+1),
+		{0xff},
+		Record{Consent: 0}.Encode(),
+		Record{Consent: 1, Details: Details{Type: "t", Interval: 1}}.Encode(), Record{Consent: 1, PriorHashes: make([]uint64, 9)}.Encode(),
+	} {
 		_, err := DecodeRecord(text)
 		require.Error(t, err)
 		fmt.Fprintln(&all, err)
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -72,8 +72,10 @@
 }
 
 func newWorld(t require.TestingT, seed int64, regions, each, keys int) *world {
-	w := &world{t: t, r: rand.New(rand.NewSource(seed)), now: 1_700_000_000 * second, cut: map[[2]int]bool{}, truth: map[Key]uint64{},
-		subs: map[string]asking{}, got: map[Key][]receipt{}, nums: map[string]string{}, talk: 1}
+	w := &world{
+		t: t, r: rand.New(rand.NewSource(seed)), now: 1_700_000_000 * second, cut: map[[2]int]bool{}, truth: map[Key]uint64{},
+		subs: map[string]asking{}, got: map[Key][]receipt{}, nums: map[string]string{}, talk: 1,
+	}
 	for i := range regions * each {
 		n := &gate{w: w, i: i, region: i % regions, disk: state{map[string]crdt.Entry{}, map[string]bool{}}}
 		w.nodes = append(w.nodes, n)
@@ -468,8 +470,10 @@
 	}
 }
 
-var faults = []string{"cut", "one way", "region", "heal", "two heal", "flap", "kill", "restart", "remember", "older disk",
-	"restart all", "stop", "loss", "full disk", "storm"}
+var faults = []string{
+	"cut", "one way", "region", "heal", "two heal", "flap", "kill", "restart", "remember", "older disk",
+	"restart all", "stop", "loss", "full disk", "storm",
+}
 
 func TestListsBecomeOneWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/control/subscribers/record.go
+++ b/control/subscribers/record.go
@@ -200,8 +200,10 @@
 		return m
 	}()
 	reading = func() cbor.DecMode {
-		m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-			MaxArrayElements: 128, MaxMapPairs: 128, MaxNestedLevels: 6}.DecMode()
+		m, err := cbor.DecOptions{
+			DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+			MaxArrayElements: 128, MaxMapPairs: 128, MaxNestedLevels: 6,
+		}.DecMode()
 		if err != nil {
 			panic(err)
 		}
--- a/control/subscribers/serve.go
+++ b/control/subscribers/serve.go
@@ -164,8 +164,10 @@
 
 // NewGateway begins at a time and serves nobody yet.
 func NewGateway(now int64, me Member, rules PlacementRules) *Gateway {
-	return &Gateway{me: me, rules: rules, words: map[string]StatusMessage{}, spoke: map[string]int64{}, subs: map[Key]*sub{}, gone: map[string]int64{},
-		allowed: map[string][]member{}, taken: map[string]bool{}, regions: map[string]bool{}, last: now, starts: now + startWait}
+	return &Gateway{
+		me: me, rules: rules, words: map[string]StatusMessage{}, spoke: map[string]int64{}, subs: map[Key]*sub{}, gone: map[string]int64{},
+		allowed: map[string][]member{}, taken: map[string]bool{}, regions: map[string]bool{}, last: now, starts: now + startWait,
+	}
 }
 
 // UpdateMembers takes in which gateways are alive, this one among them, and whether they are more than half of those listed.
@@ -586,14 +588,17 @@
 func (b beats) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(b[i].at, b[j].at), cmp.Compare(b[i].hash, b[j].hash)) < 0
 }
+
 func (b beats) Swap(i, j int) {
 	b[i], b[j] = b[j], b[i]
 	b[i].place, b[j].place = i, j
 }
+
 func (b *beats) Push(v any) {
 	v.(*sub).place = len(*b)
 	*b = append(*b, v.(*sub))
 }
+
 func (b *beats) Pop() any {
 	last := len(*b) - 1
 	s := (*b)[last]
--- a/coordinator/bodies_test.go
+++ b/coordinator/bodies_test.go
@@ -40,7 +40,8 @@
 
 // Whatever a client sends, the reader without maps takes what the one with maps took, and nothing else.
 func FuzzBody(f *testing.F) {
-	for _, text := range []string{fourParts, `{}`, `[]`, `{"ranges":[],"predicate":"x"}`, `{"ranges":[{"range":0,"portion":1}]}`,
+	for _, text := range []string{
+		fourParts, `{}`, `[]`, `{"ranges":[],"predicate":"x"}`, `{"ranges":[{"range":0,"portion":1}]}`,
 		`{"ranges":[{"range":0,"portion":1}],"predicate":"x"} `, `{"ranges":[{"range":0,"portion":1}],"predicate":"x"}{}`,
 		`{"ranges":[{"range":0,"portion":1}],"predicate":"x","ranges":[{"range":1,"portion":1}]}`,
 		`{"ranges":[{"range":0,"portion":1}],"predicate":"x","ranges":7}`, `{"ranges":[{"range":0,"range":1,"portion":1}],"predicate":"x"}`,
@@ -51,7 +52,8 @@
 		`{"ranges":[{"range":0,"portion":1}],"predicate":"` + "\xff" + `"}`, `{"ranges":[{"range":0,"portion":1},],"predicate":"x"}`,
 		`{"ranges":[{"range":0,"portion":0.5},{"range":0,"portion":0.5}],"predicate":"x"}`, `{"ranges":[{"range":1E0,"portion":1}],"predicate":"x"}`,
 		`{"ranges":[{"range":-0,"portion":1}],"predicate":"x"}`, `{"ranges":[{"range":0,"portion":1}],"predicate":"x"`, ``, `null`,
-		`{"ranges":[{"range":0,"portion":1,"hash":{"a":[1,{"b":null}]}}],"other":[[]],"predicate":""}`} {
+		`{"ranges":[{"range":0,"portion":1,"hash":{"a":[1,{"b":null}]}}],"other":[[]],"predicate":""}`,
+	} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -69,8 +71,10 @@
 
 // A target is taken apart as the library would.
 func FuzzPlace(f *testing.F) {
-	for _, text := range []string{"/a?k=7f", "/a", "/a?k=", "/a?x=1&k=2", "/a%20b?k=%41", "/a?k=1&k=2", "/a?k=a+b", "*", "", "/a?k=1#f",
-		"http://x/a?k=1", "/a?k=1;x", "//x/y?k=z", "/\x7f"} {
+	for _, text := range []string{
+		"/a?k=7f", "/a", "/a?k=", "/a?x=1&k=2", "/a%20b?k=%41", "/a?k=1&k=2", "/a?k=a+b", "*", "", "/a?k=1#f",
+		"http://x/a?k=1", "/a?k=1;x", "//x/y?k=z", "/\x7f",
+	} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, target string) {
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -104,8 +104,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		ended <- r.plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look})
+		ended <- r.plan.Serve(ctx, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
+		})
 	}()
 	o := <-look
 	dial := func() *caller {
@@ -149,8 +151,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.t.Cleanup(stop)
 	go func() {
-		ended <- r.plan.Serve(ctx, Options{Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look})
+		ended <- r.plan.Serve(ctx, Options{
+			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
+		})
 	}()
 	<-look
 	var callers []net.Conn
@@ -331,8 +335,10 @@
 		require.NoError(t, err)
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(patience))
-		_, err = conn.Write([]byte(fake.Search{ID: fmt.Sprint("c", i), Type: "full-match", Shards: []int{0, 1, 2, 3},
-			Patience: 2 * time.Second, Tenant: "acme"}.Encode()))
+		_, err = conn.Write([]byte(fake.Search{
+			ID: fmt.Sprint("c", i), Type: "full-match", Shards: []int{0, 1, 2, 3},
+			Patience: 2 * time.Second, Tenant: "acme",
+		}.Encode()))
 		require.NoError(t, err)
 		conns = append(conns, conn)
 	}
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -57,8 +57,10 @@
 			continue
 		}
 		taken = true
-		c := &client{front: f, link: newLink(o.ctx, clientRoom), conn: conn,
-			answered: make(chan struct{}, 1)}
+		c := &client{
+			front: f, link: newLink(o.ctx, clientRoom), conn: conn,
+			answered: make(chan struct{}, 1),
+		}
 		c.log = o.log
 		if !f.gate.enter(c, o.ctx.Done()) {
 			conn.Close()
@@ -399,7 +401,8 @@
 
 // request hands one request to the owner.
 func (c *client) request(method, target string, head map[string]string, body []byte, keep bool,
-	came time.Time) error {
+	came time.Time,
+) error {
 	o := c.o
 	path, key, err := place(target)
 	if err != nil {
@@ -436,8 +439,10 @@
 	case first != head["x-class"]:
 		return refuse("X-Class is not the path's")
 	}
-	s := &search{name: head["x-request-id"], key: key, qtype: qtype, came: came,
-		retry: head["x-retry"] == "1"}
+	s := &search{
+		name: head["x-request-id"], key: key, qtype: qtype, came: came,
+		retry: head["x-retry"] == "1",
+	}
 	if !plainName(s.name) {
 		return refuse("X-Request-Id %.40q", s.name)
 	}
--- a/coordinator/connections.go
+++ b/coordinator/connections.go
@@ -37,8 +37,10 @@
 	faulty            // closed here: what was done with what came has a fault
 )
 
-var endingWords = [...]string{"", "not_up", "starved", "peer_left", "broken", "stuck", "slow", "garbled",
-	"complained", "crowded", "unused", "retired", "displaced", "closing", "faulty"}
+var endingWords = [...]string{
+	"", "not_up", "starved", "peer_left", "broken", "stuck", "slow", "garbled",
+	"complained", "crowded", "unused", "retired", "displaced", "closing", "faulty",
+}
 
 func (e ending) Error() string { return endingWords[e] }
 
@@ -199,7 +201,8 @@
 // serve runs a connection to its end: read in one goroutine, the writer in another. Deadlines of sockets
 // are told by the system's clock, whichever the owner has.
 func (l *link) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
-	wrote func(*parcel) error) ending {
+	wrote func(*parcel) error,
+) ending {
 	g, ctx := errgroup.WithContext(l.ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -600,10 +600,12 @@
 	for _, id := range []string{"a1", "b0"} { // parts of one turn to one replica share a call
 		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[id].BatchSizes())
 	}
-	for _, bad := range []string{`{"version":9,"full":false,"servers":[{"id":"a1","addr":"","state":"up","cell":0}]}`,
+	for _, bad := range []string{
+		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"","state":"up","cell":0}]}`,
 		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"127.0.0.1:1","state":"odd","cell":0}]}`,
 		`{"version":9`, `{"version":6,"full":true,"servers":[]}`, `{"version":8,"full":false,"servers":[]}`,
-		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 nonsense\r\n\r\n", ""} {
+		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 nonsense\r\n\r\n", "",
+	} {
 		r.list.Responses <- bad
 		require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets, bad)
 	}
@@ -622,8 +624,10 @@
 // wait counts as a failed call.
 func TestListWithoutEnd(t *testing.T) {
 	list := script(t)
-	o := &owner{plan: &Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
-		Options: Options{Dial: (&net.Dialer{}).DialContext}}
+	o := &owner{
+		plan: &Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
+		Options: Options{Dial: (&net.Dialer{}).DialContext},
+	}
 	list.Responses <- `{"version":0,"full":true,"servers":[]}`
 	require.ErrorContains(t, o.watch(o.ctx, &asking{at: o.plan.Discovery}, nil), "nothing new")
 	require.Equal(t, "/v1/servers?index=0&wait=2000", <-list.Targets)
@@ -706,8 +710,14 @@
 	defer stop()
 	out, signals := &journal{}, make(chan os.Signal)
 	plans := WatchPlanReloads(ctx, first, signals, env, NewLogger(out, false, slog.LevelInfo))
-	for _, x := range [][3]string{{"file", `"Added":1,`, "variable"}, {"elsewhere", "", "elsewhere"}, {"broken", "{", ""},
-		{"elsewhere", "", "elsewhere"}, {"elsewhere", `"Balancers":-1,`, ""}, {"elsewhere", "", "elsewhere"}} {
+	for _, x := range [][3]string{
+		{"file", `"Added":1,`, "variable"},
+		{"elsewhere", "", "elsewhere"},
+		{"broken", "{", ""},
+		{"elsewhere", "", "elsewhere"},
+		{"elsewhere", `"Balancers":-1,`, ""},
+		{"elsewhere", "", "elsewhere"},
+	} {
 		write(x[0], x[1])
 		failed := strings.Count(out.String(), "event=reload_failed")
 		if signals <- syscall.SIGHUP; x[2] == "" {
@@ -886,14 +896,24 @@
 		"known":{"version":1,"servers":[]},"settings":` + testSettings + `}`
 	_, err := Parse([]byte(plan))
 	require.NoError(t, err)
-	for _, x := range [][3]string{{`{"name"`, `{"name`, "invalid"}, {`"seed":"1f"`, `"seed":"xx"`, "seed"},
-		{`"sockets":99`, `"sockets":"x"`, "sockets"}, {`"settings"`, `"other"`, "settings"}, {`"known"`, `"other"`, "known"},
+	for _, x := range [][3]string{
+		{`{"name"`, `{"name`, "invalid"},
+		{`"seed":"1f"`, `"seed":"xx"`, "seed"},
+		{`"sockets":99`, `"sockets":"x"`, "sockets"},
+		{`"settings"`, `"other"`, "settings"},
+		{`"known"`, `"other"`, "known"},
 		{`"servers":[]`, `"servers":[{"id":"a"}]`, "known: entry"},
-		{`"Family":"fanout"`, `"Family":"x"`, "Family"}, {`"Tick":5.0`, `"Tick":"x"`, "Tick"},
-		{`"Sets":2`, `"Sets":0`, "Specifics.Sets"}, {`"Aim":4000.0,`, ``, "Classes.0.Aim"},
-		{`"FollowUp":[0,0,2]`, `"FollowUp":[0]`, "FollowUp"}, {`"NeedByClass":[`, `"NeedByClass":[1,`, "Specifics.NeedByClass"},
-		{`"ClassFloor":[`, `"ClassFloor":[1.5,`, "Specifics.ClassFloor"}, {`"SecondCopies":true`, `"SecondCopies":"on"`, "Permissions.SecondCopies"},
-		{`"ColdFrom":0.3`, `"ColdFrom":1.5`, "Safety.ColdFrom"}, {`"DialTimeout":2000.0,`, ``, "DialTimeout"}} {
+		{`"Family":"fanout"`, `"Family":"x"`, "Family"},
+		{`"Tick":5.0`, `"Tick":"x"`, "Tick"},
+		{`"Sets":2`, `"Sets":0`, "Specifics.Sets"},
+		{`"Aim":4000.0,`, ``, "Classes.0.Aim"},
+		{`"FollowUp":[0,0,2]`, `"FollowUp":[0]`, "FollowUp"},
+		{`"NeedByClass":[`, `"NeedByClass":[1,`, "Specifics.NeedByClass"},
+		{`"ClassFloor":[`, `"ClassFloor":[1.5,`, "Specifics.ClassFloor"},
+		{`"SecondCopies":true`, `"SecondCopies":"on"`, "Permissions.SecondCopies"},
+		{`"ColdFrom":0.3`, `"ColdFrom":1.5`, "Safety.ColdFrom"},
+		{`"DialTimeout":2000.0,`, ``, "DialTimeout"},
+	} {
 		require.Contains(t, plan, x[0])
 		_, err := Parse([]byte(strings.Replace(plan, x[0], x[1], 1)))
 		require.ErrorContains(t, err, x[2])
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -111,7 +111,8 @@
 // crossed starts a co-ordinator whose clients' and replicas' connections are made crossings by accepts and dials; either
 // may be nil, and more too.
 func crossed(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *crossing),
-	dials func(addr string, c *crossing), more func(m *Options)) *rig {
+	dials func(addr string, c *crossing), more func(m *Options),
+) *rig {
 	return startIn(t, nil, sockets, edit, nil, nil, func(m *Options) {
 		m.Listener = &accepting{TCPListener: m.Listener.(*net.TCPListener), made: accepts}
 		own := m.Dial
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -42,9 +42,11 @@
 		zone, kind := o.nth("FailureDomains", word(m["zone"])), o.nth("MachineTypes", word(m["kind"]))
 		hostKind := word(m["kind"])
 		present[id] = !gone
-		hosts = append(hosts, listedHost{id, addr, int64(since), int(cell), gone, false, endpoints.Host{ID: id, Addr: addr,
+		hosts = append(hosts, listedHost{id, addr, int64(since), int(cell), gone, false, endpoints.Host{
+			ID: id, Addr: addr,
 			Zone: word(m["zone"]), Kind: hostKind, Cell: int(cell), State: memberStates[status], Weight: cmp.Or(units, 1),
-			StartedMS: int64(since)}})
+			StartedMS: int64(since),
+		}})
 		steps = append(steps, func() {
 			o.place(id, addr, hostKind, int64(since*10), gone, status == "cordoned")
 			o.module.AddEndpoint(id, zone, kind, int(cell), status, units, int64(since*10))
--- a/coordinator/door.go
+++ b/coordinator/door.go
@@ -81,9 +81,11 @@
 var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
 
 func newDoor(o *owner) *SearchAPI {
-	d := &SearchAPI{CoordinatorName: o.plan.Name, o: o, SendRetryAfter: o.plan.facts["Permissions.RetryAfter"] == "true", classes: o.plan.names("Classes"), tenants: o.plan.names("Tenants"),
+	d := &SearchAPI{
+		CoordinatorName: o.plan.Name, o: o, SendRetryAfter: o.plan.facts["Permissions.RetryAfter"] == "true", classes: o.plan.names("Classes"), tenants: o.plan.names("Tenants"),
 		MaxConnections: max(1, int(frontShare*float64(o.plan.MaxSockets))), LogEvent: o.log.often, cells: map[string]int{},
-		addrs: map[string]string{}, holders: map[int]int{}, sets: int(o.plan.fact("Specifics.Sets")), reach: int(o.plan.fact("Specifics.Reach"))}
+		addrs: map[string]string{}, holders: map[int]int{}, sets: int(o.plan.fact("Specifics.Sets")), reach: int(o.plan.fact("Specifics.Reach")),
+	}
 	for _, v := range o.plan.spans("Deadline") {
 		if v <= 0 || v > longWait {
 			v = longWait
@@ -178,8 +180,10 @@
 	o := d.o
 	out, first := make(chan SearchResult, 1), []behind(nil)
 	now := o.Clock.Now()
-	s := &search{name: a.ID, text: a.Body, qtype: d.classes[a.Type], tenant: d.tenants[a.Tenant], retry: a.IsRetry,
-		came: now, patience: o.within(min(a.Timeout, longWait), now), shards: slices.Clone(a.Shards), check: a.DecodeValue}
+	s := &search{
+		name: a.ID, text: a.Body, qtype: d.classes[a.Type], tenant: d.tenants[a.Tenant], retry: a.IsRetry,
+		came: now, patience: o.within(min(a.Timeout, longWait), now), shards: slices.Clone(a.Shards), check: a.DecodeValue,
+	}
 	for range a.Shards {
 		s.weights = append(s.weights, 1/float64(len(a.Shards)))
 	}
--- a/coordinator/effects_test.go
+++ b/coordinator/effects_test.go
@@ -87,13 +87,16 @@
 	r := start(t, 512, func(settings map[string]any) {
 		settings["Classes"] = []any{
 			map[string]any{"Name": "hold", "Aim": 300.0, "Deadline": 600.0, "Effect": "dedup", "RepeatWindow": 400.0, "LateShare": 0.5},
-			map[string]any{"Name": "log", "Aim": 300.0, "Deadline": 600.0, "Effect": "fragile", "LateShare": 0.5}}
+			map[string]any{"Name": "log", "Aim": 300.0, "Deadline": 600.0, "Effect": "fragile", "LateShare": 0.5},
+		}
 		of, may := settings["Specifics"].(map[string]any), settings["Permissions"].(map[string]any)
 		of["NeedByClass"], of["ClassFloor"], of["FollowUp"] = []any{1.0, 1.0}, []any{1.0, 1.0}, []any{0, 0}
 		may["SecondCopies"], may["MaxAttempts"], may["DialTimeout"] = false, 4, 250.0
 	})
-	d := &doers{chance: rand.New(rand.NewSource(32)), effects: map[string]int{}, ended: map[net.Conn]bool{},
-		memory: map[*fake.Host]map[string]time.Time{}}
+	d := &doers{
+		chance: rand.New(rand.NewSource(32)), effects: map[string]int{}, ended: map[net.Conn]bool{},
+		memory: map[*fake.Host]map[string]time.Time{},
+	}
 	for _, h := range r.replicas {
 		d.memory[h] = map[string]time.Time{}
 	}
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -26,11 +26,13 @@
 		p.asked(id, qtype, tenant, key, grace, retry)
 	}
 }
+
 func (p *puppet) AddShardRequest(id, number uint64, shard int, _ float64) {
 	if p.last == number && shard == 0 {
 		p.searches <- [2]uint64{number, id}
 	}
 }
+
 func (p *puppet) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
 	p.outcomes <- ending
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -149,8 +149,10 @@
 	defer stop()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- p.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(io.Discard, false, slog.LevelInfo)})
+		ended <- p.Serve(ctx, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(io.Discard, false, slog.LevelInfo),
+		})
 	}()
 	var out strings.Builder
 	exchange(t, &out, ln.Addr().String(), "health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -230,8 +232,10 @@
 		}},
 		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 0) }) }},
 		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 2500) }) }},
-		{"shed with a wait, close", "all", "Connection: close\r\n", fourParts,
-			func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 12345) }) }},
+		{
+			"shed with a wait, close", "all", "Connection: close\r\n", fourParts,
+			func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 12345) }) },
+		},
 		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
 		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
 	} {
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -119,8 +119,10 @@
 		outcome, _ := openSearch{HostKind{Index: "members"}}.outcome(status, []byte(good), 3)
 		fmt.Fprintf(&out, "%d %s\n", status, outcome)
 	}
-	for _, body := range []string{good, strings.Replace(good, `"members"`, `"other"`, 1), strings.Replace(good, `"timed_out":false`, `"timed_out":true`, 1),
-		strings.Replace(good, `"failed":0`, `"failed":1`, 1), strings.Replace(good, `"hits":[`, `"hats":[`, 1), `{}`, ``, `[]`} {
+	for _, body := range []string{
+		good, strings.Replace(good, `"members"`, `"other"`, 1), strings.Replace(good, `"timed_out":false`, `"timed_out":true`, 1),
+		strings.Replace(good, `"failed":0`, `"failed":1`, 1), strings.Replace(good, `"hits":[`, `"hats":[`, 1), `{}`, ``, `[]`,
+	} {
 		outcome, _ := openSearch{HostKind{Index: "members"}}.outcome(200, []byte(body), 3)
 		fmt.Fprintf(&out, "%q %s\n", body, outcome)
 	}
@@ -173,8 +175,10 @@
 	bodies, err := os.ReadFile("testdata/lists_in.golden")
 	require.NoError(t, err)
 	var out strings.Builder
-	o := &owner{plan: p, fleet: map[string]*replica{}, module: toldEntries{out: &out}, log: newNotes(SystemClock{}, slog.DiscardHandler),
-		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: map[uint64]*moduleWake{}}
+	o := &owner{
+		plan: p, fleet: map[string]*replica{}, module: toldEntries{out: &out}, log: newNotes(SystemClock{}, slog.DiscardHandler),
+		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: map[uint64]*moduleWake{},
+	}
 	for body := range strings.Lines(string(bodies)) {
 		fmt.Fprint(&out, body)
 		all, err := object([]byte(body))
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -68,19 +68,25 @@
 
 // goldenList and goldenNotes are what the golden store has of hosts.
 func goldenList() recovery.EndpointList {
-	return recovery.EndpointList{SavedAt: goldenNow - 2000, PlanVersion: 3, DiscoveryVersion: 9,
+	return recovery.EndpointList{
+		SavedAt: goldenNow - 2000, PlanVersion: 3, DiscoveryVersion: 9,
 		Hosts: []endpoints.Host{
 			{ID: "a", Addr: "127.0.0.1:2", Zone: "east", Kind: "std", State: endpoints.StateUp, Weight: 1, StartedMS: 1_699_999_000_000},
 			{ID: "b", Addr: "127.0.0.1:3", Zone: "west", Kind: "std", Cell: 1, State: endpoints.StateDraining, Weight: 1},
 		},
-		Removals: []recovery.Removal{{ID: "c", RemovedBy: "discovery", RemovedAt: goldenNow - 12_000}}}
+		Removals: []recovery.Removal{{ID: "c", RemovedBy: "discovery", RemovedAt: goldenNow - 12_000}},
+	}
 }
 
 func goldenNotes() recovery.Observations {
-	return recovery.Observations{SavedAt: goldenNow - 2000,
-		Head: peerreport.ReportHeader{Peer: "golden", Locality: "east", Serial: 7, ListVersion: 9, AgeMs: 100, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 1,
-			Zones: []peerreport.ZoneObservation{{Name: "east", Samples: 500, LogSlowdown: -3}}},
-		Entries: []peerreport.Observation{{HostID: "a", ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, AgeMs: 19}}}
+	return recovery.Observations{
+		SavedAt: goldenNow - 2000,
+		Head: peerreport.ReportHeader{
+			Peer: "golden", Locality: "east", Serial: 7, ListVersion: 9, AgeMs: 100, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 1,
+			Zones: []peerreport.ZoneObservation{{Name: "east", Samples: 500, LogSlowdown: -3}},
+		},
+		Entries: []peerreport.Observation{{HostID: "a", ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, AgeMs: 19}},
+	}
 }
 
 func openGoldenKeep(t *testing.T, path string) *Persistence {
--- a/coordinator/held_test.go
+++ b/coordinator/held_test.go
@@ -108,8 +108,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		ended <- r.plan.Serve(ctx, Options{Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look})
+		ended <- r.plan.Serve(ctx, Options{
+			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
+		})
 	}()
 	o := <-look
 	call := func() *caller {
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -78,8 +78,10 @@
 	version, _ := amount(plan.known["version"])
 	ctx, stop := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
-	k := &Persistence{path: path, alone: alone, budget: budget, plan: int64(version), whose: plan.whose(), clock: clock, log: newNotes(clock, log.Handler()),
-		own: stop, enough: enough, opened: make(chan struct{}), turn: make(chan struct{}, 1)}
+	k := &Persistence{
+		path: path, alone: alone, budget: budget, plan: int64(version), whose: plan.whose(), clock: clock, log: newNotes(clock, log.Handler()),
+		own: stop, enough: enough, opened: make(chan struct{}), turn: make(chan struct{}, 1),
+	}
 	k.discovery.Store(k.plan)
 	k.writes.Go(func() { k.log.write(ctx) })
 	go func() {
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -36,8 +36,10 @@
 	log, look := NewLogger(more.log, false, slog.LevelInfo), make(chan *owner, 1)
 	k := newKeep(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
 	go func() {
-		err := more.plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Logger: log,
-			Persistence: k, EndpointUpdates: k.PrependStoredUpdate(ctx, nil), look: look})
+		err := more.plan.Serve(ctx, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Logger: log,
+			Persistence: k, EndpointUpdates: k.PrependStoredUpdate(ctx, nil), look: look,
+		})
 		k.Close()
 		more.ended <- err
 	}()
@@ -125,8 +127,10 @@
 // A disk that takes seconds for a write, or fails each: searches and the stop go on as ever, and it is told.
 func TestABadDiskHoldsNothingUp(t *testing.T) {
 	first := start(t, 256, nil)
-	for name, disk := range map[string]func() error{"slow": func() error { time.Sleep(5 * time.Second); return nil },
-		"full": func() error { return syscall.ENOSPC }} {
+	for name, disk := range map[string]func() error{
+		"slow": func() error { time.Sleep(5 * time.Second); return nil },
+		"full": func() error { return syscall.ENOSPC },
+	} {
 		var bad atomic.Bool
 		r := first.keeping(filepath.Join(t.TempDir(), "kept"), store.Options{BeforeWrite: func(string) error {
 			if bad.Load() {
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -79,8 +79,10 @@
 
 // hosts is a list whose first host is at an address.
 func hosts(addr string) []fake.Endpoint {
-	return []fake.Endpoint{{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
-		{ID: "b0", Addr: "10.0.0.9:1", Zone: "z one", Kind: "small", Cell: 1, State: "up"}}
+	return []fake.Endpoint{
+		{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
+		{ID: "b0", Addr: "10.0.0.9:1", Zone: "z one", Kind: "small", Cell: 1, State: "up"},
+	}
 }
 
 func (d *lists) tell(version int, entries []fake.Endpoint) {
@@ -260,8 +262,10 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	look, ended := make(chan *owner, 1), make(chan error, 1)
-	m := Options{Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, look: look,
-		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at)}
+	m := Options{
+		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, look: look,
+		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at),
+	}
 	if more != nil {
 		more(&m)
 	}
@@ -496,8 +500,13 @@
 	defer stop()
 	signals := make(chan os.Signal)
 	plans := WatchPlanReloads(ctx, first, signals, env, slog.New(slog.DiscardHandler))
-	for _, x := range [][2]string{{`"discovery":"elsewhere",`, "elsewhere"}, {"", "variable"}, {"", "variable"},
-		{`"discovery":"again",`, "again"}, {`"discovery":"again",`, "again"}} {
+	for _, x := range [][2]string{
+		{`"discovery":"elsewhere",`, "elsewhere"},
+		{"", "variable"},
+		{"", "variable"},
+		{`"discovery":"again",`, "again"},
+		{`"discovery":"again",`, "again"},
+	} {
 		write(x[0])
 		signals <- syscall.SIGHUP
 		require.Equal(t, x[1], (<-plans).Discovery, x[0])
@@ -740,8 +749,10 @@
 	defer stop()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended}
 	go func() {
-		ended <- plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look})
+		ended <- plan.Serve(ctx, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
+		})
 	}()
 	<-look
 	<-other.Targets
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -30,8 +30,10 @@
 	defer stop()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended, list: other}
 	go func() {
-		ended <- plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look})
+		ended <- plan.Serve(ctx, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
+		})
 	}()
 	next.owner = <-look
 	require.Equal(t, "/v1/servers", <-other.Targets) // falls silent
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -106,7 +106,8 @@
 
 func (b bounded) Enabled(ctx context.Context, l slog.Level) bool { return b.to.Enabled(ctx, l) }
 func (b bounded) WithAttrs(as []slog.Attr) slog.Handler          { return bounded{b.n, b.to.WithAttrs(as)} }
-func (b bounded) WithGroup(name string) slog.Handler             { return bounded{b.n, b.to.WithGroup(name)} }
+
+func (b bounded) WithGroup(name string) slog.Handler { return bounded{b.n, b.to.WithGroup(name)} }
 
 func (b bounded) Handle(_ context.Context, r slog.Record) error {
 	select {
@@ -118,8 +119,10 @@
 }
 
 func newNotes(clock Clock, out slog.Handler) *notes {
-	n := &notes{clock: clock, out: out, lines: make(chan entry, logRoom), spoke: map[string]time.Time{},
-		more: map[string]int{}}
+	n := &notes{
+		clock: clock, out: out, lines: make(chan entry, logRoom), spoke: map[string]time.Time{},
+		more: map[string]int{},
+	}
 	n.Logger = slog.New(bounded{n, out})
 	return n
 }
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -33,8 +33,10 @@
 
 // EndpointRules are what a plan says of all hosts.
 func (p *Plan) EndpointRules() endpoints.Rules {
-	return endpoints.Rules{Zones: p.list("FailureDomains"), Kinds: p.list("MachineTypes"),
-		BlockSets: int(p.fact("Specifics.Sets")), SetsPerHost: int(p.fact("Specifics.Reach"))}
+	return endpoints.Rules{
+		Zones: p.list("FailureDomains"), Kinds: p.list("MachineTypes"),
+		BlockSets: int(p.fact("Specifics.Sets")), SetsPerHost: int(p.fact("Specifics.Reach")),
+	}
 }
 
 func listTold(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []listedHost) endpoints.Update {
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -23,12 +23,16 @@
 func (r *rig) withLists(lists <-chan endpoints.Update) *rig {
 	ln := listen(r.t)
 	ctx, stop := context.WithCancel(context.Background())
-	more := &rig{t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
-		log: &journal{}, plan: r.plan}
+	more := &rig{
+		t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
+		log: &journal{}, plan: r.plan,
+	}
 	look := make(chan *owner, 1)
 	go func() {
-		more.ended <- r.plan.Serve(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, look: look})
+		more.ended <- r.plan.Serve(ctx, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, look: look,
+		})
 	}()
 	more.owner = <-look
 	r.t.Cleanup(stop)
@@ -48,8 +52,12 @@
 	lists := make(chan endpoints.Update)
 	r := first.withLists(lists)
 	told := func(v int64, on, off string) endpoints.Update {
-		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{r.member("a" + on),
-			r.member("b" + on), {ID: "a" + off, State: endpoints.StateRemoved}, {ID: "b" + off, State: endpoints.StateRemoved}}}
+		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{
+			r.member("a" + on),
+			r.member("b" + on),
+			{ID: "a" + off, State: endpoints.StateRemoved},
+			{ID: "b" + off, State: endpoints.StateRemoved},
+		}}
 	}
 	lists <- told(1, "0", "1")
 	r.logged("entries=2")
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -220,14 +220,17 @@
 func (w *wakes) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(w.list[i].at, w.list[j].at), cmp.Compare(w.list[i].no, w.list[j].no)) < 0
 }
+
 func (w *wakes) Swap(i, j int) {
 	w.list[i], w.list[j] = w.list[j], w.list[i]
 	w.list[i].place, w.list[j].place = i, j
 }
+
 func (w *wakes) Push(v any) {
 	v.(*wake).place = len(w.list)
 	w.list = append(w.list, v.(*wake))
 }
+
 func (w *wakes) Pop() any {
 	last := len(w.list) - 1
 	v := w.list[last]
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -72,8 +72,10 @@
 	if p.Name == "" {
 		p.Name = name
 	}
-	l := &learner{o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewAdmission(),
-		since: map[string]int64{}, addrs: map[string]string{}}
+	l := &learner{
+		o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewAdmission(),
+		since: map[string]int64{}, addrs: map[string]string{},
+	}
 	l.instance = xxhash.Sum64String(fmt.Sprint(name, o.plan.seed, o.Listener.Addr(), o.start.UnixNano()))
 	l.shelf = peerreport.NewReportStore(p.Location, l.zones)
 	var names []string
@@ -100,9 +102,11 @@
 	if l.p.Listener == nil {
 		return
 	}
-	s := &peerprotocol.Server{Name: l.p.Name, InstanceID: l.instance, AllowedNames: l.p.AllowedPeers, Credentials: l.p.Keys, Admit: l.admit,
+	s := &peerprotocol.Server{
+		Name: l.p.Name, InstanceID: l.instance, AllowedNames: l.p.AllowedPeers, Credentials: l.p.Keys, Admit: l.admit,
 		Release: l.done, BuildReport: l.report, BuildStatus: l.status, SpendBudget: l.reply,
-		OnRejected: func(addr, why string) { o.log.often("peer_refused", "peer_refused", "client", addr, "why", why) }}
+		OnRejected: func(addr, why string) { o.log.often("peer_refused", "peer_refused", "client", addr, "why", why) },
+	}
 	o.log.Info("peers", "listen", l.p.Listener.Addr().String(), "name", l.p.Name, "asks", len(l.p.PollTargets))
 	o.g.Go(func() error { return s.Serve(o.ctx, l.p.Listener) })
 }
@@ -173,7 +177,8 @@
 
 func (l *learner) askOne(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.o.clock()
-	asking := peerprotocol.Client{PeerName: at.Name, Addr: at.Addr, LocalName: l.p.Name, InstanceID: l.instance, Dial: l.o.Dial, Credentials: l.p.Keys,
+	asking := peerprotocol.Client{
+		PeerName: at.Name, Addr: at.Addr, LocalName: l.p.Name, InstanceID: l.instance, Dial: l.o.Dial, Credentials: l.p.Keys,
 		OnHeader: func(h peerreport.ReportHeader) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -184,7 +189,8 @@
 			defer l.mu.Unlock()
 			return l.shelf.AddObservations(at.Name, notes)
 		},
-		SpendBudget: a.Spend}
+		SpendBudget: a.Spend,
+	}
 	return asking.FetchReport(ctx)
 }
 
@@ -375,9 +381,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.clock()
-	s := peerprotocol.Status{Name: l.p.Name, Locality: l.p.Location, UptimeMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
+	s := peerprotocol.Status{
+		Name: l.p.Name, Locality: l.p.Location, UptimeMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
 		ListVersion: l.version.Load(), HostCount: uint32(len(l.since)), ReportsServed: uint32(l.desk.Admitted), ReportsDeferred: uint32(l.desk.Deferred),
-		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Deferred)}
+		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Deferred),
+	}
 	for _, p := range l.asker.Statuses(now) {
 		one := peerprotocol.PeerStatus{Name: p.Name, ReportCount: uint32(p.ReportCount)}
 		if p.LastOutcomeAt > 0 {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -30,8 +30,10 @@
 
 // named is a co-ordinator's side towards peers, at a free port.
 func named(t *testing.T, name string, ask ...PeerAddress) *PeerOptions {
-	return &PeerOptions{Name: name, Listener: listen(t), PollTargets: ask, AllowedPeers: []string{"a", "b", "c"},
-		Budgets: map[string]scheduler.Budget{"ask": {MaxConcurrent: 4}, "answer": {MaxConcurrent: 4}}}
+	return &PeerOptions{
+		Name: name, Listener: listen(t), PollTargets: ask, AllowedPeers: []string{"a", "b", "c"},
+		Budgets: map[string]scheduler.Budget{"ask": {MaxConcurrent: 4}, "answer": {MaxConcurrent: 4}},
+	}
 }
 
 func (p *PeerOptions) at() PeerAddress { return PeerAddress{p.Name, p.Listener.Addr().String()} }
@@ -130,8 +132,10 @@
 	count := map[peerreport.Outcome]int{}
 	for i := range 50 {
 		g.Go(func() {
-			how, later, _ := (&peerprotocol.Client{PeerName: "a", Addr: p.at().Addr, LocalName: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
-				OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil }}).FetchReport(context.Background())
+			how, later, _ := (&peerprotocol.Client{
+				PeerName: "a", Addr: p.at().Addr, LocalName: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
+				OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil },
+			}).FetchReport(context.Background())
 			mu.Lock()
 			defer mu.Unlock()
 			if count[how]++; how == peerreport.OutcomeDeferred && later <= 0 {
@@ -154,11 +158,13 @@
 	ln := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error)
-	s := &peerprotocol.Server{Name: "b", InstanceID: 1, AllowedNames: []string{"a"}, Release: func() {}, OnRejected: func(string, string) {},
+	s := &peerprotocol.Server{
+		Name: "b", InstanceID: 1, AllowedNames: []string{"a"}, Release: func() {}, OnRejected: func(string, string) {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
 		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			return peerreport.ReportHeader{Peer: "b", HostCount: 1}, []peerreport.Observation{{HostID: "a0", IsOutlier: true}}, nil
-		}}
+		},
+	}
 	go func() { served <- s.Serve(ctx, ln) }()
 	p := named(t, "a", PeerAddress{"b", ln.Addr().String()})
 	r := startWith(t, 256, nil, p)
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -53,7 +53,8 @@
 // WatchPlanReloads reads the plan again at each signal and hands it on, for Means.Plans. One that cannot be read or
 // lacks something changes nothing. The runtime's bounds follow a new plan at once.
 func WatchPlanReloads(ctx context.Context, first *Plan, signals <-chan os.Signal, env func(string) string,
-	out *slog.Logger) <-chan *Plan {
+	out *slog.Logger,
+) <-chan *Plan {
 	plans := make(chan *Plan)
 	go func() {
 		for last := first; ; {
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -229,9 +229,17 @@
 		outcomes string
 		first    int64
 	}{
-		{"Ignored", 0}, {"ConnectError", 0}, {"QueueFull", 0}, {"ConnectError Ignored", 0},
-		{"ResetByPeer", 1}, {"TimedOut", 1}, {"Canceled", 1}, {"Failed", 1},
-		{"ConnectError ResetByPeer", 2}, {"ResetByPeer ConnectError", 1}, {"QueueFull Failed Canceled", 2},
+		{"Ignored", 0},
+		{"ConnectError", 0},
+		{"QueueFull", 0},
+		{"ConnectError Ignored", 0},
+		{"ResetByPeer", 1},
+		{"TimedOut", 1},
+		{"Canceled", 1},
+		{"Failed", 1},
+		{"ConnectError ResetByPeer", 2},
+		{"ResetByPeer ConnectError", 1},
+		{"QueueFull Failed Canceled", 2},
 	} {
 		o := &owner{keyed: []bool{true, false}, module: deaf{}, parts: map[uint64]*part{}}
 		p := &part{s: &search{}}
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -599,7 +599,8 @@
 // answer takes a replica's answer; one to a part that is no longer out is dropped. One to a part that never
 // was out on this connection is spoilt, and another waits for its own in vain.
 func (o *owner) answer(l *line, id []byte, outcome string, score []byte, report map[string]float64,
-	value []byte, read any) {
+	value []byte, read any,
+) {
 	l.heard = o.now
 	sub, waits := find(l.subs, string(id)), true
 	if sub == nil {
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -117,8 +117,10 @@
 		}
 		return names
 	}
-	b := &bounding{o: o, r: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), bounds: map[tied]*balancer.ReplicaRestriction{},
-		gone: make(chan struct{})}
+	b := &bounding{
+		o: o, r: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), bounds: map[tied]*balancer.ReplicaRestriction{},
+		gone: make(chan struct{}),
+	}
 	r.mu.Lock()
 	r.owners[b] = true
 	b.in = r.in
@@ -335,8 +337,10 @@
 		}
 		return names
 	}
-	return residency.Site{Tenants: append([]string{}, names("Tenants")...), Classes: names("Classes"),
-		Zones: append([]string{}, p.list("FailureDomains")...), Blocks: p.BlockCount()}
+	return residency.Site{
+		Tenants: append([]string{}, names("Tenants")...), Classes: names("Classes"),
+		Zones: append([]string{}, p.list("FailureDomains")...), Blocks: p.BlockCount(),
+	}
 }
 
 // ZoneHoldsBlockFunc tells which hosts' zones hold a block by the plan's own list: hosts that are up.
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -273,7 +273,8 @@
 	file := func(id, zone string, v int64) endpoints.Update {
 		h := z.replicas[id]
 		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{
-			{ID: id, Addr: h.Listener.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1}}}
+			{ID: id, Addr: h.Listener.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1},
+		}}
 	}
 	z.lists <- file("a0", "west", 1)
 	zone := func(id string) string {
--- a/coordinator/several_test.go
+++ b/coordinator/several_test.go
@@ -24,8 +24,10 @@
 	defer stop()
 	plans, ended := make(chan *Plan), make(chan error, 1)
 	go func() {
-		ended <- r.plan.ServeSharded(ctx, Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(&log, false, slog.LevelInfo), PlanUpdates: plans}, 3)
+		ended <- r.plan.ServeSharded(ctx, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(&log, false, slog.LevelInfo), PlanUpdates: plans,
+		}, 3)
 	}()
 	own := &rig{t: t, addr: ln.Addr().String(), log: &log}
 	own.eventually("all serve", func() bool { return strings.Count(log.String(), "event=serving") == 3 })
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -151,9 +151,12 @@
 }
 
 func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), over, next map[string]string,
-	more func(m *Options)) *rig {
-	r := &rig{t: t, replicas: map[string]*fake.Host{}, log: &journal{}, ended: make(chan error, 1),
-		list: script(t), plans: make(chan *Plan), zones: zones}
+	more func(m *Options),
+) *rig {
+	r := &rig{
+		t: t, replicas: map[string]*fake.Host{}, log: &journal{}, ended: make(chan error, 1),
+		list: script(t), plans: make(chan *Plan), zones: zones,
+	}
 	var known []string
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
 		s, err := fake.NewHost(id, int(id[0]-'a'), true, asked.ReplyGood)
@@ -183,8 +186,10 @@
 	r.addr, r.stop, r.plan = ln.Addr().String(), stop, p
 	look := make(chan *owner, 1)
 	go func() {
-		m := Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, look: look}
+		m := Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, look: look,
+		}
 		more(&m)
 		r.ended <- p.Serve(ctx, m)
 	}()
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -168,8 +168,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG %s: %w", path, err)
 	}
-	for name, into := range map[string]*string{"GW_NAME": &p.Name, "GW_LISTEN": &p.Listen,
-		"GW_DISCOVERY": &p.Discovery} {
+	for name, into := range map[string]*string{
+		"GW_NAME": &p.Name, "GW_LISTEN": &p.Listen,
+		"GW_DISCOVERY": &p.Discovery,
+	} {
 		if v := env(name); v != "" {
 			*into = v
 		}
@@ -344,9 +346,11 @@
 	if p.facts["Family"] != "fanout" {
 		return fmt.Errorf("setting Family: %q is not fanout", p.facts["Family"])
 	}
-	need := []string{"Balancers", "Tick", "Specifics.Sets", "Specifics.Reach", "Specifics.Ranges",
+	need := []string{
+		"Balancers", "Tick", "Specifics.Sets", "Specifics.Reach", "Specifics.Ranges",
 		"Specifics.PerCall", "Permissions.MaxAttempts", "Permissions.ConnIdle",
-		"Permissions.DialTimeout", "Permissions.StreamsPerConn", "Classes.count"}
+		"Permissions.DialTimeout", "Permissions.StreamsPerConn", "Classes.count",
+	}
 	for i := range p.count("Classes") {
 		need = append(need, fmt.Sprintf("Classes.%d.Aim", i), fmt.Sprintf("Classes.%d.LateShare", i))
 		if name := p.facts[fmt.Sprintf("Classes.%d.Name", i)]; name == "" {
@@ -423,8 +427,10 @@
 
 // whose tells one deployment's co-ordinator from others: its name, and what its hosts and searches are named and placed by.
 func (p *Plan) whose() string {
-	return fmt.Sprintf("%q", []any{p.Name, p.named["Classes"], p.named["Tenants"], p.list("FailureDomains"), p.list("MachineTypes"),
-		p.facts["Specifics.Sets"], p.facts["Specifics.Reach"], p.facts["Specifics.Ranges"]})
+	return fmt.Sprintf("%q", []any{
+		p.Name, p.named["Classes"], p.named["Tenants"], p.list("FailureDomains"), p.list("MachineTypes"),
+		p.facts["Specifics.Sets"], p.facts["Specifics.Reach"], p.facts["Specifics.Ranges"],
+	})
 }
 
 // ApplyRuntimeLimits tells the runtime what this co-ordinator was given of its machine.
@@ -442,13 +448,15 @@
 	g, work := errgroup.WithContext(context.WithoutCancel(ctx))
 	stopping, stop := context.WithCancel(work)
 	defer stop()
-	o := &owner{plan: p, Options: m, log: newNotes(m.Clock, m.Logger.Handler()), g: g, ctx: work, queue: make(chan func(), queueRoom),
+	o := &owner{
+		plan: p, Options: m, log: newNotes(m.Clock, m.Logger.Handler()), g: g, ctx: work, queue: make(chan func(), queueRoom),
 		start: m.Clock.Now(), searches: map[uint64]*search{}, names: map[string]bool{}, parts: map[uint64]*part{}, timers: map[uint64]*moduleWake{},
 		lingering: map[*subRequest]*lingering{},
 		fleet:     map[string]*replica{}, asks: make(chan struct{}, 1), moves: make(chan string), sockets: p.MaxSockets,
 		blocks: p.BlockCount(), streams: int(p.fact("Permissions.StreamsPerConn")), perCall: int(p.fact("Specifics.PerCall")),
 		maxAttempts: int(p.fact("Permissions.MaxAttempts")), clients: map[*link]bool{},
-		room: p.room()}
+		room: p.room(),
+	}
 	for i := range p.count("Classes") {
 		v, _ := strconv.ParseFloat(p.list("Specifics.FollowUp")[i], 64)
 		o.followUps = append(o.followUps, int(v))
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -310,9 +310,13 @@
 			var all errgroup.Group
 			for i := range n {
 				g, work := errgroup.WithContext(ctx)
-				o := &owner{g: g, ctx: work, asks: make(chan struct{}, 1), moves: make(chan string), queue: make(chan func(), queueRoom),
-					log: newNotes(clock, slog.DiscardHandler), plan: &Plan{seed: int64(i), facts: map[string]string{"Discovery": by,
-						"Balancers": fmt.Sprint(n)}, known: map[string]any{"version": json.Number("1")}}}
+				o := &owner{
+					g: g, ctx: work, asks: make(chan struct{}, 1), moves: make(chan string), queue: make(chan func(), queueRoom),
+					log: newNotes(clock, slog.DiscardHandler), plan: &Plan{seed: int64(i), facts: map[string]string{
+						"Discovery": by,
+						"Balancers": fmt.Sprint(n),
+					}, known: map[string]any{"version": json.Number("1")}},
+				}
 				o.Options = Options{Clock: clock, Dial: func(context.Context, string, string) (net.Conn, error) {
 					mu.Lock()
 					defer mu.Unlock()
--- a/coordinator/variables_test.go
+++ b/coordinator/variables_test.go
@@ -37,8 +37,14 @@
 		for _, x := range []struct {
 			discovery, settings, want string
 			cut                       int
-		}{{"", testSettings, "variable", 0}, {`"discovery":"",`, other, "variable", 0}, {`"discovery":"two",`, other, "two", 0},
-			{`"discovery":"three",`, other, "", 40}, {"", other, "variable", 0}, {`"discovery":"two",`, testSettings, "two", 0}} {
+		}{
+			{"", testSettings, "variable", 0},
+			{`"discovery":"",`, other, "variable", 0},
+			{`"discovery":"two",`, other, "two", 0},
+			{`"discovery":"three",`, other, "", 40},
+			{"", other, "variable", 0},
+			{`"discovery":"two",`, testSettings, "two", 0},
+		} {
 			write(x.discovery, x.settings, x.cut)
 			failed := strings.Count(out.String(), "event=reload_failed")
 			signals <- syscall.SIGHUP
--- a/endpoints/hostfile/file.go
+++ b/endpoints/hostfile/file.go
@@ -89,8 +89,10 @@
 		if math.IsNaN(weight) || math.IsInf(weight, 0) {
 			return fault(line, column, h.ID, "weight %g", weight)
 		}
-		told.Hosts = append(told.Hosts, endpoints.Host{ID: h.ID, Addr: h.Address, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
-			State: state, Weight: weight, StartedMS: h.StartedMS, Line: line, Column: column})
+		told.Hosts = append(told.Hosts, endpoints.Host{
+			ID: h.ID, Addr: h.Address, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
+			State: state, Weight: weight, StartedMS: h.StartedMS, Line: line, Column: column,
+		})
 	}
 	return told, nil
 }
--- a/endpoints/hostfile/golden_host_file_test.go
+++ b/endpoints/hostfile/golden_host_file_test.go
@@ -59,10 +59,15 @@
 	sample, err := os.ReadFile("../../deploy/hosts.yaml")
 	require.NoError(t, err)
 	var out strings.Builder
-	for _, x := range [][2]string{{"all keys, YAML", allHostKeysYAML}, {"all keys, JSON", allHostKeysJSON},
-		{"no hosts, YAML", "hosts: []\n"}, {"no hosts, JSON", `{"hosts":[]}`},
+	for _, x := range [][2]string{
+		{"all keys, YAML", allHostKeysYAML},
+		{"all keys, JSON", allHostKeysJSON},
+		{"no hosts, YAML", "hosts: []\n"},
+		{"no hosts, JSON", `{"hosts":[]}`},
 		{"checksum", "# xxh64: 861e901973133b9e\nhosts: []\n"},
-		{"other comment", "# xxh32: 1\nhosts: []\n"}, {"sample", string(sample)}} {
+		{"other comment", "# xxh32: 1\nhosts: []\n"},
+		{"sample", string(sample)},
+	} {
 		fmt.Fprintf(&out, "%s\n", x[0])
 		describeHosts(&out, "hosts.yaml", x[1])
 	}
@@ -71,7 +76,8 @@
 
 func TestGoldenHostFileErrors(t *testing.T) {
 	var out strings.Builder
-	for _, text := range []string{"", "{}", "meant: true\n", "hosts:\n", "hosts: 7\n", "hosts: {a: 1}\n", "hostz: []\n", "Hosts: []\n",
+	for _, text := range []string{
+		"", "{}", "meant: true\n", "hosts:\n", "hosts: 7\n", "hosts: {a: 1}\n", "hostz: []\n", "Hosts: []\n",
 		"meant: perhaps\nhosts: []\n", "hosts:\n  - {id: a, adress: x}\n", "hosts:\n  - id: a\n  - id: b\n    Zone: x\n",
 		"hosts:\n  - {id: a, state: gone}\n", "hosts:\n  - {id: a}\n  - id: b\n    state: Up\n",
 		`{"hosts": [{"id": "a"}, {"id": "b", "state": "down"}]}`, "hosts:\n  - {id: a, weight: .nan}\n",
@@ -79,7 +85,8 @@
 		"hosts:\n  - {id: a, cell: 1.5}\n", "hosts:\n  - {id: a, started_ms: soon}\n", "hosts:\n  - {id: [a]}\n",
 		"hosts:\n  - {id: a, id: b}\n", "hosts: []\nhosts: []\n", "hosts: []\n---\nhosts: []\n", "hosts: [", `{"hosts":[`,
 		"hosts:\n\t- id: a\n", "# xxh64: 0\nhosts: []\n", "# xxh64:  0000000000000000 \nhosts: []\n",
-		"# xxh64: " + strings.Repeat("0", 60) + "\nhosts: []\n"} {
+		"# xxh64: " + strings.Repeat("0", 60) + "\nhosts: []\n",
+	} {
 		fmt.Fprintf(&out, "%q\n", text)
 		describeHosts(&out, "hosts.yaml", text)
 	}
--- a/endpoints/hostfile/watch_test.go
+++ b/endpoints/hostfile/watch_test.go
@@ -34,7 +34,8 @@
 	require.NoError(t, err)
 	require.Equal(t, []endpoints.Host{
 		{ID: "a", Addr: "127.0.0.1:1", Zone: "hall", Kind: "std", Weight: 1, Line: 2, Column: 6},
-		{ID: "b", Addr: "127.0.0.1:2", Cell: 1, State: endpoints.StateDraining, Weight: 2.5, StartedMS: 7, Line: 3, Column: 5}}, told.Hosts)
+		{ID: "b", Addr: "127.0.0.1:2", Cell: 1, State: endpoints.StateDraining, Weight: 2.5, StartedMS: 7, Line: 3, Column: 5},
+	}, told.Hosts)
 	json, err := Parse("f", []byte(`{"meant": true, "hosts": [{"id": "a", "address": "127.0.0.1:1", "cell": 0}]}`))
 	require.NoError(t, err)
 	require.True(t, json.Confirmed)
--- a/internal/benchmark/classes_test.go
+++ b/internal/benchmark/classes_test.go
@@ -36,12 +36,14 @@
 			chance := rand.New(rand.NewSource(int64(i)))
 			work := make(chan struct{}, 1)
 			work <- struct{}{}
-			s.Hosts = append(s.Hosts, clustertest.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % clustertest.BlockCount,
+			s.Hosts = append(s.Hosts, clustertest.Host{
+				ID: fmt.Sprint("h", i), Zone: "z", Cell: i % clustertest.BlockCount,
 				Handler: fake.NewWorkerPool(ctx, 1, func() time.Duration {
 					<-work
 					defer func() { work <- struct{}{} }()
 					return x.spoil(i, chance)
-				})})
+				}),
+			})
 		}
 		r, err := clustertest.New(ctx, s)
 		require.NoError(t, err)
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -164,9 +164,11 @@
 	if cores, err := strconv.Atoi(os.Getenv(nodeCores)); err == nil {
 		runtime.GOMAXPROCS(cores)
 	}
-	return plan.ServeSharded(ctx, coordinator.Options{Frontends: []coordinator.Frontend{front},
+	return plan.ServeSharded(ctx, coordinator.Options{
+		Frontends: []coordinator.Frontend{front},
 		HostKinds: map[string]coordinator.HostKind{searchKind: {Index: "members"}}, Listener: ln, Dial: dial,
-		Clock: coordinator.SystemClock{}, Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Peers: more}, owners)
+		Clock: coordinator.SystemClock{}, Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Peers: more,
+	}, owners)
 }
 
 // tellCounts answers each line asked for with the counts so far.
@@ -174,8 +176,10 @@
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		text, _ := json.Marshal(counted{float64(m.Mallocs), float64(m.TotalAlloc), float64(sockets.reads.Load()),
-			float64(sockets.writes.Load()), float64(sockets.copied.Load())})
+		text, _ := json.Marshal(counted{
+			float64(m.Mallocs), float64(m.TotalAlloc), float64(sockets.reads.Load()),
+			float64(sockets.writes.Load()), float64(sockets.copied.Load()),
+		})
 		fmt.Println(string(text))
 	}
 }
@@ -287,8 +291,10 @@
 			answered++
 		}
 	}
-	out := Result{Fields: map[string]any{"searches": len(got), "answered": answered, "resident_mb": round(most),
-		"limit_mb": memoryMB, "p99_ms": round(1000 * quantile(got, 0.99).Seconds())}}
+	out := Result{Fields: map[string]any{
+		"searches": len(got), "answered": answered, "resident_mb": round(most),
+		"limit_mb": memoryMB, "p99_ms": round(1000 * quantile(got, 0.99).Seconds()),
+	}}
 	if most > memoryMB {
 		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%.0f MB resident, over the limit of %d MB", most, memoryMB))
 	}
@@ -316,8 +322,10 @@
 		if asking {
 			g.Go(func() {
 				for ask.Err() == nil {
-					how, _, _ := (&peerprotocol.Client{PeerName: "n0", Addr: p.peer, LocalName: "asker", Dial: (&net.Dialer{}).DialContext,
-						OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil }}).FetchReport(ask)
+					how, _, _ := (&peerprotocol.Client{
+						PeerName: "n0", Addr: p.peer, LocalName: "asker", Dial: (&net.Dialer{}).DialContext,
+						OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil },
+					}).FetchReport(ask)
 					if asked++; how == peerreport.OutcomeReceived {
 						answered++
 					}
@@ -353,9 +361,11 @@
 		return Result{}, err
 	}
 	more := mean(with)/mean(without) - 1
-	out := Result{Fields: map[string]any{"cpu_us_alone": round(1e6 * mean(without)), "cpu_us_asked": round(1e6 * mean(with)),
+	out := Result{Fields: map[string]any{
+		"cpu_us_alone": round(1e6 * mean(without)), "cpu_us_asked": round(1e6 * mean(with)),
 		"more": round(more), "p50_ms_alone": round(1000 * median(p50Without)), "p50_ms_asked": round(1000 * median(p50With)),
-		"askings": asked, "answered": answered}}
+		"askings": asked, "answered": answered,
+	}}
 	if more > costMost {
 		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("a search costs %.1f%% more CPU time with a peer asking", 100*more))
 	}
--- a/internal/benchmark/counts.go
+++ b/internal/benchmark/counts.go
@@ -76,8 +76,10 @@
 			}
 			out.Fields[name] = got
 			w := want[name]
-			for what, pair := range map[string][2]float64{"allocs": {got.Allocs, w.Allocs}, "bytes": {got.Bytes, w.Bytes},
-				"reads": {got.Reads, w.Reads}, "writes": {got.Writes, w.Writes}, "copied": {got.Copied, w.Copied}} {
+			for what, pair := range map[string][2]float64{
+				"allocs": {got.Allocs, w.Allocs}, "bytes": {got.Bytes, w.Bytes},
+				"reads": {got.Reads, w.Reads}, "writes": {got.Writes, w.Writes}, "copied": {got.Copied, w.Copied},
+			} {
 				if pair[0] > countRise*pair[1] {
 					out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: %.1f %s a search, %.1f in the baseline", name, pair[0], what, pair[1]))
 				}
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -62,15 +62,23 @@
 	class := func(name string) map[string]any {
 		return map[string]any{"Name": name, "Aim": 1000.0, "Deadline": 3000.0, "Effect": "retryable", "LateShare": 0.5}
 	}
-	return map[string]any{"Family": "fanout", "Discovery": "subscribe", "Balancers": coordinators, "Tick": 5.0,
+	return map[string]any{
+		"Family": "fanout", "Discovery": "subscribe", "Balancers": coordinators, "Tick": 5.0,
 		"FailureDomains": []string{"hall"}, "MachineTypes": []string{"std", searchKind},
 		"Classes": []any{class(quickPicks), class(fullMatch)},
-		"Specifics": map[string]any{"Sets": sets, "Reach": reach, "Ranges": sets, "PerCall": 1,
-			"NeedByClass": []float64{0.75, 1}, "ClassFloor": []float64{0.75, 1}, "FollowUp": []int{0, 0}},
-		"Permissions": map[string]any{"MaxAttempts": 3, "ConnIdle": 60000.0, "DialTimeout": 250.0, "StreamsPerConn": 32,
-			"SecondCopies": true, "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 500.0},
-		"Safety": map[string]any{"Cold": 10000.0, "ColdFrom": 0.3, "FallMultiple": 3.0, "Fall": 2000.0,
-			"DrainGrace": 2000.0, "AskWithin": 10000.0}}
+		"Specifics": map[string]any{
+			"Sets": sets, "Reach": reach, "Ranges": sets, "PerCall": 1,
+			"NeedByClass": []float64{0.75, 1}, "ClassFloor": []float64{0.75, 1}, "FollowUp": []int{0, 0},
+		},
+		"Permissions": map[string]any{
+			"MaxAttempts": 3, "ConnIdle": 60000.0, "DialTimeout": 250.0, "StreamsPerConn": 32,
+			"SecondCopies": true, "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 500.0,
+		},
+		"Safety": map[string]any{
+			"Cold": 10000.0, "ColdFrom": 0.3, "FallMultiple": 3.0, "Fall": 2000.0,
+			"DrainGrace": 2000.0, "AskWithin": 10000.0,
+		},
+	}
 }
 
 // fleet is a set of stand-in hosts with discovery.
@@ -91,8 +99,10 @@
 			return nil, err
 		}
 		f.hosts = append(f.hosts, h)
-		f.entries = append(f.entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std",
-			State: "up", Cell: h.Cell})
+		f.entries = append(f.entries, fake.Endpoint{
+			ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std",
+			State: "up", Cell: h.Cell,
+		})
 	}
 	var err error
 	f.list, err = fake.NewDiscoveryServer(f.entries)
@@ -129,7 +139,8 @@
 
 // start runs a co-ordinator in this process until it is stopped.
 func (f *fleet) start(name string, seed uint64, coordinators int, peers *coordinator.PeerOptions,
-	fronts ...coordinator.Frontend) (*node, error) {
+	fronts ...coordinator.Frontend,
+) (*node, error) {
 	return f.startWith(name, seed, coordinators, func(m *coordinator.Options) { m.Peers, m.Frontends = peers, fronts })
 }
 
@@ -149,9 +160,11 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &node{name: name, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
-	means := coordinator.Options{Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
+	means := coordinator.Options{
+		Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
 		Logger:    coordinator.NewLogger(io.Discard, false, slog.LevelError),
-		HostKinds: map[string]coordinator.HostKind{searchKind: {Index: "members"}}}
+		HostKinds: map[string]coordinator.HostKind{searchKind: {Index: "members"}},
+	}
 	more(&means)
 	go func() { n.ended <- plan.Serve(ctx, means) }()
 	return n, nil
@@ -181,8 +194,10 @@
 		if at >= length {
 			return all
 		}
-		s := fake.Search{At: at, ID: fmt.Sprintf("%s-%d", name, len(all)), Type: quickPicks, Shards: shards,
-			Patience: patience}
+		s := fake.Search{
+			At: at, ID: fmt.Sprintf("%s-%d", name, len(all)), Type: quickPicks, Shards: shards,
+			Patience: patience,
+		}
 		if chance.Intn(3) == 0 {
 			s.Type = fullMatch
 		}
--- a/internal/benchmark/gossip.go
+++ b/internal/benchmark/gossip.go
@@ -224,13 +224,15 @@
 		names, addrs = append(names, fmt.Sprintf("g%02d", i)), append(addrs, "")
 	}
 	for i := range n {
-		node, err := gossip.Start(ctx, gossip.Options{Self: book.Member{Name: names[i], Region: "lab", Zone: "lab-1", ProgramVersion: "lab"},
+		node, err := gossip.Start(ctx, gossip.Options{
+			Self:   book.Member{Name: names[i], Region: "lab", Zone: "lab-1", ProgramVersion: "lab"},
 			Voters: names, ListenAddr: "127.0.0.1:0", JoinAddrs: slices.Clone(addrs[:min(3, i)]), Seed: seed*1000 + int64(i),
 			ShouldDrop: func(to string) bool {
 				mu.Lock()
 				defer mu.Unlock()
 				return sides[addrs[i]] != sides[to]
-			}})
+			},
+		})
 		if err != nil {
 			return err
 		}
--- a/internal/benchmark/learning.go
+++ b/internal/benchmark/learning.go
@@ -74,8 +74,10 @@
 	if err != nil {
 		return Result{}, err
 	}
-	running, err := f.start("running", uint64(seed), count, &coordinator.PeerOptions{Name: "running", Listener: ln,
-		AllowedPeers: learners(), Budgets: map[string]scheduler.Budget{"answer": {MaxConcurrent: 4}}})
+	running, err := f.start("running", uint64(seed), count, &coordinator.PeerOptions{
+		Name: "running", Listener: ln,
+		AllowedPeers: learners(), Budgets: map[string]scheduler.Budget{"answer": {MaxConcurrent: 4}},
+	})
 	if err != nil {
 		return Result{}, err
 	}
@@ -168,9 +170,11 @@
 			firsts = append(firsts, run[:min(len(run), firstOnes)]...)
 		}
 		steadyAt[kind], gEarly[kind], gAll[kind], p99[kind] = median(at), median(early), median(all), 1000*quantile(firsts, 0.99).Seconds()
-		out.Fields[kind] = map[string]any{"steady_s": round(steadyAt[kind]), "g_first_5s": round(gEarly[kind]),
+		out.Fields[kind] = map[string]any{
+			"steady_s": round(steadyAt[kind]), "g_first_5s": round(gEarly[kind]),
 			"g_30s": round(gAll[kind]), "p99_first_200_ms": round(p99[kind]), "sent_cold": cold.n[kind],
-			"mean_first_1s_ms": round(1000 * meanTook(results[kind], time.Second))}
+			"mean_first_1s_ms": round(1000 * meanTook(results[kind], time.Second)),
+		}
 	}
 	miss := func(format string, v ...any) { out.MissedGoals = append(out.MissedGoals, fmt.Sprintf(format, v...)) }
 	if steadyAt["warm"] > 0.5*steadyAt["cold"] {
@@ -307,13 +311,17 @@
 		}
 		notes = append(notes, n)
 	}
-	s := &peerprotocol.Server{Name: "liar", InstanceID: 1, AllowedNames: learners(),
+	s := &peerprotocol.Server{
+		Name: "liar", InstanceID: 1, AllowedNames: learners(),
 		Admit: func(string) (bool, time.Duration) { return true, 0 }, Release: func() {},
 		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
-			return peerreport.ReportHeader{Peer: "liar", Serial: 1, AnswerCount: math.MaxInt32, FleetLatency: 100_000_000, MinLatency: 1,
-				HostCount: uint32(len(notes))}, notes, nil
+			return peerreport.ReportHeader{
+				Peer: "liar", Serial: 1, AnswerCount: math.MaxInt32, FleetLatency: 100_000_000, MinLatency: 1,
+				HostCount: uint32(len(notes)),
+			}, notes, nil
 		},
-		OnRejected: func(string, string) {}}
+		OnRejected: func(string, string) {},
+	}
 	go s.Serve(ctx, ln)
 	return ln, nil
 }
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -461,8 +461,10 @@
 	out.Fields["difference_share"] = perDiff / float64(list)
 	out.Fields["rss_mb"], out.Fields["heap_mb"] = st.RSS>>20, st.Heap>>20
 	out.Fields["alone_mb"] = alone >> 20
-	for bad, what := range map[string]bool{"entries lost": lost > 0, "entries came back": back > 0, "healed too late": took > ledgerHeal,
-		"the difference costs too many bytes": perDiff > ledgerDiffMost*float64(list), "too much memory": st.RSS > ledgerMemory} {
+	for bad, what := range map[string]bool{
+		"entries lost": lost > 0, "entries came back": back > 0, "healed too late": took > ledgerHeal,
+		"the difference costs too many bytes": perDiff > ledgerDiffMost*float64(list), "too much memory": st.RSS > ledgerMemory,
+	} {
 		if what {
 			out.MissedGoals = append(out.MissedGoals, bad)
 		}
--- a/internal/benchmark/membership.go
+++ b/internal/benchmark/membership.go
@@ -179,9 +179,11 @@
 			}
 		}
 	}
-	out := Result{Fields: map[string]any{"searches": len(got), "answered": answered, "wrong": wrong, "writes": writes, "bad": bad,
+	out := Result{Fields: map[string]any{
+		"searches": len(got), "answered": answered, "wrong": wrong, "writes": writes, "bad": bad,
 		"told": told, "refused_by_form": refused, "drops": drops, "sent_to_dropped": late, "sent_to_decoy": decoy.CountRequests(),
-		"p99_ms": round(1000 * quantile(got, 0.99).Seconds())}}
+		"p99_ms": round(1000 * quantile(got, 0.99).Seconds()),
+	}}
 	if wrong > 0 || answered < len(got)*99/100 {
 		out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%d of %d searches answered, %d wrongly", answered, len(got), wrong))
 	}
--- a/internal/benchmark/opensearch.go
+++ b/internal/benchmark/opensearch.go
@@ -90,8 +90,10 @@
 		blocks = append(blocks, &fake.ShardDocuments{Index: "members"})
 	}
 	for i := range osMembers {
-		m := fake.Document{ID: fmt.Sprintf("m%05d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
-			"town": []string{"oslo", "bergen", "hamar", "moss"}[chance.Intn(4)]}}
+		m := fake.Document{ID: fmt.Sprintf("m%05d", i), Fields: map[string]any{
+			"age":  float64(18 + chance.Intn(60)),
+			"town": []string{"oslo", "bergen", "hamar", "moss"}[chance.Intn(4)],
+		}}
 		b := blocks[chance.Intn(sets)]
 		b.Documents, all.Documents = append(b.Documents, m), append(all.Documents, m)
 	}
@@ -164,7 +166,8 @@
 
 // measurePairs measures both kinds of client with one kind of host, in turn.
 func measurePairs(ctx context.Context, seed int64, f *fleet, hang func(), kind string, searches []drawnSearch, out *Result,
-	cpu map[pair]float64) error {
+	cpu map[pair]float64,
+) error {
 	p, err := f.launch(ctx, seed)
 	if err != nil {
 		return err
@@ -205,8 +208,10 @@
 		cpu[who] = mean(s.cpu)
 		slices.Sort(s.took)
 		at := func(q float64) float64 { return round(s.took[min(len(s.took)-1, int(q*float64(len(s.took))))]) }
-		fields := map[string]any{"searches": s.count, "cpu_us": round(1e6 * mean(s.cpu)), "allocs": round(mean(s.allocs)),
-			"lost": s.lost, "doubled": s.doubled, "wrong": s.wrong}
+		fields := map[string]any{
+			"searches": s.count, "cpu_us": round(1e6 * mean(s.cpu)), "allocs": round(mean(s.allocs)),
+			"lost": s.lost, "doubled": s.doubled, "wrong": s.wrong,
+		}
 		if len(s.took) > 0 {
 			fields["p50_ms"], fields["p99_ms"] = at(0.5), at(0.99)
 		}
--- a/internal/benchmark/ordinary.go
+++ b/internal/benchmark/ordinary.go
@@ -90,9 +90,11 @@
 }
 
 func (r row) fields() map[string]any {
-	return map[string]any{"answered_per_s": round(r.rate), "cpu_us": round(1e6 * r.cpu), "allocs": round(r.allocs),
+	return map[string]any{
+		"answered_per_s": round(r.rate), "cpu_us": round(1e6 * r.cpu), "allocs": round(r.allocs),
 		"p50_ms": round(1000 * r.p50), "p99_ms": round(1000 * r.p99), "resident_mb": round(r.resident), "shed": r.tally.shed,
-		"wrong": r.tally.wrong, "missing": r.tally.missing, "doubled": r.tally.doubled}
+		"wrong": r.tally.wrong, "missing": r.tally.missing, "doubled": r.tally.doubled,
+	}
 }
 
 // table has more and more clients ask a process of its own: the program, or the floor where kind says so.
@@ -110,8 +112,10 @@
 		before, mallocs := p.cpu(), p.mallocs()
 		t := closedLoop(ctx, p.addr, n, seed, each)
 		all := float64(max(1, len(t.took)+t.shed))
-		r := row{tally: t, rate: float64(len(t.took)) / each.Seconds(), cpu: (p.cpu() - before) / all,
-			allocs: (p.mallocs() - mallocs) / all, resident: p.resident()}
+		r := row{
+			tally: t, rate: float64(len(t.took)) / each.Seconds(), cpu: (p.cpu() - before) / all,
+			allocs: (p.mallocs() - mallocs) / all, resident: p.resident(),
+		}
 		if slices.Sort(t.took); len(t.took) > 0 {
 			r.p50, r.p99 = t.took[len(t.took)/2].Seconds(), t.took[len(t.took)*99/100].Seconds()
 		}
--- a/internal/benchmark/owners.go
+++ b/internal/benchmark/owners.go
@@ -39,9 +39,11 @@
 		before := p.cpu()
 		t := closedLoop(ctx, p.addr, ownersClients, seed, ownersFor)
 		rates[way.name] = float64(len(t.took)) / ownersFor.Seconds()
-		out.Fields[way.name] = map[string]any{"answered_per_s": round(rates[way.name]), "shed": t.shed, "wrong": t.wrong,
+		out.Fields[way.name] = map[string]any{
+			"answered_per_s": round(rates[way.name]), "shed": t.shed, "wrong": t.wrong,
 			"missing": t.missing, "doubled": t.doubled, "resident_mb": round(p.resident()),
-			"cpu_us": round(1e6 * (p.cpu() - before) / float64(max(1, len(t.took)+t.shed)))}
+			"cpu_us": round(1e6 * (p.cpu() - before) / float64(max(1, len(t.took)+t.shed))),
+		}
 		if t.wrong+t.missing+t.doubled > 0 {
 			out.MissedGoals = append(out.MissedGoals, fmt.Sprintf("%s: %d wrong, %d missing, %d doubled", way.name, t.wrong, t.missing, t.doubled))
 		}
--- a/internal/benchmark/recovery.go
+++ b/internal/benchmark/recovery.go
@@ -239,9 +239,11 @@
 
 func (l *reborn) fields() map[string]any {
 	slices.Sort(l.early)
-	return map[string]any{"ready_ms": round(median(l.ready)), "first_good_ms": round(median(l.first)), "g_first_5s": round(mean(l.worth)),
+	return map[string]any{
+		"ready_ms": round(median(l.ready)), "first_good_ms": round(median(l.first)), "g_first_5s": round(mean(l.worth)),
 		"mean_first_2s_ms": round(mean(l.early)), "p99_first_2s_ms": round(l.early[len(l.early)*99/100]),
-		"parts_to_hung": l.silent, "parts_to_removed": l.removed, "lost": l.lost}
+		"parts_to_hung": l.silent, "parts_to_removed": l.removed, "lost": l.lost,
+	}
 }
 
 // against holds lives with a store against those without.
--- a/internal/benchmark/residency.go
+++ b/internal/benchmark/residency.go
@@ -58,11 +58,13 @@
 	if err != nil {
 		return Result{}, err
 	}
-	out := Result{Fields: map[string]any{"searches": with.verdict.Searches, "parts": with.verdict.ShardRequests, "outside": with.outside,
+	out := Result{Fields: map[string]any{
+		"searches": with.verdict.Searches, "parts": with.verdict.ShardRequests, "outside": with.outside,
 		"caught": with.caught, "without_one_answer": with.broken["one_answer"], "free_share": round(with.share["other"]),
 		"free_share_without_contracts": round(without.share["other"]), "tighten_to_last_ms": with.last.Milliseconds(),
 		"agreed_ms": with.agreed.Milliseconds(), "refused": with.refused, "refused_p99_ms": round(1000 * with.refusedP99.Seconds()),
-		"late": with.broken["in_time"], "bound_share": round(with.share["acme"]), "leases_ended": with.lapses, "schedule": with.schedule}}
+		"late": with.broken["in_time"], "bound_share": round(with.share["acme"]), "leases_ended": with.lapses, "schedule": with.schedule,
+	}}
 	miss := func(format string, v ...any) { out.MissedGoals = append(out.MissedGoals, fmt.Sprintf(format, v...)) }
 	for _, b := range with.verdict.Violations {
 		if b.Name != "in_time" { // on a machine that is busy
@@ -132,9 +134,13 @@
 func playZones(ctx context.Context, seed int64, bound bool) (run zonesRun, err error) {
 	chance := rand.New(rand.NewSource(seed))
 	zones := []string{"eu-1", "us-1", "ap-1", "sea-1"}
-	shape := clustertest.Config{Seed: seed, Settings: clustertest.DefaultSettings(5, zones), Instances: []clustertest.Instance{{Name: "e1", Region: "eu", Zone: "eu-1"},
-		{Name: "e2", Region: "eu", Zone: "eu-1"}, {Name: "u1", Region: "us", Zone: "us-1"}, {Name: "u2", Region: "us", Zone: "us-1"},
-		{Name: "p1", Region: "ap", Zone: "ap-1"}}}
+	shape := clustertest.Config{Seed: seed, Settings: clustertest.DefaultSettings(5, zones), Instances: []clustertest.Instance{
+		{Name: "e1", Region: "eu", Zone: "eu-1"},
+		{Name: "e2", Region: "eu", Zone: "eu-1"},
+		{Name: "u1", Region: "us", Zone: "us-1"},
+		{Name: "u2", Region: "us", Zone: "us-1"},
+		{Name: "p1", Region: "ap", Zone: "ap-1"},
+	}}
 	var tenants []any
 	for _, name := range []string{"acme", "nomad", "lone", "other"} {
 		tenants = append(tenants, map[string]any{"Name": name, "QuotaPerS": 1000.0})
--- a/internal/benchmark/rigs.go
+++ b/internal/benchmark/rigs.go
@@ -73,8 +73,10 @@
 	if r.Fields == nil {
 		r.Fields = map[string]any{}
 	}
-	maps.Copy(r.Fields, map[string]any{"searches": v.Searches, "good": v.Good, "shed": v.Shed, "excused": v.Excused,
-		"parts": v.ShardRequests, "refused": v.Refused, "closed": v.Closed, "broken": len(v.Violations)})
+	maps.Copy(r.Fields, map[string]any{
+		"searches": v.Searches, "good": v.Good, "shed": v.Shed, "excused": v.Excused,
+		"parts": v.ShardRequests, "refused": v.Refused, "closed": v.Closed, "broken": len(v.Violations),
+	})
 	r.MissedGoals = append(r.MissedGoals, v.DescribeViolations()...)
 }
 
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -54,8 +54,10 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stdout, nil))
-	node, err := gossip.Start(ctx, gossip.Options{Self: who.Member{Name: own.Name, Region: own.Region, Zone: own.Zone},
-		Voters: own.VotingMembers, ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.AddressOverrides, Logger: log, Seed: time.Now().UnixNano()})
+	node, err := gossip.Start(ctx, gossip.Options{
+		Self:   who.Member{Name: own.Name, Region: own.Region, Zone: own.Zone},
+		Voters: own.VotingMembers, ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.AddressOverrides, Logger: log, Seed: time.Now().UnixNano(),
+	})
 	if err != nil {
 		return err
 	}
@@ -69,8 +71,10 @@
 		}
 		return s, nil
 	}
-	book := replication.Start(ctx, replication.Options{InstanceName: own.Name, Incarnation: node.Membership().Self().Incarnation, Transport: node, Peers: peers, OpenStorage: disk,
-		Logger: log, Seed: time.Now().UnixNano()})
+	book := replication.Start(ctx, replication.Options{
+		InstanceName: own.Name, Incarnation: node.Membership().Self().Incarnation, Transport: node, Peers: peers, OpenStorage: disk,
+		Logger: log, Seed: time.Now().UnixNano(),
+	})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		select {
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -364,10 +364,12 @@
 		window = settled.Sub(began)
 	}
 	bound := (len(both)+len(changed.twice))*int(window/listEvery+1) + len(kills)*(len(watched)+len(both))
-	out.Fields = map[string]any{"split": kind, "older_disk": older != "", "entries": all, "changed": changed.count, "lost": lost, "came_back": returned,
+	out.Fields = map[string]any{
+		"split": kind, "older_disk": older != "", "entries": all, "changed": changed.count, "lost": lost, "came_back": returned,
 		"served_after_leaving": tally.gone, "not_served": tally.missing, "backward": tally.backward, "two_contents": tally.twice,
 		"doubled": tally.doubled, "doubled_bound": bound, "doubled_calm": tally.calm, "deliveries": tally.count,
-		"one_list_seconds": round(seconds), "one_view": served, "one_view_seconds": round(viewed), "sent_bytes": sent, "list_bytes": held * len(names), "phases": phases}
+		"one_list_seconds": round(seconds), "one_view": served, "one_view_seconds": round(viewed), "sent_bytes": sent, "list_bytes": held * len(names), "phases": phases,
+	}
 	out.judged(r.Judge(answers, clustertest.AuditRules{}))
 	out.Fields["worth"] = round(worthOf(answers))
 	miss := func(broken bool, format string, v ...any) {
@@ -511,8 +513,10 @@
 		if err != nil {
 			return 0, 0, fmt.Errorf("%s: %w", name, err)
 		}
-		book := replication.Start(ctx, replication.Options{InstanceName: "reader", Incarnation: 1, Transport: alone{}, Peers: func() (a, b []string) { return nil, nil },
-			OpenStorage: func(context.Context) (replication.Storage, error) { return kept, nil }})
+		book := replication.Start(ctx, replication.Options{
+			InstanceName: "reader", Incarnation: 1, Transport: alone{}, Peers: func() (a, b []string) { return nil, nil },
+			OpenStorage: func(context.Context) (replication.Storage, error) { return kept, nil },
+		})
 		<-book.Ready()
 		on := map[string]bool{}
 		book.ScanPrefix(subscribers.KeyPrefix, func(e crdt.Entry) bool {
--- a/internal/clustertest/net.go
+++ b/internal/clustertest/net.go
@@ -52,8 +52,10 @@
 }
 
 func newNetwork(seed int64) *network {
-	return &network{links: map[[2]string]bool{}, faults: map[[2]string]LinkFault{}, changed: make(chan struct{}), open: map[*stream]bool{},
-		chance: rand.New(rand.NewSource(seed)), done: make(chan struct{})}
+	return &network{
+		links: map[[2]string]bool{}, faults: map[[2]string]LinkFault{}, changed: make(chan struct{}), open: map[*stream]bool{},
+		chance: rand.New(rand.NewSource(seed)), done: make(chan struct{}),
+	}
 }
 
 // edit changes what a link does one way.
--- a/internal/clustertest/ports_test.go
+++ b/internal/clustertest/ports_test.go
@@ -15,8 +15,10 @@
 	defer stop()
 	program, err := BuildProgram(ctx)
 	require.NoError(t, err)
-	r, err := New(ctx, Config{Seed: 1, ProgramPath: program, Instances: []Instance{{Name: "a", Region: "r", Zone: "z"}},
-		Hosts: []Host{{ID: "h", Zone: "z"}}})
+	r, err := New(ctx, Config{
+		Seed: 1, ProgramPath: program, Instances: []Instance{{Name: "a", Region: "r", Zone: "z"}},
+		Hosts: []Host{{ID: "h", Zone: "z"}},
+	})
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	require.NoError(t, r.Kill(ctx, "a"))
--- a/internal/clustertest/rig.go
+++ b/internal/clustertest/rig.go
@@ -174,16 +174,20 @@
 		}
 		r.hosts = append(r.hosts, host)
 		zones[h.Zone] = true
-		entries = append(entries, fake.Endpoint{ID: h.ID, Addr: host.Listener.Addr().String(), Zone: h.Zone, Kind: "std",
-			State: "up", Cell: h.Cell})
+		entries = append(entries, fake.Endpoint{
+			ID: h.ID, Addr: host.Listener.Addr().String(), Zone: h.Zone, Kind: "std",
+			State: "up", Cell: h.Cell,
+		})
 	}
 	r.Audit.moved(entries)
 	if r.shape.Settings == nil {
 		r.shape.Settings = DefaultSettings(len(r.shape.Instances), slices.Sorted(maps.Keys(zones)))
 	}
 	for _, p := range r.shape.Instances {
-		i := &instance{wired: InstanceAddresses{Instance: p, Dir: filepath.Join(r.dir, p.Name), External: map[string]string{}},
-			out: &output{more: make(chan struct{})}}
+		i := &instance{
+			wired: InstanceAddresses{Instance: p, Dir: filepath.Join(r.dir, p.Name), External: map[string]string{}},
+			out:   &output{more: make(chan struct{})},
+		}
 		r.all[p.Name] = i
 		for _, at := range []*string{&i.wired.Client, &i.wired.Fleet, &i.wired.Peer} {
 			var err error
@@ -269,16 +273,24 @@
 	class := func(name string) map[string]any {
 		return map[string]any{"Name": name, "Aim": 1000.0, "Deadline": 3000.0, "Effect": "retryable", "LateShare": 0.5}
 	}
-	return map[string]any{"Family": "fanout", "Discovery": "subscribe", "Balancers": instances, "Tick": 5.0,
+	return map[string]any{
+		"Family": "fanout", "Discovery": "subscribe", "Balancers": instances, "Tick": 5.0,
 		"FailureDomains": zones, "MachineTypes": []string{"std"},
 		"Classes": []any{class("quick-picks"), class("full-match")},
 		"Tenants": []any{map[string]any{"Name": "acme", "QuotaPerS": 1000.0}, map[string]any{"Name": "other", "QuotaPerS": 1000.0}},
-		"Specifics": map[string]any{"Sets": BlockCount, "Reach": 2, "Ranges": BlockCount, "PerCall": 1,
-			"NeedByClass": []float64{0.75, 1}, "ClassFloor": []float64{0.75, 1}, "FollowUp": []int{0, 0}},
-		"Permissions": map[string]any{"MaxAttempts": 3, "ConnIdle": 60000.0, "DialTimeout": 250.0, "StreamsPerConn": 32,
-			"SecondCopies": true, "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 500.0},
-		"Safety": map[string]any{"Cold": 10000.0, "ColdFrom": 0.3, "FallMultiple": 3.0, "Fall": 2000.0,
-			"DrainGrace": 2000.0, "AskWithin": 10000.0}}
+		"Specifics": map[string]any{
+			"Sets": BlockCount, "Reach": 2, "Ranges": BlockCount, "PerCall": 1,
+			"NeedByClass": []float64{0.75, 1}, "ClassFloor": []float64{0.75, 1}, "FollowUp": []int{0, 0},
+		},
+		"Permissions": map[string]any{
+			"MaxAttempts": 3, "ConnIdle": 60000.0, "DialTimeout": 250.0, "StreamsPerConn": 32,
+			"SecondCopies": true, "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 500.0,
+		},
+		"Safety": map[string]any{
+			"Cold": 10000.0, "ColdFrom": 0.3, "FallMultiple": 3.0, "Fall": 2000.0,
+			"DrainGrace": 2000.0, "AskWithin": 10000.0,
+		},
+	}
 }
 
 // BlockCount is how many there are under Settings.
@@ -346,8 +358,10 @@
 		return fmt.Errorf("%s is running", name)
 	}
 	i.out.Write([]byte(lifeMark))
-	i.run, err = launch(path, args, []string{"GW_CONFIG=" + filepath.Join(i.wired.Dir, "plan.json"), "GW_NAME=", "GW_LISTEN=",
-		"GW_DISCOVERY="}, i.wired.Dir, i.out)
+	i.run, err = launch(path, args, []string{
+		"GW_CONFIG=" + filepath.Join(i.wired.Dir, "plan.json"), "GW_NAME=", "GW_LISTEN=",
+		"GW_DISCOVERY=",
+	}, i.wired.Dir, i.out)
 	return err
 }
 
--- a/internal/clustertest/rig_test.go
+++ b/internal/clustertest/rig_test.go
@@ -148,9 +148,11 @@
 	s, err := ParseSchedule(text)
 	require.NoError(t, err)
 	require.Len(t, s.Events, 5)
-	for bad, line := range map[string]int{"at 1s cut a": 1, "seed x": 1, "at 2s heal\nat 1s heal": 2, "at 1s drop a>b 1.5": 1,
+	for bad, line := range map[string]int{
+		"at 1s cut a": 1, "seed x": 1, "at 2s heal\nat 1s heal": 2, "at 1s drop a>b 1.5": 1,
 		"at 1s delay a>b": 1, "\nat 1h heal": 2, "at 1s melt a": 1, "at 1s cut >b": 1, "heal": 1, "at 1s trickle a>b NaN": 1,
-		"at 1s kill": 1} {
+		"at 1s kill": 1,
+	} {
 		_, err := ParseSchedule(bad)
 		var fault *InvalidLineError
 		require.ErrorAs(t, err, &fault, bad)
@@ -256,14 +258,18 @@
 		{ScheduledSearch: ask("f"), Sent: now, Attempts: []Attempt{{Target: "y", StartedAt: now, EndedAt: now.Add(time.Second), Closed: true, Failure: "EOF"}}},
 	}
 	r.downs = []*down{{name: "y", from: now.Add(time.Millisecond)}}
-	v := r.Judge(answers, AuditRules{AllowsZone: func(tenant, zone string, _ time.Time) bool { return tenant != "acme" || zone != "z1" },
-		AtMostOnce: func(string) bool { return true }})
+	v := r.Judge(answers, AuditRules{
+		AllowsZone: func(tenant, zone string, _ time.Time) bool { return tenant != "acme" || zone != "z1" },
+		AtMostOnce: func(string) bool { return true },
+	})
 	count := map[string]int{}
 	for _, b := range v.Violations {
 		count[b.Name] = b.Count
 	}
-	require.Equal(t, map[string]int{"true_answer": 1, "one_answer": 2, "refused": 1, "in_time": 1, "known_part": 1, "allowed_zone": 5,
-		"once": 1}, count)
+	require.Equal(t, map[string]int{
+		"true_answer": 1, "one_answer": 2, "refused": 1, "in_time": 1, "known_part": 1, "allowed_zone": 5,
+		"once": 1,
+	}, count)
 	require.Equal(t, 1, v.Excused)
 	require.Len(t, v.DescribeViolations(), 7)
 }
--- a/internal/clustertest/schedule.go
+++ b/internal/clustertest/schedule.go
@@ -60,11 +60,15 @@
 }
 
 // verbs with the number of their arguments, least and most.
-var linkVerbs = map[string][2]int{"cut": {1, 1}, "delay": {2, 3}, "drop": {2, 2}, "trickle": {2, 2}, "hang": {1, 1},
-	"refuse": {1, 1}, "reset": {1, 1}, "heal": {0, 1}}
+var linkVerbs = map[string][2]int{
+	"cut": {1, 1}, "delay": {2, 3}, "drop": {2, 2}, "trickle": {2, 2}, "hang": {1, 1},
+	"refuse": {1, 1}, "reset": {1, 1}, "heal": {0, 1},
+}
 
-var processVerbs = map[string]syscall.Signal{"kill": syscall.SIGKILL, "stop": syscall.SIGSTOP, "cont": syscall.SIGCONT,
-	"hup": syscall.SIGHUP, "term": syscall.SIGTERM, "start": 0}
+var processVerbs = map[string]syscall.Signal{
+	"kill": syscall.SIGKILL, "stop": syscall.SIGSTOP, "cont": syscall.SIGCONT,
+	"hup": syscall.SIGHUP, "term": syscall.SIGTERM, "start": 0,
+}
 
 // String is the schedule's text, which Parse reads.
 func (s Schedule) String() string {
--- a/internal/fake/members.go
+++ b/internal/fake/members.go
@@ -77,9 +77,11 @@
 		}
 		out = append(out, hit)
 	}
-	answer := map[string]any{"took": 1, "timed_out": false,
+	answer := map[string]any{
+		"took": 1, "timed_out": false,
 		"_shards": map[string]any{"total": 1, "successful": 1, "skipped": 0, "failed": 0},
-		"hits":    map[string]any{"max_score": nil, "hits": out, "total": map[string]any{"value": total, "relation": relation}}}
+		"hits":    map[string]any{"max_score": nil, "hits": out, "total": map[string]any{"value": total, "relation": relation}},
+	}
 	if body["track_total_hits"] == false {
 		delete(answer["hits"].(map[string]any), "total")
 	}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -60,9 +60,11 @@
 		require.Nil(t, report, unread)
 		require.Equal(t, "v", string(value))
 	}
-	for behind, fits := range map[string]bool{"": true, "\x00": true, "\x00\x00\x00\x05": true,
+	for behind, fits := range map[string]bool{
+		"": true, "\x00": true, "\x00\x00\x00\x05": true,
 		"\x00\x00\x00\x05q": true, "\x00\x00\x00\x05r": true, "\x00\x00\x00\x05m": false, "x": false,
-		"\x00\x00\x00\x00": false, "\x00\xff\xff\xffq": false} {
+		"\x00\x00\x00\x00": false, "\x00\xff\xff\xffq": false,
+	} {
 		src := bufio.NewReader(bytes.NewReader([]byte("\x00\x00\x00\x01q" + behind)))
 		_, _, err := Read(src)
 		require.NoError(t, err)
--- a/internal/frame/golden_frames_test.go
+++ b/internal/frame/golden_frames_test.go
@@ -89,6 +89,8 @@
 			letters = append(letters, fmt.Sprintf("%s %c %d", name, letter, len(rest)))
 		}
 	}
-	require.Equal(t, []string{"call-one-shard m 25", "call-two-shards m 65", "cancel n 8", "cancel-behind-call m 13",
-		"cancel-behind-call n 3"}, letters)
+	require.Equal(t, []string{
+		"call-one-shard m 25", "call-two-shards m 65", "cancel n 8", "cancel-behind-call m 13",
+		"cancel-behind-call n 3",
+	}, letters)
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -183,9 +183,11 @@
 }
 
 // usual are the names of fields that clients and discovery send, as they mostly write them.
-var usual = map[string]string{"Host": "host", "X-Request-Id": "x-request-id", "X-Class": "x-class", "X-Tenant": "x-tenant",
+var usual = map[string]string{
+	"Host": "host", "X-Request-Id": "x-request-id", "X-Class": "x-class", "X-Tenant": "x-tenant",
 	"X-Deadline": "x-deadline", "X-Retry": "x-retry", "Content-Length": "content-length", "Content-Type": "content-type",
-	"Connection": "connection"}
+	"Connection": "connection",
+}
 
 func small(name string) string {
 	if known, ok := usual[name]; ok {
@@ -373,10 +375,12 @@
 	}
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasons = map[int]string{
+	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large",
 	431: "Request Header Fields Too Large", 451: "Unavailable For Legal Reasons", 500: "Internal Server Error", 501: "Not Implemented",
-	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+	503: "Service Unavailable", 505: "HTTP Version Not Supported",
+}
 
 // AppendResponse adds a response with a JSON body and one more header line, if not empty.
 func AppendResponse(dst []byte, status int, extra string, body []byte, keep bool) []byte {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -134,14 +134,17 @@
 func (q queue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].id, q[j].id)) < 0
 }
+
 func (q queue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].place, q[j].place = i, j
 }
+
 func (q *queue) Push(v any) {
 	v.(*entry).place = len(*q)
 	*q = append(*q, v.(*entry))
 }
+
 func (q *queue) Pop() any {
 	last := len(*q) - 1
 	v := (*q)[last]
--- a/internal/scheduler/work_test.go
+++ b/internal/scheduler/work_test.go
@@ -140,8 +140,10 @@
 			now += rapid.Int64Range(0, second/4).Draw(t, "step")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				p.Add(now, Job{Kind: "k", Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
-					Delay: rapid.Int64Range(0, second).Draw(t, "after")})
+				p.Add(now, Job{
+					Kind: "k", Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
+					Delay: rapid.Int64Range(0, second).Draw(t, "after"),
+				})
 			case 1:
 				start, _, _ := p.StartDue(now)
 				for _, id := range start {
