--- a/internal/simwire/benchwire.go
+++ b/internal/simwire/benchwire.go
@@ -47,8 +47,10 @@
 // Serve answers batches until the input ends. A malformed line ends it with an error that names batch and
 // line.
 func Serve(in io.Reader, out io.Writer) (err error) {
-	l := &link{in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
-		sets: map[int][]entry{}, instances: map[int]*instance{}, batch: "-"}
+	l := &link{
+		in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
+		sets: map[int][]entry{}, instances: map[int]*instance{}, batch: "-",
+	}
 	defer func() {
 		if r := recover(); r != nil {
 			f, ok := r.(fault)
@@ -216,8 +218,10 @@
 	var list []entry
 	for ; n > 0; n-- {
 		m := l.split(l.must(), "m", 7)
-		list = append(list, entry{m.text(0), int(m.whole(1)), int(m.whole(2)), int(m.whole(3)), m.text(4),
-			m.float(5), m.time(6)})
+		list = append(list, entry{
+			m.text(0), int(m.whole(1)), int(m.whole(2)), int(m.whole(3)), m.text(4),
+			m.float(5), m.time(6),
+		})
 	}
 	l.sets[int(f.whole(0))] = list
 }
@@ -262,8 +266,10 @@
 }
 
 // wants says how many values the events of one instance have.
-var wants = map[string]int{"members": 4, "inbound": 11, "first_byte": 5, "returned": 8, "withdrawn": 2,
-	"fired": 2, "checked": 5, "mail": 3}
+var wants = map[string]int{
+	"members": 4, "inbound": 11, "first_byte": 5, "returned": 8, "withdrawn": 2,
+	"fired": 2, "checked": 5, "mail": 3,
+}
 
 func (l *link) event(name, text string) {
 	n, ok := wants[name]
--- a/internal/simwire/benchwire_test.go
+++ b/internal/simwire/benchwire_test.go
@@ -27,9 +27,11 @@
 }
 
 func inbound(i, q int) []string {
-	return []string{fmt.Sprintf("inbound %d %d 0 0 - 3000.0 - %d -1 2 0", i, q, q),
+	return []string{
+		fmt.Sprintf("inbound %d %d 0 0 - 3000.0 - %d -1 2 0", i, q, q),
 		fmt.Sprintf("inbound %d %d 0 0 - 3000.0 - %d 0 0.5 0", i, q+1, q),
-		fmt.Sprintf("inbound %d %d 0 0 - 3000.0 - %d 0 0.5 0", i, q+2, q)}
+		fmt.Sprintf("inbound %d %d 0 0 - 3000.0 - %d 0 0.5 0", i, q+2, q),
+	}
 }
 
 func serve(t *testing.T, input string) string {
@@ -61,7 +63,8 @@
 func TestRestartInOneBatch(t *testing.T) {
 	out := serve(t, batch(1, append(begin(1), inbound(1, 10)...)...)+batch(2, append(append([]string{
 		"returned 1 11 0 10.0.0.1:7003 Failed 1 0 -", "returned 1 12 0 10.0.0.2:7003 Ok 1 1 -", "withdrawn 1 10",
-		"kill 1"}, begin(1)...), inbound(1, 20)...)...))
+		"kill 1",
+	}, begin(1)...), inbound(1, 20)...)...))
 	require.Contains(t, out, "route 1 21")
 	second := out[strings.Index(out, "finished 1"):]
 	require.NotContains(t, second, " 11 ")
--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -22,9 +22,11 @@
 
 // What differs from run to run is replaced by #: the date, the time taken, ports, start and running times, and the
 // Content-Length of a body in which something was replaced.
-var volatile = []*regexp.Regexp{regexp.MustCompile(`(\r\nDate: )[^\r]*()`), regexp.MustCompile(`("took":)\d+()`),
+var volatile = []*regexp.Regexp{
+	regexp.MustCompile(`(\r\nDate: )[^\r]*()`), regexp.MustCompile(`("took":)\d+()`),
 	regexp.MustCompile(`(127\.0\.0\.1:)\d+()`), regexp.MustCompile(`("start_time_in_millis":)\d+()`),
-	regexp.MustCompile(`("running_time_in_nanos":)\d+()`)}
+	regexp.MustCompile(`("running_time_in_nanos":)\d+()`),
+}
 
 var contentLength = regexp.MustCompile(`(\r\nContent-Length: )\d+`)
 
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -113,14 +113,19 @@
 		r.list.KnownEndpoints(), settings))
 	require.NoError(t, err)
 	eight := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	front := &Server{Listener: other, TLSConfig: conf, Indices: []Index{{"members", "full-match", "acme", eight, placed},
-		{"picks", "quick-picks", "acme", eight, placed}, {"scarce", "full-match", "scarce", eight, placed}}}
+	front := &Server{Listener: other, TLSConfig: conf, Indices: []Index{
+		{"members", "full-match", "acme", eight, placed},
+		{"picks", "quick-picks", "acme", eight, placed},
+		{"scarce", "full-match", "scarce", eight, placed},
+	}}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop, r.url = stop, "http://"+other.Addr().String()
 	go func() {
-		m := coordinator.Options{Listener: own, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
+		m := coordinator.Options{
+			Listener: own, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
 			Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Frontends: []coordinator.Frontend{front},
-			HostKinds: map[string]coordinator.HostKind{"search": {Index: "members", Placement: placed}}}
+			HostKinds: map[string]coordinator.HostKind{"search": {Index: "members", Placement: placed}},
+		}
 		for _, do := range more {
 			do(&m)
 		}
--- a/opensearch/frontend/search.go
+++ b/opensearch/frontend/search.go
@@ -33,14 +33,18 @@
 }
 
 var (
-	taken = []string{"allow_partial_search_results", "cancel_after_time_interval", "preference", "routing", "pretty", "size", "from",
+	taken = []string{
+		"allow_partial_search_results", "cancel_after_time_interval", "preference", "routing", "pretty", "size", "from",
 		"timeout", "track_total_hits", "sort", "max_concurrent_searches", "index", "ignore_unavailable", "rest_total_hits_as_int",
-		"error_trace", "human", "typed_keys", "search_type", "request_cache"}
-	known = []string{"q", "df", "analyzer", "default_operator", "scroll", "batched_reduce_size", "ccs_minimize_roundtrips",
+		"error_trace", "human", "typed_keys", "search_type", "request_cache",
+	}
+	known = []string{
+		"q", "df", "analyzer", "default_operator", "scroll", "batched_reduce_size", "ccs_minimize_roundtrips",
 		"pre_filter_shard_size", "max_concurrent_shard_requests", "stored_fields", "docvalue_fields", "_source", "_source_includes",
 		"_source_excludes", "explain", "version", "lenient", "terminate_after", "expand_wildcards", "allow_no_indices",
 		"filter_path", "search_pipeline", "phase_took", "seq_no_primary_term", "stats", "suggest_field", "min_score", "rewrite",
-		"all_shards"}
+		"all_shards",
+	}
 	// Words that change nothing of what is answered here, or not for the worse.
 	idle = []string{"pretty", "error_trace", "human", "ignore_unavailable", "max_concurrent_searches", "index", "request_cache"}
 )
@@ -139,8 +143,10 @@
 			return fmt.Errorf("[%.40s] is no number of a block", one)
 		}
 		if !slices.Contains(a.index.Blocks, b) {
-			return &query.APIError{Status: 404, Type: "index_not_found_exception",
-				Reason: fmt.Sprintf("no such shard [%s][%d]", a.index.Name, b)}
+			return &query.APIError{
+				Status: 404, Type: "index_not_found_exception",
+				Reason: fmt.Sprintf("no such shard [%s][%d]", a.index.Name, b),
+			}
 		}
 		if slices.Contains(a.blocks, b) && !slices.Contains(blocks, b) {
 			blocks = append(blocks, b)
@@ -185,9 +191,11 @@
 			patience = min(patience, max(v, partLong))
 		}
 	}
-	given, err := f.d.Search(ctx, coordinator.SearchRequest{ID: f.prefix + strconv.FormatUint(t.id, 10),
+	given, err := f.d.Search(ctx, coordinator.SearchRequest{
+		ID:   f.prefix + strconv.FormatUint(t.id, 10),
 		Type: a.index.SearchType, Tenant: a.index.Tenant, Body: a.q.ShardRequestBody(), Shards: a.blocks, Timeout: patience, IsRetry: a.retry,
-		DecodeValue: a.check})
+		DecodeValue: a.check,
+	})
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
 		return fault(400, "task_cancelled_exception", "%v", errCancelled)
--- a/opensearch/frontend/server.go
+++ b/opensearch/frontend/server.go
@@ -98,8 +98,10 @@
 			}
 		}
 	}
-	s := &http.Server{Handler: f, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, IdleTimeout: idleTime,
-		MaxHeaderBytes: headMost, TLSConfig: f.TLSConfig, ErrorLog: nil, BaseContext: func(net.Listener) context.Context { return ctx }}
+	s := &http.Server{
+		Handler: f, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, IdleTimeout: idleTime,
+		MaxHeaderBytes: headMost, TLSConfig: f.TLSConfig, ErrorLog: nil, BaseContext: func(net.Listener) context.Context { return ctx },
+	}
 	ln := netutil.LimitListener(f.Listener, d.MaxConnections)
 	if f.TLSConfig != nil {
 		ln = tls.NewListener(ln, f.TLSConfig)
@@ -242,12 +244,16 @@
 		if len(f.Indices) == 1 {
 			return f.Indices[0], nil
 		}
-		return Index{}, &query.APIError{Status: 400, Type: "illegal_argument_exception",
-			Reason: "a search over several indices is known to the API and not done here: name one"}
+		return Index{}, &query.APIError{
+			Status: 400, Type: "illegal_argument_exception",
+			Reason: "a search over several indices is known to the API and not done here: name one",
+		}
 	}
 	if strings.ContainsAny(name, ",*") {
-		return Index{}, &query.APIError{Status: 400, Type: "illegal_argument_exception",
-			Reason: fmt.Sprintf("index [%.100s]: lists and wildcards are known to the API and not done here", name)}
+		return Index{}, &query.APIError{
+			Status: 400, Type: "illegal_argument_exception",
+			Reason: fmt.Sprintf("index [%.100s]: lists and wildcards are known to the API and not done here", name),
+		}
 	}
 	i := slices.IndexFunc(f.Indices, func(x Index) bool { return x.Name == name })
 	if i < 0 {
@@ -287,8 +293,10 @@
 }
 
 func (f *Server) root() reply {
-	return encoded(map[string]any{"name": f.d.CoordinatorName, "cluster_name": "chalkring", "tagline": productWords,
-		"version": map[string]any{"distribution": "chalkring", "number": "2.0.0", "minimum_wire_compatibility_version": "2.0.0"}})
+	return encoded(map[string]any{
+		"name": f.d.CoordinatorName, "cluster_name": "chalkring", "tagline": productWords,
+		"version": map[string]any{"distribution": "chalkring", "number": "2.0.0", "minimum_wire_compatibility_version": "2.0.0"},
+	})
 }
 
 // health is green where every block of every index has two holders, yellow with one, red with none.
@@ -308,9 +316,11 @@
 			}
 		}
 	}
-	return encoded(map[string]any{"cluster_name": "chalkring", "status": status, "timed_out": false,
+	return encoded(map[string]any{
+		"cluster_name": "chalkring", "status": status, "timed_out": false,
 		"number_of_nodes": f.d.HostCount(), "number_of_data_nodes": f.d.HostCount(), "active_primary_shards": active,
-		"active_shards": active, "relocating_shards": 0, "initializing_shards": 0, "unassigned_shards": lacking})
+		"active_shards": active, "relocating_shards": 0, "initializing_shards": 0, "unassigned_shards": lacking,
+	})
 }
 
 // table answers a _cat request: lines of text, or JSON where that is asked for.
@@ -369,9 +379,11 @@
 		if t.opaque != "" {
 			headers["X-Opaque-Id"] = t.opaque
 		}
-		all[fmt.Sprintf("%s:%d", f.d.CoordinatorName, id)] = map[string]any{"node": f.d.CoordinatorName, "id": id, "action": t.action,
+		all[fmt.Sprintf("%s:%d", f.d.CoordinatorName, id)] = map[string]any{
+			"node": f.d.CoordinatorName, "id": id, "action": t.action,
 			"description": "indices[" + t.index + "]", "cancellable": true, "headers": headers,
-			"start_time_in_millis": t.began.UnixMilli(), "running_time_in_nanos": time.Since(t.began).Nanoseconds()}
+			"start_time_in_millis": t.began.UnixMilli(), "running_time_in_nanos": time.Since(t.began).Nanoseconds(),
+		}
 	}
 	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{"name": f.d.CoordinatorName, "tasks": all}}})
 }
@@ -386,8 +398,10 @@
 		return fault(404, "resource_not_found_exception", "task [%.100s] is not open", name)
 	}
 	t.stop(errCancelled)
-	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{"name": f.d.CoordinatorName,
-		"tasks": map[string]any{name: map[string]any{"node": f.d.CoordinatorName, "id": id, "action": t.action, "cancelled": true}}}}})
+	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{
+		"name":  f.d.CoordinatorName,
+		"tasks": map[string]any{name: map[string]any{"node": f.d.CoordinatorName, "id": id, "action": t.action, "cancelled": true}},
+	}}})
 }
 
 // LoadTLS reads the files of a front with LoadTLS; with authorities, clients need a certificate that comes from them.
--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -11,7 +11,8 @@
 	"chalkring/opensearch/query"
 )
 
-var goldenRequests = []string{`{}`, `{"size":0,"track_total_hits":true}`, `{"_source":["a*"],"sort":["_score"],"min_score":0.5}`,
+var goldenRequests = []string{
+	`{}`, `{"size":0,"track_total_hits":true}`, `{"_source":["a*"],"sort":["_score"],"min_score":0.5}`,
 	`{"query":{"bool":{"must":[{"term":{"a":1}}],"must_not":[{"exists":{"field":"b"}}],"should":[{"prefix":{"c":"<x"}},` +
 		`{"match":{"d":{"query":"u v","operator":"and","boost":2}}}],"filter":{"range":{"e":{"gte":1.50,"lt":"z"}}}}},"from":2,"size":3}`,
 	`{"query":{"constant_score":{"filter":{"terms":{"a":["x",9007199254740993,true]}}}},"sort":[{"a":"desc"}],"search_after":["\u00e9"]}`,
@@ -22,7 +23,8 @@
 		`"likes":{"terms":{"field":"likes","order":{"_key":"asc"},"size":4}},"mean":{"avg":{"field":"age"}},"sum":{"sum":{"field":"rank"}},` +
 		`"n":{"value_count":{"field":"rank"}},"least":{"min":{"field":"rank"}},"kinds":{"cardinality":{"field":"likes"}},` +
 		`"p":{"percentiles":{"field":"age","percents":[50,99]}}}}`,
-	`{"query":{"bool":{"should":[{"term":{"town":{"value":"red","boost":1.5}}}],"minimum_should_match":1}},"sort":["_score","town"]}`}
+	`{"query":{"bool":{"should":[{"term":{"town":{"value":"red","boost":1.5}}}],"minimum_should_match":1}},"sort":["_score","town"]}`,
+}
 
 // The bodies that hosts are asked with have the bytes of the golden file: a request, and below it the body for its shards.
 func TestGoldenShardRequests(t *testing.T) {
@@ -58,8 +60,10 @@
 			continue
 		}
 		fmt.Fprintf(&out, "whole %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers, TookMillis: 12}))
-		fmt.Fprintf(&out, "partial %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers[:1], TookMillis: 1999, TimedOut: true,
-			Failures: []query.ShardFailure{{Shard: 1, Index: "members", Type: "timeout_exception", Reason: "no answer \"in\" time"}}}))
+		fmt.Fprintf(&out, "partial %s\n", q.MergeResponses(query.SearchOutcome{
+			Responses: answers[:1], TookMillis: 1999, TimedOut: true,
+			Failures: []query.ShardFailure{{Shard: 1, Index: "members", Type: "timeout_exception", Reason: "no answer \"in\" time"}},
+		}))
 		fmt.Fprintf(&out, "skipped %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers[1:], Skipped: 3}))
 	}
 	compareGolden(t, "merged_answers.golden", out.String())
@@ -68,7 +72,8 @@
 // Requests that are refused get the bodies of the golden file: the request, status and body.
 func TestGoldenRequestErrors(t *testing.T) {
 	var out strings.Builder
-	for _, text := range []string{`{"query":{"match_all":{}}`, "{\n \"qery\":{}}", `{"highlight":{}}`, `{"query":{"wildcard":{"a":"b*"}}}`,
+	for _, text := range []string{
+		`{"query":{"match_all":{}}`, "{\n \"qery\":{}}", `{"highlight":{}}`, `{"query":{"wildcard":{"a":"b*"}}}`,
 		"{\"query\":\n{\"trm\":{}}}", `{"query":{"term":{"a":1},"terms":{}}}`, `{"query":{"term":{"a":{"valu":1}}}}`,
 		`{"query":{"term":{"a":[1]}}}`, `{"query":{"term":{"a":{"value":1,"case_insensitive":true}}}}`, `{"query":{"range":{"a":{"from":1}}}}`,
 		`{"query":{"ids":{"values":[1]}}}`, `{"size":1,"size":2}`, `{"from":9999,"size":2}`, `{"size":-1}`, `{"size":1e3}`,
--- a/opensearch/query/json.go
+++ b/opensearch/query/json.go
@@ -55,8 +55,10 @@
 	if e.Line > 0 {
 		cause["line"], cause["col"] = e.Line, e.Column
 	}
-	b, _ := json.Marshal(map[string]any{"error": map[string]any{"root_cause": []any{cause}, "type": e.Type,
-		"reason": e.Reason, "line": cause["line"], "col": cause["col"]}, "status": e.Status})
+	b, _ := json.Marshal(map[string]any{"error": map[string]any{
+		"root_cause": []any{cause}, "type": e.Type,
+		"reason": e.Reason, "line": cause["line"], "col": cause["col"],
+	}, "status": e.Status})
 	return b
 }
 
@@ -84,8 +86,10 @@
 	null   = 'n'
 )
 
-var kindWords = map[byte]string{object: "an object", list: "an array", str: "a string", num: "a number",
-	truth: "true or false", null: "null"}
+var kindWords = map[byte]string{
+	object: "an object", list: "an array", str: "a string", num: "a number",
+	truth: "true or false", null: "null",
+}
 
 // reader makes nodes of a text and faults with their place.
 type reader struct {
@@ -99,8 +103,10 @@
 // fault is a parsing_exception at a place.
 func (r *reader) fault(at int, format string, v ...any) *APIError {
 	before := r.src[:min(at, len(r.src))]
-	return &APIError{Status: 400, Type: "parsing_exception", Reason: fmt.Sprintf(format, v...),
-		Line: 1 + bytes.Count(before, []byte("\n")), Column: len(before) - bytes.LastIndexByte(before, '\n')}
+	return &APIError{
+		Status: 400, Type: "parsing_exception", Reason: fmt.Sprintf(format, v...),
+		Line: 1 + bytes.Count(before, []byte("\n")), Column: len(before) - bytes.LastIndexByte(before, '\n'),
+	}
 }
 
 func illegal(format string, v ...any) *APIError {
@@ -112,8 +118,10 @@
 func read(text []byte) (*reader, *node, error) {
 	r := &reader{src: text}
 	if len(text) > textMost {
-		return nil, nil, &APIError{Status: 413, Type: "illegal_argument_exception",
-			Reason: fmt.Sprintf("a body of %d bytes, %d at the most", len(text), textMost)}
+		return nil, nil, &APIError{
+			Status: 413, Type: "illegal_argument_exception",
+			Reason: fmt.Sprintf("a body of %d bytes, %d at the most", len(text), textMost),
+		}
 	}
 	if !utf8.Valid(text) {
 		at := 0
--- a/opensearch/query/parse.go
+++ b/opensearch/query/parse.go
@@ -285,8 +285,10 @@
 				continue
 			}
 		}
-		if slices.Contains([]string{"_name", "case_insensitive", "fuzziness", "analyzer", "zero_terms_query", "format",
-			"relation", "time_zone", "rewrite", "minimum_should_match", "lenient", "value_type"}, word) {
+		if slices.Contains([]string{
+			"_name", "case_insensitive", "fuzziness", "analyzer", "zero_terms_query", "format",
+			"relation", "time_zone", "rewrite", "minimum_should_match", "lenient", "value_type",
+		}, word) {
 			return illegal("[%s] of [%s] is known to the API and not done here", word, what)
 		}
 		return r.fault(n.names[i].at, "[%s] does not know [%.100s]", what, word)
@@ -615,8 +617,15 @@
 	for _, u := range []struct {
 		word string
 		each time.Duration
-	}{{"nanos", time.Nanosecond}, {"micros", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second},
-		{"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour}} {
+	}{
+		{"nanos", time.Nanosecond},
+		{"micros", time.Microsecond},
+		{"ms", time.Millisecond},
+		{"s", time.Second},
+		{"m", time.Minute},
+		{"h", time.Hour},
+		{"d", 24 * time.Hour},
+	} {
 		if digits, ok := strings.CutSuffix(text, u.word); ok {
 			v, err := strconv.ParseUint(digits, 10, 31)
 			if err != nil {
@@ -707,9 +716,11 @@
 			err = r.order(f, a)
 		case word == "percents" && a.Kind == "percentiles":
 			err = r.percents(f, a)
-		case slices.Contains([]string{"missing", "script", "format", "shard_size", "min_doc_count", "include", "exclude", "keyed",
+		case slices.Contains([]string{
+			"missing", "script", "format", "shard_size", "min_doc_count", "include", "exclude", "keyed",
 			"precision_threshold", "tdigest", "hdr", "show_term_doc_count_error", "collect_mode", "execution_hint",
-			"value_type", "shard_min_doc_count"}, word):
+			"value_type", "shard_min_doc_count",
+		}, word):
 			err = illegal("[%s] of [%s] is known to the API and not done here", word, a.Kind)
 		default:
 			err = r.fault(n.names[i].at, "[%s] does not know [%.100s]", a.Kind, word)
--- a/opensearch/query/part.go
+++ b/opensearch/query/part.go
@@ -199,8 +199,10 @@
 			}
 			out[a.Name+asTerms] = one
 		case "cardinality":
-			out[a.Name+asKeys] = map[string]any{"terms": map[string]any{"field": a.Field, "size": keysMost,
-				"order": map[string]any{"_key": "asc"}}}
+			out[a.Name+asKeys] = map[string]any{"terms": map[string]any{
+				"field": a.Field, "size": keysMost,
+				"order": map[string]any{"_key": "asc"},
+			}}
 		case "percentiles":
 			points := make([]float64, 101)
 			for i := range points {
--- a/opensearch/query/query_test.go
+++ b/opensearch/query/query_test.go
@@ -39,8 +39,10 @@
 	words := strings.Fields("red green blue chess tango hiking opera jazz")
 	var all []fake.Document
 	for i := range n {
-		m := fake.Document{ID: fmt.Sprintf("m%04d", i), Fields: map[string]any{"age": float64(18 + chance.Intn(60)),
-			"town": words[chance.Intn(3)], "about": words[chance.Intn(8)] + " " + words[chance.Intn(8)]}}
+		m := fake.Document{ID: fmt.Sprintf("m%04d", i), Fields: map[string]any{
+			"age":  float64(18 + chance.Intn(60)),
+			"town": words[chance.Intn(3)], "about": words[chance.Intn(8)] + " " + words[chance.Intn(8)],
+		}}
 		if chance.Intn(4) > 0 {
 			m.Fields["rank"] = float64(chance.Intn(9)) / 2
 		}
@@ -93,8 +95,10 @@
 }
 
 func search(c *rand.Rand) string {
-	sort := []string{`[{"rank":{"order":"desc","missing":"_first"}},"age"]`, `["_score","town"]`, `[{"town":"desc"}]`,
-		`["_score"]`}[c.Intn(4)]
+	sort := []string{
+		`[{"rank":{"order":"desc","missing":"_first"}},"age"]`, `["_score","town"]`, `[{"town":"desc"}]`,
+		`["_score"]`,
+	}[c.Intn(4)]
 	return fmt.Sprintf(`{"query":%s,"from":%d,"size":%d,"sort":%s,"track_total_hits":true,"aggs":{
 		"towns":{"terms":{"field":"town","size":2},"aggs":{"old":{"max":{"field":"age"}}}},
 		"likes":{"terms":{"field":"likes","order":{"_key":"asc"},"size":4}},
@@ -197,9 +201,11 @@
 
 // The API's own numbers for its placement rule.
 func TestPlacement(t *testing.T) {
-	for text, hash := range map[string]uint32{"hell": 0x5a0cb7c3, "hello": 0xd7c31989, "hello w": 0x22ab2984,
+	for text, hash := range map[string]uint32{
+		"hell": 0x5a0cb7c3, "hello": 0xd7c31989, "hello w": 0x22ab2984,
 		"hello wo": 0xdf0ca123, "hello wor": 0xe7744d61, "The quick brown fox jumps over the lazy dog": 0xe07db09c,
-		"The quick brown fox jumps over the lazy cog": 0x4e63d2ad} {
+		"The quick brown fox jumps over the lazy cog": 0x4e63d2ad,
+	} {
 		for _, shards := range []int{1, 2, 5, 8, 64} {
 			p := query.Placement{Shards: shards}
 			slots := int64(p.EffectiveRoutingShards())
@@ -259,8 +265,10 @@
 	whole := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{b, a}}))
 	require.Equal(t, map[string]any{"value": 5.0, "relation": "eq"}, whole["hits"].(map[string]any)["total"])
 	require.Len(t, whole["hits"].(map[string]any)["hits"], 5)
-	part := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{a}, Skipped: 1,
-		Failures: []query.ShardFailure{{Shard: 2, Index: "members", Type: "timed_out", Reason: "late"}}}))
+	part := decoded(t, q.MergeResponses(query.SearchOutcome{
+		Responses: []*query.ShardResponse{a}, Skipped: 1,
+		Failures: []query.ShardFailure{{Shard: 2, Index: "members", Type: "timed_out", Reason: "late"}},
+	}))
 	require.Equal(t, "gte", part["hits"].(map[string]any)["total"].(map[string]any)["relation"])
 	shards := part["_shards"].(map[string]any)
 	require.Equal(t, []any{3.0, 2.0, 1.0, 1.0}, []any{shards["total"], shards["successful"], shards["skipped"], shards["failed"]})
@@ -398,11 +406,13 @@
 
 // What a part asks is what it would ask if it were asked itself, and equal searches have equal texts.
 func TestPartText(t *testing.T) {
-	for _, text := range []string{`{}`, `{"size":0,"track_total_hits":true}`, `{"_source":["a*"],"sort":["_score"],"min_score":0.5}`,
+	for _, text := range []string{
+		`{}`, `{"size":0,"track_total_hits":true}`, `{"_source":["a*"],"sort":["_score"],"min_score":0.5}`,
 		`{"query":{"bool":{"must":[{"term":{"a":1}}],"must_not":[{"exists":{"field":"b"}}],"should":[{"prefix":{"c":"<x"}},
 			{"match":{"d":{"query":"u v","operator":"and","boost":2}}}],"filter":{"range":{"e":{"gte":1.50,"lt":"z"}}}}},"from":2,"size":3}`,
 		`{"query":{"constant_score":{"filter":{"terms":{"a":["x",9007199254740993,true]}}}},"sort":[{"a":"desc"}],"search_after":["\u00e9"]}`,
-		`{"query":{"ids":{"values":["1","\\"]}},"terminate_after":5,"track_total_hits":7}`, `{"query":{"match_none":{"boost":3}}}`} {
+		`{"query":{"ids":{"values":["1","\\"]}},"terminate_after":5,"track_total_hits":7}`, `{"query":{"match_none":{"boost":3}}}`,
+	} {
 		q := parse(t, text)
 		require.True(t, json.Valid(q.ShardRequestBody()), "%s", q.ShardRequestBody())
 		require.Equal(t, string(q.ShardRequestBody()), string(parse(t, string(q.ShardRequestBody())).ShardRequestBody()))
--- a/storage/recovery/golden_stored_test.go
+++ b/storage/recovery/golden_stored_test.go
@@ -50,7 +50,8 @@
 
 // Every field of a kept host is set to a value of its own, and each of its states is there. Hosts are maps by name.
 func TestGoldenHostList(t *testing.T) {
-	goldenBothWays(t, "host-list.hex", EndpointList{SavedAt: 1_700_000_000_000, PlanVersion: 3, DiscoveryVersion: 9,
+	goldenBothWays(t, "host-list.hex", EndpointList{
+		SavedAt: 1_700_000_000_000, PlanVersion: 3, DiscoveryVersion: 9,
 		Hosts: []endpoints.Host{
 			{ID: "a0", Addr: "10.0.0.1:7000", Zone: "eu-1", Kind: "large", Cell: 2, State: endpoints.StateUp, Weight: 1.5, StartedMS: 1_699_999_000_000, Line: 4, Column: 6},
 			{ID: "b0", Addr: "10.0.0.2:7000", Zone: "eu-2", State: endpoints.StateDraining, Weight: 1},
@@ -62,9 +63,12 @@
 }
 
 func TestGoldenObservations(t *testing.T) {
-	goldenBothWays(t, "observations.hex", Observations{SavedAt: 1_700_000_000_000,
-		Head: peerreport.ReportHeader{Peer: "east-0", Locality: "eu-1", Serial: 7, ListVersion: 9, AgeMs: 1200, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 2,
-			Zones: []peerreport.ZoneObservation{{Name: "eu-1", Samples: 500, LogSlowdown: -3}, {Name: "eu-2", Samples: 300, LogSlowdown: 250}}},
+	goldenBothWays(t, "observations.hex", Observations{
+		SavedAt: 1_700_000_000_000,
+		Head: peerreport.ReportHeader{
+			Peer: "east-0", Locality: "eu-1", Serial: 7, ListVersion: 9, AgeMs: 1200, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 2,
+			Zones: []peerreport.ZoneObservation{{Name: "eu-1", Samples: 500, LogSlowdown: -3}, {Name: "eu-2", Samples: 300, LogSlowdown: 250}},
+		},
 		Entries: []peerreport.Observation{
 			{HostID: "a0", ZoneIndex: 1, StartedMs: 1_699_999_000_000, ShortSamples: 11, LongSamples: 12, ShortLogSlowdown: -13, LongLogSlowdown: 14, ConsecutiveFailures: 15, ConnectFailures: 16, UnansweredRequests: 17, SilentMs: 18, AgeMs: 19, IsOutlier: true},
 			{HostID: "b0", AgeMs: peerreport.NeverAnswered},
--- a/storage/store/errors.go
+++ b/storage/store/errors.go
@@ -67,6 +67,7 @@
 func (e *RolledBackError) Error() string {
 	return e.Path + ": one of its two heads is damaged; the state of the other is used, at most one write older"
 }
+
 func (e *RolledBackError) Advice() string {
 	return "Nothing has to be done for the service; look at the disk if it comes again without a loss of power."
 }
@@ -88,6 +89,7 @@
 func (e *NewerFormatError) Error() string {
 	return fmt.Sprintf("%s needs format %d, this program reads up to %d", e.Path, e.FileFormat, e.SupportedFormat)
 }
+
 func (e *NewerFormatError) Advice() string {
 	return "Run the program that wrote it or a later one, or name another store path for this one."
 }
--- a/storage/store/errors_test.go
+++ b/storage/store/errors_test.go
@@ -20,8 +20,10 @@
 // Each error type of the package has advice and stands in the page for those on call.
 func TestErrorTypesAreListed(t *testing.T) {
 	all := map[string]advice.Provider{}
-	for _, e := range []advice.Provider{&LockedError{}, &CorruptedError{}, &QuarantinedError{Cause: errAnew}, &QuarantineFullError{Cause: errAnew}, &RolledBackError{}, &UnrecognizedFileError{}, &NewerFormatError{},
-		&DiskFullError{Err: errAnew}, &SizeLimitError{}, &ReadOnlyError{Err: errAnew}, &WriteTimeoutError{Err: errAnew}, &IOError{Err: errAnew}} {
+	for _, e := range []advice.Provider{
+		&LockedError{}, &CorruptedError{}, &QuarantinedError{Cause: errAnew}, &QuarantineFullError{Cause: errAnew}, &RolledBackError{}, &UnrecognizedFileError{}, &NewerFormatError{},
+		&DiskFullError{Err: errAnew}, &SizeLimitError{}, &ReadOnlyError{Err: errAnew}, &WriteTimeoutError{Err: errAnew}, &IOError{Err: errAnew},
+	} {
 		all[fmt.Sprintf("%T", e)[len("*store."):]] = e
 	}
 	page, err := os.ReadFile("../../docs/oncall.md")
@@ -46,9 +48,11 @@
 
 func TestErrorsOfTheSystemGetTheirType(t *testing.T) {
 	wrap := func(err error) error { return &fs.PathError{Op: "write", Path: "s", Err: err} }
-	for want, err := range map[string]error{"*store.DiskFullError": wrap(syscall.ENOSPC), "*store.ReadOnlyError": wrap(syscall.EROFS),
+	for want, err := range map[string]error{
+		"*store.DiskFullError": wrap(syscall.ENOSPC), "*store.ReadOnlyError": wrap(syscall.EROFS),
 		"*store.IOError": wrap(syscall.EIO), "*store.LockedError": berrors.ErrTimeout, "*store.SizeLimitError": berrors.ErrMaxSizeReached,
-		"*store.CorruptedError": berrors.ErrChecksum} {
+		"*store.CorruptedError": berrors.ErrChecksum,
+	} {
 		require.Equal(t, want, fmt.Sprintf("%T", typed("s", fmt.Errorf("open: %w", err))))
 	}
 	require.IsType(t, &DiskFullError{}, typed("s", fmt.Errorf("file resize error: %s", syscall.EFBIG)), "the library wraps by words")
--- a/storage/store/store.go
+++ b/storage/store/store.go
@@ -93,8 +93,10 @@
 	if len(b) < headBytes {
 		return nil, fmt.Errorf("the record of its state has %d bytes", len(b))
 	}
-	return &head{binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:]), binary.LittleEndian.Uint64(b[8:]),
-		binary.LittleEndian.Uint64(b[16:]), binary.LittleEndian.Uint64(b[24:]), binary.LittleEndian.Uint64(b[32:])}, nil
+	return &head{
+		binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:]), binary.LittleEndian.Uint64(b[8:]),
+		binary.LittleEndian.Uint64(b[16:]), binary.LittleEndian.Uint64(b[24:]), binary.LittleEndian.Uint64(b[32:]),
+	}, nil
 }
 
 // Open takes the store at path, alone, or makes it with its folder. Errors are of this package's types: *Busy,
