--- a/clienttest/client_test.go
+++ b/clienttest/client_test.go
@@ -25,7 +25,7 @@
 	ln.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- benchmark.Demo(ctx, addr) }()
+	go func() { ended <- benchmark.ServeDemo(ctx, addr) }()
 	defer func() { stop(); require.NoError(t, <-ended) }()
 	require.Eventually(t, func() bool {
 		res, err := http.Get("http://" + addr + "/_cluster/health")
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -43,13 +43,13 @@
 	askWithout   = time.Millisecond // between two askings of a peer that does not pause
 	pageSize     = 4096
 	clockTicks   = 100 // a second, of the system's CPU times
-	nodeInstance = "CHALKLAB_PEER"
-	nodeFront    = "CHALKLAB_FRONT"
-	nodeFloor    = "CHALKLAB_FLOOR"   // hosts of the plain program that is to run in the co-ordinator's place
-	nodeCounts   = "CHALKLAB_COUNTS"  // count what is asked of sockets
-	nodeOwners   = "CHALKLAB_OWNERS"  // in the process
-	nodeCores    = "CHALKLAB_CORES"   // that it runs on
-	nodeProfile  = "CHALKLAB_PROFILE" // a file for the CPU profile; that of allocations is beside it
+	nodeInstance = "BENCHMARK_PEER"
+	nodeFront    = "BENCHMARK_FRONT"
+	nodeFloor    = "BENCHMARK_FLOOR"   // hosts of the plain program that is to run in the co-ordinator's place
+	nodeCounts   = "BENCHMARK_COUNTS"  // count what is asked of sockets
+	nodeOwners   = "BENCHMARK_OWNERS"  // in the process
+	nodeCores    = "BENCHMARK_CORES"   // that it runs on
+	nodeProfile  = "BENCHMARK_PROFILE" // a file for the CPU profile; that of allocations is beside it
 )
 
 // process is a co-ordinator in a process of its own, so that its memory and CPU time are its own.
@@ -62,13 +62,13 @@
 	out   *bufio.Reader
 }
 
-// launch starts a co-ordinator for a fleet; chalklab's own program plays it.
+// launch starts a coordinator for a fleet, as a process of the benchmark program.
 func (f *fleet) launch(ctx context.Context, seed int64, more ...string) (*process, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	dir, err := os.MkdirTemp("", "chalklab")
+	dir, err := os.MkdirTemp("", "chalkring-benchmark")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -191,7 +191,7 @@
 func MeasureLedger(ctx context.Context, seed int64) (Result, error) {
 	ctx, stop := context.WithTimeout(ctx, 58*time.Second)
 	defer stop()
-	dir, err := os.MkdirTemp("", "chalklab")
+	dir, err := os.MkdirTemp("", "chalkring-benchmark")
 	if err != nil {
 		return Result{}, err
 	}
--- a/internal/benchmark/membership.go
+++ b/internal/benchmark/membership.go
@@ -40,7 +40,7 @@
 		return Result{}, err
 	}
 	defer decoy.Close()
-	dir, err := os.MkdirTemp("", "chalklab")
+	dir, err := os.MkdirTemp("", "chalkring-benchmark")
 	if err != nil {
 		return Result{}, err
 	}
