--- a/storage/store/errors.go
+++ b/storage/store/errors.go
@@ -3,84 +3,81 @@
 import (
 	"errors"
 	"fmt"
-	"io/fs"
-	"strings"
-	"syscall"
-
-	berrors "go.etcd.io/bbolt/errors"
+)
 
-	"chalkring/internal/advice"
+// The causes that this package gives for its own errors.
+var (
+	errRecreateRequested = errors.New("a new store was requested")
+	errClosed            = errors.New("the store is closed")
 )
 
-// LockedError is a store that another process holds.
+// LockedError reports a store that another process has locked.
 type LockedError struct{ Path string }
 
 func (e *LockedError) Error() string { return e.Path + " is held by another process" }
 
-// Advice is what an operator can do, as with all errors here.
+// Advice tells an operator what to do, as it does for each error type of this package.
 func (e *LockedError) Advice() string {
 	return "Give each process a store path of its own, or end the process that holds this one (its lock goes with it)."
 }
 
-// CorruptedError is a store with something in it that nobody wrote so.
-type CorruptedError struct{ Path, What string }
+// CorruptedError reports a store whose content is not what was written.
+type CorruptedError struct{ Path, Reason string }
 
-func (e *CorruptedError) Error() string { return e.Path + " is damaged: " + e.What }
+func (e *CorruptedError) Error() string { return e.Path + " is damaged: " + e.Reason }
 func (e *CorruptedError) Advice() string {
-	return "Look at the disk and the machine's memory; a restart puts the file aside and begins anew from peers and sources."
+	return "Check the disk and the machine's memory; a restart quarantines the file and starts with what peers and other sources know."
 }
 
-// QuarantinedError is a store that was put under another name; the start went on with an empty one.
+// QuarantinedError reports a store that was renamed to QuarantinePath; Open went on with an empty one.
 type QuarantinedError struct {
 	Path, QuarantinePath string
 	Cause                error
 }
 
 func (e *QuarantinedError) Error() string {
-	return fmt.Sprintf("%s was put aside as %s: %v", e.Path, e.QuarantinePath, e.Cause)
+	return fmt.Sprintf("%s was quarantined as %s: %v", e.Path, e.QuarantinePath, e.Cause)
 }
 func (e *QuarantinedError) Unwrap() error { return e.Cause }
 func (e *QuarantinedError) Advice() string {
-	return "Nothing has to be done for the service; keep the file that was put aside for a look at the disk, then remove it."
+	return "The service needs nothing; keep the quarantined file until the disk has been checked, then remove it."
 }
 
-// errAnew is why a store that was asked to begin anew was put aside.
-var errAnew = errors.New("it was asked to begin anew")
-
-// QuarantineFullError is a store that would have to be put aside and has no name left for it.
+// QuarantineFullError reports a store that has to be quarantined while all names for that are in use. It is left as it is.
 type QuarantineFullError struct {
 	Path  string
 	Cause error
 }
 
 func (e *QuarantineFullError) Error() string {
-	return fmt.Sprintf("%s has to be put aside, and %d older ones lie there: %v", e.Path, asideMost, e.Cause)
+	return fmt.Sprintf("%s has to be quarantined, and %d earlier files are still there: %v", e.Path, maxQuarantinedFiles, e.Cause)
 }
 func (e *QuarantineFullError) Unwrap() error { return e.Cause }
 func (e *QuarantineFullError) Advice() string {
 	return "Remove or move the files " + e.Path + ".aside-*, then restart."
 }
 
-// RolledBackError is a store of which the newest state could not be read; the one before it is whole and is used.
+// RolledBackError reports a store with one damaged meta page; the state of the other is sound and is used.
 type RolledBackError struct{ Path string }
 
 func (e *RolledBackError) Error() string {
-	return e.Path + ": one of its two heads is damaged; the state of the other is used, at most one write older"
+	return e.Path + ": one of its two meta pages is damaged; the state of the other is used, at most one write older"
 }
 
 func (e *RolledBackError) Advice() string {
-	return "Nothing has to be done for the service; look at the disk if it comes again without a loss of power."
+	return "The service needs nothing; check the disk if this happens again without a loss of power."
 }
 
-// UnrecognizedFileError is a file that is something else. It is left alone.
-type UnrecognizedFileError struct{ Path, What string }
+// UnrecognizedFileError reports a file that is not a store. It is left as it is.
+type UnrecognizedFileError struct{ Path, Reason string }
 
-func (e *UnrecognizedFileError) Error() string { return e.Path + " is no store: " + e.What }
+func (e *UnrecognizedFileError) Error() string { return e.Path + " is no store: " + e.Reason }
 func (e *UnrecognizedFileError) Advice() string {
-	return "Name another store path in the installation file, or move this file away if it was a store that has lost its head."
+	return "Name another store path in the installation file, or move this file away if it was a store that lost its meta pages."
 }
 
-// NewerFormatError is a store that a newer version of the program has written and that this one cannot read. It is left alone.
+// NewerFormatError reports a store that a newer version of the program wrote and that this one cannot read. It is left
+// as it is.
 type NewerFormatError struct {
 	Path                        string
 	FileFormat, SupportedFormat uint32
@@ -94,7 +91,7 @@
 	return "Run the program that wrote it or a later one, or name another store path for this one."
 }
 
-// DiskFullError is a disk, or the bound of a file's size on it, without room.
+// DiskFullError reports a disk without room, or a limit of the system on the size of files.
 type DiskFullError struct {
 	Path string
 	Err  error
@@ -105,10 +102,10 @@
 }
 func (e *DiskFullError) Unwrap() error { return e.Err }
 func (e *DiskFullError) Advice() string {
-	return "Make room on the disk; writing goes on by itself then."
+	return "Free space on the disk; the next write tries again by itself."
 }
 
-// SizeLimitError is a write that would bring the store over its own bound.
+// SizeLimitError reports a write that exceeds a limit of the store.
 type SizeLimitError struct {
 	Path   string
 	Reason string
@@ -116,10 +113,10 @@
 
 func (e *SizeLimitError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Reason) }
 func (e *SizeLimitError) Advice() string {
-	return "Look at what is kept (entries of the ledger, hosts) and drop what is not needed; what is in the store stays."
+	return "Look at what is stored (entries of the ledger, hosts) and delete what is not needed; what is in the store stays."
 }
 
-// ReadOnlyError is a store, folder or disk that may not be written.
+// ReadOnlyError reports a store, folder or disk that the process has no permission to write.
 type ReadOnlyError struct {
 	Path string
 	Err  error
@@ -128,24 +125,24 @@
 func (e *ReadOnlyError) Error() string { return fmt.Sprintf("%s cannot be written: %v", e.Path, e.Err) }
 func (e *ReadOnlyError) Unwrap() error { return e.Err }
 func (e *ReadOnlyError) Advice() string {
-	return "Give the program's user the right to write the folder of the store, or mount its disk for writing."
+	return "Give the program's user write permission on the store's folder, or mount its disk for writing."
 }
 
-// WriteTimeoutError is a write that was not on the disk when its time ended; it may come to be.
+// WriteTimeoutError reports a write that was not on the disk when its context ended. It may still be committed.
 type WriteTimeoutError struct {
 	Path string
 	Err  error
 }
 
 func (e *WriteTimeoutError) Error() string {
-	return fmt.Sprintf("%s: a write is not on the disk in its time: %v", e.Path, e.Err)
+	return fmt.Sprintf("%s: a write was not on the disk in time: %v", e.Path, e.Err)
 }
 func (e *WriteTimeoutError) Unwrap() error { return e.Err }
 func (e *WriteTimeoutError) Advice() string {
-	return "Look at the disk's load; searches do not wait for it, and the next write brings what this one had."
+	return "Check the disk's load; searches do not wait for it, and the next write includes what this one had."
 }
 
-// IOError is any other failure of the disk or its file.
+// IOError reports any other failure of the disk or the file, and calls after Close.
 type IOError struct {
 	Path string
 	Err  error
@@ -154,39 +151,5 @@
 func (e *IOError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Err) }
 func (e *IOError) Unwrap() error { return e.Err }
 func (e *IOError) Advice() string {
-	return "Look at the disk and its file system's log; the next write tries again."
-}
-
-// errClosed is for calls that come after Close.
-var errClosed = errors.New("the store is closed")
-
-// told puts an error of the system or the library in one of the types above.
-func (s *Store) told(err error) error { return typed(s.path, err) }
-
-func typed(path string, err error) error {
-	switch {
-	case err == nil || advice.HasType[advice.Provider](err):
-		return err
-	case is(err, syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG):
-		return &DiskFullError{path, err}
-	case errors.Is(err, fs.ErrPermission) || is(err, syscall.EROFS):
-		return &ReadOnlyError{path, err}
-	case errors.Is(err, berrors.ErrTimeout):
-		return &LockedError{path}
-	case errors.Is(err, berrors.ErrMaxSizeReached):
-		return &SizeLimitError{path, "the write would bring it over its bound of size"}
-	case errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrVersionMismatch):
-		return &CorruptedError{path, err.Error()}
-	}
-	return &IOError{path, err}
-}
-
-// is looks for errors of the system, also by their words: the library wraps some in words alone.
-func is(err error, any ...syscall.Errno) bool {
-	for _, one := range any {
-		if errors.Is(err, one) || strings.HasSuffix(err.Error(), ": "+one.Error()) {
-			return true
-		}
-	}
-	return false
+	return "Check the disk and its file system's log; the next write tries again."
 }
--- a/storage/store/errors_test.go
+++ b/storage/store/errors_test.go
@@ -21,8 +21,8 @@
 func TestErrorTypesAreListed(t *testing.T) {
 	all := map[string]advice.Provider{}
 	for _, e := range []advice.Provider{
-		&LockedError{}, &CorruptedError{}, &QuarantinedError{Cause: errAnew}, &QuarantineFullError{Cause: errAnew}, &RolledBackError{}, &UnrecognizedFileError{}, &NewerFormatError{},
-		&DiskFullError{Err: errAnew}, &SizeLimitError{}, &ReadOnlyError{Err: errAnew}, &WriteTimeoutError{Err: errAnew}, &IOError{Err: errAnew},
+		&LockedError{}, &CorruptedError{}, &QuarantinedError{Cause: errRecreateRequested}, &QuarantineFullError{Cause: errRecreateRequested}, &RolledBackError{}, &UnrecognizedFileError{}, &NewerFormatError{},
+		&DiskFullError{Err: errRecreateRequested}, &SizeLimitError{}, &ReadOnlyError{Err: errRecreateRequested}, &WriteTimeoutError{Err: errRecreateRequested}, &IOError{Err: errRecreateRequested},
 	} {
 		all[fmt.Sprintf("%T", e)[len("*store."):]] = e
 	}
@@ -53,10 +53,10 @@
 		"*store.IOError": wrap(syscall.EIO), "*store.LockedError": berrors.ErrTimeout, "*store.SizeLimitError": berrors.ErrMaxSizeReached,
 		"*store.CorruptedError": berrors.ErrChecksum,
 	} {
-		require.Equal(t, want, fmt.Sprintf("%T", typed("s", fmt.Errorf("open: %w", err))))
+		require.Equal(t, want, fmt.Sprintf("%T", classifyError("s", fmt.Errorf("open: %w", err))))
 	}
-	require.IsType(t, &DiskFullError{}, typed("s", fmt.Errorf("file resize error: %s", syscall.EFBIG)), "the library wraps by words")
-	require.NoError(t, typed("s", nil))
+	require.IsType(t, &DiskFullError{}, classifyError("s", fmt.Errorf("file resize error: %s", syscall.EFBIG)), "the library wraps by words")
+	require.NoError(t, classifyError("s", nil))
 	own := errors.Join(&LockedError{})
-	require.Equal(t, own, typed("s", own))
+	require.Equal(t, own, classifyError("s", own))
 }
--- a/storage/store/golden_stored_test.go
+++ b/storage/store/golden_stored_test.go
@@ -153,7 +153,7 @@
 			b := tx.Bucket([]byte("chalkring"))
 			record := append([]byte(nil), b.Get([]byte("state"))[8:]...)
 			record[0], record[4] = 2, 2
-			all, _ := sealed("chalkring", "state", record)
+			all, _ := encodeRecord("chalkring", "state", record)
 			return b.Put([]byte("state"), all)
 		}))
 		require.NoError(t, db.Close())
--- a/storage/store/store_test.go
+++ b/storage/store/store_test.go
@@ -282,7 +282,7 @@
 }
 
 func TestANewerFormatIsRefusedUnlessItSaysThatItCanBeRead(t *testing.T) {
-	for least, refused := range map[uint32]bool{format: false, format + 1: true} {
+	for least, refused := range map[uint32]bool{currentFormat: false, currentFormat + 1: true} {
 		path := filepath.Join(t.TempDir(), "s")
 		s, _ := open(t, path, Options{})
 		require.NoError(t, s.Put(background, "a", map[string][]byte{"k": []byte("v")}, nil))
@@ -290,13 +290,13 @@
 		db, err := bolt.Open(path, 0o600, nil)
 		require.NoError(t, err)
 		require.NoError(t, db.Update(func(tx *bolt.Tx) error {
-			own := tx.Bucket([]byte(ownBucket))
-			value, _, _ := opened([]byte(ownBucket), []byte(headKey), own.Get([]byte(headKey)))
+			own := tx.Bucket([]byte(metadataBucket))
+			value, _, _ := decodeRecord([]byte(metadataBucket), []byte(stateKey), own.Get([]byte(stateKey)))
 			value = append(append([]byte(nil), value...), "more"...)
-			binary.LittleEndian.PutUint32(value, format+1)
+			binary.LittleEndian.PutUint32(value, currentFormat+1)
 			binary.LittleEndian.PutUint32(value[4:], least)
-			record, _ := sealed(ownBucket, headKey, value)
-			return own.Put([]byte(headKey), record)
+			record, _ := encodeRecord(metadataBucket, stateKey, value)
+			return own.Put([]byte(stateKey), record)
 		}))
 		require.NoError(t, db.Close())
 		s, err = Open(path, Options{})
@@ -358,12 +358,12 @@
 
 func TestNamesForWhatIsPutAsideAreCounted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	for n := range asideMost + 1 {
+	for n := range maxQuarantinedFiles + 1 {
 		text := fmt.Appendf(make([]byte, 4096), "%d", n)
-		order.PutUint32(text[metaAt:], boltMagic)
+		byteOrder.PutUint32(text[pageHeaderBytes:], boltMagic)
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 		s, err := Open(path, Options{})
-		if n == asideMost {
+		if n == maxQuarantinedFiles {
 			require.True(t, advice.HasType[*QuarantineFullError](err), "%v", err)
 			continue
 		}
@@ -377,7 +377,7 @@
 
 func TestBounds(t *testing.T) {
 	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{MaxBytes: 1 << 20})
-	for _, c := range []struct{ bucket, key string }{{"", "k"}, {ownBucket, "k"}, {"a", ""}, {"a", strings.Repeat("k", MaxKeyBytes+1)}} {
+	for _, c := range []struct{ bucket, key string }{{"", "k"}, {metadataBucket, "k"}, {"a", ""}, {"a", strings.Repeat("k", MaxKeyBytes+1)}} {
 		require.True(t, advice.HasType[*SizeLimitError](s.Put(background, c.bucket, map[string][]byte{c.key: nil}, nil)))
 	}
 	err := error(nil)
@@ -468,7 +468,7 @@
 			require.NoError(t, j.ForEach(0, "", func(e Event) bool { all = append(all, e.Sequence); return true }))
 			require.Equal(t, []uint64{8, 9, 10, 11, 12, 13, 14, 15, 16, 17}, all)
 			n := 0
-			require.NoError(t, j.ForEach(201, "start", func(e Event) bool { n++; return len(e.Message) == wordsMost }))
+			require.NoError(t, j.ForEach(201, "start", func(e Event) bool { n++; return len(e.Message) == maxMessageBytes }))
 			require.Equal(t, 2, n)
 		}
 		require.NoError(t, s.Close(background))
