--- a/storage/store/errors.go
+++ b/storage/store/errors.go
@@ -16,7 +16,7 @@
 
 func (e *LockedError) Error() string { return e.Path + " is held by another process" }
 
-// Advice tells an operator what to do, as it does for each error type of this package.
+// Advice implements advice.Provider.
 func (e *LockedError) Advice() string {
 	return "Give each process a store path of its own, or end the process that holds this one (its lock goes with it)."
 }
@@ -25,6 +25,8 @@
 type CorruptedError struct{ Path, Reason string }
 
 func (e *CorruptedError) Error() string { return e.Path + " is damaged: " + e.Reason }
+
+// Advice implements advice.Provider.
 func (e *CorruptedError) Advice() string {
 	return "Check the disk and the machine's memory; a restart quarantines the file and starts with what peers and other sources know."
 }
@@ -39,6 +41,8 @@
 	return fmt.Sprintf("%s was quarantined as %s: %v", e.Path, e.QuarantinePath, e.Cause)
 }
 func (e *QuarantinedError) Unwrap() error { return e.Cause }
+
+// Advice implements advice.Provider.
 func (e *QuarantinedError) Advice() string {
 	return "The service needs nothing; keep the quarantined file until the disk has been checked, then remove it."
 }
@@ -53,6 +57,8 @@
 	return fmt.Sprintf("%s has to be quarantined, and %d earlier files are still there: %v", e.Path, maxQuarantinedFiles, e.Cause)
 }
 func (e *QuarantineFullError) Unwrap() error { return e.Cause }
+
+// Advice implements advice.Provider.
 func (e *QuarantineFullError) Advice() string {
 	return "Remove or move the files " + e.Path + ".aside-*, then restart."
 }
@@ -64,6 +70,7 @@
 	return e.Path + ": one of its two meta pages is damaged; the state of the other is used, at most one write older"
 }
 
+// Advice implements advice.Provider.
 func (e *RolledBackError) Advice() string {
 	return "The service needs nothing; check the disk if this happens again without a loss of power."
 }
@@ -72,6 +79,8 @@
 type UnrecognizedFileError struct{ Path, Reason string }
 
 func (e *UnrecognizedFileError) Error() string { return e.Path + " is no store: " + e.Reason }
+
+// Advice implements advice.Provider.
 func (e *UnrecognizedFileError) Advice() string {
 	return "Name another store path in the installation file, or move this file away if it was a store that lost its meta pages."
 }
@@ -87,6 +96,7 @@
 	return fmt.Sprintf("%s needs format %d, this program reads up to %d", e.Path, e.FileFormat, e.SupportedFormat)
 }
 
+// Advice implements advice.Provider.
 func (e *NewerFormatError) Advice() string {
 	return "Run the program that wrote it or a later one, or name another store path for this one."
 }
@@ -101,6 +111,8 @@
 	return fmt.Sprintf("no room on the disk for %s: %v", e.Path, e.Err)
 }
 func (e *DiskFullError) Unwrap() error { return e.Err }
+
+// Advice implements advice.Provider.
 func (e *DiskFullError) Advice() string {
 	return "Free space on the disk; the next write tries again by itself."
 }
@@ -112,6 +124,8 @@
 }
 
 func (e *SizeLimitError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Reason) }
+
+// Advice implements advice.Provider.
 func (e *SizeLimitError) Advice() string {
 	return "Look at what is stored (entries of the ledger, hosts) and delete what is not needed; what is in the store stays."
 }
@@ -124,6 +138,8 @@
 
 func (e *ReadOnlyError) Error() string { return fmt.Sprintf("%s cannot be written: %v", e.Path, e.Err) }
 func (e *ReadOnlyError) Unwrap() error { return e.Err }
+
+// Advice implements advice.Provider.
 func (e *ReadOnlyError) Advice() string {
 	return "Give the program's user write permission on the store's folder, or mount its disk for writing."
 }
@@ -138,6 +154,8 @@
 	return fmt.Sprintf("%s: a write was not on the disk in time: %v", e.Path, e.Err)
 }
 func (e *WriteTimeoutError) Unwrap() error { return e.Err }
+
+// Advice implements advice.Provider.
 func (e *WriteTimeoutError) Advice() string {
 	return "Check the disk's load; searches do not wait for it, and the next write includes what this one had."
 }
@@ -150,6 +168,8 @@
 
 func (e *IOError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Err) }
 func (e *IOError) Unwrap() error { return e.Err }
+
+// Advice implements advice.Provider.
 func (e *IOError) Advice() string {
 	return "Check the disk and its file system's log; the next write tries again."
 }
--- a/storage/store/errors_test.go
+++ b/storage/store/errors_test.go
@@ -17,36 +17,38 @@
 	"chalkring/internal/advice"
 )
 
-// Each error type of the package has advice and stands in the page for those on call.
-func TestErrorTypesAreListed(t *testing.T) {
-	all := map[string]advice.Provider{}
-	for _, e := range []advice.Provider{
-		&LockedError{}, &CorruptedError{}, &QuarantinedError{Cause: errRecreateRequested}, &QuarantineFullError{Cause: errRecreateRequested}, &RolledBackError{}, &UnrecognizedFileError{}, &NewerFormatError{},
-		&DiskFullError{Err: errRecreateRequested}, &SizeLimitError{}, &ReadOnlyError{Err: errRecreateRequested}, &WriteTimeoutError{Err: errRecreateRequested}, &IOError{Err: errRecreateRequested},
+// Each error type of the package has advice and is listed in the page for engineers on call.
+func TestErrorTypesAreDocumented(t *testing.T) {
+	cause := errors.New("any")
+	errorTypes := map[string]advice.Provider{}
+	for _, err := range []advice.Provider{
+		&LockedError{}, &CorruptedError{}, &QuarantinedError{Cause: cause}, &QuarantineFullError{Cause: cause}, &RolledBackError{},
+		&UnrecognizedFileError{}, &NewerFormatError{}, &DiskFullError{Err: cause}, &SizeLimitError{}, &ReadOnlyError{Err: cause},
+		&WriteTimeoutError{Err: cause}, &IOError{Err: cause},
 	} {
-		all[fmt.Sprintf("%T", e)[len("*store."):]] = e
+		errorTypes[fmt.Sprintf("%T", err)[len("*store."):]] = err
 	}
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	file, err := parser.ParseFile(token.NewFileSet(), "errors.go", nil, 0)
 	require.NoError(t, err)
 	found := 0
-	for _, d := range file.Decls {
-		f, ok := d.(*ast.FuncDecl)
-		if !ok || f.Name.Name != "Advice" {
+	for _, declaration := range file.Decls {
+		method, ok := declaration.(*ast.FuncDecl)
+		if !ok || method.Name.Name != "Advice" {
 			continue
 		}
 		found++
-		name := f.Recv.List[0].Type.(*ast.StarExpr).X.(*ast.Ident).Name
-		require.Contains(t, all, name)
-		require.Greater(t, len(all[name].Advice()), 20, name)
-		require.NotEmpty(t, all[name].Error(), name)
+		name := method.Recv.List[0].Type.(*ast.StarExpr).X.(*ast.Ident).Name
+		require.Contains(t, errorTypes, name)
+		require.Greater(t, len(errorTypes[name].Advice()), 20, name)
+		require.NotEmpty(t, errorTypes[name].Error(), name)
 		require.Contains(t, string(page), "| `"+name+"` |")
 	}
-	require.Equal(t, len(all), found)
+	require.Equal(t, len(errorTypes), found)
 }
 
-func TestErrorsOfTheSystemGetTheirType(t *testing.T) {
+func TestClassifyError(t *testing.T) {
 	wrap := func(err error) error { return &fs.PathError{Op: "write", Path: "s", Err: err} }
 	for want, err := range map[string]error{
 		"*store.DiskFullError": wrap(syscall.ENOSPC), "*store.ReadOnlyError": wrap(syscall.EROFS),
@@ -55,7 +57,7 @@
 	} {
 		require.Equal(t, want, fmt.Sprintf("%T", classifyError("s", fmt.Errorf("open: %w", err))))
 	}
-	require.IsType(t, &DiskFullError{}, classifyError("s", fmt.Errorf("file resize error: %s", syscall.EFBIG)), "the library wraps by words")
+	require.IsType(t, &DiskFullError{}, classifyError("s", errors.New("file resize error: "+syscall.EFBIG.Error())), "bbolt formats some errors into texts")
 	require.NoError(t, classifyError("s", nil))
 	own := errors.Join(&LockedError{})
 	require.Equal(t, own, classifyError("s", own))
--- a/storage/store/event_log.go
+++ b/storage/store/event_log.go
@@ -11,8 +11,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// MaxEvents is the default number of events that a log keeps: some weeks of an installation's faults, under 3 MB.
+const MaxEvents = 10_000
+
 const (
-	MaxEvents       = 10_000 // default number of events kept: some weeks of an installation's faults, under 3 MB
 	maxMessageBytes = 240    // bytes of an event's message; the rest is cut off
 	nextSequenceKey = "next" // its value is the sequence number of the next event
 	sequenceBytes   = 8      // length of that value
--- a/storage/store/store.go
+++ b/storage/store/store.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	if err := s.openFile(); err != nil {
-		s.lock.Close()
+		_ = s.lock.Close() // the error to report is the one above
 		return nil, classifyError(path, err)
 	}
 	return s, nil
@@ -93,7 +93,7 @@
 	if locked {
 		return nil
 	}
-	s.lock.Close()
+	_ = s.lock.Close() // not locked: there is nothing to release
 	if errors.Is(err, context.DeadlineExceeded) {
 		return &LockedError{s.path}
 	}
