--- /dev/null
+++ b/storage/recovery/endpoint_list.go
@@ -0,0 +1,55 @@
+package recovery
+
+import "chalkring/endpoints"
+
+const (
+	maxListAgeMs = 7 * 24 * 3_600_000 // plans are renewed more often: an older list belongs to another plan
+	tenthsPerMs  = 10                 // package endpoints counts ages in tenths of a millisecond
+)
+
+// EndpointList is the endpoint list in force, as it is stored.
+type EndpointList struct {
+	_                struct{} `cbor:",toarray"`
+	SavedAt          int64    // Unix milliseconds
+	PlanVersion      int64    // version of the plan's own list in that run
+	DiscoveryVersion int64    // newest version that discovery had sent
+	Hosts            []endpoints.Host
+	Removals         []Removal
+}
+
+// Removal is a removal as it is stored. It has a time where endpoints.Removal has an age.
+type Removal struct {
+	_             struct{} `cbor:",toarray"`
+	ID, RemovedBy string
+	StartedMS     int64 // start of the host's removed incarnation, Unix milliseconds
+	RemovedAt     int64 // Unix milliseconds
+}
+
+// NewEndpointList returns the stored form of a list. Its hosts have no line and column of the host file they came from.
+func NewEndpointList(now, planVersion, discoveryVersion int64, entries []endpoints.Endpoint, removals []endpoints.Removal) EndpointList {
+	list := EndpointList{SavedAt: now, PlanVersion: planVersion, DiscoveryVersion: discoveryVersion}
+	for _, entry := range entries {
+		entry.Line, entry.Column = 0, 0
+		list.Hosts = append(list.Hosts, entry.Host)
+	}
+	for _, removal := range removals {
+		list.Removals = append(list.Removals, Removal{
+			ID: removal.ID, RemovedBy: removal.RemovedBy, StartedMS: removal.StartedMS,
+			RemovedAt: now - removal.Age/tenthsPerMs,
+		})
+	}
+	return list
+}
+
+// toUpdate returns the list as an update of the store's source. A removal in the future, as after the clock has gone
+// back, counts as just made.
+func (l *EndpointList) toUpdate(now int64) *endpoints.Update {
+	update := &endpoints.Update{Source: SourceName, Rank: endpoints.RankStore, Version: 1, Confirmed: true, Hosts: l.Hosts}
+	for _, removal := range l.Removals {
+		update.Removals = append(update.Removals, endpoints.Removal{
+			ID: removal.ID, RemovedBy: removal.RemovedBy, StartedMS: removal.StartedMS,
+			Age: max(0, now-removal.RemovedAt) * tenthsPerMs,
+		})
+	}
+	return update
+}
--- /dev/null
+++ b/storage/recovery/start_record.go
@@ -0,0 +1,66 @@
+package recovery
+
+const (
+	crashLoopWindowMs   = 60_000 // starts without a planned stop within this time count as a crash loop
+	crashLoopStarts     = 3      // starts in the window from which on less is trusted; two may be a kill and a coincidence
+	maxRememberedStarts = 16
+)
+
+// TrustLevel is how much of the stored state is trusted. Each level trusts less than the one before.
+type TrustLevel int
+
+// The trust levels.
+const (
+	TrustAll                 TrustLevel = iota
+	TrustWithoutObservations            // observations of hosts are discarded
+	TrustWithoutEndpoints               // so is the endpoint list
+	TrustNothing                        // the whole store is to be quarantined
+)
+
+// String returns the level's name in events and log lines.
+func (l TrustLevel) String() string {
+	return [...]string{"all", "no_notes", "no_list", "nothing"}[l]
+}
+
+// StartRecord remembers recent starts. It is on disk before any other stored state is used, so that a start which is
+// ended by that state counts as well.
+type StartRecord struct {
+	_                struct{} `cbor:",toarray"`
+	RecentStarts     []int64  // Unix milliseconds of starts that no planned stop followed
+	StoreQuarantined bool     // the store has been quarantined in the present crash loop
+}
+
+// RecordStart adds a start and returns how much of the stored state is trusted. The caller must have written the new
+// record to disk before it uses that state. TrustNothing is returned once in a crash loop, and only if exclusive: what
+// others have in a shared store may be nowhere else.
+func (s StartRecord) RecordStart(now int64, exclusive bool) (StartRecord, TrustLevel) {
+	next := StartRecord{StoreQuarantined: s.StoreQuarantined}
+	for _, startedAt := range s.RecentStarts {
+		startedAt = min(startedAt, now) // a later start means that the clock has gone back: it counts as just now
+		if now-startedAt < crashLoopWindowMs {
+			next.RecentStarts = append(next.RecentStarts, startedAt)
+		}
+	}
+	if len(next.RecentStarts) == 0 {
+		next.StoreQuarantined = false
+	}
+	next.RecentStarts = append(next.RecentStarts, now)
+	next.RecentStarts = next.RecentStarts[max(0, len(next.RecentStarts)-maxRememberedStarts):]
+	level := trustAfterStarts(len(next.RecentStarts))
+	if level == TrustNothing {
+		// A store that was quarantined in this loop has only state of this loop: quarantining it again gains nothing.
+		if next.StoreQuarantined || !exclusive {
+			return next, TrustWithoutEndpoints
+		}
+		next.StoreQuarantined = true
+	}
+	return next, level
+}
+
+// trustAfterStarts lowers the trust by a level with each start from crashLoopStarts on.
+func trustAfterStarts(starts int) TrustLevel {
+	return min(TrustNothing, max(TrustAll, TrustLevel(starts-crashLoopStarts+1)))
+}
+
+// RecordPlannedStop returns the record after a planned stop, which ends a crash loop.
+func (s StartRecord) RecordPlannedStop() StartRecord { return StartRecord{} }
