--- a/storage/store/errors.go
+++ b/storage/store/errors.go
@@ -114,7 +114,7 @@
 
 // Advice implements advice.Provider.
 func (e *DiskFullError) Advice() string {
-	return "Free space on the disk; the next write tries again by itself."
+	return "Make room on the disk; the next write tries again by itself."
 }
 
 // SizeLimitError reports a write that exceeds a limit of the store.
