--- a/cluster/gossip/gossip.go
+++ b/cluster/gossip/gossip.go
@@ -250,7 +250,7 @@
 	if _, err := n.encodeMember(m); err != nil {
 		return err
 	}
-	n.book.UpdateSelf(n.Now(), m)
+	n.book.UpdateSelf(m)
 	n.wake()
 	return nil
 }
--- /dev/null
+++ b/cluster/membership/failure_detector.go
@@ -0,0 +1,243 @@
+package membership
+
+import (
+	"cmp"
+	"maps"
+	"math/rand"
+	"slices"
+)
+
+// Times are in ticks of the caller's clock, tenths of a millisecond.
+const (
+	ticksPerMillisecond = 10
+	// PingInterval is the time between pings of one voter after the other, and the first time between pings of a suspect.
+	PingInterval = 500 * ticksPerMillisecond
+	// PingTimeout is how long an answer may take: the longest way round the earth and a busy machine.
+	PingTimeout = 300 * ticksPerMillisecond
+	// sweepReuseTime is how long before a sweep is requested an answer may have come and still count for it. The gossip
+	// library takes longer than this to declare a node dead after a partition.
+	sweepReuseTime = 1500 * ticksPerMillisecond
+	// maxPingBackoffDoublings bounds the time between pings of a node that stays suspect, at 4 s.
+	maxPingBackoffDoublings = 3
+	// maxFailedPings is the number of unanswered pings in a row that makes a node suspect: with a tenth of the packets
+	// lost, two would do so every few seconds.
+	maxFailedPings = 3
+	// maxTrackedNodes allows for each name's incarnation and the one before it.
+	maxTrackedNodes = 2 * MaxMembers
+)
+
+// FailureDetector decides which nodes an instance pings itself, and applies what follows to its table. The gossip library's
+// own failure detector probes one node after the other: an instance that is cut off from 300 would count them as alive for
+// minutes. Here the first voter that does not answer starts a sweep, a ping of all voters at once, repeated while it finds
+// more; voters that do not answer become suspect. A node that the library declares dead becomes suspect as well. It becomes
+// dead only once a sweep requested after that has ended, it has not answered, and a majority is alive: a minority declares
+// nobody dead.
+//
+// A node is one incarnation of a member as the gossip library names it. The methods are not safe for concurrent use.
+type FailureDetector struct {
+	table            *Table
+	rng              *rand.Rand
+	nodes            map[string]*trackedNode
+	missingNodes     int      // nodes whose missingSince is set
+	probeRound       []string // names of the nodes that are still to be pinged in this round
+	nextProbeAt      int64    // when the next node of the round is due
+	sweepRequestedAt int64    // when the last sweep was requested, 0 for never
+	lastTickAt       int64    // when Tick was called last, 0 for never
+	hasNewSuspect    bool     // a node became suspect since the last sweep was requested
+	isStale          bool     // Tick was not called for too long: nothing counts until a sweep has ended
+}
+
+type trackedNode struct {
+	member           Member
+	isVoter          bool
+	missingSince     int64 // since when the gossip library has it as dead, 0 if it does not
+	suspicionVersion uint64
+	isSuspect        bool  // by this instance's own pings
+	failedPings      int   // unanswered pings in a row
+	pingSentAt       int64 // when the ping in flight was sent, 0 for none
+	retryPingAt      int64 // when to ping it outside the round, 0 for not
+	sweptAt          int64 // when the last ping was sent whose result counts for a sweep
+}
+
+// NewFailureDetector returns a failure detector that applies its findings to a table.
+func NewFailureDetector(table *Table, rng *rand.Rand) *FailureDetector {
+	return &FailureDetector{table: table, rng: rng, nodes: map[string]*trackedNode{}}
+}
+
+// RecordNodeAlive records that the gossip library has a node as alive, or that its member has changed.
+func (d *FailureDetector) RecordNodeAlive(now int64, nodeName string, m Member) {
+	node := d.nodes[nodeName]
+	if node == nil {
+		if len(d.nodes) >= maxTrackedNodes || !m.IsValid() {
+			return
+		}
+		node = &trackedNode{isVoter: d.table.IsVoter(m.Name)}
+		d.nodes[nodeName] = node
+	} else if node.member.Incarnation != m.Incarnation { // the node itself reports that its old incarnation has ended
+		d.table.ApplyUpdate(now, Member{Name: node.member.Name, Incarnation: node.member.Incarnation, State: Dead})
+	}
+	node.member = m
+	if node.missingSince != 0 {
+		node.missingSince, node.isSuspect, node.failedPings = 0, false, 0
+		node.suspicionVersion++
+		d.missingNodes--
+	}
+	d.updateTable(now, node)
+	if m.State.IsTerminal() {
+		delete(d.nodes, nodeName)
+	}
+}
+
+// RecordNodeMissing records that the gossip library has declared a node dead.
+func (d *FailureDetector) RecordNodeMissing(now int64, nodeName string) {
+	node := d.nodes[nodeName]
+	if node == nil || node.missingSince != 0 {
+		return
+	}
+	node.missingSince, node.retryPingAt = max(1, now), 0
+	if node.failedPings < maxFailedPings {
+		node.retryPingAt = now
+	}
+	node.suspicionVersion++
+	d.missingNodes++
+	d.updateTable(now, node)
+	d.requestSweep(now)
+}
+
+// updateTable applies a node's present state to the table.
+func (d *FailureDetector) updateTable(now int64, node *trackedNode) {
+	update := node.member
+	update.SuspicionVersion = node.suspicionVersion
+	if !update.State.IsTerminal() && (node.isSuspect || node.missingSince != 0) {
+		update.State = Suspect
+	}
+	d.table.ApplyUpdate(now, update)
+}
+
+// RecordPingResult records how a ping that DuePings asked for has ended.
+func (d *FailureDetector) RecordPingResult(now int64, nodeName string, answered bool) {
+	node := d.nodes[nodeName]
+	if node == nil {
+		return
+	}
+	sentAt := node.pingSentAt
+	node.pingSentAt = 0
+	if answered {
+		d.recordAnswer(now, node, sentAt)
+	} else {
+		d.recordFailedPing(now, node, sentAt)
+	}
+	d.declareDead(now)
+}
+
+func (d *FailureDetector) recordAnswer(now int64, node *trackedNode, sentAt int64) {
+	node.sweptAt, node.failedPings = max(node.sweptAt, sentAt), 0
+	if node.isSuspect {
+		node.isSuspect = false
+		node.suspicionVersion++
+		d.updateTable(now, node)
+	}
+	if node.missingSince != 0 { // it runs: either the gossip library has it back soon, or later pings fail
+		node.missingSince, node.retryPingAt = max(1, now), now+PingInterval
+	}
+}
+
+func (d *FailureDetector) recordFailedPing(now int64, node *trackedNode, sentAt int64) {
+	node.failedPings++
+	if node.failedPings < maxFailedPings {
+		node.retryPingAt = now
+		return
+	}
+	node.sweptAt = max(node.sweptAt, sentAt)
+	if node.missingSince == 0 { // of a missing node the gossip library reports when it is back
+		node.retryPingAt = now + PingInterval<<min(maxPingBackoffDoublings, node.failedPings-maxFailedPings)
+	}
+	if !node.isSuspect {
+		node.isSuspect, d.hasNewSuspect = true, true
+		node.suspicionVersion++
+		d.updateTable(now, node)
+	}
+	if node.missingSince > d.sweepRequestedAt {
+		d.requestSweep(now)
+	}
+}
+
+// Tick repeats sweeps and declares missing nodes dead where that is due; it has to be called ten times a second. After a
+// longer pause, in which the process was stopped or had no processor time, nobody counts until a new sweep has ended.
+func (d *FailureDetector) Tick(now int64) {
+	if d.lastTickAt != 0 && now-d.lastTickAt > MaxDetectorStaleness {
+		d.isStale = true
+		d.requestSweep(now)
+	}
+	d.lastTickAt = now
+	d.isStale = d.isStale && d.isSweeping()
+	if !d.isStale {
+		d.table.MarkDetectorCurrent(now)
+	}
+	// A sweep may have counted answers that came just before a partition, so a sweep that found suspects is repeated.
+	if d.hasNewSuspect && now >= d.sweepRequestedAt+sweepReuseTime && !d.isSweeping() {
+		d.hasNewSuspect, d.sweepRequestedAt = false, now
+	}
+	d.declareDead(now)
+}
+
+// declareDead declares the missing nodes dead that have not answered the last sweep. Only with a majority: an instance of a
+// minority would else report all the others as dead when the partition heals.
+func (d *FailureDetector) declareDead(now int64) {
+	if d.missingNodes == 0 || d.isSweeping() || !d.table.HasMajority(now) {
+		return
+	}
+	for _, nodeName := range slices.Sorted(maps.Keys(d.nodes)) {
+		node := d.nodes[nodeName]
+		if node.missingSince == 0 || d.sweepRequestedAt < node.missingSince || node.isVoter && node.failedPings < maxFailedPings {
+			continue
+		}
+		update := node.member
+		update.State = Dead
+		d.table.ApplyUpdate(now, update)
+		d.missingNodes--
+		delete(d.nodes, nodeName)
+	}
+}
+
+// RejectedNode is a node whose member has to take a new incarnation, with the updates that make it do so.
+type RejectedNode struct {
+	NodeName          string
+	EndedIncarnations []Member
+}
+
+// RejectedNodes returns, sorted by name, the nodes that the gossip library has as alive while the table has their
+// incarnation, or a later one of their name, as ended. The caller sends them the updates.
+func (d *FailureDetector) RejectedNodes() (rejected []RejectedNode) {
+	for nodeName, node := range d.nodes {
+		if node.missingSince == 0 && d.table.RequiresNewIncarnation(node.member.Name, node.member.Incarnation) {
+			rejected = append(rejected, RejectedNode{nodeName, d.table.EndedIncarnations(node.member.Name)})
+		}
+	}
+	slices.SortFunc(rejected, func(a, b RejectedNode) int { return cmp.Compare(a.NodeName, b.NodeName) })
+	return rejected
+}
+
+// NodeName returns the node name of a member's latest incarnation that the gossip library has as alive, empty for none.
+func (d *FailureDetector) NodeName(memberName string) (nodeName string) {
+	var latest *trackedNode
+	for _, candidateName := range slices.Sorted(maps.Keys(d.nodes)) {
+		candidate := d.nodes[candidateName]
+		if candidate.member.Name != memberName || candidate.missingSince != 0 {
+			continue
+		}
+		if latest == nil || candidate.member.Incarnation > latest.member.Incarnation {
+			nodeName, latest = candidateName, candidate
+		}
+	}
+	return nodeName
+}
+
+// IsTracked reports whether the failure detector follows a node.
+func (d *FailureDetector) IsTracked(nodeName string) bool { return d.nodes[nodeName] != nil }
+
+// IsPresent reports whether the failure detector follows a node and the gossip library has it as alive.
+func (d *FailureDetector) IsPresent(nodeName string) bool {
+	node := d.nodes[nodeName]
+	return node != nil && node.missingSince == 0
+}
--- /dev/null
+++ b/cluster/membership/probe_schedule.go
@@ -0,0 +1,71 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+)
+
+// DuePings returns the names of the nodes to ping now. RecordPingResult has to be called once for each of them.
+func (d *FailureDetector) DuePings(now int64) (nodeNames []string) {
+	for nodeName, node := range d.nodes {
+		isRetryDue := node.retryPingAt != 0 && now >= node.retryPingAt
+		if node.pingSentAt == 0 && node.isVoter && (d.needsSweep(node) || isRetryDue) {
+			nodeNames = append(nodeNames, nodeName)
+		}
+	}
+	slices.Sort(nodeNames)
+	if now >= d.nextProbeAt {
+		d.nextProbeAt = now + PingInterval
+		if nodeName := d.nextOfRound(); nodeName != "" && !slices.Contains(nodeNames, nodeName) {
+			nodeNames = append(nodeNames, nodeName)
+		}
+	}
+	for _, nodeName := range nodeNames {
+		d.nodes[nodeName].pingSentAt, d.nodes[nodeName].retryPingAt = max(1, now), 0
+	}
+	return nodeNames
+}
+
+// nextOfRound returns the next node of the probe round, which has each voter once, in random order; empty for none.
+func (d *FailureDetector) nextOfRound() string {
+	if len(d.probeRound) == 0 {
+		d.beginRound()
+	}
+	for len(d.probeRound) > 0 {
+		nodeName := d.probeRound[0]
+		d.probeRound = d.probeRound[1:]
+		if node := d.nodes[nodeName]; node != nil && node.pingSentAt == 0 && node.missingSince == 0 {
+			return nodeName
+		}
+	}
+	return ""
+}
+
+func (d *FailureDetector) beginRound() {
+	for _, nodeName := range slices.Sorted(maps.Keys(d.nodes)) {
+		if d.nodes[nodeName].isVoter {
+			d.probeRound = append(d.probeRound, nodeName)
+		}
+	}
+	d.rng.Shuffle(len(d.probeRound), func(i, j int) {
+		d.probeRound[i], d.probeRound[j] = d.probeRound[j], d.probeRound[i]
+	})
+}
+
+// requestSweep makes all voters due that were not pinged shortly before now.
+func (d *FailureDetector) requestSweep(now int64) { d.sweepRequestedAt = max(1, now) }
+
+// needsSweep reports whether the last sweep still lacks a node's result.
+func (d *FailureDetector) needsSweep(node *trackedNode) bool {
+	return node.sweptAt < d.sweepRequestedAt-sweepReuseTime
+}
+
+// isSweeping reports whether the last sweep still lacks a voter's result.
+func (d *FailureDetector) isSweeping() bool {
+	for _, node := range d.nodes {
+		if node.isVoter && d.needsSweep(node) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/cluster/membership/table.go
@@ -0,0 +1,263 @@
+// Package membership decides which instances of a cluster are members: a Table merges updates on members and says which
+// incarnation of each name is current, whether a majority of the voters is alive, and which names two instances claim. A
+// FailureDetector decides whom to ping and which updates follow. The package has no I/O; times are tenths of a millisecond
+// of a clock that the caller passes in. The same updates, in any order and with duplicates, give the same table.
+// docs/cluster.md describes the rules and what holds during a network partition.
+package membership
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+	"sync"
+)
+
+const (
+	// MaxMembers is the number of names in a table: three times the largest cluster that this is built for.
+	MaxMembers = 1000
+	// maxIncarnationsPerName is how many incarnations of a name are kept, the latest ones. A crash loop has three
+	// while two of them are not yet noticed.
+	maxIncarnationsPerName = 8
+	// endedIncarnationsShared is of how many of a name's latest incarnations the ends are passed on to other instances.
+	endedIncarnationsShared = 2
+)
+
+// Table holds the incarnations of all known members. All its methods may be called by several goroutines.
+type Table struct {
+	mu                sync.Mutex
+	self              Member
+	hasLeft           bool
+	detectorCurrentAt int64                // when the failure detector was last up to date; 0 without a failure detector
+	voters            []string             // sorted
+	records           map[string][]*record // sorted by incarnation; includes other incarnations of this instance's name
+}
+
+// NewTable returns the table of an instance that has just started as self. Voters are the names that count for a majority.
+func NewTable(self Member, voters []string) *Table {
+	voters = slices.Clone(voters)
+	slices.Sort(voters)
+	self.Capabilities, self.State = slices.Clone(self.Capabilities), Alive
+	self.Incarnation = max(1, self.Incarnation)
+	return &Table{self: self, voters: slices.Compact(voters), records: map[string][]*record{}}
+}
+
+// ApplyUpdate merges an update on a member and reports whether it changed the table. An ended incarnation stays ended;
+// within an incarnation the higher MetaVersion, then the higher SuspicionVersion, wins; an update on an older incarnation
+// never replaces a newer one. An update that declares this instance's own incarnation ended makes the instance refute it
+// with a new incarnation (see Self).
+func (t *Table) ApplyUpdate(now int64, update Member) (changed bool) {
+	if !update.IsValid() {
+		return false
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.isSelf(update.Name, update.Incarnation) && !t.contradictsSelf(update) {
+		return false
+	}
+	r := t.findOrAddRecord(now, update)
+	if r == nil {
+		return false
+	}
+	previousState := r.state()
+	changed = r.apply(update)
+	if r.state() != previousState {
+		r.stateSince = now
+	}
+	return t.refuteOwnEnd(now) || changed
+}
+
+func (t *Table) isSelf(name string, incarnation uint64) bool {
+	return name == t.self.Name && incarnation == t.self.Incarnation
+}
+
+// contradictsSelf reports whether an update on this instance's own incarnation has to be recorded: other instances have
+// declared it ended, or another process uses it at another address, after a disk was copied or a clock set back.
+func (t *Table) contradictsSelf(update Member) bool {
+	return update.State.IsTerminal() && !t.hasLeft || update.Addr != "" && update.Addr != t.self.Addr
+}
+
+// findOrAddRecord returns the record that an update belongs to, a new one where there is room, else nil.
+func (t *Table) findOrAddRecord(now int64, update Member) *record {
+	records := t.records[update.Name]
+	if records == nil && len(t.records) >= MaxMembers && !t.evictEndedName() {
+		return nil
+	}
+	index, found := slices.BinarySearchFunc(records, update.Incarnation, func(r *record, incarnation uint64) int {
+		return cmp.Compare(r.incarnation, incarnation)
+	})
+	if found {
+		return records[index]
+	}
+	if len(records) >= maxIncarnationsPerName { // the latest are kept, which does not depend on the order of updates
+		if index == 0 {
+			return nil
+		}
+		records, index = slices.Delete(records, 0, 1), index-1
+	}
+	r := &record{incarnation: update.Incarnation, stateSince: now}
+	t.records[update.Name] = slices.Insert(records, index, r)
+	return r
+}
+
+// evictEndedName makes room by removing the name, voters excepted, whose latest incarnation ended first. It reports
+// whether there was one.
+func (t *Table) evictEndedName() bool {
+	oldest, oldestSince := "", int64(math.MaxInt64)
+	for name := range t.records {
+		r := t.latest(name)
+		if !r.state().IsTerminal() || t.IsVoter(name) {
+			continue
+		}
+		if r.stateSince < oldestSince || r.stateSince == oldestSince && name < oldest {
+			oldest, oldestSince = name, r.stateSince
+		}
+	}
+	delete(t.records, oldest)
+	return oldest != ""
+}
+
+// refuteOwnEnd gives this instance a new incarnation where the present one, or a later one of its name, has ended:
+// updates sent under the old one no longer count. While a later one is alive there are two instances of this name, and
+// neither takes a new incarnation.
+func (t *Table) refuteOwnEnd(now int64) bool {
+	r := t.latest(t.self.Name)
+	if r == nil || r.incarnation < t.self.Incarnation || !r.state().IsTerminal() || t.hasLeft {
+		return false
+	}
+	t.self.Incarnation, t.self.MetaVersion, t.self.StateSince = r.incarnation+1, 0, now
+	return true
+}
+
+// latest returns the record of a name's highest incarnation, nil where none is known.
+func (t *Table) latest(name string) *record {
+	records := t.records[name]
+	if len(records) == 0 {
+		return nil
+	}
+	return records[len(records)-1]
+}
+
+// Self returns this instance as it is now; its incarnation may have changed since NewTable.
+func (t *Table) Self() Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.selfCopy()
+}
+
+func (t *Table) selfCopy() Member {
+	self := t.self
+	self.Capabilities = slices.Clone(self.Capabilities)
+	return self
+}
+
+// UpdateSelf replaces this instance's metadata and returns the result; name, incarnation and address stay as they are.
+func (t *Table) UpdateSelf(update Member) Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !update.EqualMetadata(t.self) {
+		t.self.Region, t.self.Zone, t.self.ProgramVersion = update.Region, update.Zone, update.ProgramVersion
+		t.self.SettingsGeneration = update.SettingsGeneration
+		t.self.Capabilities = slices.Clone(update.Capabilities)
+		t.self.MetaVersion++
+	}
+	return t.selfCopy()
+}
+
+// Leave records that this instance shuts down on purpose; it counts for no majority from now on.
+func (t *Table) Leave(now int64) Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.hasLeft {
+		t.hasLeft, t.self.State, t.self.StateSince = true, Left, now
+	}
+	return t.selfCopy()
+}
+
+// Members returns all known members including this instance, each by its latest incarnation, sorted by name.
+func (t *Table) Members() []Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	members := []Member{t.selfCopy()}
+	for name := range t.records {
+		if name != t.self.Name {
+			members = append(members, t.latest(name).memberCopy(name))
+		}
+	}
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
+}
+
+// ForEach calls visit for each member that Members would return, in no order and without a copy: visit must neither keep
+// or change the member's Capabilities nor call the table.
+func (t *Table) ForEach(visit func(m Member)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	visit(t.self)
+	for name := range t.records {
+		if name != t.self.Name {
+			visit(t.latest(name).member(name))
+		}
+	}
+}
+
+// AlivePeers returns the sorted names of the other members that are alive. Names that two instances claim are left out:
+// it is not known which of the two a message would reach.
+func (t *Table) AlivePeers() (names []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for name := range t.records {
+		if name != t.self.Name && t.latest(name).state() == Alive && !t.hasNameConflict(name) {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// IncarnationState returns the state of one incarnation, and false where it is not known.
+func (t *Table) IncarnationState(name string, incarnation uint64) (State, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.isSelf(name, incarnation) {
+		return t.self.State, true
+	}
+	for _, r := range t.records[name] {
+		if r.incarnation == incarnation {
+			return r.state(), true
+		}
+	}
+	return Alive, false
+}
+
+// RequiresNewIncarnation reports whether a name's latest incarnation has ended and is at least the given one: an instance
+// that still uses the given one has to take a higher one.
+func (t *Table) RequiresNewIncarnation(name string, incarnation uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.latest(name)
+	return r != nil && r.state().IsTerminal() && r.incarnation >= incarnation
+}
+
+// EndedIncarnations returns updates for other instances: those of a name's two latest incarnations that have ended, without
+// metadata, sorted by name and incarnation. Without arguments it covers all names.
+func (t *Table) EndedIncarnations(names ...string) []Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(names) == 0 {
+		names = slices.Collect(maps.Keys(t.records))
+	}
+	var ended []Member
+	for _, name := range names {
+		records := t.records[name]
+		for _, r := range records[max(0, len(records)-endedIncarnationsShared):] {
+			if r.end.IsTerminal() {
+				ended = append(ended, Member{Name: name, Incarnation: r.incarnation, State: r.end})
+			}
+		}
+	}
+	slices.SortFunc(ended, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
+	})
+	return ended
+}
--- a/cluster/membership/fleet_test.go
+++ b/cluster/membership/table_test.go
@@ -183,16 +183,16 @@
 	for n := range uint64(50) {
 		b.ApplyUpdate(1, at("b", n+1, Dead))
 	}
-	require.Len(t, b.lives["b"], livesMost)
+	require.Len(t, b.records["b"], maxIncarnationsPerName)
 	require.Len(t, b.EndedIncarnations(), 2)
 }
 
 func TestWhatAnInstanceSaysOfItself(t *testing.T) {
 	b := NewTable(at("a", 1, Alive), listed)
 	m := b.Self()
-	require.Equal(t, m, b.UpdateSelf(1, m), "nothing new")
+	require.Equal(t, m, b.UpdateSelf(m), "nothing new")
 	m.SettingsGeneration, m.Name = 7, "z"
-	m = b.UpdateSelf(1, m)
+	m = b.UpdateSelf(m)
 	require.Equal(t, []any{"a", uint64(7), uint64(1)}, []any{m.Name, m.SettingsGeneration, m.MetaVersion})
 	s, known := b.IncarnationState("a", 1)
 	require.True(t, known)
--- a/cluster/membership/wire_golden_test.go
+++ b/cluster/membership/wire_golden_test.go
@@ -39,6 +39,6 @@
 func TestGoldenMemberStates(t *testing.T) {
 	require.Equal(t, []int{0, 1, 2, 3}, []int{int(Alive), int(Suspect), int(Dead), int(Left)})
 	require.Equal(t, []string{"alive", "suspect", "gone", "left"}, []string{Alive.String(), Suspect.String(), Dead.String(), Left.String()})
-	require.Equal(t, []int{40, 8}, []int{MaxClusterNameBytes, tenantsMost})
+	require.Equal(t, []int{40, 8}, []int{MaxClusterNameBytes, maxTenantHashes})
 	require.Equal(t, []int{1000, 100, 200, 16}, []int{MaxMembers, MaxNameBytes, MaxTextBytes, MaxCapabilities})
 }
