--- a/cluster/membership/majority.go
+++ b/cluster/membership/majority.go
@@ -4,7 +4,7 @@
 
 // MaxDetectorStaleness is for how long the failure detector's findings count after it was last up to date (2 s): a process
 // may be stopped and continued, and would else believe what held before.
-const MaxDetectorStaleness = 2 * 10_000
+const MaxDetectorStaleness = 2000 * ticksPerMillisecond
 
 // IsVoter reports whether a name counts for a majority.
 func (t *Table) IsVoter(name string) bool {
--- a/cluster/membership/table_test.go
+++ b/cluster/membership/table_test.go
@@ -10,191 +10,147 @@
 	"pgregory.net/rapid"
 )
 
-var listed = []string{"a", "b", "c", "d", "e"}
+var testVoters = []string{"a", "b", "c", "d", "e"}
 
-func at(name string, n uint64, s State) Member {
-	return Member{Name: name, Incarnation: n, Addr: name + ":1", State: s}
+func member(name string, incarnation uint64, state State) Member {
+	return Member{Name: name, Incarnation: incarnation, Addr: name + ":1", State: state}
 }
 
-func book(names ...string) *Table {
-	b := NewTable(at("a", 10, Alive), listed)
-	for _, name := range names {
-		b.ApplyUpdate(1, at(name, 10, Alive))
+// newTestTable is a's table, in which the named members are alive.
+func newTestTable(alive ...string) *Table {
+	table := NewTable(member("a", 10, Alive), testVoters)
+	for _, name := range alive {
+		table.ApplyUpdate(1, member(name, 10, Alive))
 	}
-	return b
+	return table
 }
 
-// words are drawn as they can be said: what a life says of itself in one word is one thing.
-func words(t *rapid.T) (all []Member) {
-	for range rapid.IntRange(1, 40).Draw(t, "words") {
-		m := at(rapid.SampledFrom([]string{"b", "c", "d", "new"}).Draw(t, "name"), rapid.Uint64Range(1, 12).Draw(t, "life"),
+// drawUpdates draws updates as members and observers can send them: a metadata version has one content.
+func drawUpdates(t *rapid.T) (updates []Member) {
+	for range rapid.IntRange(1, 40).Draw(t, "updates") {
+		update := member(rapid.SampledFrom([]string{"b", "c", "d", "new"}).Draw(t, "name"), rapid.Uint64Range(1, 12).Draw(t, "incarnation"),
 			State(rapid.IntRange(0, 3).Draw(t, "state")))
-		m.MetaVersion, m.SuspicionVersion = rapid.Uint64Range(0, 3).Draw(t, "word"), rapid.Uint64Range(0, 3).Draw(t, "look")
-		m.ProgramVersion = fmt.Sprint(m.Name, m.Incarnation, m.MetaVersion)
-		if rapid.IntRange(0, 9).Draw(t, "moved") == 0 {
-			m.Addr += "2"
-			m.ProgramVersion += "2"
+		update.MetaVersion = rapid.Uint64Range(0, 3).Draw(t, "meta version")
+		update.SuspicionVersion = rapid.Uint64Range(0, 3).Draw(t, "suspicion version")
+		update.ProgramVersion = fmt.Sprint(update.Name, update.Incarnation, update.MetaVersion)
+		if rapid.IntRange(0, 9).Draw(t, "other address") == 0 {
+			update.Addr += "2"
+			update.ProgramVersion += "2"
 		}
-		if m.State.IsTerminal() && rapid.Bool().Draw(t, "bare") {
-			m = Member{Name: m.Name, Incarnation: m.Incarnation, State: m.State}
+		if update.State.IsTerminal() && rapid.Bool().Draw(t, "without metadata") {
+			update = Member{Name: update.Name, Incarnation: update.Incarnation, State: update.State}
 		}
-		all = append(all, m)
+		updates = append(updates, update)
 	}
-	return all
+	return updates
 }
 
-type seen struct {
+// tableView is all that a table reports.
+type tableView struct {
 	Members, Ended []Member
 	Conflicts      []string
-	Heard          int
+	AliveVoters    int
 	Majority       bool
 }
 
-func look(b *Table) seen {
-	s := seen{Members: b.Members(), Ended: b.EndedIncarnations(), Conflicts: b.NameConflicts(), Majority: b.HasMajority(1)}
-	s.Heard, _ = b.CountAliveVoters(1)
-	return s
+func viewOf(table *Table) tableView {
+	view := tableView{
+		Members: table.Members(), Ended: table.EndedIncarnations(),
+		Conflicts: table.NameConflicts(), Majority: table.HasMajority(1),
+	}
+	view.AliveVoters, _ = table.CountAliveVoters(1)
+	return view
 }
 
-func TestAnyOrderAndDuplicationGivesTheSameBook(t *testing.T) {
+func TestUpdatesInAnyOrderAndWithDuplicatesGiveTheSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := words(t)
-		one, two := book(), book()
-		for _, m := range all {
-			one.ApplyUpdate(1, m)
+		updates := drawUpdates(t)
+		ordered, shuffled := newTestTable(), newTestTable()
+		for _, update := range updates {
+			ordered.ApplyUpdate(1, update)
 		}
-		again := append(append([]Member{}, all...), all[:rapid.IntRange(0, len(all)).Draw(t, "twice")]...)
+		again := append(append([]Member{}, updates...), updates[:rapid.IntRange(0, len(updates)).Draw(t, "duplicates")]...)
 		rand.New(rand.NewSource(rapid.Int64().Draw(t, "order"))).Shuffle(len(again), func(i, j int) {
 			again[i], again[j] = again[j], again[i]
 		})
-		for _, m := range again {
-			two.ApplyUpdate(1, m)
+		for _, update := range again {
+			shuffled.ApplyUpdate(1, update)
 		}
-		require.Equal(t, look(one), look(two))
-		for _, m := range all {
-			require.False(t, two.ApplyUpdate(1, m), "what is known changes nothing: %v", m)
+		require.Equal(t, viewOf(ordered), viewOf(shuffled))
+		for _, update := range updates {
+			require.False(t, shuffled.ApplyUpdate(1, update), "a known update changes nothing: %v", update)
 		}
 	})
 }
 
-func TestNoLateWordWins(t *testing.T) {
+func TestOlderIncarnationAndEndedOneNeverReturn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, highest, over := book(), map[string]uint64{}, map[string]bool{}
-		for _, m := range words(t) {
-			b.ApplyUpdate(1, m)
-			highest[m.Name] = max(highest[m.Name], m.Incarnation)
-			over[fmt.Sprint(m.Name, m.Incarnation)] = over[fmt.Sprint(m.Name, m.Incarnation)] || m.State.IsTerminal()
-			for _, now := range b.Members() {
-				if now.Name == "a" {
+		table, highest, ended := newTestTable(), map[string]uint64{}, map[string]bool{}
+		for _, update := range drawUpdates(t) {
+			table.ApplyUpdate(1, update)
+			highest[update.Name] = max(highest[update.Name], update.Incarnation)
+			incarnation := fmt.Sprint(update.Name, update.Incarnation)
+			ended[incarnation] = ended[incarnation] || update.State.IsTerminal()
+			for _, current := range table.Members() {
+				if current.Name == "a" {
 					continue
 				}
-				require.Equal(t, highest[now.Name], now.Incarnation)
-				require.Equal(t, over[fmt.Sprint(now.Name, now.Incarnation)], now.State.IsTerminal())
+				require.Equal(t, highest[current.Name], current.Incarnation)
+				require.Equal(t, ended[fmt.Sprint(current.Name, current.Incarnation)], current.State.IsTerminal())
 			}
 		}
 	})
 }
 
-func TestOneThatWasGoneIsBackAsAnother(t *testing.T) {
-	b := book("b", "c")
-	require.True(t, b.ApplyUpdate(2, at("b", 10, Dead)))
-	require.False(t, b.ApplyUpdate(3, at("b", 10, Alive)), "its old voice")
-	require.False(t, b.ApplyUpdate(3, Member{Name: "b", Incarnation: 10, MetaVersion: 9, Addr: "b:1"}) && b.Members()[1].State == Alive)
-	require.True(t, b.ApplyUpdate(4, at("b", 11, Alive)))
-	require.Equal(t, []Member{{Name: "b", Incarnation: 10, State: Dead}}, b.EndedIncarnations())
-	require.Empty(t, b.NameConflicts(), "a restart is no conflict")
-
-	require.True(t, b.ApplyUpdate(5, Member{Name: "a", Incarnation: 10, State: Dead}), "I was given up")
-	require.Equal(t, uint64(11), b.Self().Incarnation)
-	require.False(t, b.ApplyUpdate(6, Member{Name: "a", Incarnation: 10, State: Dead}))
-	require.True(t, b.ApplyUpdate(6, at("a", 20, Left)), "my clock went back: the life before had a later time")
-	require.Equal(t, uint64(21), b.Self().Incarnation)
-	require.Empty(t, b.NameConflicts())
-}
-
-func TestOnlyMoreThanHalfIsAMajority(t *testing.T) {
-	b := book("b")
-	heard, of := b.CountAliveVoters(1)
-	require.Equal(t, []any{2, 5, false}, []any{heard, of, b.HasMajority(1)})
-	b.ApplyUpdate(2, at("x", 1, Alive))
-	require.False(t, b.HasMajority(2), "one that is not listed does not count")
-	b.ApplyUpdate(2, at("c", 1, Alive))
-	require.True(t, b.HasMajority(2))
-	doubt := at("c", 1, Suspect)
-	doubt.SuspicionVersion = 1
-	b.ApplyUpdate(3, doubt)
-	require.False(t, b.HasMajority(3), "one that is suspect does not count")
-	require.Equal(t, int64(3), b.Members()[2].StateSince)
-	sure := at("c", 1, Alive)
-	sure.SuspicionVersion = 2
-	b.ApplyUpdate(4, sure)
-	require.False(t, b.ApplyUpdate(4, doubt), "a late suspicion")
-	require.True(t, b.HasMajority(4))
-	b.Leave(5)
-	require.False(t, b.HasMajority(5))
-	require.False(t, NewTable(at("a", 1, Alive), nil).HasMajority(1), "of none listed there is no majority")
-}
-
-func TestTwoThatClaimOneNameTakePartInNoVote(t *testing.T) {
-	b := book("b", "c")
-	other := at("b", 12, Alive)
-	other.Addr = "b:2"
-	require.True(t, b.ApplyUpdate(2, other))
-	require.Equal(t, []string{"b"}, b.NameConflicts())
-	heard, _ := b.CountAliveVoters(2)
-	require.Equal(t, 2, heard)
-	require.True(t, b.ApplyUpdate(3, at("b", 10, Dead)), "one of both ends")
-	require.Empty(t, b.NameConflicts())
-	require.True(t, b.HasMajority(3))
-
-	mine := at("a", 99, Alive)
-	mine.Addr = "a:2"
-	b.ApplyUpdate(4, mine)
-	require.Equal(t, []string{"a"}, b.NameConflicts())
-	require.False(t, b.HasMajority(4), "nor does one of both report a majority")
-	require.Equal(t, uint64(10), b.Self().Incarnation, "nor rise over the other")
-	b.ApplyUpdate(5, Member{Name: "a", Incarnation: 99, State: Dead})
-	require.Equal(t, uint64(100), b.Self().Incarnation)
-	require.True(t, b.HasMajority(5))
-
-	same := b.Self()
-	same.Addr = "a:3"
-	b.ApplyUpdate(6, same)
-	require.Equal(t, []string{"a"}, b.NameConflicts(), "one incarnation at two addresses")
+func TestDeadMemberReturnsWithNewIncarnation(t *testing.T) {
+	table := newTestTable("b", "c")
+	require.True(t, table.ApplyUpdate(2, member("b", 10, Dead)))
+	require.False(t, table.ApplyUpdate(3, member("b", 10, Alive)), "an update of the ended incarnation")
+	require.False(t, table.ApplyUpdate(3, Member{Name: "b", Incarnation: 10, MetaVersion: 9, Addr: "b:1"}) && table.Members()[1].State == Alive)
+	require.True(t, table.ApplyUpdate(4, member("b", 11, Alive)))
+	require.Equal(t, []Member{{Name: "b", Incarnation: 10, State: Dead}}, table.EndedIncarnations())
+	require.Empty(t, table.NameConflicts(), "a restart is no conflict")
+
+	require.True(t, table.ApplyUpdate(5, Member{Name: "a", Incarnation: 10, State: Dead}), "declared dead by others")
+	require.Equal(t, uint64(11), table.Self().Incarnation)
+	require.False(t, table.ApplyUpdate(6, Member{Name: "a", Incarnation: 10, State: Dead}))
+	require.True(t, table.ApplyUpdate(6, member("a", 20, Left)), "after a clock was set back the previous incarnation was higher")
+	require.Equal(t, uint64(21), table.Self().Incarnation)
+	require.Empty(t, table.NameConflicts())
 }
 
-func TestBookIsBounded(t *testing.T) {
-	b := NewTable(at("a", 1, Alive), listed)
+func TestTableIsBounded(t *testing.T) {
+	table := NewTable(member("a", 1, Alive), testVoters)
 	for _, m := range []Member{
 		{},
 		{Name: "x"},
-		at(strings.Repeat("x", MaxNameBytes+1), 1, Alive), at("x", 1, 4), at("x", 1<<64-1, Alive),
+		member(strings.Repeat("x", MaxNameBytes+1), 1, Alive), member("x", 1, 4), member("x", 1<<64-1, Alive),
 		{Name: "x", Incarnation: 1, Capabilities: make([]string, MaxCapabilities+1)},
 		{Name: "x", Incarnation: 1, Zone: strings.Repeat("z", MaxTextBytes+1)},
 	} {
-		require.False(t, b.ApplyUpdate(1, m))
+		require.False(t, table.ApplyUpdate(1, m))
 	}
 	for i := range MaxMembers {
-		require.True(t, b.ApplyUpdate(int64(i), at(fmt.Sprint("n", i), 1, Alive)))
+		require.True(t, table.ApplyUpdate(int64(i), member(fmt.Sprint("n", i), 1, Alive)))
 	}
-	require.False(t, b.ApplyUpdate(1, at("b", 1, Alive)), "all live")
-	b.ApplyUpdate(2, at("n7", 1, Dead))
-	require.True(t, b.ApplyUpdate(3, at("b", 1, Alive)), "one that is over makes room")
+	require.False(t, table.ApplyUpdate(1, member("b", 1, Alive)), "no name has ended")
+	table.ApplyUpdate(2, member("n7", 1, Dead))
+	require.True(t, table.ApplyUpdate(3, member("b", 1, Alive)), "a name that has ended makes room")
 	for n := range uint64(50) {
-		b.ApplyUpdate(1, at("b", n+1, Dead))
+		table.ApplyUpdate(1, member("b", n+1, Dead))
 	}
-	require.Len(t, b.records["b"], maxIncarnationsPerName)
-	require.Len(t, b.EndedIncarnations(), 2)
+	require.Len(t, table.records["b"], maxIncarnationsPerName)
+	require.Len(t, table.EndedIncarnations(), 2)
 }
 
-func TestWhatAnInstanceSaysOfItself(t *testing.T) {
-	b := NewTable(at("a", 1, Alive), listed)
-	m := b.Self()
-	require.Equal(t, m, b.UpdateSelf(m), "nothing new")
+func TestUpdateSelfCountsMetadataVersions(t *testing.T) {
+	table := NewTable(member("a", 1, Alive), testVoters)
+	m := table.Self()
+	require.Equal(t, m, table.UpdateSelf(m), "same metadata")
 	m.SettingsGeneration, m.Name = 7, "z"
-	m = b.UpdateSelf(m)
+	m = table.UpdateSelf(m)
 	require.Equal(t, []any{"a", uint64(7), uint64(1)}, []any{m.Name, m.SettingsGeneration, m.MetaVersion})
-	s, known := b.IncarnationState("a", 1)
+	state, known := table.IncarnationState("a", 1)
 	require.True(t, known)
-	require.Equal(t, "alive", s.String())
+	require.Equal(t, "alive", state.String())
 }
--- a/cluster/membership/wire_golden_test.go
+++ b/cluster/membership/wire_golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The identity of a fleet travels in each member's gossip metadata and is stored; both read what earlier builds wrote.
+// The identity of a cluster is sent in each member's gossip metadata and is stored; both read what earlier builds wrote.
 func TestGoldenIdentity(t *testing.T) {
 	form := func(name string, identity, want Identity) goldenForm {
 		return goldenForm{
@@ -35,7 +35,7 @@
 	})
 }
 
-// The numbers of a member's state travel in gossip, and both limits are checked by the receiver.
+// The numbers of a member's state are sent in gossip, and the receiver checks the limits.
 func TestGoldenMemberStates(t *testing.T) {
 	require.Equal(t, []int{0, 1, 2, 3}, []int{int(Alive), int(Suspect), int(Dead), int(Left)})
 	require.Equal(t, []string{"alive", "suspect", "gone", "left"}, []string{Alive.String(), Suspect.String(), Dead.String(), Left.String()})
