--- /dev/null
+++ b/cluster/gossip/errors_test.go
@@ -0,0 +1,40 @@
+package gossip
+
+import (
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/internal/advice"
+)
+
+func TestErrorTypesGiveAdviceAndAreInTheOnCallPage(t *testing.T) {
+	page, err := os.ReadFile("../../docs/oncall.md")
+	require.NoError(t, err)
+	errorTypes := []advice.Provider{
+		&AddressInUseError{}, &InvalidAddressError{}, &InvalidKeyFileError{}, &KeyMismatchError{}, &IsolatedError{},
+		&NameConflictError{}, &InvalidMemberError{}, &MetadataTooLargeError{}, &MessageTooLargeError{}, &PeerUnavailableError{},
+	}
+	for _, e := range errorTypes {
+		name := reflect.TypeOf(e).Elem().Name()
+		require.Contains(t, string(page), "| `"+name+"` |")
+		require.Greater(t, len(e.Advice()), 20, name)
+	}
+	code, err := os.ReadFile("errors.go")
+	require.NoError(t, err)
+	require.Equal(t, len(errorTypes), strings.Count(string(code), ") Advice() string"), "a type is missing above")
+}
+
+func TestLogEventsAreInTheOnCallPage(t *testing.T) {
+	page, err := os.ReadFile("../../docs/oncall.md")
+	require.NoError(t, err)
+	for _, event := range []string{
+		eventMember, eventMajority, eventNameConflict, eventNameConflictResolved, eventIsolated, eventKeyMismatch,
+		eventForeignInstance, eventMemberlist,
+	} {
+		require.Contains(t, string(page), "`"+event+" ")
+	}
+}
--- /dev/null
+++ b/cluster/gossip/foreign.go
@@ -0,0 +1,82 @@
+package gossip
+
+import (
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"chalkring/cluster/membership"
+	"chalkring/internal/advice"
+)
+
+const (
+	foreignLogInterval = 10 * time.Second // between log lines: a foreign instance tries to join every second
+	// acceptTimeout is how long a message waits until its sender is a known member: its metadata and the message may be
+	// sent at the same time.
+	acceptTimeout      = time.Second
+	acceptPollInterval = 10 * time.Millisecond
+)
+
+// rejectForeign returns a ForeignInstanceError if a node belongs to another cluster. Another customer's cluster may be at
+// the same addresses, with the same key or none; its shared state would be merged into this one's.
+func (n *Node) rejectForeign(node *memberlist.Node) error {
+	err := n.checkIdentity(node)
+	if err != nil && n.foreignLogLimiter.Allow() {
+		n.logger.Warn(eventForeignInstance, advice.LogAttrs(err)...)
+	}
+	return err
+}
+
+// rejectForeignState returns an error if all nodes of an exchanged state belong to another cluster. If only some do, the
+// state is accepted without them, since memberlist asks rejectForeign for each node.
+func (n *Node) rejectForeignState(nodes []*memberlist.Node) error {
+	var lastErr error
+	hasOwn := len(nodes) == 0
+	for _, node := range nodes {
+		if err := n.rejectForeign(node); err != nil {
+			lastErr = err
+		} else {
+			hasOwn = true
+		}
+	}
+	if hasOwn {
+		return nil
+	}
+	return lastErr
+}
+
+func (n *Node) checkIdentity(node *memberlist.Node) error {
+	var decoded wireMember
+	if len(node.Meta) > maxMetadataBytes || n.decMode.Unmarshal(node.Meta, &decoded) != nil {
+		return nil // the event loop drops it
+	}
+	if !decoded.Identity.IsValid() || !n.options.Identity.ConflictsWith(decoded.Identity) {
+		return nil
+	}
+	return &membership.ForeignInstanceError{
+		Name: decoded.Name, Addr: node.Address(), Theirs: decoded.Identity, Ours: n.options.Identity,
+	}
+}
+
+// awaitAccepted waits until a message's sender is a member, and reports whether it is. An instance of another cluster may
+// send to an address at which one of its own was; it is never accepted.
+func (n *Node) awaitAccepted(header messageHeader) bool {
+	for deadline := time.Now().Add(acceptTimeout); !n.isAccepted(header); {
+		if n.ctx.Err() != nil || time.Now().After(deadline) {
+			return false
+		}
+		time.Sleep(acceptPollInterval)
+	}
+	return true
+}
+
+// isAccepted reports whether a message's sender is known here or to memberlist. Without an identity nobody is rejected.
+func (n *Node) isAccepted(header messageHeader) bool {
+	if !n.options.Identity.IsSpecified() {
+		return true
+	}
+	if _, isKnown := n.table.IncarnationState(header.sender, header.incarnation); isKnown {
+		return true
+	}
+	return n.events.isPendingAlive(nodeNameOf(header.sender, header.incarnation))
+}
--- /dev/null
+++ b/cluster/gossip/foreign_test.go
@@ -0,0 +1,103 @@
+package gossip
+
+import (
+	"bytes"
+	"log/slog"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+	"github.com/stretchr/testify/require"
+
+	"chalkring/cluster/membership"
+)
+
+const testTopic = 9
+
+// twoClusters are two customers' clusters, a and b, c and d, with one key and each other's addresses.
+type twoClusters struct {
+	nodes    map[string]*Node
+	logs     map[string]*logBuffer
+	received chan string // sender and body of each message
+}
+
+func startTwoClusters(t *testing.T) *twoClusters {
+	clusters := &twoClusters{nodes: map[string]*Node{}, logs: map[string]*logBuffer{}, received: make(chan string, 16)}
+	network := newTestNetwork()
+	start := func(name, tenant string, voters []string, join ...string) {
+		log := &logBuffer{}
+		clusters.logs[name] = log
+		n := startNode(t, network, name, voters, func(o *Options) {
+			o.Key, o.Logger = bytes.Repeat([]byte{7}, 32), slog.New(slog.NewTextHandler(log, nil))
+			o.Identity = membership.NewIdentity("", []string{tenant, "other"})
+			for _, other := range join {
+				o.JoinAddrs = append(o.JoinAddrs, addrOf(clusters.nodes[other]))
+			}
+		})
+		n.Handle(testTopic, func(from string, body []byte) { clusters.received <- from + " " + string(body) })
+		clusters.nodes[name] = n
+	}
+	acme, globex := []string{"a", "b"}, []string{"c", "d"}
+	start("a", "acme", acme)
+	start("c", "globex", globex, "a")
+	start("b", "acme", acme, "a", "c")
+	start("d", "globex", globex, "c", "b")
+	return clusters
+}
+
+func TestClustersOfTwoCustomersRejectEachOther(t *testing.T) {
+	t.Parallel()
+	clusters := startTwoClusters(t)
+	a, b, c := clusters.nodes["a"], clusters.nodes["b"], clusters.nodes["c"]
+	for name, n := range clusters.nodes {
+		awaitAllAlive(t, n)
+		await(t, "the others are rejected", func() bool {
+			return strings.Contains(clusters.logs[name].String(), "msg="+eventForeignInstance)
+		})
+	}
+	// c sends to an address at which an instance of its own cluster was and a is now: the message arrives and is dropped.
+	addr := netip.MustParseAddrPort(addrOf(a))
+	receiver := &memberlist.Node{Name: a.nodeName, Addr: addr.Addr().AsSlice(), Port: addr.Port()}
+	require.NoError(t, c.list.SendReliable(receiver, encodeMessage(testTopic, c.Membership().Self(), []byte("foreign"))))
+	time.Sleep(acceptTimeout + joinInterval) // attempts to join are repeated meanwhile
+	require.NoError(t, b.Send(t.Context(), "a", testTopic, []byte("own")))
+	select {
+	case message := <-clusters.received:
+		require.Equal(t, "b own", message)
+	case <-time.After(patience):
+		t.Fatal("no message of the own cluster arrives")
+	}
+	for name, n := range clusters.nodes {
+		for other := range clusters.nodes {
+			if !n.Membership().IsVoter(other) {
+				require.Equal(t, unknownState, stateOf(n, other), "%s at %s", other, name)
+				require.Error(t, n.Send(t.Context(), other, testTopic, nil))
+			}
+		}
+	}
+	for _, log := range clusters.logs {
+		lines := strings.Count(log.String(), "msg="+eventForeignInstance)
+		require.LessOrEqual(t, lines, int(time.Since(a.startedAt)/foreignLogInterval)+1)
+		require.Contains(t, log.String(), "fleet.join")
+	}
+}
+
+func TestInstancesWithoutIdentityBelongToTheCluster(t *testing.T) {
+	t.Parallel()
+	network := newTestNetwork()
+	voters := []string{"a", "b", "c"}
+	identities := []membership.Identity{
+		membership.NewIdentity("live", []string{"acme"}), {}, membership.NewIdentity("", []string{"acme", "globex"}),
+	}
+	var nodes []*Node
+	for i, identity := range identities {
+		nodes = append(nodes, startNode(t, network, voters[i], voters, func(o *Options) {
+			if o.Identity = identity; i > 0 {
+				o.JoinAddrs = []string{addrOf(nodes[0])}
+			}
+		}))
+	}
+	awaitAllAlive(t, nodes...)
+}
--- /dev/null
+++ b/cluster/gossip/memberlist_config.go
@@ -0,0 +1,55 @@
+package gossip
+
+import (
+	"fmt"
+	stdlog "log"
+	"net/netip"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"chalkring/cluster/membership"
+)
+
+// memberlist's settings.
+const (
+	probeInterval           = 500 * time.Millisecond // between probes of one node after the other
+	suspicionMultiplier     = 3                      // probe intervals, more above 10 nodes, in which a suspect can refute
+	maxAwarenessMultiplier  = 2                      // factor by which probes are slowed while this instance itself is slow
+	gossipInterval          = 200 * time.Millisecond // between packets of broadcasts
+	gossipNodes             = 3                      // nodes that get broadcasts at once
+	pushPullInterval        = 15 * time.Second       // between exchanges of the full state, longer above 32 nodes
+	gossipToTheDeadTime     = 30 * time.Second       // for which a dead node still gets broadcasts: it may be back
+	streamTimeout           = 5 * time.Second        // for an exchange or a message on a connection: 1 MiB at 2 Mbit/s
+	maxSuspicionMultipliers = 1                      // no longer time to refute for suspicions that few confirm
+)
+
+// nodeNameOf returns memberlist's node name of an incarnation. Other instances derive the same one.
+func nodeNameOf(memberName string, incarnation uint64) string {
+	return fmt.Sprintf("%s#%x", memberName, incarnation)
+}
+
+func (n *Node) memberlistConfig(listenAddr netip.AddrPort, logger *stdlog.Logger) *memberlist.Config {
+	config := memberlist.DefaultLANConfig()
+	self := n.table.Self()
+	n.nodeName = nodeNameOf(self.Name, self.Incarnation)
+	config.Name = n.nodeName
+	config.Transport, config.Logger = n.transport, logger
+	config.BindAddr, config.AdvertiseAddr = listenAddr.Addr().String(), listenAddr.Addr().String()
+	config.BindPort, config.AdvertisePort = n.transport.GetAutoBindPort(), n.transport.GetAutoBindPort()
+	config.ProbeInterval, config.ProbeTimeout = probeInterval, membership.PingTimeout*clockTick
+	config.SuspicionMult, config.SuspicionMaxTimeoutMult = suspicionMultiplier, maxSuspicionMultipliers
+	config.AwarenessMaxMultiplier = maxAwarenessMultiplier
+	config.GossipInterval, config.GossipNodes = gossipInterval, gossipNodes
+	config.GossipToTheDeadTime = gossipToTheDeadTime
+	config.PushPullInterval, config.TCPTimeout = pushPullInterval, streamTimeout
+	config.EnableCompression = false // it takes 50 ms of a core for a message of 1 MiB
+	config.DNSConfigPath = ""
+	callbacks := (*delegate)(n)
+	config.Delegate, config.Events, config.Alive, config.Merge = callbacks, callbacks, callbacks, callbacks
+	if len(n.options.Key) > 0 {
+		config.SecretKey = n.options.Key
+		config.Keyring, _ = memberlist.NewKeyring(n.options.OldKeys, n.options.Key) // Start has checked the keys
+	}
+	return config
+}
--- a/cluster/gossip/transport.go
+++ b/cluster/gossip/transport.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"errors"
 	"net"
 	"sync/atomic"
 	"time"
@@ -8,68 +9,80 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's own on one TCP and UDP port, with destinations replaced by Via: acknowledgements, which go
-// to the address that a ping names, too. It counts what is sent and drops what a test wants dropped.
+// dialTimeout is the time for a connection to come up: longer than any way round the earth takes.
+const dialTimeout = time.Second
+
+var errDropped = errors.New("dropped on purpose")
+
+// transport is memberlist's transport on one TCP and UDP port with destinations replaced by Options.AddrOverrides, also
+// for acknowledgements, which go to the address that a ping names. It counts the bytes sent.
 type transport struct {
 	*memberlist.NetTransport
-	via  map[string]string
-	drop func(addr string) bool
-	sent atomic.Int64
+	addrOverrides map[string]string
+	shouldDrop    func(addr string) bool // nil, or a test's
+	bytesSent     atomic.Int64
 }
 
-func (t *transport) to(addr string) (string, bool) {
-	if t.drop != nil && t.drop(addr) {
+// destination returns where to send what is for an address; false if it is to be dropped.
+func (t *transport) destination(addr string) (string, bool) {
+	if t.shouldDrop != nil && t.shouldDrop(addr) {
 		return "", false
 	}
-	if other := t.via[addr]; other != "" {
-		return other, true
+	if override := t.addrOverrides[addr]; override != "" {
+		return override, true
 	}
 	return addr, true
 }
 
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
+// WriteTo sends a packet.
+func (t *transport) WriteTo(packet []byte, addr string) (time.Time, error) {
+	return t.WriteToAddress(packet, memberlist.Address{Addr: addr})
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	addr, ok := t.to(a.Addr)
+// WriteToAddress sends a packet.
+func (t *transport) WriteToAddress(packet []byte, addr memberlist.Address) (time.Time, error) {
+	destination, ok := t.destination(addr.Addr)
 	if !ok {
 		return time.Now(), nil
 	}
-	t.sent.Add(int64(len(b)))
-	a.Addr = addr
-	return t.NetTransport.WriteToAddress(b, a)
+	t.bytesSent.Add(int64(len(packet)))
+	addr.Addr = destination
+	return t.NetTransport.WriteToAddress(packet, addr)
 }
 
+// DialTimeout opens a connection.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	addr, ok := t.to(a.Addr)
+// DialAddressTimeout opens a connection that ends after streamTimeout: memberlist writes messages without a deadline, and
+// the receiver may accept a connection and read nothing.
+func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	destination, ok := t.destination(addr.Addr)
 	if !ok {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errDropped}
 	}
-	a.Addr = addr
-	c, err := t.NetTransport.DialAddressTimeout(a, min(timeout, dialMost))
+	addr.Addr = destination
+	conn, err := t.NetTransport.DialAddressTimeout(addr, min(timeout, dialTimeout))
 	if err != nil {
 		return nil, err
 	}
-	// guards against one that takes a connection and reads nothing: the library writes messages without a time of its own
-	if err := c.SetDeadline(time.Now().Add(streamMost)); err != nil {
-		c.Close()
+	if err := conn.SetDeadline(time.Now().Add(streamTimeout)); err != nil {
+		conn.Close()
 		return nil, err
 	}
-	return &counted{Conn: c, sent: &t.sent}, nil
+	return &countingConn{Conn: conn, bytesSent: &t.bytesSent}, nil
 }
 
-type counted struct {
+// countingConn is a connection that counts the bytes sent.
+type countingConn struct {
 	net.Conn
-	sent *atomic.Int64
+	bytesSent *atomic.Int64
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.sent.Add(int64(n))
-	return n, err
+// Write sends bytes.
+func (c *countingConn) Write(data []byte) (int, error) {
+	written, err := c.Conn.Write(data)
+	c.bytesSent.Add(int64(written))
+	return written, err
 }
--- a/cluster/gossip/wire_golden_test.go
+++ b/cluster/gossip/wire_golden_test.go
@@ -8,41 +8,39 @@
 	"chalkring/cluster/membership"
 )
 
-// goldenMessage is a message taken apart.
+// goldenMessage is a decoded message.
 type goldenMessage struct {
-	topic       byte
-	from        string
-	incarnation uint64
-	body        []byte
+	header messageHeader
+	body   []byte
 }
 
-func cutMessage(encoded []byte) (any, error) {
-	topic, from, incarnation, body, err := cut(encoded)
-	return goldenMessage{topic, from, incarnation, body}, err
+func decodeGoldenMessage(encoded []byte) (any, error) {
+	header, body, err := decodeMessage(encoded)
+	return goldenMessage{header, body}, err
 }
 
-// Member metadata, lists of ended lives and message headers as members of a mixed fleet send them to each other.
+// Member metadata, lists of ended incarnations and messages as members of different versions send them to each other.
 func TestGoldenGossipMessages(t *testing.T) {
 	identity := membership.Identity{Cluster: "live", Tenants: []uint32{0x01020304, 0xfffefdfc}}
-	node := func(whose membership.Identity) *Node {
-		return &Node{o: Options{Identity: whose}, decoding: newDecoding()}
+	node := func(identity membership.Identity) *Node {
+		return &Node{options: Options{Identity: identity}, decMode: newDecMode()}
 	}
 	full := membership.Member{
 		Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, MetaVersion: 7, SuspicionVersion: 9, Region: "eu-west", Zone: "eu-west-1a",
 		ProgramVersion: "v1.2.3", SettingsGeneration: 42, Capabilities: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", StateSince: 5,
 	}
-	decoded := full // neither Look nor Since is sent, and the address comes from the membership library
+	decoded := full // neither SuspicionVersion nor StateSince is sent, and the address is memberlist's
 	decoded.SuspicionVersion, decoded.StateSince, decoded.Addr = 0, 0, "192.0.2.9:7946"
-	member := func(name string, whose membership.Identity, state, wantState membership.State) goldenForm {
+	member := func(name string, identity membership.Identity, state, wantState membership.State) goldenForm {
 		sent, want := full, decoded
 		sent.State, want.State = state, wantState
 		return goldenForm{
-			name, func() ([]byte, error) { return node(whose).encodeMember(sent) },
-			func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, want,
+			name, func() ([]byte, error) { return node(identity).encodeMember(sent) },
+			func(encoded []byte) (any, error) { return node(identity).decodeMember(encoded, "192.0.2.9:7946") }, want,
 		}
 	}
 	shortest := membership.Member{Name: "g", Incarnation: 1}
-	ends := []membership.Member{{Name: "gateway-2", Incarnation: 11, State: membership.Dead}, {Name: "gateway-3", Incarnation: 12, State: membership.Left}}
+	ended := []membership.Member{{Name: "gateway-2", Incarnation: 11, State: membership.Dead}, {Name: "gateway-3", Incarnation: 12, State: membership.Left}}
 	requireGolden(t, "messages.golden", []goldenForm{
 		member("member", identity, membership.Alive, membership.Alive),
 		member("member-without-identity", membership.Identity{}, membership.Alive, membership.Alive),
@@ -55,29 +53,29 @@
 		{
 			"member-identity", func() ([]byte, error) { return node(identity).encodeMember(shortest) },
 			func(encoded []byte) (any, error) {
-				var received word
-				err := newDecoding().Unmarshal(encoded, &received)
-				return received.Whose, err
+				var received wireMember
+				err := newDecMode().Unmarshal(encoded, &received)
+				return received.Identity, err
 			}, identity,
 		},
 		{
-			"ended-lives", func() ([]byte, error) { return encodeEnds(ends), nil },
-			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, ends,
+			"ended-lives", func() ([]byte, error) { return encodeEnded(ended), nil },
+			func(encoded []byte) (any, error) { return node(identity).decodeEnded(encoded) }, ended,
 		},
 		{
-			"no-ended-lives", func() ([]byte, error) { return encodeEnds(nil), nil },
-			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, []membership.Member(nil),
+			"no-ended-lives", func() ([]byte, error) { return encodeEnded(nil), nil },
+			func(encoded []byte) (any, error) { return node(identity).decodeEnded(encoded) }, []membership.Member(nil),
 		},
 		{
-			"message", func() ([]byte, error) { return head(2, full, []byte("body")), nil }, cutMessage,
-			goldenMessage{2, "gateway-1", 1_790_000_000_000_000_001, []byte("body")},
+			"message", func() ([]byte, error) { return encodeMessage(2, full, []byte("body")), nil }, decodeGoldenMessage,
+			goldenMessage{messageHeader{2, "gateway-1", 1_790_000_000_000_000_001}, []byte("body")},
 		},
 		{
-			"message-of-ended-lives", func() ([]byte, error) { return head(wordTopic, shortest, encodeEnds(ends)), nil }, cutMessage,
-			goldenMessage{0, "g", 1, encodeEnds(ends)},
+			"message-of-ended-lives", func() ([]byte, error) { return encodeMessage(endedTopic, shortest, encodeEnded(ended)), nil }, decodeGoldenMessage,
+			goldenMessage{messageHeader{0, "g", 1}, encodeEnded(ended)},
 		},
 		{
-			"node-name", func() ([]byte, error) { return []byte(keyOf("gateway-1", 0xdeadbeef)), nil },
+			"node-name", func() ([]byte, error) { return []byte(nodeNameOf("gateway-1", 0xdeadbeef)), nil },
 			func(encoded []byte) (any, error) { return string(encoded), nil }, "gateway-1#deadbeef",
 		},
 	})
@@ -85,6 +83,6 @@
 
 // The topic of the package's own messages, and limits that the receiver checks.
 func TestGoldenGossipConstants(t *testing.T) {
-	require.Equal(t, 0, wordTopic)
-	require.Equal(t, []int{512, 2 << 20, 2000, 256, 1 << 20}, []int{metaMost, wordsMost, listMost, headMost, MaxBodyBytes})
+	require.Equal(t, 0, endedTopic)
+	require.Equal(t, []int{512, 2 << 20, 2000, 256, 1 << 20}, []int{maxMetadataBytes, maxUpdatesBytes, maxUpdates, maxHeaderBytes, MaxBodyBytes})
 }
--- a/cluster/membership/errors.go
+++ b/cluster/membership/errors.go
@@ -6,7 +6,7 @@
 type ForeignStoreError struct{ Theirs, Ours Identity }
 
 func (e *ForeignStoreError) Error() string {
-	return fmt.Sprintf("cluster: the store belongs to another cluster or customer (%v; this one: %v)", e.Theirs, e.Ours)
+	return fmt.Sprintf("fleet: the store belongs to another cluster or customer (%v; this one: %v)", e.Theirs, e.Ours)
 }
 
 // Advice tells an operator what to do.
@@ -22,7 +22,7 @@
 }
 
 func (e *ForeignInstanceError) Error() string {
-	return fmt.Sprintf("cluster: %s at %s belongs to another cluster or customer (%v; this one: %v)", e.Name, e.Addr, e.Theirs, e.Ours)
+	return fmt.Sprintf("fleet: %s at %s belongs to another cluster or customer (%v; this one: %v)", e.Name, e.Addr, e.Theirs, e.Ours)
 }
 
 // Advice tells an operator what to do.
--- a/internal/benchmark/fleetrig_test.go
+++ b/internal/benchmark/fleetrig_test.go
@@ -28,7 +28,7 @@
 		require.NoError(t, r.WaitLogged(ctx, name, text, times), "%s: %s\n%s", name, text, r.Log(name))
 	}
 	for _, name := range names {
-		logged(name, "event=fleet_majority majority=true", 1)
+		logged(name, "event=cluster_majority majority=true", 1)
 	}
 	answers := make(chan []clustertest.ClientResult, 1)
 	go func() {
@@ -42,23 +42,23 @@
 		}
 	}
 	cut(true)
-	logged("east-0", "event=fleet_majority majority=false", 1)
-	logged("north-0", "event=fleet_member name=east-0 state=gone", 1)
+	logged("east-0", "event=cluster_majority majority=false", 1)
+	logged("north-0", "event=cluster_member name=east-0 state=gone", 1)
 	require.NotContains(t, r.Log("east-0"), "state=gone", "a minority gives nobody up")
 	cut(false)
-	logged("east-0", "event=fleet_majority majority=true", 2)
-	logged("north-0", "event=fleet_member name=east-0 state=alive", 2)
+	logged("east-0", "event=cluster_majority majority=true", 2)
+	logged("north-0", "event=cluster_member name=east-0 state=alive", 2)
 
 	before := strings.Count(r.Log("east-0"), "name=west-0 state=alive")
 	require.NoError(t, r.Kill(ctx, "west-0"))
-	logged("east-0", "event=fleet_member name=west-0 state=gone", 1)
+	logged("east-0", "event=cluster_member name=west-0 state=gone", 1)
 	require.NoError(t, r.Start(ctx, "west-0"))
-	logged("east-0", "event=fleet_member name=west-0 state=alive", before+1)
+	logged("east-0", "event=cluster_member name=west-0 state=alive", before+1)
 	require.NoError(t, r.Terminate(ctx, "west-0"))
-	logged("east-0", "event=fleet_member name=west-0 state=left", 1)
-	logged("north-0", "event=fleet_member name=west-0 state=left", 1)
+	logged("east-0", "event=cluster_member name=west-0 state=left", 1)
+	logged("north-0", "event=cluster_member name=west-0 state=left", 1)
 	for _, name := range names {
-		require.NotContains(t, r.Log(name), "fleet_name_twice", "a restart is no second claim")
+		require.NotContains(t, r.Log(name), "cluster_name_conflict", "a restart is no second claim")
 	}
 	v := r.Judge(<-answers, clustertest.AuditRules{})
 	require.Empty(t, v.DescribeViolations())
--- a/internal/benchmark/rigs_test.go
+++ b/internal/benchmark/rigs_test.go
@@ -27,11 +27,11 @@
 // astray names what an instance believes by its log, in its last life, of a fleet that is whole again and should not.
 func astray(r *clustertest.Cluster, name string) string {
 	log := r.LogSinceLaunch(name)
-	if at := lastOf(log, "event=fleet_majority"); at != "" && !strings.Contains(at, "majority=true") {
+	if at := lastOf(log, "event=cluster_majority"); at != "" && !strings.Contains(at, "majority=true") {
 		return fmt.Sprintf("%s: %s", name, at)
 	}
 	for _, o := range r.Addresses(name).Peers {
-		if at := lastOf(log, "event=fleet_member name="+o.Name+" "); !strings.Contains(at, "state=alive") {
+		if at := lastOf(log, "event=cluster_member name="+o.Name+" "); !strings.Contains(at, "state=alive") {
 			return fmt.Sprintf("%s: %s of %s", name, at, o.Name)
 		}
 	}
