--- a/cluster/crdt/digest.go
+++ b/cluster/crdt/digest.go
@@ -7,12 +7,12 @@
 // additions. Names are spread by hash and not by range, so that no prefix makes one part of the tree deep.
 const (
 	DigestTreeDepth = 3 // below the root
-	buckets         = 1 << 16
+	bucketCount     = 1 << 16
 )
 
 var (
-	widths = [DigestTreeDepth + 1]int{1, 64, 64 * 64, buckets}
-	fans   = [DigestTreeDepth]int{64, 64, 16} // children of a node of that level
+	levelWidths  = [DigestTreeDepth + 1]int{1, 64, 64 * 64, bucketCount}
+	levelFanouts = [DigestTreeDepth]int{64, 64, 16} // children of a node of that level
 )
 
 // TreeNode is a range of names: Level 0 is all of them, Level 3 a bucket.
@@ -22,8 +22,8 @@
 	Index uint16
 }
 
-func (n TreeNode) sound() bool {
-	return int(n.Level) <= DigestTreeDepth && int(n.Index) < widths[n.Level]
+func (n TreeNode) isValid() bool {
+	return int(n.Level) <= DigestTreeDepth && int(n.Index) < levelWidths[n.Level]
 }
 
 // Children are the ranges that make up this one.
@@ -31,7 +31,7 @@
 	if n.Level >= DigestTreeDepth {
 		return nil
 	}
-	f := fans[n.Level]
+	f := levelFanouts[n.Level]
 	out := make([]TreeNode, f)
 	for i := range out {
 		out[i] = TreeNode{Level: n.Level + 1, Index: uint16(int(n.Index)*f + i)}
@@ -40,50 +40,50 @@
 }
 
 // Digest stands for the siblings of all names in a range: the same ones have the same digest.
-func (l *Map) Digest(n TreeNode) uint64 { return l.tree.sums[n.Level][n.Index] }
+func (l *Map) Digest(n TreeNode) uint64 { return l.tree.digests[n.Level][n.Index] }
 
-type tree struct {
-	sums  [DigestTreeDepth + 1]map[uint16]uint64
-	names map[uint16][]*held
+type digestTree struct {
+	digests [DigestTreeDepth + 1]map[uint16]uint64
+	records map[uint16][]*record
 }
 
-func (t *tree) init() {
-	for i := range t.sums {
-		t.sums[i] = map[uint16]uint64{}
+func (t *digestTree) init() {
+	for i := range t.digests {
+		t.digests[i] = map[uint16]uint64{}
 	}
-	t.names = map[uint16][]*held{}
+	t.records = map[uint16][]*record{}
 }
 
 func bucketOf(name string) uint16 { return uint16(xxhash.Sum64String(name) >> 48) }
 
-func (t *tree) add(bucket uint16, sum uint64) {
+func (t *digestTree) addDigest(bucket uint16, sum uint64) {
 	i := int(bucket)
 	for level := DigestTreeDepth; level >= 0; level-- {
-		if s := t.sums[level][uint16(i)] + sum; s != 0 {
-			t.sums[level][uint16(i)] = s
+		if s := t.digests[level][uint16(i)] + sum; s != 0 {
+			t.digests[level][uint16(i)] = s
 		} else {
-			delete(t.sums[level], uint16(i))
+			delete(t.digests[level], uint16(i))
 		}
 		if level > 0 {
-			i /= fans[level-1]
+			i /= levelFanouts[level-1]
 		}
 	}
 }
 
-func (t *tree) put(h *held) {
-	if h.sum == 0 {
+func (t *digestTree) insert(h *record) {
+	if h.digest == 0 {
 		return
 	}
-	t.add(h.bucket, h.sum)
-	t.names[h.bucket] = append(t.names[h.bucket], h)
+	t.addDigest(h.bucket, h.digest)
+	t.records[h.bucket] = append(t.records[h.bucket], h)
 }
 
-func (t *tree) take(h *held) {
-	if h.sum == 0 {
+func (t *digestTree) remove(h *record) {
+	if h.digest == 0 {
 		return
 	}
-	t.add(h.bucket, -h.sum)
-	list := t.names[h.bucket]
+	t.addDigest(h.bucket, -h.digest)
+	list := t.records[h.bucket]
 	for i := range list {
 		if list[i] == h {
 			list[i] = list[len(list)-1]
@@ -93,8 +93,8 @@
 		}
 	}
 	if len(list) == 0 {
-		delete(t.names, h.bucket)
+		delete(t.records, h.bucket)
 	} else {
-		t.names[h.bucket] = list
+		t.records[h.bucket] = list
 	}
 }
--- a/cluster/crdt/exchange.go
+++ b/cluster/crdt/exchange.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	TargetMessageBytes = 48 << 10 // about what a message holds: under 64 KiB with its frame; one name's siblings may be more
-	nodesMost          = 80       // ranges asked of at once: 80 answers of 64 sums
-	wantsMost          = 400      // buckets asked of at once
-	entryCost          = 24       // bytes of an entry beside names and values, at least
+	TargetMessageBytes   = 48 << 10 // about what a message holds: under 64 KiB with its frame; one name's siblings may be more
+	maxNodesPerRequest   = 80       // ranges asked of at once: 80 answers of 64 sums
+	maxBucketsPerRequest = 400      // buckets asked of at once
+	entryOverheadBytes   = 24       // bytes of an entry beside names and values, at least
 )
 
 // BucketDigest is what the asker holds in a bucket.
@@ -57,19 +57,19 @@
 
 // HandleRequest answers a question.
 func (l *Map) HandleRequest(from string, a ExchangeRequest) (ExchangeResponse, error) {
-	if !soundActor(a.Actor) || len(a.Nodes) > nodesMost || len(a.WantedBuckets) > wantsMost || len(a.RowVersions) > MaxRows+1 {
+	if !isValidActor(a.Actor) || len(a.Nodes) > maxNodesPerRequest || len(a.WantedBuckets) > maxBucketsPerRequest || len(a.RowVersions) > MaxRows+1 {
 		return ExchangeResponse{}, &InvalidDataError{from, "a question that cannot be used"}
 	}
 	out := ExchangeResponse{ExchangeID: a.ExchangeID, RequestSeq: a.RequestSeq, Actor: l.actor}
-	if name := ActorName(a.Actor); l.over(a.Actor) {
-		out.EndedBefore = max(l.ends[name].Before, l.known.EndedBefore(name))
+	if name := ActorName(a.Actor); l.isSuperseded(a.Actor) {
+		out.EndedBefore = max(l.incarnationEnds[name].Before, l.known.EndedBefore(name))
 		return out, nil
 	}
 	if a.First {
-		out.MissedDeletes, out.Batch.Known, out.RootDigest, out.Rows = l.away[ActorName(a.Actor)], l.known, l.Digest(TreeNode{}), l.RowsSince(a.RowVersions, TargetMessageBytes)
+		out.MissedDeletes, out.Batch.Known, out.RootDigest, out.Rows = l.absentMembers[ActorName(a.Actor)], l.known, l.Digest(TreeNode{}), l.RowsSince(a.RowVersions, TargetMessageBytes)
 	}
 	for _, n := range a.Nodes {
-		if !n.sound() || n.Level >= DigestTreeDepth {
+		if !n.isValid() || n.Level >= DigestTreeDepth {
 			return ExchangeResponse{}, &InvalidDataError{from, "a range that there is not"}
 		}
 		children := n.Children()
@@ -80,19 +80,19 @@
 		out.ChildDigests = append(out.ChildDigests, sums)
 	}
 	room := TargetMessageBytes
-	p := packer{Batch: out.Batch}
+	p := batchBuilder{Batch: out.Batch}
 	if len(a.WantedBuckets) > 0 {
 		p.Known = l.known // what entries say alone is shortened by it
-		room -= l.known.size()
+		room -= l.known.encodedSize()
 	}
 	for _, b := range a.WantedBuckets {
 		h := BucketState{Index: b.Index, MissingDigests: slices.Clone(b.EntryDigests)}
-		for _, n := range l.tree.names[b.Index] {
-			if i := slices.Index(h.MissingDigests, n.sum); i >= 0 {
+		for _, n := range l.tree.records[b.Index] {
+			if i := slices.Index(h.MissingDigests, n.digest); i >= 0 {
 				h.MissingDigests = slices.Delete(h.MissingDigests, i, i+1)
 				continue
 			}
-			if room < n.cost() && len(p.Entries) > 0 {
+			if room < n.encodedSize() && len(p.Entries) > 0 {
 				h.HasMore = true
 				break
 			}
@@ -108,8 +108,8 @@
 	return out, nil
 }
 
-func (e Entry) cost() int {
-	n := e.size() + entryCost + e.CausalContext.size()
+func (e Entry) encodedSize() int {
+	n := e.payloadBytes() + entryOverheadBytes + e.CausalContext.encodedSize()
 	for _, s := range e.Siblings {
 		n += len(s.Dot.Actor) + 16
 	}
@@ -120,19 +120,19 @@
 // the asker's side, and has one question out at a time. One that was cut goes on where it was with Again. When it is
 // over, the ledger knows all that the other knew as it began.
 type Exchange struct {
-	l      *Map
-	peer   string
-	run    uint64
-	seq    uint64
-	actor  string // the other's life; of another life the whole must be asked
-	known  Version
-	began  bool
-	failed bool
-	nodes  []TreeNode
-	wants  []uint16
-	out    ExchangeRequest
-	asked  bool
-	before map[uint16]uint64 // digests of the buckets asked of
+	replica          *Map
+	peer             string
+	id               uint64
+	requestSeq       uint64
+	peerActor        string // the other's life; of another life the whole must be asked
+	peerKnown        Version
+	started          bool
+	failed           bool
+	pendingNodes     []TreeNode
+	pendingBuckets   []uint16
+	request          ExchangeRequest
+	awaitingResponse bool
+	requestedDigests map[uint16]uint64 // digests of the buckets asked of
 
 	DifferingBuckets int      // buckets that were not the same
 	MissedDeletes    bool     // this instance was away for so long that deletes were forgotten without it
@@ -141,7 +141,7 @@
 
 // NewExchange begins an exchange with an instance; run is a number that this instance gave no other exchange.
 func (l *Map) NewExchange(peer string, run uint64) *Exchange {
-	return &Exchange{l: l, peer: peer, run: run}
+	return &Exchange{replica: l, peer: peer, id: run}
 }
 
 // Peer is the instance asked.
@@ -149,51 +149,51 @@
 
 // NextRequest is the next question; none while one is out, or at the end.
 func (x *Exchange) NextRequest() (ExchangeRequest, bool) {
-	if x.asked || x.IsDone() {
+	if x.awaitingResponse || x.IsDone() {
 		return ExchangeRequest{}, false
 	}
-	x.seq++
-	a := ExchangeRequest{ExchangeID: x.run, RequestSeq: x.seq, Actor: x.l.actor}
+	x.requestSeq++
+	a := ExchangeRequest{ExchangeID: x.id, RequestSeq: x.requestSeq, Actor: x.replica.actor}
 	switch {
-	case !x.began:
-		a.First, a.RowVersions = true, x.l.RowVersions()
-	case len(x.wants) > 0 && (len(x.nodes) == 0 || len(x.wants) >= wantsMost):
+	case !x.started:
+		a.First, a.RowVersions = true, x.replica.RowVersions()
+	case len(x.pendingBuckets) > 0 && (len(x.pendingNodes) == 0 || len(x.pendingBuckets) >= maxBucketsPerRequest):
 		// Buckets first once there are enough of them, so that what waits stays short.
-		n := min(len(x.wants), wantsMost)
-		x.before = make(map[uint16]uint64, n)
-		for _, b := range x.wants[:n] {
+		n := min(len(x.pendingBuckets), maxBucketsPerRequest)
+		x.requestedDigests = make(map[uint16]uint64, n)
+		for _, b := range x.pendingBuckets[:n] {
 			w := BucketDigest{Index: b}
-			for _, h := range x.l.tree.names[b] {
-				w.EntryDigests = append(w.EntryDigests, h.sum)
+			for _, h := range x.replica.tree.records[b] {
+				w.EntryDigests = append(w.EntryDigests, h.digest)
 			}
-			x.before[b] = x.l.Digest(TreeNode{Level: DigestTreeDepth, Index: b})
+			x.requestedDigests[b] = x.replica.Digest(TreeNode{Level: DigestTreeDepth, Index: b})
 			a.WantedBuckets = append(a.WantedBuckets, w)
 		}
-		x.wants = x.wants[n:]
+		x.pendingBuckets = x.pendingBuckets[n:]
 	default:
-		n := min(len(x.nodes), nodesMost)
-		a.Nodes, x.nodes = x.nodes[:n:n], x.nodes[n:]
+		n := min(len(x.pendingNodes), maxNodesPerRequest)
+		a.Nodes, x.pendingNodes = x.pendingNodes[:n:n], x.pendingNodes[n:]
 	}
-	x.out, x.asked = a, true
+	x.request, x.awaitingResponse = a, true
 	return a, true
 }
 
 // RetryRequest puts the question that is out back: its answer was lost, or may have been.
 func (x *Exchange) RetryRequest() {
-	if !x.asked {
+	if !x.awaitingResponse {
 		return
 	}
-	x.asked = false
-	x.nodes = append(x.nodes, x.out.Nodes...)
-	for _, w := range x.out.WantedBuckets {
-		x.wants = append(x.wants, w.Index)
+	x.awaitingResponse = false
+	x.pendingNodes = append(x.pendingNodes, x.request.Nodes...)
+	for _, w := range x.request.WantedBuckets {
+		x.pendingBuckets = append(x.pendingBuckets, w.Index)
 	}
-	x.out = ExchangeRequest{}
+	x.request = ExchangeRequest{}
 }
 
 // IsDone tells whether the exchange is over.
 func (x *Exchange) IsDone() bool {
-	return x.began && !x.asked && len(x.nodes) == 0 && len(x.wants) == 0
+	return x.started && !x.awaitingResponse && len(x.pendingNodes) == 0 && len(x.pendingBuckets) == 0
 }
 
 // IsComplete tells whether it is over and all of the other's state could be taken.
@@ -205,17 +205,17 @@
 // ApplyResponse takes an answer in. It tells the names that have changed here and what the other lacks. An answer to another question
 // than the one that is out is ignored.
 func (x *Exchange) ApplyResponse(a ExchangeResponse) (changed, lacks []string, err error) {
-	if !x.asked || a.ExchangeID != x.run || a.RequestSeq != x.out.RequestSeq {
+	if !x.awaitingResponse || a.ExchangeID != x.id || a.RequestSeq != x.request.RequestSeq {
 		return nil, nil, nil
 	}
-	l, ask := x.l, x.out
-	if !soundActor(a.Actor) || ActorName(a.Actor) != x.peer || !a.Batch.Known.sound() {
+	l, ask := x.replica, x.request
+	if !isValidActor(a.Actor) || ActorName(a.Actor) != x.peer || !a.Batch.Known.isValid() {
 		return nil, nil, &InvalidDataError{x.peer, "an answer that cannot be used"}
 	}
 	if a.EndedBefore > ActorIncarnation(l.actor) {
 		return nil, nil, &SupersededError{x.peer, a.EndedBefore}
 	}
-	if x.began && a.Actor != x.actor || l.over(a.Actor) {
+	if x.started && a.Actor != x.peerActor || l.isSuperseded(a.Actor) {
 		// Guards against one that came back with an older disk in the middle: it no longer holds what it said it knew.
 		return nil, nil, ErrPeerRestarted
 	}
@@ -223,18 +223,18 @@
 		return nil, nil, &InvalidDataError{x.peer, "an answer to another question"}
 	}
 	if ask.First {
-		if err := l.struck(x.peer, a.Batch.Known); err != nil {
+		if err := l.checkSuperseded(x.peer, a.Batch.Known); err != nil {
 			return nil, nil, err
 		}
-		x.began, x.actor, x.known = true, a.Actor, l.own(a.Batch.Known)
+		x.started, x.peerActor, x.peerKnown = true, a.Actor, l.internVersion(a.Batch.Known)
 		if err := l.MergeRows(x.peer, a.Rows); err != nil {
 			return nil, nil, err
 		}
 		if a.MissedDeletes {
 			x.MissedDeletes = true
-			l.names.Scan(func(name string, h *held) bool {
+			l.records.Scan(func(name string, h *record) bool {
 				if slices.ContainsFunc(h.Siblings, func(s Sibling) bool {
-					return ActorName(s.Dot.Actor) == ActorName(l.actor) && !x.known.Covers(s.Dot)
+					return ActorName(s.Dot.Actor) == ActorName(l.actor) && !x.peerKnown.Covers(s.Dot)
 				}) {
 					x.UnsyncedNames = append(x.UnsyncedNames, name)
 				}
@@ -242,14 +242,14 @@
 			})
 		}
 		if a.RootDigest != l.Digest(TreeNode{}) {
-			x.nodes = append(x.nodes, TreeNode{})
+			x.pendingNodes = append(x.pendingNodes, TreeNode{})
 		}
 	}
-	x.asked, x.out = false, ExchangeRequest{}
+	x.awaitingResponse, x.request = false, ExchangeRequest{}
 	for i, sums := range a.ChildDigests {
 		children := ask.Nodes[i].Children()
 		if len(sums) != len(children) {
-			x.nodes = append(x.nodes, ask.Nodes[i])
+			x.pendingNodes = append(x.pendingNodes, ask.Nodes[i])
 			return nil, nil, &InvalidDataError{x.peer, "digests of another range"}
 		}
 		for j, c := range children {
@@ -257,23 +257,23 @@
 				continue
 			}
 			if c.Level < DigestTreeDepth {
-				x.nodes = append(x.nodes, c)
+				x.pendingNodes = append(x.pendingNodes, c)
 			} else {
-				x.wants = append(x.wants, c.Index)
+				x.pendingBuckets = append(x.pendingBuckets, c.Index)
 				x.DifferingBuckets++
 			}
 		}
 	}
 	var errs []error
 	rest := a.Batch
-	rest.Known = x.known.Join(a.Batch.Known)
-	unders, err := l.unders(x.peer, rest)
+	rest.Known = x.peerKnown.Join(a.Batch.Known)
+	unders, err := l.batchContexts(x.peer, rest)
 	if err != nil {
 		return nil, nil, err
 	}
 	for i, w := range ask.WantedBuckets {
 		if i >= len(a.BucketStates) || a.BucketStates[i].Index != w.Index {
-			x.wants = append(x.wants, w.Index)
+			x.pendingBuckets = append(x.pendingBuckets, w.Index)
 			continue
 		}
 		n := a.BucketStates[i].EntryCount
@@ -283,7 +283,7 @@
 		}
 		part := Batch{Entries: rest.Entries[:n:n], ContextIndexes: rest.ContextIndexes[:n:n]}
 		rest.Entries, rest.ContextIndexes = rest.Entries[n:], rest.ContextIndexes[n:]
-		did, miss, err := x.bucket(w, a.BucketStates[i], part, unders)
+		did, miss, err := x.applyBucket(w, a.BucketStates[i], part, unders)
 		changed, lacks = append(changed, did...), append(lacks, miss...)
 		if err != nil {
 			errs = append(errs, err)
@@ -291,20 +291,20 @@
 	}
 	if len(errs) > 0 {
 		x.failed = true
-		return changed, lacks, errors.Join(errs[:min(len(errs), tellMost)]...)
+		return changed, lacks, errors.Join(errs[:min(len(errs), maxReportedErrors)]...)
 	}
 	if x.IsComplete() {
-		l.known, l.rebase = l.known.Join(x.known), true
-		l.settleEnds()
+		l.known, l.baseContextStale = l.known.Join(x.peerKnown), true
+		l.settleIncarnationEnds()
 	}
 	return changed, lacks, nil
 }
 
-// bucket takes in the other's state of a bucket: with what it knew as the exchange began, a name that it does not hold is
+// applyBucket takes in the other's state of a applyBucket: with what it knew as the exchange began, a name that it does not hold is
 // one whose changes up to there are superseded.
-func (x *Exchange) bucket(w BucketDigest, s BucketState, b Batch, unders []told) (changed, lacks []string, err error) {
-	l := x.l
-	same := l.Digest(TreeNode{Level: DigestTreeDepth, Index: w.Index}) == x.before[w.Index]
+func (x *Exchange) applyBucket(w BucketDigest, s BucketState, b Batch, unders []batchContext) (changed, lacks []string, err error) {
+	l := x.replica
+	same := l.Digest(TreeNode{Level: DigestTreeDepth, Index: w.Index}) == x.requestedDigests[w.Index]
 	theirs := map[uint64]bool{}
 	for _, sum := range w.EntryDigests {
 		theirs[sum] = true
@@ -316,8 +316,8 @@
 		}
 		for _, sum := range s.MissingDigests {
 			delete(theirs, sum)
-			for _, h := range l.tree.names[w.Index] {
-				if h.sum == sum && !sent[h.Name] {
+			for _, h := range l.tree.records[w.Index] {
+				if h.digest == sum && !sent[h.Name] {
 					b.Entries, b.ContextIndexes = append(b.Entries, Entry{Name: h.Name}), append(b.ContextIndexes, 0)
 				}
 			}
@@ -327,19 +327,19 @@
 		if bucketOf(e.Name) != w.Index {
 			return nil, nil, &InvalidDataError{x.peer, "a name in another's place"}
 		}
-		theirs[e.sum()] = true
+		theirs[e.computeDigest()] = true
 	}
-	changed, err = l.take(x.peer, b.Entries, b.ContextIndexes, unders)
+	changed, err = l.mergeEntries(x.peer, b.Entries, b.ContextIndexes, unders)
 	if err != nil {
 		return changed, nil, err
 	}
 	if s.HasMore || !same {
 		// What was changed here meanwhile was not in the question, so that the answer does not speak of it.
-		x.wants = append(x.wants, w.Index)
+		x.pendingBuckets = append(x.pendingBuckets, w.Index)
 		return changed, nil, nil
 	}
-	for _, h := range l.tree.names[w.Index] {
-		if !theirs[h.sum] {
+	for _, h := range l.tree.records[w.Index] {
+		if !theirs[h.digest] {
 			lacks = append(lacks, h.Name)
 		}
 	}
@@ -347,7 +347,7 @@
 }
 
 // ID is the number of the exchange.
-func (x *Exchange) ID() uint64 { return x.run }
+func (x *Exchange) ID() uint64 { return x.id }
 
 // HasStarted tells whether the other has answered.
-func (x *Exchange) HasStarted() bool { return x.began }
+func (x *Exchange) HasStarted() bool { return x.started }
--- a/cluster/crdt/ledger.go
+++ b/cluster/crdt/ledger.go
@@ -53,36 +53,36 @@
 
 // Map is one instance's copy. It is one goroutine's.
 type Map struct {
-	actor  string
-	known  Version
-	names  btree.Map[string, *held]
-	dead   map[string]*held // without a live sibling: tombstones, and what only remembers what was seen
-	bytes  int
-	actors map[string]string // one copy of each actor's name
-	join   [3]Version        // two that were joined last, and the outcome
-	base   Version           // the Known as names were last forgotten: what is written anew under one has seen that
-	rebase bool
-	tree   tree
-
-	rows         map[string]Row // of other instances, the latest of each
-	reached      map[string]Row // the latest that the Known here covers
-	mine         Row
-	ends         map[string]IncarnationEnd
-	counting     []string
-	forgot, away map[string]bool
+	actor            string
+	known            Version
+	records          btree.Map[string, *record]
+	deadRecords      map[string]*record // without a live sibling: tombstones, and what only remembers what was seen
+	payloadBytes     int
+	internedActors   map[string]string // one copy of each actor's name
+	lastJoin         [3]Version        // two that were joined last, and the outcome
+	baseContext      Version           // the Known as names were last forgotten: what is written anew under one has seen that
+	baseContextStale bool
+	tree             digestTree
+
+	rows                            map[string]Row // of other instances, the latest of each
+	coveredRows                     map[string]Row // the latest that the Known here covers
+	ownRow                          Row
+	incarnationEnds                 map[string]IncarnationEnd
+	members                         []string
+	forgottenMembers, absentMembers map[string]bool
 }
 
-// held is an entry and its place in the tree of digests.
-type held struct {
+// record is an entry and its place in the tree of digests.
+type record struct {
 	Entry
-	under  Version // more that was seen under this name: the Known of who told it, shared by what was told together
-	sum    uint64  // 0 while it has no sibling
-	bucket uint16
+	extraContext Version // more that was seen under this name: the Known of who told it, shared by what was told together
+	digest       uint64  // 0 while it has no sibling
+	bucket       uint16
 }
 
 // NewMap is an empty ledger. The actor must be new with each start: two lives that share one lose changes.
 func NewMap(actor string) *Map {
-	l := &Map{actor: actor, dead: map[string]*held{}, actors: map[string]string{}, rows: map[string]Row{}, reached: map[string]Row{}, forgot: map[string]bool{}, ends: map[string]IncarnationEnd{}}
+	l := &Map{actor: actor, deadRecords: map[string]*record{}, internedActors: map[string]string{}, rows: map[string]Row{}, coveredRows: map[string]Row{}, forgottenMembers: map[string]bool{}, incarnationEnds: map[string]IncarnationEnd{}}
 	l.tree.init()
 	return l
 }
@@ -95,7 +95,7 @@
 
 // Counts tells how many names have a live value, how many are remembered without one, and their bytes.
 func (l *Map) Counts() (live, dead, bytes int) {
-	return l.names.Len() - len(l.dead), len(l.dead), l.bytes
+	return l.records.Len() - len(l.deadRecords), len(l.deadRecords), l.payloadBytes
 }
 
 // Put writes a value; it supersedes every sibling that is held here.
@@ -103,55 +103,55 @@
 	if len(value) > MaxValueBytes {
 		return Entry{}, &TooLargeError{name, "value", len(value), MaxValueBytes}
 	}
-	h, _ := l.names.Get(name)
+	h, _ := l.records.Get(name)
 	if live, _, _ := l.Counts(); (h == nil || !h.IsLive()) && live >= MaxEntries {
 		return Entry{}, &CapacityExceededError{name, "entries", live, MaxEntries}
 	}
-	return l.write(h, name, Sibling{Value: bytes.Clone(value)})
+	return l.writeSibling(h, name, Sibling{Value: bytes.Clone(value)})
 }
 
 // Delete leaves a tombstone in place of every sibling that is held here. A name that has none stays without.
 func (l *Map) Delete(name string) (Entry, error) {
-	h, _ := l.names.Get(name)
+	h, _ := l.records.Get(name)
 	if h == nil || len(h.Siblings) == 0 {
 		return Entry{Name: name}, nil
 	}
 	if len(h.Siblings) == 1 && h.Siblings[0].Deleted {
 		return h.Entry, nil
 	}
-	if len(l.dead) >= MaxTombstones && h.IsLive() {
-		return Entry{}, &CapacityExceededError{name, "tombstones", len(l.dead), MaxTombstones}
+	if len(l.deadRecords) >= MaxTombstones && h.IsLive() {
+		return Entry{}, &CapacityExceededError{name, "tombstones", len(l.deadRecords), MaxTombstones}
 	}
-	return l.write(h, name, Sibling{Deleted: true})
+	return l.writeSibling(h, name, Sibling{Deleted: true})
 }
 
-func (l *Map) write(h *held, name string, s Sibling) (Entry, error) {
+func (l *Map) writeSibling(h *record, name string, s Sibling) (Entry, error) {
 	if name == "" || len(name) > MaxNameBytes {
 		return Entry{}, &TooLargeError{name, "name", len(name), MaxNameBytes}
 	}
-	if more := len(name) + len(s.Value); more+l.bytes > MaxTotalBytes && !s.Deleted {
-		return Entry{}, &CapacityExceededError{name, "bytes", l.bytes, MaxTotalBytes}
+	if more := len(name) + len(s.Value); more+l.payloadBytes > MaxTotalBytes && !s.Deleted {
+		return Entry{}, &CapacityExceededError{name, "bytes", l.payloadBytes, MaxTotalBytes}
 	}
 	s.Dot = Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor) + 1}
 	e := Entry{Name: name, Siblings: []Sibling{s}}
 	var under Version
 	if h != nil {
-		e.Name, e.CausalContext, under = h.Name, h.CausalContext, h.under
+		e.Name, e.CausalContext, under = h.Name, h.CausalContext, h.extraContext
 	} else {
-		if l.rebase {
-			l.base, l.rebase = l.known, false
+		if l.baseContextStale {
+			l.baseContext, l.baseContextStale = l.known, false
 		}
-		under = l.base
+		under = l.baseContext
 	}
 	e.CausalContext = e.CausalContext.With(s.Dot)
 	l.known = l.known.With(s.Dot)
-	l.set(h, e, under)
+	l.replaceRecord(h, e, under)
 	return e, nil
 }
 
 // Get is the state of a name and whether it has a live value; a name that was deleted is told with its tombstone.
 func (l *Map) Get(name string) (Entry, bool) {
-	h, ok := l.names.Get(name)
+	h, ok := l.records.Get(name)
 	if !ok {
 		return Entry{Name: name}, false
 	}
@@ -160,7 +160,7 @@
 
 // ScanPrefix tells the names with a live value that begin with prefix, in order, until f says no. f must not change the ledger.
 func (l *Map) ScanPrefix(prefix string, f func(Entry) bool) {
-	l.names.Ascend(prefix, func(name string, h *held) bool {
+	l.records.Ascend(prefix, func(name string, h *record) bool {
 		return strings.HasPrefix(name, prefix) && (!h.IsLive() || f(h.Entry))
 	})
 }
@@ -180,58 +180,58 @@
 	ContextIndexes []uint16  // for each entry the place of its Under and 1, 0 for none; may be shorter
 }
 
-const undersMost = 64 // versions told beside the Known; more go with the entries themselves
+const maxExtraContexts = 64 // versions told beside the Known; more go with the entries themselves
 
-// packer fills a batch with states as they are held. Of what was seen under a name it tells what the Known told with it lacks.
-type packer struct {
+// batchBuilder fills a batch with states as they are held. Of what was seen under a name it tells what the Known told with it lacks.
+type batchBuilder struct {
 	Batch
-	froms []Version
-	rests []Version
-	place []uint16
+	sources        []Version
+	differences    []Version
+	contextIndexes []uint16
 }
 
 // add adds a state and tells about how many bytes more the batch has by it.
-func (p *packer) add(h *held) (bytes int) {
+func (p *batchBuilder) add(h *record) (bytes int) {
 	p.Entries, p.ContextIndexes = append(p.Entries, h.Entry), append(p.ContextIndexes, 0)
-	bytes = h.cost()
-	if len(h.under) == 0 {
+	bytes = h.encodedSize()
+	if len(h.extraContext) == 0 {
 		return bytes
 	}
-	i := slices.IndexFunc(p.froms, func(v Version) bool { return same(v, h.under) })
+	i := slices.IndexFunc(p.sources, func(v Version) bool { return sharesMemory(v, h.extraContext) })
 	if i < 0 {
-		rest := h.under.beyond(p.Known)
+		rest := h.extraContext.subtract(p.Known)
 		place := uint16(0)
-		if len(rest) > 0 && len(p.ExtraContexts) < undersMost {
+		if len(rest) > 0 && len(p.ExtraContexts) < maxExtraContexts {
 			p.ExtraContexts = append(p.ExtraContexts, rest)
 			place = uint16(len(p.ExtraContexts))
-			bytes += rest.size()
+			bytes += rest.encodedSize()
 		}
-		i = len(p.froms)
-		p.froms, p.rests, p.place = append(p.froms, h.under), append(p.rests, rest), append(p.place, place)
+		i = len(p.sources)
+		p.sources, p.differences, p.contextIndexes = append(p.sources, h.extraContext), append(p.differences, rest), append(p.contextIndexes, place)
 	}
-	if last := len(p.ContextIndexes) - 1; p.place[i] > 0 {
-		p.ContextIndexes[last] = p.place[i]
-	} else if len(p.rests[i]) > 0 {
-		p.Entries[last].CausalContext = h.CausalContext.Join(p.rests[i])
-		bytes += p.rests[i].size()
+	if last := len(p.ContextIndexes) - 1; p.contextIndexes[i] > 0 {
+		p.ContextIndexes[last] = p.contextIndexes[i]
+	} else if len(p.differences[i]) > 0 {
+		p.Entries[last].CausalContext = h.CausalContext.Join(p.differences[i])
+		bytes += p.differences[i].encodedSize()
 	}
 	return bytes
 }
 
-// same tells whether two versions are one in memory.
-func same(a, b Version) bool { return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) }
+// sharesMemory tells whether two versions are one in memory.
+func sharesMemory(a, b Version) bool { return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) }
 
 // BuildBatches are the states of these names for another instance in messages of about TargetMessageBytes, with the Known or, for fresh
 // changes, without.
 func (l *Map) BuildBatches(known bool, names []string) (out []Batch) {
 	for len(names) > 0 {
-		var p packer
+		var p batchBuilder
 		if known {
 			p.Known = l.known
 		}
-		room := TargetMessageBytes - p.Known.size()
+		room := TargetMessageBytes - p.Known.encodedSize()
 		for room > 0 && len(names) > 0 {
-			if h, ok := l.names.Get(names[0]); ok {
+			if h, ok := l.records.Get(names[0]); ok {
 				room -= p.add(h)
 			}
 			names = names[1:]
@@ -246,57 +246,57 @@
 // StorableEntry is a name's state with what was seen under it beyond the Known, so that it says the same in a store beside that. It
 // is no entry where nothing is held.
 func (l *Map) StorableEntry(name string) (Entry, bool) {
-	h, ok := l.names.Get(name)
+	h, ok := l.records.Get(name)
 	if !ok {
 		return Entry{}, false
 	}
 	e := h.Entry
-	e.CausalContext = e.CausalContext.Join(h.under.beyond(l.known))
+	e.CausalContext = e.CausalContext.Join(h.extraContext.subtract(l.known))
 	return e, true
 }
 
 // MergeBatch takes in a batch.
 func (l *Map) MergeBatch(from string, b Batch) (changed []string, err error) {
-	unders, err := l.unders(from, b)
+	unders, err := l.batchContexts(from, b)
 	if err != nil {
 		return nil, err
 	}
-	if l.over(from) || l.forgot[ActorName(from)] {
+	if l.isSuperseded(from) || l.forgottenMembers[ActorName(from)] {
 		return nil, nil // a late message of an earlier life, whose later one has told what it held, or of one given up
 	}
-	return l.take(from, b.Entries, b.ContextIndexes, unders)
+	return l.mergeEntries(from, b.Entries, b.ContextIndexes, unders)
 }
 
-// told is a version that goes with states, and whether it says more than is known here.
-type told struct {
+// batchContext is a version that goes with states, and whether it says more than is known here.
+type batchContext struct {
 	Version
-	news bool
+	isNew bool
 }
 
-// unders are the versions of a batch by place, 0 for its Known alone.
-func (l *Map) unders(from string, b Batch) ([]told, error) {
-	sound := b.Known.sound() && len(b.ExtraContexts) <= undersMost && len(b.ContextIndexes) <= len(b.Entries)
+// batchContexts are the versions of a batch by place, 0 for its Known alone.
+func (l *Map) batchContexts(from string, b Batch) ([]batchContext, error) {
+	sound := b.Known.isValid() && len(b.ExtraContexts) <= maxExtraContexts && len(b.ContextIndexes) <= len(b.Entries)
 	for _, u := range b.ExtraContexts {
-		sound = sound && u.sound()
+		sound = sound && u.isValid()
 	}
 	if !sound {
 		return nil, &InvalidDataError{from, "a version out of order"}
 	}
-	if err := l.struck(from, b.Known); err != nil {
+	if err := l.checkSuperseded(from, b.Known); err != nil {
 		return nil, err
 	}
-	out := make([]told, len(b.ExtraContexts)+1)
-	out[0].Version = l.own(b.Known)
+	out := make([]batchContext, len(b.ExtraContexts)+1)
+	out[0].Version = l.internVersion(b.Known)
 	for i, u := range b.ExtraContexts {
-		out[i+1].Version = l.own(b.Known.Join(u))
+		out[i+1].Version = l.internVersion(b.Known.Join(u))
 	}
 	for i := range out {
-		out[i].news = !out[i].IsCoveredBy(l.known)
+		out[i].isNew = !out[i].IsCoveredBy(l.known)
 	}
 	return out, nil
 }
 
-func (l *Map) take(from string, entries []Entry, of []uint16, unders []told) (changed []string, err error) {
+func (l *Map) mergeEntries(from string, entries []Entry, of []uint16, unders []batchContext) (changed []string, err error) {
 	var errs []error
 	for i, e := range entries {
 		k := 0
@@ -307,11 +307,11 @@
 			errs = append(errs, &InvalidDataError{from, "an entry of a version that there is not"})
 			continue
 		}
-		if why := e.unsound(); why != "" {
+		if why := e.invalidReason(); why != "" {
 			errs = append(errs, &InvalidDataError{from, why})
 			continue
 		}
-		did, err := l.merge(e, unders[k])
+		did, err := l.mergeEntry(e, unders[k])
 		if err != nil {
 			errs = append(errs, err)
 		}
@@ -319,29 +319,29 @@
 			changed = append(changed, e.Name)
 		}
 	}
-	if len(errs) > tellMost {
-		errs = errs[:tellMost]
+	if len(errs) > maxReportedErrors {
+		errs = errs[:maxReportedErrors]
 	}
 	return changed, errors.Join(errs...)
 }
 
-const tellMost = 8 // refused entries of one batch that are told one by one
+const maxReportedErrors = 8 // refused entries of one batch that are told one by one
 
-// unsound says why an entry from outside cannot be used, or nothing.
-func (e Entry) unsound() string {
+// invalidReason says why an entry from outside cannot be used, or nothing.
+func (e Entry) invalidReason() string {
 	switch {
 	case e.Name == "" || len(e.Name) > MaxNameBytes:
 		return "a name without or with too many bytes"
 	case len(e.Siblings) > MaxSiblings:
 		return "an entry with too many siblings"
-	case !e.CausalContext.sound():
+	case !e.CausalContext.isValid():
 		return "a version out of order"
 	}
 	for i, s := range e.Siblings {
 		switch {
 		case len(s.Value) > MaxValueBytes:
 			return "a value with too many bytes"
-		case s.Dot.Counter == 0 || !soundActor(s.Dot.Actor) || !e.CausalContext.Covers(s.Dot):
+		case s.Dot.Counter == 0 || !isValidActor(s.Dot.Actor) || !e.CausalContext.Covers(s.Dot):
 			return "a sibling that its entry has not seen"
 		case i > 0 && e.Siblings[i-1].Dot.compare(s.Dot) >= 0:
 			return "siblings out of order"
@@ -350,12 +350,12 @@
 	return ""
 }
 
-func (l *Map) merge(e Entry, theirs told) (changed bool, err error) {
-	h, _ := l.names.Get(e.Name)
+func (l *Map) mergeEntry(e Entry, theirs batchContext) (changed bool, err error) {
+	h, _ := l.records.Get(e.Name)
 	var ours Entry
 	var under Version
 	if h != nil {
-		ours, under = h.Entry, h.under
+		ours, under = h.Entry, h.extraContext
 	}
 	var out []Sibling
 	was, live := len(ours.Siblings), 0
@@ -401,21 +401,21 @@
 	}
 	changed = len(out) != was || same != was
 	seen := ours.CausalContext.Join(e.CausalContext)
-	more := theirs.news && !theirs.IsCoveredBy(under)
+	more := theirs.isNew && !theirs.IsCoveredBy(under)
 	if !changed && !more && seen.IsCoveredBy(ours.CausalContext) {
 		return false, nil
 	}
 	if more {
-		under = l.joined(under, theirs.Version)
+		under = l.joinCached(under, theirs.Version)
 	}
 	if changed {
 		switch {
 		case len(out) > MaxSiblings:
 			return false, &TooManySiblingsError{e.Name, len(out), MaxSiblings}
-		case h == nil && l.names.Len() >= MaxNames:
-			return false, &CapacityExceededError{e.Name, "entries", l.names.Len(), MaxNames}
-		case live > 0 && l.bytes > MaxTotalBytes:
-			return false, &CapacityExceededError{e.Name, "bytes", l.bytes, MaxTotalBytes}
+		case h == nil && l.records.Len() >= MaxNames:
+			return false, &CapacityExceededError{e.Name, "entries", l.records.Len(), MaxNames}
+		case live > 0 && l.payloadBytes > MaxTotalBytes:
+			return false, &CapacityExceededError{e.Name, "bytes", l.payloadBytes, MaxTotalBytes}
 		}
 	}
 	if h == nil {
@@ -423,70 +423,70 @@
 	} else {
 		e.Name = h.Name
 	}
-	e.Siblings, e.CausalContext = slices.Clip(out), l.own(seen)
+	e.Siblings, e.CausalContext = slices.Clip(out), l.internVersion(seen)
 	for i := range e.Siblings {
-		e.Siblings[i].Dot.Actor = l.intern(e.Siblings[i].Dot.Actor)
+		e.Siblings[i].Dot.Actor = l.internActor(e.Siblings[i].Dot.Actor)
 	}
-	l.set(h, e, under)
+	l.replaceRecord(h, e, under)
 	return changed, nil
 }
 
-// joined is the join of two versions, one in memory for all names of which it is asked one after another.
-func (l *Map) joined(a, b Version) Version {
-	if len(a) == 0 || same(a, b) {
+// joinCached is the join of two versions, one in memory for all names of which it is asked one after another.
+func (l *Map) joinCached(a, b Version) Version {
+	if len(a) == 0 || sharesMemory(a, b) {
 		return b
 	}
-	if !same(l.join[0], a) || !same(l.join[1], b) {
-		l.join = [3]Version{a, b, a.Join(b)}
+	if !sharesMemory(l.lastJoin[0], a) || !sharesMemory(l.lastJoin[1], b) {
+		l.lastJoin = [3]Version{a, b, a.Join(b)}
 	}
-	return l.join[2]
+	return l.lastJoin[2]
 }
 
-// own is v with actors' names that are held once.
-func (l *Map) own(v Version) Version {
+// internVersion is v with actors' names that are held once.
+func (l *Map) internVersion(v Version) Version {
 	v = slices.Clone(v)
 	for i := range v {
-		v[i].Actor = l.intern(v[i].Actor)
+		v[i].Actor = l.internActor(v[i].Actor)
 	}
 	return v
 }
 
-func (l *Map) intern(actor string) string {
-	if s, ok := l.actors[actor]; ok {
+func (l *Map) internActor(actor string) string {
+	if s, ok := l.internedActors[actor]; ok {
 		return s
 	}
 	actor = strings.Clone(actor)
-	l.actors[actor] = actor
+	l.internedActors[actor] = actor
 	return actor
 }
 
-// set puts a state in place of the one held, or drops it where it says no more than the Known.
-func (l *Map) set(h *held, e Entry, under Version) {
+// replaceRecord puts a state in place of the one held, or drops it where it says no more than the Known.
+func (l *Map) replaceRecord(h *record, e Entry, under Version) {
 	if h != nil {
-		l.tree.take(h)
-		l.bytes -= h.size()
-		delete(l.dead, h.Name)
+		l.tree.remove(h)
+		l.payloadBytes -= h.payloadBytes()
+		delete(l.deadRecords, h.Name)
 	}
 	if len(e.Siblings) == 0 && e.CausalContext.IsCoveredBy(l.known) {
 		if h != nil {
-			l.names.Delete(h.Name)
-			l.rebase = true
+			l.records.Delete(h.Name)
+			l.baseContextStale = true
 		}
 		return
 	}
 	if h == nil {
-		h = &held{bucket: bucketOf(e.Name)}
-		l.names.Set(e.Name, h)
+		h = &record{bucket: bucketOf(e.Name)}
+		l.records.Set(e.Name, h)
 	}
-	h.Entry, h.sum, h.under = e, e.sum(), under
-	l.tree.put(h)
-	l.bytes += h.size()
+	h.Entry, h.digest, h.extraContext = e, e.computeDigest(), under
+	l.tree.insert(h)
+	l.payloadBytes += h.payloadBytes()
 	if !h.IsLive() {
-		l.dead[h.Name] = h
+		l.deadRecords[h.Name] = h
 	}
 }
 
-func (e Entry) size() int {
+func (e Entry) payloadBytes() int {
 	n := len(e.Name)
 	for _, s := range e.Siblings {
 		n += len(s.Value)
@@ -494,8 +494,8 @@
 	return n
 }
 
-// sum stands for the siblings of a name in digests; 0 only for none.
-func (e Entry) sum() uint64 {
+// computeDigest stands for the siblings of a name in digests; 0 only for none.
+func (e Entry) computeDigest() uint64 {
 	if len(e.Siblings) == 0 {
 		return 0
 	}
--- a/cluster/crdt/ledger_test.go
+++ b/cluster/crdt/ledger_test.go
@@ -10,30 +10,30 @@
 	"pgregory.net/rapid"
 )
 
-// state is all that l holds and remembers, as text.
-func state(l *Map) string {
+// contents is all that l holds and remembers, as text.
+func contents(l *Map) string {
 	var b strings.Builder
-	l.names.Scan(func(name string, h *held) bool {
+	l.records.Scan(func(name string, h *record) bool {
 		fmt.Fprintln(&b, name, h.Siblings, h.CausalContext)
 		return true
 	})
 	return b.String()
 }
 
-func all(l *Map) (out []Entry) {
-	l.names.Scan(func(_ string, h *held) bool { out = append(out, h.Entry); return true })
+func allEntries(l *Map) (out []Entry) {
+	l.records.Scan(func(_ string, h *record) bool { out = append(out, h.Entry); return true })
 	return out
 }
 
-func dots(e Entry) (out []Dot) {
+func entryDots(e Entry) (out []Dot) {
 	for _, s := range e.Siblings {
 		out = append(out, s.Dot)
 	}
 	return out
 }
 
-// write does a drawn change and says what it superseded.
-func write(t *rapid.T, l *Map, name string) (was, is Entry) {
+// writeRandomChange does a drawn change and says what it superseded.
+func writeRandomChange(t *rapid.T, l *Map, name string) (was, is Entry) {
 	was, _ = l.Get(name)
 	var err error
 	if rapid.IntRange(0, 2).Draw(t, "delete") == 0 {
@@ -45,10 +45,10 @@
 	return was, is
 }
 
-var someName = rapid.SampledFrom([]string{"a", "b", "c"})
+var randomName = rapid.SampledFrom([]string{"a", "b", "c"})
 
 // What is left of a name is the changes that no later one had seen, whatever the order and number of messages.
-func TestMergeKeepsWhatNothingSuperseded(t *testing.T) {
+func TestMergeKeepsUnsupersededChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ls := []*Map{NewMap("x#1"), NewMap("y#1"), NewMap("z#1")}
 		var sent []Entry
@@ -56,12 +56,12 @@
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			l := rapid.SampledFrom(ls).Draw(t, "who")
 			if rapid.Bool().Draw(t, "write") || len(sent) == 0 {
-				name := someName.Draw(t, "name")
-				was, is := write(t, l, name)
+				name := randomName.Draw(t, "name")
+				was, is := writeRandomChange(t, l, name)
 				if len(is.Siblings) == 0 || len(was.Siblings) == 1 && was.Siblings[0].Dot == is.Siblings[0].Dot {
 					continue
 				}
-				for _, d := range dots(was) {
+				for _, d := range entryDots(was) {
 					gone[d] = true
 				}
 				written[name] = append(written[name], is.Siblings[0].Dot)
@@ -73,16 +73,16 @@
 		}
 		for _, to := range ls {
 			for _, from := range ls {
-				_, err := to.Merge(from.Actor(), all(from))
+				_, err := to.Merge(from.Actor(), allEntries(from))
 				require.NoError(t, err)
 			}
 		}
 		_, err := ls[0].Merge("late", rapid.Permutation(sent).Draw(t, "late"))
 		require.NoError(t, err)
 		for _, l := range ls[1:] {
-			_, err := l.Merge("x", all(ls[0]))
+			_, err := l.Merge("x", allEntries(ls[0]))
 			require.NoError(t, err)
-			require.Equal(t, state(ls[0]), state(l))
+			require.Equal(t, contents(ls[0]), contents(l))
 			require.Equal(t, ls[0].Digest(TreeNode{}), l.Digest(TreeNode{}))
 		}
 		for name, ds := range written {
@@ -93,40 +93,40 @@
 					left = append(left, d)
 				}
 			}
-			require.ElementsMatch(t, left, dots(e), name)
+			require.ElementsMatch(t, left, entryDots(e), name)
 		}
 	})
 }
 
-func TestMergeLaws(t *testing.T) {
+func TestMergeIsCommutativeAssociativeIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ls := []*Map{NewMap("x#1"), NewMap("y#1"), NewMap("z#1")}
 		for range rapid.IntRange(0, 15).Draw(t, "steps") {
 			l := rapid.SampledFrom(ls).Draw(t, "who")
 			if rapid.Bool().Draw(t, "write") {
-				write(t, l, someName.Draw(t, "name"))
+				writeRandomChange(t, l, randomName.Draw(t, "name"))
 			} else {
 				from := rapid.SampledFrom(ls).Draw(t, "from")
-				_, err := l.Merge(from.Actor(), all(from))
+				_, err := l.Merge(from.Actor(), allEntries(from))
 				require.NoError(t, err)
 			}
 		}
 		merged := func(of ...*Map) *Map {
 			m := NewMap("m#1")
 			for _, l := range of {
-				_, err := m.Merge(l.Actor(), all(l))
+				_, err := m.Merge(l.Actor(), allEntries(l))
 				require.NoError(t, err)
 			}
 			return m
 		}
 		a, b, c := ls[0], ls[1], ls[2]
-		require.Equal(t, state(merged(a, b)), state(merged(b, a)))
-		require.Equal(t, state(merged(merged(a, b), c)), state(merged(a, merged(b, c))))
-		require.Equal(t, state(merged(a, b)), state(merged(a, b, a, b)))
+		require.Equal(t, contents(merged(a, b)), contents(merged(b, a)))
+		require.Equal(t, contents(merged(merged(a, b), c)), contents(merged(a, merged(b, c))))
+		require.Equal(t, contents(merged(a, b)), contents(merged(a, b, a, b)))
 	})
 }
 
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	l := NewMap("x#1")
 	var big *TooLargeError
 	_, err := l.Put("a", make([]byte, MaxValueBytes+1))
@@ -168,19 +168,19 @@
 }
 
 // Two processes of one name: the earlier goes on as a new life and keeps what no one else had.
-func TestStruckLifeKeepsItsChanges(t *testing.T) {
+func TestSupersededIncarnationKeepsItsChanges(t *testing.T) {
 	one, two, other := NewMap("a#1"), NewMap("a#2"), NewMap("b#1")
 	for _, l := range []*Map{one, two, other} {
 		l.SetMembers([]string{"a", "b"}, nil)
 	}
 	_, _ = one.Put("told", []byte("1"))
-	_, err := other.MergeBatch("a#1", batch(one, true, "told"))
+	_, err := other.MergeBatch("a#1", buildBatch(one, true, "told"))
 	require.NoError(t, err)
 	for range 3 { // the later life and the other settle the earlier one
 		two.NextRow()
 		other.NextRow()
 		for _, p := range [][2]*Map{{two, other}, {other, two}} {
-			meet(t, p[0], p[1])
+			exchangeToEnd(t, p[0], p[1])
 		}
 	}
 	require.EqualValues(t, 2, other.KnownVersion().EndedBefore("a"))
@@ -196,8 +196,8 @@
 	require.Contains(t, struck.Advice(), "second process")
 	require.Len(t, one.BeginIncarnation(3, "b"), 2)
 	require.Equal(t, "a#3", one.Actor())
-	meet(t, one, other)
-	meet(t, other, one)
+	exchangeToEnd(t, one, other)
+	exchangeToEnd(t, other, one)
 	for _, name := range []string{"told", "untold"} {
 		e, ok := other.Get(name)
 		require.True(t, ok, name)
@@ -205,8 +205,8 @@
 	}
 }
 
-// meet is an exchange to its end.
-func meet(t *testing.T, l, other *Map) {
+// exchangeToEnd is an exchange to its end.
+func exchangeToEnd(t *testing.T, l, other *Map) {
 	x := l.NewExchange(ActorName(other.Actor()), 7)
 	for {
 		q, ok := x.NextRequest()
@@ -217,17 +217,17 @@
 		require.NoError(t, err)
 		_, lacks, err := x.ApplyResponse(a)
 		require.NoError(t, err)
-		_, err = other.MergeBatch(l.Actor(), batch(l, true, lacks...))
+		_, err = other.MergeBatch(l.Actor(), buildBatch(l, true, lacks...))
 		require.NoError(t, err)
 	}
 	require.True(t, x.IsComplete())
 }
 
 // One that was away for so long that a delete was forgotten without it brings nothing back, and is told what it kept.
-func TestAwayForLong(t *testing.T) {
+func TestReturnAfterLongAbsence(t *testing.T) {
 	a, b := NewMap("a#1"), NewMap("b#1")
 	_, _ = a.Put("x", []byte("1"))
-	meet(t, b, a)
+	exchangeToEnd(t, b, a)
 	_, _ = b.Put("y", []byte("unseen"))
 	_, _ = a.Delete("x")
 	a.SetMembers([]string{"a", "b"}, []string{"b"})
@@ -240,8 +240,8 @@
 	require.NoError(t, err)
 	require.True(t, x.MissedDeletes)
 	require.Equal(t, []string{"y"}, x.UnsyncedNames)
-	meet(t, a, b)
-	meet(t, b, a)
+	exchangeToEnd(t, a, b)
+	exchangeToEnd(t, b, a)
 	for _, l := range []*Map{a, b} {
 		_, ok := l.Get("x")
 		require.False(t, ok)
@@ -250,12 +250,12 @@
 	}
 }
 
-func TestExchangeFollowsTheDifferenceAndGoesOnWhereItWasCut(t *testing.T) {
+func TestExchangeCostsByTheDifferenceAndResumes(t *testing.T) {
 	a, b := NewMap("a#1"), NewMap("b#1")
 	for i := range 20_000 {
 		_, _ = a.Put(fmt.Sprint("name", i), []byte("some value of a name"))
 	}
-	meet(t, b, a)
+	exchangeToEnd(t, b, a)
 	for i := range 200 {
 		_, _ = a.Put(fmt.Sprint("name", i), []byte("another value"))
 	}
@@ -284,27 +284,27 @@
 }
 
 // A tombstone that one has forgotten goes with the other that knows no less, too: else their copies differ for ever.
-func TestForgottenTombstoneGoesWithWhoKnowsAsMuch(t *testing.T) {
+func TestForgottenTombstoneDisappearsFromEqualReplica(t *testing.T) {
 	a, b := NewMap("a#1"), NewMap("b#1")
 	_, _ = a.Put("x", []byte("1"))
 	_, _ = a.Delete("x")
-	meet(t, b, a)
-	meet(t, a, b)
+	exchangeToEnd(t, b, a)
+	exchangeToEnd(t, a, b)
 	a.SetMembers([]string{"a"}, nil)
 	require.Equal(t, []string{"x"}, a.CollectTombstones())
 	require.Equal(t, a.KnownVersion(), b.KnownVersion())
-	meet(t, b, a)
+	exchangeToEnd(t, b, a)
 	require.Equal(t, a.Digest(TreeNode{}), b.Digest(TreeNode{}))
 }
 
-// batch is the states of these names in one piece, whatever their bytes.
-func batch(l *Map, known bool, names ...string) Batch {
-	var p packer
+// buildBatch is the states of these names in one piece, whatever their bytes.
+func buildBatch(l *Map, known bool, names ...string) Batch {
+	var p batchBuilder
 	if known {
 		p.Known = l.known
 	}
 	for _, name := range names {
-		if h, ok := l.names.Get(name); ok {
+		if h, ok := l.records.Get(name); ok {
 			p.add(h)
 		}
 	}
--- a/cluster/crdt/rows.go
+++ b/cluster/crdt/rows.go
@@ -32,45 +32,45 @@
 }
 
 const (
-	MaxRows   = 4096 // instances whose rows are held
-	seenShort = 3    // actors in an entry's Seen over which those of no sibling are left out once all have the state
+	MaxRows              = 4096 // instances whose rows are held
+	compactContextLength = 3    // actors in an entry's Seen over which those of no sibling are left out once all have the state
 )
 
 // NextRow is a new row of this instance.
 func (l *Map) NextRow() Row {
-	if l.mine.Seq == 0 {
-		l.end(ActorName(l.actor), ActorIncarnation(l.actor))
+	if l.ownRow.Seq == 0 {
+		l.noteIncarnationEnd(ActorName(l.actor), ActorIncarnation(l.actor))
 	}
-	r := Row{Actor: l.actor, Seq: l.mine.Seq + 1, Known: l.known}
-	for _, e := range l.ends {
+	r := Row{Actor: l.actor, Seq: l.ownRow.Seq + 1, Known: l.known}
+	for _, e := range l.incarnationEnds {
 		r.IncarnationEnds = append(r.IncarnationEnds, e)
 	}
 	slices.SortFunc(r.IncarnationEnds, func(a, b IncarnationEnd) int { return strings.Compare(a.Name, b.Name) })
-	l.mine = r
+	l.ownRow = r
 	return r
 }
 
-// end notes that the lives of name before one are over.
-func (l *Map) end(name string, before uint64) {
-	if l.ends[name].Before >= before || l.known.EndedBefore(name) >= before {
+// noteIncarnationEnd notes that the lives of name before one are over.
+func (l *Map) noteIncarnationEnd(name string, before uint64) {
+	if l.incarnationEnds[name].Before >= before || l.known.EndedBefore(name) >= before {
 		return
 	}
 	l.known = l.known.With(Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor) + 1})
-	l.ends[name] = IncarnationEnd{Name: name, Before: before, NotedAt: l.known.LastCounter(l.actor)}
+	l.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, NotedAt: l.known.LastCounter(l.actor)}
 }
 
-// over tells whether a later life of the same instance is known.
-func (l *Map) over(actor string) bool {
+// isSuperseded tells whether a later life of the same instance is known.
+func (l *Map) isSuperseded(actor string) bool {
 	name, life := ActorName(actor), ActorIncarnation(actor)
-	return life > 0 && (life < l.ends[name].Before || life < l.known.EndedBefore(name))
+	return life > 0 && (life < l.incarnationEnds[name].Before || life < l.known.EndedBefore(name))
 }
 
 // ForgetInstance stops waiting for an instance that will not come back. What it told someone stays. One that comes back all the same
 // is heard again from its next row on; of others' ended lives it may then hold changes that are no longer taken.
 func (l *Map) ForgetInstance(name string) {
 	delete(l.rows, name)
-	delete(l.reached, name)
-	l.forgot[name] = true
+	delete(l.coveredRows, name)
+	l.forgottenMembers[name] = true
 }
 
 // RowVersions names the rows held.
@@ -79,8 +79,8 @@
 	for _, r := range l.rows {
 		out = append(out, RowVersion{Actor: r.Actor, Seq: r.Seq})
 	}
-	if l.mine.Seq > 0 {
-		out = append(out, RowVersion{Actor: l.actor, Seq: l.mine.Seq})
+	if l.ownRow.Seq > 0 {
+		out = append(out, RowVersion{Actor: l.actor, Seq: l.ownRow.Seq})
 	}
 	slices.SortFunc(out, func(a, b RowVersion) int { return strings.Compare(a.Actor, b.Actor) })
 	return out
@@ -97,12 +97,12 @@
 		a, b := ActorIncarnation(r.Actor), ActorIncarnation(m.Actor)
 		return a > b || a == b && r.Seq > m.Seq
 	}
-	if l.mine.Seq > 0 && later(l.mine) {
-		out, bytes = append(out, l.mine), bytes-l.mine.size()
+	if l.ownRow.Seq > 0 && later(l.ownRow) {
+		out, bytes = append(out, l.ownRow), bytes-l.ownRow.encodedSize()
 	}
-	for _, name := range l.rowNames() {
+	for _, name := range l.rowNamesBySeq() {
 		if r := l.rows[name]; later(r) {
-			if bytes -= r.size(); bytes < 0 {
+			if bytes -= r.encodedSize(); bytes < 0 {
 				break
 			}
 			out = append(out, r)
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (l *Map) rowNames() []string {
+func (l *Map) rowNamesBySeq() []string {
 	out := make([]string, 0, len(l.rows))
 	for name := range l.rows {
 		out = append(out, name)
@@ -121,7 +121,7 @@
 	return out
 }
 
-func (v Version) size() int {
+func (v Version) encodedSize() int {
 	n := 4
 	for _, d := range v {
 		n += len(d.Actor) + 8
@@ -129,24 +129,26 @@
 	return n
 }
 
-func (r Row) size() int { return len(r.Actor) + 12 + r.Known.size() + 40*len(r.IncarnationEnds) }
+func (r Row) encodedSize() int {
+	return len(r.Actor) + 12 + r.Known.encodedSize() + 40*len(r.IncarnationEnds)
+}
 
 // MergeRows takes rows in that are later than those held.
 func (l *Map) MergeRows(from string, rows []Row) error {
 	for _, r := range rows {
-		if !soundActor(r.Actor) || r.Seq == 0 || !r.Known.sound() || len(r.IncarnationEnds) > MaxRows {
+		if !isValidActor(r.Actor) || r.Seq == 0 || !r.Known.isValid() || len(r.IncarnationEnds) > MaxRows {
 			return &InvalidDataError{from, "a row that cannot be used"}
 		}
 		name := ActorName(r.Actor)
 		old, ok := l.rows[name]
 		a, b := ActorIncarnation(r.Actor), ActorIncarnation(old.Actor)
-		if name == ActorName(l.actor) || l.over(r.Actor) || ok && (a < b || a == b && r.Seq <= old.Seq) || !ok && len(l.rows) >= MaxRows {
+		if name == ActorName(l.actor) || l.isSuperseded(r.Actor) || ok && (a < b || a == b && r.Seq <= old.Seq) || !ok && len(l.rows) >= MaxRows {
 			continue
 		}
-		r.Actor, r.Known = l.intern(r.Actor), l.own(r.Known)
+		r.Actor, r.Known = l.internActor(r.Actor), l.internVersion(r.Known)
 		l.rows[name] = r
-		delete(l.forgot, name)
-		l.end(name, a)
+		delete(l.forgottenMembers, name)
+		l.noteIncarnationEnd(name, a)
 	}
 	return nil
 }
@@ -154,28 +156,28 @@
 // SetMembers names all instances there are, and those of them that are away for so long that deletes are forgotten without
 // them. Nothing is forgotten before it was called.
 func (l *Map) SetMembers(all, away []string) {
-	l.counting, l.away = append([]string{}, all...), map[string]bool{}
+	l.members, l.absentMembers = append([]string{}, all...), map[string]bool{}
 	for _, n := range away {
-		l.away[n] = true
+		l.absentMembers[n] = true
 	}
 }
 
-// settling are the instances that must have noticed the end of a life before it is settled: all that were ever heard of and
+// instancesToSettle are the instances that must have noticed the end of a life before it is settled: all that were ever heard of and
 // were not forgotten, away or not, since what they hold of that life is nowhere else perhaps.
-func (l *Map) settling() map[string]bool {
+func (l *Map) instancesToSettle() map[string]bool {
 	out := map[string]bool{}
-	for _, n := range l.counting {
+	for _, n := range l.members {
 		out[n] = true
 	}
 	for n := range l.rows {
 		out[n] = true
 	}
 	for _, d := range l.known {
-		if !isMark(d.Actor) {
+		if !isEndMark(d.Actor) {
 			out[ActorName(d.Actor)] = true
 		}
 	}
-	for n := range l.forgot {
+	for n := range l.forgottenMembers {
 		delete(out, n)
 	}
 	delete(out, ActorName(l.actor))
@@ -187,33 +189,33 @@
 func (l *Map) StableVersion() (Version, bool) {
 	for name, r := range l.rows {
 		if r.Known.IsCoveredBy(l.known) {
-			l.reached[name] = r
+			l.coveredRows[name] = r
 		}
 	}
-	if l.counting == nil {
+	if l.members == nil {
 		return nil, false
 	}
 	s := l.known
-	for _, name := range l.counting {
-		if name == ActorName(l.actor) || l.away[name] {
+	for _, name := range l.members {
+		if name == ActorName(l.actor) || l.absentMembers[name] {
 			continue
 		}
-		r, ok := l.reached[name]
+		r, ok := l.coveredRows[name]
 		if !ok || r.Actor != l.rows[name].Actor {
 			return nil, false
 		}
-		s = s.meet(r.Known)
+		s = s.intersect(r.Known)
 	}
 	return s, true
 }
 
-// settleEnds covers, by one mark each, the lives that everyone knows to be over and whose changes are all here.
-func (l *Map) settleEnds() {
-	if len(l.ends) == 0 || l.counting == nil {
+// settleIncarnationEnds covers, by one mark each, the lives that everyone knows to be over and whose changes are all here.
+func (l *Map) settleIncarnationEnds() {
+	if len(l.incarnationEnds) == 0 || l.members == nil {
 		return
 	}
-	all := l.settling()
-	for name, mine := range l.ends {
+	all := l.instancesToSettle()
+	for name, mine := range l.incarnationEnds {
 		before := mine.Before
 		for other := range all {
 			r := l.rows[other]
@@ -228,39 +230,39 @@
 			l.known = l.known.With(Dot{Actor: name + "#", Counter: before})
 		}
 		if l.known.EndedBefore(name) >= mine.Before {
-			delete(l.ends, name)
+			delete(l.incarnationEnds, name)
 		}
 	}
 }
 
 // CollectTombstones forgets tombstones that all instances that count have seen, and tells their names.
 func (l *Map) CollectTombstones() (dropped []string) {
-	l.settleEnds()
+	l.settleIncarnationEnds()
 	stable, ok := l.StableVersion()
-	for _, h := range l.dead {
+	for _, h := range l.deadRecords {
 		if ok && h.CausalContext.IsCoveredBy(stable) || len(h.Siblings) == 0 && h.CausalContext.IsCoveredBy(l.known) {
-			l.set(h, Entry{}, nil)
+			l.replaceRecord(h, Entry{}, nil)
 			dropped = append(dropped, h.Name)
 		}
 	}
-	l.names.Scan(func(_ string, h *held) bool {
+	l.records.Scan(func(_ string, h *record) bool {
 		// Only once all have this state itself: a change that all have seen is not yet one that all know to be superseded.
-		if !ok || len(h.under) == 0 && len(h.CausalContext) <= seenShort || !h.CausalContext.IsCoveredBy(stable) {
+		if !ok || len(h.extraContext) == 0 && len(h.CausalContext) <= compactContextLength || !h.CausalContext.IsCoveredBy(stable) {
 			return true
 		}
-		if len(h.CausalContext) > seenShort {
-			h.CausalContext = h.shortSeen()
+		if len(h.CausalContext) > compactContextLength {
+			h.CausalContext = h.compactContext()
 		}
-		if h.under.IsCoveredBy(l.known) {
-			h.under = nil
+		if h.extraContext.IsCoveredBy(l.known) {
+			h.extraContext = nil
 		}
 		return true
 	})
 	return dropped
 }
 
-// shortSeen is of the Seen what its siblings need.
-func (e Entry) shortSeen() Version {
+// compactContext is of the Seen what its siblings need.
+func (e Entry) compactContext() Version {
 	out := make(Version, 0, len(e.Siblings))
 	for _, d := range e.CausalContext {
 		if slices.ContainsFunc(e.Siblings, func(s Sibling) bool { return s.Dot.Actor == d.Actor }) {
@@ -285,8 +287,8 @@
 	return "Look for a second process with this instance's name and stop one; this one goes on as a new life and keeps its changes."
 }
 
-// struck tells whether a version from outside takes this life as over.
-func (l *Map) struck(from string, known Version) error {
+// checkSuperseded tells whether a version from outside takes this life as over.
+func (l *Map) checkSuperseded(from string, known Version) error {
 	if before := known.EndedBefore(ActorName(l.actor)); before > ActorIncarnation(l.actor) {
 		return &SupersededError{from, before}
 	}
@@ -297,8 +299,8 @@
 // changes of the new one, so that they are kept; they are told.
 func (l *Map) BeginIncarnation(life uint64, peer string) (kept []Entry) {
 	name, old, seen := ActorName(l.actor), l.actor, l.rows[peer].Known
-	l.actor, l.mine, l.ends = FormatActor(name, life), Row{}, map[string]IncarnationEnd{}
-	l.names.Scan(func(_ string, h *held) bool {
+	l.actor, l.ownRow, l.incarnationEnds = FormatActor(name, life), Row{}, map[string]IncarnationEnd{}
+	l.records.Scan(func(_ string, h *record) bool {
 		var siblings []Sibling
 		for i, s := range h.Siblings {
 			if s.Dot.Actor == old && !seen.Covers(s.Dot) {
@@ -318,20 +320,20 @@
 		return true
 	})
 	for _, e := range kept {
-		h, _ := l.names.Get(e.Name)
-		l.set(h, e, h.under)
+		h, _ := l.records.Get(e.Name)
+		l.replaceRecord(h, e, h.extraContext)
 	}
 	return kept
 }
 
 // Restore takes in what a store kept of this instance's copy: entries first, then the Known of the same or an earlier moment.
 func (l *Map) Restore(entries []Entry, known Version) error {
-	if !known.sound() {
+	if !known.isValid() {
 		return &InvalidDataError{"the store", "a version out of order"}
 	}
 	_, err := l.Merge("the store", entries)
 	if err == nil {
-		l.known, l.rebase = l.known.Join(l.own(known)), true
+		l.known, l.baseContextStale = l.known.Join(l.internVersion(known)), true
 	}
 	return err
 }
--- a/cluster/crdt/version.go
+++ b/cluster/crdt/version.go
@@ -47,7 +47,7 @@
 	return slices.BinarySearchFunc(v, actor, func(d Dot, a string) int { return strings.Compare(d.Actor, a) })
 }
 
-func isMark(actor string) bool { return strings.HasSuffix(actor, "#") }
+func isEndMark(actor string) bool { return strings.HasSuffix(actor, "#") }
 
 // EndedBefore is the life before which all lives of an instance are covered, 0 for none.
 func (v Version) EndedBefore(name string) uint64 {
@@ -64,7 +64,7 @@
 		return v[i].Counter
 	}
 	// The mark lies before the lives of its instance, so that it is near.
-	if len(v) == 0 || isMark(actor) {
+	if len(v) == 0 || isEndMark(actor) {
 		return 0
 	}
 	if j, ok := v[:i].find(actor[:strings.LastIndexByte(actor, '#')+1]); ok && ActorIncarnation(actor) < v[j].Counter {
@@ -87,24 +87,24 @@
 	} else {
 		v = slices.Insert(v, i, d)
 	}
-	if isMark(d.Actor) {
-		v = v.short()
+	if isEndMark(d.Actor) {
+		v = v.dropEnded()
 	}
 	return v
 }
 
-// short leaves out the lives that a mark covers; v is changed.
-func (v Version) short() Version {
+// dropEnded leaves out the lives that a mark covers; v is changed.
+func (v Version) dropEnded() Version {
 	marks := false
 	for _, d := range v {
-		marks = marks || isMark(d.Actor)
+		marks = marks || isEndMark(d.Actor)
 	}
 	if !marks {
 		return v
 	}
 	old := slices.Clone(v)
 	return slices.DeleteFunc(v, func(d Dot) bool {
-		return !isMark(d.Actor) && ActorIncarnation(d.Actor) < old.EndedBefore(ActorName(d.Actor))
+		return !isEndMark(d.Actor) && ActorIncarnation(d.Actor) < old.EndedBefore(ActorName(d.Actor))
 	})
 }
 
@@ -139,11 +139,11 @@
 			out, v, o = append(out, d), v[1:], o[1:]
 		}
 	}
-	return append(append(out, v...), o...).short()
+	return append(append(out, v...), o...).dropEnded()
 }
 
-// meet is what both have seen.
-func (v Version) meet(o Version) Version {
+// intersect is what both have seen.
+func (v Version) intersect(o Version) Version {
 	var out Version
 	for _, d := range v {
 		if d.Counter = min(d.Counter, o.LastCounter(d.Actor)); d.Counter > 0 {
@@ -155,11 +155,11 @@
 			out = out.With(d)
 		}
 	}
-	return out.short()
+	return out.dropEnded()
 }
 
-// beyond is what of v the other has not seen, as v says it.
-func (v Version) beyond(o Version) (rest Version) {
+// subtract is what of v the other has not seen, as v says it.
+func (v Version) subtract(o Version) (rest Version) {
 	for _, d := range v {
 		if !o.Covers(d) {
 			rest = append(rest, d)
@@ -168,10 +168,10 @@
 	return rest
 }
 
-// sound tells whether a version from outside can be used.
-func (v Version) sound() bool {
+// isValid tells whether a version from outside can be used.
+func (v Version) isValid() bool {
 	for i, d := range v {
-		if d.Counter == 0 || !isMark(d.Actor) && !soundActor(d.Actor) || len(d.Actor) < 2 || len(d.Actor) > MaxActorBytes ||
+		if d.Counter == 0 || !isEndMark(d.Actor) && !isValidActor(d.Actor) || len(d.Actor) < 2 || len(d.Actor) > MaxActorBytes ||
 			i > 0 && v[i-1].Actor >= d.Actor {
 			return false
 		}
@@ -179,6 +179,6 @@
 	return true
 }
 
-func soundActor(a string) bool {
+func isValidActor(a string) bool {
 	return ActorName(a) != "" && len(a) <= MaxActorBytes && ActorIncarnation(a) > 0
 }
--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// goldenLedger is a copy with a plain entry, a tombstone, concurrent siblings and a row of another instance.
-func goldenLedger(t *testing.T) *Map {
+// goldenMap is a copy with a plain entry, a tombstone, concurrent siblings and a row of another instance.
+func goldenMap(t *testing.T) *Map {
 	l := NewMap("gateway-1#7")
 	_, err := l.Put("plan/a", []byte{0, 1, 0xff})
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 }
 
 // Entries, versions, batches and rows: in messages and, for entries and versions, in the store.
-func TestGoldenLedgerRecords(t *testing.T) {
+func TestGoldenRecords(t *testing.T) {
 	first, second := Dot{Actor: "gateway-1#7", Counter: 3}, Dot{Actor: "gateway-2#9", Counter: 1 << 40}
 	version := Version{{Actor: "gateway-0#", Counter: 12}, first, second}
 	entry := Entry{Name: "plan/a", Siblings: []Sibling{{Dot: first, Value: []byte{0, 1, 0xff}}, {Dot: second, Deleted: true}}, CausalContext: version}
@@ -50,8 +50,8 @@
 		ExtraContexts: []Version{{second}}, ContextIndexes: []uint16{1, 0},
 	}
 	row := Row{Actor: "gateway-1#7", Seq: 4, Known: version, IncarnationEnds: []IncarnationEnd{{Name: "gateway-2", Before: 9, NotedAt: 2}}}
-	held, _ := goldenLedger(t).Get("plan/a")
-	deleted, _ := goldenLedger(t).Get("plan/b")
+	held, _ := goldenMap(t).Get("plan/a")
+	deleted, _ := goldenMap(t).Get("plan/b")
 	requireGolden(t, "records.golden", []goldenForm{
 		cborForm("dot", second, second),
 		cborForm("version", version, version),
@@ -100,7 +100,7 @@
 	exchange := asker.NewExchange("gateway-1", 17)
 	firstAsk, ok := exchange.NextRequest()
 	require.True(t, ok)
-	holder := goldenLedger(t)
+	holder := goldenMap(t)
 	firstAnswer, err := holder.HandleRequest("gateway-3", firstAsk)
 	require.NoError(t, err)
 	bucket := BucketDigest{Index: bucketOf("plan/a"), EntryDigests: []uint64{99}}
@@ -122,7 +122,7 @@
 }
 
 // An exchange that answers of an earlier build bring to its end.
-func TestGoldenExchangeIsTakenIn(t *testing.T) {
+func TestGoldenExchangeIsApplied(t *testing.T) {
 	golden := readGolden(t, "testdata/exchange.golden")
 	l := NewMap("gateway-3#4")
 	exchange := l.NewExchange("gateway-1", 17)
@@ -133,7 +133,7 @@
 	_, _, err := exchange.ApplyResponse(answer)
 	require.NoError(t, err)
 	require.Equal(t, uint64(5), l.rows["gateway-1"].Known.LastCounter("gateway-1#7"), "the row of the answering instance")
-	holder := goldenLedger(t)
+	holder := goldenMap(t)
 	for ask, more := exchange.NextRequest(); more; ask, more = exchange.NextRequest() {
 		answer, err := holder.HandleRequest("gateway-3", ask)
 		require.NoError(t, err)
@@ -145,7 +145,7 @@
 
 // Digests are compared between instances of different builds.
 func TestGoldenDigests(t *testing.T) {
-	l := goldenLedger(t)
+	l := goldenMap(t)
 	digest := func(name string, value, want uint64) goldenForm {
 		return goldenForm{
 			name, func() ([]byte, error) { return binary.BigEndian.AppendUint64(nil, value), nil },
@@ -156,11 +156,11 @@
 	tombstone, _ := l.Get("plan/b")
 	bucket := bucketOf("plan/a")
 	requireGolden(t, "digests.golden", []goldenForm{
-		digest("entry-siblings", siblings.sum(), l.Digest(TreeNode{Level: 3, Index: bucket})),
-		digest("entry-tombstone", tombstone.sum(), l.Digest(TreeNode{Level: 3, Index: bucketOf("plan/b")})),
-		digest("root", l.Digest(TreeNode{}), siblings.sum()+tombstone.sum()),
-		digest("level-1", l.Digest(TreeNode{Level: 1, Index: bucket >> 10}), siblings.sum()),
-		digest("level-2", l.Digest(TreeNode{Level: 2, Index: bucket >> 4}), siblings.sum()),
+		digest("entry-siblings", siblings.computeDigest(), l.Digest(TreeNode{Level: 3, Index: bucket})),
+		digest("entry-tombstone", tombstone.computeDigest(), l.Digest(TreeNode{Level: 3, Index: bucketOf("plan/b")})),
+		digest("root", l.Digest(TreeNode{}), siblings.computeDigest()+tombstone.computeDigest()),
+		digest("level-1", l.Digest(TreeNode{Level: 1, Index: bucket >> 10}), siblings.computeDigest()),
+		digest("level-2", l.Digest(TreeNode{Level: 2, Index: bucket >> 4}), siblings.computeDigest()),
 		digest("bucket-of-name", uint64(bucket), uint64(bucket)),
 	})
 	require.Len(t, TreeNode{}.Children(), 64)
@@ -169,9 +169,9 @@
 }
 
 // Limits that a receiver checks: an instance of another build is refused beyond them.
-func TestGoldenLedgerLimits(t *testing.T) {
-	require.Equal(t, []int{3, 1 << 16}, []int{DigestTreeDepth, buckets})
+func TestGoldenLimits(t *testing.T) {
+	require.Equal(t, []int{3, 1 << 16}, []int{DigestTreeDepth, bucketCount})
 	require.Equal(t, []int{100_000, 50_000, 200_000, 8 << 10, 512, 280, 96 << 20, 64},
 		[]int{MaxEntries, MaxTombstones, MaxNames, MaxValueBytes, MaxNameBytes, MaxActorBytes, MaxTotalBytes, MaxSiblings})
-	require.Equal(t, []int{48 << 10, 80, 400, 4096, 64}, []int{TargetMessageBytes, nodesMost, wantsMost, MaxRows, undersMost})
+	require.Equal(t, []int{48 << 10, 80, 400, 4096, 64}, []int{TargetMessageBytes, maxNodesPerRequest, maxBucketsPerRequest, MaxRows, maxExtraContexts})
 }
