--- /dev/null
+++ b/cluster/crdt/dot.go
@@ -0,0 +1,54 @@
+package crdt
+
+import (
+	"cmp"
+	"strconv"
+	"strings"
+)
+
+// Dot identifies one change: the Counter-th of an actor. An actor is one incarnation of one instance, so an instance that
+// returns with an older disk is another actor and never issues a dot twice.
+type Dot struct {
+	_       struct{} `cbor:",toarray"`
+	Actor   string   // instance name, '#', incarnation
+	Counter uint64   // from 1 on
+}
+
+func (d Dot) compare(other Dot) int {
+	if c := cmp.Compare(d.Actor, other.Actor); c != 0 {
+		return c
+	}
+	return cmp.Compare(d.Counter, other.Counter)
+}
+
+// incarnationSeparator stands between the instance's name and the incarnation in an actor. A name may contain it too: the
+// last one counts.
+const incarnationSeparator = '#'
+
+// FormatActor returns the actor of one incarnation of an instance.
+func FormatActor(name string, incarnation uint64) string {
+	return name + string(incarnationSeparator) + strconv.FormatUint(incarnation, 10)
+}
+
+// ActorName returns the instance name of an actor.
+func ActorName(actor string) string {
+	return actor[:max(0, strings.LastIndexByte(actor, incarnationSeparator))]
+}
+
+// ActorIncarnation returns the incarnation of an actor, 0 if it has none. A later incarnation has a greater number.
+func ActorIncarnation(actor string) uint64 {
+	incarnation, err := strconv.ParseUint(actor[strings.LastIndexByte(actor, incarnationSeparator)+1:], 10, 64)
+	if err != nil {
+		return 0
+	}
+	return incarnation
+}
+
+func isValidActor(actor string) bool {
+	return ActorName(actor) != "" && len(actor) <= MaxActorBytes && ActorIncarnation(actor) > 0
+}
+
+// endMark returns the actor that stands, in a Version, for all incarnations of an instance before the dot's counter.
+func endMark(name string) string { return name + string(incarnationSeparator) }
+
+func isEndMark(actor string) bool { return strings.HasSuffix(actor, string(incarnationSeparator)) }
--- /dev/null
+++ b/cluster/crdt/incarnation.go
@@ -0,0 +1,138 @@
+package crdt
+
+import "slices"
+
+// IncarnationEnd says that an instance noted the end of all incarnations of another one before Before. It takes nothing
+// from them any more, and all it ever took from them is part of its state at its own change NotedAt.
+type IncarnationEnd struct {
+	_               struct{} `cbor:",toarray"`
+	Name            string
+	Before, NotedAt uint64
+}
+
+// isSuperseded reports whether a later incarnation of the actor's instance is known.
+func (m *Map) isSuperseded(actor string) bool {
+	name, incarnation := ActorName(actor), ActorIncarnation(actor)
+	return incarnation > 0 && (incarnation < m.incarnationEnds[name].Before || incarnation < m.known.EndedBefore(name))
+}
+
+// checkSuperseded returns a SupersededError if a version from outside has an end mark for this incarnation.
+func (m *Map) checkSuperseded(from string, known Version) error {
+	if before := known.EndedBefore(ActorName(m.actor)); before > ActorIncarnation(m.actor) {
+		return &SupersededError{From: from, EndedBefore: before}
+	}
+	return nil
+}
+
+// noteIncarnationEnd notes, by a change of this replica, that the incarnations of an instance before one have ended.
+func (m *Map) noteIncarnationEnd(name string, before uint64) {
+	if m.incarnationEnds[name].Before >= before || m.known.EndedBefore(name) >= before {
+		return
+	}
+	m.known = m.known.With(m.nextDot())
+	m.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, NotedAt: m.known.LastCounter(m.actor)}
+}
+
+// settleIncarnationEnds replaces, in the known version, ended incarnations by an end mark, once every instance has noted
+// their end and all that it took from them is here.
+func (m *Map) settleIncarnationEnds() {
+	if len(m.incarnationEnds) == 0 || m.members == nil {
+		return
+	}
+	others := m.instancesToSettle()
+	for name, own := range m.incarnationEnds {
+		before := own.Before
+		for other := range others {
+			end, ok := m.notedEnd(other, name)
+			if !ok {
+				before = 0
+				break
+			}
+			before = min(before, end.Before)
+		}
+		if before > m.known.EndedBefore(name) {
+			m.known = m.known.With(Dot{Actor: endMark(name), Counter: before})
+		}
+		if m.known.EndedBefore(name) >= own.Before {
+			delete(m.incarnationEnds, name)
+		}
+	}
+}
+
+// notedEnd returns the end of an instance's incarnations that another instance noted, if what that one took from them is
+// part of the state here. If it has settled the end already, the mark comes with the next exchange.
+func (m *Map) notedEnd(notedBy, name string) (IncarnationEnd, bool) {
+	row := m.rows[notedBy]
+	i := slices.IndexFunc(row.IncarnationEnds, func(end IncarnationEnd) bool { return end.Name == name })
+	if i < 0 {
+		return IncarnationEnd{}, false
+	}
+	end := row.IncarnationEnds[i]
+	return end, m.known.Covers(Dot{Actor: row.Actor, Counter: end.NotedAt})
+}
+
+// instancesToSettle returns the other instances that must have noted the end of an incarnation before it is settled: all
+// that were ever heard of and were not forgotten, absent or not, since they may hold changes of it that no one else has.
+func (m *Map) instancesToSettle() map[string]bool {
+	names := map[string]bool{}
+	for _, name := range m.members {
+		names[name] = true
+	}
+	for name := range m.rows {
+		names[name] = true
+	}
+	for _, dot := range m.known {
+		if !isEndMark(dot.Actor) {
+			names[ActorName(dot.Actor)] = true
+		}
+	}
+	for name := range m.forgottenNames {
+		delete(names, name)
+	}
+	delete(names, ActorName(m.actor))
+	return names
+}
+
+// BeginIncarnation goes on as a new incarnation. The changes of the present one that the peer has not seen, by its row
+// here, are made again as changes of the new one, so that they are kept; their entries are returned. An empty peer has seen
+// none.
+func (m *Map) BeginIncarnation(incarnation uint64, peer string) (kept []Entry) {
+	previous, peerKnown := m.actor, m.rows[peer].Known
+	m.actor = FormatActor(ActorName(previous), incarnation)
+	m.ownRow, m.incarnationEnds = Row{}, map[string]IncarnationEnd{}
+	m.records.Scan(func(_ string, held *record) bool {
+		if entry, reissued := m.reissueChanges(held.Entry, previous, peerKnown); reissued {
+			kept = append(kept, entry)
+		}
+		return true
+	})
+	for _, entry := range kept {
+		held, _ := m.records.Get(entry.Name)
+		m.replaceRecord(held, entry, held.extraContext)
+	}
+	return kept
+}
+
+// reissueChanges gives new dots of this actor to an entry's siblings with dots of the previous one that peerKnown does not
+// cover, and reports whether there are any.
+func (m *Map) reissueChanges(entry Entry, previous string, peerKnown Version) (Entry, bool) {
+	var siblings []Sibling
+	for i, sibling := range entry.Siblings {
+		if sibling.Dot.Actor != previous || peerKnown.Covers(sibling.Dot) {
+			continue
+		}
+		if siblings == nil {
+			siblings = slices.Clone(entry.Siblings)
+		}
+		dot := m.nextDot()
+		siblings[i].Dot = dot
+		m.known = m.known.With(dot)
+		entry.CausalContext = entry.CausalContext.With(dot)
+	}
+	if siblings == nil {
+		return entry, false
+	}
+	slices.SortFunc(siblings, func(a, b Sibling) int { return a.Dot.compare(b.Dot) })
+	entry.Siblings = siblings
+	return entry, true
+}
--- /dev/null
+++ b/cluster/crdt/stability.go
@@ -0,0 +1,87 @@
+package crdt
+
+// compactContextLength is the number of dots in a causal context from which on it is reduced to its siblings' actors, once
+// the state is causally stable. A shorter one costs less than the reduction saves.
+const compactContextLength = 3
+
+// SetMembers sets the names of all instances, and of those among them that are absent for so long that tombstones are
+// collected without them. No tombstone is collected before the first call.
+func (m *Map) SetMembers(members, absent []string) {
+	m.members, m.absentMembers = append([]string{}, members...), map[string]bool{}
+	for _, name := range absent {
+		m.absentMembers[name] = true
+	}
+}
+
+// ForgetInstance stops waiting for an instance that will not come back. What it sent to anyone stays. If it does come back,
+// its next row makes it count again; of incarnations that were settled meanwhile it may hold changes that no one takes.
+func (m *Map) ForgetInstance(name string) {
+	delete(m.rows, name)
+	delete(m.coveredRows, name)
+	m.forgottenNames[name] = true
+}
+
+// StableVersion returns the causally stable version, which all members that are not absent have seen, and whether there is
+// one. Only rows whose whole known version is covered here count: what a member wrote before it saw a delete is then held
+// here, beside the tombstone.
+func (m *Map) StableVersion() (Version, bool) {
+	for name, row := range m.rows {
+		if row.Known.IsCoveredBy(m.known) {
+			m.coveredRows[name] = row
+		}
+	}
+	if m.members == nil {
+		return nil, false
+	}
+	stable := m.known
+	for _, name := range m.members {
+		if name == ActorName(m.actor) || m.absentMembers[name] {
+			continue
+		}
+		row, ok := m.coveredRows[name]
+		if !ok || row.Actor != m.rows[name].Actor {
+			return nil, false
+		}
+		stable = stable.intersect(row.Known)
+	}
+	return stable, true
+}
+
+// CollectTombstones drops the causally stable tombstones and returns their names. It also reduces the causal contexts of
+// stable entries.
+func (m *Map) CollectTombstones() (dropped []string) {
+	m.settleIncarnationEnds()
+	stable, hasStable := m.StableVersion()
+	for _, dead := range m.deadRecords {
+		isStable := hasStable && dead.CausalContext.IsCoveredBy(stable)
+		saysNothing := len(dead.Siblings) == 0 && dead.CausalContext.IsCoveredBy(m.known)
+		if isStable || saysNothing {
+			m.replaceRecord(dead, Entry{}, nil)
+			dropped = append(dropped, dead.Name)
+		}
+	}
+	if !hasStable {
+		return dropped
+	}
+	m.records.Scan(func(_ string, held *record) bool {
+		if len(held.extraContext) > 0 || len(held.CausalContext) > compactContextLength {
+			m.compactRecord(held, stable)
+		}
+		return true
+	})
+	return dropped
+}
+
+// compactRecord reduces the contexts of a record whose whole state is stable. It is not enough that all members have seen
+// a change: they must also know that it was superseded.
+func (m *Map) compactRecord(held *record, stable Version) {
+	if !held.CausalContext.IsCoveredBy(stable) {
+		return
+	}
+	if len(held.CausalContext) > compactContextLength {
+		held.CausalContext = held.compactContext()
+	}
+	if held.extraContext.IsCoveredBy(m.known) {
+		held.extraContext = nil
+	}
+}
