--- a/cluster/crdt/rows.go
+++ b/cluster/crdt/rows.go
@@ -6,25 +6,17 @@
 	"strings"
 )
 
-// Row is what one life of an instance says of itself: how far its state reaches. Rows travel with exchanges; from all of
-// them together each instance knows by itself which deletes everyone has seen.
+// Row is one replica's row of the matrix clock: what an incarnation of an instance says of itself. Rows travel with the
+// exchanges; from all rows together each instance works out by itself which deletes everyone has seen.
 type Row struct {
 	_               struct{} `cbor:",toarray"`
 	Actor           string
-	Seq             uint64 // a later row of the same life has a greater one
-	Known           Version
-	IncarnationEnds []IncarnationEnd // lives whose end was noticed and is not yet settled
+	Seq             uint64           // greater in a later row of the same incarnation
+	Known           Version          // the known version
+	IncarnationEnds []IncarnationEnd // those noted and not yet settled
 }
 
-// IncarnationEnd says that an instance noticed the end of all lives of another before one: it takes nothing from them any more, and
-// all it ever took from them is part of its state at its own change At.
-type IncarnationEnd struct {
-	_               struct{} `cbor:",toarray"`
-	Name            string
-	Before, NotedAt uint64
-}
-
-// RowVersion names a row that is held, so that only later ones are sent.
+// RowVersion names a row that is held, so that a peer sends later ones only.
 type RowVersion struct {
 	_     struct{} `cbor:",toarray"`
 	Actor string
@@ -32,306 +24,112 @@
 }
 
 const (
-	MaxRows   = 4096 // instances whose rows are held
-	seenShort = 3    // actors in an entry's Seen over which those of no sibling are left out once all have the state
+	rowOverheadBytes    = 12 // about the bytes of an encoded row beside its actor and lists
+	incarnationEndBytes = 40 // and of an incarnation end in it
 )
 
-// NextRow is a new row of this instance.
-func (l *Map) NextRow() Row {
-	if l.mine.Seq == 0 {
-		l.end(ActorName(l.actor), ActorIncarnation(l.actor))
-	}
-	r := Row{Actor: l.actor, Seq: l.mine.Seq + 1, Known: l.known}
-	for _, e := range l.ends {
-		r.IncarnationEnds = append(r.IncarnationEnds, e)
-	}
-	slices.SortFunc(r.IncarnationEnds, func(a, b IncarnationEnd) int { return strings.Compare(a.Name, b.Name) })
-	l.mine = r
-	return r
+// encodedSize estimates the bytes of a row in a message.
+func (r Row) encodedSize() int {
+	return len(r.Actor) + rowOverheadBytes + r.Known.encodedSize() + incarnationEndBytes*len(r.IncarnationEnds)
 }
 
-// end notes that the lives of name before one are over.
-func (l *Map) end(name string, before uint64) {
-	if l.ends[name].Before >= before || l.known.EndedBefore(name) >= before {
-		return
-	}
-	l.known = l.known.With(Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor) + 1})
-	l.ends[name] = IncarnationEnd{Name: name, Before: before, NotedAt: l.known.LastCounter(l.actor)}
-}
-
-// over tells whether a later life of the same instance is known.
-func (l *Map) over(actor string) bool {
-	name, life := ActorName(actor), ActorIncarnation(actor)
-	return life > 0 && (life < l.ends[name].Before || life < l.known.EndedBefore(name))
+// isValid reports whether a row from outside can be used.
+func (r Row) isValid() bool {
+	return isValidActor(r.Actor) && r.Seq > 0 && r.Known.isValid() && len(r.IncarnationEnds) <= MaxRows
 }
 
-// ForgetInstance stops waiting for an instance that will not come back. What it told someone stays. One that comes back all the same
-// is heard again from its next row on; of others' ended lives it may then hold changes that are no longer taken.
-func (l *Map) ForgetInstance(name string) {
-	delete(l.rows, name)
-	delete(l.reached, name)
-	l.forgot[name] = true
+// isLaterThan compares rows of one instance: by incarnation, then by sequence number.
+func (r Row) isLaterThan(other RowVersion) bool {
+	incarnation, otherIncarnation := ActorIncarnation(r.Actor), ActorIncarnation(other.Actor)
+	return incarnation > otherIncarnation || incarnation == otherIncarnation && r.Seq > other.Seq
 }
 
-// RowVersions names the rows held.
-func (l *Map) RowVersions() []RowVersion {
-	out := make([]RowVersion, 0, len(l.rows)+1)
-	for _, r := range l.rows {
-		out = append(out, RowVersion{Actor: r.Actor, Seq: r.Seq})
-	}
-	if l.mine.Seq > 0 {
-		out = append(out, RowVersion{Actor: l.actor, Seq: l.mine.Seq})
-	}
-	slices.SortFunc(out, func(a, b RowVersion) int { return strings.Compare(a.Actor, b.Actor) })
-	return out
-}
+func (r Row) version() RowVersion { return RowVersion{Actor: r.Actor, Seq: r.Seq} }
 
-// RowsSince are rows that are later than marks, of up to about so many bytes.
-func (l *Map) RowsSince(marks []RowVersion, bytes int) (out []Row) {
-	held := make(map[string]RowVersion, len(marks))
-	for _, m := range marks {
-		held[ActorName(m.Actor)] = m
-	}
-	later := func(r Row) bool {
-		m := held[ActorName(r.Actor)]
-		a, b := ActorIncarnation(r.Actor), ActorIncarnation(m.Actor)
-		return a > b || a == b && r.Seq > m.Seq
+// NextRow makes and returns a new row of this replica.
+func (m *Map) NextRow() Row {
+	if m.ownRow.Seq == 0 {
+		m.noteIncarnationEnd(ActorName(m.actor), ActorIncarnation(m.actor))
 	}
-	if l.mine.Seq > 0 && later(l.mine) {
-		out, bytes = append(out, l.mine), bytes-l.mine.size()
-	}
-	for _, name := range l.rowNames() {
-		if r := l.rows[name]; later(r) {
-			if bytes -= r.size(); bytes < 0 {
-				break
-			}
-			out = append(out, r)
-		}
+	row := Row{Actor: m.actor, Seq: m.ownRow.Seq + 1, Known: m.known}
+	for _, end := range m.incarnationEnds {
+		row.IncarnationEnds = append(row.IncarnationEnds, end)
 	}
-	return out
+	slices.SortFunc(row.IncarnationEnds, func(a, b IncarnationEnd) int { return strings.Compare(a.Name, b.Name) })
+	m.ownRow = row
+	return row
 }
 
-func (l *Map) rowNames() []string {
-	out := make([]string, 0, len(l.rows))
-	for name := range l.rows {
-		out = append(out, name)
+// RowVersions names the rows held, the own one included, sorted by actor.
+func (m *Map) RowVersions() []RowVersion {
+	versions := make([]RowVersion, 0, len(m.rows)+1)
+	for _, row := range m.rows {
+		versions = append(versions, row.version())
 	}
-	// Begins elsewhere each time, so that a partner with little room gets all of them in the end.
-	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(l.rows[a].Seq, l.rows[b].Seq), strings.Compare(a, b)) })
-	return out
-}
-
-func (v Version) size() int {
-	n := 4
-	for _, d := range v {
-		n += len(d.Actor) + 8
+	if m.ownRow.Seq > 0 {
+		versions = append(versions, m.ownRow.version())
 	}
-	return n
+	slices.SortFunc(versions, func(a, b RowVersion) int { return strings.Compare(a.Actor, b.Actor) })
+	return versions
 }
 
-func (r Row) size() int { return len(r.Actor) + 12 + r.Known.size() + 40*len(r.IncarnationEnds) }
-
-// MergeRows takes rows in that are later than those held.
-func (l *Map) MergeRows(from string, rows []Row) error {
-	for _, r := range rows {
-		if !soundActor(r.Actor) || r.Seq == 0 || !r.Known.sound() || len(r.IncarnationEnds) > MaxRows {
-			return &InvalidDataError{from, "a row that cannot be used"}
-		}
-		name := ActorName(r.Actor)
-		old, ok := l.rows[name]
-		a, b := ActorIncarnation(r.Actor), ActorIncarnation(old.Actor)
-		if name == ActorName(l.actor) || l.over(r.Actor) || ok && (a < b || a == b && r.Seq <= old.Seq) || !ok && len(l.rows) >= MaxRows {
-			continue
-		}
-		r.Actor, r.Known = l.intern(r.Actor), l.own(r.Known)
-		l.rows[name] = r
-		delete(l.forgot, name)
-		l.end(name, a)
-	}
-	return nil
-}
-
-// SetMembers names all instances there are, and those of them that are away for so long that deletes are forgotten without
-// them. Nothing is forgotten before it was called.
-func (l *Map) SetMembers(all, away []string) {
-	l.counting, l.away = append([]string{}, all...), map[string]bool{}
-	for _, n := range away {
-		l.away[n] = true
-	}
-}
-
-// settling are the instances that must have noticed the end of a life before it is settled: all that were ever heard of and
-// were not forgotten, away or not, since what they hold of that life is nowhere else perhaps.
-func (l *Map) settling() map[string]bool {
-	out := map[string]bool{}
-	for _, n := range l.counting {
-		out[n] = true
-	}
-	for n := range l.rows {
-		out[n] = true
-	}
-	for _, d := range l.known {
-		if !isMark(d.Actor) {
-			out[ActorName(d.Actor)] = true
-		}
-	}
-	for n := range l.forgot {
-		delete(out, n)
-	}
-	delete(out, ActorName(l.actor))
-	return out
-}
-
-// StableVersion is what all instances that count have seen, by rows of theirs whose whole state is part of the one here: so that
-// what any of them wrote before it saw a delete is here, beside the tombstone.
-func (l *Map) StableVersion() (Version, bool) {
-	for name, r := range l.rows {
-		if r.Known.IsCoveredBy(l.known) {
-			l.reached[name] = r
-		}
+// RowsSince returns the rows that are later than those a peer has, the own one first, of about so many bytes in all.
+func (m *Map) RowsSince(peerRows []RowVersion, maxBytes int) (rows []Row) {
+	peerHas := make(map[string]RowVersion, len(peerRows))
+	for _, version := range peerRows {
+		peerHas[ActorName(version.Actor)] = version
 	}
-	if l.counting == nil {
-		return nil, false
+	isNews := func(row Row) bool { return row.isLaterThan(peerHas[ActorName(row.Actor)]) }
+	room := maxBytes
+	if m.ownRow.Seq > 0 && isNews(m.ownRow) {
+		rows, room = append(rows, m.ownRow), room-m.ownRow.encodedSize()
 	}
-	s := l.known
-	for _, name := range l.counting {
-		if name == ActorName(l.actor) || l.away[name] {
+	for _, name := range m.rowNamesBySeq() {
+		row := m.rows[name]
+		if !isNews(row) {
 			continue
 		}
-		r, ok := l.reached[name]
-		if !ok || r.Actor != l.rows[name].Actor {
-			return nil, false
+		if room -= row.encodedSize(); room < 0 {
+			break
 		}
-		s = s.meet(r.Known)
+		rows = append(rows, row)
 	}
-	return s, true
+	return rows
 }
 
-// settleEnds covers, by one mark each, the lives that everyone knows to be over and whose changes are all here.
-func (l *Map) settleEnds() {
-	if len(l.ends) == 0 || l.counting == nil {
-		return
+// rowNamesBySeq returns the instances whose rows are held. The order changes as rows are replaced, so that over several
+// exchanges a peer gets all of them when they do not fit one message.
+func (m *Map) rowNamesBySeq() []string {
+	names := make([]string, 0, len(m.rows))
+	for name := range m.rows {
+		names = append(names, name)
 	}
-	all := l.settling()
-	for name, mine := range l.ends {
-		before := mine.Before
-		for other := range all {
-			r := l.rows[other]
-			i := slices.IndexFunc(r.IncarnationEnds, func(e IncarnationEnd) bool { return e.Name == name })
-			if i < 0 || !l.known.Covers(Dot{Actor: r.Actor, Counter: r.IncarnationEnds[i].NotedAt}) {
-				before = 0 // not noticed there, or settled there: the mark comes with the next exchange
-				break
-			}
-			before = min(before, r.IncarnationEnds[i].Before)
-		}
-		if before > l.known.EndedBefore(name) {
-			l.known = l.known.With(Dot{Actor: name + "#", Counter: before})
-		}
-		if l.known.EndedBefore(name) >= mine.Before {
-			delete(l.ends, name)
-		}
-	}
-}
-
-// CollectTombstones forgets tombstones that all instances that count have seen, and tells their names.
-func (l *Map) CollectTombstones() (dropped []string) {
-	l.settleEnds()
-	stable, ok := l.StableVersion()
-	for _, h := range l.dead {
-		if ok && h.CausalContext.IsCoveredBy(stable) || len(h.Siblings) == 0 && h.CausalContext.IsCoveredBy(l.known) {
-			l.set(h, Entry{}, nil)
-			dropped = append(dropped, h.Name)
-		}
-	}
-	l.names.Scan(func(_ string, h *held) bool {
-		// Only once all have this state itself: a change that all have seen is not yet one that all know to be superseded.
-		if !ok || len(h.under) == 0 && len(h.CausalContext) <= seenShort || !h.CausalContext.IsCoveredBy(stable) {
-			return true
-		}
-		if len(h.CausalContext) > seenShort {
-			h.CausalContext = h.shortSeen()
-		}
-		if h.under.IsCoveredBy(l.known) {
-			h.under = nil
-		}
-		return true
+	slices.SortFunc(names, func(a, b string) int {
+		return cmp.Or(cmp.Compare(m.rows[a].Seq, m.rows[b].Seq), strings.Compare(a, b))
 	})
-	return dropped
-}
-
-// shortSeen is of the Seen what its siblings need.
-func (e Entry) shortSeen() Version {
-	out := make(Version, 0, len(e.Siblings))
-	for _, d := range e.CausalContext {
-		if slices.ContainsFunc(e.Siblings, func(s Sibling) bool { return s.Dot.Actor == d.Actor }) {
-			out = append(out, d)
-		}
-	}
-	return out
-}
-
-// SupersededError says that others took this life as over, since a later one with the same name came.
-type SupersededError struct {
-	From        string
-	EndedBefore uint64 // lives before this one are over
+	return names
 }
 
-func (e *SupersededError) Error() string {
-	return "ledger: " + e.From + " takes this life of the instance as over"
-}
-
-// Advice says what an operator can do.
-func (e *SupersededError) Advice() string {
-	return "Look for a second process with this instance's name and stop one; this one goes on as a new life and keeps its changes."
-}
-
-// struck tells whether a version from outside takes this life as over.
-func (l *Map) struck(from string, known Version) error {
-	if before := known.EndedBefore(ActorName(l.actor)); before > ActorIncarnation(l.actor) {
-		return &SupersededError{from, before}
-	}
-	return nil
-}
-
-// BeginIncarnation goes on as a new life. Changes of this life that peer, by what is known of it here, has not seen are made again as
-// changes of the new one, so that they are kept; they are told.
-func (l *Map) BeginIncarnation(life uint64, peer string) (kept []Entry) {
-	name, old, seen := ActorName(l.actor), l.actor, l.rows[peer].Known
-	l.actor, l.mine, l.ends = FormatActor(name, life), Row{}, map[string]IncarnationEnd{}
-	l.names.Scan(func(_ string, h *held) bool {
-		var siblings []Sibling
-		for i, s := range h.Siblings {
-			if s.Dot.Actor == old && !seen.Covers(s.Dot) {
-				if siblings == nil {
-					siblings = slices.Clone(h.Siblings)
-				}
-				siblings[i].Dot = Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor) + 1}
-				l.known = l.known.With(siblings[i].Dot)
-			}
+// MergeRows takes in the rows that are later than those held. It stops at the first invalid one.
+func (m *Map) MergeRows(from string, rows []Row) error {
+	for _, row := range rows {
+		if !row.isValid() {
+			return &InvalidDataError{From: from, Reason: "a row that cannot be used"}
 		}
-		if siblings != nil {
-			e := h.Entry
-			slices.SortFunc(siblings, func(a, b Sibling) int { return a.Dot.compare(b.Dot) })
-			e.Siblings, e.CausalContext = siblings, e.CausalContext.With(Dot{Actor: l.actor, Counter: l.known.LastCounter(l.actor)})
-			kept = append(kept, e)
+		name := ActorName(row.Actor)
+		held, isHeld := m.rows[name]
+		switch {
+		case name == ActorName(m.actor) || m.isSuperseded(row.Actor):
+			continue
+		case isHeld && !row.isLaterThan(held.version()):
+			continue
+		case !isHeld && len(m.rows) >= MaxRows:
+			continue
 		}
-		return true
-	})
-	for _, e := range kept {
-		h, _ := l.names.Get(e.Name)
-		l.set(h, e, h.under)
-	}
-	return kept
-}
-
-// Restore takes in what a store kept of this instance's copy: entries first, then the Known of the same or an earlier moment.
-func (l *Map) Restore(entries []Entry, known Version) error {
-	if !known.sound() {
-		return &InvalidDataError{"the store", "a version out of order"}
+		row.Actor, row.Known = m.internActor(row.Actor), m.internVersion(row.Known)
+		m.rows[name] = row
+		delete(m.forgottenNames, name)
+		m.noteIncarnationEnd(name, ActorIncarnation(row.Actor))
 	}
-	_, err := l.Merge("the store", entries)
-	if err == nil {
-		l.known, l.rebase = l.known.Join(l.own(known)), true
-	}
-	return err
+	return nil
 }
