--- a/balancer/apart_test.go
+++ b/balancer/apart_test.go
@@ -226,12 +226,12 @@
 // What one tenant has used up of its share is not taken from another's.
 func TestSharesApart(t *testing.T) {
 	s := begin(t, "facts Tenants.count=2 Tenants.0.QuotaPerS=10 Tenants.1.QuotaPerS=10\nstart a/0 b/1\nat 10000")
-	c := s.c.(*coordinator)
+	c := s.c.(*balancer)
 	s.turn(func() {
 		for range 100 {
-			c.beyond(0)
+			c.exceedsQuota(0)
 		}
-		require.True(t, c.beyond(0))
-		require.False(t, c.beyond(1))
+		require.True(t, c.exceedsQuota(0))
+		require.False(t, c.exceedsQuota(1))
 	})
 }
--- a/balancer/bounds.go
+++ b/balancer/bounds.go
@@ -1,87 +1,87 @@
 package balancer
 
 const (
-	spotsMost  = 1 << 16 // spots whose replicas are kept: some dozen kinds of bounds over a thousand shards
-	groupShift = 32      // bits of a spot that are the shard's: shards are counted in thousands
+	maxRestrictedSpots = 1 << 16 // spots whose replicas are kept: some dozen kinds of bounds over a thousand shards
+	groupShift         = 32      // bits of a spot that are the shard's: shards are counted in thousands
 )
 
-// bounded keeps which replicas searches that are bound may use, by spot.
-type bounded struct {
-	last    int // group that was given; none is given twice, so that a spot means one thing
-	holding map[int][]*replica
+// restrictionIndex keeps which replicas searches that are bound may use, by spot.
+type restrictionIndex struct {
+	lastGroup int // group that was given; none is given twice, so that a spot means one thing
+	holders   map[int][]*replica
 }
 
 // spot is a part's shard, told apart for searches that are bound alike.
-func (p *part) spot() int {
-	if p.s.bounds == nil {
+func (p *shardRequest) spot() int {
+	if p.search.restriction == nil {
 		return p.shard
 	}
-	return p.shard | p.s.bounds.group<<groupShift
+	return p.shard | p.search.restriction.group<<groupShift
 }
 
-// within are the replicas that hold a part's shard and that its search's bounds leave.
-func (c *coordinator) within(p *part) []*replica {
+// restrictedHolders are the replicas that hold a part's shard and that its search's bounds leave.
+func (c *balancer) restrictedHolders(p *shardRequest) []*replica {
 	spot := p.spot()
-	all, known := c.bound.holding[spot]
+	all, known := c.bound.holders[spot]
 	if !known {
-		for _, r := range c.listing(p.shard % c.sets) {
-			if p.s.bounds.Allows(p.shard, r.id) {
+		for _, r := range c.shardSetHolders(p.shard % c.sets) {
+			if p.search.restriction.Allows(p.shard, r.id) {
 				all = append(all, r)
 			}
 		}
-		if len(c.bound.holding) >= spotsMost {
-			clear(c.bound.holding)
+		if len(c.bound.holders) >= maxRestrictedSpots {
+			clear(c.bound.holders)
 		}
-		c.bound.holding[spot] = all
+		c.bound.holders[spot] = all
 	}
 	return all
 }
 
 // RestrictReplicas does not ask whether calling off is allowed: guards against a part that runs on where it may not, and against an
 // answer from there that would count.
-func (c *coordinator) RestrictReplicas(id uint64, to *ReplicaRestriction, lacks func(shard int) (end bool)) {
+func (c *balancer) RestrictReplicas(id uint64, to *ReplicaRestriction, lacks func(shard int) (end bool)) {
 	s := c.held[id]
-	if s == nil || s.over {
+	if s == nil || s.ended {
 		return
 	}
-	if s.bounds = to; to != nil && to.group == 0 {
-		if c.bound.holding == nil {
-			c.bound.holding = map[int][]*replica{}
+	if s.restriction = to; to != nil && to.group == 0 {
+		if c.bound.holders == nil {
+			c.bound.holders = map[int][]*replica{}
 		}
-		c.bound.last++
-		to.group = c.bound.last
+		c.bound.lastGroup++
+		to.group = c.bound.lastGroup
 	}
 	end, lost := false, false
-	for _, p := range s.parts {
-		if to == nil || p.in || p.dead {
+	for _, p := range s.requests {
+		if to == nil || p.completed || p.lost {
 			continue
 		}
 		out := false
-		for _, t := range p.tries {
-			if t.out && !to.Allows(p.shard, t.r.id) {
-				c.release(t)
-				c.out.CancelAttempt(p.id, t.leg)
+		for _, t := range p.attempts {
+			if t.holdsSlot && !to.Allows(p.shard, t.replica.id) {
+				c.releaseSlot(t)
+				c.actions.CancelAttempt(p.id, t.index)
 			}
-			out = out || t.out
+			out = out || t.holdsSlot
 		}
-		if !out && len(c.within(p)) == 0 {
-			if !s.cut || p.queued || len(p.tries) > 0 { // what a cut search does not count on is not in most
-				s.most -= p.weight
+		if !out && len(c.restrictedHolders(p)) == 0 {
+			if !s.reduced || p.queued || len(p.attempts) > 0 { // what a cut search does not count on is not in most
+				s.reachableWeight -= p.weight
 			}
-			p.dead, lost = true, true
+			p.lost, lost = true, true
 			end = lacks(p.shard) || end
 		}
 	}
 	switch {
 	case end:
-		c.out.FailSearch(s.id)
-		c.end(s)
+		c.actions.FailSearch(s.id)
+		c.endSearch(s)
 	case lost:
-		if s.left > 0 {
-			c.standIn(s)
+		if s.admittedAt > 0 {
+			c.sendWithheld(s)
 		}
-		if c.check(s); !s.over && s.most < s.need-1e-4 && !c.enough(s, s.most) {
-			c.giveUp(s)
+		if c.answerIfComplete(s); !s.ended && s.reachableWeight < s.neededWeight-1e-4 && !c.isAnswerable(s, s.reachableWeight) {
+			c.fail(s)
 		}
 	}
 }
--- a/balancer/bounds_test.go
+++ b/balancer/bounds_test.go
@@ -31,7 +31,7 @@
 				}
 				require.False(t, ended[search])
 			}
-			all := slices.Clone(s.c.(*coordinator).list)
+			all := slices.Clone(s.c.(*balancer).list)
 			draw := func() *ReplicaRestriction {
 				var in []string
 				for _, r := range all {
@@ -74,7 +74,7 @@
 			for id, owed := range s.finals {
 				require.Zero(t, owed, "stream %d: search %d", i, id)
 			}
-			require.Zero(t, s.c.(*coordinator).inFlight())
+			require.Zero(t, s.c.(*balancer).effectiveInFlight())
 			if run == 0 {
 				first = s.all
 			} else {
--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -22,9 +22,9 @@
 func (b *bench) WatchEndpoints()                            {}
 func (b *bench) LogMessage(string)                          {}
 
-func module(replicas int) (*bench, *coordinator) {
+func module(replicas int) (*bench, *balancer) {
 	b := &bench{ended: map[uint64]bool{}}
-	c := New(b).(*coordinator)
+	c := New(b).(*balancer)
 	facts := map[string]string{
 		"Tick": "5", "Balancers": "1", "Specifics.Sets": "8", "Specifics.Reach": "2",
 		"Specifics.PerCall": "1", "Classes.0.Aim": "3000", "Classes.0.Effect": "retryable", "Classes.1.Aim": "60000",
@@ -43,7 +43,7 @@
 }
 
 // one plays a search of eight parts from its arrival to its answer.
-func (b *bench) one(c *coordinator, id uint64, qtype int) {
+func (b *bench) one(c *balancer, id uint64, qtype int) {
 	c.BeginIteration(c.now + 10)
 	c.AddSearch(id, qtype, 0, "", 30_000, id, 8, false)
 	for p := range uint64(8) {
@@ -55,7 +55,7 @@
 }
 
 // land answers all that is out, a part a turn.
-func (b *bench) land(c *coordinator) {
+func (b *bench) land(c *balancer) {
 	sent := b.sent
 	b.sent = b.sent[:0]
 	for _, p := range sent {
--- a/balancer/heard_test.go
+++ b/balancer/heard_test.go
@@ -78,7 +78,7 @@
 	require.Positive(t, s.sent("a"))
 	s = begin(t, "start a/0 b/0\nwhen a,b Ok 20")
 	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", Outlier: true, OutlierDuration: math.MaxInt64 / 2})
-	s.to(s.now + heardSpan)
+	s.to(s.now + maxGossipAge)
 	s.lines("mark steady 20 60 1 4000 0,0")
 	require.Greater(t, s.sent("a"), 5)
 }
@@ -117,20 +117,20 @@
 // Hearsay is bounded and gives way: three own answers weigh as much as anything that can be told.
 func TestHeardGivesWay(t *testing.T) {
 	s := begin(t, "start a/0 b/0\nwhen a,b Ok 20\nsteady 10 20 1 4000 0,0")
-	c := s.c.(*coordinator)
+	c := s.c.(*balancer)
 	slowness := func() float64 { return c.slowness(c.fleet["a"]) }
 	before := slowness()
 	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{1e9, 1e9}, LongWindow: DecayingMean{1e9, 1e9}})
 	require.InDelta(t, before, slowness(), 0.01, "own answers weigh more already")
 	s = begin(t, "start a/0 b/0\nwhen a,b Ok 20")
-	c = s.c.(*coordinator)
+	c = s.c.(*balancer)
 	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{1e9, 1e9}},
 		GossipedObservation{Scope: ScopeReplica, Replica: "a", ReplicaStart: 7, ShortWindow: DecayingMean{0, 0}}, // of another life: not taken
 		GossipedObservation{Scope: ScopeReplica, Replica: "nobody", Outlier: true}, GossipedObservation{Scope: ScopeZone, Zone: 9}, GossipedObservation{Scope: ScopeZone, Zone: -1})
 	first := slowness()
 	require.Greater(t, first, 2.0)
-	require.LessOrEqual(t, first, heardSlow)
-	s.to(s.now + paceSpan)
+	require.LessOrEqual(t, first, maxGossipSlowness)
+	s.to(s.now + shortWindow)
 	c.BeginIteration(s.now)
 	require.Less(t, slowness(), first, "it fades")
 	s.lines("steady 10 20 1 4000 0,0")
@@ -152,7 +152,7 @@
 
 // One slice of a list of 10,000 that is all known: the owner's time for it.
 func BenchmarkKnow(b *testing.B) {
-	c := New(discard{}).(*coordinator)
+	c := New(discard{}).(*balancer)
 	c.Configure(1, map[string]string{"Specifics.Sets": "1", "Specifics.Reach": "1"})
 	c.BeginIteration(1)
 	for i := range 10_000 {
@@ -160,8 +160,8 @@
 	}
 	c.CommitEndpoints("Complete", 1)
 	for _, r := range c.list {
-		r.took(1, 5)
-		r.answered = 1
+		r.recordLatency(1, 5)
+		r.lastAnswer = 1
 	}
 	told := 0
 	for b.Loop() {
--- a/balancer/iface.go
+++ b/balancer/iface.go
@@ -81,8 +81,8 @@
 // ShortWindow and LongWindow are the e-fold times of the two memories, in tenths of a millisecond: what was heard goes
 // on decaying by them on its way.
 const (
-	ShortWindow = paceSpan
-	LongWindow  = pastSpan
+	ShortWindow = shortWindow
+	LongWindow  = longWindow
 )
 
 // DecayingMean is a decayed count and a mean: of the logarithms of answer times in tenths of a millisecond, or, where it
--- a/balancer/know.go
+++ b/balancer/know.go
@@ -7,18 +7,18 @@
 
 // ExportObservations hands out what own sub-requests have shown: the fleet and zones first, then so many replicas a call,
 // those with nothing to tell left out. What was heard is not in it: a rumour would go round and count twice.
-func (c *coordinator) ExportObservations(from, most int, tell func(b Observation)) (next int) {
+func (c *balancer) ExportObservations(from, most int, tell func(b Observation)) (next int) {
 	if from == 0 {
-		n, _ := c.pace.read(c.now, fleetSpan)
-		tell(Observation{Scope: ScopeFleet, ShortWindow: DecayingMean{n, math.Log(c.common())}, LongWindow: DecayingMean{n, math.Log(max(1, c.best))}})
+		n, _ := c.pace.read(c.now, fleetWindow)
+		tell(Observation{Scope: ScopeFleet, ShortWindow: DecayingMean{n, math.Log(c.fleetLatency())}, LongWindow: DecayingMean{n, math.Log(max(1, c.best))}})
 		for zone := range c.ways {
-			tell(Observation{Scope: ScopeZone, Zone: zone, ShortWindow: c.ways[zone].pace.tally(c.now, paceSpan)})
+			tell(Observation{Scope: ScopeZone, Zone: zone, ShortWindow: c.ways[zone].latency.mean(c.now, shortWindow)})
 		}
 	}
 	to := min(len(c.list), max(from, from+most))
 	for _, r := range c.list[min(from, to):to] {
-		if r.answered != 0 || r.quiet != 0 || r.refused != 0 || r.strikes != 0 {
-			tell(r.belief(c.now, c.suspect(r)))
+		if r.lastAnswer != 0 || r.unanswered != 0 || r.connectFailures != 0 || r.consecutiveFailures != 0 {
+			tell(r.observation(c.now, c.isOutlier(r)))
 		}
 	}
 	return to % max(1, len(c.list))
@@ -26,18 +26,18 @@
 
 // holders are the replicas that hold a part's shard and may be used for it. It is the one place that says who may:
 // first parts, extras, copies, trials and second steps all choose among these.
-func (c *coordinator) holders(p *part) []*replica {
-	if p.s.bounds != nil {
-		return c.within(p)
+func (c *balancer) holders(p *shardRequest) []*replica {
+	if p.search.restriction != nil {
+		return c.restrictedHolders(p)
 	}
-	return c.listing(p.shard % c.sets)
+	return c.shardSetHolders(p.shard % c.sets)
 }
 
-func (c *coordinator) listing(first int) []*replica {
+func (c *balancer) shardSetHolders(first int) []*replica {
 	if _, known := c.holding[first]; !known {
 		c.holding[first] = nil
 		for _, r := range c.list {
-			if r.open && (r.cell-first+c.sets)%c.sets < c.reach {
+			if r.eligible && (r.shardSet-first+c.sets)%c.sets < c.reach {
 				c.holding[first] = append(c.holding[first], r)
 			}
 		}
@@ -45,48 +45,48 @@
 	return c.holding[first]
 }
 
-// count notes one now for the budget, where one is stated: elsewhere nothing would ever take it away.
-func (c *coordinator) count(at *[]int64) {
-	if c.facts.span("Safety.LookBack") > 0 {
+// recordForBudget notes one now for the budget, where one is stated: elsewhere nothing would ever take it away.
+func (c *balancer) recordForBudget(at *[]int64) {
+	if c.settings.duration("Safety.LookBack") > 0 {
 		*at = append(*at, c.now)
 	}
 }
 
-func (c *coordinator) RecordAttemptOutcome(part uint64, leg int, ending string, wait int64, over bool,
+func (c *balancer) RecordAttemptOutcome(part uint64, leg int, ending string, wait int64, over bool,
 	report map[string]float64,
 ) {
 	key := part<<8 | uint64(leg)
 	if t := c.next[key]; t != nil {
 		delete(c.next, key)
-		c.landed(t, ending, wait, int64(report["RetryAfter"]*10))
+		c.attemptEnded(t, ending, wait, int64(report["RetryAfter"]*10))
 	}
 }
 
-func (c *coordinator) RecordProbeResult(string, string, int64, map[string]float64) {}
+func (c *balancer) RecordProbeResult(string, string, int64, map[string]float64) {}
 
-func (c *coordinator) SetUtilization(share float64) { c.fullness = share }
+func (c *balancer) SetUtilization(share float64) { c.fullness = share }
 
-func (c *coordinator) warm(r *replica) bool {
-	return r.since == 0 || c.now >= r.since+c.facts.span("Safety.Cold")
+func (c *balancer) isWarmedUp(r *replica) bool {
+	return r.startedAt == 0 || c.now >= r.startedAt+c.settings.duration("Safety.Cold")
 }
 
-// doubted tells whether a replica was said to be bad and has not answered here since.
-func (c *coordinator) doubted(r *replica) bool { return c.now < r.doubtTo }
+// isGossipedOutlier tells whether a replica was said to be bad and has not answered here since.
+func (c *balancer) isGossipedOutlier(r *replica) bool { return c.now < r.gossipedOutlierUntil }
 
-func (c *coordinator) worthLate(s *search) bool {
-	return c.facts.opt(c.facts.of("Classes", s.qtype, "LateShare"), 0) > lateWorth
+func (c *balancer) hasLateValue(s *search) bool {
+	return c.settings.optionalNumber(c.settings.fieldName("Classes", s.queryType, "LateShare"), 0) > minLateShare
 }
 
-func (c *coordinator) harmless(s *search) bool {
-	return s.effect == "retryable" || s.step == 1 && !slices.ContainsFunc(s.parts, (*part).ran)
+func (c *balancer) isRepeatable(s *search) bool {
+	return s.effect == "retryable" || s.step == 1 && !slices.ContainsFunc(s.requests, (*shardRequest).mayHaveRun)
 }
 
-// heard is what hearsay adds to own answers: a count, and how far it is over the usual, of logarithms.
-func (c *coordinator) heard(h hearsay, span, own float64) (n, slower float64) {
-	age := float64(c.now - h.at)
-	if h.n == 0 || age > heardSpan {
+// gossipedSum is what hearsay adds to own answers: a count, and how far it is over the usual, of logarithms.
+func (c *balancer) gossipedSum(h gossipedLatency, span, own float64) (n, slower float64) {
+	age := float64(c.now - h.importedAt)
+	if h.weight == 0 || age > maxGossipAge {
 		return 0, 0
 	}
-	n = max(0, h.n*math.Exp(-age/span)-own)
-	return n, n * h.slower
+	n = max(0, h.weight*math.Exp(-age/span)-own)
+	return n, n * h.excess
 }
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -13,149 +13,151 @@
 // Times are tenths of a millisecond. What a co-ordinator holds stands in state.go.
 const (
 	slotsPerReplica = 4    // parts in flight for each listed replica: the design's starting value
-	memory          = 0.99 // weight of the old backlog at an arrival: the paper's memory factor
-
-	paceSpan   = 40_000    // decay of answer times: ten answers of one replica, yet within a trouble
-	pastSpan   = 100_000   // decay of answer times where a replica answers less than that: within a trouble
-	thinRate   = 1e-4      // own answers of a replica under which evidence is thin: one a second
-	tieChance  = 0.25      // share of it that is chance: a replica that has healed is met again
-	rateSpan   = 30_000    // decay of rates: long enough for a few dozen parts
-	youngSpan  = 10_000    // a sum younger than this counts as so old: the first few events show no rate
-	fleetSpan  = 20_000    // decay of the common answer time: must follow a slowdown of all within seconds
-	bestCreep  = 1.0 / 3e6 // rise of the shortest answer time a tenth: e-fold in 5 min, a lucky low fades
-	fewAnswers = 8         // answers before a mean is believed: below, one odd part sways it
-	fewSpells  = 4         // searches of a type before their time is believed: fewer bar none, some go out again
-	firstPace  = 2_000     // answer time assumed before any is known: a search part of 200 ms
-
-	slackRatio  = 2.0  // present / shortest answer time at which the cap begins to shrink: ordinary queueing
-	oneReplica  = 2    // times a replica's part of the slots that it may hold itself: ordinary unevenness
-	leastShare  = 0.25 // smallest slot cap, of the start: one part a replica keeps every replica measured
-	leastAll    = 3.0  // parts a replica that the least caps of all together allow: they keep it busy
-	sureAnswers = 30   // answers of late from which slow ones count so: fewer may be one search's own
-	strainExtra = 0.5  // share of the eased extras that still go out then: as good as none with less
-	strain      = 0.8  // ease under which the cap comes down to parts in flight: above them it limits nothing
-
-	trialAll    = 1_000  // between trials of one replica by all together: half of what two cores do
-	seenLeast   = 0.3    // past answers from which they tell a replica's time: one of the last 12 s
-	tailRatio   = 2.0    // times the usual answer of a part that a search of many takes: it waits for the last
-	fullRatio   = 16.0   // times the fleet's answer time that a full replica stands for
-	priorParts  = 2.0    // answers at the fleet's time mixed into a replica's: one slow part proves nothing
-	awayRatio   = 1.6    // answer time of a zone over the quickest's that makes its way slow: load seldom does
-	quietRatio  = 4.0    // silence over the fleet's answer time that makes a suspect: no ordinary part takes it
-	quietLeast  = 4_000  // shortest silence that counts: pauses of a few 100 ms are no fault
-	quietTries  = 2      // parts unanswered meanwhile: a single one may simply be heavy
-	restartSign = 2      // connects failed in a row that show a restart: one may be chance
-	strikeOut   = 3      // errors or refusals in a row that make a suspect: single ones come on good days
-	begunLeast  = 0.025  // of the shortest answer time: lost sooner, the part was not begun
-	lostMost    = 2      // dropped connections, and no answer yet, that make a search suspect: one may be chance
-	trialEach   = 3_000  // least wait between trials of any: among hundreds down each part would be one
-	trialWait   = 10_000 // wait before a suspect gets a trial part: a second is a short outage
-
-	manyHolders = 64    // holders of a shard beyond which a few drawn ones are looked at first: bounds a turn
-	lookFirst   = 16    // so many of them: that none of 16 is idle where half are is one in 65,000
-	trimMany    = 1_000 // searches waiting beyond which they are not looked at in each turn: 6 us a look
-	trimEach    = 10    // but after this time: a ms is no delay to a client
-
-	copyRatio   = 2.5   // age over the fleet's answer time for a second copy: beyond the 95th percentile
-	aloneRatio  = 2     // times that age: a part's time-out where no copy may run beside it
-	quickRatio  = 1.4   // answer time over the usual up to which another holder will do: slower makes take so
-	againRatio  = 1.6   // the same, of what went out again, up to which others are no fuller than the first
-	againLeast  = 0.5   // answers from which that is known: one of the last 7 s
-	rescueRatio = 5.5   // age over the fleet's answer time for calling off: ordinary queues take less
-	copyLeast   = 1_500 // shortest such age: under it a copy costs more than it brings
-	copyAgain   = 1_000 // wait before an overdue part is looked at again
-	copyParts   = 0.5   // share of a search's parts that may be copied: more overdue means a heavy search
-
-	coldPart  = 0.8     // of the stated multiple of what a cold replica can do: the rest is for chance
-	parkLook  = 200     // wait before parts that no replica may take are looked at again
-	answerPad = 150     // time kept before a client's limit, beside two ticks: the final answer must not be late
-	fellSpan  = 100_000 // after a fall in which each search sends one part ahead: such come again
-	askFirst  = 5_000   // wait before a failed subscription is asked again
-	askMost   = 80_000  // longest such wait, cut to what the rules allow
-	windowPad = 20      // kept off the windows of rules against rounding
-	usefulPad = 1.4     // spread of a search's time over its mean when asking whether it can still be useful
-	shareSpan = 20_000  // of a tenant's rate that may come at once: bursts of a few seconds are within its share
-	trySlack  = 500     // of a try's time under first tries' that shows what was spent: 50 ms are on the way
-	leaveSpan = 10_000  // from a client's leaving to its new try: it comes at once
-	retryLeft = 0.5     // of the latency target left to a client's new try: its first was shed or came late
-	lateWorth = 0.05    // late share up to which a late answer is not worth going on for
-	restMost  = 50_000  // longest that a refusing replica's own time to come back is kept to: a trial then shows
-	heardMost = 3.0     // answers that hearsay weighs at the most: as many own ones replace it
-	heardSlow = 8.0     // times the usual that is believed by hearsay: more would only be a larger lie
-	heardSpan = 300_000 // longest that hearsay counts: a trouble of half a minute ago has often passed
-	heardSway = 4.0     // times that a heard usual answer time may be under the assumed one
-	heardBest = 0.4     // of the usual time, under which no heard shortest counts: alone it closes no slots
+	backlogMemory   = 0.99 // weight of the old backlog at an arrival: the paper's backlogMemory factor
+
+	shortWindow           = 40_000    // decay of answer times: ten answers of one replica, yet within a trouble
+	longWindow            = 100_000   // decay of answer times where a replica answers less than that: within a trouble
+	thinEvidenceRate      = 1e-4      // own answers of a replica under which evidence is thin: one a second
+	tieRandomShare        = 0.25      // share of it that is chance: a replica that has healed is met again
+	rateWindow            = 30_000    // decay of rates: long enough for a few dozen parts
+	minRateAge            = 10_000    // a sum younger than this counts as so old: the first few events show no rate
+	fleetWindow           = 20_000    // decay of the common answer time: must follow a slowdown of all within seconds
+	shortestLatencyGrowth = 1.0 / 3e6 // rise of the shortest answer time a tenth: e-fold in 5 min, a lucky low fades
+	minFleetAnswers       = 8         // answers before a mean is believed: below, one odd part sways it
+	minSearchDurations    = 4         // searches of a type before their time is believed: fewer bar none, some go out again
+	assumedLatency        = 2_000     // answer time assumed before any is known: a search part of 200 ms
+
+	toleratedLatencyRatio = 2.0  // present / shortest answer time at which the cap begins to shrink: ordinary queueing
+	replicaLimitFactor    = 2    // times a replica's part of the slots that it may hold itself: ordinary unevenness
+	minLimitShare         = 0.25 // smallest slot cap, of the start: one part a replica keeps every replica measured
+	minLimitPerReplica    = 3.0  // parts a replica that the least caps of all together allow: they keep it busy
+	minOverloadAnswers    = 30   // answers of late from which slow ones count so: fewer may be one search's own
+	overloadExtraShare    = 0.5  // share of the eased extras that still go out then: as good as none with less
+	overloadLoadFactor    = 0.8  // ease under which the cap comes down to parts in flight: above them it limits nothing
+
+	slowReplicaTrialInterval = 1_000  // between trials of one replica by all together: half of what two cores do
+	minReplicaAnswers        = 0.3    // past answers from which they tell a replica's time: one of the last 12 s
+	tailLatencyRatio         = 2.0    // times the usual answer of a part that a search of many takes: it waits for the last
+	queueFullLatencyRatio    = 16.0   // times the fleet's answer time that a full replica stands for
+	priorWeight              = 2.0    // answers at the fleet's time mixed into a replica's: one slow part proves nothing
+	zoneDegradedRatio        = 1.6    // answer time of a zone over the quickest's that makes its way slow: load seldom does
+	silenceRatio             = 4.0    // silence over the fleet's answer time that makes a suspect: no ordinary part takes it
+	minSilence               = 4_000  // shortest silence that counts: pauses of a few 100 ms are no fault
+	minUnanswered            = 2      // parts unanswered meanwhile: a single one may simply be heavy
+	restartConnectFailures   = 2      // connects failed in a row that show a restart: one may be chance
+	outlierFailures          = 3      // errors or refusals in a row that make a suspect: single ones come on good days
+	minStartedShare          = 0.025  // of the shortest answer time: lost sooner, the part was not begun
+	maxLostConnections       = 2      // dropped connections, and no answer yet, that make a search suspect: one may be chance
+	trialSpacing             = 3_000  // least wait between trials of any: among hundreds down each part would be one
+	trialInterval            = 10_000 // wait before a suspect gets a trial part: a second is a short outage
+
+	sampleThreshold    = 64    // holders of a shard beyond which a few drawn ones are looked at first: bounds a turn
+	sampleSize         = 16    // so many of them: that none of 16 is idle where half are is one in 65,000
+	evictScanThreshold = 1_000 // searches waiting beyond which they are not looked at in each turn: 6 us a look
+	evictScanInterval  = 10    // but after this time: a ms is no delay to a client
+
+	hedgeDelayRatio   = 2.5   // age over the fleet's answer time for a second copy: beyond the 95th percentile
+	timeoutRatio      = 2     // times that age: a part's time-out where no copy may run beside it
+	quickLatencyRatio = 1.4   // answer time over the usual up to which another holder will do: slower makes take so
+	quickRetryRatio   = 1.6   // the same, of what went out again, up to which others are no fuller than the first
+	minRetryAnswers   = 0.5   // answers from which that is known: one of the last 7 s
+	rescueDelayRatio  = 5.5   // age over the fleet's answer time for calling off: ordinary queues take less
+	minHedgeDelay     = 1_500 // shortest such age: under it a copy costs more than it brings
+	hedgeRecheckDelay = 1_000 // wait before an overdue part is looked at again
+	maxHedgedShare    = 0.5   // share of a search's parts that may be copied: more overdue means a heavy search
+
+	slowStartSafetyFactor = 0.8     // of the stated multiple of what a cold replica can do: the rest is for chance
+	parkedRecheckDelay    = 200     // wait before parts that no replica may take are looked at again
+	answerMargin          = 150     // time kept before a client's limit, beside two ticks: the final answer must not be late
+	canaryWindow          = 100_000 // after a fall in which each search sends one part ahead: such come again
+	watchRetryMin         = 5_000   // wait before a failed subscription is asked again
+	watchRetryMax         = 80_000  // longest such wait, cut to what the rules allow
+	windowMargin          = 20      // kept off the windows of rules against rounding
+	durationSpread        = 1.4     // spread of a search's time over its mean when asking whether it can still be useful
+	quotaBurst            = 20_000  // of a tenant's rate that may come at once: bursts of a few seconds are within its share
+	clientTimeoutSlack    = 500     // of a try's time under first tries' that shows what was spent: 50 ms are on the way
+	withdrawnSearchTTL    = 10_000  // from a client's leaving to its new try: it comes at once
+	retryObjectiveShare   = 0.5     // of the latency target left to a client's new try: its first was shed or came late
+	minLateShare          = 0.05    // late share up to which a late answer is not worth going on for
+	maxRetryAfter         = 50_000  // longest that a refusing replica's own time to come back is kept to: a trial then shows
+	maxGossipWeight       = 3.0     // answers that hearsay weighs at the most: as many own ones replace it
+	maxGossipSlowness     = 8.0     // times the usual that is believed by hearsay: more would only be a larger lie
+	maxGossipAge          = 300_000 // longest that hearsay counts: a trouble of half a minute ago has often passed
+	maxGossipedSpeedup    = 4.0     // times that a heard usual answer time may be under the assumed one
+	minGossipedShortest   = 0.4     // of the usual time, under which no heard shortest counts: alone it closes no slots
 )
 
-// askAgain guards against a list service that fails: asked again with growing waits, within the rule's time.
-func (c *coordinator) askAgain() {
-	wait := min(c.askWait, int64(c.facts.opt("Safety.AskWithin", askMost)*3)) // missed lists count after 6 s
-	c.askWait = min(2*c.askWait, askMost)
-	c.after(wait+c.chance.Int63n(wait/4+1), doing(c.out.WatchEndpoints))
+// retryWatch guards against a list service that fails: asked again with growing waits, within the rule's time.
+func (c *balancer) retryWatch() {
+	wait := min(c.askWait, int64(c.settings.optionalNumber("Safety.AskWithin", watchRetryMax)*3)) // missed lists count after 6 s
+	c.askWait = min(2*c.askWait, watchRetryMax)
+	c.setTimer(wait+c.rng.Int63n(wait/4+1), timerFunc(c.actions.WatchEndpoints))
 }
 
-func (c *coordinator) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int,
+func (c *balancer) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int,
 	retry bool,
 ) {
-	c.backlog = memory*c.backlog + (1-memory)*float64(len(c.queue))
-	s := &search{id: id, number: number, qtype: qtype, came: c.now, first: c.now, step: 1, count: count}
-	s.tenant, s.slab = tenant, make([]part, 0, count)
-	s.effect, s.parts = c.facts.text[c.facts.of("Classes", qtype, "Effect")], make([]*part, 0, count)
-	s.due = c.now + grace - 2*c.facts.span("Tick") - answerPad
-	s.useful = c.now + min(c.usefulFor(s, grace, retry), grace) - c.facts.span("Tick")
-	s.need = c.facts.nth("Specifics.NeedByClass", qtype, 1)
+	c.backlog = backlogMemory*c.backlog + (1-backlogMemory)*float64(len(c.queue))
+	s := &search{id: id, number: number, queryType: qtype, arrivedAt: c.now, clientStart: c.now, step: 1, requestCount: count}
+	s.tenant, s.requestBuffer = tenant, make([]shardRequest, 0, count)
+	s.effect, s.requests = c.settings.values[c.settings.fieldName("Classes", qtype, "Effect")], make([]*shardRequest, 0, count)
+	s.deadline = c.now + grace - 2*c.settings.duration("Tick") - answerMargin
+	s.objectiveEnd = c.now + min(c.objectiveFor(s, grace, retry), grace) - c.settings.duration("Tick")
+	s.neededWeight = c.settings.listNumber("Specifics.NeedByClass", qtype, 1)
 	c.held[id], c.numbers[number] = s, s
 	c.longest = max(c.longest, count)
-	c.count(&c.taken)
-	s.beyond = !retry && c.beyond(tenant)
+	c.recordForBudget(&c.taken)
+	s.overQuota = !retry && c.exceedsQuota(tenant)
 	c.queue = append(c.queue, s)
-	s.dueWake = c.after(s.due-c.now, (*atDue)(s))
-	s.usefulWake = c.after(s.useful-c.now, (*atUse)(s))
+	s.deadlineTimer = c.setTimer(s.deadline-c.now, (*deadlineCallback)(s))
+	s.objectiveTimer = c.setTimer(s.objectiveEnd-c.now, (*objectiveCallback)(s))
 }
 
-// usefulFor is how long an answer may take to be worth its full value. A new try has spent part of that: how
+// objectiveFor is how long an answer may take to be worth its full value. A new try has spent part of that: how
 // much shows where less of the client's time is left than first tries have. Guards against clients that leave
 // early and ask again: such a one will leave after as long again. Harm: a new try of a client that gives less
 // time of its own accord counts as one that has spent it.
-func (c *coordinator) usefulFor(s *search, grace int64, retry bool) int64 {
-	aim := c.facts.span(c.facts.of("Classes", s.qtype, "Aim"))
-	most := c.facts.span(c.facts.of("Classes", s.qtype, "Deadline"))
+func (c *balancer) objectiveFor(s *search, grace int64, retry bool) int64 {
+	aim := c.settings.duration(c.settings.fieldName("Classes", s.queryType, "Aim"))
+	most := c.settings.duration(c.settings.fieldName("Classes", s.queryType, "Deadline"))
 	c.tryShare = max(c.tryShare, min(1, float64(grace)/float64(max(1, most, grace))))
 	if !retry {
 		return aim
 	}
-	spent := int64(float64(aim) * (1 - retryLeft))
-	if float64(grace) < c.tryShare*float64(most)-trySlack {
+	spent := int64(float64(aim) * (1 - retryObjectiveShare))
+	if float64(grace) < c.tryShare*float64(most)-clientTimeoutSlack {
 		spent = most - grace
 	}
-	same := func(l leaver) bool { return l.qtype == s.qtype && l.tenant == s.tenant && l.count == s.count }
-	if i := slices.IndexFunc(c.left, same); i >= 0 && c.now-c.left[i].at <= leaveSpan {
+	same := func(l withdrawnSearch) bool {
+		return l.queryType == s.queryType && l.tenant == s.tenant && l.requestCount == s.requestCount
+	}
+	if i := slices.IndexFunc(c.left, same); i >= 0 && c.now-c.left[i].withdrawnAt <= withdrawnSearchTTL {
 		l := c.left[i]
 		c.left = slices.Delete(c.left, i, i+1)
-		s.first = l.first
-		return min(l.first+aim-c.now, l.at-l.came-c.facts.span("Tick"))
+		s.clientStart = l.clientStart
+		return min(l.clientStart+aim-c.now, l.withdrawnAt-l.arrivedAt-c.settings.duration("Tick"))
 	}
 	return aim - spent
 }
 
 // Leaving the queue.
 
-func (c *coordinator) EndIteration() {
-	for i := 0; c.sendWaiting() && i < len(c.queue) && !c.busy(); {
+func (c *balancer) EndIteration() {
+	for i := 0; c.sendWaiting() && i < len(c.queue) && !c.isAtLimit(); {
 		s := c.queue[i]
 		switch {
-		case s.over:
-		case c.hopeless(s):
+		case s.ended:
+		case c.cannotMeetDeadline(s):
 			c.shed(s)
-		case c.blocked(s):
+		case c.hasNoEligibleReplica(s):
 			i++
 			c.parked = true
 			continue
-		case c.fullness >= 1 || s.useful <= c.now && !c.worthLate(s) ||
-			(s.came < c.now || c.ease() < strain) && c.lateness().of(s, 0):
+		case c.fullness >= 1 || s.objectiveEnd <= c.now && !c.hasLateValue(s) ||
+			(s.arrivedAt < c.now || c.loadFactor() < overloadLoadFactor) && c.estimateCompletion().isLate(s, 0):
 			c.shed(s)
 		default:
-			c.open(s)
+			c.admit(s)
 		}
 		if i == 0 { // the usual case moves nothing
 			c.queue[0], c.queue = nil, c.queue[1:]
@@ -163,154 +165,158 @@
 			c.queue = slices.Delete(c.queue, i, i+1)
 		}
 	}
-	c.trim()
+	c.evictExpired()
 	if c.parked {
 		c.parked = false
-		c.after(parkLook, doing(func() {}))
+		c.setTimer(parkedRecheckDelay, timerFunc(func() {}))
 	}
 }
 
-// blocked tells whether parts that a whole answer needs have no replica to go to: such a search stands aside,
+// hasNoEligibleReplica tells whether parts that a whole answer needs have no replica to go to: such a search stands aside,
 // but where less may be answered and answers are quick.
-func (c *coordinator) blocked(s *search) bool {
+func (c *balancer) hasNoEligibleReplica(s *search) bool {
 	can := 0.0
-	for _, p := range s.parts {
-		if c.can(p) {
+	for _, p := range s.requests {
+		if c.canSend(p) {
 			can += p.weight
 		}
 	}
-	return can < min(s.need, s.most)-1e-4 && (c.ease() < 1 || !c.enough(s, can))
+	return can < min(s.neededWeight, s.reachableWeight)-1e-4 && (c.loadFactor() < 1 || !c.isAnswerable(s, can))
 }
 
-// hopeless tells whether a search leaves under half a first try's time, and less than its type takes of late,
+// cannotMeetDeadline tells whether a search leaves under half a first try's time, and less than its type takes of late,
 // or too few of its parts would be answered in useful time, by what own parts at their replicas have taken.
 // Guards against clients that come again with next to no time, and shards whose replicas are all overloaded:
 // the work would be lost. Harm: what is believed of a type or shard until it is tried again.
-func (c *coordinator) hopeless(s *search) bool {
-	n, total := c.spells[s.qtype].read(c.now, rateSpan)
-	first := c.tryShare * float64(c.facts.span(c.facts.of("Classes", s.qtype, "Deadline")))
-	if left := float64(s.due - c.now); n >= fewSpells && left < min(retryLeft*first, usefulPad*total/n) {
+func (c *balancer) cannotMeetDeadline(s *search) bool {
+	n, total := c.spells[s.queryType].read(c.now, rateWindow)
+	first := c.tryShare * float64(c.settings.duration(c.settings.fieldName("Classes", s.queryType, "Deadline")))
+	if left := float64(s.deadline - c.now); n >= minSearchDurations && left < min(retryObjectiveShare*first, durationSpread*total/n) {
 		return true
 	}
-	in, thin := 0.0, c.thin()
-	for _, p := range s.parts {
-		if !thin || c.inTime(p) {
+	in, thin := 0.0, c.hasThinEvidence()
+	for _, p := range s.requests {
+		if !thin || c.canMeetDeadline(p) {
 			in += p.weight
 		}
 	}
-	return !c.enough(s, in)
+	return !c.isAnswerable(s, in)
 }
 
-func (c *coordinator) inTime(p *part) bool {
-	end := p.s.useful
+func (c *balancer) canMeetDeadline(p *shardRequest) bool {
+	end := p.search.objectiveEnd
 	if end <= c.now {
-		end = p.s.due
+		end = p.search.deadline
 	}
-	return tailRatio*c.wait(p) <= float64(end-c.now)
+	return tailLatencyRatio*c.shortestExpectedLatency(p) <= float64(end-c.now)
 }
 
-// wait is how long a part would take at the quickest of its shard's replicas.
-func (c *coordinator) wait(p *part) float64 {
+// shortestExpectedLatency is how long a part would take at the quickest of its shard's replicas.
+func (c *balancer) shortestExpectedLatency(p *shardRequest) float64 {
 	least := math.Inf(1)
 	for _, r := range c.holders(p) {
-		least = min(least, c.expected(r))
+		least = min(least, c.expectedLatency(r))
 	}
 	return least
 }
 
-// expected is how long a replica takes: by its past answers, or the fleet's where they say too little, and by
+// expectedLatency is how long a replica takes: by its past answers, or the fleet's where they say too little, and by
 // what is still out. After a while it is tried again: by all together, however many, ten times a second.
-func (c *coordinator) expected(r *replica) float64 {
-	wait := c.common()
-	if c.usualN < fewAnswers { // an assumed time must not shut out what would show the true one
+func (c *balancer) expectedLatency(r *replica) float64 {
+	wait := c.fleetLatency()
+	if c.usualN < minFleetAnswers { // an assumed time must not shut out what would show the true one
 		wait = 0
 	}
-	if float64(c.now-r.sentAt) > trialAll*c.facts.num("Balancers") {
+	if float64(c.now-r.lastSent) > slowReplicaTrialInterval*c.settings.number("Balancers") {
 		return wait
 	}
-	if n, total := r.past.read(c.now, pastSpan); n >= seenLeast {
+	if n, total := r.longLatency.read(c.now, longWindow); n >= minReplicaAnswers {
 		wait = math.Exp(total / n)
 	}
-	for _, t := range r.tries {
-		wait = max(wait, float64(c.now-t.sent))
+	for _, t := range r.attempts {
+		wait = max(wait, float64(c.now-t.sentAt))
 	}
 	return wait
 }
 
-// inFlight counts own parts out but silent ones and those at suspects: silence must not stop the others.
-func (c *coordinator) inFlight() int { return c.flights.count(c.now, c.silence(), c.suspect) }
+// effectiveInFlight counts own parts out but silent ones and those at suspects: silence must not stop the others.
+func (c *balancer) effectiveInFlight() int {
+	return c.flights.count(c.now, c.silenceThreshold(), c.isOutlier)
+}
 
-func (c *coordinator) busy() bool {
-	slots := c.slots()
-	return c.flights.flying >= slots && c.inFlight() >= slots
+func (c *balancer) isAtLimit() bool {
+	slots := c.concurrencyLimit()
+	return c.flights.total >= slots && c.effectiveInFlight() >= slots
 }
 
-// open lets a search leave the queue: the needed parts and the extras that the backlog grants.
-func (c *coordinator) open(s *search) {
-	if s.left == 0 {
-		if s.left = c.now; len(s.parts) > 1 && c.falls() {
-			able := slices.DeleteFunc(slices.Clone(s.parts), func(p *part) bool { return !c.can(p) })
-			if s.ahead = len(able) > 0; s.ahead {
-				c.ask(slices.MinFunc(able, func(p, q *part) int { return cmp.Compare(c.wait(p), c.wait(q)) }))
+// admit lets a search leave the queue: the needed parts and the extras that the backlog grants.
+func (c *balancer) admit(s *search) {
+	if s.admittedAt == 0 {
+		if s.admittedAt = c.now; len(s.requests) > 1 && c.sendsCanary() {
+			able := slices.DeleteFunc(slices.Clone(s.requests), func(p *shardRequest) bool { return !c.canSend(p) })
+			if s.awaitsCanary = len(able) > 0; s.awaitsCanary {
+				c.enqueueRequest(slices.MinFunc(able, func(p, q *shardRequest) int {
+					return cmp.Compare(c.shortestExpectedLatency(p), c.shortestExpectedLatency(q))
+				}))
 				return
 			}
 		}
 	}
 	order := c.order[:0]
-	for _, p := range s.parts { // those that can go now come first, then the heavier, ties by chance
-		if len(p.tries) > 0 { // sent ahead, or in its place
+	for _, p := range s.requests { // those that can go now come first, then the heavier, ties by chance
+		if len(p.attempts) > 0 { // sent ahead, or in its place
 			continue
 		}
-		o := ordered{p, p.weight + 1e-9*c.chance.Float64()}
-		if c.can(p) {
-			o.ease += 2
+		o := sendCandidate{p, p.weight + 1e-9*c.rng.Float64()}
+		if c.canSend(p) {
+			o.priority += 2
 		}
 		// Where no copy may run beside a part, one at a slow replica is work that nothing takes back.
-		if c.facts.yes("Permissions.SecondCopies") || c.wait(p) <= c.common() {
-			o.ease++
+		if c.settings.isEnabled("Permissions.SecondCopies") || c.shortestExpectedLatency(p) <= c.fleetLatency() {
+			o.priority++
 		}
 		order = append(order, o)
 	}
-	slices.SortFunc(order, func(p, q ordered) int { return cmp.Compare(q.ease, p.ease) })
+	slices.SortFunc(order, func(p, q sendCandidate) int { return cmp.Compare(q.priority, p.priority) })
 	// Where evidence is thin nothing waits here, and the backlog says nothing. Slow answers stand in for it:
 	// what an answer may lack is an extra then.
-	least := s.need
-	if c.thin() && c.usualN >= sureAnswers && c.ease() < strain {
-		least = min(least, c.facts.nth("Specifics.ClassFloor", s.qtype, 1)+2e-4)
+	least := s.neededWeight
+	if c.hasThinEvidence() && c.usualN >= minOverloadAnswers && c.loadFactor() < overloadLoadFactor {
+		least = min(least, c.settings.listNumber("Specifics.ClassFloor", s.queryType, 1)+2e-4)
 	}
-	have, n := s.in, 0
+	have, n := s.completedWeight, 0
 	for n < len(order) && have < least-1e-4 {
 		have += order[n].weight
 		n++
 	}
 	extras := max(0, len(order)-n-int(c.backlog)) // all that remain while the backlog is under 1
-	if least < s.need {
-		extras = min(extras, int(strainExtra*c.ease()*float64(len(order)-n)))
+	if least < s.neededWeight {
+		extras = min(extras, int(overloadExtraShare*c.loadFactor()*float64(len(order)-n)))
 	}
 	for i, o := range order[:n+extras] {
-		if i < n || o.ease >= 3 { // an extra that would have to wait takes room from parts that are needed
-			c.ask(o.part)
+		if i < n || o.priority >= 3 { // an extra that would have to wait takes room from parts that are needed
+			c.enqueueRequest(o.shardRequest)
 		}
 		if i >= n && o.queued {
 			have += o.weight
 		}
 	}
-	if s.cut = have < s.need-1e-4; s.cut {
-		s.most = have
+	if s.reduced = have < s.neededWeight-1e-4; s.reduced {
+		s.reachableWeight = have
 	}
 	clear(order)
 	c.order = order
 }
 
-// falls tells whether replicas have gone down under own sub-requests of late. Guards, by one part of each
+// sendsCanary tells whether replicas have gone down under own sub-requests of late. Guards, by one part of each
 // search ahead of its rest, against searches that fell what takes them: with all out, one fells a replica for
 // each part before its first loss is told. Covers crashes too. Harm: an answer's time to each search; not
 // where copies help a part that is lost.
-func (c *coordinator) falls() bool {
-	return c.fell > 0 && c.now-c.fell < fellSpan && !c.facts.yes("Permissions.SecondCopies")
+func (c *balancer) sendsCanary() bool {
+	return c.fell > 0 && c.now-c.fell < canaryWindow && !c.settings.isEnabled("Permissions.SecondCopies")
 }
 
-func (c *coordinator) ask(p *part) {
+func (c *balancer) enqueueRequest(p *shardRequest) {
 	if !p.queued {
 		p.queued = true
 		c.waiting = append(c.waiting, p)
@@ -319,18 +325,18 @@
 
 // sendWaiting sends parts in turn and tells whether none is left that a free slot would serve. A part that
 // no replica may take just now (cold, draining) stands aside: it must not hold up the queue.
-func (c *coordinator) sendWaiting() bool {
+func (c *balancer) sendWaiting() bool {
 	rest, free := c.waiting[:0], true
 	for i, p := range c.waiting {
-		if p.s.over || p.in || p.dead {
+		if p.search.ended || p.completed || p.lost {
 			p.queued = false
 			continue
 		}
-		if c.busy() {
+		if c.isAtLimit() {
 			rest, free = append(rest, c.waiting[i:]...), false
 			break
 		}
-		if r := c.pick(p); r != nil && c.mayTry(p) {
+		if r := c.selectReplica(p); r != nil && c.mayAttempt(p) {
 			p.queued = false
 			c.send(p, r)
 			continue
@@ -342,30 +348,32 @@
 	return free
 }
 
-// slots is the cap of parts in flight: the design's value, less while answers take longer than they can.
-func (c *coordinator) slots() int {
+// concurrencyLimit is the cap of parts in flight: the design's value, less while answers take longer than they can.
+func (c *balancer) concurrencyLimit() int {
 	n := float64(slotsPerReplica * c.listed)
-	least := min(leastShare*n, leastAll*float64(c.listed)/c.facts.num("Balancers"))
+	least := min(minLimitShare*n, minLimitPerReplica*float64(c.listed)/c.settings.number("Balancers"))
 	c.limit = max(1, least, min(n, c.limit))
 	return int(c.limit)
 }
 
-// ease is 1 while answers take less than slackRatio times the shortest, and falls as they take longer.
-func (c *coordinator) ease() float64 { return min(1, slackRatio*c.shortest()/c.common()) }
+// loadFactor is 1 while answers take less than toleratedLatencyRatio times the shortest, and falls as they take longer.
+func (c *balancer) loadFactor() float64 {
+	return min(1, toleratedLatencyRatio*c.shortestLatency()/c.fleetLatency())
+}
 
-// follow moves the cap at each answer: down by how far shortest / present answer time falls short of
-// 1/slackRatio, up by a little, so that it settles where parts no longer wait long at the replicas.
-func (c *coordinator) follow() {
-	ease := c.ease()
-	if c.limit += ease - 1 + 1/math.Sqrt(c.limit); ease < strain && c.thin() {
-		c.limit = min(c.limit, float64(max(c.longest, c.inFlight())))
+// adjustLimit moves the cap at each answer: down by how far shortest / present answer time falls short of
+// 1/toleratedLatencyRatio, up by a little, so that it settles where parts no longer wait long at the replicas.
+func (c *balancer) adjustLimit() {
+	ease := c.loadFactor()
+	if c.limit += ease - 1 + 1/math.Sqrt(c.limit); ease < overloadLoadFactor && c.hasThinEvidence() {
+		c.limit = min(c.limit, float64(max(c.longest, c.effectiveInFlight())))
 	}
-	c.slots()
+	c.concurrencyLimit()
 }
 
-// common is the fleet's answer time now, by the mean of logarithms: single long answers weigh little.
-func (c *coordinator) common() float64 {
-	n, total := c.pace.read(c.now, fleetSpan)
+// fleetLatency is the fleet's answer time now, by the mean of logarithms: single long answers weigh little.
+func (c *balancer) fleetLatency() float64 {
+	n, total := c.pace.read(c.now, fleetWindow)
 	if c.usualAt != c.now || c.usualN != n {
 		c.usual, c.usualAt, c.usualN = math.Exp((total+math.Log(c.firstUsual))/(n+1)), c.now, n
 		c.usualLog = math.Log(c.usual)
@@ -373,90 +381,90 @@
 	return c.usual
 }
 
-func (c *coordinator) shortest() float64 {
-	now := c.common()
-	if c.usualN < fewAnswers {
+func (c *balancer) shortestLatency() float64 {
+	now := c.fleetLatency()
+	if c.usualN < minFleetAnswers {
 		return now
 	}
 	if c.bestAt == c.now && c.bestOf == now {
 		return c.best
 	}
-	if c.best *= math.Exp(min(1, float64(c.now-c.bestAt)*bestCreep)); c.best == 0 || now < c.best {
+	if c.best *= math.Exp(min(1, float64(c.now-c.bestAt)*shortestLatencyGrowth)); c.best == 0 || now < c.best {
 		c.best = now
 	}
 	c.bestAt, c.bestOf = c.now, now
 	return c.best
 }
 
-// able tells whether a replica may take a part now, sound or not.
-func (c *coordinator) able(r *replica, p *part) bool {
-	out := func(t *try) bool { return t.r == r && !t.settled }
-	return c.room(r) && c.coldRoom(r) && !slices.ContainsFunc(p.tries, out)
+// hasCapacity tells whether a replica may take a part now, sound or not.
+func (c *balancer) hasCapacity(r *replica, p *shardRequest) bool {
+	out := func(t *attempt) bool { return t.replica == r && !t.ended }
+	return c.belowReplicaLimit(r) && c.hasSlowStartCredit(r) && !slices.ContainsFunc(p.attempts, out)
 }
 
-// can tells whether some replica may take a part now; of many holders without a look at each.
-func (c *coordinator) can(p *part) bool {
+// canSend tells whether some replica may take a part now; of many holders without a look at each.
+func (c *balancer) canSend(p *shardRequest) bool {
 	all := c.holders(p)
-	if len(all) <= manyHolders {
-		return c.pick(p) != nil
+	if len(all) <= sampleThreshold {
+		return c.selectReplica(p) != nil
 	}
-	if c.full[p.spot()] || float64(p.s.due-c.now) < c.best { // no answer could come: nothing crosses a final one
+	if c.full[p.spot()] || float64(p.search.deadline-c.now) < c.best { // no answer could come: nothing crosses a final one
 		return false
 	}
 	sound, trial, other := false, false, false
 	for _, r := range all {
-		bad := c.suspect(r)
+		bad := c.isOutlier(r)
 		sound = sound || !bad
-		if able := c.able(r, p); able && !bad {
+		if able := c.hasCapacity(r, p); able && !bad {
 			return true
 		} else if able {
-			other, trial = true, trial || c.trial(r, p)
+			other, trial = true, trial || c.mayTrial(r, p)
 		}
 	}
 	can := trial || other && !sound
-	c.full[p.spot()] = !can && len(p.tries) == 0 // for this turn: bounds its time with thousands of searches
+	c.full[p.spot()] = !can && len(p.attempts) == 0 // for this turn: bounds its time with thousands of searches
 	return can
 }
 
-// trial tells whether one that is bad, or said to be, may take a part beside sound ones: it may have healed.
-func (c *coordinator) trial(r *replica, p *part) bool {
-	return c.now >= max(r.trialAt, c.trialAt) && len(p.tries) == 0 && p.s.effect == "retryable" &&
-		(c.suspect(r) || p.s.need < p.s.most-1e-4)
+// mayTrial tells whether one that is bad, or said to be, may take a part beside sound ones: it may have healed.
+func (c *balancer) mayTrial(r *replica, p *shardRequest) bool {
+	return c.now >= max(r.nextTrial, c.trialAt) && len(p.attempts) == 0 && p.search.effect == "retryable" &&
+		(c.isOutlier(r) || p.search.neededWeight < p.search.reachableWeight-1e-4)
 }
 
-// pick chooses a part's replica: fewest own calls out, one not tried yet if there is; ties by chance, or by
+// selectReplica chooses a part's replica: fewest own calls out, one not tried yet if there is; ties by chance, or by
 // past answers where evidence is thin. Of many, a few drawn are looked at first: an idle one has the fewest.
-func (c *coordinator) pick(p *part) *replica {
-	if c.full[p.spot()] || float64(p.s.due-c.now) < c.best {
+func (c *balancer) selectReplica(p *shardRequest) *replica {
+	if c.full[p.spot()] || float64(p.search.deadline-c.now) < c.best {
 		return nil
 	}
 	all := c.holders(p)
-	if n := len(all); n > manyHolders {
-		from := c.chance.Intn(n - lookFirst)
-		if r, load := c.choose(p, all[from:from+lookFirst]); load < 1 && load >= 0 {
+	if n := len(all); n > sampleThreshold {
+		from := c.rng.Intn(n - sampleSize)
+		if r, load := c.selectAmong(p, all[from:from+sampleSize]); load < 1 && load >= 0 {
 			return r
 		}
 	}
-	r, _ := c.choose(p, all)
-	if r == nil && len(p.tries) == 0 {
+	r, _ := c.selectAmong(p, all)
+	if r == nil && len(p.attempts) == 0 {
 		c.full[p.spot()] = true
 	}
 	return r
 }
 
-// choose picks among some of a shard's holders, with how much that one has out.
-func (c *coordinator) choose(p *part, all []*replica) (best *replica, least float64) {
+// selectAmong picks among some of a shard's holders, with how much that one has out.
+func (c *balancer) selectAmong(p *shardRequest, all []*replica) (best *replica, least float64) {
 	least = math.Inf(1)
-	ties, sound, thin := 0, false, c.thin()
+	ties, sound, thin := 0, false, c.hasThinEvidence()
 	for _, r := range all {
-		bad, doubt := c.suspect(r), c.doubted(r)
+		bad, doubt := c.isOutlier(r), c.isGossipedOutlier(r)
 		sound = sound || !bad
-		if !c.able(r, p) || c.now < c.doubtsTo && !c.warm(r) && c.spared(p) {
+		if !c.hasCapacity(r, p) || c.now < c.doubtsTo && !c.isWarmedUp(r) && c.isSparedByGossip(p) {
 			continue
 		}
-		load := float64(r.calls)
+		load := float64(r.batchesInFlight)
 		if thin {
-			load += 1 - 1/(1+c.habit(r)*(1+tieChance*c.chance.Float64()))
+			load += 1 - 1/(1+c.longTermSlowness(r)*(1+tieRandomShare*c.rng.Float64()))
 		}
 		if bad || doubt {
 			// Guards against replicas that take parts and answer none, or refuse: used only where no sound one
@@ -465,20 +473,20 @@
 			if load += 1e5; bad {
 				load += 1e6
 			}
-			if c.trial(r, p) {
+			if c.mayTrial(r, p) {
 				load = -1
 			}
-		} else if c.away(r.zone) && (c.now < c.ways[r.zone].trialAt || p.s.need >= p.s.most-1e-4) {
+		} else if c.isZoneDegraded(r.zone) && (c.now < c.ways[r.zone].nextTrial || p.search.neededWeight >= p.search.reachableWeight-1e-4) {
 			load += 1e5 // but for a trial part where a search has one to spare
 		}
-		if slices.ContainsFunc(p.tries, func(t *try) bool { return t.r == r }) {
+		if slices.ContainsFunc(p.attempts, func(t *attempt) bool { return t.replica == r }) {
 			load += 1e4
 		}
 		switch {
 		case load < least:
 			best, least, ties = r, load, 1
 		case load == least:
-			if ties++; c.chance.Intn(ties) == 0 {
+			if ties++; c.rng.Intn(ties) == 0 {
 				best = r
 			}
 		}
@@ -489,498 +497,504 @@
 	return best, least
 }
 
-// room guards against piling up on the one sound holder of a shard: a replica's own part of the slots
+// belowReplicaLimit guards against piling up on the one sound holder of a shard: a replica's own part of the slots
 // shrinks with its answers as the cap does with all answers. Parts beyond it stand aside, as do searches that
 // need them. With all its parts silent one more may go: it shows whether it is slow or a connection was lost.
-func (c *coordinator) room(r *replica) bool {
-	best, n := c.shortest(), len(r.tries)
-	if n == 0 || c.doubted(r) {
+func (c *balancer) belowReplicaLimit(r *replica) bool {
+	best, n := c.shortestLatency(), len(r.attempts)
+	if n == 0 || c.isGossipedOutlier(r) {
 		return n == 0
 	}
-	share := min(1, slackRatio*best/(c.common()*c.slowness(r)))
-	return float64(n) < max(1, oneReplica*slotsPerReplica*share) ||
-		float64(c.now-r.tries[n-1].sent) > c.silence()
+	share := min(1, toleratedLatencyRatio*best/(c.fleetLatency()*c.slowness(r)))
+	return float64(n) < max(1, replicaLimitFactor*slotsPerReplica*share) ||
+		float64(c.now-r.attempts[n-1].sentAt) > c.silenceThreshold()
 }
 
-// thin tells whether a replica answers this co-ordinator so seldom that own parts out and the start's cap say
+// hasThinEvidence tells whether a replica answers this co-ordinator so seldom that own parts out and the start's cap say
 // nothing. Guards against slow replicas that look idle and against overload that no one co-ordinator sees.
-func (c *coordinator) thin() bool {
-	return c.done.rate(c.now, rateSpan, youngSpan) < thinRate*float64(c.listed)
+func (c *balancer) hasThinEvidence() bool {
+	return c.done.rate(c.now, rateWindow, minRateAge) < thinEvidenceRate*float64(c.listed)
 }
 
-// habit is a replica's answer time over the fleet's, in a longer memory.
-func (c *coordinator) habit(r *replica) float64 {
-	n, total := r.past.read(c.now, pastSpan)
-	c.common()
-	more, slower := c.heard(r.long, pastSpan, n)
+// longTermSlowness is a replica's answer time over the fleet's, in a longer memory.
+func (c *balancer) longTermSlowness(r *replica) float64 {
+	n, total := r.longLatency.read(c.now, longWindow)
+	c.fleetLatency()
+	more, slower := c.gossipedSum(r.gossipedLong, longWindow, n)
 	return math.Exp((total - n*c.usualLog + slower) / (n + more + 1))
 }
 
 // slowness is a replica's answer time over the fleet's, parts that are still out counted by their age.
-func (c *coordinator) slowness(r *replica) float64 {
-	n, total := r.pace.read(c.now, paceSpan)
-	c.common()
+func (c *balancer) slowness(r *replica) float64 {
+	n, total := r.shortLatency.read(c.now, shortWindow)
+	c.fleetLatency()
 	common := c.usualLog
-	more, slower := c.heard(r.short, paceSpan, n)
-	for _, t := range r.tries {
-		if age := float64(c.now - t.sent); age > c.usual {
+	more, slower := c.gossipedSum(r.gossipedShort, shortWindow, n)
+	for _, t := range r.attempts {
+		if age := float64(c.now - t.sentAt); age > c.usual {
 			n, total = n+1, total+math.Log(age)
 		}
 	}
-	return math.Exp((total+slower+(more+priorParts)*common)/(n+more+priorParts) - common)
+	return math.Exp((total+slower+(more+priorWeight)*common)/(n+more+priorWeight) - common)
 }
 
-// away guards against a slow or lossy way to a zone, or a zone slow as a whole: its answers take far longer
+// isZoneDegraded guards against a slow or lossy way to a zone, or a zone slow as a whole: its answers take far longer
 // than the quickest zone's. One replica shows too little, and it is not its fault: such replicas are no
 // suspects, they come after the others. Harm: a zone slow from own load alone is spared by crossing.
-func (c *coordinator) away(zone int) bool {
+func (c *balancer) isZoneDegraded(zone int) bool {
 	if len(c.ways) < 2 {
 		return false
 	}
 	own, least := 0.0, math.Inf(1)
-	c.common()
+	c.fleetLatency()
 	for i := range c.ways {
-		n, total := c.ways[i].pace.read(c.now, paceSpan)
-		more, slower := c.heard(c.ways[i].heard, paceSpan, n)
-		mean := (total + slower + (more+priorParts)*c.usualLog) / (n + more + priorParts)
+		n, total := c.ways[i].latency.read(c.now, shortWindow)
+		more, slower := c.gossipedSum(c.ways[i].gossiped, shortWindow, n)
+		mean := (total + slower + (more+priorWeight)*c.usualLog) / (n + more + priorWeight)
 		if least = min(least, mean); i == zone {
 			own = mean
 		}
 	}
-	return own-least > math.Log(awayRatio)
+	return own-least > math.Log(zoneDegradedRatio)
 }
 
-// silent tells whether a part is out so long that its answer may never come, whatever its replica answers.
-func (c *coordinator) silent(t *try) bool {
-	return c.suspect(t.r) || float64(c.now-t.sent) > c.silence()
+// isSilent tells whether a part is out so long that its answer may never come, whatever its replica answers.
+func (c *balancer) isSilent(t *attempt) bool {
+	return c.isOutlier(t.replica) || float64(c.now-t.sentAt) > c.silenceThreshold()
 }
 
-func (c *coordinator) silence() float64 { return max(quietLeast, quietRatio*c.common()) }
+func (c *balancer) silenceThreshold() float64 { return max(minSilence, silenceRatio*c.fleetLatency()) }
 
-func (c *coordinator) suspect(r *replica) bool {
-	if r.refused > 0 || r.strikes >= strikeOut || c.now < r.restTo { // restTo: it has said so itself
+func (c *balancer) isOutlier(r *replica) bool {
+	if r.connectFailures > 0 || r.consecutiveFailures >= outlierFailures || c.now < r.retryAfter { // retryAfter: it has said so itself
 		return true
 	}
-	return (r.quiet >= quietTries || r.quiet > 0 && c.doubted(r)) && float64(c.now-r.quietSince) > c.silence()
+	return (r.unanswered >= minUnanswered || r.unanswered > 0 && c.isGossipedOutlier(r)) && float64(c.now-r.silentSince) > c.silenceThreshold()
 }
 
-// coldRoom guards against pushing over a replica that has just started: it gets that share of the mean own
+// hasSlowStartCredit guards against pushing over a replica that has just started: it gets that share of the mean own
 // parts a replica answers which it can surely do by now. The means of all co-ordinators add up to what one
 // really answers, so all together keep to it, however many; credit starts by chance, not at once nor never.
-func (c *coordinator) coldRoom(r *replica) bool {
-	if c.warm(r) {
+func (c *balancer) hasSlowStartCredit(r *replica) bool {
+	if c.isWarmedUp(r) {
 		return true
 	}
-	if r.creditAt < c.now {
-		from := c.facts.opt("Safety.ColdFrom", 0)
-		can := from + (1-from)*float64(max(0, c.now-r.since))/float64(c.facts.span("Safety.Cold"))
-		mean := c.done.rate(c.now, rateSpan, youngSpan) / float64(max(1, c.listed))
-		more := coldPart * c.facts.opt("Safety.FallMultiple", 1) * can * mean * float64(c.now-r.creditAt)
-		r.credit, r.creditAt = min(1, r.credit+more), c.now
+	if r.slowStartUpdatedAt < c.now {
+		from := c.settings.optionalNumber("Safety.ColdFrom", 0)
+		can := from + (1-from)*float64(max(0, c.now-r.startedAt))/float64(c.settings.duration("Safety.Cold"))
+		mean := c.done.rate(c.now, rateWindow, minRateAge) / float64(max(1, c.listed))
+		more := slowStartSafetyFactor * c.settings.optionalNumber("Safety.FallMultiple", 1) * can * mean * float64(c.now-r.slowStartUpdatedAt)
+		r.slowStartCredit, r.slowStartUpdatedAt = min(1, r.slowStartCredit+more), c.now
 	}
-	return r.credit >= 1
+	return r.slowStartCredit >= 1
 }
 
-// mayTry holds the rules on sending a part: how often, when a repeat is harmless, and the stated budget.
-func (c *coordinator) mayTry(p *part) bool {
-	span := c.facts.span("Safety.LookBack")
-	if len(p.tries) == 0 || span == 0 {
-		return len(p.tries) == 0 || c.mayRepeat(p)
+// mayAttempt holds the rules on sending a part: how often, when a repeat is harmless, and the stated budget.
+func (c *balancer) mayAttempt(p *shardRequest) bool {
+	span := c.settings.duration("Safety.LookBack")
+	if len(p.attempts) == 0 || span == 0 {
+		return len(p.attempts) == 0 || c.mayRepeat(p)
 	}
-	c.taken, c.further = since(c.taken, c.now-span+windowPad), since(c.further, c.now-span-windowPad)
-	room := c.facts.opt("Safety.ExtraFloor", 0) + c.facts.opt("Safety.FurtherRatio", 0)*float64(len(c.taken))
+	c.taken, c.further = dropBefore(c.taken, c.now-span+windowMargin), dropBefore(c.further, c.now-span-windowMargin)
+	room := c.settings.optionalNumber("Safety.ExtraFloor", 0) + c.settings.optionalNumber("Safety.FurtherRatio", 0)*float64(len(c.taken))
 	return c.mayRepeat(p) && float64(len(c.further)+1) <= room
 }
 
 // mayRepeat tells whether a further sub-request is allowed and harmless.
-func (c *coordinator) mayRepeat(p *part) bool {
-	effect, more := p.s.effect, len(p.tries) < c.maxTries()
-	for _, t := range p.tries {
-		if !t.maybe && t.settled || effect == "retryable" {
+func (c *balancer) mayRepeat(p *shardRequest) bool {
+	effect, more := p.search.effect, len(p.attempts) < c.maxAttempts()
+	for _, t := range p.attempts {
+		if !t.mayHaveRun && t.ended || effect == "retryable" {
 			continue
 		}
-		window := c.facts.span(c.facts.of("Classes", p.s.qtype, "RepeatWindow"))
-		if effect != "dedup" || c.now-t.sent > window-windowPad {
+		window := c.settings.duration(c.settings.fieldName("Classes", p.search.queryType, "RepeatWindow"))
+		if effect != "dedup" || c.now-t.sentAt > window-windowMargin {
 			return false
 		}
 	}
 	return more
 }
 
-func (c *coordinator) send(p *part, r *replica) {
-	t := p.try()
-	t.p, t.r, t.leg, t.sent, t.out = p, r, len(p.tries), c.now, true
-	if t.leg > 0 {
-		c.count(&c.further)
-		p.s.copies++
-	}
-	if c.suspect(r) || c.doubted(r) {
-		r.trialAt, c.trialAt = c.now+trialWait, c.now+trialEach
-	} else if c.away(r.zone) {
-		c.ways[r.zone].trialAt = c.now + trialWait
-	}
-	r.credit--
-	r.sentAt = c.now
-	if r.turnAt != c.now || r.turn == nil || r.turn.parts >= int(c.facts.opt("Specifics.PerCall", 1)) {
-		r.turn, r.turnAt = &t.own, c.now
-		r.calls++
-	}
-	t.c = r.turn
-	t.c.parts++
-	t.c.out++
-	if r.quiet == 0 {
-		r.quietSince = c.now
-	}
-	r.quiet++
-	p.tries, r.tries = append(p.tries, t), append(r.tries, t)
-	c.flights.sent(t)
-	patience := p.s.due - c.now + answerPad
-	if c.facts.yes("Permissions.SecondCopies") || c.facts.yes("Permissions.Cancelling") {
-		t.wake = c.after(c.overdueAfter(), (*atOverdue)(t))
-	} else if !c.facts.yes("Permissions.Cancelling") && len(p.tries) < c.maxTries() && p.s.effect != "fragile" {
-		patience = min(patience, aloneRatio*c.overdueAfter())
-	}
-	c.out.SendAttempt(p.id, r.id, patience)
-	c.next[p.id<<8|uint64(t.leg)] = t
-}
-
-// quick tells whether a replica has nothing of ours out and would answer soon. It has to be known as no
+func (c *balancer) send(p *shardRequest, r *replica) {
+	t := p.newAttempt()
+	t.request, t.replica, t.index, t.sentAt, t.holdsSlot = p, r, len(p.attempts), c.now, true
+	if t.index > 0 {
+		c.recordForBudget(&c.further)
+		p.search.extraAttempts++
+	}
+	if c.isOutlier(r) || c.isGossipedOutlier(r) {
+		r.nextTrial, c.trialAt = c.now+trialInterval, c.now+trialSpacing
+	} else if c.isZoneDegraded(r.zone) {
+		c.ways[r.zone].nextTrial = c.now + trialInterval
+	}
+	r.slowStartCredit--
+	r.lastSent = c.now
+	if r.currentBatchAt != c.now || r.currentBatch == nil || r.currentBatch.size >= int(c.settings.optionalNumber("Specifics.PerCall", 1)) {
+		r.currentBatch, r.currentBatchAt = &t.ownBatch, c.now
+		r.batchesInFlight++
+	}
+	t.batch = r.currentBatch
+	t.batch.size++
+	t.batch.inFlight++
+	if r.unanswered == 0 {
+		r.silentSince = c.now
+	}
+	r.unanswered++
+	p.attempts, r.attempts = append(p.attempts, t), append(r.attempts, t)
+	c.flights.recordSent(t)
+	patience := p.search.deadline - c.now + answerMargin
+	if c.settings.isEnabled("Permissions.SecondCopies") || c.settings.isEnabled("Permissions.Cancelling") {
+		t.hedgeTimer = c.setTimer(c.hedgeDelay(), (*hedgeCallback)(t))
+	} else if !c.settings.isEnabled("Permissions.Cancelling") && len(p.attempts) < c.maxAttempts() && p.search.effect != "fragile" {
+		patience = min(patience, timeoutRatio*c.hedgeDelay())
+	}
+	c.actions.SendAttempt(p.id, r.id, patience)
+	c.next[p.id<<8|uint64(t.index)] = t
+}
+
+// isQuickAndIdle tells whether a replica has nothing of ours out and would answer soon. It has to be known as no
 // slower than usual, until what went out again was answered quickly of late: then a little slower, or not
 // known, will do. Guards against parts that stay where nothing answers, since the other holder is slower than
 // the mean by its make alone. Harm: until enough shows that those others are as full.
-func (c *coordinator) quick(r *replica) bool {
-	if n, total := c.again.read(c.now, pastSpan); n < againLeast || total > n*math.Log(againRatio) {
-		n, total = r.past.read(c.now, pastSpan)
-		return n >= seenLeast && total/n <= c.usualLog && len(r.tries) == 0
+func (c *balancer) isQuickAndIdle(r *replica) bool {
+	if n, total := c.again.read(c.now, longWindow); n < minRetryAnswers || total > n*math.Log(quickRetryRatio) {
+		n, total = r.longLatency.read(c.now, longWindow)
+		return n >= minReplicaAnswers && total/n <= c.usualLog && len(r.attempts) == 0
 	}
-	return c.habit(r) <= quickRatio && len(r.tries) == 0
+	return c.longTermSlowness(r) <= quickLatencyRatio && len(r.attempts) == 0
 }
 
-func (c *coordinator) overdueAfter() int64 { return int64(max(copyLeast, copyRatio*c.common())) }
+func (c *balancer) hedgeDelay() int64 {
+	return int64(max(minHedgeDelay, hedgeDelayRatio*c.fleetLatency()))
+}
 
-// overdue guards against every kind of silence or slowness of one replica, whatever its cause: a part that
+// hedgeAttempt guards against every kind of silence or slowness of one replica, whatever its cause: a part that
 // takes far longer than parts do now gets a second copy elsewhere. Harm: where the part itself is heavy.
-func (c *coordinator) overdue(t *try) {
-	p := t.p
-	if t.settled || p.s.over || p.in || p.dead {
+func (c *balancer) hedgeAttempt(t *attempt) {
+	p := t.request
+	if t.ended || p.search.ended || p.completed || p.lost {
 		return
 	}
-	alone, age := !c.facts.yes("Permissions.SecondCopies"), float64(c.now-t.sent)
+	alone, age := !c.settings.isEnabled("Permissions.SecondCopies"), float64(c.now-t.sentAt)
 	if !alone {
-		c.ways[t.r.zone].pace.add(c.now, paceSpan, math.Log(age))
+		c.ways[t.replica.zone].latency.add(c.now, shortWindow, math.Log(age))
 	}
-	r := c.pick(p)
-	lacking, heavy := c.short(p.s)
-	if alone && lacking && !heavy && !p.s.cut && c.ease() >= strain {
-		c.standIn(p.s)
+	r := c.selectReplica(p)
+	lacking, heavy := c.completionOutlook(p.search)
+	if alone && lacking && !heavy && !p.search.reduced && c.loadFactor() >= overloadLoadFactor {
+		c.sendWithheld(p.search)
 	}
-	if r == nil || c.suspect(r) || !c.mayTry(p) || p.queued || !lacking ||
-		!c.suspect(t.r) && (len(c.queue) > 0 && !c.silent(t) || heavy) ||
-		alone && (age < rescueRatio*c.common() || !c.quick(r) || c.ease() < strain) {
-		t.wake = c.after(copyAgain, (*atOverdue)(t))
+	if r == nil || c.isOutlier(r) || !c.mayAttempt(p) || p.queued || !lacking ||
+		!c.isOutlier(t.replica) && (len(c.queue) > 0 && !c.isSilent(t) || heavy) ||
+		alone && (age < rescueDelayRatio*c.fleetLatency() || !c.isQuickAndIdle(r) || c.loadFactor() < overloadLoadFactor) {
+		t.hedgeTimer = c.setTimer(hedgeRecheckDelay, (*hedgeCallback)(t))
 		return
 	}
 	if alone { // it goes out again once its end is told
-		c.cancel(t)
+		c.cancelAttempt(t)
 		return
 	}
 	c.send(p, r)
 }
 
-// short tells whether the parts in and those out on time fall short of a whole answer, and whether so many
+// completionOutlook tells whether the parts in and those out on time fall completionOutlook of a whole answer, and whether so many
 // are long out, or were copied, that it is the search that is heavy and not a replica that is slow.
-func (c *coordinator) short(s *search) (lacking, heavy bool) {
-	have, long, sent := s.in, 0.0, 0.0
-	for _, p := range s.parts {
-		onTime := func(t *try) bool { return t.out && c.now-t.sent < c.overdueAfter() && !c.suspect(t.r) }
+func (c *balancer) completionOutlook(s *search) (lacking, heavy bool) {
+	have, long, sent := s.completedWeight, 0.0, 0.0
+	for _, p := range s.requests {
+		onTime := func(t *attempt) bool {
+			return t.holdsSlot && c.now-t.sentAt < c.hedgeDelay() && !c.isOutlier(t.replica)
+		}
 		switch {
-		case len(p.tries) == 0:
+		case len(p.attempts) == 0:
 			continue
-		case !p.in && slices.ContainsFunc(p.tries, onTime):
+		case !p.completed && slices.ContainsFunc(p.attempts, onTime):
 			have += p.weight
-		case !p.in && c.now-p.tries[0].sent >= c.overdueAfter() && !c.suspect(p.tries[0].r):
+		case !p.completed && c.now-p.attempts[0].sentAt >= c.hedgeDelay() && !c.isOutlier(p.attempts[0].replica):
 			long++
 		}
 		sent++
 	}
-	return have < s.need-1e-4, max(long, float64(s.copies+1)) > math.Ceil(copyParts*sent)
+	return have < s.neededWeight-1e-4, max(long, float64(s.extraAttempts+1)) > math.Ceil(maxHedgedShare*sent)
 }
 
-// landed is what every sub-request leaves behind for its outcome.
-func (c *coordinator) landed(t *try, ending string, wait, again int64) {
-	c.release(t)
-	c.flights.stir(t.r)
-	t.settled = true
-	p, r, s := t.p, t.r, t.p.s
+// attemptEnded is what every sub-request leaves behind for its outcome.
+func (c *balancer) attemptEnded(t *attempt, ending string, wait, again int64) {
+	c.releaseSlot(t)
+	c.flights.recheck(t.replica)
+	t.ended = true
+	p, r, s := t.request, t.replica, t.request.search
 	pace := math.Log(float64(max(1, wait)))
 	switch ending {
 	case "Ok":
-		if r.refused >= restartSign && c.warm(r) {
-			r.since, r.credit, r.creditAt = c.now, c.chance.Float64(), c.now // back before the list says so
-		}
-		t.maybe, r.strikes, r.refused, r.doubtTo, r.restTo, r.answered = true, 0, 0, 0, 0, c.now
-		r.quiet, r.quietSince = len(r.tries), c.now
-		c.flights.heard(r)
-		r.took(c.now, pace)
-		c.ways[r.zone].pace.add(c.now, paceSpan, pace)
-		c.pace.add(c.now, fleetSpan, pace)
-		c.follow()
-		c.done.add(c.now, rateSpan, 1)
-		c.retook(t, pace)
-		if !p.in && !p.dead && !s.over {
-			first := !s.sound
-			p.in, s.sound = true, true
-			s.in += p.weight
-			for _, o := range p.tries {
-				c.cancel(o)
+		if r.connectFailures >= restartConnectFailures && c.isWarmedUp(r) {
+			r.startedAt, r.slowStartCredit, r.slowStartUpdatedAt = c.now, c.rng.Float64(), c.now // back before the list says so
+		}
+		t.mayHaveRun, r.consecutiveFailures, r.connectFailures, r.gossipedOutlierUntil, r.retryAfter, r.lastAnswer = true, 0, 0, 0, 0, c.now
+		r.unanswered, r.silentSince = len(r.attempts), c.now
+		c.flights.recordSilence(r)
+		r.recordLatency(c.now, pace)
+		c.ways[r.zone].latency.add(c.now, shortWindow, pace)
+		c.pace.add(c.now, fleetWindow, pace)
+		c.adjustLimit()
+		c.done.add(c.now, rateWindow, 1)
+		c.recordRetryLatency(t, pace)
+		if !p.completed && !p.lost && !s.ended {
+			first := !s.hasAnswer
+			p.completed, s.hasAnswer = true, true
+			s.completedWeight += p.weight
+			for _, o := range p.attempts {
+				c.cancelAttempt(o)
 			}
-			c.check(s)
-			if s.ahead {
-				if s.ahead = false; !s.over && s.step == 1 {
-					c.open(s)
+			c.answerIfComplete(s)
+			if s.awaitsCanary {
+				if s.awaitsCanary = false; !s.ended && s.step == 1 {
+					c.admit(s)
 				}
 			}
-			for i := 0; first && i < len(s.parts); i++ { // any later one has left none to wait for it
-				c.missed(s.parts[i])
+			for i := 0; first && i < len(s.requests); i++ { // any later one has left none to wait for it
+				c.retryLost(s.requests[i])
 			}
 		}
 		return
 	case "Canceled", "TimedOut":
-		t.maybe = true
+		t.mayHaveRun = true
 		if ending == "TimedOut" { // what was called off was measured then
-			r.took(c.now, pace)
+			r.recordLatency(c.now, pace)
 		}
 	case "Failed", "QueueFull":
 		if ending == "QueueFull" {
-			r.took(c.now, math.Log(fullRatio*c.common()))
+			r.recordLatency(c.now, math.Log(queueFullLatencyRatio*c.fleetLatency()))
 		}
-		t.maybe, r.restTo = ending == "Failed", max(r.restTo, c.now+min(restMost, again))
-		c.flights.until(r, r.restTo)
-		r.trialAt, r.strikes = max(r.trialAt, r.restTo), r.strikes+1
+		t.mayHaveRun, r.retryAfter = ending == "Failed", max(r.retryAfter, c.now+min(maxRetryAfter, again))
+		c.flights.recheckAt(r, r.retryAfter)
+		r.nextTrial, r.consecutiveFailures = max(r.nextTrial, r.retryAfter), r.consecutiveFailures+1
 	case "ConnectError":
-		r.refused, c.fell = r.refused+r.dropped(c.now), c.now
+		r.connectFailures, c.fell = r.connectFailures+r.countConnectionLoss(c.now), c.now
 	case "ResetByPeer": // guards against lost connections: their replica has not died for that
-		t.maybe, r.strikes = true, r.strikes+r.dropped(c.now)
-		if float64(wait) > begunLeast*c.shortest() { // sooner is the way's doing, not the part's
-			s.lost, c.fell = s.lost+1, c.now
+		t.mayHaveRun, r.consecutiveFailures = true, r.consecutiveFailures+r.countConnectionLoss(c.now)
+		if float64(wait) > minStartedShare*c.shortestLatency() { // sooner is the way's doing, not the part's
+			s.lostConnections, c.fell = s.lostConnections+1, c.now
 		}
 	}
-	if c.suspect(r) && r.trialAt <= c.now {
-		r.trialAt = c.now + trialWait
+	if c.isOutlier(r) && r.nextTrial <= c.now {
+		r.nextTrial = c.now + trialInterval
 	}
-	c.missed(p)
+	c.retryLost(p)
 }
 
-func (c *coordinator) missed(p *part) {
-	s := p.s
-	if s.over || p.in || p.dead || p.queued || len(p.tries) == 0 || p.flies() {
+func (c *balancer) retryLost(p *shardRequest) {
+	s := p.search
+	if s.ended || p.completed || p.lost || p.queued || len(p.attempts) == 0 || p.isInFlight() {
 		return
 	}
 	// Guards against a search that fells whatever takes it: lost connections and never an answer. A lost part
 	// goes out again only after another of the search has answered. Harm: in a crash of many replicas a
 	// search that lost two parts before its first answer is shed.
-	switch fells := s.lost > 0 && !s.sound; {
-	case fells && (s.lost >= lostMost || s.ahead):
-		c.giveUp(s)
+	switch fells := s.lostConnections > 0 && !s.hasAnswer; {
+	case fells && (s.lostConnections >= maxLostConnections || s.awaitsCanary):
+		c.fail(s)
 		return
-	case fells && s.flies():
+	case fells && s.isInFlight():
 		return
 	case c.mayRepeat(p):
-		c.ask(p)
+		c.enqueueRequest(p)
 		return
 	}
-	p.dead = true
-	s.most -= p.weight
-	c.standIn(s)
-	if c.check(s); !s.over && s.most < s.need-1e-4 && !c.enough(s, s.most) {
-		c.giveUp(s)
+	p.lost = true
+	s.reachableWeight -= p.weight
+	c.sendWithheld(s)
+	if c.answerIfComplete(s); !s.ended && s.reachableWeight < s.neededWeight-1e-4 && !c.isAnswerable(s, s.reachableWeight) {
+		c.fail(s)
 	}
 }
 
-// standIn sends a part that was held back, at the quickest replica, in the place of one that is lost or late.
-func (c *coordinator) standIn(s *search) {
-	sent := func(q *part) bool { return len(q.tries) > 0 || q.queued || q.dead }
-	if held := slices.DeleteFunc(slices.Clone(s.parts), sent); len(held) > 0 {
-		q := slices.MinFunc(held, func(p, q *part) int { return cmp.Compare(c.wait(p), c.wait(q)) })
-		if c.ask(q); s.cut {
-			s.most += q.weight
+// sendWithheld sends a part that was held back, at the quickest replica, in the place of one that is lost or late.
+func (c *balancer) sendWithheld(s *search) {
+	sent := func(q *shardRequest) bool { return len(q.attempts) > 0 || q.queued || q.lost }
+	if held := slices.DeleteFunc(slices.Clone(s.requests), sent); len(held) > 0 {
+		q := slices.MinFunc(held, func(p, q *shardRequest) int {
+			return cmp.Compare(c.shortestExpectedLatency(p), c.shortestExpectedLatency(q))
+		})
+		if c.enqueueRequest(q); s.reduced {
+			s.reachableWeight += q.weight
 		}
 	}
 }
 
-func (c *coordinator) cancel(t *try) {
-	if !t.out || !c.facts.yes("Permissions.Cancelling") {
+func (c *balancer) cancelAttempt(t *attempt) {
+	if !t.holdsSlot || !c.settings.isEnabled("Permissions.Cancelling") {
 		return
 	}
-	if age := float64(c.now - t.sent); age > c.common() {
+	if age := float64(c.now - t.sentAt); age > c.fleetLatency() {
 		pace := math.Log(age)
-		c.retook(t, pace)
-		t.r.took(c.now, pace)
+		c.recordRetryLatency(t, pace)
+		t.replica.recordLatency(c.now, pace)
 	}
-	c.release(t)
-	c.out.CancelAttempt(t.p.id, t.leg)
+	c.releaseSlot(t)
+	c.actions.CancelAttempt(t.request.id, t.index)
 }
 
-// enough tells whether an answer may go out from so much, marked whole or not: never under the least share.
-func (c *coordinator) enough(s *search, have float64) bool {
-	least := c.facts.nth("Specifics.ClassFloor", s.qtype, 1)
-	if s.step == 2 && least >= c.facts.nth("Specifics.NeedByClass", s.qtype, 1) {
+// isAnswerable tells whether an answer may go out from so much, marked whole or not: never under the least share.
+func (c *balancer) isAnswerable(s *search, have float64) bool {
+	least := c.settings.listNumber("Specifics.ClassFloor", s.queryType, 1)
+	if s.step == 2 && least >= c.settings.listNumber("Specifics.NeedByClass", s.queryType, 1) {
 		least = 1
 	}
-	return have > 0 && have >= min(least+1e-6, s.need-1e-6)
+	return have > 0 && have >= min(least+1e-6, s.neededWeight-1e-6)
 }
 
-// check answers as soon as enough is in, or when all that can come has come.
-func (c *coordinator) check(s *search) {
-	if s.in >= s.need-1e-6 || s.most < s.need-1e-4 && s.in >= s.most-1e-6 && c.enough(s, s.in) {
+// answerIfComplete answers as soon as enough is in, or when all that can come has come.
+func (c *balancer) answerIfComplete(s *search) {
+	if s.completedWeight >= s.neededWeight-1e-6 || s.reachableWeight < s.neededWeight-1e-4 && s.completedWeight >= s.reachableWeight-1e-6 && c.isAnswerable(s, s.completedWeight) {
 		c.answer(s)
 	}
 }
 
-func (c *coordinator) answer(s *search) {
-	whole := s.in >= s.need-1e-6
+func (c *balancer) answer(s *search) {
+	whole := s.completedWeight >= s.neededWeight-1e-6
 	if s.step == 1 {
-		s.firstWhole = whole
-		c.spent(s)
+		s.firstStepComplete = whole
+		c.recordSearchDuration(s)
 	}
-	c.out.AnswerSearch(s.id, whole && s.firstWhole)
-	if s.step == 1 && c.facts.nth("Specifics.FollowUp", s.qtype, 0) > 0 {
-		c.drop(s)
-		s.step, s.parts, s.in, s.most, s.need, s.copies = 2, nil, 0, 0, 1, 0
+	c.actions.AnswerSearch(s.id, whole && s.firstStepComplete)
+	if s.step == 1 && c.settings.listNumber("Specifics.FollowUp", s.queryType, 0) > 0 {
+		c.cancelStep(s)
+		s.step, s.requests, s.completedWeight, s.reachableWeight, s.neededWeight, s.extraAttempts = 2, nil, 0, 0, 1, 0
 		return
 	}
-	c.end(s)
+	c.endSearch(s)
 }
 
-// giveUp ends a search at once with the best that is true of it, shedding where asking again harms nothing.
-func (c *coordinator) giveUp(s *search) {
-	if !s.over && c.enough(s, s.in) {
+// fail ends a search at once with the best that is true of it, shedding where asking again harms nothing.
+func (c *balancer) fail(s *search) {
+	if !s.ended && c.isAnswerable(s, s.completedWeight) {
 		c.answer(s)
 	}
-	if !s.over && s.left > 0 && s.step == 1 {
-		c.spent(s) // took this long at least: answers alone would flatter
+	if !s.ended && s.admittedAt > 0 && s.step == 1 {
+		c.recordSearchDuration(s) // took this long at least: answers alone would flatter
 	}
-	if !s.over && c.harmless(s) {
+	if !s.ended && c.isRepeatable(s) {
 		c.shed(s)
-	} else if !s.over {
-		c.out.FailSearch(s.id)
-		c.end(s)
+	} else if !s.ended {
+		c.actions.FailSearch(s.id)
+		c.endSearch(s)
 	}
 }
 
-func (c *coordinator) shed(s *search) {
+func (c *balancer) shed(s *search) {
 	advice := int64(0)
-	if c.facts.yes("Permissions.RetryAfter") {
-		wait := c.behind / c.speed()
+	if c.settings.isEnabled("Permissions.RetryAfter") {
+		wait := c.behind / c.answerRate()
 		if c.fullness >= 1 { // room comes as answers go out
-			wait = max(wait, c.common())
+			wait = max(wait, c.fleetLatency())
 		}
-		advice = min(int64(wait), c.facts.span("Permissions.MaxRetryAfter"))
+		advice = min(int64(wait), c.settings.duration("Permissions.MaxRetryAfter"))
 	}
-	c.out.ShedSearch(s.id, advice)
-	c.end(s)
+	c.actions.ShedSearch(s.id, advice)
+	c.endSearch(s)
 }
 
-// pastUse looks at a search whose latency target ends: an answer short of whole goes out where the type
+// objectiveReached looks at a search whose latency target ends: an answer short of whole goes out where the type
 // allows one, and a search that is worth nothing late makes room.
-func (c *coordinator) pastUse(s *search) {
-	if !s.over && c.enough(s, s.in) {
+func (c *balancer) objectiveReached(s *search) {
+	if !s.ended && c.isAnswerable(s, s.completedWeight) {
 		c.answer(s)
-	} else if !s.over && !c.worthLate(s) {
-		c.giveUp(s)
+	} else if !s.ended && !c.hasLateValue(s) {
+		c.fail(s)
 	}
 }
 
 // Shedding. It acts while searches wait for a slot, and on arrival while answers are slow.
 
-// speed is how many parts are answered in a tenth; while rates are young, by Little's law.
-func (c *coordinator) speed() float64 {
-	return max(c.done.rate(c.now, rateSpan, youngSpan), float64(c.inFlight())/c.common(), 1e-4)
+// answerRate is how many parts are answered in a tenth; while rates are young, by Little's law.
+func (c *balancer) answerRate() float64 {
+	return max(c.done.rate(c.now, rateWindow, minRateAge), float64(c.effectiveInFlight())/c.fleetLatency(), 1e-4)
 }
 
-// lateness gives what tells whether a search with so many parts before it would be answered after its target.
+// estimateCompletion gives what tells whether a search with so many parts before it would be answered after its target.
 // It holds while no part is sent or lands: what a turn asks of each waiting search is worked out once.
-func (c *coordinator) lateness() lateness {
-	n, total := c.spell.read(c.now, rateSpan)
-	return lateness{float64(c.now), c.speed(), usefulPad * total / (n + 1)}
+func (c *balancer) estimateCompletion() completionEstimate {
+	n, total := c.spell.read(c.now, rateWindow)
+	return completionEstimate{float64(c.now), c.answerRate(), durationSpread * total / (n + 1)}
 }
 
-func (l lateness) of(s *search, ahead float64) bool {
-	return l.now+ahead/l.speed+l.spell > float64(s.useful)
+func (l completionEstimate) isLate(s *search, ahead float64) bool {
+	return l.now+ahead/l.answerRate+l.searchDuration > float64(s.objectiveEnd)
 }
 
-// trim guards against overload: what cannot be answered in useful time, or held, is shed while its client
+// evictExpired guards against overload: what cannot be answered in useful time, or held, is shed while its client
 // can still ask again, beyond a tenant's share first. Harm: a wait judged too long sheds needlessly.
-func (c *coordinator) trim() {
-	if len(c.queue) > trimMany && c.now < c.trimmed+trimEach {
+func (c *balancer) evictExpired() {
+	if len(c.queue) > evictScanThreshold && c.now < c.trimmed+evictScanInterval {
 		return
 	}
 	c.trimmed = c.now
 	ahead, over := len(c.waiting), 0
 	if len(c.queue) > 0 {
-		late := c.lateness()
+		late := c.estimateCompletion()
 		for _, s := range c.queue {
-			if !s.over && (s.beyond || c.fullness >= 1 || late.of(s, float64(ahead))) {
+			if !s.ended && (s.overQuota || c.fullness >= 1 || late.isLate(s, float64(ahead))) {
 				c.shed(s)
 			}
-			if s.over {
+			if s.ended {
 				over++
 			} else {
-				ahead += len(s.parts)
+				ahead += len(s.requests)
 			}
 		}
 	}
 	if c.behind = float64(ahead); over > 0 {
-		c.queue = slices.DeleteFunc(c.queue, func(s *search) bool { return s.over })
+		c.queue = slices.DeleteFunc(c.queue, func(s *search) bool { return s.ended })
 	}
 }
 
-// beyond takes one of a tenant's share, a bucket filled at this part of its rate; true where none was left.
-func (c *coordinator) beyond(tenant int) bool {
-	quota := c.facts.opt(c.facts.of("Tenants", tenant, "QuotaPerS"), 0) / c.facts.num("Balancers") / 10_000
+// exceedsQuota takes one of a tenant's share, a bucket filled at this part of its rate; true where none was left.
+func (c *balancer) exceedsQuota(tenant int) bool {
+	quota := c.settings.optionalNumber(c.settings.fieldName("Tenants", tenant, "QuotaPerS"), 0) / c.settings.number("Balancers") / 10_000
 	if tenant >= len(c.tenants) || quota == 0 {
 		return false
 	}
 	b := &c.tenants[tenant]
-	b.left = min(b.left+quota*float64(c.now-b.at), 1+quota*shareSpan)
-	b.at = c.now
-	if b.left < 1 {
+	b.tokens = min(b.tokens+quota*float64(c.now-b.updatedAt), 1+quota*quotaBurst)
+	b.updatedAt = c.now
+	if b.tokens < 1 {
 		return true
 	}
-	b.left--
+	b.tokens--
 	return false
 }
 
 // ImportObservation takes a heard belief in, in the place of the one before. Guards against a start that knows nothing,
-// and against peers that are wrong: hearsay only takes from a replica, weighs heardMost answers at the most,
+// and against peers that are wrong: hearsay only takes from a replica, weighs maxGossipWeight answers at the most,
 // gives way to own ones, and fades. A replica said to be bad comes after the others, with one part at a time,
 // until it answers here: no peer can take it away.
-func (c *coordinator) ImportObservation(h GossipedObservation) {
-	take := func(t DecayingMean) hearsay {
-		return hearsay{min(heardMost, t.Weight), max(0, min(math.Log(heardSlow), t.Mean)), c.now}
+func (c *balancer) ImportObservation(h GossipedObservation) {
+	take := func(t DecayingMean) gossipedLatency {
+		return gossipedLatency{min(maxGossipWeight, t.Weight), max(0, min(math.Log(maxGossipSlowness), t.Mean)), c.now}
 	}
 	switch r := c.fleet[h.Replica]; {
 	case h.Scope == ScopeFleet && h.FleetLatency > 0:
-		c.firstUsual, c.usualAt = max(firstPace/heardSway, min(firstPace, h.FleetLatency)), 0 // longer would bar copies
+		c.firstUsual, c.usualAt = max(assumedLatency/maxGossipedSpeedup, min(assumedLatency, h.FleetLatency)), 0 // longer would bar copies
 		if c.best == 0 && h.ShortestLatency > 0 {
-			c.best, c.bestAt = min(c.common(), max(h.ShortestLatency, heardBest*c.common())), c.now
+			c.best, c.bestAt = min(c.fleetLatency(), max(h.ShortestLatency, minGossipedShortest*c.fleetLatency())), c.now
 		}
 	case h.Scope == ScopeZone && h.Zone >= 0 && h.Zone < len(c.ways):
-		c.ways[h.Zone].heard = take(h.ShortWindow)
-	case h.Scope == ScopeReplica && r != nil && r.since == h.ReplicaStart:
-		r.short, r.long, r.doubtTo = take(h.ShortWindow), take(h.LongWindow), 0
-		if n, _ := r.past.read(c.now, pastSpan); h.Outlier && n < 1 {
-			r.doubtTo = c.now + min(heardSpan, h.OutlierDuration)
-			c.doubtsTo = max(c.doubtsTo, r.doubtTo)
-			r.trialAt = max(r.trialAt, c.now+c.chance.Int63n(trialWait)) // not all learners' trials at once
+		c.ways[h.Zone].gossiped = take(h.ShortWindow)
+	case h.Scope == ScopeReplica && r != nil && r.startedAt == h.ReplicaStart:
+		r.gossipedShort, r.gossipedLong, r.gossipedOutlierUntil = take(h.ShortWindow), take(h.LongWindow), 0
+		if n, _ := r.longLatency.read(c.now, longWindow); h.Outlier && n < 1 {
+			r.gossipedOutlierUntil = c.now + min(maxGossipAge, h.OutlierDuration)
+			c.doubtsTo = max(c.doubtsTo, r.gossipedOutlierUntil)
+			r.nextTrial = max(r.nextTrial, c.now+c.rng.Int63n(trialInterval)) // not all learners' trials at once
 		}
-		c.flights.until(r, r.doubtTo)
+		c.flights.recheckAt(r, r.gossipedOutlierUntil)
 	}
 }
 
-// spared passes a cold replica over by chance, as often as hearsay keeps parts from other holders of the
+// isSparedByGossip passes a cold replica over by chance, as often as hearsay keeps parts from other holders of the
 // shard: what it takes from those must not push a cold one.
-func (c *coordinator) spared(p *part) bool {
+func (c *balancer) isSparedByGossip(p *shardRequest) bool {
 	all := c.holders(p)
-	return slices.ContainsFunc(all[c.chance.Intn(len(all)):][:1], c.doubted)
+	return slices.ContainsFunc(all[c.rng.Intn(len(all)):][:1], c.isGossipedOutlier)
 }
--- a/balancer/same_test.go
+++ b/balancer/same_test.go
@@ -121,6 +121,6 @@
 	for i := range 40 {
 		s := beginWith(t, draw(rand.New(rand.NewSource(int64(1000+i)))), true)
 		s.to(s.now + 100_000)
-		require.Zero(t, s.c.(*coordinator).inFlight())
+		require.Zero(t, s.c.(*balancer).effectiveInFlight())
 	}
 }
--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -154,14 +154,14 @@
 
 // recounted holds what is kept against a count of all. It reads what decays, which may move last digits.
 func (s *stage) recounted() {
-	c := s.c.(*coordinator)
+	c := s.c.(*balancer)
 	n := 0 // what is kept, recounted
-	for _, t := range c.flights.out.list {
-		if t.out && float64(c.now-t.sent) <= c.silence() && !c.suspect(t.r) {
+	for _, t := range c.flights.attempts.entries {
+		if t.holdsSlot && float64(c.now-t.sentAt) <= c.silenceThreshold() && !c.isOutlier(t.replica) {
 			n++
 		}
 	}
-	require.Equal(s.t, n, c.inFlight())
+	require.Equal(s.t, n, c.effectiveInFlight())
 }
 
 func (s *stage) parts(search, first uint64, shards, weights string) {
@@ -296,12 +296,12 @@
 // against memory that follows rate times client timeout.
 func TestWhatEndedSearchesHold(t *testing.T) {
 	s := perform(t, "start a/0 b/0 c/1 d/1\nwhen a,b,c Ok 20\nwhen d Failed 5\nsteady 400 10 1 60000 0,1,0,1")
-	c := s.c.(*coordinator)
+	c := s.c.(*balancer)
 	require.Empty(t, c.held)
 	require.Empty(t, c.numbers)
 	require.Empty(t, c.next)
-	require.Zero(t, c.flights.flying)
-	require.LessOrEqual(t, len(c.flights.out.list), slack, "what has landed")
+	require.Zero(t, c.flights.total)
+	require.LessOrEqual(t, len(c.flights.attempts.entries), compactMinEntries, "what has landed")
 	require.Empty(t, c.wakes)
 }
 
@@ -321,7 +321,7 @@
 
 // Replicas that have left are forgotten, told of one by one or by a whole list.
 func TestReplicasThatLeave(t *testing.T) {
-	c := New(nil).(*coordinator)
+	c := New(nil).(*balancer)
 	c.Configure(1, map[string]string{"Specifics.Sets": "1", "Specifics.Reach": "1"})
 	for i := range 100 {
 		c.BeginIteration(int64(i + 1))
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,68 +6,68 @@
 	"strings"
 )
 
-// siteFacts holds what the site told at start, by name. A fact that is needed and missing, or any fact that
+// settings holds what the site told at start, by name. A fact that is needed and missing, or any fact that
 // cannot be read, panics with its name; the protocol reports that and drops the instance.
-type siteFacts struct {
-	text map[string]string
-	read map[string]float64 // numbers read before
+type settings struct {
+	values map[string]string
+	parsed map[string]float64 // numbers read before
 
-	names map[place]string // of facts of query types and tenants
-	lists map[place]float64
+	fieldNames  map[settingKey]string // of facts of query types and tenants
+	listNumbers map[settingKey]float64
 }
 
-// place names a fact of a query type or tenant, or a place in a list.
-type place struct {
+// settingKey names a fact of a query type or tenant, or a settingKey in a list.
+type settingKey struct {
 	list  string
-	i     int
+	index int
 	field string
 }
 
-func newFacts(text map[string]string) siteFacts {
-	return siteFacts{text, map[string]float64{}, map[place]string{}, map[place]float64{}}
+func newSettings(text map[string]string) settings {
+	return settings{text, map[string]float64{}, map[settingKey]string{}, map[settingKey]float64{}}
 }
 
-func (f siteFacts) parse(name, text string) float64 {
-	if v, ok := f.read[name]; ok {
+func (f settings) parse(name, text string) float64 {
+	if v, ok := f.parsed[name]; ok {
 		return v
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || v != v {
 		panic(fmt.Sprintf("setting %s: %q is no number", name, text))
 	}
-	f.read[name] = v
+	f.parsed[name] = v
 	return v
 }
 
-// num reads a number that is needed.
-func (f siteFacts) num(name string) float64 {
-	if v, ok := f.read[name]; ok {
+// number reads a number that is needed.
+func (f settings) number(name string) float64 {
+	if v, ok := f.parsed[name]; ok {
 		return v
 	}
-	text, ok := f.text[name]
+	text, ok := f.values[name]
 	if !ok {
 		panic("setting " + name + " is missing")
 	}
 	return f.parse(name, text)
 }
 
-// opt reads a number that may be missing.
-func (f siteFacts) opt(name string, missing float64) float64 {
-	if v, ok := f.read[name]; ok {
+// optionalNumber reads a number that may be missing.
+func (f settings) optionalNumber(name string, missing float64) float64 {
+	if v, ok := f.parsed[name]; ok {
 		return v
 	}
-	if text, ok := f.text[name]; ok {
+	if text, ok := f.values[name]; ok {
 		return f.parse(name, text)
 	}
 	return missing
 }
 
-// span reads a time, told in milliseconds, as tenths.
-func (f siteFacts) span(name string) int64 { return int64(f.opt(name, 0) * 10) }
+// duration reads a time, told in milliseconds, as tenths.
+func (f settings) duration(name string) int64 { return int64(f.optionalNumber(name, 0) * 10) }
 
-// yes reads a switch that may be missing: off then.
-func (f siteFacts) yes(name string) bool {
-	switch text := f.text[name]; text {
+// isEnabled reads a switch that may be missing: off then.
+func (f settings) isEnabled(name string) bool {
+	switch text := f.values[name]; text {
 	case "true", "1":
 		return true
 	case "false", "0", "":
@@ -77,12 +77,12 @@
 	}
 }
 
-// nth reads a place in a list of numbers; the list may be missing.
-func (f siteFacts) nth(name string, i int, missing float64) float64 {
-	if v, ok := f.lists[place{name, i, ""}]; ok {
+// listNumber reads a place in a list of numbers; the list may be missing.
+func (f settings) listNumber(name string, i int, missing float64) float64 {
+	if v, ok := f.listNumbers[settingKey{name, i, ""}]; ok {
 		return v
 	}
-	text, ok := f.text[name]
+	text, ok := f.values[name]
 	if !ok {
 		return missing
 	}
@@ -91,17 +91,17 @@
 		panic(fmt.Sprintf("setting %s has no place %d", name, i))
 	}
 	v := f.parse(name+","+strconv.Itoa(i), items[i])
-	f.lists[place{name, i, ""}] = v
+	f.listNumbers[settingKey{name, i, ""}] = v
 	return v
 }
 
-// of names a fact of a query type or tenant.
-func (f siteFacts) of(list string, i int, field string) string {
-	at := place{list, i, field}
-	name, ok := f.names[at]
+// fieldName names a fact fieldName a query type or tenant.
+func (f settings) fieldName(list string, i int, field string) string {
+	at := settingKey{list, i, field}
+	name, ok := f.fieldNames[at]
 	if !ok {
 		name = list + "." + strconv.Itoa(i) + "." + field
-		f.names[at] = name
+		f.fieldNames[at] = name
 	}
 	return name
 }
