--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -26,7 +26,7 @@
 	b := &bench{ended: map[uint64]bool{}}
 	c := New(b).(*balancer)
 	facts := map[string]string{
-		"Tick": "5", "Balancers": "1", "Specifics.Sets": "8", "Specifics.Reach": "2",
+		"Tick": "5", "Balancers": "1", "Classes.count": "2", "Specifics.Sets": "8", "Specifics.Reach": "2",
 		"Specifics.PerCall": "1", "Classes.0.Aim": "3000", "Classes.0.Effect": "retryable", "Classes.1.Aim": "60000",
 		"Classes.1.Effect": "retryable", "Specifics.NeedByClass": "0.75,1", "Specifics.ClassFloor": "0.75,1",
 		"Specifics.FollowUp": "0,0", "Permissions.MaxAttempts": "3", "Permissions.SecondCopies": "true",
--- a/balancer/flights.go
+++ b/balancer/inflight.go
@@ -1,6 +1,8 @@
 package balancer
 
-import "math"
+import (
+	"math"
+)
 
 const (
 	compactRatio      = 2  // entries for each live one at which a record is cleared of the others
--- a/balancer/bounds.go
+++ b/balancer/replica_restriction.go
@@ -20,36 +20,36 @@
 }
 
 // restrictedHolders are the replicas that hold a part's shard and that its search's bounds leave.
-func (c *balancer) restrictedHolders(p *shardRequest) []*replica {
+func (b *balancer) restrictedHolders(p *shardRequest) []*replica {
 	spot := p.spot()
-	all, known := c.bound.holders[spot]
+	all, known := b.bound.holders[spot]
 	if !known {
-		for _, r := range c.shardSetHolders(p.shard % c.sets) {
+		for _, r := range b.shardSetHolders(p.shard % b.sets) {
 			if p.search.restriction.Allows(p.shard, r.id) {
 				all = append(all, r)
 			}
 		}
-		if len(c.bound.holders) >= maxRestrictedSpots {
-			clear(c.bound.holders)
+		if len(b.bound.holders) >= maxRestrictedSpots {
+			clear(b.bound.holders)
 		}
-		c.bound.holders[spot] = all
+		b.bound.holders[spot] = all
 	}
 	return all
 }
 
 // RestrictReplicas does not ask whether calling off is allowed: guards against a part that runs on where it may not, and against an
 // answer from there that would count.
-func (c *balancer) RestrictReplicas(id uint64, to *ReplicaRestriction, lacks func(shard int) (end bool)) {
-	s := c.held[id]
+func (b *balancer) RestrictReplicas(id uint64, to *ReplicaRestriction, lacks func(shard int) (end bool)) {
+	s := b.held[id]
 	if s == nil || s.ended {
 		return
 	}
 	if s.restriction = to; to != nil && to.group == 0 {
-		if c.bound.holders == nil {
-			c.bound.holders = map[int][]*replica{}
+		if b.bound.holders == nil {
+			b.bound.holders = map[int][]*replica{}
 		}
-		c.bound.lastGroup++
-		to.group = c.bound.lastGroup
+		b.bound.lastGroup++
+		to.group = b.bound.lastGroup
 	}
 	end, lost := false, false
 	for _, p := range s.requests {
@@ -59,12 +59,12 @@
 		out := false
 		for _, t := range p.attempts {
 			if t.holdsSlot && !to.Allows(p.shard, t.replica.id) {
-				c.releaseSlot(t)
-				c.actions.CancelAttempt(p.id, t.index)
+				b.releaseSlot(t)
+				b.actions.CancelAttempt(p.id, t.index)
 			}
 			out = out || t.holdsSlot
 		}
-		if !out && len(c.restrictedHolders(p)) == 0 {
+		if !out && len(b.restrictedHolders(p)) == 0 {
 			if !s.reduced || p.queued || len(p.attempts) > 0 { // what a cut search does not count on is not in most
 				s.reachableWeight -= p.weight
 			}
@@ -74,14 +74,14 @@
 	}
 	switch {
 	case end:
-		c.actions.FailSearch(s.id)
-		c.endSearch(s)
+		b.actions.FailSearch(s.id)
+		b.endSearch(s)
 	case lost:
 		if s.admittedAt > 0 {
-			c.sendWithheld(s)
+			b.sendWithheld(s)
 		}
-		if c.answerIfComplete(s); !s.ended && s.reachableWeight < s.neededWeight-1e-4 && !c.isAnswerable(s, s.reachableWeight) {
-			c.fail(s)
+		if b.answerIfComplete(s); !s.ended && s.reachableWeight < s.neededWeight-1e-4 && !b.isAnswerable(s, s.reachableWeight) {
+			b.fail(s)
 		}
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,6 +6,10 @@
 	"strings"
 )
 
+func (b *balancer) maxAttempts() int {
+	return int(b.settings.optionalNumber("Permissions.MaxAttempts", 1))
+}
+
 // settings holds what the site told at start, by name. A fact that is needed and missing, or any fact that
 // cannot be read, panics with its name; the protocol reports that and drops the instance.
 type settings struct {
