--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -12,6 +12,12 @@
 	"chalkring/internal/http1"
 )
 
+const (
+	defaultQuery = "c41e77d0"
+	// answerSlack is how long after its deadline a client still reads an answer, so that late answers are seen as such.
+	answerSlack = time.Second
+)
+
 // Search is one search of a client's schedule.
 type Search struct {
 	At       time.Duration // from the start of the schedule
@@ -20,16 +26,16 @@
 	Shards   []int
 	Patience time.Duration
 	Tenant   string // none where empty
-	Query    string // some where empty
+	Query    string // a default where empty
 }
 
-// Encode is the request.
+// Encode returns the request.
 func (s Search) Encode() string {
-	var parts []string
+	var shards []string
 	for _, shard := range s.Shards {
-		parts = append(parts, fmt.Sprintf(`{"range":%d,"portion":%g}`, shard, 1/float64(len(s.Shards))))
+		shards = append(shards, fmt.Sprintf(`{"range":%d,"portion":%g}`, shard, 1/float64(len(s.Shards))))
 	}
-	body := fmt.Sprintf(`{"ranges":[%s],"predicate":%q}`, strings.Join(parts, ","), cmp.Or(s.Query, "c41e77d0"))
+	body := fmt.Sprintf(`{"ranges":[%s],"predicate":%q}`, strings.Join(shards, ","), cmp.Or(s.Query, defaultQuery))
 	tenant := ""
 	if s.Tenant != "" {
 		tenant = "X-Tenant: " + s.Tenant + "\r\n"
@@ -38,7 +44,7 @@
 		"Content-Length: %d\r\n\r\n%s", s.Type, s.ID, s.Type, s.Patience.Seconds(), tenant, len(body), body)
 }
 
-// SearchResult is what came of a search; its time counts from when it was due, not from when it could be sent.
+// SearchResult is what became of a search. Latency counts from when the search was due, not from when it could be sent.
 type SearchResult struct {
 	At      time.Duration
 	Latency time.Duration
@@ -47,12 +53,12 @@
 	Body    string
 }
 
-// PlaySearches plays a schedule against a co-ordinator, each search at its time however slow the answers before it are, over
-// connections that are kept and of which more are opened when all are busy.
+// PlaySearches plays a schedule against a coordinator: each search at its time, however slow the answers before it are, over
+// connections that are kept and of which more are opened when all are busy. The results of a schedule that ctx cuts short end there.
 func PlaySearches(ctx context.Context, addr string, searches []Search) []SearchResult {
 	results := make([]SearchResult, len(searches))
 	idle := make(chan net.Conn, len(searches))
-	var g sync.WaitGroup
+	var running sync.WaitGroup
 	start := time.Now()
 	for i, s := range searches {
 		select {
@@ -63,14 +69,14 @@
 			results = results[:i]
 			break
 		}
-		g.Go(func() {
-			r := SearchResult{At: s.At, Type: s.Type}
-			r.Status, r.Body = one(addr, s, idle)
-			r.Latency = time.Since(start) - s.At
-			results[i] = r
+		running.Go(func() {
+			result := SearchResult{At: s.At, Type: s.Type}
+			result.Status, result.Body = sendSearch(addr, s, idle)
+			result.Latency = time.Since(start) - s.At
+			results[i] = result
 		})
 	}
-	g.Wait()
+	running.Wait()
 	for {
 		select {
 		case conn := <-idle:
@@ -81,35 +87,28 @@
 	}
 }
 
-// one sends a search on a connection that is free. One that was closed meanwhile is tried once more on a new one, as
+// sendSearch sends a search on an idle connection, or a new one. An idle one that was closed meanwhile is retried once on a new one, as
 // clients do.
-func one(addr string, s Search, idle chan net.Conn) (status int, body string) {
+func sendSearch(addr string, s Search, idle chan net.Conn) (status int, body string) {
 	for range 2 {
-		var conn net.Conn
-		kept := true
-		select {
-		case conn = <-idle:
-		default:
-			kept = false
-			var err error
-			if conn, err = net.DialTimeout("tcp", addr, s.Patience); err != nil {
-				return 0, err.Error()
-			}
+		conn, reused, err := takeConnection(addr, s.Patience, idle)
+		if err != nil {
+			return 0, err.Error()
 		}
-		conn.SetDeadline(time.Now().Add(s.Patience + time.Second))
+		conn.SetDeadline(time.Now().Add(s.Patience + answerSlack))
 		if _, err := conn.Write([]byte(s.Encode())); err != nil {
 			conn.Close()
 			continue
 		}
-		status, _, text, keep, err := http1.NewReader(conn, make([]byte, 16<<10)).ReadResponse()
+		status, _, text, keepAlive, err := http1.NewReader(conn, make([]byte, readBufferSize)).ReadResponse()
 		if err != nil {
 			conn.Close()
-			if kept {
+			if reused {
 				continue
 			}
 			return 0, err.Error()
 		}
-		if keep {
+		if keepAlive {
 			idle <- conn
 		} else {
 			conn.Close()
@@ -118,3 +117,13 @@
 	}
 	return 0, "no connection"
 }
+
+func takeConnection(addr string, timeout time.Duration, idle chan net.Conn) (conn net.Conn, reused bool, err error) {
+	select {
+	case conn = <-idle:
+		return conn, true, nil
+	default:
+		conn, err = net.DialTimeout("tcp", addr, timeout)
+		return conn, false, err
+	}
+}
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -1,21 +1,22 @@
-// Package fake plays the outside of a co-ordinator on loopback sockets: hosts that take parts, discovery, and
-// clients, each with the failures it is told to have. Tests and the lab use it; the program never does.
+// Package fake plays what surrounds a coordinator, on loopback sockets: replicas, discovery and clients, each with the failures it is
+// told to have. Tests and benchmarks use it; the program never does.
 package fake
 
 import (
 	"bufio"
 	"bytes"
-	"context"
 	"fmt"
 	"net"
 	"strings"
 	"sync"
-	"time"
 
 	"chalkring/internal/frame"
 )
 
-// ShardRequest is one part as a host got it.
+// secondStepSuffix ends the ids of a search's second step.
+const secondStepSuffix = ".r"
+
+// ShardRequest is one shard request as a replica received it.
 type ShardRequest struct {
 	ID    string
 	Shard int
@@ -24,53 +25,57 @@
 	Conn  net.Conn
 }
 
-// Reply answers the part.
-func (p ShardRequest) Reply(end string, score string, value string) {
-	p.Conn.Write(frame.End(append(frame.Begin(nil, frame.TypeAnswer),
-		fmt.Sprintf("%s %s %s -\n%s", p.ID, end, score, value)...), 0))
+// Reply sends a response with an outcome (good, bad, later), a score and a value.
+func (r ShardRequest) Reply(outcome string, score string, value string) {
+	line := fmt.Sprintf("%s %s %s -\n%s", r.ID, outcome, score, value)
+	message := frame.End(append(frame.Begin(nil, frame.TypeAnswer), line...), 0)
+	_, _ = r.Conn.Write(message) // the connection may have been closed meanwhile, which the other side sees
 }
 
-// ReplyGood answers with a value that tells what was asked.
-func (p ShardRequest) ReplyGood() {
-	value := fmt.Sprintf("%s@%d", p.Text, p.Shard)
-	if strings.HasSuffix(p.ID, ".r") {
+// ReplyGood sends a good response whose value tells what was requested.
+func (r ShardRequest) ReplyGood() {
+	value := fmt.Sprintf("%s@%d", r.Text, r.Shard)
+	if strings.HasSuffix(r.ID, secondStepSuffix) {
 		value += "!"
 	}
-	p.Reply("good", fmt.Sprint(100+p.Shard%3), value)
+	r.Reply("good", fmt.Sprint(100+r.Shard%3), value)
 }
 
-// Host is a profile host: what Set names is called for each part, in a goroutine a connection.
+// Host is a replica that speaks frames. Its handler is called for each shard request, in the goroutine of its connection. Its methods
+// may be called from any goroutine.
 type Host struct {
 	ID       string
 	Cell     int
 	Listener net.Listener
 
-	mu     sync.Mutex
-	do     func(p ShardRequest)
-	keep   bool // every part, for Seen
-	parts  []ShardRequest
-	frames []int // parts in each call
-	given  []string
-	took   int
-	conns  int
-	open   map[net.Conn]bool
-	shut   bool
-}
-
-// NewHost listens on a free port of loopback. With keep it remembers every part.
-func NewHost(id string, cell int, keep bool, do func(p ShardRequest)) (*Host, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	recordAll bool // keep every request, for Observed and BatchSizes
+
+	mu        sync.Mutex
+	handler   func(r ShardRequest)
+	requests  []ShardRequest
+	batches   []int // shard requests in each frame
+	cancelled []string
+	received  int
+	accepted  int // connections
+	open      map[net.Conn]bool
+	closed    bool
+}
+
+// NewHost listens on a free port of loopback. With recordAll it keeps every request.
+func NewHost(id string, cell int, recordAll bool, handler func(r ShardRequest)) (*Host, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{ID: id, Cell: cell, Listener: ln, do: do, keep: keep, open: map[net.Conn]bool{}}
+	h := &Host{ID: id, Cell: cell, Listener: listener, handler: handler, recordAll: recordAll, open: map[net.Conn]bool{}}
 	go h.serve()
 	return h, nil
 }
 
-func (h *Host) SetHandler(do func(p ShardRequest)) {
+// SetHandler sets what is done with each request from now on.
+func (h *Host) SetHandler(handler func(r ShardRequest)) {
 	h.mu.Lock()
-	h.do = do
+	h.handler = handler
 	h.mu.Unlock()
 }
 
@@ -79,13 +84,13 @@
 	h.Listener.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.shut = true
+	h.closed = true
 	for conn := range h.open {
 		conn.Close()
 	}
 }
 
-// CloseConnections ends all connections and goes on listening, as a host does that starts again at once; it tells which.
+// CloseConnections ends all connections and goes on listening, as a replica does that restarts at once. It returns them.
 func (h *Host) CloseConnections() (ended []net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,30 +106,31 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for conn := range h.open {
-		conn.(*net.TCPConn).SetLinger(0)
+		_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a connection that is closed already
 		conn.Close()
 	}
 }
 
-// Observed gives the parts it got, the ids that were given up, and its connections made and open.
-func (h *Host) Observed() (parts []ShardRequest, given []string, conns, open int) {
+// Observed returns the requests received, the ids that were cancelled, and how many connections were accepted and are open. Requests
+// and ids are kept only with recordAll.
+func (h *Host) Observed() (requests []ShardRequest, cancelled []string, accepted, open int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]ShardRequest(nil), h.parts...), append([]string(nil), h.given...), h.conns, len(h.open)
+	return append([]ShardRequest(nil), h.requests...), append([]string(nil), h.cancelled...), h.accepted, len(h.open)
 }
 
-// CountRequests counts the parts it got.
+// CountRequests counts the shard requests received.
 func (h *Host) CountRequests() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.took
+	return h.received
 }
 
-// BatchSizes gives the parts of each call.
+// BatchSizes returns the number of shard requests of each frame, with recordAll.
 func (h *Host) BatchSizes() []int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]int(nil), h.frames...)
+	return append([]int(nil), h.batches...)
 }
 
 func (h *Host) serve() {
@@ -134,87 +140,76 @@
 			return
 		}
 		h.mu.Lock()
-		if h.conns++; h.shut {
+		h.accepted++
+		if h.closed {
 			conn.Close()
 		}
 		h.open[conn] = true
 		h.mu.Unlock()
-		go h.talk(conn)
+		go h.serveConnection(conn)
 	}
 }
 
-func (h *Host) talk(conn net.Conn) {
+func (h *Host) serveConnection(conn net.Conn) {
 	defer func() {
 		conn.Close()
 		h.mu.Lock()
 		delete(h.open, conn)
 		h.mu.Unlock()
 	}()
-	src := bufio.NewReader(conn)
+	source := bufio.NewReader(conn)
 	for {
-		letter, rest, err := frame.Read(src)
+		frameType, body, err := frame.Read(source)
 		if err != nil {
 			return
 		}
-		h.mu.Lock()
-		if letter == frame.TypeCancel {
-			if h.keep {
-				h.given = append(h.given, string(rest))
-			}
-			h.mu.Unlock()
+		if frameType == frame.TypeCancel {
+			h.recordCancel(string(body))
 			continue
 		}
-		if h.keep {
-			h.frames = append(h.frames, 0)
-		}
-		h.mu.Unlock()
-		for len(rest) > 0 {
-			line, more, _ := bytes.Cut(rest, []byte("\n"))
-			p, length := ShardRequest{Conn: conn}, 0
-			fmt.Sscanf(string(line), "%s %d %s %d", &p.ID, &p.Shard, &p.List, &length)
-			p.Text, rest = string(more[:length]), more[length:]
-			h.mu.Lock()
-			do := h.do
-			if h.took++; h.keep {
-				h.parts = append(h.parts, p)
-				h.frames[len(h.frames)-1]++
-			}
-			h.mu.Unlock()
-			do(p)
+		h.beginBatch()
+		for len(body) > 0 {
+			var request ShardRequest
+			request, body = parseShardRequest(conn, body)
+			h.record(request)(request)
 		}
 	}
 }
 
-// NewWorkerPool answers parts by a number of workers, each after the time that wait names; more parts queue, as on a host
-// with so many cores. wait of less than 0 never answers.
-func NewWorkerPool(ctx context.Context, n int, wait func() time.Duration) func(p ShardRequest) {
-	queue := make(chan ShardRequest, 1<<14)
-	for range n {
-		go func() {
-			for {
-				select {
-				case p := <-queue:
-					d := wait()
-					if d < 0 {
-						continue
-					}
-					select {
-					case <-time.After(d):
-						p.ReplyGood()
-					case <-ctx.Done():
-						return
-					}
-				case <-ctx.Done():
-					return
-				}
-			}
-		}()
+// parseShardRequest reads the first shard request of a frame's body, and returns it with the rest of the body.
+func parseShardRequest(conn net.Conn, body []byte) (request ShardRequest, rest []byte) {
+	head, rest, _ := bytes.Cut(body, []byte("\n"))
+	request, length := ShardRequest{Conn: conn}, 0
+	// The golden files of the coordinator pin the head; one that cannot be read shows as an empty id.
+	_, _ = fmt.Sscanf(string(head), "%s %d %s %d", &request.ID, &request.Shard, &request.List, &length)
+	request.Text = string(rest[:length])
+	return request, rest[length:]
+}
+
+func (h *Host) recordCancel(id string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.recordAll {
+		h.cancelled = append(h.cancelled, id)
+	}
+}
+
+func (h *Host) beginBatch() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.recordAll {
+		h.batches = append(h.batches, 0)
 	}
-	return func(p ShardRequest) {
-		select {
-		case queue <- p:
-		default:
-			p.Reply("later", "-", "")
-		}
+}
+
+// record counts a request and returns its handler.
+func (h *Host) record(request ShardRequest) (handler func(r ShardRequest)) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.received++
+	if h.recordAll {
+		h.requests = append(h.requests, request)
+		h.batches[len(h.batches)-1]++
 	}
+	return h.handler
 }
