--- a/config/settings/golden_settings_test.go
+++ b/config/settings/golden_settings_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -46,7 +48,7 @@
 			fmt.Fprintf(&out, "%s=%q: %v\n", name, text, Validate(name, text))
 		}
 	}
-	requireGolden(t, "setting_errors.golden", out.String())
+	golden.Require(t, "setting_errors.golden", out.String())
 }
 
 func TestGoldenSettingListErrors(t *testing.T) {
@@ -58,7 +60,7 @@
 		}
 	}
 	fmt.Fprintf(&out, "two errors: %v\n", ValidateAll(map[string]string{"Tick": "x", "Balancers": "0"}, 1))
-	requireGolden(t, "setting_list_errors.golden", out.String())
+	golden.Require(t, "setting_list_errors.golden", out.String())
 }
 
 // The flat names and texts of settings as JSON holds them.
@@ -90,5 +92,5 @@
 			}
 		}
 	}
-	requireGolden(t, "flat_settings.golden", out.String())
+	golden.Require(t, "flat_settings.golden", out.String())
 }
