--- a/config/strictyaml/golden_errors_test.go
+++ b/config/strictyaml/golden_errors_test.go
@@ -6,6 +6,8 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"chalkring/internal/golden"
 )
 
 // goField is the name of a Go struct and field, which the YAML library puts into its text; it is no part of the form.
@@ -59,5 +61,5 @@
 	}
 	_, err := ReadFile("testdata/nowhere.yaml", 10)
 	write("no such file", err)
-	requireGolden(t, "errors.golden", out.String())
+	golden.Require(t, "errors.golden", out.String())
 }
