--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/advice"
@@ -148,7 +150,7 @@
 		fmt.Fprintln(&out, path)
 		describe(&out, f)
 	}
-	requireGolden(t, "installation.golden", out.String())
+	golden.Require(t, "installation.golden", out.String())
 }
 
 // Each text has one thing wrong, or several whose errors come in the order of the file.
@@ -236,7 +238,7 @@
 	require.NoError(t, err)
 	_, err = f.Fleet.ForInstance("c")
 	write("an instance that is not listed", err)
-	requireGolden(t, "installation_errors.golden", out.String())
+	golden.Require(t, "installation_errors.golden", out.String())
 }
 
 // Settings that do not fit the plan's classes and tenants.
@@ -254,5 +256,5 @@
 		}
 		fmt.Fprintf(&out, "  error: %s\n", strings.ReplaceAll(fmt.Sprint(err), "\n", "\n  error: "))
 	}
-	requireGolden(t, "installation_plan_errors.golden", out.String())
+	golden.Require(t, "installation_plan_errors.golden", out.String())
 }
