--- a/endpoints/hostfile/golden_host_file_test.go
+++ b/endpoints/hostfile/golden_host_file_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
@@ -71,7 +73,7 @@
 		fmt.Fprintf(&out, "%s\n", x[0])
 		describeHosts(&out, "hosts.yaml", x[1])
 	}
-	requireGolden(t, "host_files.golden", out.String())
+	golden.Require(t, "host_files.golden", out.String())
 }
 
 func TestGoldenHostFileErrors(t *testing.T) {
@@ -94,13 +96,13 @@
 	describeHosts(&out, "hosts.yaml", strings.Repeat("#", 16<<20+1))
 	_, err := Read("testdata/nowhere.yaml")
 	fmt.Fprintf(&out, "no such file\n  error: %v\n", err)
-	requireGolden(t, "host_file_errors.golden", out.String())
+	golden.Require(t, "host_file_errors.golden", out.String())
 }
 
 // The checksum is XXH64 of all bytes behind its line, in 16 small hex digits.
 func TestGoldenHostFileChecksum(t *testing.T) {
 	text := fmt.Sprintf("# xxh64: %016x\n%s", xxhash.Sum64String(allHostKeysYAML), allHostKeysYAML)
-	requireGolden(t, "host_file_with_checksum.golden.yaml", text)
+	golden.Require(t, "host_file_with_checksum.golden.yaml", text)
 	_, err := Read("testdata/host_file_with_checksum.golden.yaml")
 	require.NoError(t, err)
 	_, err = Parse("f", []byte(strings.Replace(text, "hall", "hell", 1)))
