--- a/endpoints/golden_errors_test.go
+++ b/endpoints/golden_errors_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"chalkring/internal/golden"
 )
 
 // Errors of host lists, reasons for which a list is held back, and the numbers of states and ranks.
@@ -71,5 +73,5 @@
 	tell(3, all[:7])
 	fmt.Fprintf(&out, "states: up=%d draining=%d removed=%d\nranks: plan=%d store=%d discovery=%d file=%d\n",
 		StateUp, StateDraining, StateRemoved, RankPlan, RankStore, RankDiscovery, RankFile)
-	requireGolden(t, "host_list_errors.golden", out.String())
+	golden.Require(t, "host_list_errors.golden", out.String())
 }
