--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/control/residency"
@@ -119,7 +121,7 @@
 		}
 		r.exchange(&out, x.name, x.method, x.path, x.body, head...)
 	}
-	compareGolden(t, "responses.golden", out.String())
+	golden.Require(t, "responses.golden", out.String())
 }
 
 // Searches that lack shards get the bytes of the golden file: one that is whole with some of the shards, one of shards that
@@ -137,7 +139,7 @@
 		h.SetHandler(func(p fake.ShardRequest) { p.Reply("bad", "-", "") })
 	}
 	r.exchange(&out, "hosts that fail", "POST", "/members/_search", body)
-	compareGolden(t, "partial_responses.golden", out.String())
+	golden.Require(t, "partial_responses.golden", out.String())
 }
 
 // A search beyond those that may be open gets the bytes of the golden file, Retry-After among them.
@@ -150,7 +152,7 @@
 	f.ServeHTTP(w, httptest.NewRequest("POST", "/members/_search", strings.NewReader("{}")))
 	var head strings.Builder
 	require.NoError(t, w.Header().Write(&head))
-	compareGolden(t, "too_many_searches.golden", fmt.Sprintf("%d\n%q\n%q\n", w.Code, head.String(), w.Body.String()))
+	golden.Require(t, "too_many_searches.golden", fmt.Sprintf("%d\n%q\n%q\n", w.Code, head.String(), w.Body.String()))
 }
 
 // Open tasks, their cancelling and its effect have the bytes of the golden file.
@@ -172,7 +174,7 @@
 	r.exchange(&out, "tasks", "GET", "/_tasks", "")
 	r.exchange(&out, "cancel", "POST", "/_tasks/n0:1/_cancel", "")
 	<-ended
-	compareGolden(t, "tasks.golden", out.String()+search.String())
+	golden.Require(t, "tasks.golden", out.String()+search.String())
 }
 
 // A search that a contract refuses gets the bytes of the golden file; so do errors that no request brings about at will.
@@ -191,5 +193,5 @@
 	fmt.Fprintf(&out, "== no room\n< %d %q\n", refused.status, refused.body)
 	plain := faultOf(io.ErrUnexpectedEOF)
 	fmt.Fprintf(&out, "== plain error\n< %d %q\n", plain.status, plain.body)
-	compareGolden(t, "refusals.golden", out.String())
+	golden.Require(t, "refusals.golden", out.String())
 }
