--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/fake"
@@ -32,7 +34,7 @@
 	for _, text := range goldenRequests {
 		fmt.Fprintf(&out, "%s\n%s\n", text, parse(t, text).ShardRequestBody())
 	}
-	compareGolden(t, "shard_requests.golden", out.String())
+	golden.Require(t, "shard_requests.golden", out.String())
 }
 
 // Hosts' answers to a request are read and merged into the bytes of the golden file: the request, the answers of two shards,
@@ -66,7 +68,7 @@
 		}))
 		fmt.Fprintf(&out, "skipped %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers[1:], Skipped: 3}))
 	}
-	compareGolden(t, "merged_answers.golden", out.String())
+	golden.Require(t, "merged_answers.golden", out.String())
 }
 
 // Requests that are refused get the bodies of the golden file: the request, status and body.
@@ -88,7 +90,7 @@
 		require.ErrorAs(t, err, &refused, "%.80s", text)
 		fmt.Fprintf(&out, "%.100q\n%d %s\n", text, refused.Status, refused.ResponseBody())
 	}
-	compareGolden(t, "request_errors.golden", out.String())
+	golden.Require(t, "request_errors.golden", out.String())
 }
 
 // Members are placed in shards as the golden file says: the numbers of shards and routing shards, and the shard of each id.
@@ -101,7 +103,7 @@
 		}
 		out.WriteByte('\n')
 	}
-	compareGolden(t, "placement.golden", out.String())
+	golden.Require(t, "placement.golden", out.String())
 }
 
 func membersOf(all []fake.Document) fake.ShardDocuments {
