--- a/internal/frame/golden_frames_test.go
+++ b/internal/frame/golden_frames_test.go
@@ -3,12 +3,13 @@
 import (
 	"bufio"
 	"fmt"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -29,7 +30,7 @@
 
 // Frames to replicas are written with the bytes of the golden file.
 func TestGoldenFramesWritten(t *testing.T) {
-	compareGolden(t, "frames_written.golden", goldenFrames())
+	golden.Require(t, "frames_written.golden", goldenFrames())
 }
 
 // Frames from replicas are read as the golden file says: a line is the frame's quoted bytes, behind it what is read of it.
@@ -68,15 +69,13 @@
 		slices.Sort(pairs)
 		fmt.Fprintf(&out, " id=%q end=%q score=%q report=%q value=%q\n", id, end, score, strings.Join(pairs, ","), value)
 	}
-	compareGolden(t, "frames_read.golden", out.String())
+	golden.Require(t, "frames_read.golden", out.String())
 }
 
 // The golden bytes of a call are taken apart again by the reader of frames.
 func TestGoldenFramesReadBack(t *testing.T) {
-	text, err := os.ReadFile("testdata/frames_written.golden")
-	require.NoError(t, err)
 	var letters []string
-	for line := range strings.Lines(string(text)) {
+	for line := range strings.Lines(string(golden.Read(t, "frames_written.golden"))) {
 		name, quoted, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
 		frames, err := strconv.Unquote(quoted)
 		require.NoError(t, err)
