--- a/internal/http1/golden_heads_test.go
+++ b/internal/http1/golden_heads_test.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"chalkring/internal/golden"
 )
 
 // Heads and whole messages are written with the bytes of the golden file; a line is the quoted message.
@@ -20,7 +22,7 @@
 	fmt.Fprintf(&out, "%q\n", AppendResponse([]byte("before"), 200, "", nil, true))
 	fmt.Fprintf(&out, "%q\n", AppendResponseHead(nil, 200, "X-More: 1", 12345, false))
 	fmt.Fprintf(&out, "%q\n", AppendGetRequest(nil, "/v1/servers?index=7&wait=2000", "10.0.0.1:7000"))
-	compareGolden(t, "messages_written.golden", out.String())
+	golden.Require(t, "messages_written.golden", out.String())
 }
 
 func fieldsText(head map[string]string) string {
@@ -83,5 +85,5 @@
 		}
 		fmt.Fprintf(&out, " %d%s body=%q keep=%t\n", status, fieldsText(head), body, keep)
 	}
-	compareGolden(t, "messages_read.golden", out.String())
+	golden.Require(t, "messages_read.golden", out.String())
 }
