--- a/internal/simwire/golden_wire_test.go
+++ b/internal/simwire/golden_wire_test.go
@@ -1,10 +1,11 @@
 package simwire
 
 import (
-	"os"
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -24,25 +25,23 @@
 	i.WatchEndpoints()
 	i.LogMessage("some words")
 	i.guard(func() { panic("a\nfault  of words") })
-	compareGolden(t, "actions.golden", string(i.acts))
+	golden.Require(t, "actions.golden", string(i.acts))
 }
 
 // The golden input is answered with the golden output: starts, lists, searches, outcomes, probes, kills and instances that
 // fail, all words that the simulator may say among them.
 func TestGoldenBatches(t *testing.T) {
-	if *updateGolden {
+	if golden.Updating() {
 		input := batch(1, begin(3, 4)...) + batch(2, append(inbound(3, 10), inbound(4, 10)...)...) +
 			batch(3, "returned 3 11 0 10.0.0.1:7003 Ok 99.5 1 latency_ms:3.5,novel:1", "first_byte 3 12 10.0.0.1:7003 0 1.0",
 				"returned 4 11 0 10.0.0.2:7003 Failed 12.25 0 -", "checked 4 Ok 10.0.0.1:7003 2.0 load:1", "mail 4 1 00") +
 			batch(4, "returned 3 12 0 10.0.0.2:7003 Ok 199.5 1 -", "withdrawn 4 10", "fired 3 999", "census 1 1",
 				"m 10.0.0.3:7003 1 2 0 cordoned - 12.5", "members 3 Partial 2 1", "members 4 Error 0 0") +
 			batch(5, "kill 3", "start 5 1 Classes.count=1 Specifics.Sets=x") + batch(6, append(begin(3), inbound(3, 20)...)...) + batch(7)
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile("testdata/batches_in.golden", []byte(input), 0o644))
+		golden.Write(t, "batches_in.golden", []byte(input))
 	}
-	input, err := os.ReadFile("testdata/batches_in.golden")
-	require.NoError(t, err)
+	input := string(golden.Read(t, "batches_in.golden"))
 	var out strings.Builder
-	require.NoError(t, Serve(strings.NewReader(string(input)), &out))
-	compareGolden(t, "batches_out.golden", out.String())
+	require.NoError(t, Serve(strings.NewReader(input), &out))
+	golden.Require(t, "batches_out.golden", out.String())
 }
