--- a/cmd/chalkring/golden_cli_test.go
+++ b/cmd/chalkring/golden_cli_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -74,7 +76,7 @@
 	} {
 		command(t, &out, dir, nil, args...)
 	}
-	requireGolden(t, "help.golden", out.String())
+	golden.Require(t, "help.golden", out.String())
 }
 
 // What the program says of commands that cannot be used.
@@ -98,7 +100,7 @@
 	} {
 		command(t, &out, dir, nil, args...)
 	}
-	requireGolden(t, "command_errors.golden", out.String())
+	golden.Require(t, "command_errors.golden", out.String())
 }
 
 // testFiles puts one file of each kind that an operator writes into a folder, good ones and ones with an error.
@@ -158,7 +160,7 @@
 	} {
 		command(t, &out, dir, nil, append([]string{"check"}, strings.Fields(args)...)...)
 	}
-	requireGolden(t, "check.golden", out.String())
+	golden.Require(t, "check.golden", out.String())
 }
 
 // The lines that serve logs when it cannot start: they name the variable, the file, the place and what to do.
@@ -173,5 +175,5 @@
 	for _, file := range []string{"nowhere.yaml", "unknown_key.yaml", "two_errors.yaml", "setting_place.yaml", "no_keys.yaml"} {
 		command(t, &out, dir, []string{"GW_CONFIG=plan.json"}, "serve", "--installation="+file)
 	}
-	requireGolden(t, "serve_errors.golden", out.String())
+	golden.Require(t, "serve_errors.golden", out.String())
 }
--- a/cmd/chalkring/golden_search_test.go
+++ b/cmd/chalkring/golden_search_test.go
@@ -14,6 +14,8 @@
 	"sync"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -89,8 +91,8 @@
 	}
 	text := strings.ReplaceAll(out.String(), address, "ADDRESS")
 	text = regexp.MustCompile(` in [0-9.]+[mµn]?s`).ReplaceAllString(text, " in TIME")
-	requireGolden(t, "search.golden", text)
-	requireGolden(t, "search_requests.golden", s.requests.String())
+	golden.Require(t, "search.golden", text)
+	golden.Require(t, "search_requests.golden", s.requests.String())
 }
 
 // The table of `chalkring peers`, with a peer that is not there.
@@ -105,5 +107,5 @@
 	var out strings.Builder
 	command(t, &out, dir, nil, "peers", "--installation=none.yaml")
 	command(t, &out, dir, nil, "peers", "--installation=one.yaml")
-	requireGolden(t, "peers.golden", out.String())
+	golden.Require(t, "peers.golden", out.String())
 }
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"encoding/hex"
 	"encoding/json"
-	"flag"
 	"io"
 	"log/slog"
 	"os"
@@ -13,6 +11,8 @@
 	"testing"
 	"time"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -23,23 +23,6 @@
 	"chalkring/storage/store"
 )
 
-// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
-var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
-
-// storedGolden is what a golden file of hex digits holds; with -update-stored it is written first.
-func storedGolden(t *testing.T, name string, now []byte) []byte {
-	path := filepath.Join("testdata", name)
-	if *updateStored {
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(hex.EncodeToString(now)+"\n"), 0o644))
-	}
-	text, err := os.ReadFile(path)
-	require.NoError(t, err)
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	require.NoError(t, err)
-	return want
-}
-
 // goldenChange has every field set. One setting alone: a map's order is not fixed in the stored form.
 func goldenChange(number uint64) *rollout.Change {
 	return &rollout.Change{
@@ -87,8 +70,8 @@
 		now, found, err := s.store.Get("rollout", "standing")
 		require.NoError(t, err)
 		require.True(t, found)
-		want := storedGolden(t, name, now)
-		require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(now), name)
+		golden.RequireHex(t, name, now)
+		want := golden.ReadHex(t, name)
 
 		read := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 		require.NoError(t, read.store.Put(t.Context(), "rollout", map[string][]byte{"standing": want}, nil))
@@ -114,8 +97,8 @@
 	now, found, err := l.s.store.Get("fleet", "whose")
 	require.NoError(t, err)
 	require.True(t, found)
-	want := storedGolden(t, "fleet-identity.hex", now)
-	require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(now))
+	golden.RequireHex(t, "fleet-identity.hex", now)
+	want := golden.ReadHex(t, "fleet-identity.hex")
 	var keys []string
 	require.NoError(t, l.s.store.Load("fleet", func(key string, _ []byte) error { keys = append(keys, key); return nil }))
 	require.Equal(t, []string{"life", "whose"}, keys)
@@ -136,7 +119,6 @@
 
 // Policies are kept as their files' text under bucket residency, keyed by generation and place.
 func TestGoldenResidencyBucket(t *testing.T) {
-	const path = "testdata/residency-bucket.json"
 	begin := func(s *sharing) *contracts {
 		return &contracts{s: s, disk: s.store, done: make(chan saveDone, 1)}
 	}
@@ -153,20 +135,11 @@
 	require.NoError(t, (<-c.done).err)
 	now := map[string]string{}
 	require.NoError(t, s.store.Load("residency", func(key string, value []byte) error { now[key] = string(value); return nil }))
-	if *updateStored {
-		text, err := json.MarshalIndent(now, "", "  ")
-		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(path, append(text, '\n'), 0o644))
-	}
-	text, err := os.ReadFile(path)
-	require.NoError(t, err)
-	var want map[string]string
-	require.NoError(t, json.Unmarshal(text, &want))
-	require.Equal(t, want, now)
+	golden.RequireJSON(t, "residency-bucket.json", now)
 
 	read := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 	puts := map[string][]byte{}
-	for key, value := range want {
+	for key, value := range now {
 		puts[key] = []byte(value)
 	}
 	require.NoError(t, read.store.Put(t.Context(), "residency", puts, nil))
@@ -191,8 +164,8 @@
 	} {
 		now, err := cbor.Marshal(value)
 		require.NoError(t, err)
-		want := storedGolden(t, name, now)
-		require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(now), name)
+		golden.RequireHex(t, name, now)
+		want := golden.ReadHex(t, name)
 		var got zonesWord
 		require.NoError(t, cbor.Unmarshal(want, &got))
 		require.Equal(t, value, got, name)
@@ -215,14 +188,8 @@
 	require.NoError(t, to.Close())
 	now, err := io.ReadAll(from)
 	require.NoError(t, err)
-	const path = "testdata/keeper-lines.jsonl"
-	if *updateStored {
-		require.NoError(t, os.WriteFile(path, now, 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), string(now))
-	for i, line := range strings.Split(strings.TrimSpace(string(want)), "\n") {
+	golden.Require(t, "keeper-lines.jsonl", now)
+	for i, line := range strings.Split(strings.TrimSpace(string(golden.Read(t, "keeper-lines.jsonl"))), "\n") {
 		var got said
 		require.NoError(t, json.Unmarshal([]byte(line), &got))
 		require.Equal(t, values[i], got)
