--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -16,6 +16,8 @@
 	"testing"
 	"time"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/control/residency"
@@ -134,7 +136,7 @@
 	} {
 		exchange(t, &out, r.addr, x[0], x[1])
 	}
-	requireGolden(t, "client_errors.golden", out.String())
+	golden.Require(t, "client_errors.golden", out.String())
 	r.end()
 }
 
@@ -156,7 +158,7 @@
 	}()
 	var out strings.Builder
 	exchange(t, &out, ln.Addr().String(), "health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-	requireGolden(t, "health_without_hosts.golden", out.String())
+	golden.Require(t, "health_without_hosts.golden", out.String())
 	stop()
 	require.NoError(t, <-ended)
 }
@@ -253,7 +255,7 @@
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
 	r.inTurn(func(o *owner) { require.Nil(t, o.searches[id]) })
-	requireGolden(t, "client_responses.golden", out.String())
+	golden.Require(t, "client_responses.golden", out.String())
 	r.end()
 }
 
@@ -268,7 +270,7 @@
 		status, body := barredBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
 		fmt.Fprintf(&out, "== body\n< %d %q\n", status, body)
 	}
-	requireGolden(t, "contract_errors.golden", out.String())
+	golden.Require(t, "contract_errors.golden", out.String())
 	z.end()
 }
 
@@ -293,7 +295,7 @@
 		}
 		fmt.Fprintln(&out, strings.Join(lines, "\n"))
 	}
-	requireGolden(t, "metrics_response.golden", out.String())
+	golden.Require(t, "metrics_response.golden", out.String())
 	watching.end()
 	z.end()
 }
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -29,7 +31,7 @@
 	zoned := startZoned(t, eastOnly)
 	text += "residency\n" + metricsWithoutValues(t, zoned.rig)
 	zoned.end()
-	requireGolden(t, "metrics.golden", text)
+	golden.Require(t, "metrics.golden", text)
 }
 
 // eventKeys are the events of a log with the keys beside them, each once, in alphabetical order; values are left out.
@@ -89,5 +91,5 @@
 			kept = append(kept, line)
 		}
 	}
-	requireGolden(t, "log_events.golden", text+"residency\n"+eventKeys(strings.Join(kept, "\n")))
+	golden.Require(t, "log_events.golden", text+"residency\n"+eventKeys(strings.Join(kept, "\n")))
 }
--- a/coordinator/golden_plan_test.go
+++ b/coordinator/golden_plan_test.go
@@ -13,6 +13,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/advice"
@@ -85,7 +87,7 @@
 	next, err := Parse([]byte(strings.NewReplacer(`"Tick":5.0`, `"Tick":6`, `"cores":1.5`, `"cores":2`, `"full","Aim"`, `"whole","Aim"`).Replace(goldenPlan)))
 	require.NoError(t, err)
 	fmt.Fprintf(&out, "differences: %s\n", p.differs(next))
-	requireGolden(t, "plan.golden", out.String())
+	golden.Require(t, "plan.golden", out.String())
 }
 
 // logLine is an error as the line that the service logs at start.
@@ -193,7 +195,7 @@
 	write("an installation's list", err)
 	_, err = p.WithShadowSettings(map[string]string{"Safety.ColdFrom": "2"})
 	write("a setting that is watched", err)
-	requireGolden(t, "plan_errors.golden", out.String())
+	golden.Require(t, "plan_errors.golden", out.String())
 }
 
 // The environment variables: which hold over the file, and the errors that name them.
@@ -242,7 +244,7 @@
 		}
 		fmt.Fprintf(&out, "  error: %s\n  logged: %s\n", strings.ReplaceAll(err.Error(), dir, "DIR"), strings.ReplaceAll(logLine("no_start", err), dir, "DIR"))
 	}
-	requireGolden(t, "plan_environment.golden", goName.ReplaceAllString(out.String(), "Go $1 NAME"))
+	golden.Require(t, "plan_environment.golden", goName.ReplaceAllString(out.String(), "Go $1 NAME"))
 }
 
 // The log's forms: text and JSON.
@@ -257,5 +259,5 @@
 		}
 	}
 	text := timeOfLine.ReplaceAllString(out.String(), "time=TIME ")
-	requireGolden(t, "log_form.golden", regexp.MustCompile(`"time":"[^"]*"`).ReplaceAllString(text, `"time":"TIME"`))
+	golden.Require(t, "log_form.golden", regexp.MustCompile(`"time":"[^"]*"`).ReplaceAllString(text, `"time":"TIME"`))
 }
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -5,13 +5,14 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"os"
 	"regexp"
 	"slices"
 	"strings"
 	"sync"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/balancer"
@@ -73,7 +74,7 @@
 	r.inTurn(func(o *owner) { o.FailSearch(ids[0]) })
 	c.answer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
-	requireGolden(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
+	golden.Require(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
 	r.end()
 }
 
@@ -107,7 +108,7 @@
 		fmt.Fprintf(&out, "== %s\n%q\n", x.name, frames{}.call(o, nil, x.c))
 		quotedLines(&out, "<", string(openSearch{HostKind{Index: "members of/é"}}.call(o, nil, x.c)))
 	}
-	requireGolden(t, "replica_calls.golden", out.String())
+	golden.Require(t, "replica_calls.golden", out.String())
 }
 
 // Answers of OpenSearch hosts count as the golden file says: status, body, and what the decision module is told.
@@ -129,7 +130,7 @@
 	for _, end := range []string{"good", "bad", "later", "", "GOOD", "busy"} {
 		fmt.Fprintf(&out, "%q %q\n", end, outcomes[end])
 	}
-	requireGolden(t, "host_outcomes.golden", out.String())
+	golden.Require(t, "host_outcomes.golden", out.String())
 }
 
 // Requests to discovery have the bytes of the golden file: calls for changes, and the call for the whole list once versions
@@ -150,7 +151,7 @@
 	for _, text := range requests[:4] {
 		fmt.Fprintf(&out, "%q\n", text)
 	}
-	requireGolden(t, "discovery_requests.golden", out.String())
+	golden.Require(t, "discovery_requests.golden", out.String())
 	r.end()
 }
 
@@ -172,14 +173,12 @@
 func TestGoldenListsRead(t *testing.T) {
 	p, err := Parse(planOf(t, func(map[string]any) {}))
 	require.NoError(t, err)
-	bodies, err := os.ReadFile("testdata/lists_in.golden")
-	require.NoError(t, err)
 	var out strings.Builder
 	o := &owner{
 		plan: p, fleet: map[string]*replica{}, module: toldEntries{out: &out}, log: newNotes(SystemClock{}, slog.DiscardHandler),
 		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: map[uint64]*moduleWake{},
 	}
-	for body := range strings.Lines(string(bodies)) {
+	for body := range strings.Lines(string(golden.Read(t, "lists_in.golden"))) {
 		fmt.Fprint(&out, body)
 		all, err := object([]byte(body))
 		if err != nil {
@@ -208,5 +207,5 @@
 		slices.Sort(known)
 		fmt.Fprintf(&out, "  version %g fleet %s\n", version, strings.Join(known, " "))
 	}
-	requireGolden(t, "lists_read.golden", out.String())
+	golden.Require(t, "lists_read.golden", out.String())
 }
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"log/slog"
 	"os"
@@ -12,6 +11,8 @@
 	"testing"
 	"time"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -22,24 +23,7 @@
 	"chalkring/storage/store"
 )
 
-// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
-var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
-
-// storedGolden is what a golden file of hex digits holds; with -update-stored it is written first.
-func storedGolden(t *testing.T, name string, now []byte) []byte {
-	path := filepath.Join("testdata", name)
-	if *updateStored {
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(hex.EncodeToString(now)+"\n"), 0o644))
-	}
-	text, err := os.ReadFile(path)
-	require.NoError(t, err)
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	require.NoError(t, err)
-	return want
-}
-
-const goldenStore = "testdata/coordinator-store-v1.db"
+const goldenStore = "coordinator-store-v1.db"
 
 // goldenNow is when the golden store is opened: two seconds after its list and observations were written.
 const goldenNow = 1_700_000_002_000
@@ -114,18 +98,15 @@
 
 // A store file that an earlier build has written is believed: its list, observations and events are there.
 func TestGoldenCoordinatorStore(t *testing.T) {
-	if *updateStored {
+	if golden.Updating() {
 		path := filepath.Join(t.TempDir(), "kept.db")
 		writeGoldenKeep(t, path)
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(goldenStore, text, 0o644))
+		golden.Write(t, goldenStore, text)
 	}
-	text, err := os.ReadFile(goldenStore)
-	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "kept.db")
-	require.NoError(t, os.WriteFile(path, text, 0o600))
+	require.NoError(t, os.WriteFile(path, golden.Read(t, goldenStore), 0o600))
 	k := openGoldenKeep(t, path)
 	require.Empty(t, k.believed.Discarded)
 	require.NotNil(t, k.believed.Update)
@@ -151,8 +132,7 @@
 		var got []string
 		require.NoError(t, k.store.Load(bucket, func(key string, value []byte) error {
 			got = append(got, key)
-			want := storedGolden(t, bucket+"-"+key+".hex", value)
-			require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(value), "%s %s", bucket, key)
+			golden.RequireHex(t, bucket+"-"+key+".hex", value)
 			return nil
 		}))
 		require.Equal(t, keys, got, bucket)
