--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -18,6 +18,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -49,7 +51,7 @@
 	defer receiver.Close()
 	hand := DeliverByHTTP(receiver.URL + "/acme")
 	require.NoError(t, hand(t.Context(), goldenDelivery()))
-	requireGolden(t, "delivery.http", got.Bytes())
+	golden.Require(t, "delivery.http", got.Bytes())
 	for code, taken := range map[int]bool{200: true, 299: true, 300: false, 404: false, 500: false} {
 		status = code
 		if err := hand(t.Context(), goldenDelivery()); taken {
@@ -93,7 +95,7 @@
 		g.quiet.Store(5)
 		g.tell("subscriber_conflict", "subscriber", key, "held", "one", "lost", "other")
 	}
-	requireGolden(t, "log_lines.txt", all.Bytes())
+	golden.Require(t, "log_lines.txt", all.Bytes())
 }
 
 // Failures that stand in the log or answer a call, with their advice.
@@ -105,7 +107,7 @@
 	} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
-	requireGolden(t, "errors.txt", []byte(all.String()))
+	golden.Require(t, "errors.txt", all.String())
 }
 
 // The forms of a region's file are told apart by its name, and YAML lists from other files by their keys.
@@ -182,5 +184,5 @@
 	for _, event := range slices.Sorted(maps.Keys(events)) {
 		fmt.Fprintln(&all, event)
 	}
-	requireGolden(t, "entries_and_events.txt", []byte(all.String()))
+	golden.Require(t, "entries_and_events.txt", all.String())
 }
