--- a/control/residency/golden_stored_test.go
+++ b/control/residency/golden_stored_test.go
@@ -1,26 +1,16 @@
 package residency
 
 import (
-	"encoding/json"
-	"flag"
-	"os"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-// updateStored rewrites the derived golden file; without it a test fails where the values differ.
-var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
-
-func readGolden(t *testing.T, path string) []byte {
-	text, err := os.ReadFile(path)
-	require.NoError(t, err)
-	return text
-}
-
 // A policy file with each of its keys is read to these values. Its text is the stored form: it is kept as it is.
 func TestGoldenPolicyFile(t *testing.T) {
-	text := readGolden(t, "testdata/policy.yaml")
+	text := golden.Read(t, "policy.yaml")
 	require.True(t, IsPolicyFile(text))
 	p, err := ParsePolicy("policy.yaml", text, Site{Tenants: []string{"acme"}, Classes: []string{"deep"}, Zones: []string{"eu-1", "eu-2", "us-1"}, Blocks: 4})
 	require.NoError(t, err)
@@ -60,7 +50,7 @@
 // The lease itself is never stored: an instance that starts begins without one. Its state over a history of rounds and
 // answers, with what a restart brings back, is the golden one.
 func TestGoldenLeaseState(t *testing.T) {
-	const path, second, span, slack = "testdata/lease-history.json", int64(10_000), int64(100_000), int64(10_000)
+	const second, span, slack = int64(10_000), int64(100_000), int64(10_000)
 	var got []leaseStep
 	listed := []string{"c", "a", "b", "e", "d"}
 	l := NewLease("a", listed, false)
@@ -93,13 +83,6 @@
 	l.RenewSoleMember(second, span)
 	require.Empty(t, l.SelectPeers())
 	note("listed alone", nil)
-	if *updateStored {
-		text, err := json.MarshalIndent(got, "", "  ")
-		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(path, append(text, '\n'), 0o644))
-	}
-	var want []leaseStep
-	require.NoError(t, json.Unmarshal(readGolden(t, path), &want))
-	require.Equal(t, want, got)
+	golden.RequireJSON(t, "lease-history.json", got)
 	require.Equal(t, span/3, RenewalInterval(span))
 }
--- a/control/residency/golden_test.go
+++ b/control/residency/golden_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/advice"
@@ -83,7 +85,7 @@
 		require.Error(t, err)
 		fmt.Fprintf(&all, "%s\n  %s\n", more, strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
-	requireGolden(t, "file_faults.txt", []byte(all.String()))
+	golden.Require(t, "file_faults.txt", all.String())
 }
 
 // Failures that stand in the log, in answers to clients and in what a check prints, with their advice.
@@ -100,5 +102,5 @@
 	} {
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
-	requireGolden(t, "errors.txt", []byte(all.String()))
+	golden.Require(t, "errors.txt", all.String())
 }
