--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -13,6 +13,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/advice"
@@ -74,22 +76,22 @@
 	} {
 		text, err := encoding.Marshal(m.value)
 		require.NoError(t, err)
-		all.WriteString(cborLine(t, m.name, text))
+		all.WriteString(golden.CBORMessage(t, m.name, text))
 	}
-	requireGolden(t, file, []byte(all.String()))
+	golden.Require(t, file, all.String())
 
 	var gotWord, gotLeast StatusMessage
-	require.NoError(t, decode("k", goldenCBOR(t, file, "status, every field"), &gotWord))
+	require.NoError(t, decode("k", golden.ReadCBORMessage(t, file, "status, every field"), &gotWord))
 	require.Equal(t, word, gotWord)
-	require.NoError(t, decode("k", goldenCBOR(t, file, "status, fewest fields"), &gotLeast))
+	require.NoError(t, decode("k", golden.ReadCBORMessage(t, file, "status, fewest fields"), &gotLeast))
 	require.Equal(t, least, gotLeast)
 	var gotChange Change
-	require.NoError(t, decode("k", goldenCBOR(t, file, "change, every field"), &gotChange))
+	require.NoError(t, decode("k", golden.ReadCBORMessage(t, file, "change, every field"), &gotChange))
 	change.Stages[0].WatchText = ""
 	require.Equal(t, change, gotChange)
 	for name, kind := range map[string]Order{"go": OrderProceed, "stop": OrderStop, "back": OrderRollBack} {
 		var v Verdict
-		require.NoError(t, decode("k", goldenCBOR(t, file, "verdict "+name), &v))
+		require.NoError(t, decode("k", golden.ReadCBORMessage(t, file, "verdict "+name), &v))
 		require.Equal(t, kind, v.Order)
 	}
 }
@@ -124,7 +126,7 @@
 	for _, n := range []int{-1, 0, 1, 2, 3, 4, 6, 100, 1024, 5000} {
 		fmt.Fprintln(&all, "sub-request bucket of", n, "is", SubRequestBucket(n))
 	}
-	requireGolden(t, "names.txt", []byte(all.String()))
+	golden.Require(t, "names.txt", all.String())
 	number, digest, ok := numbered("00000000000000000041/0123456789abcdef")
 	require.True(t, ok)
 	require.EqualValues(t, 41, number)
@@ -145,15 +147,12 @@
 	packed := packRoster(goldenPlaces())
 	text, err := io.ReadAll(flate.NewReader(bytes.NewReader(packed)))
 	require.NoError(t, err)
-	requireGolden(t, file, []byte(cborLine(t, "roster, uncompressed", text)))
-	path := filepath.Join("testdata", "roster.flate")
-	kept, err := os.ReadFile(path)
-	if *writeGolden && os.IsNotExist(err) {
-		require.NoError(t, os.WriteFile(path, packed, 0o644))
-		t.Fatalf("%s was written: run again without -write-golden", path)
+	golden.Require(t, file, golden.CBORMessage(t, "roster, uncompressed", text))
+	const compressed = "roster.flate"
+	if _, err := os.Stat(filepath.Join("testdata", compressed)); golden.Updating() && os.IsNotExist(err) {
+		golden.Write(t, compressed, packed)
 	}
-	require.NoError(t, err)
-	got, err := unpackRoster("k", kept)
+	got, err := unpackRoster("k", golden.Read(t, compressed))
 	require.NoError(t, err)
 	require.Equal(t, goldenPlaces(), got)
 }
@@ -228,7 +227,7 @@
 		require.Error(t, err, change[1])
 		fmt.Fprintf(&all, "%s -> %s\n  %s\n", strings.TrimSpace(change[0]), change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
-	requireGolden(t, "file_faults.txt", []byte(all.String()))
+	golden.Require(t, "file_faults.txt", all.String())
 }
 
 // Failures that stand in the log, with their advice.
@@ -244,7 +243,7 @@
 		fmt.Fprintln(&all, advice.Describe(err))
 	}
 	fmt.Fprintln(&all, OrderProceed, OrderStop, OrderRollBack)
-	requireGolden(t, "errors.txt", []byte(all.String()))
+	golden.Require(t, "errors.txt", all.String())
 }
 
 // What a look finds worse is sent as the verdict's reason.
@@ -269,7 +268,7 @@
 	for m := range metrics {
 		fmt.Fprintln(&all, "metric", bet{slot{class: 1, place: [2]string{"eu", "*"}}, m})
 	}
-	requireGolden(t, "evidence.txt", []byte(all.String()))
+	golden.Require(t, "evidence.txt", all.String())
 }
 
 // One listed instance takes a change, and another takes it back: its shared entries and log events, look by look.
@@ -292,7 +291,7 @@
 				if strings.HasPrefix(key, rosterPrefix) {
 					value, _ = io.ReadAll(flate.NewReader(bytes.NewReader(value)))
 				}
-				all.WriteString(cborLine(t, "put "+key, value))
+				all.WriteString(golden.CBORMessage(t, "put "+key, value))
 			}
 			for _, key := range out.Delete {
 				fmt.Fprintln(&all, "delete", key)
@@ -325,5 +324,5 @@
 	d.SetFile(file("back", 2))
 	d.MarkServing(now)
 	require.NotNil(t, look(d, 20))
-	requireGolden(t, "entries_and_events.txt", []byte(all.String()))
+	golden.Require(t, "entries_and_events.txt", all.String())
 }
