--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -36,22 +38,22 @@
 	standingText, err := cbor.Marshal(standing)
 	require.NoError(t, err)
 	var all strings.Builder
-	all.WriteString(cborLine(t, "record, every field", record.Encode()))
-	all.WriteString(cborLine(t, "record, fewest fields", least.Encode()))
-	all.WriteString(cborLine(t, "record, unsubscribed", gone.Encode()))
-	all.WriteString(cborLine(t, "word", word.Encode()))
-	all.WriteString(cborLine(t, "standing", standingText))
-	requireGolden(t, file, []byte(all.String()))
+	all.WriteString(golden.CBORMessage(t, "record, every field", record.Encode()))
+	all.WriteString(golden.CBORMessage(t, "record, fewest fields", least.Encode()))
+	all.WriteString(golden.CBORMessage(t, "record, unsubscribed", gone.Encode()))
+	all.WriteString(golden.CBORMessage(t, "word", word.Encode()))
+	all.WriteString(golden.CBORMessage(t, "standing", standingText))
+	golden.Require(t, file, all.String())
 
 	for name, want := range map[string]Record{"record, every field": record, "record, fewest fields": least, "record, unsubscribed": gone} {
-		got, err := DecodeRecord(goldenCBOR(t, file, name))
+		got, err := DecodeRecord(golden.ReadCBORMessage(t, file, name))
 		require.NoError(t, err)
 		require.Equal(t, want, got, name)
 	}
 	require.False(t, record.IsUnsubscribed())
 	require.True(t, gone.IsUnsubscribed())
-	require.Equal(t, word, DecodeStatusMessage(entryOf("subat/n0", StatusMessage{View: 99, Round: 31, Epoch: 99}.Encode(), goldenCBOR(t, file, "word"))))
-	require.Equal(t, standing, DecodeFileStatus(entryOf("subfile/eu", goldenCBOR(t, file, "standing"))))
+	require.Equal(t, word, DecodeStatusMessage(entryOf("subat/n0", StatusMessage{View: 99, Round: 31, Epoch: 99}.Encode(), golden.ReadCBORMessage(t, file, "word"))))
+	require.Equal(t, standing, DecodeFileStatus(entryOf("subfile/eu", golden.ReadCBORMessage(t, file, "standing"))))
 	f := RegionFile{Region: "eu", Generation: 34, Digest: 35}
 	admitted, err := f.Admit(FileStatus{Generation: 33, Digest: 99})
 	require.NoError(t, err)
@@ -110,7 +112,7 @@
 		held := g.subs[k]
 		fmt.Fprintln(&all, "owner of", k, "is", g.owner(held), "rank here", g.FileWriterRank(k), "next search here at", held.at)
 	}
-	requireGolden(t, "names.txt", []byte(all.String()))
+	golden.Require(t, "names.txt", all.String())
 	got, ok := ParseKey("sub/acme/s1")
 	require.True(t, ok)
 	require.Equal(t, key, got)
@@ -151,7 +153,7 @@
 		require.NoError(t, err)
 		written = append(append(written, '\n'), line...)
 	}
-	requireGolden(t, "every_key.jsonl", append(written, '\n'))
+	golden.Require(t, "every_key.jsonl", append(written, '\n'))
 }
 
 // Fault texts of both forms, with place and advice. A value of the wrong type is left out: the packages that read name
@@ -203,7 +205,7 @@
 			fmt.Fprintf(&all, "%s: %s -> %s\n  %s\n", form.name, change[0], change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 		}
 	}
-	requireGolden(t, "file_faults.txt", []byte(all.String()))
+	golden.Require(t, "file_faults.txt", all.String())
 }
 
 // Failures that stand in the log or answer a call, with their advice.
@@ -232,5 +234,5 @@
 	number, err := json.Marshal(DeliveryNumber{Epoch: 1, Sequence: 2, Gateway: "n0"})
 	require.NoError(t, err)
 	fmt.Fprintf(&all, "%s\n", number)
-	requireGolden(t, "errors.txt", []byte(all.String()))
+	golden.Require(t, "errors.txt", all.String())
 }
