--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -4,22 +4,12 @@
 	"encoding/binary"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 )
 
-// cborForm is a value that is encoded and decoded with the library's defaults, as package replication does.
-func cborForm[T any](name string, value, want T) goldenForm {
-	return goldenForm{
-		name, func() ([]byte, error) { return cbor.Marshal(value) },
-		func(encoded []byte) (any, error) {
-			var decoded T
-			err := cbor.Unmarshal(encoded, &decoded)
-			return decoded, err
-		}, want,
-	}
-}
-
 // goldenLedger is a copy with a plain entry, a tombstone, concurrent siblings and a row of another instance.
 func goldenLedger(t *testing.T) *Map {
 	l := NewMap("gateway-1#7")
@@ -52,32 +42,32 @@
 	row := Row{Actor: "gateway-1#7", Seq: 4, Known: version, IncarnationEnds: []IncarnationEnd{{Name: "gateway-2", Before: 9, NotedAt: 2}}}
 	held, _ := goldenLedger(t).Get("plan/a")
 	deleted, _ := goldenLedger(t).Get("plan/b")
-	requireGolden(t, "records.golden", []goldenForm{
-		cborForm("dot", second, second),
-		cborForm("version", version, version),
-		cborForm("no-version", Version(nil), Version(nil)),
-		cborForm("sibling", entry.Siblings[0], entry.Siblings[0]),
-		cborForm("tombstone", entry.Siblings[1], entry.Siblings[1]),
-		cborForm("entry", entry, entry),
-		cborForm("entry-empty", Entry{}, Entry{}),
-		cborForm("entry-held", held, Entry{Name: "plan/a", Siblings: []Sibling{
+	golden.RequireForms(t, "records.golden", []golden.Form{
+		golden.CBORForm("dot", second, second),
+		golden.CBORForm("version", version, version),
+		golden.CBORForm("no-version", Version(nil), Version(nil)),
+		golden.CBORForm("sibling", entry.Siblings[0], entry.Siblings[0]),
+		golden.CBORForm("tombstone", entry.Siblings[1], entry.Siblings[1]),
+		golden.CBORForm("entry", entry, entry),
+		golden.CBORForm("entry-empty", Entry{}, Entry{}),
+		golden.CBORForm("entry-held", held, Entry{Name: "plan/a", Siblings: []Sibling{
 			{Dot: Dot{Actor: "gateway-1#7", Counter: 1}, Value: []byte{0, 1, 0xff}},
 			{Dot: Dot{Actor: "gateway-2#9", Counter: 1}, Value: []byte("other")},
 		}, CausalContext: Version{{Actor: "gateway-1#7", Counter: 1}, {Actor: "gateway-2#9", Counter: 1}}}),
-		cborForm("entry-deleted", deleted, Entry{
+		golden.CBORForm("entry-deleted", deleted, Entry{
 			Name: "plan/b", Siblings: []Sibling{{Dot: Dot{Actor: "gateway-1#7", Counter: 3}, Deleted: true}},
 			CausalContext: Version{{Actor: "gateway-1#7", Counter: 3}},
 		}),
-		cborForm("batch", batch, batch),
-		cborForm("batch-empty", Batch{}, Batch{}),
-		cborForm("row", row, row),
-		cborForm("row-mark", RowVersion{Actor: "gateway-1#7", Seq: 4}, RowVersion{Actor: "gateway-1#7", Seq: 4}),
+		golden.CBORForm("batch", batch, batch),
+		golden.CBORForm("batch-empty", Batch{}, Batch{}),
+		golden.CBORForm("row", row, row),
+		golden.CBORForm("row-mark", RowVersion{Actor: "gateway-1#7", Seq: 4}, RowVersion{Actor: "gateway-1#7", Seq: 4}),
 		{
-			"actor", func() ([]byte, error) { return []byte(FormatActor("gateway-1", 1_790_000_000_000_000_001)), nil },
-			func(encoded []byte) (any, error) {
+			Name: "actor", Encode: func() ([]byte, error) { return []byte(FormatActor("gateway-1", 1_790_000_000_000_000_001)), nil },
+			Decode: func(encoded []byte) (any, error) {
 				return []any{ActorName(string(encoded)), ActorIncarnation(string(encoded))}, nil
 			},
-			[]any{"gateway-1", uint64(1_790_000_000_000_000_001)},
+			Want: []any{"gateway-1", uint64(1_790_000_000_000_000_001)},
 		},
 	})
 }
@@ -110,26 +100,26 @@
 	})
 	require.NoError(t, err)
 	require.Len(t, entriesAnswer.Batch.Entries, 1)
-	requireGolden(t, "exchange.golden", []goldenForm{
-		cborForm("ask", ask, ask),
-		cborForm("ask-empty", ExchangeRequest{}, ExchangeRequest{}),
-		cborForm("answer", answer, answer),
-		cborForm("answer-empty", ExchangeResponse{}, ExchangeResponse{}),
-		cborForm("first-ask", firstAsk, ExchangeRequest{ExchangeID: 17, RequestSeq: 1, Actor: "gateway-3#4", RowVersions: []RowVersion{}, First: true}),
-		cborForm("first-answer", firstAnswer, firstAnswer),
-		cborForm("entries-answer", entriesAnswer, entriesAnswer),
+	golden.RequireForms(t, "exchange.golden", []golden.Form{
+		golden.CBORForm("ask", ask, ask),
+		golden.CBORForm("ask-empty", ExchangeRequest{}, ExchangeRequest{}),
+		golden.CBORForm("answer", answer, answer),
+		golden.CBORForm("answer-empty", ExchangeResponse{}, ExchangeResponse{}),
+		golden.CBORForm("first-ask", firstAsk, ExchangeRequest{ExchangeID: 17, RequestSeq: 1, Actor: "gateway-3#4", RowVersions: []RowVersion{}, First: true}),
+		golden.CBORForm("first-answer", firstAnswer, firstAnswer),
+		golden.CBORForm("entries-answer", entriesAnswer, entriesAnswer),
 	})
 }
 
 // An exchange that answers of an earlier build bring to its end.
 func TestGoldenExchangeIsTakenIn(t *testing.T) {
-	golden := readGolden(t, "testdata/exchange.golden")
+	forms := golden.ReadForms(t, "exchange.golden")
 	l := NewMap("gateway-3#4")
 	exchange := l.NewExchange("gateway-1", 17)
 	_, ok := exchange.NextRequest()
 	require.True(t, ok)
 	var answer ExchangeResponse
-	require.NoError(t, cbor.Unmarshal(golden["first-answer"], &answer))
+	require.NoError(t, cbor.Unmarshal(forms["first-answer"], &answer))
 	_, _, err := exchange.ApplyResponse(answer)
 	require.NoError(t, err)
 	require.Equal(t, uint64(5), l.rows["gateway-1"].Known.LastCounter("gateway-1#7"), "the row of the answering instance")
@@ -146,16 +136,16 @@
 // Digests are compared between instances of different builds.
 func TestGoldenDigests(t *testing.T) {
 	l := goldenLedger(t)
-	digest := func(name string, value, want uint64) goldenForm {
-		return goldenForm{
-			name, func() ([]byte, error) { return binary.BigEndian.AppendUint64(nil, value), nil },
-			func(encoded []byte) (any, error) { return binary.BigEndian.Uint64(encoded), nil }, want,
+	digest := func(name string, value, want uint64) golden.Form {
+		return golden.Form{
+			Name: name, Encode: func() ([]byte, error) { return binary.BigEndian.AppendUint64(nil, value), nil },
+			Decode: func(encoded []byte) (any, error) { return binary.BigEndian.Uint64(encoded), nil }, Want: want,
 		}
 	}
 	siblings, _ := l.Get("plan/a")
 	tombstone, _ := l.Get("plan/b")
 	bucket := bucketOf("plan/a")
-	requireGolden(t, "digests.golden", []goldenForm{
+	golden.RequireForms(t, "digests.golden", []golden.Form{
 		digest("entry-siblings", siblings.sum(), l.Digest(TreeNode{Level: 3, Index: bucket})),
 		digest("entry-tombstone", tombstone.sum(), l.Digest(TreeNode{Level: 3, Index: bucketOf("plan/b")})),
 		digest("root", l.Digest(TreeNode{}), siblings.sum()+tombstone.sum()),
