--- a/cluster/gossip/wire_golden_test.go
+++ b/cluster/gossip/wire_golden_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/membership"
@@ -33,52 +35,52 @@
 	}
 	decoded := full // neither Look nor Since is sent, and the address comes from the membership library
 	decoded.SuspicionVersion, decoded.StateSince, decoded.Addr = 0, 0, "192.0.2.9:7946"
-	member := func(name string, whose membership.Identity, state, wantState membership.State) goldenForm {
+	member := func(name string, whose membership.Identity, state, wantState membership.State) golden.Form {
 		sent, want := full, decoded
 		sent.State, want.State = state, wantState
-		return goldenForm{
-			name, func() ([]byte, error) { return node(whose).encodeMember(sent) },
-			func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, want,
+		return golden.Form{
+			Name: name, Encode: func() ([]byte, error) { return node(whose).encodeMember(sent) },
+			Decode: func(encoded []byte) (any, error) { return node(whose).decodeMember(encoded, "192.0.2.9:7946") }, Want: want,
 		}
 	}
 	shortest := membership.Member{Name: "g", Incarnation: 1}
 	ends := []membership.Member{{Name: "gateway-2", Incarnation: 11, State: membership.Dead}, {Name: "gateway-3", Incarnation: 12, State: membership.Left}}
-	requireGolden(t, "messages.golden", []goldenForm{
+	golden.RequireForms(t, "messages.golden", []golden.Form{
 		member("member", identity, membership.Alive, membership.Alive),
 		member("member-without-identity", membership.Identity{}, membership.Alive, membership.Alive),
 		member("member-suspect", identity, membership.Suspect, membership.Alive),
 		member("member-leaving", identity, membership.Left, membership.Left),
 		{
-			"member-shortest", func() ([]byte, error) { return node(membership.Identity{}).encodeMember(shortest) },
-			func(encoded []byte) (any, error) { return node(membership.Identity{}).decodeMember(encoded, "") }, shortest,
+			Name: "member-shortest", Encode: func() ([]byte, error) { return node(membership.Identity{}).encodeMember(shortest) },
+			Decode: func(encoded []byte) (any, error) { return node(membership.Identity{}).decodeMember(encoded, "") }, Want: shortest,
 		},
 		{
-			"member-identity", func() ([]byte, error) { return node(identity).encodeMember(shortest) },
-			func(encoded []byte) (any, error) {
+			Name: "member-identity", Encode: func() ([]byte, error) { return node(identity).encodeMember(shortest) },
+			Decode: func(encoded []byte) (any, error) {
 				var received word
 				err := newDecoding().Unmarshal(encoded, &received)
 				return received.Whose, err
-			}, identity,
+			}, Want: identity,
 		},
 		{
-			"ended-lives", func() ([]byte, error) { return encodeEnds(ends), nil },
-			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, ends,
+			Name: "ended-lives", Encode: func() ([]byte, error) { return encodeEnds(ends), nil },
+			Decode: func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, Want: ends,
 		},
 		{
-			"no-ended-lives", func() ([]byte, error) { return encodeEnds(nil), nil },
-			func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, []membership.Member(nil),
+			Name: "no-ended-lives", Encode: func() ([]byte, error) { return encodeEnds(nil), nil },
+			Decode: func(encoded []byte) (any, error) { return node(identity).decodeEnds(encoded) }, Want: []membership.Member(nil),
 		},
 		{
-			"message", func() ([]byte, error) { return head(2, full, []byte("body")), nil }, cutMessage,
-			goldenMessage{2, "gateway-1", 1_790_000_000_000_000_001, []byte("body")},
+			Name: "message", Encode: func() ([]byte, error) { return head(2, full, []byte("body")), nil }, Decode: cutMessage,
+			Want: goldenMessage{2, "gateway-1", 1_790_000_000_000_000_001, []byte("body")},
 		},
 		{
-			"message-of-ended-lives", func() ([]byte, error) { return head(wordTopic, shortest, encodeEnds(ends)), nil }, cutMessage,
-			goldenMessage{0, "g", 1, encodeEnds(ends)},
+			Name: "message-of-ended-lives", Encode: func() ([]byte, error) { return head(wordTopic, shortest, encodeEnds(ends)), nil }, Decode: cutMessage,
+			Want: goldenMessage{0, "g", 1, encodeEnds(ends)},
 		},
 		{
-			"node-name", func() ([]byte, error) { return []byte(keyOf("gateway-1", 0xdeadbeef)), nil },
-			func(encoded []byte) (any, error) { return string(encoded), nil }, "gateway-1#deadbeef",
+			Name: "node-name", Encode: func() ([]byte, error) { return []byte(keyOf("gateway-1", 0xdeadbeef)), nil },
+			Decode: func(encoded []byte) (any, error) { return string(encoded), nil }, Want: "gateway-1#deadbeef",
 		},
 	})
 }
