--- a/cluster/membership/wire_golden_test.go
+++ b/cluster/membership/wire_golden_test.go
@@ -4,24 +4,26 @@
 	"encoding/binary"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 )
 
 // The identity of a fleet travels in each member's gossip metadata and is stored; both read what earlier builds wrote.
 func TestGoldenIdentity(t *testing.T) {
-	form := func(name string, identity, want Identity) goldenForm {
-		return goldenForm{
-			name, func() ([]byte, error) { return cbor.Marshal(identity) },
-			func(encoded []byte) (any, error) {
+	form := func(name string, identity, want Identity) golden.Form {
+		return golden.Form{
+			Name: name, Encode: func() ([]byte, error) { return cbor.Marshal(identity) },
+			Decode: func(encoded []byte) (any, error) {
 				var decoded Identity
 				err := cbor.Unmarshal(encoded, &decoded)
 				return decoded, err
-			}, want,
+			}, Want: want,
 		}
 	}
 	tenants := []string{"zeta", "alpha", "beta", "gamma", "delta", "epsilon", "eta", "theta", "iota", "alpha"}
-	requireGolden(t, "identity.golden", []goldenForm{
+	golden.RequireForms(t, "identity.golden", []golden.Form{
 		form("empty", NewIdentity("", nil), Identity{}),
 		form("cluster", NewIdentity("live", nil), Identity{Cluster: "live"}),
 		form("tenants", NewIdentity("", []string{"acme", "globex", "acme"}), Identity{Tenants: []uint32{0x218f91ac, 0x846fec0c}}),
@@ -29,9 +31,9 @@
 			0x1a801ff8,
 			0x1dda5848, 0x2ee59b31, 0x398e98c4, 0x63d80dae, 0x75049e0f, 0x99332154, 0xafa801a1,
 		}}),
-		{"tenant-hash", func() ([]byte, error) {
+		{Name: "tenant-hash", Encode: func() ([]byte, error) {
 			return binary.BigEndian.AppendUint32(nil, NewIdentity("", []string{"acme"}).Tenants[0]), nil
-		}, func(encoded []byte) (any, error) { return binary.BigEndian.Uint32(encoded), nil }, uint32(0x846fec0c)},
+		}, Decode: func(encoded []byte) (any, error) { return binary.BigEndian.Uint32(encoded), nil }, Want: uint32(0x846fec0c)},
 	})
 }
 
