--- a/cluster/peerprotocol/wire_golden_test.go
+++ b/cluster/peerprotocol/wire_golden_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/peerreport"
@@ -126,8 +128,8 @@
 		}
 		return result, nil
 	}
-	response := func(name string, admitted bool, request []byte, want goldenResult) goldenForm {
-		return goldenForm{name, func() ([]byte, error) { return respond(goldenServer(admitted), request) }, read, want}
+	response := func(name string, admitted bool, request []byte, want goldenResult) golden.Form {
+		return golden.Form{Name: name, Encode: func() ([]byte, error) { return respond(goldenServer(admitted), request) }, Decode: read, Want: want}
 	}
 	decodeHello := func(encoded []byte) (any, error) {
 		kind, rest, _, err := readFrame(bytes.NewReader(encoded), nil)
@@ -142,14 +144,14 @@
 		return decoded, err
 	}
 	head, notes := goldenReport()
-	requireGolden(t, "connections.golden", []goldenForm{
+	golden.RequireForms(t, "connections.golden", []golden.Form{
 		{
-			"request-report", func() ([]byte, error) { return reportRequest, nil }, decodeHello,
-			hello{Version: 1, Name: "a", Instance: 1, Want: "report"},
+			Name: "request-report", Encode: func() ([]byte, error) { return reportRequest, nil }, Decode: decodeHello,
+			Want: hello{Version: 1, Name: "a", Instance: 1, Want: "report"},
 		},
 		{
-			"request-status", func() ([]byte, error) { return statusRequest, nil }, decodeHello,
-			hello{Version: 1, Name: "a", Instance: 1, Want: "status"},
+			Name: "request-status", Encode: func() ([]byte, error) { return statusRequest, nil }, Decode: decodeHello,
+			Want: hello{Version: 1, Name: "a", Instance: 1, Want: "status"},
 		},
 		response("response-report", true, reportRequest, goldenResult{how: peerreport.OutcomeReceived, heads: []peerreport.ReportHeader{head}, notes: notes}),
 		response("response-later", false, reportRequest, goldenResult{how: peerreport.OutcomeDeferred, later: 1500 * time.Millisecond}),
@@ -162,8 +164,8 @@
 		response("response-unknown-want", true, unknownWant,
 			goldenResult{how: peerreport.OutcomeRejected, failed: "refused (unusable): nothing known is wanted"}),
 		{
-			"response-status", func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
-			func(encoded []byte) (any, error) {
+			Name: "response-status", Encode: func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
+			Decode: func(encoded []byte) (any, error) {
 				client := &Client{PeerName: "b", LocalName: "a", InstanceID: 1}
 				var status Status
 				sent, err := query(client, encoded, func() (err error) { status, err = client.FetchStatus(context.Background()); return err })
@@ -171,15 +173,15 @@
 					err = errors.Join(err, errors.New("the client sent another request"))
 				}
 				return status, err
-			}, goldenStatus(),
+			}, Want: goldenStatus(),
 		},
 		{
-			"notes", func() ([]byte, error) { return EncodeObservations(notes) },
-			func(encoded []byte) (any, error) { return DecodeObservations(encoded) }, notes,
+			Name: "notes", Encode: func() ([]byte, error) { return EncodeObservations(notes) },
+			Decode: func(encoded []byte) (any, error) { return DecodeObservations(encoded) }, Want: notes,
 		},
 		{
-			"head", func() ([]byte, error) { return encoder.Marshal(head) },
-			func(encoded []byte) (any, error) { return DecodeHeader(encoded) }, head,
+			Name: "head", Encode: func() ([]byte, error) { return encoder.Marshal(head) },
+			Decode: func(encoded []byte) (any, error) { return DecodeHeader(encoded) }, Want: head,
 		},
 	})
 }
