--- a/cluster/peerreport/wire_golden_test.go
+++ b/cluster/peerreport/wire_golden_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 )
@@ -18,8 +20,8 @@
 		HostID: "host-1:9200", ZoneIndex: 1, StartedMs: 1_790_000_000_000, ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90, ConsecutiveFailures: 2, ConnectFailures: 3, UnansweredRequests: 4,
 		SilentMs: 5000, AgeMs: 1200, IsOutlier: true,
 	}
-	form := func(name string, value any, decode func(encoded []byte) (any, error)) goldenForm {
-		return goldenForm{name, func() ([]byte, error) { return cbor.Marshal(value) }, decode, value}
+	form := func(name string, value any, decode func(encoded []byte) (any, error)) golden.Form {
+		return golden.Form{Name: name, Encode: func() ([]byte, error) { return cbor.Marshal(value) }, Decode: decode, Want: value}
 	}
 	decodeHead := func(encoded []byte) (any, error) {
 		var decoded ReportHeader
@@ -35,7 +37,7 @@
 		}
 		return decoded, decoded.Validate()
 	}
-	requireGolden(t, "report.golden", []goldenForm{
+	golden.RequireForms(t, "report.golden", []golden.Form{
 		form("head", head, decodeHead),
 		form("head-shortest", ReportHeader{Peer: "g"}, decodeHead),
 		form("note", note, decodeNote),
