--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -3,24 +3,19 @@
 import (
 	"context"
 	"encoding/hex"
-	"encoding/json"
-	"flag"
 	"log/slog"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/crdt"
 	"chalkring/internal/testnet"
 )
 
-// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
-var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
-
-const goldenBucket = "testdata/share-bucket.json" // values in hex by key, from one instance
+const goldenBucket = "share-bucket.json" // values in hex by key, from one instance
 
 // bucketDisk is a disk that knows which bucket it is asked for.
 type bucketDisk struct {
@@ -54,12 +49,9 @@
 }
 
 func goldenDisk(t *testing.T) *disk {
-	text, err := os.ReadFile(goldenBucket)
-	require.NoError(t, err)
-	var all map[string]string
-	require.NoError(t, json.Unmarshal(text, &all))
 	d := &disk{data: map[string][]byte{}}
-	for key, value := range all {
+	for key, value := range golden.ReadJSON[map[string]string](t, goldenBucket) {
+		var err error
 		d.data[key], err = hex.DecodeString(value)
 		require.NoError(t, err)
 	}
@@ -85,17 +77,7 @@
 	for key, value := range d.copy().data {
 		got[key] = hex.EncodeToString(value)
 	}
-	if *updateStored {
-		text, err := json.MarshalIndent(got, "", "  ")
-		require.NoError(t, err)
-		require.NoError(t, os.MkdirAll(filepath.Dir(goldenBucket), 0o755))
-		require.NoError(t, os.WriteFile(goldenBucket, append(text, '\n'), 0o644))
-	}
-	text, err := os.ReadFile(goldenBucket)
-	require.NoError(t, err)
-	var want map[string]string
-	require.NoError(t, json.Unmarshal(text, &want))
-	require.Equal(t, want, got)
+	golden.RequireJSON(t, goldenBucket, got)
 }
 
 // A later life of the instance reads the golden bucket and holds what was written.
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -6,6 +6,8 @@
 	"log/slog"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -61,16 +63,16 @@
 		empty.handle("gateway-1", encoded)
 		return contents(empty), nil
 	}
-	requireGolden(t, "messages.golden", []goldenForm{
-		{"fresh", func() ([]byte, error) { return encode(kindFresh, fresh) }, received, contents(b)},
-		{"lacks", func() ([]byte, error) { return encode(kindLacks, lacks) }, received, contents(b)},
-		{"ask", func() ([]byte, error) { return encode(kindAsk, ask) }, func(encoded []byte) (any, error) {
+	golden.RequireForms(t, "messages.golden", []golden.Form{
+		{Name: "fresh", Encode: func() ([]byte, error) { return encode(kindFresh, fresh) }, Decode: received, Want: contents(b)},
+		{Name: "lacks", Encode: func() ([]byte, error) { return encode(kindLacks, lacks) }, Decode: received, Want: contents(b)},
+		{Name: "ask", Encode: func() ([]byte, error) { return encode(kindAsk, ask) }, Decode: func(encoded []byte) (any, error) {
 			require.Equal(t, byte(1), encoded[0])
 			var decoded crdt.ExchangeRequest
 			err := cbor.Unmarshal(encoded[1:], &decoded)
 			return decoded, err
-		}, ask},
-		{"answer", func() ([]byte, error) { return encode(kindAnswer, answer) }, func(encoded []byte) (any, error) {
+		}, Want: ask},
+		{Name: "answer", Encode: func() ([]byte, error) { return encode(kindAnswer, answer) }, Decode: func(encoded []byte) (any, error) {
 			asker := idleBook("gateway-3#4")
 			close(asker.ready)
 			answers := make(chan crdt.ExchangeResponse, 1)
@@ -82,7 +84,7 @@
 			default:
 				return nil, errors.New("the answer was not handed on")
 			}
-		}, answer},
+		}, Want: answer},
 	})
 }
 
@@ -103,10 +105,10 @@
 	b.disk = written
 	require.NoError(t, b.keepOnce(context.Background()))
 	want := contents(b)
-	forms := []goldenForm{}
+	forms := []golden.Form{}
 	for _, key := range []string{"e/plan/a", "e/plan/b", "e/plan/c", "known"} {
 		require.Contains(t, written.data, key)
-		forms = append(forms, goldenForm{key, func() ([]byte, error) { return written.data[key], nil }, func(encoded []byte) (any, error) {
+		forms = append(forms, golden.Form{Name: key, Encode: func() ([]byte, error) { return written.data[key], nil }, Decode: func(encoded []byte) (any, error) {
 			var err error
 			if key == "known" {
 				var known crdt.Version
@@ -116,14 +118,14 @@
 			var entry crdt.Entry
 			err = cbor.Unmarshal(encoded, &entry)
 			return entry, err
-		}, goldenRecord(b, key)})
+		}, Want: goldenRecord(b, key)})
 	}
 	require.Len(t, written.data, len(forms), "no other key is written")
-	requireGolden(t, "store.golden", forms)
+	golden.RequireForms(t, "store.golden", forms)
 
 	loaded := idleBook("gateway-1#8")
 	loaded.o.OpenStorage = func(context.Context) (Storage, error) {
-		return &disk{data: readGolden(t, "testdata/store.golden")}, nil
+		return &disk{data: golden.ReadForms(t, "store.golden")}, nil
 	}
 	require.NoError(t, loaded.load(context.Background(), nil))
 	require.Equal(t, want, contents(loaded))
