--- a/storage/recovery/golden_stored_test.go
+++ b/storage/recovery/golden_stored_test.go
@@ -1,13 +1,10 @@
 package recovery
 
 import (
-	"encoding/hex"
-	"flag"
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -15,42 +12,14 @@
 	"chalkring/endpoints"
 )
 
-// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
-var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
-
-// storedGolden is what a golden file of hex digits holds; with -update-stored it is written first.
-func storedGolden(t *testing.T, name string, now []byte) []byte {
-	path := filepath.Join("testdata", name)
-	if *updateStored {
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(hex.EncodeToString(now)+"\n"), 0o644))
-	}
-	text, err := os.ReadFile(path)
-	require.NoError(t, err)
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	require.NoError(t, err)
-	return want
-}
-
-// goldenBothWays checks that a value is encoded as the golden bytes, and that these are decoded to the value.
-func goldenBothWays[T any](t *testing.T, name string, value T) {
-	now, err := cbor.Marshal(value)
-	require.NoError(t, err)
-	want := storedGolden(t, name, now)
-	require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(now))
-	var got T
-	require.NoError(t, cbor.Unmarshal(want, &got))
-	require.Equal(t, value, got)
-}
-
 func TestGoldenStarts(t *testing.T) {
-	goldenBothWays(t, "starts.hex", StartRecord{RecentStarts: []int64{1_700_000_000_000, 1_700_000_030_000}, StoreQuarantined: true})
-	goldenBothWays(t, "starts-after-planned-stop.hex", StartRecord{}.RecordPlannedStop())
+	golden.RequireCBOR(t, "starts.hex", StartRecord{RecentStarts: []int64{1_700_000_000_000, 1_700_000_030_000}, StoreQuarantined: true})
+	golden.RequireCBOR(t, "starts-after-planned-stop.hex", StartRecord{}.RecordPlannedStop())
 }
 
 // Every field of a kept host is set to a value of its own, and each of its states is there. Hosts are maps by name.
 func TestGoldenHostList(t *testing.T) {
-	goldenBothWays(t, "host-list.hex", EndpointList{
+	golden.RequireCBOR(t, "host-list.hex", EndpointList{
 		SavedAt: 1_700_000_000_000, PlanVersion: 3, DiscoveryVersion: 9,
 		Hosts: []endpoints.Host{
 			{ID: "a0", Addr: "10.0.0.1:7000", Zone: "eu-1", Kind: "large", Cell: 2, State: endpoints.StateUp, Weight: 1.5, StartedMS: 1_699_999_000_000, Line: 4, Column: 6},
@@ -59,11 +28,11 @@
 		},
 		Removals: []Removal{{ID: "d0", RemovedBy: "discovery", StartedMS: 1_699_999_500_000, RemovedAt: 1_699_999_900_000}},
 	})
-	goldenBothWays(t, "host-list-empty.hex", EndpointList{SavedAt: 1})
+	golden.RequireCBOR(t, "host-list-empty.hex", EndpointList{SavedAt: 1})
 }
 
 func TestGoldenObservations(t *testing.T) {
-	goldenBothWays(t, "observations.hex", Observations{
+	golden.RequireCBOR(t, "observations.hex", Observations{
 		SavedAt: 1_700_000_000_000,
 		Head: peerreport.ReportHeader{
 			Peer: "east-0", Locality: "eu-1", Serial: 7, ListVersion: 9, AgeMs: 1200, AnswerCount: 800, FleetLatency: 150, MinLatency: 20, HostCount: 2,
@@ -79,7 +48,7 @@
 // What is believed of the golden list and observations names these sources and times.
 func TestGoldenBelieved(t *testing.T) {
 	read := func(name string, to any) {
-		require.NoError(t, cbor.Unmarshal(storedGoldenOnly(t, name), to))
+		require.NoError(t, cbor.Unmarshal(golden.ReadHex(t, name), to))
 	}
 	var list EndpointList
 	var notes Observations
@@ -97,11 +66,3 @@
 	require.Equal(t, uint32(3200), b.Observations.Head.AgeMs)
 	require.Equal(t, notes.Entries, b.Observations.Entries)
 }
-
-func storedGoldenOnly(t *testing.T, name string) []byte {
-	text, err := os.ReadFile(filepath.Join("testdata", name))
-	require.NoError(t, err)
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	require.NoError(t, err)
-	return want
-}
