--- a/storage/store/golden_stored_test.go
+++ b/storage/store/golden_stored_test.go
@@ -3,24 +3,21 @@
 import (
 	"context"
 	"encoding/hex"
-	"encoding/json"
-	"flag"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"chalkring/internal/golden"
+
 	"github.com/stretchr/testify/require"
 	bolt "go.etcd.io/bbolt"
 )
 
-// updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
-var updateStored = flag.Bool("update-stored", false, "rewrite the golden files of stored forms")
-
 const (
-	goldenFile   = "testdata/store-v1.db"
-	goldenNewer  = "testdata/store-v2-required.db"
-	goldenRecord = "testdata/store-v1.records.json"
+	goldenFile   = "store-v1.db"
+	goldenNewer  = "store-v2-required.db"
+	goldenRecord = "store-v1.records.json"
 )
 
 // goldenValues are the plain values in the golden store file, by bucket and key.
@@ -82,22 +79,20 @@
 }
 
 // copyGolden copies a golden file to a place of its own: opening a store locks and may write it.
-func copyGolden(t *testing.T, golden string) string {
-	text, err := os.ReadFile(golden)
-	require.NoError(t, err)
+func copyGolden(t *testing.T, name string) string {
 	path := filepath.Join(t.TempDir(), "store.db")
-	require.NoError(t, os.WriteFile(path, text, 0o600))
+	require.NoError(t, os.WriteFile(path, golden.Read(t, name), 0o600))
 	return path
 }
 
 // A store file of format 1 opens, is not set aside, and yields the values and the events it was written with.
 func TestGoldenStoreFile(t *testing.T) {
-	if *updateStored {
+	if golden.Updating() {
 		path := filepath.Join(t.TempDir(), "store.db")
 		writeGoldenStore(t, path)
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(goldenFile, text, 0o644))
+		golden.Write(t, goldenFile, text)
 	}
 	path := copyGolden(t, goldenFile)
 	s, err := Open(path, Options{OnRecovery: func(err error) { t.Errorf("the golden file was reported: %v", err) }})
@@ -130,22 +125,13 @@
 	path := filepath.Join(t.TempDir(), "store.db")
 	writeGoldenStore(t, path)
 	got := rawRecords(t, path)
-	if *updateStored {
-		text, err := json.MarshalIndent(got, "", "  ")
-		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(goldenRecord, append(text, '\n'), 0o644))
-	}
-	text, err := os.ReadFile(goldenRecord)
-	require.NoError(t, err)
-	var want map[string]map[string]string
-	require.NoError(t, json.Unmarshal(text, &want))
-	require.Equal(t, want, got)
-	require.Equal(t, want, rawRecords(t, copyGolden(t, goldenFile)), "the golden file has the golden records")
+	golden.RequireJSON(t, goldenRecord, got)
+	require.Equal(t, got, rawRecords(t, copyGolden(t, goldenFile)), "the golden file has the golden records")
 }
 
 // A file that needs format 2 is refused and left as it is.
 func TestGoldenStoreFileThatNeedsNewerFormat(t *testing.T) {
-	if *updateStored {
+	if golden.Updating() {
 		path := copyGolden(t, goldenFile)
 		db, err := bolt.Open(path, 0o600, nil)
 		require.NoError(t, err)
@@ -159,7 +145,7 @@
 		require.NoError(t, db.Close())
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(goldenNewer, text, 0o644))
+		golden.Write(t, goldenNewer, text)
 	}
 	path := copyGolden(t, goldenNewer)
 	before, err := os.ReadFile(path)
