--- /dev/null
+++ b/endpoints/merge.go
@@ -0,0 +1,75 @@
+package endpoints
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// rebuildList merges the hosts of all sources into the list in force and reports whether it has changed.
+func (r *Registry) rebuildList(now int64) (changed bool) {
+	r.expireRemovals(now)
+	m := merger{list: map[string]Endpoint{}, idsByAddr: map[string]string{}}
+	for _, s := range r.sourcesByPrecedence() {
+		for _, id := range slices.Sorted(maps.Keys(s.hosts)) {
+			if _, isRemoved := r.removals[id]; !isRemoved {
+				m.add(s.name, s.hosts[id])
+			}
+		}
+	}
+	changed = !maps.EqualFunc(m.list, r.list, equalEndpoints)
+	r.list = m.list
+	if changed {
+		r.generation++
+	}
+	return changed
+}
+
+// sourcesByPrecedence returns the sources with the highest rank first, by name within a rank.
+func (r *Registry) sourcesByPrecedence() []*source {
+	return slices.SortedFunc(maps.Values(r.sources), func(a, b *source) int {
+		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.name, b.name))
+	})
+}
+
+// merger builds a list from hosts that are added in the order of their sources' precedence.
+type merger struct {
+	list      map[string]Endpoint
+	idsByAddr map[string]string
+}
+
+func (m *merger) add(sourceName string, host Host) {
+	endpoint, isListed := m.list[host.ID]
+	if !isListed {
+		if otherID, isTaken := m.idsByAddr[host.Addr]; isTaken && otherID != host.ID {
+			m.markZoneConflict(otherID, host)
+			return // a source of higher precedence has this address under another id
+		}
+		m.idsByAddr[host.Addr] = host.ID
+		endpoint = Endpoint{Host: host, Source: sourceName}
+	}
+	if host.Zone != "" && endpoint.Zone != host.Zone {
+		endpoint.ZoneConflict = true
+	}
+	endpoint.StartedMS = max(endpoint.StartedMS, host.StartedMS)
+	if host.State == StateDraining {
+		endpoint.State = StateDraining
+		endpoint.DrainedBy = append(endpoint.DrainedBy, sourceName)
+	}
+	m.list[host.ID] = endpoint
+}
+
+// markZoneConflict marks the endpoint at a host's address if the host is listed in another zone.
+func (m *merger) markZoneConflict(id string, host Host) {
+	endpoint := m.list[id]
+	if host.Zone != "" && endpoint.Zone != host.Zone {
+		endpoint.ZoneConflict = true
+		m.list[id] = endpoint
+	}
+}
+
+// equalEndpoints compares two endpoints regardless of their position in a file.
+func equalEndpoints(a, b Endpoint) bool {
+	a.Line, a.Column, b.Line, b.Column = 0, 0, 0, 0
+	return a.Host == b.Host && a.Source == b.Source && a.ZoneConflict == b.ZoneConflict && slices.Equal(a.DrainedBy, b.DrainedBy)
+}
--- a/endpoints/members_test.go
+++ b/endpoints/registry_test.go
@@ -21,8 +21,8 @@
 	return Host{ID: id, Addr: "127.0.0.1:" + id, Zone: "hall", Kind: "std", Cell: cell, Weight: 1}
 }
 
-func fleet(n int) (all []Host) {
-	for i := range n {
+func hosts(count int) (all []Host) {
+	for i := range count {
 		all = append(all, host(fmt.Sprint("h", i), i%4))
 	}
 	return all
@@ -45,16 +45,16 @@
 
 func TestPrecedence(t *testing.T) {
 	b := NewRegistry(rules)
-	require.True(t, tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: fleet(8)}))
+	require.True(t, tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: hosts(8)}))
 	require.EqualValues(t, 1, b.Generation())
-	require.False(t, tell(t, b, 2, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: fleet(4)}), "no newer version")
-	moved := fleet(8)
+	require.False(t, tell(t, b, 2, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: hosts(4)}), "no newer version")
+	moved := hosts(8)
 	moved[3].Addr, moved[3].Weight = "127.0.0.2:1", 2
 	require.True(t, tell(t, b, 3, Update{Source: "hosts.yaml", Rank: RankFile, Version: 1, Hosts: moved[3:4]}))
 	require.Equal(t, "127.0.0.2:1", b.List()[3].Addr, "a file's particulars hold over the plan's")
 	require.Equal(t, "hosts.yaml", b.List()[3].Source)
 	require.Equal(t, "plan", b.List()[2].Source)
-	require.False(t, tell(t, b, 4, Update{Source: "discovery", Rank: RankDiscovery, Version: 7, Hosts: fleet(8)[3:4]}), "nor does one between")
+	require.False(t, tell(t, b, 4, Update{Source: "discovery", Rank: RankDiscovery, Version: 7, Hosts: hosts(8)[3:4]}), "nor does one between")
 	require.True(t, b.RemoveSource(5, "hosts.yaml"))
 	require.Equal(t, "127.0.0.1:h3", b.List()[3].Addr)
 	require.EqualValues(t, 3, b.Generation())
@@ -63,11 +63,11 @@
 // A drain that any source tells holds until that source takes it back, whatever others say.
 func TestDrains(t *testing.T) {
 	b := NewRegistry(rules)
-	tell(t, b, 1, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: fleet(8)})
-	drained := fleet(8)[:1]
+	tell(t, b, 1, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: hosts(8)})
+	drained := hosts(8)[:1]
 	drained[0].State = StateDraining
 	require.True(t, tell(t, b, 2, Update{Source: "discovery", Rank: RankDiscovery, Version: 2, Partial: true, Hosts: drained}))
-	up := fleet(8)[:1]
+	up := hosts(8)[:1]
 	tell(t, b, 3, Update{Source: "hosts.yaml", Rank: RankFile, Version: 1, Hosts: up})
 	require.Equal(t, StateDraining, b.List()[0].State, "a file names a drained host as up")
 	require.Equal(t, []string{"discovery"}, b.List()[0].DrainedBy)
@@ -79,23 +79,23 @@
 func TestRemovals(t *testing.T) {
 	for _, back := range []string{"remover", "life", "time"} {
 		b := NewRegistry(rules)
-		tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: fleet(9)})
-		tell(t, b, 2, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: fleet(9)})
-		require.True(t, tell(t, b, 3, Update{Source: "discovery", Rank: RankDiscovery, Version: 2, Hosts: fleet(9)[1:]}))
+		tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 1, Hosts: hosts(9)})
+		tell(t, b, 2, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: hosts(9)})
+		require.True(t, tell(t, b, 3, Update{Source: "discovery", Rank: RankDiscovery, Version: 2, Hosts: hosts(9)[1:]}))
 		require.NotContains(t, ids(b), "h0")
-		require.False(t, tell(t, b, 4, Update{Source: "plan", Rank: RankPlan, Version: 2, Hosts: fleet(9)}))
-		tell(t, b, 5, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(9)[1:]})
+		require.False(t, tell(t, b, 4, Update{Source: "plan", Rank: RankPlan, Version: 2, Hosts: hosts(9)}))
+		tell(t, b, 5, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: hosts(9)[1:]})
 		require.NotContains(t, ids(b), "h0")
-		switch again := fleet(9); back {
+		switch again := hosts(9); back {
 		case "remover":
 			require.True(t, tell(t, b, 6, Update{Source: "discovery", Rank: RankDiscovery, Version: 3, Hosts: again}))
 		case "life":
 			again[0].StartedMS = 5
 			require.True(t, tell(t, b, 6, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Hosts: again}))
 		case "time":
-			require.False(t, b.Tick(3+remember-1))
-			require.EqualValues(t, 3+remember, b.NextTick())
-			require.True(t, b.Tick(3+remember))
+			require.False(t, b.Tick(3+removalMemory-1))
+			require.EqualValues(t, 3+removalMemory, b.NextTick())
+			require.True(t, b.Tick(3+removalMemory))
 		}
 		require.Contains(t, ids(b), "h0", back)
 	}
@@ -106,46 +106,46 @@
 func TestHeldBack(t *testing.T) {
 	begin := func() *Registry {
 		b := NewRegistry(rules)
-		tell(t, b, 1, Update{Source: "hosts.yaml", Rank: RankFile, Version: 1, Hosts: fleet(12)})
+		tell(t, b, 1, Update{Source: "hosts.yaml", Rank: RankFile, Version: 1, Hosts: hosts(12)})
 		return b
 	}
 	b := begin()
-	require.False(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6)}))
+	require.False(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: hosts(6)}))
 	require.Equal(t, map[string]string{"hosts.yaml": "drops 6 of 12 hosts"}, b.HeldBackSources())
 	require.Len(t, b.List(), 12)
-	require.False(t, b.Tick(10+holdBack-1))
-	require.True(t, b.Tick(10+holdBack), "nobody has mended it: it is what the source says")
+	require.False(t, b.Tick(10+holdBackTime-1))
+	require.True(t, b.Tick(10+holdBackTime), "nobody has mended it: it is what the source says")
 	require.Len(t, b.List(), 6)
 	require.Empty(t, b.HeldBackSources())
 
 	b = begin()
-	tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6)})
-	require.False(t, tell(t, b, 20, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Hosts: fleet(12)}))
+	tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: hosts(6)})
+	require.False(t, tell(t, b, 20, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Hosts: hosts(12)}))
 	require.Empty(t, b.HeldBackSources(), "a source that goes back")
-	require.False(t, b.Tick(10+holdBack))
+	require.False(t, b.Tick(10+holdBackTime))
 	require.Len(t, b.List(), 12)
 
 	b = begin()
-	require.True(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6), Confirmed: true}))
+	require.True(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: hosts(6), Confirmed: true}))
 	require.Len(t, b.List(), 6)
 
 	b = begin()
-	alone := slices.DeleteFunc(fleet(12), func(h Host) bool { return h.Cell == 3 })
+	alone := slices.DeleteFunc(hosts(12), func(h Host) bool { return h.Cell == 3 })
 	require.False(t, tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: alone}))
 	require.Equal(t, "leaves block set 3 without a holder", b.HeldBackSources()["hosts.yaml"])
 	tell(t, b, 11, Update{Source: "discovery", Rank: RankDiscovery, Version: 1, Hosts: []Host{host("other", 3)}})
 	require.True(t, tell(t, b, 12, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Hosts: alone}), "another source's host holds it")
 
 	b = begin() // changes of a list that is held back are changes of that list
-	tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: fleet(6)})
+	tell(t, b, 10, Update{Source: "hosts.yaml", Rank: RankFile, Version: 2, Hosts: hosts(6)})
 	tell(t, b, 11, Update{Source: "hosts.yaml", Rank: RankFile, Version: 3, Partial: true, Hosts: []Host{host("new", 1)}})
-	b.Tick(10 + holdBack)
+	b.Tick(10 + holdBackTime)
 	require.Len(t, b.List(), 7)
 }
 
 func TestRefused(t *testing.T) {
 	b := NewRegistry(rules)
-	tell(t, b, 1, Update{Source: "plan", Version: 1, Hosts: fleet(4)})
+	tell(t, b, 1, Update{Source: "plan", Version: 1, Hosts: hosts(4)})
 	for why, edit := range map[string]func(all []Host) []Host{
 		"is there twice":         func(all []Host) []Host { return append(all, all[0]) },
 		"has the address":        func(all []Host) []Host { all[1].Addr = all[0].Addr; return all },
@@ -159,7 +159,7 @@
 		"started_ms -1":          func(all []Host) []Host { all[1].StartedMS = -1; return all },
 		"state 9":                func(all []Host) []Host { all[1].State = 9; return all },
 	} {
-		all := fleet(4)
+		all := hosts(4)
 		all[1].Line, all[1].Column = 7, 3
 		_, err := b.Apply(2, Update{Source: "hosts.yaml", Rank: RankFile, Version: 9, Hosts: edit(all)})
 		require.ErrorContains(t, err, why)
@@ -168,7 +168,7 @@
 	}
 	_, err := b.Apply(3, Update{Source: "plan", Version: 0, VersionReset: true, Partial: true})
 	require.Error(t, err)
-	again := fleet(4)
+	again := hosts(4)
 	again[2].Weight = 3
 	require.False(t, tell(t, b, 4, Update{Source: "plan", Version: 0, Hosts: again}))
 	require.True(t, tell(t, b, 5, Update{Source: "plan", Version: 0, VersionReset: true, Hosts: again}), "versions have begun again")
@@ -203,7 +203,7 @@
 			for i, told := range order {
 				tell(t, b, int64(i+1), told)
 			}
-			b.Tick(int64(len(order)) + holdBack)
+			b.Tick(int64(len(order)) + holdBackTime)
 			return b
 		}
 		want := play(lists).List()
@@ -219,7 +219,7 @@
 		told := map[string]map[string]Host{} // all that a source ever told, by id and particulars
 		version := int64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
-			now += int64(rapid.IntRange(1, 2*holdBack).Draw(t, "wait"))
+			now += int64(rapid.IntRange(1, 2*holdBackTime).Draw(t, "wait"))
 			name := rapid.SampledFrom([]string{"plan", "discovery", "hosts.yaml"}).Draw(t, "source")
 			rank := map[string]Rank{"plan": RankPlan, "discovery": RankDiscovery, "hosts.yaml": RankFile}[name]
 			version++
@@ -265,9 +265,9 @@
 	}
 	for _, storeFirst := range []bool{true, false} {
 		for _, few := range []bool{true, false} {
-			b, was, now := NewRegistry(rules), fleet(12), fleet(12)[:4]
+			b, was, now := NewRegistry(rules), hosts(12), hosts(12)[:4]
 			if few {
-				now = fleet(12)[:10]
+				now = hosts(12)[:10]
 			}
 			lists := []Update{{Source: "store", Rank: RankStore, Version: 1, Confirmed: true, Hosts: was}, {Source: "discovery", Rank: RankDiscovery, Version: 9, Hosts: now}}
 			if !storeFirst {
@@ -278,7 +278,7 @@
 			if !few {
 				require.Len(t, names(b), 12)
 				require.Len(t, b.HeldBackSources(), 1)
-				require.EqualValues(t, 2+holdBack, b.NextTick())
+				require.EqualValues(t, 2+holdBackTime, b.NextTick())
 				require.True(t, b.Tick(b.NextTick()))
 			}
 			require.Len(t, names(b), len(now))
@@ -291,27 +291,27 @@
 // remover, or a later life, does bring it back.
 func TestRemovalsThatWereKept(t *testing.T) {
 	old := NewRegistry(rules)
-	tell(t, old, 1, Update{Source: "discovery", Rank: RankDiscovery, Version: 5, Hosts: fleet(8)})
+	tell(t, old, 1, Update{Source: "discovery", Rank: RankDiscovery, Version: 5, Hosts: hosts(8)})
 	tell(t, old, 2, Update{Source: "discovery", Rank: RankDiscovery, Version: 6, Partial: true, Hosts: []Host{{ID: "h3", State: StateRemoved}, {ID: "h4", State: StateRemoved}}})
-	gone := old.Removals(100 * second)
-	require.Equal(t, []Removal{{ID: "h3", RemovedBy: "discovery", Age: 100*second - 2}, {ID: "h4", RemovedBy: "discovery", Age: 100*second - 2}}, gone)
+	gone := old.Removals(100 * ticksPerSecond)
+	require.Equal(t, []Removal{{ID: "h3", RemovedBy: "discovery", Age: 100*ticksPerSecond - 2}, {ID: "h4", RemovedBy: "discovery", Age: 100*ticksPerSecond - 2}}, gone)
 	begin := func() *Registry {
 		b := NewRegistry(rules)
-		tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 5, Hosts: fleet(8)})
+		tell(t, b, 1, Update{Source: "plan", Rank: RankPlan, Version: 5, Hosts: hosts(8)})
 		require.True(t, tell(t, b, 2, Update{Source: "store", Rank: RankStore, Version: 1, Confirmed: true, Removals: gone}))
 		require.Len(t, b.List(), 6)
 		return b
 	}
 	b := begin()
-	tell(t, b, 3, Update{Source: "slow.yaml", Rank: RankFile, Version: 1, Hosts: fleet(8)})
+	tell(t, b, 3, Update{Source: "slow.yaml", Rank: RankFile, Version: 1, Hosts: hosts(8)})
 	require.Len(t, b.List(), 6, "a slower source")
-	require.Equal(t, 4+remember-100*second, int(b.NextTick()))
+	require.Equal(t, 4+removalMemory-100*ticksPerSecond, int(b.NextTick()))
 	require.True(t, b.Tick(b.NextTick()))
 	require.Len(t, b.List(), 8, "its time is over")
 	b = begin()
-	tell(t, b, 3, Update{Source: "discovery", Rank: RankDiscovery, Version: 7, Hosts: fleet(8)[:4]})
+	tell(t, b, 3, Update{Source: "discovery", Rank: RankDiscovery, Version: 7, Hosts: hosts(8)[:4]})
 	require.Len(t, b.List(), 7, "its remover lists one again")
-	later := fleet(8)
+	later := hosts(8)
 	later[4].StartedMS = 7
 	tell(t, b, 4, Update{Source: "later.yaml", Rank: RankFile, Version: 1, Hosts: later})
 	require.Len(t, b.List(), 8, "another life")
@@ -322,7 +322,7 @@
 }
 
 func BenchmarkThreeSources(b *testing.B) {
-	all := fleet(10_000)
+	all := hosts(10_000)
 	book := NewRegistry(rules)
 	for i := range b.N {
 		for rank, name := range []string{"plan", "discovery", "hosts.yaml"} {
--- /dev/null
+++ b/endpoints/removals.go
@@ -0,0 +1,94 @@
+package endpoints
+
+import (
+	"cmp"
+	"slices"
+)
+
+// removalMemory is how long a removal applies to other sources' entries of the host: slower sources have caught up by then.
+const removalMemory = 600 * ticksPerSecond
+
+// removal is a host that a source has removed.
+type removal struct {
+	removedBy string
+	at        int64
+	startedMS int64 // of the incarnation that was removed; a later one is not affected
+}
+
+// Removals returns the remembered removals, sorted by id.
+func (r *Registry) Removals(now int64) []Removal {
+	var removals []Removal
+	for id, removed := range r.removals {
+		removals = append(removals, Removal{id, removed.removedBy, removed.startedMS, max(0, now-removed.at)})
+	}
+	slices.SortFunc(removals, func(a, b Removal) int { return cmp.Compare(a.ID, b.ID) })
+	return removals
+}
+
+// recordRemovals records the hosts that a source removes by replacing its hosts, takes them out of the new hosts, and
+// forgets removals that the new hosts revoke.
+func (r *Registry) recordRemovals(now int64, s *source, newHosts map[string]Host) {
+	for id, host := range s.hosts {
+		after, isListed := newHosts[id]
+		if host.State != StateRemoved && (!isListed || after.State == StateRemoved) {
+			r.removals[id] = removal{s.name, now, host.StartedMS}
+		}
+	}
+	for id, host := range newHosts {
+		removed, isRemoved := r.removals[id]
+		if host.State == StateRemoved {
+			if !isRemoved {
+				r.removals[id] = removal{s.name, now, host.StartedMS}
+			}
+			delete(newHosts, id)
+			continue
+		}
+		if isRemoved && (removed.removedBy == s.name || host.StartedMS > removed.startedMS) {
+			delete(r.removals, id)
+		}
+	}
+}
+
+// adoptRemovals adds removals that a source remembers, as far as they still apply.
+func (r *Registry) adoptRemovals(now int64, removals []Removal) {
+	for _, adopted := range removals {
+		_, isKnown := r.removals[adopted.ID]
+		age := max(0, adopted.Age)
+		if !isKnown && age < removalMemory && !r.isRevoked(adopted) {
+			r.removals[adopted.ID] = removal{adopted.RemovedBy, now - age, adopted.StartedMS}
+		}
+	}
+}
+
+// isRevoked reports whether a removed host is listed again: by its remover, or by any source with a later start.
+func (r *Registry) isRevoked(removed Removal) bool {
+	for name, s := range r.sources {
+		host, isListed := s.hosts[removed.ID]
+		if isListed && (name == removed.RemovedBy || host.StartedMS > removed.StartedMS) {
+			return true
+		}
+	}
+	return false
+}
+
+// expireRemovals forgets old removals, and the oldest ones where a source has removed more names than a list may hold.
+func (r *Registry) expireRemovals(now int64) {
+	for id, removed := range r.removals {
+		if now >= removed.at+removalMemory {
+			delete(r.removals, id)
+		}
+	}
+	for len(r.removals) > maxHostsPerSource {
+		delete(r.removals, r.oldestRemoval())
+	}
+}
+
+func (r *Registry) oldestRemoval() (oldestID string) {
+	for id, removed := range r.removals {
+		oldest, isSet := r.removals[oldestID]
+		if !isSet || removed.at < oldest.at || removed.at == oldest.at && id < oldestID {
+			oldestID = id
+		}
+	}
+	return oldestID
+}
