--- a/endpoints/golden_errors_test.go
+++ b/endpoints/golden_errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Errors of host lists, reasons for which a list is held back, and the numbers of states and ranks.
+// Errors of invalid updates, reasons for which an update is held back, and the numbers of states and ranks.
 func TestGoldenHostListErrors(t *testing.T) {
 	long := strings.Repeat("x", 201)
 	rules := Rules{Zones: []string{"east", "west"}, Kinds: []string{"std"}, BlockSets: 2, SetsPerHost: 1}
@@ -19,9 +19,9 @@
 	second := with(func(h *Host) { h.ID, h.Addr, h.Line = "b", "127.0.0.1:2", 3 })
 	many := make([]Host, 20_001)
 	var out strings.Builder
-	for _, x := range []struct {
-		title string
-		list  Update
+	for _, test := range []struct {
+		title  string
+		update Update
 	}{
 		{"good", Update{Hosts: []Host{good, second}}},
 		{"no id", Update{Hosts: []Host{with(func(h *Host) { h.ID = "" })}}},
@@ -50,25 +50,25 @@
 		{"too many removals", Update{Removals: make([]Removal, 20_001)}},
 		{"changes in place of a list", Update{VersionReset: true, Partial: true}},
 	} {
-		x.list.Source, x.list.Rank, x.list.Version = "hosts.yaml", RankFile, 1
-		changed, err := NewRegistry(rules).Apply(1, x.list)
-		fmt.Fprintf(&out, "%s: changed=%t error: %v\n", x.title, changed, err)
+		test.update.Source, test.update.Rank, test.update.Version = "hosts.yaml", RankFile, 1
+		changed, err := NewRegistry(rules).Apply(1, test.update)
+		fmt.Fprintf(&out, "%s: changed=%t error: %v\n", test.title, changed, err)
 	}
 
-	book := NewRegistry(rules)
-	var all []Host
+	registry := NewRegistry(rules)
+	var hosts []Host
 	for i := range 8 {
-		all = append(all, Host{ID: fmt.Sprint("h", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Zone: "east", Kind: "std", Cell: i / 7, Weight: 1})
+		hosts = append(hosts, Host{ID: fmt.Sprint("h", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Zone: "east", Kind: "std", Cell: i / 7, Weight: 1})
 	}
-	tell := func(version int64, hosts []Host) {
-		if _, err := book.Apply(1, Update{Source: "hosts.yaml", Rank: RankFile, Version: version, Hosts: hosts}); err != nil {
+	apply := func(version int64, hosts []Host) {
+		if _, err := registry.Apply(1, Update{Source: "hosts.yaml", Rank: RankFile, Version: version, Hosts: hosts}); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&out, "held back: %v\n", book.HeldBackSources())
+		fmt.Fprintf(&out, "held back: %v\n", registry.HeldBackSources())
 	}
-	tell(1, all)
-	tell(2, all[4:])
-	tell(3, all[:7])
+	apply(1, hosts)
+	apply(2, hosts[4:])
+	apply(3, hosts[:7])
 	fmt.Fprintf(&out, "states: up=%d draining=%d removed=%d\nranks: plan=%d store=%d discovery=%d file=%d\n",
 		StateUp, StateDraining, StateRemoved, RankPlan, RankStore, RankDiscovery, RankFile)
 	requireGolden(t, "host_list_errors.golden", out.String())
--- a/endpoints/hostfile/golden_host_file_test.go
+++ b/endpoints/hostfile/golden_host_file_test.go
@@ -78,7 +78,7 @@
 	var out strings.Builder
 	for _, text := range []string{
 		"", "{}", "meant: true\n", "hosts:\n", "hosts: 7\n", "hosts: {a: 1}\n", "hostz: []\n", "Hosts: []\n",
-		"meant: perhaps\nhosts: []\n", "hosts:\n  - {id: a, adress: x}\n", "hosts:\n  - id: a\n  - id: b\n    Zone: x\n",
+		"meant: perhaps\nhosts: []\n", "hosts:\n  - {id: a, address: x}\n", "hosts:\n  - id: a\n  - id: b\n    Zone: x\n",
 		"hosts:\n  - {id: a, state: gone}\n", "hosts:\n  - {id: a}\n  - id: b\n    state: Up\n",
 		`{"hosts": [{"id": "a"}, {"id": "b", "state": "down"}]}`, "hosts:\n  - {id: a, weight: .nan}\n",
 		"hosts:\n  - {id: a, weight: .inf}\n", "hosts:\n  - {id: a, weight: heavy}\n", "hosts:\n  - {id: a, cell: x}\n",
--- a/endpoints/hostfile/watch_test.go
+++ b/endpoints/hostfile/watch_test.go
@@ -53,7 +53,7 @@
 		"hosts:\n":                            "no hosts",
 		"hosts: 7\n":                          "[1:8]",
 		"hostz: []\n":                         `unknown field "hostz"`,
-		"hosts:\n  - {id: a, adress: x}\n":    `[2:13] unknown field "adress"`,
+		"hosts:\n  - {id: a, address: x}\n":   `[2:13] unknown field "address"`,
 		"hosts:\n  - {id: a, state: gone}\n":  `[2:6] host "a": state "gone"`,
 		"hosts:\n  - {id: a, weight: .nan}\n": `weight NaN`,
 		"hosts:\n  - {id: a, cell: x}\n":      `[2:19]`,
--- /dev/null
+++ b/endpoints/property_test.go
@@ -0,0 +1,103 @@
+package endpoints
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+// drawUpdate draws an update with some of ten hosts.
+func drawUpdate(t *rapid.T, name string, rank Rank, version int64) Update {
+	update := Update{Source: name, Rank: rank, Version: version, Confirmed: rapid.Bool().Draw(t, "confirmed")}
+	for i := range 10 {
+		if rapid.Bool().Draw(t, "listed") {
+			host := testHost(fmt.Sprint("h", i), i%4)
+			host.Addr = fmt.Sprintf("%s:%d", name, i)
+			host.State = State(rapid.IntRange(0, 2).Draw(t, "state"))
+			host.Weight = float64(rapid.IntRange(0, 3).Draw(t, "weight")) // 0 makes the update invalid
+			update.Hosts = append(update.Hosts, host)
+		}
+	}
+	return update
+}
+
+// Apart from their precedence, it does not matter in which order sources send their first lists, once none is held back.
+func TestOrderOfFirstUpdatesDoesNotMatter(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var updates []Update
+		for rank, name := range []string{"plan", "store", "discovery", "hosts.yaml"} {
+			update := drawUpdate(t, name, Rank(rank), 1)
+			update.Hosts = slices.DeleteFunc(update.Hosts, func(h Host) bool { return h.State == StateRemoved || h.Weight == 0 })
+			updates = append(updates, update)
+		}
+		listAfter := func(updates []Update) []Endpoint {
+			r := NewRegistry(testRules)
+			for i, update := range updates {
+				mustApply(t, r, int64(i+1), update)
+			}
+			r.Tick(int64(len(updates)) + holdBackTime)
+			return r.List()
+		}
+		want := listAfter(updates)
+		require.Equal(t, want, listAfter(rapid.Permutation(updates).Draw(t, "order")))
+	})
+}
+
+// sentHosts are all hosts that a source ever sent, by their content, with state up.
+type sentHosts map[string]map[string]Host
+
+func (s sentHosts) record(update Update) {
+	if s[update.Source] == nil {
+		s[update.Source] = map[string]Host{}
+	}
+	for _, host := range update.Hosts {
+		host.State = StateUp
+		s[update.Source][fmt.Sprint(host)] = host
+	}
+}
+
+// checkList checks that a source has sent each endpoint, that none is removed, and that no two have one address.
+func (s sentHosts) checkList(t *rapid.T, list []Endpoint) {
+	addrs := map[string]bool{}
+	for _, endpoint := range list {
+		host := endpoint.Host
+		host.State = StateUp
+		require.Contains(t, s[endpoint.Source], fmt.Sprint(host))
+		require.NotEqual(t, StateRemoved, endpoint.State)
+		require.Equal(t, endpoint.State == StateDraining, len(endpoint.DrainedBy) > 0)
+		require.False(t, addrs[endpoint.Addr])
+		addrs[endpoint.Addr] = true
+	}
+}
+
+// No sequence of valid and invalid updates, draining, removals and time leads to an endpoint that no source has sent or
+// that its source has removed, or to two at one address; and the generation changes exactly with the list.
+func TestListHoldsOnlyWhatSourcesSent(t *testing.T) {
+	ranks := map[string]Rank{"plan": RankPlan, "discovery": RankDiscovery, "hosts.yaml": RankFile}
+	rapid.Check(t, func(t *rapid.T) {
+		r, now, previousList := NewRegistry(testRules), int64(1), ""
+		sent, version := sentHosts{}, int64(0)
+		for range rapid.IntRange(1, 20).Draw(t, "steps") {
+			now += int64(rapid.IntRange(1, 2*holdBackTime).Draw(t, "wait"))
+			name := rapid.SampledFrom([]string{"plan", "discovery", "hosts.yaml"}).Draw(t, "source")
+			version++
+			update := drawUpdate(t, name, ranks[name], version)
+			update.Partial = rapid.Bool().Draw(t, "partial")
+			generation := r.Generation()
+			if _, err := r.Apply(now, update); err != nil {
+				require.Equal(t, generation, r.Generation(), "a rejected update changes nothing")
+			} else {
+				sent.record(update)
+			}
+			r.Tick(now)
+			sent.checkList(t, r.List())
+			list := fmt.Sprint(r.List())
+			hasChanged := list != previousList && (list != "[]" || previousList != "")
+			require.Equal(t, hasChanged, r.Generation() != generation)
+			previousList = list
+		}
+	})
+}
--- /dev/null
+++ b/endpoints/removals_test.go
@@ -0,0 +1,87 @@
+package endpoints
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestRemovedHostReturns(t *testing.T) {
+	for name, bringBack := range map[string]func(t *testing.T, r *Registry){
+		"when its remover lists it": func(t *testing.T, r *Registry) {
+			require.True(t, mustApply(t, r, 6, discoveryUpdate(3, testHosts(9))))
+		},
+		"when a source lists a later start": func(t *testing.T, r *Registry) {
+			restarted := testHosts(9)
+			restarted[0].StartedMS = 5
+			require.True(t, mustApply(t, r, 6, fileUpdate(3, restarted)))
+		},
+		"when the removal has expired": func(t *testing.T, r *Registry) {
+			require.False(t, r.Tick(3+removalMemory-1))
+			require.EqualValues(t, 3+removalMemory, r.NextTick())
+			require.True(t, r.Tick(3+removalMemory))
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := NewRegistry(testRules)
+			mustApply(t, r, 1, planUpdate(1, testHosts(9)))
+			mustApply(t, r, 2, discoveryUpdate(1, testHosts(9)))
+			require.True(t, mustApply(t, r, 3, discoveryUpdate(2, testHosts(9)[1:])))
+			require.NotContains(t, listedIDs(r), "h0")
+			require.False(t, mustApply(t, r, 4, planUpdate(2, testHosts(9))), "a slower source does not bring it back")
+			mustApply(t, r, 5, fileUpdate(2, testHosts(9)[1:]))
+			require.NotContains(t, listedIDs(r), "h0")
+			bringBack(t, r)
+			require.Contains(t, listedIDs(r), "h0")
+		})
+	}
+}
+
+// removalsOfEarlierRun are what a store remembers: discovery has removed h3 and h4, 100 s ago.
+func removalsOfEarlierRun(t *testing.T) []Removal {
+	r := NewRegistry(testRules)
+	mustApply(t, r, 1, discoveryUpdate(5, testHosts(8)))
+	mustApply(t, r, 2, discoveryChanges(6, Host{ID: "h3", State: StateRemoved}, Host{ID: "h4", State: StateRemoved}))
+	removals := r.Removals(100 * ticksPerSecond)
+	require.Equal(t, []Removal{
+		{ID: "h3", RemovedBy: "discovery", Age: 100*ticksPerSecond - 2},
+		{ID: "h4", RemovedBy: "discovery", Age: 100*ticksPerSecond - 2},
+	}, removals)
+	return removals
+}
+
+func newRegistryWithStoredRemovals(t *testing.T, removals []Removal) *Registry {
+	r := NewRegistry(testRules)
+	mustApply(t, r, 1, planUpdate(5, testHosts(8)))
+	require.True(t, mustApply(t, r, 2, Update{Source: "store", Rank: RankStore, Version: 1, Confirmed: true, Removals: removals}))
+	require.Len(t, r.List(), 6)
+	return r
+}
+
+func TestStoredRemovalExpiresByItsAge(t *testing.T) {
+	r := newRegistryWithStoredRemovals(t, removalsOfEarlierRun(t))
+	mustApply(t, r, 3, Update{Source: "slow.yaml", Rank: RankFile, Version: 1, Hosts: testHosts(8)})
+	require.Len(t, r.List(), 6, "a slower source does not bring the hosts back")
+	require.Equal(t, 4+removalMemory-100*ticksPerSecond, int(r.NextTick()))
+	require.True(t, r.Tick(r.NextTick()))
+	require.Len(t, r.List(), 8)
+}
+
+func TestStoredRemovalIsRevoked(t *testing.T) {
+	removals := removalsOfEarlierRun(t)
+	r := newRegistryWithStoredRemovals(t, removals)
+	mustApply(t, r, 3, discoveryUpdate(7, testHosts(8)[:4]))
+	require.Len(t, r.List(), 7, "its remover lists h3 again")
+	restarted := testHosts(8)
+	restarted[4].StartedMS = 7
+	mustApply(t, r, 4, Update{Source: "later.yaml", Rank: RankFile, Version: 1, Hosts: restarted})
+	require.Len(t, r.List(), 8, "h4 has a later start")
+	mustApply(t, r, 5, Update{Source: "late", Rank: RankStore, Version: 1, Confirmed: true, Removals: removals})
+	require.Len(t, r.List(), 8, "a removal that was revoked is not adopted")
+}
+
+func TestRemovalWithoutIDIsRejected(t *testing.T) {
+	r := NewRegistry(testRules)
+	_, err := r.Apply(6, Update{Source: "store", Rank: RankStore, Version: 2, Removals: []Removal{{RemovedBy: "x"}}})
+	require.ErrorAs(t, err, new(InvalidListError))
+}
