--- /dev/null
+++ b/endpoints/registry_test.go
@@ -0,0 +1,145 @@
+package endpoints
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestMain(m *testing.M) {
+	_ = flag.Set("rapid.seed", "1")
+	_ = flag.Set("rapid.nofailfile", "true")
+	os.Exit(m.Run())
+}
+
+var testRules = Rules{Zones: []string{"hall", "far"}, Kinds: []string{"std"}, BlockSets: 4, SetsPerHost: 1}
+
+func testHost(id string, cell int) Host {
+	return Host{ID: id, Addr: "127.0.0.1:" + id, Zone: "hall", Kind: "std", Cell: cell, Weight: 1}
+}
+
+// testHosts are h0, h1 and so on, spread over the four cells.
+func testHosts(count int) (hosts []Host) {
+	for i := range count {
+		hosts = append(hosts, testHost(fmt.Sprint("h", i), i%4))
+	}
+	return hosts
+}
+
+func listedIDs(r *Registry) (ids []string) {
+	for _, endpoint := range r.List() {
+		ids = append(ids, endpoint.ID)
+	}
+	return ids
+}
+
+func mustApply(t require.TestingT, r *Registry, now int64, update Update) (changed bool) {
+	changed, err := r.Apply(now, update)
+	require.NoError(t, err)
+	return changed
+}
+
+func planUpdate(version int64, hosts []Host) Update {
+	return Update{Source: "plan", Rank: RankPlan, Version: version, Hosts: hosts}
+}
+
+func discoveryUpdate(version int64, hosts []Host) Update {
+	return Update{Source: "discovery", Rank: RankDiscovery, Version: version, Hosts: hosts}
+}
+
+func discoveryChanges(version int64, hosts ...Host) Update {
+	return Update{Source: "discovery", Rank: RankDiscovery, Version: version, Partial: true, Hosts: hosts}
+}
+
+func fileUpdate(version int64, hosts []Host) Update {
+	return Update{Source: "hosts.yaml", Rank: RankFile, Version: version, Hosts: hosts}
+}
+
+func TestEntryOfTheHighestRankIsInForce(t *testing.T) {
+	r := NewRegistry(testRules)
+	require.True(t, mustApply(t, r, 1, planUpdate(1, testHosts(8))))
+	require.EqualValues(t, 1, r.Generation())
+	require.False(t, mustApply(t, r, 2, planUpdate(1, testHosts(4))), "no newer version")
+	moved := testHosts(8)
+	moved[3].Addr, moved[3].Weight = "127.0.0.2:1", 2
+	require.True(t, mustApply(t, r, 3, fileUpdate(1, moved[3:4])))
+	require.Equal(t, "127.0.0.2:1", r.List()[3].Addr, "a file's entry wins over the plan's")
+	require.Equal(t, "hosts.yaml", r.List()[3].Source)
+	require.Equal(t, "plan", r.List()[2].Source)
+	require.False(t, mustApply(t, r, 4, discoveryUpdate(7, testHosts(8)[3:4])), "and over one of a rank between")
+	require.True(t, r.RemoveSource(5, "hosts.yaml"))
+	require.Equal(t, "127.0.0.1:h3", r.List()[3].Addr)
+	require.EqualValues(t, 3, r.Generation())
+}
+
+func TestHostDrainsUntilTheSourceRevokesIt(t *testing.T) {
+	r := NewRegistry(testRules)
+	mustApply(t, r, 1, discoveryUpdate(1, testHosts(8)))
+	up, draining := testHosts(1)[0], testHosts(1)[0]
+	draining.State = StateDraining
+	require.True(t, mustApply(t, r, 2, discoveryChanges(2, draining)))
+	mustApply(t, r, 3, fileUpdate(1, []Host{up}))
+	require.Equal(t, StateDraining, r.List()[0].State, "although a file lists it as up")
+	require.Equal(t, []string{"discovery"}, r.List()[0].DrainedBy)
+	require.True(t, mustApply(t, r, 4, discoveryChanges(3, up)))
+	require.Equal(t, StateUp, r.List()[0].State)
+}
+
+func TestVersionResetNeedsACompleteList(t *testing.T) {
+	r := NewRegistry(testRules)
+	mustApply(t, r, 1, planUpdate(1, testHosts(4)))
+	_, err := r.Apply(3, Update{Source: "plan", Version: 0, VersionReset: true, Partial: true})
+	require.Error(t, err)
+	heavier := testHosts(4)
+	heavier[2].Weight = 3
+	require.False(t, mustApply(t, r, 4, planUpdate(0, heavier)))
+	require.True(t, mustApply(t, r, 5, Update{Source: "plan", Version: 0, VersionReset: true, Hosts: heavier}))
+}
+
+// The store's hosts are dropped once discovery has sent a list: at once where those are few, else later.
+func TestStoreIsRetiredByDiscovery(t *testing.T) {
+	for _, isStoreFirst := range []bool{true, false} {
+		for _, dropsFew := range []bool{true, false} {
+			t.Run(fmt.Sprintf("store first %t, drops few %t", isStoreFirst, dropsFew), func(t *testing.T) {
+				r, discovered := NewRegistry(testRules), testHosts(12)[:4]
+				if dropsFew {
+					discovered = testHosts(12)[:10]
+				}
+				updates := []Update{
+					{Source: "store", Rank: RankStore, Version: 1, Confirmed: true, Hosts: testHosts(12)},
+					discoveryUpdate(9, discovered),
+				}
+				if !isStoreFirst {
+					slices.Reverse(updates)
+				}
+				mustApply(t, r, 1, updates[0])
+				mustApply(t, r, 2, updates[1])
+				if !dropsFew {
+					require.Len(t, r.List(), 12)
+					require.Len(t, r.HeldBackSources(), 1)
+					require.EqualValues(t, 2+holdBackTime, r.NextTick())
+					require.True(t, r.Tick(r.NextTick()))
+				}
+				require.Len(t, r.List(), len(discovered))
+				require.Empty(t, r.HeldBackSources())
+			})
+		}
+	}
+}
+
+func BenchmarkThreeSources(b *testing.B) {
+	hosts := testHosts(10_000)
+	r := NewRegistry(testRules)
+	for i := range b.N {
+		for rank, name := range []string{"plan", "discovery", "hosts.yaml"} {
+			update := Update{Source: name, Rank: Rank(rank), Version: int64(i + 1), Hosts: hosts}
+			if _, err := r.Apply(int64(i+1), update); err != nil {
+				b.Fatal(err)
+			}
+		}
+	}
+}
