--- /dev/null
+++ b/cluster/crdt/helpers_test.go
@@ -0,0 +1,80 @@
+package crdt
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+// contents is all that a replica holds and remembers, as text.
+func contents(replica *Map) string {
+	text := ""
+	for _, entry := range allEntries(replica) {
+		text += fmt.Sprintln(entry.Name, entry.Siblings, entry.CausalContext)
+	}
+	return text
+}
+
+func allEntries(replica *Map) (entries []Entry) {
+	replica.records.Scan(func(_ string, held *record) bool {
+		entries = append(entries, held.Entry)
+		return true
+	})
+	return entries
+}
+
+func entryDots(entry Entry) (dots []Dot) {
+	for _, sibling := range entry.Siblings {
+		dots = append(dots, sibling.Dot)
+	}
+	return dots
+}
+
+var randomName = rapid.SampledFrom([]string{"a", "b", "c"})
+
+// writeRandomChange makes a drawn change of a name and returns the state before and after it.
+func writeRandomChange(t *rapid.T, replica *Map, name string) (before, after Entry) {
+	before, _ = replica.Get(name)
+	var err error
+	if rapid.IntRange(0, 2).Draw(t, "delete") == 0 {
+		after, err = replica.Delete(name)
+	} else {
+		after, err = replica.Put(name, rapid.SliceOfN(rapid.Byte(), 0, 2).Draw(t, "value"))
+	}
+	require.NoError(t, err)
+	return before, after
+}
+
+// exchangeToEnd brings replica up to other, and other up to what it lacks of replica.
+func exchangeToEnd(t *testing.T, replica, other *Map) {
+	exchange := replica.NewExchange(ActorName(other.Actor()), 7)
+	for {
+		request, ok := exchange.NextRequest()
+		if !ok {
+			break
+		}
+		response, err := other.HandleRequest(ActorName(replica.Actor()), request)
+		require.NoError(t, err)
+		_, lacking, err := exchange.ApplyResponse(response)
+		require.NoError(t, err)
+		_, err = other.MergeBatch(replica.Actor(), buildBatch(replica, true, lacking...))
+		require.NoError(t, err)
+	}
+	require.True(t, exchange.IsComplete())
+}
+
+// buildBatch returns the states of names in one batch, whatever their size.
+func buildBatch(replica *Map, withKnown bool, names ...string) Batch {
+	var builder batchBuilder
+	if withKnown {
+		builder.Known = replica.known
+	}
+	for _, name := range names {
+		if held, ok := replica.records.Get(name); ok {
+			builder.add(held)
+		}
+	}
+	return builder.Batch
+}
--- /dev/null
+++ b/cluster/crdt/limits_test.go
@@ -0,0 +1,66 @@
+package crdt
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestPutRefusesTooLargeNamesAndValues(t *testing.T) {
+	replica := NewMap("x#1")
+	for _, c := range []struct {
+		name  string
+		value []byte
+	}{
+		{"a", make([]byte, MaxValueBytes+1)},
+		{strings.Repeat("n", MaxNameBytes+1), nil},
+		{"", nil},
+	} {
+		_, err := replica.Put(c.name, c.value)
+		var tooLarge *TooLargeError
+		require.ErrorAs(t, err, &tooLarge)
+	}
+}
+
+func TestFullReplicaRefusesMoreNamesAndTombstones(t *testing.T) {
+	replica := NewMap("x#1")
+	for i := range MaxEntries {
+		_, err := replica.Put(fmt.Sprint(i), []byte("v"))
+		require.NoError(t, err)
+	}
+	var full *CapacityExceededError
+	_, err := replica.Put("more", nil)
+	require.ErrorAs(t, err, &full)
+	_, err = replica.Put("7", nil)
+	require.NoError(t, err, "a name that has a value already")
+	for i := range MaxTombstones {
+		_, err := replica.Delete(fmt.Sprint(i))
+		require.NoError(t, err)
+	}
+	_, err = replica.Delete("70000")
+	require.ErrorAs(t, err, &full)
+	require.Contains(t, full.Advice(), "Bring back")
+}
+
+func TestMergeRefusesInvalidEntries(t *testing.T) {
+	_, err := NewMap("x#1").Merge("y", []Entry{{Name: "z", Siblings: []Sibling{{Dot: Dot{Actor: "y#1", Counter: 1}}}}})
+	var invalid *InvalidDataError
+	require.ErrorAs(t, err, &invalid)
+}
+
+func TestMergeRefusesTooManySiblings(t *testing.T) {
+	replica := NewMap("x#1")
+	concurrent := make([]Entry, MaxSiblings+1)
+	for i := range concurrent {
+		concurrent[i], _ = NewMap(fmt.Sprintf("c%03d#1", i)).Put("crowd", nil)
+	}
+	_, err := replica.Merge("y", concurrent)
+	var tooMany *TooManySiblingsError
+	require.ErrorAs(t, err, &tooMany)
+	_, err = replica.Put("crowd", nil)
+	require.NoError(t, err)
+	_, err = replica.Merge("y", concurrent)
+	require.NoError(t, err, "what the write had seen is not taken in again")
+}
--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -20,24 +20,24 @@
 	}
 }
 
-// goldenMap is a copy with a plain entry, a tombstone, concurrent siblings and a row of another instance.
+// goldenMap is a replica with a plain entry, a tombstone, concurrent siblings and a row of another instance.
 func goldenMap(t *testing.T) *Map {
-	l := NewMap("gateway-1#7")
-	_, err := l.Put("plan/a", []byte{0, 1, 0xff})
+	replica := NewMap("gateway-1#7")
+	_, err := replica.Put("plan/a", []byte{0, 1, 0xff})
 	require.NoError(t, err)
-	_, err = l.Put("plan/b", []byte("old"))
+	_, err = replica.Put("plan/b", []byte("old"))
 	require.NoError(t, err)
-	_, err = l.Delete("plan/b")
+	_, err = replica.Delete("plan/b")
 	require.NoError(t, err)
 	other := NewMap("gateway-2#9")
 	_, err = other.Put("plan/a", []byte("other"))
 	require.NoError(t, err)
 	entry, _ := other.Get("plan/a")
-	_, err = l.Merge("gateway-2#9", []Entry{entry})
+	_, err = replica.Merge("gateway-2#9", []Entry{entry})
 	require.NoError(t, err)
-	require.NoError(t, l.MergeRows("gateway-2", []Row{other.NextRow()}))
-	l.NextRow()
-	return l
+	require.NoError(t, replica.MergeRows("gateway-2", []Row{other.NextRow()}))
+	replica.NextRow()
+	return replica
 }
 
 // Entries, versions, batches and rows: in messages and, for entries and versions, in the store.
@@ -82,85 +82,85 @@
 	})
 }
 
-// Questions and answers of an exchange, field by field and as a ledger makes them.
+// Requests and responses of an exchange, field by field and as a replica makes them.
 func TestGoldenExchangeMessages(t *testing.T) {
 	version := Version{{Actor: "gateway-1#7", Counter: 3}}
-	ask := ExchangeRequest{
+	request := ExchangeRequest{
 		ExchangeID: 5, RequestSeq: 6, Actor: "gateway-1#7", RowVersions: []RowVersion{{Actor: "gateway-2#9", Seq: 8}}, First: true,
 		Nodes: []TreeNode{{Level: 1, Index: 63}}, WantedBuckets: []BucketDigest{{Index: 65535, EntryDigests: []uint64{1, 1 << 63}}},
 	}
-	answer := ExchangeResponse{
+	response := ExchangeResponse{
 		ExchangeID: 5, RequestSeq: 6, Actor: "gateway-2#9", EndedBefore: 10, MissedDeletes: true, RootDigest: 1 << 62,
 		Rows: []Row{{Actor: "gateway-2#9", Seq: 1, Known: version}}, ChildDigests: [][]uint64{{1, 2}, {3}},
 		BucketStates: []BucketState{{Index: 65535, EntryCount: 2, MissingDigests: []uint64{4}, HasMore: true}},
 		Batch:        Batch{Known: version, Entries: []Entry{{Name: "plan/a"}}, ContextIndexes: []uint16{0}},
 	}
 
-	asker := NewMap("gateway-3#4")
-	exchange := asker.NewExchange("gateway-1", 17)
-	firstAsk, ok := exchange.NextRequest()
+	initiator := NewMap("gateway-3#4")
+	exchange := initiator.NewExchange("gateway-1", 17)
+	firstRequest, ok := exchange.NextRequest()
 	require.True(t, ok)
-	holder := goldenMap(t)
-	firstAnswer, err := holder.HandleRequest("gateway-3", firstAsk)
+	responder := goldenMap(t)
+	firstResponse, err := responder.HandleRequest("gateway-3", firstRequest)
 	require.NoError(t, err)
 	bucket := BucketDigest{Index: bucketOf("plan/a"), EntryDigests: []uint64{99}}
-	entriesAnswer, err := holder.HandleRequest("gateway-3", ExchangeRequest{
+	entriesResponse, err := responder.HandleRequest("gateway-3", ExchangeRequest{
 		ExchangeID: 17, RequestSeq: 2, Actor: "gateway-3#4", Nodes: []TreeNode{{Level: 2, Index: bucket.Index / 16}},
 		WantedBuckets: []BucketDigest{bucket},
 	})
 	require.NoError(t, err)
-	require.Len(t, entriesAnswer.Batch.Entries, 1)
+	require.Len(t, entriesResponse.Batch.Entries, 1)
 	requireGolden(t, "exchange.golden", []goldenForm{
-		cborForm("ask", ask, ask),
+		cborForm("ask", request, request),
 		cborForm("ask-empty", ExchangeRequest{}, ExchangeRequest{}),
-		cborForm("answer", answer, answer),
+		cborForm("answer", response, response),
 		cborForm("answer-empty", ExchangeResponse{}, ExchangeResponse{}),
-		cborForm("first-ask", firstAsk, ExchangeRequest{ExchangeID: 17, RequestSeq: 1, Actor: "gateway-3#4", RowVersions: []RowVersion{}, First: true}),
-		cborForm("first-answer", firstAnswer, firstAnswer),
-		cborForm("entries-answer", entriesAnswer, entriesAnswer),
+		cborForm("first-ask", firstRequest, ExchangeRequest{ExchangeID: 17, RequestSeq: 1, Actor: "gateway-3#4", RowVersions: []RowVersion{}, First: true}),
+		cborForm("first-answer", firstResponse, firstResponse),
+		cborForm("entries-answer", entriesResponse, entriesResponse),
 	})
 }
 
-// An exchange that answers of an earlier build bring to its end.
+// An exchange that responses of an earlier build complete.
 func TestGoldenExchangeIsApplied(t *testing.T) {
 	golden := readGolden(t, "testdata/exchange.golden")
-	l := NewMap("gateway-3#4")
-	exchange := l.NewExchange("gateway-1", 17)
+	replica := NewMap("gateway-3#4")
+	exchange := replica.NewExchange("gateway-1", 17)
 	_, ok := exchange.NextRequest()
 	require.True(t, ok)
-	var answer ExchangeResponse
-	require.NoError(t, cbor.Unmarshal(golden["first-answer"], &answer))
-	_, _, err := exchange.ApplyResponse(answer)
+	var response ExchangeResponse
+	require.NoError(t, cbor.Unmarshal(golden["first-answer"], &response))
+	_, _, err := exchange.ApplyResponse(response)
 	require.NoError(t, err)
-	require.Equal(t, uint64(5), l.rows["gateway-1"].Known.LastCounter("gateway-1#7"), "the row of the answering instance")
-	holder := goldenMap(t)
-	for ask, more := exchange.NextRequest(); more; ask, more = exchange.NextRequest() {
-		answer, err := holder.HandleRequest("gateway-3", ask)
+	require.Equal(t, uint64(5), replica.rows["gateway-1"].Known.LastCounter("gateway-1#7"), "the row of the answering instance")
+	responder := goldenMap(t)
+	for request, more := exchange.NextRequest(); more; request, more = exchange.NextRequest() {
+		response, err := responder.HandleRequest("gateway-3", request)
 		require.NoError(t, err)
-		_, _, err = exchange.ApplyResponse(answer)
+		_, _, err = exchange.ApplyResponse(response)
 		require.NoError(t, err)
 	}
-	require.Equal(t, answer.RootDigest, l.Digest(TreeNode{}), "the digest that the earlier build told")
+	require.Equal(t, response.RootDigest, replica.Digest(TreeNode{}), "the digest that the earlier build sent")
 }
 
 // Digests are compared between instances of different builds.
 func TestGoldenDigests(t *testing.T) {
-	l := goldenMap(t)
+	replica := goldenMap(t)
 	digest := func(name string, value, want uint64) goldenForm {
 		return goldenForm{
 			name, func() ([]byte, error) { return binary.BigEndian.AppendUint64(nil, value), nil },
 			func(encoded []byte) (any, error) { return binary.BigEndian.Uint64(encoded), nil }, want,
 		}
 	}
-	siblings, _ := l.Get("plan/a")
-	tombstone, _ := l.Get("plan/b")
+	siblings, _ := replica.Get("plan/a")
+	tombstone, _ := replica.Get("plan/b")
 	bucket := bucketOf("plan/a")
 	requireGolden(t, "digests.golden", []goldenForm{
-		digest("entry-siblings", siblings.computeDigest(), l.Digest(TreeNode{Level: 3, Index: bucket})),
-		digest("entry-tombstone", tombstone.computeDigest(), l.Digest(TreeNode{Level: 3, Index: bucketOf("plan/b")})),
-		digest("root", l.Digest(TreeNode{}), siblings.computeDigest()+tombstone.computeDigest()),
-		digest("level-1", l.Digest(TreeNode{Level: 1, Index: bucket >> 10}), siblings.computeDigest()),
-		digest("level-2", l.Digest(TreeNode{Level: 2, Index: bucket >> 4}), siblings.computeDigest()),
+		digest("entry-siblings", siblings.computeDigest(), replica.Digest(TreeNode{Level: 3, Index: bucket})),
+		digest("entry-tombstone", tombstone.computeDigest(), replica.Digest(TreeNode{Level: 3, Index: bucketOf("plan/b")})),
+		digest("root", replica.Digest(TreeNode{}), siblings.computeDigest()+tombstone.computeDigest()),
+		digest("level-1", replica.Digest(TreeNode{Level: 1, Index: bucket >> 10}), siblings.computeDigest()),
+		digest("level-2", replica.Digest(TreeNode{Level: 2, Index: bucket >> 4}), siblings.computeDigest()),
 		digest("bucket-of-name", uint64(bucket), uint64(bucket)),
 	})
 	require.Len(t, TreeNode{}.Children(), 64)
@@ -168,7 +168,7 @@
 	require.Equal(t, TreeNode{Level: 3, Index: 7*16 + 15}, TreeNode{Level: 2, Index: 7}.Children()[15])
 }
 
-// Limits that a receiver checks: an instance of another build is refused beyond them.
+// Limits that a receiver checks: messages of an instance of another build are refused beyond them.
 func TestGoldenLimits(t *testing.T) {
 	require.Equal(t, []int{3, 1 << 16}, []int{DigestTreeDepth, bucketCount})
 	require.Equal(t, []int{100_000, 50_000, 200_000, 8 << 10, 512, 280, 96 << 20, 64},
