--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -22,43 +22,43 @@
 
 const goldenBucket = "testdata/share-bucket.json" // values in hex by key, from one instance
 
-// bucketDisk is a disk that knows which bucket it is asked for.
-type bucketDisk struct {
-	*disk
+// bucketCheckingStorage is a disk that knows which bucket it is asked for.
+type bucketCheckingStorage struct {
+	*memoryStorage
 	t *testing.T
 }
 
-func (d *bucketDisk) Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error {
+func (d *bucketCheckingStorage) Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error {
 	if bucket != "share" {
 		d.t.Errorf("bucket %q", bucket)
 	}
-	return d.disk.Put(ctx, bucket, puts, deletes)
+	return d.memoryStorage.Put(ctx, bucket, puts, deletes)
 }
 
-func (d *bucketDisk) Load(bucket string, f func(string, []byte) error) error {
+func (d *bucketCheckingStorage) Load(bucket string, f func(string, []byte) error) error {
 	if bucket != "share" {
 		d.t.Errorf("bucket %q", bucket)
 	}
-	return d.disk.Load(bucket, f)
+	return d.memoryStorage.Load(bucket, f)
 }
 
-func startOnDisk(t *testing.T, life uint64, d *disk) *Replicator {
+func startOnStorage(t *testing.T, life uint64, d *memoryStorage) *Replicator {
 	b := Start(context.Background(), Options{
 		InstanceName: "east-0", Incarnation: life, Transport: testnet.New(1).Join("east-0"), Seed: 1,
 		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
-		OpenStorage: func(context.Context) (Storage, error) { return &bucketDisk{d, t}, nil },
+		OpenStorage: func(context.Context) (Storage, error) { return &bucketCheckingStorage{d, t}, nil },
 		Peers:       func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} },
 	})
 	<-b.Ready()
 	return b
 }
 
-func goldenDisk(t *testing.T) *disk {
+func goldenStorage(t *testing.T) *memoryStorage {
 	text, err := os.ReadFile(goldenBucket)
 	require.NoError(t, err)
 	var all map[string]string
 	require.NoError(t, json.Unmarshal(text, &all))
-	d := &disk{data: map[string][]byte{}}
+	d := &memoryStorage{data: map[string][]byte{}}
 	for key, value := range all {
 		d.data[key], err = hex.DecodeString(value)
 		require.NoError(t, err)
@@ -67,9 +67,9 @@
 }
 
 // An instance that puts and deletes writes the golden bucket, byte for byte.
-func TestGoldenShareBucketWritten(t *testing.T) {
-	d := &disk{data: map[string][]byte{}}
-	b := startOnDisk(t, 1_700_000_000_000_000_000, d)
+func TestGoldenBucketWritten(t *testing.T) {
+	d := &memoryStorage{data: map[string][]byte{}}
+	b := startOnStorage(t, 1_700_000_000_000_000_000, d)
 	for _, kv := range [][2]string{{"x/one", "first"}, {"x/one", "second"}, {"x/two", ""}, {"y", "gone"}, {"zones/eu-1", "\x00\xff"}} {
 		_, err := b.Put(kv[0], []byte(kv[1]))
 		require.NoError(t, err)
@@ -79,8 +79,8 @@
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
 	require.NoError(t, b.WaitPersisted(ctx))
-	b.stop()
-	<-b.done
+	b.cancel()
+	<-b.stopped
 	got := map[string]string{}
 	for key, value := range d.copy().data {
 		got[key] = hex.EncodeToString(value)
@@ -99,9 +99,9 @@
 }
 
 // A later life of the instance reads the golden bucket and holds what was written.
-func TestGoldenShareBucketRead(t *testing.T) {
-	b := startOnDisk(t, 1_700_000_000_000_000_001, goldenDisk(t))
-	defer func() { b.stop(); <-b.done }()
+func TestGoldenBucketRead(t *testing.T) {
+	b := startOnStorage(t, 1_700_000_000_000_000_001, goldenStorage(t))
+	defer func() { b.cancel(); <-b.stopped }()
 	actor := "east-0#1700000000000000000"
 	for name, want := range map[string]crdt.Sibling{
 		"x/one":      {Dot: crdt.Dot{Actor: actor, Counter: 2}, Value: []byte("second")},
@@ -117,5 +117,5 @@
 	require.False(t, ok)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, b.l.KnownVersion(), "what the instance has seen, from its own key")
+	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, b.state.KnownVersion(), "what the instance has seen, from its own key")
 }
--- a/cluster/replication/keep.go
+++ b/cluster/replication/keep.go
@@ -19,22 +19,22 @@
 	knownKey = "known"
 )
 
-// load takes in what the store kept.
-func (b *Replicator) load(ctx context.Context, _ *scheduler.Allowance) error {
-	begin := func() { b.begun.Do(func() { close(b.ready) }) }
-	late := time.AfterFunc(diskWait, begin)
+// restore takes in what the store kept.
+func (b *Replicator) restore(ctx context.Context, _ *scheduler.Allowance) error {
+	begin := func() { b.readyOnce.Do(func() { close(b.ready) }) }
+	late := time.AfterFunc(storageTimeout, begin)
 	defer func() {
 		late.Stop()
-		close(b.found)
+		close(b.restored)
 		begin()
 	}()
-	if b.o.OpenStorage == nil {
+	if b.options.OpenStorage == nil {
 		return nil
 	}
-	disk, err := b.o.OpenStorage(ctx)
+	disk, err := b.options.OpenStorage(ctx)
 	if err != nil || disk == nil {
 		if err != nil && ctx.Err() == nil {
-			b.complain("share_store", b.o.InstanceName, &UnreadableStateError{StoreBucket, err})
+			b.logFailure("share_store", b.options.InstanceName, &UnreadableStateError{StoreBucket, err})
 		}
 		return nil
 	}
@@ -61,23 +61,23 @@
 		bad = &UnreadableStateError{StoreBucket, err}
 	}
 	b.mu.Lock()
-	b.disk = disk
+	b.storage = disk
 	if bad != nil {
 		// What is missing must not pass as superseded: without the Known all of it is learnt anew.
 		known = nil
 	}
-	err = b.l.Restore(entries, known)
-	name := crdt.ActorName(b.l.Actor())
+	err = b.state.Restore(entries, known)
+	name := crdt.ActorName(b.state.Actor())
 	last := known.EndedBefore(name)
 	for _, d := range known {
 		if crdt.ActorName(d.Actor) == name {
 			last = max(last, crdt.ActorIncarnation(d.Actor))
 		}
 	}
-	if last >= crdt.ActorIncarnation(b.l.Actor()) {
+	if last >= crdt.ActorIncarnation(b.state.Actor()) {
 		// Guards against a clock that was put back: a life must be later than the one before.
-		for _, e := range b.l.BeginIncarnation(last+1, "") {
-			b.own(e.Name)
+		for _, e := range b.state.BeginIncarnation(last+1, "") {
+			b.recordOwnChange(e.Name)
 		}
 	}
 	names := make([]string, len(entries))
@@ -87,44 +87,44 @@
 			same = append(same, e.Name)
 		}
 	}
-	b.noted(names)
+	b.recordChanges(names)
 	for _, n := range same {
 		delete(b.dirty, n)
 	}
 	b.mu.Unlock()
 	if err := errors.Join(bad, err); err != nil {
-		b.complain("share_store", b.o.InstanceName, err)
+		b.logFailure("share_store", b.options.InstanceName, err)
 	}
 	return nil
 }
 
-// keep writes changes to the store, until ctx ends: the entries, and with the last of them the Known, in one transaction
+// persistLoop writes changes to the store, until ctx ends: the entries, and with the last of them the Known, in one transaction
 // where they fit, so that the Known on disk never says more than the entries there.
-func (b *Replicator) keep(ctx context.Context, _ *scheduler.Allowance) error {
+func (b *Replicator) persistLoop(ctx context.Context, _ *scheduler.Allowance) error {
 	select {
-	case <-b.found:
+	case <-b.restored:
 	case <-ctx.Done():
 		return nil
 	}
-	if b.disk == nil {
+	if b.storage == nil {
 		return nil
 	}
-	wait := keepBack
+	wait := minPersistBackoff
 	for {
 		select {
-		case <-b.stirKeep:
+		case <-b.persistSignal:
 		case <-ctx.Done():
 			return nil
 		}
-		pause := keepEach
-		if err := b.keepOnce(ctx); err != nil {
+		pause := persistInterval
+		if err := b.persistOnce(ctx); err != nil {
 			if ctx.Err() == nil {
-				b.complain("share_store", b.o.InstanceName, &NotPersistedError{err})
+				b.logFailure("share_store", b.options.InstanceName, &NotPersistedError{err})
 			}
-			pause, wait = wait, min(2*wait, keepBackTop)
-			stir(b.stirKeep)
+			pause, wait = wait, min(2*wait, maxPersistBackoff)
+			notify(b.persistSignal)
 		} else {
-			wait = keepBack
+			wait = minPersistBackoff
 		}
 		select {
 		case <-time.After(pause):
@@ -134,9 +134,9 @@
 	}
 }
 
-func (b *Replicator) keepOnce(ctx context.Context) error {
+func (b *Replicator) persistOnce(ctx context.Context) error {
 	b.mu.Lock()
-	known, changes, whole := b.l.KnownVersion(), b.changes, true
+	known, changes, whole := b.state.KnownVersion(), b.changeCount, true
 	names := make([]string, 0, len(b.dirty))
 	for n := range b.dirty {
 		names = append(names, n)
@@ -145,7 +145,7 @@
 	puts, deletes, bytes := map[string][]byte{}, []string(nil), 0
 	var failed error
 	for i, n := range names {
-		e, ok := b.l.StorableEntry(n)
+		e, ok := b.state.StorableEntry(n)
 		if !ok {
 			deletes = append(deletes, entryKey+n)
 			continue
@@ -156,17 +156,17 @@
 			continue
 		}
 		puts[entryKey+n] = value
-		if bytes += len(value) + len(n); bytes > keepBytes && i+1 < len(names) {
+		if bytes += len(value) + len(n); bytes > maxTransactionBytes && i+1 < len(names) {
 			// The rest goes next, and the Known with it.
 			for _, m := range names[i+1:] {
 				b.dirty[m] = true
 			}
 			whole, names = false, names[:i+1]
-			stir(b.stirKeep)
+			notify(b.persistSignal)
 			break
 		}
 	}
-	same := slices.Equal(known, b.known)
+	same := slices.Equal(known, b.persistedKnown)
 	b.mu.Unlock()
 	if failed != nil {
 		return failed
@@ -183,7 +183,7 @@
 		deletes = nil // what is gone may be told as old by the Known alone: with it
 	}
 	if len(puts) > 0 || len(deletes) > 0 {
-		err = b.disk.Put(ctx, StoreBucket, puts, deletes)
+		err = b.storage.Put(ctx, StoreBucket, puts, deletes)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,12 +195,12 @@
 		}
 	}
 	if err == nil && whole {
-		b.known, b.kept = known, max(b.kept, changes)
+		b.persistedKnown, b.persistedCount = known, max(b.persistedCount, changes)
 	}
-	b.keptErr = err
+	b.persistError = err
 	if err == nil {
-		close(b.keptTold)
-		b.keptTold = make(chan struct{})
+		close(b.persistAttempted)
+		b.persistAttempted = make(chan struct{})
 	}
 	return err
 }
--- a/cluster/replication/share_test.go
+++ b/cluster/replication/share_test.go
@@ -18,18 +18,18 @@
 	"chalkring/internal/testnet"
 )
 
-// disk is a store in memory that can be put back, and can fail.
-type disk struct {
-	mu   sync.Mutex
-	data map[string][]byte
-	fail error
+// memoryStorage is a store in memory that can be put back, and can fail.
+type memoryStorage struct {
+	mu       sync.Mutex
+	data     map[string][]byte
+	putError error
 }
 
-func (d *disk) Put(_ context.Context, _ string, puts map[string][]byte, deletes []string) error {
+func (d *memoryStorage) Put(_ context.Context, _ string, puts map[string][]byte, deletes []string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fail != nil {
-		return d.fail
+	if d.putError != nil {
+		return d.putError
 	}
 	for k, v := range puts {
 		d.data[k] = v
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func (d *disk) Load(_ string, f func(string, []byte) error) error {
+func (d *memoryStorage) Load(_ string, f func(string, []byte) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for k, v := range d.data {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-func (d *disk) copy() *disk {
-	out := &disk{data: map[string][]byte{}}
+func (d *memoryStorage) copy() *memoryStorage {
+	out := &memoryStorage{data: map[string][]byte{}}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for k, v := range d.data {
@@ -61,44 +61,44 @@
 	return out
 }
 
-type fleet struct {
-	t     *testing.T
-	net   *testnet.Network
-	names []string
-	life  uint64
-	disks map[string]*disk
-	books map[string]*Replicator
-	nodes map[string]*testnet.Node
-	log   *lines
+type testCluster struct {
+	t               *testing.T
+	network         *testnet.Network
+	names           []string
+	lastIncarnation uint64
+	storages        map[string]*memoryStorage
+	replicators     map[string]*Replicator
+	nodes           map[string]*testnet.Node
+	log             *logBuffer
 
-	opened chan struct{} // disks that are opened later
+	storageOpened chan struct{} // disks that are opened later
 }
 
-type lines struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.text.String()
 }
 
-func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{
-		t: t, net: testnet.New(1), names: names, disks: map[string]*disk{}, books: map[string]*Replicator{}, nodes: map[string]*testnet.Node{}, log: &lines{},
-		opened: make(chan struct{}),
+func newTestCluster(t *testing.T, names ...string) *testCluster {
+	f := &testCluster{
+		t: t, network: testnet.New(1), names: names, storages: map[string]*memoryStorage{}, replicators: map[string]*Replicator{}, nodes: map[string]*testnet.Node{}, log: &logBuffer{},
+		storageOpened: make(chan struct{}),
 	}
-	close(f.opened)
+	close(f.storageOpened)
 	for _, n := range names {
-		f.disks[n] = &disk{data: map[string][]byte{}}
+		f.storages[n] = &memoryStorage{data: map[string][]byte{}}
 		f.start(n)
 	}
 	t.Cleanup(func() {
@@ -109,48 +109,48 @@
 	return f
 }
 
-func (f *fleet) start(name string) *Replicator {
+func (f *testCluster) start(name string) *Replicator {
 	b := f.begin(name)
 	<-b.Ready()
 	return b
 }
 
-func (f *fleet) begin(name string) *Replicator {
-	f.life++
-	node := f.net.Join(name)
+func (f *testCluster) begin(name string) *Replicator {
+	f.lastIncarnation++
+	node := f.network.Join(name)
 	f.nodes[name] = node
-	d := f.disks[name]
-	opened := f.opened
-	f.books[name] = Start(context.Background(), Options{
-		InstanceName: name, Incarnation: f.life, Transport: node, Seed: int64(f.life),
+	d := f.storages[name]
+	opened := f.storageOpened
+	f.replicators[name] = Start(context.Background(), Options{
+		InstanceName: name, Incarnation: f.lastIncarnation, Transport: node, Seed: int64(f.lastIncarnation),
 		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.NewTextHandler(f.log, nil)),
 		OpenStorage: func(context.Context) (Storage, error) { <-opened; return d, nil },
 		Peers: func() (alive, listed []string) {
 			for _, n := range f.names {
-				if f.net.IsConnected(name, n) {
+				if f.network.IsConnected(name, n) {
 					alive = append(alive, n)
 				}
 			}
 			return alive, f.names
 		},
 	})
-	return f.books[name]
+	return f.replicators[name]
 }
 
 // kill ends an instance without a last write.
-func (f *fleet) kill(name string) {
-	if b := f.books[name]; b != nil {
+func (f *testCluster) kill(name string) {
+	if b := f.replicators[name]; b != nil {
 		f.nodes[name].Leave()
-		b.stop()
-		<-b.done
+		b.cancel()
+		<-b.stopped
 	}
 }
 
-func (f *fleet) alike() {
+func (f *testCluster) requireEqualReplicas() {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		for _, n := range f.names {
-			if f.books[n].Digest() != f.books[f.names[0]].Digest() {
+			if f.replicators[n].Digest() != f.replicators[f.names[0]].Digest() {
 				return false
 			}
 		}
@@ -166,47 +166,47 @@
 	return string(e.Siblings[0].Value)
 }
 
-func TestChangesReachAllAndDeletesAreForgottenByAll(t *testing.T) {
-	f := newFleet(t, "a", "b", "c", "d")
-	seen, stop := f.books["d"].Watch("x/")
+func TestChangesReachAllAndTombstonesAreCollected(t *testing.T) {
+	f := newTestCluster(t, "a", "b", "c", "d")
+	seen, stop := f.replicators["d"].Watch("x/")
 	defer stop()
 	<-seen
-	_, err := f.books["a"].Put("x/1", []byte("one"))
+	_, err := f.replicators["a"].Put("x/1", []byte("one"))
 	require.NoError(t, err)
 	select {
 	case <-seen:
 	case <-time.After(10 * time.Second):
 		t.Fatal("not told")
 	}
-	f.alike()
-	require.Equal(t, "one", value(f.books["c"], "x/1"))
-	_, err = f.books["b"].Delete("x/1")
+	f.requireEqualReplicas()
+	require.Equal(t, "one", value(f.replicators["c"], "x/1"))
+	_, err = f.replicators["b"].Delete("x/1")
 	require.NoError(t, err)
-	f.alike()
-	for _, b := range f.books {
+	f.requireEqualReplicas()
+	for _, b := range f.replicators {
 		require.Eventually(t, func() bool { s := b.Stats(); return s.LiveEntries+s.Tombstones == 0 }, 20*time.Second, 10*time.Millisecond)
 	}
 }
 
-func TestSidesOfAPartitionBecomeAlike(t *testing.T) {
-	f := newFleet(t, "a", "b", "c", "d")
-	f.net.SetFaults(time.Millisecond, 3*time.Millisecond, 0.05)
+func TestSidesOfPartitionConverge(t *testing.T) {
+	f := newTestCluster(t, "a", "b", "c", "d")
+	f.network.SetFaults(time.Millisecond, 3*time.Millisecond, 0.05)
 	for i := range 300 {
-		_, _ = f.books["a"].Put(fmt.Sprint(i), []byte("before"))
+		_, _ = f.replicators["a"].Put(fmt.Sprint(i), []byte("before"))
 	}
-	f.alike()
-	f.net.Partition([]string{"a", "b"}, []string{"c", "d"})
+	f.requireEqualReplicas()
+	f.network.Partition([]string{"a", "b"}, []string{"c", "d"})
 	for i := range 100 {
-		_, _ = f.books["a"].Delete(fmt.Sprint(i))
-		_, _ = f.books["d"].Put(fmt.Sprint(i+50), []byte("d"))
-		_, _ = f.books["c"].Put(fmt.Sprint("new", i), []byte("c"))
+		_, _ = f.replicators["a"].Delete(fmt.Sprint(i))
+		_, _ = f.replicators["d"].Put(fmt.Sprint(i+50), []byte("d"))
+		_, _ = f.replicators["c"].Put(fmt.Sprint("new", i), []byte("c"))
 	}
 	require.Eventually(t, func() bool {
-		return f.books["a"].Digest() == f.books["b"].Digest() && f.books["c"].Digest() == f.books["d"].Digest()
+		return f.replicators["a"].Digest() == f.replicators["b"].Digest() && f.replicators["c"].Digest() == f.replicators["d"].Digest()
 	}, 20*time.Second, 10*time.Millisecond)
-	f.net.Partition()
-	f.alike()
-	for _, b := range f.books {
+	f.network.Partition()
+	f.requireEqualReplicas()
+	for _, b := range f.replicators {
 		require.Empty(t, value(b, "7"), "deleted on one side, untouched on the other")
 		e, _ := b.Get("70")
 		require.Len(t, e.Siblings, 2, "deleted on one side, written on the other: the caller decides")
@@ -215,37 +215,37 @@
 	}
 }
 
-func TestRestartsAndOlderDisks(t *testing.T) {
-	f := newFleet(t, "a", "b", "c")
+func TestRestartsWithOlderDisk(t *testing.T) {
+	f := newTestCluster(t, "a", "b", "c")
 	for i := range 20 {
-		_, _ = f.books["a"].Put(fmt.Sprint(i), []byte("v"))
+		_, _ = f.replicators["a"].Put(fmt.Sprint(i), []byte("v"))
 	}
-	f.alike()
+	f.requireEqualReplicas()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	require.NoError(t, f.books["b"].WaitPersisted(ctx))
-	old := f.disks["b"].copy()
+	require.NoError(t, f.replicators["b"].WaitPersisted(ctx))
+	old := f.storages["b"].copy()
 	for i := range 10 {
-		_, _ = f.books["c"].Delete(fmt.Sprint(i))
+		_, _ = f.replicators["c"].Delete(fmt.Sprint(i))
 	}
-	for _, b := range f.books {
+	for _, b := range f.replicators {
 		require.Eventually(t, func() bool { s := b.Stats(); return s.LiveEntries == 10 && s.Tombstones == 0 }, 20*time.Second, 10*time.Millisecond)
 	}
 	for _, n := range f.names { // what the others know must outlive them
-		require.NoError(t, f.books[n].WaitPersisted(ctx))
+		require.NoError(t, f.replicators[n].WaitPersisted(ctx))
 	}
 	for _, n := range f.names {
 		f.kill(n)
 	}
-	f.disks["b"] = old
+	f.storages["b"] = old
 	for _, n := range []string{"b", "a", "c"} {
 		f.start(n)
 	}
-	require.Equal(t, "v", value(f.books["b"], "19"), "from disk")
-	_, err := f.books["b"].Put("after", []byte("w"))
+	require.Equal(t, "v", value(f.replicators["b"], "19"), "from disk")
+	_, err := f.replicators["b"].Put("after", []byte("w"))
 	require.NoError(t, err)
-	f.alike()
-	for _, b := range f.books {
+	f.requireEqualReplicas()
+	for _, b := range f.replicators {
 		for i := range 10 {
 			require.Empty(t, value(b, fmt.Sprint(i)))
 		}
@@ -254,28 +254,28 @@
 	}
 }
 
-func TestAStoreThatFailsHoldsNothingUp(t *testing.T) {
-	f := newFleet(t, "a", "b")
-	d := f.disks["a"]
+func TestFailingStorageDelaysNothing(t *testing.T) {
+	f := newTestCluster(t, "a", "b")
+	d := f.storages["a"]
 	d.mu.Lock()
-	d.fail = errors.New("no space left")
+	d.putError = errors.New("no space left")
 	d.mu.Unlock()
-	_, err := f.books["a"].Put("x", []byte("y"))
+	_, err := f.replicators["a"].Put("x", []byte("y"))
 	require.NoError(t, err)
-	f.alike()
+	f.requireEqualReplicas()
 	short, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer stop()
 	var unkept *NotPersistedError
-	require.ErrorAs(t, f.books["a"].WaitPersisted(short), &unkept)
+	require.ErrorAs(t, f.replicators["a"].WaitPersisted(short), &unkept)
 	require.Contains(t, f.log.String(), "share_store")
 	require.Contains(t, f.log.String(), "no space left")
 	d.mu.Lock()
-	d.fail = nil
+	d.putError = nil
 	d.mu.Unlock()
 	ctx, stop2 := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop2()
-	require.NoError(t, f.books["a"].WaitPersisted(ctx))
-	f.books["a"].handle("b", []byte{9, 9})
+	require.NoError(t, f.replicators["a"].WaitPersisted(ctx))
+	f.replicators["a"].handleMessage("b", []byte{9, 9})
 	require.Contains(t, f.log.String(), "share_message")
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
@@ -289,47 +289,47 @@
 	}
 }
 
-func TestAStormOfDeletesDoesNotWaitForWhoIsNotThere(t *testing.T) {
-	f := newFleet(t, "a", "b")
-	_, _ = f.books["a"].Put("before", []byte("v"))
-	f.alike()
-	f.net.Partition([]string{"a"}, []string{"b"})
-	for i := range deadMany + 10 {
-		_, err := f.books["a"].Put(fmt.Sprint(i), nil)
+func TestManyTombstonesDoNotWaitForAbsentMembers(t *testing.T) {
+	f := newTestCluster(t, "a", "b")
+	_, _ = f.replicators["a"].Put("before", []byte("v"))
+	f.requireEqualReplicas()
+	f.network.Partition([]string{"a"}, []string{"b"})
+	for i := range tombstoneHighWatermark + 10 {
+		_, err := f.replicators["a"].Put(fmt.Sprint(i), nil)
 		require.NoError(t, err)
-		_, err = f.books["a"].Delete(fmt.Sprint(i))
+		_, err = f.replicators["a"].Delete(fmt.Sprint(i))
 		require.NoError(t, err)
 	}
-	_, _ = f.books["a"].Delete("before")
-	require.Eventually(t, func() bool { return f.books["a"].Stats().Tombstones < deadMany }, 20*time.Second, 10*time.Millisecond)
-	_, _ = f.books["b"].Put("meanwhile", []byte("w"))
-	f.net.Partition()
-	f.alike()
-	require.Empty(t, value(f.books["b"], "before"))
-	require.Equal(t, "w", value(f.books["a"], "meanwhile"))
+	_, _ = f.replicators["a"].Delete("before")
+	require.Eventually(t, func() bool { return f.replicators["a"].Stats().Tombstones < tombstoneHighWatermark }, 20*time.Second, 10*time.Millisecond)
+	_, _ = f.replicators["b"].Put("meanwhile", []byte("w"))
+	f.network.Partition()
+	f.requireEqualReplicas()
+	require.Empty(t, value(f.replicators["b"], "before"))
+	require.Equal(t, "w", value(f.replicators["a"], "meanwhile"))
 }
 
 // A disk that comes late brings what it kept, and what was changed before stands on it afterwards.
-func TestADiskThatComesLate(t *testing.T) {
-	f := newFleet(t, "a", "b")
-	_, _ = f.books["a"].Put("x", []byte("kept"))
-	f.alike()
+func TestStorageThatOpensLate(t *testing.T) {
+	f := newTestCluster(t, "a", "b")
+	_, _ = f.replicators["a"].Put("x", []byte("kept"))
+	f.requireEqualReplicas()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	require.NoError(t, f.books["a"].WaitPersisted(ctx))
+	require.NoError(t, f.replicators["a"].WaitPersisted(ctx))
 	f.kill("a")
-	_, _ = f.books["b"].Put("x", []byte("newer"))
-	f.opened = make(chan struct{})
+	_, _ = f.replicators["b"].Put("x", []byte("newer"))
+	f.storageOpened = make(chan struct{})
 	a := f.begin("a")
-	a.begun.Do(func() { close(a.ready) }) // as after the wait for it
-	f.alike()
-	close(f.opened)
-	<-a.found
+	a.readyOnce.Do(func() { close(a.ready) }) // as after the wait for it
+	f.requireEqualReplicas()
+	close(f.storageOpened)
+	<-a.restored
 	require.Equal(t, "newer", value(a, "x"))
 	require.NoError(t, a.WaitPersisted(ctx))
 	f.kill("a")
 	f.start("a")
-	require.Equal(t, "newer", value(f.books["a"], "x"), "from disk")
-	f.alike()
-	require.Equal(t, "newer", value(f.books["b"], "x"))
+	require.Equal(t, "newer", value(f.replicators["a"], "x"), "from disk")
+	f.requireEqualReplicas()
+	require.Equal(t, "newer", value(f.replicators["b"], "x"))
 }
--- a/cluster/replication/update.go
+++ b/cluster/replication/update.go
@@ -7,13 +7,13 @@
 func (b *Replicator) Update(name string, f func(e crdt.Entry) (value []byte, write bool, err error)) (crdt.Entry, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, _ := b.l.Get(name)
+	e, _ := b.state.Get(name)
 	value, write, err := f(e)
 	if err != nil || !write {
 		return e, err
 	}
-	if e, err = b.l.Put(name, value); err == nil {
-		b.own(name)
+	if e, err = b.state.Put(name, value); err == nil {
+		b.recordOwnChange(name)
 	}
 	return e, err
 }
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -12,19 +12,19 @@
 	"chalkring/cluster/crdt"
 )
 
-// idleBook is a copy whose goroutines are not started, so that a test alone changes it.
-func idleBook(actor string) *Replicator {
+// idleReplicator is a copy whose goroutines are not started, so that a test alone changes it.
+func idleReplicator(actor string) *Replicator {
 	return &Replicator{
-		o: Options{InstanceName: crdt.ActorName(actor), Logger: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), found: make(chan struct{}),
-		l: crdt.NewMap(actor), watches: map[*watch]bool{}, freshIn: map[string]bool{}, stirPush: make(chan struct{}, 1),
-		dirty: map[string]bool{}, stirKeep: make(chan struct{}, 1), keptTold: make(chan struct{}), open: map[string]*running{},
-		waiting: map[uint64]chan crdt.ExchangeResponse{}, told: map[string]int64{},
+		options: Options{InstanceName: crdt.ActorName(actor), Logger: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), restored: make(chan struct{}),
+		state: crdt.NewMap(actor), watchers: map[*watcher]bool{}, isPendingUpdate: map[string]bool{}, updateSignal: make(chan struct{}, 1),
+		dirty: map[string]bool{}, persistSignal: make(chan struct{}, 1), persistAttempted: make(chan struct{}), openExchanges: map[string]*openExchange{},
+		responseWaiters: map[uint64]chan crdt.ExchangeResponse{}, lastLoggedAt: map[string]int64{},
 	}
 }
 
-// goldenBook holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
-func goldenBook(t *testing.T) *Replicator {
-	b := idleBook("gateway-1#7")
+// goldenReplicator holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
+func goldenReplicator(t *testing.T) *Replicator {
+	b := idleReplicator("gateway-1#7")
 	close(b.ready)
 	_, err := b.Put("plan/a", []byte{0, 1, 0xff})
 	require.NoError(t, err)
@@ -38,44 +38,44 @@
 		require.NoError(t, err)
 	}
 	for _, batch := range other.BuildBatches(false, []string{"plan/a", "plan/c"}) {
-		require.NoError(t, b.pushed("gateway-2", push{Actor: "gateway-2#9", Batch: batch}, true))
+		require.NoError(t, b.applyStates("gateway-2", stateMessage{Actor: "gateway-2#9", Batch: batch}, true))
 	}
 	return b
 }
 
 // Messages between instances: the first byte tells the kind, the rest is one CBOR item.
-func TestGoldenShareMessages(t *testing.T) {
-	b := goldenBook(t)
+func TestGoldenMessages(t *testing.T) {
+	b := goldenReplicator(t)
 	names := []string{"plan/a", "plan/b", "plan/c"}
-	fresh := push{Actor: b.Actor(), Batch: b.l.BuildBatches(false, names)[0]}
-	lacks := push{Actor: b.Actor(), Batch: b.l.BuildBatches(true, names)[0]}
+	fresh := stateMessage{Actor: b.Actor(), Batch: b.state.BuildBatches(false, names)[0]}
+	lacks := stateMessage{Actor: b.Actor(), Batch: b.state.BuildBatches(true, names)[0]}
 	ask, ok := crdt.NewMap("gateway-3#4").NewExchange("gateway-1", 17).NextRequest()
 	require.True(t, ok)
-	answer, err := b.l.HandleRequest("gateway-3", ask)
+	answer, err := b.state.HandleRequest("gateway-3", ask)
 	require.NoError(t, err)
 
 	// A push is taken in by a copy that holds nothing, as a handler of the network would.
 	received := func(encoded []byte) (any, error) {
-		empty := idleBook("gateway-3#4")
+		empty := idleReplicator("gateway-3#4")
 		close(empty.ready)
-		empty.handle("gateway-1", encoded)
+		empty.handleMessage("gateway-1", encoded)
 		return contents(empty), nil
 	}
 	requireGolden(t, "messages.golden", []goldenForm{
-		{"fresh", func() ([]byte, error) { return encode(kindFresh, fresh) }, received, contents(b)},
-		{"lacks", func() ([]byte, error) { return encode(kindLacks, lacks) }, received, contents(b)},
-		{"ask", func() ([]byte, error) { return encode(kindAsk, ask) }, func(encoded []byte) (any, error) {
+		{"fresh", func() ([]byte, error) { return encodeMessage(kindUpdate, fresh) }, received, contents(b)},
+		{"lacks", func() ([]byte, error) { return encodeMessage(kindRepair, lacks) }, received, contents(b)},
+		{"ask", func() ([]byte, error) { return encodeMessage(kindRequest, ask) }, func(encoded []byte) (any, error) {
 			require.Equal(t, byte(1), encoded[0])
 			var decoded crdt.ExchangeRequest
 			err := cbor.Unmarshal(encoded[1:], &decoded)
 			return decoded, err
 		}, ask},
-		{"answer", func() ([]byte, error) { return encode(kindAnswer, answer) }, func(encoded []byte) (any, error) {
-			asker := idleBook("gateway-3#4")
+		{"answer", func() ([]byte, error) { return encodeMessage(kindResponse, answer) }, func(encoded []byte) (any, error) {
+			asker := idleReplicator("gateway-3#4")
 			close(asker.ready)
 			answers := make(chan crdt.ExchangeResponse, 1)
-			asker.waiting[17] = answers
-			asker.handle("gateway-1", encoded)
+			asker.responseWaiters[17] = answers
+			asker.handleMessage("gateway-1", encoded)
 			select {
 			case received := <-answers:
 				return received, nil
@@ -97,11 +97,11 @@
 }
 
 // Records of the store, by key: what an earlier build kept is loaded, and the same bytes are written.
-func TestGoldenShareStore(t *testing.T) {
-	written := &disk{data: map[string][]byte{}}
-	b := goldenBook(t)
-	b.disk = written
-	require.NoError(t, b.keepOnce(context.Background()))
+func TestGoldenStore(t *testing.T) {
+	written := &memoryStorage{data: map[string][]byte{}}
+	b := goldenReplicator(t)
+	b.storage = written
+	require.NoError(t, b.persistOnce(context.Background()))
 	want := contents(b)
 	forms := []goldenForm{}
 	for _, key := range []string{"e/plan/a", "e/plan/b", "e/plan/c", "known"} {
@@ -121,27 +121,27 @@
 	require.Len(t, written.data, len(forms), "no other key is written")
 	requireGolden(t, "store.golden", forms)
 
-	loaded := idleBook("gateway-1#8")
-	loaded.o.OpenStorage = func(context.Context) (Storage, error) {
-		return &disk{data: readGolden(t, "testdata/store.golden")}, nil
+	loaded := idleReplicator("gateway-1#8")
+	loaded.options.OpenStorage = func(context.Context) (Storage, error) {
+		return &memoryStorage{data: readGolden(t, "testdata/store.golden")}, nil
 	}
-	require.NoError(t, loaded.load(context.Background(), nil))
+	require.NoError(t, loaded.restore(context.Background(), nil))
 	require.Equal(t, want, contents(loaded))
-	require.Equal(t, b.l.KnownVersion(), loaded.l.KnownVersion())
+	require.Equal(t, b.state.KnownVersion(), loaded.state.KnownVersion())
 	require.Equal(t, "gateway-1#8", loaded.Actor())
 }
 
 func goldenRecord(b *Replicator, key string) any {
 	if key == "known" {
-		return b.l.KnownVersion()
+		return b.state.KnownVersion()
 	}
-	entry, _ := b.l.StorableEntry(key[len("e/"):])
+	entry, _ := b.state.StorableEntry(key[len("e/"):])
 	return entry
 }
 
 // The topic among the network's messages, the kinds of bodies, the store's bucket and its keys.
-func TestGoldenShareConstants(t *testing.T) {
+func TestGoldenConstants(t *testing.T) {
 	require.Equal(t, 2, Topic)
-	require.Equal(t, []byte{1, 2, 3, 4}, []byte{kindAsk, kindAnswer, kindFresh, kindLacks})
+	require.Equal(t, []byte{1, 2, 3, 4}, []byte{kindRequest, kindResponse, kindUpdate, kindRepair})
 	require.Equal(t, []string{"share", "e/", "known"}, []string{StoreBucket, entryKey, knownKey})
 }
