--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,99 +1,149 @@
 package balancer
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	backlogMemory      = 0.99 // weight of the old backlog at an arrival: the paper's backlogMemory factor
-	parkedRecheckDelay = 200  // wait before parts that no replica may take are looked at again
-	answerMargin       = 150  // time kept before a client's limit, beside two ticks: the final answer must not be late
+	// backlogMemory is the weight of the old backlog at an arrival: the paper's memory factor.
+	backlogMemory = 0.99
+	// parkedRecheckDelay is the wait before requests and searches that no replica may take are looked at again, in tenths
+	// of a millisecond.
+	parkedRecheckDelay = 20 * millisecond
+	// answerMargin is the time kept before a client's limit, beside two ticks, in tenths of a millisecond: the final answer
+	// must not be late.
+	answerMargin = 15 * millisecond
 )
 
-func (b *balancer) AddSearch(id uint64, qtype, tenant int, key string, grace int64, number uint64, count int,
-	retry bool,
+// admissionQueue holds the searches that have not been admitted, in the order of arrival.
+type admissionQueue struct {
+	searches        []*search
+	backlog         float64 // the paper's smoothed queue length: searches waiting at an arrival
+	pendingRequests float64 // shard requests waiting at the end of the last iteration
+	lastEviction    int64   // when the queue was last looked through
+	hasParked       bool    // something waits for a replica rather than for a slot
+}
+
+func (q *admissionQueue) smoothBacklog() {
+	q.backlog = backlogMemory*q.backlog + (1-backlogMemory)*float64(len(q.searches))
+}
+
+// remove takes a search out of the queue. The usual case, the first, moves nothing.
+func (q *admissionQueue) remove(i int) {
+	if i == 0 {
+		q.searches[0], q.searches = nil, q.searches[1:]
+		return
+	}
+	q.searches = slices.Delete(q.searches, i, i+1)
+}
+
+func (b *balancer) AddSearch(id uint64, queryType, tenant int, _ string, timeLeft int64, number uint64, requestCount int,
+	isRetry bool,
 ) {
-	b.backlog = backlogMemory*b.backlog + (1-backlogMemory)*float64(len(b.queue))
-	s := &search{id: id, number: number, queryType: qtype, arrivedAt: b.now, clientStart: b.now, step: 1, requestCount: count}
-	s.tenant, s.requestBuffer = tenant, make([]shardRequest, 0, count)
-	s.effect, s.requests = b.settings.values[b.settings.fieldName("Classes", qtype, "Effect")], make([]*shardRequest, 0, count)
-	s.deadline = b.now + grace - 2*b.settings.duration("Tick") - answerMargin
-	s.objectiveEnd = b.now + min(b.objectiveFor(s, grace, retry), grace) - b.settings.duration("Tick")
-	s.neededWeight = b.settings.listNumber("Specifics.NeedByClass", qtype, 1)
-	b.held[id], b.numbers[number] = s, s
-	b.longest = max(b.longest, count)
-	b.recordForBudget(&b.taken)
-	s.overQuota = !retry && b.exceedsQuota(tenant)
-	b.queue = append(b.queue, s)
+	b.admission.smoothBacklog()
+	s := &search{
+		id: id, number: number, queryType: queryType, tenant: tenant, step: 1, requestCount: requestCount,
+		arrivedAt: b.now, clientStart: b.now,
+		effect:        b.settings.values[b.settings.fieldName(listQueryTypes, queryType, fieldEffect)],
+		neededWeight:  b.settings.listNumber(settingNeededWeight, queryType, 1),
+		requests:      make([]*shardRequest, 0, requestCount),
+		requestBuffer: make([]shardRequest, 0, requestCount),
+	}
+	tick := b.settings.duration(settingTick)
+	s.deadline = b.now + timeLeft - 2*tick - answerMargin
+	s.objectiveEnd = b.now + min(b.objectiveFor(s, timeLeft, isRetry), timeLeft) - tick
+	b.searches.add(s)
+	b.limiter.largestSearch = max(b.limiter.largestSearch, requestCount)
+	b.recordRequest()
+	s.overQuota = !isRetry && b.exceedsQuota(tenant)
+	b.admission.searches = append(b.admission.searches, s)
 	s.deadlineTimer = b.setTimer(s.deadline-b.now, (*deadlineCallback)(s))
 	s.objectiveTimer = b.setTimer(s.objectiveEnd-b.now, (*objectiveCallback)(s))
 }
 
+// EndIteration sends what waits, and admits searches while no request waits and a slot is free.
 func (b *balancer) EndIteration() {
-	for i := 0; b.sendWaiting() && i < len(b.queue) && !b.isAtLimit(); {
-		s := b.queue[i]
-		switch {
-		case s.ended:
-		case b.cannotMeetDeadline(s):
-			b.shed(s)
-		case b.hasNoEligibleReplica(s):
-			i++
-			b.parked = true
-			continue
-		case b.fullness >= 1 || s.objectiveEnd <= b.now && !b.hasLateValue(s) ||
-			(s.arrivedAt < b.now || b.loadFactor() < overloadLoadFactor) && b.estimateCompletion().isLate(s, 0):
-			b.shed(s)
-		default:
-			b.admit(s)
-		}
-		if i == 0 { // the usual case moves nothing
-			b.queue[0], b.queue = nil, b.queue[1:]
+	for i := 0; b.sendWaiting() && i < len(b.admission.searches) && !b.isAtLimit(); {
+		if b.decideAdmission(b.admission.searches[i]) {
+			b.admission.remove(i)
 		} else {
-			b.queue = slices.Delete(b.queue, i, i+1)
+			i++
 		}
 	}
 	b.evictExpired()
-	if b.parked {
-		b.parked = false
-		b.setTimer(parkedRecheckDelay, timerFunc(func() {}))
+	if b.admission.hasParked {
+		b.admission.hasParked = false
+		b.setTimer(parkedRecheckDelay, timerFunc(func() {})) // the iteration itself looks at them again
+	}
+}
+
+// decideAdmission admits or sheds a queued search and tells whether it leaves the queue. A search that no replica may take
+// just now stands aside, so that those behind it go on.
+func (b *balancer) decideAdmission(s *search) (leavesQueue bool) {
+	switch {
+	case s.ended:
+	case b.cannotMeetDeadline(s):
+		b.shed(s)
+	case b.hasNoEligibleReplica(s):
+		b.admission.hasParked = true
+		return false
+	case b.isWithoutValue(s):
+		b.shed(s)
+	default:
+		b.admit(s)
+	}
+	return true
+}
+
+// isWithoutValue tells whether a search is not worth admitting: there is no capacity for its answer, its objective has
+// passed, or it would pass by the time that searches take now. The last is asked only of those that have waited or while
+// answers are slow: at a low rate nothing ever waits at one coordinator, and overload shows only in the answers.
+func (b *balancer) isWithoutValue(s *search) bool {
+	if b.utilization >= 1 || s.objectiveEnd <= b.now && !b.hasLateValue(s) {
+		return true
 	}
+	hasWaited := s.arrivedAt < b.now
+	return (hasWaited || b.loadFactor() < overloadLoadFactor) && b.estimateCompletion().isLate(s, 0)
 }
 
-// hasNoEligibleReplica tells whether parts that a whole answer needs have no replica to go to: such a search stands aside,
-// but where less may be answered and answers are quick.
+// hasNoEligibleReplica tells whether requests that a complete answer needs have no replica to go to. Where less may be
+// answered and answers are quick the search goes out without them.
 func (b *balancer) hasNoEligibleReplica(s *search) bool {
-	can := 0.0
-	for _, p := range s.requests {
-		if b.canSend(p) {
-			can += p.weight
+	sendable := 0.0
+	for _, request := range s.requests {
+		if b.canSend(request) {
+			sendable += request.weight
 		}
 	}
-	return can < min(s.neededWeight, s.reachableWeight)-1e-4 && (b.loadFactor() < 1 || !b.isAnswerable(s, can))
+	isShort := sendable < min(s.neededWeight, s.reachableWeight)-weightTolerance
+	return isShort && (b.loadFactor() < 1 || !b.isAnswerable(s, sendable))
 }
 
-// cannotMeetDeadline tells whether a search leaves under half a first try's time, and less than its type takes of late,
-// or too few of its parts would be answered in useful time, by what own parts at their replicas have taken.
-// Guards against clients that come again with next to no time, and shards whose replicas are all overloaded:
-// the work would be lost. Harm: what is believed of a type or shard until it is tried again.
+// cannotMeetDeadline tells whether the work for a search would be lost: its client leaves under half of the time that first
+// attempts have and less than searches of its type took of late, or too few of its requests would be answered in time by
+// what their replicas have taken. It handles clients that come again with next to no time, and shards whose replicas are
+// all overloaded. It may reject searches of a type or shard that has recovered, until one is tried again.
 func (b *balancer) cannotMeetDeadline(s *search) bool {
-	n, total := b.spells[s.queryType].read(b.now, rateWindow)
-	first := b.tryShare * float64(b.settings.duration(b.settings.fieldName("Classes", s.queryType, "Deadline")))
-	if left := float64(s.deadline - b.now); n >= minSearchDurations && left < min(retryObjectiveShare*first, durationSpread*total/n) {
+	count, total := b.latency.byQueryType[s.queryType].read(b.now, rateWindow)
+	clientTimeout := float64(b.settings.queryTypeDuration(s.queryType, fieldDeadline))
+	firstAttemptTime := b.clients.firstAttemptShare * clientTimeout
+	timeLeft := float64(s.deadline - b.now)
+	if count >= minSearchDurations && timeLeft < min(retryObjectiveShare*firstAttemptTime, durationSpread*total/count) {
 		return true
 	}
-	in, thin := 0.0, b.hasThinEvidence()
-	for _, p := range s.requests {
-		if !thin || b.canMeetDeadline(p) {
-			in += p.weight
+	inTime, hasThinEvidence := 0.0, b.hasThinEvidence()
+	for _, request := range s.requests {
+		if !hasThinEvidence || b.canMeetDeadline(request) {
+			inTime += request.weight
 		}
 	}
-	return !b.isAnswerable(s, in)
+	return !b.isAnswerable(s, inTime)
 }
 
-func (b *balancer) canMeetDeadline(p *shardRequest) bool {
-	end := p.search.objectiveEnd
+// canMeetDeadline tells whether the quickest holder of a shard would answer in time: before the objective, or the deadline
+// once that has passed.
+func (b *balancer) canMeetDeadline(request *shardRequest) bool {
+	end := request.search.objectiveEnd
 	if end <= b.now {
-		end = p.search.deadline
+		end = request.search.deadline
 	}
-	return tailLatencyRatio*b.shortestExpectedLatency(p) <= float64(end-b.now)
+	return tailLatencyRatio*b.shortestExpectedLatency(request) <= float64(end-b.now)
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,143 +1,140 @@
 package balancer
 
-import (
-	"math"
-	"slices"
-)
+import "math"
 
-func (b *balancer) send(p *shardRequest, r *replica) {
-	t := p.newAttempt()
-	t.request, t.replica, t.index, t.sentAt, t.holdsSlot = p, r, len(p.attempts), b.now, true
-	if t.index > 0 {
-		b.recordForBudget(&b.further)
-		p.search.extraAttempts++
-	}
-	if b.isOutlier(r) || b.isGossipedOutlier(r) {
-		r.nextTrial, b.trialAt = b.now+trialInterval, b.now+trialSpacing
-	} else if b.isZoneDegraded(r.zone) {
-		b.ways[r.zone].nextTrial = b.now + trialInterval
+// logOf is the logarithm of a latency, of one tenth of a millisecond at least.
+func logOf(latency int64) float64 { return math.Log(float64(max(1, latency))) }
+
+// send sends a request to a replica.
+func (b *balancer) send(request *shardRequest, target *replica) {
+	a := request.newAttempt()
+	a.request, a.replica, a.index = request, target, len(request.attempts)
+	a.sentAt, a.holdsSlot = b.now, true
+	if a.index > 0 {
+		b.recordRetry()
+		request.search.extraAttempts++
 	}
-	r.slowStartCredit--
-	r.lastSent = b.now
-	if r.currentBatchAt != b.now || r.currentBatch == nil || r.currentBatch.size >= int(b.settings.optionalNumber("Specifics.PerCall", 1)) {
-		r.currentBatch, r.currentBatchAt = &t.ownBatch, b.now
-		r.batchesInFlight++
+	b.scheduleTrial(target)
+	target.slowStart.credit--
+	target.lastSent = b.now
+	target.joinBatch(a, b.now, int(b.settings.optionalNumber(settingBatchSize, 1)))
+	target.health.recordSent(b.now)
+	request.attempts, target.attempts = append(request.attempts, a), append(target.attempts, a)
+	b.inflight.recordSent(a)
+	timeout := b.timeoutFor(request)
+	if b.settings.allowsHedging() || b.settings.allowsCancelling() {
+		a.hedgeTimer = b.setTimer(b.hedgeDelay(), (*hedgeCallback)(a))
 	}
-	t.batch = r.currentBatch
-	t.batch.size++
-	t.batch.inFlight++
-	if r.unanswered == 0 {
-		r.silentSince = b.now
+	b.actions.SendAttempt(request.id, target.id, timeout)
+	b.searches.attempts[attemptKey(request.id, a.index)] = a
+}
+
+// timeoutFor is how long the latest attempt of a request is waited for: until the deadline. Where it can neither be hedged
+// nor cancelled, and may be sent again, a shorter timeout is the only way to send it elsewhere.
+func (b *balancer) timeoutFor(request *shardRequest) int64 {
+	timeout := request.search.deadline - b.now + answerMargin
+	if b.settings.allowsHedging() || b.settings.allowsCancelling() {
+		return timeout
 	}
-	r.unanswered++
-	p.attempts, r.attempts = append(p.attempts, t), append(r.attempts, t)
-	b.flights.recordSent(t)
-	patience := p.search.deadline - b.now + answerMargin
-	if b.settings.isEnabled("Permissions.SecondCopies") || b.settings.isEnabled("Permissions.Cancelling") {
-		t.hedgeTimer = b.setTimer(b.hedgeDelay(), (*hedgeCallback)(t))
-	} else if !b.settings.isEnabled("Permissions.Cancelling") && len(p.attempts) < b.maxAttempts() && p.search.effect != "fragile" {
-		patience = min(patience, timeoutRatio*b.hedgeDelay())
+	if len(request.attempts) < b.settings.maxAttempts() && request.search.effect != effectFragile {
+		timeout = min(timeout, timeoutRatio*b.hedgeDelay())
 	}
-	b.actions.SendAttempt(p.id, r.id, patience)
-	b.next[p.id<<8|uint64(t.index)] = t
+	return timeout
 }
 
-// attemptEnded is what every sub-request leaves behind for its outcome.
-func (b *balancer) attemptEnded(t *attempt, ending string, wait, again int64) {
-	b.releaseSlot(t)
-	b.flights.recheck(t.replica)
-	t.ended = true
-	p, r, s := t.request, t.replica, t.request.search
-	pace := math.Log(float64(max(1, wait)))
-	switch ending {
-	case "Ok":
-		if r.connectFailures >= restartConnectFailures && b.isWarmedUp(r) {
-			r.startedAt, r.slowStartCredit, r.slowStartUpdatedAt = b.now, b.rng.Float64(), b.now // back before the list says so
-		}
-		t.mayHaveRun, r.consecutiveFailures, r.connectFailures, r.gossipedOutlierUntil, r.retryAfter, r.lastAnswer = true, 0, 0, 0, 0, b.now
-		r.unanswered, r.silentSince = len(r.attempts), b.now
-		b.flights.recordSilence(r)
-		r.recordLatency(b.now, pace)
-		b.ways[r.zone].latency.add(b.now, shortWindow, pace)
-		b.pace.add(b.now, fleetWindow, pace)
-		b.adjustLimit()
-		b.done.add(b.now, rateWindow, 1)
-		b.recordRetryLatency(t, pace)
-		if !p.completed && !p.lost && !s.ended {
-			first := !s.hasAnswer
-			p.completed, s.hasAnswer = true, true
-			s.completedWeight += p.weight
-			for _, o := range p.attempts {
-				b.cancelAttempt(o)
-			}
-			b.answerIfComplete(s)
-			if s.awaitsCanary {
-				if s.awaitsCanary = false; !s.ended && s.step == 1 {
-					b.admit(s)
-				}
-			}
-			for i := 0; first && i < len(s.requests); i++ { // any later one has left none to wait for it
-				b.retryLost(s.requests[i])
-			}
-		}
+// cancelAttempt cancels an attempt where the settings allow it. One that took longer than usual counts by its age: else the
+// slow ones, which are cancelled, would be missing from the estimates.
+func (b *balancer) cancelAttempt(a *attempt) {
+	if !a.holdsSlot || !b.settings.allowsCancelling() {
 		return
-	case "Canceled", "TimedOut":
-		t.mayHaveRun = true
-		if ending == "TimedOut" { // what was called off was measured then
-			r.recordLatency(b.now, pace)
-		}
-	case "Failed", "QueueFull":
-		if ending == "QueueFull" {
-			r.recordLatency(b.now, math.Log(queueFullLatencyRatio*b.fleetLatency()))
-		}
-		t.mayHaveRun, r.retryAfter = ending == "Failed", max(r.retryAfter, b.now+min(maxRetryAfter, again))
-		b.flights.recheckAt(r, r.retryAfter)
-		r.nextTrial, r.consecutiveFailures = max(r.nextTrial, r.retryAfter), r.consecutiveFailures+1
-	case "ConnectError":
-		r.connectFailures, b.fell = r.connectFailures+r.countConnectionLoss(b.now), b.now
-	case "ResetByPeer": // guards against lost connections: their replica has not died for that
-		t.mayHaveRun, r.consecutiveFailures = true, r.consecutiveFailures+r.countConnectionLoss(b.now)
-		if float64(wait) > minStartedShare*b.shortestLatency() { // sooner is the way's doing, not the part's
-			s.lostConnections, b.fell = s.lostConnections+1, b.now
-		}
 	}
-	if b.isOutlier(r) && r.nextTrial <= b.now {
-		r.nextTrial = b.now + trialInterval
+	if age := float64(b.now - a.sentAt); age > b.latency.fleetLatency(b.now) {
+		logAge := math.Log(age)
+		if a.index > 0 {
+			b.latency.recordRetry(b.now, logAge)
+		}
+		a.replica.latency.record(b.now, logAge)
 	}
-	b.retryLost(p)
+	b.releaseSlot(a)
+	b.actions.CancelAttempt(a.request.id, a.index)
 }
 
-func (b *balancer) cancelAttempt(t *attempt) {
-	if !t.holdsSlot || !b.settings.isEnabled("Permissions.Cancelling") {
+// releaseSlot takes an attempt out of flight.
+func (b *balancer) releaseSlot(a *attempt) {
+	if !a.holdsSlot {
 		return
 	}
-	if age := float64(b.now - t.sentAt); age > b.fleetLatency() {
-		pace := math.Log(age)
-		b.recordRetryLatency(t, pace)
-		t.replica.recordLatency(b.now, pace)
+	b.inflight.recordEnded(a)
+	b.cancelTimer(a.hedgeTimer)
+	a.replica.leaveBatch(a)
+	a.replica.removeAttempt(a)
+}
+
+func (b *balancer) RecordAttemptOutcome(request uint64, index int, outcome string, wait int64, _ bool,
+	report map[string]float64,
+) {
+	key := attemptKey(request, index)
+	if a := b.searches.attempts[key]; a != nil {
+		delete(b.searches.attempts, key)
+		b.attemptEnded(a, outcome, wait, int64(report[reportRetryAfter]*millisecond))
 	}
-	b.releaseSlot(t)
-	b.actions.CancelAttempt(t.request.id, t.index)
 }
 
-func (b *balancer) releaseSlot(t *attempt) {
-	if !t.holdsSlot {
+func (b *balancer) attemptEnded(a *attempt, outcome string, wait, retryAfter int64) {
+	b.releaseSlot(a)
+	b.inflight.recheck(a.replica)
+	a.ended = true
+	if outcome == OutcomeOK {
+		b.recordAnswer(a, wait)
+		b.completeRequest(a.request)
 		return
 	}
-	b.flights.recordEnded(t)
-	b.cancelTimer(t.hedgeTimer)
-	if t.batch.inFlight--; t.batch.inFlight == 0 {
-		t.replica.batchesInFlight--
+	b.recordFailure(a, outcome, wait, retryAfter)
+	b.retryLost(a.request)
+}
+
+// recordAnswer takes in what an answer shows of its replica and of all.
+func (b *balancer) recordAnswer(a *attempt, wait int64) {
+	r, logLatency := a.replica, logOf(wait)
+	if r.health.connectFailures >= restartConnectFailures && b.isWarmedUp(r) { // it restarted before the list says so
+		r.startedAt = b.now
+		r.slowStart.reset(b.now, b.rng.Float64())
+	}
+	a.mayHaveRun = true
+	r.health.recordAnswer(b.now, len(r.attempts))
+	b.inflight.recordSilence(r)
+	r.latency.record(b.now, logLatency)
+	b.zones[r.zone].latency.add(b.now, shortWindow, logLatency)
+	b.latency.answers.add(b.now, fleetWindow, logLatency)
+	b.adjustLimit()
+	b.latency.answerCount.add(b.now, rateWindow, 1)
+	if a.index > 0 {
+		b.latency.recordRetry(b.now, logLatency)
 	}
-	t.replica.attempts = slices.DeleteFunc(t.replica.attempts, func(o *attempt) bool { return o == t })
 }
 
-func (b *balancer) RecordAttemptOutcome(part uint64, leg int, ending string, wait int64, over bool,
-	report map[string]float64,
-) {
-	key := part<<8 | uint64(leg)
-	if t := b.next[key]; t != nil {
-		delete(b.next, key)
-		b.attemptEnded(t, ending, wait, int64(report["RetryAfter"]*10))
+// completeRequest takes in the answer to a request, cancels its other attempts and goes on with its search.
+func (b *balancer) completeRequest(request *shardRequest) {
+	if !request.isOpen() {
+		return
+	}
+	s := request.search
+	isFirstAnswer := !s.hasAnswer
+	request.completed, s.hasAnswer = true, true
+	s.completedWeight += request.weight
+	for _, a := range request.attempts {
+		b.cancelAttempt(a)
+	}
+	b.answerIfComplete(s)
+	if s.awaitsCanary {
+		s.awaitsCanary = false
+		if !s.ended && s.step == 1 {
+			b.admit(s)
+		}
+	}
+	if isFirstAnswer { // lost requests may have waited for it
+		for i := 0; i < len(s.requests); i++ { // the list may change meanwhile
+			b.retryLost(s.requests[i])
+		}
 	}
 }
--- a/balancer/bounds_test.go
+++ b/balancer/bounds_test.go
@@ -31,7 +31,7 @@
 				}
 				require.False(t, ended[search])
 			}
-			all := slices.Clone(s.c.(*balancer).list)
+			all := slices.Clone(s.c.(*balancer).endpoints.replicas)
 			draw := func() *ReplicaRestriction {
 				var in []string
 				for _, r := range all {
--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -1,79 +1,101 @@
 package balancer
 
-const (
-	minLateShare = 0.05 // late share up to which a late answer is not worth going on for
-)
+// minLateShare is the value of a late answer, relative to one in time, up to which a search is not worth going on with.
+const minLateShare = 0.05
 
-// isAnswerable tells whether an answer may go out from so much, marked whole or not: never under the least share.
-func (b *balancer) isAnswerable(s *search, have float64) bool {
-	least := b.settings.listNumber("Specifics.ClassFloor", s.queryType, 1)
-	if s.step == 2 && least >= b.settings.listNumber("Specifics.NeedByClass", s.queryType, 1) {
+// isAnswerable tells whether an answer of some weight may go out, complete or not: never under the type's least share. A
+// second step needs all its requests unless the type may lack some.
+func (b *balancer) isAnswerable(s *search, weight float64) bool {
+	least := b.settings.listNumber(settingMinWeight, s.queryType, 1)
+	if s.step == 2 && least >= b.settings.listNumber(settingNeededWeight, s.queryType, 1) {
 		least = 1
 	}
-	return have > 0 && have >= min(least+1e-6, s.neededWeight-1e-6)
+	return weight > 0 && weight >= min(least+weightRounding, s.neededWeight-weightRounding)
 }
 
-// answerIfComplete answers as soon as enough is in, or when all that can come has come.
+// answerIfComplete answers as soon as any sufficient set of requests is answered, or when all that can come has come.
 func (b *balancer) answerIfComplete(s *search) {
-	if s.completedWeight >= s.neededWeight-1e-6 || s.reachableWeight < s.neededWeight-1e-4 && s.completedWeight >= s.reachableWeight-1e-6 && b.isAnswerable(s, s.completedWeight) {
+	hasAllReachable := s.isShort(s.reachableWeight) && s.completedWeight >= s.reachableWeight-weightRounding
+	if s.isComplete() || hasAllReachable && b.isAnswerable(s, s.completedWeight) {
 		b.answer(s)
 	}
 }
 
+// endIfIncompletable ends a search that has just lost requests, where what remains does not suffice for an answer.
+func (b *balancer) endIfIncompletable(s *search) {
+	b.answerIfComplete(s)
+	if !s.ended && s.isShort(s.reachableWeight) && !b.isAnswerable(s, s.reachableWeight) {
+		b.fail(s)
+	}
+}
+
+// answer answers the present step with what is there. The first answer of a search with two steps brings the requests of
+// the second.
 func (b *balancer) answer(s *search) {
-	whole := s.completedWeight >= s.neededWeight-1e-6
+	isComplete := s.isComplete()
 	if s.step == 1 {
-		s.firstStepComplete = whole
-		b.recordSearchDuration(s)
+		s.firstStepComplete = isComplete
+		b.latency.recordDuration(b.now, s)
 	}
-	b.actions.AnswerSearch(s.id, whole && s.firstStepComplete)
-	if s.step == 1 && b.settings.listNumber("Specifics.FollowUp", s.queryType, 0) > 0 {
+	b.actions.AnswerSearch(s.id, isComplete && s.firstStepComplete)
+	if s.step == 1 && b.settings.listNumber(settingSecondStepSize, s.queryType, 0) > 0 {
 		b.cancelStep(s)
-		s.step, s.requests, s.completedWeight, s.reachableWeight, s.neededWeight, s.extraAttempts = 2, nil, 0, 0, 1, 0
+		s.beginSecondStep()
 		return
 	}
 	b.endSearch(s)
 }
 
-// fail ends a search at once with the best that is true of it, shedding where asking again harms nothing.
+// fail ends a search at once with the best that is possible: an answer that is not complete, else shedding where the client
+// may safely send it again, else an error.
 func (b *balancer) fail(s *search) {
 	if !s.ended && b.isAnswerable(s, s.completedWeight) {
 		b.answer(s)
 	}
-	if !s.ended && s.admittedAt > 0 && s.step == 1 {
-		b.recordSearchDuration(s) // took this long at least: answers alone would flatter
+	if s.ended {
+		return
+	}
+	if s.admittedAt > 0 && s.step == 1 {
+		b.latency.recordDuration(b.now, s) // it took so long at least: the answered ones alone would be too quick
 	}
-	if !s.ended && b.isRepeatable(s) {
+	if s.isRepeatable() {
 		b.shed(s)
-	} else if !s.ended {
-		b.actions.FailSearch(s.id)
-		b.endSearch(s)
+		return
 	}
+	b.actions.FailSearch(s.id)
+	b.endSearch(s)
 }
 
+// shed rejects a search whose client may send it again, with a Retry-After where the settings allow one: the time that what
+// waits now will take.
 func (b *balancer) shed(s *search) {
-	advice := int64(0)
-	if b.settings.isEnabled("Permissions.RetryAfter") {
-		wait := b.behind / b.answerRate()
-		if b.fullness >= 1 { // room comes as answers go out
-			wait = max(wait, b.fleetLatency())
+	retryAfter := int64(0)
+	if b.settings.isEnabled(settingRetryAfter) {
+		wait := b.admission.pendingRequests / b.throughput()
+		if b.utilization >= 1 { // capacity is freed as answers go out
+			wait = max(wait, b.latency.fleetLatency(b.now))
 		}
-		advice = min(int64(wait), b.settings.duration("Permissions.MaxRetryAfter"))
+		retryAfter = min(int64(wait), b.settings.duration(settingMaxRetryAfter))
 	}
-	b.actions.ShedSearch(s.id, advice)
+	b.actions.ShedSearch(s.id, retryAfter)
 	b.endSearch(s)
 }
 
-// objectiveReached looks at a search whose latency target ends: an answer short of whole goes out where the type
-// allows one, and a search that is worth nothing late makes room.
+// objectiveReached looks at a search whose latency objective ends: an answer that is not complete goes out where the type
+// allows one, and a search whose late answer has no value makes room for others.
 func (b *balancer) objectiveReached(s *search) {
-	if !s.ended && b.isAnswerable(s, s.completedWeight) {
+	if s.ended {
+		return
+	}
+	if b.isAnswerable(s, s.completedWeight) {
 		b.answer(s)
-	} else if !s.ended && !b.hasLateValue(s) {
+	} else if !b.hasLateValue(s) {
 		b.fail(s)
 	}
 }
 
+// hasLateValue tells whether an answer after the latency objective is worth the work.
 func (b *balancer) hasLateValue(s *search) bool {
-	return b.settings.optionalNumber(b.settings.fieldName("Classes", s.queryType, "LateShare"), 0) > minLateShare
+	name := b.settings.fieldName(listQueryTypes, s.queryType, fieldLateShare)
+	return b.settings.optionalNumber(name, 0) > minLateShare
 }
--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -111,7 +111,7 @@
 					p.sent = p.sent[1:]
 					c.RecordAttemptOutcome(part, 0, "Ok", 25, false, nil)
 				}
-				for len(c.queue) < n {
+				for len(c.admission.searches) < n {
 					more()
 				}
 				c.EndIteration()
--- a/balancer/decaying_sum.go
+++ b/balancer/decaying_sum.go
@@ -1,42 +1,42 @@
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
-// decayingSum is a decaying count and a decaying total, brought up to date when read.
+// decayingSum is an exponentially decaying count of events and a decaying total of their values. It is brought up to
+// date when it is read; its mean is total / count. The caller passes the e-fold time of the decay, the same each time.
 type decayingSum struct {
 	count, total         float64
 	updatedAt, startedAt int64
 }
 
-func (m *decayingSum) read(now int64, span float64) (n, total float64) {
-	if m.updatedAt == 0 {
-		m.updatedAt, m.startedAt = now, now
+func (s *decayingSum) read(now int64, window float64) (count, total float64) {
+	if s.updatedAt == 0 {
+		s.updatedAt, s.startedAt = now, now
 	}
-	if now > m.updatedAt {
-		keep := math.Exp(-float64(now-m.updatedAt) / span)
-		m.count, m.total, m.updatedAt = m.count*keep, m.total*keep, now
+	if now > s.updatedAt {
+		keep := math.Exp(-float64(now-s.updatedAt) / window)
+		s.count, s.total, s.updatedAt = s.count*keep, s.total*keep, now
 	}
-	return m.count, m.total
+	return s.count, s.total
 }
 
-func (m *decayingSum) add(now int64, span, v float64) {
-	m.read(now, span)
-	m.count, m.total = m.count+1, m.total+v
+func (s *decayingSum) add(now int64, window, value float64) {
+	s.read(now, window)
+	s.count, s.total = s.count+1, s.total+value
 }
 
-// rate is the count for each tenth of a millisecond, true also while the sum is young, if not younger than
-// least.
-func (m *decayingSum) rate(now int64, span, least float64) float64 {
-	n, _ := m.read(now, span)
-	return n / (span * (1 - math.Exp(-max(least, float64(now-m.startedAt))/span)))
+// rate returns the events per tenth of a millisecond. A sum that is younger than its window has seen only a part of it:
+// the rate is scaled up for that, by an age of minAge at least, so that the first events do not count as a high rate.
+func (s *decayingSum) rate(now int64, window, minAge float64) float64 {
+	count, _ := s.read(now, window)
+	return count / (window * (1 - math.Exp(-max(minAge, float64(now-s.startedAt))/window)))
 }
 
-func (m *decayingSum) mean(now int64, span float64) DecayingMean {
-	n, total := m.read(now, span)
-	if n == 0 {
+// mean returns the count and mean as they are exported.
+func (s *decayingSum) mean(now int64, window float64) DecayingMean {
+	count, total := s.read(now, window)
+	if count == 0 {
 		return DecayingMean{}
 	}
-	return DecayingMean{n, total / n}
+	return DecayingMean{Weight: count, Mean: total / count}
 }
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -1,84 +1,116 @@
 package balancer
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	watchRetryMin = 5_000  // wait before a failed subscription is asked again
-	watchRetryMax = 80_000 // longest such wait, cut to what the rules allow
+	// watchRetryMin is the first wait before a failed watch of the list is renewed, in tenths of a millisecond.
+	watchRetryMin = 500 * millisecond
+	// watchRetryMax is the longest such wait, cut to what the settings allow.
+	watchRetryMax = 8 * second
+	// watchWithinShare is the part of the time allowed for renewing a watch that one wait takes, in tenths of a millisecond
+	// for each of that setting's milliseconds: missed lists count after 6 s.
+	watchWithinShare = 3
 )
 
-// retryWatch guards against a list service that fails: asked again with growing waits, within the rule's time.
-func (b *balancer) retryWatch() {
-	wait := min(b.askWait, int64(b.settings.optionalNumber("Safety.AskWithin", watchRetryMax)*3)) // missed lists count after 6 s
-	b.askWait = min(2*b.askWait, watchRetryMax)
-	b.setTimer(wait+b.rng.Int63n(wait/4+1), timerFunc(b.actions.WatchEndpoints))
+// endpointList is the replicas that may be used.
+type endpointList struct {
+	replicas []*replica // in the order in which they were first listed
+	byID     map[string]*replica
+	pending  []func(listed map[string]bool) // entries of the list that is being received
+
+	holders         map[int][]*replica // holders of the shards from each set on, kept until the list changes
+	shardSets       int
+	setsPerReplica  int // consecutive shard sets that a replica holds
+	watchRetryDelay int64
+}
+
+func newEndpointList() endpointList {
+	return endpointList{byID: map[string]*replica{}, holders: map[int][]*replica{}, watchRetryDelay: watchRetryMin}
 }
 
-func (b *balancer) AddEndpoint(id string, zone, kind, cell int, status string, units float64, since int64) {
-	b.fresh = append(b.fresh, func(keep map[string]bool) {
-		keep[id] = true
-		r := b.fleet[id]
+// count returns the number of replicas that may be used.
+func (l *endpointList) count() int { return len(l.replicas) }
+
+// retain drops the replicas that may not be used any more and forgets what was derived from the former list.
+func (l *endpointList) retain(isKept func(r *replica) bool) {
+	l.replicas = slices.DeleteFunc(l.replicas, func(r *replica) bool { return !isKept(r) })
+	clear(l.holders)
+	clear(l.byID) // a replica that left comes back as another, so that the map does not grow with the departures
+	for _, r := range l.replicas {
+		l.byID[r.id] = r
+	}
+}
+
+// shardSetHolders returns the eligible replicas that hold a set of shards.
+func (l *endpointList) shardSetHolders(shardSet int) []*replica {
+	if _, known := l.holders[shardSet]; !known {
+		l.holders[shardSet] = nil
+		for _, r := range l.replicas {
+			distance := (r.shardSet - shardSet + l.shardSets) % l.shardSets
+			if r.eligible && distance < l.setsPerReplica {
+				l.holders[shardSet] = append(l.holders[shardSet], r)
+			}
+		}
+	}
+	return l.holders[shardSet]
+}
+
+func (b *balancer) AddEndpoint(id string, zone, _, shardSet int, status string, _ float64, startedAt int64) {
+	b.endpoints.pending = append(b.endpoints.pending, func(listed map[string]bool) {
+		listed[id] = true
+		r := b.endpoints.byID[id]
 		if r == nil {
-			r = &replica{id: id, startedAt: since, slowStartCredit: b.rng.Float64(), slowStartUpdatedAt: b.now}
-			b.fleet[id] = r
-			b.list = append(b.list, r)
-		} else if since > r.startedAt {
-			r.startedAt, r.shortLatency, r.longLatency, r.unanswered, r.consecutiveFailures, r.connectFailures = since, decayingSum{}, decayingSum{}, 0, 0, 0
-			r.gossipedShort, r.gossipedLong, r.gossipedOutlierUntil = gossipedLatency{}, gossipedLatency{}, 0
-			b.flights.recheck(r)
-			r.slowStartCredit, r.slowStartUpdatedAt = b.rng.Float64(), b.now
+			r = &replica{id: id, startedAt: startedAt}
+			r.slowStart.reset(b.now, b.rng.Float64())
+			b.endpoints.byID[id] = r
+			b.endpoints.replicas = append(b.endpoints.replicas, r)
+		} else if startedAt > r.startedAt {
+			r.restarted(startedAt)
+			b.inflight.recheck(r)
+			r.slowStart.reset(b.now, b.rng.Float64())
 		}
-		r.shardSet, r.zone, r.eligible = cell, zone, status == "healthy"
-		for len(b.ways) <= zone {
-			b.ways = append(b.ways, zoneLatency{})
+		r.shardSet, r.zone, r.eligible = shardSet, zone, status == StatusHealthy
+		for len(b.zones) <= zone {
+			b.zones = append(b.zones, zoneLatency{})
 		}
 	})
 }
 
-func (b *balancer) CommitEndpoints(how string, revision int64) {
-	entries := b.fresh
-	b.fresh = nil
-	if how == "Error" {
+func (b *balancer) CommitEndpoints(kind string, _ int64) {
+	entries := b.endpoints.pending
+	b.endpoints.pending = nil
+	if kind == ListError {
 		b.retryWatch()
 		return
 	}
-	b.askWait = watchRetryMin
-	in := map[string]bool{}
+	b.endpoints.watchRetryDelay = watchRetryMin
+	listed := map[string]bool{}
 	for _, enter := range entries {
-		enter(in)
-	}
-	b.list = slices.DeleteFunc(b.list, func(r *replica) bool { return !r.eligible || !in[r.id] && how != "Partial" })
-	clear(b.holding)
-	clear(b.bound.holders)
-	clear(b.fleet) // guards against growth: a replica that in left comes back as another
-	for _, r := range b.list {
-		b.fleet[r.id] = r
+		enter(listed)
 	}
-	b.listed = len(b.list)
-	b.flights.replicaCount = b.listed
+	b.endpoints.retain(func(r *replica) bool { return r.eligible && (listed[r.id] || kind == ListPartial) })
+	clear(b.restrictions.holders)
+	b.inflight.replicaCount = b.endpoints.count()
 }
 
-// holders are the replicas that hold a part's shard and may be used for it. It is the one place that says who may:
-// first parts, extras, copies, trials and second steps all choose among these.
-func (b *balancer) holders(p *shardRequest) []*replica {
-	if p.search.restriction != nil {
-		return b.restrictedHolders(p)
-	}
-	return b.shardSetHolders(p.shard % b.sets)
+// retryWatch renews the watch of the list after a growing wait with jitter, within the time that the settings allow: the
+// list service may be failing for all coordinators at once.
+func (b *balancer) retryWatch() {
+	allowed := int64(b.settings.optionalNumber(settingWatchWithin, watchRetryMax) * watchWithinShare)
+	delay := min(b.endpoints.watchRetryDelay, allowed)
+	b.endpoints.watchRetryDelay = min(2*b.endpoints.watchRetryDelay, watchRetryMax)
+	jitter := b.rng.Int63n(delay/4 + 1)
+	b.setTimer(delay+jitter, timerFunc(b.actions.WatchEndpoints))
 }
 
-func (b *balancer) shardSetHolders(first int) []*replica {
-	if _, known := b.holding[first]; !known {
-		b.holding[first] = nil
-		for _, r := range b.list {
-			if r.eligible && (r.shardSet-first+b.sets)%b.sets < b.reach {
-				b.holding[first] = append(b.holding[first], r)
-			}
-		}
+// holders returns the replicas that hold a shard and may be used for its search. It is the one place that says so: first
+// attempts, extras, hedged and probe attempts and second steps all choose among these.
+func (b *balancer) holders(request *shardRequest) []*replica {
+	if request.search.restriction != nil {
+		return b.restrictedHolders(request)
 	}
-	return b.holding[first]
+	return b.endpoints.shardSetHolders(request.shard % b.endpoints.shardSets)
 }
 
+// RecordProbeResult does nothing: health checks are not used, since attempts show more.
 func (b *balancer) RecordProbeResult(string, string, int64, map[string]float64) {}
--- a/balancer/endpoint_selection.go
+++ b/balancer/endpoint_selection.go
@@ -6,102 +6,134 @@
 )
 
 const (
-	tieRandomShare  = 0.25 // share of it that is chance: a replica that has healed is met again
-	sampleThreshold = 64   // holders of a shard beyond which a few drawn ones are looked at first: bounds a turn
-	sampleSize      = 16   // so many of them: that none of 16 is idle where half are is one in 65,000
+	// tieRandomShare is the share of a replica's past latency that is random when equally loaded ones are compared: one
+	// that has recovered is used again.
+	tieRandomShare = 0.25
+	// sampleThreshold is the number of holders of a shard beyond which a random sample is looked at first: it bounds the
+	// time of an iteration.
+	sampleThreshold = 64
+	// sampleSize is the size of that sample: that none of 16 is idle where half of all are has a chance of 1 in 65,000.
+	sampleSize = 16
+
+	// Penalties on the load of replicas that come after others. Each is larger than what the lesser ones can add up to.
+	alreadySentPenalty = 1e4 // the request was sent there before
+	degradedPenalty    = 1e5 // its zone is degraded, or gossip or own evidence calls it an outlier
+	outlierPenalty     = 1e6 // own evidence calls it an outlier
+	// probeLoad puts a replica before all others, for a probe attempt.
+	probeLoad = -1
 )
 
-// hasCapacity tells whether a replica may take a part now, sound or not.
-func (b *balancer) hasCapacity(r *replica, p *shardRequest) bool {
-	out := func(t *attempt) bool { return t.replica == r && !t.ended }
-	return b.belowReplicaLimit(r) && b.hasSlowStartCredit(r) && !slices.ContainsFunc(p.attempts, out)
+// hasCapacity tells whether a replica, sound or not, may take a request now.
+func (b *balancer) hasCapacity(r *replica, request *shardRequest) bool {
+	return b.isBelowReplicaLimit(r) && b.hasSlowStartCredit(r) &&
+		!slices.ContainsFunc(request.attempts, func(a *attempt) bool { return a.replica == r && !a.ended })
+}
+
+// isTooLateToSend tells whether no answer could come any more: the attempt would cross the final answer.
+func (b *balancer) isTooLateToSend(request *shardRequest) bool {
+	return float64(request.search.deadline-b.now) < b.latency.shortest
 }
 
-// canSend tells whether some replica may take a part now; of many holders without a look at each.
-func (b *balancer) canSend(p *shardRequest) bool {
-	all := b.holders(p)
-	if len(all) <= sampleThreshold {
-		return b.selectReplica(p) != nil
+// canSend tells whether some replica may take a request now. Of many holders not each is compared.
+func (b *balancer) canSend(request *shardRequest) bool {
+	holders := b.holders(request)
+	if len(holders) <= sampleThreshold {
+		return b.selectReplica(request) != nil
 	}
-	if b.full[p.spot()] || float64(p.search.deadline-b.now) < b.best { // no answer could come: nothing crosses a final one
+	if b.sending.fullSpots[request.spot()] || b.isTooLateToSend(request) {
 		return false
 	}
-	sound, trial, other := false, false, false
-	for _, r := range all {
-		bad := b.isOutlier(r)
-		sound = sound || !bad
-		if able := b.hasCapacity(r, p); able && !bad {
+	hasSound, mayProbe, hasOutlier := false, false, false
+	for _, r := range holders {
+		isOutlier := b.isOutlier(r)
+		hasSound = hasSound || !isOutlier
+		if !b.hasCapacity(r, request) {
+			continue
+		}
+		if !isOutlier {
 			return true
-		} else if able {
-			other, trial = true, trial || b.mayTrial(r, p)
 		}
+		hasOutlier, mayProbe = true, mayProbe || b.mayProbe(r, request)
 	}
-	can := trial || other && !sound
-	b.full[p.spot()] = !can && len(p.attempts) == 0 // for this turn: bounds its time with thousands of searches
-	return can
+	canSend := mayProbe || hasOutlier && !hasSound
+	// Kept for this iteration: it bounds its time with thousands of searches.
+	b.sending.fullSpots[request.spot()] = !canSend && len(request.attempts) == 0
+	return canSend
 }
 
-// selectReplica chooses a part's replica: fewest own calls out, one not tried yet if there is; ties by chance, or by
-// past answers where evidence is thin. Of many, a few drawn are looked at first: an idle one has the fewest.
-func (b *balancer) selectReplica(p *shardRequest) *replica {
-	if b.full[p.spot()] || float64(p.search.deadline-b.now) < b.best {
+// selectReplica chooses the replica for a request, nil where none may take it now: the one with fewest own batches in
+// flight, one that has not got the request before if there is, ties at random or, where evidence is thin, by past answers.
+// Of many holders a sample is looked at first: an idle one has the fewest anyway.
+func (b *balancer) selectReplica(request *shardRequest) *replica {
+	if b.sending.fullSpots[request.spot()] || b.isTooLateToSend(request) {
 		return nil
 	}
-	all := b.holders(p)
-	if n := len(all); n > sampleThreshold {
-		from := b.rng.Intn(n - sampleSize)
-		if r, load := b.selectAmong(p, all[from:from+sampleSize]); load < 1 && load >= 0 {
+	holders := b.holders(request)
+	if count := len(holders); count > sampleThreshold {
+		first := b.rng.Intn(count - sampleSize)
+		r, load := b.selectAmong(request, holders[first:first+sampleSize])
+		if load < 1 && load >= 0 {
 			return r
 		}
 	}
-	r, _ := b.selectAmong(p, all)
-	if r == nil && len(p.attempts) == 0 {
-		b.full[p.spot()] = true
+	r, _ := b.selectAmong(request, holders)
+	if r == nil && len(request.attempts) == 0 {
+		b.sending.fullSpots[request.spot()] = true
 	}
 	return r
 }
 
-// selectAmong picks among some of a shard's holders, with how much that one has out.
-func (b *balancer) selectAmong(p *shardRequest, all []*replica) (best *replica, least float64) {
-	least = math.Inf(1)
-	ties, sound, thin := 0, false, b.hasThinEvidence()
-	for _, r := range all {
-		bad, doubt := b.isOutlier(r), b.isGossipedOutlier(r)
-		sound = sound || !bad
-		if !b.hasCapacity(r, p) || b.now < b.doubtsTo && !b.isWarmedUp(r) && b.isSparedByGossip(p) {
+// selectAmong chooses among some holders of a shard and returns the load of the chosen one. Outliers are used only where
+// no sound replica holds the shard, whether or not the sound ones have capacity, and for probe attempts.
+func (b *balancer) selectAmong(request *shardRequest, holders []*replica) (best *replica, lowest float64) {
+	lowest = math.Inf(1)
+	ties, hasSound, hasThinEvidence := 0, false, b.hasThinEvidence()
+	for _, r := range holders {
+		isOutlier := b.isOutlier(r)
+		hasSound = hasSound || !isOutlier
+		if !b.hasCapacity(r, request) {
 			continue
 		}
-		load := float64(r.batchesInFlight)
-		if thin {
-			load += 1 - 1/(1+b.longTermSlowness(r)*(1+tieRandomShare*b.rng.Float64()))
-		}
-		if bad || doubt {
-			// Guards against replicas that take parts and answer none, or refuse: used only where no sound one
-			// holds the shard, full or not (heard of only: or all are full), but for trial parts: it may heal.
-			// On hearsay alone, a search has to have a part to spare for it.
-			if load += 1e5; bad {
-				load += 1e6
-			}
-			if b.mayTrial(r, p) {
-				load = -1
-			}
-		} else if b.isZoneDegraded(r.zone) && (b.now < b.ways[r.zone].nextTrial || p.search.neededWeight >= p.search.reachableWeight-1e-4) {
-			load += 1e5 // but for a trial part where a search has one to spare
-		}
-		if slices.ContainsFunc(p.attempts, func(t *attempt) bool { return t.replica == r }) {
-			load += 1e4
+		if b.now < b.outliers.gossipedUntil && !b.isWarmedUp(r) && b.isSparedByGossip(request) {
+			continue
 		}
+		load := b.selectionLoad(request, r, isOutlier, hasThinEvidence)
 		switch {
-		case load < least:
-			best, least, ties = r, load, 1
-		case load == least:
+		case load < lowest:
+			best, lowest, ties = r, load, 1
+		case load == lowest:
 			if ties++; b.rng.Intn(ties) == 0 {
 				best = r
 			}
 		}
 	}
-	if sound && least >= 1e6 {
+	if hasSound && lowest >= outlierPenalty {
 		best = nil
 	}
-	return best, least
+	return best, lowest
+}
+
+// selectionLoad is what replicas are compared by: batches in flight, and penalties for those that come after the others.
+// A replica in a degraded zone has none for a request that its search can spare, now and then: it shows whether the zone
+// has recovered.
+func (b *balancer) selectionLoad(request *shardRequest, r *replica, isOutlier, hasThinEvidence bool) float64 {
+	load := float64(r.batchesInFlight)
+	if hasThinEvidence {
+		load += 1 - 1/(1+b.longTermSlowness(r)*(1+tieRandomShare*b.rng.Float64()))
+	}
+	if isOutlier || b.isGossipedOutlier(r) {
+		load += degradedPenalty
+		if isOutlier {
+			load += outlierPenalty
+		}
+		if b.mayProbe(r, request) {
+			load = probeLoad
+		}
+	} else if b.isZoneDegraded(r.zone) && (b.now < b.zones[r.zone].nextTrial || !request.search.canSpareRequests()) {
+		load += degradedPenalty
+	}
+	if request.wasSentTo(r) {
+		load += alreadySentPenalty
+	}
+	return load
 }
--- a/balancer/fanout.go
+++ b/balancer/fanout.go
@@ -6,125 +6,178 @@
 )
 
 const (
-	minOverloadAnswers = 30      // answers of late from which slow ones count so: fewer may be one search's own
-	overloadExtraShare = 0.5     // share of the eased extras that still go out then: as good as none with less
-	canaryWindow       = 100_000 // after a fall in which each search sends one part ahead: such come again
+	// overloadExtraShare is the share of the extras, times the load factor, that still go out under overload with thin
+	// evidence: with less the answers were as good as with none.
+	overloadExtraShare = 0.5
+	// minOverloadAnswers is the decayed number of answers from which slow ones count as overload: fewer may be one search's.
+	minOverloadAnswers = 30
+	// canaryWindow is the time after a crash in which each search sends one request ahead, in tenths of a millisecond:
+	// searches that crash replicas come again.
+	canaryWindow = 10 * second
+
+	// Priorities of the requests of a search, beside their weight.
+	priorityEligible = 2 // some replica may take it now
+	priorityQuick    = 1 // some replica will answer it quickly, or it may be hedged
+	// maxTieBreak bounds the random part of a priority: it decides only between equal weights.
+	maxTieBreak = 1e-9
 )
 
-// admit lets a search leave the queue: the needed parts and the extras that the backlog grants.
+// sendQueue holds the shard requests of admitted searches that wait for a slot and a replica, the paper's task queue.
+type sendQueue struct {
+	requests   []*shardRequest
+	fullSpots  map[int]bool    // spots of which no replica may take a request in this iteration
+	candidates []sendCandidate // buffer of admit
+}
+
+type sendCandidate struct {
+	*shardRequest
+	priority float64
+}
+
+// admit sends a search's requests: those that a complete answer needs, and as many extras as the backlog allows (any
+// sufficient set of them answers the search). The paper's rule applies: all that remain while the backlog is under one
+// search, one fewer for each further one.
 func (b *balancer) admit(s *search) {
 	if s.admittedAt == 0 {
-		if s.admittedAt = b.now; len(s.requests) > 1 && b.sendsCanary() {
-			able := slices.DeleteFunc(slices.Clone(s.requests), func(p *shardRequest) bool { return !b.canSend(p) })
-			if s.awaitsCanary = len(able) > 0; s.awaitsCanary {
-				b.enqueueRequest(slices.MinFunc(able, func(p, q *shardRequest) int {
-					return cmp.Compare(b.shortestExpectedLatency(p), b.shortestExpectedLatency(q))
-				}))
-				return
-			}
+		s.admittedAt = b.now
+		if len(s.requests) > 1 && b.needsCanary() && b.sendCanary(s) {
+			return
 		}
 	}
-	order := b.order[:0]
-	for _, p := range s.requests { // those that can go now come first, then the heavier, ties by chance
-		if len(p.attempts) > 0 { // sent ahead, or in its place
+	candidates := b.prioritize(s)
+	leastWeight := b.weightToSend(s)
+	weight, needed := s.completedWeight, 0
+	for needed < len(candidates) && weight < leastWeight-weightTolerance {
+		weight += candidates[needed].weight
+		needed++
+	}
+	extras := max(0, len(candidates)-needed-int(b.admission.backlog))
+	if leastWeight < s.neededWeight {
+		allowed := overloadExtraShare * b.loadFactor() * float64(len(candidates)-needed)
+		extras = min(extras, int(allowed))
+	}
+	for i, candidate := range candidates[:needed+extras] {
+		isNeeded := i < needed
+		// An extra that would have to wait, or runs slowly, takes capacity from requests that are needed.
+		if isNeeded || candidate.priority >= priorityEligible+priorityQuick {
+			b.enqueueRequest(candidate.shardRequest)
+		}
+		if !isNeeded && candidate.queued {
+			weight += candidate.weight
+		}
+	}
+	s.reduced = s.isShort(weight)
+	if s.reduced {
+		s.reachableWeight = weight
+	}
+	clear(candidates)
+	b.sending.candidates = candidates
+}
+
+// prioritize orders the requests of a search that have not been sent: those that can go now first, then those that would be
+// answered quickly, then the heavier, ties at random.
+func (b *balancer) prioritize(s *search) []sendCandidate {
+	candidates := b.sending.candidates[:0]
+	for _, request := range s.requests {
+		if len(request.attempts) > 0 { // a canary, or sent in the place of a lost one
 			continue
 		}
-		o := sendCandidate{p, p.weight + 1e-9*b.rng.Float64()}
-		if b.canSend(p) {
-			o.priority += 2
+		candidate := sendCandidate{request, request.weight + maxTieBreak*b.rng.Float64()}
+		if b.canSend(request) {
+			candidate.priority += priorityEligible
 		}
-		// Where no copy may run beside a part, one at a slow replica is work that nothing takes back.
-		if b.settings.isEnabled("Permissions.SecondCopies") || b.shortestExpectedLatency(p) <= b.fleetLatency() {
-			o.priority++
+		// Without hedging, a request at a slow replica is work that nothing takes back.
+		if b.settings.allowsHedging() || b.shortestExpectedLatency(request) <= b.latency.fleetLatency(b.now) {
+			candidate.priority += priorityQuick
 		}
-		order = append(order, o)
-	}
-	slices.SortFunc(order, func(p, q sendCandidate) int { return cmp.Compare(q.priority, p.priority) })
-	// Where evidence is thin nothing waits here, and the backlog says nothing. Slow answers stand in for it:
-	// what an answer may lack is an extra then.
-	least := s.neededWeight
-	if b.hasThinEvidence() && b.usualN >= minOverloadAnswers && b.loadFactor() < overloadLoadFactor {
-		least = min(least, b.settings.listNumber("Specifics.ClassFloor", s.queryType, 1)+2e-4)
+		candidates = append(candidates, candidate)
 	}
-	have, n := s.completedWeight, 0
-	for n < len(order) && have < least-1e-4 {
-		have += order[n].weight
-		n++
+	slices.SortFunc(candidates, func(x, y sendCandidate) int { return cmp.Compare(y.priority, x.priority) })
+	return candidates
+}
+
+// weightToSend is the weight of the requests that have to be sent; the others are extras. Where evidence is thin nothing
+// ever waits here and the backlog says nothing. Slow answers stand in for it then, and what an answer may lack is an extra.
+func (b *balancer) weightToSend(s *search) float64 {
+	isOverloaded := b.hasThinEvidence() && b.latency.fleetAnswers >= minOverloadAnswers &&
+		b.loadFactor() < overloadLoadFactor
+	if !isOverloaded {
+		return s.neededWeight
 	}
-	extras := max(0, len(order)-n-int(b.backlog)) // all that remain while the backlog is under 1
-	if least < s.neededWeight {
-		extras = min(extras, int(overloadExtraShare*b.loadFactor()*float64(len(order)-n)))
+	leastAnswer := b.settings.listNumber(settingMinWeight, s.queryType, 1)
+	return min(s.neededWeight, leastAnswer+2*weightTolerance)
+}
+
+// needsCanary tells whether replicas seem to have crashed under this coordinator's requests of late. A search that crashes
+// what serves it would take down a replica for each of its requests before the first loss is known; one request ahead of
+// the others loses one. It covers crashes of other causes too, and costs each search the time of one answer. Where hedging
+// is allowed it is not used: hedged attempts help a lost request.
+func (b *balancer) needsCanary() bool {
+	lastCrash := b.outliers.lastCrash
+	return lastCrash > 0 && b.now-lastCrash < canaryWindow && !b.settings.allowsHedging()
+}
+
+// sendCanary sends the request of a search that would be answered first, and tells whether there is one that can go now.
+// The others follow its answer.
+func (b *balancer) sendCanary(s *search) bool {
+	sendable := slices.DeleteFunc(slices.Clone(s.requests), func(r *shardRequest) bool { return !b.canSend(r) })
+	s.awaitsCanary = len(sendable) > 0
+	if s.awaitsCanary {
+		b.enqueueRequest(b.quickest(sendable))
 	}
-	for i, o := range order[:n+extras] {
-		if i < n || o.priority >= 3 { // an extra that would have to wait takes room from parts that are needed
-			b.enqueueRequest(o.shardRequest)
-		}
-		if i >= n && o.queued {
-			have += o.weight
-		}
+	return s.awaitsCanary
+}
+
+// sendWithheld sends an extra that was withheld, in the place of a request that is lost or late.
+func (b *balancer) sendWithheld(s *search) {
+	withheld := slices.DeleteFunc(slices.Clone(s.requests), func(r *shardRequest) bool {
+		return len(r.attempts) > 0 || r.queued || r.lost
+	})
+	if len(withheld) == 0 {
+		return
 	}
-	if s.reduced = have < s.neededWeight-1e-4; s.reduced {
-		s.reachableWeight = have
+	request := b.quickest(withheld)
+	b.enqueueRequest(request)
+	if s.reduced {
+		s.reachableWeight += request.weight
 	}
-	clear(order)
-	b.order = order
 }
 
-// sendsCanary tells whether replicas have gone down under own sub-requests of late. Guards, by one part of each
-// search ahead of its rest, against searches that fell what takes them: with all out, one fells a replica for
-// each part before its first loss is told. Covers crashes too. Harm: an answer's time to each search; not
-// where copies help a part that is lost.
-func (b *balancer) sendsCanary() bool {
-	return b.fell > 0 && b.now-b.fell < canaryWindow && !b.settings.isEnabled("Permissions.SecondCopies")
+// quickest returns the request whose quickest holder has the shortest expected latency.
+func (b *balancer) quickest(requests []*shardRequest) *shardRequest {
+	return slices.MinFunc(requests, func(x, y *shardRequest) int {
+		return cmp.Compare(b.shortestExpectedLatency(x), b.shortestExpectedLatency(y))
+	})
 }
 
-func (b *balancer) enqueueRequest(p *shardRequest) {
-	if !p.queued {
-		p.queued = true
-		b.waiting = append(b.waiting, p)
+func (b *balancer) enqueueRequest(request *shardRequest) {
+	if !request.queued {
+		request.queued = true
+		b.sending.requests = append(b.sending.requests, request)
 	}
 }
 
-// sendWaiting sends parts in turn and tells whether none is left that a free slot would serve. A part that
-// no replica may take just now (cold, draining) stands aside: it must not hold up the queue.
+// sendWaiting sends the requests that wait, in order, and tells whether none is left that a free slot would serve. A
+// request that no replica may take just now (warming up, draining) stands aside: it must not hold up the queue.
 func (b *balancer) sendWaiting() bool {
-	rest, free := b.waiting[:0], true
-	for i, p := range b.waiting {
-		if p.search.ended || p.completed || p.lost {
-			p.queued = false
+	waiting, hasFreeSlots := b.sending.requests[:0], true
+	for i, request := range b.sending.requests {
+		if !request.isOpen() {
+			request.queued = false
 			continue
 		}
 		if b.isAtLimit() {
-			rest, free = append(rest, b.waiting[i:]...), false
+			waiting, hasFreeSlots = append(waiting, b.sending.requests[i:]...), false
 			break
 		}
-		if r := b.selectReplica(p); r != nil && b.mayAttempt(p) {
-			p.queued = false
-			b.send(p, r)
+		if target := b.selectReplica(request); target != nil && b.mayAttempt(request) {
+			request.queued = false
+			b.send(request, target)
 			continue
 		}
-		b.parked = true
-		rest = append(rest, p)
+		b.admission.hasParked = true
+		waiting = append(waiting, request)
 	}
-	b.waiting = rest
-	return free
-}
-
-// sendWithheld sends a part that was held back, at the quickest replica, in the place of one that is lost or late.
-func (b *balancer) sendWithheld(s *search) {
-	sent := func(q *shardRequest) bool { return len(q.attempts) > 0 || q.queued || q.lost }
-	if held := slices.DeleteFunc(slices.Clone(s.requests), sent); len(held) > 0 {
-		q := slices.MinFunc(held, func(p, q *shardRequest) int {
-			return cmp.Compare(b.shortestExpectedLatency(p), b.shortestExpectedLatency(q))
-		})
-		if b.enqueueRequest(q); s.reduced {
-			s.reachableWeight += q.weight
-		}
-	}
-}
-
-// sendCandidate is a part with what it is sorted by.
-type sendCandidate struct {
-	*shardRequest
-	priority float64
+	b.sending.requests = waiting
+	return hasFreeSlots
 }
--- a/balancer/gossip_observations.go
+++ b/balancer/gossip_observations.go
@@ -1,91 +1,151 @@
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	maxGossipWeight     = 3.0     // answers that hearsay weighs at the most: as many own ones replace it
-	maxGossipSlowness   = 8.0     // times the usual that is believed by hearsay: more would only be a larger lie
-	maxGossipAge        = 300_000 // longest that hearsay counts: a trouble of half a minute ago has often passed
-	maxGossipedSpeedup  = 4.0     // times that a heard usual answer time may be under the assumed one
-	minGossipedShortest = 0.4     // of the usual time, under which no heard shortest counts: alone it closes no slots
+	// maxGossipWeight is the number of answers that gossip counts for at most: as many own ones replace it.
+	maxGossipWeight = 3.0
+	// maxGossipSlowness is the latency over the usual one that is believed at most: a higher one would only be a larger lie.
+	maxGossipSlowness = 8.0
+	// maxGossipAge is the longest time that gossip counts, in tenths of a millisecond: a fault of half a minute ago has
+	// often passed.
+	maxGossipAge = 30 * second
+	// maxGossipedSpeedup is how far a gossiped fleet latency may be under the assumed one.
+	maxGossipedSpeedup = 4.0
+	// minGossipedShortest is the share of the fleet latency under which no gossiped shortest latency counts: gossip alone
+	// never brings the concurrency limit down.
+	minGossipedShortest = 0.4
 )
 
-// ImportObservation takes a heard belief in, in the place of the one before. Guards against a start that knows nothing,
-// and against peers that are wrong: hearsay only takes from a replica, weighs maxGossipWeight answers at the most,
-// gives way to own ones, and fades. A replica said to be bad comes after the others, with one part at a time,
-// until it answers here: no peer can take it away.
-func (b *balancer) ImportObservation(h GossipedObservation) {
-	take := func(t DecayingMean) gossipedLatency {
-		return gossipedLatency{min(maxGossipWeight, t.Weight), max(0, min(math.Log(maxGossipSlowness), t.Mean)), b.now}
-	}
-	switch r := b.fleet[h.Replica]; {
-	case h.Scope == ScopeFleet && h.FleetLatency > 0:
-		b.firstUsual, b.usualAt = max(assumedLatency/maxGossipedSpeedup, min(assumedLatency, h.FleetLatency)), 0 // longer would bar copies
-		if b.best == 0 && h.ShortestLatency > 0 {
-			b.best, b.bestAt = min(b.fleetLatency(), max(h.ShortestLatency, minGossipedShortest*b.fleetLatency())), b.now
-		}
-	case h.Scope == ScopeZone && h.Zone >= 0 && h.Zone < len(b.ways):
-		b.ways[h.Zone].gossiped = take(h.ShortWindow)
-	case h.Scope == ScopeReplica && r != nil && r.startedAt == h.ReplicaStart:
-		r.gossipedShort, r.gossipedLong, r.gossipedOutlierUntil = take(h.ShortWindow), take(h.LongWindow), 0
-		if n, _ := r.longLatency.read(b.now, longWindow); h.Outlier && n < 1 {
-			r.gossipedOutlierUntil = b.now + min(maxGossipAge, h.OutlierDuration)
-			b.doubtsTo = max(b.doubtsTo, r.gossipedOutlierUntil)
-			r.nextTrial = max(r.nextTrial, b.now+b.rng.Int63n(trialInterval)) // not all learners' trials at once
-		}
-		b.flights.recheckAt(r, r.gossipedOutlierUntil)
-	}
-}
-
-// gossipedLatency is a heard count of answers and how much longer than usual they took, as a mean of logarithms, as it
-// was at a time; it goes on decaying.
+// gossipedLatency is a count of answers and the mean of how much longer than usual they took, as logarithms, when it was
+// imported. It goes on decaying.
 type gossipedLatency struct {
 	weight, excess float64
 	importedAt     int64
 }
 
-// observation is what travels of a replica.
-func (r *replica) observation(now int64, bad bool) Observation {
-	b := Observation{
-		Scope: ScopeReplica, Replica: r.id, Zone: r.zone, ReplicaStart: r.startedAt, ConsecutiveFailures: r.consecutiveFailures, ConsecutiveConnectFailures: r.connectFailures,
-		UnansweredRequests: r.unanswered, LastAnswerAge: -1, Outlier: bad, ShortWindow: r.shortLatency.mean(now, shortWindow), LongWindow: r.longLatency.mean(now, longWindow),
+// importLatency takes in what peers measured, within what is believed at most.
+func importLatency(mean DecayingMean, now int64) gossipedLatency {
+	return gossipedLatency{
+		weight:     min(maxGossipWeight, mean.Weight),
+		excess:     max(0, min(math.Log(maxGossipSlowness), mean.Mean)),
+		importedAt: now,
 	}
-	if r.unanswered > 0 {
-		b.SilentFor = now - r.silentSince
+}
+
+// contribution is what gossip adds to own answers: a count, less by the own ones, and a total of the excess.
+func (g gossipedLatency) contribution(now int64, window, ownCount float64) (count, totalExcess float64) {
+	age := float64(now - g.importedAt)
+	if g.weight == 0 || age > maxGossipAge {
+		return 0, 0
 	}
-	if r.lastAnswer > 0 {
-		b.LastAnswerAge = now - r.lastAnswer
+	count = max(0, g.weight*math.Exp(-age/window)-ownCount)
+	return count, count * g.excess
+}
+
+// assume takes in the fleet latency that peers know, in place of the assumed one. A longer one than that is not believed:
+// it would bar hedged attempts.
+func (l *latencyEstimates) assume(now int64, fleetLatency, shortest float64) {
+	l.assumed = max(assumedLatency/maxGossipedSpeedup, min(assumedLatency, fleetLatency))
+	l.cachedAt = 0
+	if l.shortest == 0 && shortest > 0 {
+		present := l.fleetLatency(now)
+		l.shortest, l.shortestAt = min(present, max(shortest, minGossipedShortest*present)), now
 	}
-	return b
 }
 
-// ExportObservations hands out what own sub-requests have shown: the fleet and zones first, then so many replicas a call,
-// those with nothing to tell left out. What was heard is not in it: a rumour would go round and count twice.
-func (b *balancer) ExportObservations(from, most int, tell func(b Observation)) (next int) {
-	if from == 0 {
-		n, _ := b.pace.read(b.now, fleetWindow)
-		tell(Observation{Scope: ScopeFleet, ShortWindow: DecayingMean{n, math.Log(b.fleetLatency())}, LongWindow: DecayingMean{n, math.Log(max(1, b.best))}})
-		for zone := range b.ways {
-			tell(Observation{Scope: ScopeZone, Zone: zone, ShortWindow: b.ways[zone].latency.mean(b.now, shortWindow)})
+// ImportObservation takes an observation in, in place of the one before of the same scope. A start knows nothing, and peers
+// may be wrong: gossip only makes a replica look worse, counts for few answers, gives way to own ones and fades. A replica
+// that it calls an outlier comes after the others, with one request at a time, until it answers here: no peer can take it
+// away.
+func (b *balancer) ImportObservation(observation GossipedObservation) {
+	switch observation.Scope {
+	case ScopeFleet:
+		if observation.FleetLatency > 0 {
+			b.latency.assume(b.now, observation.FleetLatency, observation.ShortestLatency)
+		}
+	case ScopeZone:
+		if observation.Zone >= 0 && observation.Zone < len(b.zones) {
+			b.zones[observation.Zone].gossiped = importLatency(observation.ShortWindow, b.now)
+		}
+	case ScopeReplica:
+		r := b.endpoints.byID[observation.Replica]
+		if r != nil && r.startedAt == observation.ReplicaStart { // else it is of another incarnation
+			b.importReplica(r, observation)
 		}
 	}
-	to := min(len(b.list), max(from, from+most))
-	for _, r := range b.list[min(from, to):to] {
-		if r.lastAnswer != 0 || r.unanswered != 0 || r.connectFailures != 0 || r.consecutiveFailures != 0 {
-			tell(r.observation(b.now, b.isOutlier(r)))
+}
+
+func (b *balancer) importReplica(r *replica, observation GossipedObservation) {
+	r.latency.gossipedShort = importLatency(observation.ShortWindow, b.now)
+	r.latency.gossipedLong = importLatency(observation.LongWindow, b.now)
+	r.health.gossipedOutlierUntil = 0
+	ownAnswers, _ := r.latency.long.read(b.now, longWindow)
+	if observation.Outlier && ownAnswers < 1 {
+		r.health.gossipedOutlierUntil = b.now + min(maxGossipAge, observation.OutlierDuration)
+		b.outliers.gossipedUntil = max(b.outliers.gossipedUntil, r.health.gossipedOutlierUntil)
+		delay := b.rng.Int63n(trialInterval) // or all coordinators would probe it at the same time
+		r.health.nextTrial = max(r.health.nextTrial, b.now+delay)
+	}
+	b.inflight.recheckAt(r, r.health.gossipedOutlierUntil)
+}
+
+// ExportObservations exports only what own attempts have shown: gossip that is passed on would count twice.
+func (b *balancer) ExportObservations(from, maxReplicas int, export func(Observation)) (next int) {
+	if from == 0 {
+		b.exportFleetAndZones(export)
+	}
+	replicas := b.endpoints.replicas
+	end := min(len(replicas), max(from, from+maxReplicas))
+	for _, r := range replicas[min(from, end):end] {
+		if r.health.isKnown() {
+			export(b.observe(r))
 		}
 	}
-	return to % max(1, len(b.list))
+	return end % max(1, len(replicas))
 }
 
-// gossipedSum is what hearsay adds to own answers: a count, and how far it is over the usual, of logarithms.
-func (b *balancer) gossipedSum(h gossipedLatency, span, own float64) (n, slower float64) {
-	age := float64(b.now - h.importedAt)
-	if h.weight == 0 || age > maxGossipAge {
-		return 0, 0
+func (b *balancer) exportFleetAndZones(export func(Observation)) {
+	count, _ := b.latency.answers.read(b.now, fleetWindow)
+	export(Observation{
+		Scope:       ScopeFleet,
+		ShortWindow: DecayingMean{Weight: count, Mean: math.Log(b.latency.fleetLatency(b.now))},
+		LongWindow:  DecayingMean{Weight: count, Mean: math.Log(max(1, b.latency.shortest))},
+	})
+	for zone := range b.zones {
+		export(Observation{
+			Scope:       ScopeZone,
+			Zone:        zone,
+			ShortWindow: b.zones[zone].latency.mean(b.now, shortWindow),
+		})
+	}
+}
+
+// isKnown tells whether own attempts have shown anything of a replica.
+func (h *replicaHealth) isKnown() bool {
+	return h.lastAnswer != 0 || h.unanswered != 0 || h.connectFailures != 0 || h.consecutiveFailures != 0
+}
+
+// observe returns what own attempts have shown of a replica.
+func (b *balancer) observe(r *replica) Observation {
+	observation := Observation{
+		Scope:                      ScopeReplica,
+		Replica:                    r.id,
+		Zone:                       r.zone,
+		ReplicaStart:               r.startedAt,
+		ConsecutiveFailures:        r.health.consecutiveFailures,
+		ConsecutiveConnectFailures: r.health.connectFailures,
+		UnansweredRequests:         r.health.unanswered,
+		LastAnswerAge:              -1,
+		Outlier:                    b.isOutlier(r),
+		ShortWindow:                r.latency.short.mean(b.now, shortWindow),
+		LongWindow:                 r.latency.long.mean(b.now, longWindow),
+	}
+	if r.health.unanswered > 0 {
+		observation.SilentFor = b.now - r.health.silentSince
+	}
+	if r.health.lastAnswer > 0 {
+		observation.LastAnswerAge = b.now - r.health.lastAnswer
 	}
-	n = max(0, h.weight*math.Exp(-age/span)-own)
-	return n, n * h.excess
+	return observation
 }
--- a/balancer/heard_test.go
+++ b/balancer/heard_test.go
@@ -118,7 +118,7 @@
 func TestHeardGivesWay(t *testing.T) {
 	s := begin(t, "start a/0 b/0\nwhen a,b Ok 20\nsteady 10 20 1 4000 0,0")
 	c := s.c.(*balancer)
-	slowness := func() float64 { return c.slowness(c.fleet["a"]) }
+	slowness := func() float64 { return c.slowness(c.endpoints.byID["a"]) }
 	before := slowness()
 	s.hear(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{1e9, 1e9}, LongWindow: DecayingMean{1e9, 1e9}})
 	require.InDelta(t, before, slowness(), 0.01, "own answers weigh more already")
@@ -159,9 +159,9 @@
 		c.AddEndpoint(fmt.Sprintf("host-%05d", i), 0, 0, 0, "healthy", 1, 0)
 	}
 	c.CommitEndpoints("Complete", 1)
-	for _, r := range c.list {
-		r.recordLatency(1, 5)
-		r.lastAnswer = 1
+	for _, r := range c.endpoints.replicas {
+		r.latency.record(1, 5)
+		r.health.lastAnswer = 1
 	}
 	told := 0
 	for b.Loop() {
--- a/balancer/inflight.go
+++ b/balancer/inflight.go
@@ -1,167 +1,199 @@
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	compactRatio      = 2  // entries for each live one at which a record is cleared of the others
-	compactMinEntries = 64 // entries that are not worth it
+	compactRatio      = 2  // entries for each live one from which a list is compacted
+	compactMinEntries = 64 // fewer entries are not worth it
 )
 
-// agedList is what happened at times that only rise, and a mark before the first that is not older than a limit. The
-// mark moves as time and the limit do; each move is told.
+// agedList holds entries in the order of their times, with a boundary between those older than a limit and the others.
+// The boundary moves as time passes and as the limit changes.
 type agedList[T any] struct {
 	entries  []T
 	times    []int64
-	boundary int
+	boundary int // index of the first entry that is not older than the limit
 }
 
-func (m *agedList[T]) push(at int64, v T) {
-	m.entries, m.times = append(m.entries, v), append(m.times, at)
+// push adds an entry. Its time must not be before that of the entry before.
+func (l *agedList[T]) push(at int64, entry T) {
+	l.entries, l.times = append(l.entries, entry), append(l.times, at)
 }
 
-func (m *agedList[T]) moveBoundary(now int64, limit float64, told func(v T, at int64, older bool)) {
-	for ; m.boundary < len(m.entries) && float64(now-m.times[m.boundary]) > limit; m.boundary++ {
-		told(m.entries[m.boundary], m.times[m.boundary], true)
+// moveBoundary brings the boundary up to date and reports each entry that it passes.
+func (l *agedList[T]) moveBoundary(now int64, limit float64, passed func(entry T, at int64, older bool)) {
+	for ; l.boundary < len(l.entries) && float64(now-l.times[l.boundary]) > limit; l.boundary++ {
+		passed(l.entries[l.boundary], l.times[l.boundary], true)
 	}
-	for ; m.boundary > 0 && float64(now-m.times[m.boundary-1]) <= limit; m.boundary-- {
-		told(m.entries[m.boundary-1], m.times[m.boundary-1], false)
+	for ; l.boundary > 0 && float64(now-l.times[l.boundary-1]) <= limit; l.boundary-- {
+		passed(l.entries[l.boundary-1], l.times[l.boundary-1], false)
 	}
 }
 
-// compact drops what is not live, once that is most of it.
-func (m *agedList[T]) compact(most int, live func(v T, at int64) bool) {
-	if len(m.entries) <= compactRatio*most+compactMinEntries {
+// compact removes the entries that are not live, once they are most of the list; liveCount is about how many are live.
+func (l *agedList[T]) compact(liveCount int, isLive func(entry T, at int64) bool) {
+	if len(l.entries) <= compactRatio*liveCount+compactMinEntries {
 		return
 	}
-	n, mark := 0, m.boundary
-	for i, v := range m.entries {
-		if i == m.boundary {
-			mark = n
+	kept, boundary := 0, l.boundary
+	for i, entry := range l.entries {
+		if i == l.boundary {
+			boundary = kept
 		}
-		if live(v, m.times[i]) {
-			m.entries[n], m.times[n] = v, m.times[i]
-			n++
+		if isLive(entry, l.times[i]) {
+			l.entries[kept], l.times[kept] = entry, l.times[i]
+			kept++
 		}
 	}
-	if m.boundary == len(m.entries) {
-		mark = n
+	if l.boundary == len(l.entries) {
+		boundary = kept
 	}
-	clear(m.entries[n:])
-	m.entries, m.times, m.boundary = m.entries[:n], m.times[:n], mark
+	clear(l.entries[kept:])
+	l.entries, l.times, l.boundary = l.entries[:kept], l.times[:kept], boundary
 }
 
-// inflightCounter keeps the count of own sub-requests in flight that are neither silent nor at a suspect. It is kept as they
-// go out and land, as silence passes its limit, and as replicas become suspects and are none any more: what asks for
-// it does not look at each. What silence and suspects are is told by who asks.
+// inflightCounter keeps the number of attempts in flight that are neither silent nor at an outlier. It is kept up to date
+// as attempts are sent and end, as silence passes its threshold and as replicas become outliers and recover, so that
+// reading it does not look at each attempt. The caller of count says what silence and outliers are.
 type inflightCounter struct {
-	total        int                // all that are out
-	attempts     agedList[*attempt] // by when they went out
+	total      int                // attempts in flight
+	attempts   agedList[*attempt] // by when they were sent
+	counted    int                // attempts in flight that are not silent
+	atOutliers int                // those of them at outliers
+
 	silences     agedList[*replica] // by since when they have been silent
-	counted      int                // those out that are not silent
-	atOutliers   int                // those of them at suspects
-	rechecks     []*replica         // to be looked at again
-	expiring     []*replica         // whose suspicion ends at a time
-	nextExpiry   int64              // the first such time
-	replicaCount int                // replicas in quiet, about
+	replicaCount int                // about how many replicas silences has live entries of
+
+	rechecks   []*replica // may have become outliers, or recovered
+	expiring   []*replica // what makes them outliers ends at a time
+	nextExpiry int64      // the first such time
+}
+
+// replicaInflight is what the counter keeps with a replica.
+type replicaInflight struct {
+	counted          int   // attempts in flight that are not silent
+	countedAsOutlier bool  // it was an outlier when last looked at
+	needsRecheck     bool  // it is in rechecks
+	hasExpiry        bool  // it is in expiring
+	recordedSilence  int64 // the silentSince that silences has of it
 }
 
-func (f *inflightCounter) recordSent(t *attempt) {
-	f.total++
-	f.attempts.push(t.sentAt, t)
-	f.setCounted(t, true)
-	f.recordSilence(t.replica)
+func (c *inflightCounter) recordSent(a *attempt) {
+	c.total++
+	c.attempts.push(a.sentAt, a)
+	c.setCounted(a, true)
+	c.recordSilence(a.replica)
 }
 
-// recordEnded takes a sub-request out of flight.
-func (f *inflightCounter) recordEnded(t *attempt) {
-	f.total--
-	f.setCounted(t, false)
-	t.holdsSlot = false
-	f.attempts.compact(f.total, func(t *attempt, _ int64) bool { return t.holdsSlot })
+func (c *inflightCounter) recordEnded(a *attempt) {
+	c.total--
+	c.setCounted(a, false)
+	a.holdsSlot = false
+	c.attempts.compact(c.total, func(a *attempt, _ int64) bool { return a.holdsSlot })
 }
 
-// setCounted counts a sub-request as loud or as not.
-func (f *inflightCounter) setCounted(t *attempt, loud bool) {
-	if t.counted == loud || !t.holdsSlot {
+// setCounted counts an attempt in flight, or takes it out of the count.
+func (c *inflightCounter) setCounted(a *attempt, counted bool) {
+	if a.counted == counted || !a.holdsSlot {
 		return
 	}
-	n := -1
-	if t.counted = loud; loud {
-		n = 1
+	change := -1
+	if counted {
+		change = 1
 	}
-	f.counted += n
-	if t.replica.countedAttempts += n; t.replica.countedAsOutlier {
-		f.atOutliers += n
+	a.counted = counted
+	c.counted += change
+	a.replica.inflight.counted += change
+	if a.replica.inflight.countedAsOutlier {
+		c.atOutliers += change
 	}
 }
 
-// recordSilence notes since when a replica has been silent.
-func (f *inflightCounter) recordSilence(r *replica) {
-	if f.recheck(r); len(f.silences.entries) == 0 || r.recordedSilence != r.silentSince {
-		r.recordedSilence = r.silentSince
-		f.silences.push(r.silentSince, r)
-		f.silences.compact(f.replicaCount, func(r *replica, at int64) bool { return r.unanswered > 0 && r.silentSince == at })
+// recordSilence takes in since when a replica has been silent.
+func (c *inflightCounter) recordSilence(r *replica) {
+	c.recheck(r)
+	since := r.health.silentSince
+	if len(c.silences.entries) > 0 && r.inflight.recordedSilence == since {
+		return
 	}
+	r.inflight.recordedSilence = since
+	c.silences.push(since, r)
+	c.silences.compact(c.replicaCount, func(r *replica, at int64) bool {
+		return r.health.unanswered > 0 && r.health.silentSince == at
+	})
 }
 
-// recheck has a replica looked at again.
-func (f *inflightCounter) recheck(r *replica) {
-	if !r.needsRecheck {
-		r.needsRecheck = true
-		f.rechecks = append(f.rechecks, r)
+// recheck has the next count look whether a replica is an outlier.
+func (c *inflightCounter) recheck(r *replica) {
+	if !r.inflight.needsRecheck {
+		r.inflight.needsRecheck = true
+		c.rechecks = append(c.rechecks, r)
 	}
 }
 
-// recheckAt has a replica looked at again at a time.
-func (f *inflightCounter) recheckAt(r *replica, at int64) {
-	f.recheck(r)
-	if f.nextExpiry == 0 || at < f.nextExpiry {
-		f.nextExpiry = at
+// recheckAt has the next count look at a replica, and again at a time.
+func (c *inflightCounter) recheckAt(r *replica, at int64) {
+	c.recheck(r)
+	if c.nextExpiry == 0 || at < c.nextExpiry {
+		c.nextExpiry = at
 	}
-	if !r.hasExpiry {
-		r.hasExpiry = true
-		f.expiring = append(f.expiring, r)
+	if !r.inflight.hasExpiry {
+		r.inflight.hasExpiry = true
+		c.expiring = append(c.expiring, r)
 	}
 }
 
-func (f *inflightCounter) count(now int64, silence float64, suspect func(r *replica) bool) int {
-	f.attempts.moveBoundary(now, silence, func(t *attempt, _ int64, older bool) { f.setCounted(t, !older) })
-	f.silences.moveBoundary(now, silence, func(r *replica, at int64, _ bool) {
-		if r.silentSince == at {
-			f.recheck(r)
+// count returns the number of attempts in flight that are neither silent for longer than a threshold nor at an outlier.
+func (c *inflightCounter) count(now int64, silence float64, isOutlier func(r *replica) bool) int {
+	c.attempts.moveBoundary(now, silence, func(a *attempt, _ int64, older bool) { c.setCounted(a, !older) })
+	c.silences.moveBoundary(now, silence, func(r *replica, at int64, _ bool) {
+		if r.health.silentSince == at {
+			c.recheck(r)
 		}
 	})
-	if f.nextExpiry > 0 && now >= f.nextExpiry {
-		f.nextExpiry = math.MaxInt64
-		rest := f.expiring[:0]
-		for _, r := range f.expiring {
-			f.recheck(r)
-			if r.hasExpiry = now < max(r.retryAfter, r.gossipedOutlierUntil); r.hasExpiry {
-				rest = append(rest, r)
-				for _, at := range []int64{r.retryAfter, r.gossipedOutlierUntil} {
-					if at > now {
-						f.nextExpiry = min(f.nextExpiry, at)
-					}
-				}
-			}
+	if c.nextExpiry > 0 && now >= c.nextExpiry {
+		c.recheckExpiring(now)
+	}
+	for _, r := range c.rechecks {
+		r.inflight.needsRecheck = false
+		c.setOutlier(r, isOutlier(r))
+	}
+	clear(c.rechecks)
+	c.rechecks = c.rechecks[:0]
+	return c.counted - c.atOutliers
+}
+
+// recheckExpiring looks at the replicas with a time that may have been reached, and works out the next such time.
+func (c *inflightCounter) recheckExpiring(now int64) {
+	c.nextExpiry = math.MaxInt64
+	pending := c.expiring[:0]
+	for _, r := range c.expiring {
+		c.recheck(r)
+		retryAfter, gossipedUntil := r.health.retryAfter, r.health.gossipedOutlierUntil
+		r.inflight.hasExpiry = now < max(retryAfter, gossipedUntil)
+		if !r.inflight.hasExpiry {
+			continue
 		}
-		clear(f.expiring[len(rest):])
-		f.expiring = rest
-	}
-	for _, r := range f.rechecks {
-		r.needsRecheck = false
-		if barred := suspect(r); barred != r.countedAsOutlier {
-			r.countedAsOutlier = barred
-			if barred {
-				f.atOutliers += r.countedAttempts
-			} else {
-				f.atOutliers -= r.countedAttempts
-			}
+		pending = append(pending, r)
+		if retryAfter > now {
+			c.nextExpiry = min(c.nextExpiry, retryAfter)
 		}
+		if gossipedUntil > now {
+			c.nextExpiry = min(c.nextExpiry, gossipedUntil)
+		}
+	}
+	clear(c.expiring[len(pending):])
+	c.expiring = pending
+}
+
+func (c *inflightCounter) setOutlier(r *replica, isOutlier bool) {
+	if isOutlier == r.inflight.countedAsOutlier {
+		return
+	}
+	r.inflight.countedAsOutlier = isOutlier
+	if isOutlier {
+		c.atOutliers += r.inflight.counted
+	} else {
+		c.atOutliers -= r.inflight.counted
 	}
-	clear(f.rechecks)
-	f.rechecks = f.rechecks[:0]
-	return f.counted - f.atOutliers
 }
--- a/balancer/latency_estimates.go
+++ b/balancer/latency_estimates.go
@@ -1,118 +1,180 @@
 package balancer
 
-import (
-	"math"
+import "math"
+
+// Windows of the estimates: e-fold times of the decay, in tenths of a millisecond.
+const (
+	shortWindow = 4 * second  // latency of a replica or zone: about ten answers, yet short against a fault
+	longWindow  = 10 * second // latency of a replica that answers seldom: still short against a fault
+	rateWindow  = 3 * second  // rates and search durations: long enough for a few dozen shard requests
+	minRateAge  = 1 * second  // a younger rate counts as so old: its first few events show no rate
+	fleetWindow = 2 * second  // fleet latency: it must follow a slowdown of all replicas within seconds
 )
 
 const (
-	shortWindow              = 40_000    // decay of answer times: ten answers of one replica, yet within a trouble
-	longWindow               = 100_000   // decay of answer times where a replica answers less than that: within a trouble
-	thinEvidenceRate         = 1e-4      // own answers of a replica under which evidence is thin: one a second
-	rateWindow               = 30_000    // decay of rates: long enough for a few dozen parts
-	minRateAge               = 10_000    // a sum younger than this counts as so old: the first few events show no rate
-	fleetWindow              = 20_000    // decay of the common answer time: must follow a slowdown of all within seconds
-	shortestLatencyGrowth    = 1.0 / 3e6 // rise of the shortest answer time a tenth: e-fold in 5 min, a lucky low fades
-	minFleetAnswers          = 8         // answers before a mean is believed: below, one odd part sways it
-	minSearchDurations       = 4         // searches of a type before their time is believed: fewer bar none, some go out again
-	assumedLatency           = 2_000     // answer time assumed before any is known: a search part of 200 ms
-	slowReplicaTrialInterval = 1_000     // between trials of one replica by all together: half of what two cores do
-	minReplicaAnswers        = 0.3       // past answers from which they tell a replica's time: one of the last 12 s
-	tailLatencyRatio         = 2.0       // times the usual answer of a part that a search of many takes: it waits for the last
-	queueFullLatencyRatio    = 16.0      // times the fleet's answer time that a full replica stands for
-	priorWeight              = 2.0       // answers at the fleet's time mixed into a replica's: one slow part proves nothing
+	// assumedLatency is the fleet latency before any answer, in tenths of a millisecond: a shard request of 200 ms.
+	assumedLatency = 200 * millisecond
+	// minFleetAnswers is the number of answers from which the fleet latency is believed: below, one odd request sways it.
+	minFleetAnswers = 8
+	// minReplicaAnswers is the decayed number of answers from which a replica's long-term latency is believed: one answer
+	// within the last 12 s.
+	minReplicaAnswers = 0.3
+	// minSearchDurations is the number of searches of a type from which their duration is believed. As fewer never bar a
+	// search, some go out again once the count has decayed.
+	minSearchDurations = 4
+	// tailLatencyRatio is the latency of the last of a search's many requests over the usual one.
+	tailLatencyRatio = 2.0
+	// priorWeight is the number of answers at the fleet latency that are mixed into the estimate of a replica or zone: one
+	// slow request proves nothing.
+	priorWeight = 2.0
+	// shortestLatencyGrowth raises the shortest latency, per tenth of a millisecond: by e in 5 min, so that a lucky low
+	// value fades.
+	shortestLatencyGrowth = 1.0 / (300 * second)
+	// thinEvidenceRate is the rate of answers per replica, per tenth of a millisecond, under which evidence is thin: one a
+	// second.
+	thinEvidenceRate = 1.0 / second
+	// slowReplicaTrialInterval is the time between two attempts that all coordinators together send to a replica that looks
+	// too slow, in tenths of a millisecond: ten a second are half of what two cores serve.
+	slowReplicaTrialInterval = 100 * millisecond
 )
 
-// shortestExpectedLatency is how long a part would take at the quickest of its shard's replicas.
-func (b *balancer) shortestExpectedLatency(p *shardRequest) float64 {
-	least := math.Inf(1)
-	for _, r := range b.holders(p) {
-		least = min(least, b.expectedLatency(r))
-	}
-	return least
+// latencyEstimates is what answers have shown of all replicas together, and of searches. Latencies are averaged as
+// logarithms, so that single long answers weigh little.
+type latencyEstimates struct {
+	answers      decayingSum // logarithms of answer times
+	fleetAnswers float64     // count of answers, decayed, when the fleet latency was last worked out
+
+	cachedLatency    float64 // fleet latency at cachedAt, for fleetAnswers
+	cachedLogLatency float64
+	cachedAt         int64
+
+	shortest    float64 // shortest fleet latency seen, 0 for none yet
+	shortestAt  int64
+	shortestFor float64 // fleet latency that shortest was last compared with
+
+	assumed float64 // fleet latency before any answer
+
+	answerCount decayingSum   // answers, for their rate
+	retries     decayingSum   // logarithms of the latency of retries and hedged attempts over the fleet latency
+	durations   decayingSum   // of searches, from admission to their answer
+	byQueryType []decayingSum // durations of the searches of each query type
 }
 
-// expectedLatency is how long a replica takes: by its past answers, or the fleet's where they say too little, and by
-// what is still out. After a while it is tried again: by all together, however many, ten times a second.
-func (b *balancer) expectedLatency(r *replica) float64 {
-	wait := b.fleetLatency()
-	if b.usualN < minFleetAnswers { // an assumed time must not shut out what would show the true one
-		wait = 0
+// fleetLatency is the present latency of all replicas, in tenths of a millisecond.
+func (l *latencyEstimates) fleetLatency(now int64) float64 {
+	count, total := l.answers.read(now, fleetWindow)
+	if l.cachedAt != now || l.fleetAnswers != count {
+		l.cachedLatency = math.Exp((total + math.Log(l.assumed)) / (count + 1))
+		l.cachedAt, l.fleetAnswers = now, count
+		l.cachedLogLatency = math.Log(l.cachedLatency)
 	}
-	if float64(b.now-r.lastSent) > slowReplicaTrialInterval*b.settings.number("Balancers") {
-		return wait
-	}
-	if n, total := r.longLatency.read(b.now, longWindow); n >= minReplicaAnswers {
-		wait = math.Exp(total / n)
-	}
-	for _, t := range r.attempts {
-		wait = max(wait, float64(b.now-t.sentAt))
-	}
-	return wait
+	return l.cachedLatency
 }
 
-// fleetLatency is the fleet's answer time now, by the mean of logarithms: single long answers weigh little.
-func (b *balancer) fleetLatency() float64 {
-	n, total := b.pace.read(b.now, fleetWindow)
-	if b.usualAt != b.now || b.usualN != n {
-		b.usual, b.usualAt, b.usualN = math.Exp((total+math.Log(b.firstUsual))/(n+1)), b.now, n
-		b.usualLog = math.Log(b.usual)
-	}
-	return b.usual
+func (l *latencyEstimates) logFleetLatency(now int64) float64 {
+	l.fleetLatency(now)
+	return l.cachedLogLatency
 }
 
-func (b *balancer) shortestLatency() float64 {
-	now := b.fleetLatency()
-	if b.usualN < minFleetAnswers {
-		return now
+// shortestLatency is the fleet latency with next to no load: the shortest of the last minutes.
+func (l *latencyEstimates) shortestLatency(now int64) float64 {
+	present := l.fleetLatency(now)
+	if l.fleetAnswers < minFleetAnswers {
+		return present
 	}
-	if b.bestAt == b.now && b.bestOf == now {
-		return b.best
+	if l.shortestAt == now && l.shortestFor == present {
+		return l.shortest
 	}
-	if b.best *= math.Exp(min(1, float64(b.now-b.bestAt)*shortestLatencyGrowth)); b.best == 0 || now < b.best {
-		b.best = now
+	l.shortest *= math.Exp(min(1, float64(now-l.shortestAt)*shortestLatencyGrowth))
+	if l.shortest == 0 || present < l.shortest {
+		l.shortest = present
 	}
-	b.bestAt, b.bestOf = b.now, now
-	return b.best
+	l.shortestAt, l.shortestFor = now, present
+	return l.shortest
 }
 
-// hasThinEvidence tells whether a replica answers this co-ordinator so seldom that own parts out and the start's cap say
-// nothing. Guards against slow replicas that look idle and against overload that no one co-ordinator sees.
-func (b *balancer) hasThinEvidence() bool {
-	return b.done.rate(b.now, rateWindow, minRateAge) < thinEvidenceRate*float64(b.listed)
+// answerRate is the number of answers per tenth of a millisecond.
+func (l *latencyEstimates) answerRate(now int64) float64 {
+	return l.answerCount.rate(now, rateWindow, minRateAge)
 }
 
-// longTermSlowness is a replica's answer time over the fleet's, in a longer memory.
-func (b *balancer) longTermSlowness(r *replica) float64 {
-	n, total := r.longLatency.read(b.now, longWindow)
-	b.fleetLatency()
-	more, slower := b.gossipedSum(r.gossipedLong, longWindow, n)
-	return math.Exp((total - n*b.usualLog + slower) / (n + more + 1))
+// recordRetry records the latency of an attempt that is not a shard request's first.
+func (l *latencyEstimates) recordRetry(now int64, logLatency float64) {
+	l.retries.add(now, longWindow, logLatency-l.logFleetLatency(now))
+}
+
+// recordDuration records how long a search has taken since its admission.
+func (l *latencyEstimates) recordDuration(now int64, s *search) {
+	duration := float64(now - s.admittedAt)
+	l.durations.add(now, rateWindow, duration)
+	l.byQueryType[s.queryType].add(now, rateWindow, duration)
 }
 
-// slowness is a replica's answer time over the fleet's, parts that are still out counted by their age.
+// replicaLatency is what answers, and gossip, have shown of a replica: logarithms of answer times in two windows.
+type replicaLatency struct {
+	short, long                 decayingSum
+	gossipedShort, gossipedLong gossipedLatency
+}
+
+func (l *replicaLatency) record(now int64, logLatency float64) {
+	l.short.add(now, shortWindow, logLatency)
+	l.long.add(now, longWindow, logLatency)
+}
+
+// hasThinEvidence tells whether a replica answers this coordinator so seldom that its requests in flight and the initial
+// concurrency limit say nothing. Slow replicas would look idle then, and overload would be seen by no single coordinator;
+// decisions that depend on it use past answers instead.
+func (b *balancer) hasThinEvidence() bool {
+	return b.latency.answerRate(b.now) < thinEvidenceRate*float64(b.endpoints.count())
+}
+
+// slowness is a replica's latency over the fleet latency. Attempts in flight count by their age.
 func (b *balancer) slowness(r *replica) float64 {
-	n, total := r.shortLatency.read(b.now, shortWindow)
-	b.fleetLatency()
-	common := b.usualLog
-	more, slower := b.gossipedSum(r.gossipedShort, shortWindow, n)
-	for _, t := range r.attempts {
-		if age := float64(b.now - t.sentAt); age > b.usual {
-			n, total = n+1, total+math.Log(age)
+	count, total := r.latency.short.read(b.now, shortWindow)
+	logFleet := b.latency.logFleetLatency(b.now)
+	gossiped, excess := r.latency.gossipedShort.contribution(b.now, shortWindow, count)
+	for _, a := range r.attempts {
+		if age := float64(b.now - a.sentAt); age > b.latency.cachedLatency {
+			count, total = count+1, total+math.Log(age)
 		}
 	}
-	return math.Exp((total+slower+(more+priorWeight)*common)/(n+more+priorWeight) - common)
+	mean := (total + excess + (gossiped+priorWeight)*logFleet) / (count + gossiped + priorWeight)
+	return math.Exp(mean - logFleet)
 }
 
-// recordSearchDuration notes how long a search has taken since it left the queue.
-func (b *balancer) recordSearchDuration(s *search) {
-	b.spell.add(b.now, rateWindow, float64(b.now-s.admittedAt))
-	b.spells[s.queryType].add(b.now, rateWindow, float64(b.now-s.admittedAt))
+// longTermSlowness is a replica's latency over the fleet latency in the longer window.
+func (b *balancer) longTermSlowness(r *replica) float64 {
+	count, total := r.latency.long.read(b.now, longWindow)
+	logFleet := b.latency.logFleetLatency(b.now)
+	gossiped, excess := r.latency.gossipedLong.contribution(b.now, longWindow, count)
+	return math.Exp((total - count*logFleet + excess) / (count + gossiped + 1))
+}
+
+// expectedLatency is how long a replica would take for a request: by its past answers, or the fleet's where they are too
+// few, and by what is still in flight. A replica that is avoided for it would never be seen to recover: if it has not been
+// used for a while it is taken at the fleet's latency again, so that all coordinators together try it ten times a second.
+func (b *balancer) expectedLatency(r *replica) float64 {
+	expected := b.latency.fleetLatency(b.now)
+	if b.latency.fleetAnswers < minFleetAnswers { // an assumed latency must not bar what would show the true one
+		expected = 0
+	}
+	if float64(b.now-r.lastSent) > slowReplicaTrialInterval*b.settings.number(settingBalancers) {
+		return expected
+	}
+	if count, total := r.latency.long.read(b.now, longWindow); count >= minReplicaAnswers {
+		expected = math.Exp(total / count)
+	}
+	for _, a := range r.attempts {
+		expected = max(expected, float64(b.now-a.sentAt))
+	}
+	return expected
 }
 
-// recordRetryLatency notes how long a further sub-request took, as a logarithm, over the usual.
-func (b *balancer) recordRetryLatency(t *attempt, pace float64) {
-	if t.index > 0 {
-		b.fleetLatency()
-		b.again.add(b.now, longWindow, pace-b.usualLog)
+// shortestExpectedLatency is how long a shard request would take at the quickest of its holders.
+func (b *balancer) shortestExpectedLatency(request *shardRequest) float64 {
+	shortest := math.Inf(1)
+	for _, r := range b.holders(request) {
+		shortest = min(shortest, b.expectedLatency(r))
 	}
+	return shortest
 }
--- a/balancer/load_shedding.go
+++ b/balancer/load_shedding.go
@@ -1,58 +1,82 @@
 package balancer
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	evictScanThreshold = 1_000 // searches waiting beyond which they are not looked at in each turn: 6 us a look
-	evictScanInterval  = 10    // but after this time: a ms is no delay to a client
-	durationSpread     = 1.4   // spread of a search's time over its mean when asking whether it can still be useful
+	// evictScanThreshold is the number of waiting searches beyond which the queue is not looked through in each iteration:
+	// a look at one takes 6 us.
+	evictScanThreshold = 1_000
+	// evictScanInterval is the time between two looks at such a queue, in tenths of a millisecond: 1 ms is no delay to a
+	// client.
+	evictScanInterval = 1 * millisecond
+	// durationSpread is a search's duration over the mean that is allowed for when asking whether it can still be in time.
+	durationSpread = 1.4
+	// minThroughput is the least rate of answers that is assumed, per tenth of a millisecond: one a second.
+	minThroughput = 1.0 / second
 )
 
-// answerRate is how many parts are answered in a tenth; while rates are young, by Little's law.
-func (b *balancer) answerRate() float64 {
-	return max(b.done.rate(b.now, rateWindow, minRateAge), float64(b.effectiveInFlight())/b.fleetLatency(), 1e-4)
+// completionEstimate is what the end of a search is estimated from. It holds while no request is sent or ends, so that an
+// iteration works it out once for all waiting searches.
+type completionEstimate struct{ now, throughput, searchDuration float64 }
+
+// isLate tells whether a search with so many shard requests before it would be answered after its objective.
+func (e completionEstimate) isLate(s *search, requestsBefore float64) bool {
+	return e.now+requestsBefore/e.throughput+e.searchDuration > float64(s.objectiveEnd)
 }
 
-// estimateCompletion gives what tells whether a search with so many parts before it would be answered after its target.
-// It holds while no part is sent or lands: what a turn asks of each waiting search is worked out once.
 func (b *balancer) estimateCompletion() completionEstimate {
-	n, total := b.spell.read(b.now, rateWindow)
-	return completionEstimate{float64(b.now), b.answerRate(), durationSpread * total / (n + 1)}
+	count, total := b.latency.durations.read(b.now, rateWindow)
+	return completionEstimate{
+		now:            float64(b.now),
+		throughput:     b.throughput(),
+		searchDuration: durationSpread * total / (count + 1),
+	}
 }
 
-func (l completionEstimate) isLate(s *search, ahead float64) bool {
-	return l.now+ahead/l.answerRate+l.searchDuration > float64(s.objectiveEnd)
+// throughput is the number of shard requests answered per tenth of a millisecond. While few have been, it follows from
+// Little's law: requests in flight over their latency.
+func (b *balancer) throughput() float64 {
+	answerRate := b.latency.answerRate(b.now)
+	byLittlesLaw := float64(b.effectiveInFlight()) / b.latency.fleetLatency(b.now)
+	return max(answerRate, byLittlesLaw, minThroughput)
 }
 
-// evictExpired guards against overload: what cannot be answered in useful time, or held, is shed while its client
-// can still ask again, beyond a tenant's share first. Harm: a wait judged too long sheds needlessly.
+// SetUtilization sets the share of the capacity for searches and their answers that is in use.
+func (b *balancer) SetUtilization(share float64) { b.utilization = share }
+
+// evictExpired sheds queued searches under overload: those that would be answered after their objective, or for which there
+// is no capacity, while their clients can still send them again, and those beyond their tenant's quota. Where the estimated
+// wait is too long it sheds needlessly.
 func (b *balancer) evictExpired() {
-	if len(b.queue) > evictScanThreshold && b.now < b.trimmed+evictScanInterval {
+	queue := &b.admission
+	if len(queue.searches) > evictScanThreshold && b.now < queue.lastEviction+evictScanInterval {
 		return
 	}
-	b.trimmed = b.now
-	ahead, over := len(b.waiting), 0
-	if len(b.queue) > 0 {
-		late := b.estimateCompletion()
-		for _, s := range b.queue {
-			if !s.ended && (s.overQuota || b.fullness >= 1 || late.isLate(s, float64(ahead))) {
-				b.shed(s)
-			}
-			if s.ended {
-				over++
-			} else {
-				ahead += len(s.requests)
-			}
-		}
+	queue.lastEviction = b.now
+	pending, ended := len(b.sending.requests), 0
+	if len(queue.searches) > 0 {
+		pending, ended = b.evictFrom(queue.searches, pending)
 	}
-	if b.behind = float64(ahead); over > 0 {
-		b.queue = slices.DeleteFunc(b.queue, func(s *search) bool { return s.ended })
+	queue.pendingRequests = float64(pending)
+	if ended > 0 {
+		queue.searches = slices.DeleteFunc(queue.searches, func(s *search) bool { return s.ended })
 	}
 }
 
-// completionEstimate is what the time that a search will end by is reckoned from.
-type completionEstimate struct{ now, answerRate, searchDuration float64 }
-
-func (b *balancer) SetUtilization(share float64) { b.fullness = share }
+// evictFrom sheds searches in the order of the queue. It returns the number of shard requests that wait then, with those
+// that waited before, and the number of searches that have ended.
+func (b *balancer) evictFrom(searches []*search, pendingBefore int) (pending, ended int) {
+	pending = pendingBefore
+	estimate := b.estimateCompletion()
+	for _, s := range searches {
+		if !s.ended && (s.overQuota || b.utilization >= 1 || estimate.isLate(s, float64(pending))) {
+			b.shed(s)
+		}
+		if s.ended {
+			ended++
+		} else {
+			pending += len(s.requests)
+		}
+	}
+	return pending, ended
+}
--- a/balancer/replica.go
+++ b/balancer/replica.go
@@ -1,42 +1,56 @@
 package balancer
 
-// batch is what one turn sent to one replica together.
-type batch struct{ size, inFlight int }
+import "slices"
 
-// replica is one entry of the list with what own sub-requests have shown of it.
+// replica is an entry of the endpoint list with what this coordinator's attempts have shown of it.
 type replica struct {
-	id                        string
-	shardSet, zone            int
-	eligible                  bool // listed, and neither draining nor gone
-	startedAt                 int64
-	batchesInFlight           int
-	currentBatch              *batch
-	currentBatchAt            int64
-	attempts                  []*attempt
-	shortLatency, longLatency decayingSum // logarithms of answer times, in a short and a long memory
-	silentSince               int64
-	unanswered                int // parts unanswered since silentSince
-	consecutiveFailures       int
-	connectFailures           int // connects that failed since its last answer
-	nextTrial                 int64
-	lastConnectionLoss        int64 // when a connection to it last failed or dropped
-	lastSent                  int64 // the last sub-request
-	slowStartCredit           float64
-	slowStartUpdatedAt        int64
-
-	lastAnswer                  int64           // its last own answer, 0 for none
-	gossipedShort, gossipedLong gossipedLatency // of pace and past
-	gossipedOutlierUntil        int64           // said to be bad, until then
-	retryAfter                  int64           // it refused and named this time to come back
-
-	recordedSilence  int64 // the silentSince that flights knows
-	countedAttempts  int   // own sub-requests out that are not silent
-	hasExpiry        bool  // its suspicion ends at a time
-	countedAsOutlier bool  // a suspect when last looked at
-	needsRecheck     bool  // to be looked at again
+	id             string
+	shardSet, zone int   // shardSet is the first of the sets that it holds
+	eligible       bool  // listed, and neither draining nor gone
+	startedAt      int64 // as the list has it; 0 where it does not say
+
+	attempts        []*attempt // in flight, in the order in which they were sent
+	lastSent        int64
+	batchesInFlight int
+	currentBatch    *batch // to which the next attempt of this iteration is added
+	currentBatchAt  int64
+
+	latency   replicaLatency
+	health    replicaHealth
+	slowStart slowStartCredit
+	inflight  replicaInflight
+}
+
+// batch is the attempts that one iteration sent to one replica and that travel as one call.
+type batch struct{ size, inFlight int }
+
+// restarted forgets what was learnt of a replica's former incarnation. A trial that is due and a retry time that it named
+// stay: they only spare it.
+func (r *replica) restarted(startedAt int64) {
+	r.startedAt = startedAt
+	r.latency = replicaLatency{}
+	r.health.unanswered, r.health.consecutiveFailures, r.health.connectFailures = 0, 0, 0
+	r.health.gossipedOutlierUntil = 0
+}
+
+// joinBatch adds an attempt to the batch of this iteration, or begins one where the last is full. Attempts of one batch
+// count as one when replicas are compared by their load.
+func (r *replica) joinBatch(a *attempt, now int64, maxSize int) {
+	if r.currentBatchAt != now || r.currentBatch == nil || r.currentBatch.size >= maxSize {
+		r.currentBatch, r.currentBatchAt = &a.ownBatch, now
+		r.batchesInFlight++
+	}
+	a.batch = r.currentBatch
+	a.batch.size++
+	a.batch.inFlight++
+}
+
+func (r *replica) leaveBatch(a *attempt) {
+	if a.batch.inFlight--; a.batch.inFlight == 0 {
+		r.batchesInFlight--
+	}
 }
 
-func (r *replica) recordLatency(now int64, pace float64) {
-	r.shortLatency.add(now, shortWindow, pace)
-	r.longLatency.add(now, longWindow, pace)
+func (r *replica) removeAttempt(a *attempt) {
+	r.attempts = slices.DeleteFunc(r.attempts, func(other *attempt) bool { return other == a })
 }
--- a/balancer/replica_restriction.go
+++ b/balancer/replica_restriction.go
@@ -1,76 +1,79 @@
 package balancer
 
 const (
-	maxRestrictedSpots = 1 << 16 // spots whose replicas are kept: some dozen kinds of bounds over a thousand shards
-	groupShift         = 32      // bits of a spot that are the shard's: shards are counted in thousands
+	// maxRestrictedSpots is the number of spots whose holders are kept: some dozen restrictions of a thousand shards each.
+	maxRestrictedSpots = 1 << 16
+	// groupShift is the number of a spot's bits that are the shard's: shards are counted in thousands.
+	groupShift = 32
 )
 
-// restrictionIndex keeps which replicas searches that are bound may use, by spot.
+// restrictionIndex holds the replicas that restricted searches may use, by spot. Its group numbers are never used twice,
+// so that a spot has one meaning.
 type restrictionIndex struct {
-	lastGroup int // group that was given; none is given twice, so that a spot means one thing
+	lastGroup int
 	holders   map[int][]*replica
 }
 
-// spot is a part's shard, told apart for searches that are bound alike.
-func (p *shardRequest) spot() int {
-	if p.search.restriction == nil {
-		return p.shard
+// assignGroup numbers a restriction that is used for the first time.
+func (x *restrictionIndex) assignGroup(to *ReplicaRestriction) {
+	if to.group != 0 {
+		return
+	}
+	if x.holders == nil {
+		x.holders = map[int][]*replica{}
 	}
-	return p.shard | p.search.restriction.group<<groupShift
+	x.lastGroup++
+	to.group = x.lastGroup
 }
 
-// restrictedHolders are the replicas that hold a part's shard and that its search's bounds leave.
-func (b *balancer) restrictedHolders(p *shardRequest) []*replica {
-	spot := p.spot()
-	all, known := b.bound.holders[spot]
+// spot numbers the pair of a request's shard and its search's restriction: requests of one spot have the same holders.
+func (r *shardRequest) spot() int {
+	if r.search.restriction == nil {
+		return r.shard
+	}
+	return r.shard | r.search.restriction.group<<groupShift
+}
+
+// restrictedHolders returns the holders of a shard that its search's restriction allows.
+func (b *balancer) restrictedHolders(request *shardRequest) []*replica {
+	spot := request.spot()
+	allowed, known := b.restrictions.holders[spot]
 	if !known {
-		for _, r := range b.shardSetHolders(p.shard % b.sets) {
-			if p.search.restriction.Allows(p.shard, r.id) {
-				all = append(all, r)
+		for _, r := range b.endpoints.shardSetHolders(request.shard % b.endpoints.shardSets) {
+			if request.search.restriction.Allows(request.shard, r.id) {
+				allowed = append(allowed, r)
 			}
 		}
-		if len(b.bound.holders) >= maxRestrictedSpots {
-			clear(b.bound.holders)
+		if len(b.restrictions.holders) >= maxRestrictedSpots {
+			clear(b.restrictions.holders)
 		}
-		b.bound.holders[spot] = all
+		b.restrictions.holders[spot] = allowed
 	}
-	return all
+	return allowed
 }
 
-// RestrictReplicas does not ask whether calling off is allowed: guards against a part that runs on where it may not, and against an
-// answer from there that would count.
-func (b *balancer) RestrictReplicas(id uint64, to *ReplicaRestriction, lacks func(shard int) (end bool)) {
-	s := b.held[id]
+// RestrictReplicas cancels what is in flight elsewhere whether or not the settings allow cancelling: a request must not run
+// on where it may not, and an answer from there must not count.
+func (b *balancer) RestrictReplicas(id uint64, to *ReplicaRestriction, onUnavailable func(shard int) (end bool)) {
+	s := b.searches.byID[id]
 	if s == nil || s.ended {
 		return
 	}
-	if s.restriction = to; to != nil && to.group == 0 {
-		if b.bound.holders == nil {
-			b.bound.holders = map[int][]*replica{}
-		}
-		b.bound.lastGroup++
-		to.group = b.bound.lastGroup
+	s.restriction = to
+	if to == nil {
+		return
 	}
+	b.restrictions.assignGroup(to)
 	end, lost := false, false
-	for _, p := range s.requests {
-		if to == nil || p.completed || p.lost {
+	for _, request := range s.requests {
+		if request.completed || request.lost || b.remainsServed(request, to) {
 			continue
 		}
-		out := false
-		for _, t := range p.attempts {
-			if t.holdsSlot && !to.Allows(p.shard, t.replica.id) {
-				b.releaseSlot(t)
-				b.actions.CancelAttempt(p.id, t.index)
-			}
-			out = out || t.holdsSlot
-		}
-		if !out && len(b.restrictedHolders(p)) == 0 {
-			if !s.reduced || p.queued || len(p.attempts) > 0 { // what a cut search does not count on is not in most
-				s.reachableWeight -= p.weight
-			}
-			p.lost, lost = true, true
-			end = lacks(p.shard) || end
+		if !s.reduced || request.queued || len(request.attempts) > 0 { // a reduced search does not count on the others
+			s.reachableWeight -= request.weight
 		}
+		request.lost, lost = true, true
+		end = onUnavailable(request.shard) || end
 	}
 	switch {
 	case end:
@@ -80,8 +83,20 @@
 		if s.admittedAt > 0 {
 			b.sendWithheld(s)
 		}
-		if b.answerIfComplete(s); !s.ended && s.reachableWeight < s.neededWeight-1e-4 && !b.isAnswerable(s, s.reachableWeight) {
-			b.fail(s)
+		b.endIfIncompletable(s)
+	}
+}
+
+// remainsServed cancels the attempts of a request that a restriction does not allow, and tells whether it has others or
+// could be sent to another replica.
+func (b *balancer) remainsServed(request *shardRequest, to *ReplicaRestriction) bool {
+	inFlight := false
+	for _, a := range request.attempts {
+		if a.holdsSlot && !to.Allows(request.shard, a.replica.id) {
+			b.releaseSlot(a)
+			b.actions.CancelAttempt(request.id, a.index)
 		}
+		inFlight = inFlight || a.holdsSlot
 	}
+	return inFlight || len(b.holders(request)) > 0
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,80 +1,108 @@
 package balancer
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	minStartedShare    = 0.025 // of the shortest answer time: lost sooner, the part was not begun
-	maxLostConnections = 2     // dropped connections, and no answer yet, that make a search suspect: one may be chance
-	windowMargin       = 20    // kept off the windows of rules against rounding
+	// maxLostConnections is the number of connections dropped under a search without any answer from which it is taken to
+	// crash what serves it: one may be chance.
+	maxLostConnections = 2
+	// windowMargin is kept off the windows of the settings' rules against rounding, in tenths of a millisecond.
+	windowMargin = 2 * millisecond
 )
 
-// mayAttempt holds the rules on sending a part: how often, when a repeat is harmless, and the stated budget.
-func (b *balancer) mayAttempt(p *shardRequest) bool {
-	span := b.settings.duration("Safety.LookBack")
-	if len(p.attempts) == 0 || span == 0 {
-		return len(p.attempts) == 0 || b.mayRepeat(p)
+// retryBudget bounds the retries and hedged attempts to a share of the requests in a sliding window, so that they cannot
+// multiply the load of replicas that fail under it. Its lists hold times in order.
+type retryBudget struct {
+	requests []int64 // arrivals of searches and shard requests
+	retries  []int64
+}
+
+// trim drops what is before the window. The margin makes the budget the smaller one in doubt.
+func (r *retryBudget) trim(now, window int64) {
+	r.requests = dropBefore(r.requests, now-window+windowMargin)
+	r.retries = dropBefore(r.retries, now-window-windowMargin)
+}
+
+// allows tells whether one more retry is within floor and ratio times the requests of the window.
+func (r *retryBudget) allows(floor, ratio float64) bool {
+	return float64(len(r.retries)+1) <= floor+ratio*float64(len(r.requests))
+}
+
+// dropBefore drops the times before a limit from a list in order.
+func dropBefore(times []int64, limit int64) []int64 {
+	first, _ := slices.BinarySearch(times, limit)
+	return times[first:]
+}
+
+// hasRetryBudget tells whether the settings state a budget. Without one nothing is recorded: nothing would ever trim it.
+func (b *balancer) hasRetryBudget() bool { return b.settings.duration(settingBudgetWindow) > 0 }
+
+func (b *balancer) recordRequest() {
+	if b.hasRetryBudget() {
+		b.retries.requests = append(b.retries.requests, b.now)
 	}
-	b.taken, b.further = dropBefore(b.taken, b.now-span+windowMargin), dropBefore(b.further, b.now-span-windowMargin)
-	room := b.settings.optionalNumber("Safety.ExtraFloor", 0) + b.settings.optionalNumber("Safety.FurtherRatio", 0)*float64(len(b.taken))
-	return b.mayRepeat(p) && float64(len(b.further)+1) <= room
 }
 
-// mayRepeat tells whether a further sub-request is allowed and harmless.
-func (b *balancer) mayRepeat(p *shardRequest) bool {
-	effect, more := p.search.effect, len(p.attempts) < b.maxAttempts()
-	for _, t := range p.attempts {
-		if !t.mayHaveRun && t.ended || effect == "retryable" {
+func (b *balancer) recordRetry() {
+	if b.hasRetryBudget() {
+		b.retries.retries = append(b.retries.retries, b.now)
+	}
+}
+
+// mayAttempt tells whether a request may be sent now as far as the rules on retries and their budget go.
+func (b *balancer) mayAttempt(request *shardRequest) bool {
+	if len(request.attempts) == 0 {
+		return true
+	}
+	window := b.settings.duration(settingBudgetWindow)
+	if window == 0 {
+		return b.mayRepeat(request)
+	}
+	b.retries.trim(b.now, window)
+	floor := b.settings.optionalNumber(settingBudgetFloor, 0)
+	ratio := b.settings.optionalNumber(settingBudgetRatio, 0)
+	return b.mayRepeat(request) && b.retries.allows(floor, ratio)
+}
+
+// mayRepeat tells whether one more attempt is allowed and harmless: it is idempotent, or its idempotency key still holds
+// since the first attempt that may have run, or no attempt has run.
+func (b *balancer) mayRepeat(request *shardRequest) bool {
+	effect := request.search.effect
+	hasAttemptsLeft := len(request.attempts) < b.settings.maxAttempts()
+	for _, a := range request.attempts {
+		if !a.mayHaveRun && a.ended || effect == effectRetryable {
 			continue
 		}
-		window := b.settings.duration(b.settings.fieldName("Classes", p.search.queryType, "RepeatWindow"))
-		if effect != "dedup" || b.now-t.sentAt > window-windowMargin {
+		window := b.settings.queryTypeDuration(request.search.queryType, fieldRepeatWindow)
+		if effect != effectDedup || b.now-a.sentAt > window-windowMargin {
 			return false
 		}
 	}
-	return more
+	return hasAttemptsLeft
 }
 
-func (b *balancer) retryLost(p *shardRequest) {
-	s := p.search
-	if s.ended || p.completed || p.lost || p.queued || len(p.attempts) == 0 || p.isInFlight() {
-		return
-	}
-	// Guards against a search that fells whatever takes it: lost connections and never an answer. A lost part
-	// goes out again only after another of the search has answered. Harm: in a crash of many replicas a
-	// search that lost two parts before its first answer is shed.
-	switch fells := s.lostConnections > 0 && !s.hasAnswer; {
-	case fells && (s.lostConnections >= maxLostConnections || s.awaitsCanary):
-		b.fail(s)
-		return
-	case fells && s.isInFlight():
-		return
-	case b.mayRepeat(p):
-		b.enqueueRequest(p)
+// retryLost sends a request again whose attempts have all ended without an answer, or gives it up.
+//
+// A search that crashes what serves it must not be sent from replica to replica: it shows in dropped connections without
+// any answer. After one, a lost request goes out again only after another of the search was answered; after two, the search
+// fails. When many replicas crash for another reason, a search that loses two requests before its first answer fails with
+// them.
+func (b *balancer) retryLost(request *shardRequest) {
+	s := request.search
+	if !request.isOpen() || request.queued || len(request.attempts) == 0 || request.isInFlight() {
 		return
 	}
-	p.lost = true
-	s.reachableWeight -= p.weight
-	b.sendWithheld(s)
-	if b.answerIfComplete(s); !s.ended && s.reachableWeight < s.neededWeight-1e-4 && !b.isAnswerable(s, s.reachableWeight) {
+	seemsHarmful := s.lostConnections > 0 && !s.hasAnswer
+	switch {
+	case seemsHarmful && (s.lostConnections >= maxLostConnections || s.awaitsCanary):
 		b.fail(s)
+	case seemsHarmful && s.isInFlight(): // until that has ended
+	case b.mayRepeat(request):
+		b.enqueueRequest(request)
+	default:
+		request.lost = true
+		s.reachableWeight -= request.weight
+		b.sendWithheld(s)
+		b.endIfIncompletable(s)
 	}
 }
-
-// dropBefore drops what is before a time from a list in order.
-func dropBefore(list []int64, at int64) []int64 {
-	i, _ := slices.BinarySearch(list, at)
-	return list[i:]
-}
-
-// recordForBudget notes one now for the budget, where one is stated: elsewhere nothing would ever take it away.
-func (b *balancer) recordForBudget(at *[]int64) {
-	if b.settings.duration("Safety.LookBack") > 0 {
-		*at = append(*at, b.now)
-	}
-}
-
-func (b *balancer) isRepeatable(s *search) bool {
-	return s.effect == "retryable" || s.step == 1 && !slices.ContainsFunc(s.requests, (*shardRequest).mayHaveRun)
-}
--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -156,7 +156,7 @@
 func (s *stage) recounted() {
 	c := s.c.(*balancer)
 	n := 0 // what is kept, recounted
-	for _, t := range c.flights.attempts.entries {
+	for _, t := range c.inflight.attempts.entries {
 		if t.holdsSlot && float64(c.now-t.sentAt) <= c.silenceThreshold() && !c.isOutlier(t.replica) {
 			n++
 		}
@@ -297,12 +297,12 @@
 func TestWhatEndedSearchesHold(t *testing.T) {
 	s := perform(t, "start a/0 b/0 c/1 d/1\nwhen a,b,c Ok 20\nwhen d Failed 5\nsteady 400 10 1 60000 0,1,0,1")
 	c := s.c.(*balancer)
-	require.Empty(t, c.held)
-	require.Empty(t, c.numbers)
-	require.Empty(t, c.next)
-	require.Zero(t, c.flights.total)
-	require.LessOrEqual(t, len(c.flights.attempts.entries), compactMinEntries, "what has landed")
-	require.Empty(t, c.wakes)
+	require.Empty(t, c.searches.byID)
+	require.Empty(t, c.searches.byNumber)
+	require.Empty(t, c.searches.attempts)
+	require.Zero(t, c.inflight.total)
+	require.LessOrEqual(t, len(c.inflight.attempts.entries), compactMinEntries, "what has landed")
+	require.Empty(t, c.timers.callbacks)
 }
 
 func TestScenarios(t *testing.T) {
@@ -330,11 +330,11 @@
 		c.AddEndpoint(id(2*i+1), 0, 0, 0, "healthy", 1, 0)
 		c.AddEndpoint(id(2*i-2), 0, 0, 0, "deregistered", 1, 0)
 		c.CommitEndpoints("Partial", int64(i))
-		require.LessOrEqual(t, len(c.list), 3)
+		require.LessOrEqual(t, len(c.endpoints.replicas), 3)
 		c.AddEndpoint(id(2*i), 0, 0, 0, "healthy", 1, 0)
 		c.CommitEndpoints("Complete", int64(i))
-		require.Len(t, c.list, 1)
-		require.Len(t, c.fleet, 1)
-		require.Equal(t, 1, c.listed)
+		require.Len(t, c.endpoints.replicas, 1)
+		require.Len(t, c.endpoints.byID, 1)
+		require.Equal(t, 1, c.endpoints.count())
 	}
 }
--- a/balancer/search.go
+++ b/balancer/search.go
@@ -6,51 +6,100 @@
 )
 
 const (
-	weightRounding = 1e-6 // the last decimal of a part's share: the platform tells six
+	// weightRounding is the unit of the last decimal of a request's weight: the protocols give six decimals.
+	weightRounding = 1e-6
+	// weightTolerance is what weights may fall short by before requests count as missing: many rounded ones add up to less.
+	weightTolerance = 1e-4
 )
 
-// search is one search this co-ordinator holds.
+// search is a search that has no final answer yet.
 type search struct {
-	id, number                                     uint64
-	queryType                                      int
-	tenant                                         int
-	clientStart                                    int64 // when its client's first try came
-	arrivedAt, admittedAt                          int64 // left: when it left the queue, 0 while it waits
-	deadline, objectiveEnd                         int64 // last moment for a final answer; end of the latency target
-	requestCount                                   int   // of its parts, in the first step
-	step                                           int
-	firstStepComplete                              bool
-	ended                                          bool
-	reduced                                        bool // parts that an answer may lack were not sent
-	hasAnswer                                      bool // one of its parts has answered
-	awaitsCanary                                   bool // the rest of its parts waits for the answer to one
-	overQuota                                      bool // more than its tenant's share
-	effect                                         string
-	requests                                       []*shardRequest
-	requestBuffer                                  []shardRequest      // room for parts that are still to come
-	completedWeight, neededWeight, reachableWeight float64             // weight in, weight for a whole answer, weight that can still come
-	extraAttempts, lostConnections                 int                 // further sub-requests sent; connections dropped under its parts once begun
-	restriction                                    *ReplicaRestriction // nil where it may use any replica
+	id, number        uint64
+	queryType, tenant int
+
+	clientStart  int64 // arrival of its client's first attempt, as far as it is known
+	arrivedAt    int64
+	admittedAt   int64 // 0 while it is queued
+	deadline     int64 // last moment for a final answer
+	objectiveEnd int64 // end of the latency objective
+
+	requestCount      int // of the first step, as announced
+	step              int // 1 or 2
+	firstStepComplete bool
+	ended             bool
+	reduced           bool // requests that an answer may lack were not sent
+	hasAnswer         bool // one of its requests was answered
+	awaitsCanary      bool // its other requests wait for the answer to one
+	overQuota         bool // it is beyond its tenant's quota
+	effect            string
+
+	requests      []*shardRequest // of the present step
+	requestBuffer []shardRequest  // room for requests still to come
+
+	completedWeight float64 // weight of the answers so far
+	neededWeight    float64 // weight of a complete answer
+	reachableWeight float64 // weight that can still be reached
+
+	extraAttempts   int                 // retries and hedged attempts
+	lostConnections int                 // connections dropped under its requests once begun
+	restriction     *ReplicaRestriction // nil where it may use any replica
 
 	deadlineTimer, objectiveTimer uint64
 }
 
-// shardRequest is one shardRequest of a search's present step.
+// shardRequest is the part of a search's present step that one shard answers.
 type shardRequest struct {
 	id        uint64
 	search    *search
 	shard     int
-	weight    float64
-	queued    bool // waits for a slot
+	weight    float64 // share of the complete answer
+	queued    bool    // it waits for a slot and a replica
 	completed bool
-	lost      bool
+	lost      bool // its answer cannot come, or is not wanted, any more
 	attempts  []*attempt
 
-	firstAttempt  attempt // room for the first sub-request, and for tries to name it
+	// Room for the first attempt and the list that names it, so that they need no allocation of their own.
+	firstAttempt  attempt
 	attemptBuffer [1]*attempt
 }
 
-// newRequest gives room for one more newRequest.
+// attempt is one sending of a shard request to a replica.
+type attempt struct {
+	request    *shardRequest
+	replica    *replica
+	index      int // among the attempts of its request
+	sentAt     int64
+	batch      *batch
+	holdsSlot  bool // it is in flight
+	ended      bool // its outcome is known
+	mayHaveRun bool
+	counted    bool // in flight and not silent, as inflightCounter has it
+	hedgeTimer uint64
+	ownBatch   batch // room for a batch that it begins
+}
+
+// searchTable holds the open searches and the attempts whose outcomes are awaited.
+type searchTable struct {
+	byID     map[uint64]*search
+	byNumber map[uint64]*search
+	attempts map[uint64]*attempt // by attemptKey
+}
+
+func newSearchTable() searchTable {
+	return searchTable{byID: map[uint64]*search{}, byNumber: map[uint64]*search{}, attempts: map[uint64]*attempt{}}
+}
+
+func (t *searchTable) add(s *search) { t.byID[s.id], t.byNumber[s.number] = s, s }
+
+func (t *searchTable) remove(s *search) {
+	delete(t.byID, s.id)
+	delete(t.byNumber, s.number)
+}
+
+// attemptKey is the key of an attempt: a request has fewer than 256.
+func attemptKey(request uint64, index int) uint64 { return request<<8 | uint64(index) }
+
+// newRequest returns room for one more request.
 func (s *search) newRequest() *shardRequest {
 	if len(s.requestBuffer) == cap(s.requestBuffer) {
 		s.requestBuffer = make([]shardRequest, 0, max(1, cap(s.requestBuffer)))
@@ -59,93 +108,107 @@
 	return &s.requestBuffer[len(s.requestBuffer)-1]
 }
 
-// addRequest takes a part in. Shares are told as rounded decimals: with the last one they are made to addRequest up to one again.
-// Guards against a whole answer that is never seen as whole: what rounding leaves grows with the parts.
-func (s *search) addRequest(p *shardRequest) {
-	s.requests = append(s.requests, p)
-	s.reachableWeight += p.weight
-	if n := len(s.requests); n == s.requestCount && math.Abs(s.reachableWeight-1) <= float64(n)*weightRounding {
-		for _, p := range s.requests {
-			p.weight /= s.reachableWeight
+// addRequest adds a request. Weights are rounded decimals: with the last request they are made to add up to 1 again, or an
+// answer with all of them would not be seen as complete, since what rounding leaves grows with their number.
+func (s *search) addRequest(request *shardRequest) {
+	s.requests = append(s.requests, request)
+	s.reachableWeight += request.weight
+	count := len(s.requests)
+	if count == s.requestCount && math.Abs(s.reachableWeight-1) <= float64(count)*weightRounding {
+		for _, r := range s.requests {
+			r.weight /= s.reachableWeight
 		}
 		s.reachableWeight = 1
 	}
 }
 
-// newAttempt gives room for one more sub-request.
-func (p *shardRequest) newAttempt() *attempt {
-	if len(p.attempts) > 0 {
+// beginSecondStep starts the step whose requests the protocol derives from the answer to the first. It needs all of them.
+func (s *search) beginSecondStep() {
+	s.step, s.requests, s.extraAttempts = 2, nil, 0
+	s.completedWeight, s.reachableWeight, s.neededWeight = 0, 0, 1
+}
+
+// isComplete tells whether the answers so far make a complete answer.
+func (s *search) isComplete() bool { return s.completedWeight >= s.neededWeight-weightRounding }
+
+// isShort tells whether a weight is too little for a complete answer.
+func (s *search) isShort(weight float64) bool { return weight < s.neededWeight-weightTolerance }
+
+// canSpareRequests tells whether a complete answer needs fewer requests than can still be answered.
+func (s *search) canSpareRequests() bool { return s.neededWeight < s.reachableWeight-weightTolerance }
+
+func (s *search) isInFlight() bool {
+	return slices.ContainsFunc(s.requests, (*shardRequest).isInFlight)
+}
+
+// isRepeatable tells whether the client may send the search again without harm: it is idempotent, or nothing of it ran.
+func (s *search) isRepeatable() bool {
+	return s.effect == effectRetryable || s.step == 1 && !slices.ContainsFunc(s.requests, (*shardRequest).mayHaveRun)
+}
+
+// newAttempt returns room for one more attempt.
+func (r *shardRequest) newAttempt() *attempt {
+	if len(r.attempts) > 0 {
 		return &attempt{}
 	}
-	p.attempts = p.attemptBuffer[:0]
-	return &p.firstAttempt
+	r.attempts = r.attemptBuffer[:0]
+	return &r.firstAttempt
 }
 
-func (p *shardRequest) isInFlight() bool {
-	return slices.ContainsFunc(p.attempts, func(t *attempt) bool { return !t.ended })
-}
+// isOpen tells whether its answer is still wanted.
+func (r *shardRequest) isOpen() bool { return !r.search.ended && !r.completed && !r.lost }
 
-// mayHaveRun tells whether a sub-request of the part may have run.
-func (p *shardRequest) mayHaveRun() bool {
-	return slices.ContainsFunc(p.attempts, func(t *attempt) bool { return t.mayHaveRun || !t.ended })
+func (r *shardRequest) isInFlight() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
 }
 
-func (s *search) isInFlight() bool {
-	return slices.ContainsFunc(s.requests, (*shardRequest).isInFlight)
+// mayHaveRun tells whether an attempt of the request may have run.
+func (r *shardRequest) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun || !a.ended })
 }
 
-// attempt is one sub-request.
-type attempt struct {
-	request    *shardRequest
-	replica    *replica
-	index      int
-	sentAt     int64
-	batch      *batch
-	holdsSlot  bool // holds its slot
-	ended      bool // its outcome is known
-	mayHaveRun bool // it may have run
-	counted    bool // out, and not for longer than the silence that was last asked for
-	hedgeTimer uint64
-	ownBatch   batch // room for c
+// wasSentTo tells whether a replica has got an attempt of the request.
+func (r *shardRequest) wasSentTo(target *replica) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.replica == target })
 }
 
 func (b *balancer) AddShardRequest(id, number uint64, shard int, weight float64) {
-	b.recordForBudget(&b.taken)
-	s := b.numbers[number]
+	b.recordRequest()
+	s := b.searches.byNumber[number]
 	if s == nil || s.ended {
 		return
 	}
-	p := s.newRequest()
-	p.id, p.search, p.shard, p.weight = id, s, shard, weight
-	s.addRequest(p)
+	request := s.newRequest()
+	request.id, request.search, request.shard, request.weight = id, s, shard, weight
+	s.addRequest(request)
 	if s.step == 2 {
-		b.enqueueRequest(p) // the second step was let in with the first
+		b.enqueueRequest(request) // the second step was admitted with the first
 	}
 }
 
-// cancelStep calls off what is out of the present step.
-func (b *balancer) cancelStep(s *search) {
-	for _, p := range s.requests {
-		for _, t := range p.attempts {
-			b.cancelAttempt(t)
-		}
-		p.lost = true
+// CancelSearch ends a search whose client has left, and remembers it in case the client comes again.
+func (b *balancer) CancelSearch(id uint64) {
+	if s := b.searches.byID[id]; s != nil {
+		b.clients.recordWithdrawn(s, b.now)
+		b.endSearch(s)
 	}
 }
 
+// endSearch releases what a search holds. It must have its final answer, or be withdrawn.
 func (b *balancer) endSearch(s *search) {
 	s.ended, s.requestBuffer = true, nil
 	b.cancelTimer(s.deadlineTimer)
 	b.cancelTimer(s.objectiveTimer)
 	b.cancelStep(s)
-	delete(b.held, s.id)
-	delete(b.numbers, s.number)
+	b.searches.remove(s)
 }
 
-func (b *balancer) CancelSearch(id uint64) {
-	if s := b.held[id]; s != nil {
-		b.left = slices.DeleteFunc(b.left, func(l withdrawnSearch) bool { return b.now-l.withdrawnAt > withdrawnSearchTTL })
-		b.left = append(b.left, withdrawnSearch{s.queryType, s.tenant, s.requestCount, s.clientStart, s.arrivedAt, b.now})
-		b.endSearch(s)
+// cancelStep cancels what is in flight of the present step.
+func (b *balancer) cancelStep(s *search) {
+	for _, request := range s.requests {
+		for _, a := range request.attempts {
+			b.cancelAttempt(a)
+		}
+		request.lost = true
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,72 +6,82 @@
 	"strings"
 )
 
-func (b *balancer) maxAttempts() int {
-	return int(b.settings.optionalNumber("Permissions.MaxAttempts", 1))
-}
+// Units of time: the package counts in tenths of a millisecond.
+const (
+	millisecond = 10
+	second      = 1_000 * millisecond
+)
 
-// settings holds what the site told at start, by name. A fact that is needed and missing, or any fact that
-// cannot be read, panics with its name; the protocol reports that and drops the instance.
+// settings holds the settings by name and caches what has been parsed. A required setting that is missing, and any
+// setting that cannot be parsed, panics with its name; the protocol reports that and drops the balancer.
 type settings struct {
 	values map[string]string
-	parsed map[string]float64 // numbers read before
+	parsed map[string]float64
 
-	fieldNames  map[settingKey]string // of facts of query types and tenants
+	fieldNames  map[settingKey]string // full names of the fields of query types and tenants
 	listNumbers map[settingKey]float64
 }
 
-// settingKey names a fact of a query type or tenant, or a settingKey in a list.
+// settingKey names a field of a query type or tenant, or an item of a list of numbers.
 type settingKey struct {
 	list  string
 	index int
 	field string
 }
 
-func newSettings(text map[string]string) settings {
-	return settings{text, map[string]float64{}, map[settingKey]string{}, map[settingKey]float64{}}
+func newSettings(values map[string]string) settings {
+	return settings{
+		values:      values,
+		parsed:      map[string]float64{},
+		fieldNames:  map[settingKey]string{},
+		listNumbers: map[settingKey]float64{},
+	}
 }
 
-func (f settings) parse(name, text string) float64 {
-	if v, ok := f.parsed[name]; ok {
-		return v
+func (s settings) parse(name, text string) float64 {
+	if value, ok := s.parsed[name]; ok {
+		return value
 	}
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || v != v {
+	value, err := strconv.ParseFloat(text, 64)
+	isNaN := value != value
+	if err != nil || isNaN {
 		panic(fmt.Sprintf("setting %s: %q is no number", name, text))
 	}
-	f.parsed[name] = v
-	return v
+	s.parsed[name] = value
+	return value
 }
 
-// number reads a number that is needed.
-func (f settings) number(name string) float64 {
-	if v, ok := f.parsed[name]; ok {
-		return v
+// number returns a required number.
+func (s settings) number(name string) float64 {
+	if value, ok := s.parsed[name]; ok {
+		return value
 	}
-	text, ok := f.values[name]
+	text, ok := s.values[name]
 	if !ok {
 		panic("setting " + name + " is missing")
 	}
-	return f.parse(name, text)
+	return s.parse(name, text)
 }
 
-// optionalNumber reads a number that may be missing.
-func (f settings) optionalNumber(name string, missing float64) float64 {
-	if v, ok := f.parsed[name]; ok {
-		return v
+// optionalNumber returns a number, or a default where it is missing.
+func (s settings) optionalNumber(name string, missing float64) float64 {
+	if value, ok := s.parsed[name]; ok {
+		return value
 	}
-	if text, ok := f.values[name]; ok {
-		return f.parse(name, text)
+	if text, ok := s.values[name]; ok {
+		return s.parse(name, text)
 	}
 	return missing
 }
 
-// duration reads a time, told in milliseconds, as tenths.
-func (f settings) duration(name string) int64 { return int64(f.optionalNumber(name, 0) * 10) }
+// duration returns a time, given in milliseconds, in tenths of a millisecond; 0 where it is missing.
+func (s settings) duration(name string) int64 {
+	return int64(s.optionalNumber(name, 0) * millisecond)
+}
 
-// isEnabled reads a switch that may be missing: off then.
-func (f settings) isEnabled(name string) bool {
-	switch text := f.values[name]; text {
+// isEnabled returns a switch; a missing one is off.
+func (s settings) isEnabled(name string) bool {
+	switch text := s.values[name]; text {
 	case "true", "1":
 		return true
 	case "false", "0", "":
@@ -81,31 +91,45 @@
 	}
 }
 
-// listNumber reads a place in a list of numbers; the list may be missing.
-func (f settings) listNumber(name string, i int, missing float64) float64 {
-	if v, ok := f.listNumbers[settingKey{name, i, ""}]; ok {
-		return v
+// listNumber returns an item of a comma-separated list of numbers, or a default where the list is missing.
+func (s settings) listNumber(name string, index int, missing float64) float64 {
+	key := settingKey{list: name, index: index}
+	if value, ok := s.listNumbers[key]; ok {
+		return value
 	}
-	text, ok := f.values[name]
+	text, ok := s.values[name]
 	if !ok {
 		return missing
 	}
 	items := strings.Split(text, ",")
-	if i >= len(items) {
-		panic(fmt.Sprintf("setting %s has no place %d", name, i))
+	if index >= len(items) {
+		panic(fmt.Sprintf("setting %s has no place %d", name, index))
 	}
-	v := f.parse(name+","+strconv.Itoa(i), items[i])
-	f.listNumbers[settingKey{name, i, ""}] = v
-	return v
+	value := s.parse(name+","+strconv.Itoa(index), items[index])
+	s.listNumbers[key] = value
+	return value
 }
 
-// fieldName names a fact fieldName a query type or tenant.
-func (f settings) fieldName(list string, i int, field string) string {
-	at := settingKey{list, i, field}
-	name, ok := f.fieldNames[at]
+// fieldName returns the full name of a field of a query type or tenant.
+func (s settings) fieldName(list string, index int, field string) string {
+	key := settingKey{list, index, field}
+	name, ok := s.fieldNames[key]
 	if !ok {
-		name = list + "." + strconv.Itoa(i) + "." + field
-		f.fieldNames[at] = name
+		name = list + "." + strconv.Itoa(index) + "." + field
+		s.fieldNames[key] = name
 	}
 	return name
 }
+
+// queryTypeDuration returns a duration among the settings of a query type.
+func (s settings) queryTypeDuration(queryType int, field string) int64 {
+	return s.duration(s.fieldName(listQueryTypes, queryType, field))
+}
+
+func (s settings) maxAttempts() int { return int(s.optionalNumber(settingMaxAttempts, 1)) }
+
+// allowsHedging tells whether two attempts of a shard request may run at once.
+func (s settings) allowsHedging() bool { return s.isEnabled(settingHedging) }
+
+// allowsCancelling tells whether an attempt may be cancelled.
+func (s settings) allowsCancelling() bool { return s.isEnabled(settingCancelling) }
--- a/balancer/tenant_quota.go
+++ b/balancer/tenant_quota.go
@@ -1,27 +1,37 @@
 package balancer
 
-const (
-	quotaBurst = 20_000 // of a tenant's rate that may come at once: bursts of a few seconds are within its share
-)
+// quotaBurst is how much of a tenant's rate may come at once, in tenths of a millisecond: a burst of 2 s is within the
+// quota.
+const quotaBurst = 2 * second
 
-// exceedsQuota takes one of a tenant's share, a bucket filled at this part of its rate; true where none was left.
-func (b *balancer) exceedsQuota(tenant int) bool {
-	quota := b.settings.optionalNumber(b.settings.fieldName("Tenants", tenant, "QuotaPerS"), 0) / b.settings.number("Balancers") / 10_000
-	if tenant >= len(b.tenants) || quota == 0 {
-		return false
-	}
-	bucket := &b.tenants[tenant]
-	bucket.tokens = min(bucket.tokens+quota*float64(b.now-bucket.updatedAt), 1+quota*quotaBurst)
-	bucket.updatedAt = b.now
-	if bucket.tokens < 1 {
-		return true
-	}
-	bucket.tokens--
-	return false
-}
+// tenantQuotas holds a token bucket for each tenant.
+type tenantQuotas []tokenBucket
 
-// tokenBucket is what a tenant has left of its share.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt int64
 }
+
+// take takes a token from a bucket that fills with rate tokens per tenth of a millisecond, and tells whether there was
+// one.
+func (t *tokenBucket) take(now int64, rate float64) bool {
+	t.tokens = min(t.tokens+rate*float64(now-t.updatedAt), 1+rate*quotaBurst)
+	t.updatedAt = now
+	if t.tokens < 1 {
+		return false
+	}
+	t.tokens--
+	return true
+}
+
+// exceedsQuota charges a search to its tenant and tells whether it goes beyond this coordinator's part of the tenant's
+// quota. Tenants without a quota never do. What goes beyond is shed first, and only while searches wait: a heavy tenant
+// must not take the capacity of the others, but may use what nobody else needs.
+func (b *balancer) exceedsQuota(tenant int) bool {
+	perSecond := b.settings.optionalNumber(b.settings.fieldName(listTenants, tenant, fieldQuota), 0)
+	rate := perSecond / b.settings.number(settingBalancers) / second
+	if tenant >= len(b.quotas) || rate == 0 {
+		return false
+	}
+	return !b.quotas[tenant].take(b.now, rate)
+}
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -1,44 +1,60 @@
 package balancer
 
-// timerCallback is what a wake leaves behind: a step that goes on then.
+// timerCallback is what runs when a timer fires.
 type timerCallback interface{ run(b *balancer) }
 
 type timerFunc func()
 
-func (do timerFunc) run(*balancer) { do() }
+func (f timerFunc) run(*balancer) { f() }
 
-// The steps of searches and sub-requests are what they wait with: a wake of theirs needs no room of its own.
+// Searches and attempts are their own callbacks, one type for each kind of timer: setting one allocates nothing.
 type (
 	deadlineCallback  search
 	objectiveCallback search
 	hedgeCallback     attempt
 )
 
-func (s *deadlineCallback) run(b *balancer) { b.fail((*search)(s)) }
-
+func (s *deadlineCallback) run(b *balancer)  { b.fail((*search)(s)) }
 func (s *objectiveCallback) run(b *balancer) { b.objectiveReached((*search)(s)) }
+func (a *hedgeCallback) run(b *balancer)     { b.hedgeAttempt((*attempt)(a)) }
+
+// timerTable holds the callbacks of the timers that are set, by label.
+type timerTable struct {
+	callbacks map[uint64]timerCallback
+	lastLabel uint64
+}
 
-func (t *hedgeCallback) run(b *balancer) { b.hedgeAttempt((*attempt)(t)) }
+func (t *timerTable) add(callback timerCallback) (label uint64) {
+	t.lastLabel++
+	t.callbacks[t.lastLabel] = callback
+	return t.lastLabel
+}
+
+// remove returns the callback of a timer, nil where it is not set any more.
+func (t *timerTable) remove(label uint64) timerCallback {
+	callback := t.callbacks[label]
+	if callback != nil {
+		delete(t.callbacks, label)
+	}
+	return callback
+}
 
-func (b *balancer) setTimer(wait int64, do timerCallback) uint64 {
-	b.label++
-	b.wakes[b.label] = do
-	b.actions.SetTimer(max(wait, 1), b.label)
-	return b.label
+func (b *balancer) setTimer(wait int64, callback timerCallback) (label uint64) {
+	label = b.timers.add(callback)
+	b.actions.SetTimer(max(wait, 1), label)
+	return label
 }
 
-// cancelTimer takes a wake back. Guards against memory that follows rate times client timeout: a wake holds its
-// search with all values that are in.
+// cancelTimer cancels a timer that may have fired already. A timer holds its search with all values that have arrived:
+// without cancelling, memory would grow with the request rate times the client timeout.
 func (b *balancer) cancelTimer(label uint64) {
-	if b.wakes[label] != nil {
-		delete(b.wakes, label)
+	if b.timers.remove(label) != nil {
 		b.actions.CancelTimer(label)
 	}
 }
 
 func (b *balancer) HandleTimer(label uint64) {
-	if do := b.wakes[label]; do != nil {
-		delete(b.wakes, label)
-		do.run(b)
+	if callback := b.timers.remove(label); callback != nil {
+		callback.run(b)
 	}
 }
--- a/balancer/zone_latency.go
+++ b/balancer/zone_latency.go
@@ -1,36 +1,35 @@
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
-const (
-	zoneDegradedRatio = 1.6 // answer time of a zone over the quickest's that makes its way slow: load seldom does
-)
+// zoneDegradedRatio is the latency of a zone over the quickest zone's from which it is degraded: load seldom makes as much.
+const zoneDegradedRatio = 1.6
 
-// isZoneDegraded guards against a slow or lossy way to a zone, or a zone slow as a whole: its answers take far longer
-// than the quickest zone's. One replica shows too little, and it is not its fault: such replicas are no
-// suspects, they come after the others. Harm: a zone slow from own load alone is spared by crossing.
+// zoneLatency is what answers from a zone have shown: logarithms of answer times, hedged attempts counted by their age.
+type zoneLatency struct {
+	latency   decayingSum
+	gossiped  gossipedLatency
+	nextTrial int64 // when a request that can be spared may go there again, while it is degraded
+}
+
+// isZoneDegraded tells whether a zone's answers take far longer than the quickest zone's: the network to it is slow or
+// loses packets, or the zone is slow as a whole. A single replica shows too little of that, and it is not its fault: the
+// replicas of such a zone are no outliers, but come after the others. Where a zone is slow from its own load alone, this
+// sends its load across zones.
 func (b *balancer) isZoneDegraded(zone int) bool {
-	if len(b.ways) < 2 {
+	if len(b.zones) < 2 {
 		return false
 	}
-	own, least := 0.0, math.Inf(1)
-	b.fleetLatency()
-	for i := range b.ways {
-		n, total := b.ways[i].latency.read(b.now, shortWindow)
-		more, slower := b.gossipedSum(b.ways[i].gossiped, shortWindow, n)
-		mean := (total + slower + (more+priorWeight)*b.usualLog) / (n + more + priorWeight)
-		if least = min(least, mean); i == zone {
-			own = mean
+	ofZone, quickest := 0.0, math.Inf(1)
+	logFleet := b.latency.logFleetLatency(b.now)
+	for i := range b.zones {
+		count, total := b.zones[i].latency.read(b.now, shortWindow)
+		gossiped, excess := b.zones[i].gossiped.contribution(b.now, shortWindow, count)
+		mean := (total + excess + (gossiped+priorWeight)*logFleet) / (count + gossiped + priorWeight)
+		quickest = min(quickest, mean)
+		if i == zone {
+			ofZone = mean
 		}
 	}
-	return own-least > math.Log(zoneDegradedRatio)
-}
-
-// zoneLatency is what own answers show of a zone.
-type zoneLatency struct {
-	latency   decayingSum // logarithms of answer times
-	gossiped  gossipedLatency
-	nextTrial int64
+	return ofZone-quickest > math.Log(zoneDegradedRatio)
 }
