--- /dev/null
+++ b/control/residency/compiled_policy.go
@@ -0,0 +1,121 @@
+package residency
+
+import (
+	"maps"
+	"slices"
+)
+
+// CompiledPolicy is what is in force: the compiled policies of a PolicyRegistry with the end of a lease. It never
+// changes, so it may be shared between goroutines. Its look-ups neither wait nor allocate.
+type CompiledPolicy struct {
+	Generation          uint64 // the newest known one
+	LeaseDuration       int64
+	MaxClockSkew        int64
+	HostHoldDown        int64
+	EnforcementDeadline int64 // wall time; 0 for none
+	LeaseExpiry         int64 // wall time; math.MaxInt64 where no lease is needed
+	Incomplete          bool  // a required policy is not known here
+
+	tables      []*policyTable
+	zoneIndexes map[string]int
+}
+
+// DenyAll returns what is in force while no policy is known: no shard request runs anywhere.
+func DenyAll() *CompiledPolicy {
+	zoneIndexes := map[string]int{}
+	table := compilePolicy(&Policy{DenyByDefault: true}, zoneIndexes)
+	return &CompiledPolicy{LeaseExpiry: never, LeaseDuration: maxLeaseDuration, zoneIndexes: zoneIndexes, tables: []*policyTable{table}}
+}
+
+// WithLeaseExpiry returns the same policy with another end of the lease.
+func (p *CompiledPolicy) WithLeaseExpiry(leaseExpiry int64) *CompiledPolicy {
+	renewed := *p
+	renewed.LeaseExpiry = leaseExpiry
+	return &renewed
+}
+
+// DiffersOnlyInLease reports whether other, which may be nil, is the same policy but for the end of its lease.
+func (p *CompiledPolicy) DiffersOnlyInLease(other *CompiledPolicy) bool {
+	return other != nil && p.Incomplete == other.Incomplete && len(p.tables) == len(other.tables) && &p.tables[0] == &other.tables[0]
+}
+
+// RuleFor returns what holds for a search of a tenant's class at a time: the strictest rule of all contracts that
+// apply. With a block number the contracts on that block apply too, with -1 none of them.
+func (p *CompiledPolicy) RuleFor(now int64, tenant, class string, block int) Rule {
+	rule := p.tables[0].ruleFor(now, tenant, class, block)
+	for _, table := range p.tables[1:] {
+		rule = rule.strictest(table.ruleFor(now, tenant, class, block))
+	}
+	if rule.Restricted && (p.Incomplete || now >= p.LeaseExpiry) && !rule.KeepOnLeaseExpiry {
+		rule.Zones, rule.LeaseExpired = ZoneSet{}, true
+	}
+	return rule
+}
+
+// IsUnrestricted reports whether a search of a tenant's class may run anywhere, on any block.
+func (p *CompiledPolicy) IsUnrestricted(now int64, tenant, class string) bool {
+	for _, table := range p.tables {
+		if len(table.blocks) > 0 {
+			return false
+		}
+	}
+	return !p.RuleFor(now, tenant, class, -1).Restricted
+}
+
+// ZoneIndex returns the index of a zone in a ZoneSet, -1 for a zone that no contract names and that no restricted
+// search may run in.
+func (p *CompiledPolicy) ZoneIndex(name string) int {
+	if index, known := p.zoneIndexes[name]; known {
+		return index
+	}
+	return -1
+}
+
+// AllowsTenantData reports whether the stored data of a tenant's searches (names, predicates, entries) may be in a zone:
+// written there, or sent to an instance in it. The contracts on all classes of the tenant apply. Counts and digests are
+// not such data.
+func (p *CompiledPolicy) AllowsTenantData(now int64, tenant, zone string) bool {
+	index := p.ZoneIndex(zone)
+	rule := p.RuleFor(now, tenant, "", -1)
+	if !rule.AllowsZone(index) {
+		return false
+	}
+	for _, table := range p.tables {
+		contracts := table.tenants[tenant]
+		if contracts == nil {
+			continue
+		}
+		for class := range contracts.byClass {
+			if rule = p.RuleFor(now, tenant, class, -1); !rule.AllowsZone(index) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// NextChangeAt returns the next time at which the rules change by themselves: a contract begins or ends, or the lease
+// expires. It is math.MaxInt64 where there is none.
+func (p *CompiledPolicy) NextChangeAt(now int64) int64 {
+	next := int64(never)
+	if p.LeaseExpiry > now {
+		next = p.LeaseExpiry
+	}
+	for _, table := range p.tables {
+		if i, _ := slices.BinarySearch(table.changeTimes, now+1); i < len(table.changeTimes) {
+			next = min(next, table.changeTimes[i])
+		}
+	}
+	return next
+}
+
+// Tenants returns the tenants that some contract names, sorted.
+func (p *CompiledPolicy) Tenants() []string {
+	tenants := map[string]bool{}
+	for _, table := range p.tables {
+		for name := range table.tenants {
+			tenants[name] = true
+		}
+	}
+	return slices.Sorted(maps.Keys(tenants))
+}
--- a/control/residency/golden_test.go
+++ b/control/residency/golden_test.go
@@ -19,15 +19,15 @@
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
 	require.True(t, IsPolicyFile(text))
-	p, err := ParsePolicy("every_key.yaml", text, site)
+	p, err := ParsePolicy("every_key.yaml", text, testSite)
 	require.NoError(t, err)
-	p.doc = nil
+	p.document = nil
 	require.Equal(t, &Policy{
-		Source: "every_key.yaml", Generation: 12, CompanionGeneration: 11, EnforcementDeadline: wall("2026-12-01T12:00:00Z"), DenyByDefault: true, LeaseDuration: 60_000,
+		Source: "every_key.yaml", Generation: 12, CompanionGeneration: 11, EnforcementDeadline: wallTime("2026-12-01T12:00:00Z"), DenyByDefault: true, LeaseDuration: 60_000,
 		MaxClockSkew: 4000, HostHoldDown: 5_400_000, Text: text, Contracts: []Contract{
 			{
-				Tenant: "acme", Class: "lookup", Block: -1, Zones: []string{"eu-1", "eu-2"}, From: wall("2026-06-30T22:00:00Z"),
-				Until: wall("2027-06-30T22:00:00Z"), AllowPartial: true, KeepOnLeaseExpiry: true, DefaultAfterEnd: true,
+				Tenant: "acme", Class: "lookup", Block: -1, Zones: []string{"eu-1", "eu-2"}, From: wallTime("2026-06-30T22:00:00Z"),
+				Until: wallTime("2027-06-30T22:00:00Z"), AllowPartial: true, KeepOnLeaseExpiry: true, DefaultAfterEnd: true,
 			},
 			{Block: 3, Zones: []string{"us-1"}, From: math.MinInt64, Until: never},
 		},
@@ -35,9 +35,9 @@
 
 	text, err = os.ReadFile(filepath.Join("testdata", "fewest_keys.yaml"))
 	require.NoError(t, err)
-	p, err = ParsePolicy("fewest_keys.yaml", text, site)
+	p, err = ParsePolicy("fewest_keys.yaml", text, testSite)
 	require.NoError(t, err)
-	p.doc = nil
+	p.document = nil
 	require.Equal(t, &Policy{Source: "fewest_keys.yaml", Generation: 1, LeaseDuration: 50_000, MaxClockSkew: 5000, HostHoldDown: 6_000_000, Text: text}, p)
 }
 
@@ -70,7 +70,7 @@
 		{"clocks:", "clock:"},
 	} {
 		require.Contains(t, string(text), change[0])
-		_, err := ParsePolicy("policy.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)), site)
+		_, err := ParsePolicy("policy.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)), testSite)
 		require.Error(t, err, change[1])
 		fmt.Fprintf(&all, "%s -> %s\n  %s\n", change[0], change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
@@ -79,7 +79,7 @@
 		"contracts:\n- {tenant: acme, zones: [eu-1], until: 2027-01-01T00:00:00Z}\n- {tenant: acme, zones: [eu-2], from: 2027-01-02T00:00:00Z}",
 		"contracts:\n- {block: 1, tenant: acme, zones: [eu-1]}", "contracts:\n- {zones: [eu-1]}",
 	} {
-		_, err := ParsePolicy("policy.yaml", []byte(head+more), site)
+		_, err := ParsePolicy("policy.yaml", []byte(policyHeader+more), testSite)
 		require.Error(t, err)
 		fmt.Fprintf(&all, "%s\n  %s\n", more, strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
--- a/control/residency/lease.go
+++ b/control/residency/lease.go
@@ -3,159 +3,190 @@
 import "slices"
 
 const (
-	roundsMost = 8  // rounds that answers are awaited for: a lease holds some three
-	roundsEach = 3  // rounds in a lease: two may fail
-	allMost    = 32 // listed instances up to which all are asked; of more, half and a quarter: some are away
+	maxPendingRounds = 8 // rounds whose acknowledgements still count: a lease holds some three
+	roundsPerLease   = 3 // two may fail
+
+	// fullRoundPeers is the number of other members up to which a round asks all of them. Of more it asks a quorum and
+	// a quarter, since some do not answer.
+	fullRoundPeers = 32
 )
 
-// Lease tells until when this instance knows that no newer policy is in force without it. It asks the listed instances
-// in rounds which generation they have; a round in which more than half of them, itself counted, tell none above its own
-// renews the lease from the moment at which it asked. So a generation that more than half have is known to every
-// instance whose lease began later: a tightening is in force everywhere one lease after that. Answers count whose clock
-// is near this one's. Those that have started and not yet learned (they may have forgotten) do not count, but where all
-// listed answer. It is one goroutine's; times are of the wall's clock as this instance counts it on.
+// Lease tells until when this instance is certain that no newer policy is in force without it.
+//
+// The instance asks the other members in rounds which generation they have. A round in which a quorum, itself counted,
+// names no generation above its own renews the lease from the moment at which the round began. So a generation that a
+// quorum has is known to every instance whose lease began later: a stricter policy is in force everywhere one lease
+// after a quorum has it.
+//
+// Acknowledgements count if the clock of their sender is near this one's. Members that have started and not yet learned
+// what the others know may have forgotten a generation: they have no vote, unless all members acknowledge. A Lease is
+// not safe for concurrent use. Its times are wall times as this instance counts them on.
 type Lease struct {
-	me     string
-	listed []string
-	rounds []round
-	nonce  uint64
-	place  int // among the others, where the next round begins
-	until  int64
-	ahead  uint64          // the newest generation that was heard of
-	agreed uint64          // the newest that more than half have
-	apart  map[string]bool // whose last answer had a clock that is apart
-	sure   bool            // what this instance had known survives its end, or it has learned: its own answers count
+	self    string
+	members []string // sorted, each once
+	isVoter bool     // what this instance knew has survived its restart, or it has learned it anew
+
+	rounds    []leaseRound
+	lastNonce uint64
+	nextPeer  int // among the other members, where the next round begins
+
+	expiresAt             int64
+	highestSeenGeneration uint64
+	majorityGeneration    uint64
+	skewedClocks          map[string]bool // members whose last acknowledgement had a clock that differs too much
 }
 
-type round struct {
-	nonce    uint64
-	at       int64
-	sound    bool   // no answer named a generation above its own
-	heard    []bool // by place among the listed
-	voices   int
-	learners int
-	own      uint64 // this instance's generation
-	level    int    // voices that have it
+// leaseRound is one round of questions to other members.
+type leaseRound struct {
+	nonce         uint64
+	startedAt     int64
+	superseded    bool   // a member has named a newer generation
+	acknowledged  []bool // by index among the members
+	votes         int
+	nonVoters     int    // acknowledgements without a vote
+	ownGeneration uint64 // of this instance, at the last acknowledgement
+	sameAsOwn     int    // votes that name ownGeneration
 }
 
-// LeaseAcknowledgement is an answer to a round.
+// LeaseAcknowledgement is a member's answer to a round.
 type LeaseAcknowledgement struct {
 	From       string
-	Nonce      uint64
-	Generation uint64
-	WallTime   int64 // the answerer's clock
-	Voter      bool  // its word counts
+	Nonce      uint64 // of the round
+	Generation uint64 // newest one that the member has stored
+	WallTime   int64  // the member's clock
+	Voter      bool   // the member has a vote
 }
 
-// NewLease makes one for an instance of those that count. Kept tells that what it knew when it last ended is known now.
-func NewLease(me string, listed []string, kept bool) *Lease {
-	listed = slices.Clone(listed)
-	slices.Sort(listed)
-	return &Lease{me: me, listed: slices.Compact(listed), sure: kept}
+// NewLease returns an expired lease for one of the voting members. Stored says that all this instance knew when it last
+// ended is known now, which gives it a vote from the start.
+func NewLease(self string, members []string, stored bool) *Lease {
+	members = slices.Clone(members)
+	slices.Sort(members)
+	return &Lease{self: self, members: slices.Compact(members), isVoter: stored}
 }
 
-// QuorumSize is how many instances make more than half.
-func (l *Lease) QuorumSize() int { return len(l.listed)/2 + 1 }
+// QuorumSize returns how many members are more than half.
+func (l *Lease) QuorumSize() int { return len(l.members)/2 + 1 }
+
+// IsVoter reports whether this instance's own acknowledgements have a vote.
+func (l *Lease) IsVoter() bool { return l.isVoter }
+
+// HighestSeenGeneration returns the newest generation that any acknowledgement has named.
+func (l *Lease) HighestSeenGeneration() uint64 { return l.highestSeenGeneration }
 
-// IsVoter tells whether this instance's own answers count.
-func (l *Lease) IsVoter() bool { return l.sure }
+// MajorityGeneration returns the newest generation that a quorum is known to have. It is in force everywhere one lease
+// after this method first returns it.
+func (l *Lease) MajorityGeneration() uint64 { return l.majorityGeneration }
 
-// HighestSeenGeneration is the newest generation that any answer has named.
-func (l *Lease) HighestSeenGeneration() uint64 { return l.ahead }
+// CountSkewedClocks returns how many members' clocks differed too much from this instance's at their last
+// acknowledgement.
+func (l *Lease) CountSkewedClocks() int { return len(l.skewedClocks) }
 
-// CountSkewedClocks is how many instances' clocks are apart from this one's, by their last answers.
-func (l *Lease) CountSkewedClocks() int { return len(l.apart) }
+// ExpiresAt returns when the lease ends.
+func (l *Lease) ExpiresAt() int64 { return l.expiresAt }
 
-// ExpiresAt is when the lease ends.
-func (l *Lease) ExpiresAt() int64 { return l.until }
+// RenewalInterval returns how long to wait between two rounds.
+func RenewalInterval(leaseDuration int64) int64 { return max(1, leaseDuration/roundsPerLease) }
 
-// SelectPeers are those that the next round asks: each time the next ones, so that all are met.
+// SelectPeers returns the members that the next round asks. In a large fleet each call returns the next ones, so that
+// all are asked in time.
 func (l *Lease) SelectPeers() []string {
-	others := slices.DeleteFunc(slices.Clone(l.listed), func(name string) bool { return name == l.me })
-	if n := len(others); n > allMost {
-		most := min(n, l.QuorumSize()+l.QuorumSize()/4)
-		l.place = (l.place + most) % n
-		others = slices.Concat(others[l.place:], others[:l.place])[:most]
+	peers := slices.DeleteFunc(slices.Clone(l.members), func(name string) bool { return name == l.self })
+	if len(peers) <= fullRoundPeers {
+		return peers
 	}
-	return others
+	count := min(len(peers), l.QuorumSize()+l.QuorumSize()/4)
+	l.nextPeer = (l.nextPeer + count) % len(peers)
+	return slices.Concat(peers[l.nextPeer:], peers[:l.nextPeer])[:count]
 }
 
-// BeginRound begins a round and gives its number, to be sent with the question.
+// BeginRound begins a round and returns its nonce, which the questions to the peers carry.
 func (l *Lease) BeginRound(now int64) (nonce uint64) {
-	l.nonce++
-	if len(l.rounds) >= roundsMost {
+	l.lastNonce++
+	if len(l.rounds) >= maxPendingRounds {
 		l.rounds = l.rounds[1:]
 	}
-	l.rounds = append(l.rounds, round{nonce: l.nonce, at: now, sound: true, heard: make([]bool, len(l.listed))})
-	return l.nonce
+	l.rounds = append(l.rounds, leaseRound{nonce: l.lastNonce, startedAt: now, acknowledged: make([]bool, len(l.members))})
+	return l.lastNonce
 }
 
-// HandleAcknowledgement takes an answer, while own is the newest generation this instance enforces; one tells that nobody else has its
-// name, and answers under names that two claim are left out (package membership). True: the lease ends later than before.
-func (l *Lease) HandleAcknowledgement(now int64, v LeaseAcknowledgement, own uint64, span, slack int64, one bool) (renewed bool) {
-	l.ahead = max(l.ahead, v.Generation)
-	i := slices.IndexFunc(l.rounds, func(r round) bool { return r.nonce == v.Nonce })
-	who, known := slices.BinarySearch(l.listed, v.From)
-	if i < 0 || !known || v.From == l.me {
+// HandleAcknowledgement counts a member's answer and reports whether the lease now ends later than before.
+//
+// OwnGeneration is the newest generation that this instance enforces, and duration the lease's. UniqueName says that no
+// other instance claims this one's name; without it nothing is renewed. The caller leaves out acknowledgements under
+// names that two instances claim.
+func (l *Lease) HandleAcknowledgement(now int64, ack LeaseAcknowledgement, ownGeneration uint64, duration, maxClockSkew int64, uniqueName bool) (renewed bool) {
+	l.highestSeenGeneration = max(l.highestSeenGeneration, ack.Generation)
+	roundIndex := slices.IndexFunc(l.rounds, func(r leaseRound) bool { return r.nonce == ack.Nonce })
+	member, isMember := slices.BinarySearch(l.members, ack.From)
+	if roundIndex < 0 || !isMember || ack.From == l.self {
 		return false
 	}
-	r := &l.rounds[i]
-	if v.Generation > own {
-		r.sound = false // the question goes out again once that one is known
+	round := &l.rounds[roundIndex]
+	if ack.Generation > ownGeneration {
+		round.superseded = true // the caller begins another round once it knows that generation
 	}
-	if v.WallTime < r.at-slack || v.WallTime > now+slack { // guards against a clock that is apart: from and until mean nothing by it
-		if l.apart == nil {
-			l.apart = map[string]bool{}
-		}
-		l.apart[v.From] = true
+	// Contracts begin and end by each member's own clock: one that is off enforces other rules.
+	if ack.WallTime < round.startedAt-maxClockSkew || ack.WallTime > now+maxClockSkew {
+		l.recordSkewedClock(ack.From)
 		return false
 	}
-	if delete(l.apart, v.From); r.heard[who] {
+	delete(l.skewedClocks, ack.From)
+	if round.acknowledged[member] {
 		return false
 	}
-	r.heard[who] = true
-	if r.own != own {
-		r.own, r.level = own, 0
+	round.acknowledged[member] = true
+	round.count(ack, ownGeneration)
+	if l.isVoter && round.sameAsOwn+1 >= l.QuorumSize() {
+		l.majorityGeneration = max(l.majorityGeneration, ownGeneration)
 	}
-	if v.Voter {
-		if r.voices++; v.Generation == own {
-			r.level++
-		}
-	} else {
-		r.learners++
-	}
-	if l.sure && r.level+1 >= l.QuorumSize() {
-		l.agreed = max(l.agreed, own)
+	return l.renew(now, round, duration, uniqueName)
+}
+
+func (l *Lease) recordSkewedClock(member string) {
+	if l.skewedClocks == nil {
+		l.skewedClocks = map[string]bool{}
 	}
-	return l.settle(now, r, span, one)
+	l.skewedClocks[member] = true
 }
 
-// MajorityGeneration is the newest generation that more than half are known to have: one lease later it is in force everywhere.
-func (l *Lease) MajorityGeneration() uint64 { return l.agreed }
+func (r *leaseRound) count(ack LeaseAcknowledgement, ownGeneration uint64) {
+	if r.ownGeneration != ownGeneration {
+		r.ownGeneration, r.sameAsOwn = ownGeneration, 0
+	}
+	if !ack.Voter {
+		r.nonVoters++
+		return
+	}
+	r.votes++
+	if ack.Generation == ownGeneration {
+		r.sameAsOwn++
+	}
+}
 
-// RenewSoleMember renews the lease of an instance that is listed alone.
-func (l *Lease) RenewSoleMember(now, span int64) bool {
-	return len(l.listed) == 1 && l.listed[0] == l.me && l.settle(now, &round{at: now, sound: true}, span, true)
+// RenewSoleMember renews the lease of an instance that is the only member, and reports whether it is one.
+func (l *Lease) RenewSoleMember(now, duration int64) bool {
+	return len(l.members) == 1 && l.members[0] == l.self && l.renew(now, &leaseRound{startedAt: now}, duration, true)
 }
 
-func (l *Lease) settle(now int64, r *round, span int64, one bool) bool {
-	if !r.sound || !one || !slices.Contains(l.listed, l.me) {
+// renew extends the lease if the round allows it.
+func (l *Lease) renew(now int64, round *leaseRound, duration int64, uniqueName bool) bool {
+	if round.superseded || !uniqueName || !slices.Contains(l.members, l.self) {
 		return false
 	}
-	own := 0
-	if l.sure {
-		own = 1
+	votes := round.votes
+	if l.isVoter {
+		votes++
 	}
-	if r.voices+own < l.QuorumSize() && r.voices+r.learners+1 < len(l.listed) {
+	allAcknowledged := round.votes+round.nonVoters+1 >= len(l.members)
+	if votes < l.QuorumSize() && !allAcknowledged {
 		return false
 	}
-	l.sure = true // it knows what more than half know
-	if r.at+span <= l.until || r.at+span <= now {
+	l.isVoter = true // it knows what a quorum knows
+	expiresAt := round.startedAt + duration
+	if expiresAt <= l.expiresAt || expiresAt <= now {
 		return false
 	}
-	l.until = r.at + span
+	l.expiresAt = expiresAt
 	return true
 }
-
-// RenewalInterval is how long to wait between two rounds.
-func RenewalInterval(span int64) int64 { return max(1, span/roundsEach) }
--- /dev/null
+++ b/control/residency/lease_test.go
@@ -0,0 +1,38 @@
+package residency
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+const testLeaseDuration = 10 * second
+
+var threeMembers = []string{"a", "b", "c"}
+
+// acknowledge hands an answer to a's first round to its lease, while a enforces generation 1.
+func acknowledge(lease *Lease, now int64, ack LeaseAcknowledgement) bool {
+	ack.WallTime = now
+	return lease.HandleAcknowledgement(now, ack, 1, testLeaseDuration, second, true)
+}
+
+// A late acknowledgement says nothing about the time since its question.
+func TestLeaseCountsFromBeginOfRound(t *testing.T) {
+	lease := NewLease("a", threeMembers, true)
+	nonce := lease.BeginRound(second)
+	require.True(t, acknowledge(lease, 9*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, Voter: true}))
+	require.Equal(t, 11*second, int(lease.ExpiresAt()))
+	require.Equal(t, uint64(1), lease.MajorityGeneration())
+}
+
+// A member that may have forgotten a generation has no vote, unless all members acknowledge.
+func TestMemberThatForgotNeedsAllAcknowledgements(t *testing.T) {
+	lease := NewLease("a", threeMembers, false)
+	nonce := lease.BeginRound(second)
+	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, Voter: true}))
+	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, Voter: true}), "it came twice")
+	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "x", Nonce: nonce, Generation: 1, Voter: true}), "no member")
+	require.True(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "c", Nonce: nonce, Generation: 1}), "all have acknowledged")
+	require.False(t, acknowledge(lease, 3*second, LeaseAcknowledgement{From: "b", Nonce: lease.BeginRound(3 * second), Generation: 2, Voter: true}), "a newer generation is known")
+	require.Equal(t, uint64(2), lease.HighestSeenGeneration())
+}
