--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -126,7 +126,7 @@
 // load takes what was kept, and tells whether that is all that this instance knew.
 func (c *contracts) load() bool {
 	unread := func(err error) bool {
-		c.s.log.Warn("residency_unread", advice.LogAttrs(&residency.PoliciesUnreadableError{Err: err})...)
+		c.s.log.Warn("residency_policies_unreadable", advice.LogAttrs(&residency.PoliciesUnreadableError{Err: err})...)
 		return false
 	}
 	select {
@@ -163,12 +163,12 @@
 	before := c.book.NewestGeneration()
 	changed, err := c.book.AddPolicy(p)
 	if err != nil {
-		c.s.log.Warn("residency_policy_refused", advice.LogAttrs(err, "held", changed)...)
+		c.s.log.Warn("residency_policy_rejected", advice.LogAttrs(err, "added", changed)...)
 	}
 	if changed {
 		c.sum = sumOfPolicies(c.book.Policies())
-		c.s.log.Info("residency_policy", "source", p.Source, "generation", p.Generation, "beside", p.CompanionGeneration, "contracts", len(p.Contracts),
-			"before", before)
+		c.s.log.Info("residency_policy_added", "source", p.Source, "generation", p.Generation, "companion", p.CompanionGeneration, "contracts", len(p.Contracts),
+			"previous_newest", before)
 		if lacks := c.book.MissingPolicy(); lacks != nil {
 			c.s.log.Warn("residency_policy_missing", advice.LogAttrs(lacks)...)
 		}
@@ -204,7 +204,7 @@
 		case d := <-c.done:
 			c.saving = false
 			if d.err != nil && c.s.ctx.Err() == nil {
-				c.s.log.Warn("residency_save", advice.LogAttrs(d.err, "generation", d.generation)...)
+				c.s.log.Warn("residency_save_failed", advice.LogAttrs(d.err, "generation", d.generation)...)
 			} else if d.err == nil {
 				c.saved, c.kept = max(c.saved, d.generation), d.sum
 				c.ask()
@@ -226,7 +226,7 @@
 	c.lapsed = true
 	heard, of := c.s.book.CountAliveVoters(c.s.clock())
 	err := &residency.LeaseExpiredError{Generation: c.book.NewestGeneration(), Reachable: heard, Listed: of, SkewedClocks: c.lease.CountSkewedClocks()}
-	c.s.log.Warn("residency_lease_ended", advice.LogAttrs(err)...)
+	c.s.log.Warn("residency_lease_expired", advice.LogAttrs(err)...)
 }
 
 // renewed puts a later end of the lease in force.
@@ -234,18 +234,18 @@
 	c.s.zones.SetPolicy(c.s.zones.Policy().WithLeaseExpiry(c.lease.ExpiresAt()))
 	if c.lapsed {
 		c.lapsed = false
-		c.s.log.Info("residency_lease", "generation", c.book.NewestGeneration())
+		c.s.log.Info("residency_lease_renewed", "generation", c.book.NewestGeneration())
 	}
 }
 
 func (c *contracts) file(e hostfile.Event) {
 	if e.Err != nil {
-		c.s.log.Warn("residency_file", advice.LogAttrs(e.Err, "path", e.Path, "in_force", c.book.NewestGeneration())...)
+		c.s.log.Warn("residency_file_invalid", advice.LogAttrs(e.Err, "path", e.Path, "in_force", c.book.NewestGeneration())...)
 		return
 	}
 	p, err := residency.ParsePolicy(e.Path, e.Text, c.site)
 	if err != nil {
-		c.s.log.Warn("residency_file", advice.LogAttrs(err, "path", e.Path, "in_force", c.book.NewestGeneration())...)
+		c.s.log.Warn("residency_file_invalid", advice.LogAttrs(err, "path", e.Path, "in_force", c.book.NewestGeneration())...)
 		return
 	}
 	c.take(p)
@@ -367,7 +367,7 @@
 	case zonesPolicy:
 		p, err := residency.ParsePolicy("instance "+m.from, w.Text, residency.Site{})
 		if err != nil { // its form is newer than this program: what it says is not known, and the lease shows it
-			c.s.log.Warn("residency_policy_refused", advice.LogAttrs(err, "held", false)...)
+			c.s.log.Warn("residency_policy_rejected", advice.LogAttrs(err, "added", false)...)
 			return
 		}
 		c.take(p)
@@ -377,9 +377,9 @@
 // told says since when a generation is known to be with more than half, and until when all keep to it.
 func (c *contracts) told(now int64, in *residency.CompiledPolicy) {
 	at := func(t int64) string { return time.UnixMicro(t * 100).UTC().Format(time.RFC3339) }
-	c.s.log.Info("residency_agreed", "generation", c.lease.MajorityGeneration(), "in_force_everywhere", at(now+in.LeaseDuration))
+	c.s.log.Info("residency_majority_reached", "generation", c.lease.MajorityGeneration(), "enforced_everywhere_at", at(now+in.LeaseDuration))
 	if in.EnforcementDeadline > 0 && now+in.LeaseDuration > in.EnforcementDeadline {
-		c.s.log.Warn("residency_late", advice.LogAttrs(&residency.EnforcementOverdueError{Generation: c.lease.MajorityGeneration(), Deadline: at(in.EnforcementDeadline)})...)
+		c.s.log.Warn("residency_enforcement_overdue", advice.LogAttrs(&residency.EnforcementOverdueError{Generation: c.lease.MajorityGeneration(), Deadline: at(in.EnforcementDeadline)})...)
 	}
 }
 
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -118,12 +118,12 @@
 		l.eventually("first lease", func() bool { return l.may("west") })
 	}
 	a.file("generation: 7\ncontracts: [") // half-written
-	a.eventually("refused", func() bool { return strings.Contains(a.text(), "residency_file") })
+	a.eventually("refused", func() bool { return strings.Contains(a.text(), "residency_file_invalid") })
 	a.file(contractsTwo)
 	for _, l := range all {
 		l.eventually("tightened", func() bool { return !l.may("west") && l.may("east") })
 	}
-	a.eventually("agreed", func() bool { return strings.Contains(a.text(), "residency_agreed generation=2") })
+	a.eventually("agreed", func() bool { return strings.Contains(a.text(), "residency_majority_reached generation=2") })
 	c.file(contractsTwo + "- {block: 0, zones: [west]}\n")
 	for _, l := range all {
 		l.eventually("the stricter of both", func() bool { return !l.may("west") && !l.may("east") && l.in.Policy().Generation == 2 })
@@ -139,12 +139,12 @@
 	b.s.leave()
 	c.s.leave()
 	a.eventually("refuses", func() bool { return !a.may("east") })
-	a.eventually("told", func() bool { return strings.Contains(a.text(), "residency_lease_ended") })
+	a.eventually("told", func() bool { return strings.Contains(a.text(), "residency_lease_expired") })
 	a.s.leave()
 	a.file(contractsOne) // an old file is put back
 	a = live(t, dirs["a"], "a", addrs, true)
 	require.EqualValues(t, 3, a.in.Policy().Generation)
-	require.Contains(t, a.text(), "residency_policy_refused")
+	require.Contains(t, a.text(), "residency_policy_rejected")
 	require.False(t, a.may("east"), "it hears nobody")
 	b = live(t, dirs["b"], "b", addrs, true)
 	a.eventually("back", func() bool { return a.may("east") && !a.may("west") })
--- a/internal/benchmark/residency.go
+++ b/internal/benchmark/residency.go
@@ -172,7 +172,7 @@
 		up, stop := context.WithTimeout(ctx, 10*time.Second)
 		defer stop()
 		for _, name := range names {
-			if err := r.WaitLogged(up, name, "event=residency_lease ", 1); err != nil {
+			if err := r.WaitLogged(up, name, "event=residency_lease_renewed ", 1); err != nil {
 				return run, err
 			}
 		}
@@ -239,7 +239,7 @@
 		run.verdict = r.Judge(got, clustertest.AuditRules{})
 		return run, nil
 	}
-	if run.agreed, err = firstLogged(r, names, "event=residency_agreed generation=2", tightened); err != nil {
+	if run.agreed, err = firstLogged(r, names, "event=residency_majority_reached generation=2", tightened); err != nil {
 		run.missed = append(run.missed, err.Error())
 	}
 	told := moved // when all instances have the list in which the host's zone is another
@@ -311,7 +311,7 @@
 		}
 		log := r.Log(name)
 		run.caught += strings.Count(log, "event=residency_guard")
-		run.lapses += strings.Count(log, "event=residency_lease_ended")
+		run.lapses += strings.Count(log, "event=residency_lease_expired")
 		n, err := metric(ctx, r, name, "chalkring_residency_caught_total")
 		if run.caught += int(n); err != nil {
 			run.missed = append(run.missed, err.Error())
