--- a/control/subscribers/file.go
+++ b/control/subscribers/file.go
@@ -26,8 +26,8 @@
 // FileLine is what a file says of a subscriber.
 type FileLine struct {
 	Details
-	Consent uint64
-	said    uint64 // hash of the details
+	Consent     uint64
+	detailsHash uint64 // hash of the details
 }
 
 // RegionFile is a region's list. Its lines are subscribed; one that stood in it and does not any more has unsubscribed. A
@@ -40,15 +40,15 @@
 	DeliveryURL string
 }
 
-// Head is what a file says of itself. It and entry are the forms of YAML and of JSON lines alike.
-type Head struct {
+// FileHeader is what a file says of itself. It and entry are the forms of YAML and of JSON lines alike.
+type FileHeader struct {
 	Region     string `yaml:"region" json:"region"`
 	Generation int64  `yaml:"generation" json:"generation"`
 	Count      int    `yaml:"count" json:"count"`
 	Deliver    string `yaml:"deliver" json:"deliver"` // http address that deliveries of the region go to; {tenant} is the tenant's name
 }
 
-type entry struct {
+type subscriptionEntry struct {
 	Tenant  string `yaml:"tenant" json:"tenant"`
 	ID      string `yaml:"id" json:"id"`
 	Type    string `yaml:"type" json:"type"`
@@ -61,15 +61,15 @@
 // ParseYAML reads a region's file whole.
 func ParseYAML(text []byte) (*RegionFile, error) {
 	var in struct {
-		Head          `yaml:",inline"`
-		Subscriptions []entry `yaml:"subscriptions"`
+		FileHeader    `yaml:",inline"`
+		Subscriptions []subscriptionEntry `yaml:"subscriptions"`
 	}
 	doc, err := strictyaml.Decode(text, yamlMost, &in)
 	if err != nil {
 		return nil, err
 	}
 	told := 0
-	f := in.Head.file(len(in.Subscriptions), func(at, why string) { doc.AddError("$."+at, "%s", why) })
+	f := in.FileHeader.file(len(in.Subscriptions), func(at, why string) { doc.AddError("$."+at, "%s", why) })
 	for i, e := range in.Subscriptions {
 		if why := f.add(e); why != "" && told < toldMost {
 			told++
@@ -104,8 +104,8 @@
 		}
 	}
 	first, rest, _ := bytes.Cut(text, []byte("\n"))
-	var h Head
-	if err := strict(first, &h); err != nil {
+	var h FileHeader
+	if err := decodeStrictJSON(first, &h); err != nil {
 		return nil, &InvalidLineError{1, "the first line has region, generation and count: " + err.Error()}
 	}
 	f, seen := &RegionFile{Lines: map[Key]FileLine{}}, 0
@@ -116,8 +116,8 @@
 			continue
 		}
 		seen++
-		var e entry
-		if err := strict(one, &e); err != nil {
+		var e subscriptionEntry
+		if err := decodeStrictJSON(one, &e); err != nil {
 			fault(n, err.Error())
 		} else if why := f.add(e); why != "" {
 			fault(n, why)
@@ -130,7 +130,7 @@
 	return f, errors.Join(errs...)
 }
 
-func strict(text []byte, into any) error {
+func decodeStrictJSON(text []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -144,7 +144,7 @@
 
 // file is a head's file. The count guards against a file that was read half-written: the lines that are missing would
 // have unsubscribed.
-func (h Head) file(lines int, fault func(at, why string)) *RegionFile {
+func (h FileHeader) file(lines int, fault func(at, why string)) *RegionFile {
 	if !isRegion(h.Region) {
 		fault("region", fmt.Sprintf("%.40q is no name: 1 to %d letters without blanks and strokes", h.Region, regionMost))
 	}
@@ -163,7 +163,7 @@
 	return &RegionFile{Region: h.Region, Generation: h.Generation, Lines: make(map[Key]FileLine, lines), DeliveryURL: h.Deliver}
 }
 
-func (f *RegionFile) add(e entry) (why string) {
+func (f *RegionFile) add(e subscriptionEntry) (why string) {
 	k := Key{e.Tenant, e.ID}
 	every, err := time.ParseDuration(e.Every)
 	if err != nil {
@@ -180,7 +180,7 @@
 		why = "no consent is counted so far"
 	}
 	if why == "" {
-		l.said = l.hash()
+		l.detailsHash = l.hash()
 		f.Lines[k] = l
 	}
 	return why
@@ -193,7 +193,7 @@
 	for k, l := range f.Lines { // whatever the order of lines
 		d := newDigest()
 		d.text(k.LedgerKey())
-		d.number(l.said)
+		d.number(l.detailsHash)
 		d.number(l.Consent)
 		f.Digest += d.sum()
 	}
@@ -232,11 +232,11 @@
 func (f *RegionFile) said(k Key, held Record, there bool, who string, wallMS uint64) (next Record, write bool, stale *StaleLineError) {
 	line, stands := f.Lines[k]
 	place, here := held.Attachments[f.Region]
-	mine := Attachment{f.Generation, line.said}
+	mine := Attachment{f.Generation, line.detailsHash}
 	switch {
 	case !stands:
 		if there && !held.IsUnsubscribed() && here && place.Generation > 0 && place.Generation < f.Generation {
-			return held.left(who, wallMS), true, nil
+			return held.withUnsubscription(who, wallMS), true, nil
 		}
 	case !there || line.Consent > held.Consent:
 		return held.anew(line.Consent, line.Details, f.Region, mine), true, nil
@@ -244,7 +244,7 @@
 		return held, false, &StaleLineError{k, line.Consent, held.Consent}
 	case line.Consent == held.Consent && (!here || place.Generation < f.Generation && place.DetailsHash != mine.DetailsHash):
 		held.Attachments = joinPlaces(held.Attachments, map[string]Attachment{f.Region: mine})
-		return held.changed(line.Details), true, nil
+		return held.withDetails(line.Details), true, nil
 	}
 	return held, false, nil
 }
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -31,7 +31,7 @@
 	const file = "records.cbor.txt"
 	record := goldenRecord()
 	least := Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: MinInterval}}
-	gone := record.left("n2", 1_700_000_000_000)
+	gone := record.withUnsubscription("n2", 1_700_000_000_000)
 	word, standing := StatusMessage{View: 31, Round: 32, Epoch: 33}, FileStatus{Generation: 34, Digest: 35}
 	standingText, err := cbor.Marshal(standing)
 	require.NoError(t, err)
@@ -73,21 +73,21 @@
 	var all strings.Builder
 	fmt.Fprintln(&all, "prefixes", KeyPrefix, StatusMessageKeyPrefix, RegionFileKeyPrefix)
 	fmt.Fprintln(&all, "key", key.LedgerKey(), key)
-	fmt.Fprintf(&all, "record's form %016x\n", record.id())
-	fmt.Fprintf(&all, "unsubscribed record's form %016x\n", record.left("n0", 1).id())
+	fmt.Fprintf(&all, "record's form %016x\n", record.contentHash())
+	fmt.Fprintf(&all, "unsubscribed record's form %016x\n", record.withUnsubscription("n0", 1).contentHash())
 	fmt.Fprintf(&all, "details %016x\n", record.Details.hash())
-	fmt.Fprintf(&all, "past of a changed record %016x\n", record.changed(Details{Type: "t", Interval: MinInterval}).wrote(record).PriorHashes)
+	fmt.Fprintf(&all, "past of a changed record %016x\n", record.withDetails(Details{Type: "t", Interval: MinInterval}).withPriorHashesOf(record).PriorHashes)
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
 	f, err := ParseYAML(text)
 	require.NoError(t, err)
-	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", f.Digest, f.Lines[key].said)
+	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", f.Digest, f.Lines[key].detailsHash)
 	list := NewList()
 	_, _, _, err = list.ApplyEntry(entryOf(key.LedgerKey(), record.Encode()))
 	require.NoError(t, err)
 	fmt.Fprintf(&all, "list's sum %016x\n", list.Digest())
 	fmt.Fprintln(&all, record.Describe())
-	fmt.Fprintln(&all, record.left("n0", 1).Describe())
+	fmt.Fprintln(&all, record.withUnsubscription("n0", 1).Describe())
 
 	members := []Member{{"n0", "eu", "eu-1", 1}, {"n1", "eu", "eu-2", 2}, {"n2", "us", "us-1", 3}}
 	g := NewGateway(0, members[0], PlacementRules{Generation: 4})
@@ -107,8 +107,8 @@
 	for i := range 8 {
 		k := Key{Tenant: "acme", ID: fmt.Sprint("s", i)}
 		g.SetRecord(100*second, k, Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: 60 * second}, Attachments: map[string]Attachment{"eu": {}}}, true)
-		held := g.subs[k]
-		fmt.Fprintln(&all, "owner of", k, "is", g.owner(held), "rank here", g.FileWriterRank(k), "next search here at", held.at)
+		held := g.subscriptions[k]
+		fmt.Fprintln(&all, "owner of", k, "is", g.ownerOf(held), "rank here", g.FileWriterRank(k), "next search here at", held.nextSearchAt)
 	}
 	requireGolden(t, "names.txt", []byte(all.String()))
 	got, ok := ParseKey("sub/acme/s1")
@@ -138,15 +138,15 @@
 	require.NoError(t, err)
 	require.Equal(t, f, same)
 
-	var head Head
+	var head FileHeader
 	first, rest, _ := bytes.Cut(lines, []byte("\n"))
-	require.NoError(t, strict(first, &head))
-	require.Equal(t, Head{Region: "eu", Generation: 7, Count: 2, Deliver: "http://127.0.0.1:9300/{tenant}"}, head)
+	require.NoError(t, decodeStrictJSON(first, &head))
+	require.Equal(t, FileHeader{Region: "eu", Generation: 7, Count: 2, Deliver: "http://127.0.0.1:9300/{tenant}"}, head)
 	written, err := json.Marshal(head)
 	require.NoError(t, err)
 	for one := range bytes.Lines(rest) {
-		var e entry
-		require.NoError(t, strict(one, &e))
+		var e subscriptionEntry
+		require.NoError(t, decodeStrictJSON(one, &e))
 		line, err := json.Marshal(e)
 		require.NoError(t, err)
 		written = append(append(written, '\n'), line...)
--- a/control/subscribers/list.go
+++ b/control/subscribers/list.go
@@ -30,8 +30,8 @@
 	if err != nil || !write {
 		return nil, false, err
 	}
-	next = next.pruned().wrote(all...)
-	if over := MergeRecords(held, next); len(all) > 0 && (over.id() != next.id() || over.IsUnsubscribed() != next.IsUnsubscribed()) && len(over.Unsubscriptions) <= leftMost {
+	next = next.pruned().withPriorHashesOf(all...)
+	if over := MergeRecords(held, next); len(all) > 0 && (over.contentHash() != next.contentHash() || over.IsUnsubscribed() != next.IsUnsubscribed()) && len(over.Unsubscriptions) <= leftMost {
 		return nil, false, &InvalidSubscriptionError{keyOf(e.Name), "would go back behind what holds"}
 	}
 	if value = next.Encode(); len(value) > valueMost {
@@ -66,7 +66,7 @@
 	}
 	if len(all) > 0 {
 		if held = joined(all); forgotten && !held.IsUnsubscribed() {
-			held = held.left(forgot, 1)
+			held = held.withUnsubscription(forgot, 1)
 		}
 	}
 	return held, all, err
@@ -93,7 +93,7 @@
 		} else if held.Details.same(d) {
 			return held, false, nil
 		}
-		return held.changed(d), true, nil
+		return held.withDetails(d), true, nil
 	}
 }
 
@@ -106,7 +106,7 @@
 		if !there || held.IsUnsubscribed() {
 			return held, false, &NotSubscribedError{k, held.Consent}
 		}
-		return held.changed(d), !held.Details.same(d), nil
+		return held.withDetails(d), !held.Details.same(d), nil
 	}
 }
 
@@ -118,7 +118,7 @@
 		if why := k.check(); why != "" {
 			return held, false, &InvalidSubscriptionError{k, why}
 		}
-		return held.left(who, wallMS), true, nil
+		return held.withUnsubscription(who, wallMS), true, nil
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 }
 
-func (r Record) changed(d Details) Record {
+func (r Record) withDetails(d Details) Record {
 	if !r.Details.same(d) {
 		r.Revision, r.Details = r.Revision+1, d
 	}
@@ -231,7 +231,7 @@
 		return k, was != nil, nil, err
 	}
 	now := &listed{Record: held, stamp: stamp, reading: l.reading}
-	now.form = held.id()
+	now.form = held.contentHash()
 	now.part = part(k, now.form)
 	l.sum += now.part
 	if l.all[k] = now; held.IsUnsubscribed() {
@@ -240,7 +240,7 @@
 	if len(all) > 1 {
 		_, lost := ResolveConflict(all)
 		for _, r := range lost {
-			id := r.id()
+			id := r.contentHash()
 			if now.told = append(now.told, id); was == nil || !slices.Contains(was.told, id) {
 				events = append(events, WriteConflict{k, held.Describe(), r.Describe()})
 			}
--- a/control/subscribers/list_test.go
+++ b/control/subscribers/list_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	key   = Key{"acme", "s1"}
-	asked = Details{Type: "lookup", Query: "a", Interval: 30 * second}
+	testKey     = Key{"acme", "s1"}
+	testDetails = Details{Type: "lookup", Query: "a", Interval: 30 * second}
 )
 
 // desk is one instance's ledger with what the program does around it.
@@ -57,66 +57,66 @@
 
 func TestUnsubscribedAfterAnOlderDiskIsNoAnsweredOne(t *testing.T) {
 	a, c := newDesk(t, "a#1"), newDesk(t, "c#1")
-	require.NoError(t, a.do(key, Subscribe(key, "eu", asked)))
-	require.NoError(t, a.do(key, Unsubscribe(key, "a", 1000)))
-	c.meets(a, key)
-	require.NoError(t, c.do(key, Subscribe(key, "us", asked)))
-	require.True(t, c.on(key))
+	require.NoError(t, a.do(testKey, Subscribe(testKey, "eu", testDetails)))
+	require.NoError(t, a.do(testKey, Unsubscribe(testKey, "a", 1000)))
+	c.meets(a, testKey)
+	require.NoError(t, c.do(testKey, Subscribe(testKey, "us", testDetails)))
+	require.True(t, c.on(testKey))
 	older := newDesk(t, "a#2") // its disk knew nothing yet
-	require.NoError(t, older.do(key, Unsubscribe(key, "a", 2000)))
-	c.meets(older, key)
-	require.False(t, c.on(key), "the second unsubscription was not seen by who subscribed anew")
+	require.NoError(t, older.do(testKey, Unsubscribe(testKey, "a", 2000)))
+	c.meets(older, testKey)
+	require.False(t, c.on(testKey), "the second unsubscription was not seen by who subscribed anew")
 }
 
 func TestConflictIsToldOnceWithBothWords(t *testing.T) {
 	a, b := newDesk(t, "a#1"), newDesk(t, "b#1")
-	require.NoError(t, a.do(key, Subscribe(key, "eu", asked)))
-	b.meets(a, key)
-	require.NoError(t, a.do(key, Unsubscribe(key, "a", 1000)))
-	more := asked
+	require.NoError(t, a.do(testKey, Subscribe(testKey, "eu", testDetails)))
+	b.meets(a, testKey)
+	require.NoError(t, a.do(testKey, Unsubscribe(testKey, "a", 1000)))
+	more := testDetails
 	more.Query = "b"
-	require.NoError(t, b.do(key, ChangeDetails(key, more)))
+	require.NoError(t, b.do(testKey, ChangeDetails(testKey, more)))
 	for _, d := range []*desk{a, b} {
 		o := map[*desk]*desk{a: b, b: a}[d]
-		events := d.meets(o, key)
+		events := d.meets(o, testKey)
 		require.Len(t, events, 1)
 		require.Contains(t, events[0].Kept, "unsubscribed")
 		require.Contains(t, events[0].Discarded, "change 2")
-		require.Empty(t, d.meets(o, key))
-		require.False(t, d.on(key))
+		require.Empty(t, d.meets(o, testKey))
+		require.False(t, d.on(testKey))
 	}
 	var not *NotSubscribedError
-	require.ErrorAs(t, b.do(key, ChangeDetails(key, asked)), &not)
-	require.NoError(t, b.do(key, Subscribe(key, "us", asked)))
-	require.True(t, b.on(key))
+	require.ErrorAs(t, b.do(testKey, ChangeDetails(testKey, testDetails)), &not)
+	require.NoError(t, b.do(testKey, Subscribe(testKey, "us", testDetails)))
+	require.True(t, b.on(testKey))
 }
 
 func TestForgottenAndChangedBesideIsNotBack(t *testing.T) {
 	a, away := newDesk(t, "a#1"), newDesk(t, "z#1")
-	require.NoError(t, a.do(key, Subscribe(key, "eu", asked)))
-	away.meets(a, key)
-	require.NoError(t, a.do(key, Unsubscribe(key, "a", 1000)))
+	require.NoError(t, a.do(testKey, Subscribe(testKey, "eu", testDetails)))
+	away.meets(a, testKey)
+	require.NoError(t, a.do(testKey, Unsubscribe(testKey, "a", 1000)))
 	require.Empty(t, a.list.FindExpiredTombstones(1000+keepDays*86_400_000, 10))
-	require.Equal(t, []Key{key}, a.list.FindExpiredTombstones(1001+keepDays*86_400_000, 10))
-	e, err := a.Delete(key.LedgerKey())
+	require.Equal(t, []Key{testKey}, a.list.FindExpiredTombstones(1001+keepDays*86_400_000, 10))
+	e, err := a.Delete(testKey.LedgerKey())
 	require.NoError(t, err)
 	_, changed, _, err := a.list.ApplyEntry(e)
 	require.NoError(t, err)
 	require.True(t, changed)
-	more := asked
+	more := testDetails
 	more.Query = "b"
-	require.NoError(t, away.do(key, ChangeDetails(key, more))) // longer away than it is remembered
-	a.meets(away, key)
-	require.False(t, a.on(key))
+	require.NoError(t, away.do(testKey, ChangeDetails(testKey, more))) // longer away than it is remembered
+	a.meets(away, testKey)
+	require.False(t, a.on(testKey))
 }
 
 func TestNewerFormIsNotWrittenOver(t *testing.T) {
 	a := newDesk(t, "a#1")
-	_, err := a.Put(key.LedgerKey(), []byte("another version's"))
+	_, err := a.Put(testKey.LedgerKey(), []byte("another version's"))
 	require.NoError(t, err)
 	var bad *InvalidRecordError
-	require.ErrorAs(t, a.do(key, Subscribe(key, "eu", asked)), &bad)
-	e, _ := a.Get(key.LedgerKey())
+	require.ErrorAs(t, a.do(testKey, Subscribe(testKey, "eu", testDetails)), &bad)
+	e, _ := a.Get(testKey.LedgerKey())
 	require.Equal(t, "another version's", string(e.Siblings[0].Value))
 }
 
@@ -156,31 +156,31 @@
 	one, two := "- {tenant: acme, id: s1, type: lookup, query: a, every: 30s}", "- {tenant: acme, id: s2, type: lookup, query: b, every: 30s}"
 	other := Key{"acme", "s2"}
 	a.reads(file(t, 1, one, two), 1000)
-	require.True(t, a.on(key) && a.on(other))
-	b.meets(a, key, other)
-	require.NoError(t, b.do(key, Unsubscribe(key, "b", 2000)))
-	a.meets(b, key)
+	require.True(t, a.on(testKey) && a.on(other))
+	b.meets(a, testKey, other)
+	require.NoError(t, b.do(testKey, Unsubscribe(testKey, "b", 2000)))
+	a.meets(b, testKey)
 	for _, d := range []*desk{a, b, newDesk(t, "a#2")} { // after a restart, and on a disk that knew nothing
 		d.reads(file(t, 1, one, two), 3000)
-		d.meets(b, key)
-		require.False(t, d.on(key))
+		d.meets(b, testKey)
+		require.False(t, d.on(testKey))
 	}
 	stale := a.reads(file(t, 2, one, two), 4000)
 	require.Len(t, stale, 1)
 	require.Contains(t, advice.For(stale[0]), "consent: 2")
 	again := strings.Replace(one, "}", ", consent: 2}", 1)
 	a.reads(file(t, 3, again, two), 5000)
-	require.True(t, a.on(key), "asked again, knowing of it")
-	require.NoError(t, a.do(other, ChangeDetails(other, asked)))
+	require.True(t, a.on(testKey), "asked again, knowing of it")
+	require.NoError(t, a.do(other, ChangeDetails(other, testDetails)))
 	a.reads(file(t, 4, again, two), 6000)
 	r, _ := a.list.Get(other)
-	require.Equal(t, asked, r.Details, "a line that says what it said before takes no change back")
-	b.meets(a, key, other)
+	require.Equal(t, testDetails, r.Details, "a line that says what it said before takes no change back")
+	b.meets(a, testKey, other)
 	b.reads(file(t, 1, again), 7000) // an instance with an older copy, which lacks a line
 	require.True(t, b.on(other), "only a later file takes off")
 	a.reads(file(t, 5, again), 8000)
 	require.False(t, a.on(other))
-	require.True(t, a.on(key))
+	require.True(t, a.on(testKey))
 }
 
 func TestFileIsCheckedWhole(t *testing.T) {
@@ -266,7 +266,7 @@
 	now := int64(1000 * second)
 	g := NewGateway(now, Member{Name: "a", Region: "eu", Incarnation: 1}, PlacementRules{})
 	g.HandleStatusMessage("b", StatusMessage{View: 1, Round: 7, Epoch: 9_000_000})
-	g.SetRecord(now, key, Record{Consent: 1, Revision: 1, Details: asked, Attachments: map[string]Attachment{"eu": {}}}, true)
+	g.SetRecord(now, testKey, Record{Consent: 1, Revision: 1, Details: testDetails, Attachments: map[string]Attachment{"eu": {}}}, true)
 	var word StatusMessage
 	tick := func() (say bool) {
 		for range 30 {
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -318,7 +318,7 @@
 	for k := range w.truth {
 		var by []*gate
 		for _, n := range w.nodes {
-			if s := n.gw.subs[k]; n.up && s != nil && s.served {
+			if s := n.gw.subscriptions[k]; n.up && s != nil && s.served {
 				for _, o := range by {
 					require.False(w.t, o.gw.hash == n.gw.hash, "%v is served by %s and %s by one view", k, o.name(), n.name())
 				}
--- a/control/subscribers/record.go
+++ b/control/subscribers/record.go
@@ -143,8 +143,8 @@
 	return ms
 }
 
-// left is r without what it was subscribed to.
-func (r Record) left(who string, wallMS uint64) Record {
+// withUnsubscription is r without what it was subscribed to.
+func (r Record) withUnsubscription(who string, wallMS uint64) Record {
 	n := Record{Consent: max(1, r.Consent), Unsubscriptions: maps.Clone(r.Unsubscriptions), SeenUnsubscriptions: r.SeenUnsubscriptions}
 	if n.Unsubscriptions == nil {
 		n.Unsubscriptions = map[string]uint64{}
@@ -240,9 +240,9 @@
 	return r, nil
 }
 
-// id names a record's form: what a person would call the same subscription, whoever wrote it and whatever was
+// contentHash names a record's form: what a person would call the same subscription, whoever wrote it and whatever was
 // delivered since.
-func (r Record) id() uint64 {
+func (r Record) contentHash() uint64 {
 	if r.IsUnsubscribed() {
 		return xxhash.Sum64(Record{Consent: r.Consent}.Encode())
 	}
@@ -303,9 +303,9 @@
 	return all
 }
 
-// wrote makes next a record that is written over those seen: it knows their forms as its past.
-func (r Record) wrote(seen ...Record) Record {
-	own := r.id()
+// withPriorHashesOf makes next a record that is written over those seen: it knows their forms as its past.
+func (r Record) withPriorHashesOf(seen ...Record) Record {
+	own := r.contentHash()
 	r.PriorHashes = nil
 	add := func(id uint64) {
 		if !slices.Contains(r.PriorHashes, id) && len(r.PriorHashes) < pastMost && id != own {
@@ -313,7 +313,7 @@
 		}
 	}
 	for _, s := range seen {
-		add(s.id())
+		add(s.contentHash())
 	}
 	for _, s := range seen {
 		for _, id := range s.PriorHashes {
@@ -335,12 +335,12 @@
 // ResolveConflict are those of several records written apart whose word does not hold and was not known to any other.
 func ResolveConflict(all []Record) (held Record, lost []Record) {
 	held = joined(all)
-	known := []uint64{held.id()}
+	known := []uint64{held.contentHash()}
 	for _, r := range all {
 		known = append(known, r.PriorHashes...)
 	}
 	for _, r := range all {
-		if id := r.id(); !slices.Contains(known, id) && !(r.IsUnsubscribed() && held.IsUnsubscribed()) {
+		if id := r.contentHash(); !slices.Contains(known, id) && !(r.IsUnsubscribed() && held.IsUnsubscribed()) {
 			lost, known = append(lost, r), append(known, id)
 		}
 	}
--- a/control/subscribers/record_test.go
+++ b/control/subscribers/record_test.go
@@ -55,7 +55,7 @@
 		to := from
 		to.Revision++
 		to.Details.Query = query
-		return to.wrote(from)
+		return to.withPriorHashesOf(from)
 	}
 	marked := first
 	marked.Checkpoint.Number = DeliveryNumber{5, 1, "g"}
@@ -65,7 +65,7 @@
 	require.Equal(t, "c", held.Details.Query)
 	require.Len(t, lost, 1)
 	require.Equal(t, "d", lost[0].Details.Query)
-	left := first.left("a", 1).wrote(first)
+	left := first.withUnsubscription("a", 1).withPriorHashesOf(first)
 	held, lost = ResolveConflict([]Record{left, changed(first, "b")})
 	require.True(t, held.IsUnsubscribed())
 	require.Len(t, lost, 1, "the change that consent went before is told")
--- a/control/subscribers/serve.go
+++ b/control/subscribers/serve.go
@@ -73,7 +73,7 @@
 	Consent uint64
 	Details
 	Period int64 // counted from 1970 by the subscriber's own beat
-	of     *sub
+	of     *subscription
 }
 
 // Delivery is what is handed over: the blocks whose values are others than those delivered last.
@@ -84,7 +84,7 @@
 	Period           int64
 	Blocks           []int
 	values           map[int]uint64
-	of               *sub
+	of               *subscription
 }
 
 // PlacementRules say where a tenant's subscribers may be served.
@@ -110,13 +110,13 @@
 // until all of the view have said the same in this round, takes a turn above all that were seen, and begins when that
 // stands in the ledger. So of those with one view no two serve one subscriber, and numbers rise from one to the next.
 type Gateway struct {
-	me    Member
-	rules PlacementRules
-	words map[string]StatusMessage
-	spoke map[string]int64 // when each word was heard
-	subs  map[Key]*sub
-	due   beats
-	last  int64 // turn of the owner
+	me            Member
+	rules         PlacementRules
+	words         map[string]StatusMessage
+	spoke         map[string]int64 // when each word was heard
+	subscriptions map[Key]*subscription
+	due           beats
+	last          int64 // turn of the owner
 
 	heard     []Member // as told
 	majority  bool
@@ -150,22 +150,22 @@
 	hash uint64
 }
 
-type sub struct {
+type subscription struct {
 	Record
-	key     Key
-	hash    uint64
-	served  bool
-	flying  bool
-	at      int64 // of its next search
-	place   int
-	pending *Delivery // handed over, and it is not known whether it arrived
-	content uint64
+	key          Key
+	hash         uint64
+	served       bool
+	flying       bool
+	nextSearchAt int64 // of its next search
+	place        int
+	pending      *Delivery // handed over, and it is not known whether it arrived
+	content      uint64
 }
 
 // NewGateway begins at a time and serves nobody yet.
 func NewGateway(now int64, me Member, rules PlacementRules) *Gateway {
 	return &Gateway{
-		me: me, rules: rules, words: map[string]StatusMessage{}, spoke: map[string]int64{}, subs: map[Key]*sub{}, gone: map[string]int64{},
+		me: me, rules: rules, words: map[string]StatusMessage{}, spoke: map[string]int64{}, subscriptions: map[Key]*subscription{}, gone: map[string]int64{},
 		allowed: map[string][]member{}, taken: map[string]bool{}, regions: map[string]bool{}, last: now, starts: now + startWait,
 	}
 }
@@ -220,18 +220,18 @@
 
 // SetRecord takes in what the list holds for a subscriber; there is false for one that is not on it.
 func (g *Gateway) SetRecord(now int64, k Key, r Record, there bool) {
-	s := g.subs[k]
+	s := g.subscriptions[k]
 	if !there || r.IsUnsubscribed() {
 		if s != nil {
 			g.end(s)
-			delete(g.subs, k)
+			delete(g.subscriptions, k)
 		}
 		return
 	}
 	g.most = max(g.most, r.Checkpoint.Number.Epoch)
 	if s == nil {
-		s = &sub{key: k, hash: xxhash.Sum64String(k.LedgerKey()), place: -1}
-		g.subs[k] = s
+		s = &subscription{key: k, hash: xxhash.Sum64String(k.LedgerKey()), place: -1}
+		g.subscriptions[k] = s
 	}
 	if s.Consent != r.Consent || !s.Details.same(r.Details) {
 		s.pending = nil
@@ -253,8 +253,8 @@
 
 // place begins or ends a subscriber, its searches from a time on. One that comes while the view is open begins at once:
 // by the same view it was nobody else's.
-func (g *Gateway) place(s *sub, from int64) (began bool) {
-	switch mine := g.open && g.owner(s) == g.me.Name; {
+func (g *Gateway) place(s *subscription, from int64) (began bool) {
+	switch mine := g.open && g.ownerOf(s) == g.me.Name; {
 	case mine && !s.served:
 		s.served = true
 		g.beat(s, from)
@@ -265,17 +265,17 @@
 	return false
 }
 
-func (g *Gateway) end(s *sub) {
+func (g *Gateway) end(s *subscription) {
 	if s.place >= 0 {
 		heap.Remove(&g.due, s.place)
 	}
 	s.served = false
 }
 
-// owner names the gateway that serves a subscriber by the view: of all that may, the one with the highest hash with it,
+// ownerOf names the gateway that serves a subscriber by the view: of all that may, the one with the highest hash with it,
 // wherever it is attached, so that gateways with one view agree even while what they know of the subscriber differs.
 // A side serves those attached to it; a majority also those of regions that it has not heard for long.
-func (g *Gateway) owner(s *sub) string {
+func (g *Gateway) ownerOf(s *subscription) string {
 	if !g.attached(s) {
 		return ""
 	}
@@ -283,7 +283,7 @@
 	return name
 }
 
-func (g *Gateway) attached(s *sub) bool {
+func (g *Gateway) attached(s *subscription) bool {
 	for region := range s.Attachments {
 		if _, gone := g.gone[region]; !gone || g.taken[region] {
 			return true
@@ -373,7 +373,7 @@
 	if g.claimed > 0 { // the turn stands in the ledger
 		g.open, g.turn, g.n = true, g.claimed, 0
 		g.takeOver(now)
-		for _, s := range g.subs {
+		for _, s := range g.subscriptions {
 			g.place(s, g.since-handMost) // searches that fell into the hand-over, or before it was seen, run now
 		}
 	}
@@ -398,7 +398,7 @@
 	for region, since := range g.gone {
 		if over := g.majority && now-since >= takeAfter; over != g.taken[region] {
 			g.taken[region] = over
-			for _, s := range g.subs {
+			for _, s := range g.subscriptions {
 				if _, there := s.Attachments[region]; there {
 					g.place(s, now)
 				}
@@ -437,7 +437,7 @@
 		g.since = now
 	}
 	g.open, g.claimed = false, 0
-	for _, s := range g.subs {
+	for _, s := range g.subscriptions {
 		g.end(s)
 	}
 }
@@ -465,9 +465,9 @@
 
 // beat sets the time of the next search: each subscriber has a beat of its own within its period, the same on all
 // gateways, so that those of a gateway that is gone come spread over the period.
-func (g *Gateway) beat(s *sub, from int64) {
+func (g *Gateway) beat(s *subscription, from int64) {
 	every := s.Details.Interval
-	s.at = from + every - ((from-int64(s.hash%uint64(every)))%every+every)%every
+	s.nextSearchAt = from + every - ((from-int64(s.hash%uint64(every)))%every+every)%every
 	if s.place >= 0 {
 		heap.Fix(&g.due, s.place)
 	} else if s.served && !s.flying {
@@ -475,26 +475,26 @@
 	}
 }
 
-func (s *sub) period(now int64) int64 {
+func (s *subscription) period(now int64) int64 {
 	return (now - int64(s.hash%uint64(s.Details.Interval))) / s.Details.Interval
 }
 
 // StartDueSearches names searches to start now, so many at the most; each is ended by Ran. next is when to ask again, 0 for not
 // before something changes.
 func (g *Gateway) StartDueSearches(now int64, most int) (runs []DueSearch, next int64) {
-	for len(g.due) > 0 && g.due[0].at <= now && len(runs) < most && g.flight < flightMost {
+	for len(g.due) > 0 && g.due[0].nextSearchAt <= now && len(runs) < most && g.flight < flightMost {
 		if s := g.due[0]; g.rules.AllowsTenantData != nil && !g.rules.AllowsTenantData(s.key.Tenant, g.me.Zone) { // a contract's time has come, or nobody can know
 			g.beat(s, now)
 			continue
 		}
-		s := heap.Pop(&g.due).(*sub)
+		s := heap.Pop(&g.due).(*subscription)
 		s.flying = true
 		g.flight++
 		g.counts.Runs++
 		runs = append(runs, DueSearch{s.key, s.Consent, s.Details, s.period(now), s})
 	}
 	if len(g.due) > 0 {
-		next = g.due[0].at
+		next = g.due[0].nextSearchAt
 		if next > now+lateMost+g.due[0].Details.Interval { // guards against a clock that was set back by far
 			g.beat(g.due[0], now)
 		}
@@ -554,7 +554,7 @@
 	return mark
 }
 
-func (g *Gateway) landed(now int64, s *sub) {
+func (g *Gateway) landed(now int64, s *subscription) {
 	g.flight--
 	if s.flying = false; s.served {
 		g.beat(s, now)
@@ -564,10 +564,10 @@
 // Stats tells how the gateway stands.
 func (g *Gateway) Stats() GatewayStats {
 	c := g.counts
-	if c.Listed, c.Epoch, c.Gateways = len(g.subs), g.turn, len(g.view); g.open {
+	if c.Listed, c.Epoch, c.Gateways = len(g.subscriptions), g.turn, len(g.view); g.open {
 		c.View = g.hash
 	}
-	for _, s := range g.subs {
+	for _, s := range g.subscriptions {
 		if s.served {
 			c.Served++
 		} else if !g.attached(s) || len(g.may(s.key.Tenant)) == 0 {
@@ -582,11 +582,11 @@
 }
 
 // beats are the subscribers served here, in the order of their next searches.
-type beats []*sub
+type beats []*subscription
 
 func (b beats) Len() int { return len(b) }
 func (b beats) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(b[i].at, b[j].at), cmp.Compare(b[i].hash, b[j].hash)) < 0
+	return cmp.Or(cmp.Compare(b[i].nextSearchAt, b[j].nextSearchAt), cmp.Compare(b[i].hash, b[j].hash)) < 0
 }
 
 func (b beats) Swap(i, j int) {
@@ -595,8 +595,8 @@
 }
 
 func (b *beats) Push(v any) {
-	v.(*sub).place = len(*b)
-	*b = append(*b, v.(*sub))
+	v.(*subscription).place = len(*b)
+	*b = append(*b, v.(*subscription))
 }
 
 func (b *beats) Pop() any {
