--- a/cluster/peerprotocol/wire.go
+++ b/cluster/peerprotocol/wire.go
@@ -86,7 +86,7 @@
 	LoadPermille    uint16 // share of the owner's time in turns, in thousandths
 	WaitingJobs     uint16 // background jobs
 	RunningJobs     uint16
-	HeldJobs        uint32 // times that a due job waited for searches
+	DeferredJobs    uint32 // times that a due job waited for searches
 	Peers           []PeerStatus
 }
 
--- a/cluster/peerprotocol/wire_golden_test.go
+++ b/cluster/peerprotocol/wire_golden_test.go
@@ -30,7 +30,7 @@
 
 func goldenStatus() Status {
 	return Status{
-		Name: "b", Locality: "eu-west-1a", UptimeMs: 123456, ListVersion: 42, HostCount: 2, ReportsServed: 5, ReportsDeferred: 6, LoadPermille: 250, WaitingJobs: 7, RunningJobs: 8, HeldJobs: 9,
+		Name: "b", Locality: "eu-west-1a", UptimeMs: 123456, ListVersion: 42, HostCount: 2, ReportsServed: 5, ReportsDeferred: 6, LoadPermille: 250, WaitingJobs: 7, RunningJobs: 8, DeferredJobs: 9,
 		Peers: []PeerStatus{{Name: "a", LastOutcome: "told", LastOutcomeAgoMs: 1000, ReportCount: 3, NextPollInMs: 2000}},
 	}
 }
--- a/cluster/peerreport/learn_test.go
+++ b/cluster/peerreport/learn_test.go
@@ -216,10 +216,10 @@
 	take := func(times float64) []Observation {
 		taker := NewReportBuilder(0, "a", "", 1, 1, nil)
 		usual := math.Log(50 * times)
-		taker.AddBelief(balancer.Observation{Scope: balancer.ScopeFleet, ShortWindow: balancer.DecayingMean{Weight: 100, Mean: usual}, LongWindow: balancer.DecayingMean{Weight: 100, Mean: usual}})
+		taker.AddObservation(balancer.Observation{Scope: balancer.ScopeFleet, ShortWindow: balancer.DecayingMean{Weight: 100, Mean: usual}, LongWindow: balancer.DecayingMean{Weight: 100, Mean: usual}})
 		for i, factor := range []float64{1, 1, 4} {
 			mean := balancer.DecayingMean{Weight: 10, Mean: math.Log(50 * times * factor)}
-			taker.AddBelief(balancer.Observation{Scope: balancer.ScopeReplica, Replica: fmt.Sprint("h", i), ShortWindow: mean, LongWindow: mean, LastAnswerAge: 10})
+			taker.AddObservation(balancer.Observation{Scope: balancer.ScopeReplica, Replica: fmt.Sprint("h", i), ShortWindow: mean, LongWindow: mean, LastAnswerAge: 10})
 		}
 		return taker.Observations
 	}
--- a/cluster/peerreport/report.go
+++ b/cluster/peerreport/report.go
@@ -93,8 +93,8 @@
 	return &ReportBuilder{Header: ReportHeader{Peer: peer, Locality: place, Serial: serial, ListVersion: list}, zones: zones, began: now, list: list}
 }
 
-// AddBelief takes one belief in; the fleet's comes first.
-func (t *ReportBuilder) AddBelief(b balancer.Observation) {
+// AddObservation takes one belief in; the fleet's comes first.
+func (t *ReportBuilder) AddObservation(b balancer.Observation) {
 	switch b.Scope {
 	case balancer.ScopeFleet:
 		t.usual = b.ShortWindow.Mean
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -438,7 +438,7 @@
 		}
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d%%\t%d+%d\t%d\t%s\n", one.Name, one.Address, s.Locality,
 			(time.Duration(s.UptimeMs) * time.Millisecond).Round(time.Second), s.ListVersion, s.HostCount, s.ReportsServed, s.ReportsDeferred,
-			s.LoadPermille/10, s.RunningJobs, s.WaitingJobs, s.HeldJobs, strings.Join(its, " "))
+			s.LoadPermille/10, s.RunningJobs, s.WaitingJobs, s.DeferredJobs, strings.Join(its, " "))
 	}
 	if unreached > 0 {
 		out.Flush()
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -337,7 +337,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err := l.turn(func() { from = l.o.module.ExportObservations(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
+			if err := l.turn(func() { from = l.o.module.ExportObservations(from, peerreport.MaxChunkObservations, t.AddObservation) }); err != nil {
 				return err
 			}
 			if from == 0 {
@@ -384,7 +384,7 @@
 	s := peerprotocol.Status{
 		Name: l.p.Name, Locality: l.p.Location, UptimeMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
 		ListVersion: l.version.Load(), HostCount: uint32(len(l.since)), ReportsServed: uint32(l.desk.Admitted), ReportsDeferred: uint32(l.desk.Deferred),
-		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Deferred),
+		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), DeferredJobs: uint32(counts.Deferred),
 	}
 	for _, p := range l.asker.Statuses(now) {
 		one := peerprotocol.PeerStatus{Name: p.Name, ReportCount: uint32(p.ReportCount)}
