--- /dev/null
+++ b/internal/scheduler/load.go
@@ -0,0 +1,36 @@
+package scheduler
+
+import "math"
+
+const (
+	// Jobs below urgent wait above busyLoad, all jobs above saturatedLoad: shares of the event loop's time. Idle jobs
+	// wait above idleLoad, so that they never add to a burst of searches.
+	saturatedLoad = 0.9
+	busyLoad      = 0.7
+	idleLoad      = busyLoad / 2
+	// loadWindow is the time constant of the load average: it follows bursts of searches, not single iterations.
+	loadWindow = second / 2
+)
+
+// loadAverage is the exponentially decaying average of the share of time that the event loop is busy.
+type loadAverage struct {
+	value     float64
+	updatedAt int64
+}
+
+func (l *loadAverage) record(now int64, share float64) {
+	decay := math.Exp(-float64(max(0, now-l.updatedAt)) / loadWindow)
+	l.value = l.value*decay + share*(1-decay)
+	l.updatedAt = max(now, l.updatedAt)
+}
+
+// allows reports whether searches leave time for a job of that priority.
+func (l *loadAverage) allows(priority Priority) bool {
+	switch priority {
+	case PriorityUrgent:
+		return l.value < saturatedLoad
+	case PriorityNormal:
+		return l.value < busyLoad
+	}
+	return l.value < idleLoad
+}
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -7,159 +7,177 @@
 	"time"
 )
 
-// Clock tells the time and wakes.
+// Clock tells the time and sets timers.
 type Clock interface {
 	Now() time.Time
 	After(time.Duration) <-chan time.Time
 }
 
-const tenth = 100 * time.Microsecond
+// tick is the unit of time of a Schedule.
+const tick = 100 * time.Microsecond
 
-// Pool runs the jobs of a Plan. All its calls but Run are safe from any goroutine, and none waits for a job.
+// JobFunc is the work of a job. It returns soon after ctx ends, and takes from its allowance what it spends.
+type JobFunc func(ctx context.Context, allowance *Allowance) error
+
+// Pool runs the jobs of a Schedule, each run on a goroutine of its own. All methods are safe for concurrent use, and
+// none but Run waits for a job.
 type Pool struct {
-	clock Clock
-	start time.Time
-	fault func(name string, err error)
-	stir  chan struct{}
-
-	mu   sync.Mutex
-	plan *Schedule
-	runs map[JobID]*run
+	clock     Clock
+	startedAt time.Time
+	onAbandon func(name string, err error)
+	changed   chan struct{} // signals Run that the schedule has to be looked at
+
+	mu       sync.Mutex
+	schedule *Schedule
+	jobs     map[JobID]*pooledJob
 }
 
-type run struct {
-	name string
-	do   func(ctx context.Context, a *Allowance) error
-	ctx  context.CancelFunc
+// pooledJob is a job's work. cancel ends its present run; it is nil while there is none.
+type pooledJob struct {
+	name   string
+	work   JobFunc
+	cancel context.CancelFunc
 }
 
-// NewPool is a pool for a plan. fault is told of jobs that were given up; it must not wait.
-func NewPool(clock Clock, plan *Schedule, fault func(name string, err error)) *Pool {
-	return &Pool{clock: clock, start: clock.Now(), plan: plan, fault: fault, stir: make(chan struct{}, 1), runs: map[JobID]*run{}}
+// NewPool returns a pool for a schedule, which the pool owns from then on. onAbandon is called for each job that is
+// abandoned, while the pool is locked: it must neither block nor call the pool.
+func NewPool(clock Clock, schedule *Schedule, onAbandon func(name string, err error)) *Pool {
+	return &Pool{
+		clock: clock, startedAt: clock.Now(), onAbandon: onAbandon, changed: make(chan struct{}, 1),
+		schedule: schedule, jobs: map[JobID]*pooledJob{},
+	}
 }
 
-// now is the plan's time; it begins at 1, since 0 is 'never' there.
-func (p *Pool) now() int64 { return 1 + int64(p.clock.Now().Sub(p.start)/tenth) }
+// now returns the schedule's time. It begins at 1, since 0 means never there.
+func (p *Pool) now() int64 { return 1 + int64(p.clock.Now().Sub(p.startedAt)/tick) }
 
-func (p *Pool) stirred() {
+func (p *Pool) signalChange() {
 	select {
-	case p.stir <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Add takes a job in. do ends when its context does; it takes what it spends from its allowance.
-func (p *Pool) Add(j Job, do func(ctx context.Context, a *Allowance) error) (JobID, error) {
+// Add accepts a job. It returns ErrTooManyJobs where MaxJobs wait or run.
+func (p *Pool) Add(job Job, work JobFunc) (JobID, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	id, err := p.plan.Add(p.now(), j)
+	id, err := p.schedule.Add(p.now(), job)
 	if err == nil {
-		p.runs[id] = &run{name: j.Name, do: do}
-		p.stirred()
+		p.jobs[id] = &pooledJob{name: job.Name, work: work}
+		p.signalChange()
 	}
 	return id, err
 }
 
-// Cancel takes a job back and ends its run.
+// Cancel removes a job and cancels the context of its present run, without waiting for the run to end.
 func (p *Pool) Cancel(id JobID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.plan.Cancel(id)
-	if r := p.runs[id]; r != nil && r.ctx != nil {
-		r.ctx()
+	p.schedule.Cancel(id)
+	if job := p.jobs[id]; job != nil && job.cancel != nil {
+		job.cancel()
 	} else {
-		delete(p.runs, id)
+		delete(p.jobs, id)
 	}
-	p.stirred()
+	p.signalChange()
 }
 
-// RecordLoad notes the share of its time that the owner spends in turns; jobs wait by it.
+// RecordLoad records the share of its time, 0 to 1, for which the event loop is busy; jobs are held back by it.
 func (p *Pool) RecordLoad(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.plan.RecordLoad(p.now(), share)
+	p.schedule.RecordLoad(p.now(), share)
 }
 
-// Counts tells what has become of jobs so far.
-func (p *Pool) Counts() (c Counts, waiting, running int, load float64) {
+// Counts returns the totals so far, how many jobs wait and run now, and the load average.
+func (p *Pool) Counts() (totals Counts, waiting, running int, load float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.plan.Counts()
+	return p.schedule.Counts()
 }
 
-// Run starts jobs until ctx ends, then ends those that run and waits for them.
+// Run starts jobs until ctx ends, then cancels those that run, waits for them and returns nil.
 func (p *Pool) Run(ctx context.Context) error {
-	ctx, stop := context.WithCancel(ctx)
-	var g sync.WaitGroup
-	defer g.Wait()
-	defer stop()
+	ctx, cancel := context.WithCancel(ctx)
+	var runs sync.WaitGroup
+	defer runs.Wait()
+	defer cancel()
 	for {
-		p.mu.Lock()
-		start, gaveUp, again := p.plan.StartDue(p.now())
-		for _, id := range start {
-			r := p.runs[id]
-			var own context.Context
-			own, r.ctx = context.WithCancel(ctx)
-			g.Go(func() { p.run(own, id, r) })
-		}
-		for _, id := range gaveUp {
-			p.fault(p.runs[id].name, ErrDeadlinePassed)
-			delete(p.runs, id)
-		}
-		var wake <-chan time.Time
-		if again > 0 {
-			wake = p.clock.After(time.Duration(max(1, again-p.now())) * tenth)
-		}
-		p.mu.Unlock()
+		timer := p.startDue(ctx, &runs)
 		select {
-		case <-p.stir:
-		case <-wake:
+		case <-p.changed:
+		case <-timer:
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// run is one run of a job. Guards against one that panics: it has failed, and nothing else has.
-func (p *Pool) run(ctx context.Context, id JobID, r *run) {
-	err := func() (err error) {
-		defer func() {
-			if v := recover(); v != nil {
-				err = fmt.Errorf("panic: %v", v)
-			}
-		}()
-		return r.do(ctx, &Allowance{pool: p, id: id})
-	}()
-	calledOff := ctx.Err() != nil
+// startDue starts the jobs that are due and returns a timer for the next look, nil where none is needed.
+func (p *Pool) startDue(ctx context.Context, runs *sync.WaitGroup) <-chan time.Time {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	start, abandoned, nextAt := p.schedule.StartDue(p.now())
+	for _, id := range start {
+		job := p.jobs[id]
+		runCtx, cancel := context.WithCancel(ctx)
+		job.cancel = cancel
+		runs.Go(func() { p.runJob(runCtx, id, job) })
+	}
+	for _, id := range abandoned {
+		p.onAbandon(p.jobs[id].name, ErrDeadlinePassed)
+		delete(p.jobs, id)
+	}
+	if nextAt == 0 {
+		return nil
+	}
+	return p.clock.After(time.Duration(max(1, nextAt-p.now())) * tick)
+}
+
+// runJob does one run of a job and records its result.
+func (p *Pool) runJob(ctx context.Context, id JobID, job *pooledJob) {
+	err := callRecovered(ctx, job.work, &Allowance{pool: p, id: id})
+	canceled := ctx.Err() != nil
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.ctx()
-	r.ctx = nil
-	if over, why := p.plan.RecordResult(p.now(), id, err); over {
-		delete(p.runs, id)
-		if why != nil && !calledOff {
-			p.fault(r.name, fmt.Errorf("%w: %w", why, err))
+	job.cancel()
+	job.cancel = nil
+	if done, reason := p.schedule.RecordResult(p.now(), id, err); done {
+		delete(p.jobs, id)
+		if reason != nil && !canceled {
+			p.onAbandon(job.name, fmt.Errorf("%w: %w", reason, err))
 		}
 	}
-	p.stirred()
+	p.signalChange()
+}
+
+// callRecovered turns a panic into an error: a job that panics has failed, and nothing else is affected.
+func callRecovered(ctx context.Context, work JobFunc, allowance *Allowance) (err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("panic: %v", cause)
+		}
+	}()
+	return work(ctx, allowance)
 }
 
-// Allowance is what a job takes from its kind's budget.
+// Allowance is a running job's access to the budget of its kind.
 type Allowance struct {
 	pool *Pool
 	id   JobID
 }
 
-// Spend takes bytes and processor time and waits until the budget has recovered, or ctx ends.
+// Spend takes bytes and processor time from the budget and waits until the budget has recovered or ctx ends.
 func (a *Allowance) Spend(ctx context.Context, bytes int, cpu time.Duration) error {
 	a.pool.mu.Lock()
-	wait := a.pool.plan.Spend(a.pool.now(), a.id, bytes, cpu.Seconds())
+	wait := a.pool.schedule.Spend(a.pool.now(), a.id, bytes, cpu.Seconds())
 	a.pool.mu.Unlock()
 	if wait <= 0 {
 		return ctx.Err()
 	}
 	select {
-	case <-a.pool.clock.After(time.Duration(wait) * tenth):
+	case <-a.pool.clock.After(time.Duration(wait) * tick):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
