--- /dev/null
+++ b/cluster/peerreport/store.go
@@ -0,0 +1,170 @@
+package peerreport
+
+const (
+	// reportLifetime is the age at which a report is dropped: most faults have passed by then.
+	reportLifetime = 30 * second
+	// repeatedReportSlack is how much younger a report may seem when the peer sends the same one again. Peers send one
+	// snapshot for half a second at most.
+	repeatedReportSlack = second
+	// A peer to which more than selfFaultShare of at least selfFaultMinHosts hosts are outliers is at fault itself.
+	selfFaultShare    = 0.5
+	selfFaultMinHosts = 4
+	// maxInvalidatedHosts bounds the hosts remembered by InvalidateHost; beyond it the oldest is forgotten.
+	maxInvalidatedHosts = 4096
+)
+
+// ReportStore keeps the last report of each peer and combines them; see Combine. A report is received in parts, and
+// replaces the one before only once it is complete. A ReportStore is not safe for concurrent use.
+type ReportStore struct {
+	locality  string
+	zones     map[string]int     // the settings' index of each zone
+	reports   map[string]*report // complete ones, by peer
+	receiving map[string]*report // begun ones, by peer
+
+	invalidatedAt    map[string]int64 // by host: older observations of it are ignored
+	invalidatedOrder []string         // hosts in invalidatedAt, oldest first
+
+	// What Combine has returned and not yet retracted.
+	combinedHosts map[string]bool
+	combinedZones map[int]bool
+}
+
+type report struct {
+	header       ReportHeader
+	takenAt      int64 // own time; no observation is older by this instance's clock
+	observations map[string]*Observation
+	selfFault    bool // the fault is probably the peer's own, so its outliers are ignored
+}
+
+// NewReportStore returns an empty store of an instance in a locality. zoneNames are the zones in the order of the
+// settings.
+func NewReportStore(locality string, zoneNames []string) *ReportStore {
+	s := &ReportStore{
+		locality: locality, zones: map[string]int{}, reports: map[string]*report{}, receiving: map[string]*report{},
+		invalidatedAt: map[string]int64{}, combinedHosts: map[string]bool{}, combinedZones: map[int]bool{},
+	}
+	for i, name := range zoneNames {
+		s.zones[name] = i
+	}
+	return s
+}
+
+// BeginReport begins to receive a report. polledAt is when the peer was polled: the report is dated to that time less
+// the age that the peer states. A report with the serial of the one before counts once, with the age it had.
+//
+// It returns an InvalidReportError, or ErrTooManyPeers.
+func (s *ReportStore) BeginReport(polledAt int64, header ReportHeader) error {
+	if err := header.Validate(); err != nil {
+		return err
+	}
+	previous := s.reports[header.Peer]
+	if previous == nil && len(s.reports)+len(s.receiving) >= MaxPeers {
+		return ErrTooManyPeers
+	}
+	takenAt := polledAt - int64(header.AgeMs)*tenthsPerMs
+	if previous != nil && previous.header.Serial == header.Serial {
+		takenAt = min(takenAt, max(previous.takenAt, takenAt-repeatedReportSlack))
+	}
+	s.receiving[header.Peer] = &report{header: header, takenAt: takenAt, observations: map[string]*Observation{}}
+	return nil
+}
+
+// AddObservations adds observations to the report that a peer has begun. Of several observations of one host the last
+// counts. It returns an InvalidReportError.
+func (s *ReportStore) AddObservations(peer string, observations []Observation) error {
+	received := s.receiving[peer]
+	if received == nil {
+		return invalidReport("observations from %.40q without a header", peer)
+	}
+	for _, observation := range observations {
+		if err := observation.Validate(); err != nil {
+			return err
+		}
+		received.observations[observation.HostID] = &observation
+		if len(received.observations) > int(received.header.HostCount) {
+			return invalidReport("more hosts than the %d that the header announces", received.header.HostCount)
+		}
+	}
+	return nil
+}
+
+// CompleteReport ends the report that a peer has begun and lets it take the place of the peer's previous one.
+func (s *ReportStore) CompleteReport(peer string) {
+	received := s.receiving[peer]
+	if received == nil {
+		return
+	}
+	delete(s.receiving, peer)
+	received.selfFault = isSelfFault(received.observations)
+	s.reports[peer] = received
+}
+
+// isSelfFault reports whether so many hosts are outliers to a peer that the fault is more likely its own.
+func isSelfFault(observations map[string]*Observation) bool {
+	outliers := 0
+	for _, observation := range observations {
+		if observation.IsOutlier {
+			outliers++
+		}
+	}
+	hosts := len(observations)
+	return hosts >= selfFaultMinHosts && float64(outliers) > selfFaultShare*float64(hosts)
+}
+
+// AbortReport drops what was received of a report that broke off. The peer's previous report stays in force.
+func (s *ReportStore) AbortReport(peer string) { delete(s.receiving, peer) }
+
+// InvalidateHost records that a host has changed its address, has left or has come back: observations taken before now
+// are of another machine.
+func (s *ReportStore) InvalidateHost(now int64, host string) {
+	if _, known := s.invalidatedAt[host]; !known {
+		s.invalidatedOrder = append(s.invalidatedOrder, host)
+	}
+	s.invalidatedAt[host] = now
+	if len(s.invalidatedOrder) > maxInvalidatedHosts {
+		s.forgetOldestInvalidated()
+	}
+}
+
+func (s *ReportStore) forgetOldestInvalidated() {
+	delete(s.invalidatedAt, s.invalidatedOrder[0])
+	s.invalidatedOrder = s.invalidatedOrder[1:]
+}
+
+// ExpireReports drops the reports that are too old and reports whether any is left.
+func (s *ReportStore) ExpireReports(now int64) (left bool) {
+	for peer, r := range s.reports {
+		if now-r.takenAt > reportLifetime {
+			delete(s.reports, peer)
+		}
+	}
+	for len(s.invalidatedOrder) > 0 && now-s.invalidatedAt[s.invalidatedOrder[0]] > 2*reportLifetime {
+		s.forgetOldestInvalidated()
+	}
+	return len(s.reports) > 0
+}
+
+// ReportCount returns how many peers' reports are in force.
+func (s *ReportStore) ReportCount() int { return len(s.reports) }
+
+// observationOf returns a report's observation of a host that started at startMs; nil where it has none, or where its
+// observation is of an earlier or later process or machine.
+func (s *ReportStore) observationOf(r *report, host string, startMs int64) *Observation {
+	observation := r.observations[host]
+	if observation == nil || int64(observation.StartedMs) != startMs {
+		return nil
+	}
+	if invalidatedAt, known := s.invalidatedAt[host]; known && r.takenAt <= invalidatedAt {
+		return nil
+	}
+	return observation
+}
+
+// zoneLatency returns the part of an observation's slowdown that is the latency between the peer's locality and the
+// host's zone. It is 0 for peers in the own locality, where that latency is the same for this instance.
+func (s *ReportStore) zoneLatency(r *report, observation *Observation) float64 {
+	if r.header.Locality == s.locality || int(observation.ZoneIndex) >= len(r.header.Zones) {
+		return 0
+	}
+	return max(0, float64(r.header.Zones[observation.ZoneIndex].LogSlowdown)/logScale)
+}
