--- a/cluster/peerprotocol/server.go
+++ b/cluster/peerprotocol/server.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"crypto/tls"
-	"encoding/binary"
 	"errors"
 	"net"
 	"slices"
@@ -16,168 +15,214 @@
 	"chalkring/cluster/peerreport"
 )
 
-// Server answers askers. What it is given may wait; none of it is the owner's goroutine.
+const (
+	// maxConnections bounds the clients connected at once; more wait in the system's backlog.
+	maxConnections = 32
+	// connectionsPerSecond bounds the connections accepted, after a burst of maxConnections. It keeps a client that
+	// connects without pause from taking processor time from searches; other clients wait a little meanwhile.
+	connectionsPerSecond = 40
+	// acceptRetryDelay is the wait after a failed accept, for instance for lack of file descriptors.
+	acceptRetryDelay = 100 * time.Millisecond
+	// failedReportDeferral is the wait given to a client when no report could be built.
+	failedReportDeferral = time.Second
+	// maxDeferral bounds the wait given to a client.
+	maxDeferral = time.Hour
+	// requestBufferBytes is the read buffer of a connection, which carries one small request.
+	requestBufferBytes = 512
+)
+
+// Server answers the requests of peers. Its functions are called on the goroutine of a connection, several at once, and
+// may wait.
 type Server struct {
 	Name         string
 	InstanceID   uint64
-	AllowedNames []string     // names that may ask
-	Credentials  *Credentials // nil for plain TCP, where names are taken as they are told
-	// Admit tells whether an asker is answered now, or else when it is to come back; Done follows each that was.
-	Admit   func(name string) (ok bool, later time.Duration)
+	AllowedNames []string     // of peers that are answered
+	Credentials  *Credentials // nil for plain TCP, where a client's name is believed
+
+	// Admit reports whether a client is sent a report now, or else the wait after which it should come back. Release
+	// follows each admission.
+	Admit   func(name string) (admitted bool, deferral time.Duration)
 	Release func()
-	// BuildReport gives what is known now; Spend takes bytes from a budget.
+
 	BuildReport func(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error)
 	BuildStatus func(ctx context.Context) (Status, error)
+
+	// SpendBudget takes the bytes of a report and the processor time used for it from a budget and may wait. Nil for no
+	// budget.
 	SpendBudget func(ctx context.Context, bytes int, cpu time.Duration) error
-	// OnRejected is told of askers that got no answer; strangers can bring that about at will.
+
+	// OnRejected is called for each client that gets no answer. Unknown clients can cause that at will: its log line
+	// should be rate limited.
 	OnRejected func(addr, why string)
 }
 
-// Serve answers until ctx ends or the listener is closed, and then returns with no goroutine left.
-func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	g, ctx := errgroup.WithContext(ctx)
-	defer context.AfterFunc(ctx, func() { ln.Close() })()
-	room := make(chan struct{}, connsMost)
-	// Guards against an asker that connects again and again without a pause: others wait a little, searches do not.
-	pace := rate.NewLimiter(connsEach, connsMost)
-	g.Go(func() error {
-		for {
-			if pace.Wait(ctx) != nil {
-				return nil
-			}
-			select {
-			case room <- struct{}{}:
-			case <-ctx.Done():
-				return nil
-			}
-			conn, err := ln.Accept()
-			if errors.Is(err, net.ErrClosed) {
-				return nil
-			}
-			if err != nil {
-				<-room
-				select {
-				case <-time.After(acceptPause):
-				case <-ctx.Done():
-				}
-				continue
-			}
-			g.Go(func() error {
-				defer func() { <-room }()
-				s.talk(ctx, conn)
-				return nil
-			})
-		}
+// Serve answers requests until ctx ends or the listener is closed. It returns nil, with no goroutine left behind.
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
+	group, ctx := errgroup.WithContext(ctx)
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
+	group.Go(func() error {
+		s.acceptConnections(ctx, listener, group)
+		return nil
 	})
-	return g.Wait()
+	return group.Wait()
 }
 
-// talk answers one asker.
-func (s *Server) talk(ctx context.Context, conn net.Conn) {
-	ctx, stop := context.WithTimeout(ctx, wholeTime)
-	defer stop()
-	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(time.Now().Add(helloTime))
-	addr, certified := conn.RemoteAddr().String(), []string(nil)
-	if s.Credentials != nil {
-		conf, err := s.Credentials.server()
-		if err != nil {
-			s.OnRejected(addr, err.Error())
+func (s *Server) acceptConnections(ctx context.Context, listener net.Listener, group *errgroup.Group) {
+	slots := make(chan struct{}, maxConnections)
+	limiter := rate.NewLimiter(connectionsPerSecond, maxConnections)
+	for {
+		if limiter.Wait(ctx) != nil {
 			return
 		}
-		secure := tls.Server(conn, conf)
-		if err := secure.HandshakeContext(ctx); err != nil {
-			s.OnRejected(addr, "handshake: "+err.Error())
+		select {
+		case slots <- struct{}{}:
+		case <-ctx.Done():
 			return
 		}
-		certified = names(secure.ConnectionState())
-		conn = secure
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			<-slots
+			select {
+			case <-time.After(acceptRetryDelay):
+			case <-ctx.Done():
+			}
+			continue
+		}
+		group.Go(func() error {
+			defer func() { <-slots }()
+			s.serveConn(ctx, conn)
+			return nil
+		})
 	}
-	kind, rest, _, err := readFrame(bufio.NewReaderSize(conn, 512), nil)
-	var h hello
-	if err == nil && kind == kindHello {
-		err = decode(rest, &h)
+}
+
+// serveConn answers the request of one client.
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	defer cancel()
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	clientAddr := conn.RemoteAddr().String()
+	secured, certifiedNames, err := s.secure(ctx, conn)
+	if err != nil {
+		s.OnRejected(clientAddr, "handshake: "+err.Error())
+		return
 	}
-	code, words := "", ""
-	switch {
-	case err != nil && !errors.Is(err, ErrInvalidMessage):
-		s.OnRejected(addr, err.Error())
+	request, rejection, err := s.readRequest(secured, certifiedNames)
+	if err != nil {
+		s.OnRejected(clientAddr, err.Error())
 		return
-	case err != nil:
-		code, words = noUse, err.Error()
-	case kind != kindHello:
-		code, words = noUse, "no hello"
-	case h.Version != version:
-		code, words = noVersion, "version 1 is spoken here"
-	case !slices.Contains(s.AllowedNames, h.Name):
-		code, words = noName, "the name is not among those that may ask"
-	case s.Credentials != nil && !slices.Contains(certified, h.Name):
-		code, words = noName, "the certificate is of another name"
-	case h.Instance == s.InstanceID && h.Want == wantReport:
-		code, words = noSelf, "you are talking to yourself"
 	}
 	conn.SetDeadline(time.Time{})
-	if code != "" {
-		if code != noSelf {
-			s.OnRejected(addr, words)
-		}
-		s.put(conn, kindNo, no{Code: code, Words: words[:min(len(words), wordsMost)]})
+	if rejection != nil && rejection.Code != rejectedSelf {
+		s.OnRejected(clientAddr, rejection.Text)
+	}
+	// What fails from here on is sending: the client has left or is too slow, and notices that itself.
+	if rejection != nil {
+		_ = sendRejection(secured, rejection)
 		return
 	}
-	switch h.Want {
-	case wantStatus:
-		if st, err := s.BuildStatus(ctx); err == nil {
-			s.put(conn, kindStatus, st)
+	_ = s.respond(ctx, secured, request)
+}
+
+// secure does the TLS handshake where there are credentials, and returns the names that the client's certificate
+// proves.
+func (s *Server) secure(ctx context.Context, conn net.Conn) (secured net.Conn, certifiedNames []string, err error) {
+	if s.Credentials == nil {
+		return conn, nil, nil
+	}
+	tlsConn := tls.Server(conn, s.Credentials.serverConfig())
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
+		return nil, nil, err
+	}
+	return tlsConn, certifiedNamesOf(tlsConn.ConnectionState()), nil
+}
+
+// readRequest reads a client's request and returns why it is rejected, nil where it is not. An error means that the
+// client cannot be answered.
+func (s *Server) readRequest(conn net.Conn, certifiedNames []string) (request requestMessage, rejection *rejectionMessage, err error) {
+	kind, item, err := readFrame(bufio.NewReaderSize(conn, requestBufferBytes), nil)
+	if err == nil && kind == kindRequest {
+		err = decode(item, &request)
+	}
+	switch {
+	case err != nil && !errors.Is(err, ErrInvalidMessage):
+		return request, nil, err
+	case err != nil:
+		rejection = &rejectionMessage{Code: rejectedUnusable, Text: err.Error()}
+	case kind != kindRequest:
+		rejection = &rejectionMessage{Code: rejectedUnusable, Text: textNoRequest}
+	case request.Version != protocolVersion:
+		rejection = &rejectionMessage{Code: rejectedVersion, Text: textOtherVersion}
+	case !slices.Contains(s.AllowedNames, request.Name):
+		rejection = &rejectionMessage{Code: rejectedName, Text: textUnknownName}
+	case s.Credentials != nil && !slices.Contains(certifiedNames, request.Name):
+		rejection = &rejectionMessage{Code: rejectedName, Text: textOtherCertificate}
+	case request.Instance == s.InstanceID && request.Subject == subjectReport:
+		rejection = &rejectionMessage{Code: rejectedSelf, Text: textOwnInstance}
+	}
+	return request, rejection, nil
+}
+
+func sendRejection(conn net.Conn, rejection *rejectionMessage) error {
+	text := rejection.Text[:min(len(rejection.Text), maxRejectionText)]
+	return sendFrame(conn, kindRejection, rejectionMessage{Code: rejection.Code, Text: text})
+}
+
+func sendDeferral(conn net.Conn, deferral time.Duration) error {
+	return sendFrame(conn, kindDeferral, uint32(min(deferral, maxDeferral).Milliseconds()))
+}
+
+// respond answers a valid request.
+func (s *Server) respond(ctx context.Context, conn net.Conn, request requestMessage) error {
+	switch request.Subject {
+	case subjectStatus:
+		status, err := s.BuildStatus(ctx)
+		if err != nil {
+			return err
 		}
-	case wantReport:
-		ok, later := s.Admit(h.Name)
-		if !ok {
-			s.put(conn, kindLater, uint32(min(later, time.Hour).Milliseconds()))
-			return
+		return sendFrame(conn, kindStatus, status)
+	case subjectReport:
+		admitted, deferral := s.Admit(request.Name)
+		if !admitted {
+			return sendDeferral(conn, deferral)
 		}
 		defer s.Release()
-		s.report(ctx, conn)
-	default:
-		s.put(conn, kindNo, no{Code: noUse, Words: "nothing known is wanted"})
+		return s.sendReport(ctx, conn)
 	}
+	return sendRejection(conn, &rejectionMessage{Code: rejectedUnusable, Text: textUnknownSubject})
 }
 
-// report sends a report slice by slice. Each is encoded when the one before is out: one is held.
-func (s *Server) report(ctx context.Context, conn net.Conn) {
-	head, notes, err := s.BuildReport(ctx)
+// sendReport sends a report in chunks. Each is encoded once the one before has been sent, so that one is in memory.
+func (s *Server) sendReport(ctx context.Context, conn net.Conn) error {
+	header, observations, err := s.BuildReport(ctx)
 	if err != nil {
-		s.put(conn, kindLater, uint32(time.Second.Milliseconds()))
-		return
+		return sendDeferral(conn, failedReportDeferral)
 	}
-	sum := summer()
-	if s.put(conn, kindHead, head) != nil {
-		return
+	if err := sendFrame(conn, kindHeader, header); err != nil {
+		return err
 	}
-	for part := range slices.Chunk(notes, peerreport.MaxChunkObservations) {
-		began := time.Now()
-		b, err := appendFrame(nil, kindNotes, part)
+	sum := newChecksum()
+	for chunk := range slices.Chunk(observations, peerreport.MaxChunkObservations) {
+		startedAt := time.Now()
+		frame, err := appendFrame(nil, kindObservations, chunk)
 		if err != nil {
 			s.OnRejected(conn.RemoteAddr().String(), err.Error())
-			return
+			return err
 		}
-		sum.Write(b[5:])
-		if s.SpendBudget != nil && s.SpendBudget(ctx, len(b), time.Since(began)) != nil {
-			return
+		sum.add(frame[frameHeaderBytes:])
+		if s.SpendBudget != nil {
+			if err := s.SpendBudget(ctx, len(frame), time.Since(startedAt)); err != nil {
+				return err
+			}
 		}
-		conn.SetWriteDeadline(time.Now().Add(frameTime))
-		if _, err := conn.Write(b); err != nil {
-			return
+		if err := writeFrame(conn, frame); err != nil {
+			return err
 		}
 	}
-	s.put(conn, kindEnd, binary.BigEndian.AppendUint64(nil, sum.Sum64()))
-}
-
-func (s *Server) put(conn net.Conn, kind byte, v any) error {
-	b, err := appendFrame(nil, kind, v)
-	if err == nil {
-		conn.SetWriteDeadline(time.Now().Add(frameTime))
-		_, err = conn.Write(b)
-	}
-	return err
+	return sendFrame(conn, kindEnd, sum.bytes())
 }
