--- a/config/installation.go
+++ b/config/installation.go
@@ -1,6 +1,6 @@
 // Package config reads what other installations turn on beside the plan: a YAML file, checked whole, that
 // names each fault with line and column. The platform's plan stays JSON and knows nothing of it.
-// docs/learning.md and deploy/installation.yaml tell what may stand in it.
+// docs/peer-reports.md and deploy/installation.yaml tell what may stand in it.
 package config
 
 import (
