--- a/config/strictyaml/strictyaml.go
+++ b/config/strictyaml/strictyaml.go
@@ -1,5 +1,8 @@
-// Package strictyaml reads an operator's YAML file whole: one document, no field that is not known, and each fault
-// with line, column and what to do. Decode fills what the file describes; the caller checks it with Fault and asks Err.
+// Package strictyaml reads an operator's YAML file strictly: one document, bounded in size, without unknown or repeated
+// keys. Each error names line, column and path, and says what to do.
+//
+// Decode fills a value from the file. The caller then checks what only it knows, reports what is wrong by AddError, and
+// returns Err: an operator sees all errors of a file at once.
 package strictyaml
 
 import (
@@ -15,97 +18,110 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
+// defaultRemedy is the advice of errors whose text says what to mend.
+const defaultRemedy = "Mend the place that is named; `chalkring check FILE` looks at the file again."
+
 // InvalidFileError is one thing wrong with a file.
 type InvalidFileError struct {
-	Line, Column    int    // 0 where the file as a whole is meant
-	Path            string // such as contracts[0].zones; empty for the file as a whole
-	Problem, Remedy string
+	Line, Column int    // 0 where the file as a whole is meant
+	Path         string // such as contracts[0].zones; empty for the file as a whole
+	Problem      string
+	Remedy       string // the advice
 }
 
-func (f *InvalidFileError) Error() string {
-	where := ""
-	if f.Line > 0 {
-		where = fmt.Sprintf("[%d:%d] ", f.Line, f.Column)
+func (e *InvalidFileError) Error() string {
+	position := ""
+	if e.Line > 0 {
+		position = fmt.Sprintf("[%d:%d] ", e.Line, e.Column)
 	}
-	if f.Path != "" {
-		where += f.Path + ": "
+	if e.Path != "" {
+		position += e.Path + ": "
 	}
-	return where + f.Problem
+	return position + e.Problem
 }
 
-// Advice tells an operator what to do.
-func (f *InvalidFileError) Advice() string { return f.Remedy }
-
-const mendFile = "Mend the place that is named; `chalkring check FILE` looks at the file again."
+// Advice implements advice.Provider.
+func (e *InvalidFileError) Advice() string { return e.Remedy }
 
-// Document is a file that was read, and what is wrong with it.
+// Document is a decoded file and the errors that were found in it. It is not safe for concurrent use.
 type Document struct {
 	tree   *ast.File
-	faults []error
+	errors []error
 }
 
-// ReadFile is a file's text, cut a byte beyond the most that Decode is to take.
-func ReadFile(path string, most int) ([]byte, error) {
-	f, err := os.Open(path)
+// ReadFile reads a file for Decode with the same limit. Of a larger file it returns one byte more than the limit, so that
+// Decode rejects it, whatever the file's size.
+func ReadFile(path string, maxBytes int) ([]byte, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, int64(most)+1))
+	defer file.Close()
+	return io.ReadAll(io.LimitReader(file, int64(maxBytes)+1))
 }
 
-// Decode reads text of at most so many bytes into what into points at. An error means that nothing more can be checked.
-func Decode(text []byte, most int, into any) (*Document, error) {
-	if len(text) > most {
-		return nil, &InvalidFileError{Problem: fmt.Sprintf("over %d bytes", most), Remedy: "Split the file, or look whether it is the right one."}
+// Decode reads text of at most maxBytes into the value that target points at; an empty text leaves it as it is. It
+// returns an InvalidFileError where the text cannot be decoded, so that nothing more can be checked.
+func Decode(text []byte, maxBytes int, target any) (*Document, error) {
+	if len(text) > maxBytes {
+		return nil, &InvalidFileError{
+			Problem: fmt.Sprintf("over %d bytes", maxBytes), Remedy: "Split the file, or look whether it is the right one.",
+		}
 	}
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, plain(err)
+		return nil, newSyntaxError(err)
 	}
 	if len(tree.Docs) > 1 {
-		return nil, &InvalidFileError{Problem: "more than one document", Remedy: "Keep one document; take out the lines of three dashes."}
+		return nil, &InvalidFileError{
+			Problem: "more than one document", Remedy: "Keep one document; take out the lines of three dashes.",
+		}
 	}
-	if err := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(into); err != nil && err != io.EOF {
-		return nil, plain(err)
+	err = yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(target)
+	if err != nil && !errors.Is(err, io.EOF) {
+		return nil, newSyntaxError(err)
 	}
 	return &Document{tree: tree}, nil
 }
 
-// plain is a library's error in one line: position and words, without the piece of source it shows.
-func plain(err error) error {
-	line, _, _ := strings.Cut(err.Error(), "\n")
-	return &InvalidFileError{Problem: strings.TrimSpace(line), Remedy: mendFile}
+// newSyntaxError takes the first line of the YAML library's error, which has position and problem. The lines after it
+// show the source.
+func newSyntaxError(err error) error {
+	firstLine, _, _ := strings.Cut(err.Error(), "\n")
+	return &InvalidFileError{Problem: strings.TrimSpace(firstLine), Remedy: defaultRemedy}
 }
 
-// AddError notes what is wrong at a path such as $.peers.ask[0].address, or at the nearest place above it that is there.
-func (d *Document) AddError(path, format string, v ...any) {
-	d.AddErrorWithRemedy(path, mendFile, format, v...)
+// AddError reports what is wrong at a path such as $.peers.ask[0].address. The error has the position of that path, or of
+// the nearest one above it that is in the file.
+func (d *Document) AddError(path, format string, args ...any) {
+	d.AddErrorWithRemedy(path, defaultRemedy, format, args...)
 }
 
-// AddErrorWithRemedy is Fault with advice of its own.
-func (d *Document) AddErrorWithRemedy(path, do, format string, v ...any) {
-	f := &InvalidFileError{Path: strings.TrimPrefix(path, "$."), Problem: fmt.Sprintf(format, v...), Remedy: do}
-	for at := path; at != "" && f.Line == 0; {
-		f.Line, f.Column = d.Position(at)
-		at = at[:max(0, strings.LastIndexAny(at, ".["))]
+// AddErrorWithRemedy is AddError with advice of its own.
+func (d *Document) AddErrorWithRemedy(path, remedy, format string, args ...any) {
+	invalid := &InvalidFileError{
+		Path: strings.TrimPrefix(path, "$."), Problem: fmt.Sprintf(format, args...), Remedy: remedy,
+	}
+	for ancestor := path; ancestor != "" && invalid.Line == 0; {
+		invalid.Line, invalid.Column = d.Position(ancestor)
+		ancestor = ancestor[:max(0, strings.LastIndexAny(ancestor, ".["))]
 	}
-	d.faults = append(d.faults, f)
+	d.errors = append(d.errors, invalid)
 }
 
-// Position is line and column of a path; 0, 0 where it is not in the file.
+// Position returns line and column of a path, both from 1; 0, 0 where it is not in the file.
 func (d *Document) Position(path string) (line, column int) {
-	p, err := yaml.PathString(path)
+	yamlPath, err := yaml.PathString(path)
 	if err != nil {
 		return 0, 0
 	}
-	node, err := p.FilterFile(d.tree)
+	node, err := yamlPath.FilterFile(d.tree)
 	if err != nil || node == nil || node.GetToken() == nil {
 		return 0, 0
 	}
-	pos := node.GetToken().Position
-	return pos.Line, pos.Column
+	position := node.GetToken().Position
+	return position.Line, position.Column
 }
 
-// Err is all that was noted, nil for nothing.
-func (d *Document) Err() error { return errors.Join(d.faults...) }
+// Err joins all errors that were added, in their order; nil for none.
+func (d *Document) Err() error { return errors.Join(d.errors...) }
