--- a/control/rollout/cases_test.go
+++ b/control/rollout/cases_test.go
@@ -15,119 +15,119 @@
 )
 
 // A cut at the moment at which a step opens, for each step: the small side stays as it is, and after the cut all have it.
-func TestCutAtEachStep(t *testing.T) {
-	f := change(1, "together: 0.3")
+func TestPartitionAtEachStep(t *testing.T) {
+	f := testChangeFile(1, "together: 0.3")
 	for k := range len(f.Change.steps(11)) + 1 {
-		w := newWorld(t, 11, int64(k))
-		w.give(f, 3)
+		w := newSimulation(t, 11, int64(k))
+		w.setChangeFile(f, 3)
 		opened := func() bool {
 			for _, n := range w.nodes {
-				if n.desk != nil && n.desk.open >= k+1 {
+				if n.controller != nil && n.controller.open >= k+1 {
 					return true
 				}
 			}
 			return false
 		}
-		require.True(t, w.run(600*second, opened), "step %d", k+1)
-		w.cut = func(a, b int) bool { return (a < 4) != (b < 4) }
-		w.run(granted(f), nil) // what was granted before the cut may be done
+		require.True(t, w.runUntil(600*second, opened), "step %d", k+1)
+		w.isCut = func(a, b int) bool { return (a < 4) != (b < 4) }
+		w.runUntil(grantedRestartTime(f), nil) // what was granted before the cut may be done
 		var before []uint64
 		for _, n := range w.nodes[:4] {
-			before = append(before, n.runs)
+			before = append(before, n.runningNumber)
 		}
-		w.run(40*second, nil)
+		w.runUntil(40*second, nil)
 		for i, n := range w.nodes[:4] {
-			require.Equal(t, before[i], n.runs, "step %d, %s", k+1, n.place.Name)
+			require.Equal(t, before[i], n.runningNumber, "step %d, %s", k+1, n.instance.Name)
 		}
-		w.cut = func(a, b int) bool { return false }
-		require.True(t, w.run(900*second, w.agreed), "step %d", k+1)
+		w.isCut = func(a, b int) bool { return false }
+		require.True(t, w.runUntil(900*second, w.hasAgreed), "step %d", k+1)
 	}
 }
 
 // The first that takes a change is killed as it reports, and comes back: the change goes on. It stays away: it is stopped,
 // and the side that lost it neither goes on nor leaves the others behind.
-func TestFirstIsKilledAsItReports(t *testing.T) {
+func TestFirstInstanceIsKilledAfterRestart(t *testing.T) {
 	for away, want := range map[int64]Order{5 * second: OrderProceed, 500 * second: OrderRollBack} {
-		w := newWorld(t, 9, 1)
-		w.give(change(1), 0)
+		w := newSimulation(t, 9, 1)
+		w.setChangeFile(testChangeFile(1), 0)
 		var first *node
-		require.True(t, w.run(300*second, func() bool {
+		require.True(t, w.runUntil(300*second, func() bool {
 			for _, n := range w.nodes {
-				if n.runs == 1 && n.desk != nil && n.desk.me.ServingFor >= 0 {
+				if n.runningNumber == 1 && n.controller != nil && n.controller.status.ServingFor >= 0 {
 					first = n
 				}
 			}
 			return first != nil
 		}))
 		w.kill(first, away)
-		require.True(t, w.run(1500*second, w.agreed))
-		require.Equal(t, want, w.nodes[0].desk.me.Verdict.Order)
+		require.True(t, w.runUntil(1500*second, w.hasAgreed))
+		require.Equal(t, want, w.nodes[0].controller.status.Verdict.Order)
 		if want == OrderRollBack {
-			require.Len(t, w.reached[1], 1)
+			require.Len(t, w.instancesByChange[1], 1)
 		}
 	}
 }
 
 // An instance that is away through two whole changes runs the second once it is back, by way of the first, which was what
 // the others had before.
-func TestMissedChangesAreCaughtUp(t *testing.T) {
-	w := newWorld(t, 7, 1)
-	w.run(70*second, nil)
+func TestAbsentInstanceCatchesUp(t *testing.T) {
+	w := newSimulation(t, 7, 1)
+	w.runUntil(70*second, nil)
 	var all []Instance
 	for _, n := range w.nodes {
-		all = append(all, n.place)
+		all = append(all, n.instance)
 	}
-	last := rosterOf("c/1", all).order[6].Name // the first of a change would hold it up
-	require.NotEqual(t, last, rosterOf("c/2", all).order[0].Name)
+	last := newRoster("c/1", all).order[6].Name // the first of a change would hold it up
+	require.NotEqual(t, last, newRoster("c/2", all).order[0].Name)
 	var lost *node
 	for _, n := range w.nodes {
-		if n.place.Name == last {
+		if n.instance.Name == last {
 			lost = n
 		}
 	}
-	lost.desk, lost.up = nil, w.now+2000*second
+	lost.controller, lost.startsAt = nil, w.now+2000*second
 	here := func(number uint64) func() bool {
 		return func() bool {
 			for _, n := range w.nodes {
-				if d := n.desk; n != lost && (d == nil || d.cur == nil || d.cur.Number != number || !d.closed()) {
+				if d := n.controller; n != lost && (d == nil || d.active == nil || d.active.Number != number || !d.isComplete()) {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	w.give(change(1), 0)
-	require.True(t, w.run(900*second, here(1)))
-	w.give(change(2), (lost.i+1)%7)
-	require.True(t, w.run(900*second, here(2)))
-	lost.up = w.now
-	require.True(t, w.run(600*second, w.closed))
-	require.Equal(t, uint64(2), lost.runs)
+	w.setChangeFile(testChangeFile(1), 0)
+	require.True(t, w.runUntil(900*second, here(1)))
+	w.setChangeFile(testChangeFile(2), (lost.index+1)%7)
+	require.True(t, w.runUntil(900*second, here(2)))
+	lost.startsAt = w.now
+	require.True(t, w.runUntil(600*second, w.isComplete))
+	require.Equal(t, uint64(2), lost.runningNumber)
 }
 
 // Files that differ under one number stop it for all before anybody takes either; a new number goes on.
-func TestFilesThatDiffer(t *testing.T) {
-	w := newWorld(t, 9, 1)
-	w.give(change(1), 2)
-	other := change(1)
+func TestConflictingChangeFilesStopTheChange(t *testing.T) {
+	w := newSimulation(t, 9, 1)
+	w.setChangeFile(testChangeFile(1), 2)
+	other := testChangeFile(1)
 	other.Change.Settings = map[string]string{"Safety.ExtraFloor": "0.9"}
-	w.give(other, 7)
-	require.True(t, w.run(300*second, func() bool {
+	w.setChangeFile(other, 7)
+	require.True(t, w.runUntil(300*second, func() bool {
 		for _, n := range w.nodes {
-			if n.desk == nil || n.desk.cur == nil || n.desk.me.Verdict.Order != OrderStop {
+			if n.controller == nil || n.controller.active == nil || n.controller.status.Verdict.Order != OrderStop {
 				return false
 			}
 		}
 		return true
 	}))
-	w.run(60*second, nil)
-	require.Zero(t, w.steps)
-	w.give(change(2), 2, 7)
-	require.True(t, w.run(900*second, w.closed))
+	w.runUntil(60*second, nil)
+	require.Zero(t, w.restartCount)
+	w.setChangeFile(testChangeFile(2), 2, 7)
+	require.True(t, w.runUntil(900*second, w.isComplete))
 }
 
 // A file that is cut anywhere is not taken, and says why.
-func TestCutFileIsNotTaken(t *testing.T) {
+func TestTruncatedFileIsRejected(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/rollout.yaml")
 	require.NoError(t, err)
 	f, err := ParseChangeFile("rollout.yaml", text)
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestFaultsOfAFileNameTheirPlace(t *testing.T) {
+func TestFileErrorsNameTheirPosition(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{"number: 12", "number: 0", "[5:9] number"},
 		{"share: 0.05", "share: 1.5", "stages[1]"},
@@ -158,13 +158,13 @@
 }
 
 // Every stage holds about its share of each zone, whatever the change's name.
-func TestStagesGoOverZonesAlike(t *testing.T) {
+func TestStepsSpreadOverZones(t *testing.T) {
 	var all []Instance
 	for i := range 300 {
 		all = append(all, Instance{fmt.Sprint("n", i), fmt.Sprint("r", i%3), fmt.Sprint("z", i%6/3)})
 	}
 	for seed := range 50 {
-		r := rosterOf(fmt.Sprint("change", seed), all)
+		r := newRoster(fmt.Sprint("change", seed), all)
 		for _, n := range []int{12, 75, 150} {
 			zones := map[string]int{}
 			for _, p := range r.order[:n] {
@@ -178,7 +178,7 @@
 }
 
 // Each failure that an operator may see says what to do, and stands in docs/oncall.md.
-func TestErrorsAreListed(t *testing.T) {
+func TestErrorsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	for _, e := range []advice.Provider{&InvalidChangeFileError{}, &InvalidEntryError{}, &ChangeStoppedError{}, &ConflictingChangesError{}, &StaleChangeFileError{}, &MemberListMismatchError{}, &ChangeNotAppliedError{}, &ChangeTooLargeError{}, &StepDelayedError{}} {
@@ -197,19 +197,19 @@
 }
 
 // What a later version adds to a word is passed over, and what an earlier one did not say is nothing.
-func TestWordsOfOtherVersions(t *testing.T) {
+func TestStatusMessagesOfOtherVersions(t *testing.T) {
 	later := map[int]any{1: map[int]any{1: "a", 9: "new"}, 2: 7, 3: 1, 10: 4, 11: 20, 12: map[int]any{1: 3, 2: 4, 3: "new"}, 99: []int{1}}
-	text, err := encoding.Marshal(later)
+	text, err := cborEncoder.Marshal(later)
 	require.NoError(t, err)
 	d := New(InitialState{Self: Instance{Name: "b"}, Incarnation: 1, Members: []string{"a", "b"}})
 	require.NoError(t, d.HandleEntry(1, StatusMessageKey("a"), text))
-	require.Equal(t, PermitRequest{Number: 3, TargetNumber: 4}, d.words["a"].PermitRequest)
-	require.Equal(t, uint64(4), d.words["a"].RunningNumber)
+	require.Equal(t, PermitRequest{Number: 3, TargetNumber: 4}, d.peers["a"].PermitRequest)
+	require.Equal(t, uint64(4), d.peers["a"].RunningNumber)
 	var spoilt *InvalidEntryError
 	require.ErrorAs(t, d.HandleEntry(2, StatusMessageKey("b2"), text), &spoilt) // a word under another's name
 	require.ErrorAs(t, d.HandleEntry(2, StatusMessageKey("a"), text[:9]), &spoilt)
-	earlier, err := encoding.Marshal(map[int]any{1: map[int]any{1: "a"}, 2: 6, 3: 9, 10: 3})
+	earlier, err := cborEncoder.Marshal(map[int]any{1: map[int]any{1: "a"}, 2: 6, 3: 9, 10: 3})
 	require.NoError(t, err)
 	require.NoError(t, d.HandleEntry(3, StatusMessageKey("a"), earlier)) // a life before: late
-	require.Equal(t, uint64(4), d.words["a"].RunningNumber)
+	require.Equal(t, uint64(4), d.peers["a"].RunningNumber)
 }
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -70,8 +70,8 @@
 	FalseStopProbability float64 `yaml:"false_stops" cbor:"11,keyasint"` // chance that a change no worse than that is stopped
 }
 
-// usualWorse holds where a file says nothing.
-var usualWorse = RegressionLimits{
+// defaultRegressionLimits holds where a file says nothing.
+var defaultRegressionLimits = RegressionLimits{
 	Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
 	Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02,
 }
@@ -157,7 +157,7 @@
 			Remedy:  "End the file with a line of three dots.",
 		}
 	}
-	v := form{Worse: usualWorse, Together: 1, Turn: 1}
+	v := form{Worse: defaultRegressionLimits, Together: 1, Turn: 1}
 	d, err := strictyaml.Decode(body, fileMost, &v)
 	if err != nil {
 		return nil, err
@@ -302,12 +302,12 @@
 }
 
 var (
-	encoding, _ = cbor.CoreDetEncOptions().EncMode()
-	decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 12}.DecMode()
+	cborEncoder, _ = cbor.CoreDetEncOptions().EncMode()
+	cborDecoder, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 12}.DecMode()
 )
 
 // Digest tells changes of one number apart.
 func (c *Change) Digest() string {
-	text, _ := encoding.Marshal(c) // plain types cannot fail
+	text, _ := cborEncoder.Marshal(c) // plain types cannot fail
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
--- a/control/rollout/desk.go
+++ b/control/rollout/desk.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	paceParts  = 20          // words within the time after which silence counts
-	paceLeast  = second / 5  // between words that say nothing new, at the least
-	paceMost   = 5 * second  // and at the most
-	paceIdle   = 10 * second // and while there is no change
-	freshTimes = 6           // paces after which a word is not fresh: it passes through others, and some are lost
-	leaseTimes = 4           // times ready that silent has to be: a grant holds for silent, and a restart and the way back fit in half
-	askParts   = 4           // of silent in which a wish has to be granted, or it is taken back
-	askWait    = second      // before asking again, at the least; by chance up to four times as long
+	paceParts             = 20          // words within the time after which silence counts
+	paceLeast             = second / 5  // between words that say nothing new, at the least
+	paceMost              = 5 * second  // and at the most
+	paceIdle              = 10 * second // and while there is no change
+	freshTimes            = 6           // paces after which a word is not fresh: it passes through others, and some are lost
+	leaseTimes            = 4           // times ready that silent has to be: a grant holds for silent, and a restart and the way back fit in half
+	requestTimeoutDivisor = 4           // of silent in which a wish has to be granted, or it is taken back
+	askWait               = second      // before asking again, at the least; by chance up to four times as long
 )
 
 // LogEvent is something that an operator should read in the log.
@@ -67,17 +67,17 @@
 
 	places    map[string]Instance
 	conflicts map[string]bool
-	words     map[string]*heard
+	peers     map[string]*heard
 	changes   map[uint64]map[string]*Change
 	rosters   map[string][]Instance // by key
 	file      *ChangeFile
 
-	cur      *Change
+	active   *Change
 	digest   string
 	seenAt   int64 // when cur was first known
 	steps    []step
 	roster   *roster
-	me       StatusMessage
+	status   StatusMessage
 	acks     map[string]grant
 	askedAt  int64
 	waitTo   int64 // before asking again
@@ -120,14 +120,14 @@
 func New(s InitialState) *Controller {
 	d := &Controller{
 		InitialState: s, began: s.Now, now: s.Now, listed: map[string]bool{}, places: map[string]Instance{}, conflicts: map[string]bool{},
-		words: map[string]*heard{}, changes: map[uint64]map[string]*Change{}, rosters: map[string][]Instance{}, acks: map[string]grant{},
+		peers: map[string]*heard{}, changes: map[uint64]map[string]*Change{}, rosters: map[string][]Instance{}, acks: map[string]grant{},
 		served: -1, told: map[string]bool{},
 	}
 	for _, name := range s.Members {
 		d.listed[name] = true
 	}
 	d.places[s.Self.Name] = s.Self
-	d.me = StatusMessage{Instance: s.Self, Incarnation: s.Incarnation, RunningNumber: s.RunningNumber, ServingFor: -1, UnplannedRestarts: s.UnplannedRestarts}
+	d.status = StatusMessage{Instance: s.Self, Incarnation: s.Incarnation, RunningNumber: s.RunningNumber, ServingFor: -1, UnplannedRestarts: s.UnplannedRestarts}
 	return d
 }
 
@@ -157,7 +157,7 @@
 // ChangeNotAppliedError tells that a step came to nothing before the process had left: it runs what it ran.
 func (d *Controller) RecordRestartFailure(why string) {
 	d.taking, d.changed = false, true
-	d.me.PermitRequest, d.me.FailedEpoch, d.FailureReason = PermitRequest{}, d.me.Verdict.Epoch, why
+	d.status.PermitRequest, d.status.FailedEpoch, d.FailureReason = PermitRequest{}, d.status.Verdict.Epoch, why
 }
 
 // SetStats takes in the instance's own sums since it serves; those of the time while it is cold are taken off.
@@ -167,19 +167,19 @@
 func (d *Controller) HandleEntry(now int64, key string, value []byte) error {
 	d.now = max(d.now, now)
 	switch {
-	case strings.HasPrefix(key, wordPrefix):
+	case strings.HasPrefix(key, statusPrefix):
 		var w StatusMessage
-		if err := decode(key, value, &w); err != nil {
+		if err := decodeEntry(key, value, &w); err != nil {
 			return err
 		}
-		if w.Instance.Name != key[len(wordPrefix):] || len(w.PermitGrants) > acksMost {
+		if w.Instance.Name != key[len(statusPrefix):] || len(w.PermitGrants) > acksMost {
 			return &InvalidEntryError{key, fmt.Errorf("a word of %.40q with %d grants", w.Instance.Name, len(w.PermitGrants))}
 		}
-		d.hear(w)
+		d.recordStatus(w)
 	case strings.HasPrefix(key, changePrefix):
-		number, digest, ok := numbered(key[len(changePrefix):])
+		number, digest, ok := parseKeySuffix(key[len(changePrefix):])
 		c := &Change{}
-		if err := decode(key, value, c); err != nil {
+		if err := decodeEntry(key, value, c); err != nil {
 			return err
 		}
 		if !ok || c.Number != number || c.Digest() != digest || len(c.Stages) == 0 || c.BaseNumber >= c.Number {
@@ -199,7 +199,7 @@
 			delete(d.changes, least)
 		}
 	case strings.HasPrefix(key, rosterPrefix):
-		all, err := unpackRoster(key, value)
+		all, err := decodeRoster(key, value)
 		if err != nil {
 			return err
 		}
@@ -210,21 +210,21 @@
 	return nil
 }
 
-// hear takes in a word.
-func (d *Controller) hear(w StatusMessage) {
+// recordStatus takes in a word.
+func (d *Controller) recordStatus(w StatusMessage) {
 	name := w.Instance.Name
 	if name == d.Self.Name {
 		d.recall(w)
 		return
 	}
-	h := d.words[name]
+	h := d.peers[name]
 	if h == nil {
-		if len(d.words) >= wordsMost {
+		if len(d.peers) >= wordsMost {
 			return
 		}
 		h = &heard{}
-		d.words[name] = h
-	} else if !w.after(&h.StatusMessage) { // guards against a late message: versions, votes and verdicts never go backward
+		d.peers[name] = h
+	} else if !w.isNewerThan(&h.StatusMessage) { // guards against a late message: versions, votes and verdicts never go backward
 		return
 	}
 	h.StatusMessage, h.at = w, d.now
@@ -236,14 +236,14 @@
 		return
 	}
 	d.askNo = max(d.askNo, w.PermitRequest.Number)
-	if d.me.ChangeNumber == 0 {
-		d.me.ChangeNumber, d.me.ChangeDigest, d.me.Verdict, d.me.RosterDigest = w.ChangeNumber, w.ChangeDigest, w.Verdict, w.RosterDigest
-		d.me.StageEpoch, d.me.ApprovedSteps, d.me.FailedEpoch = w.StageEpoch, w.ApprovedSteps, w.FailedEpoch
+	if d.status.ChangeNumber == 0 {
+		d.status.ChangeNumber, d.status.ChangeDigest, d.status.Verdict, d.status.RosterDigest = w.ChangeNumber, w.ChangeDigest, w.Verdict, w.RosterDigest
+		d.status.StageEpoch, d.status.ApprovedSteps, d.status.FailedEpoch = w.StageEpoch, w.ApprovedSteps, w.FailedEpoch
 		for _, a := range w.PermitGrants {
 			d.acks[a.InstanceName] = grant{PermitRequest: PermitRequest{Number: a.RequestNumber}, at: d.now, step: -1}
 		}
-	} else if w.ChangeNumber == d.me.ChangeNumber && w.ChangeDigest == d.me.ChangeDigest && d.me.RosterDigest == "" {
-		d.me.RosterDigest = w.RosterDigest
+	} else if w.ChangeNumber == d.status.ChangeNumber && w.ChangeDigest == d.status.ChangeDigest && d.status.RosterDigest == "" {
+		d.status.RosterDigest = w.RosterDigest
 	}
 }
 
@@ -252,16 +252,16 @@
 	if name == d.Self.Name {
 		return !d.conflicts[name]
 	}
-	h := d.words[name]
+	h := d.peers[name]
 	return h != nil && !d.conflicts[name] && d.now-h.at <= freshTimes*d.pace()
 }
 
 // word is what an instance said last.
 func (d *Controller) word(name string) *StatusMessage {
 	if name == d.Self.Name {
-		return &d.me
+		return &d.status
 	}
-	if h := d.words[name]; h != nil {
+	if h := d.peers[name]; h != nil {
 		return &h.StatusMessage
 	}
 	return nil
@@ -273,17 +273,17 @@
 		return 0
 	}
 	since := max(d.began, d.seenAt)
-	if h := d.words[name]; h != nil {
+	if h := d.peers[name]; h != nil {
 		since = max(d.began, h.at)
 	}
 	return d.now - since
 }
 
 func (d *Controller) pace() int64 {
-	if d.cur == nil {
+	if d.active == nil {
 		return paceIdle
 	}
-	return min(paceMost, max(paceLeast, d.cur.SilenceTimeout/paceParts))
+	return min(paceMost, max(paceLeast, d.active.SilenceTimeout/paceParts))
 }
 
 func (d *Controller) seat() {
@@ -323,11 +323,11 @@
 func (d *Controller) Decide(now int64) Decision {
 	d.now = max(d.now, now)
 	d.out = Decision{Put: map[string][]byte{}}
-	before := d.me
+	before := d.status
 	d.seat()
 	d.tell()
 	d.settle()
-	if d.cur != nil {
+	if d.active != nil {
 		d.seat() // it may be another change than before, with another pace
 		d.gather()
 		d.judge()
@@ -355,7 +355,7 @@
 	}
 	var before *Change
 	if known := d.changes[number]; len(known) > 0 {
-		c := d.cur
+		c := d.active
 		if c == nil || c.Number != number {
 			return // settled first
 		}
@@ -366,14 +366,14 @@
 		if !d.majority() { // a minority begins nothing; guards against a base that is not the fleet's
 			return
 		}
-		for _, h := range d.words {
+		for _, h := range d.peers {
 			if h.ChangeNumber > highest { // its change is still to come
 				return
 			}
 		}
-		if c := d.cur; c != nil {
+		if c := d.active; c != nil {
 			from := c.BaseNumber
-			if d.closed() {
+			if d.isComplete() {
 				from = c.Number
 			}
 			if before = d.content(from); from != 0 && before == nil {
@@ -386,7 +386,7 @@
 	c := f.Change.over(before)
 	digest := c.Digest()
 	if d.changes[number][digest] == nil {
-		text, _ := encoding.Marshal(&c)
+		text, _ := cborEncoder.Marshal(&c)
 		if len(text) > MaxEntryBytes {
 			d.once("rollout_too_big", &ChangeTooLargeError{Number: number, Bytes: len(text)})
 			return
@@ -398,7 +398,7 @@
 		d.out.Put[changeKey(number, digest)] = text
 		d.note("rollout_told", nil, "change", c.Name, "number", number, "digest", digest, "from", c.BaseNumber)
 	}
-	if d.cur != nil && d.cur.Number == number && digest == d.digest {
+	if d.active != nil && d.active.Number == number && digest == d.digest {
 		v := Verdict{Epoch: f.Epoch, Order: f.Order}
 		if f.Order != OrderProceed {
 			v.Reason, v.DecidedBy = "the operator's file", d.Self.Name
@@ -426,26 +426,26 @@
 // settle finds the change that is in force: the highest number that was told. A later one ends those before it.
 func (d *Controller) settle() {
 	highest := d.highest()
-	if highest == 0 || d.cur != nil && d.cur.Number == highest || d.taking { // a step that is begun is ended first
+	if highest == 0 || d.active != nil && d.active.Number == highest || d.taking { // a step that is begun is ended first
 		return
 	}
 	digest := slices.Sorted(maps.Keys(d.changes[highest]))[0]
-	if d.me.ChangeNumber == highest && d.changes[highest][d.me.ChangeDigest] != nil { // what an earlier life spoke of
-		digest = d.me.ChangeDigest
+	if d.status.ChangeNumber == highest && d.changes[highest][d.status.ChangeDigest] != nil { // what an earlier life spoke of
+		digest = d.status.ChangeDigest
 	} else {
-		d.me.ChangeNumber, d.me.ChangeDigest, d.me.Verdict, d.me.RosterDigest, d.me.StageEpoch, d.me.ApprovedSteps, d.me.FailedEpoch = highest, digest, Verdict{Epoch: 1}, "", 0, 0, 0
+		d.status.ChangeNumber, d.status.ChangeDigest, d.status.Verdict, d.status.RosterDigest, d.status.StageEpoch, d.status.ApprovedSteps, d.status.FailedEpoch = highest, digest, Verdict{Epoch: 1}, "", 0, 0, 0
 	}
-	d.me.PermitRequest, d.askedAt = PermitRequest{}, 0
-	d.cur, d.digest, d.seenAt, d.roster = d.changes[highest][digest], digest, d.now, nil
+	d.status.PermitRequest, d.askedAt = PermitRequest{}, 0
+	d.active, d.digest, d.seenAt, d.roster = d.changes[highest][digest], digest, d.now, nil
 	d.votedAt = d.now
-	d.steps, d.evidence, d.open = d.cur.steps(len(d.listed)), nil, 0
+	d.steps, d.evidence, d.open = d.active.steps(len(d.listed)), nil, 0
 	clear(d.told)
 	if d.FailedNumber == highest && d.InitialState.FailedEpoch > 0 {
-		d.me.FailedEpoch = max(d.me.FailedEpoch, d.InitialState.FailedEpoch)
+		d.status.FailedEpoch = max(d.status.FailedEpoch, d.InitialState.FailedEpoch)
 	}
-	d.note("rollout_change", nil, "change", d.cur.Name, "number", highest, "from", d.cur.BaseNumber, "steps", len(d.steps))
+	d.note("rollout_change", nil, "change", d.active.Name, "number", highest, "from", d.active.BaseNumber, "steps", len(d.steps))
 	for n := range d.changes { // what is behind the base is of no use to anyone who keeps up
-		if n < d.cur.BaseNumber {
+		if n < d.active.BaseNumber {
 			for digest := range d.changes[n] {
 				d.out.Delete = append(d.out.Delete, changeKey(n, digest))
 			}
@@ -453,7 +453,7 @@
 		}
 	}
 	for key := range d.rosters {
-		if n, _, ok := numbered(key[len(rosterPrefix):]); ok && n < highest {
+		if n, _, ok := parseKeySuffix(key[len(rosterPrefix):]); ok && n < highest {
 			d.out.Delete = append(d.out.Delete, key)
 			delete(d.rosters, key)
 		}
@@ -465,69 +465,69 @@
 	if len(v.Reason) > verdictWords {
 		v.Reason = v.Reason[:verdictWords]
 	}
-	was := d.me.Verdict
+	was := d.status.Verdict
 	if !v.over(was) {
 		return
 	}
-	d.me.Verdict, d.changed = v, true
+	d.status.Verdict, d.changed = v, true
 	if v.Epoch > was.Epoch {
 		d.evidence = nil
 		clear(d.told)
 	}
 	switch {
 	case v.Order != was.Order && v.Order != OrderProceed:
-		d.note("rollout_stopped", &ChangeStoppedError{Change: d.cur.Name, Number: d.cur.Number, Verdict: v})
+		d.note("rollout_stopped", &ChangeStoppedError{Change: d.active.Name, Number: d.active.Number, Verdict: v})
 	case v.Epoch > was.Epoch && v.Order == OrderProceed:
-		d.note("rollout_resumed", nil, "change", d.cur.Name, "number", d.cur.Number, "turn", v.Epoch)
+		d.note("rollout_resumed", nil, "change", d.active.Name, "number", d.active.Number, "turn", v.Epoch)
 	}
 }
 
 // stop says that the change goes no further, and what follows from that.
 func (d *Controller) stop(why string, kind Order) {
-	if v := d.me.Verdict; v.Order == OrderProceed {
+	if v := d.status.Verdict; v.Order == OrderProceed {
 		d.rule(Verdict{Epoch: v.Epoch, Order: kind, Reason: why, DecidedBy: d.Self.Name})
 	}
 }
 
 // same tells that a word speaks of the change in force.
 func (d *Controller) same(w *StatusMessage) bool {
-	return w != nil && w.ChangeNumber == d.cur.Number && w.ChangeDigest == d.digest
+	return w != nil && w.ChangeNumber == d.active.Number && w.ChangeDigest == d.digest
 }
 
 // gather takes over what others have ruled.
 func (d *Controller) gather() {
-	for _, h := range d.words {
-		if h.ChangeNumber == d.cur.Number && h.Verdict.Epoch > 0 { // of either digest: a stop is a stop
+	for _, h := range d.peers {
+		if h.ChangeNumber == d.active.Number && h.Verdict.Epoch > 0 { // of either digest: a stop is a stop
 			d.rule(h.Verdict)
 		}
 	}
 	if d.served >= 0 {
-		d.me.ServingFor = d.now - d.served
+		d.status.ServingFor = d.now - d.served
 	}
-	if d.me.ServingFor < d.cur.WarmUp || d.me.ServingFor < 0 { // a restart's own cost is not the change's
-		d.me.Stats, d.warm = nil, 0
+	if d.status.ServingFor < d.active.WarmUp || d.status.ServingFor < 0 { // a restart's own cost is not the change's
+		d.status.Stats, d.warm = nil, 0
 	}
 }
 
 // judge says stop where the change does worse, or cannot go on.
 func (d *Controller) judge() {
-	c := d.cur
+	c := d.active
 	if all := d.changes[c.Number]; len(all) > 1 {
 		err := &ConflictingChangesError{Number: c.Number, Digests: slices.Sorted(maps.Keys(all))}
 		d.once("rollout_differs", err)
 		d.stop(err.Error(), OrderStop)
 	}
-	if d.me.FailedEpoch == d.me.Verdict.Epoch && d.me.FailedEpoch > 0 {
+	if d.status.FailedEpoch == d.status.Verdict.Epoch && d.status.FailedEpoch > 0 {
 		d.once("rollout_not_taken", &ChangeNotAppliedError{Number: c.Number, Reason: d.FailureReason})
 		d.stop("could not be taken: "+d.FailureReason, c.OnRegression)
 	}
-	if d.me.RunningNumber == c.Number && d.UnplannedRestarts >= c.RegressionLimits.Restarts {
+	if d.status.RunningNumber == c.Number && d.UnplannedRestarts >= c.RegressionLimits.Restarts {
 		d.stop(fmt.Sprintf("restarted %d times by itself", d.UnplannedRestarts), c.OnRegression)
 	}
-	if d.closed() {
+	if d.isComplete() {
 		return
 	}
-	if d.majority() && d.me.Verdict.Order == OrderProceed {
+	if d.majority() && d.status.Verdict.Order == OrderProceed {
 		lost := 0
 		for _, s := range d.seats {
 			if w := s.w; w != nil && (w.RunningNumber == c.Number || w.ChangeNumber == c.Number && w.PermitRequest.TargetNumber == c.Number) && !s.mute && !s.fresh &&
@@ -539,7 +539,7 @@
 			d.stop(fmt.Sprintf("%d instances with it are not heard for %d s", lost, c.SilenceTimeout/second), c.OnRegression)
 		}
 	}
-	if d.me.Verdict.Order != OrderProceed {
+	if d.status.Verdict.Order != OrderProceed {
 		return
 	}
 	if d.evidence == nil {
@@ -568,14 +568,14 @@
 
 // elect votes, once for each change, for who is in which stage: for what others have voted for, or what is known here.
 func (d *Controller) elect() {
-	c := d.cur
+	c := d.active
 	votes := map[string]int{}
 	for _, s := range d.seats {
 		if d.same(s.w) && s.w.RosterDigest != "" {
 			votes[s.w.RosterDigest]++
 		}
 	}
-	if d.me.RosterDigest == "" && d.takesPart() && !d.amnesia() {
+	if d.status.RosterDigest == "" && d.takesPart() && !d.mayHaveForgottenPromises() {
 		best := ""
 		for _, digest := range slices.Sorted(maps.Keys(votes)) {
 			if d.rosters[rosterKey(c.Number, digest)] != nil && (best == "" || votes[digest] > votes[best]) {
@@ -596,15 +596,15 @@
 			if known == len(all) || d.now-d.seenAt > c.SilenceTimeout {
 				r := d.rosterOf(all)
 				best = r.digest
-				d.rosters[rosterKey(c.Number, best)], d.out.Put[rosterKey(c.Number, best)] = all, packRoster(all)
+				d.rosters[rosterKey(c.Number, best)], d.out.Put[rosterKey(c.Number, best)] = all, encodeRoster(all)
 			}
 		}
 		if best != "" {
-			d.me.RosterDigest, d.changed = best, true
+			d.status.RosterDigest, d.changed = best, true
 		}
 	}
-	if d.me.RosterDigest != "" && (d.roster == nil || d.roster.digest != d.me.RosterDigest) {
-		if all := d.rosters[rosterKey(c.Number, d.me.RosterDigest)]; len(all) == len(d.listed) {
+	if d.status.RosterDigest != "" && (d.roster == nil || d.roster.digest != d.status.RosterDigest) {
+		if all := d.rosters[rosterKey(c.Number, d.status.RosterDigest)]; len(all) == len(d.listed) {
 			d.roster = d.rosterOf(all)
 		} else if all != nil {
 			d.once("rollout_waits", &MemberListMismatchError{Number: c.Number, RemoteCount: len(all), LocalCount: len(d.listed)})
@@ -620,14 +620,16 @@
 }
 
 func (d *Controller) rosterOf(all []Instance) *roster {
-	return rosterOf(fmt.Sprint(d.cur.Name, "/", d.cur.Number), all)
+	return newRoster(fmt.Sprint(d.active.Name, "/", d.active.Number), all)
 }
 
-// amnesia tells that this process may have granted or voted in a life that it knows nothing of.
-func (d *Controller) amnesia() bool { return d.NoSavedState && d.now-d.began < d.lease() }
+// mayHaveForgottenPromises tells that this process may have granted or voted in a life that it knows nothing of.
+func (d *Controller) mayHaveForgottenPromises() bool {
+	return d.NoSavedState && d.now-d.began < d.lease()
+}
 
 // lease is how long a grant holds.
-func (d *Controller) lease() int64 { return d.cur.SilenceTimeout }
+func (d *Controller) lease() int64 { return d.active.SilenceTimeout }
 
 // opened is how many steps more than half of the listed have voted for. Votes are never taken back within a turn, so
 // it never falls.
@@ -637,7 +639,7 @@
 	}
 	votes := make([]int, len(d.steps)+2)
 	for _, s := range d.seats {
-		if w := s.w; d.same(w) && w.RosterDigest == d.me.RosterDigest && w.StageEpoch == d.me.Verdict.Epoch && !s.mute {
+		if w := s.w; d.same(w) && w.RosterDigest == d.status.RosterDigest && w.StageEpoch == d.status.Verdict.Epoch && !s.mute {
 			for s := range min(w.ApprovedSteps, len(d.steps)+1) {
 				votes[s+1]++
 			}
@@ -651,37 +653,37 @@
 	return 0
 }
 
-// closed tells that the change is everywhere, and stays.
-func (d *Controller) closed() bool {
-	return d.open > len(d.steps) && d.me.Verdict.Order == OrderProceed
+// isComplete tells that the change is everywhere, and stays.
+func (d *Controller) isComplete() bool {
+	return d.open > len(d.steps) && d.status.Verdict.Order == OrderProceed
 }
 
 // vote lets the next step begin where this instance finds that it may.
 func (d *Controller) vote() {
-	v := d.me.Verdict
-	if d.me.StageEpoch != v.Epoch {
-		d.me.StageEpoch, d.me.ApprovedSteps = v.Epoch, 0
+	v := d.status.Verdict
+	if d.status.StageEpoch != v.Epoch {
+		d.status.StageEpoch, d.status.ApprovedSteps = v.Epoch, 0
 	}
-	if v.Order != OrderProceed || d.roster == nil || d.amnesia() || !d.takesPart() {
+	if v.Order != OrderProceed || d.roster == nil || d.mayHaveForgottenPromises() || !d.takesPart() {
 		return
 	}
-	if d.open > d.me.ApprovedSteps { // more than half have seen enough
-		d.me.ApprovedSteps, d.changed = d.open, true
+	if d.open > d.status.ApprovedSteps { // more than half have seen enough
+		d.status.ApprovedSteps, d.changed = d.open, true
 		return
 	}
-	if d.me.ApprovedSteps > len(d.steps) || d.open < d.me.ApprovedSteps || !d.majority() {
+	if d.status.ApprovedSteps > len(d.steps) || d.open < d.status.ApprovedSteps || !d.majority() {
 		return
 	}
-	if why := d.holds(); why != "" {
-		if k := d.me.ApprovedSteps; d.now-d.votedAt > d.cur.SilenceTimeout && (k == 0 || d.now-d.votedAt > d.cur.SilenceTimeout+d.cur.WarmUp+d.steps[k-1].watch) {
-			d.once("rollout_waits", &StepDelayedError{Number: d.cur.Number, Step: k + 1, Reason: why})
+	if why := d.delayReason(); why != "" {
+		if k := d.status.ApprovedSteps; d.now-d.votedAt > d.active.SilenceTimeout && (k == 0 || d.now-d.votedAt > d.active.SilenceTimeout+d.active.WarmUp+d.steps[k-1].watch) {
+			d.once("rollout_waits", &StepDelayedError{Number: d.active.Number, Step: k + 1, Reason: why})
 		}
 		return
 	}
 	d.votedAt = d.now
-	d.me.ApprovedSteps++
+	d.status.ApprovedSteps++
 	d.changed = true
-	d.note("rollout_stage", nil, "change", d.cur.Name, "number", d.cur.Number, "step", d.me.ApprovedSteps, "of", len(d.steps),
+	d.note("rollout_stage", nil, "change", d.active.Name, "number", d.active.Number, "step", d.status.ApprovedSteps, "of", len(d.steps),
 		"searches", d.searches())
 }
 
@@ -692,13 +694,13 @@
 	return d.evidence.CountSearches()
 }
 
-// holds tells what keeps the next step from beginning, "" for nothing.
-func (d *Controller) holds() string {
-	c, k := d.cur, d.me.ApprovedSteps
+// delayReason tells what keeps the next step from beginning, "" for nothing.
+func (d *Controller) delayReason() string {
+	c, k := d.active, d.status.ApprovedSteps
 	fresh := 0
 	for _, s := range d.seats {
 		w := s.w
-		if !s.fresh || !d.same(w) || w.RosterDigest != d.me.RosterDigest {
+		if !s.fresh || !d.same(w) || w.RosterDigest != d.status.RosterDigest {
 			continue
 		}
 		fresh++
@@ -741,7 +743,7 @@
 		if d.evidence == nil || d.evidence.CountSearches() < uint64(c.MinSearches) {
 			return "too few searches"
 		}
-		if value, _ := d.evidence.EValue(); value > holdAt {
+		if value, _ := d.evidence.EValue(); value > maxContinueEValue {
 			return "it may be worse"
 		}
 	}
@@ -752,11 +754,11 @@
 // share an instance: so those that restart at once are never more than one step's, whatever is late or lost.
 func (d *Controller) grant() {
 	for name, g := range d.acks {
-		if w := d.word(name); w != nil && w.PermitRequest.Number != g.Number && name != d.Self.Name || d.now-g.at > d.lease() || name == d.Self.Name && d.me.PermitRequest.Number != g.Number {
+		if w := d.word(name); w != nil && w.PermitRequest.Number != g.Number && name != d.Self.Name || d.now-g.at > d.lease() || name == d.Self.Name && d.status.PermitRequest.Number != g.Number {
 			delete(d.acks, name)
 		}
 	}
-	if d.roster == nil || !d.takesPart() || d.amnesia() {
+	if d.roster == nil || !d.takesPart() || d.mayHaveForgottenPromises() {
 		return
 	}
 	type batch struct {
@@ -776,7 +778,7 @@
 		if _, has := d.acks[s.name]; has {
 			continue
 		}
-		b := batch{w.PermitRequest.TargetNumber, stepOf(d.steps, d.roster.at[s.name])}
+		b := batch{w.PermitRequest.TargetNumber, stepAtPosition(d.steps, d.roster.at[s.name])}
 		wishes[b] = append(wishes[b], s.name)
 	}
 	if !some {
@@ -795,13 +797,13 @@
 
 // allowed tells whether an instance may restart into what it wishes, by what is known here.
 func (d *Controller) allowed(w *StatusMessage) bool {
-	c, v := d.cur, d.me.Verdict
-	if w.RosterDigest != d.me.RosterDigest {
+	c, v := d.active, d.status.Verdict
+	if w.RosterDigest != d.status.RosterDigest {
 		return false
 	}
 	switch w.PermitRequest.TargetNumber {
 	case c.Number:
-		return v.Order == OrderProceed && d.me.ApprovedSteps >= stepOf(d.steps, d.roster.at[w.Instance.Name]) && w.RunningNumber == c.BaseNumber && w.FailedEpoch != v.Epoch
+		return v.Order == OrderProceed && d.status.ApprovedSteps >= stepAtPosition(d.steps, d.roster.at[w.Instance.Name]) && w.RunningNumber == c.BaseNumber && w.FailedEpoch != v.Epoch
 	case c.BaseNumber:
 		return w.RunningNumber == c.Number && v.Order == OrderRollBack || w.RunningNumber != c.Number && w.RunningNumber != c.BaseNumber
 	}
@@ -810,70 +812,70 @@
 
 // move decides this instance's own step: what it should run, whether it may ask, and whether it is granted.
 func (d *Controller) move() {
-	c, v := d.cur, d.me.Verdict
-	to := d.me.RunningNumber
+	c, v := d.active, d.status.Verdict
+	to := d.status.RunningNumber
 	switch {
-	case d.me.RunningNumber != c.Number && d.me.RunningNumber != c.BaseNumber: // it has missed what came before, or a later change ended its own
+	case d.status.RunningNumber != c.Number && d.status.RunningNumber != c.BaseNumber: // it has missed what came before, or a later change ended its own
 		to = c.BaseNumber
 	case v.Order == OrderRollBack:
 		to = c.BaseNumber
-	case v.Order == OrderProceed && d.roster != nil && d.open >= stepOf(d.steps, d.roster.at[d.Self.Name]) && d.me.FailedEpoch != v.Epoch:
+	case v.Order == OrderProceed && d.roster != nil && d.open >= stepAtPosition(d.steps, d.roster.at[d.Self.Name]) && d.status.FailedEpoch != v.Epoch:
 		to = c.Number
 	}
 	if d.served < 0 || d.taking {
 		return
 	}
-	if to == d.me.RunningNumber || to != 0 && d.content(to) == nil || d.roster == nil || !d.majority() {
-		if d.me.PermitRequest.Number != 0 {
-			d.me.PermitRequest, d.changed = PermitRequest{}, true
+	if to == d.status.RunningNumber || to != 0 && d.content(to) == nil || d.roster == nil || !d.majority() {
+		if d.status.PermitRequest.Number != 0 {
+			d.status.PermitRequest, d.changed = PermitRequest{}, true
 		}
 		return
 	}
-	if d.me.PermitRequest.Number != 0 && d.me.PermitRequest.TargetNumber != to || d.me.PermitRequest.Number != 0 && d.now-d.askedAt > c.SilenceTimeout/askParts {
+	if d.status.PermitRequest.Number != 0 && d.status.PermitRequest.TargetNumber != to || d.status.PermitRequest.Number != 0 && d.now-d.askedAt > c.SilenceTimeout/requestTimeoutDivisor {
 		// Guards against two steps that hold each other up with grants of a part of the fleet each.
-		d.me.PermitRequest, d.changed = PermitRequest{}, true
+		d.status.PermitRequest, d.changed = PermitRequest{}, true
 		d.waitTo = d.now + askWait*(1+int64(d.roster.at[d.Self.Name]+int(d.askNo))%4)
 	}
-	if d.me.PermitRequest.Number == 0 {
+	if d.status.PermitRequest.Number == 0 {
 		if d.now < d.waitTo {
 			return
 		}
 		d.askNo++
-		d.me.PermitRequest, d.askedAt, d.changed = PermitRequest{Number: d.askNo, TargetNumber: to}, d.now, true
+		d.status.PermitRequest, d.askedAt, d.changed = PermitRequest{Number: d.askNo, TargetNumber: to}, d.now, true
 		d.grant()
 	}
 	granted := 0
 	for _, s := range d.seats {
 		w := s.w
 		if s.name == d.Self.Name {
-			if g, ok := d.acks[s.name]; ok && g.Number == d.me.PermitRequest.Number {
+			if g, ok := d.acks[s.name]; ok && g.Number == d.status.PermitRequest.Number {
 				granted++
 			}
-		} else if w != nil && !s.mute && slices.Contains(w.PermitGrants, PermitGrant{d.Self.Name, d.me.PermitRequest.Number}) {
+		} else if w != nil && !s.mute && slices.Contains(w.PermitGrants, PermitGrant{d.Self.Name, d.status.PermitRequest.Number}) {
 			granted++
 		}
 	}
 	if d.more(granted) {
 		d.taking = true
 		d.out.Restart = &Restart{TargetNumber: to, Change: d.content(to), Epoch: v.Epoch, ReadyTimeout: c.ReadyTimeout}
-		d.note("rollout_step", nil, "number", to, "from", d.me.RunningNumber, "granted", granted)
+		d.note("rollout_step", nil, "number", to, "from", d.status.RunningNumber, "granted", granted)
 	}
 }
 
 // speak tells the others, when there is something new or it is time.
 func (d *Controller) speak(before *StatusMessage) {
-	if d.sums != nil && d.served >= 0 && (d.cur == nil || d.now-d.served >= d.cur.WarmUp) {
-		d.me.Stats = d.sums
+	if d.sums != nil && d.served >= 0 && (d.active == nil || d.now-d.served >= d.active.WarmUp) {
+		d.status.Stats = d.sums
 	}
-	d.me.PermitGrants = d.me.PermitGrants[:0:0]
+	d.status.PermitGrants = d.status.PermitGrants[:0:0]
 	for _, name := range slices.Sorted(maps.Keys(d.acks)) {
-		d.me.PermitGrants = append(d.me.PermitGrants, PermitGrant{name, d.acks[name].Number})
+		d.status.PermitGrants = append(d.status.PermitGrants, PermitGrant{name, d.acks[name].Number})
 	}
-	if !d.changed && d.me.Sequence > 0 && d.now-d.spokeAt < d.pace() && slices.Equal(before.PermitGrants, d.me.PermitGrants) {
+	if !d.changed && d.status.Sequence > 0 && d.now-d.spokeAt < d.pace() && slices.Equal(before.PermitGrants, d.status.PermitGrants) {
 		return
 	}
-	d.me.Sequence++
+	d.status.Sequence++
 	d.spokeAt, d.changed = d.now, false
-	text, _ := encoding.Marshal(&d.me)
+	text, _ := cborEncoder.Marshal(&d.status)
 	d.out.Put[StatusMessageKey(d.Self.Name)] = text
 }
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -18,8 +18,8 @@
 	"chalkring/internal/advice"
 )
 
-// everyBucket is a class's sums with another number in each field and bucket.
-func everyBucket() ClassStats {
+// everyBucketStats is a class's sums with another number in each field and bucket.
+func everyBucketStats() ClassStats {
 	c := ClassStats{Requests: 1001, Served: 1002, Late: 1003, Shed: 1004}
 	for i := range c.Latencies {
 		c.Latencies[i] = uint64(100 + i)
@@ -30,13 +30,13 @@
 	return c
 }
 
-// goldenWord is a status message with another value in each field.
-func goldenWord() StatusMessage {
+// goldenStatus is a status message with another value in each field.
+func goldenStatus() StatusMessage {
 	return StatusMessage{
 		Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 21, Sequence: 22, ChangeNumber: 23, ChangeDigest: "0123456789abcdef",
 		Verdict: Verdict{Epoch: 24, Order: OrderRollBack, Reason: "worse by served", DecidedBy: "n1"}, RosterDigest: "fedcba9876543210", StageEpoch: 25, ApprovedSteps: 26,
 		RunningNumber: 27, ServingFor: 28, PermitRequest: PermitRequest{Number: 29, TargetNumber: 30}, PermitGrants: []PermitGrant{{InstanceName: "n2", RequestNumber: 31}, {InstanceName: "n3", RequestNumber: 32}}, FailedEpoch: 33, UnplannedRestarts: 34,
-		Stats: &InstanceStats{Classes: []ClassStats{everyBucket(), {Requests: 1}}, Connections: 35, MemoryBytes: 36},
+		Stats: &InstanceStats{Classes: []ClassStats{everyBucketStats(), {Requests: 1}}, Connections: 35, MemoryBytes: 36},
 	}
 }
 
@@ -57,7 +57,7 @@
 func TestGoldenRolloutMessages(t *testing.T) {
 	const file = "messages.cbor.txt"
 	least := StatusMessage{Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 1, ServingFor: -1}
-	word, change := goldenWord(), goldenChange()
+	word, change := goldenStatus(), goldenChange()
 	own := Change{Name: "c", Number: 1, Settings: map[string]string{}, Stages: []Stage{{Fraction: 1}}, MaxConcurrentFraction: 1, OnRegression: OrderRollBack}
 	var all strings.Builder
 	for _, m := range []struct {
@@ -72,24 +72,24 @@
 		{"verdict stop", &Verdict{Epoch: 2, Order: OrderStop, Reason: "w", DecidedBy: "n"}},
 		{"verdict back", &Verdict{Epoch: 3, Order: OrderRollBack, Reason: "w", DecidedBy: "n"}},
 	} {
-		text, err := encoding.Marshal(m.value)
+		text, err := cborEncoder.Marshal(m.value)
 		require.NoError(t, err)
 		all.WriteString(cborLine(t, m.name, text))
 	}
 	requireGolden(t, file, []byte(all.String()))
 
 	var gotWord, gotLeast StatusMessage
-	require.NoError(t, decode("k", goldenCBOR(t, file, "status, every field"), &gotWord))
+	require.NoError(t, decodeEntry("k", goldenCBOR(t, file, "status, every field"), &gotWord))
 	require.Equal(t, word, gotWord)
-	require.NoError(t, decode("k", goldenCBOR(t, file, "status, fewest fields"), &gotLeast))
+	require.NoError(t, decodeEntry("k", goldenCBOR(t, file, "status, fewest fields"), &gotLeast))
 	require.Equal(t, least, gotLeast)
 	var gotChange Change
-	require.NoError(t, decode("k", goldenCBOR(t, file, "change, every field"), &gotChange))
+	require.NoError(t, decodeEntry("k", goldenCBOR(t, file, "change, every field"), &gotChange))
 	change.Stages[0].WatchText = ""
 	require.Equal(t, change, gotChange)
 	for name, kind := range map[string]Order{"go": OrderProceed, "stop": OrderStop, "back": OrderRollBack} {
 		var v Verdict
-		require.NoError(t, decode("k", goldenCBOR(t, file, "verdict "+name), &v))
+		require.NoError(t, decodeEntry("k", goldenCBOR(t, file, "verdict "+name), &v))
 		require.Equal(t, kind, v.Order)
 	}
 }
@@ -97,10 +97,10 @@
 // What a shared entry of a later version adds is passed over; what cannot be read is refused.
 func TestGoldenRolloutMessageReading(t *testing.T) {
 	v := Verdict{}
-	require.NoError(t, decode("k", []byte{0xa2, 0x01, 0x05, 0x18, 0x63, 0x01}, &v)) // {1: 5, 99: 1}
+	require.NoError(t, decodeEntry("k", []byte{0xa2, 0x01, 0x05, 0x18, 0x63, 0x01}, &v)) // {1: 5, 99: 1}
 	require.EqualValues(t, 5, v.Epoch)
-	require.EqualError(t, decode("rollout/word/n0", []byte{0xff}, &v), `shared entry "rollout/word/n0": cbor: unexpected "break" code`)
-	require.EqualError(t, decode("rollout/word/n0", make([]byte, 1<<20+1), &v), `shared entry "rollout/word/n0": 1048577 bytes`)
+	require.EqualError(t, decodeEntry("rollout/word/n0", []byte{0xff}, &v), `shared entry "rollout/word/n0": cbor: unexpected "break" code`)
+	require.EqualError(t, decodeEntry("rollout/word/n0", make([]byte, 1<<20+1), &v), `shared entry "rollout/word/n0": 1048577 bytes`)
 }
 
 // The names of shared entries, and digests that all instances have to work out alike.
@@ -112,8 +112,8 @@
 	fmt.Fprintln(&all, "roster key", rosterKey(41, "fedcba9876543210"))
 	fmt.Fprintln(&all, "status key", StatusMessageKey("n0"))
 	fmt.Fprintln(&all, "change digest", change.Digest())
-	places := goldenPlaces()
-	r := rosterOf("c/41", places)
+	places := goldenInstances()
+	r := newRoster("c/41", places)
 	fmt.Fprintln(&all, "roster digest", r.digest)
 	for _, p := range r.order {
 		fmt.Fprintln(&all, "roster order", p.Name, p.Region, p.Zone)
@@ -125,13 +125,13 @@
 		fmt.Fprintln(&all, "sub-request bucket of", n, "is", SubRequestBucket(n))
 	}
 	requireGolden(t, "names.txt", []byte(all.String()))
-	number, digest, ok := numbered("00000000000000000041/0123456789abcdef")
+	number, digest, ok := parseKeySuffix("00000000000000000041/0123456789abcdef")
 	require.True(t, ok)
 	require.EqualValues(t, 41, number)
 	require.Equal(t, "0123456789abcdef", digest)
 }
 
-func goldenPlaces() (all []Instance) {
+func goldenInstances() (all []Instance) {
 	for i := range 7 {
 		all = append(all, Instance{Name: fmt.Sprintf("n%d", i), Region: fmt.Sprintf("r%d", i%2), Zone: fmt.Sprintf("z%d", i%3)})
 	}
@@ -142,7 +142,7 @@
 // compressor are no part of the form.
 func TestGoldenRolloutRoster(t *testing.T) {
 	const file = "roster.cbor.txt"
-	packed := packRoster(goldenPlaces())
+	packed := encodeRoster(goldenInstances())
 	text, err := io.ReadAll(flate.NewReader(bytes.NewReader(packed)))
 	require.NoError(t, err)
 	requireGolden(t, file, []byte(cborLine(t, "roster, uncompressed", text)))
@@ -153,13 +153,13 @@
 		t.Fatalf("%s was written: run again without -write-golden", path)
 	}
 	require.NoError(t, err)
-	got, err := unpackRoster("k", kept)
+	got, err := decodeRoster("k", kept)
 	require.NoError(t, err)
-	require.Equal(t, goldenPlaces(), got)
+	require.Equal(t, goldenInstances(), got)
 }
 
 // Keys of a change file, each with another value, and what holds where they are left out.
-func TestGoldenRolloutFile(t *testing.T) {
+func TestGoldenChangeFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
 	f, err := ParseChangeFile("every_key.yaml", text)
@@ -250,7 +250,7 @@
 // What a look finds worse is sent as the verdict's reason.
 func TestGoldenRolloutEvidence(t *testing.T) {
 	sides := func(oldNow, newNow InstanceStats) string {
-		e := NewRegressionAnalysis(usualWorse)
+		e := NewRegressionAnalysis(defaultRegressionLimits)
 		sample := func(name string, isNew bool, s InstanceStats) Sample {
 			return Sample{Name: name, Region: "eu", Zone: "eu-1", HasChange: isNew, Incarnation: 1, Stats: s}
 		}
@@ -266,8 +266,8 @@
 	fmt.Fprintln(&all, "served:", sides(InstanceStats{Classes: class(1000, 1000)}, InstanceStats{Classes: class(1000, 500)}))
 	fmt.Fprintln(&all, "connects:", sides(InstanceStats{Classes: class(500, 500), Connections: 50}, InstanceStats{Classes: class(500, 500), Connections: 5000}))
 	fmt.Fprintln(&all, "memory:", sides(InstanceStats{Classes: class(1, 1), MemoryBytes: 100 << 20}, InstanceStats{Classes: class(1, 1), MemoryBytes: 900 << 20}))
-	for m := range metrics {
-		fmt.Fprintln(&all, "metric", bet{slot{class: 1, place: [2]string{"eu", "*"}}, m})
+	for m := range metricCount {
+		fmt.Fprintln(&all, "metric", bet{stratum{class: 1, place: [2]string{"eu", "*"}}, m})
 	}
 	requireGolden(t, "evidence.txt", []byte(all.String()))
 }
@@ -314,10 +314,10 @@
 	require.NotNil(t, look(d, 20))
 	start.Incarnation, start.RunningNumber, start.Now = 2, 1, now
 	entries := map[string][]byte{}
-	c := d.cur
-	entries[changeKey(1, c.Digest())], _ = encoding.Marshal(c)
-	entries[rosterKey(1, d.me.RosterDigest)] = packRoster([]Instance{start.Self})
-	entries[StatusMessageKey("n0")], _ = encoding.Marshal(&d.me)
+	c := d.active
+	entries[changeKey(1, c.Digest())], _ = cborEncoder.Marshal(c)
+	entries[rosterKey(1, d.status.RosterDigest)] = encodeRoster([]Instance{start.Self})
+	entries[StatusMessageKey("n0")], _ = cborEncoder.Marshal(&d.status)
 	d = New(start)
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
 		require.NoError(t, d.HandleEntry(now, key, entries[key]))
--- a/control/rollout/model_test.go
+++ b/control/rollout/model_test.go
@@ -13,238 +13,238 @@
 	"pgregory.net/rapid"
 )
 
-// world is a fleet on one handed-in clock: desks, what each holds of the ledger, and a network that loses, cuts and
+// simulation is a fleet on one handed-in clock: desks, what each holds of the ledger, and a network that loses, cuts and
 // delays. Each process has a disk that a kill leaves as it is.
-type world struct {
-	t       require.TestingT
-	chance  *rand.Rand
-	now     int64
-	nodes   []*node
-	names   []string
-	pace    int64
-	cut     func(a, b int) bool // no way between two
-	loss    float64
-	late    []message
-	good    float64 // served share, and of those that have the change
-	bad     float64
-	takes   func(n *node, to uint64) bool // whether the change serves there
-	rate    float64                       // searches a second
-	most    int                           // that may restart at once
-	reached map[uint64]map[string]bool
-	steps   int
-	offset  []int64 // of each one's clock
+type simulation struct {
+	t                     require.TestingT
+	rng                   *rand.Rand
+	now                   int64
+	nodes                 []*node
+	names                 []string
+	tickLength            int64
+	isCut                 func(a, b int) bool // no way between two
+	lossRate              float64
+	delayed               []delayedMessage
+	servedRate            float64 // served share, and of those that have the change
+	servedRateWithChange  float64
+	canServe              func(n *node, to uint64) bool // whether the change serves there
+	searchRate            float64                       // searches a second
+	maxConcurrentRestarts int                           // that may restart at once
+	instancesByChange     map[uint64]map[string]bool
+	restartCount          int
+	clockOffsets          []int64 // of each one's clock
 }
 
-type message struct {
-	at int64
-	to int
-	w  *StatusMessage
+type delayedMessage struct {
+	deliverAt int64
+	receiver  int
+	status    *StatusMessage
 }
 
 type node struct {
-	i       int
-	place   Instance
-	life    uint64
-	desk    *Controller
-	book    map[string][]byte // changes and rosters
-	words   map[string]*StatusMessage
-	runs    uint64
-	from    uint64
-	up      int64    // when it is up, 0 while it is
-	rolling *Restart // it restarts by
-	tries   int
-	failed  uint64
-	number  uint64
-	why     string
-	starts  int
-	served  int64
-	sums    InstanceStats
-	file    *ChangeFile
-	killed  bool
+	index             int
+	instance          Instance
+	incarnation       uint64
+	controller        *Controller
+	entries           map[string][]byte // changes and rosters
+	statuses          map[string]*StatusMessage
+	runningNumber     uint64
+	previousNumber    uint64
+	startsAt          int64    // when it is up, 0 while it is
+	restart           *Restart // it restarts by
+	attempts          int
+	failedEpoch       uint64
+	failedNumber      uint64
+	failureReason     string
+	unplannedRestarts int
+	servingSince      int64
+	stats             InstanceStats
+	changeFile        *ChangeFile
+	killed            bool
 }
 
-func newWorld(t require.TestingT, n int, seed int64) *world {
-	w := &world{
-		t: t, chance: rand.New(rand.NewSource(seed)), now: 1, cut: func(a, b int) bool { return false }, good: 0.995, bad: 0.995,
-		rate: 1, takes: func(*node, uint64) bool { return true }, reached: map[uint64]map[string]bool{}, pace: second,
+func newSimulation(t require.TestingT, n int, seed int64) *simulation {
+	w := &simulation{
+		t: t, rng: rand.New(rand.NewSource(seed)), now: 1, isCut: func(a, b int) bool { return false }, servedRate: 0.995, servedRateWithChange: 0.995,
+		searchRate: 1, canServe: func(*node, uint64) bool { return true }, instancesByChange: map[uint64]map[string]bool{}, tickLength: second,
 	}
 	for i := range n {
 		w.names = append(w.names, fmt.Sprintf("n%03d", i))
-		w.offset = append(w.offset, w.chance.Int63n(3600*second)) // clocks an hour apart
+		w.clockOffsets = append(w.clockOffsets, w.rng.Int63n(3600*second)) // clocks an hour apart
 	}
 	for i := range n {
 		w.nodes = append(w.nodes, &node{
-			i: i, place: Instance{w.names[i], fmt.Sprintf("r%d", i%3), fmt.Sprintf("z%d", i%6/3)},
-			book: map[string][]byte{}, words: map[string]*StatusMessage{},
+			index: i, instance: Instance{w.names[i], fmt.Sprintf("r%d", i%3), fmt.Sprintf("z%d", i%6/3)},
+			entries: map[string][]byte{}, statuses: map[string]*StatusMessage{},
 		})
 		w.start(w.nodes[i], true)
 	}
 	return w
 }
 
-func (w *world) start(n *node, first bool) {
-	n.life++
-	n.up = 0
-	now := w.now + w.offset[n.i]
-	n.desk = New(InitialState{
-		Self: n.place, Incarnation: n.life, Members: w.names, RunningNumber: n.runs, FailedEpoch: n.failed, FailedNumber: n.number, FailureReason: n.why,
-		UnplannedRestarts: n.starts, NoSavedState: first, Now: now,
+func (w *simulation) start(n *node, first bool) {
+	n.incarnation++
+	n.startsAt = 0
+	now := w.now + w.clockOffsets[n.index]
+	n.controller = New(InitialState{
+		Self: n.instance, Incarnation: n.incarnation, Members: w.names, RunningNumber: n.runningNumber, FailedEpoch: n.failedEpoch, FailedNumber: n.failedNumber, FailureReason: n.failureReason,
+		UnplannedRestarts: n.unplannedRestarts, NoSavedState: first, Now: now,
 	})
 	var all []Instance
 	for _, o := range w.nodes {
-		all = append(all, o.place)
+		all = append(all, o.instance)
 	}
-	n.desk.SetInstances(all, nil)
-	n.desk.SetFile(n.file)
-	for _, key := range slices.Sorted(maps.Keys(n.book)) {
-		require.NoError(w.t, n.desk.HandleEntry(now, key, n.book[key]))
+	n.controller.SetInstances(all, nil)
+	n.controller.SetFile(n.changeFile)
+	for _, key := range slices.Sorted(maps.Keys(n.entries)) {
+		require.NoError(w.t, n.controller.HandleEntry(now, key, n.entries[key]))
 	}
-	for _, word := range n.words {
-		n.desk.now = max(n.desk.now, now)
-		n.desk.hear(*word)
+	for _, word := range n.statuses {
+		n.controller.now = max(n.controller.now, now)
+		n.controller.recordStatus(*word)
 	}
-	n.sums, n.served = InstanceStats{Classes: make([]ClassStats, 1), MemoryBytes: 100 << 20}, w.now
-	n.desk.MarkServing(now)
+	n.stats, n.servingSince = InstanceStats{Classes: make([]ClassStats, 1), MemoryBytes: 100 << 20}, w.now
+	n.controller.MarkServing(now)
 }
 
 // kill ends a process at once; one that restarted into a change tries it again, twice.
-func (w *world) kill(n *node, down int64) {
-	n.desk, n.up, n.killed = nil, w.now+down, true
-	if n.rolling == nil {
-		n.starts++
+func (w *simulation) kill(n *node, down int64) {
+	n.controller, n.startsAt, n.killed = nil, w.now+down, true
+	if n.restart == nil {
+		n.unplannedRestarts++
 	}
 }
 
-func (w *world) hear(n *node, word *StatusMessage) {
-	if have := n.words[word.Instance.Name]; have != nil && !word.after(have) {
+func (w *simulation) deliver(n *node, word *StatusMessage) {
+	if have := n.statuses[word.Instance.Name]; have != nil && !word.isNewerThan(have) {
 		return
 	}
-	n.words[word.Instance.Name] = word
-	if n.desk != nil {
-		n.desk.now = max(n.desk.now, w.now+w.offset[n.i])
-		n.desk.hear(*word)
+	n.statuses[word.Instance.Name] = word
+	if n.controller != nil {
+		n.controller.now = max(n.controller.now, w.now+w.clockOffsets[n.index])
+		n.controller.recordStatus(*word)
 	}
 }
 
 // exchange is one instance handing all it holds to another.
-func (w *world) exchange(a, b *node) {
-	for key, text := range a.book {
-		if b.book[key] == nil {
-			b.book[key] = text
-			if b.desk != nil {
-				require.NoError(w.t, b.desk.HandleEntry(w.now+w.offset[b.i], key, text))
+func (w *simulation) exchange(a, b *node) {
+	for key, text := range a.entries {
+		if b.entries[key] == nil {
+			b.entries[key] = text
+			if b.controller != nil {
+				require.NoError(w.t, b.controller.HandleEntry(w.now+w.clockOffsets[b.index], key, text))
 			}
 		}
 	}
-	for _, word := range a.words {
-		if w.chance.Float64() < w.loss {
-			w.late = append(w.late, message{w.now + w.chance.Int63n(20*second), b.i, word})
+	for _, word := range a.statuses {
+		if w.rng.Float64() < w.lossRate {
+			w.delayed = append(w.delayed, delayedMessage{w.now + w.rng.Int63n(20*second), b.index, word})
 			continue
 		}
-		w.hear(b, word)
+		w.deliver(b, word)
 	}
 }
 
 // tick is one pace of the whole fleet.
-func (w *world) tick() {
-	w.now += w.pace
-	for i := 0; i < len(w.late); i++ {
-		if l := w.late[i]; l.at <= w.now {
-			w.hear(w.nodes[l.to], l.w)
-			w.late[i] = w.late[len(w.late)-1]
-			w.late, i = w.late[:len(w.late)-1], i-1
+func (w *simulation) tick() {
+	w.now += w.tickLength
+	for i := 0; i < len(w.delayed); i++ {
+		if l := w.delayed[i]; l.deliverAt <= w.now {
+			w.deliver(w.nodes[l.receiver], l.status)
+			w.delayed[i] = w.delayed[len(w.delayed)-1]
+			w.delayed, i = w.delayed[:len(w.delayed)-1], i-1
 		}
 	}
 	for _, n := range w.nodes {
-		if n.desk == nil {
-			if w.now >= n.up {
-				w.back(n)
+		if n.controller == nil {
+			if w.now >= n.startsAt {
+				w.finishRestart(n)
 			}
 			continue
 		}
 		w.serve(n)
-		out := n.desk.Decide(w.now + w.offset[n.i])
+		out := n.controller.Decide(w.now + w.clockOffsets[n.index])
 		for key, text := range out.Put {
-			if strings.HasPrefix(key, wordPrefix) {
+			if strings.HasPrefix(key, statusPrefix) {
 				word := &StatusMessage{}
-				require.NoError(w.t, decode(key, text, word))
-				n.words[n.place.Name] = word
+				require.NoError(w.t, decodeEntry(key, text, word))
+				n.statuses[n.instance.Name] = word
 			} else {
-				n.book[key] = text
+				n.entries[key] = text
 			}
 		}
 		if out.Restart != nil {
-			w.step(n, out.Restart)
+			w.beginRestart(n, out.Restart)
 		}
 	}
 	for range 2 {
 		for _, n := range w.nodes {
-			if o := w.nodes[w.chance.Intn(len(w.nodes))]; n.desk != nil && o.desk != nil && !w.cut(n.i, o.i) {
+			if o := w.nodes[w.rng.Intn(len(w.nodes))]; n.controller != nil && o.controller != nil && !w.isCut(n.index, o.index) {
 				w.exchange(n, o)
 			}
-			if o := w.nodes[w.chance.Intn(len(w.nodes))]; n.desk != nil && o.desk != nil && !w.cut(o.i, n.i) {
+			if o := w.nodes[w.rng.Intn(len(w.nodes))]; n.controller != nil && o.controller != nil && !w.isCut(o.index, n.index) {
 				w.exchange(o, n)
 			}
 		}
 	}
 	rolling := 0
 	for _, n := range w.nodes {
-		rolling += btoi(n.rolling != nil)
+		rolling += btoi(n.restart != nil)
 	}
-	if w.most > 0 {
-		require.LessOrEqual(w.t, rolling, w.most, "restarts at once")
+	if w.maxConcurrentRestarts > 0 {
+		require.LessOrEqual(w.t, rolling, w.maxConcurrentRestarts, "restarts at once")
 	}
 }
 
-func (w *world) step(n *node, s *Restart) {
-	w.steps++
-	n.rolling, n.desk, n.tries = s, nil, 0
-	n.up = w.now + w.pace + w.chance.Int63n(max(1, s.ReadyTimeout/2))
-	if w.reached[s.TargetNumber] == nil {
-		w.reached[s.TargetNumber] = map[string]bool{}
+func (w *simulation) beginRestart(n *node, s *Restart) {
+	w.restartCount++
+	n.restart, n.controller, n.attempts = s, nil, 0
+	n.startsAt = w.now + w.tickLength + w.rng.Int63n(max(1, s.ReadyTimeout/2))
+	if w.instancesByChange[s.TargetNumber] == nil {
+		w.instancesByChange[s.TargetNumber] = map[string]bool{}
 	}
-	w.reached[s.TargetNumber][n.place.Name] = true
+	w.instancesByChange[s.TargetNumber][n.instance.Name] = true
 }
 
-// back is a process that is up again.
-func (w *world) back(n *node) {
-	if s := n.rolling; s != nil {
-		n.rolling = nil
-		if n.tries++; w.takes(n, s.TargetNumber) {
-			n.from, n.runs, n.starts = n.runs, s.TargetNumber, 0
+// finishRestart is a process that is up again.
+func (w *simulation) finishRestart(n *node) {
+	if s := n.restart; s != nil {
+		n.restart = nil
+		if n.attempts++; w.canServe(n, s.TargetNumber) {
+			n.previousNumber, n.runningNumber, n.unplannedRestarts = n.runningNumber, s.TargetNumber, 0
 		} else {
-			n.failed, n.number, n.why = s.Epoch, s.TargetNumber, "does not serve"
+			n.failedEpoch, n.failedNumber, n.failureReason = s.Epoch, s.TargetNumber, "does not serve"
 		}
 	}
 	w.start(n, n.killed) // its last words may not have been on the disk
 	n.killed = false
 }
 
-func (w *world) serve(n *node) {
-	share := w.good
-	if n.runs != 0 {
-		share = w.bad
+func (w *simulation) serve(n *node) {
+	share := w.servedRate
+	if n.runningNumber != 0 {
+		share = w.servedRateWithChange
 	}
-	c := &n.sums.Classes[0]
-	asked := uint64(distuv.Poisson{Lambda: w.rate * float64(w.pace) / float64(second), Src: src{w.chance}}.Rand())
+	c := &n.stats.Classes[0]
+	asked := uint64(distuv.Poisson{Lambda: w.searchRate * float64(w.tickLength) / float64(second), Src: randomSource{w.rng}}.Rand())
 	ok := uint64(0)
 	for range asked {
-		if w.chance.Float64() < share {
+		if w.rng.Float64() < share {
 			ok++
-			c.Latencies[8+w.chance.Intn(6)]++
-			c.SubRequests[7+w.chance.Intn(3)]++
+			c.Latencies[8+w.rng.Intn(6)]++
+			c.SubRequests[7+w.rng.Intn(3)]++
 		}
 	}
 	c.Requests, c.Served, c.Shed = c.Requests+asked, c.Served+ok, c.Shed+asked-ok
-	n.desk.SetStats(InstanceStats{Classes: append([]ClassStats(nil), n.sums.Classes...), MemoryBytes: n.sums.MemoryBytes})
+	n.controller.SetStats(InstanceStats{Classes: append([]ClassStats(nil), n.stats.Classes...), MemoryBytes: n.stats.MemoryBytes})
 }
 
-// src is math/rand's source as gonum takes it.
-type src struct{ *rand.Rand }
+// randomSource is math/rand's source as gonum takes it.
+type randomSource struct{ *rand.Rand }
 
-func (s src) Seed(seed uint64) { s.Rand.Seed(int64(seed)) }
+func (s randomSource) Seed(seed uint64) { s.Rand.Seed(int64(seed)) }
 
-func (w *world) run(length int64, until func() bool) bool {
+func (w *simulation) runUntil(length int64, until func() bool) bool {
 	for end := w.now + length; w.now < end; {
 		if w.tick(); until != nil && until() {
 			return true
@@ -253,33 +253,33 @@
 	return until == nil
 }
 
-func (w *world) closed() bool {
+func (w *simulation) isComplete() bool {
 	for _, n := range w.nodes {
-		if n.desk == nil || n.desk.cur == nil || !n.desk.closed() || n.runs != n.desk.cur.Number {
+		if n.controller == nil || n.controller.active == nil || !n.controller.isComplete() || n.runningNumber != n.controller.active.Number {
 			return false
 		}
 	}
 	return true
 }
 
-// agreed tells that all have one answer, and run what it says.
-func (w *world) agreed() bool {
-	first := w.nodes[0].desk
+// hasAgreed tells that all have one answer, and run what it says.
+func (w *simulation) hasAgreed() bool {
+	first := w.nodes[0].controller
 	for _, n := range w.nodes {
-		if n.desk == nil || n.desk.cur == nil || first == nil || first.cur == nil || n.rolling != nil {
+		if n.controller == nil || n.controller.active == nil || first == nil || first.active == nil || n.restart != nil {
 			return false
 		}
-		d := n.desk
-		if d.cur.Number != first.cur.Number || d.digest != first.digest || d.me.Verdict != first.me.Verdict {
+		d := n.controller
+		if d.active.Number != first.active.Number || d.digest != first.digest || d.status.Verdict != first.status.Verdict {
 			return false
 		}
-		switch d.me.Verdict.Order {
+		switch d.status.Verdict.Order {
 		case OrderRollBack:
-			if n.runs != d.cur.BaseNumber {
+			if n.runningNumber != d.active.BaseNumber {
 				return false
 			}
 		case OrderProceed:
-			if !d.closed() || n.runs != d.cur.Number {
+			if !d.isComplete() || n.runningNumber != d.active.Number {
 				return false
 			}
 		}
@@ -287,7 +287,7 @@
 	return true
 }
 
-func change(number uint64, more ...string) *ChangeFile {
+func testChangeFile(number uint64, more ...string) *ChangeFile {
 	text := fmt.Sprintf("name: c\nnumber: %d\nsettings: {Safety: {ExtraFloor: 0.5}}\nstages:\n  - {count: 1, watch: 20s}\n"+
 		"  - {share: 0.25, watch: 20s}\n  - {share: 1, watch: 5s}\ncold: 2s\nready: 6s\nsilent: 60s\nsearches: 10\n%s\n...\n",
 		number, strings.Join(more, "\n"))
@@ -298,85 +298,85 @@
 	return f
 }
 
-func (w *world) give(f *ChangeFile, to ...int) {
+func (w *simulation) setChangeFile(f *ChangeFile, to ...int) {
 	for _, i := range to {
-		w.nodes[i].file = f
-		if w.nodes[i].desk != nil {
-			w.nodes[i].desk.SetFile(f)
+		w.nodes[i].changeFile = f
+		if w.nodes[i].controller != nil {
+			w.nodes[i].controller.SetFile(f)
 		}
 	}
 }
 
-func TestGoodChangeReachesAllStageByStage(t *testing.T) {
+func TestGoodChangeReachesEveryInstance(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, 300, 1)
+	w := newSimulation(t, 300, 1)
 	for _, n := range w.nodes {
 		w.start(n, false)
 	}
-	w.pace, w.most = 4*second, 75
-	f := change(1, "together: 0.25")
+	w.tickLength, w.maxConcurrentRestarts = 4*second, 75
+	f := testChangeFile(1, "together: 0.25")
 	f.Change.SilenceTimeout = 100 * second
-	w.give(f, 17)
-	require.True(t, w.run(900*second, w.closed))
-	require.Len(t, w.reached[1], 300)
-	require.Equal(t, 300, w.steps)
+	w.setChangeFile(f, 17)
+	require.True(t, w.runUntil(900*second, w.isComplete))
+	require.Len(t, w.instancesByChange[1], 300)
+	require.Equal(t, 300, w.restartCount)
 }
 
-// TestFaultsKeepTheRules plays drawn histories: partitions, one-way cuts, kills, lost and late words, lost disks,
+// TestInvariantsHoldUnderFaults plays drawn histories: partitions, one-way cuts, kills, lost and late words, lost disks,
 // changes that fail and orders that change. While they go on no more than a stage's count restart; after them all
 // instances come to one answer.
-func TestFaultsKeepTheRules(t *testing.T) {
+func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 24).Draw(t, "instances")
-		w := newWorld(t, n, rapid.Int64().Draw(t, "seed"))
-		f := change(1, "then: "+rapid.SampledFrom([]string{"back", "stop"}).Draw(t, "then"))
+		w := newSimulation(t, n, rapid.Int64().Draw(t, "seed"))
+		f := testChangeFile(1, "then: "+rapid.SampledFrom([]string{"back", "stop"}).Draw(t, "then"))
 		steps := f.Change.steps(n)
 		for i, s := range steps {
 			from := 0
 			if i > 0 {
 				from = steps[i-1].to
 			}
-			w.most = max(w.most, s.to-from)
+			w.maxConcurrentRestarts = max(w.maxConcurrentRestarts, s.to-from)
 		}
-		w.give(f, rapid.SliceOfN(rapid.IntRange(0, n-1), 1, 3).Draw(t, "files")...)
+		w.setChangeFile(f, rapid.SliceOfN(rapid.IntRange(0, n-1), 1, 3).Draw(t, "files")...)
 		if rapid.Bool().Draw(t, "fails") {
 			bad := rapid.IntRange(0, n-1).Draw(t, "where")
-			w.takes = func(n *node, to uint64) bool { return n.i != bad || to == 0 }
+			w.canServe = func(n *node, to uint64) bool { return n.index != bad || to == 0 }
 		}
 		events := rapid.IntRange(1, 6).Draw(t, "events")
 		turn := uint64(1)
 		for range events {
-			w.run(int64(rapid.IntRange(1, 60).Draw(t, "quiet"))*second, nil)
+			w.runUntil(int64(rapid.IntRange(1, 60).Draw(t, "quiet"))*second, nil)
 			switch rapid.SampledFrom([]string{"split", "one way", "kill", "loss", "wipe", "order", "second"}).Draw(t, "event") {
 			case "split":
 				at := rapid.IntRange(1, n-1).Draw(t, "at")
-				w.cut = func(a, b int) bool { return (a < at) != (b < at) }
+				w.isCut = func(a, b int) bool { return (a < at) != (b < at) }
 				length, before := int64(rapid.IntRange(1, 90).Draw(t, "length"))*second, map[int]uint64{}
-				w.run(granted(f), nil)
+				w.runUntil(grantedRestartTime(f), nil)
 				for _, n := range w.nodes {
-					before[n.i] = n.runs
+					before[n.index] = n.runningNumber
 				}
-				w.run(length, nil)
+				w.runUntil(length, nil)
 				for _, one := range w.nodes { // a minority goes neither on nor back
-					if small := one.i < at == (2*at <= n); small && (2*at != n || one.i >= 0) && one.rolling == nil {
-						require.Equal(t, before[one.i], one.runs, "%s on the small side", one.place.Name)
+					if small := one.index < at == (2*at <= n); small && (2*at != n || one.index >= 0) && one.restart == nil {
+						require.Equal(t, before[one.index], one.runningNumber, "%s on the small side", one.instance.Name)
 					}
 				}
 			case "one way":
 				a := rapid.IntRange(0, n-1).Draw(t, "deaf")
-				w.cut = func(_, b int) bool { return b == a }
+				w.isCut = func(_, b int) bool { return b == a }
 			case "kill":
 				for range rapid.IntRange(1, 3).Draw(t, "kills") {
-					if one := w.nodes[rapid.IntRange(0, n-1).Draw(t, "killed")]; one.desk != nil {
+					if one := w.nodes[rapid.IntRange(0, n-1).Draw(t, "killed")]; one.controller != nil {
 						w.kill(one, int64(rapid.IntRange(1, 20).Draw(t, "down"))*second)
 					}
 				}
 			case "loss":
-				w.loss = 0.5
+				w.lossRate = 0.5
 			case "wipe": // an empty disk: it learns what it had said from the others
-				if one := w.nodes[rapid.IntRange(0, n-1).Draw(t, "wiped")]; one.desk != nil && one.runs == 0 {
-					one.book, one.words = map[string][]byte{}, map[string]*StatusMessage{}
+				if one := w.nodes[rapid.IntRange(0, n-1).Draw(t, "wiped")]; one.controller != nil && one.runningNumber == 0 {
+					one.entries, one.statuses = map[string][]byte{}, map[string]*StatusMessage{}
 					w.start(one, true)
 				}
 			case "order":
@@ -384,21 +384,21 @@
 				g := *f
 				g.Epoch, g.Order = turn, rapid.SampledFrom([]Order{OrderProceed, OrderStop, OrderRollBack}).Draw(t, "order")
 				f = &g
-				w.give(f, rapid.IntRange(0, n-1).Draw(t, "file"))
+				w.setChangeFile(f, rapid.IntRange(0, n-1).Draw(t, "file"))
 			case "second":
-				f, turn = change(f.Change.Number+1), 1
-				w.give(f, rapid.IntRange(0, n-1).Draw(t, "file"))
+				f, turn = testChangeFile(f.Change.Number+1), 1
+				w.setChangeFile(f, rapid.IntRange(0, n-1).Draw(t, "file"))
 			}
-			w.run(int64(rapid.IntRange(1, 60).Draw(t, "trouble"))*second, nil)
-			w.cut, w.loss = func(a, b int) bool { return false }, 0
+			w.runUntil(int64(rapid.IntRange(1, 60).Draw(t, "trouble"))*second, nil)
+			w.isCut, w.lossRate = func(a, b int) bool { return false }, 0
 		}
-		if !w.run(1200*second, w.agreed) {
+		if !w.runUntil(1200*second, w.hasAgreed) {
 			for _, one := range w.nodes {
-				if d := one.desk; d != nil && d.cur != nil {
-					t.Logf("%s runs %d of %d from %d, %+v open %d/%d stage %d roster %s ask %v acks %v failed %d amn %v: %s", one.place.Name, one.runs, d.cur.Number,
-						d.cur.BaseNumber, d.me.Verdict, d.open, len(d.steps), d.me.ApprovedSteps, d.me.RosterDigest, d.me.PermitRequest, d.acks, d.me.FailedEpoch, d.amnesia(), d.holdsNow())
+				if d := one.controller; d != nil && d.active != nil {
+					t.Logf("%s runs %d of %d from %d, %+v open %d/%d stage %d roster %s ask %v acks %v failed %d amn %v: %s", one.instance.Name, one.runningNumber, d.active.Number,
+						d.active.BaseNumber, d.status.Verdict, d.open, len(d.steps), d.status.ApprovedSteps, d.status.RosterDigest, d.status.PermitRequest, d.acks, d.status.FailedEpoch, d.mayHaveForgottenPromises(), d.holdsNow())
 				} else {
-					t.Logf("%s %v", one.place.Name, one.desk != nil)
+					t.Logf("%s %v", one.instance.Name, one.controller != nil)
 				}
 			}
 			t.Fatal("no one answer")
@@ -406,17 +406,17 @@
 	})
 }
 
-// granted is how long a step may still come of what was granted before: the wish's time, and the restart's.
-func granted(f *ChangeFile) int64 {
-	return f.Change.SilenceTimeout/askParts + f.Change.ReadyTimeout + 3*second
+// grantedRestartTime is how long a step may still come of what was grantedRestartTime before: the wish's time, and the restart's.
+func grantedRestartTime(f *ChangeFile) int64 {
+	return f.Change.SilenceTimeout/requestTimeoutDivisor + f.Change.ReadyTimeout + 3*second
 }
 
 func (d *Controller) holdsNow() string {
 	if d.roster == nil {
 		return "no roster"
 	}
-	if d.me.ApprovedSteps > len(d.steps) {
+	if d.status.ApprovedSteps > len(d.steps) {
 		return "closed"
 	}
-	return d.holds()
+	return d.delayReason()
 }
--- a/control/rollout/roster.go
+++ b/control/rollout/roster.go
@@ -23,8 +23,8 @@
 	at     map[string]int
 }
 
-// rosterOf orders instances by a hash of change and name, each zone's and region's evenly through the whole.
-func rosterOf(change string, all []Instance) *roster {
+// newRoster orders instances by a hash of change and name, each zone's and region's evenly through the whole.
+func newRoster(change string, all []Instance) *roster {
 	type ranked struct {
 		Instance
 		key  float64
@@ -103,8 +103,8 @@
 	return all
 }
 
-// stepOf is the step, counted from 1, in which the instance at a place of the roster takes the change.
-func stepOf(all []step, place int) int {
+// stepAtPosition is the step, counted from 1, in which the instance at a place of the roster takes the change.
+func stepAtPosition(all []step, place int) int {
 	for i, s := range all {
 		if place < s.to {
 			return i + 1
--- a/control/rollout/word.go
+++ b/control/rollout/word.go
@@ -13,7 +13,7 @@
 	KeyPrefix     = "rollout/"
 	changePrefix  = KeyPrefix + "change/" // number/digest: a Change, which never changes
 	rosterPrefix  = KeyPrefix + "roster/" // number/digest: places in order of names, likewise
-	wordPrefix    = KeyPrefix + "word/"   // instance: its Word, written by it alone
+	statusPrefix  = KeyPrefix + "word/"   // instance: its Word, written by it alone
 	changesMost   = 16                    // changes that are kept: those before the one in force are of no use
 	digestsMost   = 4                     // of one number: two already stop it
 	wordsMost     = 4096                  // instances that are heard: ten times the largest fleet
@@ -76,7 +76,7 @@
 	Stats             *InstanceStats `cbor:"16,keyasint,omitempty"` // since it was warm; nil before
 }
 
-func (w *StatusMessage) after(v *StatusMessage) bool {
+func (w *StatusMessage) isNewerThan(v *StatusMessage) bool {
 	return w.Incarnation > v.Incarnation || w.Incarnation == v.Incarnation && w.Sequence > v.Sequence
 }
 
@@ -105,10 +105,10 @@
 }
 
 // StatusMessageKey is where an instance's word stands.
-func StatusMessageKey(name string) string { return wordPrefix + name }
+func StatusMessageKey(name string) string { return statusPrefix + name }
 
-// numbered takes the part of a key behind its prefix apart.
-func numbered(rest string) (number uint64, digest string, ok bool) {
+// parseKeySuffix takes the part of a key behind its prefix apart.
+func parseKeySuffix(rest string) (number uint64, digest string, ok bool) {
 	text, digest, ok := strings.Cut(rest, "/")
 	if _, err := fmt.Sscanf(text, "%d", &number); err != nil || len(text) != 20 {
 		return 0, "", false
@@ -116,9 +116,9 @@
 	return number, digest, ok
 }
 
-// packRoster writes places, in order of names, so that a few hundred fit an entry.
-func packRoster(all []Instance) []byte {
-	text, _ := encoding.Marshal(all)
+// encodeRoster writes places, in order of names, so that a few hundred fit an entry.
+func encodeRoster(all []Instance) []byte {
+	text, _ := cborEncoder.Marshal(all)
 	var b bytes.Buffer
 	w, _ := flate.NewWriter(&b, flate.BestCompression)
 	w.Write(text) // to memory: it cannot fail
@@ -126,13 +126,13 @@
 	return b.Bytes()
 }
 
-func unpackRoster(key string, value []byte) (all []Instance, err error) {
+func decodeRoster(key string, value []byte) (all []Instance, err error) {
 	if len(value) > MaxEntryBytes {
 		return nil, &InvalidEntryError{key, fmt.Errorf("%d bytes", len(value))}
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(value)), rosterMost))
 	if err == nil {
-		err = decoding.Unmarshal(text, &all)
+		err = cborDecoder.Unmarshal(text, &all)
 	}
 	if err != nil {
 		return nil, &InvalidEntryError{key, err}
@@ -140,12 +140,12 @@
 	return all, nil
 }
 
-// decode reads an entry; fields that a later version has added are passed over.
-func decode(key string, value []byte, into any) error {
+// decodeEntry reads an entry; fields that a later version has added are passed over.
+func decodeEntry(key string, value []byte, into any) error {
 	if len(value) > MaxEntryBytes {
 		return &InvalidEntryError{key, fmt.Errorf("%d bytes", len(value))}
 	}
-	if err := decoding.Unmarshal(value, into); err != nil {
+	if err := cborDecoder.Unmarshal(value, into); err != nil {
 		return &InvalidEntryError{key, err}
 	}
 	return nil
--- a/control/rollout/worse.go
+++ b/control/rollout/worse.go
@@ -17,7 +17,7 @@
 	MaxClasses            = 8        // classes that are compared, the first of them: their sums fit an entry
 	temper                = 0.75     // power of each bet: searches that fail together count as half as many, and stay fair
 	oddsLeast             = 1.25     // times the old side's odds that pass in any case: sides differ by luck that no count shows
-	holdAt                = 1.5      // evidence over which nobody goes on yet: either it grows to a stop or it fades
+	maxContinueEValue     = 1.5      // evidence over which nobody goes on yet: either it grows to a stop or it fades
 	blockMost             = 2048     // searches of a side in one look at a place that are reckoned with one by one: bounds the work
 	countLeast            = 200      // searches of the new side before connects are judged
 	connectsOver          = 100.0    // connects over what is allowed before they are judged: a few reconnects are chance
@@ -82,16 +82,16 @@
 	median
 	tail
 	subs
-	metrics
+	metricCount
 )
 
 var (
-	metricNames   = [metrics]string{"served", "late", "shed", "median", "tail", "sub_requests"}
-	metricWeights = [metrics]float64{0.5, 0.1, 0.1, 0.1, 0.1, 0.1} // of the evidence: what is served matters most
+	metricNames   = [metricCount]string{"served", "late", "shed", "median", "tail", "sub_requests"}
+	metricWeights = [metricCount]float64{0.5, 0.1, 0.1, 0.1, 0.1, 0.1} // of the evidence: what is served matters most
 )
 
 func (w *RegressionLimits) margin(m metric) float64 {
-	return [metrics]float64{w.Served, w.Late, w.Shed, w.Median, w.Tail, w.SubRequests}[m]
+	return [metricCount]float64{w.Served, w.Late, w.Shed, w.Median, w.Tail, w.SubRequests}[m]
 }
 
 // RegressionAnalysis compares old and new side by side, look after look. Each look compares what was added since the last, in
@@ -105,7 +105,7 @@
 	looks  int
 	spent  float64 // of the weight of bets that begin at a look
 	seen   map[string]*Sample
-	past   map[slot]*ClassStats // the old side's, up to the last look
+	past   map[stratum]*ClassStats // the old side's, up to the last look
 	money  map[bet]*[len(odds)]float64
 	shares map[bet]*[4]uint64 // bad and all, old and new
 	new    ClassStats         // all of it
@@ -115,21 +115,21 @@
 	places map[[2]string]bool
 }
 
-type slot struct {
+type stratum struct {
 	class int
 	place [2]string // region and zone, a star for all that have no pair nearer
 }
 
 // bet is on one class or all (-1), in one place or all ("").
 type bet struct {
-	slot
+	stratum
 	metric metric
 }
 
 // NewRegressionAnalysis begins to compare.
 func NewRegressionAnalysis(w RegressionLimits) *RegressionAnalysis {
 	return &RegressionAnalysis{
-		worse: w, seen: map[string]*Sample{}, past: map[slot]*ClassStats{}, money: map[bet]*[len(odds)]float64{}, shares: map[bet]*[4]uint64{},
+		worse: w, seen: map[string]*Sample{}, past: map[stratum]*ClassStats{}, money: map[bet]*[len(odds)]float64{}, shares: map[bet]*[4]uint64{},
 		places: map[[2]string]bool{},
 	}
 }
@@ -204,7 +204,7 @@
 	if sum := who.Sum64(); sum != e.who || e.place == nil { // who is on which side seldom changes
 		e.who, e.place = sum, placesOf(all)
 	}
-	added := map[slot]*[2]ClassStats{}
+	added := map[stratum]*[2]ClassStats{}
 	classes := 0
 	for i := range all {
 		s := &all[i]
@@ -225,7 +225,7 @@
 			if !rises(&s.Stats.Classes[c], &was) || e.place[i] == [2]string{} {
 				continue
 			}
-			at := slot{c, e.place[i]}
+			at := stratum{c, e.place[i]}
 			if added[at] == nil {
 				added[at] = &[2]ClassStats{}
 			}
@@ -250,7 +250,7 @@
 			past = &ClassStats{}
 			e.past[at] = past
 		}
-		for m := range metrics {
+		for m := range metricCount {
 			f, cut, ok := usual(past, m)
 			if !ok {
 				continue
@@ -258,7 +258,7 @@
 			newBad, newAll := count(&sides[1], m, cut)
 			oldBad, oldAll := count(&sides[0], m, cut)
 			logs := ratios(newBad, newAll, oldBad, oldAll, oddsOver(f, e.worse.margin(m)))
-			for _, b := range []bet{{slot{class: -1}, m}, {slot{class: at.class}, m}, {slot{-1, at.place}, m}} {
+			for _, b := range []bet{{stratum{class: -1}, m}, {stratum{class: at.class}, m}, {stratum{-1, at.place}, m}} {
 				if e.shares[b] == nil {
 					e.shares[b] = &[4]uint64{}
 				}
--- a/control/rollout/worse_test.go
+++ b/control/rollout/worse_test.go
@@ -9,33 +9,33 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// side is a cohort in a zone: so many instances at a search a second each.
-type side struct {
-	life uint64
-	n    int
-	sums InstanceStats
+// cohort is a cohort in a zone: so many instances at a search a second each.
+type cohort struct {
+	incarnation   uint64
+	instanceCount int
+	stats         InstanceStats
 }
 
-// rollout300 plays stages of 1, 15 and 75 of 300 instances, each watched for five minutes and looked at every ten
+// simulateRollout plays stages of 1, 15 and 75 of 300 instances, each watched for five minutes and looked at every ten
 // seconds. worse gives what the change adds to a class's unserved share at a time in seconds. Host trouble comes and
 // goes for both sides, and each instance has luck of its own. It gives the step at which the change was
 // stopped, 0 for not, and the seconds since the first.
-func rollout300(seed int64, worse func(class, zone int, at float64, trouble bool) float64) (step int, at float64) {
+func simulateRollout(seed int64, worse func(class, zone int, at float64, trouble bool) float64) (step int, at float64) {
 	chance := rand.New(rand.NewSource(seed))
-	from := src{chance}
-	e := NewRegressionAnalysis(usualWorse)
+	from := randomSource{chance}
+	e := NewRegressionAnalysis(defaultRegressionLimits)
 	classes := []float64{0.6, 0.3, 0.1}
-	var sides [6][2]side
+	var sides [6][2]cohort
 	all := func() (samples []Sample) {
 		for z := range sides {
 			for s := range sides[z] {
-				if one := &sides[z][s]; one.n > 0 {
-					one.sums.MemoryBytes = 100 << 20
+				if one := &sides[z][s]; one.instanceCount > 0 {
+					one.stats.MemoryBytes = 100 << 20
 					samples = append(samples, Sample{
 						Name: string(rune('a'+z)) + string(rune('0'+s)), Region: string(rune('a' + z/2)),
-						Zone: string(rune('a' + z)), HasChange: s == 1, Incarnation: one.life, Stats: InstanceStats{
-							Classes:     append([]ClassStats(nil), one.sums.Classes...),
-							MemoryBytes: one.sums.MemoryBytes,
+						Zone: string(rune('a' + z)), HasChange: s == 1, Incarnation: one.incarnation, Stats: InstanceStats{
+							Classes:     append([]ClassStats(nil), one.stats.Classes...),
+							MemoryBytes: one.stats.MemoryBytes,
 						},
 					})
 				}
@@ -51,10 +51,10 @@
 			if z < n%6 {
 				has++
 			}
-			sides[z][1].n, sides[z][0].n = has, 50-has
+			sides[z][1].instanceCount, sides[z][0].instanceCount = has, 50-has
 			for s := range sides[z] {
-				sides[z][s].life++
-				sides[z][s].sums = InstanceStats{Classes: make([]ClassStats, len(classes))}
+				sides[z][s].incarnation++
+				sides[z][s].stats = InstanceStats{Classes: make([]ClassStats, len(classes))}
 			}
 		}
 		e.AddSamples(all())
@@ -73,9 +73,9 @@
 			for z := range sides {
 				for s := range sides[z] {
 					one := &sides[z][s]
-					luck := math.Exp(0.3 * chance.NormFloat64() / math.Sqrt(float64(max(1, one.n)))) // of each instance, on average
+					luck := math.Exp(0.3 * chance.NormFloat64() / math.Sqrt(float64(max(1, one.instanceCount)))) // of each instance, on average
 					for c, share := range classes {
-						asked := distuv.Poisson{Lambda: 10*float64(one.n)*share + 1e-9, Src: from}.Rand()
+						asked := distuv.Poisson{Lambda: 10*float64(one.instanceCount)*share + 1e-9, Src: from}.Rand()
 						p := min(0.9, base*luck)
 						if s == 1 {
 							p = min(0.95, p+worse(c, z, clock, trouble > 0))
@@ -84,7 +84,7 @@
 						if asked > 0 {
 							lost = distuv.Binomial{N: asked, P: p, Src: from}.Rand()
 						}
-						k := &one.sums.Classes[c]
+						k := &one.stats.Classes[c]
 						k.Requests += uint64(asked)
 						k.Served += uint64(asked - lost)
 						k.Shed += uint64(lost)
@@ -99,7 +99,7 @@
 			if e.DescribeRegression() != "" {
 				return step + 1, clock
 			}
-			if value, _ := e.EValue(); look >= 30 && value <= holdAt {
+			if value, _ := e.EValue(); look >= 30 && value <= maxContinueEValue {
 				break
 			}
 			if look > 90 { // held back for good
@@ -110,10 +110,10 @@
 	return 0, clock
 }
 
-// stopped plays many and counts how many stop, how many of them before a quarter of the fleet has the change.
-func stopped(n int, worse func(class, zone int, at float64, trouble bool) float64) (early, any int, mean float64) {
+// countStops plays many and counts how many stop, how many of them before a quarter of the fleet has the change.
+func countStops(n int, worse func(class, zone int, at float64, trouble bool) float64) (early, any int, mean float64) {
 	for seed := range n {
-		step, at := rollout300(int64(seed), worse)
+		step, at := simulateRollout(int64(seed), worse)
 		any += btoi(step > 0)
 		if step == 1 || step == 2 {
 			early++
@@ -123,13 +123,13 @@
 	return early, any, mean / float64(max(1, early))
 }
 
-func TestErrorRates(t *testing.T) {
+func TestStopRates(t *testing.T) {
 	t.Parallel()
 	const calm, bad = 100, 20
-	_, any, _ := stopped(calm, func(int, int, float64, bool) float64 { return 0 })
+	_, any, _ := countStops(calm, func(int, int, float64, bool) float64 { return 0 })
 	t.Logf("calm rollouts stopped: %d of %d", any, calm)
 	require.Less(t, any, calm/20)
-	_, any, _ = stopped(bad, func(int, int, float64, bool) float64 { return -0.003 })
+	_, any, _ = countStops(bad, func(int, int, float64, bool) float64 { return -0.003 })
 	require.Zero(t, any, "a change that is better")
 	for name, worse := range map[string]func(class, zone int, at float64, trouble bool) float64{
 		"all":        func(int, int, float64, bool) float64 { return 0.05 },
@@ -138,7 +138,7 @@
 		"one zone":   func(_, zone int, _ float64, _ bool) float64 { return 0.2 * float64(btoi(zone == 3)) },
 		"under load": func(_, _ int, _ float64, trouble bool) float64 { return 0.35 * float64(btoi(trouble)) },
 	} {
-		early, any, mean := stopped(bad, worse)
+		early, any, mean := countStops(bad, worse)
 		t.Logf("%s: %d of %d stopped before a quarter, %d at all, after %.0f s", name, early, bad, any, mean)
 		least := bad * 95 / 100
 		if name == "under load" { // it shows only where there is trouble before the third stage
