--- /dev/null
+++ b/control/rollout/bets.go
@@ -0,0 +1,276 @@
+package rollout
+
+import (
+	"fmt"
+	"math"
+
+	"gonum.org/v1/gonum/floats"
+	"gonum.org/v1/gonum/stat/combin"
+)
+
+// The evidence for a regression is collected by betting against the null hypothesis that the change is no worse than
+// its limits allow. Given how many searches of both sides were bad, the number of the change's among them follows
+// Fisher's noncentral hypergeometric distribution in the odds ratio of the sides. A bet multiplies its wealth by the
+// likelihood ratio of an odds ratio above the tolerated one to the tolerated one itself. Under the null hypothesis a
+// bet's expected wealth does not grow, so by Ville's inequality it reaches 1/α with a probability of at most α, over all
+// looks together. Bets begin at every look, because a change may become worse later.
+
+const (
+	// likelihoodExponent tempers each likelihood ratio. Searches fail together, so they count less than independent
+	// ones; a power below 1 keeps the bet fair.
+	likelihoodExponent = 0.75
+	// minToleratedRatio is the odds ratio that is tolerated at the least: the sides differ by chance that no count shows.
+	minToleratedRatio = 1.25
+	// maxBaselineFraction and maxToleratedFraction keep odds finite.
+	maxBaselineFraction  = 0.97
+	maxToleratedFraction = 0.985
+	// maxBlockSearches is how many searches of a side one look counts exactly. More are scaled down, which bounds the
+	// computation.
+	maxBlockSearches = 2048
+	// minExcessPart is the part of the margin by which the bad fractions have to differ for a bet to count. Where bad
+	// searches are rare, the odds may differ widely and the fractions hardly.
+	minExcessPart = 0.5
+	// maxLogWealth bounds the logarithm of the wealth of a bet, since exp overflows a little above 709.
+	maxLogWealth = 600
+)
+
+// betRatios are the odds ratios that are bet on, as multiples of the tolerated one.
+var betRatios = [...]float64{1.5, 2.5, 5, 12}
+
+// Parts of a metric's initial wealth that are bet on all searches, on the classes and on the places.
+const (
+	overallPart  = 0.5
+	perClassPart = 0.25
+	perPlacePart = 0.25
+)
+
+// allClasses is the class of a bet on all classes; such a bet has the zero place for all places.
+const allClasses = -1
+
+// logWealth is the logarithm of what the bets on each of betRatios are worth.
+type logWealth [len(betRatios)]float64
+
+// bet is on one metric of one class or allClasses, in one place or all (the zero place).
+type bet struct {
+	stratum
+	metric metric
+}
+
+// String is the bet in the reason of a verdict.
+func (b bet) String() string {
+	text := metricNames[b.metric]
+	if b.class != allClasses {
+		text += fmt.Sprintf(", class %d", b.class)
+	}
+	if b.place != (place{}) {
+		text += ", in " + b.place.region + "/" + b.place.zone
+	}
+	return text
+}
+
+// portfolio is all bets and what they are worth.
+type portfolio struct {
+	limits  RegressionLimits
+	rounds  int
+	started float64            // part of the initial wealth that bets of the rounds so far have begun with
+	wealth  map[bet]*logWealth // of the bets that a round has had an outcome for
+	gains   map[bet]*logWealth // of the present round
+	counts  map[bet]*[sideCount]proportion
+	places  map[place]bool
+}
+
+func newPortfolio(limits RegressionLimits) *portfolio {
+	return &portfolio{
+		limits: limits, wealth: map[bet]*logWealth{}, counts: map[bet]*[sideCount]proportion{}, places: map[place]bool{},
+	}
+}
+
+func (p *portfolio) beginRound() {
+	p.rounds++
+	p.gains = map[bet]*logWealth{}
+}
+
+// bet lets all bets on a stratum play on what its sides counted in a round. The baseline is of earlier rounds.
+func (p *portfolio) bet(in stratum, baseline *ClassStats, sides *[sideCount]ClassStats) {
+	p.places[in.place] = true
+	for m := range metricCount {
+		observed, ok := newBaselineMetric(m, baseline)
+		if !ok {
+			continue
+		}
+		var counts [sideCount]proportion
+		for side := range counts {
+			counts[side] = observed.count(&sides[side])
+		}
+		tolerated := toleratedOddsRatio(observed.fraction, p.limits.margin(m))
+		ratios := logLikelihoodRatios(counts[changeSide], counts[baselineSide], tolerated)
+		for _, b := range []bet{
+			{stratum{class: allClasses}, m},
+			{stratum{class: in.class}, m},
+			{stratum{allClasses, in.place}, m},
+		} {
+			p.record(b, counts, ratios)
+		}
+	}
+}
+
+func (p *portfolio) record(b bet, counts [sideCount]proportion, ratios logWealth) {
+	if p.counts[b] == nil {
+		p.counts[b] = &[sideCount]proportion{}
+	}
+	for side := range counts {
+		p.counts[b][side].add(counts[side])
+	}
+	for i, ratio := range ratios {
+		if ratio == 0 {
+			continue
+		}
+		if p.gains[b] == nil {
+			p.gains[b] = &logWealth{}
+		}
+		p.gains[b][i] += ratio
+	}
+}
+
+// endRound begins the bets of the round and pays the gains. The parts of the initial wealth that the rounds begin with,
+// 1/(n(n+1)) in round n, add up to 1.
+func (p *portfolio) endRound() {
+	part := 1 / (float64(p.rounds) * float64(p.rounds+1))
+	for b := range p.gains {
+		if p.wealth[b] != nil {
+			continue
+		}
+		wealth := &logWealth{} // bets of earlier rounds have had no outcome and are worth what they began with
+		for i := range wealth {
+			wealth[i] = math.Log(p.started)
+		}
+		p.wealth[b] = wealth
+	}
+	for b, wealth := range p.wealth {
+		gain := p.gains[b]
+		for i := range wealth {
+			wealth[i] = logSum(wealth[i], math.Log(part))
+			if gain != nil {
+				wealth[i] += gain[i]
+			}
+		}
+	}
+	p.started += part
+}
+
+// value is the wealth of all bets together, 1 at the start, and the bet that is worth most.
+func (p *portfolio) value(classCount int) (value float64, strongest string) {
+	highest := 0.0
+	untouched := 1.0 // part of the initial wealth on bets that count as they began
+	for b, wealth := range p.wealth {
+		counts := p.counts[b]
+		excess := counts[changeSide].fraction() - counts[baselineSide].fraction()
+		if excess < p.limits.margin(b.metric)*minExcessPart {
+			continue
+		}
+		weight := p.weight(b, classCount)
+		sum := 1 - p.started // what later rounds begin with
+		for _, log := range wealth {
+			sum += math.Exp(min(log, maxLogWealth)) / float64(len(betRatios))
+		}
+		value += weight * sum
+		untouched -= weight
+		if weight*sum > highest {
+			highest, strongest = weight*sum, b.String()
+		}
+	}
+	return value + max(0, untouched), strongest
+}
+
+// weight is the part of the initial wealth that is on a bet.
+func (p *portfolio) weight(b bet, classCount int) float64 {
+	weight := metricWeights[b.metric]
+	switch {
+	case b.class != allClasses:
+		return weight * perClassPart / float64(max(1, classCount))
+	case b.place != (place{}):
+		return weight * perPlacePart / float64(max(1, len(p.places)))
+	}
+	return weight * overallPart
+}
+
+// toleratedOddsRatio is what a margin on the bad fraction is as a ratio of odds.
+func toleratedOddsRatio(baselineFraction, margin float64) float64 {
+	// Below the margin the odds say little; there minExcessPart decides.
+	baseline := min(max(baselineFraction, margin), maxBaselineFraction)
+	tolerated := min(baseline+margin, maxToleratedFraction)
+	return max(minToleratedRatio, odds(tolerated)/odds(baseline))
+}
+
+func odds(fraction float64) float64 { return fraction / (1 - fraction) }
+
+// logLikelihoodRatios are the logarithms of what each bet gains by one observation of the two sides: the likelihood of
+// the change's count if its odds ratio is that of the bet, to the likelihood at the tolerated one.
+func logLikelihoodRatios(changed, baseline proportion, tolerated float64) (ratios logWealth) {
+	if scale := (max(changed.all, baseline.all) + maxBlockSearches - 1) / maxBlockSearches; scale > 1 {
+		changed = proportion{changed.bad / scale, changed.all / scale}
+		baseline = proportion{baseline.bad / scale, baseline.all / scale}
+	}
+	isConsistent := changed.bad <= changed.all && baseline.bad <= baseline.all
+	bad, all := changed.bad+baseline.bad, changed.all+baseline.all
+	if !isConsistent || changed.all == 0 || baseline.all == 0 || bad == 0 || bad >= all {
+		return ratios
+	}
+	distribution := newHypergeometric(changed.all, baseline.all, bad)
+	if len(distribution.logWays) == 1 { // the count could not be another
+		return ratios
+	}
+	logTolerated := math.Log(tolerated)
+	normTolerated := distribution.logNorm(logTolerated)
+	for i, multiple := range betRatios {
+		logMultiple := math.Log(multiple)
+		logNorm := distribution.logNorm(logTolerated + logMultiple)
+		ratios[i] = likelihoodExponent * (float64(changed.bad)*logMultiple - (logNorm - normTolerated))
+	}
+	return ratios
+}
+
+// hypergeometric is Fisher's noncentral hypergeometric distribution of the change's bad searches, given how many of both
+// sides are bad.
+type hypergeometric struct {
+	lowest  int       // smallest possible count
+	logWays []float64 // logarithm of the number of ways to each count, from the lowest on
+	terms   []float64 // scratch space
+}
+
+func newHypergeometric(changedAll, baselineAll, bad uint64) *hypergeometric {
+	lowest, highest := 0, int(min(bad, changedAll))
+	if bad > baselineAll {
+		lowest = int(bad - baselineAll)
+	}
+	h := &hypergeometric{lowest: lowest, logWays: make([]float64, highest-lowest+1)}
+	h.terms = make([]float64, len(h.logWays))
+	if len(h.logWays) == 1 {
+		return h
+	}
+	for i := range h.logWays {
+		count := float64(lowest + i)
+		h.logWays[i] = combin.LogGeneralizedBinomial(float64(changedAll), count) +
+			combin.LogGeneralizedBinomial(float64(baselineAll), float64(bad)-count)
+	}
+	return h
+}
+
+// logNorm is the logarithm of the normalizing sum for the logarithm of an odds ratio.
+func (h *hypergeometric) logNorm(logRatio float64) float64 {
+	for i := range h.terms {
+		h.terms[i] = h.logWays[i] + float64(h.lowest+i)*logRatio
+	}
+	return floats.LogSumExp(h.terms)
+}
+
+// logSum is the logarithm of the sum of two numbers given by their logarithms.
+func logSum(a, b float64) float64 {
+	if a < b {
+		a, b = b, a
+	}
+	if math.IsInf(b, -1) {
+		return a
+	}
+	return a + math.Log1p(math.Exp(b-a))
+}
--- /dev/null
+++ b/control/rollout/change_file.go
@@ -0,0 +1,289 @@
+package rollout
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"math"
+	"regexp"
+	"slices"
+	"time"
+
+	"chalkring/config/settings"
+	"chalkring/config/strictyaml"
+)
+
+const (
+	maxFileBytes     = 64 << 10       // settings and stages take a few KiB
+	maxNameBytes     = 64             // the name of a change stands in log lines
+	maxStages        = 16             // stages that a file may have
+	maxSettings      = 256            // settings that a change may set: a plan has fewer than a hundred
+	maxDuration      = 24 * time.Hour // a longer watch should be two changes
+	maxLimitFraction = 0.5            // exclusive bound of the limits that are fractions
+	maxFalseStops    = 0.05           // largest probability of a false stop that a file may ask for
+	endMarker        = "..."          // last line of a file; a truncated file lacks it
+
+	// minSilenceFactor is how many times ReadyTimeout SilenceTimeout has to be at least. A permit is valid for
+	// SilenceTimeout, and a restart that fails and the restart back have to fit into half of it.
+	minSilenceFactor = 4
+)
+
+// Values of a file's keys that are left out.
+const (
+	defaultEpoch          = 1
+	defaultMaxConcurrent  = 1.0
+	defaultMinSearches    = 200
+	defaultWatch          = 5 * time.Minute
+	defaultWarmUp         = 30 * time.Second
+	defaultReadyTimeout   = 30 * time.Second
+	defaultSilenceTimeout = 4 * time.Minute
+	minReadyTimeout       = 100 * time.Millisecond
+	minSilenceTimeout     = time.Second
+)
+
+// defaultRegressionLimits holds for the limits that a file leaves out.
+var defaultRegressionLimits = RegressionLimits{
+	Served: 0.01, Late: 0.03, Shed: 0.02, Median: 0.15, Tail: 0.05, SubRequests: 0.15, Connections: 3, Memory: 1.5,
+	Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02,
+}
+
+// ordersByName and regressionOrdersByName are the values of the keys order and then.
+var (
+	ordersByName           = map[string]Order{"": OrderProceed, "go": OrderProceed, "stop": OrderStop, "back": OrderRollBack}
+	regressionOrdersByName = map[string]Order{"": OrderRollBack, "back": OrderRollBack, "stop": OrderStop}
+)
+
+// classOrTenantName matches the settings that set nothing. They name the class or tenant that the settings beside them
+// are meant for, and each instance compares them with its plan.
+var classOrTenantName = regexp.MustCompile(`^(Classes|Tenants)\.\d+\.Name$`)
+
+// changeFileKeys is a change file as it is written.
+type changeFileKeys struct {
+	Name     string           `yaml:"name"`
+	Number   uint64           `yaml:"number"`
+	Order    string           `yaml:"order"`
+	Epoch    uint64           `yaml:"turn"`
+	Settings map[string]any   `yaml:"settings"`
+	Program  *Program         `yaml:"program"`
+	Stages   []Stage          `yaml:"stages"`
+	Together float64          `yaml:"together"`
+	WarmUp   string           `yaml:"cold"`
+	Ready    string           `yaml:"ready"`
+	Silence  string           `yaml:"silent"`
+	Searches *int             `yaml:"searches"`
+	Limits   RegressionLimits `yaml:"worse"`
+	Then     string           `yaml:"then"`
+}
+
+// ChangeFile is a change file as one instance reads it: the change, and what the operator wants of it at present.
+type ChangeFile struct {
+	Change Change // without its base: BaseNumber is 0 and Settings are those of the file alone
+	Order  Order
+	Epoch  uint64 // rises with each new order
+}
+
+// ParseChangeFile reads the text of a change file; path is for error messages. Its errors are InvalidChangeFileError.
+func ParseChangeFile(path string, text []byte) (*ChangeFile, error) {
+	file, err := parseChangeFile(text)
+	if err != nil {
+		return nil, &InvalidChangeFileError{path, err}
+	}
+	return file, nil
+}
+
+func parseChangeFile(text []byte) (*ChangeFile, error) {
+	body, ok := bytes.CutSuffix(bytes.TrimRight(text, "\r\n\t "), []byte("\n"+endMarker))
+	if !ok { // the file may be read while it is written
+		return nil, &strictyaml.InvalidFileError{
+			Problem: "the last line is not " + endMarker + ", so the file may be cut",
+			Remedy:  "End the file with a line of three dots.",
+		}
+	}
+	keys := changeFileKeys{Limits: defaultRegressionLimits, Together: defaultMaxConcurrent, Epoch: defaultEpoch}
+	document, err := strictyaml.Decode(body, maxFileBytes, &keys)
+	if err != nil {
+		return nil, err
+	}
+	parser := changeFileParser{Document: document, keys: &keys}
+	file := parser.parse()
+	return file, document.Err()
+}
+
+// changeFileParser turns the keys of a file into a change. It records each error in the document and goes on, so that
+// an operator sees all of them at once.
+type changeFileParser struct {
+	*strictyaml.Document
+	keys *changeFileKeys
+}
+
+func (p *changeFileParser) parse() *ChangeFile {
+	keys := p.keys
+	p.checkIdentity()
+	file := &ChangeFile{Epoch: keys.Epoch, Order: p.parseOrder()}
+	file.Change = Change{
+		Name: keys.Name, Number: keys.Number, MaxConcurrentFraction: keys.Together, MinSearches: defaultMinSearches,
+		RegressionLimits: keys.Limits, OnRegression: p.parseRegressionOrder(), Settings: p.parseSettings(),
+	}
+	change := &file.Change
+	change.Program = p.parseProgram(len(change.Settings) > 0)
+	change.Stages = p.parseStages()
+	if !(change.MaxConcurrentFraction > 0 && change.MaxConcurrentFraction <= 1) { // also for NaN
+		p.AddError("$.together", "%g is no share above 0", change.MaxConcurrentFraction)
+	}
+	if keys.Searches != nil {
+		if change.MinSearches = *keys.Searches; change.MinSearches < 0 {
+			p.AddError("$.searches", "%d is under 0", change.MinSearches)
+		}
+	}
+	change.WarmUp = p.parseDuration("$.cold", keys.WarmUp, 0, defaultWarmUp)
+	change.ReadyTimeout = p.parseDuration("$.ready", keys.Ready, minReadyTimeout, defaultReadyTimeout)
+	change.SilenceTimeout = p.parseDuration("$.silent", keys.Silence, minSilenceTimeout, defaultSilenceTimeout)
+	if change.SilenceTimeout < minSilenceFactor*change.ReadyTimeout {
+		p.AddError("$.silent", "has to be %d times ready at least: a restart and its way back have to fit", minSilenceFactor)
+	}
+	p.checkRegressionLimits()
+	return file
+}
+
+func (p *changeFileParser) checkIdentity() {
+	if name := p.keys.Name; len(name) > maxNameBytes || !isPlainName(name) {
+		p.AddError("$.name", "%.40q is no name of letters, digits and .-_ of %d at most", name, maxNameBytes)
+	}
+	if p.keys.Number == 0 {
+		p.AddError("$.number", "has to be 1 or more, and higher than any change before")
+	}
+}
+
+func (p *changeFileParser) parseOrder() Order {
+	order, ok := ordersByName[p.keys.Order]
+	if !ok {
+		p.AddError("$.order", "%.40q is none of go, stop and back", p.keys.Order)
+	}
+	if p.keys.Epoch == 0 {
+		p.AddError("$.turn", "has to be 1 or more, and higher with each new order")
+	}
+	return order
+}
+
+func (p *changeFileParser) parseRegressionOrder() Order {
+	order, ok := regressionOrdersByName[p.keys.Then]
+	if !ok {
+		p.AddError("$.then", "%.40q is neither back nor stop", p.keys.Then)
+	}
+	return order
+}
+
+func (p *changeFileParser) parseSettings() map[string]string {
+	values := map[string]string{}
+	if err := settings.Flatten(values, "", p.keys.Settings); err != nil {
+		p.AddError("$.settings", "%v", err)
+	}
+	if len(p.keys.Settings) == 0 {
+		values = map[string]string{}
+	}
+	if len(values) > maxSettings {
+		p.AddError("$.settings", "%d settings, over %d", len(values), maxSettings)
+	}
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		if err := settings.Validate(name, values[name]); err != nil {
+			p.AddError("$.settings."+name, "%v", err)
+		} else if !settings.IsKnown(name) && !classOrTenantName.MatchString(name) {
+			p.AddError("$.settings."+name, "no setting that the decision module reads")
+		}
+	}
+	return values
+}
+
+func (p *changeFileParser) parseProgram(hasSettings bool) Program {
+	if p.keys.Program == nil {
+		if !hasSettings {
+			p.AddError("$.settings", "neither settings nor a program: nothing would change")
+		}
+		return Program{}
+	}
+	program := *p.keys.Program
+	if program.Path == "" || program.Path[0] != '/' {
+		p.AddError("$.program.path", "%.80q is no absolute path", program.Path)
+	}
+	if program.Version == "" {
+		p.AddError("$.program.version", "is missing: what its `version` has to begin with")
+	}
+	return program
+}
+
+func (p *changeFileParser) parseStages() []Stage {
+	stages := p.keys.Stages
+	if len(stages) == 0 || len(stages) > maxStages {
+		p.AddError("$.stages", "%d stages; 1 to %d are wanted", len(stages), maxStages)
+	}
+	for i := range stages {
+		stage, path := &stages[i], fmt.Sprintf("$.stages[%d]", i)
+		hasCount, hasFraction := stage.Count > 0, stage.Fraction > 0
+		if hasCount == hasFraction || stage.Count < 0 || !(stage.Fraction >= 0 && stage.Fraction <= 1) {
+			p.AddError(path, "one of count (1 or more) and share (up to 1) is wanted")
+		}
+		stage.WatchDuration = p.parseDuration(path+".watch", stage.WatchText, 0, defaultWatch)
+	}
+	if last := len(stages) - 1; last >= 0 && stages[last].Fraction != 1 {
+		p.AddError(fmt.Sprintf("$.stages[%d]", last), "the last stage has to be share: 1")
+	}
+	return stages
+}
+
+func (p *changeFileParser) checkRegressionLimits() {
+	limits := &p.keys.Limits
+	for _, fraction := range []struct {
+		key   string
+		value float64
+	}{
+		{"served", limits.Served},
+		{"late", limits.Late},
+		{"shed", limits.Shed},
+		{"median", limits.Median},
+		{"tail", limits.Tail},
+		{"sub_requests", limits.SubRequests},
+	} {
+		if !(fraction.value > 0 && fraction.value < maxLimitFraction) {
+			p.AddError("$.worse."+fraction.key, "%g is no share above 0 and under %g", fraction.value, maxLimitFraction)
+		}
+	}
+	for _, factor := range []struct {
+		key   string
+		value float64
+	}{
+		{"connects", limits.Connections},
+		{"memory", limits.Memory},
+	} {
+		if !(factor.value > 1) || math.IsInf(factor.value, 0) {
+			p.AddError("$.worse."+factor.key, "%g is no factor above 1", factor.value)
+		}
+	}
+	if limits.Restarts < 1 || limits.Unreachable < 1 {
+		p.AddError("$.worse", "restarts and unreached have to be 1 or more")
+	}
+	if !(limits.FalseStopProbability > 0 && limits.FalseStopProbability <= maxFalseStops) {
+		p.AddError("$.worse.false_stops", "%g is no chance above 0 and up to %g", limits.FalseStopProbability, maxFalseStops)
+	}
+}
+
+// parseDuration reads a duration of minimum to maxDuration, in timeUnit. An empty text gives the default.
+func (p *changeFileParser) parseDuration(path, text string, minimum, byDefault time.Duration) int64 {
+	if text == "" {
+		return int64(byDefault / timeUnit)
+	}
+	duration, err := time.ParseDuration(text)
+	if err != nil || duration < minimum || duration > maxDuration {
+		p.AddError(path, "%.40q is no time of %v to %v, such as 90s", text, minimum, maxDuration)
+	}
+	return int64(duration / timeUnit)
+}
+
+// isPlainName reports whether a name has only letters, digits, dots, dashes and underscores.
+func isPlainName(name string) bool {
+	for _, c := range []byte(name) {
+		if (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '.' && c != '-' && c != '_' {
+			return false
+		}
+	}
+	return name != ""
+}
--- /dev/null
+++ b/control/rollout/entries.go
@@ -0,0 +1,101 @@
+package rollout
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// maxGrants bounds the grants that a status message may have: a step of the largest cluster.
+const maxGrants = 1024
+
+// errKeyMismatch is an entry of a change that is not the one its key names, or that no instance would publish.
+var errKeyMismatch = errors.New("not what its name says")
+
+// HandleEntry takes in a replicated entry. Entries may come late, repeatedly and in any order; those of other keys are
+// ignored. Its errors are InvalidEntryError.
+func (c *Controller) HandleEntry(now int64, key string, value []byte) error {
+	c.now = max(c.now, now)
+	switch {
+	case strings.HasPrefix(key, statusPrefix):
+		return c.handleStatusEntry(key, value)
+	case strings.HasPrefix(key, changePrefix):
+		return c.handleChangeEntry(key, value)
+	case strings.HasPrefix(key, rosterPrefix):
+		instances, err := decodeRoster(key, value)
+		if err != nil {
+			return err
+		}
+		c.registry.addRoster(key, instances)
+	}
+	return nil
+}
+
+func (c *Controller) handleStatusEntry(key string, value []byte) error {
+	var status StatusMessage
+	if err := decodeEntry(key, value, &status); err != nil {
+		return err
+	}
+	name := status.Instance.Name
+	if name != strings.TrimPrefix(key, statusPrefix) || len(status.PermitGrants) > maxGrants {
+		return &InvalidEntryError{key, fmt.Errorf("a status message of %.40q with %d grants", name, len(status.PermitGrants))}
+	}
+	c.recordStatus(status)
+	return nil
+}
+
+func (c *Controller) handleChangeEntry(key string, value []byte) error {
+	number, digest, ok := parseKeySuffix(strings.TrimPrefix(key, changePrefix))
+	change := &Change{}
+	if err := decodeEntry(key, value, change); err != nil {
+		return err
+	}
+	if !ok || change.Number != number || change.Digest() != digest || len(change.Stages) == 0 || change.BaseNumber >= change.Number {
+		return &InvalidEntryError{key, errKeyMismatch}
+	}
+	c.registry.addChange(digest, change)
+	return nil
+}
+
+// recordStatus takes in a status message. One that is late is ignored, so that an instance's incarnation, votes and
+// verdict never go back.
+func (c *Controller) recordStatus(status StatusMessage) {
+	name := status.Instance.Name
+	if name == c.initial.Self.Name {
+		c.restorePromises(status)
+		return
+	}
+	peer := c.peers[name]
+	switch {
+	case peer == nil && len(c.peers) >= maxInstances:
+		return
+	case peer == nil:
+		peer = &peerStatus{}
+		c.peers[name] = peer
+	case !status.isNewerThan(&peer.StatusMessage):
+		return
+	}
+	peer.StatusMessage, peer.receivedAt = status, c.now
+}
+
+// restorePromises takes back the votes, the verdict and the grants of an earlier incarnation of this instance. They bind
+// this one too.
+func (c *Controller) restorePromises(earlier StatusMessage) {
+	if earlier.Incarnation >= c.initial.Incarnation { // its own message
+		return
+	}
+	c.permits.lastNumber = max(c.permits.lastNumber, earlier.PermitRequest.Number)
+	status := &c.status
+	if status.ChangeNumber == 0 {
+		status.ChangeNumber, status.ChangeDigest = earlier.ChangeNumber, earlier.ChangeDigest
+		status.Verdict, status.RosterDigest = earlier.Verdict, earlier.RosterDigest
+		status.StageEpoch, status.ApprovedSteps = earlier.StageEpoch, earlier.ApprovedSteps
+		status.FailedEpoch = earlier.FailedEpoch
+		c.permits.restoreGrants(earlier.PermitGrants, c.now)
+		return
+	}
+	isSameChange := earlier.ChangeNumber == status.ChangeNumber && earlier.ChangeDigest == status.ChangeDigest
+	if isSameChange && status.RosterDigest == "" {
+		status.RosterDigest = earlier.RosterDigest
+	}
+}
--- a/control/rollout/errors.go
+++ b/control/rollout/errors.go
@@ -5,23 +5,57 @@
 	"strings"
 )
 
-// ChangeStoppedError is a change that goes no further.
+// InvalidChangeFileError is a change file that cannot be used. Nothing of it is applied.
+type InvalidChangeFileError struct {
+	Path string
+	Err  error
+}
+
+func (e *InvalidChangeFileError) Error() string {
+	return fmt.Sprintf("change file %s: %v", e.Path, e.Err)
+}
+
+func (e *InvalidChangeFileError) Unwrap() error { return e.Err }
+
+// Advice tells an operator what to do.
+func (e *InvalidChangeFileError) Advice() string {
+	return "Mend the file, or write it whole and end it with a line of three dots; until then the change told before it holds."
+}
+
+// InvalidEntryError is a replicated entry that cannot be used. It is ignored.
+type InvalidEntryError struct {
+	Key string
+	Err error
+}
+
+func (e *InvalidEntryError) Error() string {
+	return fmt.Sprintf("shared entry %.80q: %v", e.Key, e.Err)
+}
+
+func (e *InvalidEntryError) Unwrap() error { return e.Err }
+
+// Advice tells an operator what to do.
+func (e *InvalidEntryError) Advice() string {
+	return "Look which program the instance runs: programs more than one version apart may not understand each other."
+}
+
+// ChangeStoppedError is a change that was stopped or is rolled back.
 type ChangeStoppedError struct {
 	Change  string
 	Number  uint64
 	Verdict Verdict
 }
 
-func (s *ChangeStoppedError) Error() string {
-	return fmt.Sprintf("change %s, number %d: %s, said by %s: %s", s.Change, s.Number, s.Verdict.Order, s.Verdict.DecidedBy, s.Verdict.Reason)
+func (e *ChangeStoppedError) Error() string {
+	return fmt.Sprintf("change %s, number %d: %s, said by %s: %s", e.Change, e.Number, e.Verdict.Order, e.Verdict.DecidedBy, e.Verdict.Reason)
 }
 
 // Advice tells an operator what to do.
-func (s *ChangeStoppedError) Advice() string {
+func (e *ChangeStoppedError) Advice() string {
 	return "Find the cause; then write order: go with a higher turn to go on, order: back with a higher turn to take it back, or a new change with a higher number."
 }
 
-// ConflictingChangesError is a number under which different changes were told.
+// ConflictingChangesError is a number under which different changes were published.
 type ConflictingChangesError struct {
 	Number  uint64
 	Digests []string
@@ -36,7 +70,7 @@
 	return "Make the files the same and give them a number that was not used yet; until then nobody takes either."
 }
 
-// StaleChangeFileError is a change file whose number the fleet has passed.
+// StaleChangeFileError is a change file with a lower number than the change in force.
 type StaleChangeFileError struct{ Number, CurrentNumber uint64 }
 
 func (e *StaleChangeFileError) Error() string {
@@ -48,7 +82,7 @@
 	return "Bring the file up to date, or take it away; it is not used."
 }
 
-// MemberListMismatchError is a fleet whose instances are listed differently.
+// MemberListMismatchError is a roster with another number of members than this instance's list.
 type MemberListMismatchError struct {
 	Number                  uint64
 	RemoteCount, LocalCount int
@@ -63,7 +97,7 @@
 	return "Make the list of instances the same in all installation files and restart those that differed."
 }
 
-// ChangeNotAppliedError is a change that this instance could not take; it runs what it ran before.
+// ChangeNotAppliedError is a change that this instance could not apply; it runs what it ran before.
 type ChangeNotAppliedError struct {
 	Number uint64
 	Reason string
@@ -78,7 +112,7 @@
 	return "Look at the log lines before this one; put the program in place or mend the settings, then go on with a higher turn."
 }
 
-// ChangeTooLargeError is a change that with all that is in force under it fits no entry of the ledger.
+// ChangeTooLargeError is a change that, merged over its base, does not fit an entry.
 type ChangeTooLargeError struct {
 	Number uint64
 	Bytes  int
--- /dev/null
+++ b/control/rollout/events.go
@@ -0,0 +1,42 @@
+package rollout
+
+import "fmt"
+
+// Names of the log events. docs/oncall.md has a row for each.
+const (
+	eventChangePublished = "rollout_told"      // this instance published its change file
+	eventChangeActivated = "rollout_change"    // a change is in force here
+	eventStepApproved    = "rollout_stage"     // this instance voted for a step to begin
+	eventRestart         = "rollout_step"      // a majority granted this instance's restart
+	eventStopped         = "rollout_stopped"   // a verdict other than to proceed was reached
+	eventResumed         = "rollout_resumed"   // an operator's order in a new epoch
+	eventNotApplied      = "rollout_not_taken" // a ChangeNotAppliedError
+	eventDelayed         = "rollout_waits"     // a StepDelayedError or MemberListMismatchError
+	eventConflict        = "rollout_differs"   // a ConflictingChangesError
+	eventFileStale       = "rollout_file_old"  // a StaleChangeFileError
+	eventTooLarge        = "rollout_too_big"   // a ChangeTooLargeError
+)
+
+// maxLoggedOnce bounds the conditions that are remembered as logged.
+const maxLoggedOnce = 64
+
+// LogEvent is something that an operator should read in the log.
+type LogEvent struct {
+	Name  string
+	Err   error // nil where nothing is wrong
+	Attrs []any // alternating keys and values, as log/slog takes them
+}
+
+func (c *Controller) logEvent(name string, err error, attrs ...any) {
+	c.decision.Events = append(c.decision.Events, LogEvent{name, err, attrs})
+}
+
+// logOnce logs a condition that lasts a single time for each change and epoch.
+func (c *Controller) logOnce(name string, err error, attrs ...any) {
+	key := name + fmt.Sprint(err)
+	if c.loggedOnce[key] || len(c.loggedOnce) >= maxLoggedOnce {
+		return
+	}
+	c.loggedOnce[key] = true
+	c.logEvent(name, err, attrs...)
+}
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -267,7 +267,7 @@
 	fmt.Fprintln(&all, "connects:", sides(InstanceStats{Classes: class(500, 500), Connections: 50}, InstanceStats{Classes: class(500, 500), Connections: 5000}))
 	fmt.Fprintln(&all, "memory:", sides(InstanceStats{Classes: class(1, 1), MemoryBytes: 100 << 20}, InstanceStats{Classes: class(1, 1), MemoryBytes: 900 << 20}))
 	for m := range metricCount {
-		fmt.Fprintln(&all, "metric", bet{stratum{class: 1, place: [2]string{"eu", "*"}}, m})
+		fmt.Fprintln(&all, "metric", bet{stratum{class: 1, place: place{"eu", "*"}}, m})
 	}
 	requireGolden(t, "evidence.txt", []byte(all.String()))
 }
@@ -314,7 +314,7 @@
 	require.NotNil(t, look(d, 20))
 	start.Incarnation, start.RunningNumber, start.Now = 2, 1, now
 	entries := map[string][]byte{}
-	c := d.active
+	c := d.active.Change
 	entries[changeKey(1, c.Digest())], _ = cborEncoder.Marshal(c)
 	entries[rosterKey(1, d.status.RosterDigest)] = encodeRoster([]Instance{start.Self})
 	entries[StatusMessageKey("n0")], _ = cborEncoder.Marshal(&d.status)
--- /dev/null
+++ b/control/rollout/membership.go
@@ -0,0 +1,83 @@
+package rollout
+
+// memberView is one voting member as a call of Decide sees it.
+type memberView struct {
+	name            string
+	status          *StatusMessage // its newest, nil for none
+	isFresh         bool           // the status is recent, and nobody else claims the name
+	hasNameConflict bool
+}
+
+// freshStatusIntervals is how many statusIntervals old a status message may be and count as fresh. Messages pass through
+// other instances, and some are lost.
+const freshStatusIntervals = 6
+
+// updateView looks at all voting members.
+func (c *Controller) updateView() {
+	c.view = c.view[:0]
+	for _, name := range c.initial.Members {
+		c.view = append(c.view, memberView{name, c.statusOf(name), c.isFresh(name), c.nameConflicts[name]})
+	}
+}
+
+// isFresh reports whether an instance was heard from recently.
+func (c *Controller) isFresh(name string) bool {
+	if c.nameConflicts[name] {
+		return false
+	}
+	if name == c.initial.Self.Name {
+		return true
+	}
+	peer := c.peers[name]
+	return peer != nil && c.now-peer.receivedAt <= freshStatusIntervals*c.statusInterval()
+}
+
+// statusOf is the newest status message of an instance, nil for none.
+func (c *Controller) statusOf(name string) *StatusMessage {
+	if name == c.initial.Self.Name {
+		return &c.status
+	}
+	if peer := c.peers[name]; peer != nil {
+		return &peer.StatusMessage
+	}
+	return nil
+}
+
+// silenceOf is the time since an instance was last heard from. One that never was counts from the change's activation.
+func (c *Controller) silenceOf(name string) int64 {
+	if name == c.initial.Self.Name {
+		return 0
+	}
+	since := max(c.initial.Now, c.active.activatedAt)
+	if peer := c.peers[name]; peer != nil {
+		since = max(c.initial.Now, peer.receivedAt)
+	}
+	return c.now - since
+}
+
+// isMajority reports whether a number of voting members is more than half of them.
+func (c *Controller) isMajority(count int) bool { return 2*count > len(c.members) }
+
+// hearsMajority reports whether this instance may vote and more than half of the voting members, itself included, are
+// fresh.
+func (c *Controller) hearsMajority() bool {
+	fresh := 0
+	for i := range c.view {
+		if c.view[i].isFresh {
+			fresh++
+		}
+	}
+	return c.isMajority(fresh) && c.mayVote()
+}
+
+// mayVote reports whether this instance is a voting member and the only one of its name.
+func (c *Controller) mayVote() bool {
+	self := c.initial.Self.Name
+	return c.members[self] && !c.nameConflicts[self]
+}
+
+// mayHaveForgottenPromises reports whether an earlier incarnation of this instance may have cast votes or granted
+// permits that are unknown here and still valid. Until they have expired this instance neither votes nor grants.
+func (c *Controller) mayHaveForgottenPromises() bool {
+	return c.initial.NoSavedState && c.now-c.initial.Now < c.active.permitLease()
+}
--- /dev/null
+++ b/control/rollout/regression_test.go
@@ -0,0 +1,208 @@
+package rollout
+
+import (
+	"math"
+	"math/rand"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+const (
+	zoneCount        = 6
+	instancesPerZone = 50
+	lookInterval     = 10.0 // seconds between looks
+	looksPerStage    = 30   // a stage is watched for five minutes
+	maxLooks         = 90   // a stage that lasts longer is held back for good
+	troubleLooks     = 6    // looks that a trouble of the hosts lasts
+	calmUnserved     = 0.005
+	troubleUnserved  = 0.3
+)
+
+// classShares are the parts of the searches that are of each class.
+var classShares = []float64{0.6, 0.3, 0.1}
+
+// cohort is the instances of one zone on one side, at a search a second each.
+type cohort struct {
+	incarnation   uint64
+	instanceCount int
+	stats         InstanceStats
+}
+
+// regression is what a change adds to the unserved fraction of a class in a zone, at a time in seconds.
+type regression func(class, zone int, at float64, isTrouble bool) float64
+
+// rolloutSimulation is a change on 300 instances. Troubles of the hosts come and go for both sides, and each instance has
+// luck of its own.
+type rolloutSimulation struct {
+	rng        *rand.Rand
+	analysis   *RegressionAnalysis
+	cohorts    [zoneCount][sideCount]cohort
+	regression regression
+	trouble    int     // looks that the present trouble still lasts; since its end if negative
+	clock      float64 // seconds
+}
+
+// simulateRollout plays stages of 1, 15 and 75 of 300 instances, each watched for five minutes. It returns the stage in
+// which the change was stopped, 0 for none, and the time of that in seconds.
+func simulateRollout(seed int64, change regression) (stage int, at float64) {
+	s := &rolloutSimulation{
+		rng: rand.New(rand.NewSource(seed)), analysis: NewRegressionAnalysis(defaultRegressionLimits), regression: change,
+	}
+	for i, count := range []int{1, 15, 75} {
+		s.beginStage(count)
+		if seed%4 == 0 { // a trouble that begins with each stage by chance
+			s.trouble = troubleLooks + 1
+		}
+		if s.watchStage() {
+			return i + 1, s.clock
+		}
+	}
+	return 0, s.clock
+}
+
+// beginStage restarts instances so that a number of them has the change.
+func (s *rolloutSimulation) beginStage(count int) {
+	for zone := range s.cohorts {
+		changed := count / zoneCount
+		if zone < count%zoneCount {
+			changed++
+		}
+		s.cohorts[zone][changeSide].instanceCount = changed
+		s.cohorts[zone][baselineSide].instanceCount = instancesPerZone - changed
+		for side := range s.cohorts[zone] {
+			s.cohorts[zone][side].incarnation++
+			s.cohorts[zone][side].stats = InstanceStats{Classes: make([]ClassStats, len(classShares)), MemoryBytes: 100 << 20}
+		}
+	}
+	s.analysis.AddSamples(s.samples())
+}
+
+// watchStage reports whether the change is stopped or held back in a stage.
+func (s *rolloutSimulation) watchStage() (isStopped bool) {
+	for look := 0; ; look++ {
+		s.clock += lookInterval
+		if s.trouble--; s.trouble < -troubleLooks && s.rng.Float64() < 0.03 {
+			s.trouble = troubleLooks
+		}
+		for zone := range s.cohorts {
+			for side := range s.cohorts[zone] {
+				s.serve(zone, side)
+			}
+		}
+		s.analysis.AddSamples(s.samples())
+		if s.analysis.DescribeRegression() != "" {
+			return true
+		}
+		if value, _ := s.analysis.EValue(); look >= looksPerStage && value <= maxContinueEValue {
+			return false
+		}
+		if look > maxLooks {
+			return true
+		}
+	}
+}
+
+// serve lets a cohort serve searches until the next look.
+func (s *rolloutSimulation) serve(zone, side int) {
+	source := randomSource{s.rng}
+	isTrouble, unserved := s.trouble > 0, calmUnserved
+	if isTrouble {
+		unserved = troubleUnserved
+	}
+	cohort := &s.cohorts[zone][side]
+	luck := math.Exp(0.3 * s.rng.NormFloat64() / math.Sqrt(float64(max(1, cohort.instanceCount)))) // mean of the instances'
+	for class, share := range classShares {
+		requests := distuv.Poisson{Lambda: lookInterval*float64(cohort.instanceCount)*share + 1e-9, Src: source}.Rand()
+		probability := min(0.9, unserved*luck)
+		if side == changeSide {
+			probability = min(0.95, probability+s.regression(class, zone, s.clock, isTrouble))
+		}
+		shed := 0.0
+		if requests > 0 {
+			shed = distuv.Binomial{N: requests, P: probability, Src: source}.Rand()
+		}
+		stats := &cohort.stats.Classes[class]
+		stats.Requests += uint64(requests)
+		stats.Served += uint64(requests - shed)
+		stats.Shed += uint64(shed)
+		for range int(requests - shed) {
+			stats.Latencies[6+s.rng.Intn(8)]++
+			stats.SubRequests[8+s.rng.Intn(4)]++
+		}
+	}
+}
+
+// samples has one sample for each cohort that has instances.
+func (s *rolloutSimulation) samples() (samples []Sample) {
+	for zone := range s.cohorts {
+		for side := range s.cohorts[zone] {
+			cohort := &s.cohorts[zone][side]
+			if cohort.instanceCount == 0 {
+				continue
+			}
+			samples = append(samples, Sample{
+				Name: string(rune('a'+zone)) + string(rune('0'+side)), Region: string(rune('a' + zone/2)), Zone: string(rune('a' + zone)),
+				HasChange: side == changeSide, Incarnation: cohort.incarnation,
+				Stats: InstanceStats{Classes: append([]ClassStats(nil), cohort.stats.Classes...), MemoryBytes: cohort.stats.MemoryBytes},
+			})
+		}
+	}
+	return samples
+}
+
+// countStops plays a change many times. It counts how often it is stopped at all, how often before the third stage, and
+// the mean time of the latter.
+func countStops(rollouts int, change regression) (early, total int, meanTime float64) {
+	for seed := range rollouts {
+		stage, at := simulateRollout(int64(seed), change)
+		if stage > 0 {
+			total++
+		}
+		if stage == 1 || stage == 2 {
+			early++
+			meanTime += at
+		}
+	}
+	return early, total, meanTime / float64(max(1, early))
+}
+
+// addIf is an increase under a condition.
+func addIf(condition bool, increase float64) float64 {
+	if condition {
+		return increase
+	}
+	return 0
+}
+
+func TestHarmlessChangesAreNotStopped(t *testing.T) {
+	t.Parallel()
+	const rollouts = 100
+	_, stopped, _ := countStops(rollouts, func(int, int, float64, bool) float64 { return 0 })
+	t.Logf("stopped of a change without effect: %d of %d", stopped, rollouts)
+	require.Less(t, stopped, rollouts/20)
+	_, stopped, _ = countStops(20, func(int, int, float64, bool) float64 { return -0.003 })
+	require.Zero(t, stopped, "a change that improves")
+}
+
+func TestRegressionsAreStoppedEarly(t *testing.T) {
+	t.Parallel()
+	const rollouts = 20
+	for _, test := range []struct {
+		name     string
+		change   regression
+		minEarly int
+	}{
+		{"all", func(int, int, float64, bool) float64 { return 0.05 }, rollouts * 95 / 100},
+		{"after 20 s", func(_, _ int, at float64, _ bool) float64 { return addIf(at > 20, 0.05) }, rollouts * 95 / 100},
+		{"one class", func(class, _ int, _ float64, _ bool) float64 { return addIf(class == 2, 0.2) }, rollouts * 95 / 100},
+		{"one zone", func(_, zone int, _ float64, _ bool) float64 { return addIf(zone == 3, 0.2) }, rollouts * 95 / 100},
+		// It shows only where there is a trouble before the third stage.
+		{"under load", func(_, _ int, _ float64, isTrouble bool) float64 { return addIf(isTrouble, 0.35) }, rollouts / 2},
+	} {
+		early, total, meanTime := countStops(rollouts, test.change)
+		t.Logf("%s: %d of %d stopped before the third stage, %d at all, after %.0f s", test.name, early, rollouts, total, meanTime)
+		require.GreaterOrEqual(t, early, test.minEarly, test.name)
+	}
+}
--- a/control/rollout/roster.go
+++ b/control/rollout/roster.go
@@ -3,112 +3,104 @@
 import (
 	"cmp"
 	"fmt"
-	"math"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Instance is where an instance stands.
+// Instance is an instance's name and location.
 type Instance struct {
 	Name   string `cbor:"1,keyasint"`
 	Region string `cbor:"2,keyasint"`
 	Zone   string `cbor:"3,keyasint"`
 }
 
-// roster is the order in which the instances listed take a change, the same for all that agree on it.
+// roster is the order in which the voting members apply a change. Instances that agree on its digest agree on the order.
 type roster struct {
-	digest string
-	order  []Instance
-	at     map[string]int
+	digest   string
+	order    []Instance
+	position map[string]int // of an instance's name in order
 }
 
-// newRoster orders instances by a hash of change and name, each zone's and region's evenly through the whole.
-func newRoster(change string, all []Instance) *roster {
-	type ranked struct {
-		Instance
-		key  float64
-		hash uint64
-	}
-	zones, regions := map[string][]ranked{}, map[string][]string{}
-	for _, p := range all {
-		zone := p.Region + "/" + p.Zone
-		if zones[zone] == nil {
-			regions[p.Region] = append(regions[p.Region], zone)
-		}
-		zones[zone] = append(zones[zone], ranked{Instance: p, hash: xxhash.Sum64String(change + "\x00" + p.Name)})
-	}
-	// Zones take their turns in an order of their own, one of each region after another.
-	type turn struct {
-		zone string
-		row  int
-		hash uint64
-	}
-	var turns []turn
-	for region, of := range regions {
-		slices.SortFunc(of, func(a, b string) int {
-			return cmp.Or(cmp.Compare(xxhash.Sum64String(change+a), xxhash.Sum64String(change+b)), cmp.Compare(a, b))
+// zoneMembers are the instances of one zone, in the order in which they apply a change.
+type zoneMembers struct {
+	name        string
+	region      string
+	rank        int // of the zone within its region
+	regionHash  uint64
+	memberOrder []rankedInstance
+}
+
+// rankedInstance is an instance with the keys by which it is sorted.
+type rankedInstance struct {
+	Instance
+	hash uint64  // within its zone
+	key  float64 // in the whole roster, from 0 to 1
+}
+
+// newRoster orders instances by a hash of the change and their names, so that any first part of the order holds about
+// the same fraction of each zone and region.
+func newRoster(change string, instances []Instance) *roster {
+	zones := sortedZones(change, instances)
+	var order []rankedInstance
+	for i, zone := range zones {
+		members := zone.memberOrder
+		slices.SortFunc(members, func(a, b rankedInstance) int {
+			return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.Name, b.Name))
 		})
-		for i, zone := range of {
-			turns = append(turns, turn{zone, i, xxhash.Sum64String(change + "\x01" + region)})
+		offset := (float64(i) + 0.5) / float64(len(zones)) // zones of one size take turns
+		for j := range members {
+			members[j].key = (float64(j) + offset) / float64(len(members))
 		}
+		order = append(order, members...)
 	}
-	slices.SortFunc(turns, func(a, b turn) int {
-		return cmp.Or(cmp.Compare(a.row, b.row), cmp.Compare(a.hash, b.hash), cmp.Compare(a.zone, b.zone))
+	slices.SortFunc(order, func(a, b rankedInstance) int {
+		return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.Name, b.Name))
 	})
-	var line []ranked
-	for i, t := range turns {
-		of := zones[t.zone]
-		slices.SortFunc(of, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.Name, b.Name)) })
-		for j := range of {
-			of[j].key = (float64(j) + (float64(i)+0.5)/float64(len(turns))) / float64(len(of))
-		}
-		line = append(line, of...)
-	}
-	slices.SortFunc(line, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.Name, b.Name)) })
-	r := &roster{at: map[string]int{}}
-	sum := xxhash.New()
-	for i, p := range line {
-		r.order = append(r.order, p.Instance)
-		r.at[p.Name] = i
-		fmt.Fprintf(sum, "%q %q %q\n", p.Name, p.Region, p.Zone)
-	}
-	r.digest = fmt.Sprintf("%016x", sum.Sum64())
-	return r
+	return rosterInOrder(order)
 }
 
-// step is one batch of a stage: those that restart at once, and how long it is watched until the next.
-type step struct {
-	to    int // how many of the roster have the change then
-	watch int64
-}
-
-// steps are a change's stages over n instances; a stage with more than may restart together is several.
-func (c *Change) steps(n int) (all []step) {
-	had, most := 0, max(1, int(c.MaxConcurrentFraction*float64(n)))
-	for _, s := range c.Stages {
-		to := min(n, max(s.Count, int(math.Ceil(s.Fraction*float64(n)-1e-9))))
-		if to <= had {
-			if k := len(all); k > 0 { // adds nobody: those that have it are watched longer
-				all[k-1].watch = max(all[k-1].watch, s.WatchDuration)
+// sortedZones groups instances by zone, the zones of the regions taking turns.
+func sortedZones(change string, instances []Instance) []*zoneMembers {
+	byName, byRegion := map[string]*zoneMembers{}, map[string][]*zoneMembers{}
+	for _, instance := range instances {
+		name := instance.Region + "/" + instance.Zone
+		zone := byName[name]
+		if zone == nil {
+			zone = &zoneMembers{
+				name: name, region: instance.Region, regionHash: xxhash.Sum64String(change + "\x01" + instance.Region),
 			}
-			continue
+			byName[name] = zone
+			byRegion[instance.Region] = append(byRegion[instance.Region], zone)
 		}
-		for had < to {
-			had = min(to, had+most)
-			all = append(all, step{to: had})
+		zone.memberOrder = append(zone.memberOrder, rankedInstance{
+			Instance: instance, hash: xxhash.Sum64String(change + "\x00" + instance.Name),
+		})
+	}
+	var zones []*zoneMembers
+	for _, regionZones := range byRegion {
+		slices.SortFunc(regionZones, func(a, b *zoneMembers) int {
+			return cmp.Or(cmp.Compare(xxhash.Sum64String(change+a.name), xxhash.Sum64String(change+b.name)), cmp.Compare(a.name, b.name))
+		})
+		for rank, zone := range regionZones {
+			zone.rank = rank
 		}
-		all[len(all)-1].watch = s.WatchDuration
+		zones = append(zones, regionZones...)
 	}
-	return all
+	slices.SortFunc(zones, func(a, b *zoneMembers) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.regionHash, b.regionHash), cmp.Compare(a.name, b.name))
+	})
+	return zones
 }
 
-// stepAtPosition is the step, counted from 1, in which the instance at a place of the roster takes the change.
-func stepAtPosition(all []step, place int) int {
-	for i, s := range all {
-		if place < s.to {
-			return i + 1
-		}
+func rosterInOrder(order []rankedInstance) *roster {
+	r := &roster{position: map[string]int{}}
+	digest := xxhash.New()
+	for i, ranked := range order {
+		r.order = append(r.order, ranked.Instance)
+		r.position[ranked.Name] = i
+		_, _ = fmt.Fprintf(digest, "%q %q %q\n", ranked.Name, ranked.Region, ranked.Zone) // a hash takes every write
 	}
-	return len(all)
+	r.digest = fmt.Sprintf("%016x", digest.Sum64())
+	return r
 }
--- /dev/null
+++ b/control/rollout/roster_vote.go
@@ -0,0 +1,102 @@
+package rollout
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// voteForRoster casts this instance's vote for who applies the change in which step, once for each change. It follows
+// the roster with the most votes; the first voters propose one of the locations that they know.
+func (c *Controller) voteForRoster() {
+	votes := c.countRosterVotes()
+	if c.status.RosterDigest == "" && c.mayVote() && !c.mayHaveForgottenPromises() {
+		digest := c.mostVotedRoster(votes)
+		if digest == "" {
+			digest = c.proposeRoster()
+		}
+		if digest != "" {
+			c.status.RosterDigest, c.statusChanged = digest, true
+		}
+	}
+	c.loadRoster()
+	total, highest := 0, 0
+	for _, count := range votes {
+		total, highest = total+count, max(highest, count)
+	}
+	if total == len(c.members) && !c.isMajority(highest) {
+		c.stopChange("instances know different zones of each other", OrderStop)
+	}
+}
+
+// countRosterVotes is the number of votes for each roster's digest.
+func (c *Controller) countRosterVotes() map[string]int {
+	votes := map[string]int{}
+	for _, member := range c.view {
+		if c.isAboutActiveChange(member.status) && member.status.RosterDigest != "" {
+			votes[member.status.RosterDigest]++
+		}
+	}
+	return votes
+}
+
+// mostVotedRoster is the digest with the most votes among the rosters whose entry has arrived, empty for none.
+func (c *Controller) mostVotedRoster(votes map[string]int) (best string) {
+	for _, digest := range slices.Sorted(maps.Keys(votes)) {
+		isKnown := c.registry.rosters[rosterKey(c.active.Number, digest)] != nil
+		if isKnown && (best == "" || votes[digest] > votes[best]) {
+			best = digest
+		}
+	}
+	return best
+}
+
+// proposeRoster publishes a roster of the locations that are known here and returns its digest. It waits for the
+// location of every member, but no longer than the silence timeout.
+func (c *Controller) proposeRoster() (digest string) {
+	if !c.hearsMajority() {
+		return ""
+	}
+	instances, knownCount := make([]Instance, 0, len(c.members)), 0
+	for _, name := range slices.Sorted(maps.Keys(c.members)) {
+		instance, known := c.instances[name]
+		if status := c.statusOf(name); !known && status != nil {
+			instance, known = status.Instance, true
+		}
+		if known {
+			knownCount++
+		}
+		instance.Name = name
+		instances = append(instances, instance)
+	}
+	if knownCount < len(instances) && c.now-c.active.activatedAt <= c.active.SilenceTimeout {
+		return ""
+	}
+	digest = c.newRoster(instances).digest
+	key := rosterKey(c.active.Number, digest)
+	c.registry.rosters[key] = instances
+	c.decision.Put[key] = encodeRoster(instances)
+	return digest
+}
+
+// loadRoster builds the roster that this instance has voted for once its entry has arrived.
+func (c *Controller) loadRoster() {
+	digest := c.status.RosterDigest
+	isLoaded := c.active.roster != nil && c.active.roster.digest == digest
+	if digest == "" || isLoaded {
+		return
+	}
+	instances := c.registry.rosters[rosterKey(c.active.Number, digest)]
+	if len(instances) == len(c.members) {
+		c.active.roster = c.newRoster(instances)
+	} else if instances != nil {
+		c.logOnce(eventDelayed, &MemberListMismatchError{
+			Number: c.active.Number, RemoteCount: len(instances), LocalCount: len(c.members),
+		})
+	}
+}
+
+// newRoster orders instances for the change in force.
+func (c *Controller) newRoster(instances []Instance) *roster {
+	return newRoster(fmt.Sprint(c.active.Name, "/", c.active.Number), instances)
+}
--- /dev/null
+++ b/control/rollout/status_publisher.go
@@ -0,0 +1,45 @@
+package rollout
+
+import "slices"
+
+// How often an instance publishes its status message when nothing in it has changed but time and counters.
+const (
+	statusIntervalsPerSilence = 20          // messages within the time after which silence counts
+	minStatusInterval         = second / 5  // bounds the load on the replication
+	maxStatusInterval         = 5 * second  // bounds how old the counters are that are compared
+	idleStatusInterval        = 10 * second // before the first change
+)
+
+func (c *Controller) statusInterval() int64 {
+	if c.active == nil {
+		return idleStatusInterval
+	}
+	return min(maxStatusInterval, max(minStatusInterval, c.active.SilenceTimeout/statusIntervalsPerSilence))
+}
+
+// updateServingTime updates how long the instance has served. Counters from before the end of its warm-up are withheld:
+// the cost of a restart is not the change's.
+func (c *Controller) updateServingTime() {
+	if c.servingSince >= 0 {
+		c.status.ServingFor = c.now - c.servingSince
+	}
+	if c.status.ServingFor < c.active.WarmUp || c.status.ServingFor < 0 {
+		c.status.Stats = nil
+	}
+}
+
+// publishStatus publishes this instance's status message if it has news or the interval has passed.
+func (c *Controller) publishStatus(previousGrants []PermitGrant) {
+	isWarmedUp := c.active == nil || c.now-c.servingSince >= c.active.WarmUp
+	if c.stats != nil && c.servingSince >= 0 && isWarmedUp {
+		c.status.Stats = c.stats
+	}
+	c.status.PermitGrants = c.permits.sortedGrants()
+	hasNews := c.statusChanged || c.status.Sequence == 0 || !slices.Equal(previousGrants, c.status.PermitGrants)
+	if !hasNews && c.now-c.publishedAt < c.statusInterval() {
+		return
+	}
+	c.status.Sequence++
+	c.publishedAt, c.statusChanged = c.now, false
+	c.decision.Put[StatusMessageKey(c.initial.Self.Name)] = encodeEntry(&c.status)
+}
