--- a/endpoints/hostfile/golden_host_file_test.go
+++ b/endpoints/hostfile/golden_host_file_test.go
@@ -18,13 +18,13 @@
 
 // describeHosts writes what a host file holds, value by value.
 func describeHosts(out *strings.Builder, name, text string) {
-	told, err := Parse(name, []byte(text))
+	update, err := Parse(name, []byte(text))
 	if err != nil {
 		fmt.Fprintf(out, "  error: %s\n", goName.ReplaceAllString(err.Error(), "Go $1 NAME"))
 		return
 	}
-	fmt.Fprintf(out, "  source=%s rank=%d version=%d partial=%t meant=%t\n", told.Source, told.Rank, told.Version, told.Partial, told.Confirmed)
-	for _, h := range told.Hosts {
+	fmt.Fprintf(out, "  source=%s rank=%d version=%d partial=%t meant=%t\n", update.Source, update.Rank, update.Version, update.Partial, update.Confirmed)
+	for _, h := range update.Hosts {
 		fmt.Fprintf(out, "  id=%q address=%q zone=%q kind=%q cell=%d state=%d weight=%g started_ms=%d at [%d:%d]\n",
 			h.ID, h.Addr, h.Zone, h.Kind, h.Cell, h.State, h.Weight, h.StartedMS, h.Line, h.Column)
 	}
@@ -59,7 +59,7 @@
 	sample, err := os.ReadFile("../../deploy/hosts.yaml")
 	require.NoError(t, err)
 	var out strings.Builder
-	for _, x := range [][2]string{
+	for _, file := range [][2]string{
 		{"all keys, YAML", allHostKeysYAML},
 		{"all keys, JSON", allHostKeysJSON},
 		{"no hosts, YAML", "hosts: []\n"},
@@ -68,8 +68,8 @@
 		{"other comment", "# xxh32: 1\nhosts: []\n"},
 		{"sample", string(sample)},
 	} {
-		fmt.Fprintf(&out, "%s\n", x[0])
-		describeHosts(&out, "hosts.yaml", x[1])
+		fmt.Fprintf(&out, "%s\n", file[0])
+		describeHosts(&out, "hosts.yaml", file[1])
 	}
 	requireGolden(t, "host_files.golden", out.String())
 }
@@ -78,7 +78,7 @@
 	var out strings.Builder
 	for _, text := range []string{
 		"", "{}", "meant: true\n", "hosts:\n", "hosts: 7\n", "hosts: {a: 1}\n", "hostz: []\n", "Hosts: []\n",
-		"meant: perhaps\nhosts: []\n", "hosts:\n  - {id: a, address: x}\n", "hosts:\n  - id: a\n  - id: b\n    Zone: x\n",
+		"meant: perhaps\nhosts: []\n", "hosts:\n  - {id: a, adress: x}\n", "hosts:\n  - id: a\n  - id: b\n    Zone: x\n", //nolint:misspell // an unknown key
 		"hosts:\n  - {id: a, state: gone}\n", "hosts:\n  - {id: a}\n  - id: b\n    state: Up\n",
 		`{"hosts": [{"id": "a"}, {"id": "b", "state": "down"}]}`, "hosts:\n  - {id: a, weight: .nan}\n",
 		"hosts:\n  - {id: a, weight: .inf}\n", "hosts:\n  - {id: a, weight: heavy}\n", "hosts:\n  - {id: a, cell: x}\n",
@@ -97,7 +97,7 @@
 	requireGolden(t, "host_file_errors.golden", out.String())
 }
 
-// The checksum is XXH64 of all bytes behind its line, in 16 small hex digits.
+// The checksum is XXH64 of all bytes after its line, in 16 lower-case hex digits.
 func TestGoldenHostFileChecksum(t *testing.T) {
 	text := fmt.Sprintf("# xxh64: %016x\n%s", xxhash.Sum64String(allHostKeysYAML), allHostKeysYAML)
 	requireGolden(t, "host_file_with_checksum.golden.yaml", text)
--- a/endpoints/hostfile/inode.go
+++ b/endpoints/hostfile/inode.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// inode tells a file that was renamed into a path from the one before it.
+// inode returns the number that distinguishes a file from one that was renamed into its path, 0 where it is not known.
 func inode(info fs.FileInfo) uint64 {
-	if s, ok := info.Sys().(*syscall.Stat_t); ok {
-		return uint64(s.Ino)
+	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
+		return stat.Ino
 	}
 	return 0
 }
--- /dev/null
+++ b/endpoints/hostfile/notifications.go
@@ -0,0 +1,42 @@
+package hostfile
+
+import (
+	"slices"
+
+	"github.com/fsnotify/fsnotify"
+)
+
+// notifications are the operating system's notifications of changes in directories. Where the system has none, both
+// channels stay silent and the watcher's poll finds the changes.
+type notifications struct {
+	watcher *fsnotify.Watcher // nil without notifications
+	events  chan fsnotify.Event
+	errors  chan error
+	watched map[string]bool // by directory: whether the last attempt to watch it succeeded
+}
+
+func newNotifications() *notifications {
+	watcher, err := fsnotify.NewWatcher()
+	if err != nil {
+		return &notifications{}
+	}
+	return &notifications{watcher: watcher, events: watcher.Events, errors: watcher.Errors, watched: map[string]bool{}}
+}
+
+// watch adds directories. One that was removed and created again has to be added again.
+func (n *notifications) watch(directories []string) {
+	if n.watcher == nil {
+		return
+	}
+	for _, directory := range directories {
+		if !n.watched[directory] || !slices.Contains(n.watcher.WatchList(), directory) {
+			n.watched[directory] = n.watcher.Add(directory) == nil
+		}
+	}
+}
+
+func (n *notifications) close() {
+	if n.watcher != nil {
+		_ = n.watcher.Close() // nothing can be done about it, and nothing was written
+	}
+}
