--- a/cluster/gossip/errors.go
+++ b/cluster/gossip/errors.go
@@ -105,7 +105,7 @@
 
 // Advice tells an operator what to do.
 func (e *InvalidMemberError) Advice() string {
-	return "Set `fleet.name`, and shorten it, `fleet.region` or `fleet.zone` if they are longer than 100 bytes."
+	return "Set `fleet.name`, to 100 bytes at the most, and `fleet.region` and `fleet.zone` to 200 bytes at the most."
 }
 
 // MetadataTooLargeError reports metadata of this instance that exceeds what the gossip can carry.
--- a/cluster/gossip/memberlist_config.go
+++ b/cluster/gossip/memberlist_config.go
@@ -21,7 +21,7 @@
 	pushPullInterval        = 15 * time.Second       // between exchanges of the full state, longer above 32 nodes
 	gossipToTheDeadTime     = 30 * time.Second       // for which a dead node still gets broadcasts: it may be back
 	streamTimeout           = 5 * time.Second        // for an exchange or a message on a connection: 1 MiB at 2 Mbit/s
-	maxSuspicionMultipliers = 1                      // no longer time to refute for suspicions that few confirm
+	maxSuspicionTimeoutMult = 1                      // the time to refute does not depend on how many confirm the suspicion
 )
 
 // nodeNameOf returns memberlist's node name of an incarnation. Other instances derive the same one.
@@ -38,7 +38,7 @@
 	config.BindAddr, config.AdvertiseAddr = listenAddr.Addr().String(), listenAddr.Addr().String()
 	config.BindPort, config.AdvertisePort = n.transport.GetAutoBindPort(), n.transport.GetAutoBindPort()
 	config.ProbeInterval, config.ProbeTimeout = probeInterval, membership.PingTimeout*clockTick
-	config.SuspicionMult, config.SuspicionMaxTimeoutMult = suspicionMultiplier, maxSuspicionMultipliers
+	config.SuspicionMult, config.SuspicionMaxTimeoutMult = suspicionMultiplier, maxSuspicionTimeoutMult
 	config.AwarenessMaxMultiplier = maxAwarenessMultiplier
 	config.GossipInterval, config.GossipNodes = gossipInterval, gossipNodes
 	config.GossipToTheDeadTime = gossipToTheDeadTime
