--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -22,35 +22,35 @@
 
 const goldenBucket = "testdata/share-bucket.json" // values in hex by key, from one instance
 
-// bucketCheckingStorage is a disk that knows which bucket it is asked for.
+// bucketCheckingStorage reports a call for another bucket.
 type bucketCheckingStorage struct {
 	*memoryStorage
 	t *testing.T
 }
 
-func (d *bucketCheckingStorage) Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error {
+func (s *bucketCheckingStorage) Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error {
 	if bucket != "share" {
-		d.t.Errorf("bucket %q", bucket)
+		s.t.Errorf("bucket %q", bucket)
 	}
-	return d.memoryStorage.Put(ctx, bucket, puts, deletes)
+	return s.memoryStorage.Put(ctx, bucket, puts, deletes)
 }
 
-func (d *bucketCheckingStorage) Load(bucket string, f func(string, []byte) error) error {
+func (s *bucketCheckingStorage) Load(bucket string, visit func(string, []byte) error) error {
 	if bucket != "share" {
-		d.t.Errorf("bucket %q", bucket)
+		s.t.Errorf("bucket %q", bucket)
 	}
-	return d.memoryStorage.Load(bucket, f)
+	return s.memoryStorage.Load(bucket, visit)
 }
 
-func startOnStorage(t *testing.T, life uint64, d *memoryStorage) *Replicator {
-	b := Start(context.Background(), Options{
-		InstanceName: "east-0", Incarnation: life, Transport: testnet.New(1).Join("east-0"), Seed: 1,
+func startOnStorage(t *testing.T, incarnation uint64, storage *memoryStorage) *Replicator {
+	replicator := Start(context.Background(), Options{
+		InstanceName: "east-0", Incarnation: incarnation, Transport: testnet.New(1).Join("east-0"), Seed: 1,
 		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
-		OpenStorage: func(context.Context) (Storage, error) { return &bucketCheckingStorage{d, t}, nil },
-		Peers:       func() (alive, listed []string) { return nil, []string{"east-0", "west-0"} },
+		OpenStorage: func(context.Context) (Storage, error) { return &bucketCheckingStorage{storage, t}, nil },
+		Peers:       func() (alive, members []string) { return nil, []string{"east-0", "west-0"} },
 	})
-	<-b.Ready()
-	return b
+	<-replicator.Ready()
+	return replicator
 }
 
 func goldenStorage(t *testing.T) *memoryStorage {
@@ -58,31 +58,29 @@
 	require.NoError(t, err)
 	var all map[string]string
 	require.NoError(t, json.Unmarshal(text, &all))
-	d := &memoryStorage{data: map[string][]byte{}}
+	storage := newMemoryStorage()
 	for key, value := range all {
-		d.data[key], err = hex.DecodeString(value)
+		storage.data[key], err = hex.DecodeString(value)
 		require.NoError(t, err)
 	}
-	return d
+	return storage
 }
 
 // An instance that puts and deletes writes the golden bucket, byte for byte.
 func TestGoldenBucketWritten(t *testing.T) {
-	d := &memoryStorage{data: map[string][]byte{}}
-	b := startOnStorage(t, 1_700_000_000_000_000_000, d)
-	for _, kv := range [][2]string{{"x/one", "first"}, {"x/one", "second"}, {"x/two", ""}, {"y", "gone"}, {"zones/eu-1", "\x00\xff"}} {
-		_, err := b.Put(kv[0], []byte(kv[1]))
+	storage := newMemoryStorage()
+	replicator := startOnStorage(t, 1_700_000_000_000_000_000, storage)
+	for _, nameAndValue := range [][2]string{{"x/one", "first"}, {"x/one", "second"}, {"x/two", ""}, {"y", "gone"}, {"zones/eu-1", "\x00\xff"}} {
+		_, err := replicator.Put(nameAndValue[0], []byte(nameAndValue[1]))
 		require.NoError(t, err)
 	}
-	_, err := b.Delete("y")
+	_, err := replicator.Delete("y")
 	require.NoError(t, err)
-	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
-	defer stop()
-	require.NoError(t, b.WaitPersisted(ctx))
-	b.cancel()
-	<-b.stopped
+	requirePersisted(t, replicator)
+	replicator.cancel()
+	<-replicator.stopped
 	got := map[string]string{}
-	for key, value := range d.copy().data {
+	for key, value := range storage.copy().data {
 		got[key] = hex.EncodeToString(value)
 	}
 	if *updateStored {
@@ -98,24 +96,24 @@
 	require.Equal(t, want, got)
 }
 
-// A later life of the instance reads the golden bucket and holds what was written.
+// A later incarnation of the instance reads the golden bucket and holds what was written.
 func TestGoldenBucketRead(t *testing.T) {
-	b := startOnStorage(t, 1_700_000_000_000_000_001, goldenStorage(t))
-	defer func() { b.cancel(); <-b.stopped }()
+	replicator := startOnStorage(t, 1_700_000_000_000_000_001, goldenStorage(t))
+	defer func() { replicator.cancel(); <-replicator.stopped }()
 	actor := "east-0#1700000000000000000"
 	for name, want := range map[string]crdt.Sibling{
 		"x/one":      {Dot: crdt.Dot{Actor: actor, Counter: 2}, Value: []byte("second")},
 		"x/two":      {Dot: crdt.Dot{Actor: actor, Counter: 3}, Value: []byte{}},
 		"zones/eu-1": {Dot: crdt.Dot{Actor: actor, Counter: 5}, Value: []byte("\x00\xff")},
 	} {
-		e, ok := b.Get(name)
+		entry, ok := replicator.Get(name)
 		require.True(t, ok, name)
-		require.Equal(t, name, e.Name)
-		require.Equal(t, []crdt.Sibling{want}, e.Siblings)
+		require.Equal(t, name, entry.Name)
+		require.Equal(t, []crdt.Sibling{want}, entry.Siblings)
 	}
-	_, ok := b.Get("y")
+	_, ok := replicator.Get("y")
 	require.False(t, ok)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, b.state.KnownVersion(), "what the instance has seen, from its own key")
+	replicator.mu.Lock()
+	defer replicator.mu.Unlock()
+	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, replicator.state.KnownVersion(), "what the instance has seen, from its own key")
 }
--- /dev/null
+++ b/cluster/replication/incarnation.go
@@ -0,0 +1,68 @@
+package replication
+
+import (
+	"errors"
+	"time"
+
+	"chalkring/cluster/crdt"
+	"chalkring/internal/advice"
+)
+
+// minIncarnationInterval keeps two processes with one name from superseding each other again and again.
+const minIncarnationInterval = 10 * time.Second
+
+// handleSuperseded goes on as a new incarnation if the error says that others regard this one as ended. It reports whether
+// the error says so.
+func (r *Replicator) handleSuperseded(err error) bool {
+	var superseded *crdt.SupersededError
+	if !errors.As(err, &superseded) {
+		return false
+	}
+	if kept, begun := r.beginIncarnation(superseded); begun {
+		r.options.Logger.Warn(eventSuperseded, advice.LogAttrs(superseded, "kept", len(kept))...)
+	}
+	return true
+}
+
+// beginIncarnation begins a new incarnation, unless the last one has just begun, and returns the entries with changes that
+// it made again.
+func (r *Replicator) beginIncarnation(superseded *crdt.SupersededError) (kept []crdt.Entry, begun bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.elapsed()
+	if now-r.incarnationBegunAt < minIncarnationInterval {
+		return nil, false
+	}
+	r.incarnationBegunAt = now
+	peer := superseded.From // an instance, or an actor where a message said it
+	if crdt.ActorIncarnation(peer) > 0 {
+		peer = crdt.ActorName(peer)
+	}
+	incarnation := max(superseded.EndedBefore, crdt.ActorIncarnation(r.state.Actor())) + 1
+	kept = r.state.BeginIncarnation(incarnation, peer)
+	clear(r.openExchanges)
+	for _, entry := range kept {
+		r.recordOwnChange(entry.Name)
+	}
+	return kept, true
+}
+
+// ensureLaterIncarnation begins a later incarnation if one in known, which the disk kept, is not an earlier one: the clock
+// was set back. r.mu is held.
+func (r *Replicator) ensureLaterIncarnation(known crdt.Version) {
+	actor := r.state.Actor()
+	name := crdt.ActorName(actor)
+	last := known.EndedBefore(name)
+	for _, dot := range known {
+		if crdt.ActorName(dot.Actor) == name {
+			last = max(last, crdt.ActorIncarnation(dot.Actor))
+		}
+	}
+	if last < crdt.ActorIncarnation(actor) {
+		return
+	}
+	const noPeer = ""
+	for _, entry := range r.state.BeginIncarnation(last+1, noPeer) {
+		r.recordOwnChange(entry.Name)
+	}
+}
--- /dev/null
+++ b/cluster/replication/log.go
@@ -0,0 +1,47 @@
+package replication
+
+import (
+	"time"
+
+	"chalkring/internal/advice"
+)
+
+// Log events; docs/oncall.md describes each.
+const (
+	eventJob        = "replication_job"
+	eventStore      = "replication_store"
+	eventMessage    = "replication_message"
+	eventExchange   = "replication_exchange"
+	eventUpdate     = "replication_update"
+	eventRefused    = "replication_refused"
+	eventSuperseded = "replication_superseded"
+	eventAbsence    = "replication_absence"
+	eventTombstones = "replication_tombstones"
+)
+
+const (
+	logInterval      = 30 * time.Second // between two log lines of one event and subject
+	maxLogTimestamps = 1024             // of them remembered; with more all are forgotten
+)
+
+// logFailure logs a failure with its advice, at most once in logInterval for an event and subject. The key says what the
+// subject is: a peer, an instance or a job.
+func (r *Replicator) logFailure(event, key, subject string, err error) {
+	if r.isLogDue(event + subject) {
+		r.options.Logger.Warn(event, advice.LogAttrs(err, key, subject)...)
+	}
+}
+
+func (r *Replicator) isLogDue(line string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.elapsed()
+	if last, ok := r.lastLoggedAt[line]; ok && now-last < logInterval {
+		return false
+	}
+	if len(r.lastLoggedAt) > maxLogTimestamps {
+		clear(r.lastLoggedAt)
+	}
+	r.lastLoggedAt[line] = now
+	return true
+}
--- /dev/null
+++ b/cluster/replication/messages.go
@@ -0,0 +1,116 @@
+package replication
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"chalkring/cluster/crdt"
+	"chalkring/internal/scheduler"
+)
+
+// Topic distinguishes the messages of this package from others of the transport.
+const Topic = 2
+
+// sendTimeout limits the sending of one message.
+const sendTimeout = 2 * time.Second
+
+// Transport sends messages to other instances; package gossip implements it.
+type Transport interface {
+	Send(ctx context.Context, to string, topic byte, body []byte) error
+	// Handle registers the receiver of a topic's messages; receive must not wait.
+	Handle(topic byte, receive func(from string, body []byte))
+}
+
+// Kinds of messages: the first byte of a body. A CBOR item follows.
+const (
+	kindRequest  byte = 1 + iota // crdt.ExchangeRequest
+	kindResponse                 // crdt.ExchangeResponse
+	kindUpdate                   // stateMessage with fresh changes, passed on by those to whom they are news
+	kindRepair                   // stateMessage with what the receiver lacked in an exchange
+)
+
+// stateMessage sends states of names.
+type stateMessage struct {
+	_     struct{} `cbor:",toarray"`
+	Actor string   // the sender's
+	Batch crdt.Batch
+}
+
+func encodeMessage(kind byte, content any) ([]byte, error) {
+	body, err := cbor.Marshal(content)
+	return append([]byte{kind}, body...), err
+}
+
+// sendMessage spends the message's bytes from the job's budget and sends it. It returns the bytes sent.
+func (r *Replicator) sendMessage(ctx context.Context, allowance *scheduler.Allowance, to string, kind byte, content any) (int, error) {
+	body, err := encodeMessage(kind, content)
+	if err != nil {
+		return 0, err
+	}
+	if err := allowance.Spend(ctx, len(body), 0); err != nil {
+		return 0, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
+	defer cancel()
+	return len(body), r.options.Transport.Send(ctx, to, Topic, body)
+}
+
+// sendExchangeMessage sends a message of an exchange and counts its bytes.
+func (r *Replicator) sendExchangeMessage(ctx context.Context, allowance *scheduler.Allowance, to string, kind byte, content any) error {
+	sent, err := r.sendMessage(ctx, allowance, to, kind, content)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.stats.ExchangeBytesSent += uint64(sent)
+	return err
+}
+
+var errUnknownKind = errors.New("an unknown kind of message")
+
+// handleMessage receives a message. Before the state on disk is here all are dropped, since this replica then knows less
+// than it has told others before.
+func (r *Replicator) handleMessage(from string, body []byte) {
+	if !r.isReady() || len(body) == 0 {
+		return
+	}
+	var err error
+	switch kind, content := body[0], body[1:]; kind {
+	case kindRequest:
+		err = r.handleRequest(from, content)
+	case kindResponse:
+		err = r.handleResponse(content)
+	case kindUpdate, kindRepair:
+		err = r.handleStates(from, content, kind == kindUpdate)
+	default:
+		err = errUnknownKind
+	}
+	if err != nil {
+		r.logFailure(eventMessage, "peer", from, &InvalidMessageError{from, err})
+	}
+}
+
+// handleStates merges the states of a message; one whose actor is not the sender's is ignored.
+func (r *Replicator) handleStates(from string, content []byte, isUpdate bool) error {
+	var message stateMessage
+	if err := cbor.Unmarshal(content, &message); err != nil || crdt.ActorName(message.Actor) != from {
+		return err
+	}
+	return r.applyStates(message, isUpdate)
+}
+
+// applyStates merges the states of a message and passes on what an update changed here.
+func (r *Replicator) applyStates(message stateMessage, isUpdate bool) error {
+	r.mu.Lock()
+	changed, err := r.state.MergeBatch(message.Actor, message.Batch)
+	r.recordChanges(changed)
+	if isUpdate && len(changed) > 0 {
+		r.queueUpdates(changed)
+	}
+	r.mu.Unlock()
+	if r.handleSuperseded(err) {
+		return nil
+	}
+	return err
+}
--- /dev/null
+++ b/cluster/replication/replicator.go
@@ -0,0 +1,214 @@
+// Package replication keeps the instances' replicas of a crdt.Map alike, on the network and on disk. Fresh changes go to a
+// few other instances at once, and each that receives one as news passes it on. Beside that each instance compares its
+// replica with another's every second by their digest trees (anti-entropy) and exchanges what differs. Changes are kept in
+// a store where there is one. All of this is background work within budgets of package scheduler. docs/replication.md
+// gives the rules and figures.
+package replication
+
+import (
+	"context"
+	"log/slog"
+	"math/rand"
+	"sync"
+	"time"
+
+	"chalkring/cluster/crdt"
+	"chalkring/internal/scheduler"
+)
+
+// Options configure a Replicator.
+type Options struct {
+	InstanceName string
+	Incarnation  uint64 // must be greater with each start; the start time in ns serves
+	Transport    Transport
+	// Peers returns the other instances that can be reached now, and all members of the cluster, reachable or not.
+	Peers func() (alive, members []string)
+	// OpenStorage waits until the storage is open; it returns nil if there is none. A nil function stands for none too.
+	OpenStorage      func(ctx context.Context) (Storage, error)
+	Logger           *slog.Logger // nil discards
+	Seed             int64
+	ExchangeInterval time.Duration // between two exchanges, 0 for defaultExchangeInterval
+}
+
+const defaultExchangeInterval = time.Second
+
+// DefaultBytesPerSecond is the budget of each of: requests and what they bring, responses, and updates.
+const DefaultBytesPerSecond = 2 << 20
+
+// Replicator holds the replica of one instance. Its methods may be called from any goroutine; only WaitPersisted and Close
+// wait for a disk, and none waits for another instance.
+type Replicator struct {
+	options   Options
+	pool      *scheduler.Pool
+	startedAt time.Time
+	ctx       context.Context
+	cancel    context.CancelFunc
+	stopped   chan struct{} // closed once all background work has ended
+	ready     chan struct{} // see Ready
+	readyOnce sync.Once
+	restored  chan struct{} // closed once the storage has been read, or is known not to be there
+
+	mu       sync.Mutex // guards what follows
+	state    *crdt.Map
+	rng      *rand.Rand
+	watchers map[*watcher]bool
+	stats    Stats
+
+	pendingUpdates  []string // names with changes to send at once
+	isPendingUpdate map[string]bool
+	updateSignal    chan struct{}
+
+	storage         Storage // set before restored is closed
+	dirty           map[string]bool
+	persistSignal   chan struct{}
+	persistedKnown  crdt.Version  // the known version on disk
+	changeCount     uint64        // changes so far
+	persistedCount  uint64        // of them those on disk
+	persistError    error         // of the last attempt
+	transactionDone chan struct{} // closed and replaced with each successful transaction
+
+	lastExchangeID  uint64
+	openExchanges   map[string]*openExchange              // by peer
+	responseWaiters map[uint64]chan crdt.ExchangeResponse // by exchange
+	metPeers        map[string]bool                       // peers that were alive and exchanged with since
+
+	lastAliveAt        map[string]time.Duration // when each instance was last seen alive
+	incarnationBegunAt time.Duration
+	lastCollectAt      time.Duration
+	lastRowAt          time.Duration
+	lastRowKnown       crdt.Version
+	lastLoggedAt       map[string]time.Duration // by event and subject
+}
+
+// Start begins to replicate. It ends with ctx or Close.
+func Start(ctx context.Context, options Options) *Replicator {
+	r := newReplicator(ctx, options)
+	options.Transport.Handle(Topic, r.handleMessage)
+	go func() {
+		defer close(r.stopped)
+		_ = r.pool.Run(r.ctx)
+	}()
+	r.scheduleJobs()
+	return r
+}
+
+// newReplicator returns a replicator without background work.
+func newReplicator(ctx context.Context, options Options) *Replicator {
+	if options.Logger == nil {
+		options.Logger = slog.New(slog.DiscardHandler)
+	}
+	if options.ExchangeInterval <= 0 {
+		options.ExchangeInterval = defaultExchangeInterval
+	}
+	r := &Replicator{
+		options: options, startedAt: time.Now(),
+		stopped: make(chan struct{}), ready: make(chan struct{}), restored: make(chan struct{}),
+		state: crdt.NewMap(crdt.FormatActor(options.InstanceName, max(1, options.Incarnation))),
+		rng:   rand.New(rand.NewSource(options.Seed)), watchers: map[*watcher]bool{},
+		isPendingUpdate: map[string]bool{}, updateSignal: make(chan struct{}, 1),
+		dirty: map[string]bool{}, persistSignal: make(chan struct{}, 1), transactionDone: make(chan struct{}),
+		openExchanges: map[string]*openExchange{}, responseWaiters: map[uint64]chan crdt.ExchangeResponse{},
+		metPeers: map[string]bool{}, lastAliveAt: map[string]time.Duration{}, lastLoggedAt: map[string]time.Duration{},
+		incarnationBegunAt: -minIncarnationInterval, lastRowAt: -rowIntervals * options.ExchangeInterval,
+	}
+	r.lastExchangeID = r.rng.Uint64() >> 1
+	r.ctx, r.cancel = context.WithCancel(ctx)
+	schedule := scheduler.NewSchedule(rand.New(rand.NewSource(options.Seed+1)), map[string]scheduler.Budget{
+		jobExchange: {BytesPerSecond: DefaultBytesPerSecond},
+		jobResponse: {BytesPerSecond: DefaultBytesPerSecond, MaxConcurrent: maxConcurrentResponses},
+		jobUpdate:   {BytesPerSecond: DefaultBytesPerSecond},
+	})
+	r.pool = scheduler.NewPool(systemClock{}, schedule, func(job string, err error) { r.logFailure(eventJob, "job", job, err) })
+	return r
+}
+
+// Kinds of the background jobs, for the budgets. Their names in the log begin with jobNamePrefix.
+const (
+	jobRestore  = "restore"
+	jobExchange = "exchange"
+	jobResponse = "response"
+	jobUpdate   = "update"
+	jobPersist  = "persist"
+	jobCollect  = "collect"
+
+	jobNamePrefix = "replication "
+)
+
+// exchangeJitterDivisor spreads exchanges by a quarter of their interval, so that instances do not stay in step.
+const exchangeJitterDivisor = 4
+
+// scheduleJobs starts the background work.
+func (r *Replicator) scheduleJobs() {
+	interval := r.options.ExchangeInterval
+	r.addJob(r.restore, scheduler.Job{Kind: jobRestore, Priority: scheduler.PriorityUrgent})
+	r.addJob(r.runExchanges, scheduler.Job{
+		Kind: jobExchange, Priority: scheduler.PriorityNormal,
+		Interval: schedulerTicks(interval), Jitter: schedulerTicks(interval) / exchangeJitterDivisor,
+	})
+	r.addJob(r.sendUpdates, scheduler.Job{Kind: jobUpdate, Priority: scheduler.PriorityUrgent})
+	r.addJob(r.persistLoop, scheduler.Job{Kind: jobPersist, Priority: scheduler.PriorityUrgent})
+	r.addJob(r.collectTombstones, scheduler.Job{
+		Kind: jobCollect, Priority: scheduler.PriorityIdle, Interval: collectIntervals * schedulerTicks(interval),
+	})
+}
+
+func (r *Replicator) addJob(run func(context.Context, *scheduler.Allowance) error, job scheduler.Job) {
+	job.Name = jobNamePrefix + job.Kind
+	if _, err := r.pool.Add(job, run); err != nil {
+		r.logFailure(eventJob, "job", job.Name, err)
+	}
+}
+
+// schedulerTicks converts to the scheduler's unit, a tenth of a millisecond.
+func schedulerTicks(d time.Duration) int64 { return int64(d / (100 * time.Microsecond)) }
+
+type systemClock struct{}
+
+func (systemClock) Now() time.Time                         { return time.Now() }
+func (systemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
+
+// elapsed is the time since the start.
+func (r *Replicator) elapsed() time.Duration { return time.Since(r.startedAt) }
+
+// Close writes what is not yet on disk, as long as ctx lasts, and ends the background work.
+func (r *Replicator) Close(ctx context.Context) error {
+	err := r.WaitPersisted(ctx)
+	r.cancel()
+	<-r.stopped
+	return err
+}
+
+// Ready is closed once the state on disk has been taken in or is known not to be there, or after storageTimeout: a disk
+// that hangs must not keep an instance from the others. A Put before has not seen what the disk kept.
+func (r *Replicator) Ready() <-chan struct{} { return r.ready }
+
+func (r *Replicator) isReady() bool {
+	select {
+	case <-r.ready:
+		return true
+	default:
+		return false
+	}
+}
+
+// shuffledPeers returns the other instances that can be reached now, in random order, and all members.
+func (r *Replicator) shuffledPeers() (alive, members []string) {
+	peers, members := r.options.Peers()
+	for _, name := range peers {
+		if name != r.options.InstanceName {
+			alive = append(alive, name)
+		}
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.rng.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
+	return alive, members
+}
+
+// notify signals without waiting; one signal stands for any number of events.
+func notify(signal chan struct{}) {
+	select {
+	case signal <- struct{}{}:
+	default:
+	}
+}
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"log/slog"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -12,25 +11,20 @@
 	"chalkring/cluster/crdt"
 )
 
-// idleReplicator is a copy whose goroutines are not started, so that a test alone changes it.
+// idleReplicator has no background work, so that a test alone changes it.
 func idleReplicator(actor string) *Replicator {
-	return &Replicator{
-		options: Options{InstanceName: crdt.ActorName(actor), Logger: slog.New(slog.DiscardHandler)}, ready: make(chan struct{}), restored: make(chan struct{}),
-		state: crdt.NewMap(actor), watchers: map[*watcher]bool{}, isPendingUpdate: map[string]bool{}, updateSignal: make(chan struct{}, 1),
-		dirty: map[string]bool{}, persistSignal: make(chan struct{}, 1), persistAttempted: make(chan struct{}), openExchanges: map[string]*openExchange{},
-		responseWaiters: map[uint64]chan crdt.ExchangeResponse{}, lastLoggedAt: map[string]int64{},
-	}
+	return newReplicator(context.Background(), Options{InstanceName: crdt.ActorName(actor), Incarnation: crdt.ActorIncarnation(actor)})
 }
 
 // goldenReplicator holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
 func goldenReplicator(t *testing.T) *Replicator {
-	b := idleReplicator("gateway-1#7")
-	close(b.ready)
-	_, err := b.Put("plan/a", []byte{0, 1, 0xff})
+	replicator := idleReplicator("gateway-1#7")
+	close(replicator.ready)
+	_, err := replicator.Put("plan/a", []byte{0, 1, 0xff})
 	require.NoError(t, err)
-	_, err = b.Put("plan/b", []byte("old"))
+	_, err = replicator.Put("plan/b", []byte("old"))
 	require.NoError(t, err)
-	_, err = b.Delete("plan/b")
+	_, err = replicator.Delete("plan/b")
 	require.NoError(t, err)
 	other := crdt.NewMap("gateway-2#9")
 	for _, name := range []string{"plan/a", "plan/c"} {
@@ -38,23 +32,23 @@
 		require.NoError(t, err)
 	}
 	for _, batch := range other.BuildBatches(false, []string{"plan/a", "plan/c"}) {
-		require.NoError(t, b.applyStates("gateway-2", stateMessage{Actor: "gateway-2#9", Batch: batch}, true))
+		require.NoError(t, replicator.applyStates(stateMessage{Actor: "gateway-2#9", Batch: batch}, true))
 	}
-	return b
+	return replicator
 }
 
-// Messages between instances: the first byte tells the kind, the rest is one CBOR item.
+// Messages between instances: the first byte is the kind, the rest is one CBOR item.
 func TestGoldenMessages(t *testing.T) {
-	b := goldenReplicator(t)
+	replicator := goldenReplicator(t)
 	names := []string{"plan/a", "plan/b", "plan/c"}
-	fresh := stateMessage{Actor: b.Actor(), Batch: b.state.BuildBatches(false, names)[0]}
-	lacks := stateMessage{Actor: b.Actor(), Batch: b.state.BuildBatches(true, names)[0]}
-	ask, ok := crdt.NewMap("gateway-3#4").NewExchange("gateway-1", 17).NextRequest()
+	update := stateMessage{Actor: replicator.Actor(), Batch: replicator.state.BuildBatches(false, names)[0]}
+	repair := stateMessage{Actor: replicator.Actor(), Batch: replicator.state.BuildBatches(true, names)[0]}
+	request, ok := crdt.NewMap("gateway-3#4").NewExchange("gateway-1", 17).NextRequest()
 	require.True(t, ok)
-	answer, err := b.state.HandleRequest("gateway-3", ask)
+	response, err := replicator.state.HandleRequest("gateway-3", request)
 	require.NoError(t, err)
 
-	// A push is taken in by a copy that holds nothing, as a handler of the network would.
+	// An update is merged into an empty replica, as when the network delivers it.
 	received := func(encoded []byte) (any, error) {
 		empty := idleReplicator("gateway-3#4")
 		close(empty.ready)
@@ -62,47 +56,47 @@
 		return contents(empty), nil
 	}
 	requireGolden(t, "messages.golden", []goldenForm{
-		{"fresh", func() ([]byte, error) { return encodeMessage(kindUpdate, fresh) }, received, contents(b)},
-		{"lacks", func() ([]byte, error) { return encodeMessage(kindRepair, lacks) }, received, contents(b)},
-		{"ask", func() ([]byte, error) { return encodeMessage(kindRequest, ask) }, func(encoded []byte) (any, error) {
+		{"fresh", func() ([]byte, error) { return encodeMessage(kindUpdate, update) }, received, contents(replicator)},
+		{"lacks", func() ([]byte, error) { return encodeMessage(kindRepair, repair) }, received, contents(replicator)},
+		{"ask", func() ([]byte, error) { return encodeMessage(kindRequest, request) }, func(encoded []byte) (any, error) {
 			require.Equal(t, byte(1), encoded[0])
 			var decoded crdt.ExchangeRequest
 			err := cbor.Unmarshal(encoded[1:], &decoded)
 			return decoded, err
-		}, ask},
-		{"answer", func() ([]byte, error) { return encodeMessage(kindResponse, answer) }, func(encoded []byte) (any, error) {
-			asker := idleReplicator("gateway-3#4")
-			close(asker.ready)
-			answers := make(chan crdt.ExchangeResponse, 1)
-			asker.responseWaiters[17] = answers
-			asker.handleMessage("gateway-1", encoded)
+		}, request},
+		{"answer", func() ([]byte, error) { return encodeMessage(kindResponse, response) }, func(encoded []byte) (any, error) {
+			initiator := idleReplicator("gateway-3#4")
+			close(initiator.ready)
+			responses := make(chan crdt.ExchangeResponse, 1)
+			initiator.responseWaiters[17] = responses
+			initiator.handleMessage("gateway-1", encoded)
 			select {
-			case received := <-answers:
+			case received := <-responses:
 				return received, nil
 			default:
-				return nil, errors.New("the answer was not handed on")
+				return nil, errors.New("the response was not handed on")
 			}
-		}, answer},
+		}, response},
 	})
 }
 
 // contents are the entries with a live value, by name, and the digest of all.
-func contents(b *Replicator) map[string]any {
-	all := map[string]any{"digest": b.Digest()}
-	b.ScanPrefix("", func(e crdt.Entry) bool {
+func contents(replicator *Replicator) map[string]any {
+	all := map[string]any{"digest": replicator.Digest()}
+	replicator.ScanPrefix("", func(e crdt.Entry) bool {
 		all[e.Name] = e.Siblings
 		return true
 	})
 	return all
 }
 
-// Records of the store, by key: what an earlier build kept is loaded, and the same bytes are written.
+// Records of the store, by key: what an earlier build stored is loaded, and the same bytes are written.
 func TestGoldenStore(t *testing.T) {
-	written := &memoryStorage{data: map[string][]byte{}}
-	b := goldenReplicator(t)
-	b.storage = written
-	require.NoError(t, b.persistOnce(context.Background()))
-	want := contents(b)
+	written := newMemoryStorage()
+	replicator := goldenReplicator(t)
+	replicator.storage = written
+	require.NoError(t, replicator.persistOnce(context.Background()))
+	want := contents(replicator)
 	forms := []goldenForm{}
 	for _, key := range []string{"e/plan/a", "e/plan/b", "e/plan/c", "known"} {
 		require.Contains(t, written.data, key)
@@ -116,7 +110,7 @@
 			var entry crdt.Entry
 			err = cbor.Unmarshal(encoded, &entry)
 			return entry, err
-		}, goldenRecord(b, key)})
+		}, goldenRecord(replicator, key)})
 	}
 	require.Len(t, written.data, len(forms), "no other key is written")
 	requireGolden(t, "store.golden", forms)
@@ -127,15 +121,15 @@
 	}
 	require.NoError(t, loaded.restore(context.Background(), nil))
 	require.Equal(t, want, contents(loaded))
-	require.Equal(t, b.state.KnownVersion(), loaded.state.KnownVersion())
+	require.Equal(t, replicator.state.KnownVersion(), loaded.state.KnownVersion())
 	require.Equal(t, "gateway-1#8", loaded.Actor())
 }
 
-func goldenRecord(b *Replicator, key string) any {
+func goldenRecord(replicator *Replicator, key string) any {
 	if key == "known" {
-		return b.state.KnownVersion()
+		return replicator.state.KnownVersion()
 	}
-	entry, _ := b.state.StorableEntry(key[len("e/"):])
+	entry, _ := replicator.state.StorableEntry(key[len("e/"):])
 	return entry
 }
 
@@ -143,5 +137,5 @@
 func TestGoldenConstants(t *testing.T) {
 	require.Equal(t, 2, Topic)
 	require.Equal(t, []byte{1, 2, 3, 4}, []byte{kindRequest, kindResponse, kindUpdate, kindRepair})
-	require.Equal(t, []string{"share", "e/", "known"}, []string{StoreBucket, entryKey, knownKey})
+	require.Equal(t, []string{"share", "e/", "known"}, []string{StoreBucket, entryKeyPrefix, knownKey})
 }
