--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -5,16 +5,13 @@
 	"encoding/hex"
 	"encoding/json"
 	"flag"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"testing"
-	"time"
 
 	"github.com/stretchr/testify/require"
 
 	"chalkring/cluster/crdt"
-	"chalkring/internal/testnet"
 )
 
 // updateStored rewrites this package's golden files; without it a test fails where the bytes differ.
@@ -42,14 +39,15 @@
 	return s.memoryStorage.Load(bucket, visit)
 }
 
-func startOnStorage(t *testing.T, incarnation uint64, storage *memoryStorage) *Replicator {
-	replicator := Start(context.Background(), Options{
-		InstanceName: "east-0", Incarnation: incarnation, Transport: testnet.New(1).Join("east-0"), Seed: 1,
-		ExchangeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
+// restoredFrom returns a replicator that has taken in what a storage kept. It has no background work: the row that the
+// collecting job makes at some moment is a change of the known version.
+func restoredFrom(t *testing.T, incarnation uint64, storage *memoryStorage) *Replicator {
+	replicator := newReplicator(context.Background(), Options{
+		InstanceName: "east-0", Incarnation: incarnation, Seed: 1,
 		OpenStorage: func(context.Context) (Storage, error) { return &bucketCheckingStorage{storage, t}, nil },
-		Peers:       func() (alive, members []string) { return nil, []string{"east-0", "west-0"} },
 	})
-	<-replicator.Ready()
+	require.NoError(t, replicator.restore(context.Background(), nil))
+	require.True(t, replicator.isReady())
 	return replicator
 }
 
@@ -69,16 +67,14 @@
 // An instance that puts and deletes writes the golden bucket, byte for byte.
 func TestGoldenBucketWritten(t *testing.T) {
 	storage := newMemoryStorage()
-	replicator := startOnStorage(t, 1_700_000_000_000_000_000, storage)
+	replicator := restoredFrom(t, 1_700_000_000_000_000_000, storage)
 	for _, nameAndValue := range [][2]string{{"x/one", "first"}, {"x/one", "second"}, {"x/two", ""}, {"y", "gone"}, {"zones/eu-1", "\x00\xff"}} {
 		_, err := replicator.Put(nameAndValue[0], []byte(nameAndValue[1]))
 		require.NoError(t, err)
 	}
 	_, err := replicator.Delete("y")
 	require.NoError(t, err)
-	requirePersisted(t, replicator)
-	replicator.cancel()
-	<-replicator.stopped
+	require.NoError(t, replicator.persistOnce(context.Background()))
 	got := map[string]string{}
 	for key, value := range storage.copy().data {
 		got[key] = hex.EncodeToString(value)
@@ -98,8 +94,7 @@
 
 // A later incarnation of the instance reads the golden bucket and holds what was written.
 func TestGoldenBucketRead(t *testing.T) {
-	replicator := startOnStorage(t, 1_700_000_000_000_000_001, goldenStorage(t))
-	defer func() { replicator.cancel(); <-replicator.stopped }()
+	replicator := restoredFrom(t, 1_700_000_000_000_000_001, goldenStorage(t))
 	actor := "east-0#1700000000000000000"
 	for name, want := range map[string]crdt.Sibling{
 		"x/one":      {Dot: crdt.Dot{Actor: actor, Counter: 2}, Value: []byte("second")},
@@ -113,7 +108,5 @@
 	}
 	_, ok := replicator.Get("y")
 	require.False(t, ok)
-	replicator.mu.Lock()
-	defer replicator.mu.Unlock()
 	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, replicator.state.KnownVersion(), "what the instance has seen, from its own key")
 }
