--- /dev/null
+++ b/config/settings/flatten.go
@@ -0,0 +1,83 @@
+package settings
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// CountSuffix ends the name under which Flatten puts the length of a list of objects.
+const CountSuffix = ".count"
+
+// Flatten adds a decoded JSON or YAML value to flat under the names and in the texts of the simulator's wire: nested
+// objects as paths, lists of plain values joined by commas, lists of objects by index with their count. It returns a
+// DuplicateSettingError for the first setting that is also given by its flat name; flat then holds one of both values.
+func Flatten(flat map[string]string, path string, value any) error {
+	switch value := value.(type) {
+	case map[string]any:
+		return flattenObject(flat, path, value)
+	case []any:
+		return flattenList(flat, path, value)
+	}
+	return putOnce(flat, path, FormatValue(value))
+}
+
+func flattenObject(flat map[string]string, path string, object map[string]any) (firstErr error) {
+	for _, name := range sortedNames(object) {
+		memberPath := name
+		if path != "" {
+			memberPath = path + "." + name
+		}
+		if err := Flatten(flat, memberPath, object[name]); firstErr == nil {
+			firstErr = err
+		}
+	}
+	return firstErr
+}
+
+func flattenList(flat map[string]string, path string, list []any) (firstErr error) {
+	var plain []string
+	for i, item := range list {
+		switch item.(type) {
+		case map[string]any, []any:
+			if err := Flatten(flat, path+"."+strconv.Itoa(i), item); firstErr == nil {
+				firstErr = err
+			}
+		default:
+			plain = append(plain, FormatValue(item))
+		}
+	}
+	name, text := path, strings.Join(plain, ",")
+	if len(plain) < len(list) {
+		name, text = path+CountSuffix, strconv.Itoa(len(list))
+	}
+	if err := putOnce(flat, name, text); firstErr == nil {
+		firstErr = err
+	}
+	return firstErr
+}
+
+func putOnce(flat map[string]string, name, text string) error {
+	_, exists := flat[name]
+	flat[name] = text
+	if exists {
+		return &DuplicateSettingError{Setting: name}
+	}
+	return nil
+}
+
+// sortedNames gives a fixed order, so that of several errors the same one is returned each time.
+func sortedNames[V any](values map[string]V) []string { return slices.Sorted(maps.Keys(values)) }
+
+// FormatValue returns a plain value as the simulator's wire has it: without blanks and commas, "-" for null.
+func FormatValue(value any) string {
+	switch value := value.(type) {
+	case nil:
+		return "-"
+	case string:
+		return strings.NewReplacer(" ", "_", ",", "_").Replace(value)
+	}
+	return fmt.Sprint(value)
+}
--- a/config/settings/facts_test.go
+++ b/config/settings/rules_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBadSettings(t *testing.T) {
-	for _, c := range []struct{ name, text, wrong string }{
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for _, c := range []struct{ name, text, wantError string }{
 		{"Specifics.NeedByClass", "0.5", "setting Specifics.NeedByClass has 1 places for 2 classes"},
 		{"Specifics.ClassFloor", "0.5,0.5,0.5", "setting Specifics.ClassFloor has 3 places for 2 classes"},
 		{"Specifics.NeedByClass", "0.5,-0.1", "setting Specifics.NeedByClass: place 1: -0.1 is under 0"},
@@ -21,21 +21,22 @@
 		{"Classes.0.Effect", "odd", `setting Classes.0.Effect: "odd" is none of retryable, dedup, fragile`},
 		{"Safety.FallMultiple", "Inf", `setting Safety.FallMultiple: "Inf" is no number`},
 	} {
-		require.EqualError(t, ValidateAll(map[string]string{c.name: c.text}, 2), c.wrong)
+		require.EqualError(t, ValidateAll(map[string]string{c.name: c.text}, 2), c.wantError)
 	}
 }
 
-func TestWhatMayStand(t *testing.T) {
-	all := map[string]string{}
-	Flatten(all, "", map[string]any{
+// A floor above the need is usual, and settings that the balancer does not read are allowed.
+func TestFlattenedSettingsAreValid(t *testing.T) {
+	flat := map[string]string{}
+	require.NoError(t, Flatten(flat, "", map[string]any{
 		"Colour": "blue", "Permissions": map[string]any{"SecondCopies": false, "Odd": []any{1, "x"}},
 		"Specifics": map[string]any{"NeedByClass": []any{0.6, 1}, "ClassFloor": []any{1, 0.5}, "FollowUp": []any{0, 3}},
 		"Classes":   []any{map[string]any{"Deadline": 4000.5}, map[string]any{"Effect": "dedup"}},
-	})
-	require.NoError(t, ValidateAll(all, 2)) // a floor above the need is ordinary, and names that nothing reads are allowed
+	}))
+	require.NoError(t, ValidateAll(flat, 2))
 	require.Equal(t, []string{"false", "0.6,1", "4000.5", "2"}, []string{
-		all["Permissions.SecondCopies"],
-		all["Specifics.NeedByClass"], all["Classes.0.Deadline"], all["Classes.count"],
+		flat["Permissions.SecondCopies"],
+		flat["Specifics.NeedByClass"], flat["Classes.0.Deadline"], flat["Classes.count"],
 	})
 	require.True(t, IsKnown("Classes.12.Deadline"))
 	require.False(t, IsKnown("Permissions.Odd"))
