--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -54,10 +54,10 @@
 // sharingOf starts what the section fleet turns on; nil where there is no such section. It waits for no other instance and
 // for no disk.
 func sharingOf(file *config.File, plan *coordinator.Plan, keep *coordinator.Persistence, log *slog.Logger) (*sharing, error) {
-	if file.Fleet == nil {
+	if file.Cluster == nil {
 		return nil, nil
 	}
-	own, err := file.Fleet.ForInstance(plan.Name)
+	own, err := file.Cluster.ForInstance(plan.Name)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -137,8 +137,8 @@
 			return noStart(fmt.Errorf("%s: %w", s.Installation, err))
 		}
 		fronts = append(fronts, gateway...)
-		owners = max(1, file.Owners)
-		if lists = listsOf(ctx, file.Members, log); keep != nil {
+		owners = max(1, file.EventLoops)
+		if lists = listsOf(ctx, file.EndpointSources, log); keep != nil {
 			lists = keep.PrependStoredUpdate(ctx, lists)
 		}
 		for kind, h := range file.Hosts {
@@ -265,7 +265,7 @@
 // keepOf begins to open what this process keeps on disk, nil where nothing is.
 func keepOf(file *config.File, plan *coordinator.Plan, log *slog.Logger) *coordinator.Persistence {
 	path, alone := file.Store, true
-	if f := file.Fleet; f != nil && f.StoreFile != "" && (path == "" || path == f.StoreFile) {
+	if f := file.Cluster; f != nil && f.StoreFile != "" && (path == "" || path == f.StoreFile) {
 		path, alone = f.StoreFile, false
 	}
 	if path == "" {
@@ -355,8 +355,8 @@
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
-			if err == nil && file.Fleet != nil && file.Fleet.KeyFile != "" {
-				if _, _, err = gossip.ReadKeyFile(file.Fleet.KeyFile); err != nil {
+			if err == nil && file.Cluster != nil && file.Cluster.KeyFile != "" {
+				if _, _, err = gossip.ReadKeyFile(file.Cluster.KeyFile); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
@@ -369,10 +369,10 @@
 			if err == nil && rolls(file) {
 				err = checkRollout(file)
 			}
-			if err == nil && file.Fleet != nil && file.Fleet.ResidencyFile != "" {
+			if err == nil && file.Cluster != nil && file.Cluster.ResidencyFile != "" {
 				var text []byte
-				if text, err = hostfile.ReadText(file.Fleet.ResidencyFile); err == nil {
-					_, err = checkContracts(file.Fleet.ResidencyFile, text, plan)
+				if text, err = hostfile.ReadText(file.Cluster.ResidencyFile); err == nil {
+					_, err = checkContracts(file.Cluster.ResidencyFile, text, plan)
 				}
 			}
 		default:
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -29,7 +29,7 @@
 		change(f)
 	}
 	l := &lived{t: t}
-	l.s, err = sharingOf(&config.File{Fleet: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l.s, err = sharingOf(&config.File{Cluster: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
 	t.Cleanup(l.s.leave)
 	select {
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -72,7 +72,7 @@
 	if _, err := os.Stat(f.ResidencyFile); err != nil {
 		l.file(contractsOne)
 	}
-	l.s, err = sharingOf(&config.File{Fleet: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l.s, err = sharingOf(&config.File{Cluster: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
 	l.in, err = contractsOf(plan, l.s)
 	require.NoError(t, err)
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -109,19 +109,19 @@
 }
 
 // rolls tells whether an installation takes part in changes.
-func rolls(file *config.File) bool { return file.Fleet != nil && file.Fleet.RolloutFile != "" }
+func rolls(file *config.File) bool { return file.Cluster != nil && file.Cluster.RolloutFile != "" }
 
 // checkRollout looks at the change file that an installation names, if there is one now, and at what it needs.
 func checkRollout(file *config.File) error {
-	if file.Fleet.StoreFile == "" {
+	if file.Cluster.StoreFile == "" {
 		return &NoStore{}
 	}
-	text, err := os.ReadFile(file.Fleet.RolloutFile)
+	text, err := os.ReadFile(file.Cluster.RolloutFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err == nil {
-		_, err = rollout.ParseChangeFile(file.Fleet.RolloutFile, text)
+		_, err = rollout.ParseChangeFile(file.Cluster.RolloutFile, text)
 	}
 	return err
 }
--- a/config/fleet_test.go
+++ b/config/cluster_test.go
@@ -9,40 +9,40 @@
 	"chalkring/internal/advice"
 )
 
-func TestFleetExample(t *testing.T) {
-	f, err := Read("../deploy/fleet.yaml")
+func TestExampleOfACluster(t *testing.T) {
+	file, err := Read("../deploy/fleet.yaml")
 	require.NoError(t, err)
-	own, err := f.Fleet.ForInstance("n9")
+	section, err := file.Cluster.ForInstance("n9")
 	require.NoError(t, err)
-	require.Equal(t, "east-0", own.Name)
-	require.Equal(t, "10.1.0.9:7500", own.AddressOverrides["10.2.0.1:7500"])
-	require.Contains(t, own.StoreFile, "../deploy/")
+	require.Equal(t, "east-0", section.Name)
+	require.Equal(t, "10.1.0.9:7500", section.AddressOverrides["10.2.0.1:7500"])
+	require.Contains(t, section.StoreFile, "../deploy/")
 }
 
-func TestFleetFaults(t *testing.T) {
-	const sound = "fleet:\n  listen: 127.0.0.1:7500\n  listed: [a, b]\n"
-	f, err := Parse([]byte(sound), "")
+func TestClusterErrors(t *testing.T) {
+	const valid = "fleet:\n  listen: 127.0.0.1:7500\n  listed: [a, b]\n"
+	file, err := Parse([]byte(valid), "")
 	require.NoError(t, err)
-	_, err = f.Fleet.ForInstance("c")
+	_, err = file.Cluster.ForInstance("c")
 	require.True(t, advice.HasType[*NotListedError](err))
 	require.NotEmpty(t, advice.For(err))
 	page, err := os.ReadFile("../docs/oncall.md")
 	require.NoError(t, err)
 	require.Contains(t, string(page), "| `NotListedError` |")
-	own, err := f.Fleet.ForInstance("b")
+	section, err := file.Cluster.ForInstance("b")
 	require.NoError(t, err)
-	require.Equal(t, "b", own.Name)
+	require.Equal(t, "b", section.Name)
 	for text, want := range map[string]string{
 		"fleet:\n  listen: 0.0.0.0:7500\n  listed: [a]\n":         `[2:11] fleet.listen: "0.0.0.0:7500" says not where`,
 		"fleet:\n  listen: here\n  listed: [a]\n":                 `[2:11] fleet.listen: "here" is no address`,
 		"fleet:\n  listed: [a]\n":                                 `fleet.listen: "" is no address`,
 		"fleet:\n  listen: 127.0.0.1:7500\n":                      `fleet.listed: 0 names`,
-		sound + "  join: [127.0.0.1:1, b:2]\n":                    `[4:23] fleet.join[1]: "b:2" is no address`,
-		sound + "  name: c\n":                                     `[3:11] fleet.listed: "c", this instance's own name`,
-		sound + "  zone: 'a b'\n":                                 `[4:9] fleet.zone: "a b" is no name`,
-		sound + "  via: {'127.0.0.1:1': x}\n":                     `fleet.via.'127.0.0.1:1': "x" is no address`,
-		sound + "  via: {x: '127.0.0.1:1'}\n":                     `fleet.via: "x" is no address`,
-		sound + "  quorum: 2\n":                                   `[4:3] unknown field "quorum"`,
+		valid + "  join: [127.0.0.1:1, b:2]\n":                    `[4:23] fleet.join[1]: "b:2" is no address`,
+		valid + "  name: c\n":                                     `[3:11] fleet.listed: "c", this instance's own name`,
+		valid + "  zone: 'a b'\n":                                 `[4:9] fleet.zone: "a b" is no name`,
+		valid + "  via: {'127.0.0.1:1': x}\n":                     `fleet.via.'127.0.0.1:1': "x" is no address`,
+		valid + "  via: {x: '127.0.0.1:1'}\n":                     `fleet.via: "x" is no address`,
+		valid + "  quorum: 2\n":                                   `[4:3] unknown field "quorum"`,
 		"fleet:\n  listen: 127.0.0.1:7500\n  listed: [a, b, a]\n": `[3:18] fleet.listed[2]: "a" is there twice`,
 	} {
 		_, err := Parse([]byte(text), "")
--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -110,8 +110,8 @@
 		w := f.Background[kind]
 		line("background."+kind, fmt.Sprintf("%g B/s, %g CPU, %d at once", w.BytesPerSecond, w.CPUPerSecond, w.MaxConcurrent))
 	}
-	if f.Members != nil {
-		line("members.files", quoted(f.Members.Files))
+	if f.EndpointSources != nil {
+		line("members.files", quoted(f.EndpointSources.Files))
 	}
 	line("store", f.Store)
 	for _, name := range slices.Sorted(maps.Keys(FlattenSettings(f.Settings))) {
@@ -122,13 +122,13 @@
 			line("shadow.settings", name+"="+FlattenSettings(f.Shadow.Settings)[name])
 		}
 	}
-	if p := f.Fleet; p != nil {
+	if p := f.Cluster; p != nil {
 		line("fleet", quoted([]string{p.ClusterName, p.Name, p.Region, p.Zone, p.Listen, p.KeyFile, p.StoreFile, p.RolloutFile, p.ResidencyFile, p.SubscribersFile}))
 		line("fleet.join", quoted(p.Join))
 		line("fleet.via", p.AddressOverrides)
 		line("fleet.listed", quoted(p.VotingMembers))
 	}
-	line("owners", f.Owners)
+	line("owners", f.EventLoops)
 	line("log", f.Log.Format+" "+f.Log.Level)
 }
 
@@ -180,7 +180,7 @@
 		// the file as a whole
 		"peers: [1\n", "peers: 7\n", "- 1\n", "other: 1\n", "Peers: {}\n", "log: {}\n---\nlog: {}\n", "log: {}\nlog: {}\n",
 		// keys that are not known, one a section
-		"peers: {names: x}\n", "peers: {ask: [{adress: x}]}\n", "peers: {tls: {cert: x}}\n", "opensearch: {index: x}\n",
+		"peers: {names: x}\n", "peers: {ask: [{adress: x}]}\n", "peers: {tls: {cert: x}}\n", "opensearch: {index: x}\n", //nolint:misspell // A misspelled key is the case.
 		"opensearch: {indices: [{shards: 1}]}\n", "opensearch: {indices: [{placed: {shards: 1}}]}\n", "hosts: {a: {placing: 1}}\n",
 		"background: {ask: {rate: 1}}\n", "members: {file: x}\n", "shadow: {setting: {}}\n", "fleet: {quorum: 1}\n", "log: {colour: x}\n",
 		"peers: {Refresh: 30s}\n", "peers: {refresh: [1]}\n",
@@ -234,7 +234,7 @@
 	write("a file's error has its name before it", err)
 	f, err := Parse([]byte(fleet), "")
 	require.NoError(t, err)
-	_, err = f.Fleet.ForInstance("c")
+	_, err = f.Cluster.ForInstance("c")
 	write("an instance that is not listed", err)
 	requireGolden(t, "installation_errors.golden", out.String())
 }
--- a/config/installation_test.go
+++ b/config/installation_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const whole = `peers:
+const sampleFile = `peers:
   name: n0
   listen: 127.0.0.1:7400
   ask: [{name: n1, address: "127.0.0.1:7401"}]
@@ -21,26 +21,26 @@
 log: {format: json}
 `
 
-func TestWhole(t *testing.T) {
+func TestFileIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "i.yaml")
-	require.NoError(t, os.WriteFile(path, []byte(whole), 0o600))
-	f, err := Read(path)
+	require.NoError(t, os.WriteFile(path, []byte(sampleFile), 0o600))
+	file, err := Read(path)
 	require.NoError(t, err)
-	require.Equal(t, 30*time.Second, f.Peers.RefreshInterval)
-	require.Equal(t, []Peer{{"n1", "127.0.0.1:7401"}}, f.Peers.PollTargets)
-	require.Equal(t, filepath.Join(filepath.Dir(path), "a.pem"), f.Peers.TLS.Certificate)
-	require.Equal(t, "/k/a.key", f.Peers.TLS.Key)
-	require.Equal(t, 2, f.Background["ask"].MaxConcurrent)
-	require.Positive(t, f.Background["answer"].BytesPerSecond, "what is left out has its bound")
-	require.Equal(t, Log{"json", "info"}, f.Log)
-	f, err = Parse(nil, "")
+	require.Equal(t, 30*time.Second, file.Peers.RefreshInterval)
+	require.Equal(t, []Peer{{"n1", "127.0.0.1:7401"}}, file.Peers.PollTargets)
+	require.Equal(t, filepath.Join(filepath.Dir(path), "a.pem"), file.Peers.TLS.Certificate)
+	require.Equal(t, "/k/a.key", file.Peers.TLS.Key)
+	require.Equal(t, 2, file.Background["ask"].MaxConcurrent)
+	require.Positive(t, file.Background["answer"].BytesPerSecond, "a budget that is left out has its default")
+	require.Equal(t, Log{"json", "info"}, file.Log)
+	file, err = Parse(nil, "")
 	require.NoError(t, err)
-	require.Nil(t, f.Peers, "nothing is on that is not named")
+	require.Nil(t, file.Peers, "nothing is on by default")
 	_, err = Read(path + ".not")
 	require.Error(t, err)
 }
 
-func TestFaultsAreNamedWithTheirPlace(t *testing.T) {
+func TestErrorsHaveTheirPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"peers:\n  lisen: x\n":                                        `[2:3] unknown field "lisen"`,
 		"peers:\n  listen: here\n":                                    `[2:11] peers.listen: "here" is no address`,
@@ -80,20 +80,12 @@
 		_, err := Parse([]byte(text), "")
 		require.ErrorContains(t, err, want, text)
 	}
-	_, err := Parse(make([]byte, fileMost+1), "")
+	_, err := Parse(make([]byte, maxFileBytes+1), "")
 	require.Error(t, err)
 }
 
-func TestSettings(t *testing.T) {
-	f, err := Parse([]byte("settings: {Permissions: {RetryAfter: false}}\nshadow:\n  settings:\n    Specifics: {ClassFloor: [0.5, 1]}\n"+
-		"    Classes: [{Deadline: 4000}]\n"), "")
-	require.NoError(t, err)
-	require.Equal(t, map[string]string{"Permissions.RetryAfter": "false"}, FlattenSettings(f.Settings))
-	require.Equal(t, map[string]string{"Specifics.ClassFloor": "0.5,1", "Classes.0.Deadline": "4000"}, FlattenSettings(f.Shadow.Settings))
-}
-
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(sampleFile))
 	f.Add([]byte("peers: {ask: [{name: &a x, address: *a}]}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if file, err := Parse(text, "/d"); err == nil && file.Peers != nil && file.Peers.TLS != nil {
--- a/config/places_test.go
+++ b/config/settings_test.go
@@ -6,8 +6,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings at a place that a plan does not have are told by line and column, flat or in a list.
-func TestFits(t *testing.T) {
+func TestSettingsAndShadowSettings(t *testing.T) {
+	file, err := Parse([]byte("settings: {Permissions: {RetryAfter: false}}\nshadow:\n  settings:\n    Specifics: {ClassFloor: [0.5, 1]}\n"+
+		"    Classes: [{Deadline: 4000}]\n"), "")
+	require.NoError(t, err)
+	require.Equal(t, map[string]string{"Permissions.RetryAfter": "false"}, FlattenSettings(file.Settings))
+	require.Equal(t, map[string]string{"Specifics.ClassFloor": "0.5,1", "Classes.0.Deadline": "4000"}, FlattenSettings(file.Shadow.Settings))
+}
+
+// A setting given in an object and by its flat name is rejected, in force or in shadow.
+func TestDuplicateSettingsAreRejected(t *testing.T) {
+	for _, section := range []string{"settings: {", "shadow:\n  settings: {"} {
+		_, err := Parse([]byte(section+"Safety: {Cold: 1}, Safety.Cold: 2}\n"), "")
+		require.ErrorContains(t, err, "setting Safety.Cold is there twice")
+		_, err = Parse([]byte(section+"Safety.Cold: 2}\n"), "")
+		require.NoError(t, err)
+	}
+}
+
+// A setting at an index that the plan does not have is reported with its position, given flat or in a list.
+func TestSettingsAreCheckedAgainstThePlan(t *testing.T) {
 	classes, tenants := []string{"lookup", "full", "more"}, []string{"acme"}
 	for text, want := range map[string]string{
 		"settings:\n  Classes.2.Aim: 5\n":                                          "",
@@ -17,10 +35,10 @@
 		"settings:\n  Classes:\n  - Aim: 5\n  - {}\n  - {}\n  - Aim: 6\n":          "[6:10] settings.Classes[3].Aim: the plan has 3 classes",
 		"settings:\n  Tick: 5\nshadow:\n  settings:\n    Tenants.1.QuotaPerS: 5\n": "[5:26] shadow.settings.'Tenants.1.QuotaPerS': the plan has 1 tenants",
 	} {
-		f, err := Parse([]byte(text), "")
+		file, err := Parse([]byte(text), "")
 		require.NoError(t, err, text)
-		for range 2 { // looking again tells the same
-			if err = f.CheckAgainstPlan(classes, tenants); want == "" {
+		for range 2 { // a second check finds the same
+			if err = file.CheckAgainstPlan(classes, tenants); want == "" {
 				require.NoError(t, err, text)
 			} else {
 				require.ErrorContains(t, err, want, text)
@@ -31,8 +49,8 @@
 	require.NoError(t, (&File{}).CheckAgainstPlan(nil, nil))
 }
 
-// A setting may say whose place it means.
-func TestMisplacedNames(t *testing.T) {
+// A setting may state which class it means.
+func TestSettingsOfAnotherName(t *testing.T) {
 	plan := []string{"full", "lookup"}
 	require.Empty(t, MisplacedSettings(map[string]string{"Classes.1.Name": "lookup", "Classes.1.Aim": "5", "Specifics.FollowUp": "0,0", "Classes.count": "9"}, plan, nil))
 	require.Equal(t, map[string]string{"Classes.0.Name": `is "lookup", the plan has "full" at this place`},
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -49,7 +49,7 @@
 	if err := json.Unmarshal(text, &plan); err != nil {
 		return err
 	}
-	own, err := file.Fleet.ForInstance(file.Fleet.Name)
+	own, err := file.Cluster.ForInstance(file.Cluster.Name)
 	if err != nil {
 		return err
 	}
