--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -7,6 +7,8 @@
 	"sync"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/cluster/gossip"
@@ -53,7 +55,7 @@
 
 // sharingOf starts what the section fleet turns on; nil where there is no such section. It waits for no other instance and
 // for no disk.
-func sharingOf(file *config.File, plan *coordinator.Plan, keep *coordinator.Persistence, log *slog.Logger) (*sharing, error) {
+func sharingOf(file *config.File, plan *plan.Plan, keep *coordinator.Persistence, log *slog.Logger) (*sharing, error) {
 	if file.Fleet == nil {
 		return nil, nil
 	}
--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -7,8 +7,9 @@
 	"log/slog"
 	"os"
 
+	"chalkring/coordinator/plan"
+
 	"chalkring/config"
-	"chalkring/coordinator"
 	"chalkring/endpoints"
 	"chalkring/endpoints/hostfile"
 )
@@ -26,7 +27,7 @@
 		if err != nil {
 			return err
 		}
-		plan, err := coordinator.Parse(text)
+		plan, err := plan.Parse(text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Plan, err)
 		}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -18,6 +18,8 @@
 	"text/tabwriter"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/alecthomas/kong"
 	"github.com/lmittmann/tint"
 
@@ -78,7 +80,7 @@
 		log.Error("no_start", advice.LogAttrs(err)...)
 		return exit(1)
 	}
-	plan, err := coordinator.Read(os.Getenv)
+	plan, err := plan.Read(os.Getenv)
 	if err != nil {
 		return noStart(err)
 	}
@@ -150,14 +152,14 @@
 	means := coordinator.Options{
 		Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{}, Logger: log, Peers: more,
 		Frontends: fronts, HostKinds: hosts, EndpointUpdates: lists, Persistence: keep, Residency: zones,
-		PlanUpdates: coordinator.WatchPlanReloads(ctx, plan, hangUps, os.Getenv, log),
+		PlanUpdates: plan.WatchReloads(ctx, hangUps, os.Getenv, log),
 	}
 	if steps != nil {
 		ctx = steps.serving(ctx, &means)
 	} else if means.Listener, err = listen(ctx, plan.Listen, log); err != nil {
 		return noStart(err)
 	}
-	if err := plan.ServeSharded(ctx, means, owners); err != nil {
+	if err := coordinator.ServeSharded(ctx, plan, means, owners); err != nil {
 		log.Error("failed", "error", err)
 		return exit(1)
 	}
@@ -221,7 +223,7 @@
 }
 
 // settingsOf puts an installation's settings over the plan's, and those to be watched beside them.
-func settingsOf(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
+func settingsOf(file *config.File, plan *plan.Plan) (*plan.Plan, error) {
 	site := plan.ResidencySite()
 	if err := file.CheckAgainstPlan(site.Classes, site.Tenants); err != nil {
 		return nil, err
@@ -263,7 +265,7 @@
 }
 
 // keepOf begins to open what this process keeps on disk, nil where nothing is.
-func keepOf(file *config.File, plan *coordinator.Plan, log *slog.Logger) *coordinator.Persistence {
+func keepOf(file *config.File, plan *plan.Plan, log *slog.Logger) *coordinator.Persistence {
 	path, alone := file.Store, true
 	if f := file.Fleet; f != nil && f.StoreFile != "" && (path == "" || path == f.StoreFile) {
 		path, alone = f.StoreFile, false
@@ -320,10 +322,10 @@
 }
 
 // plan is the first plan among the files, which contracts are held against; nil where there is none that can be used.
-func (c *checkFiles) plan() *coordinator.Plan {
+func (c *checkFiles) plan() *plan.Plan {
 	for _, name := range c.Files {
 		if text, err := os.ReadFile(name); err == nil && filepath.Ext(name) == ".json" {
-			if plan, err := coordinator.Parse(text); err == nil {
+			if plan, err := plan.Parse(text); err == nil {
 				return plan
 			}
 		}
@@ -333,7 +335,7 @@
 
 func (c *checkFiles) Run() error {
 	bad := false
-	plan := c.plan()
+	sitePlan := c.plan()
 	for _, name := range c.Files {
 		var err error
 		told := "can be used"
@@ -347,7 +349,7 @@
 			}
 			var file *config.File
 			if text, fault := hostfile.ReadText(name); fault == nil && residency.IsPolicyFile(text) {
-				told, err = checkContracts(name, text, plan)
+				told, err = checkContracts(name, text, sitePlan)
 				break
 			}
 			if file, err = config.Read(name); err == nil && file.Peers != nil {
@@ -360,8 +362,8 @@
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
-			if err == nil && plan != nil {
-				site := plan.ResidencySite()
+			if err == nil && sitePlan != nil {
+				site := sitePlan.ResidencySite()
 				if err = file.CheckAgainstPlan(site.Classes, site.Tenants); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
@@ -372,13 +374,13 @@
 			if err == nil && file.Fleet != nil && file.Fleet.ResidencyFile != "" {
 				var text []byte
 				if text, err = hostfile.ReadText(file.Fleet.ResidencyFile); err == nil {
-					_, err = checkContracts(file.Fleet.ResidencyFile, text, plan)
+					_, err = checkContracts(file.Fleet.ResidencyFile, text, sitePlan)
 				}
 			}
 		default:
 			var text []byte
 			if text, err = os.ReadFile(name); err == nil {
-				if _, err = coordinator.Parse(text); err != nil {
+				if _, err = plan.Parse(text); err != nil {
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -8,11 +8,12 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/config"
 	"chalkring/control/rollout"
-	"chalkring/coordinator"
 )
 
 const (
@@ -22,7 +23,7 @@
 
 // ofCustomer is an instance of a fleet whose plan has these tenants, beside the store at path.
 func ofCustomer(t *testing.T, path, tenant string, change func(f *config.Cluster)) *lived {
-	plan, err := coordinator.Parse([]byte(strings.Replace(zonedPlan, `{"Name":"acme",`, `{"Name":"`+tenant+`",`, 1)))
+	plan, err := plan.Parse([]byte(strings.Replace(zonedPlan, `{"Name":"acme",`, `{"Name":"`+tenant+`",`, 1)))
 	require.NoError(t, err)
 	f := &config.Cluster{Name: "east-0", Listen: "127.0.0.1:0", VotingMembers: []string{"east-0"}, StoreFile: path}
 	if change != nil {
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -5,17 +5,18 @@
 	"path/filepath"
 	"testing"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/config"
 	"chalkring/control/rollout"
-	"chalkring/coordinator"
 	"chalkring/internal/advice"
 )
 
 // A change is held against the plan that it lands on: a place that is not there, or that another class has, is refused by name.
 func TestChangeForAnotherPlan(t *testing.T) {
-	plan, err := coordinator.Parse([]byte(zonedPlan))
+	plan, err := plan.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
 	for _, c := range []struct {
 		settings map[string]string
@@ -51,7 +52,7 @@
 // An installation's settings at a place that its plan does not have are passed over nowhere: neither at the start nor by check,
 // where a plan is among the files.
 func TestInstallationForAnotherPlan(t *testing.T) {
-	plan, err := coordinator.Parse([]byte(zonedPlan))
+	plan, err := plan.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
 	dir := t.TempDir()
 	good, wrong, site := filepath.Join(dir, "good.yaml"), filepath.Join(dir, "wrong.yaml"), filepath.Join(dir, "plan.json")
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -8,6 +8,8 @@
 	"slices"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/control/residency"
@@ -87,7 +89,7 @@
 
 // contractsOf starts what the section fleet's residency turns on; nil where it names no file. A file that cannot be used
 // ends the start: nobody could tell whom it would have bound.
-func contractsOf(plan *coordinator.Plan, s *sharing) (*coordinator.ResidencyGuard, error) {
+func contractsOf(plan *plan.Plan, s *sharing) (*coordinator.ResidencyGuard, error) {
 	if s == nil || s.file.ResidencyFile == "" {
 		return nil, nil
 	}
@@ -412,7 +414,7 @@
 }
 
 // checkContracts looks at a file of contracts, with a plan against its tenants, zones and blocks.
-func checkContracts(path string, text []byte, plan *coordinator.Plan) (told string, err error) {
+func checkContracts(path string, text []byte, plan *plan.Plan) (told string, err error) {
 	site := residency.Site{}
 	if plan != nil {
 		site = plan.ResidencySite()
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/config"
@@ -59,7 +61,7 @@
 }
 
 func live(t *testing.T, dir, name string, addrs map[string]string, stored bool) *lived {
-	plan, err := coordinator.Parse([]byte(zonedPlan))
+	plan, err := plan.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
 	l := &lived{t: t, dir: dir}
 	f := &config.Cluster{Name: name, Listen: addrs[name], ResidencyFile: filepath.Join(dir, "contracts.yaml")}
@@ -151,7 +153,7 @@
 }
 
 func TestCheckOfContracts(t *testing.T) {
-	plan, err := coordinator.Parse([]byte(zonedPlan))
+	plan, err := plan.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
 	told, err := checkContracts("contracts", []byte(contractsOne), plan)
 	require.NoError(t, err)
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -15,6 +15,8 @@
 	"sync/atomic"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
@@ -281,7 +283,7 @@
 }
 
 // laid puts the change that runs over an installation's settings.
-func (st *stages) laid(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
+func (st *stages) laid(file *config.File, plan *plan.Plan) (*plan.Plan, error) {
 	st.sums.aims = plan.LatencyObjectives() // both sides are held against the same
 	st.site = plan.ResidencySite()
 	c := st.runs()
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -18,6 +18,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
@@ -141,7 +143,7 @@
 	require.NoError(s.t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(s.t, err)
-	plan, err := coordinator.Parse(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+	plan, err := plan.Parse(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, ln.Addr(), s.list.Listener.Addr(), s.list.KnownEndpoints(), settings))
 	require.NoError(s.t, err)
 	ctx, stop := context.WithCancel(context.Background())
@@ -160,7 +162,7 @@
 	})
 	ended := make(chan error, 1)
 	go func() {
-		ended <- plan.Serve(ctx, coordinator.Options{
+		ended <- coordinator.Serve(ctx, plan, coordinator.Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
 			Logger: log, Frontends: []coordinator.Frontend{g},
 		})
--- a/coordinator/bodies_test.go
+++ b/coordinator/bodies_test.go
@@ -2,18 +2,21 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"math"
 	"net/url"
 	"strings"
 	"testing"
 	"unicode/utf8"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 )
 
 // byMaps reads a body as it was read before, by maps: what FuzzBody holds the reader against.
 func byMaps(body []byte, shards int) (list []int, weights []float64, text string, ok bool) {
-	all, err := object(body)
+	all, err := plan.DecodeObject(body)
 	if err != nil {
 		return nil, nil, "", false
 	}
@@ -26,8 +29,8 @@
 	seen, sum := map[int]bool{}, 0.0
 	for _, item := range items {
 		m, _ := item.(map[string]any)
-		shard, ok1 := amount(m["range"])
-		weight, ok2 := amount(m["portion"])
+		shard, ok1 := numberOf(m["range"])
+		weight, ok2 := numberOf(m["portion"])
 		n := int(shard)
 		if !ok1 || !ok2 || shard != math.Trunc(shard) || n < 0 || n >= shards || seen[n] || weight <= 0 || weight > 1+weightSlack {
 			return nil, nil, "", false
@@ -38,6 +41,15 @@
 	return list, weights, text, math.Abs(sum-1) <= weightSlack
 }
 
+func numberOf(value any) (float64, bool) {
+	number, ok := value.(json.Number)
+	if !ok {
+		return 0, false
+	}
+	f, err := number.Float64()
+	return f, err == nil && !math.IsInf(f, 0)
+}
+
 // Whatever a client sends, the reader without maps takes what the one with maps took, and nothing else.
 func FuzzBody(f *testing.F) {
 	for _, text := range []string{
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -104,7 +104,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		ended <- r.plan.Serve(ctx, Options{
+		ended <- Serve(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
 		})
@@ -151,7 +151,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r.t.Cleanup(stop)
 	go func() {
-		ended <- r.plan.Serve(ctx, Options{
+		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
 		})
--- a/coordinator/connect_test.go
+++ b/coordinator/connect_test.go
@@ -33,7 +33,7 @@
 	})
 	began := time.Now()
 	r.call().want("one", "all", 200, wholeOfAll)
-	require.Less(t, time.Since(began), r.plan.span("Permissions.DialTimeout"))
+	require.Less(t, time.Since(began), r.plan.Duration("Permissions.DialTimeout"))
 	r.end()
 }
 
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -17,6 +17,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/frame"
@@ -625,7 +627,7 @@
 func TestListWithoutEnd(t *testing.T) {
 	list := script(t)
 	o := &owner{
-		plan: &Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
+		plan: &plan.Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
 		Options: Options{Dial: (&net.Dialer{}).DialContext},
 	}
 	list.Responses <- `{"version":0,"full":true,"servers":[]}`
@@ -644,7 +646,7 @@
 	require.Less(t, time.Since(began), 4*time.Second+patience/2)
 	require.Contains(t, r.log.String(), "event=list_failed")
 	for n, want := range map[string]time.Duration{"1": 2, "3": 3, "150": 20} {
-		o := &owner{plan: &Plan{facts: map[string]string{"Balancers": n}}}
+		o := &owner{plan: &plan.Plan{Settings: map[string]string{"Balancers": n}}}
 		require.Equal(t, want*time.Second, o.watchWait())
 	}
 }
@@ -703,13 +705,13 @@
 		return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "variable"}[name]
 	}
 	write("file", "")
-	first, err := Read(env)
+	first, err := readPlan(env)
 	require.NoError(t, err)
 	require.Equal(t, "variable", first.Discovery)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	out, signals := &journal{}, make(chan os.Signal)
-	plans := WatchPlanReloads(ctx, first, signals, env, NewLogger(out, false, slog.LevelInfo))
+	plans := first.WatchReloads(ctx, signals, env, NewLogger(out, false, slog.LevelInfo))
 	for _, x := range [][3]string{
 		{"file", `"Added":1,`, "variable"},
 		{"elsewhere", "", "elsewhere"},
@@ -727,7 +729,7 @@
 		}
 		p := <-plans
 		require.Equal(t, x[2], p.Discovery)
-		require.Equal(t, strings.Contains(x[1], "Added"), first.differs(p) == "settings.Added", x[1])
+		require.Equal(t, strings.Contains(x[1], "Added"), first.RestartDifferences(p) == "settings.Added", x[1])
 	}
 	require.Equal(t, 2, strings.Count(out.String(), "event=reload_failed"))
 	require.Contains(t, out.String(), "setting Balancers: -1 is under 0")
@@ -785,8 +787,8 @@
 	r.stop()
 	told := time.Now()
 	r.logged("event=stopping")
-	kill := told.Add(r.plan.killAfter())
-	require.Equal(t, killLongest+killMore, kill.Sub(told))
+	kill := told.Add(r.plan.TerminationGrace())
+	require.Equal(t, plan.MaxTerminationGrace, kill.Sub(told))
 	time.Sleep(time.Until(told.Add(800 * time.Millisecond)))
 	late.send(request("late", "all", "", fourParts))
 	status, _, _, _ := late.answer()
@@ -831,7 +833,7 @@
 
 // oneOut is a search with one sub-request out, its frame at that stage.
 func oneOut(stage int32) (*owner, *line, *search) {
-	o := &owner{plan: &Plan{}, searches: map[uint64]*search{}, names: map[string]bool{}, parts: map[uint64]*part{}, copies: true}
+	o := &owner{plan: &plan.Plan{}, searches: map[uint64]*search{}, names: map[string]bool{}, parts: map[uint64]*part{}, copies: true}
 	l := &line{link: newLink(context.Background(), 2), r: &replica{id: "a0"}, speaks: frames{}, calls: 1}
 	s := &search{id: 1, name: "q"}
 	p := &part{id: 2, s: s, untold: 1}
@@ -872,7 +874,7 @@
 
 // The module hears the same names and texts from the plan as from the simulator's wire.
 func TestSettingsAsOnTheWire(t *testing.T) {
-	p, err := Parse([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
+	p, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":0,"servers":[]},"settings":` + strings.Replace(testSettings, `"Family"`, `"Names":[],"Void":null,"Family"`, 1) + `}`))
 	require.NoError(t, err)
 	wire := `Family=fanout Discovery=subscribe Balancers=1 Tick=5.0 FailureDomains=z_one MachineTypes=small
@@ -887,14 +889,14 @@
 		wire += strings.ReplaceAll(fmt.Sprintf(" C.Name=%s C.Aim=4000.0 C.Deadline=8000.0 C.Effect=retryable C.LateShare=0.5",
 			name), "C.", fmt.Sprintf("Classes.%d.", i))
 	}
-	require.Equal(t, simwire.ParseSettings(strings.Fields(wire)), p.facts)
-	require.Equal(t, int64(-0x73e0cf2d85a4169c), p.seed)
+	require.Equal(t, simwire.ParseSettings(strings.Fields(wire)), p.Settings)
+	require.Equal(t, int64(-0x73e0cf2d85a4169c), p.Seed)
 }
 
 func TestFaultyPlans(t *testing.T) {
 	plan := `{"name":"n","listen":"l","discovery":"d","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":1,"servers":[]},"settings":` + testSettings + `}`
-	_, err := Parse([]byte(plan))
+	_, err := parsePlan([]byte(plan))
 	require.NoError(t, err)
 	for _, x := range [][3]string{
 		{`{"name"`, `{"name`, "invalid"},
@@ -915,13 +917,13 @@
 		{`"DialTimeout":2000.0,`, ``, "DialTimeout"},
 	} {
 		require.Contains(t, plan, x[0])
-		_, err := Parse([]byte(strings.Replace(plan, x[0], x[1], 1)))
+		_, err := parsePlan([]byte(strings.Replace(plan, x[0], x[1], 1)))
 		require.ErrorContains(t, err, x[2])
 	}
 	none := func(string) string { return "" }
-	_, err = Read(none)
+	_, err = readPlan(none)
 	require.ErrorContains(t, err, "GW_CONFIG")
-	_, err = Read(func(name string) string { return map[string]string{"GW_CONFIG": "/nowhere"}[name] })
+	_, err = readPlan(func(name string) string { return map[string]string{"GW_CONFIG": "/nowhere"}[name] })
 	require.ErrorContains(t, err, "/nowhere")
 }
 
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -1,62 +1,43 @@
 package coordinator
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
-	"math"
 	"math/rand"
 	"os"
 	"slices"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"chalkring/config/settings"
 	"chalkring/endpoints"
 	"chalkring/internal/http1"
 )
 
-var states = map[string]string{"up": "healthy", "draining": "cordoned", "removed": "deregistered"}
-
-var memberStates = map[string]endpoints.State{"healthy": endpoints.StateUp, "cordoned": endpoints.StateDraining, "deregistered": endpoints.StateRemoved}
+// moduleStates are the balancer's names for the states of hosts.
+var moduleStates = map[endpoints.State]string{
+	endpoints.StateUp: "healthy", endpoints.StateDraining: "cordoned", endpoints.StateRemoved: "deregistered",
+}
 
-// readList looks at a whole list or changes and returns its version and what tells the owner and the module.
-func (o *owner) readList(all map[string]any) (version float64, hosts []listedHost, tell func(how string), err error) {
-	version, ok := amount(all["version"])
-	list, ok2 := all["servers"].([]any)
-	if !ok || !ok2 {
-		return 0, nil, nil, errors.New("no version or no servers")
-	}
-	var steps []func()
+// applyEndpointList puts a list, or changes of it, into force: how is Complete, Partial or Persisted.
+func (o *owner) applyEndpointList(how string, list plan.EndpointList) {
 	present := map[string]bool{}
-	for _, item := range list {
-		m, _ := item.(map[string]any)
-		id, addr, status := word(m["id"]), word(m["addr"]), states[word(m["state"])]
-		cell, ok := amount(m["cell"])
-		units, _ := amount(m["weight"])
-		since, _ := amount(m["started_ms"])
-		gone := status == "deregistered"
-		if id == "" || status == "" || !gone && (addr == "" || !ok || cell < 0 || cell != math.Trunc(cell)) {
-			return 0, nil, nil, fmt.Errorf("entry id=%q addr=%q state=%q cell=%v", id, addr, word(m["state"]), m["cell"])
-		}
-		zone, kind := o.nth("FailureDomains", word(m["zone"])), o.nth("MachineTypes", word(m["kind"]))
-		hostKind := word(m["kind"])
-		present[id] = !gone
-		hosts = append(hosts, listedHost{id, addr, int64(since), int(cell), gone, false, endpoints.Host{
-			ID: id, Addr: addr,
-			Zone: word(m["zone"]), Kind: hostKind, Cell: int(cell), State: memberStates[status], Weight: cmp.Or(units, 1),
-			StartedMS: int64(since),
-		}})
+	steps := make([]func(), 0, len(list.Hosts))
+	for _, host := range list.Hosts {
+		zone, kind := o.nth("FailureDomains", host.Zone), o.nth("MachineTypes", host.Kind)
+		present[host.ID] = !host.Removed
 		steps = append(steps, func() {
-			o.place(id, addr, hostKind, int64(since*10), gone, status == "cordoned")
-			o.module.AddEndpoint(id, zone, kind, int(cell), status, units, int64(since*10))
+			o.place(host.ID, host.Addr, host.Kind, host.StartedTicks, host.Removed, host.State == endpoints.StateDraining)
+			o.module.AddEndpoint(host.ID, zone, kind, host.Cell, moduleStates[host.State], host.ListedWeight, host.StartedTicks)
 		})
 	}
-	return version, hosts, func(how string) { o.listInForce(how, int64(version), hosts, present, steps) }, nil
+	o.listInForce(how, int64(list.Version), list.Hosts, present, steps)
 }
 
 // listInForce tells the owner and the module a list or changes, in one turn.
-func (o *owner) listInForce(how string, version int64, hosts []listedHost, present map[string]bool, steps []func()) {
+func (o *owner) listInForce(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
 	for _, step := range steps {
 		step()
 	}
@@ -78,7 +59,7 @@
 }
 
 // tellListed tells a list or changes of it to those that keep what they need of it beside the owner.
-func (o *owner) tellListed(full bool, version int64, hosts []listedHost) {
+func (o *owner) tellListed(full bool, version int64, hosts []plan.ListedHost) {
 	if o.peers != nil {
 		o.peers.listed(full, version, hosts)
 	}
@@ -89,7 +70,7 @@
 
 // nth is the place of a name in a list of the settings; a name that is not there comes after all.
 func (o *owner) nth(list, name string) int {
-	names := o.plan.list(list)
+	names := o.plan.List(list)
 	if i := slices.Index(names, settings.FormatValue(name)); i >= 0 {
 		return i
 	}
@@ -116,12 +97,12 @@
 // asked for at the new place at once, under the subscription there was; waits that have grown at the old one begin
 // again. Whoever asks, an attempt begins so soon after the last that what this may have missed is told in time.
 func (o *owner) follow() error {
-	asked := o.plan.facts["Discovery"] == "subscribe"
-	chance, pause, moved := rand.New(rand.NewSource(o.plan.seed)), askPause, false
+	asked := o.plan.Settings["Discovery"] == "subscribe"
+	chance, pause, moved := rand.New(rand.NewSource(o.plan.Seed)), askPause, false
 	// Who knows no host asks for the list itself. Guards against a first call that is silent: a watch may wait long, and
 	// nothing is served until it has failed.
-	a := asking{at: o.plan.Discovery, due: time.Now().Add(askLate), anew: len(o.plan.knownHosts()) == 0}
-	a.version, _ = amount(o.plan.known["version"])
+	a := asking{at: o.plan.Discovery, due: time.Now().Add(askLate), anew: len(o.plan.Known.Hosts) == 0}
+	a.version = o.plan.Known.Version
 	move := func(at string) {
 		a.at, a.anew, a.failed = at, true, false
 		if moved, pause = true, askPause; asked {
@@ -207,7 +188,7 @@
 // watchWait is how long one call for changes may wait. Guards against a connection to discovery that has gone
 // silent: nothing is told until the call has failed. All co-ordinators together ask discovery so often.
 func (o *owner) watchWait() time.Duration {
-	return min(watchMost, max(2*watchEach, time.Duration(o.plan.fact("Balancers")*float64(watchEach))))
+	return min(watchMost, max(2*watchEach, time.Duration(o.plan.Number("Balancers")*float64(watchEach))))
 }
 
 // silence tells whether a call failed since nothing, or not all of its answer, came in time.
@@ -220,7 +201,7 @@
 	if silence(err) {
 		return 0
 	}
-	return min(lossMost, time.Duration(o.plan.fact("Balancers")*float64(lossEach)))
+	return min(lossMost, time.Duration(o.plan.Number("Balancers")*float64(lossEach)))
 }
 
 // watch makes one call after another, until one fails.
@@ -296,19 +277,19 @@
 // heardList takes one answer; one that is older than the list or cannot be read leaves the list as it is. The
 // first from a new place counts whatever its version: versions may have begun again there.
 func (o *owner) heardList(body []byte, anew bool, version *float64) error {
-	all, err := object(body)
+	object, err := plan.DecodeObject(body)
 	if err != nil {
 		return err
 	}
-	v, hosts, tell, err := o.readList(all)
+	list, err := plan.NewEndpointList(object)
 	if err != nil {
 		return err
 	}
-	full, _ := all["full"].(bool)
+	v, full := list.Version, list.Full
 	switch {
 	case anew && !full:
 		return errors.New("changes in place of the whole list")
-	case v < *version && full && len(hosts) == 0: // guards against discovery that has just begun and knows no one yet
+	case v < *version && full && len(list.Hosts) == 0: // guards against discovery that has just begun and knows no one yet
 		return fmt.Errorf("version %.0f after %.0f, and no hosts", v, *version)
 	case anew:
 	case v < *version:
@@ -321,16 +302,16 @@
 		how = "Complete"
 	}
 	if o.members != nil {
-		err := o.members.discovered(listTold("discovery", endpoints.RankDiscovery, int64(v), full, anew, hosts))
+		err := o.members.discovered(listTold("discovery", endpoints.RankDiscovery, int64(v), full, anew, list.Hosts))
 		if err == nil {
 			*version = v
 		}
 		return err
 	}
 	*version = v
-	if !o.post(func() { tell(how) }) {
+	if !o.post(func() { o.applyEndpointList(how, list) }) {
 		return closing
 	}
-	o.tellListed(full, int64(v), hosts)
+	o.tellListed(full, int64(v), list.Hosts)
 	return nil
 }
--- a/coordinator/door.go
+++ b/coordinator/door.go
@@ -9,6 +9,8 @@
 	"sync"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"chalkring/control/residency"
 )
 
@@ -82,11 +84,11 @@
 
 func newDoor(o *owner) *SearchAPI {
 	d := &SearchAPI{
-		CoordinatorName: o.plan.Name, o: o, SendRetryAfter: o.plan.facts["Permissions.RetryAfter"] == "true", classes: o.plan.names("Classes"), tenants: o.plan.names("Tenants"),
+		CoordinatorName: o.plan.Name, o: o, SendRetryAfter: o.plan.Settings["Permissions.RetryAfter"] == "true", classes: o.plan.PositionsByName("Classes"), tenants: o.plan.PositionsByName("Tenants"),
 		MaxConnections: max(1, int(frontShare*float64(o.plan.MaxSockets))), LogEvent: o.log.often, cells: map[string]int{},
-		addrs: map[string]string{}, holders: map[int]int{}, sets: int(o.plan.fact("Specifics.Sets")), reach: int(o.plan.fact("Specifics.Reach")),
+		addrs: map[string]string{}, holders: map[int]int{}, sets: int(o.plan.Number("Specifics.Sets")), reach: int(o.plan.Number("Specifics.Reach")),
 	}
-	for _, v := range o.plan.spans("Deadline") {
+	for _, v := range o.plan.ClassDurations("Deadline") {
 		if v <= 0 || v > longWait {
 			v = longWait
 		}
@@ -151,7 +153,7 @@
 }
 
 // listed takes in a list or changes of it.
-func (d *SearchAPI) listed(full bool, hosts []listedHost) {
+func (d *SearchAPI) listed(full bool, hosts []plan.ListedHost) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if full {
@@ -159,8 +161,8 @@
 		clear(d.addrs)
 	}
 	for _, h := range hosts {
-		if delete(d.cells, h.id); !h.gone {
-			d.cells[h.id], d.addrs[h.id] = h.cell, h.addr
+		if delete(d.cells, h.ID); !h.Removed {
+			d.cells[h.ID], d.addrs[h.ID] = h.Cell, h.Addr
 		}
 	}
 	clear(d.holders)
--- a/coordinator/edges_test.go
+++ b/coordinator/edges_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -19,16 +21,15 @@
 
 // A cell that is no place of a set is refused with its entry, and the list in force stays.
 func TestCellsThatAreNone(t *testing.T) {
-	o := &owner{plan: &Plan{}}
 	for _, cell := range []string{"-1", "0.5", "true", `"1"`} {
-		all, err := object([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":` + cell + `}]}`))
+		all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":` + cell + `}]}`))
 		require.NoError(t, err)
-		_, _, _, err = o.readList(all)
+		_, err = plan.NewEndpointList(all)
 		require.ErrorContains(t, err, `entry id="s"`, cell)
 	}
-	all, err := object([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":2}]}`))
+	all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":2}]}`))
 	require.NoError(t, err)
-	_, hosts, _, err := o.readList(all)
+	list, err := plan.NewEndpointList(all)
 	require.NoError(t, err)
-	require.Equal(t, 2, hosts[0].cell)
+	require.Equal(t, 2, list.Hosts[0].Cell)
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -141,7 +141,7 @@
 // Before any host is known, the health request gets the bytes of the golden file.
 func TestGoldenHealthWithoutHosts(t *testing.T) {
 	list, ln := script(t), listen(t)
-	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
+	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":0,"servers":[]},"settings":%s}`,
 		ln.Addr(), list.Listener.Addr(), testSettings))
 	require.NoError(t, err)
@@ -149,7 +149,7 @@
 	defer stop()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- p.Serve(ctx, Options{
+		ended <- Serve(ctx, p, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(io.Discard, false, slog.LevelInfo),
 		})
--- /dev/null
+++ b/coordinator/golden_log_test.go
@@ -0,0 +1,26 @@
+package coordinator
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"regexp"
+	"testing"
+)
+
+var timeOfLine = regexp.MustCompile(`time=\S+ `)
+
+// The log's forms: text and JSON.
+func TestGoldenLogForm(t *testing.T) {
+	var out bytes.Buffer
+	for _, json := range []bool{false, true} {
+		for _, level := range []slog.Level{slog.LevelDebug, slog.LevelWarn} {
+			log := NewLogger(&out, json, level)
+			log.Debug("first", "count", 1)
+			log.Info("second", "name", "a b", "event", "inner")
+			log.Error("third", "error", fmt.Errorf("it is %q", "x"))
+		}
+	}
+	text := timeOfLine.ReplaceAllString(out.String(), "time=TIME ")
+	requireGolden(t, "log_form.golden", regexp.MustCompile(`"time":"[^"]*"`).ReplaceAllString(text, `"time":"TIME"`))
+}
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -62,7 +62,7 @@
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	r.logged("how=Partial")
 	r.call().want("a", "all", http.StatusOK, wholeOfAll)
-	next, err := Parse(planOf(t, func(s map[string]any) { s["Added"] = 1 }))
+	next, err := parsePlan(planOf(t, func(s map[string]any) { s["Added"] = 1 }))
 	require.NoError(t, err)
 	next.Discovery = script(t).Listener.Addr().String()
 	r.plans <- next
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -12,6 +12,8 @@
 	"sync"
 	"testing"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/balancer"
@@ -170,7 +172,7 @@
 
 // Lists from discovery are read as the golden file says: each body, then what the decision module is told and where hosts are.
 func TestGoldenListsRead(t *testing.T) {
-	p, err := Parse(planOf(t, func(map[string]any) {}))
+	p, err := parsePlan(planOf(t, func(map[string]any) {}))
 	require.NoError(t, err)
 	bodies, err := os.ReadFile("testdata/lists_in.golden")
 	require.NoError(t, err)
@@ -181,32 +183,32 @@
 	}
 	for body := range strings.Lines(string(bodies)) {
 		fmt.Fprint(&out, body)
-		all, err := object([]byte(body))
+		all, err := plan.DecodeObject([]byte(body))
 		if err != nil {
 			fmt.Fprintf(&out, "  no object\n")
 			continue
 		}
-		version, hosts, tell, err := o.readList(all)
+		list, err := plan.NewEndpointList(all)
 		if err != nil {
 			fmt.Fprintf(&out, "  unusable\n")
 			continue
 		}
-		for _, h := range hosts {
-			fmt.Fprintf(&out, "  host %q %q zone=%q kind=%q cell=%d state=%d weight=%g started_ms=%d removed=%t\n", h.id, h.addr,
-				h.host.Zone, h.host.Kind, h.cell, h.host.State, h.host.Weight, h.since, h.gone)
+		for _, h := range list.Hosts {
+			fmt.Fprintf(&out, "  host %q %q zone=%q kind=%q cell=%d state=%d weight=%g started_ms=%d removed=%t\n", h.ID, h.Addr,
+				h.Zone, h.Kind, h.Cell, h.State, h.Weight, h.StartedMS, h.Removed)
 		}
 		how := "Partial"
-		if full, _ := all["full"].(bool); full {
+		if list.Full {
 			how = "Complete"
 		}
-		tell(how)
+		o.applyEndpointList(how, list)
 		var known []string
 		for id, r := range o.fleet {
 			_, speaksAPI := r.speaks.(openSearch)
 			known = append(known, fmt.Sprintf("%s=%s,api=%t,closed=%t", id, r.addr, speaksAPI, r.closed))
 		}
 		slices.Sort(known)
-		fmt.Fprintf(&out, "  version %g fleet %s\n", version, strings.Join(known, " "))
+		fmt.Fprintf(&out, "  version %g fleet %s\n", list.Version, strings.Join(known, " "))
 	}
 	requireGolden(t, "lists_read.golden", out.String())
 }
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -51,8 +53,8 @@
 func (fixedClock) After(time.Duration) <-chan time.Time { return nil }
 
 // goldenDeployment is a plan of which all that tells its deployment from others is fixed.
-func goldenDeployment(t *testing.T) *Plan {
-	plan, err := Parse([]byte(`{"name":"golden","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+func goldenDeployment(t *testing.T) *plan.Plan {
+	plan, err := parsePlan([]byte(`{"name":"golden","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":64},"known":{"version":3,"full":true,"servers":[
 {"id":"a","addr":"127.0.0.1:2","zone":"east","kind":"std","cell":0,"state":"up"},
 {"id":"b","addr":"127.0.0.1:3","zone":"west","kind":"std","cell":1,"state":"up"}]},
--- a/coordinator/held_test.go
+++ b/coordinator/held_test.go
@@ -108,7 +108,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		ended <- r.plan.Serve(ctx, Options{
+		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
 		})
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/fxamacker/cbor/v2"
 
 	"chalkring/endpoints"
@@ -70,16 +72,15 @@
 
 // NewPersistence begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
 // nothing else keeps anything there, so that a crash loop may put all of it aside.
-func NewPersistence(path string, alone bool, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Persistence {
-	return newKeep(path, alone, store.Options{}, budget, plan, clock, log)
+func NewPersistence(path string, alone bool, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+	return newKeep(path, alone, store.Options{}, budget, p, clock, log)
 }
 
-func newKeep(path string, alone bool, o store.Options, budget scheduler.Budget, plan *Plan, clock Clock, log *slog.Logger) *Persistence {
-	version, _ := amount(plan.known["version"])
+func newKeep(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	ctx, stop := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
 	k := &Persistence{
-		path: path, alone: alone, budget: budget, plan: int64(version), whose: plan.whose(), clock: clock, log: newNotes(clock, log.Handler()),
+		path: path, alone: alone, budget: budget, plan: int64(p.Known.Version), whose: p.Identity(), clock: clock, log: newNotes(clock, log.Handler()),
 		own: stop, enough: enough, opened: make(chan struct{}), turn: make(chan struct{}, 1),
 	}
 	k.discovery.Store(k.plan)
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -36,7 +36,7 @@
 	log, look := NewLogger(more.log, false, slog.LevelInfo), make(chan *owner, 1)
 	k := newKeep(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
 	go func() {
-		err := more.plan.Serve(ctx, Options{
+		err := Serve(ctx, more.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Logger: log,
 			Persistence: k, EndpointUpdates: k.PrependStoredUpdate(ctx, nil), look: look,
 		})
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -19,6 +19,8 @@
 	"testing/synctest"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/endpoints"
@@ -236,8 +238,8 @@
 	t     *testing.T
 	at    map[string]*lists
 	log   *stamped
-	plans chan *Plan
-	plan  *Plan
+	plans chan *plan.Plan
+	plan  *plan.Plan
 	owner *owner
 	stop  func()
 }
@@ -251,11 +253,11 @@
 		edit(settings)
 	}
 	text, _ := json.Marshal(settings)
-	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
+	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, seed,
 		fake.EncodeEndpointList(1, hosts("10.0.0.1:1")), text))
 	require.NoError(t, err)
-	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *Plan), plan: p}
+	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *plan.Plan), plan: p}
 	way := &places{up: map[string]func(net.Conn){}}
 	for name, d := range at {
 		way.up[name] = d.serve
@@ -269,7 +271,7 @@
 	if more != nil {
 		more(&m)
 	}
-	go func() { ended <- p.Serve(ctx, m) }()
+	go func() { ended <- Serve(ctx, p, m) }()
 	f.owner = <-look
 	f.stop = func() { // so that nothing of the test's time is left
 		stop()
@@ -494,12 +496,12 @@
 		return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "variable"}[name]
 	}
 	write(`"discovery":"file",`)
-	first, err := Read(env)
+	first, err := readPlan(env)
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	signals := make(chan os.Signal)
-	plans := WatchPlanReloads(ctx, first, signals, env, slog.New(slog.DiscardHandler))
+	plans := first.WatchReloads(ctx, signals, env, slog.New(slog.DiscardHandler))
 	for _, x := range [][2]string{
 		{`"discovery":"elsewhere",`, "elsewhere"},
 		{"", "variable"},
@@ -738,10 +740,10 @@
 	status, _, text, _ := c.answer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
-	plan := *r.plan
-	plan.known = map[string]any{"version": json.Number("7"), "full": true, "servers": []any{}}
+	ownPlan := *r.plan
+	ownPlan.Known = plan.EndpointList{Version: 7, Full: true}
 	other := script(t)
-	plan.Discovery = other.Listener.Addr().String()
+	ownPlan.Discovery = other.Listener.Addr().String()
 	r.end()
 
 	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
@@ -749,7 +751,7 @@
 	defer stop()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended}
 	go func() {
-		ended <- plan.Serve(ctx, Options{
+		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
 		})
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -13,6 +13,8 @@
 	"testing/synctest"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/http1"
@@ -22,15 +24,15 @@
 // that falls silent, and serve nobody.
 func TestAStartThatKnowsNoHost(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settings["Balancers"] = 300 })
-	plan, other := *r.plan, script(t)
-	plan.known = map[string]any{"version": plan.known["version"], "full": true, "servers": []any{}}
-	plan.Discovery = other.Listener.Addr().String()
+	ownPlan, other := *r.plan, script(t)
+	ownPlan.Known = plan.EndpointList{Version: ownPlan.Known.Version, Full: true}
+	ownPlan.Discovery = other.Listener.Addr().String()
 	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended, list: other}
 	go func() {
-		ended <- plan.Serve(ctx, Options{
+		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
 		})
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"chalkring/config/settings"
 	"chalkring/endpoints"
 )
@@ -25,24 +27,16 @@
 }
 
 // newMembership begins with the plan's list.
-func newMembership(o *owner, more <-chan endpoints.Update, version int64, known []listedHost) *membership {
+func newMembership(o *owner, more <-chan endpoints.Update, version int64, known []plan.ListedHost) *membership {
 	m := &membership{o: o, book: endpoints.NewRegistry(o.plan.EndpointRules()), told: make(chan discovered), more: more, held: map[string]string{}}
 	m.take(listTold("plan", endpoints.RankPlan, version, true, false, known))
 	return m
 }
 
-// EndpointRules are what a plan says of all hosts.
-func (p *Plan) EndpointRules() endpoints.Rules {
-	return endpoints.Rules{
-		Zones: p.list("FailureDomains"), Kinds: p.list("MachineTypes"),
-		BlockSets: int(p.fact("Specifics.Sets")), SetsPerHost: int(p.fact("Specifics.Reach")),
-	}
-}
-
-func listTold(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []listedHost) endpoints.Update {
+func listTold(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []plan.ListedHost) endpoints.Update {
 	t := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
 	for _, h := range hosts {
-		t.Hosts = append(t.Hosts, h.host)
+		t.Hosts = append(t.Hosts, h.Host)
 	}
 	return t
 }
@@ -120,13 +114,13 @@
 // publish puts the list in force in the owner's place, in one turn; false once the co-ordinator has ended.
 func (m *membership) publish() bool {
 	o, generation := m.o, m.book.Generation()
-	var hosts []listedHost
+	var hosts []plan.ListedHost
 	var steps []func()
 	present := map[string]bool{}
 	list := m.book.List()
 	for _, e := range list {
 		present[e.ID] = true
-		hosts = append(hosts, listedHost{e.ID, e.Addr, e.StartedMS, e.Cell, false, e.ZoneConflict, e.Host})
+		hosts = append(hosts, plan.ListedHost{Host: e.Host, ZoneConflict: e.ZoneConflict})
 		zone, kind, status := o.nth("FailureDomains", e.Zone), o.nth("MachineTypes", e.Kind), "healthy"
 		if e.State == endpoints.StateDraining {
 			status = "cordoned"
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -29,7 +29,7 @@
 	}
 	look := make(chan *owner, 1)
 	go func() {
-		more.ended <- r.plan.Serve(ctx, Options{
+		more.ended <- Serve(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, look: look,
 		})
--- a/coordinator/names_test.go
+++ b/coordinator/names_test.go
@@ -72,7 +72,7 @@
 		{"setting Tenants is no list of objects", func(s map[string]any) { s["Tenants"] = map[string]any{"acme": map[string]any{"QuotaPerS": 5}} }},
 		{"setting Classes is no list of objects", func(s map[string]any) { s["Classes"] = "some" }},
 	} {
-		_, err := Parse(planOf(t, x.edit))
+		_, err := parsePlan(planOf(t, x.edit))
 		require.ErrorContains(t, err, x.wrong)
 	}
 	for _, edit := range []func(s map[string]any){
@@ -83,7 +83,7 @@
 		func(s map[string]any) { placed(s, "Tenants", 0)["Name"] = "some" },      // as a class
 		func(s map[string]any) { placed(s, "Tenants", 0)["Name"] = 7 },
 	} {
-		_, err := Parse(planOf(t, edit))
+		_, err := parsePlan(planOf(t, edit))
 		require.NoError(t, err)
 	}
 }
@@ -109,7 +109,7 @@
 		{`"Effect":"retryable"`, `"Effect":"Dedup"`, `Classes.0.Effect: "Dedup" is none of`},
 	} {
 		require.Contains(t, plan, x[0])
-		_, err := Parse([]byte(strings.Replace(plan, x[0], x[1], 1)))
+		_, err := parsePlan([]byte(strings.Replace(plan, x[0], x[1], 1)))
 		require.ErrorContains(t, err, x[2])
 	}
 }
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -14,6 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/balancer"
@@ -27,7 +29,7 @@
 type owner struct {
 	Options
 	log    *notes
-	plan   *Plan
+	plan   *plan.Plan
 	module balancer.Balancer
 	g      *errgroup.Group
 	ctx    context.Context
@@ -264,20 +266,18 @@
 	}()
 	o.now = o.clock()
 	o.module.BeginIteration(o.now)
-	o.module.Configure(o.plan.seed, o.plan.facts)
-	version, hosts, tell, err := o.readList(o.plan.known)
-	if err == nil {
-		tell("Persisted")
-		o.tellListed(true, int64(version), hosts)
-		if o.EndpointUpdates != nil {
-			o.members = newMembership(o, o.EndpointUpdates, int64(version), hosts)
-		}
+	o.module.Configure(o.plan.Seed, o.plan.Settings)
+	known := o.plan.Known
+	o.applyEndpointList("Persisted", known)
+	o.tellListed(true, int64(known.Version), known.Hosts)
+	if o.EndpointUpdates != nil {
+		o.members = newMembership(o, o.EndpointUpdates, int64(known.Version), known.Hosts)
 	}
 	o.module.EndIteration()
 	if o.counts != nil {
 		o.tellWatched(0)
 	}
-	return err
+	return nil
 }
 
 // run takes turns until all is answered after a stop. A fault of the module ends it with an error.
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -11,11 +11,12 @@
 	"sync/atomic"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/cespare/xxhash/v2"
 
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
-	"chalkring/endpoints"
 	"chalkring/internal/scheduler"
 )
 
@@ -73,17 +74,17 @@
 		p.Name = name
 	}
 	l := &learner{
-		o: o, p: p, zones: o.plan.list("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewAdmission(),
+		o: o, p: p, zones: o.plan.List("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewAdmission(),
 		since: map[string]int64{}, addrs: map[string]string{},
 	}
-	l.instance = xxhash.Sum64String(fmt.Sprint(name, o.plan.seed, o.Listener.Addr(), o.start.UnixNano()))
+	l.instance = xxhash.Sum64String(fmt.Sprint(name, o.plan.Seed, o.Listener.Addr(), o.start.UnixNano()))
 	l.shelf = peerreport.NewReportStore(p.Location, l.zones)
 	var names []string
 	for _, at := range p.PollTargets {
 		names = append(names, at.Name)
 	}
-	l.asker = peerreport.NewPoller(rand.New(rand.NewSource(o.plan.seed+1)), now, int64(p.RefreshInterval/tenth), names)
-	plan := scheduler.NewSchedule(rand.New(rand.NewSource(o.plan.seed+2)), p.Budgets)
+	l.asker = peerreport.NewPoller(rand.New(rand.NewSource(o.plan.Seed+1)), now, int64(p.RefreshInterval/tenth), names)
+	plan := scheduler.NewSchedule(rand.New(rand.NewSource(o.plan.Seed+2)), p.Budgets)
 	l.pool = scheduler.NewPool(o.Clock, plan, func(job string, err error) {
 		o.log.often("job", "job_given_up", "job", job, "error", err)
 		if name, asking := strings.CutPrefix(job, askPrefix); asking {
@@ -258,7 +259,7 @@
 
 // listed takes in a list or changes of it, before the module hears of them or after; nothing waits for it but the
 // list's own goroutine. What was heard of a host that has changed its address or left is of another machine.
-func (l *learner) listed(full bool, version int64, hosts []listedHost) {
+func (l *learner) listed(full bool, version int64, hosts []plan.ListedHost) {
 	l.mu.Lock()
 	now, moved := l.o.clock(), false
 	present := map[string]bool{}
@@ -267,19 +268,19 @@
 		moved = true
 	}
 	for _, h := range hosts {
-		old, known := l.addrs[h.id]
-		if present[h.id] = !h.gone; h.gone {
-			delete(l.since, h.id)
-			if delete(l.addrs, h.id); known {
-				move(h.id)
+		old, known := l.addrs[h.ID]
+		if present[h.ID] = !h.Removed; h.Removed {
+			delete(l.since, h.ID)
+			if delete(l.addrs, h.ID); known {
+				move(h.ID)
 			}
 			continue
 		}
-		if known && old != h.addr {
-			move(h.id)
+		if known && old != h.Addr {
+			move(h.ID)
 		}
-		moved = moved || !known || l.since[h.id] != h.since
-		l.since[h.id], l.addrs[h.id] = h.since, h.addr
+		moved = moved || !known || l.since[h.ID] != h.StartedMS
+		l.since[h.ID], l.addrs[h.ID] = h.StartedMS, h.Addr
 	}
 	if full {
 		for id := range l.since {
@@ -398,13 +399,3 @@
 	}
 	return s, nil
 }
-
-// listedHost is one entry of a list, as far as the learner needs it.
-type listedHost struct {
-	id, addr string
-	since    int64 // ms
-	cell     int
-	gone     bool
-	apart    bool // sources put it into different zones
-	host     endpoints.Host
-}
--- /dev/null
+++ b/coordinator/plan/environment.go
@@ -0,0 +1,64 @@
+package plan
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"os"
+)
+
+// MaxFileSize is the bytes of the largest plan that is read, one of 20,000 hosts: decoding takes 26 times as much memory.
+const MaxFileSize = 4 << 20
+
+// Environment variables. The last three override the file's members of the same meaning.
+const (
+	fileVariable      = "GW_CONFIG"
+	nameVariable      = "GW_NAME"
+	listenVariable    = "GW_LISTEN"
+	discoveryVariable = "GW_DISCOVERY"
+)
+
+// Read reads the plan from the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY, where they are set,
+// override the file.
+func Read(env func(string) string) (*Plan, error) {
+	path := env(fileVariable)
+	if path == "" {
+		return nil, &MissingVariableError{Variable: fileVariable}
+	}
+	text, err := readFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", fileVariable, err)
+	}
+	p, err := Parse(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s %s: %w", fileVariable, path, err)
+	}
+	for variable, member := range map[string]*string{
+		nameVariable: &p.Name, listenVariable: &p.Listen, discoveryVariable: &p.Discovery,
+	} {
+		if value := env(variable); value != "" {
+			*member = value
+		}
+		if *member == "" {
+			return nil, &MissingVariableError{Variable: variable, InFile: true}
+		}
+	}
+	// A file that leaves the address to the variable at a later reload names no new address by that.
+	p.discoveryInFile = cmp.Or(p.discoveryInFile, p.Discovery)
+	return p, nil
+}
+
+// readFile reads a plan's file. The limit handles GW_CONFIG naming a wrong file at SIGHUP, whose text alone would
+// exceed the memory limit.
+func readFile(path string) ([]byte, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	text, err := io.ReadAll(io.LimitReader(file, MaxFileSize+1))
+	if err == nil && len(text) > MaxFileSize {
+		err = &TooLargeError{path}
+	}
+	return text, err
+}
--- a/coordinator/golden_plan_test.go
+++ b/coordinator/plan/golden_plan_test.go
@@ -1,4 +1,4 @@
-package coordinator
+package plan_test
 
 import (
 	"bytes"
@@ -15,6 +15,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkring/coordinator"
+	"chalkring/coordinator/plan"
 	"chalkring/internal/advice"
 )
 
@@ -39,20 +41,20 @@
 "Safety":{"Cold":1000.0,"ColdFrom":0.3,"FallMultiple":3.0,"Fall":2000.0,"DrainGrace":250.0,"AskWithin":500.0,
 "ExtraFloor":0.5,"FurtherRatio":0.1,"LookBack":10000}}`
 
-func describePlan(out *strings.Builder, p *Plan) {
+func describePlan(out *strings.Builder, p *plan.Plan) {
 	line := func(key string, value any) { fmt.Fprintf(out, "  %s: %v\n", key, value) }
 	line("name", p.Name)
 	line("listen", p.Listen)
 	line("discovery", p.Discovery)
-	line("seed", p.seed)
+	line("seed", p.Seed)
 	line("limits.cores", p.Cores)
 	line("limits.memory_mb", p.MemoryMB)
 	line("limits.sockets", p.MaxSockets)
-	for _, name := range slices.Sorted(maps.Keys(p.facts)) {
-		line("settings", name+"="+p.facts[name])
+	for _, name := range slices.Sorted(maps.Keys(p.Settings)) {
+		line("settings", name+"="+p.Settings[name])
 	}
 	for _, list := range []string{"Classes", "Tenants"} {
-		places := p.names(list)
+		places := p.PositionsByName(list)
 		for _, name := range slices.Sorted(maps.Keys(places)) {
 			line(list, fmt.Sprintf("%q is %d", name, places[name]))
 		}
@@ -63,18 +65,17 @@
 	line("site", fmt.Sprintf("%q %q %q %d", site.Tenants, site.Classes, site.Zones, site.Blocks))
 	rules := p.EndpointRules()
 	line("rules", fmt.Sprintf("%q %q %d %d", rules.Zones, rules.Kinds, rules.BlockSets, rules.SetsPerHost))
-	_, hosts, _, err := (&owner{plan: p}).readList(p.known)
-	line("known", err)
-	for _, h := range hosts {
+	line("known", nil)
+	for _, h := range p.Known.Hosts {
 		line("known", fmt.Sprintf("id=%q address=%q zone=%q kind=%q cell=%d state=%d weight=%g started_ms=%d removed=%t",
-			h.host.ID, h.host.Addr, h.host.Zone, h.host.Kind, h.host.Cell, h.host.State, h.host.Weight, h.host.StartedMS, h.gone))
+			h.ID, h.Addr, h.Zone, h.Kind, h.Cell, h.State, h.Weight, h.StartedMS, h.Removed))
 	}
-	line("identity", p.whose())
+	line("identity", p.Identity())
 }
 
 func TestGoldenPlan(t *testing.T) {
 	var out strings.Builder
-	p, err := Parse([]byte(goldenPlan))
+	p, err := plan.Parse([]byte(goldenPlan))
 	require.NoError(t, err)
 	fmt.Fprintln(&out, "plan")
 	describePlan(&out, p)
@@ -82,16 +83,16 @@
 	require.NoError(t, err)
 	fmt.Fprintln(&out, "with an installation's settings")
 	describePlan(&out, over)
-	next, err := Parse([]byte(strings.NewReplacer(`"Tick":5.0`, `"Tick":6`, `"cores":1.5`, `"cores":2`, `"full","Aim"`, `"whole","Aim"`).Replace(goldenPlan)))
+	next, err := plan.Parse([]byte(strings.NewReplacer(`"Tick":5.0`, `"Tick":6`, `"cores":1.5`, `"cores":2`, `"full","Aim"`, `"whole","Aim"`).Replace(goldenPlan)))
 	require.NoError(t, err)
-	fmt.Fprintf(&out, "differences: %s\n", p.differs(next))
+	fmt.Fprintf(&out, "differences: %s\n", p.RestartDifferences(next))
 	requireGolden(t, "plan.golden", out.String())
 }
 
 // logLine is an error as the line that the service logs at start.
 func logLine(event string, err error) string {
 	var out bytes.Buffer
-	NewLogger(&out, false, slog.LevelInfo).Error(event, advice.LogAttrs(err)...)
+	coordinator.NewLogger(&out, false, slog.LevelInfo).Error(event, advice.LogAttrs(err)...)
 	return timeOfLine.ReplaceAllString(strings.TrimSpace(out.String()), "time=TIME ")
 }
 
@@ -178,14 +179,14 @@
 	}
 	for _, x := range cases {
 		require.Contains(t, goldenPlan, x[0])
-		_, err := Parse([]byte(strings.Replace(goldenPlan, x[0], x[1], 1)))
+		_, err := plan.Parse([]byte(strings.Replace(goldenPlan, x[0], x[1], 1)))
 		write(fmt.Sprintf("%.60s -> %s", strings.ReplaceAll(x[0], "\n", " "), x[1]), err)
 	}
 	for _, text := range []string{"", "null", "[]", "7", "{}", goldenPlan + "{}", goldenPlan + "]", `{"seed":"1","limits":[]}`} {
-		_, err := Parse([]byte(text))
+		_, err := plan.Parse([]byte(text))
 		write(fmt.Sprintf("%.20q, %d bytes", text, len(text)), err)
 	}
-	p, err := Parse([]byte(goldenPlan))
+	p, err := plan.Parse([]byte(goldenPlan))
 	require.NoError(t, err)
 	_, err = p.WithSettings(map[string]string{"Tick": "-1"})
 	write("an installation's setting", err)
@@ -235,7 +236,7 @@
 		{"too long", map[string]string{"GW_CONFIG": write("long.json", strings.Repeat(" ", 4<<20+1))}},
 	} {
 		fmt.Fprintln(&out, x.title)
-		p, err := Read(func(name string) string { return x.env[name] })
+		p, err := plan.Read(func(name string) string { return x.env[name] })
 		if err == nil {
 			fmt.Fprintf(&out, "  name=%q listen=%q discovery=%q\n", p.Name, p.Listen, p.Discovery)
 			continue
@@ -244,18 +245,3 @@
 	}
 	requireGolden(t, "plan_environment.golden", goName.ReplaceAllString(out.String(), "Go $1 NAME"))
 }
-
-// The log's forms: text and JSON.
-func TestGoldenLogForm(t *testing.T) {
-	var out bytes.Buffer
-	for _, json := range []bool{false, true} {
-		for _, level := range []slog.Level{slog.LevelDebug, slog.LevelWarn} {
-			log := NewLogger(&out, json, level)
-			log.Debug("first", "count", 1)
-			log.Info("second", "name", "a b", "event", "inner")
-			log.Error("third", "error", fmt.Errorf("it is %q", "x"))
-		}
-	}
-	text := timeOfLine.ReplaceAllString(out.String(), "time=TIME ")
-	requireGolden(t, "log_form.golden", regexp.MustCompile(`"time":"[^"]*"`).ReplaceAllString(text, `"time":"TIME"`))
-}
--- a/coordinator/replicas.go
+++ b/coordinator/replicas.go
@@ -228,7 +228,7 @@
 // allowed. Guards against frames that still wait for a connection then. They wait on until then, since most come up in
 // time: to take them back at once would cost each an attempt.
 func (o *owner) close(r *replica) {
-	grace := float64(o.plan.span("Safety.DrainGrace") / tenth)
+	grace := float64(o.plan.Duration("Safety.DrainGrace") / tenth)
 	o.after(int64(graceShare*grace), func() {
 		for _, l := range slices.Clone(r.lines) {
 			if !r.closed && !l.shut {
@@ -491,7 +491,7 @@
 	if o.zones != nil {
 		l.fence = o.zones.lapsed
 	}
-	addr, wait := r.addr, o.plan.span("Permissions.DialTimeout")
+	addr, wait := r.addr, o.plan.Duration("Permissions.DialTimeout")
 	room := max(1, int64(besideShare*float64(o.sockets)))
 	o.g.Go(func() error {
 		end := notUp
@@ -639,7 +639,7 @@
 
 // silence is how long a connection may say nothing before it is taken for lost.
 func (o *owner) silence() int64 {
-	return silentDials * int64(o.plan.span("Permissions.DialTimeout")/tenth)
+	return silentDials * int64(o.plan.Duration("Permissions.DialTimeout")/tenth)
 }
 
 // ended tells what a connection's end means for the parts that were out on it.
@@ -683,7 +683,7 @@
 	if l.shut {
 		return
 	}
-	most := int64(idleShare * float64(o.plan.span("Permissions.ConnIdle")/tenth))
+	most := int64(idleShare * float64(o.plan.Duration("Permissions.ConnIdle")/tenth))
 	if left := l.usedAt + most - o.now; left > 0 || l.calls > 0 || len(l.lingering) > 0 {
 		o.after(max(left, most/4), func() { o.idle(l) })
 		return
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -11,12 +11,13 @@
 	"sync"
 	"sync/atomic"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/VictoriaMetrics/metrics"
 
 	"chalkring/balancer"
 	"chalkring/config/settings"
 	"chalkring/control/residency"
-	"chalkring/endpoints"
 	"chalkring/internal/advice"
 )
 
@@ -63,7 +64,7 @@
 
 // MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
 func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
-	return r.Policy().AllowsTenantData(r.clock(), settings.FormatValue(tenant), zoneName(zone))
+	return r.Policy().AllowsTenantData(r.clock(), settings.FormatValue(tenant), plan.ZoneName(zone))
 }
 
 // BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
@@ -112,8 +113,8 @@
 
 func newBounding(o *owner, r *ResidencyGuard) *bounding {
 	name := func(list string) (names []string) {
-		for i := range o.plan.count(list) {
-			names = append(names, o.plan.facts[fmt.Sprintf("%s.%d.Name", list, i)])
+		for i := range o.plan.Count(list) {
+			names = append(names, o.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
 		}
 		return names
 	}
@@ -167,22 +168,14 @@
 }
 
 // listed takes a list or changes of it into account, before anything is sent under it.
-func (b *bounding) listed(how string, hosts []listedHost) {
+func (b *bounding) listed(how string, hosts []plan.ListedHost) {
 	told := make([]residency.Host, 0, len(hosts))
 	for _, h := range hosts {
-		told = append(told, residency.Host{ID: h.id, Addr: h.addr, Zone: zoneName(h.host.Zone), ZoneConflict: h.apart, Removed: h.gone})
+		told = append(told, residency.Host{ID: h.ID, Addr: h.Addr, Zone: plan.ZoneName(h.Zone), ZoneConflict: h.ZoneConflict, Removed: h.Removed})
 	}
 	b.hosts.UpdateHosts(b.now, how != "Partial", told)
 }
 
-// zoneName is a zone's name in the form that settings have; a zone that is not told is none.
-func zoneName(name string) string {
-	if name == "" {
-		return ""
-	}
-	return settings.FormatValue(name)
-}
-
 // changed looks at all open searches anew, in their order.
 func (b *bounding) changed() {
 	clear(b.bounds)
@@ -328,37 +321,3 @@
 	}
 	return b.Bytes()
 }
-
-// ResidencySite is what a plan says of tenants, types, zones and blocks; contracts are held against it.
-func (p *Plan) ResidencySite() residency.Site {
-	names := func(list string) (names []string) {
-		for _, name := range p.named[list] {
-			names = append(names, settings.FormatValue(name))
-		}
-		return names
-	}
-	return residency.Site{
-		Tenants: append([]string{}, names("Tenants")...), Classes: names("Classes"),
-		Zones: append([]string{}, p.list("FailureDomains")...), Blocks: p.BlockCount(),
-	}
-}
-
-// ZoneHoldsBlockFunc tells which hosts' zones hold a block by the plan's own list: hosts that are up.
-func (p *Plan) ZoneHoldsBlockFunc() func(zone string, block int) bool {
-	rules := p.EndpointRules()
-	held := map[string]map[int]bool{}
-	_, hosts, _, err := (&owner{plan: p}).readList(p.known)
-	for _, h := range hosts {
-		if err != nil || h.gone || h.host.State != endpoints.StateUp {
-			continue
-		}
-		zone := zoneName(h.host.Zone)
-		if held[zone] == nil {
-			held[zone] = map[int]bool{}
-		}
-		for j := range rules.SetsPerHost {
-			held[zone][((h.cell-j)%rules.BlockSets+rules.BlockSets)%rules.BlockSets] = true
-		}
-	}
-	return func(zone string, block int) bool { return held[zone][block%max(1, rules.BlockSets)] }
-}
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -15,6 +15,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/advice"
@@ -254,7 +256,7 @@
 		return now
 	}
 	require.Equal(t, 48.0*(1<<20), room())
-	for memory, want := range map[int]float64{64: 16 << 20, 4: roomLeast, 512: 128 << 20} {
+	for memory, want := range map[int]float64{64: 16 << 20, 4: 2 << 20, 512: 128 << 20} {
 		p := *r.plan
 		p.MemoryMB = memory
 		r.plans <- &p
@@ -339,7 +341,7 @@
 		case 500:
 			require.NoError(t, os.Remove(l.file))
 		case 600:
-			require.NoError(t, os.WriteFile(l.file, bytes.Repeat([]byte(`[`), planMost+1), 0o600))
+			require.NoError(t, os.WriteFile(l.file, bytes.Repeat([]byte(`[`), plan.MaxFileSize+1), 0o600))
 		}
 		l.signal(syscall.SIGHUP)
 		if i%100 == 50 {
@@ -362,11 +364,11 @@
 	text, err := os.ReadFile(l.file)
 	require.NoError(t, err)
 	env := func(name string) string { return map[string]string{"GW_CONFIG": l.file}[name] }
-	for long, fits := range map[int]bool{planMost: true, planMost + 1: false} {
+	for long, fits := range map[int]bool{plan.MaxFileSize: true, plan.MaxFileSize + 1: false} {
 		padded := append(bytes.Repeat([]byte(" "), long-len(text)), text...)
 		require.NoError(t, os.WriteFile(l.file, padded, 0o600))
-		_, err := Read(env)
-		var no *PlanTooLargeError
+		_, err := readPlan(env)
+		var no *plan.TooLargeError
 		require.Equal(t, !fits, errors.As(err, &no), "%v", err)
 		require.Equal(t, !fits, advice.For(err) != "")
 	}
--- a/coordinator/several.go
+++ b/coordinator/several.go
@@ -4,12 +4,12 @@
 	"context"
 	"errors"
 	"log/slog"
-	"maps"
 	"net"
 	"slices"
-	"strconv"
 	"sync"
 
+	"chalkring/coordinator/plan"
+
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/endpoints"
@@ -19,14 +19,14 @@
 // the clients' connections, descriptors, memory and budget: an owner takes one core at the most. To the rules that all
 // co-ordinators keep together they are so many more, and that is what their settings say. Other fronts, peers and
 // what is kept on disk are the first one's.
-func (p *Plan) ServeSharded(ctx context.Context, m Options, n int) error {
+func ServeSharded(ctx context.Context, p *plan.Plan, m Options, n int) error {
 	if n <= 1 {
-		return p.Serve(ctx, m)
+		return Serve(ctx, p, m)
 	}
 	shared := newShared(m.Listener, n)
-	plans := make([]chan *Plan, n)
+	plans := make([]chan *plan.Plan, n)
 	for i := range plans {
-		plans[i] = make(chan *Plan)
+		plans[i] = make(chan *plan.Plan)
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	over, end := context.WithCancel(context.WithoutCancel(ctx))
@@ -46,7 +46,7 @@
 		left.Add(1)
 		g.Go(func() error {
 			defer left.Done()
-			return p.share(i, n).Serve(ctx, own)
+			return Serve(ctx, p.ForShard(i, n), own)
 		})
 	}
 	g.Go(func() error {
@@ -79,7 +79,7 @@
 			case next := <-m.PlanUpdates:
 				for i, to := range plans {
 					select {
-					case to <- next.share(i, n):
+					case to <- next.ForShard(i, n):
 					case <-over.Done():
 						return nil
 					}
@@ -92,22 +92,6 @@
 	return g.Wait()
 }
 
-// share is the plan of one of several.
-func (p *Plan) share(i, n int) *Plan {
-	own := *p
-	own.MaxSockets, own.MemoryMB = p.MaxSockets/n, max(1, p.MemoryMB/n)
-	own.seed = p.seed + int64(i)*seedStep
-	own.facts, own.next = maps.Clone(p.facts), maps.Clone(p.next)
-	for _, all := range []map[string]string{own.facts, own.next} {
-		for name, by := range map[string]float64{"Balancers": float64(n), "Safety.ExtraFloor": 1 / float64(n)} {
-			if v, err := strconv.ParseFloat(all[name], 64); err == nil {
-				all[name] = strconv.FormatFloat(v*by, 'g', -1, 64)
-			}
-		}
-	}
-	return &own
-}
-
 // shared deals the connections of one listener to several.
 type shared struct {
 	from   net.Listener
--- a/coordinator/several_test.go
+++ b/coordinator/several_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -22,9 +24,9 @@
 	var log journal
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	plans, ended := make(chan *Plan), make(chan error, 1)
+	plans, ended := make(chan *plan.Plan), make(chan error, 1)
 	go func() {
-		ended <- r.plan.ServeSharded(ctx, Options{
+		ended <- ServeSharded(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(&log, false, slog.LevelInfo), PlanUpdates: plans,
 		}, 3)
@@ -72,11 +74,11 @@
 
 // To all others several owners are so many co-ordinators, with one's descriptors, memory and budget between them.
 func TestSharesOfAPlan(t *testing.T) {
-	p := &Plan{MaxSockets: 100, MemoryMB: 190, seed: 5, facts: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
-	own := p.share(1, 4)
-	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.MaxSockets, own.MemoryMB, own.facts["Balancers"], own.facts["Safety.ExtraFloor"]})
-	require.NotEqual(t, p.seed, own.seed)
-	require.Equal(t, "3", p.facts["Balancers"])
-	delete(p.facts, "Safety.ExtraFloor")
-	require.NotContains(t, p.share(0, 4).facts, "Safety.ExtraFloor")
+	p := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
+	own := p.ForShard(1, 4)
+	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.MaxSockets, own.MemoryMB, own.Settings["Balancers"], own.Settings["Safety.ExtraFloor"]})
+	require.NotEqual(t, p.Seed, own.Seed)
+	require.Equal(t, "3", p.Settings["Balancers"])
+	delete(p.Settings, "Safety.ExtraFloor")
+	require.NotContains(t, p.ForShard(0, 4).Settings, "Safety.ExtraFloor")
 }
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -16,7 +16,7 @@
 		o.Listener.Close()
 		return nil
 	}
-	by := o.Clock.Now().Add(o.plan.killAfter() - killPad)
+	by := o.Clock.Now().Add(o.plan.TerminationGrace() - killPad)
 	o.endBy.Store(&by)
 	o.log.Info("stopping", "name", o.plan.Name)
 	select {
@@ -50,19 +50,6 @@
 // told tells that the co-ordinator has been told to end.
 func (o *owner) told() bool { return o.endBy.Load() != nil }
 
-// killAfter is how long after SIGTERM nothing kills this process: the longest client timeout, killLongest at the most, and
-// killMore. A type whose timeout the settings do not tell counts as longest.
-func (p *Plan) killAfter() time.Duration {
-	longest := time.Duration(0)
-	for _, d := range p.spans("Deadline") {
-		if d <= 0 {
-			d = killLongest
-		}
-		longest = max(longest, d)
-	}
-	return min(longest, killLongest) + killMore
-}
-
 // within is how long a search that came then may take. Guards against SIGKILL: what comes as the co-ordinator stops has its
 // final answer before that may come, whatever time its client gives.
 func (o *owner) within(patience time.Duration, came time.Time) time.Duration {
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/fake"
@@ -60,8 +62,8 @@
 	t        *testing.T
 	replicas map[string]*fake.Host
 	list     *fake.ScriptedDiscovery
-	plans    chan *Plan
-	plan     *Plan
+	plans    chan *plan.Plan
+	plan     *plan.Plan
 	addr     string
 	stop     context.CancelFunc
 	ended    chan error
@@ -150,12 +152,18 @@
 	return startIn(t, nil, sockets, edit, over, next, func(m *Options) { m.Peers = peers })
 }
 
+// parsePlan and readPlan are the plan package's, for tests with a variable of its name.
+var (
+	parsePlan = plan.Parse
+	readPlan  = plan.Read
+)
+
 func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), over, next map[string]string,
 	more func(m *Options),
 ) *rig {
 	r := &rig{
 		t: t, replicas: map[string]*fake.Host{}, log: &journal{}, ended: make(chan error, 1),
-		list: script(t), plans: make(chan *Plan), zones: zones,
+		list: script(t), plans: make(chan *plan.Plan), zones: zones,
 	}
 	var known []string
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
@@ -172,7 +180,7 @@
 	}
 	text, _ := json.Marshal(settings)
 	ln := listen(t)
-	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"version":7,"full":true,"servers":[%s]},
 		"settings":%s}`, ln.Addr(), r.list.Listener.Addr(), sockets, strings.Join(known, ","), text))
 	require.NoError(t, err)
@@ -191,7 +199,7 @@
 			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, look: look,
 		}
 		more(&m)
-		r.ended <- p.Serve(ctx, m)
+		r.ended <- Serve(ctx, p, m)
 	}()
 	r.owner = <-look
 	t.Cleanup(stop)
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -16,6 +16,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
@@ -312,10 +314,10 @@
 				g, work := errgroup.WithContext(ctx)
 				o := &owner{
 					g: g, ctx: work, asks: make(chan struct{}, 1), moves: make(chan string), queue: make(chan func(), queueRoom),
-					log: newNotes(clock, slog.DiscardHandler), plan: &Plan{seed: int64(i), facts: map[string]string{
+					log: newNotes(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
 						"Discovery": by,
 						"Balancers": fmt.Sprint(n),
-					}, known: map[string]any{"version": json.Number("1")}},
+					}, Known: plan.EndpointList{Version: 1}},
 				}
 				o.Options = Options{Clock: clock, Dial: func(context.Context, string, string) (net.Conn, error) {
 					mu.Lock()
--- a/coordinator/variables_test.go
+++ b/coordinator/variables_test.go
@@ -28,12 +28,12 @@
 	other := strings.NewReplacer(`"some"`, `"all"`, `"all"`, `"some"`, `"acme"`, `"other"`, `"other"`, `"acme"`).Replace(testSettings)
 	for _, begins := range []string{"", `"discovery":"file",`} {
 		write(begins, testSettings, 0)
-		first, err := Read(env)
+		first, err := readPlan(env)
 		require.NoError(t, err)
 		require.Equal(t, "variable", first.Discovery)
 		ctx, stop := context.WithCancel(context.Background())
 		signals := make(chan os.Signal)
-		plans := WatchPlanReloads(ctx, first, signals, env, NewLogger(out, false, slog.LevelInfo))
+		plans := first.WatchReloads(ctx, signals, env, NewLogger(out, false, slog.LevelInfo))
 		for _, x := range []struct {
 			discovery, settings, want string
 			cut                       int
@@ -56,7 +56,7 @@
 			require.Equal(t, x.want, p.Discovery, "%s then %s", begins, x.discovery)
 			require.Equal(t, []string{"n7", "l7"}, []string{p.Name, p.Listen})
 			if x.settings == other {
-				require.Equal(t, "settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name", first.differs(p))
+				require.Equal(t, "settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name", first.RestartDifferences(p))
 			}
 		}
 		stop()
@@ -76,7 +76,7 @@
 		require.Equal(t, 400, status)
 	}
 	both("before")
-	next, err := Parse(planOf(t, func(s map[string]any) {
+	next, err := parsePlan(planOf(t, func(s map[string]any) {
 		placed(s, "Classes", 0)["Name"], placed(s, "Classes", 1)["Name"] = "all", "some"
 		placed(s, "Tenants", 0)["Name"], placed(s, "Tenants", 1)["Name"] = "globex", "acme"
 	}))
--- a/coordinator/watching_test.go
+++ b/coordinator/watching_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestWatchingNeedsGoodSettings(t *testing.T) {
-	p, err := Parse([]byte(`{"name":"n","listen":"l","discovery":"d","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":99},
+	p, err := parsePlan([]byte(`{"name":"n","listen":"l","discovery":"d","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":1,"servers":[]},"settings":` + testSettings + `}`))
 	require.NoError(t, err)
 	_, err = p.WithShadowSettings(map[string]string{"Specifics.ClassFloor": "0.5"})
@@ -46,13 +46,13 @@
 	require.ErrorContains(t, err, "Permissions.RetryAfter")
 	over, err := p.WithSettings(map[string]string{"Permissions.RetryAfter": "false"})
 	require.NoError(t, err)
-	require.Equal(t, "true", p.facts["Permissions.RetryAfter"], "the plan itself stays")
-	require.Equal(t, "false", over.facts["Permissions.RetryAfter"])
+	require.Equal(t, "true", p.Settings["Permissions.RetryAfter"], "the plan itself stays")
+	require.Equal(t, "false", over.Settings["Permissions.RetryAfter"])
 	watched, err := over.WithShadowSettings(map[string]string{"Permissions.SecondCopies": "false"})
 	require.NoError(t, err)
-	share := watched.share(0, 2)
-	require.Equal(t, share.facts["Balancers"], share.next["Balancers"])
-	require.Equal(t, "false", share.next["Permissions.RetryAfter"], "what is watched starts from what is in force")
+	share := watched.ForShard(0, 2)
+	require.Equal(t, share.Settings["Balancers"], share.ShadowSettings["Balancers"])
+	require.Equal(t, "false", share.ShadowSettings["Permissions.RetryAfter"], "what is watched starts from what is in force")
 }
 
 // The steps of docs/migration.md on loopback: watch, switch, go back.
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -21,6 +21,8 @@
 	"syscall"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"chalkring/cluster/peerprotocol"
 	"chalkring/cluster/peerreport"
 	"chalkring/coordinator"
@@ -125,7 +127,7 @@
 
 // RunCoordinator is the co-ordinator's process: the plan that GW_CONFIG names, and an answering peer.
 func RunCoordinator(ctx context.Context) error {
-	plan, err := coordinator.Read(os.Getenv)
+	plan, err := plan.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -164,7 +166,7 @@
 	if cores, err := strconv.Atoi(os.Getenv(nodeCores)); err == nil {
 		runtime.GOMAXPROCS(cores)
 	}
-	return plan.ServeSharded(ctx, coordinator.Options{
+	return coordinator.ServeSharded(ctx, plan, coordinator.Options{
 		Frontends: []coordinator.Frontend{front},
 		HostKinds: map[string]coordinator.HostKind{searchKind: {Index: "members"}}, Listener: ln, Dial: dial,
 		Clock: coordinator.SystemClock{}, Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Peers: more,
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -15,6 +15,8 @@
 	"sync/atomic"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"chalkring/coordinator"
 	"chalkring/internal/fake"
 )
@@ -151,7 +153,7 @@
 		return nil, err
 	}
 	facts, _ := json.Marshal(settings(coordinators))
-	plan, err := coordinator.Parse(fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x",
+	plan, err := plan.Parse(fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, name, ln.Addr(),
 		f.list.Listener.Addr(), seed, f.list.KnownEndpoints(), facts))
 	if err != nil {
@@ -166,7 +168,7 @@
 		HostKinds: map[string]coordinator.HostKind{searchKind: {Index: "members"}},
 	}
 	more(&means)
-	go func() { n.ended <- plan.Serve(ctx, means) }()
+	go func() { n.ended <- coordinator.Serve(ctx, plan, means) }()
 	return n, nil
 }
 
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -24,6 +24,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
@@ -108,7 +110,7 @@
 	}
 	own, other := listen(), listen()
 	r.own = own.Addr().String()
-	plan, err := coordinator.Parse(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+	plan, err := plan.Parse(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, own.Addr(), r.list.Listener.Addr(),
 		r.list.KnownEndpoints(), settings))
 	require.NoError(t, err)
@@ -129,7 +131,7 @@
 		for _, do := range more {
 			do(&m)
 		}
-		r.ended <- plan.Serve(ctx, m)
+		r.ended <- coordinator.Serve(ctx, plan, m)
 	}()
 	t.Cleanup(func() {
 		stop()
