--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -5,46 +5,48 @@
 	"sync"
 )
 
-// gate shares out the clients' part of the descriptors. A connection is at work while a request taken from it
+// connectionLimiter shares out the clients' part of the descriptors. A connection is at work while a request taken from it
 // is not answered; before that a request may be coming, and otherwise it is at rest. Those not at work stand in a list,
 // longest without work first.
 // Guards against connections that are opened and not used: with no room left, the longest at rest is closed
 // for a newcomer, and with none at rest the first on which a request is coming. One at work never is.
-type gate struct {
-	most int
-	stir chan struct{} // something has left, or come to rest
+type connectionLimiter struct {
+	limit   int
+	changed chan struct{} // something has left, or come to rest
 
-	mu    sync.Mutex
-	open  int
-	idle  list.List // of *client
-	asked *client   // to make room; its reader ends it, unless it has read something first
+	mu        sync.Mutex
+	open      int
+	idle      list.List         // of *client
+	displaced *clientConnection // to make room; its reader ends it, unless it has read something first
 }
 
-func newGate(most int) *gate { return &gate{most: max(1, most), stir: make(chan struct{}, 1)} }
+func newConnectionLimiter(most int) *connectionLimiter {
+	return &connectionLimiter{limit: max(1, most), changed: make(chan struct{}, 1)}
+}
 
-func (g *gate) stirred() {
+func (g *connectionLimiter) signalChanged() {
 	select {
-	case g.stir <- struct{}{}:
+	case g.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (g *gate) resize(most int) {
+func (g *connectionLimiter) resize(most int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.most = max(1, most)
-	g.stirred()
+	g.limit = max(1, most)
+	g.signalChanged()
 }
 
-// enter returns once there is room for a newcomer; false if it is no longer wanted.
-func (g *gate) enter(c *client, given <-chan struct{}) bool {
+// admit returns once there is room for a newcomer; false if it is no longer wanted.
+func (g *connectionLimiter) admit(c *clientConnection, given <-chan struct{}) bool {
 	for {
 		g.mu.Lock()
-		room := g.open < g.most
+		room := g.open < g.limit
 		if room {
 			g.open++
-			c.place = g.idle.PushBack(c)
-		} else if g.asked == nil {
+			c.idleElement = g.idle.PushBack(c)
+		} else if g.displaced == nil {
 			g.displace()
 		}
 		g.mu.Unlock()
@@ -52,7 +54,7 @@
 			return true
 		}
 		select {
-		case <-g.stir:
+		case <-g.changed:
 		case <-given:
 			return false
 		}
@@ -60,72 +62,72 @@
 }
 
 // displace asks the connection that is longest at rest to make room, or else the first on which a request is coming.
-func (g *gate) displace() {
+func (g *connectionLimiter) displace() {
 	for e := g.idle.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*client); g.asked == nil || !c.coming {
-			if g.asked = c; !c.coming {
+		if c := e.Value.(*clientConnection); g.displaced == nil || !c.requestBegun {
+			if g.displaced = c; !c.requestBegun {
 				break
 			}
 		}
 	}
-	if g.asked != nil {
-		g.asked.asked.Store(true)
-		g.asked.kick()
+	if g.displaced != nil {
+		g.displaced.askedToLeave.Store(true)
+		g.displaced.interruptRead()
 	}
 }
 
-// comes tells that the first bytes of a request have been read; begin, that it is there and the connection at work. Guards
+// markRequestBegun tells that the first bytes of a request have been read; begin, that it is there and the connection at work. Guards
 // against a request that is read in the moment in which its connection is to make room: another is asked then, since
 // nothing that was read may be closed over while there is one.
-func (g *gate) comes(c *client) {
+func (g *connectionLimiter) markRequestBegun(c *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c.coming = true
-	g.goesOn(c)
+	c.requestBegun = true
+	g.cancelDisplacement(c)
 }
 
-func (g *gate) begin(c *client) {
+func (g *connectionLimiter) markBusy(c *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lift(c)
-	g.goesOn(c)
+	g.removeIdle(c)
+	g.cancelDisplacement(c)
 }
 
-func (g *gate) goesOn(c *client) {
-	if g.asked == c {
-		g.asked = nil
-		c.asked.Store(false)
-		g.stirred()
+func (g *connectionLimiter) cancelDisplacement(c *clientConnection) {
+	if g.displaced == c {
+		g.displaced = nil
+		c.askedToLeave.Store(false)
+		g.signalChanged()
 	}
 }
 
-// lift takes a connection off the list, if it is there.
-func (g *gate) lift(c *client) {
-	if c.place != nil {
-		g.idle.Remove(c.place)
-		c.place = nil
+// removeIdle takes a connection off the list, if it is there.
+func (g *connectionLimiter) removeIdle(c *clientConnection) {
+	if c.idleElement != nil {
+		g.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
-	c.coming = false
+	c.requestBegun = false
 }
 
-// rest puts a connection to rest after an answer; one whose last answer is out is the first to make room.
-func (g *gate) rest(c *client, last bool) {
+// markIdle puts a connection to markIdle after an answer; one whose last answer is out is the first to make room.
+func (g *connectionLimiter) markIdle(c *clientConnection, last bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lift(c)
-	if c.place = g.idle.PushBack(c); last {
-		g.idle.MoveToFront(c.place)
+	g.removeIdle(c)
+	if c.idleElement = g.idle.PushBack(c); last {
+		g.idle.MoveToFront(c.idleElement)
 	}
-	g.stirred()
+	g.signalChanged()
 }
 
-func (g *gate) leave(c *client) {
+func (g *connectionLimiter) release(c *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lift(c)
+	g.removeIdle(c)
 	g.open--
-	if g.asked == c {
-		g.asked = nil
+	if g.displaced == c {
+		g.displaced = nil
 	}
-	g.stirred()
+	g.signalChanged()
 }
--- a/coordinator/bodies.go
+++ b/coordinator/bodies.go
@@ -13,43 +13,43 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-const seenMost = 256 // blocks up to which those that were named are marked without room of their own
+const maxInlineBlocks = 256 // blocks up to which those that were named are marked without room of their own
 
-// bodies are readers of requests' bodies, kept for the next.
-var bodies = sync.Pool{New: func() any { return &bodyReader{} }}
+// bodyReaders are readers of requests' bodyReaders, kept for the next.
+var bodyReaders = sync.Pool{New: func() any { return &bodyReader{} }}
 
 // bodyReader reads one JSON text at a time. Names that are there twice count as the last, as the platform's own
 // programs take them.
 type bodyReader struct {
-	src bytes.Reader
-	d   jsontext.Decoder
+	source  bytes.Reader
+	decoder jsontext.Decoder
 }
 
 func (b *bodyReader) reset(body []byte) {
-	b.src.Reset(body)
-	b.d.Reset(&b.src, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
+	b.source.Reset(body)
+	b.decoder.Reset(&b.source, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
 }
 
-// read takes the parts and their text from a request's body.
-func (s *search) read(body []byte, shards int) error {
-	b := bodies.Get().(*bodyReader)
-	defer bodies.Put(b)
+// readBody takes the parts and their text from a request's body.
+func (s *search) readBody(body []byte, shards int) error {
+	b := bodyReaders.Get().(*bodyReader)
+	defer bodyReaders.Put(b)
 	b.reset(body)
-	d := &b.d
+	d := &b.decoder
 	if t, err := d.ReadToken(); err != nil || t.Kind() != '{' {
-		return refuse("body: not one JSON object")
+		return badRequest("body: not one JSON object")
 	}
 	text, named := "", false
 	most := bytes.Count(body, []byte{'{'})
 	s.shards, s.weights = make([]int, 0, most), make([]float64, 0, most)
 	for d.PeekKind() != '}' {
-		name, err := nameOf(d)
+		name, err := readName(d)
 		if err != nil {
-			return refuse("body: %v", err)
+			return badRequest("body: %v", err)
 		}
 		switch {
 		case name == "ranges" && d.PeekKind() == '[':
-			err = s.ranges(d, shards)
+			err = s.readRanges(d, shards)
 		case name == "ranges":
 			s.shards, err = s.shards[:0], d.SkipValue()
 		case name == "predicate" && d.PeekKind() == '"':
@@ -63,33 +63,33 @@
 			err = d.SkipValue()
 		}
 		if err != nil {
-			return refuse("body: %v", err)
+			return badRequest("body: %v", err)
 		}
 	}
 	d.ReadToken()
 	if _, err := d.ReadToken(); err != io.EOF {
-		return refuse("body: not one JSON object")
+		return badRequest("body: not one JSON object")
 	}
 	if len(s.shards) == 0 || !named {
-		return refuse("body without ranges or predicate")
+		return badRequest("body without ranges or predicate")
 	}
 	// Guards against text that reading has changed: replicas get it as it came or not at all.
 	if !utf8.Valid(body) || strings.ContainsRune(text, utf8.RuneError) && !bytes.ContainsRune(body, utf8.RuneError) {
-		return refuse("body is no text")
+		return badRequest("body is no text")
 	}
 	s.text = []byte(text)
 	sum := 0.0
 	for _, weight := range s.weights {
 		sum += weight
 	}
-	if math.Abs(sum-1) > weightSlack {
-		return refuse("portions add up to %g", sum)
+	if math.Abs(sum-1) > weightTolerance {
+		return badRequest("portions add up to %g", sum)
 	}
 	return nil
 }
 
-// nameOf reads a name; those that count here need no room.
-func nameOf(d *jsontext.Decoder) (string, error) {
+// readName reads a name; those that count here need no room.
+func readName(d *jsontext.Decoder) (string, error) {
 	v, err := d.ReadValue()
 	switch string(v) {
 	case `"range"`:
@@ -108,12 +108,12 @@
 	return string(text), err
 }
 
-// ranges reads the list of parts, in the place of one that came before.
-func (s *search) ranges(d *jsontext.Decoder, shards int) error {
+// readRanges reads the list of parts, in the place of one that came before.
+func (s *search) readRanges(d *jsontext.Decoder, shards int) error {
 	s.shards, s.weights = s.shards[:0], s.weights[:0]
-	var few [seenMost]bool
+	var few [maxInlineBlocks]bool
 	seen := few[:]
-	if shards > seenMost {
+	if shards > maxInlineBlocks {
 		seen = make([]bool, shards)
 	}
 	d.ReadToken()
@@ -121,7 +121,7 @@
 		shard, weight := math.NaN(), math.NaN()
 		d.ReadToken()
 		for d.PeekKind() == '"' {
-			name, err := nameOf(d)
+			name, err := readName(d)
 			if err != nil {
 				return err
 			}
@@ -154,10 +154,10 @@
 		}
 		n := int(shard)
 		if shard != math.Trunc(shard) || shard < 0 || shard >= float64(shards) || seen[n] {
-			return refuse("range %g", shard)
+			return badRequest("range %g", shard)
 		}
-		if !(weight > 0) || weight > 1+weightSlack {
-			return refuse("portion %g", weight)
+		if !(weight > 0) || weight > 1+weightTolerance {
+			return badRequest("portion %g", weight)
 		}
 		seen[n] = true
 		s.shards, s.weights = append(s.shards, n), append(s.weights, weight)
@@ -165,17 +165,17 @@
 	if t, err := d.ReadToken(); err != nil {
 		return err
 	} else if t.Kind() != ']' {
-		return refuse("ranges are no objects")
+		return badRequest("ranges are no objects")
 	}
 	return nil
 }
 
-// answerSize tells how long the body of an answer will be; not plain where values have to be escaped, which makes it
+// answerBodySize tells how long the body of an answer will be; not plain where values have to be escaped, which makes it
 // longer.
-func answerSize(r result) (size int, plain bool) {
+func answerBodySize(r searchOutcome) (size int, plain bool) {
 	plain = true
 	size = len(`{"total":,"answers":[]}`) + len("false")
-	if r.whole {
+	if r.complete {
 		size--
 	}
 	for i, p := range r.parts {
@@ -191,9 +191,9 @@
 	return size, plain
 }
 
-// appendAnswer adds the body of an answer.
-func appendAnswer(dst []byte, r result) []byte {
-	dst = strconv.AppendBool(append(dst, `{"total":`...), r.whole)
+// appendAnswerBody adds the body of an answer.
+func appendAnswerBody(dst []byte, r searchOutcome) []byte {
+	dst = strconv.AppendBool(append(dst, `{"total":`...), r.complete)
 	dst = append(dst, `,"answers":[`...)
 	for i, p := range r.parts {
 		if i > 0 {
--- a/coordinator/bodies_test.go
+++ b/coordinator/bodies_test.go
@@ -32,13 +32,13 @@
 		shard, ok1 := numberOf(m["range"])
 		weight, ok2 := numberOf(m["portion"])
 		n := int(shard)
-		if !ok1 || !ok2 || shard != math.Trunc(shard) || n < 0 || n >= shards || seen[n] || weight <= 0 || weight > 1+weightSlack {
+		if !ok1 || !ok2 || shard != math.Trunc(shard) || n < 0 || n >= shards || seen[n] || weight <= 0 || weight > 1+weightTolerance {
 			return nil, nil, "", false
 		}
 		seen[n], sum = true, sum+weight
 		list, weights = append(list, n), append(weights, weight)
 	}
-	return list, weights, text, math.Abs(sum-1) <= weightSlack
+	return list, weights, text, math.Abs(sum-1) <= weightTolerance
 }
 
 func numberOf(value any) (float64, bool) {
@@ -71,7 +71,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		list, weights, text, ok := byMaps(body, 8)
 		s := &search{}
-		err := s.read(body, 8)
+		err := s.readBody(body, 8)
 		require.Equal(t, ok, err == nil, "%q: %v", body, err)
 		if ok {
 			require.Equal(t, list, s.shards)
@@ -90,7 +90,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, target string) {
-		path, key, err := place(target)
+		path, key, err := parseTarget(target)
 		want, err2 := url.ParseRequestURI(target)
 		require.Equal(t, err2 == nil, err == nil, "%q: %v, %v", target, err, err2)
 		if err == nil {
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -59,7 +59,7 @@
 			c.send(request("behind", "all", "", fourParts) + request("part", "all", "", fourParts)[:90])
 			r.eventually("it is awaited", func() bool {
 				told := make(chan bool, 1)
-				r.owner.post(func() { told <- len(r.owner.searches) == 1 })
+				r.owner.submit(func() { told <- len(r.owner.searches) == 1 })
 				return <-told
 			})
 			require.NoError(t, leave(c.Conn.(*net.TCPConn)))
@@ -100,13 +100,13 @@
 func TestClientThatHasLeftAlready(t *testing.T) {
 	const each, finWait2 = 40, 5 // of Linux's states: the other side has the end of what was sent
 	r := start(t, 256, nil)
-	ln, look, ended := held{listen(t), make(chan struct{})}, make(chan *owner, 1), make(chan error, 1)
+	ln, look, ended := held{listen(t), make(chan struct{})}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
 	o := <-look
@@ -134,7 +134,7 @@
 	last.want("last", "all", 200, wholeOfAll)
 	r.eventually("the others have ended", func() bool {
 		told := make(chan int, 1)
-		o.post(func() { told <- len(o.clients) })
+		o.submit(func() { told <- len(o.clients) })
 		return <-told == 1
 	})
 	require.Equal(t, 4, r.parts(), "those of the last alone")
@@ -147,13 +147,13 @@
 // piped starts a further co-ordinator whose clients come by pipes: a write there returns once it has been read. made
 // changes the co-ordinator's side of a connection, and may be nil.
 func (r *rig) piped() (call func(made func(net.Conn) net.Conn) *caller, end func()) {
-	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *owner, 1), make(chan error, 1)
+	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	r.t.Cleanup(stop)
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
 	<-look
@@ -327,7 +327,7 @@
 	defer stop()
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
 	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
-	time.Sleep(takeOn / 2)
+	time.Sleep(acceptAfterStop / 2)
 	require.NoError(t, r.Signal("n", syscall.SIGSTOP))
 	var conns []net.Conn
 	for i := range 100 {
@@ -342,7 +342,7 @@
 		require.NoError(t, err)
 		conns = append(conns, conn)
 	}
-	time.Sleep(takeOn)
+	time.Sleep(acceptAfterStop)
 	require.NoError(t, r.Signal("n", syscall.SIGCONT))
 	for i, conn := range conns {
 		status, _, _, _, err := http1.NewReader(conn, make([]byte, 16<<10)).ReadResponse()
@@ -354,9 +354,9 @@
 // While the co-ordinator stops, too, what came in time is read, though the process was held up and its time is over by the
 // time it looks: a request's last bytes, and a request on a connection at rest.
 func TestLateLookAtTheStop(t *testing.T) {
-	for name, c := range map[string]*client{
-		"a request": {until: time.Now().Add(-time.Second)},
-		"at rest":   {looked: time.Now().Add(-time.Second)},
+	for name, c := range map[string]*clientConnection{
+		"a request": {requestDeadline: time.Now().Add(-time.Second)},
+		"at rest":   {stopReadDeadline: time.Now().Add(-time.Second)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
@@ -368,19 +368,19 @@
 			defer here.Close()
 			stopping, stop := context.WithCancel(context.Background())
 			stop()
-			c.front, c.conn, c.answered = &front{stopping: stopping}, here, make(chan struct{}, 1)
+			c.clientListener, c.conn, c.answered = &clientListener{stopping: stopping}, here, make(chan struct{}, 1)
 			_, err = there.Write([]byte("x"))
 			require.NoError(t, err)
-			c.kick()
+			c.interruptRead()
 			n, err := c.Read(make([]byte, 2))
 			require.NoError(t, err)
 			require.Equal(t, 1, n)
 			_, err = c.Read(make([]byte, 2)) // once
-			want := closing
-			if !c.until.IsZero() {
-				want = slow
+			want := endClosing
+			if !c.requestDeadline.IsZero() {
+				want = endReadTimeout
 			}
-			require.Equal(t, want, endingOf(err))
+			require.Equal(t, want, connectionEndOf(err))
 		})
 	}
 }
@@ -484,7 +484,7 @@
 	}
 	r.eventually("parts are out", func() bool { return r.parts() == 4*len(busy) })
 	c := call(nil)
-	time.Sleep(headTime + lateLook)
+	time.Sleep(requestReadTimeout + finalReadGrace)
 	close(gate)
 	for _, b := range busy {
 		status, _, _, _ := b.answer()
@@ -492,7 +492,7 @@
 	}
 	text := request("late", "all", "", fourParts)
 	c.send(text[:100])
-	time.Sleep(3 * lateLook) // no verdict rests on its length: it is in the request's own time
+	time.Sleep(3 * finalReadGrace) // no verdict rests on its length: it is in the request's own time
 	status, _, _, _ := c.send(text[100:]).answer()
 	require.Equal(t, 200, status)
 	end()
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -21,282 +21,282 @@
 	"chalkring/internal/http1"
 )
 
-// front is the clients' side: it turns HTTP requests into searches for the owner and results into responses.
-type front struct {
-	o                *owner
-	gate             *gate
+// clientListener is the clients' side: it turns HTTP requests into searches for the owner and results into responses.
+type clientListener struct {
+	loop             *eventLoop
+	limiter          *connectionLimiter
 	classes, tenants map[string]int
-	stopping         context.Context // done once no new connections are taken, takeOn after the co-ordinator was told to end
+	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the co-ordinator was told to end
 }
 
 // accept takes clients' connections in until the listener is closed.
-func (f *front) accept() error {
-	o := f.o
+func (f *clientListener) accept() error {
+	o := f.loop
 	for taken := false; ; { // some connection, since the listener was last given its time
 		conn, err := o.Listener.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) { // see takeLast
+		if errors.Is(err, os.ErrDeadlineExceeded) { // see acceptLast
 			// Guards against a wait for room that lasts over that time: the others that have come would be reset.
 			if taken {
 				taken = false
-				o.takeLast()
+				o.acceptLast()
 				continue
 			}
 			o.Listener.Close()
 			err = net.ErrClosed
 		}
 		if errors.Is(err, net.ErrClosed) {
-			o.post(func() { o.ending = true })
+			o.submit(func() { o.listenerClosed = true })
 			return nil
 		}
 		if err != nil {
-			o.log.often("accept", "accept_failed", "error", err)
+			o.log.warnLimited("accept", "accept_failed", "error", err)
 			select {
-			case <-o.Clock.After(acceptPause):
+			case <-o.Clock.After(acceptRetryDelay):
 			case <-o.ctx.Done():
 			}
 			continue
 		}
 		taken = true
-		c := &client{
-			front: f, link: newLink(o.ctx, clientRoom), conn: conn,
+		c := &clientConnection{
+			clientListener: f, messageConn: newMessageConn(o.ctx, clientQueueSize), conn: conn,
 			answered: make(chan struct{}, 1),
 		}
 		c.log = o.log
-		if !f.gate.enter(c, o.ctx.Done()) {
+		if !f.limiter.admit(c, o.ctx.Done()) {
 			conn.Close()
 			return nil
 		}
-		c.first = time.Now().Add(headTime) // it may have waited for room longer than that
-		o.post(func() { o.clients[c.link] = true })
-		o.g.Go(func() error {
-			end := c.serve(conn, clientStall, c.read, c.wrote)
-			f.gate.leave(c)
-			o.post(func() {
-				delete(o.clients, c.link)
-				o.unsent.Add(-c.unsent.Swap(0))
-				if c.search != nil { // whichever way it ended: a search still on it has lost its client
-					o.withdraw(c.search)
+		c.firstDeadline = time.Now().Add(requestReadTimeout) // it may have waited for room longer than that
+		o.submit(func() { o.clients[c.messageConn] = true })
+		o.group.Go(func() error {
+			end := c.serve(conn, clientWriteTimeout, c.readRequests, c.handleWritten)
+			f.limiter.release(c)
+			o.submit(func() {
+				delete(o.clients, c.messageConn)
+				o.unsentBytes.Add(-c.unsentBytes.Swap(0))
+				if c.lastSearch != nil { // whichever way it ended: a search still on it has lost its client
+					o.withdrawSearch(c.lastSearch)
 				}
 			})
 			switch end {
-			case slow, garbled, crowded, stuck, displaced, faulty:
-				o.log.often("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
+			case endReadTimeout, endMalformed, endQueueFull, endWriteFailed, endDisplaced, endFault:
+				o.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
 			}
 			return nil
 		})
 	}
 }
 
-// client is one client's connection. Its fields are the reading goroutine's, but for over.
-type client struct {
-	*front
-	*link
-	place    *list.Element // in the gate's list, while no request is at work; the gate's
-	coming   bool          // a request is, and is not there yet; the gate's
-	conn     net.Conn
-	rd       *http1.Reader
-	now      func(p []byte) (int, error) // reads without waiting; nil where that is not known
-	first    time.Time                   // limit of the first request; zero once that is there
-	until    time.Time                   // of the request that is being read
-	search   *search                     // the last one
-	waiting  bool                        // for an answer
-	looked   time.Time                   // until when a last request is awaited, since the one before it; zero while it need not be
-	late     bool                        // its time was over and it was looked once more, since the request before
-	answered chan struct{}
-	over     atomic.Bool  // the last answer is out
-	more     atomic.Bool  // bytes have come behind the request that is open, as the co-ordinator stops
-	asked    atomic.Bool  // to make room for another; the gate's
-	unsent   atomic.Int64 // bytes of answers that it has not taken
+// clientConnection is one clientConnection's connection. Its fields are the reading goroutine's, but for over.
+type clientConnection struct {
+	*clientListener
+	*messageConn
+	idleElement       *list.Element // in the gate's list, while no request is at work; the gate's
+	requestBegun      bool          // a request is, and is not there yet; the gate's
+	conn              net.Conn
+	reader            *http1.Reader
+	readAvailable     func(p []byte) (int, error) // reads without waiting; nil where that is not known
+	firstDeadline     time.Time                   // limit of the first request; zero once that is there
+	requestDeadline   time.Time                   // of the request that is being read
+	lastSearch        *search                     // the last one
+	awaitingAnswer    bool                        // for an answer
+	stopReadDeadline  time.Time                   // until when a last request is awaited, since the one before it; zero while it need not be
+	extendedOnce      bool                        // its time was over and it was looked once more, since the request before
+	answered          chan struct{}
+	lastAnswerWritten atomic.Bool  // the last answer is out
+	hasPipelined      atomic.Bool  // bytes have come behind the request that is open, as the co-ordinator stops
+	askedToLeave      atomic.Bool  // to make room for another; the gate's
+	unsentBytes       atomic.Int64 // bytes of answers that it has not taken
 }
 
-func (c *client) awaits() bool {
+func (c *clientConnection) isAwaitingAnswer() bool {
 	select {
 	case <-c.answered:
-		c.waiting = false
+		c.awaitingAnswer = false
 	default:
 	}
-	return c.waiting
+	return c.awaitingAnswer
 }
 
 // Read reads on over the deadlines that others set to wake it.
-func (c *client) Read(p []byte) (int, error) {
+func (c *clientConnection) Read(p []byte) (int, error) {
 	for {
-		if c.more.Load() && !c.awaits() {
-			return 0, errInTurn
+		if c.hasPipelined.Load() && !c.isAwaitingAnswer() {
+			return 0, errNextRequest
 		}
 		n, err := c.conn.Read(p)
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
 		switch now := time.Now(); {
-		case c.over.Load() && !now.Before(c.until):
-			return 0, closing
-		case c.asked.Load() && !c.more.Load(): // what has been read ahead is looked at first
+		case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
+			return 0, endClosing
+		case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is looked at first
 			// Guards against a newcomer that makes room for the next before its request, which is there, has been read.
-			if c.now != nil {
-				if n, _ := c.now(p); n > 0 {
+			if c.readAvailable != nil {
+				if n, _ := c.readAvailable(p); n > 0 {
 					return n, nil
 				}
 			}
-			return 0, displaced
-		case !c.until.IsZero() && now.Before(c.until):
-			c.limit(c.until)
-		case c.until.IsZero() && c.awaits():
-			c.unlimited()
-		case c.until.IsZero() && c.looksOn(now):
-			c.limit(c.looked)
-		case !c.late:
+			return 0, endDisplaced
+		case !c.requestDeadline.IsZero() && now.Before(c.requestDeadline):
+			c.setReadDeadline(c.requestDeadline)
+		case c.requestDeadline.IsZero() && c.isAwaitingAnswer():
+			c.clearReadDeadline()
+		case c.requestDeadline.IsZero() && c.acceptsLateRequest(now):
+			c.setReadDeadline(c.stopReadDeadline)
+		case !c.extendedOnce:
 			// guards against a process that was held up: what came meanwhile lies there, and no time was left to read it
-			c.late = true
-			c.limit(now.Add(lateLook))
-		case !c.until.IsZero():
-			return 0, slow
+			c.extendedOnce = true
+			c.setReadDeadline(now.Add(finalReadGrace))
+		case !c.requestDeadline.IsZero():
+			return 0, endReadTimeout
 		case c.stopping.Err() != nil:
-			return 0, closing
+			return 0, endClosing
 		default:
-			return 0, unused
+			return 0, endIdle
 		}
 	}
 }
 
-// looksOn tells whether a request that comes soon is still taken, as the co-ordinator stops; more than one may wake it meanwhile.
-func (c *client) looksOn(now time.Time) bool {
+// acceptsLateRequest tells whether a request that comes soon is still taken, as the co-ordinator stops; more than one may wake it meanwhile.
+func (c *clientConnection) acceptsLateRequest(now time.Time) bool {
 	if c.stopping.Err() == nil {
 		return false
 	}
-	if c.looked.IsZero() {
-		c.looked = now.Add(stopQuiet)
+	if c.stopReadDeadline.IsZero() {
+		c.stopReadDeadline = now.Add(stopIdleTimeout)
 	}
-	return now.Before(c.looked)
+	return now.Before(c.stopReadDeadline)
 }
 
-// read takes requests one after another. While a search is on, it waits for the next request, and so sees
+// readRequests takes requests one after another. While a search is on, it waits for the next request, and so sees
 // the client leave.
-func (c *client) read(ctx context.Context) error {
-	unhook := context.AfterFunc(c.stopping, c.kick)
+func (c *clientConnection) readRequests(ctx context.Context) error {
+	unhook := context.AfterFunc(c.stopping, c.interruptRead)
 	defer unhook()
-	buf := lend()
-	defer giveBack(buf)
-	c.rd, c.now = http1.NewReader(c, (*buf)[:bufferSize]), atOnce(c.conn)
+	buf := borrowBuffer()
+	defer returnBuffer(buf)
+	c.reader, c.readAvailable = http1.NewReader(c, (*buf)[:bufferSize]), nonBlockingRead(c.conn)
 	for {
-		c.until = time.Time{}
+		c.requestDeadline = time.Time{}
 		switch {
-		case !c.first.IsZero():
-			c.rest(c.first)
-		case c.awaits():
-			c.unlimited()
+		case !c.firstDeadline.IsZero():
+			c.setIdleDeadline(c.firstDeadline)
+		case c.isAwaitingAnswer():
+			c.clearReadDeadline()
 		default:
-			c.rest(time.Now().Add(quietTime))
+			c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
 		}
-		if err := c.rd.AwaitMessage(); err != nil {
-			return endingOf(err)
+		if err := c.reader.AwaitMessage(); err != nil {
+			return connectionEndOf(err)
 		}
-		if c.awaits() {
-			next := c.ahead
-			if c.o.told() {
-				next = c.inTurn
+		if c.isAwaitingAnswer() {
+			next := c.handlePipelined
+			if c.loop.isStopping() {
+				next = c.awaitTurn
 			}
-			if err := next(ctx); err != nil && !c.over.Load() {
-				return endingOf(err)
+			if err := next(ctx); err != nil && !c.lastAnswerWritten.Load() {
+				return connectionEndOf(err)
 			}
 		}
 		// After what is awaited, since an answer sets it first. Guards against a request that is sent on though it was read
 		// after the shutdown: a last answer may go out between two looks.
-		if c.over.Load() {
+		if c.lastAnswerWritten.Load() {
 			c.linger((*buf)[:bufferSize])
-			return closing
+			return endClosing
 		}
-		c.gate.comes(c)
-		if c.until = c.first; c.first.IsZero() {
-			c.until = time.Now().Add(headTime)
-		} else if c.late {
-			c.until = time.Now().Add(lateLook)
+		c.limiter.markRequestBegun(c)
+		if c.requestDeadline = c.firstDeadline; c.firstDeadline.IsZero() {
+			c.requestDeadline = time.Now().Add(requestReadTimeout)
+		} else if c.extendedOnce {
+			c.requestDeadline = time.Now().Add(finalReadGrace)
 		}
-		c.limit(c.until)
-		method, target, head, body, keep, err := c.rd.ReadRequest()
-		came := c.o.Clock.Now()
-		c.first, c.looked, c.late = time.Time{}, time.Time{}, false
+		c.setReadDeadline(c.requestDeadline)
+		method, target, head, body, keep, err := c.reader.ReadRequest()
+		came := c.loop.Clock.Now()
+		c.firstDeadline, c.stopReadDeadline, c.extendedOnce = time.Time{}, time.Time{}, false
 		if err == nil {
-			c.gate.begin(c)
-			c.waiting = true
-			err = c.request(method, target, head, body, keep, came)
+			c.limiter.markBusy(c)
+			c.awaitingAnswer = true
+			err = c.handleRequest(method, target, head, body, keep, came)
 		}
-		var no refusal
+		var no requestError
 		var bad http1.InvalidMessageError
 		switch {
 		case errors.As(err, &no): // the next request can be told from this one
-			c.o.log.often("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", no.status, "error", no.text)
+			c.loop.log.warnLimited("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", no.status, "error", no.text)
 			c.respond(no.status, "", []byte("{}"), keep)
 		case errors.As(err, &bad):
-			c.o.log.often("bad_request", "bad_request", "client", c.conn.RemoteAddr().String(),
+			c.loop.log.warnLimited("bad_request", "bad_request", "client", c.conn.RemoteAddr().String(),
 				"status", bad.Status, "error", bad.Message)
 			c.respond(bad.Status, "", []byte("{}"), false)
 			c.linger((*buf)[:bufferSize])
-			c.settled(ctx)
-			return garbled
+			c.awaitAnswer(ctx)
+			return endMalformed
 		case err != nil:
-			return endingOf(err)
+			return connectionEndOf(err)
 		}
 	}
 }
 
-// ahead looks at bytes that came before the answer to the request before them. If that answer is on its way,
-// its client may have it already. Otherwise the client sends ahead, which the protocol rules out.
+// handlePipelined looks at bytes that came before the answer to the request before them. If that answer is on its way,
+// its client may have it already. Otherwise the client sends handlePipelined, which the protocol rules out.
 // Guards against hundreds of requests sent at once: the one that is open is withdrawn and gets an error.
-func (c *client) ahead(ctx context.Context) error {
-	s := c.search
-	c.o.post(func() {
-		if s != nil && !s.over {
-			c.link.behind = append(c.link.behind, c.o.withdraw(s)...)
-			c.o.log.often("sent_ahead", "sent_ahead", "client", c.conn.RemoteAddr().String())
+func (c *clientConnection) handlePipelined(ctx context.Context) error {
+	s := c.lastSearch
+	c.loop.submit(func() {
+		if s != nil && !s.ended {
+			c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, c.loop.withdrawSearch(s)...)
+			c.loop.log.warnLimited("sent_ahead", "sent_ahead", "client", c.conn.RemoteAddr().String())
 			c.respond(400, "", []byte("{}"), false)
 		}
 	})
-	return c.settled(ctx)
+	return c.awaitAnswer(ctx)
 }
 
-// inTurn waits for the answer to the request before, so that the next is taken after it. Guards, as the co-ordinator
+// awaitTurn waits for the answer to the request before, so that the next is taken after it. Guards, as the co-ordinator
 // stops, against a connection that is closed under a request: its client may have sent it before it could know. It reads
 // on meanwhile, as far as there is room, and so sees the client leave.
-func (c *client) inTurn(ctx context.Context) error {
-	c.more.Store(true)
-	defer c.more.Store(false)
-	for c.awaits() {
-		switch err := c.rd.ReadAhead(); {
+func (c *clientConnection) awaitTurn(ctx context.Context) error {
+	c.hasPipelined.Store(true)
+	defer c.hasPipelined.Store(false)
+	for c.isAwaitingAnswer() {
+		switch err := c.reader.ReadAhead(); {
 		case errors.Is(err, http1.ErrBufferFull):
-			return c.settled(ctx)
-		case err != nil && !errors.Is(err, errInTurn):
+			return c.awaitAnswer(ctx)
+		case err != nil && !errors.Is(err, errNextRequest):
 			return err
 		}
 	}
-	if c.over.Load() {
-		return closing
+	if c.lastAnswerWritten.Load() {
+		return endClosing
 	}
 	return nil
 }
 
-// errInTurn ends what is read ahead: the answer that was awaited is out.
-var errInTurn = errors.New("the next request's turn")
+// errNextRequest ends what is read ahead: the answer that was awaited is out.
+var errNextRequest = errors.New("the next request's turn")
 
-// settled waits for the answer that is awaited.
-func (c *client) settled(ctx context.Context) error {
+// awaitAnswer waits for the answer that is awaited.
+func (c *clientConnection) awaitAnswer(ctx context.Context) error {
 	select {
 	case <-c.answered:
-		c.waiting = false
+		c.awaitingAnswer = false
 	case <-ctx.Done():
-		return closing
+		return endClosing
 	}
-	if c.over.Load() {
-		return closing
+	if c.lastAnswerWritten.Load() {
+		return endClosing
 	}
 	return nil
 }
 
 // linger reads on with a last answer, which then is not cut off by a reset, so that the client can read why; not for good.
-func (c *client) linger(buf []byte) {
-	c.until = time.Now().Add(lingerTime)
-	c.limit(c.until)
-	for left := lingerMost; left > 0; {
+func (c *clientConnection) linger(buf []byte) {
+	c.requestDeadline = time.Now().Add(lingerTimeout)
+	c.setReadDeadline(c.requestDeadline)
+	for left := maxLingerBytes; left > 0; {
 		n, err := c.Read(buf)
 		if left -= n; err != nil {
 			return
@@ -304,183 +304,183 @@
 	}
 }
 
-// limit lets reading wait up to a time. Guards against a newcomer whose kick came just before.
-func (c *client) limit(at time.Time) {
+// setReadDeadline lets reading wait up to a time. Guards against a newcomer whose kick came just before.
+func (c *clientConnection) setReadDeadline(at time.Time) {
 	c.conn.SetReadDeadline(at)
-	if c.asked.Load() {
-		c.kick()
+	if c.askedToLeave.Load() {
+		c.interruptRead()
 	}
 }
 
-// rest lets the connection be unused up to a time. Guards against a stop whose kick came just before.
-func (c *client) rest(limit time.Time) {
-	c.limit(limit)
+// setIdleDeadline lets the connection be unused up to a time. Guards against a stop whose kick came just before.
+func (c *clientConnection) setIdleDeadline(limit time.Time) {
+	c.setReadDeadline(limit)
 	if c.stopping.Err() != nil {
-		c.kick()
+		c.interruptRead()
 	}
 }
 
-// unlimited reads on for as long as an answer is awaited. Guards against one that went out just then: the limit that it
+// clearReadDeadline reads on for as long as an answer is awaited. Guards against one that went out just then: the limit that it
 // set has been taken away.
-func (c *client) unlimited() {
+func (c *clientConnection) clearReadDeadline() {
 	c.conn.SetReadDeadline(time.Time{})
 	switch {
-	case c.awaits():
-	case c.over.Load():
-		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
+	case c.isAwaitingAnswer():
+	case c.lastAnswerWritten.Load():
+		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	default:
-		c.rest(time.Now().Add(quietTime))
+		c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
 	}
 }
 
-func (c *client) kick() { c.conn.SetReadDeadline(time.Unix(1, 0)) }
+func (c *clientConnection) interruptRead() { c.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// wrote is told of each answer that is out whole.
-func (c *client) wrote(p *parcel) error {
-	c.holds(-len(*p.b))
-	if p.last {
-		c.over.Store(true)
+// handleWritten is told of each answer that is out whole.
+func (c *clientConnection) handleWritten(p *outboundMessage) error {
+	c.addUnsent(-len(*p.buffer))
+	if p.closesConnection {
+		c.lastAnswerWritten.Store(true)
 		half, ok := c.conn.(interface{ CloseWrite() error })
 		if !ok || half.CloseWrite() != nil {
-			return closing
+			return endClosing
 		}
-		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
+		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
-	c.gate.rest(c, p.last)
+	c.limiter.markIdle(c, p.closesConnection)
 	select {
 	case c.answered <- struct{}{}:
 	default:
 	}
 	switch { // after it counts as answered: the reader that is woken here looks for that
-	case p.last:
-	case c.more.Load():
-		c.kick()
+	case p.closesConnection:
+	case c.hasPipelined.Load():
+		c.interruptRead()
 	default:
-		c.rest(time.Now().Add(quietTime))
+		c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
 	}
 	return nil
 }
 
-// ends tells what an answer says of its connection: keep, that it stays for further requests, and last, that it ends
+// keepAlive tells what an answer says of its connection: keep, that it stays for further requests, and last, that it keepAlive
 // here. As the co-ordinator stops, the client is told to close, and what it sends all the same is answered.
-func (c *client) ends(keeps bool) (keep, last bool) {
+func (c *clientConnection) keepAlive(keeps bool) (keep, last bool) {
 	if !keeps || c.stopping.Err() == nil {
 		return keeps, !keeps
 	}
-	last = c.o.lastly.Load()
-	return c.more.Load() && !last, last
+	last = c.loop.closeAfterAnswer.Load()
+	return c.hasPipelined.Load() && !last, last
 }
 
-func (c *client) respond(status int, extra string, body []byte, keep bool) {
-	keep, last := c.ends(keep)
-	b := lend()
+func (c *clientConnection) respond(status int, extra string, body []byte, keep bool) {
+	keep, last := c.keepAlive(keep)
+	b := borrowBuffer()
 	*b = http1.AppendResponse(*b, status, extra, body, keep)
-	c.give(&parcel{b: b, last: last})
+	c.sendAnswer(&outboundMessage{buffer: b, closesConnection: last})
 }
 
-// give hands an answer to the writer; until it is taken, it is held.
-func (c *client) give(p *parcel) {
-	c.holds(len(*p.b))
-	c.put(p)
+// sendAnswer hands an answer to the writer; until it is taken, it is held.
+func (c *clientConnection) sendAnswer(p *outboundMessage) {
+	c.addUnsent(len(*p.buffer))
+	c.enqueue(p)
 }
 
-func (c *client) holds(n int) {
-	c.unsent.Add(int64(n))
-	c.o.unsent.Add(int64(n))
+func (c *clientConnection) addUnsent(n int) {
+	c.unsentBytes.Add(int64(n))
+	c.loop.unsentBytes.Add(int64(n))
 }
 
-// refusal is what a request gets that can be read and not be used.
-type refusal struct {
+// requestError is what a request gets that can be read and not be used.
+type requestError struct {
 	status int
 	text   string
 }
 
-func (r refusal) Error() string { return r.text }
+func (r requestError) Error() string { return r.text }
 
-func refuse(format string, v ...any) error { return refusal{400, fmt.Sprintf(format, v...)} }
+func badRequest(format string, v ...any) error { return requestError{400, fmt.Sprintf(format, v...)} }
 
-// request hands one request to the owner.
-func (c *client) request(method, target string, head map[string]string, body []byte, keep bool,
+// handleRequest hands one handleRequest to the owner.
+func (c *clientConnection) handleRequest(method, target string, head map[string]string, body []byte, keep bool,
 	came time.Time,
 ) error {
-	o := c.o
-	path, key, err := place(target)
+	o := c.loop
+	path, key, err := parseTarget(target)
 	if err != nil {
-		return refuse("target %.40q", target)
+		return badRequest("target %.40q", target)
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	_, known := c.classes[first]
 	if path == "/healthz" && (method == "GET" || !known) { // a class may bear that name
 		if method != "GET" {
-			return refusal{405, "method of /healthz"}
+			return requestError{405, "method of /healthz"}
 		}
-		o.post(func() {
+		o.submit(func() {
 			status := 200
-			if !o.listed || o.told() {
+			if !o.hasEndpoints || o.isStopping() {
 				status = 503
 			}
 			c.respond(status, "", []byte("{}"), keep)
 		})
 		return nil
 	}
-	if path == "/metrics" && method == "GET" && (o.counts != nil || o.zones != nil) {
+	if path == "/metrics" && method == "GET" && (o.shadowCounts != nil || o.enforcer != nil) {
 		body := o.metricsBody()
-		o.post(func() { c.respond(200, "Content-Type: text/plain; version=0.0.4", body, keep) })
+		o.submit(func() { c.respond(200, "Content-Type: text/plain; version=0.0.4", body, keep) })
 		return nil
 	}
 	qtype, ok := c.classes[head["x-class"]]
 	switch {
 	case method != "POST" && known:
-		return refusal{405, "method of a search"}
+		return requestError{405, "method of a search"}
 	case method != "POST":
-		return refusal{404, "no such path"}
+		return requestError{404, "no such path"}
 	case !ok:
-		return refuse("X-Class %.40q", head["x-class"])
+		return badRequest("X-Class %.40q", head["x-class"])
 	case first != head["x-class"]:
-		return refuse("X-Class is not the path's")
+		return badRequest("X-Class is not the path's")
 	}
 	s := &search{
-		name: head["x-request-id"], key: key, qtype: qtype, came: came,
-		retry: head["x-retry"] == "1",
+		name: head["x-request-id"], key: key, class: qtype, arrivedAt: came,
+		isRetry: head["x-retry"] == "1",
 	}
-	if !plainName(s.name) {
-		return refuse("X-Request-Id %.40q", s.name)
+	if !isPlainName(s.name) {
+		return badRequest("X-Request-Id %.40q", s.name)
 	}
 	if s.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
-		return refuse("X-Tenant %.40q", head["x-tenant"])
+		return badRequest("X-Tenant %.40q", head["x-tenant"])
 	}
 	wait, err := strconv.ParseFloat(head["x-deadline"], 64)
 	if err != nil || strings.Trim(head["x-deadline"], "0123456789.") != "" || wait <= 0 {
-		return refuse("X-Deadline %.40q", head["x-deadline"])
+		return badRequest("X-Deadline %.40q", head["x-deadline"])
 	}
-	s.patience = o.within(time.Duration(math.Min(wait, longWait.Seconds())*float64(time.Second)), came)
-	if err := s.read(body, o.blocks); err != nil {
+	s.timeout = o.limitTimeout(time.Duration(math.Min(wait, maxClientTimeout.Seconds())*float64(time.Second)), came)
+	if err := s.readBody(body, o.blockCount); err != nil {
 		return err
 	}
-	if err := c.left(); err != nil {
+	if err := c.checkClientGone(); err != nil {
 		return err
 	}
-	s.reply = func(r result) { c.answer(r, keep) }
-	c.search, s.client = s, c
-	o.post(func() { o.take(s) })
+	s.reply = func(r searchOutcome) { c.writeAnswer(r, keep) }
+	c.lastSearch, s.client = s, c
+	o.submit(func() { o.startSearch(s) })
 	return nil
 }
 
-// left looks once more, without waiting, whether the client has gone. Guards against a request that is sent on for nobody,
+// checkClientGone looks once more, without waiting, whether the client has gone. Guards against a request that is sent on for nobody,
 // in a process that comes late to read it.
-func (c *client) left() error {
-	if c.now == nil {
+func (c *clientConnection) checkClientGone() error {
+	if c.readAvailable == nil {
 		return nil
 	}
-	err := c.rd.ReadAvailable(c.now)
+	err := c.reader.ReadAvailable(c.readAvailable)
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		return endingOf(err)
+		return connectionEndOf(err)
 	}
 	return nil // there is nothing more, or it is not known
 }
 
-// rawOf is a connection's socket, nil where it has none or is closed here.
-func rawOf(conn net.Conn) syscall.RawConn {
+// rawConnOf is a connection's socket, nil where it has none or is closed here.
+func rawConnOf(conn net.Conn) syscall.RawConn {
 	there, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
@@ -492,9 +492,9 @@
 	return raw
 }
 
-// gone tells whether the client has ended its side of the connection, as far as the system knows.
-func (c *client) gone() (ended bool) {
-	raw := rawOf(c.conn)
+// hasHungUp tells whether the client has ended its side of the connection, as far as the system knows.
+func (c *clientConnection) hasHungUp() (ended bool) {
+	raw := rawConnOf(c.conn)
 	if raw == nil {
 		return false
 	}
@@ -506,9 +506,9 @@
 	return ended || closed != nil
 }
 
-// atOnce gives a read of a connection that does not wait, made once for all its requests; nil where there is none.
-func atOnce(conn net.Conn) func(p []byte) (int, error) {
-	raw := rawOf(conn)
+// nonBlockingRead gives a read of a connection that does not wait, made once for all its requests; nil where there is none.
+func nonBlockingRead(conn net.Conn) func(p []byte) (int, error) {
+	raw := rawConnOf(conn)
 	if raw == nil {
 		return nil
 	}
@@ -528,21 +528,21 @@
 	}
 }
 
-// plainName tells whether text can stand in a frame's line.
-func plainName(text string) bool {
+// isPlainName tells whether text can stand in a frame's line.
+func isPlainName(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] <= ' ' || text[i] >= 127 {
 			return false
 		}
 	}
-	return text != "" && len(text) <= nameMost
+	return text != "" && len(text) <= maxRequestIDBytes
 }
 
-// place takes a target apart: its path, and what the request is about.
-func place(target string) (path, key string, err error) {
+// parseTarget takes a target apart: its path, and what the request is about.
+func parseTarget(target string) (path, key string, err error) {
 	path, query, _ := strings.Cut(target, "?")
 	key, plain := strings.CutPrefix(query, "k=")
-	if plainName(target) && target[0] == '/' && !strings.ContainsAny(target, "%+&;#") && (plain || query == "") {
+	if isPlainName(target) && target[0] == '/' && !strings.ContainsAny(target, "%+&;#") && (plain || query == "") {
 		return path, key, nil
 	}
 	u, err := url.ParseRequestURI(target)
@@ -552,39 +552,39 @@
 	return u.Path, u.Query().Get("k"), nil
 }
 
-// answer writes a final answer; an owner's call.
-func (c *client) answer(r result, keep bool) {
-	c.link.behind = append(c.link.behind, r.behind...)
-	switch r.kind {
-	case taken:
+// writeAnswer writes a final writeAnswer; an owner's call.
+func (c *clientConnection) writeAnswer(r searchOutcome, keep bool) {
+	c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, r.pendingWrites...)
+	switch r.outcome {
+	case outcomeDuplicateID:
 		c.respond(409, "", []byte("{}"), keep)
-	case barred:
-		status, body := barredBody(r.barred)
+	case outcomeResidencyRefused:
+		status, body := residencyRefusalBody(r.refusal)
 		c.respond(status, "", body, keep)
-	case errored:
+	case outcomeFailed:
 		c.respond(500, "", []byte("{}"), keep)
-	case shed:
+	case outcomeShed:
 		extra := ""
-		if r.retryIn > 0 {
-			extra = "Retry-After: " + strconv.FormatFloat(float64(r.retryIn)/10_000, 'f', 4, 64)
+		if r.retryAfter > 0 {
+			extra = "Retry-After: " + strconv.FormatFloat(float64(r.retryAfter)/10_000, 'f', 4, 64)
 		}
 		c.respond(503, extra, []byte("{}"), keep)
 	default:
-		size, plain := answerSize(r)
-		b := lend()
-		if size+headRoom > cap(*b) {
-			giveBack(b)
+		size, plain := answerBodySize(r)
+		b := borrowBuffer()
+		if size+responseHeadRoom > cap(*b) {
+			returnBuffer(b)
 			b = new([]byte)
-			*b = make([]byte, 0, size+headRoom)
+			*b = make([]byte, 0, size+responseHeadRoom)
 		}
 		if !plain { // what is escaped has to be written before its length is known
-			*b = appendAnswer(*b, r)
+			*b = appendAnswerBody(*b, r)
 			c.respond(200, "", *b, keep)
-			giveBack(b)
+			returnBuffer(b)
 			return
 		}
-		keep, last := c.ends(keep)
-		*b = appendAnswer(http1.AppendResponseHead(*b, 200, "", size, keep), r)
-		c.give(&parcel{b: b, last: last})
+		keep, last := c.keepAlive(keep)
+		*b = appendAnswerBody(http1.AppendResponseHead(*b, 200, "", size, keep), r)
+		c.sendAnswer(&outboundMessage{buffer: b, closesConnection: last})
 	}
 }
--- a/coordinator/connect_test.go
+++ b/coordinator/connect_test.go
@@ -50,21 +50,21 @@
 // A further way is tried only where none is up in time, the one that is up first is used, and the others are closed.
 func TestConnect(t *testing.T) {
 	gone := errors.New("refused")
-	type ways = [dialMost]func(ctx context.Context) (net.Conn, error)
+	type ways = [maxParallelDials]func(ctx context.Context) (net.Conn, error)
 	for name, x := range map[string]struct {
-		ways  [dialMost]func(ctx context.Context) (net.Conn, error)
+		ways  [maxParallelDials]func(ctx context.Context) (net.Conn, error)
 		dials int
 		fails error
 	}{
 		"quick":          {ways{up(0)}, 1, nil},
 		"refused":        {ways{fail(gone), up(0)}, 1, gone},
-		"late":           {ways{up(5 * dialAgain), up(0)}, 2, nil},
+		"late":           {ways{up(5 * maxRedialDelay), up(0)}, 2, nil},
 		"silent":         {ways{silent, up(0)}, 2, nil},
 		"both silent":    {ways{silent, silent, up(0)}, 3, nil},
 		"all silent":     {ways{silent, silent, silent}, 3, context.DeadlineExceeded},
-		"all late":       {ways{up(5 * dialAgain), up(6 * dialAgain), up(7 * dialAgain)}, 3, nil},
-		"second refused": {ways{up(3 * dialAgain / 2), fail(gone)}, 2, nil},
-		"third refused":  {ways{up(4 * dialAgain), silent, fail(gone)}, 3, nil},
+		"all late":       {ways{up(5 * maxRedialDelay), up(6 * maxRedialDelay), up(7 * maxRedialDelay)}, 3, nil},
+		"second refused": {ways{up(3 * maxRedialDelay / 2), fail(gone)}, 2, nil},
+		"third refused":  {ways{up(4 * maxRedialDelay), silent, fail(gone)}, 3, nil},
 		"refused late":   {ways{silent, fail(gone), fail(gone)}, 3, context.DeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			var mu sync.Mutex
 			var made []*counted
 			g := &errgroup.Group{}
-			o := &owner{g: g, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			o := &eventLoop{group: g, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				conn, err := x.ways[dials.Add(1)-1](ctx)
 				if err != nil {
 					return nil, err
@@ -83,9 +83,9 @@
 				mu.Unlock()
 				return c, nil
 			}}}
-			ctx, stop := context.WithTimeout(context.Background(), 10*dialAgain)
+			ctx, stop := context.WithTimeout(context.Background(), 10*maxRedialDelay)
 			defer stop()
-			conn, err := o.connect(ctx, "x", dialAgain, 5)
+			conn, err := o.dialWithRetries(ctx, "x", maxRedialDelay, 5)
 			require.NoError(t, g.Wait())
 			require.EqualValues(t, x.dials, dials.Load())
 			require.ErrorIs(t, err, x.fails)
--- a/coordinator/connections.go
+++ b/coordinator/connections.go
@@ -16,49 +16,49 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ending is how a connection came to its end. It is the error of all code on that connection.
-type ending int
+// connectionEnd is how a connection came to its end. It is the error of all code on that connection.
+type connectionEnd int
 
 const (
-	_          ending = iota
-	notUp             // refused, or not up in time
-	starved           // not opened: this side has no descriptor or port left
-	peerLeft          // the other side closed it between messages
-	broken            // reset, or cut inside a message
-	stuck             // a write failed or did not end in time
-	slow              // a message was begun and not finished in time
-	garbled           // what came cannot be used
-	complained        // the other side could not use what we sent
-	crowded           // its backlog was full
-	unused            // closed here: nothing was on it for long
-	retired           // closed here: its replica is gone or moved, or it has gone silent
-	displaced         // closed here: it was longest at rest, and another needed its descriptor
-	closing           // closed here after a last answer, or as the co-ordinator stops
-	faulty            // closed here: what was done with what came has a fault
+	_                 connectionEnd = iota
+	endNotConnected                 // refused, or not up in time
+	endNoDescriptors                // not opened: this side has no descriptor or port left
+	endPeerClosed                   // the other side closed it between messages
+	endReset                        // reset, or cut inside a message
+	endWriteFailed                  // a write failed or did not end in time
+	endReadTimeout                  // a message was begun and not finished in time
+	endMalformed                    // what came cannot be used
+	endRejectedByPeer               // the other side could not use what we sent
+	endQueueFull                    // its backlog was full
+	endIdle                         // closed here: nothing was on it for long
+	endRetired                      // closed here: its replica is gone or moved, or it has gone silent
+	endDisplaced                    // closed here: it was longest at rest, and another needed its descriptor
+	endClosing                      // closed here after a last answer, or as the co-ordinator stops
+	endFault                        // closed here: what was done with what came has a fault
 )
 
-var endingWords = [...]string{
+var connectionEndNames = [...]string{
 	"", "not_up", "starved", "peer_left", "broken", "stuck", "slow", "garbled",
 	"complained", "crowded", "unused", "retired", "displaced", "closing", "faulty",
 }
 
-func (e ending) Error() string { return endingWords[e] }
+func (e connectionEnd) Error() string { return connectionEndNames[e] }
 
-// outcome is the one place where ends of connections become the module's words. What the other side ended: a
+// attemptOutcome is the one place where ends of connections become the module's words. What the other side ended: a
 // part whose frame was never on it whole could not connect, any other was reset; but on a connection that had
 // proved to work the first was just never sent, since no connect had failed. What this side ended: a part
 // was never sent, or was called off, and may have run; the replica is not down for that. Guards against a
 // spoilt answer that stands for a crash. But whoever spoils an answer has failed one part, the first.
-func (e ending) outcome(written, first, worked bool) string {
+func (e connectionEnd) attemptOutcome(written, first, worked bool) string {
 	switch e {
-	case notUp, peerLeft, broken, stuck:
+	case endNotConnected, endPeerClosed, endReset, endWriteFailed:
 		if written {
 			return "ResetByPeer"
 		}
 		if !worked {
 			return "ConnectError"
 		}
-	case slow, garbled, complained, faulty:
+	case endReadTimeout, endMalformed, endRejectedByPeer, endFault:
 		if written && first {
 			return "Failed"
 		}
@@ -69,175 +69,177 @@
 	return "Ignored"
 }
 
-// certain tells whether a connection's end leaves no doubt that what was out on it is over for the other side too: that
+// isCertain tells whether a connection's end leaves no doubt that what was out on it is over for the other side too: that
 // side has ended it, or had just been heard as this side did. Our own end of a connection that has fallen silent does not
 // arrive.
-func (e ending) certain() bool {
+func (e connectionEnd) isCertain() bool {
 	switch e {
-	case notUp, peerLeft, broken, garbled, complained, faulty:
+	case endNotConnected, endPeerClosed, endReset, endMalformed, endRejectedByPeer, endFault:
 		return true
 	}
 	return false
 }
 
-// endingOf names what reading met.
-func endingOf(err error) ending {
-	var e ending
+// connectionEndOf names what reading met.
+func connectionEndOf(err error) connectionEnd {
+	var e connectionEnd
 	switch {
 	case errors.As(err, &e):
 		return e
 	case err == io.EOF:
-		return peerLeft
-	case errors.Is(err, context.Canceled), errors.Is(err, errDone):
-		return closing
+		return endPeerClosed
+	case errors.Is(err, context.Canceled), errors.Is(err, errAllAnswered):
+		return endClosing
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return slow
+		return endReadTimeout
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS),
 		errors.Is(err, syscall.EADDRNOTAVAIL):
-		return starved
+		return endNoDescriptors
 	}
-	return broken
+	return endReset
 }
 
 // buffers and readers are all of one size; what outgrew it is left to the collector.
 var (
-	buffers = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
+	buffers         = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
+	bufferedReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 )
 
-func lend() *[]byte { return buffers.Get().(*[]byte) }
+func borrowBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
-func giveBack(b *[]byte) {
+func returnBuffer(b *[]byte) {
 	if cap(*b) == bufferSize {
 		*b = (*b)[:0]
 		buffers.Put(b)
 	}
 }
 
-// parcel is one message on its way to a socket.
-type parcel struct {
-	b       *[]byte
-	last    bool // the connection ends after it
-	fenced  bool // it may not be begun once the link's fence is up
-	limited bool // it may not be begun after a time that the link knows
-	stage   atomic.Int32
+// outboundMessage is one message on its way to a socket.
+type outboundMessage struct {
+	buffer           *[]byte
+	closesConnection bool // the connection ends after it
+	leaseFenced      bool // it may not be begun once the link's fence is up
+	hasDeadline      bool // it may not be begun after a time that the link knows
+	stage            atomic.Int32
 }
 
 const (
-	queued int32 = iota
-	begun
-	written
-	called // back before it was begun
+	stageQueued int32 = iota
+	stageWriting
+	stageWritten
+	stageRecalled // back before it was begun
 )
 
 // recall takes a parcel back; false where its first byte may be out.
-func (p *parcel) recall() bool { return p.stage.CompareAndSwap(queued, called) }
+func (p *outboundMessage) recall() bool { return p.stage.CompareAndSwap(stageQueued, stageRecalled) }
 
-// link is one connection: its socket, and what waits to be written to it.
-type link struct {
-	backlog chan *parcel
-	end     context.CancelCauseFunc
-	ctx     context.Context
+// messageConn is one connection: its socket, and what waits to be written to it.
+type messageConn struct {
+	queue chan *outboundMessage
+	end   context.CancelCauseFunc
+	ctx   context.Context
 
-	fence  func() bool     // the writer asks it of each parcel that is fenced; nil for none
-	clock  func() int64    // and for the time where one is limited; nil for none
-	limits sync.Map        // of those that are: until when each may be begun
-	missed func(p *parcel) // is told of each for which it was, and that was taken back
+	leaseExpired     func() bool              // the writer asks it of each parcel that is fenced; nil for none
+	clockTicks       func() int64             // and for the time where one is limited; nil for none
+	deadlines        sync.Map                 // of those that are: until when each may be begun
+	onMissedDeadline func(p *outboundMessage) // is told of each for which it was, and that was taken back
 
-	log *notes // of faults; nil for none
+	log *asyncLogger // of faults; nil for none
 
-	behind []behind    // what has to be out before the next message; who puts that sets it
-	ended  atomic.Bool // the writer has
+	pendingWrites []pendingWrite // what has to be out before the next message; who puts that sets it
+	writerEnded   atomic.Bool    // the writer has
 }
 
-// behind is a message that is begun on another connection.
-type behind struct {
-	l *link
-	p *parcel
+// pendingWrite is a message that is begun on another connection.
+type pendingWrite struct {
+	conn    *messageConn
+	message *outboundMessage
 }
 
-// out tells that it is out whole, or never will be.
-func (b behind) out() bool { return b.p.stage.Load() != begun || b.l.ended.Load() }
+// isWritten tells that it is isWritten whole, or never will be.
+func (b pendingWrite) isWritten() bool {
+	return b.message.stage.Load() != stageWriting || b.conn.writerEnded.Load()
+}
 
-// settle waits until all is out. Guards against a part that is sent on after its search's final answer: its write may
+// awaitWritten waits until all is out. Guards against a part that is sent on after its search's final answer: its write may
 // have been begun and not done, in a process that is held up between the two. One that does not come out ends its
 // connection. It mostly is out at once, so it is looked for and not told of.
-func settle(all []behind) {
+func awaitWritten(all []pendingWrite) {
 	for _, b := range all {
-		for tries := 0; !b.out(); tries++ {
+		for tries := 0; !b.isWritten(); tries++ {
 			switch {
-			case tries < begunTries:
+			case tries < writeWaitYields:
 				runtime.Gosched()
-			case tries == begunTries+int(begunMost/begunLook):
-				b.l.end(retired)
+			case tries == writeWaitYields+int(maxWriteWait/writeWaitPoll):
+				b.conn.end(endRetired)
 			default:
-				time.Sleep(begunLook)
+				time.Sleep(writeWaitPoll)
 			}
 		}
 	}
 }
 
-// late tells whether the time of a limited parcel to be begun is over; asked once of each.
-func (l *link) late(p *parcel) bool {
-	by, _ := l.limits.LoadAndDelete(p)
-	return l.clock() > by.(int64)
+// missedDeadline tells whether the time of a limited parcel to be begun is over; asked once of each.
+func (l *messageConn) missedDeadline(p *outboundMessage) bool {
+	by, _ := l.deadlines.LoadAndDelete(p)
+	return l.clockTicks() > by.(int64)
 }
 
-func newLink(ctx context.Context, room int) *link {
-	l := &link{backlog: make(chan *parcel, room)}
+func newMessageConn(ctx context.Context, room int) *messageConn {
+	l := &messageConn{queue: make(chan *outboundMessage, room)}
 	l.ctx, l.end = context.WithCancelCause(ctx)
 	return l
 }
 
-// put hands a message over without waiting; a full backlog ends the connection.
-func (l *link) put(p *parcel) {
+// enqueue hands a message over without waiting; a full backlog ends the connection.
+func (l *messageConn) enqueue(p *outboundMessage) {
 	select {
-	case l.backlog <- p:
+	case l.queue <- p:
 	default:
-		l.end(crowded)
+		l.end(endQueueFull)
 	}
 }
 
 // serve runs a connection to its end: read in one goroutine, the writer in another. Deadlines of sockets
 // are told by the system's clock, whichever the owner has.
-func (l *link) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
-	wrote func(*parcel) error,
-) ending {
+func (l *messageConn) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
+	wrote func(*outboundMessage) error,
+) connectionEnd {
 	g, ctx := errgroup.WithContext(l.ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
-	g.Go(func() error { return l.log.contain(func() error { return read(ctx) }) })
+	g.Go(func() error { return l.log.recoverPanic(func() error { return read(ctx) }) })
 	write := func() error {
-		var together []*parcel
-		defer l.ended.Store(true)
+		var together []*outboundMessage
+		defer l.writerEnded.Store(true)
 		for {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case p := <-l.backlog:
+			case p := <-l.queue:
 				if ctx.Err() != nil { // guards against a message that is begun after the reader has seen the end
 					return ctx.Err()
 				}
 				conn.SetWriteDeadline(time.Now().Add(stall))
-				if err := l.write(conn, p, &together, wrote); err != nil {
+				if err := l.writeCoalesced(conn, p, &together, wrote); err != nil {
 					return err
 				}
 			}
 		}
 	}
-	g.Go(func() error { return l.log.contain(write) })
+	g.Go(func() error { return l.log.recoverPanic(write) })
 	err := g.Wait()
 	if cause := context.Cause(l.ctx); cause != nil {
 		err = cause // this side ended it: reads and writes failed for that
 	}
-	end := endingOf(err)
+	end := connectionEndOf(err)
 	l.end(end) // a context that is not ended stays with its parent for good
 	return end
 }
 
-// write writes a message, and in one piece with it those that wait behind it and are small.
-func (l *link) write(conn net.Conn, p *parcel, room *[]*parcel, wrote func(*parcel) error) error {
+// writeCoalesced writes a message, and in one piece with it those that wait behind it and are small.
+func (l *messageConn) writeCoalesced(conn net.Conn, p *outboundMessage, room *[]*outboundMessage, wrote func(*outboundMessage) error) error {
 	all := (*room)[:0]
 	defer func() {
 		clear(all)
@@ -245,21 +247,21 @@
 	}()
 	for size := 0; p != nil; {
 		switch { // guards against a process that was stopped and goes on where it was, and a socket that took nothing for a while
-		case p.fenced && l.fence():
+		case p.leaseFenced && l.leaseExpired():
 			p.recall()
-		case p.limited && l.late(p) && p.recall():
-			l.missed(p)
+		case p.hasDeadline && l.missedDeadline(p) && p.recall():
+			l.onMissedDeadline(p)
 		}
-		if p.stage.CompareAndSwap(queued, begun) { // next to the write: what was begun may be out
-			size += len(*p.b)
-			if all = append(all, p); p.last || size > togetherMost || len(all) == togetherRoom {
+		if p.stage.CompareAndSwap(stageQueued, stageWriting) { // next to the write: what was begun may be out
+			size += len(*p.buffer)
+			if all = append(all, p); p.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
 				break
 			}
 		} else {
-			giveBack(p.b)
+			returnBuffer(p.buffer)
 		}
 		select {
-		case p = <-l.backlog:
+		case p = <-l.queue:
 		default:
 			p = nil
 		}
@@ -267,33 +269,33 @@
 	if len(all) == 0 {
 		return nil
 	}
-	out := all[0].b
+	out := all[0].buffer
 	if len(all) > 1 {
-		out = lend()
-		defer giveBack(out)
+		out = borrowBuffer()
+		defer returnBuffer(out)
 		for _, p := range all {
-			*out = append(*out, *p.b...)
+			*out = append(*out, *p.buffer...)
 		}
 	}
-	if len(l.behind) > 0 {
-		settle(l.behind)
-		clear(l.behind)
-		l.behind = l.behind[:0]
+	if len(l.pendingWrites) > 0 {
+		awaitWritten(l.pendingWrites)
+		clear(l.pendingWrites)
+		l.pendingWrites = l.pendingWrites[:0]
 	}
 	n, err := conn.Write(*out)
 	for _, p := range all {
-		if n -= len(*p.b); n < 0 { // it is not out whole, nor is what is behind it
-			return stuck
+		if n -= len(*p.buffer); n < 0 { // it is not out whole, nor is what is behind it
+			return endWriteFailed
 		}
-		p.stage.Store(written)
+		p.stage.Store(stageWritten)
 		err := wrote(p)
-		giveBack(p.b)
+		returnBuffer(p.buffer)
 		if err != nil {
 			return err
 		}
 	}
 	if err != nil {
-		return stuck
+		return endWriteFailed
 	}
 	return nil
 }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -211,10 +211,10 @@
 	// A host may have a frame before its writer here has noted that it is out.
 	r.eventually("all frames are noted as written", func() bool {
 		out := make(chan int, 1)
-		r.owner.post(func() {
+		r.owner.submit(func() {
 			done := 0
-			for _, p := range r.owner.parts {
-				if len(p.subs) > 0 && p.subs[0].call.parcel.stage.Load() == written {
+			for _, p := range r.owner.shardRequests {
+				if len(p.attempts) > 0 && p.attempts[0].batch.message.stage.Load() == stageWritten {
 					done++
 				}
 			}
@@ -409,19 +409,19 @@
 func TestNoiseBehindAnswer(t *testing.T) {
 	here, there := net.Pipe()
 	defer here.Close()
-	o := &owner{queue: make(chan func(), 4), ctx: context.Background(), log: newNotes(SystemClock{}, slog.DiscardHandler)}
-	l := &line{link: newLink(o.ctx, 1), r: &replica{id: "a0"}, past: map[string]uint64{"q.1": 1}}
+	o := &eventLoop{tasks: make(chan func(), 4), ctx: context.Background(), log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
+	l := &replicaConnection{messageConn: newMessageConn(o.ctx, 1), replica: &replica{id: "a0"}, recentIDs: map[string]uint64{"q.1": 1}}
 	go func() {
 		asked{ID: "q.1", Conn: there}.ReplyGood()
 		asked{ID: "q.1", Conn: writesMore{there, []byte("noise")}}.ReplyGood()
 	}()
 	heard := make(chan error, 1)
-	go func() { heard <- frames{}.hear(o, l, here) }()
-	(<-o.queue)()
-	require.False(t, l.shut)
-	(<-o.queue)()
-	require.True(t, l.shut)
-	require.Equal(t, garbled, <-heard)
+	go func() { heard <- frameProtocol{}.readAnswers(o, l, here) }()
+	(<-o.tasks)()
+	require.False(t, l.closedToNew)
+	(<-o.tasks)()
+	require.True(t, l.closedToNew)
+	require.Equal(t, endMalformed, <-heard)
 }
 
 // A connection that falls silent takes no more parts, and is ended once its replica answers on another: what it
@@ -442,7 +442,7 @@
 	c.send(request("swallowed", "all", "", fourParts))
 	r.eventually("it is out", func() bool { return dead.Load() != nil })
 	for i := range 5 {
-		time.Sleep(120 * time.Millisecond) // over doubtLeast
+		time.Sleep(120 * time.Millisecond) // over minDoubtDelay
 		d.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
 	}
 	status, _, text, _ := c.answer()
@@ -517,30 +517,30 @@
 		_, err := there.Write([]byte("x"))
 		require.NoError(t, err)
 	}
-	f := &front{stopping: context.Background()}
-	c := &client{front: f, conn: here, answered: make(chan struct{}, 1), until: time.Now().Add(patience)}
-	c.kick()
+	f := &clientListener{stopping: context.Background()}
+	c := &clientConnection{clientListener: f, conn: here, answered: make(chan struct{}, 1), requestDeadline: time.Now().Add(patience)}
+	c.interruptRead()
 	send()
 	n, err := c.Read(make([]byte, 1))
 	require.Equal(t, 1, n)
 	require.NoError(t, err)
-	c.until = time.Unix(1, 0)
-	c.kick()
+	c.requestDeadline = time.Unix(1, 0)
+	c.interruptRead()
 	_, err = c.Read(make([]byte, 1))
-	require.Equal(t, slow, endingOf(err))
-	c.until = time.Time{}
+	require.Equal(t, endReadTimeout, connectionEndOf(err))
+	c.requestDeadline = time.Time{}
 	_, err = c.Read(make([]byte, 1))
-	require.Equal(t, unused, endingOf(err))
+	require.Equal(t, endIdle, connectionEndOf(err))
 	stopping, stop := context.WithCancel(context.Background())
 	stop()
 	c.stopping = stopping
-	c.kick()
+	c.interruptRead()
 	send() // before the last look
 	n, err = c.Read(make([]byte, 1))
 	require.Equal(t, 1, n)
 	require.NoError(t, err)
 	_, err = c.Read(make([]byte, 1))
-	require.Equal(t, closing, endingOf(err))
+	require.Equal(t, endClosing, connectionEndOf(err))
 }
 
 // A replica that refuses connections, and one that never was where the list says, cost no search.
@@ -557,25 +557,25 @@
 }
 
 func TestOutcomesOfEndings(t *testing.T) {
-	want := map[ending][3]string{} // frame not out whole; out, the first part; out, the others
-	for _, e := range []ending{notUp, peerLeft, broken, stuck} {
+	want := map[connectionEnd][3]string{} // frame not out whole; out, the first part; out, the others
+	for _, e := range []connectionEnd{endNotConnected, endPeerClosed, endReset, endWriteFailed} {
 		want[e] = [3]string{"ConnectError", "ResetByPeer", "ResetByPeer"}
 	}
-	for _, e := range []ending{slow, garbled, complained} {
+	for _, e := range []connectionEnd{endReadTimeout, endMalformed, endRejectedByPeer} {
 		want[e] = [3]string{"Ignored", "Failed", "Canceled"}
 	}
-	for _, e := range []ending{starved, crowded, unused, retired, displaced, closing} {
+	for _, e := range []connectionEnd{endNoDescriptors, endQueueFull, endIdle, endRetired, endDisplaced, endClosing} {
 		want[e] = [3]string{"Ignored", "Canceled", "Canceled"}
 	}
-	for e := notUp; e <= closing; e++ {
-		require.Equal(t, want[e], [3]string{e.outcome(false, true, false), e.outcome(true, true, false), e.outcome(true, false, false)},
+	for e := endNotConnected; e <= endClosing; e++ {
+		require.Equal(t, want[e], [3]string{e.attemptOutcome(false, true, false), e.attemptOutcome(true, true, false), e.attemptOutcome(true, false, false)},
 			e.Error())
-		require.Equal(t, "Ignored", e.outcome(false, true, true), "it had worked: %s", e)
+		require.Equal(t, "Ignored", e.attemptOutcome(false, true, true), "it had worked: %s", e)
 		require.NotEmpty(t, e.Error())
 	}
-	require.Equal(t, starved, endingOf(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
-	require.Equal(t, peerLeft, endingOf(io.EOF))
-	require.Equal(t, broken, endingOf(io.ErrUnexpectedEOF))
+	require.Equal(t, endNoDescriptors, connectionEndOf(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
+	require.Equal(t, endPeerClosed, connectionEndOf(io.EOF))
+	require.Equal(t, endReset, connectionEndOf(io.ErrUnexpectedEOF))
 }
 
 // The list: draining and removed replicas get nothing new, what cannot be used changes nothing and is asked
@@ -626,12 +626,12 @@
 // wait counts as a failed call.
 func TestListWithoutEnd(t *testing.T) {
 	list := script(t)
-	o := &owner{
+	o := &eventLoop{
 		plan: &plan.Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
 		Options: Options{Dial: (&net.Dialer{}).DialContext},
 	}
 	list.Responses <- `{"version":0,"full":true,"servers":[]}`
-	require.ErrorContains(t, o.watch(o.ctx, &asking{at: o.plan.Discovery}, nil), "nothing new")
+	require.ErrorContains(t, o.watchDiscovery(o.ctx, &discoveryState{addr: o.plan.Discovery}, nil), "nothing new")
 	require.Equal(t, "/v1/servers?index=0&wait=2000", <-list.Targets)
 	close(list.Responses)
 }
@@ -646,7 +646,7 @@
 	require.Less(t, time.Since(began), 4*time.Second+patience/2)
 	require.Contains(t, r.log.String(), "event=list_failed")
 	for n, want := range map[string]time.Duration{"1": 2, "3": 3, "150": 20} {
-		o := &owner{plan: &plan.Plan{Settings: map[string]string{"Balancers": n}}}
+		o := &eventLoop{plan: &plan.Plan{Settings: map[string]string{"Balancers": n}}}
 		require.Equal(t, want*time.Second, o.watchWait())
 	}
 }
@@ -795,7 +795,7 @@
 	require.Contains(t, []int{500, 503}, status)
 	require.Less(t, time.Until(kill), time.Second) // it was tried until then
 	require.Less(t, time.Since(kill), busy)
-	time.Sleep(time.Until(kill.Add(-killPad)))
+	time.Sleep(time.Until(kill.Add(-killMargin)))
 	late.send(request("last", "all", "", fourParts))
 	status, _, _, _ = late.answer()
 	require.Contains(t, []int{500, 503}, status)
@@ -807,52 +807,52 @@
 func TestStuckSocket(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
-	l := newLink(context.Background(), 2)
-	parcels := make([]*parcel, 4)
+	l := newMessageConn(context.Background(), 2)
+	parcels := make([]*outboundMessage, 4)
 	for i := range parcels {
-		b := lend()
+		b := borrowBuffer()
 		*b = append(*b, "text"...)
-		parcels[i] = &parcel{b: b}
+		parcels[i] = &outboundMessage{buffer: b}
 	}
-	l.put(parcels[0])
-	l.put(parcels[1])
+	l.enqueue(parcels[0])
+	l.enqueue(parcels[1])
 	require.True(t, parcels[1].recall())
 	end := l.serve(here, 20*time.Millisecond, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
-		func(*parcel) error { return nil })
-	require.Equal(t, stuck, end)
-	require.Equal(t, stuck, context.Cause(l.ctx), "its context would stay with the parent's")
-	require.Equal(t, begun, parcels[0].stage.Load())
+		func(*outboundMessage) error { return nil })
+	require.Equal(t, endWriteFailed, end)
+	require.Equal(t, endWriteFailed, context.Cause(l.ctx), "its context would stay with the parent's")
+	require.Equal(t, stageWriting, parcels[0].stage.Load())
 	require.False(t, parcels[0].recall())
-	require.Equal(t, called, parcels[1].stage.Load())
-	l = newLink(context.Background(), 2)
+	require.Equal(t, stageRecalled, parcels[1].stage.Load())
+	l = newMessageConn(context.Background(), 2)
 	for _, p := range parcels[1:] {
-		l.put(p)
+		l.enqueue(p)
 	}
-	require.Equal(t, crowded, context.Cause(l.ctx))
+	require.Equal(t, endQueueFull, context.Cause(l.ctx))
 }
 
 // oneOut is a search with one sub-request out, its frame at that stage.
-func oneOut(stage int32) (*owner, *line, *search) {
-	o := &owner{plan: &plan.Plan{}, searches: map[uint64]*search{}, names: map[string]bool{}, parts: map[uint64]*part{}, copies: true}
-	l := &line{link: newLink(context.Background(), 2), r: &replica{id: "a0"}, speaks: frames{}, calls: 1}
+func oneOut(stage int32) (*eventLoop, *replicaConnection, *search) {
+	o := &eventLoop{plan: &plan.Plan{}, searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, allowsSecondCopies: true}
+	l := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
 	s := &search{id: 1, name: "q"}
-	p := &part{id: 2, s: s, untold: 1}
-	sub := &subRequest{p: p, name: "q.0", call: &call{line: l, parcel: &parcel{}}}
-	sub.call.subs, l.subs, p.subs, s.parts = []*subRequest{sub}, []*subRequest{sub}, []*subRequest{sub}, []*part{p}
-	o.searches[1], o.parts[2] = s, p
-	sub.call.parcel.stage.Store(stage)
+	p := &shardRequest{id: 2, search: s, unreported: 1}
+	sub := &attempt{shardRequest: p, name: "q.0", batch: &batch{connection: l, message: &outboundMessage{}}}
+	sub.batch.attempts, l.attempts, p.attempts, s.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{p}
+	o.searches[1], o.shardRequests[2] = s, p
+	sub.batch.message.stage.Store(stage)
 	return o, l, s
 }
 
 // A final answer waits for a frame of its search that is begun, and ends the connection of one that does not come out;
 // one that is out is not waited for, and its connection stays.
 func TestNothingAfterTheAnswer(t *testing.T) {
-	for stage, ends := range map[int32]bool{begun: true, written: false} {
+	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		o, l, s := oneOut(stage)
-		first := o.finish(s)
+		first := o.finishSearch(s)
 		require.Equal(t, ends, len(first) == 1, "stage %d", stage)
-		context.AfterFunc(l.ctx, func() { l.ended.Store(true) }) // as its writer would
-		settle(first)
+		context.AfterFunc(l.ctx, func() { l.writerEnded.Store(true) }) // as its writer would
+		awaitWritten(first)
 		require.Equal(t, ends, l.ctx.Err() != nil, "stage %d", stage)
 	}
 }
@@ -860,15 +860,15 @@
 // So it does for a frame whose sub-request was given up before: a second copy, say, called off when the first has answered.
 // One given up after the answer holds nothing.
 func TestNothingGivenUpAfterTheAnswer(t *testing.T) {
-	for stage, ends := range map[int32]bool{begun: true, written: false} {
+	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		o, _, s := oneOut(stage)
 		o.CancelAttempt(2, 0)
-		require.Equal(t, ends, len(o.finish(s)) == 1, "stage %d", stage)
+		require.Equal(t, ends, len(o.finishSearch(s)) == 1, "stage %d", stage)
 
 		o, _, s = oneOut(stage)
-		o.finish(s)
+		o.finishSearch(s)
 		o.CancelAttempt(2, 0)
-		require.Empty(t, s.begun, "stage %d", stage)
+		require.Empty(t, s.pendingWrites, "stage %d", stage)
 	}
 }
 
@@ -931,12 +931,12 @@
 func TestAnswerSize(t *testing.T) {
 	for _, values := range [][]string{{}, {""}, {"a", "Grüße, 世界", "\x7f"}, {`"`}, {"a\nb", `\`}, {strings.Repeat("v", 40_000), "x"}} {
 		for _, whole := range []bool{true, false} {
-			r := result{whole: whole}
+			r := searchOutcome{complete: whole}
 			for i, v := range values {
-				r.parts = append(r.parts, &part{shard: i * 37, value: []byte(v)})
+				r.parts = append(r.parts, &shardRequest{shard: i * 37, value: []byte(v)})
 			}
-			text := appendAnswer(nil, r)
-			size, plain := answerSize(r)
+			text := appendAnswerBody(nil, r)
+			size, plain := answerBodySize(r)
 			require.Equal(t, !strings.ContainsAny(strings.Join(values, ""), "\"\n\\"), plain)
 			if plain {
 				require.Len(t, text, size)
@@ -955,20 +955,20 @@
 func TestBegunFrames(t *testing.T) {
 	own, other := net.Pipe() // a write lasts until the other side reads
 	defer other.Close()
-	l := newLink(context.Background(), 4)
-	ended := make(chan ending, 1)
+	l := newMessageConn(context.Background(), 4)
+	ended := make(chan connectionEnd, 1)
 	go func() {
 		ended <- l.serve(own, time.Minute, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
-			func(*parcel) error { return nil })
+			func(*outboundMessage) error { return nil })
 	}()
 	text := []byte("part")
-	p := &parcel{b: &text}
-	l.put(p)
-	require.Eventually(t, func() bool { return p.stage.Load() == begun }, patience, time.Millisecond)
-	b := behind{l, p}
-	require.False(t, b.out())
+	p := &outboundMessage{buffer: &text}
+	l.enqueue(p)
+	require.Eventually(t, func() bool { return p.stage.Load() == stageWriting }, patience, time.Millisecond)
+	b := pendingWrite{l, p}
+	require.False(t, b.isWritten())
 	settled := make(chan bool, 1)
-	go func() { settle([]behind{b}); settled <- p.stage.Load() == written }()
+	go func() { awaitWritten([]pendingWrite{b}); settled <- p.stage.Load() == stageWritten }()
 	select {
 	case <-settled:
 		t.Fatal("not out yet")
@@ -977,10 +977,10 @@
 	other.Read(make([]byte, 16))
 	require.True(t, <-settled, "out")
 
-	next := &parcel{b: &text}
-	l.put(next)
-	require.Eventually(t, func() bool { return next.stage.Load() == begun }, patience, time.Millisecond)
-	settle([]behind{{l, next}}) // nobody reads: after a while its connection ends
-	require.Equal(t, retired, <-ended)
-	require.True(t, l.ended.Load())
+	next := &outboundMessage{buffer: &text}
+	l.enqueue(next)
+	require.Eventually(t, func() bool { return next.stage.Load() == stageWriting }, patience, time.Millisecond)
+	awaitWritten([]pendingWrite{{l, next}}) // nobody reads: after a while its connection ends
+	require.Equal(t, endRetired, <-ended)
+	require.True(t, l.writerEnded.Load())
 }
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -169,7 +169,7 @@
 
 // open counts the searches that are open.
 func (r *rig) open() (n int) {
-	r.inTurn(func(o *owner) { n = len(o.searches) })
+	r.inTurn(func(o *eventLoop) { n = len(o.searches) })
 	return n
 }
 
@@ -196,7 +196,7 @@
 			c.want("first", "all", 200, wholeOfAll)
 			head := "Connection: close\r\n"
 			if atStop {
-				r.owner.lastly.Store(true)
+				r.owner.closeAfterAnswer.Store(true)
 				r.stop()
 				r.logged("event=stopping")
 				r.noneTaken()
@@ -212,7 +212,7 @@
 			require.Equal(t, io.EOF, err)
 			r.eventually("the connection has ended", func() bool { // its client stays
 				ended := make(chan bool, 1)
-				r.owner.post(func() { ended <- len(r.owner.clients) == 0 })
+				r.owner.submit(func() { ended <- len(r.owner.clients) == 0 })
 				select {
 				case is := <-ended:
 					return is
@@ -233,7 +233,7 @@
 	gate, closing := make(chan struct{}), make(chan struct{}, 64)
 	r := crossed(t, sockets, nil, nil, nil, func(m *Options) {
 		m.Listener.(*accepting).deadline = func() { closing <- struct{}{} }
-		m.Clock = clocked{held: stopQuiet, gate: make(chan time.Time)} // which ends the wait for room
+		m.Clock = clocked{held: stopIdleTimeout, gate: make(chan time.Time)} // which ends the wait for room
 	})
 	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var all []*caller
@@ -243,7 +243,7 @@
 	}
 	r.stop()
 	<-closing
-	time.Sleep(2 * lateLook) // the listener's time is over; no verdict rests on it
+	time.Sleep(2 * finalReadGrace) // the listener's time is over; no verdict rests on it
 	close(gate)
 	for i, c := range all {
 		status, _, _, _, err := c.rd.ReadResponse()
@@ -399,7 +399,7 @@
 	r := start(t, 256, nil)
 	r.call().want("first", "all", 200, wholeOfAll)
 	gate, in := make(chan struct{}), make(chan struct{})
-	r.owner.post(func() { close(in); <-gate })
+	r.owner.submit(func() { close(in); <-gate })
 	<-in
 	var callers []*caller
 	for i := range 40 {
@@ -407,7 +407,7 @@
 	}
 	for full := false; !full; {
 		select {
-		case r.owner.queue <- func() {}:
+		case r.owner.tasks <- func() {}:
 		default:
 			full = true
 		}
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -22,54 +22,54 @@
 }
 
 // applyEndpointList puts a list, or changes of it, into force: how is Complete, Partial or Persisted.
-func (o *owner) applyEndpointList(how string, list plan.EndpointList) {
+func (o *eventLoop) applyEndpointList(how string, list plan.EndpointList) {
 	present := map[string]bool{}
 	steps := make([]func(), 0, len(list.Hosts))
 	for _, host := range list.Hosts {
-		zone, kind := o.nth("FailureDomains", host.Zone), o.nth("MachineTypes", host.Kind)
+		zone, kind := o.settingPosition("FailureDomains", host.Zone), o.settingPosition("MachineTypes", host.Kind)
 		present[host.ID] = !host.Removed
 		steps = append(steps, func() {
-			o.place(host.ID, host.Addr, host.Kind, host.StartedTicks, host.Removed, host.State == endpoints.StateDraining)
-			o.module.AddEndpoint(host.ID, zone, kind, host.Cell, moduleStates[host.State], host.ListedWeight, host.StartedTicks)
+			o.placeReplica(host.ID, host.Addr, host.Kind, host.StartedTicks, host.Removed, host.State == endpoints.StateDraining)
+			o.balancer.AddEndpoint(host.ID, zone, kind, host.Cell, moduleStates[host.State], host.ListedWeight, host.StartedTicks)
 		})
 	}
-	o.listInForce(how, int64(list.Version), list.Hosts, present, steps)
+	o.putListInForce(how, int64(list.Version), list.Hosts, present, steps)
 }
 
-// listInForce tells the owner and the module a list or changes, in one turn.
-func (o *owner) listInForce(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
+// putListInForce tells the owner and the module a list or changes, in one turn.
+func (o *eventLoop) putListInForce(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
 	for _, step := range steps {
 		step()
 	}
 	if how != "Partial" {
-		for id := range o.fleet {
+		for id := range o.replicas {
 			if !present[id] {
-				o.place(id, "", "", 0, true, false)
+				o.placeReplica(id, "", "", 0, true, false)
 			}
 		}
 	}
-	o.listed = o.listed || len(o.fleet) > 0
-	if o.zones != nil {
-		o.zones.listed(how, hosts)
+	o.hasEndpoints = o.hasEndpoints || len(o.replicas) > 0
+	if o.enforcer != nil {
+		o.enforcer.updateHosts(how, hosts)
 	}
-	if o.module.CommitEndpoints(how, version); o.zones != nil {
-		o.zones.changed()
+	if o.balancer.CommitEndpoints(how, version); o.enforcer != nil {
+		o.enforcer.restrictAll()
 	}
 	o.log.Info("list", "how", how, "version", version, "entries", len(hosts))
 }
 
-// tellListed tells a list or changes of it to those that keep what they need of it beside the owner.
-func (o *owner) tellListed(full bool, version int64, hosts []plan.ListedHost) {
+// notifyEndpointList tells a list or changes of it to those that keep what they need of it beside the owner.
+func (o *eventLoop) notifyEndpointList(full bool, version int64, hosts []plan.ListedHost) {
 	if o.peers != nil {
-		o.peers.listed(full, version, hosts)
+		o.peers.updateHosts(full, version, hosts)
 	}
-	if o.door != nil {
-		o.door.listed(full, hosts)
+	if o.searchAPI != nil {
+		o.searchAPI.updateHosts(full, hosts)
 	}
 }
 
-// nth is the place of a name in a list of the settings; a name that is not there comes after all.
-func (o *owner) nth(list, name string) int {
+// settingPosition is the place of a name in a list of the settings; a name that is not there comes after all.
+func (o *eventLoop) settingPosition(list, name string) int {
 	names := o.plan.List(list)
 	if i := slices.Index(names, settings.FormatValue(name)); i >= 0 {
 		return i
@@ -77,43 +77,45 @@
 	return len(names)
 }
 
-// asking is what is known of discovery at one place.
-type asking struct {
-	at      string
-	version float64
-	anew    bool // the whole list has to come first: versions may have begun again there
-	failed  bool // the last call has
-	sound   bool // a call has been answered since one failed
+// discoveryState is what is known of discovery at one place.
+type discoveryState struct {
+	addr                 string
+	version              float64
+	needsFullList        bool // the whole list has to come first: versions may have begun again there
+	lastCallFailed       bool // the last call has
+	answeredSinceFailure bool // a call has been answered since one failed
 
-	due time.Time // by which the next attempt has to begin if this one fails
+	nextAttemptBy time.Time // by which the next attempt has to begin if this one fails
 }
 
-// left is how long the next attempt may wait; the first wait after a long call fits in.
-func (a *asking) left() time.Duration { return max(askPause*3/2, time.Until(a.due)) }
+// remaining is how long the next attempt may wait; the first wait after a long call fits in.
+func (a *discoveryState) remaining() time.Duration {
+	return max(minPollBackoff*3/2, time.Until(a.nextAttemptBy))
+}
 
-// follow keeps the list up to date. Where the settings leave the asking to the module, each of its
+// followDiscovery keeps the list up to date. Where the settings leave the asking to the module, each of its
 // subscriptions lasts until it fails, and the module hears of that; elsewhere the list comes by itself, and
 // failures here are followed by waits that grow, spread by chance. When discovery has moved, the whole list is
 // asked for at the new place at once, under the subscription there was; waits that have grown at the old one begin
 // again. Whoever asks, an attempt begins so soon after the last that what this may have missed is told in time.
-func (o *owner) follow() error {
+func (o *eventLoop) followDiscovery() error {
 	asked := o.plan.Settings["Discovery"] == "subscribe"
-	chance, pause, moved := rand.New(rand.NewSource(o.plan.Seed)), askPause, false
+	chance, pause, moved := rand.New(rand.NewSource(o.plan.Seed)), minPollBackoff, false
 	// Who knows no host asks for the list itself. Guards against a first call that is silent: a watch may wait long, and
 	// nothing is served until it has failed.
-	a := asking{at: o.plan.Discovery, due: time.Now().Add(askLate), anew: len(o.plan.Known.Hosts) == 0}
+	a := discoveryState{addr: o.plan.Discovery, nextAttemptBy: time.Now().Add(maxPollDelay), needsFullList: len(o.plan.Known.Hosts) == 0}
 	a.version = o.plan.Known.Version
 	move := func(at string) {
-		a.at, a.anew, a.failed = at, true, false
-		if moved, pause = true, askPause; asked {
+		a.addr, a.needsFullList, a.lastCallFailed = at, true, false
+		if moved, pause = true, minPollBackoff; asked {
 			v := int64(a.version)
-			o.post(func() { o.module.CommitEndpoints("Partial", v) }) // nothing new: the module's waits begin again too
+			o.submit(func() { o.balancer.CommitEndpoints("Partial", v) }) // nothing new: the module's waits begin again too
 		}
 	}
 	wait := func(d time.Duration) {
 		select {
 		case <-o.Clock.After(d):
-		case at := <-o.moves:
+		case at := <-o.discoveryMoves:
 			move(at)
 		case <-o.ctx.Done():
 		}
@@ -121,17 +123,17 @@
 	atOnce := false
 	for spread := time.Duration(0); ; {
 		if asked && !moved && !atOnce {
-			late := time.NewTimer(a.left()) // guards against waits of the module that take no account of a call that was silent
+			late := time.NewTimer(a.remaining()) // guards against waits of the module that take no account of a call that was silent
 			select {
-			case <-o.asks:
+			case <-o.pollRequests:
 			case <-late.C:
-			case at := <-o.moves:
+			case at := <-o.discoveryMoves:
 				move(at)
 			case <-o.ctx.Done():
 			}
 			late.Stop()
 		}
-		if spread = min(spread, time.Until(a.due)); asked && !moved && spread > 0 {
+		if spread = min(spread, time.Until(a.nextAttemptBy)); asked && !moved && spread > 0 {
 			wait(time.Duration(chance.Int63n(int64(spread))))
 		}
 		if o.ctx.Err() != nil {
@@ -139,14 +141,14 @@
 		}
 		failed, next := make(chan error, 1), ""
 		ctx, stop := context.WithCancel(o.ctx)
-		o.g.Go(func() error {
-			failed <- o.log.contain(func() error { return o.watch(ctx, &a, chance) })
+		o.group.Go(func() error {
+			failed <- o.log.recoverPanic(func() error { return o.watchDiscovery(ctx, &a, chance) })
 			return nil
 		})
 		var err error
 		select {
 		case err = <-failed:
-		case next = <-o.moves:
+		case next = <-o.discoveryMoves:
 			stop()
 			<-failed
 		}
@@ -158,83 +160,83 @@
 		if o.ctx.Err() != nil {
 			return nil
 		}
-		o.log.Warn("list_failed", "discovery", a.at, "version", int64(a.version), "error", err)
+		o.log.Warn("list_failed", "discovery", a.addr, "version", int64(a.version), "error", err)
 		spread = o.lossSpread(err)
 		// The first call after one that fell silent follows at once. Guards against a wait beside the one that silence took: what
 		// was missed counts as told soon, and discovery takes its time with the calls of all. Those fall silent one by one.
-		atOnce = silence(err) && !a.failed
-		if a.failed = true; a.sound {
-			pause = askPause
+		atOnce = isSilence(err) && !a.lastCallFailed
+		if a.lastCallFailed = true; a.answeredSinceFailure {
+			pause = minPollBackoff
 		}
-		a.sound = false
+		a.answeredSinceFailure = false
 		if asked {
 			select {
-			case <-o.asks: // of a subscription before this one
+			case <-o.pollRequests: // of a subscription before this one
 			default:
 			}
-			o.post(func() { o.module.CommitEndpoints("Error", 0) })
+			o.submit(func() { o.balancer.CommitEndpoints("Error", 0) })
 			continue
 		}
 		if atOnce {
 			continue
 		}
-		p := min(pause, a.left()*2/3)
-		d := p/2 + time.Duration(chance.Int63n(int64(max(p, min(spread, a.left()-p/2)))))
-		pause = min(2*pause, askPauseMost)
+		p := min(pause, a.remaining()*2/3)
+		d := p/2 + time.Duration(chance.Int63n(int64(max(p, min(spread, a.remaining()-p/2)))))
+		pause = min(2*pause, maxPollBackoff)
 		wait(d)
 	}
 }
 
 // watchWait is how long one call for changes may wait. Guards against a connection to discovery that has gone
 // silent: nothing is told until the call has failed. All co-ordinators together ask discovery so often.
-func (o *owner) watchWait() time.Duration {
-	return min(watchMost, max(2*watchEach, time.Duration(o.plan.Number("Balancers")*float64(watchEach))))
+func (o *eventLoop) watchWait() time.Duration {
+	return min(maxWatchWait, max(2*watchInterval, time.Duration(o.plan.Number("Balancers")*float64(watchInterval))))
 }
 
-// silence tells whether a call failed since nothing, or not all of its answer, came in time.
-func silence(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+// isSilence tells whether a call failed since nothing, or not all of its answer, came in time.
+func isSilence(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // lossSpread is over how long the next calls of all co-ordinators are spread after a failure. Guards against all that lose
 // discovery at once and come back at once. Silence is no such failure: calls fall silent one by one, and what was missed
 // meanwhile counts as told soon.
-func (o *owner) lossSpread(err error) time.Duration {
-	if silence(err) {
+func (o *eventLoop) lossSpread(err error) time.Duration {
+	if isSilence(err) {
 		return 0
 	}
-	return min(lossMost, time.Duration(o.plan.Number("Balancers")*float64(lossEach)))
+	return min(maxLossSpread, time.Duration(o.plan.Number("Balancers")*float64(lossSpreadPerCoordinator)))
 }
 
-// watch makes one call after another, until one fails.
-func (o *owner) watch(ctx context.Context, a *asking, chance *rand.Rand) error {
+// watchDiscovery makes one call after another, until one fails.
+func (o *eventLoop) watchDiscovery(ctx context.Context, a *discoveryState, chance *rand.Rand) error {
 	for together := true; ; { // the next call may begin in the same moment as those of others
-		a.due = time.Now().Add(askLate)
-		up, stop := context.WithTimeout(ctx, watchSlack)
-		conn, err := o.Dial(up, "tcp", a.at)
+		a.nextAttemptBy = time.Now().Add(maxPollDelay)
+		up, stop := context.WithTimeout(ctx, watchAnswerSlack)
+		conn, err := o.Dial(up, "tcp", a.addr)
 		stop()
 		if err != nil {
-			return fmt.Errorf("%w: %w", notUp, err)
+			return fmt.Errorf("%w: %w", endNotConnected, err)
 		}
 		unhook := context.AfterFunc(ctx, func() { conn.Close() })
-		buf := lend()
+		buf := borrowBuffer()
 		rd := http1.NewReader(conn, (*buf)[:bufferSize])
 		for keep := true; keep && err == nil; {
 			wait := o.watchWait()
 			switch {
-			case a.anew:
-				wait = watchWhole
-			case a.failed: // silence that goes on is to show soon
-				wait = min(wait, 2*watchEach)
-			case together && wait > 2*watchEach: // one change ends the calls of all: the next are to end, or fall silent, one by one
+			case a.needsFullList:
+				wait = fullListTimeout
+			case a.lastCallFailed: // silence that goes on is to show soon
+				wait = min(wait, 2*watchInterval)
+			case together && wait > 2*watchInterval: // one change ends the calls of all: the next are to end, or fall silent, one by one
 				wait -= time.Duration(chance.Int63n(int64(wait / 2)))
 			}
 			target := fmt.Sprintf("/v1/servers?index=%.0f&wait=%d", a.version, wait.Milliseconds())
-			if a.anew {
+			if a.needsFullList {
 				target = "/v1/servers"
 			}
-			asked, before, anew := time.Now(), a.version, a.anew
-			conn.SetDeadline(asked.Add(wait + watchSlack))
-			a.due = asked.Add(max(askLate, wait+watchSlack))
-			if _, err = conn.Write(http1.AppendGetRequest(nil, target, a.at)); err != nil {
+			asked, before, anew := time.Now(), a.version, a.needsFullList
+			conn.SetDeadline(asked.Add(wait + watchAnswerSlack))
+			a.nextAttemptBy = asked.Add(max(maxPollDelay, wait+watchAnswerSlack))
+			if _, err = conn.Write(http1.AppendGetRequest(nil, target, a.addr)); err != nil {
 				break
 			}
 			var status int
@@ -243,40 +245,40 @@
 				err = fmt.Errorf("status %d", status)
 			}
 			if err == nil {
-				err = o.heardList(body, anew, &a.version)
+				err = o.handleListAnswer(body, anew, &a.version)
 			}
-			a.anew = a.anew || errors.Is(err, begunAgain)
+			a.needsFullList = a.needsFullList || errors.Is(err, errVersionsRestarted)
 			news := a.version != before
 			together = news
 			if err == nil && !anew && !news && time.Since(asked) < wait/2 {
 				err = errors.New("nothing new, and no wait") // guards against asking without end
 			}
 			if err == nil {
-				a.sound, a.anew = true, false
-				if a.failed && (!news && !anew || o.members != nil) { // the module's waits begin again too: it hears of lists alone
+				a.answeredSinceFailure, a.needsFullList = true, false
+				if a.lastCallFailed && (!news && !anew || o.sources != nil) { // the module's waits begin again too: it hears of lists alone
 					v := int64(a.version)
-					o.post(func() { o.module.CommitEndpoints("Partial", v) })
+					o.submit(func() { o.balancer.CommitEndpoints("Partial", v) })
 				}
-				a.failed = false
+				a.lastCallFailed = false
 			}
 		}
-		giveBack(buf)
+		returnBuffer(buf)
 		unhook()
 		conn.Close()
 		if err != nil {
-			return fmt.Errorf("%w: %w", endingOf(err), err)
+			return fmt.Errorf("%w: %w", connectionEndOf(err), err)
 		}
 	}
 }
 
-// begunAgain is an answer that is older than the list: the whole list comes first then, whatever its version. Guards
+// errVersionsRestarted is an answer that is older than the list: the whole list comes first then, whatever its version. Guards
 // against discovery that has lost its versions: the list would stay as it is until they had caught up. Harm: an answer
 // that is merely late costs a call for the whole list.
-var begunAgain = errors.New("versions may have begun again")
+var errVersionsRestarted = errors.New("versions may have begun again")
 
-// heardList takes one answer; one that is older than the list or cannot be read leaves the list as it is. The
+// handleListAnswer takes one answer; one that is older than the list or cannot be read leaves the list as it is. The
 // first from a new place counts whatever its version: versions may have begun again there.
-func (o *owner) heardList(body []byte, anew bool, version *float64) error {
+func (o *eventLoop) handleListAnswer(body []byte, anew bool, version *float64) error {
 	object, err := plan.DecodeObject(body)
 	if err != nil {
 		return err
@@ -293,7 +295,7 @@
 		return fmt.Errorf("version %.0f after %.0f, and no hosts", v, *version)
 	case anew:
 	case v < *version:
-		return fmt.Errorf("version %.0f after %.0f: %w", v, *version, begunAgain)
+		return fmt.Errorf("version %.0f after %.0f: %w", v, *version, errVersionsRestarted)
 	case v == *version:
 		return nil
 	}
@@ -301,17 +303,17 @@
 	if full {
 		how = "Complete"
 	}
-	if o.members != nil {
-		err := o.members.discovered(listTold("discovery", endpoints.RankDiscovery, int64(v), full, anew, list.Hosts))
+	if o.sources != nil {
+		err := o.sources.applyDiscovery(newEndpointUpdate("discovery", endpoints.RankDiscovery, int64(v), full, anew, list.Hosts))
 		if err == nil {
 			*version = v
 		}
 		return err
 	}
 	*version = v
-	if !o.post(func() { o.applyEndpointList(how, list) }) {
-		return closing
+	if !o.submit(func() { o.applyEndpointList(how, list) }) {
+		return endClosing
 	}
-	o.tellListed(full, int64(v), list.Hosts)
+	o.notifyEndpointList(full, int64(v), list.Hosts)
 	return nil
 }
--- a/coordinator/door.go
+++ b/coordinator/door.go
@@ -14,7 +14,7 @@
 	"chalkring/control/residency"
 )
 
-const frontShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
+const frontendDescriptorShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
 
 // Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
 // returns; it ends at once with ctx. It hands searches in by the door.
@@ -29,15 +29,15 @@
 	SendRetryAfter  bool   // clients may be told when to come back
 	LogEvent        func(kind, event string, v ...any)
 
-	o                *owner
-	classes, tenants map[string]int
-	patience         []time.Duration // by type
-	sets, reach      int
+	loop                   *eventLoop
+	classes, tenants       map[string]int
+	timeouts               []time.Duration // by type
+	blockSets, setsPerHost int
 
-	mu      sync.Mutex
-	cells   map[string]int // of the hosts that are listed
-	addrs   map[string]string
-	holders map[int]int // listed hosts by cell
+	mu              sync.Mutex
+	cellByHost      map[string]int // of the hosts that are listed
+	addrByHost      map[string]string
+	hostCountByCell map[int]int // listed hosts by cell
 }
 
 // SearchRequest is one search. Check looks at a host's value for a part before it counts as in, in the goroutine of the
@@ -55,12 +55,12 @@
 
 // How a search ended.
 const (
-	OutcomeAnswered         = answered
-	OutcomeShed             = shed
-	OutcomeFailed           = errored
-	OutcomeDuplicateID      = taken
-	OutcomeResidencyRefused = barred
-	OutcomeClientGone       = left // of an End alone
+	OutcomeAnswered         = outcomeAnswered
+	OutcomeShed             = outcomeShed
+	OutcomeFailed           = outcomeFailed
+	OutcomeDuplicateID      = outcomeDuplicateID
+	OutcomeResidencyRefused = outcomeResidencyRefused
+	OutcomeClientGone       = outcomeClientGone // of an End alone
 )
 
 // SearchResult is a final answer.
@@ -82,17 +82,17 @@
 // ErrUnknownTypeOrTenant is a search that cannot be taken.
 var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
 
-func newDoor(o *owner) *SearchAPI {
+func newSearchAPI(o *eventLoop) *SearchAPI {
 	d := &SearchAPI{
-		CoordinatorName: o.plan.Name, o: o, SendRetryAfter: o.plan.Settings["Permissions.RetryAfter"] == "true", classes: o.plan.PositionsByName("Classes"), tenants: o.plan.PositionsByName("Tenants"),
-		MaxConnections: max(1, int(frontShare*float64(o.plan.MaxSockets))), LogEvent: o.log.often, cells: map[string]int{},
-		addrs: map[string]string{}, holders: map[int]int{}, sets: int(o.plan.Number("Specifics.Sets")), reach: int(o.plan.Number("Specifics.Reach")),
+		CoordinatorName: o.plan.Name, loop: o, SendRetryAfter: o.plan.Settings["Permissions.RetryAfter"] == "true", classes: o.plan.PositionsByName("Classes"), tenants: o.plan.PositionsByName("Tenants"),
+		MaxConnections: max(1, int(frontendDescriptorShare*float64(o.plan.MaxSockets))), LogEvent: o.log.warnLimited, cellByHost: map[string]int{},
+		addrByHost: map[string]string{}, hostCountByCell: map[int]int{}, blockSets: int(o.plan.Number("Specifics.Sets")), setsPerHost: int(o.plan.Number("Specifics.Reach")),
 	}
 	for _, v := range o.plan.ClassDurations("Deadline") {
-		if v <= 0 || v > longWait {
-			v = longWait
+		if v <= 0 || v > maxClientTimeout {
+			v = maxClientTimeout
 		}
-		d.patience = append(d.patience, v)
+		d.timeouts = append(d.timeouts, v)
 	}
 	return d
 }
@@ -109,20 +109,20 @@
 }
 
 // SearchTimeout is how long a search of a type may take at the most.
-func (d *SearchAPI) SearchTimeout(qtype string) time.Duration { return d.patience[d.classes[qtype]] }
+func (d *SearchAPI) SearchTimeout(qtype string) time.Duration { return d.timeouts[d.classes[qtype]] }
 
 // BusyTime is how much time the owner has spent in turns so far: background work holds back by it.
-func (d *SearchAPI) BusyTime() time.Duration { return time.Duration(d.o.busy.Load()) }
+func (d *SearchAPI) BusyTime() time.Duration { return time.Duration(d.loop.busyNanos.Load()) }
 
 // BlockCount tells how many blocks there are.
-func (d *SearchAPI) BlockCount() int { return d.o.plan.BlockCount() }
+func (d *SearchAPI) BlockCount() int { return d.loop.plan.BlockCount() }
 
 // HasBlockHost tells whether a listed host holds a block.
 func (d *SearchAPI) HasBlockHost(block int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for j := range d.reach {
-		if d.holders[(block+j)%d.sets] > 0 {
+	for j := range d.setsPerHost {
+		if d.hostCountByCell[(block+j)%d.blockSets] > 0 {
 			return true
 		}
 	}
@@ -133,14 +133,14 @@
 func (d *SearchAPI) BlockHosts(block int) (names, addrs []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, cell := range d.cells {
-		if (cell-block%d.sets+d.sets)%d.sets < d.reach {
+	for id, cell := range d.cellByHost {
+		if (cell-block%d.blockSets+d.blockSets)%d.blockSets < d.setsPerHost {
 			names = append(names, id)
 		}
 	}
 	slices.Sort(names)
 	for _, id := range names {
-		addrs = append(addrs, d.addrs[id])
+		addrs = append(addrs, d.addrByHost[id])
 	}
 	return names, addrs
 }
@@ -149,25 +149,25 @@
 func (d *SearchAPI) HostCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.cells)
+	return len(d.cellByHost)
 }
 
-// listed takes in a list or changes of it.
-func (d *SearchAPI) listed(full bool, hosts []plan.ListedHost) {
+// updateHosts takes in a list or changes of it.
+func (d *SearchAPI) updateHosts(full bool, hosts []plan.ListedHost) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if full {
-		clear(d.cells)
-		clear(d.addrs)
+		clear(d.cellByHost)
+		clear(d.addrByHost)
 	}
 	for _, h := range hosts {
-		if delete(d.cells, h.ID); !h.Removed {
-			d.cells[h.ID], d.addrs[h.ID] = h.Cell, h.Addr
+		if delete(d.cellByHost, h.ID); !h.Removed {
+			d.cellByHost[h.ID], d.addrByHost[h.ID] = h.Cell, h.Addr
 		}
 	}
-	clear(d.holders)
-	for _, cell := range d.cells {
-		d.holders[(cell%d.sets+d.sets)%d.sets]++
+	clear(d.hostCountByCell)
+	for _, cell := range d.cellByHost {
+		d.hostCountByCell[(cell%d.blockSets+d.blockSets)%d.blockSets]++
 	}
 }
 
@@ -176,38 +176,38 @@
 	if err := d.ValidateTypeAndTenant(a.Type, a.Tenant); err != nil {
 		return SearchResult{}, err
 	}
-	if !plainName(a.ID) || strings.ContainsRune(a.ID, '.') || len(a.Shards) == 0 {
+	if !isPlainName(a.ID) || strings.ContainsRune(a.ID, '.') || len(a.Shards) == 0 {
 		return SearchResult{}, fmt.Errorf("a search named %.40q over %d blocks", a.ID, len(a.Shards))
 	}
-	o := d.o
-	out, first := make(chan SearchResult, 1), []behind(nil)
+	o := d.loop
+	out, first := make(chan SearchResult, 1), []pendingWrite(nil)
 	now := o.Clock.Now()
 	s := &search{
-		name: a.ID, text: a.Body, qtype: d.classes[a.Type], tenant: d.tenants[a.Tenant], retry: a.IsRetry,
-		came: now, patience: o.within(min(a.Timeout, longWait), now), shards: slices.Clone(a.Shards), check: a.DecodeValue,
+		name: a.ID, text: a.Body, class: d.classes[a.Type], tenant: d.tenants[a.Tenant], isRetry: a.IsRetry,
+		arrivedAt: now, timeout: o.limitTimeout(min(a.Timeout, maxClientTimeout), now), shards: slices.Clone(a.Shards), decodeValue: a.DecodeValue,
 	}
 	for range a.Shards {
 		s.weights = append(s.weights, 1/float64(len(a.Shards)))
 	}
-	s.reply = func(r result) {
-		first = slices.Clone(r.behind)
-		g := SearchResult{Outcome: r.kind, Complete: r.whole, RetryAfter: time.Duration(r.retryIn) * tenth, Dispatched: r.sent, ResidencyRefusal: r.barred}
+	s.reply = func(r searchOutcome) {
+		first = slices.Clone(r.pendingWrites)
+		g := SearchResult{Outcome: r.outcome, Complete: r.complete, RetryAfter: time.Duration(r.retryAfter) * tick, Dispatched: r.dispatched, ResidencyRefusal: r.refusal}
 		for _, p := range r.parts {
-			g.Parts = append(g.Parts, PartResult{Shard: p.shard, Value: p.read})
+			g.Parts = append(g.Parts, PartResult{Shard: p.shard, Value: p.decoded})
 		}
 		out <- g
 	}
-	if !o.post(func() { o.take(s) }) {
-		return SearchResult{}, closing
+	if !o.submit(func() { o.startSearch(s) }) {
+		return SearchResult{}, endClosing
 	}
 	select {
 	case g := <-out:
-		settle(first)
+		awaitWritten(first)
 		return g, nil
 	case <-ctx.Done():
-		o.post(func() { o.withdraw(s) })
+		o.submit(func() { o.withdrawSearch(s) })
 		return SearchResult{}, ctx.Err()
 	case <-o.ctx.Done():
-		return SearchResult{}, closing
+		return SearchResult{}, endClosing
 	}
 }
--- a/coordinator/ends_test.go
+++ b/coordinator/ends_test.go
@@ -12,7 +12,7 @@
 func TestEndsAreTold(t *testing.T) {
 	r := start(t, 256, nil)
 	ends := make(chan SearchEnd, 4)
-	r.owner.post(func() { r.owner.OnSearchEnd = func(e SearchEnd) { ends <- e } })
+	r.owner.submit(func() { r.owner.OnSearchEnd = func(e SearchEnd) { ends <- e } })
 	r.call().want("s1", "all", 200, wholeOfAll)
 	e := <-ends
 	require.Equal(t, [3]int{1, OutcomeAnswered, 4}, [3]int{e.Type, e.Outcome, e.Attempts})
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -47,7 +47,7 @@
 // puppet puts one in the module's place.
 func (r *rig) puppet() *puppet {
 	p := &puppet{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
-	r.inTurn(func(o *owner) { o.module = p })
+	r.inTurn(func(o *eventLoop) { o.balancer = p })
 	return p
 }
 
@@ -64,7 +64,7 @@
 // untold asks for a turn, behind which no outcome may have been told.
 func (p *puppet) untold() {
 	for range 3 {
-		p.r.inTurn(func(*owner) {})
+		p.r.inTurn(func(*eventLoop) {})
 	}
 	require.Empty(p.r.t, p.outcomes)
 }
@@ -81,7 +81,7 @@
 		hold chan asked
 		p    *puppet
 		part uint64
-		l    *line
+		l    *replicaConnection
 	}
 	for name, x := range map[string]struct {
 		copies bool
@@ -102,7 +102,7 @@
 		}, "QueueFull"},
 		"its connection is retired, and it is answered": {false, func(a at) {
 			first := <-a.hold
-			a.inTurn(func(o *owner) { o.retire(a.l) })
+			a.inTurn(func(o *eventLoop) { o.retireConnection(a.l) })
 			a.p.untold()
 			first.ReplyGood()
 		}, "Ok"},
@@ -110,23 +110,23 @@
 			<-a.hold
 			c := a.call().send(request("other", "all", "", onePart))
 			ids := <-a.p.searches
-			a.inTurn(func(o *owner) { o.SendAttempt(ids[1], "a0", 0) })
+			a.inTurn(func(o *eventLoop) { o.SendAttempt(ids[1], "a0", 0) })
 			(<-a.hold).ReplyGood()
 			a.p.told("Ok")
-			a.inTurn(func(o *owner) { o.AnswerSearch(ids[0], true) })
+			a.inTurn(func(o *eventLoop) { o.AnswerSearch(ids[0], true) })
 			status, _, _, _ := c.answer()
 			require.Equal(a.t, 200, status)
 			a.p.untold()
 			a.replicas["a0"].ResetConnections()
 		}, "Canceled"},
 		"closed on this side, then its search ends": {false, func(a at) {
-			a.inTurn(func(*owner) { a.l.cut(retired) })
+			a.inTurn(func(*eventLoop) { a.l.closeNow(endRetired) })
 			a.eventually("it has ended", func() (ended bool) {
-				a.inTurn(func(o *owner) { ended = len(o.fleet["a0"].lines) == 0 })
+				a.inTurn(func(o *eventLoop) { ended = len(o.replicas["a0"].connections) == 0 })
 				return ended
 			})
 			a.p.untold()
-			a.inTurn(func(o *owner) { o.FailSearch(o.parts[a.part].s.id) })
+			a.inTurn(func(o *eventLoop) { o.FailSearch(o.shardRequests[a.part].search.id) })
 		}, "Canceled"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -138,23 +138,23 @@
 			r.replicas["a0"].SetHandler(func(p asked) { a.hold <- p })
 			c := r.call().send(request("q", "all", "", onePart))
 			a.part = (<-a.p.searches)[1]
-			r.inTurn(func(o *owner) { o.SendAttempt(a.part, "a0", 0) })
+			r.inTurn(func(o *eventLoop) { o.SendAttempt(a.part, "a0", 0) })
 			r.eventually("it is out", func() bool {
-				r.inTurn(func(o *owner) { // maybe in the turn that sends it, before it has a connection
-					if lines := o.fleet["a0"].lines; len(lines) > 0 {
+				r.inTurn(func(o *eventLoop) { // maybe in the turn that sends it, before it has a connection
+					if lines := o.replicas["a0"].connections; len(lines) > 0 {
 						a.l = lines[0]
 					}
 				})
 				return a.l != nil && r.replicas["a0"].CountRequests() == 1
 			})
-			r.inTurn(func(o *owner) { o.CancelAttempt(a.part, 0) })
+			r.inTurn(func(o *eventLoop) { o.CancelAttempt(a.part, 0) })
 			x.then(a)
 			a.p.told(x.told)
-			r.inTurn(func(o *owner) {
-				require.Empty(t, o.lingering)
-				if p := o.parts[a.part]; p != nil {
-					require.Equal(t, x.told == "Ok", p.in)
-					o.FailSearch(p.s.id)
+			r.inTurn(func(o *eventLoop) {
+				require.Empty(t, o.abandoned)
+				if p := o.shardRequests[a.part]; p != nil {
+					require.Equal(t, x.told == "Ok", p.completed)
+					o.FailSearch(p.search.id)
 				}
 			})
 			status, _, _, _ := c.answer()
@@ -167,36 +167,36 @@
 // A keyed part's repeat that a connection's writer comes to after its window is over does not leave, and the module hears that
 // it was never sent.
 func TestRepeatsLeaveWithinTheirWindow(t *testing.T) {
-	for late, want := range map[bool]int32{false: written, true: called} {
+	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
 		var told []string
-		o, l, s := oneOut(written)
+		o, l, s := oneOut(stageWritten)
 		now := int64(1000)
-		o.keyed, o.windows, o.module, o.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
-		o.ctx, o.queue = t.Context(), make(chan func(), 4)
-		l.up, l.clock = 1, func() int64 { return now }
-		l.missed = func(p *parcel) { o.post(func() { o.tooLate(l, p) }) }
-		p := s.parts[0]
-		p.subs[0].sent, p.subs[0].r = now, l.r
+		o.keyedClasses, o.repeatWindows, o.balancer, o.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
+		o.ctx, o.tasks = t.Context(), make(chan func(), 4)
+		l.connectedAt, l.clockTicks = 1, func() int64 { return now }
+		l.onMissedDeadline = func(p *outboundMessage) { o.submit(func() { o.handleMissedDeadline(l, p) }) }
+		p := s.shardRequests[0]
+		p.attempts[0].sentAt, p.attempts[0].replica = now, l.replica
 		o.CancelAttempt(p.id, 0)
-		c := &call{line: l}
-		sub := &subRequest{p: p, leg: 1, name: "q.0", call: c, due: 50_000, r: l.r}
-		c.subs, l.subs, p.subs = []*subRequest{sub}, []*subRequest{sub}, append(p.subs, sub)
-		p.untold, l.calls = p.untold+1, 1
+		c := &batch{connection: l}
+		sub := &attempt{shardRequest: p, index: 1, name: "q.0", batch: c, deadline: 50_000, replica: l.replica}
+		c.attempts, l.attempts, p.attempts = []*attempt{sub}, []*attempt{sub}, append(p.attempts, sub)
+		p.unreported, l.openBatches = p.unreported+1, 1
 		now += 2900
 		o.now = now
-		o.load(c)
+		o.queueBatch(c)
 		if late {
 			now += 90 // 10 ms before its end, less what is kept for its way
 		}
 		var out strings.Builder
-		<-l.backlog // the cancel frame
-		require.NoError(t, l.write(writes{to: &out}, <-l.backlog, new([]*parcel), func(*parcel) error { return nil }))
-		require.Equal(t, want, c.parcel.stage.Load(), "late: %t", late)
+		<-l.queue // the cancel frame
+		require.NoError(t, l.writeCoalesced(writes{to: &out}, <-l.queue, new([]*outboundMessage), func(*outboundMessage) error { return nil }))
+		require.Equal(t, want, c.message.stage.Load(), "late: %t", late)
 		require.Equal(t, !late, out.Len() > 0)
 		if late {
-			(<-o.queue)()
-			require.Equal(t, "Ignored", o.next[len(o.next)-1].outcome)
-			require.Empty(t, l.subs)
+			(<-o.tasks)()
+			require.Equal(t, "Ignored", o.nextEvents[len(o.nextEvents)-1].outcome)
+			require.Empty(t, l.attempts)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 		require.Equal(t, one{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
 		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
 		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
-		r.inTurn(func(o *owner) { o.ShedSearch(id, 0) })
+		r.inTurn(func(o *eventLoop) { o.ShedSearch(id, 0) })
 		status, _, _, _ := c.answer()
 		require.Equal(t, 503, status)
 	}
@@ -278,17 +278,17 @@
 func TestLateAnswerUnderContracts(t *testing.T) {
 	for _, bound := range []bool{false, true} {
 		var told []string
-		o, l, s := oneOut(written)
-		o.copies, o.lingering, o.module = false, map[*subRequest]*lingering{}, deaf{told: &told}
+		o, l, s := oneOut(stageWritten)
+		o.allowsSecondCopies, o.abandoned, o.balancer = false, map[*attempt]*abandonedAttempt{}, deaf{told: &told}
 		if bound {
-			o.zones = &bounding{}
+			o.enforcer = &residencyEnforcer{}
 		}
-		p := s.parts[0]
+		p := s.shardRequests[0]
 		o.CancelAttempt(p.id, 0)
-		require.Empty(t, o.next)
-		o.answer(l, []byte("q.0"), "Ok", zero, nil, []byte("v"), nil)
+		require.Empty(t, o.nextEvents)
+		o.handleAnswer(l, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
 		require.Equal(t, []string{map[bool]string{false: "Ok", true: "Canceled"}[bound]}, told)
-		require.Equal(t, !bound, p.in)
-		require.Empty(t, o.lingering)
+		require.Equal(t, !bound, p.completed)
+		require.Empty(t, o.abandoned)
 	}
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -172,8 +172,8 @@
 func (s searchUnderTest) answerShards(step int, shards ...int) {
 	for _, shard := range shards {
 		s.eventually("the step begins", func() (there bool) {
-			s.inTurn(func(o *owner) {
-				for _, p := range o.searches[s.id].parts {
+			s.inTurn(func(o *eventLoop) {
+				for _, p := range o.searches[s.id].shardRequests {
 					if p.step == step && p.shard == shard {
 						there = true
 						o.SendAttempt(p.id, []string{"a0", "b0"}[shard%2], 0)
@@ -186,7 +186,9 @@
 	}
 }
 
-func (s searchUnderTest) settle(whole bool) { s.inTurn(func(o *owner) { o.AnswerSearch(s.id, whole) }) }
+func (s searchUnderTest) settle(whole bool) {
+	s.inTurn(func(o *eventLoop) { o.AnswerSearch(s.id, whole) })
+}
 
 // Searches get the bytes of the golden file for each way in which they end: whole, in part, after two steps, shed, failed, and
 // never begun. The test makes the decisions, so that nothing is normalised.
@@ -230,14 +232,14 @@
 			s.answerShards(2, 1)
 			s.settle(false)
 		}},
-		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 0) }) }},
-		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 2500) }) }},
+		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.ShedSearch(s.id, 0) }) }},
+		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.ShedSearch(s.id, 2500) }) }},
 		{
 			"shed with a wait, close", "all", "Connection: close\r\n", fourParts,
-			func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 12345) }) },
+			func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.ShedSearch(s.id, 12345) }) },
 		},
-		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
-		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
+		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.FailSearch(s.id) }) }},
+		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.FailSearch(s.id) }) }},
 	} {
 		text := request(fmt.Sprint("q", i), x.class, x.head, x.body)
 		c := dialRaw(t, r.addr).send(text)
@@ -252,7 +254,7 @@
 	exchange(t, &out, r.addr, "request id that is in use", request("same", "all", "", fourParts))
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
-	r.inTurn(func(o *owner) { require.Nil(t, o.searches[id]) })
+	r.inTurn(func(o *eventLoop) { require.Nil(t, o.searches[id]) })
 	requireGolden(t, "client_responses.golden", out.String())
 	r.end()
 }
@@ -265,7 +267,7 @@
 	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
 	exchange(t, &out, z.addr, "lease ended", request("q2", "all", "Connection: close\r\n", fourParts))
 	for _, why := range []string{residency.ReasonNoEligibleHost, residency.ReasonLeaseExpired, residency.ReasonContractEnded} {
-		status, body := barredBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
+		status, body := residencyRefusalBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
 		fmt.Fprintf(&out, "== body\n< %d %q\n", status, body)
 	}
 	requireGolden(t, "contract_errors.golden", out.String())
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -68,11 +68,11 @@
 	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
 	c := r.call().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
 	ids := <-module.searches
-	r.inTurn(func(o *owner) { o.SendAttempt(ids[1], "a0", 0) })
+	r.inTurn(func(o *eventLoop) { o.SendAttempt(ids[1], "a0", 0) })
 	<-held
-	r.inTurn(func(o *owner) { o.CancelAttempt(ids[1], 0) })
+	r.inTurn(func(o *eventLoop) { o.CancelAttempt(ids[1], 0) })
 	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Observed(); return len(given) == 1 })
-	r.inTurn(func(o *owner) { o.FailSearch(ids[0]) })
+	r.inTurn(func(o *eventLoop) { o.FailSearch(ids[0]) })
 	c.answer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
 	requireGolden(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
@@ -80,10 +80,10 @@
 }
 
 // callOf is one call with shard requests of a search, which has so many tenths of a millisecond left.
-func callOf(addr string, left int64, parts ...*part) *call {
-	c := &call{line: &line{r: &replica{id: "h", addr: addr}}}
+func callOf(addr string, left int64, parts ...*shardRequest) *batch {
+	c := &batch{connection: &replicaConnection{replica: &replica{id: "h", addr: addr}}}
 	for _, p := range parts {
-		c.subs = append(c.subs, &subRequest{p: p, name: string(p.appendName(nil)), due: 1000 + left})
+		c.attempts = append(c.attempts, &attempt{shardRequest: p, name: string(p.appendName(nil)), deadline: 1000 + left})
 	}
 	return c
 }
@@ -91,23 +91,23 @@
 // Calls in both wire protocols have the bytes of the golden file: a shard, two shards, second steps, and searches that have no
 // time left.
 func TestGoldenReplicaCalls(t *testing.T) {
-	o := &owner{now: 1000}
+	o := &eventLoop{now: 1000}
 	first := &search{name: "q-1", text: []byte("two\nlines é")}
-	second := &search{name: "q-2", text: []byte(`{"query":{"match_all":{}}}`), from: []int{0, 3, 12}, whole: true}
-	partial := &search{name: "q-3", from: []int{7}}
+	second := &search{name: "q-2", text: []byte(`{"query":{"match_all":{}}}`), firstStepShards: []int{0, 3, 12}, firstStepComplete: true}
+	partial := &search{name: "q-3", firstStepShards: []int{7}}
 	var out strings.Builder
 	for _, x := range []struct {
 		name string
-		c    *call
+		c    *batch
 	}{
-		{"one shard", callOf("10.0.0.1:9200", 80_000, &part{s: first, step: 1, shard: 3})},
-		{"two shards of two searches", callOf("10.0.0.1:9200", 2_405, &part{s: first, step: 1, shard: 12}, &part{s: second, step: 1, shard: 0})},
-		{"second step, whole", callOf("10.0.0.1:9200", 2_405, &part{s: second, step: 2, shard: 12})},
-		{"second step, partial", callOf("[::1]:9200", 19, &part{s: partial, step: 2, shard: 7})},
-		{"no time left", callOf("10.0.0.1:9200", -5, &part{s: first, step: 1, shard: 3})},
+		{"one shard", callOf("10.0.0.1:9200", 80_000, &shardRequest{search: first, step: 1, shard: 3})},
+		{"two shards of two searches", callOf("10.0.0.1:9200", 2_405, &shardRequest{search: first, step: 1, shard: 12}, &shardRequest{search: second, step: 1, shard: 0})},
+		{"second step, whole", callOf("10.0.0.1:9200", 2_405, &shardRequest{search: second, step: 2, shard: 12})},
+		{"second step, partial", callOf("[::1]:9200", 19, &shardRequest{search: partial, step: 2, shard: 7})},
+		{"no time left", callOf("10.0.0.1:9200", -5, &shardRequest{search: first, step: 1, shard: 3})},
 	} {
-		fmt.Fprintf(&out, "== %s\n%q\n", x.name, frames{}.call(o, nil, x.c))
-		quotedLines(&out, "<", string(openSearch{HostKind{Index: "members of/é"}}.call(o, nil, x.c)))
+		fmt.Fprintf(&out, "== %s\n%q\n", x.name, frameProtocol{}.appendBatch(o, nil, x.c))
+		quotedLines(&out, "<", string(openSearchProtocol{HostKind{Index: "members of/é"}}.appendBatch(o, nil, x.c)))
 	}
 	requireGolden(t, "replica_calls.golden", out.String())
 }
@@ -118,18 +118,18 @@
 		`"hits":{"total":{"value":1,"relation":"eq"},"max_score":1,"hits":[{"_index":"members","_id":"a","_score":1,"sort":[1,"a"]}]}}`
 	var out strings.Builder
 	for _, status := range []int{200, 201, 204, 400, 404, 408, 429, 500, 502, 503, 504} {
-		outcome, _ := openSearch{HostKind{Index: "members"}}.outcome(status, []byte(good), 3)
+		outcome, _ := openSearchProtocol{HostKind{Index: "members"}}.classifyResponse(status, []byte(good), 3)
 		fmt.Fprintf(&out, "%d %s\n", status, outcome)
 	}
 	for _, body := range []string{
 		good, strings.Replace(good, `"members"`, `"other"`, 1), strings.Replace(good, `"timed_out":false`, `"timed_out":true`, 1),
 		strings.Replace(good, `"failed":0`, `"failed":1`, 1), strings.Replace(good, `"hits":[`, `"hats":[`, 1), `{}`, ``, `[]`,
 	} {
-		outcome, _ := openSearch{HostKind{Index: "members"}}.outcome(200, []byte(body), 3)
+		outcome, _ := openSearchProtocol{HostKind{Index: "members"}}.classifyResponse(200, []byte(body), 3)
 		fmt.Fprintf(&out, "%q %s\n", body, outcome)
 	}
 	for _, end := range []string{"good", "bad", "later", "", "GOOD", "busy"} {
-		fmt.Fprintf(&out, "%q %q\n", end, outcomes[end])
+		fmt.Fprintf(&out, "%q %q\n", end, frameOutcomes[end])
 	}
 	requireGolden(t, "host_outcomes.golden", out.String())
 }
@@ -177,9 +177,9 @@
 	bodies, err := os.ReadFile("testdata/lists_in.golden")
 	require.NoError(t, err)
 	var out strings.Builder
-	o := &owner{
-		plan: p, fleet: map[string]*replica{}, module: toldEntries{out: &out}, log: newNotes(SystemClock{}, slog.DiscardHandler),
-		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: map[uint64]*moduleWake{},
+	o := &eventLoop{
+		plan: p, replicas: map[string]*replica{}, balancer: toldEntries{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
+		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, balancerTimers: map[uint64]*balancerTimer{},
 	}
 	for body := range strings.Lines(string(bodies)) {
 		fmt.Fprint(&out, body)
@@ -203,9 +203,9 @@
 		}
 		o.applyEndpointList(how, list)
 		var known []string
-		for id, r := range o.fleet {
-			_, speaksAPI := r.speaks.(openSearch)
-			known = append(known, fmt.Sprintf("%s=%s,api=%t,closed=%t", id, r.addr, speaksAPI, r.closed))
+		for id, r := range o.replicas {
+			_, speaksAPI := r.protocol.(openSearchProtocol)
+			known = append(known, fmt.Sprintf("%s=%s,api=%t,closed=%t", id, r.addr, speaksAPI, r.closedToNew))
 		}
 		slices.Sort(known)
 		fmt.Fprintf(&out, "  version %g fleet %s\n", list.Version, strings.Join(known, " "))
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -92,7 +92,7 @@
 }
 
 func openGoldenKeep(t *testing.T, path string) *Persistence {
-	k := newKeep(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
+	k := newPersistence(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
 	t.Cleanup(k.Close)
 	_, err := k.WaitForStore(t.Context())
 	require.NoError(t, err)
@@ -110,7 +110,7 @@
 	}
 	require.NoError(t, k.store.Put(t.Context(), "kept", puts, nil))
 	k.RecordEvent("stop", "planned")
-	require.NoError(t, k.flush(t.Context()))
+	require.NoError(t, k.flushEvents(t.Context()))
 	k.Close()
 }
 
@@ -129,13 +129,13 @@
 	path := filepath.Join(t.TempDir(), "kept.db")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	k := openGoldenKeep(t, path)
-	require.Empty(t, k.believed.Discarded)
-	require.NotNil(t, k.believed.Update)
-	require.Equal(t, goldenList().Hosts, k.believed.Update.Hosts)
-	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.believed.Update.Removals)
-	require.NotNil(t, k.believed.Observations)
-	require.Equal(t, goldenNotes().Entries, k.believed.Observations.Entries)
-	require.NoError(t, k.flush(t.Context()))
+	require.Empty(t, k.restored.Discarded)
+	require.NotNil(t, k.restored.Update)
+	require.Equal(t, goldenList().Hosts, k.restored.Update.Hosts)
+	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.restored.Update.Removals)
+	require.NotNil(t, k.restored.Observations)
+	require.Equal(t, goldenNotes().Entries, k.restored.Observations.Entries)
+	require.NoError(t, k.flushEvents(t.Context()))
 	var events []store.Event
 	require.NoError(t, k.events.ForEach(0, "", func(e store.Event) bool { events = append(events, e); return true }))
 	require.Equal(t, []store.Event{
@@ -148,7 +148,7 @@
 // A start writes these bytes under bucket kept, and its event under bucket events.
 func TestGoldenCoordinatorStart(t *testing.T) {
 	k := openGoldenKeep(t, filepath.Join(t.TempDir(), "kept.db"))
-	require.NoError(t, k.flush(t.Context()))
+	require.NoError(t, k.flushEvents(t.Context()))
 	for bucket, keys := range map[string][]string{"kept": {"starts", "whose"}, "events": {"00000000", "next"}} {
 		var got []string
 		require.NoError(t, k.store.Load(bucket, func(key string, value []byte) error {
@@ -164,7 +164,7 @@
 	require.True(t, found)
 	var text string
 	require.NoError(t, cbor.Unmarshal(whose, &text))
-	require.Equal(t, k.whose, text)
+	require.Equal(t, k.identity, text)
 }
 
 // A running coordinator writes its list and observations under these keys, in these forms, and a planned stop ends the
--- a/coordinator/held_test.go
+++ b/coordinator/held_test.go
@@ -22,9 +22,9 @@
 	c := r.call()
 	held := func() (wakes, timers, parts, searches, lines int) {
 		told := make(chan struct{})
-		require.True(t, r.owner.post(func() {
+		require.True(t, r.owner.submit(func() {
 			o := r.owner
-			wakes, timers, parts, searches, lines = o.wakes.Len(), len(o.timers), len(o.parts), len(o.searches), o.lines
+			wakes, timers, parts, searches, lines = o.timers.Len(), len(o.balancerTimers), len(o.shardRequests), len(o.searches), o.replicaConnectionCount
 			close(told)
 		}))
 		<-told
@@ -62,9 +62,9 @@
 	}
 	look := func() (bytes int64) {
 		told := make(chan struct{})
-		require.True(t, r.owner.post(func() {
-			r.owner.room = 50_000
-			bytes = r.owner.bytes + r.owner.unsent.Load()
+		require.True(t, r.owner.submit(func() {
+			r.owner.searchMemory = 50_000
+			bytes = r.owner.heldBytes + r.owner.unsentBytes.Load()
 			close(told)
 		}))
 		<-told
@@ -104,13 +104,13 @@
 // counted, and is released when it reads or leaves.
 func TestSlowReader(t *testing.T) {
 	r := start(t, 256, nil)
-	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *owner, 1), make(chan error, 1)
+	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), look: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
 	o := <-look
@@ -122,20 +122,20 @@
 	}
 	slow, gone, sound := call(), call(), call()
 	slow.send(request("slow", "all", "", fourParts))
-	r.eventually("an answer is held", func() bool { return o.unsent.Load() > 0 })
-	one := o.unsent.Load()
+	r.eventually("an answer is held", func() bool { return o.unsentBytes.Load() > 0 })
+	one := o.unsentBytes.Load()
 	gone.send(request("gone", "all", "", fourParts))
-	r.eventually("two are", func() bool { return o.unsent.Load() == 2*one })
+	r.eventually("two are", func() bool { return o.unsentBytes.Load() == 2*one })
 	for i := range 5 {
 		sound.want(fmt.Sprint("sound", i), "all", 200, wholeOfAll)
 	}
-	r.eventually("no more than two are", func() bool { return o.unsent.Load() == 2*one })
+	r.eventually("no more than two are", func() bool { return o.unsentBytes.Load() == 2*one })
 	status, _, text, _ := slow.answer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
-	r.eventually("one is", func() bool { return o.unsent.Load() == one })
+	r.eventually("one is", func() bool { return o.unsentBytes.Load() == one })
 	gone.Close()
-	r.eventually("none is", func() bool { return o.unsent.Load() == 0 })
+	r.eventually("none is", func() bool { return o.unsentBytes.Load() == 0 })
 	stop()
 	select {
 	case err := <-ended:
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -22,69 +22,69 @@
 )
 
 const (
-	keepKind    = "keep"                 // of background work
-	keepEach    = 2 * time.Second        // between two writes: what is learned is of use for half a minute
-	keepFirst   = 5 * time.Second        // before the first: a run that ends sooner leaves what an earlier one knew
-	keepAgain   = time.Hour              // after which a list that has not changed is written again, for its age
-	keepWait    = 30 * time.Second       // for one write: a disk that takes 5 s is slow, one that takes this is stuck
-	keepLast    = 400 * time.Millisecond // for the last one: within the time in which requests are still taken
-	keepHeld    = 2 * time.Second        // between tries for a store that another process holds: one before it that ends
-	keepClose   = 200 * time.Millisecond // for the store to be let go of: the end of the process does it too
-	keepRoom    = 256                    // events that wait to be written; more are counted and left out
-	keptBucket  = "kept"
-	eventBucket = "events"
-	startsKey   = "starts"
-	listKey     = "list"
-	notesKey    = "notes"
-	whoseKey    = "whose"
+	persistJobKind      = "keep"                 // of background work
+	persistInterval     = 2 * time.Second        // between two writes: what is learned is of use for half a minute
+	firstPersistDelay   = 5 * time.Second        // before the first: a run that ends sooner leaves what an earlier one knew
+	listRewriteInterval = time.Hour              // after which a list that has not changed is written again, for its age
+	persistTimeout      = 30 * time.Second       // for one write: a disk that takes 5 s is slow, one that takes this is stuck
+	lastPersistTimeout  = 400 * time.Millisecond // for the last one: within the time in which requests are still taken
+	storeRetryInterval  = 2 * time.Second        // between tries for a store that another process holds: one before it that ends
+	storeCloseTimeout   = 200 * time.Millisecond // for the store to be let go of: the end of the process does it too
+	maxPendingEvents    = 256                    // events that wait to be written; more are counted and left out
+	stateBucket         = "kept"
+	eventBucket         = "events"
+	startsKey           = "starts"
+	listKey             = "list"
+	observationsKey     = "notes"
+	identityKey         = "whose"
 )
 
 // Persistence keeps what a restart can use on disk: the list in force, what the module knows of hosts, starts and events.
 // Nothing waits for it: it opens its store beside the start, what it finds comes as one more source of the list and as
 // one more peer's report, and background jobs write.
 type Persistence struct {
-	path   string
-	alone  bool             // nothing else is in the store
-	budget scheduler.Budget // of its writes
-	plan   int64            // version of the plan's list
-	whose  string           // the plan's own, as Plan.whose tells it
-	clock  Clock
-	log    *notes
-	own    context.CancelFunc
-	enough context.CancelFunc // no more tries to open
-	writes sync.WaitGroup     // of the log
-	opened chan struct{}      // closed once store, or err, and believed are there
+	path        string
+	exclusive   bool             // nothing else is in the store
+	budget      scheduler.Budget // of its writes
+	planVersion int64            // version of the plan's list
+	identity    string           // the plan's own, as Plan.whose tells it
+	clock       Clock
+	log         *asyncLogger
+	stopLog     context.CancelFunc
+	stopOpening context.CancelFunc // no more tries to open
+	logWriter   sync.WaitGroup     // of the log
+	opened      chan struct{}      // closed once store, or err, and believed are there
 
 	store    *store.Store
 	err      error
-	believed recovery.Restored
+	restored recovery.Restored
 	events   *store.EventLog
 
-	newest    atomic.Pointer[recovery.EndpointList] // the list in force; At is when it came to be
-	discovery atomic.Int64                          // newest version that discovery told
-	turn      chan struct{}                         // one write at a time
-	written   *recovery.EndpointList                // the list as it was last written
-	mu        sync.Mutex
-	waiting   []store.Event
-	leftOut   int
-	closed    sync.Once
+	currentList      atomic.Pointer[recovery.EndpointList] // the list in force; At is when it came to be
+	discoveryVersion atomic.Int64                          // newest version that discovery told
+	writeSlot        chan struct{}                         // one write at a time
+	writtenList      *recovery.EndpointList                // the list as it was last written
+	mu               sync.Mutex
+	pendingEvents    []store.Event
+	droppedEvents    int
+	closeOnce        sync.Once
 }
 
 // NewPersistence begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
 // nothing else keeps anything there, so that a crash loop may put all of it aside.
 func NewPersistence(path string, alone bool, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
-	return newKeep(path, alone, store.Options{}, budget, p, clock, log)
+	return newPersistence(path, alone, store.Options{}, budget, p, clock, log)
 }
 
-func newKeep(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+func newPersistence(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	ctx, stop := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
 	k := &Persistence{
-		path: path, alone: alone, budget: budget, plan: int64(p.Known.Version), whose: p.Identity(), clock: clock, log: newNotes(clock, log.Handler()),
-		own: stop, enough: enough, opened: make(chan struct{}), turn: make(chan struct{}, 1),
+		path: path, exclusive: alone, budget: budget, planVersion: int64(p.Known.Version), identity: p.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
+		stopLog: stop, stopOpening: enough, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
 	}
-	k.discovery.Store(k.plan)
-	k.writes.Go(func() { k.log.write(ctx) })
+	k.discoveryVersion.Store(k.planVersion)
+	k.logWriter.Go(func() { k.log.run(ctx) })
 	go func() {
 		defer close(k.opened)
 		for told := false; ; told = true {
@@ -98,7 +98,7 @@
 				return
 			}
 			select {
-			case <-k.clock.After(keepHeld):
+			case <-k.clock.After(storeRetryInterval):
 			case <-opening.Done():
 				return
 			}
@@ -119,7 +119,7 @@
 		return err
 	}
 	now := began.UnixMilli()
-	starts, level := read[recovery.StartRecord](k, s, startsKey).RecordStart(now, k.alone)
+	starts, level := readStored[recovery.StartRecord](k, s, startsKey).RecordStart(now, k.exclusive)
 	if level > recovery.TrustAll {
 		k.log.Warn("crash_loop", "starts", len(starts.RecentStarts), "believes", level.String(),
 			"do", "Look in the log for why the earlier runs ended; a planned stop, or a minute without a start, ends the loop.")
@@ -138,15 +138,15 @@
 	// Guards against a store that another deployment has written: its hosts are another customer's. A store from before this
 	// was noted counts as this one's. Harm: where classes, tenants or zones are added, the next start knows what its plan says.
 	var others []string
-	if whose := read[string](k, s, whoseKey); whose != "" && whose != k.whose {
+	if whose := readStored[string](k, s, identityKey); whose != "" && whose != k.identity {
 		k.log.Warn("left_out", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
 			"do", "Give each deployment a store of its own; this one is written anew from now on.")
-		others = []string{listKey, notesKey}
+		others = []string{listKey, observationsKey}
 	}
 	text, err := cbor.Marshal(starts)
-	mine, err2 := cbor.Marshal(k.whose)
+	mine, err2 := cbor.Marshal(k.identity)
 	if err = errors.Join(err, err2); err == nil {
-		err = s.Put(context.Background(), keptBucket, map[string][]byte{startsKey: text, whoseKey: mine}, others)
+		err = s.Put(context.Background(), stateBucket, map[string][]byte{startsKey: text, identityKey: mine}, others)
 	}
 	if err == nil {
 		k.events, err = store.NewEventLog(s, eventBucket, 0)
@@ -156,23 +156,23 @@
 	}
 	k.store = s
 	var list *recovery.EndpointList
-	if l := read[recovery.EndpointList](k, s, listKey); l.SavedAt > 0 {
+	if l := readStored[recovery.EndpointList](k, s, listKey); l.SavedAt > 0 {
 		list = &l
 	}
 	var notes *recovery.Observations
-	if n := read[recovery.Observations](k, s, notesKey); n.SavedAt > 0 && n.Validate() == nil {
+	if n := readStored[recovery.Observations](k, s, observationsKey); n.SavedAt > 0 && n.Validate() == nil {
 		notes = &n
 	}
-	k.believed = recovery.Restore(now, level, k.plan, list, notes)
-	for _, l := range k.believed.Discarded {
+	k.restored = recovery.Restore(now, level, k.planVersion, list, notes)
+	for _, l := range k.restored.Discarded {
 		k.log.Info("left_out", "what", l.Item, "why", l.Reason)
 	}
 	hosts, known := 0, 0
-	if k.believed.Update != nil {
-		hosts = len(k.believed.Update.Hosts)
+	if k.restored.Update != nil {
+		hosts = len(k.restored.Update.Hosts)
 	}
-	if k.believed.Observations != nil {
-		known = len(k.believed.Observations.Entries)
+	if k.restored.Observations != nil {
+		known = len(k.restored.Observations.Entries)
 	}
 	k.log.Info("store", "path", path, "believes", level.String(), "listed", hosts, "notes", known,
 		"took", k.clock.Now().Sub(began).Round(time.Millisecond))
@@ -180,9 +180,9 @@
 	return nil
 }
 
-// read is one kept value; what is missing or in another form is nothing.
-func read[T any](k *Persistence, s *store.Store, key string) (v T) {
-	text, found, err := s.Get(keptBucket, key)
+// readStored is one kept value; what is missing or in another form is nothing.
+func readStored[T any](k *Persistence, s *store.Store, key string) (v T) {
+	text, found, err := s.Get(stateBucket, key)
 	if err == nil && found {
 		err = cbor.Unmarshal(text, &v)
 	}
@@ -217,10 +217,10 @@
 			var t endpoints.Update
 			select {
 			case <-opened:
-				if opened = nil; k.believed.Update == nil {
+				if opened = nil; k.restored.Update == nil {
 					continue
 				}
-				t = *k.believed.Update
+				t = *k.restored.Update
 			case told, ok := <-more:
 				if !ok {
 					more = nil
@@ -244,31 +244,31 @@
 func (k *Persistence) RecordEvent(kind, words string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.waiting) >= keepRoom {
-		k.leftOut++
+	if len(k.pendingEvents) >= maxPendingEvents {
+		k.droppedEvents++
 		return
 	}
-	k.waiting = append(k.waiting, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: words})
+	k.pendingEvents = append(k.pendingEvents, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: words})
 }
 
 // Close lets go of the store. It waits a little for a write that is on its way, and for one that is stuck not at all.
-func (k *Persistence) Close() { k.closed.Do(k.letGo) }
+func (k *Persistence) Close() { k.closeOnce.Do(k.closeStore) }
 
-func (k *Persistence) letGo() {
-	k.enough()
-	ctx, stop := context.WithTimeout(context.Background(), keepClose)
+func (k *Persistence) closeStore() {
+	k.stopOpening()
+	ctx, stop := context.WithTimeout(context.Background(), storeCloseTimeout)
 	defer stop()
 	if s, _ := k.WaitForStore(ctx); s != nil {
 		if err := s.Close(ctx); err != nil {
 			k.log.Warn("store_failed", advice.LogAttrs(err)...)
 		}
 	}
-	k.own()
-	k.writes.Wait()
+	k.stopLog()
+	k.logWriter.Wait()
 }
 
-// peers are those of an installation, or none, with room for the writes.
-func (k *Persistence) peers(p *PeerOptions) *PeerOptions {
+// withBudget are those of an installation, or none, with room for the writes.
+func (k *Persistence) withBudget(p *PeerOptions) *PeerOptions {
 	own := PeerOptions{}
 	if p != nil {
 		own = *p
@@ -277,23 +277,23 @@
 	if own.Budgets == nil {
 		own.Budgets = map[string]scheduler.Budget{}
 	}
-	own.Budgets[keepKind] = k.budget
+	own.Budgets[persistJobKind] = k.budget
 	return &own
 }
 
 // run is the co-ordinator's side: what was kept of hosts is told as a peer's report, then jobs write. stopping ends at
 // the start of a planned stop.
-func (k *Persistence) run(o *owner, stopping context.Context) {
-	o.g.Go(func() error {
+func (k *Persistence) run(o *eventLoop, stopping context.Context) {
+	o.group.Go(func() error {
 		if _, err := k.WaitForStore(o.ctx); err != nil {
 			return nil // it was told
 		}
-		if n := k.believed.Observations; n != nil {
-			k.recall(o, n)
+		if n := k.restored.Observations; n != nil {
+			k.importStoredObservations(o, n)
 		}
-		job := scheduler.Job{Name: "keep", Kind: keepKind, Priority: scheduler.PriorityNormal, Delay: int64(keepFirst / tenth), Interval: int64(keepEach / tenth)}
+		job := scheduler.Job{Name: "keep", Kind: persistJobKind, Priority: scheduler.PriorityNormal, Delay: int64(firstPersistDelay / tick), Interval: int64(persistInterval / tick)}
 		_, err := o.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
-			ctx, stop := context.WithTimeout(ctx, keepWait)
+			ctx, stop := context.WithTimeout(ctx, persistTimeout)
 			defer stop()
 			return k.write(ctx, o, a, false)
 		})
@@ -305,7 +305,7 @@
 		case <-o.ctx.Done():
 			return nil
 		}
-		ctx, stop := context.WithTimeout(o.ctx, keepLast)
+		ctx, stop := context.WithTimeout(o.ctx, lastPersistTimeout)
 		defer stop()
 		k.RecordEvent("stop", "planned")
 		k.write(ctx, o, nil, true)
@@ -313,46 +313,46 @@
 	})
 }
 
-// recall tells what an earlier run knew of hosts as one peer's report.
-func (k *Persistence) recall(o *owner, n *recovery.Observations) {
+// importStoredObservations tells what an earlier run knew of hosts as one peer's report.
+func (k *Persistence) importStoredObservations(o *eventLoop, n *recovery.Observations) {
 	l, h := o.peers, n.Head
-	since := int64(k.clock.Now().Sub(time.UnixMilli(n.SavedAt)) / tenth) // the machine's clock tells how long the start has taken
-	h.Peer, h.Locality = recovery.PeerName, l.p.Location
+	since := int64(k.clock.Now().Sub(time.UnixMilli(n.SavedAt)) / tick) // the machine's clock tells how long the start has taken
+	h.Peer, h.Locality = recovery.PeerName, l.options.Location
 	l.mu.Lock()
-	err := l.shelf.BeginReport(o.clock()-max(0, since), h)
+	err := l.reports.BeginReport(o.clockTicks()-max(0, since), h)
 	if err == nil {
-		err = l.shelf.AddObservations(h.Peer, n.Entries)
+		err = l.reports.AddObservations(h.Peer, n.Entries)
 	}
 	if err == nil {
-		l.shelf.CompleteReport(h.Peer)
+		l.reports.CompleteReport(h.Peer)
 	} else {
-		l.shelf.AbortReport(h.Peer)
+		l.reports.AbortReport(h.Peer)
 	}
 	l.mu.Unlock()
 	if err != nil {
-		o.log.Info("left_out", "what", notesKey, "why", err.Error())
+		o.log.Info("left_out", "what", observationsKey, "why", err.Error())
 		return
 	}
-	o.log.Info("learned", "peer", recovery.PeerName, "hosts", l.feed())
+	o.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
 }
 
-// listed takes in the list in force.
-func (k *Persistence) listed(list []endpoints.Endpoint, gone []endpoints.Removal) {
-	l := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.plan, k.discovery.Load(), list, gone)
-	k.newest.Store(&l)
+// recordList takes in the list in force.
+func (k *Persistence) recordList(list []endpoints.Endpoint, gone []endpoints.Removal) {
+	l := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.planVersion, k.discoveryVersion.Load(), list, gone)
+	k.currentList.Store(&l)
 }
 
 // write writes what is new. Its last write also tells that the stop was planned.
-func (k *Persistence) write(ctx context.Context, o *owner, a *scheduler.Allowance, last bool) (err error) {
+func (k *Persistence) write(ctx context.Context, o *eventLoop, a *scheduler.Allowance, last bool) (err error) {
 	select {
-	case k.turn <- struct{}{}:
-		defer func() { <-k.turn }()
+	case k.writeSlot <- struct{}{}:
+		defer func() { <-k.writeSlot }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	defer func() {
 		if err != nil && o.ctx.Err() == nil {
-			o.log.often("store_failed", "store_failed", advice.LogAttrs(err)...)
+			o.log.warnLimited("store_failed", "store_failed", advice.LogAttrs(err)...)
 		}
 	}()
 	l, began, puts := o.peers, time.Now(), map[string][]byte{}
@@ -361,19 +361,19 @@
 		puts[key] = text
 		return err
 	}
-	head, all, err := l.report(ctx)
+	head, all, err := l.currentReport(ctx)
 	if err != nil {
 		return err
 	}
 	now := k.clock.Now()
-	err = put(notesKey, recovery.Observations{SavedAt: now.UnixMilli(), Head: head, Entries: all})
-	list := k.newest.Load()
-	changed := list != nil && (list != k.written || now.Sub(time.UnixMilli(list.SavedAt)) > keepAgain)
+	err = put(observationsKey, recovery.Observations{SavedAt: now.UnixMilli(), Head: head, Entries: all})
+	list := k.currentList.Load()
+	changed := list != nil && (list != k.writtenList || now.Sub(time.UnixMilli(list.SavedAt)) > listRewriteInterval)
 	if changed {
-		if list == k.written {
+		if list == k.writtenList {
 			own := *list
 			own.SavedAt = now.UnixMilli()
-			k.newest.CompareAndSwap(list, &own)
+			k.currentList.CompareAndSwap(list, &own)
 			list = &own
 		}
 		err = errors.Join(err, put(listKey, list))
@@ -389,22 +389,22 @@
 		err = errors.Join(err, a.Spend(ctx, bytes, time.Since(began)))
 	}
 	if err == nil {
-		err = k.store.Put(ctx, keptBucket, puts, nil)
+		err = k.store.Put(ctx, stateBucket, puts, nil)
 	}
 	if err != nil {
 		return err
 	}
 	if changed {
-		k.written = list
+		k.writtenList = list
 	}
-	return k.flush(ctx)
+	return k.flushEvents(ctx)
 }
 
-// flush writes the events that wait; they wait on if it fails.
-func (k *Persistence) flush(ctx context.Context) error {
+// flushEvents writes the events that wait; they wait on if it fails.
+func (k *Persistence) flushEvents(ctx context.Context) error {
 	k.mu.Lock()
-	events, left := k.waiting, k.leftOut
-	k.waiting, k.leftOut = nil, 0
+	events, left := k.pendingEvents, k.droppedEvents
+	k.pendingEvents, k.droppedEvents = nil, 0
 	k.mu.Unlock()
 	if left > 0 {
 		events = append(events, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: "left_out", Message: fmt.Sprint(left, " events")})
@@ -415,15 +415,15 @@
 	err := k.events.Append(ctx, events)
 	if err != nil {
 		k.mu.Lock()
-		k.waiting = append(events, k.waiting...)
-		k.waiting = k.waiting[max(0, len(k.waiting)-keepRoom):]
+		k.pendingEvents = append(events, k.pendingEvents...)
+		k.pendingEvents = k.pendingEvents[max(0, len(k.pendingEvents)-maxPendingEvents):]
 		k.mu.Unlock()
 	}
 	return err
 }
 
-// event is for parts that may have no Keep.
-func (o *owner) event(kind, words string) {
+// recordEvent is for parts that may have no Keep.
+func (o *eventLoop) recordEvent(kind, words string) {
 	if o.Persistence != nil {
 		o.Persistence.RecordEvent(kind, words)
 	}
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -33,12 +33,12 @@
 	plan := *r.plan
 	plan.Discovery = more.list.Listener.Addr().String()
 	more.plan = &plan
-	log, look := NewLogger(more.log, false, slog.LevelInfo), make(chan *owner, 1)
-	k := newKeep(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
+	log, look := NewLogger(more.log, false, slog.LevelInfo), make(chan *eventLoop, 1)
+	k := newPersistence(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
 	go func() {
 		err := Serve(ctx, more.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Logger: log,
-			Persistence: k, EndpointUpdates: k.PrependStoredUpdate(ctx, nil), look: look,
+			Persistence: k, EndpointUpdates: k.PrependStoredUpdate(ctx, nil), onStart: look,
 		})
 		k.Close()
 		more.ended <- err
@@ -59,17 +59,17 @@
 		all[key], err = cbor.Marshal(v)
 		require.NoError(t, err)
 	}
-	require.NoError(t, s.Put(context.Background(), keptBucket, all, nil))
+	require.NoError(t, s.Put(context.Background(), stateBucket, all, nil))
 	require.NoError(t, s.Close(context.Background()))
 }
 
 // inForce are the hosts that the owner works with.
 func (r *rig) inForce() string {
 	found := make(chan string, 1)
-	require.True(r.t, r.owner.post(func() {
+	require.True(r.t, r.owner.submit(func() {
 		on := ""
 		for _, id := range []string{"a0", "a1", "b0", "b1", "c0"} {
-			if h := r.owner.fleet[id]; h != nil && !h.gone {
+			if h := r.owner.replicas[id]; h != nil && !h.removed {
 				on += id + " "
 			}
 		}
@@ -209,17 +209,17 @@
 	s, err := store.Open(filepath.Join(b.TempDir(), "kept"), store.Options{})
 	require.NoError(b, err)
 	defer s.Close(context.Background())
-	k := &Persistence{log: newNotes(SystemClock{}, slog.DiscardHandler)}
+	k := &Persistence{log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
 	bytes := 0
 	for b.Loop() {
 		puts := map[string][]byte{}
-		for key, v := range map[string]any{listKey: list, notesKey: notes} {
+		for key, v := range map[string]any{listKey: list, observationsKey: notes} {
 			puts[key], err = cbor.Marshal(v)
 			require.NoError(b, err)
 			bytes += len(puts[key])
 		}
-		require.NoError(b, s.Put(context.Background(), keptBucket, puts, nil))
-		l, n := read[recovery.EndpointList](k, s, listKey), read[recovery.Observations](k, s, notesKey)
+		require.NoError(b, s.Put(context.Background(), stateBucket, puts, nil))
+		l, n := readStored[recovery.EndpointList](k, s, listKey), readStored[recovery.Observations](k, s, observationsKey)
 		weighed := recovery.Restore(now+1, recovery.TrustAll, 0, &l, &n)
 		require.Len(b, weighed.Observations.Entries, 10_000)
 	}
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -240,7 +240,7 @@
 	log   *stamped
 	plans chan *plan.Plan
 	plan  *plan.Plan
-	owner *owner
+	owner *eventLoop
 	stop  func()
 }
 
@@ -263,9 +263,9 @@
 		way.up[name] = d.serve
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	look, ended := make(chan *owner, 1), make(chan error, 1)
+	look, ended := make(chan *eventLoop, 1), make(chan error, 1)
 	m := Options{
-		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, look: look,
+		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: look,
 		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at),
 	}
 	if more != nil {
@@ -460,14 +460,14 @@
 							began := time.Now()
 							if time.Sleep(x.later); x.later > 0 {
 								look := make(chan int)
-								f.owner.post(func() { look <- len(f.owner.fleet) })
+								f.owner.submit(func() { look <- len(f.owner.replicas) })
 								require.Equal(t, 2, <-look, "the last list holds")
 								d.tell(x.version+1, hosts("10.0.0.3:1"))
 								began = time.Now()
 							}
 							f.until("the new list is in force", func() bool {
 								look := make(chan string)
-								f.owner.post(func() { look <- f.owner.fleet["a0"].addr })
+								f.owner.submit(func() { look <- f.owner.replicas["a0"].addr })
 								return <-look == "10.0.0.3:1"
 							})
 							took := time.Since(began)
@@ -707,7 +707,7 @@
 					r.call().want(fmt.Sprint("p", i), "all", 200, wholeOfAll)
 				}
 				look := make(chan bool)
-				r.owner.post(func() { h := r.owner.fleet["b1"]; look <- h != nil && !h.gone })
+				r.owner.submit(func() { h := r.owner.replicas["b1"]; look <- h != nil && !h.removed })
 				require.True(t, <-look)
 				if name != "at its address" {
 					require.Positive(t, next.CountRequests())
@@ -746,14 +746,14 @@
 	ownPlan.Discovery = other.Listener.Addr().String()
 	r.end()
 
-	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
+	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended}
 	go func() {
 		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
+			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
 	<-look
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -27,14 +27,14 @@
 	ownPlan, other := *r.plan, script(t)
 	ownPlan.Known = plan.EndpointList{Version: ownPlan.Known.Version, Full: true}
 	ownPlan.Discovery = other.Listener.Addr().String()
-	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
+	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended, list: other}
 	go func() {
 		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
+			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
 	next.owner = <-look
@@ -115,8 +115,8 @@
 				waits[target] = true
 				d.tell(9, hosts("10.0.0.2:1"))
 				took := f.told("version=9 ").Sub(began)
-				require.LessOrEqual(t, took, wait+watchSlack+20*time.Millisecond, "%s, seed %d", by, seed)
-				require.GreaterOrEqual(t, wait, watchMost/2)
+				require.LessOrEqual(t, took, wait+watchAnswerSlack+20*time.Millisecond, "%s, seed %d", by, seed)
+				require.GreaterOrEqual(t, wait, maxWatchWait/2)
 			})
 		}
 		require.Greater(t, len(waits), 15)
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -26,24 +26,24 @@
 	return slog.New(slog.NewTextHandler(to, opts))
 }
 
-// unstalled hands what is written to a goroutine of its own and waits for it only so long.
-type unstalled struct {
-	mu    sync.Mutex
-	text  []byte // the goroutine's until it is done
-	texts chan []byte
-	done  chan error
-	stuck bool // it is not done with the text before
+// stallGuardWriter hands what is written to a goroutine of its own and waits for it only so long.
+type stallGuardWriter struct {
+	mu      sync.Mutex
+	buffer  []byte // the goroutine's until it is done
+	writes  chan []byte
+	done    chan error
+	stalled bool // it is not done with the text before
 }
 
 var errStalled = errors.New("the log is not read")
 
-// NewStallGuardWriter writes to a file that another may read late or never, such as a pipe: what is not taken within logStall is
+// NewStallGuardWriter writes to a file that another may read late or never, such as a pipe: what is not taken within logWriteTimeout is
 // given up with an error, and so is, at once, all that follows until it is taken. Guards against a process that can neither
 // end nor take new plans since nobody reads what it says. What is written is out when Write returns without an error.
 func NewStallGuardWriter(to io.Writer) io.Writer {
-	u := &unstalled{texts: make(chan []byte), done: make(chan error, 1)}
+	u := &stallGuardWriter{writes: make(chan []byte), done: make(chan error, 1)}
 	go func() {
-		for text := range u.texts {
+		for text := range u.writes {
 			_, err := to.Write(text)
 			u.done <- err
 		}
@@ -51,20 +51,20 @@
 	return u
 }
 
-func (u *unstalled) Write(p []byte) (int, error) {
+func (u *stallGuardWriter) Write(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.stuck {
+	if u.stalled {
 		select {
 		case <-u.done:
-			u.stuck = false
+			u.stalled = false
 		default:
 			return 0, errStalled
 		}
 	}
-	u.text = append(u.text[:0], p...)
-	u.texts <- u.text
-	late := time.NewTimer(logStall)
+	u.buffer = append(u.buffer[:0], p...)
+	u.writes <- u.buffer
+	late := time.NewTimer(logWriteTimeout)
 	defer late.Stop()
 	select {
 	case err := <-u.done:
@@ -73,85 +73,91 @@
 		}
 		return len(p), nil
 	case <-late.C:
-		u.stuck = true
+		u.stalled = true
 		return 0, errStalled
 	}
 }
 
-// notes is the log as the co-ordinator's goroutines write to it: no one waits for it. Lines that find it
+// asyncLogger is the log as the co-ordinator's goroutines write to it: no one waits for it. Lines that find it
 // full are dropped and counted. Guards against a reader of the log that stalls.
-type notes struct {
+type asyncLogger struct {
 	*slog.Logger
-	clock Clock
-	out   slog.Handler
-	lines chan entry
-	lost  atomic.Int64
-
-	mu    sync.Mutex
-	spoke map[string]time.Time // when each kind that can be repeated at will was last written
-	more  map[string]int       // and how often it was left out since; kinds are constants of the code
+	clock     Clock
+	handler   slog.Handler
+	records   chan logRecord
+	lostLines atomic.Int64
+
+	mu          sync.Mutex
+	lastWritten map[string]time.Time // when each kind that can be repeated at will was last written
+	suppressed  map[string]int       // and how often it was left out since; kinds are constants of the code
 }
 
-// entry is a line on its way to its handler.
-type entry struct {
-	to slog.Handler
-	r  slog.Record
+// logRecord is a line on its way to its handler.
+type logRecord struct {
+	handler slog.Handler
+	record  slog.Record
 }
 
-// bounded hands records over without waiting.
-type bounded struct {
-	n  *notes
-	to slog.Handler
+// boundedHandler hands records over without waiting.
+type boundedHandler struct {
+	logger  *asyncLogger
+	handler slog.Handler
 }
 
-func (b bounded) Enabled(ctx context.Context, l slog.Level) bool { return b.to.Enabled(ctx, l) }
-func (b bounded) WithAttrs(as []slog.Attr) slog.Handler          { return bounded{b.n, b.to.WithAttrs(as)} }
+func (b boundedHandler) Enabled(ctx context.Context, l slog.Level) bool {
+	return b.handler.Enabled(ctx, l)
+}
+func (b boundedHandler) WithAttrs(as []slog.Attr) slog.Handler {
+	return boundedHandler{b.logger, b.handler.WithAttrs(as)}
+}
 
-func (b bounded) WithGroup(name string) slog.Handler { return bounded{b.n, b.to.WithGroup(name)} }
+func (b boundedHandler) WithGroup(name string) slog.Handler {
+	return boundedHandler{b.logger, b.handler.WithGroup(name)}
+}
 
-func (b bounded) Handle(_ context.Context, r slog.Record) error {
+func (b boundedHandler) Handle(_ context.Context, r slog.Record) error {
 	select {
-	case b.n.lines <- entry{b.to, r.Clone()}:
+	case b.logger.records <- logRecord{b.handler, r.Clone()}:
 	default:
-		b.n.lost.Add(1)
+		b.logger.lostLines.Add(1)
 	}
 	return nil
 }
 
-func newNotes(clock Clock, out slog.Handler) *notes {
-	n := &notes{
-		clock: clock, out: out, lines: make(chan entry, logRoom), spoke: map[string]time.Time{},
-		more: map[string]int{},
+func newAsyncLogger(clock Clock, out slog.Handler) *asyncLogger {
+	n := &asyncLogger{
+		clock: clock, handler: out, records: make(chan logRecord, logQueueSize), lastWritten: map[string]time.Time{},
+		suppressed: map[string]int{},
 	}
-	n.Logger = slog.New(bounded{n, out})
+	n.Logger = slog.New(boundedHandler{n, out})
 	return n
 }
 
-// often writes what others can bring about at will: one line a kind each logEach, with the count of those left
+// warnLimited writes what others can bring about at will: one line a kind each logRepeatInterval, with the count of those left
 // out. Guards against strangers who fill the log.
-func (n *notes) often(kind, event string, v ...any) {
+func (n *asyncLogger) warnLimited(kind, event string, v ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	if last, ok := n.spoke[kind]; ok && now.Sub(last) < logEach {
-		n.more[kind]++
+	if last, ok := n.lastWritten[kind]; ok && now.Sub(last) < logRepeatInterval {
+		n.suppressed[kind]++
 		return
 	}
-	n.Warn(event, append(v, "left_out", n.more[kind])...)
-	n.spoke[kind], n.more[kind] = now, 0
+	n.Warn(event, append(v, "left_out", n.suppressed[kind])...)
+	n.lastWritten[kind], n.suppressed[kind] = now, 0
 }
 
-// write writes the lines out until ctx ends, and then what is left, for logLast at the most.
-func (n *notes) write(ctx context.Context) error {
+// run writes the lines out until ctx ends, and then what is left, for logFlushTimeout at the most.
+func (n *asyncLogger) run(ctx context.Context) error {
 	for {
 		select {
-		case l := <-n.lines:
-			n.writeOne(ctx, l)
+		case l := <-n.records:
+			n.writeRecord(ctx, l)
 		case <-ctx.Done():
-			for by := n.clock.Now().Add(logLast); n.clock.Now().Before(by); {
+			for by := n.clock.Now().Add(logFlushTimeout); n.clock.Now().Before(by); {
 				select {
-				case l := <-n.lines:
-					n.writeOne(ctx, l)
+				case l := <-n.records:
+					n.writeRecord(ctx, l)
 				default:
 					return nil
 				}
@@ -161,28 +167,28 @@
 	}
 }
 
-// writeOne writes a line out, and behind it how many before it are lost: dropped, or not taken by the log.
-func (n *notes) writeOne(ctx context.Context, l entry) {
-	if l.to.Handle(ctx, l.r) != nil {
-		n.lost.Add(1)
+// writeRecord writes a line out, and behind it how many before it are lost: dropped, or not taken by the log.
+func (n *asyncLogger) writeRecord(ctx context.Context, l logRecord) {
+	if l.handler.Handle(ctx, l.record) != nil {
+		n.lostLines.Add(1)
 		return
 	}
-	if lost := n.lost.Swap(0); lost > 0 {
+	if lost := n.lostLines.Swap(0); lost > 0 {
 		r := slog.NewRecord(n.clock.Now(), slog.LevelWarn, "log_full", 0)
 		r.Add("lines_lost", lost)
-		if n.out.Handle(ctx, r) != nil {
-			n.lost.Add(lost)
+		if n.handler.Handle(ctx, r) != nil {
+			n.lostLines.Add(lost)
 		}
 	}
 }
 
-// contain has a panic end what is done on one connection alone. Guards against a fault that some bytes bring out: the process
+// recoverPanic has a panic end what is done on one connection alone. Guards against a fault that some bytes bring out: the process
 // would end, and with it all that others wait for. Harm: what the fault leaves undone stays so.
-func (n *notes) contain(do func() error) (err error) {
+func (n *asyncLogger) recoverPanic(do func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			if err = faulty; n != nil {
-				n.often("connection fault", "connection_fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
+			if err = endFault; n != nil {
+				n.warnLimited("connection fault", "connection_fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
 			}
 		}
 	}()
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -27,11 +27,11 @@
 		t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
 		log: &journal{}, plan: r.plan,
 	}
-	look := make(chan *owner, 1)
+	look := make(chan *eventLoop, 1)
 	go func() {
 		more.ended <- Serve(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, look: look,
+			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, onStart: look,
 		})
 	}()
 	more.owner = <-look
@@ -81,10 +81,10 @@
 	g.Go(func() {
 		for {
 			found := make(chan string, 1)
-			if !r.owner.post(func() {
+			if !r.owner.submit(func() {
 				var on []string
-				for id, h := range r.owner.fleet {
-					if !h.gone {
+				for id, h := range r.owner.replicas {
+					if !h.removed {
 						on = append(on, id)
 					}
 				}
