--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -23,72 +23,72 @@
 	"chalkring/control/shadow"
 )
 
-// owner owns the module. All but queue, asks, moves, log and ctx is touched by its goroutine alone; fronts, replicas'
+// eventLoop owns the module. All but queue, asks, moves, log and ctx is touched by its goroutine alone; fronts, replicas'
 // connections and discovery post closures to queue. It waits for nothing but that queue and its next wake,
-// so they may wait for it. The queue is bounded by queueRoom; while it is full, sockets are not read.
-type owner struct {
+// so they may wait for it. The queue is bounded by maxQueuedTasks; while it is full, sockets are not read.
+type eventLoop struct {
 	Options
-	log    *notes
-	plan   *plan.Plan
-	module balancer.Balancer
-	g      *errgroup.Group
-	ctx    context.Context
-	queue  chan func()
-	asks   chan struct{} // subscriptions that the module asked for
-	moves  chan string   // where discovery is from now on
-
-	blocks, streams, perCall, maxAttempts int     // of the settings, read once
-	keyed                                 []bool  // by type: replicas drop a repeat while they remember
-	windows                               []int64 // by type: how long they do
-	copies                                bool    // a part may be out twice at once
-	followUps                             []int   // parts of the second step, by type; 0 where there is none
-
-	start     time.Time
-	base      int64 // Unix time of start in tenths of a millisecond
-	now       int64
-	wakes     wakes
-	timers    map[uint64]*moduleWake // the module's, by label
-	spare     []*moduleWake          // that are free
-	due       []*wake                // room for a turn's
-	begun     []behind               // room for what finish gives
-	next      []event                // what the next turn begins with
-	spareNext []event                // room for the one after it
-	armed     <-chan time.Time       // that the owner waits for, at or before the next wake
-	armedAt   int64
-	pulse     pulse
-	caughtUp  int64                      // when it last was
-	lingering map[*subRequest]*lingering // given up here, and the module not told
-	lastID    uint64
-	searches  map[uint64]*search
-	names     map[string]bool // of the searches
-	parts     map[uint64]*part
-	fleet     map[string]*replica
-	order     []*replica // with calls to go out at the end of the turn
-	sockets   int        // descriptors that the plan grants
-	lines     int        // connections to replicas
-	sentAt    int64      // the last turn with calls
-	usual     float64    // tenths of a millisecond that an answer takes, of late
-	listed    bool
-	clients   map[*link]bool
-	ending    bool // no new client connections come
-	fronts    int  // others that have not finished
-
-	busy    atomic.Int64              // ns spent in turns
-	beside  atomic.Int64              // further connects that are tried now, or held back
-	endBy   atomic.Pointer[time.Time] // for final answers, once the co-ordinator has been told to end; nil before
-	lastly  atomic.Bool               // each answer ends its connection, as stopMost is over
-	peers   *learner                  // nil where peers are not allowed
-	members *membership               // nil where discovery is the only source of lists
-	door    *SearchAPI                // nil where there is no other front
-	counts  *shadow.DivergenceCounts  // nil where no other settings are watched
-	zones   *bounding                 // nil where there are no contracts
-
-	room   float64      // bytes for open searches and their answers
-	bytes  int64        // of it that searches hold
-	unsent atomic.Int64 // and answers that clients have not taken
-
-	checks  sync.Map     // of open searches that have one, by name; connections' readers use it
-	checked atomic.Int64 // how many there are
+	log            *asyncLogger
+	plan           *plan.Plan
+	balancer       balancer.Balancer
+	group          *errgroup.Group
+	ctx            context.Context
+	tasks          chan func()
+	pollRequests   chan struct{} // subscriptions that the module asked for
+	discoveryMoves chan string   // where discovery is from now on
+
+	blockCount, streamsPerConnection, attemptsPerBatch, maxAttempts int     // of the settings, read once
+	keyedClasses                                                    []bool  // by type: replicas drop a repeat while they remember
+	repeatWindows                                                   []int64 // by type: how long they do
+	allowsSecondCopies                                              bool    // a part may be out twice at once
+	followUpCounts                                                  []int   // parts of the second step, by type; 0 where there is none
+
+	startedAt              time.Time
+	startTicks             int64 // Unix time of start in tenths of a millisecond
+	now                    int64
+	timers                 timerQueue
+	balancerTimers         map[uint64]*balancerTimer // the module's, by label
+	spareTimers            []*balancerTimer          // that are free
+	dueTimers              []*timer                  // room for a turn's
+	pendingWrites          []pendingWrite            // room for what finish gives
+	nextEvents             []iterationEvent          // what the next turn begins with
+	spareEvents            []iterationEvent          // room for the one after it
+	alarm                  <-chan time.Time          // that the owner waits for, at or before the next wake
+	alarmAt                int64
+	stallDetector          stallDetector
+	caughtUpAt             int64                          // when it last was
+	abandoned              map[*attempt]*abandonedAttempt // given up here, and the module not told
+	lastID                 uint64
+	searches               map[uint64]*search
+	openNames              map[string]bool // of the searches
+	shardRequests          map[uint64]*shardRequest
+	replicas               map[string]*replica
+	dispatchOrder          []*replica // with calls to go out at the end of the turn
+	maxSockets             int        // descriptors that the plan grants
+	replicaConnectionCount int        // connections to replicas
+	lastDispatchAt         int64      // the last turn with calls
+	averageLatency         float64    // tenths of a millisecond that an answer takes, of late
+	hasEndpoints           bool
+	clients                map[*messageConn]bool
+	listenerClosed         bool // no new client connections come
+	openFrontends          int  // others that have not finished
+
+	busyNanos        atomic.Int64              // ns spent in turns
+	extraDials       atomic.Int64              // further connects that are tried now, or held back
+	answerDeadline   atomic.Pointer[time.Time] // for final answers, once the co-ordinator has been told to end; nil before
+	closeAfterAnswer atomic.Bool               // each answer ends its connection, as maxStopTime is over
+	peers            *peerExchange             // nil where peers are not allowed
+	sources          *endpointSources          // nil where discovery is the only source of lists
+	searchAPI        *SearchAPI                // nil where there is no other front
+	shadowCounts     *shadow.DivergenceCounts  // nil where no other settings are watched
+	enforcer         *residencyEnforcer        // nil where there are no contracts
+
+	searchMemory float64      // bytes for open searches and their answers
+	heldBytes    int64        // of it that searches hold
+	unsentBytes  atomic.Int64 // and answers that clients have not taken
+
+	valueDecoders sync.Map     // of open searches that have one, by name; connections' readers use it
+	decoderCount  atomic.Int64 // how many there are
 }
 
 // search is one search from its request to its final answer. The front that took it makes it; reply is
@@ -96,192 +96,196 @@
 type search struct {
 	name, key     string
 	text          []byte
-	qtype, tenant int
-	retry         bool
-	came          time.Time
-	patience      time.Duration // of the client, from came
+	class, tenant int
+	isRetry       bool
+	arrivedAt     time.Time
+	timeout       time.Duration // of the client, from came
 	shards        []int
 	weights       []float64
-	reply         func(r result)
-	client        *client                                    // who waits for it; nil on other fronts
-	check         func(shard int, value []byte) (any, error) // what a value has to pass to be in; nil for none
-
-	id    uint64
-	due   int64
-	step  int
-	whole bool
-	from  []int // shards that were in at the end of the first step
-	parts []*part
-	over  bool
-	bytes int64    // that it holds
-	begun []behind // frames of sub-requests given up whose last byte was not out then
-
-	tied   bool                           // its parts may not run everywhere
-	barred *residency.SearchRejectedError // why some of them can run nowhere
-}
-
-// result is a final answer.
-type result struct {
-	kind    int
-	whole   bool
-	retryIn int64
-	sent    bool     // a sub-request was made for it
-	parts   []*part  // that are in, in the search's order
-	behind  []behind // what has to be out before it is
-	barred  *residency.SearchRejectedError
+	reply         func(r searchOutcome)
+	client        *clientConnection                          // who waits for it; nil on other fronts
+	decodeValue   func(shard int, value []byte) (any, error) // what a value has to pass to be in; nil for none
+
+	id                uint64
+	deadline          int64
+	step              int
+	firstStepComplete bool
+	firstStepShards   []int // shards that were in at the end of the first step
+	shardRequests     []*shardRequest
+	ended             bool
+	heldBytes         int64          // that it holds
+	pendingWrites     []pendingWrite // frames of sub-requests given up whose last byte was not out then
+
+	restricted bool                           // its parts may not run everywhere
+	refusal    *residency.SearchRejectedError // why some of them can run nowhere
+}
+
+// searchOutcome is a final answer.
+type searchOutcome struct {
+	outcome       int
+	complete      bool
+	retryAfter    int64
+	dispatched    bool            // a sub-request was made for it
+	parts         []*shardRequest // that are in, in the search's order
+	pendingWrites []pendingWrite  // what has to be out before it is
+	refusal       *residency.SearchRejectedError
 }
 
 const (
-	answered = iota
-	shed
-	errored
-	taken  // never was a search: another that is open bears its name
-	barred // by a contract on where its parts may run
-	left   // told of an end alone: its client did not wait for the answer
+	outcomeAnswered = iota
+	outcomeShed
+	outcomeFailed
+	outcomeDuplicateID      // never was a search: another that is open bears its name
+	outcomeResidencyRefused // by a contract on where its parts may run
+	outcomeClientGone       // told of an end alone: its client did not wait for the answer
 )
 
-// part is one part of a search's step.
-type part struct {
-	id     uint64
-	s      *search
-	step   int
-	shard  int
-	in     bool
-	score  []byte
-	value  []byte
-	read   any // what the search's check made of value
-	subs   []*subRequest
-	untold int    // sub-requests whose outcome the module has not heard
-	name   string // of its sub-requests on the wire
-
-	first subRequest // room for the first, and for subs to name it
-	one   [1]*subRequest
-}
-
-// event is what a turn begins with: something to do, or a sub-request that has ended.
-type event struct {
-	do      func()
-	sub     *subRequest
+// shardRequest is one shardRequest of a search's step.
+type shardRequest struct {
+	id         uint64
+	search     *search
+	step       int
+	shard      int
+	completed  bool
+	score      []byte
+	value      []byte
+	decoded    any // what the search's check made of value
+	attempts   []*attempt
+	unreported int    // sub-requests whose outcome the module has not heard
+	name       string // of its sub-requests on the wire
+
+	firstAttempt   attempt // room for the first, and for subs to name it
+	inlineAttempts [1]*attempt
+}
+
+// iterationEvent is what a turn begins with: something to do, or a sub-request that has ended.
+type iterationEvent struct {
+	task    func()
+	attempt *attempt
 	outcome string
 }
 
 // appendName adds its sub-requests' id on the wire.
-func (p *part) appendName(dst []byte) []byte {
-	dst = strconv.AppendInt(append(append(dst, p.s.name...), '.'), int64(p.shard), 10)
+func (p *shardRequest) appendName(dst []byte) []byte {
+	dst = strconv.AppendInt(append(append(dst, p.search.name...), '.'), int64(p.shard), 10)
 	if p.step == 2 {
 		dst = append(dst, ".r"...)
 	}
 	return dst
 }
 
-// points is its score as a number.
-func (p *part) points() *big.Int {
+// scoreValue is its score as a number.
+func (p *shardRequest) scoreValue() *big.Int {
 	n, _ := new(big.Int).SetString(string(p.score), 10)
 	return n
 }
 
-// over tells that the part needs no more.
-func (p *part) over() bool { return p.in || p.s.over || p.step != p.s.step }
+// isSettled tells that the part needs no more.
+func (p *shardRequest) isSettled() bool {
+	return p.completed || p.search.ended || p.step != p.search.step
+}
 
-// wake is something to do at a time; place is where it stands among wakes, negative once it does not.
-type wake struct {
-	at    int64
-	no    uint64
-	place int
-	do    awaked
+// timer is something to do at a time; place is where it stands among wakes, negative once it does not.
+type timer struct {
+	at       int64
+	sequence uint64
+	index    int
+	handler  timerHandler
 }
 
-// awaked is what a wake leaves behind: a step that goes on then.
-type awaked interface{ awake(o *owner) }
+// timerHandler is what a wake leaves behind: a step that goes on then.
+type timerHandler interface{ fire(o *eventLoop) }
 
-type doing func()
+type deferredTask func()
 
-func (do doing) awake(*owner) { do() }
+func (do deferredTask) fire(*eventLoop) { do() }
 
-// moduleWake is one that the module asked for.
-type moduleWake struct {
-	wake
+// balancerTimer is one that the module asked for.
+type balancerTimer struct {
+	timer
 	label uint64
 }
 
-func (w *moduleWake) awake(o *owner) {
+func (w *balancerTimer) fire(o *eventLoop) {
 	label := w.label
-	delete(o.timers, label)
-	if len(o.spare) < spareMost {
-		o.spare = append(o.spare, w)
+	delete(o.balancerTimers, label)
+	if len(o.spareTimers) < maxSpareTimers {
+		o.spareTimers = append(o.spareTimers, w)
 	}
-	o.module.HandleTimer(label)
+	o.balancer.HandleTimer(label)
 }
 
-type wakes struct {
-	list []*wake
-	no   uint64
+type timerQueue struct {
+	timers   []*timer
+	sequence uint64
 }
 
-func (w *wakes) Len() int { return len(w.list) }
-func (w *wakes) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(w.list[i].at, w.list[j].at), cmp.Compare(w.list[i].no, w.list[j].no)) < 0
+func (w *timerQueue) Len() int { return len(w.timers) }
+func (w *timerQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(w.timers[i].at, w.timers[j].at), cmp.Compare(w.timers[i].sequence, w.timers[j].sequence)) < 0
 }
 
-func (w *wakes) Swap(i, j int) {
-	w.list[i], w.list[j] = w.list[j], w.list[i]
-	w.list[i].place, w.list[j].place = i, j
+func (w *timerQueue) Swap(i, j int) {
+	w.timers[i], w.timers[j] = w.timers[j], w.timers[i]
+	w.timers[i].index, w.timers[j].index = i, j
 }
 
-func (w *wakes) Push(v any) {
-	v.(*wake).place = len(w.list)
-	w.list = append(w.list, v.(*wake))
+func (w *timerQueue) Push(v any) {
+	v.(*timer).index = len(w.timers)
+	w.timers = append(w.timers, v.(*timer))
 }
 
-func (w *wakes) Pop() any {
-	last := len(w.list) - 1
-	v := w.list[last]
-	w.list[last] = nil
-	w.list = w.list[:last]
-	v.place = -1
+func (w *timerQueue) Pop() any {
+	last := len(w.timers) - 1
+	v := w.timers[last]
+	w.timers[last] = nil
+	w.timers = w.timers[:last]
+	v.index = -1
 	return v
 }
 
-// post hands the owner something to do; false once the co-ordinator has ended.
-func (o *owner) post(do func()) bool {
+// submit hands the owner something to do; false once the co-ordinator has ended.
+func (o *eventLoop) submit(do func()) bool {
 	select {
-	case o.queue <- do:
+	case o.tasks <- do:
 		return true
 	case <-o.ctx.Done():
 		return false
 	}
 }
 
-// clock is Unix time in tenths of a millisecond, and monotonic: wall time counts at the start alone.
-func (o *owner) clock() int64 { return o.base + int64(o.Clock.Now().Sub(o.start)/tenth) }
+// clockTicks is Unix time in tenths of a millisecond, and monotonic: wall time counts at the start alone.
+func (o *eventLoop) clockTicks() int64 {
+	return o.startTicks + int64(o.Clock.Now().Sub(o.startedAt)/tick)
+}
 
-const tenth = 100 * time.Microsecond
+const tick = 100 * time.Microsecond
 
-// begin starts the module with its settings and the list as it was last known.
-func (o *owner) begin() (err error) {
+// startBalancer starts the module with its settings and the list as it was last known.
+func (o *eventLoop) startBalancer() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("the module: %v", r)
 		}
 	}()
-	o.now = o.clock()
-	o.module.BeginIteration(o.now)
-	o.module.Configure(o.plan.Seed, o.plan.Settings)
+	o.now = o.clockTicks()
+	o.balancer.BeginIteration(o.now)
+	o.balancer.Configure(o.plan.Seed, o.plan.Settings)
 	known := o.plan.Known
 	o.applyEndpointList("Persisted", known)
-	o.tellListed(true, int64(known.Version), known.Hosts)
+	o.notifyEndpointList(true, int64(known.Version), known.Hosts)
 	if o.EndpointUpdates != nil {
-		o.members = newMembership(o, o.EndpointUpdates, int64(known.Version), known.Hosts)
+		o.sources = newEndpointSources(o, o.EndpointUpdates, int64(known.Version), known.Hosts)
 	}
-	o.module.EndIteration()
-	if o.counts != nil {
-		o.tellWatched(0)
+	o.balancer.EndIteration()
+	if o.shadowCounts != nil {
+		o.logShadowCounts(0)
 	}
 	return nil
 }
 
 // run takes turns until all is answered after a stop. A fault of the module ends it with an error.
-func (o *owner) run() (err error) {
+func (o *eventLoop) run() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			o.log.Error("fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
@@ -291,106 +295,106 @@
 	for {
 		var wake <-chan time.Time
 		switch {
-		case len(o.next) > 0:
-			o.turn(nil)
+		case len(o.nextEvents) > 0:
+			o.iterate(nil)
 			continue
-		case o.wakes.Len() > 0:
-			at := o.wakes.list[0].at
-			wait := at - o.clock()
+		case o.timers.Len() > 0:
+			at := o.timers.timers[0].at
+			wait := at - o.clockTicks()
 			if wait <= 0 {
-				if first := o.wakes.list[0]; first == &o.pulse.wake && -wait < int64(heldUp/tenth) {
-					o.now = max(o.now, o.clock())
-					heap.Pop(&o.wakes)
-					o.pulse.awake(o) // alone it is no turn
+				if first := o.timers.timers[0]; first == &o.stallDetector.timer && -wait < int64(stallThreshold/tick) {
+					o.now = max(o.now, o.clockTicks())
+					heap.Pop(&o.timers)
+					o.stallDetector.fire(o) // alone it is no turn
 				} else {
-					o.turn(nil)
+					o.iterate(nil)
 				}
 				continue
 			}
-			if o.armed == nil || at < o.armedAt { // one that comes early does no harm: most wakes are taken back
-				o.armed, o.armedAt = o.Clock.After(time.Duration(wait)*tenth), at
+			if o.alarm == nil || at < o.alarmAt { // one that comes early does no harm: most wakes are taken back
+				o.alarm, o.alarmAt = o.Clock.After(time.Duration(wait)*tick), at
 			}
-			wake = o.armed
+			wake = o.alarm
 		}
-		if o.ending && len(o.clients) == 0 && len(o.searches) == 0 && o.fronts == 0 {
-			return errDone
+		if o.listenerClosed && len(o.clients) == 0 && len(o.searches) == 0 && o.openFrontends == 0 {
+			return errAllAnswered
 		}
 		select {
-		case do := <-o.queue:
-			o.turn(do)
+		case do := <-o.tasks:
+			o.iterate(do)
 		case <-wake:
-			o.armed = nil
+			o.alarm = nil
 		case <-o.ctx.Done():
 			return o.ctx.Err()
 		}
 	}
 }
 
-// turn is one turn of the module: all that is queued by now, the wakes that are due, EndIteration.
-func (o *owner) turn(first func()) {
+// iterate is one iterate of the module: all that is queued by now, the wakes that are due, EndIteration.
+func (o *eventLoop) iterate(first func()) {
 	late := o.catchUp()
 	began := time.Now()
-	defer func() { o.busy.Add(int64(time.Since(began))) }()
-	o.now = max(o.now, o.clock())
-	if o.now == o.sentAt { // what two turns send is two calls: the module tells them apart by time
+	defer func() { o.busyNanos.Add(int64(time.Since(began))) }()
+	o.now = max(o.now, o.clockTicks())
+	if o.now == o.lastDispatchAt { // what two turns send is two calls: the module tells them apart by time
 		o.now++
 	}
-	o.module.BeginIteration(o.now)
-	if o.zones != nil {
-		o.zones.turn()
+	o.balancer.BeginIteration(o.now)
+	if o.enforcer != nil {
+		o.enforcer.beginIteration()
 	}
 	if late {
-		o.leaves()
+		o.withdrawGoneClients()
 	}
-	before := o.next
-	o.next, o.spareNext = o.spareNext[:0], nil
+	before := o.nextEvents
+	o.nextEvents, o.spareEvents = o.spareEvents[:0], nil
 	for _, e := range before {
-		if e.do != nil {
-			e.do()
+		if e.task != nil {
+			e.task()
 		} else {
-			o.landed(e.sub, e.outcome, nil)
+			o.recordOutcome(e.attempt, e.outcome, nil)
 		}
 	}
 	clear(before)
-	o.spareNext = before
+	o.spareEvents = before
 	if first != nil {
 		first()
 	}
-	for n := len(o.queue); n > 0; n-- {
-		(<-o.queue)()
+	for n := len(o.tasks); n > 0; n-- {
+		(<-o.tasks)()
 	}
-	due := o.due[:0]
-	for o.wakes.Len() > 0 && o.wakes.list[0].at <= o.now {
-		due = append(due, heap.Pop(&o.wakes).(*wake))
+	due := o.dueTimers[:0]
+	for o.timers.Len() > 0 && o.timers.timers[0].at <= o.now {
+		due = append(due, heap.Pop(&o.timers).(*timer))
 	}
 	for _, w := range due {
-		if w.do != nil { // one before it may have taken it back
-			w.do.awake(o)
+		if w.handler != nil { // one before it may have taken it back
+			w.handler.fire(o)
 		}
 	}
 	clear(due)
-	o.due = due
-	o.module.SetUtilization(float64(o.bytes+o.unsent.Load()) / o.room)
-	o.module.EndIteration()
-	o.sendCalls()
+	o.dueTimers = due
+	o.balancer.SetUtilization(float64(o.heldBytes+o.unsentBytes.Load()) / o.searchMemory)
+	o.balancer.EndIteration()
+	o.dispatchBatches()
 }
 
-// pulse is a wake that always is among the others while searches are open: how late it is found shows how long the process
+// stallDetector is a wake that always is among the others while searches are open: how late it is found shows how long the process
 // was held up.
-type pulse struct{ wake }
+type stallDetector struct{ timer }
 
-func (p *pulse) awake(o *owner) {
+func (p *stallDetector) fire(o *eventLoop) {
 	if len(o.searches) > 0 {
-		o.await(&p.wake, int64(pulseEach/tenth), p)
+		o.startTimer(&p.timer, int64(stallCheckInterval/tick), p)
 	} else {
-		p.do = nil
+		p.handler = nil
 	}
 }
 
-// beat has it come.
-func (o *owner) beat() {
-	if o.pulse.do == nil {
-		o.await(&o.pulse.wake, int64(pulseEach/tenth), &o.pulse)
+// armStallDetector has it come.
+func (o *eventLoop) armStallDetector() {
+	if o.stallDetector.handler == nil {
+		o.startTimer(&o.stallDetector.timer, int64(stallCheckInterval/tick), &o.stallDetector)
 	}
 }
 
@@ -398,121 +402,123 @@
 // against a process that was held up: what its clients, its replicas and discovery did meanwhile still lies there while its
 // wakes are due and slots come free: sub-requests would go out for clients that have left, to replicas that drain, and beside
 // answers that have come.
-func (o *owner) catchUp() (late bool) {
-	now := o.clock()
-	if o.wakes.Len() == 0 || now-o.wakes.list[0].at < int64(heldUp/tenth) || now-o.caughtUp < int64(heldEach/tenth) {
+func (o *eventLoop) catchUp() (late bool) {
+	now := o.clockTicks()
+	if o.timers.Len() == 0 || now-o.timers.timers[0].at < int64(stallThreshold/tick) || now-o.caughtUpAt < int64(catchUpInterval/tick) {
 		return false
 	}
-	for had, looks := -1, 0; had != len(o.queue) && looks < heldLooks; looks++ {
-		had = len(o.queue)
+	for had, looks := -1, 0; had != len(o.tasks) && looks < maxCatchUpWaits; looks++ {
+		had = len(o.tasks)
 		select {
-		case <-o.Clock.After(heldLook):
+		case <-o.Clock.After(catchUpWait):
 		case <-o.ctx.Done():
 		}
 	}
-	o.caughtUp = o.clock()
+	o.caughtUpAt = o.clockTicks()
 	return true
 }
 
-// leaves withdraws the searches whose clients have left, though their readers have not said so yet.
-func (o *owner) leaves() {
+// withdrawGoneClients withdraws the searches whose clients have left, though their readers have not said so yet.
+func (o *eventLoop) withdrawGoneClients() {
 	var gone []*search
 	for _, s := range o.searches {
-		if s.client != nil && s.client.gone() {
+		if s.client != nil && s.client.hasHungUp() {
 			gone = append(gone, s)
 		}
 	}
 	slices.SortFunc(gone, func(s, u *search) int { return cmp.Compare(s.id, u.id) }) // the module's actions follow its calls
 	for _, s := range gone {
-		o.withdraw(s)
+		o.withdrawSearch(s)
 	}
 }
 
-func (o *owner) after(wait int64, do func()) { o.await(&wake{}, wait, doing(do)) }
+func (o *eventLoop) runAfter(wait int64, do func()) { o.startTimer(&timer{}, wait, deferredTask(do)) }
 
-// await has a wake come after a while; it is not among the wakes yet.
-func (o *owner) await(w *wake, wait int64, do awaked) {
-	o.wakes.no++
-	w.at, w.no, w.do = o.now+max(wait, 0), o.wakes.no, do
-	heap.Push(&o.wakes, w)
+// startTimer has a wake come after a while; it is not among the wakes yet.
+func (o *eventLoop) startTimer(w *timer, wait int64, do timerHandler) {
+	o.timers.sequence++
+	w.at, w.sequence, w.handler = o.now+max(wait, 0), o.timers.sequence, do
+	heap.Push(&o.timers, w)
 }
 
-// unwake takes a wake back, so that it holds nothing for the rest of its wait; one that has come or never was awaited
+// stopTimer takes a wake back, so that it holds nothing for the rest of its wait; one that has come or never was awaited
 // stays as it is.
-func (o *owner) unwake(w *wake) {
-	if w.do == nil {
+func (o *eventLoop) stopTimer(w *timer) {
+	if w.handler == nil {
 		return
 	}
-	if w.do = nil; w.place >= 0 {
-		heap.Remove(&o.wakes, w.place)
+	if w.handler = nil; w.index >= 0 {
+		heap.Remove(&o.timers, w.index)
 	}
 }
 
-func (o *owner) later(do func()) { o.next = append(o.next, event{do: do}) }
+func (o *eventLoop) runNextIteration(do func()) {
+	o.nextEvents = append(o.nextEvents, iterationEvent{task: do})
+}
 
-// laterLanded tells the module in the next turn how a sub-request ended.
-func (o *owner) laterLanded(sub *subRequest, outcome string) {
-	o.next = append(o.next, event{sub: sub, outcome: outcome})
+// deferAttemptOutcome tells the module in the next turn how a sub-request ended.
+func (o *eventLoop) deferAttemptOutcome(sub *attempt, outcome string) {
+	o.nextEvents = append(o.nextEvents, iterationEvent{attempt: sub, outcome: outcome})
 }
 
-func (o *owner) number() uint64 {
+func (o *eventLoop) nextID() uint64 {
 	o.lastID++
 	return o.lastID
 }
 
-// take hands a search to the module. What is held is bounded by the clients' connections: one search each.
-func (o *owner) take(s *search) {
-	if o.names[s.name] { // guards against two whose parts no replica can tell apart
-		s.over = true
-		s.reply(result{kind: taken})
+// startSearch hands a search to the module. What is held is bounded by the clients' connections: one search each.
+func (o *eventLoop) startSearch(s *search) {
+	if o.openNames[s.name] { // guards against two whose parts no replica can tell apart
+		s.ended = true
+		s.reply(searchOutcome{outcome: outcomeDuplicateID})
 		return
 	}
-	o.names[s.name] = true
-	if s.check != nil {
-		o.checks.Store(s.name, s.check)
-		o.checked.Add(1)
+	o.openNames[s.name] = true
+	if s.decodeValue != nil {
+		o.valueDecoders.Store(s.name, s.decodeValue)
+		o.decoderCount.Add(1)
 	}
-	s.due = o.now + int64((s.patience-o.Clock.Now().Sub(s.came))/tenth)
-	s.id, s.step = o.number(), 1
+	s.deadline = o.now + int64((s.timeout-o.Clock.Now().Sub(s.arrivedAt))/tick)
+	s.id, s.step = o.nextID(), 1
 	o.searches[s.id] = s
-	o.beat()
-	o.hold(s, searchBytes+len(s.text)+partBytes*len(s.shards))
-	o.module.AddSearch(s.id, s.qtype, s.tenant, s.key, s.due-o.now, s.id, len(s.shards), s.retry)
-	o.addParts(s, s.shards, s.weights)
+	o.armStallDetector()
+	o.holdBytes(s, searchOverheadBytes+len(s.text)+shardRequestOverheadBytes*len(s.shards))
+	o.balancer.AddSearch(s.id, s.class, s.tenant, s.key, s.deadline-o.now, s.id, len(s.shards), s.isRetry)
+	o.addShardRequests(s, s.shards, s.weights)
 }
 
-func (o *owner) addParts(s *search, shards []int, weights []float64) {
-	from, all := len(s.parts), make([]part, len(shards))
-	s.parts = slices.Grow(s.parts, len(shards))
-	names := make([]byte, 0, len(shards)*(len(s.name)+nameMore)) // in one piece
+func (o *eventLoop) addShardRequests(s *search, shards []int, weights []float64) {
+	from, all := len(s.shardRequests), make([]shardRequest, len(shards))
+	s.shardRequests = slices.Grow(s.shardRequests, len(shards))
+	names := make([]byte, 0, len(shards)*(len(s.name)+attemptNameExtra)) // in one piece
 	for i, shard := range shards {
 		p := &all[i]
-		p.id, p.s, p.step, p.shard = o.number(), s, s.step, shard
-		s.parts = append(s.parts, p)
-		o.parts[p.id] = p
+		p.id, p.search, p.step, p.shard = o.nextID(), s, s.step, shard
+		s.shardRequests = append(s.shardRequests, p)
+		o.shardRequests[p.id] = p
 		names = p.appendName(names)
 	}
-	text, own := string(names), [nameMost + nameMore]byte{}
-	for _, p := range s.parts[from:] {
+	text, own := string(names), [maxRequestIDBytes + attemptNameExtra]byte{}
+	for _, p := range s.shardRequests[from:] {
 		n := len(p.appendName(own[:0]))
 		p.name, text = text[:n], text[n:]
 	}
-	for i, p := range s.parts[from:] {
-		o.module.AddShardRequest(p.id, s.id, p.shard, weights[i])
+	for i, p := range s.shardRequests[from:] {
+		o.balancer.AddShardRequest(p.id, s.id, p.shard, weights[i])
 	}
-	if o.zones != nil {
-		o.zones.bind(s)
+	if o.enforcer != nil {
+		o.enforcer.restrict(s)
 	}
 }
 
-// withdraw tells the module that the client has left; what it gives has to be out before anything is said to it.
-func (o *owner) withdraw(s *search) (first []behind) {
-	if s.over {
+// withdrawSearch tells the module that the client has left; what it gives has to be out before anything is said to it.
+func (o *eventLoop) withdrawSearch(s *search) (first []pendingWrite) {
+	if s.ended {
 		return nil
 	}
-	o.tellEnd(s, left)
-	first = o.finish(s)
-	o.module.CancelSearch(s.id)
+	o.notifySearchEnd(s, outcomeClientGone)
+	first = o.finishSearch(s)
+	o.balancer.CancelSearch(s.id)
 	return first
 }
 
@@ -523,74 +529,74 @@
 	Attempts      int           // sub-requests made for it
 }
 
-func (o *owner) tellEnd(s *search, kind int) {
+func (o *eventLoop) notifySearchEnd(s *search, kind int) {
 	if o.OnSearchEnd == nil {
 		return
 	}
-	e := SearchEnd{Type: s.qtype, Outcome: kind, Duration: o.Clock.Now().Sub(s.came)}
-	for _, p := range s.parts {
-		e.Attempts += len(p.subs)
+	e := SearchEnd{Type: s.class, Outcome: kind, Duration: o.Clock.Now().Sub(s.arrivedAt)}
+	for _, p := range s.shardRequests {
+		e.Attempts += len(p.attempts)
 	}
 	o.OnSearchEnd(e)
 }
 
-// hold counts what a search holds, against memory that follows what answers happen to be long. The module turns
+// holdBytes counts what a search holds, against memory that follows what answers happen to be long. The module turns
 // searches away when there is no room: guards against an end by the kernel.
-func (o *owner) hold(s *search, n int) {
-	s.bytes += int64(n)
-	o.bytes += int64(n)
+func (o *eventLoop) holdBytes(s *search, n int) {
+	s.heldBytes += int64(n)
+	o.heldBytes += int64(n)
 }
 
-// finish forgets a search and gives what has to be out before its final answer is, until the next one is finished.
-func (o *owner) finish(s *search) (first []behind) {
-	first = o.begun[:0]
-	defer func() { o.begun = first }()
-	o.hold(s, -int(s.bytes))
-	s.over = true
+// finishSearch forgets a search and gives what has to be out before its final answer is, until the next one is finished.
+func (o *eventLoop) finishSearch(s *search) (first []pendingWrite) {
+	first = o.pendingWrites[:0]
+	defer func() { o.pendingWrites = first }()
+	o.holdBytes(s, -int(s.heldBytes))
+	s.ended = true
 	delete(o.searches, s.id)
-	delete(o.names, s.name)
-	if s.check != nil {
-		o.checks.Delete(s.name)
-		o.checked.Add(-1)
+	delete(o.openNames, s.name)
+	if s.decodeValue != nil {
+		o.valueDecoders.Delete(s.name)
+		o.decoderCount.Add(-1)
 	}
-	for _, b := range s.begun {
-		if !b.out() {
+	for _, b := range s.pendingWrites {
+		if !b.isWritten() {
 			first = append(first, b)
 		}
 	}
-	for _, p := range s.parts {
-		for _, sub := range p.subs {
-			if g := o.lingering[sub]; g != nil {
-				o.laterLanded(sub, o.forgoes(g))
+	for _, p := range s.shardRequests {
+		for _, sub := range p.attempts {
+			if g := o.abandoned[sub]; g != nil {
+				o.deferAttemptOutcome(sub, o.forgetAbandoned(g))
 			}
-			if sub.call == nil {
+			if sub.batch == nil {
 				continue
 			}
 			// Nothing is sent after the final answer: what is begun has to be out before that is.
-			if c := sub.call; !o.unsend(c, s) {
-				if b := (behind{c.line.link, c.parcel}); !b.out() {
+			if c := sub.batch; !o.recallBatch(c, s) {
+				if b := (pendingWrite{c.connection.messageConn, c.message}); !b.isWritten() {
 					first = append(first, b)
 				}
 			}
 		}
-		o.drop(p)
+		o.dropShardRequest(p)
 	}
-	s.parts, s.text, s.shards, s.weights, s.begun = nil, nil, nil, nil, nil // a connection keeps its last search while unused
+	s.shardRequests, s.text, s.shards, s.weights, s.pendingWrites = nil, nil, nil, nil, nil // a connection keeps its last search while unused
 	return first
 }
 
-// drop forgets a part once its search is over and all its sub-requests are told: until then the module may
+// dropShardRequest forgets a part once its search is over and all its sub-requests are told: until then the module may
 // cancel them.
-func (o *owner) drop(p *part) {
-	if p.s.over && p.untold == 0 {
-		delete(o.parts, p.id)
+func (o *eventLoop) dropShardRequest(p *shardRequest) {
+	if p.search.ended && p.unreported == 0 {
+		delete(o.shardRequests, p.id)
 	}
 }
 
-func (o *owner) in(s *search) []*part {
-	in := make([]*part, 0, len(s.parts))
-	for _, p := range s.parts {
-		if p.in && p.step == s.step {
+func (o *eventLoop) completedParts(s *search) []*shardRequest {
+	in := make([]*shardRequest, 0, len(s.shardRequests))
+	for _, p := range s.shardRequests {
+		if p.completed && p.step == s.step {
 			in = append(in, p)
 		}
 	}
@@ -599,36 +605,36 @@
 
 // What the module asks for; see balancer.Actions.
 
-func (o *owner) AnswerSearch(id uint64, whole bool) {
+func (o *eventLoop) AnswerSearch(id uint64, whole bool) {
 	s := o.searches[id]
 	if s == nil {
 		return
 	}
-	in := o.in(s)
-	if more := o.followUp(s.qtype); s.step == 1 && more > 0 {
-		s.whole = whole
+	in := o.completedParts(s)
+	if more := o.followUpCount(s.class); s.step == 1 && more > 0 {
+		s.firstStepComplete = whole
 		for _, p := range in {
-			s.from = append(s.from, p.shard)
+			s.firstStepShards = append(s.firstStepShards, p.shard)
 		}
-		slices.Sort(s.from)
-		o.later(func() { o.secondStep(s, in, more) })
+		slices.Sort(s.firstStepShards)
+		o.runNextIteration(func() { o.startSecondStep(s, in, more) })
 		return
 	}
-	o.tellEnd(s, answered)
-	first := o.finish(s)
-	s.reply(result{kind: answered, whole: whole, parts: in, behind: first})
+	o.notifySearchEnd(s, outcomeAnswered)
+	first := o.finishSearch(s)
+	s.reply(searchOutcome{outcome: outcomeAnswered, complete: whole, parts: in, pendingWrites: first})
 }
 
-func (o *owner) followUp(qtype int) int { return o.followUps[qtype] }
+func (o *eventLoop) followUpCount(qtype int) int { return o.followUpCounts[qtype] }
 
-// secondStep makes the parts of the second step: at the shards with the highest scores, the lower number
+// startSecondStep makes the parts of the second step: at the shards with the highest scores, the lower number
 // first among equals, with equal weights.
-func (o *owner) secondStep(s *search, in []*part, most int) {
-	if s.over {
+func (o *eventLoop) startSecondStep(s *search, in []*shardRequest, most int) {
+	if s.ended {
 		return
 	}
-	slices.SortFunc(in, func(p, q *part) int {
-		return cmp.Or(q.points().Cmp(p.points()), cmp.Compare(p.shard, q.shard))
+	slices.SortFunc(in, func(p, q *shardRequest) int {
+		return cmp.Or(q.scoreValue().Cmp(p.scoreValue()), cmp.Compare(p.shard, q.shard))
 	})
 	s.step = 2
 	var shards []int
@@ -637,60 +643,62 @@
 		shards = append(shards, p.shard)
 		weights = append(weights, 1/float64(min(most, len(in))))
 	}
-	o.addParts(s, shards, weights)
+	o.addShardRequests(s, shards, weights)
 }
 
-func (o *owner) ShedSearch(id uint64, retryIn int64) { o.end(id, result{kind: shed, retryIn: retryIn}) }
-func (o *owner) FailSearch(id uint64)                { o.end(id, result{kind: errored}) }
+func (o *eventLoop) ShedSearch(id uint64, retryIn int64) {
+	o.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryIn})
+}
+func (o *eventLoop) FailSearch(id uint64) { o.endSearch(id, searchOutcome{outcome: outcomeFailed}) }
 
-func (o *owner) end(id uint64, r result) {
+func (o *eventLoop) endSearch(id uint64, r searchOutcome) {
 	if s := o.searches[id]; s != nil {
-		if r.barred = o.zones.refuses(s); r.barred != nil {
-			r.kind, r.retryIn = barred, 0
+		if r.refusal = o.enforcer.refusalOf(s); r.refusal != nil {
+			r.outcome, r.retryAfter = outcomeResidencyRefused, 0
 		}
-		r.sent = slices.ContainsFunc(s.parts, func(p *part) bool { return len(p.subs) > 0 })
-		o.tellEnd(s, r.kind)
-		r.behind = o.finish(s)
+		r.dispatched = slices.ContainsFunc(s.shardRequests, func(p *shardRequest) bool { return len(p.attempts) > 0 })
+		o.notifySearchEnd(s, r.outcome)
+		r.pendingWrites = o.finishSearch(s)
 		s.reply(r)
 	}
 }
 
-func (o *owner) SetTimer(wait int64, label uint64) {
-	var w *moduleWake
-	if n := len(o.spare); n > 0 {
-		w, o.spare = o.spare[n-1], o.spare[:n-1]
+func (o *eventLoop) SetTimer(wait int64, label uint64) {
+	var w *balancerTimer
+	if n := len(o.spareTimers); n > 0 {
+		w, o.spareTimers = o.spareTimers[n-1], o.spareTimers[:n-1]
 	} else {
-		w = &moduleWake{}
+		w = &balancerTimer{}
 	}
 	w.label = label
-	o.timers[label] = w
-	o.await(&w.wake, max(wait, 1), w)
+	o.balancerTimers[label] = w
+	o.startTimer(&w.timer, max(wait, 1), w)
 }
 
-func (o *owner) CancelTimer(label uint64) {
-	w := o.timers[label]
+func (o *eventLoop) CancelTimer(label uint64) {
+	w := o.balancerTimers[label]
 	if w == nil {
 		return
 	}
-	delete(o.timers, label)
-	if w.place >= 0 && len(o.spare) < spareMost { // one that is due in this turn is still looked at
-		o.spare = append(o.spare, w)
+	delete(o.balancerTimers, label)
+	if w.index >= 0 && len(o.spareTimers) < maxSpareTimers { // one that is due in this turn is still looked at
+		o.spareTimers = append(o.spareTimers, w)
 	}
-	o.unwake(&w.wake)
+	o.stopTimer(&w.timer)
 }
 
-func (o *owner) WatchEndpoints() {
+func (o *eventLoop) WatchEndpoints() {
 	select {
-	case o.asks <- struct{}{}:
+	case o.pollRequests <- struct{}{}:
 	default: // asked already
 	}
 }
 
 // ProbeReplica is answered at once with nothing: the protocol has no message for it.
-func (o *owner) ProbeReplica(id string) {
-	o.later(func() { o.module.RecordProbeResult(id, "ConnectError", 0, nil) })
+func (o *eventLoop) ProbeReplica(id string) {
+	o.runNextIteration(func() { o.balancer.RecordProbeResult(id, "ConnectError", 0, nil) })
 }
 
-func (o *owner) LogMessage(text string) {
+func (o *eventLoop) LogMessage(text string) {
 	o.log.Info("note", "text", strings.ToValidUTF8(text, "?"))
 }
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	lookEach  = 100 * time.Millisecond // between looks at the owner's load: several within the plan's memory of it
-	askJob    = 12 * time.Second       // for an asking to start and end: a little over the peer's own bound
-	askKind   = "ask"
-	askPrefix = "ask "
-	replyKind = "answer"
+	loadSampleInterval = 100 * time.Millisecond // between looks at the owner's load: several within the plan's memory of it
+	pollJobTimeout     = 12 * time.Second       // for an asking to start and end: a little over the peer's own bound
+	pollJobKind        = "ask"
+	pollJobPrefix      = "ask "
+	answerJobKind      = "answer"
 )
 
 // PeerOptions is what an installation allows beside the plan: co-ordinators that learn from one another. Without it
@@ -43,198 +43,198 @@
 // PeerAddress is a peer and where it listens.
 type PeerAddress struct{ Name, Addr string }
 
-// learner is the co-ordinator's side towards its peers. The owner never waits for it: it takes slices of knowledge
+// peerExchange is the co-ordinator's side towards its peers. The owner never waits for it: it takes slices of knowledge
 // from the owner and gives slices of what was heard through the owner's queue, one at a time, each small.
-type learner struct {
-	o        *owner
-	p        *PeerOptions
-	pool     *scheduler.Pool
-	instance uint64
-	zones    []string
-	stir     chan struct{} // the asker has to be looked at
+type peerExchange struct {
+	loop       *eventLoop
+	options    *PeerOptions
+	pool       *scheduler.Pool
+	instanceID uint64
+	zones      []string
+	wakePoller chan struct{} // the asker has to be looked at
 
-	mu     sync.Mutex
-	shelf  *peerreport.ReportStore
-	asker  *peerreport.Poller
-	desk   *peerreport.Admission
-	since  map[string]int64 // start of each listed host in ms
-	addrs  map[string]string
-	taking sync.Mutex // one snapshot at a time, which all askers share
-	taken  *peerreport.ReportBuilder
-	serial uint64
-	load   float64
+	mu             sync.Mutex
+	reports        *peerreport.ReportStore
+	poller         *peerreport.Poller
+	admission      *peerreport.Admission
+	startedMS      map[string]int64 // start of each listed host in ms
+	addrs          map[string]string
+	snapshotMu     sync.Mutex // one snapshot at a time, which all askers share
+	snapshot       *peerreport.ReportBuilder
+	snapshotSerial uint64
+	load           float64
 
-	version atomic.Int64 // of the list in force
-	feeding sync.Mutex   // one hand-over to the module at a time
+	listVersion atomic.Int64 // of the list in force
+	importMu    sync.Mutex   // one hand-over to the module at a time
 }
 
-func newLearner(o *owner, p *PeerOptions) *learner {
-	now, name := o.clock(), o.plan.Name
+func newPeerExchange(o *eventLoop, p *PeerOptions) *peerExchange {
+	now, name := o.clockTicks(), o.plan.Name
 	if p.Name == "" {
 		p.Name = name
 	}
-	l := &learner{
-		o: o, p: p, zones: o.plan.List("FailureDomains"), stir: make(chan struct{}, 1), desk: peerreport.NewAdmission(),
-		since: map[string]int64{}, addrs: map[string]string{},
+	l := &peerExchange{
+		loop: o, options: p, zones: o.plan.List("FailureDomains"), wakePoller: make(chan struct{}, 1), admission: peerreport.NewAdmission(),
+		startedMS: map[string]int64{}, addrs: map[string]string{},
 	}
-	l.instance = xxhash.Sum64String(fmt.Sprint(name, o.plan.Seed, o.Listener.Addr(), o.start.UnixNano()))
-	l.shelf = peerreport.NewReportStore(p.Location, l.zones)
+	l.instanceID = xxhash.Sum64String(fmt.Sprint(name, o.plan.Seed, o.Listener.Addr(), o.startedAt.UnixNano()))
+	l.reports = peerreport.NewReportStore(p.Location, l.zones)
 	var names []string
 	for _, at := range p.PollTargets {
 		names = append(names, at.Name)
 	}
-	l.asker = peerreport.NewPoller(rand.New(rand.NewSource(o.plan.Seed+1)), now, int64(p.RefreshInterval/tenth), names)
+	l.poller = peerreport.NewPoller(rand.New(rand.NewSource(o.plan.Seed+1)), now, int64(p.RefreshInterval/tick), names)
 	plan := scheduler.NewSchedule(rand.New(rand.NewSource(o.plan.Seed+2)), p.Budgets)
 	l.pool = scheduler.NewPool(o.Clock, plan, func(job string, err error) {
-		o.log.often("job", "job_given_up", "job", job, "error", err)
-		if name, asking := strings.CutPrefix(job, askPrefix); asking {
-			o.g.Go(func() error { l.ended(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not be held up
+		o.log.warnLimited("job", "job_given_up", "job", job, "error", err)
+		if name, asking := strings.CutPrefix(job, pollJobPrefix); asking {
+			o.group.Go(func() error { l.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not be held up
 		}
 	})
 	return l
 }
 
 // run starts what this side does, in the owner's errgroup.
-func (l *learner) run() {
-	o := l.o
-	o.g.Go(func() error { return l.pool.Run(o.ctx) })
-	o.g.Go(l.ask)
-	o.g.Go(l.look)
-	if l.p.Listener == nil {
+func (l *peerExchange) run() {
+	o := l.loop
+	o.group.Go(func() error { return l.pool.Run(o.ctx) })
+	o.group.Go(l.pollPeers)
+	o.group.Go(l.sampleLoad)
+	if l.options.Listener == nil {
 		return
 	}
 	s := &peerprotocol.Server{
-		Name: l.p.Name, InstanceID: l.instance, AllowedNames: l.p.AllowedPeers, Credentials: l.p.Keys, Admit: l.admit,
-		Release: l.done, BuildReport: l.report, BuildStatus: l.status, SpendBudget: l.reply,
-		OnRejected: func(addr, why string) { o.log.often("peer_refused", "peer_refused", "client", addr, "why", why) },
+		Name: l.options.Name, InstanceID: l.instanceID, AllowedNames: l.options.AllowedPeers, Credentials: l.options.Keys, Admit: l.admit,
+		Release: l.release, BuildReport: l.currentReport, BuildStatus: l.status, SpendBudget: l.spendAnswerBudget,
+		OnRejected: func(addr, why string) { o.log.warnLimited("peer_refused", "peer_refused", "client", addr, "why", why) },
 	}
-	o.log.Info("peers", "listen", l.p.Listener.Addr().String(), "name", l.p.Name, "asks", len(l.p.PollTargets))
-	o.g.Go(func() error { return s.Serve(o.ctx, l.p.Listener) })
+	o.log.Info("peers", "listen", l.options.Listener.Addr().String(), "name", l.options.Name, "asks", len(l.options.PollTargets))
+	o.group.Go(func() error { return s.Serve(o.ctx, l.options.Listener) })
 }
 
-// look takes the owner's load, by which background work waits and askers are put off. A wake that comes late tells of
+// sampleLoad takes the owner's load, by which background work waits and askers are put off. A wake that comes late tells of
 // a machine that is full beside the owner.
-func (l *learner) look() error {
-	before, busy := time.Now(), l.o.busy.Load()
+func (l *peerExchange) sampleLoad() error {
+	before, busy := time.Now(), l.loop.busyNanos.Load()
 	for {
 		select {
-		case <-l.o.Clock.After(lookEach):
-		case <-l.o.ctx.Done():
+		case <-l.loop.Clock.After(loadSampleInterval):
+		case <-l.loop.ctx.Done():
 			return nil
 		}
-		now, turned := time.Now(), l.o.busy.Load()
+		now, turned := time.Now(), l.loop.busyNanos.Load()
 		share := float64(turned-busy) / float64(max(1, now.Sub(before)))
-		late := float64(now.Sub(before)-lookEach) / float64(now.Sub(before))
+		late := float64(now.Sub(before)-loadSampleInterval) / float64(now.Sub(before))
 		before, busy = now, turned
-		share = min(1, max(share, late, float64(len(l.o.queue))/queueRoom))
+		share = min(1, max(share, late, float64(len(l.loop.tasks))/maxQueuedTasks))
 		l.pool.RecordLoad(share)
 		l.mu.Lock()
 		l.load = share
-		l.desk.SetLoad(share)
-		l.shelf.ExpireReports(l.o.clock())
+		l.admission.SetLoad(share)
+		l.reports.ExpireReports(l.loop.clockTicks())
 		l.mu.Unlock()
 	}
 }
 
-// ask hands askings that are due to the pool.
-func (l *learner) ask() error {
+// pollPeers hands askings that are due to the pool.
+func (l *peerExchange) pollPeers() error {
 	for {
 		l.mu.Lock()
-		now := l.o.clock()
-		for _, name := range l.asker.DuePeers(now) {
-			l.start(name)
+		now := l.loop.clockTicks()
+		for _, name := range l.poller.DuePeers(now) {
+			l.startPoll(name)
 		}
-		next := l.asker.NextPollAt(now)
+		next := l.poller.NextPollAt(now)
 		l.mu.Unlock()
 		var wake <-chan time.Time
 		if next > 0 {
-			wake = l.o.Clock.After(time.Duration(max(1, next-now)) * tenth)
+			wake = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
 		}
 		select {
 		case <-wake:
-		case <-l.stir:
-		case <-l.o.ctx.Done():
+		case <-l.wakePoller:
+		case <-l.loop.ctx.Done():
 			return nil
 		}
 	}
 }
 
-// start makes a job of asking one peer.
-func (l *learner) start(name string) {
-	i := slices.IndexFunc(l.p.PollTargets, func(at PeerAddress) bool { return at.Name == name })
-	at := l.p.PollTargets[i]
-	job := scheduler.Job{Name: askPrefix + name, Kind: askKind, Priority: scheduler.PriorityUrgent, MaxFailures: 1, Deadline: int64(askJob / tenth)}
+// startPoll makes a job of asking one peer.
+func (l *peerExchange) startPoll(name string) {
+	i := slices.IndexFunc(l.options.PollTargets, func(at PeerAddress) bool { return at.Name == name })
+	at := l.options.PollTargets[i]
+	job := scheduler.Job{Name: pollJobPrefix + name, Kind: pollJobKind, Priority: scheduler.PriorityUrgent, MaxFailures: 1, Deadline: int64(pollJobTimeout / tick)}
 	_, err := l.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
-		how, later, err := l.askOne(ctx, at, a)
+		how, later, err := l.pollPeer(ctx, at, a)
 		began := time.Now()
-		l.ended(at.Name, how, later, err)
+		l.handlePollEnd(at.Name, how, later, err)
 		a.Spend(ctx, 0, time.Since(began)) // putting reports together is of the asking's budget too
 		return nil
 	})
 	if err != nil {
-		l.o.g.Go(func() error { l.ended(at.Name, peerreport.OutcomeFailed, 0, err); return nil }) // start is called with the lock
+		l.loop.group.Go(func() error { l.handlePollEnd(at.Name, peerreport.OutcomeFailed, 0, err); return nil }) // start is called with the lock
 	}
 }
 
-func (l *learner) askOne(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
-	asked := l.o.clock()
+func (l *peerExchange) pollPeer(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
+	asked := l.loop.clockTicks()
 	asking := peerprotocol.Client{
-		PeerName: at.Name, Addr: at.Addr, LocalName: l.p.Name, InstanceID: l.instance, Dial: l.o.Dial, Credentials: l.p.Keys,
+		PeerName: at.Name, Addr: at.Addr, LocalName: l.options.Name, InstanceID: l.instanceID, Dial: l.loop.Dial, Credentials: l.options.Keys,
 		OnHeader: func(h peerreport.ReportHeader) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.shelf.BeginReport(asked, h)
+			return l.reports.BeginReport(asked, h)
 		},
 		OnObservations: func(notes []peerreport.Observation) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.shelf.AddObservations(at.Name, notes)
+			return l.reports.AddObservations(at.Name, notes)
 		},
 		SpendBudget: a.Spend,
 	}
 	return asking.FetchReport(ctx)
 }
 
-// ended takes in how an asking ended; a whole report goes to the module.
-func (l *learner) ended(name string, how peerreport.Outcome, later time.Duration, err error) {
+// handlePollEnd takes in how an asking handlePollEnd; a whole report goes to the module.
+func (l *peerExchange) handlePollEnd(name string, how peerreport.Outcome, later time.Duration, err error) {
 	l.mu.Lock()
 	if how == peerreport.OutcomeReceived {
-		l.shelf.CompleteReport(name)
+		l.reports.CompleteReport(name)
 	} else {
-		l.shelf.AbortReport(name)
+		l.reports.AbortReport(name)
 	}
-	l.asker.RecordOutcome(l.o.clock(), name, how, int64(later/tenth))
+	l.poller.RecordOutcome(l.loop.clockTicks(), name, how, int64(later/tick))
 	l.mu.Unlock()
 	select {
-	case l.stir <- struct{}{}:
+	case l.wakePoller <- struct{}{}:
 	default:
 	}
 	switch {
-	case l.o.ctx.Err() != nil:
+	case l.loop.ctx.Err() != nil:
 	case how == peerreport.OutcomeReceived:
-		hosts := l.feed()
-		l.o.log.Info("learned", "peer", name, "hosts", hosts)
+		hosts := l.importReports()
+		l.loop.log.Info("learned", "peer", name, "hosts", hosts)
 	case how == peerreport.OutcomeDeferred:
-		l.o.log.often("peer_later", "peer_later", "peer", name, "wait", later)
+		l.loop.log.warnLimited("peer_later", "peer_later", "peer", name, "wait", later)
 	default:
-		l.o.log.often("peer "+how.String(), "peer_failed", "peer", name, "how", how, "error", err)
+		l.loop.log.warnLimited("peer "+how.String(), "peer_failed", "peer", name, "how", how, "error", err)
 	}
 }
 
-// feed puts together what all reports say now and hands it to the module, slice by slice.
-func (l *learner) feed() (hosts int) {
-	l.feeding.Lock()
-	defer l.feeding.Unlock()
+// importReports puts together what all reports say now and hands it to the module, slice by slice.
+func (l *peerExchange) importReports() (hosts int) {
+	l.importMu.Lock()
+	defer l.importMu.Unlock()
 	l.mu.Lock()
-	heard := l.shelf.Combine(l.o.clock(), func(host string) (int64, bool) {
-		ms, listed := l.since[host]
+	heard := l.reports.Combine(l.loop.clockTicks(), func(host string) (int64, bool) {
+		ms, listed := l.startedMS[host]
 		return ms, listed
 	})
 	l.mu.Unlock()
 	for part := range slices.Chunk(heard, peerreport.MaxChunkObservations) {
-		if l.turn(func() {
+		if l.runInLoop(func() {
 			for _, h := range part {
-				l.o.module.ImportObservation(h)
+				l.loop.balancer.ImportObservation(h)
 			}
 		}) != nil {
 			break
@@ -243,34 +243,34 @@
 	return len(heard)
 }
 
-// turn has the owner do something in one of its turns and returns once that is done.
-func (l *learner) turn(do func()) error {
+// runInLoop has the owner do something in one of its turns and returns once that is done.
+func (l *peerExchange) runInLoop(do func()) error {
 	done := make(chan struct{})
-	if !l.o.post(func() { do(); close(done) }) {
-		return closing
+	if !l.loop.submit(func() { do(); close(done) }) {
+		return endClosing
 	}
 	select {
 	case <-done:
 		return nil
-	case <-l.o.ctx.Done():
-		return closing
+	case <-l.loop.ctx.Done():
+		return endClosing
 	}
 }
 
-// listed takes in a list or changes of it, before the module hears of them or after; nothing waits for it but the
+// updateHosts takes in a list or changes of it, before the module hears of them or after; nothing waits for it but the
 // list's own goroutine. What was heard of a host that has changed its address or left is of another machine.
-func (l *learner) listed(full bool, version int64, hosts []plan.ListedHost) {
+func (l *peerExchange) updateHosts(full bool, version int64, hosts []plan.ListedHost) {
 	l.mu.Lock()
-	now, moved := l.o.clock(), false
+	now, moved := l.loop.clockTicks(), false
 	present := map[string]bool{}
 	move := func(id string) {
-		l.shelf.InvalidateHost(now, id)
+		l.reports.InvalidateHost(now, id)
 		moved = true
 	}
 	for _, h := range hosts {
 		old, known := l.addrs[h.ID]
 		if present[h.ID] = !h.Removed; h.Removed {
-			delete(l.since, h.ID)
+			delete(l.startedMS, h.ID)
 			if delete(l.addrs, h.ID); known {
 				move(h.ID)
 			}
@@ -279,66 +279,66 @@
 		if known && old != h.Addr {
 			move(h.ID)
 		}
-		moved = moved || !known || l.since[h.ID] != h.StartedMS
-		l.since[h.ID], l.addrs[h.ID] = h.StartedMS, h.Addr
+		moved = moved || !known || l.startedMS[h.ID] != h.StartedMS
+		l.startedMS[h.ID], l.addrs[h.ID] = h.StartedMS, h.Addr
 	}
 	if full {
-		for id := range l.since {
+		for id := range l.startedMS {
 			if !present[id] {
-				delete(l.since, id)
+				delete(l.startedMS, id)
 				delete(l.addrs, id)
 				move(id)
 			}
 		}
 	}
-	feed := moved && l.shelf.ReportCount() > 0
+	feed := moved && l.reports.ReportCount() > 0
 	l.mu.Unlock()
-	l.version.Store(version)
+	l.listVersion.Store(version)
 	if feed {
-		l.o.g.Go(func() error { l.feed(); return nil })
+		l.loop.group.Go(func() error { l.importReports(); return nil })
 	}
 }
 
 // admit, done, report, status and reply are what the peers' server is given.
 
-func (l *learner) admit(name string) (ok bool, later time.Duration) {
+func (l *peerExchange) admit(name string) (ok bool, later time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ok, wait := l.desk.Admit(l.o.clock(), name)
-	return ok, time.Duration(wait) * tenth
+	ok, wait := l.admission.Admit(l.loop.clockTicks(), name)
+	return ok, time.Duration(wait) * tick
 }
 
-func (l *learner) done() {
+func (l *peerExchange) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.desk.Release()
+	l.admission.Release()
 }
 
-// report gives the newest snapshot, or takes one. Askers that come meanwhile wait for it and share it.
-func (l *learner) report(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
-	l.taking.Lock()
-	defer l.taking.Unlock()
+// currentReport gives the newest snapshot, or takes one. Askers that come meanwhile wait for it and share it.
+func (l *peerExchange) currentReport(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+	l.snapshotMu.Lock()
+	defer l.snapshotMu.Unlock()
 	l.mu.Lock()
-	fresh := l.taken != nil && l.desk.IsSnapshotFresh(l.o.clock())
+	fresh := l.snapshot != nil && l.admission.IsSnapshotFresh(l.loop.clockTicks())
 	l.mu.Unlock()
 	if !fresh {
-		if err := l.take(ctx); err != nil {
+		if err := l.takeSnapshot(ctx); err != nil {
 			return peerreport.ReportHeader{}, nil, err
 		}
 	}
-	return l.taken.HeaderAt(l.o.clock()), l.taken.Observations, nil
+	return l.snapshot.HeaderAt(l.loop.clockTicks()), l.snapshot.Observations, nil
 }
 
-// take makes a snapshot, SliceMost hosts a turn.
-func (l *learner) take(ctx context.Context) error {
-	l.serial++
+// takeSnapshot makes a snapshot, SliceMost hosts a turn.
+func (l *peerExchange) takeSnapshot(ctx context.Context) error {
+	l.snapshotSerial++
 	for {
-		t := peerreport.NewReportBuilder(l.o.clock(), l.p.Name, l.p.Location, l.serial, l.version.Load(), l.zones)
+		t := peerreport.NewReportBuilder(l.loop.clockTicks(), l.options.Name, l.options.Location, l.snapshotSerial, l.listVersion.Load(), l.zones)
 		for from := 0; ; {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err := l.turn(func() { from = l.o.module.ExportObservations(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
+			if err := l.runInLoop(func() { from = l.loop.balancer.ExportObservations(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
 				return err
 			}
 			if from == 0 {
@@ -346,22 +346,22 @@
 			}
 		}
 		l.mu.Lock()
-		again := t.ListChanged(l.version.Load()) && l.desk.AllowSnapshotRetake()
+		again := t.ListChanged(l.listVersion.Load()) && l.admission.AllowSnapshotRetake()
 		if !again {
-			l.desk.RecordSnapshot(l.o.clock() - t.AgeAt(l.o.clock()))
+			l.admission.RecordSnapshot(l.loop.clockTicks() - t.AgeAt(l.loop.clockTicks()))
 		}
 		l.mu.Unlock()
 		if !again {
-			l.taken = t
+			l.snapshot = t
 			return nil
 		}
 	}
 }
 
-// reply takes an answer's bytes from the budget of answers, as a job that is on its way already.
-func (l *learner) reply(ctx context.Context, bytes int, cpu time.Duration) error {
+// spendAnswerBudget takes an answer's bytes from the budget of answers, as a job that is on its way already.
+func (l *peerExchange) spendAnswerBudget(ctx context.Context, bytes int, cpu time.Duration) error {
 	done := make(chan error, 1)
-	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: replyKind, Priority: scheduler.PriorityNormal, MaxFailures: 1},
+	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: answerJobKind, Priority: scheduler.PriorityNormal, MaxFailures: 1},
 		func(ctx context.Context, a *scheduler.Allowance) error {
 			done <- a.Spend(ctx, bytes, cpu)
 			return nil
@@ -377,17 +377,17 @@
 	}
 }
 
-func (l *learner) status(context.Context) (peerprotocol.Status, error) {
+func (l *peerExchange) status(context.Context) (peerprotocol.Status, error) {
 	counts, waiting, running, load := l.pool.Counts()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.o.clock()
+	now := l.loop.clockTicks()
 	s := peerprotocol.Status{
-		Name: l.p.Name, Locality: l.p.Location, UptimeMs: uint64(l.o.Clock.Now().Sub(l.o.start).Milliseconds()),
-		ListVersion: l.version.Load(), HostCount: uint32(len(l.since)), ReportsServed: uint32(l.desk.Admitted), ReportsDeferred: uint32(l.desk.Deferred),
+		Name: l.options.Name, Locality: l.options.Location, UptimeMs: uint64(l.loop.Clock.Now().Sub(l.loop.startedAt).Milliseconds()),
+		ListVersion: l.listVersion.Load(), HostCount: uint32(len(l.startedMS)), ReportsServed: uint32(l.admission.Admitted), ReportsDeferred: uint32(l.admission.Deferred),
 		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Deferred),
 	}
-	for _, p := range l.asker.Statuses(now) {
+	for _, p := range l.poller.Statuses(now) {
 		one := peerprotocol.PeerStatus{Name: p.Name, ReportCount: uint32(p.ReportCount)}
 		if p.LastOutcomeAt > 0 {
 			one.LastOutcome, one.LastOutcomeAgoMs = p.LastOutcome.String(), uint64((now-p.LastOutcomeAt)/10)
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -42,8 +42,8 @@
 func (r *rig) heard(id string) (bad bool) {
 	told := make(chan struct{})
 	var all []string
-	require.True(r.t, r.owner.post(func() {
-		r.owner.module.ExportObservations(0, 100, func(b balancer.Observation) { all = append(all, b.Replica) })
+	require.True(r.t, r.owner.submit(func() {
+		r.owner.balancer.ExportObservations(0, 100, func(b balancer.Observation) { all = append(all, b.Replica) })
 		close(told)
 	}))
 	<-told
@@ -175,7 +175,7 @@
 	heard := func() (n int) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, h := range l.shelf.Combine(r.owner.clock(), func(string) (int64, bool) { return 0, true }) {
+		for _, h := range l.reports.Combine(r.owner.clockTicks(), func(string) (int64, bool) { return 0, true }) {
 			if h.Outlier {
 				n++
 			}
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -184,7 +184,7 @@
 			send(conn, text(fmt.Sprint("meanwhile", i)))
 		}
 	}
-	time.Sleep(quietTime + 500*time.Millisecond)
+	time.Sleep(clientIdleTimeout + 500*time.Millisecond)
 	require.NoError(t, r.Signal("n", syscall.SIGCONT))
 	for i, rd := range readers {
 		status, _, _, _, err := rd.ReadResponse()
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -53,12 +53,12 @@
 	for i := range 12 {
 		r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts))
 	}
-	lines := func() (n int) { r.inTurn(func(o *owner) { n = o.lines }); return n }
-	r.eventually("connections are late", func() bool { return float64(lines()) >= replicaShare*sockets })
-	r.eventually("second ones are tried", func() bool { return r.owner.beside.Load() >= int64(lines()) })
-	require.LessOrEqual(t, tried.Load(), int64(math.Ceil(replicaShare*sockets+besideShare*sockets))+1) // one is discovery's
+	lines := func() (n int) { r.inTurn(func(o *eventLoop) { n = o.replicaConnectionCount }); return n }
+	r.eventually("connections are late", func() bool { return float64(lines()) >= replicaDescriptorShare*sockets })
+	r.eventually("second ones are tried", func() bool { return r.owner.extraDials.Load() >= int64(lines()) })
+	require.LessOrEqual(t, tried.Load(), int64(math.Ceil(replicaDescriptorShare*sockets+extraDialShare*sockets))+1) // one is discovery's
 	r.end()
-	require.Zero(t, r.owner.beside.Load())
+	require.Zero(t, r.owner.extraDials.Load())
 }
 
 // startGated starts one whose connections to the replicas of cell 0 wait at their gates.
@@ -92,20 +92,20 @@
 	return r, func(id string) { close(g.at(r.replicas[id].Listener.Addr().String())) }
 }
 
-// inTurn does something in a turn of the owner's and waits for it.
-func (r *rig) inTurn(do func(o *owner)) {
+// awaitTurn does something in a turn of the owner's and waits for it.
+func (r *rig) inTurn(do func(o *eventLoop)) {
 	done := make(chan struct{})
-	require.True(r.t, r.owner.post(func() { do(r.owner); close(done) }))
+	require.True(r.t, r.owner.submit(func() { do(r.owner); close(done) }))
 	<-done
 }
 
 // waiting tells how many parts are out, as the owner sees it, on connections to a replica that are not up.
 func (r *rig) waiting(id string) (n int) {
-	r.inTurn(func(o *owner) {
-		if to := o.fleet[id]; to != nil {
-			for _, l := range to.lines {
-				if l.up == 0 {
-					n += len(l.subs)
+	r.inTurn(func(o *eventLoop) {
+		if to := o.replicas[id]; to != nil {
+			for _, l := range to.connections {
+				if l.connectedAt == 0 {
+					n += len(l.attempts)
 				}
 			}
 		}
@@ -115,9 +115,9 @@
 
 // up tells whether a connection to a replica is.
 func (r *rig) up(id string) (is bool) {
-	r.inTurn(func(o *owner) {
-		for _, l := range o.fleet[id].lines {
-			is = is || l.up > 0
+	r.inTurn(func(o *eventLoop) {
+		for _, l := range o.replicas[id].connections {
+			is = is || l.connectedAt > 0
 		}
 	})
 	return is
@@ -241,23 +241,23 @@
 		{"ResetByPeer ConnectError", 1},
 		{"QueueFull Failed Canceled", 2},
 	} {
-		o := &owner{keyed: []bool{true, false}, module: deaf{}, parts: map[uint64]*part{}}
-		p := &part{s: &search{}}
+		o := &eventLoop{keyedClasses: []bool{true, false}, balancer: deaf{}, shardRequests: map[uint64]*shardRequest{}}
+		p := &shardRequest{search: &search{}}
 		for i, outcome := range strings.Fields(x.outcomes) {
-			sub := &subRequest{p: p, leg: int32(i), sent: int64(i + 1)}
-			p.subs = append(p.subs, sub)
-			require.Equal(t, int64(0), o.firstSent(&subRequest{p: &part{s: &search{qtype: 1}, subs: p.subs}, leg: 1}))
-			o.landed(sub, outcome, nil)
+			sub := &attempt{shardRequest: p, index: int32(i), sentAt: int64(i + 1)}
+			p.attempts = append(p.attempts, sub)
+			require.Equal(t, int64(0), o.firstSentAt(&attempt{shardRequest: &shardRequest{search: &search{class: 1}, attempts: p.attempts}, index: 1}))
+			o.recordOutcome(sub, outcome, nil)
 		}
-		require.Equal(t, x.first, o.firstSent(&subRequest{p: p, leg: int32(len(p.subs))}), x.outcomes)
+		require.Equal(t, x.first, o.firstSentAt(&attempt{shardRequest: p, index: int32(len(p.attempts))}), x.outcomes)
 	}
-	for stage, first := range map[int32]int64{queued: 0, begun: 7, written: 7} { // one that was given up
+	for stage, first := range map[int32]int64{stageQueued: 0, stageWriting: 7, stageWritten: 7} { // one that was given up
 		o, _, s := oneOut(stage)
-		o.keyed = []bool{true}
-		p := s.parts[0]
-		p.subs[0].sent = 7
+		o.keyedClasses = []bool{true}
+		p := s.shardRequests[0]
+		p.attempts[0].sentAt = 7
 		o.CancelAttempt(p.id, 0)
-		require.Equal(t, first, o.firstSent(&subRequest{p: p, leg: 1}), "stage %d", stage)
+		require.Equal(t, first, o.firstSentAt(&attempt{shardRequest: p, index: 1}), "stage %d", stage)
 	}
 }
 
@@ -275,66 +275,66 @@
 
 // twoOut is a search with two parts out on a connection that is up and has no writer: in one call, or in two of which the
 // second alone is written.
-func twoOut(apart bool) (*owner, *line, *search) {
-	o, l, s := oneOut(queued)
-	l.up, o.log = 1, newNotes(SystemClock{}, slog.DiscardHandler)
-	p := &part{id: 3, s: s, shard: 1, untold: 1}
-	c := s.parts[0].subs[0].call
+func twoOut(apart bool) (*eventLoop, *replicaConnection, *search) {
+	o, l, s := oneOut(stageQueued)
+	l.connectedAt, o.log = 1, newAsyncLogger(SystemClock{}, slog.DiscardHandler)
+	p := &shardRequest{id: 3, search: s, shard: 1, unreported: 1}
+	c := s.shardRequests[0].attempts[0].batch
 	if apart {
-		c = &call{line: l, parcel: &parcel{}}
-		c.parcel.stage.Store(written)
-		l.calls++
+		c = &batch{connection: l, message: &outboundMessage{}}
+		c.message.stage.Store(stageWritten)
+		l.openBatches++
 	}
-	sub := &subRequest{p: p, name: "q.1", call: c}
-	c.subs, l.subs, p.subs, s.parts = append(c.subs, sub), append(l.subs, sub), []*subRequest{sub}, append(s.parts, p)
-	o.parts[3] = p
+	sub := &attempt{shardRequest: p, name: "q.1", batch: c}
+	c.attempts, l.attempts, p.attempts, s.shardRequests = append(c.attempts, sub), append(l.attempts, sub), []*attempt{sub}, append(s.shardRequests, p)
+	o.shardRequests[3] = p
 	return o, l, s
 }
 
 // A search that ends takes its parts off a call in one piece: no frame with the rest of them is on its way in between.
 func TestPartsOfOneCallGoBackTogether(t *testing.T) {
 	o, l, s := twoOut(false)
-	require.Empty(t, o.finish(s))
-	require.Empty(t, l.backlog)
-	require.Empty(t, l.subs)
-	require.Equal(t, []string{"Ignored", "Ignored"}, []string{o.next[0].outcome, o.next[1].outcome})
-	require.Zero(t, l.calls)
+	require.Empty(t, o.finishSearch(s))
+	require.Empty(t, l.queue)
+	require.Empty(t, l.attempts)
+	require.Equal(t, []string{"Ignored", "Ignored"}, []string{o.nextEvents[0].outcome, o.nextEvents[1].outcome})
+	require.Zero(t, l.openBatches)
 
 	o, l, s = twoOut(false) // those of another search stay
 	other := &search{id: 9}
-	s.parts[1].s, s.parts = other, s.parts[:1]
-	require.Empty(t, o.finish(s))
-	require.Len(t, o.next, 1)
-	require.Len(t, l.backlog, 1)
-	require.Equal(t, "q.1", l.subs[0].name)
-	p := <-l.backlog
-	require.Equal(t, queued, p.stage.Load())
-	require.NotContains(t, string(*p.b), "q.0")
-	require.Contains(t, string(*p.b), "q.1")
+	s.shardRequests[1].search, s.shardRequests = other, s.shardRequests[:1]
+	require.Empty(t, o.finishSearch(s))
+	require.Len(t, o.nextEvents, 1)
+	require.Len(t, l.queue, 1)
+	require.Equal(t, "q.1", l.attempts[0].name)
+	p := <-l.queue
+	require.Equal(t, stageQueued, p.stage.Load())
+	require.NotContains(t, string(*p.buffer), "q.0")
+	require.Contains(t, string(*p.buffer), "q.1")
 }
 
 // What is called off before it was begun was never sent, and the module hears so: it may go out again whatever its effect.
 func TestCalledOffUnsent(t *testing.T) {
-	for stage, outcome := range map[int32]string{queued: "Ignored", begun: "Canceled", written: "Canceled"} {
+	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
 		o, _, _ := oneOut(stage)
 		o.CancelAttempt(2, 0)
-		require.Equal(t, outcome, o.next[0].outcome, "stage %d", stage)
+		require.Equal(t, outcome, o.nextEvents[0].outcome, "stage %d", stage)
 	}
 }
 
 // A repeat that waits on the connection on which the first sub-request is answered late does not go out.
 func TestAnswerUnderAWaitingRepeat(t *testing.T) {
-	for stage, left := range map[int32]int32{queued: called, begun: begun, written: written} {
+	for stage, left := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
 		var told []string
 		o, l, s := oneOut(stage)
-		o.module = deaf{told: &told}
-		l.past = map[string]uint64{"q.0": s.id}
-		parcel := s.parts[0].subs[0].call.parcel
-		o.answer(l, []byte("q.0"), "Ok", zero, nil, []byte("v"), nil)
+		o.balancer = deaf{told: &told}
+		l.recentIDs = map[string]uint64{"q.0": s.id}
+		parcel := s.shardRequests[0].attempts[0].batch.message
+		o.handleAnswer(l, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
 		require.Equal(t, []string{"Ok"}, told)
-		require.True(t, s.parts[0].in)
+		require.True(t, s.shardRequests[0].completed)
 		require.Equal(t, left, parcel.stage.Load())
-		require.Empty(t, l.subs)
+		require.Empty(t, l.attempts)
 	}
 }
 
@@ -342,8 +342,8 @@
 func TestSpoiltUnderAWaitingPart(t *testing.T) {
 	var told []string
 	o, l, _ := twoOut(true)
-	o.module = deaf{told: &told}
-	o.ended(l, garbled, "x")
+	o.balancer = deaf{told: &told}
+	o.handleConnectionEnd(l, endMalformed, "x")
 	require.Equal(t, []string{"Ignored", "Failed"}, told)
 }
 
@@ -367,20 +367,20 @@
 // again whatever its effect.
 func TestNothingIsBegunAfterTheEnd(t *testing.T) {
 	for range 50 { // both are ready, and which a select takes is chance
-		l := newLink(t.Context(), 2)
+		l := newMessageConn(t.Context(), 2)
 		c := &slowConn{ended: make(chan struct{})}
-		first, next := &parcel{b: lend()}, &parcel{b: lend()}
-		l.put(first)
+		first, next := &outboundMessage{buffer: borrowBuffer()}, &outboundMessage{buffer: borrowBuffer()}
+		l.enqueue(first)
 		end := l.serve(c, time.Minute, func(ctx context.Context) error {
 			for c.took.Load() == 0 { // the first is on its way
 				time.Sleep(100 * time.Microsecond)
 			}
-			l.put(next)
+			l.enqueue(next)
 			context.AfterFunc(ctx, func() { close(c.ended) })
-			return peerLeft
-		}, func(*parcel) error { return nil })
-		require.Equal(t, peerLeft, end)
-		require.Equal(t, written, first.stage.Load())
-		require.Equal(t, queued, next.stage.Load())
+			return endPeerClosed
+		}, func(*outboundMessage) error { return nil })
+		require.Equal(t, endPeerClosed, end)
+		require.Equal(t, stageWritten, first.stage.Load())
+		require.Equal(t, stageQueued, next.stage.Load())
 	}
 }
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -26,12 +26,12 @@
 type ResidencyGuard struct {
 	clock func() int64 // wall time in tenths of a millisecond, counted on
 
-	mu     sync.Mutex
-	in     *residency.CompiledPolicy
-	owners map[*bounding]bool
+	mu        sync.Mutex
+	policy    *residency.CompiledPolicy
+	enforcers map[*residencyEnforcer]bool
 
-	set                                      *metrics.Set
-	caught, refused, calledOff, puts, fenced *metrics.Counter
+	metricSet                                         *metrics.Set
+	blocked, refused, canceled, policyUpdates, fenced *metrics.Counter
 }
 
 // NewResidencyGuard begins with what is known at the start; with nothing known, nothing runs anywhere. Clock is wall time in tenths of a millisecond that never goes back.
@@ -39,14 +39,14 @@
 	if first == nil {
 		first = residency.DenyAll()
 	}
-	r := &ResidencyGuard{clock: clock, in: first, owners: map[*bounding]bool{}, set: metrics.NewSet()}
-	r.caught = r.set.NewCounter("chalkring_residency_caught_total")
-	r.refused = r.set.NewCounter("chalkring_residency_refused_total")
-	r.calledOff = r.set.NewCounter("chalkring_residency_called_off_total")
-	r.fenced = r.set.NewCounter("chalkring_residency_fenced_total")
-	r.puts = r.set.NewCounter("chalkring_residency_standings_total")
-	r.set.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
-	r.set.NewGauge("chalkring_residency_lease_seconds", func() float64 {
+	r := &ResidencyGuard{clock: clock, policy: first, enforcers: map[*residencyEnforcer]bool{}, metricSet: metrics.NewSet()}
+	r.blocked = r.metricSet.NewCounter("chalkring_residency_caught_total")
+	r.refused = r.metricSet.NewCounter("chalkring_residency_refused_total")
+	r.canceled = r.metricSet.NewCounter("chalkring_residency_called_off_total")
+	r.fenced = r.metricSet.NewCounter("chalkring_residency_fenced_total")
+	r.policyUpdates = r.metricSet.NewCounter("chalkring_residency_standings_total")
+	r.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
+	r.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
 		if in := r.Policy(); in.LeaseExpiry < math.MaxInt64 { // one that never ends has no length
 			return max(0, float64(in.LeaseExpiry-r.clock())/10_000)
 		}
@@ -59,7 +59,7 @@
 func (r *ResidencyGuard) Policy() *residency.CompiledPolicy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.in
+	return r.policy
 }
 
 // MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
@@ -68,107 +68,107 @@
 }
 
 // BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
-func (r *ResidencyGuard) BlockedDispatches() uint64 { return r.caught.Get() }
+func (r *ResidencyGuard) BlockedDispatches() uint64 { return r.blocked.Get() }
 
 // SetPolicy puts a standing in force and returns once every co-ordinator of the process keeps to it: from then on nothing that
 // it forbids is sent, and what was out has been called off.
 func (r *ResidencyGuard) SetPolicy(s *residency.CompiledPolicy) {
 	r.mu.Lock()
-	r.in = s
-	owners := slices.Collect(maps.Keys(r.owners))
+	r.policy = s
+	owners := slices.Collect(maps.Keys(r.enforcers))
 	r.mu.Unlock()
-	r.puts.Inc()
+	r.policyUpdates.Inc()
 	for _, b := range owners {
 		done := make(chan struct{})
-		if b.o.post(func() { b.put(s); close(done) }) {
+		if b.loop.submit(func() { b.setPolicy(s); close(done) }) {
 			select {
 			case <-done:
-			case <-b.o.ctx.Done():
-			case <-b.gone: // it never began to take turns
+			case <-b.loop.ctx.Done():
+			case <-b.closed: // it never began to take turns
 			}
 		}
 	}
 }
 
-// write tells what is counted in the common text form.
-func (r *ResidencyGuard) write(to io.Writer) { r.set.WritePrometheus(to) }
-
-// bounding binds one owner's searches to the hosts that their contracts leave. It is the owner's.
-type bounding struct {
-	o                *owner
-	r                *ResidencyGuard
-	in               *residency.CompiledPolicy
-	hosts            *residency.HostZones
-	tenants, classes []string // by place
-	bounds           map[tied]*balancer.ReplicaRestriction
-	now, next        int64        // of this turn; when what holds changes by itself
-	until            atomic.Int64 // the lease's end, for connections' writers
-	gone             chan struct{}
-	wake             wake
-	binding          *search // whose end, if it comes now, is its contract's doing
+// writeMetrics tells what is counted in the common text form.
+func (r *ResidencyGuard) writeMetrics(to io.Writer) { r.metricSet.WritePrometheus(to) }
+
+// residencyEnforcer binds one owner's searches to the hosts that their contracts leave. It is the owner's.
+type residencyEnforcer struct {
+	loop                *eventLoop
+	guard               *ResidencyGuard
+	policy              *residency.CompiledPolicy
+	hosts               *residency.HostZones
+	tenants, classes    []string // by place
+	restrictions        map[restrictionKey]*balancer.ReplicaRestriction
+	now, nextChangeAt   int64        // of this turn; when what holds changes by itself
+	leaseExpiry         atomic.Int64 // the lease's end, for connections' writers
+	closed              chan struct{}
+	checkTimer          timer
+	searchInRestriction *search // whose end, if it comes now, is its contract's doing
 }
 
-// tied is what searches that are bound alike have in common.
-type tied struct{ tenant, qtype int }
+// restrictionKey is what searches that are bound alike have in common.
+type restrictionKey struct{ tenant, class int }
 
-func newBounding(o *owner, r *ResidencyGuard) *bounding {
+func newResidencyEnforcer(o *eventLoop, r *ResidencyGuard) *residencyEnforcer {
 	name := func(list string) (names []string) {
 		for i := range o.plan.Count(list) {
 			names = append(names, o.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
 		}
 		return names
 	}
-	b := &bounding{
-		o: o, r: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), bounds: map[tied]*balancer.ReplicaRestriction{},
-		gone: make(chan struct{}),
+	b := &residencyEnforcer{
+		loop: o, guard: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
+		closed: make(chan struct{}),
 	}
 	r.mu.Lock()
-	r.owners[b] = true
-	b.in = r.in
+	r.enforcers[b] = true
+	b.policy = r.policy
 	r.mu.Unlock()
-	b.hosts = residency.NewHostZones(b.in.HostHoldDown)
-	b.until.Store(b.in.LeaseExpiry)
+	b.hosts = residency.NewHostZones(b.policy.HostHoldDown)
+	b.leaseExpiry.Store(b.policy.LeaseExpiry)
 	return b
 }
 
-// lapsed tells a connection's writer whether the lease has ended, and counts where it has.
-func (b *bounding) lapsed() bool {
-	if b.r.clock() < b.until.Load() {
+// leaseHasExpired tells a connection's writer whether the lease has ended, and counts where it has.
+func (b *residencyEnforcer) leaseHasExpired() bool {
+	if b.guard.clock() < b.leaseExpiry.Load() {
 		return false
 	}
-	b.r.fenced.Inc()
+	b.guard.fenced.Inc()
 	return true
 }
 
-func (b *bounding) leave() {
-	b.r.mu.Lock()
-	delete(b.r.owners, b)
-	b.r.mu.Unlock()
-	close(b.gone)
+func (b *residencyEnforcer) close() {
+	b.guard.mu.Lock()
+	delete(b.guard.enforcers, b)
+	b.guard.mu.Unlock()
+	close(b.closed)
 }
 
-// turn begins a turn: what has changed by time alone is in force before anything else happens in it.
-func (b *bounding) turn() {
-	if b.now = max(b.now, b.r.clock()); b.now >= b.next {
-		b.changed()
+// beginIteration begins a beginIteration: what has changed by time alone is in force before anything else happens in it.
+func (b *residencyEnforcer) beginIteration() {
+	if b.now = max(b.now, b.guard.clock()); b.now >= b.nextChangeAt {
+		b.restrictAll()
 	}
 }
 
-// put takes a standing. A renewed lease changes nothing for those that are open.
-func (b *bounding) put(s *residency.CompiledPolicy) {
-	renewed := s.DiffersOnlyInLease(b.in) && b.now < b.in.LeaseExpiry
-	b.in = s
-	b.until.Store(s.LeaseExpiry)
+// setPolicy takes a standing. A renewed lease changes nothing for those that are open.
+func (b *residencyEnforcer) setPolicy(s *residency.CompiledPolicy) {
+	renewed := s.DiffersOnlyInLease(b.policy) && b.now < b.policy.LeaseExpiry
+	b.policy = s
+	b.leaseExpiry.Store(s.LeaseExpiry)
 	b.hosts.SetHoldDown(s.HostHoldDown)
 	if renewed {
-		b.await()
+		b.scheduleCheck()
 		return
 	}
-	b.changed()
+	b.restrictAll()
 }
 
-// listed takes a list or changes of it into account, before anything is sent under it.
-func (b *bounding) listed(how string, hosts []plan.ListedHost) {
+// updateHosts takes a list or changes of it into account, before anything is sent under it.
+func (b *residencyEnforcer) updateHosts(how string, hosts []plan.ListedHost) {
 	told := make([]residency.Host, 0, len(hosts))
 	for _, h := range hosts {
 		told = append(told, residency.Host{ID: h.ID, Addr: h.Addr, Zone: plan.ZoneName(h.Zone), ZoneConflict: h.ZoneConflict, Removed: h.Removed})
@@ -176,87 +176,87 @@
 	b.hosts.UpdateHosts(b.now, how != "Partial", told)
 }
 
-// changed looks at all open searches anew, in their order.
-func (b *bounding) changed() {
-	clear(b.bounds)
-	for _, id := range slices.Sorted(maps.Keys(b.o.searches)) {
-		if s := b.o.searches[id]; s != nil {
-			b.bind(s)
+// restrictAll looks at all open searches anew, in their order.
+func (b *residencyEnforcer) restrictAll() {
+	clear(b.restrictions)
+	for _, id := range slices.Sorted(maps.Keys(b.loop.searches)) {
+		if s := b.loop.searches[id]; s != nil {
+			b.restrict(s)
 		}
 	}
-	b.await()
+	b.scheduleCheck()
 }
 
-// await looks again when what holds changes by itself.
-func (b *bounding) await() {
-	b.next = min(b.in.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
-	b.o.unwake(&b.wake)
-	if b.next < math.MaxInt64 {
-		b.o.await(&b.wake, max(1, min(b.next-b.now, int64(lookAgain/tenth))), doing(b.look))
+// scheduleCheck looks again when what holds changes by itself.
+func (b *residencyEnforcer) scheduleCheck() {
+	b.nextChangeAt = min(b.policy.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
+	b.loop.stopTimer(&b.checkTimer)
+	if b.nextChangeAt < math.MaxInt64 {
+		b.loop.startTimer(&b.checkTimer, max(1, min(b.nextChangeAt-b.now, int64(maxResidencyCheckDelay/tick))), deferredTask(b.check))
 	}
 }
 
-// look is a wake's: the two clocks may differ by a little.
-func (b *bounding) look() {
-	if b.now >= b.next {
-		b.changed()
+// check is a wake's: the two clocks may differ by a little.
+func (b *residencyEnforcer) check() {
+	if b.now >= b.nextChangeAt {
+		b.restrictAll()
 	} else {
-		b.await()
+		b.scheduleCheck()
 	}
 }
 
-func (b *bounding) name(s *search) (tenant, class string) {
+func (b *residencyEnforcer) names(s *search) (tenant, class string) {
 	if s.tenant < len(b.tenants) {
 		tenant = b.tenants[s.tenant]
 	}
-	return tenant, b.classes[s.qtype]
+	return tenant, b.classes[s.class]
 }
 
-// bind tells the module which hosts a search may use. One that its contract leaves none for a block ends at once.
-func (b *bounding) bind(s *search) {
-	if s.over {
+// restrict tells the module which hosts a search may use. One that its contract leaves none for a block ends at once.
+func (b *residencyEnforcer) restrict(s *search) {
+	if s.ended {
 		return
 	}
-	tenant, class := b.name(s)
-	if b.in.IsUnrestricted(b.now, tenant, class) {
-		if s.tied {
-			s.tied = false
-			b.o.module.RestrictReplicas(s.id, nil, nil)
+	tenant, class := b.names(s)
+	if b.policy.IsUnrestricted(b.now, tenant, class) {
+		if s.restricted {
+			s.restricted = false
+			b.loop.balancer.RestrictReplicas(s.id, nil, nil)
 		}
 		return
 	}
-	key := tied{s.tenant, s.qtype}
-	to := b.bounds[key]
+	key := restrictionKey{s.tenant, s.class}
+	to := b.restrictions[key]
 	if to == nil {
-		to = &balancer.ReplicaRestriction{Allows: func(shard int, replica string) bool { return b.may(tenant, class, shard, replica) }}
-		b.bounds[key] = to
+		to = &balancer.ReplicaRestriction{Allows: func(shard int, replica string) bool { return b.allows(tenant, class, shard, replica) }}
+		b.restrictions[key] = to
 	}
-	s.tied = true
-	b.binding = s
-	out := b.out(s)
-	b.o.module.RestrictReplicas(s.id, to, func(shard int) bool {
-		rule := b.in.RuleFor(b.now, tenant, class, shard)
-		if s.barred == nil {
-			s.barred = &residency.SearchRejectedError{Tenant: tenant, Class: class, Block: shard, Reason: residency.ReasonNoEligibleHost, Generation: b.in.Generation}
+	s.restricted = true
+	b.searchInRestriction = s
+	out := b.countOutstanding(s)
+	b.loop.balancer.RestrictReplicas(s.id, to, func(shard int) bool {
+		rule := b.policy.RuleFor(b.now, tenant, class, shard)
+		if s.refusal == nil {
+			s.refusal = &residency.SearchRejectedError{Tenant: tenant, Class: class, Block: shard, Reason: residency.ReasonNoEligibleHost, Generation: b.policy.Generation}
 			switch {
 			case rule.LeaseExpired:
-				s.barred.Reason = residency.ReasonLeaseExpired
+				s.refusal.Reason = residency.ReasonLeaseExpired
 			case rule.ContractEnded:
-				s.barred.Reason = residency.ReasonContractEnded
+				s.refusal.Reason = residency.ReasonContractEnded
 			}
 		}
 		return !rule.AllowPartial || rule.LeaseExpired || rule.ContractEnded
 	})
-	if b.binding = nil; out > 0 {
-		b.r.calledOff.Add(out - b.out(s))
+	if b.searchInRestriction = nil; out > 0 {
+		b.guard.canceled.Add(out - b.countOutstanding(s))
 	}
 }
 
-// out counts a search's sub-requests that are out.
-func (b *bounding) out(s *search) (n int) {
-	for _, p := range s.parts {
-		for _, sub := range p.subs {
-			if sub.call != nil {
+// countOutstanding counts a search's sub-requests that are countOutstanding.
+func (b *residencyEnforcer) countOutstanding(s *search) (n int) {
+	for _, p := range s.shardRequests {
+		for _, sub := range p.attempts {
+			if sub.batch != nil {
 				n++
 			}
 		}
@@ -264,45 +264,45 @@
 	return n
 }
 
-func (b *bounding) may(tenant, class string, shard int, replica string) bool {
-	rule := b.in.RuleFor(b.now, tenant, class, shard)
-	return rule.AllowsZone(b.in.ZoneIndex(b.hosts.Zone(b.now, replica)))
+func (b *residencyEnforcer) allows(tenant, class string, shard int, replica string) bool {
+	rule := b.policy.RuleFor(b.now, tenant, class, shard)
+	return rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, replica)))
 }
 
-// guard is the second one, where bytes leave: what is not allowed there by the contracts themselves, whatever the module
+// removeForbidden is the second one, where bytes leave: what is not allowed there by the contracts themselves, whatever the module
 // was told, does not go out. Guards against a fault in all that comes before it; each that it catches is one. Fenced: what
 // is left may not be begun after the lease's end.
-func (b *bounding) guard(c *call) (fenced bool) {
-	for i := 0; i < len(c.subs); {
-		sub := c.subs[i]
-		tenant, class := b.name(sub.p.s)
-		rule := b.in.RuleFor(b.now, tenant, class, sub.p.shard)
-		if rule.AllowsZone(b.in.ZoneIndex(b.hosts.Zone(b.now, sub.r.id))) {
+func (b *residencyEnforcer) removeForbidden(c *batch) (fenced bool) {
+	for i := 0; i < len(c.attempts); {
+		sub := c.attempts[i]
+		tenant, class := b.names(sub.shardRequest.search)
+		rule := b.policy.RuleFor(b.now, tenant, class, sub.shardRequest.shard)
+		if rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, sub.replica.id))) {
 			fenced = fenced || rule.Restricted && !rule.KeepOnLeaseExpiry
 			i++
 			continue
 		}
-		b.r.caught.Inc()
-		b.o.log.often("residency_guard", "residency_guard", "tenant", tenant, "block", sub.p.shard, "replica", sub.r.id,
-			"zone", b.hosts.Zone(b.now, sub.r.id))
-		b.o.leave(sub) // off c.subs
-		b.o.laterLanded(sub, "Ignored")
+		b.guard.blocked.Inc()
+		b.loop.log.warnLimited("residency_guard", "residency_guard", "tenant", tenant, "block", sub.shardRequest.shard, "replica", sub.replica.id,
+			"zone", b.hosts.Zone(b.now, sub.replica.id))
+		b.loop.detachAttempt(sub) // off c.subs
+		b.loop.deferAttemptOutcome(sub, "Ignored")
 	}
 	return fenced
 }
 
-// refuses tells a final answer that a contract has brought about.
-func (b *bounding) refuses(s *search) *residency.SearchRejectedError {
-	if b == nil || b.binding != s || s.barred == nil {
+// refusalOf tells a final answer that a contract has brought about.
+func (b *residencyEnforcer) refusalOf(s *search) *residency.SearchRejectedError {
+	if b == nil || b.searchInRestriction != s || s.refusal == nil {
 		return nil
 	}
-	b.r.refused.Inc()
-	b.o.log.often("residency_refused "+s.barred.Tenant, "residency_refused", advice.LogAttrs(s.barred)...)
-	return s.barred
+	b.guard.refused.Inc()
+	b.loop.log.warnLimited("residency_refused "+s.refusal.Tenant, "residency_refused", advice.LogAttrs(s.refusal)...)
+	return s.refusal
 }
 
-// barredBody is the own front's answer to a refused search. 503 where another instance may know more.
-func barredBody(r *residency.SearchRejectedError) (status int, body []byte) {
+// residencyRefusalBody is the own front's answer to a refused search. 503 where another instance may know more.
+func residencyRefusalBody(r *residency.SearchRejectedError) (status int, body []byte) {
 	if status = 451; r.Reason == residency.ReasonLeaseExpired {
 		status = 503
 	}
@@ -311,13 +311,13 @@
 }
 
 // metricsBody is all that is told under /metrics.
-func (o *owner) metricsBody() []byte {
+func (o *eventLoop) metricsBody() []byte {
 	var b bytes.Buffer
-	if o.counts != nil {
-		b.Write(shadowMetrics(o.counts))
+	if o.shadowCounts != nil {
+		b.Write(shadowMetrics(o.shadowCounts))
 	}
-	if o.zones != nil {
-		o.zones.r.write(&b)
+	if o.enforcer != nil {
+		o.enforcer.guard.writeMetrics(&b)
 	}
 	return b.Bytes()
 }
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -118,7 +118,7 @@
 // The first guard is broken on purpose: nothing leaves, each is counted, and the search has one final answer.
 func TestSecondGuardFailsClosed(t *testing.T) {
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north]", 1))
-	z.owner.post(func() { z.owner.module = unbound{z.owner.module} })
+	z.owner.submit(func() { z.owner.balancer = unbound{z.owner.balancer} })
 	status, _ := z.as("acme", "acme1", "all")
 	require.Contains(t, []int{500, 503}, status)
 	require.Zero(t, z.outside())
@@ -193,7 +193,7 @@
 			}
 			if how != "lease ends" { // Put has returned: all is called off already
 				done := make(chan int)
-				z.owner.post(func() { done <- z.owner.zones.outOn("a1", "b1") })
+				z.owner.submit(func() { done <- z.owner.enforcer.outOn("a1", "b1") })
 				require.Zero(t, <-done)
 			}
 			status, _, body, _ := c.answer()
@@ -251,10 +251,10 @@
 }
 
 // outOn counts parts out at hosts.
-func (b *bounding) outOn(ids ...string) (n int) {
+func (b *residencyEnforcer) outOn(ids ...string) (n int) {
 	for _, id := range ids {
-		for _, l := range b.o.fleet[id].lines {
-			n += len(l.subs)
+		for _, l := range b.loop.replicas[id].connections {
+			n += len(l.attempts)
 		}
 	}
 	return n
@@ -279,7 +279,7 @@
 	z.lists <- file("a0", "west", 1)
 	zone := func(id string) string {
 		got := make(chan string)
-		z.owner.post(func() { got <- z.owner.zones.hosts.Zone(z.owner.zones.now, id) })
+		z.owner.submit(func() { got <- z.owner.enforcer.hosts.Zone(z.owner.enforcer.now, id) })
 		return <-got
 	}
 	z.eventually("in no zone", func() bool { return zone("a0") == "" })
@@ -311,23 +311,23 @@
 
 // What waits in a connection's backlog while the process is stopped is not written once the lease has ended meanwhile.
 func TestFenceHoldsBackWhatWaits(t *testing.T) {
-	l, up := newLink(t.Context(), 4), false
-	l.fence = func() bool { return up }
+	l, up := newMessageConn(t.Context(), 4), false
+	l.leaseExpired = func() bool { return up }
 	var out strings.Builder
-	parcels := func() (all []*parcel) {
+	parcels := func() (all []*outboundMessage) {
 		for _, fenced := range []bool{true, false, true} {
-			b := lend()
+			b := borrowBuffer()
 			*b = fmt.Appendf(*b, "%t ", fenced)
-			all = append(all, &parcel{b: b, fenced: fenced})
+			all = append(all, &outboundMessage{buffer: b, leaseFenced: fenced})
 		}
 		return all
 	}
 	for _, up = range []bool{false, true} {
 		all := parcels()
-		l.put(all[1])
-		l.put(all[2])
-		require.NoError(t, l.write(writes{to: &out}, all[0], new([]*parcel), func(*parcel) error { return nil }))
-		require.Equal(t, up, all[0].stage.Load() == called)
+		l.enqueue(all[1])
+		l.enqueue(all[2])
+		require.NoError(t, l.writeCoalesced(writes{to: &out}, all[0], new([]*outboundMessage), func(*outboundMessage) error { return nil }))
+		require.Equal(t, up, all[0].stage.Load() == stageRecalled)
 	}
 	require.Equal(t, "true false true false ", out.String())
 }
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -210,7 +210,7 @@
 		require.NoError(t, err)
 		readers = append(readers, rd)
 	}
-	time.Sleep(takeOn + 100*time.Millisecond)
+	time.Sleep(acceptAfterStop + 100*time.Millisecond)
 	l.signal(syscall.SIGCONT)
 	for i, rd := range readers {
 		status, _, _, _, err := rd.ReadResponse()
@@ -251,7 +251,7 @@
 	r := start(t, 256, nil)
 	room := func() (now float64) {
 		told := make(chan struct{})
-		require.True(t, r.owner.post(func() { now = r.owner.room; close(told) }))
+		require.True(t, r.owner.submit(func() { now = r.owner.searchMemory; close(told) }))
 		<-told
 		return now
 	}
--- a/coordinator/several.go
+++ b/coordinator/several.go
@@ -23,7 +23,7 @@
 	if n <= 1 {
 		return Serve(ctx, p, m)
 	}
-	shared := newShared(m.Listener, n)
+	shared := newSharedListener(m.Listener, n)
 	plans := make([]chan *plan.Plan, n)
 	for i := range plans {
 		plans[i] = make(chan *plan.Plan)
@@ -34,7 +34,7 @@
 	lists := make([]chan endpoints.Update, n)
 	for i := range n {
 		own := m
-		own.Listener, own.PlanUpdates = shared.shares[i], plans[i]
+		own.Listener, own.PlanUpdates = shared.shards[i], plans[i]
 		if m.EndpointUpdates != nil {
 			lists[i] = make(chan endpoints.Update)
 			own.EndpointUpdates = lists[i]
@@ -50,7 +50,7 @@
 		})
 	}
 	g.Go(func() error {
-		shared.deal()
+		shared.distribute()
 		return nil
 	})
 	g.Go(func() error {
@@ -92,93 +92,93 @@
 	return g.Wait()
 }
 
-// shared deals the connections of one listener to several.
-type shared struct {
-	from   net.Listener
-	shares []*dealt
+// sharedListener deals the connections of one listener to several.
+type sharedListener struct {
+	listener net.Listener
+	shards   []*shardListener
 
 	mu   sync.Mutex
 	open int
 }
 
-// dealt is one's part of a listener.
-type dealt struct {
-	*shared
-	conns chan taker
-	shut  chan struct{}
-	once  sync.Once
+// shardListener is one's part of a listener.
+type shardListener struct {
+	*sharedListener
+	accepted  chan acceptResult
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// taker is one connection, or why there is none.
-type taker struct {
+// acceptResult is one connection, or why there is none.
+type acceptResult struct {
 	conn net.Conn
 	err  error
 }
 
-func newShared(from net.Listener, n int) *shared {
-	s := &shared{from: from, open: n}
+func newSharedListener(from net.Listener, n int) *sharedListener {
+	s := &sharedListener{listener: from, open: n}
 	for range n {
-		s.shares = append(s.shares, &dealt{shared: s, conns: make(chan taker), shut: make(chan struct{})})
+		s.shards = append(s.shards, &shardListener{sharedListener: s, accepted: make(chan acceptResult), closed: make(chan struct{})})
 	}
 	return s
 }
 
-func (d *dealt) Accept() (net.Conn, error) {
+func (d *shardListener) Accept() (net.Conn, error) {
 	select {
-	case t := <-d.conns:
+	case t := <-d.accepted:
 		return t.conn, t.err
-	case <-d.shut:
+	case <-d.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (d *dealt) Addr() net.Addr { return d.from.Addr() }
+func (d *shardListener) Addr() net.Addr { return d.listener.Addr() }
 
 // Close gives up one's part; the last closes the listener.
-func (d *dealt) Close() error {
+func (d *shardListener) Close() error {
 	last := false
-	d.once.Do(func() {
-		close(d.shut)
+	d.closeOnce.Do(func() {
+		close(d.closed)
 		d.mu.Lock()
 		d.open--
 		last = d.open == 0
 		d.mu.Unlock()
 	})
 	if last {
-		return d.from.Close()
+		return d.listener.Close()
 	}
 	return nil
 }
 
-// deal hands connections round: to the next in turn that is waiting for one, or else to the first that is. Guards
+// distribute hands connections round: to the next in turn that is waiting for one, or else to the first that is. Guards
 // against one that has no room and would hold up the others.
-func (s *shared) deal() {
+func (s *sharedListener) distribute() {
 	for turn := 0; ; turn++ {
-		conn, err := s.from.Accept()
+		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if !s.hand(taker{conn, err}, turn) && conn != nil {
+		if !s.handOver(acceptResult{conn, err}, turn) && conn != nil {
 			conn.Close()
 		}
 	}
 }
 
-func (s *shared) hand(t taker, turn int) bool {
-	n := len(s.shares)
+func (s *sharedListener) handOver(t acceptResult, turn int) bool {
+	n := len(s.shards)
 	for i := range n {
 		select {
-		case s.shares[(turn+i)%n].conns <- t:
+		case s.shards[(turn+i)%n].accepted <- t:
 			return true
 		default:
 		}
 	}
 	for i := range n { // all are busy for the moment
-		d := s.shares[(turn+i)%n]
+		d := s.shards[(turn+i)%n]
 		select {
-		case d.conns <- t:
+		case d.accepted <- t:
 			return true
-		case <-d.shut:
+		case <-d.closed:
 		}
 	}
 	return false
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -68,7 +68,7 @@
 	stop     context.CancelFunc
 	ended    chan error
 	log      *journal
-	owner    *owner
+	owner    *eventLoop
 	zones    map[string]string // of replicas that are not in z one
 
 	mu      sync.Mutex
@@ -192,11 +192,11 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r.addr, r.stop, r.plan = ln.Addr().String(), stop, p
-	look := make(chan *owner, 1)
+	look := make(chan *eventLoop, 1)
 	go func() {
 		m := Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, look: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, onStart: look,
 		}
 		more(&m)
 		r.ended <- Serve(ctx, p, m)
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -22,72 +22,72 @@
 
 // The constants of the network. What the settings state is not among them.
 const (
-	bufferSize   = 16 << 10                // bytes: a head and most whole messages; 1,000 of them are 16 MB
-	queueRoom    = 1024                    // events waiting for the owner: some for each descriptor of a usual limit
-	clientRoom   = 4                       // answers waiting on a client's connection: clients send one at a time
-	togetherMost = 8 << 10                 // bytes of messages that are written in one piece: a buffer holds two such
-	togetherRoom = 64                      // messages of them: a turn's calls to one replica
-	replicaRoom  = 512                     // frames waiting on a replica's: calls of 32 streams with their cancels
-	clientShare  = 0.55                    // of the descriptors go to clients; a search rests on several replicas,
-	replicaShare = 0.35                    // yet parts share connections; the rest is for list, log, runtime
-	besideShare  = 0.05                    // of them, of that rest, go to further connects beside late ones
-	headTime     = 2500 * time.Millisecond // for a request to come, the first from connecting: under 3 s are owed
-	quietTime    = 3 * time.Second         // a client connection at rest is closed: usual clients ask several a second
-	clientStall  = 5 * time.Second         // a client that takes no byte of its answer so long has left
-	graceShare   = 0.5                     // of the time in which a draining replica may get new frames: lists are late
-	idleShare    = 0.7                     // of the time at which replicas close what is idle: ends that race
-	takeOn       = 500 * time.Millisecond  // requests still come after a stop: the platform's 0.4 s and a little
-	acceptPause  = 100 * time.Millisecond  // before accepting again with no descriptor left: some will be free
-	longWait     = time.Hour               // longest client timeout that is believed: bounds what is held
-	watchEach    = time.Second             // between calls for changes of all co-ordinators: bounds what discovery does
-	watchMost    = 20 * time.Second        // of one call for changes: a dead way shows
-	watchWhole   = 2 * time.Second         // of a call for the whole list, which answers at once: a long list has so long and the slack
-	watchSlack   = time.Second             // an answer later than that after the wait will not come
-	askPause     = 500 * time.Millisecond  // first wait before a list that comes by itself is asked for again
-	askPauseMost = 3 * time.Second         // longest such wait, half of it and so much by chance: what was missed counts as told after 6 s
-	askLate      = 5 * time.Second         // from the begin of an attempt that fails to the next at the latest: what was missed counts as told after 6 s
-	lossEach     = 10 * time.Millisecond   // between calls of all co-ordinators that lost discovery at once
-	lossMost     = 2 * time.Second         // over which they are spread at the most: what was missed counts as told after 6 s
-	lateLook     = 50 * time.Millisecond   // once more for a request whose time ran out: it may be there already
-	stopQuiet    = time.Second             // without a request as the co-ordinator stops: its client has had time to close
-	killPad      = 200 * time.Millisecond  // kept before the kill: the signal's way here, the answer's way out
-	stopMost     = 20 * time.Second        // of answers on connections that stay open: then each ends its connection
-	lingerTime   = time.Second             // for a client to read its last answer and close
-	lingerMost   = 256 << 10               // bytes read meanwhile: four of the longest bodies; more is cut off
-	logRoom      = 1024                    // lines waiting for the log: a burst of some for each connection
-	logStall     = time.Second             // for a line to be taken: a reader that is only slow needs less
-	logLast      = 2 * time.Second         // for what is left of the log at the end: the process is to end soon
-	logEach      = time.Second             // between two lines on one thing that strangers can repeat at will
-	frameTime    = 300 * time.Millisecond  // from a frame's first byte to its last: answers fit a few packets
-	doubtLeast   = 1000                    // tenths of a millisecond under a part without a word on its connection,
-	doubtTimes   = 4.0                     // or so many times the usual answer: the next call takes another
-	usualCount   = 100.0                   // answers that the usual answer's time rests on
-	doubtMost    = 2                       // connections to a replica passed over for that: a silent replica gets no more
-	pastRoom     = 256                     // ids of past parts kept for a connection: some seconds of answers
-	dialAgain    = 100 * time.Millisecond  // at most, for a connection to come up before another is tried: most take a few
-	dialParts    = 5                       // or this part of the time to connect: the last try has over half of it left
-	dialMost     = 3                       // connects for one connection: of those that come late one in three, one in 27 waits
-	windowPad    = 2 * time.Millisecond    // kept off the window of repeats where they leave: their way to the replica
-	silentDials  = 2                       // times the time to connect without a word: the connection is doubted
-	weightSlack  = 0.01                    // that weights may miss 1 by: rounding of a hundred parts
-	wordsMost    = 200                     // bytes of a replica's words in a log line
-	searchBytes  = 2 << 10                 // that a search holds, here and in the module, beside its text
-	partBytes    = 1 << 10                 // and each part of it, beside its value
-	begunMost    = 20 * time.Millisecond   // for a frame that is begun to be out: a socket takes one at once
-	begunTries   = 16                      // looks for it that let others run in between
-	begunLook    = 100 * time.Microsecond  // between two after that
-	headRoom     = 512                     // bytes for the head of an answer
-	nameMore     = 24                      // bytes of a part's id behind its search's: a dot, a number, the step
-	listMost     = 256                     // bytes of a part's list that need no room of their own
-	spareMost    = 4096                    // wakes that are kept for the next: those of a few hundred open searches
-	shadowEach   = 10 * time.Second        // between lines on what other settings would have decided otherwise
-	pulseEach    = 50 * time.Millisecond   // between looks at the time while searches are open: a client may be gone for 0.1 s
-	heldUp       = 50 * time.Millisecond   // after its time a wake shows that the process was held up: no turn takes so long
-	heldLook     = 5 * time.Millisecond    // for what lies in sockets then to be read first: a long list is read apart in some
-	heldLooks    = 10                      // such times at the most: what goes on coming is no backlog
-	heldEach     = 250 * time.Millisecond  // between two such looks: who has more to do than time is not held up by them too
-	lookAgain    = time.Hour               // after which a far wake is reckoned anew: the wall may have been set meanwhile
-	nameMost     = 128                     // bytes of a request's id: it stands in each of its frames
+	bufferSize                = 16 << 10                // bytes: a head and most whole messages; 1,000 of them are 16 MB
+	maxQueuedTasks            = 1024                    // events waiting for the owner: some for each descriptor of a usual limit
+	clientQueueSize           = 4                       // answers waiting on a client's connection: clients send one at a time
+	maxCoalescedBytes         = 8 << 10                 // bytes of messages that are written in one piece: a buffer holds two such
+	maxCoalescedMessages      = 64                      // messages of them: a turn's calls to one replica
+	replicaQueueSize          = 512                     // frames waiting on a replica's: calls of 32 streams with their cancels
+	clientDescriptorShare     = 0.55                    // of the descriptors go to clients; a search rests on several replicas,
+	replicaDescriptorShare    = 0.35                    // yet parts share connections; the rest is for list, log, runtime
+	extraDialShare            = 0.05                    // of them, of that rest, go to further connects beside late ones
+	requestReadTimeout        = 2500 * time.Millisecond // for a request to come, the first from connecting: under 3 s are owed
+	clientIdleTimeout         = 3 * time.Second         // a client connection at rest is closed: usual clients ask several a second
+	clientWriteTimeout        = 5 * time.Second         // a client that takes no byte of its answer so long has left
+	drainSendShare            = 0.5                     // of the time in which a draining replica may get new frames: lists are late
+	replicaIdleShare          = 0.7                     // of the time at which replicas close what is idle: ends that race
+	acceptAfterStop           = 500 * time.Millisecond  // requests still come after a stop: the platform's 0.4 s and a little
+	acceptRetryDelay          = 100 * time.Millisecond  // before accepting again with no descriptor left: some will be free
+	maxClientTimeout          = time.Hour               // longest client timeout that is believed: bounds what is held
+	watchInterval             = time.Second             // between calls for changes of all co-ordinators: bounds what discovery does
+	maxWatchWait              = 20 * time.Second        // of one call for changes: a dead way shows
+	fullListTimeout           = 2 * time.Second         // of a call for the whole list, which answers at once: a long list has so long and the slack
+	watchAnswerSlack          = time.Second             // an answer later than that after the wait will not come
+	minPollBackoff            = 500 * time.Millisecond  // first wait before a list that comes by itself is asked for again
+	maxPollBackoff            = 3 * time.Second         // longest such wait, half of it and so much by chance: what was missed counts as told after 6 s
+	maxPollDelay              = 5 * time.Second         // from the begin of an attempt that fails to the next at the latest: what was missed counts as told after 6 s
+	lossSpreadPerCoordinator  = 10 * time.Millisecond   // between calls of all co-ordinators that lost discovery at once
+	maxLossSpread             = 2 * time.Second         // over which they are spread at the most: what was missed counts as told after 6 s
+	finalReadGrace            = 50 * time.Millisecond   // once more for a request whose time ran out: it may be there already
+	stopIdleTimeout           = time.Second             // without a request as the co-ordinator stops: its client has had time to close
+	killMargin                = 200 * time.Millisecond  // kept before the kill: the signal's way here, the answer's way out
+	maxStopTime               = 20 * time.Second        // of answers on connections that stay open: then each ends its connection
+	lingerTimeout             = time.Second             // for a client to read its last answer and close
+	maxLingerBytes            = 256 << 10               // bytes read meanwhile: four of the longest bodies; more is cut off
+	logQueueSize              = 1024                    // lines waiting for the log: a burst of some for each connection
+	logWriteTimeout           = time.Second             // for a line to be taken: a reader that is only slow needs less
+	logFlushTimeout           = 2 * time.Second         // for what is left of the log at the end: the process is to end soon
+	logRepeatInterval         = time.Second             // between two lines on one thing that strangers can repeat at will
+	frameReadTimeout          = 300 * time.Millisecond  // from a frame's first byte to its last: answers fit a few packets
+	minDoubtDelay             = 1000                    // tenths of a millisecond under a part without a word on its connection,
+	doubtLatencyFactor        = 4.0                     // or so many times the usual answer: the next call takes another
+	latencyAverageWeight      = 100.0                   // answers that the usual answer's time rests on
+	maxDoubtedConnections     = 2                       // connections to a replica passed over for that: a silent replica gets no more
+	maxRecentIDs              = 256                     // ids of past parts kept for a connection: some seconds of answers
+	maxRedialDelay            = 100 * time.Millisecond  // at most, for a connection to come up before another is tried: most take a few
+	redialTimeoutParts        = 5                       // or this part of the time to connect: the last try has over half of it left
+	maxParallelDials          = 3                       // connects for one connection: of those that come late one in three, one in 27 waits
+	repeatWindowMargin        = 2 * time.Millisecond    // kept off the window of repeats where they leave: their way to the replica
+	silenceDialTimeouts       = 2                       // times the time to connect without a word: the connection is doubted
+	weightTolerance           = 0.01                    // that weights may miss 1 by: rounding of a hundred parts
+	maxLoggedRejectBytes      = 200                     // bytes of a replica's words in a log line
+	searchOverheadBytes       = 2 << 10                 // that a search holds, here and in the module, beside its text
+	shardRequestOverheadBytes = 1 << 10                 // and each part of it, beside its value
+	maxWriteWait              = 20 * time.Millisecond   // for a frame that is begun to be out: a socket takes one at once
+	writeWaitYields           = 16                      // looks for it that let others run in between
+	writeWaitPoll             = 100 * time.Microsecond  // between two after that
+	responseHeadRoom          = 512                     // bytes for the head of an answer
+	attemptNameExtra          = 24                      // bytes of a part's id behind its search's: a dot, a number, the step
+	frameParameterRoom        = 256                     // bytes of a part's list that need no room of their own
+	maxSpareTimers            = 4096                    // wakes that are kept for the next: those of a few hundred open searches
+	shadowLogInterval         = 10 * time.Second        // between lines on what other settings would have decided otherwise
+	stallCheckInterval        = 50 * time.Millisecond   // between looks at the time while searches are open: a client may be gone for 0.1 s
+	stallThreshold            = 50 * time.Millisecond   // after its time a wake shows that the process was held up: no turn takes so long
+	catchUpWait               = 5 * time.Millisecond    // for what lies in sockets then to be read first: a long list is read apart in some
+	maxCatchUpWaits           = 10                      // such times at the most: what goes on coming is no backlog
+	catchUpInterval           = 250 * time.Millisecond  // between two such looks: who has more to do than time is not held up by them too
+	maxResidencyCheckDelay    = time.Hour               // after which a far wake is reckoned anew: the wall may have been set meanwhile
+	maxRequestIDBytes         = 128                     // bytes of a request's id: it stands in each of its frames
 )
 
 // Clock tells the time and wakes.
@@ -119,7 +119,7 @@
 	Residency   *ResidencyGuard // contracts on where parts may run; nil for none
 	OnSearchEnd func(SearchEnd) // is told each search's end in a turn, so it may not wait; nil for none
 
-	look chan<- *owner // for tests that count what is held
+	onStart chan<- *eventLoop // for tests that count what is held
 }
 
 // Serve works until ctx ends and all that was taken is answered; then it returns nil, and no goroutine of
@@ -128,50 +128,50 @@
 	g, work := errgroup.WithContext(context.WithoutCancel(ctx))
 	stopping, stop := context.WithCancel(work)
 	defer stop()
-	o := &owner{
-		plan: p, Options: m, log: newNotes(m.Clock, m.Logger.Handler()), g: g, ctx: work, queue: make(chan func(), queueRoom),
-		start: m.Clock.Now(), searches: map[uint64]*search{}, names: map[string]bool{}, parts: map[uint64]*part{}, timers: map[uint64]*moduleWake{},
-		lingering: map[*subRequest]*lingering{},
-		fleet:     map[string]*replica{}, asks: make(chan struct{}, 1), moves: make(chan string), sockets: p.MaxSockets,
-		blocks: p.BlockCount(), streams: int(p.Number("Permissions.StreamsPerConn")), perCall: int(p.Number("Specifics.PerCall")),
-		maxAttempts: int(p.Number("Permissions.MaxAttempts")), clients: map[*link]bool{},
-		room: p.SearchMemory(),
+	o := &eventLoop{
+		plan: p, Options: m, log: newAsyncLogger(m.Clock, m.Logger.Handler()), group: g, ctx: work, tasks: make(chan func(), maxQueuedTasks),
+		startedAt: m.Clock.Now(), searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, balancerTimers: map[uint64]*balancerTimer{},
+		abandoned: map[*attempt]*abandonedAttempt{},
+		replicas:  map[string]*replica{}, pollRequests: make(chan struct{}, 1), discoveryMoves: make(chan string), maxSockets: p.MaxSockets,
+		blockCount: p.BlockCount(), streamsPerConnection: int(p.Number("Permissions.StreamsPerConn")), attemptsPerBatch: int(p.Number("Specifics.PerCall")),
+		maxAttempts: int(p.Number("Permissions.MaxAttempts")), clients: map[*messageConn]bool{},
+		searchMemory: p.SearchMemory(),
 	}
 	for i := range p.Count("Classes") {
 		v, _ := strconv.ParseFloat(p.List("Specifics.FollowUp")[i], 64)
-		o.followUps = append(o.followUps, int(v))
-		o.keyed = append(o.keyed, p.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
-		o.windows = append(o.windows, int64(p.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))/tenth))
+		o.followUpCounts = append(o.followUpCounts, int(v))
+		o.keyedClasses = append(o.keyedClasses, p.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
+		o.repeatWindows = append(o.repeatWindows, int64(p.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))/tick))
 	}
-	o.copies = p.Settings["Permissions.SecondCopies"] == "true" || p.Settings["Permissions.SecondCopies"] == "1"
-	o.base = o.start.UnixMicro() / 100
-	f := &front{o: o, gate: newGate(int(clientShare * float64(p.MaxSockets))), classes: p.PositionsByName("Classes"), tenants: p.PositionsByName("Tenants"), stopping: stopping}
-	if o.module = balancer.New(o); p.ShadowSettings != nil {
-		o.counts = &shadow.DivergenceCounts{}
-		o.module = shadow.New(o, p.Settings, p.ShadowSettings, o.counts, balancer.New)
+	o.allowsSecondCopies = p.Settings["Permissions.SecondCopies"] == "true" || p.Settings["Permissions.SecondCopies"] == "1"
+	o.startTicks = o.startedAt.UnixMicro() / 100
+	f := &clientListener{loop: o, limiter: newConnectionLimiter(int(clientDescriptorShare * float64(p.MaxSockets))), classes: p.PositionsByName("Classes"), tenants: p.PositionsByName("Tenants"), stopping: stopping}
+	if o.balancer = balancer.New(o); p.ShadowSettings != nil {
+		o.shadowCounts = &shadow.DivergenceCounts{}
+		o.balancer = shadow.New(o, p.Settings, p.ShadowSettings, o.shadowCounts, balancer.New)
 	}
 	if m.Persistence != nil {
-		m.Peers = m.Persistence.peers(m.Peers)
+		m.Peers = m.Persistence.withBudget(m.Peers)
 	}
 	if m.Peers != nil {
-		o.peers = newLearner(o, m.Peers)
+		o.peers = newPeerExchange(o, m.Peers)
 	}
 	if m.Residency != nil {
-		o.zones = newBounding(o, m.Residency)
-		defer o.zones.leave()
+		o.enforcer = newResidencyEnforcer(o, m.Residency)
+		defer o.enforcer.close()
 	}
 	if len(m.Frontends) > 0 {
-		o.door, o.fronts = newDoor(o), len(m.Frontends)
-		f.gate.resize(int(clientShare*float64(p.MaxSockets)) - o.door.MaxConnections)
+		o.searchAPI, o.openFrontends = newSearchAPI(o), len(m.Frontends)
+		f.limiter.resize(int(clientDescriptorShare*float64(p.MaxSockets)) - o.searchAPI.MaxConnections)
 	}
-	if err := o.begin(); err != nil {
+	if err := o.startBalancer(); err != nil {
 		m.Listener.Close()
 		return err
 	}
-	if m.look != nil {
-		m.look <- o
+	if m.onStart != nil {
+		m.onStart <- o
 	}
-	g.Go(func() error { return o.log.write(work) })
+	g.Go(func() error { return o.log.run(work) })
 	g.Go(o.run)
 	if o.peers != nil {
 		o.peers.run()
@@ -182,24 +182,24 @@
 	g.Go(f.accept)
 	for _, front := range m.Frontends {
 		g.Go(func() error {
-			err := front.Serve(work, stopping, o.door)
-			o.post(func() { o.fronts-- })
+			err := front.Serve(work, stopping, o.searchAPI)
+			o.submit(func() { o.openFrontends-- })
 			return err
 		})
 	}
-	if o.members != nil {
-		g.Go(o.members.run)
+	if o.sources != nil {
+		g.Go(o.sources.run)
 	}
-	g.Go(o.follow)
+	g.Go(o.followDiscovery)
 	g.Go(func() error { return f.reload(m.PlanUpdates) })
-	g.Go(func() error { return o.windUp(ctx, stop) })
+	g.Go(func() error { return o.shutDown(ctx, stop) })
 	o.log.Info("serving", "name", p.Name, "listen", m.Listener.Addr().String(), "discovery", p.Discovery,
 		"sockets", p.MaxSockets, "memory_mb", p.MemoryMB, "cores", p.Cores)
-	if err = g.Wait(); errors.Is(err, errDone) {
+	if err = g.Wait(); errors.Is(err, errAllAnswered) {
 		err = nil
 	}
 	m.Logger.Info("stopped", "name", p.Name, "error", err)
 	return err
 }
 
-var errDone = errors.New("all is answered")
+var errAllAnswered = errors.New("all is answered")
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -282,7 +282,7 @@
 // asksAgain is a module that asks again as the real one does after failures.
 type asksAgain struct {
 	balancer.Balancer
-	o      *owner
+	o      *eventLoop
 	chance *rand.Rand
 	wait   time.Duration
 }
@@ -293,7 +293,7 @@
 	go func() {
 		select {
 		case <-wait:
-			m.o.asks <- struct{}{}
+			m.o.pollRequests <- struct{}{}
 		case <-m.o.ctx.Done():
 		}
 	}()
@@ -312,9 +312,9 @@
 			var all errgroup.Group
 			for i := range n {
 				g, work := errgroup.WithContext(ctx)
-				o := &owner{
-					g: g, ctx: work, asks: make(chan struct{}, 1), moves: make(chan string), queue: make(chan func(), queueRoom),
-					log: newNotes(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
+				o := &eventLoop{
+					group: g, ctx: work, pollRequests: make(chan struct{}, 1), discoveryMoves: make(chan string), tasks: make(chan func(), maxQueuedTasks),
+					log: newAsyncLogger(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
 						"Discovery": by,
 						"Balancers": fmt.Sprint(n),
 					}, Known: plan.EndpointList{Version: 1}},
@@ -325,19 +325,19 @@
 					dials[i] = append(dials[i], clock.Now().Sub(began))
 					return nil, syscall.ECONNREFUSED
 				}}
-				o.module = &asksAgain{o: o, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
-				o.asks <- struct{}{}
+				o.balancer = &asksAgain{o: o, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
+				o.pollRequests <- struct{}{}
 				g.Go(func() error {
 					for {
 						select {
-						case do := <-o.queue:
+						case do := <-o.tasks:
 							do()
 						case <-work.Done():
 							return nil
 						}
 					}
 				})
-				g.Go(o.follow)
+				g.Go(o.followDiscovery)
 				all.Go(g.Wait)
 			}
 			for clock.Now().Sub(began) < 12*time.Second {
--- a/coordinator/watching.go
+++ b/coordinator/watching.go
@@ -7,17 +7,17 @@
 	"chalkring/control/shadow"
 )
 
-// tellWatched writes what other settings would have decided otherwise: one line each shadowEach, if anything came.
-func (o *owner) tellWatched(last int64) {
-	if n := o.counts.Total(); n != last {
+// logShadowCounts writes what other settings would have decided otherwise: one line each shadowLogInterval, if anything came.
+func (o *eventLoop) logShadowCounts(last int64) {
+	if n := o.shadowCounts.Total(); n != last {
 		last = n
 		var v []any
 		for kind, name := range shadow.KindNames {
-			v = append(v, name, o.counts[kind].Load())
+			v = append(v, name, o.shadowCounts[kind].Load())
 		}
 		o.log.Info("shadow", v...)
 	}
-	o.after(int64(shadowEach/tenth), func() { o.tellWatched(last) })
+	o.runAfter(int64(shadowLogInterval/tick), func() { o.logShadowCounts(last) })
 }
 
 // shadowMetrics are the same counts in the common text form.
