--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -39,13 +39,13 @@
 }
 
 // admit returns once there is room for a newcomer; false if it is no longer wanted.
-func (g *connectionLimiter) admit(c *clientConnection, given <-chan struct{}) bool {
+func (g *connectionLimiter) admit(client *clientConnection, given <-chan struct{}) bool {
 	for {
 		g.mu.Lock()
 		room := g.open < g.limit
 		if room {
 			g.open++
-			c.idleElement = g.idle.PushBack(c)
+			client.idleElement = g.idle.PushBack(client)
 		} else if g.displaced == nil {
 			g.displace()
 		}
@@ -64,8 +64,8 @@
 // displace asks the connection that is longest at rest to make room, or else the first on which a request is coming.
 func (g *connectionLimiter) displace() {
 	for e := g.idle.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*clientConnection); g.displaced == nil || !c.requestBegun {
-			if g.displaced = c; !c.requestBegun {
+		if client := e.Value.(*clientConnection); g.displaced == nil || !client.requestBegun {
+			if g.displaced = client; !client.requestBegun {
 				break
 			}
 		}
@@ -79,54 +79,54 @@
 // markRequestBegun tells that the first bytes of a request have been read; begin, that it is there and the connection at work. Guards
 // against a request that is read in the moment in which its connection is to make room: another is asked then, since
 // nothing that was read may be closed over while there is one.
-func (g *connectionLimiter) markRequestBegun(c *clientConnection) {
+func (g *connectionLimiter) markRequestBegun(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c.requestBegun = true
-	g.cancelDisplacement(c)
+	client.requestBegun = true
+	g.cancelDisplacement(client)
 }
 
-func (g *connectionLimiter) markBusy(c *clientConnection) {
+func (g *connectionLimiter) markBusy(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.removeIdle(c)
-	g.cancelDisplacement(c)
+	g.removeIdle(client)
+	g.cancelDisplacement(client)
 }
 
-func (g *connectionLimiter) cancelDisplacement(c *clientConnection) {
-	if g.displaced == c {
+func (g *connectionLimiter) cancelDisplacement(client *clientConnection) {
+	if g.displaced == client {
 		g.displaced = nil
-		c.askedToLeave.Store(false)
+		client.askedToLeave.Store(false)
 		g.signalChanged()
 	}
 }
 
 // removeIdle takes a connection off the list, if it is there.
-func (g *connectionLimiter) removeIdle(c *clientConnection) {
-	if c.idleElement != nil {
-		g.idle.Remove(c.idleElement)
-		c.idleElement = nil
+func (g *connectionLimiter) removeIdle(client *clientConnection) {
+	if client.idleElement != nil {
+		g.idle.Remove(client.idleElement)
+		client.idleElement = nil
 	}
-	c.requestBegun = false
+	client.requestBegun = false
 }
 
 // markIdle puts a connection to markIdle after an answer; one whose last answer is out is the first to make room.
-func (g *connectionLimiter) markIdle(c *clientConnection, last bool) {
+func (g *connectionLimiter) markIdle(client *clientConnection, last bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.removeIdle(c)
-	if c.idleElement = g.idle.PushBack(c); last {
-		g.idle.MoveToFront(c.idleElement)
+	g.removeIdle(client)
+	if client.idleElement = g.idle.PushBack(client); last {
+		g.idle.MoveToFront(client.idleElement)
 	}
 	g.signalChanged()
 }
 
-func (g *connectionLimiter) release(c *clientConnection) {
+func (g *connectionLimiter) release(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.removeIdle(c)
+	g.removeIdle(client)
 	g.open--
-	if g.displaced == c {
+	if g.displaced == client {
 		g.displaced = nil
 	}
 	g.signalChanged()
--- a/coordinator/bodies.go
+++ b/coordinator/bodies.go
@@ -35,39 +35,39 @@
 	b := bodyReaders.Get().(*bodyReader)
 	defer bodyReaders.Put(b)
 	b.reset(body)
-	d := &b.decoder
-	if t, err := d.ReadToken(); err != nil || t.Kind() != '{' {
+	decoder := &b.decoder
+	if t, err := decoder.ReadToken(); err != nil || t.Kind() != '{' {
 		return badRequest("body: not one JSON object")
 	}
 	text, named := "", false
 	most := bytes.Count(body, []byte{'{'})
 	s.shards, s.weights = make([]int, 0, most), make([]float64, 0, most)
-	for d.PeekKind() != '}' {
-		name, err := readName(d)
+	for decoder.PeekKind() != '}' {
+		name, err := readName(decoder)
 		if err != nil {
 			return badRequest("body: %v", err)
 		}
 		switch {
-		case name == "ranges" && d.PeekKind() == '[':
-			err = s.readRanges(d, shards)
+		case name == "ranges" && decoder.PeekKind() == '[':
+			err = s.readRanges(decoder, shards)
 		case name == "ranges":
-			s.shards, err = s.shards[:0], d.SkipValue()
-		case name == "predicate" && d.PeekKind() == '"':
+			s.shards, err = s.shards[:0], decoder.SkipValue()
+		case name == "predicate" && decoder.PeekKind() == '"':
 			var t jsontext.Token
-			if t, err = d.ReadToken(); err == nil {
+			if t, err = decoder.ReadToken(); err == nil {
 				text, named = t.String(), true
 			}
 		case name == "predicate":
-			named, err = false, d.SkipValue()
+			named, err = false, decoder.SkipValue()
 		default:
-			err = d.SkipValue()
+			err = decoder.SkipValue()
 		}
 		if err != nil {
 			return badRequest("body: %v", err)
 		}
 	}
-	d.ReadToken()
-	if _, err := d.ReadToken(); err != io.EOF {
+	decoder.ReadToken()
+	if _, err := decoder.ReadToken(); err != io.EOF {
 		return badRequest("body: not one JSON object")
 	}
 	if len(s.shards) == 0 || !named {
@@ -89,8 +89,8 @@
 }
 
 // readName reads a name; those that count here need no room.
-func readName(d *jsontext.Decoder) (string, error) {
-	v, err := d.ReadValue()
+func readName(decoder *jsontext.Decoder) (string, error) {
+	v, err := decoder.ReadValue()
 	switch string(v) {
 	case `"range"`:
 		return "range", nil
@@ -109,19 +109,19 @@
 }
 
 // readRanges reads the list of parts, in the place of one that came before.
-func (s *search) readRanges(d *jsontext.Decoder, shards int) error {
+func (s *search) readRanges(decoder *jsontext.Decoder, shards int) error {
 	s.shards, s.weights = s.shards[:0], s.weights[:0]
 	var few [maxInlineBlocks]bool
 	seen := few[:]
 	if shards > maxInlineBlocks {
 		seen = make([]bool, shards)
 	}
-	d.ReadToken()
-	for d.PeekKind() == '{' {
+	decoder.ReadToken()
+	for decoder.PeekKind() == '{' {
 		shard, weight := math.NaN(), math.NaN()
-		d.ReadToken()
-		for d.PeekKind() == '"' {
-			name, err := readName(d)
+		decoder.ReadToken()
+		for decoder.PeekKind() == '"' {
+			name, err := readName(decoder)
 			if err != nil {
 				return err
 			}
@@ -132,16 +132,16 @@
 			case "portion":
 				into = &weight
 			}
-			if into == nil || d.PeekKind() != '0' {
+			if into == nil || decoder.PeekKind() != '0' {
 				if into != nil {
 					*into = math.NaN()
 				}
-				if err := d.SkipValue(); err != nil {
+				if err := decoder.SkipValue(); err != nil {
 					return err
 				}
 				continue
 			}
-			v, err := d.ReadToken()
+			v, err := decoder.ReadToken()
 			if err != nil {
 				return err
 			}
@@ -149,7 +149,7 @@
 				return err
 			}
 		}
-		if _, err := d.ReadToken(); err != nil {
+		if _, err := decoder.ReadToken(); err != nil {
 			return err
 		}
 		n := int(shard)
@@ -162,7 +162,7 @@
 		seen[n] = true
 		s.shards, s.weights = append(s.shards, n), append(s.weights, weight)
 	}
-	if t, err := d.ReadToken(); err != nil {
+	if t, err := decoder.ReadToken(); err != nil {
 		return err
 	} else if t.Kind() != ']' {
 		return badRequest("ranges are no objects")
@@ -172,19 +172,19 @@
 
 // answerBodySize tells how long the body of an answer will be; not plain where values have to be escaped, which makes it
 // longer.
-func answerBodySize(r searchOutcome) (size int, plain bool) {
+func answerBodySize(outcome searchOutcome) (size int, plain bool) {
 	plain = true
 	size = len(`{"total":,"answers":[]}`) + len("false")
-	if r.complete {
+	if outcome.complete {
 		size--
 	}
-	for i, p := range r.parts {
+	for i, request := range outcome.parts {
 		if i > 0 {
 			size++
 		}
 		var digits [20]byte
-		size += len(`{"range":,"blob":""}`) + len(strconv.AppendInt(digits[:0], int64(p.shard), 10)) + len(p.value)
-		for _, c := range p.value {
+		size += len(`{"range":,"blob":""}`) + len(strconv.AppendInt(digits[:0], int64(request.shard), 10)) + len(request.value)
+		for _, c := range request.value {
 			plain = plain && c >= ' ' && c != '"' && c != '\\'
 		}
 	}
@@ -192,16 +192,16 @@
 }
 
 // appendAnswerBody adds the body of an answer.
-func appendAnswerBody(dst []byte, r searchOutcome) []byte {
-	dst = strconv.AppendBool(append(dst, `{"total":`...), r.complete)
+func appendAnswerBody(dst []byte, outcome searchOutcome) []byte {
+	dst = strconv.AppendBool(append(dst, `{"total":`...), outcome.complete)
 	dst = append(dst, `,"answers":[`...)
-	for i, p := range r.parts {
+	for i, request := range outcome.parts {
 		if i > 0 {
 			dst = append(dst, ',')
 		}
-		dst = strconv.AppendInt(append(dst, `{"range":`...), int64(p.shard), 10)
+		dst = strconv.AppendInt(append(dst, `{"range":`...), int64(request.shard), 10)
 		dst = append(dst, `,"blob":`...)
-		dst, _ = jsontext.AppendQuote(dst, p.value) // it is text: hear has seen to that
+		dst, _ = jsontext.AppendQuote(dst, request.value) // it is text: hear has seen to that
 		dst = append(dst, '}')
 	}
 	return append(dst, "]}"...)
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -101,15 +101,15 @@
 	const each, finWait2 = 40, 5 // of Linux's states: the other side has the end of what was sent
 	r := start(t, 256, nil)
 	ln, look, ended := held{listen(t), make(chan struct{})}, make(chan *eventLoop, 1), make(chan error, 1)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
-	o := <-look
+	loop := <-look
 	dial := func() *caller {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
@@ -134,12 +134,12 @@
 	last.want("last", "all", 200, wholeOfAll)
 	r.eventually("the others have ended", func() bool {
 		told := make(chan int, 1)
-		o.submit(func() { told <- len(o.clients) })
+		loop.submit(func() { told <- len(loop.clients) })
 		return <-told == 1
 	})
 	require.Equal(t, 4, r.parts(), "those of the last alone")
 	last.Close()
-	stop()
+	cancel()
 	require.NoError(t, <-ended)
 	r.end()
 }
@@ -148,8 +148,8 @@
 // changes the co-ordinator's side of a connection, and may be nil.
 func (r *rig) piped() (call func(made func(net.Conn) net.Conn) *caller, end func()) {
 	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
-	ctx, stop := context.WithCancel(context.Background())
-	r.t.Cleanup(stop)
+	ctx, cancel := context.WithCancel(context.Background())
+	r.t.Cleanup(cancel)
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
@@ -170,7 +170,7 @@
 		return &caller{own, r, http1.NewReader(own, make([]byte, bufferSize))}
 	}
 	return call, func() {
-		stop()
+		cancel()
 		for _, conn := range callers {
 			conn.Close()
 		}
@@ -323,8 +323,8 @@
 // process was held up just then.
 func TestConnectionsThatWaitAtTheStop(t *testing.T) {
 	r := process(t, nil)
-	ctx, stop := context.WithTimeout(context.Background(), patience)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
 	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
 	time.Sleep(acceptAfterStop / 2)
@@ -354,7 +354,7 @@
 // While the co-ordinator stops, too, what came in time is read, though the process was held up and its time is over by the
 // time it looks: a request's last bytes, and a request on a connection at rest.
 func TestLateLookAtTheStop(t *testing.T) {
-	for name, c := range map[string]*clientConnection{
+	for name, client := range map[string]*clientConnection{
 		"a request": {requestDeadline: time.Now().Add(-time.Second)},
 		"at rest":   {stopReadDeadline: time.Now().Add(-time.Second)},
 	} {
@@ -366,18 +366,18 @@
 			here, err := ln.Accept()
 			require.NoError(t, err)
 			defer here.Close()
-			stopping, stop := context.WithCancel(context.Background())
-			stop()
-			c.clientListener, c.conn, c.answered = &clientListener{stopping: stopping}, here, make(chan struct{}, 1)
+			stopping, cancel := context.WithCancel(context.Background())
+			cancel()
+			client.clientListener, client.conn, client.answered = &clientListener{stopping: stopping}, here, make(chan struct{}, 1)
 			_, err = there.Write([]byte("x"))
 			require.NoError(t, err)
-			c.interruptRead()
-			n, err := c.Read(make([]byte, 2))
+			client.interruptRead()
+			n, err := client.Read(make([]byte, 2))
 			require.NoError(t, err)
 			require.Equal(t, 1, n)
-			_, err = c.Read(make([]byte, 2)) // once
+			_, err = client.Read(make([]byte, 2)) // once
 			want := endClosing
-			if !c.requestDeadline.IsZero() {
+			if !client.requestDeadline.IsZero() {
 				want = endReadTimeout
 			}
 			require.Equal(t, want, connectionEndOf(err))
--- a/coordinator/clients.go
+++ b/coordinator/clients.go
@@ -31,56 +31,56 @@
 
 // accept takes clients' connections in until the listener is closed.
 func (f *clientListener) accept() error {
-	o := f.loop
+	loop := f.loop
 	for taken := false; ; { // some connection, since the listener was last given its time
-		conn, err := o.Listener.Accept()
+		conn, err := loop.Listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) { // see acceptLast
 			// Guards against a wait for room that lasts over that time: the others that have come would be reset.
 			if taken {
 				taken = false
-				o.acceptLast()
+				loop.acceptLast()
 				continue
 			}
-			o.Listener.Close()
+			loop.Listener.Close()
 			err = net.ErrClosed
 		}
 		if errors.Is(err, net.ErrClosed) {
-			o.submit(func() { o.listenerClosed = true })
+			loop.submit(func() { loop.listenerClosed = true })
 			return nil
 		}
 		if err != nil {
-			o.log.warnLimited("accept", "accept_failed", "error", err)
+			loop.log.warnLimited("accept", "accept_failed", "error", err)
 			select {
-			case <-o.Clock.After(acceptRetryDelay):
-			case <-o.ctx.Done():
+			case <-loop.Clock.After(acceptRetryDelay):
+			case <-loop.ctx.Done():
 			}
 			continue
 		}
 		taken = true
-		c := &clientConnection{
-			clientListener: f, messageConn: newMessageConn(o.ctx, clientQueueSize), conn: conn,
+		client := &clientConnection{
+			clientListener: f, messageConn: newMessageConn(loop.ctx, clientQueueSize), conn: conn,
 			answered: make(chan struct{}, 1),
 		}
-		c.log = o.log
-		if !f.limiter.admit(c, o.ctx.Done()) {
+		client.log = loop.log
+		if !f.limiter.admit(client, loop.ctx.Done()) {
 			conn.Close()
 			return nil
 		}
-		c.firstDeadline = time.Now().Add(requestReadTimeout) // it may have waited for room longer than that
-		o.submit(func() { o.clients[c.messageConn] = true })
-		o.group.Go(func() error {
-			end := c.serve(conn, clientWriteTimeout, c.readRequests, c.handleWritten)
-			f.limiter.release(c)
-			o.submit(func() {
-				delete(o.clients, c.messageConn)
-				o.unsentBytes.Add(-c.unsentBytes.Swap(0))
-				if c.lastSearch != nil { // whichever way it ended: a search still on it has lost its client
-					o.withdrawSearch(c.lastSearch)
+		client.firstDeadline = time.Now().Add(requestReadTimeout) // it may have waited for room longer than that
+		loop.submit(func() { loop.clients[client.messageConn] = true })
+		loop.group.Go(func() error {
+			end := client.serve(conn, clientWriteTimeout, client.readRequests, client.handleWritten)
+			f.limiter.release(client)
+			loop.submit(func() {
+				delete(loop.clients, client.messageConn)
+				loop.unsentBytes.Add(-client.unsentBytes.Swap(0))
+				if client.lastSearch != nil { // whichever way it ended: a search still on it has lost its client
+					loop.withdrawSearch(client.lastSearch)
 				}
 			})
 			switch end {
 			case endReadTimeout, endMalformed, endQueueFull, endWriteFailed, endDisplaced, endFault:
-				o.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
+				loop.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
 			}
 			return nil
 		})
@@ -244,10 +244,10 @@
 // its client may have it already. Otherwise the client sends handlePipelined, which the protocol rules out.
 // Guards against hundreds of requests sent at once: the one that is open is withdrawn and gets an error.
 func (c *clientConnection) handlePipelined(ctx context.Context) error {
-	s := c.lastSearch
+	search := c.lastSearch
 	c.loop.submit(func() {
-		if s != nil && !s.ended {
-			c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, c.loop.withdrawSearch(s)...)
+		if search != nil && !search.ended {
+			c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, c.loop.withdrawSearch(search)...)
 			c.loop.log.warnLimited("sent_ahead", "sent_ahead", "client", c.conn.RemoteAddr().String())
 			c.respond(400, "", []byte("{}"), false)
 		}
@@ -336,9 +336,9 @@
 func (c *clientConnection) interruptRead() { c.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // handleWritten is told of each answer that is out whole.
-func (c *clientConnection) handleWritten(p *outboundMessage) error {
-	c.addUnsent(-len(*p.buffer))
-	if p.closesConnection {
+func (c *clientConnection) handleWritten(message *outboundMessage) error {
+	c.addUnsent(-len(*message.buffer))
+	if message.closesConnection {
 		c.lastAnswerWritten.Store(true)
 		half, ok := c.conn.(interface{ CloseWrite() error })
 		if !ok || half.CloseWrite() != nil {
@@ -346,13 +346,13 @@
 		}
 		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
-	c.limiter.markIdle(c, p.closesConnection)
+	c.limiter.markIdle(c, message.closesConnection)
 	select {
 	case c.answered <- struct{}{}:
 	default:
 	}
 	switch { // after it counts as answered: the reader that is woken here looks for that
-	case p.closesConnection:
+	case message.closesConnection:
 	case c.hasPipelined.Load():
 		c.interruptRead()
 	default:
@@ -373,15 +373,15 @@
 
 func (c *clientConnection) respond(status int, extra string, body []byte, keep bool) {
 	keep, last := c.keepAlive(keep)
-	b := borrowBuffer()
-	*b = http1.AppendResponse(*b, status, extra, body, keep)
-	c.sendAnswer(&outboundMessage{buffer: b, closesConnection: last})
+	buffer := borrowBuffer()
+	*buffer = http1.AppendResponse(*buffer, status, extra, body, keep)
+	c.sendAnswer(&outboundMessage{buffer: buffer, closesConnection: last})
 }
 
 // sendAnswer hands an answer to the writer; until it is taken, it is held.
-func (c *clientConnection) sendAnswer(p *outboundMessage) {
-	c.addUnsent(len(*p.buffer))
-	c.enqueue(p)
+func (c *clientConnection) sendAnswer(message *outboundMessage) {
+	c.addUnsent(len(*message.buffer))
+	c.enqueue(message)
 }
 
 func (c *clientConnection) addUnsent(n int) {
@@ -403,7 +403,7 @@
 func (c *clientConnection) handleRequest(method, target string, head map[string]string, body []byte, keep bool,
 	came time.Time,
 ) error {
-	o := c.loop
+	loop := c.loop
 	path, key, err := parseTarget(target)
 	if err != nil {
 		return badRequest("target %.40q", target)
@@ -414,18 +414,18 @@
 		if method != "GET" {
 			return requestError{405, "method of /healthz"}
 		}
-		o.submit(func() {
+		loop.submit(func() {
 			status := 200
-			if !o.hasEndpoints || o.isStopping() {
+			if !loop.hasEndpoints || loop.isStopping() {
 				status = 503
 			}
 			c.respond(status, "", []byte("{}"), keep)
 		})
 		return nil
 	}
-	if path == "/metrics" && method == "GET" && (o.shadowCounts != nil || o.enforcer != nil) {
-		body := o.metricsBody()
-		o.submit(func() { c.respond(200, "Content-Type: text/plain; version=0.0.4", body, keep) })
+	if path == "/metrics" && method == "GET" && (loop.shadowCounts != nil || loop.enforcer != nil) {
+		body := loop.metricsBody()
+		loop.submit(func() { c.respond(200, "Content-Type: text/plain; version=0.0.4", body, keep) })
 		return nil
 	}
 	qtype, ok := c.classes[head["x-class"]]
@@ -453,16 +453,16 @@
 	if err != nil || strings.Trim(head["x-deadline"], "0123456789.") != "" || wait <= 0 {
 		return badRequest("X-Deadline %.40q", head["x-deadline"])
 	}
-	s.timeout = o.limitTimeout(time.Duration(math.Min(wait, maxClientTimeout.Seconds())*float64(time.Second)), came)
-	if err := s.readBody(body, o.blockCount); err != nil {
+	s.timeout = loop.limitTimeout(time.Duration(math.Min(wait, maxClientTimeout.Seconds())*float64(time.Second)), came)
+	if err := s.readBody(body, loop.blockCount); err != nil {
 		return err
 	}
 	if err := c.checkClientGone(); err != nil {
 		return err
 	}
-	s.reply = func(r searchOutcome) { c.writeAnswer(r, keep) }
+	s.reply = func(outcome searchOutcome) { c.writeAnswer(outcome, keep) }
 	c.lastSearch, s.client = s, c
-	o.submit(func() { o.startSearch(s) })
+	loop.submit(func() { loop.startSearch(s) })
 	return nil
 }
 
@@ -553,38 +553,38 @@
 }
 
 // writeAnswer writes a final writeAnswer; an owner's call.
-func (c *clientConnection) writeAnswer(r searchOutcome, keep bool) {
-	c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, r.pendingWrites...)
-	switch r.outcome {
+func (c *clientConnection) writeAnswer(outcome searchOutcome, keep bool) {
+	c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, outcome.pendingWrites...)
+	switch outcome.outcome {
 	case outcomeDuplicateID:
 		c.respond(409, "", []byte("{}"), keep)
 	case outcomeResidencyRefused:
-		status, body := residencyRefusalBody(r.refusal)
+		status, body := residencyRefusalBody(outcome.refusal)
 		c.respond(status, "", body, keep)
 	case outcomeFailed:
 		c.respond(500, "", []byte("{}"), keep)
 	case outcomeShed:
 		extra := ""
-		if r.retryAfter > 0 {
-			extra = "Retry-After: " + strconv.FormatFloat(float64(r.retryAfter)/10_000, 'f', 4, 64)
+		if outcome.retryAfter > 0 {
+			extra = "Retry-After: " + strconv.FormatFloat(float64(outcome.retryAfter)/10_000, 'f', 4, 64)
 		}
 		c.respond(503, extra, []byte("{}"), keep)
 	default:
-		size, plain := answerBodySize(r)
-		b := borrowBuffer()
-		if size+responseHeadRoom > cap(*b) {
-			returnBuffer(b)
-			b = new([]byte)
-			*b = make([]byte, 0, size+responseHeadRoom)
+		size, plain := answerBodySize(outcome)
+		buffer := borrowBuffer()
+		if size+responseHeadRoom > cap(*buffer) {
+			returnBuffer(buffer)
+			buffer = new([]byte)
+			*buffer = make([]byte, 0, size+responseHeadRoom)
 		}
 		if !plain { // what is escaped has to be written before its length is known
-			*b = appendAnswerBody(*b, r)
-			c.respond(200, "", *b, keep)
-			returnBuffer(b)
+			*buffer = appendAnswerBody(*buffer, outcome)
+			c.respond(200, "", *buffer, keep)
+			returnBuffer(buffer)
 			return
 		}
 		keep, last := c.keepAlive(keep)
-		*b = appendAnswerBody(http1.AppendResponseHead(*b, 200, "", size, keep), r)
-		c.sendAnswer(&outboundMessage{buffer: b, closesConnection: last})
+		*buffer = appendAnswerBody(http1.AppendResponseHead(*buffer, 200, "", size, keep), outcome)
+		c.sendAnswer(&outboundMessage{buffer: buffer, closesConnection: last})
 	}
 }
--- a/coordinator/connect_test.go
+++ b/coordinator/connect_test.go
@@ -72,7 +72,7 @@
 			var mu sync.Mutex
 			var made []*counted
 			g := &errgroup.Group{}
-			o := &eventLoop{group: g, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			loop := &eventLoop{group: g, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				conn, err := x.ways[dials.Add(1)-1](ctx)
 				if err != nil {
 					return nil, err
@@ -83,9 +83,9 @@
 				mu.Unlock()
 				return c, nil
 			}}}
-			ctx, stop := context.WithTimeout(context.Background(), 10*maxRedialDelay)
-			defer stop()
-			conn, err := o.dialWithRetries(ctx, "x", maxRedialDelay, 5)
+			ctx, cancel := context.WithTimeout(context.Background(), 10*maxRedialDelay)
+			defer cancel()
+			conn, err := loop.dialWithRetries(ctx, "x", maxRedialDelay, 5)
 			require.NoError(t, g.Wait())
 			require.EqualValues(t, x.dials, dials.Load())
 			require.ErrorIs(t, err, x.fails)
--- a/coordinator/connections.go
+++ b/coordinator/connections.go
@@ -107,10 +107,10 @@
 
 func borrowBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
-func returnBuffer(b *[]byte) {
-	if cap(*b) == bufferSize {
-		*b = (*b)[:0]
-		buffers.Put(b)
+func returnBuffer(buffer *[]byte) {
+	if cap(*buffer) == bufferSize {
+		*buffer = (*buffer)[:0]
+		buffers.Put(buffer)
 	}
 }
 
@@ -165,13 +165,13 @@
 // have been begun and not done, in a process that is held up between the two. One that does not come out ends its
 // connection. It mostly is out at once, so it is looked for and not told of.
 func awaitWritten(all []pendingWrite) {
-	for _, b := range all {
-		for tries := 0; !b.isWritten(); tries++ {
+	for _, write := range all {
+		for tries := 0; !write.isWritten(); tries++ {
 			switch {
 			case tries < writeWaitYields:
 				runtime.Gosched()
 			case tries == writeWaitYields+int(maxWriteWait/writeWaitPoll):
-				b.conn.end(endRetired)
+				write.conn.end(endRetired)
 			default:
 				time.Sleep(writeWaitPoll)
 			}
@@ -180,8 +180,8 @@
 }
 
 // missedDeadline tells whether the time of a limited parcel to be begun is over; asked once of each.
-func (l *messageConn) missedDeadline(p *outboundMessage) bool {
-	by, _ := l.deadlines.LoadAndDelete(p)
+func (l *messageConn) missedDeadline(message *outboundMessage) bool {
+	by, _ := l.deadlines.LoadAndDelete(message)
 	return l.clockTicks() > by.(int64)
 }
 
@@ -192,9 +192,9 @@
 }
 
 // enqueue hands a message over without waiting; a full backlog ends the connection.
-func (l *messageConn) enqueue(p *outboundMessage) {
+func (l *messageConn) enqueue(message *outboundMessage) {
 	select {
-	case l.queue <- p:
+	case l.queue <- message:
 	default:
 		l.end(endQueueFull)
 	}
@@ -217,12 +217,12 @@
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case p := <-l.queue:
+			case message := <-l.queue:
 				if ctx.Err() != nil { // guards against a message that is begun after the reader has seen the end
 					return ctx.Err()
 				}
 				conn.SetWriteDeadline(time.Now().Add(stall))
-				if err := l.writeCoalesced(conn, p, &together, wrote); err != nil {
+				if err := l.writeCoalesced(conn, message, &together, wrote); err != nil {
 					return err
 				}
 			}
@@ -239,31 +239,31 @@
 }
 
 // writeCoalesced writes a message, and in one piece with it those that wait behind it and are small.
-func (l *messageConn) writeCoalesced(conn net.Conn, p *outboundMessage, room *[]*outboundMessage, wrote func(*outboundMessage) error) error {
+func (l *messageConn) writeCoalesced(conn net.Conn, message *outboundMessage, room *[]*outboundMessage, wrote func(*outboundMessage) error) error {
 	all := (*room)[:0]
 	defer func() {
 		clear(all)
 		*room = all[:0]
 	}()
-	for size := 0; p != nil; {
+	for size := 0; message != nil; {
 		switch { // guards against a process that was stopped and goes on where it was, and a socket that took nothing for a while
-		case p.leaseFenced && l.leaseExpired():
-			p.recall()
-		case p.hasDeadline && l.missedDeadline(p) && p.recall():
-			l.onMissedDeadline(p)
+		case message.leaseFenced && l.leaseExpired():
+			message.recall()
+		case message.hasDeadline && l.missedDeadline(message) && message.recall():
+			l.onMissedDeadline(message)
 		}
-		if p.stage.CompareAndSwap(stageQueued, stageWriting) { // next to the write: what was begun may be out
-			size += len(*p.buffer)
-			if all = append(all, p); p.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
+		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // next to the write: what was begun may be out
+			size += len(*message.buffer)
+			if all = append(all, message); message.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
 				break
 			}
 		} else {
-			returnBuffer(p.buffer)
+			returnBuffer(message.buffer)
 		}
 		select {
-		case p = <-l.queue:
+		case message = <-l.queue:
 		default:
-			p = nil
+			message = nil
 		}
 	}
 	if len(all) == 0 {
@@ -273,8 +273,8 @@
 	if len(all) > 1 {
 		out = borrowBuffer()
 		defer returnBuffer(out)
-		for _, p := range all {
-			*out = append(*out, *p.buffer...)
+		for _, message := range all {
+			*out = append(*out, *message.buffer...)
 		}
 	}
 	if len(l.pendingWrites) > 0 {
@@ -283,13 +283,13 @@
 		l.pendingWrites = l.pendingWrites[:0]
 	}
 	n, err := conn.Write(*out)
-	for _, p := range all {
-		if n -= len(*p.buffer); n < 0 { // it is not out whole, nor is what is behind it
+	for _, message := range all {
+		if n -= len(*message.buffer); n < 0 { // it is not out whole, nor is what is behind it
 			return endWriteFailed
 		}
-		p.stage.Store(stageWritten)
-		err := wrote(p)
-		returnBuffer(p.buffer)
+		message.stage.Store(stageWritten)
+		err := wrote(message)
+		returnBuffer(message.buffer)
 		if err != nil {
 			return err
 		}
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -213,8 +213,8 @@
 		out := make(chan int, 1)
 		r.owner.submit(func() {
 			done := 0
-			for _, p := range r.owner.shardRequests {
-				if len(p.attempts) > 0 && p.attempts[0].batch.message.stage.Load() == stageWritten {
+			for _, shardReq := range r.owner.shardRequests {
+				if len(shardReq.attempts) > 0 && shardReq.attempts[0].batch.message.stage.Load() == stageWritten {
 					done++
 				}
 			}
@@ -409,18 +409,18 @@
 func TestNoiseBehindAnswer(t *testing.T) {
 	here, there := net.Pipe()
 	defer here.Close()
-	o := &eventLoop{tasks: make(chan func(), 4), ctx: context.Background(), log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
-	l := &replicaConnection{messageConn: newMessageConn(o.ctx, 1), replica: &replica{id: "a0"}, recentIDs: map[string]uint64{"q.1": 1}}
+	loop := &eventLoop{tasks: make(chan func(), 4), ctx: context.Background(), log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
+	conn := &replicaConnection{messageConn: newMessageConn(loop.ctx, 1), replica: &replica{id: "a0"}, recentIDs: map[string]uint64{"q.1": 1}}
 	go func() {
 		asked{ID: "q.1", Conn: there}.ReplyGood()
 		asked{ID: "q.1", Conn: writesMore{there, []byte("noise")}}.ReplyGood()
 	}()
 	heard := make(chan error, 1)
-	go func() { heard <- frameProtocol{}.readAnswers(o, l, here) }()
-	(<-o.tasks)()
-	require.False(t, l.closedToNew)
-	(<-o.tasks)()
-	require.True(t, l.closedToNew)
+	go func() { heard <- frameProtocol{}.readAnswers(loop, conn, here) }()
+	(<-loop.tasks)()
+	require.False(t, conn.closedToNew)
+	(<-loop.tasks)()
+	require.True(t, conn.closedToNew)
 	require.Equal(t, endMalformed, <-heard)
 }
 
@@ -518,28 +518,28 @@
 		require.NoError(t, err)
 	}
 	f := &clientListener{stopping: context.Background()}
-	c := &clientConnection{clientListener: f, conn: here, answered: make(chan struct{}, 1), requestDeadline: time.Now().Add(patience)}
-	c.interruptRead()
+	client := &clientConnection{clientListener: f, conn: here, answered: make(chan struct{}, 1), requestDeadline: time.Now().Add(patience)}
+	client.interruptRead()
 	send()
-	n, err := c.Read(make([]byte, 1))
+	n, err := client.Read(make([]byte, 1))
 	require.Equal(t, 1, n)
 	require.NoError(t, err)
-	c.requestDeadline = time.Unix(1, 0)
-	c.interruptRead()
-	_, err = c.Read(make([]byte, 1))
+	client.requestDeadline = time.Unix(1, 0)
+	client.interruptRead()
+	_, err = client.Read(make([]byte, 1))
 	require.Equal(t, endReadTimeout, connectionEndOf(err))
-	c.requestDeadline = time.Time{}
-	_, err = c.Read(make([]byte, 1))
+	client.requestDeadline = time.Time{}
+	_, err = client.Read(make([]byte, 1))
 	require.Equal(t, endIdle, connectionEndOf(err))
-	stopping, stop := context.WithCancel(context.Background())
-	stop()
-	c.stopping = stopping
-	c.interruptRead()
+	stopping, cancel := context.WithCancel(context.Background())
+	cancel()
+	client.stopping = stopping
+	client.interruptRead()
 	send() // before the last look
-	n, err = c.Read(make([]byte, 1))
+	n, err = client.Read(make([]byte, 1))
 	require.Equal(t, 1, n)
 	require.NoError(t, err)
-	_, err = c.Read(make([]byte, 1))
+	_, err = client.Read(make([]byte, 1))
 	require.Equal(t, endClosing, connectionEndOf(err))
 }
 
@@ -626,12 +626,12 @@
 // wait counts as a failed call.
 func TestListWithoutEnd(t *testing.T) {
 	list := script(t)
-	o := &eventLoop{
+	loop := &eventLoop{
 		plan: &plan.Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
 		Options: Options{Dial: (&net.Dialer{}).DialContext},
 	}
 	list.Responses <- `{"version":0,"full":true,"servers":[]}`
-	require.ErrorContains(t, o.watchDiscovery(o.ctx, &discoveryState{addr: o.plan.Discovery}, nil), "nothing new")
+	require.ErrorContains(t, loop.watchDiscovery(loop.ctx, &discoveryState{addr: loop.plan.Discovery}, nil), "nothing new")
 	require.Equal(t, "/v1/servers?index=0&wait=2000", <-list.Targets)
 	close(list.Responses)
 }
@@ -646,8 +646,8 @@
 	require.Less(t, time.Since(began), 4*time.Second+patience/2)
 	require.Contains(t, r.log.String(), "event=list_failed")
 	for n, want := range map[string]time.Duration{"1": 2, "3": 3, "150": 20} {
-		o := &eventLoop{plan: &plan.Plan{Settings: map[string]string{"Balancers": n}}}
-		require.Equal(t, want*time.Second, o.watchWait())
+		loop := &eventLoop{plan: &plan.Plan{Settings: map[string]string{"Balancers": n}}}
+		require.Equal(t, want*time.Second, loop.watchWait())
 	}
 }
 
@@ -708,8 +708,8 @@
 	first, err := readPlan(env)
 	require.NoError(t, err)
 	require.Equal(t, "variable", first.Discovery)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	out, signals := &journal{}, make(chan os.Signal)
 	plans := first.WatchReloads(ctx, signals, env, NewLogger(out, false, slog.LevelInfo))
 	for _, x := range [][3]string{
@@ -810,9 +810,9 @@
 	l := newMessageConn(context.Background(), 2)
 	parcels := make([]*outboundMessage, 4)
 	for i := range parcels {
-		b := borrowBuffer()
-		*b = append(*b, "text"...)
-		parcels[i] = &outboundMessage{buffer: b}
+		buffer := borrowBuffer()
+		*buffer = append(*buffer, "text"...)
+		parcels[i] = &outboundMessage{buffer: buffer}
 	}
 	l.enqueue(parcels[0])
 	l.enqueue(parcels[1])
@@ -825,35 +825,35 @@
 	require.False(t, parcels[0].recall())
 	require.Equal(t, stageRecalled, parcels[1].stage.Load())
 	l = newMessageConn(context.Background(), 2)
-	for _, p := range parcels[1:] {
-		l.enqueue(p)
+	for _, message := range parcels[1:] {
+		l.enqueue(message)
 	}
 	require.Equal(t, endQueueFull, context.Cause(l.ctx))
 }
 
 // oneOut is a search with one sub-request out, its frame at that stage.
 func oneOut(stage int32) (*eventLoop, *replicaConnection, *search) {
-	o := &eventLoop{plan: &plan.Plan{}, searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, allowsSecondCopies: true}
-	l := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
+	loop := &eventLoop{plan: &plan.Plan{}, searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, allowsSecondCopies: true}
+	conn := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
 	s := &search{id: 1, name: "q"}
-	p := &shardRequest{id: 2, search: s, unreported: 1}
-	sub := &attempt{shardRequest: p, name: "q.0", batch: &batch{connection: l, message: &outboundMessage{}}}
-	sub.batch.attempts, l.attempts, p.attempts, s.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{p}
-	o.searches[1], o.shardRequests[2] = s, p
+	request := &shardRequest{id: 2, search: s, unreported: 1}
+	sub := &attempt{shardRequest: request, name: "q.0", batch: &batch{connection: conn, message: &outboundMessage{}}}
+	sub.batch.attempts, conn.attempts, request.attempts, s.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{request}
+	loop.searches[1], loop.shardRequests[2] = s, request
 	sub.batch.message.stage.Store(stage)
-	return o, l, s
+	return loop, conn, s
 }
 
 // A final answer waits for a frame of its search that is begun, and ends the connection of one that does not come out;
 // one that is out is not waited for, and its connection stays.
 func TestNothingAfterTheAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
-		o, l, s := oneOut(stage)
-		first := o.finishSearch(s)
+		loop, conn, search := oneOut(stage)
+		first := loop.finishSearch(search)
 		require.Equal(t, ends, len(first) == 1, "stage %d", stage)
-		context.AfterFunc(l.ctx, func() { l.writerEnded.Store(true) }) // as its writer would
+		context.AfterFunc(conn.ctx, func() { conn.writerEnded.Store(true) }) // as its writer would
 		awaitWritten(first)
-		require.Equal(t, ends, l.ctx.Err() != nil, "stage %d", stage)
+		require.Equal(t, ends, conn.ctx.Err() != nil, "stage %d", stage)
 	}
 }
 
@@ -861,14 +861,14 @@
 // One given up after the answer holds nothing.
 func TestNothingGivenUpAfterTheAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
-		o, _, s := oneOut(stage)
-		o.CancelAttempt(2, 0)
-		require.Equal(t, ends, len(o.finishSearch(s)) == 1, "stage %d", stage)
+		loop, _, search := oneOut(stage)
+		loop.CancelAttempt(2, 0)
+		require.Equal(t, ends, len(loop.finishSearch(search)) == 1, "stage %d", stage)
 
-		o, _, s = oneOut(stage)
-		o.finishSearch(s)
-		o.CancelAttempt(2, 0)
-		require.Empty(t, s.pendingWrites, "stage %d", stage)
+		loop, _, search = oneOut(stage)
+		loop.finishSearch(search)
+		loop.CancelAttempt(2, 0)
+		require.Empty(t, search.pendingWrites, "stage %d", stage)
 	}
 }
 
@@ -931,12 +931,12 @@
 func TestAnswerSize(t *testing.T) {
 	for _, values := range [][]string{{}, {""}, {"a", "Grüße, 世界", "\x7f"}, {`"`}, {"a\nb", `\`}, {strings.Repeat("v", 40_000), "x"}} {
 		for _, whole := range []bool{true, false} {
-			r := searchOutcome{complete: whole}
+			outcome := searchOutcome{complete: whole}
 			for i, v := range values {
-				r.parts = append(r.parts, &shardRequest{shard: i * 37, value: []byte(v)})
+				outcome.parts = append(outcome.parts, &shardRequest{shard: i * 37, value: []byte(v)})
 			}
-			text := appendAnswerBody(nil, r)
-			size, plain := answerBodySize(r)
+			text := appendAnswerBody(nil, outcome)
+			size, plain := answerBodySize(outcome)
 			require.Equal(t, !strings.ContainsAny(strings.Join(values, ""), "\"\n\\"), plain)
 			if plain {
 				require.Len(t, text, size)
@@ -962,13 +962,13 @@
 			func(*outboundMessage) error { return nil })
 	}()
 	text := []byte("part")
-	p := &outboundMessage{buffer: &text}
-	l.enqueue(p)
-	require.Eventually(t, func() bool { return p.stage.Load() == stageWriting }, patience, time.Millisecond)
-	b := pendingWrite{l, p}
-	require.False(t, b.isWritten())
+	message := &outboundMessage{buffer: &text}
+	l.enqueue(message)
+	require.Eventually(t, func() bool { return message.stage.Load() == stageWriting }, patience, time.Millisecond)
+	write := pendingWrite{l, message}
+	require.False(t, write.isWritten())
 	settled := make(chan bool, 1)
-	go func() { awaitWritten([]pendingWrite{b}); settled <- p.stage.Load() == stageWritten }()
+	go func() { awaitWritten([]pendingWrite{write}); settled <- message.stage.Load() == stageWritten }()
 	select {
 	case <-settled:
 		t.Fatal("not out yet")
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -169,7 +169,7 @@
 
 // open counts the searches that are open.
 func (r *rig) open() (n int) {
-	r.inTurn(func(o *eventLoop) { n = len(o.searches) })
+	r.inTurn(func(loop *eventLoop) { n = len(loop.searches) })
 	return n
 }
 
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -22,55 +22,55 @@
 }
 
 // applyEndpointList puts a list, or changes of it, into force: how is Complete, Partial or Persisted.
-func (o *eventLoop) applyEndpointList(how string, list plan.EndpointList) {
+func (loop *eventLoop) applyEndpointList(how string, list plan.EndpointList) {
 	present := map[string]bool{}
 	steps := make([]func(), 0, len(list.Hosts))
 	for _, host := range list.Hosts {
-		zone, kind := o.settingPosition("FailureDomains", host.Zone), o.settingPosition("MachineTypes", host.Kind)
+		zone, kind := loop.settingPosition("FailureDomains", host.Zone), loop.settingPosition("MachineTypes", host.Kind)
 		present[host.ID] = !host.Removed
 		steps = append(steps, func() {
-			o.placeReplica(host.ID, host.Addr, host.Kind, host.StartedTicks, host.Removed, host.State == endpoints.StateDraining)
-			o.balancer.AddEndpoint(host.ID, zone, kind, host.Cell, moduleStates[host.State], host.ListedWeight, host.StartedTicks)
+			loop.placeReplica(host.ID, host.Addr, host.Kind, host.StartedTicks, host.Removed, host.State == endpoints.StateDraining)
+			loop.balancer.AddEndpoint(host.ID, zone, kind, host.Cell, moduleStates[host.State], host.ListedWeight, host.StartedTicks)
 		})
 	}
-	o.putListInForce(how, int64(list.Version), list.Hosts, present, steps)
+	loop.putListInForce(how, int64(list.Version), list.Hosts, present, steps)
 }
 
 // putListInForce tells the owner and the module a list or changes, in one turn.
-func (o *eventLoop) putListInForce(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
+func (loop *eventLoop) putListInForce(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
 	for _, step := range steps {
 		step()
 	}
 	if how != "Partial" {
-		for id := range o.replicas {
+		for id := range loop.replicas {
 			if !present[id] {
-				o.placeReplica(id, "", "", 0, true, false)
+				loop.placeReplica(id, "", "", 0, true, false)
 			}
 		}
 	}
-	o.hasEndpoints = o.hasEndpoints || len(o.replicas) > 0
-	if o.enforcer != nil {
-		o.enforcer.updateHosts(how, hosts)
+	loop.hasEndpoints = loop.hasEndpoints || len(loop.replicas) > 0
+	if loop.enforcer != nil {
+		loop.enforcer.updateHosts(how, hosts)
 	}
-	if o.balancer.CommitEndpoints(how, version); o.enforcer != nil {
-		o.enforcer.restrictAll()
+	if loop.balancer.CommitEndpoints(how, version); loop.enforcer != nil {
+		loop.enforcer.restrictAll()
 	}
-	o.log.Info("list", "how", how, "version", version, "entries", len(hosts))
+	loop.log.Info("list", "how", how, "version", version, "entries", len(hosts))
 }
 
 // notifyEndpointList tells a list or changes of it to those that keep what they need of it beside the owner.
-func (o *eventLoop) notifyEndpointList(full bool, version int64, hosts []plan.ListedHost) {
-	if o.peers != nil {
-		o.peers.updateHosts(full, version, hosts)
+func (loop *eventLoop) notifyEndpointList(full bool, version int64, hosts []plan.ListedHost) {
+	if loop.peers != nil {
+		loop.peers.updateHosts(full, version, hosts)
 	}
-	if o.searchAPI != nil {
-		o.searchAPI.updateHosts(full, hosts)
+	if loop.searchAPI != nil {
+		loop.searchAPI.updateHosts(full, hosts)
 	}
 }
 
 // settingPosition is the place of a name in a list of the settings; a name that is not there comes after all.
-func (o *eventLoop) settingPosition(list, name string) int {
-	names := o.plan.List(list)
+func (loop *eventLoop) settingPosition(list, name string) int {
+	names := loop.plan.List(list)
 	if i := slices.Index(names, settings.FormatValue(name)); i >= 0 {
 		return i
 	}
@@ -98,26 +98,26 @@
 // failures here are followed by waits that grow, spread by chance. When discovery has moved, the whole list is
 // asked for at the new place at once, under the subscription there was; waits that have grown at the old one begin
 // again. Whoever asks, an attempt begins so soon after the last that what this may have missed is told in time.
-func (o *eventLoop) followDiscovery() error {
-	asked := o.plan.Settings["Discovery"] == "subscribe"
-	chance, pause, moved := rand.New(rand.NewSource(o.plan.Seed)), minPollBackoff, false
+func (loop *eventLoop) followDiscovery() error {
+	asked := loop.plan.Settings["Discovery"] == "subscribe"
+	chance, pause, moved := rand.New(rand.NewSource(loop.plan.Seed)), minPollBackoff, false
 	// Who knows no host asks for the list itself. Guards against a first call that is silent: a watch may wait long, and
 	// nothing is served until it has failed.
-	a := discoveryState{addr: o.plan.Discovery, nextAttemptBy: time.Now().Add(maxPollDelay), needsFullList: len(o.plan.Known.Hosts) == 0}
-	a.version = o.plan.Known.Version
+	a := discoveryState{addr: loop.plan.Discovery, nextAttemptBy: time.Now().Add(maxPollDelay), needsFullList: len(loop.plan.Known.Hosts) == 0}
+	a.version = loop.plan.Known.Version
 	move := func(at string) {
 		a.addr, a.needsFullList, a.lastCallFailed = at, true, false
 		if moved, pause = true, minPollBackoff; asked {
 			v := int64(a.version)
-			o.submit(func() { o.balancer.CommitEndpoints("Partial", v) }) // nothing new: the module's waits begin again too
+			loop.submit(func() { loop.balancer.CommitEndpoints("Partial", v) }) // nothing new: the module's waits begin again too
 		}
 	}
 	wait := func(d time.Duration) {
 		select {
-		case <-o.Clock.After(d):
-		case at := <-o.discoveryMoves:
+		case <-loop.Clock.After(d):
+		case at := <-loop.discoveryMoves:
 			move(at)
-		case <-o.ctx.Done():
+		case <-loop.ctx.Done():
 		}
 	}
 	atOnce := false
@@ -125,43 +125,43 @@
 		if asked && !moved && !atOnce {
 			late := time.NewTimer(a.remaining()) // guards against waits of the module that take no account of a call that was silent
 			select {
-			case <-o.pollRequests:
+			case <-loop.pollRequests:
 			case <-late.C:
-			case at := <-o.discoveryMoves:
+			case at := <-loop.discoveryMoves:
 				move(at)
-			case <-o.ctx.Done():
+			case <-loop.ctx.Done():
 			}
 			late.Stop()
 		}
 		if spread = min(spread, time.Until(a.nextAttemptBy)); asked && !moved && spread > 0 {
 			wait(time.Duration(chance.Int63n(int64(spread))))
 		}
-		if o.ctx.Err() != nil {
+		if loop.ctx.Err() != nil {
 			return nil
 		}
 		failed, next := make(chan error, 1), ""
-		ctx, stop := context.WithCancel(o.ctx)
-		o.group.Go(func() error {
-			failed <- o.log.recoverPanic(func() error { return o.watchDiscovery(ctx, &a, chance) })
+		ctx, cancel := context.WithCancel(loop.ctx)
+		loop.group.Go(func() error {
+			failed <- loop.log.recoverPanic(func() error { return loop.watchDiscovery(ctx, &a, chance) })
 			return nil
 		})
 		var err error
 		select {
 		case err = <-failed:
-		case next = <-o.discoveryMoves:
-			stop()
+		case next = <-loop.discoveryMoves:
+			cancel()
 			<-failed
 		}
-		stop()
+		cancel()
 		if moved = next != ""; moved {
 			move(next)
 			continue
 		}
-		if o.ctx.Err() != nil {
+		if loop.ctx.Err() != nil {
 			return nil
 		}
-		o.log.Warn("list_failed", "discovery", a.addr, "version", int64(a.version), "error", err)
-		spread = o.lossSpread(err)
+		loop.log.Warn("list_failed", "discovery", a.addr, "version", int64(a.version), "error", err)
+		spread = loop.lossSpread(err)
 		// The first call after one that fell silent follows at once. Guards against a wait beside the one that silence took: what
 		// was missed counts as told soon, and discovery takes its time with the calls of all. Those fall silent one by one.
 		atOnce = isSilence(err) && !a.lastCallFailed
@@ -171,10 +171,10 @@
 		a.answeredSinceFailure = false
 		if asked {
 			select {
-			case <-o.pollRequests: // of a subscription before this one
+			case <-loop.pollRequests: // of a subscription before this one
 			default:
 			}
-			o.submit(func() { o.balancer.CommitEndpoints("Error", 0) })
+			loop.submit(func() { loop.balancer.CommitEndpoints("Error", 0) })
 			continue
 		}
 		if atOnce {
@@ -189,8 +189,8 @@
 
 // watchWait is how long one call for changes may wait. Guards against a connection to discovery that has gone
 // silent: nothing is told until the call has failed. All co-ordinators together ask discovery so often.
-func (o *eventLoop) watchWait() time.Duration {
-	return min(maxWatchWait, max(2*watchInterval, time.Duration(o.plan.Number("Balancers")*float64(watchInterval))))
+func (loop *eventLoop) watchWait() time.Duration {
+	return min(maxWatchWait, max(2*watchInterval, time.Duration(loop.plan.Number("Balancers")*float64(watchInterval))))
 }
 
 // isSilence tells whether a call failed since nothing, or not all of its answer, came in time.
@@ -199,20 +199,20 @@
 // lossSpread is over how long the next calls of all co-ordinators are spread after a failure. Guards against all that lose
 // discovery at once and come back at once. Silence is no such failure: calls fall silent one by one, and what was missed
 // meanwhile counts as told soon.
-func (o *eventLoop) lossSpread(err error) time.Duration {
+func (loop *eventLoop) lossSpread(err error) time.Duration {
 	if isSilence(err) {
 		return 0
 	}
-	return min(maxLossSpread, time.Duration(o.plan.Number("Balancers")*float64(lossSpreadPerCoordinator)))
+	return min(maxLossSpread, time.Duration(loop.plan.Number("Balancers")*float64(lossSpreadPerCoordinator)))
 }
 
 // watchDiscovery makes one call after another, until one fails.
-func (o *eventLoop) watchDiscovery(ctx context.Context, a *discoveryState, chance *rand.Rand) error {
+func (loop *eventLoop) watchDiscovery(ctx context.Context, state *discoveryState, chance *rand.Rand) error {
 	for together := true; ; { // the next call may begin in the same moment as those of others
-		a.nextAttemptBy = time.Now().Add(maxPollDelay)
-		up, stop := context.WithTimeout(ctx, watchAnswerSlack)
-		conn, err := o.Dial(up, "tcp", a.addr)
-		stop()
+		state.nextAttemptBy = time.Now().Add(maxPollDelay)
+		up, cancel := context.WithTimeout(ctx, watchAnswerSlack)
+		conn, err := loop.Dial(up, "tcp", state.addr)
+		cancel()
 		if err != nil {
 			return fmt.Errorf("%w: %w", endNotConnected, err)
 		}
@@ -220,23 +220,23 @@
 		buf := borrowBuffer()
 		rd := http1.NewReader(conn, (*buf)[:bufferSize])
 		for keep := true; keep && err == nil; {
-			wait := o.watchWait()
+			wait := loop.watchWait()
 			switch {
-			case a.needsFullList:
+			case state.needsFullList:
 				wait = fullListTimeout
-			case a.lastCallFailed: // silence that goes on is to show soon
+			case state.lastCallFailed: // silence that goes on is to show soon
 				wait = min(wait, 2*watchInterval)
 			case together && wait > 2*watchInterval: // one change ends the calls of all: the next are to end, or fall silent, one by one
 				wait -= time.Duration(chance.Int63n(int64(wait / 2)))
 			}
-			target := fmt.Sprintf("/v1/servers?index=%.0f&wait=%d", a.version, wait.Milliseconds())
-			if a.needsFullList {
+			target := fmt.Sprintf("/v1/servers?index=%.0f&wait=%d", state.version, wait.Milliseconds())
+			if state.needsFullList {
 				target = "/v1/servers"
 			}
-			asked, before, anew := time.Now(), a.version, a.needsFullList
+			asked, before, anew := time.Now(), state.version, state.needsFullList
 			conn.SetDeadline(asked.Add(wait + watchAnswerSlack))
-			a.nextAttemptBy = asked.Add(max(maxPollDelay, wait+watchAnswerSlack))
-			if _, err = conn.Write(http1.AppendGetRequest(nil, target, a.addr)); err != nil {
+			state.nextAttemptBy = asked.Add(max(maxPollDelay, wait+watchAnswerSlack))
+			if _, err = conn.Write(http1.AppendGetRequest(nil, target, state.addr)); err != nil {
 				break
 			}
 			var status int
@@ -245,21 +245,21 @@
 				err = fmt.Errorf("status %d", status)
 			}
 			if err == nil {
-				err = o.handleListAnswer(body, anew, &a.version)
+				err = loop.handleListAnswer(body, anew, &state.version)
 			}
-			a.needsFullList = a.needsFullList || errors.Is(err, errVersionsRestarted)
-			news := a.version != before
+			state.needsFullList = state.needsFullList || errors.Is(err, errVersionsRestarted)
+			news := state.version != before
 			together = news
 			if err == nil && !anew && !news && time.Since(asked) < wait/2 {
 				err = errors.New("nothing new, and no wait") // guards against asking without end
 			}
 			if err == nil {
-				a.answeredSinceFailure, a.needsFullList = true, false
-				if a.lastCallFailed && (!news && !anew || o.sources != nil) { // the module's waits begin again too: it hears of lists alone
-					v := int64(a.version)
-					o.submit(func() { o.balancer.CommitEndpoints("Partial", v) })
+				state.answeredSinceFailure, state.needsFullList = true, false
+				if state.lastCallFailed && (!news && !anew || loop.sources != nil) { // the module's waits begin again too: it hears of lists alone
+					v := int64(state.version)
+					loop.submit(func() { loop.balancer.CommitEndpoints("Partial", v) })
 				}
-				a.lastCallFailed = false
+				state.lastCallFailed = false
 			}
 		}
 		returnBuffer(buf)
@@ -278,7 +278,7 @@
 
 // handleListAnswer takes one answer; one that is older than the list or cannot be read leaves the list as it is. The
 // first from a new place counts whatever its version: versions may have begun again there.
-func (o *eventLoop) handleListAnswer(body []byte, anew bool, version *float64) error {
+func (loop *eventLoop) handleListAnswer(body []byte, anew bool, version *float64) error {
 	object, err := plan.DecodeObject(body)
 	if err != nil {
 		return err
@@ -303,17 +303,17 @@
 	if full {
 		how = "Complete"
 	}
-	if o.sources != nil {
-		err := o.sources.applyDiscovery(newEndpointUpdate("discovery", endpoints.RankDiscovery, int64(v), full, anew, list.Hosts))
+	if loop.sources != nil {
+		err := loop.sources.applyDiscovery(newEndpointUpdate("discovery", endpoints.RankDiscovery, int64(v), full, anew, list.Hosts))
 		if err == nil {
 			*version = v
 		}
 		return err
 	}
 	*version = v
-	if !o.submit(func() { o.applyEndpointList(how, list) }) {
+	if !loop.submit(func() { loop.applyEndpointList(how, list) }) {
 		return endClosing
 	}
-	o.notifyEndpointList(full, int64(v), list.Hosts)
+	loop.notifyEndpointList(full, int64(v), list.Hosts)
 	return nil
 }
--- a/coordinator/door.go
+++ b/coordinator/door.go
@@ -82,19 +82,19 @@
 // ErrUnknownTypeOrTenant is a search that cannot be taken.
 var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
 
-func newSearchAPI(o *eventLoop) *SearchAPI {
-	d := &SearchAPI{
-		CoordinatorName: o.plan.Name, loop: o, SendRetryAfter: o.plan.Settings["Permissions.RetryAfter"] == "true", classes: o.plan.PositionsByName("Classes"), tenants: o.plan.PositionsByName("Tenants"),
-		MaxConnections: max(1, int(frontendDescriptorShare*float64(o.plan.MaxSockets))), LogEvent: o.log.warnLimited, cellByHost: map[string]int{},
-		addrByHost: map[string]string{}, hostCountByCell: map[int]int{}, blockSets: int(o.plan.Number("Specifics.Sets")), setsPerHost: int(o.plan.Number("Specifics.Reach")),
+func newSearchAPI(loop *eventLoop) *SearchAPI {
+	api := &SearchAPI{
+		CoordinatorName: loop.plan.Name, loop: loop, SendRetryAfter: loop.plan.Settings["Permissions.RetryAfter"] == "true", classes: loop.plan.PositionsByName("Classes"), tenants: loop.plan.PositionsByName("Tenants"),
+		MaxConnections: max(1, int(frontendDescriptorShare*float64(loop.plan.MaxSockets))), LogEvent: loop.log.warnLimited, cellByHost: map[string]int{},
+		addrByHost: map[string]string{}, hostCountByCell: map[int]int{}, blockSets: int(loop.plan.Number("Specifics.Sets")), setsPerHost: int(loop.plan.Number("Specifics.Reach")),
 	}
-	for _, v := range o.plan.ClassDurations("Deadline") {
+	for _, v := range loop.plan.ClassDurations("Deadline") {
 		if v <= 0 || v > maxClientTimeout {
 			v = maxClientTimeout
 		}
-		d.timeouts = append(d.timeouts, v)
+		api.timeouts = append(api.timeouts, v)
 	}
-	return d
+	return api
 }
 
 // ValidateTypeAndTenant tells whether there is such a type, and such a partner where partners are named at all.
@@ -160,9 +160,9 @@
 		clear(d.cellByHost)
 		clear(d.addrByHost)
 	}
-	for _, h := range hosts {
-		if delete(d.cellByHost, h.ID); !h.Removed {
-			d.cellByHost[h.ID], d.addrByHost[h.ID] = h.Cell, h.Addr
+	for _, host := range hosts {
+		if delete(d.cellByHost, host.ID); !host.Removed {
+			d.cellByHost[host.ID], d.addrByHost[host.ID] = host.Cell, host.Addr
 		}
 	}
 	clear(d.hostCountByCell)
@@ -172,42 +172,42 @@
 }
 
 // Search hands a search in and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
-func (d *SearchAPI) Search(ctx context.Context, a SearchRequest) (SearchResult, error) {
-	if err := d.ValidateTypeAndTenant(a.Type, a.Tenant); err != nil {
+func (d *SearchAPI) Search(ctx context.Context, request SearchRequest) (SearchResult, error) {
+	if err := d.ValidateTypeAndTenant(request.Type, request.Tenant); err != nil {
 		return SearchResult{}, err
 	}
-	if !isPlainName(a.ID) || strings.ContainsRune(a.ID, '.') || len(a.Shards) == 0 {
-		return SearchResult{}, fmt.Errorf("a search named %.40q over %d blocks", a.ID, len(a.Shards))
+	if !isPlainName(request.ID) || strings.ContainsRune(request.ID, '.') || len(request.Shards) == 0 {
+		return SearchResult{}, fmt.Errorf("a search named %.40q over %d blocks", request.ID, len(request.Shards))
 	}
-	o := d.loop
+	loop := d.loop
 	out, first := make(chan SearchResult, 1), []pendingWrite(nil)
-	now := o.Clock.Now()
+	now := loop.Clock.Now()
 	s := &search{
-		name: a.ID, text: a.Body, class: d.classes[a.Type], tenant: d.tenants[a.Tenant], isRetry: a.IsRetry,
-		arrivedAt: now, timeout: o.limitTimeout(min(a.Timeout, maxClientTimeout), now), shards: slices.Clone(a.Shards), decodeValue: a.DecodeValue,
+		name: request.ID, text: request.Body, class: d.classes[request.Type], tenant: d.tenants[request.Tenant], isRetry: request.IsRetry,
+		arrivedAt: now, timeout: loop.limitTimeout(min(request.Timeout, maxClientTimeout), now), shards: slices.Clone(request.Shards), decodeValue: request.DecodeValue,
 	}
-	for range a.Shards {
-		s.weights = append(s.weights, 1/float64(len(a.Shards)))
+	for range request.Shards {
+		s.weights = append(s.weights, 1/float64(len(request.Shards)))
 	}
-	s.reply = func(r searchOutcome) {
-		first = slices.Clone(r.pendingWrites)
-		g := SearchResult{Outcome: r.outcome, Complete: r.complete, RetryAfter: time.Duration(r.retryAfter) * tick, Dispatched: r.dispatched, ResidencyRefusal: r.refusal}
-		for _, p := range r.parts {
-			g.Parts = append(g.Parts, PartResult{Shard: p.shard, Value: p.decoded})
+	s.reply = func(outcome searchOutcome) {
+		first = slices.Clone(outcome.pendingWrites)
+		result := SearchResult{Outcome: outcome.outcome, Complete: outcome.complete, RetryAfter: time.Duration(outcome.retryAfter) * tick, Dispatched: outcome.dispatched, ResidencyRefusal: outcome.refusal}
+		for _, shardReq := range outcome.parts {
+			result.Parts = append(result.Parts, PartResult{Shard: shardReq.shard, Value: shardReq.decoded})
 		}
-		out <- g
+		out <- result
 	}
-	if !o.submit(func() { o.startSearch(s) }) {
+	if !loop.submit(func() { loop.startSearch(s) }) {
 		return SearchResult{}, endClosing
 	}
 	select {
-	case g := <-out:
+	case result := <-out:
 		awaitWritten(first)
-		return g, nil
+		return result, nil
 	case <-ctx.Done():
-		o.submit(func() { o.withdrawSearch(s) })
+		loop.submit(func() { loop.withdrawSearch(s) })
 		return SearchResult{}, ctx.Err()
-	case <-o.ctx.Done():
+	case <-loop.ctx.Done():
 		return SearchResult{}, endClosing
 	}
 }
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -47,7 +47,7 @@
 // puppet puts one in the module's place.
 func (r *rig) puppet() *puppet {
 	p := &puppet{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
-	r.inTurn(func(o *eventLoop) { o.balancer = p })
+	r.inTurn(func(loop *eventLoop) { loop.balancer = p })
 	return p
 }
 
@@ -102,7 +102,7 @@
 		}, "QueueFull"},
 		"its connection is retired, and it is answered": {false, func(a at) {
 			first := <-a.hold
-			a.inTurn(func(o *eventLoop) { o.retireConnection(a.l) })
+			a.inTurn(func(loop *eventLoop) { loop.retireConnection(a.l) })
 			a.p.untold()
 			first.ReplyGood()
 		}, "Ok"},
@@ -110,10 +110,10 @@
 			<-a.hold
 			c := a.call().send(request("other", "all", "", onePart))
 			ids := <-a.p.searches
-			a.inTurn(func(o *eventLoop) { o.SendAttempt(ids[1], "a0", 0) })
+			a.inTurn(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
 			(<-a.hold).ReplyGood()
 			a.p.told("Ok")
-			a.inTurn(func(o *eventLoop) { o.AnswerSearch(ids[0], true) })
+			a.inTurn(func(loop *eventLoop) { loop.AnswerSearch(ids[0], true) })
 			status, _, _, _ := c.answer()
 			require.Equal(a.t, 200, status)
 			a.p.untold()
@@ -122,11 +122,11 @@
 		"closed on this side, then its search ends": {false, func(a at) {
 			a.inTurn(func(*eventLoop) { a.l.closeNow(endRetired) })
 			a.eventually("it has ended", func() (ended bool) {
-				a.inTurn(func(o *eventLoop) { ended = len(o.replicas["a0"].connections) == 0 })
+				a.inTurn(func(loop *eventLoop) { ended = len(loop.replicas["a0"].connections) == 0 })
 				return ended
 			})
 			a.p.untold()
-			a.inTurn(func(o *eventLoop) { o.FailSearch(o.shardRequests[a.part].search.id) })
+			a.inTurn(func(loop *eventLoop) { loop.FailSearch(loop.shardRequests[a.part].search.id) })
 		}, "Canceled"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -138,23 +138,23 @@
 			r.replicas["a0"].SetHandler(func(p asked) { a.hold <- p })
 			c := r.call().send(request("q", "all", "", onePart))
 			a.part = (<-a.p.searches)[1]
-			r.inTurn(func(o *eventLoop) { o.SendAttempt(a.part, "a0", 0) })
+			r.inTurn(func(loop *eventLoop) { loop.SendAttempt(a.part, "a0", 0) })
 			r.eventually("it is out", func() bool {
-				r.inTurn(func(o *eventLoop) { // maybe in the turn that sends it, before it has a connection
-					if lines := o.replicas["a0"].connections; len(lines) > 0 {
+				r.inTurn(func(loop *eventLoop) { // maybe in the turn that sends it, before it has a connection
+					if lines := loop.replicas["a0"].connections; len(lines) > 0 {
 						a.l = lines[0]
 					}
 				})
 				return a.l != nil && r.replicas["a0"].CountRequests() == 1
 			})
-			r.inTurn(func(o *eventLoop) { o.CancelAttempt(a.part, 0) })
+			r.inTurn(func(loop *eventLoop) { loop.CancelAttempt(a.part, 0) })
 			x.then(a)
 			a.p.told(x.told)
-			r.inTurn(func(o *eventLoop) {
-				require.Empty(t, o.abandoned)
-				if p := o.shardRequests[a.part]; p != nil {
-					require.Equal(t, x.told == "Ok", p.completed)
-					o.FailSearch(p.search.id)
+			r.inTurn(func(loop *eventLoop) {
+				require.Empty(t, loop.abandoned)
+				if shardReq := loop.shardRequests[a.part]; shardReq != nil {
+					require.Equal(t, x.told == "Ok", shardReq.completed)
+					loop.FailSearch(shardReq.search.id)
 				}
 			})
 			status, _, _, _ := c.answer()
@@ -169,34 +169,34 @@
 func TestRepeatsLeaveWithinTheirWindow(t *testing.T) {
 	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
 		var told []string
-		o, l, s := oneOut(stageWritten)
+		loop, conn, search := oneOut(stageWritten)
 		now := int64(1000)
-		o.keyedClasses, o.repeatWindows, o.balancer, o.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
-		o.ctx, o.tasks = t.Context(), make(chan func(), 4)
-		l.connectedAt, l.clockTicks = 1, func() int64 { return now }
-		l.onMissedDeadline = func(p *outboundMessage) { o.submit(func() { o.handleMissedDeadline(l, p) }) }
-		p := s.shardRequests[0]
-		p.attempts[0].sentAt, p.attempts[0].replica = now, l.replica
-		o.CancelAttempt(p.id, 0)
-		c := &batch{connection: l}
-		sub := &attempt{shardRequest: p, index: 1, name: "q.0", batch: c, deadline: 50_000, replica: l.replica}
-		c.attempts, l.attempts, p.attempts = []*attempt{sub}, []*attempt{sub}, append(p.attempts, sub)
-		p.unreported, l.openBatches = p.unreported+1, 1
+		loop.keyedClasses, loop.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
+		loop.ctx, loop.tasks = t.Context(), make(chan func(), 4)
+		conn.connectedAt, conn.clockTicks = 1, func() int64 { return now }
+		conn.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(conn, message) }) }
+		request := search.shardRequests[0]
+		request.attempts[0].sentAt, request.attempts[0].replica = now, conn.replica
+		loop.CancelAttempt(request.id, 0)
+		c := &batch{connection: conn}
+		sub := &attempt{shardRequest: request, index: 1, name: "q.0", batch: c, deadline: 50_000, replica: conn.replica}
+		c.attempts, conn.attempts, request.attempts = []*attempt{sub}, []*attempt{sub}, append(request.attempts, sub)
+		request.unreported, conn.openBatches = request.unreported+1, 1
 		now += 2900
-		o.now = now
-		o.queueBatch(c)
+		loop.now = now
+		loop.queueBatch(c)
 		if late {
 			now += 90 // 10 ms before its end, less what is kept for its way
 		}
 		var out strings.Builder
-		<-l.queue // the cancel frame
-		require.NoError(t, l.writeCoalesced(writes{to: &out}, <-l.queue, new([]*outboundMessage), func(*outboundMessage) error { return nil }))
+		<-conn.queue // the cancel frame
+		require.NoError(t, conn.writeCoalesced(writes{to: &out}, <-conn.queue, new([]*outboundMessage), func(*outboundMessage) error { return nil }))
 		require.Equal(t, want, c.message.stage.Load(), "late: %t", late)
 		require.Equal(t, !late, out.Len() > 0)
 		if late {
-			(<-o.tasks)()
-			require.Equal(t, "Ignored", o.nextEvents[len(o.nextEvents)-1].outcome)
-			require.Empty(t, l.attempts)
+			(<-loop.tasks)()
+			require.Equal(t, "Ignored", loop.nextEvents[len(loop.nextEvents)-1].outcome)
+			require.Empty(t, conn.attempts)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 		require.Equal(t, one{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
 		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
 		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
-		r.inTurn(func(o *eventLoop) { o.ShedSearch(id, 0) })
+		r.inTurn(func(loop *eventLoop) { loop.ShedSearch(id, 0) })
 		status, _, _, _ := c.answer()
 		require.Equal(t, 503, status)
 	}
@@ -278,17 +278,17 @@
 func TestLateAnswerUnderContracts(t *testing.T) {
 	for _, bound := range []bool{false, true} {
 		var told []string
-		o, l, s := oneOut(stageWritten)
-		o.allowsSecondCopies, o.abandoned, o.balancer = false, map[*attempt]*abandonedAttempt{}, deaf{told: &told}
+		loop, conn, search := oneOut(stageWritten)
+		loop.allowsSecondCopies, loop.abandoned, loop.balancer = false, map[*attempt]*abandonedAttempt{}, deaf{told: &told}
 		if bound {
-			o.enforcer = &residencyEnforcer{}
+			loop.enforcer = &residencyEnforcer{}
 		}
-		p := s.shardRequests[0]
-		o.CancelAttempt(p.id, 0)
-		require.Empty(t, o.nextEvents)
-		o.handleAnswer(l, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
+		request := search.shardRequests[0]
+		loop.CancelAttempt(request.id, 0)
+		require.Empty(t, loop.nextEvents)
+		loop.handleAnswer(conn, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
 		require.Equal(t, []string{map[bool]string{false: "Ok", true: "Canceled"}[bound]}, told)
-		require.Equal(t, !bound, p.completed)
-		require.Empty(t, o.abandoned)
+		require.Equal(t, !bound, request.completed)
+		require.Empty(t, loop.abandoned)
 	}
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -145,8 +145,8 @@
 		"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":0,"servers":[]},"settings":%s}`,
 		ln.Addr(), list.Listener.Addr(), testSettings))
 	require.NoError(t, err)
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
 		ended <- Serve(ctx, p, Options{
@@ -157,7 +157,7 @@
 	var out strings.Builder
 	exchange(t, &out, ln.Addr().String(), "health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	requireGolden(t, "health_without_hosts.golden", out.String())
-	stop()
+	cancel()
 	require.NoError(t, <-ended)
 }
 
@@ -172,11 +172,11 @@
 func (s searchUnderTest) answerShards(step int, shards ...int) {
 	for _, shard := range shards {
 		s.eventually("the step begins", func() (there bool) {
-			s.inTurn(func(o *eventLoop) {
-				for _, p := range o.searches[s.id].shardRequests {
-					if p.step == step && p.shard == shard {
+			s.inTurn(func(loop *eventLoop) {
+				for _, request := range loop.searches[s.id].shardRequests {
+					if request.step == step && request.shard == shard {
 						there = true
-						o.SendAttempt(p.id, []string{"a0", "b0"}[shard%2], 0)
+						loop.SendAttempt(request.id, []string{"a0", "b0"}[shard%2], 0)
 					}
 				}
 			})
@@ -187,7 +187,7 @@
 }
 
 func (s searchUnderTest) settle(whole bool) {
-	s.inTurn(func(o *eventLoop) { o.AnswerSearch(s.id, whole) })
+	s.inTurn(func(loop *eventLoop) { loop.AnswerSearch(s.id, whole) })
 }
 
 // Searches get the bytes of the golden file for each way in which they end: whole, in part, after two steps, shed, failed, and
@@ -232,14 +232,14 @@
 			s.answerShards(2, 1)
 			s.settle(false)
 		}},
-		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.ShedSearch(s.id, 0) }) }},
-		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.ShedSearch(s.id, 2500) }) }},
+		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 0) }) }},
+		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 2500) }) }},
 		{
 			"shed with a wait, close", "all", "Connection: close\r\n", fourParts,
-			func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.ShedSearch(s.id, 12345) }) },
+			func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 12345) }) },
 		},
-		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.FailSearch(s.id) }) }},
-		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(o *eventLoop) { o.FailSearch(s.id) }) }},
+		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
+		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
 	} {
 		text := request(fmt.Sprint("q", i), x.class, x.head, x.body)
 		c := dialRaw(t, r.addr).send(text)
@@ -254,7 +254,7 @@
 	exchange(t, &out, r.addr, "request id that is in use", request("same", "all", "", fourParts))
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
-	r.inTurn(func(o *eventLoop) { require.Nil(t, o.searches[id]) })
+	r.inTurn(func(loop *eventLoop) { require.Nil(t, loop.searches[id]) })
 	requireGolden(t, "client_responses.golden", out.String())
 	r.end()
 }
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -68,11 +68,11 @@
 	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
 	c := r.call().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
 	ids := <-module.searches
-	r.inTurn(func(o *eventLoop) { o.SendAttempt(ids[1], "a0", 0) })
+	r.inTurn(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
 	<-held
-	r.inTurn(func(o *eventLoop) { o.CancelAttempt(ids[1], 0) })
+	r.inTurn(func(loop *eventLoop) { loop.CancelAttempt(ids[1], 0) })
 	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Observed(); return len(given) == 1 })
-	r.inTurn(func(o *eventLoop) { o.FailSearch(ids[0]) })
+	r.inTurn(func(loop *eventLoop) { loop.FailSearch(ids[0]) })
 	c.answer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
 	requireGolden(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
@@ -82,8 +82,8 @@
 // callOf is one call with shard requests of a search, which has so many tenths of a millisecond left.
 func callOf(addr string, left int64, parts ...*shardRequest) *batch {
 	c := &batch{connection: &replicaConnection{replica: &replica{id: "h", addr: addr}}}
-	for _, p := range parts {
-		c.attempts = append(c.attempts, &attempt{shardRequest: p, name: string(p.appendName(nil)), deadline: 1000 + left})
+	for _, request := range parts {
+		c.attempts = append(c.attempts, &attempt{shardRequest: request, name: string(request.appendName(nil)), deadline: 1000 + left})
 	}
 	return c
 }
@@ -91,7 +91,7 @@
 // Calls in both wire protocols have the bytes of the golden file: a shard, two shards, second steps, and searches that have no
 // time left.
 func TestGoldenReplicaCalls(t *testing.T) {
-	o := &eventLoop{now: 1000}
+	loop := &eventLoop{now: 1000}
 	first := &search{name: "q-1", text: []byte("two\nlines é")}
 	second := &search{name: "q-2", text: []byte(`{"query":{"match_all":{}}}`), firstStepShards: []int{0, 3, 12}, firstStepComplete: true}
 	partial := &search{name: "q-3", firstStepShards: []int{7}}
@@ -106,8 +106,8 @@
 		{"second step, partial", callOf("[::1]:9200", 19, &shardRequest{search: partial, step: 2, shard: 7})},
 		{"no time left", callOf("10.0.0.1:9200", -5, &shardRequest{search: first, step: 1, shard: 3})},
 	} {
-		fmt.Fprintf(&out, "== %s\n%q\n", x.name, frameProtocol{}.appendBatch(o, nil, x.c))
-		quotedLines(&out, "<", string(openSearchProtocol{HostKind{Index: "members of/é"}}.appendBatch(o, nil, x.c)))
+		fmt.Fprintf(&out, "== %s\n%q\n", x.name, frameProtocol{}.appendBatch(loop, nil, x.c))
+		quotedLines(&out, "<", string(openSearchProtocol{HostKind{Index: "members of/é"}}.appendBatch(loop, nil, x.c)))
 	}
 	requireGolden(t, "replica_calls.golden", out.String())
 }
@@ -177,7 +177,7 @@
 	bodies, err := os.ReadFile("testdata/lists_in.golden")
 	require.NoError(t, err)
 	var out strings.Builder
-	o := &eventLoop{
+	loop := &eventLoop{
 		plan: p, replicas: map[string]*replica{}, balancer: toldEntries{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
 		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, balancerTimers: map[uint64]*balancerTimer{},
 	}
@@ -193,17 +193,17 @@
 			fmt.Fprintf(&out, "  unusable\n")
 			continue
 		}
-		for _, h := range list.Hosts {
-			fmt.Fprintf(&out, "  host %q %q zone=%q kind=%q cell=%d state=%d weight=%g started_ms=%d removed=%t\n", h.ID, h.Addr,
-				h.Zone, h.Kind, h.Cell, h.State, h.Weight, h.StartedMS, h.Removed)
+		for _, host := range list.Hosts {
+			fmt.Fprintf(&out, "  host %q %q zone=%q kind=%q cell=%d state=%d weight=%g started_ms=%d removed=%t\n", host.ID, host.Addr,
+				host.Zone, host.Kind, host.Cell, host.State, host.Weight, host.StartedMS, host.Removed)
 		}
 		how := "Partial"
 		if list.Full {
 			how = "Complete"
 		}
-		o.applyEndpointList(how, list)
+		loop.applyEndpointList(how, list)
 		var known []string
-		for id, r := range o.replicas {
+		for id, r := range loop.replicas {
 			_, speaksAPI := r.protocol.(openSearchProtocol)
 			known = append(known, fmt.Sprintf("%s=%s,api=%t,closed=%t", id, r.addr, speaksAPI, r.closedToNew))
 		}
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -137,7 +137,7 @@
 	require.Equal(t, goldenNotes().Entries, k.restored.Observations.Entries)
 	require.NoError(t, k.flushEvents(t.Context()))
 	var events []store.Event
-	require.NoError(t, k.events.ForEach(0, "", func(e store.Event) bool { events = append(events, e); return true }))
+	require.NoError(t, k.events.ForEach(0, "", func(event store.Event) bool { events = append(events, event); return true }))
 	require.Equal(t, []store.Event{
 		{Sequence: 0, UnixMs: goldenNow, Kind: "start", Message: "believes all: 0 hosts listed, notes of 0"},
 		{Sequence: 1, UnixMs: goldenNow, Kind: "stop", Message: "planned"},
--- a/coordinator/held_test.go
+++ b/coordinator/held_test.go
@@ -23,8 +23,8 @@
 	held := func() (wakes, timers, parts, searches, lines int) {
 		told := make(chan struct{})
 		require.True(t, r.owner.submit(func() {
-			o := r.owner
-			wakes, timers, parts, searches, lines = o.timers.Len(), len(o.balancerTimers), len(o.shardRequests), len(o.searches), o.replicaConnectionCount
+			loop := r.owner
+			wakes, timers, parts, searches, lines = loop.timers.Len(), len(loop.balancerTimers), len(loop.shardRequests), len(loop.searches), loop.replicaConnectionCount
 			close(told)
 		}))
 		<-told
@@ -105,15 +105,15 @@
 func TestSlowReader(t *testing.T) {
 	r := start(t, 256, nil)
 	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
-	o := <-look
+	loop := <-look
 	call := func() *caller {
 		own, other := net.Pipe()
 		p.conns <- other
@@ -122,21 +122,21 @@
 	}
 	slow, gone, sound := call(), call(), call()
 	slow.send(request("slow", "all", "", fourParts))
-	r.eventually("an answer is held", func() bool { return o.unsentBytes.Load() > 0 })
-	one := o.unsentBytes.Load()
+	r.eventually("an answer is held", func() bool { return loop.unsentBytes.Load() > 0 })
+	one := loop.unsentBytes.Load()
 	gone.send(request("gone", "all", "", fourParts))
-	r.eventually("two are", func() bool { return o.unsentBytes.Load() == 2*one })
+	r.eventually("two are", func() bool { return loop.unsentBytes.Load() == 2*one })
 	for i := range 5 {
 		sound.want(fmt.Sprint("sound", i), "all", 200, wholeOfAll)
 	}
-	r.eventually("no more than two are", func() bool { return o.unsentBytes.Load() == 2*one })
+	r.eventually("no more than two are", func() bool { return loop.unsentBytes.Load() == 2*one })
 	status, _, text, _ := slow.answer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
-	r.eventually("one is", func() bool { return o.unsentBytes.Load() == one })
+	r.eventually("one is", func() bool { return loop.unsentBytes.Load() == one })
 	gone.Close()
-	r.eventually("none is", func() bool { return o.unsentBytes.Load() == 0 })
-	stop()
+	r.eventually("none is", func() bool { return loop.unsentBytes.Load() == 0 })
+	cancel()
 	select {
 	case err := <-ended:
 		require.NoError(t, err)
--- a/coordinator/keeping.go
+++ b/coordinator/keeping.go
@@ -77,11 +77,11 @@
 }
 
 func newPersistence(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
 	k := &Persistence{
 		path: path, exclusive: alone, budget: budget, planVersion: int64(p.Known.Version), identity: p.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
-		stopLog: stop, stopOpening: enough, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
+		stopLog: cancel, stopOpening: enough, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
 	}
 	k.discoveryVersion.Store(k.planVersion)
 	k.logWriter.Go(func() { k.log.run(ctx) })
@@ -214,24 +214,24 @@
 		defer close(out)
 		opened := k.opened
 		for {
-			var t endpoints.Update
+			var update endpoints.Update
 			select {
 			case <-opened:
 				if opened = nil; k.restored.Update == nil {
 					continue
 				}
-				t = *k.restored.Update
+				update = *k.restored.Update
 			case told, ok := <-more:
 				if !ok {
 					more = nil
 					continue
 				}
-				t = told
+				update = told
 			case <-ctx.Done():
 				return
 			}
 			select {
-			case out <- t:
+			case out <- update:
 			case <-ctx.Done():
 				return
 			}
@@ -256,8 +256,8 @@
 
 func (k *Persistence) closeStore() {
 	k.stopOpening()
-	ctx, stop := context.WithTimeout(context.Background(), storeCloseTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), storeCloseTimeout)
+	defer cancel()
 	if s, _ := k.WaitForStore(ctx); s != nil {
 		if err := s.Close(ctx); err != nil {
 			k.log.Warn("store_failed", advice.LogAttrs(err)...)
@@ -283,45 +283,45 @@
 
 // run is the co-ordinator's side: what was kept of hosts is told as a peer's report, then jobs write. stopping ends at
 // the start of a planned stop.
-func (k *Persistence) run(o *eventLoop, stopping context.Context) {
-	o.group.Go(func() error {
-		if _, err := k.WaitForStore(o.ctx); err != nil {
+func (k *Persistence) run(loop *eventLoop, stopping context.Context) {
+	loop.group.Go(func() error {
+		if _, err := k.WaitForStore(loop.ctx); err != nil {
 			return nil // it was told
 		}
-		if n := k.restored.Observations; n != nil {
-			k.importStoredObservations(o, n)
+		if observations := k.restored.Observations; observations != nil {
+			k.importStoredObservations(loop, observations)
 		}
 		job := scheduler.Job{Name: "keep", Kind: persistJobKind, Priority: scheduler.PriorityNormal, Delay: int64(firstPersistDelay / tick), Interval: int64(persistInterval / tick)}
-		_, err := o.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
-			ctx, stop := context.WithTimeout(ctx, persistTimeout)
-			defer stop()
-			return k.write(ctx, o, a, false)
+		_, err := loop.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
+			ctx, cancel := context.WithTimeout(ctx, persistTimeout)
+			defer cancel()
+			return k.write(ctx, loop, a, false)
 		})
 		if err != nil {
-			o.log.Warn("job_given_up", "job", "keep", "error", err)
+			loop.log.Warn("job_given_up", "job", "keep", "error", err)
 		}
 		select {
 		case <-stopping.Done():
-		case <-o.ctx.Done():
+		case <-loop.ctx.Done():
 			return nil
 		}
-		ctx, stop := context.WithTimeout(o.ctx, lastPersistTimeout)
-		defer stop()
+		ctx, cancel := context.WithTimeout(loop.ctx, lastPersistTimeout)
+		defer cancel()
 		k.RecordEvent("stop", "planned")
-		k.write(ctx, o, nil, true)
+		k.write(ctx, loop, nil, true)
 		return nil
 	})
 }
 
 // importStoredObservations tells what an earlier run knew of hosts as one peer's report.
-func (k *Persistence) importStoredObservations(o *eventLoop, n *recovery.Observations) {
-	l, h := o.peers, n.Head
-	since := int64(k.clock.Now().Sub(time.UnixMilli(n.SavedAt)) / tick) // the machine's clock tells how long the start has taken
+func (k *Persistence) importStoredObservations(loop *eventLoop, observations *recovery.Observations) {
+	l, h := loop.peers, observations.Head
+	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the machine's clock tells how long the start has taken
 	h.Peer, h.Locality = recovery.PeerName, l.options.Location
 	l.mu.Lock()
-	err := l.reports.BeginReport(o.clockTicks()-max(0, since), h)
+	err := l.reports.BeginReport(loop.clockTicks()-max(0, since), h)
 	if err == nil {
-		err = l.reports.AddObservations(h.Peer, n.Entries)
+		err = l.reports.AddObservations(h.Peer, observations.Entries)
 	}
 	if err == nil {
 		l.reports.CompleteReport(h.Peer)
@@ -330,10 +330,10 @@
 	}
 	l.mu.Unlock()
 	if err != nil {
-		o.log.Info("left_out", "what", observationsKey, "why", err.Error())
+		loop.log.Info("left_out", "what", observationsKey, "why", err.Error())
 		return
 	}
-	o.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
+	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
 }
 
 // recordList takes in the list in force.
@@ -343,7 +343,7 @@
 }
 
 // write writes what is new. Its last write also tells that the stop was planned.
-func (k *Persistence) write(ctx context.Context, o *eventLoop, a *scheduler.Allowance, last bool) (err error) {
+func (k *Persistence) write(ctx context.Context, loop *eventLoop, a *scheduler.Allowance, last bool) (err error) {
 	select {
 	case k.writeSlot <- struct{}{}:
 		defer func() { <-k.writeSlot }()
@@ -351,11 +351,11 @@
 		return ctx.Err()
 	}
 	defer func() {
-		if err != nil && o.ctx.Err() == nil {
-			o.log.warnLimited("store_failed", "store_failed", advice.LogAttrs(err)...)
+		if err != nil && loop.ctx.Err() == nil {
+			loop.log.warnLimited("store_failed", "store_failed", advice.LogAttrs(err)...)
 		}
 	}()
-	l, began, puts := o.peers, time.Now(), map[string][]byte{}
+	l, began, puts := loop.peers, time.Now(), map[string][]byte{}
 	put := func(key string, v any) error {
 		text, err := cbor.Marshal(v)
 		puts[key] = text
@@ -423,8 +423,8 @@
 }
 
 // recordEvent is for parts that may have no Keep.
-func (o *eventLoop) recordEvent(kind, words string) {
-	if o.Persistence != nil {
-		o.Persistence.RecordEvent(kind, words)
+func (loop *eventLoop) recordEvent(kind, words string) {
+	if loop.Persistence != nil {
+		loop.Persistence.RecordEvent(kind, words)
 	}
 }
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -28,8 +28,8 @@
 // keeping serves a co-ordinator on a rig's hosts that keeps what it knows at a path; its discovery is away.
 func (r *rig) keeping(path string, o store.Options) *rig {
 	ln := listen(r.t)
-	ctx, stop := context.WithCancel(context.Background())
-	more := &rig{t: r.t, replicas: r.replicas, list: script(r.t), addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1), log: &journal{}}
+	ctx, cancel := context.WithCancel(context.Background())
+	more := &rig{t: r.t, replicas: r.replicas, list: script(r.t), addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1), log: &journal{}}
 	plan := *r.plan
 	plan.Discovery = more.list.Listener.Addr().String()
 	more.plan = &plan
@@ -44,7 +44,7 @@
 		more.ended <- err
 	}()
 	more.owner = <-look
-	r.t.Cleanup(stop)
+	r.t.Cleanup(cancel)
 	return more
 }
 
@@ -118,7 +118,7 @@
 	j, err := store.NewEventLog(s, eventBucket, 0)
 	require.NoError(t, err)
 	kinds := map[string]int{}
-	require.NoError(t, j.ForEach(0, "", func(e store.Event) bool { kinds[e.Kind]++; return true }))
+	require.NoError(t, j.ForEach(0, "", func(event store.Event) bool { kinds[event.Kind]++; return true }))
 	require.Equal(t, 2, kinds["start"])
 	require.Equal(t, 2, kinds["stop"])
 	require.Positive(t, kinds["list"])
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -262,19 +262,19 @@
 	for name, d := range at {
 		way.up[name] = d.serve
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	look, ended := make(chan *eventLoop, 1), make(chan error, 1)
-	m := Options{
+	options := Options{
 		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: look,
 		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at),
 	}
 	if more != nil {
-		more(&m)
+		more(&options)
 	}
-	go func() { ended <- Serve(ctx, p, m) }()
+	go func() { ended <- Serve(ctx, p, options) }()
 	f.owner = <-look
 	f.stop = func() { // so that nothing of the test's time is left
-		stop()
+		cancel()
 		require.NoError(t, <-ended)
 		for _, conn := range way.wires {
 			conn.Close()
@@ -498,8 +498,8 @@
 	write(`"discovery":"file",`)
 	first, err := readPlan(env)
 	require.NoError(t, err)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	signals := make(chan os.Signal)
 	plans := first.WatchReloads(ctx, signals, env, slog.New(slog.DiscardHandler))
 	for _, x := range [][2]string{
@@ -747,9 +747,9 @@
 	r.end()
 
 	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: cancel, ended: ended}
 	go func() {
 		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -28,9 +28,9 @@
 	ownPlan.Known = plan.EndpointList{Version: ownPlan.Known.Version, Full: true}
 	ownPlan.Discovery = other.Listener.Addr().String()
 	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended, list: other}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: cancel, ended: ended, list: other}
 	go func() {
 		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -107,6 +107,7 @@
 func (b boundedHandler) Enabled(ctx context.Context, l slog.Level) bool {
 	return b.handler.Enabled(ctx, l)
 }
+
 func (b boundedHandler) WithAttrs(as []slog.Attr) slog.Handler {
 	return boundedHandler{b.logger, b.handler.WithAttrs(as)}
 }
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -27,24 +27,24 @@
 }
 
 // newEndpointSources begins with the plan's list.
-func newEndpointSources(o *eventLoop, more <-chan endpoints.Update, version int64, known []plan.ListedHost) *endpointSources {
-	m := &endpointSources{loop: o, registry: endpoints.NewRegistry(o.plan.EndpointRules()), discoveryUpdates: make(chan discoveryUpdate), updates: more, loggedHolds: map[string]string{}}
+func newEndpointSources(loop *eventLoop, more <-chan endpoints.Update, version int64, known []plan.ListedHost) *endpointSources {
+	m := &endpointSources{loop: loop, registry: endpoints.NewRegistry(loop.plan.EndpointRules()), discoveryUpdates: make(chan discoveryUpdate), updates: more, loggedHolds: map[string]string{}}
 	m.apply(newEndpointUpdate("plan", endpoints.RankPlan, version, true, false, known))
 	return m
 }
 
 func newEndpointUpdate(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []plan.ListedHost) endpoints.Update {
-	t := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
-	for _, h := range hosts {
-		t.Hosts = append(t.Hosts, h.Host)
+	update := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
+	for _, host := range hosts {
+		update.Hosts = append(update.Hosts, host.Host)
 	}
-	return t
+	return update
 }
 
 // applyDiscovery hands discovery's list on, and tells why it is refused. Guards against a version that counts as had while its
 // changes are not: they would not be told again.
-func (m *endpointSources) applyDiscovery(t endpoints.Update) error {
-	d := discoveryUpdate{t, make(chan error, 1)}
+func (m *endpointSources) applyDiscovery(update endpoints.Update) error {
+	d := discoveryUpdate{update, make(chan error, 1)}
 	select {
 	case m.discoveryUpdates <- d:
 	case <-m.loop.ctx.Done():
@@ -59,11 +59,11 @@
 }
 
 func (m *endpointSources) run() error {
-	o := m.loop
+	loop := m.loop
 	for {
 		var due <-chan time.Time
 		if at := m.registry.NextTick(); at > 0 {
-			due = o.Clock.After(time.Duration(max(at-o.clockTicks(), 1)) * tick)
+			due = loop.Clock.After(time.Duration(max(at-loop.clockTicks(), 1)) * tick)
 		}
 		changed := false
 		select {
@@ -71,15 +71,15 @@
 			var err error
 			changed, err = m.apply(d.Update)
 			d.result <- err
-		case t, ok := <-m.updates:
+		case update, ok := <-m.updates:
 			if !ok {
 				m.updates = nil
 				continue
 			}
-			changed, _ = m.apply(t)
+			changed, _ = m.apply(update)
 		case <-due:
-			changed = m.registry.Tick(o.clockTicks())
-		case <-o.ctx.Done():
+			changed = m.registry.Tick(loop.clockTicks())
+		case <-loop.ctx.Done():
 			return nil
 		}
 		if changed && !m.publish() {
@@ -89,23 +89,23 @@
 }
 
 // apply tells the book a list, and the log what the book thinks of it.
-func (m *endpointSources) apply(t endpoints.Update) (changed bool, err error) {
-	for i := range t.Hosts {
-		t.Hosts[i].Zone, t.Hosts[i].Kind = settings.FormatValue(t.Hosts[i].Zone), settings.FormatValue(t.Hosts[i].Kind)
+func (m *endpointSources) apply(update endpoints.Update) (changed bool, err error) {
+	for i := range update.Hosts {
+		update.Hosts[i].Zone, update.Hosts[i].Kind = settings.FormatValue(update.Hosts[i].Zone), settings.FormatValue(update.Hosts[i].Kind)
 	}
-	changed, err = m.registry.Apply(m.loop.clockTicks(), t)
+	changed, err = m.registry.Apply(m.loop.clockTicks(), update)
 	if err != nil {
-		m.loop.log.warnLimited("list_refused "+t.Source, "list_refused", "source", t.Source, "error", err)
-		m.loop.recordEvent("list_refused", t.Source+": "+err.Error())
+		m.loop.log.warnLimited("list_refused "+update.Source, "list_refused", "source", update.Source, "error", err)
+		m.loop.recordEvent("list_refused", update.Source+": "+err.Error())
 		return false, err
 	}
 	held := m.registry.HeldBackSources()
-	if why := held[t.Source]; why != "" && why != m.loggedHolds[t.Source] {
-		m.loop.log.warnLimited("list_held "+t.Source, "list_held", "source", t.Source, "why", why)
-		m.loop.recordEvent("list_held", t.Source+": "+why)
+	if why := held[update.Source]; why != "" && why != m.loggedHolds[update.Source] {
+		m.loop.log.warnLimited("list_held "+update.Source, "list_held", "source", update.Source, "why", why)
+		m.loop.recordEvent("list_held", update.Source+": "+why)
 	}
-	if m.loop.Persistence != nil && t.Rank == endpoints.RankDiscovery && held[t.Source] == "" {
-		m.loop.Persistence.discoveryVersion.Store(t.Version)
+	if m.loop.Persistence != nil && update.Rank == endpoints.RankDiscovery && held[update.Source] == "" {
+		m.loop.Persistence.discoveryVersion.Store(update.Version)
 	}
 	m.loggedHolds = held
 	return changed, nil
@@ -113,28 +113,28 @@
 
 // publish puts the list in force in the owner's place, in one turn; false once the co-ordinator has ended.
 func (m *endpointSources) publish() bool {
-	o, generation := m.loop, m.registry.Generation()
+	loop, generation := m.loop, m.registry.Generation()
 	var hosts []plan.ListedHost
 	var steps []func()
 	present := map[string]bool{}
 	list := m.registry.List()
-	for _, e := range list {
-		present[e.ID] = true
-		hosts = append(hosts, plan.ListedHost{Host: e.Host, ZoneConflict: e.ZoneConflict})
-		zone, kind, status := o.settingPosition("FailureDomains", e.Zone), o.settingPosition("MachineTypes", e.Kind), "healthy"
-		if e.State == endpoints.StateDraining {
+	for _, endpoint := range list {
+		present[endpoint.ID] = true
+		hosts = append(hosts, plan.ListedHost{Host: endpoint.Host, ZoneConflict: endpoint.ZoneConflict})
+		zone, kind, status := loop.settingPosition("FailureDomains", endpoint.Zone), loop.settingPosition("MachineTypes", endpoint.Kind), "healthy"
+		if endpoint.State == endpoints.StateDraining {
 			status = "cordoned"
 		}
 		steps = append(steps, func() {
-			o.placeReplica(e.ID, e.Addr, e.Kind, e.StartedMS*10, false, e.State == endpoints.StateDraining)
-			o.balancer.AddEndpoint(e.ID, zone, kind, e.Cell, status, e.Weight, e.StartedMS*10)
+			loop.placeReplica(endpoint.ID, endpoint.Addr, endpoint.Kind, endpoint.StartedMS*10, false, endpoint.State == endpoints.StateDraining)
+			loop.balancer.AddEndpoint(endpoint.ID, zone, kind, endpoint.Cell, status, endpoint.Weight, endpoint.StartedMS*10)
 		})
 	}
-	if o.Persistence != nil {
-		o.Persistence.recordList(list, m.registry.Removals(o.clockTicks()))
-		o.recordEvent("list", fmt.Sprintf("generation %d, %d hosts", generation, len(hosts)))
+	if loop.Persistence != nil {
+		loop.Persistence.recordList(list, m.registry.Removals(loop.clockTicks()))
+		loop.recordEvent("list", fmt.Sprintf("generation %d, %d hosts", generation, len(hosts)))
 	}
-	ok := o.submit(func() { o.putListInForce("Complete", generation, hosts, present, steps) })
-	o.notifyEndpointList(true, generation, hosts)
+	ok := loop.submit(func() { loop.putListInForce("Complete", generation, hosts, present, steps) })
+	loop.notifyEndpointList(true, generation, hosts)
 	return ok
 }
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -22,9 +22,9 @@
 // withLists serves a second co-ordinator on a rig's hosts and list that has other sources of hosts too.
 func (r *rig) withLists(lists <-chan endpoints.Update) *rig {
 	ln := listen(r.t)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	more := &rig{
-		t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
+		t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1),
 		log: &journal{}, plan: r.plan,
 	}
 	look := make(chan *eventLoop, 1)
@@ -35,7 +35,7 @@
 		})
 	}()
 	more.owner = <-look
-	r.t.Cleanup(stop)
+	r.t.Cleanup(cancel)
 	more.logged("event=serving")
 	return more
 }
@@ -65,12 +65,12 @@
 	var g sync.WaitGroup
 	g.Go(func() {
 		for v := int64(2); ; v++ {
-			t := told(v, "0", "1")
+			update := told(v, "0", "1")
 			if v%2 == 0 {
-				t = told(v, "1", "0")
+				update = told(v, "1", "0")
 			}
 			select {
-			case lists <- t:
+			case lists <- update:
 			case <-over:
 				return
 			}
@@ -137,7 +137,7 @@
 	}
 	write(text("a0", "a1", "b0", "b1"))
 	lists := make(chan endpoints.Update)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
 		(&hostfile.Watcher{Paths: []string{path}, Notify: func(e hostfile.Event) {
@@ -199,7 +199,7 @@
 	}
 	require.Equal(t, before, r.replicas["b1"].CountRequests())
 	r.end()
-	stop()
+	cancel()
 	watching.Wait()
 	first.end()
 }
--- a/coordinator/owner.go
+++ b/coordinator/owner.go
@@ -206,13 +206,13 @@
 	label uint64
 }
 
-func (w *balancerTimer) fire(o *eventLoop) {
+func (w *balancerTimer) fire(loop *eventLoop) {
 	label := w.label
-	delete(o.balancerTimers, label)
-	if len(o.spareTimers) < maxSpareTimers {
-		o.spareTimers = append(o.spareTimers, w)
+	delete(loop.balancerTimers, label)
+	if len(loop.spareTimers) < maxSpareTimers {
+		loop.spareTimers = append(loop.spareTimers, w)
 	}
-	o.balancer.HandleTimer(label)
+	loop.balancer.HandleTimer(label)
 }
 
 type timerQueue struct {
@@ -245,156 +245,156 @@
 }
 
 // submit hands the owner something to do; false once the co-ordinator has ended.
-func (o *eventLoop) submit(do func()) bool {
+func (loop *eventLoop) submit(do func()) bool {
 	select {
-	case o.tasks <- do:
+	case loop.tasks <- do:
 		return true
-	case <-o.ctx.Done():
+	case <-loop.ctx.Done():
 		return false
 	}
 }
 
 // clockTicks is Unix time in tenths of a millisecond, and monotonic: wall time counts at the start alone.
-func (o *eventLoop) clockTicks() int64 {
-	return o.startTicks + int64(o.Clock.Now().Sub(o.startedAt)/tick)
+func (loop *eventLoop) clockTicks() int64 {
+	return loop.startTicks + int64(loop.Clock.Now().Sub(loop.startedAt)/tick)
 }
 
 const tick = 100 * time.Microsecond
 
 // startBalancer starts the module with its settings and the list as it was last known.
-func (o *eventLoop) startBalancer() (err error) {
+func (loop *eventLoop) startBalancer() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("the module: %v", r)
 		}
 	}()
-	o.now = o.clockTicks()
-	o.balancer.BeginIteration(o.now)
-	o.balancer.Configure(o.plan.Seed, o.plan.Settings)
-	known := o.plan.Known
-	o.applyEndpointList("Persisted", known)
-	o.notifyEndpointList(true, int64(known.Version), known.Hosts)
-	if o.EndpointUpdates != nil {
-		o.sources = newEndpointSources(o, o.EndpointUpdates, int64(known.Version), known.Hosts)
-	}
-	o.balancer.EndIteration()
-	if o.shadowCounts != nil {
-		o.logShadowCounts(0)
+	loop.now = loop.clockTicks()
+	loop.balancer.BeginIteration(loop.now)
+	loop.balancer.Configure(loop.plan.Seed, loop.plan.Settings)
+	known := loop.plan.Known
+	loop.applyEndpointList("Persisted", known)
+	loop.notifyEndpointList(true, int64(known.Version), known.Hosts)
+	if loop.EndpointUpdates != nil {
+		loop.sources = newEndpointSources(loop, loop.EndpointUpdates, int64(known.Version), known.Hosts)
+	}
+	loop.balancer.EndIteration()
+	if loop.shadowCounts != nil {
+		loop.logShadowCounts(0)
 	}
 	return nil
 }
 
 // run takes turns until all is answered after a stop. A fault of the module ends it with an error.
-func (o *eventLoop) run() (err error) {
+func (loop *eventLoop) run() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			o.log.Error("fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
+			loop.log.Error("fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
 			err = fmt.Errorf("fault in a turn: %v", r)
 		}
 	}()
 	for {
 		var wake <-chan time.Time
 		switch {
-		case len(o.nextEvents) > 0:
-			o.iterate(nil)
+		case len(loop.nextEvents) > 0:
+			loop.iterate(nil)
 			continue
-		case o.timers.Len() > 0:
-			at := o.timers.timers[0].at
-			wait := at - o.clockTicks()
+		case loop.timers.Len() > 0:
+			at := loop.timers.timers[0].at
+			wait := at - loop.clockTicks()
 			if wait <= 0 {
-				if first := o.timers.timers[0]; first == &o.stallDetector.timer && -wait < int64(stallThreshold/tick) {
-					o.now = max(o.now, o.clockTicks())
-					heap.Pop(&o.timers)
-					o.stallDetector.fire(o) // alone it is no turn
+				if first := loop.timers.timers[0]; first == &loop.stallDetector.timer && -wait < int64(stallThreshold/tick) {
+					loop.now = max(loop.now, loop.clockTicks())
+					heap.Pop(&loop.timers)
+					loop.stallDetector.fire(loop) // alone it is no turn
 				} else {
-					o.iterate(nil)
+					loop.iterate(nil)
 				}
 				continue
 			}
-			if o.alarm == nil || at < o.alarmAt { // one that comes early does no harm: most wakes are taken back
-				o.alarm, o.alarmAt = o.Clock.After(time.Duration(wait)*tick), at
+			if loop.alarm == nil || at < loop.alarmAt { // one that comes early does no harm: most wakes are taken back
+				loop.alarm, loop.alarmAt = loop.Clock.After(time.Duration(wait)*tick), at
 			}
-			wake = o.alarm
+			wake = loop.alarm
 		}
-		if o.listenerClosed && len(o.clients) == 0 && len(o.searches) == 0 && o.openFrontends == 0 {
+		if loop.listenerClosed && len(loop.clients) == 0 && len(loop.searches) == 0 && loop.openFrontends == 0 {
 			return errAllAnswered
 		}
 		select {
-		case do := <-o.tasks:
-			o.iterate(do)
+		case do := <-loop.tasks:
+			loop.iterate(do)
 		case <-wake:
-			o.alarm = nil
-		case <-o.ctx.Done():
-			return o.ctx.Err()
+			loop.alarm = nil
+		case <-loop.ctx.Done():
+			return loop.ctx.Err()
 		}
 	}
 }
 
 // iterate is one iterate of the module: all that is queued by now, the wakes that are due, EndIteration.
-func (o *eventLoop) iterate(first func()) {
-	late := o.catchUp()
+func (loop *eventLoop) iterate(first func()) {
+	late := loop.catchUp()
 	began := time.Now()
-	defer func() { o.busyNanos.Add(int64(time.Since(began))) }()
-	o.now = max(o.now, o.clockTicks())
-	if o.now == o.lastDispatchAt { // what two turns send is two calls: the module tells them apart by time
-		o.now++
+	defer func() { loop.busyNanos.Add(int64(time.Since(began))) }()
+	loop.now = max(loop.now, loop.clockTicks())
+	if loop.now == loop.lastDispatchAt { // what two turns send is two calls: the module tells them apart by time
+		loop.now++
 	}
-	o.balancer.BeginIteration(o.now)
-	if o.enforcer != nil {
-		o.enforcer.beginIteration()
+	loop.balancer.BeginIteration(loop.now)
+	if loop.enforcer != nil {
+		loop.enforcer.beginIteration()
 	}
 	if late {
-		o.withdrawGoneClients()
+		loop.withdrawGoneClients()
 	}
-	before := o.nextEvents
-	o.nextEvents, o.spareEvents = o.spareEvents[:0], nil
+	before := loop.nextEvents
+	loop.nextEvents, loop.spareEvents = loop.spareEvents[:0], nil
 	for _, e := range before {
 		if e.task != nil {
 			e.task()
 		} else {
-			o.recordOutcome(e.attempt, e.outcome, nil)
+			loop.recordOutcome(e.attempt, e.outcome, nil)
 		}
 	}
 	clear(before)
-	o.spareEvents = before
+	loop.spareEvents = before
 	if first != nil {
 		first()
 	}
-	for n := len(o.tasks); n > 0; n-- {
-		(<-o.tasks)()
+	for n := len(loop.tasks); n > 0; n-- {
+		(<-loop.tasks)()
 	}
-	due := o.dueTimers[:0]
-	for o.timers.Len() > 0 && o.timers.timers[0].at <= o.now {
-		due = append(due, heap.Pop(&o.timers).(*timer))
+	due := loop.dueTimers[:0]
+	for loop.timers.Len() > 0 && loop.timers.timers[0].at <= loop.now {
+		due = append(due, heap.Pop(&loop.timers).(*timer))
 	}
 	for _, w := range due {
 		if w.handler != nil { // one before it may have taken it back
-			w.handler.fire(o)
+			w.handler.fire(loop)
 		}
 	}
 	clear(due)
-	o.dueTimers = due
-	o.balancer.SetUtilization(float64(o.heldBytes+o.unsentBytes.Load()) / o.searchMemory)
-	o.balancer.EndIteration()
-	o.dispatchBatches()
+	loop.dueTimers = due
+	loop.balancer.SetUtilization(float64(loop.heldBytes+loop.unsentBytes.Load()) / loop.searchMemory)
+	loop.balancer.EndIteration()
+	loop.dispatchBatches()
 }
 
 // stallDetector is a wake that always is among the others while searches are open: how late it is found shows how long the process
 // was held up.
 type stallDetector struct{ timer }
 
-func (p *stallDetector) fire(o *eventLoop) {
-	if len(o.searches) > 0 {
-		o.startTimer(&p.timer, int64(stallCheckInterval/tick), p)
+func (p *stallDetector) fire(loop *eventLoop) {
+	if len(loop.searches) > 0 {
+		loop.startTimer(&p.timer, int64(stallCheckInterval/tick), p)
 	} else {
 		p.handler = nil
 	}
 }
 
 // armStallDetector has it come.
-func (o *eventLoop) armStallDetector() {
-	if o.stallDetector.handler == nil {
-		o.startTimer(&o.stallDetector.timer, int64(stallCheckInterval/tick), &o.stallDetector)
+func (loop *eventLoop) armStallDetector() {
+	if loop.stallDetector.handler == nil {
+		loop.startTimer(&loop.stallDetector.timer, int64(stallCheckInterval/tick), &loop.stallDetector)
 	}
 }
 
@@ -402,123 +402,125 @@
 // against a process that was held up: what its clients, its replicas and discovery did meanwhile still lies there while its
 // wakes are due and slots come free: sub-requests would go out for clients that have left, to replicas that drain, and beside
 // answers that have come.
-func (o *eventLoop) catchUp() (late bool) {
-	now := o.clockTicks()
-	if o.timers.Len() == 0 || now-o.timers.timers[0].at < int64(stallThreshold/tick) || now-o.caughtUpAt < int64(catchUpInterval/tick) {
+func (loop *eventLoop) catchUp() (late bool) {
+	now := loop.clockTicks()
+	if loop.timers.Len() == 0 || now-loop.timers.timers[0].at < int64(stallThreshold/tick) || now-loop.caughtUpAt < int64(catchUpInterval/tick) {
 		return false
 	}
-	for had, looks := -1, 0; had != len(o.tasks) && looks < maxCatchUpWaits; looks++ {
-		had = len(o.tasks)
+	for had, looks := -1, 0; had != len(loop.tasks) && looks < maxCatchUpWaits; looks++ {
+		had = len(loop.tasks)
 		select {
-		case <-o.Clock.After(catchUpWait):
-		case <-o.ctx.Done():
+		case <-loop.Clock.After(catchUpWait):
+		case <-loop.ctx.Done():
 		}
 	}
-	o.caughtUpAt = o.clockTicks()
+	loop.caughtUpAt = loop.clockTicks()
 	return true
 }
 
 // withdrawGoneClients withdraws the searches whose clients have left, though their readers have not said so yet.
-func (o *eventLoop) withdrawGoneClients() {
+func (loop *eventLoop) withdrawGoneClients() {
 	var gone []*search
-	for _, s := range o.searches {
+	for _, s := range loop.searches {
 		if s.client != nil && s.client.hasHungUp() {
 			gone = append(gone, s)
 		}
 	}
 	slices.SortFunc(gone, func(s, u *search) int { return cmp.Compare(s.id, u.id) }) // the module's actions follow its calls
 	for _, s := range gone {
-		o.withdrawSearch(s)
+		loop.withdrawSearch(s)
 	}
 }
 
-func (o *eventLoop) runAfter(wait int64, do func()) { o.startTimer(&timer{}, wait, deferredTask(do)) }
+func (loop *eventLoop) runAfter(wait int64, do func()) {
+	loop.startTimer(&timer{}, wait, deferredTask(do))
+}
 
 // startTimer has a wake come after a while; it is not among the wakes yet.
-func (o *eventLoop) startTimer(w *timer, wait int64, do timerHandler) {
-	o.timers.sequence++
-	w.at, w.sequence, w.handler = o.now+max(wait, 0), o.timers.sequence, do
-	heap.Push(&o.timers, w)
+func (loop *eventLoop) startTimer(timer *timer, wait int64, do timerHandler) {
+	loop.timers.sequence++
+	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.sequence, do
+	heap.Push(&loop.timers, timer)
 }
 
 // stopTimer takes a wake back, so that it holds nothing for the rest of its wait; one that has come or never was awaited
 // stays as it is.
-func (o *eventLoop) stopTimer(w *timer) {
-	if w.handler == nil {
+func (loop *eventLoop) stopTimer(timer *timer) {
+	if timer.handler == nil {
 		return
 	}
-	if w.handler = nil; w.index >= 0 {
-		heap.Remove(&o.timers, w.index)
+	if timer.handler = nil; timer.index >= 0 {
+		heap.Remove(&loop.timers, timer.index)
 	}
 }
 
-func (o *eventLoop) runNextIteration(do func()) {
-	o.nextEvents = append(o.nextEvents, iterationEvent{task: do})
+func (loop *eventLoop) runNextIteration(do func()) {
+	loop.nextEvents = append(loop.nextEvents, iterationEvent{task: do})
 }
 
 // deferAttemptOutcome tells the module in the next turn how a sub-request ended.
-func (o *eventLoop) deferAttemptOutcome(sub *attempt, outcome string) {
-	o.nextEvents = append(o.nextEvents, iterationEvent{attempt: sub, outcome: outcome})
+func (loop *eventLoop) deferAttemptOutcome(attempt *attempt, outcome string) {
+	loop.nextEvents = append(loop.nextEvents, iterationEvent{attempt: attempt, outcome: outcome})
 }
 
-func (o *eventLoop) nextID() uint64 {
-	o.lastID++
-	return o.lastID
+func (loop *eventLoop) nextID() uint64 {
+	loop.lastID++
+	return loop.lastID
 }
 
 // startSearch hands a search to the module. What is held is bounded by the clients' connections: one search each.
-func (o *eventLoop) startSearch(s *search) {
-	if o.openNames[s.name] { // guards against two whose parts no replica can tell apart
-		s.ended = true
-		s.reply(searchOutcome{outcome: outcomeDuplicateID})
+func (loop *eventLoop) startSearch(search *search) {
+	if loop.openNames[search.name] { // guards against two whose parts no replica can tell apart
+		search.ended = true
+		search.reply(searchOutcome{outcome: outcomeDuplicateID})
 		return
 	}
-	o.openNames[s.name] = true
-	if s.decodeValue != nil {
-		o.valueDecoders.Store(s.name, s.decodeValue)
-		o.decoderCount.Add(1)
+	loop.openNames[search.name] = true
+	if search.decodeValue != nil {
+		loop.valueDecoders.Store(search.name, search.decodeValue)
+		loop.decoderCount.Add(1)
 	}
-	s.deadline = o.now + int64((s.timeout-o.Clock.Now().Sub(s.arrivedAt))/tick)
-	s.id, s.step = o.nextID(), 1
-	o.searches[s.id] = s
-	o.armStallDetector()
-	o.holdBytes(s, searchOverheadBytes+len(s.text)+shardRequestOverheadBytes*len(s.shards))
-	o.balancer.AddSearch(s.id, s.class, s.tenant, s.key, s.deadline-o.now, s.id, len(s.shards), s.isRetry)
-	o.addShardRequests(s, s.shards, s.weights)
+	search.deadline = loop.now + int64((search.timeout-loop.Clock.Now().Sub(search.arrivedAt))/tick)
+	search.id, search.step = loop.nextID(), 1
+	loop.searches[search.id] = search
+	loop.armStallDetector()
+	loop.holdBytes(search, searchOverheadBytes+len(search.text)+shardRequestOverheadBytes*len(search.shards))
+	loop.balancer.AddSearch(search.id, search.class, search.tenant, search.key, search.deadline-loop.now, search.id, len(search.shards), search.isRetry)
+	loop.addShardRequests(search, search.shards, search.weights)
 }
 
-func (o *eventLoop) addShardRequests(s *search, shards []int, weights []float64) {
-	from, all := len(s.shardRequests), make([]shardRequest, len(shards))
-	s.shardRequests = slices.Grow(s.shardRequests, len(shards))
-	names := make([]byte, 0, len(shards)*(len(s.name)+attemptNameExtra)) // in one piece
+func (loop *eventLoop) addShardRequests(search *search, shards []int, weights []float64) {
+	from, all := len(search.shardRequests), make([]shardRequest, len(shards))
+	search.shardRequests = slices.Grow(search.shardRequests, len(shards))
+	names := make([]byte, 0, len(shards)*(len(search.name)+attemptNameExtra)) // in one piece
 	for i, shard := range shards {
-		p := &all[i]
-		p.id, p.search, p.step, p.shard = o.nextID(), s, s.step, shard
-		s.shardRequests = append(s.shardRequests, p)
-		o.shardRequests[p.id] = p
-		names = p.appendName(names)
+		request := &all[i]
+		request.id, request.search, request.step, request.shard = loop.nextID(), search, search.step, shard
+		search.shardRequests = append(search.shardRequests, request)
+		loop.shardRequests[request.id] = request
+		names = request.appendName(names)
 	}
 	text, own := string(names), [maxRequestIDBytes + attemptNameExtra]byte{}
-	for _, p := range s.shardRequests[from:] {
-		n := len(p.appendName(own[:0]))
-		p.name, text = text[:n], text[n:]
+	for _, request := range search.shardRequests[from:] {
+		n := len(request.appendName(own[:0]))
+		request.name, text = text[:n], text[n:]
 	}
-	for i, p := range s.shardRequests[from:] {
-		o.balancer.AddShardRequest(p.id, s.id, p.shard, weights[i])
+	for i, request := range search.shardRequests[from:] {
+		loop.balancer.AddShardRequest(request.id, search.id, request.shard, weights[i])
 	}
-	if o.enforcer != nil {
-		o.enforcer.restrict(s)
+	if loop.enforcer != nil {
+		loop.enforcer.restrict(search)
 	}
 }
 
 // withdrawSearch tells the module that the client has left; what it gives has to be out before anything is said to it.
-func (o *eventLoop) withdrawSearch(s *search) (first []pendingWrite) {
-	if s.ended {
+func (loop *eventLoop) withdrawSearch(search *search) (first []pendingWrite) {
+	if search.ended {
 		return nil
 	}
-	o.notifySearchEnd(s, outcomeClientGone)
-	first = o.finishSearch(s)
-	o.balancer.CancelSearch(s.id)
+	loop.notifySearchEnd(search, outcomeClientGone)
+	first = loop.finishSearch(search)
+	loop.balancer.CancelSearch(search.id)
 	return first
 }
 
@@ -529,75 +531,75 @@
 	Attempts      int           // sub-requests made for it
 }
 
-func (o *eventLoop) notifySearchEnd(s *search, kind int) {
-	if o.OnSearchEnd == nil {
+func (loop *eventLoop) notifySearchEnd(search *search, kind int) {
+	if loop.OnSearchEnd == nil {
 		return
 	}
-	e := SearchEnd{Type: s.class, Outcome: kind, Duration: o.Clock.Now().Sub(s.arrivedAt)}
-	for _, p := range s.shardRequests {
-		e.Attempts += len(p.attempts)
+	e := SearchEnd{Type: search.class, Outcome: kind, Duration: loop.Clock.Now().Sub(search.arrivedAt)}
+	for _, request := range search.shardRequests {
+		e.Attempts += len(request.attempts)
 	}
-	o.OnSearchEnd(e)
+	loop.OnSearchEnd(e)
 }
 
 // holdBytes counts what a search holds, against memory that follows what answers happen to be long. The module turns
 // searches away when there is no room: guards against an end by the kernel.
-func (o *eventLoop) holdBytes(s *search, n int) {
-	s.heldBytes += int64(n)
-	o.heldBytes += int64(n)
+func (loop *eventLoop) holdBytes(search *search, n int) {
+	search.heldBytes += int64(n)
+	loop.heldBytes += int64(n)
 }
 
 // finishSearch forgets a search and gives what has to be out before its final answer is, until the next one is finished.
-func (o *eventLoop) finishSearch(s *search) (first []pendingWrite) {
-	first = o.pendingWrites[:0]
-	defer func() { o.pendingWrites = first }()
-	o.holdBytes(s, -int(s.heldBytes))
-	s.ended = true
-	delete(o.searches, s.id)
-	delete(o.openNames, s.name)
-	if s.decodeValue != nil {
-		o.valueDecoders.Delete(s.name)
-		o.decoderCount.Add(-1)
-	}
-	for _, b := range s.pendingWrites {
-		if !b.isWritten() {
-			first = append(first, b)
+func (loop *eventLoop) finishSearch(search *search) (first []pendingWrite) {
+	first = loop.pendingWrites[:0]
+	defer func() { loop.pendingWrites = first }()
+	loop.holdBytes(search, -int(search.heldBytes))
+	search.ended = true
+	delete(loop.searches, search.id)
+	delete(loop.openNames, search.name)
+	if search.decodeValue != nil {
+		loop.valueDecoders.Delete(search.name)
+		loop.decoderCount.Add(-1)
+	}
+	for _, write := range search.pendingWrites {
+		if !write.isWritten() {
+			first = append(first, write)
 		}
 	}
-	for _, p := range s.shardRequests {
-		for _, sub := range p.attempts {
-			if g := o.abandoned[sub]; g != nil {
-				o.deferAttemptOutcome(sub, o.forgetAbandoned(g))
+	for _, request := range search.shardRequests {
+		for _, attempt := range request.attempts {
+			if abandoned := loop.abandoned[attempt]; abandoned != nil {
+				loop.deferAttemptOutcome(attempt, loop.forgetAbandoned(abandoned))
 			}
-			if sub.batch == nil {
+			if attempt.batch == nil {
 				continue
 			}
 			// Nothing is sent after the final answer: what is begun has to be out before that is.
-			if c := sub.batch; !o.recallBatch(c, s) {
-				if b := (pendingWrite{c.connection.messageConn, c.message}); !b.isWritten() {
-					first = append(first, b)
+			if batch := attempt.batch; !loop.recallBatch(batch, search) {
+				if write := (pendingWrite{batch.connection.messageConn, batch.message}); !write.isWritten() {
+					first = append(first, write)
 				}
 			}
 		}
-		o.dropShardRequest(p)
+		loop.dropShardRequest(request)
 	}
-	s.shardRequests, s.text, s.shards, s.weights, s.pendingWrites = nil, nil, nil, nil, nil // a connection keeps its last search while unused
+	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // a connection keeps its last search while unused
 	return first
 }
 
 // dropShardRequest forgets a part once its search is over and all its sub-requests are told: until then the module may
 // cancel them.
-func (o *eventLoop) dropShardRequest(p *shardRequest) {
-	if p.search.ended && p.unreported == 0 {
-		delete(o.shardRequests, p.id)
+func (loop *eventLoop) dropShardRequest(request *shardRequest) {
+	if request.search.ended && request.unreported == 0 {
+		delete(loop.shardRequests, request.id)
 	}
 }
 
-func (o *eventLoop) completedParts(s *search) []*shardRequest {
-	in := make([]*shardRequest, 0, len(s.shardRequests))
-	for _, p := range s.shardRequests {
-		if p.completed && p.step == s.step {
-			in = append(in, p)
+func (loop *eventLoop) completedParts(search *search) []*shardRequest {
+	in := make([]*shardRequest, 0, len(search.shardRequests))
+	for _, request := range search.shardRequests {
+		if request.completed && request.step == search.step {
+			in = append(in, request)
 		}
 	}
 	return in
@@ -605,100 +607,103 @@
 
 // What the module asks for; see balancer.Actions.
 
-func (o *eventLoop) AnswerSearch(id uint64, whole bool) {
-	s := o.searches[id]
-	if s == nil {
+func (loop *eventLoop) AnswerSearch(id uint64, whole bool) {
+	search := loop.searches[id]
+	if search == nil {
 		return
 	}
-	in := o.completedParts(s)
-	if more := o.followUpCount(s.class); s.step == 1 && more > 0 {
-		s.firstStepComplete = whole
-		for _, p := range in {
-			s.firstStepShards = append(s.firstStepShards, p.shard)
+	in := loop.completedParts(search)
+	if more := loop.followUpCount(search.class); search.step == 1 && more > 0 {
+		search.firstStepComplete = whole
+		for _, request := range in {
+			search.firstStepShards = append(search.firstStepShards, request.shard)
 		}
-		slices.Sort(s.firstStepShards)
-		o.runNextIteration(func() { o.startSecondStep(s, in, more) })
+		slices.Sort(search.firstStepShards)
+		loop.runNextIteration(func() { loop.startSecondStep(search, in, more) })
 		return
 	}
-	o.notifySearchEnd(s, outcomeAnswered)
-	first := o.finishSearch(s)
-	s.reply(searchOutcome{outcome: outcomeAnswered, complete: whole, parts: in, pendingWrites: first})
+	loop.notifySearchEnd(search, outcomeAnswered)
+	first := loop.finishSearch(search)
+	search.reply(searchOutcome{outcome: outcomeAnswered, complete: whole, parts: in, pendingWrites: first})
 }
 
-func (o *eventLoop) followUpCount(qtype int) int { return o.followUpCounts[qtype] }
+func (loop *eventLoop) followUpCount(qtype int) int { return loop.followUpCounts[qtype] }
 
 // startSecondStep makes the parts of the second step: at the shards with the highest scores, the lower number
 // first among equals, with equal weights.
-func (o *eventLoop) startSecondStep(s *search, in []*shardRequest, most int) {
-	if s.ended {
+func (loop *eventLoop) startSecondStep(search *search, in []*shardRequest, most int) {
+	if search.ended {
 		return
 	}
-	slices.SortFunc(in, func(p, q *shardRequest) int {
-		return cmp.Or(q.scoreValue().Cmp(p.scoreValue()), cmp.Compare(p.shard, q.shard))
+	slices.SortFunc(in, func(request, q *shardRequest) int {
+		return cmp.Or(q.scoreValue().Cmp(request.scoreValue()), cmp.Compare(request.shard, q.shard))
 	})
-	s.step = 2
+	search.step = 2
 	var shards []int
 	var weights []float64
-	for _, p := range in[:min(most, len(in))] {
-		shards = append(shards, p.shard)
+	for _, request := range in[:min(most, len(in))] {
+		shards = append(shards, request.shard)
 		weights = append(weights, 1/float64(min(most, len(in))))
 	}
-	o.addShardRequests(s, shards, weights)
+	loop.addShardRequests(search, shards, weights)
+}
+
+func (loop *eventLoop) ShedSearch(id uint64, retryIn int64) {
+	loop.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryIn})
 }
 
-func (o *eventLoop) ShedSearch(id uint64, retryIn int64) {
-	o.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryIn})
+func (loop *eventLoop) FailSearch(id uint64) {
+	loop.endSearch(id, searchOutcome{outcome: outcomeFailed})
 }
-func (o *eventLoop) FailSearch(id uint64) { o.endSearch(id, searchOutcome{outcome: outcomeFailed}) }
 
-func (o *eventLoop) endSearch(id uint64, r searchOutcome) {
-	if s := o.searches[id]; s != nil {
-		if r.refusal = o.enforcer.refusalOf(s); r.refusal != nil {
-			r.outcome, r.retryAfter = outcomeResidencyRefused, 0
+func (loop *eventLoop) endSearch(id uint64, outcome searchOutcome) {
+	if search := loop.searches[id]; search != nil {
+		if outcome.refusal = loop.enforcer.refusalOf(search); outcome.refusal != nil {
+			outcome.outcome, outcome.retryAfter = outcomeResidencyRefused, 0
 		}
-		r.dispatched = slices.ContainsFunc(s.shardRequests, func(p *shardRequest) bool { return len(p.attempts) > 0 })
-		o.notifySearchEnd(s, r.outcome)
-		r.pendingWrites = o.finishSearch(s)
-		s.reply(r)
+		outcome.dispatched = slices.ContainsFunc(search.shardRequests, func(request *shardRequest) bool { return len(request.attempts) > 0 })
+		loop.notifySearchEnd(search, outcome.outcome)
+		outcome.pendingWrites = loop.finishSearch(search)
+		search.reply(outcome)
 	}
 }
 
-func (o *eventLoop) SetTimer(wait int64, label uint64) {
+func (loop *eventLoop) SetTimer(wait int64, label uint64) {
 	var w *balancerTimer
-	if n := len(o.spareTimers); n > 0 {
-		w, o.spareTimers = o.spareTimers[n-1], o.spareTimers[:n-1]
+	if n := len(loop.spareTimers); n > 0 {
+		w, loop.spareTimers = loop.spareTimers[n-1], loop.spareTimers[:n-1]
 	} else {
 		w = &balancerTimer{}
 	}
 	w.label = label
-	o.balancerTimers[label] = w
-	o.startTimer(&w.timer, max(wait, 1), w)
+	loop.balancerTimers[label] = w
+	loop.startTimer(&w.timer, max(wait, 1), w)
 }
 
-func (o *eventLoop) CancelTimer(label uint64) {
-	w := o.balancerTimers[label]
+func (loop *eventLoop) CancelTimer(label uint64) {
+	w := loop.balancerTimers[label]
 	if w == nil {
 		return
 	}
-	delete(o.balancerTimers, label)
-	if w.index >= 0 && len(o.spareTimers) < maxSpareTimers { // one that is due in this turn is still looked at
-		o.spareTimers = append(o.spareTimers, w)
+	delete(loop.balancerTimers, label)
+	if w.index >= 0 && len(loop.spareTimers) < maxSpareTimers { // one that is due in this turn is still looked at
+		loop.spareTimers = append(loop.spareTimers, w)
 	}
-	o.stopTimer(&w.timer)
+	loop.stopTimer(&w.timer)
 }
 
-func (o *eventLoop) WatchEndpoints() {
+func (loop *eventLoop) WatchEndpoints() {
 	select {
-	case o.pollRequests <- struct{}{}:
+	case loop.pollRequests <- struct{}{}:
 	default: // asked already
 	}
 }
 
 // ProbeReplica is answered at once with nothing: the protocol has no message for it.
-func (o *eventLoop) ProbeReplica(id string) {
-	o.runNextIteration(func() { o.balancer.RecordProbeResult(id, "ConnectError", 0, nil) })
+func (loop *eventLoop) ProbeReplica(id string) {
+	loop.runNextIteration(func() { loop.balancer.RecordProbeResult(id, "ConnectError", 0, nil) })
 }
 
-func (o *eventLoop) LogMessage(text string) {
-	o.log.Info("note", "text", strings.ToValidUTF8(text, "?"))
+func (loop *eventLoop) LogMessage(text string) {
+	loop.log.Info("note", "text", strings.ToValidUTF8(text, "?"))
 }
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -68,27 +68,27 @@
 	importMu    sync.Mutex   // one hand-over to the module at a time
 }
 
-func newPeerExchange(o *eventLoop, p *PeerOptions) *peerExchange {
-	now, name := o.clockTicks(), o.plan.Name
+func newPeerExchange(loop *eventLoop, p *PeerOptions) *peerExchange {
+	now, name := loop.clockTicks(), loop.plan.Name
 	if p.Name == "" {
 		p.Name = name
 	}
 	l := &peerExchange{
-		loop: o, options: p, zones: o.plan.List("FailureDomains"), wakePoller: make(chan struct{}, 1), admission: peerreport.NewAdmission(),
+		loop: loop, options: p, zones: loop.plan.List("FailureDomains"), wakePoller: make(chan struct{}, 1), admission: peerreport.NewAdmission(),
 		startedMS: map[string]int64{}, addrs: map[string]string{},
 	}
-	l.instanceID = xxhash.Sum64String(fmt.Sprint(name, o.plan.Seed, o.Listener.Addr(), o.startedAt.UnixNano()))
+	l.instanceID = xxhash.Sum64String(fmt.Sprint(name, loop.plan.Seed, loop.Listener.Addr(), loop.startedAt.UnixNano()))
 	l.reports = peerreport.NewReportStore(p.Location, l.zones)
 	var names []string
 	for _, at := range p.PollTargets {
 		names = append(names, at.Name)
 	}
-	l.poller = peerreport.NewPoller(rand.New(rand.NewSource(o.plan.Seed+1)), now, int64(p.RefreshInterval/tick), names)
-	plan := scheduler.NewSchedule(rand.New(rand.NewSource(o.plan.Seed+2)), p.Budgets)
-	l.pool = scheduler.NewPool(o.Clock, plan, func(job string, err error) {
-		o.log.warnLimited("job", "job_given_up", "job", job, "error", err)
+	l.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(p.RefreshInterval/tick), names)
+	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), p.Budgets)
+	l.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
+		loop.log.warnLimited("job", "job_given_up", "job", job, "error", err)
 		if name, asking := strings.CutPrefix(job, pollJobPrefix); asking {
-			o.group.Go(func() error { l.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not be held up
+			loop.group.Go(func() error { l.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not be held up
 		}
 	})
 	return l
@@ -96,20 +96,22 @@
 
 // run starts what this side does, in the owner's errgroup.
 func (l *peerExchange) run() {
-	o := l.loop
-	o.group.Go(func() error { return l.pool.Run(o.ctx) })
-	o.group.Go(l.pollPeers)
-	o.group.Go(l.sampleLoad)
+	loop := l.loop
+	loop.group.Go(func() error { return l.pool.Run(loop.ctx) })
+	loop.group.Go(l.pollPeers)
+	loop.group.Go(l.sampleLoad)
 	if l.options.Listener == nil {
 		return
 	}
-	s := &peerprotocol.Server{
+	server := &peerprotocol.Server{
 		Name: l.options.Name, InstanceID: l.instanceID, AllowedNames: l.options.AllowedPeers, Credentials: l.options.Keys, Admit: l.admit,
 		Release: l.release, BuildReport: l.currentReport, BuildStatus: l.status, SpendBudget: l.spendAnswerBudget,
-		OnRejected: func(addr, why string) { o.log.warnLimited("peer_refused", "peer_refused", "client", addr, "why", why) },
+		OnRejected: func(addr, why string) {
+			loop.log.warnLimited("peer_refused", "peer_refused", "client", addr, "why", why)
+		},
 	}
-	o.log.Info("peers", "listen", l.options.Listener.Addr().String(), "name", l.options.Name, "asks", len(l.options.PollTargets))
-	o.group.Go(func() error { return s.Serve(o.ctx, l.options.Listener) })
+	loop.log.Info("peers", "listen", l.options.Listener.Addr().String(), "name", l.options.Name, "asks", len(l.options.PollTargets))
+	loop.group.Go(func() error { return server.Serve(loop.ctx, l.options.Listener) })
 }
 
 // sampleLoad takes the owner's load, by which background work waits and askers are put off. A wake that comes late tells of
@@ -267,20 +269,20 @@
 		l.reports.InvalidateHost(now, id)
 		moved = true
 	}
-	for _, h := range hosts {
-		old, known := l.addrs[h.ID]
-		if present[h.ID] = !h.Removed; h.Removed {
-			delete(l.startedMS, h.ID)
-			if delete(l.addrs, h.ID); known {
-				move(h.ID)
+	for _, host := range hosts {
+		old, known := l.addrs[host.ID]
+		if present[host.ID] = !host.Removed; host.Removed {
+			delete(l.startedMS, host.ID)
+			if delete(l.addrs, host.ID); known {
+				move(host.ID)
 			}
 			continue
 		}
-		if known && old != h.Addr {
-			move(h.ID)
+		if known && old != host.Addr {
+			move(host.ID)
 		}
-		moved = moved || !known || l.startedMS[h.ID] != h.StartedMS
-		l.startedMS[h.ID], l.addrs[h.ID] = h.StartedMS, h.Addr
+		moved = moved || !known || l.startedMS[host.ID] != host.StartedMS
+		l.startedMS[host.ID], l.addrs[host.ID] = host.StartedMS, host.Addr
 	}
 	if full {
 		for id := range l.startedMS {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -156,20 +156,20 @@
 // A host whose address changed is another machine: what was heard of it is taken back.
 func TestMovedHost(t *testing.T) {
 	ln := listen(t)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error)
-	s := &peerprotocol.Server{
+	server := &peerprotocol.Server{
 		Name: "b", InstanceID: 1, AllowedNames: []string{"a"}, Release: func() {}, OnRejected: func(string, string) {},
 		Admit: func(string) (bool, time.Duration) { return true, 0 },
 		BuildReport: func(context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 			return peerreport.ReportHeader{Peer: "b", HostCount: 1}, []peerreport.Observation{{HostID: "a0", IsOutlier: true}}, nil
 		},
 	}
-	go func() { served <- s.Serve(ctx, ln) }()
+	go func() { served <- server.Serve(ctx, ln) }()
 	p := named(t, "a", PeerAddress{"b", ln.Addr().String()})
 	r := startWith(t, 256, nil, p)
 	r.logged("event=learned peer=b hosts=1")
-	stop()
+	cancel()
 	require.NoError(t, <-served)
 	l := r.owner.peers
 	heard := func() (n int) {
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -27,8 +27,8 @@
 	if edit != nil {
 		edit(&s)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), 6*patience) // the program is built first
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 6*patience) // the program is built first
+	defer cancel()
 	r, err := fleet.New(ctx, s)
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
@@ -104,8 +104,8 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
-	ctx, stop := context.WithTimeout(context.Background(), patience)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
 	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
 	close(term)
 	require.Eventually(t, func() bool { // no new connection is taken any more
@@ -135,8 +135,8 @@
 	conn, err := net.Dial("tcp", r.Addresses("n").Client)
 	require.NoError(t, err)
 	defer conn.Close()
-	ctx, stop := context.WithTimeout(context.Background(), patience)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
 	require.NoError(t, r.Terminate(ctx, "n"))
 	require.Contains(t, r.Log("n"), "event=stopped")
 }
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -7,23 +7,23 @@
 // reload takes new plans into force: where discovery is, how many descriptors there are, and how much searches may hold.
 // The rest waits for a restart: the module takes its settings once.
 func (f *clientListener) reload(plans <-chan *plan.Plan) error {
-	o := f.loop
+	loop := f.loop
 	for {
 		select {
 		case p := <-plans:
-			o.log.Info("reloaded", "discovery", p.Discovery, "sockets", p.MaxSockets, "memory_mb", p.MemoryMB,
-				"waits_for_restart", o.plan.RestartDifferences(p))
+			loop.log.Info("reloaded", "discovery", p.Discovery, "sockets", p.MaxSockets, "memory_mb", p.MemoryMB,
+				"waits_for_restart", loop.plan.RestartDifferences(p))
 			room := int(clientDescriptorShare * float64(p.MaxSockets))
-			if o.searchAPI != nil {
-				room -= o.searchAPI.MaxConnections
+			if loop.searchAPI != nil {
+				room -= loop.searchAPI.MaxConnections
 			}
 			f.limiter.resize(room)
-			o.submit(func() { o.maxSockets, o.searchMemory = p.MaxSockets, p.SearchMemory() })
+			loop.submit(func() { loop.maxSockets, loop.searchMemory = p.MaxSockets, p.SearchMemory() })
 			select {
-			case o.discoveryMoves <- p.Discovery:
-			case <-o.ctx.Done():
+			case loop.discoveryMoves <- p.Discovery:
+			case <-loop.ctx.Done():
 			}
-		case <-o.ctx.Done():
+		case <-loop.ctx.Done():
 			return nil
 		}
 	}
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -53,7 +53,7 @@
 	for i := range 12 {
 		r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts))
 	}
-	lines := func() (n int) { r.inTurn(func(o *eventLoop) { n = o.replicaConnectionCount }); return n }
+	lines := func() (n int) { r.inTurn(func(loop *eventLoop) { n = loop.replicaConnectionCount }); return n }
 	r.eventually("connections are late", func() bool { return float64(lines()) >= replicaDescriptorShare*sockets })
 	r.eventually("second ones are tried", func() bool { return r.owner.extraDials.Load() >= int64(lines()) })
 	require.LessOrEqual(t, tried.Load(), int64(math.Ceil(replicaDescriptorShare*sockets+extraDialShare*sockets))+1) // one is discovery's
@@ -93,7 +93,7 @@
 }
 
 // awaitTurn does something in a turn of the owner's and waits for it.
-func (r *rig) inTurn(do func(o *eventLoop)) {
+func (r *rig) inTurn(do func(loop *eventLoop)) {
 	done := make(chan struct{})
 	require.True(r.t, r.owner.submit(func() { do(r.owner); close(done) }))
 	<-done
@@ -101,11 +101,11 @@
 
 // waiting tells how many parts are out, as the owner sees it, on connections to a replica that are not up.
 func (r *rig) waiting(id string) (n int) {
-	r.inTurn(func(o *eventLoop) {
-		if to := o.replicas[id]; to != nil {
-			for _, l := range to.connections {
-				if l.connectedAt == 0 {
-					n += len(l.attempts)
+	r.inTurn(func(loop *eventLoop) {
+		if to := loop.replicas[id]; to != nil {
+			for _, conn := range to.connections {
+				if conn.connectedAt == 0 {
+					n += len(conn.attempts)
 				}
 			}
 		}
@@ -115,9 +115,9 @@
 
 // up tells whether a connection to a replica is.
 func (r *rig) up(id string) (is bool) {
-	r.inTurn(func(o *eventLoop) {
-		for _, l := range o.replicas[id].connections {
-			is = is || l.connectedAt > 0
+	r.inTurn(func(loop *eventLoop) {
+		for _, conn := range loop.replicas[id].connections {
+			is = is || conn.connectedAt > 0
 		}
 	})
 	return is
@@ -241,23 +241,23 @@
 		{"ResetByPeer ConnectError", 1},
 		{"QueueFull Failed Canceled", 2},
 	} {
-		o := &eventLoop{keyedClasses: []bool{true, false}, balancer: deaf{}, shardRequests: map[uint64]*shardRequest{}}
-		p := &shardRequest{search: &search{}}
+		loop := &eventLoop{keyedClasses: []bool{true, false}, balancer: deaf{}, shardRequests: map[uint64]*shardRequest{}}
+		request := &shardRequest{search: &search{}}
 		for i, outcome := range strings.Fields(x.outcomes) {
-			sub := &attempt{shardRequest: p, index: int32(i), sentAt: int64(i + 1)}
-			p.attempts = append(p.attempts, sub)
-			require.Equal(t, int64(0), o.firstSentAt(&attempt{shardRequest: &shardRequest{search: &search{class: 1}, attempts: p.attempts}, index: 1}))
-			o.recordOutcome(sub, outcome, nil)
+			sub := &attempt{shardRequest: request, index: int32(i), sentAt: int64(i + 1)}
+			request.attempts = append(request.attempts, sub)
+			require.Equal(t, int64(0), loop.firstSentAt(&attempt{shardRequest: &shardRequest{search: &search{class: 1}, attempts: request.attempts}, index: 1}))
+			loop.recordOutcome(sub, outcome, nil)
 		}
-		require.Equal(t, x.first, o.firstSentAt(&attempt{shardRequest: p, index: int32(len(p.attempts))}), x.outcomes)
+		require.Equal(t, x.first, loop.firstSentAt(&attempt{shardRequest: request, index: int32(len(request.attempts))}), x.outcomes)
 	}
 	for stage, first := range map[int32]int64{stageQueued: 0, stageWriting: 7, stageWritten: 7} { // one that was given up
-		o, _, s := oneOut(stage)
-		o.keyedClasses = []bool{true}
-		p := s.shardRequests[0]
-		p.attempts[0].sentAt = 7
-		o.CancelAttempt(p.id, 0)
-		require.Equal(t, first, o.firstSentAt(&attempt{shardRequest: p, index: 1}), "stage %d", stage)
+		loop, _, s := oneOut(stage)
+		loop.keyedClasses = []bool{true}
+		request := s.shardRequests[0]
+		request.attempts[0].sentAt = 7
+		loop.CancelAttempt(request.id, 0)
+		require.Equal(t, first, loop.firstSentAt(&attempt{shardRequest: request, index: 1}), "stage %d", stage)
 	}
 }
 
@@ -276,49 +276,49 @@
 // twoOut is a search with two parts out on a connection that is up and has no writer: in one call, or in two of which the
 // second alone is written.
 func twoOut(apart bool) (*eventLoop, *replicaConnection, *search) {
-	o, l, s := oneOut(stageQueued)
-	l.connectedAt, o.log = 1, newAsyncLogger(SystemClock{}, slog.DiscardHandler)
-	p := &shardRequest{id: 3, search: s, shard: 1, unreported: 1}
-	c := s.shardRequests[0].attempts[0].batch
+	loop, conn, search := oneOut(stageQueued)
+	conn.connectedAt, loop.log = 1, newAsyncLogger(SystemClock{}, slog.DiscardHandler)
+	request := &shardRequest{id: 3, search: search, shard: 1, unreported: 1}
+	c := search.shardRequests[0].attempts[0].batch
 	if apart {
-		c = &batch{connection: l, message: &outboundMessage{}}
+		c = &batch{connection: conn, message: &outboundMessage{}}
 		c.message.stage.Store(stageWritten)
-		l.openBatches++
+		conn.openBatches++
 	}
-	sub := &attempt{shardRequest: p, name: "q.1", batch: c}
-	c.attempts, l.attempts, p.attempts, s.shardRequests = append(c.attempts, sub), append(l.attempts, sub), []*attempt{sub}, append(s.shardRequests, p)
-	o.shardRequests[3] = p
-	return o, l, s
+	sub := &attempt{shardRequest: request, name: "q.1", batch: c}
+	c.attempts, conn.attempts, request.attempts, search.shardRequests = append(c.attempts, sub), append(conn.attempts, sub), []*attempt{sub}, append(search.shardRequests, request)
+	loop.shardRequests[3] = request
+	return loop, conn, search
 }
 
 // A search that ends takes its parts off a call in one piece: no frame with the rest of them is on its way in between.
 func TestPartsOfOneCallGoBackTogether(t *testing.T) {
-	o, l, s := twoOut(false)
-	require.Empty(t, o.finishSearch(s))
-	require.Empty(t, l.queue)
-	require.Empty(t, l.attempts)
-	require.Equal(t, []string{"Ignored", "Ignored"}, []string{o.nextEvents[0].outcome, o.nextEvents[1].outcome})
-	require.Zero(t, l.openBatches)
+	loop, conn, s := twoOut(false)
+	require.Empty(t, loop.finishSearch(s))
+	require.Empty(t, conn.queue)
+	require.Empty(t, conn.attempts)
+	require.Equal(t, []string{"Ignored", "Ignored"}, []string{loop.nextEvents[0].outcome, loop.nextEvents[1].outcome})
+	require.Zero(t, conn.openBatches)
 
-	o, l, s = twoOut(false) // those of another search stay
+	loop, conn, s = twoOut(false) // those of another search stay
 	other := &search{id: 9}
 	s.shardRequests[1].search, s.shardRequests = other, s.shardRequests[:1]
-	require.Empty(t, o.finishSearch(s))
-	require.Len(t, o.nextEvents, 1)
-	require.Len(t, l.queue, 1)
-	require.Equal(t, "q.1", l.attempts[0].name)
-	p := <-l.queue
-	require.Equal(t, stageQueued, p.stage.Load())
-	require.NotContains(t, string(*p.buffer), "q.0")
-	require.Contains(t, string(*p.buffer), "q.1")
+	require.Empty(t, loop.finishSearch(s))
+	require.Len(t, loop.nextEvents, 1)
+	require.Len(t, conn.queue, 1)
+	require.Equal(t, "q.1", conn.attempts[0].name)
+	message := <-conn.queue
+	require.Equal(t, stageQueued, message.stage.Load())
+	require.NotContains(t, string(*message.buffer), "q.0")
+	require.Contains(t, string(*message.buffer), "q.1")
 }
 
 // What is called off before it was begun was never sent, and the module hears so: it may go out again whatever its effect.
 func TestCalledOffUnsent(t *testing.T) {
 	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
-		o, _, _ := oneOut(stage)
-		o.CancelAttempt(2, 0)
-		require.Equal(t, outcome, o.nextEvents[0].outcome, "stage %d", stage)
+		loop, _, _ := oneOut(stage)
+		loop.CancelAttempt(2, 0)
+		require.Equal(t, outcome, loop.nextEvents[0].outcome, "stage %d", stage)
 	}
 }
 
@@ -326,24 +326,24 @@
 func TestAnswerUnderAWaitingRepeat(t *testing.T) {
 	for stage, left := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
 		var told []string
-		o, l, s := oneOut(stage)
-		o.balancer = deaf{told: &told}
-		l.recentIDs = map[string]uint64{"q.0": s.id}
-		parcel := s.shardRequests[0].attempts[0].batch.message
-		o.handleAnswer(l, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
+		loop, conn, search := oneOut(stage)
+		loop.balancer = deaf{told: &told}
+		conn.recentIDs = map[string]uint64{"q.0": search.id}
+		parcel := search.shardRequests[0].attempts[0].batch.message
+		loop.handleAnswer(conn, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
 		require.Equal(t, []string{"Ok"}, told)
-		require.True(t, s.shardRequests[0].completed)
+		require.True(t, search.shardRequests[0].completed)
 		require.Equal(t, left, parcel.stage.Load())
-		require.Empty(t, l.attempts)
+		require.Empty(t, conn.attempts)
 	}
 }
 
 // Who spoils a connection has failed one of the parts that were out there, whatever waits before it.
 func TestSpoiltUnderAWaitingPart(t *testing.T) {
 	var told []string
-	o, l, _ := twoOut(true)
-	o.balancer = deaf{told: &told}
-	o.handleConnectionEnd(l, endMalformed, "x")
+	loop, conn, _ := twoOut(true)
+	loop.balancer = deaf{told: &told}
+	loop.handleConnectionEnd(conn, endMalformed, "x")
 	require.Equal(t, []string{"Ignored", "Failed"}, told)
 }
 
--- a/coordinator/residency.go
+++ b/coordinator/residency.go
@@ -111,15 +111,15 @@
 // restrictionKey is what searches that are bound alike have in common.
 type restrictionKey struct{ tenant, class int }
 
-func newResidencyEnforcer(o *eventLoop, r *ResidencyGuard) *residencyEnforcer {
+func newResidencyEnforcer(loop *eventLoop, r *ResidencyGuard) *residencyEnforcer {
 	name := func(list string) (names []string) {
-		for i := range o.plan.Count(list) {
-			names = append(names, o.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
+		for i := range loop.plan.Count(list) {
+			names = append(names, loop.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
 		}
 		return names
 	}
 	b := &residencyEnforcer{
-		loop: o, guard: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
+		loop: loop, guard: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
 		closed: make(chan struct{}),
 	}
 	r.mu.Lock()
@@ -170,8 +170,8 @@
 // updateHosts takes a list or changes of it into account, before anything is sent under it.
 func (b *residencyEnforcer) updateHosts(how string, hosts []plan.ListedHost) {
 	told := make([]residency.Host, 0, len(hosts))
-	for _, h := range hosts {
-		told = append(told, residency.Host{ID: h.ID, Addr: h.Addr, Zone: plan.ZoneName(h.Zone), ZoneConflict: h.ZoneConflict, Removed: h.Removed})
+	for _, host := range hosts {
+		told = append(told, residency.Host{ID: host.ID, Addr: host.Addr, Zone: plan.ZoneName(host.Zone), ZoneConflict: host.ZoneConflict, Removed: host.Removed})
 	}
 	b.hosts.UpdateHosts(b.now, how != "Partial", told)
 }
@@ -180,8 +180,8 @@
 func (b *residencyEnforcer) restrictAll() {
 	clear(b.restrictions)
 	for _, id := range slices.Sorted(maps.Keys(b.loop.searches)) {
-		if s := b.loop.searches[id]; s != nil {
-			b.restrict(s)
+		if search := b.loop.searches[id]; search != nil {
+			b.restrict(search)
 		}
 	}
 	b.scheduleCheck()
@@ -205,58 +205,58 @@
 	}
 }
 
-func (b *residencyEnforcer) names(s *search) (tenant, class string) {
-	if s.tenant < len(b.tenants) {
-		tenant = b.tenants[s.tenant]
+func (b *residencyEnforcer) names(search *search) (tenant, class string) {
+	if search.tenant < len(b.tenants) {
+		tenant = b.tenants[search.tenant]
 	}
-	return tenant, b.classes[s.class]
+	return tenant, b.classes[search.class]
 }
 
 // restrict tells the module which hosts a search may use. One that its contract leaves none for a block ends at once.
-func (b *residencyEnforcer) restrict(s *search) {
-	if s.ended {
+func (b *residencyEnforcer) restrict(search *search) {
+	if search.ended {
 		return
 	}
-	tenant, class := b.names(s)
+	tenant, class := b.names(search)
 	if b.policy.IsUnrestricted(b.now, tenant, class) {
-		if s.restricted {
-			s.restricted = false
-			b.loop.balancer.RestrictReplicas(s.id, nil, nil)
+		if search.restricted {
+			search.restricted = false
+			b.loop.balancer.RestrictReplicas(search.id, nil, nil)
 		}
 		return
 	}
-	key := restrictionKey{s.tenant, s.class}
+	key := restrictionKey{search.tenant, search.class}
 	to := b.restrictions[key]
 	if to == nil {
 		to = &balancer.ReplicaRestriction{Allows: func(shard int, replica string) bool { return b.allows(tenant, class, shard, replica) }}
 		b.restrictions[key] = to
 	}
-	s.restricted = true
-	b.searchInRestriction = s
-	out := b.countOutstanding(s)
-	b.loop.balancer.RestrictReplicas(s.id, to, func(shard int) bool {
+	search.restricted = true
+	b.searchInRestriction = search
+	out := b.countOutstanding(search)
+	b.loop.balancer.RestrictReplicas(search.id, to, func(shard int) bool {
 		rule := b.policy.RuleFor(b.now, tenant, class, shard)
-		if s.refusal == nil {
-			s.refusal = &residency.SearchRejectedError{Tenant: tenant, Class: class, Block: shard, Reason: residency.ReasonNoEligibleHost, Generation: b.policy.Generation}
+		if search.refusal == nil {
+			search.refusal = &residency.SearchRejectedError{Tenant: tenant, Class: class, Block: shard, Reason: residency.ReasonNoEligibleHost, Generation: b.policy.Generation}
 			switch {
 			case rule.LeaseExpired:
-				s.refusal.Reason = residency.ReasonLeaseExpired
+				search.refusal.Reason = residency.ReasonLeaseExpired
 			case rule.ContractEnded:
-				s.refusal.Reason = residency.ReasonContractEnded
+				search.refusal.Reason = residency.ReasonContractEnded
 			}
 		}
 		return !rule.AllowPartial || rule.LeaseExpired || rule.ContractEnded
 	})
 	if b.searchInRestriction = nil; out > 0 {
-		b.guard.canceled.Add(out - b.countOutstanding(s))
+		b.guard.canceled.Add(out - b.countOutstanding(search))
 	}
 }
 
 // countOutstanding counts a search's sub-requests that are countOutstanding.
-func (b *residencyEnforcer) countOutstanding(s *search) (n int) {
-	for _, p := range s.shardRequests {
-		for _, sub := range p.attempts {
-			if sub.batch != nil {
+func (b *residencyEnforcer) countOutstanding(search *search) (n int) {
+	for _, request := range search.shardRequests {
+		for _, attempt := range request.attempts {
+			if attempt.batch != nil {
 				n++
 			}
 		}
@@ -272,33 +272,33 @@
 // removeForbidden is the second one, where bytes leave: what is not allowed there by the contracts themselves, whatever the module
 // was told, does not go out. Guards against a fault in all that comes before it; each that it catches is one. Fenced: what
 // is left may not be begun after the lease's end.
-func (b *residencyEnforcer) removeForbidden(c *batch) (fenced bool) {
-	for i := 0; i < len(c.attempts); {
-		sub := c.attempts[i]
-		tenant, class := b.names(sub.shardRequest.search)
-		rule := b.policy.RuleFor(b.now, tenant, class, sub.shardRequest.shard)
-		if rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, sub.replica.id))) {
+func (b *residencyEnforcer) removeForbidden(batch *batch) (fenced bool) {
+	for i := 0; i < len(batch.attempts); {
+		attempt := batch.attempts[i]
+		tenant, class := b.names(attempt.shardRequest.search)
+		rule := b.policy.RuleFor(b.now, tenant, class, attempt.shardRequest.shard)
+		if rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, attempt.replica.id))) {
 			fenced = fenced || rule.Restricted && !rule.KeepOnLeaseExpiry
 			i++
 			continue
 		}
 		b.guard.blocked.Inc()
-		b.loop.log.warnLimited("residency_guard", "residency_guard", "tenant", tenant, "block", sub.shardRequest.shard, "replica", sub.replica.id,
-			"zone", b.hosts.Zone(b.now, sub.replica.id))
-		b.loop.detachAttempt(sub) // off c.subs
-		b.loop.deferAttemptOutcome(sub, "Ignored")
+		b.loop.log.warnLimited("residency_guard", "residency_guard", "tenant", tenant, "block", attempt.shardRequest.shard, "replica", attempt.replica.id,
+			"zone", b.hosts.Zone(b.now, attempt.replica.id))
+		b.loop.detachAttempt(attempt) // off c.subs
+		b.loop.deferAttemptOutcome(attempt, "Ignored")
 	}
 	return fenced
 }
 
 // refusalOf tells a final answer that a contract has brought about.
-func (b *residencyEnforcer) refusalOf(s *search) *residency.SearchRejectedError {
-	if b == nil || b.searchInRestriction != s || s.refusal == nil {
+func (b *residencyEnforcer) refusalOf(search *search) *residency.SearchRejectedError {
+	if b == nil || b.searchInRestriction != search || search.refusal == nil {
 		return nil
 	}
 	b.guard.refused.Inc()
-	b.loop.log.warnLimited("residency_refused "+s.refusal.Tenant, "residency_refused", advice.LogAttrs(s.refusal)...)
-	return s.refusal
+	b.loop.log.warnLimited("residency_refused "+search.refusal.Tenant, "residency_refused", advice.LogAttrs(search.refusal)...)
+	return search.refusal
 }
 
 // residencyRefusalBody is the own front's answer to a refused search. 503 where another instance may know more.
@@ -311,13 +311,13 @@
 }
 
 // metricsBody is all that is told under /metrics.
-func (o *eventLoop) metricsBody() []byte {
+func (loop *eventLoop) metricsBody() []byte {
 	var b bytes.Buffer
-	if o.shadowCounts != nil {
-		b.Write(shadowMetrics(o.shadowCounts))
+	if loop.shadowCounts != nil {
+		b.Write(shadowMetrics(loop.shadowCounts))
 	}
-	if o.enforcer != nil {
-		o.enforcer.guard.writeMetrics(&b)
+	if loop.enforcer != nil {
+		loop.enforcer.guard.writeMetrics(&b)
 	}
 	return b.Bytes()
 }
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -253,8 +253,8 @@
 // outOn counts parts out at hosts.
 func (b *residencyEnforcer) outOn(ids ...string) (n int) {
 	for _, id := range ids {
-		for _, l := range b.loop.replicas[id].connections {
-			n += len(l.attempts)
+		for _, conn := range b.loop.replicas[id].connections {
+			n += len(conn.attempts)
 		}
 	}
 	return n
@@ -316,9 +316,9 @@
 	var out strings.Builder
 	parcels := func() (all []*outboundMessage) {
 		for _, fenced := range []bool{true, false, true} {
-			b := borrowBuffer()
-			*b = fmt.Appendf(*b, "%t ", fenced)
-			all = append(all, &outboundMessage{buffer: b, leaseFenced: fenced})
+			buffer := borrowBuffer()
+			*buffer = fmt.Appendf(*buffer, "%t ", fenced)
+			all = append(all, &outboundMessage{buffer: buffer, leaseFenced: fenced})
 		}
 		return all
 	}
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -73,8 +73,8 @@
 
 // start starts the process; its output goes to out, or to its journal without one.
 func (l *life) start(out *os.File, before ...string) {
-	ctx, stop := context.WithTimeout(context.Background(), 6*patience) // the program is built first
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 6*patience) // the program is built first
+	defer cancel()
 	path, err := fleet.BuildProgram(ctx)
 	require.NoError(l.t, err)
 	args := append(before, path)
--- a/coordinator/several.go
+++ b/coordinator/several.go
@@ -19,11 +19,11 @@
 // the clients' connections, descriptors, memory and budget: an owner takes one core at the most. To the rules that all
 // co-ordinators keep together they are so many more, and that is what their settings say. Other fronts, peers and
 // what is kept on disk are the first one's.
-func ServeSharded(ctx context.Context, p *plan.Plan, m Options, n int) error {
+func ServeSharded(ctx context.Context, p *plan.Plan, options Options, n int) error {
 	if n <= 1 {
-		return Serve(ctx, p, m)
+		return Serve(ctx, p, options)
 	}
-	shared := newSharedListener(m.Listener, n)
+	shared := newSharedListener(options.Listener, n)
 	plans := make([]chan *plan.Plan, n)
 	for i := range plans {
 		plans[i] = make(chan *plan.Plan)
@@ -33,13 +33,13 @@
 	var left sync.WaitGroup
 	lists := make([]chan endpoints.Update, n)
 	for i := range n {
-		own := m
+		own := options
 		own.Listener, own.PlanUpdates = shared.shards[i], plans[i]
-		if m.EndpointUpdates != nil {
+		if options.EndpointUpdates != nil {
 			lists[i] = make(chan endpoints.Update)
 			own.EndpointUpdates = lists[i]
 		}
-		own.Logger = slog.New(m.Logger.Handler().WithAttrs([]slog.Attr{slog.Int("owner", i)}))
+		own.Logger = slog.New(options.Logger.Handler().WithAttrs([]slog.Attr{slog.Int("owner", i)}))
 		if i > 0 {
 			own.Frontends, own.Peers, own.Persistence = nil, nil, nil
 		}
@@ -59,24 +59,24 @@
 		return nil
 	})
 	g.Go(func() error {
-		more := m.EndpointUpdates
+		more := options.EndpointUpdates
 		for {
 			select {
-			case t, ok := <-more:
+			case update, ok := <-more:
 				if !ok {
 					more = nil
 					continue
 				}
 				for _, to := range lists {
-					own := t
-					own.Hosts = slices.Clone(t.Hosts) // each puts names in its own form
+					own := update
+					own.Hosts = slices.Clone(update.Hosts) // each puts names in its own form
 					select {
 					case to <- own:
 					case <-over.Done():
 						return nil
 					}
 				}
-			case next := <-m.PlanUpdates:
+			case next := <-options.PlanUpdates:
 				for i, to := range plans {
 					select {
 					case to <- next.ForShard(i, n):
--- a/coordinator/several_test.go
+++ b/coordinator/several_test.go
@@ -22,8 +22,8 @@
 	r := start(t, 256, nil) // its hosts and list serve the several too
 	ln := listen(t)
 	var log journal
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	plans, ended := make(chan *plan.Plan), make(chan error, 1)
 	go func() {
 		ended <- ServeSharded(ctx, r.plan, Options{
@@ -56,7 +56,7 @@
 		c.send(request(fmt.Sprint("last", i), "all", "", fourParts))
 	}
 	own.eventually("parts are out", func() bool { return r.parts() >= 12*20*4+12 })
-	stop()
+	cancel()
 	time.AfterFunc(50*time.Millisecond, func() { close(gate) })
 	for _, c := range last {
 		status, _, text, _ := c.answer()
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -190,19 +190,19 @@
 		p, err = p.WithShadowSettings(next)
 		require.NoError(t, err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	r.addr, r.stop, r.plan = ln.Addr().String(), stop, p
+	ctx, cancel := context.WithCancel(context.Background())
+	r.addr, r.stop, r.plan = ln.Addr().String(), cancel, p
 	look := make(chan *eventLoop, 1)
 	go func() {
-		m := Options{
+		options := Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, onStart: look,
 		}
-		more(&m)
-		r.ended <- Serve(ctx, p, m)
+		more(&options)
+		r.ended <- Serve(ctx, p, options)
 	}()
 	r.owner = <-look
-	t.Cleanup(stop)
+	t.Cleanup(cancel)
 	return r
 }
 
--- a/coordinator/start.go
+++ b/coordinator/start.go
@@ -124,13 +124,13 @@
 
 // Serve works until ctx ends and all that was taken is answered; then it returns nil, and no goroutine of
 // it is left.
-func Serve(ctx context.Context, p *plan.Plan, m Options) (err error) {
+func Serve(ctx context.Context, p *plan.Plan, options Options) (err error) {
 	g, work := errgroup.WithContext(context.WithoutCancel(ctx))
-	stopping, stop := context.WithCancel(work)
-	defer stop()
-	o := &eventLoop{
-		plan: p, Options: m, log: newAsyncLogger(m.Clock, m.Logger.Handler()), group: g, ctx: work, tasks: make(chan func(), maxQueuedTasks),
-		startedAt: m.Clock.Now(), searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, balancerTimers: map[uint64]*balancerTimer{},
+	stopping, cancel := context.WithCancel(work)
+	defer cancel()
+	loop := &eventLoop{
+		plan: p, Options: options, log: newAsyncLogger(options.Clock, options.Logger.Handler()), group: g, ctx: work, tasks: make(chan func(), maxQueuedTasks),
+		startedAt: options.Clock.Now(), searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, balancerTimers: map[uint64]*balancerTimer{},
 		abandoned: map[*attempt]*abandonedAttempt{},
 		replicas:  map[string]*replica{}, pollRequests: make(chan struct{}, 1), discoveryMoves: make(chan string), maxSockets: p.MaxSockets,
 		blockCount: p.BlockCount(), streamsPerConnection: int(p.Number("Permissions.StreamsPerConn")), attemptsPerBatch: int(p.Number("Specifics.PerCall")),
@@ -139,66 +139,66 @@
 	}
 	for i := range p.Count("Classes") {
 		v, _ := strconv.ParseFloat(p.List("Specifics.FollowUp")[i], 64)
-		o.followUpCounts = append(o.followUpCounts, int(v))
-		o.keyedClasses = append(o.keyedClasses, p.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
-		o.repeatWindows = append(o.repeatWindows, int64(p.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))/tick))
+		loop.followUpCounts = append(loop.followUpCounts, int(v))
+		loop.keyedClasses = append(loop.keyedClasses, p.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
+		loop.repeatWindows = append(loop.repeatWindows, int64(p.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))/tick))
 	}
-	o.allowsSecondCopies = p.Settings["Permissions.SecondCopies"] == "true" || p.Settings["Permissions.SecondCopies"] == "1"
-	o.startTicks = o.startedAt.UnixMicro() / 100
-	f := &clientListener{loop: o, limiter: newConnectionLimiter(int(clientDescriptorShare * float64(p.MaxSockets))), classes: p.PositionsByName("Classes"), tenants: p.PositionsByName("Tenants"), stopping: stopping}
-	if o.balancer = balancer.New(o); p.ShadowSettings != nil {
-		o.shadowCounts = &shadow.DivergenceCounts{}
-		o.balancer = shadow.New(o, p.Settings, p.ShadowSettings, o.shadowCounts, balancer.New)
+	loop.allowsSecondCopies = p.Settings["Permissions.SecondCopies"] == "true" || p.Settings["Permissions.SecondCopies"] == "1"
+	loop.startTicks = loop.startedAt.UnixMicro() / 100
+	f := &clientListener{loop: loop, limiter: newConnectionLimiter(int(clientDescriptorShare * float64(p.MaxSockets))), classes: p.PositionsByName("Classes"), tenants: p.PositionsByName("Tenants"), stopping: stopping}
+	if loop.balancer = balancer.New(loop); p.ShadowSettings != nil {
+		loop.shadowCounts = &shadow.DivergenceCounts{}
+		loop.balancer = shadow.New(loop, p.Settings, p.ShadowSettings, loop.shadowCounts, balancer.New)
 	}
-	if m.Persistence != nil {
-		m.Peers = m.Persistence.withBudget(m.Peers)
+	if options.Persistence != nil {
+		options.Peers = options.Persistence.withBudget(options.Peers)
 	}
-	if m.Peers != nil {
-		o.peers = newPeerExchange(o, m.Peers)
+	if options.Peers != nil {
+		loop.peers = newPeerExchange(loop, options.Peers)
 	}
-	if m.Residency != nil {
-		o.enforcer = newResidencyEnforcer(o, m.Residency)
-		defer o.enforcer.close()
+	if options.Residency != nil {
+		loop.enforcer = newResidencyEnforcer(loop, options.Residency)
+		defer loop.enforcer.close()
 	}
-	if len(m.Frontends) > 0 {
-		o.searchAPI, o.openFrontends = newSearchAPI(o), len(m.Frontends)
-		f.limiter.resize(int(clientDescriptorShare*float64(p.MaxSockets)) - o.searchAPI.MaxConnections)
+	if len(options.Frontends) > 0 {
+		loop.searchAPI, loop.openFrontends = newSearchAPI(loop), len(options.Frontends)
+		f.limiter.resize(int(clientDescriptorShare*float64(p.MaxSockets)) - loop.searchAPI.MaxConnections)
 	}
-	if err := o.startBalancer(); err != nil {
-		m.Listener.Close()
+	if err := loop.startBalancer(); err != nil {
+		options.Listener.Close()
 		return err
 	}
-	if m.onStart != nil {
-		m.onStart <- o
+	if options.onStart != nil {
+		options.onStart <- loop
 	}
-	g.Go(func() error { return o.log.run(work) })
-	g.Go(o.run)
-	if o.peers != nil {
-		o.peers.run()
+	g.Go(func() error { return loop.log.run(work) })
+	g.Go(loop.run)
+	if loop.peers != nil {
+		loop.peers.run()
 	}
-	if m.Persistence != nil {
-		m.Persistence.run(o, ctx)
+	if options.Persistence != nil {
+		options.Persistence.run(loop, ctx)
 	}
 	g.Go(f.accept)
-	for _, front := range m.Frontends {
+	for _, front := range options.Frontends {
 		g.Go(func() error {
-			err := front.Serve(work, stopping, o.searchAPI)
-			o.submit(func() { o.openFrontends-- })
+			err := front.Serve(work, stopping, loop.searchAPI)
+			loop.submit(func() { loop.openFrontends-- })
 			return err
 		})
 	}
-	if o.sources != nil {
-		g.Go(o.sources.run)
+	if loop.sources != nil {
+		g.Go(loop.sources.run)
 	}
-	g.Go(o.followDiscovery)
-	g.Go(func() error { return f.reload(m.PlanUpdates) })
-	g.Go(func() error { return o.shutDown(ctx, stop) })
-	o.log.Info("serving", "name", p.Name, "listen", m.Listener.Addr().String(), "discovery", p.Discovery,
+	g.Go(loop.followDiscovery)
+	g.Go(func() error { return f.reload(options.PlanUpdates) })
+	g.Go(func() error { return loop.shutDown(ctx, cancel) })
+	loop.log.Info("serving", "name", p.Name, "listen", options.Listener.Addr().String(), "discovery", p.Discovery,
 		"sockets", p.MaxSockets, "memory_mb", p.MemoryMB, "cores", p.Cores)
 	if err = g.Wait(); errors.Is(err, errAllAnswered) {
 		err = nil
 	}
-	m.Logger.Info("stopped", "name", p.Name, "error", err)
+	options.Logger.Info("stopped", "name", p.Name, "error", err)
 	return err
 }
 
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -147,8 +147,8 @@
 func TestWhenAListIsTold(t *testing.T) {
 	const atOnce, afterWait, missed = time.Second, 4 * time.Second, 6 * time.Second
 	const busy = 500 * time.Millisecond // for a machine that is
-	ctx, stop := context.WithTimeout(context.Background(), 2*patience)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	defer cancel()
 	var all errgroup.Group // each waits most of the time
 	for name, x := range map[string]struct {
 		faults  []string // of calls in their order
@@ -205,8 +205,8 @@
 	t.Parallel()
 	a, next := newAgent(t), newAgent(t, "silent")
 	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
-	ctx, stop := context.WithTimeout(context.Background(), 2*patience)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	defer cancel()
 	for range 3 { // versions there are ahead of the other agent's
 		a.tell(r.Endpoints("n"))
 	}
@@ -305,46 +305,46 @@
 	for _, by := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
 			clock := &handClock{now: time.Unix(1_700_000_000, 0)}
-			ctx, stop := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(context.Background())
 			var mu sync.Mutex
 			dials := map[int][]time.Duration{}
 			began := clock.Now()
 			var all errgroup.Group
 			for i := range n {
 				g, work := errgroup.WithContext(ctx)
-				o := &eventLoop{
+				loop := &eventLoop{
 					group: g, ctx: work, pollRequests: make(chan struct{}, 1), discoveryMoves: make(chan string), tasks: make(chan func(), maxQueuedTasks),
 					log: newAsyncLogger(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
 						"Discovery": by,
 						"Balancers": fmt.Sprint(n),
 					}, Known: plan.EndpointList{Version: 1}},
 				}
-				o.Options = Options{Clock: clock, Dial: func(context.Context, string, string) (net.Conn, error) {
+				loop.Options = Options{Clock: clock, Dial: func(context.Context, string, string) (net.Conn, error) {
 					mu.Lock()
 					defer mu.Unlock()
 					dials[i] = append(dials[i], clock.Now().Sub(began))
 					return nil, syscall.ECONNREFUSED
 				}}
-				o.balancer = &asksAgain{o: o, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
-				o.pollRequests <- struct{}{}
+				loop.balancer = &asksAgain{o: loop, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
+				loop.pollRequests <- struct{}{}
 				g.Go(func() error {
 					for {
 						select {
-						case do := <-o.tasks:
+						case do := <-loop.tasks:
 							do()
 						case <-work.Done():
 							return nil
 						}
 					}
 				})
-				g.Go(o.followDiscovery)
+				g.Go(loop.followDiscovery)
 				all.Go(g.Wait)
 			}
 			for clock.Now().Sub(began) < 12*time.Second {
 				require.Eventually(t, func() bool { return clock.waiting() == n }, patience, 50*time.Microsecond)
 				clock.next()
 			}
-			stop()
+			cancel()
 			require.NoError(t, all.Wait())
 			var first, times []time.Duration
 			for i := range n {
--- a/coordinator/tongues.go
+++ b/coordinator/tongues.go
@@ -40,8 +40,8 @@
 	Placement *query.Placement
 }
 
-func (o *eventLoop) protocolFor(kind string) wireProtocol {
-	if k, ok := o.HostKinds[kind]; ok {
+func (loop *eventLoop) protocolFor(kind string) wireProtocol {
+	if k, ok := loop.HostKinds[kind]; ok {
 		return openSearchProtocol{k}
 	}
 	return frameProtocol{}
@@ -50,38 +50,38 @@
 // frameProtocol is the platform's protocol.
 type frameProtocol struct{}
 
-func (frameProtocol) attemptsPerBatch(o *eventLoop) int     { return o.attemptsPerBatch }
-func (frameProtocol) batchesPerConnection(o *eventLoop) int { return o.streamsPerConnection }
-func (frameProtocol) allowsWaiting() bool                   { return true }
+func (frameProtocol) attemptsPerBatch(loop *eventLoop) int     { return loop.attemptsPerBatch }
+func (frameProtocol) batchesPerConnection(loop *eventLoop) int { return loop.streamsPerConnection }
+func (frameProtocol) allowsWaiting() bool                      { return true }
 
-func (frameProtocol) appendBatch(o *eventLoop, dst []byte, c *batch) []byte {
+func (frameProtocol) appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte {
 	dst = frame.Begin(dst, frame.TypeBatch)
 	var room [frameParameterRoom]byte
-	for _, sub := range c.attempts {
-		list := strconv.AppendInt(append(room[:0], "d="...), max(1, (sub.deadline-o.now)/10), 10)
-		if s := sub.shardRequest.search; sub.shardRequest.step == 2 {
-			for i, shard := range s.firstStepShards {
+	for _, attempt := range batch.attempts {
+		list := strconv.AppendInt(append(room[:0], "d="...), max(1, (attempt.deadline-loop.now)/10), 10)
+		if search := attempt.shardRequest.search; attempt.shardRequest.step == 2 {
+			for i, shard := range search.firstStepShards {
 				word := "+"
 				if i == 0 {
 					word = ",from="
 				}
 				list = strconv.AppendInt(append(list, word...), int64(shard), 10)
 			}
-			if s.firstStepComplete {
+			if search.firstStepComplete {
 				list = append(list, ",whole=1"...)
 			} else {
 				list = append(list, ",whole=0"...)
 			}
 		}
-		dst = frame.AppendShardRequest(dst, sub.name, sub.shardRequest.shard, list, sub.shardRequest.search.text)
+		dst = frame.AppendShardRequest(dst, attempt.name, attempt.shardRequest.shard, list, attempt.shardRequest.search.text)
 	}
 	return frame.End(dst, 0)
 }
 
-func (frameProtocol) cancelAttempt(l *replicaConnection, sub *attempt) {
-	b := borrowBuffer()
-	*b = frame.AppendCancel(*b, sub.name)
-	l.enqueue(&outboundMessage{buffer: b})
+func (frameProtocol) cancelAttempt(conn *replicaConnection, attempt *attempt) {
+	buffer := borrowBuffer()
+	*buffer = frame.AppendCancel(*buffer, attempt.name)
+	conn.enqueue(&outboundMessage{buffer: buffer})
 }
 
 var zeroScore = []byte("0") // the score of hosts that tell none
@@ -90,7 +90,7 @@
 
 // readAnswers reads a replica's frames to the end of the connection. Once one has begun, its rest has to follow: guards
 // against a length that says more than comes. What has come together is told together.
-func (frameProtocol) readAnswers(o *eventLoop, l *replicaConnection, conn net.Conn) error {
+func (frameProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	src := bufferedReaders.Get().(*bufio.Reader)
 	src.Reset(conn)
 	defer bufferedReaders.Put(src)
@@ -104,11 +104,11 @@
 		if limited = !frame.IsBuffered(src); limited {
 			conn.SetReadDeadline(time.Now().Add(frameReadTimeout))
 		}
-		tell, err := readFrame(o, l, src)
+		tell, err := readFrame(loop, connection, src)
 		if err == nil && frame.IsBuffered(src) {
 			all := []func(){tell}
 			for err == nil && frame.IsBuffered(src) {
-				if tell, err = readFrame(o, l, src); tell != nil {
+				if tell, err = readFrame(loop, connection, src); tell != nil {
 					all = append(all, tell)
 				}
 			}
@@ -118,7 +118,7 @@
 				}
 			}
 		}
-		if tell != nil && !o.submit(tell) {
+		if tell != nil && !loop.submit(tell) {
 			return endClosing
 		}
 		if err != nil {
@@ -128,13 +128,13 @@
 }
 
 // readFrame reads one frame and gives what the owner is to do with it; nil for one that cannot be used.
-func readFrame(o *eventLoop, l *replicaConnection, src *bufio.Reader) (tell func(), err error) {
+func readFrame(loop *eventLoop, conn *replicaConnection, src *bufio.Reader) (tell func(), err error) {
 	letter, rest, err := frame.Read(src)
 	if err != nil && !errors.Is(err, frame.ErrMalformed) {
 		return nil, connectionEndOf(err)
 	}
 	if letter == frame.TypeReject && err == nil {
-		o.log.warnLimited("frame_refused", "frame_refused", "replica", l.replica.id, "words", string(rest[:min(len(rest), maxLoggedRejectBytes)]))
+		loop.log.warnLimited("frame_refused", "frame_refused", "replica", conn.replica.id, "words", string(rest[:min(len(rest), maxLoggedRejectBytes)]))
 		return nil, endRejectedByPeer
 	}
 	if letter != frame.TypeAnswer && err == nil {
@@ -151,20 +151,20 @@
 		err = fmt.Errorf("%w: end %.20q, score %s, value %.40q", frame.ErrMalformed, end, score, value)
 	}
 	if err != nil {
-		o.log.warnLimited("bad_frame", "bad_frame", "replica", l.replica.id, "error", err)
+		loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
 		return nil, endMalformed
 	}
 	var read any
 	if outcome == "Ok" {
-		if read, err = o.decodeValue(id, value); err != nil {
+		if read, err = loop.decodeValue(id, value); err != nil {
 			outcome = "Failed"
-			o.log.warnLimited("bad_value", "bad_value", "replica", l.replica.id, "error", err)
+			loop.log.warnLimited("bad_value", "bad_value", "replica", conn.replica.id, "error", err)
 		}
 	}
 	fits := frame.IsPlausibleReply(src)
 	return func() {
-		l.closedToNew = l.closedToNew || !fits // a good answer counts whatever comes behind it
-		o.handleAnswer(l, id, outcome, score, report, value, read)
+		conn.closedToNew = conn.closedToNew || !fits // a good answer counts whatever comes behind it
+		loop.handleAnswer(conn, id, outcome, score, report, value, read)
 	}, nil
 }
 
@@ -176,16 +176,18 @@
 func (openSearchProtocol) batchesPerConnection(*eventLoop) int { return 1 }
 func (openSearchProtocol) allowsWaiting() bool                 { return false }
 
-func (k openSearchProtocol) appendBatch(o *eventLoop, dst []byte, c *batch) []byte {
-	sub := c.attempts[0]
-	left := max(1, (sub.deadline-o.now)/10)
+func (k openSearchProtocol) appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte {
+	attempt := batch.attempts[0]
+	left := max(1, (attempt.deadline-loop.now)/10)
 	dst = fmt.Appendf(dst, "POST /%s/_search?preference=_shards:%d&cancel_after_time_interval=%dms&allow_partial_search_results=false"+
 		" HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nX-Opaque-Id: %s\r\nContent-Length: %d\r\n\r\n",
-		url.PathEscape(k.Index), sub.shardRequest.shard, left, c.connection.replica.addr, sub.name, len(sub.shardRequest.search.text))
-	return append(dst, sub.shardRequest.search.text...)
+		url.PathEscape(k.Index), attempt.shardRequest.shard, left, batch.connection.replica.addr, attempt.name, len(attempt.shardRequest.search.text))
+	return append(dst, attempt.shardRequest.search.text...)
 }
 
-func (openSearchProtocol) cancelAttempt(l *replicaConnection, _ *attempt) { l.closeNow(endRetired) }
+func (openSearchProtocol) cancelAttempt(conn *replicaConnection, _ *attempt) {
+	conn.closeNow(endRetired)
+}
 
 // classifyResponse is the one table from what an OpenSearch host answers to the module's outcomes. 429 and 503 have not run; whatever else is no good answer may have.
 func (k openSearchProtocol) classifyResponse(status int, body []byte, shard int) (outcome string, err error) {
@@ -203,7 +205,7 @@
 
 // readAnswers reads a host's answers, each to the one part that is out on its connection. What comes where none is out, or
 // cannot be read, is spoilt, and the connection ends.
-func (k openSearchProtocol) readAnswers(o *eventLoop, l *replicaConnection, conn net.Conn) error {
+func (k openSearchProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	src := bufferedReaders.Get().(*bufio.Reader)
 	src.Reset(conn)
 	defer bufferedReaders.Put(src)
@@ -215,18 +217,18 @@
 		conn.SetReadDeadline(time.Now().Add(hostBodyTimeout))
 		res, err := http.ReadResponse(src, nil)
 		if err != nil {
-			return k.readError(o, l, err)
+			return k.readError(loop, connection, err)
 		}
 		var b bytes.Buffer
 		n, err := io.Copy(&b, io.LimitReader(res.Body, maxHostBodyBytes+1))
 		res.Body.Close()
 		if err != nil || n > maxHostBodyBytes {
-			return k.readError(o, l, fmt.Errorf("%d bytes: %w", n, errors.Join(err, frame.ErrMalformed)))
+			return k.readError(loop, connection, fmt.Errorf("%d bytes: %w", n, errors.Join(err, frame.ErrMalformed)))
 		}
 		asked := make(chan *attempt, 1)
-		if !o.submit(func() {
-			if len(l.attempts) == 1 {
-				asked <- l.attempts[0]
+		if !loop.submit(func() {
+			if len(connection.attempts) == 1 {
+				asked <- connection.attempts[0]
 			}
 			close(asked)
 		}) {
@@ -234,7 +236,7 @@
 		}
 		sub, open := <-asked
 		if !open {
-			return k.readError(o, l, errors.New("an answer to nothing"))
+			return k.readError(loop, connection, errors.New("an answer to nothing"))
 		}
 		id, shard := []byte(sub.name), sub.shardRequest.shard // neither changes
 		body := b.Bytes()
@@ -244,23 +246,23 @@
 		}
 		var read any
 		if outcome == "Ok" {
-			if read, why = o.decodeValue(id, body); why != nil {
+			if read, why = loop.decodeValue(id, body); why != nil {
 				outcome = "Failed"
 			}
 		}
 		if why != nil {
-			o.log.warnLimited("bad_value", "bad_value", "replica", l.replica.id, "error", why)
+			loop.log.warnLimited("bad_value", "bad_value", "replica", connection.replica.id, "error", why)
 		}
 		last := res.Close
 		var report map[string]float64
 		if wait, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil && wait > 0 && outcome == "QueueFull" {
 			report = map[string]float64{"RetryAfter": 1000 * min(wait, maxClientTimeout.Seconds())}
 		}
-		if !o.submit(func() {
-			l.closedToNew = l.closedToNew || last
-			o.handleAnswer(l, id, outcome, zeroScore, report, body, read)
+		if !loop.submit(func() {
+			connection.closedToNew = connection.closedToNew || last
+			loop.handleAnswer(connection, id, outcome, zeroScore, report, body, read)
 			if last {
-				o.closeIfUnused(l)
+				loop.closeIfUnused(connection)
 			}
 		}) {
 			return endClosing
@@ -268,7 +270,7 @@
 	}
 }
 
-func (openSearchProtocol) readError(o *eventLoop, l *replicaConnection, err error) error {
+func (openSearchProtocol) readError(loop *eventLoop, conn *replicaConnection, err error) error {
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
 		return endReadTimeout
@@ -276,6 +278,6 @@
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
 		return connectionEndOf(err)
 	}
-	o.log.warnLimited("bad_frame", "bad_frame", "replica", l.replica.id, "error", err)
+	loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
 	return endMalformed
 }
--- a/coordinator/variables_test.go
+++ b/coordinator/variables_test.go
@@ -31,7 +31,7 @@
 		first, err := readPlan(env)
 		require.NoError(t, err)
 		require.Equal(t, "variable", first.Discovery)
-		ctx, stop := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		signals := make(chan os.Signal)
 		plans := first.WatchReloads(ctx, signals, env, NewLogger(out, false, slog.LevelInfo))
 		for _, x := range []struct {
@@ -59,7 +59,7 @@
 				require.Equal(t, "settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name", first.RestartDifferences(p))
 			}
 		}
-		stop()
+		cancel()
 	}
 }
 
--- a/coordinator/watching.go
+++ b/coordinator/watching.go
@@ -8,16 +8,16 @@
 )
 
 // logShadowCounts writes what other settings would have decided otherwise: one line each shadowLogInterval, if anything came.
-func (o *eventLoop) logShadowCounts(last int64) {
-	if n := o.shadowCounts.Total(); n != last {
+func (loop *eventLoop) logShadowCounts(last int64) {
+	if n := loop.shadowCounts.Total(); n != last {
 		last = n
 		var v []any
 		for kind, name := range shadow.KindNames {
-			v = append(v, name, o.shadowCounts[kind].Load())
+			v = append(v, name, loop.shadowCounts[kind].Load())
 		}
-		o.log.Info("shadow", v...)
+		loop.log.Info("shadow", v...)
 	}
-	o.runAfter(int64(shadowLogInterval/tick), func() { o.logShadowCounts(last) })
+	loop.runAfter(int64(shadowLogInterval/tick), func() { loop.logShadowCounts(last) })
 }
 
 // shadowMetrics are the same counts in the common text form.
