--- /dev/null
+++ b/coordinator/attempts.go
@@ -0,0 +1,209 @@
+package coordinator
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// attempt is one sub-request that is out.
+type attempt struct {
+	shardRequest *shardRequest
+	index        int32
+	neverRan     bool // it has not run: it was never out whole, or was refused
+	replica      *replica
+	name         string // its id on the wire
+	sentAt       int64
+	deadline     int64
+	batch        *batch
+	timeout      timer // its time-out
+	inlineBatch  batch // room for call
+}
+
+// fire is its time-out.
+func (sub *attempt) fire(loop *eventLoop) { loop.giveUpAttempt(sub, "TimedOut") }
+
+// SendAttempt starts a sub-request; it travels at the end of the turn, with others to that replica.
+func (loop *eventLoop) SendAttempt(id uint64, to string, timeout int64) {
+	request, replica := loop.shardRequests[id], loop.replicas[to]
+	if request == nil {
+		return
+	}
+	search := request.search
+	left := search.deadline - loop.now
+	if timeout == 0 || timeout > left {
+		timeout = left
+	}
+	sub := &request.firstAttempt
+	if len(request.attempts) > 0 {
+		sub = &attempt{}
+	} else {
+		request.attempts = request.inlineAttempts[:0]
+	}
+	sub.shardRequest, sub.index, sub.replica, sub.name, sub.sentAt, sub.deadline = request, int32(len(request.attempts)), replica, request.name, loop.now, loop.now+timeout
+	request.attempts = append(request.attempts, sub)
+	request.unreported++
+	early := ""
+	switch {
+	case int(sub.index) >= loop.maxAttempts || request.isSettled():
+		early = "Ignored"
+	case timeout <= 0:
+		early = "TimedOut"
+	case replica == nil:
+		early = "ConnectError"
+	}
+	if early != "" {
+		loop.deferAttemptOutcome(sub, early)
+		return
+	}
+	var c *batch
+	if n := len(replica.batches); n > 0 && len(replica.batches[n-1].attempts) < replica.protocol.attemptsPerBatch(loop) && loop.canShareBatch(replica.batches[n-1].attempts, sub) &&
+		findAttempt(replica.batches[n-1].attempts, sub.name) == nil {
+		c = replica.batches[n-1]
+	} else {
+		if c = &sub.inlineBatch; n == 0 {
+			loop.dispatchOrder = append(loop.dispatchOrder, replica)
+		}
+		c.attempts = c.inlineAttempts[:0]
+		replica.batches = append(replica.batches, c)
+	}
+	sub.batch = c
+	c.attempts = append(c.attempts, sub)
+	loop.startTimer(&sub.timeout, timeout, sub)
+}
+
+// CancelAttempt gives a sub-request up.
+func (loop *eventLoop) CancelAttempt(id uint64, leg int) {
+	if request := loop.shardRequests[id]; request != nil && leg < len(request.attempts) {
+		loop.giveUpAttempt(request.attempts[leg], "Canceled")
+	}
+}
+
+// giveUpAttempt stops waiting for a sub-request, if it is still out.
+func (loop *eventLoop) giveUpAttempt(attempt *attempt, outcome string) {
+	if attempt.batch == nil {
+		return
+	}
+	conn := attempt.batch.connection
+	if batch := attempt.batch; loop.recallAttempt(attempt) {
+		if attempt.neverRan = true; outcome == "Canceled" {
+			outcome = "Ignored" // what was called off may have run, but this was never sent
+		}
+	} else {
+		loop.detachAttempt(attempt)
+		conn.protocol.cancelAttempt(conn, attempt)
+		// Nothing is sent after the final answer: a frame given up before it may still be on its way out.
+		if write, search := (pendingWrite{conn.messageConn, batch.message}), attempt.shardRequest.search; !search.ended && !write.isWritten() {
+			search.pendingWrites = append(search.pendingWrites, write)
+		}
+		if loop.mayStillRun(attempt) {
+			loop.abandonAttempt(conn, attempt, outcome)
+			outcome = ""
+		}
+	}
+	// Guards against a machine that went silent: its open connection would swallow part after part. One new
+	// connection tells more than the old one: it comes up or does not.
+	if conn != nil && conn.heardAt < attempt.sentAt && loop.now-attempt.sentAt > loop.silenceTimeout() {
+		loop.retireConnection(conn)
+	}
+	if outcome != "" {
+		loop.deferAttemptOutcome(attempt, outcome)
+	}
+}
+
+// recallAttempt takes a sub-request off its call if no byte of that has been begun; the rest goes without it.
+func (loop *eventLoop) recallAttempt(attempt *attempt) bool {
+	batch := attempt.batch
+	if batch.connection != nil && !batch.message.recall() {
+		return false
+	}
+	loop.detachAttempt(attempt)
+	loop.queueBatch(batch)
+	return true
+}
+
+// detachAttempt takes a sub-request off its call and connection.
+func (loop *eventLoop) detachAttempt(sub *attempt) {
+	batch := sub.batch
+	sub.batch = nil
+	loop.stopTimer(&sub.timeout)
+	batch.attempts = slices.DeleteFunc(batch.attempts, func(x *attempt) bool { return x == sub })
+	if conn := batch.connection; conn != nil {
+		if batch.message != nil && batch.message.stage.Load() != stageRecalled {
+			conn.rememberID(sub)
+		}
+		conn.attempts = slices.DeleteFunc(conn.attempts, func(x *attempt) bool { return x == sub })
+		conn.usedAt = loop.now
+		if len(batch.attempts) == 0 {
+			conn.openBatches--
+			loop.closeIfUnused(conn)
+		}
+	}
+}
+
+// recordOutcome tells the module how a sub-request ended.
+func (loop *eventLoop) recordOutcome(attempt *attempt, outcome string, report map[string]float64) {
+	attempt.shardRequest.unreported--
+	attempt.neverRan = attempt.neverRan || outcome == "Ignored" || outcome == "ConnectError" || outcome == "QueueFull"
+	loop.balancer.RecordAttemptOutcome(attempt.shardRequest.id, int(attempt.index), outcome, loop.now-attempt.sentAt, attempt.shardRequest.isSettled(), report)
+	loop.dropShardRequest(attempt.shardRequest)
+}
+
+func findAttempt(subs []*attempt, name string) *attempt {
+	for _, attempt := range subs {
+		if attempt.name == name {
+			return attempt
+		}
+	}
+	return nil
+}
+
+// handleAnswer takes a replica's handleAnswer; one to a part that is no longer out is dropped. One to a part that never
+// was out on this connection is spoilt, and another waits for its own in vain.
+func (loop *eventLoop) handleAnswer(conn *replicaConnection, id []byte, outcome string, score []byte, report map[string]float64,
+	value []byte, read any,
+) {
+	conn.heardAt = loop.now
+	attempt, waits := findAttempt(conn.attempts, string(id)), true
+	if attempt == nil {
+		waits = false
+		attempt, outcome = loop.takeAbandoned(conn, string(id), outcome)
+	}
+	if attempt == nil {
+		if _, known := conn.recentIDs[string(id)]; !known {
+			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(id))
+			conn.closeNow(endMalformed)
+		}
+		return
+	}
+	if waits && !loop.recallAttempt(attempt) { // guards against a repeat on this connection that goes out though the first was answered
+		loop.detachAttempt(attempt)
+	}
+	loop.averageLatency += (float64(loop.now-attempt.sentAt) - loop.averageLatency) / latencyAverageWeight
+	loop.retireSilentConnections(conn, attempt.sentAt)
+	if request := attempt.shardRequest; outcome == "Ok" && !request.isSettled() {
+		request.completed, request.score, request.value, request.decoded = true, score, value, read
+		loop.holdBytes(request.search, len(value))
+	}
+	loop.recordOutcome(attempt, outcome, report)
+}
+
+// decodeValue passes a value to the check of its search, where that has one. Guards against a host that answers in good
+// form and leaves out what was asked: its part would count as in.
+func (loop *eventLoop) decodeValue(part, value []byte) (any, error) {
+	if loop.decoderCount.Load() == 0 {
+		return nil, nil
+	}
+	id := string(part)
+	id = strings.TrimSuffix(id, ".r")
+	dot := strings.LastIndexByte(id, '.')
+	check, ok := loop.valueDecoders.Load(id[:max(0, dot)])
+	if !ok {
+		return nil, nil
+	}
+	n, err := strconv.Atoi(id[dot+1:])
+	if err != nil {
+		return nil, err
+	}
+	return check.(func(int, []byte) (any, error))(n, value)
+}
--- /dev/null
+++ b/coordinator/client_answer.go
@@ -0,0 +1,138 @@
+package coordinator
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/go-json-experiment/json/jsontext"
+
+	"chalkring/internal/http1"
+)
+
+// writeAnswer writes a final writeAnswer; an owner's call.
+func (c *clientConnection) writeAnswer(outcome searchOutcome, keep bool) {
+	c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, outcome.pendingWrites...)
+	switch outcome.outcome {
+	case outcomeDuplicateID:
+		c.respond(409, "", []byte("{}"), keep)
+	case outcomeResidencyRefused:
+		status, body := residencyRefusalBody(outcome.refusal)
+		c.respond(status, "", body, keep)
+	case outcomeFailed:
+		c.respond(500, "", []byte("{}"), keep)
+	case outcomeShed:
+		extra := ""
+		if outcome.retryAfter > 0 {
+			extra = "Retry-After: " + strconv.FormatFloat(float64(outcome.retryAfter)/10_000, 'f', 4, 64)
+		}
+		c.respond(503, extra, []byte("{}"), keep)
+	default:
+		size, plain := answerBodySize(outcome)
+		buffer := borrowBuffer()
+		if size+responseHeadRoom > cap(*buffer) {
+			returnBuffer(buffer)
+			buffer = new([]byte)
+			*buffer = make([]byte, 0, size+responseHeadRoom)
+		}
+		if !plain { // what is escaped has to be written before its length is known
+			*buffer = appendAnswerBody(*buffer, outcome)
+			c.respond(200, "", *buffer, keep)
+			returnBuffer(buffer)
+			return
+		}
+		keep, last := c.keepAlive(keep)
+		*buffer = appendAnswerBody(http1.AppendResponseHead(*buffer, 200, "", size, keep), outcome)
+		c.sendAnswer(&outboundMessage{buffer: buffer, closesConnection: last})
+	}
+}
+
+func (c *clientConnection) respond(status int, extra string, body []byte, keep bool) {
+	keep, last := c.keepAlive(keep)
+	buffer := borrowBuffer()
+	*buffer = http1.AppendResponse(*buffer, status, extra, body, keep)
+	c.sendAnswer(&outboundMessage{buffer: buffer, closesConnection: last})
+}
+
+// sendAnswer hands an answer to the writer; until it is taken, it is held.
+func (c *clientConnection) sendAnswer(message *outboundMessage) {
+	c.addUnsent(len(*message.buffer))
+	c.enqueue(message)
+}
+
+func (c *clientConnection) addUnsent(n int) {
+	c.unsentBytes.Add(int64(n))
+	c.loop.unsentBytes.Add(int64(n))
+}
+
+// keepAlive tells what an answer says of its connection: keep, that it stays for further requests, and last, that it keepAlive
+// here. As the co-ordinator stops, the client is told to close, and what it sends all the same is answered.
+func (c *clientConnection) keepAlive(keeps bool) (keep, last bool) {
+	if !keeps || c.stopping.Err() == nil {
+		return keeps, !keeps
+	}
+	last = c.loop.closeAfterAnswer.Load()
+	return c.hasPipelined.Load() && !last, last
+}
+
+// handleWritten is told of each answer that is out whole.
+func (c *clientConnection) handleWritten(message *outboundMessage) error {
+	c.addUnsent(-len(*message.buffer))
+	if message.closesConnection {
+		c.lastAnswerWritten.Store(true)
+		half, ok := c.conn.(interface{ CloseWrite() error })
+		if !ok || half.CloseWrite() != nil {
+			return endClosing
+		}
+		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	}
+	c.limiter.markIdle(c, message.closesConnection)
+	select {
+	case c.answered <- struct{}{}:
+	default:
+	}
+	switch { // after it counts as answered: the reader that is woken here looks for that
+	case message.closesConnection:
+	case c.hasPipelined.Load():
+		c.interruptRead()
+	default:
+		c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
+	}
+	return nil
+}
+
+// answerBodySize tells how long the body of an answer will be; not plain where values have to be escaped, which makes it
+// longer.
+func answerBodySize(outcome searchOutcome) (size int, plain bool) {
+	plain = true
+	size = len(`{"total":,"answers":[]}`) + len("false")
+	if outcome.complete {
+		size--
+	}
+	for i, request := range outcome.parts {
+		if i > 0 {
+			size++
+		}
+		var digits [20]byte
+		size += len(`{"range":,"blob":""}`) + len(strconv.AppendInt(digits[:0], int64(request.shard), 10)) + len(request.value)
+		for _, c := range request.value {
+			plain = plain && c >= ' ' && c != '"' && c != '\\'
+		}
+	}
+	return size, plain
+}
+
+// appendAnswerBody adds the body of an answer.
+func appendAnswerBody(dst []byte, outcome searchOutcome) []byte {
+	dst = strconv.AppendBool(append(dst, `{"total":`...), outcome.complete)
+	dst = append(dst, `,"answers":[`...)
+	for i, request := range outcome.parts {
+		if i > 0 {
+			dst = append(dst, ',')
+		}
+		dst = strconv.AppendInt(append(dst, `{"range":`...), int64(request.shard), 10)
+		dst = append(dst, `,"blob":`...)
+		dst, _ = jsontext.AppendQuote(dst, request.value) // it is text: hear has seen to that
+		dst = append(dst, '}')
+	}
+	return append(dst, "]}"...)
+}
--- /dev/null
+++ b/coordinator/client_connection.go
@@ -0,0 +1,261 @@
+package coordinator
+
+import (
+	"container/list"
+	"context"
+	"errors"
+	"net"
+	"os"
+	"sync/atomic"
+	"time"
+
+	"chalkring/internal/http1"
+)
+
+// clientConnection is one clientConnection's connection. Its fields are the reading goroutine's, but for over.
+type clientConnection struct {
+	*clientListener
+	*messageConn
+	idleElement       *list.Element // in the gate's list, while no request is at work; the gate's
+	requestBegun      bool          // a request is, and is not there yet; the gate's
+	conn              net.Conn
+	reader            *http1.Reader
+	readAvailable     func(p []byte) (int, error) // reads without waiting; nil where that is not known
+	firstDeadline     time.Time                   // limit of the first request; zero once that is there
+	requestDeadline   time.Time                   // of the request that is being read
+	lastSearch        *search                     // the last one
+	awaitingAnswer    bool                        // for an answer
+	stopReadDeadline  time.Time                   // until when a last request is awaited, since the one before it; zero while it need not be
+	extendedOnce      bool                        // its time was over and it was looked once more, since the request before
+	answered          chan struct{}
+	lastAnswerWritten atomic.Bool  // the last answer is out
+	hasPipelined      atomic.Bool  // bytes have come behind the request that is open, as the co-ordinator stops
+	askedToLeave      atomic.Bool  // to make room for another; the gate's
+	unsentBytes       atomic.Int64 // bytes of answers that it has not taken
+}
+
+func (c *clientConnection) isAwaitingAnswer() bool {
+	select {
+	case <-c.answered:
+		c.awaitingAnswer = false
+	default:
+	}
+	return c.awaitingAnswer
+}
+
+// Read reads on over the deadlines that others set to wake it.
+func (c *clientConnection) Read(p []byte) (int, error) {
+	for {
+		if c.hasPipelined.Load() && !c.isAwaitingAnswer() {
+			return 0, errNextRequest
+		}
+		n, err := c.conn.Read(p)
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+			return n, err
+		}
+		switch now := time.Now(); {
+		case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
+			return 0, endClosing
+		case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is looked at first
+			// Guards against a newcomer that makes room for the next before its request, which is there, has been read.
+			if c.readAvailable != nil {
+				if n, _ := c.readAvailable(p); n > 0 {
+					return n, nil
+				}
+			}
+			return 0, endDisplaced
+		case !c.requestDeadline.IsZero() && now.Before(c.requestDeadline):
+			c.setReadDeadline(c.requestDeadline)
+		case c.requestDeadline.IsZero() && c.isAwaitingAnswer():
+			c.clearReadDeadline()
+		case c.requestDeadline.IsZero() && c.acceptsLateRequest(now):
+			c.setReadDeadline(c.stopReadDeadline)
+		case !c.extendedOnce:
+			// guards against a process that was held up: what came meanwhile lies there, and no time was left to read it
+			c.extendedOnce = true
+			c.setReadDeadline(now.Add(finalReadGrace))
+		case !c.requestDeadline.IsZero():
+			return 0, endReadTimeout
+		case c.stopping.Err() != nil:
+			return 0, endClosing
+		default:
+			return 0, endIdle
+		}
+	}
+}
+
+// acceptsLateRequest tells whether a request that comes soon is still taken, as the co-ordinator stops; more than one may wake it meanwhile.
+func (c *clientConnection) acceptsLateRequest(now time.Time) bool {
+	if c.stopping.Err() == nil {
+		return false
+	}
+	if c.stopReadDeadline.IsZero() {
+		c.stopReadDeadline = now.Add(stopIdleTimeout)
+	}
+	return now.Before(c.stopReadDeadline)
+}
+
+// readRequests takes requests one after another. While a search is on, it waits for the next request, and so sees
+// the client leave.
+func (c *clientConnection) readRequests(ctx context.Context) error {
+	unhook := context.AfterFunc(c.stopping, c.interruptRead)
+	defer unhook()
+	buf := borrowBuffer()
+	defer returnBuffer(buf)
+	c.reader, c.readAvailable = http1.NewReader(c, (*buf)[:bufferSize]), nonBlockingRead(c.conn)
+	for {
+		c.requestDeadline = time.Time{}
+		switch {
+		case !c.firstDeadline.IsZero():
+			c.setIdleDeadline(c.firstDeadline)
+		case c.isAwaitingAnswer():
+			c.clearReadDeadline()
+		default:
+			c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
+		}
+		if err := c.reader.AwaitMessage(); err != nil {
+			return connectionEndOf(err)
+		}
+		if c.isAwaitingAnswer() {
+			next := c.handlePipelined
+			if c.loop.isStopping() {
+				next = c.awaitTurn
+			}
+			if err := next(ctx); err != nil && !c.lastAnswerWritten.Load() {
+				return connectionEndOf(err)
+			}
+		}
+		// After what is awaited, since an answer sets it first. Guards against a request that is sent on though it was read
+		// after the shutdown: a last answer may go out between two looks.
+		if c.lastAnswerWritten.Load() {
+			c.linger((*buf)[:bufferSize])
+			return endClosing
+		}
+		c.limiter.markRequestBegun(c)
+		if c.requestDeadline = c.firstDeadline; c.firstDeadline.IsZero() {
+			c.requestDeadline = time.Now().Add(requestReadTimeout)
+		} else if c.extendedOnce {
+			c.requestDeadline = time.Now().Add(finalReadGrace)
+		}
+		c.setReadDeadline(c.requestDeadline)
+		method, target, head, body, keep, err := c.reader.ReadRequest()
+		came := c.loop.Clock.Now()
+		c.firstDeadline, c.stopReadDeadline, c.extendedOnce = time.Time{}, time.Time{}, false
+		if err == nil {
+			c.limiter.markBusy(c)
+			c.awaitingAnswer = true
+			err = c.handleRequest(method, target, head, body, keep, came)
+		}
+		var no requestError
+		var bad http1.InvalidMessageError
+		switch {
+		case errors.As(err, &no): // the next request can be told from this one
+			c.loop.log.warnLimited("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", no.status, "error", no.text)
+			c.respond(no.status, "", []byte("{}"), keep)
+		case errors.As(err, &bad):
+			c.loop.log.warnLimited("bad_request", "bad_request", "client", c.conn.RemoteAddr().String(),
+				"status", bad.Status, "error", bad.Message)
+			c.respond(bad.Status, "", []byte("{}"), false)
+			c.linger((*buf)[:bufferSize])
+			c.awaitAnswer(ctx)
+			return endMalformed
+		case err != nil:
+			return connectionEndOf(err)
+		}
+	}
+}
+
+// handlePipelined looks at bytes that came before the answer to the request before them. If that answer is on its way,
+// its client may have it already. Otherwise the client sends handlePipelined, which the protocol rules out.
+// Guards against hundreds of requests sent at once: the one that is open is withdrawn and gets an error.
+func (c *clientConnection) handlePipelined(ctx context.Context) error {
+	search := c.lastSearch
+	c.loop.submit(func() {
+		if search != nil && !search.ended {
+			c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, c.loop.withdrawSearch(search)...)
+			c.loop.log.warnLimited("sent_ahead", "sent_ahead", "client", c.conn.RemoteAddr().String())
+			c.respond(400, "", []byte("{}"), false)
+		}
+	})
+	return c.awaitAnswer(ctx)
+}
+
+// awaitTurn waits for the answer to the request before, so that the next is taken after it. Guards, as the co-ordinator
+// stops, against a connection that is closed under a request: its client may have sent it before it could know. It reads
+// on meanwhile, as far as there is room, and so sees the client leave.
+func (c *clientConnection) awaitTurn(ctx context.Context) error {
+	c.hasPipelined.Store(true)
+	defer c.hasPipelined.Store(false)
+	for c.isAwaitingAnswer() {
+		switch err := c.reader.ReadAhead(); {
+		case errors.Is(err, http1.ErrBufferFull):
+			return c.awaitAnswer(ctx)
+		case err != nil && !errors.Is(err, errNextRequest):
+			return err
+		}
+	}
+	if c.lastAnswerWritten.Load() {
+		return endClosing
+	}
+	return nil
+}
+
+// errNextRequest ends what is read ahead: the answer that was awaited is out.
+var errNextRequest = errors.New("the next request's turn")
+
+// awaitAnswer waits for the answer that is awaited.
+func (c *clientConnection) awaitAnswer(ctx context.Context) error {
+	select {
+	case <-c.answered:
+		c.awaitingAnswer = false
+	case <-ctx.Done():
+		return endClosing
+	}
+	if c.lastAnswerWritten.Load() {
+		return endClosing
+	}
+	return nil
+}
+
+// linger reads on with a last answer, which then is not cut off by a reset, so that the client can read why; not for good.
+func (c *clientConnection) linger(buf []byte) {
+	c.requestDeadline = time.Now().Add(lingerTimeout)
+	c.setReadDeadline(c.requestDeadline)
+	for left := maxLingerBytes; left > 0; {
+		n, err := c.Read(buf)
+		if left -= n; err != nil {
+			return
+		}
+	}
+}
+
+// setReadDeadline lets reading wait up to a time. Guards against a newcomer whose kick came just before.
+func (c *clientConnection) setReadDeadline(at time.Time) {
+	c.conn.SetReadDeadline(at)
+	if c.askedToLeave.Load() {
+		c.interruptRead()
+	}
+}
+
+// setIdleDeadline lets the connection be unused up to a time. Guards against a stop whose kick came just before.
+func (c *clientConnection) setIdleDeadline(limit time.Time) {
+	c.setReadDeadline(limit)
+	if c.stopping.Err() != nil {
+		c.interruptRead()
+	}
+}
+
+// clearReadDeadline reads on for as long as an answer is awaited. Guards against one that went out just then: the limit that it
+// set has been taken away.
+func (c *clientConnection) clearReadDeadline() {
+	c.conn.SetReadDeadline(time.Time{})
+	switch {
+	case c.isAwaitingAnswer():
+	case c.lastAnswerWritten.Load():
+		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	default:
+		c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
+	}
+}
+
+func (c *clientConnection) interruptRead() { c.conn.SetReadDeadline(time.Unix(1, 0)) }
--- /dev/null
+++ b/coordinator/client_listener.go
@@ -0,0 +1,75 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"time"
+)
+
+// clientListener is the clients' side: it turns HTTP requests into searches for the owner and results into responses.
+type clientListener struct {
+	loop             *eventLoop
+	limiter          *connectionLimiter
+	classes, tenants map[string]int
+	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the co-ordinator was told to end
+}
+
+// accept takes clients' connections in until the listener is closed.
+func (f *clientListener) accept() error {
+	loop := f.loop
+	for taken := false; ; { // some connection, since the listener was last given its time
+		conn, err := loop.Listener.Accept()
+		if errors.Is(err, os.ErrDeadlineExceeded) { // see acceptLast
+			// Guards against a wait for room that lasts over that time: the others that have come would be reset.
+			if taken {
+				taken = false
+				loop.acceptLast()
+				continue
+			}
+			loop.Listener.Close()
+			err = net.ErrClosed
+		}
+		if errors.Is(err, net.ErrClosed) {
+			loop.submit(func() { loop.listenerClosed = true })
+			return nil
+		}
+		if err != nil {
+			loop.log.warnLimited("accept", "accept_failed", "error", err)
+			select {
+			case <-loop.Clock.After(acceptRetryDelay):
+			case <-loop.ctx.Done():
+			}
+			continue
+		}
+		taken = true
+		client := &clientConnection{
+			clientListener: f, messageConn: newMessageConn(loop.ctx, clientQueueSize), conn: conn,
+			answered: make(chan struct{}, 1),
+		}
+		client.log = loop.log
+		if !f.limiter.admit(client, loop.ctx.Done()) {
+			conn.Close()
+			return nil
+		}
+		client.firstDeadline = time.Now().Add(requestReadTimeout) // it may have waited for room longer than that
+		loop.submit(func() { loop.clients[client.messageConn] = true })
+		loop.group.Go(func() error {
+			end := client.serve(conn, clientWriteTimeout, client.readRequests, client.handleWritten)
+			f.limiter.release(client)
+			loop.submit(func() {
+				delete(loop.clients, client.messageConn)
+				loop.unsentBytes.Add(-client.unsentBytes.Swap(0))
+				if client.lastSearch != nil { // whichever way it ended: a search still on it has lost its client
+					loop.withdrawSearch(client.lastSearch)
+				}
+			})
+			switch end {
+			case endReadTimeout, endMalformed, endQueueFull, endWriteFailed, endDisplaced, endFault:
+				loop.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
+			}
+			return nil
+		})
+	}
+}
--- /dev/null
+++ b/coordinator/connection_end.go
@@ -0,0 +1,92 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"io"
+	"os"
+	"syscall"
+)
+
+// connectionEnd is how a connection came to its end. It is the error of all code on that connection.
+type connectionEnd int
+
+const (
+	_                 connectionEnd = iota
+	endNotConnected                 // refused, or not up in time
+	endNoDescriptors                // not opened: this side has no descriptor or port left
+	endPeerClosed                   // the other side closed it between messages
+	endReset                        // reset, or cut inside a message
+	endWriteFailed                  // a write failed or did not end in time
+	endReadTimeout                  // a message was begun and not finished in time
+	endMalformed                    // what came cannot be used
+	endRejectedByPeer               // the other side could not use what we sent
+	endQueueFull                    // its backlog was full
+	endIdle                         // closed here: nothing was on it for long
+	endRetired                      // closed here: its replica is gone or moved, or it has gone silent
+	endDisplaced                    // closed here: it was longest at rest, and another needed its descriptor
+	endClosing                      // closed here after a last answer, or as the co-ordinator stops
+	endFault                        // closed here: what was done with what came has a fault
+)
+
+var connectionEndNames = [...]string{
+	"", "not_up", "starved", "peer_left", "broken", "stuck", "slow", "garbled",
+	"complained", "crowded", "unused", "retired", "displaced", "closing", "faulty",
+}
+
+func (e connectionEnd) Error() string { return connectionEndNames[e] }
+
+// attemptOutcome is the one place where ends of connections become the module's words. What the other side ended: a
+// part whose frame was never on it whole could not connect, any other was reset; but on a connection that had
+// proved to work the first was just never sent, since no connect had failed. What this side ended: a part
+// was never sent, or was called off, and may have run; the replica is not down for that. Guards against a
+// spoilt answer that stands for a crash. But whoever spoils an answer has failed one part, the first.
+func (e connectionEnd) attemptOutcome(written, first, worked bool) string {
+	switch e {
+	case endNotConnected, endPeerClosed, endReset, endWriteFailed:
+		if written {
+			return "ResetByPeer"
+		}
+		if !worked {
+			return "ConnectError"
+		}
+	case endReadTimeout, endMalformed, endRejectedByPeer, endFault:
+		if written && first {
+			return "Failed"
+		}
+	}
+	if written {
+		return "Canceled"
+	}
+	return "Ignored"
+}
+
+// isCertain tells whether a connection's end leaves no doubt that what was out on it is over for the other side too: that
+// side has ended it, or had just been heard as this side did. Our own end of a connection that has fallen silent does not
+// arrive.
+func (e connectionEnd) isCertain() bool {
+	switch e {
+	case endNotConnected, endPeerClosed, endReset, endMalformed, endRejectedByPeer, endFault:
+		return true
+	}
+	return false
+}
+
+// connectionEndOf names what reading met.
+func connectionEndOf(err error) connectionEnd {
+	var e connectionEnd
+	switch {
+	case errors.As(err, &e):
+		return e
+	case err == io.EOF:
+		return endPeerClosed
+	case errors.Is(err, context.Canceled), errors.Is(err, errAllAnswered):
+		return endClosing
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return endReadTimeout
+	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS),
+		errors.Is(err, syscall.EADDRNOTAVAIL):
+		return endNoDescriptors
+	}
+	return endReset
+}
--- a/coordinator/start.go
+++ b/coordinator/coordinator.go
@@ -1,5 +1,5 @@
-// Package coordinator is one chalkring co-ordinator on sockets. Read its plan, then Serve it: the decision
-// module in package balancer decides, this package carries out. docs/architecture.md tells how the files fit.
+// Package coordinator runs one chalkring coordinator on sockets: clients, replicas, discovery and peers. An event loop owns
+// the balancer, which decides; this package carries its decisions out. docs/architecture.md describes how the files fit.
 package coordinator
 
 import (
@@ -11,12 +11,11 @@
 	"strconv"
 	"time"
 
-	"chalkring/coordinator/plan"
-
 	"golang.org/x/sync/errgroup"
 
 	"chalkring/balancer"
 	"chalkring/control/shadow"
+	"chalkring/coordinator/plan"
 	"chalkring/endpoints"
 )
 
@@ -99,7 +98,8 @@
 // SystemClock is the machine's.
 type SystemClock struct{}
 
-func (SystemClock) Now() time.Time                         { return time.Now() }
+func (SystemClock) Now() time.Time { return time.Now() }
+
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
 // Options is what a co-ordinator works with.
@@ -201,5 +201,3 @@
 	options.Logger.Info("stopped", "name", p.Name, "error", err)
 	return err
 }
-
-var errAllAnswered = errors.New("all is answered")
--- a/coordinator/membership.go
+++ b/coordinator/endpoint_sources.go
@@ -4,9 +4,8 @@
 	"fmt"
 	"time"
 
-	"chalkring/coordinator/plan"
-
 	"chalkring/config/settings"
+	"chalkring/coordinator/plan"
 	"chalkring/endpoints"
 )
 
--- /dev/null
+++ b/coordinator/frame_protocol.go
@@ -0,0 +1,137 @@
+package coordinator
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"time"
+	"unicode/utf8"
+
+	"chalkring/internal/frame"
+)
+
+// frameProtocol is the platform's protocol.
+type frameProtocol struct{}
+
+func (frameProtocol) attemptsPerBatch(loop *eventLoop) int { return loop.attemptsPerBatch }
+
+func (frameProtocol) batchesPerConnection(loop *eventLoop) int { return loop.streamsPerConnection }
+
+func (frameProtocol) allowsWaiting() bool { return true }
+
+func (frameProtocol) appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte {
+	dst = frame.Begin(dst, frame.TypeBatch)
+	var room [frameParameterRoom]byte
+	for _, attempt := range batch.attempts {
+		list := strconv.AppendInt(append(room[:0], "d="...), max(1, (attempt.deadline-loop.now)/10), 10)
+		if search := attempt.shardRequest.search; attempt.shardRequest.step == 2 {
+			for i, shard := range search.firstStepShards {
+				word := "+"
+				if i == 0 {
+					word = ",from="
+				}
+				list = strconv.AppendInt(append(list, word...), int64(shard), 10)
+			}
+			if search.firstStepComplete {
+				list = append(list, ",whole=1"...)
+			} else {
+				list = append(list, ",whole=0"...)
+			}
+		}
+		dst = frame.AppendShardRequest(dst, attempt.name, attempt.shardRequest.shard, list, attempt.shardRequest.search.text)
+	}
+	return frame.End(dst, 0)
+}
+
+func (frameProtocol) cancelAttempt(conn *replicaConnection, attempt *attempt) {
+	buffer := borrowBuffer()
+	*buffer = frame.AppendCancel(*buffer, attempt.name)
+	conn.enqueue(&outboundMessage{buffer: buffer})
+}
+
+var zeroScore = []byte("0") // the score of hosts that tell none
+
+var frameOutcomes = map[string]string{"good": "Ok", "bad": "Failed", "later": "QueueFull"}
+
+// readAnswers reads a replica's frames to the end of the connection. Once one has begun, its rest has to follow: guards
+// against a length that says more than comes. What has come together is told together.
+func (frameProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
+	src := bufferedReaders.Get().(*bufio.Reader)
+	src.Reset(conn)
+	defer bufferedReaders.Put(src)
+	for limited := false; ; {
+		if limited {
+			conn.SetReadDeadline(time.Time{})
+		}
+		if _, err := src.Peek(1); err != nil {
+			return connectionEndOf(err)
+		}
+		if limited = !frame.IsBuffered(src); limited {
+			conn.SetReadDeadline(time.Now().Add(frameReadTimeout))
+		}
+		tell, err := readFrame(loop, connection, src)
+		if err == nil && frame.IsBuffered(src) {
+			all := []func(){tell}
+			for err == nil && frame.IsBuffered(src) {
+				if tell, err = readFrame(loop, connection, src); tell != nil {
+					all = append(all, tell)
+				}
+			}
+			tell = func() {
+				for _, do := range all {
+					do()
+				}
+			}
+		}
+		if tell != nil && !loop.submit(tell) {
+			return endClosing
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// readFrame reads one frame and gives what the owner is to do with it; nil for one that cannot be used.
+func readFrame(loop *eventLoop, conn *replicaConnection, src *bufio.Reader) (tell func(), err error) {
+	letter, rest, err := frame.Read(src)
+	if err != nil && !errors.Is(err, frame.ErrMalformed) {
+		return nil, connectionEndOf(err)
+	}
+	if letter == frame.TypeReject && err == nil {
+		loop.log.warnLimited("frame_refused", "frame_refused", "replica", conn.replica.id, "words", string(rest[:min(len(rest), maxLoggedRejectBytes)]))
+		return nil, endRejectedByPeer
+	}
+	if letter != frame.TypeAnswer && err == nil {
+		err = fmt.Errorf("%w: letter %q", frame.ErrMalformed, letter)
+	}
+	var id, end, score, value []byte
+	var report map[string]float64
+	if err == nil {
+		own := bytes.Clone(rest) // what it lies in is read over; the reader of a connection holds no more than that
+		id, end, score, report, value, err = frame.ParseAnswer(own)
+	}
+	outcome := frameOutcomes[string(end)]
+	if err == nil && (outcome == "" || outcome == "Ok" && (score == nil || !utf8.Valid(value))) {
+		err = fmt.Errorf("%w: end %.20q, score %s, value %.40q", frame.ErrMalformed, end, score, value)
+	}
+	if err != nil {
+		loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
+		return nil, endMalformed
+	}
+	var read any
+	if outcome == "Ok" {
+		if read, err = loop.decodeValue(id, value); err != nil {
+			outcome = "Failed"
+			loop.log.warnLimited("bad_value", "bad_value", "replica", conn.replica.id, "error", err)
+		}
+	}
+	fits := frame.IsPlausibleReply(src)
+	return func() {
+		conn.closedToNew = conn.closedToNew || !fits // a good answer counts whatever comes behind it
+		loop.handleAnswer(conn, id, outcome, score, report, value, read)
+	}, nil
+}
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -1,14 +1,10 @@
 package coordinator
 
 import (
-	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
-	"runtime/debug"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
@@ -77,121 +73,3 @@
 		return 0, errStalled
 	}
 }
-
-// asyncLogger is the log as the co-ordinator's goroutines write to it: no one waits for it. Lines that find it
-// full are dropped and counted. Guards against a reader of the log that stalls.
-type asyncLogger struct {
-	*slog.Logger
-	clock     Clock
-	handler   slog.Handler
-	records   chan logRecord
-	lostLines atomic.Int64
-
-	mu          sync.Mutex
-	lastWritten map[string]time.Time // when each kind that can be repeated at will was last written
-	suppressed  map[string]int       // and how often it was left out since; kinds are constants of the code
-}
-
-// logRecord is a line on its way to its handler.
-type logRecord struct {
-	handler slog.Handler
-	record  slog.Record
-}
-
-// boundedHandler hands records over without waiting.
-type boundedHandler struct {
-	logger  *asyncLogger
-	handler slog.Handler
-}
-
-func (b boundedHandler) Enabled(ctx context.Context, l slog.Level) bool {
-	return b.handler.Enabled(ctx, l)
-}
-
-func (b boundedHandler) WithAttrs(as []slog.Attr) slog.Handler {
-	return boundedHandler{b.logger, b.handler.WithAttrs(as)}
-}
-
-func (b boundedHandler) WithGroup(name string) slog.Handler {
-	return boundedHandler{b.logger, b.handler.WithGroup(name)}
-}
-
-func (b boundedHandler) Handle(_ context.Context, r slog.Record) error {
-	select {
-	case b.logger.records <- logRecord{b.handler, r.Clone()}:
-	default:
-		b.logger.lostLines.Add(1)
-	}
-	return nil
-}
-
-func newAsyncLogger(clock Clock, out slog.Handler) *asyncLogger {
-	n := &asyncLogger{
-		clock: clock, handler: out, records: make(chan logRecord, logQueueSize), lastWritten: map[string]time.Time{},
-		suppressed: map[string]int{},
-	}
-	n.Logger = slog.New(boundedHandler{n, out})
-	return n
-}
-
-// warnLimited writes what others can bring about at will: one line a kind each logRepeatInterval, with the count of those left
-// out. Guards against strangers who fill the log.
-func (n *asyncLogger) warnLimited(kind, event string, v ...any) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.clock.Now()
-	if last, ok := n.lastWritten[kind]; ok && now.Sub(last) < logRepeatInterval {
-		n.suppressed[kind]++
-		return
-	}
-	n.Warn(event, append(v, "left_out", n.suppressed[kind])...)
-	n.lastWritten[kind], n.suppressed[kind] = now, 0
-}
-
-// run writes the lines out until ctx ends, and then what is left, for logFlushTimeout at the most.
-func (n *asyncLogger) run(ctx context.Context) error {
-	for {
-		select {
-		case l := <-n.records:
-			n.writeRecord(ctx, l)
-		case <-ctx.Done():
-			for by := n.clock.Now().Add(logFlushTimeout); n.clock.Now().Before(by); {
-				select {
-				case l := <-n.records:
-					n.writeRecord(ctx, l)
-				default:
-					return nil
-				}
-			}
-			return nil
-		}
-	}
-}
-
-// writeRecord writes a line out, and behind it how many before it are lost: dropped, or not taken by the log.
-func (n *asyncLogger) writeRecord(ctx context.Context, l logRecord) {
-	if l.handler.Handle(ctx, l.record) != nil {
-		n.lostLines.Add(1)
-		return
-	}
-	if lost := n.lostLines.Swap(0); lost > 0 {
-		r := slog.NewRecord(n.clock.Now(), slog.LevelWarn, "log_full", 0)
-		r.Add("lines_lost", lost)
-		if n.handler.Handle(ctx, r) != nil {
-			n.lostLines.Add(lost)
-		}
-	}
-}
-
-// recoverPanic has a panic end what is done on one connection alone. Guards against a fault that some bytes bring out: the process
-// would end, and with it all that others wait for. Harm: what the fault leaves undone stays so.
-func (n *asyncLogger) recoverPanic(do func() error) (err error) {
-	defer func() {
-		if r := recover(); r != nil {
-			if err = endFault; n != nil {
-				n.warnLimited("connection fault", "connection_fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
-			}
-		}
-	}()
-	return do()
-}
--- a/coordinator/watching.go
+++ b/coordinator/metrics.go
@@ -1,12 +1,25 @@
 package coordinator
 
 import (
+	"bytes"
 	"fmt"
 	"strings"
 
 	"chalkring/control/shadow"
 )
 
+// metricsBody is all that is told under /metrics.
+func (loop *eventLoop) metricsBody() []byte {
+	var b bytes.Buffer
+	if loop.shadowCounts != nil {
+		b.Write(shadowMetrics(loop.shadowCounts))
+	}
+	if loop.enforcer != nil {
+		loop.enforcer.guard.writeMetrics(&b)
+	}
+	return b.Bytes()
+}
+
 // logShadowCounts writes what other settings would have decided otherwise: one line each shadowLogInterval, if anything came.
 func (loop *eventLoop) logShadowCounts(last int64) {
 	if n := loop.shadowCounts.Total(); n != last {
--- /dev/null
+++ b/coordinator/peer_reports.go
@@ -0,0 +1,189 @@
+package coordinator
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"chalkring/cluster/peerprotocol"
+	"chalkring/cluster/peerreport"
+	"chalkring/coordinator/plan"
+	"chalkring/internal/scheduler"
+)
+
+// importReports puts together what all reports say now and hands it to the module, slice by slice.
+func (l *peerExchange) importReports() (hosts int) {
+	l.importMu.Lock()
+	defer l.importMu.Unlock()
+	l.mu.Lock()
+	heard := l.reports.Combine(l.loop.clockTicks(), func(host string) (int64, bool) {
+		ms, listed := l.startedMS[host]
+		return ms, listed
+	})
+	l.mu.Unlock()
+	for part := range slices.Chunk(heard, peerreport.MaxChunkObservations) {
+		if l.runInLoop(func() {
+			for _, h := range part {
+				l.loop.balancer.ImportObservation(h)
+			}
+		}) != nil {
+			break
+		}
+	}
+	return len(heard)
+}
+
+// runInLoop has the owner do something in one of its turns and returns once that is done.
+func (l *peerExchange) runInLoop(do func()) error {
+	done := make(chan struct{})
+	if !l.loop.submit(func() { do(); close(done) }) {
+		return endClosing
+	}
+	select {
+	case <-done:
+		return nil
+	case <-l.loop.ctx.Done():
+		return endClosing
+	}
+}
+
+// updateHosts takes in a list or changes of it, before the module hears of them or after; nothing waits for it but the
+// list's own goroutine. What was heard of a host that has changed its address or left is of another machine.
+func (l *peerExchange) updateHosts(full bool, version int64, hosts []plan.ListedHost) {
+	l.mu.Lock()
+	now, moved := l.loop.clockTicks(), false
+	present := map[string]bool{}
+	move := func(id string) {
+		l.reports.InvalidateHost(now, id)
+		moved = true
+	}
+	for _, host := range hosts {
+		old, known := l.addrs[host.ID]
+		if present[host.ID] = !host.Removed; host.Removed {
+			delete(l.startedMS, host.ID)
+			if delete(l.addrs, host.ID); known {
+				move(host.ID)
+			}
+			continue
+		}
+		if known && old != host.Addr {
+			move(host.ID)
+		}
+		moved = moved || !known || l.startedMS[host.ID] != host.StartedMS
+		l.startedMS[host.ID], l.addrs[host.ID] = host.StartedMS, host.Addr
+	}
+	if full {
+		for id := range l.startedMS {
+			if !present[id] {
+				delete(l.startedMS, id)
+				delete(l.addrs, id)
+				move(id)
+			}
+		}
+	}
+	feed := moved && l.reports.ReportCount() > 0
+	l.mu.Unlock()
+	l.listVersion.Store(version)
+	if feed {
+		l.loop.group.Go(func() error { l.importReports(); return nil })
+	}
+}
+
+func (l *peerExchange) admit(name string) (ok bool, later time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	ok, wait := l.admission.Admit(l.loop.clockTicks(), name)
+	return ok, time.Duration(wait) * tick
+}
+
+func (l *peerExchange) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.admission.Release()
+}
+
+// currentReport gives the newest snapshot, or takes one. Askers that come meanwhile wait for it and share it.
+func (l *peerExchange) currentReport(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
+	l.snapshotMu.Lock()
+	defer l.snapshotMu.Unlock()
+	l.mu.Lock()
+	fresh := l.snapshot != nil && l.admission.IsSnapshotFresh(l.loop.clockTicks())
+	l.mu.Unlock()
+	if !fresh {
+		if err := l.takeSnapshot(ctx); err != nil {
+			return peerreport.ReportHeader{}, nil, err
+		}
+	}
+	return l.snapshot.HeaderAt(l.loop.clockTicks()), l.snapshot.Observations, nil
+}
+
+// takeSnapshot makes a snapshot, SliceMost hosts a turn.
+func (l *peerExchange) takeSnapshot(ctx context.Context) error {
+	l.snapshotSerial++
+	for {
+		t := peerreport.NewReportBuilder(l.loop.clockTicks(), l.options.Name, l.options.Location, l.snapshotSerial, l.listVersion.Load(), l.zones)
+		for from := 0; ; {
+			if ctx.Err() != nil {
+				return ctx.Err()
+			}
+			if err := l.runInLoop(func() { from = l.loop.balancer.ExportObservations(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
+				return err
+			}
+			if from == 0 {
+				break
+			}
+		}
+		l.mu.Lock()
+		again := t.ListChanged(l.listVersion.Load()) && l.admission.AllowSnapshotRetake()
+		if !again {
+			l.admission.RecordSnapshot(l.loop.clockTicks() - t.AgeAt(l.loop.clockTicks()))
+		}
+		l.mu.Unlock()
+		if !again {
+			l.snapshot = t
+			return nil
+		}
+	}
+}
+
+// spendAnswerBudget takes an answer's bytes from the budget of answers, as a job that is on its way already.
+func (l *peerExchange) spendAnswerBudget(ctx context.Context, bytes int, cpu time.Duration) error {
+	done := make(chan error, 1)
+	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: answerJobKind, Priority: scheduler.PriorityNormal, MaxFailures: 1},
+		func(ctx context.Context, a *scheduler.Allowance) error {
+			done <- a.Spend(ctx, bytes, cpu)
+			return nil
+		})
+	if err != nil {
+		return err
+	}
+	select {
+	case err = <-done:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+func (l *peerExchange) status(context.Context) (peerprotocol.Status, error) {
+	counts, waiting, running, load := l.pool.Counts()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.loop.clockTicks()
+	s := peerprotocol.Status{
+		Name: l.options.Name, Locality: l.options.Location, UptimeMs: uint64(l.loop.Clock.Now().Sub(l.loop.startedAt).Milliseconds()),
+		ListVersion: l.listVersion.Load(), HostCount: uint32(len(l.startedMS)), ReportsServed: uint32(l.admission.Admitted), ReportsDeferred: uint32(l.admission.Deferred),
+		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Deferred),
+	}
+	for _, p := range l.poller.Statuses(now) {
+		one := peerprotocol.PeerStatus{Name: p.Name, ReportCount: uint32(p.ReportCount)}
+		if p.LastOutcomeAt > 0 {
+			one.LastOutcome, one.LastOutcomeAgoMs = p.LastOutcome.String(), uint64((now-p.LastOutcomeAt)/10)
+		}
+		if p.NextPollAt > now {
+			one.NextPollInMs = uint64((p.NextPollAt - now) / 10)
+		}
+		s.Peers = append(s.Peers, one)
+	}
+	return s, nil
+}
--- a/coordinator/keeping.go
+++ b/coordinator/persistence.go
@@ -10,10 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"chalkring/coordinator/plan"
-
 	"github.com/fxamacker/cbor/v2"
 
+	"chalkring/coordinator/plan"
 	"chalkring/endpoints"
 	"chalkring/internal/advice"
 	"chalkring/internal/scheduler"
@@ -240,17 +239,6 @@
 	return out
 }
 
-// RecordEvent notes something for the journal; it waits for nothing.
-func (k *Persistence) RecordEvent(kind, words string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.pendingEvents) >= maxPendingEvents {
-		k.droppedEvents++
-		return
-	}
-	k.pendingEvents = append(k.pendingEvents, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: words})
-}
-
 // Close lets go of the store. It waits a little for a write that is on its way, and for one that is stuck not at all.
 func (k *Persistence) Close() { k.closeOnce.Do(k.closeStore) }
 
@@ -280,151 +268,3 @@
 	own.Budgets[persistJobKind] = k.budget
 	return &own
 }
-
-// run is the co-ordinator's side: what was kept of hosts is told as a peer's report, then jobs write. stopping ends at
-// the start of a planned stop.
-func (k *Persistence) run(loop *eventLoop, stopping context.Context) {
-	loop.group.Go(func() error {
-		if _, err := k.WaitForStore(loop.ctx); err != nil {
-			return nil // it was told
-		}
-		if observations := k.restored.Observations; observations != nil {
-			k.importStoredObservations(loop, observations)
-		}
-		job := scheduler.Job{Name: "keep", Kind: persistJobKind, Priority: scheduler.PriorityNormal, Delay: int64(firstPersistDelay / tick), Interval: int64(persistInterval / tick)}
-		_, err := loop.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
-			ctx, cancel := context.WithTimeout(ctx, persistTimeout)
-			defer cancel()
-			return k.write(ctx, loop, a, false)
-		})
-		if err != nil {
-			loop.log.Warn("job_given_up", "job", "keep", "error", err)
-		}
-		select {
-		case <-stopping.Done():
-		case <-loop.ctx.Done():
-			return nil
-		}
-		ctx, cancel := context.WithTimeout(loop.ctx, lastPersistTimeout)
-		defer cancel()
-		k.RecordEvent("stop", "planned")
-		k.write(ctx, loop, nil, true)
-		return nil
-	})
-}
-
-// importStoredObservations tells what an earlier run knew of hosts as one peer's report.
-func (k *Persistence) importStoredObservations(loop *eventLoop, observations *recovery.Observations) {
-	l, h := loop.peers, observations.Head
-	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the machine's clock tells how long the start has taken
-	h.Peer, h.Locality = recovery.PeerName, l.options.Location
-	l.mu.Lock()
-	err := l.reports.BeginReport(loop.clockTicks()-max(0, since), h)
-	if err == nil {
-		err = l.reports.AddObservations(h.Peer, observations.Entries)
-	}
-	if err == nil {
-		l.reports.CompleteReport(h.Peer)
-	} else {
-		l.reports.AbortReport(h.Peer)
-	}
-	l.mu.Unlock()
-	if err != nil {
-		loop.log.Info("left_out", "what", observationsKey, "why", err.Error())
-		return
-	}
-	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
-}
-
-// recordList takes in the list in force.
-func (k *Persistence) recordList(list []endpoints.Endpoint, gone []endpoints.Removal) {
-	l := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.planVersion, k.discoveryVersion.Load(), list, gone)
-	k.currentList.Store(&l)
-}
-
-// write writes what is new. Its last write also tells that the stop was planned.
-func (k *Persistence) write(ctx context.Context, loop *eventLoop, a *scheduler.Allowance, last bool) (err error) {
-	select {
-	case k.writeSlot <- struct{}{}:
-		defer func() { <-k.writeSlot }()
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-	defer func() {
-		if err != nil && loop.ctx.Err() == nil {
-			loop.log.warnLimited("store_failed", "store_failed", advice.LogAttrs(err)...)
-		}
-	}()
-	l, began, puts := loop.peers, time.Now(), map[string][]byte{}
-	put := func(key string, v any) error {
-		text, err := cbor.Marshal(v)
-		puts[key] = text
-		return err
-	}
-	head, all, err := l.currentReport(ctx)
-	if err != nil {
-		return err
-	}
-	now := k.clock.Now()
-	err = put(observationsKey, recovery.Observations{SavedAt: now.UnixMilli(), Head: head, Entries: all})
-	list := k.currentList.Load()
-	changed := list != nil && (list != k.writtenList || now.Sub(time.UnixMilli(list.SavedAt)) > listRewriteInterval)
-	if changed {
-		if list == k.writtenList {
-			own := *list
-			own.SavedAt = now.UnixMilli()
-			k.currentList.CompareAndSwap(list, &own)
-			list = &own
-		}
-		err = errors.Join(err, put(listKey, list))
-	}
-	if last {
-		err = errors.Join(err, put(startsKey, recovery.StartRecord{}.RecordPlannedStop()))
-	}
-	bytes := 0
-	for _, text := range puts {
-		bytes += len(text)
-	}
-	if a != nil {
-		err = errors.Join(err, a.Spend(ctx, bytes, time.Since(began)))
-	}
-	if err == nil {
-		err = k.store.Put(ctx, stateBucket, puts, nil)
-	}
-	if err != nil {
-		return err
-	}
-	if changed {
-		k.writtenList = list
-	}
-	return k.flushEvents(ctx)
-}
-
-// flushEvents writes the events that wait; they wait on if it fails.
-func (k *Persistence) flushEvents(ctx context.Context) error {
-	k.mu.Lock()
-	events, left := k.pendingEvents, k.droppedEvents
-	k.pendingEvents, k.droppedEvents = nil, 0
-	k.mu.Unlock()
-	if left > 0 {
-		events = append(events, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: "left_out", Message: fmt.Sprint(left, " events")})
-	}
-	if len(events) == 0 {
-		return nil
-	}
-	err := k.events.Append(ctx, events)
-	if err != nil {
-		k.mu.Lock()
-		k.pendingEvents = append(events, k.pendingEvents...)
-		k.pendingEvents = k.pendingEvents[max(0, len(k.pendingEvents)-maxPendingEvents):]
-		k.mu.Unlock()
-	}
-	return err
-}
-
-// recordEvent is for parts that may have no Keep.
-func (loop *eventLoop) recordEvent(kind, words string) {
-	if loop.Persistence != nil {
-		loop.Persistence.RecordEvent(kind, words)
-	}
-}
--- /dev/null
+++ b/coordinator/replica.go
@@ -0,0 +1,77 @@
+package coordinator
+
+import (
+	"slices"
+)
+
+// replica is one machine of the list and the connections to it.
+type replica struct {
+	id, addr    string
+	protocol    wireProtocol
+	removed     bool
+	closedToNew bool // drains or is gone
+	connections []*replicaConnection
+	batches     []*batch // of this turn, not yet on a line
+}
+
+func (loop *eventLoop) protocolFor(kind string) wireProtocol {
+	if k, ok := loop.HostKinds[kind]; ok {
+		return openSearchProtocol{k}
+	}
+	return frameProtocol{}
+}
+
+// placeReplica notes where a replica is; old connections to another address take nothing new.
+func (loop *eventLoop) placeReplica(id, addr, kind string, since int64, gone, drains bool) {
+	r := loop.replicas[id]
+	if r == nil {
+		if gone {
+			return
+		}
+		r = &replica{id: id, protocol: frameProtocol{}}
+		loop.replicas[id] = r
+	}
+	speaks := loop.protocolFor(kind)
+	moved := r.addr != addr || r.protocol != speaks
+	for _, conn := range slices.Clone(r.connections) {
+		// One from before its replica's start leads to a life that is over. Guards against a machine that went without a word:
+		// what is sent to it there is lost.
+		if gone || moved || conn.connectedAt > 0 && conn.connectedAt < since {
+			loop.retireConnection(conn)
+		}
+	}
+	if closed := gone || drains; closed && !r.closedToNew || moved && len(r.connections) > 0 {
+		loop.recallAfterGrace(r)
+	}
+	r.addr, r.removed, r.closedToNew = addr, gone, gone || drains
+	if !gone {
+		r.protocol = speaks
+	}
+	loop.forgetReplica(r)
+}
+
+// forgetReplica drops a replica that has left the list once it has no connection.
+func (loop *eventLoop) forgetReplica(replica *replica) {
+	if replica.removed && len(replica.connections) == 0 && len(replica.batches) == 0 && loop.replicas[replica.id] == replica {
+		delete(loop.replicas, replica.id)
+	}
+}
+
+// recallAfterGrace has nothing new go out to a replica that drains, is gone or has moved, once the time is over in which that is
+// allowed. Guards against frames that still wait for a connection then. They wait on until then, since most come up in
+// time: to take them back at once would cost each an attempt.
+func (loop *eventLoop) recallAfterGrace(replica *replica) {
+	grace := float64(loop.plan.Duration("Safety.DrainGrace") / tick)
+	loop.runAfter(int64(drainSendShare*grace), func() {
+		for _, conn := range slices.Clone(replica.connections) {
+			if !replica.closedToNew && !conn.closedToNew {
+				continue
+			}
+			for _, attempt := range slices.Clone(conn.attempts) {
+				if attempt.batch != nil {
+					loop.recallBatch(attempt.batch, nil)
+				}
+			}
+		}
+	})
+}
--- /dev/null
+++ b/coordinator/replica_connection.go
@@ -0,0 +1,244 @@
+package coordinator
+
+import (
+	"context"
+	"net"
+	"slices"
+	"time"
+)
+
+// replicaConnection is one connection to a replica as the owner knows it.
+type replicaConnection struct {
+	*messageConn
+	replica     *replica
+	protocol    wireProtocol
+	closedToNew bool  // takes no new calls
+	openBatches int   // with a part out
+	connectedAt int64 // since when it stands, 0 while it does not
+	attempts    []*attempt
+	heardAt     int64
+	usedAt      int64
+	recentIDs   map[string]uint64 // ids that were on it, with their searches: their answers may still come
+	recentOrder []string          // the same; once there are maxRecentIDs, the oldest is at eldest
+	oldestIndex int
+
+	abandoned []*abandonedAttempt // on it
+}
+
+// openConnection opens a connection; calls on it wait until it is up.
+func (loop *eventLoop) openConnection(replica *replica) *replicaConnection {
+	connection := &replicaConnection{messageConn: newMessageConn(loop.ctx, replicaQueueSize), replica: replica, protocol: replica.protocol, usedAt: loop.now}
+	connection.log, connection.clockTicks = loop.log, loop.clockTicks
+	connection.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(connection, message) }) }
+	replica.connections = append(replica.connections, connection)
+	loop.replicaConnectionCount++
+	if loop.enforcer != nil {
+		connection.leaseExpired = loop.enforcer.leaseHasExpired
+	}
+	addr, wait := replica.addr, loop.plan.Duration("Permissions.DialTimeout")
+	room := max(1, int64(extraDialShare*float64(loop.maxSockets)))
+	loop.group.Go(func() error {
+		end := endNotConnected
+		ctx, cancel := context.WithTimeout(connection.ctx, wait)
+		conn, err := loop.dialWithRetries(ctx, addr, min(maxRedialDelay, wait/redialTimeoutParts), room)
+		cancel()
+		if connectionEndOf(err) == endNoDescriptors {
+			end = endNoDescriptors
+		}
+		if err == nil {
+			loop.submit(func() { loop.handleConnected(connection) })
+			end = connection.serve(conn, wait, func(context.Context) error { return connection.protocol.readAnswers(loop, connection, conn) },
+				func(*outboundMessage) error { return nil })
+		}
+		loop.submit(func() { loop.handleConnectionEnd(connection, end, addr) })
+		return nil
+	})
+	loop.closeWhenIdle(connection)
+	return connection
+}
+
+// handleConnected writes what has waited for a connection to be up.
+func (loop *eventLoop) handleConnected(conn *replicaConnection) {
+	conn.connectedAt = loop.now
+	for _, attempt := range slices.Clone(conn.attempts) {
+		if batch := attempt.batch; batch != nil && batch.message.buffer == nil { // the first of a call's has written it
+			loop.queueBatch(batch)
+		}
+	}
+}
+
+// dialWithRetries opens a connection, and tries again beside what is not up each time that it has waited for so long, maxParallelDials times
+// in all. Guards against connections that come up late or never at a replica that is sound: what waits for one would be
+// late with it. Harm: a replica that is silent is asked for three connections in place of one, and until the time to dialWithRetries
+// is over two more descriptors are used; of many that are silent, room is.
+func (loop *eventLoop) dialWithRetries(ctx context.Context, addr string, wait time.Duration, room int64) (net.Conn, error) {
+	type ended struct {
+		conn net.Conn
+		err  error
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	tries, out, beside := make(chan ended, maxParallelDials), 0, 0
+	defer func() { loop.extraDials.Add(int64(-beside)) }()
+	dial := func() {
+		out++
+		loop.group.Go(func() error {
+			conn, err := loop.Dial(ctx, "tcp", addr)
+			tries <- ended{conn, err}
+			return nil
+		})
+	}
+	dial()
+	again := loop.Clock.After(wait)
+	for {
+		select {
+		case <-again:
+			again = nil
+			if beside++; loop.extraDials.Add(1) <= room {
+				dial()
+			}
+			if beside < maxParallelDials-1 {
+				again = loop.Clock.After(wait)
+			}
+		case t := <-tries:
+			out--
+			if t.err != nil && out > 0 {
+				continue
+			}
+			if out > 0 {
+				loop.group.Go(func() error { // the others are called off; they may be up all the same
+					for range out {
+						if t := <-tries; t.err == nil {
+							t.conn.Close()
+						}
+					}
+					return nil
+				})
+			}
+			return t.conn, t.err
+		}
+	}
+}
+
+// rememberID keeps the latest ids that were on a connection.
+func (l *replicaConnection) rememberID(attempt *attempt) {
+	if l.recentIDs == nil {
+		l.recentIDs = map[string]uint64{}
+	}
+	if _, known := l.recentIDs[attempt.name]; !known {
+		if len(l.recentOrder) < maxRecentIDs {
+			l.recentOrder = append(l.recentOrder, attempt.name)
+		} else {
+			delete(l.recentIDs, l.recentOrder[l.oldestIndex])
+			l.recentOrder[l.oldestIndex], l.oldestIndex = attempt.name, (l.oldestIndex+1)%maxRecentIDs
+		}
+	}
+	l.recentIDs[attempt.name] = attempt.shardRequest.search.id
+}
+
+// silentFor tells how long the oldest part has been out on the connection of those since which nothing was heard.
+func (l *replicaConnection) silentFor(now int64) (age int64) {
+	for _, attempt := range l.attempts {
+		if l.heardAt < attempt.sentAt {
+			age = max(age, now-attempt.sentAt)
+		}
+	}
+	return age
+}
+
+// conflictsWith tells whether one of a call's ids is out on the connection already, or was for another search.
+// Guards against two searches that bear one name: the answer to one would be taken for the other's.
+func (l *replicaConnection) conflictsWith(batch *batch) bool {
+	return slices.ContainsFunc(batch.attempts, func(sub *attempt) bool {
+		id, known := l.recentIDs[sub.name]
+		return known && id != sub.shardRequest.search.id || findAttempt(l.attempts, sub.name) != nil
+	})
+}
+
+// silenceTimeout is how long a connection may say nothing before it is taken for lost.
+func (loop *eventLoop) silenceTimeout() int64 {
+	return silenceDialTimeouts * int64(loop.plan.Duration("Permissions.DialTimeout")/tick)
+}
+
+// doubtDelay is how long a connection may say nothing under a part before the next call takes another.
+func (loop *eventLoop) doubtDelay() int64 {
+	return max(minDoubtDelay, int64(doubtLatencyFactor*loop.averageLatency))
+}
+
+// retireSilentConnections ends connections that have long been silent under parts, once their replica has answered a later part on
+// another: it is the connection that is lost, and its parts can go out again.
+func (loop *eventLoop) retireSilentConnections(heard *replicaConnection, sent int64) {
+	for _, conn := range heard.replica.connections {
+		age := conn.silentFor(loop.now)
+		if conn != heard && !conn.closedToNew && loop.now-age < sent && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
+			conn.closeNow(endRetired)
+		}
+	}
+}
+
+// handleConnectionEnd tells what a connection's end means for the parts that were out on it.
+func (loop *eventLoop) handleConnectionEnd(conn *replicaConnection, end connectionEnd, addr string) {
+	conn.closedToNew = true
+	conn.end(end)
+	loop.replicaConnectionCount--
+	conn.replica.connections = slices.DeleteFunc(conn.replica.connections, func(x *replicaConnection) bool { return x == conn })
+	if len(conn.attempts) > 0 || end == endNotConnected || end == endReadTimeout || end == endMalformed || end == endFault {
+		loop.log.warnLimited("replica "+end.Error(), "replica_connection_ended", "replica", conn.replica.id, "addr", addr, "end", end,
+			"parts", len(conn.attempts))
+	}
+	// All are taken off before the first is told. Guards against what the module does on hearing of one: it may
+	// call off others that were on this connection, whose end has come too.
+	var tell []func()
+	certain := end.isCertain()
+	first := true // of those that were written
+	for _, attempt := range slices.Clone(conn.attempts) {
+		out := attempt.batch.message.stage.Load() == stageWritten
+		outcome := end.attemptOutcome(out, first, conn.heardAt > 0)
+		first = first && !out
+		loop.detachAttempt(attempt)
+		if out && !certain && loop.mayStillRun(attempt) {
+			loop.abandonAttempt(conn, attempt, outcome)
+			continue
+		}
+		tell = append(tell, func() { loop.recordOutcome(attempt, outcome, nil) })
+	}
+	for _, do := range tell {
+		do()
+	}
+	for certain && len(conn.abandoned) > 0 {
+		attempt := conn.abandoned[0].attempt
+		loop.deferAttemptOutcome(attempt, loop.forgetAbandoned(conn.abandoned[0]))
+	}
+	loop.forgetReplica(conn.replica)
+}
+
+// closeWhenIdle closes a connection that has been unused, before its replica would, and until then looks again.
+func (loop *eventLoop) closeWhenIdle(conn *replicaConnection) {
+	if conn.closedToNew {
+		return
+	}
+	most := int64(replicaIdleShare * float64(loop.plan.Duration("Permissions.ConnIdle")/tick))
+	if left := conn.usedAt + most - loop.now; left > 0 || conn.openBatches > 0 || len(conn.abandoned) > 0 {
+		loop.runAfter(max(left, most/4), func() { loop.closeWhenIdle(conn) })
+		return
+	}
+	conn.closeNow(endIdle)
+}
+
+// closeNow ends a connection at once; until that is told, it takes nothing new.
+func (l *replicaConnection) closeNow(e connectionEnd) {
+	l.closedToNew = true
+	l.end(e)
+}
+
+// retireConnection lets a connection end once nothing is out on it.
+func (loop *eventLoop) retireConnection(conn *replicaConnection) {
+	conn.closedToNew = true
+	loop.closeIfUnused(conn)
+}
+
+func (loop *eventLoop) closeIfUnused(conn *replicaConnection) {
+	if conn.closedToNew && conn.openBatches == 0 && len(conn.abandoned) == 0 {
+		conn.end(endRetired)
+	}
+}
--- /dev/null
+++ b/coordinator/replica_dispatch.go
@@ -0,0 +1,198 @@
+package coordinator
+
+import (
+	"slices"
+)
+
+// batch is what travels as one frame.
+type batch struct {
+	attempts   []*attempt
+	connection *replicaConnection
+	message    *outboundMessage
+
+	inlineAttempts [1]*attempt     // room for the first of subs
+	inlineMessage  outboundMessage // and for the first parcel
+}
+
+// canShareBatch tells whether a sub-request may be on one connection with those of a call.
+func (loop *eventLoop) canShareBatch(subs []*attempt, attempt *attempt) bool {
+	return len(subs) == 0 || loop.firstSentAt(attempt) == loop.firstSentAt(subs[0])
+}
+
+// dispatchBatches puts the turn's calls on connections.
+func (loop *eventLoop) dispatchBatches() {
+	if len(loop.dispatchOrder) > 0 {
+		loop.lastDispatchAt = loop.now
+	}
+	for _, replica := range loop.dispatchOrder {
+		for _, batch := range replica.batches {
+			if len(batch.attempts) == 0 {
+				continue
+			}
+			var conn *replicaConnection
+			if !replica.removed { // since it was chosen in this turn
+				conn = loop.connectionFor(replica, batch)
+			}
+			if conn == nil {
+				for _, attempt := range slices.Clone(batch.attempts) {
+					loop.detachAttempt(attempt)
+					loop.deferAttemptOutcome(attempt, endNoDescriptors.attemptOutcome(false, false, false))
+				}
+				continue
+			}
+			batch.connection = conn
+			conn.openBatches++
+			conn.attempts = append(conn.attempts, batch.attempts...)
+			loop.queueBatch(batch)
+		}
+		clear(replica.batches)
+		replica.batches = replica.batches[:0]
+		loop.forgetReplica(replica)
+	}
+	loop.dispatchOrder = loop.dispatchOrder[:0]
+}
+
+// queueBatch writes the frame of a call that has a connection. While that is not up the call waits for rise. Guards against a
+// frame that was written as the connection was opened: it would tell the time that was left to the client then.
+func (loop *eventLoop) queueBatch(batch *batch) {
+	if batch.connection == nil {
+		return
+	}
+	if batch.connection.connectedAt == 0 {
+		batch.message = &batch.inlineMessage
+		batch.message.stage.Store(stageQueued) // it may have been taken back, and stands in no backlog
+		return
+	}
+	fenced := loop.enforcer != nil && loop.enforcer.removeForbidden(batch)
+	if len(batch.attempts) == 0 {
+		return
+	}
+	buffer := borrowBuffer()
+	*buffer = batch.connection.protocol.appendBatch(loop, *buffer, batch)
+	message := &batch.inlineMessage
+	if message.buffer != nil { // that one was taken back, and may still stand in the backlog
+		message = &outboundMessage{}
+	}
+	message.buffer, message.leaseFenced, batch.message = buffer, fenced, message
+	if by := loop.repeatDeadline(batch.attempts[0]); by > 0 {
+		message.hasDeadline = true
+		batch.connection.deadlines.Store(message, by)
+	}
+	batch.connection.usedAt = loop.now
+	batch.connection.enqueue(batch.message)
+}
+
+// connectionFor finds a connection with room for a call, or opens one. With no descriptor left for it, an unused
+// connection to another replica makes room, or one of this replica's takes the call, though it will wait
+// there; nil where neither is. Guards against a lack of our own that is told as a replica's fault.
+func (loop *eventLoop) connectionFor(replica *replica, batch *batch) *replicaConnection {
+	if since := loop.firstSentAt(batch.attempts[0]); since > 0 {
+		return replica.connectedSince(batch, since)
+	}
+	var fullest *replicaConnection
+	doubted := 0
+	for _, conn := range replica.connections {
+		if conn.closedToNew || conn.conflictsWith(batch) {
+			continue
+		}
+		// Guards against one connection that has gone silent: it would swallow part after part of a replica that
+		// is sound. The next call takes another; a replica that is silent on all is the module's to find.
+		doubt := conn.silentFor(loop.now) > loop.doubtDelay() && doubted < maxDoubtedConnections
+		if doubt {
+			doubted++
+		}
+		if !doubt && conn.openBatches < conn.protocol.batchesPerConnection(loop) {
+			return conn
+		}
+		if fullest == nil || conn.openBatches < fullest.openBatches {
+			fullest = conn
+		}
+	}
+	if float64(loop.replicaConnectionCount) < replicaDescriptorShare*float64(loop.maxSockets) {
+		return loop.openConnection(replica)
+	}
+	if !replica.protocol.allowsWaiting() {
+		fullest = nil
+	}
+	loop.log.warnLimited("no_descriptor", "no_descriptor", "side", "replicas", "open", loop.replicaConnectionCount)
+	var spare *replicaConnection
+	for _, other := range loop.replicas {
+		for _, conn := range other.connections {
+			if !conn.closedToNew && conn.openBatches == 0 && (spare == nil || conn.usedAt < spare.usedAt) {
+				spare = conn
+			}
+		}
+	}
+	if spare != nil {
+		spare.closeNow(endDisplaced)
+		return loop.openConnection(replica)
+	}
+	return fullest
+}
+
+// connectedSince finds a connection that has stood since before a keyed part first went out; nil where there is none: the
+// repeat is not sent then. Guards against a second effect: a replica that has started again has forgotten what it would
+// drop, and only a connection that stood all the while shows that it has not. Harm: a replica that was not connected to
+// gets no repeat, though it may well remember.
+func (r *replica) connectedSince(batch *batch, since int64) (best *replicaConnection) {
+	for _, conn := range r.connections {
+		if !conn.closedToNew && conn.connectedAt > 0 && conn.connectedAt <= since && !conn.conflictsWith(batch) && (best == nil || conn.openBatches < best.openBatches) {
+			best = conn
+		}
+	}
+	return best
+}
+
+// firstSentAt is when a keyed part first went out, of its repeat; 0 of any other sub-request, and where none before it can
+// have run: that is no repeat. It is not kept in the call: eight bytes more there are 385 a search.
+func (loop *eventLoop) firstSentAt(attempt *attempt) int64 {
+	if attempt.index == 0 || !loop.keyedClasses[attempt.shardRequest.search.class] {
+		return 0
+	}
+	for _, before := range attempt.shardRequest.attempts[:attempt.index] {
+		if !before.neverRan {
+			return before.sentAt
+		}
+	}
+	return 0
+}
+
+// repeatDeadline is until when a keyed part's repeat may leave: the decision for it, and what this side holds it back, may lie on
+// both sides of the end of its window. 0 for what is no repeat.
+func (loop *eventLoop) repeatDeadline(attempt *attempt) int64 {
+	since := loop.firstSentAt(attempt)
+	if since == 0 {
+		return 0
+	}
+	return since + max(1, loop.repeatWindows[attempt.shardRequest.search.class]-int64(repeatWindowMargin/tick))
+}
+
+// handleMissedDeadline tells the module of a call whose time to leave was over before its connection's writer came to it: none of it
+// was sent.
+func (loop *eventLoop) handleMissedDeadline(conn *replicaConnection, message *outboundMessage) {
+	for _, attempt := range slices.Clone(conn.attempts) {
+		if attempt.batch != nil && attempt.batch.message == message {
+			loop.detachAttempt(attempt)
+			loop.deferAttemptOutcome(attempt, "Ignored")
+		}
+	}
+}
+
+// recallBatch takes a search's sub-requests off a call, all sub-requests with no search, if no byte of it has been begun; the
+// module hears that they were never sent. They go at once: one by one, the frame of the rest could go out in between.
+func (loop *eventLoop) recallBatch(batch *batch, of *search) bool {
+	if batch.connection != nil && !batch.message.recall() {
+		return false
+	}
+	for i := 0; i < len(batch.attempts); {
+		attempt := batch.attempts[i]
+		if of != nil && attempt.shardRequest.search != of {
+			i++
+			continue
+		}
+		loop.detachAttempt(attempt)
+		loop.deferAttemptOutcome(attempt, "Ignored")
+	}
+	loop.queueBatch(batch)
+	return true
+}
--- a/coordinator/bodies.go
+++ b/coordinator/request_body.go
@@ -5,7 +5,6 @@
 	"errors"
 	"io"
 	"math"
-	"strconv"
 	"strings"
 	"sync"
 	"unicode/utf8"
@@ -169,40 +168,3 @@
 	}
 	return nil
 }
-
-// answerBodySize tells how long the body of an answer will be; not plain where values have to be escaped, which makes it
-// longer.
-func answerBodySize(outcome searchOutcome) (size int, plain bool) {
-	plain = true
-	size = len(`{"total":,"answers":[]}`) + len("false")
-	if outcome.complete {
-		size--
-	}
-	for i, request := range outcome.parts {
-		if i > 0 {
-			size++
-		}
-		var digits [20]byte
-		size += len(`{"range":,"blob":""}`) + len(strconv.AppendInt(digits[:0], int64(request.shard), 10)) + len(request.value)
-		for _, c := range request.value {
-			plain = plain && c >= ' ' && c != '"' && c != '\\'
-		}
-	}
-	return size, plain
-}
-
-// appendAnswerBody adds the body of an answer.
-func appendAnswerBody(dst []byte, outcome searchOutcome) []byte {
-	dst = strconv.AppendBool(append(dst, `{"total":`...), outcome.complete)
-	dst = append(dst, `,"answers":[`...)
-	for i, request := range outcome.parts {
-		if i > 0 {
-			dst = append(dst, ',')
-		}
-		dst = strconv.AppendInt(append(dst, `{"range":`...), int64(request.shard), 10)
-		dst = append(dst, `,"blob":`...)
-		dst, _ = jsontext.AppendQuote(dst, request.value) // it is text: hear has seen to that
-		dst = append(dst, '}')
-	}
-	return append(dst, "]}"...)
-}
--- /dev/null
+++ b/coordinator/residency_guard.go
@@ -0,0 +1,97 @@
+package coordinator
+
+import (
+	"encoding/json"
+	"io"
+	"maps"
+	"math"
+	"slices"
+	"sync"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"chalkring/config/settings"
+	"chalkring/control/residency"
+	"chalkring/coordinator/plan"
+)
+
+// ResidencyGuard is what holds in a process whose installation has contracts: the standing in force, told to each
+// co-ordinator, and what is counted. It is safe for several goroutines.
+type ResidencyGuard struct {
+	clock func() int64 // wall time in tenths of a millisecond, counted on
+
+	mu        sync.Mutex
+	policy    *residency.CompiledPolicy
+	enforcers map[*residencyEnforcer]bool
+
+	metricSet                                         *metrics.Set
+	blocked, refused, canceled, policyUpdates, fenced *metrics.Counter
+}
+
+// NewResidencyGuard begins with what is known at the start; with nothing known, nothing runs anywhere. Clock is wall time in tenths of a millisecond that never goes back.
+func NewResidencyGuard(first *residency.CompiledPolicy, clock func() int64) *ResidencyGuard {
+	if first == nil {
+		first = residency.DenyAll()
+	}
+	r := &ResidencyGuard{clock: clock, policy: first, enforcers: map[*residencyEnforcer]bool{}, metricSet: metrics.NewSet()}
+	r.blocked = r.metricSet.NewCounter("chalkring_residency_caught_total")
+	r.refused = r.metricSet.NewCounter("chalkring_residency_refused_total")
+	r.canceled = r.metricSet.NewCounter("chalkring_residency_called_off_total")
+	r.fenced = r.metricSet.NewCounter("chalkring_residency_fenced_total")
+	r.policyUpdates = r.metricSet.NewCounter("chalkring_residency_standings_total")
+	r.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
+	r.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
+		if in := r.Policy(); in.LeaseExpiry < math.MaxInt64 { // one that never ends has no length
+			return max(0, float64(in.LeaseExpiry-r.clock())/10_000)
+		}
+		return -1
+	})
+	return r
+}
+
+// Policy is what is in force.
+func (r *ResidencyGuard) Policy() *residency.CompiledPolicy {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.policy
+}
+
+// MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
+func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
+	return r.Policy().AllowsTenantData(r.clock(), settings.FormatValue(tenant), plan.ZoneName(zone))
+}
+
+// BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
+func (r *ResidencyGuard) BlockedDispatches() uint64 { return r.blocked.Get() }
+
+// SetPolicy puts a standing in force and returns once every co-ordinator of the process keeps to it: from then on nothing that
+// it forbids is sent, and what was out has been called off.
+func (r *ResidencyGuard) SetPolicy(s *residency.CompiledPolicy) {
+	r.mu.Lock()
+	r.policy = s
+	owners := slices.Collect(maps.Keys(r.enforcers))
+	r.mu.Unlock()
+	r.policyUpdates.Inc()
+	for _, b := range owners {
+		done := make(chan struct{})
+		if b.loop.submit(func() { b.setPolicy(s); close(done) }) {
+			select {
+			case <-done:
+			case <-b.loop.ctx.Done():
+			case <-b.closed: // it never began to take turns
+			}
+		}
+	}
+}
+
+// writeMetrics tells what is counted in the common text form.
+func (r *ResidencyGuard) writeMetrics(to io.Writer) { r.metricSet.WritePrometheus(to) }
+
+// residencyRefusalBody is the own front's answer to a refused search. 503 where another instance may know more.
+func residencyRefusalBody(r *residency.SearchRejectedError) (status int, body []byte) {
+	if status = 451; r.Reason == residency.ReasonLeaseExpired {
+		status = 503
+	}
+	body, _ = json.Marshal(map[string]any{"error": "residency", "tenant": r.Tenant, "block": r.Block, "why": r.Reason})
+	return status, body
+}
--- a/coordinator/door.go
+++ b/coordinator/search_api.go
@@ -9,9 +9,8 @@
 	"sync"
 	"time"
 
-	"chalkring/coordinator/plan"
-
 	"chalkring/control/residency"
+	"chalkring/coordinator/plan"
 )
 
 const frontendDescriptorShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
--- /dev/null
+++ b/coordinator/search_end.go
@@ -0,0 +1,158 @@
+package coordinator
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"chalkring/control/residency"
+)
+
+// searchOutcome is a final answer.
+type searchOutcome struct {
+	outcome       int
+	complete      bool
+	retryAfter    int64
+	dispatched    bool            // a sub-request was made for it
+	parts         []*shardRequest // that are in, in the search's order
+	pendingWrites []pendingWrite  // what has to be out before it is
+	refusal       *residency.SearchRejectedError
+}
+
+const (
+	outcomeAnswered = iota
+	outcomeShed
+	outcomeFailed
+	outcomeDuplicateID      // never was a search: another that is open bears its name
+	outcomeResidencyRefused // by a contract on where its parts may run
+	outcomeClientGone       // told of an end alone: its client did not wait for the answer
+)
+
+func (loop *eventLoop) AnswerSearch(id uint64, whole bool) {
+	search := loop.searches[id]
+	if search == nil {
+		return
+	}
+	in := loop.completedParts(search)
+	if more := loop.followUpCount(search.class); search.step == 1 && more > 0 {
+		search.firstStepComplete = whole
+		for _, request := range in {
+			search.firstStepShards = append(search.firstStepShards, request.shard)
+		}
+		slices.Sort(search.firstStepShards)
+		loop.runNextIteration(func() { loop.startSecondStep(search, in, more) })
+		return
+	}
+	loop.notifySearchEnd(search, outcomeAnswered)
+	first := loop.finishSearch(search)
+	search.reply(searchOutcome{outcome: outcomeAnswered, complete: whole, parts: in, pendingWrites: first})
+}
+
+func (loop *eventLoop) ShedSearch(id uint64, retryIn int64) {
+	loop.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryIn})
+}
+
+func (loop *eventLoop) FailSearch(id uint64) {
+	loop.endSearch(id, searchOutcome{outcome: outcomeFailed})
+}
+
+func (loop *eventLoop) endSearch(id uint64, outcome searchOutcome) {
+	if search := loop.searches[id]; search != nil {
+		if outcome.refusal = loop.enforcer.refusalOf(search); outcome.refusal != nil {
+			outcome.outcome, outcome.retryAfter = outcomeResidencyRefused, 0
+		}
+		outcome.dispatched = slices.ContainsFunc(search.shardRequests, func(request *shardRequest) bool { return len(request.attempts) > 0 })
+		loop.notifySearchEnd(search, outcome.outcome)
+		outcome.pendingWrites = loop.finishSearch(search)
+		search.reply(outcome)
+	}
+}
+
+// withdrawSearch tells the module that the client has left; what it gives has to be out before anything is said to it.
+func (loop *eventLoop) withdrawSearch(search *search) (first []pendingWrite) {
+	if search.ended {
+		return nil
+	}
+	loop.notifySearchEnd(search, outcomeClientGone)
+	first = loop.finishSearch(search)
+	loop.balancer.CancelSearch(search.id)
+	return first
+}
+
+// withdrawGoneClients withdraws the searches whose clients have left, though their readers have not said so yet.
+func (loop *eventLoop) withdrawGoneClients() {
+	var gone []*search
+	for _, s := range loop.searches {
+		if s.client != nil && s.client.hasHungUp() {
+			gone = append(gone, s)
+		}
+	}
+	slices.SortFunc(gone, func(s, u *search) int { return cmp.Compare(s.id, u.id) }) // the module's actions follow its calls
+	for _, s := range gone {
+		loop.withdrawSearch(s)
+	}
+}
+
+// SearchEnd is how a search ended, for those that keep sums beside the owner.
+type SearchEnd struct {
+	Type, Outcome int           // its class; Answered, Shed, Errored, Barred or Left
+	Duration      time.Duration // since it came
+	Attempts      int           // sub-requests made for it
+}
+
+func (loop *eventLoop) notifySearchEnd(search *search, kind int) {
+	if loop.OnSearchEnd == nil {
+		return
+	}
+	e := SearchEnd{Type: search.class, Outcome: kind, Duration: loop.Clock.Now().Sub(search.arrivedAt)}
+	for _, request := range search.shardRequests {
+		e.Attempts += len(request.attempts)
+	}
+	loop.OnSearchEnd(e)
+}
+
+// finishSearch forgets a search and gives what has to be out before its final answer is, until the next one is finished.
+func (loop *eventLoop) finishSearch(search *search) (first []pendingWrite) {
+	first = loop.pendingWrites[:0]
+	defer func() { loop.pendingWrites = first }()
+	loop.holdBytes(search, -int(search.heldBytes))
+	search.ended = true
+	delete(loop.searches, search.id)
+	delete(loop.openNames, search.name)
+	if search.decodeValue != nil {
+		loop.valueDecoders.Delete(search.name)
+		loop.decoderCount.Add(-1)
+	}
+	for _, write := range search.pendingWrites {
+		if !write.isWritten() {
+			first = append(first, write)
+		}
+	}
+	for _, request := range search.shardRequests {
+		for _, attempt := range request.attempts {
+			if abandoned := loop.abandoned[attempt]; abandoned != nil {
+				loop.deferAttemptOutcome(attempt, loop.forgetAbandoned(abandoned))
+			}
+			if attempt.batch == nil {
+				continue
+			}
+			// Nothing is sent after the final answer: what is begun has to be out before that is.
+			if batch := attempt.batch; !loop.recallBatch(batch, search) {
+				if write := (pendingWrite{batch.connection.messageConn, batch.message}); !write.isWritten() {
+					first = append(first, write)
+				}
+			}
+		}
+		loop.dropShardRequest(request)
+	}
+	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // a connection keeps its last search while unused
+	return first
+}
+
+// dropShardRequest forgets a part once its search is over and all its sub-requests are told: until then the module may
+// cancel them.
+func (loop *eventLoop) dropShardRequest(request *shardRequest) {
+	if request.search.ended && request.unreported == 0 {
+		delete(loop.shardRequests, request.id)
+	}
+}
--- a/coordinator/several.go
+++ b/coordinator/sharded.go
@@ -2,16 +2,13 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
-	"net"
 	"slices"
 	"sync"
 
-	"chalkring/coordinator/plan"
-
 	"golang.org/x/sync/errgroup"
 
+	"chalkring/coordinator/plan"
 	"chalkring/endpoints"
 )
 
@@ -91,95 +88,3 @@
 	})
 	return g.Wait()
 }
-
-// sharedListener deals the connections of one listener to several.
-type sharedListener struct {
-	listener net.Listener
-	shards   []*shardListener
-
-	mu   sync.Mutex
-	open int
-}
-
-// shardListener is one's part of a listener.
-type shardListener struct {
-	*sharedListener
-	accepted  chan acceptResult
-	closed    chan struct{}
-	closeOnce sync.Once
-}
-
-// acceptResult is one connection, or why there is none.
-type acceptResult struct {
-	conn net.Conn
-	err  error
-}
-
-func newSharedListener(from net.Listener, n int) *sharedListener {
-	s := &sharedListener{listener: from, open: n}
-	for range n {
-		s.shards = append(s.shards, &shardListener{sharedListener: s, accepted: make(chan acceptResult), closed: make(chan struct{})})
-	}
-	return s
-}
-
-func (d *shardListener) Accept() (net.Conn, error) {
-	select {
-	case t := <-d.accepted:
-		return t.conn, t.err
-	case <-d.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (d *shardListener) Addr() net.Addr { return d.listener.Addr() }
-
-// Close gives up one's part; the last closes the listener.
-func (d *shardListener) Close() error {
-	last := false
-	d.closeOnce.Do(func() {
-		close(d.closed)
-		d.mu.Lock()
-		d.open--
-		last = d.open == 0
-		d.mu.Unlock()
-	})
-	if last {
-		return d.listener.Close()
-	}
-	return nil
-}
-
-// distribute hands connections round: to the next in turn that is waiting for one, or else to the first that is. Guards
-// against one that has no room and would hold up the others.
-func (s *sharedListener) distribute() {
-	for turn := 0; ; turn++ {
-		conn, err := s.listener.Accept()
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if !s.handOver(acceptResult{conn, err}, turn) && conn != nil {
-			conn.Close()
-		}
-	}
-}
-
-func (s *sharedListener) handOver(t acceptResult, turn int) bool {
-	n := len(s.shards)
-	for i := range n {
-		select {
-		case s.shards[(turn+i)%n].accepted <- t:
-			return true
-		default:
-		}
-	}
-	for i := range n { // all are busy for the moment
-		d := s.shards[(turn+i)%n]
-		select {
-		case d.accepted <- t:
-			return true
-		case <-d.closed:
-		}
-	}
-	return false
-}
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 )
 
@@ -59,3 +60,5 @@
 	}
 	return max(time.Millisecond, min(patience, by.Sub(came)))
 }
+
+var errAllAnswered = errors.New("all is answered")
--- /dev/null
+++ b/coordinator/timers.go
@@ -0,0 +1,131 @@
+package coordinator
+
+import (
+	"cmp"
+	"container/heap"
+)
+
+// timer is something to do at a time; place is where it stands among wakes, negative once it does not.
+type timer struct {
+	at       int64
+	sequence uint64
+	index    int
+	handler  timerHandler
+}
+
+// timerHandler is what a wake leaves behind: a step that goes on then.
+type timerHandler interface{ fire(o *eventLoop) }
+
+type deferredTask func()
+
+func (do deferredTask) fire(*eventLoop) { do() }
+
+type timerQueue struct {
+	timers   []*timer
+	sequence uint64
+}
+
+func (w *timerQueue) Len() int { return len(w.timers) }
+
+func (w *timerQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(w.timers[i].at, w.timers[j].at), cmp.Compare(w.timers[i].sequence, w.timers[j].sequence)) < 0
+}
+
+func (w *timerQueue) Swap(i, j int) {
+	w.timers[i], w.timers[j] = w.timers[j], w.timers[i]
+	w.timers[i].index, w.timers[j].index = i, j
+}
+
+func (w *timerQueue) Push(v any) {
+	v.(*timer).index = len(w.timers)
+	w.timers = append(w.timers, v.(*timer))
+}
+
+func (w *timerQueue) Pop() any {
+	last := len(w.timers) - 1
+	v := w.timers[last]
+	w.timers[last] = nil
+	w.timers = w.timers[:last]
+	v.index = -1
+	return v
+}
+
+func (loop *eventLoop) runAfter(wait int64, do func()) {
+	loop.startTimer(&timer{}, wait, deferredTask(do))
+}
+
+// startTimer has a wake come after a while; it is not among the wakes yet.
+func (loop *eventLoop) startTimer(timer *timer, wait int64, do timerHandler) {
+	loop.timers.sequence++
+	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.sequence, do
+	heap.Push(&loop.timers, timer)
+}
+
+// stopTimer takes a wake back, so that it holds nothing for the rest of its wait; one that has come or never was awaited
+// stays as it is.
+func (loop *eventLoop) stopTimer(timer *timer) {
+	if timer.handler == nil {
+		return
+	}
+	if timer.handler = nil; timer.index >= 0 {
+		heap.Remove(&loop.timers, timer.index)
+	}
+}
+
+// balancerTimer is one that the module asked for.
+type balancerTimer struct {
+	timer
+	label uint64
+}
+
+func (w *balancerTimer) fire(loop *eventLoop) {
+	label := w.label
+	delete(loop.balancerTimers, label)
+	if len(loop.spareTimers) < maxSpareTimers {
+		loop.spareTimers = append(loop.spareTimers, w)
+	}
+	loop.balancer.HandleTimer(label)
+}
+
+func (loop *eventLoop) SetTimer(wait int64, label uint64) {
+	var w *balancerTimer
+	if n := len(loop.spareTimers); n > 0 {
+		w, loop.spareTimers = loop.spareTimers[n-1], loop.spareTimers[:n-1]
+	} else {
+		w = &balancerTimer{}
+	}
+	w.label = label
+	loop.balancerTimers[label] = w
+	loop.startTimer(&w.timer, max(wait, 1), w)
+}
+
+func (loop *eventLoop) CancelTimer(label uint64) {
+	w := loop.balancerTimers[label]
+	if w == nil {
+		return
+	}
+	delete(loop.balancerTimers, label)
+	if w.index >= 0 && len(loop.spareTimers) < maxSpareTimers { // one that is due in this turn is still looked at
+		loop.spareTimers = append(loop.spareTimers, w)
+	}
+	loop.stopTimer(&w.timer)
+}
+
+// stallDetector is a wake that always is among the others while searches are open: how late it is found shows how long the process
+// was held up.
+type stallDetector struct{ timer }
+
+func (p *stallDetector) fire(loop *eventLoop) {
+	if len(loop.searches) > 0 {
+		loop.startTimer(&p.timer, int64(stallCheckInterval/tick), p)
+	} else {
+		p.handler = nil
+	}
+}
+
+// armStallDetector has it come.
+func (loop *eventLoop) armStallDetector() {
+	if loop.stallDetector.handler == nil {
+		loop.startTimer(&loop.stallDetector.timer, int64(stallCheckInterval/tick), &loop.stallDetector)
+	}
+}
