--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -3,10 +3,6 @@
 import (
 	"context"
 	"encoding/hex"
-	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"chalkring/internal/golden"
@@ -51,12 +47,9 @@
 }
 
 func goldenStorage(t *testing.T) *memoryStorage {
-	text, err := os.ReadFile(goldenBucket)
-	require.NoError(t, err)
-	var all map[string]string
-	require.NoError(t, json.Unmarshal(text, &all))
 	storage := newMemoryStorage()
-	for key, value := range all {
+	for key, value := range golden.ReadJSON[map[string]string](t, goldenBucket) {
+		var err error
 		storage.data[key], err = hex.DecodeString(value)
 		require.NoError(t, err)
 	}
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -58,8 +58,8 @@
 		return contents(empty), nil
 	}
 	golden.RequireForms(t, "messages.golden", []golden.Form{
-		{"fresh", func() ([]byte, error) { return encodeMessage(kindUpdate, update) }, received, contents(replicator)},
-		{"lacks", func() ([]byte, error) { return encodeMessage(kindRepair, repair) }, received, contents(replicator)},
+		{Name: "fresh", Encode: func() ([]byte, error) { return encodeMessage(kindUpdate, update) }, Decode: received, Want: contents(replicator)},
+		{Name: "lacks", Encode: func() ([]byte, error) { return encodeMessage(kindRepair, repair) }, Decode: received, Want: contents(replicator)},
 		{Name: "ask", Encode: func() ([]byte, error) { return encodeMessage(kindRequest, request) }, Decode: func(encoded []byte) (any, error) {
 			require.Equal(t, byte(1), encoded[0])
 			var decoded crdt.ExchangeRequest
@@ -112,7 +112,7 @@
 			var entry crdt.Entry
 			err = cbor.Unmarshal(encoded, &entry)
 			return entry, err
-		}, goldenRecord(replicator, key)})
+		}, Want: goldenRecord(replicator, key)})
 	}
 	require.Len(t, written.data, len(forms), "no other key is written")
 	golden.RequireForms(t, "store.golden", forms)
--- /dev/null
+++ b/coordinator/endpoint_sources.go
@@ -0,0 +1,139 @@
+package coordinator
+
+import (
+	"fmt"
+	"time"
+
+	"chalkring/config/settings"
+	"chalkring/coordinator/plan"
+	"chalkring/endpoints"
+)
+
+// endpointSources makes one list of what discovery, the plan and an installation's other sources tell. Its goroutine keeps
+// the book, so that the owner is handed a list in force at once and whole: no search sees parts of two.
+type endpointSources struct {
+	loop             *eventLoop
+	registry         *endpoints.Registry
+	discoveryUpdates chan discoveryUpdate    // from discovery
+	updates          <-chan endpoints.Update // from other sources
+	loggedHolds      map[string]string       // lists that are held back, as they were last logged
+}
+
+// discoveryUpdate is what discovery has told; refused hears why it is refused, or nil.
+type discoveryUpdate struct {
+	endpoints.Update
+	result chan error
+}
+
+// newEndpointSources begins with the plan's list.
+func newEndpointSources(loop *eventLoop, more <-chan endpoints.Update, version int64, known []plan.ListedHost) *endpointSources {
+	m := &endpointSources{loop: loop, registry: endpoints.NewRegistry(loop.plan.EndpointRules()), discoveryUpdates: make(chan discoveryUpdate), updates: more, loggedHolds: map[string]string{}}
+	m.apply(newEndpointUpdate("plan", endpoints.RankPlan, version, true, false, known))
+	return m
+}
+
+func newEndpointUpdate(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []plan.ListedHost) endpoints.Update {
+	update := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
+	for _, host := range hosts {
+		update.Hosts = append(update.Hosts, host.Host)
+	}
+	return update
+}
+
+// applyDiscovery hands discovery's list on, and tells why it is refused. Guards against a version that counts as had while its
+// changes are not: they would not be told again.
+func (m *endpointSources) applyDiscovery(update endpoints.Update) error {
+	d := discoveryUpdate{update, make(chan error, 1)}
+	select {
+	case m.discoveryUpdates <- d:
+	case <-m.loop.ctx.Done():
+		return endClosing
+	}
+	select {
+	case err := <-d.result:
+		return err
+	case <-m.loop.ctx.Done():
+		return endClosing
+	}
+}
+
+func (m *endpointSources) run() error {
+	loop := m.loop
+	for {
+		var due <-chan time.Time
+		if at := m.registry.NextTick(); at > 0 {
+			due = loop.Clock.After(time.Duration(max(at-loop.clockTicks(), 1)) * tick)
+		}
+		changed := false
+		select {
+		case d := <-m.discoveryUpdates:
+			var err error
+			changed, err = m.apply(d.Update)
+			d.result <- err
+		case update, ok := <-m.updates:
+			if !ok {
+				m.updates = nil
+				continue
+			}
+			changed, _ = m.apply(update)
+		case <-due:
+			changed = m.registry.Tick(loop.clockTicks())
+		case <-loop.ctx.Done():
+			return nil
+		}
+		if changed && !m.publish() {
+			return nil
+		}
+	}
+}
+
+// apply tells the book a list, and the log what the book thinks of it.
+func (m *endpointSources) apply(update endpoints.Update) (changed bool, err error) {
+	for i := range update.Hosts {
+		update.Hosts[i].Zone, update.Hosts[i].Kind = settings.FormatValue(update.Hosts[i].Zone), settings.FormatValue(update.Hosts[i].Kind)
+	}
+	changed, err = m.registry.Apply(m.loop.clockTicks(), update)
+	if err != nil {
+		m.loop.log.warnLimited("list_refused "+update.Source, "list_refused", "source", update.Source, "error", err)
+		m.loop.recordEvent("list_refused", update.Source+": "+err.Error())
+		return false, err
+	}
+	held := m.registry.HeldBackSources()
+	if why := held[update.Source]; why != "" && why != m.loggedHolds[update.Source] {
+		m.loop.log.warnLimited("list_held "+update.Source, "list_held", "source", update.Source, "why", why)
+		m.loop.recordEvent("list_held", update.Source+": "+why)
+	}
+	if m.loop.Persistence != nil && update.Rank == endpoints.RankDiscovery && held[update.Source] == "" {
+		m.loop.Persistence.discoveryVersion.Store(update.Version)
+	}
+	m.loggedHolds = held
+	return changed, nil
+}
+
+// publish puts the list in force in the owner's place, in one turn; false once the co-ordinator has ended.
+func (m *endpointSources) publish() bool {
+	loop, generation := m.loop, m.registry.Generation()
+	var hosts []plan.ListedHost
+	var steps []func()
+	present := map[string]bool{}
+	list := m.registry.List()
+	for _, endpoint := range list {
+		present[endpoint.ID] = true
+		hosts = append(hosts, plan.ListedHost{Host: endpoint.Host, ZoneConflict: endpoint.ZoneConflict})
+		zone, kind, status := loop.settingPosition("FailureDomains", endpoint.Zone), loop.settingPosition("MachineTypes", endpoint.Kind), "healthy"
+		if endpoint.State == endpoints.StateDraining {
+			status = "cordoned"
+		}
+		steps = append(steps, func() {
+			loop.placeReplica(endpoint.ID, endpoint.Addr, endpoint.Kind, endpoint.StartedMS*10, false, endpoint.State == endpoints.StateDraining)
+			loop.balancer.AddEndpoint(endpoint.ID, zone, kind, endpoint.Cell, status, endpoint.Weight, endpoint.StartedMS*10)
+		})
+	}
+	if loop.Persistence != nil {
+		loop.Persistence.recordList(list, m.registry.Removals(loop.clockTicks()))
+		loop.recordEvent("list", fmt.Sprintf("generation %d, %d hosts", generation, len(hosts)))
+	}
+	ok := loop.submit(func() { loop.putListInForce("Complete", generation, hosts, present, steps) })
+	loop.notifyEndpointList(true, generation, hosts)
+	return ok
+}
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -143,15 +143,15 @@
 // Before any host is known, the health request gets the bytes of the golden file.
 func TestGoldenHealthWithoutHosts(t *testing.T) {
 	list, ln := script(t), listen(t)
-	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
+	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":0,"servers":[]},"settings":%s}`,
 		ln.Addr(), list.Listener.Addr(), testSettings))
 	require.NoError(t, err)
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- p.Serve(ctx, Options{
+		ended <- Serve(ctx, p, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(io.Discard, false, slog.LevelInfo),
 		})
@@ -159,7 +159,7 @@
 	var out strings.Builder
 	exchange(t, &out, ln.Addr().String(), "health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	golden.Require(t, "health_without_hosts.golden", out.String())
-	stop()
+	cancel()
 	require.NoError(t, <-ended)
 }
 
@@ -174,11 +174,11 @@
 func (s searchUnderTest) answerShards(step int, shards ...int) {
 	for _, shard := range shards {
 		s.eventually("the step begins", func() (there bool) {
-			s.inTurn(func(o *owner) {
-				for _, p := range o.searches[s.id].parts {
-					if p.step == step && p.shard == shard {
+			s.inTurn(func(loop *eventLoop) {
+				for _, request := range loop.searches[s.id].shardRequests {
+					if request.step == step && request.shard == shard {
 						there = true
-						o.SendAttempt(p.id, []string{"a0", "b0"}[shard%2], 0)
+						loop.SendAttempt(request.id, []string{"a0", "b0"}[shard%2], 0)
 					}
 				}
 			})
@@ -188,7 +188,9 @@
 	}
 }
 
-func (s searchUnderTest) settle(whole bool) { s.inTurn(func(o *owner) { o.AnswerSearch(s.id, whole) }) }
+func (s searchUnderTest) settle(whole bool) {
+	s.inTurn(func(loop *eventLoop) { loop.AnswerSearch(s.id, whole) })
+}
 
 // Searches get the bytes of the golden file for each way in which they end: whole, in part, after two steps, shed, failed, and
 // never begun. The test makes the decisions, so that nothing is normalised.
@@ -232,14 +234,14 @@
 			s.answerShards(2, 1)
 			s.settle(false)
 		}},
-		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 0) }) }},
-		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 2500) }) }},
+		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 0) }) }},
+		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 2500) }) }},
 		{
 			"shed with a wait, close", "all", "Connection: close\r\n", fourParts,
-			func(s searchUnderTest) { s.inTurn(func(o *owner) { o.ShedSearch(s.id, 12345) }) },
+			func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 12345) }) },
 		},
-		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
-		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(o *owner) { o.FailSearch(s.id) }) }},
+		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
+		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
 	} {
 		text := request(fmt.Sprint("q", i), x.class, x.head, x.body)
 		c := dialRaw(t, r.addr).send(text)
@@ -254,7 +256,7 @@
 	exchange(t, &out, r.addr, "request id that is in use", request("same", "all", "", fourParts))
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
-	r.inTurn(func(o *owner) { require.Nil(t, o.searches[id]) })
+	r.inTurn(func(loop *eventLoop) { require.Nil(t, loop.searches[id]) })
 	golden.Require(t, "client_responses.golden", out.String())
 	r.end()
 }
@@ -267,7 +269,7 @@
 	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
 	exchange(t, &out, z.addr, "lease ended", request("q2", "all", "Connection: close\r\n", fourParts))
 	for _, why := range []string{residency.ReasonNoEligibleHost, residency.ReasonLeaseExpired, residency.ReasonContractEnded} {
-		status, body := barredBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
+		status, body := residencyRefusalBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
 		fmt.Fprintf(&out, "== body\n< %d %q\n", status, body)
 	}
 	golden.Require(t, "contract_errors.golden", out.String())
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -13,6 +13,8 @@
 
 	"chalkring/internal/golden"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
@@ -35,8 +37,8 @@
 func (fixedClock) After(time.Duration) <-chan time.Time { return nil }
 
 // goldenDeployment is a plan of which all that tells its deployment from others is fixed.
-func goldenDeployment(t *testing.T) *Plan {
-	plan, err := Parse([]byte(`{"name":"golden","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+func goldenDeployment(t *testing.T) *plan.Plan {
+	plan, err := parsePlan([]byte(`{"name":"golden","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":64},"known":{"version":3,"full":true,"servers":[
 {"id":"a","addr":"127.0.0.1:2","zone":"east","kind":"std","cell":0,"state":"up"},
 {"id":"b","addr":"127.0.0.1:3","zone":"west","kind":"std","cell":1,"state":"up"}]},
@@ -74,7 +76,7 @@
 }
 
 func openGoldenKeep(t *testing.T, path string) *Persistence {
-	k := newKeep(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
+	k := newPersistence(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
 	t.Cleanup(k.Close)
 	_, err := k.WaitForStore(t.Context())
 	require.NoError(t, err)
@@ -92,7 +94,7 @@
 	}
 	require.NoError(t, k.store.Put(t.Context(), "kept", puts, nil))
 	k.RecordEvent("stop", "planned")
-	require.NoError(t, k.flush(t.Context()))
+	require.NoError(t, k.flushEvents(t.Context()))
 	k.Close()
 }
 
@@ -108,15 +110,15 @@
 	path := filepath.Join(t.TempDir(), "kept.db")
 	require.NoError(t, os.WriteFile(path, golden.Read(t, goldenStore), 0o600))
 	k := openGoldenKeep(t, path)
-	require.Empty(t, k.believed.Discarded)
-	require.NotNil(t, k.believed.Update)
-	require.Equal(t, goldenList().Hosts, k.believed.Update.Hosts)
-	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.believed.Update.Removals)
-	require.NotNil(t, k.believed.Observations)
-	require.Equal(t, goldenNotes().Entries, k.believed.Observations.Entries)
-	require.NoError(t, k.flush(t.Context()))
+	require.Empty(t, k.restored.Discarded)
+	require.NotNil(t, k.restored.Update)
+	require.Equal(t, goldenList().Hosts, k.restored.Update.Hosts)
+	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.restored.Update.Removals)
+	require.NotNil(t, k.restored.Observations)
+	require.Equal(t, goldenNotes().Entries, k.restored.Observations.Entries)
+	require.NoError(t, k.flushEvents(t.Context()))
 	var events []store.Event
-	require.NoError(t, k.events.ForEach(0, "", func(e store.Event) bool { events = append(events, e); return true }))
+	require.NoError(t, k.events.ForEach(0, "", func(event store.Event) bool { events = append(events, event); return true }))
 	require.Equal(t, []store.Event{
 		{Sequence: 0, UnixMs: goldenNow, Kind: "start", Message: "believes all: 0 hosts listed, notes of 0"},
 		{Sequence: 1, UnixMs: goldenNow, Kind: "stop", Message: "planned"},
@@ -127,7 +129,7 @@
 // A start writes these bytes under bucket kept, and its event under bucket events.
 func TestGoldenCoordinatorStart(t *testing.T) {
 	k := openGoldenKeep(t, filepath.Join(t.TempDir(), "kept.db"))
-	require.NoError(t, k.flush(t.Context()))
+	require.NoError(t, k.flushEvents(t.Context()))
 	for bucket, keys := range map[string][]string{"kept": {"starts", "whose"}, "events": {"00000000", "next"}} {
 		var got []string
 		require.NoError(t, k.store.Load(bucket, func(key string, value []byte) error {
@@ -142,7 +144,7 @@
 	require.True(t, found)
 	var text string
 	require.NoError(t, cbor.Unmarshal(whose, &text))
-	require.Equal(t, k.whose, text)
+	require.Equal(t, k.identity, text)
 }
 
 // A running coordinator writes its list and observations under these keys, in these forms, and a planned stop ends the
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -19,6 +19,8 @@
 	"testing/synctest"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/endpoints"
@@ -236,9 +238,9 @@
 	t     *testing.T
 	at    map[string]*lists
 	log   *stamped
-	plans chan *Plan
-	plan  *Plan
-	owner *owner
+	plans chan *plan.Plan
+	plan  *plan.Plan
+	owner *eventLoop
 	stop  func()
 }
 
@@ -251,28 +253,28 @@
 		edit(settings)
 	}
 	text, _ := json.Marshal(settings)
-	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
+	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, seed,
 		fake.EncodeEndpointList(1, hosts("10.0.0.1:1")), text))
 	require.NoError(t, err)
-	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *Plan), plan: p}
+	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *plan.Plan), plan: p}
 	way := &places{up: map[string]func(net.Conn){}}
 	for name, d := range at {
 		way.up[name] = d.serve
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	look, ended := make(chan *owner, 1), make(chan error, 1)
-	m := Options{
-		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, look: look,
+	ctx, cancel := context.WithCancel(context.Background())
+	look, ended := make(chan *eventLoop, 1), make(chan error, 1)
+	options := Options{
+		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: look,
 		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at),
 	}
 	if more != nil {
-		more(&m)
+		more(&options)
 	}
-	go func() { ended <- p.Serve(ctx, m) }()
+	go func() { ended <- Serve(ctx, p, options) }()
 	f.owner = <-look
 	f.stop = func() { // so that nothing of the test's time is left
-		stop()
+		cancel()
 		require.NoError(t, <-ended)
 		for _, conn := range way.wires {
 			conn.Close()
@@ -458,14 +460,14 @@
 							began := time.Now()
 							if time.Sleep(x.later); x.later > 0 {
 								look := make(chan int)
-								f.owner.post(func() { look <- len(f.owner.fleet) })
+								f.owner.submit(func() { look <- len(f.owner.replicas) })
 								require.Equal(t, 2, <-look, "the last list holds")
 								d.tell(x.version+1, hosts("10.0.0.3:1"))
 								began = time.Now()
 							}
 							f.until("the new list is in force", func() bool {
 								look := make(chan string)
-								f.owner.post(func() { look <- f.owner.fleet["a0"].addr })
+								f.owner.submit(func() { look <- f.owner.replicas["a0"].addr })
 								return <-look == "10.0.0.3:1"
 							})
 							took := time.Since(began)
@@ -494,12 +496,12 @@
 		return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "variable"}[name]
 	}
 	write(`"discovery":"file",`)
-	first, err := Read(env)
+	first, err := readPlan(env)
 	require.NoError(t, err)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	signals := make(chan os.Signal)
-	plans := WatchPlanReloads(ctx, first, signals, env, slog.New(slog.DiscardHandler))
+	plans := first.WatchReloads(ctx, signals, env, slog.New(slog.DiscardHandler))
 	for _, x := range [][2]string{
 		{`"discovery":"elsewhere",`, "elsewhere"},
 		{"", "variable"},
@@ -705,7 +707,7 @@
 					r.call().want(fmt.Sprint("p", i), "all", 200, wholeOfAll)
 				}
 				look := make(chan bool)
-				r.owner.post(func() { h := r.owner.fleet["b1"]; look <- h != nil && !h.gone })
+				r.owner.submit(func() { h := r.owner.replicas["b1"]; look <- h != nil && !h.removed })
 				require.True(t, <-look)
 				if name != "at its address" {
 					require.Positive(t, next.CountRequests())
@@ -738,20 +740,20 @@
 	status, _, text, _ := c.answer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
-	plan := *r.plan
-	plan.known = map[string]any{"version": json.Number("7"), "full": true, "servers": []any{}}
+	ownPlan := *r.plan
+	ownPlan.Known = plan.EndpointList{Version: 7, Full: true}
 	other := script(t)
-	plan.Discovery = other.Listener.Addr().String()
+	ownPlan.Discovery = other.Listener.Addr().String()
 	r.end()
 
-	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended}
+	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: cancel, ended: ended}
 	go func() {
-		ended <- plan.Serve(ctx, Options{
+		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
+			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
 	<-look
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -13,6 +13,8 @@
 	"testing/synctest"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/http1"
@@ -22,17 +24,17 @@
 // that falls silent, and serve nobody.
 func TestAStartThatKnowsNoHost(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settings["Balancers"] = 300 })
-	plan, other := *r.plan, script(t)
-	plan.known = map[string]any{"version": plan.known["version"], "full": true, "servers": []any{}}
-	plan.Discovery = other.Listener.Addr().String()
-	ln, look, ended := listen(t), make(chan *owner, 1), make(chan error, 1)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: stop, ended: ended, list: other}
+	ownPlan, other := *r.plan, script(t)
+	ownPlan.Known = plan.EndpointList{Version: ownPlan.Known.Version, Full: true}
+	ownPlan.Discovery = other.Listener.Addr().String()
+	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: cancel, ended: ended, list: other}
 	go func() {
-		ended <- plan.Serve(ctx, Options{
+		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), look: look,
+			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
 	next.owner = <-look
@@ -113,8 +115,8 @@
 				waits[target] = true
 				d.tell(9, hosts("10.0.0.2:1"))
 				took := f.told("version=9 ").Sub(began)
-				require.LessOrEqual(t, took, wait+watchSlack+20*time.Millisecond, "%s, seed %d", by, seed)
-				require.GreaterOrEqual(t, wait, watchMost/2)
+				require.LessOrEqual(t, took, wait+watchAnswerSlack+20*time.Millisecond, "%s, seed %d", by, seed)
+				require.GreaterOrEqual(t, wait, maxWatchWait/2)
 			})
 		}
 		require.Greater(t, len(waits), 15)
--- /dev/null
+++ b/coordinator/metrics.go
@@ -0,0 +1,45 @@
+package coordinator
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+
+	"chalkring/control/shadow"
+)
+
+// metricsBody is all that is told under /metrics.
+func (loop *eventLoop) metricsBody() []byte {
+	var b bytes.Buffer
+	if loop.shadowCounts != nil {
+		b.Write(shadowMetrics(loop.shadowCounts))
+	}
+	if loop.enforcer != nil {
+		loop.enforcer.guard.writeMetrics(&b)
+	}
+	return b.Bytes()
+}
+
+// logShadowCounts writes what other settings would have decided otherwise: one line each shadowLogInterval, if anything came.
+func (loop *eventLoop) logShadowCounts(last int64) {
+	if n := loop.shadowCounts.Total(); n != last {
+		last = n
+		var v []any
+		for kind, name := range shadow.KindNames {
+			v = append(v, name, loop.shadowCounts[kind].Load())
+		}
+		loop.log.Info("shadow", v...)
+	}
+	loop.runAfter(int64(shadowLogInterval/tick), func() { loop.logShadowCounts(last) })
+}
+
+// shadowMetrics are the same counts in the common text form.
+func shadowMetrics(counts *shadow.DivergenceCounts) []byte {
+	var b strings.Builder
+	b.WriteString("# HELP chalkring_shadow_differs_total Decisions that the shadow settings would have made otherwise.\n" +
+		"# TYPE chalkring_shadow_differs_total counter\n")
+	for kind, name := range shadow.KindNames {
+		fmt.Fprintf(&b, "chalkring_shadow_differs_total{kind=%q} %d\n", name, counts[kind].Load())
+	}
+	return []byte(b.String())
+}
--- /dev/null
+++ b/coordinator/persistence.go
@@ -0,0 +1,270 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"maps"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"chalkring/coordinator/plan"
+	"chalkring/endpoints"
+	"chalkring/internal/advice"
+	"chalkring/internal/scheduler"
+	"chalkring/storage/recovery"
+	"chalkring/storage/store"
+)
+
+const (
+	persistJobKind      = "keep"                 // of background work
+	persistInterval     = 2 * time.Second        // between two writes: what is learned is of use for half a minute
+	firstPersistDelay   = 5 * time.Second        // before the first: a run that ends sooner leaves what an earlier one knew
+	listRewriteInterval = time.Hour              // after which a list that has not changed is written again, for its age
+	persistTimeout      = 30 * time.Second       // for one write: a disk that takes 5 s is slow, one that takes this is stuck
+	lastPersistTimeout  = 400 * time.Millisecond // for the last one: within the time in which requests are still taken
+	storeRetryInterval  = 2 * time.Second        // between tries for a store that another process holds: one before it that ends
+	storeCloseTimeout   = 200 * time.Millisecond // for the store to be let go of: the end of the process does it too
+	maxPendingEvents    = 256                    // events that wait to be written; more are counted and left out
+	stateBucket         = "kept"
+	eventBucket         = "events"
+	startsKey           = "starts"
+	listKey             = "list"
+	observationsKey     = "notes"
+	identityKey         = "whose"
+)
+
+// Persistence keeps what a restart can use on disk: the list in force, what the module knows of hosts, starts and events.
+// Nothing waits for it: it opens its store beside the start, what it finds comes as one more source of the list and as
+// one more peer's report, and background jobs write.
+type Persistence struct {
+	path        string
+	exclusive   bool             // nothing else is in the store
+	budget      scheduler.Budget // of its writes
+	planVersion int64            // version of the plan's list
+	identity    string           // the plan's own, as Plan.whose tells it
+	clock       Clock
+	log         *asyncLogger
+	stopLog     context.CancelFunc
+	stopOpening context.CancelFunc // no more tries to open
+	logWriter   sync.WaitGroup     // of the log
+	opened      chan struct{}      // closed once store, or err, and believed are there
+
+	store    *store.Store
+	err      error
+	restored recovery.Restored
+	events   *store.EventLog
+
+	currentList      atomic.Pointer[recovery.EndpointList] // the list in force; At is when it came to be
+	discoveryVersion atomic.Int64                          // newest version that discovery told
+	writeSlot        chan struct{}                         // one write at a time
+	writtenList      *recovery.EndpointList                // the list as it was last written
+	mu               sync.Mutex
+	pendingEvents    []store.Event
+	droppedEvents    int
+	closeOnce        sync.Once
+}
+
+// NewPersistence begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
+// nothing else keeps anything there, so that a crash loop may put all of it aside.
+func NewPersistence(path string, alone bool, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+	return newPersistence(path, alone, store.Options{}, budget, p, clock, log)
+}
+
+func newPersistence(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+	ctx, cancel := context.WithCancel(context.Background())
+	opening, enough := context.WithCancel(ctx)
+	k := &Persistence{
+		path: path, exclusive: alone, budget: budget, planVersion: int64(p.Known.Version), identity: p.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
+		stopLog: cancel, stopOpening: enough, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
+	}
+	k.discoveryVersion.Store(k.planVersion)
+	k.logWriter.Go(func() { k.log.run(ctx) })
+	go func() {
+		defer close(k.opened)
+		for told := false; ; told = true {
+			if k.err = k.open(path, o); k.err == nil {
+				return
+			}
+			if !told {
+				k.log.Warn("store_away", advice.LogAttrs(k.err, "path", path)...)
+			}
+			if !advice.HasType[*store.LockedError](k.err) {
+				return
+			}
+			select {
+			case <-k.clock.After(storeRetryInterval):
+			case <-opening.Done():
+				return
+			}
+		}
+	}()
+	return k
+}
+
+// open opens the store, notes the start on disk, and only then believes what is there.
+func (k *Persistence) open(path string, o store.Options) error {
+	o.OnRecovery = func(err error) {
+		k.log.Warn("store_told", advice.LogAttrs(err)...)
+		k.RecordEvent("store", err.Error())
+	}
+	began := k.clock.Now()
+	s, err := store.Open(path, o)
+	if err != nil {
+		return err
+	}
+	now := began.UnixMilli()
+	starts, level := readStored[recovery.StartRecord](k, s, startsKey).RecordStart(now, k.exclusive)
+	if level > recovery.TrustAll {
+		k.log.Warn("crash_loop", "starts", len(starts.RecentStarts), "believes", level.String(),
+			"do", "Look in the log for why the earlier runs ended; a planned stop, or a minute without a start, ends the loop.")
+		k.RecordEvent("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.RecentStarts), level))
+	}
+	if level == recovery.TrustNothing {
+		if err := s.Close(context.Background()); err != nil {
+			return err
+		}
+		anew := o
+		anew.Recreate = true
+		if s, err = store.Open(path, anew); err != nil {
+			return err
+		}
+	}
+	// Guards against a store that another deployment has written: its hosts are another customer's. A store from before this
+	// was noted counts as this one's. Harm: where classes, tenants or zones are added, the next start knows what its plan says.
+	var others []string
+	if whose := readStored[string](k, s, identityKey); whose != "" && whose != k.identity {
+		k.log.Warn("left_out", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
+			"do", "Give each deployment a store of its own; this one is written anew from now on.")
+		others = []string{listKey, observationsKey}
+	}
+	text, err := cbor.Marshal(starts)
+	mine, err2 := cbor.Marshal(k.identity)
+	if err = errors.Join(err, err2); err == nil {
+		err = s.Put(context.Background(), stateBucket, map[string][]byte{startsKey: text, identityKey: mine}, others)
+	}
+	if err == nil {
+		k.events, err = store.NewEventLog(s, eventBucket, 0)
+	}
+	if err != nil {
+		return errors.Join(err, s.Close(context.Background()))
+	}
+	k.store = s
+	var list *recovery.EndpointList
+	if l := readStored[recovery.EndpointList](k, s, listKey); l.SavedAt > 0 {
+		list = &l
+	}
+	var notes *recovery.Observations
+	if n := readStored[recovery.Observations](k, s, observationsKey); n.SavedAt > 0 && n.Validate() == nil {
+		notes = &n
+	}
+	k.restored = recovery.Restore(now, level, k.planVersion, list, notes)
+	for _, l := range k.restored.Discarded {
+		k.log.Info("left_out", "what", l.Item, "why", l.Reason)
+	}
+	hosts, known := 0, 0
+	if k.restored.Update != nil {
+		hosts = len(k.restored.Update.Hosts)
+	}
+	if k.restored.Observations != nil {
+		known = len(k.restored.Observations.Entries)
+	}
+	k.log.Info("store", "path", path, "believes", level.String(), "listed", hosts, "notes", known,
+		"took", k.clock.Now().Sub(began).Round(time.Millisecond))
+	k.RecordEvent("start", fmt.Sprintf("believes %s: %d hosts listed, notes of %d", level, hosts, known))
+	return nil
+}
+
+// readStored is one kept value; what is missing or in another form is nothing.
+func readStored[T any](k *Persistence, s *store.Store, key string) (v T) {
+	text, found, err := s.Get(stateBucket, key)
+	if err == nil && found {
+		err = cbor.Unmarshal(text, &v)
+	}
+	if err != nil {
+		k.log.Warn("left_out", "what", key, "why", err.Error())
+		var none T
+		return none
+	}
+	return v
+}
+
+// Path is where the store is.
+func (k *Persistence) Path() string { return k.path }
+
+// WaitForStore waits until the store is open, or cannot be: for one that another process holds, until that lets go.
+func (k *Persistence) WaitForStore(ctx context.Context) (*store.Store, error) {
+	select {
+	case <-k.opened:
+		return k.store, k.err
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// PrependStoredUpdate puts what was kept of the list before other sources' lists, which may be nil. It ends with ctx.
+func (k *Persistence) PrependStoredUpdate(ctx context.Context, more <-chan endpoints.Update) <-chan endpoints.Update {
+	out := make(chan endpoints.Update)
+	go func() {
+		defer close(out)
+		opened := k.opened
+		for {
+			var update endpoints.Update
+			select {
+			case <-opened:
+				if opened = nil; k.restored.Update == nil {
+					continue
+				}
+				update = *k.restored.Update
+			case told, ok := <-more:
+				if !ok {
+					more = nil
+					continue
+				}
+				update = told
+			case <-ctx.Done():
+				return
+			}
+			select {
+			case out <- update:
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	return out
+}
+
+// Close lets go of the store. It waits a little for a write that is on its way, and for one that is stuck not at all.
+func (k *Persistence) Close() { k.closeOnce.Do(k.closeStore) }
+
+func (k *Persistence) closeStore() {
+	k.stopOpening()
+	ctx, cancel := context.WithTimeout(context.Background(), storeCloseTimeout)
+	defer cancel()
+	if s, _ := k.WaitForStore(ctx); s != nil {
+		if err := s.Close(ctx); err != nil {
+			k.log.Warn("store_failed", advice.LogAttrs(err)...)
+		}
+	}
+	k.stopLog()
+	k.logWriter.Wait()
+}
+
+// withBudget are those of an installation, or none, with room for the writes.
+func (k *Persistence) withBudget(p *PeerOptions) *PeerOptions {
+	own := PeerOptions{}
+	if p != nil {
+		own = *p
+	}
+	own.Budgets = maps.Clone(own.Budgets)
+	if own.Budgets == nil {
+		own.Budgets = map[string]scheduler.Budget{}
+	}
+	own.Budgets[persistJobKind] = k.budget
+	return &own
+}
--- /dev/null
+++ b/coordinator/residency_enforcer.go
@@ -0,0 +1,222 @@
+package coordinator
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"sync/atomic"
+
+	"chalkring/balancer"
+	"chalkring/control/residency"
+	"chalkring/coordinator/plan"
+	"chalkring/internal/advice"
+)
+
+// residencyEnforcer binds one owner's searches to the hosts that their contracts leave. It is the owner's.
+type residencyEnforcer struct {
+	loop                *eventLoop
+	guard               *ResidencyGuard
+	policy              *residency.CompiledPolicy
+	hosts               *residency.HostZones
+	tenants, classes    []string // by place
+	restrictions        map[restrictionKey]*balancer.ReplicaRestriction
+	now, nextChangeAt   int64        // of this turn; when what holds changes by itself
+	leaseExpiry         atomic.Int64 // the lease's end, for connections' writers
+	closed              chan struct{}
+	checkTimer          timer
+	searchInRestriction *search // whose end, if it comes now, is its contract's doing
+}
+
+// restrictionKey is what searches that are bound alike have in common.
+type restrictionKey struct{ tenant, class int }
+
+func newResidencyEnforcer(loop *eventLoop, r *ResidencyGuard) *residencyEnforcer {
+	name := func(list string) (names []string) {
+		for i := range loop.plan.Count(list) {
+			names = append(names, loop.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
+		}
+		return names
+	}
+	b := &residencyEnforcer{
+		loop: loop, guard: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
+		closed: make(chan struct{}),
+	}
+	r.mu.Lock()
+	r.enforcers[b] = true
+	b.policy = r.policy
+	r.mu.Unlock()
+	b.hosts = residency.NewHostZones(b.policy.HostHoldDown)
+	b.leaseExpiry.Store(b.policy.LeaseExpiry)
+	return b
+}
+
+// leaseHasExpired tells a connection's writer whether the lease has ended, and counts where it has.
+func (b *residencyEnforcer) leaseHasExpired() bool {
+	if b.guard.clock() < b.leaseExpiry.Load() {
+		return false
+	}
+	b.guard.fenced.Inc()
+	return true
+}
+
+func (b *residencyEnforcer) close() {
+	b.guard.mu.Lock()
+	delete(b.guard.enforcers, b)
+	b.guard.mu.Unlock()
+	close(b.closed)
+}
+
+// beginIteration begins a beginIteration: what has changed by time alone is in force before anything else happens in it.
+func (b *residencyEnforcer) beginIteration() {
+	if b.now = max(b.now, b.guard.clock()); b.now >= b.nextChangeAt {
+		b.restrictAll()
+	}
+}
+
+// setPolicy takes a standing. A renewed lease changes nothing for those that are open.
+func (b *residencyEnforcer) setPolicy(s *residency.CompiledPolicy) {
+	renewed := s.DiffersOnlyInLease(b.policy) && b.now < b.policy.LeaseExpiry
+	b.policy = s
+	b.leaseExpiry.Store(s.LeaseExpiry)
+	b.hosts.SetHoldDown(s.HostHoldDown)
+	if renewed {
+		b.scheduleCheck()
+		return
+	}
+	b.restrictAll()
+}
+
+// updateHosts takes a list or changes of it into account, before anything is sent under it.
+func (b *residencyEnforcer) updateHosts(how string, hosts []plan.ListedHost) {
+	told := make([]residency.Host, 0, len(hosts))
+	for _, host := range hosts {
+		told = append(told, residency.Host{ID: host.ID, Addr: host.Addr, Zone: plan.ZoneName(host.Zone), ZoneConflict: host.ZoneConflict, Removed: host.Removed})
+	}
+	b.hosts.UpdateHosts(b.now, how != "Partial", told)
+}
+
+// restrictAll looks at all open searches anew, in their order.
+func (b *residencyEnforcer) restrictAll() {
+	clear(b.restrictions)
+	for _, id := range slices.Sorted(maps.Keys(b.loop.searches)) {
+		if search := b.loop.searches[id]; search != nil {
+			b.restrict(search)
+		}
+	}
+	b.scheduleCheck()
+}
+
+// scheduleCheck looks again when what holds changes by itself.
+func (b *residencyEnforcer) scheduleCheck() {
+	b.nextChangeAt = min(b.policy.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
+	b.loop.stopTimer(&b.checkTimer)
+	if b.nextChangeAt < math.MaxInt64 {
+		b.loop.startTimer(&b.checkTimer, max(1, min(b.nextChangeAt-b.now, int64(maxResidencyCheckDelay/tick))), deferredTask(b.check))
+	}
+}
+
+// check is a wake's: the two clocks may differ by a little.
+func (b *residencyEnforcer) check() {
+	if b.now >= b.nextChangeAt {
+		b.restrictAll()
+	} else {
+		b.scheduleCheck()
+	}
+}
+
+func (b *residencyEnforcer) names(search *search) (tenant, class string) {
+	if search.tenant < len(b.tenants) {
+		tenant = b.tenants[search.tenant]
+	}
+	return tenant, b.classes[search.class]
+}
+
+// restrict tells the module which hosts a search may use. One that its contract leaves none for a block ends at once.
+func (b *residencyEnforcer) restrict(search *search) {
+	if search.ended {
+		return
+	}
+	tenant, class := b.names(search)
+	if b.policy.IsUnrestricted(b.now, tenant, class) {
+		if search.restricted {
+			search.restricted = false
+			b.loop.balancer.RestrictReplicas(search.id, nil, nil)
+		}
+		return
+	}
+	key := restrictionKey{search.tenant, search.class}
+	to := b.restrictions[key]
+	if to == nil {
+		to = &balancer.ReplicaRestriction{Allows: func(shard int, replica string) bool { return b.allows(tenant, class, shard, replica) }}
+		b.restrictions[key] = to
+	}
+	search.restricted = true
+	b.searchInRestriction = search
+	out := b.countOutstanding(search)
+	b.loop.balancer.RestrictReplicas(search.id, to, func(shard int) bool {
+		rule := b.policy.RuleFor(b.now, tenant, class, shard)
+		if search.refusal == nil {
+			search.refusal = &residency.SearchRejectedError{Tenant: tenant, Class: class, Block: shard, Reason: residency.ReasonNoEligibleHost, Generation: b.policy.Generation}
+			switch {
+			case rule.LeaseExpired:
+				search.refusal.Reason = residency.ReasonLeaseExpired
+			case rule.ContractEnded:
+				search.refusal.Reason = residency.ReasonContractEnded
+			}
+		}
+		return !rule.AllowPartial || rule.LeaseExpired || rule.ContractEnded
+	})
+	if b.searchInRestriction = nil; out > 0 {
+		b.guard.canceled.Add(out - b.countOutstanding(search))
+	}
+}
+
+// countOutstanding counts a search's sub-requests that are countOutstanding.
+func (b *residencyEnforcer) countOutstanding(search *search) (n int) {
+	for _, request := range search.shardRequests {
+		for _, attempt := range request.attempts {
+			if attempt.batch != nil {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+func (b *residencyEnforcer) allows(tenant, class string, shard int, replica string) bool {
+	rule := b.policy.RuleFor(b.now, tenant, class, shard)
+	return rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, replica)))
+}
+
+// removeForbidden is the second one, where bytes leave: what is not allowed there by the contracts themselves, whatever the module
+// was told, does not go out. Guards against a fault in all that comes before it; each that it catches is one. Fenced: what
+// is left may not be begun after the lease's end.
+func (b *residencyEnforcer) removeForbidden(batch *batch) (fenced bool) {
+	for i := 0; i < len(batch.attempts); {
+		attempt := batch.attempts[i]
+		tenant, class := b.names(attempt.shardRequest.search)
+		rule := b.policy.RuleFor(b.now, tenant, class, attempt.shardRequest.shard)
+		if rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, attempt.replica.id))) {
+			fenced = fenced || rule.Restricted && !rule.KeepOnLeaseExpiry
+			i++
+			continue
+		}
+		b.guard.blocked.Inc()
+		b.loop.log.warnLimited("residency_guard", "residency_guard", "tenant", tenant, "block", attempt.shardRequest.shard, "replica", attempt.replica.id,
+			"zone", b.hosts.Zone(b.now, attempt.replica.id))
+		b.loop.detachAttempt(attempt) // off c.subs
+		b.loop.deferAttemptOutcome(attempt, "Ignored")
+	}
+	return fenced
+}
+
+// refusalOf tells a final answer that a contract has brought about.
+func (b *residencyEnforcer) refusalOf(search *search) *residency.SearchRejectedError {
+	if b == nil || b.searchInRestriction != search || search.refusal == nil {
+		return nil
+	}
+	b.guard.refused.Inc()
+	b.loop.log.warnLimited("residency_refused "+search.refusal.Tenant, "residency_refused", advice.LogAttrs(search.refusal)...)
+	return search.refusal
+}
--- /dev/null
+++ b/coordinator/search_api.go
@@ -0,0 +1,212 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"chalkring/control/residency"
+	"chalkring/coordinator/plan"
+)
+
+const frontendDescriptorShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
+
+// Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
+// returns; it ends at once with ctx. It hands searches in by the door.
+type Frontend interface {
+	Serve(ctx, stopping context.Context, d *SearchAPI) error
+}
+
+// SearchAPI hands other fronts' searches to the owner: the same module and the same rules as for the own front.
+type SearchAPI struct {
+	CoordinatorName string // of the co-ordinator
+	MaxConnections  int    // that the front may hold
+	SendRetryAfter  bool   // clients may be told when to come back
+	LogEvent        func(kind, event string, v ...any)
+
+	loop                   *eventLoop
+	classes, tenants       map[string]int
+	timeouts               []time.Duration // by type
+	blockSets, setsPerHost int
+
+	mu              sync.Mutex
+	cellByHost      map[string]int // of the hosts that are listed
+	addrByHost      map[string]string
+	hostCountByCell map[int]int // listed hosts by cell
+}
+
+// SearchRequest is one search. Check looks at a host's value for a part before it counts as in, in the goroutine of the
+// connection it came on: one that it refuses is an errored sub-request. What it gives back stands in the result.
+type SearchRequest struct {
+	ID          string // of all that are open, no two may bear one
+	Type        string
+	Tenant      string
+	Body        []byte
+	Shards      []int // in equal weights
+	IsRetry     bool
+	Timeout     time.Duration
+	DecodeValue func(shard int, value []byte) (any, error)
+}
+
+// How a search ended.
+const (
+	OutcomeAnswered         = outcomeAnswered
+	OutcomeShed             = outcomeShed
+	OutcomeFailed           = outcomeFailed
+	OutcomeDuplicateID      = outcomeDuplicateID
+	OutcomeResidencyRefused = outcomeResidencyRefused
+	OutcomeClientGone       = outcomeClientGone // of an End alone
+)
+
+// SearchResult is a final answer.
+type SearchResult struct {
+	Outcome          int
+	Complete         bool
+	RetryAfter       time.Duration // of Shed, 0 where none is named
+	Dispatched       bool          // of Shed and Errored: hosts were asked
+	Parts            []PartResult  // that are in
+	ResidencyRefusal *residency.SearchRejectedError
+}
+
+// PartResult is a part that is in, with what Check gave for it.
+type PartResult struct {
+	Shard int
+	Value any
+}
+
+// ErrUnknownTypeOrTenant is a search that cannot be taken.
+var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
+
+func newSearchAPI(loop *eventLoop) *SearchAPI {
+	api := &SearchAPI{
+		CoordinatorName: loop.plan.Name, loop: loop, SendRetryAfter: loop.plan.Settings["Permissions.RetryAfter"] == "true", classes: loop.plan.PositionsByName("Classes"), tenants: loop.plan.PositionsByName("Tenants"),
+		MaxConnections: max(1, int(frontendDescriptorShare*float64(loop.plan.MaxSockets))), LogEvent: loop.log.warnLimited, cellByHost: map[string]int{},
+		addrByHost: map[string]string{}, hostCountByCell: map[int]int{}, blockSets: int(loop.plan.Number("Specifics.Sets")), setsPerHost: int(loop.plan.Number("Specifics.Reach")),
+	}
+	for _, v := range loop.plan.ClassDurations("Deadline") {
+		if v <= 0 || v > maxClientTimeout {
+			v = maxClientTimeout
+		}
+		api.timeouts = append(api.timeouts, v)
+	}
+	return api
+}
+
+// ValidateTypeAndTenant tells whether there is such a type, and such a partner where partners are named at all.
+func (d *SearchAPI) ValidateTypeAndTenant(qtype, tenant string) error {
+	if _, ok := d.classes[qtype]; !ok {
+		return fmt.Errorf("%w: type %q", ErrUnknownTypeOrTenant, qtype)
+	}
+	if _, ok := d.tenants[tenant]; !ok && len(d.tenants) > 0 {
+		return fmt.Errorf("%w: partner %q", ErrUnknownTypeOrTenant, tenant)
+	}
+	return nil
+}
+
+// SearchTimeout is how long a search of a type may take at the most.
+func (d *SearchAPI) SearchTimeout(qtype string) time.Duration { return d.timeouts[d.classes[qtype]] }
+
+// BusyTime is how much time the owner has spent in turns so far: background work holds back by it.
+func (d *SearchAPI) BusyTime() time.Duration { return time.Duration(d.loop.busyNanos.Load()) }
+
+// BlockCount tells how many blocks there are.
+func (d *SearchAPI) BlockCount() int { return d.loop.plan.BlockCount() }
+
+// HasBlockHost tells whether a listed host holds a block.
+func (d *SearchAPI) HasBlockHost(block int) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for j := range d.setsPerHost {
+		if d.hostCountByCell[(block+j)%d.blockSets] > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// BlockHosts names the listed hosts that hold a block, with their addresses.
+func (d *SearchAPI) BlockHosts(block int) (names, addrs []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for id, cell := range d.cellByHost {
+		if (cell-block%d.blockSets+d.blockSets)%d.blockSets < d.setsPerHost {
+			names = append(names, id)
+		}
+	}
+	slices.Sort(names)
+	for _, id := range names {
+		addrs = append(addrs, d.addrByHost[id])
+	}
+	return names, addrs
+}
+
+// HostCount counts the listed hosts.
+func (d *SearchAPI) HostCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.cellByHost)
+}
+
+// updateHosts takes in a list or changes of it.
+func (d *SearchAPI) updateHosts(full bool, hosts []plan.ListedHost) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if full {
+		clear(d.cellByHost)
+		clear(d.addrByHost)
+	}
+	for _, host := range hosts {
+		if delete(d.cellByHost, host.ID); !host.Removed {
+			d.cellByHost[host.ID], d.addrByHost[host.ID] = host.Cell, host.Addr
+		}
+	}
+	clear(d.hostCountByCell)
+	for _, cell := range d.cellByHost {
+		d.hostCountByCell[(cell%d.blockSets+d.blockSets)%d.blockSets]++
+	}
+}
+
+// Search hands a search in and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
+func (d *SearchAPI) Search(ctx context.Context, request SearchRequest) (SearchResult, error) {
+	if err := d.ValidateTypeAndTenant(request.Type, request.Tenant); err != nil {
+		return SearchResult{}, err
+	}
+	if !isPlainName(request.ID) || strings.ContainsRune(request.ID, '.') || len(request.Shards) == 0 {
+		return SearchResult{}, fmt.Errorf("a search named %.40q over %d blocks", request.ID, len(request.Shards))
+	}
+	loop := d.loop
+	out, first := make(chan SearchResult, 1), []pendingWrite(nil)
+	now := loop.Clock.Now()
+	s := &search{
+		name: request.ID, text: request.Body, class: d.classes[request.Type], tenant: d.tenants[request.Tenant], isRetry: request.IsRetry,
+		arrivedAt: now, timeout: loop.limitTimeout(min(request.Timeout, maxClientTimeout), now), shards: slices.Clone(request.Shards), decodeValue: request.DecodeValue,
+	}
+	for range request.Shards {
+		s.weights = append(s.weights, 1/float64(len(request.Shards)))
+	}
+	s.reply = func(outcome searchOutcome) {
+		first = slices.Clone(outcome.pendingWrites)
+		result := SearchResult{Outcome: outcome.outcome, Complete: outcome.complete, RetryAfter: time.Duration(outcome.retryAfter) * tick, Dispatched: outcome.dispatched, ResidencyRefusal: outcome.refusal}
+		for _, shardReq := range outcome.parts {
+			result.Parts = append(result.Parts, PartResult{Shard: shardReq.shard, Value: shardReq.decoded})
+		}
+		out <- result
+	}
+	if !loop.submit(func() { loop.startSearch(s) }) {
+		return SearchResult{}, endClosing
+	}
+	select {
+	case result := <-out:
+		awaitWritten(first)
+		return result, nil
+	case <-ctx.Done():
+		loop.submit(func() { loop.withdrawSearch(s) })
+		return SearchResult{}, ctx.Err()
+	case <-loop.ctx.Done():
+		return SearchResult{}, endClosing
+	}
+}
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -2,73 +2,63 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 )
 
-// windUp begins the end once ctx ends: new connections are taken for takeOn, since the platform still sends. Those that
-// are open are served until their clients close them or send nothing for stopQuiet, for stopMost at the longest; the owner
+// shutDown begins the end once ctx ends: new connections are taken for acceptAfterStop, since the platform still sends. Those that
+// are open are served until their clients close them or send nothing for stopIdleTimeout, for maxStopTime at the longest; the owner
 // ends with the last of them.
-func (o *owner) windUp(ctx context.Context, stop context.CancelFunc) error {
-	defer stop()
+func (loop *eventLoop) shutDown(ctx context.Context, cancel context.CancelFunc) error {
+	defer cancel()
 	select {
 	case <-ctx.Done():
-	case <-o.ctx.Done():
-		o.Listener.Close()
+	case <-loop.ctx.Done():
+		loop.Listener.Close()
 		return nil
 	}
-	by := o.Clock.Now().Add(o.plan.killAfter() - killPad)
-	o.endBy.Store(&by)
-	o.log.Info("stopping", "name", o.plan.Name)
+	by := loop.Clock.Now().Add(loop.plan.TerminationGrace() - killMargin)
+	loop.answerDeadline.Store(&by)
+	loop.log.Info("stopping", "name", loop.plan.Name)
 	select {
-	case <-o.Clock.After(takeOn):
-	case <-o.ctx.Done():
+	case <-loop.Clock.After(acceptAfterStop):
+	case <-loop.ctx.Done():
 	}
-	o.takeLast()
-	stop()
+	loop.acceptLast()
+	cancel()
 	select {
-	case <-o.Clock.After(stopQuiet):
-		o.Listener.Close() // whose accept may be waiting for room
-	case <-o.ctx.Done():
+	case <-loop.Clock.After(stopIdleTimeout):
+		loop.Listener.Close() // whose accept may be waiting for room
+	case <-loop.ctx.Done():
 	}
 	select {
-	case <-o.Clock.After(stopMost - stopQuiet):
-		o.lastly.Store(true)
-	case <-o.ctx.Done():
+	case <-loop.Clock.After(maxStopTime - stopIdleTimeout):
+		loop.closeAfterAnswer.Store(true)
+	case <-loop.ctx.Done():
 	}
 	return nil
 }
 
-// takeLast has the listener closed once the connections that have come are taken. Guards against a process that was held up:
+// acceptLast has the listener closed once the connections that have come are taken. Guards against a process that was held up:
 // what waits in the system's queue is reset by the close. A listener that knows no deadline is closed at once.
-func (o *owner) takeLast() {
-	ln, ok := o.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || ln.SetDeadline(time.Now().Add(lateLook)) != nil {
-		o.Listener.Close()
+func (loop *eventLoop) acceptLast() {
+	ln, ok := loop.Listener.(interface{ SetDeadline(time.Time) error })
+	if !ok || ln.SetDeadline(time.Now().Add(finalReadGrace)) != nil {
+		loop.Listener.Close()
 	}
 }
 
-// told tells that the co-ordinator has been told to end.
-func (o *owner) told() bool { return o.endBy.Load() != nil }
+// isStopping tells that the co-ordinator has been isStopping to end.
+func (loop *eventLoop) isStopping() bool { return loop.answerDeadline.Load() != nil }
 
-// killAfter is how long after SIGTERM nothing kills this process: the longest client timeout, killLongest at the most, and
-// killMore. A type whose timeout the settings do not tell counts as longest.
-func (p *Plan) killAfter() time.Duration {
-	longest := time.Duration(0)
-	for _, d := range p.spans("Deadline") {
-		if d <= 0 {
-			d = killLongest
-		}
-		longest = max(longest, d)
-	}
-	return min(longest, killLongest) + killMore
-}
-
-// within is how long a search that came then may take. Guards against SIGKILL: what comes as the co-ordinator stops has its
+// limitTimeout is how long a search that came then may take. Guards against SIGKILL: what comes as the co-ordinator stops has its
 // final answer before that may come, whatever time its client gives.
-func (o *owner) within(patience time.Duration, came time.Time) time.Duration {
-	by := o.endBy.Load()
+func (loop *eventLoop) limitTimeout(patience time.Duration, came time.Time) time.Duration {
+	by := loop.answerDeadline.Load()
 	if by == nil {
 		return patience
 	}
 	return max(time.Millisecond, min(patience, by.Sub(came)))
 }
+
+var errAllAnswered = errors.New("all is answered")
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"chalkring/coordinator/plan"
+
 	"github.com/stretchr/testify/require"
 
 	"chalkring/internal/fake"
@@ -60,13 +62,13 @@
 	t        *testing.T
 	replicas map[string]*fake.Host
 	list     *fake.ScriptedDiscovery
-	plans    chan *Plan
-	plan     *Plan
+	plans    chan *plan.Plan
+	plan     *plan.Plan
 	addr     string
 	stop     context.CancelFunc
 	ended    chan error
 	log      *journal
-	owner    *owner
+	owner    *eventLoop
 	zones    map[string]string // of replicas that are not in z one
 
 	mu      sync.Mutex
@@ -150,12 +152,18 @@
 	return startIn(t, nil, sockets, edit, over, next, func(m *Options) { m.Peers = peers })
 }
 
+// parsePlan and readPlan are the plan package's, for tests with a variable of its name.
+var (
+	parsePlan = plan.Parse
+	readPlan  = plan.Read
+)
+
 func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), over, next map[string]string,
 	more func(m *Options),
 ) *rig {
 	r := &rig{
 		t: t, replicas: map[string]*fake.Host{}, log: &journal{}, ended: make(chan error, 1),
-		list: script(t), plans: make(chan *Plan), zones: zones,
+		list: script(t), plans: make(chan *plan.Plan), zones: zones,
 	}
 	var known []string
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
@@ -172,7 +180,7 @@
 	}
 	text, _ := json.Marshal(settings)
 	ln := listen(t)
-	p, err := Parse(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"version":7,"full":true,"servers":[%s]},
 		"settings":%s}`, ln.Addr(), r.list.Listener.Addr(), sockets, strings.Join(known, ","), text))
 	require.NoError(t, err)
@@ -182,19 +190,19 @@
 		p, err = p.WithShadowSettings(next)
 		require.NoError(t, err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	r.addr, r.stop, r.plan = ln.Addr().String(), stop, p
-	look := make(chan *owner, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	r.addr, r.stop, r.plan = ln.Addr().String(), cancel, p
+	look := make(chan *eventLoop, 1)
 	go func() {
-		m := Options{
+		options := Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, look: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, onStart: look,
 		}
-		more(&m)
-		r.ended <- p.Serve(ctx, m)
+		more(&options)
+		r.ended <- Serve(ctx, p, options)
 	}()
 	r.owner = <-look
-	t.Cleanup(stop)
+	t.Cleanup(cancel)
 	return r
 }
 
