--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,5 +1,7 @@
-// Package frame reads and writes the frames between co-ordinators and replicas. It knows no sockets and
-// decides nothing.
+// Package frame reads and writes the frames between coordinators and replicas. It knows no sockets and decides nothing.
+//
+// A frame is its length in four bytes, most significant first, which counts what follows; its type in one byte; its
+// payload.
 package frame
 
 import (
@@ -9,146 +11,109 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
-	"strconv"
-	"strings"
+
+	"chalkring/internal/advice"
 )
 
+// Types of frames.
 const (
-	TypeBatch  = 'm' // parts for a replica
-	TypeCancel = 'n' // a part that is given up
-	TypeAnswer = 'q' // how a part ended
-	TypeReject = 'r' // the frame before could not be used
+	TypeBatch  = 'm' // coordinator: shard requests for a replica
+	TypeCancel = 'n' // coordinator: a shard request that is not wanted any more
+	TypeAnswer = 'q' // replica: how a shard request ended
+	TypeReject = 'r' // replica: it could not use the frame before, and why
+)
 
-	longest     = 256 << 10 // bytes of a frame: several times the longest body that clients may send
-	scoreDigits = 40        // digits of a score: more than any machine's whole numbers have
+const (
+	lengthBytes = 4
+	typeBytes   = 1
+	headerBytes = lengthBytes + typeBytes
+	// maxFrameBytes bounds the length that a frame states: several times the longest body that clients may send.
+	maxFrameBytes = 256 << 10
 )
 
-// Read takes one frame off src. What it gives lies in src's buffer where the frame fits there, and holds until src is
-// read again. Room for a longer one grows with what has come, not with what the length says.
-func Read(src *bufio.Reader) (letter byte, rest []byte, err error) {
-	head, err := src.Peek(4)
+// ErrMalformed is wrapped by the errors for a frame that cannot be used.
+var ErrMalformed = advice.NewError("bad frame",
+	"Compare the replica's version with this program's; the connection was closed, and its shard requests are retried.")
+
+// Read reads one frame. The payload lies in source's buffer where the frame fits into it, and is valid until source is
+// read again. The memory for a longer frame grows with what is received and not with the length that it states.
+//
+// It returns io.EOF where source ends before a frame, io.ErrUnexpectedEOF where it ends within one, and an error that
+// wraps ErrMalformed for an impossible length.
+func Read(source *bufio.Reader) (frameType byte, payload []byte, err error) {
+	header, err := source.Peek(lengthBytes)
 	if err != nil {
-		if err == io.EOF && len(head) > 0 {
-			err = io.ErrUnexpectedEOF
+		if len(header) > 0 {
+			err = unexpectedEOF(err)
 		}
 		return 0, nil, err
 	}
-	n := binary.BigEndian.Uint32(head)
-	if n == 0 || n > longest {
-		return 0, nil, fmt.Errorf("%w: length %d", ErrMalformed, n)
+	length := binary.BigEndian.Uint32(header)
+	if !isPossibleLength(length) {
+		return 0, nil, fmt.Errorf("%w: length %d", ErrMalformed, length)
 	}
-	if size := int(n) + 4; size <= src.Size() {
-		if rest, err = src.Peek(size); err == nil {
-			src.Discard(size)
-			return rest[4], rest[5:], nil
-		}
+	var frame []byte
+	if lengthBytes+int(length) <= source.Size() {
+		frame, err = readBuffered(source, int(length))
 	} else {
-		var b bytes.Buffer
-		src.Discard(4)
-		if _, err = io.CopyN(&b, src, int64(n)); err == nil {
-			return b.Bytes()[0], b.Bytes()[1:], nil
-		}
+		frame, err = readCopied(source, int(length))
 	}
-	if err == io.EOF {
-		err = io.ErrUnexpectedEOF
+	if err != nil {
+		return 0, nil, unexpectedEOF(err)
 	}
-	return 0, nil, err
+	return frame[0], frame[typeBytes:], nil
 }
 
-// IsBuffered tells whether a whole frame, or one that cannot be used, has come already: Read will not wait for it.
-func IsBuffered(src *bufio.Reader) bool {
-	if src.Buffered() < 4 {
-		return false
+// readBuffered returns type and payload of a frame that fits into source's buffer, without copying them.
+func readBuffered(source *bufio.Reader, length int) ([]byte, error) {
+	frame, err := source.Peek(lengthBytes + length)
+	if err != nil {
+		return nil, err
 	}
-	head, _ := src.Peek(4)
-	n := binary.BigEndian.Uint32(head)
-	return n == 0 || n > longest || src.Buffered() >= int(n)+4
+	_, err = source.Discard(len(frame))
+	return frame[lengthBytes:], err
 }
 
-// IsPlausibleReply tells whether what has come behind a frame can be an answer or a refusal, as far as it is there.
-func IsPlausibleReply(src *bufio.Reader) bool {
-	head, _ := src.Peek(min(5, src.Buffered()))
-	if len(head) >= 4 {
-		if n := binary.BigEndian.Uint32(head); n == 0 || n > longest {
-			return false
-		}
+// readCopied returns type and payload of a frame that does not fit into source's buffer.
+func readCopied(source *bufio.Reader, length int) ([]byte, error) {
+	if _, err := source.Discard(lengthBytes); err != nil {
+		return nil, err
 	}
-	return len(head) == 0 || head[0] == 0 && (len(head) < 5 || head[4] == TypeAnswer || head[4] == TypeReject)
+	var frame bytes.Buffer
+	_, err := io.CopyN(&frame, source, int64(length))
+	return frame.Bytes(), err
 }
 
-// ErrMalformed is a frame that cannot be used.
-var ErrMalformed = errors.New("bad frame")
+func isPossibleLength(length uint32) bool { return length > 0 && length <= maxFrameBytes }
 
-// ParseAnswer takes an Answer frame apart; what it gives lies in rest. Score, the digits of a whole number, is nil where
-// the end has none; a report that cannot be read is none.
-func ParseAnswer(rest []byte) (id, end, score []byte, report map[string]float64, value []byte, err error) {
-	line, value, ok := bytes.Cut(rest, []byte("\n"))
-	id, more, ok1 := bytes.Cut(line, []byte(" "))
-	end, more, ok2 := bytes.Cut(more, []byte(" "))
-	score, told, ok3 := bytes.Cut(more, []byte(" "))
-	if !ok || !ok1 || !ok2 || !ok3 || len(id) == 0 || bytes.IndexByte(told, ' ') >= 0 {
-		return nil, nil, nil, nil, nil, fmt.Errorf("%w: answer line %.60q", ErrMalformed, line)
-	}
-	if string(score) == "-" {
-		score = nil
-	} else if !whole(score) {
-		return nil, nil, nil, nil, nil, fmt.Errorf("%w: score %.60q", ErrMalformed, score)
+func unexpectedEOF(err error) error {
+	if errors.Is(err, io.EOF) {
+		return io.ErrUnexpectedEOF
 	}
-	if string(told) != "-" {
-		report = readReport(string(told))
-	}
-	return id, end, score, report, value, nil
+	return err
 }
 
-// whole tells whether text is a whole number with or without a sign.
-func whole(text []byte) bool {
-	digits := text
-	if len(text) > 0 && (text[0] == '-' || text[0] == '+') {
-		digits = text[1:]
-	}
-	for _, c := range digits {
-		if c < '0' || c > '9' {
-			return false
-		}
+// IsBuffered reports whether Read would return without waiting: with a complete frame, or with a malformed one.
+func IsBuffered(source *bufio.Reader) bool {
+	if source.Buffered() < lengthBytes {
+		return false
 	}
-	return len(digits) > 0 && len(text) <= scoreDigits
+	header, _ := source.Peek(lengthBytes)
+	length := binary.BigEndian.Uint32(header)
+	return !isPossibleLength(length) || source.Buffered() >= lengthBytes+int(length)
 }
 
-func readReport(text string) map[string]float64 {
-	report := map[string]float64{}
-	for _, pair := range strings.Split(text, ",") {
-		i := strings.IndexAny(pair, ":=")
-		if i <= 0 {
-			return nil
-		}
-		v, err := strconv.ParseFloat(pair[i+1:], 64)
-		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			return nil
-		}
-		report[pair[:i]] = v
+// IsPlausibleReply reports whether what is buffered can be the beginning of an answer or a rejection. No byte at all can.
+func IsPlausibleReply(source *bufio.Reader) bool {
+	header, _ := source.Peek(min(headerBytes, source.Buffered()))
+	if len(header) == 0 {
+		return true
 	}
-	return report
-}
-
-// Begin opens a frame at the end of dst, End closes the one that opened at start.
-func Begin(dst []byte, letter byte) []byte { return append(dst, 0, 0, 0, 0, letter) }
-
-func End(dst []byte, start int) []byte {
-	binary.BigEndian.PutUint32(dst[start:], uint32(len(dst)-start-4))
-	return dst
-}
-
-// AppendShardRequest adds a part to an open Call frame.
-func AppendShardRequest(dst []byte, id string, shard int, list, text []byte) []byte {
-	dst = append(append(dst, id...), ' ')
-	dst = append(strconv.AppendInt(dst, int64(shard), 10), ' ')
-	dst = append(append(dst, list...), ' ')
-	dst = append(strconv.AppendInt(dst, int64(len(text)), 10), '\n')
-	return append(dst, text...)
-}
-
-// AppendCancel adds a whole Cancel frame.
-func AppendCancel(dst []byte, id string) []byte {
-	return End(append(Begin(dst, TypeCancel), id...), len(dst))
+	if header[0] != 0 { // no possible length has a first byte other than 0
+		return false
+	}
+	if len(header) >= lengthBytes && !isPossibleLength(binary.BigEndian.Uint32(header)) {
+		return false
+	}
+	return len(header) < headerBytes || header[lengthBytes] == TypeAnswer || header[lengthBytes] == TypeReject
 }
