--- /dev/null
+++ b/internal/http1/errors.go
@@ -0,0 +1,34 @@
+package http1
+
+import "fmt"
+
+// The status codes of this package.
+const (
+	statusOK                  = 200
+	statusNoContent           = 204
+	statusNotModified         = 304
+	statusBadRequest          = 400
+	statusLengthRequired      = 411
+	statusContentTooLarge     = 413
+	statusHeadTooLarge        = 431
+	statusNotImplemented      = 501
+	statusBadGateway          = 502
+	statusVersionNotSupported = 505
+)
+
+// InvalidMessageError is a message that cannot be used.
+type InvalidMessageError struct {
+	Status  int // the status code for its sender
+	Message string
+}
+
+func (e InvalidMessageError) Error() string { return e.Message }
+
+// Advice implements advice.Provider.
+func (e InvalidMessageError) Advice() string {
+	return "Ask the owner of the program that sent the message to mend it."
+}
+
+func invalidMessage(status int, format string, args ...any) error {
+	return InvalidMessageError{Status: status, Message: fmt.Sprintf(format, args...)}
+}
