--- a/internal/simwire/golden_wire_test.go
+++ b/internal/simwire/golden_wire_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every word that an instance may say to the simulator is written with the bytes of the golden file.
+// Every action that an instance can send to the simulator is written with the bytes of the golden file.
 func TestGoldenActions(t *testing.T) {
-	i := &instance{no: 7}
+	i := &instance{number: 7}
 	i.SendAttempt(11, "10.0.0.1:7003", 29999)
 	i.SendAttempt(4294967295, "r", 0)
 	i.CancelAttempt(11, 2)
@@ -23,20 +23,20 @@
 	i.ProbeReplica("10.0.0.1:7003")
 	i.WatchEndpoints()
 	i.LogMessage("some words")
-	i.guard(func() { panic("a\nfault  of words") })
-	compareGolden(t, "actions.golden", string(i.acts))
+	i.runGuarded(func() { panic("a\nfault  of words") })
+	compareGolden(t, "actions.golden", string(i.actions))
 }
 
 // The golden input is answered with the golden output: starts, lists, searches, outcomes, probes, kills and instances that
-// fail, all words that the simulator may say among them.
+// fail, with all events of the simulator among them.
 func TestGoldenBatches(t *testing.T) {
 	if *updateGolden {
-		input := batch(1, begin(3, 4)...) + batch(2, append(inbound(3, 10), inbound(4, 10)...)...) +
+		input := batch(1, startEvents(3, 4)...) + batch(2, append(searchEvents(3, 10), searchEvents(4, 10)...)...) +
 			batch(3, "returned 3 11 0 10.0.0.1:7003 Ok 99.5 1 latency_ms:3.5,novel:1", "first_byte 3 12 10.0.0.1:7003 0 1.0",
 				"returned 4 11 0 10.0.0.2:7003 Failed 12.25 0 -", "checked 4 Ok 10.0.0.1:7003 2.0 load:1", "mail 4 1 00") +
 			batch(4, "returned 3 12 0 10.0.0.2:7003 Ok 199.5 1 -", "withdrawn 4 10", "fired 3 999", "census 1 1",
 				"m 10.0.0.3:7003 1 2 0 cordoned - 12.5", "members 3 Partial 2 1", "members 4 Error 0 0") +
-			batch(5, "kill 3", "start 5 1 Classes.count=1 Specifics.Sets=x") + batch(6, append(begin(3), inbound(3, 20)...)...) + batch(7)
+			batch(5, "kill 3", "start 5 1 Classes.count=1 Specifics.Sets=x") + batch(6, append(startEvents(3), searchEvents(3, 20)...)...) + batch(7)
 		require.NoError(t, os.MkdirAll("testdata", 0o755))
 		require.NoError(t, os.WriteFile("testdata/batches_in.golden", []byte(input), 0o644))
 	}
