--- a/cluster/peerreport/wire_golden_test.go
+++ b/cluster/peerreport/wire_golden_test.go
@@ -8,27 +8,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A report's head and notes as peers of different builds exchange them. Package peerprotocol pins the frames around them.
+// A report's header and observations as peers of different builds exchange them. Package peerprotocol pins the frames around them.
 func TestGoldenReport(t *testing.T) {
-	head := ReportHeader{
+	header := ReportHeader{
 		Peer: "gateway-1", Locality: "eu-west-1a", Serial: 3, ListVersion: 42, AgeMs: 1500, AnswerCount: 800, FleetLatency: 120, MinLatency: 35, HostCount: 2,
 		Zones: []ZoneObservation{{Name: "eu-west-1b", Samples: 65535, LogSlowdown: -32768}, {Name: "eu-west-1c", Samples: 8, LogSlowdown: 32767}},
 	}
-	note := Observation{
+	observation := Observation{
 		HostID: "host-1:9200", ZoneIndex: 1, StartedMs: 1_790_000_000_000, ShortSamples: 80, LongSamples: 200, ShortLogSlowdown: 120, LongLogSlowdown: -90, ConsecutiveFailures: 2, ConnectFailures: 3, UnansweredRequests: 4,
 		SilentMs: 5000, AgeMs: 1200, IsOutlier: true,
 	}
 	form := func(name string, value any, decode func(encoded []byte) (any, error)) goldenForm {
 		return goldenForm{name, func() ([]byte, error) { return cbor.Marshal(value) }, decode, value}
 	}
-	decodeHead := func(encoded []byte) (any, error) {
+	decodeHeader := func(encoded []byte) (any, error) {
 		var decoded ReportHeader
 		if err := cbor.Unmarshal(encoded, &decoded); err != nil {
 			return nil, err
 		}
 		return decoded, decoded.Validate()
 	}
-	decodeNote := func(encoded []byte) (any, error) {
+	decodeObservation := func(encoded []byte) (any, error) {
 		var decoded Observation
 		if err := cbor.Unmarshal(encoded, &decoded); err != nil {
 			return nil, err
@@ -36,14 +36,14 @@
 		return decoded, decoded.Validate()
 	}
 	requireGolden(t, "report.golden", []goldenForm{
-		form("head", head, decodeHead),
-		form("head-shortest", ReportHeader{Peer: "g"}, decodeHead),
-		form("note", note, decodeNote),
-		form("note-without-answer", Observation{HostID: "h", AgeMs: NeverAnswered}, decodeNote),
+		form("head", header, decodeHeader),
+		form("head-shortest", ReportHeader{Peer: "g"}, decodeHeader),
+		form("note", observation, decodeObservation),
+		form("note-without-answer", Observation{HostID: "h", AgeMs: NeverAnswered}, decodeObservation),
 	})
 }
 
-// Scales and limits of the numbers that travel, and the words for outcomes in a peer's status.
+// Scales and bounds of the numbers that travel, and the texts for outcomes in a peer's status.
 func TestGoldenReportConstants(t *testing.T) {
 	require.Equal(t, uint32(math.MaxUint32), uint32(NeverAnswered))
 	require.Equal(t, []int{1000, 8, 10}, []int{logScale, countScale, tenthsPerMs})
--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -15,7 +15,7 @@
 	"chalkring/opensearch/query"
 )
 
-// goName is the name of a Go type and field, which the YAML library puts into its text; it is no part of the form.
+// goName matches the name of a Go type and field, which the YAML library puts into its errors; it is not pinned.
 var goName = regexp.MustCompile(`Go (struct field|value of type) \S+`)
 
 // allKeys sets each key that an installation file may have.
@@ -70,8 +70,8 @@
 log: {format: json, level: warn}
 `
 
-// describe writes what a file was read as, key by key.
-func describe(out *strings.Builder, f *File) {
+// describe writes what was read from a file, key by key.
+func describe(out *strings.Builder, file *File) {
 	line := func(key string, value any) { fmt.Fprintf(out, "  %s: %v\n", key, value) }
 	quoted := func(all []string) string { return fmt.Sprintf("%q", all) }
 	tls := func(key string, t *TLS) {
@@ -79,57 +79,57 @@
 			line(key, quoted([]string{t.Certificate, t.Key, t.Authorities}))
 		}
 	}
-	placed := func(p *query.Placement) string {
+	placementText := func(p *query.Placement) string {
 		if p == nil {
 			return "none"
 		}
 		return fmt.Sprintf("%d of %d, %d slots", p.Shards, p.RoutingShards, p.EffectiveRoutingShards())
 	}
-	if p := f.Peers; p != nil {
-		line("peers.name", p.Name)
-		line("peers.place", p.Locality)
-		line("peers.listen", p.Listen)
-		for _, one := range p.PollTargets {
-			line("peers.ask", one.Name+" at "+one.Address)
+	if peers := file.Peers; peers != nil {
+		line("peers.name", peers.Name)
+		line("peers.place", peers.Locality)
+		line("peers.listen", peers.Listen)
+		for _, target := range peers.PollTargets {
+			line("peers.ask", target.Name+" at "+target.Address)
 		}
-		line("peers.allow", quoted(p.AllowedPeers))
-		line("peers.refresh", p.RefreshInterval)
-		tls("peers.tls", p.TLS)
+		line("peers.allow", quoted(peers.AllowedPeers))
+		line("peers.refresh", peers.RefreshInterval)
+		tls("peers.tls", peers.TLS)
 	}
-	if o := f.OpenSearch; o != nil {
-		line("opensearch.listen", o.Listen)
-		tls("opensearch.tls", o.TLS)
-		for _, x := range o.Indices {
-			line("opensearch.indices", fmt.Sprintf("%q type %q partner %q blocks %v placed %s", x.Name, x.Type, x.Tenant, x.Blocks, placed(x.Placement)))
+	if frontend := file.OpenSearch; frontend != nil {
+		line("opensearch.listen", frontend.Listen)
+		tls("opensearch.tls", frontend.TLS)
+		for _, index := range frontend.Indices {
+			line("opensearch.indices", fmt.Sprintf("%q type %q partner %q blocks %v placed %s", index.Name, index.Type, index.Tenant, index.Blocks, placementText(index.Placement)))
 		}
 	}
-	for _, kind := range slices.Sorted(maps.Keys(f.Hosts)) {
-		line("hosts."+kind, f.Hosts[kind].Index+" placed "+placed(f.Hosts[kind].Placement))
+	for _, kind := range slices.Sorted(maps.Keys(file.Hosts)) {
+		line("hosts."+kind, file.Hosts[kind].Index+" placed "+placementText(file.Hosts[kind].Placement))
 	}
-	for _, kind := range slices.Sorted(maps.Keys(f.Background)) {
-		w := f.Background[kind]
-		line("background."+kind, fmt.Sprintf("%g B/s, %g CPU, %d at once", w.BytesPerSecond, w.CPUPerSecond, w.MaxConcurrent))
+	for _, kind := range slices.Sorted(maps.Keys(file.Background)) {
+		budget := file.Background[kind]
+		line("background."+kind, fmt.Sprintf("%g B/s, %g CPU, %d at once", budget.BytesPerSecond, budget.CPUPerSecond, budget.MaxConcurrent))
 	}
-	if f.EndpointSources != nil {
-		line("members.files", quoted(f.EndpointSources.Files))
+	if file.EndpointSources != nil {
+		line("members.files", quoted(file.EndpointSources.Files))
 	}
-	line("store", f.Store)
-	for _, name := range slices.Sorted(maps.Keys(FlattenSettings(f.Settings))) {
-		line("settings", name+"="+FlattenSettings(f.Settings)[name])
+	line("store", file.Store)
+	for _, name := range slices.Sorted(maps.Keys(FlattenSettings(file.Settings))) {
+		line("settings", name+"="+FlattenSettings(file.Settings)[name])
 	}
-	if f.Shadow != nil {
-		for _, name := range slices.Sorted(maps.Keys(FlattenSettings(f.Shadow.Settings))) {
-			line("shadow.settings", name+"="+FlattenSettings(f.Shadow.Settings)[name])
+	if file.Shadow != nil {
+		for _, name := range slices.Sorted(maps.Keys(FlattenSettings(file.Shadow.Settings))) {
+			line("shadow.settings", name+"="+FlattenSettings(file.Shadow.Settings)[name])
 		}
 	}
-	if p := f.Cluster; p != nil {
-		line("fleet", quoted([]string{p.ClusterName, p.Name, p.Region, p.Zone, p.Listen, p.KeyFile, p.StoreFile, p.RolloutFile, p.ResidencyFile, p.SubscribersFile}))
-		line("fleet.join", quoted(p.Join))
-		line("fleet.via", p.AddressOverrides)
-		line("fleet.listed", quoted(p.VotingMembers))
+	if cluster := file.Cluster; cluster != nil {
+		line("fleet", quoted([]string{cluster.ClusterName, cluster.Name, cluster.Region, cluster.Zone, cluster.Listen, cluster.KeyFile, cluster.StoreFile, cluster.RolloutFile, cluster.ResidencyFile, cluster.SubscribersFile}))
+		line("fleet.join", quoted(cluster.Join))
+		line("fleet.via", cluster.AddressOverrides)
+		line("fleet.listed", quoted(cluster.VotingMembers))
 	}
-	line("owners", f.EventLoops)
-	line("log", f.Log.Format+" "+f.Log.Level)
+	line("owners", file.EventLoops)
+	line("log", file.Log.Format+" "+file.Log.Level)
 }
 
 func TestGoldenInstallation(t *testing.T) {
--- a/config/strictyaml/golden_errors_test.go
+++ b/config/strictyaml/golden_errors_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// goField is the name of a Go struct and field, which the YAML library puts into its text; it is no part of the form.
+// goField matches the name of a Go struct and field, which the YAML library puts into its errors; it is not pinned.
 var goField = regexp.MustCompile(`Go struct field \S+`)
 
 // Errors and advice for texts that cannot be read, and for errors that a caller reports at paths.
--- a/internal/frame/golden_frames_test.go
+++ b/internal/frame/golden_frames_test.go
@@ -71,7 +71,7 @@
 	compareGolden(t, "frames_read.golden", out.String())
 }
 
-// The golden bytes of a call are taken apart again by the reader of frames.
+// The golden bytes of frames that a coordinator writes are read again.
 func TestGoldenFramesReadBack(t *testing.T) {
 	text, err := os.ReadFile("testdata/frames_written.golden")
 	require.NoError(t, err)
--- a/internal/http1/golden_heads_test.go
+++ b/internal/http1/golden_heads_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Heads and whole messages are written with the bytes of the golden file; a line is the quoted message.
+// Heads and complete messages are written with the bytes of the golden file; a line is the quoted message.
 func TestGoldenMessagesWritten(t *testing.T) {
 	var out strings.Builder
 	for _, status := range []int{200, 400, 404, 405, 408, 409, 411, 413, 431, 451, 500, 501, 503, 505, 599} {
