--- a/internal/frame/golden_frames_test.go
+++ b/internal/frame/golden_frames_test.go
@@ -72,7 +72,7 @@
 	golden.Require(t, "frames_read.golden", out.String())
 }
 
-// The golden bytes of a call are taken apart again by the reader of frames.
+// The golden bytes of frames that a coordinator writes are read again.
 func TestGoldenFramesReadBack(t *testing.T) {
 	var letters []string
 	for line := range strings.Lines(string(golden.Read(t, "frames_written.golden"))) {
