--- a/cluster/crdt/incarnation.go
+++ b/cluster/crdt/incarnation.go
@@ -72,7 +72,7 @@
 }
 
 // instancesToSettle returns the other instances that must have noted the end of an incarnation before it is settled: all
-// that were ever heard of and were not forgotten, absent or not, since they may hold changes of it that no one else has.
+// that were ever known and were not forgotten, absent or not, since they may hold changes of it that no one else has.
 func (m *Map) instancesToSettle() map[string]bool {
 	names := map[string]bool{}
 	for _, name := range m.members {
--- a/cluster/crdt/map.go
+++ b/cluster/crdt/map.go
@@ -176,7 +176,7 @@
 	return err
 }
 
-// raiseKnown joins a version into the known one. The caller has taken in the whole state that the version stands for.
+// raiseKnown joins a version into the known one. The caller has taken in all of the state that the version stands for.
 func (m *Map) raiseKnown(version Version) {
 	m.known, m.baseContextStale = m.known.Join(version), true
 }
--- a/cluster/crdt/simulation_test.go
+++ b/cluster/crdt/simulation_test.go
@@ -248,7 +248,7 @@
 func (s *simulation) collectTombstones(name string, absent []string) {
 	replica := s.replicas[name]
 	s.logf("collect %s absent %v", name, absent)
-	for _, forgotten := range s.forgottenInstances { // a replica that restarted since must be told again
+	for _, forgotten := range s.forgottenInstances { // a replica that restarted since does not know it
 		replica.state.ForgetInstance(forgotten)
 	}
 	replica.state.SetMembers(s.names, absent)
@@ -277,7 +277,7 @@
 	return disk
 }
 
-// removeInstance takes an instance away for good and tells the others.
+// removeInstance takes an instance away for good; the others forget it.
 func (s *simulation) removeInstance(name string) {
 	s.names = slices.DeleteFunc(slices.Clone(s.names), func(other string) bool { return other == name })
 	delete(s.replicas, name)
--- a/cluster/crdt/stability.go
+++ b/cluster/crdt/stability.go
@@ -22,7 +22,7 @@
 }
 
 // StableVersion returns the causally stable version, which all members that are not absent have seen, and whether there is
-// one. Only rows whose whole known version is covered here count: what a member wrote before it saw a delete is then held
+// one. Only rows whose known version is fully covered here count: what a member wrote before it saw a delete is then held
 // here, beside the tombstone.
 func (m *Map) StableVersion() (Version, bool) {
 	for name, row := range m.rows {
@@ -72,7 +72,7 @@
 	return dropped
 }
 
-// compactRecord reduces the contexts of a record whose whole state is stable. It is not enough that all members have seen
+// compactRecord reduces the contexts of a record that is entirely stable. It is not enough that all members have seen
 // a change: they must also know that it was superseded.
 func (m *Map) compactRecord(held *record, stable Version) {
 	if !held.CausalContext.IsCoveredBy(stable) {
--- a/cluster/crdt/stability_test.go
+++ b/cluster/crdt/stability_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance that was absent for so long that a tombstone was collected without it brings nothing back, and is told which
-// changes it kept.
+// An instance that was absent for so long that a tombstone was collected without it brings nothing back, and learns
+// which changes it kept.
 func TestReturnAfterLongAbsence(t *testing.T) {
 	present, absent := NewMap("a#1"), NewMap("b#1")
 	_, _ = present.Put("x", []byte("1"))
--- a/cluster/replication/exchange.go
+++ b/cluster/replication/exchange.go
@@ -22,7 +22,7 @@
 	maxRequestAttempts = 2
 	// maxExchangeAge is the age at which an interrupted exchange is begun anew and not resumed.
 	maxExchangeAge = 10 * time.Minute
-	// resumeChance is 1 in so many rounds that prefer a peer with an interrupted exchange to a random one.
+	// resumeChance: one round in so many, at random, prefers a peer with an interrupted exchange.
 	resumeChance = 2
 )
 
--- a/cluster/replication/messages.go
+++ b/cluster/replication/messages.go
@@ -70,7 +70,7 @@
 var errUnknownKind = errors.New("an unknown kind of message")
 
 // handleMessage receives a message. Before the state on disk is here all are dropped, since this replica then knows less
-// than it has told others before.
+// than it has sent to others before.
 func (r *Replicator) handleMessage(from string, body []byte) {
 	if !r.isReady() || len(body) == 0 {
 		return
--- a/cluster/replication/replicator.go
+++ b/cluster/replication/replicator.go
@@ -1,8 +1,8 @@
-// Package replication keeps the instances' replicas of a crdt.Map alike, on the network and on disk. Fresh changes go to a
-// few other instances at once, and each that receives one as news passes it on. Beside that each instance compares its
-// replica with another's every second by their digest trees (anti-entropy) and exchanges what differs. Changes are kept in
-// a store where there is one. All of this is background work within budgets of package scheduler. docs/replication.md
-// gives the rules and figures.
+// Package replication synchronizes the instances' replicas of a crdt.Map over the network and keeps them on disk. Fresh
+// changes go to a few other instances at once, and each that receives one as news passes it on. Beside that each instance
+// compares its replica with another's every second by their digest trees (anti-entropy) and exchanges what differs. Changes
+// are kept in a store where there is one. All of this is background work within budgets of package scheduler.
+// docs/replication.md gives the rules and figures.
 package replication
 
 import (
--- a/cluster/replication/tombstones.go
+++ b/cluster/replication/tombstones.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// AbsenceTimeout is how long tombstones wait for a member that is not heard from.
+	// AbsenceTimeout is how long tombstones wait for a member that is not alive.
 	AbsenceTimeout = 24 * time.Hour
-	// ForgetTimeout is how long an instance that is neither a member nor heard from is remembered.
+	// ForgetTimeout is how long an instance that is neither a member nor alive is remembered.
 	ForgetTimeout = 7 * 24 * time.Hour
 	// tombstoneHighWatermark is the number of tombstones from which on no absent member is waited for, so that deletes
 	// stay possible.
