--- a/cluster/crdt/exchange_response.go
+++ b/cluster/crdt/exchange_response.go
@@ -49,8 +49,9 @@
 		// A peer that came back with an older disk does not hold any more what it said it knew.
 		return ErrPeerRestarted
 	}
-	wanted := len(x.request.WantedBuckets)
-	if len(response.ChildDigests) != len(x.request.Nodes) || len(response.BucketStates) > wanted || wanted > 0 && len(response.BucketStates) == 0 {
+	wantedBuckets, buckets := len(x.request.WantedBuckets), len(response.BucketStates)
+	fitsRequest := len(response.ChildDigests) == len(x.request.Nodes) && buckets <= wantedBuckets && (wantedBuckets == 0 || buckets > 0)
+	if !fitsRequest {
 		return &InvalidDataError{From: x.peer, Reason: "a response to another request"}
 	}
 	return nil
