--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -5,25 +5,27 @@
 	"testing"
 )
 
-// bench is a protocol that keeps no more than what is out.
-type bench struct {
-	sent  []uint64 // parts with a sub-request out, the first of each
-	ended map[uint64]bool
+// costProtocol is a protocol that keeps no more than what is out.
+type costProtocol struct {
+	pending []uint64 // parts with a sub-request out, the first of each
+	ended   map[uint64]bool
 }
 
-func (b *bench) SendAttempt(part uint64, _ string, _ int64) { b.sent = append(b.sent, part) }
-func (b *bench) CancelAttempt(uint64, int)                  {}
-func (b *bench) AnswerSearch(search uint64, _ bool)         { b.ended[search] = true }
-func (b *bench) ShedSearch(search uint64, _ int64)          { b.ended[search] = true }
-func (b *bench) FailSearch(search uint64)                   { b.ended[search] = true }
-func (b *bench) SetTimer(int64, uint64)                     {}
-func (b *bench) CancelTimer(uint64)                         {}
-func (b *bench) ProbeReplica(string)                        {}
-func (b *bench) WatchEndpoints()                            {}
-func (b *bench) LogMessage(string)                          {}
+func (b *costProtocol) SendAttempt(part uint64, _ string, _ int64) {
+	b.pending = append(b.pending, part)
+}
+func (b *costProtocol) CancelAttempt(uint64, int)          {}
+func (b *costProtocol) AnswerSearch(search uint64, _ bool) { b.ended[search] = true }
+func (b *costProtocol) ShedSearch(search uint64, _ int64)  { b.ended[search] = true }
+func (b *costProtocol) FailSearch(search uint64)           { b.ended[search] = true }
+func (b *costProtocol) SetTimer(int64, uint64)             {}
+func (b *costProtocol) CancelTimer(uint64)                 {}
+func (b *costProtocol) ProbeReplica(string)                {}
+func (b *costProtocol) WatchEndpoints()                    {}
+func (b *costProtocol) LogMessage(string)                  {}
 
-func module(replicas int) (*bench, *balancer) {
-	b := &bench{ended: map[uint64]bool{}}
+func newCostBalancer(replicas int) (*costProtocol, *balancer) {
+	b := &costProtocol{ended: map[uint64]bool{}}
 	c := New(b).(*balancer)
 	facts := map[string]string{
 		"Tick": "5", "Balancers": "1", "Classes.count": "2", "Specifics.Sets": "8", "Specifics.Reach": "2",
@@ -42,22 +44,22 @@
 	return b, c
 }
 
-// one plays a search of eight parts from its arrival to its answer.
-func (b *bench) one(c *balancer, id uint64, qtype int) {
+// playSearch plays a search of eight parts from its arrival to its answer.
+func (b *costProtocol) playSearch(c *balancer, id uint64, qtype int) {
 	c.BeginIteration(c.now + 10)
 	c.AddSearch(id, qtype, 0, "", 30_000, id, 8, false)
 	for p := range uint64(8) {
 		c.AddShardRequest(id<<4|p, id, int(p), 0.125)
 	}
 	c.EndIteration()
-	b.land(c)
+	b.answerPending(c)
 	delete(b.ended, id)
 }
 
-// land answers all that is out, a part a turn.
-func (b *bench) land(c *balancer) {
-	sent := b.sent
-	b.sent = b.sent[:0]
+// answerPending answers all that is out, a part a turn.
+func (b *costProtocol) answerPending(c *balancer) {
+	sent := b.pending
+	b.pending = b.pending[:0]
 	for _, p := range sent {
 		c.BeginIteration(c.now + 3)
 		c.RecordAttemptOutcome(p, 0, "Ok", 25, false, nil)
@@ -69,14 +71,14 @@
 func BenchmarkReplicas(b *testing.B) {
 	for _, n := range []int{16, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, c := module(n)
+			p, c := newCostBalancer(n)
 			for i := range 200 {
-				p.one(c, uint64(i+1), i%2)
+				p.playSearch(c, uint64(i+1), i%2)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				p.one(c, uint64(i+1000), i%2)
+				p.playSearch(c, uint64(i+1000), i%2)
 			}
 		})
 	}
@@ -86,9 +88,9 @@
 func BenchmarkWaiting(b *testing.B) {
 	for _, n := range []int{0, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, c := module(16)
+			p, c := newCostBalancer(16)
 			for i := range 200 {
-				p.one(c, uint64(i+1), i%2)
+				p.playSearch(c, uint64(i+1), i%2)
 			}
 			id := uint64(1000)
 			more := func() {
@@ -106,9 +108,9 @@
 			b.ResetTimer()
 			for range b.N {
 				c.BeginIteration(c.now + 1)
-				if len(p.sent) > 0 {
-					part := p.sent[0]
-					p.sent = p.sent[1:]
+				if len(p.pending) > 0 {
+					part := p.pending[0]
+					p.pending = p.pending[1:]
 					c.RecordAttemptOutcome(part, 0, "Ok", 25, false, nil)
 				}
 				for len(c.admission.searches) < n {
--- a/balancer/same_test.go
+++ b/balancer/recorded_actions_test.go
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-var recording = flag.Bool("record", false, "write the actions' sums anew: after a change of decisions that is meant")
+var record = flag.Bool("record", false, "write the actions' sums anew: after a change of decisions that is meant")
 
 const (
-	sums  = "testdata/actions.sums"
-	drawn = 120 // streams that are drawn
+	sumsFile     = "testdata/actions.sums"
+	drawnStreams = 120 // streams that are drawnStreams
 )
 
-// draw makes a stream of events in the scenarios' notation: settings, hosts, loads, faults and lists by chance.
-func draw(c *rand.Rand) string {
+// drawScenario makes a stream of events in the scenarios' notation: settings, hosts, loads, faults and lists by chance.
+func drawScenario(c *rand.Rand) string {
 	pick := func(of ...string) string { return of[c.Intn(len(of))] }
 	var b strings.Builder
 	line := func(format string, v ...any) { fmt.Fprintf(&b, format+"\n", v...) }
@@ -85,13 +85,13 @@
 
 // The module does just what it did when the sums were recorded, action for action, in all scenarios and in drawn
 // streams: state may be kept in other ways, decisions may not change unseen.
-func TestSameDecisions(t *testing.T) {
+func TestActionsAreAsRecorded(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	slices.Sort(files)
 	var got []string
 	note := func(name, text string) {
-		all := play(t, text)
+		all := playActions(t, text)
 		h := fnv.New64a()
 		for _, a := range all {
 			fmt.Fprintln(h, a)
@@ -103,13 +103,13 @@
 		require.NoError(t, err)
 		note(filepath.Base(f), string(text))
 	}
-	for i := range drawn {
-		note(fmt.Sprintf("drawn-%d", i), draw(rand.New(rand.NewSource(int64(i)))))
+	for i := range drawnStreams {
+		note(fmt.Sprintf("drawn-%d", i), drawScenario(rand.New(rand.NewSource(int64(i)))))
 	}
-	if *recording {
-		require.NoError(t, os.WriteFile(sums, []byte(strings.Join(got, "\n")+"\n"), 0o644))
+	if *record {
+		require.NoError(t, os.WriteFile(sumsFile, []byte(strings.Join(got, "\n")+"\n"), 0o644))
 	}
-	want, err := os.ReadFile(sums)
+	want, err := os.ReadFile(sumsFile)
 	require.NoError(t, err)
 	for i, line := range strings.Split(strings.TrimSpace(string(want)), "\n") {
 		require.Equal(t, line, got[i])
@@ -117,10 +117,10 @@
 }
 
 // What is kept as parts go out and land is what counting them all gives, in each turn of drawn streams.
-func TestKeptIsCounted(t *testing.T) {
+func TestInflightCountMatchesRecount(t *testing.T) {
 	for i := range 40 {
-		s := beginWith(t, draw(rand.New(rand.NewSource(int64(1000+i)))), true)
-		s.to(s.now + 100_000)
-		require.Zero(t, s.c.(*balancer).effectiveInFlight())
+		s := newScenarioWithRecount(t, drawScenario(rand.New(rand.NewSource(int64(1000+i)))), true)
+		s.playUntil(s.now + 100_000)
+		require.Zero(t, s.balancer.(*balancer).effectiveInFlight())
 	}
 }
--- a/balancer/apart_test.go
+++ b/balancer/settings_isolation_test.go
@@ -10,29 +10,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// site is settings that are drawn, before their classes and tenants are put in an order.
-type site struct {
-	facts            map[string]string
-	classes, tenants []map[string]string // what stands in lists of objects
-	lists            map[string][]string // what stands in lists by class
+// drawnSettings is settings that are drawn, before their classes and tenants are put in an order.
+type drawnSettings struct {
+	single              map[string]string
+	queryTypes, tenants []map[string]string // what stands in lists of objects
+	lists               map[string][]string // what stands in lists by class
 
-	met           bool // searches of all are answered first, and then all are of these
-	qtype, tenant int
+	servesAllFirst    bool // searches of all are answered first, and then all are of these
+	queryType, tenant int
 }
 
-func drawSite(c *rand.Rand) site {
+func drawSettings(c *rand.Rand) drawnSettings {
 	pick := func(of ...string) string { return of[c.Intn(len(of))] }
-	w := site{facts: map[string]string{
+	w := drawnSettings{single: map[string]string{
 		"Specifics.Sets": "2", "Specifics.Reach": pick("1", "2"), "Balancers": pick("1", "3"),
 		"Specifics.PerCall": pick("1", "3"), "Permissions.MaxAttempts": pick("1", "2", "4"), "Permissions.SecondCopies": pick("true", "false"),
 		"Permissions.Cancelling": pick("true", "false"), "Tick": pick("1", "5"),
 	}, lists: map[string][]string{}}
 	if c.Intn(2) == 0 {
-		w.facts["Safety.LookBack"], w.facts["Safety.FurtherRatio"], w.facts["Safety.ExtraFloor"] = "3000", "0.1", "2"
+		w.single["Safety.LookBack"], w.single["Safety.FurtherRatio"], w.single["Safety.ExtraFloor"] = "3000", "0.1", "2"
 	}
 	for i := range 4 {
 		aim := 50 + c.Intn(1500)
-		w.classes = append(w.classes, map[string]string{
+		w.queryTypes = append(w.queryTypes, map[string]string{
 			"Name": fmt.Sprint("type", i), "Aim": fmt.Sprint(aim),
 			"Deadline": fmt.Sprint(aim + c.Intn(2000)), "Effect": pick("retryable", "dedup", "fragile"), "LateShare": pick("0", "0.03", "0.4"),
 			"RepeatWindow": pick("0", "1", "150", "2000"),
@@ -48,13 +48,13 @@
 	return w
 }
 
-// in gives the settings with each class and tenant at another place and, where renamed, under another name.
-func (w site) in(classes, tenants []int, renamed string) map[string]string {
+// arranged gives the settings with each class and tenant at another place and, where renamed, under another name.
+func (w drawnSettings) arranged(classes, tenants []int, renamed string) map[string]string {
 	all := map[string]string{"Classes.count": fmt.Sprint(len(classes)), "Tenants.count": fmt.Sprint(len(tenants))}
-	for name, v := range w.facts {
+	for name, v := range w.single {
 		all[name] = v
 	}
-	for list, of := range map[string][]map[string]string{"Classes": w.classes, "Tenants": w.tenants} {
+	for list, of := range map[string][]map[string]string{"Classes": w.queryTypes, "Tenants": w.tenants} {
 		to := map[string][]int{"Classes": classes, "Tenants": tenants}[list]
 		for i, one := range of {
 			for name, v := range one {
@@ -75,16 +75,16 @@
 	return all
 }
 
-// run makes a module with drawn settings and gives what is to happen to it, step by step.
-func (w site) run(t *testing.T, c *rand.Rand, classes, tenants []int, renamed string) (s *stage, steps []func()) {
-	s = begin(t, "")
-	for name := range s.facts { // what the usual scenarios have of classes
+// prepare makes a module with drawn settings and gives what is to happen to it, step by step.
+func (w drawnSettings) prepare(t *testing.T, c *rand.Rand, classes, tenants []int, renamed string) (s *scenario, steps []func()) {
+	s = newScenario(t, "")
+	for name := range s.settings { // what the usual scenarios have of classes
 		if strings.HasPrefix(name, "Classes.") {
-			delete(s.facts, name)
+			delete(s.settings, name)
 		}
 	}
-	for name, v := range w.in(classes, tenants, renamed) {
-		s.facts[name] = v
+	for name, v := range w.arranged(classes, tenants, renamed) {
+		s.settings[name] = v
 	}
 	hosts := []string{"h0", "h1", "h2", "far0", "far1", "h3"}
 	var entries []string
@@ -92,95 +92,97 @@
 		entries = append(entries, fmt.Sprintf("%s/%d/healthy/%d", h, i%2, c.Intn(2)))
 	}
 	step := func(do func()) { steps = append(steps, do) }
-	step(func() { s.line(append([]string{"start"}, entries...)) })
-	step(func() { s.line(strings.Fields("when " + strings.Join(hosts, ",") + " Ok 30")) })
+	step(func() { s.runLine(append([]string{"start"}, entries...)) })
+	step(func() { s.runLine(strings.Fields("when " + strings.Join(hosts, ",") + " Ok 30")) })
 	search := func(id uint64, qtype, tenant, first, n int, grace int64, retry bool) {
-		s.finals[id] = 1
-		s.turn(func() {
-			s.c.AddSearch(id, classes[qtype], tenants[tenant], "-", grace*10, id, n, retry)
+		s.owedAnswers[id] = 1
+		s.iterate(func() {
+			s.balancer.AddSearch(id, classes[qtype], tenants[tenant], "-", grace*10, id, n, retry)
 			var shards []string
 			for i := range n {
 				shards = append(shards, fmt.Sprint(first+i))
 			}
-			s.parts(id, id*100, strings.Join(shards, ","), "")
+			s.addRequests(id, id*100, strings.Join(shards, ","), "")
 		})
 	}
-	if w.met { // one search of each class and tenant is answered first
-		step(func() { s.to(200_000) })
+	if w.servesAllFirst { // one search of each class and tenant is answered first
+		step(func() { s.playUntil(200_000) })
 		for i := range max(len(classes), len(tenants)) {
 			step(func() {
 				search(uint64(900+i), i%len(classes), i%len(tenants), 0, 1, 60_000, false)
-				s.to(s.now + 20_000)
+				s.playUntil(s.now + 20_000)
 			})
 		}
 	}
 	for id := uint64(1); id <= 150; id++ {
 		if c.Intn(12) == 0 {
 			host, how := hosts[c.Intn(len(hosts))], []string{"Ok", "Ok", "Failed", "QueueFull", "ConnectError", "ResetByPeer", "TimedOut"}[c.Intn(7)]
-			step(func() { s.line([]string{"when", host, how, fmt.Sprint(1 + c.Intn(400))}) })
+			step(func() { s.runLine([]string{"when", host, how, fmt.Sprint(1 + c.Intn(400))}) })
 		}
 		if c.Intn(30) == 0 {
 			i := c.Intn(len(hosts))
 			status := []string{"draining", "deregistered", "healthy", "healthy"}[c.Intn(4)]
-			step(func() { s.line([]string{"list", "Partial", fmt.Sprintf("%s/%d/%s/%d", hosts[i], i%2, status, id*20)}) })
+			step(func() {
+				s.runLine([]string{"list", "Partial", fmt.Sprintf("%s/%d/%s/%d", hosts[i], i%2, status, id*20)})
+			})
 		}
 		qtype, tenant, n, retry, grace := c.Intn(4), c.Intn(3), 1+c.Intn(6), c.Intn(4) == 0, 60+c.Intn(1500)
-		if w.met {
-			qtype, tenant = w.qtype, w.tenant
+		if w.servesAllFirst {
+			qtype, tenant = w.queryType, w.tenant
 		}
 		first := c.Intn(2)
 		if w.lists["FollowUp"][qtype] != "0" {
-			s.steps[id] = "0,1"
+			s.secondSteps[id] = "0,1"
 		}
 		step(func() { search(id, qtype, tenant, first, n, int64(grace), retry) })
 		if c.Intn(10) == 0 {
 			step(func() {
-				if s.finals[id] == 1 {
-					s.line([]string{"withdraw", fmt.Sprint(id)})
+				if s.owedAnswers[id] == 1 {
+					s.runLine([]string{"withdraw", fmt.Sprint(id)})
 				}
 			})
 		}
 		wait := int64(c.Intn(400))
-		step(func() { s.to(s.now + wait) })
+		step(func() { s.playUntil(s.now + wait) })
 	}
-	step(func() { s.to(s.now + 100_000) })
+	step(func() { s.playUntil(s.now + 100_000) })
 	return s, steps
 }
 
-var inOrder = [2][]int{{0, 1, 2, 3}, {0, 1, 2}}
+var originalOrder = [2][]int{{0, 1, 2, 3}, {0, 1, 2}}
 
-func alone(t *testing.T, seed int64, classes, tenants []int, renamed string) []string {
+func playAlone(t *testing.T, seed int64, classes, tenants []int, renamed string) []string {
 	c := rand.New(rand.NewSource(seed))
-	s, steps := drawSite(c).run(t, c, classes, tenants, renamed)
+	s, steps := drawSettings(c).prepare(t, c, classes, tenants, renamed)
 	for _, do := range steps {
 		do()
 	}
-	return s.all
+	return s.allActions
 }
 
 // What is decided for a search follows what the settings say of its class and its tenant, not where in the lists they say
 // it or under which name: the same settings in another order, with other names, give the same actions.
-func TestOrderAndNamesOfClassesAndTenants(t *testing.T) {
+func TestOrderAndNamesOfQueryTypesAndTenantsDoNotMatter(t *testing.T) {
 	for seed := range int64(24) {
-		want := alone(t, seed, inOrder[0], inOrder[1], "")
+		want := playAlone(t, seed, originalOrder[0], originalOrder[1], "")
 		require.Greater(t, len(want), 100)
 		c := rand.New(rand.NewSource(-1 - seed))
 		classes, tenants := c.Perm(4), c.Perm(3)
-		require.Equal(t, want, alone(t, seed, classes, tenants, "-other"), "seed %d, classes %v, tenants %v", seed, classes, tenants)
+		require.Equal(t, want, playAlone(t, seed, classes, tenants, "-other"), "seed %d, classes %v, tenants %v", seed, classes, tenants)
 	}
 }
 
 // Two modules of one process with other settings decide what each decides alone, however their turns lie.
-func TestModulesApart(t *testing.T) {
+func TestBalancersAreIndependent(t *testing.T) {
 	for seed := range int64(8) {
 		var want, got [2][]string
-		var stages [2]*stage
+		var stages [2]*scenario
 		var steps [2][]func()
 		for i := range 2 {
 			of := seed*2 + int64(i)
-			want[i] = alone(t, of, inOrder[0], inOrder[1], "")
+			want[i] = playAlone(t, of, originalOrder[0], originalOrder[1], "")
 			c := rand.New(rand.NewSource(of))
-			stages[i], steps[i] = drawSite(c).run(t, c, inOrder[0], inOrder[1], "")
+			stages[i], steps[i] = drawSettings(c).prepare(t, c, originalOrder[0], originalOrder[1], "")
 		}
 		for c := rand.New(rand.NewSource(seed)); len(steps[0])+len(steps[1]) > 0; {
 			i := c.Intn(2)
@@ -191,7 +193,7 @@
 			steps[i] = steps[i][1:]
 		}
 		for i := range 2 {
-			got[i] = slices.Clone(stages[i].all)
+			got[i] = slices.Clone(stages[i].allActions)
 		}
 		require.Equal(t, want, got)
 	}
@@ -199,35 +201,35 @@
 
 // A search is handled by what the settings say of its own class and tenant whatever has been asked before: once searches of
 // all have been answered, those of one class and tenant get what they get where all classes and tenants are as these.
-func TestEachByItsOwnSettings(t *testing.T) {
+func TestSearchFollowsItsOwnSettings(t *testing.T) {
 	for seed := range int64(16) {
 		get := func(alike bool) []string {
 			c := rand.New(rand.NewSource(seed))
-			w := drawSite(c)
-			w.met, w.qtype, w.tenant = true, c.Intn(4), c.Intn(3)
+			w := drawSettings(c)
+			w.servesAllFirst, w.queryType, w.tenant = true, c.Intn(4), c.Intn(3)
 			w.lists["FollowUp"] = []string{"0", "0", "0", "0"} // of what is asked before each has one step
-			for i := 0; alike && i < len(w.classes); i++ {
-				w.classes[i] = w.classes[w.qtype]
+			for i := 0; alike && i < len(w.queryTypes); i++ {
+				w.queryTypes[i] = w.queryTypes[w.queryType]
 				for _, of := range w.lists {
-					of[i] = of[w.qtype]
+					of[i] = of[w.queryType]
 				}
 				w.tenants[i%3] = w.tenants[w.tenant]
 			}
-			s, steps := w.run(t, c, inOrder[0], inOrder[1], "")
+			s, steps := w.prepare(t, c, originalOrder[0], originalOrder[1], "")
 			for _, do := range steps {
 				do()
 			}
-			return s.all
+			return s.allActions
 		}
 		require.Equal(t, get(true), get(false), "seed %d", seed)
 	}
 }
 
 // What one tenant has used up of its share is not taken from another's.
-func TestSharesApart(t *testing.T) {
-	s := begin(t, "facts Tenants.count=2 Tenants.0.QuotaPerS=10 Tenants.1.QuotaPerS=10\nstart a/0 b/1\nat 10000")
-	c := s.c.(*balancer)
-	s.turn(func() {
+func TestTenantQuotasAreIndependent(t *testing.T) {
+	s := newScenario(t, "facts Tenants.count=2 Tenants.0.QuotaPerS=10 Tenants.1.QuotaPerS=10\nstart a/0 b/1\nat 10000")
+	c := s.balancer.(*balancer)
+	s.iterate(func() {
 		for range 100 {
 			c.exceedsQuota(0)
 		}
