--- a/balancer/gossip_observations_test.go
+++ b/balancer/gossip_observations_test.go
@@ -25,14 +25,6 @@
 	})
 }
 
-func (s *scenario) countSentTo(to string) (n int) {
-	for _, a := range s.actions {
-		if len(a) > 5 && a[:5] == "send " && a[len(a)-len(to)-1:] == " "+to {
-			n++
-		}
-	}
-	return n
-}
 
 // What is handed out is first hand: a module that only heard has nothing to tell, one with answers tells of each
 // replica once, whatever the slices.
@@ -117,13 +109,13 @@
 // Hearsay is bounded and gives way: three own answers weigh as much as anything that can be told.
 func TestGossipGivesWayToOwnAnswers(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nwhen a,b Ok 20\nsteady 10 20 1 4000 0,0")
-	c := s.balancer.(*balancer)
+	c := s.state()
 	slowness := func() float64 { return c.slowness(c.endpoints.byID["a"]) }
 	before := slowness()
 	s.importObservations(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{1e9, 1e9}, LongWindow: DecayingMean{1e9, 1e9}})
 	require.InDelta(t, before, slowness(), 0.01, "own answers weigh more already")
 	s = newScenario(t, "start a/0 b/0\nwhen a,b Ok 20")
-	c = s.balancer.(*balancer)
+	c = s.state()
 	s.importObservations(GossipedObservation{Scope: ScopeReplica, Replica: "a", ShortWindow: DecayingMean{1e9, 1e9}},
 		GossipedObservation{Scope: ScopeReplica, Replica: "a", ReplicaStart: 7, ShortWindow: DecayingMean{0, 0}}, // of another life: not taken
 		GossipedObservation{Scope: ScopeReplica, Replica: "nobody", Outlier: true}, GossipedObservation{Scope: ScopeZone, Zone: 9}, GossipedObservation{Scope: ScopeZone, Zone: -1})
@@ -178,10 +170,10 @@
 func TestRetryAfterIsKept(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nwhen b Ok 20")
 	s.replies["a"] = []string{"QueueFull", "1"}
-	s.report = map[string]float64{"RetryAfter": 2000}
+	s.outcomeReport = map[string]float64{"RetryAfter": 2000}
 	s.runLines("mark steady 60 30 1 4000 0")
 	require.Equal(t, 1, s.countSentTo("a"))
-	s.replies["a"], s.report = []string{"Ok", "20"}, nil
+	s.replies["a"], s.outcomeReport = []string{"Ok", "20"}, nil
 	s.runLines("mark steady 100 30 1 4000 0")
 	require.Greater(t, s.countSentTo("a"), 20)
 }
--- a/balancer/recorded_actions_test.go
+++ b/balancer/recorded_actions_test.go
@@ -121,6 +121,6 @@
 	for i := range 40 {
 		s := newScenarioWithRecount(t, drawScenario(rand.New(rand.NewSource(int64(1000+i)))), true)
 		s.playUntil(s.now + 100_000)
-		require.Zero(t, s.balancer.(*balancer).effectiveInFlight())
+		require.Zero(t, s.state().effectiveInFlight())
 	}
 }
--- a/balancer/replica_restriction_test.go
+++ b/balancer/replica_restriction_test.go
@@ -31,7 +31,7 @@
 				}
 				require.False(t, ended[search])
 			}
-			all := slices.Clone(s.balancer.(*balancer).endpoints.replicas)
+			all := slices.Clone(s.state().endpoints.replicas)
 			draw := func() *ReplicaRestriction {
 				var in []string
 				for _, r := range all {
@@ -74,7 +74,7 @@
 			for id, owed := range s.owedAnswers {
 				require.Zero(t, owed, "stream %d: search %d", i, id)
 			}
-			require.Zero(t, s.balancer.(*balancer).effectiveInFlight())
+			require.Zero(t, s.state().effectiveInFlight())
 			if run == 0 {
 				first = s.allActions
 			} else {
--- a/balancer/settings_isolation_test.go
+++ b/balancer/settings_isolation_test.go
@@ -228,7 +228,7 @@
 // What one tenant has used up of its share is not taken from another's.
 func TestTenantQuotasAreIndependent(t *testing.T) {
 	s := newScenario(t, "facts Tenants.count=2 Tenants.0.QuotaPerS=10 Tenants.1.QuotaPerS=10\nstart a/0 b/1\nat 10000")
-	c := s.balancer.(*balancer)
+	c := s.state()
 	s.iterate(func() {
 		for range 100 {
 			c.exceedsQuota(0)
