--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -3,121 +3,161 @@
 import (
 	"fmt"
 	"testing"
+
+	"github.com/stretchr/testify/require"
 )
 
-// costProtocol is a protocol that keeps no more than what is out.
+// costProtocol is a protocol that keeps no more than what is in flight.
 type costProtocol struct {
-	pending []uint64 // parts with a sub-request out, the first of each
-	ended   map[uint64]bool
+	balancer *balancer
+	pending  []uint64 // requests with an attempt in flight, the first of each
+	ended    map[uint64]bool
 }
 
-func (b *costProtocol) SendAttempt(part uint64, _ string, _ int64) {
-	b.pending = append(b.pending, part)
+func (p *costProtocol) SendAttempt(request uint64, _ string, _ int64) {
+	p.pending = append(p.pending, request)
 }
-func (b *costProtocol) CancelAttempt(uint64, int)          {}
-func (b *costProtocol) AnswerSearch(search uint64, _ bool) { b.ended[search] = true }
-func (b *costProtocol) ShedSearch(search uint64, _ int64)  { b.ended[search] = true }
-func (b *costProtocol) FailSearch(search uint64)           { b.ended[search] = true }
-func (b *costProtocol) SetTimer(int64, uint64)             {}
-func (b *costProtocol) CancelTimer(uint64)                 {}
-func (b *costProtocol) ProbeReplica(string)                {}
-func (b *costProtocol) WatchEndpoints()                    {}
-func (b *costProtocol) LogMessage(string)                  {}
+func (p *costProtocol) CancelAttempt(uint64, int)          {}
+func (p *costProtocol) AnswerSearch(search uint64, _ bool) { p.ended[search] = true }
+func (p *costProtocol) ShedSearch(search uint64, _ int64)  { p.ended[search] = true }
+func (p *costProtocol) FailSearch(search uint64)           { p.ended[search] = true }
+func (p *costProtocol) SetTimer(int64, uint64)             {}
+func (p *costProtocol) CancelTimer(uint64)                 {}
+func (p *costProtocol) ProbeReplica(string)                {}
+func (p *costProtocol) WatchEndpoints()                    {}
+func (p *costProtocol) LogMessage(string)                  {}
+
+const costRequests = 8 // shard requests of a search
 
-func newCostBalancer(replicas int) (*costProtocol, *balancer) {
-	b := &costProtocol{ended: map[uint64]bool{}}
-	c := New(b).(*balancer)
-	facts := map[string]string{
-		"Tick": "5", "Balancers": "1", "Classes.count": "2", "Specifics.Sets": "8", "Specifics.Reach": "2",
-		"Specifics.PerCall": "1", "Classes.0.Aim": "3000", "Classes.0.Effect": "retryable", "Classes.1.Aim": "60000",
+func newCostProtocol(replicas int) *costProtocol {
+	p := &costProtocol{ended: map[uint64]bool{}}
+	p.balancer = New(p).(*balancer)
+	p.balancer.BeginIteration(10)
+	p.balancer.Configure(1, map[string]string{
+		"Tick": "5", "Balancers": "1", "Specifics.Sets": "8", "Specifics.Reach": "2", "Specifics.PerCall": "1",
+		"Classes.count": "2", "Classes.0.Aim": "3000", "Classes.0.Effect": "retryable", "Classes.1.Aim": "60000",
 		"Classes.1.Effect": "retryable", "Specifics.NeedByClass": "0.75,1", "Specifics.ClassFloor": "0.75,1",
 		"Specifics.FollowUp": "0,0", "Permissions.MaxAttempts": "3", "Permissions.SecondCopies": "true",
 		"Permissions.Cancelling": "true", "Safety.Cold": "10000",
-	}
-	c.BeginIteration(10)
-	c.Configure(1, facts)
+	})
 	for i := range replicas {
-		c.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%8, "healthy", 1, 0)
+		p.balancer.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%8, StatusHealthy, 1, 0)
 	}
-	c.CommitEndpoints("Persisted", 1)
-	c.EndIteration()
-	return b, c
+	p.balancer.CommitEndpoints(ListPersisted, 1)
+	p.balancer.EndIteration()
+	return p
 }
 
-// playSearch plays a search of eight parts from its arrival to its answer.
-func (b *costProtocol) playSearch(c *balancer, id uint64, qtype int) {
-	c.BeginIteration(c.now + 10)
-	c.AddSearch(id, qtype, 0, "", 30_000, id, 8, false)
-	for p := range uint64(8) {
-		c.AddShardRequest(id<<4|p, id, int(p), 0.125)
+func (p *costProtocol) addSearch(id uint64, queryType int, timeLeft int64) {
+	p.balancer.AddSearch(id, queryType, 0, "", timeLeft, id, costRequests, false)
+	for i := range uint64(costRequests) {
+		p.balancer.AddShardRequest(id<<4|i, id, int(i), 1.0/costRequests)
 	}
-	c.EndIteration()
-	b.answerPending(c)
-	delete(b.ended, id)
 }
 
-// answerPending answers all that is out, a part a turn.
-func (b *costProtocol) answerPending(c *balancer) {
-	sent := b.pending
-	b.pending = b.pending[:0]
-	for _, p := range sent {
-		c.BeginIteration(c.now + 3)
-		c.RecordAttemptOutcome(p, 0, "Ok", 25, false, nil)
-		c.EndIteration()
+// playSearch plays a search from its arrival to its answer.
+func (p *costProtocol) playSearch(id uint64) {
+	p.balancer.BeginIteration(p.balancer.now + 10)
+	p.addSearch(id, int(id%2), 30_000)
+	p.balancer.EndIteration()
+	pending := p.pending
+	p.pending = p.pending[:0]
+	for _, request := range pending { // one request an iteration
+		p.balancer.BeginIteration(p.balancer.now + 3)
+		p.balancer.RecordAttemptOutcome(request, 0, OutcomeOK, 25, false, nil)
+		p.balancer.EndIteration()
 	}
+	delete(p.ended, id)
 }
 
-// What a search costs in the module, on few hosts and on many.
+// warmUp plays searches until the buffers have their sizes.
+func (p *costProtocol) warmUp() {
+	for id := range uint64(200) {
+		p.playSearch(id + 1)
+	}
+}
+
+// A search allocates itself, its requests, their list and its place in the queue, and nothing for each request or attempt.
+func TestAllocationsOfSearch(t *testing.T) {
+	p := newCostProtocol(16)
+	p.warmUp()
+	id := uint64(1000)
+	allocations := testing.AllocsPerRun(1000, func() {
+		id++
+		p.playSearch(id)
+	})
+	require.LessOrEqual(t, allocations, 4.0)
+}
+
+// The cost of a search in the balancer, with few replicas and with many.
 func BenchmarkReplicas(b *testing.B) {
-	for _, n := range []int{16, 100, 1_000, 10_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, c := newCostBalancer(n)
-			for i := range 200 {
-				p.playSearch(c, uint64(i+1), i%2)
-			}
+	for _, replicas := range []int{16, 100, 1_000, 10_000} {
+		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
+			p := newCostProtocol(replicas)
+			p.warmUp()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				p.playSearch(c, uint64(i+1000), i%2)
+				p.playSearch(uint64(i + 1000))
 			}
 		})
 	}
 }
 
-// What a turn with one answer costs while so many searches wait.
+// The cost of an iteration with one answer while so many searches wait.
 func BenchmarkWaiting(b *testing.B) {
-	for _, n := range []int{0, 100, 1_000, 10_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, c := newCostBalancer(16)
-			for i := range 200 {
-				p.playSearch(c, uint64(i+1), i%2)
+	for _, waiting := range []int{0, 100, 1_000, 10_000} {
+		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
+			p := newCostProtocol(16)
+			p.warmUp()
+			lastID := uint64(1000)
+			addSearch := func() {
+				lastID++
+				p.addSearch(lastID, 1, 600_000)
 			}
-			id := uint64(1000)
-			more := func() {
-				id++
-				c.AddSearch(id, 1, 0, "", 600_000, id, 8, false)
-				for part := range uint64(8) {
-					c.AddShardRequest(id<<4|part, id, int(part), 0.125)
-				}
-			}
-			for range n + 8 {
-				more()
+			for range waiting + 8 {
+				addSearch()
 			}
-			c.EndIteration()
+			p.balancer.EndIteration()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				c.BeginIteration(c.now + 1)
+				p.balancer.BeginIteration(p.balancer.now + 1)
 				if len(p.pending) > 0 {
-					part := p.pending[0]
+					request := p.pending[0]
 					p.pending = p.pending[1:]
-					c.RecordAttemptOutcome(part, 0, "Ok", 25, false, nil)
+					p.balancer.RecordAttemptOutcome(request, 0, OutcomeOK, 25, false, nil)
 				}
-				for len(c.admission.searches) < n {
-					more()
+				for len(p.balancer.admission.searches) < waiting {
+					addSearch()
 				}
-				c.EndIteration()
+				p.balancer.EndIteration()
 			}
 		})
 	}
 }
+
+// noActions is a protocol that watches a list and expects nothing else.
+type noActions struct{ Actions }
+
+func (noActions) WatchEndpoints() {}
+
+// The time that the caller's goroutine spends on the export of 512 replicas of a list of 10,000 that are all known.
+func BenchmarkExportObservations(b *testing.B) {
+	exporter := New(noActions{}).(*balancer)
+	exporter.Configure(1, map[string]string{settingShardSets: "1", settingSetsPerReplica: "1"})
+	exporter.BeginIteration(1)
+	for i := range 10_000 {
+		exporter.AddEndpoint(fmt.Sprintf("host-%05d", i), 0, 0, 0, StatusHealthy, 1, 0)
+	}
+	exporter.CommitEndpoints(ListComplete, 1)
+	for _, r := range exporter.endpoints.replicas {
+		r.latency.record(1, 5)
+		r.health.lastAnswer = 1
+	}
+	exported := 0
+	for b.Loop() {
+		exporter.ExportObservations(512, 512, func(Observation) { exported++ })
+	}
+	require.Positive(b, exported)
+}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -12,100 +12,112 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A whole fleet on one clock: real modules, uneven traffic (one in ten co-ordinators gets four times what the others do), the
-// replicas as counters that answer after a while or never. The traffic of all together is the same however many there are.
+// A whole fleet on one clock: real balancers, uneven traffic (one in ten coordinators gets four times what the others do),
+// and replicas that answer after a while or never. The traffic of all together is the same however many there are.
 const (
-	fleetReplicas       = 24 // two a set
+	fleetReplicas       = 24 // two a shard set
 	fleetShardSets      = 12
-	fleetSearchRequests = 4     // parts a search
+	fleetSearchRequests = 4     // shard requests of a search
 	fleetSearchRate     = 600.0 // searches a second of all together
-	fleetAnswerTime     = 200   // tenths of a ms
-	fleetReplicaRate    = fleetSearchRate * fleetSearchRequests / fleetReplicas
+	fleetAnswerTime     = 20 * millisecond
+	fleetReplicaRate    = fleetSearchRate * fleetSearchRequests / fleetReplicas // requests a second of one replica
 )
 
+var fleetSizes = []int{1, 3, 300}
+
+// fleetEvent is an event at a time; events of one time come in the order in which they were scheduled.
 type fleetEvent struct {
 	at    int64
 	order int
 	run   func()
 }
 
+// fleetEvents is a heap of events by time.
 type fleetEvents []fleetEvent
 
-func (h fleetEvents) Len() int { return len(h) }
-func (h fleetEvents) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (e fleetEvents) Len() int      { return len(e) }
+func (e fleetEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e fleetEvents) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
 }
-func (h fleetEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *fleetEvents) Push(v any)   { *h = append(*h, v.(fleetEvent)) }
-func (h *fleetEvents) Pop() any {
-	v := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
-	return v
+func (e *fleetEvents) Push(event any) { *e = append(*e, event.(fleetEvent)) }
+func (e *fleetEvents) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
+	return last
 }
 
 type fleet struct {
-	now               int64
-	events            fleetEvents
-	lastOrder         int
-	members           []*member
+	now       int64
+	events    fleetEvents
+	lastOrder int
+	members   []*member
+
 	silentReplicas    map[string]bool
-	sentTimes         map[string][]int64 // when parts went to each replica
-	connectionsLostAt int64              // when all connections were: parts that were out then are reset
-	watchTimes        []int64            // when subscriptions were asked for
-	lateAnswers       []uint64           // searches whose final answer came after their time
+	connectionsLostAt int64 // attempts that were in flight then are reset
+
+	sentTimes   map[string][]int64 // of the attempts at each replica
+	watchTimes  []int64
+	lateAnswers []uint64 // searches with a final answer after their client's time
 }
 
-// member is one co-ordinator of it.
+// member is the protocol of one coordinator of a fleet.
 type member struct {
 	fleet         *fleet
 	balancer      Balancer
-	lastSearch    uint64
-	attemptCounts map[uint64]int
-	endedAttempts map[[2]uint64]bool
-	deadlines     map[uint64]int64
+	rng           *rand.Rand // of its traffic
 	trafficShare  float64
+	lastSearch    uint64
+	attemptCounts map[uint64]int // by request
+	endedAttempts map[attemptID]bool
+	deadlines     map[uint64]int64 // by search
 }
 
-func (f *fleet) schedule(wait int64, do func()) {
+func (f *fleet) schedule(wait int64, run func()) {
 	f.lastOrder++
-	heap.Push(&f.events, fleetEvent{f.now + max(wait, 1), f.lastOrder, do})
+	heap.Push(&f.events, fleetEvent{f.now + max(wait, 1), f.lastOrder, run})
 }
 
-// iterate has a module do something, in a iterate of its own.
+// iterate does something within one iteration of a balancer.
 func (m *member) iterate(do func()) {
 	m.balancer.BeginIteration(m.fleet.now)
 	do()
 	m.balancer.EndIteration()
 }
 
-func (m *member) scheduleOutcome(part uint64, leg int, ending string, after int64) {
-	f, sent := m.fleet, m.fleet.now
+func (m *member) scheduleOutcome(request uint64, index int, outcome string, after int64) {
+	sent, id := m.fleet.now, attemptID{request, index}
 	m.fleet.schedule(after, func() {
-		if key := [2]uint64{part, uint64(leg)}; !m.endedAttempts[key] {
-			m.endedAttempts[key] = true
-			if sent <= f.connectionsLostAt && ending == "Ok" {
-				ending = "ResetByPeer"
-			}
-			m.iterate(func() { m.balancer.RecordAttemptOutcome(part, leg, ending, m.fleet.now-sent, false, nil) })
+		if m.endedAttempts[id] {
+			return
 		}
+		m.endedAttempts[id] = true
+		if sent <= m.fleet.connectionsLostAt && outcome == OutcomeOK {
+			outcome = OutcomeResetByPeer
+		}
+		m.iterate(func() {
+			m.balancer.RecordAttemptOutcome(request, index, outcome, m.fleet.now-sent, false, nil)
+		})
 	})
 }
 
-func (m *member) SendAttempt(part uint64, replica string, timeout int64) {
+func (m *member) SendAttempt(request uint64, replica string, timeout int64) {
 	m.fleet.sentTimes[replica] = append(m.fleet.sentTimes[replica], m.fleet.now)
-	leg := m.attemptCounts[part]
-	m.attemptCounts[part]++
+	index := m.attemptCounts[request]
+	m.attemptCounts[request]++
 	if m.fleet.silentReplicas[replica] {
-		m.scheduleOutcome(part, leg, "TimedOut", timeout)
+		m.scheduleOutcome(request, index, OutcomeTimedOut, timeout)
 	} else {
-		m.scheduleOutcome(part, leg, "Ok", fleetAnswerTime)
+		m.scheduleOutcome(request, index, OutcomeOK, fleetAnswerTime)
 	}
 }
 
-func (m *member) CancelAttempt(part uint64, leg int) { m.scheduleOutcome(part, leg, "Canceled", 1) }
-func (m *member) AnswerSearch(id uint64, _ bool)     { m.finalAnswer(id) }
-func (m *member) ShedSearch(id uint64, _ int64)      { m.finalAnswer(id) }
-func (m *member) FailSearch(id uint64)               { m.finalAnswer(id) }
+func (m *member) CancelAttempt(request uint64, index int) {
+	m.scheduleOutcome(request, index, OutcomeCanceled, 1)
+}
+func (m *member) AnswerSearch(id uint64, _ bool) { m.recordFinal(id) }
+func (m *member) ShedSearch(id uint64, _ int64)  { m.recordFinal(id) }
+func (m *member) FailSearch(id uint64)           { m.recordFinal(id) }
 func (m *member) SetTimer(wait int64, label uint64) {
 	m.fleet.schedule(wait, func() { m.iterate(func() { m.balancer.HandleTimer(label) }) })
 }
@@ -114,203 +126,221 @@
 func (m *member) LogMessage(string)   {}
 func (m *member) WatchEndpoints()     { m.fleet.watchTimes = append(m.fleet.watchTimes, m.fleet.now) }
 
-func (m *member) finalAnswer(id uint64) {
+func (m *member) recordFinal(id uint64) {
 	if m.fleet.now >= m.deadlines[id] {
 		m.fleet.lateAnswers = append(m.fleet.lateAnswers, id)
 	}
 	delete(m.deadlines, id)
 }
 
-func (m *member) commitList(how string, since []int64) {
-	for i, at := range since {
-		m.balancer.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%fleetShardSets, "healthy", 1, at)
+// commitList hands over a list of replicas with the times at which they started.
+func (m *member) commitList(kind string, startTimes []int64) {
+	for i, startedAt := range startTimes {
+		m.balancer.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%fleetShardSets, StatusHealthy, 1, startedAt)
 	}
-	m.balancer.CommitEndpoints(how, 1)
+	m.balancer.CommitEndpoints(kind, 1)
 }
 
-func newFleet(n int) *fleet {
-	f := &fleet{now: 10_000_000, silentReplicas: map[string]bool{}, sentTimes: map[string][]int64{}}
-	facts := map[string]string{}
-	for _, fact := range strings.Fields(defaultSettings + fmt.Sprintf(
-		" Discovery=subscribe Safety.AskWithin=10000 Specifics.Sets=%d Balancers=%d", fleetShardSets, n)) {
-		name, v, _ := strings.Cut(fact, "=")
-		facts[name] = v
+// addTraffic adds a search now and schedules the next.
+func (m *member) addTraffic() {
+	const timeLeft = 4 * second
+	m.iterate(func() {
+		m.lastSearch++
+		id, firstShard := m.lastSearch, m.rng.Intn(fleetShardSets)
+		m.deadlines[id] = m.fleet.now + timeLeft
+		m.balancer.AddSearch(id, m.rng.Intn(2), 0, "", timeLeft, id, fleetSearchRequests, false)
+		for i := range fleetSearchRequests {
+			shard := (firstShard + i) % fleetShardSets
+			m.balancer.AddShardRequest(id*100+uint64(i), id, shard, 1.0/fleetSearchRequests)
+		}
+	})
+	m.scheduleTraffic()
+}
+
+func (m *member) scheduleTraffic() {
+	m.fleet.schedule(int64(m.rng.ExpFloat64()*second/(fleetSearchRate*m.trafficShare)), m.addTraffic)
+}
+
+func newFleet(size int) *fleet {
+	f := &fleet{now: 1_000 * second, silentReplicas: map[string]bool{}, sentTimes: map[string][]int64{}}
+	values := map[string]string{}
+	for _, setting := range strings.Fields(defaultSettings + fmt.Sprintf(
+		" Discovery=subscribe Safety.AskWithin=10000 Specifics.Sets=%d Balancers=%d", fleetShardSets, size)) {
+		name, value, _ := strings.Cut(setting, "=")
+		values[name] = value
 	}
-	total := 0.0
-	for i := range n {
-		m := &member{fleet: f, attemptCounts: map[uint64]int{}, endedAttempts: map[[2]uint64]bool{}, deadlines: map[uint64]int64{}, trafficShare: 1}
-		if m.balancer = New(m); n > 10 && i%10 == 0 {
+	totalShare := 0.0
+	for i := range size {
+		m := &member{
+			fleet: f, trafficShare: 1, rng: rand.New(rand.NewSource(int64(1000 + i))),
+			attemptCounts: map[uint64]int{}, endedAttempts: map[attemptID]bool{}, deadlines: map[uint64]int64{},
+		}
+		m.balancer = New(m)
+		if size > 10 && i%10 == 0 {
 			m.trafficShare = 4
 		}
-		total += m.trafficShare
+		totalShare += m.trafficShare
 		f.members = append(f.members, m)
 		m.iterate(func() {
-			m.balancer.Configure(int64(i+1), facts)
-			m.commitList("Persisted", make([]int64, fleetReplicas))
+			m.balancer.Configure(int64(i+1), values)
+			m.commitList(ListPersisted, make([]int64, fleetReplicas))
 		})
 	}
-	for i, m := range f.members {
-		m.trafficShare /= total
-		chance := rand.New(rand.NewSource(int64(1000 + i)))
-		var search func()
-		search = func() {
-			m.iterate(func() {
-				m.lastSearch++
-				id, first := m.lastSearch, chance.Intn(fleetShardSets)
-				m.deadlines[id] = f.now + 40_000
-				m.balancer.AddSearch(id, chance.Intn(2), 0, "", 40_000, id, fleetSearchRequests, false)
-				for i := range fleetSearchRequests {
-					m.balancer.AddShardRequest(id*100+uint64(i), id, (first+i)%fleetShardSets, 1.0/fleetSearchRequests)
-				}
-			})
-			f.schedule(int64(chance.ExpFloat64()*10_000/(fleetSearchRate*m.trafficShare)), search)
-		}
-		f.schedule(int64(chance.ExpFloat64()*10_000/(fleetSearchRate*m.trafficShare)), search)
+	for _, m := range f.members {
+		m.trafficShare /= totalShare
+		m.scheduleTraffic()
 	}
 	return f
 }
 
-func (f *fleet) play(ms int64) {
-	for until := f.now + ms*10; len(f.events) > 0 && f.events[0].at <= until; {
-		e := heap.Pop(&f.events).(fleetEvent)
-		f.now = e.at
-		e.run()
+func (f *fleet) play(milliseconds int64) {
+	for until := f.now + milliseconds*millisecond; len(f.events) > 0 && f.events[0].at <= until; {
+		event := heap.Pop(&f.events).(fleetEvent)
+		f.now = event.at
+		event.run()
 	}
 }
 
-// mostWithin is the most of some times that lie in a span of that length.
-func mostWithin(at []int64, span int64) (most int) {
-	at = slices.Sorted(slices.Values(at))
-	for i, from := 0, 0; i < len(at); i++ {
-		for at[i]-at[from] >= span {
-			from++
-		}
-		most = max(most, i-from+1)
+// restartReplica tells all members that a replica has started now.
+func (f *fleet) restartReplica(index int) {
+	startTimes := make([]int64, fleetReplicas)
+	startTimes[index] = f.now
+	for _, m := range f.members {
+		m.iterate(func() { m.commitList(ListComplete, startTimes) })
 	}
-	return most
 }
 
-// countSentTo gives how many parts went to a replica in each of so many spans of 2 s, which it plays.
-func (f *fleet) countSentTo(replica string, spans int) (n []int) {
+// countSentTo plays so many spans of 2 s and returns how many attempts went to a replica in each.
+func (f *fleet) countSentTo(replica string, spans int) (counts []int) {
 	for range spans {
 		f.sentTimes = map[string][]int64{}
 		f.play(2_000)
-		n = append(n, len(f.sentTimes[replica]))
+		counts = append(counts, len(f.sentTimes[replica]))
 	}
-	return n
+	return counts
 }
 
-var fleetSizes = []int{1, 3, 300}
+// mostWithin is the most of some times that lie in a span of a length.
+func mostWithin(times []int64, span int64) (most int) {
+	times = slices.Sorted(slices.Values(times))
+	first := 0
+	for i := range times {
+		for times[i]-times[first] >= span {
+			first++
+		}
+		most = max(most, i-first+1)
+	}
+	return most
+}
 
-// All together keep under what a just started replica can stand, and it gets something.
+// withChance is the count that a rule which allows so many lets through: three deviations of chance more, and three.
+func withChance(allowed float64) float64 { return allowed + 3*math.Sqrt(allowed) + 3 }
+
+// warmingCapacity is what a replica can serve at an age, as a share of what it can do later: by ColdFrom and Cold of the
+// settings.
+func warmingCapacity(age int64) float64 { return 0.2 + 0.8*float64(age)/(10*second) }
+
+// overloadMultiple is FallMultiple of the settings.
+const overloadMultiple = 2
+
+// All together stay under what a replica that has just started can stand, and it gets something.
 func TestFleetSparesWarmingReplica(t *testing.T) {
-	for _, n := range fleetSizes {
-		f := newFleet(n)
+	for _, size := range fleetSizes {
+		f := newFleet(size)
 		f.play(10_000)
-		since := make([]int64, fleetReplicas)
-		since[0] = f.now
-		for _, m := range f.members {
-			m.iterate(func() { m.commitList("Complete", since) })
-		}
-		for i, parts := range f.countSentTo("r0", 5) {
-			can := 0.2 + 0.8*float64(2*i)/10       // ColdFrom and Cold of the facts, as the span begins
-			most := 2 * can * fleetReplicaRate * 2 // FallMultiple, for 2 s
-			require.LessOrEqual(t, float64(parts), most, "%d co-ordinators, from %d s", n, 2*i)
-			require.GreaterOrEqual(t, float64(parts), 0.1*most, "%d co-ordinators, from %d s", n, 2*i)
+		f.restartReplica(0)
+		for i, sent := range f.countSentTo("r0", 5) {
+			allowed := overloadMultiple * warmingCapacity(int64(i)*2*second) * fleetReplicaRate * 2 // in 2 s
+			require.LessOrEqual(t, float64(sent), allowed, "%d coordinators, from %d s", size, 2*i)
+			require.GreaterOrEqual(t, float64(sent), 0.1*allowed, "%d coordinators, from %d s", size, 2*i)
 		}
 	}
 }
 
-// A silent replica gets a trial a second from each, and no more than its ordinary share from all together; no search ends
-// late for it, and it is asked again once it answers.
+// A silent replica gets a probe attempt a second from each, and no more than its ordinary share from all together. No
+// search is answered late for it, and it gets requests again once it answers.
 func TestFleetProbesSilentReplica(t *testing.T) {
-	for _, n := range fleetSizes {
-		f := newFleet(n)
+	for _, size := range fleetSizes {
+		f := newFleet(size)
 		f.play(10_000)
 		f.silentReplicas["r1"] = true
-		for i, parts := range f.countSentTo("r1", 6) {
-			require.LessOrEqual(t, float64(parts), 2*fleetReplicaRate, "%d co-ordinators", n)
-			if i > 0 && n < 10 {
-				require.LessOrEqual(t, parts, 2*n+n, "%d co-ordinators", n)
+		for i, sent := range f.countSentTo("r1", 6) {
+			require.LessOrEqual(t, float64(sent), 2*fleetReplicaRate, "%d coordinators", size)
+			if i > 0 && size < 10 {
+				require.LessOrEqual(t, sent, 2*size+size, "%d coordinators", size)
 			}
 		}
 		f.silentReplicas["r1"] = false
-		for _, parts := range f.countSentTo("r1", 4) {
-			require.GreaterOrEqual(t, float64(parts), 0.25*2*fleetReplicaRate, "%d co-ordinators", n)
+		for _, sent := range f.countSentTo("r1", 4) {
+			require.GreaterOrEqual(t, float64(sent), 0.25*2*fleetReplicaRate, "%d coordinators", size)
 		}
 		require.Empty(t, f.lateAnswers)
 	}
 }
 
-// When the list service fails for all at once, they ask again in growing waits that come to be spread over time, and none later
-// than the rules allow. The first two rounds are not spread yet.
+// When the list service fails for all at once, they renew their watches after growing waits that come to be spread over
+// time, and none later than the settings allow. The first two rounds are not spread yet.
 func TestFleetSpreadsWatchRetries(t *testing.T) {
-	for _, n := range fleetSizes {
-		f := newFleet(n)
+	for _, size := range fleetSizes {
+		f := newFleet(size)
 		for round := range 5 {
 			f.watchTimes = nil
-			failed := f.now
+			failedAt := f.now
 			for _, m := range f.members {
-				m.iterate(func() { m.balancer.CommitEndpoints("Error", 0) })
+				m.iterate(func() { m.balancer.CommitEndpoints(ListError, 0) })
 			}
 			f.play(9_000)
-			require.Len(t, f.watchTimes, n)
+			require.Len(t, f.watchTimes, size)
 			if round > 1 {
-				require.LessOrEqual(t, mostWithin(f.watchTimes, 1000), max(3, n/3), "%d co-ordinators in a tenth of a second", n)
+				most := mostWithin(f.watchTimes, 100*millisecond)
+				require.LessOrEqual(t, most, max(3, size/3), "%d coordinators in a tenth of a second", size)
 			}
-			require.Less(t, slices.Max(f.watchTimes)-failed, int64(100_000))
+			require.Less(t, slices.Max(f.watchTimes)-failedAt, int64(10*second))
 		}
 	}
 }
 
-// withChance is what a rule that allows so many lets through: three deviations of chance more, and three.
-func withChance(allowed float64) float64 { return allowed + 3*math.Sqrt(allowed) + 3 }
-
-// A replica that has just started, at a time unlike for each seed: in each window of the settings, wherever it begins, all
+// A replica that has just started, at another time for each seed: in each window of the settings, wherever it begins, all
 // together send no more than the stated multiple of what it can do as the window begins, and chance. It gets something.
 func TestFleetKeepsSlowStartInEachWindow(t *testing.T) {
-	const window = 20_000 // Safety.Fall
-	for _, n := range fleetSizes {
+	const window = 2 * second // Fall of the settings
+	for _, size := range fleetSizes {
 		worst := 0.0
-		for turn := range 3 {
-			f := newFleet(n)
-			f.play(8_000 + 777*int64(turn))
-			began, name := f.now, fmt.Sprint("r", turn)
-			since := make([]int64, fleetReplicas)
-			since[turn] = began
-			for _, m := range f.members {
-				m.iterate(func() { m.commitList("Complete", since) })
-			}
+		for seed := range 3 {
+			f := newFleet(size)
+			f.play(8_000 + 777*int64(seed))
+			startedAt, replica := f.now, fmt.Sprint("r", seed)
+			f.restartReplica(seed)
 			f.sentTimes = map[string][]int64{}
 			f.play(10_000)
-			at := slices.Sorted(slices.Values(f.sentTimes[name]))
-			require.Greater(t, float64(len(at)), 0.2*10*fleetReplicaRate)
-			for i, from := range at {
-				can := 0.2 + 0.8*float64(from-began)/100_000
-				end, _ := slices.BinarySearch(at, from+window)
-				allowed := 2 * can * fleetReplicaRate * window / 10_000
-				worst = max(worst, float64(end-i)/withChance(allowed))
-				require.LessOrEqual(t, float64(end-i), withChance(allowed), "%d co-ordinators, %d ms after the start", n, (from-began)/10)
+			times := slices.Sorted(slices.Values(f.sentTimes[replica]))
+			require.Greater(t, float64(len(times)), 0.2*10*fleetReplicaRate)
+			for i, from := range times {
+				age := from - startedAt
+				end, _ := slices.BinarySearch(times, from+window)
+				allowed := withChance(overloadMultiple * warmingCapacity(age) * fleetReplicaRate * window / second)
+				worst = max(worst, float64(end-i)/allowed)
+				require.LessOrEqual(t, float64(end-i), allowed, "%d coordinators, %d ms after the start", size, age/millisecond)
 			}
 		}
-		t.Logf("%d co-ordinators: %.2f of what is allowed at the most", n, worst)
+		t.Logf("%d coordinators: %.2f of what is allowed at most", size, worst)
 	}
 }
 
-// All connections of all are lost at once and the replicas are sound: what was out is sent again without a storm, and the
-// connections that are made anew, one for each co-ordinator and replica as parts go there, are no more than parts are.
+// All connections of all are lost at once and the replicas are sound: what was in flight is sent again without a storm, and
+// the new connections, one for each coordinator and replica as requests go there, are no more than the requests are.
 func TestFleetRetriesWithoutStorm(t *testing.T) {
-	for _, n := range fleetSizes {
-		f := newFleet(n)
+	for _, size := range fleetSizes {
+		f := newFleet(size)
 		f.play(10_000)
 		f.sentTimes, f.connectionsLostAt = map[string][]int64{}, f.now
 		f.play(5_000)
-		most := 0
-		for _, at := range f.sentTimes {
-			most = max(most, mostWithin(at, 10_000))
+		most, allowed := 0, withChance(1.5*fleetReplicaRate)
+		for _, times := range f.sentTimes {
+			most = max(most, mostWithin(times, second))
 		}
-		t.Logf("%d co-ordinators: %d parts in a second to one replica at the most, %.0f allowed", n, most, withChance(1.5*fleetReplicaRate))
-		require.LessOrEqual(t, float64(most), withChance(1.5*fleetReplicaRate))
+		t.Logf("%d coordinators: %d requests in a second to one replica at most, %.0f allowed", size, most, allowed)
+		require.LessOrEqual(t, float64(most), allowed)
 		require.Empty(t, f.lateAnswers)
 	}
 }
--- a/balancer/replica_restriction_test.go
+++ b/balancer/replica_restriction_test.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"fmt"
 	"math/rand"
 	"slices"
 	"strings"
@@ -10,116 +9,149 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Drawn streams of loads, faults and lists with bounds that change under open searches: whatever sends a part (first
-// ones, extras, copies, tries, trials, second steps), it goes where its search may run then, each search has one final
-// answer, and the same calls give the same actions.
+// allowOnly is a restriction to some replicas, of all shards.
+func allowOnly(replicas ...string) *ReplicaRestriction {
+	return &ReplicaRestriction{Allows: func(_ int, replica string) bool { return slices.Contains(replicas, replica) }}
+}
+
+// restrictedStream plays a drawn stream whose searches get restrictions that change while they are open. Of three
+// searches, one is never restricted, and one ends where a shard has no replica.
+type restrictedStream struct {
+	*scenario
+	rng           *rand.Rand
+	replicas      []*replica
+	shared        *ReplicaRestriction // of most searches
+	bySearch      map[uint64]*ReplicaRestriction
+	endedByShards map[uint64]bool // for a shard without a replica
+
+	forbidden, restrictedSends, changes int // counts: the stream would show nothing without any
+}
+
+func (r *restrictedStream) drawRestriction() *ReplicaRestriction {
+	var allowed []string
+	for _, replica := range r.replicas {
+		if r.rng.Intn(3) > 0 {
+			allowed = append(allowed, replica.id)
+		} else {
+			r.forbidden++
+		}
+	}
+	return allowOnly(allowed...)
+}
+
+func (r *restrictedStream) checkSend(search uint64, replica string) {
+	if restriction := r.bySearch[search]; restriction != nil {
+		r.restrictedSends++
+		require.True(r.t, restriction.Allows(0, replica), "search %d at %s", search, replica)
+	}
+	require.False(r.t, r.endedByShards[search])
+}
+
+func (r *restrictedStream) restrictSearch(search uint64) {
+	if search%3 == 0 {
+		return
+	}
+	if r.bySearch[search] == nil || r.rng.Intn(2) == 0 {
+		r.bySearch[search] = r.shared
+	}
+	r.balancer.RestrictReplicas(search, r.bySearch[search], func(int) bool {
+		r.endedByShards[search] = search%3 == 1
+		return r.endedByShards[search]
+	})
+	if r.rng.Intn(20) == 0 {
+		r.changeAll()
+	}
+}
+
+// changeAll gives all searches a new restriction, in their order.
+func (r *restrictedStream) changeAll() {
+	r.shared = r.drawRestriction()
+	var searches []uint64
+	for id := range r.bySearch {
+		searches = append(searches, id)
+	}
+	slices.Sort(searches)
+	for _, id := range searches {
+		r.changes++
+		r.bySearch[id] = r.shared
+		r.balancer.RestrictReplicas(id, r.shared, func(int) bool { return false })
+	}
+}
+
+func playRestricted(t *testing.T, seed int64) *restrictedStream {
+	text := drawScenario(rand.New(rand.NewSource(seed)))
+	firstFault := strings.Index(text, "when")
+	r := &restrictedStream{
+		scenario: newScenario(t, text[:firstFault]), rng: rand.New(rand.NewSource(seed)),
+		bySearch: map[uint64]*ReplicaRestriction{}, endedByShards: map[uint64]bool{},
+	}
+	r.replicas = slices.Clone(r.state().endpoints.replicas)
+	r.shared = r.drawRestriction()
+	r.onSend, r.onRequestsAdded = r.checkSend, r.restrictSearch
+	r.runLines(text[firstFault:])
+	r.playUntil(r.now + 100_000)
+	for id, owed := range r.owedAnswers {
+		require.Zero(t, owed, "stream %d: search %d", seed, id)
+	}
+	require.Zero(t, r.state().effectiveInFlight())
+	return r
+}
+
+// In drawn streams of loads, faults and lists with restrictions that change under open searches, whatever sends a request
+// (first attempts, extras, hedged attempts, retries, probes, second steps), it goes where its search may run then, each
+// search has one final answer, and the same calls give the same actions.
 func TestRestrictionHoldsForEveryAttempt(t *testing.T) {
-	elsewhere, sent, again := 0, 0, 0
-	for i := range drawnStreams / 4 {
-		var first []string
-		for run := range 2 {
-			text := drawScenario(rand.New(rand.NewSource(int64(i))))
-			chance := rand.New(rand.NewSource(int64(i)))
-			bounds := map[uint64]*ReplicaRestriction{}
-			ended := map[uint64]bool{}
-			begun := strings.Index(text, "when")
-			s := newScenario(t, text[:begun])
-			s.onSend = func(search uint64, replica string) {
-				if b := bounds[search]; b != nil {
-					sent++
-					require.True(t, b.Allows(0, replica), "stream %d: search %d at %s", i, search, replica)
-				}
-				require.False(t, ended[search])
-			}
-			all := slices.Clone(s.state().endpoints.replicas)
-			draw := func() *ReplicaRestriction {
-				var in []string
-				for _, r := range all {
-					if chance.Intn(3) > 0 {
-						in = append(in, r.id)
-					} else {
-						elsewhere++
-					}
-				}
-				return &ReplicaRestriction{Allows: func(_ int, replica string) bool { return slices.Contains(in, replica) }}
-			}
-			shared := draw()
-			s.onRequestsAdded = func(search uint64) {
-				if search%3 == 0 {
-					return
-				}
-				if bounds[search] == nil || chance.Intn(2) == 0 {
-					bounds[search] = shared
-				}
-				s.balancer.RestrictReplicas(search, bounds[search], func(int) bool {
-					ended[search] = search%3 == 1
-					return ended[search]
-				})
-				if chance.Intn(20) == 0 { // all that are open are told anew, in their order
-					shared = draw()
-					var open []uint64
-					for id := range bounds {
-						open = append(open, id)
-					}
-					slices.Sort(open)
-					for _, id := range open {
-						again++
-						bounds[id] = shared
-						s.balancer.RestrictReplicas(id, shared, func(int) bool { return false })
-					}
-				}
-			}
-			s.runLines(text[begun:])
-			s.playUntil(s.now + 100_000)
-			for id, owed := range s.owedAnswers {
-				require.Zero(t, owed, "stream %d: search %d", i, id)
-			}
-			require.Zero(t, s.state().effectiveInFlight())
-			if run == 0 {
-				first = s.allActions
-			} else {
-				require.Equal(t, first, s.allActions)
-			}
+	forbidden, restrictedSends, changes := 0, 0, 0
+	for seed := range int64(drawnStreams / 4) {
+		first, second := playRestricted(t, seed), playRestricted(t, seed)
+		require.Equal(t, first.allActions, second.allActions)
+		for _, r := range []*restrictedStream{first, second} {
+			forbidden += r.forbidden
+			restrictedSends += r.restrictedSends
+			changes += r.changes
 		}
 	}
-	require.Positive(t, elsewhere)
-	require.Greater(t, sent, 1000)
-	require.Greater(t, again, 1000)
+	require.Positive(t, forbidden)
+	require.Greater(t, restrictedSends, 1000)
+	require.Greater(t, changes, 1000)
 }
 
-func (s *scenario) restrict(id uint64, end bool, in ...string) (lacking []int) {
+// restrict restricts a search in an iteration of its own and returns the shards that no replica holds.
+func (s *scenario) restrict(search uint64, to *ReplicaRestriction, end bool) (unavailable []int) {
 	s.iterate(func() {
-		s.balancer.RestrictReplicas(id, &ReplicaRestriction{Allows: func(_ int, replica string) bool { return slices.Contains(in, replica) }},
-			func(shard int) bool { lacking = append(lacking, shard); return end })
+		s.balancer.RestrictReplicas(search, to, func(shard int) bool {
+			unavailable = append(unavailable, shard)
+			return end
+		})
 	})
-	return lacking
+	return unavailable
 }
 
-// As bounds tighten under a search, what is out elsewhere is called off in that turn and goes out again within them.
+// As a restriction tightens under a search, what is in flight elsewhere is cancelled in that iteration and sent again
+// within it.
 func TestRestrictionCancelsAttemptsElsewhere(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nsearch 1 1 4000 0,0,0,0")
 	require.Equal(t, 4, s.countSentTo("a")+s.countSentTo("b"))
-	out := s.countSentTo("a")
-	require.Positive(t, out)
+	elsewhere := s.countSentTo("a")
+	require.Positive(t, elsewhere)
 	s.runLines("mark when b Ok 20")
-	require.Empty(t, s.restrict(1, true, "b"))
-	require.Equal(t, out, strings.Count(fmt.Sprint(s.actions), "cancel"))
+	require.Empty(t, s.restrict(1, allowOnly("b"), true))
+	require.Equal(t, elsewhere, strings.Count(strings.Join(s.actions, "\n"), "cancel"))
 	s.playUntil(s.now + 20_000)
 	require.Zero(t, s.countSentTo("a"), "%v", s.actions)
-	require.Equal(t, out, s.countSentTo("b"))
+	require.Equal(t, elsewhere, s.countSentTo("b"))
 }
 
-// A shard that no replica within bounds holds: where the search is to end it does at once, asking nobody; elsewhere the
-// type may be answered without it, not marked whole, and a type that may not gets its final answer at once.
+// Where no allowed replica holds a shard, a search that is to end does so at once and sends nothing; else its type may be
+// answered without the shard, not marked as complete, and a type that may not gets its final answer at once.
 func TestRestrictionWithoutHolder(t *testing.T) {
 	s := newScenario(t, "facts Specifics.Sets=2 Specifics.ClassFloor=0.3,1\nstart a/0 b/1\nwhen a,b Ok 20\nsearch 1 0 4000 0,1")
 	s.runLines("mark")
-	require.Equal(t, []int{1}, s.restrict(1, true, "a"))
+	require.Equal(t, []int{1}, s.restrict(1, allowOnly("a"), true))
 	require.Contains(t, s.actions, "error 1")
-	bind := func(search uint64) {
-		s.balancer.RestrictReplicas(search, &ReplicaRestriction{Allows: func(_ int, replica string) bool { return replica == "a" }}, func(int) bool { return false })
+	s.onRequestsAdded = func(search uint64) {
+		s.balancer.RestrictReplicas(search, allowOnly("a"), func(int) bool { return false })
 	}
-	s.onRequestsAdded = bind
 	s.runLines("mark\nsearch 2 0 4000 0,0,0,1\nat 500\nexpect 1 answer true 2\nexpect 0 send .* b")
 	s.runLines("mark\nsearch 3 0 4000 0,0,0,1 0.2,0.2,0.1,0.5\nat 600\nexpect 1 answer false 3")
 	s.runLines("mark\nsearch 4 1 4000 0,1\nexpect 1 shed 4\nexpect 0 send .*")
