--- a/balancer/client_retries_test.go
+++ b/balancer/client_retries_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client's retry is told by the type, tenant and size of the search that was withdrawn, for a short time and once.
+// A client's retry is recognized by the type, tenant and size of the search that was withdrawn, for a short time and once.
 func TestWithdrawnSearches(t *testing.T) {
 	withdrawn := &search{queryType: 1, tenant: 2, requestCount: 3, clientStart: 10, arrivedAt: 20}
 	for name, test := range map[string]struct {
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -77,7 +77,7 @@
 	return b.inflight.total >= limit && b.effectiveInFlight() >= limit
 }
 
-// isBelowReplicaLimit tells whether a replica may take one more attempt. Without a limit of its own, the one sound holder
+// isBelowReplicaLimit tells whether a replica may take one more attempt. Without a limit of its own, the one healthy holder
 // of a shard would take every slot; the limit shrinks with the replica's answers as the limit of all does with all answers.
 // Requests beyond it stand aside, as do searches that need them. Where all attempts at a replica are silent one more may
 // go: it shows whether the replica is slow or a connection was lost. A replica that only gossip calls an outlier may have
--- a/balancer/endpoint_selection.go
+++ b/balancer/endpoint_selection.go
@@ -23,7 +23,7 @@
 	probeLoad = -1
 )
 
-// hasCapacity tells whether a replica, sound or not, may take a request now.
+// hasCapacity tells whether a replica, outlier or not, may take a request now.
 func (b *balancer) hasCapacity(r *replica, request *shardRequest) bool {
 	return b.isBelowReplicaLimit(r) && b.hasSlowStartCredit(r) &&
 		!slices.ContainsFunc(request.attempts, func(a *attempt) bool { return a.replica == r && !a.ended })
@@ -43,10 +43,10 @@
 	if b.sending.fullSpots[request.spot()] || b.isTooLateToSend(request) {
 		return false
 	}
-	hasSound, mayProbe, hasOutlier := false, false, false
+	hasHealthy, mayProbe, hasOutlier := false, false, false
 	for _, r := range holders {
 		isOutlier := b.isOutlier(r)
-		hasSound = hasSound || !isOutlier
+		hasHealthy = hasHealthy || !isOutlier
 		if !b.hasCapacity(r, request) {
 			continue
 		}
@@ -55,7 +55,7 @@
 		}
 		hasOutlier, mayProbe = true, mayProbe || b.mayProbe(r, request)
 	}
-	canSend := mayProbe || hasOutlier && !hasSound
+	canSend := mayProbe || hasOutlier && !hasHealthy
 	// Kept for this iteration: it bounds its time with thousands of searches.
 	b.sending.fullSpots[request.spot()] = !canSend && len(request.attempts) == 0
 	return canSend
@@ -84,13 +84,13 @@
 }
 
 // selectAmong chooses among some holders of a shard and returns the load of the chosen one. Outliers are used only where
-// no sound replica holds the shard, whether or not the sound ones have capacity, and for probe attempts.
+// no healthy replica holds the shard, whether or not the healthy ones have capacity, and for probe attempts.
 func (b *balancer) selectAmong(request *shardRequest, holders []*replica) (best *replica, lowest float64) {
 	lowest = math.Inf(1)
-	ties, hasSound, hasThinEvidence := 0, false, b.hasThinEvidence()
+	ties, hasHealthy, hasThinEvidence := 0, false, b.hasThinEvidence()
 	for _, r := range holders {
 		isOutlier := b.isOutlier(r)
-		hasSound = hasSound || !isOutlier
+		hasHealthy = hasHealthy || !isOutlier
 		if !b.hasCapacity(r, request) {
 			continue
 		}
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	if hasSound && lowest >= outlierPenalty {
+	if hasHealthy && lowest >= outlierPenalty {
 		best = nil
 	}
 	return best, lowest
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -327,7 +327,7 @@
 	}
 }
 
-// All connections of all are lost at once and the replicas are sound: what was in flight is sent again without a storm, and
+// All connections of all are lost at once and the replicas are healthy: what was in flight is sent again without a storm, and
 // the new connections, one for each coordinator and replica as requests go there, are no more than the requests are.
 func TestFleetRetriesWithoutStorm(t *testing.T) {
 	for _, size := range fleetSizes {
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -88,7 +88,7 @@
 
 // isOutlier tells whether a replica is to be avoided: connects to it fail, it returns errors or rejections, or it is
 // silent. Such a replica takes requests and answers none, and looks idle while it does. It covers crashed and hung servers,
-// lost networks and overload that rejects. Any answer ends it. It may hit a sound replica behind a lossy network.
+// lost networks and overload that rejects. Any answer ends it. It may hit a healthy replica behind a lossy network.
 func (b *balancer) isOutlier(r *replica) bool {
 	if r.health.hasFailed(b.now) {
 		return true
@@ -110,7 +110,7 @@
 	return b.isOutlier(a.replica) || float64(b.now-a.sentAt) > b.silenceThreshold()
 }
 
-// mayProbe tells whether an outlier may take a shard request although sound replicas could: it may have recovered, and only
+// mayProbe tells whether an outlier may take a shard request although healthy replicas could: it may have recovered, and only
 // an answer shows that. The request must be idempotent and its first attempt, and where only gossip calls the replica an
 // outlier the search must have requests to spare.
 func (b *balancer) mayProbe(r *replica, request *shardRequest) bool {
