--- /dev/null
+++ b/balancer/settings_isolation_test.go
@@ -0,0 +1,280 @@
+package balancer
+
+import (
+	"fmt"
+	"maps"
+	"math/rand"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// drawnSettings is settings that are drawn, before their query types and tenants are put in an order.
+type drawnSettings struct {
+	single              map[string]string
+	queryTypes, tenants []map[string]string // settings objects
+	lists               map[string][]string // lists with an item for each query type
+
+	servesAllFirst    bool // searches of all types and tenants are answered first, and then all are of these:
+	queryType, tenant int
+}
+
+func drawSettings(rng *rand.Rand) drawnSettings {
+	pick := func(values ...string) string { return values[rng.Intn(len(values))] }
+	drawn := drawnSettings{single: map[string]string{
+		"Specifics.Sets": "2", "Specifics.Reach": pick("1", "2"), "Balancers": pick("1", "3"),
+		"Specifics.PerCall": pick("1", "3"), "Permissions.MaxAttempts": pick("1", "2", "4"),
+		"Permissions.SecondCopies": pick("true", "false"), "Permissions.Cancelling": pick("true", "false"),
+		"Tick": pick("1", "5"),
+	}, lists: map[string][]string{}}
+	if rng.Intn(2) == 0 {
+		drawn.single["Safety.LookBack"] = "3000"
+		drawn.single["Safety.FurtherRatio"], drawn.single["Safety.ExtraFloor"] = "0.1", "2"
+	}
+	for i := range 4 {
+		objective := 50 + rng.Intn(1500)
+		drawn.queryTypes = append(drawn.queryTypes, map[string]string{
+			"Name": fmt.Sprint("type", i), "Aim": fmt.Sprint(objective),
+			"Deadline": fmt.Sprint(objective + rng.Intn(2000)), "Effect": pick("retryable", "dedup", "fragile"),
+			"LateShare": pick("0", "0.03", "0.4"), "RepeatWindow": pick("0", "1", "150", "2000"),
+		})
+		needed := pick("0.4", "0.75", "1")
+		for name, value := range map[string]string{
+			"NeedByClass": needed, "ClassFloor": pick(needed, "0.25"), "FollowUp": pick("0", "0", "2"),
+			"ShortWorth": pick("0.5", "1"),
+		} {
+			drawn.lists[name] = append(drawn.lists[name], value)
+		}
+	}
+	for i := range 3 {
+		drawn.tenants = append(drawn.tenants, map[string]string{
+			"Name": fmt.Sprint("tenant", i), "QuotaPerS": pick("2", "20", "1000"),
+		})
+	}
+	return drawn
+}
+
+// arrangement says at which place each query type and tenant stands in the settings, and what its name ends with.
+type arrangement struct {
+	queryTypes, tenants []int
+	nameSuffix          string
+}
+
+var originalOrder = arrangement{queryTypes: []int{0, 1, 2, 3}, tenants: []int{0, 1, 2}}
+
+// arrange returns the settings with the query types and tenants as an arrangement has them.
+func (d drawnSettings) arrange(to arrangement) map[string]string {
+	all := map[string]string{
+		settingQueryTypes: fmt.Sprint(len(to.queryTypes)), settingTenants: fmt.Sprint(len(to.tenants)),
+	}
+	maps.Copy(all, d.single)
+	addObjects := func(list string, objects []map[string]string, places []int) {
+		for i, object := range objects {
+			for field, value := range object {
+				if field == "Name" {
+					value += to.nameSuffix
+				}
+				all[fmt.Sprintf("%s.%d.%s", list, places[i], field)] = value
+			}
+		}
+	}
+	addObjects(listQueryTypes, d.queryTypes, to.queryTypes)
+	addObjects(listTenants, d.tenants, to.tenants)
+	for name, items := range d.lists {
+		arranged := make([]string, len(items))
+		for i, item := range items {
+			arranged[to.queryTypes[i]] = item
+		}
+		all["Specifics."+name] = strings.Join(arranged, ",")
+	}
+	return all
+}
+
+// drawnRun is a scenario with drawn settings and what is to happen to it, step by step.
+type drawnRun struct {
+	*scenario
+	arrangement arrangement
+	steps       []func()
+}
+
+func (r *drawnRun) addStep(step func()) { r.steps = append(r.steps, step) }
+
+func (r *drawnRun) addLine(words ...string) { r.addStep(func() { r.runLine(words) }) }
+
+func (r *drawnRun) playStep() {
+	step := r.steps[0]
+	r.steps = r.steps[1:]
+	step()
+}
+
+// playAll plays all steps and returns the actions.
+func (r *drawnRun) playAll() []string {
+	for len(r.steps) > 0 {
+		r.playStep()
+	}
+	return r.allActions
+}
+
+// drawnSearch is a search with requests of consecutive shards. Its query type and tenant are counted in the original order.
+type drawnSearch struct {
+	queryType, tenant, firstShard, requestCount int
+	timeLeft                                    int64 // in milliseconds
+	isRetry                                     bool
+}
+
+func (r *drawnRun) addDrawnSearch(id uint64, drawn drawnSearch) {
+	r.owedAnswers[id] = 1
+	r.iterate(func() {
+		queryType, tenant := r.arrangement.queryTypes[drawn.queryType], r.arrangement.tenants[drawn.tenant]
+		r.balancer.AddSearch(id, queryType, tenant, "-", drawn.timeLeft*millisecond, id, drawn.requestCount, drawn.isRetry)
+		var shards []string
+		for i := range drawn.requestCount {
+			shards = append(shards, fmt.Sprint(drawn.firstShard+i))
+		}
+		r.addRequests(id, id*100, strings.Join(shards, ","), "")
+	})
+}
+
+// prepare makes a run of 150 searches with faults and list changes.
+func (d drawnSettings) prepare(t *testing.T, rng *rand.Rand, to arrangement) *drawnRun {
+	r := &drawnRun{scenario: newScenario(t, ""), arrangement: to}
+	maps.DeleteFunc(r.settings, func(name, _ string) bool { return strings.HasPrefix(name, listQueryTypes+".") })
+	maps.Copy(r.settings, d.arrange(to))
+	replicas := []string{"h0", "h1", "h2", "far0", "far1", "h3"}
+	start := []string{"start"}
+	for i, id := range replicas {
+		start = append(start, fmt.Sprintf("%s/%d/healthy/%d", id, i%2, rng.Intn(2)))
+	}
+	r.addLine(start...)
+	r.addLine("when", strings.Join(replicas, ","), "Ok", "30")
+	if d.servesAllFirst {
+		r.addSearchOfEach()
+	}
+	for id := uint64(1); id <= 150; id++ {
+		r.addDrawnFaults(rng, replicas, id)
+		search := drawnSearch{
+			queryType: rng.Intn(4), tenant: rng.Intn(3), requestCount: 1 + rng.Intn(6),
+			isRetry: rng.Intn(4) == 0, timeLeft: 60 + int64(rng.Intn(1500)),
+		}
+		if d.servesAllFirst {
+			search.queryType, search.tenant = d.queryType, d.tenant
+		}
+		search.firstShard = rng.Intn(2)
+		if d.lists["FollowUp"][search.queryType] != "0" {
+			r.secondSteps[id] = "0,1"
+		}
+		r.addStep(func() { r.addDrawnSearch(id, search) })
+		if rng.Intn(10) == 0 {
+			r.addStep(func() {
+				if r.owedAnswers[id] == 1 {
+					r.runLine([]string{"withdraw", fmt.Sprint(id)})
+				}
+			})
+		}
+		wait := int64(rng.Intn(400))
+		r.addStep(func() { r.playUntil(r.now + wait) })
+	}
+	r.addStep(func() { r.playUntil(r.now + 100_000) })
+	return r
+}
+
+// addSearchOfEach adds one search of each query type and tenant, which is answered before the next.
+func (r *drawnRun) addSearchOfEach() {
+	r.addStep(func() { r.playUntil(200_000) })
+	queryTypes, tenants := len(r.arrangement.queryTypes), len(r.arrangement.tenants)
+	for i := range max(queryTypes, tenants) {
+		r.addStep(func() {
+			search := drawnSearch{queryType: i % queryTypes, tenant: i % tenants, requestCount: 1, timeLeft: 60_000}
+			r.addDrawnSearch(uint64(900+i), search)
+			r.playUntil(r.now + 20_000)
+		})
+	}
+}
+
+func (r *drawnRun) addDrawnFaults(rng *rand.Rand, replicas []string, id uint64) {
+	if rng.Intn(12) == 0 {
+		replica := replicas[rng.Intn(len(replicas))]
+		outcomes := []string{"Ok", "Ok", "Failed", "QueueFull", "ConnectError", "ResetByPeer", "TimedOut"}
+		outcome := outcomes[rng.Intn(7)]
+		r.addLine("when", replica, outcome, fmt.Sprint(1+rng.Intn(400)))
+	}
+	if rng.Intn(30) == 0 {
+		i := rng.Intn(len(replicas))
+		status := []string{"draining", "deregistered", "healthy", "healthy"}[rng.Intn(4)]
+		r.addLine("list", "Partial", fmt.Sprintf("%s/%d/%s/%d", replicas[i], i%2, status, id*20))
+	}
+}
+
+func prepareSeed(t *testing.T, seed int64, to arrangement) *drawnRun {
+	rng := rand.New(rand.NewSource(seed))
+	return drawSettings(rng).prepare(t, rng, to)
+}
+
+// What is decided for a search follows what the settings say of its query type and its tenant, not where in the lists they
+// say it or under which name: the same settings in another order, with other names, give the same actions.
+func TestOrderAndNamesOfQueryTypesAndTenantsDoNotMatter(t *testing.T) {
+	for seed := range int64(24) {
+		want := prepareSeed(t, seed, originalOrder).playAll()
+		require.Greater(t, len(want), 100)
+		rng := rand.New(rand.NewSource(-1 - seed))
+		shuffled := arrangement{queryTypes: rng.Perm(4), tenants: rng.Perm(3), nameSuffix: "-other"}
+		require.Equal(t, want, prepareSeed(t, seed, shuffled).playAll(), "seed %d, %v", seed, shuffled)
+	}
+}
+
+// Two balancers of one process with other settings decide what each decides alone, in whatever order their iterations come.
+func TestBalancersAreIndependent(t *testing.T) {
+	for seed := range int64(8) {
+		var want, got [2][]string
+		var runs [2]*drawnRun
+		for i := range runs {
+			runSeed := seed*2 + int64(i)
+			want[i] = prepareSeed(t, runSeed, originalOrder).playAll()
+			runs[i] = prepareSeed(t, runSeed, originalOrder)
+		}
+		rng := rand.New(rand.NewSource(seed))
+		for len(runs[0].steps)+len(runs[1].steps) > 0 {
+			i := rng.Intn(2)
+			if len(runs[i].steps) == 0 {
+				i = 1 - i
+			}
+			runs[i].playStep()
+		}
+		for i, run := range runs {
+			got[i] = run.allActions
+		}
+		require.Equal(t, want, got)
+	}
+}
+
+// A search is handled by the settings of its own query type and tenant, whatever came before: once searches of all have
+// been answered, those of one type and tenant get what they get where all types and tenants are as these.
+func TestSearchFollowsItsOwnSettings(t *testing.T) {
+	for seed := range int64(16) {
+		play := func(areAlike bool) []string {
+			rng := rand.New(rand.NewSource(seed))
+			drawn := drawSettings(rng)
+			drawn.servesAllFirst, drawn.queryType, drawn.tenant = true, rng.Intn(4), rng.Intn(3)
+			drawn.lists["FollowUp"] = []string{"0", "0", "0", "0"} // the searches of each that come first have one step
+			if areAlike {
+				drawn.makeAlike()
+			}
+			return drawn.prepare(t, rng, originalOrder).playAll()
+		}
+		require.Equal(t, play(true), play(false), "seed %d", seed)
+	}
+}
+
+// makeAlike gives all query types and tenants the settings of the chosen ones.
+func (d *drawnSettings) makeAlike() {
+	for i := range d.queryTypes {
+		d.queryTypes[i] = d.queryTypes[d.queryType]
+		for _, items := range d.lists {
+			items[i] = items[d.queryType]
+		}
+	}
+	for i := range d.tenants {
+		d.tenants[i] = d.tenants[d.tenant]
+	}
+}
