--- /dev/null
+++ b/control/subscribers/delivery.go
@@ -0,0 +1,104 @@
+package subscribers
+
+import (
+	"maps"
+	"slices"
+)
+
+// Delivery is what a subscriber is sent: the blocks whose values differ from those delivered last.
+type Delivery struct {
+	Key              Key
+	Consent          uint64
+	Number, Previous DeliveryNumber // Previous is that of the delivery before, as far as it is known
+	Period           int64
+	Blocks           []int
+
+	values       map[int]uint64 // hashes of all values, by block
+	subscription *subscription
+}
+
+// CompleteSearch takes the result of a search: hashes of the values by block, without the blocks that are missing. It
+// returns a delivery, to be ended by CompleteDelivery; ok is false where there is nothing to deliver: nothing has
+// changed, the subscriber has unsubscribed or changed its details, or another gateway owns it by now.
+func (g *Gateway) CompleteSearch(now int64, search DueSearch, values map[int]uint64) (delivery Delivery, ok bool) {
+	s := search.subscription
+	changed, changedDigest := s.changedBlocks(values)
+	isCurrent := s.served && s.Consent == search.Consent && s.Details.equal(search.Details) && now-g.lastTickAt <= maxTickGap
+	if !isCurrent || len(changed) == 0 {
+		g.endFlight(now, s)
+		return Delivery{}, false
+	}
+	delivery = Delivery{
+		Key: search.Key, Consent: search.Consent, Previous: s.Checkpoint.Number, Period: search.Period, Blocks: changed,
+		Number: g.numberDelivery(s, changedDigest), values: s.valuesAfter(search, values), subscription: s,
+	}
+	s.pending = &delivery
+	g.pendingDeliveries++
+	g.stats.Deliveries++
+	return delivery, true
+}
+
+// changedBlocks returns the blocks whose values differ from those delivered last, and a digest of their values.
+func (s *subscription) changedBlocks(values map[int]uint64) (blocks []int, valuesDigest uint64) {
+	blocks = []int{}
+	d := newDigest()
+	for _, block := range slices.Sorted(maps.Keys(values)) {
+		if delivered, exists := s.Checkpoint.Values[block]; exists && delivered == values[block] {
+			continue
+		}
+		blocks = append(blocks, block)
+		d.addNumber(uint64(block))
+		d.addNumber(values[block])
+	}
+	return blocks, d.sum()
+}
+
+// numberDelivery returns the number of a delivery. The same values keep the number of a delivery that may have arrived,
+// so that the receiver can drop it.
+func (g *Gateway) numberDelivery(s *subscription, valuesDigest uint64) DeliveryNumber {
+	if s.pending != nil && s.pendingDigest == valuesDigest && s.pending.Number.Epoch == g.epoch {
+		g.stats.Repeated++
+		return s.pending.Number
+	}
+	g.lastSequence++
+	s.pendingDigest = valuesDigest
+	return DeliveryNumber{g.epoch, g.lastSequence, g.self.Name}
+}
+
+// valuesAfter returns the hashes of the searched blocks as they are once the values are delivered.
+func (s *subscription) valuesAfter(search DueSearch, values map[int]uint64) map[int]uint64 {
+	merged := map[int]uint64{}
+	for block, value := range s.Checkpoint.Values {
+		if len(search.Blocks) == 0 || slices.Contains(search.Blocks, block) {
+			merged[block] = value
+		}
+	}
+	maps.Copy(merged, values)
+	return merged
+}
+
+// CompleteDelivery reports how a delivery ended. For one that arrived it returns the checkpoint for the shared map.
+func (g *Gateway) CompleteDelivery(now int64, delivery Delivery, arrived bool) (checkpoint DeliveryCheckpoint) {
+	s := delivery.subscription
+	g.pendingDeliveries--
+	if arrived {
+		checkpoint = DeliveryCheckpoint{delivery.Number, delivery.values}
+		s.pending = nil
+		if s.Consent == delivery.Consent && checkpoint.compare(s.Checkpoint) > 0 {
+			s.Checkpoint = checkpoint
+		}
+	} else {
+		g.stats.Failed++
+	}
+	g.endFlight(now, s)
+	return checkpoint
+}
+
+// endFlight ends a search with its delivery and schedules the next one.
+func (g *Gateway) endFlight(now int64, s *subscription) {
+	g.inFlight--
+	s.searching = false
+	if s.served {
+		g.scheduleNext(s, now)
+	}
+}
--- /dev/null
+++ b/control/subscribers/delivery_number.go
@@ -0,0 +1,38 @@
+package subscribers
+
+import (
+	"bytes"
+	"cmp"
+	"fmt"
+)
+
+// DeliveryNumber orders the deliveries to a subscriber. Epochs rise over all gateways, the sequence within an epoch. No
+// two gateways have one name.
+type DeliveryNumber struct {
+	Epoch    uint64 `cbor:"1,keyasint" json:"turn"`
+	Sequence uint64 `cbor:"2,keyasint" json:"n"`
+	Gateway  string `cbor:"3,keyasint" json:"gateway"`
+}
+
+// Compare orders numbers by epoch, sequence and gateway.
+func (n DeliveryNumber) Compare(other DeliveryNumber) int {
+	return cmp.Or(cmp.Compare(n.Epoch, other.Epoch), cmp.Compare(n.Sequence, other.Sequence), cmp.Compare(n.Gateway, other.Gateway))
+}
+
+func (n DeliveryNumber) String() string {
+	return fmt.Sprintf("%d.%d.%s", n.Epoch, n.Sequence, n.Gateway)
+}
+
+// DeliveryCheckpoint is what was delivered last. A gateway that takes a subscriber over continues from it.
+type DeliveryCheckpoint struct {
+	Number DeliveryNumber `cbor:"1,keyasint"`
+	Values map[int]uint64 `cbor:"2,keyasint,omitempty"` // hash of the last delivered value, by block
+}
+
+// compare orders checkpoints by number, and those of one number by their encoding, so that all instances agree.
+func (c DeliveryCheckpoint) compare(other DeliveryCheckpoint) int {
+	if order := c.Number.Compare(other.Number); order != 0 {
+		return order
+	}
+	return bytes.Compare(Record{Checkpoint: c}.Encode(), Record{Checkpoint: other}.Encode())
+}
--- /dev/null
+++ b/control/subscribers/merge.go
@@ -0,0 +1,97 @@
+package subscribers
+
+import (
+	"bytes"
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// MergeRecords returns what holds of two records: every unsubscription and every one that was seen; the details of the
+// higher consent, within one consent those with the higher revision, the greater encoding among equals. Attachments
+// and checkpoints of one consent are combined. The function is commutative, associative and idempotent.
+func MergeRecords(a, b Record) Record {
+	winner, other := a, b
+	if order := cmp.Compare(b.Consent, a.Consent); order > 0 || order == 0 && b.compareDetails(a) > 0 {
+		winner, other = b, a
+	}
+	winner.Unsubscriptions = maxCounts(winner.Unsubscriptions, other.Unsubscriptions)
+	winner.SeenUnsubscriptions = maxCounts(winner.SeenUnsubscriptions, other.SeenUnsubscriptions)
+	if winner.Consent == other.Consent {
+		winner.Attachments = mergeAttachments(winner.Attachments, other.Attachments)
+		if other.Checkpoint.compare(winner.Checkpoint) > 0 {
+			winner.Checkpoint = other.Checkpoint
+		}
+	}
+	return winner
+}
+
+// compareDetails orders two records of one consent by what they say.
+func (r Record) compareDetails(other Record) int {
+	if order := cmp.Compare(r.Revision, other.Revision); order != 0 {
+		return order
+	}
+	return cmp.Or(
+		bytes.Compare(Record{Details: r.Details}.Encode(), Record{Details: other.Details}.Encode()),
+		slices.Compare(r.PriorHashes, other.PriorHashes),
+	)
+}
+
+// maxCounts returns the greater number of each name. It may return a itself.
+func maxCounts(a, b map[string]uint64) map[string]uint64 {
+	if len(b) == 0 {
+		return a
+	}
+	merged := maps.Clone(b)
+	for name, number := range a {
+		merged[name] = max(number, merged[name])
+	}
+	return merged
+}
+
+// mergeAttachments returns the later attachment of each region. It may return a itself.
+func mergeAttachments(a, b map[string]Attachment) map[string]Attachment {
+	if len(b) == 0 {
+		return a
+	}
+	merged := map[string]Attachment{}
+	for _, attachments := range []map[string]Attachment{a, b} {
+		for region, attachment := range attachments {
+			if other, exists := merged[region]; !exists || attachment.compare(other) > 0 {
+				merged[region] = attachment
+			}
+		}
+	}
+	return merged
+}
+
+func (a Attachment) compare(other Attachment) int {
+	return cmp.Or(cmp.Compare(a.Generation, other.Generation), cmp.Compare(a.DetailsHash, other.DetailsHash))
+}
+
+// mergeAll returns what holds of one or more records.
+func mergeAll(records []Record) Record {
+	merged := records[0]
+	for _, record := range records[1:] {
+		merged = MergeRecords(merged, record)
+	}
+	return merged
+}
+
+// ResolveConflict returns what holds of one or more records that were written concurrently, and those whose content is
+// lost: it neither holds nor was known to the writer of another one.
+func ResolveConflict(records []Record) (held Record, lost []Record) {
+	held = mergeAll(records)
+	known := []uint64{held.contentHash()}
+	for _, record := range records {
+		known = append(known, record.PriorHashes...)
+	}
+	for _, record := range records {
+		hash := record.contentHash()
+		bothUnsubscribed := record.IsUnsubscribed() && held.IsUnsubscribed()
+		if !slices.Contains(known, hash) && !bothUnsubscribed {
+			lost, known = append(lost, record), append(known, hash)
+		}
+	}
+	return held, lost
+}
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -5,507 +5,313 @@
 	"maps"
 	"math/rand"
 	"slices"
-	"testing"
 
 	"github.com/stretchr/testify/require"
-	"pgregory.net/rapid"
 
 	"chalkring/cluster/crdt"
 )
 
-// world is a model of gateways in three regions on one clock, with links, disks and receivers. It judges by what was
-// asked of the gateways and by what receivers got, not by what records say.
-type world struct {
-	t      require.TestingT
-	r      *rand.Rand
-	now    int64
-	nodes  []*gate
-	cut    map[[2]int]bool // a link from one region to another that carries nothing
-	talk   float64         // share of exchanges that come about
-	loss   float64         // of deliveries, and of answers to them
-	calm   int64           // since when all is well
-	split  int64           // when a link was cut last
-	truth  map[Key]uint64
-	subs   map[string]asking // by id
-	got    map[Key][]receipt
-	nums   map[string]string // content by key and number
-	double int
+const (
+	modelStep    = second / 5
+	modelRegions = 3
+
+	// settlingTime after the last fault there is one list, and one gateway for each subscriber.
+	settlingTime = 25 * second
+)
+
+// fleetModel is a model of gateways in three regions on one clock, with links, disks and receivers. It judges by what
+// was asked of the gateways and by what receivers got, not by what records say.
+type fleetModel struct {
+	t            require.TestingT
+	rng          *rand.Rand
+	now          int64
+	gateways     []*modelGateway
+	cutLinks     map[regionLink]bool // that carry nothing
+	exchangeRate float64             // share of exchanges that take place
+	lossRate     float64             // of deliveries, and of answers to them
+	healthySince int64               // since when there is no fault, 0 while there is one
+	lastCutAt    int64               // when a link was last cut
+	values       map[Key]uint64      // what a search of a subscriber finds now
+	requests     map[string]request  // by id
+	received     map[Key][]receipt
+	contents     map[string]string // of deliveries, by key and number
 }
 
-// asking is a subscription (with the unsubscriptions that were seen then) or an unsubscription.
-type asking struct {
-	key  Key
-	on   bool
-	seen map[string]bool
+// regionLink is a link from one region to another, by their numbers.
+type regionLink struct{ from, to int }
+
+// request is a subscription (with the requests that its instance knew of) or an unsubscription.
+type request struct {
+	key       Key
+	subscribe bool
+	known     map[string]bool
 }
 
+// receipt is a delivery as its receiver got it.
 type receipt struct {
-	at      int64
 	number  DeliveryNumber
 	content string
-	calm    bool
+	settled bool // there was no fault, and none to recover from
 }
 
-type gate struct {
-	w       *world
-	i, life int
-	region  int
-	up      bool
-	stopped int64 // until
-	full    bool  // its disk takes nothing
-	led     *crdt.Map
-	list    *List
-	gw      *Gateway
-	seen    map[string]bool // askings it knows of
-	disk    state
-	old     []state
-	heard   []int
-	lives   int // of those heard, all together
-	heardAt int64
-	lag     int64
-	stamps  map[string]uint64
+// modelGateway is one instance: its gateway, shared map, list and disk.
+type modelGateway struct {
+	model          *fleetModel
+	index, region  int
+	incarnation    int
+	running        bool
+	pausedUntil    int64
+	diskFull       bool
+	shared         *crdt.Map
+	list           *List
+	gateway        *Gateway
+	known          map[string]bool // requests that it knows of
+	disk           diskState
+	olderDisks     []diskState
+	entryDigests   map[string]uint64
+	reachable      []int // as its membership last reported
+	incarnations   int   // of those, added up
+	changedAt      int64 // when what is reachable changed, 0 where it is as reported
+	detectionDelay int64 // of its membership
 }
 
-type state struct {
+type diskState struct {
 	entries map[string]crdt.Entry
-	seen    map[string]bool
+	known   map[string]bool
 }
 
-func newWorld(t require.TestingT, seed int64, regions, each, keys int) *world {
-	w := &world{
-		t: t, r: rand.New(rand.NewSource(seed)), now: 1_700_000_000 * second, cut: map[[2]int]bool{}, truth: map[Key]uint64{},
-		subs: map[string]asking{}, got: map[Key][]receipt{}, nums: map[string]string{}, talk: 1,
+func newFleetModel(t require.TestingT, seed int64, gatewaysPerRegion, subscribers int) *fleetModel {
+	m := &fleetModel{
+		t: t, rng: rand.New(rand.NewSource(seed)), now: 1_700_000_000 * second, cutLinks: map[regionLink]bool{}, values: map[Key]uint64{},
+		requests: map[string]request{}, received: map[Key][]receipt{}, contents: map[string]string{}, exchangeRate: 1,
 	}
-	for i := range regions * each {
-		n := &gate{w: w, i: i, region: i % regions, disk: state{map[string]crdt.Entry{}, map[string]bool{}}}
-		w.nodes = append(w.nodes, n)
-		n.start(n.disk)
+	for i := range modelRegions * gatewaysPerRegion {
+		g := &modelGateway{model: m, index: i, region: i % modelRegions, disk: diskState{map[string]crdt.Entry{}, map[string]bool{}}}
+		m.gateways = append(m.gateways, g)
+		g.start(g.disk)
 	}
-	for i := range keys {
-		w.truth[Key{"t", fmt.Sprint("s", i)}] = 1
+	for i := range subscribers {
+		m.values[Key{"t", fmt.Sprint("s", i)}] = 1
 	}
-	w.calm = w.now
-	return w
+	m.healthySince = m.now
+	return m
 }
 
-func (n *gate) name() string { return fmt.Sprint("g", n.i) }
+func (g *modelGateway) name() string { return fmt.Sprint("g", g.index) }
+
+func (g *modelGateway) member() Member {
+	return Member{g.name(), fmt.Sprint("r", g.region), "", uint64(g.incarnation)}
+}
 
-func (n *gate) me() Member {
-	return Member{n.name(), fmt.Sprint("r", n.region), "", uint64(n.life)}
+// isActive reports whether the gateway's process runs and is not paused.
+func (g *modelGateway) isActive() bool { return g.running && g.pausedUntil < g.model.now }
+
+func (g *modelGateway) start(from diskState) {
+	g.incarnation++
+	g.running, g.reachable, g.entryDigests = true, nil, map[string]uint64{}
+	g.shared, g.list = crdt.NewMap(fmt.Sprintf("%s#%d", g.name(), g.incarnation)), NewList()
+	g.gateway = NewGateway(g.model.now, g.member(), PlacementRules{})
+	g.known, g.detectionDelay = maps.Clone(from.known), 2*second+g.model.rng.Int63n(second)
+	_, err := g.shared.Merge("disk", slices.Collect(maps.Values(from.entries)))
+	require.NoError(g.model.t, err)
+	g.apply(g.allEntries())
 }
 
-func (n *gate) start(from state) {
-	n.life++
-	n.up, n.heard, n.stamps = true, nil, map[string]uint64{}
-	n.led, n.list, n.gw = crdt.NewMap(fmt.Sprintf("%s#%d", n.name(), n.life)), NewList(), NewGateway(n.w.now, n.me(), PlacementRules{})
-	n.seen, n.lag = maps.Clone(from.seen), 2*second+n.w.r.Int63n(second)
-	_, err := n.led.Merge("disk", slices.Collect(maps.Values(from.entries)))
-	require.NoError(n.w.t, err)
-	n.take(n.all())
+func (g *modelGateway) allEntries() (entries []crdt.Entry) {
+	g.shared.ScanPrefix("", func(entry crdt.Entry) bool { entries = append(entries, entry); return true })
+	return entries
 }
 
-func (n *gate) all() (all []crdt.Entry) {
-	n.led.ScanPrefix("", func(e crdt.Entry) bool { all = append(all, e); return true })
-	return all
+func (g *modelGateway) entries(names ...string) (entries []crdt.Entry) {
+	for _, name := range names {
+		entry, _ := g.shared.Get(name)
+		entries = append(entries, entry)
+	}
+	return entries
 }
 
-// save keeps what the ledger holds on the disk, and older states of it.
-func (n *gate) save() {
-	if n.full {
+// save writes the shared map to the disk.
+func (g *modelGateway) save() {
+	if g.diskFull {
 		return
 	}
-	n.disk = state{map[string]crdt.Entry{}, maps.Clone(n.seen)}
-	for _, e := range n.all() {
-		n.disk.entries[e.Name] = e
+	g.disk = diskState{map[string]crdt.Entry{}, maps.Clone(g.known)}
+	for _, entry := range g.allEntries() {
+		g.disk.entries[entry.Name] = entry
 	}
 }
 
-// exchange takes in what another holds.
-func (n *gate) exchange(o *gate) {
-	if n.led.Digest(crdt.TreeNode{}) == o.led.Digest(crdt.TreeNode{}) {
-		maps.Copy(n.seen, o.seen)
+// pull takes over what another gateway holds.
+func (g *modelGateway) pull(from *modelGateway) {
+	if g.shared.Digest(crdt.TreeNode{}) == from.shared.Digest(crdt.TreeNode{}) {
+		maps.Copy(g.known, from.known)
 		return
 	}
-	var other []crdt.Entry
-	o.led.ScanPrefix("", func(e crdt.Entry) bool {
-		if n.stamps[e.Name] != o.stamps[e.Name] {
-			other = append(other, e)
+	var differing []crdt.Entry
+	from.shared.ScanPrefix("", func(entry crdt.Entry) bool {
+		if g.entryDigests[entry.Name] != from.entryDigests[entry.Name] {
+			differing = append(differing, entry)
 		}
 		return true
 	})
-	changed, err := n.led.Merge(o.name(), other)
-	require.NoError(n.w.t, err)
-	if maps.Copy(n.seen, o.seen); len(changed) > 0 {
-		n.take(n.named(changed...))
-		n.save()
-	}
-}
-
-func (n *gate) named(names ...string) (all []crdt.Entry) {
-	for _, name := range names {
-		e, _ := n.led.Get(name)
-		all = append(all, e)
+	changed, err := g.shared.Merge(from.name(), differing)
+	require.NoError(g.model.t, err)
+	maps.Copy(g.known, from.known)
+	if len(changed) > 0 {
+		g.apply(g.entries(changed...))
+		g.save()
 	}
-	return all
 }
 
-// take reads what is new in the ledger.
-func (n *gate) take(entries []crdt.Entry) {
-	for _, e := range entries {
-		n.stamps[e.Name] = EntryDigest(e)
-		if name, word := e.Name[len(StatusMessageKeyPrefix):], e.Name[:len(StatusMessageKeyPrefix)] == StatusMessageKeyPrefix; word {
-			n.gw.HandleStatusMessage(name, DecodeStatusMessage(e))
-		} else if k, changed, _, err := n.list.ApplyEntry(e); changed {
-			require.NoError(n.w.t, err)
-			r, there := n.list.Get(k)
-			n.gw.SetRecord(n.w.now, k, r, there)
+// apply takes entries of the shared map into the gateway.
+func (g *modelGateway) apply(entries []crdt.Entry) {
+	for _, entry := range entries {
+		g.entryDigests[entry.Name] = EntryDigest(entry)
+		prefix, name := entry.Name[:len(StatusMessageKeyPrefix)], entry.Name[len(StatusMessageKeyPrefix):]
+		if prefix == StatusMessageKeyPrefix {
+			g.gateway.HandleStatusMessage(name, DecodeStatusMessage(entry))
+		} else if key, changed, _, err := g.list.ApplyEntry(entry); changed {
+			require.NoError(g.model.t, err)
+			record, exists := g.list.Get(key)
+			g.gateway.SetRecord(g.model.now, key, record, exists)
 		}
 	}
 }
 
-// do runs an op as the program does: read, decide and put in one step; what it came to is noted as asked.
-func (n *gate) do(k Key, op RecordUpdate) {
-	e, _ := n.led.Get(k.LedgerKey())
-	before, _, _ := resolve(e)
-	value, write, err := ApplyUpdate(e, op)
+// update runs an update as the program does: it reads, decides and puts in one step. A subscription is noted as a
+// request.
+func (g *modelGateway) update(key Key, update RecordUpdate) {
+	t := g.model.t
+	entry, _ := g.shared.Get(key.LedgerKey())
+	before, _, _ := resolveEntry(entry)
+	value, write, err := ApplyUpdate(entry, update)
 	if err != nil || !write {
 		return
 	}
-	_, err = n.led.Put(k.LedgerKey(), value)
-	require.NoError(n.w.t, err)
+	_, err = g.shared.Put(key.LedgerKey(), value)
+	require.NoError(t, err)
 	after, err := DecodeRecord(value)
-	require.NoError(n.w.t, err)
-	id := fmt.Sprintf("%s#%d %d", n.name(), n.life, n.led.KnownVersion().LastCounter(n.led.Actor()))
+	require.NoError(t, err)
 	if !after.IsUnsubscribed() && (before.IsUnsubscribed() || after.Consent > before.Consent) {
-		n.w.subs[id], n.seen[id] = asking{k, true, maps.Clone(n.seen)}, true
+		id := fmt.Sprintf("%s#%d %d", g.name(), g.incarnation, g.shared.KnownVersion().LastCounter(g.shared.Actor()))
+		g.model.requests[id], g.known[id] = request{key, true, maps.Clone(g.known)}, true
 	}
-	n.take(n.named(k.LedgerKey()))
-	n.save()
+	g.apply(g.entries(key.LedgerKey()))
+	g.save()
 }
 
-func (w *world) linked(a, b *gate) bool {
-	return a.up && b.up && a.stopped < w.now && b.stopped < w.now && (a.region == b.region || !w.cut[[2]int{a.region, b.region}] && !w.cut[[2]int{b.region, a.region}])
+// isCut reports whether the link between two regions is cut in one of its directions.
+func (m *fleetModel) isCut(a, b int) bool {
+	return m.cutLinks[regionLink{a, b}] || m.cutLinks[regionLink{b, a}]
 }
 
-// hears is which others a gateway hears, over other regions too.
-func (w *world) hears(n *gate) (all []int) {
-	met, todo := []bool{0: n.region == 0, 1: n.region == 1, 2: n.region == 2}, []int{n.region}
-	awake := []bool{false, false, false}
-	for _, m := range w.nodes {
-		awake[m.region] = awake[m.region] || m.up && m.stopped < w.now
+func (m *fleetModel) canExchange(a, b *modelGateway) bool {
+	return a.isActive() && b.isActive() && (a.region == b.region || !m.isCut(a.region, b.region))
+}
+
+// reachableFrom returns the gateways that a gateway reaches, through other regions too, itself among them.
+func (m *fleetModel) reachableFrom(g *modelGateway) (reachable []int) {
+	var activeRegions, reachedRegions [modelRegions]bool
+	for _, other := range m.gateways {
+		activeRegions[other.region] = activeRegions[other.region] || other.isActive()
 	}
-	for len(todo) > 0 {
-		at := todo[0]
-		todo = todo[1:]
-		for o := range met {
-			if !met[o] && awake[o] && !w.cut[[2]int{at, o}] && !w.cut[[2]int{o, at}] {
-				met[o], todo = true, append(todo, o)
+	reachedRegions[g.region] = true
+	for queue := []int{g.region}; len(queue) > 0; queue = queue[1:] {
+		for region, reached := range reachedRegions {
+			if !reached && activeRegions[region] && !m.isCut(queue[0], region) {
+				reachedRegions[region], queue = true, append(queue, region)
 			}
 		}
 	}
-	for _, m := range w.nodes {
-		if m == n || met[m.region] && m.up && m.stopped < w.now {
-			all = append(all, m.i)
+	for _, other := range m.gateways {
+		if other == g || reachedRegions[other.region] && other.isActive() {
+			reachable = append(reachable, other.index)
 		}
 	}
-	return all
+	return reachable
 }
 
-const step = second / 5
-
-// step is a fifth of a second of all gateways.
-func (w *world) step() {
-	if w.now += step; len(w.cut) > 0 {
-		w.split = w.now
+// step lets all gateways act once.
+func (m *fleetModel) step() {
+	m.now += modelStep
+	if len(m.cutLinks) > 0 {
+		m.lastCutAt = m.now
 	}
-	for _, n := range w.nodes {
-		if !n.up || n.stopped >= w.now {
+	for _, g := range m.gateways {
+		if !g.isActive() {
 			continue
 		}
-		hears, lives := w.hears(n), 0
-		for _, i := range hears {
-			lives += w.nodes[i].life
-		}
-		if n.heard == nil || !slices.Equal(hears, n.heard) || lives != n.lives {
-			if n.heardAt == 0 {
-				n.heardAt = w.now
-			}
-			if w.now-n.heardAt >= n.lag || n.heard == nil {
-				n.heard, n.lives, n.heardAt = hears, lives, 0
-				var members []Member
-				for _, i := range n.heard {
-					members = append(members, w.nodes[i].me())
-				}
-				n.gw.UpdateMembers(w.now, members, 2*len(members) > len(w.nodes))
-			}
-		} else {
-			n.heardAt = 0
-		}
+		g.detectMembers()
 		for range 2 {
-			if o := w.nodes[w.r.Intn(len(w.nodes))]; o != n && w.linked(n, o) && w.r.Float64() < w.talk {
-				n.exchange(o)
-				o.exchange(n)
-			}
-		}
-		was := n.gw.open
-		word, say := n.gw.Tick(w.now, uint64(w.now/10))
-		if n.gw.open && !was && w.now-n.gw.since < handMost {
-			n.handedOver()
-		}
-		if say {
-			_, err := n.led.Put(StatusMessageKeyPrefix+n.name(), word.Encode())
-			require.NoError(w.t, err)
-			n.gw.ConfirmStatusMessage(word)
-			n.stamps[StatusMessageKeyPrefix+n.name()] = EntryDigest(n.named(StatusMessageKeyPrefix + n.name())[0])
-			n.save()
-		}
-		runs, _ := n.gw.StartDueSearches(w.now, 100)
-		for _, r := range runs {
-			d, ok := n.gw.CompleteSearch(w.now, r, map[int]uint64{0: w.truth[r.Key]})
-			if !ok {
-				continue
-			}
-			if w.r.Float64() >= w.loss {
-				w.receive(n, d)
-			}
-			arrived := w.r.Float64() >= w.loss
-			if mark := n.gw.CompleteDelivery(w.now, d, arrived); arrived {
-				n.do(d.Key, RecordDelivery(d.Consent, mark))
+			other := m.gateways[m.rng.Intn(len(m.gateways))]
+			if other != g && m.canExchange(g, other) && m.rng.Float64() < m.exchangeRate {
+				g.pull(other)
+				other.pull(g)
 			}
 		}
+		g.tick()
+		g.runSearches()
 	}
-	w.one()
+	m.requireOneOwner()
 }
 
-const settled = 25 * second // after the last fault, by when there is one list and one gateway for each subscriber
-
-func (w *world) calmNow() bool { return w.calm > 0 && w.now-w.calm > settled }
-
-// receive judges a delivery as its receiver sees it.
-func (w *world) receive(n *gate, d Delivery) {
-	content := fmt.Sprint(d.Consent, d.Blocks, d.values)
-	name := d.Key.LedgerKey() + d.Number.String()
-	if was, again := w.nums[name]; again {
-		require.Equal(w.t, was, content, "a number came with other content")
+// detectMembers reports the reachable gateways after the membership's delay.
+func (g *modelGateway) detectMembers() {
+	m := g.model
+	reachable, incarnations := m.reachableFrom(g), 0
+	for _, i := range reachable {
+		incarnations += m.gateways[i].incarnation
+	}
+	if g.reachable != nil && slices.Equal(reachable, g.reachable) && incarnations == g.incarnations {
+		g.changedAt = 0
 		return
 	}
-	w.nums[name] = content
-	for _, was := range w.got[d.Key] {
-		if was.number.Gateway == d.Number.Gateway || w.now-w.split > settled {
-			require.Positive(w.t, d.Number.Compare(was.number), "numbers went backward: %v after %v", d.Number, was.number)
-		}
-		if was.content == content {
-			w.double++
-			require.False(w.t, was.calm && w.calmNow() && w.loss == 0, "the same came twice without a fault")
-		}
+	if g.changedAt == 0 {
+		g.changedAt = m.now
 	}
-	w.got[d.Key] = append(w.got[d.Key], receipt{w.now, d.Number, content, w.calmNow()})
-}
-
-// handedOver judges that none of the view serves by another one when all had said that they end.
-func (n *gate) handedOver() {
-	for _, m := range n.gw.view {
-		for _, o := range n.w.nodes {
-			if m.Name == o.name() && o.up && o.stopped < n.w.now && len(n.w.cut) == 0 {
-				require.False(n.w.t, o.gw.open && o.gw.hash != n.gw.hash, "%s begins and %s has not ended", n.name(), o.name())
-			}
-		}
+	if m.now-g.changedAt < g.detectionDelay && g.reachable != nil {
+		return
 	}
-}
-
-// one judges that of those with one view no two serve one subscriber, and later that one does at all.
-func (w *world) one() {
-	for k := range w.truth {
-		var by []*gate
-		for _, n := range w.nodes {
-			if s := n.gw.subscriptions[k]; n.up && s != nil && s.served {
-				for _, o := range by {
-					require.False(w.t, o.gw.hash == n.gw.hash, "%v is served by %s and %s by one view", k, o.name(), n.name())
-				}
-				by = append(by, n)
-			}
-		}
-		if w.calmNow() {
-			r, _ := w.nodes[0].list.Get(k)
-			require.Equal(w.t, !r.IsUnsubscribed(), len(by) == 1, "%v: %d gateways serve, off %v", k, len(by), r.IsUnsubscribed())
-		}
+	g.reachable, g.incarnations, g.changedAt = reachable, incarnations, 0
+	var members []Member
+	for _, i := range g.reachable {
+		members = append(members, m.gateways[i].member())
 	}
+	g.gateway.UpdateMembers(m.now, members, 2*len(members) > len(m.gateways))
 }
 
-// end heals all and judges the lists.
-func (w *world) end() {
-	clear(w.cut)
-	w.loss = 0
-	for _, n := range w.nodes {
-		n.stopped, n.full = 0, false
-		if !n.up {
-			n.start(n.disk)
-		}
-	}
-	w.calm = w.now
-	for range settled/step + 50 {
-		w.step()
+func (g *modelGateway) tick() {
+	now := g.model.now
+	wasServing := g.gateway.serving
+	status, publish := g.gateway.Tick(now, uint64(now/10))
+	if g.gateway.serving && !wasServing && now-g.gateway.handoverSince < silentTimeout {
+		g.requireOthersHaveEnded()
 	}
-	known := map[string]bool{}
-	for _, n := range w.nodes {
-		maps.Copy(known, n.seen)
-	}
-	for k := range w.truth {
-		on, left := false, map[string]bool{}
-		for id, a := range w.subs {
-			if a.key == k && known[id] {
-				if on = on || a.on; !a.on {
-					left[id] = true
-				}
-			}
-		}
-		for id, a := range w.subs {
-			if a.key == k && a.on && known[id] {
-				for u := range a.seen {
-					delete(left, u)
-				}
-			}
-		}
-		want := on && len(left) == 0
-		var form []byte
-		for _, n := range w.nodes {
-			r, there := n.list.Get(k)
-			require.Equal(w.t, want, there && !r.IsUnsubscribed(), "%v at %s: %s; not answered: %v", k, n.name(), r.Describe(), left)
-			if r.PriorHashes = nil; form == nil {
-				form = r.Encode()
-			}
-			require.Equal(w.t, form, r.Encode(), "%v is two at the end", k)
-		}
-	}
-}
-
-func (w *world) key() Key { return Key{"t", fmt.Sprint("s", w.r.Intn(len(w.truth)))} }
-
-func (w *world) details() Details {
-	return Details{Type: "lookup", Query: fmt.Sprint(w.r.Intn(4)), Interval: (1 + w.r.Int63n(4)) * second}
-}
-
-// ask has someone ask something of a gateway.
-func (w *world) ask() {
-	n, k := w.nodes[w.r.Intn(len(w.nodes))], w.key()
-	if !n.up || n.stopped >= w.now {
+	if !publish {
 		return
 	}
-	switch w.r.Intn(4) {
-	case 0:
-		id := fmt.Sprint("left ", len(w.subs))
-		w.subs[id], n.seen[id] = asking{key: k}, true
-		n.do(k, Unsubscribe(k, n.name(), uint64(w.now/10)))
-	case 1:
-		n.do(k, ChangeDetails(k, w.details()))
-	default:
-		n.do(k, Subscribe(k, n.me().Region, w.details()))
-	}
-}
-
-// fault does one thing to the world.
-func (w *world) fault(what string) {
-	n := w.nodes[w.r.Intn(len(w.nodes))]
-	a, b := w.r.Intn(3), w.r.Intn(3)
-	switch what {
-	case "cut":
-		w.cut[[2]int{a, b}], w.cut[[2]int{b, a}] = true, true
-	case "one way":
-		w.cut[[2]int{a, b}] = true
-	case "region":
-		for o := range 3 {
-			w.cut[[2]int{a, o}], w.cut[[2]int{o, a}] = true, true
-		}
-	case "heal":
-		clear(w.cut)
-	case "two heal":
-		delete(w.cut, [2]int{a, b})
-		delete(w.cut, [2]int{b, a})
-	case "flap":
-		for range 4 {
-			w.fault("region")
-			w.run(2 * second)
-			w.fault("heal")
-			w.run(2 * second)
-		}
-	case "kill":
-		n.up = false
-	case "restart":
-		n.start(n.disk)
-	case "remember":
-		for _, n := range w.nodes {
-			n.old = append(n.old, n.disk)
-		}
-	case "older disk":
-		if len(n.old) > 0 {
-			n.disk = n.old[w.r.Intn(len(n.old))]
-			n.start(n.disk)
-		}
-	case "restart all":
-		for _, n := range w.nodes {
-			n.start(n.disk)
-		}
-	case "stop":
-		n.stopped = w.now + w.r.Int63n(15*second)
-	case "loss":
-		w.loss = 0.3
-	case "full disk":
-		n.full = true
-	case "storm":
-		for range 30 {
-			w.ask()
-		}
-	}
+	name := StatusMessageKeyPrefix + g.name()
+	_, err := g.shared.Put(name, status.Encode())
+	require.NoError(g.model.t, err)
+	g.gateway.ConfirmStatusMessage(status)
+	g.entryDigests[name] = EntryDigest(g.entries(name)[0])
+	g.save()
 }
 
-func (w *world) run(long int64) {
-	for end := w.now + long; w.now < end; {
-		if w.r.Intn(4) == 0 {
-			w.ask()
+func (g *modelGateway) runSearches() {
+	m := g.model
+	searches, _ := g.gateway.StartDueSearches(m.now, 100)
+	for _, search := range searches {
+		delivery, ok := g.gateway.CompleteSearch(m.now, search, map[int]uint64{0: m.values[search.Key]})
+		if !ok {
+			continue
 		}
-		if w.r.Intn(3) == 0 {
-			w.truth[w.key()]++
+		if m.rng.Float64() >= m.lossRate {
+			m.receive(delivery)
 		}
-		w.step()
-	}
-}
-
-var faults = []string{
-	"cut", "one way", "region", "heal", "two heal", "flap", "kill", "restart", "remember", "older disk",
-	"restart all", "stop", "loss", "full disk", "storm",
-}
-
-func TestListsBecomeOneWhateverHappens(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Int64().Draw(t, "seed"), 3, 2, 6)
-		w.talk = rapid.SampledFrom([]float64{0.15, 0.4, 1}).Draw(t, "talk")
-		for range 30 {
-			w.ask()
+		arrived := m.rng.Float64() >= m.lossRate
+		if checkpoint := g.gateway.CompleteDelivery(m.now, delivery, arrived); arrived {
+			g.update(delivery.Key, RecordDelivery(delivery.Consent, checkpoint))
 		}
-		w.run(12 * second)
-		for _, what := range rapid.SliceOfN(rapid.SampledFrom(faults), 1, 8).Draw(t, "faults") {
-			w.calm = 0
-			w.fault(what)
-			w.run(1 + w.r.Int63n(12*second))
-		}
-		w.end()
-	})
-}
-
-// A large fleet in three regions, of which one is cut off and comes back: one list, each served once, and the searches
-// of those taken over come spread over their period.
-func TestLargeFleet(t *testing.T) {
-	w := newWorld(t, 3, 3, 25, 60)
-	for range 200 {
-		w.ask()
-	}
-	for range 60 {
-		w.step()
-	}
-	w.calm = 0
-	w.fault("region")
-	for range 60 {
-		w.step()
 	}
-	w.end()
 }
