--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -42,7 +42,7 @@
 		me := s.book.Self()
 		me.Capabilities = slices.DeleteFunc(slices.Clone(me.Capabilities), func(part string) bool { return part == gatewayPart })
 		if err := s.node.UpdateSelf(me); err != nil {
-			s.log.Warn("subscriber_refused", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
+			s.log.Warn("subscriber_update_failed", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
 		}
 	}
 	return []coordinator.Frontend{fanout.New(fanout.Options{
--- /dev/null
+++ b/control/fanout/calls.go
@@ -0,0 +1,82 @@
+package fanout
+
+import (
+	"context"
+	"time"
+
+	"chalkring/cluster/crdt"
+	"chalkring/control/subscribers"
+)
+
+// callTimeout limits how long a call waits for the store.
+const callTimeout = 5 * time.Second
+
+// Subscribe records that a subscriber asks for something now. Like the methods below it returns once that is on disk,
+// where there is a disk; other instances receive it a moment later. Where the disk does not take it the error is a
+// replication.NotPersistedError, and the subscription holds in memory all the same.
+func (g *Gateway) Subscribe(ctx context.Context, key subscribers.Key, details subscribers.Details) error {
+	if err := g.checkZones(key.Tenant); err != nil {
+		return err
+	}
+	count := g.listedCount.Load()
+	if _, exists := g.options.Store.Get(key.LedgerKey()); !exists && count >= subscribers.MaxSubscriptions {
+		return &subscribers.ListFullError{Count: int(count), Max: subscribers.MaxSubscriptions}
+	}
+	return g.updateAndPersist(ctx, key, subscribers.Subscribe(key, g.options.Self.Region, details))
+}
+
+// ChangeDetails gives a subscriber that is subscribed other details.
+func (g *Gateway) ChangeDetails(ctx context.Context, key subscribers.Key, details subscribers.Details) error {
+	if err := g.checkZones(key.Tenant); err != nil {
+		return err
+	}
+	return g.updateAndPersist(ctx, key, subscribers.ChangeDetails(key, details))
+}
+
+// Unsubscribe unsubscribes a subscriber.
+func (g *Gateway) Unsubscribe(ctx context.Context, key subscribers.Key) error {
+	return g.updateAndPersist(ctx, key, subscribers.Unsubscribe(key, g.options.Self.Name, wallMS()))
+}
+
+// Get returns a subscriber's record, and whether it is subscribed.
+func (g *Gateway) Get(key subscribers.Key) (subscribers.Record, bool) {
+	entry, _ := g.options.Store.Get(key.LedgerKey())
+	record, err := subscribers.ResolveEntry(entry)
+	return record, err == nil && !record.IsUnsubscribed()
+}
+
+func (g *Gateway) updateAndPersist(ctx context.Context, key subscribers.Key, update subscribers.RecordUpdate) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	select {
+	case <-g.options.Store.Ready(): // a record written before would not supersede the one on disk
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	if err := g.update(key, update); err != nil {
+		return err
+	}
+	return g.options.Store.WaitPersisted(ctx)
+}
+
+func (g *Gateway) update(key subscribers.Key, update subscribers.RecordUpdate) error {
+	_, err := g.options.Store.Update(key.LedgerKey(), func(entry crdt.Entry) ([]byte, bool, error) {
+		return subscribers.ApplyUpdate(entry, update)
+	})
+	return err
+}
+
+// checkZones returns an error if a tenant's contract keeps its entries from a zone of some instance, since every
+// instance holds the whole list.
+func (g *Gateway) checkZones(tenant string) error {
+	allowsTenantData := g.options.Rules().AllowsTenantData
+	if allowsTenantData == nil {
+		return nil
+	}
+	for _, zone := range g.options.Membership().Zones {
+		if !allowsTenantData(tenant, zone) {
+			return &ZoneForbiddenError{tenant, zone}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/control/fanout/delivery.go
@@ -0,0 +1,117 @@
+package fanout
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"chalkring/control/subscribers"
+)
+
+const (
+	maxValueBytes    = 64 << 10        // of a delivered value; of longer ones the hash alone is delivered
+	deliveryTimeout  = 2 * time.Second // with all attempts: a handover waits for it
+	deliveryAttempts = 3               // of one delivery, with one number
+	retryDelay       = 200 * time.Millisecond
+	idleTimeout      = time.Minute // of a connection to a receiver
+	maxReplyBytes    = 1 << 16     // of a receiver's reply that are read, so that its connection can be used again
+)
+
+// BlockValue is what a block answered.
+type BlockValue struct {
+	Block int    `json:"block"`
+	Hash  string `json:"hash"`            // of the value, also of one that is too long to be delivered
+	Value []byte `json:"value,omitempty"` // in base64; left out over 64 KiB
+}
+
+// DeliveryMessage is what a receiver gets: the blocks whose values differ from those delivered before. A receiver drops
+// a number that it has had. Of two gateways' numbers the higher is the later one, except while regions are partitioned.
+type DeliveryMessage struct {
+	Tenant   string                     `json:"tenant"`
+	ID       string                     `json:"id"`
+	Consent  uint64                     `json:"consent"`
+	Number   subscribers.DeliveryNumber `json:"number"`
+	Previous subscribers.DeliveryNumber `json:"last"` // the one before, as far as it is known
+	Period   int64                      `json:"period"`
+	Values   []BlockValue               `json:"values"`
+}
+
+// DeliverFunc sends a delivery. An error means that it may not have arrived.
+type DeliverFunc func(ctx context.Context, message DeliveryMessage) error
+
+func newDeliveryMessage(delivery subscribers.Delivery, hashes map[int]uint64, values map[int][]byte) DeliveryMessage {
+	message := DeliveryMessage{
+		Tenant: delivery.Key.Tenant, ID: delivery.Key.ID, Consent: delivery.Consent,
+		Number: delivery.Number, Previous: delivery.Previous, Period: delivery.Period,
+	}
+	for _, block := range delivery.Blocks {
+		value := BlockValue{Block: block, Hash: fmt.Sprintf("%016x", hashes[block]), Value: values[block]}
+		if len(value.Value) > maxValueBytes {
+			value.Value = nil
+		}
+		message.Values = append(message.Values, value)
+	}
+	return message
+}
+
+// deliverWithRetries makes some attempts, all with the same number.
+func deliverWithRetries(ctx context.Context, send DeliverFunc, message DeliveryMessage) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
+	defer cancel()
+	for attempt := range deliveryAttempts {
+		if attempt > 0 {
+			select {
+			case <-time.After(retryDelay):
+			case <-ctx.Done():
+				return err
+			}
+		}
+		if err = send(ctx, message); err == nil {
+			return nil
+		}
+	}
+	return err
+}
+
+var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrentSearches, IdleConnTimeout: idleTimeout, Proxy: nil}}
+
+// DeliverByHTTP returns a function that delivers by HTTP: a POST with the delivery as JSON, accepted by a status from
+// 200 to 299.
+func DeliverByHTTP(url string) DeliverFunc {
+	return func(ctx context.Context, message DeliveryMessage) error {
+		if url == "" {
+			return &DeliveryFailedError{"nobody", errors.New("the region's file names no address under deliver")}
+		}
+		if err := postJSON(ctx, url, message); err != nil {
+			return &DeliveryFailedError{url, err}
+		}
+		return nil
+	}
+}
+
+func postJSON(ctx context.Context, url string, message DeliveryMessage) error {
+	body, err := json.Marshal(message)
+	if err != nil {
+		return err
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := httpClient.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // the status alone counts
+	if response.StatusCode < 200 || response.StatusCode > 299 {
+		return errors.New(response.Status)
+	}
+	return nil
+}
--- /dev/null
+++ b/control/fanout/gateway.go
@@ -0,0 +1,147 @@
+// Package fanout runs a region's fan-out gateway: it carries out what package subscribers decides.
+//
+// It takes subscriptions from a watched file and from an embedder's calls, keeps them in the store that the instances
+// replicate, runs the standing searches as background work of the coordinator, and sends deliveries with what changed.
+// A Gateway is a frontend of the coordinator. docs/subscribers.md states the rules.
+package fanout
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"chalkring/cluster/crdt"
+	"chalkring/control/subscribers"
+	"chalkring/coordinator"
+	"chalkring/internal/scheduler"
+)
+
+const (
+	// maxWarningsPerSecond limits the log lines that others can cause; the rest is counted.
+	maxWarningsPerSecond = 10
+
+	// maxRememberedReports limits the stale lines and the invalid entries that are remembered as reported.
+	maxRememberedReports = 1024
+)
+
+// ReplicatedStore is what the instances share; replication.Replicator implements it.
+type ReplicatedStore interface {
+	Ready() <-chan struct{}
+	Get(name string) (crdt.Entry, bool)
+	Put(name string, value []byte) (crdt.Entry, error)
+	Delete(name string) (crdt.Entry, error)
+	ScanPrefix(prefix string, f func(crdt.Entry) bool)
+	Update(name string, f func(e crdt.Entry) (value []byte, write bool, err error)) (crdt.Entry, error)
+	Watch(prefix string) (<-chan struct{}, func())
+	WaitPersisted(ctx context.Context) error
+}
+
+// Membership says which instances are there.
+type Membership struct {
+	Members     []subscribers.Member // alive gateways, this one among them
+	Zones       []string             // of all known instances, gateways or not: each of them holds the list
+	HasMajority bool                 // more than half of the voting members are alive
+	Complete    bool                 // all of them are
+}
+
+// Options are the dependencies of a gateway.
+type Options struct {
+	Self             subscribers.Member
+	Store            ReplicatedStore
+	Membership       func() Membership
+	Rules            func() subscribers.PlacementRules // where tenants may be served; nil for anywhere
+	FilePath         string                            // of the region's file; empty for none
+	Deliver          DeliverFunc                       // nil for HTTP to the address in the region's file
+	Log              *slog.Logger
+	Seed             int64
+	OnDrained        func()                         // called once nobody is served here any more; may be nil
+	ReplicationBytes func() (held int, sent uint64) // held in the store, and sent to replicate it; may be nil
+}
+
+// Gateway is a running fan-out gateway. Its exported methods are safe for concurrent use.
+type Gateway struct {
+	options Options
+	log     *slog.Logger
+
+	warnings           *rate.Limiter
+	suppressedWarnings atomic.Int64
+	listedCount        atomic.Int64 // subscribed and unsubscribed entries
+	tasks              chan func()  // to run in Serve's goroutine
+
+	loop loopState // of Serve's goroutine alone
+}
+
+// loopState is what only the goroutine of Serve uses.
+type loopState struct {
+	searches  *coordinator.SearchAPI
+	pool      *scheduler.Pool
+	list      *subscribers.List
+	decisions *subscribers.Gateway
+	lastJob   uint64 // number of the last standing search
+
+	// The region's file.
+	file              *subscribers.RegionFile
+	fileAcceptedAt    time.Time
+	fileApplied       bool                       // neither list nor file has changed since the file was applied
+	lastFileCheck     time.Time                  // zero for at once
+	reportedStaleness map[subscribers.Key]uint64 // stale lines that were reported, by the consent of the unsubscription
+
+	// The replicated store.
+	listChanged     bool
+	statusesChanged bool
+	unapplied       []crdt.Entry // scanned and not applied yet
+	lastScan        time.Time
+	scanInterval    time.Duration
+	statusDigests   map[string]uint64
+	reportedInvalid map[string]uint64 // digests of invalid entries that were reported
+	lastCleanup     time.Time
+
+	// Shutdown, load and logging.
+	draining       bool
+	drainingSince  time.Time
+	lastBusyTime   time.Duration
+	lastLoadSample time.Time
+	wasServing     bool
+	statsChanged   bool
+	lastStatsLog   time.Time
+	conflictCount  int
+}
+
+// New returns a gateway. It begins to serve as a frontend of the coordinator.
+func New(options Options) *Gateway {
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
+	}
+	if options.Rules == nil {
+		options.Rules = func() subscribers.PlacementRules { return subscribers.PlacementRules{} }
+	}
+	return &Gateway{
+		options: options, log: options.Log, warnings: rate.NewLimiter(maxWarningsPerSecond, maxWarningsPerSecond),
+		tasks: make(chan func(), 64),
+		loop: loopState{
+			list: subscribers.NewList(), scanInterval: minScanInterval,
+			reportedStaleness: map[subscribers.Key]uint64{}, reportedInvalid: map[string]uint64{}, statusDigests: map[string]uint64{},
+		},
+	}
+}
+
+// warnLimited logs a line that others can cause at will, at a limited rate.
+func (g *Gateway) warnLimited(event string, attributes ...any) {
+	if !g.warnings.Allow() {
+		g.suppressedWarnings.Add(1)
+		return
+	}
+	if suppressed := g.suppressedWarnings.Swap(0); suppressed > 0 {
+		attributes = append(attributes, "left_out", suppressed)
+	}
+	g.log.Warn(event, attributes...)
+}
+
+func wallMS() uint64 { return uint64(time.Now().UnixMilli()) }
+
+// now is the clock of package subscribers, in tenths of a millisecond. It is the wall clock, so that the searches of one
+// subscriber come at the same times on whichever gateway they run.
+func now() int64 { return time.Now().UnixMicro() / 100 }
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -45,7 +45,7 @@
 		got.WriteByte('\n')
 		w.WriteHeader(status)
 	}))
-	defer client.CloseIdleConnections()
+	defer httpClient.CloseIdleConnections()
 	defer receiver.Close()
 	hand := DeliverByHTTP(receiver.URL + "/acme")
 	require.NoError(t, hand(t.Context(), goldenDelivery()))
@@ -80,18 +80,18 @@
 	var all bytes.Buffer
 	for _, handler := range []slog.Handler{slog.NewJSONHandler(&all, untimed), slog.NewTextHandler(&all, untimed)} {
 		g := New(Options{Self: subscribers.Member{Name: "n0", Region: "eu"}, FilePath: "eu.yaml", Log: slog.New(handler)})
-		g.take(fileSeen{err: errors.New("why")})
-		g.take(fileSeen{file: &subscribers.RegionFile{Region: "us"}})
-		g.take(fileSeen{file: &subscribers.RegionFile{Region: "eu", Generation: 7}})
+		g.acceptFile(fileUpdate{err: errors.New("why")})
+		g.acceptFile(fileUpdate{file: &subscribers.RegionFile{Region: "us"}})
+		g.acceptFile(fileUpdate{file: &subscribers.RegionFile{Region: "eu", Generation: 7}})
 		e := crdt.Entry{Name: "sub/acme/s1", Siblings: []crdt.Sibling{{Value: []byte{0xff}}}}
 		_, err := subscribers.ResolveEntry(e)
-		g.unread(e, err)
-		g.unread(e, err) // told once
+		g.reportInvalidEntry(e, err)
+		g.reportInvalidEntry(e, err) // told once
 		key := subscribers.Key{Tenant: "acme", ID: "s1"}
-		g.tell("subscriber_delivery", advice.LogAttrs(&DeliveryFailedError{"http://receiver", errors.New("why")}, "subscriber", key, "number",
+		g.warnLimited("subscriber_delivery_failed", advice.LogAttrs(&DeliveryFailedError{"http://receiver", errors.New("why")}, "subscriber", key, "number",
 			subscribers.DeliveryNumber{Epoch: 1, Sequence: 2, Gateway: "n0"})...)
-		g.quiet.Store(5)
-		g.tell("subscriber_conflict", "subscriber", key, "held", "one", "lost", "other")
+		g.suppressedWarnings.Store(5)
+		g.warnLimited("subscriber_conflict", "subscriber", key, "kept", "one", "discarded", "other")
 	}
 	requireGolden(t, "log_lines.txt", all.Bytes())
 }
@@ -130,13 +130,13 @@
 // A running instance: its entries in the ledger, and the attributes of each log line.
 func TestGoldenFanoutEntriesAndEvents(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newTestSite(t)
 	s1, s2 := "- {tenant: acme, id: s1, type: full-match, query: a, every: 1s}", "- {tenant: nobody, id: s2, type: full-match, query: a, every: 1s}"
-	s.file(1, s1, s2, "- {tenant: other, id: s3, type: full-match, query: a, every: 1s}")
-	g, book, end := s.run(1)
+	s.writeFile(1, s1, s2, "- {tenant: other, id: s3, type: full-match, query: a, every: 1s}")
+	g, book, end := s.start(1)
 	s.await("served", func() bool { return len(s.deliveries("s1")) > 0 })
-	s.await("not searched", s.logged("msg=subscriber_search"))
-	s.await("refused", s.logged("msg=subscriber_refused"))
+	s.await("not searched", s.logged("msg=subscriber_search_failed"))
+	s.await("refused", s.logged("msg=subscriber_update_failed"))
 	key := subscribers.Key{Tenant: "acme", ID: "s1"}
 	s.await("noted", func() bool {
 		r, _ := g.Get(key)
@@ -151,14 +151,14 @@
 		require.NoError(t, cbor.Unmarshal(e.Siblings[0].Value, &fields), name)
 		fmt.Fprintln(&all, "entry", name, "has fields", slices.Sorted(maps.Keys(fields)))
 	}
-	s.deaf.Store(true)
-	s.words.Add(1)
-	s.await("not delivered", s.logged("msg=subscriber_delivery"))
-	s.deaf.Store(false)
+	s.rejectDeliveries.Store(true)
+	s.valueVersion.Add(1)
+	s.await("not delivered", s.logged("msg=subscriber_delivery_failed"))
+	s.rejectDeliveries.Store(false)
 	require.NoError(t, g.Unsubscribe(t.Context(), key))
-	s.file(2, s1, s2)
-	s.await("stale", s.logged("msg=subscriber_stale"))
-	s.await("list", s.logged("msg=subscribers "))
+	s.writeFile(2, s1, s2)
+	s.await("stale", s.logged("msg=subscriber_line_stale"))
+	s.await("list", s.logged("msg=subscribers_status "))
 	end()
 
 	s.mu.Lock()
--- a/internal/benchmark/subscribers.go
+++ b/internal/benchmark/subscribers.go
@@ -45,7 +45,7 @@
 )
 
 // listLine is what an instance last told of its list.
-var listLine = regexp.MustCompile(`event=subscribers list=(\w+) view=(\w+) gateways=\d+ subscribed=(\d+) unsubscribed=(\d+) served=(\d+).* bytes=(\d+) sent=(\d+)`)
+var listLine = regexp.MustCompile(`event=subscribers_status list_digest=(\w+) view=(\w+) gateways=\d+ subscribed=(\d+) unsubscribed=(\d+) served=(\d+).* stored_bytes=(\d+) sent_bytes=(\d+)`)
 
 type listState struct {
 	list, view                   string
