--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -11,72 +11,81 @@
 )
 
 const (
-	gatewayPart = "subscribers" // what members say that they take part in
-	suspectFor  = 20_000        // tenths of a millisecond that a suspect still counts as there: a busy machine's pause
+	// gatewayCapability says in membership that an instance is a fan-out gateway.
+	gatewayCapability = "subscribers"
+
+	// suspectGracePeriod is how long a suspect still counts as alive, in tenths of a millisecond: a busy machine's pause.
+	suspectGracePeriod = 20_000
 )
 
-// NoRegion is a gateway that stands nowhere.
-type NoRegion struct{}
+// MissingRegionError reports a fan-out gateway without a region.
+type MissingRegionError struct{}
 
-func (*NoRegion) Error() string { return "fleet.subscribers without fleet.region" }
+func (*MissingRegionError) Error() string { return "fleet.subscribers without fleet.region" }
 
 // Advice tells an operator what to do.
-func (*NoRegion) Advice() string {
+func (*MissingRegionError) Advice() string {
 	return "Name the region under `fleet.region`: subscriptions are attached to regions."
 }
 
-// gatewayOf is the fan-out gateway that the section fleet turns on; none where it names no file of subscriptions.
+// gatewayOf returns the fan-out gateway that the section fleet turns on, none where it names no file of subscribers.
 func gatewayOf(s *sharing) ([]coordinator.Frontend, error) {
 	if s == nil || s.file.SubscribersFile == "" {
 		return nil, nil
 	}
 	if s.file.Region == "" {
-		return nil, &NoRegion{}
+		return nil, &MissingRegionError{}
 	}
-	me := s.book.Self()
-	me.Capabilities = append(slices.Clone(me.Capabilities), gatewayPart)
-	if err := s.node.UpdateSelf(me); err != nil {
+	self := s.book.Self()
+	self.Capabilities = append(slices.Clone(self.Capabilities), gatewayCapability)
+	if err := s.node.UpdateSelf(self); err != nil {
 		return nil, err
 	}
-	left := func() { // so that others serve in its place while it finishes its clients' searches
-		me := s.book.Self()
-		me.Capabilities = slices.DeleteFunc(slices.Clone(me.Capabilities), func(part string) bool { return part == gatewayPart })
-		if err := s.node.UpdateSelf(me); err != nil {
-			s.log.Warn("subscriber_update_failed", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
-		}
-	}
 	return []coordinator.Frontend{fanout.New(fanout.Options{
-		Store: s.shared, Membership: s.gateways, Rules: s.rules, FilePath: s.file.SubscribersFile, Log: s.log,
-		Self: subscribers.Member{Name: me.Name, Region: me.Region, Zone: me.Zone, Incarnation: me.Incarnation}, Seed: int64(me.Incarnation), ReplicationBytes: s.bytes, OnDrained: left,
+		Self:  subscribers.Member{Name: self.Name, Region: self.Region, Zone: self.Zone, Incarnation: self.Incarnation},
+		Store: s.shared, Membership: s.gatewayMembership, Rules: s.placementRules, FilePath: s.file.SubscribersFile, Log: s.log,
+		Seed: int64(self.Incarnation), ReplicationBytes: s.replicationBytes, OnDrained: s.withdrawGateway,
 	})}, nil
 }
 
-// gateways are those that are heard now. A name that two claim is nobody's: numbers of deliveries rest on names.
-func (s *sharing) gateways() (h fanout.Membership) {
-	now, claimed := s.clock(), s.book.NameConflicts()
-	for _, m := range s.book.Members() {
-		if !slices.Contains(h.Zones, m.Zone) {
-			h.Zones = append(h.Zones, m.Zone)
+// withdrawGateway removes the capability, so that other gateways take over while this instance still ends its clients'
+// searches.
+func (s *sharing) withdrawGateway() {
+	self := s.book.Self()
+	self.Capabilities = slices.DeleteFunc(slices.Clone(self.Capabilities), func(capability string) bool { return capability == gatewayCapability })
+	if err := s.node.UpdateSelf(self); err != nil {
+		s.log.Warn("subscriber_update_failed", advice.LogAttrs(err, "subscriber", "this gateway's leaving")...)
+	}
+}
+
+// gatewayMembership returns the gateways that are alive. A name that two instances claim is left out, since delivery
+// numbers depend on unique names.
+func (s *sharing) gatewayMembership() (gateways fanout.Membership) {
+	now, conflicts := s.clock(), s.book.NameConflicts()
+	for _, member := range s.book.Members() {
+		if !slices.Contains(gateways.Zones, member.Zone) {
+			gateways.Zones = append(gateways.Zones, member.Zone)
 		}
-		there := m.State == membership.Alive || m.State == membership.Suspect && now-m.StateSince < suspectFor
-		if there && slices.Contains(m.Capabilities, gatewayPart) && !slices.Contains(claimed, m.Name) {
-			h.Members = append(h.Members, subscribers.Member{Name: m.Name, Region: m.Region, Zone: m.Zone, Incarnation: m.Incarnation})
+		isAlive := member.State == membership.Alive || member.State == membership.Suspect && now-member.StateSince < suspectGracePeriod
+		if isAlive && slices.Contains(member.Capabilities, gatewayCapability) && !slices.Contains(conflicts, member.Name) {
+			gateways.Members = append(gateways.Members, subscribers.Member{Name: member.Name, Region: member.Region, Zone: member.Zone, Incarnation: member.Incarnation})
 		}
 	}
-	heard, of := s.book.CountAliveVoters(now)
-	h.HasMajority, h.Complete = s.book.HasMajority(now), heard == of
-	return h
+	alive, voters := s.book.CountAliveVoters(now)
+	gateways.HasMajority, gateways.Complete = s.book.HasMajority(now), alive == voters
+	return gateways
 }
 
-// rules are the zones in which contracts let tenants' entries be.
-func (s *sharing) rules() subscribers.PlacementRules {
+// placementRules returns where the residency policies allow tenants' entries.
+func (s *sharing) placementRules() subscribers.PlacementRules {
 	if s.zones == nil {
 		return subscribers.PlacementRules{}
 	}
 	return subscribers.PlacementRules{Generation: s.zones.Policy().Generation, AllowsTenantData: s.holds}
 }
 
-func (s *sharing) bytes() (held int, sent uint64) {
-	now := s.shared.Stats()
-	return now.StoredBytes, now.ExchangeBytesSent + now.UpdateBytesSent
+// replicationBytes returns the bytes that the replicated store holds, and those sent to replicate it.
+func (s *sharing) replicationBytes() (held int, sent uint64) {
+	stats := s.shared.Stats()
+	return stats.StoredBytes, stats.ExchangeBytesSent + stats.UpdateBytesSent
 }
