--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -80,7 +80,7 @@
 		case <-c.s.ctx.Done():
 		}
 	}}
-	watcher.Run(c.s.ctx)
+	_ = watcher.Run(c.s.ctx) // it ends with the context
 }
 
 func (c *contracts) run() {
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -18,7 +18,8 @@
 	"chalkring/coordinator"
 )
 
-const contractsWait = 20 * time.Second // for what has to come; no verdict rests on anything coming sooner
+// contractsWait limits how long a test waits for something to happen. No verdict depends on anything happening sooner.
+const contractsWait = 20 * time.Second
 
 const zonedPlan = `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":64},"known":{"version":1,"full":true,"servers":[
@@ -36,7 +37,7 @@
 
 var contractsTwo = strings.NewReplacer("generation: 1", "generation: 2", "[east, west]", "[east]").Replace(contractsOne)
 
-// lived is one instance's life.
+// lived is one instance from its start to its end.
 type lived struct {
 	t   *testing.T
 	s   *sharing
@@ -84,7 +85,7 @@
 	require.NoError(l.t, os.WriteFile(filepath.Join(l.dir, "contracts.yaml"), []byte(text), 0o600))
 }
 
-// may tells whether acme's parts may run in a zone now.
+// may reports whether acme's shard requests may run in a zone now.
 func (l *lived) may(zone string) bool {
 	in, now := l.in.Policy(), time.Now().UnixMicro()/100
 	r := in.RuleFor(now, "acme", "lookup", 0)
@@ -106,10 +107,10 @@
 	return all
 }
 
-// A tightening given to one of three is in force on all; two files of one generation that differ are both held; a file that
-// cannot be used, or is older, changes nothing; an instance that hears nobody refuses within a lease, and holds what it
-// had on its disk when it is back, whatever its file says.
-func TestContractsGoRound(t *testing.T) {
+// A stricter policy given to one of three instances is in force on all; two differing files of one generation both hold; a
+// file that cannot be used, or is older, changes nothing; an instance that reaches nobody rejects within a lease, and
+// keeps to the policies on its disk when it is back, whatever its file says.
+func TestPoliciesReachAllInstances(t *testing.T) {
 	addrs := freeAddrs(t, "a", "b", "c")
 	dirs := map[string]string{"a": t.TempDir(), "b": t.TempDir(), "c": t.TempDir()}
 	a, b, c := live(t, dirs["a"], "a", addrs, true), live(t, dirs["b"], "b", addrs, true), live(t, dirs["c"], "c", addrs, false)
@@ -118,48 +119,48 @@
 		l.eventually("first lease", func() bool { return l.may("west") })
 	}
 	a.file("generation: 7\ncontracts: [") // half-written
-	a.eventually("refused", func() bool { return strings.Contains(a.text(), "residency_file_invalid") })
+	a.eventually("the file is rejected", func() bool { return strings.Contains(a.text(), "residency_file_invalid") })
 	a.file(contractsTwo)
 	for _, l := range all {
-		l.eventually("tightened", func() bool { return !l.may("west") && l.may("east") })
+		l.eventually("the stricter policy", func() bool { return !l.may("west") && l.may("east") })
 	}
-	a.eventually("agreed", func() bool { return strings.Contains(a.text(), "residency_majority_reached generation=2") })
+	a.eventually("a majority has it", func() bool { return strings.Contains(a.text(), "residency_majority_reached generation=2") })
 	c.file(contractsTwo + "- {block: 0, zones: [west]}\n")
 	for _, l := range all {
 		l.eventually("the stricter of both", func() bool { return !l.may("west") && !l.may("east") && l.in.Policy().Generation == 2 })
-		l.eventually("told", func() bool { return strings.Contains(l.text(), "with other words") })
+		l.eventually("the conflict is logged", func() bool { return strings.Contains(l.text(), "with other words") })
 	}
 	b.file(strings.Replace(contractsTwo, "generation: 2", "generation: 3", 1))
 	for _, l := range all {
-		l.eventually("one again", func() bool { return l.may("east") && l.in.Policy().Generation == 3 })
+		l.eventually("one policy again", func() bool { return l.may("east") && l.in.Policy().Generation == 3 })
 	}
 	require.True(t, a.s.holds("acme", "east"))
 	require.False(t, a.s.holds("acme", "west"))
 	require.True(t, a.s.holds("else", "west"))
 	b.s.leave()
 	c.s.leave()
-	a.eventually("refuses", func() bool { return !a.may("east") })
-	a.eventually("told", func() bool { return strings.Contains(a.text(), "residency_lease_expired") })
+	a.eventually("rejects", func() bool { return !a.may("east") })
+	a.eventually("the expiry is logged", func() bool { return strings.Contains(a.text(), "residency_lease_expired") })
 	a.s.leave()
 	a.file(contractsOne) // an old file is put back
 	a = live(t, dirs["a"], "a", addrs, true)
 	require.EqualValues(t, 3, a.in.Policy().Generation)
 	require.Contains(t, a.text(), "residency_policy_rejected")
-	require.False(t, a.may("east"), "it hears nobody")
-	b = live(t, dirs["b"], "b", addrs, true)
+	require.False(t, a.may("east"), "it reaches nobody")
+	live(t, dirs["b"], "b", addrs, true)
 	a.eventually("back", func() bool { return a.may("east") && !a.may("west") })
 }
 
-func TestCheckOfContracts(t *testing.T) {
+func TestCheckPolicyFile(t *testing.T) {
 	plan, err := coordinator.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
-	told, err := checkContracts("contracts", []byte(contractsOne), plan)
+	summary, err := checkContracts("contracts", []byte(contractsOne), plan)
 	require.NoError(t, err)
-	require.Equal(t, "can be used, 1 contracts", told)
+	require.Equal(t, "can be used, 1 contracts", summary)
 	_, err = checkContracts("contracts", []byte(contractsTwo), plan)
-	var u *residency.UnreachableBlocksError
-	require.ErrorAs(t, err, &u)
-	require.Equal(t, "contracts: [5:12] tenant acme could not reach blocks 1, 3: its searches there are refused", u.Error())
+	var unreachable *residency.UnreachableBlocksError
+	require.ErrorAs(t, err, &unreachable)
+	require.Equal(t, "contracts: [5:12] tenant acme could not reach blocks 1, 3: its searches there are refused", unreachable.Error())
 	dir := t.TempDir()
 	for name, text := range map[string]string{"plan.json": zonedPlan, "contracts.yaml": contractsOne} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
