--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -85,7 +85,7 @@
 }
 
 // replicationBytes returns the bytes that the replicated store holds, and those sent to replicate it.
-func (s *sharing) replicationBytes() (held int, sent uint64) {
+func (s *sharing) replicationBytes() (stored int, sent uint64) {
 	stats := s.shared.Stats()
 	return stats.StoredBytes, stats.ExchangeBytesSent + stats.UpdateBytesSent
 }
--- a/control/fanout/gateway.go
+++ b/control/fanout/gateway.go
@@ -57,8 +57,8 @@
 	Deliver          DeliverFunc                       // nil for HTTP to the address in the region's file
 	Log              *slog.Logger
 	Seed             int64
-	OnDrained        func()                         // called once nobody is served here any more; may be nil
-	ReplicationBytes func() (held int, sent uint64) // held in the store, and sent to replicate it; may be nil
+	OnDrained        func()                           // called once nobody is served here any more; may be nil
+	ReplicationBytes func() (stored int, sent uint64) // in the store, and sent to replicate it; may be nil
 }
 
 // Gateway is a running fan-out gateway. Its exported methods are safe for concurrent use.
--- a/control/fanout/region_file.go
+++ b/control/fanout/region_file.go
@@ -32,7 +32,7 @@
 	writerDelay = 10 * time.Second
 
 	// newFilePeriod is how long a file is checked also while nothing changes, so that the gateways ranked after the
-	// first one get their turn. Later it is checked when the list changes.
+	// first one can write. Later it is checked when the list changes.
 	newFilePeriod = time.Minute
 )
 
--- a/control/fanout/serve.go
+++ b/control/fanout/serve.go
@@ -136,13 +136,13 @@
 
 func (g *Gateway) logStats() {
 	subscribed, unsubscribed := g.loop.list.CountSubscriptions()
-	stats, held, sent := g.loop.decisions.Stats(), 0, uint64(0)
+	stats, stored, sent := g.loop.decisions.Stats(), 0, uint64(0)
 	if g.options.ReplicationBytes != nil {
-		held, sent = g.options.ReplicationBytes()
+		stored, sent = g.options.ReplicationBytes()
 	}
 	g.log.Info("subscribers_status", "list_digest", fmt.Sprintf("%016x", g.loop.list.Digest()), "view", fmt.Sprintf("%016x", stats.View),
 		"gateways", stats.Gateways, "subscribed", subscribed, "unsubscribed", unsubscribed, "served", stats.Served,
 		"unassigned", stats.Unassigned, "epoch", stats.Epoch, "view_changes", stats.ViewChanges, "searches", stats.Runs,
 		"deliveries", stats.Deliveries, "failed", stats.Failed, "repeated", stats.Repeated, "conflicts", g.loop.conflictCount,
-		"stored_bytes", held, "sent_bytes", sent)
+		"stored_bytes", stored, "sent_bytes", sent)
 }
--- a/control/subscribers/gateway.go
+++ b/control/subscribers/gateway.go
@@ -19,7 +19,7 @@
 	Generation       uint64                         // changes with the rules, in the same way on all gateways
 }
 
-// GatewayStats is what a gateway has done and how it stands.
+// GatewayStats is what a gateway has done, and its present state.
 type GatewayStats struct {
 	Served, Listed, Unassigned         int // subscribers: served here, on the list, without a gateway that may serve them
 	Runs, Deliveries, Failed, Repeated int
@@ -169,7 +169,7 @@
 	s.Record = record
 }
 
-// Stats returns how the gateway stands.
+// Stats returns what the gateway has done, and its present state.
 func (g *Gateway) Stats() GatewayStats {
 	stats := g.stats
 	stats.Listed, stats.Epoch, stats.Gateways = len(g.subscriptions), g.epoch, len(g.view.members)
--- a/control/subscribers/list.go
+++ b/control/subscribers/list.go
@@ -16,7 +16,7 @@
 	tombstoneRetentionMS = 90 * 86_400_000
 )
 
-// WriteConflict reports records that were written concurrently, of which one holds and another one is lost.
+// WriteConflict reports records that were written concurrently, of which one wins and another one is lost.
 type WriteConflict struct {
 	Key             Key
 	Kept, Discarded string // as Record.Describe returns them
@@ -47,7 +47,7 @@
 	return len(l.byKey) - l.unsubscribedCount, l.unsubscribedCount
 }
 
-// Get returns what holds for a subscriber.
+// Get returns a subscriber's record.
 func (l *List) Get(key Key) (Record, bool) {
 	if entry := l.byKey[key]; entry != nil {
 		return entry.Record, true
@@ -73,15 +73,15 @@
 	if previous != nil && previous.entryDigest == digest {
 		return key, false, nil, nil
 	}
-	held, records, err := resolveEntry(entry)
+	current, records, err := resolveEntry(entry)
 	l.Remove(key)
 	if len(records) == 0 {
 		return key, previous != nil, nil, err
 	}
-	current := l.add(key, held)
-	current.entryDigest = digest
-	conflicts = current.recordConflicts(key, previous, records)
-	return key, current.differsFrom(previous), conflicts, err
+	listed := l.add(key, current)
+	listed.entryDigest = digest
+	conflicts = listed.recordConflicts(key, previous, records)
+	return key, listed.differsFrom(previous), conflicts, err
 }
 
 func (l *List) add(key Key, record Record) *listEntry {
@@ -95,7 +95,7 @@
 	return entry
 }
 
-// recordConflicts returns the records that lost to the one that holds and were not reported with the previous entry.
+// recordConflicts returns the records that lost to the winning one and were not reported with the previous entry.
 func (e *listEntry) recordConflicts(key Key, previous *listEntry, records []Record) (conflicts []WriteConflict) {
 	if len(records) == 1 {
 		return nil
--- a/control/subscribers/merge.go
+++ b/control/subscribers/merge.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// MergeRecords returns what holds of two records: every unsubscription and every one that was seen; the details of the
-// higher consent, within one consent those with the higher revision, the greater encoding among equals. Attachments
-// and checkpoints of one consent are combined. The function is commutative, associative and idempotent.
+// MergeRecords merges two records: every unsubscription and every one that was seen; the details of the higher consent,
+// within one consent those with the higher revision, the greater encoding among equals. Attachments and checkpoints of
+// one consent are combined. The function is commutative, associative and idempotent.
 func MergeRecords(a, b Record) Record {
 	winner, other := a, b
 	if order := cmp.Compare(b.Consent, a.Consent); order > 0 || order == 0 && b.compareDetails(a) > 0 {
@@ -69,7 +69,7 @@
 	return cmp.Or(cmp.Compare(a.Generation, other.Generation), cmp.Compare(a.DetailsHash, other.DetailsHash))
 }
 
-// mergeAll returns what holds of one or more records.
+// mergeAll merges one or more records.
 func mergeAll(records []Record) Record {
 	merged := records[0]
 	for _, record := range records[1:] {
@@ -78,20 +78,20 @@
 	return merged
 }
 
-// ResolveConflict returns what holds of one or more records that were written concurrently, and those whose content is
-// lost: it neither holds nor was known to the writer of another one.
-func ResolveConflict(records []Record) (held Record, lost []Record) {
-	held = mergeAll(records)
-	known := []uint64{held.contentHash()}
+// ResolveConflict merges one or more records that were written concurrently, and returns those whose content is lost: it
+// is not the winning one, and no other writer knew of it.
+func ResolveConflict(records []Record) (merged Record, lost []Record) {
+	merged = mergeAll(records)
+	known := []uint64{merged.contentHash()}
 	for _, record := range records {
 		known = append(known, record.PriorHashes...)
 	}
 	for _, record := range records {
 		hash := record.contentHash()
-		bothUnsubscribed := record.IsUnsubscribed() && held.IsUnsubscribed()
+		bothUnsubscribed := record.IsUnsubscribed() && merged.IsUnsubscribed()
 		if !slices.Contains(known, hash) && !bothUnsubscribed {
 			lost, known = append(lost, record), append(known, hash)
 		}
 	}
-	return held, lost
+	return merged, lost
 }
--- a/control/subscribers/merge_test.go
+++ b/control/subscribers/merge_test.go
@@ -44,7 +44,7 @@
 		require.NoError(t, err)
 		requireEqual(a, decoded)
 		merged := MergeRecords(MergeRecords(a, b), c)
-		for _, record := range []Record{a, b, c} { // an unsubscription that none has seen holds
+		for _, record := range []Record{a, b, c} { // an unsubscription that none has seen wins
 			for instance, number := range record.Unsubscriptions {
 				if number > max(a.SeenUnsubscriptions[instance], b.SeenUnsubscriptions[instance], c.SeenUnsubscriptions[instance]) {
 					require.True(t, merged.IsUnsubscribed())
@@ -66,13 +66,13 @@
 	delivered.Checkpoint.Number = DeliveryNumber{5, 1, "g"}
 	_, lost := ResolveConflict([]Record{withQuery(first, "b"), delivered})
 	require.Empty(t, lost, "a delivery beside a change loses nothing")
-	held, lost := ResolveConflict([]Record{withQuery(withQuery(first, "b"), "c"), withQuery(first, "d")})
-	require.Equal(t, "c", held.Details.Query)
+	merged, lost := ResolveConflict([]Record{withQuery(withQuery(first, "b"), "c"), withQuery(first, "d")})
+	require.Equal(t, "c", merged.Details.Query)
 	require.Len(t, lost, 1)
 	require.Equal(t, "d", lost[0].Details.Query)
 	unsubscribed := first.withUnsubscription("a", 1).withPriorHashesOf(first)
-	held, lost = ResolveConflict([]Record{unsubscribed, withQuery(first, "b")})
-	require.True(t, held.IsUnsubscribed())
+	merged, lost = ResolveConflict([]Record{unsubscribed, withQuery(first, "b")})
+	require.True(t, merged.IsUnsubscribed())
 	require.Len(t, lost, 1, "the change that an unsubscription overrode is reported")
 }
 
--- a/control/subscribers/record.go
+++ b/control/subscribers/record.go
@@ -93,7 +93,7 @@
 }
 
 // pruned limits the unsubscriptions that are remembered. The oldest ones that a later subscription has seen go first. If
-// one of them turns up again the subscriber is unsubscribed, which is the safe side.
+// one of them appears again the subscriber is unsubscribed, which is the safe outcome.
 func (r Record) pruned() Record {
 	for len(r.Unsubscriptions) > maxUnsubscriptions {
 		oldest := r.oldestUnsubscription()
--- a/control/subscribers/region_file_test.go
+++ b/control/subscribers/region_file_test.go
@@ -27,7 +27,7 @@
 	return file
 }
 
-// jsonLine turns a line of the tests' YAML files into JSON.
+// jsonLine converts a line of the tests' YAML files into JSON.
 func jsonLine(line string) string {
 	for _, name := range []string{"tenant", "id", "type", "query", "every", "consent"} {
 		line = strings.ReplaceAll(line, name+": ", "\""+name+"\": ")
@@ -113,9 +113,9 @@
 	value, err = file.Admit(DecodeFileStatus(entry))
 	require.NoError(t, err)
 	require.Nil(t, value)
-	for _, held := range []FileStatus{{3, file.Digest}, {2, file.Digest + 1}} {
+	for _, current := range []FileStatus{{3, file.Digest}, {2, file.Digest + 1}} {
 		var stale *StaleFileError
-		_, err = file.Admit(held)
+		_, err = file.Admit(current)
 		require.ErrorAs(t, err, &stale)
 	}
 }
--- a/control/subscribers/update.go
+++ b/control/subscribers/update.go
@@ -10,23 +10,23 @@
 // tombstoneInstance is the name under which a tombstone of the shared map counts as an unsubscription.
 const tombstoneInstance = "-"
 
-// RecordUpdate makes the next record from the one that holds; exists is false where there is none. Write is false where
+// RecordUpdate makes the next record from the current one; exists is false where there is none. Write is false where
 // nothing is to be written.
-type RecordUpdate func(held Record, exists bool) (next Record, write bool, err error)
+type RecordUpdate func(current Record, exists bool) (next Record, write bool, err error)
 
 // ApplyUpdate runs an update on an entry of the shared map and returns the value to put. The caller puts it in the same
 // step in which it read the entry. Otherwise an unsubscription that arrives in between would be superseded unseen.
 func ApplyUpdate(entry crdt.Entry, update RecordUpdate) (value []byte, write bool, err error) {
-	held, records, err := resolveEntry(entry)
+	current, records, err := resolveEntry(entry)
 	if err != nil {
 		return nil, false, err // what cannot be read must not be superseded
 	}
-	next, write, err := update(held, len(records) > 0)
+	next, write, err := update(current, len(records) > 0)
 	if err != nil || !write {
 		return nil, false, err
 	}
 	next = next.pruned().withPriorHashesOf(records...)
-	if len(records) > 0 && !next.supersedes(held) {
+	if len(records) > 0 && !next.supersedes(current) {
 		return nil, false, &InvalidSubscriptionError{keyOf(entry.Name), "would go back behind what holds"}
 	}
 	if value = next.Encode(); len(value) > maxValueBytes {
@@ -35,10 +35,10 @@
 	return value, true, nil
 }
 
-// supersedes reports whether a record says the same after it is merged with the one that holds. A merge with too many
+// supersedes reports whether a record says the same after it is merged with the current one. A merge with too many
 // unsubscriptions is exempt: pruning has removed some of them.
-func (r Record) supersedes(held Record) bool {
-	merged := MergeRecords(held, r)
+func (r Record) supersedes(current Record) bool {
+	merged := MergeRecords(current, r)
 	if len(merged.Unsubscriptions) > maxUnsubscriptions {
 		return true
 	}
@@ -50,10 +50,10 @@
 	return key
 }
 
-// resolveEntry reads an entry: what holds of it, and all its records. Only unsubscribed records are ever deleted from
-// the shared map, long after. A record written concurrently with the tombstone was written without having seen the
-// unsubscription, so it is no new subscription: the subscriber stays unsubscribed.
-func resolveEntry(entry crdt.Entry) (held Record, records []Record, err error) {
+// resolveEntry reads an entry: its merged record, and all records that were written concurrently. Only unsubscribed
+// records are ever deleted from the shared map, long after. A record written concurrently with the tombstone was written
+// without having seen the unsubscription, so it is no new subscription: the subscriber stays unsubscribed.
+func resolveEntry(entry crdt.Entry) (current Record, records []Record, err error) {
 	hasTombstone := false
 	for _, sibling := range entry.Siblings {
 		if sibling.Deleted {
@@ -71,53 +71,53 @@
 		records = append(records, record)
 	}
 	if len(records) == 0 {
-		return held, nil, err
+		return current, nil, err
 	}
-	held = mergeAll(records)
-	if hasTombstone && !held.IsUnsubscribed() {
-		held = held.withUnsubscription(tombstoneInstance, 1)
+	current = mergeAll(records)
+	if hasTombstone && !current.IsUnsubscribed() {
+		current = current.withUnsubscription(tombstoneInstance, 1)
 	}
-	return held, records, err
+	return current, records, err
 }
 
-// ResolveEntry returns what holds of an entry of the shared map.
+// ResolveEntry returns the merged record of an entry of the shared map.
 func ResolveEntry(entry crdt.Entry) (Record, error) {
-	held, _, err := resolveEntry(entry)
-	return held, err
+	current, _, err := resolveEntry(entry)
+	return current, err
 }
 
 // Subscribe is the embedder's call for a subscriber that asks for something now. After an unsubscription it is a new
 // consent. A subscriber that is subscribed gets other details.
 func Subscribe(key Key, region string, details Details) RecordUpdate {
-	return func(held Record, exists bool) (Record, bool, error) {
+	return func(current Record, exists bool) (Record, bool, error) {
 		if err := validateSubscription(key, region, details); err != nil {
-			return held, false, err
+			return current, false, err
 		}
-		if !exists || held.IsUnsubscribed() {
-			return held.resubscribed(held.Consent+1, details, region, Attachment{}), true, nil
+		if !exists || current.IsUnsubscribed() {
+			return current.resubscribed(current.Consent+1, details, region, Attachment{}), true, nil
 		}
-		_, attached := held.Attachments[region]
-		if attached && held.Details.equal(details) {
-			return held, false, nil
+		_, attached := current.Attachments[region]
+		if attached && current.Details.equal(details) {
+			return current, false, nil
 		}
 		if !attached {
-			held = held.withAttachment(region, Attachment{})
+			current = current.withAttachment(region, Attachment{})
 		}
-		return held.withDetails(details), true, nil
+		return current.withDetails(details), true, nil
 	}
 }
 
 // ChangeDetails gives a subscriber that is subscribed other details. It brings nobody back.
 func ChangeDetails(key Key, details Details) RecordUpdate {
-	return func(held Record, exists bool) (Record, bool, error) {
+	return func(current Record, exists bool) (Record, bool, error) {
 		const anyRegion = "-" // a change attaches the subscriber to no further region
 		if err := validateSubscription(key, anyRegion, details); err != nil {
-			return held, false, err
+			return current, false, err
 		}
-		if !exists || held.IsUnsubscribed() {
-			return held, false, &NotSubscribedError{key, held.Consent}
+		if !exists || current.IsUnsubscribed() {
+			return current, false, &NotSubscribedError{key, current.Consent}
 		}
-		return held.withDetails(details), !held.Details.equal(details), nil
+		return current.withDetails(details), !current.Details.equal(details), nil
 	}
 }
 
@@ -125,22 +125,22 @@
 // at wallMS by its clock. An unknown subscriber is recorded as unsubscribed too: its subscription may be on its way. One
 // that is unsubscribed is recorded again: what is written concurrently elsewhere may know only of the first time.
 func Unsubscribe(key Key, instance string, wallMS uint64) RecordUpdate {
-	return func(held Record, _ bool) (Record, bool, error) {
+	return func(current Record, _ bool) (Record, bool, error) {
 		if reason := key.validate(); reason != "" {
-			return held, false, &InvalidSubscriptionError{key, reason}
+			return current, false, &InvalidSubscriptionError{key, reason}
 		}
-		return held.withUnsubscription(instance, wallMS), true, nil
+		return current.withUnsubscription(instance, wallMS), true, nil
 	}
 }
 
 // RecordDelivery records what was delivered under one consent.
 func RecordDelivery(consent uint64, checkpoint DeliveryCheckpoint) RecordUpdate {
-	return func(held Record, exists bool) (Record, bool, error) {
-		if !exists || held.IsUnsubscribed() || held.Consent != consent || checkpoint.compare(held.Checkpoint) <= 0 {
-			return held, false, nil
+	return func(current Record, exists bool) (Record, bool, error) {
+		if !exists || current.IsUnsubscribed() || current.Consent != consent || checkpoint.compare(current.Checkpoint) <= 0 {
+			return current, false, nil
 		}
-		held.Checkpoint = checkpoint
-		return held, true, nil
+		current.Checkpoint = checkpoint
+		return current, true, nil
 	}
 }
 
