--- a/cmd/chalkring/keeper.go
+++ b/cmd/chalkring/keeper.go
@@ -112,7 +112,7 @@
 			k.program = end.next.Program
 		case trying > 0 && !end.served:
 			why := &DidNotServe{k.program, end.why()}
-			log.Error("rollout_fell", advice.LogAttrs(why, "program", k.good)...)
+			log.Error("rollout_child_failed", advice.LogAttrs(why, "program", k.good)...)
 			k.program, k.fell, trying = k.good, end.why(), 0
 		case !served: // a start that fails is told as ever
 			return end.err
@@ -120,7 +120,7 @@
 			if time.Since(began) > crashSound {
 				wait = crashWait
 			}
-			log.Error("rollout_crashed", "program", k.program, "error", end.why(), "wait", wait)
+			log.Error("rollout_child_crashed", "program", k.program, "error", end.why(), "wait", wait)
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
@@ -240,7 +240,7 @@
 	select {
 	case <-over:
 	case <-time.After(finishMost): // guards against one that hangs
-		k.log.Error("rollout_unfinished", "program", cmd.Path)
+		k.log.Error("rollout_drain_timeout", "program", cmd.Path)
 		cmd.Process.Kill()
 		<-over
 	}
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -198,7 +198,7 @@
 }
 
 func (st *stages) fail(number, turn uint64, why string) {
-	st.log.Error("rollout_not_taken", advice.LogAttrs(&rollout.ChangeNotAppliedError{Number: number, Reason: why})...)
+	st.log.Error("rollout_not_applied", advice.LogAttrs(&rollout.ChangeNotAppliedError{Number: number, Reason: why})...)
 	st.state.Try, st.state.Number, st.state.Failed, st.state.Why = nil, number, turn, why
 }
 
@@ -397,7 +397,7 @@
 		}
 		if out.Restart != nil {
 			if err := st.step(ctx, out.Restart); err != nil {
-				st.log.Error("rollout_not_taken", advice.LogAttrs(err, "number", out.Restart.TargetNumber)...)
+				st.log.Error("rollout_not_applied", advice.LogAttrs(err, "number", out.Restart.TargetNumber)...)
 				st.desk.RecordRestartFailure(err.Error())
 			} else {
 				st.stop()
@@ -437,7 +437,7 @@
 	}
 	st.save()
 	if err := tellKeeper(st.keeper, said{Serving: true}); err != nil {
-		st.log.Error("rollout_keeper", "error", err)
+		st.log.Error("rollout_supervisor", "error", err)
 	}
 	me := st.book.Self()
 	me.SettingsGeneration = numberOf(st.state.Runs)
@@ -445,7 +445,7 @@
 		st.log.Warn("rollout_put", advice.LogAttrs(err, "name", me.Name)...)
 	}
 	st.desk.MarkServing(st.clock())
-	st.log.Info("rollout_serves", "number", numberOf(st.state.Runs), "after", numberOf(st.state.Before))
+	st.log.Info("rollout_serving", "number", numberOf(st.state.Runs), "previous", numberOf(st.state.Before))
 }
 
 // step has this process followed by one that runs the change.
--- a/cmd/chalkring/rollout_test.go
+++ b/cmd/chalkring/rollout_test.go
@@ -134,17 +134,17 @@
 	old, new := builds(t)
 	r := roll(t, old)
 	r.give("north", 1, new, "chalkring 1.5,")
-	first := r.logged("event=rollout_step number=1 ")
+	first := r.logged("event=rollout_restart number=1 ")
 	require.NoError(t, r.Kill(r.ctx, first)) // while it takes over, or just before or after that
 	require.NoError(t, r.Start(r.ctx, first))
-	r.everywhere("event=rollout_serves number=1 ", 1)
+	r.everywhere("event=rollout_serving number=1 ", 1)
 	for _, name := range r.InstanceNames() {
 		link, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", r.PID(name)))
 		require.NoError(t, err)
 		require.Equal(t, old, link, "the keeper stays")
 	}
 	r.give("west", 1, new, "chalkring 1.5,", "order: back", "turn: 2")
-	r.everywhere("event=rollout_serves number=0 after=1", 1)
+	r.everywhere("event=rollout_serving number=0 previous=1", 1)
 	r.judge()
 }
 
@@ -165,10 +165,10 @@
 			r.logged("event=rollout_stopped")
 			r.logged(c.told)
 			time.Sleep(500 * time.Millisecond) // nothing more may begin
-			took := strings.Count(r.all(), "event=rollout_step number=1 ")
+			took := strings.Count(r.all(), "event=rollout_restart number=1 ")
 			require.LessOrEqual(t, took, 1, "%s", r.all())
-			if name == "crashes" && strings.Contains(r.all(), "event=rollout_serves number=1") { // it goes back as others let it
-				r.logged("event=rollout_serves number=0 after=1")
+			if name == "crashes" && strings.Contains(r.all(), "event=rollout_serving number=1") { // it goes back as others let it
+				r.logged("event=rollout_serving number=0 previous=1")
 			}
 			r.judge()
 		})
--- a/control/rollout/active_change.go
+++ b/control/rollout/active_change.go
@@ -104,7 +104,7 @@
 	}
 	c.registry.setChange(digest, change)
 	c.decision.Put[changeKey(change.Number, digest)] = entry
-	c.logEvent(eventChangePublished, nil, "change", change.Name, "number", change.Number, "digest", digest, "from", change.BaseNumber)
+	c.logEvent(eventChangePublished, nil, "change", change.Name, "number", change.Number, "digest", digest, "base", change.BaseNumber)
 	return true
 }
 
@@ -131,7 +131,7 @@
 	if c.initial.FailedNumber == highest {
 		c.status.FailedEpoch = max(c.status.FailedEpoch, c.initial.FailedEpoch)
 	}
-	c.logEvent(eventChangeActivated, nil, "change", change.Name, "number", highest, "from", change.BaseNumber, "steps", len(c.active.steps))
+	c.logEvent(eventChangeActivated, nil, "change", change.Name, "number", highest, "base", change.BaseNumber, "steps", len(c.active.steps))
 	c.decision.Delete = append(c.decision.Delete, c.registry.removeObsolete(change)...)
 }
 
--- a/control/rollout/events.go
+++ b/control/rollout/events.go
@@ -4,17 +4,17 @@
 
 // Names of the log events. docs/oncall.md has a row for each.
 const (
-	eventChangePublished = "rollout_told"      // this instance published its change file
-	eventChangeActivated = "rollout_change"    // a change is in force here
-	eventStepApproved    = "rollout_stage"     // this instance voted for a step to begin
-	eventRestart         = "rollout_step"      // a majority granted this instance's restart
-	eventStopped         = "rollout_stopped"   // a verdict other than to proceed was reached
-	eventResumed         = "rollout_resumed"   // an operator's order in a new epoch
-	eventNotApplied      = "rollout_not_taken" // a ChangeNotAppliedError
-	eventDelayed         = "rollout_waits"     // a StepDelayedError or MemberListMismatchError
-	eventConflict        = "rollout_differs"   // a ConflictingChangesError
-	eventFileStale       = "rollout_file_old"  // a StaleChangeFileError
-	eventTooLarge        = "rollout_too_big"   // a ChangeTooLargeError
+	eventChangePublished = "rollout_change_published" // this instance published its change file
+	eventChangeActivated = "rollout_change_activated" // a change is in force here
+	eventStepApproved    = "rollout_step_approved"    // this instance voted for a step to begin
+	eventRestart         = "rollout_restart"          // a majority granted this instance's restart
+	eventStopped         = "rollout_stopped"          // a verdict other than to proceed was reached
+	eventResumed         = "rollout_resumed"          // an operator's order in a new epoch
+	eventNotApplied      = "rollout_not_applied"      // a ChangeNotAppliedError
+	eventDelayed         = "rollout_delayed"          // a StepDelayedError or MemberListMismatchError
+	eventConflict        = "rollout_conflict"         // a ConflictingChangesError
+	eventFileStale       = "rollout_file_stale"       // a StaleChangeFileError
+	eventTooLarge        = "rollout_change_too_large" // a ChangeTooLargeError
 )
 
 // maxLoggedOnce bounds the conditions that are remembered as logged.
--- a/control/rollout/restart.go
+++ b/control/rollout/restart.go
@@ -39,7 +39,7 @@
 	c.decision.Restart = &Restart{
 		TargetNumber: target, Change: c.registry.change(target), Epoch: c.status.Verdict.Epoch, ReadyTimeout: c.active.ReadyTimeout,
 	}
-	c.logEvent(eventRestart, nil, "number", target, "from", c.status.RunningNumber, "granted", granted)
+	c.logEvent(eventRestart, nil, "number", target, "previous", c.status.RunningNumber, "granted", granted)
 }
 
 // targetNumber is the number of the change that this instance should run.
--- a/control/rollout/stages.go
+++ b/control/rollout/stages.go
@@ -58,7 +58,7 @@
 		searches = active.analysis.CountSearches()
 	}
 	c.logEvent(eventStepApproved, nil, "change", active.Name, "number", active.Number, "step", status.ApprovedSteps,
-		"of", len(active.steps), "searches", searches)
+		"steps", len(active.steps), "searches", searches)
 }
 
 // logDelay logs why the next step has not begun, once it could have begun long ago.
--- a/internal/benchmark/rollout.go
+++ b/internal/benchmark/rollout.go
@@ -74,7 +74,7 @@
 	began := time.Now()
 	serving := func(number int) (n int) {
 		for _, name := range names {
-			if strings.Contains(r.Log(name), fmt.Sprintf("event=rollout_serves number=%d ", number)) {
+			if strings.Contains(r.Log(name), fmt.Sprintf("event=rollout_serving number=%d ", number)) {
 				n++
 			}
 		}
@@ -98,7 +98,7 @@
 	first := time.Since(began)
 	halted := until(rolloutBad, func() bool { return logged(r, "event=rollout_stopped") })
 	stopAfter := time.Since(began) - first
-	back := until(rolloutBad+2*time.Second, func() bool { return logged(r, "event=rollout_serves number=0 after=1") })
+	back := until(rolloutBad+2*time.Second, func() bool { return logged(r, "event=rollout_serving number=0 previous=1") })
 	reached := serving(1)
 	if err := give(2, `{Safety: {ExtraFloor: 0.5}}`); err != nil {
 		return out, err
