--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -55,12 +55,12 @@
 	}
 }
 
-// goldenStanding are the forms in which an instance keeps what it runs.
-func goldenStanding() map[string]standing {
-	return map[string]standing{
+// goldenRolloutStates are the forms in which an instance keeps what it runs.
+func goldenRolloutStates() map[string]rolloutState {
+	return map[string]rolloutState{
 		"rollout-standing.hex": {
-			Runs: goldenChange(7), Before: goldenChange(6), Try: &try{To: goldenChange(8), Turn: 3, Count: 1, Ready: 100_000},
-			Turn: 2, Starts: 4, Clean: true, Failed: 5, Number: 9, Why: "did not serve in time",
+			Running: goldenChange(7), Previous: goldenChange(6), Attempt: &restartAttempt{Target: goldenChange(8), Epoch: 3, Starts: 1, ReadyTimeout: 100_000},
+			RunningEpoch: 2, UnplannedStarts: 4, EndedCleanly: true, FailedEpoch: 5, FailedNumber: 9, FailureReason: "did not serve in time",
 		},
 		"rollout-standing-empty.hex": {},
 	}
@@ -81,9 +81,9 @@
 
 // What an instance keeps of changes is written as the golden bytes under bucket rollout, key standing, and read back.
 func TestGoldenRolloutState(t *testing.T) {
-	for name, value := range goldenStanding() {
+	for name, value := range goldenRolloutStates() {
 		s := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
-		require.NoError(t, (&stages{sharing: s, state: value}).save())
+		require.NoError(t, (&rolloutRunner{sharing: s, state: value}).save())
 		now, found, err := s.store.Get("rollout", "standing")
 		require.NoError(t, err)
 		require.True(t, found)
@@ -92,10 +92,10 @@
 
 		read := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 		require.NoError(t, read.store.Put(t.Context(), "rollout", map[string][]byte{"standing": want}, nil))
-		st := &stages{sharing: read}
+		st := &rolloutRunner{sharing: read}
 		st.load()
 		require.Equal(t, value, st.state, name)
-		require.Equal(t, value.Clean, st.kept, name)
+		require.Equal(t, value.EndedCleanly, st.isStateKnown, name)
 	}
 }
 
@@ -201,16 +201,16 @@
 
 // What a serving process tells its keeper, a line each, and the names that both know each other by.
 func TestGoldenKeeperLines(t *testing.T) {
-	values := []said{
+	values := []supervisorMessage{
 		{Serving: true},
-		{Next: &next{Program: "/opt/chalkring-2", Ready: 10 * time.Second, After: true}},
-		{Serving: true, Next: &next{Program: "/opt/chalkring", Ready: 1500 * time.Millisecond}},
+		{Next: &successor{Program: "/opt/chalkring-2", ReadyTimeout: 10 * time.Second, AfterExit: true}},
+		{Serving: true, Next: &successor{Program: "/opt/chalkring", ReadyTimeout: 1500 * time.Millisecond}},
 	}
 	from, to, err := os.Pipe()
 	require.NoError(t, err)
 	defer from.Close()
 	for _, value := range values {
-		require.NoError(t, tellKeeper(to, value))
+		require.NoError(t, notifySupervisor(to, value))
 	}
 	require.NoError(t, to.Close())
 	now, err := io.ReadAll(from)
@@ -223,10 +223,10 @@
 	require.NoError(t, err)
 	require.Equal(t, string(want), string(now))
 	for i, line := range strings.Split(strings.TrimSpace(string(want)), "\n") {
-		var got said
+		var got supervisorMessage
 		require.NoError(t, json.Unmarshal([]byte(line), &got))
 		require.Equal(t, values[i], got)
 	}
-	require.Equal(t, []string{"CHALKRING_KEPT", "CHALKRING_FELL", "CHALKRING_OWN"}, []string{keptEnv, fellEnv, ownEnv})
-	require.Equal(t, []int{3, 4}, []int{listenerFd, keeperFd})
+	require.Equal(t, []string{"CHALKRING_KEPT", "CHALKRING_FELL", "CHALKRING_OWN"}, []string{programEnv, failureEnv, installedProgramEnv})
+	require.Equal(t, []int{3, 4}, []int{listenerFd, supervisorFd})
 }
--- a/cmd/chalkring/held_test.go
+++ b/cmd/chalkring/held_test.go
@@ -22,7 +22,7 @@
 	const policy = "00000000000000000002-0"
 	require.NoError(t, held.Put(t.Context(), zonesBucket, map[string][]byte{policy: []byte(contractsTwo)}, nil))
 	a := live(t, dir, "a", addrs, true) // waits for the store as long as a start does
-	st := &stages{sharing: a.s}
+	st := &rolloutRunner{sharing: a.s}
 	st.load()
 	require.Contains(t, a.text(), "is held by another process")
 	require.NoError(t, held.Close(t.Context()))
@@ -36,7 +36,7 @@
 	_, found, err := a.s.store.Get(zonesBucket, policy)
 	require.NoError(t, err)
 	require.True(t, found, a.text())
-	st.state.Runs = &rollout.Change{Number: 1}
+	st.state.Running = &rollout.Change{Number: 1}
 	require.Error(t, st.save(), "what it ran before is not known")
 	_, found, err = a.s.store.Get(rolloutBucket, standingKey)
 	require.NoError(t, err)
--- a/cmd/chalkring/keeper.go
+++ b/cmd/chalkring/keeper.go
@@ -26,43 +26,43 @@
 // reads no settings and has no other state: killed, it takes its child with it, and the store tells the next one.
 
 const (
-	keptEnv     = "CHALKRING_KEPT"       // in a child's environment: the program's path as the keeper started it
-	fellEnv     = "CHALKRING_FELL"       // why the one before it fell
-	ownEnv      = "CHALKRING_OWN"        // the installed program
-	listenerFd  = 3                      // in a child
-	keeperFd    = 4                      // to the keeper, lines of said
-	crashWait   = 100 * time.Millisecond // before a child that crashed is followed, doubled up to
-	crashMost   = 5 * time.Second
-	crashSound  = time.Minute      // after which a child counts as sound again
-	finishMost  = 30 * time.Second // for a child to answer what it holds: a stop takes 21 s at the most
-	lastWords   = time.Second      // for what a child said last
-	versionMost = 5 * time.Second  // for a program to tell its version
-	sayMost     = 1 << 16          // bytes of a line to the keeper
+	programEnv          = "CHALKRING_KEPT"       // in a child's environment: the program's path as the keeper started it
+	failureEnv          = "CHALKRING_FELL"       // why the one before it fell
+	installedProgramEnv = "CHALKRING_OWN"        // the installed program
+	listenerFd          = 3                      // in a child
+	supervisorFd        = 4                      // to the keeper, lines of said
+	crashWait           = 100 * time.Millisecond // before a child that crashed is followed, doubled up to
+	crashMost           = 5 * time.Second
+	crashSound          = time.Minute      // after which a child counts as sound again
+	finishMost          = 30 * time.Second // for a child to answer what it holds: a stop takes 21 s at the most
+	lastWords           = time.Second      // for what a child said last
+	versionMost         = 5 * time.Second  // for a program to tell its version
+	sayMost             = 1 << 16          // bytes of a line to the keeper
 )
 
-// said is what a child tells its keeper.
-type said struct {
-	Serving bool  `json:"serving,omitempty"`
-	Next    *next `json:"next,omitempty"`
+// supervisorMessage is what a child tells its keeper.
+type supervisorMessage struct {
+	Serving bool       `json:"serving,omitempty"`
+	Next    *successor `json:"next,omitempty"`
 }
 
-// next is what is to follow a child once it has ended.
-type next struct {
-	Program string        `json:"program"`
-	Ready   time.Duration `json:"ready"` // in which the next has to serve
-	After   bool          `json:"after"` // once this one has ended; it holds what the next needs
+// successor is what is to follow a child once it has ended.
+type successor struct {
+	Program      string        `json:"program"`
+	ReadyTimeout time.Duration `json:"ready"` // in which the next has to serve
+	AfterExit    bool          `json:"after"` // once this one has ended; it holds what the next needs
 }
 
-// DidNotServe is a child that was to take a change and fell.
-type DidNotServe struct {
+// ChildFailedError is a child that was to take a change and fell.
+type ChildFailedError struct {
 	Program string
 	Why     string
 }
 
-func (e *DidNotServe) Error() string { return fmt.Sprintf("%s: %s", e.Program, e.Why) }
+func (e *ChildFailedError) Error() string { return fmt.Sprintf("%s: %s", e.Program, e.Why) }
 
 // Advice tells an operator what to do.
-func (e *DidNotServe) Advice() string {
+func (e *ChildFailedError) Advice() string {
 	return "Read what it logged before it ended; the program before it serves again."
 }
 
@@ -76,8 +76,8 @@
 	old     sync.WaitGroup // children that finish what they hold beside the one that serves
 }
 
-// keepUp serves by children until ctx ends and they have finished.
-func keepUp(ctx context.Context, address string, hangUps chan os.Signal, log *slog.Logger) error {
+// supervise serves by children until ctx ends and they have finished.
+func supervise(ctx context.Context, address string, hangUps chan os.Signal, log *slog.Logger) error {
 	runtime.LockOSThread() // a child ends with the thread that started it
 	defer runtime.UnlockOSThread()
 	own, err := os.Executable()
@@ -105,13 +105,13 @@
 		case ctx.Err() != nil:
 			return end.err
 		case end.next != nil && (end.served || trying == 0):
-			trying, k.fell = end.next.Ready, ""
+			trying, k.fell = end.next.ReadyTimeout, ""
 			if end.served {
 				k.good = k.program
 			}
 			k.program = end.next.Program
 		case trying > 0 && !end.served:
-			why := &DidNotServe{k.program, end.why()}
+			why := &ChildFailedError{k.program, end.why()}
 			log.Error("rollout_child_failed", advice.LogAttrs(why, "program", k.good)...)
 			k.program, k.fell, trying = k.good, end.why(), 0
 		case !served: // a start that fails is told as ever
@@ -135,7 +135,7 @@
 type ended struct {
 	served bool
 	late   bool // it was killed: not serving in time
-	next   *next
+	next   *successor
 	err    error
 }
 
@@ -157,7 +157,7 @@
 	}
 	cmd := exec.Command(k.program, os.Args[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdin, os.Stdout, os.Stderr, []*os.File{k.socket, to}
-	cmd.Env = append(os.Environ(), keptEnv+"="+k.program, fellEnv+"="+k.fell, ownEnv+"="+k.own)
+	cmd.Env = append(os.Environ(), programEnv+"="+k.program, failureEnv+"="+k.fell, installedProgramEnv+"="+k.own)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	err = cmd.Start()
 	to.Close()
@@ -165,7 +165,7 @@
 		from.Close()
 		return ended{err: err}
 	}
-	words, over, gone := make(chan said), make(chan error, 1), make(chan struct{})
+	words, over, gone := make(chan supervisorMessage), make(chan error, 1), make(chan struct{})
 	defer close(gone)
 	go func() {
 		defer from.Close()
@@ -173,7 +173,7 @@
 		lines := bufio.NewScanner(from)
 		lines.Buffer(nil, sayMost)
 		for lines.Scan() {
-			var s said
+			var s supervisorMessage
 			if json.Unmarshal(lines.Bytes(), &s) != nil {
 				continue
 			}
@@ -196,7 +196,7 @@
 			switch {
 			case !ok:
 				words = nil
-			case s.Next != nil && !s.Next.After:
+			case s.Next != nil && !s.Next.AfterExit:
 				e.next = s.Next
 				k.old.Go(func() { k.finish(cmd, over) })
 				return e
@@ -246,12 +246,12 @@
 	}
 }
 
-// kept tells whether this process has a keeper.
-func kept() bool { return os.Getenv(keptEnv) != "" }
+// isSupervised tells whether this process has a keeper.
+func isSupervised() bool { return os.Getenv(programEnv) != "" }
 
-// toKeeper is the way to it, and the socket that it handed over.
-func toKeeper() (*os.File, net.Listener, error) {
-	for _, fd := range []int{listenerFd, keeperFd} {
+// openSupervisorFiles is the way to it, and the socket that it handed over.
+func openSupervisorFiles() (*os.File, net.Listener, error) {
+	for _, fd := range []int{listenerFd, supervisorFd} {
 		syscall.CloseOnExec(fd)
 	}
 	socket := os.NewFile(listenerFd, "listener")
@@ -260,10 +260,10 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return os.NewFile(keeperFd, "keeper"), ln, nil
+	return os.NewFile(supervisorFd, "keeper"), ln, nil
 }
 
-func tellKeeper(to *os.File, s said) error {
+func notifySupervisor(to *os.File, s supervisorMessage) error {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return err
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -88,7 +88,7 @@
 	var lists <-chan endpoints.Update
 	var keep *coordinator.Persistence
 	var zones *coordinator.ResidencyGuard
-	var steps *stages
+	var steps *rolloutRunner
 	if s.Installation != "" {
 		file, err := config.Read(s.Installation)
 		if err != nil {
@@ -98,8 +98,8 @@
 		if plan, err = settingsOf(file, plan); err != nil {
 			return noStart(fmt.Errorf("%s: %w", s.Installation, err))
 		}
-		if rolls(file) && !kept() {
-			if err := keepUp(ctx, plan.Listen, hangUps, log); err != nil {
+		if hasRollout(file) && !isSupervised() {
+			if err := supervise(ctx, plan.Listen, hangUps, log); err != nil {
 				return noStart(err)
 			}
 			return nil
@@ -118,14 +118,14 @@
 			return noStart(fmt.Errorf("%s: %w", s.Installation, err))
 		}
 		defer together.leave()
-		if rolls(file) {
-			if steps, err = stagesOf(together); errors.Is(err, errHanded) {
+		if hasRollout(file) {
+			if steps, err = newRolloutRunner(together); errors.Is(err, errReplaced) {
 				return nil
 			} else if err != nil {
 				return noStart(err)
 			}
-			defer steps.end()
-			if plan, err = steps.laid(file, plan); err != nil {
+			defer steps.stopServing()
+			if plan, err = steps.applyTo(file, plan); err != nil {
 				return noStart(err)
 			}
 		}
@@ -153,7 +153,7 @@
 		PlanUpdates: coordinator.WatchPlanReloads(ctx, plan, hangUps, os.Getenv, log),
 	}
 	if steps != nil {
-		ctx = steps.serving(ctx, &means)
+		ctx = steps.startServing(ctx, &means)
 	} else if means.Listener, err = listen(ctx, plan.Listen, log); err != nil {
 		return noStart(err)
 	}
@@ -366,8 +366,8 @@
 					err = fmt.Errorf("%s: %w", name, err)
 				}
 			}
-			if err == nil && rolls(file) {
-				err = checkRollout(file)
+			if err == nil && hasRollout(file) {
+				err = checkChangeFile(file)
 			}
 			if err == nil && file.Fleet != nil && file.Fleet.ResidencyFile != "" {
 				var text []byte
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -50,7 +50,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), settleMost)
 	defer stop()
 	require.NoError(t, l.s.shared.WaitPersisted(ctx))
-	st := &stages{sharing: l.s, state: standing{Runs: &rollout.Change{Name: "c", Number: 7, Settings: map[string]string{"Classes.0.Aim": "5"}}}}
+	st := &rolloutRunner{sharing: l.s, state: rolloutState{Running: &rollout.Change{Name: "c", Number: 7, Settings: map[string]string{"Classes.0.Aim": "5"}}}}
 	require.NoError(t, st.save())
 	require.NoError(t, l.s.store.Put(ctx, zonesBucket, map[string][]byte{"policy": []byte("generation: 9")}, nil))
 	l.s.leave()
@@ -63,9 +63,9 @@
 			all = append(all, name)
 		}
 	}
-	st := &stages{sharing: l.s}
+	st := &rolloutRunner{sharing: l.s}
 	st.load()
-	if st.runs() != nil {
+	if st.runningChange() != nil {
 		all = append(all, "change")
 	}
 	if l.s.store != nil {
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -26,8 +26,8 @@
 		{map[string]string{"Tenants.1.QuotaPerS": "5"}, "Tenants.1.QuotaPerS the plan has 1 tenants"},
 		{map[string]string{"Classes.0.Aim": "5", "Classes.0.Name": "full-match"}, `Classes.0.Name is "full-match", the plan has "lookup"`},
 	} {
-		st := &stages{state: standing{Runs: &rollout.Change{Number: 4, Settings: c.settings}}}
-		laid, err := st.laid(&config.File{}, plan)
+		st := &rolloutRunner{state: rolloutState{Running: &rollout.Change{Number: 4, Settings: c.settings}}}
+		laid, err := st.applyTo(&config.File{}, plan)
 		if c.want == "" {
 			require.NoError(t, err)
 			require.NotNil(t, laid)
@@ -35,13 +35,13 @@
 		}
 		require.ErrorContains(t, err, "change 4 does not fit this plan: "+c.want)
 		require.NotEmpty(t, advice.For(err))
-		step := st.step(t.Context(), &rollout.Restart{Change: st.state.Runs})
+		step := st.restart(t.Context(), &rollout.Restart{Change: st.state.Running})
 		require.Equal(t, err, step, "before it restarts for it")
 	}
 }
 
 // A change file may say which class or tenant a setting means.
-func TestChangeFileNamesAPlace(t *testing.T) {
+func TestChangeFileNamesAClass(t *testing.T) {
 	text := "name: c\nnumber: 1\nstages: [{share: 1}]\nsettings: {Classes.0.Aim: 5, Classes.0.Name: lookup, Classes.0.Other: x}\n...\n"
 	_, err := rollout.ParseChangeFile("f", []byte(text))
 	require.ErrorContains(t, err, "Classes.0.Other")
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -41,24 +41,24 @@
 	memoryMetric  = "/memory/classes/total:bytes"
 )
 
-// standing is what an instance keeps on its disk about changes; later versions may add to it.
-type standing struct {
-	Runs   *rollout.Change `cbor:"1,keyasint"` // nil for the own files
-	Before *rollout.Change `cbor:"2,keyasint"` // what it ran before that
-	Try    *try            `cbor:"3,keyasint"` // a step that is begun and not ended
-	Turn   uint64          `cbor:"4,keyasint"` // in which Runs was taken
-	Starts int             `cbor:"5,keyasint"` // with Runs that nobody asked for
-	Clean  bool            `cbor:"6,keyasint"` // the last life ended as it was told to
-	Failed uint64          `cbor:"7,keyasint"` // turn in which Number could not be taken
-	Number uint64          `cbor:"8,keyasint"`
-	Why    string          `cbor:"9,keyasint"`
-}
-
-type try struct {
-	To    *rollout.Change `cbor:"1,keyasint"` // nil for the own files
-	Turn  uint64          `cbor:"2,keyasint"`
-	Count int             `cbor:"3,keyasint"` // starts into it
-	Ready int64           `cbor:"4,keyasint"`
+// rolloutState is what an instance keeps on its disk about changes; later versions may add to it.
+type rolloutState struct {
+	Running         *rollout.Change `cbor:"1,keyasint"` // nil for the own files
+	Previous        *rollout.Change `cbor:"2,keyasint"` // what it ran before that
+	Attempt         *restartAttempt `cbor:"3,keyasint"` // a step that is begun and not ended
+	RunningEpoch    uint64          `cbor:"4,keyasint"` // in which Runs was taken
+	UnplannedStarts int             `cbor:"5,keyasint"` // with Runs that nobody asked for
+	EndedCleanly    bool            `cbor:"6,keyasint"` // the last life ended as it was told to
+	FailedEpoch     uint64          `cbor:"7,keyasint"` // turn in which Number could not be taken
+	FailedNumber    uint64          `cbor:"8,keyasint"`
+	FailureReason   string          `cbor:"9,keyasint"`
+}
+
+type restartAttempt struct {
+	Target       *rollout.Change `cbor:"1,keyasint"` // nil for the own files
+	Epoch        uint64          `cbor:"2,keyasint"`
+	Starts       int             `cbor:"3,keyasint"` // starts into it
+	ReadyTimeout int64           `cbor:"4,keyasint"`
 }
 
 func numberOf(c *rollout.Change) uint64 {
@@ -68,53 +68,53 @@
 	return c.Number
 }
 
-// NoStore is an installation that takes part in changes and keeps nothing on disk.
-type NoStore struct{}
+// MissingStoreError is an installation that takes part in changes and keeps nothing on disk.
+type MissingStoreError struct{}
 
-func (*NoStore) Error() string { return "fleet.rollout without fleet.store" }
+func (*MissingStoreError) Error() string { return "fleet.rollout without fleet.store" }
 
 // Advice tells an operator what to do.
-func (*NoStore) Advice() string {
+func (*MissingStoreError) Advice() string {
 	return "Name a file in `fleet.store`: an instance has to know after a crash what it was running."
 }
 
-// WrongVersion is a program that is not the one that a change means.
-type WrongVersion struct{ Path, Want, Got string }
+// ProgramVersionError is a program that is not the one that a change means.
+type ProgramVersionError struct{ Path, Want, Got string }
 
-func (e *WrongVersion) Error() string {
+func (e *ProgramVersionError) Error() string {
 	return fmt.Sprintf("%s tells version %.80q, not %q", e.Path, e.Got, e.Want)
 }
 
 // Advice tells an operator what to do.
-func (e *WrongVersion) Advice() string {
+func (e *ProgramVersionError) Advice() string {
 	return "Put the program that the change means at its path on every instance, or mend program.version in a change with a new number."
 }
 
-// stages is this instance's part in changes in stages.
-type stages struct {
+// rolloutRunner is this instance's part in changes in rolloutRunner.
+type rolloutRunner struct {
 	*sharing
-	keeper *os.File
-	ln     net.Listener
-	state  standing
-	missed bool // the store was not there in time: what it keeps is not known, and is left as it is
-	kept   bool // what the last life promised is known: it ended as it was told to
-	desk   *rollout.Controller
-	site   residency.Site // of the plan
-	sums   sums
-	inside chan net.Conn            // to it from within, past the socket: another process may hold that too
-	own    *coordinator.Persistence // what is kept beside, nil for nothing
-	alone  bool                     // nothing but the socket, the store and the network is held
-	stop   context.CancelFunc       // the serving
-	done   chan struct{}
-}
-
-// rolls tells whether an installation takes part in changes.
-func rolls(file *config.File) bool { return file.Fleet != nil && file.Fleet.RolloutFile != "" }
-
-// checkRollout looks at the change file that an installation names, if there is one now, and at what it needs.
-func checkRollout(file *config.File) error {
+	keeper            *os.File
+	ln                net.Listener
+	state             rolloutState
+	missed            bool // the store was not there in time: what it keeps is not known, and is left as it is
+	isStateKnown      bool // what the last life promised is known: it ended as it was told to
+	controller        *rollout.Controller
+	site              residency.Site // of the plan
+	counters          searchCounters
+	inside            chan net.Conn            // to it from within, past the socket: another process may hold that too
+	own               *coordinator.Persistence // what is kept beside, nil for nothing
+	isOverlapPossible bool                     // nothing but the socket, the store and the network is held
+	stop              context.CancelFunc       // the serving
+	done              chan struct{}
+}
+
+// hasRollout tells whether an installation takes part in changes.
+func hasRollout(file *config.File) bool { return file.Fleet != nil && file.Fleet.RolloutFile != "" }
+
+// checkChangeFile looks at the change file that an installation names, if there is one now, and at what it needs.
+func checkChangeFile(file *config.File) error {
 	if file.Fleet.StoreFile == "" {
-		return &NoStore{}
+		return &MissingStoreError{}
 	}
 	text, err := os.ReadFile(file.Fleet.RolloutFile)
 	if errors.Is(err, os.ErrNotExist) {
@@ -126,16 +126,16 @@
 	return err
 }
 
-var errHanded = errors.New("another program takes over")
+var errReplaced = errors.New("another program takes over")
 
-// stagesOf finds out what this process is to run. errHanded: another program is, and the keeper starts it.
-func stagesOf(s *sharing) (*stages, error) {
+// newRolloutRunner finds out what this process is to run. errReplaced: another program is, and the keeper starts it.
+func newRolloutRunner(s *sharing) (*rolloutRunner, error) {
 	if s.file.StoreFile == "" {
-		return nil, &NoStore{}
+		return nil, &MissingStoreError{}
 	}
-	st := &stages{sharing: s, inside: make(chan net.Conn), done: make(chan struct{})}
+	st := &rolloutRunner{sharing: s, inside: make(chan net.Conn), done: make(chan struct{})}
 	var err error
-	if st.keeper, st.ln, err = toKeeper(); err != nil {
+	if st.keeper, st.ln, err = openSupervisorFiles(); err != nil {
 		return nil, err
 	}
 	select {
@@ -147,62 +147,62 @@
 	case <-time.After(openWait):
 	}
 	st.load()
-	if t := st.state.Try; t != nil {
-		switch fell := os.Getenv(fellEnv); {
+	if t := st.state.Attempt; t != nil {
+		switch fell := os.Getenv(failureEnv); {
 		case fell != "":
-			st.fail(numberOf(t.To), t.Turn, fell)
-		case t.Count >= triesMost:
-			st.fail(numberOf(t.To), t.Turn, fmt.Sprintf("ended %d times before it served", t.Count))
+			st.fail(numberOf(t.Target), t.Epoch, fell)
+		case t.Starts >= triesMost:
+			st.fail(numberOf(t.Target), t.Epoch, fmt.Sprintf("ended %d times before it served", t.Starts))
 		default:
-			t.Count++
+			t.Starts++
 		}
 	} else {
-		if !st.state.Clean {
-			st.state.Starts++
+		if !st.state.EndedCleanly {
+			st.state.UnplannedStarts++
 		}
-		if st.state.Starts > startsMost && st.state.Runs != nil { // guards against a crash loop too quick to be talked about
-			st.fail(st.state.Runs.Number, st.state.Turn, fmt.Sprintf("started %d times by itself", st.state.Starts))
-			st.state.Runs, st.state.Before, st.state.Starts = st.state.Before, nil, 0
+		if st.state.UnplannedStarts > startsMost && st.state.Running != nil { // guards against a crash loop too quick to be talked about
+			st.fail(st.state.Running.Number, st.state.RunningEpoch, fmt.Sprintf("started %d times by itself", st.state.UnplannedStarts))
+			st.state.Running, st.state.Previous, st.state.UnplannedStarts = st.state.Previous, nil, 0
 		}
 	}
-	st.state.Clean = false
+	st.state.EndedCleanly = false
 	st.save()
-	program := os.Getenv(ownEnv)
-	if c := st.runs(); c != nil && c.Program.Path != "" {
+	program := os.Getenv(installedProgramEnv)
+	if c := st.runningChange(); c != nil && c.Program.Path != "" {
 		program = c.Program.Path
 	}
-	if program != os.Getenv(keptEnv) {
+	if program != os.Getenv(programEnv) {
 		ready := openWait
-		if t := st.state.Try; t != nil {
-			t.Count-- // the start that counts is the next
-			ready = time.Duration(t.Ready) * tenth
+		if t := st.state.Attempt; t != nil {
+			t.Starts-- // the start that counts is the next
+			ready = time.Duration(t.ReadyTimeout) * tenth
 		}
-		st.state.Clean = true
+		st.state.EndedCleanly = true
 		st.save()
-		if err := tellKeeper(st.keeper, said{Next: &next{program, ready, true}}); err != nil {
+		if err := notifySupervisor(st.keeper, supervisorMessage{Next: &successor{program, ready, true}}); err != nil {
 			return nil, err
 		}
-		return nil, errHanded
+		return nil, errReplaced
 	}
 	return st, nil
 }
 
 const tenth = 100 * time.Microsecond
 
-// runs is the change that this process runs, nil for the own files.
-func (st *stages) runs() *rollout.Change {
-	if st.state.Try != nil {
-		return st.state.Try.To
+// runningChange is the change that this process runningChange, nil for the own files.
+func (st *rolloutRunner) runningChange() *rollout.Change {
+	if st.state.Attempt != nil {
+		return st.state.Attempt.Target
 	}
-	return st.state.Runs
+	return st.state.Running
 }
 
-func (st *stages) fail(number, turn uint64, why string) {
+func (st *rolloutRunner) fail(number, turn uint64, why string) {
 	st.log.Error("rollout_not_applied", advice.LogAttrs(&rollout.ChangeNotAppliedError{Number: number, Reason: why})...)
-	st.state.Try, st.state.Number, st.state.Failed, st.state.Why = nil, number, turn, why
+	st.state.Attempt, st.state.FailedNumber, st.state.FailedEpoch, st.state.FailureReason = nil, number, turn, why
 }
 
-func (st *stages) load() {
+func (st *rolloutRunner) load() {
 	select {
 	case <-st.opened:
 	default:
@@ -217,17 +217,17 @@
 		err = cbor.Unmarshal(text, &st.state)
 	}
 	if err != nil {
-		st.state = standing{}
+		st.state = rolloutState{}
 		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.StoreFile)...)
 		return
 	}
-	if st.kept = found && st.state.Clean; !found { // a crash may have cut off the last words to the disk
-		st.state.Clean = true
+	if st.isStateKnown = found && st.state.EndedCleanly; !found { // a crash may have cut off the last words to the disk
+		st.state.EndedCleanly = true
 	}
 }
 
 // save has what is known on the disk; an instance that cannot keep it takes no step.
-func (st *stages) save() error {
+func (st *rolloutRunner) save() error {
 	select {
 	case <-st.opened:
 	default:
@@ -237,7 +237,7 @@
 		return context.DeadlineExceeded
 	}
 	if st.store == nil {
-		return &NoStore{}
+		return &MissingStoreError{}
 	}
 	text, err := cbor.Marshal(st.state)
 	if err != nil {
@@ -252,40 +252,40 @@
 	return err
 }
 
-// OtherPlan is a change whose settings do not fit this instance's plan.
-type OtherPlan struct {
+// PlanMismatchError is a change whose settings do not fit this instance's plan.
+type PlanMismatchError struct {
 	Number  uint64
 	Setting string
 	Why     string
 }
 
-func (e *OtherPlan) Error() string {
+func (e *PlanMismatchError) Error() string {
 	return fmt.Sprintf("change %d does not fit this plan: %s %s", e.Number, e.Setting, e.Why)
 }
 
 // Advice tells an operator what to do.
-func (e *OtherPlan) Advice() string {
+func (e *PlanMismatchError) Advice() string {
 	return "Give all instances plans with the same classes and tenants in the same order, or take the change back; `Name` beside a setting of a class or tenant says which is meant."
 }
 
-// fits looks whether a change's settings mean what this instance's plan has at their places.
-func (st *stages) fits(c *rollout.Change) error {
+// checkPlan looks whether a change's settings mean what this instance's plan has at their places.
+func (st *rolloutRunner) checkPlan(c *rollout.Change) error {
 	if c == nil {
 		return nil
 	}
 	wrong := config.MisplacedSettings(c.Settings, st.site.Classes, st.site.Tenants)
 	for _, name := range slices.Sorted(maps.Keys(wrong)) { // the same fault each time
-		return &OtherPlan{c.Number, name, wrong[name]}
+		return &PlanMismatchError{c.Number, name, wrong[name]}
 	}
 	return nil
 }
 
-// laid puts the change that runs over an installation's settings.
-func (st *stages) laid(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
-	st.sums.aims = plan.LatencyObjectives() // both sides are held against the same
+// applyTo puts the change that runs over an installation's settings.
+func (st *rolloutRunner) applyTo(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
+	st.counters.aims = plan.LatencyObjectives() // both sides are held against the same
 	st.site = plan.ResidencySite()
-	c := st.runs()
-	if err := st.fits(c); err != nil {
+	c := st.runningChange()
+	if err := st.checkPlan(c); err != nil {
 		return nil, err
 	}
 	if c == nil {
@@ -296,23 +296,23 @@
 	return plan.WithSettings(over)
 }
 
-// serving is the context of the serving: it ends for a step too. means is given what counts for the comparison.
-func (st *stages) serving(ctx context.Context, means *coordinator.Options) context.Context {
+// startServing is the context of the startServing: it ends for a step too. means is given what counts for the comparison.
+func (st *rolloutRunner) startServing(ctx context.Context, means *coordinator.Options) context.Context {
 	ctx, st.stop = context.WithCancel(ctx)
-	st.alone = (means.Peers == nil || means.Peers.Listener == nil) && len(means.Frontends) == 0
+	st.isOverlapPossible = (means.Peers == nil || means.Peers.Listener == nil) && len(means.Frontends) == 0
 	st.own = means.Persistence
-	means.Listener, means.OnSearchEnd = newDoorway(st.ln, st.inside), st.sums.ended
+	means.Listener, means.OnSearchEnd = newDoorway(st.ln, st.inside), st.counters.ended
 	dial := means.Dial
 	means.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		st.sums.connects.Add(1)
+		st.counters.connects.Add(1)
 		return dial(ctx, network, addr)
 	}
 	go st.run(ctx)
 	return ctx
 }
 
-// end is the end of a life that was told to end.
-func (st *stages) end() {
+// stopServing is the stopServing of a life that was told to stopServing.
+func (st *rolloutRunner) stopServing() {
 	if st.stop == nil { // it never served
 		return
 	}
@@ -321,18 +321,18 @@
 	if st.handing { // it has said so before
 		return
 	}
-	st.state.Clean = true
+	st.state.EndedCleanly = true
 	st.save()
 }
 
 // run looks again and again until the serving ends.
-func (st *stages) run(ctx context.Context) {
+func (st *rolloutRunner) run(ctx context.Context) {
 	defer close(st.done)
 	me := st.book.Self()
-	st.desk = rollout.New(rollout.InitialState{
+	st.controller = rollout.New(rollout.InitialState{
 		Self: rollout.Instance{Name: me.Name, Region: me.Region, Zone: me.Zone}, Incarnation: me.Incarnation,
-		Members: st.file.VotingMembers, RunningNumber: numberOf(st.runs()), FailedEpoch: st.state.Failed, FailedNumber: st.state.Number, FailureReason: st.state.Why,
-		UnplannedRestarts: st.state.Starts, NoSavedState: !st.kept, Now: st.clock(),
+		Members: st.file.VotingMembers, RunningNumber: numberOf(st.runningChange()), FailedEpoch: st.state.FailedEpoch, FailedNumber: st.state.FailedNumber, FailureReason: st.state.FailureReason,
+		UnplannedRestarts: st.state.UnplannedStarts, NoSavedState: !st.isStateKnown, Now: st.clock(),
 	})
 	stirred, unwatch := st.shared.Watch(rollout.KeyPrefix)
 	defer unwatch()
@@ -366,7 +366,7 @@
 				if one.Deleted {
 					continue
 				}
-				if err := st.desk.HandleEntry(now, e.Name, one.Value); err != nil {
+				if err := st.controller.HandleEntry(now, e.Name, one.Value); err != nil {
 					st.log.Warn("rollout_entry", advice.LogAttrs(err)...)
 				}
 			}
@@ -375,9 +375,9 @@
 		for _, m := range st.book.Members() {
 			places = append(places, rollout.Instance{Name: m.Name, Region: m.Region, Zone: m.Zone})
 		}
-		st.desk.SetInstances(places, st.book.NameConflicts())
-		st.desk.SetStats(st.sums.now())
-		out := st.desk.Decide(now)
+		st.controller.SetInstances(places, st.book.NameConflicts())
+		st.controller.SetStats(st.counters.now())
+		out := st.controller.Decide(now)
 		for name, value := range out.Put {
 			if _, err := st.shared.Put(name, value); err != nil {
 				st.log.Warn("rollout_put", advice.LogAttrs(err, "name", name)...)
@@ -396,9 +396,9 @@
 			}
 		}
 		if out.Restart != nil {
-			if err := st.step(ctx, out.Restart); err != nil {
+			if err := st.restart(ctx, out.Restart); err != nil {
 				st.log.Error("rollout_not_applied", advice.LogAttrs(err, "number", out.Restart.TargetNumber)...)
-				st.desk.RecordRestartFailure(err.Error())
+				st.controller.RecordRestartFailure(err.Error())
 			} else {
 				st.stop()
 				return
@@ -430,60 +430,60 @@
 }
 
 // taken ends a step that went well.
-func (st *stages) taken() {
-	if t := st.state.Try; t != nil {
-		st.state.Before, st.state.Runs, st.state.Turn, st.state.Try = st.state.Runs, t.To, t.Turn, nil
-		st.state.Starts, st.state.Failed, st.state.Number, st.state.Why = 0, 0, 0, ""
+func (st *rolloutRunner) taken() {
+	if t := st.state.Attempt; t != nil {
+		st.state.Previous, st.state.Running, st.state.RunningEpoch, st.state.Attempt = st.state.Running, t.Target, t.Epoch, nil
+		st.state.UnplannedStarts, st.state.FailedEpoch, st.state.FailedNumber, st.state.FailureReason = 0, 0, 0, ""
 	}
 	st.save()
-	if err := tellKeeper(st.keeper, said{Serving: true}); err != nil {
+	if err := notifySupervisor(st.keeper, supervisorMessage{Serving: true}); err != nil {
 		st.log.Error("rollout_supervisor", "error", err)
 	}
 	me := st.book.Self()
-	me.SettingsGeneration = numberOf(st.state.Runs)
+	me.SettingsGeneration = numberOf(st.state.Running)
 	if err := st.node.UpdateSelf(me); err != nil {
 		st.log.Warn("rollout_put", advice.LogAttrs(err, "name", me.Name)...)
 	}
-	st.desk.MarkServing(st.clock())
-	st.log.Info("rollout_serving", "number", numberOf(st.state.Runs), "previous", numberOf(st.state.Before))
+	st.controller.MarkServing(st.clock())
+	st.log.Info("rollout_serving", "number", numberOf(st.state.Running), "previous", numberOf(st.state.Previous))
 }
 
-// step has this process followed by one that runs the change.
-func (st *stages) step(ctx context.Context, s *rollout.Restart) error {
-	if err := st.fits(s.Change); err != nil {
+// restart has this process followed by one that runs the change.
+func (st *rolloutRunner) restart(ctx context.Context, s *rollout.Restart) error {
+	if err := st.checkPlan(s.Change); err != nil {
 		return err
 	}
-	program := os.Getenv(ownEnv)
+	program := os.Getenv(installedProgramEnv)
 	if s.Change != nil && s.Change.Program.Path != "" {
 		program = s.Change.Program.Path
 		got, err := versionOf(ctx, program)
 		if err != nil {
-			return &WrongVersion{program, s.Change.Program.Version, err.Error()}
+			return &ProgramVersionError{program, s.Change.Program.Version, err.Error()}
 		}
 		if !strings.HasPrefix(got, s.Change.Program.Version) {
-			return &WrongVersion{program, s.Change.Program.Version, got}
+			return &ProgramVersionError{program, s.Change.Program.Version, got}
 		}
 	}
-	st.state.Try = &try{To: s.Change, Turn: s.Epoch, Ready: s.ReadyTimeout}
-	st.state.Clean = true
+	st.state.Attempt = &restartAttempt{Target: s.Change, Epoch: s.Epoch, ReadyTimeout: s.ReadyTimeout}
+	st.state.EndedCleanly = true
 	if err := st.save(); err != nil {
-		st.state.Try = nil
+		st.state.Attempt = nil
 		return err
 	}
 	st.handing = true
 	st.stop()
-	if st.alone { // the next begins while this one answers what it holds
+	if st.isOverlapPossible { // the next begins while this one answers what it holds
 		time.Sleep(lastWrite)
 		st.leave()
 		if st.own != nil {
 			st.own.Close()
 		}
 	}
-	return tellKeeper(st.keeper, said{Next: &next{program, time.Duration(s.ReadyTimeout) * tenth, !st.alone}})
+	return notifySupervisor(st.keeper, supervisorMessage{Next: &successor{program, time.Duration(s.ReadyTimeout) * tenth, !st.isOverlapPossible}})
 }
 
 // awaitServing asks this instance itself until it serves.
-func (st *stages) awaitServing(ctx context.Context, serves chan struct{}) {
+func (st *rolloutRunner) awaitServing(ctx context.Context, serves chan struct{}) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -551,10 +551,10 @@
 }
 
 // read looks at the change file; what cannot be used is told once and changes nothing.
-func (st *stages) read(before []byte) []byte {
+func (st *rolloutRunner) read(before []byte) []byte {
 	text, err := os.ReadFile(st.file.RolloutFile)
 	if errors.Is(err, os.ErrNotExist) {
-		st.desk.SetFile(nil)
+		st.controller.SetFile(nil)
 		return nil
 	}
 	if err != nil {
@@ -572,12 +572,12 @@
 		return text
 	}
 	st.log.Info("rollout_file", "change", f.Change.Name, "number", f.Change.Number, "order", f.Order, "turn", f.Epoch)
-	st.desk.SetFile(f)
+	st.controller.SetFile(f)
 	return text
 }
 
-// sums are counted by the owner as searches end, and read beside it.
-type sums struct {
+// searchCounters are counted by the owner as searches end, and read beside it.
+type searchCounters struct {
 	connects atomic.Uint64
 	classes  [rollout.MaxClasses]struct {
 		asked, served, late, shed atomic.Uint64
@@ -588,7 +588,7 @@
 }
 
 // ended is the owner's: it waits for nothing.
-func (s *sums) ended(e coordinator.SearchEnd) {
+func (s *searchCounters) ended(e coordinator.SearchEnd) {
 	if e.Type < 0 || e.Type >= len(s.classes) {
 		return
 	}
@@ -608,7 +608,7 @@
 }
 
 // now is how they stand. Those that went well are read first, so that they are never more than were asked.
-func (s *sums) now() rollout.InstanceStats {
+func (s *searchCounters) now() rollout.InstanceStats {
 	sample := []metrics.Sample{{Name: memoryMetric}}
 	metrics.Read(sample)
 	all := rollout.InstanceStats{Connections: s.connects.Load(), MemoryBytes: sample[0].Value.Uint64(), Classes: make([]rollout.ClassStats, max(1, min(len(s.aims), len(s.classes))))}
--- a/cmd/chalkring/rollout_test.go
+++ b/cmd/chalkring/rollout_test.go
@@ -20,19 +20,19 @@
 	os.Exit(code)
 }
 
-const rollWithin = 80 * time.Second // for what has to come; no verdict rests on anything coming sooner
+const rolloutTimeout = 80 * time.Second // for what has to come; no verdict rests on anything coming sooner
 
-// rolling is three processes in three regions that take part in changes, under light load.
-type rolling struct {
+// rolloutCluster is three processes in three regions that take part in changes, under light load.
+type rolloutCluster struct {
 	t *testing.T
 	*clustertest.Cluster
 	ctx     context.Context
-	answers chan []clustertest.ClientResult
+	results chan []clustertest.ClientResult
 	stop    context.CancelFunc
 }
 
-func roll(t *testing.T, program string) *rolling {
-	ctx, cancel := context.WithTimeout(context.Background(), rollWithin)
+func startRolloutCluster(t *testing.T, program string) *rolloutCluster {
+	ctx, cancel := context.WithTimeout(context.Background(), rolloutTimeout)
 	t.Cleanup(cancel)
 	s := clustertest.Config{Seed: 1, ProgramPath: program}
 	var listed []string
@@ -59,21 +59,21 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { r.Close() })
 	load, stop := context.WithCancel(ctx)
-	one := &rolling{t, r, ctx, make(chan []clustertest.ClientResult, 1), stop}
+	one := &rolloutCluster{t, r, ctx, make(chan []clustertest.ClientResult, 1), stop}
 	go func() {
-		one.answers <- r.PlaySearches(load, r.DrawSearches(1, "q", 60, rollWithin, 5*time.Second, "acme"))
+		one.results <- r.PlaySearches(load, r.DrawSearches(1, "q", 60, rolloutTimeout, 5*time.Second, "acme"))
 	}()
 	return one
 }
 
-func (r *rolling) give(to string, number int, program, version string, more ...string) {
+func (r *rolloutCluster) writeChangeFile(to string, number int, program, version string, more ...string) {
 	require.NoError(r.t, r.WriteFile(to, "rollout.yaml", fmt.Sprintf("name: c\nnumber: %d\nprogram: {path: %q, version: %q}\n"+
 		"stages: [{count: 1, watch: 3s}, {share: 1, watch: 200ms}]\ntogether: 0.34\ncold: 100ms\nready: 3s\nsilent: 12s\nsearches: 0\n%s\n...\n",
 		number, program, version, strings.Join(more, "\n"))))
 }
 
-// logged waits until any of the instances has logged a text, and gives its name.
-func (r *rolling) logged(text string) (who string) {
+// waitLoggedAnywhere waits until any of the instances has waitLoggedAnywhere a text, and gives its name.
+func (r *rolloutCluster) waitLoggedAnywhere(text string) (who string) {
 	require.Eventually(r.t, func() bool {
 		for _, name := range r.InstanceNames() {
 			if strings.Contains(r.Log(name), text) {
@@ -82,43 +82,43 @@
 			}
 		}
 		return false
-	}, rollWithin, 20*time.Millisecond, "%s\n%s", text, r.all())
+	}, rolloutTimeout, 20*time.Millisecond, "%s\n%s", text, r.logs())
 	return who
 }
 
-func (r *rolling) all() (text string) {
+func (r *rolloutCluster) logs() (text string) {
 	for _, name := range r.InstanceNames() {
 		text += r.Log(name)
 	}
 	return text
 }
 
-// everywhere waits until each instance has logged a text so often.
-func (r *rolling) everywhere(text string, times int) {
+// waitLoggedEverywhere waits until each instance has logged a text so often.
+func (r *rolloutCluster) waitLoggedEverywhere(text string, times int) {
 	for _, name := range r.InstanceNames() {
 		require.NoError(r.t, r.WaitLogged(r.ctx, name, text, times))
 	}
 }
 
-// judge ends the load: no client was refused, and all answers are true. That each has one in time is for the measurement: on
+// requireNoRefusals ends the load: no client was refused, and all answers are true. That each has one in time is for the measurement: on
 // a machine that is busy clients are late by themselves.
-func (r *rolling) judge() {
+func (r *rolloutCluster) requireNoRefusals() {
 	r.stop()
-	v := r.Judge(<-r.answers, clustertest.AuditRules{})
+	v := r.Judge(<-r.results, clustertest.AuditRules{})
 	for _, b := range v.Violations {
-		require.NotContains(r.t, []string{"refused", "true_answer", "known_part"}, b.Name, "%s\n%s", b.First, r.all())
+		require.NotContains(r.t, []string{"refused", "true_answer", "known_part"}, b.Name, "%s\n%s", b.First, r.logs())
 	}
 	require.Positive(r.t, v.Good)
 }
 
-// script is a program that tells a version and then does what body says.
-func script(t *testing.T, body string) string {
+// writeProgram is a program that tells a version and then does what body says.
+func writeProgram(t *testing.T, body string) string {
 	path := filepath.Join(t.TempDir(), "program")
 	require.NoError(t, os.WriteFile(path, []byte("#!/bin/sh\nif [ \"$1\" = version ]; then echo chalkring other; exit 0; fi\n"+body+"\n"), 0o700))
 	return path
 }
 
-func builds(t *testing.T) (old, new string) {
+func buildTwoVersions(t *testing.T) (old, new string) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
 	old, err := clustertest.BuildProgram(ctx, "-ldflags=-X=main.release=1.4")
@@ -129,29 +129,29 @@
 }
 
 // A program goes through the fleet and back to the one before it, on the same sockets, and is killed on the way.
-func TestProgramGoesThroughAndBack(t *testing.T) {
+func TestProgramRollsOutAndBack(t *testing.T) {
 	t.Parallel()
-	old, new := builds(t)
-	r := roll(t, old)
-	r.give("north", 1, new, "chalkring 1.5,")
-	first := r.logged("event=rollout_restart number=1 ")
+	old, new := buildTwoVersions(t)
+	r := startRolloutCluster(t, old)
+	r.writeChangeFile("north", 1, new, "chalkring 1.5,")
+	first := r.waitLoggedAnywhere("event=rollout_restart number=1 ")
 	require.NoError(t, r.Kill(r.ctx, first)) // while it takes over, or just before or after that
 	require.NoError(t, r.Start(r.ctx, first))
-	r.everywhere("event=rollout_serving number=1 ", 1)
+	r.waitLoggedEverywhere("event=rollout_serving number=1 ", 1)
 	for _, name := range r.InstanceNames() {
 		link, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", r.PID(name)))
 		require.NoError(t, err)
 		require.Equal(t, old, link, "the keeper stays")
 	}
-	r.give("west", 1, new, "chalkring 1.5,", "order: back", "turn: 2")
-	r.everywhere("event=rollout_serving number=0 previous=1", 1)
-	r.judge()
+	r.writeChangeFile("west", 1, new, "chalkring 1.5,", "order: back", "turn: 2")
+	r.waitLoggedEverywhere("event=rollout_serving number=0 previous=1", 1)
+	r.requireNoRefusals()
 }
 
 // A program that ends, that hangs, that is another than was meant or that crashes again and again is left by the first
 // that takes it; nobody else does.
-func TestProgramThatFailsIsLeft(t *testing.T) {
-	old, new := builds(t)
+func TestFailingProgramIsRolledBack(t *testing.T) {
+	old, new := buildTwoVersions(t)
 	for name, c := range map[string]struct{ body, version, told string }{
 		"ends":    {"exit 3", "chalkring other", "exit status 3"},
 		"hangs":   {"exec sleep 60", "chalkring other", "did not serve in time"},
@@ -160,17 +160,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := roll(t, old)
-			r.give("east", 1, script(t, c.body), c.version, "worse: {restarts: 2}")
-			r.logged("event=rollout_stopped")
-			r.logged(c.told)
+			r := startRolloutCluster(t, old)
+			r.writeChangeFile("east", 1, writeProgram(t, c.body), c.version, "worse: {restarts: 2}")
+			r.waitLoggedAnywhere("event=rollout_stopped")
+			r.waitLoggedAnywhere(c.told)
 			time.Sleep(500 * time.Millisecond) // nothing more may begin
-			took := strings.Count(r.all(), "event=rollout_restart number=1 ")
-			require.LessOrEqual(t, took, 1, "%s", r.all())
-			if name == "crashes" && strings.Contains(r.all(), "event=rollout_serving number=1") { // it goes back as others let it
-				r.logged("event=rollout_serving number=0 previous=1")
+			took := strings.Count(r.logs(), "event=rollout_restart number=1 ")
+			require.LessOrEqual(t, took, 1, "%s", r.logs())
+			if name == "crashes" && strings.Contains(r.logs(), "event=rollout_serving number=1") { // it goes back as others let it
+				r.waitLoggedAnywhere("event=rollout_serving number=0 previous=1")
 			}
-			r.judge()
+			r.requireNoRefusals()
 		})
 	}
 }
