--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// What a serving process tells its keeper, a line each, and the names that both know each other by.
-func TestGoldenKeeperLines(t *testing.T) {
+// What a child sends to its supervisor, a message in a line, and the names of the environment that both use.
+func TestGoldenSupervisorLines(t *testing.T) {
 	values := []supervisorMessage{
 		{Serving: true},
 		{Next: &successor{Program: "/opt/chalkring-2", ReadyTimeout: 10 * time.Second, AfterExit: true}},
--- a/cmd/chalkring/held_test.go
+++ b/cmd/chalkring/held_test.go
@@ -38,7 +38,7 @@
 	require.True(t, found, a.text())
 	st.state.Running = &rollout.Change{Number: 1}
 	require.Error(t, st.save(), "what it ran before is not known")
-	_, found, err = a.s.store.Get(rolloutBucket, standingKey)
+	_, found, err = a.s.store.Get(rolloutBucket, stateKey)
 	require.NoError(t, err)
 	require.False(t, found)
 }
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/plan_mismatch_test.go
@@ -13,11 +13,12 @@
 	"chalkring/internal/advice"
 )
 
-// A change is held against the plan that it lands on: a place that is not there, or that another class has, is refused by name.
+// A change is compared with the plan of the instance. A setting of a class or tenant that the plan does not have, or has
+// elsewhere, is rejected by name before the instance restarts.
 func TestChangeForAnotherPlan(t *testing.T) {
 	plan, err := coordinator.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		settings map[string]string
 		want     string
 	}{
@@ -26,21 +27,21 @@
 		{map[string]string{"Tenants.1.QuotaPerS": "5"}, "Tenants.1.QuotaPerS the plan has 1 tenants"},
 		{map[string]string{"Classes.0.Aim": "5", "Classes.0.Name": "full-match"}, `Classes.0.Name is "full-match", the plan has "lookup"`},
 	} {
-		st := &rolloutRunner{state: rolloutState{Running: &rollout.Change{Number: 4, Settings: c.settings}}}
-		laid, err := st.applyTo(&config.File{}, plan)
-		if c.want == "" {
+		runner := &rolloutRunner{state: rolloutState{Running: &rollout.Change{Number: 4, Settings: test.settings}}}
+		applied, err := runner.applyTo(&config.File{}, plan)
+		if test.want == "" {
 			require.NoError(t, err)
-			require.NotNil(t, laid)
+			require.NotNil(t, applied)
 			continue
 		}
-		require.ErrorContains(t, err, "change 4 does not fit this plan: "+c.want)
+		require.ErrorContains(t, err, "change 4 does not fit this plan: "+test.want)
 		require.NotEmpty(t, advice.For(err))
-		step := st.restart(t.Context(), &rollout.Restart{Change: st.state.Running})
-		require.Equal(t, err, step, "before it restarts for it")
+		restartErr := runner.restart(t.Context(), &rollout.Restart{Change: runner.state.Running})
+		require.Equal(t, err, restartErr)
 	}
 }
 
-// A change file may say which class or tenant a setting means.
+// A change file may name the class or tenant that a setting is for.
 func TestChangeFileNamesAClass(t *testing.T) {
 	text := "name: c\nnumber: 1\nstages: [{share: 1}]\nsettings: {Classes.0.Aim: 5, Classes.0.Name: lookup, Classes.0.Other: x}\n...\n"
 	_, err := rollout.ParseChangeFile("f", []byte(text))
@@ -48,8 +49,8 @@
 	require.NotContains(t, err.Error(), "Classes.0.Name")
 }
 
-// An installation's settings at a place that its plan does not have are passed over nowhere: neither at the start nor by check,
-// where a plan is among the files.
+// An installation's settings for a class that its plan does not have are rejected, both at the start and by check, where a
+// plan is among the files.
 func TestInstallationForAnotherPlan(t *testing.T) {
 	plan, err := coordinator.Parse([]byte(zonedPlan))
 	require.NoError(t, err)
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -1,24 +1,15 @@
 package main
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"maps"
 	"net"
-	"net/http"
 	"os"
-	"runtime/metrics"
 	"slices"
-	"strings"
-	"sync/atomic"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-	"github.com/fxamacker/cbor/v2"
-
-	"chalkring/cluster/crdt"
 	"chalkring/config"
 	"chalkring/control/residency"
 	"chalkring/control/rollout"
@@ -27,91 +18,44 @@
 )
 
 const (
-	rolloutBucket = "rollout"
-	standingKey   = "standing"
-	openWait      = 10 * time.Second       // for the store at a start: the instance has to know what it runs
-	lastWrite     = 200 * time.Millisecond // for what is kept beside to be written at the start of a stop
-	keepWait      = 5 * time.Second        // for a line of it to be on the disk before a step
-	triesMost     = 2                      // starts into a change that may be cut off before it is given up
-	startsMost    = 5                      // starts that nobody asked for, after which an instance goes back by itself
-	fileEach      = 500 * time.Millisecond // between looks at the change file
-	serveEach     = 50 * time.Millisecond  // between looks whether this instance answers
-	lookLeast     = 50 * time.Millisecond  // between two looks of the desk
-	lookMost      = time.Second            // and at the longest: a restart is not to wait for a word
-	memoryMetric  = "/memory/classes/total:bytes"
+	storeOpenTimeout    = 10 * time.Second // for the store at a start: the instance has to know what it runs
+	replacementTimeout  = 10 * time.Second // for another program to serve that replaces this one without an attempt
+	maxAttemptStarts    = 2                // starts of an attempt that do not serve before it is given up
+	maxUnplannedStarts  = 5                // unplanned starts with a change before an instance rolls back by itself
+	minDecisionInterval = 50 * time.Millisecond
+	maxDecisionInterval = time.Second // a restart should not wait for the next replicated entry
+
+	timeUnit = 100 * time.Microsecond // of the times of package rollout
 )
 
-// rolloutState is what an instance keeps on its disk about changes; later versions may add to it.
-type rolloutState struct {
-	Running         *rollout.Change `cbor:"1,keyasint"` // nil for the own files
-	Previous        *rollout.Change `cbor:"2,keyasint"` // what it ran before that
-	Attempt         *restartAttempt `cbor:"3,keyasint"` // a step that is begun and not ended
-	RunningEpoch    uint64          `cbor:"4,keyasint"` // in which Runs was taken
-	UnplannedStarts int             `cbor:"5,keyasint"` // with Runs that nobody asked for
-	EndedCleanly    bool            `cbor:"6,keyasint"` // the last life ended as it was told to
-	FailedEpoch     uint64          `cbor:"7,keyasint"` // turn in which Number could not be taken
-	FailedNumber    uint64          `cbor:"8,keyasint"`
-	FailureReason   string          `cbor:"9,keyasint"`
-}
-
-type restartAttempt struct {
-	Target       *rollout.Change `cbor:"1,keyasint"` // nil for the own files
-	Epoch        uint64          `cbor:"2,keyasint"`
-	Starts       int             `cbor:"3,keyasint"` // starts into it
-	ReadyTimeout int64           `cbor:"4,keyasint"`
-}
-
-func numberOf(c *rollout.Change) uint64 {
-	if c == nil {
-		return 0
-	}
-	return c.Number
-}
-
-// MissingStoreError is an installation that takes part in changes and keeps nothing on disk.
-type MissingStoreError struct{}
-
-func (*MissingStoreError) Error() string { return "fleet.rollout without fleet.store" }
-
-// Advice tells an operator what to do.
-func (*MissingStoreError) Advice() string {
-	return "Name a file in `fleet.store`: an instance has to know after a crash what it was running."
-}
-
-// ProgramVersionError is a program that is not the one that a change means.
-type ProgramVersionError struct{ Path, Want, Got string }
-
-func (e *ProgramVersionError) Error() string {
-	return fmt.Sprintf("%s tells version %.80q, not %q", e.Path, e.Got, e.Want)
-}
-
-// Advice tells an operator what to do.
-func (e *ProgramVersionError) Advice() string {
-	return "Put the program that the change means at its path on every instance, or mend program.version in a change with a new number."
-}
+// errReplaced is a process that another program is to replace at once. The supervisor starts it.
+var errReplaced = errors.New("another program takes over")
 
-// rolloutRunner is this instance's part in changes in rolloutRunner.
+// rolloutRunner is this instance's part in changes in stages: it runs a rollout.Controller and carries out what it
+// decides.
 type rolloutRunner struct {
 	*sharing
-	keeper            *os.File
-	ln                net.Listener
+	supervisor        *os.File // pipe to it
+	listener          net.Listener
+	localConnections  chan net.Conn // from this process to itself; the socket may be another process's too
 	state             rolloutState
-	missed            bool // the store was not there in time: what it keeps is not known, and is left as it is
-	isStateKnown      bool // what the last life promised is known: it ended as it was told to
+	isStateUnread     bool // the store was not open in time: its state is unknown and is not overwritten
+	isStateKnown      bool // the store has all that an earlier process promised, since that ended cleanly
 	controller        *rollout.Controller
-	site              residency.Site // of the plan
+	changeFile        changeFileReader
+	seenEntries       map[string]uint64 // hashes of the replicated entries by key
+	site              residency.Site    // of the plan
 	counters          searchCounters
-	inside            chan net.Conn            // to it from within, past the socket: another process may hold that too
-	own               *coordinator.Persistence // what is kept beside, nil for nothing
-	isOverlapPossible bool                     // nothing but the socket, the store and the network is held
-	stop              context.CancelFunc       // the serving
-	done              chan struct{}
+	persistence       *coordinator.Persistence // nil if nothing else is persisted
+	isOverlapPossible bool                     // a successor may start while this process answers requests in flight
+	cancelServing     context.CancelFunc       // ends serving; nil before it begins
+	done              chan struct{}            // closed when run has returned
 }
 
-// hasRollout tells whether an installation takes part in changes.
+// hasRollout reports whether an installation takes part in changes in stages.
 func hasRollout(file *config.File) bool { return file.Fleet != nil && file.Fleet.RolloutFile != "" }
 
-// checkChangeFile looks at the change file that an installation names, if there is one now, and at what it needs.
+// checkChangeFile checks the change file that an installation names, if there is one, and what changes need.
 func checkChangeFile(file *config.File) error {
 	if file.Fleet.StoreFile == "" {
 		return &MissingStoreError{}
@@ -126,502 +70,214 @@
 	return err
 }
 
-var errReplaced = errors.New("another program takes over")
-
-// newRolloutRunner finds out what this process is to run. errReplaced: another program is, and the keeper starts it.
+// newRolloutRunner finds out what this process is to run. It returns errReplaced if that is another program.
 func newRolloutRunner(s *sharing) (*rolloutRunner, error) {
 	if s.file.StoreFile == "" {
 		return nil, &MissingStoreError{}
 	}
-	st := &rolloutRunner{sharing: s, inside: make(chan net.Conn), done: make(chan struct{})}
+	r := &rolloutRunner{
+		sharing: s, localConnections: make(chan net.Conn), done: make(chan struct{}), seenEntries: map[string]uint64{},
+		changeFile: changeFileReader{path: s.file.RolloutFile, log: s.log},
+	}
 	var err error
-	if st.keeper, st.ln, err = openSupervisorFiles(); err != nil {
+	if r.supervisor, r.listener, err = openSupervisorFiles(); err != nil {
 		return nil, err
 	}
-	select {
-	case <-s.opened:
-	case <-time.After(openWait): // guards against a disk that hangs: searches go first
-	}
-	select {
-	case <-s.shared.Ready(): // what was promised before is known
-	case <-time.After(openWait):
-	}
-	st.load()
-	if t := st.state.Attempt; t != nil {
-		switch fell := os.Getenv(failureEnv); {
-		case fell != "":
-			st.fail(numberOf(t.Target), t.Epoch, fell)
-		case t.Starts >= triesMost:
-			st.fail(numberOf(t.Target), t.Epoch, fmt.Sprintf("ended %d times before it served", t.Starts))
-		default:
-			t.Starts++
-		}
-	} else {
-		if !st.state.EndedCleanly {
-			st.state.UnplannedStarts++
-		}
-		if st.state.UnplannedStarts > startsMost && st.state.Running != nil { // guards against a crash loop too quick to be talked about
-			st.fail(st.state.Running.Number, st.state.RunningEpoch, fmt.Sprintf("started %d times by itself", st.state.UnplannedStarts))
-			st.state.Running, st.state.Previous, st.state.UnplannedStarts = st.state.Previous, nil, 0
-		}
-	}
-	st.state.EndedCleanly = false
-	st.save()
-	program := os.Getenv(installedProgramEnv)
-	if c := st.runningChange(); c != nil && c.Program.Path != "" {
-		program = c.Program.Path
-	}
-	if program != os.Getenv(programEnv) {
-		ready := openWait
-		if t := st.state.Attempt; t != nil {
-			t.Starts-- // the start that counts is the next
-			ready = time.Duration(t.ReadyTimeout) * tenth
-		}
-		st.state.EndedCleanly = true
-		st.save()
-		if err := notifySupervisor(st.keeper, supervisorMessage{Next: &successor{program, ready, true}}); err != nil {
-			return nil, err
-		}
-		return nil, errReplaced
+	r.awaitStore()
+	r.load()
+	r.recordStart()
+	_ = r.save() // logged there; without it the instance serves, and restarts into no change
+	if program := r.programToRun(); program != os.Getenv(programEnv) {
+		return nil, r.replaceBy(program)
 	}
-	return st, nil
+	return r, nil
 }
 
-const tenth = 100 * time.Microsecond
-
-// runningChange is the change that this process runningChange, nil for the own files.
-func (st *rolloutRunner) runningChange() *rollout.Change {
-	if st.state.Attempt != nil {
-		return st.state.Attempt.Target
+// awaitStore waits for the store and for the entries in it, so that what was promised before is known. A disk that hangs
+// does not keep the instance from serving.
+func (r *rolloutRunner) awaitStore() {
+	for _, ready := range []<-chan struct{}{r.opened, r.shared.Ready()} {
+		select {
+		case <-ready:
+		case <-time.After(storeOpenTimeout):
+		}
 	}
-	return st.state.Running
 }
 
-func (st *rolloutRunner) fail(number, turn uint64, why string) {
-	st.log.Error("rollout_not_applied", advice.LogAttrs(&rollout.ChangeNotAppliedError{Number: number, Reason: why})...)
-	st.state.Attempt, st.state.FailedNumber, st.state.FailedEpoch, st.state.FailureReason = nil, number, turn, why
-}
-
-func (st *rolloutRunner) load() {
-	select {
-	case <-st.opened:
-	default:
-		st.missed = true
-		return
-	}
-	if st.store == nil {
+// recordStart counts this start against the attempt or the change that runs, and gives that up after too many.
+func (r *rolloutRunner) recordStart() {
+	state := &r.state
+	wasClean := state.EndedCleanly
+	state.EndedCleanly = false
+	if attempt := state.Attempt; attempt != nil {
+		switch failure := os.Getenv(failureEnv); {
+		case failure != "":
+			r.failAttempt(numberOf(attempt.Target), attempt.Epoch, failure)
+		case attempt.Starts >= maxAttemptStarts:
+			r.failAttempt(numberOf(attempt.Target), attempt.Epoch, fmt.Sprintf("ended %d times before it served", attempt.Starts))
+		default:
+			attempt.Starts++
+		}
 		return
 	}
-	text, found, err := st.store.Get(rolloutBucket, standingKey)
-	if err == nil && found {
-		err = cbor.Unmarshal(text, &st.state)
-	}
-	if err != nil {
-		st.state = rolloutState{}
-		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.StoreFile)...)
-		return
+	if !wasClean {
+		state.UnplannedStarts++
 	}
-	if st.isStateKnown = found && st.state.EndedCleanly; !found { // a crash may have cut off the last words to the disk
-		st.state.EndedCleanly = true
+	// A crash loop may be too quick for the instances to agree on anything.
+	if state.UnplannedStarts > maxUnplannedStarts && state.Running != nil {
+		r.failAttempt(state.Running.Number, state.RunningEpoch, fmt.Sprintf("started %d times by itself", state.UnplannedStarts))
+		state.Running, state.Previous, state.UnplannedStarts = state.Previous, nil, 0
 	}
 }
 
-// save has what is known on the disk; an instance that cannot keep it takes no step.
-func (st *rolloutRunner) save() error {
-	select {
-	case <-st.opened:
-	default:
-		return context.DeadlineExceeded
+// programToRun is the path of the program that the change asks for.
+func (r *rolloutRunner) programToRun() string {
+	if change := r.runningChange(); change != nil && change.Program.Path != "" {
+		return change.Program.Path
 	}
-	if st.missed {
-		return context.DeadlineExceeded
-	}
-	if st.store == nil {
-		return &MissingStoreError{}
+	return os.Getenv(installedProgramEnv)
+}
+
+// replaceBy has the supervisor start another program in place of this one. It returns errReplaced.
+func (r *rolloutRunner) replaceBy(program string) error {
+	readyTimeout := replacementTimeout
+	if attempt := r.state.Attempt; attempt != nil {
+		attempt.Starts-- // the start of the other program counts
+		readyTimeout = time.Duration(attempt.ReadyTimeout) * timeUnit
 	}
-	text, err := cbor.Marshal(st.state)
-	if err != nil {
+	r.state.EndedCleanly = true
+	_ = r.save() // logged there; the other program then finds an unplanned start
+	if err := notifySupervisor(r.supervisor, supervisorMessage{Next: &successor{program, readyTimeout, true}}); err != nil {
 		return err
 	}
-	ctx, stop := context.WithTimeout(context.Background(), keepWait)
-	defer stop()
-	err = st.store.Put(ctx, rolloutBucket, map[string][]byte{standingKey: text}, nil)
-	if err != nil {
-		st.log.Error("rollout_store", advice.LogAttrs(err, "path", st.file.StoreFile)...)
-	}
-	return err
-}
-
-// PlanMismatchError is a change whose settings do not fit this instance's plan.
-type PlanMismatchError struct {
-	Number  uint64
-	Setting string
-	Why     string
-}
-
-func (e *PlanMismatchError) Error() string {
-	return fmt.Sprintf("change %d does not fit this plan: %s %s", e.Number, e.Setting, e.Why)
+	return errReplaced
 }
 
-// Advice tells an operator what to do.
-func (e *PlanMismatchError) Advice() string {
-	return "Give all instances plans with the same classes and tenants in the same order, or take the change back; `Name` beside a setting of a class or tenant says which is meant."
-}
-
-// checkPlan looks whether a change's settings mean what this instance's plan has at their places.
-func (st *rolloutRunner) checkPlan(c *rollout.Change) error {
-	if c == nil {
+// checkPlan checks that a change's settings are for classes and tenants that this instance's plan has at their places.
+func (r *rolloutRunner) checkPlan(change *rollout.Change) error {
+	if change == nil {
 		return nil
 	}
-	wrong := config.MisplacedSettings(c.Settings, st.site.Classes, st.site.Tenants)
-	for _, name := range slices.Sorted(maps.Keys(wrong)) { // the same fault each time
-		return &PlanMismatchError{c.Number, name, wrong[name]}
+	misplaced := config.MisplacedSettings(change.Settings, r.site.Classes, r.site.Tenants)
+	if len(misplaced) == 0 {
+		return nil
 	}
-	return nil
+	first := slices.Min(slices.Collect(maps.Keys(misplaced))) // the same error each time
+	return &PlanMismatchError{change.Number, first, misplaced[first]}
 }
 
-// applyTo puts the change that runs over an installation's settings.
-func (st *rolloutRunner) applyTo(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
-	st.counters.aims = plan.LatencyObjectives() // both sides are held against the same
-	st.site = plan.ResidencySite()
-	c := st.runningChange()
-	if err := st.checkPlan(c); err != nil {
+// applyTo applies the running change's settings over those of the installation.
+func (r *rolloutRunner) applyTo(file *config.File, plan *coordinator.Plan) (*coordinator.Plan, error) {
+	r.counters.objectives = plan.LatencyObjectives() // without the change: both sides are held against the same
+	r.site = plan.ResidencySite()
+	change := r.runningChange()
+	if err := r.checkPlan(change); err != nil {
 		return nil, err
 	}
-	if c == nil {
+	if change == nil {
 		return plan, nil
 	}
-	over := config.FlattenSettings(file.Settings)
-	maps.Copy(over, c.Settings)
-	return plan.WithSettings(over)
-}
-
-// startServing is the context of the startServing: it ends for a step too. means is given what counts for the comparison.
-func (st *rolloutRunner) startServing(ctx context.Context, means *coordinator.Options) context.Context {
-	ctx, st.stop = context.WithCancel(ctx)
-	st.isOverlapPossible = (means.Peers == nil || means.Peers.Listener == nil) && len(means.Frontends) == 0
-	st.own = means.Persistence
-	means.Listener, means.OnSearchEnd = newDoorway(st.ln, st.inside), st.counters.ended
-	dial := means.Dial
-	means.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		st.counters.connects.Add(1)
+	settings := config.FlattenSettings(file.Settings)
+	maps.Copy(settings, change.Settings)
+	return plan.WithSettings(settings)
+}
+
+// startServing starts the rollout beside the coordinator that serves by options. The returned context ends for a restart
+// too. The options get the listener and the hooks that count for the comparison.
+func (r *rolloutRunner) startServing(ctx context.Context, options *coordinator.Options) context.Context {
+	ctx, r.cancelServing = context.WithCancel(ctx)
+	r.isOverlapPossible = (options.Peers == nil || options.Peers.Listener == nil) && len(options.Frontends) == 0
+	r.persistence = options.Persistence
+	options.Listener = newMergedListener(r.listener, r.localConnections)
+	options.OnSearchEnd = r.counters.recordSearch
+	dial := options.Dial
+	options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		r.counters.connections.Add(1)
 		return dial(ctx, network, addr)
 	}
-	go st.run(ctx)
+	go r.run(ctx)
 	return ctx
 }
 
-// stopServing is the stopServing of a life that was told to stopServing.
-func (st *rolloutRunner) stopServing() {
-	if st.stop == nil { // it never served
+// stopServing ends the rollout of a process that was stopped as planned.
+func (r *rolloutRunner) stopServing() {
+	if r.cancelServing == nil {
 		return
 	}
-	st.stop()
-	<-st.done
-	if st.handing { // it has said so before
+	r.cancelServing()
+	<-r.done
+	if r.handing { // restart has saved that already
 		return
 	}
-	st.state.EndedCleanly = true
-	st.save()
+	r.state.EndedCleanly = true
+	_ = r.save() // logged there; the next start then counts as unplanned
 }
 
-// run looks again and again until the serving ends.
-func (st *rolloutRunner) run(ctx context.Context) {
-	defer close(st.done)
-	me := st.book.Self()
-	st.controller = rollout.New(rollout.InitialState{
-		Self: rollout.Instance{Name: me.Name, Region: me.Region, Zone: me.Zone}, Incarnation: me.Incarnation,
-		Members: st.file.VotingMembers, RunningNumber: numberOf(st.runningChange()), FailedEpoch: st.state.FailedEpoch, FailedNumber: st.state.FailedNumber, FailureReason: st.state.FailureReason,
-		UnplannedRestarts: st.state.UnplannedStarts, NoSavedState: !st.isStateKnown, Now: st.clock(),
-	})
-	stirred, unwatch := st.shared.Watch(rollout.KeyPrefix)
+// run decides again and again until serving ends.
+func (r *rolloutRunner) run(ctx context.Context) {
+	defer close(r.done)
+	r.controller = rollout.New(r.initialState())
+	changed, unwatch := r.shared.Watch(rollout.KeyPrefix)
 	defer unwatch()
-	serves := make(chan struct{})
-	go st.awaitServing(ctx, serves)
-	seen := map[string]uint64{}
-	var text []byte
-	looked := time.Time{}
+	serving := make(chan struct{}) // nil once it was handled
+	go r.awaitServing(ctx, serving)
 	for {
 		select {
-		case <-serves: // once: nil is never ready
-			serves = nil
-			st.taken()
+		case <-serving:
+			serving = nil
+			r.completeAttempt()
 		default:
 		}
-		if time.Since(looked) > fileEach {
-			looked = time.Now()
-			text = st.read(text)
-		}
-		now := st.clock()
-		var news []crdt.Entry
-		st.shared.ScanPrefix(rollout.KeyPrefix, func(e crdt.Entry) bool {
-			if sum := sumOf(e); seen[e.Name] != sum {
-				seen[e.Name] = sum
-				news = append(news, e)
-			}
-			return true
-		})
-		for _, e := range news {
-			for _, one := range e.Siblings {
-				if one.Deleted {
-					continue
-				}
-				if err := st.controller.HandleEntry(now, e.Name, one.Value); err != nil {
-					st.log.Warn("rollout_entry", advice.LogAttrs(err)...)
-				}
-			}
-		}
-		var places []rollout.Instance
-		for _, m := range st.book.Members() {
-			places = append(places, rollout.Instance{Name: m.Name, Region: m.Region, Zone: m.Zone})
-		}
-		st.controller.SetInstances(places, st.book.NameConflicts())
-		st.controller.SetStats(st.counters.now())
-		out := st.controller.Decide(now)
-		for name, value := range out.Put {
-			if _, err := st.shared.Put(name, value); err != nil {
-				st.log.Warn("rollout_put", advice.LogAttrs(err, "name", name)...)
-			}
-		}
-		for _, name := range out.Delete {
-			if _, err := st.shared.Delete(name); err != nil {
-				st.log.Warn("rollout_put", advice.LogAttrs(err, "name", name)...)
-			}
-		}
-		for _, n := range out.Events {
-			if n.Err != nil {
-				st.log.Warn(n.Name, advice.LogAttrs(n.Err, n.Attrs...)...)
-			} else {
-				st.log.Info(n.Name, n.Attrs...)
-			}
-		}
-		if out.Restart != nil {
-			if err := st.restart(ctx, out.Restart); err != nil {
-				st.log.Error("rollout_not_applied", advice.LogAttrs(err, "number", out.Restart.TargetNumber)...)
-				st.controller.RecordRestartFailure(err.Error())
-			} else {
-				st.stop()
-				return
-			}
-		}
-		wait := min(max(time.Duration(out.NextDecisionAt-now)*tenth, lookLeast), lookMost)
-		select {
-		case <-time.After(lookLeast):
-		case <-ctx.Done():
+		now := r.updateController()
+		decision := r.controller.Decide(now)
+		r.carryOut(&decision)
+		if decision.Restart != nil && r.tryRestart(ctx, decision.Restart) {
+			r.cancelServing()
 			return
 		}
+		delay := time.Duration(decision.NextDecisionAt-now) * timeUnit
 		select {
-		case <-stirred:
-		case <-serves:
-		case <-time.After(wait - lookLeast):
+		case <-time.After(minDecisionInterval):
 		case <-ctx.Done():
 			return
 		}
-	}
-}
-
-// sumOf tells states of an entry apart.
-func sumOf(e crdt.Entry) uint64 {
-	sum := xxhash.New()
-	for _, one := range e.Siblings {
-		fmt.Fprint(sum, one.Dot, one.Deleted)
-	}
-	return sum.Sum64()
-}
-
-// taken ends a step that went well.
-func (st *rolloutRunner) taken() {
-	if t := st.state.Attempt; t != nil {
-		st.state.Previous, st.state.Running, st.state.RunningEpoch, st.state.Attempt = st.state.Running, t.Target, t.Epoch, nil
-		st.state.UnplannedStarts, st.state.FailedEpoch, st.state.FailedNumber, st.state.FailureReason = 0, 0, 0, ""
-	}
-	st.save()
-	if err := notifySupervisor(st.keeper, supervisorMessage{Serving: true}); err != nil {
-		st.log.Error("rollout_supervisor", "error", err)
-	}
-	me := st.book.Self()
-	me.SettingsGeneration = numberOf(st.state.Running)
-	if err := st.node.UpdateSelf(me); err != nil {
-		st.log.Warn("rollout_put", advice.LogAttrs(err, "name", me.Name)...)
-	}
-	st.controller.MarkServing(st.clock())
-	st.log.Info("rollout_serving", "number", numberOf(st.state.Running), "previous", numberOf(st.state.Previous))
-}
-
-// restart has this process followed by one that runs the change.
-func (st *rolloutRunner) restart(ctx context.Context, s *rollout.Restart) error {
-	if err := st.checkPlan(s.Change); err != nil {
-		return err
-	}
-	program := os.Getenv(installedProgramEnv)
-	if s.Change != nil && s.Change.Program.Path != "" {
-		program = s.Change.Program.Path
-		got, err := versionOf(ctx, program)
-		if err != nil {
-			return &ProgramVersionError{program, s.Change.Program.Version, err.Error()}
-		}
-		if !strings.HasPrefix(got, s.Change.Program.Version) {
-			return &ProgramVersionError{program, s.Change.Program.Version, got}
-		}
-	}
-	st.state.Attempt = &restartAttempt{Target: s.Change, Epoch: s.Epoch, ReadyTimeout: s.ReadyTimeout}
-	st.state.EndedCleanly = true
-	if err := st.save(); err != nil {
-		st.state.Attempt = nil
-		return err
-	}
-	st.handing = true
-	st.stop()
-	if st.isOverlapPossible { // the next begins while this one answers what it holds
-		time.Sleep(lastWrite)
-		st.leave()
-		if st.own != nil {
-			st.own.Close()
-		}
-	}
-	return notifySupervisor(st.keeper, supervisorMessage{Next: &successor{program, time.Duration(s.ReadyTimeout) * tenth, !st.isOverlapPossible}})
-}
-
-// awaitServing asks this instance itself until it serves.
-func (st *rolloutRunner) awaitServing(ctx context.Context, serves chan struct{}) {
-	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{
-		DisableKeepAlives: true,
-		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			here, there := net.Pipe()
-			select {
-			case st.inside <- there:
-				return here, nil
-			case <-ctx.Done():
-				return nil, ctx.Err()
-			}
-		},
-	}}
-	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://inside/healthz", nil)
-		if err == nil {
-			if res, err := client.Do(req); err == nil {
-				res.Body.Close()
-				if res.StatusCode == http.StatusOK {
-					close(serves)
-					return
-				}
-			}
-		}
 		select {
-		case <-time.After(serveEach):
+		case <-changed:
+		case <-serving:
+		case <-time.After(min(max(delay, minDecisionInterval), maxDecisionInterval) - minDecisionInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// doorway is a listener that takes connections from within too.
-type doorway struct {
-	net.Listener
-	inside <-chan net.Conn
-	taken  chan took
-}
-
-type took struct {
-	conn net.Conn
-	err  error
-}
-
-func newDoorway(ln net.Listener, inside <-chan net.Conn) *doorway {
-	d := &doorway{Listener: ln, inside: inside, taken: make(chan took)}
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			d.taken <- took{conn, err} // what was taken before the close is answered too
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-		}
-	}()
-	return d
-}
-
-func (d *doorway) Accept() (net.Conn, error) {
-	select {
-	case t := <-d.taken:
-		return t.conn, t.err
-	case conn := <-d.inside:
-		return conn, nil
-	}
-}
-
-// read looks at the change file; what cannot be used is told once and changes nothing.
-func (st *rolloutRunner) read(before []byte) []byte {
-	text, err := os.ReadFile(st.file.RolloutFile)
-	if errors.Is(err, os.ErrNotExist) {
-		st.controller.SetFile(nil)
-		return nil
-	}
-	if err != nil {
-		if before != nil {
-			st.log.Warn("rollout_file", advice.LogAttrs(&rollout.InvalidChangeFileError{Path: st.file.RolloutFile, Err: err})...)
-		}
-		return nil
-	}
-	if bytes.Equal(text, before) {
-		return before
-	}
-	f, err := rollout.ParseChangeFile(st.file.RolloutFile, text)
-	if err != nil {
-		st.log.Warn("rollout_file", advice.LogAttrs(err)...)
-		return text
-	}
-	st.log.Info("rollout_file", "change", f.Change.Name, "number", f.Change.Number, "order", f.Order, "turn", f.Epoch)
-	st.controller.SetFile(f)
-	return text
-}
-
-// searchCounters are counted by the owner as searches end, and read beside it.
-type searchCounters struct {
-	connects atomic.Uint64
-	classes  [rollout.MaxClasses]struct {
-		asked, served, late, shed atomic.Uint64
-		times                     [rollout.LatencyBucketCount]atomic.Uint64
-		subs                      [rollout.SubRequestBucketCount]atomic.Uint64
+func (r *rolloutRunner) initialState() rollout.InitialState {
+	self := r.book.Self()
+	return rollout.InitialState{
+		Self: rollout.Instance{Name: self.Name, Region: self.Region, Zone: self.Zone}, Incarnation: self.Incarnation,
+		Members: r.file.VotingMembers, RunningNumber: numberOf(r.runningChange()),
+		FailedEpoch: r.state.FailedEpoch, FailedNumber: r.state.FailedNumber, FailureReason: r.state.FailureReason,
+		UnplannedRestarts: r.state.UnplannedStarts, NoSavedState: !r.isStateKnown, Now: r.clock(),
 	}
-	aims []time.Duration // by when answers of each class are in time
 }
 
-// ended is the owner's: it waits for nothing.
-func (s *searchCounters) ended(e coordinator.SearchEnd) {
-	if e.Type < 0 || e.Type >= len(s.classes) {
-		return
+// completeAttempt records that this process serves, which ends an attempt well.
+func (r *rolloutRunner) completeAttempt() {
+	state := &r.state
+	if attempt := state.Attempt; attempt != nil {
+		state.Previous, state.Running, state.RunningEpoch, state.Attempt = state.Running, attempt.Target, attempt.Epoch, nil
+		state.UnplannedStarts = 0
+		state.FailedEpoch, state.FailedNumber, state.FailureReason = 0, 0, ""
 	}
-	c := &s.classes[e.Type]
-	c.asked.Add(1)
-	c.subs[rollout.SubRequestBucket(e.Attempts)].Add(1)
-	switch e.Outcome {
-	case coordinator.OutcomeAnswered:
-		c.served.Add(1)
-		c.times[rollout.LatencyBucket(int64(e.Duration/tenth))].Add(1)
-		if e.Type < len(s.aims) && e.Duration > s.aims[e.Type] {
-			c.late.Add(1)
-		}
-	case coordinator.OutcomeShed:
-		c.shed.Add(1)
+	_ = r.save() // logged there; the attempt then counts as not ended at the next start
+	if err := notifySupervisor(r.supervisor, supervisorMessage{Serving: true}); err != nil {
+		r.log.Error("rollout_supervisor", "error", err)
 	}
-}
-
-// now is how they stand. Those that went well are read first, so that they are never more than were asked.
-func (s *searchCounters) now() rollout.InstanceStats {
-	sample := []metrics.Sample{{Name: memoryMetric}}
-	metrics.Read(sample)
-	all := rollout.InstanceStats{Connections: s.connects.Load(), MemoryBytes: sample[0].Value.Uint64(), Classes: make([]rollout.ClassStats, max(1, min(len(s.aims), len(s.classes))))}
-	for i := range all.Classes {
-		from, c := &s.classes[i], &all.Classes[i]
-		c.Late, c.Shed, c.Served = from.late.Load(), from.shed.Load(), from.served.Load()
-		for b := range c.Latencies {
-			c.Latencies[b] = from.times[b].Load()
-		}
-		for b := range c.SubRequests {
-			c.SubRequests[b] = from.subs[b].Load()
-		}
-		c.Requests = from.asked.Load()
+	self := r.book.Self()
+	self.SettingsGeneration = numberOf(state.Running)
+	if err := r.node.UpdateSelf(self); err != nil {
+		r.log.Warn("rollout_put", advice.LogAttrs(err, "name", self.Name)...)
 	}
-	return all
+	r.controller.MarkServing(r.clock())
+	r.log.Info("rollout_serving", "number", numberOf(state.Running), "previous", numberOf(state.Previous))
 }
--- a/cmd/chalkring/rollout_test.go
+++ b/cmd/chalkring/rollout_test.go
@@ -20,9 +20,9 @@
 	os.Exit(code)
 }
 
-const rolloutTimeout = 80 * time.Second // for what has to come; no verdict rests on anything coming sooner
+const rolloutTimeout = 80 * time.Second // for what is expected; no assertion depends on how soon it comes
 
-// rolloutCluster is three processes in three regions that take part in changes, under light load.
+// rolloutCluster is three processes in three regions that take part in changes in stages, under light load.
 type rolloutCluster struct {
 	t *testing.T
 	*clustertest.Cluster
@@ -53,7 +53,7 @@
 			"rollout: rollout.yaml}\n", w.Name, w.Region, w.Zone, w.Fleet, join.String(), via.String(), strings.Join(listed, ", "))
 	}
 	r, err := clustertest.New(ctx, s)
-	for try := 1; err != nil && try < 3; try++ { // another process may have taken a port meanwhile
+	for attempt := 1; err != nil && attempt < 3; attempt++ { // another process may have taken a port meanwhile
 		r, err = clustertest.New(ctx, s)
 	}
 	require.NoError(t, err)
@@ -66,24 +66,25 @@
 	return one
 }
 
-func (r *rolloutCluster) writeChangeFile(to string, number int, program, version string, more ...string) {
-	require.NoError(r.t, r.WriteFile(to, "rollout.yaml", fmt.Sprintf("name: c\nnumber: %d\nprogram: {path: %q, version: %q}\n"+
+// writeChangeFile writes a change of the program with further lines on an instance.
+func (r *rolloutCluster) writeChangeFile(instance string, number int, program, version string, lines ...string) {
+	require.NoError(r.t, r.WriteFile(instance, "rollout.yaml", fmt.Sprintf("name: c\nnumber: %d\nprogram: {path: %q, version: %q}\n"+
 		"stages: [{count: 1, watch: 3s}, {share: 1, watch: 200ms}]\ntogether: 0.34\ncold: 100ms\nready: 3s\nsilent: 12s\nsearches: 0\n%s\n...\n",
-		number, program, version, strings.Join(more, "\n"))))
+		number, program, version, strings.Join(lines, "\n"))))
 }
 
-// waitLoggedAnywhere waits until any of the instances has waitLoggedAnywhere a text, and gives its name.
-func (r *rolloutCluster) waitLoggedAnywhere(text string) (who string) {
+// waitLoggedAnywhere waits until any of the instances has logged a text, and returns its name.
+func (r *rolloutCluster) waitLoggedAnywhere(text string) (instance string) {
 	require.Eventually(r.t, func() bool {
 		for _, name := range r.InstanceNames() {
 			if strings.Contains(r.Log(name), text) {
-				who = name
+				instance = name
 				return true
 			}
 		}
 		return false
 	}, rolloutTimeout, 20*time.Millisecond, "%s\n%s", text, r.logs())
-	return who
+	return instance
 }
 
 func (r *rolloutCluster) logs() (text string) {
@@ -93,31 +94,32 @@
 	return text
 }
 
-// waitLoggedEverywhere waits until each instance has logged a text so often.
+// waitLoggedEverywhere waits until each instance has logged a text a number of times.
 func (r *rolloutCluster) waitLoggedEverywhere(text string, times int) {
 	for _, name := range r.InstanceNames() {
 		require.NoError(r.t, r.WaitLogged(r.ctx, name, text, times))
 	}
 }
 
-// requireNoRefusals ends the load: no client was refused, and all answers are true. That each has one in time is for the measurement: on
-// a machine that is busy clients are late by themselves.
+// requireNoRefusals ends the load and requires that no client was refused and that all answers are correct. Whether they
+// are in time is left to the measurement, since a busy machine makes clients late.
 func (r *rolloutCluster) requireNoRefusals() {
 	r.stop()
-	v := r.Judge(<-r.results, clustertest.AuditRules{})
-	for _, b := range v.Violations {
-		require.NotContains(r.t, []string{"refused", "true_answer", "known_part"}, b.Name, "%s\n%s", b.First, r.logs())
+	verdict := r.Judge(<-r.results, clustertest.AuditRules{})
+	for _, violation := range verdict.Violations {
+		require.NotContains(r.t, []string{"refused", "true_answer", "known_part"}, violation.Name, "%s\n%s", violation.First, r.logs())
 	}
-	require.Positive(r.t, v.Good)
+	require.Positive(r.t, verdict.Good)
 }
 
-// writeProgram is a program that tells a version and then does what body says.
+// writeProgram writes a program that prints a version and otherwise runs the shell commands of body.
 func writeProgram(t *testing.T, body string) string {
 	path := filepath.Join(t.TempDir(), "program")
 	require.NoError(t, os.WriteFile(path, []byte("#!/bin/sh\nif [ \"$1\" = version ]; then echo chalkring other; exit 0; fi\n"+body+"\n"), 0o700))
 	return path
 }
 
+// buildTwoVersions builds this program as release 1.4 and as release 1.5.
 func buildTwoVersions(t *testing.T) (old, new string) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
@@ -128,31 +130,31 @@
 	return old, new
 }
 
-// A program goes through the fleet and back to the one before it, on the same sockets, and is killed on the way.
+// A program is rolled out and back over all instances on the same sockets, while one of them is killed.
 func TestProgramRollsOutAndBack(t *testing.T) {
 	t.Parallel()
 	old, new := buildTwoVersions(t)
 	r := startRolloutCluster(t, old)
 	r.writeChangeFile("north", 1, new, "chalkring 1.5,")
 	first := r.waitLoggedAnywhere("event=rollout_restart number=1 ")
-	require.NoError(t, r.Kill(r.ctx, first)) // while it takes over, or just before or after that
+	require.NoError(t, r.Kill(r.ctx, first)) // around the time at which it restarts
 	require.NoError(t, r.Start(r.ctx, first))
 	r.waitLoggedEverywhere("event=rollout_serving number=1 ", 1)
 	for _, name := range r.InstanceNames() {
 		link, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", r.PID(name)))
 		require.NoError(t, err)
-		require.Equal(t, old, link, "the keeper stays")
+		require.Equal(t, old, link, "the supervisor stays")
 	}
 	r.writeChangeFile("west", 1, new, "chalkring 1.5,", "order: back", "turn: 2")
 	r.waitLoggedEverywhere("event=rollout_serving number=0 previous=1", 1)
 	r.requireNoRefusals()
 }
 
-// A program that ends, that hangs, that is another than was meant or that crashes again and again is left by the first
-// that takes it; nobody else does.
+// A program that ends, hangs, has another version or crashes repeatedly is rolled back by the first instance that applies
+// it. No other instance applies it.
 func TestFailingProgramIsRolledBack(t *testing.T) {
 	old, new := buildTwoVersions(t)
-	for name, c := range map[string]struct{ body, version, told string }{
+	for name, c := range map[string]struct{ body, version, logged string }{
 		"ends":    {"exit 3", "chalkring other", "exit status 3"},
 		"hangs":   {"exec sleep 60", "chalkring other", "did not serve in time"},
 		"other":   {"exit 3", "chalkring 1.5", "tells version"},
@@ -163,11 +165,11 @@
 			r := startRolloutCluster(t, old)
 			r.writeChangeFile("east", 1, writeProgram(t, c.body), c.version, "worse: {restarts: 2}")
 			r.waitLoggedAnywhere("event=rollout_stopped")
-			r.waitLoggedAnywhere(c.told)
-			time.Sleep(500 * time.Millisecond) // nothing more may begin
-			took := strings.Count(r.logs(), "event=rollout_restart number=1 ")
-			require.LessOrEqual(t, took, 1, "%s", r.logs())
-			if name == "crashes" && strings.Contains(r.logs(), "event=rollout_serving number=1") { // it goes back as others let it
+			r.waitLoggedAnywhere(c.logged)
+			time.Sleep(500 * time.Millisecond) // no further restart may begin
+			restarts := strings.Count(r.logs(), "event=rollout_restart number=1 ")
+			require.LessOrEqual(t, restarts, 1, "%s", r.logs())
+			if name == "crashes" && strings.Contains(r.logs(), "event=rollout_serving number=1") { // it rolls back with the permits of the others
 				r.waitLoggedAnywhere("event=rollout_serving number=0 previous=1")
 			}
 			r.requireNoRefusals()
--- a/control/rollout/errors_test.go
+++ b/control/rollout/errors_test.go
@@ -36,7 +36,7 @@
 	}
 	declared := adviceProviders(t, "*.go")
 	require.ElementsMatch(t, declared, tested)
-	for _, pattern := range []string{"../../cmd/chalkring/rollout*.go", "../../cmd/chalkring/keeper*.go"} {
+	for _, pattern := range []string{"../../cmd/chalkring/rollout*.go", "../../cmd/chalkring/supervisor*.go"} {
 		declared = append(declared, adviceProviders(t, pattern)...)
 	}
 	for _, name := range declared {
