--- a/cmd/chalkring/held_test.go
+++ b/cmd/chalkring/store_of_earlier_process_test.go
@@ -11,9 +11,9 @@
 	"chalkring/storage/store"
 )
 
-// A store that the process before still holds is taken once that lets go. Contracts that were kept in it hold from then on,
-// and what it keeps of changes is not written over unread.
-func TestStoreHeldByTheOneBefore(t *testing.T) {
+// A store that an earlier process still has open is opened once that has closed it. The contracts in it are in force from
+// then on, and its state of changes, which could not be read at the start, is not overwritten.
+func TestStoreOfAnEarlierProcess(t *testing.T) {
 	t.Parallel()
 	addrs, dir := freeAddrs(t, "a"), t.TempDir()
 	path := filepath.Join(dir, "kept.db")
@@ -21,23 +21,23 @@
 	require.NoError(t, err)
 	const policy = "00000000000000000002-0"
 	require.NoError(t, held.Put(t.Context(), zonesBucket, map[string][]byte{policy: []byte(contractsTwo)}, nil))
-	a := live(t, dir, "a", addrs, true) // waits for the store as long as a start does
-	st := &rolloutRunner{sharing: a.s}
-	st.load()
+	a := live(t, dir, "a", addrs, true) // waits for the store as long as any start
+	runner := &rolloutRunner{sharing: a.s}
+	runner.load()
 	require.Contains(t, a.text(), "is held by another process")
 	require.NoError(t, held.Close(t.Context()))
 	select {
 	case <-a.s.opened:
 	case <-time.After(contractsWait):
-		t.Fatal("the store is not taken")
+		t.Fatal("the store is not opened")
 	}
 	require.NotNil(t, a.s.store)
-	a.eventually("what was kept is in force", func() bool { return a.may("east") && !a.may("west") && a.in.Policy().Generation == 2 })
+	a.eventually("the stored policy is in force", func() bool { return a.may("east") && !a.may("west") && a.in.Policy().Generation == 2 })
 	_, found, err := a.s.store.Get(zonesBucket, policy)
 	require.NoError(t, err)
 	require.True(t, found, a.text())
-	st.state.Running = &rollout.Change{Number: 1}
-	require.Error(t, st.save(), "what it ran before is not known")
+	runner.state.Running = &rollout.Change{Number: 1}
+	require.Error(t, runner.save(), "the stored state is unknown")
 	_, found, err = a.s.store.Get(rolloutBucket, stateKey)
 	require.NoError(t, err)
 	require.False(t, found)
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -57,14 +57,14 @@
 func TestGoldenRolloutMessages(t *testing.T) {
 	const file = "messages.cbor.txt"
 	least := StatusMessage{Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 1, ServingFor: -1}
-	word, change := goldenStatus(), goldenChange()
+	status, change := goldenStatus(), goldenChange()
 	own := Change{Name: "c", Number: 1, Settings: map[string]string{}, Stages: []Stage{{Fraction: 1}}, MaxConcurrentFraction: 1, OnRegression: OrderRollBack}
 	var all strings.Builder
 	for _, m := range []struct {
 		name  string
 		value any
 	}{
-		{"status, every field", &word},
+		{"status, every field", &status},
 		{"status, fewest fields", &least},
 		{"change, every field", &change},
 		{"change, fewest fields", &own},
@@ -78,9 +78,9 @@
 	}
 	requireGolden(t, file, []byte(all.String()))
 
-	var gotWord, gotLeast StatusMessage
-	require.NoError(t, decodeEntry("k", goldenCBOR(t, file, "status, every field"), &gotWord))
-	require.Equal(t, word, gotWord)
+	var gotStatus, gotLeast StatusMessage
+	require.NoError(t, decodeEntry("k", goldenCBOR(t, file, "status, every field"), &gotStatus))
+	require.Equal(t, status, gotStatus)
 	require.NoError(t, decodeEntry("k", goldenCBOR(t, file, "status, fewest fields"), &gotLeast))
 	require.Equal(t, least, gotLeast)
 	var gotChange Change
@@ -94,7 +94,7 @@
 	}
 }
 
-// What a shared entry of a later version adds is passed over; what cannot be read is refused.
+// Fields that a later version adds to an entry are ignored; an entry that cannot be read is rejected.
 func TestGoldenRolloutMessageReading(t *testing.T) {
 	v := Verdict{}
 	require.NoError(t, decodeEntry("k", []byte{0xa2, 0x01, 0x05, 0x18, 0x63, 0x01}, &v)) // {1: 5, 99: 1}
@@ -103,7 +103,7 @@
 	require.EqualError(t, decodeEntry("rollout/word/n0", make([]byte, 1<<20+1), &v), `shared entry "rollout/word/n0": 1048577 bytes`)
 }
 
-// The names of shared entries, and digests that all instances have to work out alike.
+// The keys of replicated entries, and the digests that all instances have to compute alike.
 func TestGoldenRolloutNamesAndDigests(t *testing.T) {
 	change := goldenChange()
 	var all strings.Builder
@@ -158,7 +158,7 @@
 	require.Equal(t, goldenInstances(), got)
 }
 
-// Keys of a change file, each with another value, and what holds where they are left out.
+// Every key of a change file with a value of its own, and the defaults of those that are left out.
 func TestGoldenChangeFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
@@ -231,7 +231,7 @@
 	requireGolden(t, "file_faults.txt", []byte(all.String()))
 }
 
-// Failures that stand in the log, with their advice.
+// Errors as they are logged, with their advice.
 func TestGoldenRolloutErrors(t *testing.T) {
 	verdict := Verdict{Epoch: 2, Order: OrderStop, Reason: "why", DecidedBy: "n1"}
 	var all strings.Builder
@@ -247,7 +247,7 @@
 	requireGolden(t, "errors.txt", []byte(all.String()))
 }
 
-// What a look finds worse is sent as the verdict's reason.
+// The description of a regression is published as the verdict's reason.
 func TestGoldenRolloutEvidence(t *testing.T) {
 	sides := func(oldNow, newNow InstanceStats) string {
 		e := NewRegressionAnalysis(defaultRegressionLimits)
@@ -272,7 +272,7 @@
 	requireGolden(t, "evidence.txt", []byte(all.String()))
 }
 
-// One listed instance takes a change, and another takes it back: its shared entries and log events, look by look.
+// The only member of a cluster applies a change, restarts and rolls it back: its entries and log events at each decision.
 func TestGoldenRolloutEntriesAndEvents(t *testing.T) {
 	text := "name: c\nnumber: 1\norder: %s\nturn: %d\nsettings: {Safety: {ExtraFloor: 0.5}}\nstages:\n  - {share: 1, watch: 1s}\ncold: 1s\nready: 1s\nsilent: 10s\n...\n"
 	file := func(order string, turn int) *ChangeFile {
--- a/control/rollout/simulation_test.go
+++ b/control/rollout/simulation_test.go
@@ -89,8 +89,8 @@
 	n.startsAt = 0
 	now := s.now + s.clockOffsets[n.index]
 	n.controller = New(InitialState{
-		Self: n.instance, Incarnation: n.incarnation, Members: s.names, RunningNumber: n.runningNumber, FailedEpoch: n.failedEpoch, FailedNumber: n.failedNumber,
-		FailureReason:     n.failureReason,
+		Self: n.instance, Incarnation: n.incarnation, Members: s.names, RunningNumber: n.runningNumber,
+		FailedEpoch: n.failedEpoch, FailedNumber: n.failedNumber, FailureReason: n.failureReason,
 		UnplannedRestarts: n.unplannedRestarts, NoSavedState: noSavedState, Now: now,
 	})
 	n.controller.SetInstances(s.instances(), nil)
