--- a/control/subscribers/errors.go
+++ b/control/subscribers/errors.go
@@ -51,7 +51,7 @@
 type ListFullError struct{ Count, Max int }
 
 func (e *ListFullError) Error() string {
-	return fmt.Sprintf("%d subscriptions are current, %d at the most", e.Count, e.Max)
+	return fmt.Sprintf("%d subscriptions are held, %d at the most", e.Count, e.Max)
 }
 
 // Advice tells an operator what to do.
