--- a/cmd/chalkring/fleet.go
+++ b/cmd/chalkring/fleet.go
@@ -63,7 +63,7 @@
 	}
 	whose := membership.NewIdentity(own.ClusterName, plan.ResidencySite().Tenants)
 	o := gossip.Options{
-		Identity: whose, Self: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: built()}, Voters: own.VotingMembers,
+		Identity: whose, Self: membership.Member{Name: own.Name, Region: own.Region, Zone: own.Zone, ProgramVersion: buildVersion()}, Voters: own.VotingMembers,
 		ListenAddr: own.Listen, JoinAddrs: own.Join, AddrOverrides: own.AddressOverrides, Logger: log, Seed: time.Now().UnixNano(),
 	}
 	if own.KeyFile != "" {
--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -13,73 +13,82 @@
 	"chalkring/endpoints/hostfile"
 )
 
-// checkHosts looks at host files as serve would.
-type checkHosts struct {
+type checkHostsCommand struct {
 	Plan  string   `help:"Plan whose zones, kinds and sets the files have to fit." type:"existingfile" placeholder:"FILE"`
 	Files []string `arg:"" type:"existingfile" help:"Files with hosts, all of them together."`
 }
 
-func (c *checkHosts) Run() error {
-	rules := endpoints.Rules{}
-	if c.Plan != "" {
-		text, err := os.ReadFile(c.Plan)
-		if err != nil {
-			return err
-		}
-		plan, err := coordinator.Parse(text)
-		if err != nil {
-			return fmt.Errorf("%s: %w", c.Plan, err)
-		}
-		rules = plan.EndpointRules()
+// Run checks host files as the command serve would read them, one after the other.
+func (c *checkHostsCommand) Run() error {
+	rules, err := c.readRules()
+	if err != nil {
+		return err
 	}
-	book, bad := endpoints.NewRegistry(rules), false
+	registry, failed := endpoints.NewRegistry(rules), false
 	for i, path := range c.Files {
-		told, err := hostfile.Read(path)
+		update, err := hostfile.Read(path)
 		if err == nil {
-			told.Version = int64(i + 1)
-			_, err = book.Apply(1, told)
+			update.Version = int64(i + 1)
+			_, err = registry.Apply(1, update)
 		}
 		if err != nil {
-			bad = true
+			failed = true
 			fmt.Fprintln(os.Stderr, err)
 			continue
 		}
-		fmt.Printf("%s: can be used, %d hosts\n", path, len(told.Hosts))
+		fmt.Printf("%s: can be used, %d hosts\n", path, len(update.Hosts))
 	}
-	for _, set := range book.UncoveredSets() {
-		bad = true
-		fmt.Fprintf(os.Stderr, "no host of these files that is up holds block set %d\n", set)
+	for _, blockSet := range registry.UncoveredSets() {
+		failed = true
+		fmt.Fprintf(os.Stderr, "no host of these files that is up holds block set %d\n", blockSet)
 	}
-	if bad {
-		return exit(1)
+	if failed {
+		return exitCode(1)
 	}
 	return nil
 }
 
-// listsOf watches the host files that an installation names, until ctx ends.
-func listsOf(ctx context.Context, m *config.EndpointSources, log *slog.Logger) <-chan endpoints.Update {
-	if m == nil {
+// readRules returns the rules of the plan, or rules that any host fits where there is no plan.
+func (c *checkHostsCommand) readRules() (endpoints.Rules, error) {
+	if c.Plan == "" {
+		return endpoints.Rules{}, nil
+	}
+	text, err := os.ReadFile(c.Plan)
+	if err != nil {
+		return endpoints.Rules{}, err
+	}
+	plan, err := coordinator.Parse(text)
+	if err != nil {
+		return endpoints.Rules{}, fmt.Errorf("%s: %w", c.Plan, err)
+	}
+	return plan.EndpointRules(), nil
+}
+
+// watchHostFiles sends the content of the host files that the installation file names, first as they are and then at
+// each change, until ctx ends. The channel is nil where it names none.
+func watchHostFiles(ctx context.Context, sources *config.EndpointSources, log *slog.Logger) <-chan endpoints.Update {
+	if sources == nil {
 		return nil
 	}
-	lists := make(chan endpoints.Update)
-	files := &hostfile.Watcher{Paths: m.Files, Notify: func(e hostfile.Event) {
-		var fault endpoints.InvalidListError
+	updates := make(chan endpoints.Update)
+	watcher := &hostfile.Watcher{Paths: sources.Files, Notify: func(event hostfile.Event) {
+		var invalid endpoints.InvalidListError
 		switch {
-		case errors.As(e.Err, &fault):
-			log.Warn("host_file", "path", e.Path, "error", e.Err, "in_force", "its last list")
-		case e.Err != nil:
-			log.Warn("host_file_away", "path", e.Path, "error", e.Err)
+		case errors.As(event.Err, &invalid):
+			log.Warn("host_file", "path", event.Path, "error", event.Err, "in_force", "its last list")
+		case event.Err != nil:
+			log.Warn("host_file_away", "path", event.Path, "error", event.Err)
 		default:
-			log.Info("host_file", "path", e.Path, "hosts", len(e.Update.Hosts))
+			log.Info("host_file", "path", event.Path, "hosts", len(event.Update.Hosts))
 			select {
-			case lists <- e.Update:
+			case updates <- event.Update:
 			case <-ctx.Done():
 			}
 		}
 	}}
 	go func() {
-		defer close(lists)
-		files.Run(ctx)
+		defer close(updates)
+		watcher.Run(ctx)
 	}()
-	return lists
+	return updates
 }
--- /dev/null
+++ b/cmd/chalkring/peers.go
@@ -0,0 +1,74 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"chalkring/cluster/peerprotocol"
+	"chalkring/config"
+)
+
+type peersCommand struct {
+	Installation string `required:"" help:"YAML file that names the peers." type:"existingfile" placeholder:"FILE"`
+	Name         string `help:"Name to ask under, where the file has none." default:""`
+}
+
+// Run prints a table with the status of each peer that the installation file names.
+func (c *peersCommand) Run() error {
+	file, err := config.Read(c.Installation)
+	if err != nil {
+		return err
+	}
+	if file.Peers == nil || len(file.Peers.PollTargets) == 0 {
+		return fmt.Errorf("%s names no peers to ask", c.Installation)
+	}
+	if file.Peers.Name != "" {
+		c.Name = file.Peers.Name
+	}
+	credentials, err := loadCredentials(file.Peers.TLS, func(err error) { fmt.Fprintln(os.Stderr, err) })
+	if err != nil {
+		return err
+	}
+	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "PEER\tADDRESS\tPLACE\tUP\tLIST\tHOSTS\tTOLD\tPUT OFF\tLOAD\tJOBS\tHELD\tITS PEERS")
+	unreachable := 0
+	for _, target := range file.Peers.PollTargets {
+		client := peerprotocol.Client{
+			PeerName: target.Name, Addr: target.Address, LocalName: c.Name,
+			Dial: (&net.Dialer{}).DialContext, Credentials: credentials,
+		}
+		status, err := client.FetchStatus(context.Background())
+		if err != nil {
+			unreachable++
+			fmt.Fprintf(table, "%s\t%s\t%v\n", target.Name, target.Address, err)
+			continue
+		}
+		printPeer(table, target.Name, target.Address, status)
+	}
+	_ = table.Flush() // as with fmt.Print, output that nobody reads is no failure
+	if unreachable > 0 {
+		return exitCode(1)
+	}
+	return nil
+}
+
+func printPeer(table io.Writer, name, address string, status peerprotocol.Status) {
+	var peers []string
+	for _, peer := range status.Peers {
+		outcome := peer.LastOutcome
+		if outcome == "" {
+			outcome = "not asked"
+		}
+		peers = append(peers, peer.Name+":"+outcome)
+	}
+	uptime := (time.Duration(status.UptimeMs) * time.Millisecond).Round(time.Second)
+	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d%%\t%d+%d\t%d\t%s\n", name, address, status.Locality,
+		uptime, status.ListVersion, status.HostCount, status.ReportsServed, status.ReportsDeferred,
+		status.LoadPermille/10, status.RunningJobs, status.WaitingJobs, status.HeldJobs, strings.Join(peers, " "))
+}
--- a/cmd/chalkring/places_test.go
+++ b/cmd/chalkring/places_test.go
@@ -61,8 +61,8 @@
 	for name, want := range map[string]string{good: "", wrong: "[2:18] settings.'Classes.7.Aim': the plan has 1 classes"} {
 		file, err := config.Read(name)
 		require.NoError(t, err)
-		_, err = settingsOf(file, plan)
-		checked := (&checkFiles{Files: []string{name, site}}).Run()
+		_, err = applySettings(file, plan)
+		checked := (&checkFilesCommand{Files: []string{name, site}}).Run()
 		if want == "" {
 			require.NoError(t, err)
 			require.NoError(t, checked)
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -164,6 +164,6 @@
 	for name, text := range map[string]string{"plan.json": zonedPlan, "contracts.yaml": contractsOne} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
-	require.NoError(t, (&checkFiles{Files: []string{filepath.Join(dir, "plan.json"), filepath.Join(dir, "contracts.yaml")}}).Run())
-	require.Error(t, (&checkFiles{Files: []string{filepath.Join(dir, "plan.json"), "../../deploy/residency.yaml"}}).Run())
+	require.NoError(t, (&checkFilesCommand{Files: []string{filepath.Join(dir, "plan.json"), filepath.Join(dir, "contracts.yaml")}}).Run())
+	require.Error(t, (&checkFilesCommand{Files: []string{filepath.Join(dir, "plan.json"), "../../deploy/residency.yaml"}}).Run())
 }
--- a/cmd/chalkring/search.go
+++ b/cmd/chalkring/search.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// search sends one search: to the OpenSearch-style front with an index, or to the own one with a type and blocks.
-type search struct {
+// searchCommand sends one searchCommand: to the OpenSearch-style front with an index, or to the own one with a type and blocks.
+type searchCommand struct {
 	Address string        `required:"" help:"Host and port of a front." placeholder:"HOST:PORT"`
 	Index   string        `help:"Index, on the OpenSearch-style front." xor:"kind" placeholder:"NAME"`
 	Type    string        `help:"Query type, on the own front." xor:"kind" placeholder:"NAME"`
@@ -30,7 +30,7 @@
 
 const answerMost = 16 << 20 // bytes of an answer that are read
 
-func (s *search) Run() error {
+func (s *searchCommand) Run() error {
 	if (s.Index == "") == (s.Type == "") {
 		return fmt.Errorf("either --index (OpenSearch-style front) or --type (own front) is needed")
 	}
@@ -59,13 +59,13 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return exit(1)
+		return exitCode(1)
 	}
 	return nil
 }
 
 // body is the search's text, with the size in it where the query is given by itself.
-func (s *search) body() ([]byte, error) {
+func (s *searchCommand) body() ([]byte, error) {
 	switch {
 	case s.File == "-":
 		return io.ReadAll(io.LimitReader(os.Stdin, answerMost))
@@ -83,7 +83,7 @@
 	return json.Marshal(body)
 }
 
-func (s *search) request(text []byte) (*http.Request, error) {
+func (s *searchCommand) request(text []byte) (*http.Request, error) {
 	if s.Index != "" {
 		url := fmt.Sprintf("http://%s/%s/_search?cancel_after_time_interval=%dms", s.Address, s.Index, s.Wait.Milliseconds())
 		if len(s.Blocks) > 0 {
@@ -118,7 +118,7 @@
 }
 
 // show prints an answer of either front as a table, with how many blocks are in.
-func (s *search) show(res *http.Response, got []byte, took time.Duration) error {
+func (s *searchCommand) show(res *http.Response, got []byte, took time.Duration) error {
 	var m struct {
 		Shards struct {
 			Total, Successful, Failed int
