--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -18,6 +17,7 @@
 	"chalkring/config"
 	"chalkring/control/residency"
 	"chalkring/coordinator"
+	"chalkring/internal/clustertest"
 )
 
 // contractsWait limits how long a test waits for something to happen. No verdict depends on anything happening sooner.
@@ -101,10 +101,10 @@
 func freeAddrs(t *testing.T, names ...string) map[string]string {
 	all := map[string]string{}
 	for _, name := range names {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		addr, release, err := clustertest.ReserveAddress()
 		require.NoError(t, err)
-		defer ln.Close()
-		all[name] = ln.Addr().String()
+		t.Cleanup(release)
+		all[name] = addr
 	}
 	return all
 }
--- a/internal/clustertest/net.go
+++ b/internal/clustertest/net.go
@@ -206,6 +206,15 @@
 	return "", errors.New("no free port")
 }
 
+// ReserveAddress returns a loopback address that is free for TCP and UDP. It is outside the range that the system gives to
+// outgoing connections, and no other test process that uses this package is given it until release is called.
+func ReserveAddress() (addr string, release func(), err error) {
+	if addr, err = port(); err != nil {
+		return "", nil, err
+	}
+	return addr, func() { freed([]string{addr}) }, nil
+}
+
 // freed gives ports back.
 func freed(all []string) {
 	ports.Lock()
