--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -14,7 +14,7 @@
 		b.recordRetry()
 		request.search.extraAttempts++
 	}
-	b.scheduleTrial(target)
+	b.scheduleProbe(target)
 	target.slowStart.credit--
 	target.lastSent = b.now
 	target.joinBatch(a, b.now, int(b.settings.optionalNumber(settingBatchSize, 1)))
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -7,9 +7,9 @@
 	watchRetryMin = 500 * millisecond
 	// watchRetryMax is the longest such wait, cut to what the settings allow.
 	watchRetryMax = 8 * second
-	// watchWithinShare is the part of the time allowed for renewing a watch that one wait takes, in tenths of a millisecond
-	// for each of that setting's milliseconds: missed lists count after 6 s.
-	watchWithinShare = 3
+	// watchWithinShare is the share of the time that the settings allow for renewing a watch that one wait may take: lists
+	// that were missed count after 6 of 10 s.
+	watchWithinShare = 0.3
 )
 
 // endpointList is the replicas that may be used.
@@ -96,7 +96,7 @@
 // retryWatch renews the watch of the list after a growing wait with jitter, within the time that the settings allow: the
 // list service may be failing for all coordinators at once.
 func (b *balancer) retryWatch() {
-	allowed := int64(b.settings.optionalNumber(settingWatchWithin, watchRetryMax) * watchWithinShare)
+	allowed := int64(b.settings.optionalNumber(settingWatchWithin, watchRetryMax) * (watchWithinShare * millisecond))
 	delay := min(b.endpoints.watchRetryDelay, allowed)
 	b.endpoints.watchRetryDelay = min(2*b.endpoints.watchRetryDelay, watchRetryMax)
 	jitter := b.rng.Int63n(delay/4 + 1)
@@ -111,6 +111,3 @@
 	}
 	return b.endpoints.shardSetHolders(request.shard % b.endpoints.shardSets)
 }
-
-// RecordProbeResult does nothing: health checks are not used, since attempts show more.
-func (b *balancer) RecordProbeResult(string, string, int64, map[string]float64) {}
--- a/balancer/endpoint_selection.go
+++ b/balancer/endpoint_selection.go
@@ -129,7 +129,7 @@
 		if b.mayProbe(r, request) {
 			load = probeLoad
 		}
-	} else if b.isZoneDegraded(r.zone) && (b.now < b.zones[r.zone].nextTrial || !request.search.canSpareRequests()) {
+	} else if b.isZoneDegraded(r.zone) && (b.now < b.zones[r.zone].nextProbe || !request.search.canSpareRequests()) {
 		load += degradedPenalty
 	}
 	if request.wasSentTo(r) {
--- a/balancer/gossip_observations.go
+++ b/balancer/gossip_observations.go
@@ -84,8 +84,8 @@
 	if observation.Outlier && ownAnswers < 1 {
 		r.health.gossipedOutlierUntil = b.now + min(maxGossipAge, observation.OutlierDuration)
 		b.outliers.gossipedUntil = max(b.outliers.gossipedUntil, r.health.gossipedOutlierUntil)
-		delay := b.rng.Int63n(trialInterval) // or all coordinators would probe it at the same time
-		r.health.nextTrial = max(r.health.nextTrial, b.now+delay)
+		delay := b.rng.Int63n(probeInterval) // or all coordinators would probe it at the same time
+		r.health.nextProbe = max(r.health.nextProbe, b.now+delay)
 	}
 	b.inflight.recheckAt(r, r.health.gossipedOutlierUntil)
 }
--- a/balancer/latency_estimates.go
+++ b/balancer/latency_estimates.go
@@ -33,9 +33,9 @@
 	// thinEvidenceRate is the rate of answers per replica, per tenth of a millisecond, under which evidence is thin: one a
 	// second.
 	thinEvidenceRate = 1.0 / second
-	// slowReplicaTrialInterval is the time between two attempts that all coordinators together send to a replica that looks
+	// slowReplicaProbeInterval is the time between two attempts that all coordinators together send to a replica that looks
 	// too slow, in tenths of a millisecond: ten a second are half of what two cores serve.
-	slowReplicaTrialInterval = 100 * millisecond
+	slowReplicaProbeInterval = 100 * millisecond
 )
 
 // latencyEstimates is what answers have shown of all replicas together, and of searches. Latencies are averaged as
@@ -158,7 +158,7 @@
 	if b.latency.fleetAnswers < minFleetAnswers { // an assumed latency must not bar what would show the true one
 		expected = 0
 	}
-	if float64(b.now-r.lastSent) > slowReplicaTrialInterval*b.settings.number(settingBalancers) {
+	if float64(b.now-r.lastSent) > slowReplicaProbeInterval*b.settings.number(settingBalancers) {
 		return expected
 	}
 	if count, total := r.latency.long.read(b.now, longWindow); count >= minReplicaAnswers {
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -13,12 +13,12 @@
 	minUnanswered = 2
 	// restartConnectFailures is the number of connects failed in a row that show a restart: one may be chance.
 	restartConnectFailures = 2
-	// trialInterval is the wait before an outlier gets a probe attempt, in tenths of a millisecond: a second is a short
+	// probeInterval is the wait before an outlier gets a probe attempt, in tenths of a millisecond: a second is a short
 	// outage.
-	trialInterval = 1 * second
-	// trialSpacing is the least wait between probe attempts at any outliers, in tenths of a millisecond: with hundreds of
+	probeInterval = 1 * second
+	// probeSpacing is the least wait between probe attempts at any outliers, in tenths of a millisecond: with hundreds of
 	// outliers each request would be one otherwise.
-	trialSpacing = 300 * millisecond
+	probeSpacing = 300 * millisecond
 	// maxRetryAfter is the longest that a replica's own Retry-After is kept to, in tenths of a millisecond: a probe attempt
 	// shows its state then.
 	maxRetryAfter = 5 * second
@@ -40,12 +40,12 @@
 
 	retryAfter           int64 // it named this time to come back
 	gossipedOutlierUntil int64
-	nextTrial            int64
+	nextProbe            int64
 }
 
 // outlierDetector is what concerns all outliers together.
 type outlierDetector struct {
-	nextTrial     int64 // when the next probe attempt may go to any outlier
+	nextProbe     int64 // when the next probe attempt may go to any outlier
 	gossipedUntil int64 // until when gossip calls some replica an outlier
 	lastCrash     int64 // when a replica last seemed to crash under this coordinator's attempts, 0 for never
 }
@@ -110,22 +110,22 @@
 	return b.isOutlier(a.replica) || float64(b.now-a.sentAt) > b.silenceThreshold()
 }
 
-// mayProbe tells whether an outlier may take a shard request although healthy replicas could: it may have recovered, and only
-// an answer shows that. The request must be idempotent and its first attempt, and where only gossip calls the replica an
-// outlier the search must have requests to spare.
+// mayProbe tells whether an outlier may take a shard request although healthy replicas could: it may have recovered, and
+// only an answer shows that. The request must be idempotent and not have been sent yet, and where only gossip calls the
+// replica an outlier the search must have requests to spare.
 func (b *balancer) mayProbe(r *replica, request *shardRequest) bool {
-	if b.now < max(r.health.nextTrial, b.outliers.nextTrial) || len(request.attempts) > 0 {
+	if b.now < max(r.health.nextProbe, b.outliers.nextProbe) || len(request.attempts) > 0 {
 		return false
 	}
 	return request.search.effect == effectRetryable && (b.isOutlier(r) || request.search.canSpareRequests())
 }
 
-// scheduleTrial sets when a replica gets its next probe attempt, now that one goes to it.
-func (b *balancer) scheduleTrial(r *replica) {
+// scheduleProbe sets when a replica gets its next probe attempt, now that one goes to it.
+func (b *balancer) scheduleProbe(r *replica) {
 	if b.isOutlier(r) || b.isGossipedOutlier(r) {
-		r.health.nextTrial, b.outliers.nextTrial = b.now+trialInterval, b.now+trialSpacing
+		r.health.nextProbe, b.outliers.nextProbe = b.now+probeInterval, b.now+probeSpacing
 	} else if b.isZoneDegraded(r.zone) {
-		b.zones[r.zone].nextTrial = b.now + trialInterval
+		b.zones[r.zone].nextProbe = b.now + probeInterval
 	}
 }
 
@@ -155,8 +155,8 @@
 			b.outliers.lastCrash = b.now
 		}
 	}
-	if b.isOutlier(a.replica) && health.nextTrial <= b.now {
-		health.nextTrial = b.now + trialInterval
+	if b.isOutlier(a.replica) && health.nextProbe <= b.now {
+		health.nextProbe = b.now + probeInterval
 	}
 }
 
@@ -165,6 +165,9 @@
 	health := &r.health
 	health.retryAfter = max(health.retryAfter, b.now+min(maxRetryAfter, retryAfter))
 	b.inflight.recheckAt(r, health.retryAfter)
-	health.nextTrial = max(health.nextTrial, health.retryAfter)
+	health.nextProbe = max(health.nextProbe, health.retryAfter)
 	health.consecutiveFailures++
 }
+
+// RecordProbeResult does nothing: health checks are not used, since attempts show more.
+func (b *balancer) RecordProbeResult(string, string, int64, map[string]float64) {}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -32,9 +32,11 @@
 		after    int64
 		want     bool
 	}{
-		"idempotent":                           {effect: effectRetryable, attempts: []attempt{ran, inFlight}, want: true},
-		"idempotent, no attempts left":         {effect: effectRetryable, attempts: []attempt{ran, ran, ran}},
-		"key still holds":                      {effect: effectDedup, attempts: []attempt{ran}, after: second - windowMargin, want: true},
+		"idempotent":                   {effect: effectRetryable, attempts: []attempt{ran, inFlight}, want: true},
+		"idempotent, no attempts left": {effect: effectRetryable, attempts: []attempt{ran, ran, ran}},
+		"key still holds": {
+			effect: effectDedup, attempts: []attempt{ran}, after: second - windowMargin, want: true,
+		},
 		"key has expired":                      {effect: effectDedup, attempts: []attempt{ran}, after: second - windowMargin + 1},
 		"key of what has not run":              {effect: effectDedup, attempts: []attempt{notRun}, after: 9 * second, want: true},
 		"not idempotent, may have run":         {effect: effectFragile, attempts: []attempt{notRun, ran}},
--- a/balancer/zone_latency.go
+++ b/balancer/zone_latency.go
@@ -9,7 +9,7 @@
 type zoneLatency struct {
 	latency   decayingSum
 	gossiped  gossipedLatency
-	nextTrial int64 // when a request that can be spared may go there again, while it is degraded
+	nextProbe int64 // when a request that can be spared may go there again, while it is degraded
 }
 
 // isZoneDegraded tells whether a zone's answers take far longer than the quickest zone's: the network to it is slow or
