--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -95,7 +95,8 @@
 
 // isWithoutValue tells whether a search is not worth admitting: there is no capacity for its answer, its objective has
 // passed, or it would pass by the time that searches take now. The last is asked only of those that have waited or while
-// answers are slow: at a low rate nothing ever waits at one coordinator, and overload shows only in the answers.
+// answers are slow: at a low rate nothing ever waits at one coordinator, and overload shows only in the answers. After an
+// overload it sheds needlessly until the durations have faded; some searches go out as they do, and measure anew.
 func (b *balancer) isWithoutValue(s *search) bool {
 	if b.utilization >= 1 || s.objectiveEnd <= b.now && !b.hasLateValue(s) {
 		return true
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -22,7 +22,9 @@
 )
 
 // concurrencyLimiter bounds the attempts in flight by the latency gradient: while answers take longer than they could, the
-// limit falls to where requests no longer wait long at the replicas.
+// limit falls to where requests no longer wait long at the replicas. It handles overload of the replicas by all
+// coordinators together, and covers whatever else slows all of them. Searches that have become heavier lower it too, though
+// the replicas could take more.
 type concurrencyLimiter struct {
 	limit         float64
 	largestSearch int // most shard requests of a search so far
@@ -81,7 +83,7 @@
 // of a shard would take every slot; the limit shrinks with the replica's answers as the limit of all does with all answers.
 // Requests beyond it stand aside, as do searches that need them. Where all attempts at a replica are silent one more may
 // go: it shows whether the replica is slow or a connection was lost. A replica that only gossip calls an outlier may have
-// one attempt.
+// one attempt. A replica that is slow by its hardware alone may hold fewer attempts too.
 func (b *balancer) isBelowReplicaLimit(r *replica) bool {
 	shortest, inFlight := b.latency.shortestLatency(b.now), len(r.attempts)
 	if inFlight == 0 || b.isGossipedOutlier(r) {
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -18,9 +18,9 @@
 	byID     map[string]*replica
 	pending  []func(listed map[string]bool) // entries of the list that is being received
 
-	holders         map[int][]*replica // holders of the shards from each set on, kept until the list changes
+	holders         map[int][]*replica // by shard set, kept until the list changes
 	shardSets       int
-	setsPerReplica  int // consecutive shard sets that a replica holds
+	setsPerReplica  int // consecutive shard sets that a replica holds, its own the last
 	watchRetryDelay int64
 }
 
@@ -94,7 +94,7 @@
 }
 
 // retryWatch renews the watch of the list after a growing wait with jitter, within the time that the settings allow: the
-// list service may be failing for all coordinators at once.
+// list service may be failing for all coordinators at once. A short failure may leave the list old for one wait.
 func (b *balancer) retryWatch() {
 	allowed := int64(b.settings.optionalNumber(settingWatchWithin, watchRetryMax) * (watchWithinShare * millisecond))
 	delay := min(b.endpoints.watchRetryDelay, allowed)
--- a/balancer/endpoint_selection.go
+++ b/balancer/endpoint_selection.go
@@ -113,7 +113,7 @@
 	return best, lowest
 }
 
-// selectionLoad is what replicas are compared by: batches in flight, and penalties for those that come after the others.
+// selectionLoad is the load that replicas are compared by: batches in flight, and penalties for those that come after the others.
 // A replica in a degraded zone has none for a request that its search can spare, now and then: it shows whether the zone
 // has recovered.
 func (b *balancer) selectionLoad(request *shardRequest, r *replica, isOutlier, hasThinEvidence bool) float64 {
--- a/balancer/fanout.go
+++ b/balancer/fanout.go
@@ -97,7 +97,8 @@
 }
 
 // weightToSend is the weight of the requests that have to be sent; the others are extras. Where evidence is thin nothing
-// ever waits here and the backlog says nothing. Slow answers stand in for it then, and what an answer may lack is an extra.
+// ever waits here and the backlog says nothing. Slow answers stand in for it then, and what an answer may lack is an extra:
+// less work under overload, for answers that are less complete.
 func (b *balancer) weightToSend(s *search) float64 {
 	isOverloaded := b.hasThinEvidence() && b.latency.fleetAnswers >= minOverloadAnswers &&
 		b.loadFactor() < overloadLoadFactor
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -10,7 +10,7 @@
 	// setting that is missing or cannot be parsed, as do later calls that need one.
 	Configure(seed int64, settings map[string]string)
 	// AddEndpoint adds an entry to the list that the next CommitEndpoints closes. A status other than StatusHealthy keeps
-	// new requests away from the replica. startedAt is the start of its present incarnation, 0 for unknown.
+	// new requests away from the replica. shardSet is the last of the consecutive sets that it holds, startedAt the start of its present incarnation, 0 for unknown.
 	AddEndpoint(replica string, zone, kind, shardSet int, status string, capacity float64, startedAt int64)
 	// CommitEndpoints takes the added entries over. The kind is ListComplete, ListPersisted, ListPartial or ListError.
 	CommitEndpoints(kind string, revision int64)
--- a/balancer/replica.go
+++ b/balancer/replica.go
@@ -5,7 +5,7 @@
 // replica is an entry of the endpoint list with what this coordinator's attempts have shown of it.
 type replica struct {
 	id             string
-	shardSet, zone int   // shardSet is the first of the sets that it holds
+	shardSet, zone int   // shardSet is the last of the consecutive sets that it holds
 	eligible       bool  // listed, and neither draining nor gone
 	startedAt      int64 // as the list has it; 0 where it does not say
 
@@ -24,8 +24,8 @@
 // batch is the attempts that one iteration sent to one replica and that travel as one call.
 type batch struct{ size, inFlight int }
 
-// restarted forgets what was learnt of a replica's former incarnation. A trial that is due and a retry time that it named
-// stay: they only spare it.
+// restarted forgets what was learnt of a replica's former incarnation. The time of its next probe attempt and a
+// Retry-After that it named stay: they only spare it.
 func (r *replica) restarted(startedAt int64) {
 	r.startedAt = startedAt
 	r.latency = replicaLatency{}
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -28,7 +28,8 @@
 
 // hasSlowStartCredit protects a replica that has just started from being overloaded until it crashes again. It gets that
 // multiple of this coordinator's mean answers per replica which it can surely serve by now. The means of all coordinators
-// add up to what a replica really answers, so all of them together stay within its capacity, however many there are.
+// add up to what a replica really answers, so all of them together stay within its capacity, however many there are. At low
+// rates a replica is hardly used while it warms up.
 func (b *balancer) hasSlowStartCredit(r *replica) bool {
 	if b.isWarmedUp(r) {
 		return true
