--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -7,8 +7,8 @@
 	watchRetryMin = 500 * millisecond
 	// watchRetryMax is the longest such wait, cut to what the settings allow.
 	watchRetryMax = 8 * second
-	// watchWithinShare is the share of the time that the settings allow for renewing a watch that one wait may take: lists
-	// that were missed count after 6 of 10 s.
+	// watchWithinShare is the share of the time that the settings allow for renewing a watch that one wait may take:
+	// missed lists count after 6 s.
 	watchWithinShare = 0.3
 )
 
