--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	storeOpenTimeout    = 10 * time.Second // for the store at a start: the instance has to know what it runs
+	rolloutStoreTimeout = 10 * time.Second // for the store at a start: the instance has to know what it runs
 	replacementTimeout  = 10 * time.Second // for another program to serve that replaces this one without an attempt
 	maxAttemptStarts    = 2                // starts of an attempt that do not serve before it is given up
 	maxUnplannedStarts  = 5                // unplanned starts with a change before an instance rolls back by itself
@@ -99,7 +99,7 @@
 	for _, ready := range []<-chan struct{}{r.opened, r.shared.Ready()} {
 		select {
 		case <-ready:
-		case <-time.After(storeOpenTimeout):
+		case <-time.After(rolloutStoreTimeout):
 		}
 	}
 }
