--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -10,6 +10,12 @@
 	"time"
 )
 
+const (
+	logQueueSize      = 1024            // lines that wait for the log: a burst of some for each connection
+	logFlushTimeout   = 2 * time.Second // for the lines that are left at the end: the process is to end soon
+	logRepeatInterval = time.Second     // between two lines of one kind that others can cause at will
+)
+
 // asyncLogger is the log as the co-ordinator's goroutines write to it: no one waits for it. Lines that find it
 // full are dropped and counted. Guards against a reader of the log that stalls.
 type asyncLogger struct {
--- a/coordinator/buffers.go
+++ b/coordinator/buffers.go
@@ -5,6 +5,8 @@
 	"sync"
 )
 
+const bufferSize = 16 << 10 // bytes of a buffer: a message head and most complete messages; 1,000 buffers take 16 MB
+
 // buffers and readers are all of one size; what outgrew it is left to the collector.
 var (
 	buffers         = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -9,6 +9,8 @@
 	"chalkring/internal/http1"
 )
 
+const responseHeadRoom = 512 // bytes for the head of an answer
+
 // writeAnswer writes a final writeAnswer; an owner's call.
 func (c *clientConnection) writeAnswer(outcome searchOutcome, keep bool) {
 	c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, outcome.pendingWrites...)
--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -12,6 +12,15 @@
 	"chalkring/internal/http1"
 )
 
+const (
+	requestReadTimeout = 2500 * time.Millisecond // for a request to arrive, the first from connecting: the platform owes under 3 s
+	clientIdleTimeout  = 3 * time.Second         // after which an idle client connection is closed: usual clients send several requests a second
+	finalReadGrace     = 50 * time.Millisecond   // for one more read after a request's time ran out: its bytes may be there already
+	stopIdleTimeout    = time.Second             // without a request during shutdown: the client has had time to close
+	lingerTimeout      = time.Second             // for a client to read its last answer and close
+	maxLingerBytes     = 256 << 10               // bytes read meanwhile: four of the longest bodies
+)
+
 // clientConnection is one clientConnection's connection. Its fields are the reading goroutine's, but for over.
 type clientConnection struct {
 	*clientListener
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -8,6 +8,13 @@
 	"time"
 )
 
+const (
+	clientDescriptorShare = 0.55                   // of the descriptors go to clients; the rest is for replicas, discovery, log and runtime
+	acceptRetryDelay      = 100 * time.Millisecond // before the next accept when no descriptor is left: some will be free
+	clientWriteTimeout    = 5 * time.Second        // for a client to take a byte of its answer; after that it counts as gone
+	clientQueueSize       = 4                      // answers that wait on a client's connection: clients send one request at a time
+)
+
 // clientListener is the clients' side: it turns HTTP requests into searches for the owner and results into responses.
 type clientListener struct {
 	loop             *eventLoop
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -9,6 +9,8 @@
 	"time"
 )
 
+const maxRequestIDBytes = 128 // bytes of a request's id, which stands in each of its frames
+
 // requestError is what a request gets that can be read and not be used.
 type requestError struct {
 	status int
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -14,6 +14,18 @@
 	"chalkring/internal/http1"
 )
 
+const (
+	watchInterval            = time.Second            // between two calls of all coordinators together: bounds the load of discovery
+	maxWatchWait             = 20 * time.Second       // of one call for changes: a silent connection shows after it
+	fullListTimeout          = 2 * time.Second        // of a call for the complete list, which is answered at once
+	watchAnswerSlack         = time.Second            // for an answer after a call's wait
+	minPollBackoff           = 500 * time.Millisecond // first backoff before the list is polled again
+	maxPollBackoff           = 3 * time.Second        // longest backoff, half of it random: a missed change counts as known after 6 s
+	maxPollDelay             = 5 * time.Second        // from the start of a failed call to the next at the latest: a missed change counts as known after 6 s
+	lossSpreadPerCoordinator = 10 * time.Millisecond  // between the calls of all coordinators that lost discovery at once
+	maxLossSpread            = 2 * time.Second        // over which those calls are spread: a missed change counts as known after 6 s
+)
+
 // discoveryState is what is known of discovery at one place.
 type discoveryState struct {
 	addr                 string
--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -17,6 +17,13 @@
 	"chalkring/coordinator/plan"
 )
 
+const (
+	maxQueuedTasks  = 1024                   // tasks that wait for the event loop: several for each descriptor of a usual limit
+	catchUpWait     = 5 * time.Millisecond   // for sockets to be read before an iteration after a stall: decoding a long list takes several milliseconds
+	maxCatchUpWaits = 10                     // such waits in a row: what keeps coming after them is no backlog
+	catchUpInterval = 250 * time.Millisecond // between two catch-ups: an overloaded process is not delayed further by them
+)
+
 // eventLoop owns the module. All but queue, asks, moves, log and ctx is touched by its goroutine alone; fronts, replicas'
 // connections and discovery post closures to queue. It waits for nothing but that queue and its next wake,
 // so they may wait for it. The queue is bounded by maxQueuedTasks; while it is full, sockets are not read.
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -13,6 +13,12 @@
 	"chalkring/internal/frame"
 )
 
+const (
+	frameReadTimeout     = 300 * time.Millisecond // from a frame's first byte to its last: answers fit a few packets
+	maxLoggedRejectBytes = 200                    // bytes of a replica's reject text in a log line
+	frameParameterRoom   = 256                    // bytes of a shard request's parameters that need no allocation
+)
+
 // frameProtocol is the platform's protocol.
 type frameProtocol struct{}
 
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+const logWriteTimeout = time.Second // for a line to be taken: a reader that is only slow needs less
+
 // NewLogger writes lines of key=value text, or JSON objects, one an event: time, level, event and what belongs to it.
 func NewLogger(to io.Writer, json bool, least slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: least, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -11,6 +11,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
+const (
+	maxCoalescedBytes    = 8 << 10                // bytes of messages that are written at once: a buffer holds two such
+	maxCoalescedMessages = 64                     // messages written at once: one iteration's batches to one replica
+	maxWriteWait         = 20 * time.Millisecond  // for a message whose write has begun to be written: a socket takes one at once
+	writeWaitYields      = 16                     // checks of it that only yield the processor
+	writeWaitPoll        = 100 * time.Microsecond // between two checks after that
+)
+
 // outboundMessage is one message on its way to a socket.
 type outboundMessage struct {
 	buffer           *[]byte
--- a/coordinator/metrics.go
+++ b/coordinator/metrics.go
@@ -4,10 +4,13 @@
 	"bytes"
 	"fmt"
 	"strings"
+	"time"
 
 	"chalkring/control/shadow"
 )
 
+const shadowLogInterval = 10 * time.Second // between log lines on what shadow settings would have decided otherwise
+
 // metricsBody is all that is told under /metrics.
 func (loop *eventLoop) metricsBody() []byte {
 	var b bytes.Buffer
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -4,6 +4,8 @@
 	"slices"
 )
 
+const drainSendShare = 0.5 // of the drain grace in which a draining replica may get new frames: the list may be late
+
 // replica is one machine of the list and the connections to it.
 type replica struct {
 	id, addr    string
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -7,6 +7,20 @@
 	"time"
 )
 
+const (
+	replicaQueueSize     = 512                    // frames that wait on a replica's connection: batches of 32 streams with their cancels
+	extraDialShare       = 0.05                   // of the descriptors may go to further dials beside slow ones
+	replicaIdleShare     = 0.7                    // of the time after which replicas close an idle connection: closing earlier avoids a race
+	minDoubtDelay        = 1000                   // ticks under an attempt without a byte from the connection before the next batch takes another one,
+	doubtLatencyFactor   = 4.0                    // or this multiple of the average latency, if that is longer
+	latencyAverageWeight = 100.0                  // answers that the average latency rests on
+	maxRecentIDs         = 256                    // ids of past attempts kept for a connection: some seconds of answers
+	maxRedialDelay       = 100 * time.Millisecond // for a connection to come up before a further dial: most take a few milliseconds
+	redialTimeoutParts   = 5                      // or this part of the dial timeout: the last dial has over half of the time left
+	maxParallelDials     = 3                      // dials for one connection: of those that are late one in three, one in 27 waits
+	silenceDialTimeouts  = 2                      // dial timeouts of silence after which a connection counts as lost
+)
+
 // replicaConnection is one connection to a replica as the owner knows it.
 type replicaConnection struct {
 	*messageConn
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -2,6 +2,13 @@
 
 import (
 	"slices"
+	"time"
+)
+
+const (
+	replicaDescriptorShare = 0.35                 // of the descriptors go to replicas: a search uses several, but attempts share connections
+	maxDoubtedConnections  = 2                    // silent connections to a replica that are passed over: a silent replica gets no more
+	repeatWindowMargin     = 2 * time.Millisecond // kept off the idempotency window when a repeat is sent: its way to the replica
 )
 
 // batch is what travels as one frame.
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -12,6 +12,8 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
+const weightTolerance = 0.01 // that weights may miss 1 by: rounding of a hundred parts
+
 const maxInlineBlocks = 256 // blocks up to which those that were named are marked without room of their own
 
 // bodyReaders are readers of requests' bodyReaders, kept for the next.
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 	"sync/atomic"
+	"time"
 
 	"chalkring/balancer"
 	"chalkring/control/residency"
@@ -13,6 +14,8 @@
 	"chalkring/internal/advice"
 )
 
+const maxResidencyCheckDelay = time.Hour // after which a distant check is computed anew: the wall clock may have been set
+
 // residencyEnforcer binds one owner's searches to the hosts that their contracts leave. It is the owner's.
 type residencyEnforcer struct {
 	loop                *eventLoop
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -10,6 +10,12 @@
 	"chalkring/control/residency"
 )
 
+const (
+	searchOverheadBytes       = 2 << 10 // that a search holds here and in the balancer, beside its text
+	shardRequestOverheadBytes = 1 << 10 // that each of its shard requests holds, beside its value
+	attemptNameExtra          = 24      // bytes of an attempt's name beyond its search's: a dot, a number, the step
+)
+
 // search is one search from its request to its final answer. The front that took it makes it; reply is
 // what it leaves for that answer.
 type search struct {
--- a/coordinator/search_api.go
+++ b/coordinator/search_api.go
@@ -13,6 +13,8 @@
 	"chalkring/coordinator/plan"
 )
 
+const maxClientTimeout = time.Hour // the longest client timeout that is honored: bounds what is held
+
 const frontendDescriptorShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
 
 // Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -6,6 +6,12 @@
 	"time"
 )
 
+const (
+	acceptAfterStop = 500 * time.Millisecond // in which new connections are accepted after a stop: the platform sends for 0.4 s more
+	killMargin      = 200 * time.Millisecond // kept before SIGKILL: the signal's way here, the answer's way out
+	maxStopTime     = 20 * time.Second       // for answers on connections that stay open; after it each answer ends its connection
+)
+
 // shutDown begins the end once ctx ends: new connections are taken for acceptAfterStop, since the platform still sends. Those that
 // are open are served until their clients close them or send nothing for stopIdleTimeout, for maxStopTime at the longest; the owner
 // ends with the last of them.
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -3,6 +3,13 @@
 import (
 	"cmp"
 	"container/heap"
+	"time"
+)
+
+const (
+	maxSpareTimers     = 4096                  // balancer timers kept for reuse: those of a few hundred open searches
+	stallCheckInterval = 50 * time.Millisecond // between checks of the time while searches are open: a client may be gone for 0.1 s
+	stallThreshold     = 50 * time.Millisecond // lateness of a timer that shows a stalled process: no iteration takes so long
 )
 
 // timer is something to do at a time; place is where it stands among wakes, negative once it does not.
