--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -126,7 +126,7 @@
 func (n *asyncLogger) recoverPanic(do func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			if err = endFault; n != nil {
+			if err = errFault; n != nil {
 				n.warnLimited("connection fault", "connection_fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
 			}
 		}
--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -172,7 +172,7 @@
 	if attempt == nil {
 		if _, known := conn.recentIDs[string(id)]; !known {
 			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(id))
-			conn.closeNow(endMalformed)
+			conn.closeNow(errMalformed)
 		}
 		return
 	}
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -83,7 +83,7 @@
 		c.lastAnswerWritten.Store(true)
 		half, ok := c.conn.(interface{ CloseWrite() error })
 		if !ok || half.CloseWrite() != nil {
-			return endClosing
+			return errClosing
 		}
 		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -64,7 +64,7 @@
 		}
 		switch now := time.Now(); {
 		case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
-			return 0, endClosing
+			return 0, errClosing
 		case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is looked at first
 			// Guards against a newcomer that makes room for the next before its request, which is there, has been read.
 			if c.readAvailable != nil {
@@ -72,7 +72,7 @@
 					return n, nil
 				}
 			}
-			return 0, endDisplaced
+			return 0, errDisplaced
 		case !c.requestDeadline.IsZero() && now.Before(c.requestDeadline):
 			c.setReadDeadline(c.requestDeadline)
 		case c.requestDeadline.IsZero() && c.isAwaitingAnswer():
@@ -84,11 +84,11 @@
 			c.extendedOnce = true
 			c.setReadDeadline(now.Add(finalReadGrace))
 		case !c.requestDeadline.IsZero():
-			return 0, endReadTimeout
+			return 0, errReadTimeout
 		case c.stopping.Err() != nil:
-			return 0, endClosing
+			return 0, errClosing
 		default:
-			return 0, endIdle
+			return 0, errIdle
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		// after the shutdown: a last answer may go out between two looks.
 		if c.lastAnswerWritten.Load() {
 			c.linger((*buf)[:bufferSize])
-			return endClosing
+			return errClosing
 		}
 		c.limiter.markRequestBegun(c)
 		if c.requestDeadline = c.firstDeadline; c.firstDeadline.IsZero() {
@@ -167,7 +167,7 @@
 			c.respond(bad.Status, "", []byte("{}"), false)
 			c.linger((*buf)[:bufferSize])
 			c.awaitAnswer(ctx)
-			return endMalformed
+			return errMalformed
 		case err != nil:
 			return connectionEndOf(err)
 		}
@@ -204,7 +204,7 @@
 		}
 	}
 	if c.lastAnswerWritten.Load() {
-		return endClosing
+		return errClosing
 	}
 	return nil
 }
@@ -218,10 +218,10 @@
 	case <-c.answered:
 		c.awaitingAnswer = false
 	case <-ctx.Done():
-		return endClosing
+		return errClosing
 	}
 	if c.lastAnswerWritten.Load() {
-		return endClosing
+		return errClosing
 	}
 	return nil
 }
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -73,7 +73,7 @@
 				}
 			})
 			switch end {
-			case endReadTimeout, endMalformed, endQueueFull, endWriteFailed, endDisplaced, endFault:
+			case errReadTimeout, errMalformed, errQueueFull, errWriteFailed, errDisplaced, errFault:
 				loop.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
 			}
 			return nil
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -376,9 +376,9 @@
 			require.NoError(t, err)
 			require.Equal(t, 1, n)
 			_, err = client.Read(make([]byte, 2)) // once
-			want := endClosing
+			want := errClosing
 			if !client.requestDeadline.IsZero() {
-				want = endReadTimeout
+				want = errReadTimeout
 			}
 			require.Equal(t, want, connectionEndOf(err))
 		})
--- a/coordinator/connection_end.go
+++ b/coordinator/connection_end.go
@@ -8,25 +8,25 @@
 	"syscall"
 )
 
-// connectionEnd is how a connection came to its end. It is the error of all code on that connection.
-type connectionEnd int
+// connectionEndError is how a connection came to its end. It is the error of all code on that connection.
+type connectionEndError int
 
 const (
-	_                 connectionEnd = iota
-	endNotConnected                 // refused, or not up in time
-	endNoDescriptors                // not opened: this side has no descriptor or port left
-	endPeerClosed                   // the other side closed it between messages
-	endReset                        // reset, or cut inside a message
-	endWriteFailed                  // a write failed or did not end in time
-	endReadTimeout                  // a message was begun and not finished in time
-	endMalformed                    // what came cannot be used
-	endRejectedByPeer               // the other side could not use what we sent
-	endQueueFull                    // its backlog was full
-	endIdle                         // closed here: nothing was on it for long
-	endRetired                      // closed here: its replica is gone or moved, or it has gone silent
-	endDisplaced                    // closed here: it was longest at rest, and another needed its descriptor
-	endClosing                      // closed here after a last answer, or as the co-ordinator stops
-	endFault                        // closed here: what was done with what came has a fault
+	_                 connectionEndError = iota
+	errNotConnected                      // refused, or not up in time
+	errNoDescriptors                     // not opened: this side has no descriptor or port left
+	errPeerClosed                        // the other side closed it between messages
+	errReset                             // reset, or cut inside a message
+	errWriteFailed                       // a write failed or did not end in time
+	errReadTimeout                       // a message was begun and not finished in time
+	errMalformed                         // what came cannot be used
+	errRejectedByPeer                    // the other side could not use what we sent
+	errQueueFull                         // its backlog was full
+	errIdle                              // closed here: nothing was on it for long
+	errRetired                           // closed here: its replica is gone or moved, or it has gone silent
+	errDisplaced                         // closed here: it was longest at rest, and another needed its descriptor
+	errClosing                           // closed here after a last answer, or as the co-ordinator stops
+	errFault                             // closed here: what was done with what came has a fault
 )
 
 var connectionEndNames = [...]string{
@@ -34,23 +34,23 @@
 	"complained", "crowded", "unused", "retired", "displaced", "closing", "faulty",
 }
 
-func (e connectionEnd) Error() string { return connectionEndNames[e] }
+func (e connectionEndError) Error() string { return connectionEndNames[e] }
 
 // attemptOutcome is the one place where ends of connections become the module's words. What the other side ended: a
 // part whose frame was never on it whole could not connect, any other was reset; but on a connection that had
 // proved to work the first was just never sent, since no connect had failed. What this side ended: a part
 // was never sent, or was called off, and may have run; the replica is not down for that. Guards against a
 // spoilt answer that stands for a crash. But whoever spoils an answer has failed one part, the first.
-func (e connectionEnd) attemptOutcome(written, first, worked bool) string {
+func (e connectionEndError) attemptOutcome(written, first, worked bool) string {
 	switch e {
-	case endNotConnected, endPeerClosed, endReset, endWriteFailed:
+	case errNotConnected, errPeerClosed, errReset, errWriteFailed:
 		if written {
 			return "ResetByPeer"
 		}
 		if !worked {
 			return "ConnectError"
 		}
-	case endReadTimeout, endMalformed, endRejectedByPeer, endFault:
+	case errReadTimeout, errMalformed, errRejectedByPeer, errFault:
 		if written && first {
 			return "Failed"
 		}
@@ -64,29 +64,29 @@
 // isCertain tells whether a connection's end leaves no doubt that what was out on it is over for the other side too: that
 // side has ended it, or had just been heard as this side did. Our own end of a connection that has fallen silent does not
 // arrive.
-func (e connectionEnd) isCertain() bool {
+func (e connectionEndError) isCertain() bool {
 	switch e {
-	case endNotConnected, endPeerClosed, endReset, endMalformed, endRejectedByPeer, endFault:
+	case errNotConnected, errPeerClosed, errReset, errMalformed, errRejectedByPeer, errFault:
 		return true
 	}
 	return false
 }
 
 // connectionEndOf names what reading met.
-func connectionEndOf(err error) connectionEnd {
-	var e connectionEnd
+func connectionEndOf(err error) connectionEndError {
+	var e connectionEndError
 	switch {
 	case errors.As(err, &e):
 		return e
 	case err == io.EOF:
-		return endPeerClosed
+		return errPeerClosed
 	case errors.Is(err, context.Canceled), errors.Is(err, errAllAnswered):
-		return endClosing
+		return errClosing
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return endReadTimeout
+		return errReadTimeout
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS),
 		errors.Is(err, syscall.EADDRNOTAVAIL):
-		return endNoDescriptors
+		return errNoDescriptors
 	}
-	return endReset
+	return errReset
 }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -421,7 +421,7 @@
 	require.False(t, conn.closedToNew)
 	(<-loop.tasks)()
 	require.True(t, conn.closedToNew)
-	require.Equal(t, endMalformed, <-heard)
+	require.Equal(t, errMalformed, <-heard)
 }
 
 // A connection that falls silent takes no more parts, and is ended once its replica answers on another: what it
@@ -527,10 +527,10 @@
 	client.requestDeadline = time.Unix(1, 0)
 	client.interruptRead()
 	_, err = client.Read(make([]byte, 1))
-	require.Equal(t, endReadTimeout, connectionEndOf(err))
+	require.Equal(t, errReadTimeout, connectionEndOf(err))
 	client.requestDeadline = time.Time{}
 	_, err = client.Read(make([]byte, 1))
-	require.Equal(t, endIdle, connectionEndOf(err))
+	require.Equal(t, errIdle, connectionEndOf(err))
 	stopping, cancel := context.WithCancel(context.Background())
 	cancel()
 	client.stopping = stopping
@@ -540,7 +540,7 @@
 	require.Equal(t, 1, n)
 	require.NoError(t, err)
 	_, err = client.Read(make([]byte, 1))
-	require.Equal(t, endClosing, connectionEndOf(err))
+	require.Equal(t, errClosing, connectionEndOf(err))
 }
 
 // A replica that refuses connections, and one that never was where the list says, cost no search.
@@ -557,25 +557,25 @@
 }
 
 func TestOutcomesOfEndings(t *testing.T) {
-	want := map[connectionEnd][3]string{} // frame not out whole; out, the first part; out, the others
-	for _, e := range []connectionEnd{endNotConnected, endPeerClosed, endReset, endWriteFailed} {
+	want := map[connectionEndError][3]string{} // frame not out whole; out, the first part; out, the others
+	for _, e := range []connectionEndError{errNotConnected, errPeerClosed, errReset, errWriteFailed} {
 		want[e] = [3]string{"ConnectError", "ResetByPeer", "ResetByPeer"}
 	}
-	for _, e := range []connectionEnd{endReadTimeout, endMalformed, endRejectedByPeer} {
+	for _, e := range []connectionEndError{errReadTimeout, errMalformed, errRejectedByPeer} {
 		want[e] = [3]string{"Ignored", "Failed", "Canceled"}
 	}
-	for _, e := range []connectionEnd{endNoDescriptors, endQueueFull, endIdle, endRetired, endDisplaced, endClosing} {
+	for _, e := range []connectionEndError{errNoDescriptors, errQueueFull, errIdle, errRetired, errDisplaced, errClosing} {
 		want[e] = [3]string{"Ignored", "Canceled", "Canceled"}
 	}
-	for e := endNotConnected; e <= endClosing; e++ {
+	for e := errNotConnected; e <= errClosing; e++ {
 		require.Equal(t, want[e], [3]string{e.attemptOutcome(false, true, false), e.attemptOutcome(true, true, false), e.attemptOutcome(true, false, false)},
 			e.Error())
 		require.Equal(t, "Ignored", e.attemptOutcome(false, true, true), "it had worked: %s", e)
 		require.NotEmpty(t, e.Error())
 	}
-	require.Equal(t, endNoDescriptors, connectionEndOf(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
-	require.Equal(t, endPeerClosed, connectionEndOf(io.EOF))
-	require.Equal(t, endReset, connectionEndOf(io.ErrUnexpectedEOF))
+	require.Equal(t, errNoDescriptors, connectionEndOf(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
+	require.Equal(t, errPeerClosed, connectionEndOf(io.EOF))
+	require.Equal(t, errReset, connectionEndOf(io.ErrUnexpectedEOF))
 }
 
 // The list: draining and removed replicas get nothing new, what cannot be used changes nothing and is asked
@@ -819,8 +819,8 @@
 	require.True(t, parcels[1].recall())
 	end := l.serve(here, 20*time.Millisecond, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
 		func(*outboundMessage) error { return nil })
-	require.Equal(t, endWriteFailed, end)
-	require.Equal(t, endWriteFailed, context.Cause(l.ctx), "its context would stay with the parent's")
+	require.Equal(t, errWriteFailed, end)
+	require.Equal(t, errWriteFailed, context.Cause(l.ctx), "its context would stay with the parent's")
 	require.Equal(t, stageWriting, parcels[0].stage.Load())
 	require.False(t, parcels[0].recall())
 	require.Equal(t, stageRecalled, parcels[1].stage.Load())
@@ -828,7 +828,7 @@
 	for _, message := range parcels[1:] {
 		l.enqueue(message)
 	}
-	require.Equal(t, endQueueFull, context.Cause(l.ctx))
+	require.Equal(t, errQueueFull, context.Cause(l.ctx))
 }
 
 // oneOut is a search with one sub-request out, its frame at that stage.
@@ -956,7 +956,7 @@
 	own, other := net.Pipe() // a write lasts until the other side reads
 	defer other.Close()
 	l := newMessageConn(context.Background(), 4)
-	ended := make(chan connectionEnd, 1)
+	ended := make(chan connectionEndError, 1)
 	go func() {
 		ended <- l.serve(own, time.Minute, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
 			func(*outboundMessage) error { return nil })
@@ -981,6 +981,6 @@
 	l.enqueue(next)
 	require.Eventually(t, func() bool { return next.stage.Load() == stageWriting }, patience, time.Millisecond)
 	awaitWritten([]pendingWrite{{l, next}}) // nobody reads: after a while its connection ends
-	require.Equal(t, endRetired, <-ended)
+	require.Equal(t, errRetired, <-ended)
 	require.True(t, l.writerEnded.Load())
 }
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -163,7 +163,7 @@
 		conn, err := loop.Dial(up, "tcp", state.addr)
 		cancel()
 		if err != nil {
-			return fmt.Errorf("%w: %w", endNotConnected, err)
+			return fmt.Errorf("%w: %w", errNotConnected, err)
 		}
 		unhook := context.AfterFunc(ctx, func() { conn.Close() })
 		buf := borrowBuffer()
@@ -261,7 +261,7 @@
 	}
 	*version = v
 	if !loop.submit(func() { loop.applyEndpointList(how, list) }) {
-		return endClosing
+		return errClosing
 	}
 	loop.notifyEndpointList(full, int64(v), list.Hosts)
 	return nil
--- a/coordinator/endpoint_sources.go
+++ b/coordinator/endpoint_sources.go
@@ -47,13 +47,13 @@
 	select {
 	case m.discoveryUpdates <- d:
 	case <-m.loop.ctx.Done():
-		return endClosing
+		return errClosing
 	}
 	select {
 	case err := <-d.result:
 		return err
 	case <-m.loop.ctx.Done():
-		return endClosing
+		return errClosing
 	}
 }
 
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -93,7 +93,7 @@
 			}
 		}
 		if tell != nil && !loop.submit(tell) {
-			return endClosing
+			return errClosing
 		}
 		if err != nil {
 			return err
@@ -109,7 +109,7 @@
 	}
 	if letter == frame.TypeReject && err == nil {
 		loop.log.warnLimited("frame_refused", "frame_refused", "replica", conn.replica.id, "words", string(rest[:min(len(rest), maxLoggedRejectBytes)]))
-		return nil, endRejectedByPeer
+		return nil, errRejectedByPeer
 	}
 	if letter != frame.TypeAnswer && err == nil {
 		err = fmt.Errorf("%w: letter %q", frame.ErrMalformed, letter)
@@ -126,7 +126,7 @@
 	}
 	if err != nil {
 		loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
-		return nil, endMalformed
+		return nil, errMalformed
 	}
 	var read any
 	if outcome == "Ok" {
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -120,7 +120,7 @@
 			a.replicas["a0"].ResetConnections()
 		}, "Canceled"},
 		"closed on this side, then its search ends": {false, func(a at) {
-			a.inTurn(func(*eventLoop) { a.l.closeNow(endRetired) })
+			a.inTurn(func(*eventLoop) { a.l.closeNow(errRetired) })
 			a.eventually("it has ended", func() (ended bool) {
 				a.inTurn(func(loop *eventLoop) { ended = len(loop.replicas["a0"].connections) == 0 })
 				return ended
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -66,7 +66,7 @@
 	select {
 	case l.queue <- message:
 	default:
-		l.end(endQueueFull)
+		l.end(errQueueFull)
 	}
 }
 
@@ -80,7 +80,7 @@
 // are told by the system's clock, whichever the owner has.
 func (l *messageConn) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
 	wrote func(*outboundMessage) error,
-) connectionEnd {
+) connectionEndError {
 	g, ctx := errgroup.WithContext(l.ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -161,7 +161,7 @@
 	n, err := conn.Write(*out)
 	for _, message := range all {
 		if n -= len(*message.buffer); n < 0 { // it is not out whole, nor is what is behind it
-			return endWriteFailed
+			return errWriteFailed
 		}
 		message.stage.Store(stageWritten)
 		err := wrote(message)
@@ -171,7 +171,7 @@
 		}
 	}
 	if err != nil {
-		return endWriteFailed
+		return errWriteFailed
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 			case tries < writeWaitYields:
 				runtime.Gosched()
 			case tries == writeWaitYields+int(maxWriteWait/writeWaitPoll):
-				write.conn.end(endRetired)
+				write.conn.end(errRetired)
 			default:
 				time.Sleep(writeWaitPoll)
 			}
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -42,7 +42,7 @@
 }
 
 func (openSearchProtocol) cancelAttempt(conn *replicaConnection, _ *attempt) {
-	conn.closeNow(endRetired)
+	conn.closeNow(errRetired)
 }
 
 // classifyResponse is the one table from what an OpenSearch host answers to the module's outcomes. 429 and 503 have not run; whatever else is no good answer may have.
@@ -88,7 +88,7 @@
 			}
 			close(asked)
 		}) {
-			return endClosing
+			return errClosing
 		}
 		sub, open := <-asked
 		if !open {
@@ -121,7 +121,7 @@
 				loop.closeIfUnused(connection)
 			}
 		}) {
-			return endClosing
+			return errClosing
 		}
 	}
 }
@@ -129,11 +129,11 @@
 func (openSearchProtocol) readError(loop *eventLoop, conn *replicaConnection, err error) error {
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		return endReadTimeout
+		return errReadTimeout
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
 		return connectionEndOf(err)
 	}
 	loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
-	return endMalformed
+	return errMalformed
 }
--- a/coordinator/peer_reports.go
+++ b/coordinator/peer_reports.go
@@ -37,13 +37,13 @@
 func (l *peerExchange) runInLoop(do func()) error {
 	done := make(chan struct{})
 	if !l.loop.submit(func() { do(); close(done) }) {
-		return endClosing
+		return errClosing
 	}
 	select {
 	case <-done:
 		return nil
 	case <-l.loop.ctx.Done():
-		return endClosing
+		return errClosing
 	}
 }
 
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -52,12 +52,12 @@
 	addr, wait := replica.addr, loop.plan.Duration("Permissions.DialTimeout")
 	room := max(1, int64(extraDialShare*float64(loop.maxSockets)))
 	loop.group.Go(func() error {
-		end := endNotConnected
+		end := errNotConnected
 		ctx, cancel := context.WithTimeout(connection.ctx, wait)
 		conn, err := loop.dialWithRetries(ctx, addr, min(maxRedialDelay, wait/redialTimeoutParts), room)
 		cancel()
-		if connectionEndOf(err) == endNoDescriptors {
-			end = endNoDescriptors
+		if connectionEndOf(err) == errNoDescriptors {
+			end = errNoDescriptors
 		}
 		if err == nil {
 			loop.submit(func() { loop.handleConnected(connection) })
@@ -185,18 +185,18 @@
 	for _, conn := range heard.replica.connections {
 		age := conn.silentFor(loop.now)
 		if conn != heard && !conn.closedToNew && loop.now-age < sent && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
-			conn.closeNow(endRetired)
+			conn.closeNow(errRetired)
 		}
 	}
 }
 
 // handleConnectionEnd tells what a connection's end means for the parts that were out on it.
-func (loop *eventLoop) handleConnectionEnd(conn *replicaConnection, end connectionEnd, addr string) {
+func (loop *eventLoop) handleConnectionEnd(conn *replicaConnection, end connectionEndError, addr string) {
 	conn.closedToNew = true
 	conn.end(end)
 	loop.replicaConnectionCount--
 	conn.replica.connections = slices.DeleteFunc(conn.replica.connections, func(x *replicaConnection) bool { return x == conn })
-	if len(conn.attempts) > 0 || end == endNotConnected || end == endReadTimeout || end == endMalformed || end == endFault {
+	if len(conn.attempts) > 0 || end == errNotConnected || end == errReadTimeout || end == errMalformed || end == errFault {
 		loop.log.warnLimited("replica "+end.Error(), "replica_connection_ended", "replica", conn.replica.id, "addr", addr, "end", end,
 			"parts", len(conn.attempts))
 	}
@@ -236,11 +236,11 @@
 		loop.runAfter(max(left, most/4), func() { loop.closeWhenIdle(conn) })
 		return
 	}
-	conn.closeNow(endIdle)
+	conn.closeNow(errIdle)
 }
 
 // closeNow ends a connection at once; until that is told, it takes nothing new.
-func (l *replicaConnection) closeNow(e connectionEnd) {
+func (l *replicaConnection) closeNow(e connectionEndError) {
 	l.closedToNew = true
 	l.end(e)
 }
@@ -253,6 +253,6 @@
 
 func (loop *eventLoop) closeIfUnused(conn *replicaConnection) {
 	if conn.closedToNew && conn.openBatches == 0 && len(conn.abandoned) == 0 {
-		conn.end(endRetired)
+		conn.end(errRetired)
 	}
 }
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -43,7 +43,7 @@
 			if conn == nil {
 				for _, attempt := range slices.Clone(batch.attempts) {
 					loop.detachAttempt(attempt)
-					loop.deferAttemptOutcome(attempt, endNoDescriptors.attemptOutcome(false, false, false))
+					loop.deferAttemptOutcome(attempt, errNoDescriptors.attemptOutcome(false, false, false))
 				}
 				continue
 			}
@@ -131,7 +131,7 @@
 		}
 	}
 	if spare != nil {
-		spare.closeNow(endDisplaced)
+		spare.closeNow(errDisplaced)
 		return loop.openConnection(replica)
 	}
 	return fullest
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -343,7 +343,7 @@
 	var told []string
 	loop, conn, _ := twoOut(true)
 	loop.balancer = deaf{told: &told}
-	loop.handleConnectionEnd(conn, endMalformed, "x")
+	loop.handleConnectionEnd(conn, errMalformed, "x")
 	require.Equal(t, []string{"Ignored", "Failed"}, told)
 }
 
@@ -377,9 +377,9 @@
 			}
 			l.enqueue(next)
 			context.AfterFunc(ctx, func() { close(c.ended) })
-			return endPeerClosed
+			return errPeerClosed
 		}, func(*outboundMessage) error { return nil })
-		require.Equal(t, endPeerClosed, end)
+		require.Equal(t, errPeerClosed, end)
 		require.Equal(t, stageWritten, first.stage.Load())
 		require.Equal(t, stageQueued, next.stage.Load())
 	}
--- a/coordinator/search_api.go
+++ b/coordinator/search_api.go
@@ -199,7 +199,7 @@
 		out <- result
 	}
 	if !loop.submit(func() { loop.startSearch(s) }) {
-		return SearchResult{}, endClosing
+		return SearchResult{}, errClosing
 	}
 	select {
 	case result := <-out:
@@ -209,6 +209,6 @@
 		loop.submit(func() { loop.withdrawSearch(s) })
 		return SearchResult{}, ctx.Err()
 	case <-loop.ctx.Done():
-		return SearchResult{}, endClosing
+		return SearchResult{}, errClosing
 	}
 }
