--- a/coordinator/abandoned_attempts.go
+++ b/coordinator/abandoned_attempts.go
@@ -13,7 +13,7 @@
 
 // mayStillRun tells whether a sub-request that this side gives up may be out all the same, where no part may be out twice.
 func (loop *eventLoop) mayStillRun(attempt *attempt) bool {
-	return !loop.allowsSecondCopies && !attempt.shardRequest.isSettled()
+	return !loop.rules.allowsSecondCopies && !attempt.shardRequest.isSettled()
 }
 
 // abandonAttempt keeps the end of a sub-request from the module until it is over for its replica too: that has answered it, or has
@@ -23,12 +23,12 @@
 // part is lost to its search.
 func (loop *eventLoop) abandonAttempt(conn *replicaConnection, attempt *attempt, outcome string) {
 	abandoned := &abandonedAttempt{attempt, conn, outcome}
-	conn.abandoned, loop.abandoned[attempt] = append(conn.abandoned, abandoned), abandoned
+	conn.abandoned, loop.replicas.abandoned[attempt] = append(conn.abandoned, abandoned), abandoned
 }
 
 // forgetAbandoned ends a sub-request's lingering, and gives how it had ended here.
 func (loop *eventLoop) forgetAbandoned(abandoned *abandonedAttempt) (outcome string) {
-	delete(loop.abandoned, abandoned.attempt)
+	delete(loop.replicas.abandoned, abandoned.attempt)
 	abandoned.connection.abandoned = slices.DeleteFunc(abandoned.connection.abandoned, func(x *abandonedAttempt) bool { return x == abandoned })
 	loop.closeIfUnused(abandoned.connection)
 	return abandoned.outcome
--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -2,8 +2,6 @@
 
 import (
 	"slices"
-	"strconv"
-	"strings"
 )
 
 // attempt is one sub-request that is out.
@@ -25,7 +23,7 @@
 
 // SendAttempt starts a sub-request; it travels at the end of the turn, with others to that replica.
 func (loop *eventLoop) SendAttempt(id uint64, to string, timeout int64) {
-	request, replica := loop.shardRequests[id], loop.replicas[to]
+	request, replica := loop.searches.shardRequests[id], loop.replicas.byID[to]
 	if request == nil {
 		return
 	}
@@ -45,7 +43,7 @@
 	request.unreported++
 	early := ""
 	switch {
-	case int(sub.index) >= loop.maxAttempts || request.isSettled():
+	case int(sub.index) >= loop.rules.maxAttempts || request.isSettled():
 		early = "Ignored"
 	case timeout <= 0:
 		early = "TimedOut"
@@ -62,7 +60,7 @@
 		c = replica.batches[n-1]
 	} else {
 		if c = &sub.inlineBatch; n == 0 {
-			loop.dispatchOrder = append(loop.dispatchOrder, replica)
+			loop.replicas.dispatchOrder = append(loop.replicas.dispatchOrder, replica)
 		}
 		c.attempts = c.inlineAttempts[:0]
 		replica.batches = append(replica.batches, c)
@@ -74,7 +72,7 @@
 
 // CancelAttempt gives a sub-request up.
 func (loop *eventLoop) CancelAttempt(id uint64, leg int) {
-	if request := loop.shardRequests[id]; request != nil && leg < len(request.attempts) {
+	if request := loop.searches.shardRequests[id]; request != nil && leg < len(request.attempts) {
 		loop.giveUpAttempt(request.attempts[leg], "Canceled")
 	}
 }
@@ -179,7 +177,7 @@
 	if waits && !loop.recallAttempt(attempt) { // guards against a repeat on this connection that goes out though the first was answered
 		loop.detachAttempt(attempt)
 	}
-	loop.averageLatency += (float64(loop.now-attempt.sentAt) - loop.averageLatency) / latencyAverageWeight
+	loop.replicas.averageLatency += (float64(loop.now-attempt.sentAt) - loop.replicas.averageLatency) / latencyAverageWeight
 	loop.retireSilentConnections(conn, attempt.sentAt)
 	if request := attempt.shardRequest; outcome == "Ok" && !request.isSettled() {
 		request.completed, request.score, request.value, request.decoded = true, score, value, read
@@ -187,23 +185,3 @@
 	}
 	loop.recordOutcome(attempt, outcome, report)
 }
-
-// decodeValue passes a value to the check of its search, where that has one. Guards against a host that answers in good
-// form and leaves out what was asked: its part would count as in.
-func (loop *eventLoop) decodeValue(part, value []byte) (any, error) {
-	if loop.decoderCount.Load() == 0 {
-		return nil, nil
-	}
-	id := string(part)
-	id = strings.TrimSuffix(id, ".r")
-	dot := strings.LastIndexByte(id, '.')
-	check, ok := loop.valueDecoders.Load(id[:max(0, dot)])
-	if !ok {
-		return nil, nil
-	}
-	n, err := strconv.Atoi(id[dot+1:])
-	if err != nil {
-		return nil, err
-	}
-	return check.(func(int, []byte) (any, error))(n, value)
-}
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -63,7 +63,7 @@
 
 func (c *clientConnection) addUnsent(n int) {
 	c.unsentBytes.Add(int64(n))
-	c.loop.unsentBytes.Add(int64(n))
+	c.loop.searches.unsentBytes.Add(int64(n))
 }
 
 // keepAlive tells what an answer says of its connection: keep, that it stays for further requests, and last, that it keepAlive
@@ -72,7 +72,7 @@
 	if !keeps || c.stopping.Err() == nil {
 		return keeps, !keeps
 	}
-	last = c.loop.closeAfterAnswer.Load()
+	last = c.loop.stop.closeAfterAnswer.Load()
 	return c.hasPipelined.Load() && !last, last
 }
 
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -9,12 +9,18 @@
 )
 
 const (
-	clientDescriptorShare = 0.55                   // of the descriptors go to clients; the rest is for replicas, discovery, log and runtime
-	acceptRetryDelay      = 100 * time.Millisecond // before the next accept when no descriptor is left: some will be free
-	clientWriteTimeout    = 5 * time.Second        // for a client to take a byte of its answer; after that it counts as gone
-	clientQueueSize       = 4                      // answers that wait on a client's connection: clients send one request at a time
+	acceptRetryDelay   = 100 * time.Millisecond // before the next accept when no descriptor is left: some will be free
+	clientWriteTimeout = 5 * time.Second        // for a client to take a byte of its answer; after that it counts as gone
+	clientQueueSize    = 4                      // answers that wait on a client's connection: clients send one request at a time
 )
 
+// clientTable is the event loop's view of clients and frontends.
+type clientTable struct {
+	connections    map[*messageConn]bool
+	listenerClosed bool // no new client connections come
+	openFrontends  int  // other frontends that have not finished
+}
+
 // clientListener is the clients' side: it turns HTTP requests into searches for the owner and results into responses.
 type clientListener struct {
 	loop             *eventLoop
@@ -23,6 +29,13 @@
 	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the co-ordinator was told to end
 }
 
+func newClientListener(loop *eventLoop, stopping context.Context) *clientListener {
+	return &clientListener{
+		loop: loop, limiter: newConnectionLimiter(clientDescriptors(loop.plan.MaxSockets)),
+		classes: loop.plan.PositionsByName("Classes"), tenants: loop.plan.PositionsByName("Tenants"), stopping: stopping,
+	}
+}
+
 // accept takes clients' connections in until the listener is closed.
 func (f *clientListener) accept() error {
 	loop := f.loop
@@ -39,7 +52,7 @@
 			err = net.ErrClosed
 		}
 		if errors.Is(err, net.ErrClosed) {
-			loop.submit(func() { loop.listenerClosed = true })
+			loop.submit(func() { loop.clients.listenerClosed = true })
 			return nil
 		}
 		if err != nil {
@@ -61,13 +74,13 @@
 			return nil
 		}
 		client.firstDeadline = time.Now().Add(requestReadTimeout) // it may have waited for room longer than that
-		loop.submit(func() { loop.clients[client.messageConn] = true })
+		loop.submit(func() { loop.clients.connections[client.messageConn] = true })
 		loop.group.Go(func() error {
 			end := client.serve(conn, clientWriteTimeout, client.readRequests, client.handleWritten)
 			f.limiter.release(client)
 			loop.submit(func() {
-				delete(loop.clients, client.messageConn)
-				loop.unsentBytes.Add(-client.unsentBytes.Swap(0))
+				delete(loop.clients.connections, client.messageConn)
+				loop.searches.unsentBytes.Add(-client.unsentBytes.Swap(0))
 				if client.lastSearch != nil { // whichever way it ended: a search still on it has lost its client
 					loop.withdrawSearch(client.lastSearch)
 				}
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -59,7 +59,7 @@
 			c.send(request("behind", "all", "", fourParts) + request("part", "all", "", fourParts)[:90])
 			r.eventually("it is awaited", func() bool {
 				told := make(chan bool, 1)
-				r.owner.submit(func() { told <- len(r.owner.searches) == 1 })
+				r.owner.submit(func() { told <- len(r.owner.searches.byID) == 1 })
 				return <-told
 			})
 			require.NoError(t, leave(c.Conn.(*net.TCPConn)))
@@ -134,7 +134,7 @@
 	last.want("last", "all", 200, wholeOfAll)
 	r.eventually("the others have ended", func() bool {
 		told := make(chan int, 1)
-		loop.submit(func() { told <- len(loop.clients) })
+		loop.submit(func() { told <- len(loop.clients.connections) })
 		return <-told == 1
 	})
 	require.Equal(t, 4, r.parts(), "those of the last alone")
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -76,7 +76,7 @@
 		return badRequest("X-Deadline %.40q", head["x-deadline"])
 	}
 	s.timeout = loop.limitTimeout(time.Duration(math.Min(wait, maxClientTimeout.Seconds())*float64(time.Second)), came)
-	if err := s.readBody(body, loop.blockCount); err != nil {
+	if err := s.readBody(body, loop.rules.blockCount); err != nil {
 		return err
 	}
 	if err := c.checkClientGone(); err != nil {
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -5,10 +5,8 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
-	"strconv"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -19,115 +17,138 @@
 	"chalkring/endpoints"
 )
 
-// Clock tells the time and wakes.
+// Clock is the time that a coordinator works by. Deadlines of sockets are the system's, whichever Clock there is.
 type Clock interface {
 	Now() time.Time
 	After(time.Duration) <-chan time.Time
 }
 
-// SystemClock is the machine's.
+// SystemClock is the machine's clock.
 type SystemClock struct{}
 
+// Now returns the time of the machine.
 func (SystemClock) Now() time.Time { return time.Now() }
 
+// After returns a channel that gets the time once d is over.
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// Options is what a co-ordinator works with.
+// Options is what a coordinator works with. Listener, Dial, Clock and Logger are needed; all others may be nil or empty.
 type Options struct {
-	Listener    net.Listener
+	Listener    net.Listener // of clients; Serve closes it
 	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	Clock       Clock
-	Logger      *slog.Logger      // lines are handed to its handler by one goroutine
-	PlanUpdates <-chan *plan.Plan // that follow the first, as Reloads hands them on; may be nil
+	Logger      *slog.Logger      // one goroutine alone calls its handler
+	PlanUpdates <-chan *plan.Plan // plans that follow the first, as Plan.WatchReloads sends them
 
-	HostKinds       map[string]HostKind     // kinds of host that speak the OpenSearch-style API; may be nil
-	Frontends       []Frontend              // other ways in for clients; may be none
-	Peers           *PeerOptions            // what an installation allows beside the plan; may be nil
-	EndpointUpdates <-chan endpoints.Update // of hosts, from other sources than discovery; may be nil, and may be closed
-	Persistence     *Persistence            // what is kept on disk; then Lists are its Lists; may be nil
+	HostKinds       map[string]HostKind     // kinds of host that speak the OpenSearch-style API, by the endpoint list's kind
+	Frontends       []Frontend              // other ways in for clients
+	Peers           *PeerOptions            // coordinators that exchange observations
+	EndpointUpdates <-chan endpoints.Update // hosts from other sources than discovery; may be closed
+	Persistence     *Persistence            // state on disk; then EndpointUpdates is from its PrependStoredUpdate
 
-	Residency   *ResidencyGuard // contracts on where parts may run; nil for none
-	OnSearchEnd func(SearchEnd) // is told each search's end in a turn, so it may not wait; nil for none
+	Residency   *ResidencyGuard // contracts on where shard requests may run
+	OnSearchEnd func(SearchEnd) // is called at each search's end on the event loop's goroutine, so it must not block
 
 	onStart chan<- *eventLoop // for tests that count what is held
 }
 
-// Serve works until ctx ends and all that was taken is answered; then it returns nil, and no goroutine of
-// it is left.
+// Serve serves until ctx ends and every search is answered; then it returns nil, and no goroutine of it is left. An error
+// is a plan that the balancer cannot be configured with, or a fault in an iteration of the event loop.
 func Serve(ctx context.Context, p *plan.Plan, options Options) (err error) {
-	g, work := errgroup.WithContext(context.WithoutCancel(ctx))
-	stopping, cancel := context.WithCancel(work)
-	defer cancel()
-	loop := &eventLoop{
-		plan: p, Options: options, log: newAsyncLogger(options.Clock, options.Logger.Handler()), group: g, ctx: work, tasks: make(chan func(), maxQueuedTasks),
-		startedAt: options.Clock.Now(), searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, balancerTimers: map[uint64]*balancerTimer{},
-		abandoned: map[*attempt]*abandonedAttempt{},
-		replicas:  map[string]*replica{}, pollRequests: make(chan struct{}, 1), discoveryMoves: make(chan string), maxSockets: p.MaxSockets,
-		blockCount: p.BlockCount(), streamsPerConnection: int(p.Number("Permissions.StreamsPerConn")), attemptsPerBatch: int(p.Number("Specifics.PerCall")),
-		maxAttempts: int(p.Number("Permissions.MaxAttempts")), clients: map[*messageConn]bool{},
-		searchMemory: p.SearchMemory(),
+	group, work := errgroup.WithContext(context.WithoutCancel(ctx))
+	stopping, stop := context.WithCancel(work)
+	defer stop()
+	loop := newEventLoop(work, group, p, options)
+	listener := newClientListener(loop, stopping)
+	loop.attachOptional(options)
+	if loop.enforcer != nil {
+		defer loop.enforcer.close()
+	}
+	if loop.searchAPI != nil {
+		listener.limiter.resize(clientDescriptors(p.MaxSockets) - loop.searchAPI.MaxConnections)
+	}
+	if err := loop.startBalancer(); err != nil {
+		options.Listener.Close()
+		return err
+	}
+	if options.onStart != nil {
+		options.onStart <- loop
 	}
-	for i := range p.Count("Classes") {
-		v, _ := strconv.ParseFloat(p.List("Specifics.FollowUp")[i], 64)
-		loop.followUpCounts = append(loop.followUpCounts, int(v))
-		loop.keyedClasses = append(loop.keyedClasses, p.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
-		loop.repeatWindows = append(loop.repeatWindows, int64(p.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))/tick))
+	loop.startGoroutines(ctx, stopping, stop, listener, options)
+	loop.log.Info("serving", "name", p.Name, "listen", options.Listener.Addr().String(), "discovery", p.Discovery,
+		"sockets", p.MaxSockets, "memory_mb", p.MemoryMB, "cores", p.Cores)
+	if err = group.Wait(); errors.Is(err, errAllAnswered) {
+		err = nil
+	}
+	options.Logger.Info("stopped", "name", p.Name, "error", err)
+	return err
+}
+
+func newEventLoop(ctx context.Context, group *errgroup.Group, p *plan.Plan, options Options) *eventLoop {
+	loop := &eventLoop{
+		Options: options, log: newAsyncLogger(options.Clock, options.Logger.Handler()), plan: p, group: group, ctx: ctx,
+		tasks: make(chan func(), maxQueuedTasks), startedAt: options.Clock.Now(), rules: newDispatchRules(p),
+		timers: timerSet{balancer: map[uint64]*balancerTimer{}},
+		searches: searchTable{
+			byID: map[uint64]*search{}, names: map[string]bool{}, shardRequests: map[uint64]*shardRequest{},
+			memoryLimit: p.SearchMemory(),
+		},
+		replicas:    replicaTable{byID: map[string]*replica{}, abandoned: map[*attempt]*abandonedAttempt{}},
+		descriptors: descriptorBudget{limit: p.MaxSockets},
+		clients:     clientTable{connections: map[*messageConn]bool{}},
+		discovery:   discoveryRequests{polls: make(chan struct{}, 1), moves: make(chan string)},
 	}
-	loop.allowsSecondCopies = p.Settings["Permissions.SecondCopies"] == "true" || p.Settings["Permissions.SecondCopies"] == "1"
-	loop.startTicks = loop.startedAt.UnixMicro() / 100
-	f := &clientListener{loop: loop, limiter: newConnectionLimiter(int(clientDescriptorShare * float64(p.MaxSockets))), classes: p.PositionsByName("Classes"), tenants: p.PositionsByName("Tenants"), stopping: stopping}
+	loop.startTicks = loop.startedAt.UnixMicro() / int64(tick/time.Microsecond)
 	if loop.balancer = balancer.New(loop); p.ShadowSettings != nil {
 		loop.shadowCounts = &shadow.DivergenceCounts{}
 		loop.balancer = shadow.New(loop, p.Settings, p.ShadowSettings, loop.shadowCounts, balancer.New)
 	}
+	return loop
+}
+
+// attachOptional adds what an installation has asked for beside the plan.
+func (loop *eventLoop) attachOptional(options Options) {
+	peers := options.Peers
 	if options.Persistence != nil {
-		options.Peers = options.Persistence.withBudget(options.Peers)
+		peers = options.Persistence.withBudget(peers)
 	}
-	if options.Peers != nil {
-		loop.peers = newPeerExchange(loop, options.Peers)
+	if peers != nil {
+		loop.peers = newPeerExchange(loop, peers)
 	}
 	if options.Residency != nil {
 		loop.enforcer = newResidencyEnforcer(loop, options.Residency)
-		defer loop.enforcer.close()
 	}
 	if len(options.Frontends) > 0 {
-		loop.searchAPI, loop.openFrontends = newSearchAPI(loop), len(options.Frontends)
-		f.limiter.resize(int(clientDescriptorShare*float64(p.MaxSockets)) - loop.searchAPI.MaxConnections)
-	}
-	if err := loop.startBalancer(); err != nil {
-		options.Listener.Close()
-		return err
-	}
-	if options.onStart != nil {
-		options.onStart <- loop
+		loop.searchAPI, loop.clients.openFrontends = newSearchAPI(loop), len(options.Frontends)
 	}
-	g.Go(func() error { return loop.log.run(work) })
-	g.Go(loop.run)
+}
+
+// startGoroutines starts all goroutines of the coordinator. stopping is done once no new connections are taken; stop
+// ends it.
+func (loop *eventLoop) startGoroutines(ctx, stopping context.Context, stop context.CancelFunc, listener *clientListener,
+	options Options,
+) {
+	group := loop.group
+	group.Go(func() error { return loop.log.run(loop.ctx) })
+	group.Go(loop.run)
 	if loop.peers != nil {
 		loop.peers.run()
 	}
 	if options.Persistence != nil {
 		options.Persistence.run(loop, ctx)
 	}
-	g.Go(f.accept)
-	for _, front := range options.Frontends {
-		g.Go(func() error {
-			err := front.Serve(work, stopping, loop.searchAPI)
-			loop.submit(func() { loop.openFrontends-- })
+	group.Go(listener.accept)
+	for _, frontend := range options.Frontends {
+		group.Go(func() error {
+			err := frontend.Serve(loop.ctx, stopping, loop.searchAPI)
+			loop.submit(func() { loop.clients.openFrontends-- })
 			return err
 		})
 	}
 	if loop.sources != nil {
-		g.Go(loop.sources.run)
+		group.Go(loop.sources.run)
 	}
-	g.Go(loop.followDiscovery)
-	g.Go(func() error { return f.reload(options.PlanUpdates) })
-	g.Go(func() error { return loop.shutDown(ctx, cancel) })
-	loop.log.Info("serving", "name", p.Name, "listen", options.Listener.Addr().String(), "discovery", p.Discovery,
-		"sockets", p.MaxSockets, "memory_mb", p.MemoryMB, "cores", p.Cores)
-	if err = g.Wait(); errors.Is(err, errAllAnswered) {
-		err = nil
-	}
-	options.Logger.Info("stopped", "name", p.Name, "error", err)
-	return err
+	group.Go(loop.followDiscovery)
+	group.Go(func() error { return listener.reload(options.PlanUpdates) })
+	group.Go(func() error { return loop.shutDown(ctx, stop) })
 }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -213,7 +213,7 @@
 		out := make(chan int, 1)
 		r.owner.submit(func() {
 			done := 0
-			for _, shardReq := range r.owner.shardRequests {
+			for _, shardReq := range r.owner.searches.shardRequests {
 				if len(shardReq.attempts) > 0 && shardReq.attempts[0].batch.message.stage.Load() == stageWritten {
 					done++
 				}
@@ -833,13 +833,13 @@
 
 // oneOut is a search with one sub-request out, its frame at that stage.
 func oneOut(stage int32) (*eventLoop, *replicaConnection, *search) {
-	loop := &eventLoop{plan: &plan.Plan{}, searches: map[uint64]*search{}, openNames: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}, allowsSecondCopies: true}
+	loop := &eventLoop{plan: &plan.Plan{}, searches: searchTable{byID: map[uint64]*search{}, names: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}}, rules: dispatchRules{allowsSecondCopies: true}}
 	conn := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
 	s := &search{id: 1, name: "q"}
 	request := &shardRequest{id: 2, search: s, unreported: 1}
 	sub := &attempt{shardRequest: request, name: "q.0", batch: &batch{connection: conn, message: &outboundMessage{}}}
 	sub.batch.attempts, conn.attempts, request.attempts, s.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{request}
-	loop.searches[1], loop.shardRequests[2] = s, request
+	loop.searches.byID[1], loop.searches.shardRequests[2] = s, request
 	sub.batch.message.stage.Store(stage)
 	return loop, conn, s
 }
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -169,7 +169,7 @@
 
 // open counts the searches that are open.
 func (r *rig) open() (n int) {
-	r.inTurn(func(loop *eventLoop) { n = len(loop.searches) })
+	r.inTurn(func(loop *eventLoop) { n = len(loop.searches.byID) })
 	return n
 }
 
@@ -196,7 +196,7 @@
 			c.want("first", "all", 200, wholeOfAll)
 			head := "Connection: close\r\n"
 			if atStop {
-				r.owner.closeAfterAnswer.Store(true)
+				r.owner.stop.closeAfterAnswer.Store(true)
 				r.stop()
 				r.logged("event=stopping")
 				r.noneTaken()
@@ -212,7 +212,7 @@
 			require.Equal(t, io.EOF, err)
 			r.eventually("the connection has ended", func() bool { // its client stays
 				ended := make(chan bool, 1)
-				r.owner.submit(func() { ended <- len(r.owner.clients) == 0 })
+				r.owner.submit(func() { ended <- len(r.owner.clients.connections) == 0 })
 				select {
 				case is := <-ended:
 					return is
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -26,6 +26,12 @@
 	maxLossSpread            = 2 * time.Second        // over which those calls are spread: a missed change counts as known after 6 s
 )
 
+// discoveryRequests are the event loop's and a reload's requests to the goroutine that follows discovery.
+type discoveryRequests struct {
+	polls chan struct{} // the balancer has asked for a subscription
+	moves chan string   // the address of discovery has changed
+}
+
 // discoveryState is what is known of discovery at one place.
 type discoveryState struct {
 	addr                 string
@@ -64,7 +70,7 @@
 	wait := func(d time.Duration) {
 		select {
 		case <-loop.Clock.After(d):
-		case at := <-loop.discoveryMoves:
+		case at := <-loop.discovery.moves:
 			move(at)
 		case <-loop.ctx.Done():
 		}
@@ -74,9 +80,9 @@
 		if asked && !moved && !atOnce {
 			late := time.NewTimer(a.remaining()) // guards against waits of the module that take no account of a call that was silent
 			select {
-			case <-loop.pollRequests:
+			case <-loop.discovery.polls:
 			case <-late.C:
-			case at := <-loop.discoveryMoves:
+			case at := <-loop.discovery.moves:
 				move(at)
 			case <-loop.ctx.Done():
 			}
@@ -97,7 +103,7 @@
 		var err error
 		select {
 		case err = <-failed:
-		case next = <-loop.discoveryMoves:
+		case next = <-loop.discovery.moves:
 			cancel()
 			<-failed
 		}
@@ -120,7 +126,7 @@
 		a.answeredSinceFailure = false
 		if asked {
 			select {
-			case <-loop.pollRequests: // of a subscription before this one
+			case <-loop.discovery.polls: // of a subscription before this one
 			default:
 			}
 			loop.submit(func() { loop.balancer.CommitEndpoints("Error", 0) })
--- /dev/null
+++ b/coordinator/dispatch_rules.go
@@ -0,0 +1,38 @@
+package coordinator
+
+import (
+	"fmt"
+	"strconv"
+
+	"chalkring/coordinator/plan"
+)
+
+// dispatchRules are settings that the event loop reads once. Lists have one place for each class.
+type dispatchRules struct {
+	blockCount           int
+	streamsPerConnection int // batches on one connection at once
+	attemptsPerBatch     int
+	maxAttempts          int     // of one shard request
+	allowsSecondCopies   bool    // a shard request may run twice at once
+	keyedClasses         []bool  // replicas drop a repeat while they remember the first attempt
+	repeatWindows        []int64 // ticks for which they do
+	followUpCounts       []int   // shard requests of the second step; 0 where there is none
+}
+
+func newDispatchRules(p *plan.Plan) dispatchRules {
+	rules := dispatchRules{
+		blockCount: p.BlockCount(), streamsPerConnection: int(p.Number("Permissions.StreamsPerConn")),
+		attemptsPerBatch: int(p.Number("Specifics.PerCall")), maxAttempts: int(p.Number("Permissions.MaxAttempts")),
+	}
+	secondCopies := p.Settings["Permissions.SecondCopies"]
+	rules.allowsSecondCopies = secondCopies == "true" || secondCopies == "1"
+	followUps := p.List("Specifics.FollowUp")
+	for i := range p.Count("Classes") {
+		count, _ := strconv.ParseFloat(followUps[i], 64)
+		window := p.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))
+		rules.followUpCounts = append(rules.followUpCounts, int(count))
+		rules.keyedClasses = append(rules.keyedClasses, p.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
+		rules.repeatWindows = append(rules.repeatWindows, int64(window/tick))
+	}
+	return rules
+}
--- a/coordinator/endpoint_list.go
+++ b/coordinator/endpoint_list.go
@@ -34,13 +34,13 @@
 		step()
 	}
 	if how != "Partial" {
-		for id := range loop.replicas {
+		for id := range loop.replicas.byID {
 			if !present[id] {
 				loop.placeReplica(id, "", "", 0, true, false)
 			}
 		}
 	}
-	loop.hasEndpoints = loop.hasEndpoints || len(loop.replicas) > 0
+	loop.hasEndpoints = loop.hasEndpoints || len(loop.replicas.byID) > 0
 	if loop.enforcer != nil {
 		loop.enforcer.updateHosts(how, hosts)
 	}
--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"runtime/debug"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -24,72 +23,48 @@
 	catchUpInterval = 250 * time.Millisecond // between two catch-ups: an overloaded process is not delayed further by them
 )
 
-// eventLoop owns the module. All but queue, asks, moves, log and ctx is touched by its goroutine alone; fronts, replicas'
-// connections and discovery post closures to queue. It waits for nothing but that queue and its next wake,
-// so they may wait for it. The queue is bounded by maxQueuedTasks; while it is full, sockets are not read.
+// eventLoop owns the balancer and all state of searches, replicas and clients. Only its own goroutine touches its fields,
+// but for tasks, log, ctx, the discovery requests and what is atomic. Client connections, replica connections and discovery
+// submit tasks to it. It waits for tasks and for its next timer alone, so they may wait for it. At most maxQueuedTasks
+// tasks wait; while there are so many, sockets are not read.
 type eventLoop struct {
 	Options
-	log            *asyncLogger
-	plan           *plan.Plan
-	balancer       balancer.Balancer
-	group          *errgroup.Group
-	ctx            context.Context
-	tasks          chan func()
-	pollRequests   chan struct{} // subscriptions that the module asked for
-	discoveryMoves chan string   // where discovery is from now on
+	log      *asyncLogger
+	plan     *plan.Plan
+	balancer balancer.Balancer
+	group    *errgroup.Group // of all goroutines of the coordinator
+	ctx      context.Context
+	tasks    chan func()
 
-	blockCount, streamsPerConnection, attemptsPerBatch, maxAttempts int     // of the settings, read once
-	keyedClasses                                                    []bool  // by type: replicas drop a repeat while they remember
-	repeatWindows                                                   []int64 // by type: how long they do
-	allowsSecondCopies                                              bool    // a part may be out twice at once
-	followUpCounts                                                  []int   // parts of the second step, by type; 0 where there is none
+	startedAt  time.Time
+	startTicks int64 // Unix time of the start, in ticks
+	now        int64 // ticks, of this iteration
 
-	startedAt              time.Time
-	startTicks             int64 // Unix time of start in tenths of a millisecond
-	now                    int64
-	timers                 timerQueue
-	balancerTimers         map[uint64]*balancerTimer // the module's, by label
-	spareTimers            []*balancerTimer          // that are free
-	dueTimers              []*timer                  // room for a turn's
-	pendingWrites          []pendingWrite            // room for what finish gives
-	nextEvents             []iterationEvent          // what the next turn begins with
-	spareEvents            []iterationEvent          // room for the one after it
-	alarm                  <-chan time.Time          // that the owner waits for, at or before the next wake
-	alarmAt                int64
-	stallDetector          stallDetector
-	caughtUpAt             int64                          // when it last was
-	abandoned              map[*attempt]*abandonedAttempt // given up here, and the module not told
-	lastID                 uint64
-	searches               map[uint64]*search
-	openNames              map[string]bool // of the searches
-	shardRequests          map[uint64]*shardRequest
-	replicas               map[string]*replica
-	dispatchOrder          []*replica // with calls to go out at the end of the turn
-	maxSockets             int        // descriptors that the plan grants
-	replicaConnectionCount int        // connections to replicas
-	lastDispatchAt         int64      // the last turn with calls
-	averageLatency         float64    // tenths of a millisecond that an answer takes, of late
-	hasEndpoints           bool
-	clients                map[*messageConn]bool
-	listenerClosed         bool // no new client connections come
-	openFrontends          int  // others that have not finished
+	rules       dispatchRules
+	events      eventBuffer
+	timers      timerSet
+	searches    searchTable
+	replicas    replicaTable
+	descriptors descriptorBudget
+	clients     clientTable
+	decoders    valueDecoders
+	discovery   discoveryRequests
+	stop        stopState
 
-	busyNanos        atomic.Int64              // ns spent in turns
-	extraDials       atomic.Int64              // further connects that are tried now, or held back
-	answerDeadline   atomic.Pointer[time.Time] // for final answers, once the co-ordinator has been told to end; nil before
-	closeAfterAnswer atomic.Bool               // each answer ends its connection, as maxStopTime is over
-	peers            *peerExchange             // nil where peers are not allowed
-	sources          *endpointSources          // nil where discovery is the only source of lists
-	searchAPI        *SearchAPI                // nil where there is no other front
-	shadowCounts     *shadow.DivergenceCounts  // nil where no other settings are watched
-	enforcer         *residencyEnforcer        // nil where there are no contracts
+	hasEndpoints bool         // a list with hosts has been in force
+	busyNanos    atomic.Int64 // spent in iterations
 
-	searchMemory float64      // bytes for open searches and their answers
-	heldBytes    int64        // of it that searches hold
-	unsentBytes  atomic.Int64 // and answers that clients have not taken
+	peers        *peerExchange            // nil where peers are not allowed
+	sources      *endpointSources         // nil where discovery is the only source of lists
+	searchAPI    *SearchAPI               // nil where there is no other frontend
+	shadowCounts *shadow.DivergenceCounts // nil without shadow settings
+	enforcer     *residencyEnforcer       // nil without residency contracts
+}
 
-	valueDecoders sync.Map     // of open searches that have one, by name; connections' readers use it
-	decoderCount  atomic.Int64 // how many there are
+// eventBuffer holds what the next iteration begins with.
+type eventBuffer struct {
+	next  []iterationEvent
+	spare []iterationEvent // empty; its array is reused for the iteration after that
 }
 
 // iterationEvent is what a turn begins with: something to do, or a sub-request that has ended.
@@ -150,35 +125,35 @@
 	for {
 		var wake <-chan time.Time
 		switch {
-		case len(loop.nextEvents) > 0:
+		case len(loop.events.next) > 0:
 			loop.iterate(nil)
 			continue
-		case loop.timers.Len() > 0:
-			at := loop.timers.timers[0].at
+		case loop.timers.queue.Len() > 0:
+			at := loop.timers.queue.timers[0].at
 			wait := at - loop.clockTicks()
 			if wait <= 0 {
-				if first := loop.timers.timers[0]; first == &loop.stallDetector.timer && -wait < int64(stallThreshold/tick) {
+				if first := loop.timers.queue.timers[0]; first == &loop.timers.stall.timer && -wait < int64(stallThreshold/tick) {
 					loop.now = max(loop.now, loop.clockTicks())
-					heap.Pop(&loop.timers)
-					loop.stallDetector.fire(loop) // alone it is no turn
+					heap.Pop(&loop.timers.queue)
+					loop.timers.stall.fire(loop) // alone it is no turn
 				} else {
 					loop.iterate(nil)
 				}
 				continue
 			}
-			if loop.alarm == nil || at < loop.alarmAt { // one that comes early does no harm: most wakes are taken back
-				loop.alarm, loop.alarmAt = loop.Clock.After(time.Duration(wait)*tick), at
+			if loop.timers.alarm == nil || at < loop.timers.alarmAt { // one that comes early does no harm: most wakes are taken back
+				loop.timers.alarm, loop.timers.alarmAt = loop.Clock.After(time.Duration(wait)*tick), at
 			}
-			wake = loop.alarm
+			wake = loop.timers.alarm
 		}
-		if loop.listenerClosed && len(loop.clients) == 0 && len(loop.searches) == 0 && loop.openFrontends == 0 {
+		if loop.clients.listenerClosed && len(loop.clients.connections) == 0 && len(loop.searches.byID) == 0 && loop.clients.openFrontends == 0 {
 			return errAllAnswered
 		}
 		select {
 		case do := <-loop.tasks:
 			loop.iterate(do)
 		case <-wake:
-			loop.alarm = nil
+			loop.timers.alarm = nil
 		case <-loop.ctx.Done():
 			return loop.ctx.Err()
 		}
@@ -191,7 +166,7 @@
 	began := time.Now()
 	defer func() { loop.busyNanos.Add(int64(time.Since(began))) }()
 	loop.now = max(loop.now, loop.clockTicks())
-	if loop.now == loop.lastDispatchAt { // what two turns send is two calls: the module tells them apart by time
+	if loop.now == loop.replicas.lastDispatchAt { // what two turns send is two calls: the module tells them apart by time
 		loop.now++
 	}
 	loop.balancer.BeginIteration(loop.now)
@@ -201,8 +176,8 @@
 	if late {
 		loop.withdrawGoneClients()
 	}
-	before := loop.nextEvents
-	loop.nextEvents, loop.spareEvents = loop.spareEvents[:0], nil
+	before := loop.events.next
+	loop.events.next, loop.events.spare = loop.events.spare[:0], nil
 	for _, e := range before {
 		if e.task != nil {
 			e.task()
@@ -211,16 +186,16 @@
 		}
 	}
 	clear(before)
-	loop.spareEvents = before
+	loop.events.spare = before
 	if first != nil {
 		first()
 	}
 	for n := len(loop.tasks); n > 0; n-- {
 		(<-loop.tasks)()
 	}
-	due := loop.dueTimers[:0]
-	for loop.timers.Len() > 0 && loop.timers.timers[0].at <= loop.now {
-		due = append(due, heap.Pop(&loop.timers).(*timer))
+	due := loop.timers.due[:0]
+	for loop.timers.queue.Len() > 0 && loop.timers.queue.timers[0].at <= loop.now {
+		due = append(due, heap.Pop(&loop.timers.queue).(*timer))
 	}
 	for _, w := range due {
 		if w.handler != nil { // one before it may have taken it back
@@ -228,8 +203,8 @@
 		}
 	}
 	clear(due)
-	loop.dueTimers = due
-	loop.balancer.SetUtilization(float64(loop.heldBytes+loop.unsentBytes.Load()) / loop.searchMemory)
+	loop.timers.due = due
+	loop.balancer.SetUtilization(float64(loop.searches.heldBytes+loop.searches.unsentBytes.Load()) / loop.searches.memoryLimit)
 	loop.balancer.EndIteration()
 	loop.dispatchBatches()
 }
@@ -240,7 +215,7 @@
 // answers that have come.
 func (loop *eventLoop) catchUp() (late bool) {
 	now := loop.clockTicks()
-	if loop.timers.Len() == 0 || now-loop.timers.timers[0].at < int64(stallThreshold/tick) || now-loop.caughtUpAt < int64(catchUpInterval/tick) {
+	if loop.timers.queue.Len() == 0 || now-loop.timers.queue.timers[0].at < int64(stallThreshold/tick) || now-loop.timers.caughtUpAt < int64(catchUpInterval/tick) {
 		return false
 	}
 	for had, looks := -1, 0; had != len(loop.tasks) && looks < maxCatchUpWaits; looks++ {
@@ -250,27 +225,27 @@
 		case <-loop.ctx.Done():
 		}
 	}
-	loop.caughtUpAt = loop.clockTicks()
+	loop.timers.caughtUpAt = loop.clockTicks()
 	return true
 }
 
 func (loop *eventLoop) runNextIteration(do func()) {
-	loop.nextEvents = append(loop.nextEvents, iterationEvent{task: do})
+	loop.events.next = append(loop.events.next, iterationEvent{task: do})
 }
 
 // deferAttemptOutcome tells the module in the next turn how a sub-request ended.
 func (loop *eventLoop) deferAttemptOutcome(attempt *attempt, outcome string) {
-	loop.nextEvents = append(loop.nextEvents, iterationEvent{attempt: attempt, outcome: outcome})
+	loop.events.next = append(loop.events.next, iterationEvent{attempt: attempt, outcome: outcome})
 }
 
 func (loop *eventLoop) nextID() uint64 {
-	loop.lastID++
-	return loop.lastID
+	loop.searches.lastID++
+	return loop.searches.lastID
 }
 
 func (loop *eventLoop) WatchEndpoints() {
 	select {
-	case loop.pollRequests <- struct{}{}:
+	case loop.discovery.polls <- struct{}{}:
 	default: // asked already
 	}
 }
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -22,9 +22,11 @@
 // frameProtocol is the platform's protocol.
 type frameProtocol struct{}
 
-func (frameProtocol) attemptsPerBatch(loop *eventLoop) int { return loop.attemptsPerBatch }
+func (frameProtocol) attemptsPerBatch(loop *eventLoop) int { return loop.rules.attemptsPerBatch }
 
-func (frameProtocol) batchesPerConnection(loop *eventLoop) int { return loop.streamsPerConnection }
+func (frameProtocol) batchesPerConnection(loop *eventLoop) int {
+	return loop.rules.streamsPerConnection
+}
 
 func (frameProtocol) allowsWaiting() bool { return true }
 
@@ -130,7 +132,7 @@
 	}
 	var read any
 	if outcome == "Ok" {
-		if read, err = loop.decodeValue(id, value); err != nil {
+		if read, err = loop.decoders.decode(id, value); err != nil {
 			outcome = "Failed"
 			loop.log.warnLimited("bad_value", "bad_value", "replica", conn.replica.id, "error", err)
 		}
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -122,11 +122,11 @@
 		"closed on this side, then its search ends": {false, func(a at) {
 			a.inTurn(func(*eventLoop) { a.l.closeNow(errRetired) })
 			a.eventually("it has ended", func() (ended bool) {
-				a.inTurn(func(loop *eventLoop) { ended = len(loop.replicas["a0"].connections) == 0 })
+				a.inTurn(func(loop *eventLoop) { ended = len(loop.replicas.byID["a0"].connections) == 0 })
 				return ended
 			})
 			a.p.untold()
-			a.inTurn(func(loop *eventLoop) { loop.FailSearch(loop.shardRequests[a.part].search.id) })
+			a.inTurn(func(loop *eventLoop) { loop.FailSearch(loop.searches.shardRequests[a.part].search.id) })
 		}, "Canceled"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -141,7 +141,7 @@
 			r.inTurn(func(loop *eventLoop) { loop.SendAttempt(a.part, "a0", 0) })
 			r.eventually("it is out", func() bool {
 				r.inTurn(func(loop *eventLoop) { // maybe in the turn that sends it, before it has a connection
-					if lines := loop.replicas["a0"].connections; len(lines) > 0 {
+					if lines := loop.replicas.byID["a0"].connections; len(lines) > 0 {
 						a.l = lines[0]
 					}
 				})
@@ -151,8 +151,8 @@
 			x.then(a)
 			a.p.told(x.told)
 			r.inTurn(func(loop *eventLoop) {
-				require.Empty(t, loop.abandoned)
-				if shardReq := loop.shardRequests[a.part]; shardReq != nil {
+				require.Empty(t, loop.replicas.abandoned)
+				if shardReq := loop.searches.shardRequests[a.part]; shardReq != nil {
 					require.Equal(t, x.told == "Ok", shardReq.completed)
 					loop.FailSearch(shardReq.search.id)
 				}
@@ -171,7 +171,7 @@
 		var told []string
 		loop, conn, search := oneOut(stageWritten)
 		now := int64(1000)
-		loop.keyedClasses, loop.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
+		loop.rules.keyedClasses, loop.rules.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
 		loop.ctx, loop.tasks = t.Context(), make(chan func(), 4)
 		conn.connectedAt, conn.clockTicks = 1, func() int64 { return now }
 		conn.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(conn, message) }) }
@@ -195,7 +195,7 @@
 		require.Equal(t, !late, out.Len() > 0)
 		if late {
 			(<-loop.tasks)()
-			require.Equal(t, "Ignored", loop.nextEvents[len(loop.nextEvents)-1].outcome)
+			require.Equal(t, "Ignored", loop.events.next[len(loop.events.next)-1].outcome)
 			require.Empty(t, conn.attempts)
 		}
 	}
@@ -279,16 +279,16 @@
 	for _, bound := range []bool{false, true} {
 		var told []string
 		loop, conn, search := oneOut(stageWritten)
-		loop.allowsSecondCopies, loop.abandoned, loop.balancer = false, map[*attempt]*abandonedAttempt{}, deaf{told: &told}
+		loop.rules.allowsSecondCopies, loop.replicas.abandoned, loop.balancer = false, map[*attempt]*abandonedAttempt{}, deaf{told: &told}
 		if bound {
 			loop.enforcer = &residencyEnforcer{}
 		}
 		request := search.shardRequests[0]
 		loop.CancelAttempt(request.id, 0)
-		require.Empty(t, loop.nextEvents)
+		require.Empty(t, loop.events.next)
 		loop.handleAnswer(conn, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
 		require.Equal(t, []string{map[bool]string{false: "Ok", true: "Canceled"}[bound]}, told)
 		require.Equal(t, !bound, request.completed)
-		require.Empty(t, loop.abandoned)
+		require.Empty(t, loop.replicas.abandoned)
 	}
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -173,7 +173,7 @@
 	for _, shard := range shards {
 		s.eventually("the step begins", func() (there bool) {
 			s.inTurn(func(loop *eventLoop) {
-				for _, request := range loop.searches[s.id].shardRequests {
+				for _, request := range loop.searches.byID[s.id].shardRequests {
 					if request.step == step && request.shard == shard {
 						there = true
 						loop.SendAttempt(request.id, []string{"a0", "b0"}[shard%2], 0)
@@ -254,7 +254,7 @@
 	exchange(t, &out, r.addr, "request id that is in use", request("same", "all", "", fourParts))
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
-	r.inTurn(func(loop *eventLoop) { require.Nil(t, loop.searches[id]) })
+	r.inTurn(func(loop *eventLoop) { require.Nil(t, loop.searches.byID[id]) })
 	requireGolden(t, "client_responses.golden", out.String())
 	r.end()
 }
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -178,8 +178,8 @@
 	require.NoError(t, err)
 	var out strings.Builder
 	loop := &eventLoop{
-		plan: p, replicas: map[string]*replica{}, balancer: toldEntries{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
-		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, balancerTimers: map[uint64]*balancerTimer{},
+		plan: p, replicas: replicaTable{byID: map[string]*replica{}}, balancer: toldEntries{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
+		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: timerSet{balancer: map[uint64]*balancerTimer{}},
 	}
 	for body := range strings.Lines(string(bodies)) {
 		fmt.Fprint(&out, body)
@@ -203,7 +203,7 @@
 		}
 		loop.applyEndpointList(how, list)
 		var known []string
-		for id, r := range loop.replicas {
+		for id, r := range loop.replicas.byID {
 			_, speaksAPI := r.protocol.(openSearchProtocol)
 			known = append(known, fmt.Sprintf("%s=%s,api=%t,closed=%t", id, r.addr, speaksAPI, r.closedToNew))
 		}
--- a/coordinator/held_test.go
+++ b/coordinator/held_test.go
@@ -24,7 +24,7 @@
 		told := make(chan struct{})
 		require.True(t, r.owner.submit(func() {
 			loop := r.owner
-			wakes, timers, parts, searches, lines = loop.timers.Len(), len(loop.balancerTimers), len(loop.shardRequests), len(loop.searches), loop.replicaConnectionCount
+			wakes, timers, parts, searches, lines = loop.timers.queue.Len(), len(loop.timers.balancer), len(loop.searches.shardRequests), len(loop.searches.byID), loop.descriptors.replicaConnections
 			close(told)
 		}))
 		<-told
@@ -63,8 +63,8 @@
 	look := func() (bytes int64) {
 		told := make(chan struct{})
 		require.True(t, r.owner.submit(func() {
-			r.owner.searchMemory = 50_000
-			bytes = r.owner.heldBytes + r.owner.unsentBytes.Load()
+			r.owner.searches.memoryLimit = 50_000
+			bytes = r.owner.searches.heldBytes + r.owner.searches.unsentBytes.Load()
 			close(told)
 		}))
 		<-told
@@ -122,20 +122,20 @@
 	}
 	slow, gone, sound := call(), call(), call()
 	slow.send(request("slow", "all", "", fourParts))
-	r.eventually("an answer is held", func() bool { return loop.unsentBytes.Load() > 0 })
-	one := loop.unsentBytes.Load()
+	r.eventually("an answer is held", func() bool { return loop.searches.unsentBytes.Load() > 0 })
+	one := loop.searches.unsentBytes.Load()
 	gone.send(request("gone", "all", "", fourParts))
-	r.eventually("two are", func() bool { return loop.unsentBytes.Load() == 2*one })
+	r.eventually("two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
 	for i := range 5 {
 		sound.want(fmt.Sprint("sound", i), "all", 200, wholeOfAll)
 	}
-	r.eventually("no more than two are", func() bool { return loop.unsentBytes.Load() == 2*one })
+	r.eventually("no more than two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
 	status, _, text, _ := slow.answer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
-	r.eventually("one is", func() bool { return loop.unsentBytes.Load() == one })
+	r.eventually("one is", func() bool { return loop.searches.unsentBytes.Load() == one })
 	gone.Close()
-	r.eventually("none is", func() bool { return loop.unsentBytes.Load() == 0 })
+	r.eventually("none is", func() bool { return loop.searches.unsentBytes.Load() == 0 })
 	cancel()
 	select {
 	case err := <-ended:
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -69,7 +69,7 @@
 	require.True(r.t, r.owner.submit(func() {
 		on := ""
 		for _, id := range []string{"a0", "a1", "b0", "b1", "c0"} {
-			if h := r.owner.replicas[id]; h != nil && !h.removed {
+			if h := r.owner.replicas.byID[id]; h != nil && !h.removed {
 				on += id + " "
 			}
 		}
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -460,14 +460,14 @@
 							began := time.Now()
 							if time.Sleep(x.later); x.later > 0 {
 								look := make(chan int)
-								f.owner.submit(func() { look <- len(f.owner.replicas) })
+								f.owner.submit(func() { look <- len(f.owner.replicas.byID) })
 								require.Equal(t, 2, <-look, "the last list holds")
 								d.tell(x.version+1, hosts("10.0.0.3:1"))
 								began = time.Now()
 							}
 							f.until("the new list is in force", func() bool {
 								look := make(chan string)
-								f.owner.submit(func() { look <- f.owner.replicas["a0"].addr })
+								f.owner.submit(func() { look <- f.owner.replicas.byID["a0"].addr })
 								return <-look == "10.0.0.3:1"
 							})
 							took := time.Since(began)
@@ -707,7 +707,7 @@
 					r.call().want(fmt.Sprint("p", i), "all", 200, wholeOfAll)
 				}
 				look := make(chan bool)
-				r.owner.submit(func() { h := r.owner.replicas["b1"]; look <- h != nil && !h.removed })
+				r.owner.submit(func() { h := r.owner.replicas.byID["b1"]; look <- h != nil && !h.removed })
 				require.True(t, <-look)
 				if name != "at its address" {
 					require.Positive(t, next.CountRequests())
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -83,7 +83,7 @@
 			found := make(chan string, 1)
 			if !r.owner.submit(func() {
 				var on []string
-				for id, h := range r.owner.replicas {
+				for id, h := range r.owner.replicas.byID {
 					if !h.removed {
 						on = append(on, id)
 					}
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -102,7 +102,7 @@
 		}
 		var read any
 		if outcome == "Ok" {
-			if read, why = loop.decodeValue(id, body); why != nil {
+			if read, why = loop.decoders.decode(id, body); why != nil {
 				outcome = "Failed"
 			}
 		}
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -13,14 +13,14 @@
 		case p := <-plans:
 			loop.log.Info("reloaded", "discovery", p.Discovery, "sockets", p.MaxSockets, "memory_mb", p.MemoryMB,
 				"waits_for_restart", loop.plan.RestartDifferences(p))
-			room := int(clientDescriptorShare * float64(p.MaxSockets))
+			room := clientDescriptors(p.MaxSockets)
 			if loop.searchAPI != nil {
 				room -= loop.searchAPI.MaxConnections
 			}
 			f.limiter.resize(room)
-			loop.submit(func() { loop.maxSockets, loop.searchMemory = p.MaxSockets, p.SearchMemory() })
+			loop.submit(func() { loop.descriptors.limit, loop.searches.memoryLimit = p.MaxSockets, p.SearchMemory() })
 			select {
-			case loop.discoveryMoves <- p.Discovery:
+			case loop.discovery.moves <- p.Discovery:
 			case <-loop.ctx.Done():
 			}
 		case <-loop.ctx.Done():
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -6,6 +6,15 @@
 
 const drainSendShare = 0.5 // of the drain grace in which a draining replica may get new frames: the list may be late
 
+// replicaTable is the replicas of the endpoint list in force, and those of earlier lists that still have connections.
+type replicaTable struct {
+	byID           map[string]*replica
+	dispatchOrder  []*replica                     // with batches to go out at the end of the iteration
+	lastDispatchAt int64                          // the last iteration that sent batches
+	averageLatency float64                        // ticks that an answer has taken of late
+	abandoned      map[*attempt]*abandonedAttempt // given up here and not yet reported to the balancer
+}
+
 // replica is one machine of the list and the connections to it.
 type replica struct {
 	id, addr    string
@@ -25,13 +34,13 @@
 
 // placeReplica notes where a replica is; old connections to another address take nothing new.
 func (loop *eventLoop) placeReplica(id, addr, kind string, since int64, gone, drains bool) {
-	r := loop.replicas[id]
+	r := loop.replicas.byID[id]
 	if r == nil {
 		if gone {
 			return
 		}
 		r = &replica{id: id, protocol: frameProtocol{}}
-		loop.replicas[id] = r
+		loop.replicas.byID[id] = r
 	}
 	speaks := loop.protocolFor(kind)
 	moved := r.addr != addr || r.protocol != speaks
@@ -54,8 +63,8 @@
 
 // forgetReplica drops a replica that has left the list once it has no connection.
 func (loop *eventLoop) forgetReplica(replica *replica) {
-	if replica.removed && len(replica.connections) == 0 && len(replica.batches) == 0 && loop.replicas[replica.id] == replica {
-		delete(loop.replicas, replica.id)
+	if replica.removed && len(replica.connections) == 0 && len(replica.batches) == 0 && loop.replicas.byID[replica.id] == replica {
+		delete(loop.replicas.byID, replica.id)
 	}
 }
 
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -9,7 +9,6 @@
 
 const (
 	replicaQueueSize     = 512                    // frames that wait on a replica's connection: batches of 32 streams with their cancels
-	extraDialShare       = 0.05                   // of the descriptors may go to further dials beside slow ones
 	replicaIdleShare     = 0.7                    // of the time after which replicas close an idle connection: closing earlier avoids a race
 	minDoubtDelay        = 1000                   // ticks under an attempt without a byte from the connection before the next batch takes another one,
 	doubtLatencyFactor   = 4.0                    // or this multiple of the average latency, if that is longer
@@ -45,12 +44,12 @@
 	connection.log, connection.clockTicks = loop.log, loop.clockTicks
 	connection.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(connection, message) }) }
 	replica.connections = append(replica.connections, connection)
-	loop.replicaConnectionCount++
+	loop.descriptors.replicaConnections++
 	if loop.enforcer != nil {
 		connection.leaseExpired = loop.enforcer.leaseHasExpired
 	}
 	addr, wait := replica.addr, loop.plan.Duration("Permissions.DialTimeout")
-	room := max(1, int64(extraDialShare*float64(loop.maxSockets)))
+	room := loop.descriptors.maxExtraDials()
 	loop.group.Go(func() error {
 		end := errNotConnected
 		ctx, cancel := context.WithTimeout(connection.ctx, wait)
@@ -93,7 +92,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	tries, out, beside := make(chan ended, maxParallelDials), 0, 0
-	defer func() { loop.extraDials.Add(int64(-beside)) }()
+	defer func() { loop.descriptors.extraDials.Add(int64(-beside)) }()
 	dial := func() {
 		out++
 		loop.group.Go(func() error {
@@ -108,7 +107,7 @@
 		select {
 		case <-again:
 			again = nil
-			if beside++; loop.extraDials.Add(1) <= room {
+			if beside++; loop.descriptors.extraDials.Add(1) <= room {
 				dial()
 			}
 			if beside < maxParallelDials-1 {
@@ -176,7 +175,7 @@
 
 // doubtDelay is how long a connection may say nothing under a part before the next call takes another.
 func (loop *eventLoop) doubtDelay() int64 {
-	return max(minDoubtDelay, int64(doubtLatencyFactor*loop.averageLatency))
+	return max(minDoubtDelay, int64(doubtLatencyFactor*loop.replicas.averageLatency))
 }
 
 // retireSilentConnections ends connections that have long been silent under parts, once their replica has answered a later part on
@@ -194,7 +193,7 @@
 func (loop *eventLoop) handleConnectionEnd(conn *replicaConnection, end connectionEndError, addr string) {
 	conn.closedToNew = true
 	conn.end(end)
-	loop.replicaConnectionCount--
+	loop.descriptors.replicaConnections--
 	conn.replica.connections = slices.DeleteFunc(conn.replica.connections, func(x *replicaConnection) bool { return x == conn })
 	if len(conn.attempts) > 0 || end == errNotConnected || end == errReadTimeout || end == errMalformed || end == errFault {
 		loop.log.warnLimited("replica "+end.Error(), "replica_connection_ended", "replica", conn.replica.id, "addr", addr, "end", end,
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -6,9 +6,8 @@
 )
 
 const (
-	replicaDescriptorShare = 0.35                 // of the descriptors go to replicas: a search uses several, but attempts share connections
-	maxDoubtedConnections  = 2                    // silent connections to a replica that are passed over: a silent replica gets no more
-	repeatWindowMargin     = 2 * time.Millisecond // kept off the idempotency window when a repeat is sent: its way to the replica
+	maxDoubtedConnections = 2                    // silent connections to a replica that are passed over: a silent replica gets no more
+	repeatWindowMargin    = 2 * time.Millisecond // kept off the idempotency window when a repeat is sent: its way to the replica
 )
 
 // batch is what travels as one frame.
@@ -28,10 +27,10 @@
 
 // dispatchBatches puts the turn's calls on connections.
 func (loop *eventLoop) dispatchBatches() {
-	if len(loop.dispatchOrder) > 0 {
-		loop.lastDispatchAt = loop.now
+	if len(loop.replicas.dispatchOrder) > 0 {
+		loop.replicas.lastDispatchAt = loop.now
 	}
-	for _, replica := range loop.dispatchOrder {
+	for _, replica := range loop.replicas.dispatchOrder {
 		for _, batch := range replica.batches {
 			if len(batch.attempts) == 0 {
 				continue
@@ -56,7 +55,7 @@
 		replica.batches = replica.batches[:0]
 		loop.forgetReplica(replica)
 	}
-	loop.dispatchOrder = loop.dispatchOrder[:0]
+	loop.replicas.dispatchOrder = loop.replicas.dispatchOrder[:0]
 }
 
 // queueBatch writes the frame of a call that has a connection. While that is not up the call waits for rise. Guards against a
@@ -115,15 +114,15 @@
 			fullest = conn
 		}
 	}
-	if float64(loop.replicaConnectionCount) < replicaDescriptorShare*float64(loop.maxSockets) {
+	if loop.descriptors.hasReplicaRoom() {
 		return loop.openConnection(replica)
 	}
 	if !replica.protocol.allowsWaiting() {
 		fullest = nil
 	}
-	loop.log.warnLimited("no_descriptor", "no_descriptor", "side", "replicas", "open", loop.replicaConnectionCount)
+	loop.log.warnLimited("no_descriptor", "no_descriptor", "side", "replicas", "open", loop.descriptors.replicaConnections)
 	var spare *replicaConnection
-	for _, other := range loop.replicas {
+	for _, other := range loop.replicas.byID {
 		for _, conn := range other.connections {
 			if !conn.closedToNew && conn.openBatches == 0 && (spare == nil || conn.usedAt < spare.usedAt) {
 				spare = conn
@@ -153,7 +152,7 @@
 // firstSentAt is when a keyed part first went out, of its repeat; 0 of any other sub-request, and where none before it can
 // have run: that is no repeat. It is not kept in the call: eight bytes more there are 385 a search.
 func (loop *eventLoop) firstSentAt(attempt *attempt) int64 {
-	if attempt.index == 0 || !loop.keyedClasses[attempt.shardRequest.search.class] {
+	if attempt.index == 0 || !loop.rules.keyedClasses[attempt.shardRequest.search.class] {
 		return 0
 	}
 	for _, before := range attempt.shardRequest.attempts[:attempt.index] {
@@ -171,7 +170,7 @@
 	if since == 0 {
 		return 0
 	}
-	return since + max(1, loop.repeatWindows[attempt.shardRequest.search.class]-int64(repeatWindowMargin/tick))
+	return since + max(1, loop.rules.repeatWindows[attempt.shardRequest.search.class]-int64(repeatWindowMargin/tick))
 }
 
 // handleMissedDeadline tells the module of a call whose time to leave was over before its connection's writer came to it: none of it
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -53,12 +53,12 @@
 	for i := range 12 {
 		r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts))
 	}
-	lines := func() (n int) { r.inTurn(func(loop *eventLoop) { n = loop.replicaConnectionCount }); return n }
+	lines := func() (n int) { r.inTurn(func(loop *eventLoop) { n = loop.descriptors.replicaConnections }); return n }
 	r.eventually("connections are late", func() bool { return float64(lines()) >= replicaDescriptorShare*sockets })
-	r.eventually("second ones are tried", func() bool { return r.owner.extraDials.Load() >= int64(lines()) })
+	r.eventually("second ones are tried", func() bool { return r.owner.descriptors.extraDials.Load() >= int64(lines()) })
 	require.LessOrEqual(t, tried.Load(), int64(math.Ceil(replicaDescriptorShare*sockets+extraDialShare*sockets))+1) // one is discovery's
 	r.end()
-	require.Zero(t, r.owner.extraDials.Load())
+	require.Zero(t, r.owner.descriptors.extraDials.Load())
 }
 
 // startGated starts one whose connections to the replicas of cell 0 wait at their gates.
@@ -102,7 +102,7 @@
 // waiting tells how many parts are out, as the owner sees it, on connections to a replica that are not up.
 func (r *rig) waiting(id string) (n int) {
 	r.inTurn(func(loop *eventLoop) {
-		if to := loop.replicas[id]; to != nil {
+		if to := loop.replicas.byID[id]; to != nil {
 			for _, conn := range to.connections {
 				if conn.connectedAt == 0 {
 					n += len(conn.attempts)
@@ -116,7 +116,7 @@
 // up tells whether a connection to a replica is.
 func (r *rig) up(id string) (is bool) {
 	r.inTurn(func(loop *eventLoop) {
-		for _, conn := range loop.replicas[id].connections {
+		for _, conn := range loop.replicas.byID[id].connections {
 			is = is || conn.connectedAt > 0
 		}
 	})
@@ -241,7 +241,7 @@
 		{"ResetByPeer ConnectError", 1},
 		{"QueueFull Failed Canceled", 2},
 	} {
-		loop := &eventLoop{keyedClasses: []bool{true, false}, balancer: deaf{}, shardRequests: map[uint64]*shardRequest{}}
+		loop := &eventLoop{rules: dispatchRules{keyedClasses: []bool{true, false}}, balancer: deaf{}, searches: searchTable{shardRequests: map[uint64]*shardRequest{}}}
 		request := &shardRequest{search: &search{}}
 		for i, outcome := range strings.Fields(x.outcomes) {
 			sub := &attempt{shardRequest: request, index: int32(i), sentAt: int64(i + 1)}
@@ -253,7 +253,7 @@
 	}
 	for stage, first := range map[int32]int64{stageQueued: 0, stageWriting: 7, stageWritten: 7} { // one that was given up
 		loop, _, s := oneOut(stage)
-		loop.keyedClasses = []bool{true}
+		loop.rules.keyedClasses = []bool{true}
 		request := s.shardRequests[0]
 		request.attempts[0].sentAt = 7
 		loop.CancelAttempt(request.id, 0)
@@ -287,7 +287,7 @@
 	}
 	sub := &attempt{shardRequest: request, name: "q.1", batch: c}
 	c.attempts, conn.attempts, request.attempts, search.shardRequests = append(c.attempts, sub), append(conn.attempts, sub), []*attempt{sub}, append(search.shardRequests, request)
-	loop.shardRequests[3] = request
+	loop.searches.shardRequests[3] = request
 	return loop, conn, search
 }
 
@@ -297,14 +297,14 @@
 	require.Empty(t, loop.finishSearch(s))
 	require.Empty(t, conn.queue)
 	require.Empty(t, conn.attempts)
-	require.Equal(t, []string{"Ignored", "Ignored"}, []string{loop.nextEvents[0].outcome, loop.nextEvents[1].outcome})
+	require.Equal(t, []string{"Ignored", "Ignored"}, []string{loop.events.next[0].outcome, loop.events.next[1].outcome})
 	require.Zero(t, conn.openBatches)
 
 	loop, conn, s = twoOut(false) // those of another search stay
 	other := &search{id: 9}
 	s.shardRequests[1].search, s.shardRequests = other, s.shardRequests[:1]
 	require.Empty(t, loop.finishSearch(s))
-	require.Len(t, loop.nextEvents, 1)
+	require.Len(t, loop.events.next, 1)
 	require.Len(t, conn.queue, 1)
 	require.Equal(t, "q.1", conn.attempts[0].name)
 	message := <-conn.queue
@@ -318,7 +318,7 @@
 	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
 		loop, _, _ := oneOut(stage)
 		loop.CancelAttempt(2, 0)
-		require.Equal(t, outcome, loop.nextEvents[0].outcome, "stage %d", stage)
+		require.Equal(t, outcome, loop.events.next[0].outcome, "stage %d", stage)
 	}
 }
 
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -102,8 +102,8 @@
 // restrictAll looks at all open searches anew, in their order.
 func (b *residencyEnforcer) restrictAll() {
 	clear(b.restrictions)
-	for _, id := range slices.Sorted(maps.Keys(b.loop.searches)) {
-		if search := b.loop.searches[id]; search != nil {
+	for _, id := range slices.Sorted(maps.Keys(b.loop.searches.byID)) {
+		if search := b.loop.searches.byID[id]; search != nil {
 			b.restrict(search)
 		}
 	}
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -253,7 +253,7 @@
 // outOn counts parts out at hosts.
 func (b *residencyEnforcer) outOn(ids ...string) (n int) {
 	for _, id := range ids {
-		for _, conn := range b.loop.replicas[id].connections {
+		for _, conn := range b.loop.replicas.byID[id].connections {
 			n += len(conn.attempts)
 		}
 	}
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -251,7 +251,7 @@
 	r := start(t, 256, nil)
 	room := func() (now float64) {
 		told := make(chan struct{})
-		require.True(t, r.owner.submit(func() { now = r.owner.searchMemory; close(told) }))
+		require.True(t, r.owner.submit(func() { now = r.owner.searches.memoryLimit; close(told) }))
 		<-told
 		return now
 	}
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -5,17 +5,34 @@
 	"math/big"
 	"slices"
 	"strconv"
+	"sync/atomic"
 	"time"
 
 	"chalkring/control/residency"
 )
 
+// secondStepSuffix marks the names of attempts of the second step.
+const secondStepSuffix = ".r"
+
 const (
 	searchOverheadBytes       = 2 << 10 // that a search holds here and in the balancer, beside its text
 	shardRequestOverheadBytes = 1 << 10 // that each of its shard requests holds, beside its value
 	attemptNameExtra          = 24      // bytes of an attempt's name beyond its search's: a dot, a number, the step
 )
 
+// searchTable is the open searches and what they hold. Only the event loop's goroutine touches it, but for unsentBytes.
+type searchTable struct {
+	byID          map[uint64]*search
+	names         map[string]bool
+	shardRequests map[uint64]*shardRequest
+	lastID        uint64         // of searches and shard requests
+	pendingWrites []pendingWrite // room for what finishSearch returns
+
+	memoryLimit float64      // bytes for open searches and their answers
+	heldBytes   int64        // held by searches
+	unsentBytes atomic.Int64 // of answers that clients have not taken
+}
+
 // search is one search from its request to its final answer. The front that took it makes it; reply is
 // what it leaves for that answer.
 type search struct {
@@ -28,8 +45,8 @@
 	shards        []int
 	weights       []float64
 	reply         func(r searchOutcome)
-	client        *clientConnection                          // who waits for it; nil on other fronts
-	decodeValue   func(shard int, value []byte) (any, error) // what a value has to pass to be in; nil for none
+	client        *clientConnection // who waits for it; nil on other fronts
+	decodeValue   decodeFunc        // of a replica's values; nil for none
 
 	id                uint64
 	deadline          int64
@@ -67,7 +84,7 @@
 func (p *shardRequest) appendName(dst []byte) []byte {
 	dst = strconv.AppendInt(append(append(dst, p.search.name...), '.'), int64(p.shard), 10)
 	if p.step == 2 {
-		dst = append(dst, ".r"...)
+		dst = append(dst, secondStepSuffix...)
 	}
 	return dst
 }
@@ -85,19 +102,18 @@
 
 // startSearch hands a search to the module. What is held is bounded by the clients' connections: one search each.
 func (loop *eventLoop) startSearch(search *search) {
-	if loop.openNames[search.name] { // guards against two whose parts no replica can tell apart
+	if loop.searches.names[search.name] { // guards against two whose parts no replica can tell apart
 		search.ended = true
 		search.reply(searchOutcome{outcome: outcomeDuplicateID})
 		return
 	}
-	loop.openNames[search.name] = true
+	loop.searches.names[search.name] = true
 	if search.decodeValue != nil {
-		loop.valueDecoders.Store(search.name, search.decodeValue)
-		loop.decoderCount.Add(1)
+		loop.decoders.add(search.name, search.decodeValue)
 	}
 	search.deadline = loop.now + int64((search.timeout-loop.Clock.Now().Sub(search.arrivedAt))/tick)
 	search.id, search.step = loop.nextID(), 1
-	loop.searches[search.id] = search
+	loop.searches.byID[search.id] = search
 	loop.armStallDetector()
 	loop.holdBytes(search, searchOverheadBytes+len(search.text)+shardRequestOverheadBytes*len(search.shards))
 	loop.balancer.AddSearch(search.id, search.class, search.tenant, search.key, search.deadline-loop.now, search.id, len(search.shards), search.isRetry)
@@ -112,7 +128,7 @@
 		request := &all[i]
 		request.id, request.search, request.step, request.shard = loop.nextID(), search, search.step, shard
 		search.shardRequests = append(search.shardRequests, request)
-		loop.shardRequests[request.id] = request
+		loop.searches.shardRequests[request.id] = request
 		names = request.appendName(names)
 	}
 	text, own := string(names), [maxRequestIDBytes + attemptNameExtra]byte{}
@@ -132,10 +148,10 @@
 // searches away when there is no room: guards against an end by the kernel.
 func (loop *eventLoop) holdBytes(search *search, n int) {
 	search.heldBytes += int64(n)
-	loop.heldBytes += int64(n)
+	loop.searches.heldBytes += int64(n)
 }
 
-func (loop *eventLoop) followUpCount(qtype int) int { return loop.followUpCounts[qtype] }
+func (loop *eventLoop) followUpCount(qtype int) int { return loop.rules.followUpCounts[qtype] }
 
 // startSecondStep makes the parts of the second step: at the shards with the highest scores, the lower number
 // first among equals, with equal weights.
--- a/coordinator/search_end.go
+++ b/coordinator/search_end.go
@@ -29,7 +29,7 @@
 )
 
 func (loop *eventLoop) AnswerSearch(id uint64, whole bool) {
-	search := loop.searches[id]
+	search := loop.searches.byID[id]
 	if search == nil {
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 func (loop *eventLoop) endSearch(id uint64, outcome searchOutcome) {
-	if search := loop.searches[id]; search != nil {
+	if search := loop.searches.byID[id]; search != nil {
 		if outcome.refusal = loop.enforcer.refusalOf(search); outcome.refusal != nil {
 			outcome.outcome, outcome.retryAfter = outcomeResidencyRefused, 0
 		}
@@ -82,7 +82,7 @@
 // withdrawGoneClients withdraws the searches whose clients have left, though their readers have not said so yet.
 func (loop *eventLoop) withdrawGoneClients() {
 	var gone []*search
-	for _, s := range loop.searches {
+	for _, s := range loop.searches.byID {
 		if s.client != nil && s.client.hasHungUp() {
 			gone = append(gone, s)
 		}
@@ -113,15 +113,14 @@
 
 // finishSearch forgets a search and gives what has to be out before its final answer is, until the next one is finished.
 func (loop *eventLoop) finishSearch(search *search) (first []pendingWrite) {
-	first = loop.pendingWrites[:0]
-	defer func() { loop.pendingWrites = first }()
+	first = loop.searches.pendingWrites[:0]
+	defer func() { loop.searches.pendingWrites = first }()
 	loop.holdBytes(search, -int(search.heldBytes))
 	search.ended = true
-	delete(loop.searches, search.id)
-	delete(loop.openNames, search.name)
+	delete(loop.searches.byID, search.id)
+	delete(loop.searches.names, search.name)
 	if search.decodeValue != nil {
-		loop.valueDecoders.Delete(search.name)
-		loop.decoderCount.Add(-1)
+		loop.decoders.remove(search.name)
 	}
 	for _, write := range search.pendingWrites {
 		if !write.isWritten() {
@@ -130,7 +129,7 @@
 	}
 	for _, request := range search.shardRequests {
 		for _, attempt := range request.attempts {
-			if abandoned := loop.abandoned[attempt]; abandoned != nil {
+			if abandoned := loop.replicas.abandoned[attempt]; abandoned != nil {
 				loop.deferAttemptOutcome(attempt, loop.forgetAbandoned(abandoned))
 			}
 			if attempt.batch == nil {
@@ -153,6 +152,6 @@
 // cancel them.
 func (loop *eventLoop) dropShardRequest(request *shardRequest) {
 	if request.search.ended && request.unreported == 0 {
-		delete(loop.shardRequests, request.id)
+		delete(loop.searches.shardRequests, request.id)
 	}
 }
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"sync/atomic"
 	"time"
 )
 
@@ -12,6 +13,12 @@
 	maxStopTime     = 20 * time.Second       // for answers on connections that stay open; after it each answer ends its connection
 )
 
+// stopState is what a shutdown sets; both are nil or false before it. Any goroutine may read it.
+type stopState struct {
+	answerDeadline   atomic.Pointer[time.Time] // by which final answers have to be out
+	closeAfterAnswer atomic.Bool               // each answer ends its connection, as maxStopTime is over
+}
+
 // shutDown begins the end once ctx ends: new connections are taken for acceptAfterStop, since the platform still sends. Those that
 // are open are served until their clients close them or send nothing for stopIdleTimeout, for maxStopTime at the longest; the owner
 // ends with the last of them.
@@ -24,7 +31,7 @@
 		return nil
 	}
 	by := loop.Clock.Now().Add(loop.plan.TerminationGrace() - killMargin)
-	loop.answerDeadline.Store(&by)
+	loop.stop.answerDeadline.Store(&by)
 	loop.log.Info("stopping", "name", loop.plan.Name)
 	select {
 	case <-loop.Clock.After(acceptAfterStop):
@@ -39,7 +46,7 @@
 	}
 	select {
 	case <-loop.Clock.After(maxStopTime - stopIdleTimeout):
-		loop.closeAfterAnswer.Store(true)
+		loop.stop.closeAfterAnswer.Store(true)
 	case <-loop.ctx.Done():
 	}
 	return nil
@@ -55,12 +62,12 @@
 }
 
 // isStopping tells that the co-ordinator has been isStopping to end.
-func (loop *eventLoop) isStopping() bool { return loop.answerDeadline.Load() != nil }
+func (loop *eventLoop) isStopping() bool { return loop.stop.answerDeadline.Load() != nil }
 
 // limitTimeout is how long a search that came then may take. Guards against SIGKILL: what comes as the co-ordinator stops has its
 // final answer before that may come, whatever time its client gives.
 func (loop *eventLoop) limitTimeout(patience time.Duration, came time.Time) time.Duration {
-	by := loop.answerDeadline.Load()
+	by := loop.stop.answerDeadline.Load()
 	if by == nil {
 		return patience
 	}
--- a/coordinator/started_again_test.go
+++ b/coordinator/started_again_test.go
@@ -62,9 +62,9 @@
 	status, _, text, _ := c.answer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
-	r.inTurn(func(loop *eventLoop) { require.NotNil(t, loop.replicas["a9"]) })
+	r.inTurn(func(loop *eventLoop) { require.NotNil(t, loop.replicas.byID["a9"]) })
 	r.eventually("the one that is gone is forgotten", func() (gone bool) {
-		r.inTurn(func(loop *eventLoop) { gone = loop.replicas["a0"] == nil })
+		r.inTurn(func(loop *eventLoop) { gone = loop.replicas.byID["a0"] == nil })
 		return gone
 	})
 	r.end()
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -12,6 +12,18 @@
 	stallThreshold     = 50 * time.Millisecond // lateness of a timer that shows a stalled process: no iteration takes so long
 )
 
+// timerSet is the event loop's timers.
+type timerSet struct {
+	queue      timerQueue
+	balancer   map[uint64]*balancerTimer // by the balancer's label
+	spare      []*balancerTimer          // stopped, for reuse
+	due        []*timer                  // empty; its array is reused by each iteration
+	alarm      <-chan time.Time          // that the event loop waits for: at or before the first timer
+	alarmAt    int64
+	stall      stallDetector
+	caughtUpAt int64 // when sockets were last read before an iteration
+}
+
 // timer is something to do at a time; place is where it stands among wakes, negative once it does not.
 type timer struct {
 	at       int64
@@ -63,9 +75,9 @@
 
 // startTimer has a wake come after a while; it is not among the wakes yet.
 func (loop *eventLoop) startTimer(timer *timer, wait int64, do timerHandler) {
-	loop.timers.sequence++
-	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.sequence, do
-	heap.Push(&loop.timers, timer)
+	loop.timers.queue.sequence++
+	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.queue.sequence, do
+	heap.Push(&loop.timers.queue, timer)
 }
 
 // stopTimer takes a wake back, so that it holds nothing for the rest of its wait; one that has come or never was awaited
@@ -75,7 +87,7 @@
 		return
 	}
 	if timer.handler = nil; timer.index >= 0 {
-		heap.Remove(&loop.timers, timer.index)
+		heap.Remove(&loop.timers.queue, timer.index)
 	}
 }
 
@@ -87,33 +99,33 @@
 
 func (w *balancerTimer) fire(loop *eventLoop) {
 	label := w.label
-	delete(loop.balancerTimers, label)
-	if len(loop.spareTimers) < maxSpareTimers {
-		loop.spareTimers = append(loop.spareTimers, w)
+	delete(loop.timers.balancer, label)
+	if len(loop.timers.spare) < maxSpareTimers {
+		loop.timers.spare = append(loop.timers.spare, w)
 	}
 	loop.balancer.HandleTimer(label)
 }
 
 func (loop *eventLoop) SetTimer(wait int64, label uint64) {
 	var w *balancerTimer
-	if n := len(loop.spareTimers); n > 0 {
-		w, loop.spareTimers = loop.spareTimers[n-1], loop.spareTimers[:n-1]
+	if n := len(loop.timers.spare); n > 0 {
+		w, loop.timers.spare = loop.timers.spare[n-1], loop.timers.spare[:n-1]
 	} else {
 		w = &balancerTimer{}
 	}
 	w.label = label
-	loop.balancerTimers[label] = w
+	loop.timers.balancer[label] = w
 	loop.startTimer(&w.timer, max(wait, 1), w)
 }
 
 func (loop *eventLoop) CancelTimer(label uint64) {
-	w := loop.balancerTimers[label]
+	w := loop.timers.balancer[label]
 	if w == nil {
 		return
 	}
-	delete(loop.balancerTimers, label)
-	if w.index >= 0 && len(loop.spareTimers) < maxSpareTimers { // one that is due in this turn is still looked at
-		loop.spareTimers = append(loop.spareTimers, w)
+	delete(loop.timers.balancer, label)
+	if w.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // one that is due in this turn is still looked at
+		loop.timers.spare = append(loop.timers.spare, w)
 	}
 	loop.stopTimer(&w.timer)
 }
@@ -123,7 +135,7 @@
 type stallDetector struct{ timer }
 
 func (p *stallDetector) fire(loop *eventLoop) {
-	if len(loop.searches) > 0 {
+	if len(loop.searches.byID) > 0 {
 		loop.startTimer(&p.timer, int64(stallCheckInterval/tick), p)
 	} else {
 		p.handler = nil
@@ -132,7 +144,7 @@
 
 // armStallDetector has it come.
 func (loop *eventLoop) armStallDetector() {
-	if loop.stallDetector.handler == nil {
-		loop.startTimer(&loop.stallDetector.timer, int64(stallCheckInterval/tick), &loop.stallDetector)
+	if loop.timers.stall.handler == nil {
+		loop.startTimer(&loop.timers.stall.timer, int64(stallCheckInterval/tick), &loop.timers.stall)
 	}
 }
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -293,7 +293,7 @@
 	go func() {
 		select {
 		case <-wait:
-			m.o.pollRequests <- struct{}{}
+			m.o.discovery.polls <- struct{}{}
 		case <-m.o.ctx.Done():
 		}
 	}()
@@ -313,7 +313,7 @@
 			for i := range n {
 				g, work := errgroup.WithContext(ctx)
 				loop := &eventLoop{
-					group: g, ctx: work, pollRequests: make(chan struct{}, 1), discoveryMoves: make(chan string), tasks: make(chan func(), maxQueuedTasks),
+					group: g, ctx: work, discovery: discoveryRequests{polls: make(chan struct{}, 1), moves: make(chan string)}, tasks: make(chan func(), maxQueuedTasks),
 					log: newAsyncLogger(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
 						"Discovery": by,
 						"Balancers": fmt.Sprint(n),
@@ -326,7 +326,7 @@
 					return nil, syscall.ECONNREFUSED
 				}}
 				loop.balancer = &asksAgain{o: loop, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
-				loop.pollRequests <- struct{}{}
+				loop.discovery.polls <- struct{}{}
 				g.Go(func() error {
 					for {
 						select {
