--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -26,8 +26,8 @@
 	lostLines atomic.Int64
 
 	mu          sync.Mutex
-	lastWritten map[string]time.Time // when each kind that can be repeated at will was last written
-	suppressed  map[string]int       // and how often it was left out since; kinds are constants of the code
+	lastWritten map[string]time.Time // by kind of line that others can cause at will
+	suppressed  map[string]int       // lines of the kind left out since; kinds are few
 }
 
 // logRecord is a line on its way to its handler.
--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -8,14 +8,14 @@
 type attempt struct {
 	shardRequest *shardRequest
 	index        int32
-	neverRan     bool // it has not run: it was never out whole, or was refused
+	neverRan     bool // never completely sent, or refused by the replica
 	replica      *replica
-	name         string // its id on the wire
+	name         string // its id on the wire; of all attempts of the shard request
 	sentAt       int64
 	deadline     int64
 	batch        *batch
-	timeout      timer // its time-out
-	inlineBatch  batch // room for call
+	timeout      timer
+	inlineBatch  batch // the batch while the attempt opens one
 }
 
 // fire is its time-out.
@@ -85,12 +85,12 @@
 	conn := attempt.batch.connection
 	if batch := attempt.batch; loop.recallAttempt(attempt) {
 		if attempt.neverRan = true; outcome == "Canceled" {
-			outcome = "Ignored" // what was called off may have run, but this was never sent
+			outcome = "Ignored" // a canceled attempt may have run, this one was never sent
 		}
 	} else {
 		loop.detachAttempt(attempt)
 		conn.protocol.cancelAttempt(conn, attempt)
-		// Nothing is sent after the final answer: a frame given up before it may still be on its way out.
+		// Nothing may be sent after the final answer, and this attempt's frame may still be being written.
 		if write, search := (pendingWrite{conn.messageConn, batch.message}), attempt.shardRequest.search; !search.ended && !write.isWritten() {
 			search.pendingWrites = append(search.pendingWrites, write)
 		}
@@ -99,8 +99,8 @@
 			outcome = ""
 		}
 	}
-	// Guards against a machine that went silent: its open connection would swallow part after part. One new
-	// connection tells more than the old one: it comes up or does not.
+	// A replica that went silent would swallow one attempt after another on the open connection. A new one tells
+	// more: it connects or does not.
 	if conn != nil && conn.heardAt < attempt.sentAt && loop.now-attempt.sentAt > loop.silenceTimeout() {
 		loop.retireConnection(conn)
 	}
@@ -174,7 +174,7 @@
 		}
 		return
 	}
-	if waits && !loop.recallAttempt(attempt) { // guards against a repeat on this connection that goes out though the first was answered
+	if waits && !loop.recallAttempt(attempt) { // a repeat that waits on this connection must not go out once the first is answered
 		loop.detachAttempt(attempt)
 	}
 	loop.replicas.averageLatency += (float64(loop.now-attempt.sentAt) - loop.replicas.averageLatency) / latencyAverageWeight
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -36,7 +36,7 @@
 			buffer = new([]byte)
 			*buffer = make([]byte, 0, size+responseHeadRoom)
 		}
-		if !plain { // what is escaped has to be written before its length is known
+		if !plain { // the length of an escaped body is known only once it is written
 			*buffer = appendAnswerBody(*buffer, outcome)
 			c.respond(200, "", *buffer, keep)
 			returnBuffer(buffer)
@@ -92,7 +92,7 @@
 	case c.answered <- struct{}{}:
 	default:
 	}
-	switch { // after it counts as answered: the reader that is woken here looks for that
+	switch { // last, since the reader that wakes here checks that the request is answered
 	case message.closesConnection:
 	case c.hasPipelined.Load():
 		c.interruptRead()
@@ -133,7 +133,7 @@
 		}
 		dst = strconv.AppendInt(append(dst, `{"range":`...), int64(request.shard), 10)
 		dst = append(dst, `,"blob":`...)
-		dst, _ = jsontext.AppendQuote(dst, request.value) // it is text: hear has seen to that
+		dst, _ = jsontext.AppendQuote(dst, request.value) // readAnswers has checked that it is valid UTF-8
 		dst = append(dst, '}')
 	}
 	return append(dst, "]}"...)
--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -25,22 +25,22 @@
 type clientConnection struct {
 	*clientListener
 	*messageConn
-	idleElement       *list.Element // in the gate's list, while no request is at work; the gate's
-	requestBegun      bool          // a request is, and is not there yet; the gate's
+	idleElement       *list.Element // in the limiter's list while no request is in progress; the limiter's
+	requestBegun      bool          // the first bytes of a request have been read; the limiter's
 	conn              net.Conn
 	reader            *http1.Reader
-	readAvailable     func(p []byte) (int, error) // reads without waiting; nil where that is not known
-	firstDeadline     time.Time                   // limit of the first request; zero once that is there
-	requestDeadline   time.Time                   // of the request that is being read
-	lastSearch        *search                     // the last one
-	awaitingAnswer    bool                        // for an answer
-	stopReadDeadline  time.Time                   // until when a last request is awaited, since the one before it; zero while it need not be
-	extendedOnce      bool                        // its time was over and it was looked once more, since the request before
+	readAvailable     func(p []byte) (int, error) // reads without waiting; nil where the connection cannot
+	firstDeadline     time.Time                   // for the first request; zero once it has been read
+	requestDeadline   time.Time                   // for the request that is being read
+	lastSearch        *search                     // nil before the first
+	awaitingAnswer    bool
+	stopReadDeadline  time.Time // for one more request during shutdown; zero while none is awaited
+	extendedOnce      bool      // finalReadGrace has been used since the last request
 	answered          chan struct{}
-	lastAnswerWritten atomic.Bool  // the last answer is out
-	hasPipelined      atomic.Bool  // bytes have come behind the request that is open, as the co-ordinator stops
-	askedToLeave      atomic.Bool  // to make room for another; the gate's
-	unsentBytes       atomic.Int64 // bytes of answers that it has not taken
+	lastAnswerWritten atomic.Bool  // the connection's last answer is written
+	hasPipelined      atomic.Bool  // bytes of the next request have arrived before the answer, during shutdown
+	askedToLeave      atomic.Bool  // to make room for a new connection; the limiter's
+	unsentBytes       atomic.Int64 // of answers that are not written
 }
 
 func (c *clientConnection) isAwaitingAnswer() bool {
@@ -65,8 +65,8 @@
 		switch now := time.Now(); {
 		case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
 			return 0, errClosing
-		case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is looked at first
-			// Guards against a newcomer that makes room for the next before its request, which is there, has been read.
+		case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is handled first
+			// A connection must not make room for the next one while its request has arrived and was not read.
 			if c.readAvailable != nil {
 				if n, _ := c.readAvailable(p); n > 0 {
 					return n, nil
@@ -80,7 +80,7 @@
 		case c.requestDeadline.IsZero() && c.acceptsLateRequest(now):
 			c.setReadDeadline(c.stopReadDeadline)
 		case !c.extendedOnce:
-			// guards against a process that was held up: what came meanwhile lies there, and no time was left to read it
+			// after a stall of the process, the request may have arrived without time to read it
 			c.extendedOnce = true
 			c.setReadDeadline(now.Add(finalReadGrace))
 		case !c.requestDeadline.IsZero():
@@ -134,8 +134,8 @@
 				return connectionEndOf(err)
 			}
 		}
-		// After what is awaited, since an answer sets it first. Guards against a request that is sent on though it was read
-		// after the shutdown: a last answer may go out between two looks.
+		// This check comes after awaiting the answer, which sets the flag. Without it, a request that was read after the
+		// last answer would be dispatched: that answer may be written between two checks.
 		if c.lastAnswerWritten.Load() {
 			c.linger((*buf)[:bufferSize])
 			return errClosing
@@ -158,7 +158,7 @@
 		var no requestError
 		var bad http1.InvalidMessageError
 		switch {
-		case errors.As(err, &no): // the next request can be told from this one
+		case errors.As(err, &no): // the next request's begin is known
 			c.loop.log.warnLimited("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", no.status, "error", no.text)
 			c.respond(no.status, "", []byte("{}"), keep)
 		case errors.As(err, &bad):
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -26,7 +26,7 @@
 	loop             *eventLoop
 	limiter          *connectionLimiter
 	classes, tenants map[string]int
-	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the co-ordinator was told to end
+	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the stop
 }
 
 func newClientListener(loop *eventLoop, stopping context.Context) *clientListener {
@@ -39,10 +39,10 @@
 // accept takes clients' connections in until the listener is closed.
 func (f *clientListener) accept() error {
 	loop := f.loop
-	for taken := false; ; { // some connection, since the listener was last given its time
+	for taken := false; ; { // a connection was accepted since the listener's last deadline
 		conn, err := loop.Listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) { // see acceptLast
-			// Guards against a wait for room that lasts over that time: the others that have come would be reset.
+			// The wait for room may have outlasted the deadline: connections that have arrived would be reset by the close.
 			if taken {
 				taken = false
 				loop.acceptLast()
@@ -73,7 +73,7 @@
 			conn.Close()
 			return nil
 		}
-		client.firstDeadline = time.Now().Add(requestReadTimeout) // it may have waited for room longer than that
+		client.firstDeadline = time.Now().Add(requestReadTimeout) // the wait for room does not count
 		loop.submit(func() { loop.clients.connections[client.messageConn] = true })
 		loop.group.Go(func() error {
 			end := client.serve(conn, clientWriteTimeout, client.readRequests, client.handleWritten)
@@ -81,7 +81,7 @@
 			loop.submit(func() {
 				delete(loop.clients.connections, client.messageConn)
 				loop.searches.unsentBytes.Add(-client.unsentBytes.Swap(0))
-				if client.lastSearch != nil { // whichever way it ended: a search still on it has lost its client
+				if client.lastSearch != nil { // an open search has lost its client, whatever ended the connection
 					loop.withdrawSearch(client.lastSearch)
 				}
 			})
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -32,7 +32,7 @@
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	_, known := c.classes[first]
-	if path == "/healthz" && (method == "GET" || !known) { // a class may bear that name
+	if path == "/healthz" && (method == "GET" || !known) { // a class may have that name
 		if method != "GET" {
 			return requestError{405, "method of /healthz"}
 		}
--- a/coordinator/connection_end.go
+++ b/coordinator/connection_end.go
@@ -13,20 +13,20 @@
 
 const (
 	_                 connectionEndError = iota
-	errNotConnected                      // refused, or not up in time
-	errNoDescriptors                     // not opened: this side has no descriptor or port left
+	errNotConnected                      // refused, or not connected in time
+	errNoDescriptors                     // not opened: no descriptor or port is left here
 	errPeerClosed                        // the other side closed it between messages
 	errReset                             // reset, or cut inside a message
 	errWriteFailed                       // a write failed or did not end in time
-	errReadTimeout                       // a message was begun and not finished in time
-	errMalformed                         // what came cannot be used
-	errRejectedByPeer                    // the other side could not use what we sent
-	errQueueFull                         // its backlog was full
-	errIdle                              // closed here: nothing was on it for long
-	errRetired                           // closed here: its replica is gone or moved, or it has gone silent
-	errDisplaced                         // closed here: it was longest at rest, and another needed its descriptor
-	errClosing                           // closed here after a last answer, or as the co-ordinator stops
-	errFault                             // closed here: what was done with what came has a fault
+	errReadTimeout                       // a message began and did not end in time
+	errMalformed                         // what was received is malformed
+	errRejectedByPeer                    // the other side could not use what was sent
+	errQueueFull                         // its queue was full
+	errIdle                              // closed here: idle for long
+	errRetired                           // closed here: its replica was removed or moved, or the connection is silent
+	errDisplaced                         // closed here: the longest idle one, whose descriptor another needed
+	errClosing                           // closed here after a last answer, or at shutdown
+	errFault                             // closed here: handling what was received panicked
 )
 
 var connectionEndNames = [...]string{
--- a/coordinator/connection_limiter.go
+++ b/coordinator/connection_limiter.go
@@ -12,12 +12,12 @@
 // for a newcomer, and with none at rest the first on which a request is coming. One at work never is.
 type connectionLimiter struct {
 	limit   int
-	changed chan struct{} // something has left, or come to rest
+	changed chan struct{} // a connection has left or become idle
 
 	mu        sync.Mutex
 	open      int
-	idle      list.List         // of *client
-	displaced *clientConnection // to make room; its reader ends it, unless it has read something first
+	idle      list.List         // of *clientConnection, longest idle first
+	displaced *clientConnection // asked to make room; its reader ends it, unless it has read something first
 }
 
 func newConnectionLimiter(most int) *connectionLimiter {
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -36,11 +36,11 @@
 type discoveryState struct {
 	addr                 string
 	version              float64
-	needsFullList        bool // the whole list has to come first: versions may have begun again there
-	lastCallFailed       bool // the last call has
-	answeredSinceFailure bool // a call has been answered since one failed
+	needsFullList        bool // the complete list comes first: versions may have restarted
+	lastCallFailed       bool
+	answeredSinceFailure bool
 
-	nextAttemptBy time.Time // by which the next attempt has to begin if this one fails
+	nextAttemptBy time.Time // by when the next call has to begin if this one fails
 }
 
 // remaining is how long the next attempt may wait; the first wait after a long call fits in.
@@ -56,15 +56,15 @@
 func (loop *eventLoop) followDiscovery() error {
 	asked := loop.plan.Settings["Discovery"] == "subscribe"
 	chance, pause, moved := rand.New(rand.NewSource(loop.plan.Seed)), minPollBackoff, false
-	// Who knows no host asks for the list itself. Guards against a first call that is silent: a watch may wait long, and
-	// nothing is served until it has failed.
+	// A coordinator that knows no host asks for the complete list, which is answered at once: a watch call may wait for
+	// long, and nothing is served until a silent one has failed.
 	a := discoveryState{addr: loop.plan.Discovery, nextAttemptBy: time.Now().Add(maxPollDelay), needsFullList: len(loop.plan.Known.Hosts) == 0}
 	a.version = loop.plan.Known.Version
 	move := func(at string) {
 		a.addr, a.needsFullList, a.lastCallFailed = at, true, false
 		if moved, pause = true, minPollBackoff; asked {
 			v := int64(a.version)
-			loop.submit(func() { loop.balancer.CommitEndpoints("Partial", v) }) // nothing new: the module's waits begin again too
+			loop.submit(func() { loop.balancer.CommitEndpoints("Partial", v) }) // without changes: the balancer's backoff begins again too
 		}
 	}
 	wait := func(d time.Duration) {
@@ -78,7 +78,7 @@
 	atOnce := false
 	for spread := time.Duration(0); ; {
 		if asked && !moved && !atOnce {
-			late := time.NewTimer(a.remaining()) // guards against waits of the module that take no account of a call that was silent
+			late := time.NewTimer(a.remaining()) // the balancer's backoff does not count the time of a silent call
 			select {
 			case <-loop.discovery.polls:
 			case <-late.C:
@@ -117,8 +117,8 @@
 		}
 		loop.log.Warn("list_failed", "discovery", a.addr, "version", int64(a.version), "error", err)
 		spread = loop.lossSpread(err)
-		// The first call after one that fell silent follows at once. Guards against a wait beside the one that silence took: what
-		// was missed counts as told soon, and discovery takes its time with the calls of all. Those fall silent one by one.
+		// The first call after a silent one follows at once: waiting on top of the silence would delay changes, which count
+		// as known soon. Calls of all coordinators fall silent one by one, so this does not gang up on discovery.
 		atOnce = isSilence(err) && !a.lastCallFailed
 		if a.lastCallFailed = true; a.answeredSinceFailure {
 			pause = minPollBackoff
@@ -126,7 +126,7 @@
 		a.answeredSinceFailure = false
 		if asked {
 			select {
-			case <-loop.discovery.polls: // of a subscription before this one
+			case <-loop.discovery.polls: // of an earlier subscription
 			default:
 			}
 			loop.submit(func() { loop.balancer.CommitEndpoints("Error", 0) })
@@ -163,7 +163,7 @@
 
 // watchDiscovery makes one call after another, until one fails.
 func (loop *eventLoop) watchDiscovery(ctx context.Context, state *discoveryState, chance *rand.Rand) error {
-	for together := true; ; { // the next call may begin in the same moment as those of others
+	for together := true; ; { // the next call may begin together with those of other coordinators
 		state.nextAttemptBy = time.Now().Add(maxPollDelay)
 		up, cancel := context.WithTimeout(ctx, watchAnswerSlack)
 		conn, err := loop.Dial(up, "tcp", state.addr)
@@ -179,9 +179,9 @@
 			switch {
 			case state.needsFullList:
 				wait = fullListTimeout
-			case state.lastCallFailed: // silence that goes on is to show soon
+			case state.lastCallFailed: // continued silence has to show soon
 				wait = min(wait, 2*watchInterval)
-			case together && wait > 2*watchInterval: // one change ends the calls of all: the next are to end, or fall silent, one by one
+			case together && wait > 2*watchInterval: // one change ends the calls of all coordinators: the next ones end, or fall silent, one by one
 				wait -= time.Duration(chance.Int63n(int64(wait / 2)))
 			}
 			target := fmt.Sprintf("/v1/servers?index=%.0f&wait=%d", state.version, wait.Milliseconds())
@@ -206,11 +206,11 @@
 			news := state.version != before
 			together = news
 			if err == nil && !anew && !news && time.Since(asked) < wait/2 {
-				err = errors.New("nothing new, and no wait") // guards against asking without end
+				err = errors.New("nothing new, and no wait") // a server that does not wait would be polled without pause
 			}
 			if err == nil {
 				state.answeredSinceFailure, state.needsFullList = true, false
-				if state.lastCallFailed && (!news && !anew || loop.sources != nil) { // the module's waits begin again too: it hears of lists alone
+				if state.lastCallFailed && (!news && !anew || loop.sources != nil) { // the balancer's backoff begins again too; it only learns of lists
 					v := int64(state.version)
 					loop.submit(func() { loop.balancer.CommitEndpoints("Partial", v) })
 				}
@@ -246,7 +246,7 @@
 	switch {
 	case anew && !full:
 		return errors.New("changes in place of the whole list")
-	case v < *version && full && len(list.Hosts) == 0: // guards against discovery that has just begun and knows no one yet
+	case v < *version && full && len(list.Hosts) == 0: // discovery has just started and knows no host yet
 		return fmt.Errorf("version %.0f after %.0f, and no hosts", v, *version)
 	case anew:
 	case v < *version:
--- a/coordinator/endpoint_sources.go
+++ b/coordinator/endpoint_sources.go
@@ -16,7 +16,7 @@
 	registry         *endpoints.Registry
 	discoveryUpdates chan discoveryUpdate    // from discovery
 	updates          <-chan endpoints.Update // from other sources
-	loggedHolds      map[string]string       // lists that are held back, as they were last logged
+	loggedHolds      map[string]string       // reasons for lists held back, as last logged
 }
 
 // discoveryUpdate is what discovery has told; refused hears why it is refused, or nil.
--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -135,13 +135,13 @@
 				if first := loop.timers.queue.timers[0]; first == &loop.timers.stall.timer && -wait < int64(stallThreshold/tick) {
 					loop.now = max(loop.now, loop.clockTicks())
 					heap.Pop(&loop.timers.queue)
-					loop.timers.stall.fire(loop) // alone it is no turn
+					loop.timers.stall.fire(loop) // alone it needs no iteration
 				} else {
 					loop.iterate(nil)
 				}
 				continue
 			}
-			if loop.timers.alarm == nil || at < loop.timers.alarmAt { // one that comes early does no harm: most wakes are taken back
+			if loop.timers.alarm == nil || at < loop.timers.alarmAt { // an early alarm does no harm: most timers are stopped
 				loop.timers.alarm, loop.timers.alarmAt = loop.Clock.After(time.Duration(wait)*tick), at
 			}
 			wake = loop.timers.alarm
@@ -166,7 +166,7 @@
 	began := time.Now()
 	defer func() { loop.busyNanos.Add(int64(time.Since(began))) }()
 	loop.now = max(loop.now, loop.clockTicks())
-	if loop.now == loop.replicas.lastDispatchAt { // what two turns send is two calls: the module tells them apart by time
+	if loop.now == loop.replicas.lastDispatchAt { // the balancer distinguishes the batches of two iterations by time
 		loop.now++
 	}
 	loop.balancer.BeginIteration(loop.now)
@@ -198,7 +198,7 @@
 		due = append(due, heap.Pop(&loop.timers.queue).(*timer))
 	}
 	for _, w := range due {
-		if w.handler != nil { // one before it may have taken it back
+		if w.handler != nil { // an earlier one may have stopped it
 			w.handler.fire(loop)
 		}
 	}
@@ -246,7 +246,7 @@
 func (loop *eventLoop) WatchEndpoints() {
 	select {
 	case loop.discovery.polls <- struct{}{}:
-	default: // asked already
+	default: // requested already
 	}
 }
 
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -119,7 +119,7 @@
 	var id, end, score, value []byte
 	var report map[string]float64
 	if err == nil {
-		own := bytes.Clone(rest) // what it lies in is read over; the reader of a connection holds no more than that
+		own := bytes.Clone(rest) // the reader's buffer is overwritten by the next frame
 		id, end, score, report, value, err = frame.ParseAnswer(own)
 	}
 	outcome := frameOutcomes[string(end)]
@@ -139,7 +139,7 @@
 	}
 	fits := frame.IsPlausibleReply(src)
 	return func() {
-		conn.closedToNew = conn.closedToNew || !fits // a good answer counts whatever comes behind it
+		conn.closedToNew = conn.closedToNew || !fits // a good answer counts, whatever follows it
 		loop.handleAnswer(conn, id, outcome, score, report, value, read)
 	}, nil
 }
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -27,10 +27,10 @@
 // stallGuardWriter hands what is written to a goroutine of its own and waits for it only so long.
 type stallGuardWriter struct {
 	mu      sync.Mutex
-	buffer  []byte // the goroutine's until it is done
+	buffer  []byte // the writing goroutine's until it is done
 	writes  chan []byte
 	done    chan error
-	stalled bool // it is not done with the text before
+	stalled bool // the previous write has not returned
 }
 
 var errStalled = errors.New("the log is not read")
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -22,9 +22,9 @@
 // outboundMessage is one message on its way to a socket.
 type outboundMessage struct {
 	buffer           *[]byte
-	closesConnection bool // the connection ends after it
-	leaseFenced      bool // it may not be begun once the link's fence is up
-	hasDeadline      bool // it may not be begun after a time that the link knows
+	closesConnection bool // the last message of its connection
+	leaseFenced      bool // its write may not begin once the residency lease has expired
+	hasDeadline      bool // its write may not begin after a time in the connection's deadlines
 	stage            atomic.Int32
 }
 
@@ -32,7 +32,7 @@
 	stageQueued int32 = iota
 	stageWriting
 	stageWritten
-	stageRecalled // back before it was begun
+	stageRecalled // taken back before its write began
 )
 
 // recall takes a parcel back; false where its first byte may be out.
@@ -44,15 +44,15 @@
 	end   context.CancelCauseFunc
 	ctx   context.Context
 
-	leaseExpired     func() bool              // the writer asks it of each parcel that is fenced; nil for none
-	clockTicks       func() int64             // and for the time where one is limited; nil for none
-	deadlines        sync.Map                 // of those that are: until when each may be begun
-	onMissedDeadline func(p *outboundMessage) // is told of each for which it was, and that was taken back
+	leaseExpired     func() bool              // checked for each leaseFenced message; nil where there is none
+	clockTicks       func() int64             // checked for each message with a deadline; nil where there is none
+	deadlines        sync.Map                 // by message: the time by which its write has to begin
+	onMissedDeadline func(p *outboundMessage) // is called for each message taken back for its deadline
 
-	log *asyncLogger // of faults; nil for none
+	log *asyncLogger // of panics; nil for none
 
-	pendingWrites []pendingWrite // what has to be out before the next message; who puts that sets it
-	writerEnded   atomic.Bool    // the writer has
+	pendingWrites []pendingWrite // to be written before the next message; set by who enqueues that
+	writerEnded   atomic.Bool    // the writer has returned
 }
 
 func newMessageConn(ctx context.Context, room int) *messageConn {
@@ -94,7 +94,7 @@
 			case <-ctx.Done():
 				return ctx.Err()
 			case message := <-l.queue:
-				if ctx.Err() != nil { // guards against a message that is begun after the reader has seen the end
+				if ctx.Err() != nil { // no write begins after the reader has seen the end
 					return ctx.Err()
 				}
 				conn.SetWriteDeadline(time.Now().Add(stall))
@@ -107,10 +107,10 @@
 	g.Go(func() error { return l.log.recoverPanic(write) })
 	err := g.Wait()
 	if cause := context.Cause(l.ctx); cause != nil {
-		err = cause // this side ended it: reads and writes failed for that
+		err = cause // this side ended it, which made reads and writes fail
 	}
 	end := connectionEndOf(err)
-	l.end(end) // a context that is not ended stays with its parent for good
+	l.end(end) // a context that is not canceled stays with its parent
 	return end
 }
 
@@ -122,13 +122,13 @@
 		*room = all[:0]
 	}()
 	for size := 0; message != nil; {
-		switch { // guards against a process that was stopped and goes on where it was, and a socket that took nothing for a while
+		switch { // the time may have passed in a stopped process or in a socket that took nothing
 		case message.leaseFenced && l.leaseExpired():
 			message.recall()
 		case message.hasDeadline && l.missedDeadline(message) && message.recall():
 			l.onMissedDeadline(message)
 		}
-		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // next to the write: what was begun may be out
+		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // right before the write: from here on bytes may be out
 			size += len(*message.buffer)
 			if all = append(all, message); message.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
 				break
@@ -160,7 +160,7 @@
 	}
 	n, err := conn.Write(*out)
 	for _, message := range all {
-		if n -= len(*message.buffer); n < 0 { // it is not out whole, nor is what is behind it
+		if n -= len(*message.buffer); n < 0 { // neither this message nor any after it is completely written
 			return errWriteFailed
 		}
 		message.stage.Store(stageWritten)
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -94,7 +94,7 @@
 		if !open {
 			return k.readError(loop, connection, errors.New("an answer to nothing"))
 		}
-		id, shard := []byte(sub.name), sub.shardRequest.shard // neither changes
+		id, shard := []byte(sub.name), sub.shardRequest.shard // neither field changes
 		body := b.Bytes()
 		outcome, why := k.classifyResponse(res.StatusCode, body, shard)
 		if outcome == "Ok" && !utf8.Valid(body) {
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -30,7 +30,7 @@
 // none of this file runs.
 type PeerOptions struct {
 	Name, Location  string
-	Listener        net.Listener // where others ask; nil answers nobody
+	Listener        net.Listener // on which peers poll this coordinator; nil to answer nobody
 	PollTargets     []PeerAddress
 	AllowedPeers    []string
 	Keys            *peerprotocol.Credentials // nil for plain TCP
@@ -49,21 +49,21 @@
 	pool       *scheduler.Pool
 	instanceID uint64
 	zones      []string
-	wakePoller chan struct{} // the asker has to be looked at
+	wakePoller chan struct{} // the poller's state has changed
 
 	mu             sync.Mutex
 	reports        *peerreport.ReportStore
 	poller         *peerreport.Poller
 	admission      *peerreport.Admission
-	startedMS      map[string]int64 // start of each listed host in ms
+	startedMS      map[string]int64 // of each listed host
 	addrs          map[string]string
-	snapshotMu     sync.Mutex // one snapshot at a time, which all askers share
+	snapshotMu     sync.Mutex // one snapshot at a time, shared by all peers that poll
 	snapshot       *peerreport.ReportBuilder
 	snapshotSerial uint64
 	load           float64
 
 	listVersion atomic.Int64 // of the list in force
-	importMu    sync.Mutex   // one hand-over to the module at a time
+	importMu    sync.Mutex   // one import into the balancer at a time
 }
 
 func newPeerExchange(loop *eventLoop, p *PeerOptions) *peerExchange {
@@ -86,7 +86,7 @@
 	l.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
 		loop.log.warnLimited("job", "job_given_up", "job", job, "error", err)
 		if name, asking := strings.CutPrefix(job, pollJobPrefix); asking {
-			loop.group.Go(func() error { l.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not be held up
+			loop.group.Go(func() error { l.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not wait
 		}
 	})
 	return l
@@ -168,11 +168,11 @@
 		how, later, err := l.pollPeer(ctx, at, a)
 		began := time.Now()
 		l.handlePollEnd(at.Name, how, later, err)
-		a.Spend(ctx, 0, time.Since(began)) // putting reports together is of the asking's budget too
+		a.Spend(ctx, 0, time.Since(began)) // combining reports is charged to the poll's budget
 		return nil
 	})
 	if err != nil {
-		l.loop.group.Go(func() error { l.handlePollEnd(at.Name, peerreport.OutcomeFailed, 0, err); return nil }) // start is called with the lock
+		l.loop.group.Go(func() error { l.handlePollEnd(at.Name, peerreport.OutcomeFailed, 0, err); return nil }) // startPoll is called with the lock held
 	}
 }
 
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -43,26 +43,26 @@
 // one more peer's report, and background jobs write.
 type Persistence struct {
 	path        string
-	exclusive   bool             // nothing else is in the store
+	exclusive   bool             // nothing else is kept in the store
 	budget      scheduler.Budget // of its writes
-	planVersion int64            // version of the plan's list
-	identity    string           // the plan's own, as Plan.whose tells it
+	planVersion int64            // of the plan's endpoint list
+	identity    string           // of the deployment, as Plan.Identity returns it
 	clock       Clock
 	log         *asyncLogger
 	stopLog     context.CancelFunc
-	stopOpening context.CancelFunc // no more tries to open
-	logWriter   sync.WaitGroup     // of the log
-	opened      chan struct{}      // closed once store, or err, and believed are there
+	stopOpening context.CancelFunc // ends the retries of opening
+	logWriter   sync.WaitGroup
+	opened      chan struct{} // closed once store and restored, or err, are set
 
 	store    *store.Store
 	err      error
 	restored recovery.Restored
 	events   *store.EventLog
 
-	currentList      atomic.Pointer[recovery.EndpointList] // the list in force; At is when it came to be
-	discoveryVersion atomic.Int64                          // newest version that discovery told
-	writeSlot        chan struct{}                         // one write at a time
-	writtenList      *recovery.EndpointList                // the list as it was last written
+	currentList      atomic.Pointer[recovery.EndpointList] // in force; SavedAt is when it came into force
+	discoveryVersion atomic.Int64                          // newest version from discovery
+	writeSlot        chan struct{}                         // holds a token during a write
+	writtenList      *recovery.EndpointList                // as last written
 	mu               sync.Mutex
 	pendingEvents    []store.Event
 	droppedEvents    int
@@ -134,8 +134,8 @@
 			return err
 		}
 	}
-	// Guards against a store that another deployment has written: its hosts are another customer's. A store from before this
-	// was noted counts as this one's. Harm: where classes, tenants or zones are added, the next start knows what its plan says.
+	// A store that another deployment has written holds another customer's hosts. A store without an identity is older than
+	// this check and counts as this deployment's. After classes, tenants or zones change, a start knows only its plan.
 	var others []string
 	if whose := readStored[string](k, s, identityKey); whose != "" && whose != k.identity {
 		k.log.Warn("left_out", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
--- a/coordinator/persistence_write.go
+++ b/coordinator/persistence_write.go
@@ -31,7 +31,7 @@
 func (k *Persistence) run(loop *eventLoop, stopping context.Context) {
 	loop.group.Go(func() error {
 		if _, err := k.WaitForStore(loop.ctx); err != nil {
-			return nil // it was told
+			return nil // it was logged
 		}
 		if observations := k.restored.Observations; observations != nil {
 			k.importStoredObservations(loop, observations)
@@ -61,7 +61,7 @@
 // importStoredObservations tells what an earlier run knew of hosts as one peer's report.
 func (k *Persistence) importStoredObservations(loop *eventLoop, observations *recovery.Observations) {
 	l, h := loop.peers, observations.Head
-	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the machine's clock tells how long the start has taken
+	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the wall clock covers the time between two runs
 	h.Peer, h.Locality = recovery.PeerName, l.options.Location
 	l.mu.Lock()
 	err := l.reports.BeginReport(loop.clockTicks()-max(0, since), h)
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -20,9 +20,9 @@
 	id, addr    string
 	protocol    wireProtocol
 	removed     bool
-	closedToNew bool // drains or is gone
+	closedToNew bool // draining or removed
 	connections []*replicaConnection
-	batches     []*batch // of this turn, not yet on a line
+	batches     []*batch // of this iteration, not yet on a connection
 }
 
 func (loop *eventLoop) protocolFor(kind string) wireProtocol {
@@ -45,8 +45,8 @@
 	speaks := loop.protocolFor(kind)
 	moved := r.addr != addr || r.protocol != speaks
 	for _, conn := range slices.Clone(r.connections) {
-		// One from before its replica's start leads to a life that is over. Guards against a machine that went without a word:
-		// what is sent to it there is lost.
+		// A connection older than its replica's start leads to an earlier incarnation, which may have ended without closing
+		// it: what is sent there is lost.
 		if gone || moved || conn.connectedAt > 0 && conn.connectedAt < since {
 			loop.retireConnection(conn)
 		}
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -25,17 +25,17 @@
 	*messageConn
 	replica     *replica
 	protocol    wireProtocol
-	closedToNew bool  // takes no new calls
-	openBatches int   // with a part out
-	connectedAt int64 // since when it stands, 0 while it does not
+	closedToNew bool  // takes no new batches
+	openBatches int   // with an attempt in flight
+	connectedAt int64 // ticks, 0 before
 	attempts    []*attempt
 	heardAt     int64
 	usedAt      int64
-	recentIDs   map[string]uint64 // ids that were on it, with their searches: their answers may still come
-	recentOrder []string          // the same; once there are maxRecentIDs, the oldest is at eldest
+	recentIDs   map[string]uint64 // names of past attempts with their searches: answers may still come
+	recentOrder []string          // the same names; once there are maxRecentIDs, the oldest is at oldestIndex
 	oldestIndex int
 
-	abandoned []*abandonedAttempt // on it
+	abandoned []*abandonedAttempt // whose replica may still run them
 }
 
 // openConnection opens a connection; calls on it wait until it is up.
@@ -74,7 +74,7 @@
 func (loop *eventLoop) handleConnected(conn *replicaConnection) {
 	conn.connectedAt = loop.now
 	for _, attempt := range slices.Clone(conn.attempts) {
-		if batch := attempt.batch; batch != nil && batch.message.buffer == nil { // the first of a call's has written it
+		if batch := attempt.batch; batch != nil && batch.message.buffer == nil { // the batch's first attempt has queued it
 			loop.queueBatch(batch)
 		}
 	}
@@ -119,7 +119,7 @@
 				continue
 			}
 			if out > 0 {
-				loop.group.Go(func() error { // the others are called off; they may be up all the same
+				loop.group.Go(func() error { // the other dials are canceled, but may have succeeded
 					for range out {
 						if t := <-tries; t.err == nil {
 							t.conn.Close()
@@ -199,11 +199,11 @@
 		loop.log.warnLimited("replica "+end.Error(), "replica_connection_ended", "replica", conn.replica.id, "addr", addr, "end", end,
 			"parts", len(conn.attempts))
 	}
-	// All are taken off before the first is told. Guards against what the module does on hearing of one: it may
-	// call off others that were on this connection, whose end has come too.
+	// All attempts are detached before the first outcome is reported: the balancer may answer it by canceling others
+	// that were on this connection, whose outcome is known too.
 	var tell []func()
 	certain := end.isCertain()
-	first := true // of those that were written
+	first := true // of the written attempts
 	for _, attempt := range slices.Clone(conn.attempts) {
 		out := attempt.batch.message.stage.Load() == stageWritten
 		outcome := end.attemptOutcome(out, first, conn.heardAt > 0)
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -16,8 +16,8 @@
 	connection *replicaConnection
 	message    *outboundMessage
 
-	inlineAttempts [1]*attempt     // room for the first of subs
-	inlineMessage  outboundMessage // and for the first parcel
+	inlineAttempts [1]*attempt     // the array of attempts while there is one
+	inlineMessage  outboundMessage // the first message
 }
 
 // canShareBatch tells whether a sub-request may be on one connection with those of a call.
@@ -36,7 +36,7 @@
 				continue
 			}
 			var conn *replicaConnection
-			if !replica.removed { // since it was chosen in this turn
+			if !replica.removed { // since the balancer chose it in this iteration
 				conn = loop.connectionFor(replica, batch)
 			}
 			if conn == nil {
@@ -66,7 +66,7 @@
 	}
 	if batch.connection.connectedAt == 0 {
 		batch.message = &batch.inlineMessage
-		batch.message.stage.Store(stageQueued) // it may have been taken back, and stands in no backlog
+		batch.message.stage.Store(stageQueued) // it may have been recalled, and is in no queue
 		return
 	}
 	fenced := loop.enforcer != nil && loop.enforcer.removeForbidden(batch)
@@ -76,7 +76,7 @@
 	buffer := borrowBuffer()
 	*buffer = batch.connection.protocol.appendBatch(loop, *buffer, batch)
 	message := &batch.inlineMessage
-	if message.buffer != nil { // that one was taken back, and may still stand in the backlog
+	if message.buffer != nil { // the recalled message may still be in the queue
 		message = &outboundMessage{}
 	}
 	message.buffer, message.leaseFenced, batch.message = buffer, fenced, message
@@ -101,8 +101,8 @@
 		if conn.closedToNew || conn.conflictsWith(batch) {
 			continue
 		}
-		// Guards against one connection that has gone silent: it would swallow part after part of a replica that
-		// is sound. The next call takes another; a replica that is silent on all is the module's to find.
+		// A silent connection would swallow one attempt after another though its replica is sound, so the next batch
+		// takes another one. A replica that is silent on all of them is for the balancer to detect.
 		doubt := conn.silentFor(loop.now) > loop.doubtDelay() && doubted < maxDoubtedConnections
 		if doubt {
 			doubted++
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -74,7 +74,7 @@
 	if len(s.shards) == 0 || !named {
 		return badRequest("body without ranges or predicate")
 	}
-	// Guards against text that reading has changed: replicas get it as it came or not at all.
+	// Decoding replaces invalid text: replicas get the text as it arrived or not at all.
 	if !utf8.Valid(body) || strings.ContainsRune(text, utf8.RuneError) && !bytes.ContainsRune(body, utf8.RuneError) {
 		return badRequest("body is no text")
 	}
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -22,13 +22,13 @@
 	guard               *ResidencyGuard
 	policy              *residency.CompiledPolicy
 	hosts               *residency.HostZones
-	tenants, classes    []string // by place
+	tenants, classes    []string // by position in the settings
 	restrictions        map[restrictionKey]*balancer.ReplicaRestriction
-	now, nextChangeAt   int64        // of this turn; when what holds changes by itself
-	leaseExpiry         atomic.Int64 // the lease's end, for connections' writers
+	now, nextChangeAt   int64        // ticks of this iteration, and when the policy's effect changes by itself
+	leaseExpiry         atomic.Int64 // read by the connections' writers
 	closed              chan struct{}
 	checkTimer          timer
-	searchInRestriction *search // whose end, if it comes now, is its contract's doing
+	searchInRestriction *search // an end of it now is caused by its contract
 }
 
 // restrictionKey is what searches that are bound alike have in common.
@@ -208,7 +208,7 @@
 		b.guard.blocked.Inc()
 		b.loop.log.warnLimited("residency_guard", "residency_guard", "tenant", tenant, "block", attempt.shardRequest.shard, "replica", attempt.replica.id,
 			"zone", b.hosts.Zone(b.now, attempt.replica.id))
-		b.loop.detachAttempt(attempt) // off c.subs
+		b.loop.detachAttempt(attempt) // which removes it from batch.attempts
 		b.loop.deferAttemptOutcome(attempt, "Ignored")
 	}
 	return fenced
--- a/coordinator/residency_guard.go
+++ b/coordinator/residency_guard.go
@@ -18,7 +18,7 @@
 // ResidencyGuard is what holds in a process whose installation has contracts: the standing in force, told to each
 // co-ordinator, and what is counted. It is safe for several goroutines.
 type ResidencyGuard struct {
-	clock func() int64 // wall time in tenths of a millisecond, counted on
+	clock func() int64 // monotonic wall time in ticks
 
 	mu        sync.Mutex
 	policy    *residency.CompiledPolicy
@@ -41,7 +41,7 @@
 	r.policyUpdates = r.metricSet.NewCounter("chalkring_residency_standings_total")
 	r.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
 	r.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
-		if in := r.Policy(); in.LeaseExpiry < math.MaxInt64 { // one that never ends has no length
+		if in := r.Policy(); in.LeaseExpiry < math.MaxInt64 { // a lease that never expires has no length
 			return max(0, float64(in.LeaseExpiry-r.clock())/10_000)
 		}
 		return -1
@@ -78,7 +78,7 @@
 			select {
 			case <-done:
 			case <-b.loop.ctx.Done():
-			case <-b.closed: // it never began to take turns
+			case <-b.closed: // its event loop never ran
 			}
 		}
 	}
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -41,25 +41,25 @@
 	class, tenant int
 	isRetry       bool
 	arrivedAt     time.Time
-	timeout       time.Duration // of the client, from came
+	timeout       time.Duration // of the client, from arrivedAt
 	shards        []int
 	weights       []float64
 	reply         func(r searchOutcome)
-	client        *clientConnection // who waits for it; nil on other fronts
+	client        *clientConnection // that waits for it; nil for other frontends
 	decodeValue   decodeFunc        // of a replica's values; nil for none
 
 	id                uint64
 	deadline          int64
 	step              int
 	firstStepComplete bool
-	firstStepShards   []int // shards that were in at the end of the first step
+	firstStepShards   []int // completed in the first step
 	shardRequests     []*shardRequest
 	ended             bool
-	heldBytes         int64          // that it holds
-	pendingWrites     []pendingWrite // frames of sub-requests given up whose last byte was not out then
+	heldBytes         int64
+	pendingWrites     []pendingWrite // of attempts that were given up while being written
 
-	restricted bool                           // its parts may not run everywhere
-	refusal    *residency.SearchRejectedError // why some of them can run nowhere
+	restricted bool                           // its shard requests may not run everywhere
+	refusal    *residency.SearchRejectedError // why some can run nowhere
 }
 
 // shardRequest is one shardRequest of a search's step.
@@ -71,12 +71,12 @@
 	completed  bool
 	score      []byte
 	value      []byte
-	decoded    any // what the search's check made of value
+	decoded    any // what the search's decoder made of value
 	attempts   []*attempt
-	unreported int    // sub-requests whose outcome the module has not heard
-	name       string // of its sub-requests on the wire
+	unreported int    // attempts whose outcome has not been reported to the balancer
+	name       string // of its attempts on the wire
 
-	firstAttempt   attempt // room for the first, and for subs to name it
+	firstAttempt   attempt // the first attempt, and the array of attempts while there is one
 	inlineAttempts [1]*attempt
 }
 
@@ -102,7 +102,7 @@
 
 // startSearch hands a search to the module. What is held is bounded by the clients' connections: one search each.
 func (loop *eventLoop) startSearch(search *search) {
-	if loop.searches.names[search.name] { // guards against two whose parts no replica can tell apart
+	if loop.searches.names[search.name] { // replicas could not distinguish the attempts of the two
 		search.ended = true
 		search.reply(searchOutcome{outcome: outcomeDuplicateID})
 		return
@@ -123,7 +123,7 @@
 func (loop *eventLoop) addShardRequests(search *search, shards []int, weights []float64) {
 	from, all := len(search.shardRequests), make([]shardRequest, len(shards))
 	search.shardRequests = slices.Grow(search.shardRequests, len(shards))
-	names := make([]byte, 0, len(shards)*(len(search.name)+attemptNameExtra)) // in one piece
+	names := make([]byte, 0, len(shards)*(len(search.name)+attemptNameExtra)) // in one allocation
 	for i, shard := range shards {
 		request := &all[i]
 		request.id, request.search, request.step, request.shard = loop.nextID(), search, search.step, shard
--- a/coordinator/search_api.go
+++ b/coordinator/search_api.go
@@ -15,7 +15,7 @@
 
 const maxClientTimeout = time.Hour // the longest client timeout that is honored: bounds what is held
 
-const frontendDescriptorShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
+const frontendDescriptorShare = 0.15 // of the descriptors go to other frontends, out of those for clients
 
 // Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
 // returns; it ends at once with ctx. It hands searches in by the door.
@@ -25,30 +25,30 @@
 
 // SearchAPI hands other fronts' searches to the owner: the same module and the same rules as for the own front.
 type SearchAPI struct {
-	CoordinatorName string // of the co-ordinator
-	MaxConnections  int    // that the front may hold
-	SendRetryAfter  bool   // clients may be told when to come back
+	CoordinatorName string
+	MaxConnections  int  // that the frontend may hold
+	SendRetryAfter  bool // answers may have a Retry-After
 	LogEvent        func(kind, event string, v ...any)
 
 	loop                   *eventLoop
 	classes, tenants       map[string]int
-	timeouts               []time.Duration // by type
+	timeouts               []time.Duration // by class
 	blockSets, setsPerHost int
 
 	mu              sync.Mutex
-	cellByHost      map[string]int // of the hosts that are listed
+	cellByHost      map[string]int
 	addrByHost      map[string]string
-	hostCountByCell map[int]int // listed hosts by cell
+	hostCountByCell map[int]int // of listed hosts
 }
 
 // SearchRequest is one search. Check looks at a host's value for a part before it counts as in, in the goroutine of the
 // connection it came on: one that it refuses is an errored sub-request. What it gives back stands in the result.
 type SearchRequest struct {
-	ID          string // of all that are open, no two may bear one
+	ID          string // unique among open searches
 	Type        string
 	Tenant      string
 	Body        []byte
-	Shards      []int // in equal weights
+	Shards      []int // with equal weights
 	IsRetry     bool
 	Timeout     time.Duration
 	DecodeValue func(shard int, value []byte) (any, error)
@@ -61,16 +61,16 @@
 	OutcomeFailed           = outcomeFailed
 	OutcomeDuplicateID      = outcomeDuplicateID
 	OutcomeResidencyRefused = outcomeResidencyRefused
-	OutcomeClientGone       = outcomeClientGone // of an End alone
+	OutcomeClientGone       = outcomeClientGone // in a SearchEnd alone
 )
 
 // SearchResult is a final answer.
 type SearchResult struct {
 	Outcome          int
 	Complete         bool
-	RetryAfter       time.Duration // of Shed, 0 where none is named
-	Dispatched       bool          // of Shed and Errored: hosts were asked
-	Parts            []PartResult  // that are in
+	RetryAfter       time.Duration // of OutcomeShed, 0 for none
+	Dispatched       bool          // of OutcomeShed and OutcomeFailed: attempts were made
+	Parts            []PartResult  // completed
 	ResidencyRefusal *residency.SearchRejectedError
 }
 
--- a/coordinator/search_end.go
+++ b/coordinator/search_end.go
@@ -13,9 +13,9 @@
 	outcome       int
 	complete      bool
 	retryAfter    int64
-	dispatched    bool            // a sub-request was made for it
-	parts         []*shardRequest // that are in, in the search's order
-	pendingWrites []pendingWrite  // what has to be out before it is
+	dispatched    bool            // an attempt was made for it
+	parts         []*shardRequest // completed, in the search's order
+	pendingWrites []pendingWrite  // to be written before the answer
 	refusal       *residency.SearchRejectedError
 }
 
@@ -23,9 +23,9 @@
 	outcomeAnswered = iota
 	outcomeShed
 	outcomeFailed
-	outcomeDuplicateID      // never was a search: another that is open bears its name
-	outcomeResidencyRefused // by a contract on where its parts may run
-	outcomeClientGone       // told of an end alone: its client did not wait for the answer
+	outcomeDuplicateID      // refused: an open search has its name
+	outcomeResidencyRefused // by a residency contract
+	outcomeClientGone       // of a SearchEnd alone: the client has left
 )
 
 func (loop *eventLoop) AnswerSearch(id uint64, whole bool) {
@@ -87,7 +87,7 @@
 			gone = append(gone, s)
 		}
 	}
-	slices.SortFunc(gone, func(s, u *search) int { return cmp.Compare(s.id, u.id) }) // the module's actions follow its calls
+	slices.SortFunc(gone, func(s, u *search) int { return cmp.Compare(s.id, u.id) }) // the balancer's actions follow the order of its calls
 	for _, s := range gone {
 		loop.withdrawSearch(s)
 	}
@@ -95,9 +95,9 @@
 
 // SearchEnd is how a search ended, for those that keep sums beside the owner.
 type SearchEnd struct {
-	Type, Outcome int           // its class; Answered, Shed, Errored, Barred or Left
-	Duration      time.Duration // since it came
-	Attempts      int           // sub-requests made for it
+	Type, Outcome int           // the class's position, and OutcomeAnswered, OutcomeShed and so on
+	Duration      time.Duration // since the search arrived
+	Attempts      int           // of all shard requests
 }
 
 func (loop *eventLoop) notifySearchEnd(search *search, kind int) {
@@ -135,7 +135,7 @@
 			if attempt.batch == nil {
 				continue
 			}
-			// Nothing is sent after the final answer: what is begun has to be out before that is.
+			// Nothing may be sent after the final answer: a write that has begun has to end before it.
 			if batch := attempt.batch; !loop.recallBatch(batch, search) {
 				if write := (pendingWrite{batch.connection.messageConn, batch.message}); !write.isWritten() {
 					first = append(first, write)
@@ -144,7 +144,7 @@
 		}
 		loop.dropShardRequest(request)
 	}
-	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // a connection keeps its last search while unused
+	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // an idle connection keeps its last search
 	return first
 }
 
--- a/coordinator/shard_listener.go
+++ b/coordinator/shard_listener.go
@@ -87,7 +87,7 @@
 		default:
 		}
 	}
-	for i := range n { // all are busy for the moment
+	for i := range n { // all are busy
 		d := s.shards[(turn+i)%n]
 		select {
 		case d.accepted <- t:
--- a/coordinator/sharded.go
+++ b/coordinator/sharded.go
@@ -66,7 +66,7 @@
 				}
 				for _, to := range lists {
 					own := update
-					own.Hosts = slices.Clone(update.Hosts) // each puts names in its own form
+					own.Hosts = slices.Clone(update.Hosts) // each event loop formats names in place
 					select {
 					case to <- own:
 					case <-over.Done():
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -41,7 +41,7 @@
 	cancel()
 	select {
 	case <-loop.Clock.After(stopIdleTimeout):
-		loop.Listener.Close() // whose accept may be waiting for room
+		loop.Listener.Close() // accept may be waiting for room
 	case <-loop.ctx.Done():
 	}
 	select {
--- a/coordinator/socket_state.go
+++ b/coordinator/socket_state.go
@@ -32,7 +32,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return connectionEndOf(err)
 	}
-	return nil // there is nothing more, or it is not known
+	return nil // nothing more has arrived, or it is not known
 }
 
 // hasHungUp tells whether the client has ended its side of the connection, as far as the system knows.
@@ -61,7 +61,7 @@
 	read := func(fd uintptr) { n, err = syscall.Read(int(fd), into) }
 	return func(p []byte) (int, error) {
 		into = p
-		if ended := raw.Control(read); ended != nil { // not Read, which fails once the connection's limit is over
+		if ended := raw.Control(read); ended != nil { // Read would fail once the connection's deadline is over
 			return 0, ended
 		}
 		if n == 0 && err == nil {
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -124,7 +124,7 @@
 		return
 	}
 	delete(loop.timers.balancer, label)
-	if w.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // one that is due in this turn is still looked at
+	if w.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // one that is due in this iteration is still in the due list
 		loop.timers.spare = append(loop.timers.spare, w)
 	}
 	loop.stopTimer(&w.timer)
