--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -16,8 +16,8 @@
 	logRepeatInterval = time.Second     // between two lines of one kind that others can cause at will
 )
 
-// asyncLogger is the log as the co-ordinator's goroutines write to it: no one waits for it. Lines that find it
-// full are dropped and counted. Guards against a reader of the log that stalls.
+// asyncLogger is the log as the coordinator's goroutines write to it: none waits for it. Lines that find its queue
+// full are dropped and counted, so that a log that is not read does not stall the service.
 type asyncLogger struct {
 	*slog.Logger
 	clock     Clock
@@ -36,24 +36,28 @@
 	record  slog.Record
 }
 
-// boundedHandler hands records over without waiting.
+// boundedHandler queues records without waiting.
 type boundedHandler struct {
 	logger  *asyncLogger
 	handler slog.Handler
 }
 
+// Enabled implements slog.Handler.
 func (b boundedHandler) Enabled(ctx context.Context, l slog.Level) bool {
 	return b.handler.Enabled(ctx, l)
 }
 
+// WithAttrs implements slog.Handler.
 func (b boundedHandler) WithAttrs(as []slog.Attr) slog.Handler {
 	return boundedHandler{b.logger, b.handler.WithAttrs(as)}
 }
 
+// WithGroup implements slog.Handler.
 func (b boundedHandler) WithGroup(name string) slog.Handler {
 	return boundedHandler{b.logger, b.handler.WithGroup(name)}
 }
 
+// Handle implements slog.Handler.
 func (b boundedHandler) Handle(_ context.Context, r slog.Record) error {
 	select {
 	case b.logger.records <- logRecord{b.handler, r.Clone()}:
@@ -63,6 +67,7 @@
 	return nil
 }
 
+// newAsyncLogger returns a logger whose run writes its lines.
 func newAsyncLogger(clock Clock, out slog.Handler) *asyncLogger {
 	n := &asyncLogger{
 		clock: clock, handler: out, records: make(chan logRecord, logQueueSize), lastWritten: map[string]time.Time{},
@@ -72,8 +77,8 @@
 	return n
 }
 
-// warnLimited writes what others can bring about at will: one line a kind each logRepeatInterval, with the count of those left
-// out. Guards against strangers who fill the log.
+// warnLimited logs what others can cause at will: one line of each kind in logRepeatInterval, with the count of those
+// left out.
 func (n *asyncLogger) warnLimited(kind, event string, v ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,7 +91,7 @@
 	n.lastWritten[kind], n.suppressed[kind] = now, 0
 }
 
-// run writes the lines out until ctx ends, and then what is left, for logFlushTimeout at the most.
+// run writes the lines until ctx ends, and then what is left, for logFlushTimeout at the most.
 func (n *asyncLogger) run(ctx context.Context) error {
 	for {
 		select {
@@ -106,7 +111,7 @@
 	}
 }
 
-// writeRecord writes a line out, and behind it how many before it are lost: dropped, or not taken by the log.
+// writeRecord writes a line, and after it how many before it were lost: dropped, or not taken by the log.
 func (n *asyncLogger) writeRecord(ctx context.Context, l logRecord) {
 	if l.handler.Handle(ctx, l.record) != nil {
 		n.lostLines.Add(1)
@@ -121,8 +126,8 @@
 	}
 }
 
-// recoverPanic has a panic end what is done on one connection alone. Guards against a fault that some bytes bring out: the process
-// would end, and with it all that others wait for. Harm: what the fault leaves undone stays so.
+// recoverPanic has a panic end one connection alone, not the process and all that others wait for. What the panic
+// interrupts stays undone. The logger may be nil.
 func (n *asyncLogger) recoverPanic(do func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// attempt is one sub-request that is out.
+// attempt is one attempt of a shard request on a replica.
 type attempt struct {
 	shardRequest *shardRequest
 	index        int32
@@ -18,10 +18,11 @@
 	inlineBatch  batch // the batch while the attempt opens one
 }
 
-// fire is its time-out.
+// fire handles the attempt's timeout. It implements timerHandler.
 func (sub *attempt) fire(loop *eventLoop) { loop.giveUpAttempt(sub, "TimedOut") }
 
-// SendAttempt starts a sub-request; it travels at the end of the turn, with others to that replica.
+// SendAttempt starts an attempt; it is sent at the end of the iteration, batched with others to that replica. It
+// implements balancer.Actions.
 func (loop *eventLoop) SendAttempt(id uint64, to string, timeout int64) {
 	request, replica := loop.searches.shardRequests[id], loop.replicas.byID[to]
 	if request == nil {
@@ -70,14 +71,14 @@
 	loop.startTimer(&sub.timeout, timeout, sub)
 }
 
-// CancelAttempt gives a sub-request up.
+// CancelAttempt gives an attempt up. It implements balancer.Actions.
 func (loop *eventLoop) CancelAttempt(id uint64, leg int) {
 	if request := loop.searches.shardRequests[id]; request != nil && leg < len(request.attempts) {
 		loop.giveUpAttempt(request.attempts[leg], "Canceled")
 	}
 }
 
-// giveUpAttempt stops waiting for a sub-request, if it is still out.
+// giveUpAttempt stops waiting for an attempt, if it is in flight.
 func (loop *eventLoop) giveUpAttempt(attempt *attempt, outcome string) {
 	if attempt.batch == nil {
 		return
@@ -109,7 +110,7 @@
 	}
 }
 
-// recallAttempt takes a sub-request off its call if no byte of that has been begun; the rest goes without it.
+// recallAttempt takes an attempt off its batch if no byte of that may be out; the rest is sent without it.
 func (loop *eventLoop) recallAttempt(attempt *attempt) bool {
 	batch := attempt.batch
 	if batch.connection != nil && !batch.message.recall() {
@@ -120,7 +121,7 @@
 	return true
 }
 
-// detachAttempt takes a sub-request off its call and connection.
+// detachAttempt takes an attempt off its batch and connection.
 func (loop *eventLoop) detachAttempt(sub *attempt) {
 	batch := sub.batch
 	sub.batch = nil
@@ -139,7 +140,7 @@
 	}
 }
 
-// recordOutcome tells the module how a sub-request ended.
+// recordOutcome reports an attempt's outcome to the balancer.
 func (loop *eventLoop) recordOutcome(attempt *attempt, outcome string, report map[string]float64) {
 	attempt.shardRequest.unreported--
 	attempt.neverRan = attempt.neverRan || outcome == "Ignored" || outcome == "ConnectError" || outcome == "QueueFull"
@@ -147,6 +148,7 @@
 	loop.dropShardRequest(attempt.shardRequest)
 }
 
+// findAttempt returns the attempt of a name, or nil.
 func findAttempt(subs []*attempt, name string) *attempt {
 	for _, attempt := range subs {
 		if attempt.name == name {
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// handleAnswer takes a replica's handleAnswer; one to a part that is no longer out is dropped. One to a part that never
-// was out on this connection is spoilt, and another waits for its own in vain.
+// handleAnswer handles a replica's answer. An answer to an attempt that is no longer in flight is dropped. One to an
+// attempt that never was on this connection is malformed: another waits for its own in vain.
 func (loop *eventLoop) handleAnswer(conn *replicaConnection, id []byte, outcome string, score []byte, report map[string]float64,
 	value []byte, read any,
 ) {
--- a/coordinator/buffers.go
+++ b/coordinator/buffers.go
@@ -7,14 +7,16 @@
 
 const bufferSize = 16 << 10 // bytes of a buffer: a message head and most complete messages; 1,000 buffers take 16 MB
 
-// buffers and readers are all of one size; what outgrew it is left to the collector.
+// buffers and bufferedReaders have one size; a buffer that has outgrown it is left to the garbage collector.
 var (
 	buffers         = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
 	bufferedReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 )
 
+// borrowBuffer returns an empty buffer.
 func borrowBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
+// returnBuffer gives a buffer back for reuse; the caller must not use it any more.
 func returnBuffer(buffer *[]byte) {
 	if cap(*buffer) == bufferSize {
 		*buffer = (*buffer)[:0]
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -11,7 +11,7 @@
 
 const responseHeadRoom = 512 // bytes for the head of an answer
 
-// writeAnswer writes a final writeAnswer; an owner's call.
+// writeAnswer sends a search's final answer. The event loop calls it.
 func (c *clientConnection) writeAnswer(outcome searchOutcome, keep bool) {
 	c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, outcome.pendingWrites...)
 	switch outcome.outcome {
@@ -48,6 +48,7 @@
 	}
 }
 
+// respond sends a response.
 func (c *clientConnection) respond(status int, extra string, body []byte, keep bool) {
 	keep, last := c.keepAlive(keep)
 	buffer := borrowBuffer()
@@ -55,19 +56,20 @@
 	c.sendAnswer(&outboundMessage{buffer: buffer, closesConnection: last})
 }
 
-// sendAnswer hands an answer to the writer; until it is taken, it is held.
+// sendAnswer hands a response to the writer and counts its bytes until they are written.
 func (c *clientConnection) sendAnswer(message *outboundMessage) {
 	c.addUnsent(len(*message.buffer))
 	c.enqueue(message)
 }
 
+// addUnsent counts bytes of answers that are not written.
 func (c *clientConnection) addUnsent(n int) {
 	c.unsentBytes.Add(int64(n))
 	c.loop.searches.unsentBytes.Add(int64(n))
 }
 
-// keepAlive tells what an answer says of its connection: keep, that it stays for further requests, and last, that it keepAlive
-// here. As the co-ordinator stops, the client is told to close, and what it sends all the same is answered.
+// keepAlive returns what a response says of its connection: keep, that it stays open, and last, that it ends here.
+// During shutdown the client is told to close, and what it sends all the same is answered.
 func (c *clientConnection) keepAlive(keeps bool) (keep, last bool) {
 	if !keeps || c.stopping.Err() == nil {
 		return keeps, !keeps
@@ -76,7 +78,7 @@
 	return c.hasPipelined.Load() && !last, last
 }
 
-// handleWritten is told of each answer that is out whole.
+// handleWritten is called for each response that is completely written.
 func (c *clientConnection) handleWritten(message *outboundMessage) error {
 	c.addUnsent(-len(*message.buffer))
 	if message.closesConnection {
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// answerBodySize tells how long the body of an answer will be; not plain where values have to be escaped, which makes it
-// longer.
+// answerBodySize returns the length of an answer's body. It is exact only if plain: values that have to be escaped
+// make the body longer.
 func answerBodySize(outcome searchOutcome) (size int, plain bool) {
 	plain = true
 	size = len(`{"total":,"answers":[]}`) + len("false")
@@ -123,7 +125,7 @@
 	return size, plain
 }
 
-// appendAnswerBody adds the body of an answer.
+// appendAnswerBody appends the body of an answer.
 func appendAnswerBody(dst []byte, outcome searchOutcome) []byte {
 	dst = strconv.AppendBool(append(dst, `{"total":`...), outcome.complete)
 	dst = append(dst, `,"answers":[`...)
--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -21,7 +21,8 @@
 	maxLingerBytes     = 256 << 10               // bytes read meanwhile: four of the longest bodies
 )
 
-// clientConnection is one clientConnection's connection. Its fields are the reading goroutine's, but for over.
+// clientConnection is one client's connection. Its fields are the reading goroutine's, but for atomic ones and those
+// marked as the limiter's.
 type clientConnection struct {
 	*clientListener
 	*messageConn
@@ -43,6 +44,7 @@
 	unsentBytes       atomic.Int64 // of answers that are not written
 }
 
+// isAwaitingAnswer says whether the last request is not answered yet.
 func (c *clientConnection) isAwaitingAnswer() bool {
 	select {
 	case <-c.answered:
@@ -52,7 +54,7 @@
 	return c.awaitingAnswer
 }
 
-// Read reads on over the deadlines that others set to wake it.
+// Read implements io.Reader. It reads on past deadlines that others have set only to wake it.
 func (c *clientConnection) Read(p []byte) (int, error) {
 	for {
 		if c.hasPipelined.Load() && !c.isAwaitingAnswer() {
@@ -93,7 +95,8 @@
 	}
 }
 
-// acceptsLateRequest tells whether a request that comes soon is still taken, as the co-ordinator stops; more than one may wake it meanwhile.
+// acceptsLateRequest says whether a request that arrives soon is still served during shutdown. Several goroutines may
+// wake the reader meanwhile.
 func (c *clientConnection) acceptsLateRequest(now time.Time) bool {
 	if c.stopping.Err() == nil {
 		return false
@@ -104,8 +107,8 @@
 	return now.Before(c.stopReadDeadline)
 }
 
-// readRequests takes requests one after another. While a search is on, it waits for the next request, and so sees
-// the client leave.
+// readRequests reads one request after another. While a search is open it waits for the next request, and so sees the
+// client leave.
 func (c *clientConnection) readRequests(ctx context.Context) error {
 	unhook := context.AfterFunc(c.stopping, c.interruptRead)
 	defer unhook()
@@ -174,9 +177,9 @@
 	}
 }
 
-// handlePipelined looks at bytes that came before the answer to the request before them. If that answer is on its way,
-// its client may have it already. Otherwise the client sends handlePipelined, which the protocol rules out.
-// Guards against hundreds of requests sent at once: the one that is open is withdrawn and gets an error.
+// handlePipelined handles bytes that arrived before the answer to the request before them. If that answer is being
+// written, its client may have it already. Otherwise the client pipelines, which the protocol rules out: the open
+// search is withdrawn and gets an error, so that a client cannot send hundreds of requests at once.
 func (c *clientConnection) handlePipelined(ctx context.Context) error {
 	search := c.lastSearch
 	c.loop.submit(func() {
@@ -189,9 +192,9 @@
 	return c.awaitAnswer(ctx)
 }
 
-// awaitTurn waits for the answer to the request before, so that the next is taken after it. Guards, as the co-ordinator
-// stops, against a connection that is closed under a request: its client may have sent it before it could know. It reads
-// on meanwhile, as far as there is room, and so sees the client leave.
+// awaitTurn waits, during shutdown, for the answer to the request before, so that the next one is served after it: its
+// client may have sent it before it could know of the shutdown. It reads on meanwhile, as far as the buffer has room,
+// and so sees the client leave.
 func (c *clientConnection) awaitTurn(ctx context.Context) error {
 	c.hasPipelined.Store(true)
 	defer c.hasPipelined.Store(false)
@@ -209,10 +212,10 @@
 	return nil
 }
 
-// errNextRequest ends what is read ahead: the answer that was awaited is out.
+// errNextRequest ends reading ahead: the awaited answer is written.
 var errNextRequest = errors.New("the next request's turn")
 
-// awaitAnswer waits for the answer that is awaited.
+// awaitAnswer blocks until the awaited answer is written.
 func (c *clientConnection) awaitAnswer(ctx context.Context) error {
 	select {
 	case <-c.answered:
@@ -226,7 +229,7 @@
 	return nil
 }
 
-// linger reads on with a last answer, which then is not cut off by a reset, so that the client can read why; not for good.
+// linger reads on for a while after a last answer, so that no reset cuts it off before the client has read it.
 func (c *clientConnection) linger(buf []byte) {
 	c.requestDeadline = time.Now().Add(lingerTimeout)
 	c.setReadDeadline(c.requestDeadline)
@@ -238,7 +241,7 @@
 	}
 }
 
-// setReadDeadline lets reading wait up to a time. Guards against a newcomer whose kick came just before.
+// setReadDeadline bounds reading, unless the connection was just asked to make room.
 func (c *clientConnection) setReadDeadline(at time.Time) {
 	c.conn.SetReadDeadline(at)
 	if c.askedToLeave.Load() {
@@ -246,7 +249,7 @@
 	}
 }
 
-// setIdleDeadline lets the connection be unused up to a time. Guards against a stop whose kick came just before.
+// setIdleDeadline bounds how long the connection may be idle, unless a shutdown has just begun.
 func (c *clientConnection) setIdleDeadline(limit time.Time) {
 	c.setReadDeadline(limit)
 	if c.stopping.Err() != nil {
@@ -254,8 +257,8 @@
 	}
 }
 
-// clearReadDeadline reads on for as long as an answer is awaited. Guards against one that went out just then: the limit that it
-// set has been taken away.
+// clearReadDeadline reads on for as long as an answer is awaited. If that was written just now, the deadline that its
+// writer set has been removed, and is set again.
 func (c *clientConnection) clearReadDeadline() {
 	c.conn.SetReadDeadline(time.Time{})
 	switch {
@@ -267,4 +270,5 @@
 	}
 }
 
+// interruptRead makes a blocked read return.
 func (c *clientConnection) interruptRead() { c.conn.SetReadDeadline(time.Unix(1, 0)) }
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -21,7 +21,8 @@
 	openFrontends  int  // other frontends that have not finished
 }
 
-// clientListener is the clients' side: it turns HTTP requests into searches for the owner and results into responses.
+// clientListener accepts clients' connections. It turns HTTP requests into searches of the event loop, and their
+// outcomes into responses.
 type clientListener struct {
 	loop             *eventLoop
 	limiter          *connectionLimiter
@@ -29,6 +30,7 @@
 	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the stop
 }
 
+// newClientListener returns a listener that takes new connections until stopping is done.
 func newClientListener(loop *eventLoop, stopping context.Context) *clientListener {
 	return &clientListener{
 		loop: loop, limiter: newConnectionLimiter(clientDescriptors(loop.plan.MaxSockets)),
@@ -36,7 +38,7 @@
 	}
 }
 
-// accept takes clients' connections in until the listener is closed.
+// accept accepts clients' connections until the listener is closed.
 func (f *clientListener) accept() error {
 	loop := f.loop
 	for taken := false; ; { // a connection was accepted since the listener's last deadline
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -11,17 +11,19 @@
 
 const maxRequestIDBytes = 128 // bytes of a request's id, which stands in each of its frames
 
-// requestError is what a request gets that can be read and not be used.
+// requestError is a request that can be parsed and not be served, with the response's status.
 type requestError struct {
 	status int
 	text   string
 }
 
+// Error implements error.
 func (r requestError) Error() string { return r.text }
 
+// badRequest returns a requestError with status 400.
 func badRequest(format string, v ...any) error { return requestError{400, fmt.Sprintf(format, v...)} }
 
-// handleRequest hands one handleRequest to the owner.
+// handleRequest serves one request: health, metrics or a search.
 func (c *clientConnection) handleRequest(method, target string, head map[string]string, body []byte, keep bool,
 	came time.Time,
 ) error {
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// isPlainName tells whether text can stand in a frame's line.
+// isPlainName says whether a text can stand in a line of a frame.
 func isPlainName(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] <= ' ' || text[i] >= 127 {
@@ -98,7 +100,7 @@
 	return text != "" && len(text) <= maxRequestIDBytes
 }
 
-// parseTarget takes a target apart: its path, and what the request is about.
+// parseTarget splits a request's target into its path and its key.
 func parseTarget(target string) (path, key string, err error) {
 	path, query, _ := strings.Cut(target, "?")
 	key, plain := strings.CutPrefix(query, "k=")
--- a/coordinator/connection_end.go
+++ b/coordinator/connection_end.go
@@ -8,9 +8,10 @@
 	"syscall"
 )
 
-// connectionEndError is how a connection came to its end. It is the error of all code on that connection.
+// connectionEndError is why a connection ended. It is the error of all code on that connection.
 type connectionEndError int
 
+// Reasons of a connection's end.
 const (
 	_                 connectionEndError = iota
 	errNotConnected                      // refused, or not connected in time
@@ -34,13 +35,13 @@
 	"complained", "crowded", "unused", "retired", "displaced", "closing", "faulty",
 }
 
+// Error implements error. The texts are values of log lines.
 func (e connectionEndError) Error() string { return connectionEndNames[e] }
 
-// attemptOutcome is the one place where ends of connections become the module's words. What the other side ended: a
-// part whose frame was never on it whole could not connect, any other was reset; but on a connection that had
-// proved to work the first was just never sent, since no connect had failed. What this side ended: a part
-// was never sent, or was called off, and may have run; the replica is not down for that. Guards against a
-// spoilt answer that stands for a crash. But whoever spoils an answer has failed one part, the first.
+// attemptOutcome is the one place that translates a connection's end into an attempt's outcome. Where the other side
+// ended it, an attempt that was not completely written could not connect, or on a connection that had worked was just
+// not sent; any other was reset. Where this side ended it, an attempt was not sent, or canceled and may have run: the
+// replica is not down for that. A malformed answer fails one attempt alone, the first: it must not look like a crash.
 func (e connectionEndError) attemptOutcome(written, first, worked bool) string {
 	switch e {
 	case errNotConnected, errPeerClosed, errReset, errWriteFailed:
@@ -61,9 +62,8 @@
 	return "Ignored"
 }
 
-// isCertain tells whether a connection's end leaves no doubt that what was out on it is over for the other side too: that
-// side has ended it, or had just been heard as this side did. Our own end of a connection that has fallen silent does not
-// arrive.
+// isCertain says whether, after a connection's end, no attempt on it runs any more at the other side: that side ended
+// it, or had just been heard. An end from here does not arrive over a connection that has fallen silent.
 func (e connectionEndError) isCertain() bool {
 	switch e {
 	case errNotConnected, errPeerClosed, errReset, errMalformed, errRejectedByPeer, errFault:
@@ -72,7 +72,7 @@
 	return false
 }
 
-// connectionEndOf names what reading met.
+// connectionEndOf returns the reason that an error of reading stands for.
 func connectionEndOf(err error) connectionEndError {
 	var e connectionEndError
 	switch {
--- a/coordinator/connection_limiter.go
+++ b/coordinator/connection_limiter.go
@@ -5,11 +5,10 @@
 	"sync"
 )
 
-// connectionLimiter shares out the clients' part of the descriptors. A connection is at work while a request taken from it
-// is not answered; before that a request may be coming, and otherwise it is at rest. Those not at work stand in a list,
-// longest without work first.
-// Guards against connections that are opened and not used: with no room left, the longest at rest is closed
-// for a newcomer, and with none at rest the first on which a request is coming. One at work never is.
+// connectionLimiter shares out the clients' descriptors. A connection is busy from a complete request to its answer;
+// otherwise it is idle, or a request is arriving. Connections that are not busy stand in a list, longest idle first.
+// With no descriptor left, a new connection displaces the longest idle one, or else the first whose request is
+// arriving; a busy one never. This keeps clients from using up descriptors with connections that they do not use.
 type connectionLimiter struct {
 	limit   int
 	changed chan struct{} // a connection has left or become idle
@@ -20,10 +19,12 @@
 	displaced *clientConnection // asked to make room; its reader ends it, unless it has read something first
 }
 
+// newConnectionLimiter returns a limiter for so many connections, at least one.
 func newConnectionLimiter(most int) *connectionLimiter {
 	return &connectionLimiter{limit: max(1, most), changed: make(chan struct{}, 1)}
 }
 
+// signalChanged wakes a connection that waits in admit.
 func (g *connectionLimiter) signalChanged() {
 	select {
 	case g.changed <- struct{}{}:
@@ -31,6 +32,7 @@
 	}
 }
 
+// resize changes the number of connections; those that are open stay.
 func (g *connectionLimiter) resize(most int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -38,7 +40,7 @@
 	g.signalChanged()
 }
 
-// admit returns once there is room for a newcomer; false if it is no longer wanted.
+// admit blocks until there is room for a new connection, and returns false once canceled is closed.
 func (g *connectionLimiter) admit(client *clientConnection, given <-chan struct{}) bool {
 	for {
 		g.mu.Lock()
@@ -61,7 +63,7 @@
 	}
 }
 
-// displace asks the connection that is longest at rest to make room, or else the first on which a request is coming.
+// displace asks the longest idle connection to make room, or else the first whose request is arriving.
 func (g *connectionLimiter) displace() {
 	for e := g.idle.Front(); e != nil; e = e.Next() {
 		if client := e.Value.(*clientConnection); g.displaced == nil || !client.requestBegun {
@@ -76,9 +78,8 @@
 	}
 }
 
-// markRequestBegun tells that the first bytes of a request have been read; begin, that it is there and the connection at work. Guards
-// against a request that is read in the moment in which its connection is to make room: another is asked then, since
-// nothing that was read may be closed over while there is one.
+// markRequestBegun records that the first bytes of a request have been read. A connection that was just asked to make
+// room stays, since nothing that was read may be lost while another can make room.
 func (g *connectionLimiter) markRequestBegun(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,6 +87,7 @@
 	g.cancelDisplacement(client)
 }
 
+// markBusy records that a request is complete.
 func (g *connectionLimiter) markBusy(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,6 +95,7 @@
 	g.cancelDisplacement(client)
 }
 
+// cancelDisplacement has another connection asked, if this one was.
 func (g *connectionLimiter) cancelDisplacement(client *clientConnection) {
 	if g.displaced == client {
 		g.displaced = nil
@@ -101,7 +104,7 @@
 	}
 }
 
-// removeIdle takes a connection off the list, if it is there.
+// removeIdle takes a connection off the idle list, if it is there.
 func (g *connectionLimiter) removeIdle(client *clientConnection) {
 	if client.idleElement != nil {
 		g.idle.Remove(client.idleElement)
@@ -110,7 +113,7 @@
 	client.requestBegun = false
 }
 
-// markIdle puts a connection to markIdle after an answer; one whose last answer is out is the first to make room.
+// markIdle records that an answer is written. After its last answer a connection is the first to make room.
 func (g *connectionLimiter) markIdle(client *clientConnection, last bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,6 +124,7 @@
 	g.signalChanged()
 }
 
+// release gives a connection's place up.
 func (g *connectionLimiter) release(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -32,7 +32,7 @@
 	moves chan string   // the address of discovery has changed
 }
 
-// discoveryState is what is known of discovery at one place.
+// discoveryState is what is known of the discovery service at one address.
 type discoveryState struct {
 	addr                 string
 	version              float64
@@ -43,16 +43,16 @@
 	nextAttemptBy time.Time // by when the next call has to begin if this one fails
 }
 
-// remaining is how long the next attempt may wait; the first wait after a long call fits in.
+// remaining returns how long the next call may wait; the first backoff after a long call fits in.
 func (a *discoveryState) remaining() time.Duration {
 	return max(minPollBackoff*3/2, time.Until(a.nextAttemptBy))
 }
 
-// followDiscovery keeps the list up to date. Where the settings leave the asking to the module, each of its
-// subscriptions lasts until it fails, and the module hears of that; elsewhere the list comes by itself, and
-// failures here are followed by waits that grow, spread by chance. When discovery has moved, the whole list is
-// asked for at the new place at once, under the subscription there was; waits that have grown at the old one begin
-// again. Whoever asks, an attempt begins so soon after the last that what this may have missed is told in time.
+// followDiscovery keeps the endpoint list up to date until the coordinator ends. Where the settings leave polling to
+// the balancer, each of its subscriptions lasts until a call fails, which is reported to it; elsewhere failures are
+// followed by a random exponential backoff. When discovery has moved, the complete list is polled at the new address
+// at once, under the subscription that there was, and backoffs begin again. In both modes the next call begins soon
+// enough that a missed change counts as known in time.
 func (loop *eventLoop) followDiscovery() error {
 	asked := loop.plan.Settings["Discovery"] == "subscribe"
 	chance, pause, moved := rand.New(rand.NewSource(loop.plan.Seed)), minPollBackoff, false
@@ -142,18 +142,18 @@
 	}
 }
 
-// watchWait is how long one call for changes may wait. Guards against a connection to discovery that has gone
-// silent: nothing is told until the call has failed. All co-ordinators together ask discovery so often.
+// watchWait returns how long one call for changes may wait. It is bounded, since a silent connection shows only when
+// the call has failed, and grows with the number of coordinators, which together poll discovery at a fixed rate.
 func (loop *eventLoop) watchWait() time.Duration {
 	return min(maxWatchWait, max(2*watchInterval, time.Duration(loop.plan.Number("Balancers")*float64(watchInterval))))
 }
 
-// isSilence tells whether a call failed since nothing, or not all of its answer, came in time.
+// isSilence says whether a call failed since no answer, or only a part of it, came in time.
 func isSilence(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// lossSpread is over how long the next calls of all co-ordinators are spread after a failure. Guards against all that lose
-// discovery at once and come back at once. Silence is no such failure: calls fall silent one by one, and what was missed
-// meanwhile counts as told soon.
+// lossSpread returns the time over which the next calls of all coordinators are spread after a failure, since all may
+// have lost discovery at once. Silence is not spread: calls fall silent one by one, and what was missed meanwhile
+// counts as known soon.
 func (loop *eventLoop) lossSpread(err error) time.Duration {
 	if isSilence(err) {
 		return 0
@@ -161,7 +161,7 @@
 	return min(maxLossSpread, time.Duration(loop.plan.Number("Balancers")*float64(lossSpreadPerCoordinator)))
 }
 
-// watchDiscovery makes one call after another, until one fails.
+// watchDiscovery makes one call after another until one fails, and returns its error.
 func (loop *eventLoop) watchDiscovery(ctx context.Context, state *discoveryState, chance *rand.Rand) error {
 	for together := true; ; { // the next call may begin together with those of other coordinators
 		state.nextAttemptBy = time.Now().Add(maxPollDelay)
@@ -226,13 +226,13 @@
 	}
 }
 
-// errVersionsRestarted is an answer that is older than the list: the whole list comes first then, whatever its version. Guards
-// against discovery that has lost its versions: the list would stay as it is until they had caught up. Harm: an answer
-// that is merely late costs a call for the whole list.
+// errVersionsRestarted is an answer that is older than the list in force. The complete list is polled next, whatever
+// its version: discovery may have lost its versions, and the list would stay as it is until they had caught up. An
+// answer that is merely late costs a call for the complete list.
 var errVersionsRestarted = errors.New("versions may have begun again")
 
-// handleListAnswer takes one answer; one that is older than the list or cannot be read leaves the list as it is. The
-// first from a new place counts whatever its version: versions may have begun again there.
+// handleListAnswer applies one answer. One that is older than the list in force, or malformed, leaves the list as it
+// is. The first from a new address counts whatever its version, since versions may have restarted there.
 func (loop *eventLoop) handleListAnswer(body []byte, anew bool, version *float64) error {
 	object, err := plan.DecodeObject(body)
 	if err != nil {
--- a/coordinator/endpoint_list.go
+++ b/coordinator/endpoint_list.go
@@ -13,7 +13,7 @@
 	endpoints.StateUp: "healthy", endpoints.StateDraining: "cordoned", endpoints.StateRemoved: "deregistered",
 }
 
-// applyEndpointList puts a list, or changes of it, into force: how is Complete, Partial or Persisted.
+// applyEndpointList puts a list, or changes of it, into force; how is Complete, Partial or Persisted.
 func (loop *eventLoop) applyEndpointList(how string, list plan.EndpointList) {
 	present := map[string]bool{}
 	steps := make([]func(), 0, len(list.Hosts))
@@ -28,7 +28,8 @@
 	loop.putListInForce(how, int64(list.Version), list.Hosts, present, steps)
 }
 
-// putListInForce tells the owner and the module a list or changes, in one turn.
+// putListInForce applies a list or changes in one iteration: steps add its hosts, and hosts that are not present leave
+// unless how is Partial.
 func (loop *eventLoop) putListInForce(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
 	for _, step := range steps {
 		step()
@@ -50,7 +51,7 @@
 	loop.log.Info("list", "how", how, "version", version, "entries", len(hosts))
 }
 
-// notifyEndpointList tells a list or changes of it to those that keep what they need of it beside the owner.
+// notifyEndpointList passes a list or changes to those that keep what they need of it beside the event loop.
 func (loop *eventLoop) notifyEndpointList(full bool, version int64, hosts []plan.ListedHost) {
 	if loop.peers != nil {
 		loop.peers.updateHosts(full, version, hosts)
@@ -60,7 +61,7 @@
 	}
 }
 
-// settingPosition is the place of a name in a list of the settings; a name that is not there comes after all.
+// settingPosition returns the position of a name in a list of the settings; a name that is not there comes after all.
 func (loop *eventLoop) settingPosition(list, name string) int {
 	names := loop.plan.List(list)
 	if i := slices.Index(names, settings.FormatValue(name)); i >= 0 {
--- a/coordinator/endpoint_sources.go
+++ b/coordinator/endpoint_sources.go
@@ -9,8 +9,9 @@
 	"chalkring/endpoints"
 )
 
-// endpointSources makes one list of what discovery, the plan and an installation's other sources tell. Its goroutine keeps
-// the book, so that the owner is handed a list in force at once and whole: no search sees parts of two.
+// endpointSources makes one endpoint list of those of discovery, the plan and an installation's other sources. Its
+// goroutine owns the registry, so that the event loop gets each list complete and in one task: no search sees parts of
+// two.
 type endpointSources struct {
 	loop             *eventLoop
 	registry         *endpoints.Registry
@@ -19,7 +20,7 @@
 	loggedHolds      map[string]string       // reasons for lists held back, as last logged
 }
 
-// discoveryUpdate is what discovery has told; refused hears why it is refused, or nil.
+// discoveryUpdate is a list from discovery; result receives why it was refused, or nil.
 type discoveryUpdate struct {
 	endpoints.Update
 	result chan error
@@ -32,6 +33,7 @@
 	return m
 }
 
+// newEndpointUpdate returns a list in the registry's form.
 func newEndpointUpdate(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []plan.ListedHost) endpoints.Update {
 	update := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
 	for _, host := range hosts {
@@ -40,8 +42,8 @@
 	return update
 }
 
-// applyDiscovery hands discovery's list on, and tells why it is refused. Guards against a version that counts as had while its
-// changes are not: they would not be told again.
+// applyDiscovery hands discovery's list on and returns why it was refused. Its version counts as known only if it was
+// not: discovery does not send the changes again.
 func (m *endpointSources) applyDiscovery(update endpoints.Update) error {
 	d := discoveryUpdate{update, make(chan error, 1)}
 	select {
@@ -57,6 +59,7 @@
 	}
 }
 
+// run applies lists from all sources until the coordinator ends.
 func (m *endpointSources) run() error {
 	loop := m.loop
 	for {
@@ -87,7 +90,7 @@
 	}
 }
 
-// apply tells the book a list, and the log what the book thinks of it.
+// apply hands a list to the registry, and logs it where it is refused or held back.
 func (m *endpointSources) apply(update endpoints.Update) (changed bool, err error) {
 	for i := range update.Hosts {
 		update.Hosts[i].Zone, update.Hosts[i].Kind = settings.FormatValue(update.Hosts[i].Zone), settings.FormatValue(update.Hosts[i].Kind)
@@ -110,7 +113,7 @@
 	return changed, nil
 }
 
-// publish puts the list in force in the owner's place, in one turn; false once the co-ordinator has ended.
+// publish puts the registry's list into force, in one task; false once the coordinator has ended.
 func (m *endpointSources) publish() bool {
 	loop, generation := m.loop, m.registry.Generation()
 	var hosts []plan.ListedHost
--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -67,16 +67,18 @@
 	spare []iterationEvent // empty; its array is reused for the iteration after that
 }
 
-// iterationEvent is what a turn begins with: something to do, or a sub-request that has ended.
+// iterationEvent is what an iteration begins with: a task, or an attempt that has ended.
 type iterationEvent struct {
 	task    func()
 	attempt *attempt
 	outcome string
 }
 
+// tick is the balancer's unit of time. Times of the event loop are ticks of Unix time.
 const tick = 100 * time.Microsecond
 
-// submit hands the owner something to do; false once the co-ordinator has ended.
+// submit hands a task to the event loop and returns false once the coordinator has ended. It blocks while
+// maxQueuedTasks tasks wait. Any goroutine but the event loop's may call it.
 func (loop *eventLoop) submit(do func()) bool {
 	select {
 	case loop.tasks <- do:
@@ -86,12 +88,13 @@
 	}
 }
 
-// clockTicks is Unix time in tenths of a millisecond, and monotonic: wall time counts at the start alone.
+// clockTicks returns monotonic Unix time in ticks: wall time is read at the start alone.
 func (loop *eventLoop) clockTicks() int64 {
 	return loop.startTicks + int64(loop.Clock.Now().Sub(loop.startedAt)/tick)
 }
 
-// startBalancer starts the module with its settings and the list as it was last known.
+// startBalancer configures the balancer with the settings and the endpoint list as it was last known. An error is a
+// panic of the balancer.
 func (loop *eventLoop) startBalancer() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -114,7 +117,7 @@
 	return nil
 }
 
-// run takes turns until all is answered after a stop. A fault of the module ends it with an error.
+// run runs iterations until every search is answered after a stop. A panic in an iteration ends it with an error.
 func (loop *eventLoop) run() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -160,7 +163,8 @@
 	}
 }
 
-// iterate is one iterate of the module: all that is queued by now, the wakes that are due, EndIteration.
+// iterate runs one iteration: deferred events, first where it is not nil, all queued tasks, all timers that are due,
+// and the batches that the balancer has sent.
 func (loop *eventLoop) iterate(first func()) {
 	late := loop.catchUp()
 	began := time.Now()
@@ -209,10 +213,9 @@
 	loop.dispatchBatches()
 }
 
-// catchUp lets sockets be read before a turn that begins long after a wake's time, until nothing more comes of it. Guards
-// against a process that was held up: what its clients, its replicas and discovery did meanwhile still lies there while its
-// wakes are due and slots come free: sub-requests would go out for clients that have left, to replicas that drain, and beside
-// answers that have come.
+// catchUp waits, before an iteration that begins long after a timer was due, until sockets have been read. It handles
+// a stalled process: what clients, replicas and discovery did meanwhile is still unread while timers are due. Without
+// it, attempts would go out for clients that have left, to draining replicas and beside answers that have arrived.
 func (loop *eventLoop) catchUp() (late bool) {
 	now := loop.clockTicks()
 	if loop.timers.queue.Len() == 0 || now-loop.timers.queue.timers[0].at < int64(stallThreshold/tick) || now-loop.timers.caughtUpAt < int64(catchUpInterval/tick) {
@@ -229,20 +232,23 @@
 	return true
 }
 
+// runNextIteration runs a task at the begin of the next iteration.
 func (loop *eventLoop) runNextIteration(do func()) {
 	loop.events.next = append(loop.events.next, iterationEvent{task: do})
 }
 
-// deferAttemptOutcome tells the module in the next turn how a sub-request ended.
+// deferAttemptOutcome reports an attempt's outcome to the balancer in the next iteration.
 func (loop *eventLoop) deferAttemptOutcome(attempt *attempt, outcome string) {
 	loop.events.next = append(loop.events.next, iterationEvent{attempt: attempt, outcome: outcome})
 }
 
+// nextID returns an id for a search or a shard request.
 func (loop *eventLoop) nextID() uint64 {
 	loop.searches.lastID++
 	return loop.searches.lastID
 }
 
+// WatchEndpoints requests a subscription to the endpoint list. It implements balancer.Actions.
 func (loop *eventLoop) WatchEndpoints() {
 	select {
 	case loop.discovery.polls <- struct{}{}:
@@ -250,11 +256,12 @@
 	}
 }
 
-// ProbeReplica is answered at once with nothing: the protocol has no message for it.
+// ProbeReplica reports a failed probe at once, since the protocol has no health check. It implements balancer.Actions.
 func (loop *eventLoop) ProbeReplica(id string) {
 	loop.runNextIteration(func() { loop.balancer.RecordProbeResult(id, "ConnectError", 0, nil) })
 }
 
+// LogMessage logs a message of the balancer. It implements balancer.Actions.
 func (loop *eventLoop) LogMessage(text string) {
 	loop.log.Info("note", "text", strings.ToValidUTF8(text, "?"))
 }
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -19,17 +19,21 @@
 	frameParameterRoom   = 256                    // bytes of a shard request's parameters that need no allocation
 )
 
-// frameProtocol is the platform's protocol.
+// frameProtocol is the platform's protocol: frames with several shard requests each, answered one by one.
 type frameProtocol struct{}
 
+// attemptsPerBatch implements wireProtocol.
 func (frameProtocol) attemptsPerBatch(loop *eventLoop) int { return loop.rules.attemptsPerBatch }
 
+// batchesPerConnection implements wireProtocol.
 func (frameProtocol) batchesPerConnection(loop *eventLoop) int {
 	return loop.rules.streamsPerConnection
 }
 
+// allowsWaiting implements wireProtocol.
 func (frameProtocol) allowsWaiting() bool { return true }
 
+// appendBatch implements wireProtocol.
 func (frameProtocol) appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte {
 	dst = frame.Begin(dst, frame.TypeBatch)
 	var room [frameParameterRoom]byte
@@ -54,18 +58,21 @@
 	return frame.End(dst, 0)
 }
 
+// cancelAttempt implements wireProtocol.
 func (frameProtocol) cancelAttempt(conn *replicaConnection, attempt *attempt) {
 	buffer := borrowBuffer()
 	*buffer = frame.AppendCancel(*buffer, attempt.name)
 	conn.enqueue(&outboundMessage{buffer: buffer})
 }
 
+// zeroScore is the score of answers from hosts that give none.
 var zeroScore = []byte("0") // the score of hosts that tell none
 
+// frameOutcomes are the balancer's outcomes by the word that ends an answer.
 var frameOutcomes = map[string]string{"good": "Ok", "bad": "Failed", "later": "QueueFull"}
 
-// readAnswers reads a replica's frames to the end of the connection. Once one has begun, its rest has to follow: guards
-// against a length that says more than comes. What has come together is told together.
+// readAnswers implements wireProtocol. Once a frame has begun, its rest has to follow in time, in case its length says
+// more than is sent. Answers that arrive together are handled in one task.
 func (frameProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	src := bufferedReaders.Get().(*bufio.Reader)
 	src.Reset(conn)
@@ -103,7 +110,7 @@
 	}
 }
 
-// readFrame reads one frame and gives what the owner is to do with it; nil for one that cannot be used.
+// readFrame reads one frame and returns the task that handles it, or nil for a frame that cannot be used.
 func readFrame(loop *eventLoop, conn *replicaConnection, src *bufio.Reader) (tell func(), err error) {
 	letter, rest, err := frame.Read(src)
 	if err != nil && !errors.Is(err, frame.ErrMalformed) {
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -10,7 +10,8 @@
 
 const logWriteTimeout = time.Second // for a line to be taken: a reader that is only slow needs less
 
-// NewLogger writes lines of key=value text, or JSON objects, one an event: time, level, event and what belongs to it.
+// NewLogger returns a logger that writes lines of key=value text, or JSON objects: time, level, event and the event's
+// attributes.
 func NewLogger(to io.Writer, json bool, least slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: least, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.MessageKey {
@@ -24,7 +25,7 @@
 	return slog.New(slog.NewTextHandler(to, opts))
 }
 
-// stallGuardWriter hands what is written to a goroutine of its own and waits for it only so long.
+// stallGuardWriter writes on a goroutine of its own and waits for it only so long.
 type stallGuardWriter struct {
 	mu      sync.Mutex
 	buffer  []byte // the writing goroutine's until it is done
@@ -33,11 +34,12 @@
 	stalled bool // the previous write has not returned
 }
 
+// errStalled is a write that was given up.
 var errStalled = errors.New("the log is not read")
 
-// NewStallGuardWriter writes to a file that another may read late or never, such as a pipe: what is not taken within logWriteTimeout is
-// given up with an error, and so is, at once, all that follows until it is taken. Guards against a process that can neither
-// end nor take new plans since nobody reads what it says. What is written is out when Write returns without an error.
+// NewStallGuardWriter returns a writer to a file that may be read late or never, such as a pipe. What is not taken
+// within logWriteTimeout is given up with an error, and so is, at once, all that follows until it is taken. Without
+// it, a process whose output nobody reads could neither end nor reload. A Write that returns no error is complete.
 func NewStallGuardWriter(to io.Writer) io.Writer {
 	u := &stallGuardWriter{writes: make(chan []byte), done: make(chan error, 1)}
 	go func() {
@@ -49,6 +51,7 @@
 	return u
 }
 
+// Write implements io.Writer.
 func (u *stallGuardWriter) Write(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -19,7 +19,8 @@
 	writeWaitPoll        = 100 * time.Microsecond // between two checks after that
 )
 
-// outboundMessage is one message on its way to a socket.
+// outboundMessage is one message on its way to a socket. Its stage goes from queued to writing to written, or to
+// recalled.
 type outboundMessage struct {
 	buffer           *[]byte
 	closesConnection bool // the last message of its connection
@@ -28,6 +29,7 @@
 	stage            atomic.Int32
 }
 
+// Stages of an outbound message.
 const (
 	stageQueued int32 = iota
 	stageWriting
@@ -35,10 +37,12 @@
 	stageRecalled // taken back before its write began
 )
 
-// recall takes a parcel back; false where its first byte may be out.
+// recall takes a message back and returns false where bytes of it may be out.
 func (p *outboundMessage) recall() bool { return p.stage.CompareAndSwap(stageQueued, stageRecalled) }
 
-// messageConn is one connection: its socket, and what waits to be written to it.
+// messageConn is one connection and the messages that wait to be written to it. What the writer may not send any more
+// it drops: messages that were recalled, that are past their deadline, or that need a residency lease which has
+// expired.
 type messageConn struct {
 	queue chan *outboundMessage
 	end   context.CancelCauseFunc
@@ -55,13 +59,14 @@
 	writerEnded   atomic.Bool    // the writer has returned
 }
 
+// newMessageConn returns a connection with room for so many waiting messages.
 func newMessageConn(ctx context.Context, room int) *messageConn {
 	l := &messageConn{queue: make(chan *outboundMessage, room)}
 	l.ctx, l.end = context.WithCancelCause(ctx)
 	return l
 }
 
-// enqueue hands a message over without waiting; a full backlog ends the connection.
+// enqueue hands a message to the writer without waiting; a full queue ends the connection.
 func (l *messageConn) enqueue(message *outboundMessage) {
 	select {
 	case l.queue <- message:
@@ -70,14 +75,14 @@
 	}
 }
 
-// missedDeadline tells whether the time of a limited parcel to be begun is over; asked once of each.
+// missedDeadline says whether the deadline of a message is over. It may be called once for each message.
 func (l *messageConn) missedDeadline(message *outboundMessage) bool {
 	by, _ := l.deadlines.LoadAndDelete(message)
 	return l.clockTicks() > by.(int64)
 }
 
-// serve runs a connection to its end: read in one goroutine, the writer in another. Deadlines of sockets
-// are told by the system's clock, whichever the owner has.
+// serve runs a connection to its end, with a goroutine for reading and one for writing, and returns why it ended.
+// Deadlines of sockets are the system clock's.
 func (l *messageConn) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
 	wrote func(*outboundMessage) error,
 ) connectionEndError {
@@ -114,7 +119,7 @@
 	return end
 }
 
-// writeCoalesced writes a message, and in one piece with it those that wait behind it and are small.
+// writeCoalesced writes a message, and in the same write those that wait behind it while they are small.
 func (l *messageConn) writeCoalesced(conn net.Conn, message *outboundMessage, room *[]*outboundMessage, wrote func(*outboundMessage) error) error {
 	all := (*room)[:0]
 	defer func() {
@@ -176,20 +181,20 @@
 	return nil
 }
 
-// pendingWrite is a message that is begun on another connection.
+// pendingWrite is a message whose write has begun on another connection.
 type pendingWrite struct {
 	conn    *messageConn
 	message *outboundMessage
 }
 
-// isWritten tells that it is isWritten whole, or never will be.
+// isWritten says whether the message is completely written, or never will be.
 func (b pendingWrite) isWritten() bool {
 	return b.message.stage.Load() != stageWriting || b.conn.writerEnded.Load()
 }
 
-// awaitWritten waits until all is out. Guards against a part that is sent on after its search's final answer: its write may
-// have been begun and not done, in a process that is held up between the two. One that does not come out ends its
-// connection. It mostly is out at once, so it is looked for and not told of.
+// awaitWritten blocks until all writes have ended. In a stalled process, a search's final answer could otherwise
+// overtake the write of an attempt. A write that does not end in time ends its connection. Most have ended already, so
+// this polls.
 func awaitWritten(all []pendingWrite) {
 	for _, write := range all {
 		for tries := 0; !write.isWritten(); tries++ {
--- a/coordinator/metrics.go
+++ b/coordinator/metrics.go
@@ -11,7 +11,7 @@
 
 const shadowLogInterval = 10 * time.Second // between log lines on what shadow settings would have decided otherwise
 
-// metricsBody is all that is told under /metrics.
+// metricsBody returns the response to /metrics.
 func (loop *eventLoop) metricsBody() []byte {
 	var b bytes.Buffer
 	if loop.shadowCounts != nil {
@@ -23,7 +23,8 @@
 	return b.Bytes()
 }
 
-// logShadowCounts writes what other settings would have decided otherwise: one line each shadowLogInterval, if anything came.
+// logShadowCounts logs, each shadowLogInterval, what the shadow settings would have decided otherwise, if that has
+// grown from last.
 func (loop *eventLoop) logShadowCounts(last int64) {
 	if n := loop.shadowCounts.Total(); n != last {
 		last = n
@@ -36,7 +37,7 @@
 	loop.runAfter(int64(shadowLogInterval/tick), func() { loop.logShadowCounts(last) })
 }
 
-// shadowMetrics are the same counts in the common text form.
+// shadowMetrics returns the same counts in the Prometheus text form.
 func shadowMetrics(counts *shadow.DivergenceCounts) []byte {
 	var b strings.Builder
 	b.WriteString("# HELP chalkring_shadow_differs_total Decisions that the shadow settings would have made otherwise.\n" +
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -22,16 +22,20 @@
 	hostBodyTimeout  = 2 * time.Second // from an answer's first byte to its last: a megabyte on a slow way
 )
 
-// openSearchProtocol is the OpenSearch-style API: one part a request, one request a connection at a time. A part that is given
-// up ends its connection, which cancels it at the host; what the host still answers is not read.
+// openSearchProtocol is the OpenSearch-style API: one shard request a request, one request a connection at a time.
+// Giving an attempt up ends its connection, which cancels it at the host.
 type openSearchProtocol struct{ HostKind }
 
+// attemptsPerBatch implements wireProtocol.
 func (openSearchProtocol) attemptsPerBatch(*eventLoop) int { return 1 }
 
+// batchesPerConnection implements wireProtocol.
 func (openSearchProtocol) batchesPerConnection(*eventLoop) int { return 1 }
 
+// allowsWaiting implements wireProtocol.
 func (openSearchProtocol) allowsWaiting() bool { return false }
 
+// appendBatch implements wireProtocol.
 func (k openSearchProtocol) appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte {
 	attempt := batch.attempts[0]
 	left := max(1, (attempt.deadline-loop.now)/10)
@@ -41,11 +45,13 @@
 	return append(dst, attempt.shardRequest.search.text...)
 }
 
+// cancelAttempt implements wireProtocol.
 func (openSearchProtocol) cancelAttempt(conn *replicaConnection, _ *attempt) {
 	conn.closeNow(errRetired)
 }
 
-// classifyResponse is the one table from what an OpenSearch host answers to the module's outcomes. 429 and 503 have not run; whatever else is no good answer may have.
+// classifyResponse is the one table from a host's response to the balancer's outcomes. A request that got 429 or 503
+// has not run; any other that is no good answer may have.
 func (k openSearchProtocol) classifyResponse(status int, body []byte, shard int) (outcome string, err error) {
 	switch {
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
@@ -59,8 +65,8 @@
 	return "Ok", nil
 }
 
-// readAnswers reads a host's answers, each to the one part that is out on its connection. What comes where none is out, or
-// cannot be read, is spoilt, and the connection ends.
+// readAnswers implements wireProtocol. Each response belongs to the one attempt on its connection; a response to
+// nothing, or one that cannot be parsed, ends the connection.
 func (k openSearchProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	src := bufferedReaders.Get().(*bufio.Reader)
 	src.Reset(conn)
@@ -126,6 +132,7 @@
 	}
 }
 
+// readError returns why a connection ends after a response that could not be read.
 func (openSearchProtocol) readError(loop *eventLoop, conn *replicaConnection, err error) error {
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
--- a/coordinator/peer_reports.go
+++ b/coordinator/peer_reports.go
@@ -11,7 +11,7 @@
 	"chalkring/internal/scheduler"
 )
 
-// importReports puts together what all reports say now and hands it to the module, slice by slice.
+// importReports combines all reports and imports the result into the balancer, chunk by chunk.
 func (l *peerExchange) importReports() (hosts int) {
 	l.importMu.Lock()
 	defer l.importMu.Unlock()
@@ -33,7 +33,7 @@
 	return len(heard)
 }
 
-// runInLoop has the owner do something in one of its turns and returns once that is done.
+// runInLoop runs a task on the event loop and returns once it is done.
 func (l *peerExchange) runInLoop(do func()) error {
 	done := make(chan struct{})
 	if !l.loop.submit(func() { do(); close(done) }) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// updateHosts takes in a list or changes of it, before the module hears of them or after; nothing waits for it but the
-// list's own goroutine. What was heard of a host that has changed its address or left is of another machine.
+// updateHosts applies a list or changes of it. Reports about a host that has left or changed its address are about
+// another machine.
 func (l *peerExchange) updateHosts(full bool, version int64, hosts []plan.ListedHost) {
 	l.mu.Lock()
 	now, moved := l.loop.clockTicks(), false
@@ -89,6 +89,7 @@
 	}
 }
 
+// admit says whether a peer may poll now, or after how long. It is the peer server's Admit.
 func (l *peerExchange) admit(name string) (ok bool, later time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,13 +97,14 @@
 	return ok, time.Duration(wait) * tick
 }
 
+// release ends a peer's poll. It is the peer server's Release.
 func (l *peerExchange) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.admission.Release()
 }
 
-// currentReport gives the newest snapshot, or takes one. Askers that come meanwhile wait for it and share it.
+// currentReport returns a fresh snapshot, or takes one; peers that poll meanwhile wait for it and share it.
 func (l *peerExchange) currentReport(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 	l.snapshotMu.Lock()
 	defer l.snapshotMu.Unlock()
@@ -117,7 +119,8 @@
 	return l.snapshot.HeaderAt(l.loop.clockTicks()), l.snapshot.Observations, nil
 }
 
-// takeSnapshot makes a snapshot, SliceMost hosts a turn.
+// takeSnapshot exports the balancer's observations, one chunk an iteration, and once more if the endpoint list changed
+// meanwhile.
 func (l *peerExchange) takeSnapshot(ctx context.Context) error {
 	l.snapshotSerial++
 	for {
@@ -146,7 +149,7 @@
 	}
 }
 
-// spendAnswerBudget takes an answer's bytes from the budget of answers, as a job that is on its way already.
+// spendAnswerBudget takes an answer's bytes and time from the budget of answers.
 func (l *peerExchange) spendAnswerBudget(ctx context.Context, bytes int, cpu time.Duration) error {
 	done := make(chan error, 1)
 	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: answerJobKind, Priority: scheduler.PriorityNormal, MaxFailures: 1},
@@ -165,6 +168,7 @@
 	}
 }
 
+// status returns the state of the exchange. It is the peer server's BuildStatus.
 func (l *peerExchange) status(context.Context) (peerprotocol.Status, error) {
 	counts, waiting, running, load := l.pool.Counts()
 	l.mu.Lock()
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -26,8 +26,7 @@
 	answerJobKind      = "answer"
 )
 
-// PeerOptions is what an installation allows beside the plan: co-ordinators that learn from one another. Without it
-// none of this file runs.
+// PeerOptions is what an installation sets for the exchange of observations between coordinators.
 type PeerOptions struct {
 	Name, Location  string
 	Listener        net.Listener // on which peers poll this coordinator; nil to answer nobody
@@ -38,11 +37,11 @@
 	Budgets         map[string]scheduler.Budget
 }
 
-// PeerAddress is a peer and where it listens.
+// PeerAddress is a peer's name and the address on which it answers.
 type PeerAddress struct{ Name, Addr string }
 
-// peerExchange is the co-ordinator's side towards its peers. The owner never waits for it: it takes slices of knowledge
-// from the owner and gives slices of what was heard through the owner's queue, one at a time, each small.
+// peerExchange exchanges observations of replicas with other coordinators. The event loop never waits for it: it
+// exports and imports observations through the event loop's tasks, a small chunk at a time.
 type peerExchange struct {
 	loop       *eventLoop
 	options    *PeerOptions
@@ -66,6 +65,7 @@
 	importMu    sync.Mutex   // one import into the balancer at a time
 }
 
+// newPeerExchange returns an exchange that has not started.
 func newPeerExchange(loop *eventLoop, p *PeerOptions) *peerExchange {
 	now, name := loop.clockTicks(), loop.plan.Name
 	if p.Name == "" {
@@ -92,7 +92,7 @@
 	return l
 }
 
-// run starts what this side does, in the owner's errgroup.
+// run starts the exchange's goroutines.
 func (l *peerExchange) run() {
 	loop := l.loop
 	loop.group.Go(func() error { return l.pool.Run(loop.ctx) })
@@ -112,8 +112,8 @@
 	loop.group.Go(func() error { return server.Serve(loop.ctx, l.options.Listener) })
 }
 
-// sampleLoad takes the owner's load, by which background work waits and askers are put off. A wake that comes late tells of
-// a machine that is full beside the owner.
+// sampleLoad measures the event loop's load, by which background work waits and polls of peers are deferred. A timer
+// that fires late shows a machine that is busy beside the event loop.
 func (l *peerExchange) sampleLoad() error {
 	before, busy := time.Now(), l.loop.busyNanos.Load()
 	for {
@@ -136,7 +136,7 @@
 	}
 }
 
-// pollPeers hands askings that are due to the pool.
+// pollPeers starts the polls that are due, until the coordinator ends.
 func (l *peerExchange) pollPeers() error {
 	for {
 		l.mu.Lock()
@@ -159,7 +159,7 @@
 	}
 }
 
-// startPoll makes a job of asking one peer.
+// startPoll adds a job that polls one peer.
 func (l *peerExchange) startPoll(name string) {
 	i := slices.IndexFunc(l.options.PollTargets, func(at PeerAddress) bool { return at.Name == name })
 	at := l.options.PollTargets[i]
@@ -176,6 +176,7 @@
 	}
 }
 
+// pollPeer fetches one peer's report.
 func (l *peerExchange) pollPeer(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.loop.clockTicks()
 	asking := peerprotocol.Client{
@@ -195,7 +196,7 @@
 	return asking.FetchReport(ctx)
 }
 
-// handlePollEnd takes in how an asking handlePollEnd; a whole report goes to the module.
+// handlePollEnd records how a poll ended and imports a complete report.
 func (l *peerExchange) handlePollEnd(name string, how peerreport.Outcome, later time.Duration, err error) {
 	l.mu.Lock()
 	if how == peerreport.OutcomeReceived {
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -20,6 +20,7 @@
 	"chalkring/storage/store"
 )
 
+// Times, limits and keys of what is kept on disk.
 const (
 	persistJobKind      = "keep"                 // of background work
 	persistInterval     = 2 * time.Second        // between two writes: what is learned is of use for half a minute
@@ -38,9 +39,9 @@
 	identityKey         = "whose"
 )
 
-// Persistence keeps what a restart can use on disk: the list in force, what the module knows of hosts, starts and events.
-// Nothing waits for it: it opens its store beside the start, what it finds comes as one more source of the list and as
-// one more peer's report, and background jobs write.
+// Persistence keeps on disk what a restart can use: the endpoint list in force, observations of hosts, starts and
+// events. Nothing waits for it: it opens its store beside the start, what it restores arrives as one more source of
+// the list and one more peer's report, and background jobs write.
 type Persistence struct {
 	path        string
 	exclusive   bool             // nothing else is kept in the store
@@ -69,12 +70,13 @@
 	closeOnce        sync.Once
 }
 
-// NewPersistence begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
-// nothing else keeps anything there, so that a crash loop may put all of it aside.
+// NewPersistence begins to open the store at path in the background. Close it once the coordinator has ended.
+// exclusive says that nothing else is kept in the store, so that a crash loop may put all of it aside.
 func NewPersistence(path string, alone bool, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	return newPersistence(path, alone, store.Options{}, budget, p, clock, log)
 }
 
+// newPersistence is NewPersistence with the store's options.
 func newPersistence(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	ctx, cancel := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
@@ -106,7 +108,7 @@
 	return k
 }
 
-// open opens the store, notes the start on disk, and only then believes what is there.
+// open opens the store, records the start on disk, and only then restores what is there.
 func (k *Persistence) open(path string, o store.Options) error {
 	o.OnRecovery = func(err error) {
 		k.log.Warn("store_told", advice.LogAttrs(err)...)
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// readStored is one kept value; what is missing or in another form is nothing.
+// readStored reads one stored value; one that is missing or in another form is the zero value.
 func readStored[T any](k *Persistence, s *store.Store, key string) (v T) {
 	text, found, err := s.Get(stateBucket, key)
 	if err == nil && found {
@@ -193,10 +195,10 @@
 	return v
 }
 
-// Path is where the store is.
+// Path returns where the store is.
 func (k *Persistence) Path() string { return k.path }
 
-// WaitForStore waits until the store is open, or cannot be: for one that another process holds, until that lets go.
+// WaitForStore blocks until the store is open, or cannot be opened; while another process has it, until that lets go.
 func (k *Persistence) WaitForStore(ctx context.Context) (*store.Store, error) {
 	select {
 	case <-k.opened:
@@ -206,7 +208,8 @@
 	}
 }
 
-// PrependStoredUpdate puts what was kept of the list before other sources' lists, which may be nil. It ends with ctx.
+// PrependStoredUpdate returns a channel with the stored endpoint list, followed by the lists of updates, which may be
+// nil. It ends with ctx.
 func (k *Persistence) PrependStoredUpdate(ctx context.Context, more <-chan endpoints.Update) <-chan endpoints.Update {
 	out := make(chan endpoints.Update)
 	go func() {
@@ -239,9 +242,10 @@
 	return out
 }
 
-// Close lets go of the store. It waits a little for a write that is on its way, and for one that is stuck not at all.
+// Close closes the store. It waits a little for a write that is in progress, and not for one that is stuck.
 func (k *Persistence) Close() { k.closeOnce.Do(k.closeStore) }
 
+// closeStore does what Close does, once.
 func (k *Persistence) closeStore() {
 	k.stopOpening()
 	ctx, cancel := context.WithTimeout(context.Background(), storeCloseTimeout)
@@ -255,7 +259,7 @@
 	k.logWriter.Wait()
 }
 
-// withBudget are those of an installation, or none, with room for the writes.
+// withBudget returns an installation's peer options, or empty ones, with a budget for writes.
 func (k *Persistence) withBudget(p *PeerOptions) *PeerOptions {
 	own := PeerOptions{}
 	if p != nil {
--- a/coordinator/persistence_write.go
+++ b/coordinator/persistence_write.go
@@ -15,7 +15,7 @@
 	"chalkring/storage/store"
 )
 
-// RecordEvent notes something for the journal; it waits for nothing.
+// RecordEvent records something for the journal without waiting. Any goroutine may call it.
 func (k *Persistence) RecordEvent(kind, words string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -26,8 +26,8 @@
 	k.pendingEvents = append(k.pendingEvents, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: words})
 }
 
-// run is the co-ordinator's side: what was kept of hosts is told as a peer's report, then jobs write. stopping ends at
-// the start of a planned stop.
+// run starts the coordinator's side: stored observations are imported as a peer's report, then jobs write. stopping
+// ends at the start of a planned stop.
 func (k *Persistence) run(loop *eventLoop, stopping context.Context) {
 	loop.group.Go(func() error {
 		if _, err := k.WaitForStore(loop.ctx); err != nil {
@@ -58,7 +58,7 @@
 	})
 }
 
-// importStoredObservations tells what an earlier run knew of hosts as one peer's report.
+// importStoredObservations imports what an earlier run knew of hosts, as one peer's report.
 func (k *Persistence) importStoredObservations(loop *eventLoop, observations *recovery.Observations) {
 	l, h := loop.peers, observations.Head
 	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the wall clock covers the time between two runs
@@ -81,13 +81,13 @@
 	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
 }
 
-// recordList takes in the list in force.
+// recordList records the endpoint list in force.
 func (k *Persistence) recordList(list []endpoints.Endpoint, gone []endpoints.Removal) {
 	l := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.planVersion, k.discoveryVersion.Load(), list, gone)
 	k.currentList.Store(&l)
 }
 
-// write writes what is new. Its last write also tells that the stop was planned.
+// write writes what has changed. The last write also records that the stop was planned.
 func (k *Persistence) write(ctx context.Context, loop *eventLoop, a *scheduler.Allowance, last bool) (err error) {
 	select {
 	case k.writeSlot <- struct{}{}:
@@ -145,7 +145,7 @@
 	return k.flushEvents(ctx)
 }
 
-// flushEvents writes the events that wait; they wait on if it fails.
+// flushEvents writes the pending events, which stay pending if it fails.
 func (k *Persistence) flushEvents(ctx context.Context) error {
 	k.mu.Lock()
 	events, left := k.pendingEvents, k.droppedEvents
@@ -167,7 +167,7 @@
 	return err
 }
 
-// recordEvent is for parts that may have no Keep.
+// recordEvent records an event where there is persistence.
 func (loop *eventLoop) recordEvent(kind, words string) {
 	if loop.Persistence != nil {
 		loop.Persistence.RecordEvent(kind, words)
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -4,8 +4,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// reload takes new plans into force: where discovery is, how many descriptors there are, and how much searches may hold.
-// The rest waits for a restart: the module takes its settings once.
+// reload applies new plans: the address of discovery, the number of descriptors, and the memory of searches. All else
+// waits for a restart, since the balancer is configured once.
 func (f *clientListener) reload(plans <-chan *plan.Plan) error {
 	loop := f.loop
 	for {
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -15,7 +15,7 @@
 	abandoned      map[*attempt]*abandonedAttempt // given up here and not yet reported to the balancer
 }
 
-// replica is one machine of the list and the connections to it.
+// replica is one host of the endpoint list and the connections to it.
 type replica struct {
 	id, addr    string
 	protocol    wireProtocol
@@ -25,6 +25,7 @@
 	batches     []*batch // of this iteration, not yet on a connection
 }
 
+// protocolFor returns the wire protocol of a kind of host.
 func (loop *eventLoop) protocolFor(kind string) wireProtocol {
 	if k, ok := loop.HostKinds[kind]; ok {
 		return openSearchProtocol{k}
@@ -32,7 +33,8 @@
 	return frameProtocol{}
 }
 
-// placeReplica notes where a replica is; old connections to another address take nothing new.
+// placeReplica records a replica's address, kind and state. Connections to another address, or from before its start
+// (since, in ticks), take nothing new.
 func (loop *eventLoop) placeReplica(id, addr, kind string, since int64, gone, drains bool) {
 	r := loop.replicas.byID[id]
 	if r == nil {
@@ -61,16 +63,16 @@
 	loop.forgetReplica(r)
 }
 
-// forgetReplica drops a replica that has left the list once it has no connection.
+// forgetReplica drops a removed replica once it has no connections.
 func (loop *eventLoop) forgetReplica(replica *replica) {
 	if replica.removed && len(replica.connections) == 0 && len(replica.batches) == 0 && loop.replicas.byID[replica.id] == replica {
 		delete(loop.replicas.byID, replica.id)
 	}
 }
 
-// recallAfterGrace has nothing new go out to a replica that drains, is gone or has moved, once the time is over in which that is
-// allowed. Guards against frames that still wait for a connection then. They wait on until then, since most come up in
-// time: to take them back at once would cost each an attempt.
+// recallAfterGrace keeps attempts from going out to a draining, removed or moved replica once the time in which that
+// is allowed is over. Batches that wait for a connection wait until then, since most connect in time: recalling them
+// at once would cost each an attempt.
 func (loop *eventLoop) recallAfterGrace(replica *replica) {
 	grace := float64(loop.plan.Duration("Safety.DrainGrace") / tick)
 	loop.runAfter(int64(drainSendShare*grace), func() {
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -20,7 +20,7 @@
 	silenceDialTimeouts  = 2                      // dial timeouts of silence after which a connection counts as lost
 )
 
-// replicaConnection is one connection to a replica as the owner knows it.
+// replicaConnection is one connection to a replica, as the event loop knows it.
 type replicaConnection struct {
 	*messageConn
 	replica     *replica
@@ -38,7 +38,7 @@
 	abandoned []*abandonedAttempt // whose replica may still run them
 }
 
-// openConnection opens a connection; calls on it wait until it is up.
+// openConnection opens a connection; batches on it wait until it is connected.
 func (loop *eventLoop) openConnection(replica *replica) *replicaConnection {
 	connection := &replicaConnection{messageConn: newMessageConn(loop.ctx, replicaQueueSize), replica: replica, protocol: replica.protocol, usedAt: loop.now}
 	connection.log, connection.clockTicks = loop.log, loop.clockTicks
@@ -70,7 +70,7 @@
 	return connection
 }
 
-// handleConnected writes what has waited for a connection to be up.
+// handleConnected queues the batches that have waited for the connection.
 func (loop *eventLoop) handleConnected(conn *replicaConnection) {
 	conn.connectedAt = loop.now
 	for _, attempt := range slices.Clone(conn.attempts) {
@@ -80,10 +80,10 @@
 	}
 }
 
-// dialWithRetries opens a connection, and tries again beside what is not up each time that it has waited for so long, maxParallelDials times
-// in all. Guards against connections that come up late or never at a replica that is sound: what waits for one would be
-// late with it. Harm: a replica that is silent is asked for three connections in place of one, and until the time to dialWithRetries
-// is over two more descriptors are used; of many that are silent, room is.
+// dialWithRetries opens a connection, and dials again beside a slow dial each time that wait has passed, up to
+// maxParallelDials dials. It handles lost connection requests to a sound replica, which would delay all that waits for
+// the connection. A silent replica is dialed three times instead of once, which uses two more descriptors until the
+// dial timeout; for all silent replicas together, at most maxExtra.
 func (loop *eventLoop) dialWithRetries(ctx context.Context, addr string, wait time.Duration, room int64) (net.Conn, error) {
 	type ended struct {
 		conn net.Conn
@@ -133,7 +133,7 @@
 	}
 }
 
-// rememberID keeps the latest ids that were on a connection.
+// rememberID keeps the latest names of attempts that were on the connection.
 func (l *replicaConnection) rememberID(attempt *attempt) {
 	if l.recentIDs == nil {
 		l.recentIDs = map[string]uint64{}
@@ -149,7 +149,7 @@
 	l.recentIDs[attempt.name] = attempt.shardRequest.search.id
 }
 
-// silentFor tells how long the oldest part has been out on the connection of those since which nothing was heard.
+// silentFor returns how long the oldest attempt has been out among those since which nothing was received.
 func (l *replicaConnection) silentFor(now int64) (age int64) {
 	for _, attempt := range l.attempts {
 		if l.heardAt < attempt.sentAt {
@@ -159,8 +159,8 @@
 	return age
 }
 
-// conflictsWith tells whether one of a call's ids is out on the connection already, or was for another search.
-// Guards against two searches that bear one name: the answer to one would be taken for the other's.
+// conflictsWith says whether the name of one of a batch's attempts is in use on the connection, or was for another
+// search: an answer to that one would be taken for this one's.
 func (l *replicaConnection) conflictsWith(batch *batch) bool {
 	return slices.ContainsFunc(batch.attempts, func(sub *attempt) bool {
 		id, known := l.recentIDs[sub.name]
@@ -168,18 +168,18 @@
 	})
 }
 
-// silenceTimeout is how long a connection may say nothing before it is taken for lost.
+// silenceTimeout returns the ticks of silence after which a connection counts as lost.
 func (loop *eventLoop) silenceTimeout() int64 {
 	return silenceDialTimeouts * int64(loop.plan.Duration("Permissions.DialTimeout")/tick)
 }
 
-// doubtDelay is how long a connection may say nothing under a part before the next call takes another.
+// doubtDelay returns the ticks of silence under an attempt after which the next batch takes another connection.
 func (loop *eventLoop) doubtDelay() int64 {
 	return max(minDoubtDelay, int64(doubtLatencyFactor*loop.replicas.averageLatency))
 }
 
-// retireSilentConnections ends connections that have long been silent under parts, once their replica has answered a later part on
-// another: it is the connection that is lost, and its parts can go out again.
+// retireSilentConnections closes connections that have long been silent under attempts, once their replica has
+// answered a later attempt on another one: the connection is lost, and its attempts can be retried.
 func (loop *eventLoop) retireSilentConnections(heard *replicaConnection, sent int64) {
 	for _, conn := range heard.replica.connections {
 		age := conn.silentFor(loop.now)
@@ -189,7 +189,7 @@
 	}
 }
 
-// handleConnectionEnd tells what a connection's end means for the parts that were out on it.
+// handleConnectionEnd reports the outcomes of the attempts that were on a connection.
 func (loop *eventLoop) handleConnectionEnd(conn *replicaConnection, end connectionEndError, addr string) {
 	conn.closedToNew = true
 	conn.end(end)
@@ -225,7 +225,7 @@
 	loop.forgetReplica(conn.replica)
 }
 
-// closeWhenIdle closes a connection that has been unused, before its replica would, and until then looks again.
+// closeWhenIdle closes a connection that has been idle, before its replica would; until then it checks again.
 func (loop *eventLoop) closeWhenIdle(conn *replicaConnection) {
 	if conn.closedToNew {
 		return
@@ -238,18 +238,19 @@
 	conn.closeNow(errIdle)
 }
 
-// closeNow ends a connection at once; until that is told, it takes nothing new.
+// closeNow ends a connection; it takes nothing new from now on.
 func (l *replicaConnection) closeNow(e connectionEndError) {
 	l.closedToNew = true
 	l.end(e)
 }
 
-// retireConnection lets a connection end once nothing is out on it.
+// retireConnection lets a connection end once nothing is in flight on it.
 func (loop *eventLoop) retireConnection(conn *replicaConnection) {
 	conn.closedToNew = true
 	loop.closeIfUnused(conn)
 }
 
+// closeIfUnused ends a retired connection on which nothing is in flight.
 func (loop *eventLoop) closeIfUnused(conn *replicaConnection) {
 	if conn.closedToNew && conn.openBatches == 0 && len(conn.abandoned) == 0 {
 		conn.end(errRetired)
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -10,7 +10,7 @@
 	repeatWindowMargin    = 2 * time.Millisecond // kept off the idempotency window when a repeat is sent: its way to the replica
 )
 
-// batch is what travels as one frame.
+// batch is the attempts that travel as one message.
 type batch struct {
 	attempts   []*attempt
 	connection *replicaConnection
@@ -20,12 +20,12 @@
 	inlineMessage  outboundMessage // the first message
 }
 
-// canShareBatch tells whether a sub-request may be on one connection with those of a call.
+// canShareBatch says whether an attempt may be on one connection with those of a batch.
 func (loop *eventLoop) canShareBatch(subs []*attempt, attempt *attempt) bool {
 	return len(subs) == 0 || loop.firstSentAt(attempt) == loop.firstSentAt(subs[0])
 }
 
-// dispatchBatches puts the turn's calls on connections.
+// dispatchBatches puts the iteration's batches on connections.
 func (loop *eventLoop) dispatchBatches() {
 	if len(loop.replicas.dispatchOrder) > 0 {
 		loop.replicas.lastDispatchAt = loop.now
@@ -58,8 +58,8 @@
 	loop.replicas.dispatchOrder = loop.replicas.dispatchOrder[:0]
 }
 
-// queueBatch writes the frame of a call that has a connection. While that is not up the call waits for rise. Guards against a
-// frame that was written as the connection was opened: it would tell the time that was left to the client then.
+// queueBatch encodes a batch that has a connection and hands it to the writer. Before the connection is up the batch
+// waits for handleConnected: an earlier message would tell replicas more time than is left to the client.
 func (loop *eventLoop) queueBatch(batch *batch) {
 	if batch.connection == nil {
 		return
@@ -88,9 +88,9 @@
 	batch.connection.enqueue(batch.message)
 }
 
-// connectionFor finds a connection with room for a call, or opens one. With no descriptor left for it, an unused
-// connection to another replica makes room, or one of this replica's takes the call, though it will wait
-// there; nil where neither is. Guards against a lack of our own that is told as a replica's fault.
+// connectionFor finds a connection with room for a batch, or opens one. With no descriptor left, an idle connection of
+// another replica makes room, or one of this replica's takes the batch to wait there; nil where there is neither. So a
+// shortage here is not reported as a replica's fault.
 func (loop *eventLoop) connectionFor(replica *replica, batch *batch) *replicaConnection {
 	if since := loop.firstSentAt(batch.attempts[0]); since > 0 {
 		return replica.connectedSince(batch, since)
@@ -136,10 +136,10 @@
 	return fullest
 }
 
-// connectedSince finds a connection that has stood since before a keyed part first went out; nil where there is none: the
-// repeat is not sent then. Guards against a second effect: a replica that has started again has forgotten what it would
-// drop, and only a connection that stood all the while shows that it has not. Harm: a replica that was not connected to
-// gets no repeat, though it may well remember.
+// connectedSince finds a connection that has been up since before a keyed shard request was first sent, or nil, and
+// then the repeat is not sent. A replica that has restarted has forgotten the requests that it would drop; only a
+// connection that was up all the while proves that it has not. A replica that was not connected gets no repeat, though
+// it may remember.
 func (r *replica) connectedSince(batch *batch, since int64) (best *replicaConnection) {
 	for _, conn := range r.connections {
 		if !conn.closedToNew && conn.connectedAt > 0 && conn.connectedAt <= since && !conn.conflictsWith(batch) && (best == nil || conn.openBatches < best.openBatches) {
@@ -149,8 +149,9 @@
 	return best
 }
 
-// firstSentAt is when a keyed part first went out, of its repeat; 0 of any other sub-request, and where none before it can
-// have run: that is no repeat. It is not kept in the call: eight bytes more there are 385 a search.
+// firstSentAt returns when a keyed shard request was first sent, if the attempt is a repeat of it; 0 for any other
+// attempt, and where none before it can have run. It is not kept in the batch, where eight more bytes cost 385 a
+// search.
 func (loop *eventLoop) firstSentAt(attempt *attempt) int64 {
 	if attempt.index == 0 || !loop.rules.keyedClasses[attempt.shardRequest.search.class] {
 		return 0
@@ -163,8 +164,8 @@
 	return 0
 }
 
-// repeatDeadline is until when a keyed part's repeat may leave: the decision for it, and what this side holds it back, may lie on
-// both sides of the end of its window. 0 for what is no repeat.
+// repeatDeadline returns by when a keyed shard request's repeat has to be sent, since the decision for it and its
+// sending may lie on both sides of the end of its window; 0 for what is no repeat.
 func (loop *eventLoop) repeatDeadline(attempt *attempt) int64 {
 	since := loop.firstSentAt(attempt)
 	if since == 0 {
@@ -173,8 +174,8 @@
 	return since + max(1, loop.rules.repeatWindows[attempt.shardRequest.search.class]-int64(repeatWindowMargin/tick))
 }
 
-// handleMissedDeadline tells the module of a call whose time to leave was over before its connection's writer came to it: none of it
-// was sent.
+// handleMissedDeadline reports the attempts of a message whose deadline was over before the writer came to it: none of
+// it was sent.
 func (loop *eventLoop) handleMissedDeadline(conn *replicaConnection, message *outboundMessage) {
 	for _, attempt := range slices.Clone(conn.attempts) {
 		if attempt.batch != nil && attempt.batch.message == message {
@@ -184,8 +185,9 @@
 	}
 }
 
-// recallBatch takes a search's sub-requests off a call, all sub-requests with no search, if no byte of it has been begun; the
-// module hears that they were never sent. They go at once: one by one, the frame of the rest could go out in between.
+// recallBatch takes a search's attempts off a batch, or all for a nil search, if no byte of it may be out; they count
+// as never sent. All go at once: one by one, the message of the rest could be sent in between. It returns false where
+// bytes may be out.
 func (loop *eventLoop) recallBatch(batch *batch, of *search) bool {
 	if batch.connection != nil && !batch.message.recall() {
 		return false
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -16,22 +16,23 @@
 
 const maxInlineBlocks = 256 // blocks up to which those that were named are marked without room of their own
 
-// bodyReaders are readers of requests' bodyReaders, kept for the next.
+// bodyReaders are reused from request to request.
 var bodyReaders = sync.Pool{New: func() any { return &bodyReader{} }}
 
-// bodyReader reads one JSON text at a time. Names that are there twice count as the last, as the platform's own
-// programs take them.
+// bodyReader decodes one JSON text at a time. Of names that occur twice the last counts, as in the platform's own
+// programs.
 type bodyReader struct {
 	source  bytes.Reader
 	decoder jsontext.Decoder
 }
 
+// reset starts to decode a body.
 func (b *bodyReader) reset(body []byte) {
 	b.source.Reset(body)
 	b.decoder.Reset(&b.source, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
 }
 
-// readBody takes the parts and their text from a request's body.
+// readBody reads the shards, their weights and the text of a search from a request's body.
 func (s *search) readBody(body []byte, shards int) error {
 	b := bodyReaders.Get().(*bodyReader)
 	defer bodyReaders.Put(b)
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// readName reads a name; those that count here need no room.
+// readName reads an object's member name. Names that matter here need no allocation.
 func readName(decoder *jsontext.Decoder) (string, error) {
 	v, err := decoder.ReadValue()
 	switch string(v) {
@@ -109,7 +110,7 @@
 	return string(text), err
 }
 
-// readRanges reads the list of parts, in the place of one that came before.
+// readRanges reads the list of shards, in the place of one that came before.
 func (s *search) readRanges(decoder *jsontext.Decoder, shards int) error {
 	s.shards, s.weights = s.shards[:0], s.weights[:0]
 	var few [maxInlineBlocks]bool
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -16,7 +16,8 @@
 
 const maxResidencyCheckDelay = time.Hour // after which a distant check is computed anew: the wall clock may have been set
 
-// residencyEnforcer binds one owner's searches to the hosts that their contracts leave. It is the owner's.
+// residencyEnforcer restricts one event loop's searches to the hosts that their contracts allow. It belongs to the
+// event loop's goroutine, but for leaseExpiry and closed.
 type residencyEnforcer struct {
 	loop                *eventLoop
 	guard               *ResidencyGuard
@@ -31,9 +32,10 @@
 	searchInRestriction *search // an end of it now is caused by its contract
 }
 
-// restrictionKey is what searches that are bound alike have in common.
+// restrictionKey is what searches with the same restriction have in common.
 type restrictionKey struct{ tenant, class int }
 
+// newResidencyEnforcer registers an event loop with the guard.
 func newResidencyEnforcer(loop *eventLoop, r *ResidencyGuard) *residencyEnforcer {
 	name := func(list string) (names []string) {
 		for i := range loop.plan.Count(list) {
@@ -54,7 +56,8 @@
 	return b
 }
 
-// leaseHasExpired tells a connection's writer whether the lease has ended, and counts where it has.
+// leaseHasExpired says whether the residency lease has expired, and counts it where it has. Connections' writers call
+// it.
 func (b *residencyEnforcer) leaseHasExpired() bool {
 	if b.guard.clock() < b.leaseExpiry.Load() {
 		return false
@@ -63,6 +66,7 @@
 	return true
 }
 
+// close deregisters the event loop.
 func (b *residencyEnforcer) close() {
 	b.guard.mu.Lock()
 	delete(b.guard.enforcers, b)
@@ -70,14 +74,14 @@
 	close(b.closed)
 }
 
-// beginIteration begins a beginIteration: what has changed by time alone is in force before anything else happens in it.
+// beginIteration puts into force what has changed by time alone, before anything else happens in an iteration.
 func (b *residencyEnforcer) beginIteration() {
 	if b.now = max(b.now, b.guard.clock()); b.now >= b.nextChangeAt {
 		b.restrictAll()
 	}
 }
 
-// setPolicy takes a standing. A renewed lease changes nothing for those that are open.
+// setPolicy puts a policy into force. A renewed lease changes nothing for open searches.
 func (b *residencyEnforcer) setPolicy(s *residency.CompiledPolicy) {
 	renewed := s.DiffersOnlyInLease(b.policy) && b.now < b.policy.LeaseExpiry
 	b.policy = s
@@ -90,7 +94,7 @@
 	b.restrictAll()
 }
 
-// updateHosts takes a list or changes of it into account, before anything is sent under it.
+// updateHosts applies a list or changes of it, before anything is sent under it.
 func (b *residencyEnforcer) updateHosts(how string, hosts []plan.ListedHost) {
 	told := make([]residency.Host, 0, len(hosts))
 	for _, host := range hosts {
@@ -99,7 +103,7 @@
 	b.hosts.UpdateHosts(b.now, how != "Partial", told)
 }
 
-// restrictAll looks at all open searches anew, in their order.
+// restrictAll computes the restrictions of all open searches anew, in the order of their ids.
 func (b *residencyEnforcer) restrictAll() {
 	clear(b.restrictions)
 	for _, id := range slices.Sorted(maps.Keys(b.loop.searches.byID)) {
@@ -110,7 +114,7 @@
 	b.scheduleCheck()
 }
 
-// scheduleCheck looks again when what holds changes by itself.
+// scheduleCheck has the policy checked when its effect changes by itself.
 func (b *residencyEnforcer) scheduleCheck() {
 	b.nextChangeAt = min(b.policy.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
 	b.loop.stopTimer(&b.checkTimer)
@@ -119,7 +123,7 @@
 	}
 }
 
-// check is a wake's: the two clocks may differ by a little.
+// check is the check timer's task: the two clocks may differ a little.
 func (b *residencyEnforcer) check() {
 	if b.now >= b.nextChangeAt {
 		b.restrictAll()
@@ -128,6 +132,7 @@
 	}
 }
 
+// names returns the tenant's and the class's name of a search.
 func (b *residencyEnforcer) names(search *search) (tenant, class string) {
 	if search.tenant < len(b.tenants) {
 		tenant = b.tenants[search.tenant]
@@ -135,7 +140,8 @@
 	return tenant, b.classes[search.class]
 }
 
-// restrict tells the module which hosts a search may use. One that its contract leaves none for a block ends at once.
+// restrict tells the balancer which hosts a search may use. A search whose contract leaves no host for a block ends at
+// once.
 func (b *residencyEnforcer) restrict(search *search) {
 	if search.ended {
 		return
@@ -175,7 +181,7 @@
 	}
 }
 
-// countOutstanding counts a search's sub-requests that are countOutstanding.
+// countOutstanding returns how many attempts of a search are in flight.
 func (b *residencyEnforcer) countOutstanding(search *search) (n int) {
 	for _, request := range search.shardRequests {
 		for _, attempt := range request.attempts {
@@ -187,14 +193,15 @@
 	return n
 }
 
+// allows says whether the policy allows a replica for a tenant's and class's shard.
 func (b *residencyEnforcer) allows(tenant, class string, shard int, replica string) bool {
 	rule := b.policy.RuleFor(b.now, tenant, class, shard)
 	return rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, replica)))
 }
 
-// removeForbidden is the second one, where bytes leave: what is not allowed there by the contracts themselves, whatever the module
-// was told, does not go out. Guards against a fault in all that comes before it; each that it catches is one. Fenced: what
-// is left may not be begun after the lease's end.
+// removeForbidden is the check before sending: it removes from a batch what the contracts themselves forbid, whatever
+// the balancer was told. It handles a fault in all that comes before it; each attempt that it stops is one. It returns
+// whether the rest may not be sent after the lease's expiry.
 func (b *residencyEnforcer) removeForbidden(batch *batch) (fenced bool) {
 	for i := 0; i < len(batch.attempts); {
 		attempt := batch.attempts[i]
@@ -214,7 +221,7 @@
 	return fenced
 }
 
-// refusalOf tells a final answer that a contract has brought about.
+// refusalOf returns the refusal of a search that ends because of a contract, or nil.
 func (b *residencyEnforcer) refusalOf(search *search) *residency.SearchRejectedError {
 	if b == nil || b.searchInRestriction != search || search.refusal == nil {
 		return nil
--- a/coordinator/residency_guard.go
+++ b/coordinator/residency_guard.go
@@ -15,8 +15,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// ResidencyGuard is what holds in a process whose installation has contracts: the standing in force, told to each
-// co-ordinator, and what is counted. It is safe for several goroutines.
+// ResidencyGuard holds the residency policy in force of a process, which it hands to each of its event loops, and
+// counts what it prevents. It is safe for concurrent use.
 type ResidencyGuard struct {
 	clock func() int64 // monotonic wall time in ticks
 
@@ -28,7 +28,8 @@
 	blocked, refused, canceled, policyUpdates, fenced *metrics.Counter
 }
 
-// NewResidencyGuard begins with what is known at the start; with nothing known, nothing runs anywhere. Clock is wall time in tenths of a millisecond that never goes back.
+// NewResidencyGuard begins with the policy that is known at the start; nil allows nothing anywhere. clock returns
+// monotonic wall time in ticks.
 func NewResidencyGuard(first *residency.CompiledPolicy, clock func() int64) *ResidencyGuard {
 	if first == nil {
 		first = residency.DenyAll()
@@ -49,23 +50,24 @@
 	return r
 }
 
-// Policy is what is in force.
+// Policy returns the policy in force.
 func (r *ResidencyGuard) Policy() *residency.CompiledPolicy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.policy
 }
 
-// MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
+// MayStoreInZone says whether data about a tenant's searches may be kept in a zone; counts and digests may be kept
+// anywhere.
 func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
 	return r.Policy().AllowsTenantData(r.clock(), settings.FormatValue(tenant), plan.ZoneName(zone))
 }
 
-// BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
+// BlockedDispatches returns how many attempts the check before sending has stopped. Each is a fault of this program.
 func (r *ResidencyGuard) BlockedDispatches() uint64 { return r.blocked.Get() }
 
-// SetPolicy puts a standing in force and returns once every co-ordinator of the process keeps to it: from then on nothing that
-// it forbids is sent, and what was out has been called off.
+// SetPolicy puts a policy into force and returns once every event loop of the process follows it: from then on nothing
+// that it forbids is sent, and what was in flight has been canceled.
 func (r *ResidencyGuard) SetPolicy(s *residency.CompiledPolicy) {
 	r.mu.Lock()
 	r.policy = s
@@ -84,10 +86,10 @@
 	}
 }
 
-// writeMetrics tells what is counted in the common text form.
+// writeMetrics writes the counters in the Prometheus text form.
 func (r *ResidencyGuard) writeMetrics(to io.Writer) { r.metricSet.WritePrometheus(to) }
 
-// residencyRefusalBody is the own front's answer to a refused search. 503 where another instance may know more.
+// residencyRefusalBody returns the HTTP response to a refused search: 503 where another instance may have a lease.
 func residencyRefusalBody(r *residency.SearchRejectedError) (status int, body []byte) {
 	if status = 451; r.Reason == residency.ReasonLeaseExpired {
 		status = 503
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -33,8 +33,8 @@
 	unsentBytes atomic.Int64 // of answers that clients have not taken
 }
 
-// search is one search from its request to its final answer. The front that took it makes it; reply is
-// what it leaves for that answer.
+// search is one search from its request to its final answer. Its frontend makes it and sets reply, which receives that
+// answer on the event loop's goroutine; all else is the event loop's once startSearch has been called.
 type search struct {
 	name, key     string
 	text          []byte
@@ -62,7 +62,7 @@
 	refusal    *residency.SearchRejectedError // why some can run nowhere
 }
 
-// shardRequest is one shardRequest of a search's step.
+// shardRequest is the part of a search's step that one shard answers.
 type shardRequest struct {
 	id         uint64
 	search     *search
@@ -80,7 +80,7 @@
 	inlineAttempts [1]*attempt
 }
 
-// appendName adds its sub-requests' id on the wire.
+// appendName appends the name that its attempts have on the wire.
 func (p *shardRequest) appendName(dst []byte) []byte {
 	dst = strconv.AppendInt(append(append(dst, p.search.name...), '.'), int64(p.shard), 10)
 	if p.step == 2 {
@@ -89,18 +89,19 @@
 	return dst
 }
 
-// scoreValue is its score as a number.
+// scoreValue returns its score as a number, of any size.
 func (p *shardRequest) scoreValue() *big.Int {
 	n, _ := new(big.Int).SetString(string(p.score), 10)
 	return n
 }
 
-// isSettled tells that the part needs no more.
+// isSettled says whether no more answers to it are needed.
 func (p *shardRequest) isSettled() bool {
 	return p.completed || p.search.ended || p.step != p.search.step
 }
 
-// startSearch hands a search to the module. What is held is bounded by the clients' connections: one search each.
+// startSearch hands a search to the balancer. The number of open searches is bounded by the clients' connections, of
+// which each has one.
 func (loop *eventLoop) startSearch(search *search) {
 	if loop.searches.names[search.name] { // replicas could not distinguish the attempts of the two
 		search.ended = true
@@ -120,6 +121,7 @@
 	loop.addShardRequests(search, search.shards, search.weights)
 }
 
+// addShardRequests adds the shard requests of a search's step, in as few allocations as there can be.
 func (loop *eventLoop) addShardRequests(search *search, shards []int, weights []float64) {
 	from, all := len(search.shardRequests), make([]shardRequest, len(shards))
 	search.shardRequests = slices.Grow(search.shardRequests, len(shards))
@@ -144,17 +146,18 @@
 	}
 }
 
-// holdBytes counts what a search holds, against memory that follows what answers happen to be long. The module turns
-// searches away when there is no room: guards against an end by the kernel.
+// holdBytes counts what a search holds. The balancer sheds searches when memory is short, which keeps the kernel from
+// ending the process over long answers.
 func (loop *eventLoop) holdBytes(search *search, n int) {
 	search.heldBytes += int64(n)
 	loop.searches.heldBytes += int64(n)
 }
 
+// followUpCount returns how many shard requests the second step of a class has, 0 for no second step.
 func (loop *eventLoop) followUpCount(qtype int) int { return loop.rules.followUpCounts[qtype] }
 
-// startSecondStep makes the parts of the second step: at the shards with the highest scores, the lower number
-// first among equals, with equal weights.
+// startSecondStep adds the shard requests of the second step, with equal weights: those of the shards with the highest
+// scores, lower shards first among equals.
 func (loop *eventLoop) startSecondStep(search *search, in []*shardRequest, most int) {
 	if search.ended {
 		return
@@ -172,6 +175,7 @@
 	loop.addShardRequests(search, shards, weights)
 }
 
+// completedParts returns the completed shard requests of the current step, in the search's order.
 func (loop *eventLoop) completedParts(search *search) []*shardRequest {
 	in := make([]*shardRequest, 0, len(search.shardRequests))
 	for _, request := range search.shardRequests {
--- a/coordinator/search_api.go
+++ b/coordinator/search_api.go
@@ -18,12 +18,13 @@
 const frontendDescriptorShare = 0.15 // of the descriptors go to other frontends, out of those for clients
 
 // Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
-// returns; it ends at once with ctx. It hands searches in by the door.
+// returns; it ends at once with ctx. It submits searches through the SearchAPI.
 type Frontend interface {
 	Serve(ctx, stopping context.Context, d *SearchAPI) error
 }
 
-// SearchAPI hands other fronts' searches to the owner: the same module and the same rules as for the own front.
+// SearchAPI submits other frontends' searches to the event loop, under the same rules as those of its own clients. It
+// is safe for concurrent use.
 type SearchAPI struct {
 	CoordinatorName string
 	MaxConnections  int  // that the frontend may hold
@@ -41,8 +42,9 @@
 	hostCountByCell map[int]int // of listed hosts
 }
 
-// SearchRequest is one search. Check looks at a host's value for a part before it counts as in, in the goroutine of the
-// connection it came on: one that it refuses is an errored sub-request. What it gives back stands in the result.
+// SearchRequest is one search. DecodeValue checks a host's value for a shard before it counts as completed, on the
+// goroutine of the connection that it came on: a value that it refuses is a failed attempt. What it returns stands in
+// the result.
 type SearchRequest struct {
 	ID          string // unique among open searches
 	Type        string
@@ -54,7 +56,7 @@
 	DecodeValue func(shard int, value []byte) (any, error)
 }
 
-// How a search ended.
+// Outcomes of a search.
 const (
 	OutcomeAnswered         = outcomeAnswered
 	OutcomeShed             = outcomeShed
@@ -74,15 +76,16 @@
 	ResidencyRefusal *residency.SearchRejectedError
 }
 
-// PartResult is a part that is in, with what Check gave for it.
+// PartResult is a shard's answer: what DecodeValue returned for it.
 type PartResult struct {
 	Shard int
 	Value any
 }
 
-// ErrUnknownTypeOrTenant is a search that cannot be taken.
+// ErrUnknownTypeOrTenant is a search whose type or tenant the plan does not have.
 var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
 
+// newSearchAPI returns the API of an event loop.
 func newSearchAPI(loop *eventLoop) *SearchAPI {
 	api := &SearchAPI{
 		CoordinatorName: loop.plan.Name, loop: loop, SendRetryAfter: loop.plan.Settings["Permissions.RetryAfter"] == "true", classes: loop.plan.PositionsByName("Classes"), tenants: loop.plan.PositionsByName("Tenants"),
@@ -98,7 +101,7 @@
 	return api
 }
 
-// ValidateTypeAndTenant tells whether there is such a type, and such a partner where partners are named at all.
+// ValidateTypeAndTenant returns an error for a type that the plan does not have, or a tenant, where it has any.
 func (d *SearchAPI) ValidateTypeAndTenant(qtype, tenant string) error {
 	if _, ok := d.classes[qtype]; !ok {
 		return fmt.Errorf("%w: type %q", ErrUnknownTypeOrTenant, qtype)
@@ -109,16 +112,16 @@
 	return nil
 }
 
-// SearchTimeout is how long a search of a type may take at the most.
+// SearchTimeout returns how long a search of a type may take at the most.
 func (d *SearchAPI) SearchTimeout(qtype string) time.Duration { return d.timeouts[d.classes[qtype]] }
 
-// BusyTime is how much time the owner has spent in turns so far: background work holds back by it.
+// BusyTime returns how much time the event loop has spent in iterations: background work waits by it.
 func (d *SearchAPI) BusyTime() time.Duration { return time.Duration(d.loop.busyNanos.Load()) }
 
-// BlockCount tells how many blocks there are.
+// BlockCount returns how many blocks the data is in.
 func (d *SearchAPI) BlockCount() int { return d.loop.plan.BlockCount() }
 
-// HasBlockHost tells whether a listed host holds a block.
+// HasBlockHost says whether a listed host holds a block.
 func (d *SearchAPI) HasBlockHost(block int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,7 +133,7 @@
 	return false
 }
 
-// BlockHosts names the listed hosts that hold a block, with their addresses.
+// BlockHosts returns the ids and addresses of the listed hosts that hold a block, by id.
 func (d *SearchAPI) BlockHosts(block int) (names, addrs []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -146,14 +149,14 @@
 	return names, addrs
 }
 
-// HostCount counts the listed hosts.
+// HostCount returns the number of listed hosts.
 func (d *SearchAPI) HostCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.cellByHost)
 }
 
-// updateHosts takes in a list or changes of it.
+// updateHosts applies a list or changes of it.
 func (d *SearchAPI) updateHosts(full bool, hosts []plan.ListedHost) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,7 +175,7 @@
 	}
 }
 
-// Search hands a search in and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
+// Search submits a search and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
 func (d *SearchAPI) Search(ctx context.Context, request SearchRequest) (SearchResult, error) {
 	if err := d.ValidateTypeAndTenant(request.Type, request.Tenant); err != nil {
 		return SearchResult{}, err
--- a/coordinator/search_end.go
+++ b/coordinator/search_end.go
@@ -19,6 +19,7 @@
 	refusal       *residency.SearchRejectedError
 }
 
+// Outcomes of a search.
 const (
 	outcomeAnswered = iota
 	outcomeShed
@@ -28,6 +29,8 @@
 	outcomeClientGone       // of a SearchEnd alone: the client has left
 )
 
+// AnswerSearch ends a search with an answer, complete or not, or starts its second step. It implements
+// balancer.Actions.
 func (loop *eventLoop) AnswerSearch(id uint64, whole bool) {
 	search := loop.searches.byID[id]
 	if search == nil {
@@ -48,14 +51,17 @@
 	search.reply(searchOutcome{outcome: outcomeAnswered, complete: whole, parts: in, pendingWrites: first})
 }
 
+// ShedSearch rejects a search; retryAfter, where it is above 0, is in ticks. It implements balancer.Actions.
 func (loop *eventLoop) ShedSearch(id uint64, retryIn int64) {
 	loop.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryIn})
 }
 
+// FailSearch ends a search with an error. It implements balancer.Actions.
 func (loop *eventLoop) FailSearch(id uint64) {
 	loop.endSearch(id, searchOutcome{outcome: outcomeFailed})
 }
 
+// endSearch ends a search without an answer.
 func (loop *eventLoop) endSearch(id uint64, outcome searchOutcome) {
 	if search := loop.searches.byID[id]; search != nil {
 		if outcome.refusal = loop.enforcer.refusalOf(search); outcome.refusal != nil {
@@ -68,7 +74,8 @@
 	}
 }
 
-// withdrawSearch tells the module that the client has left; what it gives has to be out before anything is said to it.
+// withdrawSearch cancels a search whose client has left. It returns the writes that have to end before anything is
+// sent to that client.
 func (loop *eventLoop) withdrawSearch(search *search) (first []pendingWrite) {
 	if search.ended {
 		return nil
@@ -79,7 +86,8 @@
 	return first
 }
 
-// withdrawGoneClients withdraws the searches whose clients have left, though their readers have not said so yet.
+// withdrawGoneClients withdraws the searches whose clients have closed their connections, though their readers have
+// not reported it yet.
 func (loop *eventLoop) withdrawGoneClients() {
 	var gone []*search
 	for _, s := range loop.searches.byID {
@@ -93,13 +101,14 @@
 	}
 }
 
-// SearchEnd is how a search ended, for those that keep sums beside the owner.
+// SearchEnd is how a search ended, for statistics beside the event loop.
 type SearchEnd struct {
 	Type, Outcome int           // the class's position, and OutcomeAnswered, OutcomeShed and so on
 	Duration      time.Duration // since the search arrived
 	Attempts      int           // of all shard requests
 }
 
+// notifySearchEnd calls OnSearchEnd.
 func (loop *eventLoop) notifySearchEnd(search *search, kind int) {
 	if loop.OnSearchEnd == nil {
 		return
@@ -111,7 +120,8 @@
 	loop.OnSearchEnd(e)
 }
 
-// finishSearch forgets a search and gives what has to be out before its final answer is, until the next one is finished.
+// finishSearch forgets a search. It returns the writes that have to end before its final answer; the slice is valid
+// until the next call.
 func (loop *eventLoop) finishSearch(search *search) (first []pendingWrite) {
 	first = loop.searches.pendingWrites[:0]
 	defer func() { loop.searches.pendingWrites = first }()
@@ -148,8 +158,8 @@
 	return first
 }
 
-// dropShardRequest forgets a part once its search is over and all its sub-requests are told: until then the module may
-// cancel them.
+// dropShardRequest forgets a shard request once its search has ended and the balancer has all its outcomes: until then
+// the balancer may cancel its attempts.
 func (loop *eventLoop) dropShardRequest(request *shardRequest) {
 	if request.search.ended && request.unreported == 0 {
 		delete(loop.searches.shardRequests, request.id)
--- a/coordinator/shard_listener.go
+++ b/coordinator/shard_listener.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// sharedListener deals the connections of one listener to several.
+// sharedListener distributes the connections of one listener to several event loops.
 type sharedListener struct {
 	listener net.Listener
 	shards   []*shardListener
@@ -15,7 +15,7 @@
 	open int
 }
 
-// shardListener is one's part of a listener.
+// shardListener is one event loop's part of a listener. It implements net.Listener.
 type shardListener struct {
 	*sharedListener
 	accepted  chan acceptResult
@@ -29,6 +29,7 @@
 	err  error
 }
 
+// newSharedListener returns a listener for n event loops; distribute has to run.
 func newSharedListener(from net.Listener, n int) *sharedListener {
 	s := &sharedListener{listener: from, open: n}
 	for range n {
@@ -37,6 +38,7 @@
 	return s
 }
 
+// Accept implements net.Listener.
 func (d *shardListener) Accept() (net.Conn, error) {
 	select {
 	case t := <-d.accepted:
@@ -46,9 +48,10 @@
 	}
 }
 
+// Addr implements net.Listener.
 func (d *shardListener) Addr() net.Addr { return d.listener.Addr() }
 
-// Close gives up one's part; the last closes the listener.
+// Close gives one event loop's part up; the last one closes the listener.
 func (d *shardListener) Close() error {
 	last := false
 	d.closeOnce.Do(func() {
@@ -64,8 +67,8 @@
 	return nil
 }
 
-// distribute hands connections round: to the next in turn that is waiting for one, or else to the first that is. Guards
-// against one that has no room and would hold up the others.
+// distribute hands connections round-robin to an event loop that waits for one, so that one without room does not
+// delay the others. It returns once the listener is closed.
 func (s *sharedListener) distribute() {
 	for turn := 0; ; turn++ {
 		conn, err := s.listener.Accept()
@@ -78,6 +81,7 @@
 	}
 }
 
+// handOver hands a connection over, to the event loop of this turn or else to the next that accepts.
 func (s *sharedListener) handOver(t acceptResult, turn int) bool {
 	n := len(s.shards)
 	for i := range n {
--- a/coordinator/sharded.go
+++ b/coordinator/sharded.go
@@ -12,10 +12,9 @@
 	"chalkring/endpoints"
 )
 
-// ServeSharded serves with so many co-ordinators in one process, each with an owner and a module of its own and its part of
-// the clients' connections, descriptors, memory and budget: an owner takes one core at the most. To the rules that all
-// co-ordinators keep together they are so many more, and that is what their settings say. Other fronts, peers and
-// what is kept on disk are the first one's.
+// ServeSharded serves with n event loops in one process, since one uses one core at the most. Each has a balancer of
+// its own and its part of the clients' connections, descriptors, memory and budget; to rules that all coordinators
+// keep together each counts as a coordinator. Other frontends, peers and persistence are the first one's.
 func ServeSharded(ctx context.Context, p *plan.Plan, options Options, n int) error {
 	if n <= 1 {
 		return Serve(ctx, p, options)
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -19,9 +19,9 @@
 	closeAfterAnswer atomic.Bool               // each answer ends its connection, as maxStopTime is over
 }
 
-// shutDown begins the end once ctx ends: new connections are taken for acceptAfterStop, since the platform still sends. Those that
-// are open are served until their clients close them or send nothing for stopIdleTimeout, for maxStopTime at the longest; the owner
-// ends with the last of them.
+// shutDown ends the coordinator once ctx is done. New connections are accepted for acceptAfterStop, since the platform
+// still sends. Open ones are served until their clients close them or send nothing for stopIdleTimeout, for
+// maxStopTime at the longest; the event loop ends with the last of them.
 func (loop *eventLoop) shutDown(ctx context.Context, cancel context.CancelFunc) error {
 	defer cancel()
 	select {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// acceptLast has the listener closed once the connections that have come are taken. Guards against a process that was held up:
-// what waits in the system's queue is reset by the close. A listener that knows no deadline is closed at once.
+// acceptLast has the listener closed once the connections that have arrived are accepted: those that wait in the
+// system's queue would be reset by the close. A listener without deadlines is closed at once.
 func (loop *eventLoop) acceptLast() {
 	ln, ok := loop.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok || ln.SetDeadline(time.Now().Add(finalReadGrace)) != nil {
@@ -61,11 +61,11 @@
 	}
 }
 
-// isStopping tells that the co-ordinator has been isStopping to end.
+// isStopping says whether a shutdown has begun.
 func (loop *eventLoop) isStopping() bool { return loop.stop.answerDeadline.Load() != nil }
 
-// limitTimeout is how long a search that came then may take. Guards against SIGKILL: what comes as the co-ordinator stops has its
-// final answer before that may come, whatever time its client gives.
+// limitTimeout returns how long a search that arrived at a time may take: during shutdown it has to be answered before
+// SIGKILL, whatever time its client gives.
 func (loop *eventLoop) limitTimeout(patience time.Duration, came time.Time) time.Duration {
 	by := loop.stop.answerDeadline.Load()
 	if by == nil {
@@ -74,4 +74,5 @@
 	return max(time.Millisecond, min(patience, by.Sub(came)))
 }
 
+// errAllAnswered ends the coordinator's goroutines: a shutdown is complete.
 var errAllAnswered = errors.New("all is answered")
--- a/coordinator/socket_state.go
+++ b/coordinator/socket_state.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawConnOf is a connection's socket, nil where it has none or is closed here.
+// rawConnOf returns a connection's socket, or nil where it has none or is closed here.
 func rawConnOf(conn net.Conn) syscall.RawConn {
 	there, ok := conn.(syscall.Conn)
 	if !ok {
@@ -22,8 +22,8 @@
 	return raw
 }
 
-// checkClientGone looks once more, without waiting, whether the client has gone. Guards against a request that is sent on for nobody,
-// in a process that comes late to read it.
+// checkClientGone checks once more, without waiting, whether the client has left: in a process that reads late, a
+// request would be dispatched for nobody.
 func (c *clientConnection) checkClientGone() error {
 	if c.readAvailable == nil {
 		return nil
@@ -35,7 +35,7 @@
 	return nil // nothing more has arrived, or it is not known
 }
 
-// hasHungUp tells whether the client has ended its side of the connection, as far as the system knows.
+// hasHungUp says whether the client has closed its side of the connection, as far as the system knows.
 func (c *clientConnection) hasHungUp() (ended bool) {
 	raw := rawConnOf(c.conn)
 	if raw == nil {
@@ -49,7 +49,8 @@
 	return ended || closed != nil
 }
 
-// nonBlockingRead gives a read of a connection that does not wait, made once for all its requests; nil where there is none.
+// nonBlockingRead returns a read of a connection that does not wait, allocated once for all its requests; nil where
+// the connection has no socket.
 func nonBlockingRead(conn net.Conn) func(p []byte) (int, error) {
 	raw := rawConnOf(conn)
 	if raw == nil {
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -24,7 +24,7 @@
 	caughtUpAt int64 // when sockets were last read before an iteration
 }
 
-// timer is something to do at a time; place is where it stands among wakes, negative once it does not.
+// timer runs its handler at a time. It is reusable once it has fired or was stopped.
 type timer struct {
 	at       int64
 	sequence uint64
@@ -32,34 +32,42 @@
 	handler  timerHandler
 }
 
-// timerHandler is what a wake leaves behind: a step that goes on then.
+// timerHandler is called on the event loop's goroutine when a timer fires.
 type timerHandler interface{ fire(o *eventLoop) }
 
+// deferredTask is a timer handler that is a plain function.
 type deferredTask func()
 
+// fire implements timerHandler.
 func (do deferredTask) fire(*eventLoop) { do() }
 
+// timerQueue is a heap of timers by time; equal times fire in the order of their start.
 type timerQueue struct {
 	timers   []*timer
 	sequence uint64
 }
 
+// Len implements heap.Interface.
 func (w *timerQueue) Len() int { return len(w.timers) }
 
+// Less implements heap.Interface.
 func (w *timerQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(w.timers[i].at, w.timers[j].at), cmp.Compare(w.timers[i].sequence, w.timers[j].sequence)) < 0
 }
 
+// Swap implements heap.Interface.
 func (w *timerQueue) Swap(i, j int) {
 	w.timers[i], w.timers[j] = w.timers[j], w.timers[i]
 	w.timers[i].index, w.timers[j].index = i, j
 }
 
+// Push implements heap.Interface.
 func (w *timerQueue) Push(v any) {
 	v.(*timer).index = len(w.timers)
 	w.timers = append(w.timers, v.(*timer))
 }
 
+// Pop implements heap.Interface.
 func (w *timerQueue) Pop() any {
 	last := len(w.timers) - 1
 	v := w.timers[last]
@@ -69,19 +77,19 @@
 	return v
 }
 
+// runAfter runs a task after so many ticks.
 func (loop *eventLoop) runAfter(wait int64, do func()) {
 	loop.startTimer(&timer{}, wait, deferredTask(do))
 }
 
-// startTimer has a wake come after a while; it is not among the wakes yet.
+// startTimer has a timer fire after so many ticks. The timer must not be running.
 func (loop *eventLoop) startTimer(timer *timer, wait int64, do timerHandler) {
 	loop.timers.queue.sequence++
 	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.queue.sequence, do
 	heap.Push(&loop.timers.queue, timer)
 }
 
-// stopTimer takes a wake back, so that it holds nothing for the rest of its wait; one that has come or never was awaited
-// stays as it is.
+// stopTimer stops a timer and drops what it refers to. A timer that has fired or never ran stays as it is.
 func (loop *eventLoop) stopTimer(timer *timer) {
 	if timer.handler == nil {
 		return
@@ -91,12 +99,13 @@
 	}
 }
 
-// balancerTimer is one that the module asked for.
+// balancerTimer is a timer that the balancer has set.
 type balancerTimer struct {
 	timer
 	label uint64
 }
 
+// fire implements timerHandler.
 func (w *balancerTimer) fire(loop *eventLoop) {
 	label := w.label
 	delete(loop.timers.balancer, label)
@@ -106,6 +115,7 @@
 	loop.balancer.HandleTimer(label)
 }
 
+// SetTimer has the balancer's timer of a label fire after so many ticks. It implements balancer.Actions.
 func (loop *eventLoop) SetTimer(wait int64, label uint64) {
 	var w *balancerTimer
 	if n := len(loop.timers.spare); n > 0 {
@@ -118,6 +128,7 @@
 	loop.startTimer(&w.timer, max(wait, 1), w)
 }
 
+// CancelTimer stops the balancer's timer of a label, if it runs. It implements balancer.Actions.
 func (loop *eventLoop) CancelTimer(label uint64) {
 	w := loop.timers.balancer[label]
 	if w == nil {
@@ -130,10 +141,10 @@
 	loop.stopTimer(&w.timer)
 }
 
-// stallDetector is a wake that always is among the others while searches are open: how late it is found shows how long the process
-// was held up.
+// stallDetector is a timer that runs while searches are open: its lateness shows how long the process was stalled.
 type stallDetector struct{ timer }
 
+// fire implements timerHandler.
 func (p *stallDetector) fire(loop *eventLoop) {
 	if len(loop.searches.byID) > 0 {
 		loop.startTimer(&p.timer, int64(stallCheckInterval/tick), p)
@@ -142,7 +153,7 @@
 	}
 }
 
-// armStallDetector has it come.
+// armStallDetector starts the stall detector unless it runs.
 func (loop *eventLoop) armStallDetector() {
 	if loop.timers.stall.handler == nil {
 		loop.startTimer(&loop.timers.stall.timer, int64(stallCheckInterval/tick), &loop.timers.stall)
--- a/coordinator/wire_protocol.go
+++ b/coordinator/wire_protocol.go
@@ -6,8 +6,10 @@
 	"chalkring/opensearch/query"
 )
 
-// wireProtocol is what a kind of host speaks. It is the one place that differs from kind to kind: which replica gets a part,
-// when it is given up and what its end means are the same for all.
+// wireProtocol is the codec between the event loop and a kind of host: how attempts travel, how they are canceled, and
+// what an answer means. It is the only place that differs between kinds; which replica gets a shard request, when an
+// attempt is given up and what its end means do not depend on it. All methods but readAnswers run on the event loop's
+// goroutine.
 type wireProtocol interface {
 	attemptsPerBatch(o *eventLoop) int     // parts that travel together
 	batchesPerConnection(o *eventLoop) int // calls on one connection at once
@@ -17,8 +19,8 @@
 	readAnswers(o *eventLoop, l *replicaConnection, conn net.Conn) error
 }
 
-// HostKind is a kind of host, by the list's kind, that speaks the OpenSearch-style API; its members are in Index, in
-// blocks by the API's rule where Placed says so.
+// HostKind is a kind of host that speaks the OpenSearch-style API. Its members are in Index, placed in blocks by the
+// API's rule where Placement is set.
 type HostKind struct {
 	Index     string
 	Placement *query.Placement
