--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -64,35 +64,45 @@
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		switch now := time.Now(); {
-		case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
-			return 0, errClosing
-		case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is handled first
-			// A connection must not make room for the next one while its request has arrived and was not read.
-			if c.readAvailable != nil {
-				if n, _ := c.readAvailable(p); n > 0 {
-					return n, nil
-				}
+		if n, err := c.handleReadDeadline(p); n > 0 || err != nil {
+			return n, err
+		}
+	}
+}
+
+// handleReadDeadline decides what a read deadline that is over means. It returns bytes that were read after all, or an
+// error that ends the connection, or neither, and then sets another deadline to read on.
+func (c *clientConnection) handleReadDeadline(p []byte) (int, error) {
+	now, isReading := time.Now(), !c.requestDeadline.IsZero()
+	switch {
+	case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
+		return 0, errClosing
+	case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is handled first
+		// A connection must not make room for the next one while its request has arrived and was not read.
+		if c.readAvailable != nil {
+			if n, _ := c.readAvailable(p); n > 0 {
+				return n, nil
 			}
-			return 0, errDisplaced
-		case !c.requestDeadline.IsZero() && now.Before(c.requestDeadline):
-			c.setReadDeadline(c.requestDeadline)
-		case c.requestDeadline.IsZero() && c.isAwaitingAnswer():
-			c.clearReadDeadline()
-		case c.requestDeadline.IsZero() && c.acceptsLateRequest(now):
-			c.setReadDeadline(c.stopReadDeadline)
-		case !c.extendedOnce:
-			// after a stall of the process, the request may have arrived without time to read it
-			c.extendedOnce = true
-			c.setReadDeadline(now.Add(finalReadGrace))
-		case !c.requestDeadline.IsZero():
-			return 0, errReadTimeout
-		case c.stopping.Err() != nil:
-			return 0, errClosing
-		default:
-			return 0, errIdle
 		}
+		return 0, errDisplaced
+	case isReading && now.Before(c.requestDeadline):
+		c.setReadDeadline(c.requestDeadline)
+	case !isReading && c.isAwaitingAnswer():
+		c.clearReadDeadline()
+	case !isReading && c.acceptsLateRequest(now):
+		c.setReadDeadline(c.stopReadDeadline)
+	case !c.extendedOnce:
+		// After a stall of the process, the request may have arrived without time to read it.
+		c.extendedOnce = true
+		c.setReadDeadline(now.Add(finalReadGrace))
+	case isReading:
+		return 0, errReadTimeout
+	case c.stopping.Err() != nil:
+		return 0, errClosing
+	default:
+		return 0, errIdle
 	}
+	return 0, nil
 }
 
 // acceptsLateRequest says whether a request that arrives soon is still served during shutdown. Several goroutines may
@@ -112,69 +122,94 @@
 func (c *clientConnection) readRequests(ctx context.Context) error {
 	unhook := context.AfterFunc(c.stopping, c.interruptRead)
 	defer unhook()
-	buf := borrowBuffer()
-	defer returnBuffer(buf)
-	c.reader, c.readAvailable = http1.NewReader(c, (*buf)[:bufferSize]), nonBlockingRead(c.conn)
+	pooled := borrowBuffer()
+	defer returnBuffer(pooled)
+	buffer := (*pooled)[:bufferSize]
+	c.reader, c.readAvailable = http1.NewReader(c, buffer), nonBlockingRead(c.conn)
 	for {
-		c.requestDeadline = time.Time{}
-		switch {
-		case !c.firstDeadline.IsZero():
-			c.setIdleDeadline(c.firstDeadline)
-		case c.isAwaitingAnswer():
-			c.clearReadDeadline()
-		default:
-			c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
-		}
-		if err := c.reader.AwaitMessage(); err != nil {
-			return connectionEndOf(err)
-		}
-		if c.isAwaitingAnswer() {
-			next := c.handlePipelined
-			if c.loop.isStopping() {
-				next = c.awaitTurn
-			}
-			if err := next(ctx); err != nil && !c.lastAnswerWritten.Load() {
-				return connectionEndOf(err)
-			}
-		}
-		// This check comes after awaiting the answer, which sets the flag. Without it, a request that was read after the
-		// last answer would be dispatched: that answer may be written between two checks.
-		if c.lastAnswerWritten.Load() {
-			c.linger((*buf)[:bufferSize])
-			return errClosing
+		if err := c.awaitRequest(ctx, buffer); err != nil {
+			return err
 		}
-		c.limiter.markRequestBegun(c)
-		if c.requestDeadline = c.firstDeadline; c.firstDeadline.IsZero() {
-			c.requestDeadline = time.Now().Add(requestReadTimeout)
-		} else if c.extendedOnce {
-			c.requestDeadline = time.Now().Add(finalReadGrace)
+		keep, err := c.readRequest()
+		if err := c.handleRequestError(ctx, err, keep, buffer); err != nil {
+			return err
 		}
-		c.setReadDeadline(c.requestDeadline)
-		method, target, head, body, keep, err := c.reader.ReadRequest()
-		came := c.loop.Clock.Now()
-		c.firstDeadline, c.stopReadDeadline, c.extendedOnce = time.Time{}, time.Time{}, false
-		if err == nil {
-			c.limiter.markBusy(c)
-			c.awaitingAnswer = true
-			err = c.handleRequest(method, target, head, body, keep, came)
+	}
+}
+
+// awaitRequest waits for the first bytes of the next request, and for the answer to the one before.
+func (c *clientConnection) awaitRequest(ctx context.Context, buffer []byte) error {
+	c.requestDeadline = time.Time{}
+	switch {
+	case !c.firstDeadline.IsZero():
+		c.setIdleDeadline(c.firstDeadline)
+	case c.isAwaitingAnswer():
+		c.clearReadDeadline()
+	default:
+		c.setIdleDeadline(time.Now().Add(clientIdleTimeout))
+	}
+	if err := c.reader.AwaitMessage(); err != nil {
+		return connectionEndOf(err)
+	}
+	if c.isAwaitingAnswer() {
+		next := c.handlePipelined
+		if c.loop.isStopping() {
+			next = c.awaitTurn
 		}
-		var no requestError
-		var bad http1.InvalidMessageError
-		switch {
-		case errors.As(err, &no): // the next request's begin is known
-			c.loop.log.warnLimited("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", no.status, "error", no.text)
-			c.respond(no.status, "", []byte("{}"), keep)
-		case errors.As(err, &bad):
-			c.loop.log.warnLimited("bad_request", "bad_request", "client", c.conn.RemoteAddr().String(),
-				"status", bad.Status, "error", bad.Message)
-			c.respond(bad.Status, "", []byte("{}"), false)
-			c.linger((*buf)[:bufferSize])
-			c.awaitAnswer(ctx)
-			return errMalformed
-		case err != nil:
+		if err := next(ctx); err != nil && !c.lastAnswerWritten.Load() {
 			return connectionEndOf(err)
 		}
 	}
+	// This check comes after awaiting the answer, which sets the flag. Without it, a request that was read after the
+	// last answer would be dispatched: that answer may be written between two checks.
+	if c.lastAnswerWritten.Load() {
+		c.linger(buffer)
+		return errClosing
+	}
+	return nil
+}
+
+// readRequest reads one request whose first bytes have arrived, and starts to serve it; keep says whether its client
+// keeps the connection.
+func (c *clientConnection) readRequest() (keep bool, err error) {
+	c.limiter.markRequestBegun(c)
+	if c.requestDeadline = c.firstDeadline; c.firstDeadline.IsZero() {
+		c.requestDeadline = time.Now().Add(requestReadTimeout)
+	} else if c.extendedOnce {
+		c.requestDeadline = time.Now().Add(finalReadGrace)
+	}
+	c.setReadDeadline(c.requestDeadline)
+	method, target, head, body, keep, err := c.reader.ReadRequest()
+	arrivedAt := c.loop.Clock.Now()
+	c.firstDeadline, c.stopReadDeadline, c.extendedOnce = time.Time{}, time.Time{}, false
+	if err == nil {
+		c.limiter.markBusy(c)
+		c.awaitingAnswer = true
+		err = c.handleRequest(method, target, head, body, keep, arrivedAt)
+	}
+	return keep, err
+}
+
+// handleRequestError answers a request that could not be served. It returns nil where the next request can be read.
+func (c *clientConnection) handleRequestError(ctx context.Context, err error, keep bool, buffer []byte) error {
+	var rejected requestError
+	var invalid http1.InvalidMessageError
+	switch {
+	case errors.As(err, &rejected): // the next request's begin is known
+		c.loop.log.warnLimited("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", rejected.status,
+			"error", rejected.text)
+		c.respond(rejected.status, "", []byte("{}"), keep)
+	case errors.As(err, &invalid):
+		c.loop.log.warnLimited("bad_request", "bad_request", "client", c.conn.RemoteAddr().String(),
+			"status", invalid.Status, "error", invalid.Message)
+		c.respond(invalid.Status, "", []byte("{}"), false)
+		c.linger(buffer)
+		_ = c.awaitAnswer(ctx) // the connection ends in any case
+		return errMalformed
+	case err != nil:
+		return connectionEndOf(err)
+	}
+	return nil
 }
 
 // handlePipelined handles bytes that arrived before the answer to the request before them. If that answer is being
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
@@ -25,7 +26,7 @@
 
 // handleRequest serves one request: health, metrics or a search.
 func (c *clientConnection) handleRequest(method, target string, head map[string]string, body []byte, keep bool,
-	came time.Time,
+	arrivedAt time.Time,
 ) error {
 	loop := c.loop
 	path, key, err := parseTarget(target)
@@ -33,51 +34,25 @@
 		return badRequest("target %.40q", target)
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	_, known := c.classes[first]
-	if path == "/healthz" && (method == "GET" || !known) { // a class may have that name
-		if method != "GET" {
-			return requestError{405, "method of /healthz"}
-		}
-		loop.submit(func() {
-			status := 200
-			if !loop.hasEndpoints || loop.isStopping() {
-				status = 503
-			}
-			c.respond(status, "", []byte("{}"), keep)
-		})
-		return nil
+	_, isClass := c.classes[first]
+	if path == "/healthz" && (method == http.MethodGet || !isClass) { // a class may have that name
+		return c.serveHealth(method, keep)
 	}
-	if path == "/metrics" && method == "GET" && (loop.shadowCounts != nil || loop.enforcer != nil) {
+	if path == "/metrics" && method == http.MethodGet && (loop.shadowCounts != nil || loop.enforcer != nil) {
 		body := loop.metricsBody()
 		loop.submit(func() { c.respond(200, "Content-Type: text/plain; version=0.0.4", body, keep) })
 		return nil
 	}
-	qtype, ok := c.classes[head["x-class"]]
 	switch {
-	case method != "POST" && known:
+	case method != http.MethodPost && isClass:
 		return requestError{405, "method of a search"}
-	case method != "POST":
+	case method != http.MethodPost:
 		return requestError{404, "no such path"}
-	case !ok:
-		return badRequest("X-Class %.40q", head["x-class"])
-	case first != head["x-class"]:
-		return badRequest("X-Class is not the path's")
-	}
-	s := &search{
-		name: head["x-request-id"], key: key, class: qtype, arrivedAt: came,
-		isRetry: head["x-retry"] == "1",
-	}
-	if !isPlainName(s.name) {
-		return badRequest("X-Request-Id %.40q", s.name)
 	}
-	if s.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
-		return badRequest("X-Tenant %.40q", head["x-tenant"])
-	}
-	wait, err := strconv.ParseFloat(head["x-deadline"], 64)
-	if err != nil || strings.Trim(head["x-deadline"], "0123456789.") != "" || wait <= 0 {
-		return badRequest("X-Deadline %.40q", head["x-deadline"])
+	s, err := c.newSearch(first, key, head, arrivedAt)
+	if err != nil {
+		return err
 	}
-	s.timeout = loop.limitTimeout(time.Duration(math.Min(wait, maxClientTimeout.Seconds())*float64(time.Second)), came)
 	if err := s.readBody(body, loop.rules.blockCount); err != nil {
 		return err
 	}
@@ -90,6 +65,50 @@
 	return nil
 }
 
+// serveHealth answers whether the coordinator has a list of hosts and is not stopping.
+func (c *clientConnection) serveHealth(method string, keep bool) error {
+	if method != http.MethodGet {
+		return requestError{405, "method of /healthz"}
+	}
+	loop := c.loop
+	loop.submit(func() {
+		status := 200
+		if !loop.hasEndpoints || loop.isStopping() {
+			status = 503
+		}
+		c.respond(status, "", []byte("{}"), keep)
+	})
+	return nil
+}
+
+// newSearch returns the search that a request's path and headers describe.
+func (c *clientConnection) newSearch(pathClass, key string, head map[string]string, arrivedAt time.Time) (*search, error) {
+	class, ok := c.classes[head["x-class"]]
+	if !ok {
+		return nil, badRequest("X-Class %.40q", head["x-class"])
+	}
+	if pathClass != head["x-class"] {
+		return nil, badRequest("X-Class is not the path's")
+	}
+	s := &search{
+		name: head["x-request-id"], key: key, class: class, arrivedAt: arrivedAt,
+		isRetry: head["x-retry"] == "1",
+	}
+	if !isPlainName(s.name) {
+		return nil, badRequest("X-Request-Id %.40q", s.name)
+	}
+	if s.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
+		return nil, badRequest("X-Tenant %.40q", head["x-tenant"])
+	}
+	seconds, err := strconv.ParseFloat(head["x-deadline"], 64)
+	if err != nil || strings.Trim(head["x-deadline"], "0123456789.") != "" || seconds <= 0 {
+		return nil, badRequest("X-Deadline %.40q", head["x-deadline"])
+	}
+	timeout := time.Duration(math.Min(seconds, maxClientTimeout.Seconds()) * float64(time.Second))
+	s.timeout = c.loop.limitTimeout(timeout, arrivedAt)
+	return s, nil
+}
+
 // isPlainName says whether a text can stand in a line of a frame.
 func isPlainName(text string) bool {
 	for i := 0; i < len(text); i++ {
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -5,6 +5,8 @@
 	"errors"
 	"fmt"
 	"math/rand"
+	"net"
+	"net/http"
 	"os"
 	"time"
 
@@ -54,92 +56,138 @@
 // at once, under the subscription that there was, and backoffs begin again. In both modes the next call begins soon
 // enough that a missed change counts as known in time.
 func (loop *eventLoop) followDiscovery() error {
-	asked := loop.plan.Settings["Discovery"] == "subscribe"
-	chance, pause, moved := rand.New(rand.NewSource(loop.plan.Seed)), minPollBackoff, false
-	// A coordinator that knows no host asks for the complete list, which is answered at once: a watch call may wait for
-	// long, and nothing is served until a silent one has failed.
-	a := discoveryState{addr: loop.plan.Discovery, nextAttemptBy: time.Now().Add(maxPollDelay), needsFullList: len(loop.plan.Known.Hosts) == 0}
-	a.version = loop.plan.Known.Version
-	move := func(at string) {
-		a.addr, a.needsFullList, a.lastCallFailed = at, true, false
-		if moved, pause = true, minPollBackoff; asked {
-			v := int64(a.version)
-			loop.submit(func() { loop.balancer.CommitEndpoints("Partial", v) }) // without changes: the balancer's backoff begins again too
-		}
-	}
-	wait := func(d time.Duration) {
-		select {
-		case <-loop.Clock.After(d):
-		case at := <-loop.discovery.moves:
-			move(at)
-		case <-loop.ctx.Done():
-		}
+	follower := &discoveryFollower{
+		loop: loop, isSubscribed: loop.plan.Settings["Discovery"] == "subscribe",
+		random: rand.New(rand.NewSource(loop.plan.Seed)), backoff: minPollBackoff,
+		// A coordinator that knows no host asks for the complete list, which is answered at once: a watch call may wait
+		// for long, and nothing is served until a silent one has failed.
+		state: discoveryState{
+			addr: loop.plan.Discovery, version: loop.plan.Known.Version, needsFullList: len(loop.plan.Known.Hosts) == 0,
+			nextAttemptBy: time.Now().Add(maxPollDelay),
+		},
 	}
-	atOnce := false
-	for spread := time.Duration(0); ; {
-		if asked && !moved && !atOnce {
-			late := time.NewTimer(a.remaining()) // the balancer's backoff does not count the time of a silent call
-			select {
-			case <-loop.discovery.polls:
-			case <-late.C:
-			case at := <-loop.discovery.moves:
-				move(at)
-			case <-loop.ctx.Done():
-			}
-			late.Stop()
-		}
-		if spread = min(spread, time.Until(a.nextAttemptBy)); asked && !moved && spread > 0 {
-			wait(time.Duration(chance.Int63n(int64(spread))))
-		}
+	for {
+		follower.awaitTurn()
 		if loop.ctx.Err() != nil {
 			return nil
 		}
-		failed, next := make(chan error, 1), ""
-		ctx, cancel := context.WithCancel(loop.ctx)
-		loop.group.Go(func() error {
-			failed <- loop.log.recoverPanic(func() error { return loop.watchDiscovery(ctx, &a, chance) })
-			return nil
-		})
-		var err error
-		select {
-		case err = <-failed:
-		case next = <-loop.discovery.moves:
-			cancel()
-			<-failed
-		}
-		cancel()
-		if moved = next != ""; moved {
-			move(next)
+		movedTo, err := follower.watch()
+		if follower.hasMoved = movedTo != ""; follower.hasMoved {
+			follower.move(movedTo)
 			continue
 		}
 		if loop.ctx.Err() != nil {
 			return nil
 		}
-		loop.log.Warn("list_failed", "discovery", a.addr, "version", int64(a.version), "error", err)
-		spread = loop.lossSpread(err)
-		// The first call after a silent one follows at once: waiting on top of the silence would delay changes, which count
-		// as known soon. Calls of all coordinators fall silent one by one, so this does not gang up on discovery.
-		atOnce = isSilence(err) && !a.lastCallFailed
-		if a.lastCallFailed = true; a.answeredSinceFailure {
-			pause = minPollBackoff
-		}
-		a.answeredSinceFailure = false
-		if asked {
-			select {
-			case <-loop.discovery.polls: // of an earlier subscription
-			default:
-			}
-			loop.submit(func() { loop.balancer.CommitEndpoints("Error", 0) })
-			continue
-		}
-		if atOnce {
-			continue
+		follower.handleFailure(err)
+	}
+}
+
+// discoveryFollower is the state of followDiscovery, between one series of calls and the next.
+type discoveryFollower struct {
+	loop         *eventLoop
+	state        discoveryState
+	random       *rand.Rand
+	isSubscribed bool // polling is left to the balancer
+	hasMoved     bool // discovery has another address since the last call
+	pollsAtOnce  bool
+	backoff      time.Duration
+	spread       time.Duration // over which the next call is spread
+}
+
+// move follows discovery to another address.
+func (f *discoveryFollower) move(addr string) {
+	f.state.addr, f.state.needsFullList, f.state.lastCallFailed = addr, true, false
+	if f.hasMoved, f.backoff = true, minPollBackoff; f.isSubscribed {
+		f.loop.resetBalancerBackoff(f.state.version)
+	}
+}
+
+// resetBalancerBackoff commits changes that are none, after which the balancer's backoff begins again.
+func (loop *eventLoop) resetBalancerBackoff(version float64) {
+	loop.submit(func() { loop.balancer.CommitEndpoints("Partial", int64(version)) })
+}
+
+// awaitTurn waits until the next call may begin.
+func (f *discoveryFollower) awaitTurn() {
+	if f.isSubscribed && !f.hasMoved && !f.pollsAtOnce {
+		f.awaitSubscription()
+	}
+	f.spread = min(f.spread, time.Until(f.state.nextAttemptBy))
+	if f.isSubscribed && !f.hasMoved && f.spread > 0 {
+		f.wait(time.Duration(f.random.Int63n(int64(f.spread))))
+	}
+}
+
+// awaitSubscription waits for the balancer's next subscription, but not for longer than a missed change may take: the
+// balancer's backoff does not count the time of a silent call.
+func (f *discoveryFollower) awaitSubscription() {
+	late := time.NewTimer(f.state.remaining())
+	defer late.Stop()
+	select {
+	case <-f.loop.discovery.polls:
+	case <-late.C:
+	case addr := <-f.loop.discovery.moves:
+		f.move(addr)
+	case <-f.loop.ctx.Done():
+	}
+}
+
+func (f *discoveryFollower) wait(d time.Duration) {
+	select {
+	case <-f.loop.Clock.After(d):
+	case addr := <-f.loop.discovery.moves:
+		f.move(addr)
+	case <-f.loop.ctx.Done():
+	}
+}
+
+// watch makes calls until one fails, or until discovery has moved to another address.
+func (f *discoveryFollower) watch() (movedTo string, err error) {
+	failed := make(chan error, 1)
+	ctx, cancel := context.WithCancel(f.loop.ctx)
+	defer cancel()
+	f.loop.group.Go(func() error {
+		failed <- f.loop.log.recoverPanic(func() error { return f.loop.watchDiscovery(ctx, &f.state, f.random) })
+		return nil
+	})
+	select {
+	case err = <-failed:
+	case movedTo = <-f.loop.discovery.moves:
+		cancel()
+		<-failed
+	}
+	return movedTo, err
+}
+
+// handleFailure reports a failed call and decides when the next one begins.
+func (f *discoveryFollower) handleFailure(err error) {
+	loop, state := f.loop, &f.state
+	loop.log.Warn("list_failed", "discovery", state.addr, "version", int64(state.version), "error", err)
+	f.spread = loop.lossSpread(err)
+	// The first call after a silent one follows at once: waiting on top of the silence would delay changes, which count
+	// as known soon. Calls of all coordinators fall silent one by one, so this does not gang up on discovery.
+	f.pollsAtOnce = isSilence(err) && !state.lastCallFailed
+	if state.lastCallFailed = true; state.answeredSinceFailure {
+		f.backoff = minPollBackoff
+	}
+	state.answeredSinceFailure = false
+	if f.isSubscribed {
+		select {
+		case <-loop.discovery.polls: // of an earlier subscription
+		default:
 		}
-		p := min(pause, a.remaining()*2/3)
-		d := p/2 + time.Duration(chance.Int63n(int64(max(p, min(spread, a.remaining()-p/2)))))
-		pause = min(2*pause, maxPollBackoff)
-		wait(d)
+		loop.submit(func() { loop.balancer.CommitEndpoints("Error", 0) })
+		return
+	}
+	if f.pollsAtOnce {
+		return
 	}
+	backoff := min(f.backoff, state.remaining()*2/3)
+	jitter := max(backoff, min(f.spread, state.remaining()-backoff/2))
+	delay := backoff/2 + time.Duration(f.random.Int63n(int64(jitter)))
+	f.backoff = min(2*f.backoff, maxPollBackoff)
+	f.wait(delay)
 }
 
 // watchWait returns how long one call for changes may wait. It is bounded, since a silent connection shows only when
@@ -162,62 +210,19 @@
 }
 
 // watchDiscovery makes one call after another until one fails, and returns its error.
-func (loop *eventLoop) watchDiscovery(ctx context.Context, state *discoveryState, chance *rand.Rand) error {
-	for together := true; ; { // the next call may begin together with those of other coordinators
+func (loop *eventLoop) watchDiscovery(ctx context.Context, state *discoveryState, random *rand.Rand) error {
+	// The first call may begin together with those of other coordinators.
+	watch := discoveryWatch{loop: loop, state: state, random: random, isSynchronized: true}
+	for {
 		state.nextAttemptBy = time.Now().Add(maxPollDelay)
-		up, cancel := context.WithTimeout(ctx, watchAnswerSlack)
-		conn, err := loop.Dial(up, "tcp", state.addr)
+		dialCtx, cancel := context.WithTimeout(ctx, watchAnswerSlack)
+		conn, err := loop.Dial(dialCtx, "tcp", state.addr)
 		cancel()
 		if err != nil {
 			return fmt.Errorf("%w: %w", errNotConnected, err)
 		}
 		unhook := context.AfterFunc(ctx, func() { conn.Close() })
-		buf := borrowBuffer()
-		rd := http1.NewReader(conn, (*buf)[:bufferSize])
-		for keep := true; keep && err == nil; {
-			wait := loop.watchWait()
-			switch {
-			case state.needsFullList:
-				wait = fullListTimeout
-			case state.lastCallFailed: // continued silence has to show soon
-				wait = min(wait, 2*watchInterval)
-			case together && wait > 2*watchInterval: // one change ends the calls of all coordinators: the next ones end, or fall silent, one by one
-				wait -= time.Duration(chance.Int63n(int64(wait / 2)))
-			}
-			target := fmt.Sprintf("/v1/servers?index=%.0f&wait=%d", state.version, wait.Milliseconds())
-			if state.needsFullList {
-				target = "/v1/servers"
-			}
-			asked, before, anew := time.Now(), state.version, state.needsFullList
-			conn.SetDeadline(asked.Add(wait + watchAnswerSlack))
-			state.nextAttemptBy = asked.Add(max(maxPollDelay, wait+watchAnswerSlack))
-			if _, err = conn.Write(http1.AppendGetRequest(nil, target, state.addr)); err != nil {
-				break
-			}
-			var status int
-			var body []byte
-			if status, _, body, keep, err = rd.ReadResponse(); err == nil && status != 200 {
-				err = fmt.Errorf("status %d", status)
-			}
-			if err == nil {
-				err = loop.handleListAnswer(body, anew, &state.version)
-			}
-			state.needsFullList = state.needsFullList || errors.Is(err, errVersionsRestarted)
-			news := state.version != before
-			together = news
-			if err == nil && !anew && !news && time.Since(asked) < wait/2 {
-				err = errors.New("nothing new, and no wait") // a server that does not wait would be polled without pause
-			}
-			if err == nil {
-				state.answeredSinceFailure, state.needsFullList = true, false
-				if state.lastCallFailed && (!news && !anew || loop.sources != nil) { // the balancer's backoff begins again too; it only learns of lists
-					v := int64(state.version)
-					loop.submit(func() { loop.balancer.CommitEndpoints("Partial", v) })
-				}
-				state.lastCallFailed = false
-			}
-		}
-		returnBuffer(buf)
+		err = watch.callRepeatedly(conn)
 		unhook()
 		conn.Close()
 		if err != nil {
@@ -226,6 +231,82 @@
 	}
 }
 
+// discoveryWatch is a series of calls for changes.
+type discoveryWatch struct {
+	loop           *eventLoop
+	state          *discoveryState
+	random         *rand.Rand
+	isSynchronized bool // the next call may begin together with those of other coordinators
+}
+
+// callRepeatedly makes calls on one connection, until one fails or discovery closes the connection.
+func (w *discoveryWatch) callRepeatedly(conn net.Conn) (err error) {
+	buffer := borrowBuffer()
+	defer returnBuffer(buffer)
+	reader := http1.NewReader(conn, (*buffer)[:bufferSize])
+	for keep := true; keep && err == nil; {
+		keep, err = w.call(conn, reader)
+	}
+	return err
+}
+
+// call makes one call and applies its answer; keep says whether the connection stays open.
+func (w *discoveryWatch) call(conn net.Conn, reader *http1.Reader) (keep bool, err error) {
+	state, wait := w.state, w.callWait()
+	target := fmt.Sprintf("/v1/servers?index=%.0f&wait=%d", state.version, wait.Milliseconds())
+	if state.needsFullList {
+		target = "/v1/servers"
+	}
+	started, before, full := time.Now(), state.version, state.needsFullList
+	conn.SetDeadline(started.Add(wait + watchAnswerSlack))
+	state.nextAttemptBy = started.Add(max(maxPollDelay, wait+watchAnswerSlack))
+	if _, err := conn.Write(http1.AppendGetRequest(nil, target, state.addr)); err != nil {
+		return false, err
+	}
+	status, _, body, keep, err := reader.ReadResponse()
+	if err == nil && status != http.StatusOK {
+		err = fmt.Errorf("status %d", status)
+	}
+	if err == nil {
+		err = w.loop.handleListAnswer(body, full, &state.version)
+	}
+	state.needsFullList = state.needsFullList || errors.Is(err, errVersionsRestarted)
+	hasChanges := state.version != before
+	w.isSynchronized = hasChanges
+	if err == nil && !full && !hasChanges && time.Since(started) < wait/2 {
+		err = errors.New("nothing new, and no wait") // a server that does not wait would be polled without pause
+	}
+	if err == nil {
+		w.recordSuccess(full, hasChanges)
+	}
+	return keep, err
+}
+
+// callWait returns how long the next call may wait.
+func (w *discoveryWatch) callWait() time.Duration {
+	wait := w.loop.watchWait()
+	switch {
+	case w.state.needsFullList:
+		return fullListTimeout
+	case w.state.lastCallFailed: // continued silence has to show soon
+		return min(wait, 2*watchInterval)
+	case w.isSynchronized && wait > 2*watchInterval:
+		// One change ends the calls of all coordinators: the next ones end, or fall silent, one by one.
+		wait -= time.Duration(w.random.Int63n(int64(wait / 2)))
+	}
+	return wait
+}
+
+// recordSuccess records an answered call. The balancer learns of lists alone: where this one was none for it, its
+// backoff is reset.
+func (w *discoveryWatch) recordSuccess(full, hasChanges bool) {
+	w.state.answeredSinceFailure, w.state.needsFullList = true, false
+	if w.state.lastCallFailed && (!hasChanges && !full || w.loop.sources != nil) {
+		w.loop.resetBalancerBackoff(w.state.version)
+	}
+	w.state.lastCallFailed = false
+}
+
 // errVersionsRestarted is an answer that is older than the list in force. The complete list is polled next, whatever
 // its version: discovery may have lost its versions, and the list would stay as it is until they had caught up. An
 // answer that is merely late costs a call for the complete list.
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"net"
 	"net/http"
 	"net/url"
@@ -68,68 +69,87 @@
 // readAnswers implements wireProtocol. Each response belongs to the one attempt on its connection; a response to
 // nothing, or one that cannot be parsed, ends the connection.
 func (k openSearchProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
-	src := bufferedReaders.Get().(*bufio.Reader)
-	src.Reset(conn)
-	defer bufferedReaders.Put(src)
+	source := bufferedReaders.Get().(*bufio.Reader)
+	source.Reset(conn)
+	defer bufferedReaders.Put(source)
 	for {
 		conn.SetReadDeadline(time.Time{})
-		if _, err := src.Peek(1); err != nil {
+		if _, err := source.Peek(1); err != nil {
 			return connectionEndOf(err)
 		}
 		conn.SetReadDeadline(time.Now().Add(hostBodyTimeout))
-		res, err := http.ReadResponse(src, nil)
+		response, err := http.ReadResponse(source, nil)
 		if err != nil {
 			return k.readError(loop, connection, err)
 		}
-		var b bytes.Buffer
-		n, err := io.Copy(&b, io.LimitReader(res.Body, maxHostBodyBytes+1))
-		res.Body.Close()
+		var body bytes.Buffer
+		n, err := io.Copy(&body, io.LimitReader(response.Body, maxHostBodyBytes+1))
+		response.Body.Close()
 		if err != nil || n > maxHostBodyBytes {
 			return k.readError(loop, connection, fmt.Errorf("%d bytes: %w", n, errors.Join(err, frame.ErrMalformed)))
 		}
-		asked := make(chan *attempt, 1)
-		if !loop.submit(func() {
-			if len(connection.attempts) == 1 {
-				asked <- connection.attempts[0]
-			}
-			close(asked)
-		}) {
-			return errClosing
+		if err := k.handleResponse(loop, connection, response, body.Bytes()); err != nil {
+			return err
 		}
-		sub, open := <-asked
-		if !open {
-			return k.readError(loop, connection, errors.New("an answer to nothing"))
-		}
-		id, shard := []byte(sub.name), sub.shardRequest.shard // neither field changes
-		body := b.Bytes()
-		outcome, why := k.classifyResponse(res.StatusCode, body, shard)
-		if outcome == "Ok" && !utf8.Valid(body) {
-			outcome, why = "Failed", errors.New("no text")
-		}
-		var read any
-		if outcome == "Ok" {
-			if read, why = loop.decoders.decode(id, body); why != nil {
-				outcome = "Failed"
-			}
-		}
-		if why != nil {
-			loop.log.warnLimited("bad_value", "bad_value", "replica", connection.replica.id, "error", why)
+	}
+}
+
+// handleResponse submits a response to the event loop. An error ends the connection.
+func (k openSearchProtocol) handleResponse(loop *eventLoop, connection *replicaConnection, response *http.Response,
+	body []byte,
+) error {
+	onlyAttempt := make(chan *attempt, 1)
+	if !loop.submit(func() {
+		if len(connection.attempts) == 1 {
+			onlyAttempt <- connection.attempts[0]
 		}
-		last := res.Close
-		var report map[string]float64
-		if wait, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil && wait > 0 && outcome == "QueueFull" {
-			report = map[string]float64{"RetryAfter": 1000 * min(wait, maxClientTimeout.Seconds())}
+		close(onlyAttempt)
+	}) {
+		return errClosing
+	}
+	answered, ok := <-onlyAttempt
+	if !ok {
+		return k.readError(loop, connection, errors.New("an answer to nothing"))
+	}
+	name, shard := []byte(answered.name), answered.shardRequest.shard // neither field changes
+	outcome, problem := k.classifyResponse(response.StatusCode, body, shard)
+	if outcome == "Ok" && !utf8.Valid(body) {
+		outcome, problem = "Failed", errors.New("no text")
+	}
+	var decoded any
+	if outcome == "Ok" {
+		if decoded, problem = loop.decoders.decode(name, body); problem != nil {
+			outcome = "Failed"
 		}
-		if !loop.submit(func() {
-			connection.closedToNew = connection.closedToNew || last
-			loop.handleAnswer(connection, id, outcome, zeroScore, report, body, read)
-			if last {
-				loop.closeIfUnused(connection)
-			}
-		}) {
-			return errClosing
+	}
+	if problem != nil {
+		loop.log.warnLimited("bad_value", "bad_value", "replica", connection.replica.id, "error", problem)
+	}
+	isLast := response.Close
+	var report map[string]float64
+	if outcome == "QueueFull" {
+		report = retryAfterReport(response.Header.Get("Retry-After"))
+	}
+	if !loop.submit(func() {
+		connection.closedToNew = connection.closedToNew || isLast
+		loop.handleAnswer(connection, name, outcome, zeroScore, report, body, decoded)
+		if isLast {
+			loop.closeIfUnused(connection)
 		}
+	}) {
+		return errClosing
+	}
+	return nil
+}
+
+// retryAfterReport returns a Retry-After header in seconds as the load report that the balancer takes, in milliseconds;
+// nil for none.
+func retryAfterReport(header string) map[string]float64 {
+	seconds, err := strconv.ParseFloat(header, 64)
+	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
+		return nil
 	}
+	return map[string]float64{"RetryAfter": 1000 * min(seconds, maxClientTimeout.Seconds())}
 }
 
 // readError returns why a connection ends after a response that could not be read.
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -109,64 +109,75 @@
 }
 
 // open opens the store, records the start on disk, and only then restores what is there.
-func (k *Persistence) open(path string, o store.Options) error {
-	o.OnRecovery = func(err error) {
+func (k *Persistence) open(path string, options store.Options) error {
+	options.OnRecovery = func(err error) {
 		k.log.Warn("store_told", advice.LogAttrs(err)...)
 		k.RecordEvent("store", err.Error())
 	}
 	began := k.clock.Now()
-	s, err := store.Open(path, o)
+	opened, err := store.Open(path, options)
 	if err != nil {
 		return err
 	}
-	now := began.UnixMilli()
-	starts, level := readStored[recovery.StartRecord](k, s, startsKey).RecordStart(now, k.exclusive)
+	starts, level := readStored[recovery.StartRecord](k, opened, startsKey).RecordStart(began.UnixMilli(), k.exclusive)
 	if level > recovery.TrustAll {
 		k.log.Warn("crash_loop", "starts", len(starts.RecentStarts), "believes", level.String(),
 			"do", "Look in the log for why the earlier runs ended; a planned stop, or a minute without a start, ends the loop.")
 		k.RecordEvent("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.RecentStarts), level))
 	}
 	if level == recovery.TrustNothing {
-		if err := s.Close(context.Background()); err != nil {
+		if err := opened.Close(context.Background()); err != nil {
 			return err
 		}
-		anew := o
-		anew.Recreate = true
-		if s, err = store.Open(path, anew); err != nil {
+		options.Recreate = true
+		if opened, err = store.Open(path, options); err != nil {
 			return err
 		}
 	}
-	// A store that another deployment has written holds another customer's hosts. A store without an identity is older than
-	// this check and counts as this deployment's. After classes, tenants or zones change, a start knows only its plan.
-	var others []string
-	if whose := readStored[string](k, s, identityKey); whose != "" && whose != k.identity {
+	if err := k.claim(opened, starts); err != nil {
+		return errors.Join(err, opened.Close(context.Background()))
+	}
+	k.store = opened
+	k.restore(began, level)
+	return nil
+}
+
+// claim records this start and the deployment's identity in the store. A store that another deployment has written
+// holds another customer's hosts, which are removed. One without an identity is older than this check and counts as
+// this deployment's. After classes, tenants or zones change, a start knows only its plan.
+func (k *Persistence) claim(opened *store.Store, starts recovery.StartRecord) error {
+	var removed []string
+	if writer := readStored[string](k, opened, identityKey); writer != "" && writer != k.identity {
 		k.log.Warn("left_out", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
 			"do", "Give each deployment a store of its own; this one is written anew from now on.")
-		others = []string{listKey, observationsKey}
-	}
-	text, err := cbor.Marshal(starts)
-	mine, err2 := cbor.Marshal(k.identity)
-	if err = errors.Join(err, err2); err == nil {
-		err = s.Put(context.Background(), stateBucket, map[string][]byte{startsKey: text, identityKey: mine}, others)
+		removed = []string{listKey, observationsKey}
 	}
-	if err == nil {
-		k.events, err = store.NewEventLog(s, eventBucket, 0)
+	startsText, err := cbor.Marshal(starts)
+	identityText, identityErr := cbor.Marshal(k.identity)
+	if err = errors.Join(err, identityErr); err != nil {
+		return err
 	}
-	if err != nil {
-		return errors.Join(err, s.Close(context.Background()))
+	values := map[string][]byte{startsKey: startsText, identityKey: identityText}
+	if err := opened.Put(context.Background(), stateBucket, values, removed); err != nil {
+		return err
 	}
-	k.store = s
+	k.events, err = store.NewEventLog(opened, eventBucket, 0)
+	return err
+}
+
+// restore reads what an earlier run has stored, as far as it is trusted.
+func (k *Persistence) restore(began time.Time, level recovery.TrustLevel) {
 	var list *recovery.EndpointList
-	if l := readStored[recovery.EndpointList](k, s, listKey); l.SavedAt > 0 {
-		list = &l
+	if stored := readStored[recovery.EndpointList](k, k.store, listKey); stored.SavedAt > 0 {
+		list = &stored
 	}
-	var notes *recovery.Observations
-	if n := readStored[recovery.Observations](k, s, observationsKey); n.SavedAt > 0 && n.Validate() == nil {
-		notes = &n
+	var observations *recovery.Observations
+	if stored := readStored[recovery.Observations](k, k.store, observationsKey); stored.SavedAt > 0 && stored.Validate() == nil {
+		observations = &stored
 	}
-	k.restored = recovery.Restore(now, level, k.planVersion, list, notes)
-	for _, l := range k.restored.Discarded {
-		k.log.Info("left_out", "what", l.Item, "why", l.Reason)
+	k.restored = recovery.Restore(began.UnixMilli(), level, k.planVersion, list, observations)
+	for _, discarded := range k.restored.Discarded {
+		k.log.Info("left_out", "what", discarded.Item, "why", discarded.Reason)
 	}
 	hosts, known := 0, 0
 	if k.restored.Update != nil {
@@ -175,10 +186,9 @@
 	if k.restored.Observations != nil {
 		known = len(k.restored.Observations.Entries)
 	}
-	k.log.Info("store", "path", path, "believes", level.String(), "listed", hosts, "notes", known,
+	k.log.Info("store", "path", k.path, "believes", level.String(), "listed", hosts, "notes", known,
 		"took", k.clock.Now().Sub(began).Round(time.Millisecond))
 	k.RecordEvent("start", fmt.Sprintf("believes %s: %d hosts listed, notes of %d", level, hosts, known))
-	return nil
 }
 
 // readStored reads one stored value; one that is missing or in another form is the zero value.
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -34,20 +34,42 @@
 
 // readBody reads the shards, their weights and the text of a search from a request's body.
 func (s *search) readBody(body []byte, shards int) error {
-	b := bodyReaders.Get().(*bodyReader)
-	defer bodyReaders.Put(b)
-	b.reset(body)
-	decoder := &b.decoder
-	if t, err := decoder.ReadToken(); err != nil || t.Kind() != '{' {
-		return badRequest("body: not one JSON object")
-	}
-	text, named := "", false
-	most := bytes.Count(body, []byte{'{'})
-	s.shards, s.weights = make([]int, 0, most), make([]float64, 0, most)
+	reader := bodyReaders.Get().(*bodyReader)
+	defer bodyReaders.Put(reader)
+	reader.reset(body)
+	maxShards := bytes.Count(body, []byte{'{'})
+	s.shards, s.weights = make([]int, 0, maxShards), make([]float64, 0, maxShards)
+	text, hasText, err := s.readMembers(&reader.decoder, shards)
+	if err != nil {
+		return err
+	}
+	if len(s.shards) == 0 || !hasText {
+		return badRequest("body without ranges or predicate")
+	}
+	// Decoding replaces invalid text: replicas get the text as it arrived or not at all.
+	if !utf8.Valid(body) || strings.ContainsRune(text, utf8.RuneError) && !bytes.ContainsRune(body, utf8.RuneError) {
+		return badRequest("body is no text")
+	}
+	s.text = []byte(text)
+	sum := 0.0
+	for _, weight := range s.weights {
+		sum += weight
+	}
+	if math.Abs(sum-1) > weightTolerance {
+		return badRequest("portions add up to %g", sum)
+	}
+	return nil
+}
+
+// readMembers reads the members of the one object that a body is.
+func (s *search) readMembers(decoder *jsontext.Decoder, shards int) (text string, hasText bool, err error) {
+	if token, err := decoder.ReadToken(); err != nil || token.Kind() != '{' {
+		return "", false, badRequest("body: not one JSON object")
+	}
 	for decoder.PeekKind() != '}' {
 		name, err := readName(decoder)
 		if err != nil {
-			return badRequest("body: %v", err)
+			return "", false, badRequest("body: %v", err)
 		}
 		switch {
 		case name == "ranges" && decoder.PeekKind() == '[':
@@ -55,39 +77,26 @@
 		case name == "ranges":
 			s.shards, err = s.shards[:0], decoder.SkipValue()
 		case name == "predicate" && decoder.PeekKind() == '"':
-			var t jsontext.Token
-			if t, err = decoder.ReadToken(); err == nil {
-				text, named = t.String(), true
+			var token jsontext.Token
+			if token, err = decoder.ReadToken(); err == nil {
+				text, hasText = token.String(), true
 			}
 		case name == "predicate":
-			named, err = false, decoder.SkipValue()
+			hasText, err = false, decoder.SkipValue()
 		default:
 			err = decoder.SkipValue()
 		}
 		if err != nil {
-			return badRequest("body: %v", err)
+			return "", false, badRequest("body: %v", err)
 		}
 	}
-	decoder.ReadToken()
-	if _, err := decoder.ReadToken(); err != io.EOF {
-		return badRequest("body: not one JSON object")
+	if _, err := decoder.ReadToken(); err != nil {
+		return "", false, badRequest("body: not one JSON object")
 	}
-	if len(s.shards) == 0 || !named {
-		return badRequest("body without ranges or predicate")
+	if _, err := decoder.ReadToken(); !errors.Is(err, io.EOF) {
+		return "", false, badRequest("body: not one JSON object")
 	}
-	// Decoding replaces invalid text: replicas get the text as it arrived or not at all.
-	if !utf8.Valid(body) || strings.ContainsRune(text, utf8.RuneError) && !bytes.ContainsRune(body, utf8.RuneError) {
-		return badRequest("body is no text")
-	}
-	s.text = []byte(text)
-	sum := 0.0
-	for _, weight := range s.weights {
-		sum += weight
-	}
-	if math.Abs(sum-1) > weightTolerance {
-		return badRequest("portions add up to %g", sum)
-	}
-	return nil
+	return text, hasText, nil
 }
 
 // readName reads an object's member name. Names that matter here need no allocation.
@@ -118,56 +127,72 @@
 	if shards > maxInlineBlocks {
 		seen = make([]bool, shards)
 	}
-	decoder.ReadToken()
+	if _, err := decoder.ReadToken(); err != nil {
+		return err
+	}
 	for decoder.PeekKind() == '{' {
-		shard, weight := math.NaN(), math.NaN()
-		decoder.ReadToken()
-		for decoder.PeekKind() == '"' {
-			name, err := readName(decoder)
-			if err != nil {
-				return err
-			}
-			into := (*float64)(nil)
-			switch name {
-			case "range":
-				into = &shard
-			case "portion":
-				into = &weight
-			}
-			if into == nil || decoder.PeekKind() != '0' {
-				if into != nil {
-					*into = math.NaN()
-				}
-				if err := decoder.SkipValue(); err != nil {
-					return err
-				}
-				continue
-			}
-			v, err := decoder.ReadToken()
-			if err != nil {
-				return err
-			}
-			if *into, err = v.Float(); err != nil {
-				return err
-			}
-		}
-		if _, err := decoder.ReadToken(); err != nil {
+		shard, weight, err := readRange(decoder)
+		if err != nil {
 			return err
 		}
-		n := int(shard)
-		if shard != math.Trunc(shard) || shard < 0 || shard >= float64(shards) || seen[n] {
+		index := int(shard)
+		if shard != math.Trunc(shard) || shard < 0 || shard >= float64(shards) || seen[index] {
 			return badRequest("range %g", shard)
 		}
-		if !(weight > 0) || weight > 1+weightTolerance {
+		if !isWeight(weight) {
 			return badRequest("portion %g", weight)
 		}
-		seen[n] = true
-		s.shards, s.weights = append(s.shards, n), append(s.weights, weight)
+		seen[index] = true
+		s.shards, s.weights = append(s.shards, index), append(s.weights, weight)
 	}
-	if t, err := decoder.ReadToken(); err != nil {
+	if token, err := decoder.ReadToken(); err != nil {
 		return err
-	} else if t.Kind() != ']' {
+	} else if token.Kind() != ']' {
 		return badRequest("ranges are no objects")
 	}
 	return nil
 }
+
+// isWeight says whether a weight is a number above 0 and at most 1; NaN is none.
+func isWeight(weight float64) bool { return weight > 0 && weight <= 1+weightTolerance }
+
+// readRange reads one object of the list of shards; a member that is missing or no number is NaN.
+func readRange(decoder *jsontext.Decoder) (shard, weight float64, err error) {
+	shard, weight = math.NaN(), math.NaN()
+	if _, err := decoder.ReadToken(); err != nil {
+		return 0, 0, err
+	}
+	for decoder.PeekKind() == '"' {
+		name, err := readName(decoder)
+		if err != nil {
+			return 0, 0, err
+		}
+		switch name {
+		case "range":
+			err = readNumber(decoder, &shard)
+		case "portion":
+			err = readNumber(decoder, &weight)
+		default:
+			err = decoder.SkipValue()
+		}
+		if err != nil {
+			return 0, 0, err
+		}
+	}
+	_, err = decoder.ReadToken()
+	return shard, weight, err
+}
+
+// readNumber reads a number; any other value is skipped and counts as NaN.
+func readNumber(decoder *jsontext.Decoder, number *float64) (err error) {
+	if decoder.PeekKind() != '0' {
+		*number = math.NaN()
+		return decoder.SkipValue()
+	}
+	token, err := decoder.ReadToken()
+	if err != nil {
+		return err
+	}
+	*number, err = token.Float()
+	return err
+}
--- a/coordinator/sharded.go
+++ b/coordinator/sharded.go
@@ -19,71 +19,94 @@
 	if n <= 1 {
 		return Serve(ctx, p, options)
 	}
-	shared := newSharedListener(options.Listener, n)
-	plans := make([]chan *plan.Plan, n)
-	for i := range plans {
-		plans[i] = make(chan *plan.Plan)
-	}
-	g, ctx := errgroup.WithContext(ctx)
-	over, end := context.WithCancel(context.WithoutCancel(ctx))
-	var left sync.WaitGroup
-	lists := make([]chan endpoints.Update, n)
+	listener := newSharedListener(options.Listener, n)
+	shards := newShardUpdates(n, options.EndpointUpdates != nil)
+	group, ctx := errgroup.WithContext(ctx)
+	done, end := context.WithCancel(context.WithoutCancel(ctx))
+	var running sync.WaitGroup
 	for i := range n {
-		own := options
-		own.Listener, own.PlanUpdates = shared.shards[i], plans[i]
-		if options.EndpointUpdates != nil {
-			lists[i] = make(chan endpoints.Update)
-			own.EndpointUpdates = lists[i]
-		}
-		own.Logger = slog.New(options.Logger.Handler().WithAttrs([]slog.Attr{slog.Int("owner", i)}))
-		if i > 0 {
-			own.Frontends, own.Peers, own.Persistence = nil, nil, nil
-		}
-		left.Add(1)
-		g.Go(func() error {
-			defer left.Done()
+		own := shards.optionsOf(i, options)
+		own.Listener = listener.shards[i]
+		running.Add(1)
+		group.Go(func() error {
+			defer running.Done()
 			return Serve(ctx, p.ForShard(i, n), own)
 		})
 	}
-	g.Go(func() error {
-		shared.distribute()
+	group.Go(func() error {
+		listener.distribute()
 		return nil
 	})
-	g.Go(func() error {
-		left.Wait()
+	group.Go(func() error {
+		running.Wait()
 		end()
 		return nil
 	})
-	g.Go(func() error {
-		more := options.EndpointUpdates
-		for {
-			select {
-			case update, ok := <-more:
-				if !ok {
-					more = nil
-					continue
-				}
-				for _, to := range lists {
-					own := update
-					own.Hosts = slices.Clone(update.Hosts) // each event loop formats names in place
-					select {
-					case to <- own:
-					case <-over.Done():
-						return nil
-					}
+	group.Go(func() error {
+		shards.forward(done, options.EndpointUpdates, options.PlanUpdates)
+		return nil
+	})
+	return group.Wait()
+}
+
+// shardUpdates are the channels on which each event loop gets new plans and endpoint lists.
+type shardUpdates struct {
+	plans []chan *plan.Plan
+	lists []chan endpoints.Update // nil where there are no lists
+}
+
+func newShardUpdates(n int, hasLists bool) *shardUpdates {
+	u := &shardUpdates{plans: make([]chan *plan.Plan, n), lists: make([]chan endpoints.Update, n)}
+	for i := range n {
+		u.plans[i] = make(chan *plan.Plan)
+		if hasLists {
+			u.lists[i] = make(chan endpoints.Update)
+		}
+	}
+	return u
+}
+
+// optionsOf returns the options of one event loop, but for its listener.
+func (u *shardUpdates) optionsOf(index int, options Options) Options {
+	options.PlanUpdates = u.plans[index]
+	if u.lists[index] != nil {
+		options.EndpointUpdates = u.lists[index]
+	}
+	options.Logger = slog.New(options.Logger.Handler().WithAttrs([]slog.Attr{slog.Int("owner", index)}))
+	if index > 0 {
+		options.Frontends, options.Peers, options.Persistence = nil, nil, nil
+	}
+	return options
+}
+
+// forward passes new plans and endpoint lists on to all event loops until they have ended.
+func (u *shardUpdates) forward(done context.Context, lists <-chan endpoints.Update, plans <-chan *plan.Plan) {
+	for {
+		select {
+		case update, ok := <-lists:
+			if !ok {
+				lists = nil
+				continue
+			}
+			for _, shard := range u.lists {
+				own := update
+				own.Hosts = slices.Clone(update.Hosts) // each event loop formats names in place
+				select {
+				case shard <- own:
+				case <-done.Done():
+					return
 				}
-			case next := <-options.PlanUpdates:
-				for i, to := range plans {
-					select {
-					case to <- next.ForShard(i, n):
-					case <-over.Done():
-						return nil
-					}
+			}
+		case next := <-plans:
+			for i, shard := range u.plans {
+				select {
+				case shard <- next.ForShard(i, len(u.plans)):
+				case <-done.Done():
+					return
 				}
-			case <-over.Done():
-				return nil
 			}
+		case <-done.Done():
+			return
 		}
-	})
-	return g.Wait()
+	}
 }
--- a/coordinator/wire_protocol.go
+++ b/coordinator/wire_protocol.go
@@ -11,12 +11,19 @@
 // attempt is given up and what its end means do not depend on it. All methods but readAnswers run on the event loop's
 // goroutine.
 type wireProtocol interface {
-	attemptsPerBatch(o *eventLoop) int     // parts that travel together
-	batchesPerConnection(o *eventLoop) int // calls on one connection at once
-	allowsWaiting() bool                   // a call beyond that may wait on a connection
-	appendBatch(o *eventLoop, dst []byte, c *batch) []byte
-	cancelAttempt(l *replicaConnection, sub *attempt) // what is written already
-	readAnswers(o *eventLoop, l *replicaConnection, conn net.Conn) error
+	// attemptsPerBatch returns how many attempts may travel in one message.
+	attemptsPerBatch(loop *eventLoop) int
+	// batchesPerConnection returns how many batches may be in flight on a connection.
+	batchesPerConnection(loop *eventLoop) int
+	// allowsWaiting says whether a batch beyond those may wait on a connection, when no other can be opened.
+	allowsWaiting() bool
+	// appendBatch appends the message of a batch.
+	appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte
+	// cancelAttempt cancels an attempt whose message may have been written.
+	cancelAttempt(conn *replicaConnection, attempt *attempt)
+	// readAnswers reads answers until the connection ends and returns why it did. It runs on the reading goroutine and
+	// submits what it has read to the event loop.
+	readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error
 }
 
 // HostKind is a kind of host that speaks the OpenSearch-style API. Its members are in Index, placed in blocks by the
