--- a/coordinator/apart_test.go
+++ b/coordinator/apart_test.go
@@ -12,7 +12,7 @@
 // Two co-ordinators of one process whose settings give classes of one name other effects, places and tenants handle each
 // search by their own, also when clients ask both at once and go on by one connection. A field that a request lacks is
 // not that of the one before it.
-func TestCoordinatorsApart(t *testing.T) {
+func TestCoordinatorsOfOneProcessShareNoState(t *testing.T) {
 	serve := func(order []string, effects map[string]string, tenant string) *rig {
 		r := start(t, 256, func(settings map[string]any) {
 			for i, name := range order {
--- a/coordinator/bodies_test.go
+++ b/coordinator/bodies_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// byMaps reads a body as it was read before, by maps: what FuzzBody holds the reader against.
+// byMaps reads a body as it was read before, by maps: what FuzzReadBody holds the reader against.
 func byMaps(body []byte, shards int) (list []int, weights []float64, text string, ok bool) {
 	all, err := plan.DecodeObject(body)
 	if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // Whatever a client sends, the reader without maps takes what the one with maps took, and nothing else.
-func FuzzBody(f *testing.F) {
+func FuzzReadBody(f *testing.F) {
 	for _, text := range []string{
 		fourParts, `{}`, `[]`, `{"ranges":[],"predicate":"x"}`, `{"ranges":[{"range":0,"portion":1}]}`,
 		`{"ranges":[{"range":0,"portion":1}],"predicate":"x"} `, `{"ranges":[{"range":0,"portion":1}],"predicate":"x"}{}`,
@@ -82,7 +82,7 @@
 }
 
 // A target is taken apart as the library would.
-func FuzzPlace(f *testing.F) {
+func FuzzParseTarget(f *testing.F) {
 	for _, text := range []string{
 		"/a?k=7f", "/a", "/a?k=", "/a?x=1&k=2", "/a%20b?k=%41", "/a?k=1&k=2", "/a?k=a+b", "*", "", "/a?k=1#f",
 		"http://x/a?k=1", "/a?k=1;x", "//x/y?k=z", "/\x7f",
--- a/coordinator/client_moments_test.go
+++ b/coordinator/client_moments_test.go
@@ -47,7 +47,7 @@
 
 // As the co-ordinator stops, a client that has sent ahead and leaves is seen at once too: its open search is given up, and
 // what it sent behind that is not sent on.
-func TestClientLeavesBehindWhatItSentAhead(t *testing.T) {
+func TestClientLeavesAfterPipelining(t *testing.T) {
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
 			r := start(t, 256, nil)
@@ -59,7 +59,7 @@
 			c.send(request("behind", "all", "", fourParts) + request("part", "all", "", fourParts)[:90])
 			r.eventually("it is awaited", func() bool {
 				told := make(chan bool, 1)
-				r.owner.submit(func() { told <- len(r.owner.searches.byID) == 1 })
+				r.loop.submit(func() { told <- len(r.loop.searches.byID) == 1 })
 				return <-told
 			})
 			require.NoError(t, leave(c.Conn.(*net.TCPConn)))
@@ -97,7 +97,7 @@
 }
 
 // The request of a client that has left by the time it is read is not sent on, however the client left.
-func TestClientThatHasLeftAlready(t *testing.T) {
+func TestClientGoneBeforeDispatch(t *testing.T) {
 	const each, finWait2 = 40, 5 // of Linux's states: the other side has the end of what was sent
 	r := start(t, 256, nil)
 	ln, look, ended := held{listen(t), make(chan struct{})}, make(chan *eventLoop, 1), make(chan error, 1)
@@ -185,7 +185,7 @@
 }
 
 // With no descriptor left, a connection on which a request has begun to come makes no room while another is at rest.
-func TestBegunRequestsKeepTheirConnections(t *testing.T) {
+func TestArrivingRequestsKeepTheirConnections(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.piped()
 	text := request("begun", "all", "", fourParts)
@@ -202,7 +202,7 @@
 }
 
 // With none at rest, the one that has been longest about it makes room all the same.
-func TestBegunRequestsMakeRoom(t *testing.T) {
+func TestArrivingRequestsMakeRoomLast(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.piped()
 	first := call(nil).send("P")
@@ -245,7 +245,7 @@
 
 // A request that has been read whole in the moment in which its connection is to make room has its answer; another
 // connection makes room.
-func TestRequestAsItsConnectionMakesRoom(t *testing.T) {
+func TestRequestWhileItsConnectionIsDisplaced(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.piped()
 	at := &lastLook{read: make(chan struct{}), told: make(chan struct{})}
@@ -276,7 +276,7 @@
 
 // After a last answer what still comes is read for a while, so that no reset goes after the answer, which may still be on
 // its way: where a client sent ahead, and where it sends on behind its last request. None of it is sent on.
-func TestReadsOnAfterTheLastAnswer(t *testing.T) {
+func TestLingersAfterLastAnswer(t *testing.T) {
 	more := strings.Repeat(request("next", "all", "", fourParts), 100) // several buffers
 	for name, x := range map[string]struct {
 		head   string
@@ -321,7 +321,7 @@
 
 // Connections that have come by the time at which no more are taken are taken, each with its request, also where the
 // process was held up just then.
-func TestConnectionsThatWaitAtTheStop(t *testing.T) {
+func TestIdleConnectionsAtShutdown(t *testing.T) {
 	r := process(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -353,7 +353,7 @@
 
 // While the co-ordinator stops, too, what came in time is read, though the process was held up and its time is over by the
 // time it looks: a request's last bytes, and a request on a connection at rest.
-func TestLateLookAtTheStop(t *testing.T) {
+func TestFinalReadAtShutdown(t *testing.T) {
 	for name, client := range map[string]*clientConnection{
 		"a request": {requestDeadline: time.Now().Add(-time.Second)},
 		"at rest":   {stopReadDeadline: time.Now().Add(-time.Second)},
@@ -387,7 +387,7 @@
 
 // Every answer has the values of its own request, whatever else is open, given up, refused or sent in pieces then: room that
 // is used again never shows another's. A client that leaves in between or sends ahead costs the others nothing.
-func TestAnswersAreTheirOwn(t *testing.T) {
+func TestAnswersBelongToTheirRequests(t *testing.T) {
 	const clients, each = 16, 60
 	r := start(t, 256, nil)
 	var g sync.WaitGroup
@@ -472,7 +472,7 @@
 }
 
 // A connection that waited for room has the time of any other for its first request from then on.
-func TestFirstRequestAfterAWait(t *testing.T) {
+func TestFirstRequestAfterWaitingForRoom(t *testing.T) {
 	t.Parallel()
 	r := start(t, 16, nil)
 	call, end := r.piped()
@@ -499,7 +499,7 @@
 }
 
 // As the co-ordinator stops, more requests in a piece than its buffer holds are answered one after another, each once.
-func TestManySentAheadAtTheStop(t *testing.T) {
+func TestPipelinedRequestsAtShutdown(t *testing.T) {
 	r := start(t, 256, nil)
 	c := r.call()
 	c.want("first", "all", 200, wholeOfAll)
--- a/coordinator/connect_test.go
+++ b/coordinator/connect_test.go
@@ -14,7 +14,7 @@
 )
 
 // Connections that never come up at sound hosts, the first to each: searches do not wait for them.
-func TestConnectionsThatNeverComeUp(t *testing.T) {
+func TestDialsThatNeverConnect(t *testing.T) {
 	var mu sync.Mutex
 	tried := map[string]int{}
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
@@ -48,7 +48,7 @@
 }
 
 // A further way is tried only where none is up in time, the one that is up first is used, and the others are closed.
-func TestConnect(t *testing.T) {
+func TestDialWithRetries(t *testing.T) {
 	gone := errors.New("refused")
 	type ways = [maxParallelDials]func(ctx context.Context) (net.Conn, error)
 	for name, x := range map[string]struct {
@@ -118,7 +118,7 @@
 
 // A new plan that comes while connects are late changes the number of descriptors, which the owner alone may look at: the race
 // detector holds it.
-func TestNewPlanWhileConnectsAreLate(t *testing.T) {
+func TestReloadDuringSlowDials(t *testing.T) {
 	var late atomic.Int32
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
--- a/coordinator/contain_test.go
+++ b/coordinator/contain_test.go
@@ -24,7 +24,7 @@
 }
 
 // A fault that some bytes of a client bring out ends its connection; all others are served, and the log has the place.
-func TestFaultsOfClientsAreContained(t *testing.T) {
+func TestPanicEndsOneClientConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
 	r := start(t, 256, nil)
 	call, end := r.piped()
@@ -41,7 +41,7 @@
 }
 
 // One of a replica's bytes ends that connection as a spoilt answer does, and one of discovery's is a list that failed.
-func TestFaultsOfHostsAreContained(t *testing.T) {
+func TestPanicEndsOneReplicaConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -86,7 +86,7 @@
 	r.end()
 }
 
-func TestWhatBadRequestsGet(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	r := start(t, 1024, nil)
 	ok := request("id", "all", "", fourParts)
 	swap := func(old, new string) string {
@@ -211,9 +211,9 @@
 	// A host may have a frame before its writer here has noted that it is out.
 	r.eventually("all frames are noted as written", func() bool {
 		out := make(chan int, 1)
-		r.owner.submit(func() {
+		r.loop.submit(func() {
 			done := 0
-			for _, shardReq := range r.owner.searches.shardRequests {
+			for _, shardReq := range r.loop.searches.shardRequests {
 				if len(shardReq.attempts) > 0 && shardReq.attempts[0].batch.message.stage.Load() == stageWritten {
 					done++
 				}
@@ -237,7 +237,7 @@
 }
 
 // A search that bears the name of one that is open is none; the name is free again after the answer.
-func TestOneNameTwice(t *testing.T) {
+func TestDuplicateSearchNames(t *testing.T) {
 	r := start(t, 256, nil)
 	gate := make(chan struct{})
 	for _, s := range r.replicas {
@@ -257,7 +257,7 @@
 }
 
 // Who sends a second request before the answer to the first gets an error and loses both.
-func TestSentAhead(t *testing.T) {
+func TestPipelinedRequest(t *testing.T) {
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
 		s.SetHandler(func(asked) {})
@@ -277,7 +277,7 @@
 }
 
 // With no descriptor left, the connection longest without an open search makes room, and none with one.
-func TestDescriptors(t *testing.T) {
+func TestDescriptorLimits(t *testing.T) {
 	r := start(t, 16, nil)
 	held := make(chan asked, 4)
 	for _, s := range r.replicas {
@@ -305,7 +305,7 @@
 }
 
 // Whatever a replica does to a connection, the part goes on elsewhere and a bad frame is no answer.
-func TestWhatBadReplicasGet(t *testing.T) {
+func TestMisbehavingReplicas(t *testing.T) {
 	raw := func(text string) func(a asked) { return func(a asked) { a.Conn.Write([]byte(text)) } }
 	framed := func(letter byte, text string) func(a asked) {
 		return func(a asked) { a.Conn.Write(frame.End(append(frame.Begin(nil, letter), text...), 0)) }
@@ -352,7 +352,7 @@
 
 // Spoilt answers are no crash: the search goes on, though they end two connections before any part is in, and
 // the replicas take as much as before.
-func TestSpoiltIsNoCrash(t *testing.T) {
+func TestMalformedAnswerIsNoCrash(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
 		r.entry("b1", "draining"))
@@ -376,7 +376,7 @@
 }
 
 // A good answer counts whatever comes behind it, and with a report that cannot be read.
-func TestGoodAnswerWithMore(t *testing.T) {
+func TestAnswerFollowedByMalformedBytes(t *testing.T) {
 	for name, more := range map[string]func(a asked){
 		"a copy":  func(a asked) { a.ReplyGood() },
 		"noise":   func(a asked) { a.Conn.Write([]byte("noise behind the answer")) },
@@ -406,7 +406,7 @@
 }
 
 // With noise behind an answer, the connection takes nothing new from that answer on.
-func TestNoiseBehindAnswer(t *testing.T) {
+func TestBytesAfterAnswerCloseConnection(t *testing.T) {
 	here, there := net.Pipe()
 	defer here.Close()
 	loop := &eventLoop{tasks: make(chan func(), 4), ctx: context.Background(), log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
@@ -426,7 +426,7 @@
 
 // A connection that falls silent takes no more parts, and is ended once its replica answers on another: what it
 // swallowed goes out again.
-func TestSilentConnection(t *testing.T) {
+func TestSilentConnectionIsPassedOver(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Permissions"].(map[string]any)["DialTimeout"] = 100 })
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("how=Partial")
@@ -452,7 +452,7 @@
 }
 
 // A search that fells replicas is given up while more of its parts are out on the connection that ended.
-func TestSearchThatFells(t *testing.T) {
+func TestSearchThatCrashesReplicas(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
 		r.entry("b1", "draining"))
@@ -481,7 +481,7 @@
 
 // A connection on which a part was given up after long silence takes nothing new and is closed; an unused one
 // is closed before its replica would.
-func TestSilentAndIdle(t *testing.T) {
+func TestSilentAndIdleConnectionsClose(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) {
 		s["Permissions"].(map[string]any)["DialTimeout"] = 100
 		s["Permissions"].(map[string]any)["ConnIdle"] = 100
@@ -556,7 +556,7 @@
 	r.end()
 }
 
-func TestOutcomesOfEndings(t *testing.T) {
+func TestAttemptOutcomesOfConnectionEnds(t *testing.T) {
 	want := map[connectionEndError][3]string{} // frame not out whole; out, the first part; out, the others
 	for _, e := range []connectionEndError{errNotConnected, errPeerClosed, errReset, errWriteFailed} {
 		want[e] = [3]string{"ConnectError", "ResetByPeer", "ResetByPeer"}
@@ -580,7 +580,7 @@
 
 // The list: draining and removed replicas get nothing new, what cannot be used changes nothing and is asked
 // for again.
-func TestListChanges(t *testing.T) {
+func TestEndpointListChanges(t *testing.T) {
 	r := start(t, 256, nil)
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	said := func(version int, full bool, entries ...string) {
@@ -624,7 +624,7 @@
 
 // Version 0 is a version: the first call waits for what is newer. An answer that brings nothing and did not
 // wait counts as a failed call.
-func TestListWithoutEnd(t *testing.T) {
+func TestWatchThatDoesNotWaitFails(t *testing.T) {
 	list := script(t)
 	loop := &eventLoop{
 		plan: &plan.Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
@@ -652,7 +652,7 @@
 }
 
 // Where the list comes by itself, calls are made without the module asking, and go on after failures.
-func TestListByItself(t *testing.T) {
+func TestListWithoutSubscription(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Discovery"] = "automatic" })
 	<-r.list.Targets
 	r.list.Responses <- ""
@@ -664,7 +664,7 @@
 
 // A new plan: the whole list is asked for at the new place at once, whatever its version, and failures there
 // are asked again there. Searches go on.
-func TestNewPlan(t *testing.T) {
+func TestReloadMovesDiscovery(t *testing.T) {
 	r := start(t, 256, nil)
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	next := script(t)
@@ -694,7 +694,7 @@
 
 // At a signal the file is read again. What it says of discovery holds over the variable once it has changed; a
 // file that cannot be used changes nothing.
-func TestReloads(t *testing.T) {
+func TestWatchReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	write := func(discovery, more string) {
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(`{"name":"n","listen":"l","discovery":"`+discovery+
@@ -736,7 +736,7 @@
 }
 
 // At a stop what is held is finished, and requests that still come are taken; then nothing is left.
-func TestStop(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	before := runtime.NumGoroutine()
 	r := start(t, 256, nil)
 	release := make(chan struct{})
@@ -776,7 +776,7 @@
 
 // What comes more than 0.7 s after the end is told has its final answer before the kill may come, though no host answers and
 // its client would wait longer; so has what comes just before the kill, at once.
-func TestAnswersBeforeTheKill(t *testing.T) {
+func TestAnswersBeforeSIGKILL(t *testing.T) {
 	const busy = time.Second // that a crowded machine may be late by; without the bound it is four
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
@@ -804,7 +804,7 @@
 }
 
 // A socket that takes no bytes holds up its own connection alone, and what was not begun has not run.
-func TestStuckSocket(t *testing.T) {
+func TestBlockedReplicaSocket(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
 	l := newMessageConn(context.Background(), 2)
@@ -846,7 +846,7 @@
 
 // A final answer waits for a frame of its search that is begun, and ends the connection of one that does not come out;
 // one that is out is not waited for, and its connection stays.
-func TestNothingAfterTheAnswer(t *testing.T) {
+func TestNothingSentAfterFinalAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		loop, conn, search := oneOut(stage)
 		first := loop.finishSearch(search)
@@ -859,7 +859,7 @@
 
 // So it does for a frame whose sub-request was given up before: a second copy, say, called off when the first has answered.
 // One given up after the answer holds nothing.
-func TestNothingGivenUpAfterTheAnswer(t *testing.T) {
+func TestNothingCanceledAfterFinalAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		loop, _, search := oneOut(stage)
 		loop.CancelAttempt(2, 0)
@@ -873,7 +873,7 @@
 }
 
 // The module hears the same names and texts from the plan as from the simulator's wire.
-func TestSettingsAsOnTheWire(t *testing.T) {
+func TestPlanSettingsEqualSimulatorSettings(t *testing.T) {
 	p, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":0,"servers":[]},"settings":` + strings.Replace(testSettings, `"Family"`, `"Names":[],"Void":null,"Family"`, 1) + `}`))
 	require.NoError(t, err)
@@ -893,7 +893,7 @@
 	require.Equal(t, int64(-0x73e0cf2d85a4169c), p.Seed)
 }
 
-func TestFaultyPlans(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	plan := `{"name":"n","listen":"l","discovery":"d","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":1,"servers":[]},"settings":` + testSettings + `}`
 	_, err := parsePlan([]byte(plan))
@@ -928,7 +928,7 @@
 }
 
 // An answer's length is told before it is written: what is told is what is written, whatever the values.
-func TestAnswerSize(t *testing.T) {
+func TestAnswerBodySize(t *testing.T) {
 	for _, values := range [][]string{{}, {""}, {"a", "Grüße, 世界", "\x7f"}, {`"`}, {"a\nb", `\`}, {strings.Repeat("v", 40_000), "x"}} {
 		for _, whole := range []bool{true, false} {
 			outcome := searchOutcome{complete: whole}
@@ -952,7 +952,7 @@
 
 // The final answer is not sent before a frame of its search that has been begun is out; one that does not come out
 // ends its connection. Guards against parts that are sent on after the answer by a process that is held up.
-func TestBegunFrames(t *testing.T) {
+func TestFinalAnswerAwaitsPendingWrites(t *testing.T) {
 	own, other := net.Pipe() // a write lasts until the other side reads
 	defer other.Close()
 	l := newMessageConn(context.Background(), 4)
--- a/coordinator/crossings_test.go
+++ b/coordinator/crossings_test.go
@@ -169,13 +169,13 @@
 
 // open counts the searches that are open.
 func (r *rig) open() (n int) {
-	r.inTurn(func(loop *eventLoop) { n = len(loop.searches.byID) })
+	r.runInLoop(func(loop *eventLoop) { n = len(loop.searches.byID) })
 	return n
 }
 
 // A request that comes after the last answer on its connection was written, and is read before that connection is shut, is
 // not sent on: its client will see the end.
-func TestRequestBetweenTheLastAnswerAndTheShutdown(t *testing.T) {
+func TestRequestBetweenLastAnswerAndClose(t *testing.T) {
 	for name, atStop := range map[string]bool{"a request that wants it": false, "the end of the stop": true} {
 		t.Run(name, func(t *testing.T) {
 			answered, reads := make(chan struct{}), make(chan struct{}, 64)
@@ -196,7 +196,7 @@
 			c.want("first", "all", 200, wholeOfAll)
 			head := "Connection: close\r\n"
 			if atStop {
-				r.owner.stop.closeAfterAnswer.Store(true)
+				r.loop.stop.closeAfterAnswer.Store(true)
 				r.stop()
 				r.logged("event=stopping")
 				r.noneTaken()
@@ -212,11 +212,11 @@
 			require.Equal(t, io.EOF, err)
 			r.eventually("the connection has ended", func() bool { // its client stays
 				ended := make(chan bool, 1)
-				r.owner.submit(func() { ended <- len(r.owner.clients.connections) == 0 })
+				r.loop.submit(func() { ended <- len(r.loop.clients.connections) == 0 })
 				select {
 				case is := <-ended:
 					return is
-				case <-r.owner.ctx.Done():
+				case <-r.loop.ctx.Done():
 					return true
 				}
 			})
@@ -228,7 +228,7 @@
 
 // Connections that came before the listener closed and for which there was no room then have their answers once there is:
 // none is reset in the system's queue.
-func TestConnectionsThatWaitForRoomAtTheStop(t *testing.T) {
+func TestConnectionsWaitingForRoomAtShutdown(t *testing.T) {
 	const sockets, more, room = 16, 6, 8
 	gate, closing := make(chan struct{}), make(chan struct{}, 64)
 	r := crossed(t, sockets, nil, nil, nil, func(m *Options) {
@@ -255,7 +255,7 @@
 
 // A request that comes as its connection is closed, having been at rest, is not sent on, and its client sees an end without
 // an answer: it may send it again.
-func TestRequestAsItsConnectionCloses(t *testing.T) {
+func TestRequestWhileItsConnectionCloses(t *testing.T) {
 	for name, ends := range map[string]func(r *rig){
 		"unused": func(*rig) {},
 		"displaced": func(r *rig) {
@@ -297,7 +297,7 @@
 }
 
 // An answer that is half written as the co-ordinator is told to end goes out whole.
-func TestAnswerHalfWrittenAtTheStop(t *testing.T) {
+func TestPartlyWrittenAnswerAtShutdown(t *testing.T) {
 	half, gate := make(chan struct{}), make(chan struct{})
 	r := crossed(t, 256, nil, func(c *crossing) {
 		c.writes = func(p []byte) (int, bool) {
@@ -325,7 +325,7 @@
 
 // A replica's reset against the write of a frame to it: one that is not out whole was never sent and goes elsewhere, whatever
 // its effect; one that is may have run, and an unsafe one is not sent again.
-func TestResetAgainstAWrite(t *testing.T) {
+func TestReplicaResetDuringWrite(t *testing.T) {
 	for name, x := range map[string]struct {
 		whole  bool
 		part   func(p []byte) int // what is written before the reset
@@ -395,11 +395,11 @@
 
 // While the owner's queue is full those that have something for it wait, and nothing of it is lost: requests are answered, and
 // leaves are seen, once it goes on.
-func TestQueueThatIsFull(t *testing.T) {
+func TestFullTaskQueue(t *testing.T) {
 	r := start(t, 256, nil)
 	r.call().want("first", "all", 200, wholeOfAll)
 	gate, in := make(chan struct{}), make(chan struct{})
-	r.owner.submit(func() { close(in); <-gate })
+	r.loop.submit(func() { close(in); <-gate })
 	<-in
 	var callers []*caller
 	for i := range 40 {
@@ -407,7 +407,7 @@
 	}
 	for full := false; !full; {
 		select {
-		case r.owner.tasks <- func() {}:
+		case r.loop.tasks <- func() {}:
 		default:
 			full = true
 		}
--- a/coordinator/edges_test.go
+++ b/coordinator/edges_test.go
@@ -20,7 +20,7 @@
 }
 
 // A cell that is no place of a set is refused with its entry, and the list in force stays.
-func TestCellsThatAreNone(t *testing.T) {
+func TestInvalidCells(t *testing.T) {
 	for _, cell := range []string{"-1", "0.5", "true", `"1"`} {
 		all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":` + cell + `}]}`))
 		require.NoError(t, err)
--- a/coordinator/effects_test.go
+++ b/coordinator/effects_test.go
@@ -82,7 +82,7 @@
 
 // No part takes effect twice, by the hosts' own record: keyed parts go out again only where and while a repeat is
 // dropped, unsafe ones only where the first cannot have run.
-func TestNoSecondEffect(t *testing.T) {
+func TestKeyedRequestsTakeEffectOnce(t *testing.T) {
 	const searches, callers = 10_000, 20
 	r := start(t, 512, func(settings map[string]any) {
 		settings["Classes"] = []any{
--- a/coordinator/ends_test.go
+++ b/coordinator/ends_test.go
@@ -9,10 +9,10 @@
 )
 
 // Each search's end is told once, with its class and its sub-requests, also where its client leaves.
-func TestEndsAreTold(t *testing.T) {
+func TestSearchEndNotifications(t *testing.T) {
 	r := start(t, 256, nil)
 	ends := make(chan SearchEnd, 4)
-	r.owner.submit(func() { r.owner.OnSearchEnd = func(e SearchEnd) { ends <- e } })
+	r.loop.submit(func() { r.loop.OnSearchEnd = func(e SearchEnd) { ends <- e } })
 	r.call().want("s1", "all", 200, wholeOfAll)
 	e := <-ends
 	require.Equal(t, [3]int{1, OutcomeAnswered, 4}, [3]int{e.Type, e.Outcome, e.Attempts})
--- a/coordinator/given_up_test.go
+++ b/coordinator/given_up_test.go
@@ -47,7 +47,7 @@
 // puppet puts one in the module's place.
 func (r *rig) puppet() *puppet {
 	p := &puppet{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
-	r.inTurn(func(loop *eventLoop) { loop.balancer = p })
+	r.runInLoop(func(loop *eventLoop) { loop.balancer = p })
 	return p
 }
 
@@ -64,7 +64,7 @@
 // untold asks for a turn, behind which no outcome may have been told.
 func (p *puppet) untold() {
 	for range 3 {
-		p.r.inTurn(func(*eventLoop) {})
+		p.r.runInLoop(func(*eventLoop) {})
 	}
 	require.Empty(p.r.t, p.outcomes)
 }
@@ -75,7 +75,7 @@
 // further one, only when that is over for its replica too: not as the cancel frame is written, nor as something else is heard, nor as
 // the connection is closed on this side, for on one that has fallen silent neither arrives. An answer that comes all the same counts.
 // Where copies are allowed it hears at once.
-func TestGivenUpWhereNoCopiesAre(t *testing.T) {
+func TestAbandonedAttemptsWithoutSecondCopies(t *testing.T) {
 	type at struct {
 		*rig
 		hold chan asked
@@ -102,7 +102,7 @@
 		}, "QueueFull"},
 		"its connection is retired, and it is answered": {false, func(a at) {
 			first := <-a.hold
-			a.inTurn(func(loop *eventLoop) { loop.retireConnection(a.l) })
+			a.runInLoop(func(loop *eventLoop) { loop.retireConnection(a.l) })
 			a.p.untold()
 			first.ReplyGood()
 		}, "Ok"},
@@ -110,23 +110,23 @@
 			<-a.hold
 			c := a.call().send(request("other", "all", "", onePart))
 			ids := <-a.p.searches
-			a.inTurn(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
+			a.runInLoop(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
 			(<-a.hold).ReplyGood()
 			a.p.told("Ok")
-			a.inTurn(func(loop *eventLoop) { loop.AnswerSearch(ids[0], true) })
+			a.runInLoop(func(loop *eventLoop) { loop.AnswerSearch(ids[0], true) })
 			status, _, _, _ := c.answer()
 			require.Equal(a.t, 200, status)
 			a.p.untold()
 			a.replicas["a0"].ResetConnections()
 		}, "Canceled"},
 		"closed on this side, then its search ends": {false, func(a at) {
-			a.inTurn(func(*eventLoop) { a.l.closeNow(errRetired) })
+			a.runInLoop(func(*eventLoop) { a.l.closeNow(errRetired) })
 			a.eventually("it has ended", func() (ended bool) {
-				a.inTurn(func(loop *eventLoop) { ended = len(loop.replicas.byID["a0"].connections) == 0 })
+				a.runInLoop(func(loop *eventLoop) { ended = len(loop.replicas.byID["a0"].connections) == 0 })
 				return ended
 			})
 			a.p.untold()
-			a.inTurn(func(loop *eventLoop) { loop.FailSearch(loop.searches.shardRequests[a.part].search.id) })
+			a.runInLoop(func(loop *eventLoop) { loop.FailSearch(loop.searches.shardRequests[a.part].search.id) })
 		}, "Canceled"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -138,19 +138,19 @@
 			r.replicas["a0"].SetHandler(func(p asked) { a.hold <- p })
 			c := r.call().send(request("q", "all", "", onePart))
 			a.part = (<-a.p.searches)[1]
-			r.inTurn(func(loop *eventLoop) { loop.SendAttempt(a.part, "a0", 0) })
+			r.runInLoop(func(loop *eventLoop) { loop.SendAttempt(a.part, "a0", 0) })
 			r.eventually("it is out", func() bool {
-				r.inTurn(func(loop *eventLoop) { // maybe in the turn that sends it, before it has a connection
+				r.runInLoop(func(loop *eventLoop) { // maybe in the turn that sends it, before it has a connection
 					if lines := loop.replicas.byID["a0"].connections; len(lines) > 0 {
 						a.l = lines[0]
 					}
 				})
 				return a.l != nil && r.replicas["a0"].CountRequests() == 1
 			})
-			r.inTurn(func(loop *eventLoop) { loop.CancelAttempt(a.part, 0) })
+			r.runInLoop(func(loop *eventLoop) { loop.CancelAttempt(a.part, 0) })
 			x.then(a)
 			a.p.told(x.told)
-			r.inTurn(func(loop *eventLoop) {
+			r.runInLoop(func(loop *eventLoop) {
 				require.Empty(t, loop.replicas.abandoned)
 				if shardReq := loop.searches.shardRequests[a.part]; shardReq != nil {
 					require.Equal(t, x.told == "Ok", shardReq.completed)
@@ -166,7 +166,7 @@
 
 // A keyed part's repeat that a connection's writer comes to after its window is over does not leave, and the module hears that
 // it was never sent.
-func TestRepeatsLeaveWithinTheirWindow(t *testing.T) {
+func TestRepeatsAreSentWithinTheirWindow(t *testing.T) {
 	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
 		var told []string
 		loop, conn, search := oneOut(stageWritten)
@@ -202,7 +202,7 @@
 }
 
 // A part whose client leaves while it waits for a connection that is not up does not go out once that is.
-func TestClientLeavesUnderADial(t *testing.T) {
+func TestClientLeavesDuringDial(t *testing.T) {
 	r, let := startGated(t, func(settings map[string]any) { // the module calls nothing off
 		may := settings["Permissions"].(map[string]any)
 		may["SecondCopies"], may["Cancelling"] = false, false
@@ -228,7 +228,7 @@
 
 // Two tenants and classes on one connection, their requests in pieces one after another: each has its own limits, time, mark
 // and effect, and a field that a request lacks is not the one before's.
-func TestTenantsOnOneConnection(t *testing.T) {
+func TestTenantsShareOneConnection(t *testing.T) {
 	r := start(t, 256, nil)
 	p := r.puppet()
 	type one struct {
@@ -267,7 +267,7 @@
 		require.Equal(t, one{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
 		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
 		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
-		r.inTurn(func(loop *eventLoop) { loop.ShedSearch(id, 0) })
+		r.runInLoop(func(loop *eventLoop) { loop.ShedSearch(id, 0) })
 		status, _, _, _ := c.answer()
 		require.Equal(t, 503, status)
 	}
@@ -275,7 +275,7 @@
 }
 
 // Under contracts a late answer to a part that was called off counts for nothing: it may come from where the part may not run.
-func TestLateAnswerUnderContracts(t *testing.T) {
+func TestLateAnswerWithResidencyContracts(t *testing.T) {
 	for _, bound := range []bool{false, true} {
 		var told []string
 		loop, conn, search := oneOut(stageWritten)
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -172,7 +172,7 @@
 func (s searchUnderTest) answerShards(step int, shards ...int) {
 	for _, shard := range shards {
 		s.eventually("the step begins", func() (there bool) {
-			s.inTurn(func(loop *eventLoop) {
+			s.runInLoop(func(loop *eventLoop) {
 				for _, request := range loop.searches.byID[s.id].shardRequests {
 					if request.step == step && request.shard == shard {
 						there = true
@@ -187,7 +187,7 @@
 }
 
 func (s searchUnderTest) settle(whole bool) {
-	s.inTurn(func(loop *eventLoop) { loop.AnswerSearch(s.id, whole) })
+	s.runInLoop(func(loop *eventLoop) { loop.AnswerSearch(s.id, whole) })
 }
 
 // Searches get the bytes of the golden file for each way in which they end: whole, in part, after two steps, shed, failed, and
@@ -232,14 +232,14 @@
 			s.answerShards(2, 1)
 			s.settle(false)
 		}},
-		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 0) }) }},
-		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 2500) }) }},
+		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.runInLoop(func(loop *eventLoop) { loop.ShedSearch(s.id, 0) }) }},
+		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.runInLoop(func(loop *eventLoop) { loop.ShedSearch(s.id, 2500) }) }},
 		{
 			"shed with a wait, close", "all", "Connection: close\r\n", fourParts,
-			func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.ShedSearch(s.id, 12345) }) },
+			func(s searchUnderTest) { s.runInLoop(func(loop *eventLoop) { loop.ShedSearch(s.id, 12345) }) },
 		},
-		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
-		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.inTurn(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
+		{"failed", "all", "", fourParts, func(s searchUnderTest) { s.runInLoop(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
+		{"failed, close", "all", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.runInLoop(func(loop *eventLoop) { loop.FailSearch(s.id) }) }},
 	} {
 		text := request(fmt.Sprint("q", i), x.class, x.head, x.body)
 		c := dialRaw(t, r.addr).send(text)
@@ -254,7 +254,7 @@
 	exchange(t, &out, r.addr, "request id that is in use", request("same", "all", "", fourParts))
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
-	r.inTurn(func(loop *eventLoop) { require.Nil(t, loop.searches.byID[id]) })
+	r.runInLoop(func(loop *eventLoop) { require.Nil(t, loop.searches.byID[id]) })
 	requireGolden(t, "client_responses.golden", out.String())
 	r.end()
 }
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -68,11 +68,11 @@
 	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
 	c := r.call().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
 	ids := <-module.searches
-	r.inTurn(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
+	r.runInLoop(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
 	<-held
-	r.inTurn(func(loop *eventLoop) { loop.CancelAttempt(ids[1], 0) })
+	r.runInLoop(func(loop *eventLoop) { loop.CancelAttempt(ids[1], 0) })
 	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Observed(); return len(given) == 1 })
-	r.inTurn(func(loop *eventLoop) { loop.FailSearch(ids[0]) })
+	r.runInLoop(func(loop *eventLoop) { loop.FailSearch(ids[0]) })
 	c.answer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
 	requireGolden(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
--- a/coordinator/held_test.go
+++ b/coordinator/held_test.go
@@ -17,13 +17,13 @@
 
 // Guards against memory that follows rate times client timeout: clients here wait a minute, and once all have
 // their answers the owner holds no part, no wake of a search and no value.
-func TestWhatEndedSearchesHold(t *testing.T) {
+func TestEndedSearchesHoldNothing(t *testing.T) {
 	r := start(t, 256, nil)
 	c := r.call()
 	held := func() (wakes, timers, parts, searches, lines int) {
 		told := make(chan struct{})
-		require.True(t, r.owner.submit(func() {
-			loop := r.owner
+		require.True(t, r.loop.submit(func() {
+			loop := r.loop
 			wakes, timers, parts, searches, lines = loop.timers.queue.Len(), len(loop.timers.balancer), len(loop.searches.shardRequests), len(loop.searches.byID), loop.descriptors.replicaConnections
 			close(told)
 		}))
@@ -44,7 +44,7 @@
 
 // What open searches and untaken answers hold is bounded: with no room left, a search is turned away at once with a time
 // to come back, and there is room again once answers are out.
-func TestNoRoom(t *testing.T) {
+func TestShedsWithoutMemory(t *testing.T) {
 	r := start(t, 256, nil)
 	long := strings.Repeat("v", 20_000)
 	held := make(chan asked, 1)
@@ -62,9 +62,9 @@
 	}
 	look := func() (bytes int64) {
 		told := make(chan struct{})
-		require.True(t, r.owner.submit(func() {
-			r.owner.searches.memoryLimit = 50_000
-			bytes = r.owner.searches.heldBytes + r.owner.searches.unsentBytes.Load()
+		require.True(t, r.loop.submit(func() {
+			r.loop.searches.memoryLimit = 50_000
+			bytes = r.loop.searches.heldBytes + r.loop.searches.unsentBytes.Load()
 			close(told)
 		}))
 		<-told
@@ -102,7 +102,7 @@
 
 // A client that does not read its answer holds that answer and nothing else: others are served, what it holds is
 // counted, and is released when it reads or leaves.
-func TestSlowReader(t *testing.T) {
+func TestClientThatDoesNotReadHoldsItsAnswer(t *testing.T) {
 	r := start(t, 256, nil)
 	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordinator/held_up_test.go
+++ b/coordinator/held_up_test.go
@@ -14,7 +14,7 @@
 
 // A process that is held up, and whose clients leave meanwhile, sends nothing for them when it goes on, though the wakes of
 // their searches are due at once.
-func TestClientsThatLeaveWhileItIsHeldUp(t *testing.T) {
+func TestClientsThatLeaveDuringStall(t *testing.T) {
 	const lives, clients = 6, 24 // without what it holds, one life in three sends something
 	for i := range lives {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
--- a/coordinator/keeping_test.go
+++ b/coordinator/keeping_test.go
@@ -43,12 +43,12 @@
 		k.Close()
 		more.ended <- err
 	}()
-	more.owner = <-look
+	more.loop = <-look
 	r.t.Cleanup(cancel)
 	return more
 }
 
-func (r *rig) keeper() *Persistence { return r.owner.Persistence }
+func (r *rig) keeper() *Persistence { return r.loop.Persistence }
 
 // kept writes into a store as an earlier run would have.
 func kept(t *testing.T, path string, puts map[string]any) {
@@ -66,10 +66,10 @@
 // inForce are the hosts that the owner works with.
 func (r *rig) inForce() string {
 	found := make(chan string, 1)
-	require.True(r.t, r.owner.submit(func() {
+	require.True(r.t, r.loop.submit(func() {
 		on := ""
 		for _, id := range []string{"a0", "a1", "b0", "b1", "c0"} {
-			if h := r.owner.replicas.byID[id]; h != nil && !h.removed {
+			if h := r.loop.replicas.byID[id]; h != nil && !h.removed {
 				on += id + " "
 			}
 		}
@@ -89,7 +89,7 @@
 
 // What was learned of hosts and the list in force are there after a planned stop, with discovery away: a host that hangs
 // still takes next to nothing, and one that discovery had removed does not come back by the plan, which still lists it.
-func TestARestartKnowsWhatWasKnown(t *testing.T) {
+func TestRestartRestoresObservations(t *testing.T) {
 	first := start(t, 256, nil)
 	path := filepath.Join(t.TempDir(), "kept")
 	r := first.keeping(path, store.Options{})
@@ -125,7 +125,7 @@
 }
 
 // A disk that takes seconds for a write, or fails each: searches and the stop go on as ever, and it is told.
-func TestABadDiskHoldsNothingUp(t *testing.T) {
+func TestSlowDiskDelaysNothing(t *testing.T) {
 	first := start(t, 256, nil)
 	for name, disk := range map[string]func() error{
 		"slow": func() error { time.Sleep(5 * time.Second); return nil },
@@ -141,7 +141,7 @@
 		r.logged("event=store ")
 		bad.Store(true)
 		written := make(chan error, 1)
-		go func() { written <- r.keeper().write(r.owner.ctx, r.owner, nil, false) }()
+		go func() { written <- r.keeper().write(r.loop.ctx, r.loop, nil, false) }()
 		r.asks("a0", 20)
 		stopped := time.Now()
 		r.end()
@@ -156,7 +156,7 @@
 
 // Several starts within a minute believe less each time, down to nothing; a store that another process holds, or that
 // cannot be read, leaves a start as it would be without one.
-func TestAStartGoesOnWithWhatItCanHave(t *testing.T) {
+func TestStartWithUnusableStore(t *testing.T) {
 	first := start(t, 256, nil)
 	path, now := filepath.Join(t.TempDir(), "kept"), time.Now().UnixMilli()
 	list := recovery.EndpointList{SavedAt: now, PlanVersion: 7, DiscoveryVersion: 8, Hosts: []endpoints.Host{first.member("a0"), {ID: "c0", Addr: "127.0.0.1:1", Weight: 1}}}
@@ -197,8 +197,8 @@
 	first.end()
 }
 
-// BenchmarkKept writes and reads what is kept of 10,000 hosts.
-func BenchmarkKept(b *testing.B) {
+// BenchmarkPersistence writes and reads what is kept of 10,000 hosts.
+func BenchmarkPersistence(b *testing.B) {
 	now := time.Now().UnixMilli()
 	list, notes := recovery.EndpointList{SavedAt: now}, recovery.Observations{SavedAt: now, Head: peerreport.ReportHeader{Peer: "n", HostCount: 10_000}}
 	for i := range 10_000 {
--- a/coordinator/list_moments_test.go
+++ b/coordinator/list_moments_test.go
@@ -322,7 +322,7 @@
 }
 
 // Lists at another place, after SIGHUP in bad moments: by 4 s later they are told, also where the first attempt there fails.
-func TestWhenAListIsToldAfterAMove(t *testing.T) {
+func TestListDelayAfterDiscoveryMoves(t *testing.T) {
 	down := slices.Repeat([]string{"lost"}, 40)
 	for name, x := range map[string]struct {
 		old    []string // what the old place does
@@ -374,7 +374,7 @@
 
 // What happens to attempts in a row, on all of 1 and of 300 co-ordinators, and when a change is told that discovery had as
 // the last of them began: within 6 s, or 2 s after the wait of the call.
-func TestWhenAListIsToldAfterFailures(t *testing.T) {
+func TestListDelayAfterFailures(t *testing.T) {
 	for _, fault := range []string{"silent", "half", "trickle", "unanswered", "refused", "lost", "503", "empty", "unreadable", "same"} {
 		for _, within := range []any{10_000.0, 60_000.0, nil} { // the settings' time to ask: the module's waits follow it
 			t.Run(fmt.Sprint(fault, " ", within), func(t *testing.T) {
@@ -419,7 +419,7 @@
 // Versions that begin again at one place, as discovery has lost them: the list there is in force after the next call that
 // waits it out, or soon after the connection is lost. Until discovery knows a host again, the last list holds. An answer
 // that is merely late changes nothing.
-func TestVersionsThatBeginAgain(t *testing.T) {
+func TestRestartedVersions(t *testing.T) {
 	for name, x := range map[string]struct {
 		lost    bool     // the watch is, as they do
 		faults  []string // after that
@@ -486,7 +486,7 @@
 
 // A file that names no place for discovery any more leaves the variable's in force, and one that names a place again holds
 // over that.
-func TestReloadsWithoutAPlace(t *testing.T) {
+func TestReloadWithoutDiscoveryAddress(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	write := func(place string) {
 		require.NoError(t, os.WriteFile(path, []byte(`{"name":"n","listen":"l",`+place+`"seed":"1f",
@@ -517,7 +517,7 @@
 
 // A part waits for a connection that comes up late when its replica begins to drain, is removed, or is not in a whole list:
 // nothing goes out there once the connection is up, and the search is answered by the other holder.
-func TestNothingGoesToADrainLate(t *testing.T) {
+func TestNothingSentToDrainingReplicaAfterGrace(t *testing.T) {
 	for name, answer := range map[string]func(r *rig, id string) string{
 		"drains": func(r *rig, id string) string {
 			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "draining"))
@@ -585,7 +585,7 @@
 
 // Where lists have several sources, changes of discovery's that are refused are told again until they can be taken: none of
 // them is lost with the version that brought it.
-func TestRefusedChangesAreToldAgain(t *testing.T) {
+func TestRefusedChangesArePolledAgain(t *testing.T) {
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	good := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a0", "draining"), r.entry("b1", "up"))
@@ -605,7 +605,7 @@
 }
 
 // The module's waits begin again with a sound call, also where several sources make the list and it does not change.
-func TestWaitsBeginAgainWithSeveralSources(t *testing.T) {
+func TestBackoffResetsWithSeveralSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newLists()
 		f := follow(t, 1, map[string]*lists{"first": d}, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
@@ -634,7 +634,7 @@
 
 // A list of the longest body that the protocol allows is taken, a longer one fails the call and the log says why; the list
 // is not lost with it.
-func TestTheLongestList(t *testing.T) {
+func TestLongestEndpointList(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
 	text := func(version, size int) string {
@@ -654,7 +654,7 @@
 
 // A host that is removed under a part and comes back at once, at its address or at another, is used at once, and the end
 // of what was there before does not forget it. So it is when it was named twice, removed and up.
-func TestAHostThatComesBackUnderAPart(t *testing.T) {
+func TestHostReturnsDuringAttempt(t *testing.T) {
 	for name, back := range map[string]func(r *rig, moved string) []string{
 		"at its address": func(r *rig, moved string) []string {
 			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), `"started_ms":0`, `"started_ms":5`, 1)}
@@ -707,7 +707,7 @@
 					r.call().want(fmt.Sprint("p", i), "all", 200, wholeOfAll)
 				}
 				look := make(chan bool)
-				r.owner.submit(func() { h := r.owner.replicas.byID["b1"]; look <- h != nil && !h.removed })
+				r.loop.submit(func() { h := r.loop.replicas.byID["b1"]; look <- h != nil && !h.removed })
 				require.True(t, <-look)
 				if name != "at its address" {
 					require.Positive(t, next.CountRequests())
@@ -721,7 +721,7 @@
 
 // A whole list with no hosts is in force like any other: nothing is sent, health stays good, and the next list brings all
 // back. At a start such a list is not yet one: health is bad until a host is known.
-func TestAListWithoutHosts(t *testing.T) {
+func TestEndpointListWithoutHosts(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
 	r.list.Responses <- `{"version":8,"full":true,"servers":[]}`
--- a/coordinator/lists_crossing_test.go
+++ b/coordinator/lists_crossing_test.go
@@ -22,7 +22,7 @@
 
 // One that knows no host asks for the whole list, which is answered at once, and not for changes: it would wait long for a call
 // that falls silent, and serve nobody.
-func TestAStartThatKnowsNoHost(t *testing.T) {
+func TestStartWithoutKnownHosts(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settings["Balancers"] = 300 })
 	ownPlan, other := *r.plan, script(t)
 	ownPlan.Known = plan.EndpointList{Version: ownPlan.Known.Version, Full: true}
@@ -37,7 +37,7 @@
 			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
 		})
 	}()
-	next.owner = <-look
+	next.loop = <-look
 	require.Equal(t, "/v1/servers", <-other.Targets) // falls silent
 	began := time.Now()
 	require.Equal(t, "/v1/servers", <-other.Targets)
@@ -52,7 +52,7 @@
 }
 
 // A list without a length ends with its connection: shut in good order it counts if it is whole, reset on the way it is none.
-func TestAListWithoutALength(t *testing.T) {
+func TestListAnswerWithoutContentLength(t *testing.T) {
 	for name, x := range map[string]struct {
 		share  int // percent of it that comes
 		resets bool
@@ -96,7 +96,7 @@
 
 // A call that falls silent is followed by the next at once, whoever asks, and first calls of many co-ordinators that begin
 // together are to fall silent one by one: discovery takes its time with each.
-func TestSilenceIsAskedAboutAtOnce(t *testing.T) {
+func TestSilentCallIsRepeatedAtOnce(t *testing.T) {
 	for _, by := range []string{"subscribe", "automatic"} {
 		waits := map[string]bool{}
 		for seed := range 20 {
@@ -125,7 +125,7 @@
 
 // An answer of the old place that was read as SIGHUP moves discovery does not outlast the new place's list, though its version
 // is higher.
-func TestAnswerOfTheOldPlace(t *testing.T) {
+func TestAnswerFromFormerDiscoveryAddress(t *testing.T) {
 	read, gate := make(chan struct{}), make(chan struct{})
 	var old atomic.Value
 	old.Store("")
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -34,7 +34,7 @@
 			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, onStart: look,
 		})
 	}()
-	more.owner = <-look
+	more.loop = <-look
 	r.t.Cleanup(cancel)
 	more.logged("event=serving")
 	return more
@@ -81,9 +81,9 @@
 	g.Go(func() {
 		for {
 			found := make(chan string, 1)
-			if !r.owner.submit(func() {
+			if !r.loop.submit(func() {
 				var on []string
-				for id, h := range r.owner.replicas.byID {
+				for id, h := range r.loop.replicas.byID {
 					if !h.removed {
 						on = append(on, id)
 					}
--- a/coordinator/names_test.go
+++ b/coordinator/names_test.go
@@ -26,7 +26,7 @@
 
 // Requests name class and tenant as the settings have them, blanks, commas and letters of all languages too, and each is
 // handled by its own.
-func TestNamesAsInTheSettings(t *testing.T) {
+func TestRequestNamesAsInSettings(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) {
 		placed(settings, "Classes", 1)["Name"] = "all, größer"
 		placed(settings, "Tenants", 0)["Name"] = "acme north"
@@ -50,7 +50,7 @@
 
 // Names under which a customer would get another's settings end the start, and so do lists that are no lists of objects:
 // what they mean would be missing without a word.
-func TestNamesThatAreNotClear(t *testing.T) {
+func TestAmbiguousNames(t *testing.T) {
 	for _, x := range []struct {
 		wrong string
 		edit  func(settings map[string]any)
@@ -90,7 +90,7 @@
 
 // Numbers with which a start would go well and searches, or the process, would fail: half a set is none, and no part can be
 // sent in no tries, on connections that may take no time to come up or are idle at once.
-func TestNumbersThatAreNone(t *testing.T) {
+func TestInvalidNumbers(t *testing.T) {
 	plan := string(planOf(t, func(map[string]any) {}))
 	for _, x := range [][3]string{
 		{`"Sets":2`, `"Sets":0.5`, "Specifics.Sets: 0.5 is no whole number"},
--- a/coordinator/other_store_test.go
+++ b/coordinator/other_store_test.go
@@ -11,7 +11,7 @@
 )
 
 // A store that another deployment's co-ordinator has written is not believed: no search goes to that one's hosts.
-func TestAnothersStore(t *testing.T) {
+func TestStoreOfAnotherDeployment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
 	one := start(t, 256, nil)
 	r := one.keeping(path, store.Options{})
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -42,8 +42,8 @@
 func (r *rig) heard(id string) (bad bool) {
 	told := make(chan struct{})
 	var all []string
-	require.True(r.t, r.owner.submit(func() {
-		r.owner.balancer.ExportObservations(0, 100, func(b balancer.Observation) { all = append(all, b.Replica) })
+	require.True(r.t, r.loop.submit(func() {
+		r.loop.balancer.ExportObservations(0, 100, func(b balancer.Observation) { all = append(all, b.Replica) })
 		close(told)
 	}))
 	<-told
@@ -51,7 +51,7 @@
 }
 
 // A co-ordinator that starts beside one that runs has its knowledge at once, and answers by it.
-func TestLearnsFromARunningOne(t *testing.T) {
+func TestImportsReportOfRunningPeer(t *testing.T) {
 	pa := named(t, "a")
 	a := startWith(t, 256, nil, pa)
 	a.replicas["a0"].Listener.Close()
@@ -73,7 +73,7 @@
 
 // Peers of no use: searches and /healthz wait for none of it, nor does a new plan, and the co-ordinator ends in the
 // middle of asking.
-func TestUselessPeersDelayNothing(t *testing.T) {
+func TestFailingPeersDelayNothing(t *testing.T) {
 	deaf := listen(t)
 	gone := listen(t)
 	gone.Close()
@@ -95,7 +95,7 @@
 }
 
 // Two that both start cold and ask each other, and one that hears from both while a list changes.
-func TestColdOnesAskEachOther(t *testing.T) {
+func TestStartingPeersPollEachOther(t *testing.T) {
 	pa, pb := named(t, "a"), named(t, "b")
 	pa.PollTargets, pb.PollTargets = []PeerAddress{pb.at()}, []PeerAddress{pa.at()}
 	a, b := startWith(t, 256, nil, pa), startWith(t, 256, nil, pb)
@@ -121,7 +121,7 @@
 
 // Fifty that start at once and ask one: some are answered, the others told when to come back, its own searches lose
 // nothing, and it ends with askers still coming.
-func TestFiftyAskOne(t *testing.T) {
+func TestFiftyPeersPollOne(t *testing.T) {
 	p := named(t, "a")
 	for i := range 50 {
 		p.AllowedPeers = append(p.AllowedPeers, fmt.Sprint("n", i))
@@ -154,7 +154,7 @@
 }
 
 // A host whose address changed is another machine: what was heard of it is taken back.
-func TestMovedHost(t *testing.T) {
+func TestReportsOfMovedHostAreDropped(t *testing.T) {
 	ln := listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error)
@@ -171,11 +171,11 @@
 	r.logged("event=learned peer=b hosts=1")
 	cancel()
 	require.NoError(t, <-served)
-	l := r.owner.peers
+	l := r.loop.peers
 	heard := func() (n int) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, h := range l.reports.Combine(r.owner.clockTicks(), func(string) (int64, bool) { return 0, true }) {
+		for _, h := range l.reports.Combine(r.loop.clockTicks(), func(string) (int64, bool) { return 0, true }) {
 			if h.Outlier {
 				n++
 			}
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -37,7 +37,7 @@
 
 // Clients whose connections stay open after SIGTERM and that go on sending until SIGKILL, one request after another and
 // several in a piece: each request that went out before the kill has its final answer, none a connection that closes.
-func TestConnectionsThatStayOpenAtTheEnd(t *testing.T) {
+func TestConnectionsThatStayOpenAtShutdown(t *testing.T) {
 	r := process(t, nil)
 	text := func(id string) string {
 		return fake.Search{ID: id, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Encode()
@@ -130,7 +130,7 @@
 }
 
 // A process whose clients close, or stay without a word, ends by itself after SIGTERM.
-func TestEndWithIdleConnections(t *testing.T) {
+func TestShutdownWithIdleConnections(t *testing.T) {
 	r := process(t, nil)
 	conn, err := net.Dial("tcp", r.Addresses("n").Client)
 	require.NoError(t, err)
@@ -143,7 +143,7 @@
 
 // A process that is stopped for longer than a client's connection may be unused, or a request take, and goes on: each request
 // that came meanwhile, on kept connections, begun ones and new ones, has its final answer.
-func TestRequestsWhileStopped(t *testing.T) {
+func TestRequestsDuringSIGSTOP(t *testing.T) {
 	r := process(t, nil)
 	var conns []net.Conn
 	var readers []*http1.Reader
--- a/coordinator/replica_moments_test.go
+++ b/coordinator/replica_moments_test.go
@@ -35,7 +35,7 @@
 }
 
 // The second connects beside late ones keep to their part of the descriptors, however many are late at once.
-func TestSecondConnectsAreBounded(t *testing.T) {
+func TestExtraDialsAreBounded(t *testing.T) {
 	const sockets = 64
 	var tried atomic.Int64 // now
 	r := startIn(t, nil, sockets, func(settings map[string]any) {
@@ -53,12 +53,15 @@
 	for i := range 12 {
 		r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts))
 	}
-	lines := func() (n int) { r.inTurn(func(loop *eventLoop) { n = loop.descriptors.replicaConnections }); return n }
+	lines := func() (n int) {
+		r.runInLoop(func(loop *eventLoop) { n = loop.descriptors.replicaConnections })
+		return n
+	}
 	r.eventually("connections are late", func() bool { return float64(lines()) >= replicaDescriptorShare*sockets })
-	r.eventually("second ones are tried", func() bool { return r.owner.descriptors.extraDials.Load() >= int64(lines()) })
+	r.eventually("second ones are tried", func() bool { return r.loop.descriptors.extraDials.Load() >= int64(lines()) })
 	require.LessOrEqual(t, tried.Load(), int64(math.Ceil(replicaDescriptorShare*sockets+extraDialShare*sockets))+1) // one is discovery's
 	r.end()
-	require.Zero(t, r.owner.descriptors.extraDials.Load())
+	require.Zero(t, r.loop.descriptors.extraDials.Load())
 }
 
 // startGated starts one whose connections to the replicas of cell 0 wait at their gates.
@@ -93,15 +96,15 @@
 }
 
 // awaitTurn does something in a turn of the owner's and waits for it.
-func (r *rig) inTurn(do func(loop *eventLoop)) {
+func (r *rig) runInLoop(do func(loop *eventLoop)) {
 	done := make(chan struct{})
-	require.True(r.t, r.owner.submit(func() { do(r.owner); close(done) }))
+	require.True(r.t, r.loop.submit(func() { do(r.loop); close(done) }))
 	<-done
 }
 
 // waiting tells how many parts are out, as the owner sees it, on connections to a replica that are not up.
 func (r *rig) waiting(id string) (n int) {
-	r.inTurn(func(loop *eventLoop) {
+	r.runInLoop(func(loop *eventLoop) {
 		if to := loop.replicas.byID[id]; to != nil {
 			for _, conn := range to.connections {
 				if conn.connectedAt == 0 {
@@ -115,7 +118,7 @@
 
 // up tells whether a connection to a replica is.
 func (r *rig) up(id string) (is bool) {
-	r.inTurn(func(loop *eventLoop) {
+	r.runInLoop(func(loop *eventLoop) {
 		for _, conn := range loop.replicas.byID[id].connections {
 			is = is || conn.connectedAt > 0
 		}
@@ -124,7 +127,7 @@
 }
 
 // A part that waits for a connection that comes up late tells its replica what is left to the client then.
-func TestTimeToldOnALateConnection(t *testing.T) {
+func TestRemainingTimeOnSlowConnection(t *testing.T) {
 	const late = 300 * time.Millisecond
 	r, let := startGated(t, nil)
 	c := r.call().send(request("q", "all", "", fourParts))
@@ -149,7 +152,7 @@
 
 // A part that waits for a connection to a replica that begins to drain, is gone or has moved meanwhile goes elsewhere in
 // time, and nothing is sent there once the connection is up.
-func TestNothingWaitsForAReplicaThatLeaves(t *testing.T) {
+func TestNothingWaitsForRemovedReplica(t *testing.T) {
 	for name, list := range map[string]func(r *rig, id, other string) string{
 		"drains": func(r *rig, id, _ string) string {
 			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "draining"))
@@ -195,7 +198,7 @@
 
 // A keyed part whose first sub-requests have not run goes out on whatever connection there is, a new one too; it is no
 // repeat. Those that may have run bind it to one that has stood since, as ever.
-func TestKeyedPartThatNeverRanIsNoRepeat(t *testing.T) {
+func TestKeyedRequestThatNeverRanIsNoRepeat(t *testing.T) {
 	var hosts sync.Map // address: of cell 0
 	var dials atomic.Int32
 	r := startIn(t, nil, 256, func(settings map[string]any) {
@@ -224,7 +227,7 @@
 }
 
 // What is known of earlier sub-requests tells which of a keyed part's are repeats.
-func TestFirstSentOfKeyedParts(t *testing.T) {
+func TestFirstSentAt(t *testing.T) {
 	for _, x := range []struct {
 		outcomes string
 		first    int64
@@ -292,7 +295,7 @@
 }
 
 // A search that ends takes its parts off a call in one piece: no frame with the rest of them is on its way in between.
-func TestPartsOfOneCallGoBackTogether(t *testing.T) {
+func TestBatchIsRecalledTogether(t *testing.T) {
 	loop, conn, s := twoOut(false)
 	require.Empty(t, loop.finishSearch(s))
 	require.Empty(t, conn.queue)
@@ -314,7 +317,7 @@
 }
 
 // What is called off before it was begun was never sent, and the module hears so: it may go out again whatever its effect.
-func TestCalledOffUnsent(t *testing.T) {
+func TestCanceledBeforeSent(t *testing.T) {
 	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
 		loop, _, _ := oneOut(stage)
 		loop.CancelAttempt(2, 0)
@@ -323,7 +326,7 @@
 }
 
 // A repeat that waits on the connection on which the first sub-request is answered late does not go out.
-func TestAnswerUnderAWaitingRepeat(t *testing.T) {
+func TestAnswerWhileRepeatWaits(t *testing.T) {
 	for stage, left := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
 		var told []string
 		loop, conn, search := oneOut(stage)
@@ -339,7 +342,7 @@
 }
 
 // Who spoils a connection has failed one of the parts that were out there, whatever waits before it.
-func TestSpoiltUnderAWaitingPart(t *testing.T) {
+func TestMalformedAnswerWhileAttemptWaits(t *testing.T) {
 	var told []string
 	loop, conn, _ := twoOut(true)
 	loop.balancer = deaf{told: &told}
@@ -365,7 +368,7 @@
 
 // A message that waits behind another as the other side closes is not begun any more: it was never sent, and may go out
 // again whatever its effect.
-func TestNothingIsBegunAfterTheEnd(t *testing.T) {
+func TestNoWriteBeginsAfterConnectionEnd(t *testing.T) {
 	for range 50 { // both are ready, and which a select takes is chance
 		l := newMessageConn(t.Context(), 2)
 		c := &slowConn{ended: make(chan struct{})}
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -78,7 +78,7 @@
 
 // First parts, second steps, copies and tries of a tenant under contract go to hosts in its zones alone, by the hosts' own
 // records; others use all. The second guard has nothing to catch.
-func TestPartsStayInTheirZones(t *testing.T) {
+func TestAttemptsStayInAllowedZones(t *testing.T) {
 	z := startZoned(t, eastOnly)
 	z.replicas["a0"].SetHandler(func(p asked) { // the slow one inside is copied, and tried again, nowhere else
 		if time.Sleep(400 * time.Millisecond); p.Shard == 0 {
@@ -116,9 +116,9 @@
 func (unbound) RestrictReplicas(uint64, *balancer.ReplicaRestriction, func(int) bool) {}
 
 // The first guard is broken on purpose: nothing leaves, each is counted, and the search has one final answer.
-func TestSecondGuardFailsClosed(t *testing.T) {
+func TestCheckBeforeSendingFailsClosed(t *testing.T) {
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north]", 1))
-	z.owner.submit(func() { z.owner.balancer = unbound{z.owner.balancer} })
+	z.loop.submit(func() { z.loop.balancer = unbound{z.loop.balancer} })
 	status, _ := z.as("acme", "acme1", "all")
 	require.Contains(t, []int{500, 503}, status)
 	require.Zero(t, z.outside())
@@ -137,7 +137,7 @@
 
 // A block without an allowed holder: a final answer at once that names tenant and block; in part where the contract and
 // the type allow it; and none where the lease has ended or the contract is over.
-func TestBlockWithoutAllowedHolder(t *testing.T) {
+func TestBlockWithoutAllowedHost(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	began := time.Now()
 	status, body := z.as("acme", "acme1", "all")
@@ -166,7 +166,7 @@
 
 // The policy tightens with a search in flight: what is out elsewhere is called off, nothing new goes there, and there is
 // one honest answer: a whole one from inside, or a refusal where a block has nobody there. So it is as a lease ends.
-func TestTightensInFlight(t *testing.T) {
+func TestTightenedPolicyCancelsAttempts(t *testing.T) {
 	for _, how := range []string{"moves inside", "has nobody", "lease ends"} {
 		t.Run(how, func(t *testing.T) {
 			z := startZoned(t, strings.Replace(eastOnly, "[east]", "[west]", 1))
@@ -193,7 +193,7 @@
 			}
 			if how != "lease ends" { // Put has returned: all is called off already
 				done := make(chan int)
-				z.owner.submit(func() { done <- z.owner.enforcer.outOn("a1", "b1") })
+				z.loop.submit(func() { done <- z.loop.enforcer.outOn("a1", "b1") })
 				require.Zero(t, <-done)
 			}
 			status, _, body, _ := c.answer()
@@ -220,7 +220,7 @@
 
 // A second step of which a host lies outside by then: its part there is called off, and as its block has nobody else, the
 // search ends at once with an error that names it.
-func TestSecondStepOutside(t *testing.T) {
+func TestSecondStepOutsideAllowedZones(t *testing.T) {
 	z := startZonedWith(t, strings.Replace(eastOnly, "[east]", "[east, west]", 1),
 		map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	for _, h := range z.replicas {
@@ -262,7 +262,7 @@
 
 // A host that moves to another zone under a search is in none: what is out there is called off, and goes elsewhere
 // inside; one that two sources put into different zones is in none from the first.
-func TestHostMovesUnderASearch(t *testing.T) {
+func TestHostChangesZoneDuringSearch(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "east", "b1": "east"}, true)
 	release := make(chan struct{})
 	for _, id := range []string{"a0", "a1"} {
@@ -279,7 +279,7 @@
 	z.lists <- file("a0", "west", 1)
 	zone := func(id string) string {
 		got := make(chan string)
-		z.owner.submit(func() { got <- z.owner.enforcer.hosts.Zone(z.owner.enforcer.now, id) })
+		z.loop.submit(func() { got <- z.loop.enforcer.hosts.Zone(z.loop.enforcer.now, id) })
 		return <-got
 	}
 	z.eventually("in no zone", func() bool { return zone("a0") == "" })
@@ -299,7 +299,7 @@
 func first[T any](v T, _ []string, _, _ int) T { return v }
 
 // A contract begins by the clock alone, with no word from anybody.
-func TestContractBegins(t *testing.T) {
+func TestContractBeginsDuringRun(t *testing.T) {
 	from := time.Now().Add(time.Hour).UTC().Format(time.RFC3339)
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north], from: "+from, 1))
 	status, _ := z.as("acme", "acme1", "all")
@@ -310,7 +310,7 @@
 }
 
 // What waits in a connection's backlog while the process is stopped is not written once the lease has ended meanwhile.
-func TestFenceHoldsBackWhatWaits(t *testing.T) {
+func TestExpiredLeaseStopsWaitingMessages(t *testing.T) {
 	l, up := newMessageConn(t.Context(), 4), false
 	l.leaseExpired = func() bool { return up }
 	var out strings.Builder
--- a/coordinator/restart_moments_test.go
+++ b/coordinator/restart_moments_test.go
@@ -153,7 +153,7 @@
 }
 
 // A log whose reader has gone ends nothing: the process goes on to serve, and ends as it is told to.
-func TestLogThatNobodyHolds(t *testing.T) {
+func TestClosedLogReader(t *testing.T) {
 	l := newLife(t)
 	rd, wr, err := os.Pipe()
 	require.NoError(t, err)
@@ -169,7 +169,7 @@
 }
 
 // A log that nobody reads holds up neither the start, nor new plans, nor the end.
-func TestLogThatNobodyReads(t *testing.T) {
+func TestStalledLogReader(t *testing.T) {
 	l := newLife(t)
 	rd, wr, err := os.Pipe()
 	require.NoError(t, err)
@@ -196,7 +196,7 @@
 
 // Connections that came while the process was held up are taken before its listener closes: a reset would lose what their
 // clients have sent.
-func TestConnectionsThatWaitAsTheListenerCloses(t *testing.T) {
+func TestConnectionsWaitingWhileListenerCloses(t *testing.T) {
 	l := newLife(t)
 	l.start(nil)
 	l.ready()
@@ -221,7 +221,7 @@
 }
 
 // A start while the process before it still has the address waits for it; one whose address stays another's says so.
-func TestStartWhileTheAddressIsTaken(t *testing.T) {
+func TestStartWhileAddressIsInUse(t *testing.T) {
 	l := newLife(t)
 	l.start(nil)
 	l.ready()
@@ -247,11 +247,11 @@
 }
 
 // A new plan with other memory: what open searches may hold follows it, as the runtime's goal does.
-func TestRoomFollowsANewPlan(t *testing.T) {
+func TestSearchMemoryFollowsReload(t *testing.T) {
 	r := start(t, 256, nil)
 	room := func() (now float64) {
 		told := make(chan struct{})
-		require.True(t, r.owner.submit(func() { now = r.owner.searches.memoryLimit; close(told) }))
+		require.True(t, r.loop.submit(func() { now = r.loop.searches.memoryLimit; close(told) }))
 		<-told
 		return now
 	}
@@ -276,7 +276,7 @@
 
 // SIGTERM while replicas hang with parts out, clients are in the middle of a request or take no answer, discovery is silent
 // and signals come again: what was sent has one final answer before the kill, nothing goes out after it, and the process ends.
-func TestStopInTheMiddle(t *testing.T) {
+func TestShutdownDuringSearches(t *testing.T) {
 	l := newLife(t)
 	l.start(nil)
 	l.ready()
@@ -324,7 +324,7 @@
 
 // A storm of SIGHUP, on plans that are whole, half, missing, a folder or very long, changes nothing but what the last whole
 // one says, and searches go on.
-func TestHangUpStorm(t *testing.T) {
+func TestManyReloads(t *testing.T) {
 	l := newLife(t)
 	l.start(nil)
 	l.ready()
@@ -359,7 +359,7 @@
 }
 
 // A file that is far too long for a plan is not read to its end, and says what to do.
-func TestPlanThatIsTooLong(t *testing.T) {
+func TestPlanTooLarge(t *testing.T) {
 	l := newLife(t)
 	text, err := os.ReadFile(l.file)
 	require.NoError(t, err)
@@ -376,7 +376,7 @@
 
 // With fewer descriptors than the plan grants, those there are are shared out: idle clients make room, and searches reach
 // their replicas.
-func TestFewerDescriptorsThanPlanned(t *testing.T) {
+func TestDescriptorLimitBelowPlan(t *testing.T) {
 	l := newLife(t)
 	l.start(nil, "sh", "-c", `ulimit -n 64; exec "$0"`)
 	l.ready()
--- a/coordinator/several_test.go
+++ b/coordinator/several_test.go
@@ -18,7 +18,7 @@
 
 // Several owners behind one listener answer each search once and whole, share clients out, follow a new plan, and end
 // together with what they hold answered.
-func TestSeveralOwners(t *testing.T) {
+func TestServeSharded(t *testing.T) {
 	r := start(t, 256, nil) // its hosts and list serve the several too
 	ln := listen(t)
 	var log journal
@@ -73,7 +73,7 @@
 }
 
 // To all others several owners are so many co-ordinators, with one's descriptors, memory and budget between them.
-func TestSharesOfAPlan(t *testing.T) {
+func TestPlanForShard(t *testing.T) {
 	p := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
 	own := p.ForShard(1, 4)
 	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.MaxSockets, own.MemoryMB, own.Settings["Balancers"], own.Settings["Safety.ExtraFloor"]})
--- a/coordinator/standins_test.go
+++ b/coordinator/standins_test.go
@@ -68,7 +68,7 @@
 	stop     context.CancelFunc
 	ended    chan error
 	log      *journal
-	owner    *eventLoop
+	loop     *eventLoop
 	zones    map[string]string // of replicas that are not in z one
 
 	mu      sync.Mutex
@@ -201,7 +201,7 @@
 		more(&options)
 		r.ended <- Serve(ctx, p, options)
 	}()
-	r.owner = <-look
+	r.loop = <-look
 	t.Cleanup(cancel)
 	return r
 }
--- a/coordinator/started_again_test.go
+++ b/coordinator/started_again_test.go
@@ -11,7 +11,7 @@
 
 // A replica that has started again since a connection to it came up, as the list says, gets what follows on a new one: the old
 // one may lead to a life that is over, of a machine that went without a word.
-func TestAHostThatHasStartedAgain(t *testing.T) {
+func TestRestartedHost(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
 	c := r.call()
@@ -38,7 +38,7 @@
 
 // Another host at the address of one that is gone: what goes to it goes on a connection of its own, and what was out at the one
 // before is told by that one's connection alone.
-func TestAnotherHostAtTheAddress(t *testing.T) {
+func TestAnotherHostAtSameAddress(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
@@ -62,9 +62,9 @@
 	status, _, text, _ := c.answer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, wholeOfAll, text)
-	r.inTurn(func(loop *eventLoop) { require.NotNil(t, loop.replicas.byID["a9"]) })
+	r.runInLoop(func(loop *eventLoop) { require.NotNil(t, loop.replicas.byID["a9"]) })
 	r.eventually("the one that is gone is forgotten", func() (gone bool) {
-		r.inTurn(func(loop *eventLoop) { gone = loop.replicas.byID["a0"] == nil })
+		r.runInLoop(func(loop *eventLoop) { gone = loop.replicas.byID["a0"] == nil })
 		return gone
 	})
 	r.end()
--- a/coordinator/stop_crossing_test.go
+++ b/coordinator/stop_crossing_test.go
@@ -15,7 +15,7 @@
 )
 
 // SIGTERM before the co-ordinator knows any host, while discovery is silent, ends it as any other.
-func TestStopBeforeItIsReady(t *testing.T) {
+func TestShutdownDuringStart(t *testing.T) {
 	l, silent := newLife(t), listen(t)
 	l.plan["discovery"] = silent.Addr().String()
 	l.plan["known"].(map[string]any)["servers"] = []any{}
@@ -37,7 +37,7 @@
 }
 
 // Told to end with parts that wait for connections and searches that wait for slots: all have their answers, by whole ones.
-func TestStopUnderDialsAndWithSearchesWaiting(t *testing.T) {
+func TestShutdownDuringDials(t *testing.T) {
 	const clients = 30 // the slots are taken by the first few
 	r, let := startGated(t, nil)
 	var all []*caller
@@ -65,7 +65,7 @@
 
 // kill -9 with requests in flight: no client gets half an answer that looks whole, and the next process serves at once, with no
 // word of those before.
-func TestKillWithRequestsInFlight(t *testing.T) {
+func TestSIGKILLWithRequestsInFlight(t *testing.T) {
 	l := newLife(t)
 	l.start(nil)
 	l.ready()
--- a/coordinator/told_test.go
+++ b/coordinator/told_test.go
@@ -144,7 +144,7 @@
 
 // When a process is told of a list, by its own log, against when it counts as told: 2 s after the wait of the call that
 // may wait, which is 2 s here, or 6 s; what came over a call that works, at once.
-func TestWhenAListIsTold(t *testing.T) {
+func TestListDelay(t *testing.T) {
 	const atOnce, afterWait, missed = time.Second, 4 * time.Second, 6 * time.Second
 	const busy = 500 * time.Millisecond // for a machine that is
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
@@ -201,7 +201,7 @@
 
 // A list that the agent has as a process starts is told in its first moment; so is one that comes 4 s after SIGHUP has
 // moved it to another agent, whose first call fell silent and whose versions begin again.
-func TestWhenAListIsToldAtAStartAndAfterSIGHUP(t *testing.T) {
+func TestListDelayAtStartAndAfterReload(t *testing.T) {
 	t.Parallel()
 	a, next := newAgent(t), newAgent(t, "silent")
 	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
@@ -301,7 +301,7 @@
 
 // All lose discovery at once, and it stays away: when 1, 3 and 300 connect and ask anew, on one clock. In any second no more
 // than N + 3 x root of N + 3 of them do so first, N being an even share over the time of the spread; each does within 6 s.
-func TestCommonLossOfDiscovery(t *testing.T) {
+func TestCoordinatorsSpreadCallsAfterLoss(t *testing.T) {
 	for _, by := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
 			clock := &handClock{now: time.Unix(1_700_000_000, 0)}
--- a/coordinator/variables_test.go
+++ b/coordinator/variables_test.go
@@ -15,7 +15,7 @@
 
 // A file that leaves discovery to the variable, at the start or at a signal, never takes the address away; one that is half
 // written or holds another deployment's settings moves nothing but discovery.
-func TestVariablesAtASignal(t *testing.T) {
+func TestEnvironmentAtReload(t *testing.T) {
 	path, out := filepath.Join(t.TempDir(), "plan.json"), &journal{}
 	write := func(discovery, settings string, cut int) {
 		text := `{"name":"file","listen":"file",` + discovery + `"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":99},
@@ -65,7 +65,7 @@
 
 // A plan that comes while searches are served, and whose classes and tenants stand in another order, changes what no search
 // is handled by.
-func TestNewOrderAtASignal(t *testing.T) {
+func TestReloadWithReorderedClasses(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	c := r.call()
--- a/coordinator/watching_test.go
+++ b/coordinator/watching_test.go
@@ -10,7 +10,7 @@
 
 // What other settings would have decided is counted while the settings in force decide: on sockets, as an operator
 // reads it.
-func TestWatching(t *testing.T) {
+func TestShadowSettings(t *testing.T) {
 	r := startWatching(t, map[string]string{"Permissions.SecondCopies": "false", "Specifics.ClassFloor": "0.5,0.5,0.5"})
 	for _, id := range []string{"a0", "a1"} {
 		r.replicas[id].SetHandler(func(asked) {})
@@ -36,7 +36,7 @@
 	off.end()
 }
 
-func TestWatchingNeedsGoodSettings(t *testing.T) {
+func TestShadowSettingsAreValidated(t *testing.T) {
 	p, err := parsePlan([]byte(`{"name":"n","listen":"l","discovery":"d","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":1,"servers":[]},"settings":` + testSettings + `}`))
 	require.NoError(t, err)
@@ -56,7 +56,7 @@
 }
 
 // The steps of docs/migration.md on loopback: watch, switch, go back.
-func TestMove(t *testing.T) {
+func TestMigrationSteps(t *testing.T) {
 	next := map[string]string{"Permissions.SecondCopies": "false", "Permissions.MaxAttempts": "1", "Specifics.ClassFloor": "0.5,0.5,0.5"}
 	step := func(over, watched map[string]string) (copies, whole, short int, metrics string) {
 		r := startOver(t, over, watched)
