--- a/coordinator/given_up_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -1,8 +1,6 @@
 package coordinator
 
 import (
-	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -36,20 +34,20 @@
 func (p *puppet) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
 	p.outcomes <- ending
 }
-func (*puppet) BeginIteration(int64)                                      {}
-func (*puppet) EndIteration()                                             {}
-func (*puppet) SetUtilization(float64)                                    {}
-func (*puppet) CancelSearch(uint64)                                       {}
-func (*puppet) HandleTimer(uint64)                                        {}
-func (*puppet) CommitEndpoints(string, int64)                             {}
-func (*puppet) AddEndpoint(string, int, int, int, string, float64, int64) {}
 
-// puppet puts one in the module's place.
-func (r *rig) puppet() *puppet {
-	p := &puppet{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
-	r.runInLoop(func(loop *eventLoop) { loop.balancer = p })
-	return p
-}
+func (*puppet) BeginIteration(int64) {}
+
+func (*puppet) EndIteration() {}
+
+func (*puppet) SetUtilization(float64) {}
+
+func (*puppet) CancelSearch(uint64) {}
+
+func (*puppet) HandleTimer(uint64) {}
+
+func (*puppet) CommitEndpoints(string, int64) {}
+
+func (*puppet) AddEndpoint(string, int, int, int, string, float64, int64) {}
 
 // told waits for the next outcome.
 func (p *puppet) told(want string) {
@@ -69,6 +67,13 @@
 	require.Empty(p.r.t, p.outcomes)
 }
 
+// puppet puts one in the module's place.
+func (r *rig) puppet() *puppet {
+	p := &puppet{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
+	r.runInLoop(func(loop *eventLoop) { loop.balancer = p })
+	return p
+}
+
 const onePart = `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`
 
 // Where no part may be out twice at once, the module hears of the end of a sub-request that is given up, and so may send a
@@ -164,116 +169,6 @@
 	}
 }
 
-// A keyed part's repeat that a connection's writer comes to after its window is over does not leave, and the module hears that
-// it was never sent.
-func TestRepeatsAreSentWithinTheirWindow(t *testing.T) {
-	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
-		var told []string
-		loop, conn, search := oneOut(stageWritten)
-		now := int64(1000)
-		loop.rules.keyedClasses, loop.rules.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
-		loop.ctx, loop.tasks = t.Context(), make(chan func(), 4)
-		conn.connectedAt, conn.clockTicks = 1, func() int64 { return now }
-		conn.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(conn, message) }) }
-		request := search.shardRequests[0]
-		request.attempts[0].sentAt, request.attempts[0].replica = now, conn.replica
-		loop.CancelAttempt(request.id, 0)
-		c := &batch{connection: conn}
-		sub := &attempt{shardRequest: request, index: 1, name: "q.0", batch: c, deadline: 50_000, replica: conn.replica}
-		c.attempts, conn.attempts, request.attempts = []*attempt{sub}, []*attempt{sub}, append(request.attempts, sub)
-		request.unreported, conn.openBatches = request.unreported+1, 1
-		now += 2900
-		loop.now = now
-		loop.queueBatch(c)
-		if late {
-			now += 90 // 10 ms before its end, less what is kept for its way
-		}
-		var out strings.Builder
-		<-conn.queue // the cancel frame
-		require.NoError(t, conn.writeCoalesced(writes{to: &out}, <-conn.queue, new([]*outboundMessage), func(*outboundMessage) error { return nil }))
-		require.Equal(t, want, c.message.stage.Load(), "late: %t", late)
-		require.Equal(t, !late, out.Len() > 0)
-		if late {
-			(<-loop.tasks)()
-			require.Equal(t, "Ignored", loop.events.next[len(loop.events.next)-1].outcome)
-			require.Empty(t, conn.attempts)
-		}
-	}
-}
-
-// A part whose client leaves while it waits for a connection that is not up does not go out once that is.
-func TestClientLeavesDuringDial(t *testing.T) {
-	r, let := startGated(t, func(settings map[string]any) { // the module calls nothing off
-		may := settings["Permissions"].(map[string]any)
-		may["SecondCopies"], may["Cancelling"] = false, false
-	})
-	c := r.call().send(request("q", "all", "", fourParts))
-	r.eventually("parts wait", func() bool { return r.waiting("a0")+r.waiting("a1") >= 2 })
-	id := "a0"
-	if r.waiting(id) == 0 {
-		id = "a1"
-	}
-	c.Close()
-	r.eventually("its client has left", func() bool { return r.open() == 0 })
-	let(id)
-	r.eventually("the connection is up", func() bool { return r.up(id) })
-	r.call().want("next", "all", 200, wholeOfAll) // by the same connection, behind what would have gone out
-	parts, _, _, _ := r.replicas[id].Observed()
-	require.Len(t, parts, 2)
-	for _, p := range parts {
-		require.True(t, strings.HasPrefix(p.ID, "next."), p.ID)
-	}
-	r.end()
-}
-
-// Two tenants and classes on one connection, their requests in pieces one after another: each has its own limits, time, mark
-// and effect, and a field that a request lacks is not the one before's.
-func TestTenantsShareOneConnection(t *testing.T) {
-	r := start(t, 256, nil)
-	p := r.puppet()
-	type one struct {
-		qtype, tenant int
-		key           string
-		grace         int64
-		retry         bool
-	}
-	got := make(chan one, 64)
-	p.asked = func(_ uint64, qtype, tenant int, key string, grace int64, retry bool) {
-		got <- one{qtype, tenant, key, grace, retry}
-	}
-	c := r.call()
-	for i := range 30 {
-		class, tenant, key := i%3, i%2, fmt.Sprintf("%016x", i)
-		name := []string{"some", "all", "deep"}[class]
-		seconds := 1 + i%7
-		head := ""
-		if i%4 == 0 {
-			head = "X-Retry: 1\r\n"
-		}
-		if i%5 == 0 {
-			key = ""
-		}
-		text := request(fmt.Sprint("q", i), name, head, onePart)
-		text = strings.Replace(text, "X-Tenant: acme", "X-Tenant: "+[]string{"acme", "other"}[tenant], 1)
-		text = strings.Replace(text, "X-Deadline: 8.000", fmt.Sprintf("X-Deadline: %d", seconds), 1)
-		if text = strings.Replace(text, "?k=7f", "?k="+key, 1); key == "" {
-			text = strings.Replace(text, "?k=", "", 1)
-		}
-		for at, step := 0, 1+i*13%97; at < len(text); at += step {
-			c.send(text[at:min(len(text), at+step)])
-		}
-		id := (<-p.searches)[0]
-		a := <-got
-		require.Equal(t, one{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
-		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
-		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
-		r.runInLoop(func(loop *eventLoop) { loop.ShedSearch(id, 0) })
-		status, _, _, _ := c.answer()
-		require.Equal(t, 503, status)
-	}
-	r.end()
-}
-
 // Under contracts a late answer to a part that was called off counts for nothing: it may come from where the part may not run.
 func TestLateAnswerWithResidencyContracts(t *testing.T) {
 	for _, bound := range []bool{false, true} {
--- /dev/null
+++ b/coordinator/attempts_test.go
@@ -0,0 +1,256 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/balancer"
+)
+
+// A keyed part whose first sub-requests have not run goes out on whatever connection there is, a new one too; it is no
+// repeat. Those that may have run bind it to one that has stood since, as ever.
+func TestKeyedRequestThatNeverRanIsNoRepeat(t *testing.T) {
+	var hosts sync.Map // address: of cell 0
+	var dials atomic.Int32
+	r := startIn(t, nil, 256, func(settings map[string]any) {
+		class := settings["Classes"].([]any)[1].(map[string]any)
+		class["Effect"], class["RepeatWindow"] = "dedup", 4000.0
+		settings["Permissions"].(map[string]any)["SecondCopies"] = false
+	}, nil, nil, func(m *Options) {
+		own := m.Dial
+		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			if _, of := hosts.Load(addr); of && dials.Add(1) == 1 {
+				return nil, errors.New("refused")
+			}
+			return own(ctx, network, addr)
+		}
+	})
+	for _, id := range []string{"a0", "a1"} {
+		hosts.Store(r.replicas[id].Listener.Addr().String(), true)
+	}
+	c := r.call()
+	c.send(request("q", "all", "", `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`))
+	status, _, text, _ := c.answer()
+	require.Equal(t, 200, status, "%s", r.log)
+	require.JSONEq(t, `{"total":true,"answers":[{"range":0,"blob":"what@0"}]}`, text)
+	require.EqualValues(t, 2, dials.Load())
+	r.end()
+}
+
+// What is known of earlier sub-requests tells which of a keyed part's are repeats.
+func TestFirstSentAt(t *testing.T) {
+	for _, x := range []struct {
+		outcomes string
+		first    int64
+	}{
+		{"Ignored", 0},
+		{"ConnectError", 0},
+		{"QueueFull", 0},
+		{"ConnectError Ignored", 0},
+		{"ResetByPeer", 1},
+		{"TimedOut", 1},
+		{"Canceled", 1},
+		{"Failed", 1},
+		{"ConnectError ResetByPeer", 2},
+		{"ResetByPeer ConnectError", 1},
+		{"QueueFull Failed Canceled", 2},
+	} {
+		loop := &eventLoop{rules: dispatchRules{keyedClasses: []bool{true, false}}, balancer: deaf{}, searches: searchTable{shardRequests: map[uint64]*shardRequest{}}}
+		request := &shardRequest{search: &search{}}
+		for i, outcome := range strings.Fields(x.outcomes) {
+			sub := &attempt{shardRequest: request, index: int32(i), sentAt: int64(i + 1)}
+			request.attempts = append(request.attempts, sub)
+			require.Equal(t, int64(0), loop.firstSentAt(&attempt{shardRequest: &shardRequest{search: &search{class: 1}, attempts: request.attempts}, index: 1}))
+			loop.recordOutcome(sub, outcome, nil)
+		}
+		require.Equal(t, x.first, loop.firstSentAt(&attempt{shardRequest: request, index: int32(len(request.attempts))}), x.outcomes)
+	}
+	for stage, first := range map[int32]int64{stageQueued: 0, stageWriting: 7, stageWritten: 7} { // one that was given up
+		loop, _, s := oneOut(stage)
+		loop.rules.keyedClasses = []bool{true}
+		request := s.shardRequests[0]
+		request.attempts[0].sentAt = 7
+		loop.CancelAttempt(request.id, 0)
+		require.Equal(t, first, loop.firstSentAt(&attempt{shardRequest: request, index: 1}), "stage %d", stage)
+	}
+}
+
+// deaf is a module that does nothing on hearing of an end; told, where it is not nil, keeps it.
+type deaf struct {
+	balancer.Balancer
+	told *[]string
+}
+
+func (d deaf) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
+	if d.told != nil {
+		*d.told = append(*d.told, ending)
+	}
+}
+
+// twoOut is a search with two parts out on a connection that is up and has no writer: in one call, or in two of which the
+// second alone is written.
+func twoOut(apart bool) (*eventLoop, *replicaConnection, *search) {
+	loop, conn, search := oneOut(stageQueued)
+	conn.connectedAt, loop.log = 1, newAsyncLogger(SystemClock{}, slog.DiscardHandler)
+	request := &shardRequest{id: 3, search: search, shard: 1, unreported: 1}
+	c := search.shardRequests[0].attempts[0].batch
+	if apart {
+		c = &batch{connection: conn, message: &outboundMessage{}}
+		c.message.stage.Store(stageWritten)
+		conn.openBatches++
+	}
+	sub := &attempt{shardRequest: request, name: "q.1", batch: c}
+	c.attempts, conn.attempts, request.attempts, search.shardRequests = append(c.attempts, sub), append(conn.attempts, sub), []*attempt{sub}, append(search.shardRequests, request)
+	loop.searches.shardRequests[3] = request
+	return loop, conn, search
+}
+
+// A search that ends takes its parts off a call in one piece: no frame with the rest of them is on its way in between.
+func TestBatchIsRecalledTogether(t *testing.T) {
+	loop, conn, s := twoOut(false)
+	require.Empty(t, loop.finishSearch(s))
+	require.Empty(t, conn.queue)
+	require.Empty(t, conn.attempts)
+	require.Equal(t, []string{"Ignored", "Ignored"}, []string{loop.events.next[0].outcome, loop.events.next[1].outcome})
+	require.Zero(t, conn.openBatches)
+
+	loop, conn, s = twoOut(false) // those of another search stay
+	other := &search{id: 9}
+	s.shardRequests[1].search, s.shardRequests = other, s.shardRequests[:1]
+	require.Empty(t, loop.finishSearch(s))
+	require.Len(t, loop.events.next, 1)
+	require.Len(t, conn.queue, 1)
+	require.Equal(t, "q.1", conn.attempts[0].name)
+	message := <-conn.queue
+	require.Equal(t, stageQueued, message.stage.Load())
+	require.NotContains(t, string(*message.buffer), "q.0")
+	require.Contains(t, string(*message.buffer), "q.1")
+}
+
+// What is called off before it was begun was never sent, and the module hears so: it may go out again whatever its effect.
+func TestCanceledBeforeSent(t *testing.T) {
+	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
+		loop, _, _ := oneOut(stage)
+		loop.CancelAttempt(2, 0)
+		require.Equal(t, outcome, loop.events.next[0].outcome, "stage %d", stage)
+	}
+}
+
+// A repeat that waits on the connection on which the first sub-request is answered late does not go out.
+func TestAnswerWhileRepeatWaits(t *testing.T) {
+	for stage, left := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
+		var told []string
+		loop, conn, search := oneOut(stage)
+		loop.balancer = deaf{told: &told}
+		conn.recentIDs = map[string]uint64{"q.0": search.id}
+		parcel := search.shardRequests[0].attempts[0].batch.message
+		loop.handleAnswer(conn, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
+		require.Equal(t, []string{"Ok"}, told)
+		require.True(t, search.shardRequests[0].completed)
+		require.Equal(t, left, parcel.stage.Load())
+		require.Empty(t, conn.attempts)
+	}
+}
+
+// Who spoils a connection has failed one of the parts that were out there, whatever waits before it.
+func TestMalformedAnswerWhileAttemptWaits(t *testing.T) {
+	var told []string
+	loop, conn, _ := twoOut(true)
+	loop.balancer = deaf{told: &told}
+	loop.handleConnectionEnd(conn, errMalformed, "x")
+	require.Equal(t, []string{"Ignored", "Failed"}, told)
+}
+
+// A keyed part's repeat that a connection's writer comes to after its window is over does not leave, and the module hears that
+// it was never sent.
+func TestRepeatsAreSentWithinTheirWindow(t *testing.T) {
+	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
+		var told []string
+		loop, conn, search := oneOut(stageWritten)
+		now := int64(1000)
+		loop.rules.keyedClasses, loop.rules.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
+		loop.ctx, loop.tasks = t.Context(), make(chan func(), 4)
+		conn.connectedAt, conn.clockTicks = 1, func() int64 { return now }
+		conn.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(conn, message) }) }
+		request := search.shardRequests[0]
+		request.attempts[0].sentAt, request.attempts[0].replica = now, conn.replica
+		loop.CancelAttempt(request.id, 0)
+		c := &batch{connection: conn}
+		sub := &attempt{shardRequest: request, index: 1, name: "q.0", batch: c, deadline: 50_000, replica: conn.replica}
+		c.attempts, conn.attempts, request.attempts = []*attempt{sub}, []*attempt{sub}, append(request.attempts, sub)
+		request.unreported, conn.openBatches = request.unreported+1, 1
+		now += 2900
+		loop.now = now
+		loop.queueBatch(c)
+		if late {
+			now += 90 // 10 ms before its end, less what is kept for its way
+		}
+		var out strings.Builder
+		<-conn.queue // the cancel frame
+		require.NoError(t, conn.writeCoalesced(writes{to: &out}, <-conn.queue, new([]*outboundMessage), func(*outboundMessage) error { return nil }))
+		require.Equal(t, want, c.message.stage.Load(), "late: %t", late)
+		require.Equal(t, !late, out.Len() > 0)
+		if late {
+			(<-loop.tasks)()
+			require.Equal(t, "Ignored", loop.events.next[len(loop.events.next)-1].outcome)
+			require.Empty(t, conn.attempts)
+		}
+	}
+}
+
+// Two tenants and classes on one connection, their requests in pieces one after another: each has its own limits, time, mark
+// and effect, and a field that a request lacks is not the one before's.
+func TestTenantsShareOneConnection(t *testing.T) {
+	r := start(t, 256, nil)
+	p := r.puppet()
+	type one struct {
+		qtype, tenant int
+		key           string
+		grace         int64
+		retry         bool
+	}
+	got := make(chan one, 64)
+	p.asked = func(_ uint64, qtype, tenant int, key string, grace int64, retry bool) {
+		got <- one{qtype, tenant, key, grace, retry}
+	}
+	c := r.call()
+	for i := range 30 {
+		class, tenant, key := i%3, i%2, fmt.Sprintf("%016x", i)
+		name := []string{"some", "all", "deep"}[class]
+		seconds := 1 + i%7
+		head := ""
+		if i%4 == 0 {
+			head = "X-Retry: 1\r\n"
+		}
+		if i%5 == 0 {
+			key = ""
+		}
+		text := request(fmt.Sprint("q", i), name, head, onePart)
+		text = strings.Replace(text, "X-Tenant: acme", "X-Tenant: "+[]string{"acme", "other"}[tenant], 1)
+		text = strings.Replace(text, "X-Deadline: 8.000", fmt.Sprintf("X-Deadline: %d", seconds), 1)
+		if text = strings.Replace(text, "?k=7f", "?k="+key, 1); key == "" {
+			text = strings.Replace(text, "?k=", "", 1)
+		}
+		for at, step := 0, 1+i*13%97; at < len(text); at += step {
+			c.send(text[at:min(len(text), at+step)])
+		}
+		id := (<-p.searches)[0]
+		a := <-got
+		require.Equal(t, one{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
+		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
+		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
+		r.runInLoop(func(loop *eventLoop) { loop.ShedSearch(id, 0) })
+		status, _, _, _ := c.answer()
+		require.Equal(t, 503, status)
+	}
+	r.end()
+}
--- /dev/null
+++ b/coordinator/client_answer_test.go
@@ -0,0 +1,103 @@
+package coordinator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/internal/http1"
+)
+
+// An answer's length is told before it is written: what is told is what is written, whatever the values.
+func TestAnswerBodySize(t *testing.T) {
+	for _, values := range [][]string{{}, {""}, {"a", "Grüße, 世界", "\x7f"}, {`"`}, {"a\nb", `\`}, {strings.Repeat("v", 40_000), "x"}} {
+		for _, whole := range []bool{true, false} {
+			outcome := searchOutcome{complete: whole}
+			for i, v := range values {
+				outcome.parts = append(outcome.parts, &shardRequest{shard: i * 37, value: []byte(v)})
+			}
+			text := appendAnswerBody(nil, outcome)
+			size, plain := answerBodySize(outcome)
+			require.Equal(t, !strings.ContainsAny(strings.Join(values, ""), "\"\n\\"), plain)
+			if plain {
+				require.Len(t, text, size)
+			}
+			var got struct{ Answers []struct{ Blob string } }
+			require.NoError(t, json.Unmarshal(text, &got))
+			for i, v := range values {
+				require.Equal(t, v, got.Answers[i].Blob)
+			}
+		}
+	}
+}
+
+// pipes are connections whose writes wait until the other side reads.
+type pipes struct {
+	conns chan net.Conn
+	once  sync.Once
+}
+
+func (p *pipes) Accept() (net.Conn, error) {
+	if conn, ok := <-p.conns; ok {
+		return conn, nil
+	}
+	return nil, net.ErrClosed
+}
+
+func (p *pipes) Close() error { p.once.Do(func() { close(p.conns) }); return nil }
+
+func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+
+// A client that does not read its answer holds that answer and nothing else: others are served, what it holds is
+// counted, and is released when it reads or leaves.
+func TestClientThatDoesNotReadHoldsItsAnswer(t *testing.T) {
+	r := start(t, 256, nil)
+	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go func() {
+		ended <- Serve(ctx, r.plan, Options{
+			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
+		})
+	}()
+	loop := <-look
+	call := func() *caller {
+		own, other := net.Pipe()
+		p.conns <- other
+		t.Cleanup(func() { own.Close() })
+		return &caller{own, r, http1.NewReader(own, make([]byte, bufferSize))}
+	}
+	slow, gone, sound := call(), call(), call()
+	slow.send(request("slow", "all", "", fourParts))
+	r.eventually("an answer is held", func() bool { return loop.searches.unsentBytes.Load() > 0 })
+	one := loop.searches.unsentBytes.Load()
+	gone.send(request("gone", "all", "", fourParts))
+	r.eventually("two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
+	for i := range 5 {
+		sound.want(fmt.Sprint("sound", i), "all", 200, wholeOfAll)
+	}
+	r.eventually("no more than two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
+	status, _, text, _ := slow.answer()
+	require.Equal(t, 200, status)
+	require.JSONEq(t, wholeOfAll, text)
+	r.eventually("one is", func() bool { return loop.searches.unsentBytes.Load() == one })
+	gone.Close()
+	r.eventually("none is", func() bool { return loop.searches.unsentBytes.Load() == 0 })
+	cancel()
+	select {
+	case err := <-ended:
+		require.NoError(t, err)
+	case <-time.After(patience):
+		require.Fail(t, "does not end")
+	}
+	r.end()
+}
--- /dev/null
+++ b/coordinator/connection_limiter_test.go
@@ -0,0 +1,119 @@
+package coordinator
+
+import (
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// With no descriptor left, the connection longest without an open search makes room, and none with one.
+func TestDescriptorLimits(t *testing.T) {
+	r := start(t, 16, nil)
+	held := make(chan asked, 4)
+	for _, s := range r.replicas {
+		s.SetHandler(func(a asked) { held <- a })
+	}
+	busy := r.call().send(request("q", "all", "", fourParts))
+	r.eventually("parts are out", func() bool { return len(held) == 4 })
+	silent := r.call()
+	for range 30 { // many times the room
+		c := r.call().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+		status, _, _, _ := c.answer()
+		require.Equal(t, 200, status)
+	}
+	_, err := silent.Read(make([]byte, 1))
+	require.Equal(t, io.EOF, err)
+	r.logged("end=displaced")
+	require.LessOrEqual(t, strings.Count(r.log.String(), "end=displaced"), 2, "a line a second")
+	for range 4 {
+		(<-held).ReplyGood()
+	}
+	status, _, text, _ := busy.answer()
+	require.Equal(t, 200, status)
+	require.JSONEq(t, wholeOfAll, text)
+	r.end()
+}
+
+// With no descriptor left, a connection on which a request has begun to come makes no room while another is at rest.
+func TestArrivingRequestsKeepTheirConnections(t *testing.T) {
+	r := start(t, 16, nil)
+	call, end := r.piped()
+	text := request("begun", "all", "", fourParts)
+	begun := call(nil).send(text[:len(text)-1])
+	head := call(nil).send(text[:1])
+	for range 30 { // many times the room
+		call(nil)
+	}
+	status, _, _, _ := begun.send(text[len(text)-1:]).answer()
+	require.Equal(t, 200, status)
+	status, _, _, _ = head.send(text[1:]).answer()
+	require.Equal(t, 200, status)
+	end()
+}
+
+// With none at rest, the one that has been longest about it makes room all the same.
+func TestArrivingRequestsMakeRoomLast(t *testing.T) {
+	r := start(t, 16, nil)
+	call, end := r.piped()
+	first := call(nil).send("P")
+	for range 7 {
+		call(nil).send("P")
+	}
+	call(nil).want("new", "all", 200, wholeOfAll)
+	_, err := first.Read(make([]byte, 1))
+	require.Equal(t, io.EOF, err)
+	end()
+}
+
+// lastLook holds what a read has brought until the connection has been told to end.
+type lastLook struct {
+	net.Conn
+	read, told chan struct{}
+	once       sync.Once
+}
+
+func (l *lastLook) Read(p []byte) (int, error) {
+	n, err := l.Conn.Read(p)
+	if n > 0 {
+		close(l.read)
+		<-l.told
+	}
+	return n, err
+}
+
+func (l *lastLook) SetReadDeadline(at time.Time) error {
+	if !at.IsZero() && at.Before(time.Now()) {
+		l.once.Do(func() { close(l.told) })
+	}
+	return l.Conn.SetReadDeadline(at)
+}
+
+func (l *lastLook) Close() error {
+	l.once.Do(func() { close(l.told) })
+	return l.Conn.Close()
+}
+
+// A request that has been read whole in the moment in which its connection is to make room has its answer; another
+// connection makes room.
+func TestRequestWhileItsConnectionIsDisplaced(t *testing.T) {
+	r := start(t, 16, nil)
+	call, end := r.piped()
+	at := &lastLook{read: make(chan struct{}), told: make(chan struct{})}
+	c := call(func(conn net.Conn) net.Conn { at.Conn = conn; return at })
+	c.send(request("read", "all", "", fourParts))
+	<-at.read
+	for range 7 {
+		call(nil)
+	}
+	last := call(nil) // waits for room
+	status, _, text, _ := c.answer()
+	require.Equal(t, 200, status)
+	require.JSONEq(t, wholeOfAll, text)
+	last.want("last", "all", 200, wholeOfAll)
+	end()
+}
--- /dev/null
+++ b/coordinator/discovery_follower_test.go
@@ -0,0 +1,319 @@
+package coordinator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/url"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
+	"chalkring/internal/fake"
+	"chalkring/internal/http1"
+)
+
+// places is a network within a test's own time: who listens at a name is dialed there, anyone else refuses.
+type places struct {
+	mu    sync.Mutex
+	up    map[string]func(conn net.Conn)
+	wires []net.Conn
+}
+
+// dial fails as a socket does: at once where connects are refused, or when ctx ends where none is answered.
+func (p *places) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+	p.mu.Lock()
+	serve := p.up[addr]
+	p.mu.Unlock()
+	if serve == nil {
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
+	}
+	near, far := net.Pipe()
+	p.mu.Lock()
+	p.wires = append(p.wires, near, far)
+	p.mu.Unlock()
+	go serve(far)
+	return near, nil
+}
+
+// lists is discovery at one place, in a test's own time. What it does to the next attempts is named beforehand, one word
+// each; after that it works.
+type lists struct {
+	mu       sync.Mutex
+	version  int
+	entries  []fake.Endpoint
+	changed  chan struct{}
+	done     chan struct{}
+	faults   []string
+	attempts []time.Time
+	targets  []string
+	conns    []net.Conn
+}
+
+// lose ends all connections.
+func (d *lists) lose() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, conn := range d.conns {
+		conn.Close()
+	}
+	d.conns = nil
+}
+
+func (d *lists) tell(version int, entries []fake.Endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version, d.entries = version, entries
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// next takes the word for a connect or a call.
+func (d *lists) next(connect bool) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.faults) == 0 {
+		return ""
+	}
+	f := d.faults[0]
+	if connect != (f == "refused" || f == "unanswered") {
+		return ""
+	}
+	d.faults = d.faults[1:]
+	d.attempts = append(d.attempts, time.Now())
+	return f
+}
+
+func (d *lists) left() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.faults)
+}
+
+// dialing fails a connect that is to fail.
+func (d *lists) dialing(ctx context.Context) error {
+	switch d.next(true) {
+	case "refused":
+		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
+	case "unanswered":
+		<-ctx.Done()
+		return &net.OpError{Op: "dial", Net: "tcp", Err: ctx.Err()}
+	}
+	return nil
+}
+
+func (d *lists) serve(conn net.Conn) {
+	defer conn.Close()
+	d.mu.Lock()
+	d.conns = append(d.conns, conn)
+	d.mu.Unlock()
+	rd := http1.NewReader(conn, make([]byte, bufferSize))
+	for {
+		_, target, _, _, _, err := rd.ReadRequest()
+		if err != nil {
+			return
+		}
+		d.mu.Lock()
+		d.targets = append(d.targets, target)
+		d.mu.Unlock()
+		u, _ := url.Parse(target)
+		index, _ := strconv.Atoi(u.Query().Get("index"))
+		wait, _ := strconv.Atoi(u.Query().Get("wait"))
+		whole := u.Query().Get("index") == ""
+		text, status := "", 200
+		switch f := d.next(false); f {
+		case "silent":
+			io.Copy(io.Discard, conn)
+			return
+		case "lost":
+			return
+		case "503":
+			text, status = "{}", 503
+		case "empty":
+			conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+			continue
+		case "unreadable":
+			text = `{"version":99,"full":true,"servers":[{"id":"a0","addr":"","state":"up","cell":0}]}`
+		case "older":
+			text = fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, index-1)
+		case "same":
+			text = fake.EncodeEndpointList(index, nil)
+		case "half", "trickle":
+			out := http1.AppendResponse(nil, 200, "", []byte(fake.EncodeEndpointList(index+1, hosts("10.0.0.7:1"))), true)
+			for _, b := range out[:len(out)/2] {
+				if _, err := conn.Write([]byte{b}); err != nil {
+					return
+				}
+				if f == "trickle" {
+					time.Sleep(100 * time.Millisecond)
+				}
+			}
+			io.Copy(io.Discard, conn)
+			return
+		}
+		limit := time.After(time.Duration(wait) * time.Millisecond)
+		for text == "" {
+			d.mu.Lock()
+			version, changed, list := d.version, d.changed, fake.EncodeEndpointList(d.version, d.entries)
+			d.mu.Unlock()
+			if whole || version > index {
+				text = list
+				break
+			}
+			select {
+			case <-changed:
+			case <-d.done:
+				return
+			case <-limit:
+				text = fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, version)
+			}
+		}
+		if _, err := conn.Write(http1.AppendResponse(nil, status, "", []byte(text), true)); err != nil {
+			return
+		}
+	}
+}
+
+func newLists(faults ...string) *lists {
+	return &lists{version: 1, changed: make(chan struct{}), done: make(chan struct{}), faults: faults, entries: hosts("10.0.0.1:1")}
+}
+
+// hosts is a list whose first host is at an address.
+func hosts(addr string) []fake.Endpoint {
+	return []fake.Endpoint{
+		{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
+		{ID: "b0", Addr: "10.0.0.9:1", Zone: "z one", Kind: "small", Cell: 1, State: "up"},
+	}
+}
+
+// stamped is a log whose lines bear the test's time.
+type stamped struct {
+	mu    sync.Mutex
+	lines []string
+	at    []time.Time
+}
+
+func (s *stamped) Write(p []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lines, s.at = append(s.lines, string(p)), append(s.at, time.Now())
+	return len(p), nil
+}
+
+func (s *stamped) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return strings.Join(s.lines, "")
+}
+
+// when is the time of the first line with all of some texts; zero for none.
+func (s *stamped) when(texts ...string) time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i, line := range s.lines {
+		if !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line, text) }) {
+			return s.at[i]
+		}
+	}
+	return time.Time{}
+}
+
+// follower is a co-ordinator that follows discovery within a test's own time, at the places of its network.
+type follower struct {
+	t     *testing.T
+	at    map[string]*lists
+	log   *stamped
+	plans chan *plan.Plan
+	plan  *plan.Plan
+	owner *eventLoop
+	stop  func()
+}
+
+// move hands on a plan with discovery at another place, as after SIGHUP.
+func (f *follower) move(place string) {
+	p := *f.plan
+	p.Discovery = place
+	f.plans <- &p
+}
+
+// until lets the test's time pass until something holds; it fails after five minutes of it.
+func (f *follower) until(why string, ok func() bool) {
+	for end := time.Now().Add(5 * time.Minute); !ok(); {
+		if time.Now().After(end) {
+			require.Fail(f.t, why, "%s", f.log)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// told is when a line with some texts was logged first.
+func (f *follower) told(texts ...string) time.Time {
+	f.until(strings.Join(texts, " "), func() bool { return !f.log.when(texts...).IsZero() })
+	return f.log.when(texts...)
+}
+
+// follow starts one; time.Now and all waits are the test's.
+func follow(t *testing.T, seed int, at map[string]*lists, edit func(s map[string]any), more func(m *Options)) *follower {
+	settings := map[string]any{}
+	require.NoError(t, json.Unmarshal([]byte(testSettings), &settings))
+	settings["Safety"].(map[string]any)["AskWithin"] = 10000.0
+	if edit != nil {
+		edit(settings)
+	}
+	text, _ := json.Marshal(settings)
+	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, seed,
+		fake.EncodeEndpointList(1, hosts("10.0.0.1:1")), text))
+	require.NoError(t, err)
+	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *plan.Plan), plan: p}
+	way := &places{up: map[string]func(net.Conn){}}
+	for name, d := range at {
+		way.up[name] = d.serve
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	look, ended := make(chan *eventLoop, 1), make(chan error, 1)
+	options := Options{
+		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: look,
+		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at),
+	}
+	if more != nil {
+		more(&options)
+	}
+	go func() { ended <- Serve(ctx, p, options) }()
+	f.owner = <-look
+	f.stop = func() { // so that nothing of the test's time is left
+		cancel()
+		require.NoError(t, <-ended)
+		for _, conn := range way.wires {
+			conn.Close()
+		}
+		for _, d := range at {
+			close(d.done)
+		}
+		synctest.Wait()
+	}
+	return f
+}
+
+func dialer(n *places, at map[string]*lists) func(ctx context.Context, network, addr string) (net.Conn, error) {
+	return func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if d := at[addr]; d != nil {
+			if err := d.dialing(ctx); err != nil {
+				return nil, err
+			}
+		}
+		return n.dial(ctx, network, addr)
+	}
+}
--- /dev/null
+++ b/coordinator/endpoint_list_test.go
@@ -0,0 +1,278 @@
+package coordinator
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
+	"chalkring/internal/fake"
+)
+
+// The list: draining and removed replicas get nothing new, what cannot be used changes nothing and is asked
+// for again.
+func TestEndpointListChanges(t *testing.T) {
+	r := start(t, 256, nil)
+	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
+	said := func(version int, full bool, entries ...string) {
+		r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(entries, ","))
+	}
+	said(8, false, r.entry("a0", "draining"), r.entry("b1", "removed"))
+	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
+	r.logged("how=Partial version=8")
+	c := r.call()
+	for i := range 10 {
+		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+	}
+	for _, id := range []string{"a0", "b1"} {
+		parts, _, _, _ := r.replicas[id].Observed()
+		require.Empty(t, parts)
+	}
+	_, _, _, open := r.replicas["a1"].Observed()
+	require.Equal(t, 1, open)
+	for _, id := range []string{"a1", "b0"} { // parts of one turn to one replica share a call
+		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[id].BatchSizes())
+	}
+	for _, bad := range []string{
+		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"","state":"up","cell":0}]}`,
+		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"127.0.0.1:1","state":"odd","cell":0}]}`,
+		`{"version":9`, `{"version":6,"full":true,"servers":[]}`, `{"version":8,"full":false,"servers":[]}`,
+		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 nonsense\r\n\r\n", "",
+	} {
+		r.list.Responses <- bad
+		require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets, bad)
+	}
+	c.want("still", "all", 200, wholeOfAll)
+	require.Equal(t, 8, strings.Count(r.log.String(), "event=list_failed"))
+	said(12, true, r.entry("a0", "up"), r.entry("b0", "up")) // whole: a1 is gone, and its connection goes
+	r.eventually("a1 is left", func() bool { _, _, _, open := r.replicas["a1"].Observed(); return open == 0 })
+	c.want("after", "all", 200, wholeOfAll)
+	parts, _, _, _ := r.replicas["a0"].Observed()
+	require.Len(t, parts, 2)
+	r.end()
+	require.NotContains(t, r.log.String(), "event=fault")
+}
+
+// A cell that is no place of a set is refused with its entry, and the list in force stays.
+func TestInvalidCells(t *testing.T) {
+	for _, cell := range []string{"-1", "0.5", "true", `"1"`} {
+		all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":` + cell + `}]}`))
+		require.NoError(t, err)
+		_, err = plan.NewEndpointList(all)
+		require.ErrorContains(t, err, `entry id="s"`, cell)
+	}
+	all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":2}]}`))
+	require.NoError(t, err)
+	list, err := plan.NewEndpointList(all)
+	require.NoError(t, err)
+	require.Equal(t, 2, list.Hosts[0].Cell)
+}
+
+// A list of the longest body that the protocol allows is taken, a longer one fails the call and the log says why; the list
+// is not lost with it.
+func TestLongestEndpointList(t *testing.T) {
+	r := start(t, 256, nil)
+	<-r.list.Targets
+	text := func(version, size int) string {
+		list := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s,%s,%s,`, version, r.entry("a0", "up"), r.entry("a1", "up"), r.entry("b0", "up"))
+		return list + strings.Repeat(" ", size-len(list)-len(r.entry("b1", "up"))-3) + r.entry("b1", "up") + "]}\n"
+	}
+	r.list.Responses <- text(8, 64<<10)
+	r.logged("how=Complete version=8")
+	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
+	r.list.Responses <- text(9, 64<<10+1)
+	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
+	r.logged("body over 65536 bytes")
+	r.list.Responses <- text(9, 30<<10)
+	r.logged("how=Complete version=9")
+	r.end()
+}
+
+// A whole list with no hosts is in force like any other: nothing is sent, health stays good, and the next list brings all
+// back. At a start such a list is not yet one: health is bad until a host is known.
+func TestEndpointListWithoutHosts(t *testing.T) {
+	r := start(t, 256, nil)
+	<-r.list.Targets
+	r.list.Responses <- `{"version":8,"full":true,"servers":[]}`
+	r.logged("version=8 entries=0")
+	c := r.call().send(request("none", "all", "", fourParts))
+	health := func(r *rig) int {
+		status, _, _, _ := r.call().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").answer()
+		return status
+	}
+	require.Equal(t, 200, health(r))
+	require.Zero(t, r.parts())
+	all := fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, strings.Replace(r.entry("a0", "up"), "1.0", "0", 1),
+		strings.Replace(r.entry("b0", "up"), "1.0", "-3", 1)) // weights are not this side's to judge
+	r.list.Responses <- all
+	r.logged("version=9 entries=2")
+	status, _, text, _ := c.answer()
+	require.Equal(t, 200, status)
+	require.JSONEq(t, wholeOfAll, text)
+	ownPlan := *r.plan
+	ownPlan.Known = plan.EndpointList{Version: 7, Full: true}
+	other := script(t)
+	ownPlan.Discovery = other.Listener.Addr().String()
+	r.end()
+
+	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: cancel, ended: ended}
+	go func() {
+		ended <- Serve(ctx, &ownPlan, Options{
+			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
+			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
+		})
+	}()
+	<-look
+	<-other.Targets
+	require.Equal(t, 503, health(next))
+	other.Responses <- all
+	next.logged("version=9 entries=2")
+	require.Equal(t, 200, health(next))
+	next.end()
+}
+
+// A host that is removed under a part and comes back at once, at its address or at another, is used at once, and the end
+// of what was there before does not forget it. So it is when it was named twice, removed and up.
+func TestHostReturnsDuringAttempt(t *testing.T) {
+	for name, back := range map[string]func(r *rig, moved string) []string{
+		"at its address": func(r *rig, moved string) []string {
+			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), `"started_ms":0`, `"started_ms":5`, 1)}
+		},
+		"at another": func(r *rig, moved string) []string {
+			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Listener.Addr().String(), moved, 1)}
+		},
+		"at another, never removed": func(r *rig, moved string) []string {
+			return []string{strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Listener.Addr().String(), moved, 1)}
+		},
+	} {
+		for _, together := range []bool{false, true} {
+			t.Run(fmt.Sprint(name, " ", together), func(t *testing.T) {
+				r := start(t, 256, nil)
+				<-r.list.Targets
+				next, err := fake.NewHost("b1", 1, true, asked.ReplyGood)
+				require.NoError(t, err)
+				t.Cleanup(next.Close)
+				version := 7
+				tell := func(entries ...string) {
+					version++
+					r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version, strings.Join(entries, ","))
+					r.logged(fmt.Sprintf("version=%d ", version))
+				}
+				tell(r.entry("b0", "draining")) // so that b1 gets the part
+				held := make(chan asked, 16)
+				r.replicas["b1"].SetHandler(func(a asked) { held <- a })
+				c := r.call().send(request("first", "all", "", fourParts))
+				a := <-held
+				r.replicas["b1"].SetHandler(asked.ReplyGood)
+				entries := back(r, next.Listener.Addr().String())
+				if together {
+					tell(entries...)
+				} else {
+					for _, e := range entries {
+						tell(e)
+					}
+				}
+				for i := range 5 {
+					r.call().want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+				}
+				a.ReplyGood()
+				for len(held) > 0 {
+					(<-held).ReplyGood()
+				}
+				status, _, text, _ := c.answer()
+				require.Equal(t, 200, status, text)
+				require.JSONEq(t, wholeOfAll, text)
+				for i := range 5 { // what was there before has ended
+					r.call().want(fmt.Sprint("p", i), "all", 200, wholeOfAll)
+				}
+				look := make(chan bool)
+				r.loop.submit(func() { h := r.loop.replicas.byID["b1"]; look <- h != nil && !h.removed })
+				require.True(t, <-look)
+				if name != "at its address" {
+					require.Positive(t, next.CountRequests())
+				}
+				r.end()
+				require.NotContains(t, r.log.String(), "event=fault")
+			})
+		}
+	}
+}
+
+// A part waits for a connection that comes up late when its replica begins to drain, is removed, or is not in a whole list:
+// nothing goes out there once the connection is up, and the search is answered by the other holder.
+func TestNothingSentToDrainingReplicaAfterGrace(t *testing.T) {
+	for name, answer := range map[string]func(r *rig, id string) string{
+		"drains": func(r *rig, id string) string {
+			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "draining"))
+		},
+		"is removed": func(r *rig, id string) string {
+			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "removed"))
+		},
+		"is not named": func(r *rig, id string) string {
+			other := map[string]string{"a0": "a1", "a1": "a0"}[id]
+			return fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s,%s]}`, r.entry(other, "up"), r.entry("b0", "up"), r.entry("b1", "up"))
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var mu sync.Mutex
+			held := map[string]chan struct{}{} // connects that are not up, by address
+			dialed := make(chan string, 16)
+			r := startIn(t, nil, 256, func(s map[string]any) {
+				s["Permissions"].(map[string]any)["DialTimeout"] = 8000.0
+			}, nil, nil, func(m *Options) {
+				m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					mu.Lock()
+					up := held[addr]
+					mu.Unlock()
+					if up != nil {
+						dialed <- addr
+						select {
+						case <-up:
+						case <-ctx.Done():
+							return nil, ctx.Err()
+						}
+					}
+					return (&net.Dialer{}).DialContext(ctx, network, addr)
+				}
+			})
+			at, up := map[string]string{}, map[string]chan struct{}{}
+			mu.Lock()
+			for _, id := range []string{"a0", "a1"} {
+				addr := r.replicas[id].Listener.Addr().String()
+				at[addr], up[id] = id, make(chan struct{})
+				held[addr] = up[id]
+			}
+			mu.Unlock()
+			<-r.list.Targets
+			c := r.call().send(request("q", "all", "", fourParts))
+			id := at[<-dialed]
+			r.list.Responses <- answer(r, id)
+			r.logged("version=8")
+			time.Sleep(300 * time.Millisecond) // longer than the grace
+			close(up[id])
+			time.Sleep(100 * time.Millisecond) // for what would go out
+			for other := range up {
+				if other != id {
+					close(up[other])
+				}
+			}
+			status, _, text, _ := c.answer()
+			require.Equal(t, 200, status)
+			require.JSONEq(t, wholeOfAll, text)
+			require.Zero(t, r.replicas[id].CountRequests(), r.log)
+			r.end()
+		})
+	}
+}
--- /dev/null
+++ b/coordinator/event_loop_test.go
@@ -0,0 +1,43 @@
+package coordinator
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// While the owner's queue is full those that have something for it wait, and nothing of it is lost: requests are answered, and
+// leaves are seen, once it goes on.
+func TestFullTaskQueue(t *testing.T) {
+	r := start(t, 256, nil)
+	r.call().want("first", "all", 200, wholeOfAll)
+	gate, in := make(chan struct{}), make(chan struct{})
+	r.loop.submit(func() { close(in); <-gate })
+	<-in
+	var callers []*caller
+	for i := range 40 {
+		callers = append(callers, r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
+	}
+	for full := false; !full; {
+		select {
+		case r.loop.tasks <- func() {}:
+		default:
+			full = true
+		}
+	}
+	for i := range 20 { // behind a queue that is full
+		callers = append(callers, r.call().send(request(fmt.Sprint("p", i), "all", "", fourParts)))
+	}
+	for _, c := range callers[:5] {
+		c.Close()
+	}
+	close(gate)
+	for i, c := range callers[5:] {
+		status, _, _, _, err := c.rd.ReadResponse()
+		require.NoError(t, err, "%d", i)
+		require.Contains(t, []int{200, 503}, status)
+	}
+	r.eventually("none is left open", func() bool { return r.open() == 0 })
+	r.end()
+}
--- /dev/null
+++ b/coordinator/final_answer_test.go
@@ -0,0 +1,88 @@
+package coordinator
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
+)
+
+// oneOut is a search with one sub-request out, its frame at that stage.
+func oneOut(stage int32) (*eventLoop, *replicaConnection, *search) {
+	loop := &eventLoop{plan: &plan.Plan{}, searches: searchTable{byID: map[uint64]*search{}, names: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}}, rules: dispatchRules{allowsSecondCopies: true}}
+	conn := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
+	s := &search{id: 1, name: "q"}
+	request := &shardRequest{id: 2, search: s, unreported: 1}
+	sub := &attempt{shardRequest: request, name: "q.0", batch: &batch{connection: conn, message: &outboundMessage{}}}
+	sub.batch.attempts, conn.attempts, request.attempts, s.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{request}
+	loop.searches.byID[1], loop.searches.shardRequests[2] = s, request
+	sub.batch.message.stage.Store(stage)
+	return loop, conn, s
+}
+
+// The final answer is not sent before a frame of its search that has been begun is out; one that does not come out
+// ends its connection. Guards against parts that are sent on after the answer by a process that is held up.
+func TestFinalAnswerAwaitsPendingWrites(t *testing.T) {
+	own, other := net.Pipe() // a write lasts until the other side reads
+	defer other.Close()
+	l := newMessageConn(context.Background(), 4)
+	ended := make(chan connectionEndError, 1)
+	go func() {
+		ended <- l.serve(own, time.Minute, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
+			func(*outboundMessage) error { return nil })
+	}()
+	text := []byte("part")
+	message := &outboundMessage{buffer: &text}
+	l.enqueue(message)
+	require.Eventually(t, func() bool { return message.stage.Load() == stageWriting }, patience, time.Millisecond)
+	write := pendingWrite{l, message}
+	require.False(t, write.isWritten())
+	settled := make(chan bool, 1)
+	go func() { awaitWritten([]pendingWrite{write}); settled <- message.stage.Load() == stageWritten }()
+	select {
+	case <-settled:
+		t.Fatal("not out yet")
+	case <-time.After(5 * time.Millisecond):
+	}
+	_, _ = other.Read(make([]byte, 16)) // blocks until something comes or the connection ends
+	require.True(t, <-settled, "out")
+
+	next := &outboundMessage{buffer: &text}
+	l.enqueue(next)
+	require.Eventually(t, func() bool { return next.stage.Load() == stageWriting }, patience, time.Millisecond)
+	awaitWritten([]pendingWrite{{l, next}}) // nobody reads: after a while its connection ends
+	require.Equal(t, errRetired, <-ended)
+	require.True(t, l.writerEnded.Load())
+}
+
+// A final answer waits for a frame of its search that is begun, and ends the connection of one that does not come out;
+// one that is out is not waited for, and its connection stays.
+func TestNothingSentAfterFinalAnswer(t *testing.T) {
+	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
+		loop, conn, search := oneOut(stage)
+		first := loop.finishSearch(search)
+		require.Equal(t, ends, len(first) == 1, "stage %d", stage)
+		context.AfterFunc(conn.ctx, func() { conn.writerEnded.Store(true) }) // as its writer would
+		awaitWritten(first)
+		require.Equal(t, ends, conn.ctx.Err() != nil, "stage %d", stage)
+	}
+}
+
+// So it does for a frame whose sub-request was given up before: a second copy, say, called off when the first has answered.
+// One given up after the answer holds nothing.
+func TestNothingCanceledAfterFinalAnswer(t *testing.T) {
+	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
+		loop, _, search := oneOut(stage)
+		loop.CancelAttempt(2, 0)
+		require.Equal(t, ends, len(loop.finishSearch(search)) == 1, "stage %d", stage)
+
+		loop, _, search = oneOut(stage)
+		loop.finishSearch(search)
+		loop.CancelAttempt(2, 0)
+		require.Empty(t, search.pendingWrites, "stage %d", stage)
+	}
+}
--- a/coordinator/names_test.go
+++ b/coordinator/plan_test.go
@@ -1,12 +1,19 @@
 package coordinator
 
 import (
+	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"os"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
+	"chalkring/internal/advice"
+	"chalkring/internal/simwire"
 )
 
 // planOf is a plan's text with settings that edit has changed.
@@ -24,28 +31,59 @@
 	return settings[list].([]any)[i].(map[string]any)
 }
 
-// Requests name class and tenant as the settings have them, blanks, commas and letters of all languages too, and each is
-// handled by its own.
-func TestRequestNamesAsInSettings(t *testing.T) {
-	r := start(t, 256, func(settings map[string]any) {
-		placed(settings, "Classes", 1)["Name"] = "all, größer"
-		placed(settings, "Tenants", 0)["Name"] = "acme north"
-		placed(settings, "Tenants", 1)["Name"] = "acme, south"
-	})
-	c := r.call()
-	post := func(id, path, class, tenant string) {
-		text := fmt.Sprintf("POST /%s?k=1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: 8\r\nContent-Length: ",
-			path, id, class, tenant)
-		body := `{"ranges":[{"range":0,"portion":0.5},{"range":1,"portion":0.5}],"predicate":"p"}`
-		c.send(text + fmt.Sprint(len(body)) + "\r\n\r\n" + body)
-		status, _, _, _ := c.answer()
-		require.Equal(t, 200, status, "%s %s\n%s", class, tenant, r.log)
+// The module hears the same names and texts from the plan as from the simulator's wire.
+func TestPlanSettingsEqualSimulatorSettings(t *testing.T) {
+	p, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
+		"known":{"version":0,"servers":[]},"settings":` + strings.Replace(testSettings, `"Family"`, `"Names":[],"Void":null,"Family"`, 1) + `}`))
+	require.NoError(t, err)
+	wire := `Family=fanout Discovery=subscribe Balancers=1 Tick=5.0 FailureDomains=z_one MachineTypes=small
+		Clients.MarksRetry=true Names= Void=- Classes.count=3 Tenants.count=2 Tenants.0.Name=acme Tenants.0.QuotaPerS=1000.0
+		Tenants.1.Name=other Tenants.1.QuotaPerS=1000.0 Specifics.Sets=2 Specifics.Reach=1 Specifics.Ranges=4
+		Specifics.PerCall=2 Specifics.NeedByClass=0.5,1.0,1.0 Specifics.ClassFloor=0.5,1.0,1.0
+		Specifics.FollowUp=0,0,2 Permissions.MaxAttempts=3 Permissions.ConnIdle=60000.0
+		Permissions.DialTimeout=2000.0 Permissions.StreamsPerConn=8 Permissions.SecondCopies=true
+		Permissions.Cancelling=true Permissions.RetryAfter=true Permissions.MaxRetryAfter=500.0 Safety.Cold=1000.0
+		Safety.ColdFrom=0.3 Safety.FallMultiple=3.0 Safety.Fall=2000.0 Safety.DrainGrace=250.0 Safety.AskWithin=500.0`
+	for i, name := range []string{"some", "all", "deep"} {
+		wire += strings.ReplaceAll(fmt.Sprintf(" C.Name=%s C.Aim=4000.0 C.Deadline=8000.0 C.Effect=retryable C.LateShare=0.5",
+			name), "C.", fmt.Sprintf("Classes.%d.", i))
 	}
-	post("a", "some", "some", "acme north")
-	post("b", "some", "some", "acme, south")
-	post("c", "all,%20gr%C3%B6%C3%9Fer", "all, größer", "acme north")
-	post("d", "some", "some", "acme_north") // the wire's form of it
-	r.end()
+	require.Equal(t, simwire.ParseSettings(strings.Fields(wire)), p.Settings)
+	require.Equal(t, int64(-0x73e0cf2d85a4169c), p.Seed)
+}
+
+func TestInvalidPlans(t *testing.T) {
+	plan := `{"name":"n","listen":"l","discovery":"d","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":99},
+		"known":{"version":1,"servers":[]},"settings":` + testSettings + `}`
+	_, err := parsePlan([]byte(plan))
+	require.NoError(t, err)
+	for _, x := range [][3]string{
+		{`{"name"`, `{"name`, "invalid"},
+		{`"seed":"1f"`, `"seed":"xx"`, "seed"},
+		{`"sockets":99`, `"sockets":"x"`, "sockets"},
+		{`"settings"`, `"other"`, "settings"},
+		{`"known"`, `"other"`, "known"},
+		{`"servers":[]`, `"servers":[{"id":"a"}]`, "known: entry"},
+		{`"Family":"fanout"`, `"Family":"x"`, "Family"},
+		{`"Tick":5.0`, `"Tick":"x"`, "Tick"},
+		{`"Sets":2`, `"Sets":0`, "Specifics.Sets"},
+		{`"Aim":4000.0,`, ``, "Classes.0.Aim"},
+		{`"FollowUp":[0,0,2]`, `"FollowUp":[0]`, "FollowUp"},
+		{`"NeedByClass":[`, `"NeedByClass":[1,`, "Specifics.NeedByClass"},
+		{`"ClassFloor":[`, `"ClassFloor":[1.5,`, "Specifics.ClassFloor"},
+		{`"SecondCopies":true`, `"SecondCopies":"on"`, "Permissions.SecondCopies"},
+		{`"ColdFrom":0.3`, `"ColdFrom":1.5`, "Safety.ColdFrom"},
+		{`"DialTimeout":2000.0,`, ``, "DialTimeout"},
+	} {
+		require.Contains(t, plan, x[0])
+		_, err := parsePlan([]byte(strings.Replace(plan, x[0], x[1], 1)))
+		require.ErrorContains(t, err, x[2])
+	}
+	none := func(string) string { return "" }
+	_, err = readPlan(none)
+	require.ErrorContains(t, err, "GW_CONFIG")
+	_, err = readPlan(func(name string) string { return map[string]string{"GW_CONFIG": "/nowhere"}[name] })
+	require.ErrorContains(t, err, "/nowhere")
 }
 
 // Names under which a customer would get another's settings end the start, and so do lists that are no lists of objects:
@@ -113,3 +151,30 @@
 		require.ErrorContains(t, err, x[2])
 	}
 }
+
+// A file that is far too long for a plan is not read to its end, and says what to do.
+func TestPlanTooLarge(t *testing.T) {
+	l := newLife(t)
+	text, err := os.ReadFile(l.file)
+	require.NoError(t, err)
+	env := func(name string) string { return map[string]string{"GW_CONFIG": l.file}[name] }
+	for long, fits := range map[int]bool{plan.MaxFileSize: true, plan.MaxFileSize + 1: false} {
+		padded := append(bytes.Repeat([]byte(" "), long-len(text)), text...)
+		require.NoError(t, os.WriteFile(l.file, padded, 0o600))
+		_, err := readPlan(env)
+		var no *plan.TooLargeError
+		require.Equal(t, !fits, errors.As(err, &no), "%v", err)
+		require.Equal(t, !fits, advice.For(err) != "")
+	}
+}
+
+// To all others several owners are so many co-ordinators, with one's descriptors, memory and budget between them.
+func TestPlanForShard(t *testing.T) {
+	p := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
+	own := p.ForShard(1, 4)
+	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.MaxSockets, own.MemoryMB, own.Settings["Balancers"], own.Settings["Safety.ExtraFloor"]})
+	require.NotEqual(t, p.Seed, own.Seed)
+	require.Equal(t, "3", p.Settings["Balancers"])
+	delete(p.Settings, "Safety.ExtraFloor")
+	require.NotContains(t, p.ForShard(0, 4).Settings, "Safety.ExtraFloor")
+}
--- /dev/null
+++ b/coordinator/reload_test.go
@@ -0,0 +1,252 @@
+package coordinator
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
+)
+
+// A new plan: the whole list is asked for at the new place at once, whatever its version, and failures there
+// are asked again there. Searches go on.
+func TestReloadMovesDiscovery(t *testing.T) {
+	r := start(t, 256, nil)
+	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
+	next := script(t)
+	p := *r.plan
+	p.Discovery, p.MaxSockets = next.Listener.Addr().String(), 16
+	r.plans <- &p
+	require.Equal(t, "/v1/servers", <-next.Targets)
+	next.Responses <- fmt.Sprintf(`{"version":3,"full":true,"servers":[%s,%s,%s]}`, r.entry("a0", "draining"),
+		r.entry("a1", "up"), r.entry("b0", "up"))
+	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
+	r.logged("how=Complete version=3 entries=3")
+	c := r.call()
+	c.want("q", "all", 200, wholeOfAll)
+	for id, want := range map[string]int{"a0": 0, "a1": 2, "b0": 2, "b1": 0} {
+		parts, _, _, _ := r.replicas[id].Observed()
+		require.Len(t, parts, want, id)
+	}
+	for range 20 { // the new number of descriptors holds
+		r.call()
+	}
+	r.logged("end=displaced")
+	next.Responses <- "" // fails: the module asks again, at the same place
+	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
+	require.Empty(t, r.list.Targets)
+	r.end()
+}
+
+// At a signal the file is read again. What it says of discovery holds over the variable once it has changed; a
+// file that cannot be used changes nothing.
+func TestWatchReloads(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "plan.json")
+	write := func(discovery, more string) {
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(`{"name":"n","listen":"l","discovery":"`+discovery+
+			`","seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":1,"servers":[]},"settings":`+
+			testSettings+`}`, `"Tick"`, more+`"Tick"`, 1)), 0o600))
+	}
+	env := func(name string) string {
+		return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "variable"}[name]
+	}
+	write("file", "")
+	first, err := readPlan(env)
+	require.NoError(t, err)
+	require.Equal(t, "variable", first.Discovery)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	out, signals := &journal{}, make(chan os.Signal)
+	plans := first.WatchReloads(ctx, signals, env, NewLogger(out, false, slog.LevelInfo))
+	for _, x := range [][3]string{
+		{"file", `"Added":1,`, "variable"},
+		{"elsewhere", "", "elsewhere"},
+		{"broken", "{", ""},
+		{"elsewhere", "", "elsewhere"},
+		{"elsewhere", `"Balancers":-1,`, ""},
+		{"elsewhere", "", "elsewhere"},
+	} {
+		write(x[0], x[1])
+		failed := strings.Count(out.String(), "event=reload_failed")
+		if signals <- syscall.SIGHUP; x[2] == "" {
+			require.Eventually(t, func() bool { return strings.Count(out.String(), "event=reload_failed") > failed }, patience,
+				time.Millisecond)
+			continue
+		}
+		p := <-plans
+		require.Equal(t, x[2], p.Discovery)
+		require.Equal(t, strings.Contains(x[1], "Added"), first.RestartDifferences(p) == "settings.Added", x[1])
+	}
+	require.Equal(t, 2, strings.Count(out.String(), "event=reload_failed"))
+	require.Contains(t, out.String(), "setting Balancers: -1 is under 0")
+}
+
+// A file that names no place for discovery any more leaves the variable's in force, and one that names a place again holds
+// over that.
+func TestReloadWithoutDiscoveryAddress(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "plan.json")
+	write := func(place string) {
+		require.NoError(t, os.WriteFile(path, []byte(`{"name":"n","listen":"l",`+place+`"seed":"1f",
+			"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":1,"servers":[]},"settings":`+testSettings+`}`), 0o600))
+	}
+	env := func(name string) string {
+		return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "variable"}[name]
+	}
+	write(`"discovery":"file",`)
+	first, err := readPlan(env)
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	signals := make(chan os.Signal)
+	plans := first.WatchReloads(ctx, signals, env, slog.New(slog.DiscardHandler))
+	for _, x := range [][2]string{
+		{`"discovery":"elsewhere",`, "elsewhere"},
+		{"", "variable"},
+		{"", "variable"},
+		{`"discovery":"again",`, "again"},
+		{`"discovery":"again",`, "again"},
+	} {
+		write(x[0])
+		signals <- syscall.SIGHUP
+		require.Equal(t, x[1], (<-plans).Discovery, x[0])
+	}
+}
+
+// A file that leaves discovery to the variable, at the start or at a signal, never takes the address away; one that is half
+// written or holds another deployment's settings moves nothing but discovery.
+func TestEnvironmentAtReload(t *testing.T) {
+	path, out := filepath.Join(t.TempDir(), "plan.json"), &journal{}
+	write := func(discovery, settings string, cut int) {
+		text := `{"name":"file","listen":"file",` + discovery + `"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":99},
+			"known":{"version":1,"servers":[]},"settings":` + settings + `}`
+		require.NoError(t, os.WriteFile(path, []byte(text[:len(text)-cut]), 0o600))
+	}
+	env := func(name string) string {
+		return map[string]string{"GW_CONFIG": path, "GW_NAME": "n7", "GW_LISTEN": "l7", "GW_DISCOVERY": "variable"}[name]
+	}
+	other := strings.NewReplacer(`"some"`, `"all"`, `"all"`, `"some"`, `"acme"`, `"other"`, `"other"`, `"acme"`).Replace(testSettings)
+	for _, begins := range []string{"", `"discovery":"file",`} {
+		write(begins, testSettings, 0)
+		first, err := readPlan(env)
+		require.NoError(t, err)
+		require.Equal(t, "variable", first.Discovery)
+		ctx, cancel := context.WithCancel(context.Background())
+		signals := make(chan os.Signal)
+		plans := first.WatchReloads(ctx, signals, env, NewLogger(out, false, slog.LevelInfo))
+		for _, x := range []struct {
+			discovery, settings, want string
+			cut                       int
+		}{
+			{"", testSettings, "variable", 0},
+			{`"discovery":"",`, other, "variable", 0},
+			{`"discovery":"two",`, other, "two", 0},
+			{`"discovery":"three",`, other, "", 40},
+			{"", other, "variable", 0},
+			{`"discovery":"two",`, testSettings, "two", 0},
+		} {
+			write(x.discovery, x.settings, x.cut)
+			failed := strings.Count(out.String(), "event=reload_failed")
+			signals <- syscall.SIGHUP
+			if x.cut > 0 {
+				require.Eventually(t, func() bool { return strings.Count(out.String(), "event=reload_failed") > failed }, patience, time.Millisecond)
+				continue
+			}
+			p := <-plans
+			require.Equal(t, x.want, p.Discovery, "%s then %s", begins, x.discovery)
+			require.Equal(t, []string{"n7", "l7"}, []string{p.Name, p.Listen})
+			if x.settings == other {
+				require.Equal(t, "settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name", first.RestartDifferences(p))
+			}
+		}
+		cancel()
+	}
+}
+
+// A plan that comes while searches are served, and whose classes and tenants stand in another order, changes what no search
+// is handled by.
+func TestReloadWithReorderedClasses(t *testing.T) {
+	r := start(t, 256, nil)
+	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
+	c := r.call()
+	both := func(id string) {
+		c.want(id+"a", "all", 200, wholeOfAll) // some would be whole with half of its parts, in another order
+		c.send(strings.Replace(request(id+"b", "all", "", fourParts), "acme", "globex", 1))
+		status, _, _, _ := c.answer()
+		require.Equal(t, 400, status)
+	}
+	both("before")
+	next, err := parsePlan(planOf(t, func(s map[string]any) {
+		placed(s, "Classes", 0)["Name"], placed(s, "Classes", 1)["Name"] = "all", "some"
+		placed(s, "Tenants", 0)["Name"], placed(s, "Tenants", 1)["Name"] = "globex", "acme"
+	}))
+	require.NoError(t, err)
+	next.Discovery = script(t).Listener.Addr().String()
+	r.plans <- next
+	r.logged("waits_for_restart=listen,settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name")
+	both("after")
+	r.end()
+}
+
+// A new plan with other memory: what open searches may hold follows it, as the runtime's goal does.
+func TestSearchMemoryFollowsReload(t *testing.T) {
+	r := start(t, 256, nil)
+	room := func() (now float64) {
+		told := make(chan struct{})
+		require.True(t, r.loop.submit(func() { now = r.loop.searches.memoryLimit; close(told) }))
+		<-told
+		return now
+	}
+	require.Equal(t, 48.0*(1<<20), room())
+	for memory, want := range map[int]float64{64: 16 << 20, 4: 2 << 20, 512: 128 << 20} {
+		p := *r.plan
+		p.MemoryMB = memory
+		r.plans <- &p
+		r.eventually(fmt.Sprint("room of ", memory, " MB"), func() bool { return room() == want })
+	}
+	r.end()
+}
+
+// A storm of SIGHUP, on plans that are whole, half, missing, a folder or very long, changes nothing but what the last whole
+// one says, and searches go on.
+func TestManyReloads(t *testing.T) {
+	l := newLife(t)
+	l.start(nil)
+	l.ready()
+	whole, err := os.ReadFile(l.file)
+	require.NoError(t, err)
+	for i := range 1000 {
+		switch i {
+		case 100:
+			require.NoError(t, os.WriteFile(l.file, whole[:len(whole)/2], 0o600))
+		case 300:
+			require.NoError(t, os.Remove(l.file))
+		case 400:
+			require.NoError(t, os.Mkdir(l.file, 0o700))
+		case 500:
+			require.NoError(t, os.Remove(l.file))
+		case 600:
+			require.NoError(t, os.WriteFile(l.file, bytes.Repeat([]byte(`[`), plan.MaxFileSize+1), 0o600))
+		}
+		l.signal(syscall.SIGHUP)
+		if i%100 == 50 {
+			l.served(fmt.Sprint("s", i))
+		}
+	}
+	l.logged("event=reload_failed")
+	l.limit("sockets", 128)
+	l.write()
+	l.signal(syscall.SIGHUP)
+	l.logged("sockets=128")
+	l.served("last")
+	l.signal(syscall.SIGTERM)
+	l.over(0)
+}
--- a/coordinator/bodies_test.go
+++ b/coordinator/request_body_test.go
@@ -4,14 +4,13 @@
 	"bytes"
 	"encoding/json"
 	"math"
-	"net/url"
 	"strings"
 	"testing"
 	"unicode/utf8"
 
-	"chalkring/coordinator/plan"
-
 	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
 )
 
 // byMaps reads a body as it was read before, by maps: what FuzzReadBody holds the reader against.
@@ -80,22 +79,3 @@
 		}
 	})
 }
-
-// A target is taken apart as the library would.
-func FuzzParseTarget(f *testing.F) {
-	for _, text := range []string{
-		"/a?k=7f", "/a", "/a?k=", "/a?x=1&k=2", "/a%20b?k=%41", "/a?k=1&k=2", "/a?k=a+b", "*", "", "/a?k=1#f",
-		"http://x/a?k=1", "/a?k=1;x", "//x/y?k=z", "/\x7f",
-	} {
-		f.Add(text)
-	}
-	f.Fuzz(func(t *testing.T, target string) {
-		path, key, err := parseTarget(target)
-		want, err2 := url.ParseRequestURI(target)
-		require.Equal(t, err2 == nil, err == nil, "%q: %v, %v", target, err, err2)
-		if err == nil {
-			require.Equal(t, want.Path, path, "%q", target)
-			require.Equal(t, want.Query().Get("k"), key, "%q", target)
-		}
-	})
-}
--- a/coordinator/several_test.go
+++ b/coordinator/sharded_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"chalkring/coordinator/plan"
-
 	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
 )
 
 // Several owners behind one listener answer each search once and whole, share clients out, follow a new plan, and end
@@ -71,14 +71,3 @@
 	}
 	r.end()
 }
-
-// To all others several owners are so many co-ordinators, with one's descriptors, memory and budget between them.
-func TestPlanForShard(t *testing.T) {
-	p := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
-	own := p.ForShard(1, 4)
-	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.MaxSockets, own.MemoryMB, own.Settings["Balancers"], own.Settings["Safety.ExtraFloor"]})
-	require.NotEqual(t, p.Seed, own.Seed)
-	require.Equal(t, "3", p.Settings["Balancers"])
-	delete(p.Settings, "Safety.ExtraFloor")
-	require.NotContains(t, p.ForShard(0, 4).Settings, "Safety.ExtraFloor")
-}
--- /dev/null
+++ b/coordinator/shutdown_test.go
@@ -0,0 +1,422 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"runtime"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/coordinator/plan"
+	"chalkring/internal/fake"
+	"chalkring/internal/http1"
+)
+
+// At a stop what is held is finished, and requests that still come are taken; then nothing is left.
+func TestShutdown(t *testing.T) {
+	before := runtime.NumGoroutine()
+	r := start(t, 256, nil)
+	release := make(chan struct{})
+	var got atomic.Int32
+	for _, s := range r.replicas {
+		s.SetHandler(func(a asked) {
+			got.Add(1)
+			go func() { <-release; a.ReplyGood() }()
+		})
+	}
+	idle, early, late := r.call(), r.call(), r.call()
+	idle.want("first", "none", 400, "")
+	idle = r.call()
+	early.send(request("early", "all", "", fourParts))
+	r.eventually("parts are out", func() bool { return got.Load() == 4 })
+	r.stop()
+	r.logged("event=stopping")
+	late.send(request("late", "all", "", fourParts))
+	r.eventually("the late one is taken", func() bool { return got.Load() == 8 })
+	_, err := idle.Read(make([]byte, 1)) // comes to an end once no more is awaited
+	require.Equal(t, io.EOF, err)
+	close(release)
+	for _, c := range []*caller{early, late} {
+		status, _, text, keep := c.answer()
+		require.Equal(t, 200, status)
+		require.JSONEq(t, wholeOfAll, text)
+		require.False(t, keep)
+	}
+	r.end()
+	for _, s := range r.replicas {
+		s.Listener.Close()
+	}
+	r.list.Listener.Close()
+	close(r.list.Responses)
+	r.eventually("goroutines end", func() bool { return runtime.NumGoroutine() <= before+1 })
+}
+
+// What comes more than 0.7 s after the end is told has its final answer before the kill may come, though no host answers and
+// its client would wait longer; so has what comes just before the kill, at once.
+func TestAnswersBeforeSIGKILL(t *testing.T) {
+	const busy = time.Second // that a crowded machine may be late by; without the bound it is four
+	r := start(t, 256, nil)
+	for _, s := range r.replicas {
+		s.SetHandler(func(asked) {})
+	}
+	late := r.call()
+	late.want("first", "none", 400, "") // the connection is taken before the end
+	r.stop()
+	told := time.Now()
+	r.logged("event=stopping")
+	kill := told.Add(r.plan.TerminationGrace())
+	require.Equal(t, plan.MaxTerminationGrace, kill.Sub(told))
+	time.Sleep(time.Until(told.Add(800 * time.Millisecond)))
+	late.send(request("late", "all", "", fourParts))
+	status, _, _, _ := late.answer()
+	require.Contains(t, []int{500, 503}, status)
+	require.Less(t, time.Until(kill), time.Second) // it was tried until then
+	require.Less(t, time.Since(kill), busy)
+	time.Sleep(time.Until(kill.Add(-killMargin)))
+	late.send(request("last", "all", "", fourParts))
+	status, _, _, _ = late.answer()
+	require.Contains(t, []int{500, 503}, status)
+	require.Less(t, time.Since(kill), busy)
+	r.end()
+}
+
+// Connections that have come by the time at which no more are taken are taken, each with its request, also where the
+// process was held up just then.
+func TestIdleConnectionsAtShutdown(t *testing.T) {
+	r := process(t, nil)
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	require.NoError(t, r.Signal("n", syscall.SIGTERM))
+	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
+	time.Sleep(acceptAfterStop / 2)
+	require.NoError(t, r.Signal("n", syscall.SIGSTOP))
+	var conns []net.Conn
+	for i := range 100 {
+		conn, err := net.Dial("tcp", r.Addresses("n").Client)
+		require.NoError(t, err)
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(patience))
+		_, err = conn.Write([]byte(fake.Search{
+			ID: fmt.Sprint("c", i), Type: "full-match", Shards: []int{0, 1, 2, 3},
+			Patience: 2 * time.Second, Tenant: "acme",
+		}.Encode()))
+		require.NoError(t, err)
+		conns = append(conns, conn)
+	}
+	time.Sleep(acceptAfterStop)
+	require.NoError(t, r.Signal("n", syscall.SIGCONT))
+	for i, conn := range conns {
+		status, _, _, _, err := http1.NewReader(conn, make([]byte, 16<<10)).ReadResponse()
+		require.NoError(t, err, "connection %d", i)
+		require.Contains(t, []int{200, 503}, status, "connection %d", i)
+	}
+}
+
+// While the co-ordinator stops, too, what came in time is read, though the process was held up and its time is over by the
+// time it looks: a request's last bytes, and a request on a connection at rest.
+func TestFinalReadAtShutdown(t *testing.T) {
+	for name, client := range map[string]*clientConnection{
+		"a request": {requestDeadline: time.Now().Add(-time.Second)},
+		"at rest":   {stopReadDeadline: time.Now().Add(-time.Second)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ln := listen(t)
+			there, err := net.Dial("tcp", ln.Addr().String())
+			require.NoError(t, err)
+			defer there.Close()
+			here, err := ln.Accept()
+			require.NoError(t, err)
+			defer here.Close()
+			stopping, cancel := context.WithCancel(context.Background())
+			cancel()
+			client.clientListener, client.conn, client.answered = &clientListener{stopping: stopping}, here, make(chan struct{}, 1)
+			_, err = there.Write([]byte("x"))
+			require.NoError(t, err)
+			client.interruptRead()
+			n, err := client.Read(make([]byte, 2))
+			require.NoError(t, err)
+			require.Equal(t, 1, n)
+			_, err = client.Read(make([]byte, 2)) // once
+			want := errClosing
+			if !client.requestDeadline.IsZero() {
+				want = errReadTimeout
+			}
+			require.Equal(t, want, connectionEndOf(err))
+		})
+	}
+}
+
+// As the co-ordinator stops, more requests in a piece than its buffer holds are answered one after another, each once.
+func TestPipelinedRequestsAtShutdown(t *testing.T) {
+	r := start(t, 256, nil)
+	c := r.call()
+	c.want("first", "all", 200, wholeOfAll)
+	r.stop()
+	r.logged("event=stopping")
+	const many = 170 // some 60 KB
+	var all strings.Builder
+	for i := range many {
+		what := strings.Replace(fourParts, `"what"`, fmt.Sprintf(`"what%d"`, i), 1)
+		all.WriteString(request(fmt.Sprint("m", i), "all", "", what))
+	}
+	require.Greater(t, all.Len(), 3*bufferSize)
+	go c.Write([]byte(all.String()))
+	for i := range many {
+		status, _, body, _ := c.answer()
+		require.Equal(t, 200, status)
+		require.JSONEq(t, strings.ReplaceAll(wholeOfAll, "what", fmt.Sprint("what", i)), body)
+	}
+	r.end()
+	require.Equal(t, 4*(many+1), r.parts())
+}
+
+// A request that comes after the last answer on its connection was written, and is read before that connection is shut, is
+// not sent on: its client will see the end.
+func TestRequestBetweenLastAnswerAndClose(t *testing.T) {
+	for name, atStop := range map[string]bool{"a request that wants it": false, "the end of the stop": true} {
+		t.Run(name, func(t *testing.T) {
+			answered, reads := make(chan struct{}), make(chan struct{}, 64)
+			r := crossed(t, 256, nil, func(c *crossing) {
+				answers := 0
+				c.read = func(int) { reads <- struct{}{} }
+				c.wrote = func(p []byte) {
+					if answers++; answers == 2 {
+						for len(reads) > 0 {
+							<-reads
+						}
+						close(answered)
+						<-reads // the next request is there, before the shutdown
+					}
+				}
+			}, nil, nil)
+			c := r.call()
+			c.want("first", "all", 200, wholeOfAll)
+			head := "Connection: close\r\n"
+			if atStop {
+				r.loop.stop.closeAfterAnswer.Store(true)
+				r.stop()
+				r.logged("event=stopping")
+				r.noneTaken()
+				head = ""
+			}
+			c.send(request("last", "all", head, fourParts))
+			<-answered
+			c.send(request("behind", "all", "", fourParts))
+			status, _, _, keep := c.answer()
+			require.Equal(t, 200, status)
+			require.False(t, keep)
+			_, err := c.Read(make([]byte, 1))
+			require.Equal(t, io.EOF, err)
+			r.eventually("the connection has ended", func() bool { // its client stays
+				ended := make(chan bool, 1)
+				r.loop.submit(func() { ended <- len(r.loop.clients.connections) == 0 })
+				select {
+				case is := <-ended:
+					return is
+				case <-r.loop.ctx.Done():
+					return true
+				}
+			})
+			r.end()
+			require.Equal(t, 8, r.parts(), "those of the first and the last")
+		})
+	}
+}
+
+// Connections that came before the listener closed and for which there was no room then have their answers once there is:
+// none is reset in the system's queue.
+func TestConnectionsWaitingForRoomAtShutdown(t *testing.T) {
+	const sockets, more, room = 16, 6, 8
+	gate, closing := make(chan struct{}), make(chan struct{}, 64)
+	r := crossed(t, sockets, nil, nil, nil, func(m *Options) {
+		m.Listener.(*accepting).deadline = func() { closing <- struct{}{} }
+		m.Clock = clocked{held: stopIdleTimeout, gate: make(chan time.Time)} // which ends the wait for room
+	})
+	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+	var all []*caller
+	for i := range room + more {
+		all = append(all, r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
+		r.eventually("it is at work", func() bool { return r.open() == min(i+1, room) }) // one that is not would be displaced
+	}
+	r.stop()
+	<-closing
+	time.Sleep(2 * finalReadGrace) // the listener's time is over; no verdict rests on it
+	close(gate)
+	for i, c := range all {
+		status, _, _, _, err := c.rd.ReadResponse()
+		require.NoError(t, err, "connection %d\n%s", i, r.log)
+		require.Contains(t, []int{200, 503}, status)
+	}
+	r.end()
+}
+
+// A request that comes as its connection is closed, having been at rest, is not sent on, and its client sees an end without
+// an answer: it may send it again.
+func TestRequestWhileItsConnectionCloses(t *testing.T) {
+	for name, ends := range map[string]func(r *rig){
+		"unused": func(*rig) {},
+		"displaced": func(r *rig) {
+			for range 10 {
+				r.call()
+			}
+		},
+		"at the stop": func(r *rig) { r.stop() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			closes, sent := make(chan *net.TCPConn), make(chan struct{})
+			var first atomic.Bool
+			r := crossed(t, 16, nil, func(c *crossing) {
+				if first.CompareAndSwap(false, true) {
+					var once sync.Once
+					c.closes = func() {
+						once.Do(func() {
+							closes <- c.TCPConn
+							<-sent
+						})
+					}
+				}
+			}, nil, nil)
+			c := r.call()
+			c.want("first", "all", 200, wholeOfAll)
+			ends(r)
+			here := <-closes
+			c.send(request("crosses", "all", "", fourParts))
+			arrived(t, here)
+			close(sent)
+			_, err := c.Read(make([]byte, 1))
+			require.Error(t, err)
+			require.False(t, errors.Is(err, syscall.ETIMEDOUT))
+			r.end()
+			require.Equal(t, 4, r.parts(), "those of the first")
+		})
+	}
+}
+
+// An answer that is half written as the co-ordinator is told to end goes out whole.
+func TestPartlyWrittenAnswerAtShutdown(t *testing.T) {
+	half, gate := make(chan struct{}), make(chan struct{})
+	r := crossed(t, 256, nil, func(c *crossing) {
+		c.writes = func(p []byte) (int, bool) {
+			n, err := c.TCPConn.Write(p[:len(p)/2])
+			if err != nil {
+				return n, true
+			}
+			close(half)
+			<-gate
+			m, _ := c.TCPConn.Write(p[n:])
+			return n + m, true
+		}
+	}, nil, nil)
+	c := r.call().send(request("q", "all", "", fourParts))
+	<-half
+	r.stop()
+	r.logged("event=stopping")
+	r.noneTaken()
+	close(gate)
+	status, _, text, _ := c.answer()
+	require.Equal(t, 200, status)
+	require.JSONEq(t, wholeOfAll, text)
+	r.end()
+}
+
+// SIGTERM before the co-ordinator knows any host, while discovery is silent, ends it as any other.
+func TestShutdownDuringStart(t *testing.T) {
+	l, silent := newLife(t), listen(t)
+	l.plan["discovery"] = silent.Addr().String()
+	l.plan["known"].(map[string]any)["servers"] = []any{}
+	l.write()
+	l.start(nil)
+	conn, err := silent.Accept()
+	require.NoError(t, err)
+	defer conn.Close()
+	_, rd := l.dial()
+	c, crd := l.dial()
+	c.Write([]byte("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))
+	status, _, _, _, err := crd.ReadResponse()
+	require.NoError(t, err)
+	require.Equal(t, 503, status)
+	l.signal(syscall.SIGTERM)
+	l.over(0)
+	_, _, _, _, err = rd.ReadResponse()          // of the one that asked nothing
+	require.ErrorIs(t, err, io.ErrUnexpectedEOF) // the end in good order, and no answer
+}
+
+// Told to end with parts that wait for connections and searches that wait for slots: all have their answers, by whole ones.
+func TestShutdownDuringDials(t *testing.T) {
+	const clients = 30 // the slots are taken by the first few
+	r, let := startGated(t, nil)
+	var all []*caller
+	for i := range clients {
+		all = append(all, r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
+	}
+	r.eventually("they are taken, and parts wait", func() bool {
+		return r.open() == clients && r.waiting("a0")+r.waiting("a1") >= 2
+	})
+	require.Less(t, r.parts(), 2*clients, "some searches wait")
+	r.stop()
+	r.logged("event=stopping")
+	r.noneTaken()
+	let("a0")
+	let("a1")
+	for i, c := range all {
+		status, _, text, _ := c.answer()
+		require.Contains(t, []int{200, 503}, status, "%d %s", i, text)
+		if status == 200 {
+			require.JSONEq(t, wholeOfAll, text)
+		}
+	}
+	r.end()
+}
+
+// kill -9 with requests in flight: no client gets half an answer that looks whole, and the next process serves at once, with no
+// word of those before.
+func TestSIGKILLWithRequestsInFlight(t *testing.T) {
+	l := newLife(t)
+	l.start(nil)
+	l.ready()
+	held := l.holding()
+	var open []*http1.Reader
+	for i := range 12 {
+		conn, rd := l.dial()
+		_, err := conn.Write([]byte(request(fmt.Sprint("k", i), "all", "", fourParts)))
+		require.NoError(t, err)
+		open = append(open, rd)
+	}
+	a := <-held
+	text := request("half", "all", "", fourParts)
+	half, rd := l.dial()
+	half.Write([]byte(text[:len(text)/2]))
+	open = append(open, rd)
+	l.signal(syscall.SIGKILL)
+	select {
+	case err := <-l.ended:
+		require.Error(t, err)
+	case <-time.After(endsWithin):
+		require.Fail(t, "does not end")
+	}
+	for i, rd := range open {
+		_, _, _, _, err := rd.ReadResponse()
+		require.True(t, errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "%d: %v", i, err)
+	}
+	for _, h := range l.hosts {
+		h.SetHandler(asked.ReplyGood)
+	}
+	a.ReplyGood() // late, to a process that is gone
+	l.start(nil)
+	l.ready()
+	l.served("next")
+	require.NotContains(t, l.log.String(), "event=bad_frame")
+	require.False(t, strings.Contains(l.log.String(), "k0"))
+	l.signal(syscall.SIGTERM)
+	l.over(0)
+}
--- /dev/null
+++ b/coordinator/socket_hooks_test.go
@@ -0,0 +1,166 @@
+package coordinator
+
+import (
+	"context"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+)
+
+// crossing is a connection on a TCP socket that stops at named moments for as long as what stands there takes; nil passes.
+type crossing struct {
+	*net.TCPConn
+	read        func(n int)                       // some bytes are read, and not handed over yet
+	writes      func(p []byte) (n int, done bool) // a write begins; done if it has been dealt with
+	wrote       func(p []byte)                    // a write is out, and its end not told
+	closesWrite func()
+	closes      func()
+}
+
+func (c *crossing) Read(p []byte) (int, error) {
+	n, err := c.TCPConn.Read(p)
+	if c.read != nil && n > 0 {
+		c.read(n)
+	}
+	return n, err
+}
+
+func (c *crossing) Write(p []byte) (int, error) {
+	if c.writes != nil {
+		if n, done := c.writes(p); done {
+			if n < len(p) {
+				return n, io.ErrShortWrite
+			}
+			return n, nil
+		}
+	}
+	n, err := c.TCPConn.Write(p)
+	if c.wrote != nil && err == nil {
+		c.wrote(p)
+	}
+	return n, err
+}
+
+func (c *crossing) CloseWrite() error {
+	if c.closesWrite != nil {
+		c.closesWrite()
+	}
+	return c.TCPConn.CloseWrite()
+}
+
+func (c *crossing) Close() error {
+	if c.closes != nil {
+		c.closes()
+	}
+	return c.TCPConn.Close()
+}
+
+// accepting is a TCP listener whose connections are crossings, and which tells of each deadline that it is given.
+type accepting struct {
+	*net.TCPListener
+	made     func(c *crossing) // may be nil
+	deadline func()            // may be nil
+}
+
+func (a *accepting) Accept() (net.Conn, error) {
+	conn, err := a.TCPListener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	c := &crossing{TCPConn: conn.(*net.TCPConn)}
+	if a.made != nil {
+		a.made(c)
+	}
+	return c, nil
+}
+
+func (a *accepting) SetDeadline(at time.Time) error {
+	err := a.TCPListener.SetDeadline(at)
+	if a.deadline != nil && !at.IsZero() {
+		a.deadline()
+	}
+	return err
+}
+
+// clocked is a clock whose waits of one length last until they are let go.
+type clocked struct {
+	SystemClock
+	held time.Duration
+	gate chan time.Time
+}
+
+func (c clocked) After(d time.Duration) <-chan time.Time {
+	if d == c.held {
+		return c.gate
+	}
+	return c.SystemClock.After(d)
+}
+
+// crossed starts a co-ordinator whose clients' and replicas' connections are made crossings by accepts and dials; either
+// may be nil, and more too.
+func crossed(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *crossing),
+	dials func(addr string, c *crossing), more func(m *Options),
+) *rig {
+	return startIn(t, nil, sockets, edit, nil, nil, func(m *Options) {
+		m.Listener = &accepting{TCPListener: m.Listener.(*net.TCPListener), made: accepts}
+		own := m.Dial
+		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			conn, err := own(ctx, network, addr)
+			if err != nil {
+				return nil, err
+			}
+			c := &crossing{TCPConn: conn.(*net.TCPConn)}
+			if dials != nil {
+				dials(addr, c)
+			}
+			return c, nil
+		}
+		if more != nil {
+			more(m)
+		}
+	})
+}
+
+// arrived waits until the kernel has bytes of the other side's that are not read, or its reset.
+func arrived(t *testing.T, conn *net.TCPConn) {
+	raw, err := conn.SyscallConn()
+	require.NoError(t, err)
+	require.Eventually(t, func() bool {
+		there := false
+		err := raw.Control(func(fd uintptr) {
+			n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
+			there = err == nil && n > 0
+			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil && info.State == 7 { // closed
+				there = true
+			}
+		})
+		return err != nil || there
+	}, patience, time.Millisecond)
+}
+
+// reset ends a connection with a reset.
+func reset(conn net.Conn) error {
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails on a closed connection alone
+	return conn.Close()
+}
+
+// noneTaken waits until the listener is closed.
+func (r *rig) noneTaken() {
+	r.eventually("no more connections are taken", func() bool {
+		conn, err := net.Dial("tcp", r.addr)
+		if err == nil {
+			conn.Close()
+		}
+		return err != nil
+	})
+}
+
+// open counts the searches that are open.
+func (r *rig) open() (n int) {
+	r.runInLoop(func(loop *eventLoop) { n = len(loop.searches.byID) })
+	return n
+}
--- /dev/null
+++ b/coordinator/start_stop_process_test.go
@@ -0,0 +1,130 @@
+package coordinator
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/internal/http1"
+)
+
+// Connections that came while the process was held up are taken before its listener closes: a reset would lose what their
+// clients have sent.
+func TestConnectionsWaitingWhileListenerCloses(t *testing.T) {
+	l := newLife(t)
+	l.start(nil)
+	l.ready()
+	l.signal(syscall.SIGTERM)
+	l.logged("event=stopping")
+	l.signal(syscall.SIGSTOP)
+	var readers []*http1.Reader
+	for i := range 60 {
+		conn, rd := l.dial()
+		_, err := conn.Write([]byte(request(fmt.Sprint("w", i), "all", "", fourParts)))
+		require.NoError(t, err)
+		readers = append(readers, rd)
+	}
+	time.Sleep(acceptAfterStop + 100*time.Millisecond)
+	l.signal(syscall.SIGCONT)
+	for i, rd := range readers {
+		status, _, _, _, err := rd.ReadResponse()
+		require.NoError(t, err, "connection %d\n%s", i, l.log)
+		require.Contains(t, []int{200, 503}, status)
+	}
+	l.over(0)
+}
+
+// A start while the process before it still has the address waits for it; one whose address stays another's says so.
+func TestStartWhileAddressIsInUse(t *testing.T) {
+	l := newLife(t)
+	l.start(nil)
+	l.ready()
+	first := *l
+	l.signal(syscall.SIGTERM)
+	l.start(nil)
+	first.over(0)
+	l.ready()
+	l.served("a")
+	other := *l
+	other.start(nil)
+	other.logged("event=address_in_use")
+	other.over(1)
+	require.Contains(t, other.log.String(), "event=no_start")
+	require.Contains(t, other.log.String(), "do=")
+	l.served("b")
+	other.start(nil) // told to end while it waits, it does
+	other.logged("event=address_in_use")
+	other.signal(syscall.SIGTERM)
+	other.over(0)
+	l.signal(syscall.SIGTERM)
+	l.over(0)
+}
+
+// SIGTERM while replicas hang with parts out, clients are in the middle of a request or take no answer, discovery is silent
+// and signals come again: what was sent has one final answer before the kill, nothing goes out after it, and the process ends.
+func TestShutdownDuringSearches(t *testing.T) {
+	l := newLife(t)
+	l.start(nil)
+	l.ready()
+	held := l.holding()
+	type one struct {
+		conn net.Conn
+		rd   *http1.Reader
+	}
+	var open []one
+	for i := range 12 {
+		conn, rd := l.dial()
+		text := strings.Replace(request(fmt.Sprint("h", i), "all", "", fourParts), "X-Deadline: 8.000", "X-Deadline: 3.000", 1)
+		conn.Write([]byte(text))
+		open = append(open, one{conn, rd})
+	}
+	half, halfRd := l.dial()
+	text := request("half", "all", "", fourParts)
+	half.Write([]byte(text[:len(text)/2]))
+	for range 8 { // two of each search are out
+		<-held
+	}
+	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP} {
+		l.signal(s)
+	}
+	l.logged("event=stopping")
+	half.Write([]byte(text[len(text)/2:]))
+	open = append(open, one{half, halfRd})
+	for i, c := range open {
+		status, _, _, _, err := c.rd.ReadResponse()
+		require.NoError(t, err, "connection %d\n%s", i, l.log)
+		require.Contains(t, []int{200, 500, 503}, status)
+		c.conn.Close()
+	}
+	time.Sleep(50 * time.Millisecond)
+	sent := func() (n int) {
+		for _, h := range l.hosts {
+			n += h.CountRequests()
+		}
+		return n
+	}
+	before := sent()
+	l.over(0)
+	require.Equal(t, before, sent())
+}
+
+// With fewer descriptors than the plan grants, those there are are shared out: idle clients make room, and searches reach
+// their replicas.
+func TestDescriptorLimitBelowPlan(t *testing.T) {
+	l := newLife(t)
+	l.start(nil, "sh", "-c", `ulimit -n 64; exec "$0"`)
+	l.ready()
+	l.logged("event=few_descriptors")
+	for range 100 {
+		l.dial()
+	}
+	l.served("a")
+	l.signal(syscall.SIGTERM)
+	l.over(0)
+	require.NotContains(t, l.log.String(), "too many open files")
+}
