--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -220,7 +220,7 @@
 	c.loop.submit(func() {
 		if search != nil && !search.ended {
 			c.pendingWrites = append(c.pendingWrites, c.loop.withdrawSearch(search)...)
-			c.loop.log.warnLimited("sent_ahead", "sent_ahead", "client", c.conn.RemoteAddr().String())
+			c.loop.log.warnLimited("request_pipelined", "request_pipelined", "client", c.conn.RemoteAddr().String())
 			c.respond(400, "", []byte("{}"), false)
 		}
 	})
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -79,7 +79,7 @@
 	r.call().want("last", "all", 200, wholeOfAll)
 	require.Equal(t, 8, r.parts())
 	r.end()
-	require.Equal(t, 1, strings.Count(r.log.String(), "event=sent_ahead"))
+	require.Equal(t, 1, strings.Count(r.log.String(), "event=request_pipelined"))
 }
 
 // A client that never finishes its request is closed after a bounded time, one that is waked early reads on.
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -142,7 +142,8 @@
 	}
 }
 
-// watch makes calls until one fails, or until discovery has moved to another address.
+// watch makes calls until one fails, or until discovery has moved to another address; then err is of the
+// call that the move has ended.
 func (f *discoveryFollower) watch() (movedTo string, err error) {
 	failed := make(chan error, 1)
 	ctx, cancel := context.WithCancel(f.loop.ctx)
@@ -155,7 +156,7 @@
 	case err = <-failed:
 	case movedTo = <-f.loop.discovery.moves:
 		cancel()
-		_ = <-failed // the move ended the call
+		err = <-failed
 	}
 	return movedTo, err
 }
--- a/coordinator/discovery_follower_test.go
+++ b/coordinator/discovery_follower_test.go
@@ -114,6 +114,25 @@
 	return nil
 }
 
+// failCall ends a call without a complete answer, as the fault says.
+func (d *lists) failCall(conn net.Conn, fault string, index int) {
+	if fault == "lost" {
+		return
+	}
+	if fault != "silent" {
+		out := http1.AppendResponse(nil, 200, "", []byte(fake.EncodeEndpointList(index+1, hosts("10.0.0.7:1"))), true)
+		for _, b := range out[:len(out)/2] {
+			if _, err := conn.Write([]byte{b}); err != nil {
+				return
+			}
+			if fault == "trickle" {
+				time.Sleep(100 * time.Millisecond)
+			}
+		}
+	}
+	io.Copy(io.Discard, conn)
+}
+
 func (d *lists) serve(conn net.Conn) {
 	defer conn.Close()
 	d.mu.Lock()
@@ -134,10 +153,8 @@
 		whole := u.Query().Get("index") == ""
 		text, status := "", 200
 		switch f := d.next(false); f {
-		case "silent":
-			io.Copy(io.Discard, conn)
-			return
-		case "lost":
+		case "silent", "lost", "half", "trickle":
+			d.failCall(conn, f, index)
 			return
 		case "503":
 			text, status = "{}", 503
@@ -150,18 +167,6 @@
 			text = fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, index-1)
 		case "same":
 			text = fake.EncodeEndpointList(index, nil)
-		case "half", "trickle":
-			out := http1.AppendResponse(nil, 200, "", []byte(fake.EncodeEndpointList(index+1, hosts("10.0.0.7:1"))), true)
-			for _, b := range out[:len(out)/2] {
-				if _, err := conn.Write([]byte{b}); err != nil {
-					return
-				}
-				if f == "trickle" {
-					time.Sleep(100 * time.Millisecond)
-				}
-			}
-			io.Copy(io.Discard, conn)
-			return
 		}
 		limit := time.After(time.Duration(wait) * time.Millisecond)
 		for text == "" {
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -120,7 +120,7 @@
 				conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" + body))
 				if resets {
 					time.Sleep(20 * time.Millisecond) // so that what was written is not lost with it
-					reset(conn)
+					_ = reset(conn)
 				}
 				conn.Close()
 				return target
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -30,10 +30,13 @@
 	mu      sync.Mutex
 	buffer  []byte // the writing goroutine's until it is done
 	writes  chan []byte
-	done    chan error
+	done    chan writeResult
 	stalled bool // the previous write has not returned
 }
 
+// writeResult is how a write has ended.
+type writeResult struct{ err error }
+
 // errStalled is a write that was given up.
 var errStalled = errors.New("the log is not read")
 
@@ -41,11 +44,11 @@
 // within logWriteTimeout is given up with an error, and so is, at once, all that follows until it is taken. Without
 // it, a process whose output nobody reads could neither end nor reload. A Write that returns no error is complete.
 func NewStallGuardWriter(to io.Writer) io.Writer {
-	u := &stallGuardWriter{writes: make(chan []byte), done: make(chan error, 1)}
+	u := &stallGuardWriter{writes: make(chan []byte), done: make(chan writeResult, 1)}
 	go func() {
 		for text := range u.writes {
 			_, err := to.Write(text)
-			u.done <- err
+			u.done <- writeResult{err}
 		}
 	}()
 	return u
@@ -57,7 +60,7 @@
 	defer u.mu.Unlock()
 	if u.stalled {
 		select {
-		case _ = <-u.done: // of a line that was given up
+		case <-u.done:
 			u.stalled = false
 		default:
 			return 0, errStalled
@@ -68,9 +71,9 @@
 	late := time.NewTimer(logWriteTimeout)
 	defer late.Stop()
 	select {
-	case err := <-u.done:
-		if err != nil {
-			return 0, err
+	case result := <-u.done:
+		if result.err != nil {
+			return 0, result.err
 		}
 		return len(p), nil
 	case <-late.C:
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -93,7 +93,7 @@
 				return
 			}
 			if !told {
-				k.log.Warn("store_away", advice.LogAttrs(k.err, "path", path)...)
+				k.log.Warn("store_unavailable", advice.LogAttrs(k.err, "path", path)...)
 			}
 			if !advice.HasType[*store.LockedError](k.err) {
 				return
@@ -111,7 +111,7 @@
 // open opens the store, records the start on disk, and only then restores what is there.
 func (k *Persistence) open(path string, options store.Options) error {
 	options.OnRecovery = func(err error) {
-		k.log.Warn("store_told", advice.LogAttrs(err)...)
+		k.log.Warn("store_recovered", advice.LogAttrs(err)...)
 		k.RecordEvent("store", err.Error())
 	}
 	began := k.clock.Now()
@@ -148,7 +148,7 @@
 func (k *Persistence) claim(opened *store.Store, starts recovery.StartRecord) error {
 	var removed []string
 	if writer := readStored[string](k, opened, identityKey); writer != "" && writer != k.identity {
-		k.log.Warn("left_out", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
+		k.log.Warn("state_discarded", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
 			"do", "Give each deployment a store of its own; this one is written anew from now on.")
 		removed = []string{listKey, observationsKey}
 	}
@@ -177,7 +177,7 @@
 	}
 	k.restored = recovery.Restore(began.UnixMilli(), level, k.planVersion, list, observations)
 	for _, discarded := range k.restored.Discarded {
-		k.log.Info("left_out", "what", discarded.Item, "why", discarded.Reason)
+		k.log.Info("state_discarded", "what", discarded.Item, "why", discarded.Reason)
 	}
 	hosts, known := 0, 0
 	if k.restored.Update != nil {
@@ -198,7 +198,7 @@
 		err = cbor.Unmarshal(text, &v)
 	}
 	if err != nil {
-		k.log.Warn("left_out", "what", key, "why", err.Error())
+		k.log.Warn("state_discarded", "what", key, "why", err.Error())
 		var none T
 		return none
 	}
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -174,7 +174,7 @@
 		r.eventually(want, func() bool { return r.inForce() == want })
 		r.asks("b0", 2)
 		require.Equal(t, crashes >= 2, strings.Contains(r.log.String(), "event=crash_loop"))
-		require.Equal(t, crashes == 4, strings.Contains(r.log.String(), "event=store_told"))
+		require.Equal(t, crashes == 4, strings.Contains(r.log.String(), "event=store_recovered"))
 		r.end()
 	}
 	held, err := store.Open(path, store.Options{})
@@ -186,7 +186,7 @@
 		}
 		r := first.keeping(at, store.Options{LockTimeout: 100 * time.Millisecond})
 		r.asks("b0", 2)
-		r.logged("event=store_away")
+		r.logged("event=store_unavailable")
 		require.Contains(t, r.log.String(), want)
 		if at == path { // it is let go of
 			require.NoError(t, held.Close(context.Background()))
--- a/coordinator/persistence_write.go
+++ b/coordinator/persistence_write.go
@@ -75,7 +75,7 @@
 	}
 	l.mu.Unlock()
 	if err != nil {
-		loop.log.Info("left_out", "what", observationsKey, "why", err.Error())
+		loop.log.Info("state_discarded", "what", observationsKey, "why", err.Error())
 		return
 	}
 	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
--- a/coordinator/replica_connection_test.go
+++ b/coordinator/replica_connection_test.go
@@ -28,7 +28,7 @@
 		do   func(a asked)
 		log  string
 	}{
-		{"reset", func(a asked) { reset(a.Conn) }, "end=broken"},
+		{"reset", func(a asked) { _ = reset(a.Conn) }, "end=broken"},
 		{"close", func(a asked) { a.Conn.Close() }, "end="},
 		{"no length", raw("\x00\x00\x00\x00"), "end=garbled"},
 		{"too long", raw("\x7f\x00\x00\x00q"), "end=garbled"},
--- a/coordinator/search_test.go
+++ b/coordinator/search_test.go
@@ -143,6 +143,27 @@
 	r.end()
 }
 
+// randomRequest returns the text of a search named id and what it asks for: some are longer than the buffers, some have to
+// be escaped again, and some come in chunks.
+func randomRequest(chance *rand.Rand, id string, i int) (what, text string) {
+	what = id + strings.Repeat("/"+id, chance.Intn(40)*chance.Intn(40))
+	if i%7 == 0 {
+		what += `\"\u00fc`
+	}
+	body := strings.Replace(fourParts, `"what"`, `"`+what+`"`, 1)
+	text = request(id, "all", "", body)
+	if i%3 != 0 {
+		return what, text
+	}
+	at := chance.Intn(len(body)) + 1
+	text = strings.Replace(request(id, "all", "", ""), "Content-Length: 0\r\n\r\n", fmt.Sprintf(
+		"Transfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%s\r\n", at, body[:at]), 1)
+	if at < len(body) {
+		text += fmt.Sprintf("%x\r\n%s\r\n", len(body)-at, body[at:])
+	}
+	return what, text + "0\r\nT: 1\r\n\r\n"
+}
+
 // Every answer has the values of its own request, whatever else is open, given up, refused or sent in pieces then: room that
 // is used again never shows another's. A client that leaves in between or sends ahead costs the others nothing.
 func TestAnswersBelongToTheirRequests(t *testing.T) {
@@ -157,21 +178,7 @@
 			c := r.call()
 			for i := range each {
 				id := fmt.Sprintf("c%d-%d", k, i)
-				what := id + strings.Repeat("/"+id, chance.Intn(40)*chance.Intn(40)) // some longer than the buffers
-				if i%7 == 0 {
-					what += `\"\u00fc` // has to be escaped again
-				}
-				body := strings.Replace(fourParts, `"what"`, `"`+what+`"`, 1)
-				text := request(id, "all", "", body)
-				if i%3 == 0 {
-					at := chance.Intn(len(body)) + 1
-					text = strings.Replace(request(id, "all", "", ""), "Content-Length: 0\r\n\r\n", fmt.Sprintf(
-						"Transfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%s\r\n", at, body[:at]), 1)
-					if at < len(body) {
-						text += fmt.Sprintf("%x\r\n%s\r\n", len(body)-at, body[at:])
-					}
-					text += "0\r\nT: 1\r\n\r\n"
-				}
+				what, text := randomRequest(chance, id, i)
 				switch chance.Intn(8) {
 				case 0: // leaves
 					c.Write([]byte(text))
--- a/internal/benchmark/recovery.go
+++ b/internal/benchmark/recovery.go
@@ -151,7 +151,7 @@
 	}
 	out := Result{Fields: map[string]any{}}
 	for _, name := range r.InstanceNames() {
-		for _, bad := range []string{"event=store_away", "event=store_told", "event=store_failed", "event=crash_loop"} {
+		for _, bad := range []string{"event=store_unavailable", "event=store_recovered", "event=store_failed", "event=crash_loop"} {
 			if strings.Contains(r.Log(name), bad) {
 				out.MissedGoals = append(out.MissedGoals, name+" logged "+bad)
 			}
