--- a/coordinator/abandoned_attempts_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -9,8 +9,8 @@
 	"chalkring/balancer"
 )
 
-// puppet stands in the module's place: it decides nothing, and keeps what it is told.
-type puppet struct {
+// scriptedBalancer stands in the module's place: it decides nothing, and keeps what it is told.
+type scriptedBalancer struct {
 	balancer.Balancer
 	r        *rig
 	searches chan [2]uint64 // ids of a search and of its first part
@@ -19,38 +19,38 @@
 	asked    func(id uint64, qtype, tenant int, key string, grace int64, retry bool) // may be nil
 }
 
-func (p *puppet) AddSearch(id uint64, qtype, tenant int, key string, grace int64, _ uint64, _ int, retry bool) {
+func (p *scriptedBalancer) AddSearch(id uint64, qtype, tenant int, key string, grace int64, _ uint64, _ int, retry bool) {
 	if p.last = id; p.asked != nil {
 		p.asked(id, qtype, tenant, key, grace, retry)
 	}
 }
 
-func (p *puppet) AddShardRequest(id, number uint64, shard int, _ float64) {
+func (p *scriptedBalancer) AddShardRequest(id, number uint64, shard int, _ float64) {
 	if p.last == number && shard == 0 {
 		p.searches <- [2]uint64{number, id}
 	}
 }
 
-func (p *puppet) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
+func (p *scriptedBalancer) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
 	p.outcomes <- ending
 }
 
-func (*puppet) BeginIteration(int64) {}
+func (*scriptedBalancer) BeginIteration(int64) {}
 
-func (*puppet) EndIteration() {}
+func (*scriptedBalancer) EndIteration() {}
 
-func (*puppet) SetUtilization(float64) {}
+func (*scriptedBalancer) SetUtilization(float64) {}
 
-func (*puppet) CancelSearch(uint64) {}
+func (*scriptedBalancer) CancelSearch(uint64) {}
 
-func (*puppet) HandleTimer(uint64) {}
+func (*scriptedBalancer) HandleTimer(uint64) {}
 
-func (*puppet) CommitEndpoints(string, int64) {}
+func (*scriptedBalancer) CommitEndpoints(string, int64) {}
 
-func (*puppet) AddEndpoint(string, int, int, int, string, float64, int64) {}
+func (*scriptedBalancer) AddEndpoint(string, int, int, int, string, float64, int64) {}
 
-// told waits for the next outcome.
-func (p *puppet) told(want string) {
+// expectOutcome waits for the next outcome.
+func (p *scriptedBalancer) expectOutcome(want string) {
 	select {
 	case got := <-p.outcomes:
 		require.Equal(p.r.t, want, got)
@@ -59,8 +59,8 @@
 	}
 }
 
-// untold asks for a turn, behind which no outcome may have been told.
-func (p *puppet) untold() {
+// expectNoOutcome asks for a turn, behind which no outcome may have been told.
+func (p *scriptedBalancer) expectNoOutcome() {
 	for range 3 {
 		p.r.runInLoop(func(*eventLoop) {})
 	}
@@ -68,8 +68,8 @@
 }
 
 // puppet puts one in the module's place.
-func (r *rig) puppet() *puppet {
-	p := &puppet{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
+func (r *rig) puppet() *scriptedBalancer {
+	p := &scriptedBalancer{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
 	r.runInLoop(func(loop *eventLoop) { loop.balancer = p })
 	return p
 }
@@ -84,7 +84,7 @@
 	type at struct {
 		*rig
 		hold chan asked
-		p    *puppet
+		p    *scriptedBalancer
 		part uint64
 		l    *replicaConnection
 	}
@@ -96,32 +96,32 @@
 		"copies are allowed": {true, func(at) {}, "Canceled"},
 		"answered all the same": {false, func(a at) {
 			first := <-a.hold
-			a.eventually("the cancel frame has come", func() bool { return a.given() == 1 })
-			a.p.untold()
+			a.eventually("the cancel frame has come", func() bool { return a.attemptCount() == 1 })
+			a.p.expectNoOutcome()
 			first.ReplyGood()
 		}, "Ok"},
 		"refused all the same": {false, func(a at) {
 			first := <-a.hold
-			a.eventually("the cancel frame has come", func() bool { return a.given() == 1 })
+			a.eventually("the cancel frame has come", func() bool { return a.attemptCount() == 1 })
 			first.Reply("later", "-", "")
 		}, "QueueFull"},
 		"its connection is retired, and it is answered": {false, func(a at) {
 			first := <-a.hold
 			a.runInLoop(func(loop *eventLoop) { loop.retireConnection(a.l) })
-			a.p.untold()
+			a.p.expectNoOutcome()
 			first.ReplyGood()
 		}, "Ok"},
 		"another is heard, then the other side resets it": {false, func(a at) {
 			<-a.hold
-			c := a.call().send(request("other", "all", "", onePart))
+			c := a.connect().send(request("other", "all", "", onePart))
 			ids := <-a.p.searches
 			a.runInLoop(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
 			(<-a.hold).ReplyGood()
-			a.p.told("Ok")
+			a.p.expectOutcome("Ok")
 			a.runInLoop(func(loop *eventLoop) { loop.AnswerSearch(ids[0], true) })
-			status, _, _, _ := c.answer()
+			status, _, _, _ := c.readAnswer()
 			require.Equal(a.t, 200, status)
-			a.p.untold()
+			a.p.expectNoOutcome()
 			a.replicas["a0"].ResetConnections()
 		}, "Canceled"},
 		"closed on this side, then its search ends": {false, func(a at) {
@@ -130,18 +130,18 @@
 				a.runInLoop(func(loop *eventLoop) { ended = len(loop.replicas.byID["a0"].connections) == 0 })
 				return ended
 			})
-			a.p.untold()
+			a.p.expectNoOutcome()
 			a.runInLoop(func(loop *eventLoop) { loop.FailSearch(loop.searches.shardRequests[a.part].search.id) })
 		}, "Canceled"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := crossed(t, 256, func(settings map[string]any) {
+			r := startHooked(t, 256, func(settings map[string]any) {
 				settings["Permissions"].(map[string]any)["SecondCopies"] = x.copies
 			}, nil, nil, nil)
 			a := at{r, make(chan asked, 8), r.puppet(), 0, nil}
 			r.replicas["a0"].SetHandler(func(p asked) { a.hold <- p })
-			c := r.call().send(request("q", "all", "", onePart))
+			c := r.connect().send(request("q", "all", "", onePart))
 			a.part = (<-a.p.searches)[1]
 			r.runInLoop(func(loop *eventLoop) { loop.SendAttempt(a.part, "a0", 0) })
 			r.eventually("it is out", func() bool {
@@ -154,7 +154,7 @@
 			})
 			r.runInLoop(func(loop *eventLoop) { loop.CancelAttempt(a.part, 0) })
 			x.then(a)
-			a.p.told(x.told)
+			a.p.expectOutcome(x.told)
 			r.runInLoop(func(loop *eventLoop) {
 				require.Empty(t, loop.replicas.abandoned)
 				if shardReq := loop.searches.shardRequests[a.part]; shardReq != nil {
@@ -162,9 +162,9 @@
 					loop.FailSearch(shardReq.search.id)
 				}
 			})
-			status, _, _, _ := c.answer()
+			status, _, _, _ := c.readAnswer()
 			require.Equal(t, 500, status)
-			r.end()
+			r.shutDown()
 		})
 	}
 }
@@ -173,8 +173,8 @@
 func TestLateAnswerWithResidencyContracts(t *testing.T) {
 	for _, bound := range []bool{false, true} {
 		var told []string
-		loop, conn, search := oneOut(stageWritten)
-		loop.rules.allowsSecondCopies, loop.replicas.abandoned, loop.balancer = false, map[*attempt]*abandonedAttempt{}, deaf{told: &told}
+		loop, conn, search := oneAttemptInFlight(stageWritten)
+		loop.rules.allowsSecondCopies, loop.replicas.abandoned, loop.balancer = false, map[*attempt]*abandonedAttempt{}, outcomeCounter{told: &told}
 		if bound {
 			loop.enforcer = &residencyEnforcer{}
 		}
--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -79,7 +79,7 @@
 
 // warnLimited logs what others can cause at will: one line of each kind in logRepeatInterval, with the count of those
 // left out.
-func (n *asyncLogger) warnLimited(kind, event string, v ...any) {
+func (n *asyncLogger) warnLimited(kind, event string, attrs ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
@@ -87,7 +87,7 @@
 		n.suppressed[kind]++
 		return
 	}
-	n.Warn(event, append(v, "left_out", n.suppressed[kind])...)
+	n.Warn(event, append(attrs, "left_out", n.suppressed[kind])...)
 	n.lastWritten[kind], n.suppressed[kind] = now, 0
 }
 
@@ -128,7 +128,7 @@
 
 // recoverPanic has a panic end one connection alone, not the process and all that others wait for. What the panic
 // interrupts stays undone. The logger may be nil.
-func (n *asyncLogger) recoverPanic(do func() error) (err error) {
+func (n *asyncLogger) recoverPanic(handle func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			if err = errFault; n != nil {
@@ -136,5 +136,5 @@
 			}
 		}
 	}()
-	return do()
+	return handle()
 }
--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -33,18 +33,18 @@
 	if timeout == 0 || timeout > left {
 		timeout = left
 	}
-	sub := &request.firstAttempt
+	current := &request.firstAttempt
 	if len(request.attempts) > 0 {
-		sub = &attempt{}
+		current = &attempt{}
 	} else {
 		request.attempts = request.inlineAttempts[:0]
 	}
-	sub.shardRequest, sub.index, sub.replica, sub.name, sub.sentAt, sub.deadline = request, int32(len(request.attempts)), replica, request.name, loop.now, loop.now+timeout
-	request.attempts = append(request.attempts, sub)
+	current.shardRequest, current.index, current.replica, current.name, current.sentAt, current.deadline = request, int32(len(request.attempts)), replica, request.name, loop.now, loop.now+timeout
+	request.attempts = append(request.attempts, current)
 	request.unreported++
 	early := ""
 	switch {
-	case int(sub.index) >= loop.rules.maxAttempts || request.isSettled():
+	case int(current.index) >= loop.rules.maxAttempts || request.isSettled():
 		early = "Ignored"
 	case timeout <= 0:
 		early = "TimedOut"
@@ -52,23 +52,23 @@
 		early = "ConnectError"
 	}
 	if early != "" {
-		loop.deferAttemptOutcome(sub, early)
+		loop.deferAttemptOutcome(current, early)
 		return
 	}
 	var c *batch
-	if n := len(replica.batches); n > 0 && len(replica.batches[n-1].attempts) < replica.protocol.attemptsPerBatch(loop) && loop.canShareBatch(replica.batches[n-1].attempts, sub) &&
-		findAttempt(replica.batches[n-1].attempts, sub.name) == nil {
+	if n := len(replica.batches); n > 0 && len(replica.batches[n-1].attempts) < replica.protocol.attemptsPerBatch(loop) && loop.canShareBatch(replica.batches[n-1].attempts, current) &&
+		findAttempt(replica.batches[n-1].attempts, current.name) == nil {
 		c = replica.batches[n-1]
 	} else {
-		if c = &sub.inlineBatch; n == 0 {
+		if c = &current.inlineBatch; n == 0 {
 			loop.replicas.dispatchOrder = append(loop.replicas.dispatchOrder, replica)
 		}
 		c.attempts = c.inlineAttempts[:0]
 		replica.batches = append(replica.batches, c)
 	}
-	sub.batch = c
-	c.attempts = append(c.attempts, sub)
-	loop.startTimer(&sub.timeout, timeout, sub)
+	current.batch = c
+	c.attempts = append(c.attempts, current)
+	loop.startTimer(&current.timeout, timeout, current)
 }
 
 // CancelAttempt gives an attempt up. It implements balancer.Actions.
@@ -122,16 +122,16 @@
 }
 
 // detachAttempt takes an attempt off its batch and connection.
-func (loop *eventLoop) detachAttempt(sub *attempt) {
-	batch := sub.batch
-	sub.batch = nil
-	loop.stopTimer(&sub.timeout)
-	batch.attempts = slices.DeleteFunc(batch.attempts, func(x *attempt) bool { return x == sub })
+func (loop *eventLoop) detachAttempt(current *attempt) {
+	batch := current.batch
+	current.batch = nil
+	loop.stopTimer(&current.timeout)
+	batch.attempts = slices.DeleteFunc(batch.attempts, func(x *attempt) bool { return x == current })
 	if conn := batch.connection; conn != nil {
 		if batch.message != nil && batch.message.stage.Load() != stageRecalled {
-			conn.rememberID(sub)
+			conn.rememberID(current)
 		}
-		conn.attempts = slices.DeleteFunc(conn.attempts, func(x *attempt) bool { return x == sub })
+		conn.attempts = slices.DeleteFunc(conn.attempts, func(x *attempt) bool { return x == current })
 		conn.usedAt = loop.now
 		if len(batch.attempts) == 0 {
 			conn.openBatches--
@@ -160,18 +160,18 @@
 
 // handleAnswer handles a replica's answer. An answer to an attempt that is no longer in flight is dropped. One to an
 // attempt that never was on this connection is malformed: another waits for its own in vain.
-func (loop *eventLoop) handleAnswer(conn *replicaConnection, id []byte, outcome string, score []byte, report map[string]float64,
+func (loop *eventLoop) handleAnswer(conn *replicaConnection, attemptName []byte, outcome string, score []byte, report map[string]float64,
 	value []byte, read any,
 ) {
 	conn.heardAt = loop.now
-	attempt, waits := findAttempt(conn.attempts, string(id)), true
+	attempt, waits := findAttempt(conn.attempts, string(attemptName)), true
 	if attempt == nil {
 		waits = false
-		attempt, outcome = loop.takeAbandoned(conn, string(id), outcome)
+		attempt, outcome = loop.takeAbandoned(conn, string(attemptName), outcome)
 	}
 	if attempt == nil {
-		if _, known := conn.recentIDs[string(id)]; !known {
-			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(id))
+		if _, known := conn.recentIDs[string(attemptName)]; !known {
+			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(attemptName))
 			conn.closeNow(errMalformed)
 		}
 		return
--- a/coordinator/attempts_test.go
+++ b/coordinator/attempts_test.go
@@ -34,16 +34,16 @@
 			return own(ctx, network, addr)
 		}
 	})
-	for _, id := range []string{"a0", "a1"} {
-		hosts.Store(r.replicas[id].Listener.Addr().String(), true)
+	for _, hostID := range []string{"a0", "a1"} {
+		hosts.Store(r.replicas[hostID].Listener.Addr().String(), true)
 	}
-	c := r.call()
+	c := r.connect()
 	c.send(request("q", "all", "", `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`))
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status, "%s", r.log)
 	require.JSONEq(t, `{"total":true,"answers":[{"range":0,"blob":"what@0"}]}`, text)
 	require.EqualValues(t, 2, dials.Load())
-	r.end()
+	r.shutDown()
 }
 
 // What is known of earlier sub-requests tells which of a keyed part's are repeats.
@@ -64,18 +64,18 @@
 		{"ResetByPeer ConnectError", 1},
 		{"QueueFull Failed Canceled", 2},
 	} {
-		loop := &eventLoop{rules: dispatchRules{keyedClasses: []bool{true, false}}, balancer: deaf{}, searches: searchTable{shardRequests: map[uint64]*shardRequest{}}}
+		loop := &eventLoop{rules: dispatchRules{keyedClasses: []bool{true, false}}, balancer: outcomeCounter{}, searches: searchTable{shardRequests: map[uint64]*shardRequest{}}}
 		request := &shardRequest{search: &search{}}
 		for i, outcome := range strings.Fields(x.outcomes) {
-			sub := &attempt{shardRequest: request, index: int32(i), sentAt: int64(i + 1)}
-			request.attempts = append(request.attempts, sub)
+			current := &attempt{shardRequest: request, index: int32(i), sentAt: int64(i + 1)}
+			request.attempts = append(request.attempts, current)
 			require.Equal(t, int64(0), loop.firstSentAt(&attempt{shardRequest: &shardRequest{search: &search{class: 1}, attempts: request.attempts}, index: 1}))
-			loop.recordOutcome(sub, outcome, nil)
+			loop.recordOutcome(current, outcome, nil)
 		}
 		require.Equal(t, x.first, loop.firstSentAt(&attempt{shardRequest: request, index: int32(len(request.attempts))}), x.outcomes)
 	}
 	for stage, first := range map[int32]int64{stageQueued: 0, stageWriting: 7, stageWritten: 7} { // one that was given up
-		loop, _, s := oneOut(stage)
+		loop, _, s := oneAttemptInFlight(stage)
 		loop.rules.keyedClasses = []bool{true}
 		request := s.shardRequests[0]
 		request.attempts[0].sentAt = 7
@@ -84,49 +84,49 @@
 	}
 }
 
-// deaf is a module that does nothing on hearing of an end; told, where it is not nil, keeps it.
-type deaf struct {
+// outcomeCounter is a module that does nothing on hearing of an end; told, where it is not nil, keeps it.
+type outcomeCounter struct {
 	balancer.Balancer
 	told *[]string
 }
 
-func (d deaf) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
+func (d outcomeCounter) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
 	if d.told != nil {
 		*d.told = append(*d.told, ending)
 	}
 }
 
-// twoOut is a search with two parts out on a connection that is up and has no writer: in one call, or in two of which the
+// twoAttemptsInFlight is a search with two parts out on a connection that is up and has no writer: in one call, or in two of which the
 // second alone is written.
-func twoOut(apart bool) (*eventLoop, *replicaConnection, *search) {
-	loop, conn, search := oneOut(stageQueued)
+func twoAttemptsInFlight(apart bool) (*eventLoop, *replicaConnection, *search) {
+	loop, conn, search := oneAttemptInFlight(stageQueued)
 	conn.connectedAt, loop.log = 1, newAsyncLogger(SystemClock{}, slog.DiscardHandler)
 	request := &shardRequest{id: 3, search: search, shard: 1, unreported: 1}
-	c := search.shardRequests[0].attempts[0].batch
+	current := search.shardRequests[0].attempts[0].batch
 	if apart {
-		c = &batch{connection: conn, message: &outboundMessage{}}
-		c.message.stage.Store(stageWritten)
+		current = &batch{connection: conn, message: &outboundMessage{}}
+		current.message.stage.Store(stageWritten)
 		conn.openBatches++
 	}
-	sub := &attempt{shardRequest: request, name: "q.1", batch: c}
-	c.attempts, conn.attempts, request.attempts, search.shardRequests = append(c.attempts, sub), append(conn.attempts, sub), []*attempt{sub}, append(search.shardRequests, request)
+	sub := &attempt{shardRequest: request, name: "q.1", batch: current}
+	current.attempts, conn.attempts, request.attempts, search.shardRequests = append(current.attempts, sub), append(conn.attempts, sub), []*attempt{sub}, append(search.shardRequests, request)
 	loop.searches.shardRequests[3] = request
 	return loop, conn, search
 }
 
 // A search that ends takes its parts off a call in one piece: no frame with the rest of them is on its way in between.
 func TestBatchIsRecalledTogether(t *testing.T) {
-	loop, conn, s := twoOut(false)
-	require.Empty(t, loop.finishSearch(s))
+	loop, conn, current := twoAttemptsInFlight(false)
+	require.Empty(t, loop.finishSearch(current))
 	require.Empty(t, conn.queue)
 	require.Empty(t, conn.attempts)
 	require.Equal(t, []string{"Ignored", "Ignored"}, []string{loop.events.next[0].outcome, loop.events.next[1].outcome})
 	require.Zero(t, conn.openBatches)
 
-	loop, conn, s = twoOut(false) // those of another search stay
+	loop, conn, current = twoAttemptsInFlight(false) // those of another search stay
 	other := &search{id: 9}
-	s.shardRequests[1].search, s.shardRequests = other, s.shardRequests[:1]
-	require.Empty(t, loop.finishSearch(s))
+	current.shardRequests[1].search, current.shardRequests = other, current.shardRequests[:1]
+	require.Empty(t, loop.finishSearch(current))
 	require.Len(t, loop.events.next, 1)
 	require.Len(t, conn.queue, 1)
 	require.Equal(t, "q.1", conn.attempts[0].name)
@@ -139,7 +139,7 @@
 // What is called off before it was begun was never sent, and the module hears so: it may go out again whatever its effect.
 func TestCanceledBeforeSent(t *testing.T) {
 	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
-		loop, _, _ := oneOut(stage)
+		loop, _, _ := oneAttemptInFlight(stage)
 		loop.CancelAttempt(2, 0)
 		require.Equal(t, outcome, loop.events.next[0].outcome, "stage %d", stage)
 	}
@@ -149,8 +149,8 @@
 func TestAnswerWhileRepeatWaits(t *testing.T) {
 	for stage, left := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
 		var told []string
-		loop, conn, search := oneOut(stage)
-		loop.balancer = deaf{told: &told}
+		loop, conn, search := oneAttemptInFlight(stage)
+		loop.balancer = outcomeCounter{told: &told}
 		conn.recentIDs = map[string]uint64{"q.0": search.id}
 		parcel := search.shardRequests[0].attempts[0].batch.message
 		loop.handleAnswer(conn, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
@@ -164,8 +164,8 @@
 // Who spoils a connection has failed one of the parts that were out there, whatever waits before it.
 func TestMalformedAnswerWhileAttemptWaits(t *testing.T) {
 	var told []string
-	loop, conn, _ := twoOut(true)
-	loop.balancer = deaf{told: &told}
+	loop, conn, _ := twoAttemptsInFlight(true)
+	loop.balancer = outcomeCounter{told: &told}
 	loop.handleConnectionEnd(conn, errMalformed, "x")
 	require.Equal(t, []string{"Ignored", "Failed"}, told)
 }
@@ -175,29 +175,29 @@
 func TestRepeatsAreSentWithinTheirWindow(t *testing.T) {
 	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
 		var told []string
-		loop, conn, search := oneOut(stageWritten)
+		loop, conn, search := oneAttemptInFlight(stageWritten)
 		now := int64(1000)
-		loop.rules.keyedClasses, loop.rules.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, deaf{told: &told}, now
+		loop.rules.keyedClasses, loop.rules.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, outcomeCounter{told: &told}, now
 		loop.ctx, loop.tasks = t.Context(), make(chan func(), 4)
 		conn.connectedAt, conn.clockTicks = 1, func() int64 { return now }
 		conn.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(conn, message) }) }
 		request := search.shardRequests[0]
 		request.attempts[0].sentAt, request.attempts[0].replica = now, conn.replica
 		loop.CancelAttempt(request.id, 0)
-		c := &batch{connection: conn}
-		sub := &attempt{shardRequest: request, index: 1, name: "q.0", batch: c, deadline: 50_000, replica: conn.replica}
-		c.attempts, conn.attempts, request.attempts = []*attempt{sub}, []*attempt{sub}, append(request.attempts, sub)
+		current := &batch{connection: conn}
+		sub := &attempt{shardRequest: request, index: 1, name: "q.0", batch: current, deadline: 50_000, replica: conn.replica}
+		current.attempts, conn.attempts, request.attempts = []*attempt{sub}, []*attempt{sub}, append(request.attempts, sub)
 		request.unreported, conn.openBatches = request.unreported+1, 1
 		now += 2900
 		loop.now = now
-		loop.queueBatch(c)
+		loop.queueBatch(current)
 		if late {
 			now += 90 // 10 ms before its end, less what is kept for its way
 		}
 		var out strings.Builder
 		<-conn.queue // the cancel frame
 		require.NoError(t, conn.writeCoalesced(writes{to: &out}, <-conn.queue, new([]*outboundMessage), func(*outboundMessage) error { return nil }))
-		require.Equal(t, want, c.message.stage.Load(), "late: %t", late)
+		require.Equal(t, want, current.message.stage.Load(), "late: %t", late)
 		require.Equal(t, !late, out.Len() > 0)
 		if late {
 			(<-loop.tasks)()
@@ -222,7 +222,7 @@
 	p.asked = func(_ uint64, qtype, tenant int, key string, grace int64, retry bool) {
 		got <- one{qtype, tenant, key, grace, retry}
 	}
-	c := r.call()
+	c := r.connect()
 	for i := range 30 {
 		class, tenant, key := i%3, i%2, fmt.Sprintf("%016x", i)
 		name := []string{"some", "all", "deep"}[class]
@@ -249,8 +249,8 @@
 		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
 		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
 		r.runInLoop(func(loop *eventLoop) { loop.ShedSearch(id, 0) })
-		status, _, _, _ := c.answer()
+		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 503, status)
 	}
-	r.end()
+	r.shutDown()
 }
--- a/coordinator/client_answer_test.go
+++ b/coordinator/client_answer_test.go
@@ -39,28 +39,28 @@
 	}
 }
 
-// pipes are connections whose writes wait until the other side reads.
-type pipes struct {
+// pipeListener are connections whose writes wait until the other side reads.
+type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	if conn, ok := <-p.conns; ok {
 		return conn, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (p *pipes) Close() error { p.once.Do(func() { close(p.conns) }); return nil }
+func (p *pipeListener) Close() error { p.once.Do(func() { close(p.conns) }); return nil }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // A client that does not read its answer holds that answer and nothing else: others are served, what it holds is
 // counted, and is released when it reads or leaves.
 func TestClientThatDoesNotReadHoldsItsAnswer(t *testing.T) {
 	r := start(t, 256, nil)
-	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
+	p, look, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -70,11 +70,11 @@
 		})
 	}()
 	loop := <-look
-	call := func() *caller {
+	call := func() *testClient {
 		own, other := net.Pipe()
 		p.conns <- other
 		t.Cleanup(func() { own.Close() })
-		return &caller{own, r, http1.NewReader(own, make([]byte, bufferSize))}
+		return &testClient{own, r, http1.NewReader(own, make([]byte, bufferSize))}
 	}
 	slow, gone, sound := call(), call(), call()
 	slow.send(request("slow", "all", "", fourParts))
@@ -83,12 +83,12 @@
 	gone.send(request("gone", "all", "", fourParts))
 	r.eventually("two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
 	for i := range 5 {
-		sound.want(fmt.Sprint("sound", i), "all", 200, wholeOfAll)
+		sound.expect(fmt.Sprint("sound", i), "all", 200, completeAnswer)
 	}
 	r.eventually("no more than two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
-	status, _, text, _ := slow.answer()
+	status, _, text, _ := slow.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
+	require.JSONEq(t, completeAnswer, text)
 	r.eventually("one is", func() bool { return loop.searches.unsentBytes.Load() == one })
 	gone.Close()
 	r.eventually("none is", func() bool { return loop.searches.unsentBytes.Load() == 0 })
@@ -99,5 +99,5 @@
 	case <-time.After(patience):
 		require.Fail(t, "does not end")
 	}
-	r.end()
+	r.shutDown()
 }
--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -248,7 +248,7 @@
 }
 
 // errNextRequest ends reading ahead: the awaited answer is written.
-var errNextRequest = errors.New("the next request's turn")
+var errNextRequest = errors.New("the next request follows")
 
 // awaitAnswer blocks until the awaited answer is written.
 func (c *clientConnection) awaitAnswer(ctx context.Context) error {
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -18,15 +18,15 @@
 	"chalkring/internal/http1"
 )
 
-// leavings are the ways in which a client's connection ends.
-var leavings = map[string]func(conn *net.TCPConn) error{
+// waysToLeave are the ways in which a client's connection ends.
+var waysToLeave = map[string]func(conn *net.TCPConn) error{
 	"closed":      (*net.TCPConn).Close,
 	"half-closed": (*net.TCPConn).CloseWrite,
 	"reset":       func(conn *net.TCPConn) error { return reset(conn) },
 }
 
-// given counts the parts that hosts were told to give up.
-func (r *rig) given() (n int) {
+// attemptCount counts the parts that hosts were told to give up.
+func (r *rig) attemptCount() (n int) {
 	for _, s := range r.replicas {
 		_, given, _, _ := s.Observed()
 		n += len(given)
@@ -48,7 +48,7 @@
 	for _, s := range r.replicas {
 		s.SetHandler(func(asked) { got.Add(1) })
 	}
-	c := r.call().send(request("q", "all", "", fourParts))
+	c := r.connect().send(request("q", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return got.Load() == 4 })
 	c.Close()
 	r.eventually("parts are given up", func() bool {
@@ -59,7 +59,7 @@
 		}
 		return n == 4
 	})
-	r.end()
+	r.shutDown()
 }
 
 // Who sends a second request before the answer to the first gets an error and loses both.
@@ -68,17 +68,17 @@
 	for _, s := range r.replicas {
 		s.SetHandler(func(asked) {})
 	}
-	c := r.call().send(request("first", "all", "", fourParts))
+	c := r.connect().send(request("first", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return r.parts() == 4 })
-	status, _, _, keep := c.send(strings.Repeat(request("next", "all", "", fourParts), 100)).answer()
+	status, _, _, keep := c.send(strings.Repeat(request("next", "all", "", fourParts), 100)).readAnswer()
 	require.Equal(t, 400, status)
 	require.False(t, keep)
-	for id := range r.replicas {
-		r.replicas[id].SetHandler(asked.ReplyGood)
+	for hostID := range r.replicas {
+		r.replicas[hostID].SetHandler(asked.ReplyGood)
 	}
-	r.call().want("last", "all", 200, wholeOfAll)
+	r.connect().expect("last", "all", 200, completeAnswer)
 	require.Equal(t, 8, r.parts())
-	r.end()
+	r.shutDown()
 	require.Equal(t, 1, strings.Count(r.log.String(), "event=request_pipelined"))
 }
 
@@ -124,11 +124,11 @@
 // As the co-ordinator stops, a client that has sent ahead and leaves is seen at once too: its open search is given up, and
 // what it sent behind that is not sent on.
 func TestClientLeavesAfterPipelining(t *testing.T) {
-	for how, leave := range leavings {
+	for how, leave := range waysToLeave {
 		t.Run(how, func(t *testing.T) {
 			r := start(t, 256, nil)
 			r.allow(func(asked) {})
-			c := r.call().send(request("open", "all", "", fourParts))
+			c := r.connect().send(request("open", "all", "", fourParts))
 			r.eventually("parts are out", func() bool { return r.parts() == 4 })
 			r.stop()
 			r.logged("event=stopping")
@@ -139,20 +139,20 @@
 				return <-told
 			})
 			require.NoError(t, leave(c.Conn.(*net.TCPConn)))
-			r.eventually("parts are given up", func() bool { return r.given() == 4 })
-			r.end()
+			r.eventually("parts are given up", func() bool { return r.attemptCount() == 4 })
+			r.shutDown()
 			require.Equal(t, 4, r.parts())
 		})
 	}
 }
 
-// held are connections that are accepted at once and handed on later, as by a process that is held up.
-type held struct {
+// gatedListener are connections that are accepted at once and handed on later, as by a process that is gatedListener up.
+type gatedListener struct {
 	net.Listener
 	free chan struct{}
 }
 
-func (h held) Accept() (net.Conn, error) {
+func (h gatedListener) Accept() (net.Conn, error) {
 	conn, err := h.Listener.Accept()
 	if err == nil {
 		<-h.free
@@ -176,7 +176,7 @@
 func TestClientGoneBeforeDispatch(t *testing.T) {
 	const each, finWait2 = 40, 5 // of Linux's states: the other side has the end of what was sent
 	r := start(t, 256, nil)
-	ln, look, ended := held{listen(t), make(chan struct{})}, make(chan *eventLoop, 1), make(chan error, 1)
+	ln, look, ended := gatedListener{listen(t), make(chan struct{})}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -186,14 +186,14 @@
 		})
 	}()
 	loop := <-look
-	dial := func() *caller {
+	dial := func() *testClient {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(patience))
-		return &caller{conn, r, http1.NewReader(conn, make([]byte, bufferSize))}
+		return &testClient{conn, r, http1.NewReader(conn, make([]byte, bufferSize))}
 	}
-	for how, leave := range leavings {
+	for how, leave := range waysToLeave {
 		for i := range each {
 			c := dial().send(request(fmt.Sprint(how, i), "all", "", fourParts))
 			if how != "reset" {
@@ -207,7 +207,7 @@
 	}
 	last := dial()
 	close(ln.free)
-	last.want("last", "all", 200, wholeOfAll)
+	last.expect("last", "all", 200, completeAnswer)
 	r.eventually("the others have ended", func() bool {
 		told := make(chan int, 1)
 		loop.submit(func() { told <- len(loop.clients.connections) })
@@ -217,13 +217,13 @@
 	last.Close()
 	cancel()
 	require.NoError(t, <-ended)
-	r.end()
+	r.shutDown()
 }
 
-// piped starts a further co-ordinator whose clients come by pipes: a write there returns once it has been read. made
+// startPiped starts a further co-ordinator whose clients come by pipes: a write there returns once it has been read. made
 // changes the co-ordinator's side of a connection, and may be nil.
-func (r *rig) piped() (call func(made func(net.Conn) net.Conn) *caller, end func()) {
-	p, look, ended := &pipes{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
+func (r *rig) startPiped() (call func(made func(net.Conn) net.Conn) *testClient, end func()) {
+	p, look, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.t.Cleanup(cancel)
 	go func() {
@@ -234,7 +234,7 @@
 	}()
 	<-look
 	var callers []net.Conn
-	call = func(made func(net.Conn) net.Conn) *caller {
+	call = func(made func(net.Conn) net.Conn) *testClient {
 		own, other := net.Pipe()
 		if made != nil {
 			other = made(other)
@@ -243,7 +243,7 @@
 		callers = append(callers, own)
 		r.t.Cleanup(func() { own.Close() })
 		own.SetDeadline(time.Now().Add(patience))
-		return &caller{own, r, http1.NewReader(own, make([]byte, bufferSize))}
+		return &testClient{own, r, http1.NewReader(own, make([]byte, bufferSize))}
 	}
 	return call, func() {
 		cancel()
@@ -256,7 +256,7 @@
 		case <-time.After(patience):
 			require.Fail(r.t, "does not end")
 		}
-		r.end()
+		r.shutDown()
 	}
 }
 
@@ -264,10 +264,10 @@
 func TestFirstRequestAfterWaitingForRoom(t *testing.T) {
 	t.Parallel()
 	r := start(t, 16, nil)
-	call, end := r.piped()
+	call, end := r.startPiped()
 	gate := make(chan struct{})
 	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
-	var busy []*caller
+	var busy []*testClient
 	for i := range 8 { // all the room
 		busy = append(busy, call(nil).send(request(fmt.Sprint("busy", i), "all", "", fourParts)))
 	}
@@ -276,24 +276,24 @@
 	time.Sleep(requestReadTimeout + finalReadGrace)
 	close(gate)
 	for _, b := range busy {
-		status, _, _, _ := b.answer()
+		status, _, _, _ := b.readAnswer()
 		require.Equal(t, 200, status)
 	}
 	text := request("late", "all", "", fourParts)
 	c.send(text[:100])
 	time.Sleep(3 * finalReadGrace) // no verdict rests on its length: it is in the request's own time
-	status, _, _, _ := c.send(text[100:]).answer()
+	status, _, _, _ := c.send(text[100:]).readAnswer()
 	require.Equal(t, 200, status)
 	end()
 }
 
-// halves is a pipe of which one direction can be shut.
-type halves struct {
+// halfClosingConn is a pipe of which one direction can be shut.
+type halfClosingConn struct {
 	net.Conn
 	shut chan struct{}
 }
 
-func (h halves) CloseWrite() error {
+func (h halfClosingConn) CloseWrite() error {
 	close(h.shut)
 	return nil
 }
@@ -309,10 +309,10 @@
 	}{"sent ahead": {"", true, 400}, "last request": {"Connection: close\r\n", false, 200}} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t, 256, nil)
-			call, end := r.piped()
+			call, end := r.startPiped()
 			gate := make(chan struct{})
 			r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
-			h := halves{nil, make(chan struct{})}
+			h := halfClosingConn{nil, make(chan struct{})}
 			c := call(func(conn net.Conn) net.Conn { h.Conn = conn; return h })
 			c.send(request("first", "all", x.head, fourParts))
 			r.eventually("parts are out", func() bool { return r.parts() == 4 })
@@ -326,7 +326,7 @@
 			} else {
 				close(gate)
 			}
-			status, _, _, keep := c.answer()
+			status, _, _, keep := c.readAnswer()
 			require.Equal(t, x.status, status)
 			require.False(t, keep)
 			<-h.shut
@@ -350,10 +350,10 @@
 	for i := range lives {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
-			l := newLife(t)
+			l := newChildProcess(t)
 			l.start(nil)
 			l.ready()
-			l.holding()
+			l.holdAttempts()
 			took := func() (n int) {
 				for _, h := range l.hosts {
 					n += h.CountRequests()
@@ -384,7 +384,7 @@
 			time.Sleep(200 * time.Millisecond) // for what would go out
 			require.Equal(t, before, took(), "%s", l.log)
 			l.signal(syscall.SIGTERM)
-			l.over(0)
+			l.waitForExit(0)
 		})
 	}
 }
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -22,7 +22,9 @@
 func (r requestError) Error() string { return r.text }
 
 // badRequest returns a requestError with status 400.
-func badRequest(format string, v ...any) error { return requestError{400, fmt.Sprintf(format, v...)} }
+func badRequest(format string, attrs ...any) error {
+	return requestError{400, fmt.Sprintf(format, attrs...)}
+}
 
 // handleRequest serves one request: health, metrics or a search.
 func (c *clientConnection) handleRequest(method, target string, head map[string]string, body []byte, keep bool,
@@ -49,19 +51,19 @@
 	case method != http.MethodPost:
 		return requestError{404, "no such path"}
 	}
-	s, err := c.newSearch(first, key, head, arrivedAt)
+	current, err := c.newSearch(first, key, head, arrivedAt)
 	if err != nil {
 		return err
 	}
-	if err := s.readBody(body, loop.rules.blockCount); err != nil {
+	if err := current.readBody(body, loop.rules.blockCount); err != nil {
 		return err
 	}
 	if err := c.checkClientGone(); err != nil {
 		return err
 	}
-	s.reply = func(outcome searchOutcome) { c.writeAnswer(outcome, keep) }
-	c.lastSearch, s.client = s, c
-	loop.submit(func() { loop.startSearch(s) })
+	current.reply = func(outcome searchOutcome) { c.writeAnswer(outcome, keep) }
+	c.lastSearch, current.client = current, c
+	loop.submit(func() { loop.startSearch(current) })
 	return nil
 }
 
@@ -90,14 +92,14 @@
 	if pathClass != head["x-class"] {
 		return nil, badRequest("X-Class is not the path's")
 	}
-	s := &search{
+	current := &search{
 		name: head["x-request-id"], key: key, class: class, arrivedAt: arrivedAt,
 		isRetry: head["x-retry"] == "1",
 	}
-	if !isPlainName(s.name) {
-		return nil, badRequest("X-Request-Id %.40q", s.name)
+	if !isPlainName(current.name) {
+		return nil, badRequest("X-Request-Id %.40q", current.name)
 	}
-	if s.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
+	if current.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
 		return nil, badRequest("X-Tenant %.40q", head["x-tenant"])
 	}
 	seconds, err := strconv.ParseFloat(head["x-deadline"], 64)
@@ -105,8 +107,8 @@
 		return nil, badRequest("X-Deadline %.40q", head["x-deadline"])
 	}
 	timeout := time.Duration(math.Min(seconds, maxClientTimeout.Seconds()) * float64(time.Second))
-	s.timeout = c.loop.limitTimeout(timeout, arrivedAt)
-	return s, nil
+	current.timeout = c.loop.limitTimeout(timeout, arrivedAt)
+	return current, nil
 }
 
 // isPlainName says whether a text can stand in a line of a frame.
--- a/coordinator/client_request_test.go
+++ b/coordinator/client_request_test.go
@@ -72,8 +72,8 @@
 		ranges(`{"range":0,"portion":1.5},{"range":1,"portion":-0.5}`): 400,
 	}} {
 		for text, status := range texts {
-			c := r.call().send(text)
-			got, _, _, keep := c.answer()
+			c := r.connect().send(text)
+			got, _, _, keep := c.readAnswer()
 			require.Equal(t, status, got, "%.200q", text)
 			require.Equal(t, keeps, keep, "%.200q", text)
 			c.Close()
@@ -86,45 +86,45 @@
 	chunked := strings.Replace(ok, "Content-Length: "+fmt.Sprint(len(fourParts)), "Transfer-Encoding: chunked", 1)
 	chunked = strings.Replace(chunked, fourParts, fmt.Sprintf("a;x=y\r\n%s\r\n%x\r\n%s\r\n0\r\nT: 1\r\n\r\n", fourParts[:10],
 		len(fourParts)-10, fourParts[10:]), 1)
-	got, _, text, _ := r.call().send(chunked).answer()
+	got, _, text, _ := r.connect().send(chunked).readAnswer()
 	require.Equal(t, 200, got)
-	require.JSONEq(t, wholeOfAll, text)
-	r.end()
+	require.JSONEq(t, completeAnswer, text)
+	r.shutDown()
 }
 
 // A class may bear the name of the path that tells of health: searches of it are served, and health is told all the same.
 func TestClassNamedAsHealth(t *testing.T) {
-	r := start(t, 256, func(settings map[string]any) { placed(settings, "Classes", 1)["Name"] = "healthz" })
-	c := r.call()
-	c.want("a", "healthz", 200, wholeOfAll)
+	r := start(t, 256, func(settings map[string]any) { settingAt(settings, "Classes", 1)["Name"] = "healthz" })
+	c := r.connect()
+	c.expect("a", "healthz", 200, completeAnswer)
 	c.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-	status, _, _, _ := c.answer()
+	status, _, _, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	r.end()
+	r.shutDown()
 }
 
 // Requests name class and tenant as the settings have them, blanks, commas and letters of all languages too, and each is
 // handled by its own.
 func TestRequestNamesAsInSettings(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) {
-		placed(settings, "Classes", 1)["Name"] = "all, größer"
-		placed(settings, "Tenants", 0)["Name"] = "acme north"
-		placed(settings, "Tenants", 1)["Name"] = "acme, south"
+		settingAt(settings, "Classes", 1)["Name"] = "all, größer"
+		settingAt(settings, "Tenants", 0)["Name"] = "acme north"
+		settingAt(settings, "Tenants", 1)["Name"] = "acme, south"
 	})
-	c := r.call()
-	post := func(id, path, class, tenant string) {
+	c := r.connect()
+	post := func(hostID, path, class, tenant string) {
 		text := fmt.Sprintf("POST /%s?k=1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: 8\r\nContent-Length: ",
-			path, id, class, tenant)
+			path, hostID, class, tenant)
 		body := `{"ranges":[{"range":0,"portion":0.5},{"range":1,"portion":0.5}],"predicate":"p"}`
 		c.send(text + fmt.Sprint(len(body)) + "\r\n\r\n" + body)
-		status, _, _, _ := c.answer()
+		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 200, status, "%s %s\n%s", class, tenant, r.log)
 	}
 	post("a", "some", "some", "acme north")
 	post("b", "some", "some", "acme, south")
 	post("c", "all,%20gr%C3%B6%C3%9Fer", "all, größer", "acme north")
 	post("d", "some", "some", "acme_north") // the wire's form of it
-	r.end()
+	r.shutDown()
 }
 
 // A target is taken apart as the library would.
--- a/coordinator/connection_limiter_test.go
+++ b/coordinator/connection_limiter_test.go
@@ -18,12 +18,12 @@
 	for _, s := range r.replicas {
 		s.SetHandler(func(a asked) { held <- a })
 	}
-	busy := r.call().send(request("q", "all", "", fourParts))
+	busy := r.connect().send(request("q", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return len(held) == 4 })
-	silent := r.call()
+	silent := r.connect()
 	for range 30 { // many times the room
-		c := r.call().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-		status, _, _, _ := c.answer()
+		c := r.connect().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 200, status)
 	}
 	_, err := silent.Read(make([]byte, 1))
@@ -33,25 +33,25 @@
 	for range 4 {
 		(<-held).ReplyGood()
 	}
-	status, _, text, _ := busy.answer()
+	status, _, text, _ := busy.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
-	r.end()
+	require.JSONEq(t, completeAnswer, text)
+	r.shutDown()
 }
 
 // With no descriptor left, a connection on which a request has begun to come makes no room while another is at rest.
 func TestArrivingRequestsKeepTheirConnections(t *testing.T) {
 	r := start(t, 16, nil)
-	call, end := r.piped()
+	call, end := r.startPiped()
 	text := request("begun", "all", "", fourParts)
 	begun := call(nil).send(text[:len(text)-1])
 	head := call(nil).send(text[:1])
 	for range 30 { // many times the room
 		call(nil)
 	}
-	status, _, _, _ := begun.send(text[len(text)-1:]).answer()
+	status, _, _, _ := begun.send(text[len(text)-1:]).readAnswer()
 	require.Equal(t, 200, status)
-	status, _, _, _ = head.send(text[1:]).answer()
+	status, _, _, _ = head.send(text[1:]).readAnswer()
 	require.Equal(t, 200, status)
 	end()
 }
@@ -59,25 +59,25 @@
 // With none at rest, the one that has been longest about it makes room all the same.
 func TestArrivingRequestsMakeRoomLast(t *testing.T) {
 	r := start(t, 16, nil)
-	call, end := r.piped()
+	call, end := r.startPiped()
 	first := call(nil).send("P")
 	for range 7 {
 		call(nil).send("P")
 	}
-	call(nil).want("new", "all", 200, wholeOfAll)
+	call(nil).expect("new", "all", 200, completeAnswer)
 	_, err := first.Read(make([]byte, 1))
 	require.Equal(t, io.EOF, err)
 	end()
 }
 
-// lastLook holds what a read has brought until the connection has been told to end.
-type lastLook struct {
+// deadlineConn holds what a read has brought until the connection has been told to end.
+type deadlineConn struct {
 	net.Conn
 	read, told chan struct{}
 	once       sync.Once
 }
 
-func (l *lastLook) Read(p []byte) (int, error) {
+func (l *deadlineConn) Read(p []byte) (int, error) {
 	n, err := l.Conn.Read(p)
 	if n > 0 {
 		close(l.read)
@@ -86,14 +86,14 @@
 	return n, err
 }
 
-func (l *lastLook) SetReadDeadline(at time.Time) error {
+func (l *deadlineConn) SetReadDeadline(at time.Time) error {
 	if !at.IsZero() && at.Before(time.Now()) {
 		l.once.Do(func() { close(l.told) })
 	}
 	return l.Conn.SetReadDeadline(at)
 }
 
-func (l *lastLook) Close() error {
+func (l *deadlineConn) Close() error {
 	l.once.Do(func() { close(l.told) })
 	return l.Conn.Close()
 }
@@ -102,8 +102,8 @@
 // connection makes room.
 func TestRequestWhileItsConnectionIsDisplaced(t *testing.T) {
 	r := start(t, 16, nil)
-	call, end := r.piped()
-	at := &lastLook{read: make(chan struct{}), told: make(chan struct{})}
+	call, end := r.startPiped()
+	at := &deadlineConn{read: make(chan struct{}), told: make(chan struct{})}
 	c := call(func(conn net.Conn) net.Conn { at.Conn = conn; return at })
 	c.send(request("read", "all", "", fourParts))
 	<-at.read
@@ -111,9 +111,9 @@
 		call(nil)
 	}
 	last := call(nil) // waits for room
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
-	last.want("last", "all", 200, wholeOfAll)
+	require.JSONEq(t, completeAnswer, text)
+	last.expect("last", "all", 200, completeAnswer)
 	end()
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -54,18 +54,18 @@
 
 // Serve serves until ctx ends and every search is answered; then it returns nil, and no goroutine of it is left. An error
 // is a plan that the balancer cannot be configured with, or a fault in an iteration of the event loop.
-func Serve(ctx context.Context, p *plan.Plan, options Options) (err error) {
+func Serve(ctx context.Context, initial *plan.Plan, options Options) (err error) {
 	group, work := errgroup.WithContext(context.WithoutCancel(ctx))
 	stopping, stop := context.WithCancel(work)
 	defer stop()
-	loop := newEventLoop(work, group, p, options)
+	loop := newEventLoop(work, group, initial, options)
 	listener := newClientListener(loop, stopping)
 	loop.attachOptional(options)
 	if loop.enforcer != nil {
 		defer loop.enforcer.close()
 	}
 	if loop.searchAPI != nil {
-		listener.limiter.resize(clientDescriptors(p.MaxSockets) - loop.searchAPI.MaxConnections)
+		listener.limiter.resize(clientDescriptors(initial.MaxSockets) - loop.searchAPI.MaxConnections)
 	}
 	if err := loop.startBalancer(); err != nil {
 		options.Listener.Close()
@@ -75,33 +75,33 @@
 		options.onStart <- loop
 	}
 	loop.startGoroutines(ctx, stopping, stop, listener, options)
-	loop.log.Info("serving", "name", p.Name, "listen", options.Listener.Addr().String(), "discovery", p.Discovery,
-		"sockets", p.MaxSockets, "memory_mb", p.MemoryMB, "cores", p.Cores)
+	loop.log.Info("serving", "name", initial.Name, "listen", options.Listener.Addr().String(), "discovery", initial.Discovery,
+		"sockets", initial.MaxSockets, "memory_mb", initial.MemoryMB, "cores", initial.Cores)
 	if err = group.Wait(); errors.Is(err, errAllAnswered) {
 		err = nil
 	}
-	options.Logger.Info("stopped", "name", p.Name, "error", err)
+	options.Logger.Info("stopped", "name", initial.Name, "error", err)
 	return err
 }
 
-func newEventLoop(ctx context.Context, group *errgroup.Group, p *plan.Plan, options Options) *eventLoop {
+func newEventLoop(ctx context.Context, group *errgroup.Group, initial *plan.Plan, options Options) *eventLoop {
 	loop := &eventLoop{
-		Options: options, log: newAsyncLogger(options.Clock, options.Logger.Handler()), plan: p, group: group, ctx: ctx,
-		tasks: make(chan func(), maxQueuedTasks), startedAt: options.Clock.Now(), rules: newDispatchRules(p),
+		Options: options, log: newAsyncLogger(options.Clock, options.Logger.Handler()), plan: initial, group: group, ctx: ctx,
+		tasks: make(chan func(), maxQueuedTasks), startedAt: options.Clock.Now(), rules: newDispatchRules(initial),
 		timers: timerSet{balancer: map[uint64]*balancerTimer{}},
 		searches: searchTable{
 			byID: map[uint64]*search{}, names: map[string]bool{}, shardRequests: map[uint64]*shardRequest{},
-			memoryLimit: p.SearchMemory(),
+			memoryLimit: initial.SearchMemory(),
 		},
 		replicas:    replicaTable{byID: map[string]*replica{}, abandoned: map[*attempt]*abandonedAttempt{}},
-		descriptors: descriptorBudget{limit: p.MaxSockets},
+		descriptors: descriptorBudget{limit: initial.MaxSockets},
 		clients:     clientTable{connections: map[*messageConn]bool{}},
 		discovery:   discoveryRequests{polls: make(chan struct{}, 1), moves: make(chan string)},
 	}
 	loop.startTicks = loop.startedAt.UnixMicro() / int64(tick/time.Microsecond)
-	if loop.balancer = balancer.New(loop); p.ShadowSettings != nil {
+	if loop.balancer = balancer.New(loop); initial.ShadowSettings != nil {
 		loop.shadowCounts = &shadow.DivergenceCounts{}
-		loop.balancer = shadow.New(loop, p.Settings, p.ShadowSettings, loop.shadowCounts, balancer.New)
+		loop.balancer = shadow.New(loop, initial.Settings, initial.ShadowSettings, loop.shadowCounts, balancer.New)
 	}
 	return loop
 }
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -324,16 +324,16 @@
 	if err != nil {
 		return err
 	}
-	v, full := list.Version, list.Full
+	received, full := list.Version, list.Full
 	switch {
 	case anew && !full:
 		return errors.New("changes in place of the whole list")
-	case v < *version && full && len(list.Hosts) == 0: // discovery has just started and knows no host yet
-		return fmt.Errorf("version %.0f after %.0f, and no hosts", v, *version)
+	case received < *version && full && len(list.Hosts) == 0: // discovery has just started and knows no host yet
+		return fmt.Errorf("version %.0f after %.0f, and no hosts", received, *version)
 	case anew:
-	case v < *version:
-		return fmt.Errorf("version %.0f after %.0f: %w", v, *version, errVersionsRestarted)
-	case v == *version:
+	case received < *version:
+		return fmt.Errorf("version %.0f after %.0f: %w", received, *version, errVersionsRestarted)
+	case received == *version:
 		return nil
 	}
 	how := "Partial"
@@ -341,16 +341,16 @@
 		how = "Complete"
 	}
 	if loop.sources != nil {
-		err := loop.sources.applyDiscovery(newEndpointUpdate("discovery", endpoints.RankDiscovery, int64(v), full, anew, list.Hosts))
+		err := loop.sources.applyDiscovery(newEndpointUpdate("discovery", endpoints.RankDiscovery, int64(received), full, anew, list.Hosts))
 		if err == nil {
-			*version = v
+			*version = received
 		}
 		return err
 	}
-	*version = v
+	*version = received
 	if !loop.submit(func() { loop.applyEndpointList(how, list) }) {
 		return errClosing
 	}
-	loop.notifyEndpointList(full, int64(v), list.Hosts)
+	loop.notifyEndpointList(full, int64(received), list.Hosts)
 	return nil
 }
--- a/coordinator/discovery_delay_test.go
+++ b/coordinator/discovery_delay_test.go
@@ -36,9 +36,9 @@
 				for _, n := range []int{1, 300} {
 					for seed := range 3 {
 						synctest.Test(t, func(t *testing.T) {
-							old, next := newLists(x.old...), newLists(x.next...)
+							old, next := newFakeDiscovery(x.old...), newFakeDiscovery(x.next...)
 							next.version = 0 // behind the old place's
-							f := follow(t, seed, map[string]*lists{"first": old, "second": next}, func(s map[string]any) {
+							f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": old, "second": next}, func(s map[string]any) {
 								s["Discovery"], s["Balancers"] = by, n
 							}, nil)
 							defer f.stop()
@@ -51,7 +51,7 @@
 							took := f.told("how=Complete version=0 ").Sub(hup)
 							require.LessOrEqual(t, took, 4*time.Second, "%s, %d co-ordinators, seed %d", by, n, seed)
 							changed := time.Now() // and the watch there works
-							next.tell(5, hosts("10.0.0.3:1"))
+							next.setList(5, hosts("10.0.0.3:1"))
 							require.Less(t, f.told("version=5 ").Sub(changed), time.Second)
 						})
 					}
@@ -76,8 +76,8 @@
 								if fault == "unanswered" || fault == "refused" {
 									faults = append([]string{"lost"}, faults...)
 								}
-								d := newLists(faults...)
-								f := follow(t, times, map[string]*lists{"first": d}, func(s map[string]any) {
+								d := newFakeDiscovery(faults...)
+								f := startDiscoveryRig(t, times, map[string]*fakeDiscovery{"first": d}, func(s map[string]any) {
 									s["Discovery"], s["Balancers"] = by, n
 									if s["Safety"].(map[string]any)["AskWithin"] = within; within == nil {
 										delete(s["Safety"].(map[string]any), "AskWithin")
@@ -89,7 +89,7 @@
 								if wait := f.owner.watchWait(); len(faults) == 1 {
 									limit = max(limit, wait+2*time.Second)
 								}
-								d.tell(101, hosts("10.0.0.2:1"))
+								d.setList(101, hosts("10.0.0.2:1"))
 								took := f.told("version=101").Sub(began)
 								require.LessOrEqual(t, took, limit, "%s, %d co-ordinators, %d in a row", by, n, times)
 								if limit == 6*time.Second {
--- a/coordinator/discovery_follower_test.go
+++ b/coordinator/discovery_follower_test.go
@@ -25,15 +25,15 @@
 	"chalkring/internal/http1"
 )
 
-// places is a network within a test's own time: who listens at a name is dialed there, anyone else refuses.
-type places struct {
+// fakeNetwork is a network within a test's own time: who listens at a name is dialed there, anyone else refuses.
+type fakeNetwork struct {
 	mu    sync.Mutex
 	up    map[string]func(conn net.Conn)
 	wires []net.Conn
 }
 
 // dial fails as a socket does: at once where connects are refused, or when ctx ends where none is answered.
-func (p *places) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+func (p *fakeNetwork) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	p.mu.Lock()
 	serve := p.up[addr]
 	p.mu.Unlock()
@@ -48,9 +48,9 @@
 	return near, nil
 }
 
-// lists is discovery at one place, in a test's own time. What it does to the next attempts is named beforehand, one word
+// fakeDiscovery is discovery at one place, in a test's own time. What it does to the next attempts is named beforehand, one word
 // each; after that it works.
-type lists struct {
+type fakeDiscovery struct {
 	mu       sync.Mutex
 	version  int
 	entries  []fake.Endpoint
@@ -63,7 +63,7 @@
 }
 
 // lose ends all connections.
-func (d *lists) lose() {
+func (d *fakeDiscovery) lose() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, conn := range d.conns {
@@ -72,7 +72,7 @@
 	d.conns = nil
 }
 
-func (d *lists) tell(version int, entries []fake.Endpoint) {
+func (d *fakeDiscovery) setList(version int, entries []fake.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version, d.entries = version, entries
@@ -81,7 +81,7 @@
 }
 
 // next takes the word for a connect or a call.
-func (d *lists) next(connect bool) string {
+func (d *fakeDiscovery) next(connect bool) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.faults) == 0 {
@@ -96,14 +96,14 @@
 	return f
 }
 
-func (d *lists) left() int {
+func (d *fakeDiscovery) left() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.faults)
 }
 
 // dialing fails a connect that is to fail.
-func (d *lists) dialing(ctx context.Context) error {
+func (d *fakeDiscovery) dialing(ctx context.Context) error {
 	switch d.next(true) {
 	case "refused":
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
@@ -115,7 +115,7 @@
 }
 
 // failCall ends a call without a complete answer, as the fault says.
-func (d *lists) failCall(conn net.Conn, fault string, index int) {
+func (d *fakeDiscovery) failCall(conn net.Conn, fault string, index int) {
 	if fault == "lost" {
 		return
 	}
@@ -133,7 +133,7 @@
 	io.Copy(io.Discard, conn)
 }
 
-func (d *lists) serve(conn net.Conn) {
+func (d *fakeDiscovery) serve(conn net.Conn) {
 	defer conn.Close()
 	d.mu.Lock()
 	d.conns = append(d.conns, conn)
@@ -191,8 +191,8 @@
 	}
 }
 
-func newLists(faults ...string) *lists {
-	return &lists{version: 1, changed: make(chan struct{}), done: make(chan struct{}), faults: faults, entries: hosts("10.0.0.1:1")}
+func newFakeDiscovery(faults ...string) *fakeDiscovery {
+	return &fakeDiscovery{version: 1, changed: make(chan struct{}), done: make(chan struct{}), faults: faults, entries: hosts("10.0.0.1:1")}
 }
 
 // hosts is a list whose first host is at an address.
@@ -203,28 +203,28 @@
 	}
 }
 
-// stamped is a log whose lines bear the test's time.
-type stamped struct {
+// timestampedLog is a log whose lines bear the test's time.
+type timestampedLog struct {
 	mu    sync.Mutex
 	lines []string
 	at    []time.Time
 }
 
-func (s *stamped) Write(p []byte) (int, error) {
+func (s *timestampedLog) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lines, s.at = append(s.lines, string(p)), append(s.at, time.Now())
 	return len(p), nil
 }
 
-func (s *stamped) String() string {
+func (s *timestampedLog) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Join(s.lines, "")
 }
 
 // when is the time of the first line with all of some texts; zero for none.
-func (s *stamped) when(texts ...string) time.Time {
+func (s *timestampedLog) when(texts ...string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, line := range s.lines {
@@ -235,11 +235,11 @@
 	return time.Time{}
 }
 
-// follower is a co-ordinator that follows discovery within a test's own time, at the places of its network.
-type follower struct {
+// discoveryRig is a co-ordinator that follows discovery within a test's own time, at the places of its network.
+type discoveryRig struct {
 	t     *testing.T
-	at    map[string]*lists
-	log   *stamped
+	at    map[string]*fakeDiscovery
+	log   *timestampedLog
 	plans chan *plan.Plan
 	plan  *plan.Plan
 	owner *eventLoop
@@ -247,14 +247,14 @@
 }
 
 // move hands on a plan with discovery at another place, as after SIGHUP.
-func (f *follower) move(place string) {
+func (f *discoveryRig) move(place string) {
 	p := *f.plan
 	p.Discovery = place
 	f.plans <- &p
 }
 
 // until lets the test's time pass until something holds; it fails after five minutes of it.
-func (f *follower) until(why string, ok func() bool) {
+func (f *discoveryRig) until(why string, ok func() bool) {
 	for end := time.Now().Add(5 * time.Minute); !ok(); {
 		if time.Now().After(end) {
 			require.Fail(f.t, why, "%s", f.log)
@@ -264,13 +264,13 @@
 }
 
 // told is when a line with some texts was logged first.
-func (f *follower) told(texts ...string) time.Time {
+func (f *discoveryRig) told(texts ...string) time.Time {
 	f.until(strings.Join(texts, " "), func() bool { return !f.log.when(texts...).IsZero() })
 	return f.log.when(texts...)
 }
 
-// follow starts one; time.Now and all waits are the test's.
-func follow(t *testing.T, seed int, at map[string]*lists, edit func(s map[string]any), more func(m *Options)) *follower {
+// startDiscoveryRig starts one; time.Now and all waits are the test's.
+func startDiscoveryRig(t *testing.T, seed int, at map[string]*fakeDiscovery, edit func(s map[string]any), more func(m *Options)) *discoveryRig {
 	settings := map[string]any{}
 	require.NoError(t, json.Unmarshal([]byte(testSettings), &settings))
 	settings["Safety"].(map[string]any)["AskWithin"] = 10000.0
@@ -278,25 +278,25 @@
 		edit(settings)
 	}
 	text, _ := json.Marshal(settings)
-	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
+	initial, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":"l","discovery":"first","seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, seed,
 		fake.EncodeEndpointList(1, hosts("10.0.0.1:1")), text))
 	require.NoError(t, err)
-	f := &follower{t: t, at: at, log: &stamped{}, plans: make(chan *plan.Plan), plan: p}
-	way := &places{up: map[string]func(net.Conn){}}
+	f := &discoveryRig{t: t, at: at, log: &timestampedLog{}, plans: make(chan *plan.Plan), plan: initial}
+	way := &fakeNetwork{up: map[string]func(net.Conn){}}
 	for name, d := range at {
 		way.up[name] = d.serve
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	look, ended := make(chan *eventLoop, 1), make(chan error, 1)
 	options := Options{
-		Listener: &pipes{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: look,
+		Listener: &pipeListener{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: look,
 		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at),
 	}
 	if more != nil {
 		more(&options)
 	}
-	go func() { ended <- Serve(ctx, p, options) }()
+	go func() { ended <- Serve(ctx, initial, options) }()
 	f.owner = <-look
 	f.stop = func() { // so that nothing of the test's time is left
 		cancel()
@@ -312,7 +312,7 @@
 	return f
 }
 
-func dialer(n *places, at map[string]*lists) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func dialer(n *fakeNetwork, at map[string]*fakeDiscovery) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if d := at[addr]; d != nil {
 			if err := d.dialing(ctx); err != nil {
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -59,7 +59,7 @@
 	<-r.list.Targets
 	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, r.entry("a0", "draining"))
 	r.logged("how=Partial version=9")
-	r.end()
+	r.shutDown()
 }
 
 // One that knows no host asks for the whole list, which is answered at once, and not for changes: it would wait long for a call
@@ -72,7 +72,7 @@
 	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: cancel, ended: ended, list: other}
+	next := &rig{t: t, addr: ln.Addr().String(), log: &logBuffer{}, stop: cancel, ended: ended, list: other}
 	go func() {
 		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
@@ -88,9 +88,9 @@
 	other.Responses <- fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
 	next.logged("version=9 ")
 	require.Equal(t, "/v1/servers?index=9", strings.SplitN(<-other.Targets, "&", 2)[0])
-	next.call().want("q", "all", 200, wholeOfAll)
-	next.end()
-	r.end()
+	next.connect().expect("q", "all", 200, completeAnswer)
+	next.shutDown()
+	r.shutDown()
 }
 
 // A list without a length ends with its connection: shut in good order it counts if it is whole, reset on the way it is none.
@@ -131,7 +131,7 @@
 			require.Equal(t, !x.counts, next == "/v1/servers", next)
 			r.logged("version=10 ")
 			require.Equal(t, x.counts, strings.Contains(r.log.String(), "version=9 "))
-			r.end()
+			r.shutDown()
 		})
 	}
 }
@@ -143,8 +143,8 @@
 		waits := map[string]bool{}
 		for seed := range 20 {
 			synctest.Test(t, func(t *testing.T) {
-				d := newLists("silent")
-				f := follow(t, seed, map[string]*lists{"first": d}, func(s map[string]any) { s["Discovery"], s["Balancers"] = by, 300 }, nil)
+				d := newFakeDiscovery("silent")
+				f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": d}, func(s map[string]any) { s["Discovery"], s["Balancers"] = by, 300 }, nil)
 				defer f.stop()
 				f.until("the first call falls silent", func() bool { return d.left() == 0 })
 				d.mu.Lock()
@@ -155,7 +155,7 @@
 				wait, err := time.ParseDuration(u.Query().Get("wait") + "ms")
 				require.NoError(t, err)
 				waits[target] = true
-				d.tell(9, hosts("10.0.0.2:1"))
+				d.setList(9, hosts("10.0.0.2:1"))
 				took := f.told("version=9 ").Sub(began)
 				require.LessOrEqual(t, took, wait+watchAnswerSlack+20*time.Millisecond, "%s, seed %d", by, seed)
 				require.GreaterOrEqual(t, wait, maxWatchWait/2)
@@ -172,7 +172,7 @@
 	var old atomic.Value
 	old.Store("")
 	var once sync.Once
-	r := crossed(t, 256, nil, nil, func(addr string, c *crossing) {
+	r := startHooked(t, 256, nil, nil, func(addr string, c *hookedConn) {
 		c.read = func(int) {
 			if addr == old.Load() {
 				once.Do(func() { close(read); <-gate })
@@ -193,9 +193,9 @@
 	next.Responses <- fmt.Sprintf(`{"version":3,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b1", "up"))
 	r.logged("version=3 ")
 	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
-	r.call().want("q", "all", 200, wholeOfAll)
+	r.connect().expect("q", "all", 200, completeAnswer)
 	require.Zero(t, r.replicas["b0"].CountRequests())
-	r.end()
+	r.shutDown()
 }
 
 // Versions that begin again at one place, as discovery has lost them: the list there is in force after the next call that
@@ -222,20 +222,20 @@
 				for _, n := range []int{1, 300} {
 					for seed := range 5 {
 						synctest.Test(t, func(t *testing.T) {
-							d := newLists()
-							f := follow(t, seed, map[string]*lists{"first": d}, func(s map[string]any) {
+							d := newFakeDiscovery()
+							f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": d}, func(s map[string]any) {
 								s["Discovery"], s["Balancers"] = by, n
 							}, nil)
 							defer f.stop()
 							time.Sleep(time.Second)
-							d.tell(50, hosts("10.0.0.2:1"))
+							d.setList(50, hosts("10.0.0.2:1"))
 							f.told("version=50 ")
 							time.Sleep(100 * time.Millisecond) // the next call has come
 							wait := f.owner.watchWait()
 							d.mu.Lock()
 							d.faults = slices.Clone(x.faults)
 							d.mu.Unlock()
-							if d.tell(x.version, x.hosts); x.lost {
+							if d.setList(x.version, x.hosts); x.lost {
 								d.lose()
 								wait = 2 * time.Second
 							}
@@ -244,7 +244,7 @@
 								look := make(chan int)
 								f.owner.submit(func() { look <- len(f.owner.replicas.byID) })
 								require.Equal(t, 2, <-look, "the last list holds")
-								d.tell(x.version+1, hosts("10.0.0.3:1"))
+								d.setList(x.version+1, hosts("10.0.0.3:1"))
 								began = time.Now()
 							}
 							f.until("the new list is in force", func() bool {
@@ -255,7 +255,7 @@
 							took := time.Since(began)
 							worst = max(worst, took)
 							require.LessOrEqual(t, took, wait+x.limit, "%s, %d co-ordinators, seed %d", by, n, seed)
-							d.tell(x.version+2, hosts("10.0.0.4:1")) // and the watch works from there
+							d.setList(x.version+2, hosts("10.0.0.4:1")) // and the watch works from there
 							require.NotZero(t, f.told(fmt.Sprintf("version=%d ", x.version+2)))
 						})
 					}
@@ -279,19 +279,19 @@
 	r.logged("event=list_refused")
 	r.list.Responses <- good
 	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
-	c := r.call()
+	c := r.connect()
 	for i := range 10 {
-		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 	}
 	require.Zero(t, r.replicas["a0"].CountRequests())
-	r.end()
+	r.shutDown()
 }
 
 // The module's waits begin again with a sound call, also where several sources make the list and it does not change.
 func TestBackoffResetsWithSeveralSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newLists()
-		f := follow(t, 1, map[string]*lists{"first": d}, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
+		d := newFakeDiscovery()
+		f := startDiscoveryRig(t, 1, map[string]*fakeDiscovery{"first": d}, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
 		defer f.stop()
 		fail := func(times int) {
 			d.mu.Lock()
@@ -301,13 +301,13 @@
 			f.until("failures", func() bool { return d.left() == 0 })
 		}
 		time.Sleep(time.Second)
-		d.tell(50, hosts("10.0.0.2:1"))
+		d.setList(50, hosts("10.0.0.2:1"))
 		f.told("how=Complete", "version=2 ")
 		fail(6)
-		d.tell(51, hosts("10.0.0.2:1")) // a version with no change in it
+		d.setList(51, hosts("10.0.0.2:1")) // a version with no change in it
 		time.Sleep(10 * time.Second)
 		fail(1)
-		d.tell(101, hosts("10.0.0.3:1"))
+		d.setList(101, hosts("10.0.0.3:1"))
 		began := time.Now()
 		took := f.told("how=Complete", "version=3 ").Sub(began)
 		t.Log(took)
--- a/coordinator/dispatch_rules.go
+++ b/coordinator/dispatch_rules.go
@@ -19,19 +19,19 @@
 	followUpCounts       []int   // shard requests of the second step; 0 where there is none
 }
 
-func newDispatchRules(p *plan.Plan) dispatchRules {
+func newDispatchRules(initial *plan.Plan) dispatchRules {
 	rules := dispatchRules{
-		blockCount: p.BlockCount(), streamsPerConnection: int(p.Number("Permissions.StreamsPerConn")),
-		attemptsPerBatch: int(p.Number("Specifics.PerCall")), maxAttempts: int(p.Number("Permissions.MaxAttempts")),
+		blockCount: initial.BlockCount(), streamsPerConnection: int(initial.Number("Permissions.StreamsPerConn")),
+		attemptsPerBatch: int(initial.Number("Specifics.PerCall")), maxAttempts: int(initial.Number("Permissions.MaxAttempts")),
 	}
-	secondCopies := p.Settings["Permissions.SecondCopies"]
+	secondCopies := initial.Settings["Permissions.SecondCopies"]
 	rules.allowsSecondCopies = secondCopies == "true" || secondCopies == "1"
-	followUps := p.List("Specifics.FollowUp")
-	for i := range p.Count("Classes") {
+	followUps := initial.List("Specifics.FollowUp")
+	for i := range initial.Count("Classes") {
 		count, _ := strconv.ParseFloat(followUps[i], 64)
-		window := p.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))
+		window := initial.Duration(fmt.Sprintf("Classes.%d.RepeatWindow", i))
 		rules.followUpCounts = append(rules.followUpCounts, int(count))
-		rules.keyedClasses = append(rules.keyedClasses, p.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
+		rules.keyedClasses = append(rules.keyedClasses, initial.Settings[fmt.Sprintf("Classes.%d.Effect", i)] == "dedup")
 		rules.repeatWindows = append(rules.repeatWindows, int64(window/tick))
 	}
 	return rules
--- a/coordinator/endpoint_list.go
+++ b/coordinator/endpoint_list.go
@@ -35,9 +35,9 @@
 		step()
 	}
 	if how != "Partial" {
-		for id := range loop.replicas.byID {
-			if !present[id] {
-				loop.placeReplica(id, "", "", 0, true, false)
+		for hostID := range loop.replicas.byID {
+			if !present[hostID] {
+				loop.placeReplica(hostID, "", "", 0, true, false)
 			}
 		}
 	}
--- a/coordinator/endpoint_list_test.go
+++ b/coordinator/endpoint_list_test.go
@@ -28,18 +28,18 @@
 	said(8, false, r.entry("a0", "draining"), r.entry("b1", "removed"))
 	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
 	r.logged("how=Partial version=8")
-	c := r.call()
+	c := r.connect()
 	for i := range 10 {
-		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 	}
-	for _, id := range []string{"a0", "b1"} {
-		parts, _, _, _ := r.replicas[id].Observed()
+	for _, hostID := range []string{"a0", "b1"} {
+		parts, _, _, _ := r.replicas[hostID].Observed()
 		require.Empty(t, parts)
 	}
 	_, _, _, open := r.replicas["a1"].Observed()
 	require.Equal(t, 1, open)
-	for _, id := range []string{"a1", "b0"} { // parts of one turn to one replica share a call
-		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[id].BatchSizes())
+	for _, hostID := range []string{"a1", "b0"} { // parts of one turn to one replica share a call
+		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[hostID].BatchSizes())
 	}
 	for _, bad := range []string{
 		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"","state":"up","cell":0}]}`,
@@ -50,14 +50,14 @@
 		r.list.Responses <- bad
 		require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets, bad)
 	}
-	c.want("still", "all", 200, wholeOfAll)
+	c.expect("still", "all", 200, completeAnswer)
 	require.Equal(t, 8, strings.Count(r.log.String(), "event=list_failed"))
 	said(12, true, r.entry("a0", "up"), r.entry("b0", "up")) // whole: a1 is gone, and its connection goes
 	r.eventually("a1 is left", func() bool { _, _, _, open := r.replicas["a1"].Observed(); return open == 0 })
-	c.want("after", "all", 200, wholeOfAll)
+	c.expect("after", "all", 200, completeAnswer)
 	parts, _, _, _ := r.replicas["a0"].Observed()
 	require.Len(t, parts, 2)
-	r.end()
+	r.shutDown()
 	require.NotContains(t, r.log.String(), "event=fault")
 }
 
@@ -93,7 +93,7 @@
 	r.logged("body over 65536 bytes")
 	r.list.Responses <- text(9, 30<<10)
 	r.logged("how=Complete version=9")
-	r.end()
+	r.shutDown()
 }
 
 // A whole list with no hosts is in force like any other: nothing is sent, health stays good, and the next list brings all
@@ -103,9 +103,9 @@
 	<-r.list.Targets
 	r.list.Responses <- `{"version":8,"full":true,"servers":[]}`
 	r.logged("version=8 entries=0")
-	c := r.call().send(request("none", "all", "", fourParts))
+	c := r.connect().send(request("none", "all", "", fourParts))
 	health := func(r *rig) int {
-		status, _, _, _ := r.call().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").answer()
+		status, _, _, _ := r.connect().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").readAnswer()
 		return status
 	}
 	require.Equal(t, 200, health(r))
@@ -114,19 +114,19 @@
 		strings.Replace(r.entry("b0", "up"), "1.0", "-3", 1)) // weights are not this side's to judge
 	r.list.Responses <- all
 	r.logged("version=9 entries=2")
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
+	require.JSONEq(t, completeAnswer, text)
 	ownPlan := *r.plan
 	ownPlan.Known = plan.EndpointList{Version: 7, Full: true}
 	other := script(t)
 	ownPlan.Discovery = other.Listener.Addr().String()
-	r.end()
+	r.shutDown()
 
 	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	next := &rig{t: t, addr: ln.Addr().String(), log: &journal{}, stop: cancel, ended: ended}
+	next := &rig{t: t, addr: ln.Addr().String(), log: &logBuffer{}, stop: cancel, ended: ended}
 	go func() {
 		ended <- Serve(ctx, &ownPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
@@ -139,7 +139,7 @@
 	other.Responses <- all
 	next.logged("version=9 entries=2")
 	require.Equal(t, 200, health(next))
-	next.end()
+	next.shutDown()
 }
 
 // A host that is removed under a part and comes back at once, at its address or at another, is used at once, and the end
@@ -172,7 +172,7 @@
 				tell(r.entry("b0", "draining")) // so that b1 gets the part
 				held := make(chan asked, 16)
 				r.replicas["b1"].SetHandler(func(a asked) { held <- a })
-				c := r.call().send(request("first", "all", "", fourParts))
+				c := r.connect().send(request("first", "all", "", fourParts))
 				a := <-held
 				r.replicas["b1"].SetHandler(asked.ReplyGood)
 				entries := back(r, next.Listener.Addr().String())
@@ -184,17 +184,17 @@
 					}
 				}
 				for i := range 5 {
-					r.call().want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+					r.connect().expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 				}
 				a.ReplyGood()
 				for len(held) > 0 {
 					(<-held).ReplyGood()
 				}
-				status, _, text, _ := c.answer()
+				status, _, text, _ := c.readAnswer()
 				require.Equal(t, 200, status, text)
-				require.JSONEq(t, wholeOfAll, text)
+				require.JSONEq(t, completeAnswer, text)
 				for i := range 5 { // what was there before has ended
-					r.call().want(fmt.Sprint("p", i), "all", 200, wholeOfAll)
+					r.connect().expect(fmt.Sprint("p", i), "all", 200, completeAnswer)
 				}
 				look := make(chan bool)
 				r.loop.submit(func() { h := r.loop.replicas.byID["b1"]; look <- h != nil && !h.removed })
@@ -202,7 +202,7 @@
 				if name != "at its address" {
 					require.Positive(t, next.CountRequests())
 				}
-				r.end()
+				r.shutDown()
 				require.NotContains(t, r.log.String(), "event=fault")
 			})
 		}
@@ -212,15 +212,15 @@
 // A part waits for a connection that comes up late when its replica begins to drain, is removed, or is not in a whole list:
 // nothing goes out there once the connection is up, and the search is answered by the other holder.
 func TestNothingSentToDrainingReplicaAfterGrace(t *testing.T) {
-	for name, answer := range map[string]func(r *rig, id string) string{
-		"drains": func(r *rig, id string) string {
-			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "draining"))
+	for name, answer := range map[string]func(r *rig, hostID string) string{
+		"drains": func(r *rig, hostID string) string {
+			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(hostID, "draining"))
 		},
-		"is removed": func(r *rig, id string) string {
-			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "removed"))
+		"is removed": func(r *rig, hostID string) string {
+			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(hostID, "removed"))
 		},
-		"is not named": func(r *rig, id string) string {
-			other := map[string]string{"a0": "a1", "a1": "a0"}[id]
+		"is not named": func(r *rig, hostID string) string {
+			other := map[string]string{"a0": "a1", "a1": "a0"}[hostID]
 			return fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s,%s]}`, r.entry(other, "up"), r.entry("b0", "up"), r.entry("b1", "up"))
 		},
 	} {
@@ -249,30 +249,30 @@
 			})
 			at, up := map[string]string{}, map[string]chan struct{}{}
 			mu.Lock()
-			for _, id := range []string{"a0", "a1"} {
-				addr := r.replicas[id].Listener.Addr().String()
-				at[addr], up[id] = id, make(chan struct{})
-				held[addr] = up[id]
+			for _, hostID := range []string{"a0", "a1"} {
+				addr := r.replicas[hostID].Listener.Addr().String()
+				at[addr], up[hostID] = hostID, make(chan struct{})
+				held[addr] = up[hostID]
 			}
 			mu.Unlock()
 			<-r.list.Targets
-			c := r.call().send(request("q", "all", "", fourParts))
-			id := at[<-dialed]
-			r.list.Responses <- answer(r, id)
+			c := r.connect().send(request("q", "all", "", fourParts))
+			hostID := at[<-dialed]
+			r.list.Responses <- answer(r, hostID)
 			r.logged("version=8")
 			time.Sleep(300 * time.Millisecond) // longer than the grace
-			close(up[id])
+			close(up[hostID])
 			time.Sleep(100 * time.Millisecond) // for what would go out
 			for other := range up {
-				if other != id {
+				if other != hostID {
 					close(up[other])
 				}
 			}
-			status, _, text, _ := c.answer()
+			status, _, text, _ := c.readAnswer()
 			require.Equal(t, 200, status)
-			require.JSONEq(t, wholeOfAll, text)
-			require.Zero(t, r.replicas[id].CountRequests(), r.log)
-			r.end()
+			require.JSONEq(t, completeAnswer, text)
+			require.Zero(t, r.replicas[hostID].CountRequests(), r.log)
+			r.shutDown()
 		})
 	}
 }
--- a/coordinator/endpoint_sources.go
+++ b/coordinator/endpoint_sources.go
@@ -45,14 +45,14 @@
 // applyDiscovery hands discovery's list on and returns why it was refused. Its version counts as known only if it was
 // not: discovery does not send the changes again.
 func (m *endpointSources) applyDiscovery(update endpoints.Update) error {
-	d := discoveryUpdate{update, make(chan error, 1)}
+	pending := discoveryUpdate{update, make(chan error, 1)}
 	select {
-	case m.discoveryUpdates <- d:
+	case m.discoveryUpdates <- pending:
 	case <-m.loop.ctx.Done():
 		return errClosing
 	}
 	select {
-	case err := <-d.result:
+	case err := <-pending.result:
 		return err
 	case <-m.loop.ctx.Done():
 		return errClosing
@@ -69,10 +69,10 @@
 		}
 		changed := false
 		select {
-		case d := <-m.discoveryUpdates:
+		case pending := <-m.discoveryUpdates:
 			var err error
-			changed, err = m.apply(d.Update)
-			d.result <- err
+			changed, err = m.apply(pending.Update)
+			pending.result <- err
 		case update, ok := <-m.updates:
 			if !ok {
 				m.updates = nil
--- a/coordinator/endpoint_sources_test.go
+++ b/coordinator/endpoint_sources_test.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	more := &rig{
 		t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1),
-		log: &journal{}, plan: r.plan,
+		log: &logBuffer{}, plan: r.plan,
 	}
 	look := make(chan *eventLoop, 1)
 	go func() {
@@ -40,9 +40,9 @@
 	return more
 }
 
-func (r *rig) member(id string) endpoints.Host {
-	h := r.replicas[id]
-	return endpoints.Host{ID: id, Addr: h.Listener.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
+func (r *rig) member(hostID string) endpoints.Host {
+	h := r.replicas[hostID]
+	return endpoints.Host{ID: hostID, Addr: h.Listener.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
 }
 
 // While lists change under load, what the owner works with in any turn is one list and never parts of two; each search
@@ -83,9 +83,9 @@
 			found := make(chan string, 1)
 			if !r.loop.submit(func() {
 				var on []string
-				for id, h := range r.loop.replicas.byID {
+				for hostID, h := range r.loop.replicas.byID {
 					if !h.removed {
-						on = append(on, id)
+						on = append(on, hostID)
 					}
 				}
 				slices.Sort(on)
@@ -103,10 +103,10 @@
 	})
 	var clients sync.WaitGroup
 	for c := range 4 {
-		conn := r.call()
+		conn := r.connect()
 		clients.Go(func() {
 			for i := range 150 {
-				conn.want(fmt.Sprintf("m%d-%d", c, i), "all", 200, wholeOfAll)
+				conn.expect(fmt.Sprintf("m%d-%d", c, i), "all", 200, completeAnswer)
 			}
 		})
 	}
@@ -116,8 +116,8 @@
 	require.Len(t, seen, 2, "%v", seen)
 	require.Positive(t, seen["a0+b0"])
 	require.Positive(t, seen["a1+b1"])
-	r.end()
-	first.end()
+	r.shutDown()
+	first.shutDown()
 }
 
 // A file that drops a host stops new work to it within two seconds; a bad one changes nothing and is told; a file that
@@ -129,9 +129,9 @@
 	text := func(ids ...string) string {
 		var b strings.Builder
 		b.WriteString("hosts:\n")
-		for _, id := range ids {
-			h := first.member(id)
-			fmt.Fprintf(&b, "  - {id: %s, address: %q, zone: %q, kind: small, cell: %d}\n", id, h.Addr, h.Zone, h.Cell)
+		for _, hostID := range ids {
+			h := first.member(hostID)
+			fmt.Fprintf(&b, "  - {id: %s, address: %q, zone: %q, kind: small, cell: %d}\n", hostID, h.Addr, h.Zone, h.Cell)
 		}
 		return b.String()
 	}
@@ -151,10 +151,10 @@
 	})
 	r := first.withLists(lists)
 	r.logged("how=Complete")
-	c, n := r.call(), 0
+	c, n := r.connect(), 0
 	ask := func() {
 		n++
-		c.want(fmt.Sprint("f", n), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint("f", n), "all", 200, completeAnswer)
 	}
 	r.eventually("all hosts take parts", func() bool {
 		ask()
@@ -198,8 +198,8 @@
 		ask()
 	}
 	require.Equal(t, before, r.replicas["b1"].CountRequests())
-	r.end()
+	r.shutDown()
 	cancel()
 	watching.Wait()
-	first.end()
+	first.shutDown()
 }
--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -18,7 +18,7 @@
 
 const (
 	maxQueuedTasks  = 1024                   // tasks that wait for the event loop: several for each descriptor of a usual limit
-	catchUpWait     = 5 * time.Millisecond   // for sockets to be read before an iteration after a stall: decoding a long list takes several milliseconds
+	catchUpWait     = 5 * time.Millisecond   // for sockets to be read events an iteration after a stall: decoding a long list takes several milliseconds
 	maxCatchUpWaits = 10                     // such waits in a row: what keeps coming after them is no backlog
 	catchUpInterval = 250 * time.Millisecond // between two catch-ups: an overloaded process is not delayed further by them
 )
@@ -79,9 +79,9 @@
 
 // submit hands a task to the event loop and returns false once the coordinator has ended. It blocks while
 // maxQueuedTasks tasks wait. Any goroutine but the event loop's may call it.
-func (loop *eventLoop) submit(do func()) bool {
+func (loop *eventLoop) submit(task func()) bool {
 	select {
-	case loop.tasks <- do:
+	case loop.tasks <- task:
 		return true
 	case <-loop.ctx.Done():
 		return false
@@ -98,7 +98,7 @@
 func (loop *eventLoop) startBalancer() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("the module: %v", r)
+			err = fmt.Errorf("the balancer: %v", r)
 		}
 	}()
 	loop.now = loop.clockTicks()
@@ -122,40 +122,24 @@
 	defer func() {
 		if r := recover(); r != nil {
 			loop.log.Error("fault", "error", fmt.Sprint(r), "stack", string(debug.Stack()))
-			err = fmt.Errorf("fault in a turn: %v", r)
+			err = fmt.Errorf("panic in an iteration of the event loop: %v", r)
 		}
 	}()
 	for {
-		var wake <-chan time.Time
-		switch {
-		case len(loop.events.next) > 0:
+		if len(loop.events.next) > 0 {
 			loop.iterate(nil)
 			continue
-		case loop.timers.queue.Len() > 0:
-			at := loop.timers.queue.timers[0].at
-			wait := at - loop.clockTicks()
-			if wait <= 0 {
-				if first := loop.timers.queue.timers[0]; first == &loop.timers.stall.timer && -wait < int64(stallThreshold/tick) {
-					loop.now = max(loop.now, loop.clockTicks())
-					heap.Pop(&loop.timers.queue)
-					loop.timers.stall.fire(loop) // alone it needs no iteration
-				} else {
-					loop.iterate(nil)
-				}
-				continue
-			}
-			if loop.timers.alarm == nil || at < loop.timers.alarmAt { // an early alarm does no harm: most timers are stopped
-				loop.timers.alarm, loop.timers.alarmAt = loop.Clock.After(time.Duration(wait)*tick), at
-			}
-			wake = loop.timers.alarm
 		}
-		if loop.clients.listenerClosed && len(loop.clients.connections) == 0 && len(loop.searches.byID) == 0 && loop.clients.openFrontends == 0 {
+		if loop.handleOverdueTimer() {
+			continue
+		}
+		if loop.isFinished() {
 			return errAllAnswered
 		}
 		select {
-		case do := <-loop.tasks:
-			loop.iterate(do)
-		case <-wake:
+		case task := <-loop.tasks:
+			loop.iterate(task)
+		case <-loop.setAlarm():
 			loop.timers.alarm = nil
 		case <-loop.ctx.Done():
 			return loop.ctx.Err()
@@ -163,10 +147,51 @@
 	}
 }
 
+// handleOverdueTimer runs an iteration if the first timer is due; false where it is not. The stall detector alone needs
+// no iteration, unless it is late.
+func (loop *eventLoop) handleOverdueTimer() bool {
+	if loop.timers.queue.Len() == 0 {
+		return false
+	}
+	first := loop.timers.queue.timers[0]
+	wait := first.at - loop.clockTicks()
+	if wait > 0 {
+		return false
+	}
+	if first == &loop.timers.stall.timer && -wait < int64(stallThreshold/tick) {
+		loop.now = max(loop.now, loop.clockTicks())
+		heap.Pop(&loop.timers.queue)
+		loop.timers.stall.fire(loop)
+	} else {
+		loop.iterate(nil)
+	}
+	return true
+}
+
+// setAlarm returns the channel that wakes the event loop for its first timer, nil without timers. An alarm that is set
+// already is kept if it comes before that: most timers are stopped, and an early alarm does no harm.
+func (loop *eventLoop) setAlarm() <-chan time.Time {
+	if loop.timers.queue.Len() == 0 {
+		return nil
+	}
+	at := loop.timers.queue.timers[0].at
+	if loop.timers.alarm == nil || at < loop.timers.alarmAt {
+		wait := max(0, at-loop.clockTicks())
+		loop.timers.alarm, loop.timers.alarmAt = loop.Clock.After(time.Duration(wait)*tick), at
+	}
+	return loop.timers.alarm
+}
+
+// isFinished says whether, after a stop, every client has left and every search is answered.
+func (loop *eventLoop) isFinished() bool {
+	clients := &loop.clients
+	return clients.listenerClosed && len(clients.connections) == 0 && clients.openFrontends == 0 && len(loop.searches.byID) == 0
+}
+
 // iterate runs one iteration: deferred events, first where it is not nil, all queued tasks, all timers that are due,
 // and the batches that the balancer has sent.
 func (loop *eventLoop) iterate(first func()) {
-	late := loop.catchUp()
+	hasStalled := loop.catchUp()
 	began := time.Now()
 	defer func() { loop.busyNanos.Add(int64(time.Since(began))) }()
 	loop.now = max(loop.now, loop.clockTicks())
@@ -177,52 +202,62 @@
 	if loop.enforcer != nil {
 		loop.enforcer.beginIteration()
 	}
-	if late {
+	if hasStalled {
 		loop.withdrawGoneClients()
 	}
-	before := loop.events.next
-	loop.events.next, loop.events.spare = loop.events.spare[:0], nil
-	for _, e := range before {
-		if e.task != nil {
-			e.task()
-		} else {
-			loop.recordOutcome(e.attempt, e.outcome, nil)
-		}
-	}
-	clear(before)
-	loop.events.spare = before
+	loop.runDeferredEvents()
 	if first != nil {
 		first()
 	}
 	for n := len(loop.tasks); n > 0; n-- {
 		(<-loop.tasks)()
 	}
+	loop.fireDueTimers()
+	loop.balancer.SetUtilization(float64(loop.searches.heldBytes+loop.searches.unsentBytes.Load()) / loop.searches.memoryLimit)
+	loop.balancer.EndIteration()
+	loop.dispatchBatches()
+}
+
+// runDeferredEvents handles what earlier iterations have deferred to this one.
+func (loop *eventLoop) runDeferredEvents() {
+	events := loop.events.next
+	loop.events.next, loop.events.spare = loop.events.spare[:0], nil
+	for _, event := range events {
+		if event.task != nil {
+			event.task()
+		} else {
+			loop.recordOutcome(event.attempt, event.outcome, nil)
+		}
+	}
+	clear(events)
+	loop.events.spare = events
+}
+
+// fireDueTimers fires the timers that are due at the begin; those that they start wait for the next iteration.
+func (loop *eventLoop) fireDueTimers() {
 	due := loop.timers.due[:0]
 	for loop.timers.queue.Len() > 0 && loop.timers.queue.timers[0].at <= loop.now {
 		due = append(due, heap.Pop(&loop.timers.queue).(*timer))
 	}
-	for _, w := range due {
-		if w.handler != nil { // an earlier one may have stopped it
-			w.handler.fire(loop)
+	for _, dueTimer := range due {
+		if dueTimer.handler != nil { // an earlier one may have stopped it
+			dueTimer.handler.fire(loop)
 		}
 	}
 	clear(due)
 	loop.timers.due = due
-	loop.balancer.SetUtilization(float64(loop.searches.heldBytes+loop.searches.unsentBytes.Load()) / loop.searches.memoryLimit)
-	loop.balancer.EndIteration()
-	loop.dispatchBatches()
 }
 
-// catchUp waits, before an iteration that begins long after a timer was due, until sockets have been read. It handles
+// catchUp waits, events an iteration that begins long after a timer was due, until sockets have been read. It handles
 // a stalled process: what clients, replicas and discovery did meanwhile is still unread while timers are due. Without
 // it, attempts would go out for clients that have left, to draining replicas and beside answers that have arrived.
-func (loop *eventLoop) catchUp() (late bool) {
+func (loop *eventLoop) catchUp() (hasStalled bool) {
 	now := loop.clockTicks()
 	if loop.timers.queue.Len() == 0 || now-loop.timers.queue.timers[0].at < int64(stallThreshold/tick) || now-loop.timers.caughtUpAt < int64(catchUpInterval/tick) {
 		return false
 	}
-	for had, looks := -1, 0; had != len(loop.tasks) && looks < maxCatchUpWaits; looks++ {
-		had = len(loop.tasks)
+	for queued, waits := -1, 0; queued != len(loop.tasks) && waits < maxCatchUpWaits; waits++ {
+		queued = len(loop.tasks)
 		select {
 		case <-loop.Clock.After(catchUpWait):
 		case <-loop.ctx.Done():
@@ -233,8 +268,8 @@
 }
 
 // runNextIteration runs a task at the begin of the next iteration.
-func (loop *eventLoop) runNextIteration(do func()) {
-	loop.events.next = append(loop.events.next, iterationEvent{task: do})
+func (loop *eventLoop) runNextIteration(task func()) {
+	loop.events.next = append(loop.events.next, iterationEvent{task: task})
 }
 
 // deferAttemptOutcome reports an attempt's outcome to the balancer in the next iteration.
@@ -257,8 +292,8 @@
 }
 
 // ProbeReplica reports a failed probe at once, since the protocol has no health check. It implements balancer.Actions.
-func (loop *eventLoop) ProbeReplica(id string) {
-	loop.runNextIteration(func() { loop.balancer.RecordProbeResult(id, "ConnectError", 0, nil) })
+func (loop *eventLoop) ProbeReplica(hostID string) {
+	loop.runNextIteration(func() { loop.balancer.RecordProbeResult(hostID, "ConnectError", 0, nil) })
 }
 
 // LogMessage logs a message of the balancer. It implements balancer.Actions.
--- a/coordinator/event_loop_test.go
+++ b/coordinator/event_loop_test.go
@@ -11,13 +11,13 @@
 // leaves are seen, once it goes on.
 func TestFullTaskQueue(t *testing.T) {
 	r := start(t, 256, nil)
-	r.call().want("first", "all", 200, wholeOfAll)
+	r.connect().expect("first", "all", 200, completeAnswer)
 	gate, in := make(chan struct{}), make(chan struct{})
 	r.loop.submit(func() { close(in); <-gate })
 	<-in
-	var callers []*caller
+	var callers []*testClient
 	for i := range 40 {
-		callers = append(callers, r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
+		callers = append(callers, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
 	}
 	for full := false; !full; {
 		select {
@@ -27,7 +27,7 @@
 		}
 	}
 	for i := range 20 { // behind a queue that is full
-		callers = append(callers, r.call().send(request(fmt.Sprint("p", i), "all", "", fourParts)))
+		callers = append(callers, r.connect().send(request(fmt.Sprint("p", i), "all", "", fourParts)))
 	}
 	for _, c := range callers[:5] {
 		c.Close()
@@ -38,6 +38,6 @@
 		require.NoError(t, err, "%d", i)
 		require.Contains(t, []int{200, 503}, status)
 	}
-	r.eventually("none is left open", func() bool { return r.open() == 0 })
-	r.end()
+	r.eventually("none is left open", func() bool { return r.openClients() == 0 })
+	r.shutDown()
 }
--- a/coordinator/final_answer_test.go
+++ b/coordinator/final_answer_test.go
@@ -11,17 +11,17 @@
 	"chalkring/coordinator/plan"
 )
 
-// oneOut is a search with one sub-request out, its frame at that stage.
-func oneOut(stage int32) (*eventLoop, *replicaConnection, *search) {
+// oneAttemptInFlight is a search with one sub-request out, its frame at that stage.
+func oneAttemptInFlight(stage int32) (*eventLoop, *replicaConnection, *search) {
 	loop := &eventLoop{plan: &plan.Plan{}, searches: searchTable{byID: map[uint64]*search{}, names: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}}, rules: dispatchRules{allowsSecondCopies: true}}
 	conn := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
-	s := &search{id: 1, name: "q"}
-	request := &shardRequest{id: 2, search: s, unreported: 1}
+	current := &search{id: 1, name: "q"}
+	request := &shardRequest{id: 2, search: current, unreported: 1}
 	sub := &attempt{shardRequest: request, name: "q.0", batch: &batch{connection: conn, message: &outboundMessage{}}}
-	sub.batch.attempts, conn.attempts, request.attempts, s.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{request}
-	loop.searches.byID[1], loop.searches.shardRequests[2] = s, request
+	sub.batch.attempts, conn.attempts, request.attempts, current.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{request}
+	loop.searches.byID[1], loop.searches.shardRequests[2] = current, request
 	sub.batch.message.stage.Store(stage)
-	return loop, conn, s
+	return loop, conn, current
 }
 
 // The final answer is not sent before a frame of its search that has been begun is out; one that does not come out
@@ -63,7 +63,7 @@
 // one that is out is not waited for, and its connection stays.
 func TestNothingSentAfterFinalAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
-		loop, conn, search := oneOut(stage)
+		loop, conn, search := oneAttemptInFlight(stage)
 		first := loop.finishSearch(search)
 		require.Equal(t, ends, len(first) == 1, "stage %d", stage)
 		context.AfterFunc(conn.ctx, func() { conn.writerEnded.Store(true) }) // as its writer would
@@ -76,11 +76,11 @@
 // One given up after the answer holds nothing.
 func TestNothingCanceledAfterFinalAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
-		loop, _, search := oneOut(stage)
+		loop, _, search := oneAttemptInFlight(stage)
 		loop.CancelAttempt(2, 0)
 		require.Equal(t, ends, len(loop.finishSearch(search)) == 1, "stage %d", stage)
 
-		loop, _, search = oneOut(stage)
+		loop, _, search = oneAttemptInFlight(stage)
 		loop.finishSearch(search)
 		loop.CancelAttempt(2, 0)
 		require.Empty(t, search.pendingWrites, "stage %d", stage)
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -123,11 +123,11 @@
 	if letter != frame.TypeAnswer && err == nil {
 		err = fmt.Errorf("%w: letter %q", frame.ErrMalformed, letter)
 	}
-	var id, end, score, value []byte
+	var attemptName, end, score, value []byte
 	var report map[string]float64
 	if err == nil {
 		own := bytes.Clone(rest) // the reader's buffer is overwritten by the next frame
-		id, end, score, report, value, err = frame.ParseAnswer(own)
+		attemptName, end, score, report, value, err = frame.ParseAnswer(own)
 	}
 	outcome := frameOutcomes[string(end)]
 	if err == nil && (outcome == "" || outcome == "Ok" && (score == nil || !utf8.Valid(value))) {
@@ -139,7 +139,7 @@
 	}
 	var read any
 	if outcome == "Ok" {
-		if read, err = loop.decoders.decode(id, value); err != nil {
+		if read, err = loop.decoders.decode(attemptName, value); err != nil {
 			outcome = "Failed"
 			loop.log.warnLimited("bad_value", "bad_value", "replica", conn.replica.id, "error", err)
 		}
@@ -147,6 +147,6 @@
 	fits := frame.IsPlausibleReply(src)
 	return func() {
 		conn.closedToNew = conn.closedToNew || !fits // a good answer counts, whatever follows it
-		loop.handleAnswer(conn, id, outcome, score, report, value, read)
+		loop.handleAnswer(conn, attemptName, outcome, score, report, value, read)
 	}, nil
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -135,13 +135,13 @@
 		exchange(t, &out, r.addr, x[0], x[1])
 	}
 	requireGolden(t, "client_errors.golden", out.String())
-	r.end()
+	r.shutDown()
 }
 
 // Before any host is known, the health request gets the bytes of the golden file.
 func TestGoldenHealthWithoutHosts(t *testing.T) {
 	list, ln := script(t), listen(t)
-	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
+	initial, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":0,"servers":[]},"settings":%s}`,
 		ln.Addr(), list.Listener.Addr(), testSettings))
 	require.NoError(t, err)
@@ -149,7 +149,7 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Serve(ctx, p, Options{
+		ended <- Serve(ctx, initial, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
 			Logger: NewLogger(io.Discard, false, slog.LevelInfo),
 		})
@@ -164,7 +164,7 @@
 // searchUnderTest is a search whose decisions the test makes in the decision module's place.
 type searchUnderTest struct {
 	*rig
-	module *puppet
+	module *scriptedBalancer
 	id     uint64
 }
 
@@ -182,7 +182,7 @@
 			})
 			return there
 		})
-		s.module.told("Ok")
+		s.module.expectOutcome("Ok")
 	}
 }
 
@@ -256,7 +256,7 @@
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
 	r.runInLoop(func(loop *eventLoop) { require.Nil(t, loop.searches.byID[id]) })
 	requireGolden(t, "client_responses.golden", out.String())
-	r.end()
+	r.shutDown()
 }
 
 // Searches that a contract refuses get the bytes of the golden file; nothing is normalised.
@@ -271,16 +271,16 @@
 		fmt.Fprintf(&out, "== body\n< %d %q\n", status, body)
 	}
 	requireGolden(t, "contract_errors.golden", out.String())
-	z.end()
+	z.shutDown()
 }
 
 var metricValues = regexp.MustCompile(`(?m) [-+.0-9e]+$`)
 
 // The metrics have the names, labels and help of the golden file: values and Content-Length are replaced by #.
 func TestGoldenMetricsResponse(t *testing.T) {
-	watching := startWatching(t, map[string]string{"Permissions.SecondCopies": "false"})
+	watching := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false"})
 	z := startZoned(t, eastOnly)
-	z.in.SetPolicy(z.standing(eastOnly, math.MaxInt64))
+	z.in.SetPolicy(z.policy(eastOnly, math.MaxInt64))
 	var out strings.Builder
 	for _, r := range []*rig{watching, z.rig} {
 		c := dialRaw(t, r.addr)
@@ -296,6 +296,6 @@
 		fmt.Fprintln(&out, strings.Join(lines, "\n"))
 	}
 	requireGolden(t, "metrics_response.golden", out.String())
-	watching.end()
-	z.end()
+	watching.shutDown()
+	z.shutDown()
 }
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -14,21 +14,21 @@
 
 // metricsWithoutValues reads /metrics and takes the numbers at the lines' ends away.
 func metricsWithoutValues(t *testing.T, r *rig) string {
-	c := r.call()
+	c := r.connect()
 	c.send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
-	status, head, body, _ := c.answer()
+	status, head, body, _ := c.readAnswer()
 	require.Equal(t, http.StatusOK, status)
 	return fmt.Sprintf("content-type: %s\n%s", head["content-type"], regexp.MustCompile(`(?m) [-+0-9.eE]+$`).ReplaceAllString(body, " VALUE"))
 }
 
 // The names, labels and help texts of all metrics of a co-ordinator, in their order.
 func TestGoldenMetrics(t *testing.T) {
-	watching := startWatching(t, map[string]string{"Permissions.SecondCopies": "false"})
+	watching := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false"})
 	text := "shadow settings\n" + metricsWithoutValues(t, watching)
-	watching.end()
+	watching.shutDown()
 	zoned := startZoned(t, eastOnly)
 	text += "residency\n" + metricsWithoutValues(t, zoned.rig)
-	zoned.end()
+	zoned.shutDown()
 	requireGolden(t, "metrics.golden", text)
 }
 
@@ -61,13 +61,13 @@
 	r := start(t, 256, nil)
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	r.logged("how=Partial")
-	r.call().want("a", "all", http.StatusOK, wholeOfAll)
+	r.connect().expect("a", "all", http.StatusOK, completeAnswer)
 	next, err := parsePlan(planOf(t, func(s map[string]any) { s["Added"] = 1 }))
 	require.NoError(t, err)
 	next.Discovery = script(t).Listener.Addr().String()
 	r.plans <- next
 	r.logged("waits_for_restart=")
-	r.end()
+	r.shutDown()
 	served := map[string]bool{"serving": true, "stopped": true, "list": true, "reloaded": true}
 	var kept []string
 	for _, line := range strings.Split(r.log.String(), "\n") {
@@ -78,11 +78,11 @@
 	text := "service\n" + eventKeys(strings.Join(kept, "\n"))
 
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
-	status, _ := z.as("acme", "acme1", "all")
+	status, _ := z.searchAs("acme", "acme1", "all")
 	require.Equal(t, http.StatusUnavailableForLegalReasons, status)
 	z.logged("event=residency_refused")
-	z.in.SetPolicy(z.standing(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
-	z.end()
+	z.in.SetPolicy(z.policy(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
+	z.shutDown()
 	kept = nil
 	for _, line := range strings.Split(z.log.String(), "\n") {
 		if strings.Contains(line, "event=residency_refused") {
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -66,26 +66,26 @@
 	module := r.puppet()
 	held := make(chan asked, 1)
 	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
-	c := r.call().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
+	c := r.connect().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
 	ids := <-module.searches
 	r.runInLoop(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
 	<-held
 	r.runInLoop(func(loop *eventLoop) { loop.CancelAttempt(ids[1], 0) })
 	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Observed(); return len(given) == 1 })
 	r.runInLoop(func(loop *eventLoop) { loop.FailSearch(ids[0]) })
-	c.answer()
+	c.readAnswer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
 	requireGolden(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
-	r.end()
+	r.shutDown()
 }
 
 // callOf is one call with shard requests of a search, which has so many tenths of a millisecond left.
 func callOf(addr string, left int64, parts ...*shardRequest) *batch {
-	c := &batch{connection: &replicaConnection{replica: &replica{id: "h", addr: addr}}}
+	current := &batch{connection: &replicaConnection{replica: &replica{id: "h", addr: addr}}}
 	for _, request := range parts {
-		c.attempts = append(c.attempts, &attempt{shardRequest: request, name: string(request.appendName(nil)), deadline: 1000 + left})
+		current.attempts = append(current.attempts, &attempt{shardRequest: request, name: string(request.appendName(nil)), deadline: 1000 + left})
 	}
-	return c
+	return current
 }
 
 // Calls in both wire protocols have the bytes of the golden file: a shard, two shards, second steps, and searches that have no
@@ -153,7 +153,7 @@
 		fmt.Fprintf(&out, "%q\n", text)
 	}
 	requireGolden(t, "discovery_requests.golden", out.String())
-	r.end()
+	r.shutDown()
 }
 
 // toldEntries stands in the decision module's place and keeps what it is told of lists.
@@ -172,13 +172,13 @@
 
 // Lists from discovery are read as the golden file says: each body, then what the decision module is told and where hosts are.
 func TestGoldenListsRead(t *testing.T) {
-	p, err := parsePlan(planOf(t, func(map[string]any) {}))
+	initial, err := parsePlan(planOf(t, func(map[string]any) {}))
 	require.NoError(t, err)
 	bodies, err := os.ReadFile("testdata/lists_in.golden")
 	require.NoError(t, err)
 	var out strings.Builder
 	loop := &eventLoop{
-		plan: p, replicas: replicaTable{byID: map[string]*replica{}}, balancer: toldEntries{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
+		plan: initial, replicas: replicaTable{byID: map[string]*replica{}}, balancer: toldEntries{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
 		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: timerSet{balancer: map[uint64]*balancerTimer{}},
 	}
 	for body := range strings.Lines(string(bodies)) {
@@ -203,9 +203,9 @@
 		}
 		loop.applyEndpointList(how, list)
 		var known []string
-		for id, r := range loop.replicas.byID {
-			_, speaksAPI := r.protocol.(openSearchProtocol)
-			known = append(known, fmt.Sprintf("%s=%s,api=%t,closed=%t", id, r.addr, speaksAPI, r.closedToNew))
+		for hostID, current := range loop.replicas.byID {
+			_, speaksAPI := current.protocol.(openSearchProtocol)
+			known = append(known, fmt.Sprintf("%s=%s,api=%t,closed=%t", hostID, current.addr, speaksAPI, current.closedToNew))
 		}
 		slices.Sort(known)
 		fmt.Fprintf(&out, "  version %g fleet %s\n", list.Version, strings.Join(known, " "))
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -92,26 +92,26 @@
 }
 
 func openGoldenKeep(t *testing.T, path string) *Persistence {
-	k := newPersistence(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
-	t.Cleanup(k.Close)
-	_, err := k.WaitForStore(t.Context())
+	persistence := newPersistence(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
+	t.Cleanup(persistence.Close)
+	_, err := persistence.WaitForStore(t.Context())
 	require.NoError(t, err)
-	return k
+	return persistence
 }
 
 // writeGoldenKeep makes a store as a run with a planned stop leaves it.
 func writeGoldenKeep(t *testing.T, path string) {
-	k := openGoldenKeep(t, path)
+	persistence := openGoldenKeep(t, path)
 	puts := map[string][]byte{}
 	for key, v := range map[string]any{"list": goldenList(), "notes": goldenNotes(), "starts": recovery.StartRecord{}.RecordPlannedStop()} {
 		text, err := cbor.Marshal(v)
 		require.NoError(t, err)
 		puts[key] = text
 	}
-	require.NoError(t, k.store.Put(t.Context(), "kept", puts, nil))
-	k.RecordEvent("stop", "planned")
-	require.NoError(t, k.flushEvents(t.Context()))
-	k.Close()
+	require.NoError(t, persistence.store.Put(t.Context(), "kept", puts, nil))
+	persistence.RecordEvent("stop", "planned")
+	require.NoError(t, persistence.flushEvents(t.Context()))
+	persistence.Close()
 }
 
 // A store file that an earlier build has written is believed: its list, observations and events are there.
@@ -128,16 +128,16 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "kept.db")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	k := openGoldenKeep(t, path)
-	require.Empty(t, k.restored.Discarded)
-	require.NotNil(t, k.restored.Update)
-	require.Equal(t, goldenList().Hosts, k.restored.Update.Hosts)
-	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, k.restored.Update.Removals)
-	require.NotNil(t, k.restored.Observations)
-	require.Equal(t, goldenNotes().Entries, k.restored.Observations.Entries)
-	require.NoError(t, k.flushEvents(t.Context()))
+	persistence := openGoldenKeep(t, path)
+	require.Empty(t, persistence.restored.Discarded)
+	require.NotNil(t, persistence.restored.Update)
+	require.Equal(t, goldenList().Hosts, persistence.restored.Update.Hosts)
+	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, persistence.restored.Update.Removals)
+	require.NotNil(t, persistence.restored.Observations)
+	require.Equal(t, goldenNotes().Entries, persistence.restored.Observations.Entries)
+	require.NoError(t, persistence.flushEvents(t.Context()))
 	var events []store.Event
-	require.NoError(t, k.events.ForEach(0, "", func(event store.Event) bool { events = append(events, event); return true }))
+	require.NoError(t, persistence.events.ForEach(0, "", func(event store.Event) bool { events = append(events, event); return true }))
 	require.Equal(t, []store.Event{
 		{Sequence: 0, UnixMs: goldenNow, Kind: "start", Message: "believes all: 0 hosts listed, notes of 0"},
 		{Sequence: 1, UnixMs: goldenNow, Kind: "stop", Message: "planned"},
@@ -147,11 +147,11 @@
 
 // A start writes these bytes under bucket kept, and its event under bucket events.
 func TestGoldenCoordinatorStart(t *testing.T) {
-	k := openGoldenKeep(t, filepath.Join(t.TempDir(), "kept.db"))
-	require.NoError(t, k.flushEvents(t.Context()))
+	persistence := openGoldenKeep(t, filepath.Join(t.TempDir(), "kept.db"))
+	require.NoError(t, persistence.flushEvents(t.Context()))
 	for bucket, keys := range map[string][]string{"kept": {"starts", "whose"}, "events": {"00000000", "next"}} {
 		var got []string
-		require.NoError(t, k.store.Load(bucket, func(key string, value []byte) error {
+		require.NoError(t, persistence.store.Load(bucket, func(key string, value []byte) error {
 			got = append(got, key)
 			want := storedGolden(t, bucket+"-"+key+".hex", value)
 			require.Equal(t, hex.EncodeToString(want), hex.EncodeToString(value), "%s %s", bucket, key)
@@ -159,12 +159,12 @@
 		}))
 		require.Equal(t, keys, got, bucket)
 	}
-	whose, found, err := k.store.Get("kept", "whose")
+	whose, found, err := persistence.store.Get("kept", "whose")
 	require.NoError(t, err)
 	require.True(t, found)
 	var text string
 	require.NoError(t, cbor.Unmarshal(whose, &text))
-	require.Equal(t, k.identity, text)
+	require.Equal(t, persistence.identity, text)
 }
 
 // A running coordinator writes its list and observations under these keys, in these forms, and a planned stop ends the
@@ -172,11 +172,11 @@
 func TestGoldenCoordinatorBucketOfARun(t *testing.T) {
 	first := start(t, 256, nil)
 	path := filepath.Join(t.TempDir(), "kept.db")
-	r := first.keeping(path, store.Options{})
+	r := first.restartWithStore(path, store.Options{})
 	r.logged("event=store ")
 	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
-	r.eventually("b1 is off", func() bool { return r.inForce() == "a0 a1 b0 " })
-	r.end()
+	r.eventually("b1 is off", func() bool { return r.hostsInForce() == "a0 a1 b0 " })
+	r.shutDown()
 	s, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
--- a/coordinator/keyed_requests_test.go
+++ b/coordinator/keyed_requests_test.go
@@ -14,11 +14,11 @@
 	"chalkring/internal/fake"
 )
 
-const remembers = 400 * time.Millisecond // how long a host drops a repeat
+const repeatMemory = 400 * time.Millisecond // how long a host drops a repeat
 
-// doers are hosts that write down what took effect. Holders of a cell tell each other what came; each drops a repeat
+// effectRecorder are hosts that write down what took effect. Holders of a cell tell each other what came; each drops a repeat
 // while it remembers, and has forgotten once it started again. What became of a part is drawn.
-type doers struct {
+type effectRecorder struct {
 	mu                sync.Mutex
 	chance            *rand.Rand
 	effects           map[string]int
@@ -27,7 +27,7 @@
 	repeats, restarts int
 }
 
-func (d *doers) restart(h *fake.Host) {
+func (d *effectRecorder) restart(h *fake.Host) {
 	for _, conn := range h.CloseConnections() {
 		d.ended[conn] = true
 	}
@@ -35,8 +35,8 @@
 	d.restarts++
 }
 
-// take is what a host does with a part.
-func (d *doers) take(h *fake.Host, p asked) {
+// handle is what a host does with a part.
+func (d *effectRecorder) handle(h *fake.Host, p asked) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	draw := d.chance.Intn(10_000)
@@ -56,7 +56,7 @@
 	}
 	came, known := d.memory[h][p.ID]
 	d.repeats += min(1, d.effects[p.ID])
-	if keyed := strings.HasPrefix(p.ID, "k"); !keyed || !known || time.Since(came) > remembers {
+	if keyed := strings.HasPrefix(p.ID, "k"); !keyed || !known || time.Since(came) > repeatMemory {
 		d.effects[p.ID]++
 		for other := range d.memory {
 			if keyed && other.Cell == h.Cell {
@@ -93,7 +93,7 @@
 		of["NeedByClass"], of["ClassFloor"], of["FollowUp"] = []any{1.0, 1.0}, []any{1.0, 1.0}, []any{0, 0}
 		may["SecondCopies"], may["MaxAttempts"], may["DialTimeout"] = false, 4, 250.0
 	})
-	d := &doers{
+	d := &effectRecorder{
 		chance: rand.New(rand.NewSource(32)), effects: map[string]int{}, ended: map[net.Conn]bool{},
 		memory: map[*fake.Host]map[string]time.Time{},
 	}
@@ -101,14 +101,14 @@
 		d.memory[h] = map[string]time.Time{}
 	}
 	for _, h := range r.replicas {
-		h.SetHandler(func(p asked) { d.take(h, p) })
+		h.SetHandler(func(p asked) { d.handle(h, p) })
 	}
 	var g sync.WaitGroup
 	status := make([]map[int]int, callers)
 	for i := range callers {
 		status[i] = map[int]int{}
 		g.Go(func() {
-			c := r.call()
+			c := r.connect()
 			for k := range searches / callers {
 				class, name := "hold", "k"
 				if k%3 == 0 {
@@ -116,15 +116,15 @@
 				}
 				text := request(fmt.Sprintf("%s%d-%d", name, i, k), class, "", fourParts)
 				c.send(strings.Replace(text, "X-Deadline: 8.000", "X-Deadline: 0.600", 1))
-				got, _, _, keep := c.answer()
+				got, _, _, keep := c.readAnswer()
 				if status[i][got]++; !keep {
-					c = r.call()
+					c = r.connect()
 				}
 			}
 		})
 	}
 	g.Wait()
-	r.end()
+	r.shutDown()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	total := map[int]int{}
@@ -134,8 +134,8 @@
 		}
 	}
 	t.Log("answers", total, "parts", len(d.effects), "repeats", d.repeats, "restarts", d.restarts)
-	for id, n := range d.effects {
-		require.Equal(t, 1, n, "effects of %s", id)
+	for hostID, n := range d.effects {
+		require.Equal(t, 1, n, "effects of %s", hostID)
 	}
 	// how many of each there are is the machine's load's; without one the test would show nothing
 	require.Positive(t, total[200])
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -27,8 +27,8 @@
 	"chalkring/internal/http1"
 )
 
-// agent is discovery whose calls fail as they are told to, one after another; those after them are answered well.
-type agent struct {
+// discoveryAgent is discovery whose calls fail as they are told to, one after another; those after them are answered well.
+type discoveryAgent struct {
 	ln    net.Listener
 	calls chan string // targets, as they come
 
@@ -39,8 +39,8 @@
 	faults  []string
 }
 
-func newAgent(t *testing.T, faults ...string) *agent {
-	a := &agent{ln: listen(t), calls: make(chan string, 64), version: 1, changed: make(chan struct{}), faults: faults}
+func newDiscoveryAgent(t *testing.T, faults ...string) *discoveryAgent {
+	a := &discoveryAgent{ln: listen(t), calls: make(chan string, 64), version: 1, changed: make(chan struct{}), faults: faults}
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	t.Cleanup(func() {
@@ -63,7 +63,7 @@
 	return a
 }
 
-func (a *agent) serve(conn net.Conn, done chan struct{}) {
+func (a *discoveryAgent) serve(conn net.Conn, done chan struct{}) {
 	defer conn.Close()
 	rd := http1.NewReader(conn, make([]byte, 16<<10))
 	for {
@@ -132,8 +132,8 @@
 	}
 }
 
-// tell changes the list.
-func (a *agent) tell(entries []fake.Endpoint) time.Time {
+// setList changes the list.
+func (a *discoveryAgent) setList(entries []fake.Endpoint) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version, a.entries = a.version+1, entries
@@ -170,7 +170,7 @@
 		"a pushed list, none open for some time":     {slices.Repeat([]string{"lost"}, 5), 5, "automatic", missed, 0},
 		"a pushed list, over a watch that is silent": {[]string{"silent"}, 1, "automatic", afterWait, 0},
 	} {
-		a := newAgent(t, x.faults...)
+		a := newDiscoveryAgent(t, x.faults...)
 		r := process(t, func(s *fleet.Config) {
 			s.DiscoveryAddress, s.Settings = a.ln.Addr().String(), fleet.DefaultSettings(1, []string{"z"})
 			s.Settings["Discovery"] = x.by
@@ -184,7 +184,7 @@
 				}
 			}
 			time.Sleep(x.pending)
-			changed := a.tell(r.Endpoints("n"))
+			changed := a.setList(r.Endpoints("n"))
 			if err := r.WaitLogged(ctx, "n", "how=Complete version=2", 1); err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
@@ -203,16 +203,16 @@
 // moved it to another agent, whose first call fell silent and whose versions begin again.
 func TestListDelayAtStartAndAfterReload(t *testing.T) {
 	t.Parallel()
-	a, next := newAgent(t), newAgent(t, "silent")
+	a, next := newDiscoveryAgent(t), newDiscoveryAgent(t, "silent")
 	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
 	for range 3 { // versions there are ahead of the other agent's
-		a.tell(r.Endpoints("n"))
+		a.setList(r.Endpoints("n"))
 	}
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=4", 1))
 	require.NoError(t, r.Kill(ctx, "n"))
-	a.tell(r.Endpoints("n"))
+	a.setList(r.Endpoints("n"))
 	require.NoError(t, r.Start(ctx, "n"))
 	began := time.Now()
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=5", 1))
@@ -226,45 +226,45 @@
 	t.Logf("the new agent's list is told %v after SIGHUP", time.Since(hup).Round(time.Millisecond))
 	require.Less(t, time.Since(hup), 6*time.Second)
 	time.Sleep(4*time.Second - time.Since(hup))
-	changed := next.tell(r.Endpoints("n"))
+	changed := next.setList(r.Endpoints("n"))
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=2", 1))
 	require.Less(t, time.Since(changed), time.Second)
 }
 
-// handClock moves when a test says so.
-type handClock struct {
+// manualClock moves when a test says so.
+type manualClock struct {
 	mu    sync.Mutex
 	now   time.Time
-	waits []handWait
+	waits []manualWait
 }
 
-type handWait struct {
+type manualWait struct {
 	at time.Time
 	c  chan time.Time
 }
 
-func (h *handClock) Now() time.Time {
+func (h *manualClock) Now() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.now
 }
 
-func (h *handClock) After(d time.Duration) <-chan time.Time {
+func (h *manualClock) After(d time.Duration) <-chan time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := make(chan time.Time, 1)
-	h.waits = append(h.waits, handWait{h.now.Add(d), c})
+	h.waits = append(h.waits, manualWait{h.now.Add(d), c})
 	return c
 }
 
 // waiting counts those that wait; next wakes the first of them.
-func (h *handClock) waiting() int {
+func (h *manualClock) waiting() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.waits)
 }
 
-func (h *handClock) next() {
+func (h *manualClock) next() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	i := 0
@@ -279,15 +279,15 @@
 	w.c <- h.now
 }
 
-// asksAgain is a module that asks again as the real one does after failures.
-type asksAgain struct {
+// pollingBalancer is a module that asks again as the real one does after failures.
+type pollingBalancer struct {
 	balancer.Balancer
 	o      *eventLoop
 	chance *rand.Rand
 	wait   time.Duration
 }
 
-func (m *asksAgain) CommitEndpoints(string, int64) {
+func (m *pollingBalancer) CommitEndpoints(string, int64) {
 	wait := m.o.Clock.After(m.wait + time.Duration(m.chance.Int63n(int64(m.wait/4))))
 	m.wait = min(2*m.wait, 3*time.Second)
 	go func() {
@@ -304,16 +304,16 @@
 func TestCoordinatorsSpreadCallsAfterLoss(t *testing.T) {
 	for _, by := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
-			clock := &handClock{now: time.Unix(1_700_000_000, 0)}
+			clock := &manualClock{now: time.Unix(1_700_000_000, 0)}
 			ctx, cancel := context.WithCancel(context.Background())
 			var mu sync.Mutex
 			dials := map[int][]time.Duration{}
 			began := clock.Now()
 			var all errgroup.Group
 			for i := range n {
-				g, work := errgroup.WithContext(ctx)
+				group, work := errgroup.WithContext(ctx)
 				loop := &eventLoop{
-					group: g, ctx: work, discovery: discoveryRequests{polls: make(chan struct{}, 1), moves: make(chan string)}, tasks: make(chan func(), maxQueuedTasks),
+					group: group, ctx: work, discovery: discoveryRequests{polls: make(chan struct{}, 1), moves: make(chan string)}, tasks: make(chan func(), maxQueuedTasks),
 					log: newAsyncLogger(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
 						"Discovery": by,
 						"Balancers": fmt.Sprint(n),
@@ -325,9 +325,9 @@
 					dials[i] = append(dials[i], clock.Now().Sub(began))
 					return nil, syscall.ECONNREFUSED
 				}}
-				loop.balancer = &asksAgain{o: loop, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
+				loop.balancer = &pollingBalancer{o: loop, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
 				loop.discovery.polls <- struct{}{}
-				g.Go(func() error {
+				group.Go(func() error {
 					for {
 						select {
 						case do := <-loop.tasks:
@@ -337,8 +337,8 @@
 						}
 					}
 				})
-				g.Go(loop.followDiscovery)
-				all.Go(g.Wait)
+				group.Go(loop.followDiscovery)
+				all.Go(group.Wait)
 			}
 			for clock.Now().Sub(began) < 12*time.Second {
 				require.Eventually(t, func() bool { return clock.waiting() == n }, patience, 50*time.Microsecond)
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -12,7 +12,7 @@
 
 // NewLogger returns a logger that writes lines of key=value text, or JSON objects: time, level, event and the event's
 // attributes.
-func NewLogger(to io.Writer, json bool, least slog.Level) *slog.Logger {
+func NewLogger(output io.Writer, json bool, least slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: least, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.MessageKey {
 			a.Key = "event"
@@ -20,9 +20,9 @@
 		return a
 	}}
 	if json {
-		return slog.New(slog.NewJSONHandler(to, opts))
+		return slog.New(slog.NewJSONHandler(output, opts))
 	}
-	return slog.New(slog.NewTextHandler(to, opts))
+	return slog.New(slog.NewTextHandler(output, opts))
 }
 
 // stallGuardWriter writes on a goroutine of its own and waits for it only so long.
@@ -43,15 +43,15 @@
 // NewStallGuardWriter returns a writer to a file that may be read late or never, such as a pipe. What is not taken
 // within logWriteTimeout is given up with an error, and so is, at once, all that follows until it is taken. Without
 // it, a process whose output nobody reads could neither end nor reload. A Write that returns no error is complete.
-func NewStallGuardWriter(to io.Writer) io.Writer {
-	u := &stallGuardWriter{writes: make(chan []byte), done: make(chan writeResult, 1)}
+func NewStallGuardWriter(output io.Writer) io.Writer {
+	writer := &stallGuardWriter{writes: make(chan []byte), done: make(chan writeResult, 1)}
 	go func() {
-		for text := range u.writes {
-			_, err := to.Write(text)
-			u.done <- writeResult{err}
+		for text := range writer.writes {
+			_, err := output.Write(text)
+			writer.done <- writeResult{err}
 		}
 	}()
-	return u
+	return writer
 }
 
 // Write implements io.Writer.
--- a/coordinator/logging_test.go
+++ b/coordinator/logging_test.go
@@ -13,7 +13,7 @@
 
 // A log whose reader has gone ends nothing: the process goes on to serve, and ends as it is told to.
 func TestClosedLogReader(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	rd, wr, err := os.Pipe()
 	require.NoError(t, err)
 	l.start(wr)
@@ -24,12 +24,12 @@
 	time.Sleep(200 * time.Millisecond)
 	l.served("a")
 	l.signal(syscall.SIGTERM)
-	l.over(0)
+	l.waitForExit(0)
 }
 
 // A log that nobody reads holds up neither the start, nor new plans, nor the end.
 func TestStalledLogReader(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	rd, wr, err := os.Pipe()
 	require.NoError(t, err)
 	defer rd.Close()
@@ -50,5 +50,5 @@
 	time.Sleep(100 * time.Millisecond)
 	l.served("a")
 	l.signal(syscall.SIGTERM)
-	l.over(0)
+	l.waitForExit(0)
 }
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -86,11 +86,11 @@
 func (l *messageConn) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
 	wrote func(*outboundMessage) error,
 ) connectionEndError {
-	g, ctx := errgroup.WithContext(l.ctx)
+	group, ctx := errgroup.WithContext(l.ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
-	g.Go(func() error { return l.log.recoverPanic(func() error { return read(ctx) }) })
+	group.Go(func() error { return l.log.recoverPanic(func() error { return read(ctx) }) })
 	write := func() error {
 		var together []*outboundMessage
 		defer l.writerEnded.Store(true)
@@ -109,8 +109,8 @@
 			}
 		}
 	}
-	g.Go(func() error { return l.log.recoverPanic(write) })
-	err := g.Wait()
+	group.Go(func() error { return l.log.recoverPanic(write) })
+	err := group.Wait()
 	if cause := context.Cause(l.ctx); cause != nil {
 		err = cause // this side ended it, which made reads and writes fail
 	}
--- a/coordinator/metrics.go
+++ b/coordinator/metrics.go
@@ -13,14 +13,14 @@
 
 // metricsBody returns the response to /metrics.
 func (loop *eventLoop) metricsBody() []byte {
-	var b bytes.Buffer
+	var body bytes.Buffer
 	if loop.shadowCounts != nil {
-		b.Write(shadowMetrics(loop.shadowCounts))
+		body.Write(shadowMetrics(loop.shadowCounts))
 	}
 	if loop.enforcer != nil {
-		loop.enforcer.guard.writeMetrics(&b)
+		loop.enforcer.guard.writeMetrics(&body)
 	}
-	return b.Bytes()
+	return body.Bytes()
 }
 
 // logShadowCounts logs, each shadowLogInterval, what the shadow settings would have decided otherwise, if that has
@@ -28,22 +28,22 @@
 func (loop *eventLoop) logShadowCounts(last int64) {
 	if n := loop.shadowCounts.Total(); n != last {
 		last = n
-		var v []any
+		var attrs []any
 		for kind, name := range shadow.KindNames {
-			v = append(v, name, loop.shadowCounts[kind].Load())
+			attrs = append(attrs, name, loop.shadowCounts[kind].Load())
 		}
-		loop.log.Info("shadow", v...)
+		loop.log.Info("shadow", attrs...)
 	}
 	loop.runAfter(int64(shadowLogInterval/tick), func() { loop.logShadowCounts(last) })
 }
 
 // shadowMetrics returns the same counts in the Prometheus text form.
 func shadowMetrics(counts *shadow.DivergenceCounts) []byte {
-	var b strings.Builder
-	b.WriteString("# HELP chalkring_shadow_differs_total Decisions that the shadow settings would have made otherwise.\n" +
+	var text strings.Builder
+	text.WriteString("# HELP chalkring_shadow_differs_total Decisions that the shadow settings would have made otherwise.\n" +
 		"# TYPE chalkring_shadow_differs_total counter\n")
 	for kind, name := range shadow.KindNames {
-		fmt.Fprintf(&b, "chalkring_shadow_differs_total{kind=%q} %d\n", name, counts[kind].Load())
+		fmt.Fprintf(&text, "chalkring_shadow_differs_total{kind=%q} %d\n", name, counts[kind].Load())
 	}
-	return []byte(b.String())
+	return []byte(text.String())
 }
--- a/coordinator/panic_test.go
+++ b/coordinator/panic_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// spoilt is a connection on which reading brings out a fault, once it is told at which address: here or there.
-type spoilt struct {
+// panickingConn is a connection on which reading brings out a fault, once it is told at which address: here or there.
+type panickingConn struct {
 	net.Conn
 	at *atomic.Pointer[map[string]bool]
 }
 
-func (s *spoilt) Read(p []byte) (int, error) {
+func (s *panickingConn) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if at := s.at.Load(); at != nil && (*at)[s.RemoteAddr().String()] {
 		panic("a fault that these bytes bring out")
@@ -27,14 +27,14 @@
 func TestPanicEndsOneClientConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
 	r := start(t, 256, nil)
-	call, end := r.piped()
-	bad := call(func(conn net.Conn) net.Conn { return &spoilt{conn, &at} })
-	bad.want("before", "all", 200, wholeOfAll)
+	call, end := r.startPiped()
+	bad := call(func(conn net.Conn) net.Conn { return &panickingConn{conn, &at} })
+	bad.expect("before", "all", 200, completeAnswer)
 	at.Store(&map[string]bool{"pipe": true})
 	go bad.Write([]byte(request("bad", "all", "", fourParts)))
 	_, err := bad.Read(make([]byte, 1))
 	require.Error(t, err)
-	call(nil).want("after", "all", 200, wholeOfAll)
+	call(nil).expect("after", "all", 200, completeAnswer)
 	r.logged("event=connection_fault")
 	r.logged("end=faulty")
 	end()
@@ -48,32 +48,32 @@
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := own(ctx, network, addr)
 			if err == nil {
-				conn = &spoilt{conn, &at}
+				conn = &panickingConn{conn, &at}
 			}
 			return conn, err
 		}
 	})
-	c := r.call()
-	c.want("before", "all", 200, wholeOfAll)
+	c := r.connect()
+	c.expect("before", "all", 200, completeAnswer)
 	hosts := map[string]bool{}
 	for _, h := range r.replicas {
 		hosts[h.Listener.Addr().String()] = true
 	}
 	at.Store(&hosts)
 	c.send(request("while", "all", "", fourParts))
-	status, _, _, _ := c.answer()
+	status, _, _, _ := c.readAnswer()
 	require.Contains(t, []int{500, 503}, status, "no part's answer can be read")
 	at.Store(nil)
 	r.logged("event=connection_fault")
 	r.eventually("searches are served again", func() bool {
 		c.send(request("after", "all", "", fourParts))
-		status, _, _, _ = c.answer()
+		status, _, _, _ = c.readAnswer()
 		return status == 200
 	})
 	at.Store(&map[string]bool{r.plan.Discovery: true})
 	r.list.Responses <- `{"version":9,"full":false,"servers":[]}`
 	r.logged("event=list_failed")
 	at.Store(nil)
-	c.want("last", "all", 200, wholeOfAll)
-	r.end()
+	c.expect("last", "all", 200, completeAnswer)
+	r.shutDown()
 }
--- a/coordinator/peer_reports.go
+++ b/coordinator/peer_reports.go
@@ -16,12 +16,12 @@
 	l.importMu.Lock()
 	defer l.importMu.Unlock()
 	l.mu.Lock()
-	heard := l.reports.Combine(l.loop.clockTicks(), func(host string) (int64, bool) {
+	combined := l.reports.Combine(l.loop.clockTicks(), func(host string) (int64, bool) {
 		ms, listed := l.startedMS[host]
 		return ms, listed
 	})
 	l.mu.Unlock()
-	for part := range slices.Chunk(heard, peerreport.MaxChunkObservations) {
+	for part := range slices.Chunk(combined, peerreport.MaxChunkObservations) {
 		if l.runInLoop(func() {
 			for _, h := range part {
 				l.loop.balancer.ImportObservation(h)
@@ -30,7 +30,7 @@
 			break
 		}
 	}
-	return len(heard)
+	return len(combined)
 }
 
 // runInLoop runs a task on the event loop and returns once it is done.
@@ -53,8 +53,8 @@
 	l.mu.Lock()
 	now, moved := l.loop.clockTicks(), false
 	present := map[string]bool{}
-	move := func(id string) {
-		l.reports.InvalidateHost(now, id)
+	move := func(hostID string) {
+		l.reports.InvalidateHost(now, hostID)
 		moved = true
 	}
 	for _, host := range hosts {
@@ -73,11 +73,11 @@
 		l.startedMS[host.ID], l.addrs[host.ID] = host.StartedMS, host.Addr
 	}
 	if full {
-		for id := range l.startedMS {
-			if !present[id] {
-				delete(l.startedMS, id)
-				delete(l.addrs, id)
-				move(id)
+		for hostID := range l.startedMS {
+			if !present[hostID] {
+				delete(l.startedMS, hostID)
+				delete(l.addrs, hostID)
+				move(hostID)
 			}
 		}
 	}
@@ -124,12 +124,14 @@
 func (l *peerExchange) takeSnapshot(ctx context.Context) error {
 	l.snapshotSerial++
 	for {
-		t := peerreport.NewReportBuilder(l.loop.clockTicks(), l.options.Name, l.options.Location, l.snapshotSerial, l.listVersion.Load(), l.zones)
+		builder := peerreport.NewReportBuilder(l.loop.clockTicks(), l.options.Name, l.options.Location, l.snapshotSerial, l.listVersion.Load(), l.zones)
 		for from := 0; ; {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err := l.runInLoop(func() { from = l.loop.balancer.ExportObservations(from, peerreport.MaxChunkObservations, t.AddBelief) }); err != nil {
+			if err := l.runInLoop(func() {
+				from = l.loop.balancer.ExportObservations(from, peerreport.MaxChunkObservations, builder.AddBelief)
+			}); err != nil {
 				return err
 			}
 			if from == 0 {
@@ -137,13 +139,13 @@
 			}
 		}
 		l.mu.Lock()
-		again := t.ListChanged(l.listVersion.Load()) && l.admission.AllowSnapshotRetake()
+		again := builder.ListChanged(l.listVersion.Load()) && l.admission.AllowSnapshotRetake()
 		if !again {
-			l.admission.RecordSnapshot(l.loop.clockTicks() - t.AgeAt(l.loop.clockTicks()))
+			l.admission.RecordSnapshot(l.loop.clockTicks() - builder.AgeAt(l.loop.clockTicks()))
 		}
 		l.mu.Unlock()
 		if !again {
-			l.snapshot = t
+			l.snapshot = builder
 			return nil
 		}
 	}
@@ -153,8 +155,8 @@
 func (l *peerExchange) spendAnswerBudget(ctx context.Context, bytes int, cpu time.Duration) error {
 	done := make(chan error, 1)
 	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: answerJobKind, Priority: scheduler.PriorityNormal, MaxFailures: 1},
-		func(ctx context.Context, a *scheduler.Allowance) error {
-			done <- a.Spend(ctx, bytes, cpu)
+		func(ctx context.Context, allowance *scheduler.Allowance) error {
+			done <- allowance.Spend(ctx, bytes, cpu)
 			return nil
 		})
 	if err != nil {
@@ -174,20 +176,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.loop.clockTicks()
-	s := peerprotocol.Status{
+	status := peerprotocol.Status{
 		Name: l.options.Name, Locality: l.options.Location, UptimeMs: uint64(l.loop.Clock.Now().Sub(l.loop.startedAt).Milliseconds()),
 		ListVersion: l.listVersion.Load(), HostCount: uint32(len(l.startedMS)), ReportsServed: uint32(l.admission.Admitted), ReportsDeferred: uint32(l.admission.Deferred),
 		LoadPermille: uint16(1000 * min(1, max(load, l.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), HeldJobs: uint32(counts.Deferred),
 	}
-	for _, p := range l.poller.Statuses(now) {
-		one := peerprotocol.PeerStatus{Name: p.Name, ReportCount: uint32(p.ReportCount)}
-		if p.LastOutcomeAt > 0 {
-			one.LastOutcome, one.LastOutcomeAgoMs = p.LastOutcome.String(), uint64((now-p.LastOutcomeAt)/10)
+	for _, peer := range l.poller.Statuses(now) {
+		one := peerprotocol.PeerStatus{Name: peer.Name, ReportCount: uint32(peer.ReportCount)}
+		if peer.LastOutcomeAt > 0 {
+			one.LastOutcome, one.LastOutcomeAgoMs = peer.LastOutcome.String(), uint64((now-peer.LastOutcomeAt)/10)
 		}
-		if p.NextPollAt > now {
-			one.NextPollInMs = uint64((p.NextPollAt - now) / 10)
+		if peer.NextPollAt > now {
+			one.NextPollInMs = uint64((peer.NextPollAt - now) / 10)
 		}
-		s.Peers = append(s.Peers, one)
+		status.Peers = append(status.Peers, one)
 	}
-	return s, nil
+	return status, nil
 }
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	loadSampleInterval = 100 * time.Millisecond // between looks at the owner's load: several within the plan's memory of it
-	pollJobTimeout     = 12 * time.Second       // for an asking to start and end: a little over the peer's own bound
+	loadSampleInterval = 100 * time.Millisecond // between samples of the load: several within the memory of the schedule
+	pollJobTimeout     = 12 * time.Second       // for a poll to start and end: a little over the peer's own bound
 	pollJobKind        = "ask"
 	pollJobPrefix      = "ask "
 	answerJobKind      = "answer"
@@ -66,30 +66,30 @@
 }
 
 // newPeerExchange returns an exchange that has not started.
-func newPeerExchange(loop *eventLoop, p *PeerOptions) *peerExchange {
+func newPeerExchange(loop *eventLoop, options *PeerOptions) *peerExchange {
 	now, name := loop.clockTicks(), loop.plan.Name
-	if p.Name == "" {
-		p.Name = name
+	if options.Name == "" {
+		options.Name = name
 	}
-	l := &peerExchange{
-		loop: loop, options: p, zones: loop.plan.List("FailureDomains"), wakePoller: make(chan struct{}, 1), admission: peerreport.NewAdmission(),
+	exchange := &peerExchange{
+		loop: loop, options: options, zones: loop.plan.List("FailureDomains"), wakePoller: make(chan struct{}, 1), admission: peerreport.NewAdmission(),
 		startedMS: map[string]int64{}, addrs: map[string]string{},
 	}
-	l.instanceID = xxhash.Sum64String(fmt.Sprint(name, loop.plan.Seed, loop.Listener.Addr(), loop.startedAt.UnixNano()))
-	l.reports = peerreport.NewReportStore(p.Location, l.zones)
+	exchange.instanceID = xxhash.Sum64String(fmt.Sprint(name, loop.plan.Seed, loop.Listener.Addr(), loop.startedAt.UnixNano()))
+	exchange.reports = peerreport.NewReportStore(options.Location, exchange.zones)
 	var names []string
-	for _, at := range p.PollTargets {
-		names = append(names, at.Name)
+	for _, peer := range options.PollTargets {
+		names = append(names, peer.Name)
 	}
-	l.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(p.RefreshInterval/tick), names)
-	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), p.Budgets)
-	l.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
+	exchange.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(options.RefreshInterval/tick), names)
+	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), options.Budgets)
+	exchange.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
 		loop.log.warnLimited("job", "job_given_up", "job", job, "error", err)
-		if name, asking := strings.CutPrefix(job, pollJobPrefix); asking {
-			loop.group.Go(func() error { l.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not wait
+		if name, isPoll := strings.CutPrefix(job, pollJobPrefix); isPoll {
+			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not wait
 		}
 	})
-	return l
+	return exchange
 }
 
 // run starts the exchange's goroutines.
@@ -146,12 +146,12 @@
 		}
 		next := l.poller.NextPollAt(now)
 		l.mu.Unlock()
-		var wake <-chan time.Time
+		var alarm <-chan time.Time
 		if next > 0 {
-			wake = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
+			alarm = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
 		}
 		select {
-		case <-wake:
+		case <-alarm:
 		case <-l.wakePoller:
 		case <-l.loop.ctx.Done():
 			return nil
@@ -161,39 +161,39 @@
 
 // startPoll adds a job that polls one peer.
 func (l *peerExchange) startPoll(name string) {
-	i := slices.IndexFunc(l.options.PollTargets, func(at PeerAddress) bool { return at.Name == name })
-	at := l.options.PollTargets[i]
+	i := slices.IndexFunc(l.options.PollTargets, func(peer PeerAddress) bool { return peer.Name == name })
+	peer := l.options.PollTargets[i]
 	job := scheduler.Job{Name: pollJobPrefix + name, Kind: pollJobKind, Priority: scheduler.PriorityUrgent, MaxFailures: 1, Deadline: int64(pollJobTimeout / tick)}
-	_, err := l.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
-		how, later, err := l.pollPeer(ctx, at, a)
+	_, err := l.pool.Add(job, func(ctx context.Context, allowance *scheduler.Allowance) error {
+		how, later, err := l.pollPeer(ctx, peer, allowance)
 		began := time.Now()
-		l.handlePollEnd(at.Name, how, later, err)
-		_ = a.Spend(ctx, 0, time.Since(began)) // the poll has ended; combining reports is charged to the poll's budget
+		l.handlePollEnd(peer.Name, how, later, err)
+		_ = allowance.Spend(ctx, 0, time.Since(began)) // the poll has ended; combining reports is charged to the poll's budget
 		return nil
 	})
 	if err != nil {
-		l.loop.group.Go(func() error { l.handlePollEnd(at.Name, peerreport.OutcomeFailed, 0, err); return nil }) // startPoll is called with the lock held
+		l.loop.group.Go(func() error { l.handlePollEnd(peer.Name, peerreport.OutcomeFailed, 0, err); return nil }) // startPoll is called with the lock held
 	}
 }
 
 // pollPeer fetches one peer's report.
-func (l *peerExchange) pollPeer(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
+func (l *peerExchange) pollPeer(ctx context.Context, peer PeerAddress, allowance *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.loop.clockTicks()
-	asking := peerprotocol.Client{
-		PeerName: at.Name, Addr: at.Addr, LocalName: l.options.Name, InstanceID: l.instanceID, Dial: l.loop.Dial, Credentials: l.options.Keys,
-		OnHeader: func(h peerreport.ReportHeader) error {
+	client := peerprotocol.Client{
+		PeerName: peer.Name, Addr: peer.Addr, LocalName: l.options.Name, InstanceID: l.instanceID, Dial: l.loop.Dial, Credentials: l.options.Keys,
+		OnHeader: func(header peerreport.ReportHeader) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.reports.BeginReport(asked, h)
+			return l.reports.BeginReport(asked, header)
 		},
 		OnObservations: func(notes []peerreport.Observation) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.reports.AddObservations(at.Name, notes)
+			return l.reports.AddObservations(peer.Name, notes)
 		},
-		SpendBudget: a.Spend,
+		SpendBudget: allowance.Spend,
 	}
-	return asking.FetchReport(ctx)
+	return client.FetchReport(ctx)
 }
 
 // handlePollEnd records how a poll ended and imports a complete report.
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -28,8 +28,8 @@
 	}))
 }
 
-// named is a co-ordinator's side towards peers, at a free port.
-func named(t *testing.T, name string, ask ...PeerAddress) *PeerOptions {
+// peerOptionsNamed is a co-ordinator's side towards peers, at a free port.
+func peerOptionsNamed(t *testing.T, name string, ask ...PeerAddress) *PeerOptions {
 	return &PeerOptions{
 		Name: name, Listener: listen(t), PollTargets: ask, AllowedPeers: []string{"a", "b", "c"},
 		Budgets: map[string]scheduler.Budget{"ask": {MaxConcurrent: 4}, "answer": {MaxConcurrent: 4}},
@@ -38,8 +38,8 @@
 
 func (p *PeerOptions) at() PeerAddress { return PeerAddress{p.Name, p.Listener.Addr().String()} }
 
-// heard counts the replicas of which the module has heard something.
-func (r *rig) heard(id string) (bad bool) {
+// isSuspected counts the replicas of which the module has isSuspected something.
+func (r *rig) isSuspected(hostID string) (bad bool) {
 	told := make(chan struct{})
 	var all []string
 	require.True(r.t, r.loop.submit(func() {
@@ -47,28 +47,28 @@
 		close(told)
 	}))
 	<-told
-	return strings.Contains(strings.Join(all, " "), id)
+	return strings.Contains(strings.Join(all, " "), hostID)
 }
 
 // A co-ordinator that starts beside one that runs has its knowledge at once, and answers by it.
 func TestImportsReportOfRunningPeer(t *testing.T) {
-	pa := named(t, "a")
+	pa := peerOptionsNamed(t, "a")
 	a := startWith(t, 256, nil, pa)
 	a.replicas["a0"].Listener.Close()
 	for i := range 40 {
-		a.call().want(fmt.Sprint("w", i), "all", 200, "")
+		a.connect().expect(fmt.Sprint("w", i), "all", 200, "")
 	}
-	require.True(t, a.heard("a0"))
-	pb := named(t, "b", pa.at())
+	require.True(t, a.isSuspected("a0"))
+	pb := peerOptionsNamed(t, "b", pa.at())
 	b := startWith(t, 256, nil, pb)
 	b.logged("event=learned peer=a")
-	b.call().want("q", "all", 200, wholeOfAll)
-	s, err := (&peerprotocol.Client{Addr: pb.at().Addr, LocalName: "a", Dial: (&net.Dialer{}).DialContext}).FetchStatus(context.Background())
+	b.connect().expect("q", "all", 200, completeAnswer)
+	status, err := (&peerprotocol.Client{Addr: pb.at().Addr, LocalName: "a", Dial: (&net.Dialer{}).DialContext}).FetchStatus(context.Background())
 	require.NoError(t, err)
-	require.Equal(t, uint32(4), s.HostCount)
-	require.Equal(t, "told", s.Peers[0].LastOutcome)
-	a.end()
-	b.end()
+	require.Equal(t, uint32(4), status.HostCount)
+	require.Equal(t, "told", status.Peers[0].LastOutcome)
+	a.shutDown()
+	b.shutDown()
 }
 
 // Peers of no use: searches and /healthz wait for none of it, nor does a new plan, and the co-ordinator ends in the
@@ -77,63 +77,63 @@
 	deaf := listen(t)
 	gone := listen(t)
 	gone.Close()
-	p := named(t, "a", PeerAddress{"deaf", deaf.Addr().String()}, PeerAddress{"gone", gone.Addr().String()})
-	p.PollTargets = append(p.PollTargets, PeerAddress{"self", p.at().Addr})
+	options := peerOptionsNamed(t, "a", PeerAddress{"deaf", deaf.Addr().String()}, PeerAddress{"gone", gone.Addr().String()})
+	options.PollTargets = append(options.PollTargets, PeerAddress{"self", options.at().Addr})
 	began := time.Now()
-	r := startWith(t, 256, nil, p)
-	c := r.call()
+	r := startWith(t, 256, nil, options)
+	c := r.connect()
 	c.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-	status, _, _, _ := c.answer()
+	status, _, _, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	c.want("q", "all", 200, wholeOfAll)
+	c.expect("q", "all", 200, completeAnswer)
 	require.Less(t, time.Since(began), 2*time.Second, "a deaf peer takes longer to give up")
 	r.plans <- r.plan // a new plan in the middle of asking
 	r.logged("event=reloaded")
 	r.logged("how=failed")
 	r.logged("how=myself")
-	r.end()
+	r.shutDown()
 }
 
 // Two that both start cold and ask each other, and one that hears from both while a list changes.
 func TestStartingPeersPollEachOther(t *testing.T) {
-	pa, pb := named(t, "a"), named(t, "b")
+	pa, pb := peerOptionsNamed(t, "a"), peerOptionsNamed(t, "b")
 	pa.PollTargets, pb.PollTargets = []PeerAddress{pb.at()}, []PeerAddress{pa.at()}
 	a, b := startWith(t, 256, nil, pa), startWith(t, 256, nil, pb)
 	a.logged("event=learned peer=b")
 	b.logged("event=learned peer=a")
 	for i := range 20 {
-		a.call().want(fmt.Sprint("x", i), "all", 200, wholeOfAll)
-		b.call().want(fmt.Sprint("y", i), "some", 200, "")
+		a.connect().expect(fmt.Sprint("x", i), "all", 200, completeAnswer)
+		b.connect().expect(fmt.Sprint("y", i), "some", 200, "")
 	}
-	pc := named(t, "c", pa.at(), pb.at())
+	pc := peerOptionsNamed(t, "c", pa.at(), pb.at())
 	c := startWith(t, 256, nil, pc)
 	for i := range 8 {
 		c.list.Responses <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, 8+i,
 			c.entry("a0", []string{"draining", "up"}[i%2]))
-		c.call().want(fmt.Sprint("z", i), "all", 200, wholeOfAll)
+		c.connect().expect(fmt.Sprint("z", i), "all", 200, completeAnswer)
 	}
 	c.logged("how=Partial version=15")
 	c.logged("event=learned")
-	c.end()
-	a.end()
-	b.end()
+	c.shutDown()
+	a.shutDown()
+	b.shutDown()
 }
 
 // Fifty that start at once and ask one: some are answered, the others told when to come back, its own searches lose
 // nothing, and it ends with askers still coming.
 func TestFiftyPeersPollOne(t *testing.T) {
-	p := named(t, "a")
+	options := peerOptionsNamed(t, "a")
 	for i := range 50 {
-		p.AllowedPeers = append(p.AllowedPeers, fmt.Sprint("n", i))
+		options.AllowedPeers = append(options.AllowedPeers, fmt.Sprint("n", i))
 	}
-	r := startWith(t, 256, nil, p)
+	r := startWith(t, 256, nil, options)
 	var g sync.WaitGroup
 	var mu sync.Mutex
 	count := map[peerreport.Outcome]int{}
 	for i := range 50 {
 		g.Go(func() {
 			how, later, _ := (&peerprotocol.Client{
-				PeerName: "a", Addr: p.at().Addr, LocalName: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
+				PeerName: "a", Addr: options.at().Addr, LocalName: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
 				OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil },
 			}).FetchReport(context.Background())
 			mu.Lock()
@@ -143,14 +143,14 @@
 			}
 		})
 	}
-	c := r.call()
+	c := r.connect()
 	for i := range 40 {
-		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 	}
 	g.Wait()
 	require.Equal(t, 50, count[peerreport.OutcomeReceived]+count[peerreport.OutcomeDeferred], "%v", count)
 	require.Positive(t, count[peerreport.OutcomeReceived])
-	r.end()
+	r.shutDown()
 }
 
 // A host whose address changed is another machine: what was heard of it is taken back.
@@ -166,16 +166,16 @@
 		},
 	}
 	go func() { served <- server.Serve(ctx, ln) }()
-	p := named(t, "a", PeerAddress{"b", ln.Addr().String()})
-	r := startWith(t, 256, nil, p)
+	options := peerOptionsNamed(t, "a", PeerAddress{"b", ln.Addr().String()})
+	r := startWith(t, 256, nil, options)
 	r.logged("event=learned peer=b hosts=1")
 	cancel()
 	require.NoError(t, <-served)
-	l := r.loop.peers
+	exchange := r.loop.peers
 	heard := func() (n int) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		for _, h := range l.reports.Combine(r.loop.clockTicks(), func(string) (int64, bool) { return 0, true }) {
+		exchange.mu.Lock()
+		defer exchange.mu.Unlock()
+		for _, h := range exchange.reports.Combine(r.loop.clockTicks(), func(string) (int64, bool) { return 0, true }) {
 			if h.Outlier {
 				n++
 			}
@@ -189,6 +189,6 @@
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
 		strings.Replace(r.entry("a0", "up"), r.replicas["a0"].Listener.Addr().String(), other.Listener.Addr().String(), 1))
 	r.eventually("the older note counts no more", func() bool { return heard() == 0 })
-	r.call().want("q", "all", 200, wholeOfAll)
-	r.end()
+	r.connect().expect("q", "all", 200, completeAnswer)
+	r.shutDown()
 }
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -22,15 +22,15 @@
 
 // Times, limits and keys of what is kept on disk.
 const (
-	persistJobKind      = "keep"                 // of background work
-	persistInterval     = 2 * time.Second        // between two writes: what is learned is of use for half a minute
-	firstPersistDelay   = 5 * time.Second        // before the first: a run that ends sooner leaves what an earlier one knew
-	listRewriteInterval = time.Hour              // after which a list that has not changed is written again, for its age
-	persistTimeout      = 30 * time.Second       // for one write: a disk that takes 5 s is slow, one that takes this is stuck
-	lastPersistTimeout  = 400 * time.Millisecond // for the last one: within the time in which requests are still taken
-	storeRetryInterval  = 2 * time.Second        // between tries for a store that another process holds: one before it that ends
-	storeCloseTimeout   = 200 * time.Millisecond // for the store to be let go of: the end of the process does it too
-	maxPendingEvents    = 256                    // events that wait to be written; more are counted and left out
+	persistJobKind      = "keep"                 // of the background job
+	persistInterval     = 2 * time.Second        // between two writes: observations are of use for half a minute
+	firstPersistDelay   = 5 * time.Second        // before the first: a run that ends sooner keeps what an earlier one stored
+	listRewriteInterval = time.Hour              // after which an unchanged list is written again, with its age
+	persistTimeout      = 30 * time.Second       // for one write: a slow disk takes 5 s, a stuck one longer than this
+	lastPersistTimeout  = 400 * time.Millisecond // for the last write: within the time in which requests are still served
+	storeRetryInterval  = 2 * time.Second        // between attempts to open a store that another process has, such as an earlier one that ends
+	storeCloseTimeout   = 200 * time.Millisecond // for the store to be closed: the end of the process closes it too
+	maxPendingEvents    = 256                    // events that wait to be written; more are counted and dropped
 	stateBucket         = "kept"
 	eventBucket         = "events"
 	startsKey           = "starts"
@@ -72,40 +72,40 @@
 
 // NewPersistence begins to open the store at path in the background. Close it once the coordinator has ended.
 // exclusive says that nothing else is kept in the store, so that a crash loop may put all of it aside.
-func NewPersistence(path string, alone bool, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
-	return newPersistence(path, alone, store.Options{}, budget, p, clock, log)
+func NewPersistence(path string, alone bool, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+	return newPersistence(path, alone, store.Options{}, budget, initial, clock, log)
 }
 
 // newPersistence is NewPersistence with the store's options.
-func newPersistence(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+func newPersistence(path string, alone bool, options store.Options, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	ctx, cancel := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
-	k := &Persistence{
-		path: path, exclusive: alone, budget: budget, planVersion: int64(p.Known.Version), identity: p.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
+	persistence := &Persistence{
+		path: path, exclusive: alone, budget: budget, planVersion: int64(initial.Known.Version), identity: initial.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
 		stopLog: cancel, stopOpening: enough, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
 	}
-	k.discoveryVersion.Store(k.planVersion)
-	k.logWriter.Go(func() { _ = k.log.run(ctx) }) // never fails
+	persistence.discoveryVersion.Store(persistence.planVersion)
+	persistence.logWriter.Go(func() { _ = persistence.log.run(ctx) }) // never fails
 	go func() {
-		defer close(k.opened)
-		for told := false; ; told = true {
-			if k.err = k.open(path, o); k.err == nil {
+		defer close(persistence.opened)
+		for isLogged := false; ; isLogged = true {
+			if persistence.err = persistence.open(path, options); persistence.err == nil {
 				return
 			}
-			if !told {
-				k.log.Warn("store_unavailable", advice.LogAttrs(k.err, "path", path)...)
+			if !isLogged {
+				persistence.log.Warn("store_unavailable", advice.LogAttrs(persistence.err, "path", path)...)
 			}
-			if !advice.HasType[*store.LockedError](k.err) {
+			if !advice.HasType[*store.LockedError](persistence.err) {
 				return
 			}
 			select {
-			case <-k.clock.After(storeRetryInterval):
+			case <-persistence.clock.After(storeRetryInterval):
 			case <-opening.Done():
 				return
 			}
 		}
 	}()
-	return k
+	return persistence
 }
 
 // open opens the store, records the start on disk, and only then restores what is there.
@@ -192,17 +192,17 @@
 }
 
 // readStored reads one stored value; one that is missing or in another form is the zero value.
-func readStored[T any](k *Persistence, s *store.Store, key string) (v T) {
+func readStored[T any](persistence *Persistence, s *store.Store, key string) (value T) {
 	text, found, err := s.Get(stateBucket, key)
 	if err == nil && found {
-		err = cbor.Unmarshal(text, &v)
+		err = cbor.Unmarshal(text, &value)
 	}
 	if err != nil {
-		k.log.Warn("state_discarded", "what", key, "why", err.Error())
+		persistence.log.Warn("state_discarded", "what", key, "why", err.Error())
 		var none T
 		return none
 	}
-	return v
+	return value
 }
 
 // Path returns where the store is.
@@ -233,12 +233,12 @@
 					continue
 				}
 				update = *k.restored.Update
-			case told, ok := <-more:
+			case next, ok := <-more:
 				if !ok {
 					more = nil
 					continue
 				}
-				update = told
+				update = next
 			case <-ctx.Done():
 				return
 			}
@@ -270,10 +270,10 @@
 }
 
 // withBudget returns an installation's peer options, or empty ones, with a budget for writes.
-func (k *Persistence) withBudget(p *PeerOptions) *PeerOptions {
+func (k *Persistence) withBudget(options *PeerOptions) *PeerOptions {
 	own := PeerOptions{}
-	if p != nil {
-		own = *p
+	if options != nil {
+		own = *options
 	}
 	own.Budgets = maps.Clone(own.Budgets)
 	if own.Budgets == nil {
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -25,22 +25,22 @@
 	"chalkring/storage/store"
 )
 
-// keeping serves a co-ordinator on a rig's hosts that keeps what it knows at a path; its discovery is away.
-func (r *rig) keeping(path string, o store.Options) *rig {
+// restartWithStore serves a co-ordinator on a rig's hosts that keeps what it knows at a path; its discovery is away.
+func (r *rig) restartWithStore(path string, options store.Options) *rig {
 	ln := listen(r.t)
 	ctx, cancel := context.WithCancel(context.Background())
-	more := &rig{t: r.t, replicas: r.replicas, list: script(r.t), addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1), log: &journal{}}
+	more := &rig{t: r.t, replicas: r.replicas, list: script(r.t), addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1), log: &logBuffer{}}
 	plan := *r.plan
 	plan.Discovery = more.list.Listener.Addr().String()
 	more.plan = &plan
 	log, look := NewLogger(more.log, false, slog.LevelInfo), make(chan *eventLoop, 1)
-	k := newPersistence(path, true, o, scheduler.Budget{}, more.plan, SystemClock{}, log)
+	persistence := newPersistence(path, true, options, scheduler.Budget{}, more.plan, SystemClock{}, log)
 	go func() {
 		err := Serve(ctx, more.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{}, Logger: log,
-			Persistence: k, EndpointUpdates: k.PrependStoredUpdate(ctx, nil), onStart: look,
+			Persistence: persistence, EndpointUpdates: persistence.PrependStoredUpdate(ctx, nil), onStart: look,
 		})
-		k.Close()
+		persistence.Close()
 		more.ended <- err
 	}()
 	more.loop = <-look
@@ -48,10 +48,10 @@
 	return more
 }
 
-func (r *rig) keeper() *Persistence { return r.loop.Persistence }
+func (r *rig) persistence() *Persistence { return r.loop.Persistence }
 
-// kept writes into a store as an earlier run would have.
-func kept(t *testing.T, path string, puts map[string]any) {
+// writeStore writes into a store as an earlier run would have.
+func writeStore(t *testing.T, path string, puts map[string]any) {
 	s, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	all := map[string][]byte{}
@@ -63,14 +63,14 @@
 	require.NoError(t, s.Close(context.Background()))
 }
 
-// inForce are the hosts that the owner works with.
-func (r *rig) inForce() string {
+// hostsInForce are the hosts that the owner works with.
+func (r *rig) hostsInForce() string {
 	found := make(chan string, 1)
 	require.True(r.t, r.loop.submit(func() {
 		on := ""
-		for _, id := range []string{"a0", "a1", "b0", "b1", "c0"} {
-			if h := r.loop.replicas.byID[id]; h != nil && !h.removed {
-				on += id + " "
+		for _, hostID := range []string{"a0", "a1", "b0", "b1", "c0"} {
+			if h := r.loop.replicas.byID[hostID]; h != nil && !h.removed {
+				on += hostID + " "
 			}
 		}
 		found <- on
@@ -78,11 +78,11 @@
 	return <-found
 }
 
-// asks sends so many searches and tells how many parts a host took of them.
-func (r *rig) asks(host string, n int) int {
-	before, c := r.replicas[host].CountRequests(), r.call()
+// attemptsOn sends so many searches and tells how many parts a host took of them.
+func (r *rig) attemptsOn(host string, n int) int {
+	before, c := r.replicas[host].CountRequests(), r.connect()
 	for i := range n {
-		c.want(fmt.Sprint(r.addr, "-", before, "-", i), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint(r.addr, "-", before, "-", i), "all", 200, completeAnswer)
 	}
 	return r.replicas[host].CountRequests() - before
 }
@@ -92,26 +92,26 @@
 func TestRestartRestoresObservations(t *testing.T) {
 	first := start(t, 256, nil)
 	path := filepath.Join(t.TempDir(), "kept")
-	r := first.keeping(path, store.Options{})
+	r := first.restartWithStore(path, store.Options{})
 	r.logged("event=store ")
 	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
-	r.eventually("b1 is off", func() bool { return r.inForce() == "a0 a1 b0 " })
+	r.eventually("b1 is off", func() bool { return r.hostsInForce() == "a0 a1 b0 " })
 	r.replicas["a0"].SetHandler(func(fake.ShardRequest) {}) // hangs
-	r.asks("a0", 12)
-	require.True(t, r.heard("a0"))
-	r.end()
+	r.attemptsOn("a0", 12)
+	require.True(t, r.isSuspected("a0"))
+	r.shutDown()
 	require.NotContains(t, r.log.String(), "store_failed")
 
-	cold := first.keeping(filepath.Join(t.TempDir(), "none"), store.Options{})
+	cold := first.restartWithStore(filepath.Join(t.TempDir(), "none"), store.Options{})
 	cold.logged("event=store ")
-	require.Equal(t, "a0 a1 b0 b1 ", cold.inForce())
-	r = first.keeping(path, store.Options{})
+	require.Equal(t, "a0 a1 b0 b1 ", cold.hostsInForce())
+	r = first.restartWithStore(path, store.Options{})
 	r.logged("event=learned peer=#store")
-	r.eventually("b1 stays off", func() bool { return r.inForce() == "a0 a1 b0 " })
-	known, unknown := r.asks("a0", 6), cold.asks("a0", 6)
+	r.eventually("b1 stays off", func() bool { return r.hostsInForce() == "a0 a1 b0 " })
+	known, unknown := r.attemptsOn("a0", 6), cold.attemptsOn("a0", 6)
 	require.Less(t, known, unknown)
-	r.end()
-	cold.end()
+	r.shutDown()
+	cold.shutDown()
 	s, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
@@ -132,7 +132,7 @@
 		"full": func() error { return syscall.ENOSPC },
 	} {
 		var bad atomic.Bool
-		r := first.keeping(filepath.Join(t.TempDir(), "kept"), store.Options{BeforeWrite: func(string) error {
+		r := first.restartWithStore(filepath.Join(t.TempDir(), "kept"), store.Options{BeforeWrite: func(string) error {
 			if bad.Load() {
 				return disk()
 			}
@@ -141,10 +141,10 @@
 		r.logged("event=store ")
 		bad.Store(true)
 		written := make(chan error, 1)
-		go func() { written <- r.keeper().write(r.loop.ctx, r.loop, nil, false) }()
-		r.asks("a0", 20)
+		go func() { written <- r.persistence().write(r.loop.ctx, r.loop, nil, false) }()
+		r.attemptsOn("a0", 20)
 		stopped := time.Now()
-		r.end()
+		r.shutDown()
 		require.Less(t, time.Since(stopped), 3*time.Second, name)
 		require.Error(t, <-written, name)
 		if name == "full" {
@@ -168,14 +168,14 @@
 		return s
 	}
 	for crashes, want := range []string{"a0 a1 b0 b1 c0 ", "a0 a1 b0 b1 c0 ", "a0 a1 b0 b1 c0 ", "a0 a1 b0 b1 ", "a0 a1 b0 b1 "} {
-		kept(t, path, map[string]any{listKey: list, startsKey: crashed(crashes)})
-		r := first.keeping(path, store.Options{})
+		writeStore(t, path, map[string]any{listKey: list, startsKey: crashed(crashes)})
+		r := first.restartWithStore(path, store.Options{})
 		r.logged("event=store ")
-		r.eventually(want, func() bool { return r.inForce() == want })
-		r.asks("b0", 2)
+		r.eventually(want, func() bool { return r.hostsInForce() == want })
+		r.attemptsOn("b0", 2)
 		require.Equal(t, crashes >= 2, strings.Contains(r.log.String(), "event=crash_loop"))
 		require.Equal(t, crashes == 4, strings.Contains(r.log.String(), "event=store_recovered"))
-		r.end()
+		r.shutDown()
 	}
 	held, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
@@ -184,17 +184,17 @@
 			text, _ := json.Marshal(list)
 			require.NoError(t, os.WriteFile(at, text, 0o600))
 		}
-		r := first.keeping(at, store.Options{LockTimeout: 100 * time.Millisecond})
-		r.asks("b0", 2)
+		r := first.restartWithStore(at, store.Options{LockTimeout: 100 * time.Millisecond})
+		r.attemptsOn("b0", 2)
 		r.logged("event=store_unavailable")
 		require.Contains(t, r.log.String(), want)
 		if at == path { // it is let go of
 			require.NoError(t, held.Close(context.Background()))
 			r.logged("event=store ")
 		}
-		r.end()
+		r.shutDown()
 	}
-	first.end()
+	first.shutDown()
 }
 
 // BenchmarkPersistence writes and reads what is kept of 10,000 hosts.
@@ -202,14 +202,14 @@
 	now := time.Now().UnixMilli()
 	list, notes := recovery.EndpointList{SavedAt: now}, recovery.Observations{SavedAt: now, Head: peerreport.ReportHeader{Peer: "n", HostCount: 10_000}}
 	for i := range 10_000 {
-		id := fmt.Sprint("host-", i)
-		list.Hosts = append(list.Hosts, endpoints.Host{ID: id, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Zone: "hall", Kind: "std", Weight: 1})
-		notes.Entries = append(notes.Entries, peerreport.Observation{HostID: id, ShortSamples: 40, LongSamples: 80, ShortLogSlowdown: 120, LongLogSlowdown: 90, AgeMs: 300})
+		hostID := fmt.Sprint("host-", i)
+		list.Hosts = append(list.Hosts, endpoints.Host{ID: hostID, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Zone: "hall", Kind: "std", Weight: 1})
+		notes.Entries = append(notes.Entries, peerreport.Observation{HostID: hostID, ShortSamples: 40, LongSamples: 80, ShortLogSlowdown: 120, LongLogSlowdown: 90, AgeMs: 300})
 	}
 	s, err := store.Open(filepath.Join(b.TempDir(), "kept"), store.Options{})
 	require.NoError(b, err)
 	defer s.Close(context.Background())
-	k := &Persistence{log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
+	persistence := &Persistence{log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
 	bytes := 0
 	for b.Loop() {
 		puts := map[string][]byte{}
@@ -219,7 +219,7 @@
 			bytes += len(puts[key])
 		}
 		require.NoError(b, s.Put(context.Background(), stateBucket, puts, nil))
-		l, n := readStored[recovery.EndpointList](k, s, listKey), readStored[recovery.Observations](k, s, observationsKey)
+		l, n := readStored[recovery.EndpointList](persistence, s, listKey), readStored[recovery.Observations](persistence, s, observationsKey)
 		weighed := recovery.Restore(now+1, recovery.TrustAll, 0, &l, &n)
 		require.Len(b, weighed.Observations.Entries, 10_000)
 	}
@@ -230,21 +230,21 @@
 func TestStoreOfAnotherDeployment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
 	one := start(t, 256, nil)
-	r := one.keeping(path, store.Options{})
+	r := one.restartWithStore(path, store.Options{})
 	r.logged("event=store ")
 	r.list.Responses <- `{"version":9,"full":false,"servers":[` + strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"draining"`) + `]}`
 	r.logged("version=9")
-	r.asks("a0", 3)
-	r.end()
-	two := start(t, 256, func(settings map[string]any) { placed(settings, "Tenants", 1)["Name"] = "globex" })
-	r = two.keeping(path, store.Options{})
+	r.attemptsOn("a0", 3)
+	r.shutDown()
+	two := start(t, 256, func(settings map[string]any) { settingAt(settings, "Tenants", 1)["Name"] = "globex" })
+	r = two.restartWithStore(path, store.Options{})
 	r.logged("event=store ")
 	before := one.parts()
-	r.asks("a0", 8)
+	r.attemptsOn("a0", 8)
 	require.Equal(t, before, one.parts(), "parts at the other deployment's hosts")
-	r.end()
+	r.shutDown()
 	require.Contains(t, r.log.String(), `what="list and notes"`)
-	r = two.keeping(path, store.Options{}) // and is its own from then on
+	r = two.restartWithStore(path, store.Options{}) // and is its own from then on
 	r.logged("believes=all listed=0 notes=4")
-	r.end()
+	r.shutDown()
 }
--- a/coordinator/persistence_write.go
+++ b/coordinator/persistence_write.go
@@ -37,10 +37,10 @@
 			k.importStoredObservations(loop, observations)
 		}
 		job := scheduler.Job{Name: "keep", Kind: persistJobKind, Priority: scheduler.PriorityNormal, Delay: int64(firstPersistDelay / tick), Interval: int64(persistInterval / tick)}
-		_, err := loop.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
+		_, err := loop.peers.pool.Add(job, func(ctx context.Context, allowance *scheduler.Allowance) error {
 			ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 			defer cancel()
-			return k.write(ctx, loop, a, false)
+			return k.write(ctx, loop, allowance, false)
 		})
 		if err != nil {
 			loop.log.Warn("job_given_up", "job", "keep", "error", err)
@@ -60,25 +60,25 @@
 
 // importStoredObservations imports what an earlier run knew of hosts, as one peer's report.
 func (k *Persistence) importStoredObservations(loop *eventLoop, observations *recovery.Observations) {
-	l, h := loop.peers, observations.Head
+	exchange, header := loop.peers, observations.Head
 	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the wall clock covers the time between two runs
-	h.Peer, h.Locality = recovery.PeerName, l.options.Location
-	l.mu.Lock()
-	err := l.reports.BeginReport(loop.clockTicks()-max(0, since), h)
+	header.Peer, header.Locality = recovery.PeerName, exchange.options.Location
+	exchange.mu.Lock()
+	err := exchange.reports.BeginReport(loop.clockTicks()-max(0, since), header)
 	if err == nil {
-		err = l.reports.AddObservations(h.Peer, observations.Entries)
+		err = exchange.reports.AddObservations(header.Peer, observations.Entries)
 	}
 	if err == nil {
-		l.reports.CompleteReport(h.Peer)
+		exchange.reports.CompleteReport(header.Peer)
 	} else {
-		l.reports.AbortReport(h.Peer)
+		exchange.reports.AbortReport(header.Peer)
 	}
-	l.mu.Unlock()
+	exchange.mu.Unlock()
 	if err != nil {
 		loop.log.Info("state_discarded", "what", observationsKey, "why", err.Error())
 		return
 	}
-	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
+	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", exchange.importReports())
 }
 
 // recordList records the endpoint list in force.
@@ -88,7 +88,7 @@
 }
 
 // write writes what has changed. The last write also records that the stop was planned.
-func (k *Persistence) write(ctx context.Context, loop *eventLoop, a *scheduler.Allowance, last bool) (err error) {
+func (k *Persistence) write(ctx context.Context, loop *eventLoop, allowance *scheduler.Allowance, last bool) (err error) {
 	select {
 	case k.writeSlot <- struct{}{}:
 		defer func() { <-k.writeSlot }()
@@ -100,13 +100,13 @@
 			loop.log.warnLimited("store_failed", "store_failed", advice.LogAttrs(err)...)
 		}
 	}()
-	l, began, puts := loop.peers, time.Now(), map[string][]byte{}
+	exchange, began, puts := loop.peers, time.Now(), map[string][]byte{}
 	put := func(key string, v any) error {
 		text, err := cbor.Marshal(v)
 		puts[key] = text
 		return err
 	}
-	head, all, err := l.currentReport(ctx)
+	head, all, err := exchange.currentReport(ctx)
 	if err != nil {
 		return err
 	}
@@ -130,8 +130,8 @@
 	for _, text := range puts {
 		bytes += len(text)
 	}
-	if a != nil {
-		err = errors.Join(err, a.Spend(ctx, bytes, time.Since(began)))
+	if allowance != nil {
+		err = errors.Join(err, allowance.Spend(ctx, bytes, time.Since(began)))
 	}
 	if err == nil {
 		err = k.store.Put(ctx, stateBucket, puts, nil)
--- a/coordinator/plan/environment.go
+++ b/coordinator/plan/environment.go
@@ -29,12 +29,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", fileVariable, err)
 	}
-	p, err := Parse(text)
+	parsed, err := Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", fileVariable, path, err)
 	}
 	for variable, member := range map[string]*string{
-		nameVariable: &p.Name, listenVariable: &p.Listen, discoveryVariable: &p.Discovery,
+		nameVariable: &parsed.Name, listenVariable: &parsed.Listen, discoveryVariable: &parsed.Discovery,
 	} {
 		if value := env(variable); value != "" {
 			*member = value
@@ -44,8 +44,8 @@
 		}
 	}
 	// A file that leaves the address to the variable at a later reload names no new address by that.
-	p.discoveryInFile = cmp.Or(p.discoveryInFile, p.Discovery)
-	return p, nil
+	parsed.discoveryInFile = cmp.Or(parsed.discoveryInFile, parsed.Discovery)
+	return parsed, nil
 }
 
 // readFile reads a plan's file. The limit handles GW_CONFIG naming a wrong file at SIGHUP, whose text alone would
--- a/coordinator/plan/plan.go
+++ b/coordinator/plan/plan.go
@@ -52,27 +52,27 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Name: stringOf(object["name"]), Listen: stringOf(object["listen"]), Discovery: stringOf(object["discovery"])}
-	p.discoveryInFile = p.Discovery
+	parsed := &Plan{Name: stringOf(object["name"]), Listen: stringOf(object["listen"]), Discovery: stringOf(object["discovery"])}
+	parsed.discoveryInFile = parsed.Discovery
 	seed, err := strconv.ParseUint(stringOf(object["seed"]), 16, 64)
 	if err != nil {
 		return nil, &InvalidSeedError{Seed: stringOf(object["seed"])}
 	}
-	p.Seed = int64(seed)
-	if err := p.readLimits(object); err != nil {
+	parsed.Seed = int64(seed)
+	if err := parsed.readLimits(object); err != nil {
 		return nil, err
 	}
-	if err := p.readSettings(object); err != nil {
+	if err := parsed.readSettings(object); err != nil {
 		return nil, err
 	}
 	known, ok := object["known"].(map[string]any)
 	if !ok {
 		return nil, ErrMissingKnown
 	}
-	if p.Known, err = NewEndpointList(known); err != nil {
+	if parsed.Known, err = NewEndpointList(known); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	return p, p.validate()
+	return parsed, parsed.validate()
 }
 
 func (p *Plan) readLimits(object map[string]any) error {
--- a/coordinator/plan_test.go
+++ b/coordinator/plan_test.go
@@ -27,13 +27,13 @@
 		"known":{"version":1,"servers":[]},"settings":%s}`, text)
 }
 
-func placed(settings map[string]any, list string, i int) map[string]any {
+func settingAt(settings map[string]any, list string, i int) map[string]any {
 	return settings[list].([]any)[i].(map[string]any)
 }
 
 // The module hears the same names and texts from the plan as from the simulator's wire.
 func TestPlanSettingsEqualSimulatorSettings(t *testing.T) {
-	p, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
+	initial, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":0,"servers":[]},"settings":` + strings.Replace(testSettings, `"Family"`, `"Names":[],"Void":null,"Family"`, 1) + `}`))
 	require.NoError(t, err)
 	wire := `Family=fanout Discovery=subscribe Balancers=1 Tick=5.0 FailureDomains=z_one MachineTypes=small
@@ -48,8 +48,8 @@
 		wire += strings.ReplaceAll(fmt.Sprintf(" C.Name=%s C.Aim=4000.0 C.Deadline=8000.0 C.Effect=retryable C.LateShare=0.5",
 			name), "C.", fmt.Sprintf("Classes.%d.", i))
 	}
-	require.Equal(t, simwire.ParseSettings(strings.Fields(wire)), p.Settings)
-	require.Equal(t, int64(-0x73e0cf2d85a4169c), p.Seed)
+	require.Equal(t, simwire.ParseSettings(strings.Fields(wire)), initial.Settings)
+	require.Equal(t, int64(-0x73e0cf2d85a4169c), initial.Seed)
 }
 
 func TestInvalidPlans(t *testing.T) {
@@ -93,18 +93,18 @@
 		wrong string
 		edit  func(settings map[string]any)
 	}{
-		{`setting Classes.2.Name: "some" is Classes.0.Name too`, func(s map[string]any) { placed(s, "Classes", 2)["Name"] = "some" }},
-		{`setting Tenants.1.Name: "acme" is Tenants.0.Name too`, func(s map[string]any) { placed(s, "Tenants", 1)["Name"] = "acme" }},
+		{`setting Classes.2.Name: "some" is Classes.0.Name too`, func(s map[string]any) { settingAt(s, "Classes", 2)["Name"] = "some" }},
+		{`setting Tenants.1.Name: "acme" is Tenants.0.Name too`, func(s map[string]any) { settingAt(s, "Tenants", 1)["Name"] = "acme" }},
 		{`setting Tenants.1.Name: "a b" cannot be told from "a_b" in Tenants.0.Name`, func(s map[string]any) {
-			placed(s, "Tenants", 0)["Name"], placed(s, "Tenants", 1)["Name"] = "a_b", "a b"
+			settingAt(s, "Tenants", 0)["Name"], settingAt(s, "Tenants", 1)["Name"] = "a_b", "a b"
 		}},
 		{`setting FailureDomains.2: "z,1" cannot be told from "z 1" in FailureDomains.1`, func(s map[string]any) {
 			s["FailureDomains"] = []any{"z one", "z 1", "z,1"}
 		}},
-		{"setting Tenants.1.Name is missing", func(s map[string]any) { delete(placed(s, "Tenants", 1), "Name") }},
-		{"setting Tenants.0.Name is missing", func(s map[string]any) { placed(s, "Tenants", 0)["Name"] = "" }},
-		{"setting Tenants.0.Name is missing", func(s map[string]any) { placed(s, "Tenants", 0)["Name"] = nil }},
-		{"setting Classes.1.Name is missing", func(s map[string]any) { placed(s, "Classes", 1)["Name"] = nil }},
+		{"setting Tenants.1.Name is missing", func(s map[string]any) { delete(settingAt(s, "Tenants", 1), "Name") }},
+		{"setting Tenants.0.Name is missing", func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = "" }},
+		{"setting Tenants.0.Name is missing", func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = nil }},
+		{"setting Classes.1.Name is missing", func(s map[string]any) { settingAt(s, "Classes", 1)["Name"] = nil }},
 		{"setting Tenants is no list of objects", func(s map[string]any) { s["Tenants"] = []any{"acme", "other"} }},
 		{"setting Tenants is no list of objects", func(s map[string]any) { s["Tenants"] = []any{s["Tenants"].([]any)[0], "other"} }},
 		{"setting Tenants is no list of objects", func(s map[string]any) { s["Tenants"] = map[string]any{"acme": map[string]any{"QuotaPerS": 5}} }},
@@ -118,8 +118,8 @@
 		func(s map[string]any) { s["Tenants"] = []any{} },
 		func(s map[string]any) { s["Tenants"] = nil },
 		func(s map[string]any) { s["FailureDomains"] = []any{"z one", "z one"} }, // one zone
-		func(s map[string]any) { placed(s, "Tenants", 0)["Name"] = "some" },      // as a class
-		func(s map[string]any) { placed(s, "Tenants", 0)["Name"] = 7 },
+		func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = "some" },   // as a class
+		func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = 7 },
 	} {
 		_, err := parsePlan(planOf(t, edit))
 		require.NoError(t, err)
@@ -154,7 +154,7 @@
 
 // A file that is far too long for a plan is not read to its end, and says what to do.
 func TestPlanTooLarge(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	text, err := os.ReadFile(l.file)
 	require.NoError(t, err)
 	env := func(name string) string { return map[string]string{"GW_CONFIG": l.file}[name] }
@@ -170,11 +170,11 @@
 
 // To all others several owners are so many co-ordinators, with one's descriptors, memory and budget between them.
 func TestPlanForShard(t *testing.T) {
-	p := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
-	own := p.ForShard(1, 4)
+	initial := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
+	own := initial.ForShard(1, 4)
 	require.Equal(t, []any{25, 47, "12", "1.5"}, []any{own.MaxSockets, own.MemoryMB, own.Settings["Balancers"], own.Settings["Safety.ExtraFloor"]})
-	require.NotEqual(t, p.Seed, own.Seed)
-	require.Equal(t, "3", p.Settings["Balancers"])
-	delete(p.Settings, "Safety.ExtraFloor")
-	require.NotContains(t, p.ForShard(0, 4).Settings, "Safety.ExtraFloor")
+	require.NotEqual(t, initial.Seed, own.Seed)
+	require.Equal(t, "3", initial.Settings["Balancers"])
+	delete(initial.Settings, "Safety.ExtraFloor")
+	require.NotContains(t, initial.ForShard(0, 4).Settings, "Safety.ExtraFloor")
 }
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -10,17 +10,17 @@
 	loop := f.loop
 	for {
 		select {
-		case p := <-plans:
-			loop.log.Info("reloaded", "discovery", p.Discovery, "sockets", p.MaxSockets, "memory_mb", p.MemoryMB,
-				"waits_for_restart", loop.plan.RestartDifferences(p))
-			room := clientDescriptors(p.MaxSockets)
+		case next := <-plans:
+			loop.log.Info("reloaded", "discovery", next.Discovery, "sockets", next.MaxSockets, "memory_mb", next.MemoryMB,
+				"waits_for_restart", loop.plan.RestartDifferences(next))
+			room := clientDescriptors(next.MaxSockets)
 			if loop.searchAPI != nil {
 				room -= loop.searchAPI.MaxConnections
 			}
 			f.limiter.resize(room)
-			loop.submit(func() { loop.descriptors.limit, loop.searches.memoryLimit = p.MaxSockets, p.SearchMemory() })
+			loop.submit(func() { loop.descriptors.limit, loop.searches.memoryLimit = next.MaxSockets, next.SearchMemory() })
 			select {
-			case loop.discovery.moves <- p.Discovery:
+			case loop.discovery.moves <- next.Discovery:
 			case <-loop.ctx.Done():
 			}
 		case <-loop.ctx.Done():
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -31,20 +31,20 @@
 		r.entry("a1", "up"), r.entry("b0", "up"))
 	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
 	r.logged("how=Complete version=3 entries=3")
-	c := r.call()
-	c.want("q", "all", 200, wholeOfAll)
-	for id, want := range map[string]int{"a0": 0, "a1": 2, "b0": 2, "b1": 0} {
-		parts, _, _, _ := r.replicas[id].Observed()
-		require.Len(t, parts, want, id)
+	c := r.connect()
+	c.expect("q", "all", 200, completeAnswer)
+	for hostID, want := range map[string]int{"a0": 0, "a1": 2, "b0": 2, "b1": 0} {
+		parts, _, _, _ := r.replicas[hostID].Observed()
+		require.Len(t, parts, want, hostID)
 	}
 	for range 20 { // the new number of descriptors holds
-		r.call()
+		r.connect()
 	}
 	r.logged("end=displaced")
 	next.Responses <- "" // fails: the module asks again, at the same place
 	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
 	require.Empty(t, r.list.Targets)
-	r.end()
+	r.shutDown()
 }
 
 // At a signal the file is read again. What it says of discovery holds over the variable once it has changed; a
@@ -65,7 +65,7 @@
 	require.Equal(t, "variable", first.Discovery)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	out, signals := &journal{}, make(chan os.Signal)
+	out, signals := &logBuffer{}, make(chan os.Signal)
 	plans := first.WatchReloads(ctx, signals, env, NewLogger(out, false, slog.LevelInfo))
 	for _, x := range [][3]string{
 		{"file", `"Added":1,`, "variable"},
@@ -82,9 +82,9 @@
 				time.Millisecond)
 			continue
 		}
-		p := <-plans
-		require.Equal(t, x[2], p.Discovery)
-		require.Equal(t, strings.Contains(x[1], "Added"), first.RestartDifferences(p) == "settings.Added", x[1])
+		initial := <-plans
+		require.Equal(t, x[2], initial.Discovery)
+		require.Equal(t, strings.Contains(x[1], "Added"), first.RestartDifferences(initial) == "settings.Added", x[1])
 	}
 	require.Equal(t, 2, strings.Count(out.String(), "event=reload_failed"))
 	require.Contains(t, out.String(), "setting Balancers: -1 is under 0")
@@ -124,7 +124,7 @@
 // A file that leaves discovery to the variable, at the start or at a signal, never takes the address away; one that is half
 // written or holds another deployment's settings moves nothing but discovery.
 func TestEnvironmentAtReload(t *testing.T) {
-	path, out := filepath.Join(t.TempDir(), "plan.json"), &journal{}
+	path, out := filepath.Join(t.TempDir(), "plan.json"), &logBuffer{}
 	write := func(discovery, settings string, cut int) {
 		text := `{"name":"file","listen":"file",` + discovery + `"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":99},
 			"known":{"version":1,"servers":[]},"settings":` + settings + `}`
@@ -160,11 +160,11 @@
 				require.Eventually(t, func() bool { return strings.Count(out.String(), "event=reload_failed") > failed }, patience, time.Millisecond)
 				continue
 			}
-			p := <-plans
-			require.Equal(t, x.want, p.Discovery, "%s then %s", begins, x.discovery)
-			require.Equal(t, []string{"n7", "l7"}, []string{p.Name, p.Listen})
+			initial := <-plans
+			require.Equal(t, x.want, initial.Discovery, "%s then %s", begins, x.discovery)
+			require.Equal(t, []string{"n7", "l7"}, []string{initial.Name, initial.Listen})
 			if x.settings == other {
-				require.Equal(t, "settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name", first.RestartDifferences(p))
+				require.Equal(t, "settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name", first.RestartDifferences(initial))
 			}
 		}
 		cancel()
@@ -176,24 +176,24 @@
 func TestReloadWithReorderedClasses(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
-	c := r.call()
-	both := func(id string) {
-		c.want(id+"a", "all", 200, wholeOfAll) // some would be whole with half of its parts, in another order
-		c.send(strings.Replace(request(id+"b", "all", "", fourParts), "acme", "globex", 1))
-		status, _, _, _ := c.answer()
+	c := r.connect()
+	both := func(hostID string) {
+		c.expect(hostID+"a", "all", 200, completeAnswer) // some would be whole with half of its parts, in another order
+		c.send(strings.Replace(request(hostID+"b", "all", "", fourParts), "acme", "globex", 1))
+		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 400, status)
 	}
 	both("before")
 	next, err := parsePlan(planOf(t, func(s map[string]any) {
-		placed(s, "Classes", 0)["Name"], placed(s, "Classes", 1)["Name"] = "all", "some"
-		placed(s, "Tenants", 0)["Name"], placed(s, "Tenants", 1)["Name"] = "globex", "acme"
+		settingAt(s, "Classes", 0)["Name"], settingAt(s, "Classes", 1)["Name"] = "all", "some"
+		settingAt(s, "Tenants", 0)["Name"], settingAt(s, "Tenants", 1)["Name"] = "globex", "acme"
 	}))
 	require.NoError(t, err)
 	next.Discovery = script(t).Listener.Addr().String()
 	r.plans <- next
 	r.logged("waits_for_restart=listen,settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name")
 	both("after")
-	r.end()
+	r.shutDown()
 }
 
 // A new plan with other memory: what open searches may hold follows it, as the runtime's goal does.
@@ -212,13 +212,13 @@
 		r.plans <- &p
 		r.eventually(fmt.Sprint("room of ", memory, " MB"), func() bool { return room() == want })
 	}
-	r.end()
+	r.shutDown()
 }
 
 // A storm of SIGHUP, on plans that are whole, half, missing, a folder or very long, changes nothing but what the last whole
 // one says, and searches go on.
 func TestManyReloads(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	l.start(nil)
 	l.ready()
 	whole, err := os.ReadFile(l.file)
@@ -248,5 +248,5 @@
 	l.logged("sockets=128")
 	l.served("last")
 	l.signal(syscall.SIGTERM)
-	l.over(0)
+	l.waitForExit(0)
 }
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -35,32 +35,32 @@
 
 // placeReplica records a replica's address, kind and state. Connections to another address, or from before its start
 // (since, in ticks), take nothing new.
-func (loop *eventLoop) placeReplica(id, addr, kind string, since int64, gone, drains bool) {
-	r := loop.replicas.byID[id]
-	if r == nil {
+func (loop *eventLoop) placeReplica(hostID, addr, kind string, since int64, gone, drains bool) {
+	current := loop.replicas.byID[hostID]
+	if current == nil {
 		if gone {
 			return
 		}
-		r = &replica{id: id, protocol: frameProtocol{}}
-		loop.replicas.byID[id] = r
+		current = &replica{id: hostID, protocol: frameProtocol{}}
+		loop.replicas.byID[hostID] = current
 	}
 	speaks := loop.protocolFor(kind)
-	moved := r.addr != addr || r.protocol != speaks
-	for _, conn := range slices.Clone(r.connections) {
+	moved := current.addr != addr || current.protocol != speaks
+	for _, conn := range slices.Clone(current.connections) {
 		// A connection older than its replica's start leads to an earlier incarnation, which may have ended without closing
 		// it: what is sent there is lost.
 		if gone || moved || conn.connectedAt > 0 && conn.connectedAt < since {
 			loop.retireConnection(conn)
 		}
 	}
-	if closed := gone || drains; closed && !r.closedToNew || moved && len(r.connections) > 0 {
-		loop.recallAfterGrace(r)
+	if closed := gone || drains; closed && !current.closedToNew || moved && len(current.connections) > 0 {
+		loop.recallAfterGrace(current)
 	}
-	r.addr, r.removed, r.closedToNew = addr, gone, gone || drains
+	current.addr, current.removed, current.closedToNew = addr, gone, gone || drains
 	if !gone {
-		r.protocol = speaks
+		current.protocol = speaks
 	}
-	loop.forgetReplica(r)
+	loop.forgetReplica(current)
 }
 
 // forgetReplica drops a removed replica once it has no connections.
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -84,51 +84,58 @@
 // maxParallelDials dials. It handles lost connection requests to a sound replica, which would delay all that waits for
 // the connection. A silent replica is dialed three times instead of once, which uses two more descriptors until the
 // dial timeout; for all silent replicas together, at most maxExtra.
-func (loop *eventLoop) dialWithRetries(ctx context.Context, addr string, wait time.Duration, room int64) (net.Conn, error) {
-	type ended struct {
-		conn net.Conn
-		err  error
-	}
+func (loop *eventLoop) dialWithRetries(ctx context.Context, addr string, wait time.Duration, maxExtra int64) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	tries, out, beside := make(chan ended, maxParallelDials), 0, 0
-	defer func() { loop.descriptors.extraDials.Add(int64(-beside)) }()
+	results, running, extra := make(chan dialResult, maxParallelDials), 0, 0
+	defer func() { loop.descriptors.extraDials.Add(int64(-extra)) }()
 	dial := func() {
-		out++
+		running++
 		loop.group.Go(func() error {
 			conn, err := loop.Dial(ctx, "tcp", addr)
-			tries <- ended{conn, err}
+			results <- dialResult{conn, err}
 			return nil
 		})
 	}
 	dial()
-	again := loop.Clock.After(wait)
+	next := loop.Clock.After(wait)
 	for {
 		select {
-		case <-again:
-			again = nil
-			if beside++; loop.descriptors.extraDials.Add(1) <= room {
+		case <-next:
+			next = nil
+			if extra++; loop.descriptors.extraDials.Add(1) <= maxExtra {
 				dial()
 			}
-			if beside < maxParallelDials-1 {
-				again = loop.Clock.After(wait)
+			if extra < maxParallelDials-1 {
+				next = loop.Clock.After(wait)
 			}
-		case t := <-tries:
-			out--
-			if t.err != nil && out > 0 {
+		case result := <-results:
+			running--
+			if result.err != nil && running > 0 {
 				continue
 			}
-			if out > 0 {
-				loop.group.Go(func() error { // the other dials are canceled, but may have succeeded
-					for range out {
-						if t := <-tries; t.err == nil {
-							t.conn.Close()
-						}
-					}
+			if running > 0 {
+				loop.group.Go(func() error {
+					closeLateDials(results, running)
 					return nil
 				})
 			}
-			return t.conn, t.err
+			return result.conn, result.err
+		}
+	}
+}
+
+// dialResult is how a dial ended.
+type dialResult struct {
+	conn net.Conn
+	err  error
+}
+
+// closeLateDials waits for the dials that are canceled, and closes those that have succeeded all the same.
+func closeLateDials(results <-chan dialResult, running int) {
+	for range running {
+		if late := <-results; late.err == nil {
+			late.conn.Close()
 		}
 	}
 }
@@ -162,9 +169,9 @@
 // conflictsWith says whether the name of one of a batch's attempts is in use on the connection, or was for another
 // search: an answer to that one would be taken for this one's.
 func (l *replicaConnection) conflictsWith(batch *batch) bool {
-	return slices.ContainsFunc(batch.attempts, func(sub *attempt) bool {
-		id, known := l.recentIDs[sub.name]
-		return known && id != sub.shardRequest.search.id || findAttempt(l.attempts, sub.name) != nil
+	return slices.ContainsFunc(batch.attempts, func(current *attempt) bool {
+		id, known := l.recentIDs[current.name]
+		return known && id != current.shardRequest.search.id || findAttempt(l.attempts, current.name) != nil
 	})
 }
 
@@ -180,10 +187,10 @@
 
 // retireSilentConnections closes connections that have long been silent under attempts, once their replica has
 // answered a later attempt on another one: the connection is lost, and its attempts can be retried.
-func (loop *eventLoop) retireSilentConnections(heard *replicaConnection, sent int64) {
-	for _, conn := range heard.replica.connections {
+func (loop *eventLoop) retireSilentConnections(answeredOn *replicaConnection, sent int64) {
+	for _, conn := range answeredOn.replica.connections {
 		age := conn.silentFor(loop.now)
-		if conn != heard && !conn.closedToNew && loop.now-age < sent && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
+		if conn != answeredOn && !conn.closedToNew && loop.now-age < sent && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
 			conn.closeNow(errRetired)
 		}
 	}
