--- a/coordinator/replica_connection_test.go
+++ b/coordinator/replica_connection_test.go
@@ -49,16 +49,16 @@
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 256, nil)
-			c := r.call()
+			c := r.connect()
 			r.replicas["a0"].SetHandler(x.do)
 			for i := range 20 { // until one of them met a0
-				c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+				c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 				if parts, _, _, _ := r.replicas["a0"].Observed(); len(parts) > 0 {
 					break
 				}
 			}
 			r.logged(x.log)
-			r.end()
+			r.shutDown()
 		})
 	}
 }
@@ -71,8 +71,8 @@
 		r.entry("b1", "draining"))
 	r.logged("how=Partial")
 	var spoilt [2]atomic.Bool
-	for i, id := range []string{"a0", "b0"} {
-		r.replicas[id].SetHandler(func(a asked) {
+	for i, hostID := range []string{"a0", "b0"} {
+		r.replicas[hostID].SetHandler(func(a asked) {
 			if spoilt[i].CompareAndSwap(false, true) {
 				a.Conn.Write([]byte("noise in place of an answer"))
 				return
@@ -80,12 +80,12 @@
 			a.ReplyGood()
 		})
 	}
-	c := r.call()
+	c := r.connect()
 	for i := range 20 {
-		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 	}
 	r.logged("end=garbled")
-	r.end()
+	r.shutDown()
 }
 
 // A good answer counts whatever comes behind it, and with a report that cannot be read.
@@ -108,12 +108,12 @@
 					there.Write([]byte(strings.ReplaceAll(both.String(), " -\n", " ?\n")))
 				})
 			}
-			c := r.call()
+			c := r.connect()
 			for i := range 8 { // the second step goes out as the answers come
-				c.want(fmt.Sprint("q", i), "deep", 200, "")
+				c.expect(fmt.Sprint("q", i), "deep", 200, "")
 			}
 			require.Equal(t, 8*6, r.parts(), "no part goes out twice")
-			r.end()
+			r.shutDown()
 		})
 	}
 }
@@ -143,8 +143,8 @@
 	r := start(t, 256, func(s map[string]any) { s["Permissions"].(map[string]any)["DialTimeout"] = 100 })
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("how=Partial")
-	c, d := r.call(), r.call()
-	c.want("first", "all", 200, wholeOfAll)
+	c, d := r.connect(), r.connect()
+	c.expect("first", "all", 200, completeAnswer)
 	var dead atomic.Value // the connection
 	r.replicas["a0"].SetHandler(func(a asked) {
 		if dead.CompareAndSwap(nil, a.Conn) || dead.Load() == a.Conn {
@@ -156,12 +156,12 @@
 	r.eventually("it is out", func() bool { return dead.Load() != nil })
 	for i := range 5 {
 		time.Sleep(120 * time.Millisecond) // over minDoubtDelay
-		d.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+		d.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 	}
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
-	r.end()
+	require.JSONEq(t, completeAnswer, text)
+	r.shutDown()
 }
 
 // A search that fells replicas is given up while more of its parts are out on the connection that ended.
@@ -181,15 +181,15 @@
 			reset(a)
 		}
 	})
-	c := r.call()
+	c := r.connect()
 	c.send(request("q", "all", "", `{"ranges":[{"range":0,"portion":0.4},{"range":1,"portion":0.2},
 		{"range":2,"portion":0.4}],"predicate":"poison"}`))
-	status, _, _, _ := c.answer()
+	status, _, _, _ := c.readAnswer()
 	require.Equal(t, 503, status)
 	r.replicas["a0"].SetHandler(asked.ReplyGood)
 	r.replicas["b0"].SetHandler(asked.ReplyGood)
-	c.want("next", "all", 200, wholeOfAll)
-	r.end()
+	c.expect("next", "all", 200, completeAnswer)
+	r.shutDown()
 }
 
 // A connection on which a part was given up after long silence takes nothing new and is closed; an unused one
@@ -200,9 +200,9 @@
 		s["Permissions"].(map[string]any)["ConnIdle"] = 100
 	})
 	r.replicas["a0"].SetHandler(func(asked) {})
-	c := r.call()
+	c := r.connect()
 	for i := range 20 {
-		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 		if parts, _, _, _ := r.replicas["a0"].Observed(); len(parts) > 0 {
 			break
 		}
@@ -213,21 +213,21 @@
 			return conns > 0 && open == 0
 		})
 	}
-	c.want("again", "some", 200, "")
-	r.end()
+	c.expect("again", "some", 200, "")
+	r.shutDown()
 }
 
 // A replica that refuses connections, and one that never was where the list says, cost no search.
 func TestReplicaDown(t *testing.T) {
 	r := start(t, 256, nil)
 	r.replicas["a0"].Listener.Close()
-	c := r.call()
+	c := r.connect()
 	for i := range 20 {
-		c.want(fmt.Sprint("q", i), "all", 200, wholeOfAll)
+		c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 	}
 	r.logged("event=replica_connection_ended replica=a0")
 	require.Contains(t, r.log.String(), "end=not_up")
-	r.end()
+	r.shutDown()
 }
 
 // A replica's reset against the write of a frame to it: one that is not out whole was never sent and goes elsewhere, whatever
@@ -246,10 +246,10 @@
 			var armed atomic.Bool
 			hosts := map[string]*fake.Host{} // by address
 			var mu sync.Mutex
-			r := crossed(t, 256, func(settings map[string]any) {
-				placed(settings, "Classes", 1)["Effect"] = "fragile"
+			r := startHooked(t, 256, func(settings map[string]any) {
+				settingAt(settings, "Classes", 1)["Effect"] = "fragile"
 				settings["Permissions"].(map[string]any)["SecondCopies"] = false
-			}, nil, func(addr string, c *crossing) {
+			}, nil, func(addr string, c *hookedConn) {
 				mu.Lock()
 				h := hosts[addr]
 				mu.Unlock()
@@ -270,7 +270,7 @@
 						time.Sleep(time.Millisecond)
 					}
 					h.ResetConnections()
-					arrived(t, c.TCPConn)
+					awaitArrival(t, c.TCPConn)
 					return n, true
 				}
 			}, nil)
@@ -291,11 +291,11 @@
 				})
 			}
 			armed.Store(true)
-			c := r.call().send(request("q", "all", "", `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`))
-			status, _, text, _ := c.answer()
+			c := r.connect().send(request("q", "all", "", `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`))
+			status, _, text, _ := c.readAnswer()
 			require.Equal(t, x.status, status, "%s\n%s", text, r.log)
 			require.Equal(t, 1, r.parts(), "it has run once at the most")
-			r.end()
+			r.shutDown()
 		})
 	}
 }
@@ -333,11 +333,11 @@
 func TestRestartedHost(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
-	c := r.call()
-	c.want("first", "all", 200, wholeOfAll)
+	c := r.connect()
+	c.expect("first", "all", 200, completeAnswer)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("version=8 ")
-	c.want("second", "all", 200, wholeOfAll) // by a0
+	c.expect("second", "all", 200, completeAnswer) // by a0
 	conns := func() int { _, _, n, _ := r.replicas["a0"].Observed(); return n }
 	before := conns()
 	time.Sleep(2 * time.Millisecond) // so that the start is after its connections
@@ -347,12 +347,12 @@
 		r.logged(fmt.Sprintf("version=%d ", version))
 	}
 	tell(9, time.Now())
-	c.want("third", "all", 200, wholeOfAll)
+	c.expect("third", "all", 200, completeAnswer)
 	require.Equal(t, before+1, conns())
 	tell(10, time.Now().Add(-time.Minute)) // a start from before leaves it
-	c.want("fourth", "all", 200, wholeOfAll)
+	c.expect("fourth", "all", 200, completeAnswer)
 	require.Equal(t, before+1, conns())
-	r.end()
+	r.shutDown()
 }
 
 // Another host at the address of one that is gone: what goes to it goes on a connection of its own, and what was out at the one
@@ -364,7 +364,7 @@
 	r.logged("version=8 ")
 	held := make(chan asked, 16)
 	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
-	c := r.call().send(request("first", "all", "", fourParts))
+	c := r.connect().send(request("first", "all", "", fourParts))
 	first := <-held
 	r.replicas["a0"].SetHandler(asked.ReplyGood)
 	conns := func() int { _, _, n, _ := r.replicas["a0"].Observed(); return n }
@@ -372,19 +372,19 @@
 	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s,%s]}`, r.entry("a0", "removed"),
 		strings.Replace(r.entry("a0", "up"), `"id":"a0"`, `"id":"a9"`, 1))
 	r.logged("version=9 ")
-	r.call().want("second", "all", 200, wholeOfAll)
+	r.connect().expect("second", "all", 200, completeAnswer)
 	require.Greater(t, conns(), before)
 	first.ReplyGood()
 	for len(held) > 0 {
 		(<-held).ReplyGood()
 	}
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
+	require.JSONEq(t, completeAnswer, text)
 	r.runInLoop(func(loop *eventLoop) { require.NotNil(t, loop.replicas.byID["a9"]) })
 	r.eventually("the one that is gone is forgotten", func() (gone bool) {
 		r.runInLoop(func(loop *eventLoop) { gone = loop.replicas.byID["a0"] == nil })
 		return gone
 	})
-	r.end()
+	r.shutDown()
 }
--- a/coordinator/replica_dial_test.go
+++ b/coordinator/replica_dial_test.go
@@ -17,17 +17,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-type counted struct {
+type closeCounter struct {
 	net.Conn
 	closed atomic.Bool
 }
 
-func (c *counted) Close() error {
+func (c *closeCounter) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
 
-func up(after time.Duration) func(context.Context) (net.Conn, error) {
+func dialAfter(after time.Duration) func(context.Context) (net.Conn, error) {
 	return func(context.Context) (net.Conn, error) { // it is up whether or not it was called off
 		time.Sleep(after)
 		here, _ := net.Pipe()
@@ -35,11 +35,11 @@
 	}
 }
 
-func fail(err error) func(context.Context) (net.Conn, error) {
+func dialFails(err error) func(context.Context) (net.Conn, error) {
 	return func(context.Context) (net.Conn, error) { return nil, err }
 }
 
-func silent(ctx context.Context) (net.Conn, error) {
+func dialSilent(ctx context.Context) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -63,9 +63,9 @@
 		}
 	})
 	began := time.Now()
-	r.call().want("one", "all", 200, wholeOfAll)
+	r.connect().expect("one", "all", 200, completeAnswer)
 	require.Less(t, time.Since(began), r.plan.Duration("Permissions.DialTimeout"))
-	r.end()
+	r.shutDown()
 }
 
 // A further way is tried only where none is up in time, the one that is up first is used, and the others are closed.
@@ -77,28 +77,28 @@
 		dials int
 		fails error
 	}{
-		"quick":          {ways{up(0)}, 1, nil},
-		"refused":        {ways{fail(gone), up(0)}, 1, gone},
-		"late":           {ways{up(5 * maxRedialDelay), up(0)}, 2, nil},
-		"silent":         {ways{silent, up(0)}, 2, nil},
-		"both silent":    {ways{silent, silent, up(0)}, 3, nil},
-		"all silent":     {ways{silent, silent, silent}, 3, context.DeadlineExceeded},
-		"all late":       {ways{up(5 * maxRedialDelay), up(6 * maxRedialDelay), up(7 * maxRedialDelay)}, 3, nil},
-		"second refused": {ways{up(3 * maxRedialDelay / 2), fail(gone)}, 2, nil},
-		"third refused":  {ways{up(4 * maxRedialDelay), silent, fail(gone)}, 3, nil},
-		"refused late":   {ways{silent, fail(gone), fail(gone)}, 3, context.DeadlineExceeded},
+		"quick":          {ways{dialAfter(0)}, 1, nil},
+		"refused":        {ways{dialFails(gone), dialAfter(0)}, 1, gone},
+		"late":           {ways{dialAfter(5 * maxRedialDelay), dialAfter(0)}, 2, nil},
+		"silent":         {ways{dialSilent, dialAfter(0)}, 2, nil},
+		"both silent":    {ways{dialSilent, dialSilent, dialAfter(0)}, 3, nil},
+		"all silent":     {ways{dialSilent, dialSilent, dialSilent}, 3, context.DeadlineExceeded},
+		"all late":       {ways{dialAfter(5 * maxRedialDelay), dialAfter(6 * maxRedialDelay), dialAfter(7 * maxRedialDelay)}, 3, nil},
+		"second refused": {ways{dialAfter(3 * maxRedialDelay / 2), dialFails(gone)}, 2, nil},
+		"third refused":  {ways{dialAfter(4 * maxRedialDelay), dialSilent, dialFails(gone)}, 3, nil},
+		"refused late":   {ways{dialSilent, dialFails(gone), dialFails(gone)}, 3, context.DeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var dials atomic.Int32
 			var mu sync.Mutex
-			var made []*counted
-			g := &errgroup.Group{}
-			loop := &eventLoop{group: g, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			var made []*closeCounter
+			group := &errgroup.Group{}
+			loop := &eventLoop{group: group, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				conn, err := x.ways[dials.Add(1)-1](ctx)
 				if err != nil {
 					return nil, err
 				}
-				c := &counted{Conn: conn}
+				c := &closeCounter{Conn: conn}
 				mu.Lock()
 				made = append(made, c)
 				mu.Unlock()
@@ -107,7 +107,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 10*maxRedialDelay)
 			defer cancel()
 			conn, err := loop.dialWithRetries(ctx, "x", maxRedialDelay, 5)
-			require.NoError(t, g.Wait())
+			require.NoError(t, group.Wait())
 			require.EqualValues(t, x.dials, dials.Load())
 			require.ErrorIs(t, err, x.fails)
 			for _, c := range made {
@@ -134,7 +134,7 @@
 			return own(ctx, network, addr)
 		}
 	})
-	c := r.call()
+	c := r.connect()
 	c.send(request("q", "all", "", fourParts))
 	for n := 255; ; n-- { // one after another, until further connects have been tried
 		p := *r.plan
@@ -144,18 +144,18 @@
 			break
 		}
 	}
-	status, _, _, _ := c.answer()
+	status, _, _, _ := c.readAnswer()
 	require.Contains(t, []int{200, 503}, status)
-	r.end()
+	r.shutDown()
 }
 
-// gates hold back connections: each that is opened waits until its address is let through.
-type gates struct {
+// dialGates hold back connections: each that is opened waits until its address is let through.
+type dialGates struct {
 	mu   sync.Mutex
 	open map[string]chan struct{}
 }
 
-func (g *gates) at(addr string) chan struct{} {
+func (g *dialGates) at(addr string) chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.open[addr] == nil {
@@ -181,7 +181,7 @@
 		}
 	})
 	for i := range 12 {
-		r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts))
+		r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts))
 	}
 	lines := func() (n int) {
 		r.runInLoop(func(loop *eventLoop) { n = loop.descriptors.replicaConnections })
@@ -190,13 +190,13 @@
 	r.eventually("connections are late", func() bool { return float64(lines()) >= replicaDescriptorShare*sockets })
 	r.eventually("second ones are tried", func() bool { return r.loop.descriptors.extraDials.Load() >= int64(lines()) })
 	require.LessOrEqual(t, tried.Load(), int64(math.Ceil(replicaDescriptorShare*sockets+extraDialShare*sockets))+1) // one is discovery's
-	r.end()
+	r.shutDown()
 	require.Zero(t, r.loop.descriptors.extraDials.Load())
 }
 
 // startGated starts one whose connections to the replicas of cell 0 wait at their gates.
-func startGated(t *testing.T, edit func(settings map[string]any)) (r *rig, let func(id string)) {
-	g, gated := &gates{open: map[string]chan struct{}{}}, make(chan map[string]bool, 1)
+func startGated(t *testing.T, edit func(settings map[string]any)) (r *rig, let func(hostID string)) {
+	g, gated := &dialGates{open: map[string]chan struct{}{}}, make(chan map[string]bool, 1)
 	r = startIn(t, nil, 256, func(settings map[string]any) {
 		settings["Permissions"].(map[string]any)["DialTimeout"] = float64(patience / time.Millisecond)
 		if edit != nil {
@@ -218,11 +218,11 @@
 		}
 	})
 	waits := map[string]bool{}
-	for _, id := range []string{"a0", "a1"} {
-		waits[r.replicas[id].Listener.Addr().String()] = true
+	for _, hostID := range []string{"a0", "a1"} {
+		waits[r.replicas[hostID].Listener.Addr().String()] = true
 	}
 	gated <- waits
-	return r, func(id string) { close(g.at(r.replicas[id].Listener.Addr().String())) }
+	return r, func(hostID string) { close(g.at(r.replicas[hostID].Listener.Addr().String())) }
 }
 
 // awaitTurn does something in a turn of the owner's and waits for it.
@@ -232,10 +232,10 @@
 	<-done
 }
 
-// waiting tells how many parts are out, as the owner sees it, on connections to a replica that are not up.
-func (r *rig) waiting(id string) (n int) {
+// waitingAttempts tells how many parts are out, as the owner sees it, on connections to a replica that are not up.
+func (r *rig) waitingAttempts(hostID string) (n int) {
 	r.runInLoop(func(loop *eventLoop) {
-		if to := loop.replicas.byID[id]; to != nil {
+		if to := loop.replicas.byID[hostID]; to != nil {
 			for _, conn := range to.connections {
 				if conn.connectedAt == 0 {
 					n += len(conn.attempts)
@@ -246,10 +246,10 @@
 	return n
 }
 
-// up tells whether a connection to a replica is.
-func (r *rig) up(id string) (is bool) {
+// isConnected tells whether a connection to a replica is.
+func (r *rig) isConnected(hostID string) (is bool) {
 	r.runInLoop(func(loop *eventLoop) {
-		for _, conn := range loop.replicas.byID[id].connections {
+		for _, conn := range loop.replicas.byID[hostID].connections {
 			is = is || conn.connectedAt > 0
 		}
 	})
@@ -260,16 +260,16 @@
 func TestRemainingTimeOnSlowConnection(t *testing.T) {
 	const late = 300 * time.Millisecond
 	r, let := startGated(t, nil)
-	c := r.call().send(request("q", "all", "", fourParts))
-	r.eventually("parts wait", func() bool { return r.waiting("a0")+r.waiting("a1") >= 2 })
+	c := r.connect().send(request("q", "all", "", fourParts))
+	r.eventually("parts wait", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2 })
 	time.Sleep(late)
 	let("a0")
 	let("a1")
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
-	for _, id := range []string{"a0", "a1"} {
-		parts, _, _, _ := r.replicas[id].Observed()
+	require.JSONEq(t, completeAnswer, text)
+	for _, hostID := range []string{"a0", "a1"} {
+		parts, _, _, _ := r.replicas[hostID].Observed()
 		for _, p := range parts {
 			told, err := strconv.Atoi(strings.TrimPrefix(p.List, "d="))
 			require.NoError(t, err)
@@ -277,26 +277,26 @@
 			require.Positive(t, told)
 		}
 	}
-	r.end()
+	r.shutDown()
 }
 
 // A part that waits for a connection to a replica that begins to drain, is gone or has moved meanwhile goes elsewhere in
 // time, and nothing is sent there once the connection is up.
 func TestNothingWaitsForRemovedReplica(t *testing.T) {
-	for name, list := range map[string]func(r *rig, id, other string) string{
-		"drains": func(r *rig, id, _ string) string {
-			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "draining"))
+	for name, list := range map[string]func(r *rig, hostID, other string) string{
+		"drains": func(r *rig, hostID, _ string) string {
+			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(hostID, "draining"))
 		},
-		"removed": func(r *rig, id, _ string) string {
-			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(id, "removed"))
+		"removed": func(r *rig, hostID, _ string) string {
+			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(hostID, "removed"))
 		},
 		"left out": func(r *rig, _, other string) string {
 			return fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s]}`, r.entry(other, "up"), r.entry("b0", "up"))
 		},
-		"moved": func(r *rig, id, other string) string {
-			addr := func(id string) string { return r.replicas[id].Listener.Addr().String() }
+		"moved": func(r *rig, hostID, other string) string {
+			addr := func(hostID string) string { return r.replicas[hostID].Listener.Addr().String() }
 			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
-				strings.Replace(r.entry(id, "up"), addr(id), addr(other), 1))
+				strings.Replace(r.entry(hostID, "up"), addr(hostID), addr(other), 1))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -306,22 +306,22 @@
 				settings["Permissions"].(map[string]any)["Cancelling"] = false
 				settings["Classes"].([]any)[1].(map[string]any)["Effect"] = "fragile"
 			})
-			c := r.call().send(request("q", "all", "", fourParts))
-			r.eventually("parts wait", func() bool { return r.waiting("a0")+r.waiting("a1") == 2 })
-			id, other := "a0", "a1"
-			if r.waiting(id) == 0 {
-				id, other = other, id
+			c := r.connect().send(request("q", "all", "", fourParts))
+			r.eventually("parts wait", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") == 2 })
+			hostID, other := "a0", "a1"
+			if r.waitingAttempts(hostID) == 0 {
+				hostID, other = other, hostID
 			}
 			let(other)
-			r.list.Responses <- list(r, id, other)
-			r.eventually("they are taken back", func() bool { return r.waiting(id) == 0 })
-			let(id)
-			status, _, text, _ := c.answer()
+			r.list.Responses <- list(r, hostID, other)
+			r.eventually("they are taken back", func() bool { return r.waitingAttempts(hostID) == 0 })
+			let(hostID)
+			status, _, text, _ := c.readAnswer()
 			require.Equal(t, 200, status)
-			require.JSONEq(t, wholeOfAll, text)
-			parts, _, _, _ := r.replicas[id].Observed()
+			require.JSONEq(t, completeAnswer, text)
+			parts, _, _, _ := r.replicas[hostID].Observed()
 			require.Empty(t, parts)
-			r.end()
+			r.shutDown()
 		})
 	}
 }
@@ -332,21 +332,21 @@
 		may := settings["Permissions"].(map[string]any)
 		may["SecondCopies"], may["Cancelling"] = false, false
 	})
-	c := r.call().send(request("q", "all", "", fourParts))
-	r.eventually("parts wait", func() bool { return r.waiting("a0")+r.waiting("a1") >= 2 })
-	id := "a0"
-	if r.waiting(id) == 0 {
-		id = "a1"
+	c := r.connect().send(request("q", "all", "", fourParts))
+	r.eventually("parts wait", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2 })
+	hostID := "a0"
+	if r.waitingAttempts(hostID) == 0 {
+		hostID = "a1"
 	}
 	c.Close()
-	r.eventually("its client has left", func() bool { return r.open() == 0 })
-	let(id)
-	r.eventually("the connection is up", func() bool { return r.up(id) })
-	r.call().want("next", "all", 200, wholeOfAll) // by the same connection, behind what would have gone out
-	parts, _, _, _ := r.replicas[id].Observed()
+	r.eventually("its client has left", func() bool { return r.openClients() == 0 })
+	let(hostID)
+	r.eventually("the connection is up", func() bool { return r.isConnected(hostID) })
+	r.connect().expect("next", "all", 200, completeAnswer) // by the same connection, behind what would have gone out
+	parts, _, _, _ := r.replicas[hostID].Observed()
 	require.Len(t, parts, 2)
 	for _, p := range parts {
 		require.True(t, strings.HasPrefix(p.ID, "next."), p.ID)
 	}
-	r.end()
+	r.shutDown()
 }
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -188,13 +188,13 @@
 // recallBatch takes a search's attempts off a batch, or all for a nil search, if no byte of it may be out; they count
 // as never sent. All go at once: one by one, the message of the rest could be sent in between. It returns false where
 // bytes may be out.
-func (loop *eventLoop) recallBatch(batch *batch, of *search) bool {
+func (loop *eventLoop) recallBatch(batch *batch, only *search) bool {
 	if batch.connection != nil && !batch.message.recall() {
 		return false
 	}
 	for i := 0; i < len(batch.attempts); {
 		attempt := batch.attempts[i]
-		if of != nil && attempt.shardRequest.search != of {
+		if only != nil && attempt.shardRequest.search != only {
 			i++
 			continue
 		}
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -101,8 +101,8 @@
 
 // readName reads an object's member name. Names that matter here need no allocation.
 func readName(decoder *jsontext.Decoder) (string, error) {
-	v, err := decoder.ReadValue()
-	switch string(v) {
+	value, err := decoder.ReadValue()
+	switch string(value) {
 	case `"range"`:
 		return "range", nil
 	case `"portion"`:
@@ -112,10 +112,10 @@
 	case `"predicate"`:
 		return "predicate", nil
 	}
-	if err != nil || v.Kind() != '"' {
+	if err != nil || value.Kind() != '"' {
 		return "", errors.Join(err, errors.New("no name"))
 	}
-	text, err := jsontext.AppendUnquote(nil, v)
+	text, err := jsontext.AppendUnquote(nil, value)
 	return string(text), err
 }
 
--- a/coordinator/request_body_test.go
+++ b/coordinator/request_body_test.go
@@ -13,8 +13,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// byMaps reads a body as it was read before, by maps: what FuzzReadBody holds the reader against.
-func byMaps(body []byte, shards int) (list []int, weights []float64, text string, ok bool) {
+// readBodyWithMaps reads a body as it was read before, by maps: what FuzzReadBody holds the reader against.
+func readBodyWithMaps(body []byte, shards int) (list []int, weights []float64, text string, ok bool) {
 	all, err := plan.DecodeObject(body)
 	if err != nil {
 		return nil, nil, "", false
@@ -68,14 +68,14 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		list, weights, text, ok := byMaps(body, 8)
-		s := &search{}
-		err := s.readBody(body, 8)
+		list, weights, text, ok := readBodyWithMaps(body, 8)
+		current := &search{}
+		err := current.readBody(body, 8)
 		require.Equal(t, ok, err == nil, "%q: %v", body, err)
 		if ok {
-			require.Equal(t, list, s.shards)
-			require.Equal(t, weights, s.weights)
-			require.Equal(t, text, string(s.text))
+			require.Equal(t, list, current.shards)
+			require.Equal(t, weights, current.weights)
+			require.Equal(t, text, string(current.text))
 		}
 	})
 }
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -36,24 +36,24 @@
 type restrictionKey struct{ tenant, class int }
 
 // newResidencyEnforcer registers an event loop with the guard.
-func newResidencyEnforcer(loop *eventLoop, r *ResidencyGuard) *residencyEnforcer {
+func newResidencyEnforcer(loop *eventLoop, guard *ResidencyGuard) *residencyEnforcer {
 	name := func(list string) (names []string) {
 		for i := range loop.plan.Count(list) {
 			names = append(names, loop.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
 		}
 		return names
 	}
-	b := &residencyEnforcer{
-		loop: loop, guard: r, now: r.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
+	enforcer := &residencyEnforcer{
+		loop: loop, guard: guard, now: guard.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
 		closed: make(chan struct{}),
 	}
-	r.mu.Lock()
-	r.enforcers[b] = true
-	b.policy = r.policy
-	r.mu.Unlock()
-	b.hosts = residency.NewHostZones(b.policy.HostHoldDown)
-	b.leaseExpiry.Store(b.policy.LeaseExpiry)
-	return b
+	guard.mu.Lock()
+	guard.enforcers[enforcer] = true
+	enforcer.policy = guard.policy
+	guard.mu.Unlock()
+	enforcer.hosts = residency.NewHostZones(enforcer.policy.HostHoldDown)
+	enforcer.leaseExpiry.Store(enforcer.policy.LeaseExpiry)
+	return enforcer
 }
 
 // leaseHasExpired says whether the residency lease has expired, and counts it where it has. Connections' writers call
@@ -82,11 +82,11 @@
 }
 
 // setPolicy puts a policy into force. A renewed lease changes nothing for open searches.
-func (b *residencyEnforcer) setPolicy(s *residency.CompiledPolicy) {
-	renewed := s.DiffersOnlyInLease(b.policy) && b.now < b.policy.LeaseExpiry
-	b.policy = s
-	b.leaseExpiry.Store(s.LeaseExpiry)
-	b.hosts.SetHoldDown(s.HostHoldDown)
+func (b *residencyEnforcer) setPolicy(policy *residency.CompiledPolicy) {
+	renewed := policy.DiffersOnlyInLease(b.policy) && b.now < b.policy.LeaseExpiry
+	b.policy = policy
+	b.leaseExpiry.Store(policy.LeaseExpiry)
+	b.hosts.SetHoldDown(policy.HostHoldDown)
 	if renewed {
 		b.scheduleCheck()
 		return
@@ -96,11 +96,11 @@
 
 // updateHosts applies a list or changes of it, before anything is sent under it.
 func (b *residencyEnforcer) updateHosts(how string, hosts []plan.ListedHost) {
-	told := make([]residency.Host, 0, len(hosts))
+	listed := make([]residency.Host, 0, len(hosts))
 	for _, host := range hosts {
-		told = append(told, residency.Host{ID: host.ID, Addr: host.Addr, Zone: plan.ZoneName(host.Zone), ZoneConflict: host.ZoneConflict, Removed: host.Removed})
+		listed = append(listed, residency.Host{ID: host.ID, Addr: host.Addr, Zone: plan.ZoneName(host.Zone), ZoneConflict: host.ZoneConflict, Removed: host.Removed})
 	}
-	b.hosts.UpdateHosts(b.now, how != "Partial", told)
+	b.hosts.UpdateHosts(b.now, how != "Partial", listed)
 }
 
 // restrictAll computes the restrictions of all open searches anew, in the order of their ids.
@@ -155,15 +155,15 @@
 		return
 	}
 	key := restrictionKey{search.tenant, search.class}
-	to := b.restrictions[key]
-	if to == nil {
-		to = &balancer.ReplicaRestriction{Allows: func(shard int, replica string) bool { return b.allows(tenant, class, shard, replica) }}
-		b.restrictions[key] = to
+	restriction := b.restrictions[key]
+	if restriction == nil {
+		restriction = &balancer.ReplicaRestriction{Allows: func(shard int, replica string) bool { return b.allows(tenant, class, shard, replica) }}
+		b.restrictions[key] = restriction
 	}
 	search.restricted = true
 	b.searchInRestriction = search
 	out := b.countOutstanding(search)
-	b.loop.balancer.RestrictReplicas(search.id, to, func(shard int) bool {
+	b.loop.balancer.RestrictReplicas(search.id, restriction, func(shard int) bool {
 		rule := b.policy.RuleFor(b.now, tenant, class, shard)
 		if search.refusal == nil {
 			search.refusal = &residency.SearchRejectedError{Tenant: tenant, Class: class, Block: shard, Reason: residency.ReasonNoEligibleHost, Generation: b.policy.Generation}
--- a/coordinator/residency_guard.go
+++ b/coordinator/residency_guard.go
@@ -34,20 +34,20 @@
 	if first == nil {
 		first = residency.DenyAll()
 	}
-	r := &ResidencyGuard{clock: clock, policy: first, enforcers: map[*residencyEnforcer]bool{}, metricSet: metrics.NewSet()}
-	r.blocked = r.metricSet.NewCounter("chalkring_residency_caught_total")
-	r.refused = r.metricSet.NewCounter("chalkring_residency_refused_total")
-	r.canceled = r.metricSet.NewCounter("chalkring_residency_called_off_total")
-	r.fenced = r.metricSet.NewCounter("chalkring_residency_fenced_total")
-	r.policyUpdates = r.metricSet.NewCounter("chalkring_residency_standings_total")
-	r.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
-	r.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
-		if in := r.Policy(); in.LeaseExpiry < math.MaxInt64 { // a lease that never expires has no length
-			return max(0, float64(in.LeaseExpiry-r.clock())/10_000)
+	guard := &ResidencyGuard{clock: clock, policy: first, enforcers: map[*residencyEnforcer]bool{}, metricSet: metrics.NewSet()}
+	guard.blocked = guard.metricSet.NewCounter("chalkring_residency_caught_total")
+	guard.refused = guard.metricSet.NewCounter("chalkring_residency_refused_total")
+	guard.canceled = guard.metricSet.NewCounter("chalkring_residency_called_off_total")
+	guard.fenced = guard.metricSet.NewCounter("chalkring_residency_fenced_total")
+	guard.policyUpdates = guard.metricSet.NewCounter("chalkring_residency_standings_total")
+	guard.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(guard.Policy().Generation) })
+	guard.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
+		if in := guard.Policy(); in.LeaseExpiry < math.MaxInt64 { // a lease that never expires has no length
+			return max(0, float64(in.LeaseExpiry-guard.clock())/10_000)
 		}
 		return -1
 	})
-	return r
+	return guard
 }
 
 // Policy returns the policy in force.
@@ -68,26 +68,26 @@
 
 // SetPolicy puts a policy into force and returns once every event loop of the process follows it: from then on nothing
 // that it forbids is sent, and what was in flight has been canceled.
-func (r *ResidencyGuard) SetPolicy(s *residency.CompiledPolicy) {
+func (r *ResidencyGuard) SetPolicy(policy *residency.CompiledPolicy) {
 	r.mu.Lock()
-	r.policy = s
-	owners := slices.Collect(maps.Keys(r.enforcers))
+	r.policy = policy
+	enforcers := slices.Collect(maps.Keys(r.enforcers))
 	r.mu.Unlock()
 	r.policyUpdates.Inc()
-	for _, b := range owners {
+	for _, enforcer := range enforcers {
 		done := make(chan struct{})
-		if b.loop.submit(func() { b.setPolicy(s); close(done) }) {
+		if enforcer.loop.submit(func() { enforcer.setPolicy(policy); close(done) }) {
 			select {
 			case <-done:
-			case <-b.loop.ctx.Done():
-			case <-b.closed: // its event loop never ran
+			case <-enforcer.loop.ctx.Done():
+			case <-enforcer.closed: // its event loop never ran
 			}
 		}
 	}
 }
 
 // writeMetrics writes the counters in the Prometheus text form.
-func (r *ResidencyGuard) writeMetrics(to io.Writer) { r.metricSet.WritePrometheus(to) }
+func (r *ResidencyGuard) writeMetrics(output io.Writer) { r.metricSet.WritePrometheus(output) }
 
 // residencyRefusalBody returns the HTTP response to a refused search: 503 where another instance may have a lease.
 func residencyRefusalBody(r *residency.SearchRejectedError) (status int, body []byte) {
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -31,7 +31,7 @@
 
 func (z *zonedRig) clock() int64 { return time.Now().UnixMicro()/100 + z.ahead.Load() }
 
-func (z *zonedRig) standing(text string, until int64) *residency.CompiledPolicy {
+func (z *zonedRig) policy(text string, until int64) *residency.CompiledPolicy {
 	p, err := residency.ParsePolicy("contracts", []byte(text), residency.Site{})
 	require.NoError(z.t, err)
 	_, err = z.book.AddPolicy(p)
@@ -43,7 +43,7 @@
 
 func startZonedWith(t *testing.T, text string, zones map[string]string, several bool) *zonedRig {
 	z := &zonedRig{rig: &rig{t: t}, lists: make(chan endpoints.Update)}
-	z.in = NewResidencyGuard(z.standing(text, math.MaxInt64), z.clock)
+	z.in = NewResidencyGuard(z.policy(text, math.MaxInt64), z.clock)
 	if zones == nil {
 		zones = map[string]string{"a0": "east", "b0": "east", "a1": "west", "b1": "west"}
 	}
@@ -55,10 +55,10 @@
 	return z
 }
 
-// outside counts parts of acme's that hosts got which are not named.
-func (z *zonedRig) outside(in ...string) (n int) {
-	for id, h := range z.replicas {
-		if parts, _, _, _ := h.Observed(); !strings.Contains(strings.Join(in, " "), id) {
+// attemptsOutside counts parts of acme's that hosts got which are not named.
+func (z *zonedRig) attemptsOutside(in ...string) (n int) {
+	for hostID, h := range z.replicas {
+		if parts, _, _, _ := h.Observed(); !strings.Contains(strings.Join(in, " "), hostID) {
 			for _, p := range parts {
 				if !strings.HasPrefix(p.ID, "other") {
 					n++
@@ -69,10 +69,10 @@
 	return n
 }
 
-func (z *zonedRig) as(tenant, id, class string) (status int, body string) {
-	c := z.call()
-	c.send(strings.Replace(request(id, class, "", fourParts), "X-Tenant: acme", "X-Tenant: "+tenant, 1))
-	status, _, body, _ = c.answer()
+func (z *zonedRig) searchAs(tenant, hostID, class string) (status int, body string) {
+	c := z.connect()
+	c.send(strings.Replace(request(hostID, class, "", fourParts), "X-Tenant: acme", "X-Tenant: "+tenant, 1))
+	status, _, body, _ = c.readAnswer()
 	return status, body
 }
 
@@ -91,37 +91,37 @@
 	for i := range 12 {
 		g.Go(func() {
 			for _, class := range []string{"some", "deep"} {
-				z.as("acme", fmt.Sprint("acme", class, i), class)
-				z.as("other", fmt.Sprint("other", class, i), class)
+				z.searchAs("acme", fmt.Sprint("acme", class, i), class)
+				z.searchAs("other", fmt.Sprint("other", class, i), class)
 			}
 		})
 	}
 	g.Wait()
 	z.replicas["a0"].SetHandler(asked.ReplyGood)
 	for n, until := 0, time.Now().Add(patience); ; n++ {
-		if status, _ := z.as("acme", fmt.Sprint("acme-again", n), "all"); status == 200 {
+		if status, _ := z.searchAs("acme", fmt.Sprint("acme-again", n), "all"); status == 200 {
 			break
 		}
 		require.True(t, time.Now().Before(until), "answers again\n%s", z.log)
 	}
-	require.Zero(t, z.outside("a0", "b0"))
+	require.Zero(t, z.attemptsOutside("a0", "b0"))
 	parts, _, _, _ := z.replicas["a1"].Observed()
 	require.NotEmpty(t, parts, "others use all")
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-// unbound is a module that does not hear what its searches may use.
-type unbound struct{ balancer.Balancer }
+// unrestrictedBalancer is a module that does not hear what its searches may use.
+type unrestrictedBalancer struct{ balancer.Balancer }
 
-func (unbound) RestrictReplicas(uint64, *balancer.ReplicaRestriction, func(int) bool) {}
+func (unrestrictedBalancer) RestrictReplicas(uint64, *balancer.ReplicaRestriction, func(int) bool) {}
 
 // The first guard is broken on purpose: nothing leaves, each is counted, and the search has one final answer.
 func TestCheckBeforeSendingFailsClosed(t *testing.T) {
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north]", 1))
-	z.loop.submit(func() { z.loop.balancer = unbound{z.loop.balancer} })
-	status, _ := z.as("acme", "acme1", "all")
+	z.loop.submit(func() { z.loop.balancer = unrestrictedBalancer{z.loop.balancer} })
+	status, _ := z.searchAs("acme", "acme1", "all")
 	require.Contains(t, []int{500, 503}, status)
-	require.Zero(t, z.outside())
+	require.Zero(t, z.attemptsOutside())
 	require.Positive(t, z.in.BlockedDispatches())
 	z.logged("event=residency_guard tenant=acme")
 	req, err := http.NewRequest(http.MethodGet, "http://"+z.addr+"/metrics", nil)
@@ -132,7 +132,7 @@
 	text, _ := io.ReadAll(res.Body)
 	res.Body.Close()
 	require.Contains(t, string(text), fmt.Sprintf("chalkring_residency_caught_total %d", z.in.BlockedDispatches()))
-	z.end()
+	z.shutDown()
 }
 
 // A block without an allowed holder: a final answer at once that names tenant and block; in part where the contract and
@@ -140,7 +140,7 @@
 func TestBlockWithoutAllowedHost(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	began := time.Now()
-	status, body := z.as("acme", "acme1", "all")
+	status, body := z.searchAs("acme", "acme1", "all")
 	require.Equal(t, 451, status)
 	require.JSONEq(t, `{"error":"residency","tenant":"acme","block":1,"why":"`+residency.ReasonNoEligibleHost+`"}`, body)
 	require.Less(t, time.Since(began), 6*time.Second, "its patience is 8 s")
@@ -148,19 +148,19 @@
 	z.logged("event=residency_refused")
 	z.logged("block 1: " + residency.ReasonNoEligibleHost)
 	part := strings.Replace(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), "[east]", "[east], otherwise: part", 1)
-	z.in.SetPolicy(z.standing(part, math.MaxInt64))
-	status, body = z.as("acme", "acme2", "some") // half is enough
+	z.in.SetPolicy(z.policy(part, math.MaxInt64))
+	status, body = z.searchAs("acme", "acme2", "some") // half is enough
 	require.Equal(t, 200, status, body)
 	require.NotContains(t, body, `"range":1`)
-	status, _ = z.as("acme", "acme3", "all")
+	status, _ = z.searchAs("acme", "acme3", "all")
 	require.Equal(t, 451, status)
 	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
-	status, body = z.as("acme", "acme4", "some")
+	status, body = z.searchAs("acme", "acme4", "some")
 	require.Equal(t, 503, status)
 	require.Contains(t, body, residency.ReasonLeaseExpired)
-	status, _ = z.as("other", "other1", "all")
+	status, _ = z.searchAs("other", "other1", "all")
 	require.Equal(t, 200, status)
-	require.Zero(t, z.outside("a0", "a1"))
+	require.Zero(t, z.attemptsOutside("a0", "a1"))
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
@@ -173,9 +173,9 @@
 			for _, h := range z.replicas {
 				h.SetHandler(func(asked) {})
 			}
-			c := z.call().send(request("acme1", "all", "", fourParts))
+			c := z.connect().send(request("acme1", "all", "", fourParts))
 			z.eventually("parts out", func() bool { return z.parts() == 4 })
-			require.Zero(t, z.outside("a1", "b1"))
+			require.Zero(t, z.attemptsOutside("a1", "b1"))
 			for _, h := range z.replicas {
 				h.SetHandler(asked.ReplyGood)
 			}
@@ -183,33 +183,33 @@
 			next := strings.Replace(eastOnly, "generation: 1", "generation: 2", 1)
 			switch how {
 			case "moves inside":
-				z.in.SetPolicy(z.standing(next, math.MaxInt64))
+				z.in.SetPolicy(z.policy(next, math.MaxInt64))
 			case "has nobody":
 				want = 451
-				z.in.SetPolicy(z.standing(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
+				z.in.SetPolicy(z.policy(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
 			case "lease ends":
 				want = 503
 				z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() + 2_000))
 			}
 			if how != "lease ends" { // Put has returned: all is called off already
 				done := make(chan int)
-				z.loop.submit(func() { done <- z.loop.enforcer.outOn("a1", "b1") })
+				z.loop.submit(func() { done <- z.loop.enforcer.inFlightOn("a1", "b1") })
 				require.Zero(t, <-done)
 			}
-			status, _, body, _ := c.answer()
+			status, _, body, _ := c.readAnswer()
 			require.Equal(t, want, status, body)
 			z.eventually("called off at the hosts", func() bool {
 				n := 0
-				for _, id := range []string{"a1", "b1"} {
-					_, given, _, _ := z.replicas[id].Observed()
+				for _, hostID := range []string{"a1", "b1"} {
+					_, given, _, _ := z.replicas[hostID].Observed()
 					n += len(given)
 				}
 				return n == 4
 			})
 			if want == 200 {
-				require.JSONEq(t, wholeOfAll, body)
+				require.JSONEq(t, completeAnswer, body)
 				require.Equal(t, 8, z.parts())
-				require.Equal(t, 4, z.outside("a1", "b1"), "each went out again, inside")
+				require.Equal(t, 4, z.attemptsOutside("a1", "b1"), "each went out again, inside")
 			} else {
 				require.Equal(t, 4, z.parts())
 			}
@@ -230,7 +230,7 @@
 			}
 		})
 	}
-	c := z.call().send(request("acme1", "deep", "", fourParts))
+	c := z.connect().send(request("acme1", "deep", "", fourParts))
 	second := func() (n int) {
 		for _, h := range z.replicas {
 			for _, p := range first(h.Observed()) {
@@ -242,18 +242,18 @@
 		return n
 	}
 	z.eventually("the second step is out", func() bool { return second() == 2 })
-	z.in.SetPolicy(z.standing(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
-	status, _, body, _ := c.answer()
+	z.in.SetPolicy(z.policy(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
+	status, _, body, _ := c.readAnswer()
 	require.Equal(t, 451, status)
 	require.Contains(t, body, `"block":1`)
 	require.Equal(t, 2, second())
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-// outOn counts parts out at hosts.
-func (b *residencyEnforcer) outOn(ids ...string) (n int) {
-	for _, id := range ids {
-		for _, conn := range b.loop.replicas.byID[id].connections {
+// inFlightOn counts parts out at hosts.
+func (b *residencyEnforcer) inFlightOn(ids ...string) (n int) {
+	for _, hostID := range ids {
+		for _, conn := range b.loop.replicas.byID[hostID].connections {
 			n += len(conn.attempts)
 		}
 	}
@@ -265,47 +265,47 @@
 func TestHostChangesZoneDuringSearch(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "east", "b1": "east"}, true)
 	release := make(chan struct{})
-	for _, id := range []string{"a0", "a1"} {
-		z.replicas[id].SetHandler(func(p asked) { <-release; p.ReplyGood() })
+	for _, hostID := range []string{"a0", "a1"} {
+		z.replicas[hostID].SetHandler(func(p asked) { <-release; p.ReplyGood() })
 	}
-	c := z.call().send(request("acme1", "all", "", fourParts))
+	c := z.connect().send(request("acme1", "all", "", fourParts))
 	z.eventually("parts out", func() bool { return z.parts() >= 4 })
-	file := func(id, zone string, v int64) endpoints.Update {
-		h := z.replicas[id]
+	file := func(hostID, zone string, v int64) endpoints.Update {
+		h := z.replicas[hostID]
 		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{
-			{ID: id, Addr: h.Listener.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1},
+			{ID: hostID, Addr: h.Listener.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1},
 		}}
 	}
 	z.lists <- file("a0", "west", 1)
-	zone := func(id string) string {
+	zone := func(hostID string) string {
 		got := make(chan string)
-		z.loop.submit(func() { got <- z.loop.enforcer.hosts.Zone(z.loop.enforcer.now, id) })
+		z.loop.submit(func() { got <- z.loop.enforcer.hosts.Zone(z.loop.enforcer.now, hostID) })
 		return <-got
 	}
 	z.eventually("in no zone", func() bool { return zone("a0") == "" })
 	require.Equal(t, "east", zone("a1"))
 	before := len(first(z.replicas["a0"].Observed()))
 	close(release)
-	status, _, body, _ := c.answer()
+	status, _, body, _ := c.readAnswer()
 	require.Equal(t, 200, status, body)
 	for i := range 10 {
-		status, body = z.as("acme", fmt.Sprint("acme-after", i), "all")
+		status, body = z.searchAs("acme", fmt.Sprint("acme-after", i), "all")
 		require.Equal(t, 200, status, body)
 	}
 	require.Len(t, first(z.replicas["a0"].Observed()), before, "nothing new for a host whose sources differ")
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-func first[T any](v T, _ []string, _, _ int) T { return v }
+func first[T any](value T, _ []string, _, _ int) T { return value }
 
 // A contract begins by the clock alone, with no word from anybody.
 func TestContractBeginsDuringRun(t *testing.T) {
 	from := time.Now().Add(time.Hour).UTC().Format(time.RFC3339)
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north], from: "+from, 1))
-	status, _ := z.as("acme", "acme1", "all")
+	status, _ := z.searchAs("acme", "acme1", "all")
 	require.Equal(t, 200, status)
 	z.ahead.Store(3600 * 10_000)
-	status, _ = z.as("acme", "acme2", "all")
+	status, _ = z.searchAs("acme", "acme2", "all")
 	require.Equal(t, 451, status)
 }
 
--- a/coordinator/rig_test.go
+++ b/coordinator/rig_test.go
@@ -67,7 +67,7 @@
 	addr     string
 	stop     context.CancelFunc
 	ended    chan error
-	log      *journal
+	log      *logBuffer
 	loop     *eventLoop
 	zones    map[string]string // of replicas that are not in z one
 
@@ -75,18 +75,18 @@
 	callers []net.Conn
 }
 
-type journal struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (j *journal) Write(p []byte) (int, error) {
+func (j *logBuffer) Write(p []byte) (int, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.text.Write(p)
 }
 
-func (j *journal) String() string {
+func (j *logBuffer) String() string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.text.String()
@@ -124,9 +124,9 @@
 }
 
 // entry is a replica's line in discovery's form.
-func (r *rig) entry(id, state string) string {
-	s := r.replicas[id]
-	return fake.Endpoint{ID: id, Addr: s.Listener.Addr().String(), Zone: cmp.Or(r.zones[id], "z one"), Kind: "small", Cell: s.Cell, State: state}.Encode()
+func (r *rig) entry(hostID, state string) string {
+	s := r.replicas[hostID]
+	return fake.Endpoint{ID: hostID, Addr: s.Listener.Addr().String(), Zone: cmp.Or(r.zones[hostID], "z one"), Kind: "small", Cell: s.Cell, State: state}.Encode()
 }
 
 // start sets up replicas a0 and a1 of cell 0, b0 and b1 of cell 1, and serves. edit changes the settings.
@@ -138,13 +138,13 @@
 	return startPlan(t, sockets, edit, peers, nil, nil)
 }
 
-// startWatching starts one whose decisions are held against other settings too.
-func startWatching(t *testing.T, next map[string]string) *rig {
+// startWithShadow starts one whose decisions are held against other settings too.
+func startWithShadow(t *testing.T, next map[string]string) *rig {
 	return startPlan(t, 256, nil, nil, nil, next)
 }
 
-// startOver starts one with settings over its plan's.
-func startOver(t *testing.T, over, next map[string]string) *rig {
+// startWithOverrides starts one with settings over its plan's.
+func startWithOverrides(t *testing.T, over, next map[string]string) *rig {
 	return startPlan(t, 256, nil, nil, over, next)
 }
 
@@ -162,16 +162,16 @@
 	more func(m *Options),
 ) *rig {
 	r := &rig{
-		t: t, replicas: map[string]*fake.Host{}, log: &journal{}, ended: make(chan error, 1),
+		t: t, replicas: map[string]*fake.Host{}, log: &logBuffer{}, ended: make(chan error, 1),
 		list: script(t), plans: make(chan *plan.Plan), zones: zones,
 	}
 	var known []string
-	for _, id := range []string{"a0", "a1", "b0", "b1"} {
-		s, err := fake.NewHost(id, int(id[0]-'a'), true, asked.ReplyGood)
+	for _, hostID := range []string{"a0", "a1", "b0", "b1"} {
+		s, err := fake.NewHost(hostID, int(hostID[0]-'a'), true, asked.ReplyGood)
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
-		r.replicas[id] = s
-		known = append(known, r.entry(id, "up"))
+		r.replicas[hostID] = s
+		known = append(known, r.entry(hostID, "up"))
 	}
 	settings := map[string]any{}
 	require.NoError(t, json.Unmarshal([]byte(testSettings), &settings))
@@ -180,18 +180,18 @@
 	}
 	text, _ := json.Marshal(settings)
 	ln := listen(t)
-	p, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+	initial, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"version":7,"full":true,"servers":[%s]},
 		"settings":%s}`, ln.Addr(), r.list.Listener.Addr(), sockets, strings.Join(known, ","), text))
 	require.NoError(t, err)
-	p, err = p.WithSettings(over)
+	initial, err = initial.WithSettings(over)
 	require.NoError(t, err)
 	if next != nil {
-		p, err = p.WithShadowSettings(next)
+		initial, err = initial.WithShadowSettings(next)
 		require.NoError(t, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r.addr, r.stop, r.plan = ln.Addr().String(), cancel, p
+	r.addr, r.stop, r.plan = ln.Addr().String(), cancel, initial
 	look := make(chan *eventLoop, 1)
 	go func() {
 		options := Options{
@@ -199,15 +199,15 @@
 			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, onStart: look,
 		}
 		more(&options)
-		r.ended <- Serve(ctx, p, options)
+		r.ended <- Serve(ctx, initial, options)
 	}()
 	r.loop = <-look
 	t.Cleanup(cancel)
 	return r
 }
 
-// end stops the co-ordinator, has the clients leave, and waits for it.
-func (r *rig) end() {
+// shutDown stops the co-ordinator, has the clients leave, and waits for it.
+func (r *rig) shutDown() {
 	r.stop()
 	r.mu.Lock()
 	for _, conn := range r.callers {
@@ -222,14 +222,14 @@
 	}
 }
 
-// caller is a client's connection.
-type caller struct {
+// testClient is a client's connection.
+type testClient struct {
 	net.Conn
 	r  *rig
 	rd *http1.Reader
 }
 
-func (r *rig) call() *caller {
+func (r *rig) connect() *testClient {
 	conn, err := net.Dial("tcp", r.addr)
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { conn.Close() })
@@ -237,39 +237,39 @@
 	r.mu.Lock()
 	r.callers = append(r.callers, conn)
 	r.mu.Unlock()
-	return &caller{conn, r, http1.NewReader(conn, make([]byte, bufferSize))}
+	return &testClient{conn, r, http1.NewReader(conn, make([]byte, bufferSize))}
 }
 
 // request is a search's text; head is added to its headers.
-func request(id, class, head, body string) string {
+func request(hostID, class, head, body string) string {
 	return fmt.Sprintf("POST /%s?k=7f HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: acme\r\n"+
-		"X-Deadline: 8.000\r\n%sContent-Length: %d\r\n\r\n%s", class, id, class, head, len(body), body)
+		"X-Deadline: 8.000\r\n%sContent-Length: %d\r\n\r\n%s", class, hostID, class, head, len(body), body)
 }
 
 const fourParts = `{"ranges":[{"range":0,"portion":0.25},{"range":1,"portion":0.25},{"range":2,"portion":0.25,` +
 	`"price":9000,"hash":"5be2a07c19f04d63"},{"range":3,"portion":0.25}],"predicate":"what"}`
 
-func (c *caller) send(text string) *caller {
+func (c *testClient) send(text string) *testClient {
 	_, err := c.Write([]byte(text))
 	require.NoError(c.r.t, err)
 	return c
 }
 
-func (c *caller) answer() (status int, head map[string]string, body string, keep bool) {
+func (c *testClient) readAnswer() (status int, head map[string]string, body string, keep bool) {
 	status, head, text, keep, err := c.rd.ReadResponse()
 	require.NoError(c.r.t, err, "%s", c.r.log)
 	return status, head, string(text), keep
 }
 
-// want sends a search of four parts and looks at the answer.
-func (c *caller) want(id, class string, status int, body string) {
-	c.send(request(id, class, "", fourParts))
-	got, _, text, _ := c.answer()
+// expect sends a search of four parts and looks at the answer.
+func (c *testClient) expect(hostID, class string, status int, body string) {
+	c.send(request(hostID, class, "", fourParts))
+	got, _, text, _ := c.readAnswer()
 	require.Equal(c.r.t, status, got, "%s\n%s", text, c.r.log)
 	if body != "" {
 		require.JSONEq(c.r.t, body, text)
 	}
 }
 
-const wholeOfAll = `{"total":true,"answers":[{"range":0,"blob":"what@0"},{"range":1,"blob":"what@1"},
+const completeAnswer = `{"total":true,"answers":[{"range":0,"blob":"what@0"},{"range":1,"blob":"what@1"},
 	{"range":2,"blob":"what@2"},{"range":3,"blob":"what@3"}]}`
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -154,34 +154,35 @@
 }
 
 // followUpCount returns how many shard requests the second step of a class has, 0 for no second step.
-func (loop *eventLoop) followUpCount(qtype int) int { return loop.rules.followUpCounts[qtype] }
+func (loop *eventLoop) followUpCount(class int) int { return loop.rules.followUpCounts[class] }
 
 // startSecondStep adds the shard requests of the second step, with equal weights: those of the shards with the highest
 // scores, lower shards first among equals.
-func (loop *eventLoop) startSecondStep(search *search, in []*shardRequest, most int) {
+func (loop *eventLoop) startSecondStep(search *search, completed []*shardRequest, maxShards int) {
 	if search.ended {
 		return
 	}
-	slices.SortFunc(in, func(request, q *shardRequest) int {
-		return cmp.Or(q.scoreValue().Cmp(request.scoreValue()), cmp.Compare(request.shard, q.shard))
+	slices.SortFunc(completed, func(a, b *shardRequest) int {
+		return cmp.Or(b.scoreValue().Cmp(a.scoreValue()), cmp.Compare(a.shard, b.shard))
 	})
 	search.step = 2
+	best := completed[:min(maxShards, len(completed))]
 	var shards []int
 	var weights []float64
-	for _, request := range in[:min(most, len(in))] {
+	for _, request := range best {
 		shards = append(shards, request.shard)
-		weights = append(weights, 1/float64(min(most, len(in))))
+		weights = append(weights, 1/float64(len(best)))
 	}
 	loop.addShardRequests(search, shards, weights)
 }
 
 // completedParts returns the completed shard requests of the current step, in the search's order.
 func (loop *eventLoop) completedParts(search *search) []*shardRequest {
-	in := make([]*shardRequest, 0, len(search.shardRequests))
+	completed := make([]*shardRequest, 0, len(search.shardRequests))
 	for _, request := range search.shardRequests {
 		if request.completed && request.step == search.step {
-			in = append(in, request)
+			completed = append(completed, request)
 		}
 	}
-	return in
+	return completed
 }
--- a/coordinator/search_api.go
+++ b/coordinator/search_api.go
@@ -137,14 +137,14 @@
 func (d *SearchAPI) BlockHosts(block int) (names, addrs []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, cell := range d.cellByHost {
+	for hostID, cell := range d.cellByHost {
 		if (cell-block%d.blockSets+d.blockSets)%d.blockSets < d.setsPerHost {
-			names = append(names, id)
+			names = append(names, hostID)
 		}
 	}
 	slices.Sort(names)
-	for _, id := range names {
-		addrs = append(addrs, d.addrByHost[id])
+	for _, hostID := range names {
+		addrs = append(addrs, d.addrByHost[hostID])
 	}
 	return names, addrs
 }
@@ -186,14 +186,14 @@
 	loop := d.loop
 	out, first := make(chan SearchResult, 1), []pendingWrite(nil)
 	now := loop.Clock.Now()
-	s := &search{
+	current := &search{
 		name: request.ID, text: request.Body, class: d.classes[request.Type], tenant: d.tenants[request.Tenant], isRetry: request.IsRetry,
 		arrivedAt: now, timeout: loop.limitTimeout(min(request.Timeout, maxClientTimeout), now), shards: slices.Clone(request.Shards), decodeValue: request.DecodeValue,
 	}
 	for range request.Shards {
-		s.weights = append(s.weights, 1/float64(len(request.Shards)))
+		current.weights = append(current.weights, 1/float64(len(request.Shards)))
 	}
-	s.reply = func(outcome searchOutcome) {
+	current.reply = func(outcome searchOutcome) {
 		first = slices.Clone(outcome.pendingWrites)
 		result := SearchResult{Outcome: outcome.outcome, Complete: outcome.complete, RetryAfter: time.Duration(outcome.retryAfter) * tick, Dispatched: outcome.dispatched, ResidencyRefusal: outcome.refusal}
 		for _, shardReq := range outcome.parts {
@@ -201,7 +201,7 @@
 		}
 		out <- result
 	}
-	if !loop.submit(func() { loop.startSearch(s) }) {
+	if !loop.submit(func() { loop.startSearch(current) }) {
 		return SearchResult{}, errClosing
 	}
 	select {
@@ -209,7 +209,7 @@
 		awaitWritten(first)
 		return result, nil
 	case <-ctx.Done():
-		loop.submit(func() { loop.withdrawSearch(s) })
+		loop.submit(func() { loop.withdrawSearch(current) })
 		return SearchResult{}, ctx.Err()
 	case <-loop.ctx.Done():
 		return SearchResult{}, errClosing
--- a/coordinator/search_end.go
+++ b/coordinator/search_end.go
@@ -31,24 +31,24 @@
 
 // AnswerSearch ends a search with an answer, complete or not, or starts its second step. It implements
 // balancer.Actions.
-func (loop *eventLoop) AnswerSearch(id uint64, whole bool) {
+func (loop *eventLoop) AnswerSearch(id uint64, complete bool) {
 	search := loop.searches.byID[id]
 	if search == nil {
 		return
 	}
-	in := loop.completedParts(search)
-	if more := loop.followUpCount(search.class); search.step == 1 && more > 0 {
-		search.firstStepComplete = whole
-		for _, request := range in {
+	completed := loop.completedParts(search)
+	if followUps := loop.followUpCount(search.class); search.step == 1 && followUps > 0 {
+		search.firstStepComplete = complete
+		for _, request := range completed {
 			search.firstStepShards = append(search.firstStepShards, request.shard)
 		}
 		slices.Sort(search.firstStepShards)
-		loop.runNextIteration(func() { loop.startSecondStep(search, in, more) })
+		loop.runNextIteration(func() { loop.startSecondStep(search, completed, followUps) })
 		return
 	}
 	loop.notifySearchEnd(search, outcomeAnswered)
-	first := loop.finishSearch(search)
-	search.reply(searchOutcome{outcome: outcomeAnswered, complete: whole, parts: in, pendingWrites: first})
+	pending := loop.finishSearch(search)
+	search.reply(searchOutcome{outcome: outcomeAnswered, complete: complete, parts: completed, pendingWrites: pending})
 }
 
 // ShedSearch rejects a search; retryAfter, where it is above 0, is in ticks. It implements balancer.Actions.
@@ -76,28 +76,28 @@
 
 // withdrawSearch cancels a search whose client has left. It returns the writes that have to end before anything is
 // sent to that client.
-func (loop *eventLoop) withdrawSearch(search *search) (first []pendingWrite) {
+func (loop *eventLoop) withdrawSearch(search *search) (pending []pendingWrite) {
 	if search.ended {
 		return nil
 	}
 	loop.notifySearchEnd(search, outcomeClientGone)
-	first = loop.finishSearch(search)
+	pending = loop.finishSearch(search)
 	loop.balancer.CancelSearch(search.id)
-	return first
+	return pending
 }
 
 // withdrawGoneClients withdraws the searches whose clients have closed their connections, though their readers have
 // not reported it yet.
 func (loop *eventLoop) withdrawGoneClients() {
 	var gone []*search
-	for _, s := range loop.searches.byID {
-		if s.client != nil && s.client.hasHungUp() {
-			gone = append(gone, s)
+	for _, open := range loop.searches.byID {
+		if open.client != nil && open.client.hasHungUp() {
+			gone = append(gone, open)
 		}
 	}
-	slices.SortFunc(gone, func(s, u *search) int { return cmp.Compare(s.id, u.id) }) // the balancer's actions follow the order of its calls
-	for _, s := range gone {
-		loop.withdrawSearch(s)
+	slices.SortFunc(gone, func(a, b *search) int { return cmp.Compare(a.id, b.id) }) // the balancer's actions follow the order of its calls
+	for _, search := range gone {
+		loop.withdrawSearch(search)
 	}
 }
 
@@ -109,22 +109,22 @@
 }
 
 // notifySearchEnd calls OnSearchEnd.
-func (loop *eventLoop) notifySearchEnd(search *search, kind int) {
+func (loop *eventLoop) notifySearchEnd(search *search, outcome int) {
 	if loop.OnSearchEnd == nil {
 		return
 	}
-	e := SearchEnd{Type: search.class, Outcome: kind, Duration: loop.Clock.Now().Sub(search.arrivedAt)}
+	end := SearchEnd{Type: search.class, Outcome: outcome, Duration: loop.Clock.Now().Sub(search.arrivedAt)}
 	for _, request := range search.shardRequests {
-		e.Attempts += len(request.attempts)
+		end.Attempts += len(request.attempts)
 	}
-	loop.OnSearchEnd(e)
+	loop.OnSearchEnd(end)
 }
 
 // finishSearch forgets a search. It returns the writes that have to end before its final answer; the slice is valid
 // until the next call.
-func (loop *eventLoop) finishSearch(search *search) (first []pendingWrite) {
-	first = loop.searches.pendingWrites[:0]
-	defer func() { loop.searches.pendingWrites = first }()
+func (loop *eventLoop) finishSearch(search *search) (pending []pendingWrite) {
+	pending = loop.searches.pendingWrites[:0]
+	defer func() { loop.searches.pendingWrites = pending }()
 	loop.holdBytes(search, -int(search.heldBytes))
 	search.ended = true
 	delete(loop.searches.byID, search.id)
@@ -134,7 +134,7 @@
 	}
 	for _, write := range search.pendingWrites {
 		if !write.isWritten() {
-			first = append(first, write)
+			pending = append(pending, write)
 		}
 	}
 	for _, request := range search.shardRequests {
@@ -148,14 +148,14 @@
 			// Nothing may be sent after the final answer: a write that has begun has to end before it.
 			if batch := attempt.batch; !loop.recallBatch(batch, search) {
 				if write := (pendingWrite{batch.connection.messageConn, batch.message}); !write.isWritten() {
-					first = append(first, write)
+					pending = append(pending, write)
 				}
 			}
 		}
 		loop.dropShardRequest(request)
 	}
 	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // an idle connection keeps its last search
-	return first
+	return pending
 }
 
 // dropShardRequest forgets a shard request once its search has ended and the balancer has all its outcomes: until then
--- a/coordinator/search_test.go
+++ b/coordinator/search_test.go
@@ -18,18 +18,18 @@
 
 func TestSearchesAreAnswered(t *testing.T) {
 	r := start(t, 256, nil)
-	c := r.call()
+	c := r.connect()
 	c.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-	status, _, _, keep := c.answer()
+	status, _, _, keep := c.readAnswer()
 	require.Equal(t, 200, status)
 	require.True(t, keep)
-	c.want("q1", "all", 200, wholeOfAll)
-	c.want("q2", "all", 200, wholeOfAll) // the connection stays
-	for _, id := range []string{"a0", "a1", "b0", "b1"} {
-		parts, _, conns, _ := r.replicas[id].Observed()
+	c.expect("q1", "all", 200, completeAnswer)
+	c.expect("q2", "all", 200, completeAnswer) // the connection stays
+	for _, hostID := range []string{"a0", "a1", "b0", "b1"} {
+		parts, _, conns, _ := r.replicas[hostID].Observed()
 		require.LessOrEqual(t, conns, 1, "connections are used again")
 		for _, p := range parts {
-			require.Equal(t, r.replicas[id].Cell, p.Shard%2)
+			require.Equal(t, r.replicas[hostID].Cell, p.Shard%2)
 			require.Equal(t, "what", p.Text)
 			require.Regexp(t, `^d=[1-9][0-9]{3}$`, p.List)
 		}
@@ -37,15 +37,15 @@
 	for i := range 30 { // a request split at any byte is one request
 		text := request(fmt.Sprint("s", i), "all", "", fourParts)
 		c.send(text[:i*9]).send(text[i*9:])
-		status, _, _, _ := c.answer()
+		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 200, status)
 	}
 	c.send(request("last", "all", "Connection: close\r\n", fourParts))
-	_, _, _, keep = c.answer()
+	_, _, _, keep = c.readAnswer()
 	require.False(t, keep)
 	_, err := c.Read(make([]byte, 1))
 	require.Equal(t, io.EOF, err)
-	r.end()
+	r.shutDown()
 }
 
 // A second step goes to the shards with the highest scores, the lower among equals, and names what was in.
@@ -61,7 +61,7 @@
 			a.Reply("good", scores[a.Shard], "first")
 		})
 	}
-	r.call().want("q", "deep", 200, `{"total":true,"answers":[{"range":1,"blob":"what@1!"},{"range":0,"blob":"what@0!"}]}`)
+	r.connect().expect("q", "deep", 200, `{"total":true,"answers":[{"range":1,"blob":"what@1!"},{"range":0,"blob":"what@0!"}]}`)
 	var second []string
 	for _, s := range r.replicas {
 		parts, _, _, _ := s.Observed()
@@ -74,7 +74,7 @@
 	}
 	slices.Sort(second)
 	require.Equal(t, []string{"q.0.r from=0+1+2+3,whole=1", "q.1.r from=0+1+2+3,whole=1"}, second)
-	r.end()
+	r.shutDown()
 }
 
 // A search that bears the name of one that is open is none; the name is free again after the answer.
@@ -84,17 +84,17 @@
 	for _, s := range r.replicas {
 		s.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	}
-	c := r.call().send(request("same", "all", "", fourParts))
+	c := r.connect().send(request("same", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return r.parts() == 4 })
-	d := r.call()
-	d.want("same", "all", 409, "")
+	d := r.connect()
+	d.expect("same", "all", 409, "")
 	require.Equal(t, 4, r.parts())
 	close(gate)
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
-	d.want("same", "all", 200, wholeOfAll)
-	r.end()
+	require.JSONEq(t, completeAnswer, text)
+	d.expect("same", "all", 200, completeAnswer)
+	r.shutDown()
 }
 
 // An answer that comes after its part was given up is dropped, and the connection stays in use.
@@ -113,7 +113,7 @@
 			}
 		})
 	}
-	c := r.call().send(request("q1", "some", "", fourParts))
+	c := r.connect().send(request("q1", "some", "", fourParts))
 	a := <-held
 	// A host may have a frame before its writer here has noted that it is out.
 	r.eventually("all frames are noted as written", func() bool {
@@ -130,33 +130,33 @@
 		return <-out == 4
 	})
 	close(gate)
-	status, _, _, _ := c.answer()
+	status, _, _, _ := c.readAnswer()
 	require.Equal(t, 200, status)
 	a.ReplyGood()
 	a.Reply("good", "1", "unknown part")
-	c.want("q2", "all", 200, wholeOfAll)
+	c.expect("q2", "all", 200, completeAnswer)
 	for _, s := range r.replicas {
 		_, _, conns, _ := s.Observed()
 		require.LessOrEqual(t, conns, 1)
 	}
 	require.NotContains(t, r.log.String(), "bad_frame")
-	r.end()
+	r.shutDown()
 }
 
 // randomRequest returns the text of a search named id and what it asks for: some are longer than the buffers, some have to
 // be escaped again, and some come in chunks.
-func randomRequest(chance *rand.Rand, id string, i int) (what, text string) {
-	what = id + strings.Repeat("/"+id, chance.Intn(40)*chance.Intn(40))
+func randomRequest(chance *rand.Rand, hostID string, i int) (what, text string) {
+	what = hostID + strings.Repeat("/"+hostID, chance.Intn(40)*chance.Intn(40))
 	if i%7 == 0 {
 		what += `\"\u00fc`
 	}
 	body := strings.Replace(fourParts, `"what"`, `"`+what+`"`, 1)
-	text = request(id, "all", "", body)
+	text = request(hostID, "all", "", body)
 	if i%3 != 0 {
 		return what, text
 	}
 	at := chance.Intn(len(body)) + 1
-	text = strings.Replace(request(id, "all", "", ""), "Content-Length: 0\r\n\r\n", fmt.Sprintf(
+	text = strings.Replace(request(hostID, "all", "", ""), "Content-Length: 0\r\n\r\n", fmt.Sprintf(
 		"Transfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%s\r\n", at, body[:at]), 1)
 	if at < len(body) {
 		text += fmt.Sprintf("%x\r\n%s\r\n", len(body)-at, body[at:])
@@ -175,25 +175,25 @@
 	for k := range clients {
 		chance := rand.New(rand.NewSource(int64(k)))
 		g.Go(func() {
-			c := r.call()
+			c := r.connect()
 			for i := range each {
-				id := fmt.Sprintf("c%d-%d", k, i)
-				what, text := randomRequest(chance, id, i)
+				hostID := fmt.Sprintf("c%d-%d", k, i)
+				what, text := randomRequest(chance, hostID, i)
 				switch chance.Intn(8) {
 				case 0: // leaves
 					c.Write([]byte(text))
 					c.Close()
-					c = r.call()
+					c = r.connect()
 					continue
 				case 1: // sends ahead
 					c.Write([]byte(text + text))
 					c.Close()
-					c = r.call()
+					c = r.connect()
 					continue
 				case 2: // is refused
 					c.Write([]byte(strings.Replace(text, "X-Tenant: acme", "X-Tenant: nobody", 1)))
 					if status, _, got, _, err := c.rd.ReadResponse(); err != nil || status != 400 || string(got) != "{}" {
-						faults <- fmt.Sprint(id, " refused: ", status, err)
+						faults <- fmt.Sprint(hostID, " refused: ", status, err)
 						return
 					}
 				}
@@ -214,12 +214,12 @@
 					continue
 				}
 				if err != nil || status != 200 || len(got.Answers) != 4 {
-					faults <- fmt.Sprintf("%s: %d %v %.200s", id, status, err, answer)
+					faults <- fmt.Sprintf("%s: %d %v %.200s", hostID, status, err, answer)
 					return
 				}
 				for shard, one := range got.Answers {
 					if one.Blob != fmt.Sprintf("%s@%d", want, shard) {
-						faults <- fmt.Sprintf("%s got %.200s", id, one.Blob)
+						faults <- fmt.Sprintf("%s got %.200s", hostID, one.Blob)
 						return
 					}
 				}
@@ -233,7 +233,7 @@
 		t.Error(text)
 	}
 	require.Positive(t, sound.Load())
-	r.end()
+	r.shutDown()
 }
 
 // Each search's end is told once, with its class and its sub-requests, also where its client leaves.
@@ -241,21 +241,21 @@
 	r := start(t, 256, nil)
 	ends := make(chan SearchEnd, 4)
 	r.loop.submit(func() { r.loop.OnSearchEnd = func(e SearchEnd) { ends <- e } })
-	r.call().want("s1", "all", 200, wholeOfAll)
+	r.connect().expect("s1", "all", 200, completeAnswer)
 	e := <-ends
 	require.Equal(t, [3]int{1, OutcomeAnswered, 4}, [3]int{e.Type, e.Outcome, e.Attempts})
 	require.Positive(t, e.Duration)
 	for _, h := range r.replicas {
 		h.SetHandler(func(fake.ShardRequest) {})
 	}
-	c := r.call().send(request("s2", "all", "", fourParts))
+	c := r.connect().send(request("s2", "all", "", fourParts))
 	r.eventually("parts of the second search", func() bool { return r.parts() >= 8 })
 	c.Close()
 	e = <-ends
 	require.Equal(t, OutcomeClientGone, e.Outcome)
 	require.NotEqual(t, OutcomeResidencyRefused, e.Outcome)
 	require.GreaterOrEqual(t, e.Attempts, 4)
-	r.end()
+	r.shutDown()
 	require.Empty(t, ends)
 }
 
@@ -263,7 +263,7 @@
 // their answers the owner holds no part, no wake of a search and no value.
 func TestEndedSearchesHoldNothing(t *testing.T) {
 	r := start(t, 256, nil)
-	c := r.call()
+	c := r.connect()
 	held := func() (wakes, timers, parts, searches, lines int) {
 		told := make(chan struct{})
 		require.True(t, r.loop.submit(func() {
@@ -276,14 +276,14 @@
 	}
 	for i := range 300 {
 		c.send(strings.Replace(request(fmt.Sprint("h", i), "all", "", fourParts), "8.000", "60.000", 1))
-		status, _, _, _ := c.answer()
+		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 200, status)
 	}
 	r.eventually("nothing of ended searches is held", func() bool {
 		wakes, timers, parts, searches, lines := held()
 		return timers <= 1 && parts == 0 && searches == 0 && wakes <= timers+2*lines // idle looks of connections
 	})
-	r.end()
+	r.shutDown()
 }
 
 // What open searches and untaken answers hold is bounded: with no room left, a search is turned away at once with a time
@@ -314,19 +314,19 @@
 		<-told
 		return bytes
 	}
-	first := r.call().send(request("first", "all", "", fourParts))
+	first := r.connect().send(request("first", "all", "", fourParts))
 	a := <-held
 	r.eventually("values are held", func() bool { return look() > 50_000 })
-	status, head, _, _ := r.call().send(request("second", "all", "", fourParts)).answer()
+	status, head, _, _ := r.connect().send(request("second", "all", "", fourParts)).readAnswer()
 	require.Equal(t, 503, status)
 	require.NotEmpty(t, head["retry-after"])
 	a.ReplyGood()
-	status, _, text, _ := first.answer()
+	status, _, text, _ := first.readAnswer()
 	require.Equal(t, 200, status)
 	require.Equal(t, 3, strings.Count(text, long))
 	r.eventually("all is released", func() bool { return look() == 0 })
-	r.call().want("third", "all", 200, wholeOfAll)
-	r.end()
+	r.connect().expect("third", "all", 200, completeAnswer)
+	r.shutDown()
 }
 
 // Two co-ordinators of one process whose settings give classes of one name other effects, places and tenants handle each
@@ -336,9 +336,9 @@
 	serve := func(order []string, effects map[string]string, tenant string) *rig {
 		r := start(t, 256, func(settings map[string]any) {
 			for i, name := range order {
-				placed(settings, "Classes", i)["Name"], placed(settings, "Classes", i)["Effect"] = name, effects[name]
+				settingAt(settings, "Classes", i)["Name"], settingAt(settings, "Classes", i)["Effect"] = name, effects[name]
 			}
-			placed(settings, "Tenants", 0)["Name"] = tenant
+			settingAt(settings, "Tenants", 0)["Name"] = tenant
 			all := settings["Specifics"].(map[string]any)
 			all["NeedByClass"], all["ClassFloor"], all["FollowUp"] = []any{1, 1, 1}, []any{1, 1, 1}, []any{0, 0, 0}
 		})
@@ -364,9 +364,9 @@
 	for _, rounds := range []int{1, 12} { // connections are up before many come at once
 		var clients sync.WaitGroup
 		for n := range rounds {
-			var callers []*caller
+			var callers []*testClient
 			for _, r := range []*rig{one, two} {
-				callers = append(callers, r.call())
+				callers = append(callers, r.connect())
 			}
 			clients.Go(func() {
 				for i := range 12 {
@@ -394,6 +394,6 @@
 		clients.Wait()
 	}
 	require.Greater(t, one.parts(), 0)
-	one.end()
-	two.end()
+	one.shutDown()
+	two.shutDown()
 }
--- a/coordinator/shard_listener.go
+++ b/coordinator/shard_listener.go
@@ -70,31 +70,31 @@
 // distribute hands connections round-robin to an event loop that waits for one, so that one without room does not
 // delay the others. It returns once the listener is closed.
 func (s *sharedListener) distribute() {
-	for turn := 0; ; turn++ {
+	for next := 0; ; next++ {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if !s.handOver(acceptResult{conn, err}, turn) && conn != nil {
+		if !s.handOver(acceptResult{conn, err}, next) && conn != nil {
 			conn.Close()
 		}
 	}
 }
 
-// handOver hands a connection over, to the event loop of this turn or else to the next that accepts.
-func (s *sharedListener) handOver(t acceptResult, turn int) bool {
+// handOver hands a connection over, to the event loop at first or else to the next that accepts.
+func (s *sharedListener) handOver(result acceptResult, first int) bool {
 	n := len(s.shards)
 	for i := range n {
 		select {
-		case s.shards[(turn+i)%n].accepted <- t:
+		case s.shards[(first+i)%n].accepted <- result:
 			return true
 		default:
 		}
 	}
 	for i := range n { // all are busy
-		d := s.shards[(turn+i)%n]
+		d := s.shards[(first+i)%n]
 		select {
-		case d.accepted <- t:
+		case d.accepted <- result:
 			return true
 		case <-d.closed:
 		}
--- a/coordinator/sharded.go
+++ b/coordinator/sharded.go
@@ -15,9 +15,9 @@
 // ServeSharded serves with n event loops in one process, since one uses one core at the most. Each has a balancer of
 // its own and its part of the clients' connections, descriptors, memory and budget; to rules that all coordinators
 // keep together each counts as a coordinator. Other frontends, peers and persistence are the first one's.
-func ServeSharded(ctx context.Context, p *plan.Plan, options Options, n int) error {
+func ServeSharded(ctx context.Context, initial *plan.Plan, options Options, n int) error {
 	if n <= 1 {
-		return Serve(ctx, p, options)
+		return Serve(ctx, initial, options)
 	}
 	listener := newSharedListener(options.Listener, n)
 	shards := newShardUpdates(n, options.EndpointUpdates != nil)
@@ -30,7 +30,7 @@
 		running.Add(1)
 		group.Go(func() error {
 			defer running.Done()
-			return Serve(ctx, p.ForShard(i, n), own)
+			return Serve(ctx, initial.ForShard(i, n), own)
 		})
 	}
 	group.Go(func() error {
@@ -56,14 +56,14 @@
 }
 
 func newShardUpdates(n int, hasLists bool) *shardUpdates {
-	u := &shardUpdates{plans: make([]chan *plan.Plan, n), lists: make([]chan endpoints.Update, n)}
+	updates := &shardUpdates{plans: make([]chan *plan.Plan, n), lists: make([]chan endpoints.Update, n)}
 	for i := range n {
-		u.plans[i] = make(chan *plan.Plan)
+		updates.plans[i] = make(chan *plan.Plan)
 		if hasLists {
-			u.lists[i] = make(chan endpoints.Update)
+			updates.lists[i] = make(chan endpoints.Update)
 		}
 	}
-	return u
+	return updates
 }
 
 // optionsOf returns the options of one event loop, but for its listener.
--- a/coordinator/sharded_test.go
+++ b/coordinator/sharded_test.go
@@ -21,7 +21,7 @@
 func TestServeSharded(t *testing.T) {
 	r := start(t, 256, nil) // its hosts and list serve the several too
 	ln := listen(t)
-	var log journal
+	var log logBuffer
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	plans, ended := make(chan *plan.Plan), make(chan error, 1)
@@ -35,10 +35,10 @@
 	own.eventually("all serve", func() bool { return strings.Count(log.String(), "event=serving") == 3 })
 	var g sync.WaitGroup
 	for i := range 12 {
-		c := own.call()
+		c := own.connect()
 		g.Go(func() {
 			for k := range 20 {
-				c.want(fmt.Sprintf("s%d-%d", i, k), "all", http.StatusOK, wholeOfAll)
+				c.expect(fmt.Sprintf("s%d-%d", i, k), "all", http.StatusOK, completeAnswer)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 	for _, h := range r.replicas {
 		h.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	}
-	last := []*caller{own.call(), own.call(), own.call()}
+	last := []*testClient{own.connect(), own.connect(), own.connect()}
 	for i, c := range last {
 		c.send(request(fmt.Sprint("last", i), "all", "", fourParts))
 	}
@@ -59,9 +59,9 @@
 	cancel()
 	time.AfterFunc(50*time.Millisecond, func() { close(gate) })
 	for _, c := range last {
-		status, _, text, _ := c.answer()
+		status, _, text, _ := c.readAnswer()
 		require.Equal(t, 200, status)
-		require.JSONEq(t, wholeOfAll, text)
+		require.JSONEq(t, completeAnswer, text)
 	}
 	select {
 	case err := <-ended:
@@ -69,5 +69,5 @@
 	case <-time.After(patience):
 		require.Fail(t, "does not end", log.String())
 	}
-	r.end()
+	r.shutDown()
 }
--- a/coordinator/shutdown_test.go
+++ b/coordinator/shutdown_test.go
@@ -33,9 +33,9 @@
 			go func() { <-release; a.ReplyGood() }()
 		})
 	}
-	idle, early, late := r.call(), r.call(), r.call()
-	idle.want("first", "none", 400, "")
-	idle = r.call()
+	idle, early, late := r.connect(), r.connect(), r.connect()
+	idle.expect("first", "none", 400, "")
+	idle = r.connect()
 	early.send(request("early", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return got.Load() == 4 })
 	r.stop()
@@ -45,13 +45,13 @@
 	_, err := idle.Read(make([]byte, 1)) // comes to an end once no more is awaited
 	require.Equal(t, io.EOF, err)
 	close(release)
-	for _, c := range []*caller{early, late} {
-		status, _, text, keep := c.answer()
+	for _, c := range []*testClient{early, late} {
+		status, _, text, keep := c.readAnswer()
 		require.Equal(t, 200, status)
-		require.JSONEq(t, wholeOfAll, text)
+		require.JSONEq(t, completeAnswer, text)
 		require.False(t, keep)
 	}
-	r.end()
+	r.shutDown()
 	for _, s := range r.replicas {
 		s.Listener.Close()
 	}
@@ -68,8 +68,8 @@
 	for _, s := range r.replicas {
 		s.SetHandler(func(asked) {})
 	}
-	late := r.call()
-	late.want("first", "none", 400, "") // the connection is taken before the end
+	late := r.connect()
+	late.expect("first", "none", 400, "") // the connection is taken before the end
 	r.stop()
 	told := time.Now()
 	r.logged("event=stopping")
@@ -77,16 +77,16 @@
 	require.Equal(t, plan.MaxTerminationGrace, kill.Sub(told))
 	time.Sleep(time.Until(told.Add(800 * time.Millisecond)))
 	late.send(request("late", "all", "", fourParts))
-	status, _, _, _ := late.answer()
+	status, _, _, _ := late.readAnswer()
 	require.Contains(t, []int{500, 503}, status)
 	require.Less(t, time.Until(kill), time.Second) // it was tried until then
 	require.Less(t, time.Since(kill), busy)
 	time.Sleep(time.Until(kill.Add(-killMargin)))
 	late.send(request("last", "all", "", fourParts))
-	status, _, _, _ = late.answer()
+	status, _, _, _ = late.readAnswer()
 	require.Contains(t, []int{500, 503}, status)
 	require.Less(t, time.Since(kill), busy)
-	r.end()
+	r.shutDown()
 }
 
 // Connections that have come by the time at which no more are taken are taken, each with its request, also where the
@@ -158,8 +158,8 @@
 // As the co-ordinator stops, more requests in a piece than its buffer holds are answered one after another, each once.
 func TestPipelinedRequestsAtShutdown(t *testing.T) {
 	r := start(t, 256, nil)
-	c := r.call()
-	c.want("first", "all", 200, wholeOfAll)
+	c := r.connect()
+	c.expect("first", "all", 200, completeAnswer)
 	r.stop()
 	r.logged("event=stopping")
 	const many = 170 // some 60 KB
@@ -171,11 +171,11 @@
 	require.Greater(t, all.Len(), 3*bufferSize)
 	go c.Write([]byte(all.String()))
 	for i := range many {
-		status, _, body, _ := c.answer()
+		status, _, body, _ := c.readAnswer()
 		require.Equal(t, 200, status)
-		require.JSONEq(t, strings.ReplaceAll(wholeOfAll, "what", fmt.Sprint("what", i)), body)
+		require.JSONEq(t, strings.ReplaceAll(completeAnswer, "what", fmt.Sprint("what", i)), body)
 	}
-	r.end()
+	r.shutDown()
 	require.Equal(t, 4*(many+1), r.parts())
 }
 
@@ -185,7 +185,7 @@
 	for name, atStop := range map[string]bool{"a request that wants it": false, "the end of the stop": true} {
 		t.Run(name, func(t *testing.T) {
 			answered, reads := make(chan struct{}), make(chan struct{}, 64)
-			r := crossed(t, 256, nil, func(c *crossing) {
+			r := startHooked(t, 256, nil, func(c *hookedConn) {
 				answers := 0
 				c.read = func(int) { reads <- struct{}{} }
 				c.wrote = func(p []byte) {
@@ -198,20 +198,20 @@
 					}
 				}
 			}, nil, nil)
-			c := r.call()
-			c.want("first", "all", 200, wholeOfAll)
+			c := r.connect()
+			c.expect("first", "all", 200, completeAnswer)
 			head := "Connection: close\r\n"
 			if atStop {
 				r.loop.stop.closeAfterAnswer.Store(true)
 				r.stop()
 				r.logged("event=stopping")
-				r.noneTaken()
+				r.awaitListenerClosed()
 				head = ""
 			}
 			c.send(request("last", "all", head, fourParts))
 			<-answered
 			c.send(request("behind", "all", "", fourParts))
-			status, _, _, keep := c.answer()
+			status, _, _, keep := c.readAnswer()
 			require.Equal(t, 200, status)
 			require.False(t, keep)
 			_, err := c.Read(make([]byte, 1))
@@ -226,7 +226,7 @@
 					return true
 				}
 			})
-			r.end()
+			r.shutDown()
 			require.Equal(t, 8, r.parts(), "those of the first and the last")
 		})
 	}
@@ -237,15 +237,15 @@
 func TestConnectionsWaitingForRoomAtShutdown(t *testing.T) {
 	const sockets, more, room = 16, 6, 8
 	gate, closing := make(chan struct{}), make(chan struct{}, 64)
-	r := crossed(t, sockets, nil, nil, nil, func(m *Options) {
-		m.Listener.(*accepting).deadline = func() { closing <- struct{}{} }
-		m.Clock = clocked{held: stopIdleTimeout, gate: make(chan time.Time)} // which ends the wait for room
+	r := startHooked(t, sockets, nil, nil, nil, func(m *Options) {
+		m.Listener.(*hookedListener).deadline = func() { closing <- struct{}{} }
+		m.Clock = hookedClock{held: stopIdleTimeout, gate: make(chan time.Time)} // which ends the wait for room
 	})
 	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
-	var all []*caller
+	var all []*testClient
 	for i := range room + more {
-		all = append(all, r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
-		r.eventually("it is at work", func() bool { return r.open() == min(i+1, room) }) // one that is not would be displaced
+		all = append(all, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
+		r.eventually("it is at work", func() bool { return r.openClients() == min(i+1, room) }) // one that is not would be displaced
 	}
 	r.stop()
 	<-closing
@@ -256,7 +256,7 @@
 		require.NoError(t, err, "connection %d\n%s", i, r.log)
 		require.Contains(t, []int{200, 503}, status)
 	}
-	r.end()
+	r.shutDown()
 }
 
 // A request that comes as its connection is closed, having been at rest, is not sent on, and its client sees an end without
@@ -266,7 +266,7 @@
 		"unused": func(*rig) {},
 		"displaced": func(r *rig) {
 			for range 10 {
-				r.call()
+				r.connect()
 			}
 		},
 		"at the stop": func(r *rig) { r.stop() },
@@ -275,7 +275,7 @@
 			t.Parallel()
 			closes, sent := make(chan *net.TCPConn), make(chan struct{})
 			var first atomic.Bool
-			r := crossed(t, 16, nil, func(c *crossing) {
+			r := startHooked(t, 16, nil, func(c *hookedConn) {
 				if first.CompareAndSwap(false, true) {
 					var once sync.Once
 					c.closes = func() {
@@ -286,17 +286,17 @@
 					}
 				}
 			}, nil, nil)
-			c := r.call()
-			c.want("first", "all", 200, wholeOfAll)
+			c := r.connect()
+			c.expect("first", "all", 200, completeAnswer)
 			ends(r)
 			here := <-closes
 			c.send(request("crosses", "all", "", fourParts))
-			arrived(t, here)
+			awaitArrival(t, here)
 			close(sent)
 			_, err := c.Read(make([]byte, 1))
 			require.Error(t, err)
 			require.False(t, errors.Is(err, syscall.ETIMEDOUT))
-			r.end()
+			r.shutDown()
 			require.Equal(t, 4, r.parts(), "those of the first")
 		})
 	}
@@ -305,7 +305,7 @@
 // An answer that is half written as the co-ordinator is told to end goes out whole.
 func TestPartlyWrittenAnswerAtShutdown(t *testing.T) {
 	half, gate := make(chan struct{}), make(chan struct{})
-	r := crossed(t, 256, nil, func(c *crossing) {
+	r := startHooked(t, 256, nil, func(c *hookedConn) {
 		c.writes = func(p []byte) (int, bool) {
 			n, err := c.TCPConn.Write(p[:len(p)/2])
 			if err != nil {
@@ -317,21 +317,21 @@
 			return n + m, true
 		}
 	}, nil, nil)
-	c := r.call().send(request("q", "all", "", fourParts))
+	c := r.connect().send(request("q", "all", "", fourParts))
 	<-half
 	r.stop()
 	r.logged("event=stopping")
-	r.noneTaken()
+	r.awaitListenerClosed()
 	close(gate)
-	status, _, text, _ := c.answer()
+	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
-	require.JSONEq(t, wholeOfAll, text)
-	r.end()
+	require.JSONEq(t, completeAnswer, text)
+	r.shutDown()
 }
 
 // SIGTERM before the co-ordinator knows any host, while discovery is silent, ends it as any other.
 func TestShutdownDuringStart(t *testing.T) {
-	l, silent := newLife(t), listen(t)
+	l, silent := newChildProcess(t), listen(t)
 	l.plan["discovery"] = silent.Addr().String()
 	l.plan["known"].(map[string]any)["servers"] = []any{}
 	l.write()
@@ -346,7 +346,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 503, status)
 	l.signal(syscall.SIGTERM)
-	l.over(0)
+	l.waitForExit(0)
 	_, _, _, _, err = rd.ReadResponse()          // of the one that asked nothing
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF) // the end in good order, and no answer
 }
@@ -355,36 +355,36 @@
 func TestShutdownDuringDials(t *testing.T) {
 	const clients = 30 // the slots are taken by the first few
 	r, let := startGated(t, nil)
-	var all []*caller
+	var all []*testClient
 	for i := range clients {
-		all = append(all, r.call().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
+		all = append(all, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
 	}
 	r.eventually("they are taken, and parts wait", func() bool {
-		return r.open() == clients && r.waiting("a0")+r.waiting("a1") >= 2
+		return r.openClients() == clients && r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2
 	})
 	require.Less(t, r.parts(), 2*clients, "some searches wait")
 	r.stop()
 	r.logged("event=stopping")
-	r.noneTaken()
+	r.awaitListenerClosed()
 	let("a0")
 	let("a1")
 	for i, c := range all {
-		status, _, text, _ := c.answer()
+		status, _, text, _ := c.readAnswer()
 		require.Contains(t, []int{200, 503}, status, "%d %s", i, text)
 		if status == 200 {
-			require.JSONEq(t, wholeOfAll, text)
+			require.JSONEq(t, completeAnswer, text)
 		}
 	}
-	r.end()
+	r.shutDown()
 }
 
 // kill -9 with requests in flight: no client gets half an answer that looks whole, and the next process serves at once, with no
 // word of those before.
 func TestSIGKILLWithRequestsInFlight(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	l.start(nil)
 	l.ready()
-	held := l.holding()
+	held := l.holdAttempts()
 	var open []*http1.Reader
 	for i := range 12 {
 		conn, rd := l.dial()
@@ -401,7 +401,7 @@
 	select {
 	case err := <-l.ended:
 		require.Error(t, err)
-	case <-time.After(endsWithin):
+	case <-time.After(exitTimeout):
 		require.Fail(t, "does not end")
 	}
 	for i, rd := range open {
@@ -418,5 +418,5 @@
 	require.NotContains(t, l.log.String(), "event=bad_frame")
 	require.False(t, strings.Contains(l.log.String(), "k0"))
 	l.signal(syscall.SIGTERM)
-	l.over(0)
+	l.waitForExit(0)
 }
--- a/coordinator/socket_hooks_test.go
+++ b/coordinator/socket_hooks_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// crossing is a connection on a TCP socket that stops at named moments for as long as what stands there takes; nil passes.
-type crossing struct {
+// hookedConn is a connection on a TCP socket that stops at named moments for as long as what stands there takes; nil passes.
+type hookedConn struct {
 	*net.TCPConn
 	read        func(n int)                       // some bytes are read, and not handed over yet
 	writes      func(p []byte) (n int, done bool) // a write begins; done if it has been dealt with
@@ -21,7 +21,7 @@
 	closes      func()
 }
 
-func (c *crossing) Read(p []byte) (int, error) {
+func (c *hookedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if c.read != nil && n > 0 {
 		c.read(n)
@@ -29,7 +29,7 @@
 	return n, err
 }
 
-func (c *crossing) Write(p []byte) (int, error) {
+func (c *hookedConn) Write(p []byte) (int, error) {
 	if c.writes != nil {
 		if n, done := c.writes(p); done {
 			if n < len(p) {
@@ -45,40 +45,40 @@
 	return n, err
 }
 
-func (c *crossing) CloseWrite() error {
+func (c *hookedConn) CloseWrite() error {
 	if c.closesWrite != nil {
 		c.closesWrite()
 	}
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossing) Close() error {
+func (c *hookedConn) Close() error {
 	if c.closes != nil {
 		c.closes()
 	}
 	return c.TCPConn.Close()
 }
 
-// accepting is a TCP listener whose connections are crossings, and which tells of each deadline that it is given.
-type accepting struct {
+// hookedListener is a TCP listener whose connections are crossings, and which tells of each deadline that it is given.
+type hookedListener struct {
 	*net.TCPListener
-	made     func(c *crossing) // may be nil
-	deadline func()            // may be nil
+	made     func(c *hookedConn) // may be nil
+	deadline func()              // may be nil
 }
 
-func (a *accepting) Accept() (net.Conn, error) {
+func (a *hookedListener) Accept() (net.Conn, error) {
 	conn, err := a.TCPListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &crossing{TCPConn: conn.(*net.TCPConn)}
+	c := &hookedConn{TCPConn: conn.(*net.TCPConn)}
 	if a.made != nil {
 		a.made(c)
 	}
 	return c, nil
 }
 
-func (a *accepting) SetDeadline(at time.Time) error {
+func (a *hookedListener) SetDeadline(at time.Time) error {
 	err := a.TCPListener.SetDeadline(at)
 	if a.deadline != nil && !at.IsZero() {
 		a.deadline()
@@ -86,34 +86,34 @@
 	return err
 }
 
-// clocked is a clock whose waits of one length last until they are let go.
-type clocked struct {
+// hookedClock is a clock whose waits of one length last until they are let go.
+type hookedClock struct {
 	SystemClock
 	held time.Duration
 	gate chan time.Time
 }
 
-func (c clocked) After(d time.Duration) <-chan time.Time {
+func (c hookedClock) After(d time.Duration) <-chan time.Time {
 	if d == c.held {
 		return c.gate
 	}
 	return c.SystemClock.After(d)
 }
 
-// crossed starts a co-ordinator whose clients' and replicas' connections are made crossings by accepts and dials; either
+// startHooked starts a co-ordinator whose clients' and replicas' connections are made crossings by accepts and dials; either
 // may be nil, and more too.
-func crossed(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *crossing),
-	dials func(addr string, c *crossing), more func(m *Options),
+func startHooked(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *hookedConn),
+	dials func(addr string, c *hookedConn), more func(m *Options),
 ) *rig {
 	return startIn(t, nil, sockets, edit, nil, nil, func(m *Options) {
-		m.Listener = &accepting{TCPListener: m.Listener.(*net.TCPListener), made: accepts}
+		m.Listener = &hookedListener{TCPListener: m.Listener.(*net.TCPListener), made: accepts}
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := own(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			c := &crossing{TCPConn: conn.(*net.TCPConn)}
+			c := &hookedConn{TCPConn: conn.(*net.TCPConn)}
 			if dials != nil {
 				dials(addr, c)
 			}
@@ -125,8 +125,8 @@
 	})
 }
 
-// arrived waits until the kernel has bytes of the other side's that are not read, or its reset.
-func arrived(t *testing.T, conn *net.TCPConn) {
+// awaitArrival waits until the kernel has bytes of the other side's that are not read, or its reset.
+func awaitArrival(t *testing.T, conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
@@ -148,8 +148,8 @@
 	return conn.Close()
 }
 
-// noneTaken waits until the listener is closed.
-func (r *rig) noneTaken() {
+// awaitListenerClosed waits until the listener is closed.
+func (r *rig) awaitListenerClosed() {
 	r.eventually("no more connections are taken", func() bool {
 		conn, err := net.Dial("tcp", r.addr)
 		if err == nil {
@@ -159,8 +159,8 @@
 	})
 }
 
-// open counts the searches that are open.
-func (r *rig) open() (n int) {
+// openClients counts the searches that are openClients.
+func (r *rig) openClients() (n int) {
 	r.runInLoop(func(loop *eventLoop) { n = len(loop.searches.byID) })
 	return n
 }
--- a/coordinator/start_stop_process_test.go
+++ b/coordinator/start_stop_process_test.go
@@ -16,7 +16,7 @@
 // Connections that came while the process was held up are taken before its listener closes: a reset would lose what their
 // clients have sent.
 func TestConnectionsWaitingWhileListenerCloses(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	l.start(nil)
 	l.ready()
 	l.signal(syscall.SIGTERM)
@@ -36,42 +36,42 @@
 		require.NoError(t, err, "connection %d\n%s", i, l.log)
 		require.Contains(t, []int{200, 503}, status)
 	}
-	l.over(0)
+	l.waitForExit(0)
 }
 
 // A start while the process before it still has the address waits for it; one whose address stays another's says so.
 func TestStartWhileAddressIsInUse(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	l.start(nil)
 	l.ready()
 	first := *l
 	l.signal(syscall.SIGTERM)
 	l.start(nil)
-	first.over(0)
+	first.waitForExit(0)
 	l.ready()
 	l.served("a")
 	other := *l
 	other.start(nil)
 	other.logged("event=address_in_use")
-	other.over(1)
+	other.waitForExit(1)
 	require.Contains(t, other.log.String(), "event=no_start")
 	require.Contains(t, other.log.String(), "do=")
 	l.served("b")
 	other.start(nil) // told to end while it waits, it does
 	other.logged("event=address_in_use")
 	other.signal(syscall.SIGTERM)
-	other.over(0)
+	other.waitForExit(0)
 	l.signal(syscall.SIGTERM)
-	l.over(0)
+	l.waitForExit(0)
 }
 
 // SIGTERM while replicas hang with parts out, clients are in the middle of a request or take no answer, discovery is silent
 // and signals come again: what was sent has one final answer before the kill, nothing goes out after it, and the process ends.
 func TestShutdownDuringSearches(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	l.start(nil)
 	l.ready()
-	held := l.holding()
+	held := l.holdAttempts()
 	type one struct {
 		conn net.Conn
 		rd   *http1.Reader
@@ -109,14 +109,14 @@
 		return n
 	}
 	before := sent()
-	l.over(0)
+	l.waitForExit(0)
 	require.Equal(t, before, sent())
 }
 
 // With fewer descriptors than the plan grants, those there are are shared out: idle clients make room, and searches reach
 // their replicas.
 func TestDescriptorLimitBelowPlan(t *testing.T) {
-	l := newLife(t)
+	l := newChildProcess(t)
 	l.start(nil, "sh", "-c", `ulimit -n 64; exec "$0"`)
 	l.ready()
 	l.logged("event=few_descriptors")
@@ -125,6 +125,6 @@
 	}
 	l.served("a")
 	l.signal(syscall.SIGTERM)
-	l.over(0)
+	l.waitForExit(0)
 	require.NotContains(t, l.log.String(), "too many open files")
 }
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -117,28 +117,28 @@
 
 // SetTimer has the balancer's timer of a label fire after so many ticks. It implements balancer.Actions.
 func (loop *eventLoop) SetTimer(wait int64, label uint64) {
-	var w *balancerTimer
+	var free *balancerTimer
 	if n := len(loop.timers.spare); n > 0 {
-		w, loop.timers.spare = loop.timers.spare[n-1], loop.timers.spare[:n-1]
+		free, loop.timers.spare = loop.timers.spare[n-1], loop.timers.spare[:n-1]
 	} else {
-		w = &balancerTimer{}
+		free = &balancerTimer{}
 	}
-	w.label = label
-	loop.timers.balancer[label] = w
-	loop.startTimer(&w.timer, max(wait, 1), w)
+	free.label = label
+	loop.timers.balancer[label] = free
+	loop.startTimer(&free.timer, max(wait, 1), free)
 }
 
 // CancelTimer stops the balancer's timer of a label, if it runs. It implements balancer.Actions.
 func (loop *eventLoop) CancelTimer(label uint64) {
-	w := loop.timers.balancer[label]
-	if w == nil {
+	balancerTimer := loop.timers.balancer[label]
+	if balancerTimer == nil {
 		return
 	}
 	delete(loop.timers.balancer, label)
-	if w.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // one that is due in this iteration is still in the due list
-		loop.timers.spare = append(loop.timers.spare, w)
+	if balancerTimer.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // one that is due in this iteration is still in the due list
+		loop.timers.spare = append(loop.timers.spare, balancerTimer)
 	}
-	loop.stopTimer(&w.timer)
+	loop.stopTimer(&balancerTimer.timer)
 }
 
 // stallDetector is a timer that runs while searches are open: its lateness shows how long the process was stalled.
