--- a/coordinator/abandoned_attempts_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -76,10 +76,10 @@
 
 const onePart = `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`
 
-// Where no part may be out twice at once, the module hears of the end of a sub-request that is given up, and so may send a
-// further one, only when that is over for its replica too: not as the cancel frame is written, nor as something else is heard, nor as
-// the connection is closed on this side, for on one that has fallen silent neither arrives. An answer that comes all the same counts.
-// Where copies are allowed it hears at once.
+// Without second copies, the outcome of an attempt that is given up is reported to the balancer, which may then retry,
+// only once the attempt is over at its replica: not when the cancel frame is written, when something else is received,
+// or when the connection is closed here, since neither arrives over a silent connection. An answer that comes all the
+// same counts. With second copies the outcome is reported at once.
 func TestAbandonedAttemptsWithoutSecondCopies(t *testing.T) {
 	type at struct {
 		*rig
@@ -169,7 +169,7 @@
 	}
 }
 
-// Under contracts a late answer to a part that was called off counts for nothing: it may come from where the part may not run.
+// With residency contracts a late answer to a canceled attempt does not count: it may come from a forbidden zone.
 func TestLateAnswerWithResidencyContracts(t *testing.T) {
 	for _, bound := range []bool{false, true} {
 		var told []string
--- a/coordinator/attempts_test.go
+++ b/coordinator/attempts_test.go
@@ -16,8 +16,8 @@
 	"chalkring/balancer"
 )
 
-// A keyed part whose first sub-requests have not run goes out on whatever connection there is, a new one too; it is no
-// repeat. Those that may have run bind it to one that has stood since, as ever.
+// A keyed shard request whose attempts have not run is sent on any connection, a new one too: it is no repeat.
+// Attempts that may have run bind it to a connection that was up before them.
 func TestKeyedRequestThatNeverRanIsNoRepeat(t *testing.T) {
 	var hosts sync.Map // address: of cell 0
 	var dials atomic.Int32
@@ -46,7 +46,7 @@
 	r.shutDown()
 }
 
-// What is known of earlier sub-requests tells which of a keyed part's are repeats.
+// The outcomes of earlier attempts decide which attempts of a keyed shard request are repeats.
 func TestFirstSentAt(t *testing.T) {
 	for _, x := range []struct {
 		outcomes string
@@ -114,7 +114,7 @@
 	return loop, conn, search
 }
 
-// A search that ends takes its parts off a call in one piece: no frame with the rest of them is on its way in between.
+// A search that ends takes its attempts off a batch at once: no message with the rest of them is sent in between.
 func TestBatchIsRecalledTogether(t *testing.T) {
 	loop, conn, current := twoAttemptsInFlight(false)
 	require.Empty(t, loop.finishSearch(current))
@@ -136,7 +136,8 @@
 	require.Contains(t, string(*message.buffer), "q.1")
 }
 
-// What is called off before it was begun was never sent, and the module hears so: it may go out again whatever its effect.
+// An attempt that is canceled before its write begins was never sent, and the balancer learns so: it may be retried
+// whatever its effect.
 func TestCanceledBeforeSent(t *testing.T) {
 	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
 		loop, _, _ := oneAttemptInFlight(stage)
@@ -145,7 +146,7 @@
 	}
 }
 
-// A repeat that waits on the connection on which the first sub-request is answered late does not go out.
+// A repeat that waits on the connection on which the first attempt is answered late is not sent.
 func TestAnswerWhileRepeatWaits(t *testing.T) {
 	for stage, left := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
 		var told []string
@@ -161,7 +162,7 @@
 	}
 }
 
-// Who spoils a connection has failed one of the parts that were out there, whatever waits before it.
+// A malformed answer fails one of the attempts that were written, whatever waits before it.
 func TestMalformedAnswerWhileAttemptWaits(t *testing.T) {
 	var told []string
 	loop, conn, _ := twoAttemptsInFlight(true)
@@ -170,8 +171,8 @@
 	require.Equal(t, []string{"Ignored", "Failed"}, told)
 }
 
-// A keyed part's repeat that a connection's writer comes to after its window is over does not leave, and the module hears that
-// it was never sent.
+// A keyed shard request's repeat that the writer comes to after its window is over is not sent, and the balancer
+// learns that.
 func TestRepeatsAreSentWithinTheirWindow(t *testing.T) {
 	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
 		var told []string
@@ -207,8 +208,8 @@
 	}
 }
 
-// Two tenants and classes on one connection, their requests in pieces one after another: each has its own limits, time, mark
-// and effect, and a field that a request lacks is not the one before's.
+// Two tenants and classes on one connection, with their requests in pieces one after another: each has its own limits,
+// timeout, retry mark and effect, and a header that a request lacks is not the one before's.
 func TestTenantsShareOneConnection(t *testing.T) {
 	r := start(t, 256, nil)
 	p := r.puppet()
--- a/coordinator/client_answer_test.go
+++ b/coordinator/client_answer_test.go
@@ -16,7 +16,7 @@
 	"chalkring/internal/http1"
 )
 
-// An answer's length is told before it is written: what is told is what is written, whatever the values.
+// The length of an answer's body is computed before it is written, and is right for all values.
 func TestAnswerBodySize(t *testing.T) {
 	for _, values := range [][]string{{}, {""}, {"a", "Grüße, 世界", "\x7f"}, {`"`}, {"a\nb", `\`}, {strings.Repeat("v", 40_000), "x"}} {
 		for _, whole := range []bool{true, false} {
@@ -56,8 +56,8 @@
 
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A client that does not read its answer holds that answer and nothing else: others are served, what it holds is
-// counted, and is released when it reads or leaves.
+// A client that does not read its answer holds that answer and nothing else: others are served, its bytes are counted,
+// and are released when it reads or leaves.
 func TestClientThatDoesNotReadHoldsItsAnswer(t *testing.T) {
 	r := start(t, 256, nil)
 	p, look, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A client that leaves has withdrawn its search: replicas are told at once.
+// A client that leaves withdraws its search: its attempts are canceled at once.
 func TestClientLeaves(t *testing.T) {
 	r := start(t, 256, nil)
 	var got atomic.Int32
@@ -62,7 +62,7 @@
 	r.shutDown()
 }
 
-// Who sends a second request before the answer to the first gets an error and loses both.
+// A client that sends a second request before the answer to the first gets an error for both.
 func TestPipelinedRequest(t *testing.T) {
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
@@ -82,7 +82,7 @@
 	require.Equal(t, 1, strings.Count(r.log.String(), "event=request_pipelined"))
 }
 
-// A client that never finishes its request is closed after a bounded time, one that is waked early reads on.
+// A client that never finishes its request is closed after a bounded time; one whose read was interrupted reads on.
 func TestSlowClient(t *testing.T) {
 	ln := listen(t)
 	there, err := net.Dial("tcp", ln.Addr().String())
@@ -121,8 +121,8 @@
 	require.Equal(t, errClosing, connectionEndOf(err))
 }
 
-// As the co-ordinator stops, a client that has sent ahead and leaves is seen at once too: its open search is given up, and
-// what it sent behind that is not sent on.
+// During shutdown, a client that has pipelined and leaves is noticed at once too: its open search is withdrawn, and
+// what it sent after that is not dispatched.
 func TestClientLeavesAfterPipelining(t *testing.T) {
 	for how, leave := range waysToLeave {
 		t.Run(how, func(t *testing.T) {
@@ -172,7 +172,7 @@
 	return state
 }
 
-// The request of a client that has left by the time it is read is not sent on, however the client left.
+// The request of a client that has left before it is read is not dispatched, however the client left.
 func TestClientGoneBeforeDispatch(t *testing.T) {
 	const each, finWait2 = 40, 5 // of Linux's states: the other side has the end of what was sent
 	r := start(t, 256, nil)
@@ -260,7 +260,7 @@
 	}
 }
 
-// A connection that waited for room has the time of any other for its first request from then on.
+// A connection that waited for room has the full time for its first request from then on.
 func TestFirstRequestAfterWaitingForRoom(t *testing.T) {
 	t.Parallel()
 	r := start(t, 16, nil)
@@ -298,8 +298,8 @@
 	return nil
 }
 
-// After a last answer what still comes is read for a while, so that no reset goes after the answer, which may still be on
-// its way: where a client sent ahead, and where it sends on behind its last request. None of it is sent on.
+// After a last answer, what still arrives is read for a while, so that no reset overtakes the answer: after
+// pipelining, and when a client sends on. None of it is dispatched.
 func TestLingersAfterLastAnswer(t *testing.T) {
 	more := strings.Repeat(request("next", "all", "", fourParts), 100) // several buffers
 	for name, x := range map[string]struct {
@@ -343,8 +343,8 @@
 	}
 }
 
-// A process that is held up, and whose clients leave meanwhile, sends nothing for them when it goes on, though the wakes of
-// their searches are due at once.
+// A stalled process whose clients leave meanwhile sends nothing for them when it goes on, though timers of their
+// searches are due.
 func TestClientsThatLeaveDuringStall(t *testing.T) {
 	const lives, clients = 6, 24 // without what it holds, one life in three sends something
 	for i := range lives {
--- a/coordinator/client_request_test.go
+++ b/coordinator/client_request_test.go
@@ -92,7 +92,7 @@
 	r.shutDown()
 }
 
-// A class may bear the name of the path that tells of health: searches of it are served, and health is told all the same.
+// A class may have the name of the health path: its searches are served, and health requests are answered too.
 func TestClassNamedAsHealth(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settingAt(settings, "Classes", 1)["Name"] = "healthz" })
 	c := r.connect()
@@ -103,8 +103,8 @@
 	r.shutDown()
 }
 
-// Requests name class and tenant as the settings have them, blanks, commas and letters of all languages too, and each is
-// handled by its own.
+// Requests name class and tenant as the settings spell them, with blanks, commas and letters of all languages, and
+// each is handled under its own.
 func TestRequestNamesAsInSettings(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) {
 		settingAt(settings, "Classes", 1)["Name"] = "all, größer"
@@ -127,7 +127,7 @@
 	r.shutDown()
 }
 
-// A target is taken apart as the library would.
+// A target is parsed as the standard library would.
 func FuzzParseTarget(f *testing.F) {
 	for _, text := range []string{
 		"/a?k=7f", "/a", "/a?k=", "/a?x=1&k=2", "/a%20b?k=%41", "/a?k=1&k=2", "/a?k=a+b", "*", "", "/a?k=1#f",
--- a/coordinator/connection_limiter_test.go
+++ b/coordinator/connection_limiter_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// With no descriptor left, the connection longest without an open search makes room, and none with one.
+// With no descriptor left, the longest idle connection makes room, and none with an open search.
 func TestDescriptorLimits(t *testing.T) {
 	r := start(t, 16, nil)
 	held := make(chan asked, 4)
@@ -39,7 +39,7 @@
 	r.shutDown()
 }
 
-// With no descriptor left, a connection on which a request has begun to come makes no room while another is at rest.
+// With no descriptor left, a connection whose request is arriving makes no room while another is idle.
 func TestArrivingRequestsKeepTheirConnections(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.startPiped()
@@ -56,7 +56,7 @@
 	end()
 }
 
-// With none at rest, the one that has been longest about it makes room all the same.
+// With none idle, the connection whose request has been arriving for longest makes room.
 func TestArrivingRequestsMakeRoomLast(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.startPiped()
@@ -98,7 +98,7 @@
 	return l.Conn.Close()
 }
 
-// A request that has been read whole in the moment in which its connection is to make room has its answer; another
+// A request that is complete in the moment in which its connection is asked to make room is answered; another
 // connection makes room.
 func TestRequestWhileItsConnectionIsDisplaced(t *testing.T) {
 	r := start(t, 16, nil)
--- a/coordinator/discovery_delay_test.go
+++ b/coordinator/discovery_delay_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Lists at another place, after SIGHUP in bad moments: by 4 s later they are told, also where the first attempt there fails.
+// A list at another address, after a reload at a bad moment, is in force within 4 s, also where the first call there
+// fails.
 func TestListDelayAfterDiscoveryMoves(t *testing.T) {
 	down := slices.Repeat([]string{"lost"}, 40)
 	for name, x := range map[string]struct {
@@ -61,8 +62,8 @@
 	}
 }
 
-// What happens to attempts in a row, on all of 1 and of 300 co-ordinators, and when a change is told that discovery had as
-// the last of them began: within 6 s, or 2 s after the wait of the call.
+// After calls that fail in a row, with 1 and with 300 coordinators, a change that discovery had when the last call
+// began is in force within 6 s, or 2 s after that call's wait.
 func TestListDelayAfterFailures(t *testing.T) {
 	for _, fault := range []string{"silent", "half", "trickle", "unanswered", "refused", "lost", "503", "empty", "unreadable", "same"} {
 		for _, within := range []any{10_000.0, 60_000.0, nil} { // the settings' time to ask: the module's waits follow it
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -22,8 +22,8 @@
 	"chalkring/internal/http1"
 )
 
-// Version 0 is a version: the first call waits for what is newer. An answer that brings nothing and did not
-// wait counts as a failed call.
+// Version 0 is a version: the first call waits for a newer one. An answer without changes that did not wait counts as
+// a failed call.
 func TestWatchThatDoesNotWaitFails(t *testing.T) {
 	list := script(t)
 	loop := &eventLoop{
@@ -36,7 +36,7 @@
 	close(list.Responses)
 }
 
-// Discovery that says nothing is asked again within seconds; many co-ordinators ask more seldom.
+// Silent discovery is polled again within seconds; many coordinators poll less often.
 func TestSilentDiscovery(t *testing.T) {
 	t.Parallel()
 	r := start(t, 256, nil)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Where the list comes by itself, calls are made without the module asking, and go on after failures.
+// Where the settings do not leave polling to the balancer, calls are made without it, and go on after failures.
 func TestListWithoutSubscription(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Discovery"] = "automatic" })
 	<-r.list.Targets
@@ -62,8 +62,8 @@
 	r.shutDown()
 }
 
-// One that knows no host asks for the whole list, which is answered at once, and not for changes: it would wait long for a call
-// that falls silent, and serve nobody.
+// A coordinator that knows no host polls for the complete list, which is answered at once, and not for changes: a
+// silent call for changes would wait long while nothing is served.
 func TestStartWithoutKnownHosts(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settings["Balancers"] = 300 })
 	ownPlan, other := *r.plan, script(t)
@@ -93,7 +93,8 @@
 	r.shutDown()
 }
 
-// A list without a length ends with its connection: shut in good order it counts if it is whole, reset on the way it is none.
+// A list without a length ends with its connection: closed in good order it counts if it is complete, after a reset it
+// does not.
 func TestListAnswerWithoutContentLength(t *testing.T) {
 	for name, x := range map[string]struct {
 		share  int // percent of it that comes
@@ -136,8 +137,8 @@
 	}
 }
 
-// A call that falls silent is followed by the next at once, whoever asks, and first calls of many co-ordinators that begin
-// together are to fall silent one by one: discovery takes its time with each.
+// A silent call is followed by the next at once in both modes of polling, and first calls of many coordinators that
+// begin together fall silent one by one.
 func TestSilentCallIsRepeatedAtOnce(t *testing.T) {
 	for _, by := range []string{"subscribe", "automatic"} {
 		waits := map[string]bool{}
@@ -165,8 +166,8 @@
 	}
 }
 
-// An answer of the old place that was read as SIGHUP moves discovery does not outlast the new place's list, though its version
-// is higher.
+// An answer of the former address that was read as a reload moved discovery does not outlast the list of the new
+// address, though its version is higher.
 func TestAnswerFromFormerDiscoveryAddress(t *testing.T) {
 	read, gate := make(chan struct{}), make(chan struct{})
 	var old atomic.Value
@@ -198,9 +199,9 @@
 	r.shutDown()
 }
 
-// Versions that begin again at one place, as discovery has lost them: the list there is in force after the next call that
-// waits it out, or soon after the connection is lost. Until discovery knows a host again, the last list holds. An answer
-// that is merely late changes nothing.
+// After discovery has lost its versions, its list is in force after the next call that waits to its end, or soon after
+// the connection is lost. Until discovery knows a host again, the last list stays. An answer that is merely late
+// changes nothing.
 func TestRestartedVersions(t *testing.T) {
 	for name, x := range map[string]struct {
 		lost    bool     // the watch is, as they do
@@ -266,8 +267,7 @@
 	}
 }
 
-// Where lists have several sources, changes of discovery's that are refused are told again until they can be taken: none of
-// them is lost with the version that brought it.
+// With several sources, changes from discovery that are refused are polled again until they are accepted.
 func TestRefusedChangesArePolledAgain(t *testing.T) {
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
@@ -287,7 +287,7 @@
 	r.shutDown()
 }
 
-// The module's waits begin again with a sound call, also where several sources make the list and it does not change.
+// The balancer's backoff is reset by an answered call, also with several sources and an unchanged list.
 func TestBackoffResetsWithSeveralSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newFakeDiscovery()
--- a/coordinator/endpoint_list_test.go
+++ b/coordinator/endpoint_list_test.go
@@ -17,8 +17,7 @@
 	"chalkring/internal/fake"
 )
 
-// The list: draining and removed replicas get nothing new, what cannot be used changes nothing and is asked
-// for again.
+// Draining and removed replicas get nothing new; a malformed list changes nothing and is polled again.
 func TestEndpointListChanges(t *testing.T) {
 	r := start(t, 256, nil)
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
@@ -61,7 +60,7 @@
 	require.NotContains(t, r.log.String(), "event=fault")
 }
 
-// A cell that is no place of a set is refused with its entry, and the list in force stays.
+// An entry whose cell is no place of a set is refused, and the list in force stays.
 func TestInvalidCells(t *testing.T) {
 	for _, cell := range []string{"-1", "0.5", "true", `"1"`} {
 		all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":` + cell + `}]}`))
@@ -76,8 +75,8 @@
 	require.Equal(t, 2, list.Hosts[0].Cell)
 }
 
-// A list of the longest body that the protocol allows is taken, a longer one fails the call and the log says why; the list
-// is not lost with it.
+// A list of the longest body that the protocol allows is applied; a longer one fails the call with a log line, and the
+// list stays.
 func TestLongestEndpointList(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
@@ -96,8 +95,8 @@
 	r.shutDown()
 }
 
-// A whole list with no hosts is in force like any other: nothing is sent, health stays good, and the next list brings all
-// back. At a start such a list is not yet one: health is bad until a host is known.
+// A complete list without hosts is in force like any other: nothing is sent, health stays good, and the next list
+// brings all back. At a start health is bad until a host is known.
 func TestEndpointListWithoutHosts(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
@@ -142,8 +141,8 @@
 	next.shutDown()
 }
 
-// A host that is removed under a part and comes back at once, at its address or at another, is used at once, and the end
-// of what was there before does not forget it. So it is when it was named twice, removed and up.
+// A host that is removed during an attempt and returns at once, at its address or another, is used at once, and the
+// end of its former connection does not drop it; also where one list names it twice, removed and up.
 func TestHostReturnsDuringAttempt(t *testing.T) {
 	for name, back := range map[string]func(r *rig, moved string) []string{
 		"at its address": func(r *rig, moved string) []string {
@@ -209,8 +208,8 @@
 	}
 }
 
-// A part waits for a connection that comes up late when its replica begins to drain, is removed, or is not in a whole list:
-// nothing goes out there once the connection is up, and the search is answered by the other holder.
+// An attempt waits for a slow connection whose replica begins to drain, is removed, or is missing in a complete list:
+// nothing is sent once the connection is up, and the other holder answers.
 func TestNothingSentToDrainingReplicaAfterGrace(t *testing.T) {
 	for name, answer := range map[string]func(r *rig, hostID string) string{
 		"drains": func(r *rig, hostID string) string {
--- a/coordinator/endpoint_sources_test.go
+++ b/coordinator/endpoint_sources_test.go
@@ -45,8 +45,8 @@
 	return endpoints.Host{ID: hostID, Addr: h.Listener.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
 }
 
-// While lists change under load, what the owner works with in any turn is one list and never parts of two; each search
-// has its one whole answer.
+// While lists change under load, each iteration of the event loop works with one list and never with parts of two;
+// each search has one complete answer.
 func TestListsAreNeverMixed(t *testing.T) {
 	first := start(t, 256, nil)
 	lists := make(chan endpoints.Update)
@@ -120,8 +120,8 @@
 	first.shutDown()
 }
 
-// A file that drops a host stops new work to it within two seconds; a bad one changes nothing and is told; a file that
-// calls a host up which discovery drains does not bring it back.
+// A host file that drops a host stops new work to it within two seconds; an invalid one changes nothing and is logged;
+// a file that has a host up which discovery drains does not bring it back.
 func TestHostFiles(t *testing.T) {
 	first := start(t, 256, nil)
 	path := filepath.Join(t.TempDir(), "hosts.yaml")
--- a/coordinator/event_loop_test.go
+++ b/coordinator/event_loop_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While the owner's queue is full those that have something for it wait, and nothing of it is lost: requests are answered, and
-// leaves are seen, once it goes on.
+// While the event loop's task queue is full, submitters wait and nothing is lost: requests are answered, and clients
+// that leave are noticed, once it goes on.
 func TestFullTaskQueue(t *testing.T) {
 	r := start(t, 256, nil)
 	r.connect().expect("first", "all", 200, completeAnswer)
--- a/coordinator/final_answer_test.go
+++ b/coordinator/final_answer_test.go
@@ -24,8 +24,8 @@
 	return loop, conn, current
 }
 
-// The final answer is not sent before a frame of its search that has been begun is out; one that does not come out
-// ends its connection. Guards against parts that are sent on after the answer by a process that is held up.
+// A final answer is not sent before a frame of its search whose write has begun is written; a write that does not end
+// in time ends its connection. Otherwise a stalled process could send attempts after the answer.
 func TestFinalAnswerAwaitsPendingWrites(t *testing.T) {
 	own, other := net.Pipe() // a write lasts until the other side reads
 	defer other.Close()
@@ -59,8 +59,8 @@
 	require.True(t, l.writerEnded.Load())
 }
 
-// A final answer waits for a frame of its search that is begun, and ends the connection of one that does not come out;
-// one that is out is not waited for, and its connection stays.
+// A final answer waits for frames of its search whose write has begun; a written one is not waited for, and its
+// connection stays.
 func TestNothingSentAfterFinalAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		loop, conn, search := oneAttemptInFlight(stage)
@@ -72,8 +72,8 @@
 	}
 }
 
-// So it does for a frame whose sub-request was given up before: a second copy, say, called off when the first has answered.
-// One given up after the answer holds nothing.
+// The same holds for a frame whose attempt was given up before, such as a second copy that is canceled when the first
+// has answered. One that is given up after the answer holds nothing.
 func TestNothingCanceledAfterFinalAnswer(t *testing.T) {
 	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		loop, _, search := oneAttemptInFlight(stage)
--- a/coordinator/keyed_requests_test.go
+++ b/coordinator/keyed_requests_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// No part takes effect twice, by the hosts' own record: keyed parts go out again only where and while a repeat is
-// dropped, unsafe ones only where the first cannot have run.
+// No shard request takes effect twice, by the hosts' own records: keyed ones are retried only where and while a repeat
+// is dropped, unsafe ones only where the first cannot have run.
 func TestKeyedRequestsTakeEffectOnce(t *testing.T) {
 	const searches, callers = 10_000, 20
 	r := start(t, 512, func(settings map[string]any) {
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -142,8 +142,8 @@
 	return time.Now()
 }
 
-// When a process is told of a list, by its own log, against when it counts as told: 2 s after the wait of the call that
-// may wait, which is 2 s here, or 6 s; what came over a call that works, at once.
+// The delay until a list is in force, by the process's own log: at most 6 s, or 2 s after the wait of the call (2 s
+// here); over a working call, none.
 func TestListDelay(t *testing.T) {
 	const atOnce, afterWait, missed = time.Second, 4 * time.Second, 6 * time.Second
 	const busy = 500 * time.Millisecond // for a machine that is
@@ -199,8 +199,8 @@
 	require.NoError(t, all.Wait())
 }
 
-// A list that the agent has as a process starts is told in its first moment; so is one that comes 4 s after SIGHUP has
-// moved it to another agent, whose first call fell silent and whose versions begin again.
+// A list that discovery has at a start is in force at once; so is one that comes 4 s after a reload has moved
+// discovery to an address whose first call fell silent and whose versions restart.
 func TestListDelayAtStartAndAfterReload(t *testing.T) {
 	t.Parallel()
 	a, next := newDiscoveryAgent(t), newDiscoveryAgent(t, "silent")
@@ -299,8 +299,9 @@
 	}()
 }
 
-// All lose discovery at once, and it stays away: when 1, 3 and 300 connect and ask anew, on one clock. In any second no more
-// than N + 3 x root of N + 3 of them do so first, N being an even share over the time of the spread; each does within 6 s.
+// All coordinators lose discovery at once, and it stays away: 1, 3 and 300 of them, on one clock, spread their next
+// calls. In any second at most N + 3 x root of N + 3 call first, N being an even share over the spread; each calls
+// within 6 s.
 func TestCoordinatorsSpreadCallsAfterLoss(t *testing.T) {
 	for _, by := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
--- a/coordinator/logging_test.go
+++ b/coordinator/logging_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A log whose reader has gone ends nothing: the process goes on to serve, and ends as it is told to.
+// A log whose reader has gone ends nothing: the process serves on, and ends when it is told to.
 func TestClosedLogReader(t *testing.T) {
 	l := newChildProcess(t)
 	rd, wr, err := os.Pipe()
@@ -27,7 +27,7 @@
 	l.waitForExit(0)
 }
 
-// A log that nobody reads holds up neither the start, nor new plans, nor the end.
+// A log that nobody reads delays neither the start, nor reloads, nor the shutdown.
 func TestStalledLogReader(t *testing.T) {
 	l := newChildProcess(t)
 	rd, wr, err := os.Pipe()
--- a/coordinator/message_conn_test.go
+++ b/coordinator/message_conn_test.go
@@ -28,8 +28,8 @@
 
 func (*slowConn) Close() error { return nil }
 
-// A message that waits behind another as the other side closes is not begun any more: it was never sent, and may go out
-// again whatever its effect.
+// A message that waits behind another as the other side closes is not written any more: it was never sent, and may be
+// retried whatever its effect.
 func TestNoWriteBeginsAfterConnectionEnd(t *testing.T) {
 	for range 50 { // both are ready, and which a select takes is chance
 		l := newMessageConn(t.Context(), 2)
--- a/coordinator/panic_test.go
+++ b/coordinator/panic_test.go
@@ -23,7 +23,7 @@
 	return n, err
 }
 
-// A fault that some bytes of a client bring out ends its connection; all others are served, and the log has the place.
+// A panic over a client's bytes ends its connection; all others are served, and the log has the stack.
 func TestPanicEndsOneClientConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
 	r := start(t, 256, nil)
@@ -40,7 +40,8 @@
 	end()
 }
 
-// One of a replica's bytes ends that connection as a spoilt answer does, and one of discovery's is a list that failed.
+// A panic over a replica's bytes ends that connection as a malformed answer does; one over discovery's is a failed
+// call.
 func TestPanicEndsOneReplicaConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -50,7 +50,7 @@
 	return strings.Contains(strings.Join(all, " "), hostID)
 }
 
-// A co-ordinator that starts beside one that runs has its knowledge at once, and answers by it.
+// A coordinator that starts beside a running one imports its observations at once, and uses them.
 func TestImportsReportOfRunningPeer(t *testing.T) {
 	pa := peerOptionsNamed(t, "a")
 	a := startWith(t, 256, nil, pa)
@@ -71,8 +71,8 @@
 	b.shutDown()
 }
 
-// Peers of no use: searches and /healthz wait for none of it, nor does a new plan, and the co-ordinator ends in the
-// middle of asking.
+// Peers that fail in all ways: searches, health requests and reloads do not wait for them, and a shutdown during polls
+// ends.
 func TestFailingPeersDelayNothing(t *testing.T) {
 	deaf := listen(t)
 	gone := listen(t)
@@ -94,7 +94,7 @@
 	r.shutDown()
 }
 
-// Two that both start cold and ask each other, and one that hears from both while a list changes.
+// Two coordinators start without observations and poll each other, and a third imports from both while a list changes.
 func TestStartingPeersPollEachOther(t *testing.T) {
 	pa, pb := peerOptionsNamed(t, "a"), peerOptionsNamed(t, "b")
 	pa.PollTargets, pb.PollTargets = []PeerAddress{pb.at()}, []PeerAddress{pa.at()}
@@ -119,8 +119,8 @@
 	b.shutDown()
 }
 
-// Fifty that start at once and ask one: some are answered, the others told when to come back, its own searches lose
-// nothing, and it ends with askers still coming.
+// Fifty coordinators poll one at once: some are answered, the others deferred; its own searches are all answered, and
+// it shuts down while polls still come.
 func TestFiftyPeersPollOne(t *testing.T) {
 	options := peerOptionsNamed(t, "a")
 	for i := range 50 {
@@ -153,7 +153,7 @@
 	r.shutDown()
 }
 
-// A host whose address changed is another machine: what was heard of it is taken back.
+// A host whose address changed is another machine: observations of it are dropped.
 func TestReportsOfMovedHostAreDropped(t *testing.T) {
 	ln := listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -87,8 +87,8 @@
 	return r.replicas[host].CountRequests() - before
 }
 
-// What was learned of hosts and the list in force are there after a planned stop, with discovery away: a host that hangs
-// still takes next to nothing, and one that discovery had removed does not come back by the plan, which still lists it.
+// Observations and the endpoint list survive a planned restart without discovery: a hanging host still gets next to
+// nothing, and a host that discovery had removed does not return by the plan.
 func TestRestartRestoresObservations(t *testing.T) {
 	first := start(t, 256, nil)
 	path := filepath.Join(t.TempDir(), "kept")
@@ -124,7 +124,7 @@
 	require.Positive(t, kinds["list"])
 }
 
-// A disk that takes seconds for a write, or fails each: searches and the stop go on as ever, and it is told.
+// With a disk that takes seconds for a write, or fails each, searches and shutdown go on as ever, and it is logged.
 func TestSlowDiskDelaysNothing(t *testing.T) {
 	first := start(t, 256, nil)
 	for name, disk := range map[string]func() error{
@@ -154,8 +154,8 @@
 	}
 }
 
-// Several starts within a minute believe less each time, down to nothing; a store that another process holds, or that
-// cannot be read, leaves a start as it would be without one.
+// Several starts within a minute restore less each time, down to nothing; a store that another process has, or that
+// cannot be read, leaves a start as without one.
 func TestStartWithUnusableStore(t *testing.T) {
 	first := start(t, 256, nil)
 	path, now := filepath.Join(t.TempDir(), "kept"), time.Now().UnixMilli()
@@ -197,7 +197,7 @@
 	first.shutDown()
 }
 
-// BenchmarkPersistence writes and reads what is kept of 10,000 hosts.
+// BenchmarkPersistence writes and reads the stored state of 10,000 hosts.
 func BenchmarkPersistence(b *testing.B) {
 	now := time.Now().UnixMilli()
 	list, notes := recovery.EndpointList{SavedAt: now}, recovery.Observations{SavedAt: now, Head: peerreport.ReportHeader{Peer: "n", HostCount: 10_000}}
@@ -226,7 +226,7 @@
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes")
 }
 
-// A store that another deployment's co-ordinator has written is not believed: no search goes to that one's hosts.
+// The store of another deployment's coordinator is not restored: no search goes to its hosts.
 func TestStoreOfAnotherDeployment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
 	one := start(t, 256, nil)
--- a/coordinator/plan_test.go
+++ b/coordinator/plan_test.go
@@ -31,7 +31,7 @@
 	return settings[list].([]any)[i].(map[string]any)
 }
 
-// The module hears the same names and texts from the plan as from the simulator's wire.
+// The balancer gets the same names and texts from the plan as from the simulator's wire.
 func TestPlanSettingsEqualSimulatorSettings(t *testing.T) {
 	initial, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":0,"servers":[]},"settings":` + strings.Replace(testSettings, `"Family"`, `"Names":[],"Void":null,"Family"`, 1) + `}`))
@@ -86,8 +86,7 @@
 	require.ErrorContains(t, err, "/nowhere")
 }
 
-// Names under which a customer would get another's settings end the start, and so do lists that are no lists of objects:
-// what they mean would be missing without a word.
+// Names under which a tenant would get another's settings are refused, and so are lists that are no lists of objects.
 func TestAmbiguousNames(t *testing.T) {
 	for _, x := range []struct {
 		wrong string
@@ -126,8 +125,8 @@
 	}
 }
 
-// Numbers with which a start would go well and searches, or the process, would fail: half a set is none, and no part can be
-// sent in no tries, on connections that may take no time to come up or are idle at once.
+// Numbers with which a start would succeed and searches, or the process, would fail are refused: half a set, no
+// attempts, no time to connect, connections idle at once.
 func TestInvalidNumbers(t *testing.T) {
 	plan := string(planOf(t, func(map[string]any) {}))
 	for _, x := range [][3]string{
@@ -152,7 +151,7 @@
 	}
 }
 
-// A file that is far too long for a plan is not read to its end, and says what to do.
+// A file that is far too long for a plan is not read to its end, and the error has advice.
 func TestPlanTooLarge(t *testing.T) {
 	l := newChildProcess(t)
 	text, err := os.ReadFile(l.file)
@@ -168,7 +167,8 @@
 	}
 }
 
-// To all others several owners are so many co-ordinators, with one's descriptors, memory and budget between them.
+// To rules that all coordinators keep together, several event loops are as many coordinators, with one's descriptors,
+// memory and budget between them.
 func TestPlanForShard(t *testing.T) {
 	initial := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
 	own := initial.ForShard(1, 4)
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -35,8 +35,8 @@
 	return r
 }
 
-// Clients whose connections stay open after SIGTERM and that go on sending until SIGKILL, one request after another and
-// several in a piece: each request that went out before the kill has its final answer, none a connection that closes.
+// Clients keep their connections open after SIGTERM and send on until SIGKILL, one request after another and several at
+// once: each request that was sent before has its final answer, none a connection that closes.
 func TestConnectionsThatStayOpenAtShutdown(t *testing.T) {
 	r := process(t, nil)
 	text := func(hostID string) string {
@@ -129,7 +129,7 @@
 	}
 }
 
-// A process whose clients close, or stay without a word, ends by itself after SIGTERM.
+// A process whose clients close, or stay silent, ends by itself after SIGTERM.
 func TestShutdownWithIdleConnections(t *testing.T) {
 	r := process(t, nil)
 	conn, err := net.Dial("tcp", r.Addresses("n").Client)
@@ -141,8 +141,8 @@
 	require.Contains(t, r.Log("n"), "event=stopped")
 }
 
-// A process that is stopped for longer than a client's connection may be unused, or a request take, and goes on: each request
-// that came meanwhile, on kept connections, begun ones and new ones, has its final answer.
+// A process that is stopped for longer than a connection may be idle, or a request may take, and then goes on, answers
+// each request that arrived meanwhile, on kept, arriving and new connections.
 func TestRequestsDuringSIGSTOP(t *testing.T) {
 	r := process(t, nil)
 	var conns []net.Conn
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -17,8 +17,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// A new plan: the whole list is asked for at the new place at once, whatever its version, and failures there
-// are asked again there. Searches go on.
+// After a reload the complete list is polled at the new address at once, whatever its version, and failures there are
+// retried there. Searches go on.
 func TestReloadMovesDiscovery(t *testing.T) {
 	r := start(t, 256, nil)
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
@@ -47,8 +47,8 @@
 	r.shutDown()
 }
 
-// At a signal the file is read again. What it says of discovery holds over the variable once it has changed; a
-// file that cannot be used changes nothing.
+// A signal has the file read again. Its discovery address overrides the environment once it has changed; an invalid
+// file changes nothing.
 func TestWatchReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	write := func(discovery, more string) {
@@ -90,8 +90,8 @@
 	require.Contains(t, out.String(), "setting Balancers: -1 is under 0")
 }
 
-// A file that names no place for discovery any more leaves the variable's in force, and one that names a place again holds
-// over that.
+// A file that no longer names a discovery address leaves the environment's in force, and one that names an address
+// again overrides it.
 func TestReloadWithoutDiscoveryAddress(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	write := func(place string) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A file that leaves discovery to the variable, at the start or at a signal, never takes the address away; one that is half
-// written or holds another deployment's settings moves nothing but discovery.
+// A file that leaves discovery to the environment, at the start or at a reload, never removes the address; one that is
+// half written, or has another deployment's settings, moves nothing but discovery.
 func TestEnvironmentAtReload(t *testing.T) {
 	path, out := filepath.Join(t.TempDir(), "plan.json"), &logBuffer{}
 	write := func(discovery, settings string, cut int) {
@@ -171,8 +171,7 @@
 	}
 }
 
-// A plan that comes while searches are served, and whose classes and tenants stand in another order, changes what no search
-// is handled by.
+// A plan whose classes and tenants are in another order changes nothing for searches before a restart.
 func TestReloadWithReorderedClasses(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
@@ -196,7 +195,7 @@
 	r.shutDown()
 }
 
-// A new plan with other memory: what open searches may hold follows it, as the runtime's goal does.
+// A new plan with other memory changes how much open searches may hold, as it changes the runtime's goal.
 func TestSearchMemoryFollowsReload(t *testing.T) {
 	r := start(t, 256, nil)
 	room := func() (now float64) {
@@ -215,8 +214,8 @@
 	r.shutDown()
 }
 
-// A storm of SIGHUP, on plans that are whole, half, missing, a folder or very long, changes nothing but what the last whole
-// one says, and searches go on.
+// Many signals, on plans that are complete, half written, missing, a folder or very long, change nothing but what the
+// last complete one says, and searches go on.
 func TestManyReloads(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
--- a/coordinator/replica_connection_test.go
+++ b/coordinator/replica_connection_test.go
@@ -17,7 +17,7 @@
 	"chalkring/internal/frame"
 )
 
-// Whatever a replica does to a connection, the part goes on elsewhere and a bad frame is no answer.
+// Whatever a replica does to a connection, the shard request is retried elsewhere, and a malformed frame is no answer.
 func TestMisbehavingReplicas(t *testing.T) {
 	raw := func(text string) func(a asked) { return func(a asked) { a.Conn.Write([]byte(text)) } }
 	framed := func(letter byte, text string) func(a asked) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Spoilt answers are no crash: the search goes on, though they end two connections before any part is in, and
-// the replicas take as much as before.
+// Malformed answers do not look like a crash: the search goes on, though they end two connections before any shard
+// request is completed, and the replicas get as much as before.
 func TestMalformedAnswerIsNoCrash(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
@@ -88,7 +88,7 @@
 	r.shutDown()
 }
 
-// A good answer counts whatever comes behind it, and with a report that cannot be read.
+// A good answer counts whatever follows it, and with a report that cannot be parsed.
 func TestAnswerFollowedByMalformedBytes(t *testing.T) {
 	for name, more := range map[string]func(a asked){
 		"a copy":  func(a asked) { a.ReplyGood() },
@@ -118,7 +118,7 @@
 	}
 }
 
-// With noise behind an answer, the connection takes nothing new from that answer on.
+// With unexpected bytes after an answer, the connection takes nothing new from that answer on.
 func TestBytesAfterAnswerCloseConnection(t *testing.T) {
 	here, there := net.Pipe()
 	defer here.Close()
@@ -137,8 +137,8 @@
 	require.Equal(t, errMalformed, <-heard)
 }
 
-// A connection that falls silent takes no more parts, and is ended once its replica answers on another: what it
-// swallowed goes out again.
+// A silent connection gets no more attempts, and is closed once its replica answers on another: its attempts are
+// retried.
 func TestSilentConnectionIsPassedOver(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Permissions"].(map[string]any)["DialTimeout"] = 100 })
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
@@ -164,7 +164,7 @@
 	r.shutDown()
 }
 
-// A search that fells replicas is given up while more of its parts are out on the connection that ended.
+// A search that crashes replicas is failed while more of its attempts were on the connection that ended.
 func TestSearchThatCrashesReplicas(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
@@ -192,8 +192,8 @@
 	r.shutDown()
 }
 
-// A connection on which a part was given up after long silence takes nothing new and is closed; an unused one
-// is closed before its replica would.
+// A connection on which an attempt was given up after long silence takes nothing new and is closed; an idle one is
+// closed before its replica would.
 func TestSilentAndIdleConnectionsClose(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) {
 		s["Permissions"].(map[string]any)["DialTimeout"] = 100
@@ -217,7 +217,7 @@
 	r.shutDown()
 }
 
-// A replica that refuses connections, and one that never was where the list says, cost no search.
+// A replica that refuses connections, and one that never was at its address, cost no search.
 func TestReplicaDown(t *testing.T) {
 	r := start(t, 256, nil)
 	r.replicas["a0"].Listener.Close()
@@ -230,8 +230,8 @@
 	r.shutDown()
 }
 
-// A replica's reset against the write of a frame to it: one that is not out whole was never sent and goes elsewhere, whatever
-// its effect; one that is may have run, and an unsafe one is not sent again.
+// A replica resets the connection during a write: a frame that is not completely written was never sent and is retried
+// whatever its effect; a written one may have run, and an unsafe one is not retried.
 func TestReplicaResetDuringWrite(t *testing.T) {
 	for name, x := range map[string]struct {
 		whole  bool
@@ -300,7 +300,7 @@
 	}
 }
 
-// A socket that takes no bytes holds up its own connection alone, and what was not begun has not run.
+// A socket that takes no bytes delays its own connection alone, and frames whose write has not begun have not run.
 func TestBlockedReplicaSocket(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
@@ -328,8 +328,8 @@
 	require.Equal(t, errQueueFull, context.Cause(l.ctx))
 }
 
-// A replica that has started again since a connection to it came up, as the list says, gets what follows on a new one: the old
-// one may lead to a life that is over, of a machine that went without a word.
+// A replica that has restarted since a connection to it came up, by the list, is sent to on a new connection: the old
+// one may lead to an earlier incarnation.
 func TestRestartedHost(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
@@ -355,8 +355,8 @@
 	r.shutDown()
 }
 
-// Another host at the address of one that is gone: what goes to it goes on a connection of its own, and what was out at the one
-// before is told by that one's connection alone.
+// Another host at a removed host's address is sent to on a connection of its own, and attempts on the former host's
+// connection end with that.
 func TestAnotherHostAtSameAddress(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
--- a/coordinator/replica_dial_test.go
+++ b/coordinator/replica_dial_test.go
@@ -44,7 +44,7 @@
 	return nil, ctx.Err()
 }
 
-// Connections that never come up at sound hosts, the first to each: searches do not wait for them.
+// The first connections to sound hosts never come up: searches do not wait for them.
 func TestDialsThatNeverConnect(t *testing.T) {
 	var mu sync.Mutex
 	tried := map[string]int{}
@@ -68,7 +68,7 @@
 	r.shutDown()
 }
 
-// A further way is tried only where none is up in time, the one that is up first is used, and the others are closed.
+// A further dial starts only where none is up in time, the first that succeeds is used, and the others are closed.
 func TestDialWithRetries(t *testing.T) {
 	gone := errors.New("refused")
 	type ways = [maxParallelDials]func(ctx context.Context) (net.Conn, error)
@@ -120,8 +120,8 @@
 	}
 }
 
-// A new plan that comes while connects are late changes the number of descriptors, which the owner alone may look at: the race
-// detector holds it.
+// A reload during slow dials changes the number of descriptors, which the event loop alone may read: for the race
+// detector.
 func TestReloadDuringSlowDials(t *testing.T) {
 	var late atomic.Int32
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
@@ -164,7 +164,7 @@
 	return g.open[addr]
 }
 
-// The second connects beside late ones keep to their part of the descriptors, however many are late at once.
+// Further dials beside slow ones keep to their share of the descriptors, however many dials are slow at once.
 func TestExtraDialsAreBounded(t *testing.T) {
 	const sockets = 64
 	var tried atomic.Int64 // now
@@ -256,7 +256,7 @@
 	return is
 }
 
-// A part that waits for a connection that comes up late tells its replica what is left to the client then.
+// An attempt that waits for a slow connection tells its replica the time that is left to the client then.
 func TestRemainingTimeOnSlowConnection(t *testing.T) {
 	const late = 300 * time.Millisecond
 	r, let := startGated(t, nil)
@@ -280,8 +280,8 @@
 	r.shutDown()
 }
 
-// A part that waits for a connection to a replica that begins to drain, is gone or has moved meanwhile goes elsewhere in
-// time, and nothing is sent there once the connection is up.
+// An attempt that waits for a connection to a replica that begins to drain, is removed or moves is retried elsewhere
+// in time, and nothing is sent once the connection is up.
 func TestNothingWaitsForRemovedReplica(t *testing.T) {
 	for name, list := range map[string]func(r *rig, hostID, other string) string{
 		"drains": func(r *rig, hostID, _ string) string {
@@ -326,7 +326,7 @@
 	}
 }
 
-// A part whose client leaves while it waits for a connection that is not up does not go out once that is.
+// An attempt whose client leaves while it waits for a connection is not sent once that is up.
 func TestClientLeavesDuringDial(t *testing.T) {
 	r, let := startGated(t, func(settings map[string]any) { // the module calls nothing off
 		may := settings["Permissions"].(map[string]any)
--- a/coordinator/request_body_test.go
+++ b/coordinator/request_body_test.go
@@ -49,7 +49,7 @@
 	return f, err == nil && !math.IsInf(f, 0)
 }
 
-// Whatever a client sends, the reader without maps takes what the one with maps took, and nothing else.
+// Whatever a client sends, the body reader accepts what a reader by maps accepts, and nothing else.
 func FuzzReadBody(f *testing.F) {
 	for _, text := range []string{
 		fourParts, `{}`, `[]`, `{"ranges":[],"predicate":"x"}`, `{"ranges":[{"range":0,"portion":1}]}`,
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -76,8 +76,8 @@
 	return status, body
 }
 
-// First parts, second steps, copies and tries of a tenant under contract go to hosts in its zones alone, by the hosts' own
-// records; others use all. The second guard has nothing to catch.
+// First attempts, second steps, second copies and retries of a tenant with a contract go to hosts in its zones alone,
+// by the hosts' own records; others use all. The check before sending has nothing to stop.
 func TestAttemptsStayInAllowedZones(t *testing.T) {
 	z := startZoned(t, eastOnly)
 	z.replicas["a0"].SetHandler(func(p asked) { // the slow one inside is copied, and tried again, nowhere else
@@ -110,12 +110,13 @@
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-// unrestrictedBalancer is a module that does not hear what its searches may use.
+// unrestrictedBalancer is a balancer that ignores restrictions.
 type unrestrictedBalancer struct{ balancer.Balancer }
 
 func (unrestrictedBalancer) RestrictReplicas(uint64, *balancer.ReplicaRestriction, func(int) bool) {}
 
-// The first guard is broken on purpose: nothing leaves, each is counted, and the search has one final answer.
+// With the balancer's restriction broken on purpose, nothing is sent, each attempt is counted, and the search has one
+// final answer.
 func TestCheckBeforeSendingFailsClosed(t *testing.T) {
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north]", 1))
 	z.loop.submit(func() { z.loop.balancer = unrestrictedBalancer{z.loop.balancer} })
@@ -135,8 +136,8 @@
 	z.shutDown()
 }
 
-// A block without an allowed holder: a final answer at once that names tenant and block; in part where the contract and
-// the type allow it; and none where the lease has ended or the contract is over.
+// A block without an allowed host: a refusal at once that names tenant and block; a partial answer where contract and
+// class allow it; a refusal too where the lease has expired or the contract has ended.
 func TestBlockWithoutAllowedHost(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	began := time.Now()
@@ -164,8 +165,8 @@
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-// The policy tightens with a search in flight: what is out elsewhere is called off, nothing new goes there, and there is
-// one honest answer: a whole one from inside, or a refusal where a block has nobody there. So it is as a lease ends.
+// A policy that tightens during a search cancels attempts elsewhere; nothing new goes there, and there is one answer:
+// complete from inside, or a refusal where a block has no host there. The same holds as a lease expires.
 func TestTightenedPolicyCancelsAttempts(t *testing.T) {
 	for _, how := range []string{"moves inside", "has nobody", "lease ends"} {
 		t.Run(how, func(t *testing.T) {
@@ -218,8 +219,8 @@
 	}
 }
 
-// A second step of which a host lies outside by then: its part there is called off, and as its block has nobody else, the
-// search ends at once with an error that names it.
+// A second step one of whose hosts has become forbidden: its attempt is canceled, and as its block has no other host,
+// the search is refused at once.
 func TestSecondStepOutsideAllowedZones(t *testing.T) {
 	z := startZonedWith(t, strings.Replace(eastOnly, "[east]", "[east, west]", 1),
 		map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
@@ -260,8 +261,8 @@
 	return n
 }
 
-// A host that moves to another zone under a search is in none: what is out there is called off, and goes elsewhere
-// inside; one that two sources put into different zones is in none from the first.
+// A host that moves to another zone during a search is in none: attempts there are canceled and retried inside; one
+// that two sources put into different zones is in none from the first.
 func TestHostChangesZoneDuringSearch(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "east", "b1": "east"}, true)
 	release := make(chan struct{})
@@ -298,7 +299,7 @@
 
 func first[T any](value T, _ []string, _, _ int) T { return value }
 
-// A contract begins by the clock alone, with no word from anybody.
+// A contract begins by the clock alone.
 func TestContractBeginsDuringRun(t *testing.T) {
 	from := time.Now().Add(time.Hour).UTC().Format(time.RFC3339)
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north], from: "+from, 1))
@@ -309,7 +310,7 @@
 	require.Equal(t, 451, status)
 }
 
-// What waits in a connection's backlog while the process is stopped is not written once the lease has ended meanwhile.
+// What waits in a connection's queue while the process is stopped is not written once the lease has expired meanwhile.
 func TestExpiredLeaseStopsWaitingMessages(t *testing.T) {
 	l, up := newMessageConn(t.Context(), 4), false
 	l.leaseExpired = func() bool { return up }
--- a/coordinator/search_test.go
+++ b/coordinator/search_test.go
@@ -48,7 +48,7 @@
 	r.shutDown()
 }
 
-// A second step goes to the shards with the highest scores, the lower among equals, and names what was in.
+// A second step goes to the shards with the highest scores, the lower among equals, and names the completed ones.
 func TestSecondStep(t *testing.T) {
 	r := start(t, 256, nil)
 	scores := []string{"5", "18446744073709551616", "-3", "5"}
@@ -77,7 +77,7 @@
 	r.shutDown()
 }
 
-// A search that bears the name of one that is open is none; the name is free again after the answer.
+// A search with the name of an open one is refused; the name is free again after the answer.
 func TestDuplicateSearchNames(t *testing.T) {
 	r := start(t, 256, nil)
 	gate := make(chan struct{})
@@ -97,7 +97,7 @@
 	r.shutDown()
 }
 
-// An answer that comes after its part was given up is dropped, and the connection stays in use.
+// An answer to an attempt that was given up is dropped, and the connection stays in use.
 func TestLateAnswer(t *testing.T) {
 	r := start(t, 256, nil)
 	held, gate := make(chan asked, 1), make(chan struct{})
@@ -143,8 +143,8 @@
 	r.shutDown()
 }
 
-// randomRequest returns the text of a search named id and what it asks for: some are longer than the buffers, some have to
-// be escaped again, and some come in chunks.
+// randomRequest returns the text of a search named id and what it asks for: some are longer than the buffers, some
+// have to be escaped again, and some come in chunks.
 func randomRequest(chance *rand.Rand, hostID string, i int) (what, text string) {
 	what = hostID + strings.Repeat("/"+hostID, chance.Intn(40)*chance.Intn(40))
 	if i%7 == 0 {
@@ -164,8 +164,8 @@
 	return what, text + "0\r\nT: 1\r\n\r\n"
 }
 
-// Every answer has the values of its own request, whatever else is open, given up, refused or sent in pieces then: room that
-// is used again never shows another's. A client that leaves in between or sends ahead costs the others nothing.
+// Every answer has the values of its own request, whatever else is open, given up, refused or in pieces: reused
+// buffers never show another's. A client that leaves or pipelines costs the others nothing.
 func TestAnswersBelongToTheirRequests(t *testing.T) {
 	const clients, each = 16, 60
 	r := start(t, 256, nil)
@@ -236,7 +236,7 @@
 	r.shutDown()
 }
 
-// Each search's end is told once, with its class and its sub-requests, also where its client leaves.
+// Each search's end is reported once, with its class and its attempts, also where its client leaves.
 func TestSearchEndNotifications(t *testing.T) {
 	r := start(t, 256, nil)
 	ends := make(chan SearchEnd, 4)
@@ -259,8 +259,8 @@
 	require.Empty(t, ends)
 }
 
-// Guards against memory that follows rate times client timeout: clients here wait a minute, and once all have
-// their answers the owner holds no part, no wake of a search and no value.
+// Memory does not follow rate times client timeout: once clients that wait a minute have their answers, the event loop
+// holds no shard request, no timer of a search and no value.
 func TestEndedSearchesHoldNothing(t *testing.T) {
 	r := start(t, 256, nil)
 	c := r.connect()
@@ -286,8 +286,8 @@
 	r.shutDown()
 }
 
-// What open searches and untaken answers hold is bounded: with no room left, a search is turned away at once with a time
-// to come back, and there is room again once answers are out.
+// What open searches and untaken answers hold is bounded: without memory a search is shed at once with a Retry-After,
+// and there is memory again once answers are written.
 func TestShedsWithoutMemory(t *testing.T) {
 	r := start(t, 256, nil)
 	long := strings.Repeat("v", 20_000)
@@ -329,9 +329,9 @@
 	r.shutDown()
 }
 
-// Two co-ordinators of one process whose settings give classes of one name other effects, places and tenants handle each
-// search by their own, also when clients ask both at once and go on by one connection. A field that a request lacks is
-// not that of the one before it.
+// Two coordinators of one process whose settings give classes of one name other effects, positions and tenants handle
+// each search under their own, also when clients use both at once. A header that a request lacks is not the one
+// before's.
 func TestCoordinatorsOfOneProcessShareNoState(t *testing.T) {
 	serve := func(order []string, effects map[string]string, tenant string) *rig {
 		r := start(t, 256, func(settings map[string]any) {
--- a/coordinator/shadow_settings_test.go
+++ b/coordinator/shadow_settings_test.go
@@ -8,8 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What other settings would have decided is counted while the settings in force decide: on sockets, as an operator
-// reads it.
+// What shadow settings would have decided is counted on sockets while the settings in force decide.
 func TestShadowSettings(t *testing.T) {
 	r := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false", "Specifics.ClassFloor": "0.5,0.5,0.5"})
 	for _, hostID := range []string{"a0", "a1"} {
@@ -55,7 +54,7 @@
 	require.Equal(t, "false", share.ShadowSettings["Permissions.RetryAfter"], "what is watched starts from what is in force")
 }
 
-// The steps of docs/migration.md on loopback: watch, switch, go back.
+// The steps of docs/migration.md on loopback: shadow, switch, go back.
 func TestMigrationSteps(t *testing.T) {
 	next := map[string]string{"Permissions.SecondCopies": "false", "Permissions.MaxAttempts": "1", "Specifics.ClassFloor": "0.5,0.5,0.5"}
 	step := func(over, watched map[string]string) (copies, whole, short int, metrics string) {
--- a/coordinator/sharded_test.go
+++ b/coordinator/sharded_test.go
@@ -16,8 +16,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// Several owners behind one listener answer each search once and whole, share clients out, follow a new plan, and end
-// together with what they hold answered.
+// Several event loops behind one listener answer each search once and completely, share clients, follow a reload, and
+// shut down together.
 func TestServeSharded(t *testing.T) {
 	r := start(t, 256, nil) // its hosts and list serve the several too
 	ln := listen(t)
--- a/coordinator/shutdown_test.go
+++ b/coordinator/shutdown_test.go
@@ -21,7 +21,7 @@
 	"chalkring/internal/http1"
 )
 
-// At a stop what is held is finished, and requests that still come are taken; then nothing is left.
+// During shutdown open searches are finished and requests that still arrive are served; then nothing is left.
 func TestShutdown(t *testing.T) {
 	before := runtime.NumGoroutine()
 	r := start(t, 256, nil)
@@ -60,8 +60,8 @@
 	r.eventually("goroutines end", func() bool { return runtime.NumGoroutine() <= before+1 })
 }
 
-// What comes more than 0.7 s after the end is told has its final answer before the kill may come, though no host answers and
-// its client would wait longer; so has what comes just before the kill, at once.
+// A request that arrives more than 0.7 s after the stop has its final answer before SIGKILL, though no host answers
+// and its client would wait longer; so has one that arrives just before.
 func TestAnswersBeforeSIGKILL(t *testing.T) {
 	const busy = time.Second // that a crowded machine may be late by; without the bound it is four
 	r := start(t, 256, nil)
@@ -89,8 +89,8 @@
 	r.shutDown()
 }
 
-// Connections that have come by the time at which no more are taken are taken, each with its request, also where the
-// process was held up just then.
+// Connections that have arrived by the time at which no more are accepted are accepted, each with its request, also in
+// a stalled process.
 func TestIdleConnectionsAtShutdown(t *testing.T) {
 	r := process(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -121,8 +121,8 @@
 	}
 }
 
-// While the co-ordinator stops, too, what came in time is read, though the process was held up and its time is over by the
-// time it looks: a request's last bytes, and a request on a connection at rest.
+// During shutdown, too, what arrived in time is read in a stalled process whose deadlines are over: a request's last
+// bytes, and a request on an idle connection.
 func TestFinalReadAtShutdown(t *testing.T) {
 	for name, client := range map[string]*clientConnection{
 		"a request": {requestDeadline: time.Now().Add(-time.Second)},
@@ -155,7 +155,7 @@
 	}
 }
 
-// As the co-ordinator stops, more requests in a piece than its buffer holds are answered one after another, each once.
+// During shutdown, more pipelined requests than the buffer holds are answered one after another, each once.
 func TestPipelinedRequestsAtShutdown(t *testing.T) {
 	r := start(t, 256, nil)
 	c := r.connect()
@@ -179,8 +179,8 @@
 	require.Equal(t, 4*(many+1), r.parts())
 }
 
-// A request that comes after the last answer on its connection was written, and is read before that connection is shut, is
-// not sent on: its client will see the end.
+// A request that arrives after the last answer on its connection is written, and is read before the connection closes,
+// is not dispatched: its client will see the end.
 func TestRequestBetweenLastAnswerAndClose(t *testing.T) {
 	for name, atStop := range map[string]bool{"a request that wants it": false, "the end of the stop": true} {
 		t.Run(name, func(t *testing.T) {
@@ -232,8 +232,8 @@
 	}
 }
 
-// Connections that came before the listener closed and for which there was no room then have their answers once there is:
-// none is reset in the system's queue.
+// Connections that arrived before the listener closed and waited for room are answered once there is room: none is
+// reset in the system's queue.
 func TestConnectionsWaitingForRoomAtShutdown(t *testing.T) {
 	const sockets, more, room = 16, 6, 8
 	gate, closing := make(chan struct{}), make(chan struct{}, 64)
@@ -259,8 +259,8 @@
 	r.shutDown()
 }
 
-// A request that comes as its connection is closed, having been at rest, is not sent on, and its client sees an end without
-// an answer: it may send it again.
+// A request that arrives as its idle connection is closed is not dispatched, and its client sees an end without an
+// answer: it may send it again.
 func TestRequestWhileItsConnectionCloses(t *testing.T) {
 	for name, ends := range map[string]func(r *rig){
 		"unused": func(*rig) {},
@@ -302,7 +302,7 @@
 	}
 }
 
-// An answer that is half written as the co-ordinator is told to end goes out whole.
+// An answer that is partly written as a shutdown begins is written completely.
 func TestPartlyWrittenAnswerAtShutdown(t *testing.T) {
 	half, gate := make(chan struct{}), make(chan struct{})
 	r := startHooked(t, 256, nil, func(c *hookedConn) {
@@ -329,7 +329,7 @@
 	r.shutDown()
 }
 
-// SIGTERM before the co-ordinator knows any host, while discovery is silent, ends it as any other.
+// SIGTERM before the coordinator knows any host, while discovery is silent, ends it as ever.
 func TestShutdownDuringStart(t *testing.T) {
 	l, silent := newChildProcess(t), listen(t)
 	l.plan["discovery"] = silent.Addr().String()
@@ -351,7 +351,8 @@
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF) // the end in good order, and no answer
 }
 
-// Told to end with parts that wait for connections and searches that wait for slots: all have their answers, by whole ones.
+// A shutdown with attempts that wait for connections and searches that wait for their turn answers them all,
+// completely.
 func TestShutdownDuringDials(t *testing.T) {
 	const clients = 30 // the slots are taken by the first few
 	r, let := startGated(t, nil)
@@ -378,8 +379,8 @@
 	r.shutDown()
 }
 
-// kill -9 with requests in flight: no client gets half an answer that looks whole, and the next process serves at once, with no
-// word of those before.
+// SIGKILL with requests in flight: no client gets a partial answer that looks complete, and the next process serves at
+// once, without stored state.
 func TestSIGKILLWithRequestsInFlight(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
--- a/coordinator/start_stop_process_test.go
+++ b/coordinator/start_stop_process_test.go
@@ -13,7 +13,7 @@
 	"chalkring/internal/http1"
 )
 
-// Connections that came while the process was held up are taken before its listener closes: a reset would lose what their
+// Connections that arrived during a stall are accepted before the listener closes: a reset would lose what their
 // clients have sent.
 func TestConnectionsWaitingWhileListenerCloses(t *testing.T) {
 	l := newChildProcess(t)
@@ -39,7 +39,7 @@
 	l.waitForExit(0)
 }
 
-// A start while the process before it still has the address waits for it; one whose address stays another's says so.
+// A start while an earlier process has the address waits for it; if another keeps it, the error says so.
 func TestStartWhileAddressIsInUse(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
@@ -65,8 +65,9 @@
 	l.waitForExit(0)
 }
 
-// SIGTERM while replicas hang with parts out, clients are in the middle of a request or take no answer, discovery is silent
-// and signals come again: what was sent has one final answer before the kill, nothing goes out after it, and the process ends.
+// SIGTERM while replicas hang with attempts, clients are in the middle of a request or do not read, discovery is
+// silent and signals repeat: each request has one final answer before SIGKILL, nothing is sent after it, and the
+// process ends.
 func TestShutdownDuringSearches(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
@@ -113,8 +114,8 @@
 	require.Equal(t, before, sent())
 }
 
-// With fewer descriptors than the plan grants, those there are are shared out: idle clients make room, and searches reach
-// their replicas.
+// With fewer descriptors than the plan grants, those that there are are shared out: idle clients make room, and
+// searches reach their replicas.
 func TestDescriptorLimitBelowPlan(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil, "sh", "-c", `ulimit -n 64; exec "$0"`)
