--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -2,30 +2,29 @@
 
 import (
 	"slices"
-	"strconv"
-	"strings"
 )
 
-// attempt is one sub-request that is out.
+// attempt is one attempt of a shard request on a replica.
 type attempt struct {
 	shardRequest *shardRequest
 	index        int32
-	neverRan     bool // it has not run: it was never out whole, or was refused
+	neverRan     bool // never completely sent, or refused by the replica
 	replica      *replica
-	name         string // its id on the wire
+	name         string // its id on the wire; of all attempts of the shard request
 	sentAt       int64
 	deadline     int64
 	batch        *batch
-	timeout      timer // its time-out
-	inlineBatch  batch // room for call
+	timeout      timer
+	inlineBatch  batch // the batch while the attempt opens one
 }
 
-// fire is its time-out.
+// fire handles the attempt's timeout. It implements timerHandler.
 func (sub *attempt) fire(loop *eventLoop) { loop.giveUpAttempt(sub, "TimedOut") }
 
-// SendAttempt starts a sub-request; it travels at the end of the turn, with others to that replica.
+// SendAttempt starts an attempt; it is sent at the end of the iteration, batched with others to that replica. It
+// implements balancer.Actions.
 func (loop *eventLoop) SendAttempt(id uint64, to string, timeout int64) {
-	request, replica := loop.shardRequests[id], loop.replicas[to]
+	request, replica := loop.searches.shardRequests[id], loop.replicas.byID[to]
 	if request == nil {
 		return
 	}
@@ -34,18 +33,18 @@
 	if timeout == 0 || timeout > left {
 		timeout = left
 	}
-	sub := &request.firstAttempt
+	current := &request.firstAttempt
 	if len(request.attempts) > 0 {
-		sub = &attempt{}
+		current = &attempt{}
 	} else {
 		request.attempts = request.inlineAttempts[:0]
 	}
-	sub.shardRequest, sub.index, sub.replica, sub.name, sub.sentAt, sub.deadline = request, int32(len(request.attempts)), replica, request.name, loop.now, loop.now+timeout
-	request.attempts = append(request.attempts, sub)
+	current.shardRequest, current.index, current.replica, current.name, current.sentAt, current.deadline = request, int32(len(request.attempts)), replica, request.name, loop.now, loop.now+timeout
+	request.attempts = append(request.attempts, current)
 	request.unreported++
 	early := ""
 	switch {
-	case int(sub.index) >= loop.maxAttempts || request.isSettled():
+	case int(current.index) >= loop.rules.maxAttempts || request.isSettled():
 		early = "Ignored"
 	case timeout <= 0:
 		early = "TimedOut"
@@ -53,33 +52,33 @@
 		early = "ConnectError"
 	}
 	if early != "" {
-		loop.deferAttemptOutcome(sub, early)
+		loop.deferAttemptOutcome(current, early)
 		return
 	}
 	var c *batch
-	if n := len(replica.batches); n > 0 && len(replica.batches[n-1].attempts) < replica.protocol.attemptsPerBatch(loop) && loop.canShareBatch(replica.batches[n-1].attempts, sub) &&
-		findAttempt(replica.batches[n-1].attempts, sub.name) == nil {
+	if n := len(replica.batches); n > 0 && len(replica.batches[n-1].attempts) < replica.protocol.attemptsPerBatch(loop) && loop.canShareBatch(replica.batches[n-1].attempts, current) &&
+		findAttempt(replica.batches[n-1].attempts, current.name) == nil {
 		c = replica.batches[n-1]
 	} else {
-		if c = &sub.inlineBatch; n == 0 {
-			loop.dispatchOrder = append(loop.dispatchOrder, replica)
+		if c = &current.inlineBatch; n == 0 {
+			loop.replicas.dispatchOrder = append(loop.replicas.dispatchOrder, replica)
 		}
 		c.attempts = c.inlineAttempts[:0]
 		replica.batches = append(replica.batches, c)
 	}
-	sub.batch = c
-	c.attempts = append(c.attempts, sub)
-	loop.startTimer(&sub.timeout, timeout, sub)
+	current.batch = c
+	c.attempts = append(c.attempts, current)
+	loop.startTimer(&current.timeout, timeout, current)
 }
 
-// CancelAttempt gives a sub-request up.
+// CancelAttempt gives an attempt up. It implements balancer.Actions.
 func (loop *eventLoop) CancelAttempt(id uint64, leg int) {
-	if request := loop.shardRequests[id]; request != nil && leg < len(request.attempts) {
+	if request := loop.searches.shardRequests[id]; request != nil && leg < len(request.attempts) {
 		loop.giveUpAttempt(request.attempts[leg], "Canceled")
 	}
 }
 
-// giveUpAttempt stops waiting for a sub-request, if it is still out.
+// giveUpAttempt stops waiting for an attempt, if it is in flight.
 func (loop *eventLoop) giveUpAttempt(attempt *attempt, outcome string) {
 	if attempt.batch == nil {
 		return
@@ -87,12 +86,12 @@
 	conn := attempt.batch.connection
 	if batch := attempt.batch; loop.recallAttempt(attempt) {
 		if attempt.neverRan = true; outcome == "Canceled" {
-			outcome = "Ignored" // what was called off may have run, but this was never sent
+			outcome = "Ignored" // a canceled attempt may have run, this one was never sent
 		}
 	} else {
 		loop.detachAttempt(attempt)
 		conn.protocol.cancelAttempt(conn, attempt)
-		// Nothing is sent after the final answer: a frame given up before it may still be on its way out.
+		// Nothing may be sent after the final answer, and this attempt's frame may still be being written.
 		if write, search := (pendingWrite{conn.messageConn, batch.message}), attempt.shardRequest.search; !search.ended && !write.isWritten() {
 			search.pendingWrites = append(search.pendingWrites, write)
 		}
@@ -101,8 +100,8 @@
 			outcome = ""
 		}
 	}
-	// Guards against a machine that went silent: its open connection would swallow part after part. One new
-	// connection tells more than the old one: it comes up or does not.
+	// A replica that went silent would swallow one attempt after another on the open connection. A new one tells
+	// more: it connects or does not.
 	if conn != nil && conn.heardAt < attempt.sentAt && loop.now-attempt.sentAt > loop.silenceTimeout() {
 		loop.retireConnection(conn)
 	}
@@ -111,7 +110,7 @@
 	}
 }
 
-// recallAttempt takes a sub-request off its call if no byte of that has been begun; the rest goes without it.
+// recallAttempt takes an attempt off its batch if no byte of that may be out; the rest is sent without it.
 func (loop *eventLoop) recallAttempt(attempt *attempt) bool {
 	batch := attempt.batch
 	if batch.connection != nil && !batch.message.recall() {
@@ -122,17 +121,17 @@
 	return true
 }
 
-// detachAttempt takes a sub-request off its call and connection.
-func (loop *eventLoop) detachAttempt(sub *attempt) {
-	batch := sub.batch
-	sub.batch = nil
-	loop.stopTimer(&sub.timeout)
-	batch.attempts = slices.DeleteFunc(batch.attempts, func(x *attempt) bool { return x == sub })
+// detachAttempt takes an attempt off its batch and connection.
+func (loop *eventLoop) detachAttempt(current *attempt) {
+	batch := current.batch
+	current.batch = nil
+	loop.stopTimer(&current.timeout)
+	batch.attempts = slices.DeleteFunc(batch.attempts, func(x *attempt) bool { return x == current })
 	if conn := batch.connection; conn != nil {
 		if batch.message != nil && batch.message.stage.Load() != stageRecalled {
-			conn.rememberID(sub)
+			conn.rememberID(current)
 		}
-		conn.attempts = slices.DeleteFunc(conn.attempts, func(x *attempt) bool { return x == sub })
+		conn.attempts = slices.DeleteFunc(conn.attempts, func(x *attempt) bool { return x == current })
 		conn.usedAt = loop.now
 		if len(batch.attempts) == 0 {
 			conn.openBatches--
@@ -141,7 +140,7 @@
 	}
 }
 
-// recordOutcome tells the module how a sub-request ended.
+// recordOutcome reports an attempt's outcome to the balancer.
 func (loop *eventLoop) recordOutcome(attempt *attempt, outcome string, report map[string]float64) {
 	attempt.shardRequest.unreported--
 	attempt.neverRan = attempt.neverRan || outcome == "Ignored" || outcome == "ConnectError" || outcome == "QueueFull"
@@ -149,6 +148,7 @@
 	loop.dropShardRequest(attempt.shardRequest)
 }
 
+// findAttempt returns the attempt of a name, or nil.
 func findAttempt(subs []*attempt, name string) *attempt {
 	for _, attempt := range subs {
 		if attempt.name == name {
@@ -158,28 +158,28 @@
 	return nil
 }
 
-// handleAnswer takes a replica's handleAnswer; one to a part that is no longer out is dropped. One to a part that never
-// was out on this connection is spoilt, and another waits for its own in vain.
-func (loop *eventLoop) handleAnswer(conn *replicaConnection, id []byte, outcome string, score []byte, report map[string]float64,
+// handleAnswer handles a replica's answer. An answer to an attempt that is no longer in flight is dropped. One to an
+// attempt that never was on this connection is malformed: another waits for its own in vain.
+func (loop *eventLoop) handleAnswer(conn *replicaConnection, attemptName []byte, outcome string, score []byte, report map[string]float64,
 	value []byte, read any,
 ) {
 	conn.heardAt = loop.now
-	attempt, waits := findAttempt(conn.attempts, string(id)), true
+	attempt, waits := findAttempt(conn.attempts, string(attemptName)), true
 	if attempt == nil {
 		waits = false
-		attempt, outcome = loop.takeAbandoned(conn, string(id), outcome)
+		attempt, outcome = loop.takeAbandoned(conn, string(attemptName), outcome)
 	}
 	if attempt == nil {
-		if _, known := conn.recentIDs[string(id)]; !known {
-			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(id))
-			conn.closeNow(endMalformed)
+		if _, known := conn.recentIDs[string(attemptName)]; !known {
+			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(attemptName))
+			conn.closeNow(errMalformed)
 		}
 		return
 	}
-	if waits && !loop.recallAttempt(attempt) { // guards against a repeat on this connection that goes out though the first was answered
+	if waits && !loop.recallAttempt(attempt) { // a repeat that waits on this connection must not go out once the first is answered
 		loop.detachAttempt(attempt)
 	}
-	loop.averageLatency += (float64(loop.now-attempt.sentAt) - loop.averageLatency) / latencyAverageWeight
+	loop.replicas.averageLatency += (float64(loop.now-attempt.sentAt) - loop.replicas.averageLatency) / latencyAverageWeight
 	loop.retireSilentConnections(conn, attempt.sentAt)
 	if request := attempt.shardRequest; outcome == "Ok" && !request.isSettled() {
 		request.completed, request.score, request.value, request.decoded = true, score, value, read
@@ -187,23 +187,3 @@
 	}
 	loop.recordOutcome(attempt, outcome, report)
 }
-
-// decodeValue passes a value to the check of its search, where that has one. Guards against a host that answers in good
-// form and leaves out what was asked: its part would count as in.
-func (loop *eventLoop) decodeValue(part, value []byte) (any, error) {
-	if loop.decoderCount.Load() == 0 {
-		return nil, nil
-	}
-	id := string(part)
-	id = strings.TrimSuffix(id, ".r")
-	dot := strings.LastIndexByte(id, '.')
-	check, ok := loop.valueDecoders.Load(id[:max(0, dot)])
-	if !ok {
-		return nil, nil
-	}
-	n, err := strconv.Atoi(id[dot+1:])
-	if err != nil {
-		return nil, err
-	}
-	return check.(func(int, []byte) (any, error))(n, value)
-}
--- /dev/null
+++ b/coordinator/child_process_test.go
@@ -0,0 +1,160 @@
+package coordinator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	fleet "chalkring/internal/clustertest"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkring/internal/fake"
+	"chalkring/internal/http1"
+)
+
+const exitTimeout = 10 * time.Second // a process whose clients are gone; measured at under 2 s
+
+// childProcess is one process of the program over four hosts on loopback, with a plan in a file.
+type childProcess struct {
+	t     *testing.T
+	hosts []*fake.Host
+	plan  map[string]any
+	file  string
+	addr  string
+	cmd   *exec.Cmd
+	log   *logBuffer // what it wrote, where its output is not another's
+	ended chan error
+}
+
+func (l *childProcess) write() {
+	text, err := json.Marshal(l.plan)
+	require.NoError(l.t, err)
+	require.NoError(l.t, os.WriteFile(l.file, text, 0o600))
+}
+
+func (l *childProcess) limit(name string, version float64) {
+	l.plan["limits"].(map[string]any)[name] = version
+}
+
+// start starts the process; its output goes to out, or to its journal without one.
+func (l *childProcess) start(out *os.File, before ...string) {
+	ctx, cancel := context.WithTimeout(context.Background(), 6*patience) // the program is built first
+	defer cancel()
+	path, err := fleet.BuildProgram(ctx)
+	require.NoError(l.t, err)
+	args := append(before, path)
+	l.cmd, l.log, l.ended = exec.Command(args[0], args[1:]...), &logBuffer{}, make(chan error, 1)
+	l.cmd.Env = append(os.Environ(), "GW_CONFIG="+l.file, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=")
+	l.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	l.cmd.Stderr = l.log
+	if out != nil {
+		l.cmd.Stderr = out
+	}
+	require.NoError(l.t, l.cmd.Start())
+	cmd, ended := l.cmd, l.ended
+	go func() { ended <- cmd.Wait() }()
+	l.t.Cleanup(func() { _ = cmd.Process.Kill() })
+}
+
+func (l *childProcess) signal(s syscall.Signal) { require.NoError(l.t, l.cmd.Process.Signal(s)) }
+
+func (l *childProcess) eventually(why string, ok func() bool) {
+	require.Eventually(l.t, ok, patience, 5*time.Millisecond, "%s\n%s", why, l.log)
+}
+
+func (l *childProcess) logged(text string) {
+	l.eventually("log line "+text, func() bool { return strings.Contains(l.log.String(), text) })
+}
+
+// ready waits until it serves.
+func (l *childProcess) ready() {
+	l.eventually("ready", func() bool {
+		conn, err := net.DialTimeout("tcp", l.addr, time.Second)
+		if err != nil {
+			return false
+		}
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(time.Second))
+		conn.Write([]byte("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))
+		status, _, _, _, err := http1.NewReader(conn, make([]byte, 16<<10)).ReadResponse()
+		return err == nil && status == 200
+	})
+}
+
+// waitForExit waits for the end; code is the exit code that it has to have.
+func (l *childProcess) waitForExit(code int) {
+	select {
+	case err := <-l.ended:
+		var failed *exec.ExitError
+		if code == 0 {
+			require.NoError(l.t, err, "%s", l.log)
+		} else {
+			require.ErrorAs(l.t, err, &failed, "%s", l.log)
+			require.Equal(l.t, code, failed.ExitCode(), "%s", l.log)
+		}
+	case <-time.After(exitTimeout):
+		require.Fail(l.t, "does not end", "%s", l.log)
+	}
+}
+
+func (l *childProcess) dial() (net.Conn, *http1.Reader) {
+	conn, err := net.Dial("tcp", l.addr)
+	require.NoError(l.t, err)
+	l.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(patience))
+	return conn, http1.NewReader(conn, make([]byte, 16<<10))
+}
+
+// served sends a search on a new connection, which has to have a whole answer.
+func (l *childProcess) served(hostID string) {
+	conn, rd := l.dial()
+	defer conn.Close()
+	_, err := conn.Write([]byte(request(hostID, "all", "", fourParts)))
+	require.NoError(l.t, err)
+	status, _, body, _, err := rd.ReadResponse()
+	require.NoError(l.t, err, "%s", l.log)
+	require.Equal(l.t, 200, status)
+	require.JSONEq(l.t, completeAnswer, string(body))
+}
+
+// holdAttempts sets all hosts to keep their parts, and tells of each.
+func (l *childProcess) holdAttempts() chan asked {
+	held := make(chan asked, 1024)
+	for _, h := range l.hosts {
+		h.SetHandler(func(p asked) { held <- p })
+	}
+	return held
+}
+
+// newChildProcess prepares a process and does not start it.
+func newChildProcess(t *testing.T) *childProcess {
+	l := &childProcess{t: t, file: filepath.Join(t.TempDir(), "plan.json")}
+	var entries []fake.Endpoint
+	for _, hostID := range []string{"a0", "a1", "b0", "b1"} {
+		h, err := fake.NewHost(hostID, int(hostID[0]-'a'), true, asked.ReplyGood)
+		require.NoError(t, err)
+		t.Cleanup(h.Close)
+		l.hosts = append(l.hosts, h)
+		entries = append(entries, fake.Endpoint{ID: hostID, Addr: h.Listener.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, State: "up"})
+	}
+	d, err := fake.NewDiscoveryServer(entries)
+	require.NoError(t, err)
+	t.Cleanup(d.Close)
+	free := listen(t)
+	l.addr = free.Addr().String()
+	free.Close()
+	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`, l.addr, d.Listener.Addr(), d.KnownEndpoints(), testSettings)
+	require.NoError(t, json.Unmarshal([]byte(text), &l.plan))
+	l.write()
+	return l
+}
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -9,9 +9,11 @@
 	"chalkring/internal/http1"
 )
 
-// writeAnswer writes a final writeAnswer; an owner's call.
+const responseHeadRoom = 512 // bytes for the head of an answer
+
+// writeAnswer sends a search's final answer. The event loop calls it.
 func (c *clientConnection) writeAnswer(outcome searchOutcome, keep bool) {
-	c.messageConn.pendingWrites = append(c.messageConn.pendingWrites, outcome.pendingWrites...)
+	c.pendingWrites = append(c.pendingWrites, outcome.pendingWrites...)
 	switch outcome.outcome {
 	case outcomeDuplicateID:
 		c.respond(409, "", []byte("{}"), keep)
@@ -34,7 +36,7 @@
 			buffer = new([]byte)
 			*buffer = make([]byte, 0, size+responseHeadRoom)
 		}
-		if !plain { // what is escaped has to be written before its length is known
+		if !plain { // the length of an escaped body is known only once it is written
 			*buffer = appendAnswerBody(*buffer, outcome)
 			c.respond(200, "", *buffer, keep)
 			returnBuffer(buffer)
@@ -46,6 +48,7 @@
 	}
 }
 
+// respond sends a response.
 func (c *clientConnection) respond(status int, extra string, body []byte, keep bool) {
 	keep, last := c.keepAlive(keep)
 	buffer := borrowBuffer()
@@ -53,35 +56,36 @@
 	c.sendAnswer(&outboundMessage{buffer: buffer, closesConnection: last})
 }
 
-// sendAnswer hands an answer to the writer; until it is taken, it is held.
+// sendAnswer hands a response to the writer and counts its bytes until they are written.
 func (c *clientConnection) sendAnswer(message *outboundMessage) {
 	c.addUnsent(len(*message.buffer))
 	c.enqueue(message)
 }
 
+// addUnsent counts bytes of answers that are not written.
 func (c *clientConnection) addUnsent(n int) {
 	c.unsentBytes.Add(int64(n))
-	c.loop.unsentBytes.Add(int64(n))
+	c.loop.searches.unsentBytes.Add(int64(n))
 }
 
-// keepAlive tells what an answer says of its connection: keep, that it stays for further requests, and last, that it keepAlive
-// here. As the co-ordinator stops, the client is told to close, and what it sends all the same is answered.
+// keepAlive returns what a response says of its connection: keep, that it stays open, and last, that it ends here.
+// During shutdown the client is told to close, and what it sends all the same is answered.
 func (c *clientConnection) keepAlive(keeps bool) (keep, last bool) {
 	if !keeps || c.stopping.Err() == nil {
 		return keeps, !keeps
 	}
-	last = c.loop.closeAfterAnswer.Load()
+	last = c.loop.stop.closeAfterAnswer.Load()
 	return c.hasPipelined.Load() && !last, last
 }
 
-// handleWritten is told of each answer that is out whole.
+// handleWritten is called for each response that is completely written.
 func (c *clientConnection) handleWritten(message *outboundMessage) error {
 	c.addUnsent(-len(*message.buffer))
 	if message.closesConnection {
 		c.lastAnswerWritten.Store(true)
 		half, ok := c.conn.(interface{ CloseWrite() error })
 		if !ok || half.CloseWrite() != nil {
-			return endClosing
+			return errClosing
 		}
 		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
@@ -90,7 +94,7 @@
 	case c.answered <- struct{}{}:
 	default:
 	}
-	switch { // after it counts as answered: the reader that is woken here looks for that
+	switch { // last, since the reader that wakes here checks that the request is answered
 	case message.closesConnection:
 	case c.hasPipelined.Load():
 		c.interruptRead()
@@ -100,8 +104,8 @@
 	return nil
 }
 
-// answerBodySize tells how long the body of an answer will be; not plain where values have to be escaped, which makes it
-// longer.
+// answerBodySize returns the length of an answer's body. It is exact only if plain: values that have to be escaped
+// make the body longer.
 func answerBodySize(outcome searchOutcome) (size int, plain bool) {
 	plain = true
 	size = len(`{"total":,"answers":[]}`) + len("false")
@@ -121,7 +125,7 @@
 	return size, plain
 }
 
-// appendAnswerBody adds the body of an answer.
+// appendAnswerBody appends the body of an answer.
 func appendAnswerBody(dst []byte, outcome searchOutcome) []byte {
 	dst = strconv.AppendBool(append(dst, `{"total":`...), outcome.complete)
 	dst = append(dst, `,"answers":[`...)
@@ -131,7 +135,7 @@
 		}
 		dst = strconv.AppendInt(append(dst, `{"range":`...), int64(request.shard), 10)
 		dst = append(dst, `,"blob":`...)
-		dst, _ = jsontext.AppendQuote(dst, request.value) // it is text: hear has seen to that
+		dst, _ = jsontext.AppendQuote(dst, request.value) // readAnswers has checked that it is valid UTF-8
 		dst = append(dst, '}')
 	}
 	return append(dst, "]}"...)
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -8,21 +8,43 @@
 	"time"
 )
 
-// clientListener is the clients' side: it turns HTTP requests into searches for the owner and results into responses.
+const (
+	acceptRetryDelay   = 100 * time.Millisecond // before the next accept when no descriptor is left: some will be free
+	clientWriteTimeout = 5 * time.Second        // for a client to take a byte of its answer; after that it counts as gone
+	clientQueueSize    = 4                      // answers that wait on a client's connection: clients send one request at a time
+)
+
+// clientTable is the event loop's view of clients and frontends.
+type clientTable struct {
+	connections    map[*messageConn]bool
+	listenerClosed bool // no new client connections come
+	openFrontends  int  // other frontends that have not finished
+}
+
+// clientListener accepts clients' connections. It turns HTTP requests into searches of the event loop, and their
+// outcomes into responses.
 type clientListener struct {
 	loop             *eventLoop
 	limiter          *connectionLimiter
 	classes, tenants map[string]int
-	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the co-ordinator was told to end
+	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the stop
+}
+
+// newClientListener returns a listener that takes new connections until stopping is done.
+func newClientListener(loop *eventLoop, stopping context.Context) *clientListener {
+	return &clientListener{
+		loop: loop, limiter: newConnectionLimiter(clientDescriptors(loop.plan.MaxSockets)),
+		classes: loop.plan.PositionsByName("Classes"), tenants: loop.plan.PositionsByName("Tenants"), stopping: stopping,
+	}
 }
 
-// accept takes clients' connections in until the listener is closed.
+// accept accepts clients' connections until the listener is closed.
 func (f *clientListener) accept() error {
 	loop := f.loop
-	for taken := false; ; { // some connection, since the listener was last given its time
+	for taken := false; ; { // a connection was accepted since the listener's last deadline
 		conn, err := loop.Listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) { // see acceptLast
-			// Guards against a wait for room that lasts over that time: the others that have come would be reset.
+			// The wait for room may have outlasted the deadline: connections that have arrived would be reset by the close.
 			if taken {
 				taken = false
 				loop.acceptLast()
@@ -32,7 +54,7 @@
 			err = net.ErrClosed
 		}
 		if errors.Is(err, net.ErrClosed) {
-			loop.submit(func() { loop.listenerClosed = true })
+			loop.submit(func() { loop.clients.listenerClosed = true })
 			return nil
 		}
 		if err != nil {
@@ -53,20 +75,20 @@
 			conn.Close()
 			return nil
 		}
-		client.firstDeadline = time.Now().Add(requestReadTimeout) // it may have waited for room longer than that
-		loop.submit(func() { loop.clients[client.messageConn] = true })
+		client.firstDeadline = time.Now().Add(requestReadTimeout) // the wait for room does not count
+		loop.submit(func() { loop.clients.connections[client.messageConn] = true })
 		loop.group.Go(func() error {
 			end := client.serve(conn, clientWriteTimeout, client.readRequests, client.handleWritten)
 			f.limiter.release(client)
 			loop.submit(func() {
-				delete(loop.clients, client.messageConn)
-				loop.unsentBytes.Add(-client.unsentBytes.Swap(0))
-				if client.lastSearch != nil { // whichever way it ended: a search still on it has lost its client
+				delete(loop.clients.connections, client.messageConn)
+				loop.searches.unsentBytes.Add(-client.unsentBytes.Swap(0))
+				if client.lastSearch != nil { // an open search has lost its client, whatever ended the connection
 					loop.withdrawSearch(client.lastSearch)
 				}
 			})
 			switch end {
-			case endReadTimeout, endMalformed, endQueueFull, endWriteFailed, endDisplaced, endFault:
+			case errReadTimeout, errMalformed, errQueueFull, errWriteFailed, errDisplaced, errFault:
 				loop.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
 			}
 			return nil
--- a/coordinator/connection_end.go
+++ b/coordinator/connection_end.go
@@ -8,25 +8,26 @@
 	"syscall"
 )
 
-// connectionEnd is how a connection came to its end. It is the error of all code on that connection.
-type connectionEnd int
+// connectionEndError is why a connection ended. It is the error of all code on that connection.
+type connectionEndError int
 
+// Reasons of a connection's end.
 const (
-	_                 connectionEnd = iota
-	endNotConnected                 // refused, or not up in time
-	endNoDescriptors                // not opened: this side has no descriptor or port left
-	endPeerClosed                   // the other side closed it between messages
-	endReset                        // reset, or cut inside a message
-	endWriteFailed                  // a write failed or did not end in time
-	endReadTimeout                  // a message was begun and not finished in time
-	endMalformed                    // what came cannot be used
-	endRejectedByPeer               // the other side could not use what we sent
-	endQueueFull                    // its backlog was full
-	endIdle                         // closed here: nothing was on it for long
-	endRetired                      // closed here: its replica is gone or moved, or it has gone silent
-	endDisplaced                    // closed here: it was longest at rest, and another needed its descriptor
-	endClosing                      // closed here after a last answer, or as the co-ordinator stops
-	endFault                        // closed here: what was done with what came has a fault
+	_                 connectionEndError = iota
+	errNotConnected                      // refused, or not connected in time
+	errNoDescriptors                     // not opened: no descriptor or port is left here
+	errPeerClosed                        // the other side closed it between messages
+	errReset                             // reset, or cut inside a message
+	errWriteFailed                       // a write failed or did not end in time
+	errReadTimeout                       // a message began and did not end in time
+	errMalformed                         // what was received is malformed
+	errRejectedByPeer                    // the other side could not use what was sent
+	errQueueFull                         // its queue was full
+	errIdle                              // closed here: idle for long
+	errRetired                           // closed here: its replica was removed or moved, or the connection is silent
+	errDisplaced                         // closed here: the longest idle one, whose descriptor another needed
+	errClosing                           // closed here after a last answer, or at shutdown
+	errFault                             // closed here: handling what was received panicked
 )
 
 var connectionEndNames = [...]string{
@@ -34,23 +35,23 @@
 	"complained", "crowded", "unused", "retired", "displaced", "closing", "faulty",
 }
 
-func (e connectionEnd) Error() string { return connectionEndNames[e] }
+// Error implements error. The texts are values of log lines.
+func (e connectionEndError) Error() string { return connectionEndNames[e] }
 
-// attemptOutcome is the one place where ends of connections become the module's words. What the other side ended: a
-// part whose frame was never on it whole could not connect, any other was reset; but on a connection that had
-// proved to work the first was just never sent, since no connect had failed. What this side ended: a part
-// was never sent, or was called off, and may have run; the replica is not down for that. Guards against a
-// spoilt answer that stands for a crash. But whoever spoils an answer has failed one part, the first.
-func (e connectionEnd) attemptOutcome(written, first, worked bool) string {
+// attemptOutcome is the one place that translates a connection's end into an attempt's outcome. Where the other side
+// ended it, an attempt that was not completely written could not connect, or on a connection that had worked was just
+// not sent; any other was reset. Where this side ended it, an attempt was not sent, or canceled and may have run: the
+// replica is not down for that. A malformed answer fails one attempt alone, the first: it must not look like a crash.
+func (e connectionEndError) attemptOutcome(written, first, worked bool) string {
 	switch e {
-	case endNotConnected, endPeerClosed, endReset, endWriteFailed:
+	case errNotConnected, errPeerClosed, errReset, errWriteFailed:
 		if written {
 			return "ResetByPeer"
 		}
 		if !worked {
 			return "ConnectError"
 		}
-	case endReadTimeout, endMalformed, endRejectedByPeer, endFault:
+	case errReadTimeout, errMalformed, errRejectedByPeer, errFault:
 		if written && first {
 			return "Failed"
 		}
@@ -61,32 +62,31 @@
 	return "Ignored"
 }
 
-// isCertain tells whether a connection's end leaves no doubt that what was out on it is over for the other side too: that
-// side has ended it, or had just been heard as this side did. Our own end of a connection that has fallen silent does not
-// arrive.
-func (e connectionEnd) isCertain() bool {
+// isCertain says whether, after a connection's end, no attempt on it runs any more at the other side: that side ended
+// it, or had just been heard. An end from here does not arrive over a connection that has fallen silent.
+func (e connectionEndError) isCertain() bool {
 	switch e {
-	case endNotConnected, endPeerClosed, endReset, endMalformed, endRejectedByPeer, endFault:
+	case errNotConnected, errPeerClosed, errReset, errMalformed, errRejectedByPeer, errFault:
 		return true
 	}
 	return false
 }
 
-// connectionEndOf names what reading met.
-func connectionEndOf(err error) connectionEnd {
-	var e connectionEnd
+// connectionEndOf returns the reason that an error of reading stands for.
+func connectionEndOf(err error) connectionEndError {
+	var e connectionEndError
 	switch {
 	case errors.As(err, &e):
 		return e
-	case err == io.EOF:
-		return endPeerClosed
+	case err == io.EOF: //nolint:errorlint // a wrapped EOF is an end inside a message
+		return errPeerClosed
 	case errors.Is(err, context.Canceled), errors.Is(err, errAllAnswered):
-		return endClosing
+		return errClosing
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return endReadTimeout
+		return errReadTimeout
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS),
 		errors.Is(err, syscall.EADDRNOTAVAIL):
-		return endNoDescriptors
+		return errNoDescriptors
 	}
-	return endReset
+	return errReset
 }
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -13,15 +13,27 @@
 	"chalkring/internal/frame"
 )
 
-// frameProtocol is the platform's protocol.
+const (
+	frameReadTimeout     = 300 * time.Millisecond // from a frame's first byte to its last: answers fit a few packets
+	maxLoggedRejectBytes = 200                    // bytes of a replica's reject text in a log line
+	frameParameterRoom   = 256                    // bytes of a shard request's parameters that need no allocation
+)
+
+// frameProtocol is the platform's protocol: frames with several shard requests each, answered one by one.
 type frameProtocol struct{}
 
-func (frameProtocol) attemptsPerBatch(loop *eventLoop) int { return loop.attemptsPerBatch }
+// attemptsPerBatch implements wireProtocol.
+func (frameProtocol) attemptsPerBatch(loop *eventLoop) int { return loop.rules.attemptsPerBatch }
 
-func (frameProtocol) batchesPerConnection(loop *eventLoop) int { return loop.streamsPerConnection }
+// batchesPerConnection implements wireProtocol.
+func (frameProtocol) batchesPerConnection(loop *eventLoop) int {
+	return loop.rules.streamsPerConnection
+}
 
+// allowsWaiting implements wireProtocol.
 func (frameProtocol) allowsWaiting() bool { return true }
 
+// appendBatch implements wireProtocol.
 func (frameProtocol) appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte {
 	dst = frame.Begin(dst, frame.TypeBatch)
 	var room [frameParameterRoom]byte
@@ -46,18 +58,21 @@
 	return frame.End(dst, 0)
 }
 
+// cancelAttempt implements wireProtocol.
 func (frameProtocol) cancelAttempt(conn *replicaConnection, attempt *attempt) {
 	buffer := borrowBuffer()
 	*buffer = frame.AppendCancel(*buffer, attempt.name)
 	conn.enqueue(&outboundMessage{buffer: buffer})
 }
 
+// zeroScore is the score of answers from hosts that give none.
 var zeroScore = []byte("0") // the score of hosts that tell none
 
+// frameOutcomes are the balancer's outcomes by the word that ends an answer.
 var frameOutcomes = map[string]string{"good": "Ok", "bad": "Failed", "later": "QueueFull"}
 
-// readAnswers reads a replica's frames to the end of the connection. Once one has begun, its rest has to follow: guards
-// against a length that says more than comes. What has come together is told together.
+// readAnswers implements wireProtocol. Once a frame has begun, its rest has to follow in time, in case its length says
+// more than is sent. Answers that arrive together are handled in one task.
 func (frameProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	src := bufferedReaders.Get().(*bufio.Reader)
 	src.Reset(conn)
@@ -87,7 +102,7 @@
 			}
 		}
 		if tell != nil && !loop.submit(tell) {
-			return endClosing
+			return errClosing
 		}
 		if err != nil {
 			return err
@@ -95,7 +110,7 @@
 	}
 }
 
-// readFrame reads one frame and gives what the owner is to do with it; nil for one that cannot be used.
+// readFrame reads one frame and returns the task that handles it, or nil for a frame that cannot be used.
 func readFrame(loop *eventLoop, conn *replicaConnection, src *bufio.Reader) (tell func(), err error) {
 	letter, rest, err := frame.Read(src)
 	if err != nil && !errors.Is(err, frame.ErrMalformed) {
@@ -103,16 +118,16 @@
 	}
 	if letter == frame.TypeReject && err == nil {
 		loop.log.warnLimited("frame_refused", "frame_refused", "replica", conn.replica.id, "words", string(rest[:min(len(rest), maxLoggedRejectBytes)]))
-		return nil, endRejectedByPeer
+		return nil, errRejectedByPeer
 	}
 	if letter != frame.TypeAnswer && err == nil {
 		err = fmt.Errorf("%w: letter %q", frame.ErrMalformed, letter)
 	}
-	var id, end, score, value []byte
+	var attemptName, end, score, value []byte
 	var report map[string]float64
 	if err == nil {
-		own := bytes.Clone(rest) // what it lies in is read over; the reader of a connection holds no more than that
-		id, end, score, report, value, err = frame.ParseAnswer(own)
+		own := bytes.Clone(rest) // the reader's buffer is overwritten by the next frame
+		attemptName, end, score, report, value, err = frame.ParseAnswer(own)
 	}
 	outcome := frameOutcomes[string(end)]
 	if err == nil && (outcome == "" || outcome == "Ok" && (score == nil || !utf8.Valid(value))) {
@@ -120,18 +135,18 @@
 	}
 	if err != nil {
 		loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
-		return nil, endMalformed
+		return nil, errMalformed
 	}
 	var read any
 	if outcome == "Ok" {
-		if read, err = loop.decodeValue(id, value); err != nil {
+		if read, err = loop.decoders.decode(attemptName, value); err != nil {
 			outcome = "Failed"
 			loop.log.warnLimited("bad_value", "bad_value", "replica", conn.replica.id, "error", err)
 		}
 	}
 	fits := frame.IsPlausibleReply(src)
 	return func() {
-		conn.closedToNew = conn.closedToNew || !fits // a good answer counts whatever comes behind it
-		loop.handleAnswer(conn, id, outcome, score, report, value, read)
+		conn.closedToNew = conn.closedToNew || !fits // a good answer counts, whatever follows it
+		loop.handleAnswer(conn, attemptName, outcome, score, report, value, read)
 	}, nil
 }
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -11,73 +11,86 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// outboundMessage is one message on its way to a socket.
+const (
+	maxCoalescedBytes    = 8 << 10                // bytes of messages that are written at once: a buffer holds two such
+	maxCoalescedMessages = 64                     // messages written at once: one iteration's batches to one replica
+	maxWriteWait         = 20 * time.Millisecond  // for a message whose write has begun to be written: a socket takes one at once
+	writeWaitYields      = 16                     // checks of it that only yield the processor
+	writeWaitPoll        = 100 * time.Microsecond // between two checks after that
+)
+
+// outboundMessage is one message on its way to a socket. Its stage goes from queued to writing to written, or to
+// recalled.
 type outboundMessage struct {
 	buffer           *[]byte
-	closesConnection bool // the connection ends after it
-	leaseFenced      bool // it may not be begun once the link's fence is up
-	hasDeadline      bool // it may not be begun after a time that the link knows
+	closesConnection bool // the last message of its connection
+	leaseFenced      bool // its write may not begin once the residency lease has expired
+	hasDeadline      bool // its write may not begin after a time in the connection's deadlines
 	stage            atomic.Int32
 }
 
+// Stages of an outbound message.
 const (
 	stageQueued int32 = iota
 	stageWriting
 	stageWritten
-	stageRecalled // back before it was begun
+	stageRecalled // taken back before its write began
 )
 
-// recall takes a parcel back; false where its first byte may be out.
+// recall takes a message back and returns false where bytes of it may be out.
 func (p *outboundMessage) recall() bool { return p.stage.CompareAndSwap(stageQueued, stageRecalled) }
 
-// messageConn is one connection: its socket, and what waits to be written to it.
+// messageConn is one connection and the messages that wait to be written to it. What the writer may not send any more
+// it drops: messages that were recalled, that are past their deadline, or that need a residency lease which has
+// expired.
 type messageConn struct {
 	queue chan *outboundMessage
 	end   context.CancelCauseFunc
 	ctx   context.Context
 
-	leaseExpired     func() bool              // the writer asks it of each parcel that is fenced; nil for none
-	clockTicks       func() int64             // and for the time where one is limited; nil for none
-	deadlines        sync.Map                 // of those that are: until when each may be begun
-	onMissedDeadline func(p *outboundMessage) // is told of each for which it was, and that was taken back
+	leaseExpired     func() bool              // checked for each leaseFenced message; nil where there is none
+	clockTicks       func() int64             // checked for each message with a deadline; nil where there is none
+	deadlines        sync.Map                 // by message: the time by which its write has to begin
+	onMissedDeadline func(p *outboundMessage) // is called for each message taken back for its deadline
 
-	log *asyncLogger // of faults; nil for none
+	log *asyncLogger // of panics; nil for none
 
-	pendingWrites []pendingWrite // what has to be out before the next message; who puts that sets it
-	writerEnded   atomic.Bool    // the writer has
+	pendingWrites []pendingWrite // to be written before the next message; set by who enqueues that
+	writerEnded   atomic.Bool    // the writer has returned
 }
 
+// newMessageConn returns a connection with room for so many waiting messages.
 func newMessageConn(ctx context.Context, room int) *messageConn {
 	l := &messageConn{queue: make(chan *outboundMessage, room)}
 	l.ctx, l.end = context.WithCancelCause(ctx)
 	return l
 }
 
-// enqueue hands a message over without waiting; a full backlog ends the connection.
+// enqueue hands a message to the writer without waiting; a full queue ends the connection.
 func (l *messageConn) enqueue(message *outboundMessage) {
 	select {
 	case l.queue <- message:
 	default:
-		l.end(endQueueFull)
+		l.end(errQueueFull)
 	}
 }
 
-// missedDeadline tells whether the time of a limited parcel to be begun is over; asked once of each.
+// missedDeadline says whether the deadline of a message is over. It may be called once for each message.
 func (l *messageConn) missedDeadline(message *outboundMessage) bool {
 	by, _ := l.deadlines.LoadAndDelete(message)
 	return l.clockTicks() > by.(int64)
 }
 
-// serve runs a connection to its end: read in one goroutine, the writer in another. Deadlines of sockets
-// are told by the system's clock, whichever the owner has.
+// serve runs a connection to its end, with a goroutine for reading and one for writing, and returns why it ended.
+// Deadlines of sockets are the system clock's.
 func (l *messageConn) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
 	wrote func(*outboundMessage) error,
-) connectionEnd {
-	g, ctx := errgroup.WithContext(l.ctx)
+) connectionEndError {
+	group, ctx := errgroup.WithContext(l.ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
-	g.Go(func() error { return l.log.recoverPanic(func() error { return read(ctx) }) })
+	group.Go(func() error { return l.log.recoverPanic(func() error { return read(ctx) }) })
 	write := func() error {
 		var together []*outboundMessage
 		defer l.writerEnded.Store(true)
@@ -86,7 +99,7 @@
 			case <-ctx.Done():
 				return ctx.Err()
 			case message := <-l.queue:
-				if ctx.Err() != nil { // guards against a message that is begun after the reader has seen the end
+				if ctx.Err() != nil { // no write begins after the reader has seen the end
 					return ctx.Err()
 				}
 				conn.SetWriteDeadline(time.Now().Add(stall))
@@ -96,17 +109,17 @@
 			}
 		}
 	}
-	g.Go(func() error { return l.log.recoverPanic(write) })
-	err := g.Wait()
+	group.Go(func() error { return l.log.recoverPanic(write) })
+	err := group.Wait()
 	if cause := context.Cause(l.ctx); cause != nil {
-		err = cause // this side ended it: reads and writes failed for that
+		err = cause // this side ended it, which made reads and writes fail
 	}
 	end := connectionEndOf(err)
-	l.end(end) // a context that is not ended stays with its parent for good
+	l.end(end) // a context that is not canceled stays with its parent
 	return end
 }
 
-// writeCoalesced writes a message, and in one piece with it those that wait behind it and are small.
+// writeCoalesced writes a message, and in the same write those that wait behind it while they are small.
 func (l *messageConn) writeCoalesced(conn net.Conn, message *outboundMessage, room *[]*outboundMessage, wrote func(*outboundMessage) error) error {
 	all := (*room)[:0]
 	defer func() {
@@ -114,13 +127,13 @@
 		*room = all[:0]
 	}()
 	for size := 0; message != nil; {
-		switch { // guards against a process that was stopped and goes on where it was, and a socket that took nothing for a while
+		switch { // the time may have passed in a stopped process or in a socket that took nothing
 		case message.leaseFenced && l.leaseExpired():
 			message.recall()
 		case message.hasDeadline && l.missedDeadline(message) && message.recall():
 			l.onMissedDeadline(message)
 		}
-		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // next to the write: what was begun may be out
+		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // right before the write: from here on bytes may be out
 			size += len(*message.buffer)
 			if all = append(all, message); message.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
 				break
@@ -152,8 +165,8 @@
 	}
 	n, err := conn.Write(*out)
 	for _, message := range all {
-		if n -= len(*message.buffer); n < 0 { // it is not out whole, nor is what is behind it
-			return endWriteFailed
+		if n -= len(*message.buffer); n < 0 { // neither this message nor any after it is completely written
+			return errWriteFailed
 		}
 		message.stage.Store(stageWritten)
 		err := wrote(message)
@@ -163,25 +176,25 @@
 		}
 	}
 	if err != nil {
-		return endWriteFailed
+		return errWriteFailed
 	}
 	return nil
 }
 
-// pendingWrite is a message that is begun on another connection.
+// pendingWrite is a message whose write has begun on another connection.
 type pendingWrite struct {
 	conn    *messageConn
 	message *outboundMessage
 }
 
-// isWritten tells that it is isWritten whole, or never will be.
+// isWritten says whether the message is completely written, or never will be.
 func (b pendingWrite) isWritten() bool {
 	return b.message.stage.Load() != stageWriting || b.conn.writerEnded.Load()
 }
 
-// awaitWritten waits until all is out. Guards against a part that is sent on after its search's final answer: its write may
-// have been begun and not done, in a process that is held up between the two. One that does not come out ends its
-// connection. It mostly is out at once, so it is looked for and not told of.
+// awaitWritten blocks until all writes have ended. In a stalled process, a search's final answer could otherwise
+// overtake the write of an attempt. A write that does not end in time ends its connection. Most have ended already, so
+// this polls.
 func awaitWritten(all []pendingWrite) {
 	for _, write := range all {
 		for tries := 0; !write.isWritten(); tries++ {
@@ -189,7 +202,7 @@
 			case tries < writeWaitYields:
 				runtime.Gosched()
 			case tries == writeWaitYields+int(maxWriteWait/writeWaitPoll):
-				write.conn.end(endRetired)
+				write.conn.end(errRetired)
 			default:
 				time.Sleep(writeWaitPoll)
 			}
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"net"
 	"net/http"
 	"net/url"
@@ -22,16 +23,20 @@
 	hostBodyTimeout  = 2 * time.Second // from an answer's first byte to its last: a megabyte on a slow way
 )
 
-// openSearchProtocol is the OpenSearch-style API: one part a request, one request a connection at a time. A part that is given
-// up ends its connection, which cancels it at the host; what the host still answers is not read.
+// openSearchProtocol is the OpenSearch-style API: one shard request a request, one request a connection at a time.
+// Giving an attempt up ends its connection, which cancels it at the host.
 type openSearchProtocol struct{ HostKind }
 
+// attemptsPerBatch implements wireProtocol.
 func (openSearchProtocol) attemptsPerBatch(*eventLoop) int { return 1 }
 
+// batchesPerConnection implements wireProtocol.
 func (openSearchProtocol) batchesPerConnection(*eventLoop) int { return 1 }
 
+// allowsWaiting implements wireProtocol.
 func (openSearchProtocol) allowsWaiting() bool { return false }
 
+// appendBatch implements wireProtocol.
 func (k openSearchProtocol) appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte {
 	attempt := batch.attempts[0]
 	left := max(1, (attempt.deadline-loop.now)/10)
@@ -41,11 +46,13 @@
 	return append(dst, attempt.shardRequest.search.text...)
 }
 
+// cancelAttempt implements wireProtocol.
 func (openSearchProtocol) cancelAttempt(conn *replicaConnection, _ *attempt) {
-	conn.closeNow(endRetired)
+	conn.closeNow(errRetired)
 }
 
-// classifyResponse is the one table from what an OpenSearch host answers to the module's outcomes. 429 and 503 have not run; whatever else is no good answer may have.
+// classifyResponse is the one table from a host's response to the balancer's outcomes. A request that got 429 or 503
+// has not run; any other that is no good answer may have.
 func (k openSearchProtocol) classifyResponse(status int, body []byte, shard int) (outcome string, err error) {
 	switch {
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
@@ -59,81 +66,101 @@
 	return "Ok", nil
 }
 
-// readAnswers reads a host's answers, each to the one part that is out on its connection. What comes where none is out, or
-// cannot be read, is spoilt, and the connection ends.
+// readAnswers implements wireProtocol. Each response belongs to the one attempt on its connection; a response to
+// nothing, or one that cannot be parsed, ends the connection.
 func (k openSearchProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
-	src := bufferedReaders.Get().(*bufio.Reader)
-	src.Reset(conn)
-	defer bufferedReaders.Put(src)
+	source := bufferedReaders.Get().(*bufio.Reader)
+	source.Reset(conn)
+	defer bufferedReaders.Put(source)
 	for {
 		conn.SetReadDeadline(time.Time{})
-		if _, err := src.Peek(1); err != nil {
+		if _, err := source.Peek(1); err != nil {
 			return connectionEndOf(err)
 		}
 		conn.SetReadDeadline(time.Now().Add(hostBodyTimeout))
-		res, err := http.ReadResponse(src, nil)
+		response, err := http.ReadResponse(source, nil)
 		if err != nil {
 			return k.readError(loop, connection, err)
 		}
-		var b bytes.Buffer
-		n, err := io.Copy(&b, io.LimitReader(res.Body, maxHostBodyBytes+1))
-		res.Body.Close()
+		var body bytes.Buffer
+		n, err := io.Copy(&body, io.LimitReader(response.Body, maxHostBodyBytes+1))
+		response.Body.Close()
 		if err != nil || n > maxHostBodyBytes {
 			return k.readError(loop, connection, fmt.Errorf("%d bytes: %w", n, errors.Join(err, frame.ErrMalformed)))
 		}
-		asked := make(chan *attempt, 1)
-		if !loop.submit(func() {
-			if len(connection.attempts) == 1 {
-				asked <- connection.attempts[0]
-			}
-			close(asked)
-		}) {
-			return endClosing
+		if err := k.handleResponse(loop, connection, response, body.Bytes()); err != nil {
+			return err
 		}
-		sub, open := <-asked
-		if !open {
-			return k.readError(loop, connection, errors.New("an answer to nothing"))
-		}
-		id, shard := []byte(sub.name), sub.shardRequest.shard // neither changes
-		body := b.Bytes()
-		outcome, why := k.classifyResponse(res.StatusCode, body, shard)
-		if outcome == "Ok" && !utf8.Valid(body) {
-			outcome, why = "Failed", errors.New("no text")
-		}
-		var read any
-		if outcome == "Ok" {
-			if read, why = loop.decodeValue(id, body); why != nil {
-				outcome = "Failed"
-			}
-		}
-		if why != nil {
-			loop.log.warnLimited("bad_value", "bad_value", "replica", connection.replica.id, "error", why)
+	}
+}
+
+// handleResponse submits a response to the event loop. An error ends the connection.
+func (k openSearchProtocol) handleResponse(loop *eventLoop, connection *replicaConnection, response *http.Response,
+	body []byte,
+) error {
+	onlyAttempt := make(chan *attempt, 1)
+	if !loop.submit(func() {
+		if len(connection.attempts) == 1 {
+			onlyAttempt <- connection.attempts[0]
 		}
-		last := res.Close
-		var report map[string]float64
-		if wait, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil && wait > 0 && outcome == "QueueFull" {
-			report = map[string]float64{"RetryAfter": 1000 * min(wait, maxClientTimeout.Seconds())}
+		close(onlyAttempt)
+	}) {
+		return errClosing
+	}
+	answered, ok := <-onlyAttempt
+	if !ok {
+		return k.readError(loop, connection, errors.New("an answer to nothing"))
+	}
+	name, shard := []byte(answered.name), answered.shardRequest.shard // neither field changes
+	outcome, problem := k.classifyResponse(response.StatusCode, body, shard)
+	if outcome == "Ok" && !utf8.Valid(body) {
+		outcome, problem = "Failed", errors.New("no text")
+	}
+	var decoded any
+	if outcome == "Ok" {
+		if decoded, problem = loop.decoders.decode(name, body); problem != nil {
+			outcome = "Failed"
 		}
-		if !loop.submit(func() {
-			connection.closedToNew = connection.closedToNew || last
-			loop.handleAnswer(connection, id, outcome, zeroScore, report, body, read)
-			if last {
-				loop.closeIfUnused(connection)
-			}
-		}) {
-			return endClosing
+	}
+	if problem != nil {
+		loop.log.warnLimited("bad_value", "bad_value", "replica", connection.replica.id, "error", problem)
+	}
+	isLast := response.Close
+	var report map[string]float64
+	if outcome == "QueueFull" {
+		report = retryAfterReport(response.Header.Get("Retry-After"))
+	}
+	if !loop.submit(func() {
+		connection.closedToNew = connection.closedToNew || isLast
+		loop.handleAnswer(connection, name, outcome, zeroScore, report, body, decoded)
+		if isLast {
+			loop.closeIfUnused(connection)
 		}
+	}) {
+		return errClosing
+	}
+	return nil
+}
+
+// retryAfterReport returns a Retry-After header in seconds as the load report that the balancer takes, in milliseconds;
+// nil for none.
+func retryAfterReport(header string) map[string]float64 {
+	seconds, err := strconv.ParseFloat(header, 64)
+	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
+		return nil
 	}
+	return map[string]float64{"RetryAfter": 1000 * min(seconds, maxClientTimeout.Seconds())}
 }
 
+// readError returns why a connection ends after a response that could not be read.
 func (openSearchProtocol) readError(loop *eventLoop, conn *replicaConnection, err error) error {
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		return endReadTimeout
+		return errReadTimeout
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
 		return connectionEndOf(err)
 	}
 	loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
-	return endMalformed
+	return errMalformed
 }
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -19,18 +19,17 @@
 )
 
 const (
-	loadSampleInterval = 100 * time.Millisecond // between looks at the owner's load: several within the plan's memory of it
-	pollJobTimeout     = 12 * time.Second       // for an asking to start and end: a little over the peer's own bound
+	loadSampleInterval = 100 * time.Millisecond // between samples of the load: several within the memory of the schedule
+	pollJobTimeout     = 12 * time.Second       // for a poll to start and end: a little over the peer's own bound
 	pollJobKind        = "ask"
 	pollJobPrefix      = "ask "
 	answerJobKind      = "answer"
 )
 
-// PeerOptions is what an installation allows beside the plan: co-ordinators that learn from one another. Without it
-// none of this file runs.
+// PeerOptions is what an installation sets for the exchange of observations between coordinators.
 type PeerOptions struct {
 	Name, Location  string
-	Listener        net.Listener // where others ask; nil answers nobody
+	Listener        net.Listener // on which peers poll this coordinator; nil to answer nobody
 	PollTargets     []PeerAddress
 	AllowedPeers    []string
 	Keys            *peerprotocol.Credentials // nil for plain TCP
@@ -38,61 +37,62 @@
 	Budgets         map[string]scheduler.Budget
 }
 
-// PeerAddress is a peer and where it listens.
+// PeerAddress is a peer's name and the address on which it answers.
 type PeerAddress struct{ Name, Addr string }
 
-// peerExchange is the co-ordinator's side towards its peers. The owner never waits for it: it takes slices of knowledge
-// from the owner and gives slices of what was heard through the owner's queue, one at a time, each small.
+// peerExchange exchanges observations of replicas with other coordinators. The event loop never waits for it: it
+// exports and imports observations through the event loop's tasks, a small chunk at a time.
 type peerExchange struct {
 	loop       *eventLoop
 	options    *PeerOptions
 	pool       *scheduler.Pool
 	instanceID uint64
 	zones      []string
-	wakePoller chan struct{} // the asker has to be looked at
+	wakePoller chan struct{} // the poller's state has changed
 
 	mu             sync.Mutex
 	reports        *peerreport.ReportStore
 	poller         *peerreport.Poller
 	admission      *peerreport.Admission
-	startedMS      map[string]int64 // start of each listed host in ms
+	startedMS      map[string]int64 // of each listed host
 	addrs          map[string]string
-	snapshotMu     sync.Mutex // one snapshot at a time, which all askers share
+	snapshotMu     sync.Mutex // one snapshot at a time, shared by all peers that poll
 	snapshot       *peerreport.ReportBuilder
 	snapshotSerial uint64
 	load           float64
 
 	listVersion atomic.Int64 // of the list in force
-	importMu    sync.Mutex   // one hand-over to the module at a time
+	importMu    sync.Mutex   // one import into the balancer at a time
 }
 
-func newPeerExchange(loop *eventLoop, p *PeerOptions) *peerExchange {
+// newPeerExchange returns an exchange that has not started.
+func newPeerExchange(loop *eventLoop, options *PeerOptions) *peerExchange {
 	now, name := loop.clockTicks(), loop.plan.Name
-	if p.Name == "" {
-		p.Name = name
+	if options.Name == "" {
+		options.Name = name
 	}
-	l := &peerExchange{
-		loop: loop, options: p, zones: loop.plan.List("FailureDomains"), wakePoller: make(chan struct{}, 1), admission: peerreport.NewAdmission(),
+	exchange := &peerExchange{
+		loop: loop, options: options, zones: loop.plan.List("FailureDomains"), wakePoller: make(chan struct{}, 1), admission: peerreport.NewAdmission(),
 		startedMS: map[string]int64{}, addrs: map[string]string{},
 	}
-	l.instanceID = xxhash.Sum64String(fmt.Sprint(name, loop.plan.Seed, loop.Listener.Addr(), loop.startedAt.UnixNano()))
-	l.reports = peerreport.NewReportStore(p.Location, l.zones)
+	exchange.instanceID = xxhash.Sum64String(fmt.Sprint(name, loop.plan.Seed, loop.Listener.Addr(), loop.startedAt.UnixNano()))
+	exchange.reports = peerreport.NewReportStore(options.Location, exchange.zones)
 	var names []string
-	for _, at := range p.PollTargets {
-		names = append(names, at.Name)
+	for _, peer := range options.PollTargets {
+		names = append(names, peer.Name)
 	}
-	l.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(p.RefreshInterval/tick), names)
-	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), p.Budgets)
-	l.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
+	exchange.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(options.RefreshInterval/tick), names)
+	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), options.Budgets)
+	exchange.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
 		loop.log.warnLimited("job", "job_given_up", "job", job, "error", err)
-		if name, asking := strings.CutPrefix(job, pollJobPrefix); asking {
-			loop.group.Go(func() error { l.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not be held up
+		if name, isPoll := strings.CutPrefix(job, pollJobPrefix); isPoll {
+			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not wait
 		}
 	})
-	return l
+	return exchange
 }
 
-// run starts what this side does, in the owner's errgroup.
+// run starts the exchange's goroutines.
 func (l *peerExchange) run() {
 	loop := l.loop
 	loop.group.Go(func() error { return l.pool.Run(loop.ctx) })
@@ -112,8 +112,8 @@
 	loop.group.Go(func() error { return server.Serve(loop.ctx, l.options.Listener) })
 }
 
-// sampleLoad takes the owner's load, by which background work waits and askers are put off. A wake that comes late tells of
-// a machine that is full beside the owner.
+// sampleLoad measures the event loop's load, by which background work waits and polls of peers are deferred. A timer
+// that fires late shows a machine that is busy beside the event loop.
 func (l *peerExchange) sampleLoad() error {
 	before, busy := time.Now(), l.loop.busyNanos.Load()
 	for {
@@ -136,7 +136,7 @@
 	}
 }
 
-// pollPeers hands askings that are due to the pool.
+// pollPeers starts the polls that are due, until the coordinator ends.
 func (l *peerExchange) pollPeers() error {
 	for {
 		l.mu.Lock()
@@ -146,12 +146,12 @@
 		}
 		next := l.poller.NextPollAt(now)
 		l.mu.Unlock()
-		var wake <-chan time.Time
+		var alarm <-chan time.Time
 		if next > 0 {
-			wake = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
+			alarm = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
 		}
 		select {
-		case <-wake:
+		case <-alarm:
 		case <-l.wakePoller:
 		case <-l.loop.ctx.Done():
 			return nil
@@ -159,43 +159,44 @@
 	}
 }
 
-// startPoll makes a job of asking one peer.
+// startPoll adds a job that polls one peer.
 func (l *peerExchange) startPoll(name string) {
-	i := slices.IndexFunc(l.options.PollTargets, func(at PeerAddress) bool { return at.Name == name })
-	at := l.options.PollTargets[i]
+	i := slices.IndexFunc(l.options.PollTargets, func(peer PeerAddress) bool { return peer.Name == name })
+	peer := l.options.PollTargets[i]
 	job := scheduler.Job{Name: pollJobPrefix + name, Kind: pollJobKind, Priority: scheduler.PriorityUrgent, MaxFailures: 1, Deadline: int64(pollJobTimeout / tick)}
-	_, err := l.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
-		how, later, err := l.pollPeer(ctx, at, a)
+	_, err := l.pool.Add(job, func(ctx context.Context, allowance *scheduler.Allowance) error {
+		how, later, err := l.pollPeer(ctx, peer, allowance)
 		began := time.Now()
-		l.handlePollEnd(at.Name, how, later, err)
-		a.Spend(ctx, 0, time.Since(began)) // putting reports together is of the asking's budget too
+		l.handlePollEnd(peer.Name, how, later, err)
+		_ = allowance.Spend(ctx, 0, time.Since(began)) // the poll has ended; combining reports is charged to the poll's budget
 		return nil
 	})
 	if err != nil {
-		l.loop.group.Go(func() error { l.handlePollEnd(at.Name, peerreport.OutcomeFailed, 0, err); return nil }) // start is called with the lock
+		l.loop.group.Go(func() error { l.handlePollEnd(peer.Name, peerreport.OutcomeFailed, 0, err); return nil }) // startPoll is called with the lock held
 	}
 }
 
-func (l *peerExchange) pollPeer(ctx context.Context, at PeerAddress, a *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
+// pollPeer fetches one peer's report.
+func (l *peerExchange) pollPeer(ctx context.Context, peer PeerAddress, allowance *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
 	asked := l.loop.clockTicks()
-	asking := peerprotocol.Client{
-		PeerName: at.Name, Addr: at.Addr, LocalName: l.options.Name, InstanceID: l.instanceID, Dial: l.loop.Dial, Credentials: l.options.Keys,
-		OnHeader: func(h peerreport.ReportHeader) error {
+	client := peerprotocol.Client{
+		PeerName: peer.Name, Addr: peer.Addr, LocalName: l.options.Name, InstanceID: l.instanceID, Dial: l.loop.Dial, Credentials: l.options.Keys,
+		OnHeader: func(header peerreport.ReportHeader) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.reports.BeginReport(asked, h)
+			return l.reports.BeginReport(asked, header)
 		},
 		OnObservations: func(notes []peerreport.Observation) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.reports.AddObservations(at.Name, notes)
+			return l.reports.AddObservations(peer.Name, notes)
 		},
-		SpendBudget: a.Spend,
+		SpendBudget: allowance.Spend,
 	}
-	return asking.FetchReport(ctx)
+	return client.FetchReport(ctx)
 }
 
-// handlePollEnd takes in how an asking handlePollEnd; a whole report goes to the module.
+// handlePollEnd records how a poll ended and imports a complete report.
 func (l *peerExchange) handlePollEnd(name string, how peerreport.Outcome, later time.Duration, err error) {
 	l.mu.Lock()
 	if how == peerreport.OutcomeReceived {
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -20,16 +20,17 @@
 	"chalkring/storage/store"
 )
 
+// Times, limits and keys of what is kept on disk.
 const (
-	persistJobKind      = "keep"                 // of background work
-	persistInterval     = 2 * time.Second        // between two writes: what is learned is of use for half a minute
-	firstPersistDelay   = 5 * time.Second        // before the first: a run that ends sooner leaves what an earlier one knew
-	listRewriteInterval = time.Hour              // after which a list that has not changed is written again, for its age
-	persistTimeout      = 30 * time.Second       // for one write: a disk that takes 5 s is slow, one that takes this is stuck
-	lastPersistTimeout  = 400 * time.Millisecond // for the last one: within the time in which requests are still taken
-	storeRetryInterval  = 2 * time.Second        // between tries for a store that another process holds: one before it that ends
-	storeCloseTimeout   = 200 * time.Millisecond // for the store to be let go of: the end of the process does it too
-	maxPendingEvents    = 256                    // events that wait to be written; more are counted and left out
+	persistJobKind      = "keep"                 // of the background job
+	persistInterval     = 2 * time.Second        // between two writes: observations are of use for half a minute
+	firstPersistDelay   = 5 * time.Second        // before the first: a run that ends sooner keeps what an earlier one stored
+	listRewriteInterval = time.Hour              // after which an unchanged list is written again, with its age
+	persistTimeout      = 30 * time.Second       // for one write: a slow disk takes 5 s, a stuck one longer than this
+	lastPersistTimeout  = 400 * time.Millisecond // for the last write: within the time in which requests are still served
+	storeRetryInterval  = 2 * time.Second        // between attempts to open a store that another process has, such as an earlier one that ends
+	storeCloseTimeout   = 200 * time.Millisecond // for the store to be closed: the end of the process closes it too
+	maxPendingEvents    = 256                    // events that wait to be written; more are counted and dropped
 	stateBucket         = "kept"
 	eventBucket         = "events"
 	startsKey           = "starts"
@@ -38,133 +39,145 @@
 	identityKey         = "whose"
 )
 
-// Persistence keeps what a restart can use on disk: the list in force, what the module knows of hosts, starts and events.
-// Nothing waits for it: it opens its store beside the start, what it finds comes as one more source of the list and as
-// one more peer's report, and background jobs write.
+// Persistence keeps on disk what a restart can use: the endpoint list in force, observations of hosts, starts and
+// events. Nothing waits for it: it opens its store beside the start, what it restores arrives as one more source of
+// the list and one more peer's report, and background jobs write.
 type Persistence struct {
 	path        string
-	exclusive   bool             // nothing else is in the store
+	exclusive   bool             // nothing else is kept in the store
 	budget      scheduler.Budget // of its writes
-	planVersion int64            // version of the plan's list
-	identity    string           // the plan's own, as Plan.whose tells it
+	planVersion int64            // of the plan's endpoint list
+	identity    string           // of the deployment, as Plan.Identity returns it
 	clock       Clock
 	log         *asyncLogger
 	stopLog     context.CancelFunc
-	stopOpening context.CancelFunc // no more tries to open
-	logWriter   sync.WaitGroup     // of the log
-	opened      chan struct{}      // closed once store, or err, and believed are there
+	stopOpening context.CancelFunc // ends the retries of opening
+	logWriter   sync.WaitGroup
+	opened      chan struct{} // closed once store and restored, or err, are set
 
 	store    *store.Store
 	err      error
 	restored recovery.Restored
 	events   *store.EventLog
 
-	currentList      atomic.Pointer[recovery.EndpointList] // the list in force; At is when it came to be
-	discoveryVersion atomic.Int64                          // newest version that discovery told
-	writeSlot        chan struct{}                         // one write at a time
-	writtenList      *recovery.EndpointList                // the list as it was last written
+	currentList      atomic.Pointer[recovery.EndpointList] // in force; SavedAt is when it came into force
+	discoveryVersion atomic.Int64                          // newest version from discovery
+	writeSlot        chan struct{}                         // holds a token during a write
+	writtenList      *recovery.EndpointList                // as last written
 	mu               sync.Mutex
 	pendingEvents    []store.Event
 	droppedEvents    int
 	closeOnce        sync.Once
 }
 
-// NewPersistence begins to open the store at path, in the background. Close it once the co-ordinator has ended. alone says that
-// nothing else keeps anything there, so that a crash loop may put all of it aside.
-func NewPersistence(path string, alone bool, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
-	return newPersistence(path, alone, store.Options{}, budget, p, clock, log)
+// NewPersistence begins to open the store at path in the background. Close it once the coordinator has ended.
+// exclusive says that nothing else is kept in the store, so that a crash loop may put all of it aside.
+func NewPersistence(path string, alone bool, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+	return newPersistence(path, alone, store.Options{}, budget, initial, clock, log)
 }
 
-func newPersistence(path string, alone bool, o store.Options, budget scheduler.Budget, p *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+// newPersistence is NewPersistence with the store's options.
+func newPersistence(path string, alone bool, options store.Options, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	ctx, cancel := context.WithCancel(context.Background())
 	opening, enough := context.WithCancel(ctx)
-	k := &Persistence{
-		path: path, exclusive: alone, budget: budget, planVersion: int64(p.Known.Version), identity: p.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
+	persistence := &Persistence{
+		path: path, exclusive: alone, budget: budget, planVersion: int64(initial.Known.Version), identity: initial.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
 		stopLog: cancel, stopOpening: enough, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
 	}
-	k.discoveryVersion.Store(k.planVersion)
-	k.logWriter.Go(func() { k.log.run(ctx) })
+	persistence.discoveryVersion.Store(persistence.planVersion)
+	persistence.logWriter.Go(func() { _ = persistence.log.run(ctx) }) // never fails
 	go func() {
-		defer close(k.opened)
-		for told := false; ; told = true {
-			if k.err = k.open(path, o); k.err == nil {
+		defer close(persistence.opened)
+		for isLogged := false; ; isLogged = true {
+			if persistence.err = persistence.open(path, options); persistence.err == nil {
 				return
 			}
-			if !told {
-				k.log.Warn("store_away", advice.LogAttrs(k.err, "path", path)...)
+			if !isLogged {
+				persistence.log.Warn("store_unavailable", advice.LogAttrs(persistence.err, "path", path)...)
 			}
-			if !advice.HasType[*store.LockedError](k.err) {
+			if !advice.HasType[*store.LockedError](persistence.err) {
 				return
 			}
 			select {
-			case <-k.clock.After(storeRetryInterval):
+			case <-persistence.clock.After(storeRetryInterval):
 			case <-opening.Done():
 				return
 			}
 		}
 	}()
-	return k
+	return persistence
 }
 
-// open opens the store, notes the start on disk, and only then believes what is there.
-func (k *Persistence) open(path string, o store.Options) error {
-	o.OnRecovery = func(err error) {
-		k.log.Warn("store_told", advice.LogAttrs(err)...)
+// open opens the store, records the start on disk, and only then restores what is there.
+func (k *Persistence) open(path string, options store.Options) error {
+	options.OnRecovery = func(err error) {
+		k.log.Warn("store_recovered", advice.LogAttrs(err)...)
 		k.RecordEvent("store", err.Error())
 	}
 	began := k.clock.Now()
-	s, err := store.Open(path, o)
+	opened, err := store.Open(path, options)
 	if err != nil {
 		return err
 	}
-	now := began.UnixMilli()
-	starts, level := readStored[recovery.StartRecord](k, s, startsKey).RecordStart(now, k.exclusive)
+	starts, level := readStored[recovery.StartRecord](k, opened, startsKey).RecordStart(began.UnixMilli(), k.exclusive)
 	if level > recovery.TrustAll {
 		k.log.Warn("crash_loop", "starts", len(starts.RecentStarts), "believes", level.String(),
 			"do", "Look in the log for why the earlier runs ended; a planned stop, or a minute without a start, ends the loop.")
 		k.RecordEvent("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.RecentStarts), level))
 	}
 	if level == recovery.TrustNothing {
-		if err := s.Close(context.Background()); err != nil {
+		if err := opened.Close(context.Background()); err != nil {
 			return err
 		}
-		anew := o
-		anew.Recreate = true
-		if s, err = store.Open(path, anew); err != nil {
+		options.Recreate = true
+		if opened, err = store.Open(path, options); err != nil {
 			return err
 		}
 	}
-	// Guards against a store that another deployment has written: its hosts are another customer's. A store from before this
-	// was noted counts as this one's. Harm: where classes, tenants or zones are added, the next start knows what its plan says.
-	var others []string
-	if whose := readStored[string](k, s, identityKey); whose != "" && whose != k.identity {
-		k.log.Warn("left_out", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
-			"do", "Give each deployment a store of its own; this one is written anew from now on.")
-		others = []string{listKey, observationsKey}
+	if err := k.claim(opened, starts); err != nil {
+		return errors.Join(err, opened.Close(context.Background()))
 	}
-	text, err := cbor.Marshal(starts)
-	mine, err2 := cbor.Marshal(k.identity)
-	if err = errors.Join(err, err2); err == nil {
-		err = s.Put(context.Background(), stateBucket, map[string][]byte{startsKey: text, identityKey: mine}, others)
+	k.store = opened
+	k.restore(began, level)
+	return nil
+}
+
+// claim records this start and the deployment's identity in the store. A store that another deployment has written
+// holds another customer's hosts, which are removed. One without an identity is older than this check and counts as
+// this deployment's. After classes, tenants or zones change, a start knows only its plan.
+func (k *Persistence) claim(opened *store.Store, starts recovery.StartRecord) error {
+	var removed []string
+	if writer := readStored[string](k, opened, identityKey); writer != "" && writer != k.identity {
+		k.log.Warn("state_discarded", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
+			"do", "Give each deployment a store of its own; this one is written anew from now on.")
+		removed = []string{listKey, observationsKey}
 	}
-	if err == nil {
-		k.events, err = store.NewEventLog(s, eventBucket, 0)
+	startsText, err := cbor.Marshal(starts)
+	identityText, identityErr := cbor.Marshal(k.identity)
+	if err = errors.Join(err, identityErr); err != nil {
+		return err
 	}
-	if err != nil {
-		return errors.Join(err, s.Close(context.Background()))
+	values := map[string][]byte{startsKey: startsText, identityKey: identityText}
+	if err := opened.Put(context.Background(), stateBucket, values, removed); err != nil {
+		return err
 	}
-	k.store = s
+	k.events, err = store.NewEventLog(opened, eventBucket, 0)
+	return err
+}
+
+// restore reads what an earlier run has stored, as far as it is trusted.
+func (k *Persistence) restore(began time.Time, level recovery.TrustLevel) {
 	var list *recovery.EndpointList
-	if l := readStored[recovery.EndpointList](k, s, listKey); l.SavedAt > 0 {
-		list = &l
+	if stored := readStored[recovery.EndpointList](k, k.store, listKey); stored.SavedAt > 0 {
+		list = &stored
 	}
-	var notes *recovery.Observations
-	if n := readStored[recovery.Observations](k, s, observationsKey); n.SavedAt > 0 && n.Validate() == nil {
-		notes = &n
+	var observations *recovery.Observations
+	if stored := readStored[recovery.Observations](k, k.store, observationsKey); stored.SavedAt > 0 && stored.Validate() == nil {
+		observations = &stored
 	}
-	k.restored = recovery.Restore(now, level, k.planVersion, list, notes)
-	for _, l := range k.restored.Discarded {
-		k.log.Info("left_out", "what", l.Item, "why", l.Reason)
+	k.restored = recovery.Restore(began.UnixMilli(), level, k.planVersion, list, observations)
+	for _, discarded := range k.restored.Discarded {
+		k.log.Info("state_discarded", "what", discarded.Item, "why", discarded.Reason)
 	}
 	hosts, known := 0, 0
 	if k.restored.Update != nil {
@@ -173,30 +186,29 @@
 	if k.restored.Observations != nil {
 		known = len(k.restored.Observations.Entries)
 	}
-	k.log.Info("store", "path", path, "believes", level.String(), "listed", hosts, "notes", known,
+	k.log.Info("store", "path", k.path, "believes", level.String(), "listed", hosts, "notes", known,
 		"took", k.clock.Now().Sub(began).Round(time.Millisecond))
 	k.RecordEvent("start", fmt.Sprintf("believes %s: %d hosts listed, notes of %d", level, hosts, known))
-	return nil
 }
 
-// readStored is one kept value; what is missing or in another form is nothing.
-func readStored[T any](k *Persistence, s *store.Store, key string) (v T) {
+// readStored reads one stored value; one that is missing or in another form is the zero value.
+func readStored[T any](persistence *Persistence, s *store.Store, key string) (value T) {
 	text, found, err := s.Get(stateBucket, key)
 	if err == nil && found {
-		err = cbor.Unmarshal(text, &v)
+		err = cbor.Unmarshal(text, &value)
 	}
 	if err != nil {
-		k.log.Warn("left_out", "what", key, "why", err.Error())
+		persistence.log.Warn("state_discarded", "what", key, "why", err.Error())
 		var none T
 		return none
 	}
-	return v
+	return value
 }
 
-// Path is where the store is.
+// Path returns where the store is.
 func (k *Persistence) Path() string { return k.path }
 
-// WaitForStore waits until the store is open, or cannot be: for one that another process holds, until that lets go.
+// WaitForStore blocks until the store is open, or cannot be opened; while another process has it, until that lets go.
 func (k *Persistence) WaitForStore(ctx context.Context) (*store.Store, error) {
 	select {
 	case <-k.opened:
@@ -206,7 +218,8 @@
 	}
 }
 
-// PrependStoredUpdate puts what was kept of the list before other sources' lists, which may be nil. It ends with ctx.
+// PrependStoredUpdate returns a channel with the stored endpoint list, followed by the lists of updates, which may be
+// nil. It ends with ctx.
 func (k *Persistence) PrependStoredUpdate(ctx context.Context, more <-chan endpoints.Update) <-chan endpoints.Update {
 	out := make(chan endpoints.Update)
 	go func() {
@@ -220,12 +233,12 @@
 					continue
 				}
 				update = *k.restored.Update
-			case told, ok := <-more:
+			case next, ok := <-more:
 				if !ok {
 					more = nil
 					continue
 				}
-				update = told
+				update = next
 			case <-ctx.Done():
 				return
 			}
@@ -239,9 +252,10 @@
 	return out
 }
 
-// Close lets go of the store. It waits a little for a write that is on its way, and for one that is stuck not at all.
+// Close closes the store. It waits a little for a write that is in progress, and not for one that is stuck.
 func (k *Persistence) Close() { k.closeOnce.Do(k.closeStore) }
 
+// closeStore does what Close does, once.
 func (k *Persistence) closeStore() {
 	k.stopOpening()
 	ctx, cancel := context.WithTimeout(context.Background(), storeCloseTimeout)
@@ -255,11 +269,11 @@
 	k.logWriter.Wait()
 }
 
-// withBudget are those of an installation, or none, with room for the writes.
-func (k *Persistence) withBudget(p *PeerOptions) *PeerOptions {
+// withBudget returns an installation's peer options, or empty ones, with a budget for writes.
+func (k *Persistence) withBudget(options *PeerOptions) *PeerOptions {
 	own := PeerOptions{}
-	if p != nil {
-		own = *p
+	if options != nil {
+		own = *options
 	}
 	own.Budgets = maps.Clone(own.Budgets)
 	if own.Budgets == nil {
--- a/coordinator/persistence_write.go
+++ b/coordinator/persistence_write.go
@@ -15,7 +15,7 @@
 	"chalkring/storage/store"
 )
 
-// RecordEvent notes something for the journal; it waits for nothing.
+// RecordEvent records something for the journal without waiting. Any goroutine may call it.
 func (k *Persistence) RecordEvent(kind, words string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -26,21 +26,21 @@
 	k.pendingEvents = append(k.pendingEvents, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: words})
 }
 
-// run is the co-ordinator's side: what was kept of hosts is told as a peer's report, then jobs write. stopping ends at
-// the start of a planned stop.
+// run starts the coordinator's side: stored observations are imported as a peer's report, then jobs write. stopping
+// ends at the start of a planned stop.
 func (k *Persistence) run(loop *eventLoop, stopping context.Context) {
 	loop.group.Go(func() error {
 		if _, err := k.WaitForStore(loop.ctx); err != nil {
-			return nil // it was told
+			return nil // it was logged
 		}
 		if observations := k.restored.Observations; observations != nil {
 			k.importStoredObservations(loop, observations)
 		}
 		job := scheduler.Job{Name: "keep", Kind: persistJobKind, Priority: scheduler.PriorityNormal, Delay: int64(firstPersistDelay / tick), Interval: int64(persistInterval / tick)}
-		_, err := loop.peers.pool.Add(job, func(ctx context.Context, a *scheduler.Allowance) error {
+		_, err := loop.peers.pool.Add(job, func(ctx context.Context, allowance *scheduler.Allowance) error {
 			ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 			defer cancel()
-			return k.write(ctx, loop, a, false)
+			return k.write(ctx, loop, allowance, false)
 		})
 		if err != nil {
 			loop.log.Warn("job_given_up", "job", "keep", "error", err)
@@ -53,42 +53,42 @@
 		ctx, cancel := context.WithTimeout(loop.ctx, lastPersistTimeout)
 		defer cancel()
 		k.RecordEvent("stop", "planned")
-		k.write(ctx, loop, nil, true)
+		_ = k.write(ctx, loop, nil, true) // write logs its error
 		return nil
 	})
 }
 
-// importStoredObservations tells what an earlier run knew of hosts as one peer's report.
+// importStoredObservations imports what an earlier run knew of hosts, as one peer's report.
 func (k *Persistence) importStoredObservations(loop *eventLoop, observations *recovery.Observations) {
-	l, h := loop.peers, observations.Head
-	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the machine's clock tells how long the start has taken
-	h.Peer, h.Locality = recovery.PeerName, l.options.Location
-	l.mu.Lock()
-	err := l.reports.BeginReport(loop.clockTicks()-max(0, since), h)
+	exchange, header := loop.peers, observations.Head
+	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the wall clock covers the time between two runs
+	header.Peer, header.Locality = recovery.PeerName, exchange.options.Location
+	exchange.mu.Lock()
+	err := exchange.reports.BeginReport(loop.clockTicks()-max(0, since), header)
 	if err == nil {
-		err = l.reports.AddObservations(h.Peer, observations.Entries)
+		err = exchange.reports.AddObservations(header.Peer, observations.Entries)
 	}
 	if err == nil {
-		l.reports.CompleteReport(h.Peer)
+		exchange.reports.CompleteReport(header.Peer)
 	} else {
-		l.reports.AbortReport(h.Peer)
+		exchange.reports.AbortReport(header.Peer)
 	}
-	l.mu.Unlock()
+	exchange.mu.Unlock()
 	if err != nil {
-		loop.log.Info("left_out", "what", observationsKey, "why", err.Error())
+		loop.log.Info("state_discarded", "what", observationsKey, "why", err.Error())
 		return
 	}
-	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", l.importReports())
+	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", exchange.importReports())
 }
 
-// recordList takes in the list in force.
+// recordList records the endpoint list in force.
 func (k *Persistence) recordList(list []endpoints.Endpoint, gone []endpoints.Removal) {
 	l := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.planVersion, k.discoveryVersion.Load(), list, gone)
 	k.currentList.Store(&l)
 }
 
-// write writes what is new. Its last write also tells that the stop was planned.
-func (k *Persistence) write(ctx context.Context, loop *eventLoop, a *scheduler.Allowance, last bool) (err error) {
+// write writes what has changed. The last write also records that the stop was planned.
+func (k *Persistence) write(ctx context.Context, loop *eventLoop, allowance *scheduler.Allowance, last bool) (err error) {
 	select {
 	case k.writeSlot <- struct{}{}:
 		defer func() { <-k.writeSlot }()
@@ -100,13 +100,13 @@
 			loop.log.warnLimited("store_failed", "store_failed", advice.LogAttrs(err)...)
 		}
 	}()
-	l, began, puts := loop.peers, time.Now(), map[string][]byte{}
+	exchange, began, puts := loop.peers, time.Now(), map[string][]byte{}
 	put := func(key string, v any) error {
 		text, err := cbor.Marshal(v)
 		puts[key] = text
 		return err
 	}
-	head, all, err := l.currentReport(ctx)
+	head, all, err := exchange.currentReport(ctx)
 	if err != nil {
 		return err
 	}
@@ -130,8 +130,8 @@
 	for _, text := range puts {
 		bytes += len(text)
 	}
-	if a != nil {
-		err = errors.Join(err, a.Spend(ctx, bytes, time.Since(began)))
+	if allowance != nil {
+		err = errors.Join(err, allowance.Spend(ctx, bytes, time.Since(began)))
 	}
 	if err == nil {
 		err = k.store.Put(ctx, stateBucket, puts, nil)
@@ -145,7 +145,7 @@
 	return k.flushEvents(ctx)
 }
 
-// flushEvents writes the events that wait; they wait on if it fails.
+// flushEvents writes the pending events, which stay pending if it fails.
 func (k *Persistence) flushEvents(ctx context.Context) error {
 	k.mu.Lock()
 	events, left := k.pendingEvents, k.droppedEvents
@@ -167,7 +167,7 @@
 	return err
 }
 
-// recordEvent is for parts that may have no Keep.
+// recordEvent records an event where there is persistence.
 func (loop *eventLoop) recordEvent(kind, words string) {
 	if loop.Persistence != nil {
 		loop.Persistence.RecordEvent(kind, words)
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -4,23 +4,23 @@
 	"chalkring/coordinator/plan"
 )
 
-// reload takes new plans into force: where discovery is, how many descriptors there are, and how much searches may hold.
-// The rest waits for a restart: the module takes its settings once.
+// reload applies new plans: the address of discovery, the number of descriptors, and the memory of searches. All else
+// waits for a restart, since the balancer is configured once.
 func (f *clientListener) reload(plans <-chan *plan.Plan) error {
 	loop := f.loop
 	for {
 		select {
-		case p := <-plans:
-			loop.log.Info("reloaded", "discovery", p.Discovery, "sockets", p.MaxSockets, "memory_mb", p.MemoryMB,
-				"waits_for_restart", loop.plan.RestartDifferences(p))
-			room := int(clientDescriptorShare * float64(p.MaxSockets))
+		case next := <-plans:
+			loop.log.Info("reloaded", "discovery", next.Discovery, "sockets", next.MaxSockets, "memory_mb", next.MemoryMB,
+				"waits_for_restart", loop.plan.RestartDifferences(next))
+			room := clientDescriptors(next.MaxSockets)
 			if loop.searchAPI != nil {
 				room -= loop.searchAPI.MaxConnections
 			}
 			f.limiter.resize(room)
-			loop.submit(func() { loop.maxSockets, loop.searchMemory = p.MaxSockets, p.SearchMemory() })
+			loop.submit(func() { loop.descriptors.limit, loop.searches.memoryLimit = next.MaxSockets, next.SearchMemory() })
 			select {
-			case loop.discoveryMoves <- p.Discovery:
+			case loop.discovery.moves <- next.Discovery:
 			case <-loop.ctx.Done():
 			}
 		case <-loop.ctx.Done():
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -4,16 +4,28 @@
 	"slices"
 )
 
-// replica is one machine of the list and the connections to it.
+const drainSendShare = 0.5 // of the drain grace in which a draining replica may get new frames: the list may be late
+
+// replicaTable is the replicas of the endpoint list in force, and those of earlier lists that still have connections.
+type replicaTable struct {
+	byID           map[string]*replica
+	dispatchOrder  []*replica                     // with batches to go out at the end of the iteration
+	lastDispatchAt int64                          // the last iteration that sent batches
+	averageLatency float64                        // ticks that an answer has taken of late
+	abandoned      map[*attempt]*abandonedAttempt // given up here and not yet reported to the balancer
+}
+
+// replica is one host of the endpoint list and the connections to it.
 type replica struct {
 	id, addr    string
 	protocol    wireProtocol
 	removed     bool
-	closedToNew bool // drains or is gone
+	closedToNew bool // draining or removed
 	connections []*replicaConnection
-	batches     []*batch // of this turn, not yet on a line
+	batches     []*batch // of this iteration, not yet on a connection
 }
 
+// protocolFor returns the wire protocol of a kind of host.
 func (loop *eventLoop) protocolFor(kind string) wireProtocol {
 	if k, ok := loop.HostKinds[kind]; ok {
 		return openSearchProtocol{k}
@@ -21,45 +33,46 @@
 	return frameProtocol{}
 }
 
-// placeReplica notes where a replica is; old connections to another address take nothing new.
-func (loop *eventLoop) placeReplica(id, addr, kind string, since int64, gone, drains bool) {
-	r := loop.replicas[id]
-	if r == nil {
+// placeReplica records a replica's address, kind and state. Connections to another address, or from before its start
+// (since, in ticks), take nothing new.
+func (loop *eventLoop) placeReplica(hostID, addr, kind string, since int64, gone, drains bool) {
+	current := loop.replicas.byID[hostID]
+	if current == nil {
 		if gone {
 			return
 		}
-		r = &replica{id: id, protocol: frameProtocol{}}
-		loop.replicas[id] = r
+		current = &replica{id: hostID, protocol: frameProtocol{}}
+		loop.replicas.byID[hostID] = current
 	}
 	speaks := loop.protocolFor(kind)
-	moved := r.addr != addr || r.protocol != speaks
-	for _, conn := range slices.Clone(r.connections) {
-		// One from before its replica's start leads to a life that is over. Guards against a machine that went without a word:
-		// what is sent to it there is lost.
+	moved := current.addr != addr || current.protocol != speaks
+	for _, conn := range slices.Clone(current.connections) {
+		// A connection older than its replica's start leads to an earlier incarnation, which may have ended without closing
+		// it: what is sent there is lost.
 		if gone || moved || conn.connectedAt > 0 && conn.connectedAt < since {
 			loop.retireConnection(conn)
 		}
 	}
-	if closed := gone || drains; closed && !r.closedToNew || moved && len(r.connections) > 0 {
-		loop.recallAfterGrace(r)
+	if closed := gone || drains; closed && !current.closedToNew || moved && len(current.connections) > 0 {
+		loop.recallAfterGrace(current)
 	}
-	r.addr, r.removed, r.closedToNew = addr, gone, gone || drains
+	current.addr, current.removed, current.closedToNew = addr, gone, gone || drains
 	if !gone {
-		r.protocol = speaks
+		current.protocol = speaks
 	}
-	loop.forgetReplica(r)
+	loop.forgetReplica(current)
 }
 
-// forgetReplica drops a replica that has left the list once it has no connection.
+// forgetReplica drops a removed replica once it has no connections.
 func (loop *eventLoop) forgetReplica(replica *replica) {
-	if replica.removed && len(replica.connections) == 0 && len(replica.batches) == 0 && loop.replicas[replica.id] == replica {
-		delete(loop.replicas, replica.id)
+	if replica.removed && len(replica.connections) == 0 && len(replica.batches) == 0 && loop.replicas.byID[replica.id] == replica {
+		delete(loop.replicas.byID, replica.id)
 	}
 }
 
-// recallAfterGrace has nothing new go out to a replica that drains, is gone or has moved, once the time is over in which that is
-// allowed. Guards against frames that still wait for a connection then. They wait on until then, since most come up in
-// time: to take them back at once would cost each an attempt.
+// recallAfterGrace keeps attempts from going out to a draining, removed or moved replica once the time in which that
+// is allowed is over. Batches that wait for a connection wait until then, since most connect in time: recalling them
+// at once would cost each an attempt.
 func (loop *eventLoop) recallAfterGrace(replica *replica) {
 	grace := float64(loop.plan.Duration("Safety.DrainGrace") / tick)
 	loop.runAfter(int64(drainSendShare*grace), func() {
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -7,43 +7,56 @@
 	"time"
 )
 
-// replicaConnection is one connection to a replica as the owner knows it.
+const (
+	replicaQueueSize     = 512                    // frames that wait on a replica's connection: batches of 32 streams with their cancels
+	replicaIdleShare     = 0.7                    // of the time after which replicas close an idle connection: closing earlier avoids a race
+	minDoubtDelay        = 1000                   // ticks under an attempt without a byte from the connection before the next batch takes another one,
+	doubtLatencyFactor   = 4.0                    // or this multiple of the average latency, if that is longer
+	latencyAverageWeight = 100.0                  // answers that the average latency rests on
+	maxRecentIDs         = 256                    // ids of past attempts kept for a connection: some seconds of answers
+	maxRedialDelay       = 100 * time.Millisecond // for a connection to come up before a further dial: most take a few milliseconds
+	redialTimeoutParts   = 5                      // or this part of the dial timeout: the last dial has over half of the time left
+	maxParallelDials     = 3                      // dials for one connection: of those that are late one in three, one in 27 waits
+	silenceDialTimeouts  = 2                      // dial timeouts of silence after which a connection counts as lost
+)
+
+// replicaConnection is one connection to a replica, as the event loop knows it.
 type replicaConnection struct {
 	*messageConn
 	replica     *replica
 	protocol    wireProtocol
-	closedToNew bool  // takes no new calls
-	openBatches int   // with a part out
-	connectedAt int64 // since when it stands, 0 while it does not
+	closedToNew bool  // takes no new batches
+	openBatches int   // with an attempt in flight
+	connectedAt int64 // ticks, 0 before
 	attempts    []*attempt
 	heardAt     int64
 	usedAt      int64
-	recentIDs   map[string]uint64 // ids that were on it, with their searches: their answers may still come
-	recentOrder []string          // the same; once there are maxRecentIDs, the oldest is at eldest
+	recentIDs   map[string]uint64 // names of past attempts with their searches: answers may still come
+	recentOrder []string          // the same names; once there are maxRecentIDs, the oldest is at oldestIndex
 	oldestIndex int
 
-	abandoned []*abandonedAttempt // on it
+	abandoned []*abandonedAttempt // whose replica may still run them
 }
 
-// openConnection opens a connection; calls on it wait until it is up.
+// openConnection opens a connection; batches on it wait until it is connected.
 func (loop *eventLoop) openConnection(replica *replica) *replicaConnection {
 	connection := &replicaConnection{messageConn: newMessageConn(loop.ctx, replicaQueueSize), replica: replica, protocol: replica.protocol, usedAt: loop.now}
 	connection.log, connection.clockTicks = loop.log, loop.clockTicks
 	connection.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(connection, message) }) }
 	replica.connections = append(replica.connections, connection)
-	loop.replicaConnectionCount++
+	loop.descriptors.replicaConnections++
 	if loop.enforcer != nil {
 		connection.leaseExpired = loop.enforcer.leaseHasExpired
 	}
 	addr, wait := replica.addr, loop.plan.Duration("Permissions.DialTimeout")
-	room := max(1, int64(extraDialShare*float64(loop.maxSockets)))
+	room := loop.descriptors.maxExtraDials()
 	loop.group.Go(func() error {
-		end := endNotConnected
+		end := errNotConnected
 		ctx, cancel := context.WithTimeout(connection.ctx, wait)
 		conn, err := loop.dialWithRetries(ctx, addr, min(maxRedialDelay, wait/redialTimeoutParts), room)
 		cancel()
-		if connectionEndOf(err) == endNoDescriptors {
-			end = endNoDescriptors
+		if connectionEndOf(err) == errNoDescriptors {
+			end = errNoDescriptors
 		}
 		if err == nil {
 			loop.submit(func() { loop.handleConnected(connection) })
@@ -57,70 +70,77 @@
 	return connection
 }
 
-// handleConnected writes what has waited for a connection to be up.
+// handleConnected queues the batches that have waited for the connection.
 func (loop *eventLoop) handleConnected(conn *replicaConnection) {
 	conn.connectedAt = loop.now
 	for _, attempt := range slices.Clone(conn.attempts) {
-		if batch := attempt.batch; batch != nil && batch.message.buffer == nil { // the first of a call's has written it
+		if batch := attempt.batch; batch != nil && batch.message.buffer == nil { // the batch's first attempt has queued it
 			loop.queueBatch(batch)
 		}
 	}
 }
 
-// dialWithRetries opens a connection, and tries again beside what is not up each time that it has waited for so long, maxParallelDials times
-// in all. Guards against connections that come up late or never at a replica that is sound: what waits for one would be
-// late with it. Harm: a replica that is silent is asked for three connections in place of one, and until the time to dialWithRetries
-// is over two more descriptors are used; of many that are silent, room is.
-func (loop *eventLoop) dialWithRetries(ctx context.Context, addr string, wait time.Duration, room int64) (net.Conn, error) {
-	type ended struct {
-		conn net.Conn
-		err  error
-	}
+// dialWithRetries opens a connection, and dials again beside a slow dial each time that wait has passed, up to
+// maxParallelDials dials. It handles lost connection requests to a sound replica, which would delay all that waits for
+// the connection. A silent replica is dialed three times instead of once, which uses two more descriptors until the
+// dial timeout; for all silent replicas together, at most maxExtra.
+func (loop *eventLoop) dialWithRetries(ctx context.Context, addr string, wait time.Duration, maxExtra int64) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	tries, out, beside := make(chan ended, maxParallelDials), 0, 0
-	defer func() { loop.extraDials.Add(int64(-beside)) }()
+	results, running, extra := make(chan dialResult, maxParallelDials), 0, 0
+	defer func() { loop.descriptors.extraDials.Add(int64(-extra)) }()
 	dial := func() {
-		out++
+		running++
 		loop.group.Go(func() error {
 			conn, err := loop.Dial(ctx, "tcp", addr)
-			tries <- ended{conn, err}
+			results <- dialResult{conn, err}
 			return nil
 		})
 	}
 	dial()
-	again := loop.Clock.After(wait)
+	next := loop.Clock.After(wait)
 	for {
 		select {
-		case <-again:
-			again = nil
-			if beside++; loop.extraDials.Add(1) <= room {
+		case <-next:
+			next = nil
+			if extra++; loop.descriptors.extraDials.Add(1) <= maxExtra {
 				dial()
 			}
-			if beside < maxParallelDials-1 {
-				again = loop.Clock.After(wait)
+			if extra < maxParallelDials-1 {
+				next = loop.Clock.After(wait)
 			}
-		case t := <-tries:
-			out--
-			if t.err != nil && out > 0 {
+		case result := <-results:
+			running--
+			if result.err != nil && running > 0 {
 				continue
 			}
-			if out > 0 {
-				loop.group.Go(func() error { // the others are called off; they may be up all the same
-					for range out {
-						if t := <-tries; t.err == nil {
-							t.conn.Close()
-						}
-					}
+			if running > 0 {
+				loop.group.Go(func() error {
+					closeLateDials(results, running)
 					return nil
 				})
 			}
-			return t.conn, t.err
+			return result.conn, result.err
+		}
+	}
+}
+
+// dialResult is how a dial ended.
+type dialResult struct {
+	conn net.Conn
+	err  error
+}
+
+// closeLateDials waits for the dials that are canceled, and closes those that have succeeded all the same.
+func closeLateDials(results <-chan dialResult, running int) {
+	for range running {
+		if late := <-results; late.err == nil {
+			late.conn.Close()
 		}
 	}
 }
 
-// rememberID keeps the latest ids that were on a connection.
+// rememberID keeps the latest names of attempts that were on the connection.
 func (l *replicaConnection) rememberID(attempt *attempt) {
 	if l.recentIDs == nil {
 		l.recentIDs = map[string]uint64{}
@@ -136,7 +156,7 @@
 	l.recentIDs[attempt.name] = attempt.shardRequest.search.id
 }
 
-// silentFor tells how long the oldest part has been out on the connection of those since which nothing was heard.
+// silentFor returns how long the oldest attempt has been out among those since which nothing was received.
 func (l *replicaConnection) silentFor(now int64) (age int64) {
 	for _, attempt := range l.attempts {
 		if l.heardAt < attempt.sentAt {
@@ -146,51 +166,51 @@
 	return age
 }
 
-// conflictsWith tells whether one of a call's ids is out on the connection already, or was for another search.
-// Guards against two searches that bear one name: the answer to one would be taken for the other's.
+// conflictsWith says whether the name of one of a batch's attempts is in use on the connection, or was for another
+// search: an answer to that one would be taken for this one's.
 func (l *replicaConnection) conflictsWith(batch *batch) bool {
-	return slices.ContainsFunc(batch.attempts, func(sub *attempt) bool {
-		id, known := l.recentIDs[sub.name]
-		return known && id != sub.shardRequest.search.id || findAttempt(l.attempts, sub.name) != nil
+	return slices.ContainsFunc(batch.attempts, func(current *attempt) bool {
+		id, known := l.recentIDs[current.name]
+		return known && id != current.shardRequest.search.id || findAttempt(l.attempts, current.name) != nil
 	})
 }
 
-// silenceTimeout is how long a connection may say nothing before it is taken for lost.
+// silenceTimeout returns the ticks of silence after which a connection counts as lost.
 func (loop *eventLoop) silenceTimeout() int64 {
 	return silenceDialTimeouts * int64(loop.plan.Duration("Permissions.DialTimeout")/tick)
 }
 
-// doubtDelay is how long a connection may say nothing under a part before the next call takes another.
+// doubtDelay returns the ticks of silence under an attempt after which the next batch takes another connection.
 func (loop *eventLoop) doubtDelay() int64 {
-	return max(minDoubtDelay, int64(doubtLatencyFactor*loop.averageLatency))
+	return max(minDoubtDelay, int64(doubtLatencyFactor*loop.replicas.averageLatency))
 }
 
-// retireSilentConnections ends connections that have long been silent under parts, once their replica has answered a later part on
-// another: it is the connection that is lost, and its parts can go out again.
-func (loop *eventLoop) retireSilentConnections(heard *replicaConnection, sent int64) {
-	for _, conn := range heard.replica.connections {
+// retireSilentConnections closes connections that have long been silent under attempts, once their replica has
+// answered a later attempt on another one: the connection is lost, and its attempts can be retried.
+func (loop *eventLoop) retireSilentConnections(answeredOn *replicaConnection, sent int64) {
+	for _, conn := range answeredOn.replica.connections {
 		age := conn.silentFor(loop.now)
-		if conn != heard && !conn.closedToNew && loop.now-age < sent && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
-			conn.closeNow(endRetired)
+		if conn != answeredOn && !conn.closedToNew && loop.now-age < sent && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
+			conn.closeNow(errRetired)
 		}
 	}
 }
 
-// handleConnectionEnd tells what a connection's end means for the parts that were out on it.
-func (loop *eventLoop) handleConnectionEnd(conn *replicaConnection, end connectionEnd, addr string) {
+// handleConnectionEnd reports the outcomes of the attempts that were on a connection.
+func (loop *eventLoop) handleConnectionEnd(conn *replicaConnection, end connectionEndError, addr string) {
 	conn.closedToNew = true
 	conn.end(end)
-	loop.replicaConnectionCount--
+	loop.descriptors.replicaConnections--
 	conn.replica.connections = slices.DeleteFunc(conn.replica.connections, func(x *replicaConnection) bool { return x == conn })
-	if len(conn.attempts) > 0 || end == endNotConnected || end == endReadTimeout || end == endMalformed || end == endFault {
+	if len(conn.attempts) > 0 || end == errNotConnected || end == errReadTimeout || end == errMalformed || end == errFault {
 		loop.log.warnLimited("replica "+end.Error(), "replica_connection_ended", "replica", conn.replica.id, "addr", addr, "end", end,
 			"parts", len(conn.attempts))
 	}
-	// All are taken off before the first is told. Guards against what the module does on hearing of one: it may
-	// call off others that were on this connection, whose end has come too.
+	// All attempts are detached before the first outcome is reported: the balancer may answer it by canceling others
+	// that were on this connection, whose outcome is known too.
 	var tell []func()
 	certain := end.isCertain()
-	first := true // of those that were written
+	first := true // of the written attempts
 	for _, attempt := range slices.Clone(conn.attempts) {
 		out := attempt.batch.message.stage.Load() == stageWritten
 		outcome := end.attemptOutcome(out, first, conn.heardAt > 0)
@@ -212,7 +232,7 @@
 	loop.forgetReplica(conn.replica)
 }
 
-// closeWhenIdle closes a connection that has been unused, before its replica would, and until then looks again.
+// closeWhenIdle closes a connection that has been idle, before its replica would; until then it checks again.
 func (loop *eventLoop) closeWhenIdle(conn *replicaConnection) {
 	if conn.closedToNew {
 		return
@@ -222,23 +242,24 @@
 		loop.runAfter(max(left, most/4), func() { loop.closeWhenIdle(conn) })
 		return
 	}
-	conn.closeNow(endIdle)
+	conn.closeNow(errIdle)
 }
 
-// closeNow ends a connection at once; until that is told, it takes nothing new.
-func (l *replicaConnection) closeNow(e connectionEnd) {
+// closeNow ends a connection; it takes nothing new from now on.
+func (l *replicaConnection) closeNow(e connectionEndError) {
 	l.closedToNew = true
 	l.end(e)
 }
 
-// retireConnection lets a connection end once nothing is out on it.
+// retireConnection lets a connection end once nothing is in flight on it.
 func (loop *eventLoop) retireConnection(conn *replicaConnection) {
 	conn.closedToNew = true
 	loop.closeIfUnused(conn)
 }
 
+// closeIfUnused ends a retired connection on which nothing is in flight.
 func (loop *eventLoop) closeIfUnused(conn *replicaConnection) {
 	if conn.closedToNew && conn.openBatches == 0 && len(conn.abandoned) == 0 {
-		conn.end(endRetired)
+		conn.end(errRetired)
 	}
 }
--- a/coordinator/residency_guard.go
+++ b/coordinator/residency_guard.go
@@ -15,10 +15,10 @@
 	"chalkring/coordinator/plan"
 )
 
-// ResidencyGuard is what holds in a process whose installation has contracts: the standing in force, told to each
-// co-ordinator, and what is counted. It is safe for several goroutines.
+// ResidencyGuard holds the residency policy in force of a process, which it hands to each of its event loops, and
+// counts what it prevents. It is safe for concurrent use.
 type ResidencyGuard struct {
-	clock func() int64 // wall time in tenths of a millisecond, counted on
+	clock func() int64 // monotonic wall time in ticks
 
 	mu        sync.Mutex
 	policy    *residency.CompiledPolicy
@@ -28,66 +28,68 @@
 	blocked, refused, canceled, policyUpdates, fenced *metrics.Counter
 }
 
-// NewResidencyGuard begins with what is known at the start; with nothing known, nothing runs anywhere. Clock is wall time in tenths of a millisecond that never goes back.
+// NewResidencyGuard begins with the policy that is known at the start; nil allows nothing anywhere. clock returns
+// monotonic wall time in ticks.
 func NewResidencyGuard(first *residency.CompiledPolicy, clock func() int64) *ResidencyGuard {
 	if first == nil {
 		first = residency.DenyAll()
 	}
-	r := &ResidencyGuard{clock: clock, policy: first, enforcers: map[*residencyEnforcer]bool{}, metricSet: metrics.NewSet()}
-	r.blocked = r.metricSet.NewCounter("chalkring_residency_caught_total")
-	r.refused = r.metricSet.NewCounter("chalkring_residency_refused_total")
-	r.canceled = r.metricSet.NewCounter("chalkring_residency_called_off_total")
-	r.fenced = r.metricSet.NewCounter("chalkring_residency_fenced_total")
-	r.policyUpdates = r.metricSet.NewCounter("chalkring_residency_standings_total")
-	r.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(r.Policy().Generation) })
-	r.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
-		if in := r.Policy(); in.LeaseExpiry < math.MaxInt64 { // one that never ends has no length
-			return max(0, float64(in.LeaseExpiry-r.clock())/10_000)
+	guard := &ResidencyGuard{clock: clock, policy: first, enforcers: map[*residencyEnforcer]bool{}, metricSet: metrics.NewSet()}
+	guard.blocked = guard.metricSet.NewCounter("chalkring_residency_caught_total")
+	guard.refused = guard.metricSet.NewCounter("chalkring_residency_refused_total")
+	guard.canceled = guard.metricSet.NewCounter("chalkring_residency_called_off_total")
+	guard.fenced = guard.metricSet.NewCounter("chalkring_residency_fenced_total")
+	guard.policyUpdates = guard.metricSet.NewCounter("chalkring_residency_standings_total")
+	guard.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(guard.Policy().Generation) })
+	guard.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
+		if in := guard.Policy(); in.LeaseExpiry < math.MaxInt64 { // a lease that never expires has no length
+			return max(0, float64(in.LeaseExpiry-guard.clock())/10_000)
 		}
 		return -1
 	})
-	return r
+	return guard
 }
 
-// Policy is what is in force.
+// Policy returns the policy in force.
 func (r *ResidencyGuard) Policy() *residency.CompiledPolicy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.policy
 }
 
-// MayStoreInZone tells whether what is kept about a tenant's searches may be in a zone; others hold counts and digests.
+// MayStoreInZone says whether data about a tenant's searches may be kept in a zone; counts and digests may be kept
+// anywhere.
 func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
 	return r.Policy().AllowsTenantData(r.clock(), settings.FormatValue(tenant), plan.ZoneName(zone))
 }
 
-// BlockedDispatches counts parts that the second guard kept from going out: each is a fault of this program.
+// BlockedDispatches returns how many attempts the check before sending has stopped. Each is a fault of this program.
 func (r *ResidencyGuard) BlockedDispatches() uint64 { return r.blocked.Get() }
 
-// SetPolicy puts a standing in force and returns once every co-ordinator of the process keeps to it: from then on nothing that
-// it forbids is sent, and what was out has been called off.
-func (r *ResidencyGuard) SetPolicy(s *residency.CompiledPolicy) {
+// SetPolicy puts a policy into force and returns once every event loop of the process follows it: from then on nothing
+// that it forbids is sent, and what was in flight has been canceled.
+func (r *ResidencyGuard) SetPolicy(policy *residency.CompiledPolicy) {
 	r.mu.Lock()
-	r.policy = s
-	owners := slices.Collect(maps.Keys(r.enforcers))
+	r.policy = policy
+	enforcers := slices.Collect(maps.Keys(r.enforcers))
 	r.mu.Unlock()
 	r.policyUpdates.Inc()
-	for _, b := range owners {
+	for _, enforcer := range enforcers {
 		done := make(chan struct{})
-		if b.loop.submit(func() { b.setPolicy(s); close(done) }) {
+		if enforcer.loop.submit(func() { enforcer.setPolicy(policy); close(done) }) {
 			select {
 			case <-done:
-			case <-b.loop.ctx.Done():
-			case <-b.closed: // it never began to take turns
+			case <-enforcer.loop.ctx.Done():
+			case <-enforcer.closed: // its event loop never ran
 			}
 		}
 	}
 }
 
-// writeMetrics tells what is counted in the common text form.
-func (r *ResidencyGuard) writeMetrics(to io.Writer) { r.metricSet.WritePrometheus(to) }
+// writeMetrics writes the counters in the Prometheus text form.
+func (r *ResidencyGuard) writeMetrics(output io.Writer) { r.metricSet.WritePrometheus(output) }
 
-// residencyRefusalBody is the own front's answer to a refused search. 503 where another instance may know more.
+// residencyRefusalBody returns the HTTP response to a refused search: 503 where another instance may have a lease.
 func residencyRefusalBody(r *residency.SearchRejectedError) (status int, body []byte) {
 	if status = 451; r.Reason == residency.ReasonLeaseExpired {
 		status = 503
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -5,41 +5,64 @@
 	"math/big"
 	"slices"
 	"strconv"
+	"sync/atomic"
 	"time"
 
 	"chalkring/control/residency"
 )
 
-// search is one search from its request to its final answer. The front that took it makes it; reply is
-// what it leaves for that answer.
+// secondStepSuffix marks the names of attempts of the second step.
+const secondStepSuffix = ".r"
+
+const (
+	searchOverheadBytes       = 2 << 10 // that a search holds here and in the balancer, beside its text
+	shardRequestOverheadBytes = 1 << 10 // that each of its shard requests holds, beside its value
+	attemptNameExtra          = 24      // bytes of an attempt's name beyond its search's: a dot, a number, the step
+)
+
+// searchTable is the open searches and what they hold. Only the event loop's goroutine touches it, but for unsentBytes.
+type searchTable struct {
+	byID          map[uint64]*search
+	names         map[string]bool
+	shardRequests map[uint64]*shardRequest
+	lastID        uint64         // of searches and shard requests
+	pendingWrites []pendingWrite // room for what finishSearch returns
+
+	memoryLimit float64      // bytes for open searches and their answers
+	heldBytes   int64        // held by searches
+	unsentBytes atomic.Int64 // of answers that clients have not taken
+}
+
+// search is one search from its request to its final answer. Its frontend makes it and sets reply, which receives that
+// answer on the event loop's goroutine; all else is the event loop's once startSearch has been called.
 type search struct {
 	name, key     string
 	text          []byte
 	class, tenant int
 	isRetry       bool
 	arrivedAt     time.Time
-	timeout       time.Duration // of the client, from came
+	timeout       time.Duration // of the client, from arrivedAt
 	shards        []int
 	weights       []float64
 	reply         func(r searchOutcome)
-	client        *clientConnection                          // who waits for it; nil on other fronts
-	decodeValue   func(shard int, value []byte) (any, error) // what a value has to pass to be in; nil for none
+	client        *clientConnection // that waits for it; nil for other frontends
+	decodeValue   decodeFunc        // of a replica's values; nil for none
 
 	id                uint64
 	deadline          int64
 	step              int
 	firstStepComplete bool
-	firstStepShards   []int // shards that were in at the end of the first step
+	firstStepShards   []int // completed in the first step
 	shardRequests     []*shardRequest
 	ended             bool
-	heldBytes         int64          // that it holds
-	pendingWrites     []pendingWrite // frames of sub-requests given up whose last byte was not out then
+	heldBytes         int64
+	pendingWrites     []pendingWrite // of attempts that were given up while being written
 
-	restricted bool                           // its parts may not run everywhere
-	refusal    *residency.SearchRejectedError // why some of them can run nowhere
+	restricted bool                           // its shard requests may not run everywhere
+	refusal    *residency.SearchRejectedError // why some can run nowhere
 }
 
-// shardRequest is one shardRequest of a search's step.
+// shardRequest is the part of a search's step that one shard answers.
 type shardRequest struct {
 	id         uint64
 	search     *search
@@ -48,65 +71,66 @@
 	completed  bool
 	score      []byte
 	value      []byte
-	decoded    any // what the search's check made of value
+	decoded    any // what the search's decoder made of value
 	attempts   []*attempt
-	unreported int    // sub-requests whose outcome the module has not heard
-	name       string // of its sub-requests on the wire
+	unreported int    // attempts whose outcome has not been reported to the balancer
+	name       string // of its attempts on the wire
 
-	firstAttempt   attempt // room for the first, and for subs to name it
+	firstAttempt   attempt // the first attempt, and the array of attempts while there is one
 	inlineAttempts [1]*attempt
 }
 
-// appendName adds its sub-requests' id on the wire.
+// appendName appends the name that its attempts have on the wire.
 func (p *shardRequest) appendName(dst []byte) []byte {
 	dst = strconv.AppendInt(append(append(dst, p.search.name...), '.'), int64(p.shard), 10)
 	if p.step == 2 {
-		dst = append(dst, ".r"...)
+		dst = append(dst, secondStepSuffix...)
 	}
 	return dst
 }
 
-// scoreValue is its score as a number.
+// scoreValue returns its score as a number, of any size.
 func (p *shardRequest) scoreValue() *big.Int {
 	n, _ := new(big.Int).SetString(string(p.score), 10)
 	return n
 }
 
-// isSettled tells that the part needs no more.
+// isSettled says whether no more answers to it are needed.
 func (p *shardRequest) isSettled() bool {
 	return p.completed || p.search.ended || p.step != p.search.step
 }
 
-// startSearch hands a search to the module. What is held is bounded by the clients' connections: one search each.
+// startSearch hands a search to the balancer. The number of open searches is bounded by the clients' connections, of
+// which each has one.
 func (loop *eventLoop) startSearch(search *search) {
-	if loop.openNames[search.name] { // guards against two whose parts no replica can tell apart
+	if loop.searches.names[search.name] { // replicas could not distinguish the attempts of the two
 		search.ended = true
 		search.reply(searchOutcome{outcome: outcomeDuplicateID})
 		return
 	}
-	loop.openNames[search.name] = true
+	loop.searches.names[search.name] = true
 	if search.decodeValue != nil {
-		loop.valueDecoders.Store(search.name, search.decodeValue)
-		loop.decoderCount.Add(1)
+		loop.decoders.add(search.name, search.decodeValue)
 	}
 	search.deadline = loop.now + int64((search.timeout-loop.Clock.Now().Sub(search.arrivedAt))/tick)
 	search.id, search.step = loop.nextID(), 1
-	loop.searches[search.id] = search
+	loop.searches.byID[search.id] = search
 	loop.armStallDetector()
 	loop.holdBytes(search, searchOverheadBytes+len(search.text)+shardRequestOverheadBytes*len(search.shards))
 	loop.balancer.AddSearch(search.id, search.class, search.tenant, search.key, search.deadline-loop.now, search.id, len(search.shards), search.isRetry)
 	loop.addShardRequests(search, search.shards, search.weights)
 }
 
+// addShardRequests adds the shard requests of a search's step, in as few allocations as there can be.
 func (loop *eventLoop) addShardRequests(search *search, shards []int, weights []float64) {
 	from, all := len(search.shardRequests), make([]shardRequest, len(shards))
 	search.shardRequests = slices.Grow(search.shardRequests, len(shards))
-	names := make([]byte, 0, len(shards)*(len(search.name)+attemptNameExtra)) // in one piece
+	names := make([]byte, 0, len(shards)*(len(search.name)+attemptNameExtra)) // in one allocation
 	for i, shard := range shards {
 		request := &all[i]
 		request.id, request.search, request.step, request.shard = loop.nextID(), search, search.step, shard
 		search.shardRequests = append(search.shardRequests, request)
-		loop.shardRequests[request.id] = request
+		loop.searches.shardRequests[request.id] = request
 		names = request.appendName(names)
 	}
 	text, own := string(names), [maxRequestIDBytes + attemptNameExtra]byte{}
@@ -122,40 +146,43 @@
 	}
 }
 
-// holdBytes counts what a search holds, against memory that follows what answers happen to be long. The module turns
-// searches away when there is no room: guards against an end by the kernel.
+// holdBytes counts what a search holds. The balancer sheds searches when memory is short, which keeps the kernel from
+// ending the process over long answers.
 func (loop *eventLoop) holdBytes(search *search, n int) {
 	search.heldBytes += int64(n)
-	loop.heldBytes += int64(n)
+	loop.searches.heldBytes += int64(n)
 }
 
-func (loop *eventLoop) followUpCount(qtype int) int { return loop.followUpCounts[qtype] }
+// followUpCount returns how many shard requests the second step of a class has, 0 for no second step.
+func (loop *eventLoop) followUpCount(class int) int { return loop.rules.followUpCounts[class] }
 
-// startSecondStep makes the parts of the second step: at the shards with the highest scores, the lower number
-// first among equals, with equal weights.
-func (loop *eventLoop) startSecondStep(search *search, in []*shardRequest, most int) {
+// startSecondStep adds the shard requests of the second step, with equal weights: those of the shards with the highest
+// scores, lower shards first among equals.
+func (loop *eventLoop) startSecondStep(search *search, completed []*shardRequest, maxShards int) {
 	if search.ended {
 		return
 	}
-	slices.SortFunc(in, func(request, q *shardRequest) int {
-		return cmp.Or(q.scoreValue().Cmp(request.scoreValue()), cmp.Compare(request.shard, q.shard))
+	slices.SortFunc(completed, func(a, b *shardRequest) int {
+		return cmp.Or(b.scoreValue().Cmp(a.scoreValue()), cmp.Compare(a.shard, b.shard))
 	})
 	search.step = 2
+	best := completed[:min(maxShards, len(completed))]
 	var shards []int
 	var weights []float64
-	for _, request := range in[:min(most, len(in))] {
+	for _, request := range best {
 		shards = append(shards, request.shard)
-		weights = append(weights, 1/float64(min(most, len(in))))
+		weights = append(weights, 1/float64(len(best)))
 	}
 	loop.addShardRequests(search, shards, weights)
 }
 
+// completedParts returns the completed shard requests of the current step, in the search's order.
 func (loop *eventLoop) completedParts(search *search) []*shardRequest {
-	in := make([]*shardRequest, 0, len(search.shardRequests))
+	completed := make([]*shardRequest, 0, len(search.shardRequests))
 	for _, request := range search.shardRequests {
 		if request.completed && request.step == search.step {
-			in = append(in, request)
+			completed = append(completed, request)
 		}
 	}
-	return in
+	return completed
 }
--- a/coordinator/search_api.go
+++ b/coordinator/search_api.go
@@ -13,74 +13,79 @@
 	"chalkring/coordinator/plan"
 )
 
-const frontendDescriptorShare = 0.15 // of the descriptors go to other fronts' clients, out of those for clients
+const maxClientTimeout = time.Hour // the longest client timeout that is honored: bounds what is held
+
+const frontendDescriptorShare = 0.15 // of the descriptors go to other frontends, out of those for clients
 
 // Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
-// returns; it ends at once with ctx. It hands searches in by the door.
+// returns; it ends at once with ctx. It submits searches through the SearchAPI.
 type Frontend interface {
 	Serve(ctx, stopping context.Context, d *SearchAPI) error
 }
 
-// SearchAPI hands other fronts' searches to the owner: the same module and the same rules as for the own front.
+// SearchAPI submits other frontends' searches to the event loop, under the same rules as those of its own clients. It
+// is safe for concurrent use.
 type SearchAPI struct {
-	CoordinatorName string // of the co-ordinator
-	MaxConnections  int    // that the front may hold
-	SendRetryAfter  bool   // clients may be told when to come back
+	CoordinatorName string
+	MaxConnections  int  // that the frontend may hold
+	SendRetryAfter  bool // answers may have a Retry-After
 	LogEvent        func(kind, event string, v ...any)
 
 	loop                   *eventLoop
 	classes, tenants       map[string]int
-	timeouts               []time.Duration // by type
+	timeouts               []time.Duration // by class
 	blockSets, setsPerHost int
 
 	mu              sync.Mutex
-	cellByHost      map[string]int // of the hosts that are listed
+	cellByHost      map[string]int
 	addrByHost      map[string]string
-	hostCountByCell map[int]int // listed hosts by cell
+	hostCountByCell map[int]int // of listed hosts
 }
 
-// SearchRequest is one search. Check looks at a host's value for a part before it counts as in, in the goroutine of the
-// connection it came on: one that it refuses is an errored sub-request. What it gives back stands in the result.
+// SearchRequest is one search. DecodeValue checks a host's value for a shard before it counts as completed, on the
+// goroutine of the connection that it came on: a value that it refuses is a failed attempt. What it returns stands in
+// the result.
 type SearchRequest struct {
-	ID          string // of all that are open, no two may bear one
+	ID          string // unique among open searches
 	Type        string
 	Tenant      string
 	Body        []byte
-	Shards      []int // in equal weights
+	Shards      []int // with equal weights
 	IsRetry     bool
 	Timeout     time.Duration
 	DecodeValue func(shard int, value []byte) (any, error)
 }
 
-// How a search ended.
+// Outcomes of a search.
 const (
 	OutcomeAnswered         = outcomeAnswered
 	OutcomeShed             = outcomeShed
 	OutcomeFailed           = outcomeFailed
 	OutcomeDuplicateID      = outcomeDuplicateID
 	OutcomeResidencyRefused = outcomeResidencyRefused
-	OutcomeClientGone       = outcomeClientGone // of an End alone
+	OutcomeClientGone       = outcomeClientGone // in a SearchEnd alone
 )
 
 // SearchResult is a final answer.
 type SearchResult struct {
 	Outcome          int
 	Complete         bool
-	RetryAfter       time.Duration // of Shed, 0 where none is named
-	Dispatched       bool          // of Shed and Errored: hosts were asked
-	Parts            []PartResult  // that are in
+	RetryAfter       time.Duration // of OutcomeShed, 0 for none
+	Dispatched       bool          // of OutcomeShed and OutcomeFailed: attempts were made
+	Parts            []PartResult  // completed
 	ResidencyRefusal *residency.SearchRejectedError
 }
 
-// PartResult is a part that is in, with what Check gave for it.
+// PartResult is a shard's answer: what DecodeValue returned for it.
 type PartResult struct {
 	Shard int
 	Value any
 }
 
-// ErrUnknownTypeOrTenant is a search that cannot be taken.
+// ErrUnknownTypeOrTenant is a search whose type or tenant the plan does not have.
 var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
 
+// newSearchAPI returns the API of an event loop.
 func newSearchAPI(loop *eventLoop) *SearchAPI {
 	api := &SearchAPI{
 		CoordinatorName: loop.plan.Name, loop: loop, SendRetryAfter: loop.plan.Settings["Permissions.RetryAfter"] == "true", classes: loop.plan.PositionsByName("Classes"), tenants: loop.plan.PositionsByName("Tenants"),
@@ -96,7 +101,7 @@
 	return api
 }
 
-// ValidateTypeAndTenant tells whether there is such a type, and such a partner where partners are named at all.
+// ValidateTypeAndTenant returns an error for a type that the plan does not have, or a tenant, where it has any.
 func (d *SearchAPI) ValidateTypeAndTenant(qtype, tenant string) error {
 	if _, ok := d.classes[qtype]; !ok {
 		return fmt.Errorf("%w: type %q", ErrUnknownTypeOrTenant, qtype)
@@ -107,16 +112,16 @@
 	return nil
 }
 
-// SearchTimeout is how long a search of a type may take at the most.
+// SearchTimeout returns how long a search of a type may take at the most.
 func (d *SearchAPI) SearchTimeout(qtype string) time.Duration { return d.timeouts[d.classes[qtype]] }
 
-// BusyTime is how much time the owner has spent in turns so far: background work holds back by it.
+// BusyTime returns how much time the event loop has spent in iterations: background work waits by it.
 func (d *SearchAPI) BusyTime() time.Duration { return time.Duration(d.loop.busyNanos.Load()) }
 
-// BlockCount tells how many blocks there are.
+// BlockCount returns how many blocks the data is in.
 func (d *SearchAPI) BlockCount() int { return d.loop.plan.BlockCount() }
 
-// HasBlockHost tells whether a listed host holds a block.
+// HasBlockHost says whether a listed host holds a block.
 func (d *SearchAPI) HasBlockHost(block int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,30 +133,30 @@
 	return false
 }
 
-// BlockHosts names the listed hosts that hold a block, with their addresses.
+// BlockHosts returns the ids and addresses of the listed hosts that hold a block, by id.
 func (d *SearchAPI) BlockHosts(block int) (names, addrs []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, cell := range d.cellByHost {
+	for hostID, cell := range d.cellByHost {
 		if (cell-block%d.blockSets+d.blockSets)%d.blockSets < d.setsPerHost {
-			names = append(names, id)
+			names = append(names, hostID)
 		}
 	}
 	slices.Sort(names)
-	for _, id := range names {
-		addrs = append(addrs, d.addrByHost[id])
+	for _, hostID := range names {
+		addrs = append(addrs, d.addrByHost[hostID])
 	}
 	return names, addrs
 }
 
-// HostCount counts the listed hosts.
+// HostCount returns the number of listed hosts.
 func (d *SearchAPI) HostCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.cellByHost)
 }
 
-// updateHosts takes in a list or changes of it.
+// updateHosts applies a list or changes of it.
 func (d *SearchAPI) updateHosts(full bool, hosts []plan.ListedHost) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,7 +175,7 @@
 	}
 }
 
-// Search hands a search in and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
+// Search submits a search and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
 func (d *SearchAPI) Search(ctx context.Context, request SearchRequest) (SearchResult, error) {
 	if err := d.ValidateTypeAndTenant(request.Type, request.Tenant); err != nil {
 		return SearchResult{}, err
@@ -181,14 +186,14 @@
 	loop := d.loop
 	out, first := make(chan SearchResult, 1), []pendingWrite(nil)
 	now := loop.Clock.Now()
-	s := &search{
+	current := &search{
 		name: request.ID, text: request.Body, class: d.classes[request.Type], tenant: d.tenants[request.Tenant], isRetry: request.IsRetry,
 		arrivedAt: now, timeout: loop.limitTimeout(min(request.Timeout, maxClientTimeout), now), shards: slices.Clone(request.Shards), decodeValue: request.DecodeValue,
 	}
 	for range request.Shards {
-		s.weights = append(s.weights, 1/float64(len(request.Shards)))
+		current.weights = append(current.weights, 1/float64(len(request.Shards)))
 	}
-	s.reply = func(outcome searchOutcome) {
+	current.reply = func(outcome searchOutcome) {
 		first = slices.Clone(outcome.pendingWrites)
 		result := SearchResult{Outcome: outcome.outcome, Complete: outcome.complete, RetryAfter: time.Duration(outcome.retryAfter) * tick, Dispatched: outcome.dispatched, ResidencyRefusal: outcome.refusal}
 		for _, shardReq := range outcome.parts {
@@ -196,17 +201,17 @@
 		}
 		out <- result
 	}
-	if !loop.submit(func() { loop.startSearch(s) }) {
-		return SearchResult{}, endClosing
+	if !loop.submit(func() { loop.startSearch(current) }) {
+		return SearchResult{}, errClosing
 	}
 	select {
 	case result := <-out:
 		awaitWritten(first)
 		return result, nil
 	case <-ctx.Done():
-		loop.submit(func() { loop.withdrawSearch(s) })
+		loop.submit(func() { loop.withdrawSearch(current) })
 		return SearchResult{}, ctx.Err()
 	case <-loop.ctx.Done():
-		return SearchResult{}, endClosing
+		return SearchResult{}, errClosing
 	}
 }
--- a/coordinator/search_end.go
+++ b/coordinator/search_end.go
@@ -13,51 +13,57 @@
 	outcome       int
 	complete      bool
 	retryAfter    int64
-	dispatched    bool            // a sub-request was made for it
-	parts         []*shardRequest // that are in, in the search's order
-	pendingWrites []pendingWrite  // what has to be out before it is
+	dispatched    bool            // an attempt was made for it
+	parts         []*shardRequest // completed, in the search's order
+	pendingWrites []pendingWrite  // to be written before the answer
 	refusal       *residency.SearchRejectedError
 }
 
+// Outcomes of a search.
 const (
 	outcomeAnswered = iota
 	outcomeShed
 	outcomeFailed
-	outcomeDuplicateID      // never was a search: another that is open bears its name
-	outcomeResidencyRefused // by a contract on where its parts may run
-	outcomeClientGone       // told of an end alone: its client did not wait for the answer
+	outcomeDuplicateID      // refused: an open search has its name
+	outcomeResidencyRefused // by a residency contract
+	outcomeClientGone       // of a SearchEnd alone: the client has left
 )
 
-func (loop *eventLoop) AnswerSearch(id uint64, whole bool) {
-	search := loop.searches[id]
+// AnswerSearch ends a search with an answer, complete or not, or starts its second step. It implements
+// balancer.Actions.
+func (loop *eventLoop) AnswerSearch(id uint64, complete bool) {
+	search := loop.searches.byID[id]
 	if search == nil {
 		return
 	}
-	in := loop.completedParts(search)
-	if more := loop.followUpCount(search.class); search.step == 1 && more > 0 {
-		search.firstStepComplete = whole
-		for _, request := range in {
+	completed := loop.completedParts(search)
+	if followUps := loop.followUpCount(search.class); search.step == 1 && followUps > 0 {
+		search.firstStepComplete = complete
+		for _, request := range completed {
 			search.firstStepShards = append(search.firstStepShards, request.shard)
 		}
 		slices.Sort(search.firstStepShards)
-		loop.runNextIteration(func() { loop.startSecondStep(search, in, more) })
+		loop.runNextIteration(func() { loop.startSecondStep(search, completed, followUps) })
 		return
 	}
 	loop.notifySearchEnd(search, outcomeAnswered)
-	first := loop.finishSearch(search)
-	search.reply(searchOutcome{outcome: outcomeAnswered, complete: whole, parts: in, pendingWrites: first})
+	pending := loop.finishSearch(search)
+	search.reply(searchOutcome{outcome: outcomeAnswered, complete: complete, parts: completed, pendingWrites: pending})
 }
 
+// ShedSearch rejects a search; retryAfter, where it is above 0, is in ticks. It implements balancer.Actions.
 func (loop *eventLoop) ShedSearch(id uint64, retryIn int64) {
 	loop.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryIn})
 }
 
+// FailSearch ends a search with an error. It implements balancer.Actions.
 func (loop *eventLoop) FailSearch(id uint64) {
 	loop.endSearch(id, searchOutcome{outcome: outcomeFailed})
 }
 
+// endSearch ends a search without an answer.
 func (loop *eventLoop) endSearch(id uint64, outcome searchOutcome) {
-	if search := loop.searches[id]; search != nil {
+	if search := loop.searches.byID[id]; search != nil {
 		if outcome.refusal = loop.enforcer.refusalOf(search); outcome.refusal != nil {
 			outcome.outcome, outcome.retryAfter = outcomeResidencyRefused, 0
 		}
@@ -68,91 +74,94 @@
 	}
 }
 
-// withdrawSearch tells the module that the client has left; what it gives has to be out before anything is said to it.
-func (loop *eventLoop) withdrawSearch(search *search) (first []pendingWrite) {
+// withdrawSearch cancels a search whose client has left. It returns the writes that have to end before anything is
+// sent to that client.
+func (loop *eventLoop) withdrawSearch(search *search) (pending []pendingWrite) {
 	if search.ended {
 		return nil
 	}
 	loop.notifySearchEnd(search, outcomeClientGone)
-	first = loop.finishSearch(search)
+	pending = loop.finishSearch(search)
 	loop.balancer.CancelSearch(search.id)
-	return first
+	return pending
 }
 
-// withdrawGoneClients withdraws the searches whose clients have left, though their readers have not said so yet.
+// withdrawGoneClients withdraws the searches whose clients have closed their connections, though their readers have
+// not reported it yet.
 func (loop *eventLoop) withdrawGoneClients() {
 	var gone []*search
-	for _, s := range loop.searches {
-		if s.client != nil && s.client.hasHungUp() {
-			gone = append(gone, s)
+	for _, open := range loop.searches.byID {
+		if open.client != nil && open.client.hasHungUp() {
+			gone = append(gone, open)
 		}
 	}
-	slices.SortFunc(gone, func(s, u *search) int { return cmp.Compare(s.id, u.id) }) // the module's actions follow its calls
-	for _, s := range gone {
-		loop.withdrawSearch(s)
+	slices.SortFunc(gone, func(a, b *search) int { return cmp.Compare(a.id, b.id) }) // the balancer's actions follow the order of its calls
+	for _, search := range gone {
+		loop.withdrawSearch(search)
 	}
 }
 
-// SearchEnd is how a search ended, for those that keep sums beside the owner.
+// SearchEnd is how a search ended, for statistics beside the event loop.
 type SearchEnd struct {
-	Type, Outcome int           // its class; Answered, Shed, Errored, Barred or Left
-	Duration      time.Duration // since it came
-	Attempts      int           // sub-requests made for it
+	Type, Outcome int           // the class's position, and OutcomeAnswered, OutcomeShed and so on
+	Duration      time.Duration // since the search arrived
+	Attempts      int           // of all shard requests
 }
 
-func (loop *eventLoop) notifySearchEnd(search *search, kind int) {
+// notifySearchEnd calls OnSearchEnd.
+func (loop *eventLoop) notifySearchEnd(search *search, outcome int) {
 	if loop.OnSearchEnd == nil {
 		return
 	}
-	e := SearchEnd{Type: search.class, Outcome: kind, Duration: loop.Clock.Now().Sub(search.arrivedAt)}
+	end := SearchEnd{Type: search.class, Outcome: outcome, Duration: loop.Clock.Now().Sub(search.arrivedAt)}
 	for _, request := range search.shardRequests {
-		e.Attempts += len(request.attempts)
+		end.Attempts += len(request.attempts)
 	}
-	loop.OnSearchEnd(e)
+	loop.OnSearchEnd(end)
 }
 
-// finishSearch forgets a search and gives what has to be out before its final answer is, until the next one is finished.
-func (loop *eventLoop) finishSearch(search *search) (first []pendingWrite) {
-	first = loop.pendingWrites[:0]
-	defer func() { loop.pendingWrites = first }()
+// finishSearch forgets a search. It returns the writes that have to end before its final answer; the slice is valid
+// until the next call.
+func (loop *eventLoop) finishSearch(search *search) (pending []pendingWrite) {
+	pending = loop.searches.pendingWrites[:0]
+	defer func() { loop.searches.pendingWrites = pending }()
 	loop.holdBytes(search, -int(search.heldBytes))
 	search.ended = true
-	delete(loop.searches, search.id)
-	delete(loop.openNames, search.name)
+	delete(loop.searches.byID, search.id)
+	delete(loop.searches.names, search.name)
 	if search.decodeValue != nil {
-		loop.valueDecoders.Delete(search.name)
-		loop.decoderCount.Add(-1)
+		loop.decoders.remove(search.name)
 	}
 	for _, write := range search.pendingWrites {
 		if !write.isWritten() {
-			first = append(first, write)
+			pending = append(pending, write)
 		}
 	}
 	for _, request := range search.shardRequests {
 		for _, attempt := range request.attempts {
-			if abandoned := loop.abandoned[attempt]; abandoned != nil {
+			if abandoned := loop.replicas.abandoned[attempt]; abandoned != nil {
 				loop.deferAttemptOutcome(attempt, loop.forgetAbandoned(abandoned))
 			}
 			if attempt.batch == nil {
 				continue
 			}
-			// Nothing is sent after the final answer: what is begun has to be out before that is.
+			// Nothing may be sent after the final answer: a write that has begun has to end before it.
 			if batch := attempt.batch; !loop.recallBatch(batch, search) {
 				if write := (pendingWrite{batch.connection.messageConn, batch.message}); !write.isWritten() {
-					first = append(first, write)
+					pending = append(pending, write)
 				}
 			}
 		}
 		loop.dropShardRequest(request)
 	}
-	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // a connection keeps its last search while unused
-	return first
+	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // an idle connection keeps its last search
+	return pending
 }
 
-// dropShardRequest forgets a part once its search is over and all its sub-requests are told: until then the module may
-// cancel them.
+// dropShardRequest forgets a shard request once its search has ended and the balancer has all its outcomes: until then
+// the balancer may cancel its attempts.
 func (loop *eventLoop) dropShardRequest(request *shardRequest) {
 	if request.search.ended && request.unreported == 0 {
-		delete(loop.shardRequests, request.id)
+		delete(loop.searches.shardRequests, request.id)
 	}
 }
