--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -3,9 +3,28 @@
 import (
 	"cmp"
 	"container/heap"
+	"time"
 )
 
-// timer is something to do at a time; place is where it stands among wakes, negative once it does not.
+const (
+	maxSpareTimers     = 4096                  // balancer timers kept for reuse: those of a few hundred open searches
+	stallCheckInterval = 50 * time.Millisecond // between checks of the time while searches are open: a client may be gone for 0.1 s
+	stallThreshold     = 50 * time.Millisecond // lateness of a timer that shows a stalled process: no iteration takes so long
+)
+
+// timerSet is the event loop's timers.
+type timerSet struct {
+	queue      timerQueue
+	balancer   map[uint64]*balancerTimer // by the balancer's label
+	spare      []*balancerTimer          // stopped, for reuse
+	due        []*timer                  // empty; its array is reused by each iteration
+	alarm      <-chan time.Time          // that the event loop waits for: at or before the first timer
+	alarmAt    int64
+	stall      stallDetector
+	caughtUpAt int64 // when sockets were last read before an iteration
+}
+
+// timer runs its handler at a time. It is reusable once it has fired or was stopped.
 type timer struct {
 	at       int64
 	sequence uint64
@@ -13,34 +32,42 @@
 	handler  timerHandler
 }
 
-// timerHandler is what a wake leaves behind: a step that goes on then.
+// timerHandler is called on the event loop's goroutine when a timer fires.
 type timerHandler interface{ fire(o *eventLoop) }
 
+// deferredTask is a timer handler that is a plain function.
 type deferredTask func()
 
+// fire implements timerHandler.
 func (do deferredTask) fire(*eventLoop) { do() }
 
+// timerQueue is a heap of timers by time; equal times fire in the order of their start.
 type timerQueue struct {
 	timers   []*timer
 	sequence uint64
 }
 
+// Len implements heap.Interface.
 func (w *timerQueue) Len() int { return len(w.timers) }
 
+// Less implements heap.Interface.
 func (w *timerQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(w.timers[i].at, w.timers[j].at), cmp.Compare(w.timers[i].sequence, w.timers[j].sequence)) < 0
 }
 
+// Swap implements heap.Interface.
 func (w *timerQueue) Swap(i, j int) {
 	w.timers[i], w.timers[j] = w.timers[j], w.timers[i]
 	w.timers[i].index, w.timers[j].index = i, j
 }
 
+// Push implements heap.Interface.
 func (w *timerQueue) Push(v any) {
 	v.(*timer).index = len(w.timers)
 	w.timers = append(w.timers, v.(*timer))
 }
 
+// Pop implements heap.Interface.
 func (w *timerQueue) Pop() any {
 	last := len(w.timers) - 1
 	v := w.timers[last]
@@ -50,82 +77,85 @@
 	return v
 }
 
+// runAfter runs a task after so many ticks.
 func (loop *eventLoop) runAfter(wait int64, do func()) {
 	loop.startTimer(&timer{}, wait, deferredTask(do))
 }
 
-// startTimer has a wake come after a while; it is not among the wakes yet.
+// startTimer has a timer fire after so many ticks. The timer must not be running.
 func (loop *eventLoop) startTimer(timer *timer, wait int64, do timerHandler) {
-	loop.timers.sequence++
-	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.sequence, do
-	heap.Push(&loop.timers, timer)
+	loop.timers.queue.sequence++
+	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.queue.sequence, do
+	heap.Push(&loop.timers.queue, timer)
 }
 
-// stopTimer takes a wake back, so that it holds nothing for the rest of its wait; one that has come or never was awaited
-// stays as it is.
+// stopTimer stops a timer and drops what it refers to. A timer that has fired or never ran stays as it is.
 func (loop *eventLoop) stopTimer(timer *timer) {
 	if timer.handler == nil {
 		return
 	}
 	if timer.handler = nil; timer.index >= 0 {
-		heap.Remove(&loop.timers, timer.index)
+		heap.Remove(&loop.timers.queue, timer.index)
 	}
 }
 
-// balancerTimer is one that the module asked for.
+// balancerTimer is a timer that the balancer has set.
 type balancerTimer struct {
 	timer
 	label uint64
 }
 
+// fire implements timerHandler.
 func (w *balancerTimer) fire(loop *eventLoop) {
 	label := w.label
-	delete(loop.balancerTimers, label)
-	if len(loop.spareTimers) < maxSpareTimers {
-		loop.spareTimers = append(loop.spareTimers, w)
+	delete(loop.timers.balancer, label)
+	if len(loop.timers.spare) < maxSpareTimers {
+		loop.timers.spare = append(loop.timers.spare, w)
 	}
 	loop.balancer.HandleTimer(label)
 }
 
+// SetTimer has the balancer's timer of a label fire after so many ticks. It implements balancer.Actions.
 func (loop *eventLoop) SetTimer(wait int64, label uint64) {
-	var w *balancerTimer
-	if n := len(loop.spareTimers); n > 0 {
-		w, loop.spareTimers = loop.spareTimers[n-1], loop.spareTimers[:n-1]
+	var free *balancerTimer
+	if n := len(loop.timers.spare); n > 0 {
+		free, loop.timers.spare = loop.timers.spare[n-1], loop.timers.spare[:n-1]
 	} else {
-		w = &balancerTimer{}
+		free = &balancerTimer{}
 	}
-	w.label = label
-	loop.balancerTimers[label] = w
-	loop.startTimer(&w.timer, max(wait, 1), w)
+	free.label = label
+	loop.timers.balancer[label] = free
+	loop.startTimer(&free.timer, max(wait, 1), free)
 }
 
+// CancelTimer stops the balancer's timer of a label, if it runs. It implements balancer.Actions.
 func (loop *eventLoop) CancelTimer(label uint64) {
-	w := loop.balancerTimers[label]
-	if w == nil {
+	balancerTimer := loop.timers.balancer[label]
+	if balancerTimer == nil {
 		return
 	}
-	delete(loop.balancerTimers, label)
-	if w.index >= 0 && len(loop.spareTimers) < maxSpareTimers { // one that is due in this turn is still looked at
-		loop.spareTimers = append(loop.spareTimers, w)
+	delete(loop.timers.balancer, label)
+	if balancerTimer.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // one that is due in this iteration is still in the due list
+		loop.timers.spare = append(loop.timers.spare, balancerTimer)
 	}
-	loop.stopTimer(&w.timer)
+	loop.stopTimer(&balancerTimer.timer)
 }
 
-// stallDetector is a wake that always is among the others while searches are open: how late it is found shows how long the process
-// was held up.
+// stallDetector is a timer that runs while searches are open: its lateness shows how long the process was stalled.
 type stallDetector struct{ timer }
 
+// fire implements timerHandler.
 func (p *stallDetector) fire(loop *eventLoop) {
-	if len(loop.searches) > 0 {
+	if len(loop.searches.byID) > 0 {
 		loop.startTimer(&p.timer, int64(stallCheckInterval/tick), p)
 	} else {
 		p.handler = nil
 	}
 }
 
-// armStallDetector has it come.
+// armStallDetector starts the stall detector unless it runs.
 func (loop *eventLoop) armStallDetector() {
-	if loop.stallDetector.handler == nil {
-		loop.startTimer(&loop.stallDetector.timer, int64(stallCheckInterval/tick), &loop.stallDetector)
+	if loop.timers.stall.handler == nil {
+		loop.startTimer(&loop.timers.stall.timer, int64(stallCheckInterval/tick), &loop.timers.stall)
 	}
 }
