--- a/cmd/chalkring/check.go
+++ b/cmd/chalkring/check.go
@@ -81,7 +81,7 @@
 		return usable, err
 	}
 	if text, err := hostfile.ReadText(name); err == nil && residency.IsPolicyFile(text) {
-		return checkContracts(name, text, sitePlan)
+		return checkPolicyFile(name, text, sitePlan)
 	}
 	return usable, checkInstallationFile(name, sitePlan)
 }
@@ -131,6 +131,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = checkContracts(file.Cluster.ResidencyFile, text, sitePlan)
+	_, err = checkPolicyFile(file.Cluster.ResidencyFile, text, sitePlan)
 	return err
 }
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -86,23 +86,23 @@
 func TestGoldenFleetBucket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.db")
 	l := ofCustomer(t, path, "acme", func(f *config.Cluster) { f.ClusterName = "live" })
-	life, found, err := l.s.store.Get("fleet", "life")
+	life, found, err := l.sharing.store.Get("fleet", "life")
 	require.NoError(t, err)
 	require.True(t, found)
 	require.Len(t, life, 8)
-	incarnation := l.s.book.Self().Incarnation
+	incarnation := l.sharing.book.Self().Incarnation
 	for i := range 8 {
 		require.Equal(t, byte(incarnation>>(56-8*i)), life[i], "the highest byte first")
 	}
-	now, found, err := l.s.store.Get("fleet", "whose")
+	now, found, err := l.sharing.store.Get("fleet", "whose")
 	require.NoError(t, err)
 	require.True(t, found)
 	golden.RequireHex(t, "fleet-identity.hex", now)
 	want := golden.ReadHex(t, "fleet-identity.hex")
 	var keys []string
-	require.NoError(t, l.s.store.Load("fleet", func(key string, _ []byte) error { keys = append(keys, key); return nil }))
+	require.NoError(t, l.sharing.store.Load("fleet", func(key string, _ []byte) error { keys = append(keys, key); return nil }))
 	require.Equal(t, []string{"life", "whose"}, keys)
-	l.s.leave()
+	l.sharing.leave()
 
 	var identity membership.Identity
 	require.NoError(t, cbor.Unmarshal(want, &identity))
@@ -119,20 +119,20 @@
 
 // Policies are kept as their files' text under bucket residency, keyed by generation and place.
 func TestGoldenResidencyBucket(t *testing.T) {
-	begin := func(s *sharing) *contracts {
-		return &contracts{s: s, disk: s.store, done: make(chan saveDone, 1)}
+	begin := func(s *sharing) *residencyService {
+		return &residencyService{sharing: s, store: s.store, saveResults: make(chan saveResult, 1)}
 	}
 	s := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 	c := begin(s)
-	texts := []string{contractsOne, strings.Replace(contractsTwo, "generation: 2", "generation: 2\nbeside: 1", 1)}
+	texts := []string{loosePolicy, strings.Replace(strictPolicy, "generation: 2", "generation: 2\nbeside: 1", 1)}
 	texts = append(texts, strings.Replace(texts[1], "lease: 2s", "lease: 3s", 1)) // another wording of one generation
 	for _, text := range texts {
 		p, err := residency.ParsePolicy("file", []byte(text), residency.Site{})
 		require.NoError(t, err)
-		c.tell(p)
+		c.addPolicy(p)
 	}
-	c.save()
-	require.NoError(t, (<-c.done).err)
+	c.savePolicies()
+	require.NoError(t, (<-c.saveResults).err)
 	now := map[string]string{}
 	require.NoError(t, s.store.Load("residency", func(key string, value []byte) error { now[key] = string(value); return nil }))
 	golden.RequireJSON(t, "residency-bucket.json", now)
@@ -144,11 +144,11 @@
 	}
 	require.NoError(t, read.store.Put(t.Context(), "residency", puts, nil))
 	again := begin(read)
-	require.True(t, again.load())
-	require.Equal(t, uint64(2), again.saved)
-	require.Equal(t, c.sum, again.sum)
+	require.True(t, again.loadStored())
+	require.Equal(t, uint64(2), again.storedGeneration)
+	require.Equal(t, c.digest, again.digest)
 	var held []string
-	for _, p := range again.book.Policies() {
+	for _, p := range again.registry.Policies() {
 		held = append(held, string(p.Text))
 	}
 	require.ElementsMatch(t, texts, held)
@@ -156,17 +156,17 @@
 
 // Questions, answers and policies of the lease that instances send one another.
 func TestGoldenResidencyMessages(t *testing.T) {
-	require.Equal(t, 'Z', zonesTopic)
-	for name, value := range map[string]zonesWord{
-		"lease-question.hex": {Kind: zonesQuestion, Nonce: 4, Generation: 2, Sum: 0x0102030405060708},
-		"lease-answer.hex":   {Kind: zonesAnswer, Nonce: 4, Generation: 2, Sum: 0x0102030405060708, Wall: 17_000_000_000_000, Sure: true},
-		"lease-policy.hex":   {Kind: zonesPolicy, Text: []byte(contractsOne)},
+	require.Equal(t, 'Z', residencyTopic)
+	for name, value := range map[string]residencyMessage{
+		"lease-question.hex": {Kind: leaseQuestion, Nonce: 4, Generation: 2, Digest: 0x0102030405060708},
+		"lease-answer.hex":   {Kind: leaseAcknowledgement, Nonce: 4, Generation: 2, Digest: 0x0102030405060708, WallTime: 17_000_000_000_000, Voter: true},
+		"lease-policy.hex":   {Kind: policyTransfer, PolicyText: []byte(loosePolicy)},
 	} {
 		now, err := cbor.Marshal(value)
 		require.NoError(t, err)
 		golden.RequireHex(t, name, now)
 		want := golden.ReadHex(t, name)
-		var got zonesWord
+		var got residencyMessage
 		require.NoError(t, cbor.Unmarshal(want, &got))
 		require.Equal(t, value, got, name)
 	}
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -22,55 +22,55 @@
 )
 
 // ofCustomer is an instance of a fleet whose plan has these tenants, beside the store at path.
-func ofCustomer(t *testing.T, path, tenant string, change func(f *config.Cluster)) *lived {
-	plan, err := plan.Parse([]byte(strings.Replace(zonedPlan, `{"Name":"acme",`, `{"Name":"`+tenant+`",`, 1)))
+func ofCustomer(t *testing.T, path, tenant string, change func(f *config.Cluster)) *testInstance {
+	plan, err := plan.Parse([]byte(strings.Replace(testPlan, `{"Name":"acme",`, `{"Name":"`+tenant+`",`, 1)))
 	require.NoError(t, err)
 	f := &config.Cluster{Name: "east-0", Listen: "127.0.0.1:0", VotingMembers: []string{"east-0"}, StoreFile: path}
 	if change != nil {
 		change(f)
 	}
-	l := &lived{t: t}
-	l.s, err = sharingOf(&config.File{Cluster: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l := &testInstance{t: t}
+	l.sharing, err = sharingOf(&config.File{Cluster: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
-	t.Cleanup(l.s.leave)
+	t.Cleanup(l.sharing.leave)
 	select {
-	case <-l.s.shared.Ready():
+	case <-l.sharing.shared.Ready():
 	case <-time.After(settleMost):
 		t.Fatal("the store does not come")
 	}
-	<-l.s.opened
+	<-l.sharing.opened
 	return l
 }
 
 // fills leaves in a store what an instance keeps of changes, contracts and subscriptions.
-func fills(t *testing.T, l *lived) {
+func fills(t *testing.T, l *testInstance) {
 	for _, name := range []string{othersRollout, "subscribers/one"} {
-		_, err := l.s.shared.Put(name, []byte("of the first fleet"))
+		_, err := l.sharing.shared.Put(name, []byte("of the first fleet"))
 		require.NoError(t, err)
 	}
 	ctx, stop := context.WithTimeout(t.Context(), settleMost)
 	defer stop()
-	require.NoError(t, l.s.shared.WaitPersisted(ctx))
-	st := &rolloutRunner{sharing: l.s, state: rolloutState{Running: &rollout.Change{Name: "c", Number: 7, Settings: map[string]string{"Classes.0.Aim": "5"}}}}
+	require.NoError(t, l.sharing.shared.WaitPersisted(ctx))
+	st := &rolloutRunner{sharing: l.sharing, state: rolloutState{Running: &rollout.Change{Name: "c", Number: 7, Settings: map[string]string{"Classes.0.Aim": "5"}}}}
 	require.NoError(t, st.save())
-	require.NoError(t, l.s.store.Put(ctx, zonesBucket, map[string][]byte{"policy": []byte("generation: 9")}, nil))
-	l.s.leave()
+	require.NoError(t, l.sharing.store.Put(ctx, residencyBucket, map[string][]byte{"policy": []byte("generation: 9")}, nil))
+	l.sharing.leave()
 }
 
 // believed is what an instance has of what fills left.
-func believed(l *lived) (all []string) {
+func believed(l *testInstance) (all []string) {
 	for _, name := range []string{othersRollout, "subscribers/one"} {
-		if _, there := l.s.shared.Get(name); there {
+		if _, there := l.sharing.shared.Get(name); there {
 			all = append(all, name)
 		}
 	}
-	st := &rolloutRunner{sharing: l.s}
+	st := &rolloutRunner{sharing: l.sharing}
 	st.load()
 	if st.runningChange() != nil {
 		all = append(all, "change")
 	}
-	if l.s.store != nil {
-		if _, found, _ := l.s.store.Get(zonesBucket, "policy"); found {
+	if l.sharing.store != nil {
+		if _, found, _ := l.sharing.store.Get(residencyBucket, "policy"); found {
 			all = append(all, "policy")
 		}
 	}
@@ -85,11 +85,11 @@
 	fills(t, ofCustomer(t, path, "acme", nil))
 	two := ofCustomer(t, path, "globex", nil)
 	require.Empty(t, believed(two))
-	two.s.leave()
-	require.Contains(t, two.text(), "msg=fleet_store")
-	require.Contains(t, two.text(), "Set `fleet.store` to a file of this cluster's own")
+	two.sharing.leave()
+	require.Contains(t, two.logText(), "msg=fleet_store")
+	require.Contains(t, two.logText(), "Set `fleet.store` to a file of this cluster's own")
 	one := ofCustomer(t, path, "acme", nil)
-	require.Equal(t, everything, believed(one), one.text())
+	require.Equal(t, everything, believed(one), one.logText())
 }
 
 // Two fleets of one customer are told apart by their names; a store from before anything was kept of whose it is counts as
@@ -101,11 +101,11 @@
 	fills(t, first)
 	two := ofCustomer(t, path, "acme", named("trial"))
 	require.Empty(t, believed(two))
-	two.s.leave()
+	two.sharing.leave()
 	yet := ofCustomer(t, path, "acme", nil)
-	require.Equal(t, everything, believed(yet), yet.text())
-	require.NoError(t, yet.s.store.Put(t.Context(), fleetBucket, nil, []string{whoseKey}))
-	yet.s.leave()
+	require.Equal(t, everything, believed(yet), yet.logText())
+	require.NoError(t, yet.sharing.store.Put(t.Context(), fleetBucket, nil, []string{whoseKey}))
+	yet.sharing.leave()
 	old := ofCustomer(t, path, "acme", named("trial"))
-	require.Equal(t, everything, believed(old), old.text())
+	require.Equal(t, everything, believed(old), old.logText())
 }
--- a/cmd/chalkring/plan_mismatch_test.go
+++ b/cmd/chalkring/plan_mismatch_test.go
@@ -17,7 +17,7 @@
 // A change is compared with the plan of the instance. A setting of a class or tenant that the plan does not have, or has
 // elsewhere, is rejected by name before the instance restarts.
 func TestChangeForAnotherPlan(t *testing.T) {
-	plan, err := plan.Parse([]byte(zonedPlan))
+	plan, err := plan.Parse([]byte(testPlan))
 	require.NoError(t, err)
 	for _, test := range []struct {
 		settings map[string]string
@@ -53,13 +53,13 @@
 // An installation's settings for a class that its plan does not have are rejected, both at the start and by check, where a
 // plan is among the files.
 func TestInstallationForAnotherPlan(t *testing.T) {
-	plan, err := plan.Parse([]byte(zonedPlan))
+	plan, err := plan.Parse([]byte(testPlan))
 	require.NoError(t, err)
 	dir := t.TempDir()
 	good, wrong, site := filepath.Join(dir, "good.yaml"), filepath.Join(dir, "wrong.yaml"), filepath.Join(dir, "plan.json")
 	require.NoError(t, os.WriteFile(good, []byte("settings:\n  Classes.0.Aim: 5\n"), 0o600))
 	require.NoError(t, os.WriteFile(wrong, []byte("settings:\n  Classes.7.Aim: 5\n"), 0o600))
-	require.NoError(t, os.WriteFile(site, []byte(zonedPlan), 0o600))
+	require.NoError(t, os.WriteFile(site, []byte(testPlan), 0o600))
 	for name, want := range map[string]string{good: "", wrong: "[2:18] settings.'Classes.7.Aim': the plan has 1 classes"} {
 		file, err := config.Read(name)
 		require.NoError(t, err)
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -17,38 +17,38 @@
 // ticksPerSecond converts to the times of package residency, tenths of a millisecond.
 const ticksPerSecond = 10_000
 
-// contracts keeps the residency policies of this process in force: it reads the operator's file, asks the other
+// residencyService keeps the residency policies of this process in force: it reads the operator's file, asks the other
 // instances which policies they have, and sends them those that they lack. It belongs to one goroutine.
-type contracts struct {
-	s     *sharing
-	site  residency.Site
-	clock func() int64 // wall time that never goes back
-
-	book  residency.PolicyRegistry
-	sum   uint64 // digest of the registry's policies
-	lease *residency.Lease
-
-	disk       *store.Store // nil until it is open and its policies are in the registry
-	saved      uint64       // newest generation that a kill cannot take away
-	savedSum   uint64       // digest of the policies on the disk
-	saving     bool
-	done       chan saveDone
-	nextRound  int64
-	lastSent   map[string]sentPolicies // by instance
-	isExpired  bool                    // the lease has expired, and that was logged
-	fileEvents chan hostfile.Event
-	messages   chan receivedMessage
+type residencyService struct {
+	sharing *sharing
+	site    residency.Site
+	clock   func() int64 // wall time that never goes back
+
+	registry residency.PolicyRegistry
+	digest   uint64 // digest of the registry's policies
+	lease    *residency.Lease
+
+	store            *store.Store // nil until it is open and its policies are in the registry
+	storedGeneration uint64       // newest generation that a kill cannot take away
+	storedDigest     uint64       // digest of the policies on the disk
+	saving           bool
+	saveResults      chan saveResult
+	nextRound        int64
+	lastSent         map[string]sentPolicies // by instance
+	isExpired        bool                    // the lease has expired, and that was logged
+	fileEvents       chan hostfile.Event
+	messages         chan receivedMessage
 }
 
-// contractsOf starts what the section fleet's residency turns on; nil where it names no file. A file that cannot be used
+// startResidency starts what the section fleet's residency turns on; nil where it names no file. A file that cannot be used
 // ends the start, since nobody could tell whom it would bind.
-func contractsOf(sitePlan *plan.Plan, s *sharing) (*coordinator.ResidencyGuard, error) {
+func startResidency(sitePlan *plan.Plan, s *sharing) (*coordinator.ResidencyGuard, error) {
 	if s == nil || s.file.ResidencyFile == "" {
 		return nil, nil
 	}
-	c := &contracts{
-		s: s, site: sitePlan.ResidencySite(), clock: newMonotonicWallClock(), isExpired: true, lastSent: map[string]sentPolicies{},
-		done: make(chan saveDone, 1), fileEvents: make(chan hostfile.Event), messages: make(chan receivedMessage, maxQueuedMessages),
+	c := &residencyService{
+		sharing: s, site: sitePlan.ResidencySite(), clock: newMonotonicWallClock(), isExpired: true, lastSent: map[string]sentPolicies{},
+		saveResults: make(chan saveResult, 1), fileEvents: make(chan hostfile.Event), messages: make(chan receivedMessage, maxQueuedMessages),
 	}
 	text, err := hostfile.ReadText(s.file.ResidencyFile)
 	if err != nil {
@@ -58,11 +58,11 @@
 	if err != nil {
 		return nil, err
 	}
-	stored := c.load()
+	stored := c.loadStored()
 	c.lease = residency.NewLease(s.file.Name, s.file.VotingMembers, stored)
-	c.tell(policy)
-	s.zones = coordinator.NewResidencyGuard(c.book.Compile(c.lease.ExpiresAt()), c.clock)
-	s.node.Handle(zonesTopic, c.receive)
+	c.addPolicy(policy)
+	s.zones = coordinator.NewResidencyGuard(c.registry.Compile(c.lease.ExpiresAt()), c.clock)
+	s.node.Handle(residencyTopic, c.receive)
 	s.work.Go(c.watchFile)
 	s.work.Go(c.run)
 	return s.zones, nil
@@ -75,33 +75,33 @@
 	return func() int64 { return base + int64(time.Since(start)/(100*time.Microsecond)) }
 }
 
-func (c *contracts) watchFile() {
-	watcher := &hostfile.Watcher{Paths: []string{c.s.file.ResidencyFile}, RawText: true, Notify: func(event hostfile.Event) {
+func (c *residencyService) watchFile() {
+	watcher := &hostfile.Watcher{Paths: []string{c.sharing.file.ResidencyFile}, RawText: true, Notify: func(event hostfile.Event) {
 		select {
 		case c.fileEvents <- event:
-		case <-c.s.ctx.Done():
+		case <-c.sharing.ctx.Done():
 		}
 	}}
-	watcher.Run(c.s.ctx)
+	watcher.Run(c.sharing.ctx)
 }
 
-func (c *contracts) run() {
-	c.save()
+func (c *residencyService) run() {
+	c.savePolicies()
 	c.beginRound()
 	for {
 		select {
-		case <-c.s.ctx.Done():
+		case <-c.sharing.ctx.Done():
 			return
 		case event := <-c.fileEvents:
 			c.handleFile(event)
 		case message := <-c.messages:
 			c.handleMessage(message.from, message.content)
-		case result := <-c.done:
+		case result := <-c.saveResults:
 			c.handleSaved(result)
 		case <-time.After(c.timeToNextDeadline()):
 			c.checkLeaseExpiry()
 			if c.clock() >= c.nextRound {
-				c.save()
+				c.savePolicies()
 				c.beginRound()
 			}
 		}
@@ -109,7 +109,7 @@
 }
 
 // timeToNextDeadline returns how long it is until the next round or the lease's end.
-func (c *contracts) timeToNextDeadline() time.Duration {
+func (c *residencyService) timeToNextDeadline() time.Duration {
 	now := c.clock()
 	ticks := max(1, c.nextRound-now)
 	if !c.isExpired {
@@ -118,54 +118,54 @@
 	return time.Duration(ticks) * 100 * time.Microsecond
 }
 
-func (c *contracts) handleFile(event hostfile.Event) {
+func (c *residencyService) handleFile(event hostfile.Event) {
 	policy, err := (*residency.Policy)(nil), event.Err
 	if err == nil {
 		policy, err = residency.ParsePolicy(event.Path, event.Text, c.site)
 	}
 	if err != nil {
-		c.s.log.Warn("residency_file_invalid", advice.LogAttrs(err, "path", event.Path, "in_force", c.book.NewestGeneration())...)
+		c.sharing.log.Warn("residency_file_invalid", advice.LogAttrs(err, "path", event.Path, "in_force", c.registry.NewestGeneration())...)
 		return
 	}
 	c.enforce(policy)
 }
 
-// tell adds a policy to the registry, logs what that changes, and reports whether it changes anything.
-func (c *contracts) tell(policy *residency.Policy) (changed bool) {
-	previous := c.book.NewestGeneration()
-	changed, err := c.book.AddPolicy(policy)
+// addPolicy adds a policy to the registry, logs what that changes, and reports whether it changes anything.
+func (c *residencyService) addPolicy(policy *residency.Policy) (changed bool) {
+	previous := c.registry.NewestGeneration()
+	changed, err := c.registry.AddPolicy(policy)
 	if err != nil {
-		c.s.log.Warn("residency_policy_rejected", advice.LogAttrs(err, "added", changed)...)
+		c.sharing.log.Warn("residency_policy_rejected", advice.LogAttrs(err, "added", changed)...)
 	}
 	if !changed {
 		return false
 	}
-	c.sum = policiesDigest(c.book.Policies())
-	c.s.log.Info("residency_policy_added", "source", policy.Source, "generation", policy.Generation, "companion", policy.CompanionGeneration,
+	c.digest = policiesDigest(c.registry.Policies())
+	c.sharing.log.Info("residency_policy_added", "source", policy.Source, "generation", policy.Generation, "companion", policy.CompanionGeneration,
 		"contracts", len(policy.Contracts), "previous_newest", previous)
-	if missing := c.book.MissingPolicy(); missing != nil {
-		c.s.log.Warn("residency_policy_missing", advice.LogAttrs(missing)...)
+	if missing := c.registry.MissingPolicy(); missing != nil {
+		c.sharing.log.Warn("residency_policy_missing", advice.LogAttrs(missing)...)
 	}
 	return true
 }
 
 // enforce puts a policy in force: first here, then on the disk, then in the acknowledgements to other instances.
-func (c *contracts) enforce(policy *residency.Policy) {
-	if c.tell(policy) {
-		c.s.zones.SetPolicy(c.book.Compile(c.lease.ExpiresAt()))
-		c.save()
+func (c *residencyService) enforce(policy *residency.Policy) {
+	if c.addPolicy(policy) {
+		c.sharing.zones.SetPolicy(c.registry.Compile(c.lease.ExpiresAt()))
+		c.savePolicies()
 		c.beginRound()
 	}
 }
 
-// holds reports whether the stored data of a tenant's searches may be in a zone: written there, or sent to an instance in
+// allowsTenantData reports whether the stored data of a tenant's searches may be in a zone: written there, or sent to an instance in
 // it. Counts and digests are not such data. Without policies it may be anywhere.
-func (s *sharing) holds(tenant, zone string) bool {
+func (s *sharing) allowsTenantData(tenant, zone string) bool {
 	return s.zones == nil || s.zones.MayStoreInZone(tenant, zone)
 }
 
-// checkContracts checks a policy file, and against a plan's tenants, zones and blocks where a plan is given.
-func checkContracts(path string, text []byte, sitePlan *plan.Plan) (summary string, err error) {
+// checkPolicyFile checks a policy file, and against a plan's tenants, zones and blocks where a plan is given.
+func checkPolicyFile(path string, text []byte, sitePlan *plan.Plan) (summary string, err error) {
 	site := residency.Site{}
 	if sitePlan != nil {
 		site = sitePlan.ResidencySite()
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -20,10 +20,10 @@
 	"chalkring/internal/clustertest"
 )
 
-// contractsWait limits how long a test waits for something to happen. No verdict depends on anything happening sooner.
-const contractsWait = 20 * time.Second
+// testTimeout limits how long a test waits for something to happen. No verdict depends on anything happening sooner.
+const testTimeout = 20 * time.Second
 
-const zonedPlan = `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const testPlan = `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":64},"known":{"version":1,"full":true,"servers":[
 {"id":"a","addr":"127.0.0.1:2","zone":"east","kind":"std","cell":0,"state":"up"},
 {"id":"b","addr":"127.0.0.1:3","zone":"west","kind":"std","cell":1,"state":"up"},
@@ -35,36 +35,36 @@
 "Permissions":{"MaxAttempts":3,"ConnIdle":15000.0,"DialTimeout":250.0,"StreamsPerConn":32,"SecondCopies":true,"Cancelling":true},
 "Safety":{}}}`
 
-const contractsOne = "generation: 1\nlease: 2s\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [east, west]}\n"
+const loosePolicy = "generation: 1\nlease: 2s\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [east, west]}\n"
 
-var contractsTwo = strings.NewReplacer("generation: 1", "generation: 2", "[east, west]", "[east]").Replace(contractsOne)
+var strictPolicy = strings.NewReplacer("generation: 1", "generation: 2", "[east, west]", "[east]").Replace(loosePolicy)
 
-// lived is one instance from its start to its end.
-type lived struct {
-	t   *testing.T
-	s   *sharing
-	in  *coordinator.ResidencyGuard
-	dir string
-	mu  sync.Mutex
-	log bytes.Buffer
+// testInstance is one instance from its start to its end.
+type testInstance struct {
+	t       *testing.T
+	sharing *sharing
+	guard   *coordinator.ResidencyGuard
+	dir     string
+	mu      sync.Mutex
+	log     bytes.Buffer
 }
 
-func (l *lived) Write(p []byte) (int, error) {
+func (l *testInstance) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.log.Write(p)
 }
 
-func (l *lived) text() string {
+func (l *testInstance) logText() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.log.String()
 }
 
-func live(t *testing.T, dir, name string, addrs map[string]string, stored bool) *lived {
-	sitePlan, err := plan.Parse([]byte(zonedPlan))
+func startInstance(t *testing.T, dir, name string, addrs map[string]string, stored bool) *testInstance {
+	sitePlan, err := plan.Parse([]byte(testPlan))
 	require.NoError(t, err)
-	l := &lived{t: t, dir: dir}
+	l := &testInstance{t: t, dir: dir}
 	f := &config.Cluster{Name: name, Listen: addrs[name], ResidencyFile: filepath.Join(dir, "contracts.yaml")}
 	for other, addr := range addrs {
 		f.VotingMembers, f.Join = append(f.VotingMembers, other), append(f.Join, addr)
@@ -73,29 +73,29 @@
 		f.StoreFile = filepath.Join(dir, "kept.db")
 	}
 	if _, err := os.Stat(f.ResidencyFile); err != nil {
-		l.file(contractsOne)
+		l.writePolicy(loosePolicy)
 	}
-	l.s, err = sharingOf(&config.File{Cluster: f}, sitePlan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l.sharing, err = sharingOf(&config.File{Cluster: f}, sitePlan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
-	l.in, err = contractsOf(sitePlan, l.s)
+	l.guard, err = startResidency(sitePlan, l.sharing)
 	require.NoError(t, err)
-	t.Cleanup(l.s.leave)
+	t.Cleanup(l.sharing.leave)
 	return l
 }
 
-func (l *lived) file(text string) {
+func (l *testInstance) writePolicy(text string) {
 	require.NoError(l.t, os.WriteFile(filepath.Join(l.dir, "contracts.yaml"), []byte(text), 0o600))
 }
 
-// may reports whether acme's shard requests may run in a zone now.
-func (l *lived) may(zone string) bool {
-	in, now := l.in.Policy(), time.Now().UnixMicro()/100
+// allows reports whether acme's shard requests allows run in a zone now.
+func (l *testInstance) allows(zone string) bool {
+	in, now := l.guard.Policy(), time.Now().UnixMicro()/100
 	r := in.RuleFor(now, "acme", "lookup", 0)
 	return r.AllowsZone(in.ZoneIndex(zone))
 }
 
-func (l *lived) eventually(why string, ok func() bool) {
-	require.Eventually(l.t, ok, contractsWait, 5*time.Millisecond, "%s\n%s", why, l.text())
+func (l *testInstance) eventually(why string, ok func() bool) {
+	require.Eventually(l.t, ok, testTimeout, 5*time.Millisecond, "%s\n%s", why, l.logText())
 }
 
 func freeAddrs(t *testing.T, names ...string) map[string]string {
@@ -115,56 +115,56 @@
 func TestPoliciesReachAllInstances(t *testing.T) {
 	addrs := freeAddrs(t, "a", "b", "c")
 	dirs := map[string]string{"a": t.TempDir(), "b": t.TempDir(), "c": t.TempDir()}
-	a, b, c := live(t, dirs["a"], "a", addrs, true), live(t, dirs["b"], "b", addrs, true), live(t, dirs["c"], "c", addrs, false)
-	all := []*lived{a, b, c}
+	a, b, c := startInstance(t, dirs["a"], "a", addrs, true), startInstance(t, dirs["b"], "b", addrs, true), startInstance(t, dirs["c"], "c", addrs, false)
+	all := []*testInstance{a, b, c}
 	for _, l := range all {
-		l.eventually("first lease", func() bool { return l.may("west") })
+		l.eventually("first lease", func() bool { return l.allows("west") })
 	}
-	a.file("generation: 7\ncontracts: [") // half-written
-	a.eventually("the file is rejected", func() bool { return strings.Contains(a.text(), "residency_file_invalid") })
-	a.file(contractsTwo)
+	a.writePolicy("generation: 7\ncontracts: [") // half-written
+	a.eventually("the file is rejected", func() bool { return strings.Contains(a.logText(), "residency_file_invalid") })
+	a.writePolicy(strictPolicy)
 	for _, l := range all {
-		l.eventually("the stricter policy", func() bool { return !l.may("west") && l.may("east") })
+		l.eventually("the stricter policy", func() bool { return !l.allows("west") && l.allows("east") })
 	}
-	a.eventually("a majority has it", func() bool { return strings.Contains(a.text(), "residency_majority_reached generation=2") })
-	c.file(contractsTwo + "- {block: 0, zones: [west]}\n")
+	a.eventually("a majority has it", func() bool { return strings.Contains(a.logText(), "residency_majority_reached generation=2") })
+	c.writePolicy(strictPolicy + "- {block: 0, zones: [west]}\n")
 	for _, l := range all {
-		l.eventually("the stricter of both", func() bool { return !l.may("west") && !l.may("east") && l.in.Policy().Generation == 2 })
-		l.eventually("the conflict is logged", func() bool { return strings.Contains(l.text(), "with other words") })
+		l.eventually("the stricter of both", func() bool { return !l.allows("west") && !l.allows("east") && l.guard.Policy().Generation == 2 })
+		l.eventually("the conflict is logged", func() bool { return strings.Contains(l.logText(), "with other words") })
 	}
-	b.file(strings.Replace(contractsTwo, "generation: 2", "generation: 3", 1))
+	b.writePolicy(strings.Replace(strictPolicy, "generation: 2", "generation: 3", 1))
 	for _, l := range all {
-		l.eventually("one policy again", func() bool { return l.may("east") && l.in.Policy().Generation == 3 })
+		l.eventually("one policy again", func() bool { return l.allows("east") && l.guard.Policy().Generation == 3 })
 	}
-	require.True(t, a.s.holds("acme", "east"))
-	require.False(t, a.s.holds("acme", "west"))
-	require.True(t, a.s.holds("else", "west"))
-	b.s.leave()
-	c.s.leave()
-	a.eventually("rejects", func() bool { return !a.may("east") })
-	a.eventually("the expiry is logged", func() bool { return strings.Contains(a.text(), "residency_lease_expired") })
-	a.s.leave()
-	a.file(contractsOne) // an old file is put back
-	a = live(t, dirs["a"], "a", addrs, true)
-	require.EqualValues(t, 3, a.in.Policy().Generation)
-	require.Contains(t, a.text(), "residency_policy_rejected")
-	require.False(t, a.may("east"), "it reaches nobody")
-	live(t, dirs["b"], "b", addrs, true)
-	a.eventually("back", func() bool { return a.may("east") && !a.may("west") })
+	require.True(t, a.sharing.allowsTenantData("acme", "east"))
+	require.False(t, a.sharing.allowsTenantData("acme", "west"))
+	require.True(t, a.sharing.allowsTenantData("else", "west"))
+	b.sharing.leave()
+	c.sharing.leave()
+	a.eventually("rejects", func() bool { return !a.allows("east") })
+	a.eventually("the expiry is logged", func() bool { return strings.Contains(a.logText(), "residency_lease_expired") })
+	a.sharing.leave()
+	a.writePolicy(loosePolicy) // an old file is put back
+	a = startInstance(t, dirs["a"], "a", addrs, true)
+	require.EqualValues(t, 3, a.guard.Policy().Generation)
+	require.Contains(t, a.logText(), "residency_policy_rejected")
+	require.False(t, a.allows("east"), "it reaches nobody")
+	startInstance(t, dirs["b"], "b", addrs, true)
+	a.eventually("back", func() bool { return a.allows("east") && !a.allows("west") })
 }
 
 func TestCheckPolicyFile(t *testing.T) {
-	sitePlan, err := plan.Parse([]byte(zonedPlan))
+	sitePlan, err := plan.Parse([]byte(testPlan))
 	require.NoError(t, err)
-	summary, err := checkContracts("contracts", []byte(contractsOne), sitePlan)
+	summary, err := checkPolicyFile("contracts", []byte(loosePolicy), sitePlan)
 	require.NoError(t, err)
 	require.Equal(t, "can be used, 1 contracts", summary)
-	_, err = checkContracts("contracts", []byte(contractsTwo), sitePlan)
+	_, err = checkPolicyFile("contracts", []byte(strictPolicy), sitePlan)
 	var unreachable *residency.UnreachableBlocksError
 	require.ErrorAs(t, err, &unreachable)
 	require.Equal(t, "contracts: [5:12] tenant acme could not reach blocks 1, 3: its searches there are refused", unreachable.Error())
 	dir := t.TempDir()
-	for name, text := range map[string]string{"plan.json": zonedPlan, "contracts.yaml": contractsOne} {
+	for name, text := range map[string]string{"plan.json": testPlan, "contracts.yaml": loosePolicy} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
 	require.NoError(t, (&checkFilesCommand{Files: []string{filepath.Join(dir, "plan.json"), filepath.Join(dir, "contracts.yaml")}}).Run())
--- a/cmd/chalkring/serve.go
+++ b/cmd/chalkring/serve.go
@@ -149,10 +149,10 @@
 			return err
 		}
 	}
-	if s.options.Residency, err = contractsOf(s.plan, shared); err != nil {
+	if s.options.Residency, err = startResidency(s.plan, shared); err != nil {
 		return err
 	}
-	gateway, err := gatewayOf(shared)
+	gateway, err := newGatewayFrontends(shared)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/chalkring/store_of_earlier_process_test.go
+++ b/cmd/chalkring/store_of_earlier_process_test.go
@@ -20,25 +20,25 @@
 	held, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	const policy = "00000000000000000002-0"
-	require.NoError(t, held.Put(t.Context(), zonesBucket, map[string][]byte{policy: []byte(contractsTwo)}, nil))
-	a := live(t, dir, "a", addrs, true) // waits for the store as long as any start
-	runner := &rolloutRunner{sharing: a.s}
+	require.NoError(t, held.Put(t.Context(), residencyBucket, map[string][]byte{policy: []byte(strictPolicy)}, nil))
+	a := startInstance(t, dir, "a", addrs, true) // waits for the store as long as any start
+	runner := &rolloutRunner{sharing: a.sharing}
 	runner.load()
-	require.Contains(t, a.text(), "is held by another process")
+	require.Contains(t, a.logText(), "is held by another process")
 	require.NoError(t, held.Close(t.Context()))
 	select {
-	case <-a.s.opened:
-	case <-time.After(contractsWait):
+	case <-a.sharing.opened:
+	case <-time.After(testTimeout):
 		t.Fatal("the store is not opened")
 	}
-	require.NotNil(t, a.s.store)
-	a.eventually("the stored policy is in force", func() bool { return a.may("east") && !a.may("west") && a.in.Policy().Generation == 2 })
-	_, found, err := a.s.store.Get(zonesBucket, policy)
+	require.NotNil(t, a.sharing.store)
+	a.eventually("the stored policy is in force", func() bool { return a.allows("east") && !a.allows("west") && a.guard.Policy().Generation == 2 })
+	_, found, err := a.sharing.store.Get(residencyBucket, policy)
 	require.NoError(t, err)
-	require.True(t, found, a.text())
+	require.True(t, found, a.logText())
 	runner.state.Running = &rollout.Change{Number: 1}
 	require.Error(t, runner.save(), "the stored state is unknown")
-	_, found, err = a.s.store.Get(rolloutBucket, stateKey)
+	_, found, err = a.sharing.store.Get(rolloutBucket, stateKey)
 	require.NoError(t, err)
 	require.False(t, found)
 }
--- a/cmd/chalkring/subscribers.go
+++ b/cmd/chalkring/subscribers.go
@@ -28,8 +28,8 @@
 	return "Name the region under `fleet.region`: subscriptions are attached to regions."
 }
 
-// gatewayOf returns the fan-out gateway that the section fleet turns on, none where it names no file of subscribers.
-func gatewayOf(s *sharing) ([]coordinator.Frontend, error) {
+// newGatewayFrontends returns the fan-out gateway that the section fleet turns on, none where it names no file of subscribers.
+func newGatewayFrontends(s *sharing) ([]coordinator.Frontend, error) {
 	if s == nil || s.file.SubscribersFile == "" {
 		return nil, nil
 	}
@@ -81,7 +81,7 @@
 	if s.zones == nil {
 		return subscribers.PlacementRules{}
 	}
-	return subscribers.PlacementRules{Generation: s.zones.Policy().Generation, AllowsTenantData: s.holds}
+	return subscribers.PlacementRules{Generation: s.zones.Policy().Generation, AllowsTenantData: s.allowsTenantData}
 }
 
 // replicationBytes returns the bytes that the replicated store holds, and those sent to replicate it.
--- a/coordinator/endpoint_sources_test.go
+++ b/coordinator/endpoint_sources_test.go
@@ -140,7 +140,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
-		_ = (&hostfile.Watcher{Paths: []string{path}, Notify: func(e hostfile.Event) {
+		(&hostfile.Watcher{Paths: []string{path}, Notify: func(e hostfile.Event) {
 			if e.Err == nil {
 				select {
 				case lists <- e.Update:
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -136,7 +136,7 @@
 	} {
 		exchange(t, &out, r.addr, x[0], x[1])
 	}
-	golden.RequireForms(t, "client_errors.golden", out.String())
+	golden.Require(t, "client_errors.golden", out.String())
 	r.shutDown()
 }
 
@@ -257,7 +257,7 @@
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
 	r.runInLoop(func(loop *eventLoop) { require.Nil(t, loop.searches.byID[id]) })
-	golden.RequireForms(t, "client_responses.golden", out.String())
+	golden.Require(t, "client_responses.golden", out.String())
 	r.shutDown()
 }
 
@@ -272,7 +272,7 @@
 		status, body := residencyRefusalBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
 		fmt.Fprintf(&out, "== body\n< %d %q\n", status, body)
 	}
-	golden.RequireForms(t, "contract_errors.golden", out.String())
+	golden.Require(t, "contract_errors.golden", out.String())
 	z.shutDown()
 }
 
@@ -297,7 +297,7 @@
 		}
 		fmt.Fprintln(&out, strings.Join(lines, "\n"))
 	}
-	golden.RequireForms(t, "metrics_response.golden", out.String())
+	golden.Require(t, "metrics_response.golden", out.String())
 	watching.shutDown()
 	z.shutDown()
 }
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -31,7 +31,7 @@
 	zoned := startZoned(t, eastOnly)
 	text += "residency\n" + metricsWithoutValues(t, zoned.rig)
 	zoned.shutDown()
-	golden.RequireForms(t, "metrics.golden", text)
+	golden.Require(t, "metrics.golden", text)
 }
 
 // eventKeys are the events of a log with the keys beside them, each once, in alphabetical order; values are left out.
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -76,7 +76,7 @@
 	r.runInLoop(func(loop *eventLoop) { loop.FailSearch(ids[0]) })
 	c.readAnswer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
-	golden.RequireForms(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
+	golden.Require(t, "replica_connection.golden", fmt.Sprintf("%q\n", text))
 	r.shutDown()
 }
 
@@ -153,7 +153,7 @@
 	for _, text := range requests[:4] {
 		fmt.Fprintf(&out, "%q\n", text)
 	}
-	golden.RequireForms(t, "discovery_requests.golden", out.String())
+	golden.Require(t, "discovery_requests.golden", out.String())
 	r.shutDown()
 }
 
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -108,7 +108,7 @@
 		golden.Write(t, goldenStore, text)
 	}
 	path := filepath.Join(t.TempDir(), "kept.db")
-	require.NoError(t, os.WriteFile(path, text, 0o600))
+	require.NoError(t, os.WriteFile(path, golden.Read(t, goldenStore), 0o600))
 	persistence := openGoldenKeep(t, path)
 	require.Empty(t, persistence.restored.Discarded)
 	require.NotNil(t, persistence.restored.Update)
