--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -109,11 +109,11 @@
 	require.Equal(t, membership.NewIdentity("live", []string{"acme"}), identity)
 	s := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 	require.NoError(t, s.store.Put(t.Context(), "fleet", map[string][]byte{"whose": want}, nil))
-	s.whose = identity
-	require.NoError(t, s.mine(s.store))
-	s.whose = membership.NewIdentity("trial", []string{"acme"})
+	s.identity = identity
+	require.NoError(t, s.checkIdentity(s.store))
+	s.identity = membership.NewIdentity("trial", []string{"acme"})
 	var others *membership.ForeignStoreError
-	require.ErrorAs(t, s.mine(s.store), &others)
+	require.ErrorAs(t, s.checkIdentity(s.store), &others)
 	require.Equal(t, identity, others.Theirs)
 }
 
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -103,7 +103,7 @@
 	two.s.leave()
 	yet := ofCustomer(t, path, "acme", nil)
 	require.Equal(t, everything, believed(yet), yet.text())
-	require.NoError(t, yet.s.store.Put(t.Context(), fleetBucket, nil, []string{whoseKey}))
+	require.NoError(t, yet.s.store.Put(t.Context(), clusterBucket, nil, []string{identityKey}))
 	yet.s.leave()
 	old := ofCustomer(t, path, "acme", named("trial"))
 	require.Equal(t, everything, believed(old), old.text())
