--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -43,7 +43,7 @@
 		fmt.Fprintf(os.Stderr, "no host of these files that is up holds block set %d\n", blockSet)
 	}
 	if failed {
-		return exitCode(1)
+		return exitError(1)
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 	}}
 	go func() {
 		defer close(updates)
-		watcher.Run(ctx)
+		_ = watcher.Run(ctx) // returns when ctx ends, with its error
 	}()
 	return updates
 }
--- a/cmd/chalkring/installation.go
+++ b/cmd/chalkring/installation.go
@@ -20,7 +20,7 @@
 	var minLevel slog.Level
 	_ = minLevel.UnmarshalText([]byte(logging.Level)) // config.Read accepts only levels that it knows
 	if logging.Format == "terminal" {
-		return slog.New(tint.NewHandler(writer, &tint.Options{Level: minLevel, TimeFormat: time.TimeOnly + ".000"}))
+		return slog.New(tint.NewTextHandler(writer, &tint.Options{Level: minLevel, TimeFormat: time.TimeOnly + ".000"}))
 	}
 	return coordinator.NewLogger(writer, logging.Format == "json", minLevel)
 }
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -27,7 +27,7 @@
 	parsed := kong.Parse(&commandLine{}, kong.Name("chalkring"),
 		kong.Description("A co-ordinator that reads many shards for one search."), kong.UsageOnError(), kong.Bind(hangUps))
 	err := parsed.Run()
-	var code exitCode
+	var code exitError
 	switch {
 	case errors.As(err, &code):
 		os.Exit(int(code))
@@ -37,7 +37,7 @@
 	}
 }
 
-// exitCode ends the program with this code. It is returned by a command that has reported its failure already.
-type exitCode int
+// exitError ends the program with its value as exit code and prints nothing: the command has reported its failure already.
+type exitError int
 
-func (e exitCode) Error() string { return fmt.Sprint("exit code ", int(e)) }
+func (e exitError) Error() string { return fmt.Sprint("exit code ", int(e)) }
--- a/cmd/chalkring/peers.go
+++ b/cmd/chalkring/peers.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"strings"
@@ -35,8 +34,8 @@
 	if err != nil {
 		return err
 	}
-	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "PEER\tADDRESS\tPLACE\tUP\tLIST\tHOSTS\tTOLD\tPUT OFF\tLOAD\tJOBS\tHELD\tITS PEERS")
+	var rows strings.Builder
+	fmt.Fprintln(&rows, "PEER\tADDRESS\tPLACE\tUP\tLIST\tHOSTS\tTOLD\tPUT OFF\tLOAD\tJOBS\tHELD\tITS PEERS")
 	unreachable := 0
 	for _, target := range file.Peers.PollTargets {
 		client := peerprotocol.Client{
@@ -46,19 +45,19 @@
 		status, err := client.FetchStatus(context.Background())
 		if err != nil {
 			unreachable++
-			fmt.Fprintf(table, "%s\t%s\t%v\n", target.Name, target.Address, err)
+			fmt.Fprintf(&rows, "%s\t%s\t%v\n", target.Name, target.Address, err)
 			continue
 		}
-		printPeer(table, target.Name, target.Address, status)
+		rows.WriteString(peerRow(target.Name, target.Address, status))
 	}
-	_ = table.Flush() // as with fmt.Print, output that nobody reads is no failure
+	printTable(rows.String())
 	if unreachable > 0 {
-		return exitCode(1)
+		return exitError(1)
 	}
 	return nil
 }
 
-func printPeer(table io.Writer, name, address string, status peerprotocol.Status) {
+func peerRow(name, address string, status peerprotocol.Status) string {
 	var peers []string
 	for _, peer := range status.Peers {
 		outcome := peer.LastOutcome
@@ -68,7 +67,15 @@
 		peers = append(peers, peer.Name+":"+outcome)
 	}
 	uptime := (time.Duration(status.UptimeMs) * time.Millisecond).Round(time.Second)
-	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d%%\t%d+%d\t%d\t%s\n", name, address, status.Locality,
+	return fmt.Sprintf("%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d%%\t%d+%d\t%d\t%s\n", name, address, status.Locality,
 		uptime, status.ListVersion, status.HostCount, status.ReportsServed, status.ReportsDeferred,
 		status.LoadPermille/10, status.RunningJobs, status.WaitingJobs, status.HeldJobs, strings.Join(peers, " "))
 }
+
+// printTable aligns the columns of rows, which are separated by tabs. Output that nobody reads is no failure, as with
+// fmt.Print.
+func printTable(rows string) {
+	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	_, _ = table.Write([]byte(rows))
+	_ = table.Flush()
+}
--- a/cmd/chalkring/search.go
+++ b/cmd/chalkring/search.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return exitCode(1)
+		return exitError(1)
 	}
 	return nil
 }
