--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -88,7 +88,7 @@
 	}}
 	go func() {
 		defer close(updates)
-		_ = watcher.Run(ctx) // returns when ctx ends, with its error
+		watcher.Run(ctx)
 	}()
 	return updates
 }
