--- a/cmd/chalkring/check.go
+++ b/cmd/chalkring/check.go
@@ -39,7 +39,7 @@
 		fmt.Println(name+":", result)
 	}
 	if failed {
-		return exitError(1)
+		return exitCodeError(1)
 	}
 	return nil
 }
--- a/cmd/chalkring/hosts.go
+++ b/cmd/chalkring/hosts.go
@@ -43,7 +43,7 @@
 		fmt.Fprintf(os.Stderr, "no host of these files that is up holds block set %d\n", blockSet)
 	}
 	if failed {
-		return exitError(1)
+		return exitCodeError(1)
 	}
 	return nil
 }
--- a/cmd/chalkring/keeper.go
+++ b/cmd/chalkring/keeper.go
@@ -228,7 +228,7 @@
 			}
 			var code *exec.ExitError
 			if ctx.Err() != nil && errors.As(e.err, &code) && code.ExitCode() > 0 {
-				e.err = exitError(code.ExitCode())
+				e.err = exitCodeError(code.ExitCode())
 			}
 			return e
 		}
--- a/cmd/chalkring/main.go
+++ b/cmd/chalkring/main.go
@@ -27,7 +27,7 @@
 	parsed := kong.Parse(&commandLine{}, kong.Name("chalkring"),
 		kong.Description("A co-ordinator that reads many shards for one search."), kong.UsageOnError(), kong.Bind(hangUps))
 	err := parsed.Run()
-	var code exitError
+	var code exitCodeError
 	switch {
 	case errors.As(err, &code):
 		os.Exit(int(code))
@@ -37,7 +37,7 @@
 	}
 }
 
-// exitError ends the program with its value as exit code and prints nothing: the command has reported its failure already.
-type exitError int
+// exitCodeError ends the program with its value as exit code and prints nothing: the command has reported its failure already.
+type exitCodeError int
 
-func (e exitError) Error() string { return fmt.Sprint("exit code ", int(e)) }
+func (e exitCodeError) Error() string { return fmt.Sprint("exit code ", int(e)) }
--- a/cmd/chalkring/peers.go
+++ b/cmd/chalkring/peers.go
@@ -52,7 +52,7 @@
 	}
 	printTable(rows.String())
 	if unreachable > 0 {
-		return exitError(1)
+		return exitCodeError(1)
 	}
 	return nil
 }
--- a/cmd/chalkring/search.go
+++ b/cmd/chalkring/search.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return exitError(1)
+		return exitCodeError(1)
 	}
 	return nil
 }
--- a/cmd/chalkring/serve.go
+++ b/cmd/chalkring/serve.go
@@ -42,7 +42,7 @@
 	}
 	if err := s.plan.ServeSharded(ctx, s.options, s.eventLoops); err != nil {
 		s.log.Error("failed", "error", err)
-		return exitError(1)
+		return exitCodeError(1)
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 		return nil
 	}
 	s.log.Error("no_start", advice.LogAttrs(err)...)
-	return exitError(1)
+	return exitCodeError(1)
 }
 
 // prepare reads the plan and the installation file, which may be empty, and opens what the latter turns on.
