--- a/cmd/chalkring/golden_cli_test.go
+++ b/cmd/chalkring/golden_cli_test.go
@@ -138,7 +138,7 @@
 		"hosts_one_set.yaml":    "hosts:\n  - {id: a, address: '127.0.0.1:1', zone: east, kind: std, cell: 0}\n",
 		"hosts_zone.yaml":       "hosts:\n  - {id: z, address: '127.0.0.1:9', zone: north, kind: std, cell: 0}\n",
 		"hosts_checksum.yaml":   "# xxh64: 0000000000000000\nhosts: []\n",
-		"hosts_unknown_key.yml": "hosts:\n  - id: a\n    adress: x\n",
+		"hosts_unknown_key.yml": "hosts:\n  - id: a\n    adress: x\n", //nolint:misspell // an unknown key is the case
 	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
--- a/cmd/chalkring/search.go
+++ b/cmd/chalkring/search.go
@@ -10,11 +10,11 @@
 	"os"
 	"strconv"
 	"strings"
-	"text/tabwriter"
 	"time"
 )
 
-// searchCommand sends one searchCommand: to the OpenSearch-style front with an index, or to the own one with a type and blocks.
+// searchCommand sends one search, either to an OpenSearch-style frontend with an index, or to the program's own search
+// API with a type and blocks.
 type searchCommand struct {
 	Address string        `required:"" help:"Host and port of a front." placeholder:"HOST:PORT"`
 	Index   string        `help:"Index, on the OpenSearch-style front." xor:"kind" placeholder:"NAME"`
@@ -28,159 +28,104 @@
 	JSON    bool          `help:"Show what came as it is."`
 }
 
-const answerMost = 16 << 20 // bytes of an answer that are read
+const maxBodyBytes = 16 << 20 // of a request that is read from standard input, or of a response
 
-func (s *searchCommand) Run() error {
-	if (s.Index == "") == (s.Type == "") {
+// Run sends the search and prints its result. The exit code is 1 unless the response's status is 200.
+func (c *searchCommand) Run() error {
+	if (c.Index == "") == (c.Type == "") {
 		return fmt.Errorf("either --index (OpenSearch-style front) or --type (own front) is needed")
 	}
-	text, err := s.body()
+	body, err := c.body()
 	if err != nil {
 		return err
 	}
-	req, err := s.request(text)
+	request, err := c.request(body)
 	if err != nil {
 		return err
 	}
-	client := http.Client{Timeout: s.Wait + time.Second}
-	began := time.Now()
-	res, err := client.Do(req)
+	client := http.Client{Timeout: c.Wait + time.Second}
+	sentAt := time.Now()
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer res.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(res.Body, answerMost))
+	defer response.Body.Close()
+	result, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
-	if s.JSON {
-		os.Stdout.Write(append(bytes.TrimSpace(got), '\n'))
-	} else if err = s.show(res, got, time.Since(began)); err != nil {
+	if c.JSON {
+		fmt.Println(string(bytes.TrimSpace(result)))
+	} else if err := c.print(response, result, time.Since(sentAt)); err != nil {
 		return err
 	}
-	if res.StatusCode != http.StatusOK {
+	if response.StatusCode != http.StatusOK {
 		return exitCodeError(1)
 	}
 	return nil
 }
 
-// body is the search's text, with the size in it where the query is given by itself.
-func (s *searchCommand) body() ([]byte, error) {
+// body returns the request's body. The size is added to a query that is given by itself.
+func (c *searchCommand) body() ([]byte, error) {
 	switch {
-	case s.File == "-":
-		return io.ReadAll(io.LimitReader(os.Stdin, answerMost))
-	case s.File != "":
-		return os.ReadFile(s.File)
-	}
-	body := map[string]any{"size": s.Size}
-	if s.Query != "" {
-		var q any
-		if err := json.Unmarshal([]byte(s.Query), &q); err != nil {
+	case c.File == "-":
+		return io.ReadAll(io.LimitReader(os.Stdin, maxBodyBytes))
+	case c.File != "":
+		return os.ReadFile(c.File)
+	}
+	body := map[string]any{"size": c.Size}
+	if c.Query != "" {
+		var query any
+		if err := json.Unmarshal([]byte(c.Query), &query); err != nil {
 			return nil, fmt.Errorf("--query: %w", err)
 		}
-		body["query"] = q
+		body["query"] = query
 	}
 	return json.Marshal(body)
 }
 
-func (s *searchCommand) request(text []byte) (*http.Request, error) {
-	if s.Index != "" {
-		url := fmt.Sprintf("http://%s/%s/_search?cancel_after_time_interval=%dms", s.Address, s.Index, s.Wait.Milliseconds())
-		if len(s.Blocks) > 0 {
-			url += "&preference=_shards:" + strings.Trim(strings.ReplaceAll(fmt.Sprint(s.Blocks), " ", ","), "[]")
-		}
-		return http.NewRequest(http.MethodPost, url, bytes.NewReader(text))
+func (c *searchCommand) request(body []byte) (*http.Request, error) {
+	if c.Index != "" {
+		return c.openSearchRequest(body)
+	}
+	return c.apiRequest(body)
+}
+
+func (c *searchCommand) openSearchRequest(body []byte) (*http.Request, error) {
+	url := fmt.Sprintf("http://%s/%s/_search?cancel_after_time_interval=%dms", c.Address, c.Index, c.Wait.Milliseconds())
+	if len(c.Blocks) > 0 {
+		url += "&preference=_shards:" + strings.Trim(strings.ReplaceAll(fmt.Sprint(c.Blocks), " ", ","), "[]")
 	}
-	if len(s.Blocks) == 0 {
+	return http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
+}
+
+// apiRequest is a request of the program's own search API, with an equal portion of the result for each block.
+func (c *searchCommand) apiRequest(body []byte) (*http.Request, error) {
+	if len(c.Blocks) == 0 {
 		return nil, fmt.Errorf("--blocks are needed on the own front")
 	}
-	var parts []string
-	for _, b := range s.Blocks {
-		parts = append(parts, fmt.Sprintf(`{"range":%d,"portion":%g}`, b, 1/float64(len(s.Blocks))))
+	var ranges []string
+	for _, block := range c.Blocks {
+		ranges = append(ranges, fmt.Sprintf(`{"range":%d,"portion":%g}`, block, 1/float64(len(c.Blocks))))
 	}
-	predicate, _ := json.Marshal(string(text))
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.Address+"/"+s.Type,
-		strings.NewReader(fmt.Sprintf(`{"ranges":[%s],"predicate":%s}`, strings.Join(parts, ","), predicate)))
+	predicate, err := json.Marshal(string(body))
+	if err != nil {
+		return nil, err
+	}
+	request, err := http.NewRequest(http.MethodPost, "http://"+c.Address+"/"+c.Type,
+		strings.NewReader(fmt.Sprintf(`{"ranges":[%s],"predicate":%s}`, strings.Join(ranges, ","), predicate)))
 	if err != nil {
 		return nil, err
 	}
 	var id [8]byte
-	rand.Read(id[:])
-	for name, v := range map[string]string{
-		"X-Request-Id": fmt.Sprintf("%x", id), "X-Class": s.Type, "X-Tenant": s.Partner,
-		"X-Deadline": strconv.FormatFloat(s.Wait.Seconds(), 'f', 3, 64),
+	_, _ = rand.Read(id[:]) // never fails
+	for name, value := range map[string]string{
+		"X-Request-Id": fmt.Sprintf("%x", id), "X-Class": c.Type, "X-Tenant": c.Partner,
+		"X-Deadline": strconv.FormatFloat(c.Wait.Seconds(), 'f', 3, 64),
 	} {
-		if v != "" {
-			req.Header.Set(name, v)
+		if value != "" {
+			request.Header.Set(name, value)
 		}
 	}
-	return req, nil
-}
-
-// show prints an answer of either front as a table, with how many blocks are in.
-func (s *searchCommand) show(res *http.Response, got []byte, took time.Duration) error {
-	var m struct {
-		Shards struct {
-			Total, Successful, Failed int
-			Failures                  []struct {
-				Shard  int
-				Reason struct{ Type, Reason string }
-			}
-		} `json:"_shards"`
-		Hits struct {
-			Total struct {
-				Value    int
-				Relation string
-			}
-			Hits []struct {
-				ID     string          `json:"_id"`
-				Score  *float64        `json:"_score"`
-				Source json.RawMessage `json:"_source"`
-			}
-		}
-		Aggregations json.RawMessage
-		Total        bool
-		Answers      []struct {
-			Range int
-			Blob  string
-		}
-		Error struct{ Type, Reason string }
-	}
-	if err := json.Unmarshal(got, &m); err != nil {
-		return fmt.Errorf("status %d, and what came is no answer: %w", res.StatusCode, err)
-	}
-	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	defer out.Flush()
-	switch {
-	case res.StatusCode != http.StatusOK:
-		fmt.Fprintf(out, "status %d in %v: %s %s\n", res.StatusCode, took.Round(time.Millisecond), m.Error.Type, m.Error.Reason)
-		if wait := res.Header.Get("Retry-After"); wait != "" {
-			fmt.Fprintf(out, "come back in %s s\n", wait)
-		}
-	case s.Index != "":
-		sign := map[string]string{"gte": "at least ", "eq": ""}[m.Hits.Total.Relation]
-		fmt.Fprintf(out, "%s%d members in %v; blocks: %d of %d, %d failed\n", sign, m.Hits.Total.Value, took.Round(time.Millisecond),
-			m.Shards.Successful, m.Shards.Total, m.Shards.Failed)
-		for _, f := range m.Shards.Failures {
-			fmt.Fprintf(out, "block %d: %s: %s\n", f.Shard, f.Reason.Type, f.Reason.Reason)
-		}
-		fmt.Fprintln(out, "ID\tSCORE\tMEMBER")
-		for _, h := range m.Hits.Hits {
-			score := "-"
-			if h.Score != nil {
-				score = strconv.FormatFloat(*h.Score, 'g', 4, 64)
-			}
-			fmt.Fprintf(out, "%s\t%s\t%s\n", h.ID, score, h.Source)
-		}
-		if len(m.Aggregations) > 0 {
-			fmt.Fprintf(out, "aggregations\t%s\n", m.Aggregations)
-		}
-	default:
-		fmt.Fprintf(out, "%d of %d blocks in %v, whole: %t\n", len(m.Answers), len(s.Blocks), took.Round(time.Millisecond), m.Total)
-		fmt.Fprintln(out, "BLOCK\tVALUE")
-		for _, a := range m.Answers {
-			fmt.Fprintf(out, "%d\t%s\n", a.Range, a.Blob)
-		}
-	}
-	return nil
+	return request, nil
 }
