--- a/cmd/chalkring/check.go
+++ b/cmd/chalkring/check.go
@@ -40,7 +40,7 @@
 		fmt.Println(name+":", result)
 	}
 	if failed {
-		return exitCode(1)
+		return exitCodeError(1)
 	}
 	return nil
 }
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -104,7 +104,7 @@
 	two.sharing.leave()
 	yet := ofCustomer(t, path, "acme", nil)
 	require.Equal(t, everything, believed(yet), yet.logText())
-	require.NoError(t, yet.sharing.store.Put(t.Context(), fleetBucket, nil, []string{whoseKey}))
+	require.NoError(t, yet.sharing.store.Put(t.Context(), clusterBucket, nil, []string{identityKey}))
 	yet.sharing.leave()
 	old := ofCustomer(t, path, "acme", named("trial"))
 	require.Equal(t, everything, believed(old), old.logText())
--- a/cmd/chalkring/supervisor_child.go
+++ b/cmd/chalkring/supervisor_child.go
@@ -158,7 +158,7 @@
 func childExitError(ctx context.Context, err error) error {
 	var exitError *exec.ExitError
 	if ctx.Err() != nil && errors.As(err, &exitError) && exitError.ExitCode() > 0 {
-		return exitCode(exitError.ExitCode())
+		return exitCodeError(exitError.ExitCode())
 	}
 	return err
 }
