--- a/cmd/chalkring/cluster_store.go
+++ b/cmd/chalkring/cluster_store.go
@@ -31,7 +31,7 @@
 
 // openStorage waits for the cluster's store, where replicated entries are stored too. Both results are nil where there
 // is none.
-func (s *sharing) openStorage(ctx context.Context) (replication.Storage, error) {
+func (s *clusterInstance) openStorage(ctx context.Context) (replication.Storage, error) {
 	select {
 	case <-s.opened:
 	case <-ctx.Done():
@@ -45,7 +45,7 @@
 
 // initStore opens the store, ends the previous incarnation, which others may still believe alive, and records this one.
 // The store of another cluster is left as it is, and this instance goes on without one.
-func (s *sharing) initStore() {
+func (s *clusterInstance) initStore() {
 	reportOpened := sync.OnceFunc(func() { close(s.opened) })
 	defer reportOpened()
 	opened := s.openStore()
@@ -65,7 +65,7 @@
 	s.recordIncarnation()
 }
 
-func (s *sharing) endPreviousIncarnation() {
+func (s *clusterInstance) endPreviousIncarnation() {
 	previous, found, err := s.store.Get(clusterBucket, incarnationKey)
 	if err != nil {
 		s.logStoreError(err)
@@ -75,10 +75,10 @@
 }
 
 // recordIncarnation writes this run's incarnation and, where the cluster has one, its identity.
-func (s *sharing) recordIncarnation() {
+func (s *clusterInstance) recordIncarnation() {
 	ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
 	defer cancel()
-	puts := map[string][]byte{incarnationKey: binary.BigEndian.AppendUint64(nil, s.book.Self().Incarnation)}
+	puts := map[string][]byte{incarnationKey: binary.BigEndian.AppendUint64(nil, s.members.Self().Incarnation)}
 	if s.identity.IsSpecified() {
 		encoded, err := cbor.Marshal(s.identity)
 		if err != nil {
@@ -94,7 +94,7 @@
 
 // checkIdentity checks that the store is not another cluster's or customer's, whose settings and contracts would take
 // effect here. A store without an identity counts as this cluster's: earlier versions wrote none.
-func (s *sharing) checkIdentity(opened *store.Store) error {
+func (s *clusterInstance) checkIdentity(opened *store.Store) error {
 	encoded, found, err := opened.Get(clusterBucket, identityKey)
 	if err != nil || !found {
 		return err
@@ -109,18 +109,18 @@
 	return nil
 }
 
-func (s *sharing) logStoreError(err error) {
+func (s *clusterInstance) logStoreError(err error) {
 	s.log.Warn("fleet_store", advice.LogAttrs(err, "path", s.file.StoreFile)...)
 }
 
 // openStore opens the store and returns nil where there is none. It waits as long as another process holds the store:
 // without a store, none of its rollouts and contracts take effect.
-func (s *sharing) openStore() *store.Store {
+func (s *clusterInstance) openStore() *store.Store {
 	if s.file.StoreFile == "" {
 		return nil
 	}
-	if s.keep != nil {
-		shared, err := s.keep.WaitForStore(s.ctx)
+	if s.persistence != nil {
+		shared, err := s.persistence.WaitForStore(s.ctx)
 		if err != nil { // the persistence has logged it
 			return nil
 		}
@@ -146,8 +146,8 @@
 }
 
 // closeForeignStore closes a store that is not used, unless the persistence owns it.
-func (s *sharing) closeForeignStore(opened *store.Store) {
-	if s.keep != nil {
+func (s *clusterInstance) closeForeignStore(opened *store.Store) {
+	if s.persistence != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
@@ -159,9 +159,9 @@
 
 // closeStore closes the store once it has been opened, unless the persistence owns it. It takes its time: a process that
 // stays alive to finish searches must release the file for the one that follows.
-func (s *sharing) closeStore() {
+func (s *clusterInstance) closeStore() {
 	<-s.opened
-	if s.store == nil || s.keep != nil {
+	if s.store == nil || s.persistence != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
--- a/cmd/chalkring/golden_stored_test.go
+++ b/cmd/chalkring/golden_stored_test.go
@@ -50,11 +50,11 @@
 }
 
 // storedSharing shares nothing with others and has an open store at path.
-func storedSharing(t *testing.T, path string) *sharing {
+func storedSharing(t *testing.T, path string) *clusterInstance {
 	kept, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, kept.Close(context.Background())) })
-	s := &sharing{
+	s := &clusterInstance{
 		file: config.Cluster{Name: "east-0", StoreFile: path}, log: slog.New(slog.DiscardHandler), ctx: t.Context(),
 		opened: make(chan struct{}), store: kept,
 	}
@@ -66,7 +66,7 @@
 func TestGoldenRolloutState(t *testing.T) {
 	for name, value := range goldenRolloutStates() {
 		s := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
-		require.NoError(t, (&rolloutRunner{sharing: s, state: value}).save())
+		require.NoError(t, (&rolloutRunner{clusterInstance: s, state: value}).save())
 		now, found, err := s.store.Get("rollout", "standing")
 		require.NoError(t, err)
 		require.True(t, found)
@@ -75,7 +75,7 @@
 
 		read := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
 		require.NoError(t, read.store.Put(t.Context(), "rollout", map[string][]byte{"standing": want}, nil))
-		st := &rolloutRunner{sharing: read}
+		st := &rolloutRunner{clusterInstance: read}
 		st.load()
 		require.Equal(t, value, st.state, name)
 		require.Equal(t, value.EndedCleanly, st.isStateKnown, name)
@@ -90,7 +90,7 @@
 	require.NoError(t, err)
 	require.True(t, found)
 	require.Len(t, life, 8)
-	incarnation := l.sharing.book.Self().Incarnation
+	incarnation := l.sharing.members.Self().Incarnation
 	for i := range 8 {
 		require.Equal(t, byte(incarnation>>(56-8*i)), life[i], "the highest byte first")
 	}
@@ -119,7 +119,7 @@
 
 // Policies are kept as their files' text under bucket residency, keyed by generation and place.
 func TestGoldenResidencyBucket(t *testing.T) {
-	begin := func(s *sharing) *residencyService {
+	begin := func(s *clusterInstance) *residencyService {
 		return &residencyService{sharing: s, store: s.store, saveResults: make(chan saveResult, 1)}
 	}
 	s := storedSharing(t, filepath.Join(t.TempDir(), "fleet.db"))
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -30,11 +30,11 @@
 		change(f)
 	}
 	l := &testInstance{t: t}
-	l.sharing, err = sharingOf(&config.File{Cluster: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l.sharing, err = startCluster(&config.File{Cluster: f}, plan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
 	t.Cleanup(l.sharing.leave)
 	select {
-	case <-l.sharing.shared.Ready():
+	case <-l.sharing.replicator.Ready():
 	case <-time.After(settleMost):
 		t.Fatal("the store does not come")
 	}
@@ -45,13 +45,13 @@
 // fills leaves in a store what an instance keeps of changes, contracts and subscriptions.
 func fills(t *testing.T, l *testInstance) {
 	for _, name := range []string{othersRollout, "subscribers/one"} {
-		_, err := l.sharing.shared.Put(name, []byte("of the first fleet"))
+		_, err := l.sharing.replicator.Put(name, []byte("of the first fleet"))
 		require.NoError(t, err)
 	}
 	ctx, stop := context.WithTimeout(t.Context(), settleMost)
 	defer stop()
-	require.NoError(t, l.sharing.shared.WaitPersisted(ctx))
-	st := &rolloutRunner{sharing: l.sharing, state: rolloutState{Running: &rollout.Change{Name: "c", Number: 7, Settings: map[string]string{"Classes.0.Aim": "5"}}}}
+	require.NoError(t, l.sharing.replicator.WaitPersisted(ctx))
+	st := &rolloutRunner{clusterInstance: l.sharing, state: rolloutState{Running: &rollout.Change{Name: "c", Number: 7, Settings: map[string]string{"Classes.0.Aim": "5"}}}}
 	require.NoError(t, st.save())
 	require.NoError(t, l.sharing.store.Put(ctx, residencyBucket, map[string][]byte{"policy": []byte("generation: 9")}, nil))
 	l.sharing.leave()
@@ -60,11 +60,11 @@
 // believed is what an instance has of what fills left.
 func believed(l *testInstance) (all []string) {
 	for _, name := range []string{othersRollout, "subscribers/one"} {
-		if _, there := l.sharing.shared.Get(name); there {
+		if _, there := l.sharing.replicator.Get(name); there {
 			all = append(all, name)
 		}
 	}
-	st := &rolloutRunner{sharing: l.sharing}
+	st := &rolloutRunner{clusterInstance: l.sharing}
 	st.load()
 	if st.runningChange() != nil {
 		all = append(all, "change")
--- a/cmd/chalkring/residency.go
+++ b/cmd/chalkring/residency.go
@@ -20,7 +20,7 @@
 // residencyService keeps the residency policies of this process in force: it reads the operator's file, asks the other
 // instances which policies they have, and sends them those that they lack. It belongs to one goroutine.
 type residencyService struct {
-	sharing *sharing
+	sharing *clusterInstance
 	site    residency.Site
 	clock   func() int64 // wall time that never goes back
 
@@ -42,7 +42,7 @@
 
 // startResidency starts what the section fleet's residency turns on; nil where it names no file. A file that cannot be used
 // ends the start, since nobody could tell whom it would bind.
-func startResidency(sitePlan *plan.Plan, s *sharing) (*coordinator.ResidencyGuard, error) {
+func startResidency(sitePlan *plan.Plan, s *clusterInstance) (*coordinator.ResidencyGuard, error) {
 	if s == nil || s.file.ResidencyFile == "" {
 		return nil, nil
 	}
@@ -61,11 +61,11 @@
 	stored := c.loadStored()
 	c.lease = residency.NewLease(s.file.Name, s.file.VotingMembers, stored)
 	c.addPolicy(policy)
-	s.zones = coordinator.NewResidencyGuard(c.registry.Compile(c.lease.ExpiresAt()), c.clock)
+	s.residencyGuard = coordinator.NewResidencyGuard(c.registry.Compile(c.lease.ExpiresAt()), c.clock)
 	s.node.Handle(residencyTopic, c.receive)
-	s.work.Go(c.watchFile)
-	s.work.Go(c.run)
-	return s.zones, nil
+	s.background.Go(c.watchFile)
+	s.background.Go(c.run)
+	return s.residencyGuard, nil
 }
 
 // newMonotonicWallClock returns a clock that reads the wall time once and counts on from there.
@@ -152,7 +152,7 @@
 // enforce puts a policy in force: first here, then on the disk, then in the acknowledgements to other instances.
 func (c *residencyService) enforce(policy *residency.Policy) {
 	if c.addPolicy(policy) {
-		c.sharing.zones.SetPolicy(c.registry.Compile(c.lease.ExpiresAt()))
+		c.sharing.residencyGuard.SetPolicy(c.registry.Compile(c.lease.ExpiresAt()))
 		c.savePolicies()
 		c.beginRound()
 	}
@@ -160,8 +160,8 @@
 
 // allowsTenantData reports whether the stored data of a tenant's searches may be in a zone: written there, or sent to an instance in
 // it. Counts and digests are not such data. Without policies it may be anywhere.
-func (s *sharing) allowsTenantData(tenant, zone string) bool {
-	return s.zones == nil || s.zones.MayStoreInZone(tenant, zone)
+func (s *clusterInstance) allowsTenantData(tenant, zone string) bool {
+	return s.residencyGuard == nil || s.residencyGuard.MayStoreInZone(tenant, zone)
 }
 
 // checkPolicyFile checks a policy file, and against a plan's tenants, zones and blocks where a plan is given.
--- a/cmd/chalkring/residency_lease.go
+++ b/cmd/chalkring/residency_lease.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return
 	}
-	c.sharing.work.Go(func() {
+	c.sharing.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.sharing.ctx, residencySendTimeout)
 		defer cancel()
 		_ = c.sharing.node.Send(ctx, to, residencyTopic, body)
@@ -77,7 +77,7 @@
 // beginRound asks other instances which generation they have. The question carries the newest one in force here, so that
 // an instance with a newer one sends it.
 func (c *residencyService) beginRound() {
-	now, inForce := c.clock(), c.sharing.zones.Policy()
+	now, inForce := c.clock(), c.sharing.residencyGuard.Policy()
 	c.nextRound = now + residency.RenewalInterval(inForce.LeaseDuration)
 	if c.lease.RenewSoleMember(now, inForce.LeaseDuration) {
 		c.applyRenewal()
@@ -121,12 +121,12 @@
 	if answer.Generation < newest || answer.Generation == newest && answer.Digest != c.digest {
 		c.sendPolicies(from)
 	}
-	conflicts := c.sharing.book.NameConflicts()
+	conflicts := c.sharing.members.NameConflicts()
 	if slices.Contains(conflicts, from) {
 		return
 	}
 	hasUniqueName := !slices.Contains(conflicts, c.sharing.file.Name)
-	now, inForce := c.clock(), c.sharing.zones.Policy()
+	now, inForce := c.clock(), c.sharing.residencyGuard.Policy()
 	ack := residency.LeaseAcknowledgement{
 		From: from, Nonce: answer.Nonce, Generation: answer.Generation, WallTime: answer.WallTime, Voter: answer.Voter,
 	}
@@ -153,7 +153,7 @@
 
 // applyRenewal puts a later end of the lease in force.
 func (c *residencyService) applyRenewal() {
-	c.sharing.zones.SetPolicy(c.sharing.zones.Policy().WithLeaseExpiry(c.lease.ExpiresAt()))
+	c.sharing.residencyGuard.SetPolicy(c.sharing.residencyGuard.Policy().WithLeaseExpiry(c.lease.ExpiresAt()))
 	if c.isExpired {
 		c.isExpired = false
 		c.sharing.log.Info("residency_lease_renewed", "generation", c.registry.NewestGeneration())
@@ -166,7 +166,7 @@
 		return
 	}
 	c.isExpired = true
-	reachable, listed := c.sharing.book.CountAliveVoters(c.sharing.clock())
+	reachable, listed := c.sharing.members.CountAliveVoters(c.sharing.clock())
 	err := &residency.LeaseExpiredError{Generation: c.registry.NewestGeneration(), Reachable: reachable, Listed: listed, SkewedClocks: c.lease.CountSkewedClocks()}
 	c.sharing.log.Warn("residency_lease_expired", advice.LogAttrs(err)...)
 }
--- a/cmd/chalkring/residency_store.go
+++ b/cmd/chalkring/residency_store.go
@@ -70,7 +70,7 @@
 	if c.store == nil && c.sharing.store != nil {
 		c.loadStored()
 		c.storedDigest = 0
-		c.sharing.zones.SetPolicy(c.registry.Compile(c.lease.ExpiresAt()))
+		c.sharing.residencyGuard.SetPolicy(c.registry.Compile(c.lease.ExpiresAt()))
 	}
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	c.saving = true
-	c.sharing.work.Go(func() {
+	c.sharing.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.sharing.ctx, policySaveTimeout)
 		defer cancel()
 		c.saveResults <- saveResult{newest, sum, c.store.Put(ctx, residencyBucket, puts, deletes)}
--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -42,7 +42,7 @@
 // testInstance is one instance from its start to its end.
 type testInstance struct {
 	t       *testing.T
-	sharing *sharing
+	sharing *clusterInstance
 	guard   *coordinator.ResidencyGuard
 	dir     string
 	mu      sync.Mutex
@@ -75,7 +75,7 @@
 	if _, err := os.Stat(f.ResidencyFile); err != nil {
 		l.writePolicy(loosePolicy)
 	}
-	l.sharing, err = sharingOf(&config.File{Cluster: f}, sitePlan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	l.sharing, err = startCluster(&config.File{Cluster: f}, sitePlan, nil, slog.New(slog.NewTextHandler(l, nil)))
 	require.NoError(t, err)
 	l.guard, err = startResidency(sitePlan, l.sharing)
 	require.NoError(t, err)
--- a/cmd/chalkring/rollout.go
+++ b/cmd/chalkring/rollout.go
@@ -35,7 +35,7 @@
 // rolloutRunner is this instance's part in changes in stages: it runs a rollout.Controller and carries out what it
 // decides.
 type rolloutRunner struct {
-	*sharing
+	*clusterInstance
 	supervisor        *os.File // pipe to it
 	listener          net.Listener
 	localConnections  chan net.Conn // from this process to itself; the socket may be another process's too
@@ -72,12 +72,12 @@
 }
 
 // newRolloutRunner finds out what this process is to run. It returns errReplaced if that is another program.
-func newRolloutRunner(s *sharing) (*rolloutRunner, error) {
+func newRolloutRunner(s *clusterInstance) (*rolloutRunner, error) {
 	if s.file.StoreFile == "" {
 		return nil, &MissingStoreError{}
 	}
 	r := &rolloutRunner{
-		sharing: s, localConnections: make(chan net.Conn), done: make(chan struct{}), seenEntries: map[string]uint64{},
+		clusterInstance: s, localConnections: make(chan net.Conn), done: make(chan struct{}), seenEntries: map[string]uint64{},
 		changeFile: changeFileReader{path: s.file.RolloutFile, log: s.log},
 	}
 	var err error
@@ -97,7 +97,7 @@
 // awaitStore waits for the store and for the entries in it, so that what was promised before is known. A disk that hangs
 // does not keep the instance from serving.
 func (r *rolloutRunner) awaitStore() {
-	for _, ready := range []<-chan struct{}{r.opened, r.shared.Ready()} {
+	for _, ready := range []<-chan struct{}{r.opened, r.replicator.Ready()} {
 		select {
 		case <-ready:
 		case <-time.After(rolloutStoreTimeout):
@@ -207,7 +207,7 @@
 	}
 	r.cancelServing()
 	<-r.done
-	if r.handing { // restart has saved that already
+	if r.handingOver { // restart has saved that already
 		return
 	}
 	r.state.EndedCleanly = true
@@ -218,7 +218,7 @@
 func (r *rolloutRunner) run(ctx context.Context) {
 	defer close(r.done)
 	r.controller = rollout.New(r.initialState())
-	changed, unwatch := r.shared.Watch(rollout.KeyPrefix)
+	changed, unwatch := r.replicator.Watch(rollout.KeyPrefix)
 	defer unwatch()
 	serving := make(chan struct{}) // nil once it was handled
 	go r.awaitServing(ctx, serving)
@@ -253,7 +253,7 @@
 }
 
 func (r *rolloutRunner) initialState() rollout.InitialState {
-	self := r.book.Self()
+	self := r.members.Self()
 	return rollout.InitialState{
 		Self: rollout.Instance{Name: self.Name, Region: self.Region, Zone: self.Zone}, Incarnation: self.Incarnation,
 		Members: r.file.VotingMembers, RunningNumber: numberOf(r.runningChange()),
@@ -274,7 +274,7 @@
 	if err := notifySupervisor(r.supervisor, supervisorMessage{Serving: true}); err != nil {
 		r.log.Error("rollout_supervisor", "error", err)
 	}
-	self := r.book.Self()
+	self := r.members.Self()
 	self.SettingsGeneration = numberOf(state.Running)
 	if err := r.node.UpdateSelf(self); err != nil {
 		r.log.Warn("rollout_put", advice.LogAttrs(err, "name", self.Name)...)
--- a/cmd/chalkring/rollout_inputs.go
+++ b/cmd/chalkring/rollout_inputs.go
@@ -24,10 +24,10 @@
 	now = r.clock()
 	r.handleEntries(now)
 	var instances []rollout.Instance
-	for _, member := range r.book.Members() {
+	for _, member := range r.members.Members() {
 		instances = append(instances, rollout.Instance{Name: member.Name, Region: member.Region, Zone: member.Zone})
 	}
-	r.controller.SetInstances(instances, r.book.NameConflicts())
+	r.controller.SetInstances(instances, r.members.NameConflicts())
 	r.controller.SetStats(r.counters.snapshot())
 	return now
 }
@@ -35,7 +35,7 @@
 // handleEntries hands the controller the replicated entries that have changed.
 func (r *rolloutRunner) handleEntries(now int64) {
 	var changed []crdt.Entry
-	r.shared.ScanPrefix(rollout.KeyPrefix, func(entry crdt.Entry) bool {
+	r.replicator.ScanPrefix(rollout.KeyPrefix, func(entry crdt.Entry) bool {
 		if hash := hashEntry(entry); r.seenEntries[entry.Name] != hash {
 			r.seenEntries[entry.Name] = hash
 			changed = append(changed, entry)
@@ -66,12 +66,12 @@
 // carryOut writes a decision's entries and events. A restart is left to the caller.
 func (r *rolloutRunner) carryOut(decision *rollout.Decision) {
 	for key, value := range decision.Put {
-		if _, err := r.shared.Put(key, value); err != nil {
+		if _, err := r.replicator.Put(key, value); err != nil {
 			r.log.Warn("rollout_put", advice.LogAttrs(err, "name", key)...)
 		}
 	}
 	for _, key := range decision.Delete {
-		if _, err := r.shared.Delete(key); err != nil {
+		if _, err := r.replicator.Delete(key); err != nil {
 			r.log.Warn("rollout_put", advice.LogAttrs(err, "name", key)...)
 		}
 	}
--- a/cmd/chalkring/rollout_restart.go
+++ b/cmd/chalkring/rollout_restart.go
@@ -44,7 +44,7 @@
 		r.state.Attempt = nil
 		return err
 	}
-	r.handing = true
+	r.handingOver = true
 	r.cancelServing()
 	if r.isOverlapPossible { // the successor starts while this process answers its requests in flight
 		time.Sleep(lastWriteTimeout)
--- a/cmd/chalkring/rollout_state_test.go
+++ b/cmd/chalkring/rollout_state_test.go
@@ -59,7 +59,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Setenv(failureEnv, test.failure)
-			runner := &rolloutRunner{sharing: &sharing{log: slog.New(slog.DiscardHandler)}, state: test.before}
+			runner := &rolloutRunner{clusterInstance: &clusterInstance{log: slog.New(slog.DiscardHandler)}, state: test.before}
 			runner.recordStart()
 			require.Equal(t, test.after, runner.state)
 		})
--- a/cmd/chalkring/serve.go
+++ b/cmd/chalkring/serve.go
@@ -139,7 +139,7 @@
 // joinCluster starts what this instance shares with the others of its cluster: membership, rollouts, data residency and
 // the gateway of subscribers.
 func (s *server) joinCluster(path string, file *config.File, persistence *coordinator.Persistence) error {
-	shared, err := sharingOf(file, s.plan, persistence, s.log)
+	shared, err := startCluster(file, s.plan, persistence, s.log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -161,7 +161,7 @@
 }
 
 // joinRollouts puts the settings of the present rollout over the plan's.
-func (s *server) joinRollouts(file *config.File, shared *sharing) error {
+func (s *server) joinRollouts(file *config.File, shared *clusterInstance) error {
 	rollout, err := newRolloutRunner(shared)
 	if errors.Is(err, errReplaced) {
 		return errServedElsewhere
--- a/cmd/chalkring/store_of_earlier_process_test.go
+++ b/cmd/chalkring/store_of_earlier_process_test.go
@@ -22,7 +22,7 @@
 	const policy = "00000000000000000002-0"
 	require.NoError(t, held.Put(t.Context(), residencyBucket, map[string][]byte{policy: []byte(strictPolicy)}, nil))
 	a := startInstance(t, dir, "a", addrs, true) // waits for the store as long as any start
-	runner := &rolloutRunner{sharing: a.sharing}
+	runner := &rolloutRunner{clusterInstance: a.sharing}
 	runner.load()
 	require.Contains(t, a.logText(), "is held by another process")
 	require.NoError(t, held.Close(t.Context()))
