--- a/cmd/chalkring/cluster.go
+++ b/cmd/chalkring/cluster.go
@@ -115,7 +115,7 @@
 	if s.handingOver { // the process that takes over has the same name, and announces itself
 		s.node.Close()
 	} else if err := s.node.Leave(ctx); err != nil {
-		s.log.Warn("fleet_leave", advice.LogAttrs(err)...)
+		s.log.Warn("cluster_leave_failed", advice.LogAttrs(err)...)
 	}
 	released := make(chan struct{})
 	go func() {
@@ -134,6 +134,6 @@
 	flushCtx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	if err := s.replicator.Close(flushCtx); err != nil {
-		s.log.Warn("fleet_shared", advice.LogAttrs(err)...)
+		s.log.Warn("cluster_state_unsaved", advice.LogAttrs(err)...)
 	}
 }
--- a/cmd/chalkring/cluster_store.go
+++ b/cmd/chalkring/cluster_store.go
@@ -110,7 +110,7 @@
 }
 
 func (s *clusterInstance) logStoreError(err error) {
-	s.log.Warn("fleet_store", advice.LogAttrs(err, "path", s.file.StoreFile)...)
+	s.log.Warn("cluster_store", advice.LogAttrs(err, "path", s.file.StoreFile)...)
 }
 
 // openStore opens the store and returns nil where there is none. It waits as long as another process holds the store:
--- a/cmd/chalkring/others_fleet_test.go
+++ b/cmd/chalkring/others_fleet_test.go
@@ -86,7 +86,7 @@
 	two := ofCustomer(t, path, "globex", nil)
 	require.Empty(t, believed(two))
 	two.sharing.leave()
-	require.Contains(t, two.logText(), "msg=fleet_store")
+	require.Contains(t, two.logText(), "msg=cluster_store")
 	require.Contains(t, two.logText(), "Set `fleet.store` to a file of this cluster's own")
 	one := ofCustomer(t, path, "acme", nil)
 	require.Equal(t, everything, believed(one), one.logText())
--- a/internal/benchmark/sharer.go
+++ b/internal/benchmark/sharer.go
@@ -65,7 +65,7 @@
 		return node.Membership().AlivePeers(), own.VotingMembers
 	}
 	disk := func(ctx context.Context) (replication.Storage, error) {
-		s, err := store.Open(own.StoreFile, store.Options{OnRecovery: func(err error) { log.Warn("fleet_store", "error", err) }})
+		s, err := store.Open(own.StoreFile, store.Options{OnRecovery: func(err error) { log.Warn("cluster_store", "error", err) }})
 		if err != nil {
 			return nil, err
 		}
