--- a/config/cluster.go
+++ b/config/cluster.go
@@ -16,7 +16,7 @@
 	maxAddressOverrides = membership.MaxMembers
 )
 
-// Cluster is this instance's part in the cluster of instances that decide together. docs/fleet.md and deploy/fleet.yaml
+// Cluster is this instance's part in the cluster of instances that decide together. docs/cluster.md and deploy/fleet.yaml
 // explain the keys.
 type Cluster struct {
 	ClusterName      string            `yaml:"cluster"` // the same on all instances; made from the plan's tenants where it is left out
--- a/config/installation.go
+++ b/config/installation.go
@@ -1,5 +1,5 @@
 // Package config reads the installation file: the YAML file in which an operator turns on what the platform's plan, a JSON
-// file, does not know. deploy/installation.yaml and deploy/fleet.yaml show all keys; docs/peer-reports.md, docs/fleet.md
+// file, does not know. deploy/installation.yaml and deploy/fleet.yaml show all keys; docs/peer-reports.md, docs/cluster.md
 // and docs/opensearch.md explain them.
 //
 // Read checks the whole file and returns all errors together, each a strictyaml.InvalidFileError with line and column.
