--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -44,6 +44,7 @@
 	"recovery":    MeasureRecovery,
 	"residency":   MeasureResidency,
 	"subscribers": MeasureSubscribers,
+	"versions":    MeasureVersions,
 }
 
 const (
