--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -19,7 +19,7 @@
 }
 
 // fire handles the attempt's timeout. It implements timerHandler.
-func (sub *attempt) fire(loop *eventLoop) { loop.giveUpAttempt(sub, "TimedOut") }
+func (a *attempt) fire(loop *eventLoop) { loop.giveUpAttempt(a, "TimedOut") }
 
 // SendAttempt starts an attempt; it is sent at the end of the iteration, batched with others to that replica. It
 // implements balancer.Actions.
@@ -33,15 +33,8 @@
 	if timeout == 0 || timeout > left {
 		timeout = left
 	}
-	current := &request.firstAttempt
-	if len(request.attempts) > 0 {
-		current = &attempt{}
-	} else {
-		request.attempts = request.inlineAttempts[:0]
-	}
-	current.shardRequest, current.index, current.replica, current.name, current.sentAt, current.deadline = request, int32(len(request.attempts)), replica, request.name, loop.now, loop.now+timeout
-	request.attempts = append(request.attempts, current)
-	request.unreported++
+	current := request.newAttempt()
+	current.replica, current.sentAt, current.deadline = replica, loop.now, loop.now+timeout
 	early := ""
 	switch {
 	case int(current.index) >= loop.rules.maxAttempts || request.isSettled():
@@ -55,26 +48,47 @@
 		loop.deferAttemptOutcome(current, early)
 		return
 	}
-	var c *batch
-	if n := len(replica.batches); n > 0 && len(replica.batches[n-1].attempts) < replica.protocol.attemptsPerBatch(loop) && loop.canShareBatch(replica.batches[n-1].attempts, current) &&
-		findAttempt(replica.batches[n-1].attempts, current.name) == nil {
-		c = replica.batches[n-1]
+	loop.addToBatch(replica, current)
+	loop.startTimer(&current.timeout, timeout, current)
+}
+
+// newAttempt adds an attempt to a shard request; the first one needs no allocation.
+func (p *shardRequest) newAttempt() *attempt {
+	added := &p.firstAttempt
+	if len(p.attempts) > 0 {
+		added = &attempt{}
 	} else {
-		if c = &current.inlineBatch; n == 0 {
-			loop.replicas.dispatchOrder = append(loop.replicas.dispatchOrder, replica)
+		p.attempts = p.inlineAttempts[:0]
+	}
+	added.shardRequest, added.index, added.name = p, int32(len(p.attempts)), p.name
+	p.attempts = append(p.attempts, added)
+	p.unreported++
+	return added
+}
+
+// addToBatch adds an attempt to the replica's last batch of this iteration, if it fits in, or else to a new one.
+func (loop *eventLoop) addToBatch(replica *replica, added *attempt) {
+	if n := len(replica.batches); n > 0 {
+		last := replica.batches[n-1]
+		if len(last.attempts) < replica.protocol.attemptsPerBatch(loop) && loop.canShareBatch(last.attempts, added) &&
+			findAttempt(last.attempts, added.name) == nil {
+			added.batch = last
+			last.attempts = append(last.attempts, added)
+			return
 		}
-		c.attempts = c.inlineAttempts[:0]
-		replica.batches = append(replica.batches, c)
+	} else {
+		loop.replicas.dispatchOrder = append(loop.replicas.dispatchOrder, replica)
 	}
-	current.batch = c
-	c.attempts = append(c.attempts, current)
-	loop.startTimer(&current.timeout, timeout, current)
+	opened := &added.inlineBatch
+	opened.attempts = append(opened.inlineAttempts[:0], added)
+	replica.batches = append(replica.batches, opened)
+	added.batch = opened
 }
 
 // CancelAttempt gives an attempt up. It implements balancer.Actions.
-func (loop *eventLoop) CancelAttempt(id uint64, leg int) {
-	if request := loop.searches.shardRequests[id]; request != nil && leg < len(request.attempts) {
-		loop.giveUpAttempt(request.attempts[leg], "Canceled")
+func (loop *eventLoop) CancelAttempt(id uint64, index int) {
+	if request := loop.searches.shardRequests[id]; request != nil && index < len(request.attempts) {
+		loop.giveUpAttempt(request.attempts[index], "Canceled")
 	}
 }
 
@@ -149,8 +163,8 @@
 }
 
 // findAttempt returns the attempt of a name, or nil.
-func findAttempt(subs []*attempt, name string) *attempt {
-	for _, attempt := range subs {
+func findAttempt(attempts []*attempt, name string) *attempt {
+	for _, attempt := range attempts {
 		if attempt.name == name {
 			return attempt
 		}
@@ -161,28 +175,28 @@
 // handleAnswer handles a replica's answer. An answer to an attempt that is no longer in flight is dropped. One to an
 // attempt that never was on this connection is malformed: another waits for its own in vain.
 func (loop *eventLoop) handleAnswer(conn *replicaConnection, attemptName []byte, outcome string, score []byte, report map[string]float64,
-	value []byte, read any,
+	value []byte, decoded any,
 ) {
 	conn.heardAt = loop.now
-	attempt, waits := findAttempt(conn.attempts, string(attemptName)), true
+	attempt, isAwaited := findAttempt(conn.attempts, string(attemptName)), true
 	if attempt == nil {
-		waits = false
+		isAwaited = false
 		attempt, outcome = loop.takeAbandoned(conn, string(attemptName), outcome)
 	}
 	if attempt == nil {
-		if _, known := conn.recentIDs[string(attemptName)]; !known {
+		if _, isRecent := conn.recentIDs[string(attemptName)]; !isRecent {
 			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(attemptName))
 			conn.closeNow(errMalformed)
 		}
 		return
 	}
-	if waits && !loop.recallAttempt(attempt) { // a repeat that waits on this connection must not go out once the first is answered
+	if isAwaited && !loop.recallAttempt(attempt) { // a repeat that waits on this connection must not go out once the first is answered
 		loop.detachAttempt(attempt)
 	}
 	loop.replicas.averageLatency += (float64(loop.now-attempt.sentAt) - loop.replicas.averageLatency) / latencyAverageWeight
 	loop.retireSilentConnections(conn, attempt.sentAt)
 	if request := attempt.shardRequest; outcome == "Ok" && !request.isSettled() {
-		request.completed, request.score, request.value, request.decoded = true, score, value, read
+		request.completed, request.score, request.value, request.decoded = true, score, value, decoded
 		loop.holdBytes(request.search, len(value))
 	}
 	loop.recordOutcome(attempt, outcome, report)
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -78,20 +78,26 @@
 		client.firstDeadline = time.Now().Add(requestReadTimeout) // the wait for room does not count
 		loop.submit(func() { loop.clients.connections[client.messageConn] = true })
 		loop.group.Go(func() error {
-			end := client.serve(conn, clientWriteTimeout, client.readRequests, client.handleWritten)
-			f.limiter.release(client)
-			loop.submit(func() {
-				delete(loop.clients.connections, client.messageConn)
-				loop.searches.unsentBytes.Add(-client.unsentBytes.Swap(0))
-				if client.lastSearch != nil { // an open search has lost its client, whatever ended the connection
-					loop.withdrawSearch(client.lastSearch)
-				}
-			})
-			switch end {
-			case errReadTimeout, errMalformed, errQueueFull, errWriteFailed, errDisplaced, errFault:
-				loop.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", conn.RemoteAddr().String(), "end", end)
-			}
+			f.serveClient(client)
 			return nil
 		})
 	}
 }
+
+// serveClient runs a client's connection to its end.
+func (f *clientListener) serveClient(client *clientConnection) {
+	loop := f.loop
+	end := client.serve(client.conn, clientWriteTimeout, client.readRequests, client.handleWritten)
+	f.limiter.release(client)
+	loop.submit(func() {
+		delete(loop.clients.connections, client.messageConn)
+		loop.searches.unsentBytes.Add(-client.unsentBytes.Swap(0))
+		if client.lastSearch != nil { // an open search has lost its client, whatever ended the connection
+			loop.withdrawSearch(client.lastSearch)
+		}
+	})
+	switch end {
+	case errReadTimeout, errMalformed, errQueueFull, errWriteFailed, errDisplaced, errFault:
+		loop.log.warnLimited("client "+end.Error(), "client_connection_ended", "client", client.conn.RemoteAddr().String(), "end", end)
+	}
+}
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -126,27 +126,7 @@
 		clear(all)
 		*room = all[:0]
 	}()
-	for size := 0; message != nil; {
-		switch { // the time may have passed in a stopped process or in a socket that took nothing
-		case message.leaseFenced && l.leaseExpired():
-			message.recall()
-		case message.hasDeadline && l.missedDeadline(message) && message.recall():
-			l.onMissedDeadline(message)
-		}
-		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // right before the write: from here on bytes may be out
-			size += len(*message.buffer)
-			if all = append(all, message); message.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
-				break
-			}
-		} else {
-			returnBuffer(message.buffer)
-		}
-		select {
-		case message = <-l.queue:
-		default:
-			message = nil
-		}
-	}
+	all = l.collect(message, all)
 	if len(all) == 0 {
 		return nil
 	}
@@ -181,6 +161,33 @@
 	return nil
 }
 
+// collect appends the messages of one write: the first and those that wait behind it while they are small, but for
+// those that may not be sent any more.
+func (l *messageConn) collect(message *outboundMessage, all []*outboundMessage) []*outboundMessage {
+	for size := 0; message != nil; {
+		switch { // the time may have passed in a stopped process or in a socket that took nothing
+		case message.leaseFenced && l.leaseExpired():
+			message.recall()
+		case message.hasDeadline && l.missedDeadline(message) && message.recall():
+			l.onMissedDeadline(message)
+		}
+		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // right before the write: from here on bytes may be out
+			size += len(*message.buffer)
+			if all = append(all, message); message.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
+				break
+			}
+		} else {
+			returnBuffer(message.buffer)
+		}
+		select {
+		case message = <-l.queue:
+		default:
+			message = nil
+		}
+	}
+	return all
+}
+
 // pendingWrite is a message whose write has begun on another connection.
 type pendingWrite struct {
 	conn    *messageConn
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -208,24 +208,24 @@
 	}
 	// All attempts are detached before the first outcome is reported: the balancer may answer it by canceling others
 	// that were on this connection, whose outcome is known too.
-	var tell []func()
-	certain := end.isCertain()
-	first := true // of the written attempts
+	var reports []func()
+	isCertain := end.isCertain()
+	isFirst := true // of the written attempts
 	for _, attempt := range slices.Clone(conn.attempts) {
-		out := attempt.batch.message.stage.Load() == stageWritten
-		outcome := end.attemptOutcome(out, first, conn.heardAt > 0)
-		first = first && !out
+		isWritten := attempt.batch.message.stage.Load() == stageWritten
+		outcome := end.attemptOutcome(isWritten, isFirst, conn.heardAt > 0)
+		isFirst = isFirst && !isWritten
 		loop.detachAttempt(attempt)
-		if out && !certain && loop.mayStillRun(attempt) {
+		if isWritten && !isCertain && loop.mayStillRun(attempt) {
 			loop.abandonAttempt(conn, attempt, outcome)
 			continue
 		}
-		tell = append(tell, func() { loop.recordOutcome(attempt, outcome, nil) })
+		reports = append(reports, func() { loop.recordOutcome(attempt, outcome, nil) })
 	}
-	for _, do := range tell {
-		do()
+	for _, report := range reports {
+		report()
 	}
-	for certain && len(conn.abandoned) > 0 {
+	for isCertain && len(conn.abandoned) > 0 {
 		attempt := conn.abandoned[0].attempt
 		loop.deferAttemptOutcome(attempt, loop.forgetAbandoned(conn.abandoned[0]))
 	}
@@ -237,9 +237,9 @@
 	if conn.closedToNew {
 		return
 	}
-	most := int64(replicaIdleShare * float64(loop.plan.Duration("Permissions.ConnIdle")/tick))
-	if left := conn.usedAt + most - loop.now; left > 0 || conn.openBatches > 0 || len(conn.abandoned) > 0 {
-		loop.runAfter(max(left, most/4), func() { loop.closeWhenIdle(conn) })
+	maxIdle := int64(replicaIdleShare * float64(loop.plan.Duration("Permissions.ConnIdle")/tick))
+	if left := conn.usedAt + maxIdle - loop.now; left > 0 || conn.openBatches > 0 || len(conn.abandoned) > 0 {
+		loop.runAfter(max(left, maxIdle/4), func() { loop.closeWhenIdle(conn) })
 		return
 	}
 	conn.closeNow(errIdle)
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -21,8 +21,8 @@
 }
 
 // canShareBatch says whether an attempt may be on one connection with those of a batch.
-func (loop *eventLoop) canShareBatch(subs []*attempt, attempt *attempt) bool {
-	return len(subs) == 0 || loop.firstSentAt(attempt) == loop.firstSentAt(subs[0])
+func (loop *eventLoop) canShareBatch(batched []*attempt, attempt *attempt) bool {
+	return len(batched) == 0 || loop.firstSentAt(attempt) == loop.firstSentAt(batched[0])
 }
 
 // dispatchBatches puts the iteration's batches on connections.
@@ -69,7 +69,7 @@
 		batch.message.stage.Store(stageQueued) // it may have been recalled, and is in no queue
 		return
 	}
-	fenced := loop.enforcer != nil && loop.enforcer.removeForbidden(batch)
+	needsLease := loop.enforcer != nil && loop.enforcer.removeForbidden(batch)
 	if len(batch.attempts) == 0 {
 		return
 	}
@@ -79,10 +79,10 @@
 	if message.buffer != nil { // the recalled message may still be in the queue
 		message = &outboundMessage{}
 	}
-	message.buffer, message.leaseFenced, batch.message = buffer, fenced, message
-	if by := loop.repeatDeadline(batch.attempts[0]); by > 0 {
+	message.buffer, message.leaseFenced, batch.message = buffer, needsLease, message
+	if deadline := loop.repeatDeadline(batch.attempts[0]); deadline > 0 {
 		message.hasDeadline = true
-		batch.connection.deadlines.Store(message, by)
+		batch.connection.deadlines.Store(message, deadline)
 	}
 	batch.connection.usedAt = loop.now
 	batch.connection.enqueue(batch.message)
@@ -95,7 +95,7 @@
 	if since := loop.firstSentAt(batch.attempts[0]); since > 0 {
 		return replica.connectedSince(batch, since)
 	}
-	var fullest *replicaConnection
+	var leastBusy *replicaConnection
 	doubted := 0
 	for _, conn := range replica.connections {
 		if conn.closedToNew || conn.conflictsWith(batch) {
@@ -103,37 +103,41 @@
 		}
 		// A silent connection would swallow one attempt after another though its replica is sound, so the next batch
 		// takes another one. A replica that is silent on all of them is for the balancer to detect.
-		doubt := conn.silentFor(loop.now) > loop.doubtDelay() && doubted < maxDoubtedConnections
-		if doubt {
+		isDoubted := conn.silentFor(loop.now) > loop.doubtDelay() && doubted < maxDoubtedConnections
+		if isDoubted {
 			doubted++
 		}
-		if !doubt && conn.openBatches < conn.protocol.batchesPerConnection(loop) {
+		if !isDoubted && conn.openBatches < conn.protocol.batchesPerConnection(loop) {
 			return conn
 		}
-		if fullest == nil || conn.openBatches < fullest.openBatches {
-			fullest = conn
+		if leastBusy == nil || conn.openBatches < leastBusy.openBatches {
+			leastBusy = conn
 		}
 	}
 	if loop.descriptors.hasReplicaRoom() {
 		return loop.openConnection(replica)
 	}
 	if !replica.protocol.allowsWaiting() {
-		fullest = nil
+		leastBusy = nil
 	}
 	loop.log.warnLimited("no_descriptor", "no_descriptor", "side", "replicas", "open", loop.descriptors.replicaConnections)
-	var spare *replicaConnection
-	for _, other := range loop.replicas.byID {
-		for _, conn := range other.connections {
-			if !conn.closedToNew && conn.openBatches == 0 && (spare == nil || conn.usedAt < spare.usedAt) {
-				spare = conn
+	if idle := loop.longestIdleConnection(); idle != nil {
+		idle.closeNow(errDisplaced)
+		return loop.openConnection(replica)
+	}
+	return leastBusy
+}
+
+// longestIdleConnection returns the connection that has been idle for longest, or nil.
+func (loop *eventLoop) longestIdleConnection() (longest *replicaConnection) {
+	for _, replica := range loop.replicas.byID {
+		for _, conn := range replica.connections {
+			if !conn.closedToNew && conn.openBatches == 0 && (longest == nil || conn.usedAt < longest.usedAt) {
+				longest = conn
 			}
 		}
 	}
-	if spare != nil {
-		spare.closeNow(errDisplaced)
-		return loop.openConnection(replica)
-	}
-	return fullest
+	return longest
 }
 
 // connectedSince finds a connection that has been up since before a keyed shard request was first sent, or nil, and
@@ -156,9 +160,9 @@
 	if attempt.index == 0 || !loop.rules.keyedClasses[attempt.shardRequest.search.class] {
 		return 0
 	}
-	for _, before := range attempt.shardRequest.attempts[:attempt.index] {
-		if !before.neverRan {
-			return before.sentAt
+	for _, earlier := range attempt.shardRequest.attempts[:attempt.index] {
+		if !earlier.neverRan {
+			return earlier.sentAt
 		}
 	}
 	return 0
