--- a/coordinator/abandoned_attempts.go
+++ b/coordinator/abandoned_attempts.go
@@ -37,9 +37,9 @@
 // takeAbandoned finds a connection's abandoned attempt by its name, ends the wait for it, and returns what its answer
 // counts as. With residency contracts that is the outcome it had here, since a contract may have canceled it at that
 // host.
-func (loop *eventLoop) takeAbandoned(conn *replicaConnection, hostID, outcome string) (*attempt, string) {
+func (loop *eventLoop) takeAbandoned(conn *replicaConnection, attemptName, outcome string) (*attempt, string) {
 	for _, abandoned := range conn.abandoned {
-		if abandoned.attempt.name == hostID {
+		if abandoned.attempt.name == attemptName {
 			if ended := loop.forgetAbandoned(abandoned); loop.enforcer != nil {
 				outcome = ended
 			}
--- a/coordinator/abandoned_attempts_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -9,7 +9,7 @@
 	"chalkring/balancer"
 )
 
-// scriptedBalancer stands in the module's place: it decides nothing, and keeps what it is told.
+// scriptedBalancer is a balancer that decides nothing and records what is reported to it.
 type scriptedBalancer struct {
 	balancer.Balancer
 	r        *rig
@@ -59,7 +59,7 @@
 	}
 }
 
-// expectNoOutcome asks for a turn, behind which no outcome may have been told.
+// expectNoOutcome waits for an iteration and checks that no outcome has been reported.
 func (p *scriptedBalancer) expectNoOutcome() {
 	for range 3 {
 		p.r.runInLoop(func(*eventLoop) {})
@@ -67,7 +67,7 @@
 	require.Empty(p.r.t, p.outcomes)
 }
 
-// puppet puts one in the module's place.
+// puppet replaces the rig's balancer by a scripted one.
 func (r *rig) puppet() *scriptedBalancer {
 	p := &scriptedBalancer{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
 	r.runInLoop(func(loop *eventLoop) { loop.balancer = p })
--- a/coordinator/attempts_test.go
+++ b/coordinator/attempts_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// outcomeCounter is a module that does nothing on hearing of an end; told, where it is not nil, keeps it.
+// outcomeCounter is a balancer that does nothing at an outcome but record it, where told is not nil.
 type outcomeCounter struct {
 	balancer.Balancer
 	told *[]string
--- a/coordinator/child_process_test.go
+++ b/coordinator/child_process_test.go
@@ -114,11 +114,11 @@
 	return conn, http1.NewReader(conn, make([]byte, 16<<10))
 }
 
-// served sends a search on a new connection, which has to have a whole answer.
-func (l *childProcess) served(hostID string) {
+// served sends a search on a new connection and checks that its answer is complete.
+func (l *childProcess) served(searchName string) {
 	conn, rd := l.dial()
 	defer conn.Close()
-	_, err := conn.Write([]byte(request(hostID, "all", "", fourParts)))
+	_, err := conn.Write([]byte(request(searchName, "all", "", fourParts)))
 	require.NoError(l.t, err)
 	status, _, body, _, err := rd.ReadResponse()
 	require.NoError(l.t, err, "%s", l.log)
@@ -126,7 +126,7 @@
 	require.JSONEq(l.t, completeAnswer, string(body))
 }
 
-// holdAttempts sets all hosts to keep their parts, and tells of each.
+// holdAttempts has all hosts not answer, and returns a channel of their shard requests.
 func (l *childProcess) holdAttempts() chan asked {
 	held := make(chan asked, 1024)
 	for _, h := range l.hosts {
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -25,7 +25,7 @@
 	"reset":       func(conn *net.TCPConn) error { return reset(conn) },
 }
 
-// attemptCount counts the parts that hosts were told to give up.
+// attemptCount counts the attempts that were canceled at hosts.
 func (r *rig) attemptCount() (n int) {
 	for _, s := range r.replicas {
 		_, given, _, _ := s.Observed()
@@ -220,8 +220,8 @@
 	r.shutDown()
 }
 
-// startPiped starts a further co-ordinator whose clients come by pipes: a write there returns once it has been read. made
-// changes the co-ordinator's side of a connection, and may be nil.
+// startPiped starts a further coordinator whose clients connect by pipes: a write returns once it has been read. made
+// changes the coordinator's side of a connection, and may be nil.
 func (r *rig) startPiped() (call func(made func(net.Conn) net.Conn) *testClient, end func()) {
 	p, look, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -51,19 +51,19 @@
 	case method != http.MethodPost:
 		return requestError{404, "no such path"}
 	}
-	current, err := c.newSearch(first, key, head, arrivedAt)
+	submitted, err := c.newSearch(first, key, head, arrivedAt)
 	if err != nil {
 		return err
 	}
-	if err := current.readBody(body, loop.rules.blockCount); err != nil {
+	if err := submitted.readBody(body, loop.rules.blockCount); err != nil {
 		return err
 	}
 	if err := c.checkClientGone(); err != nil {
 		return err
 	}
-	current.reply = func(outcome searchOutcome) { c.writeAnswer(outcome, keep) }
-	c.lastSearch, current.client = current, c
-	loop.submit(func() { loop.startSearch(current) })
+	submitted.reply = func(outcome searchOutcome) { c.writeAnswer(outcome, keep) }
+	c.lastSearch, submitted.client = submitted, c
+	loop.submit(func() { loop.startSearch(submitted) })
 	return nil
 }
 
@@ -92,14 +92,14 @@
 	if pathClass != head["x-class"] {
 		return nil, badRequest("X-Class is not the path's")
 	}
-	current := &search{
+	created := &search{
 		name: head["x-request-id"], key: key, class: class, arrivedAt: arrivedAt,
 		isRetry: head["x-retry"] == "1",
 	}
-	if !isPlainName(current.name) {
-		return nil, badRequest("X-Request-Id %.40q", current.name)
+	if !isPlainName(created.name) {
+		return nil, badRequest("X-Request-Id %.40q", created.name)
 	}
-	if current.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
+	if created.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
 		return nil, badRequest("X-Tenant %.40q", head["x-tenant"])
 	}
 	seconds, err := strconv.ParseFloat(head["x-deadline"], 64)
@@ -107,8 +107,8 @@
 		return nil, badRequest("X-Deadline %.40q", head["x-deadline"])
 	}
 	timeout := time.Duration(math.Min(seconds, maxClientTimeout.Seconds()) * float64(time.Second))
-	current.timeout = c.loop.limitTimeout(timeout, arrivedAt)
-	return current, nil
+	created.timeout = c.loop.limitTimeout(timeout, arrivedAt)
+	return created, nil
 }
 
 // isPlainName says whether a text can stand in a line of a frame.
--- a/coordinator/client_request_test.go
+++ b/coordinator/client_request_test.go
@@ -37,7 +37,7 @@
 		"POST /all HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n":    400,
 		"POST /all HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n":       413,
 		"POST /all HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n": 501,
-	}, true: { // these can be read: the next request can be told from them
+	}, true: { // these are well-formed: the next request's begin is known
 		swap("X-Class: all", "X-Class: none"):                    400,
 		swap("X-Class: all", "X-Class: some"):                    400,
 		swap("X-Tenant: acme", "X-Tenant: nobody"):               400,
@@ -112,9 +112,9 @@
 		settingAt(settings, "Tenants", 1)["Name"] = "acme, south"
 	})
 	c := r.connect()
-	post := func(hostID, path, class, tenant string) {
+	post := func(searchName, path, class, tenant string) {
 		text := fmt.Sprintf("POST /%s?k=1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: 8\r\nContent-Length: ",
-			path, hostID, class, tenant)
+			path, searchName, class, tenant)
 		body := `{"ranges":[{"range":0,"portion":0.5},{"range":1,"portion":0.5}],"predicate":"p"}`
 		c.send(text + fmt.Sprint(len(body)) + "\r\n\r\n" + body)
 		status, _, _, _ := c.readAnswer()
--- a/coordinator/connection_end_test.go
+++ b/coordinator/connection_end_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestAttemptOutcomesOfConnectionEnds(t *testing.T) {
-	want := map[connectionEndError][3]string{} // frame not out whole; out, the first part; out, the others
+	want := map[connectionEndError][3]string{} // frame not completely written; written, the first attempt; written, the others
 	for _, e := range []connectionEndError{errNotConnected, errPeerClosed, errReset, errWriteFailed} {
 		want[e] = [3]string{"ConnectError", "ResetByPeer", "ResetByPeer"}
 	}
--- a/coordinator/connection_limiter_test.go
+++ b/coordinator/connection_limiter_test.go
@@ -70,7 +70,7 @@
 	end()
 }
 
-// deadlineConn holds what a read has brought until the connection has been told to end.
+// deadlineConn keeps what was read until the connection has been asked to make room.
 type deadlineConn struct {
 	net.Conn
 	read, told chan struct{}
--- a/coordinator/discovery_delay_test.go
+++ b/coordinator/discovery_delay_test.go
@@ -66,7 +66,7 @@
 // began is in force within 6 s, or 2 s after that call's wait.
 func TestListDelayAfterFailures(t *testing.T) {
 	for _, fault := range []string{"silent", "half", "trickle", "unanswered", "refused", "lost", "503", "empty", "unreadable", "same"} {
-		for _, within := range []any{10_000.0, 60_000.0, nil} { // the settings' time to ask: the module's waits follow it
+		for _, within := range []any{10_000.0, 60_000.0, nil} { // the settings' poll interval, which the balancer's backoff follows
 			t.Run(fmt.Sprint(fault, " ", within), func(t *testing.T) {
 				worst := map[int]time.Duration{}
 				for _, by := range []string{"subscribe", "automatic"} {
--- a/coordinator/discovery_follower_test.go
+++ b/coordinator/discovery_follower_test.go
@@ -235,7 +235,7 @@
 	return time.Time{}
 }
 
-// discoveryRig is a co-ordinator that follows discovery within a test's own time, at the places of its network.
+// discoveryRig is a coordinator that follows discovery on a fake network.
 type discoveryRig struct {
 	t     *testing.T
 	at    map[string]*fakeDiscovery
@@ -263,7 +263,7 @@
 	}
 }
 
-// told is when a line with some texts was logged first.
+// told returns when a line with some texts was logged first.
 func (f *discoveryRig) told(texts ...string) time.Time {
 	f.until(strings.Join(texts, " "), func() bool { return !f.log.when(texts...).IsZero() })
 	return f.log.when(texts...)
--- a/coordinator/endpoint_list_test.go
+++ b/coordinator/endpoint_list_test.go
@@ -37,7 +37,7 @@
 	}
 	_, _, _, open := r.replicas["a1"].Observed()
 	require.Equal(t, 1, open)
-	for _, hostID := range []string{"a1", "b0"} { // parts of one turn to one replica share a call
+	for _, hostID := range []string{"a1", "b0"} { // attempts of one iteration on one replica share a batch
 		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[hostID].BatchSizes())
 	}
 	for _, bad := range []string{
@@ -51,7 +51,7 @@
 	}
 	c.expect("still", "all", 200, completeAnswer)
 	require.Equal(t, 8, strings.Count(r.log.String(), "event=list_failed"))
-	said(12, true, r.entry("a0", "up"), r.entry("b0", "up")) // whole: a1 is gone, and its connection goes
+	said(12, true, r.entry("a0", "up"), r.entry("b0", "up")) // complete: a1 is removed, and its connection closes
 	r.eventually("a1 is left", func() bool { _, _, _, open := r.replicas["a1"].Observed(); return open == 0 })
 	c.expect("after", "all", 200, completeAnswer)
 	parts, _, _, _ := r.replicas["a0"].Observed()
--- a/coordinator/endpoint_sources_test.go
+++ b/coordinator/endpoint_sources_test.go
@@ -19,7 +19,7 @@
 	"chalkring/endpoints/hostfile"
 )
 
-// withLists serves a second co-ordinator on a rig's hosts and list that has other sources of hosts too.
+// withLists serves a second coordinator on a rig's hosts and list, with other sources of hosts too.
 func (r *rig) withLists(lists <-chan endpoints.Update) *rig {
 	ln := listen(r.t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordinator/final_answer_test.go
+++ b/coordinator/final_answer_test.go
@@ -11,7 +11,7 @@
 	"chalkring/coordinator/plan"
 )
 
-// oneAttemptInFlight is a search with one sub-request out, its frame at that stage.
+// oneAttemptInFlight is a search with one attempt in flight, whose frame has reached a stage.
 func oneAttemptInFlight(stage int32) (*eventLoop, *replicaConnection, *search) {
 	loop := &eventLoop{plan: &plan.Plan{}, searches: searchTable{byID: map[uint64]*search{}, names: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}}, rules: dispatchRules{allowsSecondCopies: true}}
 	conn := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
--- a/coordinator/keyed_requests_test.go
+++ b/coordinator/keyed_requests_test.go
@@ -41,7 +41,7 @@
 	defer d.mu.Unlock()
 	draw := d.chance.Intn(10_000)
 	if draw < 8 {
-		d.restart(h) // before the part is looked at
+		d.restart(h) // before the shard request is handled
 	}
 	if d.ended[p.Conn] {
 		return
@@ -134,8 +134,8 @@
 		}
 	}
 	t.Log("answers", total, "parts", len(d.effects), "repeats", d.repeats, "restarts", d.restarts)
-	for hostID, n := range d.effects {
-		require.Equal(t, 1, n, "effects of %s", hostID)
+	for effectID, n := range d.effects {
+		require.Equal(t, 1, n, "effects of %s", effectID)
 	}
 	// how many of each there are is the machine's load's; without one the test would show nothing
 	require.Positive(t, total[200])
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -27,7 +27,7 @@
 	"chalkring/internal/http1"
 )
 
-// discoveryAgent is discovery whose calls fail as they are told to, one after another; those after them are answered well.
+// discoveryAgent is discovery whose first calls fail in given ways, one after another; later ones are answered.
 type discoveryAgent struct {
 	ln    net.Listener
 	calls chan string // targets, as they come
@@ -257,7 +257,7 @@
 	return c
 }
 
-// waiting counts those that wait; next wakes the first of them.
+// waiting counts the waits; next ends the first of them.
 func (h *manualClock) waiting() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coordinator/panic_test.go
+++ b/coordinator/panic_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// panickingConn is a connection on which reading brings out a fault, once it is told at which address: here or there.
+// panickingConn is a connection on which reading panics, once its address has been set.
 type panickingConn struct {
 	net.Conn
 	at *atomic.Pointer[map[string]bool]
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -28,7 +28,7 @@
 	}))
 }
 
-// peerOptionsNamed is a co-ordinator's side towards peers, at a free port.
+// peerOptionsNamed returns a coordinator's peer options, with a free port.
 func peerOptionsNamed(t *testing.T, name string, ask ...PeerAddress) *PeerOptions {
 	return &PeerOptions{
 		Name: name, Listener: listen(t), PollTargets: ask, AllowedPeers: []string{"a", "b", "c"},
@@ -38,7 +38,7 @@
 
 func (p *PeerOptions) at() PeerAddress { return PeerAddress{p.Name, p.Listener.Addr().String()} }
 
-// isSuspected counts the replicas of which the module has isSuspected something.
+// isSuspected says whether the balancer has an observation of a host.
 func (r *rig) isSuspected(hostID string) (bad bool) {
 	told := make(chan struct{})
 	var all []string
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -25,7 +25,7 @@
 	"chalkring/storage/store"
 )
 
-// restartWithStore serves a co-ordinator on a rig's hosts that keeps what it knows at a path; its discovery is away.
+// restartWithStore serves a coordinator on a rig's hosts with a store at a path and without discovery.
 func (r *rig) restartWithStore(path string, options store.Options) *rig {
 	ln := listen(r.t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,7 +63,7 @@
 	require.NoError(t, s.Close(context.Background()))
 }
 
-// hostsInForce are the hosts that the owner works with.
+// hostsInForce returns the hosts that the event loop works with.
 func (r *rig) hostsInForce() string {
 	found := make(chan string, 1)
 	require.True(r.t, r.loop.submit(func() {
@@ -78,7 +78,7 @@
 	return <-found
 }
 
-// attemptsOn sends so many searches and tells how many parts a host took of them.
+// attemptsOn sends so many searches and returns how many attempts a host got.
 func (r *rig) attemptsOn(host string, n int) int {
 	before, c := r.replicas[host].CountRequests(), r.connect()
 	for i := range n {
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -39,8 +39,8 @@
 // once: each request that was sent before has its final answer, none a connection that closes.
 func TestConnectionsThatStayOpenAtShutdown(t *testing.T) {
 	r := process(t, nil)
-	text := func(hostID string) string {
-		return fake.Search{ID: hostID, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Encode()
+	text := func(searchName string) string {
+		return fake.Search{ID: searchName, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Encode()
 	}
 	var mu sync.Mutex
 	answers, fates := map[int]int{}, []string(nil)
@@ -155,8 +155,8 @@
 		conns, readers = append(conns, conn), append(readers, http1.NewReader(conn, make([]byte, 16<<10)))
 		return conn
 	}
-	text := func(hostID string) string {
-		return fake.Search{ID: hostID, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 8 * time.Second, Tenant: "acme"}.Encode()
+	text := func(searchName string) string {
+		return fake.Search{ID: searchName, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 8 * time.Second, Tenant: "acme"}.Encode()
 	}
 	send := func(conn net.Conn, text string) {
 		_, err := conn.Write([]byte(text))
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -41,7 +41,7 @@
 		r.connect()
 	}
 	r.logged("end=displaced")
-	next.Responses <- "" // fails: the module asks again, at the same place
+	next.Responses <- "" // fails: the balancer polls again, at the same address
 	require.Equal(t, "/v1/servers?index=3&wait=2000", <-next.Targets)
 	require.Empty(t, r.list.Targets)
 	r.shutDown()
@@ -176,9 +176,9 @@
 	r := start(t, 256, nil)
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	c := r.connect()
-	both := func(hostID string) {
-		c.expect(hostID+"a", "all", 200, completeAnswer) // some would be whole with half of its parts, in another order
-		c.send(strings.Replace(request(hostID+"b", "all", "", fourParts), "acme", "globex", 1))
+	both := func(searchName string) {
+		c.expect(searchName+"a", "all", 200, completeAnswer) // in another order, some would be complete with half of its shards
+		c.send(strings.Replace(request(searchName+"b", "all", "", fourParts), "acme", "globex", 1))
 		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 400, status)
 	}
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -35,30 +35,30 @@
 
 // placeReplica records a replica's address, kind and state. Connections to another address, or from before its start
 // (since, in ticks), take nothing new.
-func (loop *eventLoop) placeReplica(hostID, addr, kind string, since int64, gone, drains bool) {
+func (loop *eventLoop) placeReplica(hostID, addr, kind string, since int64, isRemoved, isDraining bool) {
 	current := loop.replicas.byID[hostID]
 	if current == nil {
-		if gone {
+		if isRemoved {
 			return
 		}
 		current = &replica{id: hostID, protocol: frameProtocol{}}
 		loop.replicas.byID[hostID] = current
 	}
-	speaks := loop.protocolFor(kind)
-	moved := current.addr != addr || current.protocol != speaks
+	protocol := loop.protocolFor(kind)
+	hasMoved := current.addr != addr || current.protocol != protocol
 	for _, conn := range slices.Clone(current.connections) {
 		// A connection older than its replica's start leads to an earlier incarnation, which may have ended without closing
 		// it: what is sent there is lost.
-		if gone || moved || conn.connectedAt > 0 && conn.connectedAt < since {
+		if isRemoved || hasMoved || conn.connectedAt > 0 && conn.connectedAt < since {
 			loop.retireConnection(conn)
 		}
 	}
-	if closed := gone || drains; closed && !current.closedToNew || moved && len(current.connections) > 0 {
+	if isClosed := isRemoved || isDraining; isClosed && !current.closedToNew || hasMoved && len(current.connections) > 0 {
 		loop.recallAfterGrace(current)
 	}
-	current.addr, current.removed, current.closedToNew = addr, gone, gone || drains
-	if !gone {
-		current.protocol = speaks
+	current.addr, current.removed, current.closedToNew = addr, isRemoved, isRemoved || isDraining
+	if !isRemoved {
+		current.protocol = protocol
 	}
 	loop.forgetReplica(current)
 }
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -169,9 +169,9 @@
 // conflictsWith says whether the name of one of a batch's attempts is in use on the connection, or was for another
 // search: an answer to that one would be taken for this one's.
 func (l *replicaConnection) conflictsWith(batch *batch) bool {
-	return slices.ContainsFunc(batch.attempts, func(current *attempt) bool {
-		id, known := l.recentIDs[current.name]
-		return known && id != current.shardRequest.search.id || findAttempt(l.attempts, current.name) != nil
+	return slices.ContainsFunc(batch.attempts, func(added *attempt) bool {
+		searchID, isRecent := l.recentIDs[added.name]
+		return isRecent && searchID != added.shardRequest.search.id || findAttempt(l.attempts, added.name) != nil
 	})
 }
 
--- a/coordinator/replica_dial_test.go
+++ b/coordinator/replica_dial_test.go
@@ -225,14 +225,14 @@
 	return r, func(hostID string) { close(g.at(r.replicas[hostID].Listener.Addr().String())) }
 }
 
-// awaitTurn does something in a turn of the owner's and waits for it.
+// runInLoop runs a task on the event loop and waits for it.
 func (r *rig) runInLoop(do func(loop *eventLoop)) {
 	done := make(chan struct{})
 	require.True(r.t, r.loop.submit(func() { do(r.loop); close(done) }))
 	<-done
 }
 
-// waitingAttempts tells how many parts are out, as the owner sees it, on connections to a replica that are not up.
+// waitingAttempts returns how many attempts wait for connections to a replica to come up.
 func (r *rig) waitingAttempts(hostID string) (n int) {
 	r.runInLoop(func(loop *eventLoop) {
 		if to := loop.replicas.byID[hostID]; to != nil {
@@ -246,7 +246,7 @@
 	return n
 }
 
-// isConnected tells whether a connection to a replica is.
+// isConnected says whether a connection to a replica is up.
 func (r *rig) isConnected(hostID string) (is bool) {
 	r.runInLoop(func(loop *eventLoop) {
 		for _, conn := range loop.replicas.byID[hostID].connections {
@@ -328,7 +328,7 @@
 
 // An attempt whose client leaves while it waits for a connection is not sent once that is up.
 func TestClientLeavesDuringDial(t *testing.T) {
-	r, let := startGated(t, func(settings map[string]any) { // the module calls nothing off
+	r, let := startGated(t, func(settings map[string]any) { // the balancer cancels nothing
 		may := settings["Permissions"].(map[string]any)
 		may["SecondCopies"], may["Cancelling"] = false, false
 	})
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -55,7 +55,7 @@
 	return z
 }
 
-// attemptsOutside counts parts of acme's that hosts got which are not named.
+// attemptsOutside counts acme's attempts on hosts that are not named.
 func (z *zonedRig) attemptsOutside(in ...string) (n int) {
 	for hostID, h := range z.replicas {
 		if parts, _, _, _ := h.Observed(); !strings.Contains(strings.Join(in, " "), hostID) {
@@ -69,9 +69,9 @@
 	return n
 }
 
-func (z *zonedRig) searchAs(tenant, hostID, class string) (status int, body string) {
+func (z *zonedRig) searchAs(tenant, searchName, class string) (status int, body string) {
 	c := z.connect()
-	c.send(strings.Replace(request(hostID, class, "", fourParts), "X-Tenant: acme", "X-Tenant: "+tenant, 1))
+	c.send(strings.Replace(request(searchName, class, "", fourParts), "X-Tenant: acme", "X-Tenant: "+tenant, 1))
 	status, _, body, _ = c.readAnswer()
 	return status, body
 }
@@ -251,7 +251,7 @@
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-// inFlightOn counts parts out at hosts.
+// inFlightOn counts attempts in flight at hosts.
 func (b *residencyEnforcer) inFlightOn(ids ...string) (n int) {
 	for _, hostID := range ids {
 		for _, conn := range b.loop.replicas.byID[hostID].connections {
--- a/coordinator/rig_test.go
+++ b/coordinator/rig_test.go
@@ -23,7 +23,7 @@
 // patience is how long a test waits for what has to come; no verdict rests on anything coming sooner.
 const patience = 20 * time.Second
 
-// Class some is whole with half of its parts; all needs every part; deep needs all and has a second step
+// Class some is complete with half of its shards; all needs every shard; deep needs all and has a second step
 // at two shards. Cell 0 holds the even shards, cell 1 the odd ones.
 const testSettings = `{"Family":"fanout","Discovery":"subscribe","Balancers":1,"Tick":5.0,
 "FailureDomains":["z one"],"MachineTypes":["small"],"Clients":{"MarksRetry":true},
@@ -57,7 +57,7 @@
 	return w.Conn.Write(append(append([]byte(nil), p...), w.more...))
 }
 
-// rig is one co-ordinator with stand-ins around it.
+// rig is one coordinator with fake hosts, clients and discovery.
 type rig struct {
 	t        *testing.T
 	replicas map[string]*fake.Host
@@ -96,7 +96,7 @@
 	require.Eventually(r.t, ok, patience, time.Millisecond, "%s\n%s", why, r.log)
 }
 
-// parts counts those that all replicas got.
+// parts counts the shard requests that all replicas got.
 func (r *rig) parts() (n int) {
 	for _, s := range r.replicas {
 		parts, _, _, _ := s.Observed()
@@ -206,7 +206,7 @@
 	return r
 }
 
-// shutDown stops the co-ordinator, has the clients leave, and waits for it.
+// shutDown stops the coordinator, closes its clients' connections, and waits for its end.
 func (r *rig) shutDown() {
 	r.stop()
 	r.mu.Lock()
@@ -241,9 +241,9 @@
 }
 
 // request is a search's text; head is added to its headers.
-func request(hostID, class, head, body string) string {
+func request(searchName, class, head, body string) string {
 	return fmt.Sprintf("POST /%s?k=7f HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: acme\r\n"+
-		"X-Deadline: 8.000\r\n%sContent-Length: %d\r\n\r\n%s", class, hostID, class, head, len(body), body)
+		"X-Deadline: 8.000\r\n%sContent-Length: %d\r\n\r\n%s", class, searchName, class, head, len(body), body)
 }
 
 const fourParts = `{"ranges":[{"range":0,"portion":0.25},{"range":1,"portion":0.25},{"range":2,"portion":0.25,` +
@@ -261,9 +261,9 @@
 	return status, head, string(text), keep
 }
 
-// expect sends a search of four parts and looks at the answer.
-func (c *testClient) expect(hostID, class string, status int, body string) {
-	c.send(request(hostID, class, "", fourParts))
+// expect sends a search of four shards and checks the answer.
+func (c *testClient) expect(searchName, class string, status int, body string) {
+	c.send(request(searchName, class, "", fourParts))
 	got, _, text, _ := c.readAnswer()
 	require.Equal(c.r.t, status, got, "%s\n%s", text, c.r.log)
 	if body != "" {
--- a/coordinator/search_test.go
+++ b/coordinator/search_test.go
@@ -143,20 +143,20 @@
 	r.shutDown()
 }
 
-// randomRequest returns the text of a search named id and what it asks for: some are longer than the buffers, some
+// randomRequest returns the text of a search named searchName and what it asks for: some are longer than the buffers, some
 // have to be escaped again, and some come in chunks.
-func randomRequest(chance *rand.Rand, hostID string, i int) (what, text string) {
-	what = hostID + strings.Repeat("/"+hostID, chance.Intn(40)*chance.Intn(40))
+func randomRequest(chance *rand.Rand, searchName string, i int) (what, text string) {
+	what = searchName + strings.Repeat("/"+searchName, chance.Intn(40)*chance.Intn(40))
 	if i%7 == 0 {
 		what += `\"\u00fc`
 	}
 	body := strings.Replace(fourParts, `"what"`, `"`+what+`"`, 1)
-	text = request(hostID, "all", "", body)
+	text = request(searchName, "all", "", body)
 	if i%3 != 0 {
 		return what, text
 	}
 	at := chance.Intn(len(body)) + 1
-	text = strings.Replace(request(hostID, "all", "", ""), "Content-Length: 0\r\n\r\n", fmt.Sprintf(
+	text = strings.Replace(request(searchName, "all", "", ""), "Content-Length: 0\r\n\r\n", fmt.Sprintf(
 		"Transfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%s\r\n", at, body[:at]), 1)
 	if at < len(body) {
 		text += fmt.Sprintf("%x\r\n%s\r\n", len(body)-at, body[at:])
@@ -177,8 +177,8 @@
 		g.Go(func() {
 			c := r.connect()
 			for i := range each {
-				hostID := fmt.Sprintf("c%d-%d", k, i)
-				what, text := randomRequest(chance, hostID, i)
+				searchName := fmt.Sprintf("c%d-%d", k, i)
+				what, text := randomRequest(chance, searchName, i)
 				switch chance.Intn(8) {
 				case 0: // leaves
 					c.Write([]byte(text))
@@ -193,7 +193,7 @@
 				case 2: // is refused
 					c.Write([]byte(strings.Replace(text, "X-Tenant: acme", "X-Tenant: nobody", 1)))
 					if status, _, got, _, err := c.rd.ReadResponse(); err != nil || status != 400 || string(got) != "{}" {
-						faults <- fmt.Sprint(hostID, " refused: ", status, err)
+						faults <- fmt.Sprint(searchName, " refused: ", status, err)
 						return
 					}
 				}
@@ -214,12 +214,12 @@
 					continue
 				}
 				if err != nil || status != 200 || len(got.Answers) != 4 {
-					faults <- fmt.Sprintf("%s: %d %v %.200s", hostID, status, err, answer)
+					faults <- fmt.Sprintf("%s: %d %v %.200s", searchName, status, err, answer)
 					return
 				}
 				for shard, one := range got.Answers {
 					if one.Blob != fmt.Sprintf("%s@%d", want, shard) {
-						faults <- fmt.Sprintf("%s got %.200s", hostID, one.Blob)
+						faults <- fmt.Sprintf("%s got %.200s", searchName, one.Blob)
 						return
 					}
 				}
@@ -345,7 +345,7 @@
 		var mu sync.Mutex
 		met := map[string]bool{}
 		for _, h := range r.replicas {
-			h.SetHandler(func(p asked) { // the first sub-request of each search's part at shard 0 may have run
+			h.SetHandler(func(p asked) { // the first attempt of each search at shard 0 may have run
 				mu.Lock()
 				first := p.Shard == 0 && !met[p.ID]
 				met[p.ID] = true
--- a/coordinator/socket_hooks_test.go
+++ b/coordinator/socket_hooks_test.go
@@ -11,12 +11,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// hookedConn is a connection on a TCP socket that stops at named moments for as long as what stands there takes; nil passes.
+// hookedConn is a TCP connection that calls hooks at named moments; nil hooks are skipped.
 type hookedConn struct {
 	*net.TCPConn
 	read        func(n int)                       // some bytes are read, and not handed over yet
 	writes      func(p []byte) (n int, done bool) // a write begins; done if it has been dealt with
-	wrote       func(p []byte)                    // a write is out, and its end not told
+	wrote       func(p []byte)                    // a write is out, and has not returned
 	closesWrite func()
 	closes      func()
 }
@@ -59,7 +59,7 @@
 	return c.TCPConn.Close()
 }
 
-// hookedListener is a TCP listener whose connections are crossings, and which tells of each deadline that it is given.
+// hookedListener is a TCP listener of hooked connections, which reports each deadline that it is given.
 type hookedListener struct {
 	*net.TCPListener
 	made     func(c *hookedConn) // may be nil
@@ -100,7 +100,7 @@
 	return c.SystemClock.After(d)
 }
 
-// startHooked starts a co-ordinator whose clients' and replicas' connections are made crossings by accepts and dials; either
+// startHooked starts a coordinator whose clients' and replicas' connections get hooks from accepts and dials; either
 // may be nil, and more too.
 func startHooked(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *hookedConn),
 	dials func(addr string, c *hookedConn), more func(m *Options),
--- a/coordinator/start_stop_process_test.go
+++ b/coordinator/start_stop_process_test.go
@@ -57,7 +57,7 @@
 	require.Contains(t, other.log.String(), "event=no_start")
 	require.Contains(t, other.log.String(), "do=")
 	l.served("b")
-	other.start(nil) // told to end while it waits, it does
+	other.start(nil) // stopped while it waits, it ends
 	other.logged("event=address_in_use")
 	other.signal(syscall.SIGTERM)
 	other.waitForExit(0)
