--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -133,13 +133,17 @@
 		if loop.handleOverdueTimer() {
 			continue
 		}
+		alarm := loop.timers.alarm
+		if loop.timers.queue.Len() == 0 {
+			alarm = nil
+		}
 		if loop.isFinished() {
 			return errAllAnswered
 		}
 		select {
 		case task := <-loop.tasks:
 			loop.iterate(task)
-		case <-loop.setAlarm():
+		case <-alarm:
 			loop.timers.alarm = nil
 		case <-loop.ctx.Done():
 			return loop.ctx.Err()
@@ -147,8 +151,8 @@
 	}
 }
 
-// handleOverdueTimer runs an iteration if the first timer is due; false where it is not. The stall detector alone needs
-// no iteration, unless it is late.
+// handleOverdueTimer runs an iteration if the first timer is due. Where it is not, it sets the alarm for it and returns
+// false. The stall detector alone needs no iteration, unless it is late.
 func (loop *eventLoop) handleOverdueTimer() bool {
 	if loop.timers.queue.Len() == 0 {
 		return false
@@ -156,6 +160,7 @@
 	first := loop.timers.queue.timers[0]
 	wait := first.at - loop.clockTicks()
 	if wait > 0 {
+		loop.setAlarm(first.at, time.Duration(wait)*tick)
 		return false
 	}
 	if first == &loop.timers.stall.timer && -wait < int64(stallThreshold/tick) {
@@ -168,18 +173,12 @@
 	return true
 }
 
-// setAlarm returns the channel that wakes the event loop for its first timer, nil without timers. An alarm that is set
-// already is kept if it comes before that: most timers are stopped, and an early alarm does no harm.
-func (loop *eventLoop) setAlarm() <-chan time.Time {
-	if loop.timers.queue.Len() == 0 {
-		return nil
-	}
-	at := loop.timers.queue.timers[0].at
+// setAlarm makes the alarm wake the event loop after wait, which ends at the tick at. An alarm that is set already is kept
+// if it comes before that: most timers are stopped, and an early alarm does no harm.
+func (loop *eventLoop) setAlarm(at int64, wait time.Duration) {
 	if loop.timers.alarm == nil || at < loop.timers.alarmAt {
-		wait := max(0, at-loop.clockTicks())
-		loop.timers.alarm, loop.timers.alarmAt = loop.Clock.After(time.Duration(wait)*tick), at
+		loop.timers.alarm, loop.timers.alarmAt = loop.Clock.After(wait), at
 	}
-	return loop.timers.alarm
 }
 
 // isFinished says whether, after a stop, every client has left and every search is answered.
