--- a/cluster/crdt/batch.go
+++ b/cluster/crdt/batch.go
@@ -35,11 +35,11 @@
 // version does not cover.
 type batchBuilder struct {
 	Batch
-	sources []contextSource
+	sources []sharedContext
 }
 
-// contextSource is an extra context that some records of the batch share.
-type contextSource struct {
+// sharedContext is an extra context that some records of the batch share.
+type sharedContext struct {
 	context    Version
 	difference Version // what the batch's known version does not cover
 	index      uint16  // the context index of the difference, 0 if it has none
@@ -65,12 +65,12 @@
 }
 
 // source returns the source for an extra context, and about how many bytes the batch grows by for it.
-func (b *batchBuilder) source(context Version) (source contextSource, size int) {
-	known := slices.IndexFunc(b.sources, func(s contextSource) bool { return s.context.sharesMemory(context) })
+func (b *batchBuilder) source(context Version) (source sharedContext, size int) {
+	known := slices.IndexFunc(b.sources, func(s sharedContext) bool { return s.context.sharesMemory(context) })
 	if known >= 0 {
 		return b.sources[known], 0
 	}
-	source = contextSource{context: context, difference: context.subtract(b.Known)}
+	source = sharedContext{context: context, difference: context.subtract(b.Known)}
 	if len(source.difference) > 0 && len(b.ExtraContexts) < maxExtraContexts {
 		b.ExtraContexts = append(b.ExtraContexts, source.difference)
 		source.index = uint16(len(b.ExtraContexts))
--- a/cluster/crdt/dot.go
+++ b/cluster/crdt/dot.go
@@ -30,8 +30,8 @@
 	return name + string(incarnationSeparator) + strconv.FormatUint(incarnation, 10)
 }
 
-// ActorName returns the instance name of an actor.
-func ActorName(actor string) string {
+// ActorInstance returns the instance name of an actor.
+func ActorInstance(actor string) string {
 	return actor[:max(0, strings.LastIndexByte(actor, incarnationSeparator))]
 }
 
@@ -45,7 +45,7 @@
 }
 
 func isValidActor(actor string) bool {
-	return ActorName(actor) != "" && len(actor) <= MaxActorBytes && ActorIncarnation(actor) > 0
+	return ActorInstance(actor) != "" && len(actor) <= MaxActorBytes && ActorIncarnation(actor) > 0
 }
 
 // endMark returns the actor that stands, in a Version, for all incarnations of an instance before the dot's counter.
--- a/cluster/crdt/exchange.go
+++ b/cluster/crdt/exchange.go
@@ -91,9 +91,9 @@
 	return wanted
 }
 
-// RetryRequest withdraws the outstanding request, whose response was or may have been lost. What it asked for is part of
+// RequeueRequest withdraws the outstanding request, whose response was or may have been lost. What it asked for is part of
 // later requests.
-func (x *Exchange) RetryRequest() {
+func (x *Exchange) RequeueRequest() {
 	if !x.awaitingResponse {
 		return
 	}
--- a/cluster/crdt/exchange_responder.go
+++ b/cluster/crdt/exchange_responder.go
@@ -8,7 +8,7 @@
 		return ExchangeResponse{}, &InvalidDataError{From: from, Reason: "a request that cannot be used"}
 	}
 	response := ExchangeResponse{ExchangeID: request.ExchangeID, RequestSeq: request.RequestSeq, Actor: m.actor}
-	name := ActorName(request.Actor)
+	name := ActorInstance(request.Actor)
 	if m.isSuperseded(request.Actor) {
 		response.EndedBefore = max(m.incarnationEnds[name].Before, m.known.EndedBefore(name))
 		return response, nil
--- a/cluster/crdt/exchange_response.go
+++ b/cluster/crdt/exchange_response.go
@@ -39,7 +39,7 @@
 
 // checkResponse refuses a response that does not fit the outstanding request or the peer's incarnation.
 func (x *Exchange) checkResponse(response ExchangeResponse) error {
-	if !isValidActor(response.Actor) || ActorName(response.Actor) != x.peer || !response.Batch.Known.isValid() {
+	if !isValidActor(response.Actor) || ActorInstance(response.Actor) != x.peer || !response.Batch.Known.isValid() {
 		return &InvalidDataError{From: x.peer, Reason: "a response that cannot be used"}
 	}
 	if response.EndedBefore > ActorIncarnation(x.replica.actor) {
@@ -80,10 +80,10 @@
 // namesWithOwnChangesBeyond returns the names with siblings of any incarnation of this instance that a version does not
 // cover.
 func (m *Map) namesWithOwnChangesBeyond(version Version) (names []string) {
-	ownName := ActorName(m.actor)
+	ownName := ActorInstance(m.actor)
 	m.records.Scan(func(name string, held *record) bool {
 		if slices.ContainsFunc(held.Siblings, func(s Sibling) bool {
-			return ActorName(s.Dot.Actor) == ownName && !version.Covers(s.Dot)
+			return ActorInstance(s.Dot.Actor) == ownName && !version.Covers(s.Dot)
 		}) {
 			names = append(names, name)
 		}
--- a/cluster/crdt/exchange_test.go
+++ b/cluster/crdt/exchange_test.go
@@ -23,7 +23,7 @@
 		request, ok := exchange.NextRequest()
 		require.True(t, ok)
 		if step%2 == 0 && step > 0 { // this request is lost; nothing that was received is requested again
-			exchange.RetryRequest()
+			exchange.RequeueRequest()
 			continue
 		}
 		response, err := a.HandleRequest("b", request)
--- a/cluster/crdt/helpers_test.go
+++ b/cluster/crdt/helpers_test.go
@@ -49,13 +49,13 @@
 
 // exchangeToEnd brings replica up to other, and other up to what it lacks of replica.
 func exchangeToEnd(t *testing.T, replica, other *Map) {
-	exchange := replica.NewExchange(ActorName(other.Actor()), 7)
+	exchange := replica.NewExchange(ActorInstance(other.Actor()), 7)
 	for {
 		request, ok := exchange.NextRequest()
 		if !ok {
 			break
 		}
-		response, err := other.HandleRequest(ActorName(replica.Actor()), request)
+		response, err := other.HandleRequest(ActorInstance(replica.Actor()), request)
 		require.NoError(t, err)
 		_, lacking, err := exchange.ApplyResponse(response)
 		require.NoError(t, err)
--- a/cluster/crdt/incarnation.go
+++ b/cluster/crdt/incarnation.go
@@ -5,32 +5,32 @@
 // IncarnationEnd says that an instance noted the end of all incarnations of another one before Before. It takes nothing
 // from them any more, and all it ever took from them is part of its state at its own change NotedAt.
 type IncarnationEnd struct {
-	_               struct{} `cbor:",toarray"`
-	Name            string
-	Before, NotedAt uint64
+	_                  struct{} `cbor:",toarray"`
+	Name               string
+	Before, RecordedAt uint64
 }
 
 // isSuperseded reports whether a later incarnation of the actor's instance is known.
 func (m *Map) isSuperseded(actor string) bool {
-	name, incarnation := ActorName(actor), ActorIncarnation(actor)
+	name, incarnation := ActorInstance(actor), ActorIncarnation(actor)
 	return incarnation > 0 && (incarnation < m.incarnationEnds[name].Before || incarnation < m.known.EndedBefore(name))
 }
 
 // checkSuperseded returns a SupersededError if a version from outside has an end mark for this incarnation.
 func (m *Map) checkSuperseded(from string, known Version) error {
-	if before := known.EndedBefore(ActorName(m.actor)); before > ActorIncarnation(m.actor) {
+	if before := known.EndedBefore(ActorInstance(m.actor)); before > ActorIncarnation(m.actor) {
 		return &SupersededError{From: from, EndedBefore: before}
 	}
 	return nil
 }
 
-// noteIncarnationEnd notes, by a change of this replica, that the incarnations of an instance before one have ended.
-func (m *Map) noteIncarnationEnd(name string, before uint64) {
+// recordIncarnationEnd notes, by a change of this replica, that the incarnations of an instance before one have ended.
+func (m *Map) recordIncarnationEnd(name string, before uint64) {
 	if m.incarnationEnds[name].Before >= before || m.known.EndedBefore(name) >= before {
 		return
 	}
 	m.known = m.known.With(m.nextDot())
-	m.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, NotedAt: m.known.LastCounter(m.actor)}
+	m.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, RecordedAt: m.known.LastCounter(m.actor)}
 }
 
 // settleIncarnationEnds replaces, in the known version, ended incarnations by an end mark, once every instance has noted
@@ -43,7 +43,7 @@
 	for name, own := range m.incarnationEnds {
 		before := own.Before
 		for other := range others {
-			end, ok := m.notedEnd(other, name)
+			end, ok := m.recordedEnd(other, name)
 			if !ok {
 				before = 0
 				break
@@ -59,16 +59,16 @@
 	}
 }
 
-// notedEnd returns the end of an instance's incarnations that another instance noted, if what that one took from them is
+// recordedEnd returns the end of an instance's incarnations that another instance noted, if what that one took from them is
 // part of the state here. If it has settled the end already, the mark comes with the next exchange.
-func (m *Map) notedEnd(notedBy, name string) (IncarnationEnd, bool) {
+func (m *Map) recordedEnd(notedBy, name string) (IncarnationEnd, bool) {
 	row := m.rows[notedBy]
 	i := slices.IndexFunc(row.IncarnationEnds, func(end IncarnationEnd) bool { return end.Name == name })
 	if i < 0 {
 		return IncarnationEnd{}, false
 	}
 	end := row.IncarnationEnds[i]
-	return end, m.known.Covers(Dot{Actor: row.Actor, Counter: end.NotedAt})
+	return end, m.known.Covers(Dot{Actor: row.Actor, Counter: end.RecordedAt})
 }
 
 // instancesToSettle returns the other instances that must have noted the end of an incarnation before it is settled: all
@@ -83,13 +83,13 @@
 	}
 	for _, dot := range m.known {
 		if !isEndMark(dot.Actor) {
-			names[ActorName(dot.Actor)] = true
+			names[ActorInstance(dot.Actor)] = true
 		}
 	}
 	for name := range m.forgottenNames {
 		delete(names, name)
 	}
-	delete(names, ActorName(m.actor))
+	delete(names, ActorInstance(m.actor))
 	return names
 }
 
@@ -98,7 +98,7 @@
 // none.
 func (m *Map) BeginIncarnation(incarnation uint64, peer string) (kept []Entry) {
 	previous, peerKnown := m.actor, m.rows[peer].Known
-	m.actor = FormatActor(ActorName(previous), incarnation)
+	m.actor = FormatActor(ActorInstance(previous), incarnation)
 	m.ownRow, m.incarnationEnds = Row{}, map[string]IncarnationEnd{}
 	m.records.Scan(func(_ string, held *record) bool {
 		if entry, reissued := m.reissueChanges(held.Entry, previous, peerKnown); reissued {
--- a/cluster/crdt/merge.go
+++ b/cluster/crdt/merge.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if m.isSuperseded(from) || m.forgottenNames[ActorName(from)] {
+	if m.isSuperseded(from) || m.forgottenNames[ActorInstance(from)] {
 		return nil, nil
 	}
 	return m.mergeEntries(from, batch.Entries, batch.ContextIndexes, contexts)
--- a/cluster/crdt/rows.go
+++ b/cluster/crdt/rows.go
@@ -49,7 +49,7 @@
 // NextRow makes and returns a new row of this replica.
 func (m *Map) NextRow() Row {
 	if m.ownRow.Seq == 0 {
-		m.noteIncarnationEnd(ActorName(m.actor), ActorIncarnation(m.actor))
+		m.recordIncarnationEnd(ActorInstance(m.actor), ActorIncarnation(m.actor))
 	}
 	row := Row{Actor: m.actor, Seq: m.ownRow.Seq + 1, Known: m.known}
 	for _, end := range m.incarnationEnds {
@@ -77,9 +77,9 @@
 func (m *Map) RowsSince(peerRows []RowVersion, maxBytes int) (rows []Row) {
 	peerHas := make(map[string]RowVersion, len(peerRows))
 	for _, version := range peerRows {
-		peerHas[ActorName(version.Actor)] = version
+		peerHas[ActorInstance(version.Actor)] = version
 	}
-	isNews := func(row Row) bool { return row.isLaterThan(peerHas[ActorName(row.Actor)]) }
+	isNews := func(row Row) bool { return row.isLaterThan(peerHas[ActorInstance(row.Actor)]) }
 	room := maxBytes
 	if m.ownRow.Seq > 0 && isNews(m.ownRow) {
 		rows, room = append(rows, m.ownRow), room-m.ownRow.encodedSize()
@@ -116,10 +116,10 @@
 		if !row.isValid() {
 			return &InvalidDataError{From: from, Reason: "a row that cannot be used"}
 		}
-		name := ActorName(row.Actor)
+		name := ActorInstance(row.Actor)
 		held, isHeld := m.rows[name]
 		switch {
-		case name == ActorName(m.actor) || m.isSuperseded(row.Actor):
+		case name == ActorInstance(m.actor) || m.isSuperseded(row.Actor):
 			continue
 		case isHeld && !row.isLaterThan(held.version()):
 			continue
@@ -129,7 +129,7 @@
 		row.Actor, row.Known = m.internActor(row.Actor), m.internVersion(row.Known)
 		m.rows[name] = row
 		delete(m.forgottenNames, name)
-		m.noteIncarnationEnd(name, ActorIncarnation(row.Actor))
+		m.recordIncarnationEnd(name, ActorIncarnation(row.Actor))
 	}
 	return nil
 }
--- a/cluster/crdt/simulation_test.go
+++ b/cluster/crdt/simulation_test.go
@@ -168,7 +168,7 @@
 }
 
 func (s *simulation) deliver(to string, message delayedMessage) {
-	sender := ActorName(message.from)
+	sender := ActorInstance(message.from)
 	if s.cutLinks[link{sender, to}] || sender == to {
 		return
 	}
@@ -213,7 +213,7 @@
 		exchange = replica.state.NewExchange(peer, s.lastExchangeID)
 		replica.exchanges[peer] = exchange
 	}
-	exchange.RetryRequest()
+	exchange.RequeueRequest()
 	request, ok := exchange.NextRequest()
 	require.True(s.t, ok)
 	if s.cutLinks[link{name, peer}] || s.cutLinks[link{peer, name}] || lossy && rapid.IntRange(0, 4).Draw(s.t, "lost") == 0 {
--- a/cluster/crdt/stability.go
+++ b/cluster/crdt/stability.go
@@ -35,7 +35,7 @@
 	}
 	stable := m.known
 	for _, name := range m.members {
-		if name == ActorName(m.actor) || m.absentMembers[name] {
+		if name == ActorInstance(m.actor) || m.absentMembers[name] {
 			continue
 		}
 		row, ok := m.coveredRows[name]
--- a/cluster/crdt/version.go
+++ b/cluster/crdt/version.go
@@ -69,7 +69,7 @@
 	}
 	all := slices.Clone(v)
 	return slices.DeleteFunc(v, func(d Dot) bool {
-		return !isEndMark(d.Actor) && ActorIncarnation(d.Actor) < all.EndedBefore(ActorName(d.Actor))
+		return !isEndMark(d.Actor) && ActorIncarnation(d.Actor) < all.EndedBefore(ActorInstance(d.Actor))
 	})
 }
 
--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -39,7 +39,7 @@
 		Known: version, Entries: []Entry{entry, {Name: "plan/b", Siblings: []Sibling{{Dot: first, Value: []byte{}}}, CausalContext: Version{first}}},
 		ExtraContexts: []Version{{second}}, ContextIndexes: []uint16{1, 0},
 	}
-	row := Row{Actor: "gateway-1#7", Seq: 4, Known: version, IncarnationEnds: []IncarnationEnd{{Name: "gateway-2", Before: 9, NotedAt: 2}}}
+	row := Row{Actor: "gateway-1#7", Seq: 4, Known: version, IncarnationEnds: []IncarnationEnd{{Name: "gateway-2", Before: 9, RecordedAt: 2}}}
 	held, _ := goldenMap(t).Get("plan/a")
 	deleted, _ := goldenMap(t).Get("plan/b")
 	golden.RequireForms(t, "records.golden", []golden.Form{
@@ -65,7 +65,7 @@
 		{
 			Name: "actor", Encode: func() ([]byte, error) { return []byte(FormatActor("gateway-1", 1_790_000_000_000_000_001)), nil },
 			Decode: func(encoded []byte) (any, error) {
-				return []any{ActorName(string(encoded)), ActorIncarnation(string(encoded))}, nil
+				return []any{ActorInstance(string(encoded)), ActorIncarnation(string(encoded))}, nil
 			},
 			Want: []any{"gateway-1", uint64(1_790_000_000_000_000_001)},
 		},
--- a/cluster/replication/cluster_test.go
+++ b/cluster/replication/cluster_test.go
@@ -115,12 +115,12 @@
 
 // start starts an instance and waits until it is ready.
 func (c *testCluster) start(name string) *Replicator {
-	replicator := c.begin(name)
+	replicator := c.startWithoutWaiting(name)
 	<-replicator.Ready()
 	return replicator
 }
 
-func (c *testCluster) begin(name string) *Replicator {
+func (c *testCluster) startWithoutWaiting(name string) *Replicator {
 	c.lastIncarnation++
 	c.nodes[name] = c.network.Join(name)
 	storage, opened := c.storages[name], c.storageOpened
--- a/cluster/replication/exchange.go
+++ b/cluster/replication/exchange.go
@@ -22,8 +22,8 @@
 	maxRequestAttempts = 2
 	// maxExchangeAge is the age at which an interrupted exchange is begun anew and not resumed.
 	maxExchangeAge = 10 * time.Minute
-	// resumeChance: one round in so many, at random, prefers a peer with an interrupted exchange.
-	resumeChance = 2
+	// resumeOneRoundIn: one round in so many, at random, prefers a peer with an interrupted exchange.
+	resumeOneRoundIn = 2
 )
 
 // openExchange is an exchange that has not come to its end.
@@ -67,12 +67,12 @@
 		return ""
 	}
 	for _, name := range alive {
-		if !r.metPeers[name] {
-			r.metPeers[name] = true
+		if !r.contactedPeers[name] {
+			r.contactedPeers[name] = true
 			return name
 		}
 	}
-	if r.rng.Intn(resumeChance) == 0 {
+	if r.rng.Intn(resumeOneRoundIn) == 0 {
 		for _, name := range alive {
 			if r.openExchanges[name] != nil {
 				return name
@@ -88,9 +88,9 @@
 	for _, name := range alive {
 		isAlive[name] = true
 	}
-	for name := range r.metPeers {
+	for name := range r.contactedPeers {
 		if !isAlive[name] {
-			delete(r.metPeers, name)
+			delete(r.contactedPeers, name)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 func (r *Replicator) nextRequest(exchange *crdt.Exchange) (crdt.ExchangeRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	exchange.RetryRequest()
+	exchange.RequeueRequest()
 	return exchange.NextRequest()
 }
 
--- a/cluster/replication/incarnation.go
+++ b/cluster/replication/incarnation.go
@@ -36,7 +36,7 @@
 	r.incarnationBegunAt = now
 	peer := superseded.From // an instance, or an actor where a message said it
 	if crdt.ActorIncarnation(peer) > 0 {
-		peer = crdt.ActorName(peer)
+		peer = crdt.ActorInstance(peer)
 	}
 	incarnation := max(superseded.EndedBefore, crdt.ActorIncarnation(r.state.Actor())) + 1
 	kept = r.state.BeginIncarnation(incarnation, peer)
@@ -51,10 +51,10 @@
 // was set back. r.mu is held.
 func (r *Replicator) ensureLaterIncarnation(known crdt.Version) {
 	actor := r.state.Actor()
-	name := crdt.ActorName(actor)
+	name := crdt.ActorInstance(actor)
 	last := known.EndedBefore(name)
 	for _, dot := range known {
-		if crdt.ActorName(dot.Actor) == name {
+		if crdt.ActorInstance(dot.Actor) == name {
 			last = max(last, crdt.ActorIncarnation(dot.Actor))
 		}
 	}
--- a/cluster/replication/messages.go
+++ b/cluster/replication/messages.go
@@ -94,7 +94,7 @@
 // handleStates merges the states of a message; one whose actor is not the sender's is ignored.
 func (r *Replicator) handleStates(from string, content []byte, isUpdate bool) error {
 	var message stateMessage
-	if err := cbor.Unmarshal(content, &message); err != nil || crdt.ActorName(message.Actor) != from {
+	if err := cbor.Unmarshal(content, &message); err != nil || crdt.ActorInstance(message.Actor) != from {
 		return err
 	}
 	return r.applyStates(message, isUpdate)
--- a/cluster/replication/persistence_test.go
+++ b/cluster/replication/persistence_test.go
@@ -72,7 +72,7 @@
 	c.kill("a")
 	_, _ = c.replicators["b"].Put("x", []byte("newer"))
 	c.storageOpened = make(chan struct{})
-	late := c.begin("a")
+	late := c.startWithoutWaiting("a")
 	late.readyOnce.Do(func() { close(late.ready) }) // as after storageTimeout
 	c.requireEqualReplicas()
 	close(c.storageOpened)
--- a/cluster/replication/replicator.go
+++ b/cluster/replication/replicator.go
@@ -70,7 +70,7 @@
 	lastExchangeID  uint64
 	openExchanges   map[string]*openExchange              // by peer
 	responseWaiters map[uint64]chan crdt.ExchangeResponse // by exchange
-	metPeers        map[string]bool                       // peers that were alive and exchanged with since
+	contactedPeers  map[string]bool                       // peers that were alive and exchanged with since
 
 	lastAliveAt        map[string]time.Duration // when each instance was last seen alive
 	incarnationBegunAt time.Duration
@@ -108,7 +108,7 @@
 		isPendingUpdate: map[string]bool{}, updateSignal: make(chan struct{}, 1),
 		dirty: map[string]bool{}, persistSignal: make(chan struct{}, 1), transactionDone: make(chan struct{}),
 		openExchanges: map[string]*openExchange{}, responseWaiters: map[uint64]chan crdt.ExchangeResponse{},
-		metPeers: map[string]bool{}, lastAliveAt: map[string]time.Duration{}, lastLoggedAt: map[string]time.Duration{},
+		contactedPeers: map[string]bool{}, lastAliveAt: map[string]time.Duration{}, lastLoggedAt: map[string]time.Duration{},
 		incarnationBegunAt: -minIncarnationInterval, lastRowAt: -rowIntervals * options.ExchangeInterval,
 	}
 	r.lastExchangeID = r.rng.Uint64() >> 1
--- a/cluster/replication/responder.go
+++ b/cluster/replication/responder.go
@@ -19,7 +19,7 @@
 // many jobs the request is dropped, and the peer asks again.
 func (r *Replicator) handleRequest(from string, content []byte) error {
 	var request crdt.ExchangeRequest
-	if err := cbor.Unmarshal(content, &request); err != nil || crdt.ActorName(request.Actor) != from {
+	if err := cbor.Unmarshal(content, &request); err != nil || crdt.ActorInstance(request.Actor) != from {
 		return err
 	}
 	job := scheduler.Job{
--- a/cluster/replication/tombstones.go
+++ b/cluster/replication/tombstones.go
@@ -37,7 +37,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.elapsed()
-	r.noteAlive(now, alive, members)
+	r.recordAlive(now, alive, members)
 	_, tombstones, _ := r.state.Counts()
 	isFull := tombstones >= tombstoneHighWatermark
 	extraInstances := max(0, len(r.lastAliveAt)-smallClusterSize)
@@ -45,7 +45,7 @@
 		return nil
 	}
 	r.lastCollectAt = now
-	counting, absent := r.countingInstances(now, members, isFull)
+	counting, absent := r.stabilityMembers(now, members, isFull)
 	r.state.SetMembers(counting, absent)
 	collected := r.state.CollectTombstones()
 	r.recordChanges(collected)
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// noteAlive notes when instances were last alive; a member counts as alive when it is first named. r.mu is held.
-func (r *Replicator) noteAlive(now time.Duration, alive, members []string) {
+// recordAlive notes when instances were last alive; a member counts as alive when it is first named. r.mu is held.
+func (r *Replicator) recordAlive(now time.Duration, alive, members []string) {
 	for _, name := range members {
 		if _, ok := r.lastAliveAt[name]; !ok {
 			r.lastAliveAt[name] = now
@@ -68,9 +68,9 @@
 	}
 }
 
-// countingInstances returns the instances that count for causal stability, and those of them that are absent for too long
+// stabilityMembers returns the instances that count for causal stability, and those of them that are absent for too long
 // to be waited for. It forgets instances that are gone. r.mu is held.
-func (r *Replicator) countingInstances(now time.Duration, members []string, isFull bool) (counting, absent []string) {
+func (r *Replicator) stabilityMembers(now time.Duration, members []string, isFull bool) (counting, absent []string) {
 	for name, lastAlive := range r.lastAliveAt {
 		silence := now - lastAlive
 		if silence > ForgetTimeout && !slices.Contains(members, name) {
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -15,7 +15,7 @@
 
 // idleReplicator has no background work, so that a test alone changes it.
 func idleReplicator(actor string) *Replicator {
-	return newReplicator(context.Background(), Options{InstanceName: crdt.ActorName(actor), Incarnation: crdt.ActorIncarnation(actor)})
+	return newReplicator(context.Background(), Options{InstanceName: crdt.ActorInstance(actor), Incarnation: crdt.ActorIncarnation(actor)})
 }
 
 // goldenReplicator holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
