--- a/cluster/crdt/batch.go
+++ b/cluster/crdt/batch.go
@@ -2,28 +2,29 @@
 
 import "slices"
 
-// TargetMessageBytes is about the size of a message: under 64 KiB with its frame. The siblings of one name may need more.
+// TargetMessageBytes is the approximate size at which a message is full, so that it stays under 64 KiB with its frame.
+// The siblings of a single name may exceed it.
 const TargetMessageBytes = 48 << 10
 
-// maxExtraContexts is the number of contexts that a batch has beside its known version; those of further entries are joined
-// into their causal contexts. The receiver refuses more.
+// maxExtraContexts is the maximum number of contexts in a batch besides its known version. Once it is reached, the extra
+// context of an entry is joined into the entry's causal context. The receiver refuses a batch with more.
 const maxExtraContexts = 64
 
-// Batch is a message with the states of names. What the sender had seen under them is mostly the same for all, and is
-// sent once.
+// Batch is a message with the states of names. What the sender has seen is mostly the same for all of these names, and is
+// sent only once.
 type Batch struct {
 	_ struct{} `cbor:",toarray"`
-	// Known is the sender's known version as it held these states, or an earlier one: what it covers and the entry does
-	// not hold was superseded. Without it the entries' contexts alone say so.
+	// Known is the sender's known version at the time it held these states, or an earlier one: a change that it covers
+	// and that the entry does not hold was superseded. Without Known, only the entries' contexts show what was superseded.
 	Known   Version
 	Entries []Entry
-	// ExtraContexts are seen beyond Known under some of the names.
+	// ExtraContexts are versions that the sender had seen beyond Known for some of the names.
 	ExtraContexts []Version
-	// ContextIndexes is, for each entry, 1 + the index of its extra context, 0 for none. It may be shorter than Entries.
+	// ContextIndexes has 1 + the index of the extra context for each entry, 0 for none. It may be shorter than Entries.
 	ContextIndexes []uint16
 }
 
-// isValid reports whether a batch's versions from outside can be used; its entries are checked one by one.
+// isValid reports whether the versions of a received batch are valid; its entries are validated one by one later.
 func (b Batch) isValid() bool {
 	if !b.Known.isValid() || len(b.ExtraContexts) > maxExtraContexts || len(b.ContextIndexes) > len(b.Entries) {
 		return false
@@ -31,57 +32,58 @@
 	return !slices.ContainsFunc(b.ExtraContexts, func(v Version) bool { return !v.isValid() })
 }
 
-// batchBuilder fills a batch with records. Of the context that a record has beside its own it sends what the batch's known
-// version does not cover.
+// batchBuilder fills a batch with records. Of a record's extra context it sends only what the batch's known version does
+// not cover.
 type batchBuilder struct {
 	Batch
-	sources []sharedContext
+	sharedContexts []sharedContext
 }
 
-// sharedContext is an extra context that some records of the batch share.
+// sharedContext is the extra context of one or more records of the batch.
 type sharedContext struct {
 	context    Version
 	difference Version // what the batch's known version does not cover
 	index      uint16  // the context index of the difference, 0 if it has none
 }
 
-// add appends a record and returns about how many bytes the batch grows by.
+// add appends a record and returns the approximate number of bytes by which the batch grows.
 func (b *batchBuilder) add(added *record) (size int) {
 	b.Entries, b.ContextIndexes = append(b.Entries, added.Entry), append(b.ContextIndexes, 0)
 	size = added.encodedSize()
 	if len(added.extraContext) == 0 {
 		return size
 	}
-	source, sourceSize := b.source(added.extraContext)
-	size += sourceSize
+	shared, sharedSize := b.sharedContextFor(added.extraContext)
+	size += sharedSize
 	last := len(b.Entries) - 1
-	if source.index > 0 {
-		b.ContextIndexes[last] = source.index
-	} else if len(source.difference) > 0 {
-		b.Entries[last].CausalContext = added.CausalContext.Join(source.difference)
-		size += source.difference.encodedSize()
+	if shared.index > 0 {
+		b.ContextIndexes[last] = shared.index
+	} else if len(shared.difference) > 0 {
+		b.Entries[last].CausalContext = added.CausalContext.Join(shared.difference)
+		size += shared.difference.encodedSize()
 	}
 	return size
 }
 
-// source returns the source for an extra context, and about how many bytes the batch grows by for it.
-func (b *batchBuilder) source(context Version) (source sharedContext, size int) {
-	known := slices.IndexFunc(b.sources, func(s sharedContext) bool { return s.context.sharesMemory(context) })
-	if known >= 0 {
-		return b.sources[known], 0
+// sharedContextFor finds or adds an extra context, and returns the approximate number of bytes by which the batch grows
+// for it.
+func (b *batchBuilder) sharedContextFor(context Version) (shared sharedContext, size int) {
+	found := slices.IndexFunc(b.sharedContexts, func(s sharedContext) bool { return s.context.sharesMemory(context) })
+	if found >= 0 {
+		return b.sharedContexts[found], 0
 	}
-	source = sharedContext{context: context, difference: context.subtract(b.Known)}
-	if len(source.difference) > 0 && len(b.ExtraContexts) < maxExtraContexts {
-		b.ExtraContexts = append(b.ExtraContexts, source.difference)
-		source.index = uint16(len(b.ExtraContexts))
-		size = source.difference.encodedSize()
+	shared = sharedContext{context: context, difference: context.subtract(b.Known)}
+	if len(shared.difference) > 0 && len(b.ExtraContexts) < maxExtraContexts {
+		b.ExtraContexts = append(b.ExtraContexts, shared.difference)
+		shared.index = uint16(len(b.ExtraContexts))
+		size = shared.difference.encodedSize()
 	}
-	b.sources = append(b.sources, source)
-	return source, size
+	b.sharedContexts = append(b.sharedContexts, shared)
+	return shared, size
 }
 
-// BuildBatches returns the states of names for another instance in messages of about TargetMessageBytes. Answers to what a
-// peer lacks go with the known version; fresh changes, which are small, go without.
+// BuildBatches returns the states of names for another instance, in messages of about TargetMessageBytes. States that a
+// peer lacks are sent with the known version, fresh changes without it to keep them small.
 func (m *Map) BuildBatches(withKnown bool, names []string) (batches []Batch) {
 	for len(names) > 0 {
 		var builder batchBuilder
--- a/cluster/crdt/convergence_test.go
+++ b/cluster/crdt/convergence_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-// What was deleted and seen stays deleted, and what nothing superseded is on every replica once the network has healed: with
-// partitions, messages late and duplicated, exchanges interrupted, restarts and, if rough, older disks, absent members for
-// which no tombstone is kept, and members that leave for good.
+// Values that were seen and deleted stay deleted, and every change that nothing superseded is on every replica once the
+// network has healed. There are partitions, late and duplicated messages, interrupted exchanges and restarts; with severe
+// faults also older disks, absent members for which no tombstone is kept, and members that leave for good.
 func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.IntRange(2, 4).Draw(t, "instances"))
-		rough := rapid.Bool().Draw(t, "rough")
-		membersLeave := rough && rapid.Bool().Draw(t, "members leave")
+		severeFaults := rapid.Bool().Draw(t, "severe faults")
+		membersLeave := severeFaults && rapid.Bool().Draw(t, "members leave")
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			s.randomStep(rough, membersLeave)
+			s.randomStep(severeFaults, membersLeave)
 		}
 		s.heal()
-		s.checkConverged(rough)
+		s.checkConverged(severeFaults)
 	})
 }
 
-func (s *simulation) randomStep(rough, membersLeave bool) {
+func (s *simulation) randomStep(severeFaults, membersLeave bool) {
 	anyInstance := rapid.SampledFrom(s.names)
 	name, peer := anyInstance.Draw(s.t, "instance"), anyInstance.Draw(s.t, "peer")
 	switch rapid.IntRange(0, 11).Draw(s.t, "step") {
@@ -41,7 +41,7 @@
 		s.cutLinks[link{name, peer}] = !s.cutLinks[link{name, peer}]
 	case 8, 9:
 		var absent []string
-		if rough {
+		if severeFaults {
 			absent = rapid.SliceOfDistinct(anyInstance, rapid.ID).Draw(s.t, "absent")
 		}
 		s.collectTombstones(name, absent)
@@ -51,12 +51,12 @@
 		if membersLeave && len(s.names) > 2 && rapid.IntRange(0, 3).Draw(s.t, "leave") == 0 {
 			s.removeInstance(peer)
 		} else {
-			s.restart(name, rough)
+			s.restart(name, severeFaults)
 		}
 	}
 }
 
-// exchangeSome makes up to six steps of an exchange over a lossy network.
+// exchangeSome runs up to six steps of an exchange over a lossy network.
 func (s *simulation) exchangeSome(name, peer string) {
 	for range rapid.IntRange(1, 6).Draw(s.t, "requests") {
 		if s.exchangeStep(name, peer, true) {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (s *simulation) checkConverged(rough bool) {
+func (s *simulation) checkConverged(severeFaults bool) {
 	first := s.replicas[s.names[0]]
 	truth := s.knownTruth()
 	for _, name := range s.names {
@@ -75,7 +75,7 @@
 		for dot := range replica.holdsNow {
 			require.False(s.t, truth.superseded[dot], "%v was superseded and came back", dot)
 		}
-		if !rough {
+		if !severeFaults {
 			require.Empty(s.t, replica.state.incarnationEnds)
 			require.LessOrEqual(s.t, len(replica.state.known), 2*len(s.names))
 		}
@@ -84,32 +84,32 @@
 	for dot := range first.holdsNow {
 		isLive[s.changes[dot].name] = isLive[s.changes[dot].name] || !s.changes[dot].deleted
 	}
-	s.checkNothingLost(first, truth, isLive, rough)
-	if rough {
+	s.checkNothingLost(first, truth, isLive, severeFaults)
+	if severeFaults {
 		return
 	}
 	for name, live := range isLive {
-		require.True(s.t, live, "%s is remembered though all have seen its delete", name)
+		require.True(s.t, live, "%s is still held although all replicas have seen its delete", name)
 	}
 }
 
-// checkNothingLost requires each change that was held and that nothing superseded. A tombstone is kept only beside a live
-// sibling, and with rough steps it may be collected before that.
-func (s *simulation) checkNothingLost(replica *simulatedReplica, truth knownTruth, isLive map[string]bool, rough bool) {
+// checkNothingLost requires that the replica holds each change that was ever held and that nothing superseded. A
+// tombstone is kept only if the name has a live sibling, and with severe faults it may have been collected even then.
+func (s *simulation) checkNothingLost(replica *simulatedReplica, truth knownTruth, isLive map[string]bool, severeFaults bool) {
 	for dot := range truth.everHeld {
 		change := s.changes[dot]
-		mayBeCollected := change.deleted && (rough || !isLive[change.name])
+		mayBeCollected := change.deleted && (severeFaults || !isLive[change.name])
 		if !truth.maybeSuperseded[dot] && !mayBeCollected {
 			require.True(s.t, replica.holdsNow[dot], "%v of %s is lost", dot, change.name)
 		}
 	}
 }
 
-// knownTruth is what the present replicas know of the changes.
+// knownTruth is what the current replicas together know about the changes.
 type knownTruth struct {
 	everHeld        dotSet // changes that any of them has ever held
 	superseded      dotSet // changes with a successor that one of them knows
-	maybeSuperseded dotSet // the same with successors that an end mark covers, and that may have been lost with a disk
+	maybeSuperseded dotSet // also those whose successor only an end mark covers: it may have been lost with a disk
 }
 
 func (s *simulation) knownTruth() knownTruth {
--- a/cluster/crdt/digest_tree.go
+++ b/cluster/crdt/digest_tree.go
@@ -2,19 +2,20 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// The digest tree: names fall by their hash into 65,536 buckets; 16 buckets have a parent, 64 of those the next, and 64 of
-// those the root. The digest of a node is the wrapping sum of those below it, so that a change costs four additions. Names
-// are spread by hash and not by range, so that no prefix fills one part of the tree.
+// The digest tree: the hash of a name selects one of 65,536 buckets. 16 buckets share a parent, 64 of the parents share a
+// node of the next level, and 64 of those nodes share the root. The digest of a node is the wrapping sum of its
+// children's digests, so that a change costs four additions. Names are distributed by hash and not by range, so that
+// names with a common prefix are not concentrated in one part of the tree.
 const (
-	// DigestTreeDepth is the number of levels below the root; nodes of that level are the buckets.
+	// DigestTreeDepth is the number of levels below the root; the nodes of the lowest level are the buckets.
 	DigestTreeDepth = 3
 	bucketCount     = 1 << 16
-	bucketHashShift = 64 - 16 // a bucket is the top 16 bits of a name's hash
+	bucketHashShift = 64 - 16 // the top 16 bits of a name's hash are the index of its bucket
 )
 
 var (
-	levelWidths  = [DigestTreeDepth + 1]int{1, 64, 64 * 64, bucketCount} // nodes of each level
-	levelFanouts = [DigestTreeDepth]int{64, 64, 16}                      // children of a node of each level
+	levelWidths  = [DigestTreeDepth + 1]int{1, 64, 64 * 64, bucketCount} // number of nodes on each level
+	levelFanouts = [DigestTreeDepth]int{64, 64, 16}                      // number of children of a node on each level
 )
 
 // TreeNode is a node of the digest tree: Level 0 is the root, level DigestTreeDepth a bucket.
@@ -30,7 +31,7 @@
 
 func bucketNode(bucket uint16) TreeNode { return TreeNode{Level: DigestTreeDepth, Index: bucket} }
 
-// Children returns the nodes below this one, none for a bucket.
+// Children returns the children of a node, none for a bucket.
 func (n TreeNode) Children() []TreeNode {
 	if n.Level >= DigestTreeDepth {
 		return nil
@@ -43,13 +44,13 @@
 	return children
 }
 
-// Digest stands for the siblings of all names below a node: equal states have equal digests.
+// Digest returns the digest of the siblings of all names below a node: equal states have equal digests.
 func (m *Map) Digest(node TreeNode) uint64 { return m.tree.digests[node.Level][node.Index] }
 
-// digestTree keeps only the nodes whose digest is not 0.
+// digestTree stores only the nodes whose digest is not 0.
 type digestTree struct {
 	digests [DigestTreeDepth + 1]map[uint16]uint64
-	records map[uint16][]*record // by bucket, in no order
+	records map[uint16][]*record // by bucket, in no particular order
 }
 
 func newDigestTree() digestTree {
@@ -62,7 +63,7 @@
 
 func bucketOf(name string) uint16 { return uint16(xxhash.Sum64String(name) >> bucketHashShift) }
 
-// addDigest adds to the digests of a bucket and of all nodes above it.
+// addDigest adds a digest to those of a bucket and of all nodes above it.
 func (t *digestTree) addDigest(bucket uint16, digest uint64) {
 	index := int(bucket)
 	for level := DigestTreeDepth; level >= 0; level-- {
--- a/cluster/crdt/dot.go
+++ b/cluster/crdt/dot.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Dot identifies one change: the Counter-th of an actor. An actor is one incarnation of one instance, so an instance that
-// returns with an older disk is another actor and never issues a dot twice.
+// Dot identifies one change: number Counter of an actor. An actor is one incarnation of one instance, so an instance that
+// restarts with an older disk is another actor and never issues a dot twice.
 type Dot struct {
 	_       struct{} `cbor:",toarray"`
 	Actor   string   // instance name, '#', incarnation
-	Counter uint64   // from 1 on
+	Counter uint64   // starts at 1
 }
 
 func (d Dot) compare(other Dot) int {
@@ -21,8 +21,8 @@
 	return cmp.Compare(d.Counter, other.Counter)
 }
 
-// incarnationSeparator stands between the instance's name and the incarnation in an actor. A name may contain it too: the
-// last one counts.
+// incarnationSeparator separates the instance's name from the incarnation in an actor. A name may contain it too: the
+// last one in an actor counts.
 const incarnationSeparator = '#'
 
 // FormatActor returns the actor of one incarnation of an instance.
@@ -30,7 +30,7 @@
 	return name + string(incarnationSeparator) + strconv.FormatUint(incarnation, 10)
 }
 
-// ActorInstance returns the instance name of an actor.
+// ActorInstance returns the name of an actor's instance.
 func ActorInstance(actor string) string {
 	return actor[:max(0, strings.LastIndexByte(actor, incarnationSeparator))]
 }
@@ -48,7 +48,7 @@
 	return ActorInstance(actor) != "" && len(actor) <= MaxActorBytes && ActorIncarnation(actor) > 0
 }
 
-// endMark returns the actor that stands, in a Version, for all incarnations of an instance before the dot's counter.
+// endMark returns the actor that represents, in a Version, all incarnations of an instance before the dot's counter.
 func endMark(name string) string { return name + string(incarnationSeparator) }
 
 func isEndMark(actor string) bool { return strings.HasSuffix(actor, string(incarnationSeparator)) }
--- a/cluster/crdt/entry.go
+++ b/cluster/crdt/entry.go
@@ -19,8 +19,8 @@
 type Entry struct {
 	_             struct{} `cbor:",toarray"`
 	Name          string
-	Siblings      []Sibling // sorted by dot; more than one were written concurrently, and the caller resolves them by a Put
-	CausalContext Version   // the siblings' changes and those that their writers had seen
+	Siblings      []Sibling // sorted by dot; concurrent changes leave several, which the caller resolves by a Put
+	CausalContext Version   // the siblings' changes and the changes that their writers had seen
 }
 
 // IsLive reports whether any sibling is not a tombstone.
@@ -28,24 +28,24 @@
 	return slices.ContainsFunc(e.Siblings, func(s Sibling) bool { return !s.Deleted })
 }
 
-// invalidReason says why an entry from outside cannot be used; it is empty for a valid one.
+// invalidReason returns why a received entry is invalid; it is empty for a valid one.
 func (e Entry) invalidReason() string {
 	switch {
 	case e.Name == "" || len(e.Name) > MaxNameBytes:
-		return "a name that is empty or too long"
+		return "the name of an entry is empty or too long"
 	case len(e.Siblings) > MaxSiblings:
-		return "an entry with too many siblings"
+		return "an entry has too many siblings"
 	case !e.CausalContext.isValid():
 		return invalidVersion
 	}
 	for i, s := range e.Siblings {
 		switch {
 		case len(s.Value) > MaxValueBytes:
-			return "a value with too many bytes"
+			return "a value is too long"
 		case s.Dot.Counter == 0 || !isValidActor(s.Dot.Actor) || !e.CausalContext.Covers(s.Dot):
-			return "a sibling that its entry's causal context does not cover"
+			return "the causal context of an entry does not cover one of its siblings"
 		case i > 0 && e.Siblings[i-1].Dot.compare(s.Dot) >= 0:
-			return "siblings out of order"
+			return "the siblings of an entry are not sorted"
 		}
 	}
 	return ""
@@ -61,11 +61,11 @@
 }
 
 const (
-	entryOverheadBytes   = 24 // about the bytes of an encoded entry beside its name, siblings and causal context
-	siblingOverheadBytes = 16 // and of a sibling in it beside its actor and value
+	entryOverheadBytes   = 24 // approximate size of an encoded entry without its name, siblings and causal context
+	siblingOverheadBytes = 16 // approximate size of an encoded sibling without its actor and value
 )
 
-// encodedSize estimates the bytes of an entry in a message.
+// encodedSize estimates the size of an entry in a message, in bytes.
 func (e Entry) encodedSize() int {
 	size := e.payloadBytes() + entryOverheadBytes + e.CausalContext.encodedSize()
 	for _, s := range e.Siblings {
@@ -74,8 +74,8 @@
 	return size
 }
 
-// computeDigest hashes the name and its siblings; 0 stands only for no sibling. Instances compare these digests with each
-// other, so the bytes hashed are part of the protocol.
+// computeDigest hashes the name and its siblings; it is 0 only if there is no sibling. Instances compare their digests,
+// so the bytes that are hashed are part of the protocol.
 func (e Entry) computeDigest() uint64 {
 	if len(e.Siblings) == 0 {
 		return 0
@@ -105,7 +105,7 @@
 	return max(hash.Sum64(), 1)
 }
 
-// compactContext returns the dots of the causal context whose actors wrote one of the siblings.
+// compactContext returns the dots of the causal context whose actor wrote one of the siblings.
 func (e Entry) compactContext() Version {
 	compact := make(Version, 0, len(e.Siblings))
 	for _, d := range e.CausalContext {
--- a/cluster/crdt/exchange.go
+++ b/cluster/crdt/exchange.go
@@ -1,9 +1,9 @@
 package crdt
 
-// Exchange is the initiator's side of an anti-entropy exchange: it brings the replica up to the peer's state, and says what
-// the peer lacks of this one's. It has one request outstanding at a time, and after a lost one it resumes with
-// RetryRequest. When it is complete, the replica's known version covers all that the peer knew as the exchange began. Like
-// its Map it is not safe for concurrent use.
+// Exchange is the initiator's side of an anti-entropy exchange: it merges the peer's state into the replica and returns
+// what the peer lacks of the replica's state. One request is outstanding at a time; after a lost one, RequeueRequest
+// resumes the exchange. Once it is complete, the replica's known version covers all that the peer knew when the exchange
+// began. Like its Map, an Exchange is not safe for concurrent use.
 type Exchange struct {
 	replica    *Map
 	peer       string
@@ -11,27 +11,27 @@
 	requestSeq uint64
 
 	started   bool    // the peer has answered the first request
-	failed    bool    // some of the peer's state could not be taken in
-	peerActor string  // an incarnation of the peer that began later does not hold what this one did
-	peerKnown Version // the peer's known version as the exchange began
+	failed    bool    // some of the peer's state could not be merged
+	peerActor string  // of the first response; a later incarnation of the peer may not hold what this one held
+	peerKnown Version // the peer's known version when the exchange began
 
 	pendingNodes   []TreeNode // nodes whose children have not been compared yet
-	pendingBuckets []uint16   // buckets to request
+	pendingBuckets []uint16   // buckets that have yet to be requested
 
 	request          ExchangeRequest // the outstanding one
 	awaitingResponse bool
-	requestedDigests map[uint16]uint64 // digests of the outstanding request's buckets as it was made
+	requestedDigests map[uint16]uint64 // digests of the outstanding request's buckets when it was made
 
 	// DifferingBuckets is the number of buckets that differed.
 	DifferingBuckets int
-	// MissedDeletes is set if this instance was absent for so long that tombstones were collected without it.
+	// MissedDeletes is set if this instance was absent for so long that tombstones were collected without waiting for it.
 	MissedDeletes bool
-	// UnsyncedNames are set with MissedDeletes: names with changes of this instance that the peer had not seen. They are
-	// kept.
+	// UnsyncedNames are set together with MissedDeletes: names with changes of this instance that the peer had not seen.
+	// The changes are kept.
 	UnsyncedNames []string
 }
 
-// NewExchange begins an exchange with an instance. The id must be one that this instance gave no other exchange.
+// NewExchange begins an exchange with an instance. This instance must not use the same id for another exchange.
 func (m *Map) NewExchange(peer string, id uint64) *Exchange {
 	return &Exchange{replica: m, peer: peer, id: id}
 }
@@ -39,7 +39,7 @@
 // Peer returns the name of the other instance.
 func (x *Exchange) Peer() string { return x.peer }
 
-// ID returns the number of the exchange.
+// ID returns the id given to NewExchange.
 func (x *Exchange) ID() uint64 { return x.id }
 
 // HasStarted reports whether the peer has answered the first request.
@@ -50,10 +50,10 @@
 	return x.started && !x.awaitingResponse && len(x.pendingNodes) == 0 && len(x.pendingBuckets) == 0
 }
 
-// IsComplete reports whether the exchange is done and all of the peer's state was taken in.
+// IsComplete reports whether the exchange is done and all of the peer's state was merged.
 func (x *Exchange) IsComplete() bool { return x.IsDone() && !x.failed }
 
-// NextRequest returns the next request. There is none while one is outstanding, or at the end.
+// NextRequest returns the next request. It returns false while a request is outstanding, and once the exchange is done.
 func (x *Exchange) NextRequest() (ExchangeRequest, bool) {
 	if x.awaitingResponse || x.IsDone() {
 		return ExchangeRequest{}, false
@@ -64,7 +64,7 @@
 	case !x.started:
 		request.First, request.RowVersions = true, x.replica.RowVersions()
 	case len(x.pendingBuckets) > 0 && (len(x.pendingNodes) == 0 || len(x.pendingBuckets) >= maxBucketsPerRequest):
-		// Buckets go first once they fill a request, so that the list of pending ones stays short.
+		// Buckets are requested first once they fill a request, so that the list of pending ones stays short.
 		request.WantedBuckets = x.takePendingBuckets()
 	default:
 		n := min(len(x.pendingNodes), maxNodesPerRequest)
@@ -74,7 +74,8 @@
 	return request, true
 }
 
-// takePendingBuckets takes the next buckets to request, with what is held in them now.
+// takePendingBuckets removes the next buckets to request from the pending ones and returns them with the digests of the
+// entries held now.
 func (x *Exchange) takePendingBuckets() []BucketDigest {
 	n := min(len(x.pendingBuckets), maxBucketsPerRequest)
 	wanted := make([]BucketDigest, 0, n)
@@ -91,8 +92,8 @@
 	return wanted
 }
 
-// RequeueRequest withdraws the outstanding request, whose response was or may have been lost. What it asked for is part of
-// later requests.
+// RequeueRequest withdraws the outstanding request, whose response may have been lost. Later requests ask for the same
+// again.
 func (x *Exchange) RequeueRequest() {
 	if !x.awaitingResponse {
 		return
--- a/cluster/crdt/exchange_responder.go
+++ b/cluster/crdt/exchange_responder.go
@@ -5,7 +5,7 @@
 // HandleRequest answers a request of an exchange; from is the instance that sent it.
 func (m *Map) HandleRequest(from string, request ExchangeRequest) (ExchangeResponse, error) {
 	if !request.isValid() {
-		return ExchangeResponse{}, &InvalidDataError{From: from, Reason: "a request that cannot be used"}
+		return ExchangeResponse{}, &InvalidDataError{From: from, Reason: "an exchange request has an invalid actor or is too long"}
 	}
 	response := ExchangeResponse{ExchangeID: request.ExchangeID, RequestSeq: request.RequestSeq, Actor: m.actor}
 	name := ActorInstance(request.Actor)
@@ -19,7 +19,7 @@
 	}
 	for _, node := range request.Nodes {
 		if !node.isValid() || node.Level >= DigestTreeDepth {
-			return ExchangeResponse{}, &InvalidDataError{From: from, Reason: "a node that the digest tree does not have"}
+			return ExchangeResponse{}, &InvalidDataError{From: from, Reason: "a requested node has no children or is not in the digest tree"}
 		}
 		response.ChildDigests = append(response.ChildDigests, m.childDigests(node))
 	}
@@ -37,8 +37,8 @@
 }
 
 const (
-	bucketStateOverheadBytes = 8 // about the bytes of an encoded bucket state beside its lists
-	digestBytes              = 9 // and of a digest in it
+	bucketStateOverheadBytes = 8 // approximate size of an encoded bucket state without its lists
+	digestBytes              = 9 // approximate size of an encoded digest
 )
 
 // addBucketStates adds the states of the wanted buckets until the message is full.
@@ -59,8 +59,8 @@
 	response.Batch = builder.Batch
 }
 
-// addBucketState adds the entries of a bucket that the initiator does not hold, and takes their size off room. The first
-// entry of a message is added whatever its size.
+// addBucketState adds the entries of a bucket that the initiator does not hold, and subtracts their size from room. The
+// first entry of a message is added whatever its size.
 func (m *Map) addBucketState(builder *batchBuilder, wanted BucketDigest, room *int) BucketState {
 	state := BucketState{Index: wanted.Index, MissingDigests: slices.Clone(wanted.EntryDigests)}
 	for _, held := range m.tree.records[wanted.Index] {
--- a/cluster/crdt/exchange_response.go
+++ b/cluster/crdt/exchange_response.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// ApplyResponse takes in a response. It returns the names that changed here, and the names whose state the peer lacks. A
-// response to another request than the outstanding one is ignored. The error is ErrPeerRestarted, a SupersededError, or
-// errors of what could not be taken in.
+// ApplyResponse merges a response into the replica. It returns the names that changed, and the names whose state the peer
+// lacks. A response to a request other than the outstanding one is ignored. The error is ErrPeerRestarted, a
+// SupersededError, or the errors of what could not be merged.
 func (x *Exchange) ApplyResponse(response ExchangeResponse) (changed, lacking []string, err error) {
 	if !x.awaitingResponse || response.ExchangeID != x.id || response.RequestSeq != x.request.RequestSeq {
 		return nil, nil, nil
@@ -37,27 +37,27 @@
 	return changed, lacking, nil
 }
 
-// checkResponse refuses a response that does not fit the outstanding request or the peer's incarnation.
+// checkResponse refuses a response that does not match the outstanding request or the peer's incarnation.
 func (x *Exchange) checkResponse(response ExchangeResponse) error {
 	if !isValidActor(response.Actor) || ActorInstance(response.Actor) != x.peer || !response.Batch.Known.isValid() {
-		return &InvalidDataError{From: x.peer, Reason: "a response that cannot be used"}
+		return &InvalidDataError{From: x.peer, Reason: "an exchange response has an invalid actor or known version"}
 	}
 	if response.EndedBefore > ActorIncarnation(x.replica.actor) {
 		return &SupersededError{From: x.peer, EndedBefore: response.EndedBefore}
 	}
 	if x.started && response.Actor != x.peerActor || x.replica.isSuperseded(response.Actor) {
-		// A peer that came back with an older disk does not hold any more what it said it knew.
+		// A peer that restarted with an older disk may no longer hold what its known version covered.
 		return ErrPeerRestarted
 	}
 	wantedBuckets, buckets := len(x.request.WantedBuckets), len(response.BucketStates)
 	fitsRequest := len(response.ChildDigests) == len(x.request.Nodes) && buckets <= wantedBuckets && (wantedBuckets == 0 || buckets > 0)
 	if !fitsRequest {
-		return &InvalidDataError{From: x.peer, Reason: "a response to another request"}
+		return &InvalidDataError{From: x.peer, Reason: "an exchange response does not match its request"}
 	}
 	return nil
 }
 
-// applyFirstResponse notes what the peer knew as the exchange began, and takes in its rows.
+// applyFirstResponse stores the peer's known version at the beginning of the exchange, and merges its rows.
 func (x *Exchange) applyFirstResponse(response ExchangeResponse) error {
 	replica := x.replica
 	if err := replica.checkSuperseded(x.peer, response.Batch.Known); err != nil {
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// namesWithOwnChangesBeyond returns the names with siblings of any incarnation of this instance that a version does not
-// cover.
+// namesWithOwnChangesBeyond returns the names that have siblings written by any incarnation of this instance and not
+// covered by a version.
 func (m *Map) namesWithOwnChangesBeyond(version Version) (names []string) {
 	ownName := ActorInstance(m.actor)
 	m.records.Scan(func(name string, held *record) bool {
@@ -92,13 +92,14 @@
 	return names
 }
 
-// compareChildren compares the peer's digests below nodes with those here, and notes what differs as pending.
+// compareChildren compares the peer's digests of the nodes' children with the replica's, and adds those that differ to
+// the pending nodes and buckets.
 func (x *Exchange) compareChildren(nodes []TreeNode, childDigests [][]uint64) error {
 	for i, digests := range childDigests {
 		children := nodes[i].Children()
 		if len(digests) != len(children) {
 			x.pendingNodes = append(x.pendingNodes, nodes[i])
-			return &InvalidDataError{From: x.peer, Reason: "digests of another node"}
+			return &InvalidDataError{From: x.peer, Reason: "wrong number of child digests for a node"}
 		}
 		for j, child := range children {
 			if x.replica.Digest(child) == digests[j] {
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// applyBuckets takes in the states of the requested buckets; those that are not in the response become pending again.
-// refused are errors of single buckets or entries, err is one of the response as a whole.
+// applyBuckets merges the states of the requested buckets; buckets that are not in the response become pending again.
+// refused has the errors of single buckets and entries, err concerns the whole response.
 func (x *Exchange) applyBuckets(wanted []BucketDigest, response ExchangeResponse) (changed, lacking []string, refused []error, err error) {
 	rest := response.Batch
 	rest.Known = x.peerKnown.Join(rest.Known)
@@ -132,7 +133,7 @@
 		state := response.BucketStates[i]
 		n := state.EntryCount
 		if n < 0 || n > len(rest.Entries) || len(rest.ContextIndexes) != len(rest.Entries) {
-			refused = append(refused, &InvalidDataError{From: x.peer, Reason: "fewer entries than announced"})
+			refused = append(refused, &InvalidDataError{From: x.peer, Reason: "the entries of an exchange response do not match its bucket states"})
 			break
 		}
 		part := Batch{Entries: rest.Entries[:n:n], ContextIndexes: rest.ContextIndexes[:n:n]}
@@ -146,8 +147,8 @@
 	return changed, lacking, refused, nil
 }
 
-// applyBucket takes in the peer's state of a bucket. A name that the peer does not hold is merged as an entry without
-// siblings: with the peer's known version as its context, that supersedes the changes which the peer had seen.
+// applyBucket merges the peer's state of a bucket. A name that the peer does not hold is merged as an entry without
+// siblings: with the peer's known version as its context, it supersedes the changes that the peer had seen.
 func (x *Exchange) applyBucket(
 	requested BucketDigest, state BucketState, part Batch, contexts []batchContext,
 ) (changed, lacking []string, err error) {
@@ -167,7 +168,7 @@
 	}
 	for _, entry := range part.Entries {
 		if bucketOf(entry.Name) != bucket {
-			return nil, nil, &InvalidDataError{From: x.peer, Reason: "an entry in another name's bucket"}
+			return nil, nil, &InvalidDataError{From: x.peer, Reason: "an entry does not belong to its bucket"}
 		}
 		peerDigests[entry.computeDigest()] = true
 	}
@@ -176,7 +177,7 @@
 		return changed, nil, err
 	}
 	if state.HasMore || !unchangedSinceRequest {
-		// A change made here meanwhile was not in the request, so that the response says nothing about it.
+		// A change made here since the request was not in it, so the response does not show whether the peer has it.
 		x.pendingBuckets = append(x.pendingBuckets, bucket)
 		return changed, nil, nil
 	}
@@ -188,7 +189,8 @@
 	return changed, lacking, nil
 }
 
-// missingNames returns the names held here of which the peer has no entry: it lacks their digest and sent no other state.
+// missingNames returns the names held here that the peer does not hold: it lacks their digest and sent no other state of
+// them.
 func (x *Exchange) missingNames(state BucketState, received []Entry) (names []string) {
 	for _, digest := range state.MissingDigests {
 		for _, held := range x.replica.tree.records[state.Index] {
--- a/cluster/crdt/exchange_test.go
+++ b/cluster/crdt/exchange_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestExchangeCostsByTheDifferenceAndResumes(t *testing.T) {
+func TestExchangeSendsOnlyTheDifferenceAndResumes(t *testing.T) {
 	a, b := NewMap("a#1"), NewMap("b#1")
 	for i := range 20_000 {
 		_, _ = a.Put(fmt.Sprint("name", i), []byte("some value of a name"))
@@ -22,7 +22,7 @@
 	for step := 0; !exchange.IsDone(); step++ {
 		request, ok := exchange.NextRequest()
 		require.True(t, ok)
-		if step%2 == 0 && step > 0 { // this request is lost; nothing that was received is requested again
+		if step%2 == 0 && step > 0 { // this request is lost; what was already received is not requested again
 			exchange.RequeueRequest()
 			continue
 		}
@@ -39,5 +39,5 @@
 	require.Equal(t, a.Digest(TreeNode{}), b.Digest(TreeNode{}))
 	require.Less(t, largestMessage, 64<<10)
 	require.Equal(t, exchange.DifferingBuckets, requestedBuckets)
-	require.Less(t, totalBytes, 100<<10, "200 of 20,000 differ: all of them are over a megabyte")
+	require.Less(t, totalBytes, 100<<10, "200 of 20,000 names differ; all names together are over a megabyte")
 }
--- a/cluster/crdt/helpers_test.go
+++ b/cluster/crdt/helpers_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// contents is all that a replica holds and remembers, as text.
+// contents returns all that a replica holds as text, including tombstones.
 func contents(replica *Map) string {
 	text := ""
 	for _, entry := range allEntries(replica) {
@@ -34,7 +34,7 @@
 
 var randomName = rapid.SampledFrom([]string{"a", "b", "c"})
 
-// writeRandomChange makes a drawn change of a name and returns the state before and after it.
+// writeRandomChange makes a random change to a name and returns the state before and after it.
 func writeRandomChange(t *rapid.T, replica *Map, name string) (before, after Entry) {
 	before, _ = replica.Get(name)
 	var err error
@@ -47,7 +47,7 @@
 	return before, after
 }
 
-// exchangeToEnd brings replica up to other, and other up to what it lacks of replica.
+// exchangeToEnd runs an exchange to its end: each of replica and other merges what it lacks of the other's state.
 func exchangeToEnd(t *testing.T, replica, other *Map) {
 	exchange := replica.NewExchange(ActorInstance(other.Actor()), 7)
 	for {
--- a/cluster/crdt/incarnation.go
+++ b/cluster/crdt/incarnation.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// IncarnationEnd says that an instance noted the end of all incarnations of another one before Before. It takes nothing
-// from them any more, and all it ever took from them is part of its state at its own change NotedAt.
+// IncarnationEnd states that an instance has recorded the end of all incarnations of another instance before Before. It
+// no longer merges anything from them, and all that it has merged from them is part of its state as of its own change
+// RecordedAt.
 type IncarnationEnd struct {
 	_                  struct{} `cbor:",toarray"`
 	Name               string
@@ -16,7 +17,7 @@
 	return incarnation > 0 && (incarnation < m.incarnationEnds[name].Before || incarnation < m.known.EndedBefore(name))
 }
 
-// checkSuperseded returns a SupersededError if a version from outside has an end mark for this incarnation.
+// checkSuperseded returns a SupersededError if a received version has an end mark for this incarnation.
 func (m *Map) checkSuperseded(from string, known Version) error {
 	if before := known.EndedBefore(ActorInstance(m.actor)); before > ActorIncarnation(m.actor) {
 		return &SupersededError{From: from, EndedBefore: before}
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// recordIncarnationEnd notes, by a change of this replica, that the incarnations of an instance before one have ended.
+// recordIncarnationEnd records, by a change of this replica, that the incarnations of an instance before one have ended.
 func (m *Map) recordIncarnationEnd(name string, before uint64) {
 	if m.incarnationEnds[name].Before >= before || m.known.EndedBefore(name) >= before {
 		return
@@ -33,8 +34,8 @@
 	m.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, RecordedAt: m.known.LastCounter(m.actor)}
 }
 
-// settleIncarnationEnds replaces, in the known version, ended incarnations by an end mark, once every instance has noted
-// their end and all that it took from them is here.
+// settleIncarnationEnds replaces ended incarnations in the known version by an end mark, once every instance has recorded
+// their end and all that it merged from them is part of this replica's state.
 func (m *Map) settleIncarnationEnds() {
 	if len(m.incarnationEnds) == 0 || m.members == nil {
 		return
@@ -59,10 +60,11 @@
 	}
 }
 
-// recordedEnd returns the end of an instance's incarnations that another instance noted, if what that one took from them is
-// part of the state here. If it has settled the end already, the mark comes with the next exchange.
-func (m *Map) recordedEnd(notedBy, name string) (IncarnationEnd, bool) {
-	row := m.rows[notedBy]
+// recordedEnd returns the end of an instance's incarnations that another instance, recordedBy, has recorded, if what
+// recordedBy has merged from them is part of the state here. If recordedBy has settled the end already, the next exchange
+// brings its end mark.
+func (m *Map) recordedEnd(recordedBy, name string) (IncarnationEnd, bool) {
+	row := m.rows[recordedBy]
 	i := slices.IndexFunc(row.IncarnationEnds, func(end IncarnationEnd) bool { return end.Name == name })
 	if i < 0 {
 		return IncarnationEnd{}, false
@@ -71,8 +73,9 @@
 	return end, m.known.Covers(Dot{Actor: row.Actor, Counter: end.RecordedAt})
 }
 
-// instancesToSettle returns the other instances that must have noted the end of an incarnation before it is settled: all
-// that were ever known and were not forgotten, absent or not, since they may hold changes of it that no one else has.
+// instancesToSettle returns the other instances that must have recorded the end of an incarnation before it is settled:
+// all that were ever known and not forgotten, absent or not, since they may hold changes of it that no other instance
+// has.
 func (m *Map) instancesToSettle() map[string]bool {
 	names := map[string]bool{}
 	for _, name := range m.members {
@@ -93,9 +96,9 @@
 	return names
 }
 
-// BeginIncarnation goes on as a new incarnation. The changes of the present one that the peer has not seen, by its row
-// here, are made again as changes of the new one, so that they are kept; their entries are returned. An empty peer has seen
-// none.
+// BeginIncarnation continues as a new incarnation. Those changes of the current one that the peer, according to its row
+// held here, has not seen are reissued as changes of the new one, so that they are kept; their entries are returned. With
+// an empty peer, all changes are reissued.
 func (m *Map) BeginIncarnation(incarnation uint64, peer string) (kept []Entry) {
 	previous, peerKnown := m.actor, m.rows[peer].Known
 	m.actor = FormatActor(ActorInstance(previous), incarnation)
@@ -113,8 +116,8 @@
 	return kept
 }
 
-// reissueChanges gives new dots of this actor to an entry's siblings with dots of the previous one that peerKnown does not
-// cover, and reports whether there are any.
+// reissueChanges gives a new dot of this actor to each sibling of an entry that the previous actor wrote and that
+// peerKnown does not cover. It reports whether there are any.
 func (m *Map) reissueChanges(entry Entry, previous string, peerKnown Version) (Entry, bool) {
 	var siblings []Sibling
 	for i, sibling := range entry.Siblings {
--- a/cluster/crdt/incarnation_test.go
+++ b/cluster/crdt/incarnation_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two processes with one name: the earlier one goes on as a new incarnation and keeps what no one else had.
+// Of two processes with the same name, the earlier one continues as a new incarnation and keeps the changes that only it
+// had.
 func TestSupersededIncarnationKeepsItsChanges(t *testing.T) {
 	earlier, later, other := NewMap("a#1"), NewMap("a#2"), NewMap("b#1")
 	for _, replica := range []*Map{earlier, later, other} {
--- a/cluster/crdt/limits_test.go
+++ b/cluster/crdt/limits_test.go
@@ -34,7 +34,7 @@
 	_, err := replica.Put("more", nil)
 	require.ErrorAs(t, err, &full)
 	_, err = replica.Put("7", nil)
-	require.NoError(t, err, "a name that has a value already")
+	require.NoError(t, err, "a name that already has a value")
 	for i := range MaxTombstones {
 		_, err := replica.Delete(fmt.Sprint(i))
 		require.NoError(t, err)
@@ -62,5 +62,5 @@
 	_, err = replica.Put("crowd", nil)
 	require.NoError(t, err)
 	_, err = replica.Merge("y", concurrent)
-	require.NoError(t, err, "what the write had seen is not taken in again")
+	require.NoError(t, err, "siblings that the write superseded are not merged again")
 }
--- a/cluster/crdt/map.go
+++ b/cluster/crdt/map.go
@@ -1,14 +1,14 @@
-// Package crdt is a replicated map from names to values: instances change their replicas apart and merge them again. It has
-// no I/O and no clock.
+// Package crdt is a replicated map from names to values: instances change their replicas independently and merge them
+// later. It has no I/O and no clock.
 //
-// A name has one sibling or, where instances changed it without having seen each other's change, several, and a causal
+// A name has one sibling, or several if instances changed it without having seen each other's change, and a causal
 // context: the changes that its writers had seen (dotted version vectors). Merge is commutative, associative and
 // idempotent. A delete leaves a tombstone until it is causally stable, that is until all members have seen it.
 //
-// A replica also has a known version, which covers all changes, under whatever name, that are part of its state. A change
-// that the known version covers and that the replica does not hold was superseded or deleted: a copy of it that arrives
-// later, in a late message or from an older disk, is ignored, even long after the tombstone was collected.
-// docs/replication.md gives the rules and the alternatives considered.
+// A replica also has a known version, which covers all changes of any name that are part of its state. A change that the
+// known version covers and that the replica does not hold was superseded or deleted: a copy of it that arrives later, in
+// a late message or from an older disk, is ignored, even long after the tombstone was collected. docs/replication.md
+// gives the rules and the alternatives considered.
 package crdt
 
 import (
@@ -24,37 +24,37 @@
 	actor          string
 	known          Version
 	records        btree.Map[string, *record]
-	deadRecords    map[string]*record // without a live sibling: tombstones, and contexts alone
+	deadRecords    map[string]*record // records without a live sibling: tombstones, and contexts without any sibling
 	payloadBytes   int
-	internedActors map[string]string // one copy in memory of each actor's name
-	lastJoin       [3]Version        // the operands and the result of the last join of joinCached
+	internedActors map[string]string // one copy in memory of each actor
+	lastJoin       [3]Version        // operands and result of the last join made by joinCached
 	tree           digestTree
 
-	// baseContext is the known version as records were last dropped. A name without a record is written with it as its
-	// context, since this replica may have seen and dropped what the name held before.
+	// baseContext is the known version at the time when records were last dropped. It is the extra context of a write to
+	// a name without a record, since this replica may have seen and dropped what the name held before.
 	baseContext      Version
 	baseContextStale bool
 
 	rows            map[string]Row // the latest row of each other instance
-	coveredRows     map[string]Row // the latest one whose known version is covered here
+	coveredRows     map[string]Row // the latest row of each that this replica's known version covers
 	ownRow          Row
-	incarnationEnds map[string]IncarnationEnd // by instance, those not yet settled
+	incarnationEnds map[string]IncarnationEnd // by instance; those not yet settled
 	members         []string                  // nil until SetMembers was called
 	absentMembers   map[string]bool
-	forgottenNames  map[string]bool // instances given up by ForgetInstance
+	forgottenNames  map[string]bool // instances passed to ForgetInstance
 }
 
-// record is an entry as a replica holds it.
+// record is an entry with what the replica stores for it.
 type record struct {
 	Entry
-	// extraContext is seen under this name beside the entry's causal context: the known version of the replica that sent
-	// the state. The records of one batch share one Version in memory.
+	// extraContext is what was seen of this name besides the entry's causal context: the known version of the replica that
+	// sent the state. The records of one batch share one Version in memory.
 	extraContext Version
-	digest       uint64 // 0 while there is no sibling
+	digest       uint64 // 0 if there is no sibling
 	bucket       uint16
 }
 
-// NewMap returns an empty replica. The actor must be a new one with each start: two incarnations that share one lose
+// NewMap returns an empty replica. The actor must be new with each start: two incarnations with the same actor lose
 // changes.
 func NewMap(actor string) *Map {
 	return &Map{
@@ -67,11 +67,11 @@
 // Actor returns the actor of this replica's own changes.
 func (m *Map) Actor() string { return m.actor }
 
-// KnownVersion covers all changes that are part of the state here.
+// KnownVersion returns the version that covers all changes that are part of this replica's state.
 func (m *Map) KnownVersion() Version { return m.known }
 
-// Counts returns the number of names with a live value, the number of those remembered without one, and the bytes of the
-// names and values of both.
+// Counts returns the number of names with a live value, the number of names with a record but no live value, and the size
+// of the names and values of both.
 func (m *Map) Counts() (live, dead, bytes int) {
 	return m.records.Len() - len(m.deadRecords), len(m.deadRecords), m.payloadBytes
 }
@@ -103,7 +103,7 @@
 	return m.writeSibling(held, name, Sibling{Deleted: true})
 }
 
-// writeSibling makes a change of this replica; held is the name's record or nil.
+// writeSibling makes a local change; held is the name's record, nil if there is none.
 func (m *Map) writeSibling(held *record, name string, sibling Sibling) (Entry, error) {
 	if name == "" || len(name) > MaxNameBytes {
 		return Entry{}, &TooLargeError{Name: name, Field: "name", Bytes: len(name), Limit: MaxNameBytes}
@@ -132,8 +132,8 @@
 	return Dot{Actor: m.actor, Counter: m.known.LastCounter(m.actor) + 1}
 }
 
-// Get returns the state of a name and whether it has a live value. A deleted name is returned with its tombstone while
-// that is held.
+// Get returns the state of a name and whether it has a live value. A deleted name has its tombstone until it is
+// collected.
 func (m *Map) Get(name string) (Entry, bool) {
 	held, ok := m.records.Get(name)
 	if !ok {
@@ -150,8 +150,8 @@
 	})
 }
 
-// StorableEntry returns a name's state for a store that also keeps the known version: its causal context has what was seen
-// under the name beyond that version. It returns false for a name without a record.
+// StorableEntry returns a name's state for a store that also keeps the known version: its causal context includes what
+// was seen of the name beyond that version. It returns false for a name without a record.
 func (m *Map) StorableEntry(name string) (Entry, bool) {
 	held, ok := m.records.Get(name)
 	if !ok {
@@ -162,8 +162,8 @@
 	return entry, true
 }
 
-// Restore takes in what a store kept of this instance's replica: the entries, and the known version of the same or an
-// earlier moment.
+// Restore merges what a store kept of this instance's replica: the entries, and the known version at the same or an
+// earlier time.
 func (m *Map) Restore(entries []Entry, known Version) error {
 	const from = "the store"
 	if !known.isValid() {
@@ -176,13 +176,13 @@
 	return err
 }
 
-// raiseKnown joins a version into the known one. The caller has taken in all of the state that the version stands for.
+// raiseKnown joins a version into the known one. The caller has merged all of the state that the version covers.
 func (m *Map) raiseKnown(version Version) {
 	m.known, m.baseContextStale = m.known.Join(version), true
 }
 
-// replaceRecord puts a state in place of the held one, which may be nil, or drops the record when the state says no more
-// than the known version.
+// replaceRecord replaces the state of a record, or adds a record if held is nil. If the new state has no sibling and the
+// known version covers its context, the record is dropped, since it adds nothing to the known version.
 func (m *Map) replaceRecord(held *record, entry Entry, extraContext Version) {
 	if held != nil {
 		m.tree.remove(held)
--- a/cluster/crdt/merge.go
+++ b/cluster/crdt/merge.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// maxReportedErrors is how many refused entries of one batch are reported one by one, to keep a log line readable.
+// maxReportedErrors is how many errors of one batch are reported, to keep a log line readable.
 const maxReportedErrors = 8
 
-// Merge takes in states of names as another instance holds them, in any order and any number of times. It returns the names
-// whose siblings changed. Entries that cannot be taken in are left out and reported in err; the others are merged.
+// Merge merges states of names that another instance holds, in any order and any number of times. It returns the names
+// whose siblings changed. Entries that cannot be merged are skipped and reported in err; the others are merged.
 func (m *Map) Merge(from string, entries []Entry) (changed []string, err error) {
 	return m.MergeBatch(from, Batch{Entries: entries})
 }
 
-// MergeBatch takes in a batch as Merge does entries. From is the sender's actor, or another name of the source. A batch of
-// a superseded incarnation or of a forgotten instance is ignored: the later incarnation has sent what the earlier one held.
+// MergeBatch merges a batch like Merge merges entries. from is the sender's actor, or another name for the source. A
+// batch of a superseded incarnation or of a forgotten instance is ignored: the later incarnation has sent what the
+// earlier one held.
 func (m *Map) MergeBatch(from string, batch Batch) (changed []string, err error) {
 	contexts, err := m.batchContexts(from, batch)
 	if err != nil {
@@ -29,13 +30,13 @@
 	return m.mergeEntries(from, batch.Entries, batch.ContextIndexes, contexts)
 }
 
-// batchContext is a version that the sender of a batch had seen under all names of some entries.
+// batchContext is a version that the sender of a batch had seen for each of the entries that refer to it.
 type batchContext struct {
 	Version
-	isNew bool // it covers more than the known version here
+	isNew bool // it covers changes that the known version here does not
 }
 
-// batchContexts returns the contexts of a batch by the entries' context index; index 0 is the batch's known version alone.
+// batchContexts returns the contexts of a batch by context index; index 0 is the batch's known version alone.
 func (m *Map) batchContexts(from string, batch Batch) ([]batchContext, error) {
 	if !batch.isValid() {
 		return nil, &InvalidDataError{From: from, Reason: invalidVersion}
@@ -63,7 +64,7 @@
 			index = int(contextIndexes[i])
 		}
 		if index >= len(contexts) {
-			refused = append(refused, &InvalidDataError{From: from, Reason: "an entry with an unknown context"})
+			refused = append(refused, &InvalidDataError{From: from, Reason: "an entry refers to a context that its batch does not have"})
 			continue
 		}
 		if reason := entry.invalidReason(); reason != "" {
@@ -81,7 +82,7 @@
 	return changed, joinErrors(refused)
 }
 
-// joinErrors joins the first errors of a batch.
+// joinErrors joins the first maxReportedErrors errors.
 func joinErrors(all []error) error {
 	return errors.Join(all[:min(len(all), maxReportedErrors)]...)
 }
@@ -96,7 +97,7 @@
 	}
 	merged := mergeSiblings(local.Siblings, remote.Siblings,
 		causalPast{local.CausalContext, m.known, extraContext}, causalPast{remote.CausalContext, remoteContext.Version})
-	changed = merged.differ(local.Siblings)
+	changed = merged.differFrom(local.Siblings)
 	causalContext := local.CausalContext.Join(remote.CausalContext)
 	addsContext := remoteContext.isNew && !remoteContext.IsCoveredBy(extraContext)
 	if !changed && !addsContext && causalContext.IsCoveredBy(local.CausalContext) {
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// causalPast is what one side of a merge has seen under a name.
+// causalPast is what one side of a merge has seen of a name.
 type causalPast [3]Version
 
 func (p causalPast) covers(d Dot) bool {
@@ -146,8 +147,8 @@
 // mergedSiblings are the siblings that survive a merge.
 type mergedSiblings struct {
 	siblings []Sibling
-	live     int // of them without the tombstones
-	local    int // of them as they were held here
+	live     int // number of siblings that are not tombstones
+	local    int // number of siblings taken from the local side
 }
 
 func (s *mergedSiblings) add(sibling Sibling, isLocal bool) {
@@ -160,13 +161,13 @@
 	}
 }
 
-// differ reports whether they are not the siblings held before.
-func (s *mergedSiblings) differ(before []Sibling) bool {
+// differFrom reports whether the merged siblings differ from the local ones before the merge.
+func (s *mergedSiblings) differFrom(before []Sibling) bool {
 	return len(s.siblings) != len(before) || s.local != len(before)
 }
 
-// mergeSiblings keeps what both sides hold, and of what one side holds that which the other has not seen. Both lists are
-// sorted by dot.
+// mergeSiblings keeps the siblings that both sides hold, and those that one side holds and the other has not seen. Both
+// lists are sorted by dot.
 func mergeSiblings(local, remote []Sibling, localPast, remotePast causalPast) (merged mergedSiblings) {
 	for len(local) > 0 || len(remote) > 0 {
 		switch c := compareFirst(local, remote); {
@@ -192,7 +193,7 @@
 	return merged
 }
 
-// compareFirst compares the first dots of two lists of which at least one is not empty; an empty one sorts last.
+// compareFirst compares the first dots of two lists, at least one of which is not empty; an empty list sorts last.
 func compareFirst(local, remote []Sibling) int {
 	switch {
 	case len(local) == 0:
@@ -203,8 +204,9 @@
 	return local[0].Dot.compare(remote[0].Dot)
 }
 
-// prefersFirst decides between two siblings with one dot. They are the same unless two processes issued the dot, which the
-// choice of an actor rules out in normal operation; then every replica keeps the same of the two.
+// prefersFirst reports which of two siblings with the same dot to keep. They are identical unless two processes issued
+// the same dot, which the choice of an actor rules out in normal operation; in that case every replica keeps the same
+// one.
 func prefersFirst(first, second Sibling) bool {
 	if first.Deleted != second.Deleted {
 		return first.Deleted
@@ -212,7 +214,7 @@
 	return bytes.Compare(first.Value, second.Value) >= 0
 }
 
-// joinCached joins two versions. The names of one batch mostly have the same two, and then share the result in memory.
+// joinCached joins two versions. Most names of one batch have the same two versions, and then share the result in memory.
 func (m *Map) joinCached(first, second Version) Version {
 	if len(first) == 0 || first.sharesMemory(second) {
 		return second
--- a/cluster/crdt/merge_test.go
+++ b/cluster/crdt/merge_test.go
@@ -11,7 +11,7 @@
 	return []*Map{NewMap("x#1"), NewMap("y#1"), NewMap("z#1")}
 }
 
-// What remains of a name is the changes that no later one had seen, whatever the order and number of messages.
+// The siblings left of a name are the changes that no later change had seen, whatever the order and number of messages.
 func TestMergeKeepsUnsupersededChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := threeReplicas()
@@ -49,7 +49,8 @@
 	})
 }
 
-// mergeAllAndRequireEqual merges all replicas with each other, and late messages into the first one.
+// mergeAllAndRequireEqual merges all replicas with each other, and late messages into the first one, and requires that
+// they are equal.
 func mergeAllAndRequireEqual(t *rapid.T, replicas []*Map, late []Entry) {
 	for _, to := range replicas {
 		for _, from := range replicas {
--- a/cluster/crdt/rows.go
+++ b/cluster/crdt/rows.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Row is one replica's row of the matrix clock: what an incarnation of an instance says of itself. Rows travel with the
-// exchanges; from all rows together each instance works out by itself which deletes everyone has seen.
+// Row is one replica's row of the matrix clock: what an incarnation of an instance states about itself. Exchanges carry
+// the rows; from all rows together, each instance computes which deletes every instance has seen.
 type Row struct {
 	_               struct{} `cbor:",toarray"`
 	Actor           string
 	Seq             uint64           // greater in a later row of the same incarnation
 	Known           Version          // the known version
-	IncarnationEnds []IncarnationEnd // those noted and not yet settled
+	IncarnationEnds []IncarnationEnd // those recorded and not yet settled
 }
 
-// RowVersion names a row that is held, so that a peer sends later ones only.
+// RowVersion identifies a row that a replica holds, so that a peer sends only later ones.
 type RowVersion struct {
 	_     struct{} `cbor:",toarray"`
 	Actor string
@@ -24,21 +24,21 @@
 }
 
 const (
-	rowOverheadBytes    = 12 // about the bytes of an encoded row beside its actor and lists
-	incarnationEndBytes = 40 // and of an incarnation end in it
+	rowOverheadBytes    = 12 // approximate size of an encoded row without its actor and lists
+	incarnationEndBytes = 40 // approximate size of an encoded incarnation end
 )
 
-// encodedSize estimates the bytes of a row in a message.
+// encodedSize estimates the size of a row in a message, in bytes.
 func (r Row) encodedSize() int {
 	return len(r.Actor) + rowOverheadBytes + r.Known.encodedSize() + incarnationEndBytes*len(r.IncarnationEnds)
 }
 
-// isValid reports whether a row from outside can be used.
+// isValid reports whether a received row is valid.
 func (r Row) isValid() bool {
 	return isValidActor(r.Actor) && r.Seq > 0 && r.Known.isValid() && len(r.IncarnationEnds) <= MaxRows
 }
 
-// isLaterThan compares rows of one instance: by incarnation, then by sequence number.
+// isLaterThan compares rows of the same instance, first by incarnation, then by sequence number.
 func (r Row) isLaterThan(other RowVersion) bool {
 	incarnation, otherIncarnation := ActorIncarnation(r.Actor), ActorIncarnation(other.Actor)
 	return incarnation > otherIncarnation || incarnation == otherIncarnation && r.Seq > other.Seq
@@ -60,7 +60,7 @@
 	return row
 }
 
-// RowVersions names the rows held, the own one included, sorted by actor.
+// RowVersions identifies the rows held, including this replica's own, sorted by actor.
 func (m *Map) RowVersions() []RowVersion {
 	versions := make([]RowVersion, 0, len(m.rows)+1)
 	for _, row := range m.rows {
@@ -73,20 +73,21 @@
 	return versions
 }
 
-// RowsSince returns the rows that are later than those a peer has, the own one first, of about so many bytes in all.
+// RowsSince returns the rows that are later than those a peer holds, this replica's own first, up to about maxBytes in
+// all.
 func (m *Map) RowsSince(peerRows []RowVersion, maxBytes int) (rows []Row) {
-	peerHas := make(map[string]RowVersion, len(peerRows))
+	peerVersions := make(map[string]RowVersion, len(peerRows))
 	for _, version := range peerRows {
-		peerHas[ActorInstance(version.Actor)] = version
+		peerVersions[ActorInstance(version.Actor)] = version
 	}
-	isNews := func(row Row) bool { return row.isLaterThan(peerHas[ActorInstance(row.Actor)]) }
+	isNewer := func(row Row) bool { return row.isLaterThan(peerVersions[ActorInstance(row.Actor)]) }
 	room := maxBytes
-	if m.ownRow.Seq > 0 && isNews(m.ownRow) {
+	if m.ownRow.Seq > 0 && isNewer(m.ownRow) {
 		rows, room = append(rows, m.ownRow), room-m.ownRow.encodedSize()
 	}
 	for _, name := range m.rowNamesBySeq() {
 		row := m.rows[name]
-		if !isNews(row) {
+		if !isNewer(row) {
 			continue
 		}
 		if room -= row.encodedSize(); room < 0 {
@@ -97,8 +98,8 @@
 	return rows
 }
 
-// rowNamesBySeq returns the instances whose rows are held. The order changes as rows are replaced, so that over several
-// exchanges a peer gets all of them when they do not fit one message.
+// rowNamesBySeq returns the instances whose rows are held, sorted by sequence number. That order changes as rows are
+// replaced, so that a peer gets all rows over several exchanges when they do not fit one message.
 func (m *Map) rowNamesBySeq() []string {
 	names := make([]string, 0, len(m.rows))
 	for name := range m.rows {
@@ -110,11 +111,11 @@
 	return names
 }
 
-// MergeRows takes in the rows that are later than those held. It stops at the first invalid one.
+// MergeRows stores the rows that are later than those held. It stops at the first invalid one.
 func (m *Map) MergeRows(from string, rows []Row) error {
 	for _, row := range rows {
 		if !row.isValid() {
-			return &InvalidDataError{From: from, Reason: "a row that cannot be used"}
+			return &InvalidDataError{From: from, Reason: "a row has an invalid actor, sequence number, known version or number of incarnation ends"}
 		}
 		name := ActorInstance(row.Actor)
 		held, isHeld := m.rows[name]
--- a/cluster/crdt/simulation_test.go
+++ b/cluster/crdt/simulation_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// logSteps logs each step of a simulation, to follow a failing one. It is off since the log is long.
+// logSteps turns on a log of each step of a simulation, to analyze a failing one. It is off since the log is long.
 const logSteps = false
 
-// simulation is a few replicas with disks, a network that loses, delays and duplicates messages, and a model of the truth:
-// which changes there were, which ones each had superseded, and which replica has ever held which.
+// simulation has a few replicas with disks, a network that loses, delays and duplicates messages, and a model of what
+// happened: all changes, which changes each of them superseded, and which changes each replica has ever held.
 type simulation struct {
 	t                  *rapid.T
 	names              []string
@@ -34,12 +34,12 @@
 type simulatedChange struct {
 	name       string
 	deleted    bool
-	supersedes dotSet // all changes that it superseded, directly or not
+	supersedes dotSet // all changes that it superseded, directly or indirectly
 }
 
 type simulatedReplica struct {
 	state     *Map
-	everHeld  dotSet // changes that this incarnation, or the disk it began with, has held at any time
+	everHeld  dotSet // changes that this incarnation, or the disk it started from, has held at any time
 	holdsNow  dotSet
 	exchanges map[string]*Exchange
 	snapshots []diskSnapshot
@@ -107,7 +107,7 @@
 	s.checkReplica(name)
 }
 
-// recordChange notes a change in the model.
+// recordChange adds a change to the model.
 func (s *simulation) recordChange(dot Dot, name string, superseded []Dot, deleted bool) {
 	s.logf("change %v of %s supersedes %v, deleted %v", dot, name, superseded, deleted)
 	change := simulatedChange{name: name, deleted: deleted, supersedes: dotSet{}}
@@ -120,8 +120,8 @@
 	s.changes[dot] = change
 }
 
-// checkReplica checks what a replica holds: a change that it once held and then no longer held, or whose successor it has
-// held, is not held again in its incarnation.
+// checkReplica checks what a replica holds: within an incarnation, a change that it has dropped, or whose successor it
+// has held, must not appear again.
 func (s *simulation) checkReplica(name string) {
 	replica := s.replicas[name]
 	holds := dotSet{}
@@ -155,7 +155,7 @@
 		return
 	}
 	superseded := entryDots(before)
-	// A name without a record is written as a successor of what this incarnation saw deleted and collected.
+	// A write to a name without a record supersedes what this incarnation held of it before its tombstone was collected.
 	for dot := range replica.everHeld {
 		if s.changes[dot].name == key && !slices.Contains(superseded, dot) && !replica.holdsNow[dot] {
 			superseded = append(superseded, dot)
@@ -179,7 +179,7 @@
 	s.checkReplica(to)
 }
 
-// beginIncarnation goes on as a new incarnation after a SupersededError.
+// beginIncarnation continues as a new incarnation after a SupersededError.
 func (s *simulation) beginIncarnation(name, peer string, err error) {
 	var superseded *SupersededError
 	require.ErrorAs(s.t, err, &superseded)
@@ -203,8 +203,8 @@
 	s.checkReplica(name)
 }
 
-// exchangeStep is one request of an exchange and its response, either of which may be lost if lossy. It reports whether
-// the exchange is complete.
+// exchangeStep makes one request of an exchange and applies its response. If lossy is set, they may be lost. It reports
+// whether the exchange is complete.
 func (s *simulation) exchangeStep(name, peer string, lossy bool) (complete bool) {
 	replica, other := s.replicas[name], s.replicas[peer]
 	exchange := replica.exchanges[peer]
@@ -228,7 +228,7 @@
 	_, lacking, err := exchange.ApplyResponse(response)
 	if errors.Is(err, ErrPeerRestarted) {
 		delete(replica.exchanges, peer)
-		return !lossy // the superseded peer learns of it when it begins an exchange itself
+		return !lossy // the superseded peer receives the error when it begins an exchange itself
 	}
 	if err != nil {
 		s.beginIncarnation(name, peer, err)
@@ -248,7 +248,7 @@
 func (s *simulation) collectTombstones(name string, absent []string) {
 	replica := s.replicas[name]
 	s.logf("collect %s absent %v", name, absent)
-	for _, forgotten := range s.forgottenInstances { // a replica that restarted since does not know it
+	for _, forgotten := range s.forgottenInstances { // a replica that has restarted since has lost this
 		replica.state.ForgetInstance(forgotten)
 	}
 	replica.state.SetMembers(s.names, absent)
@@ -257,7 +257,7 @@
 	replica.state.NextRow()
 }
 
-// restart begins a new incarnation from the present disk or, if older ones are allowed, from an older or an empty one.
+// restart begins a new incarnation from the current disk or, if older ones are allowed, from an older or an empty one.
 func (s *simulation) restart(name string, allowOlderDisk bool) {
 	replica := s.replicas[name]
 	disk := replica.snapshot()
@@ -267,7 +267,7 @@
 	s.startReplica(name, disk)
 }
 
-// takeOlderDisk draws a snapshot. Those that are newer than it are dropped: no one keeps two histories of one disk.
+// takeOlderDisk draws a snapshot and drops the newer ones, since a disk has only one history.
 func (s *simulation) takeOlderDisk(replica *simulatedReplica) (disk diskSnapshot) {
 	count := rapid.IntRange(0, len(replica.snapshots)).Draw(s.t, "disk")
 	if count > 0 {
@@ -277,7 +277,7 @@
 	return disk
 }
 
-// removeInstance takes an instance away for good; the others forget it.
+// removeInstance removes an instance for good; the others forget it.
 func (s *simulation) removeInstance(name string) {
 	s.names = slices.DeleteFunc(slices.Clone(s.names), func(other string) bool { return other == name })
 	delete(s.replicas, name)
@@ -288,8 +288,9 @@
 	s.forgottenInstances = append(s.forgottenInstances, name)
 }
 
-// heal restores all links and lets all replicas exchange with each other, until two rounds after tombstones were collected
-// by one alone. All must then be equal after each round.
+// heal restores all links and lets all replicas exchange with each other for several rounds. In the second round only one
+// replica collects tombstones, in the others all do. From the second round on, all replicas must be equal after the
+// exchanges of a round.
 func (s *simulation) heal() {
 	const rounds, maxSteps = 6, 60
 	clear(s.cutLinks)
@@ -305,7 +306,7 @@
 			}
 		}
 		for _, name := range s.names {
-			// Each may have collected other tombstones than the rest: a second round of exchanges makes them equal.
+			// The replicas may have collected different tombstones before: the second round of exchanges makes them equal.
 			require.True(s.t, round == 0 || s.digest(name) == s.digest(s.names[0]), "%s differs", name)
 		}
 		for i, name := range s.names {
--- a/cluster/crdt/stability.go
+++ b/cluster/crdt/stability.go
@@ -1,11 +1,11 @@
 package crdt
 
-// compactContextLength is the number of dots in a causal context from which on it is reduced to its siblings' actors, once
-// the state is causally stable. A shorter one costs less than the reduction saves.
+// compactContextLength is the number of dots above which the causal context of a causally stable entry is reduced to its
+// siblings' actors. For a shorter context the reduction would cost more than it saves.
 const compactContextLength = 3
 
-// SetMembers sets the names of all instances, and of those among them that are absent for so long that tombstones are
-// collected without them. No tombstone is collected before the first call.
+// SetMembers sets the names of all members, and of those among them that have been absent for so long that tombstones are
+// collected without waiting for them. No tombstone is collected before the first call.
 func (m *Map) SetMembers(members, absent []string) {
 	m.members, m.absentMembers = append([]string{}, members...), map[string]bool{}
 	for _, name := range absent {
@@ -13,17 +13,18 @@
 	}
 }
 
-// ForgetInstance stops waiting for an instance that will not come back. What it sent to anyone stays. If it does come back,
-// its next row makes it count again; of incarnations that were settled meanwhile it may hold changes that no one takes.
+// ForgetInstance stops waiting for an instance that will not come back. What it sent to any other instance stays. If it
+// does come back, it counts again from its next row on; but changes that it holds of incarnations settled in the meantime
+// may be ignored.
 func (m *Map) ForgetInstance(name string) {
 	delete(m.rows, name)
 	delete(m.coveredRows, name)
 	m.forgottenNames[name] = true
 }
 
-// StableVersion returns the causally stable version, which all members that are not absent have seen, and whether there is
-// one. Only rows whose known version is fully covered here count: what a member wrote before it saw a delete is then held
-// here, beside the tombstone.
+// StableVersion returns the causally stable version, which all members that are not absent have seen, and whether there
+// is one. Only rows whose known version this replica's known version covers count: what a member wrote before it saw a
+// delete is then held here, along with the tombstone.
 func (m *Map) StableVersion() (Version, bool) {
 	for name, row := range m.rows {
 		if row.Known.IsCoveredBy(m.known) {
@@ -54,8 +55,8 @@
 	stable, hasStable := m.StableVersion()
 	for _, dead := range m.deadRecords {
 		isStable := hasStable && dead.CausalContext.IsCoveredBy(stable)
-		saysNothing := len(dead.Siblings) == 0 && dead.CausalContext.IsCoveredBy(m.known)
-		if isStable || saysNothing {
+		isRedundant := len(dead.Siblings) == 0 && dead.CausalContext.IsCoveredBy(m.known)
+		if isStable || isRedundant {
 			m.replaceRecord(dead, Entry{}, nil)
 			dropped = append(dropped, dead.Name)
 		}
@@ -72,8 +73,8 @@
 	return dropped
 }
 
-// compactRecord reduces the contexts of a record that is entirely stable. It is not enough that all members have seen
-// a change: they must also know that it was superseded.
+// compactRecord reduces the contexts of a record whose whole causal context is stable. It is not enough that all members
+// have seen a change: they must also know that it was superseded.
 func (m *Map) compactRecord(held *record, stable Version) {
 	if !held.CausalContext.IsCoveredBy(stable) {
 		return
--- a/cluster/crdt/stability_test.go
+++ b/cluster/crdt/stability_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance that was absent for so long that a tombstone was collected without it brings nothing back, and learns
-// which changes it kept.
+// An instance that was absent for so long that a tombstone was collected without waiting for it brings no deleted value
+// back, and learns which of its changes the peer had not seen.
 func TestReturnAfterLongAbsence(t *testing.T) {
 	present, absent := NewMap("a#1"), NewMap("b#1")
 	_, _ = present.Put("x", []byte("1"))
@@ -36,8 +36,8 @@
 	}
 }
 
-// A tombstone that one replica collected is dropped by another one that knows no less; otherwise the two would differ for
-// ever.
+// A tombstone that one replica has collected is dropped by another whose known version covers no less; otherwise the two
+// would differ forever.
 func TestCollectedTombstoneIsDroppedByEqualReplica(t *testing.T) {
 	a, b := NewMap("a#1"), NewMap("b#1")
 	_, _ = a.Put("x", []byte("1"))
--- a/cluster/crdt/version.go
+++ b/cluster/crdt/version.go
@@ -6,17 +6,18 @@
 	"strings"
 )
 
-// Version is a version vector: for each actor in it, all changes up to the counter were seen. An end mark, an actor without
-// an incarnation as in "name#", covers all incarnations of that instance before its counter; with it a version grows with
-// the number of instances and not with their restarts. A Version is sorted by actor and is never changed in place.
+// Version is a version vector: for each actor in it, all changes up to the counter were seen. An end mark, which is an
+// actor without an incarnation such as "name#", covers all incarnations of that instance before its counter; with end
+// marks a version grows with the number of instances and not with their restarts. A Version is sorted by actor and never
+// modified in place.
 type Version []Dot
 
-// find returns the index of an actor, or where it would be inserted.
+// find returns the index of an actor and true, or false and the index at which to insert it.
 func (v Version) find(actor string) (int, bool) {
 	return slices.BinarySearchFunc(v, actor, func(d Dot, wanted string) int { return strings.Compare(d.Actor, wanted) })
 }
 
-// EndedBefore returns the incarnation of an instance before which all its incarnations are covered, 0 for none.
+// EndedBefore returns the counter of an instance's end mark: all incarnations before it are covered. It is 0 without one.
 func (v Version) EndedBefore(name string) uint64 {
 	if i, ok := v.find(endMark(name)); ok {
 		return v[i].Counter
@@ -24,7 +25,7 @@
 	return 0
 }
 
-// LastCounter returns the counter of the last change of an actor that was seen, 0 for none, and the greatest number for an
+// LastCounter returns the counter of the last change of an actor that was seen, 0 if none was, and math.MaxUint64 for an
 // incarnation that an end mark covers.
 func (v Version) LastCounter(actor string) uint64 {
 	i, ok := v.find(actor)
@@ -62,7 +63,7 @@
 	return v
 }
 
-// dropEnded removes the incarnations that an end mark covers. It changes v, which must not be shared yet.
+// dropEnded removes the incarnations that an end mark covers. It modifies v, which must not be shared yet.
 func (v Version) dropEnded() Version {
 	if !slices.ContainsFunc(v, func(d Dot) bool { return isEndMark(d.Actor) }) {
 		return v
@@ -73,7 +74,7 @@
 	})
 }
 
-// IsCoveredBy reports whether other has seen all that v has.
+// IsCoveredBy reports whether other covers all that v covers.
 func (v Version) IsCoveredBy(other Version) bool {
 	for _, d := range v {
 		if !other.Covers(d) {
@@ -83,7 +84,7 @@
 	return true
 }
 
-// Join returns the least version that covers both, the union of what they have seen.
+// Join returns the least version that covers both versions.
 func (v Version) Join(other Version) Version {
 	if other.IsCoveredBy(v) {
 		return v
@@ -107,7 +108,7 @@
 	return append(append(joined, v...), other...).dropEnded()
 }
 
-// intersect returns the greatest version that both cover.
+// intersect returns the greatest version that both versions cover.
 func (v Version) intersect(other Version) Version {
 	var common Version
 	for _, d := range v {
@@ -115,7 +116,7 @@
 			common = append(common, d)
 		}
 	}
-	for _, d := range other { // actors that v covers by an end mark only
+	for _, d := range other { // actors that v covers only by an end mark
 		if _, ok := v.find(d.Actor); !ok && v.Covers(d) {
 			common = common.With(d)
 		}
@@ -133,7 +134,7 @@
 	return rest
 }
 
-// isValid reports whether a version from outside is sorted and has usable actors and counters.
+// isValid reports whether a received version is sorted and has valid actors and counters.
 func (v Version) isValid() bool {
 	for i, d := range v {
 		validActor := isEndMark(d.Actor) || isValidActor(d.Actor)
@@ -148,11 +149,11 @@
 }
 
 const (
-	versionOverheadBytes = 4 // about the bytes of an encoded version beside its dots
-	dotOverheadBytes     = 8 // and of a dot in it beside its actor
+	versionOverheadBytes = 4 // approximate size of an encoded version without its dots
+	dotOverheadBytes     = 8 // approximate size of an encoded dot without its actor
 )
 
-// encodedSize estimates the bytes of a version in a message.
+// encodedSize estimates the size of a version in a message, in bytes.
 func (v Version) encodedSize() int {
 	size := versionOverheadBytes
 	for _, d := range v {
@@ -161,7 +162,7 @@
 	return size
 }
 
-// sharesMemory reports whether two versions are the same slice, so that what holds for one needs not be computed again.
+// sharesMemory reports whether two versions are the same slice, so that results for one can be reused for the other.
 func (v Version) sharesMemory(other Version) bool {
 	return len(v) == len(other) && (len(v) == 0 || &v[0] == &other[0])
 }
--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenMap is a replica with a plain entry, a tombstone, concurrent siblings and a row of another instance.
+// goldenMap returns a replica with a plain entry, a tombstone, concurrent siblings and a row of another instance.
 func goldenMap(t *testing.T) *Map {
 	replica := NewMap("gateway-1#7")
 	_, err := replica.Put("plan/a", []byte{0, 1, 0xff})
@@ -30,7 +30,7 @@
 	return replica
 }
 
-// Entries, versions, batches and rows: in messages and, for entries and versions, in the store.
+// Entries, versions, batches and rows keep their encoding: all are in messages, entries and versions also in the store.
 func TestGoldenRecords(t *testing.T) {
 	first, second := Dot{Actor: "gateway-1#7", Counter: 3}, Dot{Actor: "gateway-2#9", Counter: 1 << 40}
 	version := Version{{Actor: "gateway-0#", Counter: 12}, first, second}
@@ -72,7 +72,7 @@
 	})
 }
 
-// Requests and responses of an exchange, field by field and as a replica makes them.
+// Requests and responses of an exchange keep their encoding, with each field set and as a replica makes them.
 func TestGoldenExchangeMessages(t *testing.T) {
 	version := Version{{Actor: "gateway-1#7", Counter: 3}}
 	request := ExchangeRequest{
@@ -111,7 +111,7 @@
 	})
 }
 
-// An exchange that responses of an earlier build complete.
+// An exchange completes that begins with the recorded response of an earlier build.
 func TestGoldenExchangeIsApplied(t *testing.T) {
 	forms := golden.ReadForms(t, "exchange.golden")
 	replica := NewMap("gateway-3#4")
@@ -122,7 +122,7 @@
 	require.NoError(t, cbor.Unmarshal(forms["first-answer"], &response))
 	_, _, err := exchange.ApplyResponse(response)
 	require.NoError(t, err)
-	require.Equal(t, uint64(5), replica.rows["gateway-1"].Known.LastCounter("gateway-1#7"), "the row of the answering instance")
+	require.Equal(t, uint64(5), replica.rows["gateway-1"].Known.LastCounter("gateway-1#7"), "the row of the responder")
 	responder := goldenMap(t)
 	for request, more := exchange.NextRequest(); more; request, more = exchange.NextRequest() {
 		response, err := responder.HandleRequest("gateway-3", request)
@@ -133,7 +133,7 @@
 	require.Equal(t, response.RootDigest, replica.Digest(TreeNode{}), "the digest that the earlier build sent")
 }
 
-// Digests are compared between instances of different builds.
+// Instances of different builds compare their digests, so the digests must not change.
 func TestGoldenDigests(t *testing.T) {
 	replica := goldenMap(t)
 	digest := func(name string, value, want uint64) golden.Form {
@@ -158,7 +158,7 @@
 	require.Equal(t, TreeNode{Level: 3, Index: 7*16 + 15}, TreeNode{Level: 2, Index: 7}.Children()[15])
 }
 
-// Limits that a receiver checks: messages of an instance of another build are refused beyond them.
+// A receiver refuses messages that exceed these limits, so instances of different builds must agree on them.
 func TestGoldenLimits(t *testing.T) {
 	require.Equal(t, []int{3, 1 << 16}, []int{DigestTreeDepth, bucketCount})
 	require.Equal(t, []int{100_000, 50_000, 200_000, 8 << 10, 512, 280, 96 << 20, 64},
--- a/cluster/replication/cluster_test.go
+++ b/cluster/replication/cluster_test.go
@@ -19,7 +19,7 @@
 	testPoll    = 10 * time.Millisecond
 )
 
-// memoryStorage is a Storage in memory that can be copied, and can fail.
+// memoryStorage is an in-memory Storage that can be copied and made to fail.
 type memoryStorage struct {
 	mu       sync.Mutex
 	data     map[string][]byte
@@ -82,7 +82,7 @@
 	return l.text.String()
 }
 
-// testCluster is a few instances on a network in memory.
+// testCluster is a few instances on an in-memory network.
 type testCluster struct {
 	t               *testing.T
 	network         *testnet.Network
@@ -92,7 +92,7 @@
 	replicators     map[string]*Replicator
 	nodes           map[string]*testnet.Node
 	log             *logBuffer
-	storageOpened   chan struct{} // storages of instances that start open once it is closed
+	storageOpened   chan struct{} // the storages of starting instances open once it is closed
 }
 
 func newTestCluster(t *testing.T, names ...string) *testCluster {
@@ -140,7 +140,7 @@
 	return c.replicators[name]
 }
 
-// kill ends an instance without a last write.
+// kill ends an instance without waiting until its changes are on disk.
 func (c *testCluster) kill(name string) {
 	if replicator := c.replicators[name]; replicator != nil {
 		c.nodes[name].Leave()
@@ -174,7 +174,7 @@
 	require.NoError(t, replicator.WaitPersisted(ctx))
 }
 
-// value returns the first sibling's value of a name, empty if it has no live one.
+// value returns the value of a name's first sibling, "" if no sibling is live.
 func value(replicator *Replicator, name string) string {
 	entry, ok := replicator.Get(name)
 	if !ok {
--- a/cluster/replication/errors.go
+++ b/cluster/replication/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// NotPersistedError reports changes that the store could not take. They are in effect and replicated, but a restart may not
-// have them.
+// NotPersistedError reports changes that could not be written to the store. They are in effect and replicated, but may be
+// missing after a restart.
 type NotPersistedError struct{ Err error }
 
 func (e *NotPersistedError) Error() string {
@@ -13,27 +13,26 @@
 
 // Advice says what an operator can do.
 func (e *NotPersistedError) Advice() string {
-	return "Repair the store's disk; what other instances hold comes back after a restart, this one's newest changes may not."
+	return "Repair the store's disk; after a restart, this instance gets back what other instances hold, but may lose its newest changes."
 }
 
-// UnreadableStateError reports a store whose state could not be read completely: the rest comes from the other instances.
+// UnreadableStateError reports a store whose state could not be read completely. The other instances send the rest.
 type UnreadableStateError struct {
 	Key string
 	Err error
 }
 
 func (e *UnreadableStateError) Error() string {
-	return fmt.Sprintf("replication: stored %.60q cannot be used: %v", e.Key, e.Err)
+	return fmt.Sprintf("replication: stored state in %.60q cannot be used: %v", e.Key, e.Err)
 }
 func (e *UnreadableStateError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
 func (e *UnreadableStateError) Advice() string {
-	return "Nothing while other instances are up, since they send it again; otherwise look for changes that are missing."
+	return "Nothing while other instances are up, since they send the state again; otherwise look for missing changes."
 }
 
-// ExchangeInterruptedError reports an exchange or an update that did not get through to its end. A later exchange resumes
-// it.
+// ExchangeInterruptedError reports an exchange or an update that could not be completed. A later exchange resumes it.
 type ExchangeInterruptedError struct {
 	Peer string
 	Err  error
@@ -46,7 +45,7 @@
 
 // Advice says what an operator can do.
 func (e *ExchangeInterruptedError) Advice() string {
-	return "If it repeats, look at that instance and the link to it; the exchange resumes where it was."
+	return "If it happens repeatedly, check that instance and the link to it; the exchange resumes where it stopped."
 }
 
 // InvalidMessageError reports a message from another instance that cannot be read.
@@ -56,27 +55,27 @@
 }
 
 func (e *InvalidMessageError) Error() string {
-	return fmt.Sprintf("replication: message from %s: %v", e.From, e.Err)
+	return fmt.Sprintf("replication: invalid message from %s: %v", e.From, e.Err)
 }
 func (e *InvalidMessageError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
 func (e *InvalidMessageError) Advice() string {
-	return "Compare the versions of the two instances; what cannot be read is ignored."
+	return "Compare the program versions of the two instances; messages that cannot be read are ignored."
 }
 
 // LongAbsenceError reports that this instance came back after the others had stopped waiting for it.
 type LongAbsenceError struct {
-	Peer          string   // the instance that said so
+	Peer          string   // the instance that reported it
 	UnsyncedNames []string // names with changes of this instance that the peer had not seen; they are kept
 }
 
 func (e *LongAbsenceError) Error() string {
-	return fmt.Sprintf("replication: absent for longer than tombstones are kept, according to %s; %d own changes that it had not seen are kept: %.200q",
+	return fmt.Sprintf("replication: this instance was absent for longer than tombstones are kept, according to %s; it keeps %d names with changes that the peer had not seen: %.200q",
 		e.Peer, len(e.UnsyncedNames), e.UnsyncedNames)
 }
 
 // Advice says what an operator can do.
 func (e *LongAbsenceError) Advice() string {
-	return "Look through these names: a delete made elsewhere meanwhile may have been meant to end them."
+	return "Check these names: a delete made on another instance in the meantime may have been meant to remove them."
 }
--- a/cluster/replication/exchange.go
+++ b/cluster/replication/exchange.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// maxChainedExchanges is how many exchanges follow one another while they find differences, so that a cluster that
-	// was partitioned converges sooner.
+	// maxChainedExchanges is how many exchanges one round makes in sequence while they find differences, so that a cluster
+	// converges sooner after a partition.
 	maxChainedExchanges = 8
 	// responseTimeout is how long the initiator waits for a response.
 	responseTimeout = 2 * time.Second
-	// maxRequestAttempts is how many requests without a response in a row interrupt an exchange. A later round resumes it.
+	// maxRequestAttempts is how many consecutive requests without a response interrupt an exchange. A later round resumes
+	// it.
 	maxRequestAttempts = 2
-	// maxExchangeAge is the age at which an interrupted exchange is begun anew and not resumed.
+	// maxExchangeAge is the age above which an interrupted exchange is not resumed, and a new one begins instead.
 	maxExchangeAge = 10 * time.Minute
-	// resumeOneRoundIn: one round in so many, at random, prefers a peer with an interrupted exchange.
+	// resumeOneRoundIn: a random one of so many rounds prefers a peer with an interrupted exchange.
 	resumeOneRoundIn = 2
 )
 
-// openExchange is an exchange that has not come to its end.
+// openExchange is an exchange that has not ended.
 type openExchange struct {
 	exchange  *crdt.Exchange
 	startedAt time.Time
 }
 
-// runExchanges is the job of one round: an exchange with one peer, and further ones while they find differences.
+// runExchanges is the job for one round: an exchange with one peer, and further ones while they find differences.
 func (r *Replicator) runExchanges(ctx context.Context, allowance *scheduler.Allowance) error {
 	if !r.isReady() {
 		return nil
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// choosePeer returns a peer that has become reachable, one whose exchange was interrupted, or a random one; it is empty if
-// none can be reached.
+// choosePeer returns a peer that has just become reachable, else one whose exchange was interrupted, else a random one.
+// It returns "" if no peer is reachable.
 func (r *Replicator) choosePeer() string {
 	alive, _ := r.shuffledPeers()
 	r.mu.Lock()
@@ -82,7 +83,7 @@
 	return alive[0]
 }
 
-// forgetUnreachablePeers makes peers that are not reachable count as new once they are again; r.mu is held.
+// forgetUnreachablePeers makes unreachable peers count as new once they are reachable again. r.mu is held.
 func (r *Replicator) forgetUnreachablePeers(alive []string) {
 	isAlive := map[string]bool{}
 	for _, name := range alive {
@@ -95,8 +96,8 @@
 	}
 }
 
-// exchangeWith makes an exchange with a peer until nothing is left to request, or the peer does not respond. It reports
-// whether anything differed.
+// exchangeWith runs an exchange with a peer until nothing is left to request, or until the peer does not respond. It
+// reports whether anything differed.
 func (r *Replicator) exchangeWith(ctx context.Context, allowance *scheduler.Allowance, peer string) (differed bool, err error) {
 	open, responses := r.openExchangeWith(peer)
 	defer r.removeResponseWaiter(open.exchange.ID())
@@ -140,7 +141,7 @@
 	delete(r.responseWaiters, exchangeID)
 }
 
-// nextRequest returns the next request of an exchange; one without a response is withdrawn.
+// nextRequest returns the next request of an exchange. An earlier one without a response is withdrawn.
 func (r *Replicator) nextRequest(exchange *crdt.Exchange) (crdt.ExchangeRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +149,7 @@
 	return exchange.NextRequest()
 }
 
-// closeExchange ends an exchange of which nothing is left to request, and reports whether anything differed.
+// closeExchange ends an exchange that has nothing left to request, and reports whether anything differed.
 func (r *Replicator) closeExchange(peer string, open *openExchange) (differed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,9 +172,9 @@
 	return awaitResponse(ctx, responses, request)
 }
 
-var errResponseTimeout = errors.New("no response in time")
+var errResponseTimeout = errors.New("timed out waiting for the response")
 
-// awaitResponse waits for the response to a request; late responses to earlier ones are dropped.
+// awaitResponse waits for the response to a request. Late responses to earlier requests are dropped.
 func awaitResponse(ctx context.Context, responses <-chan crdt.ExchangeResponse, request crdt.ExchangeRequest) (crdt.ExchangeResponse, error) {
 	timeout := time.NewTimer(responseTimeout)
 	defer timeout.Stop()
@@ -191,7 +192,7 @@
 	}
 }
 
-// handleResponse hands a response to the exchange that waits for it, if any.
+// handleResponse passes a response to the exchange that waits for it, if any.
 func (r *Replicator) handleResponse(content []byte) error {
 	var response crdt.ExchangeResponse
 	if err := cbor.Unmarshal(content, &response); err != nil {
@@ -207,14 +208,14 @@
 	return nil
 }
 
-// applyResponse takes in a response and sends what the peer lacks. The error ends the exchange.
+// applyResponse merges a response and sends what the peer lacks. A returned error ends the exchange.
 func (r *Replicator) applyResponse(
 	ctx context.Context, allowance *scheduler.Allowance, exchange *crdt.Exchange, response crdt.ExchangeResponse,
 ) error {
-	knewAbsence := exchange.MissedDeletes
+	alreadyReported := exchange.MissedDeletes
 	repairs, err := r.mergeResponse(exchange, response)
 	peer := exchange.Peer()
-	if exchange.MissedDeletes && !knewAbsence {
+	if exchange.MissedDeletes && !alreadyReported {
 		r.options.Logger.Warn(eventAbsence, advice.LogAttrs(&LongAbsenceError{peer, exchange.UnsyncedNames})...)
 	}
 	switch {
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// mergeResponse takes in a response and returns the messages with what the peer lacks.
+// mergeResponse merges a response and returns the messages with what the peer lacks.
 func (r *Replicator) mergeResponse(exchange *crdt.Exchange, response crdt.ExchangeResponse) (repairs []stateMessage, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -12,9 +12,9 @@
 	"chalkring/cluster/crdt"
 )
 
-const goldenBucket = "share-bucket.json" // values in hex by key, from one instance
+const goldenBucket = "share-bucket.json" // hex-encoded values by key, written by one instance
 
-// bucketCheckingStorage reports a call for another bucket.
+// bucketCheckingStorage fails the test if a call names another bucket.
 type bucketCheckingStorage struct {
 	*memoryStorage
 	t *testing.T
@@ -34,8 +34,8 @@
 	return s.memoryStorage.Load(bucket, visit)
 }
 
-// restoredFrom returns a replicator that has taken in what a storage kept. It has no background work: the row that the
-// collecting job makes at some moment is a change of the known version.
+// restoredFrom returns a replicator that has merged the state in a storage. It has no background work, since the collect
+// job makes a row at some point, and that changes the known version.
 func restoredFrom(t *testing.T, incarnation uint64, storage *memoryStorage) *Replicator {
 	replicator := newReplicator(context.Background(), Options{
 		InstanceName: "east-0", Incarnation: incarnation, Seed: 1,
@@ -56,7 +56,7 @@
 	return storage
 }
 
-// An instance that puts and deletes writes the golden bucket, byte for byte.
+// The changes that an instance makes are written as in the golden bucket, byte for byte.
 func TestGoldenBucketWritten(t *testing.T) {
 	storage := newMemoryStorage()
 	replicator := restoredFrom(t, 1_700_000_000_000_000_000, storage)
@@ -74,7 +74,7 @@
 	golden.RequireJSON(t, goldenBucket, got)
 }
 
-// A later incarnation of the instance reads the golden bucket and holds what was written.
+// A later incarnation of the instance restores the golden bucket and holds what was written.
 func TestGoldenBucketRead(t *testing.T) {
 	replicator := restoredFrom(t, 1_700_000_000_000_000_001, goldenStorage(t))
 	actor := "east-0#1700000000000000000"
@@ -90,5 +90,5 @@
 	}
 	_, ok := replicator.Get("y")
 	require.False(t, ok)
-	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, replicator.state.KnownVersion(), "what the instance has seen, from its own key")
+	require.Equal(t, crdt.Version{{Actor: actor, Counter: 6}}, replicator.state.KnownVersion(), "the known version, which has its own key")
 }
--- a/cluster/replication/incarnation.go
+++ b/cluster/replication/incarnation.go
@@ -8,11 +8,11 @@
 	"chalkring/internal/advice"
 )
 
-// minIncarnationInterval keeps two processes with one name from superseding each other again and again.
+// minIncarnationInterval limits how often two processes with the same name supersede each other.
 const minIncarnationInterval = 10 * time.Second
 
-// handleSuperseded goes on as a new incarnation if the error says that others regard this one as ended. It reports whether
-// the error says so.
+// handleSuperseded continues as a new incarnation if err is a crdt.SupersededError, which says that other instances
+// consider this one ended. It reports whether err is one.
 func (r *Replicator) handleSuperseded(err error) bool {
 	var superseded *crdt.SupersededError
 	if !errors.As(err, &superseded) {
@@ -24,8 +24,8 @@
 	return true
 }
 
-// beginIncarnation begins a new incarnation, unless the last one has just begun, and returns the entries with changes that
-// it made again.
+// beginIncarnation begins a new incarnation, unless the last one began less than minIncarnationInterval ago, and returns
+// the entries whose changes it reissued.
 func (r *Replicator) beginIncarnation(superseded *crdt.SupersededError) (kept []crdt.Entry, begun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 		return nil, false
 	}
 	r.incarnationBegunAt = now
-	peer := superseded.From // an instance, or an actor where a message said it
+	peer := superseded.From // an instance, or an actor if the error is about a stateMessage
 	if crdt.ActorIncarnation(peer) > 0 {
 		peer = crdt.ActorInstance(peer)
 	}
@@ -47,8 +47,8 @@
 	return kept, true
 }
 
-// ensureLaterIncarnation begins a later incarnation if one in known, which the disk kept, is not an earlier one: the clock
-// was set back. r.mu is held.
+// ensureLaterIncarnation begins a later incarnation if known, the version read from disk, has one of this instance that
+// is not earlier than the current one, because the clock was set back. r.mu is held.
 func (r *Replicator) ensureLaterIncarnation(known crdt.Version) {
 	actor := r.state.Actor()
 	name := crdt.ActorInstance(actor)
--- a/cluster/replication/local_state.go
+++ b/cluster/replication/local_state.go
@@ -14,7 +14,7 @@
 	return r.put(name, value)
 }
 
-// put writes a value; r.mu is held.
+// put writes a value. r.mu is held.
 func (r *Replicator) put(name string, value []byte) (crdt.Entry, error) {
 	entry, err := r.state.Put(name, value)
 	if err == nil {
@@ -34,9 +34,9 @@
 	return entry, err
 }
 
-// Update puts the value that resolve makes of a name's state, unless write is false or there is an error. It is one step: a
-// change that came between a Get and a Put would be superseded without having been seen. resolve must be quick and must
-// not call the Replicator.
+// Update puts the value that resolve computes from a name's state, unless write is false or resolve returns an error. It
+// is atomic: a change that arrives between a Get and a Put would be superseded without having been seen. resolve must be
+// quick and must not call the Replicator.
 func (r *Replicator) Update(name string, resolve func(entry crdt.Entry) (value []byte, write bool, err error)) (crdt.Entry, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,7 @@
 }
 
 // ScanPrefix calls visit for each name with a live value that begins with prefix, in order, until visit returns false.
-// visit must be quick, since everything else waits for it, and must not call the Replicator.
+// visit must be quick, since all other calls wait for it, and must not call the Replicator.
 func (r *Replicator) ScanPrefix(prefix string, visit func(crdt.Entry) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,20 +70,20 @@
 	return r.state.Actor()
 }
 
-// Digest stands for all that is held: two instances with the same digest hold the same.
+// Digest returns the digest of the whole replica: two instances with the same digest hold the same siblings.
 func (r *Replicator) Digest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Digest(crdt.TreeNode{})
 }
 
-// Stats are the size of the replica and counters since the start.
+// Stats has the size of the replica, and counters since the start.
 type Stats struct {
-	LiveEntries, Tombstones, StoredBytes int // names with a value, names remembered without one, bytes of names and values
+	LiveEntries, Tombstones, StoredBytes int // names with a live value, names with none, bytes of names and values
 	ExchangeBytesSent, UpdateBytesSent   uint64
 }
 
-// Stats returns the present statistics.
+// Stats returns the current statistics.
 func (r *Replicator) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,8 +98,8 @@
 	signal chan struct{}
 }
 
-// Watch signals that something under prefix may have changed; one signal stands for any number of changes, and there is one
-// at the beginning. The returned function ends the watch.
+// Watch signals that something under prefix may have changed. One signal covers any number of changes, and the first is
+// sent at once. stop ends the watch.
 func (r *Replicator) Watch(prefix string) (signal <-chan struct{}, stop func()) {
 	w := &watcher{prefix, make(chan struct{}, 1)}
 	notify(w.signal)
@@ -113,13 +113,13 @@
 	}
 }
 
-// recordOwnChange notes a change made here; r.mu is held.
+// recordOwnChange records a change made by this instance and queues it for sending. r.mu is held.
 func (r *Replicator) recordOwnChange(name string) {
 	r.recordChanges([]string{name})
 	r.queueUpdates([]string{name})
 }
 
-// recordChanges notes changed names for the disk and the watchers; r.mu is held.
+// recordChanges marks changed names to be written to disk and signals the watchers. r.mu is held.
 func (r *Replicator) recordChanges(names []string) {
 	if len(names) == 0 {
 		return
--- a/cluster/replication/log.go
+++ b/cluster/replication/log.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	logInterval      = 30 * time.Second // between two log lines of one event and subject
-	maxLogTimestamps = 1024             // of them remembered; with more all are forgotten
+	logInterval      = 30 * time.Second // minimum time between two log lines with the same event and subject
+	maxLogTimestamps = 1024             // event and subject pairs remembered; beyond it all are forgotten
 )
 
-// logFailure logs a failure with its advice, at most once in logInterval for an event and subject. The key says what the
-// subject is: a peer, an instance or a job.
+// logFailure logs a failure with its advice, at most once per logInterval for the same event and subject. key says what
+// the subject is: a peer, an instance or a job.
 func (r *Replicator) logFailure(event, key, subject string, err error) {
 	if r.isLogDue(event + subject) {
 		r.options.Logger.Warn(event, advice.LogAttrs(err, key, subject)...)
--- a/cluster/replication/messages.go
+++ b/cluster/replication/messages.go
@@ -11,7 +11,7 @@
 	"chalkring/internal/scheduler"
 )
 
-// Topic distinguishes the messages of this package from others of the transport.
+// Topic distinguishes the messages of this package from others on the transport.
 const Topic = 2
 
 // sendTimeout limits the sending of one message.
@@ -20,22 +20,22 @@
 // Transport sends messages to other instances; package gossip implements it.
 type Transport interface {
 	Send(ctx context.Context, to string, topic byte, body []byte) error
-	// Handle registers the receiver of a topic's messages; receive must not wait.
+	// Handle registers the receiver of a topic's messages. receive must not block.
 	Handle(topic byte, receive func(from string, body []byte))
 }
 
-// Kinds of messages: the first byte of a body. A CBOR item follows.
+// Kinds of messages. The kind is the first byte of a body; a CBOR item follows.
 const (
 	kindRequest  byte = 1 + iota // crdt.ExchangeRequest
 	kindResponse                 // crdt.ExchangeResponse
-	kindUpdate                   // stateMessage with fresh changes, passed on by those to whom they are news
+	kindUpdate                   // stateMessage with fresh changes; receivers forward those that are new to them
 	kindRepair                   // stateMessage with what the receiver lacked in an exchange
 )
 
-// stateMessage sends states of names.
+// stateMessage carries states of names.
 type stateMessage struct {
 	_     struct{} `cbor:",toarray"`
-	Actor string   // the sender's
+	Actor string   // of the sender
 	Batch crdt.Batch
 }
 
@@ -44,7 +44,7 @@
 	return append([]byte{kind}, body...), err
 }
 
-// sendMessage spends the message's bytes from the job's budget and sends it. It returns the bytes sent.
+// sendMessage sends a message within the job's byte budget. It returns the number of bytes sent.
 func (r *Replicator) sendMessage(ctx context.Context, allowance *scheduler.Allowance, to string, kind byte, content any) (int, error) {
 	body, err := encodeMessage(kind, content)
 	if err != nil {
@@ -67,10 +67,10 @@
 	return err
 }
 
-var errUnknownKind = errors.New("an unknown kind of message")
+var errUnknownKind = errors.New("unknown message kind")
 
-// handleMessage receives a message. Before the state on disk is here all are dropped, since this replica then knows less
-// than it has sent to others before.
+// handleMessage handles a received message. Until the state on disk is restored all messages are dropped, since this
+// replica then knows less than it sent to other instances before the restart.
 func (r *Replicator) handleMessage(from string, body []byte) {
 	if !r.isReady() || len(body) == 0 {
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-// handleStates merges the states of a message; one whose actor is not the sender's is ignored.
+// handleStates merges the states of a message. A message whose actor is not the sender's is ignored.
 func (r *Replicator) handleStates(from string, content []byte, isUpdate bool) error {
 	var message stateMessage
 	if err := cbor.Unmarshal(content, &message); err != nil || crdt.ActorInstance(message.Actor) != from {
@@ -100,7 +100,7 @@
 	return r.applyStates(message, isUpdate)
 }
 
-// applyStates merges the states of a message and passes on what an update changed here.
+// applyStates merges the states of a message, and forwards what changed here if it is an update.
 func (r *Replicator) applyStates(message stateMessage, isUpdate bool) error {
 	r.mu.Lock()
 	changed, err := r.state.MergeBatch(message.Actor, message.Batch)
--- a/cluster/replication/persistence.go
+++ b/cluster/replication/persistence.go
@@ -14,7 +14,7 @@
 
 // Storage keeps records by bucket and key; package store implements it.
 type Storage interface {
-	// Put makes all changes in one transaction and returns once they are on disk.
+	// Put applies all changes in one transaction and returns once they are on disk.
 	Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error
 	// Load calls visit for each record of a bucket, until it returns an error.
 	Load(bucket string, visit func(key string, value []byte) error) error
@@ -30,13 +30,13 @@
 )
 
 const (
-	persistInterval     = 20 * time.Millisecond  // changes of that long are gathered for one transaction
-	minPersistBackoff   = 200 * time.Millisecond // wait after a failed transaction, doubled with each further one
+	persistInterval     = 20 * time.Millisecond  // time over which changes are collected for one transaction
+	minPersistBackoff   = 200 * time.Millisecond // wait after a failed transaction; doubles with each further failure
 	maxPersistBackoff   = 10 * time.Second
 	maxTransactionBytes = 32 << 20 // the store holds a transaction in memory
 )
 
-// WaitPersisted waits until all changes so far are on disk. Without a storage it waits for nothing.
+// WaitPersisted waits until all changes made so far are on disk. Without a storage it waits only until that is known.
 func (r *Replicator) WaitPersisted(ctx context.Context) error {
 	select {
 	case <-r.restored:
@@ -61,8 +61,8 @@
 	}
 }
 
-// persistProgress reports whether so many changes are on disk, and if not the channel that is closed with the next
-// successful transaction and the error of the last one.
+// persistProgress reports whether the first wanted changes are on disk. If they are not, it also returns the channel that
+// is closed with the next successful transaction, and the error of the last transaction.
 func (r *Replicator) persistProgress(wanted uint64) (transactionDone <-chan struct{}, lastErr error, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,25 +106,25 @@
 
 // transaction is one write to the storage.
 type transaction struct {
-	names   []string // whose state it writes or deletes
+	names   []string // names whose state it writes or deletes
 	puts    map[string][]byte
 	deletes []string
-	// complete is set if it has all changes. Only then it has the known version too, which must not cover more than the
-	// entries on disk.
+	// complete is set if the transaction contains all changes. Only then does it write the known version too, which must
+	// not cover more than the entries on disk.
 	complete     bool
 	known        crdt.Version
 	knownChanged bool
-	changeCount  uint64 // changes that are on disk with it, if it is complete
+	changeCount  uint64 // number of changes on disk after it, if it is complete
 }
 
-// persistOnce writes the changes so far, as far as they fit one transaction.
+// persistOnce writes the changes made so far, as many as fit one transaction.
 func (r *Replicator) persistOnce(ctx context.Context) error {
 	tx, err := r.beginTransaction()
 	if err != nil {
 		return err
 	}
 	if !tx.complete {
-		tx.deletes = nil // only the known version says that a dropped entry is old: they go together
+		tx.deletes = nil // only the known version shows that a dropped entry is superseded: both are written together
 	} else if tx.knownChanged {
 		value, err := cbor.Marshal(tx.known)
 		if err != nil {
@@ -139,7 +139,7 @@
 	return err
 }
 
-// beginTransaction takes the changed names, as many as fit.
+// beginTransaction collects the changed names, as many as fit one transaction.
 func (r *Replicator) beginTransaction() (transaction, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +175,7 @@
 	return tx, failed
 }
 
-// endTransaction notes the outcome of a transaction. What it did not write is changed as before.
+// endTransaction records the outcome of a transaction. Names that it did not write are marked dirty again.
 func (r *Replicator) endTransaction(tx transaction, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,7 +196,7 @@
 	r.transactionDone = make(chan struct{})
 }
 
-// markDirty notes names as changed since the last transaction; r.mu is held.
+// markDirty marks names as changed since the last transaction. r.mu is held.
 func (r *Replicator) markDirty(names []string) {
 	for _, name := range names {
 		r.dirty[name] = true
--- a/cluster/replication/persistence_test.go
+++ b/cluster/replication/persistence_test.go
@@ -24,7 +24,7 @@
 	for _, replicator := range c.replicators {
 		c.requireEventually(func() bool { stats := replicator.Stats(); return stats.LiveEntries == 10 && stats.Tombstones == 0 })
 	}
-	for _, name := range c.names { // what the others know must outlive them
+	for _, name := range c.names { // the known versions of the other instances must survive the kill
 		requirePersisted(t, c.replicators[name])
 	}
 	for _, name := range c.names {
@@ -63,7 +63,7 @@
 	requirePersisted(t, c.replicators["a"])
 }
 
-// A storage that opens late brings what it kept, and what was changed before is written to it afterwards.
+// The state in a storage that opens late is merged, and changes made before that are written to it afterwards.
 func TestStorageThatOpensLate(t *testing.T) {
 	c := newTestCluster(t, "a", "b")
 	_, _ = c.replicators["a"].Put("x", []byte("kept"))
@@ -73,7 +73,7 @@
 	_, _ = c.replicators["b"].Put("x", []byte("newer"))
 	c.storageOpened = make(chan struct{})
 	late := c.startWithoutWaiting("a")
-	late.readyOnce.Do(func() { close(late.ready) }) // as after storageTimeout
+	late.readyOnce.Do(func() { close(late.ready) }) // what storageTimeout does
 	c.requireEqualReplicas()
 	close(c.storageOpened)
 	<-late.restored
--- a/cluster/replication/replicator.go
+++ b/cluster/replication/replicator.go
@@ -1,8 +1,8 @@
-// Package replication synchronizes the instances' replicas of a crdt.Map over the network and keeps them on disk. Fresh
-// changes go to a few other instances at once, and each that receives one as news passes it on. Beside that each instance
-// compares its replica with another's every second by their digest trees (anti-entropy) and exchanges what differs. Changes
-// are kept in a store where there is one. All of this is background work within budgets of package scheduler.
-// docs/replication.md gives the rules and figures.
+// Package replication synchronizes the instances' replicas of a crdt.Map over the network and keeps them on disk. An
+// instance sends fresh changes at once to a few other instances, and each receiver forwards those that are new to it. In
+// addition, each instance compares its replica with another instance's every second by their digest trees (anti-entropy)
+// and exchanges what differs. If there is a store, changes are written to it. All of this is background work within
+// budgets of package scheduler. docs/replication.md gives the rules and figures.
 package replication
 
 import (
@@ -19,24 +19,24 @@
 // Options configure a Replicator.
 type Options struct {
 	InstanceName string
-	Incarnation  uint64 // must be greater with each start; the start time in ns serves
+	Incarnation  uint64 // must be greater with each start, for example the start time in ns
 	Transport    Transport
-	// Peers returns the other instances that can be reached now, and all members of the cluster, reachable or not.
+	// Peers returns the other instances that are reachable now, and all members of the cluster, reachable or not.
 	Peers func() (alive, members []string)
-	// OpenStorage waits until the storage is open; it returns nil if there is none. A nil function stands for none too.
+	// OpenStorage waits until the storage is open, and returns nil if there is none. OpenStorage may be nil for none too.
 	OpenStorage      func(ctx context.Context) (Storage, error)
 	Logger           *slog.Logger // nil discards
 	Seed             int64
-	ExchangeInterval time.Duration // between two exchanges, 0 for defaultExchangeInterval
+	ExchangeInterval time.Duration // between two rounds of exchanges, 0 for defaultExchangeInterval
 }
 
 const defaultExchangeInterval = time.Second
 
-// DefaultBytesPerSecond is the budget of each of: requests and what they bring, responses, and updates.
+// DefaultBytesPerSecond is the budget of each of three kinds of jobs: exchanges as initiator, responses, and updates.
 const DefaultBytesPerSecond = 2 << 20
 
-// Replicator holds the replica of one instance. Its methods may be called from any goroutine; only WaitPersisted and Close
-// wait for a disk, and none waits for another instance.
+// Replicator holds the replica of one instance. Its methods may be called from any goroutine. Only WaitPersisted and
+// Close wait for a disk, and none waits for another instance.
 type Replicator struct {
 	options   Options
 	pool      *scheduler.Pool
@@ -46,9 +46,9 @@
 	stopped   chan struct{} // closed once all background work has ended
 	ready     chan struct{} // see Ready
 	readyOnce sync.Once
-	restored  chan struct{} // closed once the storage has been read, or is known not to be there
+	restored  chan struct{} // closed once the storage has been read or is known to be missing
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	state    *crdt.Map
 	rng      *rand.Rand
 	watchers map[*watcher]bool
@@ -63,14 +63,14 @@
 	persistSignal   chan struct{}
 	persistedKnown  crdt.Version  // the known version on disk
 	changeCount     uint64        // changes so far
-	persistedCount  uint64        // of them those on disk
-	persistError    error         // of the last attempt
+	persistedCount  uint64        // the part of changeCount that is on disk
+	persistError    error         // of the last transaction
 	transactionDone chan struct{} // closed and replaced with each successful transaction
 
 	lastExchangeID  uint64
 	openExchanges   map[string]*openExchange              // by peer
 	responseWaiters map[uint64]chan crdt.ExchangeResponse // by exchange
-	contactedPeers  map[string]bool                       // peers that were alive and exchanged with since
+	contactedPeers  map[string]bool                       // reachable peers already chosen for an exchange
 
 	lastAliveAt        map[string]time.Duration // when each instance was last seen alive
 	incarnationBegunAt time.Duration
@@ -80,7 +80,7 @@
 	lastLoggedAt       map[string]time.Duration // by event and subject
 }
 
-// Start begins to replicate. It ends with ctx or Close.
+// Start starts replication, which ends with ctx or Close.
 func Start(ctx context.Context, options Options) *Replicator {
 	r := newReplicator(ctx, options)
 	options.Transport.Handle(Topic, r.handleMessage)
@@ -122,7 +122,7 @@
 	return r
 }
 
-// Kinds of the background jobs, for the budgets. Their names in the log begin with jobNamePrefix.
+// Kinds of the background jobs, which the budgets refer to. In the log, jobNamePrefix precedes them.
 const (
 	jobRestore  = "restore"
 	jobExchange = "exchange"
@@ -134,7 +134,8 @@
 	jobNamePrefix = "replication "
 )
 
-// exchangeJitterDivisor spreads exchanges by a quarter of their interval, so that instances do not stay in step.
+// exchangeJitterDivisor makes the jitter of exchanges a quarter of their interval, so that instances do not synchronize
+// with each other.
 const exchangeJitterDivisor = 4
 
 // scheduleJobs starts the background work.
@@ -159,7 +160,7 @@
 	}
 }
 
-// schedulerTicks converts to the scheduler's unit, a tenth of a millisecond.
+// schedulerTicks converts a duration to the scheduler's unit, a tenth of a millisecond.
 func schedulerTicks(d time.Duration) int64 { return int64(d / (100 * time.Microsecond)) }
 
 type systemClock struct{}
@@ -170,7 +171,7 @@
 // elapsed is the time since the start.
 func (r *Replicator) elapsed() time.Duration { return time.Since(r.startedAt) }
 
-// Close writes what is not yet on disk, as long as ctx lasts, and ends the background work.
+// Close waits until all changes are on disk, at most until ctx ends, and then ends the background work.
 func (r *Replicator) Close(ctx context.Context) error {
 	err := r.WaitPersisted(ctx)
 	r.cancel()
@@ -178,8 +179,9 @@
 	return err
 }
 
-// Ready is closed once the state on disk has been taken in or is known not to be there, or after storageTimeout: a disk
-// that hangs must not keep an instance from the others. A Put before has not seen what the disk kept.
+// Ready returns a channel that is closed once the state on disk has been merged or is known to be missing, or after
+// storageTimeout: a hanging disk must not prevent an instance from replicating. A Put before that has not seen the state
+// on disk.
 func (r *Replicator) Ready() <-chan struct{} { return r.ready }
 
 func (r *Replicator) isReady() bool {
@@ -191,7 +193,7 @@
 	}
 }
 
-// shuffledPeers returns the other instances that can be reached now, in random order, and all members.
+// shuffledPeers returns the other instances that are reachable now, in random order, and all members.
 func (r *Replicator) shuffledPeers() (alive, members []string) {
 	peers, members := r.options.Peers()
 	for _, name := range peers {
@@ -205,7 +207,7 @@
 	return alive, members
 }
 
-// notify signals without waiting; one signal stands for any number of events.
+// notify sends a signal without blocking. One signal covers any number of events.
 func notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
--- a/cluster/replication/responder.go
+++ b/cluster/replication/responder.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	maxConcurrentResponses = 4           // responses made and sent at once
-	responseDeadline       = time.Second // a response that has not begun by then is dropped: the peer asks again
+	maxConcurrentResponses = 4           // responses prepared and sent at the same time
+	responseDeadline       = time.Second // a response not started by then is dropped; the peer repeats its request
 )
 
-// handleRequest schedules the response to a request; one whose actor is not the sender's is ignored. When there are too
-// many jobs the request is dropped, and the peer asks again.
+// handleRequest schedules the response to a request. A request whose actor is not the sender's is ignored. If there are
+// too many jobs the request is dropped, and the peer repeats it.
 func (r *Replicator) handleRequest(from string, content []byte) error {
 	var request crdt.ExchangeRequest
 	if err := cbor.Unmarshal(content, &request); err != nil || crdt.ActorInstance(request.Actor) != from {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// respond answers a request.
+// respond sends the response to a request.
 func (r *Replicator) respond(ctx context.Context, allowance *scheduler.Allowance, from string, request crdt.ExchangeRequest) {
 	r.mu.Lock()
 	response, err := r.state.HandleRequest(from, request)
--- a/cluster/replication/restore.go
+++ b/cluster/replication/restore.go
@@ -12,11 +12,11 @@
 	"chalkring/internal/scheduler"
 )
 
-// storageTimeout is how long the replicator waits for its storage before it is ready without. What the storage kept is
-// taken in when it comes.
+// storageTimeout is how long the replicator waits for its storage before it is ready without it. The stored state is
+// merged once the storage is open.
 const storageTimeout = 10 * time.Second
 
-// restore is the job that takes in what the storage kept.
+// restore is the job that merges the stored state.
 func (r *Replicator) restore(ctx context.Context, _ *scheduler.Allowance) error {
 	setReady := func() { r.readyOnce.Do(func() { close(r.ready) }) }
 	timeout := time.AfterFunc(storageTimeout, setReady)
@@ -42,14 +42,14 @@
 	return nil
 }
 
-// storedState is what a storage kept.
+// storedState is the state read from a storage.
 type storedState struct {
 	entries []crdt.Entry
 	known   crdt.Version
-	err     error // the first record that cannot be used, or why the storage could not be read
+	err     error // about the first record that cannot be used, or why the storage could not be read
 }
 
-var errWrongName = errors.New("an entry stored under another name")
+var errWrongName = errors.New("the entry is stored under another name's key")
 
 func loadState(storage Storage) (stored storedState) {
 	loadErr := storage.Load(StoreBucket, func(key string, value []byte) error {
@@ -64,7 +64,7 @@
 	return stored
 }
 
-// addRecord decodes a record. Keys of other forms are ignored.
+// addRecord decodes a record. Other keys are ignored.
 func (s *storedState) addRecord(key string, value []byte) error {
 	if key == knownKey {
 		return cbor.Unmarshal(value, &s.known)
@@ -82,9 +82,9 @@
 	return err
 }
 
-// applyStoredState merges what the storage kept into the state, and has the rest of the state written to it. If not all of
-// it can be used, the known version is left out: what is missing must not count as superseded, and so is received again
-// from the others.
+// applyStoredState merges the stored state into the replica, and marks the rest of the replica's state to be written to
+// the storage. If part of the stored state cannot be used, its known version is ignored: what is missing must not count
+// as superseded, so that the other instances send it again.
 func (r *Replicator) applyStoredState(storage Storage, stored storedState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +97,7 @@
 	r.ensureLaterIncarnation(known)
 	err := errors.Join(stored.err, mergeErr)
 	names := make([]string, len(stored.entries))
-	var unchanged []string // names whose state is on disk as it is here
+	var unchanged []string // names whose state on disk is the same as in the replica
 	for i, entry := range stored.entries {
 		names[i] = entry.Name
 		if !r.dirty[entry.Name] && err == nil {
--- a/cluster/replication/tombstones.go
+++ b/cluster/replication/tombstones.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// AbsenceTimeout is how long tombstones wait for a member that is not alive.
+	// AbsenceTimeout is how long tombstones are kept for a member that is not alive.
 	AbsenceTimeout = 24 * time.Hour
 	// ForgetTimeout is how long an instance that is neither a member nor alive is remembered.
 	ForgetTimeout = 7 * 24 * time.Hour
-	// tombstoneHighWatermark is the number of tombstones from which on no absent member is waited for, so that deletes
-	// stay possible.
+	// tombstoneHighWatermark is the number of tombstones at which they are collected without waiting for any absent
+	// member, so that deletes stay possible.
 	tombstoneHighWatermark = crdt.MaxTombstones * 3 / 4
 )
 
 const (
 	collectIntervals = 2 // exchange intervals between two collections
-	rowIntervals     = 2 // exchange intervals between two rows of this instance
+	rowIntervals     = 2 // exchange intervals between two rows that this instance makes
 
-	// A collection compares the rows of all instances with each other. In a large cluster there are fewer of them.
-	smallClusterSize        = 10                     // instances up to which collections come at their interval
-	collectDelayPerInstance = 100 * time.Millisecond // more between two collections for each further instance
+	// A collection compares the rows of all instances with each other, so that a large cluster collects less often.
+	smallClusterSize        = 10                     // up to that many instances, collections run at their interval
+	collectDelayPerInstance = 100 * time.Millisecond // minimum time between two collections for each further instance
 )
 
 // collectTombstones is the job that drops causally stable tombstones and makes this instance's row.
@@ -39,24 +39,24 @@
 	now := r.elapsed()
 	r.recordAlive(now, alive, members)
 	_, tombstones, _ := r.state.Counts()
-	isFull := tombstones >= tombstoneHighWatermark
+	atHighWatermark := tombstones >= tombstoneHighWatermark
 	extraInstances := max(0, len(r.lastAliveAt)-smallClusterSize)
-	if now-r.lastCollectAt < time.Duration(extraInstances)*collectDelayPerInstance && !isFull {
+	if now-r.lastCollectAt < time.Duration(extraInstances)*collectDelayPerInstance && !atHighWatermark {
 		return nil
 	}
 	r.lastCollectAt = now
-	counting, absent := r.stabilityMembers(now, members, isFull)
-	r.state.SetMembers(counting, absent)
+	required, absent := r.stabilityMembers(now, members, atHighWatermark)
+	r.state.SetMembers(required, absent)
 	collected := r.state.CollectTombstones()
 	r.recordChanges(collected)
-	if isFull && len(absent) > 0 && len(collected) > 0 {
+	if atHighWatermark && len(absent) > 0 && len(collected) > 0 {
 		r.options.Logger.Warn(eventTombstones, "held", tombstones, "collected", len(collected), "absent", absent)
 	}
 	r.makeRow(now)
 	return nil
 }
 
-// recordAlive notes when instances were last alive; a member counts as alive when it is first named. r.mu is held.
+// recordAlive records when instances were last alive. A member counts as alive when it first appears. r.mu is held.
 func (r *Replicator) recordAlive(now time.Duration, alive, members []string) {
 	for _, name := range members {
 		if _, ok := r.lastAliveAt[name]; !ok {
@@ -68,9 +68,9 @@
 	}
 }
 
-// stabilityMembers returns the instances that count for causal stability, and those of them that are absent for too long
-// to be waited for. It forgets instances that are gone. r.mu is held.
-func (r *Replicator) stabilityMembers(now time.Duration, members []string, isFull bool) (counting, absent []string) {
+// stabilityMembers returns the instances that causal stability depends on, and those of them that have been absent for so
+// long that collections no longer wait for them. It forgets instances that are gone. r.mu is held.
+func (r *Replicator) stabilityMembers(now time.Duration, members []string, atHighWatermark bool) (required, absent []string) {
 	for name, lastAlive := range r.lastAliveAt {
 		silence := now - lastAlive
 		if silence > ForgetTimeout && !slices.Contains(members, name) {
@@ -78,16 +78,16 @@
 			r.state.ForgetInstance(name)
 			continue
 		}
-		counting = append(counting, name)
-		if silence > AbsenceTimeout || isFull && silence > 0 {
+		required = append(required, name)
+		if silence > AbsenceTimeout || atHighWatermark && silence > 0 {
 			absent = append(absent, name)
 		}
 	}
-	return counting, absent
+	return required, absent
 }
 
-// makeRow makes a new row if the known version has grown. While the disk may hold more of earlier incarnations there is
-// none, since a row says that all of them is part of the state. r.mu is held.
+// makeRow makes a new row if the known version has changed. It makes none until the state on disk is restored, since a
+// row states that all changes of earlier incarnations are part of the replica. r.mu is held.
 func (r *Replicator) makeRow(now time.Duration) {
 	select {
 	case <-r.restored:
--- a/cluster/replication/updates.go
+++ b/cluster/replication/updates.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	updateFanout      = 3                      // instances to which each one that learns of a fresh change sends it
-	updateInterval    = 200 * time.Millisecond // between two rounds of updates; the first goes at once
-	maxPendingUpdates = 512                    // names of one round; bulk writes beyond it are left to the exchanges
+	updateFanout      = 3                      // receivers of a fresh change from each instance to which it is new
+	updateInterval    = 200 * time.Millisecond // between two rounds of updates; the first is sent at once
+	maxPendingUpdates = 512                    // names in one round; exchanges bring bulk writes beyond it
 )
 
-// queueUpdates has fresh changes sent to a few other instances; r.mu is held.
+// queueUpdates queues fresh changes to be sent to a few other instances. r.mu is held.
 func (r *Replicator) queueUpdates(names []string) {
 	for _, name := range names {
 		if !r.isPendingUpdate[name] && len(r.pendingUpdates) < maxPendingUpdates {
@@ -24,7 +24,7 @@
 	notify(r.updateSignal)
 }
 
-// sendUpdates is the job that sends fresh changes, until ctx ends.
+// sendUpdates is the job that sends fresh changes until ctx ends.
 func (r *Replicator) sendUpdates(ctx context.Context, allowance *scheduler.Allowance) error {
 	select {
 	case <-r.ready:
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// takeUpdates empties the queue of updates into messages.
+// takeUpdates empties the queue of updates and returns their messages.
 func (r *Replicator) takeUpdates() (messages []stateMessage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +61,7 @@
 	return r.stateMessages(false, names)
 }
 
-// stateMessages returns the states of names as messages; r.mu is held.
+// stateMessages returns the states of names as messages. r.mu is held.
 func (r *Replicator) stateMessages(withKnown bool, names []string) (messages []stateMessage) {
 	for _, batch := range r.state.BuildBatches(withKnown, names) {
 		messages = append(messages, stateMessage{Actor: r.state.Actor(), Batch: batch})
@@ -69,7 +69,7 @@
 	return messages
 }
 
-// sendUpdate sends one message. If that fails, the exchanges bring its changes later.
+// sendUpdate sends one message. If that fails, exchanges bring its changes later.
 func (r *Replicator) sendUpdate(ctx context.Context, allowance *scheduler.Allowance, peer string, message stateMessage) {
 	sent, err := r.sendMessage(ctx, allowance, peer, kindUpdate, message)
 	r.mu.Lock()
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -13,12 +13,13 @@
 	"chalkring/cluster/crdt"
 )
 
-// idleReplicator has no background work, so that a test alone changes it.
+// idleReplicator returns a replicator without background work, so that only the test changes it.
 func idleReplicator(actor string) *Replicator {
 	return newReplicator(context.Background(), Options{InstanceName: crdt.ActorInstance(actor), Incarnation: crdt.ActorIncarnation(actor)})
 }
 
-// goldenReplicator holds a plain entry, a tombstone, concurrent siblings and one value of another instance.
+// goldenReplicator returns a replicator with a plain entry, a tombstone, concurrent siblings and one value of another
+// instance.
 func goldenReplicator(t *testing.T) *Replicator {
 	replicator := idleReplicator("gateway-1#7")
 	close(replicator.ready)
@@ -76,13 +77,13 @@
 			case received := <-responses:
 				return received, nil
 			default:
-				return nil, errors.New("the response was not handed on")
+				return nil, errors.New("the response was not passed to its exchange")
 			}
 		}, Want: response},
 	})
 }
 
-// contents are the entries with a live value, by name, and the digest of all.
+// contents returns the entries with a live value by name, and the digest of the replica.
 func contents(replicator *Replicator) map[string]any {
 	all := map[string]any{"digest": replicator.Digest()}
 	replicator.ScanPrefix("", func(e crdt.Entry) bool {
@@ -92,7 +93,7 @@
 	return all
 }
 
-// Records of the store, by key: what an earlier build stored is loaded, and the same bytes are written.
+// Records that an earlier build stored are loaded, and the same bytes are written.
 func TestGoldenStore(t *testing.T) {
 	written := newMemoryStorage()
 	replicator := goldenReplicator(t)
@@ -135,7 +136,7 @@
 	return entry
 }
 
-// The topic among the network's messages, the kinds of bodies, the store's bucket and its keys.
+// The topic, the kinds of messages, the store's bucket and its keys are the same in every build.
 func TestGoldenConstants(t *testing.T) {
 	require.Equal(t, 2, Topic)
 	require.Equal(t, []byte{1, 2, 3, 4}, []byte{kindRequest, kindResponse, kindUpdate, kindRepair})
