--- a/cluster/crdt/batch.go
+++ b/cluster/crdt/batch.go
@@ -6,16 +6,17 @@
 // The siblings of a single name may exceed it.
 const TargetMessageBytes = 48 << 10
 
-// maxExtraContexts is the maximum number of contexts in a batch besides its known version. Once it is reached, the extra
-// context of an entry is joined into the entry's causal context. The receiver refuses a batch with more.
+// maxExtraContexts is the maximum number of contexts in a batch besides its known version. The receiver refuses a batch
+// with more, so the sender joins each further extra context into the causal context of its entry.
 const maxExtraContexts = 64
 
 // Batch is a message with the states of names. What the sender has seen is mostly the same for all of these names, and is
 // sent only once.
 type Batch struct {
 	_ struct{} `cbor:",toarray"`
-	// Known is the sender's known version at the time it held these states, or an earlier one: a change that it covers
-	// and that the entry does not hold was superseded. Without Known, only the entries' contexts show what was superseded.
+	// Known is the sender's known version when it held these states, or an earlier known version. A change that Known
+	// covers and that the entry does not hold was superseded. Without Known, only the entries' contexts show what was
+	// superseded.
 	Known   Version
 	Entries []Entry
 	// ExtraContexts are versions that the sender had seen beyond Known for some of the names.
@@ -42,8 +43,8 @@
 // sharedContext is the extra context of one or more records of the batch.
 type sharedContext struct {
 	context    Version
-	difference Version // what the batch's known version does not cover
-	index      uint16  // the context index of the difference, 0 if it has none
+	difference Version // the part of context that the batch's known version does not cover
+	index      uint16  // the context index of difference in the batch, 0 if it is not among ExtraContexts
 }
 
 // add appends a record and returns the approximate number of bytes by which the batch grows.
--- a/cluster/crdt/convergence_test.go
+++ b/cluster/crdt/convergence_test.go
@@ -8,8 +8,9 @@
 )
 
 // Values that were seen and deleted stay deleted, and every change that nothing superseded is on every replica once the
-// network has healed. There are partitions, late and duplicated messages, interrupted exchanges and restarts; with severe
-// faults also older disks, absent members for which no tombstone is kept, and members that leave for good.
+// network has healed. The simulated faults are partitions, late and duplicated messages, interrupted exchanges and
+// restarts; severe faults are also older disks, absent members for which no tombstone is kept, and members that leave for
+// good.
 func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.IntRange(2, 4).Draw(t, "instances"))
@@ -109,7 +110,7 @@
 type knownTruth struct {
 	everHeld        dotSet // changes that any of them has ever held
 	superseded      dotSet // changes with a successor that one of them knows
-	maybeSuperseded dotSet // also those whose successor only an end mark covers: it may have been lost with a disk
+	maybeSuperseded dotSet // also those whose successor only an end mark covers; the successor may have been lost with a disk
 }
 
 func (s *simulation) knownTruth() knownTruth {
@@ -120,7 +121,7 @@
 			truth.everHeld[dot] = true
 		}
 		for dot, change := range s.changes {
-			// A tombstone may have been collected before this replica received it: then its known version covers it.
+			// This replica may never have received a tombstone that others collected; its known version covers the tombstone.
 			known := replica.state.known
 			covers := known.Covers(dot)
 			_, coversByActor := known.find(dot.Actor)
--- a/cluster/crdt/dot.go
+++ b/cluster/crdt/dot.go
@@ -21,8 +21,8 @@
 	return cmp.Compare(d.Counter, other.Counter)
 }
 
-// incarnationSeparator separates the instance's name from the incarnation in an actor. A name may contain it too: the
-// last one in an actor counts.
+// incarnationSeparator separates the instance's name from the incarnation in an actor. A name may contain the same
+// character, so only the last one in an actor separates.
 const incarnationSeparator = '#'
 
 // FormatActor returns the actor of one incarnation of an instance.
@@ -48,7 +48,7 @@
 	return ActorInstance(actor) != "" && len(actor) <= MaxActorBytes && ActorIncarnation(actor) > 0
 }
 
-// endMark returns the actor that represents, in a Version, all incarnations of an instance before the dot's counter.
+// endMark returns the actor of an instance's end mark, which Version describes.
 func endMark(name string) string { return name + string(incarnationSeparator) }
 
 func isEndMark(actor string) bool { return strings.HasSuffix(actor, string(incarnationSeparator)) }
--- a/cluster/crdt/entry.go
+++ b/cluster/crdt/entry.go
@@ -32,20 +32,20 @@
 func (e Entry) invalidReason() string {
 	switch {
 	case e.Name == "" || len(e.Name) > MaxNameBytes:
-		return "the name of an entry is empty or too long"
+		return "the name of an entry is empty or exceeds MaxNameBytes"
 	case len(e.Siblings) > MaxSiblings:
-		return "an entry has too many siblings"
+		return "an entry has more than MaxSiblings siblings"
 	case !e.CausalContext.isValid():
 		return invalidVersion
 	}
 	for i, s := range e.Siblings {
 		switch {
 		case len(s.Value) > MaxValueBytes:
-			return "a value is too long"
+			return "a value exceeds MaxValueBytes"
 		case s.Dot.Counter == 0 || !isValidActor(s.Dot.Actor) || !e.CausalContext.Covers(s.Dot):
-			return "the causal context of an entry does not cover one of its siblings"
+			return "a sibling has an invalid dot, or the causal context of its entry does not cover it"
 		case i > 0 && e.Siblings[i-1].Dot.compare(s.Dot) >= 0:
-			return "the siblings of an entry are not sorted"
+			return "the siblings of an entry are not sorted by dot"
 		}
 	}
 	return ""
--- a/cluster/crdt/errors.go
+++ b/cluster/crdt/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// TooLargeError reports a name or value that exceeds its size limit.
+// TooLargeError reports a name or value that exceeds its size limit, or an empty name.
 type TooLargeError struct {
 	Name         string
 	Field        string // "name" or "value"
--- a/cluster/crdt/exchange.go
+++ b/cluster/crdt/exchange.go
@@ -20,7 +20,7 @@
 
 	request          ExchangeRequest // the outstanding one
 	awaitingResponse bool
-	requestedDigests map[uint16]uint64 // digests of the outstanding request's buckets when it was made
+	requestedDigests map[uint16]uint64 // by bucket of the outstanding request: its digest when the request was made
 
 	// DifferingBuckets is the number of buckets that differed.
 	DifferingBuckets int
--- a/cluster/crdt/exchange_messages.go
+++ b/cluster/crdt/exchange_messages.go
@@ -46,7 +46,7 @@
 	Rows          []Row
 	ChildDigests  [][]uint64    // for each requested node
 	BucketStates  []BucketState // for as many of the requested buckets as fit, in the order requested
-	Batch         Batch         // the entries of all bucket states; Known is set with them and in the first response
+	Batch         Batch         // the entries of all bucket states; Known is set if there are any, and in the first response
 }
 
 // BucketState is the responder's state of a bucket, without the entries that the initiator holds too.
--- a/cluster/crdt/exchange_response.go
+++ b/cluster/crdt/exchange_response.go
@@ -52,7 +52,7 @@
 	wantedBuckets, buckets := len(x.request.WantedBuckets), len(response.BucketStates)
 	fitsRequest := len(response.ChildDigests) == len(x.request.Nodes) && buckets <= wantedBuckets && (wantedBuckets == 0 || buckets > 0)
 	if !fitsRequest {
-		return &InvalidDataError{From: x.peer, Reason: "an exchange response does not match its request"}
+		return &InvalidDataError{From: x.peer, Reason: "an exchange response has digests for fewer or more nodes than requested, no bucket states although some were requested, or too many"}
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 		children := nodes[i].Children()
 		if len(digests) != len(children) {
 			x.pendingNodes = append(x.pendingNodes, nodes[i])
-			return &InvalidDataError{From: x.peer, Reason: "wrong number of child digests for a node"}
+			return &InvalidDataError{From: x.peer, Reason: "an exchange response has more or fewer digests for a node than the node has children"}
 		}
 		for j, child := range children {
 			if x.replica.Digest(child) == digests[j] {
@@ -168,7 +168,7 @@
 	}
 	for _, entry := range part.Entries {
 		if bucketOf(entry.Name) != bucket {
-			return nil, nil, &InvalidDataError{From: x.peer, Reason: "an entry does not belong to its bucket"}
+			return nil, nil, &InvalidDataError{From: x.peer, Reason: "an exchange response has an entry in another bucket than the one its name belongs to"}
 		}
 		peerDigests[entry.computeDigest()] = true
 	}
--- a/cluster/crdt/exchange_test.go
+++ b/cluster/crdt/exchange_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// An exchange sends little more than what differs, in messages of less than 64 KiB each. After a lost request it does not
+// request again what it has already received.
 func TestExchangeSendsOnlyTheDifferenceAndResumes(t *testing.T) {
 	a, b := NewMap("a#1"), NewMap("b#1")
 	for i := range 20_000 {
--- a/cluster/crdt/incarnation.go
+++ b/cluster/crdt/incarnation.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// IncarnationEnd states that an instance has recorded the end of all incarnations of another instance before Before. It
-// no longer merges anything from them, and all that it has merged from them is part of its state as of its own change
-// RecordedAt.
+// IncarnationEnd is an instance's statement that all incarnations of the instance Name before Before have ended. The
+// instance that states it no longer merges anything from them. What it had merged from them is part of its state as of
+// its own change number RecordedAt.
 type IncarnationEnd struct {
 	_                  struct{} `cbor:",toarray"`
 	Name               string
@@ -34,13 +34,13 @@
 	m.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, RecordedAt: m.known.LastCounter(m.actor)}
 }
 
-// settleIncarnationEnds replaces ended incarnations in the known version by an end mark, once every instance has recorded
-// their end and all that it merged from them is part of this replica's state.
+// settleIncarnationEnds replaces ended incarnations in the known version by an end mark. It does so once all other
+// instances have recorded their end, and this replica's state includes all that those instances had merged from them.
 func (m *Map) settleIncarnationEnds() {
 	if len(m.incarnationEnds) == 0 || m.members == nil {
 		return
 	}
-	others := m.instancesToSettle()
+	others := m.requiredRecorders()
 	for name, own := range m.incarnationEnds {
 		before := own.Before
 		for other := range others {
@@ -73,10 +73,10 @@
 	return end, m.known.Covers(Dot{Actor: row.Actor, Counter: end.RecordedAt})
 }
 
-// instancesToSettle returns the other instances that must have recorded the end of an incarnation before it is settled:
+// requiredRecorders returns the other instances that must have recorded the end of an incarnation before it is settled:
 // all that were ever known and not forgotten, absent or not, since they may hold changes of it that no other instance
 // has.
-func (m *Map) instancesToSettle() map[string]bool {
+func (m *Map) requiredRecorders() map[string]bool {
 	names := map[string]bool{}
 	for _, name := range m.members {
 		names[name] = true
@@ -96,9 +96,9 @@
 	return names
 }
 
-// BeginIncarnation continues as a new incarnation. Those changes of the current one that the peer, according to its row
-// held here, has not seen are reissued as changes of the new one, so that they are kept; their entries are returned. With
-// an empty peer, all changes are reissued.
+// BeginIncarnation continues as a new incarnation. It reissues the current incarnation's changes as changes of the new one,
+// so that they are kept, and returns their entries. It leaves out those that the peer has seen, according to the peer's
+// row held here; with an empty peer it leaves out none.
 func (m *Map) BeginIncarnation(incarnation uint64, peer string) (kept []Entry) {
 	previous, peerKnown := m.actor, m.rows[peer].Known
 	m.actor = FormatActor(ActorInstance(previous), incarnation)
--- a/cluster/crdt/limits.go
+++ b/cluster/crdt/limits.go
@@ -4,7 +4,7 @@
 const (
 	MaxEntries    = 100_000  // names with a live value; a Put of one more is refused
 	MaxTombstones = 50_000   // names without a live value; a Delete that would leave one more is refused
-	MaxNames      = 200_000  // names of either kind: more than the sum, since a merge after a partition adds names
+	MaxNames      = 200_000  // names of either kind; above the sum of both limits, since a merge after a partition adds names
 	MaxValueBytes = 8 << 10  // bytes of one value
 	MaxNameBytes  = 512      // bytes of one name
 	MaxActorBytes = 280      // bytes of an actor: an instance's name and its incarnation
--- a/cluster/crdt/limits_test.go
+++ b/cluster/crdt/limits_test.go
@@ -24,6 +24,7 @@
 	}
 }
 
+// A full replica refuses a new name but still writes a name that has a value, and deletes until MaxTombstones is reached.
 func TestFullReplicaRefusesMoreNamesAndTombstones(t *testing.T) {
 	replica := NewMap("x#1")
 	for i := range MaxEntries {
@@ -44,12 +45,15 @@
 	require.Contains(t, full.Advice(), "Bring back")
 }
 
+// An entry whose causal context does not cover its sibling is refused.
 func TestMergeRefusesInvalidEntries(t *testing.T) {
 	_, err := NewMap("x#1").Merge("y", []Entry{{Name: "z", Siblings: []Sibling{{Dot: Dot{Actor: "y#1", Counter: 1}}}}})
 	var invalid *InvalidDataError
 	require.ErrorAs(t, err, &invalid)
 }
 
+// A merge that would leave more than MaxSiblings concurrent values is refused. After the next write of the name, which
+// supersedes the siblings held here, the same merge succeeds.
 func TestMergeRefusesTooManySiblings(t *testing.T) {
 	replica := NewMap("x#1")
 	concurrent := make([]Entry, MaxSiblings+1)
--- a/cluster/crdt/map.go
+++ b/cluster/crdt/map.go
@@ -24,19 +24,20 @@
 	actor          string
 	known          Version
 	records        btree.Map[string, *record]
-	deadRecords    map[string]*record // records without a live sibling: tombstones, and contexts without any sibling
+	deadRecords    map[string]*record // records without a live sibling: tombstones, and records with only a context
 	payloadBytes   int
 	internedActors map[string]string // one copy in memory of each actor
 	lastJoin       [3]Version        // operands and result of the last join made by joinCached
 	tree           digestTree
 
-	// baseContext is the known version at the time when records were last dropped. It is the extra context of a write to
-	// a name without a record, since this replica may have seen and dropped what the name held before.
+	// baseContext is the extra context of a write to a name without a record, since this replica may have seen and
+	// dropped what the name held before. It is the known version at the first such write after a record was dropped or
+	// raiseKnown was called.
 	baseContext      Version
-	baseContextStale bool
+	baseContextStale bool // the next such write must set baseContext
 
 	rows            map[string]Row // the latest row of each other instance
-	coveredRows     map[string]Row // the latest row of each that this replica's known version covers
+	coveredRows     map[string]Row // the latest row of each whose known version the known version here covers
 	ownRow          Row
 	incarnationEnds map[string]IncarnationEnd // by instance; those not yet settled
 	members         []string                  // nil until SetMembers was called
@@ -48,14 +49,14 @@
 type record struct {
 	Entry
 	// extraContext is what was seen of this name besides the entry's causal context: the known version of the replica that
-	// sent the state. The records of one batch share one Version in memory.
+	// sent the state, or baseContext for a write made here. The records of one batch share one Version in memory.
 	extraContext Version
 	digest       uint64 // 0 if there is no sibling
 	bucket       uint16
 }
 
-// NewMap returns an empty replica. The actor must be new with each start: two incarnations with the same actor lose
-// changes.
+// NewMap returns an empty replica. The actor must be new with each start: two processes with the same actor would issue the
+// same dots and lose changes.
 func NewMap(actor string) *Map {
 	return &Map{
 		actor: actor, deadRecords: map[string]*record{}, internedActors: map[string]string{}, tree: newDigestTree(),
@@ -162,8 +163,8 @@
 	return entry, true
 }
 
-// Restore merges what a store kept of this instance's replica: the entries, and the known version at the same or an
-// earlier time.
+// Restore merges what a store kept of this instance's replica: the entries, and the known version. The known version must
+// not be newer than the entries.
 func (m *Map) Restore(entries []Entry, known Version) error {
 	const from = "the store"
 	if !known.isValid() {
--- a/cluster/crdt/merge.go
+++ b/cluster/crdt/merge.go
@@ -17,8 +17,8 @@
 }
 
 // MergeBatch merges a batch like Merge merges entries. from is the sender's actor, or another name for the source. A
-// batch of a superseded incarnation or of a forgotten instance is ignored: the later incarnation has sent what the
-// earlier one held.
+// batch of a superseded incarnation is ignored, since the later incarnation has sent what the earlier one held. So is a
+// batch of a forgotten instance.
 func (m *Map) MergeBatch(from string, batch Batch) (changed []string, err error) {
 	contexts, err := m.batchContexts(from, batch)
 	if err != nil {
@@ -64,7 +64,7 @@
 			index = int(contextIndexes[i])
 		}
 		if index >= len(contexts) {
-			refused = append(refused, &InvalidDataError{From: from, Reason: "an entry refers to a context that its batch does not have"})
+			refused = append(refused, &InvalidDataError{From: from, Reason: "the context index of an entry is greater than the number of extra contexts in its batch"})
 			continue
 		}
 		if reason := entry.invalidReason(); reason != "" {
@@ -204,9 +204,9 @@
 	return local[0].Dot.compare(remote[0].Dot)
 }
 
-// prefersFirst reports which of two siblings with the same dot to keep. They are identical unless two processes issued
-// the same dot, which the choice of an actor rules out in normal operation; in that case every replica keeps the same
-// one.
+// prefersFirst reports whether to keep the first of two siblings with the same dot. They are identical unless two processes
+// issued the same dot, which cannot happen while each start has its own actor. If it does happen, every replica still
+// keeps the same sibling.
 func prefersFirst(first, second Sibling) bool {
 	if first.Deleted != second.Deleted {
 		return first.Deleted
@@ -214,7 +214,8 @@
 	return bytes.Compare(first.Value, second.Value) >= 0
 }
 
-// joinCached joins two versions. Most names of one batch have the same two versions, and then share the result in memory.
+// joinCached joins two versions and keeps the result for the next call: most names of one batch join the same two versions,
+// and then share the result in memory.
 func (m *Map) joinCached(first, second Version) Version {
 	if len(first) == 0 || first.sharesMemory(second) {
 		return second
--- a/cluster/crdt/merge_test.go
+++ b/cluster/crdt/merge_test.go
@@ -11,7 +11,8 @@
 	return []*Map{NewMap("x#1"), NewMap("y#1"), NewMap("z#1")}
 }
 
-// The siblings left of a name are the changes that no later change had seen, whatever the order and number of messages.
+// After merges in any order and any number of times, the siblings of a name are exactly the changes that no later change
+// superseded.
 func TestMergeKeepsUnsupersededChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := threeReplicas()
@@ -69,6 +70,7 @@
 	}
 }
 
+// Otherwise the replicas' states would depend on the order and the repetition of messages.
 func TestMergeIsCommutativeAssociativeIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := threeReplicas()
--- a/cluster/crdt/rows.go
+++ b/cluster/crdt/rows.go
@@ -12,8 +12,8 @@
 	_               struct{} `cbor:",toarray"`
 	Actor           string
 	Seq             uint64           // greater in a later row of the same incarnation
-	Known           Version          // the known version
-	IncarnationEnds []IncarnationEnd // those recorded and not yet settled
+	Known           Version          // the replica's known version
+	IncarnationEnds []IncarnationEnd // those that the instance has recorded and not yet settled; see settleIncarnationEnds
 }
 
 // RowVersion identifies a row that a replica holds, so that a peer sends only later ones.
--- a/cluster/crdt/simulation_test.go
+++ b/cluster/crdt/simulation_test.go
@@ -248,7 +248,7 @@
 func (s *simulation) collectTombstones(name string, absent []string) {
 	replica := s.replicas[name]
 	s.logf("collect %s absent %v", name, absent)
-	for _, forgotten := range s.forgottenInstances { // a replica that has restarted since has lost this
+	for _, forgotten := range s.forgottenInstances { // a replica that has restarted since does not remember them
 		replica.state.ForgetInstance(forgotten)
 	}
 	replica.state.SetMembers(s.names, absent)
@@ -267,7 +267,7 @@
 	s.startReplica(name, disk)
 }
 
-// takeOlderDisk draws a snapshot and drops the newer ones, since a disk has only one history.
+// takeOlderDisk draws a snapshot or an empty disk, and drops the newer snapshots, since a disk has only one history.
 func (s *simulation) takeOlderDisk(replica *simulatedReplica) (disk diskSnapshot) {
 	count := rapid.IntRange(0, len(replica.snapshots)).Draw(s.t, "disk")
 	if count > 0 {
--- a/cluster/crdt/stability.go
+++ b/cluster/crdt/stability.go
@@ -14,8 +14,8 @@
 }
 
 // ForgetInstance stops waiting for an instance that will not come back. What it sent to any other instance stays. If it
-// does come back, it counts again from its next row on; but changes that it holds of incarnations settled in the meantime
-// may be ignored.
+// does come back, this replica waits for it again once its next row arrives; but changes that it holds of incarnations
+// settled in the meantime may be ignored.
 func (m *Map) ForgetInstance(name string) {
 	delete(m.rows, name)
 	delete(m.coveredRows, name)
@@ -48,8 +48,8 @@
 	return stable, true
 }
 
-// CollectTombstones drops the causally stable tombstones and returns their names. It also reduces the causal contexts of
-// stable entries.
+// CollectTombstones drops the causally stable tombstones, and records with only a context that the known version covers. It
+// returns the names of both. It also reduces the causal contexts of stable entries.
 func (m *Map) CollectTombstones() (dropped []string) {
 	m.settleIncarnationEnds()
 	stable, hasStable := m.StableVersion()
@@ -73,8 +73,8 @@
 	return dropped
 }
 
-// compactRecord reduces the contexts of a record whose whole causal context is stable. It is not enough that all members
-// have seen a change: they must also know that it was superseded.
+// compactRecord reduces the contexts of a record whose whole causal context is stable. The whole context must be stable, so
+// that all members know not only the superseded changes but also that they were superseded.
 func (m *Map) compactRecord(held *record, stable Version) {
 	if !held.CausalContext.IsCoveredBy(stable) {
 		return
--- a/cluster/crdt/version.go
+++ b/cluster/crdt/version.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Version is a version vector: for each actor in it, all changes up to the counter were seen. An end mark, which is an
-// actor without an incarnation such as "name#", covers all incarnations of that instance before its counter; with end
-// marks a version grows with the number of instances and not with their restarts. A Version is sorted by actor and never
-// modified in place.
+// Version is a version vector: for each actor in it, all changes up to the counter were seen. A dot whose actor has no
+// incarnation, such as "name#", is an end mark: its counter is an incarnation, and it covers all changes of the earlier
+// incarnations of that instance. With end marks a version grows with the number of instances and not with their restarts.
+// A Version is sorted by actor and never modified in place.
 type Version []Dot
 
 // find returns the index of an actor and true, or false and the index at which to insert it.
@@ -17,7 +17,7 @@
 	return slices.BinarySearchFunc(v, actor, func(d Dot, wanted string) int { return strings.Compare(d.Actor, wanted) })
 }
 
-// EndedBefore returns the counter of an instance's end mark: all incarnations before it are covered. It is 0 without one.
+// EndedBefore returns the counter of an instance's end mark, 0 if there is none. All incarnations before it are covered.
 func (v Version) EndedBefore(name string) uint64 {
 	if i, ok := v.find(endMark(name)); ok {
 		return v[i].Counter
--- a/cluster/crdt/wire_golden_test.go
+++ b/cluster/crdt/wire_golden_test.go
@@ -111,7 +111,7 @@
 	})
 }
 
-// An exchange completes that begins with the recorded response of an earlier build.
+// An exchange whose first response is one that an earlier build sent, as recorded, runs to its end.
 func TestGoldenExchangeIsApplied(t *testing.T) {
 	forms := golden.ReadForms(t, "exchange.golden")
 	replica := NewMap("gateway-3#4")
--- a/cluster/replication/errors.go
+++ b/cluster/replication/errors.go
@@ -29,7 +29,7 @@
 
 // Advice says what an operator can do.
 func (e *UnreadableStateError) Advice() string {
-	return "Nothing while other instances are up, since they send the state again; otherwise look for missing changes."
+	return "Nothing to do while other instances are up, since they send the state again; otherwise look for missing changes."
 }
 
 // ExchangeInterruptedError reports an exchange or an update that could not be completed. A later exchange resumes it.
--- a/cluster/replication/exchange.go
+++ b/cluster/replication/exchange.go
@@ -23,7 +23,7 @@
 	maxRequestAttempts = 2
 	// maxExchangeAge is the age above which an interrupted exchange is not resumed, and a new one begins instead.
 	maxExchangeAge = 10 * time.Minute
-	// resumeOneRoundIn: a random one of so many rounds prefers a peer with an interrupted exchange.
+	// resumeOneRoundIn: on average, one round in this many prefers a peer with an interrupted exchange.
 	resumeOneRoundIn = 2
 )
 
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// choosePeer returns a peer that has just become reachable, else one whose exchange was interrupted, else a random one.
-// It returns "" if no peer is reachable.
+// choosePeer returns a peer that has just become reachable. If there is none, it returns, in one round of resumeOneRoundIn,
+// a peer whose exchange was interrupted, and otherwise a random peer. It returns "" if no peer is reachable.
 func (r *Replicator) choosePeer() string {
 	alive, _ := r.shuffledPeers()
 	r.mu.Lock()
@@ -157,7 +157,7 @@
 		delete(r.openExchanges, peer)
 	}
 	if open.exchange.IsComplete() {
-		notify(r.persistSignal) // the known version has grown
+		notify(r.persistSignal) // the known version may have grown and must be stored
 	}
 	return open.exchange.DifferingBuckets > 0
 }
@@ -208,7 +208,8 @@
 	return nil
 }
 
-// applyResponse merges a response and sends what the peer lacks. A returned error ends the exchange.
+// applyResponse merges a response and sends what the peer lacks. After an error the exchange makes no more requests in this
+// round.
 func (r *Replicator) applyResponse(
 	ctx context.Context, allowance *scheduler.Allowance, exchange *crdt.Exchange, response crdt.ExchangeResponse,
 ) error {
--- a/cluster/replication/golden_stored_test.go
+++ b/cluster/replication/golden_stored_test.go
@@ -14,7 +14,7 @@
 
 const goldenBucket = "share-bucket.json" // hex-encoded values by key, written by one instance
 
-// bucketCheckingStorage fails the test if a call names another bucket.
+// bucketCheckingStorage fails the test if a call names a bucket other than "share".
 type bucketCheckingStorage struct {
 	*memoryStorage
 	t *testing.T
@@ -22,14 +22,14 @@
 
 func (s *bucketCheckingStorage) Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error {
 	if bucket != "share" {
-		s.t.Errorf("bucket %q", bucket)
+		s.t.Errorf("got bucket %q; want \"share\"", bucket)
 	}
 	return s.memoryStorage.Put(ctx, bucket, puts, deletes)
 }
 
 func (s *bucketCheckingStorage) Load(bucket string, visit func(string, []byte) error) error {
 	if bucket != "share" {
-		s.t.Errorf("bucket %q", bucket)
+		s.t.Errorf("got bucket %q; want \"share\"", bucket)
 	}
 	return s.memoryStorage.Load(bucket, visit)
 }
--- a/cluster/replication/incarnation.go
+++ b/cluster/replication/incarnation.go
@@ -47,8 +47,8 @@
 	return kept, true
 }
 
-// ensureLaterIncarnation begins a later incarnation if known, the version read from disk, has one of this instance that
-// is not earlier than the current one, because the clock was set back. r.mu is held.
+// ensureLaterIncarnation begins a later incarnation if known, the version read from disk, shows that the current one is not
+// later than all earlier ones of this instance. That happens after the clock was set back. r.mu is held.
 func (r *Replicator) ensureLaterIncarnation(known crdt.Version) {
 	actor := r.state.Actor()
 	name := crdt.ActorInstance(actor)
--- a/cluster/replication/local_state.go
+++ b/cluster/replication/local_state.go
@@ -35,8 +35,8 @@
 }
 
 // Update puts the value that resolve computes from a name's state, unless write is false or resolve returns an error. It
-// is atomic: a change that arrives between a Get and a Put would be superseded without having been seen. resolve must be
-// quick and must not call the Replicator.
+// is atomic; with a Get and a Put instead, a change that arrives between the two would be superseded without having been
+// seen. resolve must be quick and must not call the Replicator.
 func (r *Replicator) Update(name string, resolve func(entry crdt.Entry) (value []byte, write bool, err error)) (crdt.Entry, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cluster/replication/log.go
+++ b/cluster/replication/log.go
@@ -21,7 +21,7 @@
 
 const (
 	logInterval      = 30 * time.Second // minimum time between two log lines with the same event and subject
-	maxLogTimestamps = 1024             // event and subject pairs remembered; beyond it all are forgotten
+	maxLogTimestamps = 1024             // pairs of event and subject remembered; all are forgotten when there are more
 )
 
 // logFailure logs a failure with its advice, at most once per logInterval for the same event and subject. key says what
@@ -32,16 +32,16 @@
 	}
 }
 
-func (r *Replicator) isLogDue(line string) bool {
+func (r *Replicator) isLogDue(eventAndSubject string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.elapsed()
-	if last, ok := r.lastLoggedAt[line]; ok && now-last < logInterval {
+	if last, ok := r.lastLoggedAt[eventAndSubject]; ok && now-last < logInterval {
 		return false
 	}
 	if len(r.lastLoggedAt) > maxLogTimestamps {
 		clear(r.lastLoggedAt)
 	}
-	r.lastLoggedAt[line] = now
+	r.lastLoggedAt[eventAndSubject] = now
 	return true
 }
--- a/cluster/replication/messages.go
+++ b/cluster/replication/messages.go
@@ -69,8 +69,8 @@
 
 var errUnknownKind = errors.New("unknown message kind")
 
-// handleMessage handles a received message. Until the state on disk is restored all messages are dropped, since this
-// replica then knows less than it sent to other instances before the restart.
+// handleMessage handles a received message. Until the replicator is ready all messages are dropped, since without the state
+// on disk this replica knows less than it sent to other instances before the restart.
 func (r *Replicator) handleMessage(from string, body []byte) {
 	if !r.isReady() || len(body) == 0 {
 		return
--- a/cluster/replication/persistence.go
+++ b/cluster/replication/persistence.go
@@ -36,7 +36,8 @@
 	maxTransactionBytes = 32 << 20 // the store holds a transaction in memory
 )
 
-// WaitPersisted waits until all changes made so far are on disk. Without a storage it waits only until that is known.
+// WaitPersisted waits until all changes made so far are on disk. Without a storage it waits only until it is known that
+// there is none.
 func (r *Replicator) WaitPersisted(ctx context.Context) error {
 	select {
 	case <-r.restored:
@@ -61,8 +62,8 @@
 	}
 }
 
-// persistProgress reports whether the first wanted changes are on disk. If they are not, it also returns the channel that
-// is closed with the next successful transaction, and the error of the last transaction.
+// persistProgress reports whether as many changes as wanted are on disk, or there is no storage. It also returns the
+// channel that is closed with the next successful transaction, and the error of the last transaction.
 func (r *Replicator) persistProgress(wanted uint64) (transactionDone <-chan struct{}, lastErr error, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +125,8 @@
 		return err
 	}
 	if !tx.complete {
-		tx.deletes = nil // only the known version shows that a dropped entry is superseded: both are written together
+		// Once an entry is deleted, only the known version shows that it was superseded, so both are written together.
+		tx.deletes = nil
 	} else if tx.knownChanged {
 		value, err := cbor.Marshal(tx.known)
 		if err != nil {
--- a/cluster/replication/persistence_test.go
+++ b/cluster/replication/persistence_test.go
@@ -10,6 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// After all instances were killed and one started again with an older disk, no deleted entry comes back and no other is
+// lost.
 func TestRestartsWithOlderDisk(t *testing.T) {
 	c := newTestCluster(t, "a", "b", "c")
 	for i := range 20 {
@@ -47,6 +49,8 @@
 	}
 }
 
+// While the storage refuses writes, changes still reach the other instances and WaitPersisted returns the error. The
+// changes are written once the storage works again.
 func TestFailingStorageDelaysNothing(t *testing.T) {
 	c := newTestCluster(t, "a", "b")
 	c.storages["a"].failPuts(errors.New("no space left"))
--- a/cluster/replication/replicator.go
+++ b/cluster/replication/replicator.go
@@ -23,7 +23,7 @@
 	Transport    Transport
 	// Peers returns the other instances that are reachable now, and all members of the cluster, reachable or not.
 	Peers func() (alive, members []string)
-	// OpenStorage waits until the storage is open, and returns nil if there is none. OpenStorage may be nil for none too.
+	// OpenStorage waits until the storage is open, and returns nil if there is none. If OpenStorage is nil there is none.
 	OpenStorage      func(ctx context.Context) (Storage, error)
 	Logger           *slog.Logger // nil discards
 	Seed             int64
@@ -69,7 +69,7 @@
 
 	lastExchangeID  uint64
 	openExchanges   map[string]*openExchange              // by peer
-	responseWaiters map[uint64]chan crdt.ExchangeResponse // by exchange
+	responseWaiters map[uint64]chan crdt.ExchangeResponse // by exchange id
 	contactedPeers  map[string]bool                       // reachable peers already chosen for an exchange
 
 	lastAliveAt        map[string]time.Duration // when each instance was last seen alive
@@ -134,8 +134,8 @@
 	jobNamePrefix = "replication "
 )
 
-// exchangeJitterDivisor makes the jitter of exchanges a quarter of their interval, so that instances do not synchronize
-// with each other.
+// exchangeJitterDivisor makes the jitter of exchanges a quarter of their interval, so that the instances do not all begin
+// their rounds at the same moments.
 const exchangeJitterDivisor = 4
 
 // scheduleJobs starts the background work.
@@ -180,8 +180,8 @@
 }
 
 // Ready returns a channel that is closed once the state on disk has been merged or is known to be missing, or after
-// storageTimeout: a hanging disk must not prevent an instance from replicating. A Put before that has not seen the state
-// on disk.
+// storageTimeout: a hanging disk must not prevent an instance from replicating. A Put made before the merge has not seen
+// the state on disk.
 func (r *Replicator) Ready() <-chan struct{} { return r.ready }
 
 func (r *Replicator) isReady() bool {
--- a/cluster/replication/replicator_test.go
+++ b/cluster/replication/replicator_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A change signals a watch on another instance and reaches all instances. A deleted name leaves no tombstone behind once
+// all have seen the delete.
 func TestChangesReachAllAndTombstonesAreCollected(t *testing.T) {
 	c := newTestCluster(t, "a", "b", "c", "d")
 	changed, stop := c.replicators["d"].Watch("x/")
@@ -30,6 +32,8 @@
 	}
 }
 
+// After a partition all instances hold the changes of both sides. Where both sides changed the same name, the changes are
+// kept as siblings.
 func TestSidesOfPartitionConverge(t *testing.T) {
 	c := newTestCluster(t, "a", "b", "c", "d")
 	c.network.SetFaults(time.Millisecond, 3*time.Millisecond, 0.05)
@@ -57,6 +61,8 @@
 	}
 }
 
+// From tombstoneHighWatermark on, tombstones are collected without waiting for a member that is cut off. When it returns,
+// it brings no deleted entry back, and the others receive its changes.
 func TestManyTombstonesDoNotWaitForAbsentMembers(t *testing.T) {
 	c := newTestCluster(t, "a", "b")
 	_, _ = c.replicators["a"].Put("before", []byte("v"))
--- a/cluster/replication/restore.go
+++ b/cluster/replication/restore.go
@@ -82,9 +82,9 @@
 	return err
 }
 
-// applyStoredState merges the stored state into the replica, and marks the rest of the replica's state to be written to
-// the storage. If part of the stored state cannot be used, its known version is ignored: what is missing must not count
-// as superseded, so that the other instances send it again.
+// applyStoredState merges the stored state into the replica, and marks the stored names whose state is no longer the one
+// on disk to be written again. If part of the stored state cannot be used, its known version is ignored: what is missing
+// must not count as superseded, so that the other instances send it again.
 func (r *Replicator) applyStoredState(storage Storage, stored storedState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cluster/replication/tombstones.go
+++ b/cluster/replication/tombstones.go
@@ -23,9 +23,9 @@
 	collectIntervals = 2 // exchange intervals between two collections
 	rowIntervals     = 2 // exchange intervals between two rows that this instance makes
 
-	// A collection compares the rows of all instances with each other, so that a large cluster collects less often.
+	// A collection compares the rows of all instances with each other, so a large cluster collects less often.
 	smallClusterSize        = 10                     // up to that many instances, collections run at their interval
-	collectDelayPerInstance = 100 * time.Millisecond // minimum time between two collections for each further instance
+	collectDelayPerInstance = 100 * time.Millisecond // added to the minimum time between two collections for each further instance
 )
 
 // collectTombstones is the job that drops causally stable tombstones and makes this instance's row.
--- a/cluster/replication/updates.go
+++ b/cluster/replication/updates.go
@@ -10,7 +10,7 @@
 const (
 	updateFanout      = 3                      // receivers of a fresh change from each instance to which it is new
 	updateInterval    = 200 * time.Millisecond // between two rounds of updates; the first is sent at once
-	maxPendingUpdates = 512                    // names in one round; exchanges bring bulk writes beyond it
+	maxPendingUpdates = 512                    // names in one round; exchanges bring the names beyond it, as in bulk writes
 )
 
 // queueUpdates queues fresh changes to be sent to a few other instances. r.mu is held.
--- a/cluster/replication/wire_golden_test.go
+++ b/cluster/replication/wire_golden_test.go
@@ -40,7 +40,7 @@
 	return replicator
 }
 
-// Messages between instances: the first byte is the kind, the rest is one CBOR item.
+// Messages between instances keep their encoding: the first byte is the kind, the rest is one CBOR item.
 func TestGoldenMessages(t *testing.T) {
 	replicator := goldenReplicator(t)
 	names := []string{"plan/a", "plan/b", "plan/c"}
