--- a/cluster/crdt/dot.go
+++ b/cluster/crdt/dot.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Dot identifies one change: the Counter-th of an actor. An actor is one incarnation of one instance, so an instance that
-// returns with an older disk is another actor and never issues a dot twice.
+// Dot identifies one change: number Counter of an actor. An actor is one incarnation of one instance, so an instance that
+// restarts with an older disk is another actor and never issues a dot twice.
 type Dot struct {
 	_       struct{} `cbor:",toarray"`
 	Actor   string   // instance name, '#', incarnation
-	Counter uint64   // from 1 on
+	Counter uint64   // starts at 1
 }
 
 func (d Dot) compare(other Dot) int {
@@ -21,8 +21,8 @@
 	return cmp.Compare(d.Counter, other.Counter)
 }
 
-// incarnationSeparator stands between the instance's name and the incarnation in an actor. A name may contain it too: the
-// last one counts.
+// incarnationSeparator separates the instance's name from the incarnation in an actor. A name may contain the same
+// character, so only the last one in an actor separates.
 const incarnationSeparator = '#'
 
 // FormatActor returns the actor of one incarnation of an instance.
@@ -30,8 +30,8 @@
 	return name + string(incarnationSeparator) + strconv.FormatUint(incarnation, 10)
 }
 
-// ActorName returns the instance name of an actor.
-func ActorName(actor string) string {
+// ActorInstance returns the name of an actor's instance.
+func ActorInstance(actor string) string {
 	return actor[:max(0, strings.LastIndexByte(actor, incarnationSeparator))]
 }
 
@@ -45,10 +45,10 @@
 }
 
 func isValidActor(actor string) bool {
-	return ActorName(actor) != "" && len(actor) <= MaxActorBytes && ActorIncarnation(actor) > 0
+	return ActorInstance(actor) != "" && len(actor) <= MaxActorBytes && ActorIncarnation(actor) > 0
 }
 
-// endMark returns the actor that stands, in a Version, for all incarnations of an instance before the dot's counter.
+// endMark returns the actor of an instance's end mark, which Version describes.
 func endMark(name string) string { return name + string(incarnationSeparator) }
 
 func isEndMark(actor string) bool { return strings.HasSuffix(actor, string(incarnationSeparator)) }
--- a/cluster/crdt/incarnation.go
+++ b/cluster/crdt/incarnation.go
@@ -2,48 +2,49 @@
 
 import "slices"
 
-// IncarnationEnd says that an instance noted the end of all incarnations of another one before Before. It takes nothing
-// from them any more, and all it ever took from them is part of its state at its own change NotedAt.
+// IncarnationEnd is an instance's statement that all incarnations of the instance Name before Before have ended. The
+// instance that states it no longer merges anything from them. What it had merged from them is part of its state as of
+// its own change number RecordedAt.
 type IncarnationEnd struct {
-	_               struct{} `cbor:",toarray"`
-	Name            string
-	Before, NotedAt uint64
+	_                  struct{} `cbor:",toarray"`
+	Name               string
+	Before, RecordedAt uint64
 }
 
 // isSuperseded reports whether a later incarnation of the actor's instance is known.
 func (m *Map) isSuperseded(actor string) bool {
-	name, incarnation := ActorName(actor), ActorIncarnation(actor)
+	name, incarnation := ActorInstance(actor), ActorIncarnation(actor)
 	return incarnation > 0 && (incarnation < m.incarnationEnds[name].Before || incarnation < m.known.EndedBefore(name))
 }
 
-// checkSuperseded returns a SupersededError if a version from outside has an end mark for this incarnation.
+// checkSuperseded returns a SupersededError if a received version has an end mark for this incarnation.
 func (m *Map) checkSuperseded(from string, known Version) error {
-	if before := known.EndedBefore(ActorName(m.actor)); before > ActorIncarnation(m.actor) {
+	if before := known.EndedBefore(ActorInstance(m.actor)); before > ActorIncarnation(m.actor) {
 		return &SupersededError{From: from, EndedBefore: before}
 	}
 	return nil
 }
 
-// noteIncarnationEnd notes, by a change of this replica, that the incarnations of an instance before one have ended.
-func (m *Map) noteIncarnationEnd(name string, before uint64) {
+// recordIncarnationEnd records, by a change of this replica, that the incarnations of an instance before one have ended.
+func (m *Map) recordIncarnationEnd(name string, before uint64) {
 	if m.incarnationEnds[name].Before >= before || m.known.EndedBefore(name) >= before {
 		return
 	}
 	m.known = m.known.With(m.nextDot())
-	m.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, NotedAt: m.known.LastCounter(m.actor)}
+	m.incarnationEnds[name] = IncarnationEnd{Name: name, Before: before, RecordedAt: m.known.LastCounter(m.actor)}
 }
 
-// settleIncarnationEnds replaces, in the known version, ended incarnations by an end mark, once every instance has noted
-// their end and all that it took from them is here.
+// settleIncarnationEnds replaces ended incarnations in the known version by an end mark. It does so once all other
+// instances have recorded their end, and this replica's state includes all that those instances had merged from them.
 func (m *Map) settleIncarnationEnds() {
 	if len(m.incarnationEnds) == 0 || m.members == nil {
 		return
 	}
-	others := m.instancesToSettle()
+	others := m.requiredRecorders()
 	for name, own := range m.incarnationEnds {
 		before := own.Before
 		for other := range others {
-			end, ok := m.notedEnd(other, name)
+			end, ok := m.recordedEnd(other, name)
 			if !ok {
 				before = 0
 				break
@@ -59,21 +60,23 @@
 	}
 }
 
-// notedEnd returns the end of an instance's incarnations that another instance noted, if what that one took from them is
-// part of the state here. If it has settled the end already, the mark comes with the next exchange.
-func (m *Map) notedEnd(notedBy, name string) (IncarnationEnd, bool) {
-	row := m.rows[notedBy]
+// recordedEnd returns the end of an instance's incarnations that another instance, recordedBy, has recorded, if what
+// recordedBy has merged from them is part of the state here. If recordedBy has settled the end already, the next exchange
+// brings its end mark.
+func (m *Map) recordedEnd(recordedBy, name string) (IncarnationEnd, bool) {
+	row := m.rows[recordedBy]
 	i := slices.IndexFunc(row.IncarnationEnds, func(end IncarnationEnd) bool { return end.Name == name })
 	if i < 0 {
 		return IncarnationEnd{}, false
 	}
 	end := row.IncarnationEnds[i]
-	return end, m.known.Covers(Dot{Actor: row.Actor, Counter: end.NotedAt})
+	return end, m.known.Covers(Dot{Actor: row.Actor, Counter: end.RecordedAt})
 }
 
-// instancesToSettle returns the other instances that must have noted the end of an incarnation before it is settled: all
-// that were ever known and were not forgotten, absent or not, since they may hold changes of it that no one else has.
-func (m *Map) instancesToSettle() map[string]bool {
+// requiredRecorders returns the other instances that must have recorded the end of an incarnation before it is settled:
+// all that were ever known and not forgotten, absent or not, since they may hold changes of it that no other instance
+// has.
+func (m *Map) requiredRecorders() map[string]bool {
 	names := map[string]bool{}
 	for _, name := range m.members {
 		names[name] = true
@@ -83,22 +86,22 @@
 	}
 	for _, dot := range m.known {
 		if !isEndMark(dot.Actor) {
-			names[ActorName(dot.Actor)] = true
+			names[ActorInstance(dot.Actor)] = true
 		}
 	}
 	for name := range m.forgottenNames {
 		delete(names, name)
 	}
-	delete(names, ActorName(m.actor))
+	delete(names, ActorInstance(m.actor))
 	return names
 }
 
-// BeginIncarnation goes on as a new incarnation. The changes of the present one that the peer has not seen, by its row
-// here, are made again as changes of the new one, so that they are kept; their entries are returned. An empty peer has seen
-// none.
+// BeginIncarnation continues as a new incarnation. It reissues the current incarnation's changes as changes of the new one,
+// so that they are kept, and returns their entries. It leaves out those that the peer has seen, according to the peer's
+// row held here; with an empty peer it leaves out none.
 func (m *Map) BeginIncarnation(incarnation uint64, peer string) (kept []Entry) {
 	previous, peerKnown := m.actor, m.rows[peer].Known
-	m.actor = FormatActor(ActorName(previous), incarnation)
+	m.actor = FormatActor(ActorInstance(previous), incarnation)
 	m.ownRow, m.incarnationEnds = Row{}, map[string]IncarnationEnd{}
 	m.records.Scan(func(_ string, held *record) bool {
 		if entry, reissued := m.reissueChanges(held.Entry, previous, peerKnown); reissued {
@@ -113,8 +116,8 @@
 	return kept
 }
 
-// reissueChanges gives new dots of this actor to an entry's siblings with dots of the previous one that peerKnown does not
-// cover, and reports whether there are any.
+// reissueChanges gives a new dot of this actor to each sibling of an entry that the previous actor wrote and that
+// peerKnown does not cover. It reports whether there are any.
 func (m *Map) reissueChanges(entry Entry, previous string, peerKnown Version) (Entry, bool) {
 	var siblings []Sibling
 	for i, sibling := range entry.Siblings {
--- a/cluster/replication/exchange.go
+++ b/cluster/replication/exchange.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// maxChainedExchanges is how many exchanges follow one another while they find differences, so that a cluster that
-	// was partitioned converges sooner.
+	// maxChainedExchanges is how many exchanges one round makes in sequence while they find differences, so that a cluster
+	// converges sooner after a partition.
 	maxChainedExchanges = 8
 	// responseTimeout is how long the initiator waits for a response.
 	responseTimeout = 2 * time.Second
-	// maxRequestAttempts is how many requests without a response in a row interrupt an exchange. A later round resumes it.
+	// maxRequestAttempts is how many consecutive requests without a response interrupt an exchange. A later round resumes
+	// it.
 	maxRequestAttempts = 2
-	// maxExchangeAge is the age at which an interrupted exchange is begun anew and not resumed.
+	// maxExchangeAge is the age above which an interrupted exchange is not resumed, and a new one begins instead.
 	maxExchangeAge = 10 * time.Minute
-	// resumeChance: one round in so many, at random, prefers a peer with an interrupted exchange.
-	resumeChance = 2
+	// resumeOneRoundIn: on average, one round in this many prefers a peer with an interrupted exchange.
+	resumeOneRoundIn = 2
 )
 
-// openExchange is an exchange that has not come to its end.
+// openExchange is an exchange that has not ended.
 type openExchange struct {
 	exchange  *crdt.Exchange
 	startedAt time.Time
 }
 
-// runExchanges is the job of one round: an exchange with one peer, and further ones while they find differences.
+// runExchanges is the job for one round: an exchange with one peer, and further ones while they find differences.
 func (r *Replicator) runExchanges(ctx context.Context, allowance *scheduler.Allowance) error {
 	if !r.isReady() {
 		return nil
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// choosePeer returns a peer that has become reachable, one whose exchange was interrupted, or a random one; it is empty if
-// none can be reached.
+// choosePeer returns a peer that has just become reachable. If there is none, it returns, in one round of resumeOneRoundIn,
+// a peer whose exchange was interrupted, and otherwise a random peer. It returns "" if no peer is reachable.
 func (r *Replicator) choosePeer() string {
 	alive, _ := r.shuffledPeers()
 	r.mu.Lock()
@@ -67,12 +68,12 @@
 		return ""
 	}
 	for _, name := range alive {
-		if !r.metPeers[name] {
-			r.metPeers[name] = true
+		if !r.contactedPeers[name] {
+			r.contactedPeers[name] = true
 			return name
 		}
 	}
-	if r.rng.Intn(resumeChance) == 0 {
+	if r.rng.Intn(resumeOneRoundIn) == 0 {
 		for _, name := range alive {
 			if r.openExchanges[name] != nil {
 				return name
@@ -82,21 +83,21 @@
 	return alive[0]
 }
 
-// forgetUnreachablePeers makes peers that are not reachable count as new once they are again; r.mu is held.
+// forgetUnreachablePeers makes unreachable peers count as new once they are reachable again. r.mu is held.
 func (r *Replicator) forgetUnreachablePeers(alive []string) {
 	isAlive := map[string]bool{}
 	for _, name := range alive {
 		isAlive[name] = true
 	}
-	for name := range r.metPeers {
+	for name := range r.contactedPeers {
 		if !isAlive[name] {
-			delete(r.metPeers, name)
+			delete(r.contactedPeers, name)
 		}
 	}
 }
 
-// exchangeWith makes an exchange with a peer until nothing is left to request, or the peer does not respond. It reports
-// whether anything differed.
+// exchangeWith runs an exchange with a peer until nothing is left to request, or until the peer does not respond. It
+// reports whether anything differed.
 func (r *Replicator) exchangeWith(ctx context.Context, allowance *scheduler.Allowance, peer string) (differed bool, err error) {
 	open, responses := r.openExchangeWith(peer)
 	defer r.removeResponseWaiter(open.exchange.ID())
@@ -140,15 +141,15 @@
 	delete(r.responseWaiters, exchangeID)
 }
 
-// nextRequest returns the next request of an exchange; one without a response is withdrawn.
+// nextRequest returns the next request of an exchange. An earlier one without a response is withdrawn.
 func (r *Replicator) nextRequest(exchange *crdt.Exchange) (crdt.ExchangeRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	exchange.RetryRequest()
+	exchange.RequeueRequest()
 	return exchange.NextRequest()
 }
 
-// closeExchange ends an exchange of which nothing is left to request, and reports whether anything differed.
+// closeExchange ends an exchange that has nothing left to request, and reports whether anything differed.
 func (r *Replicator) closeExchange(peer string, open *openExchange) (differed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,7 +157,7 @@
 		delete(r.openExchanges, peer)
 	}
 	if open.exchange.IsComplete() {
-		notify(r.persistSignal) // the known version has grown
+		notify(r.persistSignal) // the known version may have grown and must be stored
 	}
 	return open.exchange.DifferingBuckets > 0
 }
@@ -171,9 +172,9 @@
 	return awaitResponse(ctx, responses, request)
 }
 
-var errResponseTimeout = errors.New("no response in time")
+var errResponseTimeout = errors.New("timed out waiting for the response")
 
-// awaitResponse waits for the response to a request; late responses to earlier ones are dropped.
+// awaitResponse waits for the response to a request. Late responses to earlier requests are dropped.
 func awaitResponse(ctx context.Context, responses <-chan crdt.ExchangeResponse, request crdt.ExchangeRequest) (crdt.ExchangeResponse, error) {
 	timeout := time.NewTimer(responseTimeout)
 	defer timeout.Stop()
@@ -191,7 +192,7 @@
 	}
 }
 
-// handleResponse hands a response to the exchange that waits for it, if any.
+// handleResponse passes a response to the exchange that waits for it, if any.
 func (r *Replicator) handleResponse(content []byte) error {
 	var response crdt.ExchangeResponse
 	if err := cbor.Unmarshal(content, &response); err != nil {
@@ -207,14 +208,15 @@
 	return nil
 }
 
-// applyResponse takes in a response and sends what the peer lacks. The error ends the exchange.
+// applyResponse merges a response and sends what the peer lacks. After an error the exchange makes no more requests in this
+// round.
 func (r *Replicator) applyResponse(
 	ctx context.Context, allowance *scheduler.Allowance, exchange *crdt.Exchange, response crdt.ExchangeResponse,
 ) error {
-	knewAbsence := exchange.MissedDeletes
+	alreadyReported := exchange.MissedDeletes
 	repairs, err := r.mergeResponse(exchange, response)
 	peer := exchange.Peer()
-	if exchange.MissedDeletes && !knewAbsence {
+	if exchange.MissedDeletes && !alreadyReported {
 		r.options.Logger.Warn(eventAbsence, advice.LogAttrs(&LongAbsenceError{peer, exchange.UnsyncedNames})...)
 	}
 	switch {
@@ -233,7 +235,7 @@
 	return nil
 }
 
-// mergeResponse takes in a response and returns the messages with what the peer lacks.
+// mergeResponse merges a response and returns the messages with what the peer lacks.
 func (r *Replicator) mergeResponse(exchange *crdt.Exchange, response crdt.ExchangeResponse) (repairs []stateMessage, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cluster/replication/persistence_test.go
+++ b/cluster/replication/persistence_test.go
@@ -10,6 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// After all instances were killed and one started again with an older disk, no deleted entry comes back and no other is
+// lost.
 func TestRestartsWithOlderDisk(t *testing.T) {
 	c := newTestCluster(t, "a", "b", "c")
 	for i := range 20 {
@@ -24,7 +26,7 @@
 	for _, replicator := range c.replicators {
 		c.requireEventually(func() bool { stats := replicator.Stats(); return stats.LiveEntries == 10 && stats.Tombstones == 0 })
 	}
-	for _, name := range c.names { // what the others know must outlive them
+	for _, name := range c.names { // the known versions of the other instances must survive the kill
 		requirePersisted(t, c.replicators[name])
 	}
 	for _, name := range c.names {
@@ -47,6 +49,8 @@
 	}
 }
 
+// While the storage refuses writes, changes still reach the other instances and WaitPersisted returns the error. The
+// changes are written once the storage works again.
 func TestFailingStorageDelaysNothing(t *testing.T) {
 	c := newTestCluster(t, "a", "b")
 	c.storages["a"].failPuts(errors.New("no space left"))
@@ -63,7 +67,7 @@
 	requirePersisted(t, c.replicators["a"])
 }
 
-// A storage that opens late brings what it kept, and what was changed before is written to it afterwards.
+// The state in a storage that opens late is merged, and changes made before that are written to it afterwards.
 func TestStorageThatOpensLate(t *testing.T) {
 	c := newTestCluster(t, "a", "b")
 	_, _ = c.replicators["a"].Put("x", []byte("kept"))
@@ -72,8 +76,8 @@
 	c.kill("a")
 	_, _ = c.replicators["b"].Put("x", []byte("newer"))
 	c.storageOpened = make(chan struct{})
-	late := c.begin("a")
-	late.readyOnce.Do(func() { close(late.ready) }) // as after storageTimeout
+	late := c.startWithoutWaiting("a")
+	late.readyOnce.Do(func() { close(late.ready) }) // what storageTimeout does
 	c.requireEqualReplicas()
 	close(c.storageOpened)
 	<-late.restored
