--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -7,6 +7,7 @@
 	"path/filepath"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -75,7 +76,12 @@
 	if _, err := os.Stat(f.ResidencyFile); err != nil {
 		l.writePolicy(loosePolicy)
 	}
+	// Until it executes its program, a child process that another test starts has copies of all sockets that were open
+	// at the fork. Without the lock it could have a copy of the sockets with which the start checks that its address is
+	// free, and the address would still be in use when the instance listens on it.
+	syscall.ForkLock.RLock()
 	l.sharing, err = startCluster(&config.File{Cluster: f}, sitePlan, nil, slog.New(slog.NewTextHandler(l, nil)))
+	syscall.ForkLock.RUnlock()
 	require.NoError(t, err)
 	l.guard, err = startResidency(sitePlan, l.sharing)
 	require.NoError(t, err)
--- a/internal/clustertest/net.go
+++ b/internal/clustertest/net.go
@@ -8,6 +8,7 @@
 	"net"
 	"strconv"
 	"sync"
+	"syscall"
 	"time"
 )
 
@@ -163,8 +164,11 @@
 	return nil
 }
 
-// vacant tells whether an address can be listened on, TCP and UDP.
+// vacant tells whether an address can be listened on, TCP and UDP. No process is started meanwhile: until it executes its
+// program, it would have copies of the sockets opened here, and the address would still be in use when vacant returns.
 func vacant(addr string) error {
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
--- a/internal/clustertest/ports_test.go
+++ b/internal/clustertest/ports_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+	"os/exec"
 	"testing"
 	"time"
 
@@ -45,3 +46,36 @@
 	require.ErrorContains(t, err, "address already in use")
 	require.ErrorContains(t, err, addr)
 }
+
+// A reserved address can be listened on at once, also while the process starts others: a child has copies of all open
+// sockets until it executes its program, and would keep those with which the address was checked.
+func TestReservedAddressIsFreeWhileProcessesStart(t *testing.T) {
+	const starters, reservations = 4, slotSize / 2
+	ctx, stop := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	for range starters {
+		go func() {
+			for ctx.Err() == nil {
+				_ = exec.Command("true").Run() // only the start matters
+			}
+			ended <- struct{}{}
+		}()
+	}
+	t.Cleanup(func() {
+		stop()
+		for range starters {
+			<-ended
+		}
+	})
+	for range reservations {
+		addr, release, err := ReserveAddress()
+		require.NoError(t, err)
+		tcp, err := net.Listen("tcp", addr)
+		require.NoError(t, err)
+		udp, err := net.ListenPacket("udp", addr)
+		require.NoError(t, err)
+		require.NoError(t, udp.Close())
+		require.NoError(t, tcp.Close())
+		release()
+	}
+}
