--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -3,30 +3,30 @@
 import "slices"
 
 const (
-	// backlogMemory is the weight of the old backlog at an arrival: the paper's memory factor.
+	// backlogMemory is the weight of the previous backlog when a search arrives: the paper's memory factor.
 	backlogMemory = 0.99
-	// parkedRecheckDelay is the wait before requests and searches that no replica may take are looked at again, in tenths
-	// of a millisecond.
+	// parkedRecheckDelay is the wait, in tenths of a millisecond, before searches and requests that no replica can take
+	// at the moment (parked ones) are checked again.
 	parkedRecheckDelay = 20 * millisecond
-	// answerMargin is the time kept before a client's limit, beside two ticks, in tenths of a millisecond: the final answer
-	// must not be late.
+	// answerMargin is the time reserved before a client's timeout, besides two ticks, in tenths of a millisecond: the
+	// final answer must not be late.
 	answerMargin = 15 * millisecond
 )
 
-// admissionQueue holds the searches that have not been admitted, in the order of arrival.
+// admissionQueue holds the searches that have not been admitted yet, in the order of arrival.
 type admissionQueue struct {
 	searches        []*search
-	backlog         float64 // the paper's smoothed queue length: searches waiting at an arrival
+	backlog         float64 // the paper's smoothed queue length: searches already waiting when one arrives
 	pendingRequests float64 // shard requests waiting at the end of the last iteration
-	lastEviction    int64   // when the queue was last looked through
-	hasParked       bool    // something waits for a replica rather than for a slot
+	lastEviction    int64   // when the queue was last scanned
+	hasParked       bool    // a search or request is parked: it waits for a replica rather than for a slot
 }
 
 func (q *admissionQueue) smoothBacklog() {
 	q.backlog = backlogMemory*q.backlog + (1-backlogMemory)*float64(len(q.searches))
 }
 
-// remove takes a search out of the queue. The usual case, the first, moves nothing.
+// remove takes a search out of the queue. The usual case, the first search, moves no elements.
 func (q *admissionQueue) remove(i int) {
 	if i == 0 {
 		q.searches[0], q.searches = nil, q.searches[1:]
@@ -59,7 +59,7 @@
 	s.objectiveTimer = b.setTimer(s.objectiveEnd-b.now, (*objectiveCallback)(s))
 }
 
-// EndIteration sends what waits, and admits searches while no request waits and a slot is free.
+// EndIteration sends the waiting requests, then admits searches while no request waits and a slot is free.
 func (b *balancer) EndIteration() {
 	for i := 0; b.sendWaiting() && i < len(b.admission.searches) && !b.isAtLimit(); {
 		if b.decideAdmission(b.admission.searches[i]) {
@@ -71,12 +71,12 @@
 	b.evictExpired()
 	if b.admission.hasParked {
 		b.admission.hasParked = false
-		b.setTimer(parkedRecheckDelay, timerFunc(func() {})) // the iteration itself looks at them again
+		b.setTimer(parkedRecheckDelay, timerFunc(func() {})) // the iteration that it starts checks them again
 	}
 }
 
-// decideAdmission admits or sheds a queued search and tells whether it leaves the queue. A search that no replica may take
-// just now stands aside, so that those behind it go on.
+// decideAdmission admits or sheds a queued search and tells whether it leaves the queue. A search that no replica can
+// take at the moment is parked, so that those behind it are not held up.
 func (b *balancer) decideAdmission(s *search) (leavesQueue bool) {
 	switch {
 	case s.ended:
@@ -93,10 +93,11 @@
 	return true
 }
 
-// isWithoutValue tells whether a search is not worth admitting: there is no capacity for its answer, its objective has
-// passed, or it would pass by the time that searches take now. The last is asked only of those that have waited or while
-// answers are slow: at a low rate nothing ever waits at one coordinator, and overload shows only in the answers. After an
-// overload it sheds needlessly until the durations have faded; some searches go out as they do, and measure anew.
+// isNotWorthAdmitting tells whether an admitted search would be of no use: there is no capacity for its answer, its
+// latency objective has passed, or it would pass before the answer, given how long searches take now. That estimate is
+// used only for searches that have waited or while answers are slow: at a low request rate nothing ever waits at a
+// single coordinator, and overload shows only in the answers. After an overload it sheds needlessly until the recorded
+// durations have decayed; then some searches are sent again and give new measurements.
 func (b *balancer) isWithoutValue(s *search) bool {
 	if b.utilization >= 1 || s.objectiveEnd <= b.now && !b.hasLateValue(s) {
 		return true
@@ -105,23 +106,24 @@
 	return (hasWaited || b.loadFactor() < overloadLoadFactor) && b.estimateCompletion().isLate(s, 0)
 }
 
-// hasNoEligibleReplica tells whether requests that a complete answer needs have no replica to go to. Where less may be
-// answered and answers are quick the search goes out without them.
+// hasNoEligibleReplica tells whether some requests that a complete answer needs have no replica to go to. If a partial
+// answer is allowed and answers are fast, the search goes out without them.
 func (b *balancer) hasNoEligibleReplica(s *search) bool {
-	sendable := 0.0
+	sendableWeight := 0.0
 	for _, request := range s.requests {
 		if b.canSend(request) {
-			sendable += request.weight
+			sendableWeight += request.weight
 		}
 	}
-	isShort := sendable < min(s.neededWeight, s.reachableWeight)-weightTolerance
-	return isShort && (b.loadFactor() < 1 || !b.isAnswerable(s, sendable))
+	isShort := sendableWeight < min(s.neededWeight, s.reachableWeight)-weightTolerance
+	return isShort && (b.loadFactor() < 1 || !b.isAnswerable(s, sendableWeight))
 }
 
-// cannotMeetDeadline tells whether the work for a search would be lost: its client leaves under half of the time that first
-// attempts have and less than searches of its type took of late, or too few of its requests would be answered in time by
-// what their replicas have taken. It handles clients that come again with next to no time, and shards whose replicas are
-// all overloaded. It may reject searches of a type or shard that has recovered, until one is tried again.
+// cannotMeetDeadline tells whether work on a search would be wasted: either its client leaves after less than half of
+// the time that first attempts have and sooner than recent searches of its type took, or too few of its requests would
+// be answered in time, judged by how long their replicas have taken. This handles clients that retry with almost no
+// time left, and shards whose replicas are all overloaded. It may reject searches of a type or shard that has
+// recovered, until one is tried again.
 func (b *balancer) cannotMeetDeadline(s *search) bool {
 	count, total := b.latency.byQueryType[s.queryType].read(b.now, rateWindow)
 	clientTimeout := float64(b.settings.queryTypeDuration(s.queryType, fieldDeadline))
@@ -130,17 +132,17 @@
 	if count >= minSearchDurations && timeLeft < min(retryObjectiveShare*firstAttemptTime, durationSpread*total/count) {
 		return true
 	}
-	inTime, hasThinEvidence := 0.0, b.hasThinEvidence()
+	weightInTime, hasThinEvidence := 0.0, b.hasThinEvidence()
 	for _, request := range s.requests {
 		if !hasThinEvidence || b.canMeetDeadline(request) {
-			inTime += request.weight
+			weightInTime += request.weight
 		}
 	}
-	return !b.isAnswerable(s, inTime)
+	return !b.isAnswerable(s, weightInTime)
 }
 
-// canMeetDeadline tells whether the quickest holder of a shard would answer in time: before the objective, or the deadline
-// once that has passed.
+// canMeetDeadline tells whether the fastest holder of a shard would answer in time: before the objective, or before the
+// deadline once the objective has passed.
 func (b *balancer) canMeetDeadline(request *shardRequest) bool {
 	end := request.search.objectiveEnd
 	if end <= b.now {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// logOf is the logarithm of a latency, of one tenth of a millisecond at least.
+// logOf returns the logarithm of a latency, which counts as at least one tenth of a millisecond.
 func logOf(latency int64) float64 { return math.Log(float64(max(1, latency))) }
 
 // send sends a request to a replica.
@@ -29,8 +29,8 @@
 	b.searches.attempts[attemptKey(request.id, a.index)] = a
 }
 
-// timeoutFor is how long the latest attempt of a request is waited for: until the deadline. Where it can neither be hedged
-// nor cancelled, and may be sent again, a shorter timeout is the only way to send it elsewhere.
+// timeoutFor returns how long to wait for the latest attempt of a request: until the deadline. An attempt that can be
+// neither hedged nor cancelled, but may be sent again, gets a shorter timeout, the only way to send it elsewhere.
 func (b *balancer) timeoutFor(request *shardRequest) int64 {
 	timeout := request.search.deadline - b.now + answerMargin
 	if b.settings.allowsHedging() || b.settings.allowsCancelling() {
@@ -42,8 +42,8 @@
 	return timeout
 }
 
-// cancelAttempt cancels an attempt where the settings allow it. One that took longer than usual counts by its age: else the
-// slow ones, which are cancelled, would be missing from the estimates.
+// cancelAttempt cancels an attempt if the settings allow it. An attempt that took longer than usual is recorded with
+// its age: otherwise the slow attempts, which are the ones that get cancelled, would be missing from the estimates.
 func (b *balancer) cancelAttempt(a *attempt) {
 	if !a.holdsSlot || !b.settings.allowsCancelling() {
 		return
@@ -59,7 +59,7 @@
 	b.actions.CancelAttempt(a.request.id, a.index)
 }
 
-// releaseSlot takes an attempt out of flight.
+// releaseSlot removes an attempt from those in flight.
 func (b *balancer) releaseSlot(a *attempt) {
 	if !a.holdsSlot {
 		return
@@ -93,10 +93,10 @@
 	b.retryLost(a.request)
 }
 
-// recordAnswer takes in what an answer shows of its replica and of all.
+// recordAnswer records what an answer shows of its replica and of the fleet.
 func (b *balancer) recordAnswer(a *attempt, wait int64) {
 	r, logLatency := a.replica, logOf(wait)
-	if r.health.connectFailures >= restartConnectFailures && b.isWarmedUp(r) { // it restarted before the list says so
+	if r.health.connectFailures >= restartConnectFailures && b.isWarmedUp(r) { // restarted; the list does not say so yet
 		r.startedAt = b.now
 		r.slowStart.reset(b.now, b.rng.Float64())
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-// completeRequest takes in the answer to a request, cancels its other attempts and goes on with its search.
+// completeRequest records the answer to a request, cancels its other attempts and continues its search.
 func (b *balancer) completeRequest(request *shardRequest) {
 	if !request.isOpen() {
 		return
@@ -132,8 +132,8 @@
 			b.admit(s)
 		}
 	}
-	if isFirstAnswer { // lost requests may have waited for it
-		for i := 0; i < len(s.requests); i++ { // the list may change meanwhile
+	if isFirstAnswer { // lost requests may have been waiting for it
+		for i := 0; i < len(s.requests); i++ { // the slice may change during the loop
 			b.retryLost(s.requests[i])
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -10,7 +10,7 @@
 	actions  Actions
 	settings settings
 	rng      *rand.Rand
-	now      int64 // time of the present iteration
+	now      int64 // time of the current iteration
 	timers   timerTable
 
 	endpoints    endpointList
@@ -18,7 +18,7 @@
 	searches     searchTable
 	admission    admissionQueue
 	sending      sendQueue
-	utilization  float64 // of the capacity for searches and their answers, 1 for none left
+	utilization  float64 // share of the capacity for searches and their answers that is in use; 1 means none is left
 
 	inflight inflightCounter
 	limiter  concurrencyLimiter
@@ -31,8 +31,8 @@
 	quotas  tenantQuotas
 }
 
-// New makes a balancer that reports to actions. It needs Configure and a list before searches. One goroutine at a time may
-// call it.
+// New makes a balancer that reports to actions. Configure must be called and an endpoint list committed before the
+// first search. Only one goroutine may call it at a time.
 func New(actions Actions) Balancer {
 	return &balancer{
 		actions:   actions,
--- a/balancer/client_retries.go
+++ b/balancer/client_retries.go
@@ -3,21 +3,22 @@
 import "slices"
 
 const (
-	// clientTimeoutSlack is how much less time than first attempts a client's retry must leave to show what its client has
-	// spent, in tenths of a millisecond: 50 ms may be spent on the way.
+	// clientTimeoutSlack is how much less time than a first attempt a client's retry must leave before the difference
+	// counts as time that its client has already spent, in tenths of a millisecond: up to 50 ms may be lost on the
+	// network.
 	clientTimeoutSlack = 50 * millisecond
-	// withdrawnSearchTTL is the longest time from a client's withdrawal to its retry, in tenths of a millisecond: it comes
-	// at once.
+	// withdrawnSearchTTL is the longest time between the withdrawal of a search and the retry of its client, in tenths
+	// of a millisecond: a client that retries does so at once.
 	withdrawnSearchTTL = 1 * second
-	// retryObjectiveShare is the share of the latency objective that is left to a client's retry where nothing shows how
-	// much is: its first attempt was shed or answered late.
+	// retryObjectiveShare is the share of the latency objective that a client's retry is assumed to have left if
+	// nothing shows the actual share: its first attempt was shed or answered late.
 	retryObjectiveShare = 0.5
 )
 
-// clientRetries is what is known of how long clients wait.
+// clientRetries holds what is known about how long clients wait.
 type clientRetries struct {
-	firstAttemptShare float64           // of the client timeout, that first attempts leave
-	withdrawn         []withdrawnSearch // searches that clients withdrew lately
+	firstAttemptShare float64           // largest share of the client timeout that a first attempt has left
+	withdrawn         []withdrawnSearch // searches that clients have recently withdrawn
 }
 
 type withdrawnSearch struct {
@@ -25,7 +26,7 @@
 	clientStart, arrivedAt, withdrawnAt int64
 }
 
-// recordTimeout takes in how much of the client timeout a search leaves.
+// recordTimeout records how much of the client timeout a search leaves.
 func (c *clientRetries) recordTimeout(timeLeft, clientTimeout int64) {
 	share := min(1, float64(timeLeft)/float64(max(1, clientTimeout, timeLeft)))
 	c.firstAttemptShare = max(c.firstAttemptShare, share)
@@ -41,7 +42,7 @@
 	})
 }
 
-// takeWithdrawn returns and forgets the withdrawn search that a retry is taken to repeat.
+// takeWithdrawn removes and returns the withdrawn search that a retry is assumed to repeat.
 func (c *clientRetries) takeWithdrawn(s *search, now int64) (withdrawn withdrawnSearch, found bool) {
 	i := slices.IndexFunc(c.withdrawn, func(w withdrawnSearch) bool {
 		return w.queryType == s.queryType && w.tenant == s.tenant && w.requestCount == s.requestCount
@@ -54,10 +55,10 @@
 	return withdrawn, true
 }
 
-// objectiveFor is how long an answer may take to have its full value. A client's retry has spent a part of the objective:
-// how much shows where it leaves less time than first attempts do, or where its search was withdrawn. A client that left
-// early and comes again will leave after as long again, and an answer after that has no value. A retry of a client that
-// leaves less time of its own accord counts as one that has spent it.
+// objectiveFor returns how long an answer may take and still have its full value. A client's retry has already spent a
+// part of the objective. How much is known if it leaves less time than first attempts do, or if its search was
+// withdrawn: a client that left early and retries will leave after the same time again, and an answer after that has no
+// value. A retry by a client that simply uses a shorter timeout is treated as if it had spent the difference.
 func (b *balancer) objectiveFor(s *search, timeLeft int64, isRetry bool) int64 {
 	objective := b.settings.queryTypeDuration(s.queryType, fieldObjective)
 	clientTimeout := b.settings.queryTypeDuration(s.queryType, fieldDeadline)
@@ -67,8 +68,8 @@
 	}
 	if withdrawn, found := b.clients.takeWithdrawn(s, b.now); found {
 		s.clientStart = withdrawn.clientStart
-		patience := withdrawn.withdrawnAt - withdrawn.arrivedAt - b.settings.duration(settingTick)
-		return min(withdrawn.clientStart+objective-b.now, patience)
+		lastWait := withdrawn.withdrawnAt - withdrawn.arrivedAt - b.settings.duration(settingTick)
+		return min(withdrawn.clientStart+objective-b.now, lastWait)
 	}
 	spent := int64(float64(objective) * (1 - retryObjectiveShare))
 	if float64(timeLeft) < b.clients.firstAttemptShare*float64(clientTimeout)-clientTimeoutSlack {
--- a/balancer/client_retries_test.go
+++ b/balancer/client_retries_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client's retry is recognized by the type, tenant and size of the search that was withdrawn, for a short time and once.
+// A client's retry is recognized by the type, tenant and size of the withdrawn search, for a short time and only once.
 func TestWithdrawnSearches(t *testing.T) {
 	withdrawn := &search{queryType: 1, tenant: 2, requestCount: 3, clientStart: 10, arrivedAt: 20}
 	for name, test := range map[string]struct {
@@ -36,7 +36,7 @@
 	}
 }
 
-// First attempts show how much of the client timeout is left to them at most.
+// The largest share of the client timeout that a search has left counts as the share that first attempts leave.
 func TestFirstAttemptShare(t *testing.T) {
 	var clients clientRetries
 	clients.recordTimeout(1500, 2000)
--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -1,19 +1,20 @@
 package balancer
 
-// minLateShare is the value of a late answer, relative to one in time, up to which a search is not worth going on with.
+// minLateShare is the value of a late answer, relative to one in time, up to which a search is not worth continuing.
 const minLateShare = 0.05
 
-// isAnswerable tells whether an answer of some weight may go out, complete or not: never under the type's least share. A
-// second step needs all its requests unless the type may lack some.
+// isAnswerable tells whether an answer of some weight may be returned, complete or not: never one below the least share
+// of the query type. A second step needs all of its requests unless the type allows partial answers.
 func (b *balancer) isAnswerable(s *search, weight float64) bool {
-	least := b.settings.listNumber(settingMinWeight, s.queryType, 1)
-	if s.step == 2 && least >= b.settings.listNumber(settingNeededWeight, s.queryType, 1) {
-		least = 1
+	leastWeight := b.settings.listNumber(settingMinWeight, s.queryType, 1)
+	if s.step == 2 && leastWeight >= b.settings.listNumber(settingNeededWeight, s.queryType, 1) {
+		leastWeight = 1
 	}
-	return weight > 0 && weight >= min(least+weightRounding, s.neededWeight-weightRounding)
+	return weight > 0 && weight >= min(leastWeight+weightRounding, s.neededWeight-weightRounding)
 }
 
-// answerIfComplete answers as soon as any sufficient set of requests is answered, or when all that can come has come.
+// answerIfComplete answers as soon as enough requests are answered, whichever they are, or once no further answers can
+// come.
 func (b *balancer) answerIfComplete(s *search) {
 	hasAllReachable := s.isShort(s.reachableWeight) && s.completedWeight >= s.reachableWeight-weightRounding
 	if s.isComplete() || hasAllReachable && b.isAnswerable(s, s.completedWeight) {
@@ -21,7 +22,7 @@
 	}
 }
 
-// endIfIncompletable ends a search that has just lost requests, where what remains does not suffice for an answer.
+// endIfIncompletable ends a search that has just lost requests if the remaining ones do not suffice for an answer.
 func (b *balancer) endIfIncompletable(s *search) {
 	b.answerIfComplete(s)
 	if !s.ended && s.isShort(s.reachableWeight) && !b.isAnswerable(s, s.reachableWeight) {
@@ -29,8 +30,8 @@
 	}
 }
 
-// answer answers the present step with what is there. The first answer of a search with two steps brings the requests of
-// the second.
+// answer answers the current step with the answers received so far. The first answer of a search with two steps is
+// followed by the requests of the second step.
 func (b *balancer) answer(s *search) {
 	isComplete := s.isComplete()
 	if s.step == 1 {
@@ -46,8 +47,8 @@
 	b.endSearch(s)
 }
 
-// fail ends a search at once with the best that is possible: an answer that is not complete, else shedding where the client
-// may safely send it again, else an error.
+// fail ends a search at once with the best possible result: a partial answer, else shedding if the client may safely
+// send the search again, else an error.
 func (b *balancer) fail(s *search) {
 	if !s.ended && b.isAnswerable(s, s.completedWeight) {
 		b.answer(s)
@@ -56,7 +57,8 @@
 		return
 	}
 	if s.admittedAt > 0 && s.step == 1 {
-		b.latency.recordDuration(b.now, s) // it took so long at least: the answered ones alone would be too quick
+		// A lower bound of its duration: answered searches alone would give too short a mean.
+		b.latency.recordDuration(b.now, s)
 	}
 	if s.isRepeatable() {
 		b.shed(s)
@@ -66,8 +68,8 @@
 	b.endSearch(s)
 }
 
-// shed rejects a search whose client may send it again, with a Retry-After where the settings allow one: the time that what
-// waits now will take.
+// shed rejects a search whose client may send it again. If the settings allow a Retry-After, it is the time that the
+// currently waiting requests will take.
 func (b *balancer) shed(s *search) {
 	retryAfter := int64(0)
 	if b.settings.isEnabled(settingRetryAfter) {
@@ -81,8 +83,8 @@
 	b.endSearch(s)
 }
 
-// objectiveReached looks at a search whose latency objective ends: an answer that is not complete goes out where the type
-// allows one, and a search whose late answer has no value makes room for others.
+// objectiveReached handles a search whose latency objective ends: a partial answer is returned if the type allows one,
+// and a search whose late answer has no value makes room for others.
 func (b *balancer) objectiveReached(s *search) {
 	if s.ended {
 		return
--- a/balancer/completion_test.go
+++ b/balancer/completion_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An answer goes out from the type's least share on; a second step whose type may lack nothing needs all its requests.
+// An answer is returned from the least share of the type on; a second step of a type without partial answers needs all
+// of its requests.
 func TestIsAnswerable(t *testing.T) {
 	b := New(nil).(*balancer)
 	b.settings = newSettings(map[string]string{settingNeededWeight: "0.8,1", settingMinWeight: "0.5,1"})
@@ -20,7 +21,7 @@
 		"over the least share":                 {step: 1, needed: 0.8, weight: 0.51, want: true},
 		"all are needed, one is missing":       {queryType: 1, step: 1, needed: 1, weight: 0.9},
 		"all are needed and answered":          {queryType: 1, step: 1, needed: 1, weight: 1, want: true},
-		"second step may lack some":            {step: 2, needed: 1, weight: 0.51, want: true},
+		"second step may be partial":           {step: 2, needed: 1, weight: 0.51, want: true},
 		"second step needs all, one missing":   {queryType: 1, step: 2, needed: 1, weight: 0.9},
 		"second step needs all, all are there": {queryType: 1, step: 2, needed: 1, weight: 1, want: true},
 	} {
--- a/balancer/concurrency_limit_test.go
+++ b/balancer/concurrency_limit_test.go
@@ -14,12 +14,12 @@
 		balancers float64
 		want      int
 	}{
-		"initial":                      {limit: math.Inf(1), replicas: 10, balancers: 1, want: 40},
-		"lowest of few coordinators":   {limit: 0, replicas: 10, balancers: 1, want: 10},
-		"lowest of many coordinators":  {limit: 0, replicas: 100, balancers: 60, want: 5},
-		"one at least":                 {limit: 0, replicas: 10, balancers: 600, want: 1},
-		"within the bounds, as it is":  {limit: 17.5, replicas: 10, balancers: 1, want: 17},
-		"one where no replica is left": {limit: 40, replicas: 0, balancers: 1, want: 1},
+		"initial":                     {limit: math.Inf(1), replicas: 10, balancers: 1, want: 40},
+		"lowest of few coordinators":  {limit: 0, replicas: 10, balancers: 1, want: 10},
+		"lowest of many coordinators": {limit: 0, replicas: 100, balancers: 60, want: 5},
+		"at least one":                {limit: 0, replicas: 10, balancers: 600, want: 1},
+		"within the bounds":           {limit: 17.5, replicas: 10, balancers: 1, want: 17},
+		"one if no replica is left":   {limit: 40, replicas: 0, balancers: 1, want: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limiter := concurrencyLimiter{limit: test.limit}
@@ -28,7 +28,7 @@
 	}
 }
 
-// The limit settles where what it falls by for the load factor is what it rises by.
+// The limit settles where the decrease for a low latency gradient equals the increase.
 func TestConcurrencyLimitAdjusts(t *testing.T) {
 	limiter := concurrencyLimiter{limit: 40}
 	limiter.adjust(1)
--- a/balancer/cost_test.go
+++ b/balancer/cost_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// costProtocol is a protocol that keeps no more than what is in flight.
+// costProtocol is a protocol that stores nothing but the attempts in flight.
 type costProtocol struct {
 	balancer *balancer
-	pending  []uint64 // requests with an attempt in flight, the first of each
+	pending  []uint64 // requests whose first attempt is in flight
 	ended    map[uint64]bool
 }
 
@@ -55,14 +55,14 @@
 	}
 }
 
-// playSearch plays a search from its arrival to its answer.
+// playSearch plays a search from its arrival to its final answer.
 func (p *costProtocol) playSearch(id uint64) {
 	p.balancer.BeginIteration(p.balancer.now + 10)
 	p.addSearch(id, int(id%2), 30_000)
 	p.balancer.EndIteration()
 	pending := p.pending
 	p.pending = p.pending[:0]
-	for _, request := range pending { // one request an iteration
+	for _, request := range pending { // one request per iteration
 		p.balancer.BeginIteration(p.balancer.now + 3)
 		p.balancer.RecordAttemptOutcome(request, 0, OutcomeOK, 25, false, nil)
 		p.balancer.EndIteration()
@@ -70,14 +70,15 @@
 	delete(p.ended, id)
 }
 
-// warmUp plays searches until the buffers have their sizes.
+// warmUp plays searches until the buffers have reached their sizes.
 func (p *costProtocol) warmUp() {
 	for id := range uint64(200) {
 		p.playSearch(id + 1)
 	}
 }
 
-// A search allocates itself, its requests, their list and its place in the queue, and nothing for each request or attempt.
+// A search allocates itself, its requests, the slice of them and its place in the queue; single requests and attempts
+// allocate nothing.
 func TestAllocationsOfSearch(t *testing.T) {
 	p := newCostProtocol(16)
 	p.warmUp()
@@ -89,7 +90,7 @@
 	require.LessOrEqual(t, allocations, 4.0)
 }
 
-// The cost of a search in the balancer, with few replicas and with many.
+// The cost of a search, with few replicas and with many.
 func BenchmarkReplicas(b *testing.B) {
 	for _, replicas := range []int{16, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// The cost of an iteration with one answer while so many searches wait.
+// The cost of an iteration with one answer while a number of searches wait.
 func BenchmarkWaiting(b *testing.B) {
 	for _, waiting := range []int{0, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -137,12 +138,12 @@
 	}
 }
 
-// noActions is a protocol that watches a list and expects nothing else.
+// noActions is a protocol that expects no other call than WatchEndpoints.
 type noActions struct{ Actions }
 
 func (noActions) WatchEndpoints() {}
 
-// The time that the caller's goroutine spends on the export of 512 replicas of a list of 10,000 that are all known.
+// The time that the caller's goroutine spends on the export of 512 replicas of a list of 10,000, all with evidence.
 func BenchmarkExportObservations(b *testing.B) {
 	exporter := New(noActions{}).(*balancer)
 	exporter.Configure(1, map[string]string{settingShardSets: "1", settingSetsPerReplica: "1"})
--- a/balancer/decaying_sum.go
+++ b/balancer/decaying_sum.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// decayingSum is an exponentially decaying count of events and a decaying total of their values. It is brought up to
-// date when it is read; its mean is total / count. The caller passes the e-fold time of the decay, the same each time.
+// decayingSum is an exponentially decaying count of events and a decaying total of their values; the mean is total /
+// count. Both are brought up to date when read. The caller passes the e-fold time of the decay, which must be the same
+// each time.
 type decayingSum struct {
 	count, total         float64
 	updatedAt, startedAt int64
@@ -25,8 +26,9 @@
 	s.count, s.total = s.count+1, s.total+value
 }
 
-// rate returns the events per tenth of a millisecond. A sum that is younger than its window has seen only a part of it:
-// the rate is scaled up for that, by an age of minAge at least, so that the first events do not count as a high rate.
+// rate returns the events per tenth of a millisecond. A sum younger than its window has seen only a part of it, so the
+// rate is scaled up accordingly. The age counts as at least minAge, so that the first few events do not count as a high
+// rate.
 func (s *decayingSum) rate(now int64, window, minAge float64) float64 {
 	count, _ := s.read(now, window)
 	return count / (window * (1 - math.Exp(-max(minAge, float64(now-s.startedAt))/window)))
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -3,24 +3,25 @@
 import "slices"
 
 const (
-	// watchRetryMin is the first wait before a failed watch of the list is renewed, in tenths of a millisecond.
+	// watchRetryMin is the first wait before a failed watch of the endpoint list is restarted, in tenths of a
+	// millisecond.
 	watchRetryMin = 500 * millisecond
-	// watchRetryMax is the longest such wait, cut to what the settings allow.
+	// watchRetryMax is the longest such wait; the settings may demand a shorter one.
 	watchRetryMax = 8 * second
-	// watchWithinShare is the share of the time that the settings allow for renewing a watch that one wait may take:
-	// missed lists count after 6 s.
+	// watchWithinShare is the share, of the time that the settings allow for restarting a watch, that one wait may
+	// take: a list counts as missed after 6 s.
 	watchWithinShare = 0.3
 )
 
-// endpointList is the replicas that may be used.
+// endpointList holds the replicas that may be used.
 type endpointList struct {
-	replicas []*replica // in the order in which they were first listed
+	replicas []*replica // in the order of their first listing
 	byID     map[string]*replica
 	pending  []func(listed map[string]bool) // entries of the list that is being received
 
-	holders         map[int][]*replica // by shard set, kept until the list changes
+	holders         map[int][]*replica // by shard set, cached until the list changes
 	shardSets       int
-	setsPerReplica  int // consecutive shard sets that a replica holds, its own the last
+	setsPerReplica  int // consecutive shard sets that a replica holds; its shardSet is the last
 	watchRetryDelay int64
 }
 
@@ -31,17 +32,17 @@
 // count returns the number of replicas that may be used.
 func (l *endpointList) count() int { return len(l.replicas) }
 
-// retain drops the replicas that may not be used any more and forgets what was derived from the former list.
+// retain drops the replicas that may no longer be used and clears what was derived from the previous list.
 func (l *endpointList) retain(isKept func(r *replica) bool) {
 	l.replicas = slices.DeleteFunc(l.replicas, func(r *replica) bool { return !isKept(r) })
 	clear(l.holders)
-	clear(l.byID) // a replica that left comes back as another, so that the map does not grow with the departures
+	clear(l.byID) // a replica that returns later counts as new, so that replicas that have left take no memory
 	for _, r := range l.replicas {
 		l.byID[r.id] = r
 	}
 }
 
-// shardSetHolders returns the eligible replicas that hold a set of shards.
+// shardSetHolders returns the eligible replicas that hold a shard set.
 func (l *endpointList) shardSetHolders(shardSet int) []*replica {
 	if _, known := l.holders[shardSet]; !known {
 		l.holders[shardSet] = nil
@@ -85,16 +86,17 @@
 	}
 	b.endpoints.watchRetryDelay = watchRetryMin
 	listed := map[string]bool{}
-	for _, enter := range entries {
-		enter(listed)
+	for _, apply := range entries {
+		apply(listed)
 	}
 	b.endpoints.retain(func(r *replica) bool { return r.eligible && (listed[r.id] || kind == ListPartial) })
 	clear(b.restrictions.holders)
 	b.inflight.replicaCount = b.endpoints.count()
 }
 
-// retryWatch renews the watch of the list after a growing wait with jitter, within the time that the settings allow: the
-// list service may be failing for all coordinators at once. A short failure may leave the list old for one wait.
+// retryWatch restarts the watch of the list after a growing wait with jitter, within the time that the settings allow:
+// the list service may be failing for all coordinators at once. After a short failure the list may be outdated for one
+// such wait.
 func (b *balancer) retryWatch() {
 	allowed := int64(b.settings.optionalNumber(settingWatchWithin, watchRetryMax) * (watchWithinShare * millisecond))
 	delay := min(b.endpoints.watchRetryDelay, allowed)
@@ -103,8 +105,8 @@
 	b.setTimer(delay+jitter, timerFunc(b.actions.WatchEndpoints))
 }
 
-// holders returns the replicas that hold a shard and may be used for its search. It is the one place that says so: first
-// attempts, extras, hedged and probe attempts and second steps all choose among these.
+// holders returns the replicas that hold a shard and that its search may use. It is the only place that decides this:
+// first attempts, extras, hedged and probe attempts and second steps all choose among these replicas.
 func (b *balancer) holders(request *shardRequest) []*replica {
 	if request.search.restriction != nil {
 		return b.restrictedHolders(request)
--- a/balancer/endpoint_selection.go
+++ b/balancer/endpoint_selection.go
@@ -6,20 +6,22 @@
 )
 
 const (
-	// tieRandomShare is the share of a replica's past latency that is random when equally loaded ones are compared: one
-	// that has recovered is used again.
+	// tieRandomShare is how much of a replica's past latency is randomized when equally loaded replicas are compared:
+	// this way a replica that has recovered is used again.
 	tieRandomShare = 0.25
-	// sampleThreshold is the number of holders of a shard beyond which a random sample is looked at first: it bounds the
+	// sampleThreshold is the number of holders of a shard above which a random sample is examined first: it bounds the
 	// time of an iteration.
 	sampleThreshold = 64
-	// sampleSize is the size of that sample: that none of 16 is idle where half of all are has a chance of 1 in 65,000.
+	// sampleSize is the size of that sample: if half of all holders are idle, the chance that none of 16 is idle is 1
+	// in 65,000.
 	sampleSize = 16
 
-	// Penalties on the load of replicas that come after others. Each is larger than what the lesser ones can add up to.
-	alreadySentPenalty = 1e4 // the request was sent there before
-	degradedPenalty    = 1e5 // its zone is degraded, or gossip or own evidence calls it an outlier
-	outlierPenalty     = 1e6 // own evidence calls it an outlier
-	// probeLoad puts a replica before all others, for a probe attempt.
+	// Penalties added to the load of replicas that are to be chosen after others. Each is larger than anything the
+	// smaller ones can add up to.
+	alreadySentPenalty = 1e4 // the request was already sent there
+	degradedPenalty    = 1e5 // its zone is degraded, or it is an outlier by gossip or own evidence
+	outlierPenalty     = 1e6 // it is an outlier by own evidence
+	// probeLoad puts a replica ahead of all others, for a probe attempt.
 	probeLoad = -1
 )
 
@@ -29,12 +31,14 @@
 		!slices.ContainsFunc(request.attempts, func(a *attempt) bool { return a.replica == r && !a.ended })
 }
 
-// isTooLateToSend tells whether no answer could come any more: the attempt would cross the final answer.
+// isTooLateToSend tells whether an answer could no longer arrive in time: the attempt would still be running when the
+// final answer goes out.
 func (b *balancer) isTooLateToSend(request *shardRequest) bool {
 	return float64(request.search.deadline-b.now) < b.latency.shortest
 }
 
-// canSend tells whether some replica may take a request now. Of many holders not each is compared.
+// canSend tells whether some replica may take a request now. If there are many holders, they are only checked, not
+// compared.
 func (b *balancer) canSend(request *shardRequest) bool {
 	holders := b.holders(request)
 	if len(holders) <= sampleThreshold {
@@ -56,14 +60,15 @@
 		hasOutlier, mayProbe = true, mayProbe || b.mayProbe(r, request)
 	}
 	canSend := mayProbe || hasOutlier && !hasHealthy
-	// Kept for this iteration: it bounds its time with thousands of searches.
+	// Cached for this iteration, which bounds its time when thousands of searches wait.
 	b.sending.fullSpots[request.spot()] = !canSend && len(request.attempts) == 0
 	return canSend
 }
 
-// selectReplica chooses the replica for a request, nil where none may take it now: the one with fewest own batches in
-// flight, one that has not got the request before if there is, ties at random or, where evidence is thin, by past answers.
-// Of many holders a sample is looked at first: an idle one has the fewest anyway.
+// selectReplica chooses the replica for a request, or returns nil if none may take it now. It prefers replicas that
+// have not got the request before, then the one with the fewest batches of this coordinator in flight. Ties are broken
+// at random or, while answers are sparse, by past latency. If there are many holders, a sample is examined first: an
+// idle replica in it cannot be beaten.
 func (b *balancer) selectReplica(request *shardRequest) *replica {
 	if b.sending.fullSpots[request.spot()] || b.isTooLateToSend(request) {
 		return nil
@@ -83,8 +88,8 @@
 	return r
 }
 
-// selectAmong chooses among some holders of a shard and returns the load of the chosen one. Outliers are used only where
-// no healthy replica holds the shard, whether or not the healthy ones have capacity, and for probe attempts.
+// selectAmong chooses among some holders of a shard and returns the load of the chosen one. Outliers are used only for
+// probe attempts, or if no healthy replica holds the shard, with or without capacity.
 func (b *balancer) selectAmong(request *shardRequest, holders []*replica) (best *replica, lowest float64) {
 	lowest = math.Inf(1)
 	ties, hasHealthy, hasThinEvidence := 0, false, b.hasThinEvidence()
@@ -113,9 +118,9 @@
 	return best, lowest
 }
 
-// selectionLoad is the load that replicas are compared by: batches in flight, and penalties for those that come after the others.
-// A replica in a degraded zone has none for a request that its search can spare, now and then: it shows whether the zone
-// has recovered.
+// selectionLoad returns the load by which replicas are compared: the batches in flight, plus penalties for replicas
+// that are to be chosen after the others. From time to time a replica in a degraded zone gets no penalty for a request
+// that its search can spare: this shows whether the zone has recovered.
 func (b *balancer) selectionLoad(request *shardRequest, r *replica, isOutlier, hasThinEvidence bool) float64 {
 	load := float64(r.batchesInFlight)
 	if hasThinEvidence {
--- a/balancer/fanout.go
+++ b/balancer/fanout.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// overloadExtraShare is the share of the extras, times the load factor, that still go out under overload with thin
-	// evidence: with less the answers were as good as with none.
+	// overloadExtraShare is the share of the extras, multiplied by the latency gradient, that are still sent under
+	// overload while answers are sparse: with fewer extras the answers were no better than with none.
 	overloadExtraShare = 0.5
-	// minOverloadAnswers is the decayed number of answers from which slow ones count as overload: fewer may be one search's.
+	// minOverloadAnswers is the decayed number of answers from which slow answers count as overload: fewer may all
+	// belong to one search.
 	minOverloadAnswers = 30
-	// canaryWindow is the time after a crash in which each search sends one request ahead, in tenths of a millisecond:
-	// searches that crash replicas come again.
+	// canaryWindow is the time after a crash during which each search sends a single request first, in tenths of a
+	// millisecond: clients repeat searches that crash replicas.
 	canaryWindow = 10 * second
 
-	// Priorities of the requests of a search, beside their weight.
+	// Priorities of the requests of a search, added to their weight.
 	priorityEligible = 2 // some replica may take it now
 	priorityQuick    = 1 // some replica will answer it quickly, or it may be hedged
-	// maxTieBreak bounds the random part of a priority: it decides only between equal weights.
+	// maxTieBreak bounds the random part of a priority, which decides only between equal weights.
 	maxTieBreak = 1e-9
 )
 
-// sendQueue holds the shard requests of admitted searches that wait for a slot and a replica, the paper's task queue.
+// sendQueue holds the shard requests of admitted searches that wait for a slot and a replica: the paper's task queue.
 type sendQueue struct {
 	requests   []*shardRequest
-	fullSpots  map[int]bool    // spots of which no replica may take a request in this iteration
-	candidates []sendCandidate // buffer of admit
+	fullSpots  map[int]bool    // keys of holders of which none may take a request in this iteration
+	candidates []sendCandidate // reused by admit
 }
 
 type sendCandidate struct {
@@ -35,8 +36,8 @@
 }
 
 // admit sends a search's requests: those that a complete answer needs, and as many extras as the backlog allows (any
-// sufficient set of them answers the search). The paper's rule applies: all that remain while the backlog is under one
-// search, one fewer for each further one.
+// sufficient subset of the requests completes the search). The paper's rule is used: all extras while the backlog is
+// under one search, one fewer for each further search.
 func (b *balancer) admit(s *search) {
 	if s.admittedAt == 0 {
 		s.admittedAt = b.now
@@ -58,7 +59,7 @@
 	}
 	for i, candidate := range candidates[:needed+extras] {
 		isNeeded := i < needed
-		// An extra that would have to wait, or runs slowly, takes capacity from requests that are needed.
+		// An extra that would have to wait, or would run slowly, takes capacity from requests that are needed.
 		if isNeeded || candidate.priority >= priorityEligible+priorityQuick {
 			b.enqueueRequest(candidate.shardRequest)
 		}
@@ -74,19 +75,19 @@
 	b.sending.candidates = candidates
 }
 
-// prioritize orders the requests of a search that have not been sent: those that can go now first, then those that would be
-// answered quickly, then the heavier, ties at random.
+// prioritize orders the unsent requests of a search: first those that can be sent now, then those that would be
+// answered quickly, then the heavier ones; ties are broken at random.
 func (b *balancer) prioritize(s *search) []sendCandidate {
 	candidates := b.sending.candidates[:0]
 	for _, request := range s.requests {
-		if len(request.attempts) > 0 { // a canary, or sent in the place of a lost one
+		if len(request.attempts) > 0 { // a canary, or sent in place of a lost request
 			continue
 		}
 		candidate := sendCandidate{request, request.weight + maxTieBreak*b.rng.Float64()}
 		if b.canSend(request) {
 			candidate.priority += priorityEligible
 		}
-		// Without hedging, a request at a slow replica is work that nothing takes back.
+		// Without hedging, work on a request at a slow replica is never taken back.
 		if b.settings.allowsHedging() || b.shortestExpectedLatency(request) <= b.latency.fleetLatency(b.now) {
 			candidate.priority += priorityQuick
 		}
@@ -96,9 +97,10 @@
 	return candidates
 }
 
-// weightToSend is the weight of the requests that have to be sent; the others are extras. Where evidence is thin nothing
-// ever waits here and the backlog says nothing. Slow answers stand in for it then, and what an answer may lack is an extra:
-// less work under overload, for answers that are less complete.
+// weightToSend returns the weight of the requests that have to be sent; the others are extras. While answers are sparse
+// nothing ever waits at this coordinator, so the backlog shows nothing. Slow answers then indicate overload instead,
+// and the part that a partial answer may lack counts as extras: under overload this saves work at the price of less
+// complete answers.
 func (b *balancer) weightToSend(s *search) float64 {
 	isOverloaded := b.hasThinEvidence() && b.latency.fleetAnswers >= minOverloadAnswers &&
 		b.loadFactor() < overloadLoadFactor
@@ -109,17 +111,17 @@
 	return min(s.neededWeight, leastAnswer+2*weightTolerance)
 }
 
-// needsCanary tells whether replicas seem to have crashed under this coordinator's requests of late. A search that crashes
-// what serves it would take down a replica for each of its requests before the first loss is known; one request ahead of
-// the others loses one. It covers crashes of other causes too, and costs each search the time of one answer. Where hedging
-// is allowed it is not used: hedged attempts help a lost request.
+// needsCanary tells whether replicas seem to have crashed recently under this coordinator's requests. A search that
+// crashes the replicas that serve it would take down one replica per request before the first loss is known; sending
+// one request ahead of the others limits this to one replica. Crashes with other causes also trigger it, and it costs
+// each search the time of one answer. It is not used if hedging is allowed: hedged attempts make up for a lost request.
 func (b *balancer) needsCanary() bool {
 	lastCrash := b.outliers.lastCrash
 	return lastCrash > 0 && b.now-lastCrash < canaryWindow && !b.settings.allowsHedging()
 }
 
-// sendCanary sends the request of a search that would be answered first, and tells whether there is one that can go now.
-// The others follow its answer.
+// sendCanary sends the request of a search that would be answered first, and tells whether there was one that can be
+// sent now. The others follow once it is answered.
 func (b *balancer) sendCanary(s *search) bool {
 	sendable := slices.DeleteFunc(slices.Clone(s.requests), func(r *shardRequest) bool { return !b.canSend(r) })
 	s.awaitsCanary = len(sendable) > 0
@@ -129,7 +131,7 @@
 	return s.awaitsCanary
 }
 
-// sendWithheld sends an extra that was withheld, in the place of a request that is lost or late.
+// sendWithheld sends an extra that was withheld, in place of a request that is lost or late.
 func (b *balancer) sendWithheld(s *search) {
 	withheld := slices.DeleteFunc(slices.Clone(s.requests), func(r *shardRequest) bool {
 		return len(r.attempts) > 0 || r.queued || r.lost
@@ -144,7 +146,7 @@
 	}
 }
 
-// quickest returns the request whose quickest holder has the shortest expected latency.
+// quickest returns the request whose fastest holder has the shortest expected latency.
 func (b *balancer) quickest(requests []*shardRequest) *shardRequest {
 	return slices.MinFunc(requests, func(x, y *shardRequest) int {
 		return cmp.Compare(b.shortestExpectedLatency(x), b.shortestExpectedLatency(y))
@@ -158,8 +160,9 @@
 	}
 }
 
-// sendWaiting sends the requests that wait, in order, and tells whether none is left that a free slot would serve. A
-// request that no replica may take just now (warming up, draining) stands aside: it must not hold up the queue.
+// sendWaiting sends the waiting requests in order and tells whether no request is left that waits for a slot. A request
+// that no replica can take at the moment (all are warming up or draining, for example) stays parked and does not hold
+// up the queue.
 func (b *balancer) sendWaiting() bool {
 	waiting, hasFreeSlots := b.sending.requests[:0], true
 	for i, request := range b.sending.requests {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -12,27 +12,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A whole fleet on one clock: real balancers, uneven traffic (one in ten coordinators gets four times what the others do),
-// and replicas that answer after a while or never. The traffic of all together is the same however many there are.
+// A whole fleet on one clock: real balancers, uneven traffic (one in ten coordinators gets four times the traffic of
+// the others), and replicas that answer after a fixed time or never. The total traffic is the same for every number of
+// coordinators.
 const (
-	fleetReplicas       = 24 // two a shard set
+	fleetReplicas       = 24 // two per shard set
 	fleetShardSets      = 12
 	fleetSearchRequests = 4     // shard requests of a search
-	fleetSearchRate     = 600.0 // searches a second of all together
+	fleetSearchRate     = 600.0 // searches per second of all coordinators together
 	fleetAnswerTime     = 20 * millisecond
-	fleetReplicaRate    = fleetSearchRate * fleetSearchRequests / fleetReplicas // requests a second of one replica
+	fleetReplicaRate    = fleetSearchRate * fleetSearchRequests / fleetReplicas // requests per second at one replica
 )
 
 var fleetSizes = []int{1, 3, 300}
 
-// fleetEvent is an event at a time; events of one time come in the order in which they were scheduled.
+// fleetEvent is a scheduled event; events with the same time run in the order in which they were scheduled.
 type fleetEvent struct {
 	at    int64
 	order int
 	run   func()
 }
 
-// fleetEvents is a heap of events by time.
+// fleetEvents is a heap ordered by time.
 type fleetEvents []fleetEvent
 
 func (e fleetEvents) Len() int      { return len(e) }
@@ -54,11 +55,11 @@
 	members   []*member
 
 	silentReplicas    map[string]bool
-	connectionsLostAt int64 // attempts that were in flight then are reset
+	connectionsLostAt int64 // attempts in flight at that time are reset
 
 	sentTimes   map[string][]int64 // of the attempts at each replica
 	watchTimes  []int64
-	lateAnswers []uint64 // searches with a final answer after their client's time
+	lateAnswers []uint64 // searches with a final answer after their client's timeout
 }
 
 // member is the protocol of one coordinator of a fleet.
@@ -78,7 +79,7 @@
 	heap.Push(&f.events, fleetEvent{f.now + max(wait, 1), f.lastOrder, run})
 }
 
-// iterate does something within one iteration of a balancer.
+// iterate runs a function within one iteration of a balancer.
 func (m *member) iterate(do func()) {
 	m.balancer.BeginIteration(m.fleet.now)
 	do()
@@ -133,7 +134,7 @@
 	delete(m.deadlines, id)
 }
 
-// commitList hands over a list of replicas with the times at which they started.
+// commitList passes on a list of replicas with their start times.
 func (m *member) commitList(kind string, startTimes []int64) {
 	for i, startedAt := range startTimes {
 		m.balancer.AddEndpoint(fmt.Sprint("r", i), 0, 0, i%fleetShardSets, StatusHealthy, 1, startedAt)
@@ -201,7 +202,7 @@
 	}
 }
 
-// restartReplica tells all members that a replica has started now.
+// restartReplica reports to all members that a replica has just started.
 func (f *fleet) restartReplica(index int) {
 	startTimes := make([]int64, fleetReplicas)
 	startTimes[index] = f.now
@@ -210,7 +211,7 @@
 	}
 }
 
-// countSentTo plays so many spans of 2 s and returns how many attempts went to a replica in each.
+// countSentTo plays a number of spans of 2 s and returns how many attempts were sent to a replica in each.
 func (f *fleet) countSentTo(replica string, spans int) (counts []int) {
 	for range spans {
 		f.sentTimes = map[string][]int64{}
@@ -220,7 +221,7 @@
 	return counts
 }
 
-// mostWithin is the most of some times that lie in a span of a length.
+// mostWithin returns the largest number of times that lie within a span.
 func mostWithin(times []int64, span int64) (most int) {
 	times = slices.Sorted(slices.Values(times))
 	first := 0
@@ -233,17 +234,17 @@
 	return most
 }
 
-// withChance is the count that a rule which allows so many lets through: three deviations of chance more, and three.
+// withRandomMargin returns the highest count to accept for an allowed mean: three standard deviations more, plus three.
 func withChance(allowed float64) float64 { return allowed + 3*math.Sqrt(allowed) + 3 }
 
-// warmingCapacity is what a replica can serve at an age, as a share of what it can do later: by ColdFrom and Cold of the
-// settings.
+// warmingCapacity returns the capacity of a replica at an age, as a share of its full capacity: by ColdFrom and Cold of
+// the settings.
 func warmingCapacity(age int64) float64 { return 0.2 + 0.8*float64(age)/(10*second) }
 
 // overloadMultiple is FallMultiple of the settings.
 const overloadMultiple = 2
 
-// All together stay under what a replica that has just started can stand, and it gets something.
+// All coordinators together send a replica that has just started no more than it can serve, and it gets some requests.
 func TestFleetSparesWarmingReplica(t *testing.T) {
 	for _, size := range fleetSizes {
 		f := newFleet(size)
@@ -257,8 +258,8 @@
 	}
 }
 
-// A silent replica gets a probe attempt a second from each, and no more than its ordinary share from all together. No
-// search is answered late for it, and it gets requests again once it answers.
+// A silent replica gets one probe attempt a second from each coordinator, and from all together no more than its normal
+// share. No search is answered late because of it, and it gets requests again once it answers.
 func TestFleetProbesSilentReplica(t *testing.T) {
 	for _, size := range fleetSizes {
 		f := newFleet(size)
@@ -278,8 +279,8 @@
 	}
 }
 
-// When the list service fails for all at once, they renew their watches after growing waits that come to be spread over
-// time, and none later than the settings allow. The first two rounds are not spread yet.
+// If the list service fails for all coordinators at once, they restart their watches after growing waits that become
+// spread over time, and never later than the settings allow. The first two rounds are not spread yet.
 func TestFleetSpreadsWatchRetries(t *testing.T) {
 	for _, size := range fleetSizes {
 		f := newFleet(size)
@@ -300,8 +301,9 @@
 	}
 }
 
-// A replica that has just started, at another time for each seed: in each window of the settings, wherever it begins, all
-// together send no more than the stated multiple of what it can do as the window begins, and chance. It gets something.
+// A replica has just started, at a different time for each seed. In each window of the settings, wherever it begins,
+// all coordinators together send no more than the configured multiple of its capacity at the beginning of the window,
+// apart from random variation. It gets some requests.
 func TestFleetKeepsSlowStartInEachWindow(t *testing.T) {
 	const window = 2 * second // Fall of the settings
 	for _, size := range fleetSizes {
@@ -323,12 +325,13 @@
 				require.LessOrEqual(t, float64(end-i), allowed, "%d coordinators, %d ms after the start", size, age/millisecond)
 			}
 		}
-		t.Logf("%d coordinators: %.2f of what is allowed at most", size, worst)
+		t.Logf("%d coordinators: at most %.2f of the allowed count", size, worst)
 	}
 }
 
-// All connections of all are lost at once and the replicas are healthy: what was in flight is sent again without a storm, and
-// the new connections, one for each coordinator and replica as requests go there, are no more than the requests are.
+// All connections of all coordinators are lost at once while the replicas are healthy. The requests in flight are sent
+// again without a storm. There are no more new connections than requests, as each coordinator connects to a replica
+// only when it sends it a request.
 func TestFleetRetriesWithoutStorm(t *testing.T) {
 	for _, size := range fleetSizes {
 		f := newFleet(size)
@@ -339,7 +342,7 @@
 		for _, times := range f.sentTimes {
 			most = max(most, mostWithin(times, second))
 		}
-		t.Logf("%d coordinators: %d requests in a second to one replica at most, %.0f allowed", size, most, allowed)
+		t.Logf("%d coordinators: at most %d requests in a second to one replica, %.0f allowed", size, most, allowed)
 		require.LessOrEqual(t, float64(most), allowed)
 		require.Empty(t, f.lateAnswers)
 	}
--- a/balancer/gossip_observations.go
+++ b/balancer/gossip_observations.go
@@ -3,28 +3,30 @@
 import "math"
 
 const (
-	// maxGossipWeight is the number of answers that gossip counts for at most: as many own ones replace it.
+	// maxGossipWeight is the largest number of answers that gossip counts for: the same number of own answers replaces
+	// it.
 	maxGossipWeight = 3.0
-	// maxGossipSlowness is the latency over the usual one that is believed at most: a higher one would only be a larger lie.
+	// maxGossipSlowness is the largest ratio of a gossiped latency to the usual one that is accepted: anything higher
+	// would only let a wrong report do more harm.
 	maxGossipSlowness = 8.0
-	// maxGossipAge is the longest time that gossip counts, in tenths of a millisecond: a fault of half a minute ago has
-	// often passed.
+	// maxGossipAge is the longest time for which gossip counts, in tenths of a millisecond: a fault seen half a minute
+	// ago has often passed.
 	maxGossipAge = 30 * second
-	// maxGossipedSpeedup is how far a gossiped fleet latency may be under the assumed one.
+	// maxGossipedSpeedup is the largest factor by which a gossiped fleet latency may be below the assumed one.
 	maxGossipedSpeedup = 4.0
-	// minGossipedShortest is the share of the fleet latency under which no gossiped shortest latency counts: gossip alone
-	// never brings the concurrency limit down.
+	// minGossipedShortest is the smallest gossiped shortest latency that is accepted, as a share of the fleet latency:
+	// gossip alone never lowers the concurrency limit.
 	minGossipedShortest = 0.4
 )
 
-// gossipedLatency is a count of answers and the mean of how much longer than usual they took, as logarithms, when it was
-// imported. It goes on decaying.
+// gossipedLatency is a count of answers and the mean logarithm of how much longer than usual they took, as imported.
+// The count continues to decay.
 type gossipedLatency struct {
 	weight, excess float64
 	importedAt     int64
 }
 
-// importLatency takes in what peers measured, within what is believed at most.
+// importLatency imports a latency measured by peers, limited to the accepted range.
 func importLatency(mean DecayingMean, now int64) gossipedLatency {
 	return gossipedLatency{
 		weight:     min(maxGossipWeight, mean.Weight),
@@ -33,7 +35,8 @@
 	}
 }
 
-// contribution is what gossip adds to own answers: a count, less by the own ones, and a total of the excess.
+// contribution returns what gossip adds to own answers: a count, reduced by the number of own answers, and the total of
+// the logarithmic excess.
 func (g gossipedLatency) contribution(now int64, window, ownCount float64) (count, totalExcess float64) {
 	age := float64(now - g.importedAt)
 	if g.weight == 0 || age > maxGossipAge {
@@ -43,21 +46,21 @@
 	return count, count * g.excess
 }
 
-// assume takes in the fleet latency that peers know, in place of the assumed one. A longer one than that is not believed:
-// it would bar hedged attempts.
+// importFleetLatency replaces the assumed fleet latency by the one that peers report. A longer one than assumed is not
+// accepted: it would prevent hedged attempts.
 func (l *latencyEstimates) assume(now int64, fleetLatency, shortest float64) {
 	l.assumed = max(assumedLatency/maxGossipedSpeedup, min(assumedLatency, fleetLatency))
 	l.cachedAt = 0
 	if l.shortest == 0 && shortest > 0 {
-		present := l.fleetLatency(now)
-		l.shortest, l.shortestAt = min(present, max(shortest, minGossipedShortest*present)), now
+		current := l.fleetLatency(now)
+		l.shortest, l.shortestAt = min(current, max(shortest, minGossipedShortest*current)), now
 	}
 }
 
-// ImportObservation takes an observation in, in place of the one before of the same scope. A start knows nothing, and peers
-// may be wrong: gossip only makes a replica look worse, counts for few answers, gives way to own ones and fades. A replica
-// that it calls an outlier comes after the others, with one request at a time, until it answers here: no peer can take it
-// away.
+// ImportObservation replaces the previous observation of the same scope. A coordinator that has just started knows
+// nothing, and peers may be wrong: so gossip only makes a replica look worse, counts as few answers, is replaced by own
+// answers and decays. A replica that gossip calls an outlier is chosen after the others and gets one request at a time
+// until it answers this coordinator: no peer can exclude it.
 func (b *balancer) ImportObservation(observation GossipedObservation) {
 	switch observation.Scope {
 	case ScopeFleet:
@@ -70,7 +73,7 @@
 		}
 	case ScopeReplica:
 		r := b.endpoints.byID[observation.Replica]
-		if r != nil && r.startedAt == observation.ReplicaStart { // else it is of another incarnation
+		if r != nil && r.startedAt == observation.ReplicaStart { // else the observation is of another incarnation
 			b.importReplica(r, observation)
 		}
 	}
@@ -84,7 +87,7 @@
 	if observation.Outlier && ownAnswers < 1 {
 		r.health.gossipedOutlierUntil = b.now + min(maxGossipAge, observation.OutlierDuration)
 		b.outliers.gossipedUntil = max(b.outliers.gossipedUntil, r.health.gossipedOutlierUntil)
-		delay := b.rng.Int63n(probeInterval) // or all coordinators would probe it at the same time
+		delay := b.rng.Int63n(probeInterval) // otherwise all coordinators would probe it at the same time
 		r.health.nextProbe = max(r.health.nextProbe, b.now+delay)
 	}
 	b.inflight.recheckAt(r, r.health.gossipedOutlierUntil)
@@ -121,7 +124,7 @@
 	}
 }
 
-// isKnown tells whether own attempts have shown anything of a replica.
+// hasEvidence tells whether own attempts have shown anything of a replica.
 func (h *replicaHealth) isKnown() bool {
 	return h.lastAnswer != 0 || h.unanswered != 0 || h.connectFailures != 0 || h.consecutiveFailures != 0
 }
--- a/balancer/gossip_observations_test.go
+++ b/balancer/gossip_observations_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exportAll collects what a balancer exports, so many replicas a call.
+// exportAll collects everything that a balancer exports, with at most maxReplicas replicas per call.
 func exportAll(b Balancer, maxReplicas int) (all []Observation) {
 	for next := 0; ; {
 		next = b.ExportObservations(next, maxReplicas, func(o Observation) { all = append(all, o) })
@@ -25,20 +25,20 @@
 	})
 }
 
-// outlierObservation says that a replica is an outlier.
+// outlierObservation reports that a replica is an outlier.
 func outlierObservation(replica string, duration int64) GossipedObservation {
 	return GossipedObservation{Scope: ScopeReplica, Replica: replica, Outlier: true, OutlierDuration: duration}
 }
 
-// latencyObservation says how much longer than usual a replica takes.
+// latencyObservation reports how much longer than usual a replica takes.
 func latencyObservation(replica string, startedAt int64, mean DecayingMean) GossipedObservation {
 	return GossipedObservation{
 		Scope: ScopeReplica, Replica: replica, ReplicaStart: startedAt, ShortWindow: mean, LongWindow: mean,
 	}
 }
 
-// What is exported was observed first hand: a balancer that only imported has nothing to export, one with answers exports
-// each replica once, however many a call.
+// Only first-hand observations are exported: a balancer that has only imported some exports nothing, and one with
+// answers exports each replica once, however many replicas one call may export.
 func TestExportedObservationsAreFirstHand(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0 c/0\nwhen a,b Ok 20\nwhen c ConnectError 1\nsteady 40 50 1 4000 0,0")
 	for _, maxReplicas := range []int{1, 2, 100} {
@@ -65,8 +65,8 @@
 	require.Equal(t, before[1:], after[1:])
 }
 
-// Searches go to the other replicas than a gossiped outlier; one request at a time probes it where the search can spare
-// one, and its first answer clears it.
+// Searches avoid a gossiped outlier. One request at a time probes it, if the search can spare one, and its first answer
+// clears it.
 func TestGossipedOutlierIsAvoided(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nwhen a,b Ok 20")
 	s.importObservations(outlierObservation("a", 200_000))
@@ -76,7 +76,8 @@
 	require.Greater(t, s.countSentTo("a"), 50, "its answer has cleared it")
 }
 
-// Gossip takes no replica away: where all others are full, gone or warming up it takes requests, and the observation ends.
+// Gossip cannot exclude a replica: it gets requests if all others are full, gone or warming up, and the observation
+// expires.
 func TestGossipCannotBanReplica(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nwhen a,b Ok 20\nlist Partial b/0/cordoned")
 	s.importObservations(outlierObservation("a", 200_000))
@@ -90,7 +91,7 @@
 	require.Greater(t, s.countSentTo("a"), 5)
 }
 
-// A gossiped outlier that is silent gets one request, and is an outlier by own evidence then.
+// A gossiped outlier that is silent gets one request and then is an outlier by own evidence.
 func TestGossipedOutlierThatIsSilent(t *testing.T) {
 	countSent := func(isGossiped bool) int {
 		s := newScenario(t, "start a/0 b/0\nwhen b Ok 20\nsilent a")
@@ -104,8 +105,8 @@
 	require.Greater(t, countSent(false), countSent(true))
 }
 
-// All coordinators hear that one replica is the quickest: they do not rush at it. Nor does gossip send a replica that is
-// warming up more than it gets without.
+// All coordinators hear that one replica is the fastest; they do not all send it their requests. Nor does gossip send a
+// replica that is warming up more requests than it would get otherwise.
 func TestGossipedQuickReplicaAttractsNothing(t *testing.T) {
 	countSent := func(isGossiped bool, settings string) [2]int {
 		s := newScenario(t, settings+"\nstart a/0 b/0 c/0/healthy/5\nwhen a,b,c Ok 20")
@@ -121,7 +122,7 @@
 	}
 }
 
-// Gossip is bounded and gives way: three own answers weigh as much as anything that can be imported.
+// Gossip is limited and replaced by own answers: three own answers weigh as much as anything that can be imported.
 func TestGossipGivesWayToOwnAnswers(t *testing.T) {
 	slownessOf := func(s *scenario) float64 { return s.state().slowness(s.state().endpoints.byID["a"]) }
 	huge := DecayingMean{Weight: 1e9, Mean: 1e9}
@@ -155,7 +156,7 @@
 	require.InDelta(t, 1, slownessOf(s), 1e-9, "a restart ends what was imported")
 }
 
-// Wrong gossip on the usual and the shortest latency bars neither hedged attempts nor searches.
+// Wrong gossip about the usual and the shortest latency prevents neither hedged attempts nor searches.
 func TestWrongGossipedLatenciesBarNothing(t *testing.T) {
 	for _, latency := range []float64{1e-9, 1e12, math.Inf(1)} {
 		s := newScenario(t, "start a/0 b/0\nwhen b Ok 20\nsilent a")
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -6,38 +6,41 @@
 )
 
 const (
-	// hedgeDelayRatio is the age over the fleet latency at which an attempt is hedged: beyond the 95th percentile.
+	// hedgeDelayRatio is the ratio of its age to the fleet latency at which an attempt is hedged: beyond the 95th
+	// percentile.
 	hedgeDelayRatio = 2.5
-	// minHedgeDelay is the shortest such age, in tenths of a millisecond: under it a hedged attempt costs more than it
-	// brings.
+	// minHedgeDelay is the shortest such age, in tenths of a millisecond: below it a hedged attempt costs more than it
+	// gains.
 	minHedgeDelay = 150 * millisecond
-	// hedgeRecheckDelay is the wait before an overdue attempt is looked at again, in tenths of a millisecond.
+	// hedgeRecheckDelay is the wait before an overdue attempt is checked again, in tenths of a millisecond.
 	hedgeRecheckDelay = 100 * millisecond
-	// maxHedgedShare is the share of a search's requests that may be hedged: if more are overdue the search is heavy.
+	// maxHedgedShare is the share of a search's requests that may be hedged: if more are overdue, the search itself is
+	// heavy.
 	maxHedgedShare = 0.5
-	// timeoutRatio is the timeout over the hedge delay of an attempt that can be neither hedged nor cancelled.
+	// timeoutRatio is the ratio of timeout to hedge delay for an attempt that can be neither hedged nor cancelled.
 	timeoutRatio = 2
 
-	// rescueDelayRatio is the age over the fleet latency at which an attempt is cancelled to be sent elsewhere, where
-	// hedging is not allowed: ordinary queues take less.
+	// rerouteDelayRatio is the ratio of its age to the fleet latency at which an attempt is cancelled and sent to
+	// another replica, if hedging is not allowed: ordinary queueing takes less time.
 	rescueDelayRatio = 5.5
-	// quickLatencyRatio is the latency over the fleet latency up to which another holder will do: slower hardware takes so
-	// long.
+	// quickLatencyRatio is the ratio of its latency to the fleet latency up to which another holder counts as quick:
+	// slower hardware takes this long.
 	quickLatencyRatio = 1.4
-	// quickRetryRatio is the same of retries, up to which other holders are taken to be no busier than the first.
+	// quickRetryRatio is the ratio of the latency of retries to the fleet latency up to which other holders are assumed
+	// to be no busier than the first.
 	quickRetryRatio = 1.6
-	// minRetryAnswers is the decayed number of answered retries from which that is known: one within the last 7 s.
+	// minRetryAnswers is the decayed number of answered retries from which that ratio is used: one within the last 7 s.
 	minRetryAnswers = 0.5
 )
 
-// hedgeDelay is the age at which an attempt is overdue, in tenths of a millisecond.
+// hedgeDelay returns the age at which an attempt is overdue, in tenths of a millisecond.
 func (b *balancer) hedgeDelay() int64 {
 	return int64(max(minHedgeDelay, hedgeDelayRatio*b.latency.fleetLatency(b.now)))
 }
 
-// hedgeAttempt handles an overdue attempt: a second one goes to another replica, or, where two may not run at once, it is
-// cancelled and sent elsewhere once its end is known. That covers every kind of silence or slowness of one replica,
-// whatever its cause. Where the request itself is heavy it doubles the work.
+// hedgeAttempt handles an overdue attempt: a second attempt goes to another replica or, if two may not run at once, the
+// first is cancelled and the request is sent elsewhere once the attempt has ended. This covers every kind of silence or
+// slowness of one replica, whatever its cause. If the request itself is heavy, it doubles the work.
 func (b *balancer) hedgeAttempt(a *attempt) {
 	request := a.request
 	if a.ended || !request.isOpen() {
@@ -63,8 +66,9 @@
 	}
 }
 
-// mayHedge tells whether an overdue attempt is to be hedged, or sent elsewhere, now. Not while searches wait, unless it is
-// silent, and not for a heavy search, unless its replica is an outlier: the work would be taken from others.
+// mayHedge tells whether an overdue attempt is to be hedged, or sent elsewhere, now. While searches wait only silent
+// attempts are, and attempts of heavy searches never: the work would take capacity from other searches. Neither
+// restriction applies to an attempt at an outlier.
 func (b *balancer) mayHedge(a *attempt, target *replica, outlook searchOutlook) bool {
 	request := a.request
 	if target == nil || b.isOutlier(target) || !b.mayAttempt(request) || request.queued || !outlook.isShort {
@@ -79,18 +83,19 @@
 	return b.settings.allowsHedging() || b.mayMove(a, target)
 }
 
-// mayMove tells whether an attempt is to be cancelled and sent elsewhere. It is much older than one that is hedged, since
-// the work so far is lost.
+// mayReroute tells whether an attempt is to be cancelled and sent elsewhere. It must be much older than an attempt that
+// is hedged, since the work done so far is lost.
 func (b *balancer) mayMove(a *attempt, target *replica) bool {
 	age := float64(b.now - a.sentAt)
 	return age >= rescueDelayRatio*b.latency.fleetLatency(b.now) && b.isQuickAndIdle(target) &&
 		b.loadFactor() >= overloadLoadFactor
 }
 
-// isQuickAndIdle tells whether a replica has no attempts in flight and would answer soon. It must be known to be no slower
-// than usual; once retries have been answered quickly of late, a little slower or not known will do as well. Otherwise a
-// request would stay where nothing answers only because the other holder's hardware is slower than the mean. Until enough
-// retries show that other holders are busy too, some requests move there in vain.
+// isQuickAndIdle tells whether a replica has no attempts in flight and would answer soon. It must be known to be no
+// slower than usual; once recent retries have been answered quickly, a replica that is a little slower or unknown will
+// also do. Otherwise a request would stay at a replica that does not answer only because the hardware of the other
+// holder is slower than the mean. Until enough retries show that other holders are busy too, some requests are moved
+// there in vain.
 func (b *balancer) isQuickAndIdle(r *replica) bool {
 	count, total := b.latency.retries.read(b.now, longWindow)
 	if count < minRetryAnswers || total > count*math.Log(quickRetryRatio) {
@@ -100,10 +105,10 @@
 	return b.longTermSlowness(r) <= quickLatencyRatio && len(r.attempts) == 0
 }
 
-// searchOutlook is what the attempts in flight let expect of a search.
+// searchOutlook is what to expect of a search, given its attempts in flight.
 type searchOutlook struct {
-	isShort bool // the answers so far and the attempts that are not overdue make no complete answer
-	isHeavy bool // so many attempts are overdue, or were hedged, that the search is heavy rather than a replica slow
+	isShort bool // the answers so far and the attempts that are not overdue do not make up a complete answer
+	isHeavy bool // so many attempts are overdue or were hedged that the cause is a heavy search, not a slow replica
 }
 
 func (b *balancer) outlookOf(s *search) searchOutlook {
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A search falls short where its answers and the attempts on time do not suffice, and is heavy where more than half of its
-// requests are overdue or were hedged. Attempts at outliers are neither on time nor a sign of a heavy search.
+// A search is short if its answers and the attempts on time do not suffice, and heavy if more than half of its requests
+// are overdue or were hedged. Attempts at outliers are neither on time nor a sign of a heavy search.
 func TestSearchOutlook(t *testing.T) {
 	const now = 100 * second
 	type state int
@@ -22,13 +22,13 @@
 		extraAttempts int
 		want          searchOutlook
 	}{
-		"all on time":               {states: []state{answered, onTime, onTime, onTime}},
-		"one overdue":               {states: []state{answered, onTime, onTime, overdue}, want: searchOutlook{isShort: true}},
-		"half overdue":              {states: []state{answered, onTime, overdue, overdue}, want: searchOutlook{isShort: true}},
-		"more overdue":              {states: []state{onTime, overdue, overdue, overdue}, want: searchOutlook{isShort: true, isHeavy: true}},
-		"as many at outliers":       {states: []state{onTime, atOutlier, atOutlier, atOutlier}, want: searchOutlook{isShort: true}},
-		"half hedged already":       {states: []state{answered, onTime, onTime, overdue}, extraAttempts: 2, want: searchOutlook{isShort: true, isHeavy: true}},
-		"one hedged, and one to be": {states: []state{answered, onTime, onTime, overdue}, extraAttempts: 1, want: searchOutlook{isShort: true}},
+		"all on time":             {states: []state{answered, onTime, onTime, onTime}},
+		"one overdue":             {states: []state{answered, onTime, onTime, overdue}, want: searchOutlook{isShort: true}},
+		"half overdue":            {states: []state{answered, onTime, overdue, overdue}, want: searchOutlook{isShort: true}},
+		"more than half overdue":  {states: []state{onTime, overdue, overdue, overdue}, want: searchOutlook{isShort: true, isHeavy: true}},
+		"as many at outliers":     {states: []state{onTime, atOutlier, atOutlier, atOutlier}, want: searchOutlook{isShort: true}},
+		"half hedged already":     {states: []state{answered, onTime, onTime, overdue}, extraAttempts: 2, want: searchOutlook{isShort: true, isHeavy: true}},
+		"one hedged, one overdue": {states: []state{answered, onTime, onTime, overdue}, extraAttempts: 1, want: searchOutlook{isShort: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := New(nil).(*balancer)
--- a/balancer/inflight.go
+++ b/balancer/inflight.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	compactRatio      = 2  // entries for each live one from which a list is compacted
-	compactMinEntries = 64 // fewer entries are not worth it
+	compactRatio      = 2  // entries per live entry above which a list is compacted
+	compactMinEntries = 64 // lists with fewer entries are not worth compacting
 )
 
 // agedList holds entries in the order of their times, with a boundary between those older than a limit and the others.
@@ -15,12 +15,12 @@
 	boundary int // index of the first entry that is not older than the limit
 }
 
-// push adds an entry. Its time must not be before that of the entry before.
+// push adds an entry. Its time must not be earlier than that of the previous entry.
 func (l *agedList[T]) push(at int64, entry T) {
 	l.entries, l.times = append(l.entries, entry), append(l.times, at)
 }
 
-// moveBoundary brings the boundary up to date and reports each entry that it passes.
+// moveBoundary updates the boundary and reports each entry that it passes.
 func (l *agedList[T]) moveBoundary(now int64, limit float64, passed func(entry T, at int64, older bool)) {
 	for ; l.boundary < len(l.entries) && float64(now-l.times[l.boundary]) > limit; l.boundary++ {
 		passed(l.entries[l.boundary], l.times[l.boundary], true)
@@ -30,7 +30,8 @@
 	}
 }
 
-// compact removes the entries that are not live, once they are most of the list; liveCount is about how many are live.
+// compact removes the entries that are no longer live once they are most of the list; liveCount is approximately the
+// number of live entries.
 func (l *agedList[T]) compact(liveCount int, isLive func(entry T, at int64) bool) {
 	if len(l.entries) <= compactRatio*liveCount+compactMinEntries {
 		return
@@ -52,30 +53,30 @@
 	l.entries, l.times, l.boundary = l.entries[:kept], l.times[:kept], boundary
 }
 
-// inflightCounter keeps the number of attempts in flight that are neither silent nor at an outlier. It is kept up to date
-// as attempts are sent and end, as silence passes its threshold and as replicas become outliers and recover, so that
-// reading it does not look at each attempt. The caller of count says what silence and outliers are.
+// inflightCounter keeps the number of attempts in flight that are neither silent nor at an outlier. It is updated as
+// attempts are sent and end, as silence passes its threshold, and as replicas become outliers and recover, so that
+// reading it does not examine each attempt. The caller of count decides what counts as silence and as an outlier.
 type inflightCounter struct {
 	total      int                // attempts in flight
-	attempts   agedList[*attempt] // by when they were sent
+	attempts   agedList[*attempt] // by the time at which they were sent
 	counted    int                // attempts in flight that are not silent
-	atOutliers int                // those of them at outliers
+	atOutliers int                // those of counted that are at outliers
 
-	silences     agedList[*replica] // by since when they have been silent
-	replicaCount int                // about how many replicas silences has live entries of
+	silences     agedList[*replica] // by the time since which they have been silent
+	replicaCount int                // approximate number of live entries in silences
 
 	rechecks   []*replica // may have become outliers, or recovered
-	expiring   []*replica // what makes them outliers ends at a time
-	nextExpiry int64      // the first such time
+	expiring   []*replica // outliers for a reason that ends at a known time
+	nextExpiry int64      // the earliest such time
 }
 
-// replicaInflight is what the counter keeps with a replica.
+// replicaInflight is the state that the counter keeps for each replica.
 type replicaInflight struct {
 	counted          int   // attempts in flight that are not silent
-	countedAsOutlier bool  // it was an outlier when last looked at
-	needsRecheck     bool  // it is in rechecks
-	hasExpiry        bool  // it is in expiring
-	recordedSilence  int64 // the silentSince that silences has of it
+	countedAsOutlier bool  // it was an outlier when last checked
+	needsRecheck     bool  // listed in rechecks
+	hasExpiry        bool  // listed in expiring
+	recordedSilence  int64 // the silentSince last added to silences
 }
 
 func (c *inflightCounter) recordSent(a *attempt) {
@@ -92,7 +93,7 @@
 	c.attempts.compact(c.total, func(a *attempt, _ int64) bool { return a.holdsSlot })
 }
 
-// setCounted counts an attempt in flight, or takes it out of the count.
+// setCounted adds an attempt in flight to the count or removes it from the count.
 func (c *inflightCounter) setCounted(a *attempt, counted bool) {
 	if a.counted == counted || !a.holdsSlot {
 		return
@@ -109,7 +110,7 @@
 	}
 }
 
-// recordSilence takes in since when a replica has been silent.
+// recordSilence records since when a replica has been silent.
 func (c *inflightCounter) recordSilence(r *replica) {
 	c.recheck(r)
 	since := r.health.silentSince
@@ -123,7 +124,7 @@
 	})
 }
 
-// recheck has the next count look whether a replica is an outlier.
+// recheck makes the next count check whether a replica is an outlier.
 func (c *inflightCounter) recheck(r *replica) {
 	if !r.inflight.needsRecheck {
 		r.inflight.needsRecheck = true
@@ -131,7 +132,7 @@
 	}
 }
 
-// recheckAt has the next count look at a replica, and again at a time.
+// recheckAt makes the next count check a replica, and again once a time is reached.
 func (c *inflightCounter) recheckAt(r *replica, at int64) {
 	c.recheck(r)
 	if c.nextExpiry == 0 || at < c.nextExpiry {
@@ -143,7 +144,8 @@
 	}
 }
 
-// count returns the number of attempts in flight that are neither silent for longer than a threshold nor at an outlier.
+// count returns the number of attempts in flight that have not been silent for longer than a threshold and are not at
+// an outlier.
 func (c *inflightCounter) count(now int64, silence float64, isOutlier func(r *replica) bool) int {
 	c.attempts.moveBoundary(now, silence, func(a *attempt, _ int64, older bool) { c.setCounted(a, !older) })
 	c.silences.moveBoundary(now, silence, func(r *replica, at int64, _ bool) {
@@ -163,7 +165,7 @@
 	return c.counted - c.atOutliers
 }
 
-// recheckExpiring looks at the replicas with a time that may have been reached, and works out the next such time.
+// recheckExpiring marks the replicas whose time may have been reached for a recheck, and determines the next such time.
 func (c *inflightCounter) recheckExpiring(now int64) {
 	c.nextExpiry = math.MaxInt64
 	pending := c.expiring[:0]
--- a/balancer/inflight_test.go
+++ b/balancer/inflight_test.go
@@ -7,8 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The count that is kept as attempts are sent and end is what counting all of them gives, in each iteration of drawn
-// streams.
+// In each iteration of random streams, the incrementally updated count equals a recount of all attempts.
 func TestInflightCountMatchesRecount(t *testing.T) {
 	for seed := range int64(40) {
 		text := drawScenario(rand.New(rand.NewSource(1000 + seed)))
@@ -18,7 +17,7 @@
 	}
 }
 
-// Attempts leave the count as they become silent and as their replica becomes an outlier, and return as it recovers.
+// Attempts leave the count when they become silent or their replica becomes an outlier, and return when it recovers.
 func TestInflightCounter(t *testing.T) {
 	var counter inflightCounter
 	replicas := []*replica{{id: "a"}, {id: "b"}}
@@ -33,7 +32,7 @@
 	first, _, third := send(replicas[0], 10), send(replicas[0], 20), send(replicas[1], 30)
 	require.Equal(t, 3, counter.count(30, 100, isOutlier))
 	require.Equal(t, 2, counter.count(111, 100, isOutlier), "the first is silent")
-	require.Equal(t, 3, counter.count(111, 200, isOutlier), "not by a longer threshold")
+	require.Equal(t, 3, counter.count(111, 200, isOutlier), "not with a longer threshold")
 	outliers[replicas[0]] = true
 	counter.recheck(replicas[0])
 	require.Equal(t, 1, counter.count(111, 200, isOutlier))
--- a/balancer/latency_estimates.go
+++ b/balancer/latency_estimates.go
@@ -4,63 +4,66 @@
 
 // Windows of the estimates: e-fold times of the decay, in tenths of a millisecond.
 const (
-	shortWindow = 4 * second  // latency of a replica or zone: about ten answers, yet short against a fault
-	longWindow  = 10 * second // latency of a replica that answers seldom: still short against a fault
+	shortWindow = 4 * second  // latency of a replica or zone: about ten answers, yet short compared with a fault
+	longWindow  = 10 * second // latency of a replica that answers rarely: still short compared with a fault
 	rateWindow  = 3 * second  // rates and search durations: long enough for a few dozen shard requests
-	minRateAge  = 1 * second  // a younger rate counts as so old: its first few events show no rate
+	minRateAge  = 1 * second  // smallest age that a rate is computed with: the first few events show no rate
 	fleetWindow = 2 * second  // fleet latency: it must follow a slowdown of all replicas within seconds
 )
 
 const (
-	// assumedLatency is the fleet latency before any answer, in tenths of a millisecond: a shard request of 200 ms.
+	// assumedLatency is the fleet latency assumed before any answer, in tenths of a millisecond: a shard request of 200
+	// ms.
 	assumedLatency = 200 * millisecond
-	// minFleetAnswers is the number of answers from which the fleet latency is believed: below, one odd request sways it.
+	// minFleetAnswers is the number of answers from which the fleet latency is used: with fewer, a single unusual
+	// request would distort it.
 	minFleetAnswers = 8
-	// minReplicaAnswers is the decayed number of answers from which a replica's long-term latency is believed: one answer
+	// minReplicaAnswers is the decayed number of answers from which a replica's long-term latency is used: one answer
 	// within the last 12 s.
 	minReplicaAnswers = 0.3
-	// minSearchDurations is the number of searches of a type from which their duration is believed. As fewer never bar a
-	// search, some go out again once the count has decayed.
+	// minSearchDurations is the number of searches of a type from which their mean duration is used. As fewer never
+	// lead to a rejection, some searches are sent again once the count has decayed.
 	minSearchDurations = 4
-	// tailLatencyRatio is the latency of the last of a search's many requests over the usual one.
+	// tailLatencyRatio is the ratio of the latency of the last answer among a search's many requests to the usual
+	// latency.
 	tailLatencyRatio = 2.0
-	// priorWeight is the number of answers at the fleet latency that are mixed into the estimate of a replica or zone: one
-	// slow request proves nothing.
+	// priorWeight is the number of answers at the fleet latency that are mixed into the estimate for a replica or zone:
+	// one slow request proves nothing.
 	priorWeight = 2.0
-	// shortestLatencyGrowth raises the shortest latency, per tenth of a millisecond: by e in 5 min, so that a lucky low
-	// value fades.
+	// shortestLatencyGrowth is the growth rate of the shortest latency, per tenth of a millisecond: a factor of e in 5
+	// min, so that an accidentally low value fades.
 	shortestLatencyGrowth = 1.0 / (300 * second)
-	// thinEvidenceRate is the rate of answers per replica, per tenth of a millisecond, under which evidence is thin: one a
-	// second.
+	// sparseAnswerRate is the rate of answers per replica, per tenth of a millisecond, below which answers are sparse:
+	// one a second.
 	thinEvidenceRate = 1.0 / second
-	// slowReplicaProbeInterval is the time between two attempts that all coordinators together send to a replica that looks
+	// slowReplicaProbeInterval is the interval at which all coordinators together send attempts to a replica that looks
 	// too slow, in tenths of a millisecond: ten a second are half of what two cores serve.
 	slowReplicaProbeInterval = 100 * millisecond
 )
 
-// latencyEstimates is what answers have shown of all replicas together, and of searches. Latencies are averaged as
-// logarithms, so that single long answers weigh little.
+// latencyEstimates holds what answers have shown of all replicas together and of searches. Latencies are averaged as
+// logarithms, so that single long answers have little weight.
 type latencyEstimates struct {
 	answers      decayingSum // logarithms of answer times
-	fleetAnswers float64     // count of answers, decayed, when the fleet latency was last worked out
+	fleetAnswers float64     // decayed count of answers when the fleet latency was last computed
 
 	cachedLatency    float64 // fleet latency at cachedAt, for fleetAnswers
 	cachedLogLatency float64
 	cachedAt         int64
 
-	shortest    float64 // shortest fleet latency seen, 0 for none yet
+	shortest    float64 // shortest fleet latency seen, 0 if none yet
 	shortestAt  int64
 	shortestFor float64 // fleet latency that shortest was last compared with
 
-	assumed float64 // fleet latency before any answer
+	assumed float64 // fleet latency assumed before any answer
 
-	answerCount decayingSum   // answers, for their rate
-	retries     decayingSum   // logarithms of the latency of retries and hedged attempts over the fleet latency
+	answerCount decayingSum   // answers; used for their rate
+	retries     decayingSum   // log of the ratio of latency to fleet latency, of retries and hedged attempts
 	durations   decayingSum   // of searches, from admission to their answer
 	byQueryType []decayingSum // durations of the searches of each query type
 }
 
-// fleetLatency is the present latency of all replicas, in tenths of a millisecond.
+// fleetLatency returns the current latency of all replicas, in tenths of a millisecond.
 func (l *latencyEstimates) fleetLatency(now int64) float64 {
 	count, total := l.answers.read(now, fleetWindow)
 	if l.cachedAt != now || l.fleetAnswers != count {
@@ -76,29 +79,29 @@
 	return l.cachedLogLatency
 }
 
-// shortestLatency is the fleet latency with next to no load: the shortest of the last minutes.
+// shortestLatency returns the fleet latency at almost no load: the shortest of the last minutes.
 func (l *latencyEstimates) shortestLatency(now int64) float64 {
-	present := l.fleetLatency(now)
+	current := l.fleetLatency(now)
 	if l.fleetAnswers < minFleetAnswers {
-		return present
+		return current
 	}
-	if l.shortestAt == now && l.shortestFor == present {
+	if l.shortestAt == now && l.shortestFor == current {
 		return l.shortest
 	}
 	l.shortest *= math.Exp(min(1, float64(now-l.shortestAt)*shortestLatencyGrowth))
-	if l.shortest == 0 || present < l.shortest {
-		l.shortest = present
+	if l.shortest == 0 || current < l.shortest {
+		l.shortest = current
 	}
-	l.shortestAt, l.shortestFor = now, present
+	l.shortestAt, l.shortestFor = now, current
 	return l.shortest
 }
 
-// answerRate is the number of answers per tenth of a millisecond.
+// answerRate returns the number of answers per tenth of a millisecond.
 func (l *latencyEstimates) answerRate(now int64) float64 {
 	return l.answerCount.rate(now, rateWindow, minRateAge)
 }
 
-// recordRetry records the latency of an attempt that is not a shard request's first.
+// recordRetry records the latency of an attempt that is not the first of its shard request.
 func (l *latencyEstimates) recordRetry(now int64, logLatency float64) {
 	l.retries.add(now, longWindow, logLatency-l.logFleetLatency(now))
 }
@@ -110,7 +113,7 @@
 	l.byQueryType[s.queryType].add(now, rateWindow, duration)
 }
 
-// replicaLatency is what answers, and gossip, have shown of a replica: logarithms of answer times in two windows.
+// replicaLatency holds what answers and gossip have shown of a replica: logarithms of answer times in two windows.
 type replicaLatency struct {
 	short, long                 decayingSum
 	gossipedShort, gossipedLong gossipedLatency
@@ -121,14 +124,14 @@
 	l.long.add(now, longWindow, logLatency)
 }
 
-// hasThinEvidence tells whether a replica answers this coordinator so seldom that its requests in flight and the initial
-// concurrency limit say nothing. Slow replicas would look idle then, and overload would be seen by no single coordinator;
-// decisions that depend on it use past answers instead.
+// hasSparseAnswers tells whether replicas answer this coordinator so rarely that its requests in flight and the initial
+// concurrency limit show nothing. Slow replicas would then look idle, and no single coordinator would notice an
+// overload; decisions that depend on this use past answers instead.
 func (b *balancer) hasThinEvidence() bool {
 	return b.latency.answerRate(b.now) < thinEvidenceRate*float64(b.endpoints.count())
 }
 
-// slowness is a replica's latency over the fleet latency. Attempts in flight count by their age.
+// slowness returns the ratio of a replica's latency to the fleet latency. Attempts in flight count with their age.
 func (b *balancer) slowness(r *replica) float64 {
 	count, total := r.latency.short.read(b.now, shortWindow)
 	logFleet := b.latency.logFleetLatency(b.now)
@@ -142,7 +145,7 @@
 	return math.Exp(mean - logFleet)
 }
 
-// longTermSlowness is a replica's latency over the fleet latency in the longer window.
+// longTermSlowness returns the ratio of a replica's latency to the fleet latency in the longer window.
 func (b *balancer) longTermSlowness(r *replica) float64 {
 	count, total := r.latency.long.read(b.now, longWindow)
 	logFleet := b.latency.logFleetLatency(b.now)
@@ -150,12 +153,13 @@
 	return math.Exp((total - count*logFleet + excess) / (count + gossiped + 1))
 }
 
-// expectedLatency is how long a replica would take for a request: by its past answers, or the fleet's where they are too
-// few, and by what is still in flight. A replica that is avoided for it would never be seen to recover: if it has not been
-// used for a while it is taken at the fleet's latency again, so that all coordinators together try it ten times a second.
+// expectedLatency returns how long a replica would take for a request: judged by its past answers, or by those of the
+// fleet if it has too few, and by its attempts in flight. A replica avoided because of this estimate would never be
+// seen to recover. So a replica that has not been used for a while is assumed to have the fleet latency again, and all
+// coordinators together try it ten times a second.
 func (b *balancer) expectedLatency(r *replica) float64 {
 	expected := b.latency.fleetLatency(b.now)
-	if b.latency.fleetAnswers < minFleetAnswers { // an assumed latency must not bar what would show the true one
+	if b.latency.fleetAnswers < minFleetAnswers { // an assumed latency must not prevent measuring the true one
 		expected = 0
 	}
 	if float64(b.now-r.lastSent) > slowReplicaProbeInterval*b.settings.number(settingBalancers) {
@@ -170,7 +174,7 @@
 	return expected
 }
 
-// shortestExpectedLatency is how long a shard request would take at the quickest of its holders.
+// shortestExpectedLatency returns how long a shard request would take at the fastest of its holders.
 func (b *balancer) shortestExpectedLatency(request *shardRequest) float64 {
 	shortest := math.Inf(1)
 	for _, r := range b.holders(request) {
--- a/balancer/latency_estimates_test.go
+++ b/balancer/latency_estimates_test.go
@@ -19,7 +19,7 @@
 	require.InDelta(t, 10/math.E, total, 1e-12)
 }
 
-// A rate is right while the sum is younger than its window, and not overestimated from the first event.
+// A rate is correct while the sum is younger than its window, and is not overestimated after the first event.
 func TestDecayingSumRate(t *testing.T) {
 	const window, minAge = 1000.0, 100.0
 	var sum decayingSum
@@ -37,7 +37,7 @@
 	for range minFleetAnswers - 1 {
 		latency.answers.add(1, fleetWindow, math.Log(100))
 	}
-	require.Equal(t, latency.fleetLatency(1), latency.shortestLatency(1), "too few answers for a shortest one")
+	require.Equal(t, latency.fleetLatency(1), latency.shortestLatency(1), "too few answers for a shortest latency")
 	for range 100 {
 		latency.answers.add(2, fleetWindow, math.Log(100))
 	}
@@ -48,5 +48,5 @@
 	}
 	require.Greater(t, latency.fleetLatency(3), 300.0)
 	require.InDelta(t, shortest, latency.shortestLatency(3), 0.01, "it is kept while answers are slower")
-	require.Greater(t, latency.shortestLatency(300*second), 2*shortest, "and fades")
+	require.Greater(t, latency.shortestLatency(300*second), 2*shortest, "but it fades")
 }
--- a/balancer/load_shedding.go
+++ b/balancer/load_shedding.go
@@ -3,23 +3,24 @@
 import "slices"
 
 const (
-	// evictScanThreshold is the number of waiting searches beyond which the queue is not looked through in each iteration:
-	// a look at one takes 6 us.
+	// evictScanThreshold is the number of waiting searches above which the queue is not scanned in each iteration:
+	// checking one search takes 6 us.
 	evictScanThreshold = 1_000
-	// evictScanInterval is the time between two looks at such a queue, in tenths of a millisecond: 1 ms is no delay to a
-	// client.
+	// evictScanInterval is the time between two scans of such a queue, in tenths of a millisecond: a client does not
+	// notice a delay of 1 ms.
 	evictScanInterval = 1 * millisecond
-	// durationSpread is a search's duration over the mean that is allowed for when asking whether it can still be in time.
+	// durationSpread is the ratio of its duration to the mean that is allowed for when checking whether a search can
+	// still be in time.
 	durationSpread = 1.4
-	// minThroughput is the least rate of answers that is assumed, per tenth of a millisecond: one a second.
+	// minThroughput is the lowest rate of answers that is assumed, per tenth of a millisecond: one a second.
 	minThroughput = 1.0 / second
 )
 
-// completionEstimate is what the end of a search is estimated from. It holds while no request is sent or ends, so that an
-// iteration works it out once for all waiting searches.
+// completionEstimate holds what the end of a search is estimated from. It is valid as long as no request is sent or
+// ends, so that one iteration computes it once for all waiting searches.
 type completionEstimate struct{ now, throughput, searchDuration float64 }
 
-// isLate tells whether a search with so many shard requests before it would be answered after its objective.
+// isLate tells whether a search with a number of shard requests ahead of it would be answered after its objective.
 func (e completionEstimate) isLate(s *search, requestsBefore float64) bool {
 	return e.now+requestsBefore/e.throughput+e.searchDuration > float64(s.objectiveEnd)
 }
@@ -33,8 +34,8 @@
 	}
 }
 
-// throughput is the number of shard requests answered per tenth of a millisecond. While few have been, it follows from
-// Little's law: requests in flight over their latency.
+// throughput returns the number of shard requests answered per tenth of a millisecond. While only a few have been
+// answered, it is estimated by Little's law: requests in flight divided by their latency.
 func (b *balancer) throughput() float64 {
 	answerRate := b.latency.answerRate(b.now)
 	byLittlesLaw := float64(b.effectiveInFlight()) / b.latency.fleetLatency(b.now)
@@ -44,9 +45,9 @@
 // SetUtilization sets the share of the capacity for searches and their answers that is in use.
 func (b *balancer) SetUtilization(share float64) { b.utilization = share }
 
-// evictExpired sheds queued searches under overload: those that would be answered after their objective, or for which there
-// is no capacity, while their clients can still send them again, and those beyond their tenant's quota. Where the estimated
-// wait is too long it sheds needlessly.
+// evictExpired sheds queued searches under overload while their clients can still send them again: those that would be
+// answered after their objective or for which there is no capacity, and those over their tenant's quota. If the
+// estimate of the wait is too high, it sheds needlessly.
 func (b *balancer) evictExpired() {
 	queue := &b.admission
 	if len(queue.searches) > evictScanThreshold && b.now < queue.lastEviction+evictScanInterval {
@@ -63,8 +64,8 @@
 	}
 }
 
-// evictFrom sheds searches in the order of the queue. It returns the number of shard requests that wait then, with those
-// that waited before, and the number of searches that have ended.
+// evictFrom sheds searches in the order of the queue. It returns the number of shard requests that then wait, including
+// those that waited before, and the number of searches that have ended.
 func (b *balancer) evictFrom(searches []*search, pendingBefore int) (pending, ended int) {
 	pending = pendingBefore
 	estimate := b.estimateCompletion()
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -3,29 +3,32 @@
 import "math"
 
 const (
-	// outlierFailures is the number of errors or rejections in a row that make an outlier: single ones occur on good days.
+	// outlierFailures is the number of consecutive errors or rejections that make an outlier: single ones occur in
+	// normal operation.
 	outlierFailures = 3
-	// silenceRatio is the silence over the fleet latency that makes an outlier: no ordinary request takes so long.
+	// silenceRatio is the ratio of silence to fleet latency that makes an outlier: no ordinary request takes this long.
 	silenceRatio = 4.0
-	// minSilence is the shortest silence that counts, in tenths of a millisecond: pauses of a few 100 ms are no fault.
+	// minSilence is the shortest silence that counts, in tenths of a millisecond: pauses of a few 100 ms are not a
+	// fault.
 	minSilence = 400 * millisecond
 	// minUnanswered is the number of unanswered requests that make an outlier: a single one may simply be heavy.
 	minUnanswered = 2
-	// restartConnectFailures is the number of connects failed in a row that show a restart: one may be chance.
+	// restartConnectFailures is the number of consecutive failed connects that indicate a restart: one may be chance.
 	restartConnectFailures = 2
 	// probeInterval is the wait before an outlier gets a probe attempt, in tenths of a millisecond: a second is a short
 	// outage.
 	probeInterval = 1 * second
-	// probeSpacing is the least wait between probe attempts at any outliers, in tenths of a millisecond: with hundreds of
-	// outliers each request would be one otherwise.
+	// probeSpacing is the shortest wait between probe attempts at any outliers, in tenths of a millisecond: otherwise,
+	// with hundreds of outliers, every request would be a probe attempt.
 	probeSpacing = 300 * millisecond
-	// maxRetryAfter is the longest that a replica's own Retry-After is kept to, in tenths of a millisecond: a probe attempt
-	// shows its state then.
+	// maxRetryAfter is the longest time for which a replica's own Retry-After is respected, in tenths of a millisecond:
+	// after that a probe attempt shows its state.
 	maxRetryAfter = 5 * second
-	// minStartedShare is the share of the shortest latency after which a request whose connection was dropped counts as
-	// begun: sooner the loss is the network's doing, not the request's.
+	// minStartedShare is the share of the shortest latency after which a request whose connection was dropped is
+	// assumed to have been started: an earlier loss is caused by the network, not by the request.
 	minStartedShare = 0.025
-	// queueFullLatencyRatio is the latency over the fleet latency that a rejection for a full queue stands for.
+	// queueFullLatencyRatio is the latency that is recorded for a rejection because of a full queue, as a ratio to the
+	// fleet latency.
 	queueFullLatencyRatio = 16.0
 )
 
@@ -35,18 +38,18 @@
 	connectFailures     int // failed connects since its last answer
 	unanswered          int // attempts unanswered since silentSince
 	silentSince         int64
-	lastAnswer          int64 // 0 for none
+	lastAnswer          int64 // 0 if none
 	lastConnectionLoss  int64 // when a connect last failed or a connection was dropped
 
-	retryAfter           int64 // it named this time to come back
+	retryAfter           int64 // when it accepts requests again, by its own Retry-After
 	gossipedOutlierUntil int64
 	nextProbe            int64
 }
 
-// outlierDetector is what concerns all outliers together.
+// outlierDetector holds the state that concerns all outliers together.
 type outlierDetector struct {
-	nextProbe     int64 // when the next probe attempt may go to any outlier
-	gossipedUntil int64 // until when gossip calls some replica an outlier
+	nextProbe     int64 // earliest time of the next probe attempt at any outlier
+	gossipedUntil int64 // time until which gossip calls some replica an outlier
 	lastCrash     int64 // when a replica last seemed to crash under this coordinator's attempts, 0 for never
 }
 
@@ -57,7 +60,7 @@
 	h.unanswered++
 }
 
-// recordAnswer clears what spoke against a replica: any answer shows that it works.
+// recordAnswer clears the evidence against a replica: any answer shows that it works.
 func (h *replicaHealth) recordAnswer(now int64, inFlight int) {
 	h.consecutiveFailures, h.connectFailures = 0, 0
 	h.gossipedOutlierUntil, h.retryAfter = 0, 0
@@ -65,8 +68,8 @@
 	h.unanswered, h.silentSince = inFlight, now
 }
 
-// countConnectionLoss returns 1 for the first attempt that a failed or dropped connection ends, and 0 for the others that
-// it ends: they all end in one iteration, and one connection must not count as many.
+// countConnectionLoss returns 1 for the first attempt that a failed or dropped connection ends, and 0 for the others:
+// they all end in one iteration, and a single connection must not count several times.
 func (h *replicaHealth) countConnectionLoss(now int64) int {
 	if h.lastConnectionLoss == now {
 		return 0
@@ -75,20 +78,21 @@
 	return 1
 }
 
-// hasFailed tells whether a replica has failed, or has named a time to come back that is not reached.
+// hasFailed tells whether a replica has failed, or has asked for no requests until a time that is not reached yet.
 func (h *replicaHealth) hasFailed(now int64) bool {
 	return h.connectFailures > 0 || h.consecutiveFailures >= outlierFailures || now < h.retryAfter
 }
 
-// isUnanswered tells whether so many attempts are unanswered that a long silence makes an outlier; what gossip calls one
-// needs a single attempt.
+// isUnanswered tells whether enough attempts are unanswered for a long silence to make the replica an outlier; if
+// gossip calls it an outlier, a single attempt is enough.
 func (h *replicaHealth) isUnanswered(now int64) bool {
 	return h.unanswered >= minUnanswered || h.unanswered > 0 && now < h.gossipedOutlierUntil
 }
 
 // isOutlier tells whether a replica is to be avoided: connects to it fail, it returns errors or rejections, or it is
-// silent. Such a replica takes requests and answers none, and looks idle while it does. It covers crashed and hung servers,
-// lost networks and overload that rejects. Any answer ends it. It may hit a healthy replica behind a lossy network.
+// silent. Such a replica accepts requests without answering them and looks idle meanwhile. This covers crashed and hung
+// servers, network outages, and overload that leads to rejections. Any answer ends it. It may hit a healthy replica
+// behind a lossy network.
 func (b *balancer) isOutlier(r *replica) bool {
 	if r.health.hasFailed(b.now) {
 		return true
@@ -96,23 +100,24 @@
 	return r.health.isUnanswered(b.now) && float64(b.now-r.health.silentSince) > b.silenceThreshold()
 }
 
-// isGossipedOutlier tells whether gossip calls a replica an outlier and it has not answered here since.
+// isGossipedOutlier tells whether gossip calls a replica an outlier and the replica has not answered this coordinator
+// since.
 func (b *balancer) isGossipedOutlier(r *replica) bool { return b.now < r.health.gossipedOutlierUntil }
 
-// silenceThreshold is the time without an answer from which an attempt or a replica is silent.
+// silenceThreshold returns the time without an answer after which an attempt or a replica is silent.
 func (b *balancer) silenceThreshold() float64 {
 	return max(minSilence, silenceRatio*b.latency.fleetLatency(b.now))
 }
 
-// isSilent tells whether an attempt has been in flight for so long that its answer may never come, whatever its replica
-// answers to others.
+// isSilent tells whether an attempt has been in flight for so long that its answer may never come, even if its replica
+// answers other requests.
 func (b *balancer) isSilent(a *attempt) bool {
 	return b.isOutlier(a.replica) || float64(b.now-a.sentAt) > b.silenceThreshold()
 }
 
-// mayProbe tells whether an outlier may take a shard request although healthy replicas could: it may have recovered, and
-// only an answer shows that. The request must be idempotent and not have been sent yet, and where only gossip calls the
-// replica an outlier the search must have requests to spare.
+// mayProbe tells whether an outlier may get a shard request although healthy replicas could take it: it may have
+// recovered, and only an answer shows that. The request must be idempotent and not have been sent yet; if only gossip
+// calls the replica an outlier, the search must also have requests to spare.
 func (b *balancer) mayProbe(r *replica, request *shardRequest) bool {
 	if b.now < max(r.health.nextProbe, b.outliers.nextProbe) || len(request.attempts) > 0 {
 		return false
@@ -120,7 +125,7 @@
 	return request.search.effect == effectRetryable && (b.isOutlier(r) || request.search.canSpareRequests())
 }
 
-// scheduleProbe sets when a replica gets its next probe attempt, now that one goes to it.
+// scheduleProbe sets the time of the next probe attempt at a replica, as one is being sent to it.
 func (b *balancer) scheduleProbe(r *replica) {
 	if b.isOutlier(r) || b.isGossipedOutlier(r) {
 		r.health.nextProbe, b.outliers.nextProbe = b.now+probeInterval, b.now+probeSpacing
@@ -129,7 +134,7 @@
 	}
 }
 
-// recordFailure takes in what the failed end of an attempt shows of its replica and its search.
+// recordFailure records what the failure of an attempt shows of its replica and its search.
 func (b *balancer) recordFailure(a *attempt, outcome string, wait, retryAfter int64) {
 	health, logLatency := &a.replica.health, logOf(wait)
 	switch outcome {
@@ -147,10 +152,10 @@
 	case OutcomeConnectError:
 		health.connectFailures += health.countConnectionLoss(b.now)
 		b.outliers.lastCrash = b.now
-	case OutcomeResetByPeer: // not a failed connect: a replica need not have died for that
+	case OutcomeResetByPeer: // not a failed connect: the replica may still be running
 		a.mayHaveRun = true
 		health.consecutiveFailures += health.countConnectionLoss(b.now)
-		if float64(wait) > minStartedShare*b.latency.shortestLatency(b.now) { // sooner, no request had been begun
+		if float64(wait) > minStartedShare*b.latency.shortestLatency(b.now) { // before that, no request had been started
 			a.request.search.lostConnections++
 			b.outliers.lastCrash = b.now
 		}
@@ -160,7 +165,7 @@
 	}
 }
 
-// recordRejection takes in an error or a rejection. The replica is left alone for the time that it names itself.
+// recordRejection records an error or a rejection. The replica gets no requests for the time that it asked for.
 func (b *balancer) recordRejection(r *replica, retryAfter int64) {
 	health := &r.health
 	health.retryAfter = max(health.retryAfter, b.now+min(maxRetryAfter, retryAfter))
--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A replica that rejects requests and names a time is left alone until then, and gets requests again after it.
+// A replica that rejects requests with a Retry-After gets no requests until then, and gets requests again afterwards.
 func TestRetryAfterIsKept(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nwhen b Ok 20")
 	s.replies["a"] = []string{OutcomeQueueFull, "1"}
@@ -24,12 +24,12 @@
 		health                replicaHealth
 		hasFailed, unanswered bool
 	}{
-		"nothing known":                  {},
+		"no evidence":                    {},
 		"two failures":                   {health: replicaHealth{consecutiveFailures: 2}},
 		"three failures":                 {health: replicaHealth{consecutiveFailures: 3}, hasFailed: true},
 		"a failed connect":               {health: replicaHealth{connectFailures: 1}, hasFailed: true},
-		"a time to come back":            {health: replicaHealth{retryAfter: now + 1}, hasFailed: true},
-		"that time reached":              {health: replicaHealth{retryAfter: now}},
+		"Retry-After in the future":      {health: replicaHealth{retryAfter: now + 1}, hasFailed: true},
+		"Retry-After reached":            {health: replicaHealth{retryAfter: now}},
 		"one unanswered":                 {health: replicaHealth{unanswered: 1}},
 		"two unanswered":                 {health: replicaHealth{unanswered: 2}, unanswered: true},
 		"one unanswered, gossiped":       {health: replicaHealth{unanswered: 1, gossipedOutlierUntil: now + 1}, unanswered: true},
@@ -43,7 +43,7 @@
 	}
 }
 
-// An answer clears all evidence; what else is in flight is unanswered since then.
+// An answer clears all evidence against a replica; what else is in flight counts as unanswered since then.
 func TestReplicaHealthClearedByAnswer(t *testing.T) {
 	health := replicaHealth{
 		consecutiveFailures: 5, connectFailures: 2, retryAfter: 90, gossipedOutlierUntil: 90, unanswered: 4, silentSince: 10,
@@ -52,7 +52,7 @@
 	require.Equal(t, replicaHealth{unanswered: 3, silentSince: 50, lastAnswer: 50}, health)
 }
 
-// The attempts that one lost connection ends, all in one iteration, count once.
+// All attempts that one lost connection ends in one iteration count as a single loss.
 func TestConnectionLossCountsOnce(t *testing.T) {
 	var health replicaHealth
 	require.Equal(t, 1, health.countConnectionLoss(50))
--- a/balancer/recorded_actions_test.go
+++ b/balancer/recorded_actions_test.go
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-var record = flag.Bool("record", false, "write the sums of the actions anew, after a change of decisions that is meant")
+var record = flag.Bool("record", false, "rewrite the checksums of the actions, after an intended change of decisions")
 
 const (
 	sumsFile     = "testdata/actions.sums"
 	drawnStreams = 120
 )
 
-// drawScenario draws a stream of events in the notation of scenarios: settings, replicas, loads, faults and lists. The
-// order of its draws is fixed by the recorded sums.
+// randomScenario generates a random stream of events in the notation of scenarios: settings, replicas, loads, faults
+// and lists. The order in which it takes random numbers is fixed by the recorded checksums.
 func drawScenario(rng *rand.Rand) string {
 	pick := func(values ...string) string { return values[rng.Intn(len(values))] }
 	var text strings.Builder
@@ -90,7 +90,7 @@
 	}
 }
 
-// sumOf is a line of the sums file: the number of the actions and their hash.
+// checksumOf returns a line of the checksum file: the number of the actions and their hash.
 func sumOf(name string, actions []string) string {
 	hash := fnv.New64a()
 	for _, action := range actions {
@@ -99,8 +99,8 @@
 	return fmt.Sprintf("%s %d %016x", name, len(actions), hash.Sum64())
 }
 
-// The balancer does just what it did when the sums were recorded, action for action, in all scenarios and in drawn streams:
-// state may be kept in other ways, but decisions may not change unseen.
+// The balancer takes the same actions as when the checksums were recorded, in all scenarios and in random streams: the
+// representation of its state may change, but its decisions must not change unnoticed.
 func TestActionsAreAsRecorded(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
--- a/balancer/replica.go
+++ b/balancer/replica.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// replica is an entry of the endpoint list with what this coordinator's attempts have shown of it.
+// replica is an entry of the endpoint list together with what this coordinator's attempts have shown of it.
 type replica struct {
 	id             string
 	shardSet, zone int   // shardSet is the last of the consecutive sets that it holds
 	eligible       bool  // listed, and neither draining nor gone
-	startedAt      int64 // as the list has it; 0 where it does not say
+	startedAt      int64 // as given by the endpoint list, 0 if unknown
 
-	attempts        []*attempt // in flight, in the order in which they were sent
+	attempts        []*attempt // in flight, in the order of sending
 	lastSent        int64
 	batchesInFlight int
 	currentBatch    *batch // to which the next attempt of this iteration is added
@@ -21,11 +21,11 @@
 	inflight  replicaInflight
 }
 
-// batch is the attempts that one iteration sent to one replica and that travel as one call.
+// batch is a group of attempts that one iteration sends to one replica in a single call.
 type batch struct{ size, inFlight int }
 
-// restarted forgets what was learnt of a replica's former incarnation. The time of its next probe attempt and a
-// Retry-After that it named stay: they only spare it.
+// resetForRestart clears what was learnt of a replica's previous incarnation. The time of its next probe attempt and
+// its Retry-After stay: they only protect it.
 func (r *replica) restarted(startedAt int64) {
 	r.startedAt = startedAt
 	r.latency = replicaLatency{}
@@ -33,8 +33,8 @@
 	r.health.gossipedOutlierUntil = 0
 }
 
-// joinBatch adds an attempt to the batch of this iteration, or begins one where the last is full. Attempts of one batch
-// count as one when replicas are compared by their load.
+// joinBatch adds an attempt to the batch of this iteration, or starts a new batch if the last one is full. Attempts of
+// one batch count as one when the load of replicas is compared.
 func (r *replica) joinBatch(a *attempt, now int64, maxSize int) {
 	if r.currentBatchAt != now || r.currentBatch == nil || r.currentBatch.size >= maxSize {
 		r.currentBatch, r.currentBatchAt = &a.ownBatch, now
--- a/balancer/replica_restriction.go
+++ b/balancer/replica_restriction.go
@@ -1,20 +1,22 @@
 package balancer
 
 const (
-	// maxRestrictedSpots is the number of spots whose holders are kept: some dozen restrictions of a thousand shards each.
+	// maxRestrictedHolderSets is the largest number of cached holder sets: enough for some dozen restrictions of a
+	// thousand shards each.
 	maxRestrictedSpots = 1 << 16
-	// groupShift is the number of a spot's bits that are the shard's: shards are counted in thousands.
+	// restrictionIDShift is the number of bits of a holders key that are used for the shard: shards are counted in
+	// thousands.
 	groupShift = 32
 )
 
-// restrictionIndex holds the replicas that restricted searches may use, by spot. Its group numbers are never used twice,
-// so that a spot has one meaning.
+// restrictionIndex caches the replicas that restricted searches may use, by holders key. Restriction ids are never
+// reused, so that a key has only one meaning.
 type restrictionIndex struct {
 	lastGroup int
 	holders   map[int][]*replica
 }
 
-// assignGroup numbers a restriction that is used for the first time.
+// assignID gives an id to a restriction that is used for the first time.
 func (x *restrictionIndex) assignGroup(to *ReplicaRestriction) {
 	if to.group != 0 {
 		return
@@ -26,7 +28,8 @@
 	to.group = x.lastGroup
 }
 
-// spot numbers the pair of a request's shard and its search's restriction: requests of one spot have the same holders.
+// holdersKey identifies the pair of the request's shard and its search's restriction: requests with the same key have
+// the same holders.
 func (r *shardRequest) spot() int {
 	if r.search.restriction == nil {
 		return r.shard
@@ -34,10 +37,10 @@
 	return r.shard | r.search.restriction.group<<groupShift
 }
 
-// restrictedHolders returns the holders of a shard that its search's restriction allows.
+// restrictedHolders returns the holders of a shard that the restriction of its search allows.
 func (b *balancer) restrictedHolders(request *shardRequest) []*replica {
-	spot := request.spot()
-	allowed, known := b.restrictions.holders[spot]
+	key := request.spot()
+	allowed, known := b.restrictions.holders[key]
 	if !known {
 		for _, r := range b.endpoints.shardSetHolders(request.shard % b.endpoints.shardSets) {
 			if request.search.restriction.Allows(request.shard, r.id) {
@@ -47,13 +50,13 @@
 		if len(b.restrictions.holders) >= maxRestrictedSpots {
 			clear(b.restrictions.holders)
 		}
-		b.restrictions.holders[spot] = allowed
+		b.restrictions.holders[key] = allowed
 	}
 	return allowed
 }
 
-// RestrictReplicas cancels what is in flight elsewhere whether or not the settings allow cancelling: a request must not run
-// on where it may not, and an answer from there must not count.
+// RestrictReplicas cancels attempts at other replicas whether or not the settings allow cancelling: a request must not
+// continue where it is not allowed, and an answer from there must not count.
 func (b *balancer) RestrictReplicas(id uint64, to *ReplicaRestriction, onUnavailable func(shard int) (end bool)) {
 	s := b.searches.byID[id]
 	if s == nil || s.ended {
@@ -69,7 +72,7 @@
 		if request.completed || request.lost || b.remainsServed(request, to) {
 			continue
 		}
-		if !s.reduced || request.queued || len(request.attempts) > 0 { // a reduced search does not count on the others
+		if !s.reduced || request.queued || len(request.attempts) > 0 { // a reduced search did not count on the others
 			s.reachableWeight -= request.weight
 		}
 		request.lost, lost = true, true
@@ -87,8 +90,8 @@
 	}
 }
 
-// remainsServed cancels the attempts of a request that a restriction does not allow, and tells whether it has others or
-// could be sent to another replica.
+// canStillBeServed cancels the attempts of a request that a restriction does not allow, and tells whether it has other
+// attempts or could be sent to another replica.
 func (b *balancer) remainsServed(request *shardRequest, to *ReplicaRestriction) bool {
 	inFlight := false
 	for _, a := range request.attempts {
--- a/balancer/replica_restriction_test.go
+++ b/balancer/replica_restriction_test.go
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// allowOnly is a restriction to some replicas, of all shards.
+// allowOnly returns a restriction of all shards to some replicas.
 func allowOnly(replicas ...string) *ReplicaRestriction {
 	return &ReplicaRestriction{Allows: func(_ int, replica string) bool { return slices.Contains(replicas, replica) }}
 }
 
-// restrictedStream plays a drawn stream whose searches get restrictions that change while they are open. Of three
-// searches, one is never restricted, and one ends where a shard has no replica.
+// restrictedStream plays a random stream whose searches get restrictions that change while they are open. Of every
+// three searches, one is never restricted, and one ends if a shard has no replica.
 type restrictedStream struct {
 	*scenario
 	rng           *rand.Rand
 	replicas      []*replica
-	shared        *ReplicaRestriction // of most searches
+	shared        *ReplicaRestriction // the restriction of most searches
 	bySearch      map[uint64]*ReplicaRestriction
-	endedByShards map[uint64]bool // for a shard without a replica
+	endedByShards map[uint64]bool // searches ended because a shard has no replica
 
-	forbidden, restrictedSends, changes int // counts: the stream would show nothing without any
+	forbidden, restrictedSends, changes int // counts; if they were 0 the stream would test nothing
 }
 
 func (r *restrictedStream) drawRestriction() *ReplicaRestriction {
@@ -63,7 +63,7 @@
 	}
 }
 
-// changeAll gives all searches a new restriction, in their order.
+// changeAll gives all searches a new restriction, in the order of their ids.
 func (r *restrictedStream) changeAll() {
 	r.shared = r.drawRestriction()
 	var searches []uint64
@@ -90,16 +90,16 @@
 	r.onSend, r.onRequestsAdded = r.checkSend, r.restrictSearch
 	r.runLines(text[firstFault:])
 	r.playUntil(r.now + 100_000)
-	for id, owed := range r.owedAnswers {
-		require.Zero(t, owed, "stream %d: search %d", seed, id)
+	for id, missing := range r.owedAnswers {
+		require.Zero(t, missing, "stream %d: search %d", seed, id)
 	}
 	require.Zero(t, r.state().effectiveInFlight())
 	return r
 }
 
-// In drawn streams of loads, faults and lists with restrictions that change under open searches, whatever sends a request
-// (first attempts, extras, hedged attempts, retries, probes, second steps), it goes where its search may run then, each
-// search has one final answer, and the same calls give the same actions.
+// Random streams of loads, faults and lists, with restrictions that change while searches are open. Every request
+// (first attempts, extras, hedged attempts, retries, probes, second steps) is sent only where its search may run at
+// that time. Each search has one final answer, and the same calls give the same actions.
 func TestRestrictionHoldsForEveryAttempt(t *testing.T) {
 	forbidden, restrictedSends, changes := 0, 0, 0
 	for seed := range int64(drawnStreams / 4) {
@@ -116,7 +116,7 @@
 	require.Greater(t, changes, 1000)
 }
 
-// restrict restricts a search in an iteration of its own and returns the shards that no replica holds.
+// restrict restricts a search in an iteration of its own and returns the shards without an allowed replica.
 func (s *scenario) restrict(search uint64, to *ReplicaRestriction, end bool) (unavailable []int) {
 	s.iterate(func() {
 		s.balancer.RestrictReplicas(search, to, func(shard int) bool {
@@ -127,8 +127,8 @@
 	return unavailable
 }
 
-// As a restriction tightens under a search, what is in flight elsewhere is cancelled in that iteration and sent again
-// within it.
+// When a restriction is tightened, attempts in flight at other replicas are cancelled in that iteration, and their
+// requests are sent again within it.
 func TestRestrictionCancelsAttemptsElsewhere(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nsearch 1 1 4000 0,0,0,0")
 	require.Equal(t, 4, s.countSentTo("a")+s.countSentTo("b"))
@@ -142,8 +142,9 @@
 	require.Equal(t, elsewhere, s.countSentTo("b"))
 }
 
-// Where no allowed replica holds a shard, a search that is to end does so at once and sends nothing; else its type may be
-// answered without the shard, not marked as complete, and a type that may not gets its final answer at once.
+// If no allowed replica holds a shard, a search that is to end does so at once and sends nothing. Otherwise a type that
+// allows partial answers may be answered without the shard, not marked as complete, and other types get their final
+// answer at once.
 func TestRestrictionWithoutHolder(t *testing.T) {
 	s := newScenario(t, "facts Specifics.Sets=2 Specifics.ClassFloor=0.3,1\nstart a/0 b/1\nwhen a,b Ok 20\nsearch 1 0 4000 0,1")
 	s.runLines("mark")
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -3,38 +3,40 @@
 import "slices"
 
 const (
-	// maxLostConnections is the number of connections dropped under a search without any answer from which it is taken to
-	// crash what serves it: one may be chance.
+	// maxLostConnections is the number of connections dropped under a search without any answer from which the search
+	// is assumed to crash the replicas that serve it: one may be chance.
 	maxLostConnections = 2
-	// windowMargin is kept off the windows of the settings' rules against rounding, in tenths of a millisecond.
+	// windowMargin is the safety margin, against rounding, on the windows of the rules in the settings, in tenths of a
+	// millisecond.
 	windowMargin = 2 * millisecond
 )
 
-// retryBudget bounds the retries and hedged attempts to a share of the requests in a sliding window, so that they cannot
-// multiply the load of replicas that fail under it. Its lists hold times in order.
+// retryBudget limits the retries and hedged attempts to a share of the requests in a sliding window, so that they
+// cannot multiply the load of replicas that fail under it. Its lists hold times in ascending order.
 type retryBudget struct {
 	requests []int64 // arrivals of searches and shard requests
 	retries  []int64
 }
 
-// trim drops what is before the window. The margin makes the budget the smaller one in doubt.
+// trim drops the times before the window. The margin makes the budget smaller in case of doubt.
 func (r *retryBudget) trim(now, window int64) {
 	r.requests = dropBefore(r.requests, now-window+windowMargin)
 	r.retries = dropBefore(r.retries, now-window-windowMargin)
 }
 
-// allows tells whether one more retry is within floor and ratio times the requests of the window.
+// allows tells whether one more retry stays within floor plus ratio times the number of requests in the window.
 func (r *retryBudget) allows(floor, ratio float64) bool {
 	return float64(len(r.retries)+1) <= floor+ratio*float64(len(r.requests))
 }
 
-// dropBefore drops the times before a limit from a list in order.
+// dropBefore drops the times before a limit from an ascending list.
 func dropBefore(times []int64, limit int64) []int64 {
 	first, _ := slices.BinarySearch(times, limit)
 	return times[first:]
 }
 
-// hasRetryBudget tells whether the settings state a budget. Without one nothing is recorded: nothing would ever trim it.
+// hasRetryBudget tells whether the settings define a budget. Without one nothing is recorded, since nothing would ever
+// trim the lists.
 func (b *balancer) hasRetryBudget() bool { return b.settings.duration(settingBudgetWindow) > 0 }
 
 func (b *balancer) recordRequest() {
@@ -49,7 +51,7 @@
 	}
 }
 
-// mayAttempt tells whether a request may be sent now as far as the rules on retries and their budget go.
+// mayAttempt tells whether the rules on retries and their budget allow a request to be sent now.
 func (b *balancer) mayAttempt(request *shardRequest) bool {
 	if len(request.attempts) == 0 {
 		return true
@@ -64,8 +66,8 @@
 	return b.mayRepeat(request) && b.retries.allows(floor, ratio)
 }
 
-// mayRepeat tells whether one more attempt is allowed and harmless: it is idempotent, or its idempotency key still holds
-// since the first attempt that may have run, or no attempt has run.
+// mayRepeat tells whether one more attempt is allowed and harmless: the request is idempotent, or its idempotency key
+// is still valid since the first attempt that may have run, or no attempt has run.
 func (b *balancer) mayRepeat(request *shardRequest) bool {
 	effect := request.search.effect
 	hasAttemptsLeft := len(request.attempts) < b.settings.maxAttempts()
@@ -83,10 +85,10 @@
 
 // retryLost sends a request again whose attempts have all ended without an answer, or gives it up.
 //
-// A search that crashes what serves it must not be sent from replica to replica: it shows in dropped connections without
-// any answer. After one, a lost request goes out again only after another of the search was answered; after two, the search
-// fails. When many replicas crash for another reason, a search that loses two requests before its first answer fails with
-// them.
+// A search that crashes the replicas that serve it must not be sent from replica to replica. It shows in dropped
+// connections without any answer. After one dropped connection, a lost request is sent again only once another request
+// of the search has been answered; after two, the search fails. If many replicas crash for another reason, a search
+// that loses two requests before its first answer fails as well.
 func (b *balancer) retryLost(request *shardRequest) {
 	s := request.search
 	if !request.isOpen() || request.queued || len(request.attempts) == 0 || request.isInFlight() {
@@ -96,7 +98,7 @@
 	switch {
 	case seemsHarmful && (s.lostConnections >= maxLostConnections || s.awaitsCanary):
 		b.fail(s)
-	case seemsHarmful && s.isInFlight(): // until that has ended
+	case seemsHarmful && s.isInFlight(): // wait until those attempts have ended
 	case b.mayRepeat(request):
 		b.enqueueRequest(request)
 	default:
--- a/balancer/scenario_harness_test.go
+++ b/balancer/scenario_harness_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The notation of scenarios is described in testdata/README. There are two sets of shards; query type 0 needs 60% of its
-// requests, type 1 all of them.
+// The notation of scenarios is described in testdata/README. By default there are two shard sets; query type 0 needs
+// 60% of its requests, type 1 all of them.
 const defaultSettings = `Tick=5 Balancers=2 Specifics.Sets=2 Specifics.Reach=1 Specifics.PerCall=1 Classes.count=2
 Classes.0.Aim=1500 Classes.0.Deadline=4000 Classes.0.Effect=retryable Classes.0.LateShare=0.3
 Classes.1.Aim=1500 Classes.1.Deadline=4000 Classes.1.Effect=retryable Classes.1.LateShare=0.3
@@ -27,14 +27,14 @@
 	run func()
 }
 
-// attemptID names an attempt by its request and its index.
+// attemptID identifies an attempt by its request and its index.
 type attemptID struct {
 	request uint64
 	index   int
 }
 
-// scenario is the protocol of one balancer: it plays the lines of a text, with replicas that answer as the text says, and
-// records the actions.
+// scenario is the protocol of one balancer. It plays the lines of a text, with replicas that answer as the text says,
+// and records the actions.
 type scenario struct {
 	t        *testing.T
 	balancer Balancer
@@ -46,23 +46,23 @@
 
 	settings      map[string]string
 	replies       map[string][]string // outcome and milliseconds, by replica
-	lossy         map[string]uint64   // one in so many searches is not answered, by replica
-	outcomeReport map[string]float64  // with each outcome
+	lossy         map[string]uint64   // by replica: one in this many searches gets no answer
+	outcomeReport map[string]float64  // passed with each outcome
 
 	attemptCounts    map[uint64]int // by request
 	attemptsInFlight map[uint64]int // by request
 	endedAttempts    map[attemptID]bool
 	searchOf         map[uint64]uint64 // by request
-	owedAnswers      map[uint64]int    // final answers that are owed, by search
+	owedAnswers      map[uint64]int    // number of final answers still expected, by search
 	secondSteps      map[uint64]string // shards of the second step, by search
 	lastSteady       uint64            // number of the last search of a steady line
 
-	recounts        bool                // holds the count in flight against a recount after each iteration
-	onRequestsAdded func(search uint64) // nil for none
+	recounts        bool                // compares the count in flight with a recount after each iteration
+	onRequestsAdded func(search uint64) // may be nil
 	onSend          func(search uint64, replica string)
 }
 
-// newScenario plays a text, without what is still to happen after its last line.
+// newScenario plays a text, but not the events scheduled after its last line.
 func newScenario(t *testing.T, text string) *scenario {
 	return newScenarioWithRecount(t, text, false)
 }
@@ -80,19 +80,19 @@
 	return s
 }
 
-// playToEnd plays a text until every search must have its final answer.
+// playToEnd plays a text until every search must have got its final answer.
 func playToEnd(t *testing.T, text string) *scenario {
 	s := newScenario(t, text)
 	s.playUntil(s.now + 100_000)
-	for id, owed := range s.owedAnswers {
-		require.Zero(t, owed, "search %d has no final answer", id)
+	for id, missing := range s.owedAnswers {
+		require.Zero(t, missing, "search %d has no final answer", id)
 	}
 	return s
 }
 
 func playActions(t *testing.T, text string) []string { return playToEnd(t, text).allActions }
 
-// state is the balancer's inside.
+// state returns the balancer's internal state.
 func (s *scenario) state() *balancer { return s.balancer.(*balancer) }
 
 func (s *scenario) record(format string, values ...any) {
@@ -136,7 +136,7 @@
 func (s *scenario) recordFinal(search uint64, kind string) {
 	s.record("%s %d", kind, search)
 	s.owedAnswers[search]--
-	require.GreaterOrEqual(s.t, s.owedAnswers[search], 0, "second final answer to %d", search)
+	require.GreaterOrEqual(s.t, s.owedAnswers[search], 0, "second final answer for search %d", search)
 }
 
 func (s *scenario) SendAttempt(request uint64, replica string, timeout int64) {
@@ -151,7 +151,7 @@
 	s.attemptsInFlight[request]++
 	require.LessOrEqual(s.t, s.attemptCounts[request], int(s.number(s.settings[settingMaxAttempts])))
 	mayHedge := s.settings[settingHedging] == "true"
-	require.True(s.t, s.attemptsInFlight[request] == 1 || mayHedge, "hedged attempt of %d", request)
+	require.True(s.t, s.attemptsInFlight[request] == 1 || mayHedge, "hedged attempt of request %d although hedging is off", request)
 	reply, lossy := s.replies[replica], s.lossy[replica]
 	if reply != nil && (lossy == 0 || search%lossy > 0) {
 		s.scheduleOutcome(request, index, reply[0], s.number(reply[1])*millisecond)
@@ -178,7 +178,7 @@
 	return n
 }
 
-// playUntil plays what is due until a time, one iteration for each moment.
+// playUntil plays the events due until a time, with one iteration for each point in time.
 func (s *scenario) playUntil(at int64) {
 	for len(s.events) > 0 && s.events[0].at <= at {
 		s.now = s.events[0].at
@@ -193,7 +193,7 @@
 	s.now = at
 }
 
-// iterate does something within one iteration of the balancer.
+// iterate runs a function within one iteration of the balancer.
 func (s *scenario) iterate(do func()) {
 	s.balancer.BeginIteration(s.now)
 	do()
@@ -203,8 +203,8 @@
 	}
 }
 
-// checkInflightCount holds the count in flight against a recount of all attempts. It reads estimates that decay, which may
-// move their last digits.
+// checkInflightCount compares the count in flight with a recount of all attempts. Reading the decaying estimates for
+// this may change their last digits.
 func (s *scenario) checkInflightCount() {
 	b := s.state()
 	count := 0
@@ -216,7 +216,7 @@
 	require.Equal(s.t, count, b.effectiveInFlight())
 }
 
-// countSentTo returns how many of the actions since the last mark are attempts at a replica.
+// countSentTo returns how many actions since the last mark are attempts at a replica.
 func (s *scenario) countSentTo(replica string) (count int) {
 	for _, action := range s.actions {
 		if strings.HasPrefix(action, "send ") && strings.HasSuffix(action, " "+replica) {
@@ -242,7 +242,7 @@
 	}
 }
 
-// addSearch adds a search described by the words "TYPE GRACE SHARDS [WEIGHTS [again]]".
+// addSearch adds a search described by the words "TYPE TIMELEFT SHARDS [WEIGHTS [again]]".
 func (s *scenario) addSearch(id uint64, words []string) {
 	words = append(words, "", "")
 	queryType, timeLeft, shards, weights, isRetry := words[0], words[1], words[2], words[3], words[4] == "again"
@@ -254,7 +254,7 @@
 	})
 }
 
-// commitList hands over a list of entries "ID/CELL[/STATUS[/SINCE]]".
+// commitList passes on a list with entries "ID/SHARDSET[/STATUS[/START]]".
 func (s *scenario) commitList(kind string, entries []string) {
 	for _, entry := range entries {
 		fields := strings.Split(entry, "/")
@@ -271,7 +271,7 @@
 	s.balancer.CommitEndpoints(kind, 1)
 }
 
-// runLines runs the lines of a scenario, without comments.
+// runLines runs the lines of a scenario, ignoring comments.
 func (s *scenario) runLines(text string) {
 	for _, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
@@ -298,7 +298,7 @@
 		"expect":   s.expect,
 	}
 	command := commands[words[0]]
-	require.NotNil(s.t, command, "unknown line %v", words)
+	require.NotNil(s.t, command, "unknown command in line %v", words)
 	command(words[1:])
 }
 
@@ -363,5 +363,5 @@
 			count++
 		}
 	}
-	require.True(s.t, s.number(low) <= count && count <= s.number(high), "%d of %v in %q", count, words, s.actions)
+	require.True(s.t, s.number(low) <= count && count <= s.number(high), "%d actions match %v in %q", count, words, s.actions)
 }
--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each scenario of testdata meets its expectations, and the same events give the same actions in a second run.
+// Each scenario in testdata meets its expectations, and a second run with the same events gives the same actions.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -20,13 +20,13 @@
 		require.NoError(t, err)
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			first := playActions(t, string(text))
-			require.True(t, slices.Equal(first, playActions(t, string(text))), "same events, other actions")
+			require.True(t, slices.Equal(first, playActions(t, string(text))), "different actions for the same events")
 		})
 	}
 }
 
-// Nothing of a search is held once it has its final answer, however long its client would have waited: else memory would
-// grow with the request rate times the client timeout.
+// No part of a search is kept in memory once it has its final answer, however long its client would have waited:
+// otherwise memory would grow with the request rate times the client timeout.
 func TestEndedSearchesHoldNothing(t *testing.T) {
 	b := playToEnd(t, "start a/0 b/0 c/1 d/1\nwhen a,b,c Ok 20\nwhen d Failed 5\nsteady 400 10 1 60000 0,1,0,1").state()
 	require.Empty(t, b.searches.byID)
@@ -37,7 +37,7 @@
 	require.Empty(t, b.timers.callbacks)
 }
 
-// Replicas that have left are forgotten, whether a partial or a complete list says so.
+// Replicas that have left are removed, whether a partial or a complete list reports it.
 func TestDepartedReplicasAreForgotten(t *testing.T) {
 	b := New(nil).(*balancer)
 	b.Configure(1, map[string]string{settingShardSets: "1", settingSetsPerReplica: "1"})
--- a/balancer/search_test.go
+++ b/balancer/search_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newWeightedSearch makes a search with a request of each weight.
+// newWeightedSearch makes a search with one request for each weight.
 func newWeightedSearch(neededWeight float64, weights ...float64) *search {
 	s := &search{step: 1, neededWeight: neededWeight, requestCount: len(weights)}
 	for _, weight := range weights {
@@ -17,7 +17,7 @@
 	return s
 }
 
-// Weights that fall short of 1 by their rounding are made to add up to 1; others stay as they are.
+// Weights that fall short of 1 by rounding are scaled to add up to 1; others stay unchanged.
 func TestSearchWeights(t *testing.T) {
 	s := newWeightedSearch(1, 0.333333, 0.333333, 0.333333)
 	require.Equal(t, 1.0, s.reachableWeight)
@@ -36,7 +36,7 @@
 	require.True(t, s.isComplete())
 }
 
-// The room for requests grows without moving those that are in use.
+// The storage for requests grows without moving those already in use.
 func TestSearchRequestsKeepTheirPlace(t *testing.T) {
 	s := newWeightedSearch(1, 0.2, 0.2, 0.2, 0.2, 0.2)
 	require.Len(t, s.requests, 5)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A client may send a search again that is idempotent, or of which nothing may have run.
+// A client may send a search again if it is idempotent or no part of it may have run.
 func TestSearchIsRepeatable(t *testing.T) {
 	for name, test := range map[string]struct {
 		effect  string
@@ -56,11 +56,11 @@
 		attempt attempt
 		want    bool
 	}{
-		"idempotent":                {effect: effectRetryable, step: 2, attempt: attempt{mayHaveRun: true}, want: true},
-		"nothing has run":           {effect: effectFragile, step: 1, attempt: attempt{ended: true}, want: true},
-		"a request may have run":    {effect: effectFragile, step: 1, attempt: attempt{ended: true, mayHaveRun: true}},
-		"a request is in flight":    {effect: effectDedup, step: 1},
-		"the first step has an end": {effect: effectDedup, step: 2, attempt: attempt{ended: true}},
+		"idempotent":               {effect: effectRetryable, step: 2, attempt: attempt{mayHaveRun: true}, want: true},
+		"nothing has run":          {effect: effectFragile, step: 1, attempt: attempt{ended: true}, want: true},
+		"a request may have run":   {effect: effectFragile, step: 1, attempt: attempt{ended: true, mayHaveRun: true}},
+		"a request is in flight":   {effect: effectDedup, step: 1},
+		"the first step has ended": {effect: effectDedup, step: 2, attempt: attempt{ended: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newWeightedSearch(1, 1)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Units of time: the package counts in tenths of a millisecond.
+// Units of time. The package counts time in tenths of a millisecond.
 const (
 	millisecond = 10
 	second      = 1_000 * millisecond
 )
 
-// settings holds the settings by name and caches what has been parsed. A required setting that is missing, and any
-// setting that cannot be parsed, panics with its name; the protocol reports that and drops the balancer.
+// settings holds the settings by name and caches parsed values. A required setting that is missing, and any setting
+// that cannot be parsed, causes a panic that names it; the protocol reports this and drops the balancer.
 type settings struct {
 	values map[string]string
 	parsed map[string]float64
@@ -45,7 +45,7 @@
 	value, err := strconv.ParseFloat(text, 64)
 	isNaN := value != value
 	if err != nil || isNaN {
-		panic(fmt.Sprintf("setting %s: %q is no number", name, text))
+		panic(fmt.Sprintf("setting %s: %q is not a number", name, text))
 	}
 	s.parsed[name] = value
 	return value
@@ -63,7 +63,7 @@
 	return s.parse(name, text)
 }
 
-// optionalNumber returns a number, or a default where it is missing.
+// optionalNumber returns a number, or a default if it is missing.
 func (s settings) optionalNumber(name string, missing float64) float64 {
 	if value, ok := s.parsed[name]; ok {
 		return value
@@ -74,12 +74,12 @@
 	return missing
 }
 
-// duration returns a time, given in milliseconds, in tenths of a millisecond; 0 where it is missing.
+// duration returns a time, given in milliseconds, in tenths of a millisecond; 0 if it is missing.
 func (s settings) duration(name string) int64 {
 	return int64(s.optionalNumber(name, 0) * millisecond)
 }
 
-// isEnabled returns a switch; a missing one is off.
+// isEnabled returns the value of a switch; a missing one is off.
 func (s settings) isEnabled(name string) bool {
 	switch text := s.values[name]; text {
 	case "true", "1":
@@ -91,7 +91,7 @@
 	}
 }
 
-// listNumber returns an item of a comma-separated list of numbers, or a default where the list is missing.
+// listNumber returns an item of a comma-separated list of numbers, or a default if the list is missing.
 func (s settings) listNumber(name string, index int, missing float64) float64 {
 	key := settingKey{list: name, index: index}
 	if value, ok := s.listNumbers[key]; ok {
@@ -103,7 +103,7 @@
 	}
 	items := strings.Split(text, ",")
 	if index >= len(items) {
-		panic(fmt.Sprintf("setting %s has no place %d", name, index))
+		panic(fmt.Sprintf("setting %s has no item %d", name, index))
 	}
 	value := s.parse(name+","+strconv.Itoa(index), items[index])
 	s.listNumbers[key] = value
@@ -121,14 +121,14 @@
 	return name
 }
 
-// queryTypeDuration returns a duration among the settings of a query type.
+// queryTypeDuration returns a duration from the settings of a query type.
 func (s settings) queryTypeDuration(queryType int, field string) int64 {
 	return s.duration(s.fieldName(listQueryTypes, queryType, field))
 }
 
 func (s settings) maxAttempts() int { return int(s.optionalNumber(settingMaxAttempts, 1)) }
 
-// allowsHedging tells whether two attempts of a shard request may run at once.
+// allowsHedging tells whether two attempts of a shard request may run at the same time.
 func (s settings) allowsHedging() bool { return s.isEnabled(settingHedging) }
 
 // allowsCancelling tells whether an attempt may be cancelled.
--- a/balancer/settings_isolation_test.go
+++ b/balancer/settings_isolation_test.go
@@ -10,31 +10,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// drawnSettings is settings that are drawn, before their query types and tenants are put in an order.
+// randomSettings holds random settings before their query types and tenants are put in an order.
 type drawnSettings struct {
 	single              map[string]string
 	queryTypes, tenants []map[string]string // settings objects
 	lists               map[string][]string // lists with an item for each query type
 
-	servesAllFirst    bool // searches of all types and tenants are answered first, and then all are of these:
+	servesAllFirst    bool // one search of each type and tenant comes first; all later ones have the type and tenant below
 	queryType, tenant int
 }
 
 func drawSettings(rng *rand.Rand) drawnSettings {
 	pick := func(values ...string) string { return values[rng.Intn(len(values))] }
-	drawn := drawnSettings{single: map[string]string{
+	random := drawnSettings{single: map[string]string{
 		"Specifics.Sets": "2", "Specifics.Reach": pick("1", "2"), "Balancers": pick("1", "3"),
 		"Specifics.PerCall": pick("1", "3"), "Permissions.MaxAttempts": pick("1", "2", "4"),
 		"Permissions.SecondCopies": pick("true", "false"), "Permissions.Cancelling": pick("true", "false"),
 		"Tick": pick("1", "5"),
 	}, lists: map[string][]string{}}
 	if rng.Intn(2) == 0 {
-		drawn.single["Safety.LookBack"] = "3000"
-		drawn.single["Safety.FurtherRatio"], drawn.single["Safety.ExtraFloor"] = "0.1", "2"
+		random.single["Safety.LookBack"] = "3000"
+		random.single["Safety.FurtherRatio"], random.single["Safety.ExtraFloor"] = "0.1", "2"
 	}
 	for i := range 4 {
 		objective := 50 + rng.Intn(1500)
-		drawn.queryTypes = append(drawn.queryTypes, map[string]string{
+		random.queryTypes = append(random.queryTypes, map[string]string{
 			"Name": fmt.Sprint("type", i), "Aim": fmt.Sprint(objective),
 			"Deadline": fmt.Sprint(objective + rng.Intn(2000)), "Effect": pick("retryable", "dedup", "fragile"),
 			"LateShare": pick("0", "0.03", "0.4"), "RepeatWindow": pick("0", "1", "150", "2000"),
@@ -44,18 +44,18 @@
 			"NeedByClass": needed, "ClassFloor": pick(needed, "0.25"), "FollowUp": pick("0", "0", "2"),
 			"ShortWorth": pick("0.5", "1"),
 		} {
-			drawn.lists[name] = append(drawn.lists[name], value)
+			random.lists[name] = append(random.lists[name], value)
 		}
 	}
 	for i := range 3 {
-		drawn.tenants = append(drawn.tenants, map[string]string{
+		random.tenants = append(random.tenants, map[string]string{
 			"Name": fmt.Sprint("tenant", i), "QuotaPerS": pick("2", "20", "1000"),
 		})
 	}
-	return drawn
+	return random
 }
 
-// arrangement says at which place each query type and tenant stands in the settings, and what its name ends with.
+// arrangement defines the position of each query type and tenant in the settings, and a suffix of their names.
 type arrangement struct {
 	queryTypes, tenants []int
 	nameSuffix          string
@@ -63,7 +63,7 @@
 
 var originalOrder = arrangement{queryTypes: []int{0, 1, 2, 3}, tenants: []int{0, 1, 2}}
 
-// arrange returns the settings with the query types and tenants as an arrangement has them.
+// arrange returns the settings with the query types and tenants ordered and named by an arrangement.
 func (d drawnSettings) arrange(to arrangement) map[string]string {
 	all := map[string]string{
 		settingQueryTypes: fmt.Sprint(len(to.queryTypes)), settingTenants: fmt.Sprint(len(to.tenants)),
@@ -91,7 +91,7 @@
 	return all
 }
 
-// drawnRun is a scenario with drawn settings and what is to happen to it, step by step.
+// randomRun is a scenario with random settings and the steps still to be played.
 type drawnRun struct {
 	*scenario
 	arrangement arrangement
@@ -116,27 +116,28 @@
 	return r.allActions
 }
 
-// drawnSearch is a search with requests of consecutive shards. Its query type and tenant are counted in the original order.
+// randomSearch is a search with requests of consecutive shards. Its query type and tenant are numbered in the original
+// order.
 type drawnSearch struct {
 	queryType, tenant, firstShard, requestCount int
 	timeLeft                                    int64 // in milliseconds
 	isRetry                                     bool
 }
 
-func (r *drawnRun) addDrawnSearch(id uint64, drawn drawnSearch) {
+func (r *drawnRun) addDrawnSearch(id uint64, search drawnSearch) {
 	r.owedAnswers[id] = 1
 	r.iterate(func() {
-		queryType, tenant := r.arrangement.queryTypes[drawn.queryType], r.arrangement.tenants[drawn.tenant]
-		r.balancer.AddSearch(id, queryType, tenant, "-", drawn.timeLeft*millisecond, id, drawn.requestCount, drawn.isRetry)
+		queryType, tenant := r.arrangement.queryTypes[search.queryType], r.arrangement.tenants[search.tenant]
+		r.balancer.AddSearch(id, queryType, tenant, "-", search.timeLeft*millisecond, id, search.requestCount, search.isRetry)
 		var shards []string
-		for i := range drawn.requestCount {
-			shards = append(shards, fmt.Sprint(drawn.firstShard+i))
+		for i := range search.requestCount {
+			shards = append(shards, fmt.Sprint(search.firstShard+i))
 		}
 		r.addRequests(id, id*100, strings.Join(shards, ","), "")
 	})
 }
 
-// prepare makes a run of 150 searches with faults and list changes.
+// prepare returns a run of 150 searches with faults and list changes.
 func (d drawnSettings) prepare(t *testing.T, rng *rand.Rand, to arrangement) *drawnRun {
 	r := &drawnRun{scenario: newScenario(t, ""), arrangement: to}
 	maps.DeleteFunc(r.settings, func(name, _ string) bool { return strings.HasPrefix(name, listQueryTypes+".") })
@@ -179,7 +180,7 @@
 	return r
 }
 
-// addSearchOfEach adds one search of each query type and tenant, which is answered before the next.
+// addSearchOfEach adds one search of each query type and tenant, each answered before the next is added.
 func (r *drawnRun) addSearchOfEach() {
 	r.addStep(func() { r.playUntil(200_000) })
 	queryTypes, tenants := len(r.arrangement.queryTypes), len(r.arrangement.tenants)
@@ -211,8 +212,8 @@
 	return drawSettings(rng).prepare(t, rng, to)
 }
 
-// What is decided for a search follows what the settings say of its query type and its tenant, not where in the lists they
-// say it or under which name: the same settings in another order, with other names, give the same actions.
+// Decisions on a search depend on the settings of its query type and tenant, not on their position in the lists or
+// their names: the same settings in another order and with other names give the same actions.
 func TestOrderAndNamesOfQueryTypesAndTenantsDoNotMatter(t *testing.T) {
 	for seed := range int64(24) {
 		want := prepareSeed(t, seed, originalOrder).playAll()
@@ -223,7 +224,8 @@
 	}
 }
 
-// Two balancers of one process with other settings decide what each decides alone, in whatever order their iterations come.
+// Two balancers with different settings in one process decide the same as each of them alone, in whatever order their
+// iterations come.
 func TestBalancersAreIndependent(t *testing.T) {
 	for seed := range int64(8) {
 		var want, got [2][]string
@@ -248,25 +250,26 @@
 	}
 }
 
-// A search is handled by the settings of its own query type and tenant, whatever came before: once searches of all have
-// been answered, those of one type and tenant get what they get where all types and tenants are as these.
+// A search is handled by the settings of its own query type and tenant, whatever came before. Once a search of each has
+// been answered, searches of one type and tenant are handled as if all types and tenants had the same settings as
+// these.
 func TestSearchFollowsItsOwnSettings(t *testing.T) {
 	for seed := range int64(16) {
-		play := func(areAlike bool) []string {
+		play := func(uniform bool) []string {
 			rng := rand.New(rand.NewSource(seed))
-			drawn := drawSettings(rng)
-			drawn.servesAllFirst, drawn.queryType, drawn.tenant = true, rng.Intn(4), rng.Intn(3)
-			drawn.lists["FollowUp"] = []string{"0", "0", "0", "0"} // the searches of each that come first have one step
-			if areAlike {
-				drawn.makeAlike()
+			random := drawSettings(rng)
+			random.servesAllFirst, random.queryType, random.tenant = true, rng.Intn(4), rng.Intn(3)
+			random.lists["FollowUp"] = []string{"0", "0", "0", "0"} // the first search of each has only one step
+			if uniform {
+				random.makeAlike()
 			}
-			return drawn.prepare(t, rng, originalOrder).playAll()
+			return random.prepare(t, rng, originalOrder).playAll()
 		}
 		require.Equal(t, play(true), play(false), "seed %d", seed)
 	}
 }
 
-// makeAlike gives all query types and tenants the settings of the chosen ones.
+// makeUniform gives all query types and tenants the settings of the chosen ones.
 func (d *drawnSettings) makeAlike() {
 	for i := range d.queryTypes {
 		d.queryTypes[i] = d.queryTypes[d.queryType]
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -11,7 +11,7 @@
 		"Number": "2.5", "List": "1,0.5", "On": "true", "One": "1", "Off": "false", "Empty": "",
 		"Classes.1.Aim": "1500", settingMaxAttempts: "3",
 	})
-	for range 2 { // the second time what was parsed is cached
+	for range 2 { // the second time with cached values
 		require.Equal(t, 2.5, s.number("Number"))
 		require.Equal(t, 2.5, s.optionalNumber("Number", 7))
 		require.Equal(t, 7.0, s.optionalNumber("Missing", 7))
@@ -28,15 +28,15 @@
 	require.Equal(t, 3, s.maxAttempts())
 }
 
-// A setting that is required and missing, or that cannot be parsed, panics with its name.
+// A required setting that is missing, or a setting that cannot be parsed, causes a panic that names it.
 func TestSettingsFaults(t *testing.T) {
 	s := newSettings(map[string]string{"Text": "many", "NaN": "NaN", "List": "1,many", "Switch": "perhaps"})
 	for want, read := range map[string]func(){
 		"setting Missing is missing":                          func() { s.number("Missing") },
-		`setting Text: "many" is no number`:                   func() { s.number("Text") },
-		`setting NaN: "NaN" is no number`:                     func() { s.optionalNumber("NaN", 1) },
-		`setting List,1: "many" is no number`:                 func() { s.listNumber("List", 1, 0) },
-		"setting List has no place 2":                         func() { s.listNumber("List", 2, 0) },
+		`setting Text: "many" is not a number`:                func() { s.number("Text") },
+		`setting NaN: "NaN" is not a number`:                  func() { s.optionalNumber("NaN", 1) },
+		`setting List,1: "many" is not a number`:              func() { s.listNumber("List", 1, 0) },
+		"setting List has no item 2":                          func() { s.listNumber("List", 2, 0) },
 		`setting Switch: "perhaps" is neither true nor false`: func() { s.isEnabled("Switch") },
 	} {
 		require.PanicsWithValue(t, want, read)
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Credit fills at its rate, and holds one attempt at most however long nothing was sent.
+// Credit grows at its rate, but never to more than one attempt, however long nothing was sent.
 func TestSlowStartCredit(t *testing.T) {
 	var slowStart slowStartCredit
 	slowStart.reset(100, 0.25)
--- a/balancer/tenant_quota.go
+++ b/balancer/tenant_quota.go
@@ -24,9 +24,9 @@
 	return true
 }
 
-// exceedsQuota charges a search to its tenant and tells whether it goes beyond this coordinator's part of the tenant's
-// quota. Tenants without a quota never do. What goes beyond is shed first, and only while searches wait: a heavy tenant
-// must not take the capacity of the others, but may use what nobody else needs.
+// exceedsQuota charges a search to its tenant and tells whether it exceeds this coordinator's part of the tenant's
+// quota. Tenants without a quota never exceed it. Searches over the quota are shed first, and only while searches wait:
+// a heavy tenant must not take capacity from the others, but may use what nobody else needs.
 func (b *balancer) exceedsQuota(tenant int) bool {
 	perSecond := b.settings.optionalNumber(b.settings.fieldName(listTenants, tenant, fieldQuota), 0)
 	rate := perSecond / b.settings.number(settingBalancers) / second
--- a/balancer/tenant_quota_test.go
+++ b/balancer/tenant_quota_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What one tenant has used of its quota is not taken from another's.
+// One tenant's use of its quota does not reduce another tenant's quota.
 func TestTenantQuotasAreIndependent(t *testing.T) {
 	s := newScenario(t, "facts Tenants.count=2 Tenants.0.QuotaPerS=10 Tenants.1.QuotaPerS=10\nstart a/0 b/1\nat 10000")
 	b := s.state()
@@ -19,7 +19,7 @@
 	})
 }
 
-// A bucket fills at its rate, and holds one token and a burst of two seconds at most.
+// A bucket fills at its rate and holds at most one token plus a burst of two seconds.
 func TestTokenBucket(t *testing.T) {
 	const rate = 5.0 / second
 	var bucket tokenBucket
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -1,13 +1,14 @@
 package balancer
 
-// timerCallback is what runs when a timer fires.
+// timerCallback runs when its timer fires.
 type timerCallback interface{ run(b *balancer) }
 
 type timerFunc func()
 
 func (f timerFunc) run(*balancer) { f() }
 
-// Searches and attempts are their own callbacks, one type for each kind of timer: setting one allocates nothing.
+// Searches and attempts are their own callbacks, with one type for each kind of timer, so that setting a timer
+// allocates nothing.
 type (
 	deadlineCallback  search
 	objectiveCallback search
@@ -18,7 +19,7 @@
 func (s *objectiveCallback) run(b *balancer) { b.objectiveReached((*search)(s)) }
 func (a *hedgeCallback) run(b *balancer)     { b.hedgeAttempt((*attempt)(a)) }
 
-// timerTable holds the callbacks of the timers that are set, by label.
+// timerTable holds the callbacks of the active timers, by label.
 type timerTable struct {
 	callbacks map[uint64]timerCallback
 	lastLabel uint64
@@ -30,7 +31,7 @@
 	return t.lastLabel
 }
 
-// remove returns the callback of a timer, nil where it is not set any more.
+// remove removes and returns the callback of a timer, nil if the timer is no longer set.
 func (t *timerTable) remove(label uint64) timerCallback {
 	callback := t.callbacks[label]
 	if callback != nil {
@@ -45,8 +46,8 @@
 	return label
 }
 
-// cancelTimer cancels a timer that may have fired already. A timer holds its search with all values that have arrived:
-// without cancelling, memory would grow with the request rate times the client timeout.
+// cancelTimer cancels a timer that may already have fired. A timer keeps its search and everything received for it in
+// memory: without cancelling, memory would grow with the request rate times the client timeout.
 func (b *balancer) cancelTimer(label uint64) {
 	if b.timers.remove(label) != nil {
 		b.actions.CancelTimer(label)
--- a/balancer/timers_test.go
+++ b/balancer/timers_test.go
@@ -16,7 +16,7 @@
 func (p *timerProtocol) SetTimer(wait int64, _ uint64) { p.waits = append(p.waits, wait) }
 func (p *timerProtocol) CancelTimer(label uint64)      { p.cancelled = append(p.cancelled, label) }
 
-// A timer runs once, waits one unit of time at least, and does nothing once it is cancelled.
+// A timer runs once, waits at least one unit of time, and does nothing after it is cancelled.
 func TestTimers(t *testing.T) {
 	protocol := &timerProtocol{}
 	b := New(protocol).(*balancer)
--- a/balancer/wire.go
+++ b/balancer/wire.go
@@ -1,10 +1,9 @@
 package balancer
 
-// The words that protocols and settings use. They are fixed by the wire and by the settings' schema; the rest of the
-// package refers to them by these names.
+// Names and values used by protocols and settings. They are fixed by the wire format and by the settings schema; the
+// rest of the package refers to them by these constants.
 
-// Outcomes of an attempt, as RecordAttemptOutcome takes them. An outcome that is not listed says only that the request did
-// not run.
+// Outcomes of an attempt, as passed to RecordAttemptOutcome. Any other outcome means only that the request did not run.
 const (
 	OutcomeOK           = "Ok"           // the replica answered
 	OutcomeCanceled     = "Canceled"     // CancelAttempt took effect
@@ -15,9 +14,9 @@
 	OutcomeResetByPeer  = "ResetByPeer"  // the connection was dropped after the request was sent
 )
 
-// Kinds of endpoint lists, as CommitEndpoints takes them.
+// Kinds of endpoint lists, as passed to CommitEndpoints.
 const (
-	ListComplete  = "Complete"  // the whole list: replicas that are missing have left
+	ListComplete  = "Complete"  // the whole list: replicas missing from it have left
 	ListPersisted = "Persisted" // the whole list as it was last stored
 	ListPartial   = "Partial"   // changed entries only
 	ListError     = "Error"     // the list service failed; entries are ignored
@@ -26,7 +25,7 @@
 // StatusHealthy is the only endpoint status under which a replica may be used.
 const StatusHealthy = "healthy"
 
-// reportRetryAfter is the key of an outcome's report that holds the wait, in milliseconds, that a replica asked for.
+// reportRetryAfter is the key, in an attempt's report, of the wait in milliseconds that the replica asked for.
 const reportRetryAfter = "RetryAfter"
 
 // Effects of a query type: whether a request that may have run may be sent again.
@@ -36,7 +35,7 @@
 	effectFragile   = "fragile"   // not idempotent: never sent again once it may have run
 )
 
-// discoverySubscribe is the value of settingDiscovery under which the list has to be watched.
+// discoverySubscribe is the value of settingDiscovery that requires the endpoint list to be watched.
 const discoverySubscribe = "subscribe"
 
 // Names of single settings.
@@ -58,18 +57,18 @@
 	settingMaxRetryAfter = "Permissions.MaxRetryAfter" // duration
 
 	settingBudgetWindow   = "Safety.LookBack"     // duration; 0 for no retry budget
-	settingBudgetFloor    = "Safety.ExtraFloor"   // retries a window that are always allowed
+	settingBudgetFloor    = "Safety.ExtraFloor"   // retries per window that are always allowed
 	settingBudgetRatio    = "Safety.FurtherRatio" // retries allowed for each request of the window
 	settingSlowStart      = "Safety.Cold"         // duration of a replica's slow start
-	settingSlowStartFrom  = "Safety.ColdFrom"     // share of its capacity with which a replica starts
-	settingOverloadFactor = "Safety.FallMultiple" // multiple of its capacity under which a replica crashes
-	settingWatchWithin    = "Safety.AskWithin"    // duration within which a failed watch must be renewed
+	settingSlowStartFrom  = "Safety.ColdFrom"     // share of its full capacity that a replica has right after its start
+	settingOverloadFactor = "Safety.FallMultiple" // load, as a multiple of its capacity, under which a replica crashes
+	settingWatchWithin    = "Safety.AskWithin"    // duration within which a failed watch must be restarted
 )
 
-// Names of settings that are comma-separated lists with one number for each query type.
+// Names of settings that hold a comma-separated list with one number for each query type.
 const (
 	settingNeededWeight   = "Specifics.NeedByClass" // share of a complete answer
-	settingMinWeight      = "Specifics.ClassFloor"  // smallest share that may be answered
+	settingMinWeight      = "Specifics.ClassFloor"  // smallest share of a complete answer that may be returned
 	settingSecondStepSize = "Specifics.FollowUp"    // shard requests of a second step; 0 for none
 )
 
@@ -83,5 +82,5 @@
 	fieldDeadline     = "Deadline"     // duration: timeout of the type's clients
 	fieldLateShare    = "LateShare"    // value of an answer after the objective, relative to one before it
 	fieldRepeatWindow = "RepeatWindow" // duration for which an idempotency key holds
-	fieldQuota        = "QuotaPerS"    // searches a second that a tenant may send, 0 for unlimited
+	fieldQuota        = "QuotaPerS"    // searches per second that a tenant may send, 0 for unlimited
 )
