--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -85,7 +85,7 @@
 	case b.hasNoEligibleReplica(s):
 		b.admission.hasParked = true
 		return false
-	case b.isWithoutValue(s):
+	case b.isNotWorthAdmitting(s):
 		b.shed(s)
 	default:
 		b.admit(s)
@@ -98,12 +98,12 @@
 // used only for searches that have waited or while answers are slow: at a low request rate nothing ever waits at a
 // single coordinator, and overload shows only in the answers. After an overload it sheds needlessly until the recorded
 // durations have decayed; then some searches are sent again and give new measurements.
-func (b *balancer) isWithoutValue(s *search) bool {
+func (b *balancer) isNotWorthAdmitting(s *search) bool {
 	if b.utilization >= 1 || s.objectiveEnd <= b.now && !b.hasLateValue(s) {
 		return true
 	}
 	hasWaited := s.arrivedAt < b.now
-	return (hasWaited || b.loadFactor() < overloadLoadFactor) && b.estimateCompletion().isLate(s, 0)
+	return (hasWaited || b.latencyGradient() < overloadGradient) && b.estimateCompletion().isLate(s, 0)
 }
 
 // hasNoEligibleReplica tells whether some requests that a complete answer needs have no replica to go to. If a partial
@@ -116,7 +116,7 @@
 		}
 	}
 	isShort := sendableWeight < min(s.neededWeight, s.reachableWeight)-weightTolerance
-	return isShort && (b.loadFactor() < 1 || !b.isAnswerable(s, sendableWeight))
+	return isShort && (b.latencyGradient() < 1 || !b.isAnswerable(s, sendableWeight))
 }
 
 // cannotMeetDeadline tells whether work on a search would be wasted: either its client leaves after less than half of
@@ -132,7 +132,7 @@
 	if count >= minSearchDurations && timeLeft < min(retryObjectiveShare*firstAttemptTime, durationSpread*total/count) {
 		return true
 	}
-	weightInTime, hasThinEvidence := 0.0, b.hasThinEvidence()
+	weightInTime, hasThinEvidence := 0.0, b.hasSparseAnswers()
 	for _, request := range s.requests {
 		if !hasThinEvidence || b.canMeetDeadline(request) {
 			weightInTime += request.weight
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -39,7 +39,7 @@
 		timers:    timerTable{callbacks: map[uint64]timerCallback{}},
 		endpoints: newEndpointList(),
 		searches:  newSearchTable(),
-		sending:   sendQueue{fullSpots: map[int]bool{}},
+		sending:   sendQueue{withoutCapacity: map[int]bool{}},
 		limiter:   concurrencyLimiter{limit: math.Inf(1)},
 		latency:   latencyEstimates{assumed: assumedLatency},
 	}
@@ -47,7 +47,7 @@
 
 func (b *balancer) BeginIteration(now int64) {
 	b.now = now
-	clear(b.sending.fullSpots)
+	clear(b.sending.withoutCapacity)
 }
 
 func (b *balancer) Configure(seed int64, values map[string]string) {
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -21,7 +21,7 @@
 	// overloadGradient is the latency gradient below which the replicas as a whole count as overloaded. While answers
 	// are sparse, the limit is then lowered to the number of attempts in flight, because a higher limit would have no
 	// effect.
-	overloadLoadFactor = 0.8
+	overloadGradient = 0.8
 )
 
 // concurrencyLimiter bounds the attempts in flight by the latency gradient: while answers take longer than necessary,
@@ -34,7 +34,7 @@
 }
 
 // clamp keeps the limit within its bounds and returns it.
-func (l *concurrencyLimiter) bounded(replicas int, balancers float64) int {
+func (l *concurrencyLimiter) clamp(replicas int, balancers float64) int {
 	highest := float64(slotsPerReplica * replicas)
 	lowest := min(minLimitShare*highest, minLimitPerReplica*float64(replicas)/balancers)
 	l.limit = max(1, lowest, min(highest, l.limit))
@@ -48,26 +48,26 @@
 }
 
 // lowerTo lowers the limit to a number of attempts, but not below the size of the largest search.
-func (l *concurrencyLimiter) lower(attempts int) {
+func (l *concurrencyLimiter) lowerTo(attempts int) {
 	l.limit = min(l.limit, float64(max(l.largestSearch, attempts)))
 }
 
 // concurrencyLimit returns the number of attempts that may be in flight.
 func (b *balancer) concurrencyLimit() int {
-	return b.limiter.bounded(b.endpoints.count(), b.settings.number(settingBalancers))
+	return b.limiter.clamp(b.endpoints.count(), b.settings.number(settingBalancers))
 }
 
 // latencyGradient is 1 while the fleet latency is below toleratedLatencyRatio times the shortest, and falls towards 0
 // as the fleet latency rises.
-func (b *balancer) loadFactor() float64 {
+func (b *balancer) latencyGradient() float64 {
 	return min(1, toleratedLatencyRatio*b.latency.shortestLatency(b.now)/b.latency.fleetLatency(b.now))
 }
 
 func (b *balancer) adjustLimit() {
-	gradient := b.loadFactor()
+	gradient := b.latencyGradient()
 	b.limiter.adjust(gradient)
-	if gradient < overloadLoadFactor && b.hasThinEvidence() {
-		b.limiter.lower(b.effectiveInFlight())
+	if gradient < overloadGradient && b.hasSparseAnswers() {
+		b.limiter.lowerTo(b.effectiveInFlight())
 	}
 	b.concurrencyLimit()
 }
--- a/balancer/concurrency_limit_test.go
+++ b/balancer/concurrency_limit_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			limiter := concurrencyLimiter{limit: test.limit}
-			require.Equal(t, test.want, limiter.bounded(test.replicas, test.balancers))
+			require.Equal(t, test.want, limiter.clamp(test.replicas, test.balancers))
 		})
 	}
 }
@@ -38,8 +38,8 @@
 	}
 	require.InDelta(t, 16, limiter.limit, 0.1)
 	limiter.largestSearch = 8
-	limiter.lower(5)
+	limiter.lowerTo(5)
 	require.Equal(t, 8.0, limiter.limit, "the largest search fits")
-	limiter.lower(9)
+	limiter.lowerTo(9)
 	require.Equal(t, 8.0, limiter.limit)
 }
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -66,7 +66,7 @@
 			b.endpoints.byID[id] = r
 			b.endpoints.replicas = append(b.endpoints.replicas, r)
 		} else if startedAt > r.startedAt {
-			r.restarted(startedAt)
+			r.resetForRestart(startedAt)
 			b.inflight.recheck(r)
 			r.slowStart.reset(b.now, b.rng.Float64())
 		}
--- a/balancer/endpoint_selection.go
+++ b/balancer/endpoint_selection.go
@@ -44,7 +44,7 @@
 	if len(holders) <= sampleThreshold {
 		return b.selectReplica(request) != nil
 	}
-	if b.sending.fullSpots[request.spot()] || b.isTooLateToSend(request) {
+	if b.sending.withoutCapacity[request.holdersKey()] || b.isTooLateToSend(request) {
 		return false
 	}
 	hasHealthy, mayProbe, hasOutlier := false, false, false
@@ -61,7 +61,7 @@
 	}
 	canSend := mayProbe || hasOutlier && !hasHealthy
 	// Cached for this iteration, which bounds its time when thousands of searches wait.
-	b.sending.fullSpots[request.spot()] = !canSend && len(request.attempts) == 0
+	b.sending.withoutCapacity[request.holdersKey()] = !canSend && len(request.attempts) == 0
 	return canSend
 }
 
@@ -70,7 +70,7 @@
 // at random or, while answers are sparse, by past latency. If there are many holders, a sample is examined first: an
 // idle replica in it cannot be beaten.
 func (b *balancer) selectReplica(request *shardRequest) *replica {
-	if b.sending.fullSpots[request.spot()] || b.isTooLateToSend(request) {
+	if b.sending.withoutCapacity[request.holdersKey()] || b.isTooLateToSend(request) {
 		return nil
 	}
 	holders := b.holders(request)
@@ -83,7 +83,7 @@
 	}
 	r, _ := b.selectAmong(request, holders)
 	if r == nil && len(request.attempts) == 0 {
-		b.sending.fullSpots[request.spot()] = true
+		b.sending.withoutCapacity[request.holdersKey()] = true
 	}
 	return r
 }
@@ -92,14 +92,14 @@
 // probe attempts, or if no healthy replica holds the shard, with or without capacity.
 func (b *balancer) selectAmong(request *shardRequest, holders []*replica) (best *replica, lowest float64) {
 	lowest = math.Inf(1)
-	ties, hasHealthy, hasThinEvidence := 0, false, b.hasThinEvidence()
+	ties, hasHealthy, hasThinEvidence := 0, false, b.hasSparseAnswers()
 	for _, r := range holders {
 		isOutlier := b.isOutlier(r)
 		hasHealthy = hasHealthy || !isOutlier
 		if !b.hasCapacity(r, request) {
 			continue
 		}
-		if b.now < b.outliers.gossipedUntil && !b.isWarmedUp(r) && b.isSparedByGossip(request) {
+		if b.now < b.outliers.gossipedUntil && !b.isWarmedUp(r) && b.isDivertedByGossip(request) {
 			continue
 		}
 		load := b.selectionLoad(request, r, isOutlier, hasThinEvidence)
--- a/balancer/fanout.go
+++ b/balancer/fanout.go
@@ -25,9 +25,9 @@
 
 // sendQueue holds the shard requests of admitted searches that wait for a slot and a replica: the paper's task queue.
 type sendQueue struct {
-	requests   []*shardRequest
-	fullSpots  map[int]bool    // keys of holders of which none may take a request in this iteration
-	candidates []sendCandidate // reused by admit
+	requests        []*shardRequest
+	withoutCapacity map[int]bool    // keys of holders of which none may take a request in this iteration
+	candidates      []sendCandidate // reused by admit
 }
 
 type sendCandidate struct {
@@ -54,7 +54,7 @@
 	}
 	extras := max(0, len(candidates)-needed-int(b.admission.backlog))
 	if leastWeight < s.neededWeight {
-		allowed := overloadExtraShare * b.loadFactor() * float64(len(candidates)-needed)
+		allowed := overloadExtraShare * b.latencyGradient() * float64(len(candidates)-needed)
 		extras = min(extras, int(allowed))
 	}
 	for i, candidate := range candidates[:needed+extras] {
@@ -102,8 +102,8 @@
 // and the part that a partial answer may lack counts as extras: under overload this saves work at the price of less
 // complete answers.
 func (b *balancer) weightToSend(s *search) float64 {
-	isOverloaded := b.hasThinEvidence() && b.latency.fleetAnswers >= minOverloadAnswers &&
-		b.loadFactor() < overloadLoadFactor
+	isOverloaded := b.hasSparseAnswers() && b.latency.fleetAnswers >= minOverloadAnswers &&
+		b.latencyGradient() < overloadGradient
 	if !isOverloaded {
 		return s.neededWeight
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -235,7 +235,7 @@
 }
 
 // withRandomMargin returns the highest count to accept for an allowed mean: three standard deviations more, plus three.
-func withChance(allowed float64) float64 { return allowed + 3*math.Sqrt(allowed) + 3 }
+func withRandomMargin(allowed float64) float64 { return allowed + 3*math.Sqrt(allowed) + 3 }
 
 // warmingCapacity returns the capacity of a replica at an age, as a share of its full capacity: by ColdFrom and Cold of
 // the settings.
@@ -245,7 +245,7 @@
 const overloadMultiple = 2
 
 // All coordinators together send a replica that has just started no more than it can serve, and it gets some requests.
-func TestFleetSparesWarmingReplica(t *testing.T) {
+func TestFleetLimitsLoadOnWarmingReplica(t *testing.T) {
 	for _, size := range fleetSizes {
 		f := newFleet(size)
 		f.play(10_000)
@@ -304,7 +304,7 @@
 // A replica has just started, at a different time for each seed. In each window of the settings, wherever it begins,
 // all coordinators together send no more than the configured multiple of its capacity at the beginning of the window,
 // apart from random variation. It gets some requests.
-func TestFleetKeepsSlowStartInEachWindow(t *testing.T) {
+func TestFleetSlowStartHoldsInEachWindow(t *testing.T) {
 	const window = 2 * second // Fall of the settings
 	for _, size := range fleetSizes {
 		worst := 0.0
@@ -320,7 +320,7 @@
 			for i, from := range times {
 				age := from - startedAt
 				end, _ := slices.BinarySearch(times, from+window)
-				allowed := withChance(overloadMultiple * warmingCapacity(age) * fleetReplicaRate * window / second)
+				allowed := withRandomMargin(overloadMultiple * warmingCapacity(age) * fleetReplicaRate * window / second)
 				worst = max(worst, float64(end-i)/allowed)
 				require.LessOrEqual(t, float64(end-i), allowed, "%d coordinators, %d ms after the start", size, age/millisecond)
 			}
@@ -338,7 +338,7 @@
 		f.play(10_000)
 		f.sentTimes, f.connectionsLostAt = map[string][]int64{}, f.now
 		f.play(5_000)
-		most, allowed := 0, withChance(1.5*fleetReplicaRate)
+		most, allowed := 0, withRandomMargin(1.5*fleetReplicaRate)
 		for _, times := range f.sentTimes {
 			most = max(most, mostWithin(times, second))
 		}
--- a/balancer/gossip_observations.go
+++ b/balancer/gossip_observations.go
@@ -48,7 +48,7 @@
 
 // importFleetLatency replaces the assumed fleet latency by the one that peers report. A longer one than assumed is not
 // accepted: it would prevent hedged attempts.
-func (l *latencyEstimates) assume(now int64, fleetLatency, shortest float64) {
+func (l *latencyEstimates) importFleetLatency(now int64, fleetLatency, shortest float64) {
 	l.assumed = max(assumedLatency/maxGossipedSpeedup, min(assumedLatency, fleetLatency))
 	l.cachedAt = 0
 	if l.shortest == 0 && shortest > 0 {
@@ -65,7 +65,7 @@
 	switch observation.Scope {
 	case ScopeFleet:
 		if observation.FleetLatency > 0 {
-			b.latency.assume(b.now, observation.FleetLatency, observation.ShortestLatency)
+			b.latency.importFleetLatency(b.now, observation.FleetLatency, observation.ShortestLatency)
 		}
 	case ScopeZone:
 		if observation.Zone >= 0 && observation.Zone < len(b.zones) {
@@ -101,7 +101,7 @@
 	replicas := b.endpoints.replicas
 	end := min(len(replicas), max(from, from+maxReplicas))
 	for _, r := range replicas[min(from, end):end] {
-		if r.health.isKnown() {
+		if r.health.hasEvidence() {
 			export(b.observe(r))
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // hasEvidence tells whether own attempts have shown anything of a replica.
-func (h *replicaHealth) isKnown() bool {
+func (h *replicaHealth) hasEvidence() bool {
 	return h.lastAnswer != 0 || h.unanswered != 0 || h.connectFailures != 0 || h.consecutiveFailures != 0
 }
 
--- a/balancer/gossip_observations_test.go
+++ b/balancer/gossip_observations_test.go
@@ -78,7 +78,7 @@
 
 // Gossip cannot exclude a replica: it gets requests if all others are full, gone or warming up, and the observation
 // expires.
-func TestGossipCannotBanReplica(t *testing.T) {
+func TestGossipCannotExcludeReplica(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nwhen a,b Ok 20\nlist Partial b/0/cordoned")
 	s.importObservations(outlierObservation("a", 200_000))
 	s.runLines("mark steady 20 60 1 4000 0,0")
@@ -107,7 +107,7 @@
 
 // All coordinators hear that one replica is the fastest; they do not all send it their requests. Nor does gossip send a
 // replica that is warming up more requests than it would get otherwise.
-func TestGossipedQuickReplicaAttractsNothing(t *testing.T) {
+func TestGossipedFastReplicaGetsNoExtraRequests(t *testing.T) {
 	countSent := func(isGossiped bool, settings string) [2]int {
 		s := newScenario(t, settings+"\nstart a/0 b/0 c/0/healthy/5\nwhen a,b,c Ok 20")
 		if isGossiped {
@@ -157,7 +157,7 @@
 }
 
 // Wrong gossip about the usual and the shortest latency prevents neither hedged attempts nor searches.
-func TestWrongGossipedLatenciesBarNothing(t *testing.T) {
+func TestWrongGossipedLatenciesPreventNothing(t *testing.T) {
 	for _, latency := range []float64{1e-9, 1e12, math.Inf(1)} {
 		s := newScenario(t, "start a/0 b/0\nwhen b Ok 20\nsilent a")
 		s.importObservations(GossipedObservation{Scope: ScopeFleet, FleetLatency: latency, ShortestLatency: latency})
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -22,7 +22,7 @@
 
 	// rerouteDelayRatio is the ratio of its age to the fleet latency at which an attempt is cancelled and sent to
 	// another replica, if hedging is not allowed: ordinary queueing takes less time.
-	rescueDelayRatio = 5.5
+	rerouteDelayRatio = 5.5
 	// quickLatencyRatio is the ratio of its latency to the fleet latency up to which another holder counts as quick:
 	// slower hardware takes this long.
 	quickLatencyRatio = 1.4
@@ -53,7 +53,7 @@
 	target := b.selectReplica(request)
 	outlook := b.outlookOf(request.search)
 	if !allowsHedging && outlook.isShort && !outlook.isHeavy && !request.search.reduced &&
-		b.loadFactor() >= overloadLoadFactor {
+		b.latencyGradient() >= overloadGradient {
 		b.sendWithheld(request.search)
 	}
 	switch {
@@ -80,15 +80,15 @@
 			return false
 		}
 	}
-	return b.settings.allowsHedging() || b.mayMove(a, target)
+	return b.settings.allowsHedging() || b.mayReroute(a, target)
 }
 
 // mayReroute tells whether an attempt is to be cancelled and sent elsewhere. It must be much older than an attempt that
 // is hedged, since the work done so far is lost.
-func (b *balancer) mayMove(a *attempt, target *replica) bool {
+func (b *balancer) mayReroute(a *attempt, target *replica) bool {
 	age := float64(b.now - a.sentAt)
-	return age >= rescueDelayRatio*b.latency.fleetLatency(b.now) && b.isQuickAndIdle(target) &&
-		b.loadFactor() >= overloadLoadFactor
+	return age >= rerouteDelayRatio*b.latency.fleetLatency(b.now) && b.isQuickAndIdle(target) &&
+		b.latencyGradient() >= overloadGradient
 }
 
 // isQuickAndIdle tells whether a replica has no attempts in flight and would answer soon. It must be known to be no
--- a/balancer/inflight_test.go
+++ b/balancer/inflight_test.go
@@ -10,7 +10,7 @@
 // In each iteration of random streams, the incrementally updated count equals a recount of all attempts.
 func TestInflightCountMatchesRecount(t *testing.T) {
 	for seed := range int64(40) {
-		text := drawScenario(rand.New(rand.NewSource(1000 + seed)))
+		text := randomScenario(rand.New(rand.NewSource(1000 + seed)))
 		s := newScenarioWithRecount(t, text, true)
 		s.playUntil(s.now + 100_000)
 		require.Zero(t, s.state().effectiveInFlight())
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -26,7 +26,7 @@
 	// requests run on those replicas alone, and attempts in flight elsewhere are cancelled. onUnavailable is called for
 	// each shard that none of them holds, and returns whether the search is to end with an error for that; otherwise
 	// the request is lost. Call RestrictReplicas again after each change of the list and of what Allows returns.
-	RestrictReplicas(search uint64, to *ReplicaRestriction, onUnavailable func(shard int) (end bool))
+	RestrictReplicas(search uint64, restriction *ReplicaRestriction, onUnavailable func(shard int) (end bool))
 	// CancelSearch reports that the client has disconnected. The search gets no final answer.
 	CancelSearch(search uint64)
 	// RecordAttemptOutcome reports that an attempt has ended after a wait; outcome is one of the Outcome constants.
@@ -56,7 +56,7 @@
 type ReplicaRestriction struct {
 	Allows func(shard int, replica string) bool
 
-	group int // assigned at its first use
+	id int // assigned at its first use
 }
 
 // Actions are the calls that a balancer makes to its protocol. They are made within the calls of Balancer, on their
--- a/balancer/latency_estimates.go
+++ b/balancer/latency_estimates.go
@@ -35,7 +35,7 @@
 	shortestLatencyGrowth = 1.0 / (300 * second)
 	// sparseAnswerRate is the rate of answers per replica, per tenth of a millisecond, below which answers are sparse:
 	// one a second.
-	thinEvidenceRate = 1.0 / second
+	sparseAnswerRate = 1.0 / second
 	// slowReplicaProbeInterval is the interval at which all coordinators together send attempts to a replica that looks
 	// too slow, in tenths of a millisecond: ten a second are half of what two cores serve.
 	slowReplicaProbeInterval = 100 * millisecond
@@ -51,9 +51,9 @@
 	cachedLogLatency float64
 	cachedAt         int64
 
-	shortest    float64 // shortest fleet latency seen, 0 if none yet
-	shortestAt  int64
-	shortestFor float64 // fleet latency that shortest was last compared with
+	shortest             float64 // shortest fleet latency seen, 0 if none yet
+	shortestAt           int64
+	shortestComparedWith float64 // fleet latency that shortest was last compared with
 
 	assumed float64 // fleet latency assumed before any answer
 
@@ -85,14 +85,14 @@
 	if l.fleetAnswers < minFleetAnswers {
 		return current
 	}
-	if l.shortestAt == now && l.shortestFor == current {
+	if l.shortestAt == now && l.shortestComparedWith == current {
 		return l.shortest
 	}
 	l.shortest *= math.Exp(min(1, float64(now-l.shortestAt)*shortestLatencyGrowth))
 	if l.shortest == 0 || current < l.shortest {
 		l.shortest = current
 	}
-	l.shortestAt, l.shortestFor = now, current
+	l.shortestAt, l.shortestComparedWith = now, current
 	return l.shortest
 }
 
@@ -127,8 +127,8 @@
 // hasSparseAnswers tells whether replicas answer this coordinator so rarely that its requests in flight and the initial
 // concurrency limit show nothing. Slow replicas would then look idle, and no single coordinator would notice an
 // overload; decisions that depend on this use past answers instead.
-func (b *balancer) hasThinEvidence() bool {
-	return b.latency.answerRate(b.now) < thinEvidenceRate*float64(b.endpoints.count())
+func (b *balancer) hasSparseAnswers() bool {
+	return b.latency.answerRate(b.now) < sparseAnswerRate*float64(b.endpoints.count())
 }
 
 // slowness returns the ratio of a replica's latency to the fleet latency. Attempts in flight count with their age.
--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -7,7 +7,7 @@
 )
 
 // A replica that rejects requests with a Retry-After gets no requests until then, and gets requests again afterwards.
-func TestRetryAfterIsKept(t *testing.T) {
+func TestRetryAfterIsRespected(t *testing.T) {
 	s := newScenario(t, "start a/0 b/0\nwhen b Ok 20")
 	s.replies["a"] = []string{OutcomeQueueFull, "1"}
 	s.outcomeReport = map[string]float64{reportRetryAfter: 2000}
--- a/balancer/recorded_actions_test.go
+++ b/balancer/recorded_actions_test.go
@@ -17,18 +17,18 @@
 var record = flag.Bool("record", false, "rewrite the checksums of the actions, after an intended change of decisions")
 
 const (
-	sumsFile     = "testdata/actions.sums"
-	drawnStreams = 120
+	checksumFile  = "testdata/actions.sums"
+	randomStreams = 120
 )
 
 // randomScenario generates a random stream of events in the notation of scenarios: settings, replicas, loads, faults
 // and lists. The order in which it takes random numbers is fixed by the recorded checksums.
-func drawScenario(rng *rand.Rand) string {
+func randomScenario(rng *rand.Rand) string {
 	pick := func(values ...string) string { return values[rng.Intn(len(values))] }
 	var text strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
 	sets := 1 + rng.Intn(3)
-	drawScenarioSettings(rng, line, pick, sets)
+	randomScenarioSettings(rng, line, pick, sets)
 	replicas := sets * (2 + rng.Intn(6))
 	var ids, entries []string
 	for i := range replicas {
@@ -74,7 +74,7 @@
 	return text.String()
 }
 
-func drawScenarioSettings(rng *rand.Rand, line func(format string, values ...any), pick func(values ...string) string, sets int) {
+func randomScenarioSettings(rng *rand.Rand, line func(format string, values ...any), pick func(values ...string) string, sets int) {
 	line("facts Specifics.Sets=%d Specifics.Reach=%d Balancers=%s Specifics.PerCall=%s Permissions.MaxAttempts=%s", sets,
 		1+rng.Intn(sets), pick("1", "2", "60"), pick("1", "1", "3"), pick("1", "2", "3", "4"))
 	line("facts Permissions.SecondCopies=%s Permissions.Cancelling=%s",
@@ -91,7 +91,7 @@
 }
 
 // checksumOf returns a line of the checksum file: the number of the actions and their hash.
-func sumOf(name string, actions []string) string {
+func checksumOf(name string, actions []string) string {
 	hash := fnv.New64a()
 	for _, action := range actions {
 		fmt.Fprintln(hash, action)
@@ -109,16 +109,16 @@
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		require.NoError(t, err)
-		got = append(got, sumOf(filepath.Base(file), playActions(t, string(text))))
+		got = append(got, checksumOf(filepath.Base(file), playActions(t, string(text))))
 	}
-	for i := range drawnStreams {
-		text := drawScenario(rand.New(rand.NewSource(int64(i))))
-		got = append(got, sumOf(fmt.Sprintf("drawn-%d", i), playActions(t, text)))
+	for i := range randomStreams {
+		text := randomScenario(rand.New(rand.NewSource(int64(i))))
+		got = append(got, checksumOf(fmt.Sprintf("drawn-%d", i), playActions(t, text)))
 	}
 	if *record {
-		require.NoError(t, os.WriteFile(sumsFile, []byte(strings.Join(got, "\n")+"\n"), 0o644))
+		require.NoError(t, os.WriteFile(checksumFile, []byte(strings.Join(got, "\n")+"\n"), 0o644))
 	}
-	want, err := os.ReadFile(sumsFile)
+	want, err := os.ReadFile(checksumFile)
 	require.NoError(t, err)
 	require.Equal(t, strings.Split(strings.TrimSpace(string(want)), "\n"), got)
 }
--- a/balancer/replica.go
+++ b/balancer/replica.go
@@ -26,7 +26,7 @@
 
 // resetForRestart clears what was learnt of a replica's previous incarnation. The time of its next probe attempt and
 // its Retry-After stay: they only protect it.
-func (r *replica) restarted(startedAt int64) {
+func (r *replica) resetForRestart(startedAt int64) {
 	r.startedAt = startedAt
 	r.latency = replicaLatency{}
 	r.health.unanswered, r.health.consecutiveFailures, r.health.connectFailures = 0, 0, 0
--- a/balancer/replica_restriction_test.go
+++ b/balancer/replica_restriction_test.go
@@ -22,12 +22,12 @@
 	replicas      []*replica
 	shared        *ReplicaRestriction // the restriction of most searches
 	bySearch      map[uint64]*ReplicaRestriction
-	endedByShards map[uint64]bool // searches ended because a shard has no replica
+	endedForShard map[uint64]bool // searches ended because a shard has no replica
 
 	forbidden, restrictedSends, changes int // counts; if they were 0 the stream would test nothing
 }
 
-func (r *restrictedStream) drawRestriction() *ReplicaRestriction {
+func (r *restrictedStream) randomRestriction() *ReplicaRestriction {
 	var allowed []string
 	for _, replica := range r.replicas {
 		if r.rng.Intn(3) > 0 {
@@ -44,7 +44,7 @@
 		r.restrictedSends++
 		require.True(r.t, restriction.Allows(0, replica), "search %d at %s", search, replica)
 	}
-	require.False(r.t, r.endedByShards[search])
+	require.False(r.t, r.endedForShard[search])
 }
 
 func (r *restrictedStream) restrictSearch(search uint64) {
@@ -55,17 +55,17 @@
 		r.bySearch[search] = r.shared
 	}
 	r.balancer.RestrictReplicas(search, r.bySearch[search], func(int) bool {
-		r.endedByShards[search] = search%3 == 1
-		return r.endedByShards[search]
+		r.endedForShard[search] = search%3 == 1
+		return r.endedForShard[search]
 	})
 	if r.rng.Intn(20) == 0 {
-		r.changeAll()
+		r.changeAllRestrictions()
 	}
 }
 
-// changeAll gives all searches a new restriction, in the order of their ids.
-func (r *restrictedStream) changeAll() {
-	r.shared = r.drawRestriction()
+// changeAllRestrictions gives all searches a new restriction, in the order of their ids.
+func (r *restrictedStream) changeAllRestrictions() {
+	r.shared = r.randomRestriction()
 	var searches []uint64
 	for id := range r.bySearch {
 		searches = append(searches, id)
@@ -79,18 +79,18 @@
 }
 
 func playRestricted(t *testing.T, seed int64) *restrictedStream {
-	text := drawScenario(rand.New(rand.NewSource(seed)))
+	text := randomScenario(rand.New(rand.NewSource(seed)))
 	firstFault := strings.Index(text, "when")
 	r := &restrictedStream{
 		scenario: newScenario(t, text[:firstFault]), rng: rand.New(rand.NewSource(seed)),
-		bySearch: map[uint64]*ReplicaRestriction{}, endedByShards: map[uint64]bool{},
+		bySearch: map[uint64]*ReplicaRestriction{}, endedForShard: map[uint64]bool{},
 	}
 	r.replicas = slices.Clone(r.state().endpoints.replicas)
-	r.shared = r.drawRestriction()
+	r.shared = r.randomRestriction()
 	r.onSend, r.onRequestsAdded = r.checkSend, r.restrictSearch
 	r.runLines(text[firstFault:])
 	r.playUntil(r.now + 100_000)
-	for id, missing := range r.owedAnswers {
+	for id, missing := range r.expectedAnswers {
 		require.Zero(t, missing, "stream %d: search %d", seed, id)
 	}
 	require.Zero(t, r.state().effectiveInFlight())
@@ -102,7 +102,7 @@
 // that time. Each search has one final answer, and the same calls give the same actions.
 func TestRestrictionHoldsForEveryAttempt(t *testing.T) {
 	forbidden, restrictedSends, changes := 0, 0, 0
-	for seed := range int64(drawnStreams / 4) {
+	for seed := range int64(randomStreams / 4) {
 		first, second := playRestricted(t, seed), playRestricted(t, seed)
 		require.Equal(t, first.allActions, second.allActions)
 		for _, r := range []*restrictedStream{first, second} {
@@ -117,9 +117,9 @@
 }
 
 // restrict restricts a search in an iteration of its own and returns the shards without an allowed replica.
-func (s *scenario) restrict(search uint64, to *ReplicaRestriction, end bool) (unavailable []int) {
+func (s *scenario) restrict(search uint64, restriction *ReplicaRestriction, end bool) (unavailable []int) {
 	s.iterate(func() {
-		s.balancer.RestrictReplicas(search, to, func(shard int) bool {
+		s.balancer.RestrictReplicas(search, restriction, func(shard int) bool {
 			unavailable = append(unavailable, shard)
 			return end
 		})
--- a/balancer/scenario_harness_test.go
+++ b/balancer/scenario_harness_test.go
@@ -53,7 +53,7 @@
 	attemptsInFlight map[uint64]int // by request
 	endedAttempts    map[attemptID]bool
 	searchOf         map[uint64]uint64 // by request
-	owedAnswers      map[uint64]int    // number of final answers still expected, by search
+	expectedAnswers  map[uint64]int    // number of final answers still expected, by search
 	secondSteps      map[uint64]string // shards of the second step, by search
 	lastSteady       uint64            // number of the last search of a steady line
 
@@ -72,7 +72,7 @@
 		t: t, now: 10, recounts: recounts,
 		settings: map[string]string{}, replies: map[string][]string{}, lossy: map[string]uint64{},
 		attemptCounts: map[uint64]int{}, attemptsInFlight: map[uint64]int{}, endedAttempts: map[attemptID]bool{},
-		searchOf: map[uint64]uint64{}, owedAnswers: map[uint64]int{}, secondSteps: map[uint64]string{},
+		searchOf: map[uint64]uint64{}, expectedAnswers: map[uint64]int{}, secondSteps: map[uint64]string{},
 	}
 	s.balancer = New(s)
 	s.changeSettings(strings.Fields(defaultSettings))
@@ -84,7 +84,7 @@
 func playToEnd(t *testing.T, text string) *scenario {
 	s := newScenario(t, text)
 	s.playUntil(s.now + 100_000)
-	for id, missing := range s.owedAnswers {
+	for id, missing := range s.expectedAnswers {
 		require.Zero(t, missing, "search %d has no final answer", id)
 	}
 	return s
@@ -135,8 +135,8 @@
 
 func (s *scenario) recordFinal(search uint64, kind string) {
 	s.record("%s %d", kind, search)
-	s.owedAnswers[search]--
-	require.GreaterOrEqual(s.t, s.owedAnswers[search], 0, "second final answer for search %d", search)
+	s.expectedAnswers[search]--
+	require.GreaterOrEqual(s.t, s.expectedAnswers[search], 0, "second final answer for search %d", search)
 }
 
 func (s *scenario) SendAttempt(request uint64, replica string, timeout int64) {
@@ -145,16 +145,16 @@
 	if s.onSend != nil {
 		s.onSend(search, replica)
 	}
-	require.Positive(s.t, s.owedAnswers[search], "request %d sent after the final answer", request)
+	require.Positive(s.t, s.expectedAnswers[search], "request %d sent after the final answer", request)
 	index := s.attemptCounts[request]
 	s.attemptCounts[request]++
 	s.attemptsInFlight[request]++
-	require.LessOrEqual(s.t, s.attemptCounts[request], int(s.number(s.settings[settingMaxAttempts])))
+	require.LessOrEqual(s.t, s.attemptCounts[request], int(s.parseNumber(s.settings[settingMaxAttempts])))
 	mayHedge := s.settings[settingHedging] == "true"
 	require.True(s.t, s.attemptsInFlight[request] == 1 || mayHedge, "hedged attempt of request %d although hedging is off", request)
 	reply, lossy := s.replies[replica], s.lossy[replica]
 	if reply != nil && (lossy == 0 || search%lossy > 0) {
-		s.scheduleOutcome(request, index, reply[0], s.number(reply[1])*millisecond)
+		s.scheduleOutcome(request, index, reply[0], s.parseNumber(reply[1])*millisecond)
 	} else {
 		s.scheduleOutcome(request, index, OutcomeTimedOut, timeout)
 	}
@@ -172,7 +172,7 @@
 	})
 }
 
-func (s *scenario) number(text string) int64 {
+func (s *scenario) parseNumber(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	require.NoError(s.t, err)
 	return n
@@ -235,7 +235,7 @@
 			weight, _ = strconv.ParseFloat(strings.Split(weights, ",")[i], 64)
 		}
 		s.searchOf[first+uint64(i)] = search
-		s.balancer.AddShardRequest(first+uint64(i), search, int(s.number(shard)), weight)
+		s.balancer.AddShardRequest(first+uint64(i), search, int(s.parseNumber(shard)), weight)
 	}
 	if s.onRequestsAdded != nil {
 		s.onRequestsAdded(search)
@@ -246,10 +246,10 @@
 func (s *scenario) addSearch(id uint64, words []string) {
 	words = append(words, "", "")
 	queryType, timeLeft, shards, weights, isRetry := words[0], words[1], words[2], words[3], words[4] == "again"
-	s.owedAnswers[id] = 1
+	s.expectedAnswers[id] = 1
 	s.iterate(func() {
 		count := strings.Count(shards, ",") + 1
-		s.balancer.AddSearch(id, int(s.number(queryType)), 0, "-", s.number(timeLeft)*millisecond, id, count, isRetry)
+		s.balancer.AddSearch(id, int(s.parseNumber(queryType)), 0, "-", s.parseNumber(timeLeft)*millisecond, id, count, isRetry)
 		s.addRequests(id, id*100, shards, weights)
 	})
 }
@@ -266,7 +266,7 @@
 			startedAt = fields[3]
 		}
 		zone := strings.Count(id, "far")
-		s.balancer.AddEndpoint(id, zone, 0, int(s.number(shardSet)), status, 1, s.number(startedAt)*millisecond)
+		s.balancer.AddEndpoint(id, zone, 0, int(s.parseNumber(shardSet)), status, 1, s.parseNumber(startedAt)*millisecond)
 	}
 	s.balancer.CommitEndpoints(kind, 1)
 }
@@ -287,12 +287,12 @@
 		"start":    s.start,
 		"list":     func(words []string) { s.iterate(func() { s.commitList(words[0], words[1:]) }) },
 		"when":     s.setReplies,
-		"silent":   func(words []string) { s.lossy[words[0]] = uint64(s.number(append(words, "1")[1])) },
-		"at":       func(words []string) { s.playUntil(s.number(words[0]) * millisecond) },
-		"search":   func(words []string) { s.addSearch(uint64(s.number(words[0])), words[1:]) },
+		"silent":   func(words []string) { s.lossy[words[0]] = uint64(s.parseNumber(append(words, "1")[1])) },
+		"at":       func(words []string) { s.playUntil(s.parseNumber(words[0]) * millisecond) },
+		"search":   func(words []string) { s.addSearch(uint64(s.parseNumber(words[0])), words[1:]) },
 		"steady":   s.addSteadySearches,
 		"held":     s.setUtilization,
-		"second":   func(words []string) { s.secondSteps[uint64(s.number(words[0]))] = words[1] },
+		"second":   func(words []string) { s.secondSteps[uint64(s.parseNumber(words[0]))] = words[1] },
 		"withdraw": s.withdraw,
 		"mark":     s.mark,
 		"expect":   s.expect,
@@ -324,7 +324,7 @@
 }
 
 func (s *scenario) addSteadySearches(words []string) {
-	count, interval := s.number(words[0]), s.number(words[1])*millisecond
+	count, interval := s.parseNumber(words[0]), s.parseNumber(words[1])*millisecond
 	for range count {
 		s.lastSteady++
 		s.addSearch(1000+s.lastSteady, words[2:])
@@ -339,8 +339,8 @@
 }
 
 func (s *scenario) withdraw(words []string) {
-	id := uint64(s.number(words[0]))
-	s.owedAnswers[id] = 0
+	id := uint64(s.parseNumber(words[0]))
+	s.expectedAnswers[id] = 0
 	s.iterate(func() { s.balancer.CancelSearch(id) })
 }
 
@@ -363,5 +363,5 @@
 			count++
 		}
 	}
-	require.True(s.t, s.number(low) <= count && count <= s.number(high), "%d actions match %v in %q", count, words, s.actions)
+	require.True(s.t, s.parseNumber(low) <= count && count <= s.parseNumber(high), "%d actions match %v in %q", count, words, s.actions)
 }
--- a/balancer/search_test.go
+++ b/balancer/search_test.go
@@ -37,7 +37,7 @@
 }
 
 // The storage for requests grows without moving those already in use.
-func TestSearchRequestsKeepTheirPlace(t *testing.T) {
+func TestSearchRequestsAreNotMoved(t *testing.T) {
 	s := newWeightedSearch(1, 0.2, 0.2, 0.2, 0.2, 0.2)
 	require.Len(t, s.requests, 5)
 	for i, request := range s.requests {
--- a/balancer/settings_isolation_test.go
+++ b/balancer/settings_isolation_test.go
@@ -11,18 +11,18 @@
 )
 
 // randomSettings holds random settings before their query types and tenants are put in an order.
-type drawnSettings struct {
+type randomSettings struct {
 	single              map[string]string
 	queryTypes, tenants []map[string]string // settings objects
 	lists               map[string][]string // lists with an item for each query type
 
-	servesAllFirst    bool // one search of each type and tenant comes first; all later ones have the type and tenant below
+	servesEachFirst   bool // one search of each type and tenant comes first; all later ones have the type and tenant below
 	queryType, tenant int
 }
 
-func drawSettings(rng *rand.Rand) drawnSettings {
+func newRandomSettings(rng *rand.Rand) randomSettings {
 	pick := func(values ...string) string { return values[rng.Intn(len(values))] }
-	random := drawnSettings{single: map[string]string{
+	random := randomSettings{single: map[string]string{
 		"Specifics.Sets": "2", "Specifics.Reach": pick("1", "2"), "Balancers": pick("1", "3"),
 		"Specifics.PerCall": pick("1", "3"), "Permissions.MaxAttempts": pick("1", "2", "4"),
 		"Permissions.SecondCopies": pick("true", "false"), "Permissions.Cancelling": pick("true", "false"),
@@ -64,7 +64,7 @@
 var originalOrder = arrangement{queryTypes: []int{0, 1, 2, 3}, tenants: []int{0, 1, 2}}
 
 // arrange returns the settings with the query types and tenants ordered and named by an arrangement.
-func (d drawnSettings) arrange(to arrangement) map[string]string {
+func (d randomSettings) arrange(to arrangement) map[string]string {
 	all := map[string]string{
 		settingQueryTypes: fmt.Sprint(len(to.queryTypes)), settingTenants: fmt.Sprint(len(to.tenants)),
 	}
@@ -92,24 +92,24 @@
 }
 
 // randomRun is a scenario with random settings and the steps still to be played.
-type drawnRun struct {
+type randomRun struct {
 	*scenario
 	arrangement arrangement
 	steps       []func()
 }
 
-func (r *drawnRun) addStep(step func()) { r.steps = append(r.steps, step) }
+func (r *randomRun) addStep(step func()) { r.steps = append(r.steps, step) }
 
-func (r *drawnRun) addLine(words ...string) { r.addStep(func() { r.runLine(words) }) }
+func (r *randomRun) addLine(words ...string) { r.addStep(func() { r.runLine(words) }) }
 
-func (r *drawnRun) playStep() {
+func (r *randomRun) playStep() {
 	step := r.steps[0]
 	r.steps = r.steps[1:]
 	step()
 }
 
 // playAll plays all steps and returns the actions.
-func (r *drawnRun) playAll() []string {
+func (r *randomRun) playAll() []string {
 	for len(r.steps) > 0 {
 		r.playStep()
 	}
@@ -118,14 +118,14 @@
 
 // randomSearch is a search with requests of consecutive shards. Its query type and tenant are numbered in the original
 // order.
-type drawnSearch struct {
+type randomSearch struct {
 	queryType, tenant, firstShard, requestCount int
 	timeLeft                                    int64 // in milliseconds
 	isRetry                                     bool
 }
 
-func (r *drawnRun) addDrawnSearch(id uint64, search drawnSearch) {
-	r.owedAnswers[id] = 1
+func (r *randomRun) addRandomSearch(id uint64, search randomSearch) {
+	r.expectedAnswers[id] = 1
 	r.iterate(func() {
 		queryType, tenant := r.arrangement.queryTypes[search.queryType], r.arrangement.tenants[search.tenant]
 		r.balancer.AddSearch(id, queryType, tenant, "-", search.timeLeft*millisecond, id, search.requestCount, search.isRetry)
@@ -138,8 +138,8 @@
 }
 
 // prepare returns a run of 150 searches with faults and list changes.
-func (d drawnSettings) prepare(t *testing.T, rng *rand.Rand, to arrangement) *drawnRun {
-	r := &drawnRun{scenario: newScenario(t, ""), arrangement: to}
+func (d randomSettings) prepare(t *testing.T, rng *rand.Rand, to arrangement) *randomRun {
+	r := &randomRun{scenario: newScenario(t, ""), arrangement: to}
 	maps.DeleteFunc(r.settings, func(name, _ string) bool { return strings.HasPrefix(name, listQueryTypes+".") })
 	maps.Copy(r.settings, d.arrange(to))
 	replicas := []string{"h0", "h1", "h2", "far0", "far1", "h3"}
@@ -149,26 +149,26 @@
 	}
 	r.addLine(start...)
 	r.addLine("when", strings.Join(replicas, ","), "Ok", "30")
-	if d.servesAllFirst {
+	if d.servesEachFirst {
 		r.addSearchOfEach()
 	}
 	for id := uint64(1); id <= 150; id++ {
-		r.addDrawnFaults(rng, replicas, id)
-		search := drawnSearch{
+		r.addRandomFaults(rng, replicas, id)
+		search := randomSearch{
 			queryType: rng.Intn(4), tenant: rng.Intn(3), requestCount: 1 + rng.Intn(6),
 			isRetry: rng.Intn(4) == 0, timeLeft: 60 + int64(rng.Intn(1500)),
 		}
-		if d.servesAllFirst {
+		if d.servesEachFirst {
 			search.queryType, search.tenant = d.queryType, d.tenant
 		}
 		search.firstShard = rng.Intn(2)
 		if d.lists["FollowUp"][search.queryType] != "0" {
 			r.secondSteps[id] = "0,1"
 		}
-		r.addStep(func() { r.addDrawnSearch(id, search) })
+		r.addStep(func() { r.addRandomSearch(id, search) })
 		if rng.Intn(10) == 0 {
 			r.addStep(func() {
-				if r.owedAnswers[id] == 1 {
+				if r.expectedAnswers[id] == 1 {
 					r.runLine([]string{"withdraw", fmt.Sprint(id)})
 				}
 			})
@@ -181,19 +181,19 @@
 }
 
 // addSearchOfEach adds one search of each query type and tenant, each answered before the next is added.
-func (r *drawnRun) addSearchOfEach() {
+func (r *randomRun) addSearchOfEach() {
 	r.addStep(func() { r.playUntil(200_000) })
 	queryTypes, tenants := len(r.arrangement.queryTypes), len(r.arrangement.tenants)
 	for i := range max(queryTypes, tenants) {
 		r.addStep(func() {
-			search := drawnSearch{queryType: i % queryTypes, tenant: i % tenants, requestCount: 1, timeLeft: 60_000}
-			r.addDrawnSearch(uint64(900+i), search)
+			search := randomSearch{queryType: i % queryTypes, tenant: i % tenants, requestCount: 1, timeLeft: 60_000}
+			r.addRandomSearch(uint64(900+i), search)
 			r.playUntil(r.now + 20_000)
 		})
 	}
 }
 
-func (r *drawnRun) addDrawnFaults(rng *rand.Rand, replicas []string, id uint64) {
+func (r *randomRun) addRandomFaults(rng *rand.Rand, replicas []string, id uint64) {
 	if rng.Intn(12) == 0 {
 		replica := replicas[rng.Intn(len(replicas))]
 		outcomes := []string{"Ok", "Ok", "Failed", "QueueFull", "ConnectError", "ResetByPeer", "TimedOut"}
@@ -207,9 +207,9 @@
 	}
 }
 
-func prepareSeed(t *testing.T, seed int64, to arrangement) *drawnRun {
+func prepareSeed(t *testing.T, seed int64, to arrangement) *randomRun {
 	rng := rand.New(rand.NewSource(seed))
-	return drawSettings(rng).prepare(t, rng, to)
+	return newRandomSettings(rng).prepare(t, rng, to)
 }
 
 // Decisions on a search depend on the settings of its query type and tenant, not on their position in the lists or
@@ -229,7 +229,7 @@
 func TestBalancersAreIndependent(t *testing.T) {
 	for seed := range int64(8) {
 		var want, got [2][]string
-		var runs [2]*drawnRun
+		var runs [2]*randomRun
 		for i := range runs {
 			runSeed := seed*2 + int64(i)
 			want[i] = prepareSeed(t, runSeed, originalOrder).playAll()
@@ -257,11 +257,11 @@
 	for seed := range int64(16) {
 		play := func(uniform bool) []string {
 			rng := rand.New(rand.NewSource(seed))
-			random := drawSettings(rng)
-			random.servesAllFirst, random.queryType, random.tenant = true, rng.Intn(4), rng.Intn(3)
+			random := newRandomSettings(rng)
+			random.servesEachFirst, random.queryType, random.tenant = true, rng.Intn(4), rng.Intn(3)
 			random.lists["FollowUp"] = []string{"0", "0", "0", "0"} // the first search of each has only one step
 			if uniform {
-				random.makeAlike()
+				random.makeUniform()
 			}
 			return random.prepare(t, rng, originalOrder).playAll()
 		}
@@ -270,7 +270,7 @@
 }
 
 // makeUniform gives all query types and tenants the settings of the chosen ones.
-func (d *drawnSettings) makeAlike() {
+func (d *randomSettings) makeUniform() {
 	for i := range d.queryTypes {
 		d.queryTypes[i] = d.queryTypes[d.queryType]
 		for _, items := range d.lists {
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -51,7 +51,7 @@
 // isDivertedByGossip tells whether a request is to pass over a warming replica. It is true at random, as often as
 // gossip keeps requests away from the other holders of the shard: the load that gossip diverts from those must not go
 // to a replica that is warming up.
-func (b *balancer) isSparedByGossip(request *shardRequest) bool {
+func (b *balancer) isDivertedByGossip(request *shardRequest) bool {
 	all := b.holders(request)
 	return slices.ContainsFunc(all[b.rng.Intn(len(all)):][:1], b.isGossipedOutlier)
 }
