--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -45,7 +45,7 @@
 	value, err := strconv.ParseFloat(text, 64)
 	isNaN := value != value
 	if err != nil || isNaN {
-		panic(fmt.Sprintf("setting %s: %q is not a number", name, text))
+		panic(fmt.Sprintf("setting %s: %q is no number", name, text))
 	}
 	s.parsed[name] = value
 	return value
@@ -103,7 +103,7 @@
 	}
 	items := strings.Split(text, ",")
 	if index >= len(items) {
-		panic(fmt.Sprintf("setting %s has no item %d", name, index))
+		panic(fmt.Sprintf("setting %s has no place %d", name, index))
 	}
 	value := s.parse(name+","+strconv.Itoa(index), items[index])
 	s.listNumbers[key] = value
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -33,10 +33,10 @@
 	s := newSettings(map[string]string{"Text": "many", "NaN": "NaN", "List": "1,many", "Switch": "perhaps"})
 	for want, read := range map[string]func(){
 		"setting Missing is missing":                          func() { s.number("Missing") },
-		`setting Text: "many" is not a number`:                func() { s.number("Text") },
-		`setting NaN: "NaN" is not a number`:                  func() { s.optionalNumber("NaN", 1) },
-		`setting List,1: "many" is not a number`:              func() { s.listNumber("List", 1, 0) },
-		"setting List has no item 2":                          func() { s.listNumber("List", 2, 0) },
+		`setting Text: "many" is no number`:                   func() { s.number("Text") },
+		`setting NaN: "NaN" is no number`:                     func() { s.optionalNumber("NaN", 1) },
+		`setting List,1: "many" is no number`:                 func() { s.listNumber("List", 1, 0) },
+		"setting List has no place 2":                         func() { s.listNumber("List", 2, 0) },
 		`setting Switch: "perhaps" is neither true nor false`: func() { s.isEnabled("Switch") },
 	} {
 		require.PanicsWithValue(t, want, read)
