--- a/balancer/fanout.go
+++ b/balancer/fanout.go
@@ -126,28 +126,28 @@
 	sendable := slices.DeleteFunc(slices.Clone(s.requests), func(r *shardRequest) bool { return !b.canSend(r) })
 	s.awaitsCanary = len(sendable) > 0
 	if s.awaitsCanary {
-		b.enqueueRequest(b.quickest(sendable))
+		b.enqueueRequest(b.quickestRequest(sendable))
 	}
 	return s.awaitsCanary
 }
 
-// sendWithheld sends an extra that was withheld, in place of a request that is lost or late.
-func (b *balancer) sendWithheld(s *search) {
+// sendWithheldExtra sends an extra that was withheld, in place of a request that is lost or late.
+func (b *balancer) sendWithheldExtra(s *search) {
 	withheld := slices.DeleteFunc(slices.Clone(s.requests), func(r *shardRequest) bool {
 		return len(r.attempts) > 0 || r.queued || r.lost
 	})
 	if len(withheld) == 0 {
 		return
 	}
-	request := b.quickest(withheld)
+	request := b.quickestRequest(withheld)
 	b.enqueueRequest(request)
 	if s.reduced {
 		s.reachableWeight += request.weight
 	}
 }
 
-// quickest returns the request whose fastest holder has the shortest expected latency.
-func (b *balancer) quickest(requests []*shardRequest) *shardRequest {
+// quickestRequest returns the request whose fastest holder has the shortest expected latency.
+func (b *balancer) quickestRequest(requests []*shardRequest) *shardRequest {
 	return slices.MinFunc(requests, func(x, y *shardRequest) int {
 		return cmp.Compare(b.shortestExpectedLatency(x), b.shortestExpectedLatency(y))
 	})
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -54,7 +54,7 @@
 	outlook := b.outlookOf(request.search)
 	if !allowsHedging && outlook.isShort && !outlook.isHeavy && !request.search.reduced &&
 		b.latencyGradient() >= overloadGradient {
-		b.sendWithheld(request.search)
+		b.sendWithheldExtra(request.search)
 	}
 	switch {
 	case !b.mayHedge(a, target, outlook):
--- a/balancer/replica_restriction.go
+++ b/balancer/replica_restriction.go
@@ -57,7 +57,9 @@
 
 // RestrictReplicas cancels attempts at other replicas whether or not the settings allow cancelling: a request must not
 // continue where it is not allowed, and an answer from there must not count.
-func (b *balancer) RestrictReplicas(id uint64, restriction *ReplicaRestriction, onUnavailable func(shard int) (end bool)) {
+func (b *balancer) RestrictReplicas(id uint64, restriction *ReplicaRestriction,
+	onUnavailable func(shard int) (end bool),
+) {
 	s := b.searches.byID[id]
 	if s == nil || s.ended {
 		return
@@ -84,7 +86,7 @@
 		b.endSearch(s)
 	case lost:
 		if s.admittedAt > 0 {
-			b.sendWithheld(s)
+			b.sendWithheldExtra(s)
 		}
 		b.endIfIncompletable(s)
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -104,7 +104,7 @@
 	default:
 		request.lost = true
 		s.reachableWeight -= request.weight
-		b.sendWithheld(s)
+		b.sendWithheldExtra(s)
 		b.endIfIncompletable(s)
 	}
 }
--- a/balancer/scenario_harness_test.go
+++ b/balancer/scenario_harness_test.go
@@ -57,7 +57,7 @@
 	secondSteps      map[uint64]string // shards of the second step, by search
 	lastSteady       uint64            // number of the last search of a steady line
 
-	recounts        bool                // compares the count in flight with a recount after each iteration
+	checksInflight  bool                // compares the count in flight with a recount after each iteration
 	onRequestsAdded func(search uint64) // may be nil
 	onSend          func(search uint64, replica string)
 }
@@ -67,9 +67,9 @@
 	return newScenarioWithRecount(t, text, false)
 }
 
-func newScenarioWithRecount(t *testing.T, text string, recounts bool) *scenario {
+func newScenarioWithRecount(t *testing.T, text string, checksInflight bool) *scenario {
 	s := &scenario{
-		t: t, now: 10, recounts: recounts,
+		t: t, now: 10, checksInflight: checksInflight,
 		settings: map[string]string{}, replies: map[string][]string{}, lossy: map[string]uint64{},
 		attemptCounts: map[uint64]int{}, attemptsInFlight: map[uint64]int{}, endedAttempts: map[attemptID]bool{},
 		searchOf: map[uint64]uint64{}, expectedAnswers: map[uint64]int{}, secondSteps: map[uint64]string{},
@@ -151,7 +151,8 @@
 	s.attemptsInFlight[request]++
 	require.LessOrEqual(s.t, s.attemptCounts[request], int(s.parseNumber(s.settings[settingMaxAttempts])))
 	mayHedge := s.settings[settingHedging] == "true"
-	require.True(s.t, s.attemptsInFlight[request] == 1 || mayHedge, "hedged attempt of request %d although hedging is off", request)
+	require.True(s.t, s.attemptsInFlight[request] == 1 || mayHedge,
+		"hedged attempt of request %d although hedging is off", request)
 	reply, lossy := s.replies[replica], s.lossy[replica]
 	if reply != nil && (lossy == 0 || search%lossy > 0) {
 		s.scheduleOutcome(request, index, reply[0], s.parseNumber(reply[1])*millisecond)
@@ -198,7 +199,7 @@
 	s.balancer.BeginIteration(s.now)
 	do()
 	s.balancer.EndIteration()
-	if s.recounts {
+	if s.checksInflight {
 		s.checkInflightCount()
 	}
 }
@@ -363,5 +364,6 @@
 			count++
 		}
 	}
-	require.True(s.t, s.parseNumber(low) <= count && count <= s.parseNumber(high), "%d actions match %v in %q", count, words, s.actions)
+	require.True(s.t, s.parseNumber(low) <= count && count <= s.parseNumber(high),
+		"%d actions match %v in %q", count, words, s.actions)
 }
