--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,8 +8,8 @@
 	// parkedRecheckDelay is the wait, in tenths of a millisecond, before searches and requests that no replica can take
 	// at the moment (parked ones) are checked again.
 	parkedRecheckDelay = 20 * millisecond
-	// answerMargin is the time reserved before a client's timeout, besides two ticks, in tenths of a millisecond: the
-	// final answer must not be late.
+	// answerMargin is the time, in tenths of a millisecond, that is reserved before a client's timeout in addition to
+	// two ticks: the final answer must not be late.
 	answerMargin = 15 * millisecond
 )
 
@@ -18,7 +18,7 @@
 	searches        []*search
 	backlog         float64 // the paper's smoothed queue length: searches already waiting when one arrives
 	pendingRequests float64 // shard requests waiting at the end of the last iteration
-	lastEviction    int64   // when the queue was last scanned
+	lastScan        int64   // when the queue was last scanned for searches to shed
 	hasParked       bool    // a search or request is parked: it waits for a replica rather than for a slot
 }
 
@@ -68,7 +68,7 @@
 			i++
 		}
 	}
-	b.evictExpired()
+	b.shedQueued()
 	if b.admission.hasParked {
 		b.admission.hasParked = false
 		b.setTimer(parkedRecheckDelay, timerFunc(func() {})) // the iteration that it starts checks them again
@@ -82,7 +82,7 @@
 	case s.ended:
 	case b.cannotMeetDeadline(s):
 		b.shed(s)
-	case b.hasNoEligibleReplica(s):
+	case b.mustWaitForReplica(s):
 		b.admission.hasParked = true
 		return false
 	case b.isNotWorthAdmitting(s):
@@ -93,11 +93,11 @@
 	return true
 }
 
-// isNotWorthAdmitting tells whether an admitted search would be of no use: there is no capacity for its answer, its
-// latency objective has passed, or it would pass before the answer, given how long searches take now. That estimate is
-// used only for searches that have waited or while answers are slow: at a low request rate nothing ever waits at a
-// single coordinator, and overload shows only in the answers. After an overload it sheds needlessly until the recorded
-// durations have decayed; then some searches are sent again and give new measurements.
+// isNotWorthAdmitting tells whether admitting a search would be of no use: there is no capacity for its answer, its
+// latency objective has passed, or the objective would pass before the answer, given how long searches take now. That
+// estimate is used only for searches that have waited or while answers are slow: at a low request rate nothing ever
+// waits at a single coordinator, and overload shows only in the answers. After an overload, searches are shed
+// needlessly until the recorded durations have decayed; then some are sent again and give new measurements.
 func (b *balancer) isNotWorthAdmitting(s *search) bool {
 	if b.utilization >= 1 || s.objectiveEnd <= b.now && !b.hasLateValue(s) {
 		return true
@@ -106,9 +106,9 @@
 	return (hasWaited || b.latencyGradient() < overloadGradient) && b.estimateCompletion().isLate(s, 0)
 }
 
-// hasNoEligibleReplica tells whether some requests that a complete answer needs have no replica to go to. If a partial
-// answer is allowed and answers are fast, the search goes out without them.
-func (b *balancer) hasNoEligibleReplica(s *search) bool {
+// mustWaitForReplica tells whether a search has to wait because no replica can take some of the requests that a
+// complete answer needs. If a partial answer is allowed and answers are fast, the search goes out without them.
+func (b *balancer) mustWaitForReplica(s *search) bool {
 	sendableWeight := 0.0
 	for _, request := range s.requests {
 		if b.canSend(request) {
@@ -119,11 +119,11 @@
 	return isShort && (b.latencyGradient() < 1 || !b.isAnswerable(s, sendableWeight))
 }
 
-// cannotMeetDeadline tells whether work on a search would be wasted: either its client leaves after less than half of
-// the time that first attempts have and sooner than recent searches of its type took, or too few of its requests would
-// be answered in time, judged by how long their replicas have taken. This handles clients that retry with almost no
-// time left, and shards whose replicas are all overloaded. It may reject searches of a type or shard that has
-// recovered, until one is tried again.
+// cannotMeetDeadline tells whether work on a search would be wasted. Either its client will wait less than half as long
+// as for a first attempt, and less long than recent searches of its type took; or too few of its requests would be
+// answered in time, judged by how long their replicas have taken. This handles clients that retry with almost no time
+// left, and shards whose replicas are all overloaded. Searches of a type or shard that has recovered may be rejected
+// until one is tried again.
 func (b *balancer) cannotMeetDeadline(s *search) bool {
 	count, total := b.latency.byQueryType[s.queryType].read(b.now, rateWindow)
 	clientTimeout := float64(b.settings.queryTypeDuration(s.queryType, fieldDeadline))
@@ -132,9 +132,9 @@
 	if count >= minSearchDurations && timeLeft < min(retryObjectiveShare*firstAttemptTime, durationSpread*total/count) {
 		return true
 	}
-	weightInTime, hasThinEvidence := 0.0, b.hasSparseAnswers()
+	weightInTime, hasSparseAnswers := 0.0, b.hasSparseAnswers()
 	for _, request := range s.requests {
-		if !hasThinEvidence || b.canMeetDeadline(request) {
+		if !hasSparseAnswers || b.canMeetDeadline(request) {
 			weightInTime += request.weight
 		}
 	}
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -30,7 +30,8 @@
 }
 
 // timeoutFor returns how long to wait for the latest attempt of a request: until the deadline. An attempt that can be
-// neither hedged nor cancelled, but may be sent again, gets a shorter timeout, the only way to send it elsewhere.
+// neither hedged nor cancelled, but may be sent again, gets a shorter timeout, since nothing else would let the request
+// go to another replica.
 func (b *balancer) timeoutFor(request *shardRequest) int64 {
 	timeout := request.search.deadline - b.now + answerMargin
 	if b.settings.allowsHedging() || b.settings.allowsCancelling() {
@@ -90,7 +91,7 @@
 		return
 	}
 	b.recordFailure(a, outcome, wait, retryAfter)
-	b.retryLost(a.request)
+	b.retryOrGiveUp(a.request)
 }
 
 // recordAnswer records what an answer shows of its replica and of the fleet.
@@ -132,9 +133,9 @@
 			b.admit(s)
 		}
 	}
-	if isFirstAnswer { // lost requests may have been waiting for it
+	if isFirstAnswer { // retries of other requests may have been waiting for it
 		for i := 0; i < len(s.requests); i++ { // the slice may change during the loop
-			b.retryLost(s.requests[i])
+			b.retryOrGiveUp(s.requests[i])
 		}
 	}
 }
--- a/balancer/client_retries.go
+++ b/balancer/client_retries.go
@@ -3,9 +3,9 @@
 import "slices"
 
 const (
-	// clientTimeoutSlack is how much less time than a first attempt a client's retry must leave before the difference
-	// counts as time that its client has already spent, in tenths of a millisecond: up to 50 ms may be lost on the
-	// network.
+	// clientTimeoutSlack is how much less time a client's retry may leave than a first attempt, in tenths of a
+	// millisecond, before the difference counts as time that the client has already spent: up to 50 ms may be lost on
+	// the network.
 	clientTimeoutSlack = 50 * millisecond
 	// withdrawnSearchTTL is the longest time between the withdrawal of a search and the retry of its client, in tenths
 	// of a millisecond: a client that retries does so at once.
@@ -17,7 +17,7 @@
 
 // clientRetries holds what is known about how long clients wait.
 type clientRetries struct {
-	firstAttemptShare float64           // largest share of the client timeout that a first attempt has left
+	firstAttemptShare float64           // share of the client timeout that first attempts leave: the largest seen
 	withdrawn         []withdrawnSearch // searches that clients have recently withdrawn
 }
 
@@ -26,7 +26,7 @@
 	clientStart, arrivedAt, withdrawnAt int64
 }
 
-// recordTimeout records how much of the client timeout a search leaves.
+// recordTimeout records how much of the client timeout is left when a search arrives.
 func (c *clientRetries) recordTimeout(timeLeft, clientTimeout int64) {
 	share := min(1, float64(timeLeft)/float64(max(1, clientTimeout, timeLeft)))
 	c.firstAttemptShare = max(c.firstAttemptShare, share)
@@ -56,9 +56,10 @@
 }
 
 // objectiveFor returns how long an answer may take and still have its full value. A client's retry has already spent a
-// part of the objective. How much is known if it leaves less time than first attempts do, or if its search was
-// withdrawn: a client that left early and retries will leave after the same time again, and an answer after that has no
-// value. A retry by a client that simply uses a shorter timeout is treated as if it had spent the difference.
+// part of the objective. That part is known in two cases. If the client withdrew the search before, the objective
+// counts from its first attempt; besides, the client is expected to leave again after the same wait, and a later answer
+// has no value. If the retry leaves less time than first attempts do, it has spent what is missing from the client
+// timeout; a retry by a client that simply uses a shorter timeout is treated in the same way.
 func (b *balancer) objectiveFor(s *search, timeLeft int64, isRetry bool) int64 {
 	objective := b.settings.queryTypeDuration(s.queryType, fieldObjective)
 	clientTimeout := b.settings.queryTypeDuration(s.queryType, fieldDeadline)
--- a/balancer/client_retries_test.go
+++ b/balancer/client_retries_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// The largest share of the client timeout that a search has left counts as the share that first attempts leave.
+// First attempts are assumed to leave the largest share of the client timeout that any search has left, and never more
+// than the whole timeout.
 func TestFirstAttemptShare(t *testing.T) {
 	var clients clientRetries
 	clients.recordTimeout(1500, 2000)
--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// endIfIncompletable ends a search that has just lost requests if the remaining ones do not suffice for an answer.
-func (b *balancer) endIfIncompletable(s *search) {
+// endIfUnanswerable ends a search that has just lost requests if the remaining ones do not suffice for an answer.
+func (b *balancer) endIfUnanswerable(s *search) {
 	b.answerIfComplete(s)
 	if !s.ended && s.isShort(s.reachableWeight) && !b.isAnswerable(s, s.reachableWeight) {
 		b.fail(s)
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	// slotsPerReplica is the number of attempts in flight allowed for each listed replica: the starting value in the
-	// design.
+	// slotsPerReplica is the number of attempts in flight per listed replica that the limit starts with, as in the
+	// design, and never exceeds.
 	slotsPerReplica = 4
 	// toleratedLatencyRatio is the ratio of the fleet latency to the shortest fleet latency above which the limit
 	// begins to shrink: up to this ratio it is ordinary queueing.
 	toleratedLatencyRatio = 2.0
-	// replicaLimitFactor is the multiple of its share of the slots that one replica may hold: this much unevenness is
+	// replicaLimitFactor is how many times its even share of the slots one replica may hold: this much unevenness is
 	// normal.
 	replicaLimitFactor = 2
-	// minLimitShare is the smallest limit as a share of the starting value: with one attempt per replica, every replica
-	// is still measured.
+	// minLimitShare is the smallest limit as a share of the starting value: it leaves one attempt per replica, so that
+	// every replica is still measured.
 	minLimitShare = 0.25
 	// minLimitPerReplica is the number of attempts per replica that the smallest limits of all coordinators add up to:
 	// this many keep a replica busy.
--- a/balancer/concurrency_limit_test.go
+++ b/balancer/concurrency_limit_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The limit starts at its upper bound, and for any number of replicas and coordinators at least one attempt may be in
+// flight.
 func TestConcurrencyLimitBounds(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit     float64
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -8,8 +8,8 @@
 	watchRetryMin = 500 * millisecond
 	// watchRetryMax is the longest such wait; the settings may demand a shorter one.
 	watchRetryMax = 8 * second
-	// watchWithinShare is the share, of the time that the settings allow for restarting a watch, that one wait may
-	// take: a list counts as missed after 6 s.
+	// watchWithinShare is the largest share of the time allowed by settingWatchWithin that a single wait may take. It
+	// is small because a list already counts as missed after 6 s.
 	watchWithinShare = 0.3
 )
 
@@ -95,8 +95,8 @@
 }
 
 // retryWatch restarts the watch of the list after a growing wait with jitter, within the time that the settings allow:
-// the list service may be failing for all coordinators at once. After a short failure the list may be outdated for one
-// such wait.
+// the list service may be failing for all coordinators at once. After a short failure the list may stay outdated until
+// the wait is over.
 func (b *balancer) retryWatch() {
 	allowed := int64(b.settings.optionalNumber(settingWatchWithin, watchRetryMax) * (watchWithinShare * millisecond))
 	delay := min(b.endpoints.watchRetryDelay, allowed)
--- a/balancer/endpoint_selection.go
+++ b/balancer/endpoint_selection.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// tieRandomShare is how much of a replica's past latency is randomized when equally loaded replicas are compared:
-	// this way a replica that has recovered is used again.
+	// tieRandomShare is how much of a replica's past latency is random when equally loaded replicas are compared: this
+	// way a replica that has recovered is used again.
 	tieRandomShare = 0.25
 	// sampleThreshold is the number of holders of a shard above which a random sample is examined first: it bounds the
 	// time of an iteration.
@@ -18,7 +18,7 @@
 
 	// Penalties added to the load of replicas that are to be chosen after others. Each is larger than anything the
 	// smaller ones can add up to.
-	alreadySentPenalty = 1e4 // the request was already sent there
+	alreadySentPenalty = 1e4 // the request was already sent to it
 	degradedPenalty    = 1e5 // its zone is degraded, or it is an outlier by gossip or own evidence
 	outlierPenalty     = 1e6 // it is an outlier by own evidence
 	// probeLoad puts a replica ahead of all others, for a probe attempt.
@@ -65,8 +65,8 @@
 	return canSend
 }
 
-// selectReplica chooses the replica for a request, or returns nil if none may take it now. It prefers replicas that
-// have not got the request before, then the one with the fewest batches of this coordinator in flight. Ties are broken
+// selectReplica chooses the replica for a request, or returns nil if none may take it now. It prefers replicas that the
+// request was not sent to before, then the one with the fewest batches of this coordinator in flight. Ties are broken
 // at random or, while answers are sparse, by past latency. If there are many holders, a sample is examined first: an
 // idle replica in it cannot be beaten.
 func (b *balancer) selectReplica(request *shardRequest) *replica {
@@ -89,10 +89,11 @@
 }
 
 // selectAmong chooses among some holders of a shard and returns the load of the chosen one. Outliers are used only for
-// probe attempts, or if no healthy replica holds the shard, with or without capacity.
+// probe attempts, or if all of these holders are outliers; a healthy holder rules them out even if it has no capacity
+// now.
 func (b *balancer) selectAmong(request *shardRequest, holders []*replica) (best *replica, lowest float64) {
 	lowest = math.Inf(1)
-	ties, hasHealthy, hasThinEvidence := 0, false, b.hasSparseAnswers()
+	ties, hasHealthy, hasSparseAnswers := 0, false, b.hasSparseAnswers()
 	for _, r := range holders {
 		isOutlier := b.isOutlier(r)
 		hasHealthy = hasHealthy || !isOutlier
@@ -102,7 +103,7 @@
 		if b.now < b.outliers.gossipedUntil && !b.isWarmedUp(r) && b.isDivertedByGossip(request) {
 			continue
 		}
-		load := b.selectionLoad(request, r, isOutlier, hasThinEvidence)
+		load := b.selectionLoad(request, r, isOutlier, hasSparseAnswers)
 		switch {
 		case load < lowest:
 			best, lowest, ties = r, load, 1
@@ -121,9 +122,9 @@
 // selectionLoad returns the load by which replicas are compared: the batches in flight, plus penalties for replicas
 // that are to be chosen after the others. From time to time a replica in a degraded zone gets no penalty for a request
 // that its search can spare: this shows whether the zone has recovered.
-func (b *balancer) selectionLoad(request *shardRequest, r *replica, isOutlier, hasThinEvidence bool) float64 {
+func (b *balancer) selectionLoad(request *shardRequest, r *replica, isOutlier, hasSparseAnswers bool) float64 {
 	load := float64(r.batchesInFlight)
-	if hasThinEvidence {
+	if hasSparseAnswers {
 		load += 1 - 1/(1+b.longTermSlowness(r)*(1+tieRandomShare*b.rng.Float64()))
 	}
 	if isOutlier || b.isGossipedOutlier(r) {
--- a/balancer/fanout.go
+++ b/balancer/fanout.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// overloadExtraShare is the share of the extras, multiplied by the latency gradient, that are still sent under
+	// overloadExtraShare, multiplied by the latency gradient, is the share of the extras that is still sent under
 	// overload while answers are sparse: with fewer extras the answers were no better than with none.
 	overloadExtraShare = 0.5
 	// minOverloadAnswers is the decayed number of answers from which slow answers count as overload: fewer may all
@@ -17,7 +17,7 @@
 	canaryWindow = 10 * second
 
 	// Priorities of the requests of a search, added to their weight.
-	priorityEligible = 2 // some replica may take it now
+	prioritySendable = 2 // some replica may take it now
 	priorityQuick    = 1 // some replica will answer it quickly, or it may be hedged
 	// maxTieBreak bounds the random part of a priority, which decides only between equal weights.
 	maxTieBreak = 1e-9
@@ -35,9 +35,9 @@
 	priority float64
 }
 
-// admit sends a search's requests: those that a complete answer needs, and as many extras as the backlog allows (any
-// sufficient subset of the requests completes the search). The paper's rule is used: all extras while the backlog is
-// under one search, one fewer for each further search.
+// admit queues the requests of a search for sending: those that a complete answer needs, and as many extras as the
+// backlog allows (any sufficient subset of the requests completes the search). By the paper's rule, all extras are sent
+// while the backlog is under one search, and one fewer for each further search.
 func (b *balancer) admit(s *search) {
 	if s.admittedAt == 0 {
 		s.admittedAt = b.now
@@ -60,7 +60,7 @@
 	for i, candidate := range candidates[:needed+extras] {
 		isNeeded := i < needed
 		// An extra that would have to wait, or would run slowly, takes capacity from requests that are needed.
-		if isNeeded || candidate.priority >= priorityEligible+priorityQuick {
+		if isNeeded || candidate.priority >= prioritySendable+priorityQuick {
 			b.enqueueRequest(candidate.shardRequest)
 		}
 		if !isNeeded && candidate.queued {
@@ -85,9 +85,9 @@
 		}
 		candidate := sendCandidate{request, request.weight + maxTieBreak*b.rng.Float64()}
 		if b.canSend(request) {
-			candidate.priority += priorityEligible
+			candidate.priority += prioritySendable
 		}
-		// Without hedging, work on a request at a slow replica is never taken back.
+		// Without hedging, no second attempt makes up for a request that was sent to a slow replica.
 		if b.settings.allowsHedging() || b.shortestExpectedLatency(request) <= b.latency.fleetLatency(b.now) {
 			candidate.priority += priorityQuick
 		}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// countSentTo plays a number of spans of 2 s and returns how many attempts were sent to a replica in each.
-func (f *fleet) countSentTo(replica string, spans int) (counts []int) {
+// playAndCountSentTo plays a number of spans of 2 s and returns how many attempts were sent to a replica in each.
+func (f *fleet) playAndCountSentTo(replica string, spans int) (counts []int) {
 	for range spans {
 		f.sentTimes = map[string][]int64{}
 		f.play(2_000)
@@ -250,7 +250,7 @@
 		f := newFleet(size)
 		f.play(10_000)
 		f.restartReplica(0)
-		for i, sent := range f.countSentTo("r0", 5) {
+		for i, sent := range f.playAndCountSentTo("r0", 5) {
 			allowed := overloadMultiple * warmingCapacity(int64(i)*2*second) * fleetReplicaRate * 2 // in 2 s
 			require.LessOrEqual(t, float64(sent), allowed, "%d coordinators, from %d s", size, 2*i)
 			require.GreaterOrEqual(t, float64(sent), 0.1*allowed, "%d coordinators, from %d s", size, 2*i)
@@ -265,14 +265,14 @@
 		f := newFleet(size)
 		f.play(10_000)
 		f.silentReplicas["r1"] = true
-		for i, sent := range f.countSentTo("r1", 6) {
+		for i, sent := range f.playAndCountSentTo("r1", 6) {
 			require.LessOrEqual(t, float64(sent), 2*fleetReplicaRate, "%d coordinators", size)
 			if i > 0 && size < 10 {
 				require.LessOrEqual(t, sent, 2*size+size, "%d coordinators", size)
 			}
 		}
 		f.silentReplicas["r1"] = false
-		for _, sent := range f.countSentTo("r1", 4) {
+		for _, sent := range f.playAndCountSentTo("r1", 4) {
 			require.GreaterOrEqual(t, float64(sent), 0.25*2*fleetReplicaRate, "%d coordinators", size)
 		}
 		require.Empty(t, f.lateAnswers)
@@ -301,9 +301,9 @@
 	}
 }
 
-// A replica has just started, at a different time for each seed. In each window of the settings, wherever it begins,
-// all coordinators together send no more than the configured multiple of its capacity at the beginning of the window,
-// apart from random variation. It gets some requests.
+// A replica has just started, at a different time for each seed. In every window of the length that the setting Fall
+// gives, wherever it begins, all coordinators together send no more than the configured multiple of the replica's
+// capacity at the beginning of the window, apart from random variation. The replica gets some requests.
 func TestFleetSlowStartHoldsInEachWindow(t *testing.T) {
 	const window = 2 * second // Fall of the settings
 	for _, size := range fleetSizes {
--- a/balancer/gossip_observations.go
+++ b/balancer/gossip_observations.go
@@ -57,10 +57,10 @@
 	}
 }
 
-// ImportObservation replaces the previous observation of the same scope. A coordinator that has just started knows
-// nothing, and peers may be wrong: so gossip only makes a replica look worse, counts as few answers, is replaced by own
-// answers and decays. A replica that gossip calls an outlier is chosen after the others and gets one request at a time
-// until it answers this coordinator: no peer can exclude it.
+// ImportObservation replaces the previous observation of the same scope. Gossip helps a coordinator that has just
+// started and knows nothing, but peers may be wrong: so gossip only makes a replica look worse, counts as few answers,
+// is replaced by own answers and decays. A replica that gossip calls an outlier is chosen after the others and gets one
+// request at a time until it answers this coordinator, so no peer can exclude it.
 func (b *balancer) ImportObservation(observation GossipedObservation) {
 	switch observation.Scope {
 	case ScopeFleet:
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// hedgeDelayRatio is the ratio of its age to the fleet latency at which an attempt is hedged: beyond the 95th
-	// percentile.
+	// hedgeDelayRatio is the ratio of an attempt's age to the fleet latency from which the attempt is hedged: beyond
+	// the 95th percentile.
 	hedgeDelayRatio = 2.5
 	// minHedgeDelay is the shortest such age, in tenths of a millisecond: below it a hedged attempt costs more than it
 	// gains.
@@ -20,16 +20,17 @@
 	// timeoutRatio is the ratio of timeout to hedge delay for an attempt that can be neither hedged nor cancelled.
 	timeoutRatio = 2
 
-	// rerouteDelayRatio is the ratio of its age to the fleet latency at which an attempt is cancelled and sent to
-	// another replica, if hedging is not allowed: ordinary queueing takes less time.
+	// rerouteDelayRatio is the ratio of an attempt's age to the fleet latency from which, if hedging is not allowed,
+	// the attempt is cancelled and sent to another replica: ordinary queueing takes less time.
 	rerouteDelayRatio = 5.5
-	// quickLatencyRatio is the ratio of its latency to the fleet latency up to which another holder counts as quick:
-	// slower hardware takes this long.
+	// quickLatencyRatio is the ratio of another holder's latency to the fleet latency up to which that holder counts as
+	// quick: slower hardware takes this long.
 	quickLatencyRatio = 1.4
 	// quickRetryRatio is the ratio of the latency of retries to the fleet latency up to which other holders are assumed
 	// to be no busier than the first.
 	quickRetryRatio = 1.6
-	// minRetryAnswers is the decayed number of answered retries from which that ratio is used: one within the last 7 s.
+	// minRetryAnswers is the decayed number of answered retries from which their latency is used: one within the last 7
+	// s.
 	minRetryAnswers = 0.5
 )
 
@@ -40,7 +41,7 @@
 
 // hedgeAttempt handles an overdue attempt: a second attempt goes to another replica or, if two may not run at once, the
 // first is cancelled and the request is sent elsewhere once the attempt has ended. This covers every kind of silence or
-// slowness of one replica, whatever its cause. If the request itself is heavy, it doubles the work.
+// slowness of one replica, whatever its cause. If the request itself is heavy, the second attempt doubles the work.
 func (b *balancer) hedgeAttempt(a *attempt) {
 	request := a.request
 	if a.ended || !request.isOpen() {
@@ -66,8 +67,8 @@
 	}
 }
 
-// mayHedge tells whether an overdue attempt is to be hedged, or sent elsewhere, now. While searches wait only silent
-// attempts are, and attempts of heavy searches never: the work would take capacity from other searches. Neither
+// mayHedge tells whether an overdue attempt is to be hedged, or sent elsewhere, now. While searches wait, only silent
+// attempts are hedged; attempts of heavy searches never are: the work would take capacity from other searches. Neither
 // restriction applies to an attempt at an outlier.
 func (b *balancer) mayHedge(a *attempt, target *replica, outlook searchOutlook) bool {
 	request := a.request
@@ -93,8 +94,8 @@
 
 // isQuickAndIdle tells whether a replica has no attempts in flight and would answer soon. It must be known to be no
 // slower than usual; once recent retries have been answered quickly, a replica that is a little slower or unknown will
-// also do. Otherwise a request would stay at a replica that does not answer only because the hardware of the other
-// holder is slower than the mean. Until enough retries show that other holders are busy too, some requests are moved
+// also do. Without this exception, a request would stay at a replica that does not answer whenever the other holder's
+// hardware is slower than the mean. Until enough retries show that other holders are busy too, some requests are moved
 // there in vain.
 func (b *balancer) isQuickAndIdle(r *replica) bool {
 	count, total := b.latency.retries.read(b.now, longWindow)
--- a/balancer/inflight.go
+++ b/balancer/inflight.go
@@ -165,7 +165,7 @@
 	return c.counted - c.atOutliers
 }
 
-// recheckExpiring marks the replicas whose time may have been reached for a recheck, and determines the next such time.
+// recheckExpiring marks for a recheck the replicas whose time may have been reached, and determines the next such time.
 func (c *inflightCounter) recheckExpiring(now int64) {
 	c.nextExpiry = math.MaxInt64
 	pending := c.expiring[:0]
--- a/balancer/inflight_test.go
+++ b/balancer/inflight_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// In each iteration of random streams, the incrementally updated count equals a recount of all attempts.
+// An update that is forgotten would leave the count wrong for good: in each iteration of random streams, the
+// incrementally updated count must equal a recount of all attempts.
 func TestInflightCountMatchesRecount(t *testing.T) {
 	for seed := range int64(40) {
 		text := randomScenario(rand.New(rand.NewSource(1000 + seed)))
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -112,11 +112,11 @@
 	Replica                    string
 	Zone                       int
 	ReplicaStart               int64        // start of the replica's incarnation, from the endpoint list
-	ShortWindow, LongWindow    DecayingMean // for the fleet: its usual and its shortest latency
+	ShortWindow, LongWindow    DecayingMean // for the fleet, ShortWindow is its usual and LongWindow its shortest latency
 	ConsecutiveFailures        int          // errors, rejections and dropped connections in a row
 	ConsecutiveConnectFailures int
 	UnansweredRequests         int
-	SilentFor                  int64 // time for which they have been unanswered
+	SilentFor                  int64 // time for which the replica has left them unanswered
 	LastAnswerAge              int64 // time since its last answer, -1 if there was none
 	Outlier                    bool  // it is an outlier by own evidence
 }
--- a/balancer/latency_estimates.go
+++ b/balancer/latency_estimates.go
@@ -21,10 +21,10 @@
 	// minReplicaAnswers is the decayed number of answers from which a replica's long-term latency is used: one answer
 	// within the last 12 s.
 	minReplicaAnswers = 0.3
-	// minSearchDurations is the number of searches of a type from which their mean duration is used. As fewer never
-	// lead to a rejection, some searches are sent again once the count has decayed.
+	// minSearchDurations is the number of searches of a type from which their mean duration is used. A mean of fewer
+	// never leads to a rejection, so some searches are sent again once the count has decayed.
 	minSearchDurations = 4
-	// tailLatencyRatio is the ratio of the latency of the last answer among a search's many requests to the usual
+	// tailLatencyRatio is the assumed ratio of the latency of the last of many answers to a search to the usual
 	// latency.
 	tailLatencyRatio = 2.0
 	// priorWeight is the number of answers at the fleet latency that are mixed into the estimate for a replica or zone:
@@ -125,8 +125,8 @@
 }
 
 // hasSparseAnswers tells whether replicas answer this coordinator so rarely that its requests in flight and the initial
-// concurrency limit show nothing. Slow replicas would then look idle, and no single coordinator would notice an
-// overload; decisions that depend on this use past answers instead.
+// concurrency limit show nothing. Judged by these alone, slow replicas would look idle, and no single coordinator would
+// notice an overload; so decisions that depend on load then use past answers instead.
 func (b *balancer) hasSparseAnswers() bool {
 	return b.latency.answerRate(b.now) < sparseAnswerRate*float64(b.endpoints.count())
 }
--- a/balancer/latency_estimates_test.go
+++ b/balancer/latency_estimates_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A sum has its exact mean at first, and after one e-fold time its count and total are smaller by a factor of e.
 func TestDecayingSum(t *testing.T) {
 	const window = 100.0
 	var sum decayingSum
@@ -31,6 +32,8 @@
 	require.InDelta(t, 1, sum.rate(300, window, minAge), 0.02)
 }
 
+// The shortest latency is not taken from the first few answers, stays while all replicas are slow, and fades in
+// minutes.
 func TestFleetLatency(t *testing.T) {
 	latency := latencyEstimates{assumed: assumedLatency}
 	require.InDelta(t, assumedLatency, latency.fleetLatency(1), 1e-9, "before any answer")
--- a/balancer/load_shedding.go
+++ b/balancer/load_shedding.go
@@ -3,14 +3,14 @@
 import "slices"
 
 const (
-	// evictScanThreshold is the number of waiting searches above which the queue is not scanned in each iteration:
+	// shedScanThreshold is the number of waiting searches above which the queue is not scanned in each iteration:
 	// checking one search takes 6 us.
-	evictScanThreshold = 1_000
-	// evictScanInterval is the time between two scans of such a queue, in tenths of a millisecond: a client does not
+	shedScanThreshold = 1_000
+	// shedScanInterval is the time between two scans of such a queue, in tenths of a millisecond: a client does not
 	// notice a delay of 1 ms.
-	evictScanInterval = 1 * millisecond
-	// durationSpread is the ratio of its duration to the mean that is allowed for when checking whether a search can
-	// still be in time.
+	shedScanInterval = 1 * millisecond
+	// durationSpread is how many times the mean duration a search is assumed to take when checking whether it can still
+	// be in time.
 	durationSpread = 1.4
 	// minThroughput is the lowest rate of answers that is assumed, per tenth of a millisecond: one a second.
 	minThroughput = 1.0 / second
@@ -45,18 +45,18 @@
 // SetUtilization sets the share of the capacity for searches and their answers that is in use.
 func (b *balancer) SetUtilization(share float64) { b.utilization = share }
 
-// evictExpired sheds queued searches under overload while their clients can still send them again: those that would be
+// shedQueued sheds queued searches under overload while their clients can still send them again: those that would be
 // answered after their objective or for which there is no capacity, and those over their tenant's quota. If the
-// estimate of the wait is too high, it sheds needlessly.
-func (b *balancer) evictExpired() {
+// estimated wait is too long, searches are shed needlessly.
+func (b *balancer) shedQueued() {
 	queue := &b.admission
-	if len(queue.searches) > evictScanThreshold && b.now < queue.lastEviction+evictScanInterval {
+	if len(queue.searches) > shedScanThreshold && b.now < queue.lastScan+shedScanInterval {
 		return
 	}
-	queue.lastEviction = b.now
+	queue.lastScan = b.now
 	pending, ended := len(b.sending.requests), 0
 	if len(queue.searches) > 0 {
-		pending, ended = b.evictFrom(queue.searches, pending)
+		pending, ended = b.shedFrom(queue.searches, pending)
 	}
 	queue.pendingRequests = float64(pending)
 	if ended > 0 {
@@ -64,9 +64,9 @@
 	}
 }
 
-// evictFrom sheds searches in the order of the queue. It returns the number of shard requests that then wait, including
-// those that waited before, and the number of searches that have ended.
-func (b *balancer) evictFrom(searches []*search, pendingBefore int) (pending, ended int) {
+// shedFrom sheds searches in the order of the queue. It returns the number of shard requests that then wait, including
+// the pendingBefore that are admitted already, and the number of searches that have ended.
+func (b *balancer) shedFrom(searches []*search, pendingBefore int) (pending, ended int) {
 	pending = pendingBefore
 	estimate := b.estimateCompletion()
 	for _, s := range searches {
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -90,9 +90,9 @@
 }
 
 // isOutlier tells whether a replica is to be avoided: connects to it fail, it returns errors or rejections, or it is
-// silent. Such a replica accepts requests without answering them and looks idle meanwhile. This covers crashed and hung
-// servers, network outages, and overload that leads to rejections. Any answer ends it. It may hit a healthy replica
-// behind a lossy network.
+// silent. A silent replica accepts requests without answering them, and looks idle meanwhile. This covers crashed and
+// hung servers, network outages, and overload that leads to rejections. After any answer the replica counts as healthy
+// again. A healthy replica behind a lossy network may be taken for an outlier.
 func (b *balancer) isOutlier(r *replica) bool {
 	if r.health.hasFailed(b.now) {
 		return true
@@ -155,7 +155,8 @@
 	case OutcomeResetByPeer: // not a failed connect: the replica may still be running
 		a.mayHaveRun = true
 		health.consecutiveFailures += health.countConnectionLoss(b.now)
-		if float64(wait) > minStartedShare*b.latency.shortestLatency(b.now) { // before that, no request had been started
+		// If the connection was dropped sooner, no request had been started.
+		if float64(wait) > minStartedShare*b.latency.shortestLatency(b.now) {
 			a.request.search.lostConnections++
 			b.outliers.lastCrash = b.now
 		}
--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -18,6 +18,7 @@
 	require.Greater(t, s.countSentTo("a"), 20)
 }
 
+// Single failures and single unanswered attempts do not make an outlier; expired evidence does not count either.
 func TestReplicaHealthEvidence(t *testing.T) {
 	const now = 100 * second
 	for name, test := range map[string]struct {
--- a/balancer/replica_restriction.go
+++ b/balancer/replica_restriction.go
@@ -74,7 +74,8 @@
 		if request.completed || request.lost || b.canStillBeServed(request, restriction) {
 			continue
 		}
-		if !s.reduced || request.queued || len(request.attempts) > 0 { // a reduced search did not count on the others
+		// The reachable weight of a reduced search leaves out unsent requests already.
+		if !s.reduced || request.queued || len(request.attempts) > 0 {
 			s.reachableWeight -= request.weight
 		}
 		request.lost, lost = true, true
@@ -88,7 +89,7 @@
 		if s.admittedAt > 0 {
 			b.sendWithheldExtra(s)
 		}
-		b.endIfIncompletable(s)
+		b.endIfUnanswerable(s)
 	}
 }
 
--- a/balancer/replica_restriction_test.go
+++ b/balancer/replica_restriction_test.go
@@ -142,9 +142,9 @@
 	require.Equal(t, elsewhere, s.countSentTo("b"))
 }
 
-// If no allowed replica holds a shard, a search that is to end does so at once and sends nothing. Otherwise a type that
-// allows partial answers may be answered without the shard, not marked as complete, and other types get their final
-// answer at once.
+// If no allowed replica holds a shard, a search whose callback asks for an error fails at once and sends nothing more.
+// Otherwise a type that allows partial answers may be answered without the shard, not marked as complete, and other
+// types get their final answer at once.
 func TestRestrictionWithoutHolder(t *testing.T) {
 	s := newScenario(t, "facts Specifics.Sets=2 Specifics.ClassFloor=0.3,1\nstart a/0 b/1\nwhen a,b Ok 20\nsearch 1 0 4000 0,1")
 	s.runLines("mark")
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -83,13 +83,14 @@
 	return hasAttemptsLeft
 }
 
-// retryLost sends a request again whose attempts have all ended without an answer, or gives it up.
+// retryOrGiveUp sends a request again, or gives it up, once all of its attempts have ended without an answer.
 //
 // A search that crashes the replicas that serve it must not be sent from replica to replica. It shows in dropped
-// connections without any answer. After one dropped connection, a lost request is sent again only once another request
-// of the search has been answered; after two, the search fails. If many replicas crash for another reason, a search
-// that loses two requests before its first answer fails as well.
-func (b *balancer) retryLost(request *shardRequest) {
+// connections without any answer. After one dropped connection, a request is sent again only once another request of
+// the search has been answered or no attempt of the search is in flight; after two, or if the search was waiting for a
+// canary, the search fails. If many replicas crash for another reason, a search that loses two requests before its
+// first answer fails as well.
+func (b *balancer) retryOrGiveUp(request *shardRequest) {
 	s := request.search
 	if !request.isOpen() || request.queued || len(request.attempts) == 0 || request.isInFlight() {
 		return
@@ -98,13 +99,13 @@
 	switch {
 	case seemsHarmful && (s.lostConnections >= maxLostConnections || s.awaitsCanary):
 		b.fail(s)
-	case seemsHarmful && s.isInFlight(): // wait until those attempts have ended
+	case seemsHarmful && s.isInFlight(): // completeRequest tries again after the first answer
 	case b.mayRepeat(request):
 		b.enqueueRequest(request)
 	default:
 		request.lost = true
 		s.reachableWeight -= request.weight
 		b.sendWithheldExtra(s)
-		b.endIfIncompletable(s)
+		b.endIfUnanswerable(s)
 	}
 }
--- a/balancer/search.go
+++ b/balancer/search.go
@@ -28,7 +28,7 @@
 	step              int // 1 or 2
 	firstStepComplete bool
 	ended             bool
-	reduced           bool // requests that a partial answer can do without were not sent
+	reduced           bool // fewer requests were sent than a complete answer needs, as a partial one will do
 	hasAnswer         bool // at least one of its requests was answered
 	awaitsCanary      bool // its other requests wait for the answer to one
 	overQuota         bool // it is beyond its tenant's quota
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -64,22 +64,22 @@
 }
 
 // optionalNumber returns a number, or a default if it is missing.
-func (s settings) optionalNumber(name string, missing float64) float64 {
+func (s settings) optionalNumber(name string, defaultValue float64) float64 {
 	if value, ok := s.parsed[name]; ok {
 		return value
 	}
 	if text, ok := s.values[name]; ok {
 		return s.parse(name, text)
 	}
-	return missing
+	return defaultValue
 }
 
-// duration returns a time, given in milliseconds, in tenths of a millisecond; 0 if it is missing.
+// duration returns a setting given in milliseconds as tenths of a millisecond, or 0 if it is missing.
 func (s settings) duration(name string) int64 {
 	return int64(s.optionalNumber(name, 0) * millisecond)
 }
 
-// isEnabled returns the value of a switch; a missing one is off.
+// isEnabled returns the value of a switch, which is off if it is missing.
 func (s settings) isEnabled(name string) bool {
 	switch text := s.values[name]; text {
 	case "true", "1":
@@ -92,14 +92,14 @@
 }
 
 // listNumber returns an item of a comma-separated list of numbers, or a default if the list is missing.
-func (s settings) listNumber(name string, index int, missing float64) float64 {
+func (s settings) listNumber(name string, index int, defaultValue float64) float64 {
 	key := settingKey{list: name, index: index}
 	if value, ok := s.listNumbers[key]; ok {
 		return value
 	}
 	text, ok := s.values[name]
 	if !ok {
-		return missing
+		return defaultValue
 	}
 	items := strings.Split(text, ",")
 	if index >= len(items) {
--- a/balancer/settings_isolation_test.go
+++ b/balancer/settings_isolation_test.go
@@ -16,7 +16,7 @@
 	queryTypes, tenants []map[string]string // settings objects
 	lists               map[string][]string // lists with an item for each query type
 
-	servesEachFirst   bool // one search of each type and tenant first, then only this type and tenant:
+	servesEachFirst   bool // begins with one search of each type and tenant, then plays only those below
 	queryType, tenant int
 }
 
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Each kind of setting is read in its unit, with its default if it is missing, and a cached value is the same.
 func TestSettings(t *testing.T) {
 	s := newSettings(map[string]string{
 		"Number": "2.5", "List": "1,0.5", "On": "true", "One": "1", "Off": "false", "Empty": "",
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -29,10 +29,11 @@
 	return r.startedAt == 0 || b.now >= r.startedAt+b.settings.duration(settingSlowStart)
 }
 
-// hasSlowStartCredit protects a replica that has just started from being overloaded and crashing again. The replica
-// gets the multiple of this coordinator's mean answers per replica that it can safely serve by now. The means of all
-// coordinators add up to what a replica really answers, so all of them together stay within its capacity, however many
-// there are. At low request rates a replica is hardly used while it warms up.
+// hasSlowStartCredit protects a replica that has just started from being overloaded and crashing again. This
+// coordinator sends it a multiple of the mean rate at which replicas answer this coordinator: the multiple that the
+// replica can safely serve by now. The means of all coordinators add up to what a replica really answers, so all of
+// them together stay within its capacity, however many there are. At low request rates a replica is hardly used while
+// it warms up.
 func (b *balancer) hasSlowStartCredit(r *replica) bool {
 	if b.isWarmedUp(r) {
 		return true
--- a/balancer/wire.go
+++ b/balancer/wire.go
@@ -38,7 +38,7 @@
 // discoverySubscribe is the value of settingDiscovery that requires the endpoint list to be watched.
 const discoverySubscribe = "subscribe"
 
-// Names of single settings.
+// Names of settings that hold a single value.
 const (
 	settingBalancers  = "Balancers" // number of coordinators that share the replicas
 	settingDiscovery  = "Discovery"
--- a/balancer/zone_latency.go
+++ b/balancer/zone_latency.go
@@ -15,8 +15,8 @@
 }
 
 // isZoneDegraded tells whether a zone's answers take far longer than those of the fastest zone: the network to it is
-// slow or loses packets, or the zone as a whole is slow. The latency of a single replica is too weak a sign of that,
-// and the replica is not at fault: the replicas of such a zone are not outliers, but are chosen after the others. If a
+// slow or loses packets, or the zone as a whole is slow. The latency of a single replica would be too weak a sign of
+// that. The replicas of such a zone are not at fault, so they are not outliers, but are chosen after the others. If a
 // zone is slow only because of its own load, this sends its load to other zones.
 func (b *balancer) isZoneDegraded(zone int) bool {
 	if len(b.zones) < 2 {
