--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -10,7 +10,7 @@
 	actions  Actions
 	settings settings
 	rng      *rand.Rand
-	now      int64 // time of the present iteration
+	now      int64 // time of the current iteration
 	timers   timerTable
 
 	endpoints    endpointList
@@ -18,7 +18,7 @@
 	searches     searchTable
 	admission    admissionQueue
 	sending      sendQueue
-	utilization  float64 // of the capacity for searches and their answers, 1 for none left
+	utilization  float64 // share of the capacity for searches and their answers that is in use; 1 means none is left
 
 	inflight inflightCounter
 	limiter  concurrencyLimiter
@@ -31,15 +31,15 @@
 	quotas  tenantQuotas
 }
 
-// New makes a balancer that reports to actions. It needs Configure and a list before searches. One goroutine at a time may
-// call it.
+// New makes a balancer that reports to actions. Configure must be called and an endpoint list committed before the
+// first search. Only one goroutine may call it at a time.
 func New(actions Actions) Balancer {
 	return &balancer{
 		actions:   actions,
 		timers:    timerTable{callbacks: map[uint64]timerCallback{}},
 		endpoints: newEndpointList(),
 		searches:  newSearchTable(),
-		sending:   sendQueue{fullSpots: map[int]bool{}},
+		sending:   sendQueue{withoutCapacity: map[int]bool{}},
 		limiter:   concurrencyLimiter{limit: math.Inf(1)},
 		latency:   latencyEstimates{assumed: assumedLatency},
 	}
@@ -47,7 +47,7 @@
 
 func (b *balancer) BeginIteration(now int64) {
 	b.now = now
-	clear(b.sending.fullSpots)
+	clear(b.sending.withoutCapacity)
 }
 
 func (b *balancer) Configure(seed int64, values map[string]string) {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Units of time: the package counts in tenths of a millisecond.
+// Units of time. The package counts time in tenths of a millisecond.
 const (
 	millisecond = 10
 	second      = 1_000 * millisecond
 )
 
-// settings holds the settings by name and caches what has been parsed. A required setting that is missing, and any
-// setting that cannot be parsed, panics with its name; the protocol reports that and drops the balancer.
+// settings holds the settings by name and caches parsed values. A required setting that is missing, and any setting
+// that cannot be parsed, causes a panic that names it; the protocol reports this and drops the balancer.
 type settings struct {
 	values map[string]string
 	parsed map[string]float64
@@ -63,23 +63,23 @@
 	return s.parse(name, text)
 }
 
-// optionalNumber returns a number, or a default where it is missing.
-func (s settings) optionalNumber(name string, missing float64) float64 {
+// optionalNumber returns a number, or a default if it is missing.
+func (s settings) optionalNumber(name string, defaultValue float64) float64 {
 	if value, ok := s.parsed[name]; ok {
 		return value
 	}
 	if text, ok := s.values[name]; ok {
 		return s.parse(name, text)
 	}
-	return missing
+	return defaultValue
 }
 
-// duration returns a time, given in milliseconds, in tenths of a millisecond; 0 where it is missing.
+// duration returns a setting given in milliseconds as tenths of a millisecond, or 0 if it is missing.
 func (s settings) duration(name string) int64 {
 	return int64(s.optionalNumber(name, 0) * millisecond)
 }
 
-// isEnabled returns a switch; a missing one is off.
+// isEnabled returns the value of a switch, which is off if it is missing.
 func (s settings) isEnabled(name string) bool {
 	switch text := s.values[name]; text {
 	case "true", "1":
@@ -91,15 +91,15 @@
 	}
 }
 
-// listNumber returns an item of a comma-separated list of numbers, or a default where the list is missing.
-func (s settings) listNumber(name string, index int, missing float64) float64 {
+// listNumber returns an item of a comma-separated list of numbers, or a default if the list is missing.
+func (s settings) listNumber(name string, index int, defaultValue float64) float64 {
 	key := settingKey{list: name, index: index}
 	if value, ok := s.listNumbers[key]; ok {
 		return value
 	}
 	text, ok := s.values[name]
 	if !ok {
-		return missing
+		return defaultValue
 	}
 	items := strings.Split(text, ",")
 	if index >= len(items) {
@@ -121,14 +121,14 @@
 	return name
 }
 
-// queryTypeDuration returns a duration among the settings of a query type.
+// queryTypeDuration returns a duration from the settings of a query type.
 func (s settings) queryTypeDuration(queryType int, field string) int64 {
 	return s.duration(s.fieldName(listQueryTypes, queryType, field))
 }
 
 func (s settings) maxAttempts() int { return int(s.optionalNumber(settingMaxAttempts, 1)) }
 
-// allowsHedging tells whether two attempts of a shard request may run at once.
+// allowsHedging tells whether two attempts of a shard request may run at the same time.
 func (s settings) allowsHedging() bool { return s.isEnabled(settingHedging) }
 
 // allowsCancelling tells whether an attempt may be cancelled.
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,12 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Each kind of setting is read in its unit, with its default if it is missing, and a cached value is the same.
 func TestSettings(t *testing.T) {
 	s := newSettings(map[string]string{
 		"Number": "2.5", "List": "1,0.5", "On": "true", "One": "1", "Off": "false", "Empty": "",
 		"Classes.1.Aim": "1500", settingMaxAttempts: "3",
 	})
-	for range 2 { // the second time what was parsed is cached
+	for range 2 { // the second time with cached values
 		require.Equal(t, 2.5, s.number("Number"))
 		require.Equal(t, 2.5, s.optionalNumber("Number", 7))
 		require.Equal(t, 7.0, s.optionalNumber("Missing", 7))
@@ -28,7 +29,7 @@
 	require.Equal(t, 3, s.maxAttempts())
 }
 
-// A setting that is required and missing, or that cannot be parsed, panics with its name.
+// A required setting that is missing, or a setting that cannot be parsed, causes a panic that names it.
 func TestSettingsFaults(t *testing.T) {
 	s := newSettings(map[string]string{"Text": "many", "NaN": "NaN", "List": "1,many", "Switch": "perhaps"})
 	for want, read := range map[string]func(){
