--- a/control/rollout/active_change.go
+++ b/control/rollout/active_change.go
@@ -1,32 +1,33 @@
 package rollout
 
-// activeChange is the change in force, and how far it has come as this instance sees it.
+// activeChange is the change that this instance works on, and its progress as seen from here.
 type activeChange struct {
 	*Change
 	digest         string
 	activatedAt    int64
 	steps          []step
-	roster         *roster             // the one this instance has voted for, nil before its members are known
-	openSteps      int                 // steps that a majority has approved; one more than there are completes the change
+	roster         *roster             // that this instance has voted for, nil until its entry arrives
+	openSteps      int                 // steps that a majority has approved, len(steps)+1 when complete
 	lastApprovalAt int64               // when this instance last approved a step
 	analysis       *RegressionAnalysis // of this epoch, nil before the first look
 	analyzedAt     int64
 }
 
-// permitLease is how long a permit grant is valid.
+// permitLease returns how long a permit is valid.
 func (a *activeChange) permitLease() int64 { return a.SilenceTimeout }
 
-// stepOf is the step, counted from 1, in which an instance applies the change.
+// stepOf returns the step, counted from 1, in which an instance applies the change.
 func (a *activeChange) stepOf(instance string) int {
 	return stepAtPosition(a.steps, a.roster.position[instance])
 }
 
-// isComplete reports whether the change is in force everywhere for good.
+// isComplete reports whether a majority has approved the completion of the active change and no verdict stops it.
 func (c *Controller) isComplete() bool {
 	return c.active.openSteps > len(c.active.steps) && c.status.Verdict.Order == OrderProceed
 }
 
-// publishChangeFile publishes the operator's change file if it is new, and adopts its order.
+// publishChangeFile publishes the change of the operator's change file if it is new. Once it is active, the order of
+// the file is adopted.
 func (c *Controller) publishChangeFile() {
 	file := c.changeFile
 	if file == nil || !c.mayVote() {
@@ -56,27 +57,27 @@
 	c.adoptVerdict(verdict)
 }
 
-// baseOf is the change under a change file's, nil for the instances' own files. It is not known while entries are
-// missing that would tell.
+// baseOf returns the base of the change file's change, nil for the instances' own files. It is not known while entries
+// that determine it are missing.
 func (c *Controller) baseOf(number uint64) (base *Change, known bool) {
 	if len(c.registry.changes[number]) == 0 {
 		return c.baseOfNewChange()
 	}
-	if c.active == nil || c.active.Number != number { // it is activated first
+	if c.active == nil || c.active.Number != number { // the change has to be activated first
 		return nil, false
 	}
 	return c.knownChange(c.active.BaseNumber)
 }
 
-// baseOfNewChange is the base of a change that is not published yet. A minority publishes none, since the cluster may be
-// past the change that the minority takes for the base.
+// baseOfNewChange returns the base of a change that is not published yet. It is not known to a minority, since the rest
+// of the cluster may already have a later change than the one that the minority would use as the base.
 func (c *Controller) baseOfNewChange() (base *Change, known bool) {
 	if !c.hearsMajority() {
 		return nil, false
 	}
 	highest := c.registry.highestNumber()
 	for _, peer := range c.peers {
-		if peer.ChangeNumber > highest { // the entry of its change has yet to arrive
+		if peer.ChangeNumber > highest { // the entry of that change has yet to arrive
 			return nil, false
 		}
 	}
@@ -89,13 +90,13 @@
 	return c.knownChange(c.active.BaseNumber)
 }
 
-// knownChange is the change of a number, nil for 0. It is not known while its entry has not arrived.
+// knownChange returns the change of a number, nil for 0. It is not known until its entry has arrived.
 func (c *Controller) knownChange(number uint64) (change *Change, known bool) {
 	change = c.registry.change(number)
 	return change, number == 0 || change != nil
 }
 
-// publishChange writes a change's entry. It reports whether the change fits one.
+// publishChange writes a change's entry. It reports whether the change is small enough for one.
 func (c *Controller) publishChange(digest string, change *Change) bool {
 	entry := encodeEntry(change)
 	if len(entry) > MaxEntryBytes {
@@ -108,8 +109,8 @@
 	return true
 }
 
-// activateHighestChange puts the change with the highest number in force. It ends those before it. A restart that has
-// begun is completed first.
+// activateHighestChange makes the change with the highest number the active one, which ends the one before it. A
+// restart that has begun is completed first.
 func (c *Controller) activateHighestChange() {
 	highest := c.registry.highestNumber()
 	isActive := c.active != nil && c.active.Number == highest
@@ -135,7 +136,7 @@
 	c.decision.Delete = append(c.decision.Delete, c.registry.removeObsolete(change)...)
 }
 
-// resetVotes begins a status about another change.
+// resetVotes clears this instance's verdict and votes for a change that it has not voted on.
 func (c *Controller) resetVotes(number uint64, digest string) {
 	status := &c.status
 	status.ChangeNumber, status.ChangeDigest = number, digest
@@ -143,7 +144,7 @@
 	status.RosterDigest, status.StageEpoch, status.ApprovedSteps, status.FailedEpoch = "", 0, 0, 0
 }
 
-// isAboutActiveChange reports whether a status message is about the change in force.
+// isAboutActiveChange reports whether a status message is about the active change.
 func (c *Controller) isAboutActiveChange(status *StatusMessage) bool {
 	return status != nil && status.ChangeNumber == c.active.Number && status.ChangeDigest == c.active.digest
 }
--- a/control/rollout/bets.go
+++ b/control/rollout/bets.go
@@ -9,54 +9,56 @@
 )
 
 // The evidence for a regression is collected by betting against the null hypothesis that the change is no worse than
-// its limits allow. Given how many searches of both sides were bad, the number of the change's among them follows
-// Fisher's noncentral hypergeometric distribution in the odds ratio of the sides. A bet multiplies its wealth by the
-// likelihood ratio of an odds ratio above the tolerated one to the tolerated one itself. Under the null hypothesis a
-// bet's expected wealth does not grow, so by Ville's inequality it reaches 1/α with a probability of at most α, over all
-// looks together. Bets begin at every look, because a change may become worse later.
+// its limits allow. Given how many searches of both sides together were bad, the number of bad searches with the change
+// follows Fisher's noncentral hypergeometric distribution, whose parameter is the odds ratio between the sides. A bet
+// is on one odds ratio above the tolerated one. Each look multiplies its wealth by the likelihood of what was observed
+// under that odds ratio, divided by the likelihood under the tolerated one. Under the null hypothesis the expected
+// wealth does not grow, so by Ville's inequality it reaches 1/α with a probability of at most α, over all looks
+// together. Bets begin at every look, because a change may become worse later.
 
 const (
-	// likelihoodExponent tempers each likelihood ratio. Searches fail together, so they count less than independent
-	// ones; a power below 1 keeps the bet fair.
+	// likelihoodExponent is the power to which each likelihood ratio is raised. Searches fail together, so they count
+	// less than independent ones; a power below 1 keeps the bet fair.
 	likelihoodExponent = 0.75
-	// minToleratedRatio is the odds ratio that is tolerated at the least: the sides differ by chance that no count shows.
+	// minToleratedRatio is the lowest odds ratio that is tolerated: the sides differ by chance in ways that no counter
+	// shows.
 	minToleratedRatio = 1.25
 	// maxBaselineFraction and maxToleratedFraction keep odds finite.
 	maxBaselineFraction  = 0.97
 	maxToleratedFraction = 0.985
-	// maxBlockSearches is how many searches of a side one look counts exactly. More are scaled down, which bounds the
-	// computation.
+	// maxBlockSearches is how many searches of a side one look counts exactly. Higher counts are scaled down to it,
+	// which bounds the computation.
 	maxBlockSearches = 2048
-	// minExcessPart is the part of the margin by which the bad fractions have to differ for a bet to count. Where bad
-	// searches are rare, the odds may differ widely and the fractions hardly.
+	// minExcessPart is the part of the margin by which the fractions of bad searches have to differ for a bet to count.
+	// If bad searches are rare, the odds may differ widely while the fractions hardly do.
 	minExcessPart = 0.5
-	// maxLogWealth bounds the logarithm of the wealth of a bet, since exp overflows a little above 709.
+	// maxLogWealth bounds the logarithm of a bet's wealth, since exp overflows a little above 709.
 	maxLogWealth = 600
 )
 
 // betRatios are the odds ratios that are bet on, as multiples of the tolerated one.
 var betRatios = [...]float64{1.5, 2.5, 5, 12}
 
-// Parts of a metric's initial wealth that are bet on all searches, on the classes and on the places.
+// Parts of a metric's initial wealth that are bet on all searches, on single classes and on single places.
 const (
 	overallPart  = 0.5
 	perClassPart = 0.25
 	perPlacePart = 0.25
 )
 
-// allClasses is the class of a bet on all classes; such a bet has the zero place for all places.
+// allClasses is the class of a bet on all classes. The place of a bet on all places is the zero place.
 const allClasses = -1
 
-// logWealth is the logarithm of what the bets on each of betRatios are worth.
+// logWealth is the logarithm of the wealth of a bet, for each of betRatios.
 type logWealth [len(betRatios)]float64
 
-// bet is on one metric of one class or allClasses, in one place or all (the zero place).
+// bet is a bet on one metric, of one class or allClasses, in one place or all (the zero place).
 type bet struct {
 	stratum
 	metric metric
 }
 
-// String is the bet in the reason of a verdict.
+// String returns the bet as the reason of a verdict names it.
 func (b bet) String() string {
 	text := metricNames[b.metric]
 	if b.class != allClasses {
@@ -68,13 +70,13 @@
 	return text
 }
 
-// portfolio is all bets and what they are worth.
+// portfolio is all bets and their wealth. A round is what a single look adds to them.
 type portfolio struct {
 	limits  RegressionLimits
-	rounds  int
-	started float64            // part of the initial wealth that bets of the rounds so far have begun with
-	wealth  map[bet]*logWealth // of the bets that a round has had an outcome for
-	gains   map[bet]*logWealth // of the present round
+	rounds  int                // begun so far
+	started float64            // part of the initial wealth that was staked in the rounds so far
+	wealth  map[bet]*logWealth // of the bets that have had an outcome in some round
+	gains   map[bet]*logWealth // in the current round
 	counts  map[bet]*[sideCount]proportion
 	places  map[place]bool
 }
@@ -90,7 +92,8 @@
 	p.gains = map[bet]*logWealth{}
 }
 
-// bet lets all bets on a stratum play on what its sides counted in a round. The baseline is of earlier rounds.
+// bet adds to the bets on a stratum what they gain by the counts of its sides in a round. The baseline is of earlier
+// rounds.
 func (p *portfolio) bet(in stratum, baseline *ClassStats, sides *[sideCount]ClassStats) {
 	p.places[in.place] = true
 	for m := range metricCount {
@@ -132,15 +135,15 @@
 	}
 }
 
-// endRound begins the bets of the round and pays the gains. The parts of the initial wealth that the rounds begin with,
-// 1/(n(n+1)) in round n, add up to 1.
+// endRound stakes the round's part of the initial wealth on each bet and pays out the gains. The parts, 1/(n(n+1)) in
+// round n, add up to 1.
 func (p *portfolio) endRound() {
 	part := 1 / (float64(p.rounds) * float64(p.rounds+1))
 	for b := range p.gains {
 		if p.wealth[b] != nil {
 			continue
 		}
-		wealth := &logWealth{} // bets of earlier rounds have had no outcome and are worth what they began with
+		wealth := &logWealth{} // without an outcome in earlier rounds, what they staked is unchanged
 		for i := range wealth {
 			wealth[i] = math.Log(p.started)
 		}
@@ -158,10 +161,10 @@
 	p.started += part
 }
 
-// value is the wealth of all bets together, 1 at the start, and the bet that is worth most.
+// value returns the wealth of all bets together, 1 at the start, and the bet with the most wealth.
 func (p *portfolio) value(classCount int) (value float64, strongest string) {
 	highest := 0.0
-	untouched := 1.0 // part of the initial wealth on bets that count as they began
+	untouched := 1.0 // part of the initial wealth on bets that count with it unchanged
 	for b, wealth := range p.wealth {
 		counts := p.counts[b]
 		excess := counts[changeSide].fraction() - counts[baselineSide].fraction()
@@ -169,7 +172,7 @@
 			continue
 		}
 		weight := p.weight(b, classCount)
-		sum := 1 - p.started // what later rounds begin with
+		sum := 1 - p.started // what later rounds will stake
 		for _, log := range wealth {
 			sum += math.Exp(min(log, maxLogWealth)) / float64(len(betRatios))
 		}
@@ -182,7 +185,7 @@
 	return value + max(0, untouched), strongest
 }
 
-// weight is the part of the initial wealth that is on a bet.
+// weight returns the part of the initial wealth that is on a bet.
 func (p *portfolio) weight(b bet, classCount int) float64 {
 	weight := metricWeights[b.metric]
 	switch {
@@ -194,9 +197,9 @@
 	return weight * overallPart
 }
 
-// toleratedOddsRatio is what a margin on the bad fraction is as a ratio of odds.
+// toleratedOddsRatio returns the odds ratio that corresponds to a margin on the fraction of bad searches.
 func toleratedOddsRatio(baselineFraction, margin float64) float64 {
-	// Below the margin the odds say little; there minExcessPart decides.
+	// For a baseline below the margin, odds say little; minExcessPart decides then.
 	baseline := min(max(baselineFraction, margin), maxBaselineFraction)
 	tolerated := min(baseline+margin, maxToleratedFraction)
 	return max(minToleratedRatio, odds(tolerated)/odds(baseline))
@@ -204,8 +207,8 @@
 
 func odds(fraction float64) float64 { return fraction / (1 - fraction) }
 
-// logLikelihoodRatios are the logarithms of what each bet gains by one observation of the two sides: the likelihood of
-// the change's count if its odds ratio is that of the bet, to the likelihood at the tolerated one.
+// logLikelihoodRatios returns the logarithms of what each bet gains by one observation of the two sides: the likelihood
+// of the change's count under the odds ratio of the bet, divided by its likelihood under the tolerated one.
 func logLikelihoodRatios(changed, baseline proportion, tolerated float64) (ratios logWealth) {
 	if scale := (max(changed.all, baseline.all) + maxBlockSearches - 1) / maxBlockSearches; scale > 1 {
 		changed = proportion{changed.bad / scale, changed.all / scale}
@@ -217,7 +220,7 @@
 		return ratios
 	}
 	distribution := newHypergeometric(changed.all, baseline.all, bad)
-	if len(distribution.logWays) == 1 { // the count could not be another
+	if len(distribution.logWays) == 1 { // only one count is possible
 		return ratios
 	}
 	logTolerated := math.Log(tolerated)
@@ -230,11 +233,11 @@
 	return ratios
 }
 
-// hypergeometric is Fisher's noncentral hypergeometric distribution of the change's bad searches, given how many of both
-// sides are bad.
+// hypergeometric is Fisher's noncentral hypergeometric distribution of the number of bad searches with the change,
+// given the number of bad searches of both sides.
 type hypergeometric struct {
 	lowest  int       // smallest possible count
-	logWays []float64 // logarithm of the number of ways to each count, from the lowest on
+	logWays []float64 // logarithm of the number of ways to get each count, from lowest on
 	terms   []float64 // scratch space
 }
 
@@ -256,7 +259,7 @@
 	return h
 }
 
-// logNorm is the logarithm of the normalizing sum for the logarithm of an odds ratio.
+// logNorm returns the logarithm of the distribution's normalizing sum, for the logarithm of an odds ratio.
 func (h *hypergeometric) logNorm(logRatio float64) float64 {
 	for i := range h.terms {
 		h.terms[i] = h.logWays[i] + float64(h.lowest+i)*logRatio
@@ -264,7 +267,7 @@
 	return floats.LogSumExp(h.terms)
 }
 
-// logSum is the logarithm of the sum of two numbers given by their logarithms.
+// logSum returns the logarithm of the sum of two numbers given by their logarithms.
 func logSum(a, b float64) float64 {
 	if a < b {
 		a, b = b, a
--- a/control/rollout/change_file_test.go
+++ b/control/rollout/change_file_test.go
@@ -10,7 +10,7 @@
 	"chalkring/internal/advice"
 )
 
-// A file that is truncated anywhere is rejected with advice.
+// A file that is truncated at any byte is rejected with advice.
 func TestTruncatedFileIsRejected(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/rollout.yaml")
 	require.NoError(t, err)
--- a/control/rollout/codec.go
+++ b/control/rollout/codec.go
@@ -14,15 +14,15 @@
 const (
 	KeyPrefix    = "rollout/"            // of all entries of this package
 	changePrefix = KeyPrefix + "change/" // number/digest: a Change, immutable
-	rosterPrefix = KeyPrefix + "roster/" // number/digest: instances in order of their names, immutable
+	rosterPrefix = KeyPrefix + "roster/" // number/digest: instances sorted by name, immutable
 	statusPrefix = KeyPrefix + "word/"   // instance: its StatusMessage, written by that instance alone
 	numberDigits = 20                    // of a number in a key, padded with zeros so that keys sort by number
 )
 
-// MaxEntryBytes is the size of the largest entry that is written or read.
+// MaxEntryBytes is the largest size of an entry that is written or read.
 const MaxEntryBytes = 1 << 20
 
-// maxRosterBytes is the size of the largest roster uncompressed. maxInstances fit into it.
+// maxRosterBytes is the largest size of a roster before compression. It is enough for maxInstances.
 const maxRosterBytes = 1 << 20
 
 // Limits on what a decoder allocates for an entry.
@@ -31,14 +31,14 @@
 	maxMapPairs      = 1 << 12
 )
 
-// The options are constants, so building the modes cannot fail. The deterministic encoding makes digests equal on all
+// The options are constants, so creating the modes cannot fail. Deterministic encoding makes digests equal on all
 // instances.
 var (
 	cborEncoder, _ = cbor.CoreDetEncOptions().EncMode()
 	cborDecoder, _ = cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs}.DecMode()
 )
 
-// StatusMessageKey is the key of an instance's StatusMessage.
+// StatusMessageKey returns the key of an instance's StatusMessage.
 func StatusMessageKey(instance string) string { return statusPrefix + instance }
 
 func changeKey(number uint64, digest string) string { return numberedKey(changePrefix, number, digest) }
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%s%0*d/%s", prefix, numberDigits, number, digest)
 }
 
-// parseKeySuffix splits the part of a changeKey or rosterKey after its prefix.
+// parseKeySuffix parses what follows the prefix in a changeKey or rosterKey.
 func parseKeySuffix(suffix string) (number uint64, digest string, ok bool) {
 	text, digest, ok := strings.Cut(suffix, "/")
 	if _, err := fmt.Sscanf(text, "%d", &number); err != nil || len(text) != numberDigits {
@@ -58,13 +58,13 @@
 	return number, digest, ok
 }
 
-// encodeEntry writes a value of this package. Its types have no field that could fail to encode.
+// encodeEntry encodes a value of this package. No field of these types can fail to encode.
 func encodeEntry(value any) []byte {
 	text, _ := cborEncoder.Marshal(value)
 	return text
 }
 
-// decodeEntry reads an entry into a value. Fields that a later version has added are ignored.
+// decodeEntry decodes an entry into a value. Fields that a later version has added are ignored.
 func decodeEntry(key string, entry []byte, value any) error {
 	if len(entry) > MaxEntryBytes {
 		return &InvalidEntryError{key, fmt.Errorf("%d bytes", len(entry))}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// encodeRoster writes instances in order of their names, compressed so that a few hundred fit an entry.
+// encodeRoster encodes instances that are sorted by name. They are compressed, so that a few hundred fit into an entry.
 func encodeRoster(instances []Instance) []byte {
 	var compressed bytes.Buffer
 	writer, _ := flate.NewWriter(&compressed, flate.BestCompression) // fails for an unknown level only
--- a/control/rollout/controller.go
+++ b/control/rollout/controller.go
@@ -1,11 +1,11 @@
 package rollout
 
-// Restart is a restart that is due now.
+// Restart is a restart that the instance has to make now.
 type Restart struct {
 	TargetNumber uint64  // number of Change
 	Change       *Change // change to run after it, nil for the instance's own files
 	Epoch        uint64
-	ReadyTimeout int64 // time in which the new process has to serve
+	ReadyTimeout int64 // time within which the new process has to serve
 }
 
 // Decision is what the caller of Decide has to do.
@@ -17,22 +17,22 @@
 	NextDecisionAt int64 // latest time of the next call of Decide
 }
 
-// InitialState is what an instance knows of itself when its process starts.
+// InitialState is what an instance knows about itself when its process starts.
 type InitialState struct {
 	Self              Instance
-	Incarnation       uint64   // higher than at any start before
+	Incarnation       uint64   // higher than at every earlier start
 	Members           []string // the voting members
 	RunningNumber     uint64   // of the change that the process runs, 0 for its own files
-	FailedEpoch       uint64   // epoch in which it could not apply the change FailedNumber
+	FailedEpoch       uint64   // epoch in which it could not apply the change FailedNumber, 0 for none
 	FailedNumber      uint64
 	FailureReason     string // why it could not
-	UnplannedRestarts int    // with what it runs
-	NoSavedState      bool   // nothing is on disk, so votes and permits of earlier incarnations are unknown
+	UnplannedRestarts int    // with the change that it runs
+	NoSavedState      bool   // the disk may lack votes and permits of earlier incarnations
 	Now               int64
 }
 
-// Controller decides for one instance. It is not safe for concurrent use: one goroutine calls all its methods. Its
-// memory is bounded by maxInstances status messages, maxChanges changes and one comparison.
+// Controller makes the decisions of one instance. It is not safe for concurrent use: one goroutine calls all its
+// methods. Its memory is bounded by maxInstances status messages, maxChanges changes and one comparison.
 type Controller struct {
 	initial InitialState
 	now     int64 // latest time that was passed in; it never goes back
@@ -43,15 +43,15 @@
 	peers         map[string]*peerStatus
 	registry      registry
 	changeFile    *ChangeFile
-	view          []memberView // the voting members, as of this call of Decide
+	view          []memberView // the voting members as this call of Decide sees them
 
 	active        *activeChange // nil before the first change
 	status        StatusMessage // of this instance
 	statusChanged bool          // since it was last published
 	publishedAt   int64         // time of the last publication
 	stats         *InstanceStats
-	servingSince  int64 // with what it runs, notServing before
-	restarting    bool  // a restart was decided and has not failed
+	servingSince  int64 // when it began to serve with what it runs, notServing before
+	restarting    bool  // a restart was decided and is not known to have failed
 	failureReason string
 	permits       permits
 	loggedOnce    map[string]bool
@@ -67,7 +67,7 @@
 	receivedAt int64
 }
 
-// New starts a Controller with what is known at a process's start.
+// New returns a Controller for a process that starts.
 func New(initial InitialState) *Controller {
 	c := &Controller{
 		initial: initial, now: initial.Now, failureReason: initial.FailureReason, servingSince: notServing,
@@ -85,7 +85,7 @@
 	return c
 }
 
-// SetFile sets the operator's change file as it was read last, nil for none.
+// SetFile sets the operator's change file as last read, nil for none.
 func (c *Controller) SetFile(file *ChangeFile) { c.changeFile = file }
 
 // SetInstances sets the locations of the instances that are known, and the names that two of them claim. An instance
@@ -102,15 +102,15 @@
 	}
 }
 
-// MarkServing records that the instance answers clients with what it runs.
+// MarkServing records that the instance has begun to answer clients with the change that it runs.
 func (c *Controller) MarkServing(now int64) {
 	if c.servingSince < 0 {
 		c.servingSince, c.statusChanged = now, true
 	}
 }
 
-// RecordRestartFailure records that the restart of the last Decision failed before the process ended. The instance runs
-// what it ran before.
+// RecordRestartFailure records that the restart of the last Decision failed before the process ended. The instance
+// still runs what it ran before.
 func (c *Controller) RecordRestartFailure(reason string) {
 	c.restarting, c.statusChanged = false, true
 	c.status.PermitRequest = PermitRequest{}
@@ -118,11 +118,11 @@
 	c.failureReason = reason
 }
 
-// SetStats sets the instance's counters since it serves. They are published once it is warmed up.
+// SetStats sets the instance's counters since it began to serve. They are published once it is warmed up.
 func (c *Controller) SetStats(stats InstanceStats) { c.stats = &stats }
 
-// Decide takes all decisions that follow from what is known at a time. The caller carries them out before it calls any
-// other method.
+// Decide returns all decisions that follow from what is known at a time. The caller carries them out before it calls
+// any other method.
 func (c *Controller) Decide(now int64) Decision {
 	c.now = max(c.now, now)
 	c.decision = Decision{Put: map[string][]byte{}}
--- a/control/rollout/entries.go
+++ b/control/rollout/entries.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// maxGrants bounds the grants that a status message may have: a step of the largest cluster.
+// maxGrants bounds the grants in a status message: one for each instance of a step of the largest cluster.
 const maxGrants = 1024
 
-// errKeyMismatch is an entry of a change that is not the one its key names, or that no instance would publish.
-var errKeyMismatch = errors.New("not what its name says")
+// errKeyMismatch reports the entry of a change that its key does not name, or that no instance would publish.
+var errKeyMismatch = errors.New("not a valid change with the number and digest of its key")
 
-// HandleEntry takes in a replicated entry. Entries may come late, repeatedly and in any order; those of other keys are
-// ignored. Its errors are InvalidEntryError.
+// HandleEntry records a replicated entry. Entries may arrive late, repeatedly and in any order; other keys are ignored.
+// Its errors are InvalidEntryError.
 func (c *Controller) HandleEntry(now int64, key string, value []byte) error {
 	c.now = max(c.now, now)
 	switch {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// recordStatus takes in a status message. One that is late is ignored, so that an instance's incarnation, votes and
-// verdict never go back.
+// recordStatus records a status message. One that is older than the known one is ignored, so that an instance's
+// incarnation, votes and verdict never go back.
 func (c *Controller) recordStatus(status StatusMessage) {
 	name := status.Instance.Name
 	if name == c.initial.Self.Name {
@@ -78,7 +78,7 @@
 	peer.StatusMessage, peer.receivedAt = status, c.now
 }
 
-// restorePromises takes back the votes, the verdict and the grants of an earlier incarnation of this instance. They bind
+// restorePromises restores the votes, the verdict and the grants of an earlier incarnation of this instance, which bind
 // this one too.
 func (c *Controller) restorePromises(earlier StatusMessage) {
 	if earlier.Incarnation >= c.initial.Incarnation { // its own message
--- a/control/rollout/errors.go
+++ b/control/rollout/errors.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// InvalidChangeFileError is a change file that cannot be used. Nothing of it is applied.
+// InvalidChangeFileError reports a change file that cannot be used. Nothing in it is applied.
 type InvalidChangeFileError struct {
 	Path string
 	Err  error
@@ -19,27 +19,27 @@
 
 // Advice tells an operator what to do.
 func (e *InvalidChangeFileError) Advice() string {
-	return "Mend the file, or write it whole and end it with a line of three dots; until then the change told before it holds."
+	return "Correct or complete the file, and end it with a line of three dots; until then the last valid one stays in use."
 }
 
-// InvalidEntryError is a replicated entry that cannot be used. It is ignored.
+// InvalidEntryError reports a replicated entry that cannot be used. The entry is ignored.
 type InvalidEntryError struct {
 	Key string
 	Err error
 }
 
 func (e *InvalidEntryError) Error() string {
-	return fmt.Sprintf("shared entry %.80q: %v", e.Key, e.Err)
+	return fmt.Sprintf("replicated entry %.80q: %v", e.Key, e.Err)
 }
 
 func (e *InvalidEntryError) Unwrap() error { return e.Err }
 
 // Advice tells an operator what to do.
 func (e *InvalidEntryError) Advice() string {
-	return "Look which program the instance runs: programs more than one version apart may not understand each other."
+	return "Check which version the instance that wrote the entry runs: programs more than one version apart may be incompatible."
 }
 
-// ChangeStoppedError is a change that was stopped or is rolled back.
+// ChangeStoppedError reports a change that was stopped or is being rolled back.
 type ChangeStoppedError struct {
 	Change  string
 	Number  uint64
@@ -47,87 +47,87 @@
 }
 
 func (e *ChangeStoppedError) Error() string {
-	return fmt.Sprintf("change %s, number %d: %s, said by %s: %s", e.Change, e.Number, e.Verdict.Order, e.Verdict.DecidedBy, e.Verdict.Reason)
+	return fmt.Sprintf("change %s, number %d: %s, decided by %s: %s", e.Change, e.Number, e.Verdict.Order, e.Verdict.DecidedBy, e.Verdict.Reason)
 }
 
 // Advice tells an operator what to do.
 func (e *ChangeStoppedError) Advice() string {
-	return "Find the cause; then write order: go with a higher turn to go on, order: back with a higher turn to take it back, or a new change with a higher number."
+	return "Find the cause; then write order: go with a higher turn to continue, order: back with a higher turn to roll back, or a new change with a higher number."
 }
 
-// ConflictingChangesError is a number under which different changes were published.
+// ConflictingChangesError reports different changes that were published under one number.
 type ConflictingChangesError struct {
 	Number  uint64
 	Digests []string
 }
 
 func (e *ConflictingChangesError) Error() string {
-	return fmt.Sprintf("change files differ under number %d: %s", e.Number, strings.Join(e.Digests, ", "))
+	return fmt.Sprintf("different changes were published under number %d: %s", e.Number, strings.Join(e.Digests, ", "))
 }
 
 // Advice tells an operator what to do.
 func (e *ConflictingChangesError) Advice() string {
-	return "Make the files the same and give them a number that was not used yet; until then nobody takes either."
+	return "Make the change files identical and give them a higher number; until then no further instance applies either change."
 }
 
-// StaleChangeFileError is a change file with a lower number than the change in force.
+// StaleChangeFileError reports a change file with a lower number than the highest known change.
 type StaleChangeFileError struct{ Number, CurrentNumber uint64 }
 
 func (e *StaleChangeFileError) Error() string {
-	return fmt.Sprintf("the change file has number %d, the fleet is at %d", e.Number, e.CurrentNumber)
+	return fmt.Sprintf("the change file has number %d, but the cluster is at number %d", e.Number, e.CurrentNumber)
 }
 
 // Advice tells an operator what to do.
 func (e *StaleChangeFileError) Advice() string {
-	return "Bring the file up to date, or take it away; it is not used."
+	return "Update the change file or remove it; it is ignored."
 }
 
-// MemberListMismatchError is a roster with another number of members than this instance's list.
+// MemberListMismatchError reports a roster whose number of members differs from that of this instance's list.
 type MemberListMismatchError struct {
 	Number                  uint64
 	RemoteCount, LocalCount int
 }
 
 func (e *MemberListMismatchError) Error() string {
-	return fmt.Sprintf("change %d waits: %d instances are listed here, %d elsewhere", e.Number, e.LocalCount, e.RemoteCount)
+	return fmt.Sprintf("change %d is delayed: %d instances are listed here, %d on other instances", e.Number, e.LocalCount, e.RemoteCount)
 }
 
 // Advice tells an operator what to do.
 func (e *MemberListMismatchError) Advice() string {
-	return "Make the list of instances the same in all installation files and restart those that differed."
+	return "Make the list of instances the same in all installation files and restart the instances whose list differed."
 }
 
-// ChangeNotAppliedError is a change that this instance could not apply; it runs what it ran before.
+// ChangeNotAppliedError reports a change that this instance could not apply. It runs what it ran before.
 type ChangeNotAppliedError struct {
 	Number uint64
 	Reason string
 }
 
 func (e *ChangeNotAppliedError) Error() string {
-	return fmt.Sprintf("change %d could not be taken here: %s", e.Number, e.Reason)
+	return fmt.Sprintf("change %d could not be applied on this instance: %s", e.Number, e.Reason)
 }
 
 // Advice tells an operator what to do.
 func (e *ChangeNotAppliedError) Advice() string {
-	return "Look at the log lines before this one; put the program in place or mend the settings, then go on with a higher turn."
+	return "See the log lines before this one; install the program or correct the settings, then continue with a higher turn."
 }
 
-// ChangeTooLargeError is a change that, merged over its base, does not fit an entry.
+// ChangeTooLargeError reports a change that, merged over its base, does not fit into an entry.
 type ChangeTooLargeError struct {
 	Number uint64
 	Bytes  int
 }
 
 func (e *ChangeTooLargeError) Error() string {
-	return fmt.Sprintf("change %d has %d bytes with what is in force under it, over %d", e.Number, e.Bytes, MaxEntryBytes)
+	return fmt.Sprintf("change %d has %d bytes with its base, more than %d", e.Number, e.Bytes, MaxEntryBytes)
 }
 
 // Advice tells an operator what to do.
 func (e *ChangeTooLargeError) Advice() string {
-	return "Move settings that are in force everywhere from earlier changes into the installation files."
+	return "Move settings of earlier changes that all instances run into the installation files."
 }
 
-// StepDelayedError is a step that has not begun long after it could have.
+// StepDelayedError reports a step that has not begun long after it could have.
 type StepDelayedError struct {
 	Number uint64
 	Step   int
@@ -135,10 +135,10 @@
 }
 
 func (e *StepDelayedError) Error() string {
-	return fmt.Sprintf("change %d, step %d waits: %s", e.Number, e.Step, e.Reason)
+	return fmt.Sprintf("change %d, step %d is delayed: %s", e.Number, e.Step, e.Reason)
 }
 
 // Advice tells an operator what to do.
 func (e *StepDelayedError) Advice() string {
-	return "Bring back what is missing; where the first instance is gone for good, give the change a new number, which draws another."
+	return "Bring back what is missing; if the first instance is lost for good, give the change a new number, which selects another first instance."
 }
--- a/control/rollout/errors_test.go
+++ b/control/rollout/errors_test.go
@@ -15,7 +15,7 @@
 	"chalkring/internal/advice"
 )
 
-// Each error that an operator may see has advice and a row in docs/oncall.md.
+// Every error that an operator may see has advice and a row in docs/oncall.md.
 func TestErrorsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	}
 }
 
-// adviceProviders are the types that have a method Advice in the source files of a pattern.
+// adviceProviders returns the types with a method Advice in the source files that match a pattern.
 func adviceProviders(t *testing.T, pattern string) (names []string) {
 	t.Helper()
 	files, err := filepath.Glob(pattern)
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -20,7 +20,7 @@
 	"chalkring/internal/advice"
 )
 
-// everyBucketStats is a class's sums with another number in each field and bucket.
+// everyBucketStats returns counters with a different number in each field and bucket.
 func everyBucketStats() ClassStats {
 	c := ClassStats{Requests: 1001, Served: 1002, Late: 1003, Shed: 1004}
 	for i := range c.Latencies {
@@ -32,7 +32,7 @@
 	return c
 }
 
-// goldenStatus is a status message with another value in each field.
+// goldenStatus returns a status message with a different value in each field.
 func goldenStatus() StatusMessage {
 	return StatusMessage{
 		Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 21, Sequence: 22, ChangeNumber: 23, ChangeDigest: "0123456789abcdef",
@@ -42,7 +42,7 @@
 	}
 }
 
-// goldenChange is a change with another value in each field.
+// goldenChange returns a change with a different value in each field.
 func goldenChange() Change {
 	return Change{
 		Name: "c", Number: 41, BaseNumber: 40, Settings: map[string]string{"Safety.ExtraFloor": "0.5", "Classes.0.Name": "lookup"},
@@ -55,21 +55,21 @@
 	}
 }
 
-// Status messages and changes as instances of today's build send and keep them.
+// Status messages and changes are encoded and decoded as instances of this version send and store them.
 func TestGoldenRolloutMessages(t *testing.T) {
 	const file = "messages.cbor.txt"
-	least := StatusMessage{Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 1, ServingFor: -1}
+	fewestStatus := StatusMessage{Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 1, ServingFor: -1}
 	status, change := goldenStatus(), goldenChange()
-	own := Change{Name: "c", Number: 1, Settings: map[string]string{}, Stages: []Stage{{Fraction: 1}}, MaxConcurrentFraction: 1, OnRegression: OrderRollBack}
+	fewestChange := Change{Name: "c", Number: 1, Settings: map[string]string{}, Stages: []Stage{{Fraction: 1}}, MaxConcurrentFraction: 1, OnRegression: OrderRollBack}
 	var all strings.Builder
 	for _, m := range []struct {
 		name  string
 		value any
 	}{
 		{"status, every field", &status},
-		{"status, fewest fields", &least},
+		{"status, fewest fields", &fewestStatus},
 		{"change, every field", &change},
-		{"change, fewest fields", &own},
+		{"change, fewest fields", &fewestChange},
 		{"verdict go", &Verdict{Epoch: 1, Order: OrderProceed}},
 		{"verdict stop", &Verdict{Epoch: 2, Order: OrderStop, Reason: "w", DecidedBy: "n"}},
 		{"verdict back", &Verdict{Epoch: 3, Order: OrderRollBack, Reason: "w", DecidedBy: "n"}},
@@ -80,29 +80,29 @@
 	}
 	golden.Require(t, file, all.String())
 
-	var gotStatus, gotLeast StatusMessage
+	var gotStatus, gotFewest StatusMessage
 	require.NoError(t, decodeEntry("k", golden.ReadCBORMessage(t, file, "status, every field"), &gotStatus))
 	require.Equal(t, status, gotStatus)
-	require.NoError(t, decodeEntry("k", golden.ReadCBORMessage(t, file, "status, fewest fields"), &gotLeast))
-	require.Equal(t, least, gotLeast)
+	require.NoError(t, decodeEntry("k", golden.ReadCBORMessage(t, file, "status, fewest fields"), &gotFewest))
+	require.Equal(t, fewestStatus, gotFewest)
 	var gotChange Change
 	require.NoError(t, decodeEntry("k", golden.ReadCBORMessage(t, file, "change, every field"), &gotChange))
 	change.Stages[0].WatchText = ""
 	require.Equal(t, change, gotChange)
-	for name, kind := range map[string]Order{"go": OrderProceed, "stop": OrderStop, "back": OrderRollBack} {
+	for name, order := range map[string]Order{"go": OrderProceed, "stop": OrderStop, "back": OrderRollBack} {
 		var v Verdict
 		require.NoError(t, decodeEntry("k", golden.ReadCBORMessage(t, file, "verdict "+name), &v))
-		require.Equal(t, kind, v.Order)
+		require.Equal(t, order, v.Order)
 	}
 }
 
-// Fields that a later version adds to an entry are ignored; an entry that cannot be read is rejected.
+// Fields that a later version adds to an entry are ignored; an entry that cannot be decoded is rejected.
 func TestGoldenRolloutMessageReading(t *testing.T) {
 	v := Verdict{}
 	require.NoError(t, decodeEntry("k", []byte{0xa2, 0x01, 0x05, 0x18, 0x63, 0x01}, &v)) // {1: 5, 99: 1}
 	require.EqualValues(t, 5, v.Epoch)
-	require.EqualError(t, decodeEntry("rollout/word/n0", []byte{0xff}, &v), `shared entry "rollout/word/n0": cbor: unexpected "break" code`)
-	require.EqualError(t, decodeEntry("rollout/word/n0", make([]byte, 1<<20+1), &v), `shared entry "rollout/word/n0": 1048577 bytes`)
+	require.EqualError(t, decodeEntry("rollout/word/n0", []byte{0xff}, &v), `replicated entry "rollout/word/n0": cbor: unexpected "break" code`)
+	require.EqualError(t, decodeEntry("rollout/word/n0", make([]byte, 1<<20+1), &v), `replicated entry "rollout/word/n0": 1048577 bytes`)
 }
 
 // The keys of replicated entries, and the digests that all instances have to compute alike.
@@ -140,8 +140,8 @@
 	return all
 }
 
-// A roster is read as it was compressed by today's build. What is written is compared uncompressed, as the bytes of a
-// compressor are no part of the form.
+// A roster that an earlier build compressed can be decoded. An encoded roster is compared uncompressed, since the bytes
+// that a compressor writes are not part of the format.
 func TestGoldenRolloutRoster(t *testing.T) {
 	const file = "roster.cbor.txt"
 	packed := encodeRoster(goldenInstances())
@@ -157,7 +157,7 @@
 	require.Equal(t, goldenInstances(), got)
 }
 
-// Every key of a change file with a value of its own, and the defaults of those that are left out.
+// Every key of a change file is read, and those that are left out have their defaults.
 func TestGoldenChangeFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
@@ -194,13 +194,13 @@
 	}, Order: OrderProceed, Epoch: 1}, f)
 }
 
-// Fault texts of change files, with place and advice. A value of the wrong type is left out: the YAML package names Go
-// types in that text.
+// Errors in change files are reported with position and advice. Values of the wrong type are not tested, since the YAML
+// package names Go types in their errors.
 func TestGoldenRolloutFileFaults(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
 	var all strings.Builder
-	for _, change := range [][2]string{
+	for _, edit := range [][2]string{
 		{"...\n", ""},
 		{"name: every-key", "name: every key"},
 		{"number: 12", "number: 0"},
@@ -222,10 +222,10 @@
 		{"false_stops: 0.025", "false_stops: 0.5"},
 		{"cold: 31s", "colder: 31s"},
 	} {
-		require.Contains(t, string(text), change[0])
-		_, err := ParseChangeFile("c.yaml", []byte(strings.Replace(string(text), change[0], change[1], 1)))
-		require.Error(t, err, change[1])
-		fmt.Fprintf(&all, "%s -> %s\n  %s\n", strings.TrimSpace(change[0]), change[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
+		require.Contains(t, string(text), edit[0])
+		_, err := ParseChangeFile("c.yaml", []byte(strings.Replace(string(text), edit[0], edit[1], 1)))
+		require.Error(t, err, edit[1])
+		fmt.Fprintf(&all, "%s -> %s\n  %s\n", strings.TrimSpace(edit[0]), edit[1], strings.ReplaceAll(advice.Describe(err), "\n", "\n  "))
 	}
 	golden.Require(t, "file_faults.txt", all.String())
 }
@@ -248,30 +248,31 @@
 
 // The description of a regression is published as the verdict's reason.
 func TestGoldenRolloutEvidence(t *testing.T) {
-	sides := func(oldNow, newNow InstanceStats) string {
-		e := NewRegressionAnalysis(defaultRegressionLimits)
-		sample := func(name string, isNew bool, s InstanceStats) Sample {
-			return Sample{Name: name, Region: "eu", Zone: "eu-1", HasChange: isNew, Incarnation: 1, Stats: s}
+	describe := func(baseline, changed InstanceStats) string {
+		analysis := NewRegressionAnalysis(defaultRegressionLimits)
+		sample := func(name string, hasChange bool, s InstanceStats) Sample {
+			return Sample{Name: name, Region: "eu", Zone: "eu-1", HasChange: hasChange, Incarnation: 1, Stats: s}
 		}
 		zero := InstanceStats{Classes: make([]ClassStats, 1)}
-		for _, s := range [][2]InstanceStats{{zero, zero}, {oldNow, newNow}} {
-			e.AddSamples([]Sample{sample("a", false, s[0]), sample("b", false, s[0]), sample("c", false, s[0]), sample("d", true, s[1])})
+		for _, s := range [][2]InstanceStats{{zero, zero}, {baseline, changed}} {
+			analysis.AddSamples([]Sample{sample("a", false, s[0]), sample("b", false, s[0]), sample("c", false, s[0]), sample("d", true, s[1])})
 		}
-		return e.DescribeRegression()
+		return analysis.DescribeRegression()
 	}
-	class := func(asked, served uint64) []ClassStats { return []ClassStats{{Requests: asked, Served: served}} }
+	class := func(requests, served uint64) []ClassStats { return []ClassStats{{Requests: requests, Served: served}} }
 	var all strings.Builder
-	fmt.Fprintln(&all, "same:", sides(InstanceStats{Classes: class(500, 499)}, InstanceStats{Classes: class(500, 499)}))
-	fmt.Fprintln(&all, "served:", sides(InstanceStats{Classes: class(1000, 1000)}, InstanceStats{Classes: class(1000, 500)}))
-	fmt.Fprintln(&all, "connects:", sides(InstanceStats{Classes: class(500, 500), Connections: 50}, InstanceStats{Classes: class(500, 500), Connections: 5000}))
-	fmt.Fprintln(&all, "memory:", sides(InstanceStats{Classes: class(1, 1), MemoryBytes: 100 << 20}, InstanceStats{Classes: class(1, 1), MemoryBytes: 900 << 20}))
+	fmt.Fprintln(&all, "same:", describe(InstanceStats{Classes: class(500, 499)}, InstanceStats{Classes: class(500, 499)}))
+	fmt.Fprintln(&all, "served:", describe(InstanceStats{Classes: class(1000, 1000)}, InstanceStats{Classes: class(1000, 500)}))
+	fmt.Fprintln(&all, "connects:", describe(InstanceStats{Classes: class(500, 500), Connections: 50}, InstanceStats{Classes: class(500, 500), Connections: 5000}))
+	fmt.Fprintln(&all, "memory:", describe(InstanceStats{Classes: class(1, 1), MemoryBytes: 100 << 20}, InstanceStats{Classes: class(1, 1), MemoryBytes: 900 << 20}))
 	for m := range metricCount {
 		fmt.Fprintln(&all, "metric", bet{stratum{class: 1, place: place{"eu", "*"}}, m})
 	}
 	golden.Require(t, "evidence.txt", all.String())
 }
 
-// The only member of a cluster applies a change, restarts and rolls it back: its entries and log events at each decision.
+// The entries and log events of the only member of a cluster at each decision, while it applies a change, restarts and
+// rolls the change back.
 func TestGoldenRolloutEntriesAndEvents(t *testing.T) {
 	text := "name: c\nnumber: 1\norder: %s\nturn: %d\nsettings: {Safety: {ExtraFloor: 0.5}}\nstages:\n  - {share: 1, watch: 1s}\ncold: 1s\nready: 1s\nsilent: 10s\n...\n"
 	file := func(order string, turn int) *ChangeFile {
@@ -281,48 +282,48 @@
 	}
 	now := int64(1)
 	var all strings.Builder
-	look := func(d *Controller, times int) (step *Restart) {
+	decide := func(c *Controller, times int) *Restart {
 		for range times {
 			now += second / 2
-			out := d.Decide(now)
+			decision := c.Decide(now)
 			fmt.Fprintf(&all, "look at %d\n", now)
-			for _, key := range slices.Sorted(maps.Keys(out.Put)) {
-				value := out.Put[key]
+			for _, key := range slices.Sorted(maps.Keys(decision.Put)) {
+				value := decision.Put[key]
 				if strings.HasPrefix(key, rosterPrefix) {
 					value, _ = io.ReadAll(flate.NewReader(bytes.NewReader(value)))
 				}
 				all.WriteString(golden.CBORMessage(t, "put "+key, value))
 			}
-			for _, key := range out.Delete {
+			for _, key := range decision.Delete {
 				fmt.Fprintln(&all, "delete", key)
 			}
-			for _, n := range out.Events {
-				fmt.Fprintln(&all, "event", n.Name, n.Attrs, n.Err)
+			for _, event := range decision.Events {
+				fmt.Fprintln(&all, "event", event.Name, event.Attrs, event.Err)
 			}
-			if out.Restart != nil {
-				fmt.Fprintln(&all, "restart into", out.Restart.TargetNumber, "turn", out.Restart.Epoch, "ready", out.Restart.ReadyTimeout)
-				return out.Restart
+			if decision.Restart != nil {
+				fmt.Fprintln(&all, "restart into", decision.Restart.TargetNumber, "turn", decision.Restart.Epoch, "ready", decision.Restart.ReadyTimeout)
+				return decision.Restart
 			}
 		}
 		return nil
 	}
 	start := InitialState{Self: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 1, Members: []string{"n0"}, Now: now}
-	d := New(start)
-	d.SetFile(file("go", 1))
-	d.MarkServing(now)
-	require.NotNil(t, look(d, 20))
+	c := New(start)
+	c.SetFile(file("go", 1))
+	c.MarkServing(now)
+	require.NotNil(t, decide(c, 20))
 	start.Incarnation, start.RunningNumber, start.Now = 2, 1, now
 	entries := map[string][]byte{}
-	c := d.active.Change
-	entries[changeKey(1, c.Digest())], _ = cborEncoder.Marshal(c)
-	entries[rosterKey(1, d.status.RosterDigest)] = encodeRoster([]Instance{start.Self})
-	entries[StatusMessageKey("n0")], _ = cborEncoder.Marshal(&d.status)
-	d = New(start)
+	change := c.active.Change
+	entries[changeKey(1, change.Digest())], _ = cborEncoder.Marshal(change)
+	entries[rosterKey(1, c.status.RosterDigest)] = encodeRoster([]Instance{start.Self})
+	entries[StatusMessageKey("n0")], _ = cborEncoder.Marshal(&c.status)
+	c = New(start)
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
-		require.NoError(t, d.HandleEntry(now, key, entries[key]))
+		require.NoError(t, c.HandleEntry(now, key, entries[key]))
 	}
-	d.SetFile(file("back", 2))
-	d.MarkServing(now)
-	require.NotNil(t, look(d, 20))
+	c.SetFile(file("back", 2))
+	c.MarkServing(now)
+	require.NotNil(t, decide(c, 20))
 	golden.Require(t, "entries_and_events.txt", all.String())
 }
--- a/control/rollout/invariants_test.go
+++ b/control/rollout/invariants_test.go
@@ -22,8 +22,8 @@
 	require.Equal(t, 300, s.restartCount)
 }
 
-// Random histories of partitions, one-way cuts, kills, lost and late messages, lost disks, changes that fail and changed
-// orders: meanwhile no more instances restart at once than a step has, and afterwards all instances agree.
+// Under random partitions, one-way cuts, kills, lost and late messages, lost disks, failing changes and changed orders,
+// no more instances restart at once than a step has. Once the faults have ended, all instances agree.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -57,7 +57,7 @@
 	return largest
 }
 
-// faultHistory is a simulation with random faults.
+// faultHistory is a simulation with random faults in sequence.
 type faultHistory struct {
 	*rapid.T
 	*simulation
@@ -69,7 +69,7 @@
 	return rapid.IntRange(0, len(h.nodes)-1).Draw(h.T, label)
 }
 
-// drawSeconds draws a time of 1 to a number of seconds.
+// drawSeconds draws a duration from 1 second to limit seconds.
 func (h *faultHistory) drawSeconds(label string, limit int) int64 {
 	return int64(rapid.IntRange(1, limit).Draw(h.T, label)) * second
 }
@@ -87,7 +87,7 @@
 	faults[rapid.SampledFrom([]string{"partition", "one-way cut", "kill", "loss", "wiped disk", "order", "new change"}).Draw(h.T, "event")]()
 }
 
-// partition cuts the cluster in two. The side without a majority neither goes on nor back.
+// partition splits the cluster in two. No instance on the side without a majority applies the change or rolls it back.
 func (h *faultHistory) partition() {
 	count := len(h.nodes)
 	boundary := rapid.IntRange(1, count-1).Draw(h.T, "boundary")
@@ -107,10 +107,10 @@
 	}
 }
 
-// cutOneWay lets one instance receive nothing.
+// cutOneWay keeps one instance from receiving anything.
 func (h *faultHistory) cutOneWay() {
-	deaf := h.drawIndex("deaf")
-	h.isCut = func(_, to int) bool { return to == deaf }
+	receiver := h.drawIndex("deaf")
+	h.isCut = func(_, to int) bool { return to == receiver }
 }
 
 func (h *faultHistory) killSome() {
@@ -121,7 +121,7 @@
 	}
 }
 
-// wipeDisk empties a disk. The instance learns from the others what it had promised.
+// wipeDisk empties a disk. The instance learns from the others how it had voted.
 func (h *faultHistory) wipeDisk() {
 	if n := h.nodes[h.drawIndex("wiped")]; n.controller != nil && n.runningNumber == 0 {
 		n.entries, n.statuses = map[string][]byte{}, map[string]*StatusMessage{}
--- a/control/rollout/matching.go
+++ b/control/rollout/matching.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// place is a group of instances that are compared with each other: a zone, a region, or all of them. anyPlace stands
-// for the parts that are not distinguished. The zero place is none.
+// place is a group of instances that are compared with each other: a zone, the rest of a region, or the rest of all
+// instances. anyPlace stands for a region or zone that is not distinguished. The zero place is no group.
 type place struct{ region, zone string }
 
 const anyPlace = "*"
@@ -22,9 +22,9 @@
 	return baselineSide
 }
 
-// matchPlaces assigns each sample the smallest place in which both sides have instances, the zero place for none. The
-// places do not overlap: what is left of a region once its matched zones are taken is matched by region, and the rest as
-// one.
+// matchPlaces returns for each sample the smallest place in which both sides have instances, the zero place for none.
+// The places do not overlap: instances whose zone lacks a side are matched within their region, and those that are left
+// then are matched with each other.
 func matchPlaces(samples []Sample) []place {
 	matched := make([]place, len(samples))
 	for _, placeOf := range []func(sample *Sample) place{
@@ -49,7 +49,7 @@
 	return matched
 }
 
-// hashSides is a hash of which instance is on which side.
+// hashSides returns a hash of which instance is on which side.
 func hashSides(samples []Sample) uint64 {
 	hash := xxhash.New()
 	for i := range samples { // a hash takes every write
--- a/control/rollout/matching_test.go
+++ b/control/rollout/matching_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Instances are compared within their zone where it has both sides, then within their region, then all together.
+// Instances are compared within their zone if it has both sides, else within their region, else all together.
 func TestMatchPlaces(t *testing.T) {
 	samples := []Sample{
 		{Region: "eu", Zone: "eu-1", HasChange: true},
--- a/control/rollout/membership.go
+++ b/control/rollout/membership.go
@@ -1,18 +1,18 @@
 package rollout
 
-// memberView is one voting member as a call of Decide sees it.
+// memberView is a voting member as one call of Decide sees it.
 type memberView struct {
 	name            string
-	status          *StatusMessage // its newest, nil for none
-	isFresh         bool           // the status is recent, and nobody else claims the name
+	status          *StatusMessage // the newest one, nil for none
+	isFresh         bool           // the status is recent, and no other instance claims the name
 	hasNameConflict bool
 }
 
-// freshStatusIntervals is how many statusIntervals old a status message may be and count as fresh. Messages pass through
-// other instances, and some are lost.
+// freshStatusIntervals is the greatest age of a fresh status message, in status intervals. Messages pass through other
+// instances, and some are lost.
 const freshStatusIntervals = 6
 
-// updateView looks at all voting members.
+// updateView updates the view of all voting members.
 func (c *Controller) updateView() {
 	c.view = c.view[:0]
 	for _, name := range c.initial.Members {
@@ -20,7 +20,7 @@
 	}
 }
 
-// isFresh reports whether an instance was heard from recently.
+// isFresh reports whether an instance's status message is recent and its name is not in conflict.
 func (c *Controller) isFresh(name string) bool {
 	if c.nameConflicts[name] {
 		return false
@@ -32,7 +32,7 @@
 	return peer != nil && c.now-peer.receivedAt <= freshStatusIntervals*c.statusInterval()
 }
 
-// statusOf is the newest status message of an instance, nil for none.
+// statusOf returns the newest status message of an instance, nil for none.
 func (c *Controller) statusOf(name string) *StatusMessage {
 	if name == c.initial.Self.Name {
 		return &c.status
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// silenceOf is the time since an instance was last heard from. One that never was counts from the change's activation.
+// silenceOf returns the time since the last new status message of an instance or, if there was none, since the change
+// was activated. It is at most the time since this instance started.
 func (c *Controller) silenceOf(name string) int64 {
 	if name == c.initial.Self.Name {
 		return 0
@@ -55,7 +56,7 @@
 	return c.now - since
 }
 
-// isMajority reports whether a number of voting members is more than half of them.
+// isMajority reports whether a count is more than half of the voting members.
 func (c *Controller) isMajority(count int) bool { return 2*count > len(c.members) }
 
 // hearsMajority reports whether this instance may vote and more than half of the voting members, itself included, are
@@ -77,7 +78,8 @@
 }
 
 // mayHaveForgottenPromises reports whether an earlier incarnation of this instance may have cast votes or granted
-// permits that are unknown here and still valid. Until they have expired this instance neither votes nor grants.
+// permits that are unknown here and still valid. Until they have expired, this instance neither votes nor grants
+// permits.
 func (c *Controller) mayHaveForgottenPromises() bool {
 	return c.initial.NoSavedState && c.now-c.initial.Now < c.active.permitLease()
 }
--- a/control/rollout/metrics.go
+++ b/control/rollout/metrics.go
@@ -1,6 +1,6 @@
 package rollout
 
-// metric is one property of searches that a change may make worse. Each search is good or bad under each metric.
+// metric is a property of searches that a change may make worse. Under each metric, a search is either good or bad.
 type metric int
 
 const (
@@ -13,32 +13,32 @@
 	metricCount
 )
 
-// What counts as bad under the metrics that compare with the baseline's own distribution: to exceed the value that this
-// fraction of the baseline exceeds.
+// Under the metrics that use the baseline's distribution, a search is bad if it exceeds the value that this fraction of
+// the baseline exceeds.
 const (
 	medianFraction      = 0.5
 	tailFraction        = 0.05
 	subRequestsFraction = 0.25
 )
 
-// minDistributionCount is how many observations the baseline needs before it has such a value.
+// minDistributionCount is how many observations of the baseline are needed to determine that value.
 const minDistributionCount = 20
 
-// The baseline's fraction of bad searches is smoothed by this many imagined searches, so that a baseline without any bad
-// one does not make the odds zero.
+// The baseline's fraction of bad searches is smoothed by this many pseudo-observations, so that the odds are not zero
+// for a baseline without bad searches.
 const (
 	priorBad = 0.2
 	priorAll = 10
 )
 
-// metricNames stand in the reasons of verdicts.
+// metricNames are the names in the reasons of verdicts.
 var metricNames = [metricCount]string{"served", "late", "shed", "median", "tail", "sub_requests"}
 
-// metricWeights are the parts of the initial wealth that are bet on each metric. They add up to 1. Whether searches are
+// metricWeights are the parts of the initial wealth that are bet on each metric, 1 together. Whether searches are
 // served at all matters most.
 var metricWeights = [metricCount]float64{0.5, 0.1, 0.1, 0.1, 0.1, 0.1}
 
-// margin is the increase of a metric's bad fraction that is tolerated.
+// margin returns the tolerated increase of the fraction of searches that are bad under a metric.
 func (l *RegressionLimits) margin(m metric) float64 {
 	return [metricCount]float64{l.Served, l.Late, l.Shed, l.Median, l.Tail, l.SubRequests}[m]
 }
@@ -53,14 +53,14 @@
 
 func (p proportion) fraction() float64 { return float64(p.bad) / float64(max(1, p.all)) }
 
-// baselineMetric is a metric with what the baseline has shown so far.
+// baselineMetric is a metric with what it needs to know of the baseline.
 type baselineMetric struct {
 	metric   metric
-	cutoff   int     // highest bucket that is not bad, for metrics of a distribution
+	cutoff   int     // highest bucket that is not bad, for metrics that use a distribution
 	fraction float64 // of the baseline's searches that are bad
 }
 
-// newBaselineMetric derives a metric from the baseline's searches. It is not ok while these are too few.
+// newBaselineMetric derives a metric from the baseline's searches. It is not ok if these are too few.
 func newBaselineMetric(m metric, baseline *ClassStats) (result baselineMetric, ok bool) {
 	result.metric, ok = m, true
 	switch m {
@@ -79,7 +79,7 @@
 	return result, true
 }
 
-// count is the proportion of a class's searches that are bad under the metric.
+// count returns the proportion of a class's searches that are bad under the metric.
 func (b baselineMetric) count(stats *ClassStats) proportion {
 	switch b.metric {
 	case metricServed:
@@ -94,7 +94,7 @@
 	return countAbove(stats.Latencies[:], b.cutoff)
 }
 
-// countAbove is the proportion of observations in buckets above a cutoff.
+// countAbove returns the proportion of observations in buckets above a cutoff.
 func countAbove(buckets []uint64, cutoff int) (result proportion) {
 	for bucket, count := range buckets {
 		result.all += count
@@ -105,8 +105,8 @@
 	return result
 }
 
-// cutoffBucket is the lowest bucket that at most a fraction of all observations is above. It is not ok for too few
-// observations.
+// cutoffBucket returns the lowest bucket above which there is at most a fraction of all observations. It is not ok if
+// there are too few observations.
 func cutoffBucket(buckets []uint64, fraction float64) (cutoff int, ok bool) {
 	total := countAbove(buckets, 0).all
 	if total < minDistributionCount {
--- a/control/rollout/metrics_test.go
+++ b/control/rollout/metrics_test.go
@@ -26,7 +26,7 @@
 	require.False(t, ok, "too few observations")
 }
 
-// A counter below its previous value shows that two samples are not of one process.
+// A counter below its previous value shows that two samples are of different processes.
 func TestHasOnlyRisen(t *testing.T) {
 	previous := ClassStats{Requests: 5, Served: 4, Shed: 1}
 	previous.Latencies[3] = 4
--- a/control/rollout/permits.go
+++ b/control/rollout/permits.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// permits are the restart permits that this instance has granted, and the state of its own request.
+// permits holds the restart permits that this instance has granted, and the state of its own request.
 type permits struct {
 	granted     map[string]grantedPermit // by the requester's name
 	lastNumber  uint64                   // of its own requests
@@ -21,14 +21,14 @@
 	grantedAt     int64
 }
 
-// permitBatch is what the permits that an instance has granted have in common: the number of the change to run, and the
-// step of the requesters.
+// permitBatch is what all permits that are valid at an instance have in common: the number of the change to restart
+// into, and the step of the requesters.
 type permitBatch struct {
 	targetNumber uint64
 	step         int
 }
 
-// unknownStep is the step of permits that an earlier incarnation granted.
+// unknownStep is the step of permits that an earlier incarnation of this instance granted.
 const unknownStep = -1
 
 func newPermits() permits { return permits{granted: map[string]grantedPermit{}} }
@@ -41,7 +41,7 @@
 	}
 }
 
-// sortedGrants are the valid permits as a status message has them, in order of the requesters' names.
+// sortedGrants returns the valid permits for a status message, sorted by the requesters' names.
 func (p *permits) sortedGrants() (grants []PermitGrant) {
 	for _, name := range slices.Sorted(maps.Keys(p.granted)) {
 		grants = append(grants, PermitGrant{name, p.granted[name].requestNumber})
@@ -49,7 +49,7 @@
 	return grants
 }
 
-// currentBatch is the batch of the valid permits; there is none without a valid permit.
+// currentBatch returns the batch of the valid permits. It does not exist if no permit is valid.
 func (p *permits) currentBatch() (batch permitBatch, exists bool) {
 	for _, permit := range p.granted {
 		return permit.batch, true
@@ -57,9 +57,9 @@
 	return permitBatch{}, false
 }
 
-// grantPermits answers the instances that ask to restart. All permits that an instance has granted at a time are of one
-// batch, a restart takes permits of a majority, and two majorities have a member in common. So only instances of one step
-// restart at once, whatever messages are late or lost.
+// grantPermits grants permits to instances that request one. All valid permits of an instance are of one batch, a
+// restart needs permits from a majority, and any two majorities have a member in common. So only instances of one step
+// restart at once, whichever messages are late or lost.
 func (c *Controller) grantPermits() {
 	c.expirePermits()
 	if c.active.roster == nil || !c.mayVote() || c.mayHaveForgottenPromises() {
@@ -78,7 +78,7 @@
 	}
 }
 
-// expirePermits drops the permits whose request was withdrawn and those past their lease.
+// expirePermits removes the permits whose request was withdrawn and those past their lease.
 func (c *Controller) expirePermits() {
 	for name, permit := range c.permits.granted {
 		status := c.statusOf(name)
@@ -89,7 +89,8 @@
 	}
 }
 
-// eligibleRequesters are the names of the instances that ask for a permit, have none from here and may have one.
+// eligibleRequesters returns the names of the instances that request a permit, may have one, and have none from this
+// instance.
 func (c *Controller) eligibleRequesters() map[permitBatch][]string {
 	requesters := map[permitBatch][]string{}
 	for _, member := range c.view {
@@ -106,7 +107,8 @@
 	return requesters
 }
 
-// firstBatch is the batch to grant first: rolling back precedes going on, and a lower step a higher one.
+// firstBatch returns the batch to grant first: a restart into the base precedes one into the change, and a lower step
+// precedes a higher one.
 func firstBatch(requesters map[permitBatch][]string) permitBatch {
 	if len(requesters) == 0 {
 		return permitBatch{}
@@ -116,7 +118,7 @@
 	})
 }
 
-// mayRestart reports whether an instance may restart into what it asks for, by what is known here.
+// mayRestart reports whether an instance may restart into the change that it requests, as far as is known here.
 func (c *Controller) mayRestart(status *StatusMessage) bool {
 	active, verdict := c.active, c.status.Verdict
 	if status.RosterDigest != c.status.RosterDigest {
--- a/control/rollout/permits_test.go
+++ b/control/rollout/permits_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// permitCluster is the controller of n0 in a cluster of five that has the members n0 and n1 in the first step and the
-// others in the second, with both steps approved.
+// permitCluster returns the controller of n0 in a cluster of five. The first step has n0 and n1, the second the others,
+// and both steps are approved.
 func permitCluster(t *testing.T) *Controller {
 	t.Helper()
 	members := []string{"n0", "n1", "n2", "n3", "n4"}
@@ -26,7 +26,7 @@
 	return c
 }
 
-// requestOf is a status message with a permit request, without one for number 0.
+// requestOf returns a status message with a permit request, without one for number 0.
 func requestOf(name string, number, target uint64) StatusMessage {
 	return StatusMessage{
 		Instance: Instance{Name: name}, Incarnation: 1, Sequence: number + 1, ChangeNumber: 7, ChangeDigest: "digest",
@@ -52,7 +52,7 @@
 		withdrawn.Sequence = 9
 		c.recordStatus(withdrawn)
 	}
-	require.Equal(t, []PermitGrant{{"n1", 1}}, grantNow(c), "once the others were withdrawn")
+	require.Equal(t, []PermitGrant{{"n1", 1}}, grantNow(c), "once the other requests were withdrawn")
 }
 
 func TestPermitsPreferTheLowerStep(t *testing.T) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// An instance that may have granted permits before its disk was lost grants none until those have expired.
+// An instance that may have granted permits before it lost its disk grants none until those have expired.
 func TestNoPermitsAfterALostDisk(t *testing.T) {
 	c := permitCluster(t)
 	c.initial.NoSavedState = true
--- a/control/rollout/registry.go
+++ b/control/rollout/registry.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	maxChanges          = 16   // changes that are kept: only those since the base of the active one are used
-	maxDigestsPerNumber = 4    // different changes of one number that are kept: two already stop it
+	maxChanges          = 16   // changes that are kept; none before the base of the active one is used
+	maxDigestsPerNumber = 4    // changes of one number that are kept; two of them stop the rollout already
 	maxInstances        = 4096 // instances that are tracked, ten times the largest cluster
 )
 
-// registry holds the immutable entries, changes and rosters, that this instance knows. It is bounded by maxChanges
-// and maxDigestsPerNumber.
+// registry holds the immutable entries that this instance knows: changes and rosters. It is bounded by maxChanges and
+// maxDigestsPerNumber.
 type registry struct {
 	changes map[uint64]map[string]*Change // by number and digest
 	rosters map[string][]Instance         // by key
@@ -23,7 +23,7 @@
 	return registry{changes: map[uint64]map[string]*Change{}, rosters: map[string][]Instance{}}
 }
 
-// addChange records a change unless its number has too many already. Past maxChanges the lowest numbers are dropped.
+// addChange records a change unless there are too many of its number. Above maxChanges, the lowest numbers are removed.
 func (r *registry) addChange(digest string, change *Change) {
 	number := change.Number
 	if len(r.changes[number]) < maxDigestsPerNumber {
@@ -47,7 +47,7 @@
 	}
 }
 
-// highestNumber is the highest number of a change that is known, 0 for none.
+// highestNumber returns the highest number of a known change, 0 for none.
 func (r *registry) highestNumber() (highest uint64) {
 	for number := range r.changes {
 		highest = max(highest, number)
@@ -55,12 +55,12 @@
 	return highest
 }
 
-// digests are those of the changes of one number, sorted.
+// digests returns the digests of all changes of one number, sorted.
 func (r *registry) digests(number uint64) []string {
 	return slices.Sorted(maps.Keys(r.changes[number]))
 }
 
-// change is the change of a number, nil for an unknown one and for 0, the instances' own files.
+// change returns the change of a number. It is nil for an unknown number and for 0, the instances' own files.
 func (r *registry) change(number uint64) *Change {
 	if digests := r.digests(number); len(digests) > 0 {
 		return r.changes[number][digests[0]]
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// removeObsolete drops what nobody needs for a change: the changes before its base and the rosters of earlier changes.
-// It returns their keys.
+// removeObsolete removes what is not needed for the active change: the changes before its base, and the rosters of
+// earlier changes. It returns their keys.
 func (r *registry) removeObsolete(active *Change) (keys []string) {
 	for number, digests := range r.changes {
 		if number >= active.BaseNumber {
--- a/control/rollout/registry_test.go
+++ b/control/rollout/registry_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, []string{"digest0", "digest1", "digest2", "digest3"}, r.digests(7))
 }
 
-// Changes before the base and rosters of earlier changes are removed; the base itself is needed to roll back.
+// Changes before the base and rosters of earlier changes are removed; the base is kept, since a roll-back needs it.
 func TestRegistryRemovesObsoleteEntries(t *testing.T) {
 	r := newRegistry()
 	for number := uint64(1); number <= 4; number++ {
--- a/control/rollout/regression.go
+++ b/control/rollout/regression.go
@@ -6,46 +6,47 @@
 )
 
 const (
-	// maxContinueEValue is the evidence above which no further step begins. It then grows until the change is stopped,
-	// or it fades.
+	// maxContinueEValue is the evidence above which no further step begins until it has fallen again, or has grown so
+	// far that the change is stopped.
 	maxContinueEValue = 1.5
 	// minCompareRequests is how many searches each side needs before connections are compared.
 	minCompareRequests = 200
-	// extraConnections are tolerated on top of the limit: a few reconnects are chance.
+	// extraConnections are tolerated beyond the limit, since a few reconnects happen by chance.
 	extraConnections = 100
-	// extraMemoryBytes are tolerated likewise: the memory of a small process may double by chance.
+	// extraMemoryBytes are tolerated beyond the limit, since the memory of a small process may double by chance.
 	extraMemoryBytes = 64 << 20
-	// minMemoryBaselines is how many instances without the change make a useful median.
+	// minMemoryBaselines is how many instances without the change are needed for a useful median.
 	minMemoryBaselines = 3
 
 	bytesPerMiB = 1 << 20
 )
 
-// Sample is one instance's counters at one look.
+// Sample is an instance's counters at one look.
 type Sample struct {
 	Name, Region, Zone string
 	HasChange          bool
-	Incarnation        uint64 // the counters start from 0 with it
+	Incarnation        uint64 // the counters start from 0 in each
 	Stats              InstanceStats
 }
 
-// RegressionAnalysis compares the instances with a change to those without it, look after look. A look compares what was
-// counted since the last one, for each class and each place in which both sides have instances. Its bets (bets.go)
-// collect evidence that stays valid however often it is looked at; connections and memory are held against plain limits.
+// RegressionAnalysis compares the instances with a change to those without it, in a series of looks. Each look compares
+// what was counted since the previous one, for each class and each place in which both sides have instances. The bets
+// on it (bets.go) collect evidence that stays valid for any number of looks; connections and memory are compared with
+// plain limits.
 //
 // It is not safe for concurrent use. Its memory is bounded by metricCount bets for each class and place.
 type RegressionAnalysis struct {
 	limits    RegressionLimits
 	latest    map[string]*Sample      // by instance
-	baselines map[stratum]*ClassStats // of the instances without the change, up to the previous look
-	changed   ClassStats              // of all instances with the change
+	baselines map[stratum]*ClassStats // sums of the instances without the change, up to the previous look
+	changed   ClassStats              // sums of all instances with the change
 	totals    [sideCount]sideTotals
-	sidesHash uint64  // of the samples that matched belongs to
-	matched   []place // of the samples, in their order
+	sidesHash uint64  // hashSides of the samples that matched is for
+	matched   []place // places of the samples, in the same order
 	portfolio *portfolio
 }
 
-// stratum is the part of the searches that is compared at once.
+// stratum is a part of the searches, within which the sides are compared.
 type stratum struct {
 	class int
 	place place
@@ -57,16 +58,16 @@
 // increments are what the two sides of each stratum counted between two looks.
 type increments map[stratum]*[sideCount]ClassStats
 
-// NewRegressionAnalysis starts a comparison.
+// NewRegressionAnalysis returns an analysis without samples.
 func NewRegressionAnalysis(limits RegressionLimits) *RegressionAnalysis {
 	return &RegressionAnalysis{
 		limits: limits, latest: map[string]*Sample{}, baselines: map[stratum]*ClassStats{}, portfolio: newPortfolio(limits),
 	}
 }
 
-// AddSamples takes in the samples of all instances that are warmed up. The samples belong to the analysis from then on.
+// AddSamples adds one look: the samples of all instances that are warmed up. It takes ownership of the samples.
 func (a *RegressionAnalysis) AddSamples(samples []Sample) {
-	if hash := hashSides(samples); hash != a.sidesHash || a.matched == nil { // the sides seldom change
+	if hash := hashSides(samples); hash != a.sidesHash || a.matched == nil { // the sides rarely change
 		a.sidesHash, a.matched = hash, matchPlaces(samples)
 	}
 	added := increments{}
@@ -87,8 +88,7 @@
 	a.portfolio.endRound()
 }
 
-// addSample adds what an instance counted since its previous sample. The first sample of an incarnation is only
-// remembered.
+// addSample adds what an instance counted since its previous sample. The first sample of an incarnation adds nothing.
 func (a *RegressionAnalysis) addSample(sample *Sample, matched place, added increments) {
 	if len(sample.Stats.Classes) > MaxClasses {
 		sample.Stats.Classes = sample.Stats.Classes[:MaxClasses]
@@ -119,7 +119,7 @@
 	}
 }
 
-// EValue is the evidence for a regression, 1 without any, and the bet that contributes most to it.
+// EValue returns the evidence for a regression, 1 for none, and the bet that contributes most to it.
 func (a *RegressionAnalysis) EValue() (value float64, strongest string) {
 	classes := map[int]bool{}
 	for stratum := range a.baselines {
@@ -128,15 +128,15 @@
 	return a.portfolio.value(len(classes))
 }
 
-// CountSearches is the number of searches with the change that were compared.
+// CountSearches returns the number of searches with the change that were compared.
 func (a *RegressionAnalysis) CountSearches() uint64 { return a.totals[changeSide].requests }
 
-// DescribeRegression is what the change makes worse, empty for nothing so far.
+// DescribeRegression returns what the change has been found to make worse, empty for nothing.
 func (a *RegressionAnalysis) DescribeRegression() string {
 	limit := 1 / a.limits.FalseStopProbability
 	if value, strongest := a.EValue(); value >= limit {
 		unserved := baselineMetric{metric: metricServed}.count(&a.changed)
-		return fmt.Sprintf("worse by %s: evidence %.3g of %.3g after %d searches, %d not served", strongest, value,
+		return fmt.Sprintf("regression in %s: evidence %.3g, limit %.3g, after %d searches, %d of them not served", strongest, value,
 			limit, unserved.all, unserved.bad)
 	}
 	if description := a.describeConnections(); description != "" {
@@ -154,7 +154,7 @@
 	if float64(changed.connections) <= allowed+extraConnections {
 		return ""
 	}
-	return fmt.Sprintf("worse by connects: %d in %d searches, %d in %d on the old side", changed.connections, changed.requests,
+	return fmt.Sprintf("regression in connects: %d in %d searches with the change, %d in %d without", changed.connections, changed.requests,
 		baseline.connections, baseline.requests)
 }
 
@@ -170,10 +170,10 @@
 	if float64(changed) <= a.limits.Memory*float64(baseline)+extraMemoryBytes {
 		return ""
 	}
-	return fmt.Sprintf("worse by memory: median %d MiB, %d MiB on the old side", changed/bytesPerMiB, baseline/bytesPerMiB)
+	return fmt.Sprintf("regression in memory: median %d MiB with the change, %d MiB without", changed/bytesPerMiB, baseline/bytesPerMiB)
 }
 
-// upperMedian is the median of values, the higher of the two middle ones. It sorts them.
+// upperMedian returns the median of values, the higher one if there are two. It sorts the values.
 func upperMedian(values []uint64) uint64 {
 	slices.Sort(values)
 	return values[len(values)/2]
--- a/control/rollout/regression_test.go
+++ b/control/rollout/regression_test.go
@@ -14,45 +14,45 @@
 	instancesPerZone = 50
 	lookInterval     = 10.0 // seconds between looks
 	looksPerStage    = 30   // a stage is watched for five minutes
-	maxLooks         = 90   // a stage that lasts longer is held back for good
-	troubleLooks     = 6    // looks that a trouble of the hosts lasts
+	maxLooks         = 90   // a stage that lasts longer never ends
+	troubleLooks     = 6    // an incident of the hosts lasts for this many looks
 	calmUnserved     = 0.005
 	troubleUnserved  = 0.3
 )
 
-// classShares are the parts of the searches that are of each class.
+// classShares are the fractions of the searches in each class.
 var classShares = []float64{0.6, 0.3, 0.1}
 
-// cohort is the instances of one zone on one side, at a search a second each.
+// cohort is the instances of one zone on one side, each with one search a second.
 type cohort struct {
 	incarnation   uint64
 	instanceCount int
 	stats         InstanceStats
 }
 
-// regression is what a change adds to the unserved fraction of a class in a zone, at a time in seconds.
+// regression returns what a change adds to the unserved fraction of a class in a zone, at a time in seconds.
 type regression func(class, zone int, at float64, isTrouble bool) float64
 
-// rolloutSimulation is a change on 300 instances. Troubles of the hosts come and go for both sides, and each instance has
-// luck of its own.
+// rolloutSimulation is the rollout of a change to 300 instances. Incidents of the hosts come and go and affect both
+// sides alike, and the unserved fraction varies between instances.
 type rolloutSimulation struct {
 	rng        *rand.Rand
 	analysis   *RegressionAnalysis
 	cohorts    [zoneCount][sideCount]cohort
 	regression regression
-	trouble    int     // looks that the present trouble still lasts; since its end if negative
+	trouble    int     // looks that the current incident still lasts; if negative, looks since its end
 	clock      float64 // seconds
 }
 
-// simulateRollout plays stages of 1, 15 and 75 of 300 instances, each watched for five minutes. It returns the stage in
-// which the change was stopped, 0 for none, and the time of that in seconds.
+// simulateRollout simulates stages of 1, 15 and 75 of 300 instances, each watched for five minutes. It returns the
+// stage in which the change was stopped, 0 for none, and the time at which it was, in seconds.
 func simulateRollout(seed int64, change regression) (stage int, at float64) {
 	s := &rolloutSimulation{
 		rng: rand.New(rand.NewSource(seed)), analysis: NewRegressionAnalysis(defaultRegressionLimits), regression: change,
 	}
 	for i, count := range []int{1, 15, 75} {
 		s.beginStage(count)
-		if seed%4 == 0 { // a trouble that begins with each stage by chance
+		if seed%4 == 0 { // an incident happens to begin with each stage
 			s.trouble = troubleLooks + 1
 		}
 		if s.watchStage() {
@@ -62,7 +62,7 @@
 	return 0, s.clock
 }
 
-// beginStage restarts instances so that a number of them has the change.
+// beginStage restarts all instances, after which count of them have the change.
 func (s *rolloutSimulation) beginStage(count int) {
 	for zone := range s.cohorts {
 		changed := count / zoneCount
@@ -79,7 +79,7 @@
 	s.analysis.AddSamples(s.samples())
 }
 
-// watchStage reports whether the change is stopped or held back in a stage.
+// watchStage reports whether the change is stopped in a stage, or the stage never ends.
 func (s *rolloutSimulation) watchStage() (isStopped bool) {
 	for look := 0; ; look++ {
 		s.clock += lookInterval
@@ -112,10 +112,10 @@
 		unserved = troubleUnserved
 	}
 	cohort := &s.cohorts[zone][side]
-	luck := math.Exp(0.3 * s.rng.NormFloat64() / math.Sqrt(float64(max(1, cohort.instanceCount)))) // mean of the instances'
+	variation := math.Exp(0.3 * s.rng.NormFloat64() / math.Sqrt(float64(max(1, cohort.instanceCount)))) // mean of the instances
 	for class, share := range classShares {
 		requests := distuv.Poisson{Lambda: lookInterval*float64(cohort.instanceCount)*share + 1e-9, Src: source}.Rand()
-		probability := min(0.9, unserved*luck)
+		probability := min(0.9, unserved*variation)
 		if side == changeSide {
 			probability = min(0.95, probability+s.regression(class, zone, s.clock, isTrouble))
 		}
@@ -134,7 +134,7 @@
 	}
 }
 
-// samples has one sample for each cohort that has instances.
+// samples returns a sample for each cohort that has instances.
 func (s *rolloutSimulation) samples() (samples []Sample) {
 	for zone := range s.cohorts {
 		for side := range s.cohorts[zone] {
@@ -152,8 +152,8 @@
 	return samples
 }
 
-// countStops plays a change many times. It counts how often it is stopped at all, how often before the third stage, and
-// the mean time of the latter.
+// countStops simulates a change many times. It returns how often it is stopped before the third stage, how often at
+// all, and the mean time until it is stopped before the third stage.
 func countStops(rollouts int, change regression) (early, total int, meanTime float64) {
 	for seed := range rollouts {
 		stage, at := simulateRollout(int64(seed), change)
@@ -168,7 +168,7 @@
 	return early, total, meanTime / float64(max(1, early))
 }
 
-// addIf is an increase under a condition.
+// addIf returns an increase if a condition holds, 0 otherwise.
 func addIf(condition bool, increase float64) float64 {
 	if condition {
 		return increase
@@ -180,7 +180,7 @@
 	t.Parallel()
 	const rollouts = 100
 	_, stopped, _ := countStops(rollouts, func(int, int, float64, bool) float64 { return 0 })
-	t.Logf("stopped of a change without effect: %d of %d", stopped, rollouts)
+	t.Logf("%d of %d changes without effect were stopped", stopped, rollouts)
 	require.Less(t, stopped, rollouts/20)
 	_, stopped, _ = countStops(20, func(int, int, float64, bool) float64 { return -0.003 })
 	require.Zero(t, stopped, "a change that improves")
@@ -198,7 +198,7 @@
 		{"after 20 s", func(_, _ int, at float64, _ bool) float64 { return addIf(at > 20, 0.05) }, rollouts * 95 / 100},
 		{"one class", func(class, _ int, _ float64, _ bool) float64 { return addIf(class == 2, 0.2) }, rollouts * 95 / 100},
 		{"one zone", func(_, zone int, _ float64, _ bool) float64 { return addIf(zone == 3, 0.2) }, rollouts * 95 / 100},
-		// It shows only where there is a trouble before the third stage.
+		// The regression shows only if there is an incident before the third stage.
 		{"under load", func(_, _ int, _ float64, isTrouble bool) float64 { return addIf(isTrouble, 0.35) }, rollouts / 2},
 	} {
 		early, total, meanTime := countStops(rollouts, test.change)
--- a/control/rollout/restart.go
+++ b/control/rollout/restart.go
@@ -3,17 +3,17 @@
 import "slices"
 
 const (
-	// requestTimeoutDivisor is the part of the silence timeout in which a permit request has to be granted, or it is
-	// withdrawn.
+	// requestTimeoutDivisor divides the silence timeout into the time after which a permit request without enough
+	// grants is withdrawn.
 	requestTimeoutDivisor = 4
-	// minRequestDelay is the shortest wait after a withdrawn request. Instances wait up to requestDelaySlots times as
-	// long, so that they do not all ask again at once.
+	// minRequestDelay is the shortest delay between a withdrawn request and the next one. The delay is up to
+	// requestDelaySlots times as long, so that instances do not all repeat their requests at once.
 	minRequestDelay   = second
 	requestDelaySlots = 4
 )
 
-// decideRestart decides about this instance's own restart: it asks for permits where another change should run here,
-// and restarts with those of a majority.
+// decideRestart decides about this instance's own restart. If another change should run here, it requests permits, and
+// restarts once a majority has granted them.
 func (c *Controller) decideRestart() {
 	if c.servingSince < 0 || c.restarting {
 		return
@@ -42,12 +42,12 @@
 	c.logEvent(eventRestart, nil, "number", target, "previous", c.status.RunningNumber, "granted", granted)
 }
 
-// targetNumber is the number of the change that this instance should run.
+// targetNumber returns the number of the change that this instance should run.
 func (c *Controller) targetNumber() uint64 {
 	active, verdict, running := c.active, c.status.Verdict, c.status.RunningNumber
 	switch {
 	case running != active.Number && running != active.BaseNumber:
-		return active.BaseNumber // it was away for earlier changes, or runs one that a later change has ended
+		return active.BaseNumber // it was away during earlier changes, or runs a change that a later one has ended
 	case verdict.Order == OrderRollBack:
 		return active.BaseNumber
 	case verdict.Order == OrderProceed && c.isOwnStepOpen() && c.status.FailedEpoch != verdict.Epoch:
@@ -68,8 +68,8 @@
 	}
 }
 
-// withdrawFailedRequest withdraws a request for another target or without enough grants in time. Otherwise two steps
-// that have the grants of a part of the cluster each would block each other.
+// withdrawFailedRequest withdraws a request that is for another target or did not get enough grants in time. Otherwise
+// two steps that each have the grants of a part of the cluster would block each other.
 func (c *Controller) withdrawFailedRequest(target uint64) {
 	isTimedOut := c.now-c.permits.requestedAt > c.active.SilenceTimeout/requestTimeoutDivisor
 	if !c.hasPermitRequest() || c.status.PermitRequest.TargetNumber == target && !isTimedOut {
@@ -85,10 +85,10 @@
 	c.permits.requestedAt = c.now
 	c.status.PermitRequest = PermitRequest{Number: c.permits.lastNumber, TargetNumber: target}
 	c.statusChanged = true
-	c.grantPermits() // its own vote counts at once
+	c.grantPermits() // this instance's own grant counts at once
 }
 
-// countPermits is the number of members that have granted this instance's request.
+// countPermits returns the number of members that have granted this instance's request.
 func (c *Controller) countPermits() (count int) {
 	self, number := c.initial.Self.Name, c.status.PermitRequest.Number
 	for _, member := range c.view {
--- a/control/rollout/roster.go
+++ b/control/rollout/roster.go
@@ -8,25 +8,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Instance is an instance's name and location.
+// Instance is the name and location of an instance.
 type Instance struct {
 	Name   string `cbor:"1,keyasint"`
 	Region string `cbor:"2,keyasint"`
 	Zone   string `cbor:"3,keyasint"`
 }
 
-// roster is the order in which the voting members apply a change. Instances that agree on its digest agree on the order.
+// roster is the order in which the voting members apply a change. Equal digests mean equal orders.
 type roster struct {
 	digest   string
 	order    []Instance
-	position map[string]int // of an instance's name in order
+	position map[string]int // in order, by the instance's name
 }
 
-// zoneMembers are the instances of one zone, in the order in which they apply a change.
+// zoneMembers is the voting members of one zone, in the order in which they apply a change.
 type zoneMembers struct {
 	name        string
 	region      string
-	rank        int // of the zone within its region
+	rank        int // position of the zone within its region
 	regionHash  uint64
 	memberOrder []rankedInstance
 }
@@ -35,11 +35,11 @@
 type rankedInstance struct {
 	Instance
 	hash uint64  // within its zone
-	key  float64 // in the whole roster, from 0 to 1
+	key  float64 // within the whole roster, from 0 to 1
 }
 
-// newRoster orders instances by a hash of the change and their names, so that any first part of the order holds about
-// the same fraction of each zone and region.
+// newRoster orders instances by a hash of the change and their names. Any prefix of the order holds about the same
+// fraction of each zone and region.
 func newRoster(change string, instances []Instance) *roster {
 	zones := sortedZones(change, instances)
 	var order []rankedInstance
@@ -48,7 +48,7 @@
 		slices.SortFunc(members, func(a, b rankedInstance) int {
 			return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.Name, b.Name))
 		})
-		offset := (float64(i) + 0.5) / float64(len(zones)) // zones of one size take turns
+		offset := (float64(i) + 0.5) / float64(len(zones)) // instances of equally large zones alternate
 		for j := range members {
 			members[j].key = (float64(j) + offset) / float64(len(members))
 		}
@@ -60,7 +60,7 @@
 	return rosterInOrder(order)
 }
 
-// sortedZones groups instances by zone, the zones of the regions taking turns.
+// sortedZones groups instances by zone. The zones of different regions alternate.
 func sortedZones(change string, instances []Instance) []*zoneMembers {
 	byName, byRegion := map[string]*zoneMembers{}, map[string][]*zoneMembers{}
 	for _, instance := range instances {
--- a/control/rollout/roster_test.go
+++ b/control/rollout/roster_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Any first part of a roster holds about the same fraction of each zone, whatever the change's name.
+// Any prefix of a roster holds about the same fraction of each zone, whatever the change's name.
 func TestStepsSpreadOverZones(t *testing.T) {
 	var instances []Instance
 	for i := range 300 {
--- a/control/rollout/roster_vote.go
+++ b/control/rollout/roster_vote.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// voteForRoster casts this instance's vote for who applies the change in which step, once for each change. It follows
-// the roster with the most votes; the first voters propose one of the locations that they know.
+// voteForRoster casts this instance's vote for the roster of the active change, once for each change. The vote is for
+// the known roster with the most votes. If there is none, this instance proposes one from the locations that it knows.
 func (c *Controller) voteForRoster() {
 	votes := c.countRosterVotes()
 	if c.status.RosterDigest == "" && c.mayVote() && !c.mayHaveForgottenPromises() {
@@ -25,11 +25,11 @@
 		total, highest = total+count, max(highest, count)
 	}
 	if total == len(c.members) && !c.isMajority(highest) {
-		c.stopChange("instances know different zones of each other", OrderStop)
+		c.stopChange("no roster has a majority: instances know each other in different zones", OrderStop)
 	}
 }
 
-// countRosterVotes is the number of votes for each roster's digest.
+// countRosterVotes returns the number of votes for each roster, by digest.
 func (c *Controller) countRosterVotes() map[string]int {
 	votes := map[string]int{}
 	for _, member := range c.view {
@@ -40,7 +40,7 @@
 	return votes
 }
 
-// mostVotedRoster is the digest with the most votes among the rosters whose entry has arrived, empty for none.
+// mostVotedRoster returns the digest with the most votes among the rosters whose entries have arrived, empty for none.
 func (c *Controller) mostVotedRoster(votes map[string]int) (best string) {
 	for _, digest := range slices.Sorted(maps.Keys(votes)) {
 		isKnown := c.registry.rosters[rosterKey(c.active.Number, digest)] != nil
@@ -51,8 +51,8 @@
 	return best
 }
 
-// proposeRoster publishes a roster of the locations that are known here and returns its digest. It waits for the
-// location of every member, but no longer than the silence timeout.
+// proposeRoster publishes a roster from the locations that are known here, and returns its digest. While a member's
+// location is unknown it publishes none and returns an empty digest, but no longer than the silence timeout.
 func (c *Controller) proposeRoster() (digest string) {
 	if !c.hearsMajority() {
 		return ""
@@ -79,7 +79,7 @@
 	return digest
 }
 
-// loadRoster builds the roster that this instance has voted for once its entry has arrived.
+// loadRoster builds the roster that this instance has voted for, once its entry has arrived.
 func (c *Controller) loadRoster() {
 	digest := c.status.RosterDigest
 	isLoaded := c.active.roster != nil && c.active.roster.digest == digest
@@ -96,7 +96,7 @@
 	}
 }
 
-// newRoster orders instances for the change in force.
+// newRoster returns the roster of instances for the active change.
 func (c *Controller) newRoster(instances []Instance) *roster {
 	return newRoster(fmt.Sprint(c.active.Name, "/", c.active.Number), instances)
 }
--- a/control/rollout/scenarios_test.go
+++ b/control/rollout/scenarios_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A partition at the moment at which a step opens, for each step: the side without a majority stays as it is, and after
-// the partition all instances agree.
+// A partition begins just as a step opens, for each step. The side without a majority then keeps what it runs, and
+// after the partition all instances agree.
 func TestPartitionAtEachStep(t *testing.T) {
 	file := testChangeFile(1, "together: 0.3")
 	for i := range len(file.Change.steps(11)) + 1 {
@@ -34,8 +34,8 @@
 	}
 }
 
-// The first instance that runs a change is killed once it serves. If it comes back, the change goes on; if it stays away,
-// the change is rolled back and no other instance ever runs it.
+// The first instance with a change is killed once it serves. If it comes back, the change goes on. If not, the change
+// is rolled back and no other instance ever runs it.
 func TestFirstInstanceIsKilledAfterRestart(t *testing.T) {
 	for downtime, want := range map[int64]Order{5 * second: OrderProceed, 500 * second: OrderRollBack} {
 		s := newSimulation(t, 9, 1)
@@ -58,8 +58,8 @@
 	}
 }
 
-// An instance that is away while two changes complete runs the second once it is back. It runs the first before that,
-// since that is the second's base.
+// An instance that is down while two changes complete applies the second once it is back. It applies the first before
+// that, since the first is the base of the second.
 func TestAbsentInstanceCatchesUp(t *testing.T) {
 	s := newSimulation(t, 7, 1)
 	s.runFor(70 * second)
@@ -92,7 +92,8 @@
 	require.Equal(t, uint64(2), absent.runningNumber)
 }
 
-// Different files under one number stop the change everywhere before any instance runs either. A new number goes on.
+// Different change files with the same number stop the change everywhere before any instance runs either of them. A
+// file with a new number is applied.
 func TestConflictingChangeFilesStopTheChange(t *testing.T) {
 	s := newSimulation(t, 9, 1)
 	s.setChangeFile(testChangeFile(1), 2)
--- a/control/rollout/simulation_test.go
+++ b/control/rollout/simulation_test.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// simulation is a cluster on a simulated clock: the controllers, the entries that each instance has, and a network that
-// loses, delays and cuts off messages. Each process has a disk, which survives a kill.
+// simulation is a cluster on a simulated clock: the controllers, the entries of each instance, and a network that
+// loses, delays and blocks messages. Each process has a disk, which survives a kill.
 type simulation struct {
 	t                     require.TestingT
 	rng                   *rand.Rand
@@ -20,13 +20,13 @@
 	nodes                 []*node
 	names                 []string
 	tickLength            int64
-	isCut                 func(a, b int) bool // whether messages from a to b are cut off
+	isCut                 func(a, b int) bool // whether messages from a to b are blocked
 	lossRate              float64
 	delayed               []delayedMessage
-	servedRate            float64 // fraction of searches that are served without the change, and with it
-	servedRateWithChange  float64
+	servedRate            float64                           // fraction of searches that are served without the change
+	servedRateWithChange  float64                           // and with it
 	canServe              func(n *node, target uint64) bool // whether an instance serves with a change
-	searchRate            float64                           // searches of an instance in a second
+	searchRate            float64                           // of an instance, in searches a second
 	maxConcurrentRestarts int                               // asserted after each tick, 0 for no limit
 	instancesByChange     map[uint64]map[string]bool
 	restartCount          int
@@ -48,8 +48,8 @@
 	statuses          map[string]*StatusMessage
 	runningNumber     uint64
 	previousNumber    uint64
-	startsAt          int64    // when the process is up again, while it is down
-	restart           *Restart // that the process is down for
+	startsAt          int64    // when the process is up again, if it is down
+	restart           *Restart // for which the process is down
 	attempts          int
 	failedEpoch       uint64
 	failedNumber      uint64
@@ -70,7 +70,7 @@
 	}
 	for i := range instanceCount {
 		s.names = append(s.names, fmt.Sprintf("n%03d", i))
-		s.clockOffsets = append(s.clockOffsets, s.rng.Int63n(3600*second)) // clocks an hour apart
+		s.clockOffsets = append(s.clockOffsets, s.rng.Int63n(3600*second)) // clocks differ by up to an hour
 	}
 	for i := range instanceCount {
 		s.nodes = append(s.nodes, &node{
@@ -82,8 +82,8 @@
 	return s
 }
 
-// start starts the process of an instance with what its disk has. noSavedState tells it that the disk may have lost the
-// last writes.
+// start starts the process of an instance with what is on its disk. noSavedState says that the disk may lack the last
+// writes.
 func (s *simulation) start(n *node, noSavedState bool) {
 	n.incarnation++
 	n.startsAt = 0
@@ -113,7 +113,7 @@
 	return all
 }
 
-// kill ends a process at once. One that was restarting into a change tries it again.
+// kill ends a process at once. One that was restarting into a change then tries the restart again.
 func (s *simulation) kill(n *node, downtime int64) {
 	n.controller, n.startsAt, n.killed = nil, s.now+downtime, true
 	if n.restart == nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// exchange sends all entries that one instance has to another.
+// exchange sends all entries of one instance to another.
 func (s *simulation) exchange(from, to *node) {
 	for key, entry := range from.entries {
 		if to.entries[key] != nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-// decide lets an instance serve searches for a tick and carries out its decision.
+// decide lets an instance serve searches for a tick, and carries out its decision.
 func (s *simulation) decide(n *node) {
 	s.serve(n)
 	decision := n.controller.Decide(s.now + s.clockOffsets[n.index])
@@ -228,7 +228,7 @@
 	s.instancesByChange[restart.TargetNumber][n.instance.Name] = true
 }
 
-// finishRestart starts a process that is due.
+// finishRestart starts a process whose downtime has ended.
 func (s *simulation) finishRestart(n *node) {
 	if restart := n.restart; restart != nil {
 		n.restart = nil
@@ -264,19 +264,19 @@
 	n.controller.SetStats(InstanceStats{Classes: append([]ClassStats(nil), n.stats.Classes...), MemoryBytes: n.stats.MemoryBytes})
 }
 
-// randomSource is a source of math/rand as gonum takes it.
+// randomSource adapts a math/rand source to gonum's interface.
 type randomSource struct{ *rand.Rand }
 
 func (s randomSource) Seed(seed uint64) { s.Rand.Seed(int64(seed)) }
 
-// runFor advances the cluster by a time.
+// runFor advances the cluster by a duration.
 func (s *simulation) runFor(duration int64) {
 	for end := s.now + duration; s.now < end; {
 		s.tick()
 	}
 }
 
-// runUntil advances the cluster until a condition holds. It reports whether that happened within a time.
+// runUntil advances the cluster until a condition holds. It reports whether it did within a time limit.
 func (s *simulation) runUntil(limit int64, condition func() bool) bool {
 	for end := s.now + limit; s.now < end; {
 		if s.tick(); condition() {
@@ -286,19 +286,19 @@
 	return false
 }
 
-// isComplete reports whether every instance runs the active change and knows it to be in force for good.
+// isComplete reports whether every instance runs the active change and knows that it is complete.
 func (s *simulation) isComplete() bool {
 	return !slices.ContainsFunc(s.nodes, func(n *node) bool { return !n.hasCompletedChange() })
 }
 
-// hasActiveChange reports whether an instance's process runs and knows a change.
+// hasActiveChange reports whether an instance's process is up and has an active change.
 func (n *node) hasActiveChange() bool { return n.controller != nil && n.controller.active != nil }
 
 func (n *node) hasCompletedChange() bool {
 	return n.hasActiveChange() && n.controller.isComplete() && n.runningNumber == n.controller.active.Number
 }
 
-// hasAgreed reports whether all instances have one verdict on one change, and run what it orders.
+// hasAgreed reports whether all instances have the same verdict on the same change, and run what it orders.
 func (s *simulation) hasAgreed() bool {
 	first := s.nodes[0]
 	for _, n := range s.nodes {
@@ -324,7 +324,7 @@
 	return true
 }
 
-// testChangeFile is a change file of three stages with further lines.
+// testChangeFile returns a change file with three stages and the given further lines.
 func testChangeFile(number uint64, lines ...string) *ChangeFile {
 	text := fmt.Sprintf("name: c\nnumber: %d\nsettings: {Safety: {ExtraFloor: 0.5}}\nstages:\n  - {count: 1, watch: 20s}\n"+
 		"  - {share: 0.25, watch: 20s}\n  - {share: 1, watch: 5s}\ncold: 2s\nready: 6s\nsilent: 60s\nsearches: 10\n%s\n...\n",
@@ -336,7 +336,7 @@
 	return file
 }
 
-// setChangeFile puts a change file on instances, by their indexes.
+// setChangeFile gives a change file to the instances with the given indexes.
 func (s *simulation) setChangeFile(file *ChangeFile, indexes ...int) {
 	for _, i := range indexes {
 		n := s.nodes[i]
@@ -347,8 +347,8 @@
 	}
 }
 
-// grantedRestartTime is how long after a cut an instance may still restart by permits that were granted before it: the
-// time of a request and that of the restart.
+// grantedRestartTime returns how long after a partition an instance may still restart with permits from before it: the
+// time of a request plus that of the restart.
 func grantedRestartTime(file *ChangeFile) int64 {
 	return file.Change.SilenceTimeout/requestTimeoutDivisor + file.Change.ReadyTimeout + 3*second
 }
--- a/control/rollout/stages.go
+++ b/control/rollout/stages.go
@@ -1,7 +1,7 @@
 package rollout
 
-// countOpenSteps is how many steps a majority has voted for. Votes are not withdrawn within an epoch, so the number does
-// not fall within one.
+// countOpenSteps returns the number of steps that a majority has voted to open. Votes are not withdrawn within an
+// epoch, so the number does not fall within one.
 func (c *Controller) countOpenSteps() int {
 	active := c.active
 	if active.roster == nil {
@@ -29,7 +29,7 @@
 	return 0
 }
 
-// voteForNextStep approves the next step where this instance finds that it may begin.
+// voteForNextStep approves the next step unless this instance knows a reason to delay it.
 func (c *Controller) voteForNextStep() {
 	verdict, status, active := c.status.Verdict, &c.status, c.active
 	if status.StageEpoch != verdict.Epoch {
@@ -38,7 +38,7 @@
 	if verdict.Order != OrderProceed || active.roster == nil || c.mayHaveForgottenPromises() || !c.mayVote() {
 		return
 	}
-	if active.openSteps > status.ApprovedSteps { // a majority has seen enough
+	if active.openSteps > status.ApprovedSteps { // a majority has approved further steps
 		status.ApprovedSteps, c.statusChanged = active.openSteps, true
 		return
 	}
@@ -61,7 +61,7 @@
 		"steps", len(active.steps), "searches", searches)
 }
 
-// logDelay logs why the next step has not begun, once it could have begun long ago.
+// logDelay logs why the next step has not begun, long after it could have.
 func (c *Controller) logDelay(reason string) {
 	active, approved := c.active, c.status.ApprovedSteps
 	expected := active.SilenceTimeout
@@ -73,7 +73,7 @@
 	}
 }
 
-// delayReason is why the next step may not begin yet, empty where it may.
+// delayReason returns why the next step may not begin yet, empty if it may.
 func (c *Controller) delayReason() string {
 	if reason := c.participationDelay(); reason != "" {
 		return reason
@@ -87,8 +87,8 @@
 	return c.comparisonDelay()
 }
 
-// participationDelay requires that a majority agrees on the roster, and before the first step that no member is still on
-// its way from an earlier change.
+// participationDelay requires that a majority agrees on the roster and, before the first step, that no member still
+// runs an earlier change.
 func (c *Controller) participationDelay() string {
 	active, participants := c.active, 0
 	for _, member := range c.view {
@@ -97,20 +97,20 @@
 			continue
 		}
 		participants++
-		isElsewhere := status.RunningNumber != active.Number && status.RunningNumber != active.BaseNumber
-		if isElsewhere && c.status.ApprovedSteps == 0 {
+		runsEarlierChange := status.RunningNumber != active.Number && status.RunningNumber != active.BaseNumber
+		if runsEarlierChange && c.status.ApprovedSteps == 0 {
 			return member.name + " still runs an earlier change"
 		}
 	}
 	if !c.isMajority(participants) {
-		return "fewer than half of the members are heard"
+		return "no majority of the members is heard from and agrees on the roster"
 	}
 	return ""
 }
 
-// watchDelay requires that the members of all steps so far serve with the change, and that those of the last step have
-// been watched for its time. Members that fell silent before they had the change are skipped; they apply it when they
-// are back.
+// watchDelay requires that the members of all steps so far serve with the change, and that those of the latest step
+// have been watched for the step's time. Members that fell silent before they had the change are skipped; they apply it
+// once they are back.
 func (c *Controller) watchDelay() string {
 	active := c.active
 	current := c.status.ApprovedSteps - 1
@@ -123,7 +123,7 @@
 		status := c.statusOf(instance.Name)
 		if !c.isFresh(instance.Name) {
 			if c.silenceOf(instance.Name) <= active.SilenceTimeout {
-				return instance.Name + " is not heard"
+				return instance.Name + " is not heard from"
 			}
 			continue
 		}
@@ -133,17 +133,17 @@
 		if status.ServingFor >= active.WarmUp+step.watch {
 			watched++
 		} else if position >= stepStart {
-			return instance.Name + " is still watched"
+			return instance.Name + " is still being watched"
 		}
 	}
 	if watched == 0 {
-		return "no instance with the change is left to be watched"
+		return "no instance with the change is left to watch"
 	}
 	return ""
 }
 
-// comparisonDelay requires that enough searches were compared and that the change does not look worse, as long as there
-// are instances to compare with and a further step.
+// comparisonDelay requires that enough searches were compared and that they do not suggest a regression. It requires
+// nothing after the last step, or if there are no instances to compare with.
 func (c *Controller) comparisonDelay() string {
 	active := c.active
 	isLastStep := active.steps[c.status.ApprovedSteps-1].end >= len(active.roster.order)
@@ -154,12 +154,12 @@
 		return "too few searches were compared"
 	}
 	if value, _ := active.analysis.EValue(); value > maxContinueEValue {
-		return "the change may be worse"
+		return "the change may be a regression"
 	}
 	return ""
 }
 
-// hasFreshBaseline reports whether any instance still runs what was in force before the change.
+// hasFreshBaseline reports whether any fresh instance still runs the base of the change.
 func (c *Controller) hasFreshBaseline() bool {
 	for _, member := range c.view {
 		if member.isFresh && member.status.RunningNumber == c.active.BaseNumber {
--- a/control/rollout/stats.go
+++ b/control/rollout/stats.go
@@ -3,42 +3,43 @@
 import "math/bits"
 
 const (
-	// LatencyBucketCount is the number of LatencyBucket values: two for each doubling from 1 ms, up to 65 s.
+	// LatencyBucketCount is the number of buckets of LatencyBucket: two for each doubling from 1 ms up to 65 s.
 	LatencyBucketCount = 32
-	// SubRequestBucketCount is the number of SubRequestBucket values: two for each doubling from 1, up to 1,024.
+	// SubRequestBucketCount is the number of buckets of SubRequestBucket: two for each doubling from 1 up to 1,024.
 	SubRequestBucketCount = 20
-	// MaxClasses is how many classes of searches are compared, the first ones of the plan. Their counters fit an entry.
+	// MaxClasses is how many search classes are compared, the first ones of the plan. Their counters fit into an entry.
 	MaxClasses = 8
 
-	latencyBucketUnit = 10 // times in a unit of LatencyBucket, 1 ms
+	latencyBucketUnit = 10 // resolution of LatencyBucket in timeUnit, 1 ms
 )
 
-// ClassStats are an instance's counters of one class of searches since the end of its warm-up. They only rise.
+// ClassStats are an instance's counters of one search class since it began to serve. They only rise, and are published
+// from the end of the warm-up on.
 type ClassStats struct {
 	Requests    uint64                        `cbor:"1,keyasint"`
 	Served      uint64                        `cbor:"2,keyasint"`
-	Late        uint64                        `cbor:"3,keyasint"` // of the served ones
+	Late        uint64                        `cbor:"3,keyasint"` // part of Served
 	Shed        uint64                        `cbor:"4,keyasint"`
 	Latencies   [LatencyBucketCount]uint64    `cbor:"5,keyasint"` // answers by LatencyBucket
 	SubRequests [SubRequestBucketCount]uint64 `cbor:"6,keyasint"` // searches by SubRequestBucket
 }
 
-// InstanceStats are all counters of an instance.
+// InstanceStats are the counters of an instance.
 type InstanceStats struct {
 	Classes     []ClassStats `cbor:"1,keyasint"`
-	Connections uint64       `cbor:"2,keyasint"` // that it has opened to hosts
-	MemoryBytes uint64       `cbor:"3,keyasint"` // in use at present; the only value that may fall
+	Connections uint64       `cbor:"2,keyasint"` // opened to hosts
+	MemoryBytes uint64       `cbor:"3,keyasint"` // in use now; the only value that may fall
 }
 
-// LatencyBucket is the bucket of an answer's duration.
+// LatencyBucket returns the bucket of an answer's duration.
 func LatencyBucket(duration int64) int {
 	return logBucket(uint64(max(0, duration)/latencyBucketUnit), LatencyBucketCount)
 }
 
-// SubRequestBucket is the bucket of a search's number of sub-requests.
+// SubRequestBucket returns the bucket of a search's number of sub-requests.
 func SubRequestBucket(count int) int { return logBucket(uint64(max(0, count)), SubRequestBucketCount) }
 
-// logBucket is 0 for 0; from there each doubling has two buckets. Values past the last bucket fall into it.
+// logBucket returns bucket 0 for 0. From 1 on, each doubling has two buckets; values past the last bucket are in it.
 func logBucket(value uint64, bucketCount int) int {
 	if value == 0 {
 		return 0
@@ -65,8 +66,8 @@
 	}
 }
 
-// hasOnlyRisen reports whether no counter is below its previous value. Otherwise the two states are not of one
-// incarnation, or the counters are wrong.
+// hasOnlyRisen reports whether no counter is below its previous value. If one is, the two states are of different
+// incarnations, or the counters are wrong.
 func (s *ClassStats) hasOnlyRisen(previous *ClassStats) bool {
 	for i := range s.Latencies {
 		if s.Latencies[i] < previous.Latencies[i] {
--- a/control/rollout/status_message_test.go
+++ b/control/rollout/status_message_test.go
@@ -16,7 +16,7 @@
 	require.Equal(t, PermitRequest{Number: 3, TargetNumber: 4}, c.peers["a"].PermitRequest)
 	require.Equal(t, uint64(4), c.peers["a"].RunningNumber)
 	var invalid *InvalidEntryError
-	require.ErrorAs(t, c.HandleEntry(2, StatusMessageKey("b2"), text), &invalid) // of another instance than the key names
+	require.ErrorAs(t, c.HandleEntry(2, StatusMessageKey("b2"), text), &invalid) // another instance than the one in the key
 	require.ErrorAs(t, c.HandleEntry(2, StatusMessageKey("a"), text[:9]), &invalid)
 	earlier, err := cborEncoder.Marshal(map[int]any{1: map[int]any{1: "a"}, 2: 6, 3: 9, 10: 3})
 	require.NoError(t, err)
--- a/control/rollout/status_publisher.go
+++ b/control/rollout/status_publisher.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// How often an instance publishes its status message when nothing in it has changed but time and counters.
+// How often an instance publishes its status message while only times and counters in it change.
 const (
-	statusIntervalsPerSilence = 20          // messages within the time after which silence counts
+	statusIntervalsPerSilence = 20          // messages within a silence timeout
 	minStatusInterval         = second / 5  // bounds the load on the replication
-	maxStatusInterval         = 5 * second  // bounds how old the counters are that are compared
+	maxStatusInterval         = 5 * second  // bounds the age of the counters that are compared
 	idleStatusInterval        = 10 * second // before the first change
 )
 
@@ -17,8 +17,8 @@
 	return min(maxStatusInterval, max(minStatusInterval, c.active.SilenceTimeout/statusIntervalsPerSilence))
 }
 
-// updateServingTime updates how long the instance has served. Counters from before the end of its warm-up are withheld:
-// the cost of a restart is not the change's.
+// updateServingTime updates how long the instance has served. Counters are not published before the end of its warm-up,
+// since the cost of a restart is not a cost of the change.
 func (c *Controller) updateServingTime() {
 	if c.servingSince >= 0 {
 		c.status.ServingFor = c.now - c.servingSince
@@ -28,7 +28,7 @@
 	}
 }
 
-// publishStatus publishes this instance's status message if it has news or the interval has passed.
+// publishStatus publishes this instance's status message if it has changed or the status interval has passed.
 func (c *Controller) publishStatus(previousGrants []PermitGrant) {
 	isWarmedUp := c.active == nil || c.now-c.servingSince >= c.active.WarmUp
 	if c.stats != nil && c.servingSince >= 0 && isWarmedUp {
--- a/control/rollout/steps_test.go
+++ b/control/rollout/steps_test.go
@@ -32,7 +32,7 @@
 			[]step{{10, 40}, {20, 0}},
 		},
 		{
-			"a step has one instance at least",
+			"a step has at least one instance",
 			[]Stage{{Count: 2}},
 			0.01,
 			[]step{{1, 0}, {2, 0}},
--- a/control/rollout/verdict.go
+++ b/control/rollout/verdict.go
@@ -1,7 +1,7 @@
 package rollout
 
-// Verdict is what becomes of a change. Instances exchange their verdicts, and the one with the highest precedence holds
-// everywhere.
+// Verdict decides what is done with a change. Instances exchange their verdicts, and all adopt the one with the highest
+// precedence.
 type Verdict struct {
 	Epoch     uint64 `cbor:"1,keyasint"`
 	Order     Order  `cbor:"2,keyasint"`
@@ -9,8 +9,8 @@
 	DecidedBy string `cbor:"4,keyasint,omitempty"`
 }
 
-// overrides reports whether a verdict takes precedence over another: the higher epoch, then the higher order. Of two
-// that order the same, the fields that only inform decide, so that all instances end with one verdict.
+// overrides reports whether a verdict takes precedence over another: by the higher epoch, then by the higher order. If
+// these are equal, the informative fields decide, so that all instances end up with the same verdict.
 func (v Verdict) overrides(other Verdict) bool {
 	switch {
 	case v.Epoch != other.Epoch:
--- a/control/rollout/verdict_test.go
+++ b/control/rollout/verdict_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Of any two verdicts one overrides the other, whichever an instance learns first.
+// Of any two different verdicts one overrides the other, whichever an instance learns of first.
 func TestVerdictPrecedence(t *testing.T) {
 	ascending := []Verdict{
 		{Epoch: 1},
--- a/control/rollout/verdicts.go
+++ b/control/rollout/verdicts.go
@@ -5,17 +5,17 @@
 // maxReasonBytes bounds the reason of a verdict.
 const maxReasonBytes = 300
 
-// adoptVerdicts takes over the verdicts of other instances.
+// adoptVerdicts adopts the verdicts of other instances on the active change.
 func (c *Controller) adoptVerdicts() {
 	for _, peer := range c.peers {
-		// The digest may be another: a stop of either change under the number stops both.
+		// The digest may differ: a verdict on one change of the number applies to all changes of the number.
 		if peer.ChangeNumber == c.active.Number && peer.Verdict.Epoch > 0 {
 			c.adoptVerdict(peer.Verdict)
 		}
 	}
 }
 
-// adoptVerdict takes over a verdict that overrides the present one.
+// adoptVerdict adopts a verdict if it overrides the current one.
 func (c *Controller) adoptVerdict(verdict Verdict) {
 	if len(verdict.Reason) > maxReasonBytes {
 		verdict.Reason = verdict.Reason[:maxReasonBytes]
@@ -38,14 +38,14 @@
 	}
 }
 
-// stopChange decides that the change does not go on. A change that is stopped already stays as it is.
+// stopChange stops the active change or rolls it back, as order says. It does nothing unless the verdict is to proceed.
 func (c *Controller) stopChange(reason string, order Order) {
 	if verdict := c.status.Verdict; verdict.Order == OrderProceed {
 		c.adoptVerdict(Verdict{Epoch: verdict.Epoch, Order: order, Reason: reason, DecidedBy: c.initial.Self.Name})
 	}
 }
 
-// checkForRegression stops the change where it cannot go on or makes things worse.
+// checkForRegression stops the change if it cannot continue or if it is a regression.
 func (c *Controller) checkForRegression() {
 	c.checkConflictingChanges()
 	c.checkOwnFailures()
@@ -72,15 +72,16 @@
 	active, status := c.active, &c.status
 	if status.FailedEpoch > 0 && status.FailedEpoch == status.Verdict.Epoch {
 		c.logOnce(eventNotApplied, &ChangeNotAppliedError{Number: active.Number, Reason: c.failureReason})
-		c.stopChange("could not be taken: "+c.failureReason, active.OnRegression)
+		c.stopChange("could not be applied: "+c.failureReason, active.OnRegression)
 	}
 	restarts := c.initial.UnplannedRestarts
 	if status.RunningNumber == active.Number && restarts >= active.RegressionLimits.Restarts {
-		c.stopChange(fmt.Sprintf("restarted %d times by itself", restarts), active.OnRegression)
+		c.stopChange(fmt.Sprintf("%d unplanned restarts with it", restarts), active.OnRegression)
 	}
 }
 
-// checkUnreachableInstances stops the change if instances that have it, or are restarting into it, have fallen silent.
+// checkUnreachableInstances stops the change if too many instances that have it, or are restarting into it, are
+// unreachable.
 func (c *Controller) checkUnreachableInstances() {
 	if c.status.Verdict.Order != OrderProceed || !c.hearsMajority() {
 		return
@@ -95,12 +96,12 @@
 		}
 	}
 	if unreachable >= active.RegressionLimits.Unreachable {
-		reason := fmt.Sprintf("%d instances with it are not heard for %d s", unreachable, active.SilenceTimeout/second)
+		reason := fmt.Sprintf("%d instances with it have not been heard from for %d s", unreachable, active.SilenceTimeout/second)
 		c.stopChange(reason, active.OnRegression)
 	}
 }
 
-// involves reports whether an instance runs the change or asks to restart into it.
+// involves reports whether an instance runs the change or requests to restart into it.
 func (a *activeChange) involves(status *StatusMessage) bool {
 	isRequested := status.ChangeNumber == a.Number && status.PermitRequest.TargetNumber == a.Number
 	return status.RunningNumber == a.Number || isRequested
