--- a/control/rollout/active_change.go
+++ b/control/rollout/active_change.go
@@ -72,7 +72,7 @@
 // baseOfNewChange returns the base of a change that is not published yet. It is not known to a minority, since the rest
 // of the cluster may already have a later change than the one that the minority would use as the base.
 func (c *Controller) baseOfNewChange() (base *Change, known bool) {
-	if !c.hearsMajority() {
+	if !c.hearsFromMajority() {
 		return nil, false
 	}
 	highest := c.registry.highestNumber()
@@ -141,7 +141,7 @@
 	status := &c.status
 	status.ChangeNumber, status.ChangeDigest = number, digest
 	status.Verdict = Verdict{Epoch: defaultEpoch}
-	status.RosterDigest, status.StageEpoch, status.ApprovedSteps, status.FailedEpoch = "", 0, 0, 0
+	status.RosterDigest, status.ApprovalEpoch, status.ApprovedSteps, status.FailedEpoch = "", 0, 0, 0
 }
 
 // isAboutActiveChange reports whether a status message is about the active change.
--- a/control/rollout/bets.go
+++ b/control/rollout/bets.go
@@ -72,13 +72,13 @@
 
 // portfolio is all bets and their wealth. A round is what a single look adds to them.
 type portfolio struct {
-	limits  RegressionLimits
-	rounds  int                // begun so far
-	started float64            // part of the initial wealth that was staked in the rounds so far
-	wealth  map[bet]*logWealth // of the bets that have had an outcome in some round
-	gains   map[bet]*logWealth // in the current round
-	counts  map[bet]*[sideCount]proportion
-	places  map[place]bool
+	limits     RegressionLimits
+	rounds     int                // begun so far
+	stakedPart float64            // part of the initial wealth that was staked in the rounds so far
+	wealth     map[bet]*logWealth // of the bets that have had an outcome in some round
+	gains      map[bet]*logWealth // in the current round
+	counts     map[bet]*[sideCount]proportion
+	places     map[place]bool
 }
 
 func newPortfolio(limits RegressionLimits) *portfolio {
@@ -145,7 +145,7 @@
 		}
 		wealth := &logWealth{} // without an outcome in earlier rounds, what they staked is unchanged
 		for i := range wealth {
-			wealth[i] = math.Log(p.started)
+			wealth[i] = math.Log(p.stakedPart)
 		}
 		p.wealth[b] = wealth
 	}
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	p.started += part
+	p.stakedPart += part
 }
 
 // value returns the wealth of all bets together, 1 at the start, and the bet with the most wealth.
@@ -172,7 +172,7 @@
 			continue
 		}
 		weight := p.weight(b, classCount)
-		sum := 1 - p.started // what later rounds will stake
+		sum := 1 - p.stakedPart // what later rounds will stake
 		for _, log := range wealth {
 			sum += math.Exp(min(log, maxLogWealth)) / float64(len(betRatios))
 		}
--- a/control/rollout/change_file.go
+++ b/control/rollout/change_file.go
@@ -59,20 +59,20 @@
 
 // changeFileKeys are the keys of a change file as it is written.
 type changeFileKeys struct {
-	Name     string           `yaml:"name"`
-	Number   uint64           `yaml:"number"`
-	Order    string           `yaml:"order"`
-	Epoch    uint64           `yaml:"turn"`
-	Settings map[string]any   `yaml:"settings"`
-	Program  *Program         `yaml:"program"`
-	Stages   []Stage          `yaml:"stages"`
-	Together float64          `yaml:"together"`
-	WarmUp   string           `yaml:"cold"`
-	Ready    string           `yaml:"ready"`
-	Silence  string           `yaml:"silent"`
-	Searches *int             `yaml:"searches"`
-	Limits   RegressionLimits `yaml:"worse"`
-	Then     string           `yaml:"then"`
+	Name                  string           `yaml:"name"`
+	Number                uint64           `yaml:"number"`
+	Order                 string           `yaml:"order"`
+	Epoch                 uint64           `yaml:"turn"`
+	Settings              map[string]any   `yaml:"settings"`
+	Program               *Program         `yaml:"program"`
+	Stages                []Stage          `yaml:"stages"`
+	MaxConcurrentFraction float64          `yaml:"together"`
+	WarmUp                string           `yaml:"cold"`
+	ReadyTimeout          string           `yaml:"ready"`
+	SilenceTimeout        string           `yaml:"silent"`
+	MinSearches           *int             `yaml:"searches"`
+	RegressionLimits      RegressionLimits `yaml:"worse"`
+	OnRegression          string           `yaml:"then"`
 }
 
 // ChangeFile is a change file as one instance reads it: a change and the operator's current order for it.
@@ -99,7 +99,7 @@
 			Remedy:  "End the file with a line of three dots.",
 		}
 	}
-	keys := changeFileKeys{Limits: defaultRegressionLimits, Together: defaultMaxConcurrent, Epoch: defaultEpoch}
+	keys := changeFileKeys{RegressionLimits: defaultRegressionLimits, MaxConcurrentFraction: defaultMaxConcurrent, Epoch: defaultEpoch}
 	document, err := strictyaml.Decode(body, maxFileBytes, &keys)
 	if err != nil {
 		return nil, err
@@ -121,8 +121,8 @@
 	p.checkIdentity()
 	file := &ChangeFile{Epoch: keys.Epoch, Order: p.parseOrder()}
 	file.Change = Change{
-		Name: keys.Name, Number: keys.Number, MaxConcurrentFraction: keys.Together, MinSearches: defaultMinSearches,
-		RegressionLimits: keys.Limits, OnRegression: p.parseRegressionOrder(), Settings: p.parseSettings(),
+		Name: keys.Name, Number: keys.Number, MaxConcurrentFraction: keys.MaxConcurrentFraction, MinSearches: defaultMinSearches,
+		RegressionLimits: keys.RegressionLimits, OnRegression: p.parseRegressionOrder(), Settings: p.parseSettings(),
 	}
 	change := &file.Change
 	change.Program = p.parseProgram(len(change.Settings) > 0)
@@ -130,14 +130,14 @@
 	if !(change.MaxConcurrentFraction > 0 && change.MaxConcurrentFraction <= 1) { // also for NaN
 		p.AddError("$.together", "%g is not a share above 0 and up to 1", change.MaxConcurrentFraction)
 	}
-	if keys.Searches != nil {
-		if change.MinSearches = *keys.Searches; change.MinSearches < 0 {
+	if keys.MinSearches != nil {
+		if change.MinSearches = *keys.MinSearches; change.MinSearches < 0 {
 			p.AddError("$.searches", "%d is below 0", change.MinSearches)
 		}
 	}
 	change.WarmUp = p.parseDuration("$.cold", keys.WarmUp, 0, defaultWarmUp)
-	change.ReadyTimeout = p.parseDuration("$.ready", keys.Ready, minReadyTimeout, defaultReadyTimeout)
-	change.SilenceTimeout = p.parseDuration("$.silent", keys.Silence, minSilenceTimeout, defaultSilenceTimeout)
+	change.ReadyTimeout = p.parseDuration("$.ready", keys.ReadyTimeout, minReadyTimeout, defaultReadyTimeout)
+	change.SilenceTimeout = p.parseDuration("$.silent", keys.SilenceTimeout, minSilenceTimeout, defaultSilenceTimeout)
 	if change.SilenceTimeout < minSilenceFactor*change.ReadyTimeout {
 		p.AddError("$.silent", "has to be at least %d times ready, to cover a failed restart and the restart back", minSilenceFactor)
 	}
@@ -166,9 +166,9 @@
 }
 
 func (p *changeFileParser) parseRegressionOrder() Order {
-	order, ok := regressionOrdersByName[p.keys.Then]
+	order, ok := regressionOrdersByName[p.keys.OnRegression]
 	if !ok {
-		p.AddError("$.then", "%.40q is neither back nor stop", p.keys.Then)
+		p.AddError("$.then", "%.40q is neither back nor stop", p.keys.OnRegression)
 	}
 	return order
 }
@@ -231,7 +231,7 @@
 }
 
 func (p *changeFileParser) checkRegressionLimits() {
-	limits := &p.keys.Limits
+	limits := &p.keys.RegressionLimits
 	for _, fraction := range []struct {
 		key   string
 		value float64
--- a/control/rollout/entries.go
+++ b/control/rollout/entries.go
@@ -62,7 +62,7 @@
 func (c *Controller) recordStatus(status StatusMessage) {
 	name := status.Instance.Name
 	if name == c.initial.Self.Name {
-		c.restorePromises(status)
+		c.restoreEarlierVotes(status)
 		return
 	}
 	peer := c.peers[name]
@@ -78,9 +78,9 @@
 	peer.StatusMessage, peer.receivedAt = status, c.now
 }
 
-// restorePromises restores the votes, the verdict and the grants of an earlier incarnation of this instance, which bind
-// this one too.
-func (c *Controller) restorePromises(earlier StatusMessage) {
+// restoreEarlierVotes restores the votes, the verdict and the grants of an earlier incarnation of this instance, which
+// bind this one too.
+func (c *Controller) restoreEarlierVotes(earlier StatusMessage) {
 	if earlier.Incarnation >= c.initial.Incarnation { // its own message
 		return
 	}
@@ -89,7 +89,7 @@
 	if status.ChangeNumber == 0 {
 		status.ChangeNumber, status.ChangeDigest = earlier.ChangeNumber, earlier.ChangeDigest
 		status.Verdict, status.RosterDigest = earlier.Verdict, earlier.RosterDigest
-		status.StageEpoch, status.ApprovedSteps = earlier.StageEpoch, earlier.ApprovedSteps
+		status.ApprovalEpoch, status.ApprovedSteps = earlier.ApprovalEpoch, earlier.ApprovedSteps
 		status.FailedEpoch = earlier.FailedEpoch
 		c.permits.restoreGrants(earlier.PermitGrants, c.now)
 		return
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -36,7 +36,7 @@
 func goldenStatus() StatusMessage {
 	return StatusMessage{
 		Instance: Instance{Name: "n0", Region: "eu", Zone: "eu-1"}, Incarnation: 21, Sequence: 22, ChangeNumber: 23, ChangeDigest: "0123456789abcdef",
-		Verdict: Verdict{Epoch: 24, Order: OrderRollBack, Reason: "worse by served", DecidedBy: "n1"}, RosterDigest: "fedcba9876543210", StageEpoch: 25, ApprovedSteps: 26,
+		Verdict: Verdict{Epoch: 24, Order: OrderRollBack, Reason: "worse by served", DecidedBy: "n1"}, RosterDigest: "fedcba9876543210", ApprovalEpoch: 25, ApprovedSteps: 26,
 		RunningNumber: 27, ServingFor: 28, PermitRequest: PermitRequest{Number: 29, TargetNumber: 30}, PermitGrants: []PermitGrant{{InstanceName: "n2", RequestNumber: 31}, {InstanceName: "n3", RequestNumber: 32}}, FailedEpoch: 33, UnplannedRestarts: 34,
 		Stats: &InstanceStats{Classes: []ClassStats{everyBucketStats(), {Requests: 1}}, Connections: 35, MemoryBytes: 36},
 	}
@@ -97,7 +97,7 @@
 }
 
 // Fields that a later version adds to an entry are ignored; an entry that cannot be decoded is rejected.
-func TestGoldenRolloutMessageReading(t *testing.T) {
+func TestGoldenRolloutMessageDecoding(t *testing.T) {
 	v := Verdict{}
 	require.NoError(t, decodeEntry("k", []byte{0xa2, 0x01, 0x05, 0x18, 0x63, 0x01}, &v)) // {1: 5, 99: 1}
 	require.EqualValues(t, 5, v.Epoch)
@@ -196,7 +196,7 @@
 
 // Errors in change files are reported with position and advice. Values of the wrong type are not tested, since the YAML
 // package names Go types in their errors.
-func TestGoldenRolloutFileFaults(t *testing.T) {
+func TestGoldenChangeFileErrors(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
 	var all strings.Builder
--- a/control/rollout/invariants_test.go
+++ b/control/rollout/invariants_test.go
@@ -40,7 +40,7 @@
 			h.runFor(h.drawSeconds("quiet", 60))
 			h.injectFault()
 			h.runFor(h.drawSeconds("trouble", 60))
-			h.isCut, h.lossRate = noneCut, 0
+			h.isCut, h.lossRate = noCuts, 0
 		}
 		if !h.runUntil(1200*second, h.hasAgreed) {
 			h.logNodes()
@@ -154,7 +154,7 @@
 		h.Logf("%s runs %d, active %d over %d, %+v, open steps %d of %d, approved %d, roster %s, request %v, granted %v, failed %d, "+
 			"may have forgotten %v, delay: %s", n.instance.Name, n.runningNumber, c.active.Number, c.active.BaseNumber,
 			c.status.Verdict, c.active.openSteps, len(c.active.steps), c.status.ApprovedSteps, c.status.RosterDigest,
-			c.status.PermitRequest, c.permits.granted, c.status.FailedEpoch, c.mayHaveForgottenPromises(), describeDelay(c))
+			c.status.PermitRequest, c.permits.granted, c.status.FailedEpoch, c.mayHaveLostVotes(), describeDelay(c))
 	}
 }
 
--- a/control/rollout/membership.go
+++ b/control/rollout/membership.go
@@ -59,9 +59,9 @@
 // isMajority reports whether a count is more than half of the voting members.
 func (c *Controller) isMajority(count int) bool { return 2*count > len(c.members) }
 
-// hearsMajority reports whether this instance may vote and more than half of the voting members, itself included, are
-// fresh.
-func (c *Controller) hearsMajority() bool {
+// hearsFromMajority reports whether this instance may vote, and more than half of the voting members, itself included,
+// are fresh.
+func (c *Controller) hearsFromMajority() bool {
 	fresh := 0
 	for i := range c.view {
 		if c.view[i].isFresh {
@@ -77,9 +77,8 @@
 	return c.members[self] && !c.nameConflicts[self]
 }
 
-// mayHaveForgottenPromises reports whether an earlier incarnation of this instance may have cast votes or granted
-// permits that are unknown here and still valid. Until they have expired, this instance neither votes nor grants
-// permits.
-func (c *Controller) mayHaveForgottenPromises() bool {
+// mayHaveLostVotes reports whether an earlier incarnation of this instance may have cast votes or granted permits that
+// are unknown here and still valid. Until they have expired, this instance neither votes nor grants permits.
+func (c *Controller) mayHaveLostVotes() bool {
 	return c.initial.NoSavedState && c.now-c.initial.Now < c.active.permitLease()
 }
--- a/control/rollout/permits.go
+++ b/control/rollout/permits.go
@@ -62,7 +62,7 @@
 // restart at once, whichever messages are late or lost.
 func (c *Controller) grantPermits() {
 	c.expirePermits()
-	if c.active.roster == nil || !c.mayVote() || c.mayHaveForgottenPromises() {
+	if c.active.roster == nil || !c.mayVote() || c.mayHaveLostVotes() {
 		return
 	}
 	requesters := c.eligibleRequesters()
--- a/control/rollout/permits_test.go
+++ b/control/rollout/permits_test.go
@@ -21,13 +21,13 @@
 		roster.position[name] = i
 	}
 	c.active = &activeChange{Change: change, digest: "digest", steps: change.steps(len(members)), roster: roster, openSteps: 2}
-	c.status = requestOf("n0", 0, 0)
+	c.status = statusWithRequest("n0", 0, 0)
 	c.status.ApprovedSteps = 2
 	return c
 }
 
-// requestOf returns a status message with a permit request, without one for number 0.
-func requestOf(name string, number, target uint64) StatusMessage {
+// statusWithRequest returns a status message with a permit request, without one for number 0.
+func statusWithRequest(name string, number, target uint64) StatusMessage {
 	return StatusMessage{
 		Instance: Instance{Name: name}, Incarnation: 1, Sequence: number + 1, ChangeNumber: 7, ChangeDigest: "digest",
 		Verdict: Verdict{Epoch: 1}, RosterDigest: "roster", PermitRequest: PermitRequest{Number: number, TargetNumber: target},
@@ -40,15 +40,15 @@
 	return c.permits.sortedGrants()
 }
 
-func TestPermitsAreOfOneStepAtATime(t *testing.T) {
+func TestPermitsCoverOneStepAtATime(t *testing.T) {
 	c := permitCluster(t)
-	c.recordStatus(requestOf("n2", 1, 7))
+	c.recordStatus(statusWithRequest("n2", 1, 7))
 	require.Equal(t, []PermitGrant{{"n2", 1}}, grantNow(c))
-	c.recordStatus(requestOf("n1", 1, 7))
-	c.recordStatus(requestOf("n3", 1, 7))
+	c.recordStatus(statusWithRequest("n1", 1, 7))
+	c.recordStatus(statusWithRequest("n3", 1, 7))
 	require.Equal(t, []PermitGrant{{"n2", 1}, {"n3", 1}}, grantNow(c), "n1 is of another step")
 	for _, name := range []string{"n2", "n3"} {
-		withdrawn := requestOf(name, 0, 0)
+		withdrawn := statusWithRequest(name, 0, 0)
 		withdrawn.Sequence = 9
 		c.recordStatus(withdrawn)
 	}
@@ -57,14 +57,14 @@
 
 func TestPermitsPreferTheLowerStep(t *testing.T) {
 	c := permitCluster(t)
-	c.recordStatus(requestOf("n4", 1, 7))
-	c.recordStatus(requestOf("n1", 1, 7))
+	c.recordStatus(statusWithRequest("n4", 1, 7))
+	c.recordStatus(statusWithRequest("n1", 1, 7))
 	require.Equal(t, []PermitGrant{{"n1", 1}}, grantNow(c))
 }
 
 func TestPermitsExpire(t *testing.T) {
 	c := permitCluster(t)
-	c.recordStatus(requestOf("n1", 1, 7))
+	c.recordStatus(statusWithRequest("n1", 1, 7))
 	require.Len(t, grantNow(c), 1)
 	c.now += c.active.permitLease()
 	require.Len(t, grantNow(c), 1)
@@ -88,7 +88,7 @@
 	} {
 		c := permitCluster(t)
 		c.status.Verdict.Order = test.order
-		request := requestOf("n1", 1, test.target)
+		request := statusWithRequest("n1", 1, test.target)
 		request.RunningNumber = test.running
 		c.recordStatus(request)
 		require.Equal(t, test.isGranted, len(grantNow(c)) == 1, test.name)
@@ -99,9 +99,9 @@
 func TestNoPermitsAfterALostDisk(t *testing.T) {
 	c := permitCluster(t)
 	c.initial.NoSavedState = true
-	c.recordStatus(requestOf("n1", 1, 7))
+	c.recordStatus(statusWithRequest("n1", 1, 7))
 	require.Empty(t, grantNow(c))
 	c.now += c.active.permitLease()
-	c.recordStatus(requestOf("n1", 2, 7))
+	c.recordStatus(statusWithRequest("n1", 2, 7))
 	require.Len(t, grantNow(c), 1)
 }
--- a/control/rollout/regression_test.go
+++ b/control/rollout/regression_test.go
@@ -15,9 +15,9 @@
 	lookInterval     = 10.0 // seconds between looks
 	looksPerStage    = 30   // a stage is watched for five minutes
 	maxLooks         = 90   // a stage that lasts longer never ends
-	troubleLooks     = 6    // an incident of the hosts lasts for this many looks
-	calmUnserved     = 0.005
-	troubleUnserved  = 0.3
+	incidentLooks    = 6    // an incident of the hosts lasts for this many looks
+	normalUnserved   = 0.005
+	incidentUnserved = 0.3
 )
 
 // classShares are the fractions of the searches in each class.
@@ -31,7 +31,7 @@
 }
 
 // regression returns what a change adds to the unserved fraction of a class in a zone, at a time in seconds.
-type regression func(class, zone int, at float64, isTrouble bool) float64
+type regression func(class, zone int, at float64, isIncident bool) float64
 
 // rolloutSimulation is the rollout of a change to 300 instances. Incidents of the hosts come and go and affect both
 // sides alike, and the unserved fraction varies between instances.
@@ -40,7 +40,7 @@
 	analysis   *RegressionAnalysis
 	cohorts    [zoneCount][sideCount]cohort
 	regression regression
-	trouble    int     // looks that the current incident still lasts; if negative, looks since its end
+	incident   int     // looks that the current incident still lasts; if negative, looks since its end
 	clock      float64 // seconds
 }
 
@@ -53,7 +53,7 @@
 	for i, count := range []int{1, 15, 75} {
 		s.beginStage(count)
 		if seed%4 == 0 { // an incident happens to begin with each stage
-			s.trouble = troubleLooks + 1
+			s.incident = incidentLooks + 1
 		}
 		if s.watchStage() {
 			return i + 1, s.clock
@@ -83,8 +83,8 @@
 func (s *rolloutSimulation) watchStage() (isStopped bool) {
 	for look := 0; ; look++ {
 		s.clock += lookInterval
-		if s.trouble--; s.trouble < -troubleLooks && s.rng.Float64() < 0.03 {
-			s.trouble = troubleLooks
+		if s.incident--; s.incident < -incidentLooks && s.rng.Float64() < 0.03 {
+			s.incident = incidentLooks
 		}
 		for zone := range s.cohorts {
 			for side := range s.cohorts[zone] {
@@ -107,9 +107,9 @@
 // serve lets a cohort serve searches until the next look.
 func (s *rolloutSimulation) serve(zone, side int) {
 	source := randomSource{s.rng}
-	isTrouble, unserved := s.trouble > 0, calmUnserved
-	if isTrouble {
-		unserved = troubleUnserved
+	isIncident, unserved := s.incident > 0, normalUnserved
+	if isIncident {
+		unserved = incidentUnserved
 	}
 	cohort := &s.cohorts[zone][side]
 	variation := math.Exp(0.3 * s.rng.NormFloat64() / math.Sqrt(float64(max(1, cohort.instanceCount)))) // mean of the instances
@@ -117,7 +117,7 @@
 		requests := distuv.Poisson{Lambda: lookInterval*float64(cohort.instanceCount)*share + 1e-9, Src: source}.Rand()
 		probability := min(0.9, unserved*variation)
 		if side == changeSide {
-			probability = min(0.95, probability+s.regression(class, zone, s.clock, isTrouble))
+			probability = min(0.95, probability+s.regression(class, zone, s.clock, isIncident))
 		}
 		shed := 0.0
 		if requests > 0 {
@@ -168,8 +168,8 @@
 	return early, total, meanTime / float64(max(1, early))
 }
 
-// addIf returns an increase if a condition holds, 0 otherwise.
-func addIf(condition bool, increase float64) float64 {
+// increaseIf returns an increase if a condition holds, 0 otherwise.
+func increaseIf(condition bool, increase float64) float64 {
 	if condition {
 		return increase
 	}
@@ -195,11 +195,11 @@
 		minEarly int
 	}{
 		{"all", func(int, int, float64, bool) float64 { return 0.05 }, rollouts * 95 / 100},
-		{"after 20 s", func(_, _ int, at float64, _ bool) float64 { return addIf(at > 20, 0.05) }, rollouts * 95 / 100},
-		{"one class", func(class, _ int, _ float64, _ bool) float64 { return addIf(class == 2, 0.2) }, rollouts * 95 / 100},
-		{"one zone", func(_, zone int, _ float64, _ bool) float64 { return addIf(zone == 3, 0.2) }, rollouts * 95 / 100},
+		{"after 20 s", func(_, _ int, at float64, _ bool) float64 { return increaseIf(at > 20, 0.05) }, rollouts * 95 / 100},
+		{"one class", func(class, _ int, _ float64, _ bool) float64 { return increaseIf(class == 2, 0.2) }, rollouts * 95 / 100},
+		{"one zone", func(_, zone int, _ float64, _ bool) float64 { return increaseIf(zone == 3, 0.2) }, rollouts * 95 / 100},
 		// The regression shows only if there is an incident before the third stage.
-		{"under load", func(_, _ int, _ float64, isTrouble bool) float64 { return addIf(isTrouble, 0.35) }, rollouts / 2},
+		{"under load", func(_, _ int, _ float64, isIncident bool) float64 { return increaseIf(isIncident, 0.35) }, rollouts / 2},
 	} {
 		early, total, meanTime := countStops(rollouts, test.change)
 		t.Logf("%s: %d of %d stopped before the third stage, %d at all, after %.0f s", test.name, early, rollouts, total, meanTime)
--- a/control/rollout/restart.go
+++ b/control/rollout/restart.go
@@ -20,11 +20,11 @@
 	}
 	target := c.targetNumber()
 	_, isKnown := c.knownChange(target)
-	if target == c.status.RunningNumber || !isKnown || c.active.roster == nil || !c.hearsMajority() {
+	if target == c.status.RunningNumber || !isKnown || c.active.roster == nil || !c.hearsFromMajority() {
 		c.withdrawPermitRequest()
 		return
 	}
-	c.withdrawFailedRequest(target)
+	c.withdrawStaleRequest(target)
 	if !c.hasPermitRequest() {
 		if c.now < c.permits.retryAt {
 			return
@@ -68,9 +68,9 @@
 	}
 }
 
-// withdrawFailedRequest withdraws a request that is for another target or did not get enough grants in time. Otherwise
+// withdrawStaleRequest withdraws a request that is for another target or did not get enough grants in time. Otherwise
 // two steps that each have the grants of a part of the cluster would block each other.
-func (c *Controller) withdrawFailedRequest(target uint64) {
+func (c *Controller) withdrawStaleRequest(target uint64) {
 	isTimedOut := c.now-c.permits.requestedAt > c.active.SilenceTimeout/requestTimeoutDivisor
 	if !c.hasPermitRequest() || c.status.PermitRequest.TargetNumber == target && !isTimedOut {
 		return
--- a/control/rollout/roster_vote.go
+++ b/control/rollout/roster_vote.go
@@ -10,7 +10,7 @@
 // the known roster with the most votes. If there is none, this instance proposes one from the locations that it knows.
 func (c *Controller) voteForRoster() {
 	votes := c.countRosterVotes()
-	if c.status.RosterDigest == "" && c.mayVote() && !c.mayHaveForgottenPromises() {
+	if c.status.RosterDigest == "" && c.mayVote() && !c.mayHaveLostVotes() {
 		digest := c.mostVotedRoster(votes)
 		if digest == "" {
 			digest = c.proposeRoster()
@@ -54,7 +54,7 @@
 // proposeRoster publishes a roster from the locations that are known here, and returns its digest. While a member's
 // location is unknown it publishes none and returns an empty digest, but no longer than the silence timeout.
 func (c *Controller) proposeRoster() (digest string) {
-	if !c.hearsMajority() {
+	if !c.hearsFromMajority() {
 		return ""
 	}
 	instances, knownCount := make([]Instance, 0, len(c.members)), 0
--- a/control/rollout/scenarios_test.go
+++ b/control/rollout/scenarios_test.go
@@ -29,7 +29,7 @@
 		for i, n := range s.nodes[:4] {
 			require.Equal(t, before[i], n.runningNumber, "step %d, %s", step, n.instance.Name)
 		}
-		s.isCut = noneCut
+		s.isCut = noCuts
 		require.True(t, s.runUntil(900*second, s.hasAgreed), "step %d", step)
 	}
 }
--- a/control/rollout/simulation_test.go
+++ b/control/rollout/simulation_test.go
@@ -61,11 +61,11 @@
 	killed            bool
 }
 
-func noneCut(_, _ int) bool { return false }
+func noCuts(_, _ int) bool { return false }
 
 func newSimulation(t require.TestingT, instanceCount int, seed int64) *simulation {
 	s := &simulation{
-		t: t, rng: rand.New(rand.NewSource(seed)), now: 1, isCut: noneCut, servedRate: 0.995, servedRateWithChange: 0.995,
+		t: t, rng: rand.New(rand.NewSource(seed)), now: 1, isCut: noCuts, servedRate: 0.995, servedRateWithChange: 0.995,
 		searchRate: 1, canServe: func(*node, uint64) bool { return true }, instancesByChange: map[uint64]map[string]bool{}, tickLength: second,
 	}
 	for i := range instanceCount {
--- a/control/rollout/stages.go
+++ b/control/rollout/stages.go
@@ -14,7 +14,7 @@
 		if member.hasNameConflict || !c.isAboutActiveChange(status) {
 			continue
 		}
-		if status.RosterDigest != c.status.RosterDigest || status.StageEpoch != c.status.Verdict.Epoch {
+		if status.RosterDigest != c.status.RosterDigest || status.ApprovalEpoch != c.status.Verdict.Epoch {
 			continue
 		}
 		for step := 1; step <= min(status.ApprovedSteps, completion); step++ {
@@ -32,10 +32,10 @@
 // voteForNextStep approves the next step unless this instance knows a reason to delay it.
 func (c *Controller) voteForNextStep() {
 	verdict, status, active := c.status.Verdict, &c.status, c.active
-	if status.StageEpoch != verdict.Epoch {
-		status.StageEpoch, status.ApprovedSteps = verdict.Epoch, 0
+	if status.ApprovalEpoch != verdict.Epoch {
+		status.ApprovalEpoch, status.ApprovedSteps = verdict.Epoch, 0
 	}
-	if verdict.Order != OrderProceed || active.roster == nil || c.mayHaveForgottenPromises() || !c.mayVote() {
+	if verdict.Order != OrderProceed || active.roster == nil || c.mayHaveLostVotes() || !c.mayVote() {
 		return
 	}
 	if active.openSteps > status.ApprovedSteps { // a majority has approved further steps
@@ -43,7 +43,7 @@
 		return
 	}
 	isWaitingForOthers := active.openSteps < status.ApprovedSteps
-	if status.ApprovedSteps > len(active.steps) || isWaitingForOthers || !c.hearsMajority() {
+	if status.ApprovedSteps > len(active.steps) || isWaitingForOthers || !c.hearsFromMajority() {
 		return
 	}
 	if reason := c.delayReason(); reason != "" {
--- a/control/rollout/steps_test.go
+++ b/control/rollout/steps_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStepsOfStages(t *testing.T) {
+func TestStagesAreSplitIntoSteps(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		stages        []Stage
--- a/control/rollout/verdicts.go
+++ b/control/rollout/verdicts.go
@@ -83,7 +83,7 @@
 // checkUnreachableInstances stops the change if too many instances that have it, or are restarting into it, are
 // unreachable.
 func (c *Controller) checkUnreachableInstances() {
-	if c.status.Verdict.Order != OrderProceed || !c.hearsMajority() {
+	if c.status.Verdict.Order != OrderProceed || !c.hearsFromMajority() {
 		return
 	}
 	active, unreachable := c.active, 0
