--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -282,7 +282,7 @@
 	}
 	now := int64(1)
 	var all strings.Builder
-	decide := func(c *Controller, times int) *Restart {
+	decide := func(c *Controller, times int) (restart *Restart) {
 		for range times {
 			now += second / 2
 			decision := c.Decide(now)
