--- a/control/rollout/active_change.go
+++ b/control/rollout/active_change.go
@@ -57,8 +57,8 @@
 	c.adoptVerdict(verdict)
 }
 
-// baseOf returns the base of the change file's change, nil for the instances' own files. It is not known while entries
-// that determine it are missing.
+// baseOf returns the base for the change file's change, which has this number; nil stands for the instances' own files.
+// known is false while entries that determine the base are missing.
 func (c *Controller) baseOf(number uint64) (base *Change, known bool) {
 	if len(c.registry.changes[number]) == 0 {
 		return c.baseOfNewChange()
@@ -69,8 +69,8 @@
 	return c.knownChange(c.active.BaseNumber)
 }
 
-// baseOfNewChange returns the base of a change that is not published yet. It is not known to a minority, since the rest
-// of the cluster may already have a later change than the one that the minority would use as the base.
+// baseOfNewChange returns the base for a change that is not published yet. known is false for an instance that does not
+// hear from a majority, since the rest of the cluster may already have a later change than this instance knows.
 func (c *Controller) baseOfNewChange() (base *Change, known bool) {
 	if !c.hearsFromMajority() {
 		return nil, false
@@ -90,7 +90,7 @@
 	return c.knownChange(c.active.BaseNumber)
 }
 
-// knownChange returns the change of a number, nil for 0. It is not known until its entry has arrived.
+// knownChange returns the change of a number, nil for 0. known is false until the change's entry has arrived.
 func (c *Controller) knownChange(number uint64) (change *Change, known bool) {
 	change = c.registry.change(number)
 	return change, number == 0 || change != nil
@@ -136,7 +136,8 @@
 	c.decision.Delete = append(c.decision.Delete, c.registry.removeObsolete(change)...)
 }
 
-// resetVotes clears this instance's verdict and votes for a change that it has not voted on.
+// resetVotes makes this instance's status message about a change on which it has not voted, and clears its verdict and
+// votes on the previous change.
 func (c *Controller) resetVotes(number uint64, digest string) {
 	status := &c.status
 	status.ChangeNumber, status.ChangeDigest = number, digest
--- a/control/rollout/bets.go
+++ b/control/rollout/bets.go
@@ -20,15 +20,15 @@
 	// likelihoodExponent is the power to which each likelihood ratio is raised. Searches fail together, so they count
 	// less than independent ones; a power below 1 keeps the bet fair.
 	likelihoodExponent = 0.75
-	// minToleratedRatio is the lowest odds ratio that is tolerated: the sides differ by chance in ways that no counter
-	// shows.
+	// minToleratedRatio is the least value of the tolerated odds ratio, however small the margin: the sides differ by
+	// chance in ways that no counter shows.
 	minToleratedRatio = 1.25
 	// maxBaselineFraction and maxToleratedFraction keep odds finite.
 	maxBaselineFraction  = 0.97
 	maxToleratedFraction = 0.985
-	// maxBlockSearches is how many searches of a side one look counts exactly. Higher counts are scaled down to it,
-	// which bounds the computation.
-	maxBlockSearches = 2048
+	// maxExactSearches is how many searches of a side one look counts exactly. Higher counts are scaled down, and those
+	// of the other side by the same divisor, which bounds the computation.
+	maxExactSearches = 2048
 	// minExcessPart is the part of the margin by which the fractions of bad searches have to differ for a bet to count.
 	// If bad searches are rare, the odds may differ widely while the fractions hardly do.
 	minExcessPart = 0.5
@@ -92,9 +92,9 @@
 	p.gains = map[bet]*logWealth{}
 }
 
-// bet adds to the bets on a stratum what they gain by the counts of its sides in a round. The baseline is of earlier
-// rounds.
-func (p *portfolio) bet(in stratum, baseline *ClassStats, sides *[sideCount]ClassStats) {
+// addCounts adds one round's counts of a stratum's sides to the bets that cover the stratum, and records what these bets
+// gain by them. baseline has the counts of earlier rounds.
+func (p *portfolio) addCounts(in stratum, baseline *ClassStats, sides *[sideCount]ClassStats) {
 	p.places[in.place] = true
 	for m := range metricCount {
 		observed, ok := newBaselineMetric(m, baseline)
@@ -143,7 +143,7 @@
 		if p.wealth[b] != nil {
 			continue
 		}
-		wealth := &logWealth{} // without an outcome in earlier rounds, what they staked is unchanged
+		wealth := &logWealth{} // what earlier rounds staked is unchanged, since the bet had no outcome in them
 		for i := range wealth {
 			wealth[i] = math.Log(p.stakedPart)
 		}
@@ -164,7 +164,7 @@
 // value returns the wealth of all bets together, 1 at the start, and the bet with the most wealth.
 func (p *portfolio) value(classCount int) (value float64, strongest string) {
 	highest := 0.0
-	untouched := 1.0 // part of the initial wealth on bets that count with it unchanged
+	untouched := 1.0 // part of the initial wealth that is on bets not counted below; it counts unchanged
 	for b, wealth := range p.wealth {
 		counts := p.counts[b]
 		excess := counts[changeSide].fraction() - counts[baselineSide].fraction()
@@ -210,7 +210,7 @@
 // logLikelihoodRatios returns the logarithms of what each bet gains by one observation of the two sides: the likelihood
 // of the change's count under the odds ratio of the bet, divided by its likelihood under the tolerated one.
 func logLikelihoodRatios(changed, baseline proportion, tolerated float64) (ratios logWealth) {
-	if scale := (max(changed.all, baseline.all) + maxBlockSearches - 1) / maxBlockSearches; scale > 1 {
+	if scale := (max(changed.all, baseline.all) + maxExactSearches - 1) / maxExactSearches; scale > 1 {
 		changed = proportion{changed.bad / scale, changed.all / scale}
 		baseline = proportion{baseline.bad / scale, baseline.all / scale}
 	}
--- a/control/rollout/bets_test.go
+++ b/control/rollout/bets_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The expected gain of each bet is at most 1 for any odds ratio up to the tolerated one. The expectation is over the
-// number of bad searches with the change, given the number of bad searches of both sides.
+// Bets that gained on average would stop harmless changes more often than false_stops allows. The expected gain of each
+// bet is at most 1 for any odds ratio up to the tolerated one. The expectation is over the number of bad searches with
+// the change, given the number of bad searches of both sides.
 func TestBetsAreFairUnderToleratedOdds(t *testing.T) {
 	const all, bad = 40, 12
 	for _, tolerated := range []float64{minToleratedRatio, 2, 4} {
@@ -30,7 +31,7 @@
 	}
 }
 
-// Searches without information about the odds change no bet.
+// Counts that say nothing about the odds leave the wealth of every bet as it is.
 func TestBetsWithoutInformation(t *testing.T) {
 	for name, sides := range map[string][sideCount]proportion{
 		"no searches with the change": {{1, 10}, {0, 0}},
--- a/control/rollout/change.go
+++ b/control/rollout/change.go
@@ -59,14 +59,14 @@
 	Name                  string            `cbor:"1,keyasint"`
 	Number                uint64            `cbor:"2,keyasint"` // higher than that of every earlier change
 	BaseNumber            uint64            `cbor:"3,keyasint"` // number of the base, 0 for the instances' own files
-	Settings              map[string]string `cbor:"4,keyasint"` // over the instances' own files, those of the base included
+	Settings              map[string]string `cbor:"4,keyasint"` // replace those of the instances' own files, and include the base's
 	Program               Program           `cbor:"5,keyasint"` // empty for the installed program
 	Stages                []Stage           `cbor:"6,keyasint"`
 	MaxConcurrentFraction float64           `cbor:"7,keyasint"`  // largest fraction of the instances that may restart at once
 	WarmUp                int64             `cbor:"8,keyasint"`  // time after a restart that is not compared
 	ReadyTimeout          int64             `cbor:"9,keyasint"`  // time within which a restarted instance has to serve
 	SilenceTimeout        int64             `cbor:"10,keyasint"` // time without a status message that makes an instance unreachable
-	MinSearches           int               `cbor:"11,keyasint"` // searches with the change to compare before the next step
+	MinSearches           int               `cbor:"11,keyasint"` // searches with the change that have to be compared before the next step
 	RegressionLimits      RegressionLimits  `cbor:"12,keyasint"`
 	OnRegression          Order             `cbor:"13,keyasint"` // OrderStop or OrderRollBack
 }
--- a/control/rollout/change_file.go
+++ b/control/rollout/change_file.go
@@ -47,7 +47,7 @@
 	Restarts: 2, Unreachable: 1, FalseStopProbability: 0.02,
 }
 
-// ordersByName and regressionOrdersByName are the values of the keys order and then.
+// ordersByName are the values of the key `order`, regressionOrdersByName those of the key `then`.
 var (
 	ordersByName           = map[string]Order{"": OrderProceed, "go": OrderProceed, "stop": OrderStop, "back": OrderRollBack}
 	regressionOrdersByName = map[string]Order{"": OrderRollBack, "back": OrderRollBack, "stop": OrderStop}
@@ -139,7 +139,7 @@
 	change.ReadyTimeout = p.parseDuration("$.ready", keys.ReadyTimeout, minReadyTimeout, defaultReadyTimeout)
 	change.SilenceTimeout = p.parseDuration("$.silent", keys.SilenceTimeout, minSilenceTimeout, defaultSilenceTimeout)
 	if change.SilenceTimeout < minSilenceFactor*change.ReadyTimeout {
-		p.AddError("$.silent", "has to be at least %d times ready, to cover a failed restart and the restart back", minSilenceFactor)
+		p.AddError("$.silent", "has to be at least %d times as long as ready, to cover a failed restart and the restart back", minSilenceFactor)
 	}
 	p.checkRegressionLimits()
 	return file
--- a/control/rollout/codec.go
+++ b/control/rollout/codec.go
@@ -67,7 +67,7 @@
 // decodeEntry decodes an entry into a value. Fields that a later version has added are ignored.
 func decodeEntry(key string, entry []byte, value any) error {
 	if len(entry) > MaxEntryBytes {
-		return &InvalidEntryError{key, fmt.Errorf("%d bytes", len(entry))}
+		return &InvalidEntryError{key, fmt.Errorf("%d bytes, more than an entry may have", len(entry))}
 	}
 	if err := cborDecoder.Unmarshal(entry, value); err != nil {
 		return &InvalidEntryError{key, err}
@@ -86,7 +86,7 @@
 
 func decodeRoster(key string, entry []byte) (instances []Instance, err error) {
 	if len(entry) > MaxEntryBytes {
-		return nil, &InvalidEntryError{key, fmt.Errorf("%d bytes", len(entry))}
+		return nil, &InvalidEntryError{key, fmt.Errorf("%d bytes, more than an entry may have", len(entry))}
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(entry)), maxRosterBytes))
 	if err == nil {
--- a/control/rollout/controller.go
+++ b/control/rollout/controller.go
@@ -32,7 +32,7 @@
 }
 
 // Controller makes the decisions of one instance. It is not safe for concurrent use: one goroutine calls all its
-// methods. Its memory is bounded by maxInstances status messages, maxChanges changes and one comparison.
+// methods. Its memory is bounded by maxInstances status messages, maxChanges changes and one RegressionAnalysis.
 type Controller struct {
 	initial InitialState
 	now     int64 // latest time that was passed in; it never goes back
@@ -121,8 +121,8 @@
 // SetStats sets the instance's counters since it began to serve. They are published once it is warmed up.
 func (c *Controller) SetStats(stats InstanceStats) { c.stats = &stats }
 
-// Decide returns all decisions that follow from what is known at a time. The caller carries them out before it calls
-// any other method.
+// Decide returns what the caller has to do at a time, from all that has been recorded so far. The caller does it before
+// it calls any other method.
 func (c *Controller) Decide(now int64) Decision {
 	c.now = max(c.now, now)
 	c.decision = Decision{Put: map[string][]byte{}}
--- a/control/rollout/entries.go
+++ b/control/rollout/entries.go
@@ -9,11 +9,12 @@
 // maxGrants bounds the grants in a status message: one for each instance of a step of the largest cluster.
 const maxGrants = 1024
 
-// errKeyMismatch reports the entry of a change that its key does not name, or that no instance would publish.
-var errKeyMismatch = errors.New("not a valid change with the number and digest of its key")
+// errInvalidChangeEntry reports an entry whose change has another number or digest than the entry's key, has no stages,
+// or has a base that is not an earlier change.
+var errInvalidChangeEntry = errors.New("not a valid change with the number and digest of its key")
 
-// HandleEntry records a replicated entry. Entries may arrive late, repeatedly and in any order; other keys are ignored.
-// Its errors are InvalidEntryError.
+// HandleEntry records a replicated entry. Entries may arrive late, repeatedly and in any order; entries with other keys
+// are ignored. Its errors are InvalidEntryError.
 func (c *Controller) HandleEntry(now int64, key string, value []byte) error {
 	c.now = max(c.now, now)
 	switch {
@@ -38,7 +39,8 @@
 	}
 	name := status.Instance.Name
 	if name != strings.TrimPrefix(key, statusPrefix) || len(status.PermitGrants) > maxGrants {
-		return &InvalidEntryError{key, fmt.Errorf("a status message of %.40q with %d grants", name, len(status.PermitGrants))}
+		return &InvalidEntryError{key, fmt.Errorf("status message of %.40q with %d grants: not the instance in the key, or too many grants",
+			name, len(status.PermitGrants))}
 	}
 	c.recordStatus(status)
 	return nil
@@ -51,7 +53,7 @@
 		return err
 	}
 	if !ok || change.Number != number || change.Digest() != digest || len(change.Stages) == 0 || change.BaseNumber >= change.Number {
-		return &InvalidEntryError{key, errKeyMismatch}
+		return &InvalidEntryError{key, errInvalidChangeEntry}
 	}
 	c.registry.addChange(digest, change)
 	return nil
--- a/control/rollout/errors.go
+++ b/control/rollout/errors.go
@@ -47,7 +47,7 @@
 }
 
 func (e *ChangeStoppedError) Error() string {
-	return fmt.Sprintf("change %s, number %d: %s, decided by %s: %s", e.Change, e.Number, e.Verdict.Order, e.Verdict.DecidedBy, e.Verdict.Reason)
+	return fmt.Sprintf("change %s, number %d: order %s, decided by %s: %s", e.Change, e.Number, e.Verdict.Order, e.Verdict.DecidedBy, e.Verdict.Reason)
 }
 
 // Advice tells an operator what to do.
--- a/control/rollout/golden_test.go
+++ b/control/rollout/golden_test.go
@@ -102,7 +102,7 @@
 	require.NoError(t, decodeEntry("k", []byte{0xa2, 0x01, 0x05, 0x18, 0x63, 0x01}, &v)) // {1: 5, 99: 1}
 	require.EqualValues(t, 5, v.Epoch)
 	require.EqualError(t, decodeEntry("rollout/word/n0", []byte{0xff}, &v), `replicated entry "rollout/word/n0": cbor: unexpected "break" code`)
-	require.EqualError(t, decodeEntry("rollout/word/n0", make([]byte, 1<<20+1), &v), `replicated entry "rollout/word/n0": 1048577 bytes`)
+	require.EqualError(t, decodeEntry("rollout/word/n0", make([]byte, 1<<20+1), &v), `replicated entry "rollout/word/n0": 1048577 bytes, more than an entry may have`)
 }
 
 // The keys of replicated entries, and the digests that all instances have to compute alike.
--- a/control/rollout/invariants_test.go
+++ b/control/rollout/invariants_test.go
@@ -33,13 +33,13 @@
 		h.maxConcurrentRestarts = largestStep(h.file.Change.steps(count))
 		h.setChangeFile(h.file, rapid.SliceOfN(rapid.IntRange(0, count-1), 1, 3).Draw(t, "files")...)
 		if rapid.Bool().Draw(t, "fails") {
-			bad := h.drawIndex("where")
+			bad := h.drawIndex("failing instance")
 			h.canServe = func(n *node, target uint64) bool { return n.index != bad || target == 0 }
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "events") {
-			h.runFor(h.drawSeconds("quiet", 60))
+			h.runFor(h.drawSeconds("before the fault", 60))
 			h.injectFault()
-			h.runFor(h.drawSeconds("trouble", 60))
+			h.runFor(h.drawSeconds("during the fault", 60))
 			h.isCut, h.lossRate = noCuts, 0
 		}
 		if !h.runUntil(1200*second, h.hasAgreed) {
@@ -109,7 +109,7 @@
 
 // cutOneWay keeps one instance from receiving anything.
 func (h *faultHistory) cutOneWay() {
-	receiver := h.drawIndex("deaf")
+	receiver := h.drawIndex("cut off")
 	h.isCut = func(_, to int) bool { return to == receiver }
 }
 
@@ -152,7 +152,7 @@
 			continue
 		}
 		h.Logf("%s runs %d, active %d over %d, %+v, open steps %d of %d, approved %d, roster %s, request %v, granted %v, failed %d, "+
-			"may have forgotten %v, delay: %s", n.instance.Name, n.runningNumber, c.active.Number, c.active.BaseNumber,
+			"may have lost votes %v, delay: %s", n.instance.Name, n.runningNumber, c.active.Number, c.active.BaseNumber,
 			c.status.Verdict, c.active.openSteps, len(c.active.steps), c.status.ApprovedSteps, c.status.RosterDigest,
 			c.status.PermitRequest, c.permits.granted, c.status.FailedEpoch, c.mayHaveLostVotes(), describeDelay(c))
 	}
--- a/control/rollout/matching.go
+++ b/control/rollout/matching.go
@@ -52,7 +52,7 @@
 // hashSides returns a hash of which instance is on which side.
 func hashSides(samples []Sample) uint64 {
 	hash := xxhash.New()
-	for i := range samples { // a hash takes every write
+	for i := range samples { // writes to a hash cannot fail
 		_, _ = hash.WriteString(samples[i].Name)
 		_, _ = hash.Write([]byte{0, byte(samples[i].side())})
 	}
--- a/control/rollout/metrics.go
+++ b/control/rollout/metrics.go
@@ -13,15 +13,15 @@
 	metricCount
 )
 
-// Under the metrics that use the baseline's distribution, a search is bad if it exceeds the value that this fraction of
-// the baseline exceeds.
+// Three metrics use the distribution of latencies or of sub-request counts. Under them a search is bad if it exceeds a
+// value that the metric's fraction of the baseline's searches exceeds.
 const (
 	medianFraction      = 0.5
 	tailFraction        = 0.05
 	subRequestsFraction = 0.25
 )
 
-// minDistributionCount is how many observations of the baseline are needed to determine that value.
+// minDistributionCount is how many observations of the baseline are needed to determine such a value.
 const minDistributionCount = 20
 
 // The baseline's fraction of bad searches is smoothed by this many pseudo-observations, so that the odds are not zero
@@ -60,7 +60,7 @@
 	fraction float64 // of the baseline's searches that are bad
 }
 
-// newBaselineMetric derives a metric from the baseline's searches. It is not ok if these are too few.
+// newBaselineMetric derives a metric from the baseline's searches. ok is false if these are too few.
 func newBaselineMetric(m metric, baseline *ClassStats) (result baselineMetric, ok bool) {
 	result.metric, ok = m, true
 	switch m {
@@ -105,7 +105,7 @@
 	return result
 }
 
-// cutoffBucket returns the lowest bucket above which there is at most a fraction of all observations. It is not ok if
+// cutoffBucket returns the lowest bucket above which there is at most a fraction of all observations. ok is false if
 // there are too few observations.
 func cutoffBucket(buckets []uint64, fraction float64) (cutoff int, ok bool) {
 	total := countAbove(buckets, 0).all
--- a/control/rollout/permits.go
+++ b/control/rollout/permits.go
@@ -21,8 +21,8 @@
 	grantedAt     int64
 }
 
-// permitBatch is what all permits that are valid at an instance have in common: the number of the change to restart
-// into, and the step of the requesters.
+// permitBatch is what all valid permits that one instance has granted have in common: the number of the change to
+// restart into, and the step of the requesters.
 type permitBatch struct {
 	targetNumber uint64
 	step         int
@@ -49,7 +49,7 @@
 	return grants
 }
 
-// currentBatch returns the batch of the valid permits. It does not exist if no permit is valid.
+// currentBatch returns the batch of the valid permits. exists is false if no permit is valid.
 func (p *permits) currentBatch() (batch permitBatch, exists bool) {
 	for _, permit := range p.granted {
 		return permit.batch, true
@@ -57,9 +57,9 @@
 	return permitBatch{}, false
 }
 
-// grantPermits grants permits to instances that request one. All valid permits of an instance are of one batch, a
-// restart needs permits from a majority, and any two majorities have a member in common. So only instances of one step
-// restart at once, whichever messages are late or lost.
+// grantPermits grants permits to instances that request one. All valid permits that one instance has granted are of one
+// batch, a restart needs permits from a majority, and any two majorities have a member in common. So only instances of
+// one step restart at once, whichever messages are late or lost.
 func (c *Controller) grantPermits() {
 	c.expirePermits()
 	if c.active.roster == nil || !c.mayVote() || c.mayHaveLostVotes() {
--- a/control/rollout/regression.go
+++ b/control/rollout/regression.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxContinueEValue is the evidence above which no further step begins until it has fallen again, or has grown so
-	// far that the change is stopped.
+	// maxContinueEValue is the evidence above which no further step begins. The rollout then waits until the evidence
+	// falls again, or grows until the change is stopped.
 	maxContinueEValue = 1.5
 	// minCompareRequests is how many searches each side needs before connections are compared.
 	minCompareRequests = 200
@@ -30,8 +30,8 @@
 }
 
 // RegressionAnalysis compares the instances with a change to those without it, in a series of looks. Each look compares
-// what was counted since the previous one, for each class and each place in which both sides have instances. The bets
-// on it (bets.go) collect evidence that stays valid for any number of looks; connections and memory are compared with
+// what was counted since the previous one, for each class and each place in which both sides have instances. Bets
+// (bets.go) collect evidence that stays valid for any number of looks; connections and memory are compared with
 // plain limits.
 //
 // It is not safe for concurrent use. Its memory is bounded by metricCount bets for each class and place.
@@ -41,12 +41,12 @@
 	baselines map[stratum]*ClassStats // sums of the instances without the change, up to the previous look
 	changed   ClassStats              // sums of all instances with the change
 	totals    [sideCount]sideTotals
-	sidesHash uint64  // hashSides of the samples that matched is for
+	sidesHash uint64  // hashSides of the samples for which matched was computed
 	matched   []place // places of the samples, in the same order
 	portfolio *portfolio
 }
 
-// stratum is a part of the searches, within which the sides are compared.
+// stratum is the searches of one class in one place. The sides are compared within each stratum.
 type stratum struct {
 	class int
 	place place
@@ -81,7 +81,7 @@
 			baseline = &ClassStats{}
 			a.baselines[stratum] = baseline
 		}
-		a.portfolio.bet(stratum, baseline, sides)
+		a.portfolio.addCounts(stratum, baseline, sides)
 		baseline.addIncrease(&sides[baselineSide], &ClassStats{})
 		a.changed.addIncrease(&sides[changeSide], &ClassStats{})
 	}
--- a/control/rollout/regression_test.go
+++ b/control/rollout/regression_test.go
@@ -14,7 +14,7 @@
 	instancesPerZone = 50
 	lookInterval     = 10.0 // seconds between looks
 	looksPerStage    = 30   // a stage is watched for five minutes
-	maxLooks         = 90   // a stage that lasts longer never ends
+	maxLooks         = 90   // a stage that lasts longer is taken never to end
 	incidentLooks    = 6    // an incident of the hosts lasts for this many looks
 	normalUnserved   = 0.005
 	incidentUnserved = 0.3
@@ -79,7 +79,7 @@
 	s.analysis.AddSamples(s.samples())
 }
 
-// watchStage reports whether the change is stopped in a stage, or the stage never ends.
+// watchStage reports whether the change is stopped in a stage. A stage longer than maxLooks counts as stopped.
 func (s *rolloutSimulation) watchStage() (isStopped bool) {
 	for look := 0; ; look++ {
 		s.clock += lookInterval
@@ -112,7 +112,7 @@
 		unserved = incidentUnserved
 	}
 	cohort := &s.cohorts[zone][side]
-	variation := math.Exp(0.3 * s.rng.NormFloat64() / math.Sqrt(float64(max(1, cohort.instanceCount)))) // mean of the instances
+	variation := math.Exp(0.3 * s.rng.NormFloat64() / math.Sqrt(float64(max(1, cohort.instanceCount)))) // of the cohort's mean unserved fraction
 	for class, share := range classShares {
 		requests := distuv.Poisson{Lambda: lookInterval*float64(cohort.instanceCount)*share + 1e-9, Src: source}.Rand()
 		probability := min(0.9, unserved*variation)
--- a/control/rollout/roster.go
+++ b/control/rollout/roster.go
@@ -34,8 +34,8 @@
 // rankedInstance is an instance with the keys by which it is sorted.
 type rankedInstance struct {
 	Instance
-	hash uint64  // within its zone
-	key  float64 // within the whole roster, from 0 to 1
+	hash uint64  // sorts it within its zone
+	key  float64 // sorts it within the whole roster; from 0 to 1
 }
 
 // newRoster orders instances by a hash of the change and their names. Any prefix of the order holds about the same
@@ -99,7 +99,7 @@
 	for i, ranked := range order {
 		r.order = append(r.order, ranked.Instance)
 		r.position[ranked.Name] = i
-		_, _ = fmt.Fprintf(digest, "%q %q %q\n", ranked.Name, ranked.Region, ranked.Zone) // a hash takes every write
+		_, _ = fmt.Fprintf(digest, "%q %q %q\n", ranked.Name, ranked.Region, ranked.Zone) // writes to a hash cannot fail
 	}
 	r.digest = fmt.Sprintf("%016x", digest.Sum64())
 	return r
--- a/control/rollout/roster_vote.go
+++ b/control/rollout/roster_vote.go
@@ -25,7 +25,7 @@
 		total, highest = total+count, max(highest, count)
 	}
 	if total == len(c.members) && !c.isMajority(highest) {
-		c.stopChange("no roster has a majority: instances know each other in different zones", OrderStop)
+		c.stopChange("no roster has a majority: instances differ on the zones of the members", OrderStop)
 	}
 }
 
--- a/control/rollout/scenarios_test.go
+++ b/control/rollout/scenarios_test.go
@@ -63,7 +63,7 @@
 func TestAbsentInstanceCatchesUp(t *testing.T) {
 	s := newSimulation(t, 7, 1)
 	s.runFor(70 * second)
-	last := newRoster("c/1", s.instances()).order[6].Name // a change waits for its first instance
+	last := newRoster("c/1", s.instances()).order[6].Name // not the first, since a change waits for that one
 	require.NotEqual(t, last, newRoster("c/2", s.instances()).order[0].Name)
 	var absent *node
 	for _, n := range s.nodes {
--- a/control/rollout/simulation_test.go
+++ b/control/rollout/simulation_test.go
@@ -28,7 +28,7 @@
 	canServe              func(n *node, target uint64) bool // whether an instance serves with a change
 	searchRate            float64                           // of an instance, in searches a second
 	maxConcurrentRestarts int                               // asserted after each tick, 0 for no limit
-	instancesByChange     map[uint64]map[string]bool
+	instancesByChange     map[uint64]map[string]bool        // instances that restarted into a change, by its number
 	restartCount          int
 	clockOffsets          []int64 // of each instance's clock
 }
--- a/control/rollout/stages.go
+++ b/control/rollout/stages.go
@@ -1,7 +1,7 @@
 package rollout
 
 // countOpenSteps returns the number of steps that a majority has voted to open. Votes are not withdrawn within an
-// epoch, so the number does not fall within one.
+// epoch, so the number does not fall until the next epoch.
 func (c *Controller) countOpenSteps() int {
 	active := c.active
 	if active.roster == nil {
@@ -103,7 +103,7 @@
 		}
 	}
 	if !c.isMajority(participants) {
-		return "no majority of the members is heard from and agrees on the roster"
+		return "the members that are heard from and agree on the roster are not a majority"
 	}
 	return ""
 }
--- a/control/rollout/stats.go
+++ b/control/rollout/stats.go
@@ -39,7 +39,7 @@
 // SubRequestBucket returns the bucket of a search's number of sub-requests.
 func SubRequestBucket(count int) int { return logBucket(uint64(max(0, count)), SubRequestBucketCount) }
 
-// logBucket returns bucket 0 for 0. From 1 on, each doubling has two buckets; values past the last bucket are in it.
+// logBucket returns bucket 0 for 0. From 1 on, each doubling has two buckets; values past the last bucket count in it.
 func logBucket(value uint64, bucketCount int) int {
 	if value == 0 {
 		return 0
--- a/control/rollout/status_message.go
+++ b/control/rollout/status_message.go
@@ -11,7 +11,7 @@
 	Verdict           Verdict        `cbor:"6,keyasint"`
 	RosterDigest      string         `cbor:"7,keyasint"`  // the instance's vote for a roster, cast once for each change
 	ApprovalEpoch     uint64         `cbor:"8,keyasint"`  // epoch of ApprovedSteps
-	ApprovedSteps     int            `cbor:"9,keyasint"`  // steps that it has voted to open; one more than there are completes the change
+	ApprovedSteps     int            `cbor:"9,keyasint"`  // steps that it has voted to open; one more than the change has is a vote for its completion
 	RunningNumber     uint64         `cbor:"10,keyasint"` // of the change that the process runs, 0 for its own files
 	ServingFor        int64          `cbor:"11,keyasint"` // how long it has served with that, by its own clock; -1 before it serves
 	PermitRequest     PermitRequest  `cbor:"12,keyasint"`
--- a/control/rollout/verdicts.go
+++ b/control/rollout/verdicts.go
@@ -76,7 +76,7 @@
 	}
 	restarts := c.initial.UnplannedRestarts
 	if status.RunningNumber == active.Number && restarts >= active.RegressionLimits.Restarts {
-		c.stopChange(fmt.Sprintf("%d unplanned restarts with it", restarts), active.OnRegression)
+		c.stopChange(fmt.Sprintf("%d unplanned restarts with the change", restarts), active.OnRegression)
 	}
 }
 
@@ -96,7 +96,7 @@
 		}
 	}
 	if unreachable >= active.RegressionLimits.Unreachable {
-		reason := fmt.Sprintf("%d instances with it have not been heard from for %d s", unreachable, active.SilenceTimeout/second)
+		reason := fmt.Sprintf("%d instances with the change have not been heard from for %d s", unreachable, active.SilenceTimeout/second)
 		c.stopChange(reason, active.OnRegression)
 	}
 }
