--- a/control/rollout/entries.go
+++ b/control/rollout/entries.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// maxGrants bounds the grants that a status message may have: a step of the largest cluster.
+// maxGrants bounds the grants in a status message: one for each instance of a step of the largest cluster.
 const maxGrants = 1024
 
-// errKeyMismatch is an entry of a change that is not the one its key names, or that no instance would publish.
-var errKeyMismatch = errors.New("not what its name says")
+// errInvalidChangeEntry reports an entry whose change has another number or digest than the entry's key, has no stages,
+// or has a base that is not an earlier change.
+var errInvalidChangeEntry = errors.New("not a valid change with the number and digest of its key")
 
-// HandleEntry takes in a replicated entry. Entries may come late, repeatedly and in any order; those of other keys are
-// ignored. Its errors are InvalidEntryError.
+// HandleEntry records a replicated entry. Entries may arrive late, repeatedly and in any order; entries with other keys
+// are ignored. Its errors are InvalidEntryError.
 func (c *Controller) HandleEntry(now int64, key string, value []byte) error {
 	c.now = max(c.now, now)
 	switch {
@@ -38,7 +39,8 @@
 	}
 	name := status.Instance.Name
 	if name != strings.TrimPrefix(key, statusPrefix) || len(status.PermitGrants) > maxGrants {
-		return &InvalidEntryError{key, fmt.Errorf("a status message of %.40q with %d grants", name, len(status.PermitGrants))}
+		return &InvalidEntryError{key, fmt.Errorf("status message of %.40q with %d grants: not the instance in the key, or too many grants",
+			name, len(status.PermitGrants))}
 	}
 	c.recordStatus(status)
 	return nil
@@ -51,18 +53,18 @@
 		return err
 	}
 	if !ok || change.Number != number || change.Digest() != digest || len(change.Stages) == 0 || change.BaseNumber >= change.Number {
-		return &InvalidEntryError{key, errKeyMismatch}
+		return &InvalidEntryError{key, errInvalidChangeEntry}
 	}
 	c.registry.addChange(digest, change)
 	return nil
 }
 
-// recordStatus takes in a status message. One that is late is ignored, so that an instance's incarnation, votes and
-// verdict never go back.
+// recordStatus records a status message. One that is older than the known one is ignored, so that an instance's
+// incarnation, votes and verdict never go back.
 func (c *Controller) recordStatus(status StatusMessage) {
 	name := status.Instance.Name
 	if name == c.initial.Self.Name {
-		c.restorePromises(status)
+		c.restoreEarlierVotes(status)
 		return
 	}
 	peer := c.peers[name]
@@ -78,9 +80,9 @@
 	peer.StatusMessage, peer.receivedAt = status, c.now
 }
 
-// restorePromises takes back the votes, the verdict and the grants of an earlier incarnation of this instance. They bind
-// this one too.
-func (c *Controller) restorePromises(earlier StatusMessage) {
+// restoreEarlierVotes restores the votes, the verdict and the grants of an earlier incarnation of this instance, which
+// bind this one too.
+func (c *Controller) restoreEarlierVotes(earlier StatusMessage) {
 	if earlier.Incarnation >= c.initial.Incarnation { // its own message
 		return
 	}
@@ -89,7 +91,7 @@
 	if status.ChangeNumber == 0 {
 		status.ChangeNumber, status.ChangeDigest = earlier.ChangeNumber, earlier.ChangeDigest
 		status.Verdict, status.RosterDigest = earlier.Verdict, earlier.RosterDigest
-		status.StageEpoch, status.ApprovedSteps = earlier.StageEpoch, earlier.ApprovedSteps
+		status.ApprovalEpoch, status.ApprovedSteps = earlier.ApprovalEpoch, earlier.ApprovedSteps
 		status.FailedEpoch = earlier.FailedEpoch
 		c.permits.restoreGrants(earlier.PermitGrants, c.now)
 		return
--- a/control/rollout/invariants_test.go
+++ b/control/rollout/invariants_test.go
@@ -22,8 +22,8 @@
 	require.Equal(t, 300, s.restartCount)
 }
 
-// Random histories of partitions, one-way cuts, kills, lost and late messages, lost disks, changes that fail and changed
-// orders: meanwhile no more instances restart at once than a step has, and afterwards all instances agree.
+// Under random partitions, one-way cuts, kills, lost and late messages, lost disks, failing changes and changed orders,
+// no more instances restart at once than a step has. Once the faults have ended, all instances agree.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,14 +33,14 @@
 		h.maxConcurrentRestarts = largestStep(h.file.Change.steps(count))
 		h.setChangeFile(h.file, rapid.SliceOfN(rapid.IntRange(0, count-1), 1, 3).Draw(t, "files")...)
 		if rapid.Bool().Draw(t, "fails") {
-			bad := h.drawIndex("where")
+			bad := h.drawIndex("failing instance")
 			h.canServe = func(n *node, target uint64) bool { return n.index != bad || target == 0 }
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "events") {
-			h.runFor(h.drawSeconds("quiet", 60))
+			h.runFor(h.drawSeconds("before the fault", 60))
 			h.injectFault()
-			h.runFor(h.drawSeconds("trouble", 60))
-			h.isCut, h.lossRate = noneCut, 0
+			h.runFor(h.drawSeconds("during the fault", 60))
+			h.isCut, h.lossRate = noCuts, 0
 		}
 		if !h.runUntil(1200*second, h.hasAgreed) {
 			h.logNodes()
@@ -57,7 +57,7 @@
 	return largest
 }
 
-// faultHistory is a simulation with random faults.
+// faultHistory is a simulation with random faults in sequence.
 type faultHistory struct {
 	*rapid.T
 	*simulation
@@ -69,7 +69,7 @@
 	return rapid.IntRange(0, len(h.nodes)-1).Draw(h.T, label)
 }
 
-// drawSeconds draws a time of 1 to a number of seconds.
+// drawSeconds draws a duration from 1 second to limit seconds.
 func (h *faultHistory) drawSeconds(label string, limit int) int64 {
 	return int64(rapid.IntRange(1, limit).Draw(h.T, label)) * second
 }
@@ -87,7 +87,7 @@
 	faults[rapid.SampledFrom([]string{"partition", "one-way cut", "kill", "loss", "wiped disk", "order", "new change"}).Draw(h.T, "event")]()
 }
 
-// partition cuts the cluster in two. The side without a majority neither goes on nor back.
+// partition splits the cluster in two. No instance on the side without a majority applies the change or rolls it back.
 func (h *faultHistory) partition() {
 	count := len(h.nodes)
 	boundary := rapid.IntRange(1, count-1).Draw(h.T, "boundary")
@@ -107,10 +107,10 @@
 	}
 }
 
-// cutOneWay lets one instance receive nothing.
+// cutOneWay keeps one instance from receiving anything.
 func (h *faultHistory) cutOneWay() {
-	deaf := h.drawIndex("deaf")
-	h.isCut = func(_, to int) bool { return to == deaf }
+	receiver := h.drawIndex("cut off")
+	h.isCut = func(_, to int) bool { return to == receiver }
 }
 
 func (h *faultHistory) killSome() {
@@ -121,7 +121,7 @@
 	}
 }
 
-// wipeDisk empties a disk. The instance learns from the others what it had promised.
+// wipeDisk empties a disk. The instance learns from the others how it had voted.
 func (h *faultHistory) wipeDisk() {
 	if n := h.nodes[h.drawIndex("wiped")]; n.controller != nil && n.runningNumber == 0 {
 		n.entries, n.statuses = map[string][]byte{}, map[string]*StatusMessage{}
@@ -152,9 +152,9 @@
 			continue
 		}
 		h.Logf("%s runs %d, active %d over %d, %+v, open steps %d of %d, approved %d, roster %s, request %v, granted %v, failed %d, "+
-			"may have forgotten %v, delay: %s", n.instance.Name, n.runningNumber, c.active.Number, c.active.BaseNumber,
+			"may have lost votes %v, delay: %s", n.instance.Name, n.runningNumber, c.active.Number, c.active.BaseNumber,
 			c.status.Verdict, c.active.openSteps, len(c.active.steps), c.status.ApprovedSteps, c.status.RosterDigest,
-			c.status.PermitRequest, c.permits.granted, c.status.FailedEpoch, c.mayHaveForgottenPromises(), describeDelay(c))
+			c.status.PermitRequest, c.permits.granted, c.status.FailedEpoch, c.mayHaveLostVotes(), describeDelay(c))
 	}
 }
 
--- a/control/rollout/steps_test.go
+++ b/control/rollout/steps_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStepsOfStages(t *testing.T) {
+func TestStagesAreSplitIntoSteps(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		stages        []Stage
@@ -32,7 +32,7 @@
 			[]step{{10, 40}, {20, 0}},
 		},
 		{
-			"a step has one instance at least",
+			"a step has at least one instance",
 			[]Stage{{Count: 2}},
 			0.01,
 			[]step{{1, 0}, {2, 0}},
