--- a/control/fanout/calls.go
+++ b/control/fanout/calls.go
@@ -11,9 +11,9 @@
 // callTimeout limits how long a call waits for the store.
 const callTimeout = 5 * time.Second
 
-// Subscribe records that a subscriber asks for something now. Like the methods below it returns once that is on disk,
-// where there is a disk; other instances receive it a moment later. Where the disk does not take it the error is a
-// replication.NotPersistedError, and the subscription holds in memory all the same.
+// Subscribe subscribes a subscriber, or changes the details of one that is subscribed. Like the methods below it
+// returns once the change is on disk, if there is a disk; other instances receive it shortly afterwards. If the write
+// to disk fails, the error is a replication.NotPersistedError, and the subscription is still valid in memory.
 func (g *Gateway) Subscribe(ctx context.Context, key subscribers.Key, details subscribers.Details) error {
 	if err := g.checkZones(key.Tenant); err != nil {
 		return err
@@ -25,7 +25,7 @@
 	return g.updateAndPersist(ctx, key, subscribers.Subscribe(key, g.options.Self.Region, details))
 }
 
-// ChangeDetails gives a subscriber that is subscribed other details.
+// ChangeDetails changes the details of a subscriber that is subscribed.
 func (g *Gateway) ChangeDetails(ctx context.Context, key subscribers.Key, details subscribers.Details) error {
 	if err := g.checkZones(key.Tenant); err != nil {
 		return err
@@ -66,7 +66,7 @@
 	return err
 }
 
-// checkZones returns an error if a tenant's contract keeps its entries from a zone of some instance, since every
+// checkZones returns an error if a tenant's contract forbids its entries in the zone of any instance, since every
 // instance holds the whole list.
 func (g *Gateway) checkZones(tenant string) error {
 	allowsTenantData := g.options.Rules().AllowsTenantData
--- a/control/fanout/delivery.go
+++ b/control/fanout/delivery.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	maxValueBytes    = 64 << 10        // of a delivered value; of longer ones the hash alone is delivered
-	deliveryTimeout  = 2 * time.Second // with all attempts: a handover waits for it
-	deliveryAttempts = 3               // of one delivery, with one number
+	maxValueBytes    = 64 << 10        // of a delivered value; of a longer one only the hash is delivered
+	deliveryTimeout  = 2 * time.Second // for all attempts: a handover waits for it
+	deliveryAttempts = 3               // of one delivery, all with the same number
 	retryDelay       = 200 * time.Millisecond
 	idleTimeout      = time.Minute // of a connection to a receiver
-	maxReplyBytes    = 1 << 16     // of a receiver's reply that are read, so that its connection can be used again
+	maxReplyBytes    = 1 << 16     // read of a receiver's reply, so that its connection can be reused
 )
 
-// BlockValue is what a block answered.
+// BlockValue is the value that a block returned.
 type BlockValue struct {
 	Block int    `json:"block"`
 	Hash  string `json:"hash"`            // of the value, also of one that is too long to be delivered
-	Value []byte `json:"value,omitempty"` // in base64; left out over 64 KiB
+	Value []byte `json:"value,omitempty"` // in base64; left out if longer than 64 KiB
 }
 
 // DeliveryMessage is what a receiver gets: the blocks whose values differ from those delivered before. A receiver drops
-// a number that it has had. Of two gateways' numbers the higher is the later one, except while regions are partitioned.
+// a message whose number it has received already. Of two gateways' numbers the higher one is the later, except while
+// regions are partitioned.
 type DeliveryMessage struct {
 	Tenant   string                     `json:"tenant"`
 	ID       string                     `json:"id"`
 	Consent  uint64                     `json:"consent"`
 	Number   subscribers.DeliveryNumber `json:"number"`
-	Previous subscribers.DeliveryNumber `json:"last"` // the one before, as far as it is known
+	Previous subscribers.DeliveryNumber `json:"last"` // the number of the delivery before, if known
 	Period   int64                      `json:"period"`
 	Values   []BlockValue               `json:"values"`
 }
@@ -59,7 +60,7 @@
 	return message
 }
 
-// deliverWithRetries makes some attempts, all with the same number.
+// deliverWithRetries makes up to deliveryAttempts attempts, all with the same number.
 func deliverWithRetries(ctx context.Context, send DeliverFunc, message DeliveryMessage) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
@@ -85,7 +86,7 @@
 func DeliverByHTTP(url string) DeliverFunc {
 	return func(ctx context.Context, message DeliveryMessage) error {
 		if url == "" {
-			return &DeliveryFailedError{"nobody", errors.New("the region's file names no address under deliver")}
+			return &DeliveryFailedError{"nobody", errors.New("the region's file has no URL under deliver")}
 		}
 		if err := postJSON(ctx, url, message); err != nil {
 			return &DeliveryFailedError{url, err}
@@ -109,7 +110,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // the status alone counts
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // only the status matters
 	if response.StatusCode < 200 || response.StatusCode > 299 {
 		return errors.New(response.Status)
 	}
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -32,26 +32,27 @@
 	s := newTestSite(t)
 	s.writeFile(1, firstLine, secondLine)
 	gateway, store, stop := s.start(1)
-	s.await("first of both", func() bool { return len(s.deliveries("s1")) > 0 && len(s.deliveries("s2")) > 0 })
+	s.await("first delivery to both", func() bool { return len(s.deliveries("s1")) > 0 && len(s.deliveries("s2")) > 0 })
 	first := s.deliveries("s1")[0]
-	require.Len(t, first.Values, clustertest.BlockCount, "at first all is new")
+	require.Len(t, first.Values, clustertest.BlockCount, "the first delivery has all blocks")
 	s.rejectDeliveries.Store(true)
 	s.valueVersion.Add(1)
-	s.await("the same number again", func() bool { return len(s.deliveries("s1")) >= 3 })
+	s.await("a repeated delivery", func() bool { return len(s.deliveries("s1")) >= 3 })
 	s.rejectDeliveries.Store(false)
 	messages := s.deliveries("s1")
-	require.Len(t, messages[1].Values, 1, "only what changed")
-	require.Equal(t, messages[1], messages[2], "one number has one content")
+	require.Len(t, messages[1].Values, 1, "only the changed block")
+	require.Equal(t, messages[1], messages[2], "a repeated number has the same content")
 	require.Positive(t, messages[1].Number.Compare(first.Number))
 	require.Equal(t, first.Number, messages[1].Previous)
 
-	requireUnsubscribedStaysSo(t, s, gateway, store)
+	requireStaysUnsubscribed(t, s, gateway, store)
 	stop()
 	requireRestartContinues(t, s)
 }
 
-// requireUnsubscribedStaysSo unsubscribes the first subscriber, whose line stays in the file.
-func requireUnsubscribedStaysSo(t *testing.T, s *testSite, gateway *Gateway, store *replication.Replicator) {
+// requireStaysUnsubscribed unsubscribes the first subscriber and checks that its line in the file does not resubscribe
+// it.
+func requireStaysUnsubscribed(t *testing.T, s *testSite, gateway *Gateway, store *replication.Replicator) {
 	require.NoError(t, gateway.Unsubscribe(t.Context(), firstKey))
 	_, subscribed := gateway.Get(firstKey)
 	require.False(t, subscribed)
@@ -59,7 +60,7 @@
 	s.await("the stale line is reported", s.logged("consent: 2"))
 	before := s.deliveries("s2")
 	s.valueVersion.Add(1)
-	s.await("the other one is served on", func() bool { return len(s.deliveries("s2")) > len(before) })
+	s.await("the other subscriber is still served", func() bool { return len(s.deliveries("s2")) > len(before) })
 	s.await("the checkpoint is stored", func() bool {
 		entry, _ := store.Get(secondKey.LedgerKey())
 		record, _ := subscribers.ResolveEntry(entry)
@@ -67,26 +68,27 @@
 	})
 }
 
-// requireRestartContinues starts an instance on the disk and the file of the one before, whose file has both lines.
+// requireRestartContinues restarts the instance on the same disk and file, which has both lines, and checks that
+// deliveries continue where they ended.
 func requireRestartContinues(t *testing.T, s *testSite) {
 	countBefore := len(s.deliveries("s1"))
 	last := s.lastDelivery("s2")
 	s.valueVersion.Add(1)
 	gateway, _, _ := s.start(2)
 	s.await("a later epoch", func() bool { return s.lastDelivery("s2").Number.Epoch > last.Number.Epoch })
-	require.Len(t, s.lastDelivery("s2").Values, 1, "what was delivered before the restart does not come again")
-	require.Len(t, s.deliveries("s1"), countBefore, "an unsubscribed one stays so")
+	require.Len(t, s.lastDelivery("s2").Values, 1, "what was delivered before the restart is not repeated")
+	require.Len(t, s.deliveries("s1"), countBefore, "an unsubscribed subscriber stays unsubscribed")
 	details := subscribers.Details{Type: "full-match", Query: "a", Interval: subscribers.MinInterval}
 	require.NoError(t, gateway.Subscribe(t.Context(), firstKey, details))
-	s.await("subscribed anew", func() bool { return len(s.deliveries("s1")) > countBefore })
+	s.await("subscribed again", func() bool { return len(s.deliveries("s1")) > countBefore })
 	require.EqualValues(t, 2, s.deliveries("s1")[countBefore].Consent)
 	s.writeFile(3, secondLine)
-	s.await("a call's subscription stays", func() bool { _, subscribed := gateway.Get(firstKey); return subscribed })
+	s.await("a subscription made by a call stays", func() bool { _, subscribed := gateway.Get(firstKey); return subscribed })
 	s.writeFile(4)
 	s.await("the line was removed", func() bool { _, subscribed := gateway.Get(secondKey); return !subscribed })
 }
 
-// With a full disk a call returns that it is not persisted, and holds all the same.
+// With a full disk a call returns an error that it was not persisted, but still takes effect.
 func TestFullDiskIsReported(t *testing.T) {
 	t.Parallel()
 	s := newTestSite(t)
@@ -103,7 +105,7 @@
 	require.ErrorAs(t, err, &notPersisted)
 	require.NotEmpty(t, advice.For(err))
 	_, subscribed := gateway.Get(firstKey)
-	require.False(t, subscribed, "all the same it is unsubscribed")
+	require.False(t, subscribed, "it is unsubscribed in memory")
 }
 
 func TestInvalidEntriesAndFilesAreReported(t *testing.T) {
@@ -118,11 +120,11 @@
 	require.NoError(t, err)
 	s.await("invalid entry", s.logged("subscriber_entry_invalid"))
 	s.writeFile(4)
-	s.await("older file", s.logged("has generation 4, 5 is in force"))
+	s.await("older file", s.logged("has generation 4, but generation 5 is active"))
 	require.NoError(t, os.WriteFile(s.path, []byte("region: us\ngeneration: 6\ncount: 0\n"), 0o600))
-	s.await("another region's file", s.logged("region us's"))
+	s.await("another region's file", s.logged("the file belongs to region us"))
 	require.NoError(t, os.WriteFile(s.path, []byte("region: eu\ngeneration: 6\ncount: 1\n"), 0o600))
-	s.await("half a file", s.logged("the file is not whole"))
+	s.await("incomplete file", s.logged("the file is incomplete"))
 	_, subscribed := gateway.Get(firstKey)
 	require.True(t, subscribed)
 }
@@ -140,7 +142,7 @@
 	s.writeFile(7, "- {tenant: other, id: s4, type: full-match, query: a, every: 1s}")
 	s.await("rejected", s.logged("may not be in zone"))
 	_, exists := store.Get(forbiddenKey.LedgerKey())
-	require.False(t, exists, "nothing of it is stored")
+	require.False(t, exists, "no part of it is stored")
 }
 
 func TestOnCallPageListsEachError(t *testing.T) {
--- a/control/fanout/gateway.go
+++ b/control/fanout/gateway.go
@@ -1,8 +1,8 @@
-// Package fanout runs a region's fan-out gateway: it carries out what package subscribers decides.
+// Package fanout runs a region's fan-out gateway, which carries out what package subscribers decides.
 //
-// It takes subscriptions from a watched file and from an embedder's calls, keeps them in the store that the instances
-// replicate, runs the standing searches as background work of the coordinator, and sends deliveries with what changed.
-// A Gateway is a frontend of the coordinator. docs/subscribers.md states the rules.
+// It reads subscriptions from a watched file, accepts them from an embedder's calls, keeps them in the replicated
+// store, runs the standing searches as background work of the coordinator, and delivers the values that have changed. A
+// Gateway is a frontend of the coordinator. docs/subscribers.md states the rules.
 package fanout
 
 import (
@@ -20,14 +20,14 @@
 )
 
 const (
-	// maxWarningsPerSecond limits the log lines that others can cause; the rest is counted.
+	// maxWarningsPerSecond limits the warnings that others can cause; those beyond it are only counted.
 	maxWarningsPerSecond = 10
 
-	// maxRememberedReports limits the stale lines and the invalid entries that are remembered as reported.
+	// maxRememberedReports limits the stale lines, and the invalid entries, that are remembered as reported.
 	maxRememberedReports = 1024
 )
 
-// ReplicatedStore is what the instances share; replication.Replicator implements it.
+// ReplicatedStore is the store that the instances share; replication.Replicator implements it.
 type ReplicatedStore interface {
 	Ready() <-chan struct{}
 	Get(name string) (crdt.Entry, bool)
@@ -39,12 +39,12 @@
 	WaitPersisted(ctx context.Context) error
 }
 
-// Membership says which instances are there.
+// Membership is the current membership of the cluster, as far as gateways need it.
 type Membership struct {
-	Members     []subscribers.Member // alive gateways, this one among them
-	Zones       []string             // of all known instances, gateways or not: each of them holds the list
+	Members     []subscribers.Member // alive gateways, including this one
+	Zones       []string             // of all known instances, also those that are not gateways: each holds the list
 	HasMajority bool                 // more than half of the voting members are alive
-	Complete    bool                 // all of them are
+	Complete    bool                 // all voting members are alive
 }
 
 // Options are the dependencies of a gateway.
@@ -52,12 +52,12 @@
 	Self             subscribers.Member
 	Store            ReplicatedStore
 	Membership       func() Membership
-	Rules            func() subscribers.PlacementRules // where tenants may be served; nil for anywhere
+	Rules            func() subscribers.PlacementRules // where tenants may be served; nil if they may be served anywhere
 	FilePath         string                            // of the region's file; empty for none
 	Deliver          DeliverFunc                       // nil for HTTP to the address in the region's file
 	Log              *slog.Logger
 	Seed             int64
-	OnDrained        func()                           // called once nobody is served here any more; may be nil
+	OnDrained        func()                           // called once no subscriber is served here any more; may be nil
 	ReplicationBytes func() (stored int, sent uint64) // in the store, and sent to replicate it; may be nil
 }
 
@@ -69,12 +69,12 @@
 	warnings           *rate.Limiter
 	suppressedWarnings atomic.Int64
 	listedCount        atomic.Int64 // subscribed and unsubscribed entries
-	tasks              chan func()  // to run in Serve's goroutine
+	tasks              chan func()  // for Serve's goroutine to run
 
-	loop loopState // of Serve's goroutine alone
+	loop loopState // used only by Serve's goroutine
 }
 
-// loopState is what only the goroutine of Serve uses.
+// loopState is the state that only Serve's goroutine uses.
 type loopState struct {
 	searches  *coordinator.SearchAPI
 	pool      *scheduler.Pool
@@ -85,14 +85,14 @@
 	// The region's file.
 	file              *subscribers.RegionFile
 	fileAcceptedAt    time.Time
-	fileApplied       bool                       // neither list nor file has changed since the file was applied
-	lastFileCheck     time.Time                  // zero for at once
-	reportedStaleness map[subscribers.Key]uint64 // stale lines that were reported, by the consent of the unsubscription
+	fileApplied       bool                       // whether neither list nor file has changed since the file was applied
+	lastFileCheck     time.Time                  // zero if a check is due at once
+	reportedStaleness map[subscribers.Key]uint64 // consent of the unsubscription, for each stale line that was reported
 
 	// The replicated store.
 	listChanged     bool
 	statusesChanged bool
-	unapplied       []crdt.Entry // scanned and not applied yet
+	unapplied       []crdt.Entry // scanned but not applied yet
 	lastScan        time.Time
 	scanInterval    time.Duration
 	statusDigests   map[string]uint64
@@ -110,7 +110,7 @@
 	conflictCount  int
 }
 
-// New returns a gateway. It begins to serve as a frontend of the coordinator.
+// New returns a gateway. It starts when the coordinator runs it as a frontend.
 func New(options Options) *Gateway {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -128,7 +128,7 @@
 	}
 }
 
-// warnLimited logs a line that others can cause at will, at a limited rate.
+// warnLimited logs, at a limited rate, a warning that others can cause.
 func (g *Gateway) warnLimited(event string, attributes ...any) {
 	if !g.warnings.Allow() {
 		g.suppressedWarnings.Add(1)
@@ -142,6 +142,6 @@
 
 func wallMS() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// now is the clock of package subscribers, in tenths of a millisecond. It is the wall clock, so that the searches of one
-// subscriber come at the same times on whichever gateway they run.
+// now returns the time for package subscribers, in tenths of a millisecond. It is the wall-clock time, so that a
+// subscriber's searches run at the same times on all gateways.
 func now() int64 { return time.Now().UnixMicro() / 100 }
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// A delivery as it goes to its receiver: method, content type and body; and which statuses count as taken.
+// The HTTP request of a delivery (method, content type and body) must not change, nor which response statuses accept
+// it.
 func TestGoldenDeliveryRequest(t *testing.T) {
 	var got bytes.Buffer
 	status := http.StatusOK
@@ -49,12 +50,12 @@
 	}))
 	defer httpClient.CloseIdleConnections()
 	defer receiver.Close()
-	hand := DeliverByHTTP(receiver.URL + "/acme")
-	require.NoError(t, hand(t.Context(), goldenDelivery()))
+	deliver := DeliverByHTTP(receiver.URL + "/acme")
+	require.NoError(t, deliver(t.Context(), goldenDelivery()))
 	golden.Require(t, "delivery.http", got.Bytes())
-	for code, taken := range map[int]bool{200: true, 299: true, 300: false, 404: false, 500: false} {
+	for code, accepted := range map[int]bool{200: true, 299: true, 300: false, 404: false, 500: false} {
 		status = code
-		if err := hand(t.Context(), goldenDelivery()); taken {
+		if err := deliver(t.Context(), goldenDelivery()); accepted {
 			require.NoError(t, err, code)
 		} else {
 			require.ErrorContains(t, err, fmt.Sprintf("delivery to %s/acme: %d ", receiver.URL, code))
@@ -64,31 +65,31 @@
 	text, err := os.ReadFile(filepath.Join("testdata", "delivery.http"))
 	require.NoError(t, err)
 	_, body, _ := bytes.Cut(text, []byte("\n\n"))
-	reader := json.NewDecoder(bytes.NewReader(body))
-	reader.DisallowUnknownFields()
-	var d DeliveryMessage
-	require.NoError(t, reader.Decode(&d))
-	require.Equal(t, goldenDelivery(), d)
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	var message DeliveryMessage
+	require.NoError(t, decoder.Decode(&message))
+	require.Equal(t, goldenDelivery(), message)
 }
 
-// Log lines, in JSON and as text, that need no running instance.
+// Log lines, as JSON and as text, that do not need a running instance.
 func TestGoldenFanoutLogLines(t *testing.T) {
-	untimed := &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
+	withoutTime := &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
 			return slog.Attr{}
 		}
 		return a
 	}}
 	var all bytes.Buffer
-	for _, handler := range []slog.Handler{slog.NewJSONHandler(&all, untimed), slog.NewTextHandler(&all, untimed)} {
+	for _, handler := range []slog.Handler{slog.NewJSONHandler(&all, withoutTime), slog.NewTextHandler(&all, withoutTime)} {
 		g := New(Options{Self: subscribers.Member{Name: "n0", Region: "eu"}, FilePath: "eu.yaml", Log: slog.New(handler)})
 		g.acceptFile(fileUpdate{err: errors.New("why")})
 		g.acceptFile(fileUpdate{file: &subscribers.RegionFile{Region: "us"}})
 		g.acceptFile(fileUpdate{file: &subscribers.RegionFile{Region: "eu", Generation: 7}})
-		e := crdt.Entry{Name: "sub/acme/s1", Siblings: []crdt.Sibling{{Value: []byte{0xff}}}}
-		_, err := subscribers.ResolveEntry(e)
-		g.reportInvalidEntry(e, err)
-		g.reportInvalidEntry(e, err) // told once
+		entry := crdt.Entry{Name: "sub/acme/s1", Siblings: []crdt.Sibling{{Value: []byte{0xff}}}}
+		_, err := subscribers.ResolveEntry(entry)
+		g.reportInvalidEntry(entry, err)
+		g.reportInvalidEntry(entry, err) // logged once
 		key := subscribers.Key{Tenant: "acme", ID: "s1"}
 		g.warnLimited("subscriber_delivery_failed", advice.LogAttrs(&DeliveryFailedError{"http://receiver", errors.New("why")}, "subscriber", key, "number",
 			subscribers.DeliveryNumber{Epoch: 1, Sequence: 2, Gateway: "n0"})...)
@@ -98,7 +99,7 @@
 	golden.Require(t, "log_lines.txt", all.Bytes())
 }
 
-// Failures that stand in the log or answer a call, with their advice.
+// Errors that are logged or returned by a call, with their advice.
 func TestGoldenFanoutErrors(t *testing.T) {
 	var all strings.Builder
 	for _, err := range []error{
@@ -110,7 +111,7 @@
 	golden.Require(t, "errors.txt", all.String())
 }
 
-// The forms of a region's file are told apart by its name, and YAML lists from other files by their keys.
+// The form of a region's file is recognized by its name, and a YAML region file by its keys.
 func TestGoldenFanoutFileNames(t *testing.T) {
 	folder := t.TempDir()
 	lines := "{\"region\":\"eu\",\"generation\":1,\"count\":1}\n{\"tenant\":\"acme\",\"id\":\"s1\",\"type\":\"t\",\"query\":\"q\",\"every\":\"1s\"}\n"
@@ -120,48 +121,48 @@
 	} {
 		path := filepath.Join(folder, name)
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		f, err := ReadRegionFile(path)
+		file, err := ReadRegionFile(path)
 		require.NoError(t, err, name)
-		require.Equal(t, "eu", f.Region)
+		require.Equal(t, "eu", file.Region)
 		require.Equal(t, name == "a.yaml", IsRegionFile(path))
 	}
 }
 
 var attribute = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// A running instance: its entries in the ledger, and the attributes of each log line.
+// The entries that a running instance stores, and the attributes of each of its log events.
 func TestGoldenFanoutEntriesAndEvents(t *testing.T) {
 	t.Parallel()
 	s := newTestSite(t)
 	s1, s2 := "- {tenant: acme, id: s1, type: full-match, query: a, every: 1s}", "- {tenant: nobody, id: s2, type: full-match, query: a, every: 1s}"
 	s.writeFile(1, s1, s2, "- {tenant: other, id: s3, type: full-match, query: a, every: 1s}")
-	g, book, end := s.start(1)
+	gateway, store, stop := s.start(1)
 	s.await("served", func() bool { return len(s.deliveries("s1")) > 0 })
-	s.await("not searched", s.logged("msg=subscriber_search_failed"))
-	s.await("refused", s.logged("msg=subscriber_update_failed"))
+	s.await("search failed", s.logged("msg=subscriber_search_failed"))
+	s.await("update rejected", s.logged("msg=subscriber_update_failed"))
 	key := subscribers.Key{Tenant: "acme", ID: "s1"}
-	s.await("noted", func() bool {
-		r, _ := g.Get(key)
-		return len(r.Checkpoint.Values) > 0
+	s.await("checkpoint stored", func() bool {
+		record, _ := gateway.Get(key)
+		return len(record.Checkpoint.Values) > 0
 	})
 	var all strings.Builder
 	for _, name := range []string{"sub/acme/s1", "subat/n0", "subfile/eu"} {
-		e, there := book.Get(name)
-		require.True(t, there, name)
-		require.Len(t, e.Siblings, 1, name)
+		entry, exists := store.Get(name)
+		require.True(t, exists, name)
+		require.Len(t, entry.Siblings, 1, name)
 		var fields map[int]any
-		require.NoError(t, cbor.Unmarshal(e.Siblings[0].Value, &fields), name)
+		require.NoError(t, cbor.Unmarshal(entry.Siblings[0].Value, &fields), name)
 		fmt.Fprintln(&all, "entry", name, "has fields", slices.Sorted(maps.Keys(fields)))
 	}
 	s.rejectDeliveries.Store(true)
 	s.valueVersion.Add(1)
-	s.await("not delivered", s.logged("msg=subscriber_delivery_failed"))
+	s.await("delivery failed", s.logged("msg=subscriber_delivery_failed"))
 	s.rejectDeliveries.Store(false)
-	require.NoError(t, g.Unsubscribe(t.Context(), key))
+	require.NoError(t, gateway.Unsubscribe(t.Context(), key))
 	s.writeFile(2, s1, s2)
-	s.await("stale", s.logged("msg=subscriber_line_stale"))
-	s.await("list", s.logged("msg=subscribers_status "))
-	end()
+	s.await("stale line", s.logged("msg=subscriber_line_stale"))
+	s.await("status", s.logged("msg=subscribers_status "))
+	stop()
 
 	s.mu.Lock()
 	lines := strings.Split(s.log.String(), "\n")
@@ -170,11 +171,11 @@
 	for _, line := range lines {
 		var names []string
 		event := ""
-		for _, a := range attribute.FindAllStringSubmatch(line, -1) {
-			if a[1] == "msg" {
-				event = a[2]
-			} else if a[1] != "time" && a[1] != "left_out" {
-				names = append(names, a[1])
+		for _, match := range attribute.FindAllStringSubmatch(line, -1) {
+			if match[1] == "msg" {
+				event = match[2]
+			} else if match[1] != "time" && match[1] != "left_out" {
+				names = append(names, match[1])
 			}
 		}
 		if strings.HasPrefix(event, "subscriber") {
--- a/control/fanout/region_file.go
+++ b/control/fanout/region_file.go
@@ -19,30 +19,30 @@
 const (
 	maxFileBytes = 64 << 20
 
-	// filePollInterval is between two looks at the file, which has to be unchanged for that long.
+	// filePollInterval is the time between two polls of the file, which has to be unchanged for that long.
 	filePollInterval = 300 * time.Millisecond
 
-	// fileCheckInterval is between two checks whether the store says what the file says.
+	// fileCheckInterval is the time between two checks whether the store matches the file.
 	fileCheckInterval = 5 * time.Second
 
-	// maxWrittenStep is how many lines of a file are written in one tick: 20,000 a second, some 20 ms of a core.
+	// maxLinesPerTick limits how many lines of a file are written in one tick: 20,000 a second, some 20 ms of a core.
 	maxWrittenStep = 2000
 
-	// writerDelay is how long each gateway before this one has to write a line.
+	// writerDelay is how long each gateway ranked before this one has for writing a line.
 	writerDelay = 10 * time.Second
 
-	// newFilePeriod is how long a file is checked also while nothing changes, so that the gateways ranked after the
-	// first one can write. Later it is checked when the list changes.
+	// newFilePeriod is how long a new file is checked even if nothing changes, so that the gateways ranked after the first
+	// one can write. After that it is only checked when the list has changed.
 	newFilePeriod = time.Minute
 )
 
-// fileUpdate is a file as it was read, or why it cannot be used.
+// fileUpdate is a file that was read, or the error for which it cannot be used.
 type fileUpdate struct {
 	file *subscribers.RegionFile
 	err  error
 }
 
-// ReadRegionFile reads a region's file: YAML, or JSON lines where its name ends in .json or .jsonl.
+// ReadRegionFile reads a region's file: YAML, or JSON lines if its name ends in .json or .jsonl.
 func ReadRegionFile(path string) (file *subscribers.RegionFile, err error) {
 	text, err := strictyaml.ReadFile(path, maxFileBytes)
 	if err != nil {
@@ -59,21 +59,21 @@
 	return file, nil
 }
 
-// IsRegionFile reports whether a YAML file looks like a region's list.
+// IsRegionFile reports whether a YAML file looks like a region's file.
 func IsRegionFile(path string) bool {
 	text, err := os.ReadFile(path)
 	return err == nil && bytes.Contains(append([]byte("\n"), text...), []byte("\nsubscriptions:"))
 }
 
-// fileStamp tells versions of a file apart without reading it.
+// fileStamp distinguishes versions of a file without reading it.
 type fileStamp struct {
 	size       int64
 	modifiedAt time.Time
 	missing    bool
 }
 
-// watchFile sends the file as it is, and after each change once it has been unchanged for filePollInterval, until ctx
-// ends.
+// watchFile sends the current file, and then the file after each change, once it has been unchanged for
+// filePollInterval. It returns when ctx ends.
 func watchFile(ctx context.Context, path string, updates chan<- fileUpdate) {
 	var previous, sent fileStamp
 	for first := true; ; first = false {
@@ -103,13 +103,13 @@
 	}
 }
 
-// acceptFile makes a file the one to apply, if it can be used.
+// acceptFile makes a file the one to apply, unless it cannot be used.
 func (g *Gateway) acceptFile(update fileUpdate) {
 	if update.err == nil && update.file.Region != g.options.Self.Region {
 		update.err = &RegionMismatchError{update.file.Region, g.options.Self.Region}
 	}
 	if update.err != nil {
-		g.logRejectedFile(update.err, "its last list")
+		g.logRejectedFile(update.err, "the last valid file")
 		return
 	}
 	g.log.Info("subscriber_file_loaded", "path", g.options.FilePath, "generation", update.file.Generation, "subscriptions", len(update.file.Lines))
@@ -117,11 +117,11 @@
 	clear(g.loop.reportedStaleness)
 }
 
-func (g *Gateway) logRejectedFile(err error, inForce string) {
-	g.log.Warn("subscriber_file_rejected", advice.LogAttrs(err, "path", g.options.FilePath, "in_force", inForce)...)
+func (g *Gateway) logRejectedFile(err error, active string) {
+	g.log.Warn("subscriber_file_rejected", advice.LogAttrs(err, "path", g.options.FilePath, "in_force", active)...)
 }
 
-// checkFile applies the file from time to time, and at once where some of it is left.
+// checkFile applies the file at intervals, and again at the next tick if lines are left over.
 func (g *Gateway) checkFile(t time.Time) {
 	if len(g.loop.unapplied) > 0 || t.Sub(g.loop.lastFileCheck) < fileCheckInterval {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// applyFile writes what the file says and the store does not, as many lines as fit in a tick, and reports whether some
+// applyFile writes what is in the file but not in the store, as many lines as fit in a tick, and reports whether some
 // are left.
 func (g *Gateway) applyFile() (more bool) {
 	if g.loop.file == nil || g.loop.fileApplied && time.Since(g.loop.fileAcceptedAt) > newFilePeriod {
@@ -143,14 +143,14 @@
 		return false
 	}
 	maxRank := int(time.Since(g.loop.fileAcceptedAt) / writerDelay)
-	isOwn := func(key subscribers.Key) bool { return g.loop.decisions.FileWriterRank(key) <= maxRank }
-	keys, stale := g.loop.file.FindChanges(g.loop.list, isOwn, maxWrittenStep)
+	mayWrite := func(key subscribers.Key) bool { return g.loop.decisions.FileWriterRank(key) <= maxRank }
+	keys, stale := g.loop.file.FindChanges(g.loop.list, mayWrite, maxWrittenStep)
 	g.reportStaleLines(stale)
 	written := g.writeLines(keys)
 	return len(keys) == maxWrittenStep && written > 0
 }
 
-// admitFile records in the store that the file is in force, and reports whether it is. A stale file is dropped.
+// admitFile records the file as the active one in the store, and reports whether it is. A stale file is dropped.
 func (g *Gateway) admitFile() bool {
 	_, err := g.options.Store.Update(subscribers.RegionFileKeyPrefix+g.loop.file.Region, func(entry crdt.Entry) ([]byte, bool, error) {
 		value, err := g.loop.file.Admit(subscribers.DecodeFileStatus(entry))
@@ -158,7 +158,7 @@
 	})
 	var stale *subscribers.StaleFileError
 	if errors.As(err, &stale) {
-		g.logRejectedFile(err, "what the instances share")
+		g.logRejectedFile(err, "the file recorded in the store")
 		g.loop.file = nil
 		return false
 	}
@@ -169,7 +169,7 @@
 	return true
 }
 
-// reportStaleLines reports each line about a subscriber that has unsubscribed once.
+// reportStaleLines reports, once each, the lines about subscribers that have unsubscribed.
 func (g *Gateway) reportStaleLines(stale []*subscribers.StaleLineError) {
 	for _, line := range stale {
 		if len(g.loop.reportedStaleness) < maxRememberedReports && g.loop.reportedStaleness[line.Key] != line.UnsubscribedConsent {
@@ -179,8 +179,8 @@
 	}
 }
 
-// writeLines writes what the file says of some subscribers, and returns how many writes succeeded. An unsubscription is
-// never held up by the tenant's contract.
+// writeLines applies the file to some subscribers, and returns how many writes succeeded. The tenant's contract never
+// prevents an unsubscription.
 func (g *Gateway) writeLines(keys []subscribers.Key) (written int) {
 	zoneErrors := map[string]error{} // by tenant
 	for _, key := range keys {
--- a/control/fanout/search.go
+++ b/control/fanout/search.go
@@ -17,11 +17,11 @@
 
 const (
 	searchKind            = "standing"      // of background work, in the scheduler's budgets
-	maxConcurrentSearches = 8               // standing searches with their deliveries
-	maxSearchDelay        = 2 * time.Minute // that a standing search may wait for others before it is given up
+	maxConcurrentSearches = 8               // standing searches, including their deliveries
+	maxSearchDelay        = 2 * time.Minute // how long a standing search may wait for others before it is skipped
 )
 
-// startDueSearches hands the searches that are due to the scheduler.
+// startDueSearches passes the searches that are due to the scheduler.
 func (g *Gateway) startDueSearches() {
 	if g.loop.draining {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// runSearch runs a standing search and returns its values by block, nil where it failed.
+// runSearch runs a standing search and returns its values by block, nil if it failed.
 func (g *Gateway) runSearch(ctx context.Context, name string, search subscribers.DueSearch) (values map[int][]byte) {
 	blocks := search.Blocks
 	if len(blocks) == 0 {
@@ -77,7 +77,7 @@
 	return values
 }
 
-// failureReason returns why a search has no result, empty for an outcome with one.
+// failureReason returns why a search has no result, empty if it has one.
 func failureReason(outcome int) string {
 	switch outcome {
 	case coordinator.OutcomeShed:
@@ -85,7 +85,7 @@
 	case coordinator.OutcomeFailed:
 		return "errored"
 	case coordinator.OutcomeDuplicateID:
-		return "its name is open"
+		return "a search with the same ID is in flight"
 	}
 	return ""
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// completeSearch ends a search and delivers what changed. It runs in the search's goroutine.
+// completeSearch ends a search and delivers what has changed. It runs in the search's goroutine.
 func (g *Gateway) completeSearch(ctx context.Context, search subscribers.DueSearch, values map[int][]byte) {
 	hashes := map[int]uint64{}
 	for block, value := range values {
--- a/control/fanout/serve.go
+++ b/control/fanout/serve.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	tickInterval     = 100 * time.Millisecond // a handover takes some ten ticks
+	tickInterval     = 100 * time.Millisecond // a handover takes about ten ticks
 	cleanupInterval  = time.Minute
-	maxCleanupStep   = 200         // expired unsubscriptions deleted at once
-	statsLogInterval = time.Second // at least, while the list or the view changes
+	maxCleanupStep   = 200         // expired unsubscriptions deleted per cleanup
+	statsLogInterval = time.Second // minimum, while the list or the view changes
 )
 
-// Serve runs the gateway until stopping is done and the deliveries in flight have ended, or ctx ends.
+// Serve runs the gateway until ctx ends, or until stopping ends and the deliveries in flight have ended or timed
+// out.
 func (g *Gateway) Serve(ctx, stopping context.Context, searches *coordinator.SearchAPI) error {
 	select {
 	case <-g.options.Store.Ready():
@@ -40,7 +41,7 @@
 	g.loop.decisions = subscribers.NewGateway(now(), g.options.Self, g.options.Rules())
 	schedule := scheduler.NewSchedule(rand.New(rand.NewSource(g.options.Seed)), map[string]scheduler.Budget{searchKind: {MaxConcurrent: maxConcurrentSearches}})
 	g.loop.pool = scheduler.NewPool(coordinator.SystemClock{}, schedule, func(string, error) {})
-	background.Go(func() { _ = g.loop.pool.Run(running) }) // it ends with running
+	background.Go(func() { _ = g.loop.pool.Run(running) }) // it returns when running ends
 	fileUpdates := make(chan fileUpdate)
 	if g.options.FilePath != "" {
 		background.Go(func() { watchFile(running, g.options.FilePath, fileUpdates) })
@@ -79,7 +80,7 @@
 	}
 }
 
-// tick does what is due, in steps that each take some milliseconds, and reports whether the gateway has drained.
+// tick does the periodic work, in steps that each take some milliseconds, and reports whether the gateway has drained.
 func (g *Gateway) tick(t time.Time, stopping bool) (drained bool) {
 	g.recordLoad(t)
 	g.readStore(t)
@@ -112,7 +113,7 @@
 }
 
 // recordLoad reports the machine's load to the scheduler: the share of time in which the coordinator was busy, or by
-// which the tick comes late.
+// which the tick is late, whichever is greater.
 func (g *Gateway) recordLoad(t time.Time) {
 	busyTime := g.loop.searches.BusyTime()
 	if !t.After(g.loop.lastLoadSample) {
@@ -125,7 +126,7 @@
 	g.loop.lastBusyTime, g.loop.lastLoadSample = busyTime, t
 }
 
-// deleteExpired deletes unsubscribed entries that need not be remembered any more.
+// deleteExpired deletes unsubscribed entries that need not be kept any longer.
 func (g *Gateway) deleteExpired() {
 	for _, key := range g.loop.list.FindExpiredTombstones(wallMS(), maxCleanupStep) {
 		if _, err := g.options.Store.Delete(key.LedgerKey()); err != nil {
--- a/control/fanout/site_test.go
+++ b/control/fanout/site_test.go
@@ -30,18 +30,18 @@
 	"chalkring/internal/fake"
 )
 
-// testTimeout limits how long a test waits for something to happen. No verdict depends on anything happening sooner.
+// testTimeout limits how long a test waits for a condition. No test depends on a condition being met sooner.
 const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// isolatedTransport is the network of an instance that is alone.
+// isolatedTransport is the network of an instance without peers.
 type isolatedTransport struct{}
 
 func (isolatedTransport) Send(context.Context, string, byte, []byte) error { return context.Canceled }
 func (isolatedTransport) Handle(byte, func(string, []byte))                {}
 
-// fakeDisk stores what it is given until it is full.
+// fakeDisk stores values in memory until it is marked as full.
 type fakeDisk struct {
 	sync.Mutex
 	values map[string][]byte
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// testSite is what outlives an instance: hosts, a disk, the region's file and a receiver.
+// testSite is the environment of an instance, which outlives it: hosts, a disk, the region's file and a receiver.
 type testSite struct {
 	t                *testing.T
 	disk             *fakeDisk
@@ -80,7 +80,7 @@
 	receiver         *httptest.Server
 	discovery        *fake.DiscoveryServer
 	valueVersion     atomic.Int64 // in the hosts' values of block 0
-	rejectDeliveries atomic.Bool  // the receiver records deliveries and answers that it has not
+	rejectDeliveries atomic.Bool  // the receiver records deliveries but replies with an error
 
 	mu       sync.Mutex
 	received []DeliveryMessage
@@ -109,12 +109,12 @@
 func (s *testSite) answer(request fake.ShardRequest) {
 	version := s.valueVersion.Load()
 	if request.Shard > 0 {
-		version = 0 // one block changes
+		version = 0 // only block 0 changes
 	}
 	request.Reply("good", "1", fmt.Sprint(request.Text, " ", version))
 }
 
-// receive is the receiver's handler.
+// receive is the receiver's HTTP handler.
 func (s *testSite) receive(w http.ResponseWriter, request *http.Request) {
 	var message DeliveryMessage
 	if json.NewDecoder(request.Body).Decode(&message) != nil || request.URL.Path != "/"+message.Tenant {
@@ -136,7 +136,7 @@
 	return s.log.Write(p)
 }
 
-// logged returns a condition that holds once the log has a text.
+// logged returns a condition that holds once the log contains a text.
 func (s *testSite) logged(text string) func() bool {
 	return func() bool {
 		s.mu.Lock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// start starts an instance; stop ends it and waits for its end.
+// start starts an instance; stop stops it and waits until it has ended.
 func (s *testSite) start(incarnation uint64) (gateway *Gateway, store *replication.Replicator, stop func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(s.t, err)
@@ -170,11 +170,11 @@
 		case err := <-ended:
 			require.NoError(s.t, err)
 		case <-time.After(testTimeout):
-			s.t.Error("does not end")
+			s.t.Error("the instance does not end")
 		}
 		closing, cancelClosing := context.WithTimeout(context.Background(), time.Second)
 		defer cancelClosing()
-		_ = store.Close(closing) // a full disk is among the tests
+		_ = store.Close(closing) // fails in the test with a full disk
 		httpClient.CloseIdleConnections()
 	})
 	s.t.Cleanup(stop)
@@ -191,7 +191,8 @@
 	return sitePlan
 }
 
-// newGateway returns a gateway that is alone. Instances are in two zones, and the tenant "other" may be in one of them.
+// newGateway returns a gateway without peers. Instances are in two zones, and the tenant "other" is allowed in one of
+// them.
 func (s *testSite) newGateway(incarnation uint64, store ReplicatedStore, log *slog.Logger) *Gateway {
 	self := subscribers.Member{Name: "n0", Region: "eu", Incarnation: incarnation}
 	return New(Options{
@@ -205,14 +206,14 @@
 	})
 }
 
-// writeFile puts a new region's file into the place of the last one.
+// writeFile replaces the region's file.
 func (s *testSite) writeFile(generation int, lines ...string) {
 	text := fmt.Sprintf("region: eu\ngeneration: %d\ndeliver: %s/{tenant}\ncount: %d\nsubscriptions:\n%s\n", generation, s.receiver.URL, len(lines), strings.Join(lines, "\n"))
 	require.NoError(s.t, os.WriteFile(s.path+".new", []byte(text), 0o600))
 	require.NoError(s.t, os.Rename(s.path+".new", s.path))
 }
 
-// deliveries returns those to one subscriber so far.
+// deliveries returns the deliveries to one subscriber so far.
 func (s *testSite) deliveries(id string) (messages []DeliveryMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/fanout/store_reader.go
+++ b/control/fanout/store_reader.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// A scan looks at every subscription. While changes come, scans are minScanInterval apart, and at least
-	// scanCostFactor times as long as a scan takes, up to maxScanInterval.
+	// A scan looks at every subscription. While the list changes, the time between scans is scanCostFactor times that of
+	// the last scan, but at least minScanInterval and at most maxScanInterval.
 	minScanInterval = 250 * time.Millisecond
 	maxScanInterval = 2 * time.Second
 	scanCostFactor  = 4
 
-	// maxAppliedStep is how many scanned entries are applied in one tick: some 40 ms of a core.
+	// maxEntriesPerTick limits how many scanned entries are applied in one tick: some 40 ms of a core.
 	maxAppliedStep = 4000
 )
 
@@ -40,14 +40,14 @@
 // publishStatus puts this gateway's status into the store.
 func (g *Gateway) publishStatus(status subscribers.StatusMessage) {
 	if _, err := g.options.Store.Put(subscribers.StatusMessageKeyPrefix+g.options.Self.Name, status.Encode()); err != nil {
-		g.warnLimited("subscriber_update_failed", advice.LogAttrs(err, "subscriber", "this gateway's status: nobody is served here")...)
+		g.warnLimited("subscriber_update_failed", advice.LogAttrs(err, "subscriber", "the status of this gateway, which serves no subscribers until it is stored")...)
 		return
 	}
 	g.loop.decisions.ConfirmStatusMessage(status)
 	g.loop.statsChanged = true
 }
 
-// readStatuses passes on the gateways' statuses that have changed.
+// readStatuses processes the gateways' statuses that have changed.
 func (g *Gateway) readStatuses() {
 	var entries []crdt.Entry
 	g.options.Store.ScanPrefix(subscribers.StatusMessageKeyPrefix, func(entry crdt.Entry) bool {
@@ -65,7 +65,7 @@
 	}
 }
 
-// scanList collects the entries that have changed, and removes those that are gone.
+// scanList collects the entries that have changed, and removes deleted ones from the list.
 func (g *Gateway) scanList() {
 	g.loop.list.BeginScan()
 	g.options.Store.ScanPrefix(subscribers.KeyPrefix, func(entry crdt.Entry) bool {
@@ -112,7 +112,7 @@
 	}
 }
 
-// reportInvalidEntry reports an entry that cannot be read, once while it does not change.
+// reportInvalidEntry reports an entry that cannot be decoded, once until it changes.
 func (g *Gateway) reportInvalidEntry(entry crdt.Entry, err error) {
 	digest := subscribers.EntryDigest(entry)
 	if g.loop.reportedInvalid[entry.Name] == digest {
--- a/control/subscribers/delivery.go
+++ b/control/subscribers/delivery.go
@@ -9,7 +9,7 @@
 type Delivery struct {
 	Key              Key
 	Consent          uint64
-	Number, Previous DeliveryNumber // Previous is that of the delivery before, as far as it is known
+	Number, Previous DeliveryNumber // Previous is the number of the delivery before, if known
 	Period           int64
 	Blocks           []int
 
@@ -17,9 +17,9 @@
 	subscription *subscription
 }
 
-// CompleteSearch takes the result of a search: hashes of the values by block, without the blocks that are missing. It
-// returns a delivery, to be ended by CompleteDelivery; ok is false where there is nothing to deliver: nothing has
-// changed, the subscriber has unsubscribed or changed its details, or another gateway owns it by now.
+// CompleteSearch processes the result of a search: the hashes of the values by block, without missing blocks. It
+// returns a delivery, which the caller ends by CompleteDelivery. ok is false if there is nothing to deliver: nothing
+// has changed, the subscriber has unsubscribed or changed its details, or another gateway owns it by now.
 func (g *Gateway) CompleteSearch(now int64, search DueSearch, values map[int]uint64) (delivery Delivery, ok bool) {
 	s := search.subscription
 	changed, changedDigest := s.changedBlocks(values)
@@ -53,8 +53,8 @@
 	return blocks, d.sum()
 }
 
-// numberDelivery returns the number of a delivery. The same values keep the number of a delivery that may have arrived,
-// so that the receiver can drop it.
+// numberDelivery returns the number of a delivery. If the same values were sent in a delivery that may have arrived,
+// its number is reused, so that the receiver can drop the duplicate.
 func (g *Gateway) numberDelivery(s *subscription, valuesDigest uint64) DeliveryNumber {
 	if s.pending != nil && s.pendingDigest == valuesDigest && s.pending.Number.Epoch == g.epoch {
 		g.stats.Repeated++
@@ -65,7 +65,8 @@
 	return DeliveryNumber{g.epoch, g.lastSequence, g.self.Name}
 }
 
-// valuesAfter returns the hashes of the searched blocks as they are once the values are delivered.
+// valuesAfter returns the hashes of the searched blocks once the given values are delivered. Blocks without a value
+// keep the hash delivered last.
 func (s *subscription) valuesAfter(search DueSearch, values map[int]uint64) map[int]uint64 {
 	merged := map[int]uint64{}
 	for block, value := range s.Checkpoint.Values {
@@ -77,7 +78,7 @@
 	return merged
 }
 
-// CompleteDelivery reports how a delivery ended. For one that arrived it returns the checkpoint for the shared map.
+// CompleteDelivery records whether a delivery arrived. If it did, the checkpoint for the shared map is returned.
 func (g *Gateway) CompleteDelivery(now int64, delivery Delivery, arrived bool) (checkpoint DeliveryCheckpoint) {
 	s := delivery.subscription
 	g.pendingDeliveries--
@@ -94,7 +95,7 @@
 	return checkpoint
 }
 
-// endFlight ends a search with its delivery and schedules the next one.
+// finishSearch ends a search, including its delivery, and schedules the next one.
 func (g *Gateway) endFlight(now int64, s *subscription) {
 	g.inFlight--
 	s.searching = false
--- a/control/subscribers/delivery_number.go
+++ b/control/subscribers/delivery_number.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// DeliveryNumber orders the deliveries to a subscriber. Epochs rise over all gateways, the sequence within an epoch. No
-// two gateways have one name.
+// DeliveryNumber orders the deliveries to a subscriber. Epochs rise across all gateways, sequences within an epoch.
+// Gateway names are unique.
 type DeliveryNumber struct {
 	Epoch    uint64 `cbor:"1,keyasint" json:"turn"`
 	Sequence uint64 `cbor:"2,keyasint" json:"n"`
@@ -23,13 +23,13 @@
 	return fmt.Sprintf("%d.%d.%s", n.Epoch, n.Sequence, n.Gateway)
 }
 
-// DeliveryCheckpoint is what was delivered last. A gateway that takes a subscriber over continues from it.
+// DeliveryCheckpoint records what was delivered last. A gateway that takes over a subscriber continues from it.
 type DeliveryCheckpoint struct {
 	Number DeliveryNumber `cbor:"1,keyasint"`
 	Values map[int]uint64 `cbor:"2,keyasint,omitempty"` // hash of the last delivered value, by block
 }
 
-// compare orders checkpoints by number, and those of one number by their encoding, so that all instances agree.
+// compare orders checkpoints by number, and those with the same number by their encoding, so that all instances agree.
 func (c DeliveryCheckpoint) compare(other DeliveryCheckpoint) int {
 	if order := c.Number.Compare(other.Number); order != 0 {
 		return order
--- a/control/subscribers/digest.go
+++ b/control/subscribers/digest.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digest hashes a sequence of texts and numbers, so that different sequences have different inputs.
+// digest hashes a sequence of texts and numbers. Each text is preceded by its length, so that different sequences hash
+// different bytes.
 type digest struct{ hash xxhash.Digest }
 
 func newDigest() *digest {
@@ -28,8 +29,8 @@
 
 func (d *digest) sum() uint64 { return d.hash.Sum64() }
 
-// rendezvousHash is the weight of a gateway for a subscriber, by the hashes of both: the gateway with the highest one
-// owns the subscriber. The constants are splitmix64's.
+// rendezvousHash returns the weight of a gateway for a subscriber, computed from the hashes of both: the gateway with
+// the highest weight owns the subscriber. The constants are those of splitmix64.
 func rendezvousHash(gateway, subscriber uint64) uint64 {
 	x := gateway ^ subscriber
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/control/subscribers/errors.go
+++ b/control/subscribers/errors.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// InvalidRecordError reports an entry of the shared map that is no subscription.
+// InvalidRecordError reports an entry of the shared map that is not a valid subscription.
 type InvalidRecordError struct{ Name, Reason string }
 
 func (e *InvalidRecordError) Error() string {
-	return fmt.Sprintf("entry %.80q is no subscription: %s", e.Name, e.Reason)
+	return fmt.Sprintf("entry %.80q is not a valid subscription: %s", e.Name, e.Reason)
 }
 
 // Advice tells an operator what to do.
 func (e *InvalidRecordError) Advice() string {
-	return "See which instance runs another version; the entry is passed over and its subscriber is not served here."
+	return "Find the instance that runs another version; the entry is ignored and its subscriber is not served here."
 }
 
 // InvalidSubscriptionError reports a subscription that cannot be accepted.
@@ -26,13 +26,13 @@
 
 // Advice tells an operator what to do.
 func (e *InvalidSubscriptionError) Advice() string {
-	return "Mend the subscription where it comes from; nothing of it was taken in."
+	return "Correct the subscription at its source; no part of it was accepted."
 }
 
 // NotSubscribedError reports a change to a subscriber that is unknown or has unsubscribed.
 type NotSubscribedError struct {
 	Key                 Key
-	UnsubscribedConsent uint64 // of the unsubscription, 0 where there is none
+	UnsubscribedConsent uint64 // of the unsubscription, 0 if there was none
 }
 
 func (e *NotSubscribedError) Error() string {
@@ -44,22 +44,23 @@
 
 // Advice tells an operator what to do.
 func (e *NotSubscribedError) Advice() string {
-	return "Subscribe it anew if the subscriber wants it; a change alone brings nobody back."
+	return "Subscribe it again if the subscriber asks for that; a change of details does not resubscribe it."
 }
 
 // ListFullError reports a list that has reached MaxSubscriptions.
 type ListFullError struct{ Count, Max int }
 
 func (e *ListFullError) Error() string {
-	return fmt.Sprintf("%d subscriptions are held, %d at the most", e.Count, e.Max)
+	return fmt.Sprintf("the list holds %d subscriptions, at most %d are allowed", e.Count, e.Max)
 }
 
 // Advice tells an operator what to do.
 func (e *ListFullError) Advice() string {
-	return "Split the tenants over two fleets; unsubscribed entries go by themselves after 90 days while all instances are heard."
+	return "Split the tenants between two fleets; unsubscribed entries are deleted after 90 days while all voting members are alive."
 }
 
-// StaleFileError reports a region's file that is older than the one in force, or differs from it in the same generation.
+// StaleFileError reports a region's file that is older than the active one, or that differs from it within the same
+// generation.
 type StaleFileError struct {
 	Region                        string
 	Generation, CurrentGeneration int64
@@ -67,14 +68,14 @@
 
 func (e *StaleFileError) Error() string {
 	if e.Generation == e.CurrentGeneration {
-		return fmt.Sprintf("the file of region %s has generation %d, as another one has that is in force", e.Region, e.CurrentGeneration)
+		return fmt.Sprintf("the file of region %s has generation %d, like the active file, but differs from it", e.Region, e.CurrentGeneration)
 	}
-	return fmt.Sprintf("the file of region %s has generation %d, %d is in force", e.Region, e.Generation, e.CurrentGeneration)
+	return fmt.Sprintf("the file of region %s has generation %d, but generation %d is active", e.Region, e.Generation, e.CurrentGeneration)
 }
 
 // Advice tells an operator what to do.
 func (e *StaleFileError) Advice() string {
-	return "Give the file that is meant a generation above the one in force; until then nothing of it is taken in."
+	return "Give the intended file a generation above the active one; until then it is not applied."
 }
 
 // StaleLineError reports a line of a file about a subscriber that has unsubscribed since.
@@ -84,12 +85,12 @@
 }
 
 func (e *StaleLineError) Error() string {
-	return fmt.Sprintf("%s stands in the file with consent %d and unsubscribed at %d", e.Key, e.LineConsent, e.UnsubscribedConsent)
+	return fmt.Sprintf("%s has a line in the file with consent %d, but unsubscribed at consent %d", e.Key, e.LineConsent, e.UnsubscribedConsent)
 }
 
 // Advice tells an operator what to do.
 func (e *StaleLineError) Advice() string {
-	return fmt.Sprintf("Take the line out; only if the subscriber asked again since, give it consent: %d.", e.UnsubscribedConsent+1)
+	return fmt.Sprintf("Remove the line; only if the subscriber has asked again since, give it consent: %d.", e.UnsubscribedConsent+1)
 }
 
 // InvalidLineError reports a fault in one line of a file of JSON lines.
@@ -102,5 +103,5 @@
 
 // Advice tells an operator what to do.
 func (e *InvalidLineError) Advice() string {
-	return "Mend the line that is named; `chalkring check FILE` looks at the file again. Until then the last good file is in force."
+	return "Correct that line; `chalkring check FILE` checks the file again. Until then the last valid file stays active."
 }
--- a/control/subscribers/gateway.go
+++ b/control/subscribers/gateway.go
@@ -7,35 +7,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a gateway that is alive and takes part. Its incarnation changes with each start.
+// Member is a gateway that is alive. Its incarnation changes with each start.
 type Member struct {
 	Name, Region, Zone string
 	Incarnation        uint64
 }
 
-// PlacementRules say where a tenant's subscribers may be served.
+// PlacementRules determine where a tenant's subscribers may be served.
 type PlacementRules struct {
 	AllowsTenantData func(tenant, zone string) bool // whether a tenant's entries may be in a zone; nil for anywhere
-	Generation       uint64                         // changes with the rules, in the same way on all gateways
+	Generation       uint64                         // changes with the rules; the same on all gateways
 }
 
-// GatewayStats is what a gateway has done, and its present state.
+// GatewayStats holds the counters and the current state of a gateway.
 type GatewayStats struct {
-	Served, Listed, Unassigned         int // subscribers: served here, on the list, without a gateway that may serve them
-	Runs, Deliveries, Failed, Repeated int
+	Served, Listed, Unassigned         int // subscribers: served here, on the list, without an eligible gateway
+	Runs, Deliveries, Failed, Repeated int // Failed and Repeated count deliveries; a repeated one reuses a number
 	ViewChanges                        int
 	Epoch                              uint64
 	Gateways                           int    // of the view
-	View                               uint64 // that is served by, 0 while a handover is under way
+	View                               uint64 // its hash, 0 while a handover is under way
 }
 
 // Gateway decides which subscribers this instance serves, when their searches run and how deliveries are numbered. It
-// is not safe for concurrent use; the goroutine that has it calls Tick at least every second.
+// is not safe for concurrent use; the goroutine that owns it has to call Tick at least every second.
 //
-// A view is the set of gateways that are reachable. When it changes, a gateway ends all it serves and publishes that in
-// the shared map, waits until all gateways of the view have published the same in this round, claims an epoch above all
-// that were seen, and begins to serve when that is in the shared map. So of the gateways with one view no two serve one
-// subscriber, and delivery numbers rise from one to the next.
+// A view is a set of reachable gateways. When it changes, a gateway stops serving and publishes the new view in the
+// shared map, waits until all gateways of the view have published the same in this round, claims an epoch above all it
+// has seen, and begins to serve once the claim is in the shared map. So no two gateways with the same view serve the
+// same subscriber, and delivery numbers rise from one gateway to the next.
 type Gateway struct {
 	self          Member
 	rules         PlacementRules
@@ -45,13 +45,13 @@
 	lastTickAt    int64
 	stats         GatewayStats
 
-	// Membership as it was last reported.
+	// Membership as last reported.
 	reachable      []Member // sorted by name
 	hasMajority    bool
-	reachableSince int64 // when the two above last changed
-	viewStaleSince int64 // since when they differ from the view, 0 while they do not
+	reachableSince int64 // when the members, the majority or the rules' generation last changed
+	viewStaleSince int64 // since when the view differs from them, 0 if it does not
 
-	// The view, and the agreement on it.
+	// The view and the agreement on it.
 	view             view
 	statuses         map[string]StatusMessage // by gateway
 	statusChangedAt  map[string]int64         // when each gateway's status last changed
@@ -59,10 +59,10 @@
 	published        StatusMessage // this gateway's, as it is in the shared map
 	claimedEpoch     uint64        // 0 until all have agreed
 	handoverSince    int64
-	highestEpoch     uint64 // that was seen
-	highestRound     uint64 // that was seen
-	minorityViewFrom int64  // before then only a majority forms a view
-	noViewBefore     int64  // before then nobody does
+	highestEpoch     uint64 // seen so far
+	highestRound     uint64 // seen so far
+	minorityViewFrom int64  // before this time only a majority forms a view
+	noViewBefore     int64  // before this time no view is formed
 
 	// Service.
 	serving           bool // no handover is under way
@@ -72,7 +72,7 @@
 	pendingDeliveries int
 }
 
-// subscription is what a gateway knows of one subscriber.
+// subscription is what a gateway knows about one subscriber.
 type subscription struct {
 	Record
 	key           Key
@@ -80,12 +80,12 @@
 	served        bool   // by this gateway
 	searching     bool
 	nextSearchAt  int64
-	scheduleIndex int       // in the schedule, -1 while it is not in it
-	pending       *Delivery // sent, and not known to have arrived
+	scheduleIndex int       // position in the schedule, -1 if it is not there
+	pending       *Delivery // sent, but not known to have arrived
 	pendingDigest uint64    // of the changed values in it
 }
 
-// NewGateway returns a gateway that serves nobody yet.
+// NewGateway returns a gateway that does not serve any subscriber yet.
 func NewGateway(now int64, self Member, rules PlacementRules) *Gateway {
 	return &Gateway{
 		self: self, rules: rules, subscriptions: map[Key]*subscription{}, regions: newRegionTracker(), lastTickAt: now,
@@ -94,8 +94,8 @@
 	}
 }
 
-// UpdateMembers reports which gateways are alive, this one among them, and whether they are a majority of the voting
-// members.
+// UpdateMembers sets which gateways are alive, including this one, and whether a majority of the voting members is
+// alive.
 func (g *Gateway) UpdateMembers(now int64, members []Member, majority bool) {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -105,7 +105,7 @@
 	g.regions.setReachable(now, members)
 }
 
-// SetRules puts other rules in force. A changed generation leads to another view.
+// SetRules replaces the rules. A changed generation leads to a new view.
 func (g *Gateway) SetRules(now int64, rules PlacementRules) {
 	if rules.Generation != g.rules.Generation {
 		g.reachableSince = now
@@ -113,13 +113,14 @@
 	g.rules = rules
 }
 
-// IsServing reports that no handover is under way.
+// IsServing reports whether the gateway serves its subscribers, that is, whether no handover is under way.
 func (g *Gateway) IsServing() bool { return g.serving }
 
 // CountDeliveries returns how many deliveries are in flight.
 func (g *Gateway) CountDeliveries() int { return g.pendingDeliveries }
 
-// HandleStatusMessage takes a gateway's status from the shared map, also this one's of an earlier incarnation.
+// HandleStatusMessage processes a gateway's status from the shared map, including that of an earlier incarnation of
+// this gateway.
 func (g *Gateway) HandleStatusMessage(name string, status StatusMessage) {
 	if g.statuses[name] != status {
 		g.statusChangedAt[name] = g.lastTickAt
@@ -128,13 +129,13 @@
 	g.highestEpoch, g.highestRound = max(g.highestEpoch, status.Epoch), max(g.highestRound, status.Round)
 }
 
-// ConfirmStatusMessage reports that a status of this gateway is in the shared map.
+// ConfirmStatusMessage records that a status of this gateway is in the shared map.
 func (g *Gateway) ConfirmStatusMessage(status StatusMessage) {
 	g.published = status
 	g.HandleStatusMessage(g.self.Name, status)
 }
 
-// SetRecord takes what the list holds of a subscriber; exists is false for one that is not on it.
+// SetRecord sets a subscriber's record as the list holds it; exists is false if the subscriber is not on the list.
 func (g *Gateway) SetRecord(now int64, key Key, record Record, exists bool) {
 	s := g.subscriptions[key]
 	if !exists || record.IsUnsubscribed() {
@@ -163,13 +164,13 @@
 	if s.Consent != record.Consent || !s.Details.equal(record.Details) {
 		s.pending = nil
 	}
-	if s.Consent == record.Consent && s.Checkpoint.compare(record.Checkpoint) > 0 { // this gateway's, on its way to the shared map
+	if s.Consent == record.Consent && s.Checkpoint.compare(record.Checkpoint) > 0 { // this gateway's own, not in the shared map yet
 		record.Checkpoint = s.Checkpoint
 	}
 	s.Record = record
 }
 
-// Stats returns what the gateway has done, and its present state.
+// Stats returns the counters and the current state of the gateway.
 func (g *Gateway) Stats() GatewayStats {
 	stats := g.stats
 	stats.Listed, stats.Epoch, stats.Gateways = len(g.subscriptions), g.epoch, len(g.view.members)
@@ -186,11 +187,11 @@
 	return stats
 }
 
-// regionTracker keeps since when regions are unreachable, and which of them are taken over.
+// regionTracker tracks since when regions have been unreachable, and which of them are taken over.
 type regionTracker struct {
 	known            map[string]bool
 	unreachableSince map[string]int64
-	takenOver        map[string]bool // unreachable regions whose subscribers this gateway's view serves
+	takenOver        map[string]bool // unreachable regions whose subscribers the gateways of this view serve
 }
 
 func newRegionTracker() regionTracker {
@@ -212,7 +213,7 @@
 	}
 }
 
-// add makes a region known, as unreachable if it was not known before.
+// add records a region. One that was not known before counts as unreachable.
 func (r *regionTracker) add(now int64, region string) {
 	if !r.known[region] {
 		r.known[region], r.unreachableSince[region] = true, now
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -18,7 +18,7 @@
 	"chalkring/internal/advice"
 )
 
-// goldenRecord is a record with another value in each field.
+// goldenRecord returns a record with a different value in each field.
 func goldenRecord() Record {
 	return Record{
 		Consent: 11, Unsubscriptions: map[string]uint64{"n0": 12, "n1": 13}, SeenUnsubscriptions: map[string]uint64{"n0": 14, "n1": 15}, Revision: 16,
@@ -28,47 +28,49 @@
 	}
 }
 
-// Records, gateways' words and files' standings as the ledger of today's build holds them.
+// The stored form of records, gateways' status messages and file statuses must not change: other versions and older
+// disks hold the same form.
 func TestGoldenSubscriberRecords(t *testing.T) {
-	const file = "records.cbor.txt"
+	const goldenFile = "records.cbor.txt"
 	record := goldenRecord()
 	least := Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: MinInterval}}
-	gone := record.withUnsubscription("n2", 1_700_000_000_000)
-	word, standing := StatusMessage{View: 31, Round: 32, Epoch: 33}, FileStatus{Generation: 34, Digest: 35}
-	standingText, err := cbor.Marshal(standing)
+	unsubscribed := record.withUnsubscription("n2", 1_700_000_000_000)
+	message, fileStatus := StatusMessage{View: 31, Round: 32, Epoch: 33}, FileStatus{Generation: 34, Digest: 35}
+	fileStatusText, err := cbor.Marshal(fileStatus)
 	require.NoError(t, err)
 	var all strings.Builder
 	all.WriteString(golden.CBORMessage(t, "record, every field", record.Encode()))
 	all.WriteString(golden.CBORMessage(t, "record, fewest fields", least.Encode()))
-	all.WriteString(golden.CBORMessage(t, "record, unsubscribed", gone.Encode()))
-	all.WriteString(golden.CBORMessage(t, "word", word.Encode()))
-	all.WriteString(golden.CBORMessage(t, "standing", standingText))
-	golden.Require(t, file, all.String())
+	all.WriteString(golden.CBORMessage(t, "record, unsubscribed", unsubscribed.Encode()))
+	all.WriteString(golden.CBORMessage(t, "word", message.Encode()))
+	all.WriteString(golden.CBORMessage(t, "standing", fileStatusText))
+	golden.Require(t, goldenFile, all.String())
 
-	for name, want := range map[string]Record{"record, every field": record, "record, fewest fields": least, "record, unsubscribed": gone} {
-		got, err := DecodeRecord(golden.ReadCBORMessage(t, file, name))
+	for name, want := range map[string]Record{"record, every field": record, "record, fewest fields": least, "record, unsubscribed": unsubscribed} {
+		got, err := DecodeRecord(golden.ReadCBORMessage(t, goldenFile, name))
 		require.NoError(t, err)
 		require.Equal(t, want, got, name)
 	}
 	require.False(t, record.IsUnsubscribed())
-	require.True(t, gone.IsUnsubscribed())
-	require.Equal(t, word, DecodeStatusMessage(entryOf("subat/n0", StatusMessage{View: 99, Round: 31, Epoch: 99}.Encode(), golden.ReadCBORMessage(t, file, "word"))))
-	require.Equal(t, standing, DecodeFileStatus(entryOf("subfile/eu", golden.ReadCBORMessage(t, file, "standing"))))
-	f := RegionFile{Region: "eu", Generation: 34, Digest: 35}
-	admitted, err := f.Admit(FileStatus{Generation: 33, Digest: 99})
+	require.True(t, unsubscribed.IsUnsubscribed())
+	require.Equal(t, message, DecodeStatusMessage(entryOf("subat/n0", StatusMessage{View: 99, Round: 31, Epoch: 99}.Encode(), golden.ReadCBORMessage(t, goldenFile, "word"))))
+	require.Equal(t, fileStatus, DecodeFileStatus(entryOf("subfile/eu", golden.ReadCBORMessage(t, goldenFile, "standing"))))
+	file := RegionFile{Region: "eu", Generation: 34, Digest: 35}
+	admitted, err := file.Admit(FileStatus{Generation: 33, Digest: 99})
 	require.NoError(t, err)
-	require.Equal(t, standingText, admitted)
+	require.Equal(t, fileStatusText, admitted)
 }
 
-func entryOf(name string, values ...[]byte) (e crdt.Entry) {
-	e.Name = name
+func entryOf(name string, values ...[]byte) (entry crdt.Entry) {
+	entry.Name = name
 	for _, value := range values {
-		e.Siblings = append(e.Siblings, crdt.Sibling{Value: value})
+		entry.Siblings = append(entry.Siblings, crdt.Sibling{Value: value})
 	}
-	return e
+	return entry
 }
 
-// Names of the ledger, and hashes that are kept in it or that all gateways have to work out alike.
+// Names in the shared map must not change, and neither must hashes that are stored in it or that all gateways have to
+// compute alike.
 func TestGoldenSubscriberNamesAndHashes(t *testing.T) {
 	record := goldenRecord()
 	key := Key{Tenant: "acme", ID: "s1"}
@@ -81,9 +83,9 @@
 	fmt.Fprintf(&all, "past of a changed record %016x\n", record.withDetails(Details{Type: "t", Interval: MinInterval}).withPriorHashesOf(record).PriorHashes)
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
-	f, err := ParseYAML(text)
+	file, err := ParseYAML(text)
 	require.NoError(t, err)
-	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", f.Digest, f.Lines[key].detailsHash)
+	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", file.Digest, file.Lines[key].detailsHash)
 	list := NewList()
 	_, _, _, err = list.ApplyEntry(entryOf(key.LedgerKey(), record.Encode()))
 	require.NoError(t, err)
@@ -92,72 +94,72 @@
 	fmt.Fprintln(&all, record.withUnsubscription("n0", 1).Describe())
 
 	members := []Member{{"n0", "eu", "eu-1", 1}, {"n1", "eu", "eu-2", 2}, {"n2", "us", "us-1", 3}}
-	g := NewGateway(0, members[0], PlacementRules{Generation: 4})
-	for now := int64(second); now < 100*second && !g.IsServing(); now += second {
-		g.UpdateMembers(now, members, true)
-		word, say := g.Tick(now, 1_700_000_000_000)
-		if !say {
+	gateway := NewGateway(0, members[0], PlacementRules{Generation: 4})
+	for now := int64(second); now < 100*second && !gateway.IsServing(); now += second {
+		gateway.UpdateMembers(now, members, true)
+		status, publish := gateway.Tick(now, 1_700_000_000_000)
+		if !publish {
 			continue
 		}
-		fmt.Fprintf(&all, "word %x view %016x round %d turn %d\n", word.Encode(), word.View, word.Round, word.Epoch)
-		g.ConfirmStatusMessage(word)
-		for _, m := range members[1:] {
-			g.HandleStatusMessage(m.Name, word)
+		fmt.Fprintf(&all, "word %x view %016x round %d turn %d\n", status.Encode(), status.View, status.Round, status.Epoch)
+		gateway.ConfirmStatusMessage(status)
+		for _, member := range members[1:] {
+			gateway.HandleStatusMessage(member.Name, status)
 		}
 	}
-	require.True(t, g.IsServing())
+	require.True(t, gateway.IsServing())
 	for i := range 8 {
-		k := Key{Tenant: "acme", ID: fmt.Sprint("s", i)}
-		g.SetRecord(100*second, k, Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: 60 * second}, Attachments: map[string]Attachment{"eu": {}}}, true)
-		held := g.subscriptions[k]
-		fmt.Fprintln(&all, "owner of", k, "is", g.ownerOf(held), "rank here", g.FileWriterRank(k), "next search here at", held.nextSearchAt)
+		key := Key{Tenant: "acme", ID: fmt.Sprint("s", i)}
+		gateway.SetRecord(100*second, key, Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: 60 * second}, Attachments: map[string]Attachment{"eu": {}}}, true)
+		s := gateway.subscriptions[key]
+		fmt.Fprintln(&all, "owner of", key, "is", gateway.ownerOf(s), "rank here", gateway.FileWriterRank(key), "next search here at", s.nextSearchAt)
 	}
 	golden.Require(t, "names.txt", all.String())
-	got, ok := ParseKey("sub/acme/s1")
+	parsed, ok := ParseKey("sub/acme/s1")
 	require.True(t, ok)
-	require.Equal(t, key, got)
+	require.Equal(t, key, parsed)
 }
 
-// YAML and JSON lines with every key, each with another value, say the same.
+// YAML and JSON lines that set every key, each to a different value, give the same file.
 func TestGoldenSubscriberFiles(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
-	f, err := ParseYAML(text)
+	file, err := ParseYAML(text)
 	require.NoError(t, err)
 	s1, s2 := Key{Tenant: "acme", ID: "s1"}, Key{Tenant: "bolt", ID: "s2"}
-	require.Equal(t, "eu", f.Region)
-	require.EqualValues(t, 7, f.Generation)
-	require.Equal(t, "http://127.0.0.1:9300/{tenant}", f.DeliveryURL)
-	require.Len(t, f.Lines, 2)
-	require.Equal(t, Details{Type: "quick-picks", Query: "town:oslo", Interval: 300_000, Blocks: []int{2, 0, 1}}, f.Lines[s1].Details)
-	require.EqualValues(t, 3, f.Lines[s1].Consent)
-	require.Equal(t, Details{Type: "full-match", Interval: 7 * 86_400 * second}, f.Lines[s2].Details)
-	require.EqualValues(t, 1, f.Lines[s2].Consent)
+	require.Equal(t, "eu", file.Region)
+	require.EqualValues(t, 7, file.Generation)
+	require.Equal(t, "http://127.0.0.1:9300/{tenant}", file.DeliveryURL)
+	require.Len(t, file.Lines, 2)
+	require.Equal(t, Details{Type: "quick-picks", Query: "town:oslo", Interval: 300_000, Blocks: []int{2, 0, 1}}, file.Lines[s1].Details)
+	require.EqualValues(t, 3, file.Lines[s1].Consent)
+	require.Equal(t, Details{Type: "full-match", Interval: 7 * 86_400 * second}, file.Lines[s2].Details)
+	require.EqualValues(t, 1, file.Lines[s2].Consent)
 
 	lines, err := os.ReadFile(filepath.Join("testdata", "every_key.jsonl"))
 	require.NoError(t, err)
-	same, err := ParseJSONLines(lines)
+	fromJSONLines, err := ParseJSONLines(lines)
 	require.NoError(t, err)
-	require.Equal(t, f, same)
+	require.Equal(t, file, fromJSONLines)
 
-	var head FileHeader
-	first, rest, _ := bytes.Cut(lines, []byte("\n"))
-	require.NoError(t, decodeStrictJSON(first, &head))
-	require.Equal(t, FileHeader{Region: "eu", Generation: 7, Count: 2, Deliver: "http://127.0.0.1:9300/{tenant}"}, head)
-	written, err := json.Marshal(head)
+	var header FileHeader
+	headerLine, rest, _ := bytes.Cut(lines, []byte("\n"))
+	require.NoError(t, decodeStrictJSON(headerLine, &header))
+	require.Equal(t, FileHeader{Region: "eu", Generation: 7, Count: 2, Deliver: "http://127.0.0.1:9300/{tenant}"}, header)
+	written, err := json.Marshal(header)
 	require.NoError(t, err)
-	for one := range bytes.Lines(rest) {
-		var e subscriptionEntry
-		require.NoError(t, decodeStrictJSON(one, &e))
-		line, err := json.Marshal(e)
+	for line := range bytes.Lines(rest) {
+		var entry subscriptionEntry
+		require.NoError(t, decodeStrictJSON(line, &entry))
+		encoded, err := json.Marshal(entry)
 		require.NoError(t, err)
-		written = append(append(written, '\n'), line...)
+		written = append(append(written, '\n'), encoded...)
 	}
 	golden.Require(t, "every_key.jsonl", append(written, '\n'))
 }
 
-// Fault texts of both forms, with place and advice. A value of the wrong type is left out: the packages that read name
-// Go types in that text.
+// Error texts of both forms, with position and advice. Values of the wrong type are left out: the decoders' texts for
+// them contain names of Go types.
 func TestGoldenSubscriberFileFaults(t *testing.T) {
 	var all strings.Builder
 	for _, form := range []struct {
@@ -208,7 +210,7 @@
 	golden.Require(t, "file_faults.txt", all.String())
 }
 
-// Failures that stand in the log or answer a call, with their advice.
+// Errors that are logged or returned by a call, with their advice.
 func TestGoldenSubscriberErrors(t *testing.T) {
 	key := Key{Tenant: "acme", ID: "s1"}
 	var all strings.Builder
--- a/control/subscribers/handover.go
+++ b/control/subscribers/handover.go
@@ -3,30 +3,31 @@
 import "slices"
 
 const (
-	// A change of the reachable gateways counts once it is stable for stableDelay: when a partition heals, many become
-	// reachable shortly after one another. After maxUnstable of change upon change it counts as it is.
+	// The reachable gateways become the view once they have been stable for stableDelay: when a partition heals, many
+	// become reachable shortly after one another. If they keep changing, they become the view after maxUnstableTime.
 	stableDelay = 1 * second
 	maxUnstable = 5 * second
 
-	// A gateway that does not publish any status is waited for silentTimeout, by when membership has found out that it
-	// hangs; one that publishes other views for disagreementTimeout, so that one-way links do not end all service.
+	// A handover waits silentTimeout for a gateway that publishes no status; by then membership has detected that it
+	// hangs. It waits disagreementTimeout for one that publishes other views, so that one-way links do not stop all
+	// service.
 	silentTimeout       = 10 * second
 	disagreementTimeout = 30 * second
 
-	// startupDelay is how long a new process without a majority waits for others to become reachable before it takes
-	// itself for a partition.
+	// startupDelay is how long a new process without a majority waits for others to become reachable before it assumes
+	// that it is partitioned and forms a minority view.
 	startupDelay = 10 * second
 
-	// After a gap of more than maxTickGap between two ticks a gateway takes itself for replaced. It then waits
-	// resumeDelay to learn the state of the others.
+	// After a gap of more than maxTickGap between two ticks a gateway assumes that others have taken over its subscribers.
+	// It then waits resumeDelay to learn their state.
 	maxTickGap  = 2 * second
 	resumeDelay = 5 * second
 )
 
-// Tick advances the agreement on the view. Where publish is true the caller puts the status into the shared map under
-// this gateway's name, and calls ConfirmStatusMessage once it is there. WallMS is the wall time.
+// Tick advances the agreement on the view. If publish is true, the caller has to put the status into the shared map
+// under this gateway's name, and to call ConfirmStatusMessage once it is there. wallMS is the wall-clock time.
 func (g *Gateway) Tick(now int64, wallMS uint64) (status StatusMessage, publish bool) {
-	if now-g.lastTickAt > maxTickGap { // the process was stopped: others may serve in its place
+	if now-g.lastTickAt > maxTickGap { // the process was paused: others may serve in its place
 		g.view.hash, g.noViewBefore = 0, now+resumeDelay
 		g.beginHandover(now)
 	}
@@ -49,7 +50,7 @@
 	return g.advanceHandover(now, wallMS)
 }
 
-// updateView makes the reachable gateways the view once they are stable.
+// updateView adopts the reachable gateways as the view once they are stable.
 func (g *Gateway) updateView(now int64) {
 	hash := g.reachableHash()
 	switch {
@@ -78,8 +79,8 @@
 	return max(1, d.sum())
 }
 
-// joinRound joins a later round of another gateway, and begins one past the statuses of this gateway's earlier
-// incarnations. It reports whether the round has changed.
+// joinRound joins a later round of another gateway. If the shared map holds a status of an earlier incarnation of this
+// gateway, it begins a round above all that were seen. It reports whether the round has changed.
 func (g *Gateway) joinRound() (changed bool) {
 	if g.statuses[g.self.Name] != g.published {
 		g.statuses[g.self.Name] = g.published
@@ -93,7 +94,7 @@
 	return changed
 }
 
-// beginHandover ends all that is served here until an epoch is claimed under the current view.
+// beginHandover stops serving all subscribers until an epoch is claimed under the current view.
 func (g *Gateway) beginHandover(now int64) {
 	if g.serving || g.handoverSince == 0 || g.handoverSince < g.lastTickAt-disagreementTimeout {
 		g.handoverSince = now
@@ -114,7 +115,7 @@
 	if status != g.published {
 		return status, true
 	}
-	if g.claimedEpoch > 0 { // it is in the shared map
+	if g.claimedEpoch > 0 { // the claim is in the shared map
 		g.beginServing(now)
 	}
 	return StatusMessage{}, false
@@ -130,7 +131,7 @@
 	}
 }
 
-// allAgree reports whether all gateways of the view have published it in this round.
+// allAgree reports whether all gateways of the view have published the view in this round.
 func (g *Gateway) allAgree() bool {
 	return !slices.ContainsFunc(g.view.members, g.disagrees)
 }
@@ -141,7 +142,7 @@
 	return member.Name != g.self.Name && (status.View != g.view.hash || status.Round < g.round)
 }
 
-// waitedLongEnough reports whether the gateways that disagree have been waited for long enough.
+// waitedLongEnough reports whether the handover has waited long enough for the gateways that disagree.
 func (g *Gateway) waitedLongEnough(now int64) bool {
 	waited := now - g.handoverSince
 	if waited < silentTimeout {
--- a/control/subscribers/handover_test.go
+++ b/control/subscribers/handover_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A status from before a partition is not taken for one after it, and epochs go above all that were seen.
+// A status from before a partition is not mistaken for one after it, and a claimed epoch is above all epochs seen.
 func TestHandoverWaitsForStatusesOfItsRound(t *testing.T) {
 	now := int64(1000 * second)
 	gateway := NewGateway(now, Member{Name: "a", Region: "eu", Incarnation: 1}, PlacementRules{})
@@ -33,7 +33,7 @@
 	require.True(t, runThreeSeconds())
 	require.True(t, gateway.IsServing())
 	require.EqualValues(t, 9_000_003, status.Epoch)
-	// b was in another partition meanwhile, and what it delivered has higher numbers.
+	// b was in another partition meanwhile and made deliveries with higher numbers.
 	gateway.HandleStatusMessage("b", StatusMessage{View: status.View, Round: 9, Epoch: 9_000_004})
 	require.True(t, runThreeSeconds())
 	require.EqualValues(t, 9, status.Round)
--- a/control/subscribers/key.go
+++ b/control/subscribers/key.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// KeyPrefix begins the shared map's names of subscriptions.
+	// KeyPrefix is the prefix of the names of subscriptions in the shared map.
 	KeyPrefix = "sub/"
 
 	maxNameBytes   = 128 // of a tenant, an id or a search type
 	maxRegionBytes = 64
 )
 
-// Key names a subscription. Ids are unique within a tenant. The tags keep the form that structured logs have.
+// Key identifies a subscription. IDs are unique within a tenant. The tags fix the names in structured logs.
 type Key struct {
 	Tenant string `json:"Tenant"`
 	ID     string `json:"ID"`
 }
 
-// LedgerKey returns the key's name in the shared map.
+// EntryName returns the name of the subscription's entry in the shared map.
 func (k Key) LedgerKey() string { return KeyPrefix + k.Tenant + "/" + k.ID }
 
 func (k Key) String() string { return k.Tenant + "/" + k.ID }
 
-// ParseKey reads a name of the shared map and reports whether it names a subscription.
+// ParseKey parses the name of an entry of the shared map and reports whether the entry is a subscription.
 func ParseKey(name string) (Key, bool) {
 	rest, hasPrefix := strings.CutPrefix(name, KeyPrefix)
 	tenant, id, complete := strings.Cut(rest, "/")
@@ -42,7 +42,7 @@
 
 func validateName(field, name string) string {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, isForbiddenInName) {
-		return fmt.Sprintf("%s %.40q is not 1 to %d letters without blanks and strokes", field, name, maxNameBytes)
+		return fmt.Sprintf("%s %.40q is not 1 to %d printable ASCII characters without spaces and slashes", field, name, maxNameBytes)
 	}
 	return ""
 }
--- a/control/subscribers/list.go
+++ b/control/subscribers/list.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// MaxSubscriptions limits a list, unsubscribed entries included: what the shared map takes, with room for its other
+	// MaxSubscriptions limits a list, including unsubscribed entries, to what the shared map can hold beside its other
 	// entries.
 	MaxSubscriptions = 90_000
 
-	// tombstoneRetentionMS is how long an unsubscription is kept at least. A region that is away for longer is off the
-	// list of voting members.
+	// tombstoneRetentionMS is the minimum time for which an unsubscription is kept. A region that is away for longer is no
+	// longer on the list of voting members.
 	tombstoneRetentionMS = 90 * 86_400_000
 )
 
-// WriteConflict reports records that were written concurrently, of which one wins and another one is lost.
+// WriteConflict reports two records that were written concurrently, of which one is kept and the other is lost.
 type WriteConflict struct {
 	Key             Key
 	Kept, Discarded string // as Record.Describe returns them
@@ -33,10 +33,10 @@
 type listEntry struct {
 	Record
 	hash         uint64   // its content hash
-	digest       uint64   // its summand of the list's digest
+	digest       uint64   // its contribution to the list's digest
 	entryDigest  uint64   // of the siblings that it was read from
-	lastScan     uint64   // in which the entry was last seen
-	reportedLoss []uint64 // content hashes that were reported as lost while these siblings stand
+	lastScan     uint64   // scan in which the entry was last seen
+	reportedLoss []uint64 // content hashes of the siblings that lost, all of them reported
 }
 
 // NewList returns an empty list.
@@ -55,19 +55,19 @@
 	return Record{}, false
 }
 
-// ForEach calls visit for all subscriptions, in no order.
+// ForEach calls visit for all subscriptions, in no particular order.
 func (l *List) ForEach(visit func(Key, Record)) {
 	for key, entry := range l.byKey {
 		visit(key, entry.Record)
 	}
 }
 
-// ApplyEntry takes an entry of the shared map into the list; one that the list has taken already costs little. It
-// reports whether something has changed, and the records that lost a conflict, each once.
+// ApplyEntry updates the list with an entry of the shared map; an entry that was applied before costs little. It
+// reports whether the subscription has changed, and each record that lost a conflict once.
 func (l *List) ApplyEntry(entry crdt.Entry) (key Key, changed bool, conflicts []WriteConflict, err error) {
 	key, isSubscription := ParseKey(entry.Name)
 	if !isSubscription {
-		return key, false, nil, &InvalidRecordError{entry.Name, "its name"}
+		return key, false, nil, &InvalidRecordError{entry.Name, "the name is invalid"}
 	}
 	previous, digest := l.byKey[key], EntryDigest(entry)
 	if previous != nil && previous.entryDigest == digest {
@@ -80,7 +80,7 @@
 	}
 	listed := l.add(key, current)
 	listed.entryDigest = digest
-	conflicts = listed.recordConflicts(key, previous, records)
+	conflicts = listed.addConflicts(key, previous, records)
 	return key, listed.differsFrom(previous), conflicts, err
 }
 
@@ -95,8 +95,9 @@
 	return entry
 }
 
-// recordConflicts returns the records that lost to the winning one and were not reported with the previous entry.
-func (e *listEntry) recordConflicts(key Key, previous *listEntry, records []Record) (conflicts []WriteConflict) {
+// addConflicts notes the records that lost to the winning one, and returns those that were not reported with the
+// previous entry.
+func (e *listEntry) addConflicts(key Key, previous *listEntry, records []Record) (conflicts []WriteConflict) {
 	if len(records) == 1 {
 		return nil
 	}
@@ -129,7 +130,7 @@
 	l.digest -= entry.digest
 }
 
-// Digest identifies who is subscribed to what and who has unsubscribed: lists with one digest are equal.
+// Digest identifies who is subscribed to what and who has unsubscribed: lists with the same digest are equal.
 func (l *List) Digest() uint64 { return l.digest }
 
 func subscriptionDigest(key Key, contentHash uint64) uint64 {
@@ -142,7 +143,7 @@
 // BeginScan begins a scan of all subscriptions of the shared map. The caller asks NeedsUpdate for each of them.
 func (l *List) BeginScan() { l.scan++ }
 
-// NeedsUpdate reports quickly whether an entry that a scan has met has to be applied.
+// NeedsUpdate reports at little cost whether an entry that a scan has found has to be applied.
 func (l *List) NeedsUpdate(entry crdt.Entry) bool {
 	key, _ := ParseKey(entry.Name)
 	listed := l.byKey[key]
@@ -153,7 +154,7 @@
 	return listed.entryDigest != EntryDigest(entry)
 }
 
-// FindRemoved returns, at the end of a scan, the listed subscriptions that the scan has not met.
+// FindRemoved returns, at the end of a scan, the listed subscriptions that the scan has not found.
 func (l *List) FindRemoved() (keys []Key) {
 	for key, entry := range l.byKey {
 		if entry.lastScan != l.scan {
@@ -163,8 +164,8 @@
 	return keys
 }
 
-// FindExpiredTombstones returns at most limit unsubscribed entries that need not be remembered. The caller deletes them
-// from the shared map while all voting members are alive; the map then remembers the delete until all have seen it.
+// FindExpiredTombstones returns at most limit unsubscribed entries that need not be kept any longer. The caller deletes
+// them from the shared map while all voting members are alive; the map then keeps the delete until all have seen it.
 func (l *List) FindExpiredTombstones(wallMS uint64, limit int) (keys []Key) {
 	for key, entry := range l.byKey {
 		if len(keys) < limit && entry.IsUnsubscribed() && wallMS > entry.lastUnsubscriptionMS()+tombstoneRetentionMS {
--- a/control/subscribers/merge.go
+++ b/control/subscribers/merge.go
@@ -7,16 +7,17 @@
 	"slices"
 )
 
-// MergeRecords merges two records: every unsubscription and every one that was seen; the details of the higher consent,
-// within one consent those with the higher revision, the greater encoding among equals. Attachments and checkpoints of
-// one consent are combined. The function is commutative, associative and idempotent.
+// MergeRecords merges two records. The result has the unsubscriptions and the seen unsubscriptions of both, and the
+// details of the higher consent: within the same consent those with the higher revision, and among equal revisions
+// those with the greater encoding. If the consents are equal, attachments and checkpoints are merged too. The function
+// is commutative, associative and idempotent.
 func MergeRecords(a, b Record) Record {
 	winner, other := a, b
 	if order := cmp.Compare(b.Consent, a.Consent); order > 0 || order == 0 && b.compareDetails(a) > 0 {
 		winner, other = b, a
 	}
-	winner.Unsubscriptions = maxCounts(winner.Unsubscriptions, other.Unsubscriptions)
-	winner.SeenUnsubscriptions = maxCounts(winner.SeenUnsubscriptions, other.SeenUnsubscriptions)
+	winner.Unsubscriptions = mergeCounts(winner.Unsubscriptions, other.Unsubscriptions)
+	winner.SeenUnsubscriptions = mergeCounts(winner.SeenUnsubscriptions, other.SeenUnsubscriptions)
 	if winner.Consent == other.Consent {
 		winner.Attachments = mergeAttachments(winner.Attachments, other.Attachments)
 		if other.Checkpoint.compare(winner.Checkpoint) > 0 {
@@ -26,7 +27,7 @@
 	return winner
 }
 
-// compareDetails orders two records of one consent by what they say.
+// compareDetails orders two records of the same consent by their details.
 func (r Record) compareDetails(other Record) int {
 	if order := cmp.Compare(r.Revision, other.Revision); order != 0 {
 		return order
@@ -37,8 +38,8 @@
 	)
 }
 
-// maxCounts returns the greater number of each name. It may return a itself.
-func maxCounts(a, b map[string]uint64) map[string]uint64 {
+// mergeCounts returns the greater number of each name. It may return a itself.
+func mergeCounts(a, b map[string]uint64) map[string]uint64 {
 	if len(b) == 0 {
 		return a
 	}
@@ -78,8 +79,8 @@
 	return merged
 }
 
-// ResolveConflict merges one or more records that were written concurrently, and returns those whose content is lost: it
-// is not the winning one, and no other writer knew of it.
+// ResolveConflict merges one or more records that were written concurrently, and returns those whose content is lost:
+// it differs from the merged content, and no other writer had seen it.
 func ResolveConflict(records []Record) (merged Record, lost []Record) {
 	merged = mergeAll(records)
 	known := []uint64{merged.contentHash()}
--- a/control/subscribers/merge_test.go
+++ b/control/subscribers/merge_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawRecord draws any record that instances may write.
+// drawRecord draws a random record of those that instances may write.
 func drawRecord(t *rapid.T) Record {
 	counts := rapid.MapOf(rapid.SampledFrom([]string{"a", "b"}), rapid.Uint64Range(1, 2))
 	record := Record{
@@ -44,7 +44,7 @@
 		require.NoError(t, err)
 		requireEqual(a, decoded)
 		merged := MergeRecords(MergeRecords(a, b), c)
-		for _, record := range []Record{a, b, c} { // an unsubscription that none has seen wins
+		for _, record := range []Record{a, b, c} { // an unsubscription that no record has seen wins
 			for instance, number := range record.Unsubscriptions {
 				if number > max(a.SeenUnsubscriptions[instance], b.SeenUnsubscriptions[instance], c.SeenUnsubscriptions[instance]) {
 					require.True(t, merged.IsUnsubscribed())
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestConflictReportsOnlyWhatTheWinnerHadNotSeen(t *testing.T) {
+func TestConflictReportsOnlyContentUnseenByOtherWriters(t *testing.T) {
 	first := Record{Consent: 1, Revision: 1, Details: Details{Type: "lookup", Query: "a", Interval: MinInterval}}
 	withQuery := func(from Record, query string) Record {
 		to := from
@@ -65,7 +65,7 @@
 	delivered := first
 	delivered.Checkpoint.Number = DeliveryNumber{5, 1, "g"}
 	_, lost := ResolveConflict([]Record{withQuery(first, "b"), delivered})
-	require.Empty(t, lost, "a delivery beside a change loses nothing")
+	require.Empty(t, lost, "a delivery concurrent with a change loses nothing")
 	merged, lost := ResolveConflict([]Record{withQuery(withQuery(first, "b"), "c"), withQuery(first, "d")})
 	require.Equal(t, "c", merged.Details.Query)
 	require.Len(t, lost, 1)
--- a/control/subscribers/model_checks_test.go
+++ b/control/subscribers/model_checks_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// isSettled reports whether there is no fault, and none that the fleet still has to recover from.
+// isSettled reports whether the fleet has been without faults for long enough to have recovered from earlier ones.
 func (m *fleetModel) isSettled() bool {
 	return m.healthySince > 0 && m.now-m.healthySince > settlingTime
 }
 
-// receive judges a delivery as its receiver sees it.
+// receive checks a delivery as its receiver sees it.
 func (m *fleetModel) receive(delivery Delivery) {
 	content := fmt.Sprint(delivery.Consent, delivery.Blocks, delivery.values)
 	id := delivery.Key.LedgerKey() + delivery.Number.String()
 	if previous, repeated := m.contents[id]; repeated {
-		require.Equal(m.t, previous, content, "a number came with other content")
+		require.Equal(m.t, previous, content, "a number was reused with other content")
 		return
 	}
 	m.contents[id] = content
@@ -26,27 +26,27 @@
 			require.Positive(m.t, delivery.Number.Compare(previous.number), "numbers went backward: %v after %v", delivery.Number, previous.number)
 		}
 		if previous.content == content {
-			require.False(m.t, previous.settled && m.isSettled() && m.lossRate == 0, "the same came twice without a fault")
+			require.False(m.t, previous.settled && m.isSettled() && m.lossRate == 0, "the same content was delivered twice without a fault")
 		}
 	}
 	m.received[delivery.Key] = append(m.received[delivery.Key], receipt{delivery.Number, content, m.isSettled()})
 }
 
-// requireOthersHaveEnded checks that no gateway of the view serves by another view once all have agreed.
+// requireOthersHaveEnded checks that no gateway of the view serves under another view once all have agreed.
 func (g *modelGateway) requireOthersHaveEnded() {
 	m := g.model
 	for _, member := range g.gateway.view.members {
 		for _, other := range m.gateways {
 			if member.Name == other.name() && other.isActive() && len(m.cutLinks) == 0 {
 				servesOtherView := other.gateway.serving && other.gateway.view.hash != g.gateway.view.hash
-				require.False(m.t, servesOtherView, "%s begins and %s has not ended", g.name(), other.name())
+				require.False(m.t, servesOtherView, "%s begins to serve while %s still serves under another view", g.name(), other.name())
 			}
 		}
 	}
 }
 
-// requireOneOwner checks that of the gateways with one view no two serve one subscriber, and, once the fleet is settled,
-// that exactly one does.
+// requireOneOwner checks that no two gateways with the same view serve the same subscriber, and that exactly one
+// gateway does once the fleet is settled.
 func (m *fleetModel) requireOneOwner() {
 	for key := range m.values {
 		var owners []*modelGateway
@@ -56,13 +56,13 @@
 				continue
 			}
 			for _, other := range owners {
-				require.False(m.t, other.gateway.view.hash == g.gateway.view.hash, "%v is served by %s and %s by one view", key, other.name(), g.name())
+				require.False(m.t, other.gateway.view.hash == g.gateway.view.hash, "%v is served by both %s and %s under the same view", key, other.name(), g.name())
 			}
 			owners = append(owners, g)
 		}
 		if m.isSettled() {
 			record, _ := m.gateways[0].list.Get(key)
-			require.Equal(m.t, !record.IsUnsubscribed(), len(owners) == 1, "%v: %d gateways serve, unsubscribed %v", key, len(owners), record.IsUnsubscribed())
+			require.Equal(m.t, !record.IsUnsubscribed(), len(owners) == 1, "%v: %d gateways serve it, unsubscribed: %v", key, len(owners), record.IsUnsubscribed())
 		}
 	}
 }
@@ -90,11 +90,11 @@
 	}
 }
 
-// requireListed checks that all gateways hold the same record of a subscriber, and that it is subscribed if it asked for
-// it and each unsubscription is followed by a subscription that was made knowing of it. Requests that were lost with all
-// disks that had them do not count.
+// requireListed checks that all gateways hold the same record of a subscriber, and that it is subscribed if it asked
+// for that and each unsubscription was seen by a later subscription. Requests that were lost with all disks that had
+// them do not count.
 func (m *fleetModel) requireListed(key Key, known map[string]bool) {
-	subscribed, unanswered := false, map[string]bool{}
+	subscribed, unseen := false, map[string]bool{}
 	for id, request := range m.requests {
 		if request.key != key || !known[id] {
 			continue
@@ -102,21 +102,21 @@
 		if request.subscribe {
 			subscribed = true
 		} else {
-			unanswered[id] = true
+			unseen[id] = true
 		}
 	}
 	for id, request := range m.requests {
 		if request.key == key && request.subscribe && known[id] {
 			for seen := range request.known {
-				delete(unanswered, seen)
+				delete(unseen, seen)
 			}
 		}
 	}
-	want := subscribed && len(unanswered) == 0
+	want := subscribed && len(unseen) == 0
 	var encoded []byte
 	for _, g := range m.gateways {
 		record, exists := g.list.Get(key)
-		require.Equal(m.t, want, exists && !record.IsUnsubscribed(), "%v at %s: %s; unanswered: %v", key, g.name(), record.Describe(), unanswered)
+		require.Equal(m.t, want, exists && !record.IsUnsubscribed(), "%v at %s: %s; unseen: %v", key, g.name(), record.Describe(), unseen)
 		record.PriorHashes = nil
 		if encoded == nil {
 			encoded = record.Encode()
--- a/control/subscribers/model_faults_test.go
+++ b/control/subscribers/model_faults_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelFault is one thing that happens to the fleet.
+// modelFault is an event that the model injects.
 type modelFault string
 
 const (
@@ -33,7 +33,7 @@
 	restartAll, pause, loseMessages, fillDisk, burst,
 }
 
-// inject does one thing to the fleet.
+// inject applies one event to the fleet.
 func (m *fleetModel) inject(fault modelFault) {
 	g := m.gateways[m.rng.Intn(len(m.gateways))]
 	a, b := m.rng.Intn(modelRegions), m.rng.Intn(modelRegions)
@@ -70,7 +70,7 @@
 	}
 }
 
-// changeLinks cuts or heals links of region a, or that between a and b.
+// changeLinks cuts or heals the links of region a, or the link between a and b.
 func (m *fleetModel) changeLinks(fault modelFault, a, b int) {
 	switch fault {
 	case cutLink:
@@ -102,7 +102,7 @@
 	return Details{Type: "lookup", Query: fmt.Sprint(m.rng.Intn(4)), Interval: (1 + m.rng.Int63n(4)) * second}
 }
 
-// sendRequest has a subscriber ask something of a gateway.
+// sendRequest sends a random subscriber's request to a random gateway.
 func (m *fleetModel) sendRequest() {
 	g, key := m.gateways[m.rng.Intn(len(m.gateways))], m.randomKey()
 	if !g.isActive() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// run lets time pass, with requests and values that change.
+// run lets time pass while requests arrive and values change.
 func (m *fleetModel) run(duration int64) {
 	for end := m.now + duration; m.now < end; {
 		if m.rng.Intn(4) == 0 {
@@ -150,7 +150,8 @@
 	})
 }
 
-// A large fleet in three regions, of which one is cut off and comes back: one list, each subscriber served once.
+// After one of three regions of a large fleet was cut off and is back, there is one list and each subscriber is served
+// once.
 func TestLargeFleetConvergesAfterPartition(t *testing.T) {
 	m := newFleetModel(t, 3, 25, 60)
 	for range 200 {
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -15,23 +15,23 @@
 	modelStep    = second / 5
 	modelRegions = 3
 
-	// settlingTime after the last fault there is one list, and one gateway for each subscriber.
+	// settlingTime is how long after the last fault all gateways hold the same list and each subscriber has one gateway.
 	settlingTime = 25 * second
 )
 
-// fleetModel is a model of gateways in three regions on one clock, with links, disks and receivers. It judges by what
-// was asked of the gateways and by what receivers got, not by what records say.
+// fleetModel is a model of gateways in three regions on one clock, with links, disks and receivers. Its checks compare
+// the requests that gateways accepted with what receivers got, and do not rely on the contents of records.
 type fleetModel struct {
 	t            require.TestingT
 	rng          *rand.Rand
 	now          int64
 	gateways     []*modelGateway
-	cutLinks     map[regionLink]bool // that carry nothing
-	exchangeRate float64             // share of exchanges that take place
-	lossRate     float64             // of deliveries, and of answers to them
-	healthySince int64               // since when there is no fault, 0 while there is one
+	cutLinks     map[regionLink]bool // links that carry nothing
+	exchangeRate float64             // probability that an exchange takes place
+	lossRate     float64             // probability that a delivery is lost, or the reply to it
+	healthySince int64               // since when there has been no fault, 0 while there is one
 	lastCutAt    int64               // when a link was last cut
-	values       map[Key]uint64      // what a search of a subscriber finds now
+	values       map[Key]uint64      // what a search of a subscriber returns now
 	requests     map[string]request  // by id
 	received     map[Key][]receipt
 	contents     map[string]string // of deliveries, by key and number
@@ -40,7 +40,7 @@
 // regionLink is a link from one region to another, by their numbers.
 type regionLink struct{ from, to int }
 
-// request is a subscription (with the requests that its instance knew of) or an unsubscription.
+// request is a subscription, with the requests that its instance knew of, or an unsubscription.
 type request struct {
 	key       Key
 	subscribe bool
@@ -51,7 +51,7 @@
 type receipt struct {
 	number  DeliveryNumber
 	content string
-	settled bool // there was no fault, and none to recover from
+	settled bool // the fleet was settled when it arrived
 }
 
 // modelGateway is one instance: its gateway, shared map, list and disk.
@@ -65,13 +65,13 @@
 	shared         *crdt.Map
 	list           *List
 	gateway        *Gateway
-	known          map[string]bool // requests that it knows of
+	known          map[string]bool // ids of the requests that it knows of
 	disk           diskState
 	olderDisks     []diskState
 	entryDigests   map[string]uint64
-	reachable      []int // as its membership last reported
-	incarnations   int   // of those, added up
-	changedAt      int64 // when what is reachable changed, 0 where it is as reported
+	reachable      []int // as last reported by its membership
+	incarnations   int   // sum of their incarnations
+	changedAt      int64 // when the reachable gateways changed, 0 if they are as reported
 	detectionDelay int64 // of its membership
 }
 
@@ -141,7 +141,7 @@
 	}
 }
 
-// pull takes over what another gateway holds.
+// pull merges another gateway's shared map into this one's.
 func (g *modelGateway) pull(from *modelGateway) {
 	if g.shared.Digest(crdt.TreeNode{}) == from.shared.Digest(crdt.TreeNode{}) {
 		maps.Copy(g.known, from.known)
@@ -163,7 +163,7 @@
 	}
 }
 
-// apply takes entries of the shared map into the gateway.
+// apply applies entries of the shared map to the list and the gateway.
 func (g *modelGateway) apply(entries []crdt.Entry) {
 	for _, entry := range entries {
 		g.entryDigests[entry.Name] = EntryDigest(entry)
@@ -178,8 +178,8 @@
 	}
 }
 
-// update runs an update as the program does: it reads, decides and puts in one step. A subscription is noted as a
-// request.
+// update runs an update as the program does: it reads, updates and puts in one step. A new subscription is recorded as
+// a request.
 func (g *modelGateway) update(key Key, update RecordUpdate) {
 	t := g.model.t
 	entry, _ := g.shared.Get(key.LedgerKey())
@@ -200,7 +200,7 @@
 	g.save()
 }
 
-// isCut reports whether the link between two regions is cut in one of its directions.
+// isCut reports whether the link between two regions is cut in at least one direction.
 func (m *fleetModel) isCut(a, b int) bool {
 	return m.cutLinks[regionLink{a, b}] || m.cutLinks[regionLink{b, a}]
 }
@@ -209,7 +209,7 @@
 	return a.isActive() && b.isActive() && (a.region == b.region || !m.isCut(a.region, b.region))
 }
 
-// reachableFrom returns the gateways that a gateway reaches, through other regions too, itself among them.
+// reachableFrom returns the gateways that a gateway reaches, directly or through other regions, including itself.
 func (m *fleetModel) reachableFrom(g *modelGateway) (reachable []int) {
 	var activeRegions, reachedRegions [modelRegions]bool
 	for _, other := range m.gateways {
@@ -255,7 +255,7 @@
 	m.requireOneOwner()
 }
 
-// detectMembers reports the reachable gateways after the membership's delay.
+// detectMembers reports the reachable gateways to the gateway after the membership's detection delay.
 func (g *modelGateway) detectMembers() {
 	m := g.model
 	reachable, incarnations := m.reachableFrom(g), 0
--- a/control/subscribers/placement.go
+++ b/control/subscribers/placement.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// takeoverDelay is how long a region is unreachable before a majority serves the subscribers attached to it.
+// takeoverDelay is how long a region has to be unreachable before a majority serves the subscribers attached to it.
 const takeoverDelay = 60 * second
 
 // view is the set of gateways that serve together.
@@ -17,7 +17,7 @@
 	hash uint64 // of its name
 }
 
-// replace makes other gateways the view.
+// replace replaces the gateways of the view.
 func (v *view) replace(hash uint64, members []Member) {
 	v.hash, v.members = hash, nil
 	clear(v.eligibleByTenant)
@@ -26,14 +26,14 @@
 	}
 }
 
-// place begins or ends to serve a subscriber according to its owner, and reports whether it begins. Searches are
-// scheduled from a time on. A subscriber that is added while the view serves begins at once: by the same view it was
-// nobody else's.
-func (g *Gateway) place(s *subscription, from int64) (began bool) {
+// updatePlacement begins or stops serving a subscriber, depending on whether this gateway owns it, and reports whether
+// it has begun. The searches are scheduled from the time scheduleFrom on. A subscriber that is added during service is
+// served at once: no other gateway of the view has served it.
+func (g *Gateway) place(s *subscription, scheduleFrom int64) (began bool) {
 	switch isOwner := g.serving && g.ownerOf(s) == g.self.Name; {
 	case isOwner && !s.served:
 		s.served = true
-		g.scheduleNext(s, from)
+		g.scheduleNext(s, scheduleFrom)
 		return true
 	case !isOwner:
 		g.stopServing(s)
@@ -46,10 +46,10 @@
 	s.served = false
 }
 
-// ownerOf returns the gateway that serves a subscriber by the view, empty for none: of all eligible gateways the one
-// with the highest rendezvous hash, whichever region the subscriber is attached to, so that gateways with one view agree
-// even while they hold different records of the subscriber. A partition serves the subscribers attached to its regions,
-// a majority also those of regions that have been unreachable for takeoverDelay.
+// ownerOf returns the gateway that serves a subscriber under the current view, empty if none does. It is the eligible
+// gateway with the highest rendezvous hash, whichever region the subscriber is attached to, so that gateways with the
+// same view agree even while they hold different records of the subscriber. A partition serves the subscribers attached
+// to its regions, and a majority also those of regions that have been unreachable for takeoverDelay.
 func (g *Gateway) ownerOf(s *subscription) (owner string) {
 	if !g.regions.serveAny(s.Attachments) {
 		return ""
@@ -63,7 +63,7 @@
 	return owner
 }
 
-// eligibleGateways returns the gateways of the view that are in a zone where the tenant's entries may be.
+// eligibleGateways returns the gateways of the view whose zone may hold the tenant's entries.
 func (g *Gateway) eligibleGateways(tenant string) []viewMember {
 	if g.rules.AllowsTenantData == nil {
 		return g.view.members
@@ -80,8 +80,8 @@
 	return eligible
 }
 
-// FileWriterRank returns how many gateways of this one's region precede it in writing what the region's file says of a
-// subscriber: the first one writes, and the next ones only if it does not.
+// FileWriterRank returns how many gateways of the same region precede this one as writers of a subscriber's line in the
+// region's file: the first one writes the line, and the next ones do only if it does not.
 func (g *Gateway) FileWriterRank(key Key) (rank int) {
 	subscriber := xxhash.Sum64String(key.LedgerKey())
 	own := rendezvousHash(xxhash.Sum64String(g.self.Name), subscriber)
@@ -96,7 +96,7 @@
 	return rank
 }
 
-// updateTakeovers begins or ends to serve the subscribers of regions that have been unreachable for long.
+// updateTakeovers begins or stops serving the subscribers of regions that have been unreachable for takeoverDelay.
 func (g *Gateway) updateTakeovers(now int64) {
 	for region, since := range g.regions.unreachableSince {
 		takeOver := g.hasMajority && now-since >= takeoverDelay
--- a/control/subscribers/record.go
+++ b/control/subscribers/record.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	maxPriorHashes     = 8  // earlier contents that a record knows: changes written concurrently with its last few
+	maxPriorHashes     = 8  // hashes of earlier contents: enough for changes written concurrently with the last few
 	maxUnsubscriptions = 16 // instances whose unsubscriptions of one subscriber are remembered
 	maxAttachments     = 16 // regions that one subscriber is attached to
 )
 
-// Attachment is what a region's file said of a subscriber when it was last applied. An older copy of the file says
-// nothing new, and what the file says again is no change.
+// Attachment records what a region's file said about a subscriber when it was last applied, so that neither an older
+// copy of the file nor an unchanged line counts as a change.
 type Attachment struct {
-	Generation  int64  `cbor:"1,keyasint"` // of the file; 0 for a call of the embedder, which no file takes back
+	Generation  int64  `cbor:"1,keyasint"` // of the file; 0 for a call of the embedder: a file without the subscriber does not revoke it
 	DetailsHash uint64 `cbor:"2,keyasint"`
 }
 
-// Record is what the shared map holds of a subscriber.
+// Record is what the shared map holds about a subscriber.
 //
-// Each unsubscription is a number under the name of the instance that accepted it, in Unsubscriptions; a subscription
-// that was made knowing of it has the same number in SeenUnsubscriptions. While Unsubscriptions has a number that
-// SeenUnsubscriptions has not, the subscriber is unsubscribed, whatever else was written meanwhile. Both only grow, and
-// all records of a subscriber have one merge result. So even a record that has lost its causal history (a restore from
-// an older disk) cannot bring a subscriber back while any instance knows that it has unsubscribed.
+// Unsubscriptions holds the number of each unsubscription under the name of the instance that accepted it; a
+// subscription made with knowledge of it has the same number in SeenUnsubscriptions. While Unsubscriptions has a higher
+// number than SeenUnsubscriptions, the subscriber is unsubscribed, whatever else was written concurrently. The numbers
+// only grow, and the records of a subscriber can be merged in any order with the same result. So even a record that has
+// lost its causal history (after a restore from an older disk) cannot resubscribe a subscriber while any instance knows
+// that it has unsubscribed.
 //
 // A Record's maps and slices are shared between copies and never changed in place.
 type Record struct {
-	Consent             uint64                `cbor:"1,keyasint"` // how often it subscribed anew; details of a higher one win
+	Consent             uint64                `cbor:"1,keyasint"` // rises with each new subscription; the details of the highest win
 	Unsubscriptions     map[string]uint64     `cbor:"2,keyasint,omitempty"`
 	SeenUnsubscriptions map[string]uint64     `cbor:"3,keyasint,omitempty"`
 	Revision            uint64                `cbor:"4,keyasint,omitempty"` // of the details within this consent
-	Details             Details               `cbor:"5,keyasint,omitzero"`  // zero where an unsubscription was written
+	Details             Details               `cbor:"5,keyasint,omitzero"`  // zero after an unsubscription
 	Attachments         map[string]Attachment `cbor:"6,keyasint,omitempty"` // by region
 	Checkpoint          DeliveryCheckpoint    `cbor:"7,keyasint,omitzero"`
-	PriorHashes         []uint64              `cbor:"8,keyasint,omitempty"` // content hashes that the writer had seen, the last ones
+	PriorHashes         []uint64              `cbor:"8,keyasint,omitempty"` // latest content hashes that the writer had seen
 }
 
 // IsUnsubscribed reports whether the subscriber has unsubscribed.
@@ -60,22 +61,22 @@
 	return wallMS
 }
 
-// withUnsubscription returns the record of a subscriber that an instance unsubscribes. It holds no details.
+// withUnsubscription returns the record after an instance has unsubscribed the subscriber. It has no details.
 func (r Record) withUnsubscription(instance string, wallMS uint64) Record {
 	unsubscribed := Record{Consent: max(1, r.Consent), Unsubscriptions: maps.Clone(r.Unsubscriptions), SeenUnsubscriptions: r.SeenUnsubscriptions}
 	if unsubscribed.Unsubscriptions == nil {
 		unsubscribed.Unsubscriptions = map[string]uint64{}
 	}
-	// An older disk may have set the count back. The wall time keeps a number from being given again after a
-	// subscription that was made knowing of it.
+	// A restore from an older disk may have set the number back. The wall-clock time prevents the reuse of a number that a
+	// subscription has already seen.
 	unsubscribed.Unsubscriptions[instance] = max(r.Unsubscriptions[instance]+1, r.SeenUnsubscriptions[instance]+1, wallMS)
 	return unsubscribed
 }
 
-// resubscribed returns a subscription made knowing of r.
+// resubscribed returns a new subscription that has seen all unsubscriptions in r.
 func (r Record) resubscribed(consent uint64, details Details, region string, attachment Attachment) Record {
 	return Record{
-		Consent: consent, Unsubscriptions: r.Unsubscriptions, SeenUnsubscriptions: maxCounts(r.SeenUnsubscriptions, r.Unsubscriptions),
+		Consent: consent, Unsubscriptions: r.Unsubscriptions, SeenUnsubscriptions: mergeCounts(r.SeenUnsubscriptions, r.Unsubscriptions),
 		Revision: 1, Details: details, Attachments: map[string]Attachment{region: attachment},
 	}
 }
@@ -92,8 +93,8 @@
 	return r
 }
 
-// pruned limits the unsubscriptions that are remembered. The oldest ones that a later subscription has seen go first. If
-// one of them appears again the subscriber is unsubscribed, which is the safe outcome.
+// pruned limits the number of unsubscriptions in a record. The oldest ones that a later subscription has seen are
+// removed first. If a removed one reappears, the subscriber becomes unsubscribed, which is the safe outcome.
 func (r Record) pruned() Record {
 	for len(r.Unsubscriptions) > maxUnsubscriptions {
 		oldest := r.oldestUnsubscription()
@@ -104,7 +105,7 @@
 	return r
 }
 
-// oldestUnsubscription returns the instance with the lowest number, of those whose number was seen if there are any.
+// oldestUnsubscription returns the instance with the lowest number, preferring instances whose number was seen.
 func (r Record) oldestUnsubscription() (instance string) {
 	unseen := func(name string) int {
 		if r.Unsubscriptions[name] > r.SeenUnsubscriptions[name] {
@@ -117,8 +118,8 @@
 	})[0]
 }
 
-// contentHash identifies what a record says to a person: it is the same whoever wrote the record and whatever was
-// delivered since.
+// contentHash identifies a record's consent and details, or its unsubscription. It does not depend on who wrote the
+// record and what was delivered since.
 func (r Record) contentHash() uint64 {
 	if r.IsUnsubscribed() {
 		return xxhash.Sum64(Record{Consent: r.Consent}.Encode())
@@ -146,7 +147,7 @@
 	return r
 }
 
-// Describe returns what a record says, without the query, which is the subscriber's.
+// Describe summarizes a record for the log, without the query, which is the subscriber's own.
 func (r Record) Describe() string {
 	if r.IsUnsubscribed() {
 		return fmt.Sprintf("unsubscribed at consent %d", r.Consent)
@@ -155,6 +156,6 @@
 	for _, region := range slices.Sorted(maps.Keys(r.Attachments)) {
 		regions += " " + region
 	}
-	return fmt.Sprintf("subscribed at consent %d, change %d, type %s, every %.1f s, form %016x, in%s", r.Consent, r.Revision,
+	return fmt.Sprintf("subscribed at consent %d, revision %d, type %s, every %.1f s, details %016x, in%s", r.Consent, r.Revision,
 		r.Details.Type, float64(r.Details.Interval)/second, r.Details.hash(), regions)
 }
--- a/control/subscribers/record_codec.go
+++ b/control/subscribers/record_codec.go
@@ -6,10 +6,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxValueBytes limits a record as the shared map holds it: query, checkpoint and attachments fit.
+// maxValueBytes limits an encoded record; query, checkpoint and attachments fit into it.
 const maxValueBytes = 8 << 10
 
-// recordEncoding is canonical, so that one content has one encoding and one hash on all instances.
+// recordEncoding is canonical, so that equal records have the same encoding and hash on all instances.
 var recordEncoding = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -18,7 +18,7 @@
 	return mode
 }()
 
-// sharedDecoding limits what other instances can make this one allocate.
+// limitedDecoding limits how much memory other instances can make this one allocate.
 var sharedDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
@@ -30,29 +30,29 @@
 	return mode
 }()
 
-// Encode returns a record's form in the shared map, one for each content.
+// Encode returns a record's encoding in the shared map, the same for equal records.
 func (r Record) Encode() []byte {
 	text, err := recordEncoding.Marshal(r)
 	if err != nil {
-		panic(err) // no value of the type fails
+		panic(err) // encoding cannot fail for this type
 	}
 	return text
 }
 
-// DecodeRecord reads a record of the shared map. What other instances wrote is checked like a file's line; the error is
-// an InvalidRecordError without the entry's name.
+// DecodeRecord decodes a record of the shared map. Since other instances may have written it, it is checked like a line
+// of a file. The error is an InvalidRecordError without the entry's name.
 func DecodeRecord(text []byte) (record Record, err error) {
 	if len(text) > maxValueBytes {
-		return record, &InvalidRecordError{Reason: fmt.Sprintf("%d bytes", len(text))}
+		return record, &InvalidRecordError{Reason: fmt.Sprintf("%d bytes are too many", len(text))}
 	}
 	if err := sharedDecoding.Unmarshal(text, &record); err != nil {
 		return record, &InvalidRecordError{Reason: err.Error()}
 	}
 	if record.Consent == 0 || record.Consent > 2*maxFileConsent {
-		return record, &InvalidRecordError{Reason: fmt.Sprintf("consent %d", record.Consent)}
+		return record, &InvalidRecordError{Reason: fmt.Sprintf("consent %d is out of range", record.Consent)}
 	}
 	if record.exceedsLimits() {
-		return record, &InvalidRecordError{Reason: "more than it may hold"}
+		return record, &InvalidRecordError{Reason: "too many attachments, prior hashes, checkpoint values or unsubscriptions"}
 	}
 	if reason := record.Details.validate(); reason != "" && record.Details.Type != "" {
 		return record, &InvalidRecordError{Reason: reason}
--- a/control/subscribers/region_file.go
+++ b/control/subscribers/region_file.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	maxYAMLBytes      = 512 << 10 // some 5,000 lines: the parser keeps the position of every node, 30 kB a line
+	maxYAMLBytes      = 512 << 10 // some 5,000 lines: the parser stores the position of every node, 30 kB per line
 	maxJSONLinesBytes = 64 << 20
-	maxFileConsent    = 1 << 40 // consents are counted up by hand
-	maxReportedFaults = 16      // of one file
+	maxFileConsent    = 1 << 40 // consents in files are incremented by hand
+	maxReportedFaults = 16      // per file
 )
 
-// FileLine is what a file says of a subscriber.
+// FileLine is a file's line about one subscriber.
 type FileLine struct {
 	Details
 	Consent     uint64
 	detailsHash uint64
 }
 
-// RegionFile is a region's list of subscribers. Its lines are subscribed; a subscriber whose line was in it and is not
-// any more has unsubscribed. A line speaks for the subscriber only with the consent that it states, so reading a file
-// again brings nobody back.
+// RegionFile is a region's list of subscribers. A subscriber with a line is subscribed; one whose line was removed has
+// unsubscribed. A line counts only for the consent that it states, so reading a file again does not resubscribe anyone
+// who has unsubscribed since.
 type RegionFile struct {
 	Region      string
 	Generation  int64
 	Lines       map[Key]FileLine
-	Digest      uint64 // of all that the file says, whatever the order of its lines
+	Digest      uint64 // of the lines, in any order, and the delivery URL
 	DeliveryURL string
 }
 
-// FileHeader is what a file says of itself. It and subscriptionEntry are the forms of YAML and of JSON lines alike.
+// FileHeader is the header of a file. YAML and JSON lines share it, and subscriptionEntry too.
 type FileHeader struct {
 	Region     string `yaml:"region" json:"region"`
 	Generation int64  `yaml:"generation" json:"generation"`
 	Count      int    `yaml:"count" json:"count"`
-	Deliver    string `yaml:"deliver" json:"deliver"` // HTTP address that deliveries go to; {tenant} is the tenant's name
+	Deliver    string `yaml:"deliver" json:"deliver"` // HTTP URL that deliveries go to; {tenant} stands for the tenant's name
 }
 
 type subscriptionEntry struct {
@@ -78,16 +78,16 @@
 	return file, document.Err()
 }
 
-// ParseJSONLines reads the same as JSON lines, the first with the header. It is for files of up to 100,000 lines, for
-// which YAML takes too long.
+// ParseJSONLines reads a region's file in the form of JSON lines, the first of which is the header. This form is for
+// files of up to 100,000 lines, for which YAML takes too long.
 func ParseJSONLines(text []byte) (*RegionFile, error) {
 	if len(text) > maxJSONLinesBytes {
-		return nil, &InvalidLineError{0, fmt.Sprintf("over %d bytes", maxJSONLinesBytes)}
+		return nil, &InvalidLineError{0, fmt.Sprintf("the file has more than %d bytes", maxJSONLinesBytes)}
 	}
 	firstLine, rest, _ := bytes.Cut(text, []byte("\n"))
 	var header FileHeader
 	if err := decodeStrictJSON(firstLine, &header); err != nil {
-		return nil, &InvalidLineError{1, "the first line has region, generation and count: " + err.Error()}
+		return nil, &InvalidLineError{1, "the first line must hold region, generation and count: " + err.Error()}
 	}
 	var faults []error
 	report := func(line int, reason string) {
@@ -122,7 +122,7 @@
 	return count
 }
 
-// decodeStrictJSON reads one object and nothing else, with known fields alone.
+// decodeStrictJSON decodes exactly one object, and rejects unknown fields.
 func decodeStrictJSON(text []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -130,28 +130,28 @@
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("more than one object")
+		return errors.New("the line has more than one object")
 	}
 	return nil
 }
 
-// newFile returns a file without lines that has this header. The count reveals a file that was read half-written, whose
-// missing lines would be taken for unsubscriptions.
+// newFile checks the header and returns a file with it and without lines. The count reveals a file that was read while
+// half-written, whose missing lines would count as unsubscriptions.
 func (h FileHeader) newFile(lineCount int, report func(field, reason string)) *RegionFile {
 	if !isRegion(h.Region) {
-		report("region", fmt.Sprintf("%.40q is no name: 1 to %d letters without blanks and strokes", h.Region, maxRegionBytes))
+		report("region", fmt.Sprintf("%.40q is not a region name of 1 to %d bytes without spaces and slashes", h.Region, maxRegionBytes))
 	}
 	if h.Generation < 1 {
-		report("generation", "is missing: it rises by one or more with each change of the file")
+		report("generation", "is missing or below 1: it must rise with each change of the file")
 	}
 	if h.Count != lineCount {
-		report("count", fmt.Sprintf("says %d, there are %d: the file is not whole", h.Count, lineCount))
+		report("count", fmt.Sprintf("says %d, but the number of subscriptions is %d: the file is incomplete", h.Count, lineCount))
 	}
 	if h.Deliver != "" && !isHTTPAddress(h.Deliver) {
-		report("deliver", fmt.Sprintf("%.60q is no http address", h.Deliver))
+		report("deliver", fmt.Sprintf("%.60q is not an HTTP URL", h.Deliver))
 	}
 	if lineCount > MaxSubscriptions {
-		report("count", fmt.Sprintf("%d subscriptions, %d at the most", lineCount, MaxSubscriptions))
+		report("count", fmt.Sprintf("%d subscriptions, at most %d are allowed", lineCount, MaxSubscriptions))
 	}
 	return &RegionFile{Region: h.Region, Generation: h.Generation, Lines: make(map[Key]FileLine, lineCount), DeliveryURL: h.Deliver}
 }
@@ -165,7 +165,7 @@
 func (f *RegionFile) addLine(entry subscriptionEntry) (reason string) {
 	interval, err := time.ParseDuration(entry.Every)
 	if err != nil {
-		return fmt.Sprintf("every: %.40q is no time such as 30s", entry.Every)
+		return fmt.Sprintf("every: %.40q is not a duration such as 30s", entry.Every)
 	}
 	key := Key{entry.Tenant, entry.ID}
 	line := FileLine{Details: Details{entry.Type, entry.Query, int64(interval / tick), entry.Blocks}, Consent: max(1, entry.Consent)}
@@ -176,10 +176,10 @@
 		return reason
 	}
 	if _, duplicate := f.Lines[key]; duplicate {
-		return fmt.Sprintf("%s is there twice", key)
+		return fmt.Sprintf("%s is listed twice", key)
 	}
 	if line.Consent > maxFileConsent {
-		return "no consent is counted so far"
+		return "the consent is too high"
 	}
 	line.detailsHash = line.hash()
 	f.Lines[key] = line
--- a/control/subscribers/region_file_changes.go
+++ b/control/subscribers/region_file_changes.go
@@ -6,10 +6,10 @@
 	"chalkring/cluster/crdt"
 )
 
-// RegionFileKeyPrefix begins the shared map's names that say which file of a region is in force.
+// RegionFileKeyPrefix is the prefix of the entries of the shared map that record a region's active file.
 const RegionFileKeyPrefix = "subfile/"
 
-// FileStatus says which file of a region is in force, as the shared map holds it.
+// FileStatus identifies a region's active file in the shared map.
 type FileStatus struct {
 	Generation int64  `cbor:"1,keyasint"`
 	Digest     uint64 `cbor:"2,keyasint"`
@@ -19,7 +19,7 @@
 	return s.Generation > other.Generation || s.Generation == other.Generation && s.Digest > other.Digest
 }
 
-// DecodeFileStatus reads an entry of the shared map. Of statuses that were written concurrently the greatest wins.
+// DecodeFileStatus decodes an entry of the shared map. Of statuses that were written concurrently the greatest wins.
 func DecodeFileStatus(entry crdt.Entry) (status FileStatus) {
 	for _, sibling := range entry.Siblings {
 		var candidate FileStatus
@@ -30,8 +30,8 @@
 	return status
 }
 
-// Admit reports with a StaleFileError that a file may not be in force beside what the shared map says. Otherwise it
-// returns the value for the map, nil where the map says so already.
+// Admit returns a StaleFileError if the file must not replace the active one in the shared map. Otherwise it returns
+// the value that makes the file the active one, nil if it is active already.
 func (f *RegionFile) Admit(current FileStatus) (value []byte, err error) {
 	if f.Generation < current.Generation || f.Generation == current.Generation && f.Digest != current.Digest {
 		return nil, &StaleFileError{f.Region, f.Generation, current.Generation}
@@ -42,8 +42,8 @@
 	return cbor.Marshal(FileStatus{f.Generation, f.Digest})
 }
 
-// applyTo returns the record of one subscriber after the file is applied to the current record. Write is false where
-// the file says nothing new; then stale may report a line about a subscriber that has unsubscribed since.
+// applyTo returns the record of one subscriber after the file is applied to the current record. write is false if the
+// file changes nothing; then stale may report a line about a subscriber that has unsubscribed since.
 func (f *RegionFile) applyTo(key Key, current Record, exists bool, instance string, wallMS uint64) (next Record, write bool, stale *StaleLineError) {
 	line, hasLine := f.Lines[key]
 	attachment, attached := current.Attachments[f.Region]
@@ -67,8 +67,8 @@
 	return current, false, nil
 }
 
-// UpdateFor returns the update that applies the file to one subscriber. Instance is the one that applies it, at wallMS
-// by its clock.
+// UpdateFor returns the update that applies the file to one subscriber. instance is the name of the instance that
+// applies it, and wallMS the time by its clock.
 func (f *RegionFile) UpdateFor(key Key, instance string, wallMS uint64) RecordUpdate {
 	return func(current Record, exists bool) (Record, bool, error) {
 		next, write, _ := f.applyTo(key, current, exists, instance, wallMS)
@@ -76,9 +76,9 @@
 	}
 }
 
-// FindChanges returns the subscribers, of those that isOwn accepts, for whom the file says something that is not in the
-// list yet, and the lines about subscribers that have unsubscribed since; at most limit of each.
-func (f *RegionFile) FindChanges(list *List, isOwn func(Key) bool, limit int) (keys []Key, stale []*StaleLineError) {
+// FindChanges returns the subscribers whose records the file changes and for which mayWrite returns true, and the lines
+// about subscribers that have unsubscribed since; at most limit of each.
+func (f *RegionFile) FindChanges(list *List, mayWrite func(Key) bool, limit int) (keys []Key, stale []*StaleLineError) {
 	examine := func(key Key, current Record, exists bool) {
 		if len(keys) >= limit {
 			return
@@ -87,7 +87,7 @@
 		if staleLine != nil && len(stale) < limit {
 			stale = append(stale, staleLine)
 		}
-		if write && isOwn(key) {
+		if write && mayWrite(key) {
 			keys = append(keys, key)
 		}
 	}
--- a/control/subscribers/region_file_test.go
+++ b/control/subscribers/region_file_test.go
@@ -11,7 +11,7 @@
 	"chalkring/internal/advice"
 )
 
-// parseRegionFile reads a file of YAML lines, and checks that the same as JSON lines is the same file.
+// parseRegionFile parses a file of YAML lines, and checks that the same lines as JSON lines give the same file.
 func parseRegionFile(t *testing.T, generation int, lines ...string) *RegionFile {
 	file, err := ParseYAML(fmt.Appendf(nil, "region: eu\ngeneration: %d\ncount: %d\nsubscriptions:\n%s", generation, len(lines), strings.Join(lines, "\n")))
 	require.NoError(t, err)
@@ -20,9 +20,9 @@
 		for _, line := range lines {
 			text += jsonLine(line) + "\n"
 		}
-		same, err := ParseJSONLines([]byte(text))
+		fromJSONLines, err := ParseJSONLines([]byte(text))
 		require.NoError(t, err, text)
-		require.Equal(t, file, same)
+		require.Equal(t, file, fromJSONLines)
 	}
 	return file
 }
@@ -38,7 +38,7 @@
 	return strings.TrimPrefix(line, "- ")
 }
 
-// apply applies a file as an instance does, and checks that the file then says nothing new.
+// apply applies a file as the program does, and checks that applying it again changes nothing.
 func (i *instance) apply(file *RegionFile, wallMS uint64) (stale []*StaleLineError) {
 	all := func(Key) bool { return true }
 	keys, stale := file.FindChanges(i.list, all, 100)
@@ -46,19 +46,19 @@
 		require.NoError(i.t, i.update(key, file.UpdateFor(key, "a", wallMS)))
 	}
 	keys, _ = file.FindChanges(i.list, all, 100)
-	require.Empty(i.t, keys, "a file that was applied says nothing new")
+	require.Empty(i.t, keys, "a file that was applied changes nothing")
 	return stale
 }
 
 const (
-	firstLine        = "- {tenant: acme, id: s1, type: lookup, query: a, every: 30s}"
-	firstLineConsent = "- {tenant: acme, id: s1, type: lookup, query: a, every: 30s, consent: 2}"
-	secondLine       = "- {tenant: acme, id: s2, type: lookup, query: b, every: 30s}"
+	firstLine            = "- {tenant: acme, id: s1, type: lookup, query: a, every: 30s}"
+	firstLineWithConsent = "- {tenant: acme, id: s1, type: lookup, query: a, every: 30s, consent: 2}"
+	secondLine           = "- {tenant: acme, id: s2, type: lookup, query: b, every: 30s}"
 )
 
 var secondKey = Key{"acme", "s2"}
 
-func TestFileBringsNobodyBack(t *testing.T) {
+func TestFileDoesNotResubscribe(t *testing.T) {
 	a, b := newInstance(t, "a#1"), newInstance(t, "b#1")
 	a.apply(parseRegionFile(t, 1, firstLine, secondLine), 1000)
 	require.True(t, a.isSubscribed(testKey) && a.isSubscribed(secondKey))
@@ -73,25 +73,25 @@
 	stale := a.apply(parseRegionFile(t, 2, firstLine, secondLine), 4000)
 	require.Len(t, stale, 1)
 	require.Contains(t, advice.For(stale[0]), "consent: 2")
-	a.apply(parseRegionFile(t, 3, firstLineConsent, secondLine), 5000)
-	require.True(t, a.isSubscribed(testKey), "the higher consent was given knowing of the unsubscription")
+	a.apply(parseRegionFile(t, 3, firstLineWithConsent, secondLine), 5000)
+	require.True(t, a.isSubscribed(testKey), "a higher consent is one given after the unsubscription")
 	require.NoError(t, a.update(secondKey, ChangeDetails(secondKey, testDetails)))
-	a.apply(parseRegionFile(t, 4, firstLineConsent, secondLine), 6000)
+	a.apply(parseRegionFile(t, 4, firstLineWithConsent, secondLine), 6000)
 	record, _ := a.list.Get(secondKey)
-	require.Equal(t, testDetails, record.Details, "an unchanged line takes no change back")
+	require.Equal(t, testDetails, record.Details, "an unchanged line does not revert a change of details")
 	b.receive(a, testKey, secondKey)
-	b.apply(parseRegionFile(t, 1, firstLineConsent), 7000) // an instance with an older copy, which lacks a line
+	b.apply(parseRegionFile(t, 1, firstLineWithConsent), 7000) // an instance with an older copy, which lacks a line
 	require.True(t, b.isSubscribed(secondKey), "only a later file unsubscribes")
-	a.apply(parseRegionFile(t, 5, firstLineConsent), 8000)
+	a.apply(parseRegionFile(t, 5, firstLineWithConsent), 8000)
 	require.False(t, a.isSubscribed(secondKey))
 	require.True(t, a.isSubscribed(testKey))
 }
 
 func TestFileFaultsHavePositionAndAdvice(t *testing.T) {
 	for text, want := range map[string]string{
-		"region: eu\ngeneration: 1\ncount: 2\nsubscriptions:\n- {tenant: a, id: b, type: t, every: 1s}\n":                                           "[3:8] count: says 2, there are 1",
-		"region: eu\ngeneration: 1\ncount: 1\nsubscriptions:\n- {tenant: a, id: b, type: t, every: soon}\n":                                         "every: \"soon\" is no time",
-		"region: eu\ngeneration: 1\ncount: 2\nsubscriptions:\n- {tenant: a, id: b, type: t, every: 1s}\n- {tenant: a, id: b, type: t, every: 1s}\n": "a/b is there twice",
+		"region: eu\ngeneration: 1\ncount: 2\nsubscriptions:\n- {tenant: a, id: b, type: t, every: 1s}\n":                                           "[3:8] count: says 2, but the number of subscriptions is 1",
+		"region: eu\ngeneration: 1\ncount: 1\nsubscriptions:\n- {tenant: a, id: b, type: t, every: soon}\n":                                         "every: \"soon\" is not a duration",
+		"region: eu\ngeneration: 1\ncount: 2\nsubscriptions:\n- {tenant: a, id: b, type: t, every: 1s}\n- {tenant: a, id: b, type: t, every: 1s}\n": "a/b is listed twice",
 		"region: eu\ncount: 0\n":             "generation: is missing",
 		"region: eu\nwhat: 3\ngeneration: 1": "unknown field",
 	} {
@@ -120,7 +120,7 @@
 	}
 }
 
-// benchmarkLines is a file of so many lines, each with its number as id and in its query.
+// benchmarkLines returns a file of count lines, each with its number as ID and in its query.
 func benchmarkLines(header, format string, count int) []byte {
 	var text strings.Builder
 	text.WriteString(header)
--- a/control/subscribers/schedule.go
+++ b/control/subscribers/schedule.go
@@ -9,7 +9,8 @@
 	// maxInFlight limits the searches and deliveries of a gateway.
 	maxInFlight = 256
 
-	// maxClockSetBack is how far beyond an interval the next search may lie before its time is computed again.
+	// maxClockSetBack is how far the clock may be set back: if the next search lies further ahead than that and its
+	// interval, it is scheduled again.
 	maxClockSetBack = 600 * second
 )
 
@@ -18,17 +19,17 @@
 	Key     Key
 	Consent uint64
 	Details
-	Period int64 // number of the interval since 1970, by the subscriber's own offset
+	Period int64 // number of the interval since 1970, shifted by the subscriber's offset
 
 	subscription *subscription
 }
 
-// StartDueSearches returns at most limit searches to start now, each to be ended by CompleteSearch, and when to ask
-// again, 0 for not before something changes.
+// StartDueSearches returns at most limit searches to start now, each of which the caller ends by CompleteSearch, and
+// when the next search is due, 0 if none is scheduled.
 func (g *Gateway) StartDueSearches(now int64, limit int) (searches []DueSearch, next int64) {
 	for len(g.schedule) > 0 && g.schedule[0].nextSearchAt <= now && len(searches) < limit && g.inFlight < maxInFlight {
 		s := g.schedule[0]
-		if !g.allowsHere(s.key.Tenant) { // a contract has begun, or the lease on the policy has expired
+		if !g.allowsHere(s.key.Tenant) { // a contract has taken effect, or the lease on the policy has expired
 			g.scheduleNext(s, now)
 			continue
 		}
@@ -53,7 +54,7 @@
 }
 
 // scheduleNext sets the time of the next search. Each subscriber has an offset within its interval, the same on all
-// gateways: so the subscribers of a gateway that has gone are spread over the interval on the others.
+// gateways, so that the searches of a gone gateway's subscribers are spread over the interval on the others.
 func (g *Gateway) scheduleNext(s *subscription, from int64) {
 	interval := s.Details.Interval
 	sinceLast := ((from-s.offset())%interval + interval) % interval
--- a/control/subscribers/status_message.go
+++ b/control/subscribers/status_message.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// StatusMessageKeyPrefix begins the shared map's names under which gateways publish their status messages.
+	// StatusMessageKeyPrefix is the prefix of the entries of the shared map in which gateways publish their status.
 	StatusMessageKeyPrefix = "subat/"
 
 	maxStatusBytes = 256
 )
 
-// StatusMessage is what a gateway publishes in the shared map: the view that it serves by, having ended all that belongs
-// to another gateway by that view; the round of agreement; and the highest epoch that it has claimed. Rounds only rise,
-// so that a message from before a partition is not taken for one after it.
+// StatusMessage is what a gateway publishes in the shared map: its view, the round of agreement and the highest epoch
+// that it has claimed. It publishes a view only after it has stopped serving what belongs to another gateway under that
+// view. Rounds only rise, so that a message from before a partition is not mistaken for one after it.
 type StatusMessage struct {
 	View  uint64 `cbor:"1,keyasint"`
 	Round uint64 `cbor:"2,keyasint"`
 	Epoch uint64 `cbor:"3,keyasint"`
 }
 
-// Encode returns the message's form in the shared map.
+// Encode returns the message's encoding in the shared map.
 func (m StatusMessage) Encode() []byte {
 	text, err := cbor.Marshal(m)
 	if err != nil {
-		panic(err) // no value of the type fails
+		panic(err) // encoding cannot fail for this type
 	}
 	return text
 }
@@ -37,7 +37,7 @@
 	return cmp.Or(cmp.Compare(m.Round, other.Round), cmp.Compare(m.Epoch, other.Epoch), cmp.Compare(m.View, other.View))
 }
 
-// DecodeStatusMessage reads an entry of the shared map: the last of the messages that were written concurrently.
+// DecodeStatusMessage decodes an entry of the shared map and returns the last of the concurrently written messages.
 func DecodeStatusMessage(entry crdt.Entry) (last StatusMessage) {
 	for _, sibling := range entry.Siblings {
 		if sibling.Deleted || len(sibling.Value) > maxStatusBytes {
--- a/control/subscribers/update.go
+++ b/control/subscribers/update.go
@@ -10,16 +10,17 @@
 // tombstoneInstance is the name under which a tombstone of the shared map counts as an unsubscription.
 const tombstoneInstance = "-"
 
-// RecordUpdate makes the next record from the current one; exists is false where there is none. Write is false where
-// nothing is to be written.
+// RecordUpdate computes the next record from the current one; exists is false if there is no current one, and write is
+// false if nothing has to be written.
 type RecordUpdate func(current Record, exists bool) (next Record, write bool, err error)
 
-// ApplyUpdate runs an update on an entry of the shared map and returns the value to put. The caller puts it in the same
-// step in which it read the entry. Otherwise an unsubscription that arrives in between would be superseded unseen.
+// ApplyUpdate runs an update on an entry of the shared map and returns the value to put. The caller has to read the
+// entry and put the value in one atomic step. Otherwise an unsubscription that arrives in between would be superseded
+// unseen.
 func ApplyUpdate(entry crdt.Entry, update RecordUpdate) (value []byte, write bool, err error) {
 	current, records, err := resolveEntry(entry)
 	if err != nil {
-		return nil, false, err // what cannot be read must not be superseded
+		return nil, false, err // a record that cannot be decoded must not be superseded
 	}
 	next, write, err := update(current, len(records) > 0)
 	if err != nil || !write {
@@ -27,15 +28,15 @@
 	}
 	next = next.pruned().withPriorHashesOf(records...)
 	if len(records) > 0 && !next.supersedes(current) {
-		return nil, false, &InvalidSubscriptionError{keyOf(entry.Name), "would go back behind what holds"}
+		return nil, false, &InvalidSubscriptionError{keyOf(entry.Name), "the update does not supersede the current record"}
 	}
 	if value = next.Encode(); len(value) > maxValueBytes {
-		return nil, false, &InvalidSubscriptionError{keyOf(entry.Name), fmt.Sprintf("%d bytes, %d at the most", len(value), maxValueBytes)}
+		return nil, false, &InvalidSubscriptionError{keyOf(entry.Name), fmt.Sprintf("the record has %d bytes, at most %d are allowed", len(value), maxValueBytes)}
 	}
 	return value, true, nil
 }
 
-// supersedes reports whether a record says the same after it is merged with the current one. A merge with too many
+// supersedes reports whether a record keeps its content when it is merged with the current one. A merge with too many
 // unsubscriptions is exempt: pruning has removed some of them.
 func (r Record) supersedes(current Record) bool {
 	merged := MergeRecords(current, r)
@@ -50,9 +51,10 @@
 	return key
 }
 
-// resolveEntry reads an entry: its merged record, and all records that were written concurrently. Only unsubscribed
-// records are ever deleted from the shared map, long after. A record written concurrently with the tombstone was written
-// without having seen the unsubscription, so it is no new subscription: the subscriber stays unsubscribed.
+// resolveEntry decodes an entry: its merged record, and all records that were written concurrently. Only unsubscribed
+// records are ever deleted from the shared map, long after the unsubscription. So a record written concurrently with a
+// tombstone was written without having seen the unsubscription and is not a new subscription: the subscriber stays
+// unsubscribed.
 func resolveEntry(entry crdt.Entry) (current Record, records []Record, err error) {
 	hasTombstone := false
 	for _, sibling := range entry.Siblings {
@@ -86,8 +88,8 @@
 	return current, err
 }
 
-// Subscribe is the embedder's call for a subscriber that asks for something now. After an unsubscription it is a new
-// consent. A subscriber that is subscribed gets other details.
+// Subscribe subscribes a subscriber at the request of the embedder. After an unsubscription this is a new consent. A
+// subscriber that is already subscribed gets the new details.
 func Subscribe(key Key, region string, details Details) RecordUpdate {
 	return func(current Record, exists bool) (Record, bool, error) {
 		if err := validateSubscription(key, region, details); err != nil {
@@ -107,10 +109,11 @@
 	}
 }
 
-// ChangeDetails gives a subscriber that is subscribed other details. It brings nobody back.
+// ChangeDetails changes the details of a subscriber that is subscribed. It does not resubscribe one that has
+// unsubscribed.
 func ChangeDetails(key Key, details Details) RecordUpdate {
 	return func(current Record, exists bool) (Record, bool, error) {
-		const anyRegion = "-" // a change attaches the subscriber to no further region
+		const anyRegion = "-" // a change does not attach the subscriber to a region
 		if err := validateSubscription(key, anyRegion, details); err != nil {
 			return current, false, err
 		}
@@ -121,9 +124,10 @@
 	}
 }
 
-// Unsubscribe unsubscribes a subscriber for good, unless it subscribes anew. Instance is the one that accepts the call,
-// at wallMS by its clock. An unknown subscriber is recorded as unsubscribed too: its subscription may be on its way. One
-// that is unsubscribed is recorded again: what is written concurrently elsewhere may know only of the first time.
+// Unsubscribe unsubscribes a subscriber until it subscribes again. instance is the name of the instance that accepts
+// the call, and wallMS the time by its clock. An unknown subscriber is recorded as unsubscribed too, since its
+// subscription may not have arrived yet. For one that is unsubscribed already another unsubscription is recorded, since
+// a concurrent write elsewhere may have seen only the first.
 func Unsubscribe(key Key, instance string, wallMS uint64) RecordUpdate {
 	return func(current Record, _ bool) (Record, bool, error) {
 		if reason := key.validate(); reason != "" {
@@ -150,7 +154,7 @@
 		reason = details.validate()
 	}
 	if reason == "" && !isRegion(region) {
-		reason = fmt.Sprintf("region %.40q is no name", region)
+		reason = fmt.Sprintf("%.40q is not a region name", region)
 	}
 	if reason != "" {
 		return &InvalidSubscriptionError{key, reason}
--- a/control/subscribers/update_test.go
+++ b/control/subscribers/update_test.go
@@ -13,7 +13,7 @@
 	testDetails = Details{Type: "lookup", Query: "a", Interval: 30 * second}
 )
 
-// instance is one instance's shared map and list, with what the program does around them.
+// instance is one instance's shared map and list, which its methods use as the program does.
 type instance struct {
 	t *testing.T
 	*crdt.Map
@@ -35,7 +35,7 @@
 	return err
 }
 
-// receive takes over what another instance holds, deletes too, and returns the reported conflicts.
+// receive merges another instance's entries, including deletes, and returns the reported conflicts.
 func (i *instance) receive(from *instance, keys ...Key) (conflicts []WriteConflict) {
 	for _, key := range keys {
 		entry, _ := from.Get(key.LedgerKey())
@@ -60,14 +60,14 @@
 	return details
 }
 
-func TestUnsubscriptionFromOlderDiskIsNotTheSeenOne(t *testing.T) {
+func TestUnsubscriptionAfterRestoreCountsAsNew(t *testing.T) {
 	a, c := newInstance(t, "a#1"), newInstance(t, "c#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
 	require.NoError(t, a.update(testKey, Unsubscribe(testKey, "a", 1000)))
 	c.receive(a, testKey)
 	require.NoError(t, c.update(testKey, Subscribe(testKey, "us", testDetails)))
 	require.True(t, c.isSubscribed(testKey))
-	older := newInstance(t, "a#2") // its disk holds nothing yet
+	older := newInstance(t, "a#2") // its disk is from before the subscription
 	require.NoError(t, older.update(testKey, Unsubscribe(testKey, "a", 2000)))
 	c.receive(older, testKey)
 	require.False(t, c.isSubscribed(testKey), "the new subscription had not seen the second unsubscription")
@@ -84,7 +84,7 @@
 		conflicts := receiver.receive(sender, testKey)
 		require.Len(t, conflicts, 1)
 		require.Contains(t, conflicts[0].Kept, "unsubscribed")
-		require.Contains(t, conflicts[0].Discarded, "change 2")
+		require.Contains(t, conflicts[0].Discarded, "revision 2")
 		require.Empty(t, receiver.receive(sender, testKey))
 		require.False(t, receiver.isSubscribed(testKey))
 	}
@@ -94,7 +94,7 @@
 	require.True(t, b.isSubscribed(testKey))
 }
 
-func TestChangeBesideTombstoneBringsNobodyBack(t *testing.T) {
+func TestChangeConcurrentWithTombstoneDoesNotResubscribe(t *testing.T) {
 	a, away := newInstance(t, "a#1"), newInstance(t, "z#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
 	away.receive(a, testKey)
