--- a/control/fanout/calls.go
+++ b/control/fanout/calls.go
@@ -19,7 +19,7 @@
 		return err
 	}
 	count := g.listedCount.Load()
-	if _, exists := g.options.Store.Get(key.LedgerKey()); !exists && count >= subscribers.MaxSubscriptions {
+	if _, exists := g.options.Store.Get(key.EntryName()); !exists && count >= subscribers.MaxSubscriptions {
 		return &subscribers.ListFullError{Count: int(count), Max: subscribers.MaxSubscriptions}
 	}
 	return g.updateAndPersist(ctx, key, subscribers.Subscribe(key, g.options.Self.Region, details))
@@ -40,7 +40,7 @@
 
 // Get returns a subscriber's record, and whether it is subscribed.
 func (g *Gateway) Get(key subscribers.Key) (subscribers.Record, bool) {
-	entry, _ := g.options.Store.Get(key.LedgerKey())
+	entry, _ := g.options.Store.Get(key.EntryName())
 	record, err := subscribers.ResolveEntry(entry)
 	return record, err == nil && !record.IsUnsubscribed()
 }
@@ -60,7 +60,7 @@
 }
 
 func (g *Gateway) update(key subscribers.Key, update subscribers.RecordUpdate) error {
-	_, err := g.options.Store.Update(key.LedgerKey(), func(entry crdt.Entry) ([]byte, bool, error) {
+	_, err := g.options.Store.Update(key.EntryName(), func(entry crdt.Entry) ([]byte, bool, error) {
 		return subscribers.ApplyUpdate(entry, update)
 	})
 	return err
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -62,7 +62,7 @@
 	s.valueVersion.Add(1)
 	s.await("the other subscriber is still served", func() bool { return len(s.deliveries("s2")) > len(before) })
 	s.await("the checkpoint is stored", func() bool {
-		entry, _ := store.Get(secondKey.LedgerKey())
+		entry, _ := store.Get(secondKey.EntryName())
 		record, _ := subscribers.ResolveEntry(entry)
 		return len(record.Checkpoint.Values) > 0
 	})
@@ -116,7 +116,7 @@
 	s.await("served", func() bool { return len(s.deliveries("s1")) > 0 })
 	s.await("no result", s.logged("subscriber_search_failed"))
 	invalid := subscribers.Key{Tenant: "acme", ID: "s3"}
-	_, err := store.Update(invalid.LedgerKey(), func(crdt.Entry) ([]byte, bool, error) { return []byte("?"), true, nil })
+	_, err := store.Update(invalid.EntryName(), func(crdt.Entry) ([]byte, bool, error) { return []byte("?"), true, nil })
 	require.NoError(t, err)
 	s.await("invalid entry", s.logged("subscriber_entry_invalid"))
 	s.writeFile(4)
@@ -141,7 +141,7 @@
 	require.ErrorAs(t, gateway.Subscribe(t.Context(), forbiddenKey, details), &forbidden)
 	s.writeFile(7, "- {tenant: other, id: s4, type: full-match, query: a, every: 1s}")
 	s.await("rejected", s.logged("may not be in zone"))
-	_, exists := store.Get(forbiddenKey.LedgerKey())
+	_, exists := store.Get(forbiddenKey.EntryName())
 	require.False(t, exists, "no part of it is stored")
 }
 
--- a/control/fanout/gateway.go
+++ b/control/fanout/gateway.go
@@ -76,18 +76,18 @@
 
 // loopState is the state that only Serve's goroutine uses.
 type loopState struct {
-	searches  *coordinator.SearchAPI
-	pool      *scheduler.Pool
-	list      *subscribers.List
-	decisions *subscribers.Gateway
-	lastJob   uint64 // number of the last standing search
+	searches      *coordinator.SearchAPI
+	pool          *scheduler.Pool
+	list          *subscribers.List
+	decisions     *subscribers.Gateway
+	lastJobNumber uint64 // number of the last standing search
 
 	// The region's file.
-	file              *subscribers.RegionFile
-	fileAcceptedAt    time.Time
-	fileApplied       bool                       // whether neither list nor file has changed since the file was applied
-	lastFileCheck     time.Time                  // zero if a check is due at once
-	reportedStaleness map[subscribers.Key]uint64 // consent of the unsubscription, for each stale line that was reported
+	file               *subscribers.RegionFile
+	fileAcceptedAt     time.Time
+	fileApplied        bool                       // whether neither list nor file has changed since the file was applied
+	lastFileCheck      time.Time                  // zero if a check is due at once
+	reportedStaleLines map[subscribers.Key]uint64 // consent of the unsubscription, for each stale line that was reported
 
 	// The replicated store.
 	listChanged     bool
@@ -123,7 +123,7 @@
 		tasks: make(chan func(), 64),
 		loop: loopState{
 			list: subscribers.NewList(), scanInterval: minScanInterval,
-			reportedStaleness: map[subscribers.Key]uint64{}, reportedInvalid: map[string]uint64{}, statusDigests: map[string]uint64{},
+			reportedStaleLines: map[subscribers.Key]uint64{}, reportedInvalid: map[string]uint64{}, statusDigests: map[string]uint64{},
 		},
 	}
 }
--- a/control/fanout/region_file.go
+++ b/control/fanout/region_file.go
@@ -26,7 +26,7 @@
 	fileCheckInterval = 5 * time.Second
 
 	// maxLinesPerTick limits how many lines of a file are written in one tick: 20,000 a second, some 20 ms of a core.
-	maxWrittenStep = 2000
+	maxLinesPerTick = 2000
 
 	// writerDelay is how long each gateway ranked before this one has for writing a line.
 	writerDelay = 10 * time.Second
@@ -114,7 +114,7 @@
 	}
 	g.log.Info("subscriber_file_loaded", "path", g.options.FilePath, "generation", update.file.Generation, "subscriptions", len(update.file.Lines))
 	g.loop.file, g.loop.fileAcceptedAt, g.loop.fileApplied = update.file, time.Now(), false
-	clear(g.loop.reportedStaleness)
+	clear(g.loop.reportedStaleLines)
 }
 
 func (g *Gateway) logRejectedFile(err error, active string) {
@@ -144,10 +144,10 @@
 	}
 	maxRank := int(time.Since(g.loop.fileAcceptedAt) / writerDelay)
 	mayWrite := func(key subscribers.Key) bool { return g.loop.decisions.FileWriterRank(key) <= maxRank }
-	keys, stale := g.loop.file.FindChanges(g.loop.list, mayWrite, maxWrittenStep)
+	keys, stale := g.loop.file.FindChanges(g.loop.list, mayWrite, maxLinesPerTick)
 	g.reportStaleLines(stale)
 	written := g.writeLines(keys)
-	return len(keys) == maxWrittenStep && written > 0
+	return len(keys) == maxLinesPerTick && written > 0
 }
 
 // admitFile records the file as the active one in the store, and reports whether it is. A stale file is dropped.
@@ -172,8 +172,8 @@
 // reportStaleLines reports, once each, the lines about subscribers that have unsubscribed.
 func (g *Gateway) reportStaleLines(stale []*subscribers.StaleLineError) {
 	for _, line := range stale {
-		if len(g.loop.reportedStaleness) < maxRememberedReports && g.loop.reportedStaleness[line.Key] != line.UnsubscribedConsent {
-			g.loop.reportedStaleness[line.Key] = line.UnsubscribedConsent
+		if len(g.loop.reportedStaleLines) < maxRememberedReports && g.loop.reportedStaleLines[line.Key] != line.UnsubscribedConsent {
+			g.loop.reportedStaleLines[line.Key] = line.UnsubscribedConsent
 			g.warnLimited("subscriber_line_stale", advice.LogAttrs(line)...)
 		}
 	}
--- a/control/fanout/search.go
+++ b/control/fanout/search.go
@@ -28,8 +28,8 @@
 	}
 	searches, _ := g.loop.decisions.StartDueSearches(now(), 2*maxConcurrentSearches)
 	for _, search := range searches {
-		g.loop.lastJob++
-		name := fmt.Sprintf("sub-%s-%d", g.options.Self.Name, g.loop.lastJob)
+		g.loop.lastJobNumber++
+		name := fmt.Sprintf("sub-%s-%d", g.options.Self.Name, g.loop.lastJobNumber)
 		job := scheduler.Job{Name: name, Kind: searchKind, Priority: scheduler.PriorityNormal, MaxFailures: 1}
 		dueAt := time.Now()
 		_, err := g.loop.pool.Add(job, func(ctx context.Context, _ *scheduler.Allowance) error {
--- a/control/fanout/serve.go
+++ b/control/fanout/serve.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	tickInterval     = 100 * time.Millisecond // a handover takes about ten ticks
-	cleanupInterval  = time.Minute
-	maxCleanupStep   = 200         // expired unsubscriptions deleted per cleanup
-	statsLogInterval = time.Second // minimum, while the list or the view changes
+	tickInterval         = 100 * time.Millisecond // a handover takes about ten ticks
+	cleanupInterval      = time.Minute
+	maxDeletesPerCleanup = 200         // expired unsubscriptions deleted per cleanup
+	statsLogInterval     = time.Second // minimum, while the list or the view changes
 )
 
 // Serve runs the gateway until ctx ends, or until stopping ends and the deliveries in flight have ended or timed
@@ -128,8 +128,8 @@
 
 // deleteExpired deletes unsubscribed entries that need not be kept any longer.
 func (g *Gateway) deleteExpired() {
-	for _, key := range g.loop.list.FindExpiredTombstones(wallMS(), maxCleanupStep) {
-		if _, err := g.options.Store.Delete(key.LedgerKey()); err != nil {
+	for _, key := range g.loop.list.FindExpiredTombstones(wallMS(), maxDeletesPerCleanup) {
+		if _, err := g.options.Store.Delete(key.EntryName()); err != nil {
 			g.warnLimited("subscriber_update_failed", advice.LogAttrs(err, "subscriber", key)...)
 		}
 	}
@@ -143,7 +143,7 @@
 	}
 	g.log.Info("subscribers_status", "list_digest", fmt.Sprintf("%016x", g.loop.list.Digest()), "view", fmt.Sprintf("%016x", stats.View),
 		"gateways", stats.Gateways, "subscribed", subscribed, "unsubscribed", unsubscribed, "served", stats.Served,
-		"unassigned", stats.Unassigned, "epoch", stats.Epoch, "view_changes", stats.ViewChanges, "searches", stats.Runs,
+		"unassigned", stats.Unassigned, "epoch", stats.Epoch, "view_changes", stats.ViewChanges, "searches", stats.Searches,
 		"deliveries", stats.Deliveries, "failed", stats.Failed, "repeated", stats.Repeated, "conflicts", g.loop.conflictCount,
 		"stored_bytes", stored, "sent_bytes", sent)
 }
--- a/control/fanout/store_reader.go
+++ b/control/fanout/store_reader.go
@@ -16,7 +16,7 @@
 	scanCostFactor  = 4
 
 	// maxEntriesPerTick limits how many scanned entries are applied in one tick: some 40 ms of a core.
-	maxAppliedStep = 4000
+	maxEntriesPerTick = 4000
 )
 
 // readStore applies what has changed in the store, as much as fits in a tick.
@@ -83,7 +83,7 @@
 
 // applyScanned applies as many scanned entries as fit in a tick.
 func (g *Gateway) applyScanned() {
-	step := g.loop.unapplied[:min(len(g.loop.unapplied), maxAppliedStep)]
+	step := g.loop.unapplied[:min(len(g.loop.unapplied), maxEntriesPerTick)]
 	appliedAt := now()
 	for _, entry := range step {
 		g.applyEntry(appliedAt, entry)
--- a/control/subscribers/delivery.go
+++ b/control/subscribers/delivery.go
@@ -25,7 +25,7 @@
 	changed, changedDigest := s.changedBlocks(values)
 	isCurrent := s.served && s.Consent == search.Consent && s.Details.equal(search.Details) && now-g.lastTickAt <= maxTickGap
 	if !isCurrent || len(changed) == 0 {
-		g.endFlight(now, s)
+		g.finishSearch(now, s)
 		return Delivery{}, false
 	}
 	delivery = Delivery{
@@ -91,12 +91,12 @@
 	} else {
 		g.stats.Failed++
 	}
-	g.endFlight(now, s)
+	g.finishSearch(now, s)
 	return checkpoint
 }
 
 // finishSearch ends a search, including its delivery, and schedules the next one.
-func (g *Gateway) endFlight(now int64, s *subscription) {
+func (g *Gateway) finishSearch(now int64, s *subscription) {
 	g.inFlight--
 	s.searching = false
 	if s.served {
--- a/control/subscribers/gateway.go
+++ b/control/subscribers/gateway.go
@@ -21,12 +21,12 @@
 
 // GatewayStats holds the counters and the current state of a gateway.
 type GatewayStats struct {
-	Served, Listed, Unassigned         int // subscribers: served here, on the list, without an eligible gateway
-	Runs, Deliveries, Failed, Repeated int // Failed and Repeated count deliveries; a repeated one reuses a number
-	ViewChanges                        int
-	Epoch                              uint64
-	Gateways                           int    // of the view
-	View                               uint64 // its hash, 0 while a handover is under way
+	Served, Listed, Unassigned             int // subscribers: served here, on the list, without an eligible gateway
+	Searches, Deliveries, Failed, Repeated int // Failed and Repeated count deliveries; a repeated one reuses a number
+	ViewChanges                            int
+	Epoch                                  uint64
+	Gateways                               int    // of the view
+	View                                   uint64 // its hash, 0 while a handover is under way
 }
 
 // Gateway decides which subscribers this instance serves, when their searches run and how deliveries are numbered. It
@@ -147,7 +147,7 @@
 	}
 	g.highestEpoch = max(g.highestEpoch, record.Checkpoint.Number.Epoch)
 	if s == nil {
-		s = &subscription{key: key, hash: xxhash.Sum64String(key.LedgerKey()), scheduleIndex: -1}
+		s = &subscription{key: key, hash: xxhash.Sum64String(key.EntryName()), scheduleIndex: -1}
 		g.subscriptions[key] = s
 	}
 	intervalChanged := s.Details.Interval != record.Details.Interval
@@ -155,7 +155,7 @@
 		g.regions.add(now, region)
 	}
 	s.setRecord(record)
-	if began := g.place(s, now); !began && intervalChanged && s.served {
+	if began := g.updatePlacement(s, now); !began && intervalChanged && s.served {
 		g.scheduleNext(s, now)
 	}
 }
@@ -180,7 +180,7 @@
 	for _, s := range g.subscriptions {
 		if s.served {
 			stats.Served++
-		} else if !g.regions.serveAny(s.Attachments) || len(g.eligibleGateways(s.key.Tenant)) == 0 {
+		} else if !g.regions.servesAny(s.Attachments) || len(g.eligibleGateways(s.key.Tenant)) == 0 {
 			stats.Unassigned++
 		}
 	}
@@ -220,8 +220,8 @@
 	}
 }
 
-// serveAny reports whether one of the attached regions is reachable or taken over.
-func (r *regionTracker) serveAny(attachments map[string]Attachment) bool {
+// servesAny reports whether one of the attached regions is reachable or taken over.
+func (r *regionTracker) servesAny(attachments map[string]Attachment) bool {
 	for region := range attachments {
 		if _, unreachable := r.unreachableSince[region]; !unreachable || r.takenOver[region] {
 			return true
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -76,7 +76,7 @@
 	key := Key{Tenant: "acme", ID: "s1"}
 	var all strings.Builder
 	fmt.Fprintln(&all, "prefixes", KeyPrefix, StatusMessageKeyPrefix, RegionFileKeyPrefix)
-	fmt.Fprintln(&all, "key", key.LedgerKey(), key)
+	fmt.Fprintln(&all, "key", key.EntryName(), key)
 	fmt.Fprintf(&all, "record's form %016x\n", record.contentHash())
 	fmt.Fprintf(&all, "unsubscribed record's form %016x\n", record.withUnsubscription("n0", 1).contentHash())
 	fmt.Fprintf(&all, "details %016x\n", record.Details.hash())
@@ -87,7 +87,7 @@
 	require.NoError(t, err)
 	fmt.Fprintf(&all, "file's sum %016x, line's details %016x\n", file.Digest, file.Lines[key].detailsHash)
 	list := NewList()
-	_, _, _, err = list.ApplyEntry(entryOf(key.LedgerKey(), record.Encode()))
+	_, _, _, err = list.ApplyEntry(entryOf(key.EntryName(), record.Encode()))
 	require.NoError(t, err)
 	fmt.Fprintf(&all, "list's sum %016x\n", list.Digest())
 	fmt.Fprintln(&all, record.Describe())
@@ -231,7 +231,7 @@
 		require.Error(t, err)
 		fmt.Fprintln(&all, err)
 	}
-	_, err := ResolveEntry(entryOf(key.LedgerKey(), []byte{0xff}))
+	_, err := ResolveEntry(entryOf(key.EntryName(), []byte{0xff}))
 	fmt.Fprintln(&all, err)
 	number, err := json.Marshal(DeliveryNumber{Epoch: 1, Sequence: 2, Gateway: "n0"})
 	require.NoError(t, err)
--- a/control/subscribers/handover.go
+++ b/control/subscribers/handover.go
@@ -5,8 +5,8 @@
 const (
 	// The reachable gateways become the view once they have been stable for stableDelay: when a partition heals, many
 	// become reachable shortly after one another. If they keep changing, they become the view after maxUnstableTime.
-	stableDelay = 1 * second
-	maxUnstable = 5 * second
+	stableDelay     = 1 * second
+	maxUnstableTime = 5 * second
 
 	// A handover waits silentTimeout for a gateway that publishes no status; by then membership has detected that it
 	// hangs. It waits disagreementTimeout for one that publishes other views, so that one-way links do not stop all
@@ -58,7 +58,7 @@
 		g.viewStaleSince = 0
 	case g.viewStaleSince == 0:
 		g.viewStaleSince = now
-	case now-g.reachableSince >= stableDelay || now-g.viewStaleSince >= maxUnstable:
+	case now-g.reachableSince >= stableDelay || now-g.viewStaleSince >= maxUnstableTime:
 		g.stats.ViewChanges++
 		g.view.replace(hash, g.reachable)
 		g.viewStaleSince, g.round = 0, g.highestRound+1
@@ -127,7 +127,7 @@
 	// Searches that were due during the handover, or before the change was seen, run now.
 	scheduleFrom := g.handoverSince - silentTimeout
 	for _, s := range g.subscriptions {
-		g.place(s, scheduleFrom)
+		g.updatePlacement(s, scheduleFrom)
 	}
 }
 
--- a/control/subscribers/key.go
+++ b/control/subscribers/key.go
@@ -20,7 +20,7 @@
 }
 
 // EntryName returns the name of the subscription's entry in the shared map.
-func (k Key) LedgerKey() string { return KeyPrefix + k.Tenant + "/" + k.ID }
+func (k Key) EntryName() string { return KeyPrefix + k.Tenant + "/" + k.ID }
 
 func (k Key) String() string { return k.Tenant + "/" + k.ID }
 
--- a/control/subscribers/list.go
+++ b/control/subscribers/list.go
@@ -32,11 +32,11 @@
 
 type listEntry struct {
 	Record
-	hash         uint64   // its content hash
-	digest       uint64   // its contribution to the list's digest
-	entryDigest  uint64   // of the siblings that it was read from
-	lastScan     uint64   // scan in which the entry was last seen
-	reportedLoss []uint64 // content hashes of the siblings that lost, all of them reported
+	hash           uint64   // its content hash
+	digest         uint64   // its contribution to the list's digest
+	entryDigest    uint64   // of the siblings that it was read from
+	lastScan       uint64   // scan in which the entry was last seen
+	reportedLosses []uint64 // content hashes of the siblings that lost, all of them reported
 }
 
 // NewList returns an empty list.
@@ -104,8 +104,8 @@
 	_, lost := ResolveConflict(records)
 	for _, record := range lost {
 		hash := record.contentHash()
-		e.reportedLoss = append(e.reportedLoss, hash)
-		if previous == nil || !slices.Contains(previous.reportedLoss, hash) {
+		e.reportedLosses = append(e.reportedLosses, hash)
+		if previous == nil || !slices.Contains(previous.reportedLosses, hash) {
 			conflicts = append(conflicts, WriteConflict{key, e.Describe(), record.Describe()})
 		}
 	}
@@ -135,7 +135,7 @@
 
 func subscriptionDigest(key Key, contentHash uint64) uint64 {
 	d := newDigest()
-	d.addText(key.LedgerKey())
+	d.addText(key.EntryName())
 	d.addNumber(contentHash)
 	return d.sum()
 }
--- a/control/subscribers/model_checks_test.go
+++ b/control/subscribers/model_checks_test.go
@@ -15,7 +15,7 @@
 // receive checks a delivery as its receiver sees it.
 func (m *fleetModel) receive(delivery Delivery) {
 	content := fmt.Sprint(delivery.Consent, delivery.Blocks, delivery.values)
-	id := delivery.Key.LedgerKey() + delivery.Number.String()
+	id := delivery.Key.EntryName() + delivery.Number.String()
 	if previous, repeated := m.contents[id]; repeated {
 		require.Equal(m.t, previous, content, "a number was reused with other content")
 		return
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -182,13 +182,13 @@
 // a request.
 func (g *modelGateway) update(key Key, update RecordUpdate) {
 	t := g.model.t
-	entry, _ := g.shared.Get(key.LedgerKey())
+	entry, _ := g.shared.Get(key.EntryName())
 	before, _, _ := resolveEntry(entry)
 	value, write, err := ApplyUpdate(entry, update)
 	if err != nil || !write {
 		return
 	}
-	_, err = g.shared.Put(key.LedgerKey(), value)
+	_, err = g.shared.Put(key.EntryName(), value)
 	require.NoError(t, err)
 	after, err := DecodeRecord(value)
 	require.NoError(t, err)
@@ -196,7 +196,7 @@
 		id := fmt.Sprintf("%s#%d %d", g.name(), g.incarnation, g.shared.KnownVersion().LastCounter(g.shared.Actor()))
 		g.model.requests[id], g.known[id] = request{key, true, maps.Clone(g.known)}, true
 	}
-	g.apply(g.entries(key.LedgerKey()))
+	g.apply(g.entries(key.EntryName()))
 	g.save()
 }
 
--- a/control/subscribers/placement.go
+++ b/control/subscribers/placement.go
@@ -29,7 +29,7 @@
 // updatePlacement begins or stops serving a subscriber, depending on whether this gateway owns it, and reports whether
 // it has begun. The searches are scheduled from the time scheduleFrom on. A subscriber that is added during service is
 // served at once: no other gateway of the view has served it.
-func (g *Gateway) place(s *subscription, scheduleFrom int64) (began bool) {
+func (g *Gateway) updatePlacement(s *subscription, scheduleFrom int64) (began bool) {
 	switch isOwner := g.serving && g.ownerOf(s) == g.self.Name; {
 	case isOwner && !s.served:
 		s.served = true
@@ -51,7 +51,7 @@
 // same view agree even while they hold different records of the subscriber. A partition serves the subscribers attached
 // to its regions, and a majority also those of regions that have been unreachable for takeoverDelay.
 func (g *Gateway) ownerOf(s *subscription) (owner string) {
-	if !g.regions.serveAny(s.Attachments) {
+	if !g.regions.servesAny(s.Attachments) {
 		return ""
 	}
 	var highest uint64
@@ -83,7 +83,7 @@
 // FileWriterRank returns how many gateways of the same region precede this one as writers of a subscriber's line in the
 // region's file: the first one writes the line, and the next ones do only if it does not.
 func (g *Gateway) FileWriterRank(key Key) (rank int) {
-	subscriber := xxhash.Sum64String(key.LedgerKey())
+	subscriber := xxhash.Sum64String(key.EntryName())
 	own := rendezvousHash(xxhash.Sum64String(g.self.Name), subscriber)
 	for _, member := range g.eligibleGateways(key.Tenant) {
 		if g.self.Region != "" && member.Region != g.self.Region || member.Name == g.self.Name {
@@ -106,7 +106,7 @@
 		g.regions.takenOver[region] = takeOver
 		for _, s := range g.subscriptions {
 			if _, attached := s.Attachments[region]; attached {
-				g.place(s, now)
+				g.updatePlacement(s, now)
 			}
 		}
 	}
--- a/control/subscribers/record_codec.go
+++ b/control/subscribers/record_codec.go
@@ -19,7 +19,7 @@
 }()
 
 // limitedDecoding limits how much memory other instances can make this one allocate.
-var sharedDecoding = func() cbor.DecMode {
+var limitedDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		MaxArrayElements: 128, MaxMapPairs: 128, MaxNestedLevels: 6,
@@ -45,7 +45,7 @@
 	if len(text) > maxValueBytes {
 		return record, &InvalidRecordError{Reason: fmt.Sprintf("%d bytes are too many", len(text))}
 	}
-	if err := sharedDecoding.Unmarshal(text, &record); err != nil {
+	if err := limitedDecoding.Unmarshal(text, &record); err != nil {
 		return record, &InvalidRecordError{Reason: err.Error()}
 	}
 	if record.Consent == 0 || record.Consent > 2*maxFileConsent {
--- a/control/subscribers/region_file.go
+++ b/control/subscribers/region_file.go
@@ -168,7 +168,7 @@
 		return fmt.Sprintf("every: %.40q is not a duration such as 30s", entry.Every)
 	}
 	key := Key{entry.Tenant, entry.ID}
-	line := FileLine{Details: Details{entry.Type, entry.Query, int64(interval / tick), entry.Blocks}, Consent: max(1, entry.Consent)}
+	line := FileLine{Details: Details{entry.Type, entry.Query, int64(interval / timeUnit), entry.Blocks}, Consent: max(1, entry.Consent)}
 	if reason := key.validate(); reason != "" {
 		return reason
 	}
@@ -192,7 +192,7 @@
 	f.Digest = header.sum()
 	for key, line := range f.Lines {
 		d := newDigest()
-		d.addText(key.LedgerKey())
+		d.addText(key.EntryName())
 		d.addNumber(line.detailsHash)
 		d.addNumber(line.Consent)
 		f.Digest += d.sum()
--- a/control/subscribers/region_file_changes.go
+++ b/control/subscribers/region_file_changes.go
@@ -23,7 +23,7 @@
 func DecodeFileStatus(entry crdt.Entry) (status FileStatus) {
 	for _, sibling := range entry.Siblings {
 		var candidate FileStatus
-		if !sibling.Deleted && sharedDecoding.Unmarshal(sibling.Value, &candidate) == nil && candidate.isAfter(status) {
+		if !sibling.Deleted && limitedDecoding.Unmarshal(sibling.Value, &candidate) == nil && candidate.isAfter(status) {
 			status = candidate
 		}
 	}
--- a/control/subscribers/region_file_test.go
+++ b/control/subscribers/region_file_test.go
@@ -154,10 +154,10 @@
 		require.NoError(b, err)
 		shared := crdt.NewMap("a#1")
 		for key := range file.Lines {
-			entry, _ := shared.Get(key.LedgerKey())
+			entry, _ := shared.Get(key.EntryName())
 			value, _, err := ApplyUpdate(entry, file.UpdateFor(key, "a", 1))
 			require.NoError(b, err)
-			_, err = shared.Put(key.LedgerKey(), value)
+			_, err = shared.Put(key.EntryName(), value)
 			require.NoError(b, err)
 		}
 		for b.Loop() {
--- a/control/subscribers/schedule.go
+++ b/control/subscribers/schedule.go
@@ -29,14 +29,14 @@
 func (g *Gateway) StartDueSearches(now int64, limit int) (searches []DueSearch, next int64) {
 	for len(g.schedule) > 0 && g.schedule[0].nextSearchAt <= now && len(searches) < limit && g.inFlight < maxInFlight {
 		s := g.schedule[0]
-		if !g.allowsHere(s.key.Tenant) { // a contract has taken effect, or the lease on the policy has expired
+		if !g.allowsTenantHere(s.key.Tenant) { // a contract has taken effect, or the lease on the policy has expired
 			g.scheduleNext(s, now)
 			continue
 		}
 		g.schedule.remove(s)
 		s.searching = true
 		g.inFlight++
-		g.stats.Runs++
+		g.stats.Searches++
 		searches = append(searches, DueSearch{s.key, s.Consent, s.Details, s.period(now), s})
 	}
 	if len(g.schedule) > 0 {
@@ -49,7 +49,7 @@
 	return searches, next
 }
 
-func (g *Gateway) allowsHere(tenant string) bool {
+func (g *Gateway) allowsTenantHere(tenant string) bool {
 	return g.rules.AllowsTenantData == nil || g.rules.AllowsTenantData(tenant, g.self.Zone)
 }
 
--- a/control/subscribers/status_message.go
+++ b/control/subscribers/status_message.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		var message StatusMessage
-		if sharedDecoding.Unmarshal(sibling.Value, &message) == nil && message.compare(last) > 0 {
+		if limitedDecoding.Unmarshal(sibling.Value, &message) == nil && message.compare(last) > 0 {
 			last = message
 		}
 	}
--- a/control/subscribers/subscribers.go
+++ b/control/subscribers/subscribers.go
@@ -13,7 +13,7 @@
 import "time"
 
 const (
-	tick   = 100 * time.Microsecond // unit of times and durations
-	second = 10_000                 // in units of timeUnit
-	day    = 86_400 * second
+	timeUnit = 100 * time.Microsecond // unit of times and durations
+	second   = 10_000                 // in units of timeUnit
+	day      = 86_400 * second
 )
--- a/control/subscribers/update_test.go
+++ b/control/subscribers/update_test.go
@@ -25,10 +25,10 @@
 }
 
 func (i *instance) update(key Key, update RecordUpdate) error {
-	entry, _ := i.Get(key.LedgerKey())
+	entry, _ := i.Get(key.EntryName())
 	value, write, err := ApplyUpdate(entry, update)
 	if write {
-		entry, err = i.Put(key.LedgerKey(), value)
+		entry, err = i.Put(key.EntryName(), value)
 		require.NoError(i.t, err)
 		_, _, _, err = i.list.ApplyEntry(entry)
 	}
@@ -38,10 +38,10 @@
 // receive merges another instance's entries, including deletes, and returns the reported conflicts.
 func (i *instance) receive(from *instance, keys ...Key) (conflicts []WriteConflict) {
 	for _, key := range keys {
-		entry, _ := from.Get(key.LedgerKey())
+		entry, _ := from.Get(key.EntryName())
 		_, err := i.MergeBatch("o", crdt.Batch{Known: from.KnownVersion(), Entries: []crdt.Entry{entry}})
 		require.NoError(i.t, err)
-		entry, _ = i.Get(key.LedgerKey())
+		entry, _ = i.Get(key.EntryName())
 		_, _, reported, err := i.list.ApplyEntry(entry)
 		require.NoError(i.t, err)
 		conflicts = append(conflicts, reported...)
@@ -101,7 +101,7 @@
 	require.NoError(t, a.update(testKey, Unsubscribe(testKey, "a", 1000)))
 	require.Empty(t, a.list.FindExpiredTombstones(1000+tombstoneRetentionMS, 10))
 	require.Equal(t, []Key{testKey}, a.list.FindExpiredTombstones(1001+tombstoneRetentionMS, 10))
-	entry, err := a.Delete(testKey.LedgerKey())
+	entry, err := a.Delete(testKey.EntryName())
 	require.NoError(t, err)
 	_, changed, _, err := a.list.ApplyEntry(entry)
 	require.NoError(t, err)
@@ -113,10 +113,10 @@
 
 func TestRecordOfNewerVersionIsNotOverwritten(t *testing.T) {
 	a := newInstance(t, "a#1")
-	_, err := a.Put(testKey.LedgerKey(), []byte("another version's"))
+	_, err := a.Put(testKey.EntryName(), []byte("another version's"))
 	require.NoError(t, err)
 	var invalid *InvalidRecordError
 	require.ErrorAs(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)), &invalid)
-	entry, _ := a.Get(testKey.LedgerKey())
+	entry, _ := a.Get(testKey.EntryName())
 	require.Equal(t, "another version's", string(entry.Siblings[0].Value))
 }
