--- a/control/fanout/region_file.go
+++ b/control/fanout/region_file.go
@@ -139,7 +139,7 @@
 		return false
 	}
 	g.loop.fileApplied = true
-	if !g.admitFile() {
+	if !g.activateFile() {
 		return false
 	}
 	maxRank := int(time.Since(g.loop.fileAcceptedAt) / writerDelay)
@@ -150,10 +150,10 @@
 	return len(keys) == maxLinesPerTick && written > 0
 }
 
-// admitFile records the file as the active one in the store, and reports whether it is. A stale file is dropped.
-func (g *Gateway) admitFile() bool {
+// activateFile records the file as the active one in the store, and reports whether it is. A stale file is dropped.
+func (g *Gateway) activateFile() bool {
 	_, err := g.options.Store.Update(subscribers.RegionFileKeyPrefix+g.loop.file.Region, func(entry crdt.Entry) ([]byte, bool, error) {
-		value, err := g.loop.file.Admit(subscribers.DecodeFileStatus(entry))
+		value, err := g.loop.file.Activate(subscribers.DecodeFileStatus(entry))
 		return value, value != nil, err
 	})
 	var stale *subscribers.StaleFileError
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -56,9 +56,9 @@
 	require.Equal(t, message, DecodeStatusMessage(entryOf("subat/n0", StatusMessage{View: 99, Round: 31, Epoch: 99}.Encode(), golden.ReadCBORMessage(t, goldenFile, "word"))))
 	require.Equal(t, fileStatus, DecodeFileStatus(entryOf("subfile/eu", golden.ReadCBORMessage(t, goldenFile, "standing"))))
 	file := RegionFile{Region: "eu", Generation: 34, Digest: 35}
-	admitted, err := file.Admit(FileStatus{Generation: 33, Digest: 99})
+	activated, err := file.Activate(FileStatus{Generation: 33, Digest: 99})
 	require.NoError(t, err)
-	require.Equal(t, fileStatusText, admitted)
+	require.Equal(t, fileStatusText, activated)
 }
 
 func entryOf(name string, values ...[]byte) (entry crdt.Entry) {
--- a/control/subscribers/region_file.go
+++ b/control/subscribers/region_file.go
@@ -37,7 +37,7 @@
 	DeliveryURL string
 }
 
-// FileHeader is the header of a file. YAML and JSON lines share it, and subscriptionEntry too.
+// FileHeader is the header of a file. It and subscriptionEntry have the same fields in YAML and in JSON lines.
 type FileHeader struct {
 	Region     string `yaml:"region" json:"region"`
 	Generation int64  `yaml:"generation" json:"generation"`
--- a/control/subscribers/region_file_changes.go
+++ b/control/subscribers/region_file_changes.go
@@ -30,9 +30,9 @@
 	return status
 }
 
-// Admit returns a StaleFileError if the file must not replace the active one in the shared map. Otherwise it returns
+// Activate returns a StaleFileError if the file must not replace the active one in the shared map. Otherwise it returns
 // the value that makes the file the active one, nil if it is active already.
-func (f *RegionFile) Admit(current FileStatus) (value []byte, err error) {
+func (f *RegionFile) Activate(current FileStatus) (value []byte, err error) {
 	if f.Generation < current.Generation || f.Generation == current.Generation && f.Digest != current.Digest {
 		return nil, &StaleFileError{f.Region, f.Generation, current.Generation}
 	}
--- a/control/subscribers/region_file_test.go
+++ b/control/subscribers/region_file_test.go
@@ -103,19 +103,19 @@
 	require.ErrorContains(t, err, "[2:1]")
 }
 
-func TestOnlyNewerFileIsAdmitted(t *testing.T) {
+func TestOnlyNewerFileIsActivated(t *testing.T) {
 	file := parseRegionFile(t, 2)
-	value, err := file.Admit(FileStatus{1, 9})
+	value, err := file.Activate(FileStatus{1, 9})
 	require.NoError(t, err)
 	shared := crdt.NewMap("a#1")
 	entry, err := shared.Put(RegionFileKeyPrefix+"eu", value)
 	require.NoError(t, err)
-	value, err = file.Admit(DecodeFileStatus(entry))
+	value, err = file.Activate(DecodeFileStatus(entry))
 	require.NoError(t, err)
 	require.Nil(t, value)
 	for _, current := range []FileStatus{{3, file.Digest}, {2, file.Digest + 1}} {
 		var stale *StaleFileError
-		_, err = file.Admit(current)
+		_, err = file.Activate(current)
 		require.ErrorAs(t, err, &stale)
 	}
 }
