--- a/control/fanout/calls.go
+++ b/control/fanout/calls.go
@@ -38,7 +38,7 @@
 	return g.updateAndPersist(ctx, key, subscribers.Unsubscribe(key, g.options.Self.Name, wallMS()))
 }
 
-// Get returns a subscriber's record, and whether it is subscribed.
+// Get returns a subscriber's record, and whether the subscriber is subscribed.
 func (g *Gateway) Get(key subscribers.Key) (subscribers.Record, bool) {
 	entry, _ := g.options.Store.Get(key.EntryName())
 	record, err := subscribers.ResolveEntry(entry)
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	select {
-	case <-g.options.Store.Ready(): // a record written before would not supersede the one on disk
+	case <-g.options.Store.Ready(): // before the store is loaded, a write would not supersede the record on disk
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/control/fanout/delivery.go
+++ b/control/fanout/delivery.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxValueBytes    = 64 << 10        // of a delivered value; of a longer one only the hash is delivered
-	deliveryTimeout  = 2 * time.Second // for all attempts: a handover waits for it
+	maxValueBytes    = 64 << 10        // of a value in a delivery, which has only the hash of a longer one
+	deliveryTimeout  = 2 * time.Second // for all attempts of a delivery; a handover waits for deliveries to end
 	deliveryAttempts = 3               // of one delivery, all with the same number
 	retryDelay       = 200 * time.Millisecond
 	idleTimeout      = time.Minute // of a connection to a receiver
@@ -30,8 +30,8 @@
 }
 
 // DeliveryMessage is what a receiver gets: the blocks whose values differ from those delivered before. A receiver drops
-// a message whose number it has received already. Of two gateways' numbers the higher one is the later, except while
-// regions are partitioned.
+// a message whose number it has received already. A later message has a higher number, even from another gateway, except
+// while regions are partitioned.
 type DeliveryMessage struct {
 	Tenant   string                     `json:"tenant"`
 	ID       string                     `json:"id"`
--- a/control/fanout/errors.go
+++ b/control/fanout/errors.go
@@ -48,7 +48,7 @@
 // SearchFailedError reports a standing search that had no result.
 type SearchFailedError struct{ Reason string }
 
-func (e *SearchFailedError) Error() string { return "standing search: " + e.Reason }
+func (e *SearchFailedError) Error() string { return "standing search had no result: " + e.Reason }
 
 // Advice tells an operator what to do.
 func (e *SearchFailedError) Advice() string {
--- a/control/fanout/fanout_test.go
+++ b/control/fanout/fanout_test.go
@@ -27,6 +27,8 @@
 	secondKey = subscribers.Key{Tenant: "acme", ID: "s2"}
 )
 
+// A subscriber must get only what has changed, also after failed deliveries and a restart, and must get nothing after it
+// has unsubscribed, even if the file still has its line.
 func TestDeliversOnlyChangedValues(t *testing.T) {
 	t.Parallel()
 	s := newTestSite(t)
@@ -64,7 +66,7 @@
 	s.await("the checkpoint is stored", func() bool {
 		entry, _ := store.Get(secondKey.EntryName())
 		record, _ := subscribers.ResolveEntry(entry)
-		return len(record.Checkpoint.Values) > 0
+		return len(record.Checkpoint.ValueHashes) > 0
 	})
 }
 
@@ -108,6 +110,7 @@
 	require.False(t, subscribed, "it is unsubscribed in memory")
 }
 
+// An entry or a file that cannot be used must be reported, and must not end a subscription.
 func TestInvalidEntriesAndFilesAreReported(t *testing.T) {
 	t.Parallel()
 	s := newTestSite(t)
@@ -129,6 +132,7 @@
 	require.True(t, subscribed)
 }
 
+// A subscription must not be stored if an instance is in a zone that the tenant's contract forbids.
 func TestTenantOfForbiddenZoneIsRejected(t *testing.T) {
 	t.Parallel()
 	s := newTestSite(t)
--- a/control/fanout/gateway.go
+++ b/control/fanout/gateway.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// maxWarningsPerSecond limits the warnings that others can cause; those beyond it are only counted.
+	// maxWarningsPerSecond limits the warnings whose causes lie outside this instance, such as a receiver's errors or
+	// another instance's records; those beyond it are only counted.
 	maxWarningsPerSecond = 10
 
 	// maxRememberedReports limits the stale lines, and the invalid entries, that are remembered as reported.
@@ -85,7 +86,7 @@
 	// The region's file.
 	file               *subscribers.RegionFile
 	fileAcceptedAt     time.Time
-	fileApplied        bool                       // whether neither list nor file has changed since the file was applied
+	fileApplied        bool                       // the file was applied, and neither it nor the list has changed since
 	lastFileCheck      time.Time                  // zero if a check is due at once
 	reportedStaleLines map[subscribers.Key]uint64 // consent of the unsubscription, for each stale line that was reported
 
@@ -128,7 +129,8 @@
 	}
 }
 
-// warnLimited logs, at a limited rate, a warning that others can cause.
+// warnLimited logs a warning, at a rate of at most maxWarningsPerSecond. The next one that is logged states how many were
+// left out.
 func (g *Gateway) warnLimited(event string, attributes ...any) {
 	if !g.warnings.Allow() {
 		g.suppressedWarnings.Add(1)
--- a/control/fanout/golden_test.go
+++ b/control/fanout/golden_test.go
@@ -143,7 +143,7 @@
 	key := subscribers.Key{Tenant: "acme", ID: "s1"}
 	s.await("checkpoint stored", func() bool {
 		record, _ := gateway.Get(key)
-		return len(record.Checkpoint.Values) > 0
+		return len(record.Checkpoint.ValueHashes) > 0
 	})
 	var all strings.Builder
 	for _, name := range []string{"sub/acme/s1", "subat/n0", "subfile/eu"} {
--- a/control/fanout/region_file.go
+++ b/control/fanout/region_file.go
@@ -19,7 +19,7 @@
 const (
 	maxFileBytes = 64 << 20
 
-	// filePollInterval is the time between two polls of the file, which has to be unchanged for that long.
+	// filePollInterval is the time between two polls of the file. A changed file is read once two polls find it unchanged.
 	filePollInterval = 300 * time.Millisecond
 
 	// fileCheckInterval is the time between two checks whether the store matches the file.
@@ -103,7 +103,7 @@
 	}
 }
 
-// acceptFile makes a file the one to apply, unless it cannot be used.
+// acceptFile makes a file the one to apply. If the file cannot be used, the last valid one stays.
 func (g *Gateway) acceptFile(update fileUpdate) {
 	if update.err == nil && update.file.Region != g.options.Self.Region {
 		update.err = &RegionMismatchError{update.file.Region, g.options.Self.Region}
--- a/control/fanout/search.go
+++ b/control/fanout/search.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	searchKind            = "standing"      // of background work, in the scheduler's budgets
+	searchKind            = "standing"      // kind of background work under which the scheduler budgets standing searches
 	maxConcurrentSearches = 8               // standing searches, including their deliveries
 	maxSearchDelay        = 2 * time.Minute // how long a standing search may wait for others before it is skipped
 )
--- a/control/fanout/serve.go
+++ b/control/fanout/serve.go
@@ -20,8 +20,8 @@
 	statsLogInterval     = time.Second // minimum, while the list or the view changes
 )
 
-// Serve runs the gateway until ctx ends, or until stopping ends and the deliveries in flight have ended or timed
-// out.
+// Serve runs the gateway until ctx is canceled, or until stopping is canceled and the deliveries in flight have ended or
+// timed out.
 func (g *Gateway) Serve(ctx, stopping context.Context, searches *coordinator.SearchAPI) error {
 	select {
 	case <-g.options.Store.Ready():
@@ -41,7 +41,7 @@
 	g.loop.decisions = subscribers.NewGateway(now(), g.options.Self, g.options.Rules())
 	schedule := scheduler.NewSchedule(rand.New(rand.NewSource(g.options.Seed)), map[string]scheduler.Budget{searchKind: {MaxConcurrent: maxConcurrentSearches}})
 	g.loop.pool = scheduler.NewPool(coordinator.SystemClock{}, schedule, func(string, error) {})
-	background.Go(func() { _ = g.loop.pool.Run(running) }) // it returns when running ends
+	background.Go(func() { _ = g.loop.pool.Run(running) }) // it returns when running is canceled
 	fileUpdates := make(chan fileUpdate)
 	if g.options.FilePath != "" {
 		background.Go(func() { watchFile(running, g.options.FilePath, fileUpdates) })
--- a/control/fanout/site_test.go
+++ b/control/fanout/site_test.go
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// testSite is the environment of an instance, which outlives it: hosts, a disk, the region's file and a receiver.
+// testSite is what an instance uses and what remains when it is restarted: hosts, a disk, the region's file and a
+// receiver.
 type testSite struct {
 	t                *testing.T
 	disk             *fakeDisk
@@ -170,7 +171,7 @@
 		case err := <-ended:
 			require.NoError(s.t, err)
 		case <-time.After(testTimeout):
-			s.t.Error("the instance does not end")
+			s.t.Error("the instance was still running 20 s after it was stopped")
 		}
 		closing, cancelClosing := context.WithTimeout(context.Background(), time.Second)
 		defer cancelClosing()
--- a/control/fanout/store_reader.go
+++ b/control/fanout/store_reader.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// A scan looks at every subscription. While the list changes, the time between scans is scanCostFactor times that of
-	// the last scan, but at least minScanInterval and at most maxScanInterval.
+	// A scan looks at every subscription. While the list changes, the time between two scans is scanCostFactor times the
+	// duration of the last scan, but at least minScanInterval and at most maxScanInterval.
 	minScanInterval = 250 * time.Millisecond
 	maxScanInterval = 2 * time.Second
 	scanCostFactor  = 4
--- a/control/subscribers/delivery_number.go
+++ b/control/subscribers/delivery_number.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// DeliveryNumber orders the deliveries to a subscriber. Epochs rise across all gateways, sequences within an epoch.
-// Gateway names are unique.
+// DeliveryNumber orders the deliveries to a subscriber. A gateway claims an epoch above all epochs that it has seen, and
+// the sequence rises within the epoch. The gateway's name, which is unique, distinguishes equal epochs.
 type DeliveryNumber struct {
 	Epoch    uint64 `cbor:"1,keyasint" json:"turn"`
 	Sequence uint64 `cbor:"2,keyasint" json:"n"`
@@ -25,8 +25,8 @@
 
 // DeliveryCheckpoint records what was delivered last. A gateway that takes over a subscriber continues from it.
 type DeliveryCheckpoint struct {
-	Number DeliveryNumber `cbor:"1,keyasint"`
-	Values map[int]uint64 `cbor:"2,keyasint,omitempty"` // hash of the last delivered value, by block
+	Number      DeliveryNumber `cbor:"1,keyasint"`
+	ValueHashes map[int]uint64 `cbor:"2,keyasint,omitempty"` // hash of the last delivered value, by block
 }
 
 // compare orders checkpoints by number, and those with the same number by their encoding, so that all instances agree.
--- a/control/subscribers/details.go
+++ b/control/subscribers/details.go
@@ -31,7 +31,7 @@
 	slices.Sort(sorted)
 	switch {
 	case d.Type == "" || len(d.Type) > maxNameBytes:
-		return "the type is missing or too long"
+		return "the type is missing or longer than 128 bytes"
 	case len(d.Query) > maxQueryBytes:
 		return fmt.Sprintf("the query has %d bytes, at most %d are allowed", len(d.Query), maxQueryBytes)
 	case d.Interval < MinInterval || d.Interval > maxInterval:
@@ -39,7 +39,7 @@
 	case len(d.Blocks) > MaxBlocks:
 		return fmt.Sprintf("%d blocks, at most %d are allowed", len(d.Blocks), MaxBlocks)
 	case len(sorted) > 0 && sorted[0] < 0, len(slices.Compact(sorted)) < len(d.Blocks):
-		return "a block is listed twice or below 0"
+		return "the blocks have a duplicate or a negative number"
 	}
 	return ""
 }
--- a/control/subscribers/errors.go
+++ b/control/subscribers/errors.go
@@ -21,7 +21,7 @@
 }
 
 func (e *InvalidSubscriptionError) Error() string {
-	return fmt.Sprintf("subscription %.80s: %s", e.Key, e.Reason)
+	return fmt.Sprintf("subscription %.80s is rejected: %s", e.Key, e.Reason)
 }
 
 // Advice tells an operator what to do.
@@ -37,7 +37,7 @@
 
 func (e *NotSubscribedError) Error() string {
 	if e.UnsubscribedConsent > 0 {
-		return fmt.Sprintf("%s unsubscribed (consent %d)", e.Key, e.UnsubscribedConsent)
+		return fmt.Sprintf("%s is not subscribed: it unsubscribed at consent %d", e.Key, e.UnsubscribedConsent)
 	}
 	return fmt.Sprintf("%s is not subscribed", e.Key)
 }
--- a/control/subscribers/gateway.go
+++ b/control/subscribers/gateway.go
@@ -15,7 +15,7 @@
 
 // PlacementRules determine where a tenant's subscribers may be served.
 type PlacementRules struct {
-	AllowsTenantData func(tenant, zone string) bool // whether a tenant's entries may be in a zone; nil for anywhere
+	AllowsTenantData func(tenant, zone string) bool // whether a tenant's entries may be in a zone; nil if all zones are allowed
 	Generation       uint64                         // changes with the rules; the same on all gateways
 }
 
@@ -25,16 +25,16 @@
 	Searches, Deliveries, Failed, Repeated int // Failed and Repeated count deliveries; a repeated one reuses a number
 	ViewChanges                            int
 	Epoch                                  uint64
-	Gateways                               int    // of the view
-	View                                   uint64 // its hash, 0 while a handover is under way
+	Gateways                               int    // in the view
+	View                                   uint64 // hash of the view, 0 while a handover is under way
 }
 
 // Gateway decides which subscribers this instance serves, when their searches run and how deliveries are numbered. It
 // is not safe for concurrent use; the goroutine that owns it has to call Tick at least every second.
 //
 // A view is a set of reachable gateways. When it changes, a gateway stops serving and publishes the new view in the
-// shared map, waits until all gateways of the view have published the same in this round, claims an epoch above all it
-// has seen, and begins to serve once the claim is in the shared map. So no two gateways with the same view serve the
+// shared map, waits until all gateways of the view have published it in the same round of agreement, claims an epoch
+// above all that it has seen, and begins to serve once the claim is in the shared map. So no two gateways with the same view serve the
 // same subscriber, and delivery numbers rise from one gateway to the next.
 type Gateway struct {
 	self          Member
@@ -46,10 +46,10 @@
 	stats         GatewayStats
 
 	// Membership as last reported.
-	reachable      []Member // sorted by name
-	hasMajority    bool
-	reachableSince int64 // when the members, the majority or the rules' generation last changed
-	viewStaleSince int64 // since when the view differs from them, 0 if it does not
+	reachable           []Member // sorted by name
+	hasMajority         bool
+	membershipChangedAt int64 // when the members, the majority or the rules' generation last changed
+	viewStaleSince      int64 // since when the view has differed from the above and the rules, 0 if it does not
 
 	// The view and the agreement on it.
 	view             view
@@ -80,9 +80,9 @@
 	served        bool   // by this gateway
 	searching     bool
 	nextSearchAt  int64
-	scheduleIndex int       // position in the schedule, -1 if it is not there
+	scheduleIndex int       // position in the schedule, -1 if the subscription is not there
 	pending       *Delivery // sent, but not known to have arrived
-	pendingDigest uint64    // of the changed values in it
+	pendingDigest uint64    // of the changed values in the last numbered delivery
 }
 
 // NewGateway returns a gateway that does not serve any subscriber yet.
@@ -100,7 +100,7 @@
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	if majority != g.hasMajority || !slices.Equal(members, g.reachable) {
-		g.reachable, g.hasMajority, g.reachableSince = members, majority, now
+		g.reachable, g.hasMajority, g.membershipChangedAt = members, majority, now
 	}
 	g.regions.setReachable(now, members)
 }
@@ -108,7 +108,7 @@
 // SetRules replaces the rules. A changed generation leads to a new view.
 func (g *Gateway) SetRules(now int64, rules PlacementRules) {
 	if rules.Generation != g.rules.Generation {
-		g.reachableSince = now
+		g.membershipChangedAt = now
 	}
 	g.rules = rules
 }
@@ -164,7 +164,7 @@
 	if s.Consent != record.Consent || !s.Details.equal(record.Details) {
 		s.pending = nil
 	}
-	if s.Consent == record.Consent && s.Checkpoint.compare(record.Checkpoint) > 0 { // this gateway's own, not in the shared map yet
+	if s.Consent == record.Consent && s.Checkpoint.compare(record.Checkpoint) > 0 { // delivered by this gateway, not in the shared map yet
 		record.Checkpoint = s.Checkpoint
 	}
 	s.Record = record
@@ -213,7 +213,7 @@
 	}
 }
 
-// add records a region. One that was not known before counts as unreachable.
+// add records a region. A new one counts as unreachable until setReachable reports a gateway in it.
 func (r *regionTracker) add(now int64, region string) {
 	if !r.known[region] {
 		r.known[region], r.unreachableSince[region] = true, now
--- a/control/subscribers/golden_test.go
+++ b/control/subscribers/golden_test.go
@@ -24,7 +24,7 @@
 		Consent: 11, Unsubscriptions: map[string]uint64{"n0": 12, "n1": 13}, SeenUnsubscriptions: map[string]uint64{"n0": 14, "n1": 15}, Revision: 16,
 		Details:     Details{Type: "quick-picks", Query: "town:oslo", Interval: 300_000, Blocks: []int{2, 0, 1}},
 		Attachments: map[string]Attachment{"eu": {Generation: 17, DetailsHash: 18}, "us": {Generation: 0, DetailsHash: 19}},
-		Checkpoint:  DeliveryCheckpoint{Number: DeliveryNumber{Epoch: 20, Sequence: 21, Gateway: "n0"}, Values: map[int]uint64{0: 22, 2: 23}}, PriorHashes: []uint64{24, 25},
+		Checkpoint:  DeliveryCheckpoint{Number: DeliveryNumber{Epoch: 20, Sequence: 21, Gateway: "n0"}, ValueHashes: map[int]uint64{0: 22, 2: 23}}, PriorHashes: []uint64{24, 25},
 	}
 }
 
--- a/control/subscribers/handover.go
+++ b/control/subscribers/handover.go
@@ -44,7 +44,7 @@
 	case g.serving:
 		g.updateTakeovers(now)
 		return StatusMessage{}, false
-	case g.pendingDeliveries > 0 && now-g.handoverSince < silentTimeout: // the next owner must not begin before they end
+	case g.pendingDeliveries > 0 && now-g.handoverSince < silentTimeout: // the next owner must not begin before these deliveries end
 		return StatusMessage{}, false
 	}
 	return g.advanceHandover(now, wallMS)
@@ -58,7 +58,7 @@
 		g.viewStaleSince = 0
 	case g.viewStaleSince == 0:
 		g.viewStaleSince = now
-	case now-g.reachableSince >= stableDelay || now-g.viewStaleSince >= maxUnstableTime:
+	case now-g.membershipChangedAt >= stableDelay || now-g.viewStaleSince >= maxUnstableTime:
 		g.stats.ViewChanges++
 		g.view.replace(hash, g.reachable)
 		g.viewStaleSince, g.round = 0, g.highestRound+1
@@ -80,7 +80,7 @@
 }
 
 // joinRound joins a later round of another gateway. If the shared map holds a status of an earlier incarnation of this
-// gateway, it begins a round above all that were seen. It reports whether the round has changed.
+// gateway, it begins a round above all rounds seen. It reports whether the round has changed.
 func (g *Gateway) joinRound() (changed bool) {
 	if g.statuses[g.self.Name] != g.published {
 		g.statuses[g.self.Name] = g.published
@@ -94,7 +94,8 @@
 	return changed
 }
 
-// beginHandover stops serving all subscribers until an epoch is claimed under the current view.
+// beginHandover stops serving all subscribers until an epoch is claimed under the current view. A handover that starts
+// over keeps its start time, unless that is more than disagreementTimeout ago.
 func (g *Gateway) beginHandover(now int64) {
 	if g.serving || g.handoverSince == 0 || g.handoverSince < g.lastTickAt-disagreementTimeout {
 		g.handoverSince = now
@@ -124,7 +125,8 @@
 func (g *Gateway) beginServing(now int64) {
 	g.serving, g.epoch, g.lastSequence = true, g.claimedEpoch, 0
 	g.updateTakeovers(now)
-	// Searches that were due during the handover, or before the change was seen, run now.
+	// Searches that came due during the handover run now, and so do those due up to silentTimeout before it, when the
+	// previous owner may have been gone without this gateway knowing.
 	scheduleFrom := g.handoverSince - silentTimeout
 	for _, s := range g.subscriptions {
 		g.updatePlacement(s, scheduleFrom)
--- a/control/subscribers/list.go
+++ b/control/subscribers/list.go
@@ -11,8 +11,8 @@
 	// entries.
 	MaxSubscriptions = 90_000
 
-	// tombstoneRetentionMS is the minimum time for which an unsubscription is kept. A region that is away for longer is no
-	// longer on the list of voting members.
+	// tombstoneRetentionMS is the minimum time for which an unsubscription is kept. The instances of a region that is
+	// unreachable for longer are no longer voting members.
 	tombstoneRetentionMS = 90 * 86_400_000
 )
 
@@ -36,7 +36,7 @@
 	digest         uint64   // its contribution to the list's digest
 	entryDigest    uint64   // of the siblings that it was read from
 	lastScan       uint64   // scan in which the entry was last seen
-	reportedLosses []uint64 // content hashes of the siblings that lost, all of them reported
+	reportedLosses []uint64 // content hashes of the records that lost a conflict; all were reported
 }
 
 // NewList returns an empty list.
@@ -62,8 +62,8 @@
 	}
 }
 
-// ApplyEntry updates the list with an entry of the shared map; an entry that was applied before costs little. It
-// reports whether the subscription has changed, and each record that lost a conflict once.
+// ApplyEntry updates the list with an entry of the shared map; an entry that has not changed since costs little. It
+// returns whether the subscription has changed, and the records that lost a conflict and were not returned before.
 func (l *List) ApplyEntry(entry crdt.Entry) (key Key, changed bool, conflicts []WriteConflict, err error) {
 	key, isSubscription := ParseKey(entry.Name)
 	if !isSubscription {
--- a/control/subscribers/merge.go
+++ b/control/subscribers/merge.go
@@ -8,9 +8,9 @@
 )
 
 // MergeRecords merges two records. The result has the unsubscriptions and the seen unsubscriptions of both, and the
-// details of the higher consent: within the same consent those with the higher revision, and among equal revisions
-// those with the greater encoding. If the consents are equal, attachments and checkpoints are merged too. The function
-// is commutative, associative and idempotent.
+// details of the record with the higher consent. If the consents are equal, the higher revision decides, then the order
+// of the encoded details, and attachments and checkpoints are merged too. The function is commutative, associative and
+// idempotent.
 func MergeRecords(a, b Record) Record {
 	winner, other := a, b
 	if order := cmp.Compare(b.Consent, a.Consent); order > 0 || order == 0 && b.compareDetails(a) > 0 {
@@ -38,7 +38,7 @@
 	)
 }
 
-// mergeCounts returns the greater number of each name. It may return a itself.
+// mergeCounts returns the greater number of each name. The result may be map a, not a copy.
 func mergeCounts(a, b map[string]uint64) map[string]uint64 {
 	if len(b) == 0 {
 		return a
@@ -50,7 +50,7 @@
 	return merged
 }
 
-// mergeAttachments returns the later attachment of each region. It may return a itself.
+// mergeAttachments returns the later attachment of each region. The result may be map a, not a copy.
 func mergeAttachments(a, b map[string]Attachment) map[string]Attachment {
 	if len(b) == 0 {
 		return a
--- a/control/subscribers/merge_test.go
+++ b/control/subscribers/merge_test.go
@@ -25,7 +25,7 @@
 	}
 	if epoch := rapid.Uint64Range(0, 2).Draw(t, "epoch"); epoch > 0 {
 		number := DeliveryNumber{epoch, rapid.Uint64Range(1, 2).Draw(t, "sequence"), "g"}
-		record.Checkpoint = DeliveryCheckpoint{Number: number, Values: map[int]uint64{0: epoch}}
+		record.Checkpoint = DeliveryCheckpoint{Number: number, ValueHashes: map[int]uint64{0: epoch}}
 	}
 	if rapid.Bool().Draw(t, "has prior hashes") {
 		record.PriorHashes = []uint64{rapid.Uint64Range(1, 2).Draw(t, "prior hash")}
@@ -33,6 +33,7 @@
 	return record
 }
 
+// Instances merge records in any order and more than once; their lists would differ if the order mattered.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t), drawRecord(t), drawRecord(t)
@@ -54,6 +55,8 @@
 	})
 }
 
+// A write that supersedes another one, or only records a delivery, must not be reported as a conflict; a change that is
+// lost must be.
 func TestConflictReportsOnlyContentUnseenByOtherWriters(t *testing.T) {
 	first := Record{Consent: 1, Revision: 1, Details: Details{Type: "lookup", Query: "a", Interval: MinInterval}}
 	withQuery := func(from Record, query string) Record {
@@ -76,6 +79,7 @@
 	require.Len(t, lost, 1, "the change that an unsubscription overrode is reported")
 }
 
+// Decoding bytes from another instance must not panic, and an accepted record must be unchanged after it is encoded and decoded.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add(Record{Consent: 1, Revision: 1, Details: Details{Type: "t", Interval: MinInterval}}.Encode())
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/control/subscribers/model_checks_test.go
+++ b/control/subscribers/model_checks_test.go
@@ -14,7 +14,7 @@
 
 // receive checks a delivery as its receiver sees it.
 func (m *fleetModel) receive(delivery Delivery) {
-	content := fmt.Sprint(delivery.Consent, delivery.Blocks, delivery.values)
+	content := fmt.Sprint(delivery.Consent, delivery.Blocks, delivery.valueHashes)
 	id := delivery.Key.EntryName() + delivery.Number.String()
 	if previous, repeated := m.contents[id]; repeated {
 		require.Equal(m.t, previous, content, "a number was reused with other content")
@@ -32,8 +32,9 @@
 	m.received[delivery.Key] = append(m.received[delivery.Key], receipt{delivery.Number, content, m.isSettled()})
 }
 
-// requireOthersHaveEnded checks that no gateway of the view serves under another view once all have agreed.
-func (g *modelGateway) requireOthersHaveEnded() {
+// requireNoneServesOtherView checks, when a gateway begins to serve, that no gateway of its view still serves under
+// another view.
+func (g *modelGateway) requireNoneServesOtherView() {
 	m := g.model
 	for _, member := range g.gateway.view.members {
 		for _, other := range m.gateways {
--- a/control/subscribers/model_faults_test.go
+++ b/control/subscribers/model_faults_test.go
@@ -133,6 +133,8 @@
 	}
 }
 
+// After random faults have ended, all gateways must hold the same list, without a lost subscription or a resubscribed
+// subscriber, and each subscriber must be served by one gateway.
 func TestListsConvergeAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t, rapid.Int64().Draw(t, "seed"), 2, 6)
@@ -150,8 +152,8 @@
 	})
 }
 
-// After one of three regions of a large fleet was cut off and is back, there is one list and each subscriber is served
-// once.
+// After one of three regions of a large fleet has been cut off and reconnected, all gateways must hold the same list and
+// each subscriber must be served by one gateway.
 func TestLargeFleetConvergesAfterPartition(t *testing.T) {
 	m := newFleetModel(t, 3, 25, 60)
 	for range 200 {
--- a/control/subscribers/model_test.go
+++ b/control/subscribers/model_test.go
@@ -285,7 +285,7 @@
 	wasServing := g.gateway.serving
 	status, publish := g.gateway.Tick(now, uint64(now/10))
 	if g.gateway.serving && !wasServing && now-g.gateway.handoverSince < silentTimeout {
-		g.requireOthersHaveEnded()
+		g.requireNoneServesOtherView()
 	}
 	if !publish {
 		return
--- a/control/subscribers/placement.go
+++ b/control/subscribers/placement.go
@@ -81,7 +81,7 @@
 }
 
 // FileWriterRank returns how many gateways of the same region precede this one as writers of a subscriber's line in the
-// region's file: the first one writes the line, and the next ones do only if it does not.
+// region's file. The gateway with rank 0 writes the line, and another one only if those before it do not.
 func (g *Gateway) FileWriterRank(key Key) (rank int) {
 	subscriber := xxhash.Sum64String(key.EntryName())
 	own := rendezvousHash(xxhash.Sum64String(g.self.Name), subscriber)
--- a/control/subscribers/record.go
+++ b/control/subscribers/record.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxPriorHashes     = 8  // hashes of earlier contents: enough for changes written concurrently with the last few
+	maxPriorHashes     = 8  // content hashes of earlier records: enough for writes that are concurrent with one of the last few
 	maxUnsubscriptions = 16 // instances whose unsubscriptions of one subscriber are remembered
 	maxAttachments     = 16 // regions that one subscriber is attached to
 )
@@ -18,7 +18,7 @@
 // Attachment records what a region's file said about a subscriber when it was last applied, so that neither an older
 // copy of the file nor an unchanged line counts as a change.
 type Attachment struct {
-	Generation  int64  `cbor:"1,keyasint"` // of the file; 0 for a call of the embedder: a file without the subscriber does not revoke it
+	Generation  int64  `cbor:"1,keyasint"` // of the file; 0 if a call of the embedder made the subscription; it does not end when a file has no line for it
 	DetailsHash uint64 `cbor:"2,keyasint"`
 }
 
@@ -53,7 +53,7 @@
 	return r.Details.Type == ""
 }
 
-// lastUnsubscriptionMS returns the wall time of the last unsubscription, by the instance that accepted it.
+// lastUnsubscriptionMS returns the time of the last unsubscription, by the clock of the instance that accepted it.
 func (r Record) lastUnsubscriptionMS() (wallMS uint64) {
 	for _, number := range r.Unsubscriptions {
 		wallMS = max(wallMS, number)
@@ -119,7 +119,7 @@
 }
 
 // contentHash identifies a record's consent and details, or its unsubscription. It does not depend on who wrote the
-// record and what was delivered since.
+// record or on what was delivered since.
 func (r Record) contentHash() uint64 {
 	if r.IsUnsubscribed() {
 		return xxhash.Sum64(Record{Consent: r.Consent}.Encode())
@@ -147,7 +147,7 @@
 	return r
 }
 
-// Describe summarizes a record for the log, without the query, which is the subscriber's own.
+// Describe summarizes a record for the log. It leaves out the query, which is private to the subscriber.
 func (r Record) Describe() string {
 	if r.IsUnsubscribed() {
 		return fmt.Sprintf("unsubscribed at consent %d", r.Consent)
--- a/control/subscribers/record_codec.go
+++ b/control/subscribers/record_codec.go
@@ -32,27 +32,27 @@
 
 // Encode returns a record's encoding in the shared map, the same for equal records.
 func (r Record) Encode() []byte {
-	text, err := recordEncoding.Marshal(r)
+	encoded, err := recordEncoding.Marshal(r)
 	if err != nil {
 		panic(err) // encoding cannot fail for this type
 	}
-	return text
+	return encoded
 }
 
 // DecodeRecord decodes a record of the shared map. Since other instances may have written it, it is checked like a line
 // of a file. The error is an InvalidRecordError without the entry's name.
-func DecodeRecord(text []byte) (record Record, err error) {
-	if len(text) > maxValueBytes {
-		return record, &InvalidRecordError{Reason: fmt.Sprintf("%d bytes are too many", len(text))}
+func DecodeRecord(encoded []byte) (record Record, err error) {
+	if len(encoded) > maxValueBytes {
+		return record, &InvalidRecordError{Reason: fmt.Sprintf("it has %d bytes, at most 8192 are allowed", len(encoded))}
 	}
-	if err := limitedDecoding.Unmarshal(text, &record); err != nil {
+	if err := limitedDecoding.Unmarshal(encoded, &record); err != nil {
 		return record, &InvalidRecordError{Reason: err.Error()}
 	}
 	if record.Consent == 0 || record.Consent > 2*maxFileConsent {
-		return record, &InvalidRecordError{Reason: fmt.Sprintf("consent %d is out of range", record.Consent)}
+		return record, &InvalidRecordError{Reason: fmt.Sprintf("consent %d is not between 1 and 2^41", record.Consent)}
 	}
 	if record.exceedsLimits() {
-		return record, &InvalidRecordError{Reason: "too many attachments, prior hashes, checkpoint values or unsubscriptions"}
+		return record, &InvalidRecordError{Reason: "it has more than 16 attachments or unsubscriptions, 8 prior hashes or 64 checkpoint values"}
 	}
 	if reason := record.Details.validate(); reason != "" && record.Details.Type != "" {
 		return record, &InvalidRecordError{Reason: reason}
@@ -61,6 +61,6 @@
 }
 
 func (r Record) exceedsLimits() bool {
-	return len(r.Attachments) > maxAttachments || len(r.PriorHashes) > maxPriorHashes || len(r.Checkpoint.Values) > MaxBlocks ||
+	return len(r.Attachments) > maxAttachments || len(r.PriorHashes) > maxPriorHashes || len(r.Checkpoint.ValueHashes) > MaxBlocks ||
 		len(r.Unsubscriptions) > maxUnsubscriptions || len(r.SeenUnsubscriptions) > maxUnsubscriptions
 }
--- a/control/subscribers/region_file.go
+++ b/control/subscribers/region_file.go
@@ -15,7 +15,7 @@
 const (
 	maxYAMLBytes      = 512 << 10 // some 5,000 lines: the parser stores the position of every node, 30 kB per line
 	maxJSONLinesBytes = 64 << 20
-	maxFileConsent    = 1 << 40 // consents in files are incremented by hand
+	maxFileConsent    = 1 << 40 // operators increment consents by hand, so real ones stay far below
 	maxReportedFaults = 16      // per file
 )
 
@@ -82,7 +82,7 @@
 // files of up to 100,000 lines, for which YAML takes too long.
 func ParseJSONLines(text []byte) (*RegionFile, error) {
 	if len(text) > maxJSONLinesBytes {
-		return nil, &InvalidLineError{0, fmt.Sprintf("the file has more than %d bytes", maxJSONLinesBytes)}
+		return nil, &InvalidLineError{0, fmt.Sprintf("the file has more than the %d bytes allowed", maxJSONLinesBytes)}
 	}
 	firstLine, rest, _ := bytes.Cut(text, []byte("\n"))
 	var header FileHeader
@@ -95,10 +95,10 @@
 			faults = append(faults, &InvalidLineError{line, reason})
 		}
 	}
-	lines := &RegionFile{Lines: map[Key]FileLine{}}
-	count := lines.addJSONLines(rest, report)
+	withoutHeader := &RegionFile{Lines: map[Key]FileLine{}} // the header is checked against the number of lines
+	count := withoutHeader.addJSONLines(rest, report)
 	file := header.newFile(count, func(field, reason string) { report(1, field+": "+reason) })
-	file.Lines = lines.Lines
+	file.Lines = withoutHeader.Lines
 	file.computeDigest()
 	return file, errors.Join(faults...)
 }
@@ -130,7 +130,7 @@
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("the line has more than one object")
+		return errors.New("expected one object, but the line goes on after it")
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	if h.Count != lineCount {
 		report("count", fmt.Sprintf("says %d, but the number of subscriptions is %d: the file is incomplete", h.Count, lineCount))
 	}
-	if h.Deliver != "" && !isHTTPAddress(h.Deliver) {
+	if h.Deliver != "" && !isHTTPURL(h.Deliver) {
 		report("deliver", fmt.Sprintf("%.60q is not an HTTP URL", h.Deliver))
 	}
 	if lineCount > MaxSubscriptions {
@@ -156,7 +156,7 @@
 	return &RegionFile{Region: h.Region, Generation: h.Generation, Lines: make(map[Key]FileLine, lineCount), DeliveryURL: h.Deliver}
 }
 
-func isHTTPAddress(text string) bool {
+func isHTTPURL(text string) bool {
 	address, err := url.Parse(text)
 	return err == nil && (address.Scheme == "http" || address.Scheme == "https") && address.Host != ""
 }
@@ -179,7 +179,7 @@
 		return fmt.Sprintf("%s is listed twice", key)
 	}
 	if line.Consent > maxFileConsent {
-		return "the consent is too high"
+		return "the consent is above 2^40"
 	}
 	line.detailsHash = line.hash()
 	f.Lines[key] = line
--- a/control/subscribers/region_file_changes.go
+++ b/control/subscribers/region_file_changes.go
@@ -19,7 +19,8 @@
 	return s.Generation > other.Generation || s.Generation == other.Generation && s.Digest > other.Digest
 }
 
-// DecodeFileStatus decodes an entry of the shared map. Of statuses that were written concurrently the greatest wins.
+// DecodeFileStatus decodes an entry of the shared map. Of statuses that were written concurrently it returns the one
+// with the highest generation, and among those the one with the highest digest.
 func DecodeFileStatus(entry crdt.Entry) (status FileStatus) {
 	for _, sibling := range entry.Siblings {
 		var candidate FileStatus
--- a/control/subscribers/region_file_test.go
+++ b/control/subscribers/region_file_test.go
@@ -58,6 +58,8 @@
 
 var secondKey = Key{"acme", "s2"}
 
+// A file may resubscribe a subscriber only by a line with a higher consent than that of the unsubscription, and may
+// unsubscribe one only if it is later than the file that had its line. Otherwise a restart, an empty disk or an older copy of the file would undo a request.
 func TestFileDoesNotResubscribe(t *testing.T) {
 	a, b := newInstance(t, "a#1"), newInstance(t, "b#1")
 	a.apply(parseRegionFile(t, 1, firstLine, secondLine), 1000)
@@ -103,6 +105,7 @@
 	require.ErrorContains(t, err, "[2:1]")
 }
 
+// An older file, or another one of the same generation, must not replace the active one.
 func TestOnlyNewerFileIsActivated(t *testing.T) {
 	file := parseRegionFile(t, 2)
 	value, err := file.Activate(FileStatus{1, 9})
--- a/control/subscribers/schedule.go
+++ b/control/subscribers/schedule.go
@@ -9,8 +9,8 @@
 	// maxInFlight limits the searches and deliveries of a gateway.
 	maxInFlight = 256
 
-	// maxClockSetBack is how far the clock may be set back: if the next search lies further ahead than that and its
-	// interval, it is scheduled again.
+	// maxClockSetBack is how far the clock may be set back without effect on the schedule. A search that is due later than
+	// its interval plus maxClockSetBack from now is scheduled again.
 	maxClockSetBack = 600 * second
 )
 
@@ -29,7 +29,7 @@
 func (g *Gateway) StartDueSearches(now int64, limit int) (searches []DueSearch, next int64) {
 	for len(g.schedule) > 0 && g.schedule[0].nextSearchAt <= now && len(searches) < limit && g.inFlight < maxInFlight {
 		s := g.schedule[0]
-		if !g.allowsTenantHere(s.key.Tenant) { // a contract has taken effect, or the lease on the policy has expired
+		if !g.allowsTenantHere(s.key.Tenant) { // no longer: a contract has taken effect, or the lease on the policy has expired
 			g.scheduleNext(s, now)
 			continue
 		}
--- a/control/subscribers/status_message.go
+++ b/control/subscribers/status_message.go
@@ -16,7 +16,7 @@
 )
 
 // StatusMessage is what a gateway publishes in the shared map: its view, the round of agreement and the highest epoch
-// that it has claimed. It publishes a view only after it has stopped serving what belongs to another gateway under that
+// that it has claimed. It publishes a view only after it has stopped serving the subscribers that others own under that
 // view. Rounds only rise, so that a message from before a partition is not mistaken for one after it.
 type StatusMessage struct {
 	View  uint64 `cbor:"1,keyasint"`
@@ -26,18 +26,18 @@
 
 // Encode returns the message's encoding in the shared map.
 func (m StatusMessage) Encode() []byte {
-	text, err := cbor.Marshal(m)
+	encoded, err := cbor.Marshal(m)
 	if err != nil {
 		panic(err) // encoding cannot fail for this type
 	}
-	return text
+	return encoded
 }
 
 func (m StatusMessage) compare(other StatusMessage) int {
 	return cmp.Or(cmp.Compare(m.Round, other.Round), cmp.Compare(m.Epoch, other.Epoch), cmp.Compare(m.View, other.View))
 }
 
-// DecodeStatusMessage decodes an entry of the shared map and returns the last of the concurrently written messages.
+// DecodeStatusMessage decodes an entry of the shared map and returns the latest of the concurrently written messages.
 func DecodeStatusMessage(entry crdt.Entry) (last StatusMessage) {
 	for _, sibling := range entry.Siblings {
 		if sibling.Deleted || len(sibling.Value) > maxStatusBytes {
--- a/control/subscribers/update.go
+++ b/control/subscribers/update.go
@@ -15,8 +15,8 @@
 type RecordUpdate func(current Record, exists bool) (next Record, write bool, err error)
 
 // ApplyUpdate runs an update on an entry of the shared map and returns the value to put. The caller has to read the
-// entry and put the value in one atomic step. Otherwise an unsubscription that arrives in between would be superseded
-// unseen.
+// entry and put the value in one atomic step. Otherwise the value would supersede an unsubscription that arrives in
+// between, although the update has not seen it.
 func ApplyUpdate(entry crdt.Entry, update RecordUpdate) (value []byte, write bool, err error) {
 	current, records, err := resolveEntry(entry)
 	if err != nil {
@@ -113,8 +113,8 @@
 // unsubscribed.
 func ChangeDetails(key Key, details Details) RecordUpdate {
 	return func(current Record, exists bool) (Record, bool, error) {
-		const anyRegion = "-" // a change does not attach the subscriber to a region
-		if err := validateSubscription(key, anyRegion, details); err != nil {
+		const unusedRegion = "-" // a valid name; a change does not attach the subscriber to a region
+		if err := validateSubscription(key, unusedRegion, details); err != nil {
 			return current, false, err
 		}
 		if !exists || current.IsUnsubscribed() {
@@ -154,7 +154,7 @@
 		reason = details.validate()
 	}
 	if reason == "" && !isRegion(region) {
-		reason = fmt.Sprintf("%.40q is not a region name", region)
+		reason = fmt.Sprintf("%.40q is not a region name of 1 to 64 bytes without spaces and slashes", region)
 	}
 	if reason != "" {
 		return &InvalidSubscriptionError{key, reason}
--- a/control/subscribers/update_test.go
+++ b/control/subscribers/update_test.go
@@ -60,6 +60,8 @@
 	return details
 }
 
+// An instance restored from an older disk must not reuse the number of an unsubscription that a later subscription has
+// seen, or the new unsubscription would have no effect.
 func TestUnsubscriptionAfterRestoreCountsAsNew(t *testing.T) {
 	a, c := newInstance(t, "a#1"), newInstance(t, "c#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
@@ -73,6 +75,8 @@
 	require.False(t, c.isSubscribed(testKey), "the new subscription had not seen the second unsubscription")
 }
 
+// Of an unsubscription and a concurrent change the unsubscription must win on all instances, and each must report the
+// lost change once, not at every exchange.
 func TestConflictIsReportedOnceWithBothRecords(t *testing.T) {
 	a, b := newInstance(t, "a#1"), newInstance(t, "b#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
@@ -94,6 +98,8 @@
 	require.True(t, b.isSubscribed(testKey))
 }
 
+// A change written by an instance that was unreachable for longer than the retention must not resubscribe a subscriber
+// whose unsubscribed entry has been deleted.
 func TestChangeConcurrentWithTombstoneDoesNotResubscribe(t *testing.T) {
 	a, away := newInstance(t, "a#1"), newInstance(t, "z#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
@@ -111,6 +117,7 @@
 	require.False(t, a.isSubscribed(testKey))
 }
 
+// An update must not overwrite a record that this version cannot decode.
 func TestRecordOfNewerVersionIsNotOverwritten(t *testing.T) {
 	a := newInstance(t, "a#1")
 	_, err := a.Put(testKey.EntryName(), []byte("another version's"))
