--- a/control/fanout/calls.go
+++ b/control/fanout/calls.go
@@ -11,21 +11,21 @@
 // callTimeout limits how long a call waits for the store.
 const callTimeout = 5 * time.Second
 
-// Subscribe records that a subscriber asks for something now. Like the methods below it returns once that is on disk,
-// where there is a disk; other instances receive it a moment later. Where the disk does not take it the error is a
-// replication.NotPersistedError, and the subscription holds in memory all the same.
+// Subscribe subscribes a subscriber, or changes the details of one that is subscribed. Like the methods below it
+// returns once the change is on disk, if there is a disk; other instances receive it shortly afterwards. If the write
+// to disk fails, the error is a replication.NotPersistedError, and the subscription is still valid in memory.
 func (g *Gateway) Subscribe(ctx context.Context, key subscribers.Key, details subscribers.Details) error {
 	if err := g.checkZones(key.Tenant); err != nil {
 		return err
 	}
 	count := g.listedCount.Load()
-	if _, exists := g.options.Store.Get(key.LedgerKey()); !exists && count >= subscribers.MaxSubscriptions {
+	if _, exists := g.options.Store.Get(key.EntryName()); !exists && count >= subscribers.MaxSubscriptions {
 		return &subscribers.ListFullError{Count: int(count), Max: subscribers.MaxSubscriptions}
 	}
 	return g.updateAndPersist(ctx, key, subscribers.Subscribe(key, g.options.Self.Region, details))
 }
 
-// ChangeDetails gives a subscriber that is subscribed other details.
+// ChangeDetails changes the details of a subscriber that is subscribed.
 func (g *Gateway) ChangeDetails(ctx context.Context, key subscribers.Key, details subscribers.Details) error {
 	if err := g.checkZones(key.Tenant); err != nil {
 		return err
@@ -38,9 +38,9 @@
 	return g.updateAndPersist(ctx, key, subscribers.Unsubscribe(key, g.options.Self.Name, wallMS()))
 }
 
-// Get returns a subscriber's record, and whether it is subscribed.
+// Get returns a subscriber's record, and whether the subscriber is subscribed.
 func (g *Gateway) Get(key subscribers.Key) (subscribers.Record, bool) {
-	entry, _ := g.options.Store.Get(key.LedgerKey())
+	entry, _ := g.options.Store.Get(key.EntryName())
 	record, err := subscribers.ResolveEntry(entry)
 	return record, err == nil && !record.IsUnsubscribed()
 }
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	select {
-	case <-g.options.Store.Ready(): // a record written before would not supersede the one on disk
+	case <-g.options.Store.Ready(): // before the store is loaded, a write would not supersede the record on disk
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -60,13 +60,13 @@
 }
 
 func (g *Gateway) update(key subscribers.Key, update subscribers.RecordUpdate) error {
-	_, err := g.options.Store.Update(key.LedgerKey(), func(entry crdt.Entry) ([]byte, bool, error) {
+	_, err := g.options.Store.Update(key.EntryName(), func(entry crdt.Entry) ([]byte, bool, error) {
 		return subscribers.ApplyUpdate(entry, update)
 	})
 	return err
 }
 
-// checkZones returns an error if a tenant's contract keeps its entries from a zone of some instance, since every
+// checkZones returns an error if a tenant's contract forbids its entries in the zone of any instance, since every
 // instance holds the whole list.
 func (g *Gateway) checkZones(tenant string) error {
 	allowsTenantData := g.options.Rules().AllowsTenantData
--- a/control/subscribers/schedule.go
+++ b/control/subscribers/schedule.go
@@ -9,7 +9,8 @@
 	// maxInFlight limits the searches and deliveries of a gateway.
 	maxInFlight = 256
 
-	// maxClockSetBack is how far beyond an interval the next search may lie before its time is computed again.
+	// maxClockSetBack is how far the clock may be set back without effect on the schedule. A search that is due later than
+	// its interval plus maxClockSetBack from now is scheduled again.
 	maxClockSetBack = 600 * second
 )
 
@@ -18,24 +19,24 @@
 	Key     Key
 	Consent uint64
 	Details
-	Period int64 // number of the interval since 1970, by the subscriber's own offset
+	Period int64 // number of the interval since 1970, shifted by the subscriber's offset
 
 	subscription *subscription
 }
 
-// StartDueSearches returns at most limit searches to start now, each to be ended by CompleteSearch, and when to ask
-// again, 0 for not before something changes.
+// StartDueSearches returns at most limit searches to start now, each of which the caller ends by CompleteSearch, and
+// when the next search is due, 0 if none is scheduled.
 func (g *Gateway) StartDueSearches(now int64, limit int) (searches []DueSearch, next int64) {
 	for len(g.schedule) > 0 && g.schedule[0].nextSearchAt <= now && len(searches) < limit && g.inFlight < maxInFlight {
 		s := g.schedule[0]
-		if !g.allowsHere(s.key.Tenant) { // a contract has begun, or the lease on the policy has expired
+		if !g.allowsTenantHere(s.key.Tenant) { // no longer: a contract has taken effect, or the lease on the policy has expired
 			g.scheduleNext(s, now)
 			continue
 		}
 		g.schedule.remove(s)
 		s.searching = true
 		g.inFlight++
-		g.stats.Runs++
+		g.stats.Searches++
 		searches = append(searches, DueSearch{s.key, s.Consent, s.Details, s.period(now), s})
 	}
 	if len(g.schedule) > 0 {
@@ -48,12 +49,12 @@
 	return searches, next
 }
 
-func (g *Gateway) allowsHere(tenant string) bool {
+func (g *Gateway) allowsTenantHere(tenant string) bool {
 	return g.rules.AllowsTenantData == nil || g.rules.AllowsTenantData(tenant, g.self.Zone)
 }
 
 // scheduleNext sets the time of the next search. Each subscriber has an offset within its interval, the same on all
-// gateways: so the subscribers of a gateway that has gone are spread over the interval on the others.
+// gateways, so that the searches of a gone gateway's subscribers are spread over the interval on the others.
 func (g *Gateway) scheduleNext(s *subscription, from int64) {
 	interval := s.Details.Interval
 	sinceLast := ((from-s.offset())%interval + interval) % interval
--- a/control/subscribers/update_test.go
+++ b/control/subscribers/update_test.go
@@ -13,7 +13,7 @@
 	testDetails = Details{Type: "lookup", Query: "a", Interval: 30 * second}
 )
 
-// instance is one instance's shared map and list, with what the program does around them.
+// instance is one instance's shared map and list, which its methods use as the program does.
 type instance struct {
 	t *testing.T
 	*crdt.Map
@@ -25,23 +25,23 @@
 }
 
 func (i *instance) update(key Key, update RecordUpdate) error {
-	entry, _ := i.Get(key.LedgerKey())
+	entry, _ := i.Get(key.EntryName())
 	value, write, err := ApplyUpdate(entry, update)
 	if write {
-		entry, err = i.Put(key.LedgerKey(), value)
+		entry, err = i.Put(key.EntryName(), value)
 		require.NoError(i.t, err)
 		_, _, _, err = i.list.ApplyEntry(entry)
 	}
 	return err
 }
 
-// receive takes over what another instance holds, deletes too, and returns the reported conflicts.
+// receive merges another instance's entries, including deletes, and returns the reported conflicts.
 func (i *instance) receive(from *instance, keys ...Key) (conflicts []WriteConflict) {
 	for _, key := range keys {
-		entry, _ := from.Get(key.LedgerKey())
+		entry, _ := from.Get(key.EntryName())
 		_, err := i.MergeBatch("o", crdt.Batch{Known: from.KnownVersion(), Entries: []crdt.Entry{entry}})
 		require.NoError(i.t, err)
-		entry, _ = i.Get(key.LedgerKey())
+		entry, _ = i.Get(key.EntryName())
 		_, _, reported, err := i.list.ApplyEntry(entry)
 		require.NoError(i.t, err)
 		conflicts = append(conflicts, reported...)
@@ -60,19 +60,23 @@
 	return details
 }
 
-func TestUnsubscriptionFromOlderDiskIsNotTheSeenOne(t *testing.T) {
+// An instance restored from an older disk must not reuse the number of an unsubscription that a later subscription has
+// seen, or the new unsubscription would have no effect.
+func TestUnsubscriptionAfterRestoreCountsAsNew(t *testing.T) {
 	a, c := newInstance(t, "a#1"), newInstance(t, "c#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
 	require.NoError(t, a.update(testKey, Unsubscribe(testKey, "a", 1000)))
 	c.receive(a, testKey)
 	require.NoError(t, c.update(testKey, Subscribe(testKey, "us", testDetails)))
 	require.True(t, c.isSubscribed(testKey))
-	older := newInstance(t, "a#2") // its disk holds nothing yet
+	older := newInstance(t, "a#2") // its disk is from before the subscription
 	require.NoError(t, older.update(testKey, Unsubscribe(testKey, "a", 2000)))
 	c.receive(older, testKey)
 	require.False(t, c.isSubscribed(testKey), "the new subscription had not seen the second unsubscription")
 }
 
+// Of an unsubscription and a concurrent change the unsubscription must win on all instances, and each must report the
+// lost change once, not at every exchange.
 func TestConflictIsReportedOnceWithBothRecords(t *testing.T) {
 	a, b := newInstance(t, "a#1"), newInstance(t, "b#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
@@ -84,7 +88,7 @@
 		conflicts := receiver.receive(sender, testKey)
 		require.Len(t, conflicts, 1)
 		require.Contains(t, conflicts[0].Kept, "unsubscribed")
-		require.Contains(t, conflicts[0].Discarded, "change 2")
+		require.Contains(t, conflicts[0].Discarded, "revision 2")
 		require.Empty(t, receiver.receive(sender, testKey))
 		require.False(t, receiver.isSubscribed(testKey))
 	}
@@ -94,14 +98,16 @@
 	require.True(t, b.isSubscribed(testKey))
 }
 
-func TestChangeBesideTombstoneBringsNobodyBack(t *testing.T) {
+// A change written by an instance that was unreachable for longer than the retention must not resubscribe a subscriber
+// whose unsubscribed entry has been deleted.
+func TestChangeConcurrentWithTombstoneDoesNotResubscribe(t *testing.T) {
 	a, away := newInstance(t, "a#1"), newInstance(t, "z#1")
 	require.NoError(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)))
 	away.receive(a, testKey)
 	require.NoError(t, a.update(testKey, Unsubscribe(testKey, "a", 1000)))
 	require.Empty(t, a.list.FindExpiredTombstones(1000+tombstoneRetentionMS, 10))
 	require.Equal(t, []Key{testKey}, a.list.FindExpiredTombstones(1001+tombstoneRetentionMS, 10))
-	entry, err := a.Delete(testKey.LedgerKey())
+	entry, err := a.Delete(testKey.EntryName())
 	require.NoError(t, err)
 	_, changed, _, err := a.list.ApplyEntry(entry)
 	require.NoError(t, err)
@@ -111,12 +117,13 @@
 	require.False(t, a.isSubscribed(testKey))
 }
 
+// An update must not overwrite a record that this version cannot decode.
 func TestRecordOfNewerVersionIsNotOverwritten(t *testing.T) {
 	a := newInstance(t, "a#1")
-	_, err := a.Put(testKey.LedgerKey(), []byte("another version's"))
+	_, err := a.Put(testKey.EntryName(), []byte("another version's"))
 	require.NoError(t, err)
 	var invalid *InvalidRecordError
 	require.ErrorAs(t, a.update(testKey, Subscribe(testKey, "eu", testDetails)), &invalid)
-	entry, _ := a.Get(testKey.LedgerKey())
+	entry, _ := a.Get(testKey.EntryName())
 	require.Equal(t, "another version's", string(entry.Siblings[0].Value))
 }
