--- a/cluster/membership/failure_detector.go
+++ b/cluster/membership/failure_detector.go
@@ -7,64 +7,66 @@
 	"slices"
 )
 
-// Times are in ticks of the caller's clock, tenths of a millisecond.
+// Times are in ticks of the caller's clock, which are tenths of a millisecond.
 const (
 	ticksPerMillisecond = 10
-	// PingInterval is the time between pings of one voter after the other, and the first time between pings of a suspect.
+	// PingInterval is the time between the pings of a probe round, each to another voter, and the initial time between
+	// pings of a suspect.
 	PingInterval = 500 * ticksPerMillisecond
-	// PingTimeout is how long an answer may take: the longest way round the earth and a busy machine.
+	// PingTimeout is how long an answer may take. It allows for the longest round trip on earth and a busy machine.
 	PingTimeout = 300 * ticksPerMillisecond
-	// sweepReuseTime is how long before a sweep is requested an answer may have come and still count for it. The gossip
-	// library takes longer than this to declare a node dead after a partition.
+	// sweepReuseTime is how long before the request of a sweep a ping may have been sent for its result to count for that
+	// sweep. It is shorter than the time that the gossip library takes to declare a node dead after a partition.
 	sweepReuseTime = 1500 * ticksPerMillisecond
-	// maxPingBackoffDoublings bounds the time between pings of a node that stays suspect, at 4 s.
+	// maxPingBackoffDoublings limits the time between pings of a node that stays suspect to 4 s.
 	maxPingBackoffDoublings = 3
-	// maxFailedPings is the number of unanswered pings in a row that makes a node suspect: with a tenth of the packets
-	// lost, two would do so every few seconds.
+	// maxFailedPings is the number of unanswered pings in a row that makes a node suspect. With two, a packet loss of a
+	// tenth would make healthy nodes suspect every few seconds.
 	maxFailedPings = 3
-	// maxTrackedNodes allows for each name's incarnation and the one before it.
+	// maxTrackedNodes allows for two nodes of each name: its current incarnation and the previous one.
 	maxTrackedNodes = 2 * MaxMembers
 )
 
-// FailureDetector decides which nodes an instance pings itself, and applies what follows to its table. The gossip library's
-// own failure detector probes one node after the other: an instance that is cut off from 300 would count them as alive for
-// minutes. Here the first voter that does not answer starts a sweep, a ping of all voters at once, repeated while it finds
-// more; voters that do not answer become suspect. A node that the library declares dead becomes suspect as well. It becomes
-// dead only once a sweep requested after that has ended, it has not answered, and a majority is alive: a minority declares
-// nobody dead.
+// FailureDetector decides which nodes an instance pings directly, and applies the results to its table. The gossip library's
+// own failure detector probes one node after the other, so an instance that is cut off from 300 others would count them as
+// alive for minutes. FailureDetector pings all voters at once, in a sweep, as soon as the first voter fails to answer, and
+// repeats the sweep while it finds new suspects. Voters that do not answer become suspect. A node that the library declares
+// dead becomes suspect too. It is declared dead only once a sweep requested after that has ended, if it has not answered and
+// a majority is alive: a minority declares no node dead. Nodes that are not voters are never pinged here.
 //
-// A node is one incarnation of a member as the gossip library names it. The methods are not safe for concurrent use.
+// A node is one incarnation of a member, under the name that the gossip library has for it. The methods are not safe for
+// concurrent use.
 type FailureDetector struct {
 	table            *Table
 	rng              *rand.Rand
 	nodes            map[string]*trackedNode
-	missingNodes     int      // nodes whose missingSince is set
-	probeRound       []string // names of the nodes that are still to be pinged in this round
-	nextProbeAt      int64    // when the next node of the round is due
-	sweepRequestedAt int64    // when the last sweep was requested, 0 for never
-	lastTickAt       int64    // when Tick was called last, 0 for never
-	hasNewSuspect    bool     // a node became suspect since the last sweep was requested
-	isStale          bool     // Tick was not called for too long: nothing counts until a sweep has ended
+	missingNodes     int      // number of nodes whose missingSince is set
+	probeRound       []string // names of the nodes still to be pinged in this round
+	nextProbeAt      int64    // when the next ping of the round is due
+	sweepRequestedAt int64    // when the last sweep was requested, 0 if never
+	lastTickAt       int64    // when Tick was last called, 0 if never
+	hasNewSuspect    bool     // a node has become suspect since the last sweep was requested
+	isStale          bool     // Tick was not called for too long: results are not used until a sweep has ended
 }
 
 type trackedNode struct {
 	member           Member
 	isVoter          bool
-	missingSince     int64 // since when the gossip library has it as dead, 0 if it does not
+	missingSince     int64 // when the gossip library declared it dead, or when it last answered a ping after that; 0 if the library reports it alive
 	suspicionVersion uint64
-	isSuspect        bool  // by this instance's own pings
+	isSuspect        bool  // because of this instance's own pings
 	failedPings      int   // unanswered pings in a row
-	pingSentAt       int64 // when the ping in flight was sent, 0 for none
-	retryPingAt      int64 // when to ping it outside the round, 0 for not
-	sweptAt          int64 // when the last ping was sent whose result counts for a sweep
+	pingSentAt       int64 // when the ping in flight was sent, 0 if none is
+	retryPingAt      int64 // when to ping it outside the round, 0 for never
+	sweptAt          int64 // when the last ping with a result that counts for a sweep was sent
 }
 
-// NewFailureDetector returns a failure detector that applies its findings to a table.
+// NewFailureDetector returns a failure detector that applies its results to a table.
 func NewFailureDetector(table *Table, rng *rand.Rand) *FailureDetector {
 	return &FailureDetector{table: table, rng: rng, nodes: map[string]*trackedNode{}}
 }
 
-// RecordNodeAlive records that the gossip library has a node as alive, or that its member has changed.
+// RecordNodeAlive records that the gossip library reports a node as alive, or that the node's member entry has changed.
 func (d *FailureDetector) RecordNodeAlive(now int64, nodeName string, m Member) {
 	node := d.nodes[nodeName]
 	if node == nil {
@@ -73,7 +75,7 @@
 		}
 		node = &trackedNode{isVoter: d.table.IsVoter(m.Name)}
 		d.nodes[nodeName] = node
-	} else if node.member.Incarnation != m.Incarnation { // the node itself reports that its old incarnation has ended
+	} else if node.member.Incarnation != m.Incarnation { // by its new incarnation the node reports that the old one has ended
 		d.table.ApplyUpdate(now, Member{Name: node.member.Name, Incarnation: node.member.Incarnation, State: Dead})
 	}
 	node.member = m
@@ -104,7 +106,7 @@
 	d.requestSweep(now)
 }
 
-// updateTable applies a node's present state to the table.
+// updateTable applies a node's current state to the table.
 func (d *FailureDetector) updateTable(now int64, node *trackedNode) {
 	update := node.member
 	update.SuspicionVersion = node.suspicionVersion
@@ -114,7 +116,7 @@
 	d.table.ApplyUpdate(now, update)
 }
 
-// RecordPingResult records how a ping that DuePings asked for has ended.
+// RecordPingResult records whether a node that DuePings returned has answered its ping.
 func (d *FailureDetector) RecordPingResult(now int64, nodeName string, answered bool) {
 	node := d.nodes[nodeName]
 	if node == nil {
@@ -137,7 +139,7 @@
 		node.suspicionVersion++
 		d.updateTable(now, node)
 	}
-	if node.missingSince != 0 { // it runs: either the gossip library has it back soon, or later pings fail
+	if node.missingSince != 0 { // it is running: either the gossip library soon reports it alive again, or later pings fail
 		node.missingSince, node.retryPingAt = max(1, now), now+PingInterval
 	}
 }
@@ -149,7 +151,7 @@
 		return
 	}
 	node.sweptAt = max(node.sweptAt, sentAt)
-	if node.missingSince == 0 { // of a missing node the gossip library reports when it is back
+	if node.missingSince == 0 { // for a missing node, the gossip library reports when it is back
 		node.retryPingAt = now + PingInterval<<min(maxPingBackoffDoublings, node.failedPings-maxFailedPings)
 	}
 	if !node.isSuspect {
@@ -162,8 +164,9 @@
 	}
 }
 
-// Tick repeats sweeps and declares missing nodes dead where that is due; it has to be called ten times a second. After a
-// longer pause, in which the process was stopped or had no processor time, nobody counts until a new sweep has ended.
+// Tick repeats sweeps and declares missing nodes dead when that is due. It has to be called ten times a second. After a
+// pause longer than MaxDetectorStaleness, for example while the process was stopped or had no processor time, no other voter
+// counts until a new sweep has ended.
 func (d *FailureDetector) Tick(now int64) {
 	if d.lastTickAt != 0 && now-d.lastTickAt > MaxDetectorStaleness {
 		d.isStale = true
@@ -174,15 +177,15 @@
 	if !d.isStale {
 		d.table.MarkDetectorCurrent(now)
 	}
-	// A sweep may have counted answers that came just before a partition, so a sweep that found suspects is repeated.
+	// A sweep may have counted answers from just before a partition, so a sweep that found suspects is repeated.
 	if d.hasNewSuspect && now >= d.sweepRequestedAt+sweepReuseTime && !d.isSweeping() {
 		d.hasNewSuspect, d.sweepRequestedAt = false, now
 	}
 	d.declareDead(now)
 }
 
-// declareDead declares the missing nodes dead that have not answered the last sweep. Only with a majority: an instance of a
-// minority would else report all the others as dead when the partition heals.
+// declareDead declares the missing nodes dead that have not answered the last sweep. It does so only with a majority:
+// otherwise an instance in a minority would report all others as dead when the partition heals.
 func (d *FailureDetector) declareDead(now int64) {
 	if d.missingNodes == 0 || d.isSweeping() || !d.table.HasMajority(now) {
 		return
@@ -200,14 +203,14 @@
 	}
 }
 
-// RejectedNode is a node whose member has to take a new incarnation, with the updates that make it do so.
+// RejectedNode is a node whose incarnation has ended in the table, with the updates that make it take a new one.
 type RejectedNode struct {
 	NodeName          string
 	EndedIncarnations []Member
 }
 
-// RejectedNodes returns, sorted by name, the nodes that the gossip library has as alive while the table has their
-// incarnation, or a later one of their name, as ended. The caller sends them the updates.
+// RejectedNodes returns the nodes that the gossip library reports as alive although in the table their incarnation, or a
+// later one of their name, has ended. They are sorted by node name. The caller sends them the updates.
 func (d *FailureDetector) RejectedNodes() (rejected []RejectedNode) {
 	for nodeName, node := range d.nodes {
 		if node.missingSince == 0 && d.table.RequiresNewIncarnation(node.member.Name, node.member.Incarnation) {
@@ -218,7 +221,8 @@
 	return rejected
 }
 
-// NodeName returns the node name of a member's latest incarnation that the gossip library has as alive, empty for none.
+// NodeName returns the node name of a member's latest incarnation that the gossip library reports as alive, empty if there
+// is none.
 func (d *FailureDetector) NodeName(memberName string) (nodeName string) {
 	var latest *trackedNode
 	for _, candidateName := range slices.Sorted(maps.Keys(d.nodes)) {
@@ -233,10 +237,10 @@
 	return nodeName
 }
 
-// IsTracked reports whether the failure detector follows a node.
+// IsTracked reports whether the failure detector knows a node.
 func (d *FailureDetector) IsTracked(nodeName string) bool { return d.nodes[nodeName] != nil }
 
-// IsPresent reports whether the failure detector follows a node and the gossip library has it as alive.
+// IsPresent reports whether the failure detector knows a node and the gossip library reports it as alive.
 func (d *FailureDetector) IsPresent(nodeName string) bool {
 	node := d.nodes[nodeName]
 	return node != nil && node.missingSince == 0
--- a/cluster/membership/failure_detector_test.go
+++ b/cluster/membership/failure_detector_test.go
@@ -13,7 +13,7 @@
 	testSeconds = 1000 * ticksPerMillisecond
 )
 
-// detectorTest drives a's failure detector; the members in silent do not answer pings.
+// detectorTest drives the failure detector of member a. The members in silent do not answer pings.
 type detectorTest struct {
 	now      int64
 	table    *Table
@@ -49,14 +49,17 @@
 	return state
 }
 
+// Each voter must be pinged once a probe round, and members that are not voters never.
 func TestDetectorPingsEachVoterInTurn(t *testing.T) {
 	d := newDetectorTest("b", "c", "x")
 	d.run(4 * testSeconds)
 	require.InDelta(t, 4, d.pings[nodeName("b")], 1)
 	require.InDelta(t, 4, d.pings[nodeName("c")], 1)
-	require.Zero(t, d.pings[nodeName("x")], "x is no voter")
+	require.Zero(t, d.pings[nodeName("x")], "x is not a voter")
 }
 
+// A voter that stops answering pings must become suspect within 5 s, without the gossip library's report and without making
+// other voters suspect, and must become alive again once it answers.
 func TestSilentVoterIsSuspectUntilItAnswers(t *testing.T) {
 	d := newDetectorTest("b", "c", "d", "e")
 	d.silent["b"] = true
@@ -68,7 +71,9 @@
 	require.Equal(t, Alive, d.state("b"))
 }
 
-func TestMissingSilentNodeIsDeclaredDeadByAMajorityOnly(t *testing.T) {
+// An instance in a minority must not declare the nodes dead that it cannot reach: when the partition heals, the others would
+// be reported as dead.
+func TestOnlyAMajorityDeclaresMissingSilentNodesDead(t *testing.T) {
 	for _, test := range []struct {
 		silent []string
 		want   State
@@ -94,6 +99,8 @@
 	}
 }
 
+// A node that the gossip library declares dead although it answers pings must stay suspect, not become dead, until the
+// library reports it alive.
 func TestMissingNodeThatAnswersStaysSuspect(t *testing.T) {
 	d := newDetectorTest("b", "c", "d", "e")
 	d.run(testSeconds)
@@ -107,7 +114,9 @@
 	require.Equal(t, nodeName("b"), d.detector.NodeName("b"))
 }
 
-func TestNobodyCountsAfterAPauseUntilASweepHasEnded(t *testing.T) {
+// A process that was stopped must not report a majority from results of before the stop: no other voter counts until a new
+// sweep has ended.
+func TestNoOtherVoterCountsAfterAPauseUntilASweepHasEnded(t *testing.T) {
 	d := newDetectorTest("b", "c", "d", "e")
 	d.run(testSeconds)
 	require.True(t, d.table.HasMajority(d.now))
@@ -122,6 +131,8 @@
 	require.True(t, d.table.HasMajority(d.now))
 }
 
+// A node that the gossip library reports as alive after its incarnation has ended in the table must be told so, else it
+// would never take a new incarnation and would stay ended here.
 func TestNodeOfAnEndedIncarnationIsRejected(t *testing.T) {
 	d := newDetectorTest("b")
 	require.Empty(t, d.detector.RejectedNodes())
@@ -130,6 +141,7 @@
 	require.Equal(t, []RejectedNode{{nodeName("b"), []Member{ended}}}, d.detector.RejectedNodes())
 }
 
+// A node that leaves must be recorded as left and no longer be pinged, else it would be reported as failed.
 func TestLeavingNodeIsNoLongerTracked(t *testing.T) {
 	d := newDetectorTest("b")
 	require.True(t, d.detector.IsTracked(nodeName("b")))
--- a/cluster/membership/identity.go
+++ b/cluster/membership/identity.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// MaxClusterNameBytes is the length of a cluster's own name, which is part of each member's metadata.
+	// MaxClusterNameBytes is the largest length of a cluster's name, which is part of each member's metadata.
 	MaxClusterNameBytes = 40
-	// maxTenantHashes is how many tenants identify a customer; of more, those with the smallest hashes are used.
+	// maxTenantHashes is how many tenants identify a customer. If there are more, those with the smallest hashes are used.
 	maxTenantHashes = 8
 )
 
-// Identity distinguishes a cluster and its customer from others: by the cluster's own name where both sides have one, else
-// by the tenants of the plan. An empty identity, of an instance or a store from before identities existed, matches any.
+// Identity distinguishes a cluster and its customer from others: by the cluster's name if both sides have one, else by the
+// tenants of the plan. An empty identity matches any other; instances and stores of older versions have one.
 // docs/cluster.md lists the alternatives that were considered.
 type Identity struct {
 	Cluster string   `cbor:"1,keyasint,omitempty"`
@@ -35,7 +35,7 @@
 	return id
 }
 
-// IsSpecified reports whether the identity says anything.
+// IsSpecified reports whether the identity has a cluster name or tenants.
 func (id Identity) IsSpecified() bool { return id.Cluster != "" || len(id.Tenants) > 0 }
 
 // IsValid reports whether the identity is within the limits that NewIdentity keeps.
@@ -43,9 +43,9 @@
 	return len(id.Cluster) <= MaxClusterNameBytes && len(id.Tenants) <= maxTenantHashes
 }
 
-// ConflictsWith reports whether two identities belong to different clusters or customers: their names differ or, where one
-// has no name, at most half of the tenants match, counted on the side that has fewer. Half is not enough since customers
-// may share a tenant such as "default"; one tenant that is added or removed is no conflict.
+// ConflictsWith reports whether two identities belong to different clusters or customers: their names differ or, if either
+// has no name, at most half of the tenants of the side with fewer tenants match. A match of half is not enough because
+// customers may share a tenant such as "default". Adding or removing one tenant is not a conflict.
 func (id Identity) ConflictsWith(other Identity) bool {
 	if id.Cluster != "" && other.Cluster != "" {
 		return id.Cluster != other.Cluster
--- a/cluster/membership/identity_test.go
+++ b/cluster/membership/identity_test.go
@@ -7,7 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestIdentitiesConflictOfDifferentClustersOnly(t *testing.T) {
+// Identities must conflict for clusters of different customers or names, and must not for one customer whose tenants have
+// changed: a false match would merge the state of two customers, a false conflict would split one cluster.
+func TestIdentitiesConflictOnlyForDifferentClusters(t *testing.T) {
 	var many, more []string
 	for i := range 100 {
 		many = append(many, fmt.Sprint("tenant", i))
@@ -45,7 +47,7 @@
 		})
 	}
 	require.False(t, Identity{}.IsSpecified())
-	require.Contains(t, (&ForeignStoreError{Identity{Cluster: "live"}, Identity{Cluster: "trial"}}).Error(), `cluster "live"; this one: cluster "trial"`)
+	require.Contains(t, (&ForeignStoreError{Identity{Cluster: "live"}, Identity{Cluster: "trial"}}).Error(), `the store has cluster "live"; this instance has cluster "trial"`)
 	require.NotEmpty(t, (&ForeignStoreError{}).Advice())
 	require.NotEmpty(t, (&ForeignInstanceError{}).Advice())
 }
--- a/cluster/membership/majority.go
+++ b/cluster/membership/majority.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// MaxDetectorStaleness is for how long the failure detector's findings count after it was last up to date (2 s): a process
-// may be stopped and continued, and would else believe what held before.
+// MaxDetectorStaleness is how long the failure detector's results are used after it was last up to date (2 s). Without this
+// limit a process that was stopped and continued would rely on results from before the stop.
 const MaxDetectorStaleness = 2000 * ticksPerMillisecond
 
-// IsVoter reports whether a name counts for a majority.
+// IsVoter reports whether a name counts towards a majority.
 func (t *Table) IsVoter(name string) bool {
 	_, found := slices.BinarySearch(t.voters, name)
 	return found
 }
 
-// MarkDetectorCurrent records that the failure detector is up to date at this time.
+// MarkDetectorCurrent records that the failure detector is up to date at the time now.
 func (t *Table) MarkDetectorCurrent(now int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -20,9 +20,9 @@
 }
 
 // CountAliveVoters returns how many voters are alive, this instance included if it is a voter, and how many voters there
-// are; now is by the failure detector's clock. A name that two instances claim does not count. A partition is noticed only
-// after the detection time; until then the other side still counts. No other voter counts while the failure detector has
-// not been up to date for MaxDetectorStaleness.
+// are; now is on the failure detector's clock. A name that two instances claim does not count. After a partition begins,
+// voters on the other side still count until it is detected. Once the failure detector has not been up to date for
+// MaxDetectorStaleness, no other voter counts.
 func (t *Table) CountAliveVoters(now int64) (alive, total int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,15 +46,15 @@
 	return alive
 }
 
-// HasMajority reports whether more than half of the voters are alive: true on at most one side of a partition. It is false
-// for an instance that has left, or whose own name another instance claims.
+// HasMajority reports whether more than half of the voters are alive, which is true on at most one side of a partition. It
+// is false for an instance that has left, or whose own name another instance claims.
 func (t *Table) HasMajority(now int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.hasLeft && !t.hasNameConflict(t.self.Name) && 2*t.countAliveVoters(now) > len(t.voters)
 }
 
-// NameConflicts returns the sorted names that two instances claim. They take part in no vote.
+// NameConflicts returns the sorted names that two instances claim. Such names do not count as alive voters.
 func (t *Table) NameConflicts() (names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,9 +67,10 @@
 	return names
 }
 
-// hasNameConflict reports whether two running instances have a name: two incarnations that have not ended have different
-// addresses, or one incarnation has two. Of incarnations with one address only the latest runs, since two processes cannot
-// listen on one address. Of its own name this instance knows that itself is running.
+// hasNameConflict reports whether two running instances claim a name: two of its incarnations that have not ended have
+// different addresses, or one incarnation has two addresses. Incarnations with the same address are no conflict: two
+// processes cannot listen on one address, so only the latest of them runs. For its own name, this instance counts as running
+// until it has left.
 func (t *Table) hasNameConflict(name string) bool {
 	isRunningSelf := name == t.self.Name && !t.hasLeft
 	addr, hasAddr := "", false
--- a/cluster/membership/majority_test.go
+++ b/cluster/membership/majority_test.go
@@ -6,12 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Only alive voters count towards a majority: not other members, not suspects, and no voter for an instance that has left.
+// A delayed suspicion must not override its refutation.
 func TestMajorityNeedsMoreThanHalfOfTheVoters(t *testing.T) {
 	table := newTestTable("b")
 	alive, total := table.CountAliveVoters(1)
 	require.Equal(t, []any{2, 5, false}, []any{alive, total, table.HasMajority(1)})
 	table.ApplyUpdate(2, member("x", 1, Alive))
-	require.False(t, table.HasMajority(2), "a member that is no voter does not count")
+	require.False(t, table.HasMajority(2), "a member that is not a voter does not count")
 	table.ApplyUpdate(2, member("c", 1, Alive))
 	require.True(t, table.HasMajority(2))
 	suspected := member("c", 1, Suspect)
@@ -22,14 +24,16 @@
 	refuted := member("c", 1, Alive)
 	refuted.SuspicionVersion = 2
 	table.ApplyUpdate(4, refuted)
-	require.False(t, table.ApplyUpdate(4, suspected), "a late suspicion")
+	require.False(t, table.ApplyUpdate(4, suspected), "a suspicion that arrives after its refutation")
 	require.True(t, table.HasMajority(4))
 	table.Leave(5)
 	require.False(t, table.HasMajority(5))
 	require.False(t, NewTable(member("a", 1, Alive), nil).HasMajority(1), "without voters there is no majority")
 }
 
-func TestNameConflictTakesPartInNoVote(t *testing.T) {
+// A name that two instances claim must not count as a voter on either of them, else both could be part of a majority. The
+// conflict ends when one of the two ends.
+func TestConflictingNameDoesNotCountAsVoter(t *testing.T) {
 	table := newTestTable("b", "c")
 	other := member("b", 12, Alive)
 	other.Addr = "b:2"
@@ -37,7 +41,7 @@
 	require.Equal(t, []string{"b"}, table.NameConflicts())
 	alive, _ := table.CountAliveVoters(2)
 	require.Equal(t, 2, alive)
-	require.True(t, table.ApplyUpdate(3, member("b", 10, Dead)), "one of the two ends")
+	require.True(t, table.ApplyUpdate(3, member("b", 10, Dead)), "one of the two instances ends")
 	require.Empty(t, table.NameConflicts())
 	require.True(t, table.HasMajority(3))
 
@@ -45,8 +49,8 @@
 	claimant.Addr = "a:2"
 	table.ApplyUpdate(4, claimant)
 	require.Equal(t, []string{"a"}, table.NameConflicts())
-	require.False(t, table.HasMajority(4), "neither of the two reports a majority")
-	require.Equal(t, uint64(10), table.Self().Incarnation, "nor takes an incarnation above the other's")
+	require.False(t, table.HasMajority(4), "neither of the two instances reports a majority")
+	require.Equal(t, uint64(10), table.Self().Incarnation, "neither takes an incarnation above the other's")
 	table.ApplyUpdate(5, Member{Name: "a", Incarnation: 99, State: Dead})
 	require.Equal(t, uint64(100), table.Self().Incarnation)
 	require.True(t, table.HasMajority(5))
--- a/cluster/membership/member.go
+++ b/cluster/membership/member.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// Limits of what an update may hold. Receivers check them, so all instances of a cluster have to agree on them.
+// Limits on an update's content. Receivers reject updates above them, so all instances of a cluster must use the same ones.
 const (
-	MaxNameBytes    = 100 // bytes of a member's name, as for the names of peers
-	MaxTextBytes    = 200 // bytes of any other text of a member
-	MaxCapabilities = 16  // features that a member can take part in
+	MaxNameBytes    = 100 // of a member's name; peer names have the same limit
+	MaxTextBytes    = 200 // of each other text field of a member
+	MaxCapabilities = 16  // features that a member supports
 )
 
-// State is the state of one incarnation of a member. Its numbers are sent to other instances.
+// State is the state of one incarnation of a member. Its numeric values are sent to other instances.
 type State int
 
-// The states of an incarnation. A larger one takes precedence where two updates have the same versions.
+// The states of an incarnation. Of two updates with the same versions, the one with the larger state wins.
 const (
 	Alive   State = iota
-	Suspect       // did not answer, but is not declared dead; counts for no majority
+	Suspect       // did not answer, but is not declared dead; does not count towards a majority
 	Dead          // declared dead by the failure detector; final for this incarnation
 	Left          // shut down on purpose; final for this incarnation
 )
 
 var stateNames = [...]string{"alive", "suspect", "gone", "left"}
 
-// String returns the state's name as log lines show it; Dead is "gone" there.
+// String returns the state's name for log lines, in which Dead is "gone".
 func (s State) String() string {
 	if s < 0 || int(s) >= len(stateNames) {
 		return "unknown"
@@ -36,20 +36,20 @@
 // IsTerminal reports whether the state is final: the incarnation never becomes alive again.
 func (s State) IsTerminal() bool { return s >= Dead }
 
-// Member is one incarnation of an instance and its state. It is also an update on that incarnation.
+// Member is one incarnation of an instance with its state. Instances also send it as an update on that incarnation.
 type Member struct {
 	Name               string
-	Incarnation        uint64 // a restart takes a larger one; never 0
-	MetaVersion        uint64 // version of the member's metadata within the incarnation; each version has one content
+	Incarnation        uint64 // never 0; a restarted instance takes a larger one
+	MetaVersion        uint64 // version of the metadata within the incarnation; one version never has two contents
 	SuspicionVersion   uint64 // counts an observer's changes between alive and suspect within one MetaVersion
 	Region             string
 	Zone               string
 	ProgramVersion     string
-	SettingsGeneration uint64   // generation of the settings in force
-	Capabilities       []string // features that the member can take part in
-	Addr               string   // where others reach it; fixed for an incarnation; empty in an update that only reports an end
+	SettingsGeneration uint64   // generation of the active settings
+	Capabilities       []string // features that the member supports
+	Addr               string   // where others reach it; fixed within an incarnation; empty in an update that only reports its end
 	State              State
-	StateSince         int64 // when the state began, by the clock of the table that holds it
+	StateSince         int64 // when the state began, on the clock of the table that holds it
 }
 
 // EqualMetadata reports whether two members have the same metadata, regardless of state and versions.
@@ -58,7 +58,7 @@
 		m.SettingsGeneration == other.SettingsGeneration && slices.Equal(m.Capabilities, other.Capabilities)
 }
 
-// IsValid reports whether the member is within all limits, so that a table may accept it as an update.
+// IsValid reports whether the member is within all limits; a table ignores updates that are not.
 func (m Member) IsValid() bool {
 	for _, text := range append([]string{m.Region, m.Zone, m.ProgramVersion, m.Addr}, m.Capabilities...) {
 		if len(text) > MaxTextBytes {
--- a/cluster/membership/probe_schedule.go
+++ b/cluster/membership/probe_schedule.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// DuePings returns the names of the nodes to ping now. RecordPingResult has to be called once for each of them.
+// DuePings returns the names of the nodes to ping now and marks them as being pinged. The caller must call RecordPingResult
+// once for each of them.
 func (d *FailureDetector) DuePings(now int64) (nodeNames []string) {
 	for nodeName, node := range d.nodes {
 		isRetryDue := node.retryPingAt != 0 && now >= node.retryPingAt
@@ -26,7 +27,8 @@
 	return nodeNames
 }
 
-// nextOfRound returns the next node of the probe round, which has each voter once, in random order; empty for none.
+// nextOfRound returns the next node to ping of the probe round, which has each voter once, in random order. It returns an
+// empty name if there is none.
 func (d *FailureDetector) nextOfRound() string {
 	if len(d.probeRound) == 0 {
 		d.beginRound()
@@ -52,15 +54,15 @@
 	})
 }
 
-// requestSweep makes all voters due that were not pinged shortly before now.
+// requestSweep requests a ping of all voters, except those with a ping result from within sweepReuseTime before now.
 func (d *FailureDetector) requestSweep(now int64) { d.sweepRequestedAt = max(1, now) }
 
-// needsSweep reports whether the last sweep still lacks a node's result.
+// needsSweep reports whether the last requested sweep still lacks a node's ping result.
 func (d *FailureDetector) needsSweep(node *trackedNode) bool {
 	return node.sweptAt < d.sweepRequestedAt-sweepReuseTime
 }
 
-// isSweeping reports whether the last sweep still lacks a voter's result.
+// isSweeping reports whether the last requested sweep still lacks the ping result of any voter.
 func (d *FailureDetector) isSweeping() bool {
 	for _, node := range d.nodes {
 		if node.isVoter && d.needsSweep(node) {
--- a/cluster/membership/record.go
+++ b/cluster/membership/record.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// record is what is known of one incarnation. Each field is the maximum by an order of its own, so that the result does
-// not depend on the order in which updates arrive.
+// record is what a table knows of one incarnation. Each field keeps the maximum of the values received, by an order of its
+// own, so that the result does not depend on the order in which updates arrive.
 type record struct {
 	incarnation      uint64
 	meta             Member // the update with the highest MetaVersion
 	hasMeta          bool   // false while only the end of the incarnation is known
-	metaVersion      uint64 // of the update that decided the suspicion
-	suspicionVersion uint64 // likewise
+	metaVersion      uint64 // of the update that set suspicion
+	suspicionVersion uint64 // of the same update
 	suspicion        State  // Alive or Suspect, from the update with the highest (metaVersion, suspicionVersion)
-	end              State  // Dead or Left once the incarnation has ended, else Alive; Left wins, since the member itself reports it
-	addrConflict     bool   // its updates name two addresses: two processes use one incarnation
+	end              State  // Dead or Left once the incarnation has ended, else Alive; Left wins because the member itself reported it
+	addrConflict     bool   // its updates have different addresses: two processes use one incarnation
 	stateSince       int64
 }
 
@@ -28,7 +28,7 @@
 
 // apply merges an update and reports whether it changed the record.
 func (r *record) apply(update Member) (changed bool) {
-	if update.Addr != "" { // an end may be reported by an instance that never received the member's metadata
+	if update.Addr != "" { // empty if the end is reported by an instance that never received the member's metadata
 		changed = r.applyMeta(update)
 	}
 	if update.State.IsTerminal() {
@@ -59,7 +59,7 @@
 	return changed
 }
 
-// member returns the record as a Member that shares the record's Capabilities.
+// member returns the record as a Member that shares the record's Capabilities slice.
 func (r *record) member(name string) Member {
 	m := r.meta
 	m.Name, m.Incarnation = name, r.incarnation
@@ -68,7 +68,7 @@
 	return m
 }
 
-// memberCopy returns the record as a Member that shares nothing with it.
+// memberCopy returns the record as a Member that shares no memory with it.
 func (r *record) memberCopy(name string) Member {
 	m := r.member(name)
 	m.Capabilities = slices.Clone(m.Capabilities)
--- a/cluster/membership/swimsim/cluster.go
+++ b/cluster/membership/swimsim/cluster.go
@@ -1,7 +1,7 @@
 // Package swimsim simulates a cluster on one clock: instances with the tables and failure detectors of package membership,
 // over a model of the gossip library's protocol (SWIM) and a network that loses and delays packets and can be partitioned.
-// It has no I/O. With it tests and the benchmark cover thousands of histories, and 300 instances, which real sockets on one
-// machine would not do in time. A cluster and its instances are used by one goroutine.
+// It has no I/O. Tests and the benchmark use it for thousands of fault histories and for 300 instances, for which real
+// sockets on one machine would be too slow. A cluster and its instances are not safe for concurrent use.
 package swimsim
 
 import (
@@ -12,7 +12,7 @@
 	"chalkring/cluster/membership"
 )
 
-// Times are ticks of the cluster's clock, tenths of a millisecond.
+// Times are in ticks of the cluster's clock, which are tenths of a millisecond.
 const (
 	ticksPerMillisecond = 10
 	// Second is a second of the cluster's clock.
@@ -21,16 +21,17 @@
 	defaultMaxLatency = 40 * ticksPerMillisecond
 	// stepInterval is the time between an instance's steps, as in package gossip, and between calls of OnStep.
 	stepInterval = 100 * ticksPerMillisecond
-	// incarnationStep lies between the incarnations of two starts: refuting takes the next numbers.
+	// incarnationStep is the distance between the incarnations of two starts. An instance that refutes its end takes one of
+	// the numbers between them.
 	incarnationStep = 1000
 )
 
 // Cluster is the clock, the network and the instances.
 type Cluster struct {
 	Now           int64
-	PacketLoss    float64                    // share of packets that is lost; connections lose nothing
+	PacketLoss    float64                    // share of packets lost, 0 to 1; connections lose nothing
 	MaxLatency    int64                      // longest one-way delay
-	IsPartitioned func(from, to int) bool    // by instance index, for one direction; nil for no partition
+	IsPartitioned func(from, to int) bool    // by instance index, for one direction; nil if there is no partition
 	Instances     []*Instance                // by index, each in its latest incarnation
 	OnStep        func(at int64, c *Cluster) // called every 100 ms; may be nil
 
@@ -41,7 +42,7 @@
 	lastIncarnation int64
 }
 
-// NewCluster returns a cluster of so many running instances, all of them voters, which know the first few as join addresses.
+// NewCluster returns a cluster with size running instances. All are voters and have the first few as join addresses.
 func NewCluster(seed int64, size int) *Cluster {
 	c := &Cluster{rng: rand.New(rand.NewSource(seed)), MaxLatency: defaultMaxLatency}
 	for index := range size {
@@ -57,7 +58,7 @@
 // InstanceName returns the name of an instance.
 func InstanceName(index int) string { return fmt.Sprintf("n%03d", index) }
 
-// Converge makes all instances know each other with no broadcast pending, as in a cluster that has run for long.
+// Converge makes all instances know each other with no broadcast pending, as in a cluster that has run for a long time.
 func (c *Cluster) Converge() {
 	for _, i := range c.Instances {
 		for _, other := range c.Instances {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Start starts a new incarnation of an instance that is not running.
+// Start starts a new incarnation of an instance, in place of the previous one.
 func (c *Cluster) Start(index int) {
 	c.lastIncarnation += incarnationStep
 	self := membership.Member{Name: InstanceName(index), Incarnation: uint64(c.lastIncarnation), Addr: fmt.Sprint("addr-", index)}
@@ -83,7 +84,7 @@
 	c.Instances[index].Running, c.Instances[index].Paused = false, false
 }
 
-// Leave shuts an instance down on purpose: it tells the others first.
+// Leave shuts an instance down after it has told the others that it leaves.
 func (c *Cluster) Leave(index int) {
 	i := c.Instances[index]
 	i.Table.Leave(c.Now)
@@ -98,10 +99,10 @@
 	c.schedule(gossipInterval, func() { i.gossip(); i.Running = false })
 }
 
-// Pause stops an instance as SIGSTOP does; what is sent to it is lost.
+// Pause stops an instance as SIGSTOP does. Packets that arrive at it meanwhile are lost.
 func (c *Cluster) Pause(index int) { c.Instances[index].Paused = true }
 
-// Resume continues a paused instance; its timers that came due meanwhile fire at once.
+// Resume continues a paused instance. Its timers that came due meanwhile fire at once.
 func (c *Cluster) Resume(index int) {
 	i := c.Instances[index]
 	if !i.Paused {
@@ -117,7 +118,7 @@
 	}
 }
 
-// RunUntil runs the simulation until a time of its clock.
+// RunUntil runs the simulation up to a time on its clock.
 func (c *Cluster) RunUntil(until int64) {
 	for nextStep := c.Now; len(c.events) > 0 && c.events[0].at <= until; {
 		next := heap.Pop(&c.events).(event)
--- a/cluster/membership/swimsim/event_queue.go
+++ b/cluster/membership/swimsim/event_queue.go
@@ -1,13 +1,13 @@
 package swimsim
 
-// event is a function that is called at a time of the cluster's clock; sequence orders events of one time.
+// event is a function to call at a time on the cluster's clock. Events at the same time run in the order of sequence.
 type event struct {
 	at       int64
 	sequence int
 	run      func()
 }
 
-// eventQueue is a heap (container/heap) of the events to come.
+// eventQueue is a heap (container/heap) of the pending events.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/cluster/membership/swimsim/instance.go
+++ b/cluster/membership/swimsim/instance.go
@@ -8,16 +8,16 @@
 	"chalkring/cluster/membership"
 )
 
-// How package gossip drives the failure detector and looks for instances that are not there.
+// Settings with which package gossip drives the failure detector and joins absent instances.
 const (
 	joinInterval    = Second
 	maxJoinsAtOnce  = 3
-	seedInstances   = 3 // instances whose addresses all know from the start
+	seedInstances   = 3 // number of instances that all others have as join addresses
 	rejectInterval  = 500 * ticksPerMillisecond
-	publishInterval = Second // between repeated broadcasts to instances that still have an ended incarnation
+	publishInterval = Second // between repeated broadcasts while another instance still has an ended incarnation of this one
 )
 
-// Instance is one incarnation of a process.
+// Instance is one simulated incarnation of a process.
 type Instance struct {
 	Index     int
 	NodeName  string
@@ -29,8 +29,8 @@
 	cluster         *Cluster
 	detector        *membership.FailureDetector
 	nodes           map[string]*node // by node name
-	nodeNames       []string         // of nodes, in the order in which they were added
-	probeRound      []string         // nodes that are still to be probed in this round
+	nodeNames       []string         // keys of nodes, in the order in which they were added
+	probeRound      []string         // names of the nodes still to be probed in this round
 	swimIncarnation uint32           // of this instance's node
 	broadcasts      []*broadcast     // pending
 	published       membership.Member
@@ -60,7 +60,7 @@
 	i.callEvery(rejectInterval, i.notifyRejectedNodes)
 }
 
-// callAfter calls callback after a delay if the instance runs then, or once it is resumed.
+// callAfter calls callback after a delay if the instance is running then. If it is paused then, Resume calls callback.
 func (i *Instance) callAfter(delay int64, callback func()) {
 	i.cluster.schedule(delay, func() {
 		if i.Paused {
@@ -71,7 +71,7 @@
 	})
 }
 
-// callEvery calls callback after a random part of the interval, and then once an interval.
+// callEvery calls callback after a random part of the interval, and then once per interval.
 func (i *Instance) callEvery(interval int64, callback func()) {
 	var repeat func()
 	repeat = func() {
@@ -87,13 +87,14 @@
 	}
 }
 
-// step is what package gossip does ten times a second: it sends pings that are due and broadcasts changes of this instance.
+// step does what package gossip does ten times a second: it sends the pings that are due and broadcasts changes of this
+// instance.
 func (i *Instance) step() {
 	now := i.cluster.Now
 	i.detector.Tick(now)
 	for _, nodeName := range i.detector.DuePings(now) {
 		n := i.nodes[nodeName]
-		if n == nil { // the library has forgotten it
+		if n == nil { // the gossip library has removed it
 			i.detector.RecordPingResult(now, nodeName, false)
 			continue
 		}
@@ -115,7 +116,7 @@
 	i.broadcastSelf()
 }
 
-// notifyRejectedNodes tells the instances whose incarnation has ended here that they need a new one.
+// notifyRejectedNodes tells the instances whose incarnation has ended in this instance's table that they need a new one.
 func (i *Instance) notifyRejectedNodes() {
 	for _, rejected := range i.detector.RejectedNodes() {
 		i.sendPacket(i.nodes[rejected.NodeName].index, pingBytes, func(to *Instance) {
@@ -127,23 +128,23 @@
 	}
 }
 
-// join exchanges state with some of the instances that are not present.
+// join exchanges state with some of the absent instances: join addresses and voters seen before.
 func (i *Instance) join() {
-	isKnown := map[int]bool{i.Index: true}
+	isExcluded := map[int]bool{i.Index: true}
 	for _, nodeName := range i.nodeNames {
 		if i.detector.IsPresent(nodeName) {
-			isKnown[i.nodes[nodeName].index] = true
+			isExcluded[i.nodes[nodeName].index] = true
 		}
 	}
 	var absent []int
 	for index := range min(seedInstances, len(i.cluster.Instances)) {
-		if !isKnown[index] {
-			isKnown[index], absent = true, append(absent, index)
+		if !isExcluded[index] {
+			isExcluded[index], absent = true, append(absent, index)
 		}
 	}
 	for _, name := range i.cluster.voters {
-		if index, seen := i.lastIndexes[name]; seen && !isKnown[index] {
-			isKnown[index], absent = true, append(absent, index)
+		if index, seen := i.lastIndexes[name]; seen && !isExcluded[index] {
+			isExcluded[index], absent = true, append(absent, index)
 		}
 	}
 	i.cluster.rng.Shuffle(len(absent), func(a, b int) { absent[a], absent[b] = absent[b], absent[a] })
--- a/cluster/membership/swimsim/network.go
+++ b/cluster/membership/swimsim/network.go
@@ -7,18 +7,18 @@
 	"chalkring/cluster/membership"
 )
 
-// Approximate sizes of what the gossip library sends, in bytes.
+// Approximate sizes of the gossip library's packets, in bytes.
 const (
 	pingBytes      = 90  // a ping or its acknowledgement
-	broadcastBytes = 110 // a broadcast, with its share of the packet's header
+	broadcastBytes = 110 // a broadcast with its share of the packet's header
 	stateNodeBytes = 130 // a node in a push/pull exchange
-	// maxBroadcastsPerPacket is what fits into a packet of 1400 bytes.
+	// maxBroadcastsPerPacket is the number of broadcasts that fit into a packet of 1400 bytes.
 	maxBroadcastsPerPacket = 12
-	// retransmitMultiplier times log10 of the cluster's size is how often a broadcast is sent.
+	// retransmitMultiplier is how often a broadcast is sent, as a multiple of log10 of the cluster's size.
 	retransmitMultiplier = 4
 )
 
-// broadcast is an update on a node that an instance sends on until transmitsLeft is 0.
+// broadcast is an update on a node that an instance sends until transmitsLeft is 0.
 type broadcast struct {
 	nodeName        string
 	member          membership.Member
@@ -33,18 +33,18 @@
 	return c.IsPartitioned != nil && c.IsPartitioned(from, to)
 }
 
-// canConnect reports whether a connection to another instance would come up.
+// canConnect reports whether a connection to another instance would be established.
 func (i *Instance) canConnect(to *Instance) bool {
 	return to.Running && !to.Paused && !i.cluster.isCut(i.Index, to.Index) && !i.cluster.isCut(to.Index, i.Index)
 }
 
-// canConnectToNode reports whether a node would answer on a connection.
+// canConnectToNode reports whether a connection to a node would be established and the node runs at that index.
 func (i *Instance) canConnectToNode(nodeName string, index int) bool {
 	to := i.cluster.Instances[index]
 	return to.NodeName == nodeName && i.canConnect(to)
 }
 
-// sendPacket sends a packet to whatever instance runs at an index; deliver is called if it arrives.
+// sendPacket sends a packet to the instance that runs at an index when it arrives. deliver is called only if it arrives.
 func (i *Instance) sendPacket(index, size int, deliver func(to *Instance)) {
 	c := i.cluster
 	i.BytesSent += int64(size)
@@ -69,7 +69,7 @@
 	})
 }
 
-// nextBroadcasts returns the broadcasts for one packet: those that were sent least often.
+// nextBroadcasts returns the broadcasts for one packet: those with the most transmits left.
 func (i *Instance) nextBroadcasts() (batch []broadcast) {
 	if len(i.broadcasts) == 0 {
 		return nil
@@ -87,7 +87,7 @@
 	return batch
 }
 
-// queueBroadcast queues the present state of a node, in place of an older broadcast on it.
+// queueBroadcast queues a broadcast of a node's current state, in place of an older broadcast on that node.
 func (i *Instance) queueBroadcast(nodeName string, n *node) {
 	i.broadcasts = slices.DeleteFunc(i.broadcasts, func(pending *broadcast) bool { return pending.nodeName == nodeName })
 	transmits := retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(i.nodeNames)+2))))
@@ -99,17 +99,17 @@
 	if len(i.broadcasts) == 0 {
 		return
 	}
-	mayListen := func(n *node) bool {
+	isEligible := func(n *node) bool {
 		return n.state != membership.Dead || i.cluster.Now-n.stateSince < gossipToTheDeadTime
 	}
-	for _, nodeName := range i.randomNodes(gossipNodes, mayListen) {
+	for _, nodeName := range i.randomNodes(gossipNodes, isEligible) {
 		if len(i.broadcasts) > 0 {
 			i.sendWithBroadcasts(i.nodes[nodeName].index, 0, func(*Instance) {})
 		}
 	}
 }
 
-// pushPull exchanges all known nodes with another instance, over a connection.
+// pushPull exchanges all known nodes and ended incarnations with another instance over a connection.
 func (i *Instance) pushPull(index int) {
 	to := i.cluster.Instances[index]
 	if to == i || !i.canConnect(to) {
@@ -136,7 +136,7 @@
 		n := i.nodes[nodeName]
 		nodeState := n.state
 		if nodeState == membership.Dead {
-			nodeState = membership.Suspect // the receiver probes it first
+			nodeState = membership.Suspect // the receiver does not declare it dead without probing it
 		}
 		state = append(state, broadcast{
 			nodeName: nodeName, member: n.member, index: n.index, swimIncarnation: n.swimIncarnation, state: nodeState,
--- a/cluster/membership/swimsim/protocol.go
+++ b/cluster/membership/swimsim/protocol.go
@@ -7,21 +7,21 @@
 	"chalkring/cluster/membership"
 )
 
-// The gossip library's settings as package gossip chooses them.
+// The gossip library's settings, as package gossip sets them.
 const (
 	probeInterval       = 500 * ticksPerMillisecond
 	probeTimeout        = membership.PingTimeout
-	indirectProbes      = 3 // nodes asked to probe one that did not answer
-	suspicionMultiplier = 3 // times log10 of the cluster's size and the probe interval: time to refute a suspicion
+	indirectProbes      = 3 // nodes asked to probe a node that did not answer
+	suspicionMultiplier = 3 // times log10 of the cluster's size times probeInterval is the time to refute a suspicion
 	gossipInterval      = 200 * ticksPerMillisecond
-	gossipNodes         = 3 // nodes that get broadcasts at once
+	gossipNodes         = 3 // nodes that broadcasts are sent to at once
 	gossipToTheDeadTime = 30 * Second
 	pushPullInterval    = 15 * Second
-	// pushPullSlowdownLog2 is log2 of the cluster's size above which push/pull exchanges become rarer: 32 instances.
+	// pushPullSlowdownLog2 is log2 of the cluster size above which push/pull exchanges become less frequent, 32 instances.
 	pushPullSlowdownLog2 = 5
 )
 
-// node is what an instance's gossip library knows of one incarnation of another instance.
+// node is what the gossip library of an instance knows of one incarnation of another instance.
 type node struct {
 	member          membership.Member
 	index           int
@@ -30,7 +30,7 @@
 	stateSince      int64
 }
 
-// ping asks a node for an acknowledgement; done is called once.
+// ping asks a node for an acknowledgement. done is called once, when it arrives or after probeTimeout.
 func (i *Instance) ping(nodeName string, index int, done func(answered bool)) {
 	isDone := false
 	i.sendWithBroadcasts(index, pingBytes, func(to *Instance) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// randomNodes returns up to count random nodes for which isEligible is true.
+// randomNodes returns the names of up to count random nodes for which isEligible is true.
 func (i *Instance) randomNodes(count int, isEligible func(*node) bool) (nodeNames []string) {
 	if len(i.nodeNames) == 0 {
 		return nil
@@ -72,7 +72,7 @@
 
 func isAlive(n *node) bool { return n.state == membership.Alive }
 
-// probe probes the next node of the round.
+// probe probes the next node of the round that is not dead.
 func (i *Instance) probe() {
 	i.removeDeadNodes()
 	if len(i.probeRound) == 0 {
@@ -91,7 +91,8 @@
 	}
 }
 
-// probeNode pings a node, then through other nodes and over a connection, and suspects it if nothing succeeds.
+// probeNode pings a node. If there is no answer it tries pings through other nodes and a connection, and suspects the node if
+// all of them fail.
 func (i *Instance) probeNode(nodeName string, n *node) {
 	probedIncarnation := n.swimIncarnation
 	i.ping(nodeName, n.index, func(answered bool) {
@@ -112,7 +113,7 @@
 	})
 }
 
-// removeDeadNodes forgets the nodes that have been dead for long.
+// removeDeadNodes removes the nodes that have been dead for longer than gossipToTheDeadTime.
 func (i *Instance) removeDeadNodes() {
 	i.nodeNames = slices.DeleteFunc(i.nodeNames, func(nodeName string) bool {
 		if n := i.nodes[nodeName]; n.state == membership.Dead && i.cluster.Now-n.stateSince > gossipToTheDeadTime {
@@ -134,7 +135,7 @@
 	}
 }
 
-// refute answers a suspicion of this instance with a higher incarnation of its node.
+// refute answers a suspicion of this instance with a higher SWIM incarnation of its node.
 func (i *Instance) refute(swimIncarnation uint32) {
 	i.swimIncarnation = max(i.swimIncarnation, swimIncarnation) + 1
 	i.broadcastSelf()
@@ -171,8 +172,8 @@
 	}
 }
 
-// applyFault applies that a node is suspect or dead. It returns the node if that is new, else nil; a fault of this instance
-// is refuted.
+// applyFault records that a node is suspect or dead. It returns the node if its state has changed, else nil. If the node is
+// this instance's own, it refutes the report.
 func (i *Instance) applyFault(nodeName string, swimIncarnation uint32, state membership.State) *node {
 	if nodeName == i.NodeName {
 		if swimIncarnation >= i.swimIncarnation {
--- a/cluster/membership/table.go
+++ b/cluster/membership/table.go
@@ -1,8 +1,8 @@
-// Package membership decides which instances of a cluster are members: a Table merges updates on members and says which
-// incarnation of each name is current, whether a majority of the voters is alive, and which names two instances claim. A
-// FailureDetector decides whom to ping and which updates follow. The package has no I/O; times are tenths of a millisecond
-// of a clock that the caller passes in. The same updates, in any order and with duplicates, give the same table.
-// docs/cluster.md describes the rules and what holds during a network partition.
+// Package membership decides which instances of a cluster are members. A Table merges updates on members and determines
+// the current incarnation of each name, whether a majority of the voters is alive, and which names two instances claim. A
+// FailureDetector decides which nodes to ping and updates the table from the results. The package has no I/O; times are
+// tenths of a millisecond on a clock that the caller passes in. The same updates, in any order and with duplicates, give
+// the same table. docs/cluster.md describes the rules and the guarantees during a network partition.
 package membership
 
 import (
@@ -14,26 +14,27 @@
 )
 
 const (
-	// MaxMembers is the number of names in a table: three times the largest cluster that this is built for.
+	// MaxMembers is the largest number of names in a table: three times the largest supported cluster.
 	MaxMembers = 1000
-	// maxIncarnationsPerName is how many incarnations of a name are kept, the latest ones. A crash loop has three
-	// while two of them are not yet noticed.
+	// maxIncarnationsPerName is how many incarnations of a name are kept, the latest ones. An instance in a crash loop
+	// has three while the end of two of them is not yet detected.
 	maxIncarnationsPerName = 8
-	// endedIncarnationsShared is of how many of a name's latest incarnations the ends are passed on to other instances.
+	// endedIncarnationsShared is how many of a name's latest incarnations are sent to other instances if they have ended.
 	endedIncarnationsShared = 2
 )
 
-// Table holds the incarnations of all known members. All its methods may be called by several goroutines.
+// Table holds the incarnations of all known members. Its methods are safe for concurrent use.
 type Table struct {
 	mu                sync.Mutex
 	self              Member
 	hasLeft           bool
-	detectorCurrentAt int64                // when the failure detector was last up to date; 0 without a failure detector
+	detectorCurrentAt int64                // when the failure detector was last up to date; 0 if none is used
 	voters            []string             // sorted
 	records           map[string][]*record // sorted by incarnation; includes other incarnations of this instance's name
 }
 
-// NewTable returns the table of an instance that has just started as self. Voters are the names that count for a majority.
+// NewTable returns the table of an instance that has just started as self. A majority is more than half of the names in
+// voters.
 func NewTable(self Member, voters []string) *Table {
 	voters = slices.Clone(voters)
 	slices.Sort(voters)
@@ -42,10 +43,10 @@
 	return &Table{self: self, voters: slices.Compact(voters), records: map[string][]*record{}}
 }
 
-// ApplyUpdate merges an update on a member and reports whether it changed the table. An ended incarnation stays ended;
-// within an incarnation the higher MetaVersion, then the higher SuspicionVersion, wins; an update on an older incarnation
-// never replaces a newer one. An update that declares this instance's own incarnation ended makes the instance refute it
-// with a new incarnation (see Self).
+// ApplyUpdate merges an update on a member and reports whether it changed the table. An ended incarnation stays ended.
+// Within an incarnation the update with the higher MetaVersion wins, then the one with the higher SuspicionVersion. An
+// update on an older incarnation never replaces a newer incarnation. If an update declares this instance's own incarnation
+// ended, the instance refutes it by taking a new incarnation (see Self).
 func (t *Table) ApplyUpdate(now int64, update Member) (changed bool) {
 	if !update.IsValid() {
 		return false
@@ -72,12 +73,12 @@
 }
 
 // contradictsSelf reports whether an update on this instance's own incarnation has to be recorded: other instances have
-// declared it ended, or another process uses it at another address, after a disk was copied or a clock set back.
+// declared it ended, or another process uses it at another address because a disk was copied or a clock was set back.
 func (t *Table) contradictsSelf(update Member) bool {
 	return update.State.IsTerminal() && !t.hasLeft || update.Addr != "" && update.Addr != t.self.Addr
 }
 
-// findOrAddRecord returns the record that an update belongs to, a new one where there is room, else nil.
+// findOrAddRecord returns the record of an update's incarnation. It adds a new one if there is room, else it returns nil.
 func (t *Table) findOrAddRecord(now int64, update Member) *record {
 	records := t.records[update.Name]
 	if records == nil && len(t.records) >= MaxMembers && !t.evictEndedName() {
@@ -89,7 +90,7 @@
 	if found {
 		return records[index]
 	}
-	if len(records) >= maxIncarnationsPerName { // the latest are kept, which does not depend on the order of updates
+	if len(records) >= maxIncarnationsPerName { // the result, the latest ones, does not depend on the order of updates
 		if index == 0 {
 			return nil
 		}
@@ -100,8 +101,8 @@
 	return r
 }
 
-// evictEndedName makes room by removing the name, voters excepted, whose latest incarnation ended first. It reports
-// whether there was one.
+// evictEndedName makes room by removing the name, other than a voter's, whose latest incarnation ended first. It reports
+// whether it removed one.
 func (t *Table) evictEndedName() bool {
 	oldest, oldestSince := "", int64(math.MaxInt64)
 	for name := range t.records {
@@ -117,9 +118,9 @@
 	return oldest != ""
 }
 
-// refuteOwnEnd gives this instance a new incarnation where the present one, or a later one of its name, has ended:
-// updates sent under the old one no longer count. While a later one is alive there are two instances of this name, and
-// neither takes a new incarnation.
+// refuteOwnEnd gives this instance a new incarnation if the current one, or a later one of its name, has ended: other
+// instances ignore updates on the old one. While a later incarnation is alive, two instances have this name, and neither
+// takes a new incarnation.
 func (t *Table) refuteOwnEnd(now int64) bool {
 	r := t.latest(t.self.Name)
 	if r == nil || r.incarnation < t.self.Incarnation || !r.state().IsTerminal() || t.hasLeft {
@@ -129,7 +130,7 @@
 	return true
 }
 
-// latest returns the record of a name's highest incarnation, nil where none is known.
+// latest returns the record of a name's highest incarnation, nil if none is known.
 func (t *Table) latest(name string) *record {
 	records := t.records[name]
 	if len(records) == 0 {
@@ -138,7 +139,7 @@
 	return records[len(records)-1]
 }
 
-// Self returns this instance as it is now; its incarnation may have changed since NewTable.
+// Self returns this instance's current member entry; its incarnation may have changed since NewTable.
 func (t *Table) Self() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +152,7 @@
 	return self
 }
 
-// UpdateSelf replaces this instance's metadata and returns the result; name, incarnation and address stay as they are.
+// UpdateSelf replaces this instance's metadata and returns the result. Name, incarnation and address do not change.
 func (t *Table) UpdateSelf(update Member) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,7 +165,7 @@
 	return t.selfCopy()
 }
 
-// Leave records that this instance shuts down on purpose; it counts for no majority from now on.
+// Leave records that this instance shuts down on purpose. It no longer counts towards a majority.
 func (t *Table) Leave(now int64) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,7 +175,7 @@
 	return t.selfCopy()
 }
 
-// Members returns all known members including this instance, each by its latest incarnation, sorted by name.
+// Members returns all known members, this instance included, each with its latest incarnation, sorted by name.
 func (t *Table) Members() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,8 +189,8 @@
 	return members
 }
 
-// ForEach calls visit for each member that Members would return, in no order and without a copy: visit must neither keep
-// or change the member's Capabilities nor call the table.
+// ForEach calls visit for each member that Members would return, in no particular order and without copying it. visit must
+// not keep or change the member's Capabilities, and must not call the table, whose lock is held.
 func (t *Table) ForEach(visit func(m Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,8 +202,8 @@
 	}
 }
 
-// AlivePeers returns the sorted names of the other members that are alive. Names that two instances claim are left out:
-// it is not known which of the two a message would reach.
+// AlivePeers returns the sorted names of the other members that are alive. Names that two instances claim are left out
+// because a message could reach either of the two.
 func (t *Table) AlivePeers() (names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,7 +216,7 @@
 	return names
 }
 
-// IncarnationState returns the state of one incarnation, and false where it is not known.
+// IncarnationState returns the state of one incarnation, and false if the incarnation is not known.
 func (t *Table) IncarnationState(name string, incarnation uint64) (State, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -230,8 +231,8 @@
 	return Alive, false
 }
 
-// RequiresNewIncarnation reports whether a name's latest incarnation has ended and is at least the given one: an instance
-// that still uses the given one has to take a higher one.
+// RequiresNewIncarnation reports whether a name's latest incarnation has ended and is not below the given one. An instance
+// that still uses the given incarnation then has to take a higher one.
 func (t *Table) RequiresNewIncarnation(name string, incarnation uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -239,8 +240,8 @@
 	return r != nil && r.state().IsTerminal() && r.incarnation >= incarnation
 }
 
-// EndedIncarnations returns updates for other instances: those of a name's two latest incarnations that have ended, without
-// metadata, sorted by name and incarnation. Without arguments it covers all names.
+// EndedIncarnations returns updates to send to other instances: for each of the names, or for all names if none are given,
+// those of its two latest incarnations that have ended. They have no metadata and are sorted by name and incarnation.
 func (t *Table) EndedIncarnations(names ...string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cluster/membership/table_test.go
+++ b/cluster/membership/table_test.go
@@ -16,7 +16,7 @@
 	return Member{Name: name, Incarnation: incarnation, Addr: name + ":1", State: state}
 }
 
-// newTestTable is a's table, in which the named members are alive.
+// newTestTable returns the table of member a, in which the named members are alive.
 func newTestTable(alive ...string) *Table {
 	table := NewTable(member("a", 10, Alive), testVoters)
 	for _, name := range alive {
@@ -25,7 +25,8 @@
 	return table
 }
 
-// drawUpdates draws updates as members and observers can send them: a metadata version has one content.
+// drawUpdates draws updates that members and observers could send: all updates with one metadata version have the same
+// metadata.
 func drawUpdates(t *rapid.T) (updates []Member) {
 	for range rapid.IntRange(1, 40).Draw(t, "updates") {
 		update := member(rapid.SampledFrom([]string{"b", "c", "d", "new"}).Draw(t, "name"), rapid.Uint64Range(1, 12).Draw(t, "incarnation"),
@@ -45,7 +46,7 @@
 	return updates
 }
 
-// tableView is all that a table reports.
+// tableView is everything that a table reports.
 type tableView struct {
 	Members, Ended []Member
 	Conflicts      []string
@@ -62,6 +63,8 @@
 	return view
 }
 
+// Tables that receive the same updates in different orders, or some of them twice, must not differ: the instances would
+// never agree on the members.
 func TestUpdatesInAnyOrderAndWithDuplicatesGiveTheSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := drawUpdates(t)
@@ -83,7 +86,8 @@
 	})
 }
 
-func TestOlderIncarnationAndEndedOneNeverReturn(t *testing.T) {
+// A delayed update must not replace an incarnation by an older one, nor make an ended incarnation alive again.
+func TestOlderAndEndedIncarnationsNeverReturn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, highest, ended := newTestTable(), map[string]uint64{}, map[string]bool{}
 		for _, update := range drawUpdates(t) {
@@ -102,6 +106,8 @@
 	})
 }
 
+// A member that was declared dead counts again only with a higher incarnation. An instance that is itself declared dead, or
+// whose previous incarnation is higher because a clock was set back, must take an incarnation above the ended one.
 func TestDeadMemberReturnsWithNewIncarnation(t *testing.T) {
 	table := newTestTable("b", "c")
 	require.True(t, table.ApplyUpdate(2, member("b", 10, Dead)))
@@ -119,6 +125,8 @@
 	require.Empty(t, table.NameConflicts())
 }
 
+// Invalid updates, too many names or a crash loop must not grow a table beyond its limits. A name that has ended makes room
+// for a new one.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable(member("a", 1, Alive), testVoters)
 	for _, m := range []Member{
@@ -133,7 +141,7 @@
 	for i := range MaxMembers {
 		require.True(t, table.ApplyUpdate(int64(i), member(fmt.Sprint("n", i), 1, Alive)))
 	}
-	require.False(t, table.ApplyUpdate(1, member("b", 1, Alive)), "no name has ended")
+	require.False(t, table.ApplyUpdate(1, member("b", 1, Alive)), "the table is full and no name has ended")
 	table.ApplyUpdate(2, member("n7", 1, Dead))
 	require.True(t, table.ApplyUpdate(3, member("b", 1, Alive)), "a name that has ended makes room")
 	for n := range uint64(50) {
@@ -143,6 +151,8 @@
 	require.Len(t, table.EndedIncarnations(), 2)
 }
 
+// Each change of an instance's own metadata must raise its MetaVersion, else other instances would ignore the change.
+// Unchanged metadata keeps the version, and the name cannot be changed.
 func TestUpdateSelfCountsMetadataVersions(t *testing.T) {
 	table := NewTable(member("a", 1, Alive), testVoters)
 	m := table.Self()
--- a/cluster/membership/wire_golden_test.go
+++ b/cluster/membership/wire_golden_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The identity of a cluster is sent in each member's gossip metadata and is stored; both read what earlier builds wrote.
+// The encoding of a cluster's identity must not change: it is sent in each member's gossip metadata and stored on disk, and
+// newer versions read what older ones wrote.
 func TestGoldenIdentity(t *testing.T) {
 	form := func(name string, identity, want Identity) golden.Form {
 		return golden.Form{
@@ -37,7 +38,8 @@
 	})
 }
 
-// The numbers of a member's state are sent in gossip, and the receiver checks the limits.
+// The numeric values of a member's state and the limits on updates must not change: the states are sent in gossip, and
+// receivers of other versions check the limits.
 func TestGoldenMemberStates(t *testing.T) {
 	require.Equal(t, []int{0, 1, 2, 3}, []int{int(Alive), int(Suspect), int(Dead), int(Left)})
 	require.Equal(t, []string{"alive", "suspect", "gone", "left"}, []string{Alive.String(), Suspect.String(), Dead.String(), Left.String()})
