--- a/cluster/gossip/delegate.go
+++ b/cluster/gossip/delegate.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate implements memberlist's callbacks. memberlist holds its lock during most of them, so they neither call it nor
-// block; the event loop does the work later.
+// delegate implements memberlist's callbacks. memberlist holds its lock during most of them, so they must neither call
+// memberlist nor block; the event loop does the work later.
 type delegate Node
 
 func (d *delegate) node() *Node { return (*Node)(d) }
@@ -16,24 +16,24 @@
 func (d *delegate) NodeMeta(limit int) []byte {
 	encoded, err := d.node().encodeMember(d.table.Self())
 	if err != nil || len(encoded) > limit {
-		return nil // cannot happen: Start and UpdateSelf have checked it
+		return nil // cannot happen: Start and UpdateSelf have checked the metadata
 	}
 	return encoded
 }
 
-// GetBroadcasts returns nothing: updates travel in node metadata and in push/pull exchanges.
+// GetBroadcasts returns nothing: updates are sent in node metadata and in push/pull exchanges.
 func (d *delegate) GetBroadcasts(_, _ int) [][]byte { return nil }
 
-// LocalState returns what a push/pull exchange sends beside the nodes.
+// LocalState returns what a push/pull exchange sends in addition to the nodes: the ended incarnations.
 func (d *delegate) LocalState(bool) []byte { return encodeEnded(d.table.EndedIncarnations()) }
 
-// MergeRemoteState applies what a push/pull exchange received beside the nodes.
+// MergeRemoteState applies what a push/pull exchange received in addition to the nodes: ended incarnations.
 func (d *delegate) MergeRemoteState(encoded []byte, _ bool) { d.node().applyEnded(encoded) }
 
-// NotifyMsg takes a message from another instance.
+// NotifyMsg handles a message from another instance.
 func (d *delegate) NotifyMsg(encoded []byte) { d.node().receive(encoded) }
 
-// NotifyJoin, NotifyUpdate and NotifyLeave report a node's state.
+// NotifyJoin reports that a node is alive.
 func (d *delegate) NotifyJoin(node *memberlist.Node) { d.recordEvent(node, true) }
 
 // NotifyUpdate reports new metadata of a node.
@@ -42,10 +42,12 @@
 // NotifyLeave reports that a node is dead or has left.
 func (d *delegate) NotifyLeave(node *memberlist.Node) { d.recordEvent(node, false) }
 
-// NotifyAlive decides whether memberlist accepts a node that is reported alive.
+// NotifyAlive returns an error, which makes memberlist ignore a node that is reported alive, if the node belongs to another
+// cluster.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error { return d.node().rejectForeign(node) }
 
-// NotifyMerge decides whether memberlist accepts the state of an instance that joins or is joined.
+// NotifyMerge returns an error, which makes memberlist reject the state of an instance that joins or is joined, if all nodes
+// of the state belong to other clusters.
 func (d *delegate) NotifyMerge(nodes []*memberlist.Node) error {
 	return d.node().rejectForeignState(nodes)
 }
@@ -55,13 +57,13 @@
 	d.node().wakeLoop()
 }
 
-// nodeEvent is what memberlist reported last of a node.
+// nodeEvent is memberlist's last report on a node.
 type nodeEvent struct {
 	node    memberlist.Node // a copy
 	isAlive bool
 }
 
-// eventBuffer holds memberlist's reports, the latest of each node, until the event loop takes them.
+// eventBuffer holds memberlist's latest report on each node until the event loop takes it.
 type eventBuffer struct {
 	mu     sync.Mutex
 	latest map[string]nodeEvent // by node name
@@ -85,7 +87,7 @@
 	return order, latest
 }
 
-// isPendingAlive reports whether the last report of a node that was not taken yet has it alive.
+// isPendingAlive reports whether there is a report on a node that was not taken yet, and it says that the node is alive.
 func (b *eventBuffer) isPendingAlive(nodeName string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cluster/gossip/errors_test.go
+++ b/cluster/gossip/errors_test.go
@@ -11,6 +11,7 @@
 	"chalkring/internal/advice"
 )
 
+// An error type without advice, or without a row in the on-call page, would leave operators without help.
 func TestErrorTypesGiveAdviceAndAreInTheOnCallPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
@@ -25,9 +26,10 @@
 	}
 	code, err := os.ReadFile("errors.go")
 	require.NoError(t, err)
-	require.Equal(t, len(errorTypes), strings.Count(string(code), ") Advice() string"), "a type is missing above")
+	require.Equal(t, len(errorTypes), strings.Count(string(code), ") Advice() string"), "an error type of errors.go is missing in errorTypes")
 }
 
+// A log event must be described in the on-call page, under the same name.
 func TestLogEventsAreInTheOnCallPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
--- a/cluster/gossip/event_loop.go
+++ b/cluster/gossip/event_loop.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	stepInterval    = 100 * time.Millisecond // between iterations at the longest
-	publishInterval = time.Second            // between repeated broadcasts to instances that have an ended incarnation of this one
-	rejectInterval  = 500 * time.Millisecond // between updates to a node whose incarnation has ended here
-	maxPingResults  = 64                     // results that wait for the event loop
+	stepInterval    = 100 * time.Millisecond // longest time between iterations
+	publishInterval = time.Second            // between repeated broadcasts while another instance has an ended incarnation of this one
+	rejectInterval  = 500 * time.Millisecond // between updates to nodes whose incarnation has ended in the table
+	maxPingResults  = 64                     // results queued for the event loop
 )
 
-// eventLoop drives the failure detector, publishes this instance and joins absent ones. One goroutine runs it.
+// eventLoop drives the failure detector, publishes this instance's metadata and joins absent instances. It runs on one
+// goroutine.
 type eventLoop struct {
 	*Node
 	pingResults chan pingResult
-	published   membership.Member // as it was broadcast last
+	published   membership.Member // as last broadcast
 	publishedAt time.Time
 	rejectedAt  time.Time // when rejected nodes were last sent their ended incarnations
 	joins       joinState
@@ -63,7 +64,7 @@
 	}
 	for _, r := range rejected {
 		update := encodeMessage(endedTopic, l.table.Self(), encodeEnded(r.ended))
-		_ = l.list.SendBestEffort(&r.node, update) // it is sent again while the node is rejected
+		_ = l.list.SendBestEffort(&r.node, update) // sent again as long as the node is rejected
 	}
 	l.publishSelf()
 	l.status.logChanges(l.table, l.Now())
@@ -76,7 +77,7 @@
 	ended []membership.Member
 }
 
-// advanceDetector passes memberlist's reports to the failure detector and returns the nodes to ping, and those to reject.
+// advanceDetector passes memberlist's reports to the failure detector and returns the nodes to ping and the rejected ones.
 func (l *eventLoop) advanceDetector() (pings []memberlist.Node, rejected []rejectedNode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,8 +136,9 @@
 	}
 }
 
-// publishSelf broadcasts this instance if it has changed, or if an instance still has an ended incarnation of it, since an
-// earlier broadcast may have been lost. The first iteration always does: UpdateSelf may have been called before it.
+// publishSelf broadcasts this instance's metadata if it has changed, or if another instance still has an ended incarnation of
+// it, because an earlier broadcast may have been lost. The first iteration always broadcasts, because UpdateSelf may have
+// been called before it.
 func (l *eventLoop) publishSelf() {
 	self := l.table.Self()
 	hasChanged := !self.EqualMetadata(l.published) || self.Incarnation != l.published.Incarnation
@@ -145,5 +147,5 @@
 	}
 	l.mustRepublish.Store(false)
 	l.publishedAt, l.published = time.Now(), self
-	_ = l.list.UpdateNode(time.Millisecond) // the broadcast is queued; the error says only that it was not sent within the time
+	_ = l.list.UpdateNode(time.Millisecond) // the broadcast is queued; an error only means that it was not sent within the time
 }
--- a/cluster/gossip/foreign.go
+++ b/cluster/gossip/foreign.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	foreignLogInterval = 10 * time.Second // between log lines: a foreign instance tries to join every second
-	// acceptTimeout is how long a message waits until its sender is a known member: its metadata and the message may be
-	// sent at the same time.
+	foreignLogInterval = 10 * time.Second // between log lines; a foreign instance tries to join every second
+	// acceptTimeout is how long a message waits for its sender to become a known member: the sender's metadata may arrive
+	// slightly later than the message.
 	acceptTimeout      = time.Second
 	acceptPollInterval = 10 * time.Millisecond
 )
 
-// rejectForeign returns a ForeignInstanceError if a node belongs to another cluster. Another customer's cluster may be at
-// the same addresses, with the same key or none; its shared state would be merged into this one's.
+// rejectForeign returns a ForeignInstanceError if a node belongs to another cluster. Another customer's cluster may use the
+// same addresses, with the same key or none, and its shared state would then be merged into this cluster's.
 func (n *Node) rejectForeign(node *memberlist.Node) error {
 	err := n.checkIdentity(node)
 	if err != nil && n.foreignLogLimiter.Allow() {
@@ -27,8 +27,8 @@
 	return err
 }
 
-// rejectForeignState returns an error if all nodes of an exchanged state belong to another cluster. If only some do, the
-// state is accepted without them, since memberlist asks rejectForeign for each node.
+// rejectForeignState returns an error if all nodes of a received state belong to other clusters. If only some do, the state
+// is accepted without them, because memberlist also calls rejectForeign for each node.
 func (n *Node) rejectForeignState(nodes []*memberlist.Node) error {
 	var lastErr error
 	hasOwn := len(nodes) == 0
@@ -48,7 +48,7 @@
 func (n *Node) checkIdentity(node *memberlist.Node) error {
 	var decoded wireMember
 	if len(node.Meta) > maxMetadataBytes || n.decMode.Unmarshal(node.Meta, &decoded) != nil {
-		return nil // the event loop drops it
+		return nil // the event loop ignores the node
 	}
 	if !decoded.Identity.IsValid() || !n.options.Identity.ConflictsWith(decoded.Identity) {
 		return nil
@@ -58,8 +58,9 @@
 	}
 }
 
-// awaitAccepted waits until a message's sender is a member, and reports whether it is. An instance of another cluster may
-// send to an address at which one of its own was; it is never accepted.
+// awaitAccepted waits until a message's sender is accepted as a member, for at most acceptTimeout, and reports whether it is.
+// An instance of another cluster, which may send to this address because a member of its own cluster once used it, is never
+// accepted.
 func (n *Node) awaitAccepted(header messageHeader) bool {
 	for deadline := time.Now().Add(acceptTimeout); !n.isAccepted(header); {
 		if n.ctx.Err() != nil || time.Now().After(deadline) {
@@ -70,7 +71,8 @@
 	return true
 }
 
-// isAccepted reports whether a message's sender is known here or to memberlist. Without an identity nobody is rejected.
+// isAccepted reports whether a message's sender is in the table or was reported alive by memberlist. If this instance has no
+// identity, it accepts all senders.
 func (n *Node) isAccepted(header messageHeader) bool {
 	if !n.options.Identity.IsSpecified() {
 		return true
--- a/cluster/gossip/foreign_test.go
+++ b/cluster/gossip/foreign_test.go
@@ -16,7 +16,7 @@
 
 const testTopic = 9
 
-// twoClusters are two customers' clusters, a and b, c and d, with one key and each other's addresses.
+// twoClusters holds the clusters of two customers: a and b, and c and d. They use one key and have each other's addresses.
 type twoClusters struct {
 	nodes    map[string]*Node
 	logs     map[string]*logBuffer
@@ -47,32 +47,34 @@
 	return clusters
 }
 
+// Clusters of two customers that use the same key and have each other's addresses must not merge: their state would be mixed.
+// Each must reject the other's members and messages, and log this at a limited rate.
 func TestClustersOfTwoCustomersRejectEachOther(t *testing.T) {
 	t.Parallel()
 	clusters := startTwoClusters(t)
 	a, b, c := clusters.nodes["a"], clusters.nodes["b"], clusters.nodes["c"]
 	for name, n := range clusters.nodes {
 		awaitAllAlive(t, n)
-		await(t, "the others are rejected", func() bool {
+		await(t, "the other cluster is rejected", func() bool {
 			return strings.Contains(clusters.logs[name].String(), "msg="+eventForeignInstance)
 		})
 	}
-	// c sends to an address at which an instance of its own cluster was and a is now: the message arrives and is dropped.
+	// c sends to an address that a member of its own cluster used before and a uses now: the message arrives and is dropped.
 	addr := netip.MustParseAddrPort(addrOf(a))
 	receiver := &memberlist.Node{Name: a.nodeName, Addr: addr.Addr().AsSlice(), Port: addr.Port()}
 	require.NoError(t, c.list.SendReliable(receiver, encodeMessage(testTopic, c.Membership().Self(), []byte("foreign"))))
-	time.Sleep(acceptTimeout + joinInterval) // attempts to join are repeated meanwhile
+	time.Sleep(acceptTimeout + joinInterval) // attempts to join are repeated during this time
 	require.NoError(t, b.Send(t.Context(), "a", testTopic, []byte("own")))
 	select {
 	case message := <-clusters.received:
 		require.Equal(t, "b own", message)
-	case <-time.After(patience):
-		t.Fatal("no message of the own cluster arrives")
+	case <-time.After(awaitTimeout):
+		t.Fatal("no message from the own cluster arrived")
 	}
 	for name, n := range clusters.nodes {
 		for other := range clusters.nodes {
 			if !n.Membership().IsVoter(other) {
-				require.Equal(t, unknownState, stateOf(n, other), "%s at %s", other, name)
+				require.Equal(t, unknownState, stateOf(n, other), "state of foreign instance %s at %s", other, name)
 				require.Error(t, n.Send(t.Context(), other, testTopic, nil))
 			}
 		}
@@ -84,6 +86,8 @@
 	}
 }
 
+// Instances without an identity, as of older versions, and with an added tenant must not be rejected as foreign, else a
+// cluster would split during an upgrade.
 func TestInstancesWithoutIdentityBelongToTheCluster(t *testing.T) {
 	t.Parallel()
 	network := newTestNetwork()
--- a/cluster/gossip/gossip.go
+++ b/cluster/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package gossip finds the other instances of a cluster and carries messages between them, on one TCP and UDP port, with
-// hashicorp/memberlist underneath. Each incarnation of an instance is a node of its own in memberlist, so that a restart is
-// never taken for its predecessor. Package membership decides which members are alive; this package has the sockets, clocks
-// and goroutines. docs/cluster.md describes the rules, the choice of the library and what an operator does.
+// Package gossip finds the other instances of a cluster and sends messages between them, on one TCP and UDP port, using
+// hashicorp/memberlist. Each incarnation of an instance is a separate node in memberlist, so that a restarted instance is
+// never mistaken for its predecessor. Package membership decides which members are alive; this package has the sockets,
+// clocks and goroutines. docs/cluster.md describes the rules, the choice of the library and what an operator does.
 package gossip
 
 import (
@@ -26,35 +26,35 @@
 )
 
 const (
-	// MaxDetectionTime is the time within which an instance that has ended, or is cut off, no longer counts for a
+	// MaxDetectionTime is the time after which an instance that has ended or is cut off no longer counts towards a
 	// majority, in clusters of up to 300 instances.
 	MaxDetectionTime = 6 * time.Second
 
-	// clockTick is the unit of Now and of package membership's times.
+	// clockTick is the unit of Now and of the times in package membership.
 	clockTick = 100 * time.Microsecond
 )
 
-// Options are what an instance starts with.
+// Options configure an instance.
 type Options struct {
-	Identity      membership.Identity // of the cluster: instances of another one are rejected
-	Self          membership.Member   // name and metadata; an Incarnation of 0 becomes the start time in ns
-	Voters        []string            // names of all instances that count for a majority
+	Identity      membership.Identity // of the cluster; instances of other clusters are rejected
+	Self          membership.Member   // name and metadata; an Incarnation of 0 is replaced by the start time in ns
+	Voters        []string            // names of all instances that count towards a majority
 	ListenAddr    string              // address and port, TCP and UDP, at which others reach it
-	JoinAddrs     []string            // addresses of other instances, of which any one that runs is enough
-	AddrOverrides map[string]string   // by an instance's address: where to reach it instead, through a relay or NAT
-	Key           []byte              // 16, 24 or 32 bytes; without it nothing is encrypted or authenticated
+	JoinAddrs     []string            // addresses of other instances; one that is running is enough
+	AddrOverrides map[string]string   // by an instance's address: the address of a relay or NAT to use instead
+	Key           []byte              // 16, 24 or 32 bytes; if empty, nothing is encrypted or authenticated
 	OldKeys       [][]byte            // keys that other instances may still use
 	Logger        *slog.Logger
-	Seed          int64                  // of this package's randomness; memberlist's own has no seed
-	ShouldDrop    func(addr string) bool // for tests: whether what is sent to an address is lost
+	Seed          int64                  // of this package's random numbers; memberlist's cannot be seeded
+	ShouldDrop    func(addr string) bool // for tests: reports whether packets and connections to an address are dropped
 }
 
-// Node is this instance in the cluster. Its methods may be called by several goroutines.
+// Node is this instance in the cluster. Its methods are safe for concurrent use.
 type Node struct {
 	options           Options
 	logger            *slog.Logger
 	table             *membership.Table
-	nodeName          string // memberlist's name of this incarnation
+	nodeName          string // name of this incarnation in memberlist
 	list              *memberlist.Memberlist
 	transport         *transport
 	decMode           cbor.DecMode
@@ -64,7 +64,7 @@
 	goroutines        sync.WaitGroup
 	sendSlots         chan struct{}
 	foreignLogLimiter *rate.Limiter
-	mustRepublish     atomic.Bool // an instance still has an ended incarnation of this one
+	mustRepublish     atomic.Bool // another instance still has an ended incarnation of this one
 	rng               *rand.Rand  // used by the event loop only
 	events            eventBuffer
 	wake              chan struct{} // makes the event loop iterate at once
@@ -72,15 +72,15 @@
 	mu        sync.Mutex
 	detector  *membership.FailureDetector
 	nodes     map[string]memberlist.Node // by node name
-	lastAddrs map[string]string          // by name of a voter: address at which it was last seen
+	lastAddrs map[string]string          // by a voter's name: the address at which it was last seen
 	handlers  map[byte]chan message
 	closed    bool
 	closeOnce sync.Once
 	done      chan struct{} // closed once all goroutines have ended
 }
 
-// Start listens and begins to look for the other instances; it waits for none of them. The node ends without telling the
-// others when ctx ends, or by Leave or Close.
+// Start listens and begins to join the other instances in the background. The node ends by Leave or Close, or, without
+// telling the others, when ctx ends.
 func Start(ctx context.Context, options Options) (*Node, error) {
 	listenAddr, err := checkOptions(options)
 	if err != nil {
@@ -99,7 +99,7 @@
 	n.table = membership.NewTable(self, options.Voters)
 	n.detector = membership.NewFailureDetector(n.table, rand.New(rand.NewSource(options.Seed+1)))
 	err = n.checkMember(self)
-	n.ctx, n.cancel = context.WithCancel(ctx) // before Create, since messages may arrive as soon as it listens
+	n.ctx, n.cancel = context.WithCancel(ctx) // before Create, because messages may arrive as soon as memberlist runs
 	if err == nil {
 		n.list, err = memberlist.Create(n.memberlistConfig(listenAddr, libraryLogger))
 	}
@@ -115,7 +115,7 @@
 func checkOptions(options Options) (listenAddr netip.AddrPort, err error) {
 	listenAddr, err = netip.ParseAddrPort(options.ListenAddr)
 	if err == nil && listenAddr.Addr().IsUnspecified() {
-		err = errors.New("an unspecified address is not one at which others reach this instance")
+		err = errors.New("other instances cannot reach an unspecified address; expected an address of this machine")
 	}
 	if err != nil {
 		return listenAddr, &InvalidAddressError{options.ListenAddr, err}
@@ -143,7 +143,7 @@
 	return n
 }
 
-// checkMember reports why a member cannot be published as this instance, nil if it can.
+// checkMember returns an error if other instances would not accept a member entry for this instance.
 func (n *Node) checkMember(m membership.Member) error {
 	if !m.IsValid() {
 		return &InvalidMemberError{Name: m.Name}
@@ -152,16 +152,16 @@
 	return err
 }
 
-// Membership returns the members as this instance sees them. Only this package changes the table.
+// Membership returns the table of members that this instance knows. Only this package may change it.
 func (n *Node) Membership() *membership.Table { return n.table }
 
-// Now returns the time by the clock that the table's times are of: tenths of a millisecond since the start.
+// Now returns the time on the table's clock: tenths of a millisecond since the start.
 func (n *Node) Now() int64 { return int64(time.Since(n.startedAt) / clockTick) }
 
-// BytesSent returns how many bytes have been sent so far.
+// BytesSent returns the number of bytes sent since the start.
 func (n *Node) BytesSent() int64 { return n.transport.bytesSent.Load() }
 
-// UpdateSelf publishes new metadata of this instance; name, incarnation and address stay as they are.
+// UpdateSelf publishes new metadata of this instance. Name, incarnation and address do not change.
 func (n *Node) UpdateSelf(m membership.Member) error {
 	self := n.table.Self()
 	m.Name, m.Incarnation, m.MetaVersion, m.Addr, m.State = self.Name, self.Incarnation, self.MetaVersion+1, self.Addr, self.State
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// EndPreviousIncarnation declares the previous incarnation of this instance, read from its own store, as ended.
+// EndPreviousIncarnation declares that the previous incarnation of this instance, read from its store, has ended.
 func (n *Node) EndPreviousIncarnation(incarnation uint64) {
 	self := n.table.Self()
 	if incarnation != self.Incarnation {
--- a/cluster/gossip/gossip_test.go
+++ b/cluster/gossip/gossip_test.go
@@ -14,6 +14,9 @@
 	"chalkring/internal/advice"
 )
 
+// On real sockets, a minority must lose its majority and declare no instance dead, while the majority declares the minority
+// dead. After the partition the minority must return with new incarnations. A kill, a restart and leaving must then be
+// detected as such.
 func TestPartitionedMinorityReturnsWithNewIncarnations(t *testing.T) {
 	t.Parallel()
 	network := newTestNetwork()
@@ -35,31 +38,33 @@
 
 	killed := nodes[1].Membership().Self()
 	nodes[1].Close()
-	await(t, "a kill is noticed", func() bool { return stateOf(nodes[0], "b") == membership.Dead })
+	await(t, "a killed instance is declared dead", func() bool { return stateOf(nodes[0], "b") == membership.Dead })
 	restarted := startNode(t, network, "b", []string{"a", "b", "c", "d", "e"}, func(o *Options) {
 		o.ListenAddr, o.JoinAddrs = killed.Addr, []string{addrOf(nodes[2])}
 	})
-	await(t, "a restart is noticed", func() bool { return stateOf(nodes[0], "b") == membership.Alive })
-	_ = restarted.Leave(context.Background()) // on a busy machine it may report that nobody has been told yet
-	await(t, "leaving is no failure", func() bool {
+	await(t, "a restarted instance is alive", func() bool { return stateOf(nodes[0], "b") == membership.Alive })
+	_ = restarted.Leave(context.Background()) // on a busy machine it may report that the others have not been told yet
+	await(t, "an instance that leaves is reported as left, not dead", func() bool {
 		return stateOf(nodes[0], "b") == membership.Left && stateOf(nodes[2], "b") == membership.Left
 	})
 }
 
+// Two instances with one name must be reported by all instances, and the name must not count towards a majority, until one of
+// the two ends. The other one then must count again.
 func TestNameConflictIsSeenByAllUntilOneEnds(t *testing.T) {
 	t.Parallel()
 	network := newTestNetwork()
 	nodes := startCluster(t, network, "a", "b", "c")
 	second := startNode(t, network, "c", []string{"a", "b", "c"}, func(o *Options) { o.JoinAddrs = []string{addrOf(nodes[0])} })
 	for _, n := range append(nodes, second) {
-		await(t, "all see the conflict", func() bool {
+		await(t, "all instances report the conflict", func() bool {
 			conflicts := n.Membership().NameConflicts()
 			return len(conflicts) == 1 && conflicts[0] == "c"
 		})
 	}
 	require.False(t, second.Membership().HasMajority(0))
 	require.False(t, nodes[2].Membership().HasMajority(0))
-	await(t, "the name does not count", func() bool { alive, _ := nodes[0].Membership().CountAliveVoters(0); return alive == 2 })
+	await(t, "the name does not count as an alive voter", func() bool { alive, _ := nodes[0].Membership().CountAliveVoters(0); return alive == 2 })
 	second.Close()
 	for _, n := range nodes {
 		await(t, "the conflict ends with the second instance", func() bool {
@@ -71,13 +76,14 @@
 		"the first instance takes an incarnation above the dead one's")
 }
 
+// Changed metadata must reach the other instances, and metadata that they would not accept must be refused with an error.
 func TestUpdateSelfReachesTheOthers(t *testing.T) {
 	t.Parallel()
 	nodes := startCluster(t, newTestNetwork(), "a", "b")
 	m := nodes[0].Membership().Self()
 	m.SettingsGeneration, m.ProgramVersion, m.Capabilities = 9, "v2", []string{"rollout"}
 	require.NoError(t, nodes[0].UpdateSelf(m))
-	await(t, "the metadata arrives", func() bool {
+	await(t, "the metadata reaches the other instance", func() bool {
 		m := nodes[1].Membership().Members()[0]
 		return m.SettingsGeneration == 9 && m.ProgramVersion == "v2" && len(m.Capabilities) == 1
 	})
@@ -89,6 +95,7 @@
 	require.True(t, advice.HasType[*MetadataTooLargeError](nodes[0].UpdateSelf(m)))
 }
 
+// A start with an address in use, or with an invalid address, key, name or metadata, must fail with advice for the operator.
 func TestFailedStartsGiveAdvice(t *testing.T) {
 	t.Parallel()
 	occupied, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -111,6 +118,8 @@
 	require.True(t, advice.HasType[*AddressInUseError](err), "%v", err)
 }
 
+// An instance with another key must be kept out and logged as a key mismatch, while instances that have both keys during a
+// key change must see each other.
 func TestNodeWithAnotherKeyIsRejectedAndLogged(t *testing.T) {
 	t.Parallel()
 	network, log := newTestNetwork(), &logBuffer{}
@@ -120,10 +129,10 @@
 	join := []string{addrOf(a)}
 	b := startNode(t, network, "b", voters, func(o *Options) { o.Key, o.JoinAddrs = key(2), join })
 	c := startNode(t, network, "c", voters, func(o *Options) { o.Key, o.OldKeys, o.JoinAddrs = key(1), [][]byte{key(2)}, join })
-	await(t, "nodes with one key see each other", func() bool {
+	await(t, "nodes with a common key see each other", func() bool {
 		return stateOf(a, "c") == membership.Alive && stateOf(c, "a") == membership.Alive
 	})
-	await(t, "the other key is logged", func() bool { return strings.Contains(log.String(), "msg="+eventKeyMismatch) })
+	await(t, "the key mismatch is logged", func() bool { return strings.Contains(log.String(), "msg="+eventKeyMismatch) })
 	require.Equal(t, unknownState, stateOf(a, "b"))
 	require.Equal(t, unknownState, stateOf(b, "a"))
 }
--- a/cluster/gossip/helpers_test.go
+++ b/cluster/gossip/helpers_test.go
@@ -15,13 +15,13 @@
 	"chalkring/cluster/membership"
 )
 
-// patience is how long a test waits for what has to happen; no assertion depends on anything happening sooner.
-const patience = 40 * time.Second
+// awaitTimeout is how long a test waits for an expected event; no assertion depends on how soon it happens.
+const awaitTimeout = 40 * time.Second
 
 func TestMain(m *testing.M) {
 	code := m.Run()
 	leak := goleak.Find()
-	for deadline := time.Now().Add(patience); leak != nil && time.Now().Before(deadline); { // memberlist ends its last probe
+	for deadline := time.Now().Add(awaitTimeout); leak != nil && time.Now().Before(deadline); { // memberlist's last probe is still ending
 		leak = goleak.Find()
 	}
 	if code == 0 && leak != nil {
@@ -31,7 +31,7 @@
 	os.Exit(code)
 }
 
-// testNetwork partitions addresses into groups.
+// testNetwork partitions addresses into groups: what is sent between two groups is dropped.
 type testNetwork struct {
 	mu     sync.Mutex
 	groups map[string]int // by address
@@ -39,7 +39,7 @@
 
 func newTestNetwork() *testNetwork { return &testNetwork{groups: map[string]int{}} }
 
-// dropsFrom is Options.ShouldDrop of the node whose address is in from.
+// dropsFrom returns the Options.ShouldDrop of the node with the address in from.
 func (w *testNetwork) dropsFrom(from *atomic.Value) func(string) bool {
 	return func(to string) bool {
 		w.mu.Lock()
@@ -57,15 +57,15 @@
 
 func addrOf(n *Node) string { return n.Membership().Self().Addr }
 
-// startNode starts a node that ends with the test; change may adapt its options.
-func startNode(t *testing.T, network *testNetwork, name string, voters []string, change func(*Options)) *Node {
+// startNode starts a node that is closed at the end of the test; modify may change its options, or be nil.
+func startNode(t *testing.T, network *testNetwork, name string, voters []string, modify func(*Options)) *Node {
 	var addr atomic.Value
 	options := Options{
 		Self: membership.Member{Name: name, Region: "r", Zone: "z"}, Voters: voters,
 		ListenAddr: "127.0.0.1:0", ShouldDrop: network.dropsFrom(&addr),
 	}
-	if change != nil {
-		change(&options)
+	if modify != nil {
+		modify(&options)
 	}
 	n, err := Start(t.Context(), options)
 	require.NoError(t, err)
@@ -74,7 +74,7 @@
 	return n
 }
 
-// startCluster starts nodes with these names, all voters, and waits until all see all.
+// startCluster starts nodes with these names, all of them voters, and waits until each sees all others as alive.
 func startCluster(t *testing.T, network *testNetwork, names ...string) (nodes []*Node) {
 	for _, name := range names {
 		nodes = append(nodes, startNode(t, network, name, names, func(o *Options) {
@@ -97,12 +97,13 @@
 	}
 }
 
+// await waits until condition is true and fails the test after awaitTimeout; what describes the condition.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, condition, patience, 20*time.Millisecond, what)
+	require.Eventually(t, condition, awaitTimeout, 20*time.Millisecond, what)
 }
 
-// unknownState is stateOf a member that a node does not know.
+// unknownState is what stateOf returns for a member that a node does not know.
 const unknownState membership.State = -1
 
 func stateOf(n *Node, name string) membership.State {
@@ -114,7 +115,7 @@
 	return unknownState
 }
 
-// logBuffer is a log that a test reads while it is written.
+// logBuffer is an io.Writer for a log that a test reads while nodes write to it.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/cluster/gossip/join.go
+++ b/cluster/gossip/join.go
@@ -10,14 +10,14 @@
 
 const (
 	joinInterval        = time.Second      // between attempts to join absent instances
-	maxConcurrentJoins  = 3                // instances that are joined at once
-	isolatedLogDelay    = 10 * time.Second // without any instance reached, until the log says so
-	isolatedLogInterval = time.Minute      // between such lines
+	maxConcurrentJoins  = 3                // instances joined at the same time
+	isolatedLogDelay    = 10 * time.Second // time without reaching any instance before the first such log line
+	isolatedLogInterval = time.Minute      // between further such lines
 )
 
-// joinState is the event loop's part that joins absent instances.
+// joinState is the event loop's state for joining absent instances.
 type joinState struct {
-	slot             chan struct{} // full while attempts are under way
+	slot             chan struct{} // full while attempts are running
 	attemptedAt      time.Time
 	isolatedLoggedAt time.Time
 	hasReachedAny    bool
@@ -27,7 +27,7 @@
 	return joinState{slot: make(chan struct{}, 1), isolatedLoggedAt: startedAt.Add(isolatedLogDelay - isolatedLogInterval)}
 }
 
-// joinAbsent joins some absent instances in the background, unless the last attempts are still under way.
+// joinAbsent joins some of the absent instances in the background, unless the previous attempts are still running.
 func (l *eventLoop) joinAbsent() {
 	if time.Since(l.joins.attemptedAt) < joinInterval {
 		return
@@ -48,12 +48,12 @@
 	})
 }
 
-// joinAll joins the instances at these addresses and returns once all attempts have ended.
+// joinAll tries to join the instances at all the addresses and returns once all attempts have ended.
 func (l *eventLoop) joinAll(addrs []string) {
 	ended := make(chan struct{}, maxConcurrentJoins)
 	for _, addr := range addrs {
 		l.goroutines.Go(func() {
-			_, _ = l.list.Join([]string{addr}) // it is attempted again while the instance is absent
+			_, _ = l.list.Join([]string{addr}) // attempted again as long as the instance is absent
 			ended <- struct{}{}
 		})
 	}
@@ -73,25 +73,25 @@
 	l.logger.Warn(eventIsolated, advice.LogAttrs(&IsolatedError{Tried: l.options.JoinAddrs})...)
 }
 
-// absentAddrs returns the join addresses, and the last addresses of voters, at which no instance is present.
+// absentAddrs returns the join addresses and the last known addresses of voters at which no instance is present.
 func (n *Node) absentAddrs() (absent []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	isCovered := map[string]bool{n.table.Self().Addr: true}
+	isExcluded := map[string]bool{n.table.Self().Addr: true}
 	for nodeName, node := range n.nodes {
 		if n.detector.IsPresent(nodeName) {
-			isCovered[node.Address()] = true
+			isExcluded[node.Address()] = true
 		}
 	}
 	for _, addr := range n.options.JoinAddrs {
-		if !isCovered[addr] {
-			isCovered[addr] = true
+		if !isExcluded[addr] {
+			isExcluded[addr] = true
 			absent = append(absent, addr)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.lastAddrs)) {
-		if addr := n.lastAddrs[name]; !isCovered[addr] && n.table.IsVoter(name) {
-			isCovered[addr] = true
+		if addr := n.lastAddrs[name]; !isExcluded[addr] && n.table.IsVoter(name) {
+			isExcluded[addr] = true
 			absent = append(absent, addr)
 		}
 	}
--- a/cluster/gossip/key_file.go
+++ b/cluster/gossip/key_file.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	maxKeys         = 4       // keys of a file: the one in use, and those that others still use
-	maxKeyFileBytes = 1 << 12 // ten times what a file needs
+	maxKeys         = 4       // keys in a file: the one that encrypts and those that other instances still use
+	maxKeyFileBytes = 1 << 12 // ten times the size of a full key file
 )
 
-// ReadKeyFile reads a key file: one key a line, in base64, of 16, 24 or 32 bytes. The first key encrypts what is sent; what
-// is received may be encrypted with any. Empty lines and those that begin with # are skipped.
+// ReadKeyFile reads a key file, which has one key per line in base64, of 16, 24 or 32 bytes. The first key encrypts what is
+// sent; what is received may be encrypted with any of the keys. Empty lines and lines that begin with # are skipped.
 func ReadKeyFile(path string) (key []byte, oldKeys [][]byte, err error) {
 	text, err := readKeyFileText(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	if len(text) > maxKeyFileBytes {
-		return nil, fmt.Errorf("over %d bytes", maxKeyFileBytes)
+		return nil, fmt.Errorf("the file is larger than %d bytes", maxKeyFileBytes)
 	}
 	return text, nil
 }
@@ -55,20 +55,20 @@
 		key, err := base64.StdEncoding.DecodeString(line)
 		switch {
 		case err != nil:
-			return nil, &InvalidKeyFileError{path, lineNumber, "is no base64"}
+			return nil, &InvalidKeyFileError{path, lineNumber, "not valid base64"}
 		case len(key) != 16 && len(key) != 24 && len(key) != 32:
 			return nil, &InvalidKeyFileError{path, lineNumber, keyLengthReason(len(key))}
 		case len(keys) == maxKeys:
-			return nil, &InvalidKeyFileError{path, lineNumber, fmt.Sprintf("more than %d keys", maxKeys)}
+			return nil, &InvalidKeyFileError{path, lineNumber, fmt.Sprintf("the file has more than %d keys", maxKeys)}
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, &InvalidKeyFileError{Path: path, Reason: "holds no key"}
+		return nil, &InvalidKeyFileError{Path: path, Reason: "the file has no key"}
 	}
 	return keys, nil
 }
 
 func keyLengthReason(length int) string {
-	return fmt.Sprintf("%d bytes, 16, 24 or 32 are wanted", length)
+	return fmt.Sprintf("the key has %d bytes, expected 16, 24 or 32", length)
 }
--- a/cluster/gossip/key_file_test.go
+++ b/cluster/gossip/key_file_test.go
@@ -11,6 +11,8 @@
 	"chalkring/internal/advice"
 )
 
+// A key file with an invalid line, too many keys or too many bytes must be refused with an error that names the line, and
+// comments and empty lines must be skipped.
 func TestReadKeyFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.key")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
@@ -21,8 +23,8 @@
 	require.Equal(t, make([]byte, 32), key)
 	require.Len(t, oldKeys, 1)
 	for text, want := range map[string]string{
-		"": "holds no key", "A": "line 1: is no base64", first + "\nAAAA\n": "line 2: 3 bytes",
-		strings.Repeat(first+"\n", 5): "line 5: more than 4 keys", strings.Repeat(" ", maxKeyFileBytes+1): "over",
+		"": "the file has no key", "A": "line 1: not valid base64", first + "\nAAAA\n": "line 2: the key has 3 bytes",
+		strings.Repeat(first+"\n", 5): "line 5: the file has more than 4 keys", strings.Repeat(" ", maxKeyFileBytes+1): "larger than",
 	} {
 		write(text)
 		_, _, err := ReadKeyFile(path)
--- a/cluster/gossip/listen.go
+++ b/cluster/gossip/listen.go
@@ -10,10 +10,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxPortAttempts is how often a free port is looked for where any will do: one that is free for TCP may be in use for UDP.
+// maxPortAttempts is how often listen tries a random port: one that is free for TCP may be in use for UDP.
 const maxPortAttempts = 20
 
-// listen opens the transport on an address; with port 0 on any port that is free.
+// listen opens the transport on an address. Port 0 means any free port.
 func (n *Node) listen(addr netip.AddrPort, logger *stdlog.Logger) error {
 	attempts := maxPortAttempts
 	if addr.Port() != 0 {
@@ -41,7 +41,8 @@
 	return &InvalidAddressError{addr.String(), lastErr}
 }
 
-// checkAddressFree reports why an address cannot be listened on. memberlist reports a port in use only in an error's text.
+// checkAddressFree returns an error if an address cannot be listened on. memberlist's own error reports that a port is in use
+// only in its text.
 func checkAddressFree(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -52,6 +53,6 @@
 	if err != nil {
 		return err
 	}
-	_ = packetConn.Close() // it was opened only to see whether it can be
+	_ = packetConn.Close() // opened only to check that the address is free
 	return nil
 }
--- a/cluster/gossip/memberlist_config.go
+++ b/cluster/gossip/memberlist_config.go
@@ -11,20 +11,20 @@
 	"chalkring/cluster/membership"
 )
 
-// memberlist's settings.
+// Settings of memberlist.
 const (
-	probeInterval           = 500 * time.Millisecond // between probes of one node after the other
-	suspicionMultiplier     = 3                      // probe intervals, more above 10 nodes, in which a suspect can refute
-	maxAwarenessMultiplier  = 2                      // factor by which probes are slowed while this instance itself is slow
+	probeInterval           = 500 * time.Millisecond // between probes, each of another node
+	suspicionMultiplier     = 3                      // time for a suspect to refute, in probe intervals; more above 10 nodes
+	maxAwarenessMultiplier  = 2                      // largest factor by which probes slow down while this instance itself is slow
 	gossipInterval          = 200 * time.Millisecond // between packets of broadcasts
-	gossipNodes             = 3                      // nodes that get broadcasts at once
-	pushPullInterval        = 15 * time.Second       // between exchanges of the full state, longer above 32 nodes
-	gossipToTheDeadTime     = 30 * time.Second       // for which a dead node still gets broadcasts: it may be back
-	streamTimeout           = 5 * time.Second        // for an exchange or a message on a connection: 1 MiB at 2 Mbit/s
-	maxSuspicionTimeoutMult = 1                      // the time to refute does not depend on how many confirm the suspicion
+	gossipNodes             = 3                      // nodes to which broadcasts are sent at once
+	pushPullInterval        = 15 * time.Second       // between exchanges of the full state; longer above 32 nodes
+	gossipToTheDeadTime     = 30 * time.Second       // how long broadcasts are still sent to a dead node, which may be back
+	streamTimeout           = 5 * time.Second        // for an exchange or a message on a connection; allows 1 MiB at 2 Mbit/s
+	maxSuspicionTimeoutMult = 1                      // the time to refute does not depend on how many nodes confirm the suspicion
 )
 
-// nodeNameOf returns memberlist's node name of an incarnation. Other instances derive the same one.
+// nodeNameOf returns the node name in memberlist of an incarnation. All instances derive the same one.
 func nodeNameOf(memberName string, incarnation uint64) string {
 	return fmt.Sprintf("%s#%x", memberName, incarnation)
 }
@@ -43,7 +43,7 @@
 	config.GossipInterval, config.GossipNodes = gossipInterval, gossipNodes
 	config.GossipToTheDeadTime = gossipToTheDeadTime
 	config.PushPullInterval, config.TCPTimeout = pushPullInterval, streamTimeout
-	config.EnableCompression = false // it takes 50 ms of a core for a message of 1 MiB
+	config.EnableCompression = false // compressing a message of 1 MiB takes 50 ms of a core
 	config.DNSConfigPath = ""
 	callbacks := (*delegate)(n)
 	config.Delegate, config.Events, config.Alive, config.Merge = callbacks, callbacks, callbacks, callbacks
--- a/cluster/gossip/memberlist_log.go
+++ b/cluster/gossip/memberlist_log.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxLinesPerSecond      = 5                // of memberlist's lines, and of member changes, in the log
-	maxLinesBurst          = 20               // of them at once
-	keyMismatchLogInterval = 10 * time.Second // between lines on a different key: each packet would bring one
+	maxLinesPerSecond      = 5                // rate limit of memberlist's lines and, separately, of member changes in the log
+	maxLinesBurst          = 20               // burst of that rate limit
+	keyMismatchLogInterval = 10 * time.Second // between lines on a key mismatch; else each packet would log one
 )
 
-// memberlistLog is an io.Writer for memberlist's log: it passes warnings and errors on at a limited rate.
+// memberlistLog is an io.Writer for memberlist's log. It logs warnings and errors at a limited rate and drops the rest.
 type memberlistLog struct {
 	logger             *slog.Logger
 	limiter            *rate.Limiter
@@ -33,7 +33,7 @@
 	}
 }
 
-// Write takes one line of memberlist's log.
+// Write handles one line of memberlist's log.
 func (l *memberlistLog) Write(line []byte) (int, error) {
 	level, text, _ := strings.Cut(string(bytes.TrimSpace(line)), "] ")
 	if level != "[WARN" && level != "[ERR" && level != "[ERROR" {
@@ -41,7 +41,7 @@
 	}
 	text = strings.TrimPrefix(text, "memberlist: ")
 	switch {
-	case strings.Contains(text, "ecrypt"): // what was received is encrypted with another key, or not at all
+	case strings.Contains(text, "ecrypt"): // the received data is encrypted with another key or not encrypted
 		if l.keyMismatchLimiter.Allow() {
 			_, from, _ := strings.Cut(text, "from=")
 			l.logger.Warn(eventKeyMismatch, advice.LogAttrs(&KeyMismatchError{From: from})...)
--- a/cluster/gossip/messages.go
+++ b/cluster/gossip/messages.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// MaxBodyBytes is the size of a message's body.
+	// MaxBodyBytes is the largest size of a message's body.
 	MaxBodyBytes = 1 << 20
 
-	endedTopic         = 0               // the package's own messages: updates on ended incarnations
-	maxConcurrentSends = 16              // messages being sent at once
-	maxQueuedMessages  = 16              // messages of a topic that wait for its handler
-	queueTimeout       = 2 * time.Second // for which a received message waits for room in the queue, before it is dropped
+	endedTopic         = 0               // this package's own messages, which are updates on ended incarnations
+	maxConcurrentSends = 16              // messages being sent at the same time
+	maxQueuedMessages  = 16              // messages of one topic that wait for its handler
+	queueTimeout       = 2 * time.Second // how long a received message waits for room in the queue before it is dropped
 )
 
 // message is a received message that waits for its topic's handler.
@@ -23,8 +23,8 @@
 	body   []byte
 }
 
-// Send sends a message to a member that is alive, on a connection of its own. It waits until the bytes are written, so it
-// is for background work only; nil does not mean that the receiver has handled the message.
+// Send sends a message to a member that is alive, on a separate connection. It blocks until the bytes are written, so it is
+// for background work only. A nil error does not mean that the receiver has handled the message.
 func (n *Node) Send(ctx context.Context, to string, topic byte, body []byte) error {
 	if len(body) > MaxBodyBytes {
 		return &MessageTooLargeError{to, len(body)}
@@ -55,7 +55,7 @@
 	select {
 	case err := <-result:
 		if err != nil {
-			return fmt.Errorf("to %s: %w", to, err)
+			return fmt.Errorf("sending a message to %s: %w", to, err)
 		}
 		return nil
 	case <-ctx.Done():
@@ -63,7 +63,7 @@
 	}
 }
 
-// startUnlessClosed runs f in a goroutine that a shutdown waits for, and reports whether it could.
+// startUnlessClosed runs f in a goroutine that the shutdown waits for. It reports false if the node is already closed.
 func (n *Node) startUnlessClosed(f func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,8 +74,8 @@
 	return true
 }
 
-// Handle registers the handler of a topic, which is 1 or above. One goroutine a topic calls it, one message after the
-// other. A topic's first handler stays.
+// Handle registers the handler of a topic, which is 1 or above. One goroutine per topic calls the handler for one message
+// after the other. If the topic already has a handler, the call has no effect.
 func (n *Node) Handle(topic byte, handler func(from string, body []byte)) {
 	queue := make(chan message, maxQueuedMessages)
 	n.mu.Lock()
@@ -96,15 +96,15 @@
 	})
 }
 
-// receive takes a message that memberlist has read. It may block for seconds; memberlist calls it on a goroutine of the
-// connection, or on the one that reads all packets.
+// receive handles a message that memberlist has read. It may block for seconds. memberlist calls it on the connection's
+// goroutine, or on the one that handles all packets.
 func (n *Node) receive(encoded []byte) {
 	header, body, err := decodeMessage(encoded)
 	if err != nil {
 		return
 	}
 	if header.topic == endedTopic {
-		if n.applyEnded(body) { // the sender has an incarnation of this instance as ended and may not know the present one
+		if n.applyEnded(body) { // the sender has an ended incarnation of this instance and may not know the current one
 			n.mustRepublish.Store(true)
 			n.wakeLoop()
 		}
@@ -122,7 +122,7 @@
 	}
 }
 
-// enqueue waits for room in a handler's queue; a message for which there is none in time is dropped.
+// enqueue waits for room in a handler's queue and drops the message if there is none within queueTimeout.
 func (n *Node) enqueue(queue chan<- message, m message) {
 	timeout := time.NewTimer(queueTimeout)
 	defer timeout.Stop()
@@ -133,7 +133,7 @@
 	}
 }
 
-// applyEnded applies encoded updates on ended incarnations and reports whether one is of this instance's name.
+// applyEnded applies encoded updates on ended incarnations and reports whether one of them has this instance's name.
 func (n *Node) applyEnded(encoded []byte) (hasOwnName bool) {
 	ended, err := n.decodeEnded(encoded)
 	if err != nil {
--- a/cluster/gossip/messages_test.go
+++ b/cluster/gossip/messages_test.go
@@ -9,6 +9,8 @@
 	"chalkring/internal/advice"
 )
 
+// A message of the largest size must reach the topic's handler whole, and Send must return an error for a larger message or
+// an unknown receiver.
 func TestSendDeliversToTheTopicsHandler(t *testing.T) {
 	t.Parallel()
 	nodes := startCluster(t, newTestNetwork(), "a", "b")
--- a/cluster/gossip/relay_test.go
+++ b/cluster/gossip/relay_test.go
@@ -12,7 +12,8 @@
 	"chalkring/cluster/membership"
 )
 
-// startRelay forwards packets and connections to an address, as a relay between data centres does, and returns its own.
+// startRelay starts a relay, as between data centres, that forwards packets and connections to an address. It returns the
+// relay's own address.
 func startRelay(t *testing.T, to string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -78,6 +79,8 @@
 	return addrs
 }
 
+// With an address override for each other instance, all traffic goes through relays. Instances that reach each other only so
+// must all see each other as alive and must stay alive.
 func TestAddrOverridesLeadThroughRelays(t *testing.T) {
 	t.Parallel()
 	key, addrs := bytes.Repeat([]byte{7}, 32), freeAddrs(t, 3)
@@ -98,7 +101,7 @@
 		nodes = append(nodes, n)
 	}
 	awaitAllAlive(t, nodes...)
-	for range 20 { // acknowledgements come back through the relays too
+	for range 20 { // acknowledgements have to come back through the relays too
 		time.Sleep(100 * time.Millisecond)
 		alive, _ := nodes[0].Membership().CountAliveVoters(0)
 		require.Equal(t, 3, alive)
--- a/cluster/gossip/shutdown.go
+++ b/cluster/gossip/shutdown.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	leaveTimeout = 500 * time.Millisecond // for each of the two broadcasts on leaving
-	// leaveTimeoutShare is the part of the caller's deadline that each of the broadcasts may take.
-	leaveTimeoutShare = 3
+	leaveTimeout = 500 * time.Millisecond // for each of the two broadcasts of Leave
+	// leaveDeadlineDivisor limits each of the broadcasts to this fraction of the time to the caller's deadline: a third.
+	leaveDeadlineDivisor = 3
 )
 
-// Leave tells the other instances that this one shuts down on purpose, and ends the node. An error says that not all of
-// them may have been told.
+// Leave tells the other instances that this one shuts down on purpose, and ends the node. An error means that some of them
+// may not have been told.
 func (n *Node) Leave(ctx context.Context) error {
 	if n.ctx.Err() != nil {
 		return nil
@@ -23,12 +23,12 @@
 	n.table.Leave(n.Now())
 	timeout := leaveTimeout
 	if deadline, ok := ctx.Deadline(); ok {
-		timeout = max(time.Millisecond, min(timeout, time.Until(deadline)/leaveTimeoutShare))
+		timeout = max(time.Millisecond, min(timeout, time.Until(deadline)/leaveDeadlineDivisor))
 	}
 	err := n.list.UpdateNode(timeout)
 	self := n.table.Self()
 	update := encodeMessage(endedTopic, self, encodeEnded([]membership.Member{self}))
-	// Directly too: memberlist's own report of leaving, which does not say that it was on purpose, may arrive first.
+	// Also sent directly: memberlist's own report of leaving, which does not say that it is on purpose, may arrive first.
 	for _, node := range n.list.Members() {
 		if node.Name != n.list.LocalNode().Name {
 			err = errors.Join(err, n.list.SendBestEffort(node, update))
@@ -39,7 +39,7 @@
 	return err
 }
 
-// Close ends the node without telling the other instances, as a kill would, and waits for its goroutines.
+// Close ends the node without telling the other instances, as if the process were killed, and waits for its goroutines.
 func (n *Node) Close() {
 	n.cancel()
 	<-n.done
@@ -51,7 +51,7 @@
 		n.mu.Lock()
 		n.closed = true
 		n.mu.Unlock()
-		_ = n.list.Shutdown() // it closes sockets that nothing uses any more
+		_ = n.list.Shutdown() // an error is of no use: it only closes sockets that are no longer used
 		n.goroutines.Wait()
 		close(n.done)
 	})
--- a/cluster/gossip/status_log.go
+++ b/cluster/gossip/status_log.go
@@ -11,7 +11,7 @@
 	"chalkring/internal/advice"
 )
 
-// Events of the log lines; docs/oncall.md, section Cluster, lists them.
+// Events of the log lines, which docs/oncall.md lists in its section Cluster.
 const (
 	eventMember               = "cluster_member"
 	eventMajority             = "cluster_majority"
@@ -27,7 +27,7 @@
 type statusLog struct {
 	logger        *slog.Logger
 	memberLimiter *rate.Limiter
-	members       map[string]membership.Member // as logged last, by name
+	members       map[string]membership.Member // by name, as of the last call
 	conflicts     []string
 	hasMajority   bool
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// logChanges logs what has changed in a table since the last call.
+// logChanges logs the changes of a table since the last call.
 func (s *statusLog) logChanges(table *membership.Table, now int64) {
 	s.logMembers(table.Members())
 	s.logConflicts(table.NameConflicts())
--- a/cluster/gossip/transport.go
+++ b/cluster/gossip/transport.go
@@ -9,21 +9,21 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// dialTimeout is the time for a connection to come up: longer than any way round the earth takes.
+// dialTimeout is the time to establish a connection. It is longer than any round trip on earth.
 const dialTimeout = time.Second
 
-var errDropped = errors.New("dropped on purpose")
+var errDropped = errors.New("dropped by Options.ShouldDrop")
 
-// transport is memberlist's transport on one TCP and UDP port with destinations replaced by Options.AddrOverrides, also
-// for acknowledgements, which go to the address that a ping names. It counts the bytes sent.
+// transport is memberlist's transport on one TCP and UDP port. It replaces destinations by Options.AddrOverrides, also for
+// acknowledgements, which go to the address given in a ping, and counts the bytes sent.
 type transport struct {
 	*memberlist.NetTransport
 	addrOverrides map[string]string
-	shouldDrop    func(addr string) bool // nil, or a test's
+	shouldDrop    func(addr string) bool // set by tests only, else nil
 	bytesSent     atomic.Int64
 }
 
-// destination returns where to send what is for an address; false if it is to be dropped.
+// destination returns the address to use in place of an address; false if what is sent to it has to be dropped.
 func (t *transport) destination(addr string) (string, bool) {
 	if t.shouldDrop != nil && t.shouldDrop(addr) {
 		return "", false
@@ -55,8 +55,8 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// DialAddressTimeout opens a connection that ends after streamTimeout: memberlist writes messages without a deadline, and
-// the receiver may accept a connection and read nothing.
+// DialAddressTimeout opens a connection with a deadline of streamTimeout. memberlist writes messages without a deadline, so
+// a receiver that accepts a connection and reads nothing would block it.
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	destination, ok := t.destination(addr.Addr)
 	if !ok {
--- a/cluster/gossip/wire.go
+++ b/cluster/gossip/wire.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	maxMetadataBytes = 512     // bytes of a member's metadata: memberlist's limit
-	maxUpdatesBytes  = 2 << 20 // bytes of a list of updates: two ended incarnations of 1000 names take a fifth of it
+	maxMetadataBytes = 512     // of a member's metadata; memberlist's limit
+	maxUpdatesBytes  = 2 << 20 // of a list of updates; two ended incarnations of each of 1000 names take a fifth of it
 	maxUpdates       = 2 * membership.MaxMembers
-	maxMapPairs      = 64  // in what others send; the forms here have ten
-	maxNesting       = 8   // likewise; the forms here have three levels
-	maxHeaderBytes   = 256 // bytes of a message's header: topic, name, incarnation
+	maxMapPairs      = 64  // in received CBOR; the types here have ten
+	maxNesting       = 8   // in received CBOR; the types here have three levels
+	maxHeaderBytes   = 256 // of a message's header: topic, name, incarnation
 )
 
-// errMalformed is the cause for dropping what another instance sent.
-var errMalformed = errors.New("malformed message")
+// errMalformed is the error for received data that is dropped.
+var errMalformed = errors.New("malformed gossip data: invalid or above a size limit")
 
-// wireMember is the wire form of membership.Member. The address is not part of it: memberlist has it.
+// wireMember is the wire form of membership.Member, without the address, which memberlist sends.
 type wireMember struct {
 	Name               string           `cbor:"1,keyasint"`
 	Incarnation        uint64           `cbor:"2,keyasint"`
@@ -33,11 +33,11 @@
 	SettingsGeneration uint64           `cbor:"8,keyasint,omitempty"`
 	Capabilities       []string         `cbor:"9,keyasint,omitempty"`
 
-	Identity membership.Identity `cbor:"10,keyasint,omitzero"` // of the cluster; older programs do not send it
+	Identity membership.Identity `cbor:"10,keyasint,omitzero"` // of the cluster; older versions do not send it
 }
 
-// newDecMode returns a decoder that bounds what others send. It is made at a start, not when the program begins, since it
-// takes time that programs without a cluster need not spend.
+// newDecMode returns a decoding mode that limits the size of received data. It is called when a node starts, not when the
+// program starts, because it takes time that programs without a cluster do not need to spend.
 func newDecMode() cbor.DecMode {
 	options := cbor.DecOptions{MaxArrayElements: maxUpdates, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNesting}
 	mode, err := options.DecMode()
@@ -47,11 +47,11 @@
 	return mode
 }
 
-// encodeMember returns this instance's metadata.
+// encodeMember encodes this instance's member entry as its metadata in memberlist.
 func (n *Node) encodeMember(m membership.Member) ([]byte, error) {
 	state := m.State
 	if state == membership.Suspect {
-		state = membership.Alive // suspicion is an observer's
+		state = membership.Alive // a suspicion is local to the observer
 	}
 	encoded, err := cbor.Marshal(wireMember{
 		m.Name, m.Incarnation, m.MetaVersion, state, m.Region, m.Zone, m.ProgramVersion, m.SettingsGeneration, m.Capabilities,
@@ -85,7 +85,7 @@
 	return m, nil
 }
 
-// encodeEnded returns updates on ended incarnations, without metadata.
+// encodeEnded encodes updates on ended incarnations, without metadata.
 func encodeEnded(ended []membership.Member) []byte {
 	updates := []wireMember{}
 	for _, m := range ended {
@@ -93,12 +93,12 @@
 	}
 	encoded, err := cbor.Marshal(updates)
 	if err != nil {
-		panic(err) // names and numbers can always be encoded
+		panic(err) // cannot happen: names and numbers can always be encoded
 	}
 	return encoded
 }
 
-// decodeEnded accepts updates on ended incarnations only.
+// decodeEnded decodes updates. It returns an error if one of them is not on an ended incarnation.
 func (n *Node) decodeEnded(encoded []byte) (ended []membership.Member, err error) {
 	var updates []wireMember
 	if len(encoded) > maxUpdatesBytes {
@@ -117,14 +117,14 @@
 	return ended, nil
 }
 
-// messageHeader is what precedes a message's body.
+// messageHeader is the part of a message before its body.
 type messageHeader struct {
 	topic       byte
 	sender      string
 	incarnation uint64 // the sender's
 }
 
-// encodeMessage returns a message: topic, length of the sender's name, name, incarnation (big-endian), body.
+// encodeMessage encodes a message: topic, length of the sender's name, the name, incarnation (big-endian), body.
 func encodeMessage(topic byte, sender membership.Member, body []byte) []byte {
 	encoded := make([]byte, 0, maxHeaderBytes+len(body))
 	encoded = append(encoded, topic, byte(len(sender.Name)))
--- a/cluster/gossip/wire_golden_test.go
+++ b/cluster/gossip/wire_golden_test.go
@@ -10,7 +10,7 @@
 	"chalkring/cluster/membership"
 )
 
-// goldenMessage is a decoded message.
+// goldenMessage is a decoded message of a golden form.
 type goldenMessage struct {
 	header messageHeader
 	body   []byte
@@ -21,7 +21,8 @@
 	return goldenMessage{header, body}, err
 }
 
-// Member metadata, lists of ended incarnations and messages as members of different versions send them to each other.
+// The encoding of member metadata, lists of ended incarnations and messages must not change: instances of different versions
+// send them to each other.
 func TestGoldenGossipMessages(t *testing.T) {
 	identity := membership.Identity{Cluster: "live", Tenants: []uint32{0x01020304, 0xfffefdfc}}
 	node := func(identity membership.Identity) *Node {
@@ -31,7 +32,7 @@
 		Name: "gateway-1", Incarnation: 1_790_000_000_000_000_001, MetaVersion: 7, SuspicionVersion: 9, Region: "eu-west", Zone: "eu-west-1a",
 		ProgramVersion: "v1.2.3", SettingsGeneration: 42, Capabilities: []string{"ledger", "rollout"}, Addr: "192.0.2.1:7946", StateSince: 5,
 	}
-	decoded := full // neither SuspicionVersion nor StateSince is sent, and the address is memberlist's
+	decoded := full // SuspicionVersion and StateSince are not sent, and the address comes from memberlist
 	decoded.SuspicionVersion, decoded.StateSince, decoded.Addr = 0, 0, "192.0.2.9:7946"
 	member := func(name string, identity membership.Identity, state, wantState membership.State) golden.Form {
 		sent, want := full, decoded
@@ -83,7 +84,8 @@
 	})
 }
 
-// The topic of the package's own messages, and limits that the receiver checks.
+// The topic of the package's own messages and the limits that receivers check must not change: receivers of other versions
+// would drop what this version sends.
 func TestGoldenGossipConstants(t *testing.T) {
 	require.Equal(t, 0, endedTopic)
 	require.Equal(t, []int{512, 2 << 20, 2000, 256, 1 << 20}, []int{maxMetadataBytes, maxUpdatesBytes, maxUpdates, maxHeaderBytes, MaxBodyBytes})
--- a/cluster/membership/swimsim/protocol.go
+++ b/cluster/membership/swimsim/protocol.go
@@ -14,7 +14,7 @@
 	indirectProbes      = 3 // nodes asked to probe a node that did not answer
 	suspicionMultiplier = 3 // times log10 of the cluster's size times probeInterval is the time to refute a suspicion
 	gossipInterval      = 200 * ticksPerMillisecond
-	gossipNodes         = 3 // nodes that broadcasts are sent to at once
+	gossipNodes         = 3 // nodes to which broadcasts are sent at once
 	gossipToTheDeadTime = 30 * Second
 	pushPullInterval    = 15 * Second
 	// pushPullSlowdownLog2 is log2 of the cluster size above which push/pull exchanges become less frequent, 32 instances.
