--- a/cluster/membership/majority_test.go
+++ b/cluster/membership/majority_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Only alive voters count towards a majority: not other members, not suspects, and no voter for an instance that has left.
-// A delayed suspicion must not override its refutation.
+// Only alive voters count towards a majority: neither other members nor suspects. An instance that has left must not report a
+// majority. A delayed suspicion must not override its refutation.
 func TestMajorityNeedsMoreThanHalfOfTheVoters(t *testing.T) {
 	table := newTestTable("b")
 	alive, total := table.CountAliveVoters(1)
