--- a/cluster/membership/swimsim/cluster.go
+++ b/cluster/membership/swimsim/cluster.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Start starts a new incarnation of an instance, in place of the previous one.
+// Start starts a new incarnation of an instance, which must not be running.
 func (c *Cluster) Start(index int) {
 	c.lastIncarnation += incarnationStep
 	self := membership.Member{Name: InstanceName(index), Incarnation: uint64(c.lastIncarnation), Addr: fmt.Sprint("addr-", index)}
