--- a/cluster/gossip/delegate.go
+++ b/cluster/gossip/delegate.go
@@ -42,12 +42,11 @@
 // NotifyLeave reports that a node is dead or has left.
 func (d *delegate) NotifyLeave(node *memberlist.Node) { d.recordEvent(node, false) }
 
-// NotifyAlive returns an error, which makes memberlist ignore a node that is reported alive, if the node belongs to another
-// cluster.
+// NotifyAlive returns an error if a node that is reported alive belongs to another cluster. memberlist then ignores the node.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error { return d.node().rejectForeign(node) }
 
-// NotifyMerge returns an error, which makes memberlist reject the state of an instance that joins or is joined, if all nodes
-// of the state belong to other clusters.
+// NotifyMerge returns an error if all nodes in the state of an instance that joins or is joined belong to other clusters.
+// memberlist then rejects the state.
 func (d *delegate) NotifyMerge(nodes []*memberlist.Node) error {
 	return d.node().rejectForeignState(nodes)
 }
--- a/cluster/gossip/errors.go
+++ b/cluster/gossip/errors.go
@@ -7,7 +7,7 @@
 
 // The error texts begin with "fleet", the section of the installation file that configures this package.
 
-// AddressInUseError reports that another process listens on the address at which the node should start.
+// AddressInUseError reports that another process uses the listen address, by TCP or UDP.
 type AddressInUseError struct {
 	Addr string
 	Err  error
@@ -138,7 +138,9 @@
 // PeerUnavailableError reports a message that was not sent: the receiver is not alive, or this instance is shutting down.
 type PeerUnavailableError struct{ To string }
 
-func (e *PeerUnavailableError) Error() string { return "fleet: " + e.To + " is not available" }
+func (e *PeerUnavailableError) Error() string {
+	return "fleet: message not sent: " + e.To + " is not alive, or this instance is shutting down"
+}
 
 // Advice tells an operator what to do.
 func (e *PeerUnavailableError) Advice() string {
--- a/cluster/gossip/event_loop.go
+++ b/cluster/gossip/event_loop.go
@@ -11,7 +11,7 @@
 
 const (
 	stepInterval    = 100 * time.Millisecond // longest time between iterations
-	publishInterval = time.Second            // between repeated broadcasts while another instance has an ended incarnation of this one
+	publishInterval = time.Second            // between repeated broadcasts while another instance may know only an ended incarnation of this one
 	rejectInterval  = 500 * time.Millisecond // between updates to nodes whose incarnation has ended in the table
 	maxPingResults  = 64                     // results queued for the event loop
 )
@@ -136,9 +136,9 @@
 	}
 }
 
-// publishSelf broadcasts this instance's metadata if it has changed, or if another instance still has an ended incarnation of
-// it, because an earlier broadcast may have been lost. The first iteration always broadcasts, because UpdateSelf may have
-// been called before it.
+// publishSelf broadcasts this instance's metadata if it has changed. It also repeats the broadcast if another instance may
+// know only an ended incarnation of this one, because an earlier broadcast may have been lost. The first iteration always
+// broadcasts, because UpdateSelf may have been called before it.
 func (l *eventLoop) publishSelf() {
 	self := l.table.Self()
 	hasChanged := !self.EqualMetadata(l.published) || self.Incarnation != l.published.Incarnation
--- a/cluster/gossip/foreign.go
+++ b/cluster/gossip/foreign.go
@@ -31,15 +31,15 @@
 // is accepted without them, because memberlist also calls rejectForeign for each node.
 func (n *Node) rejectForeignState(nodes []*memberlist.Node) error {
 	var lastErr error
-	hasOwn := len(nodes) == 0
+	isStateAccepted := len(nodes) == 0
 	for _, node := range nodes {
 		if err := n.rejectForeign(node); err != nil {
 			lastErr = err
 		} else {
-			hasOwn = true
+			isStateAccepted = true
 		}
 	}
-	if hasOwn {
+	if isStateAccepted {
 		return nil
 	}
 	return lastErr
@@ -48,7 +48,7 @@
 func (n *Node) checkIdentity(node *memberlist.Node) error {
 	var decoded wireMember
 	if len(node.Meta) > maxMetadataBytes || n.decMode.Unmarshal(node.Meta, &decoded) != nil {
-		return nil // the event loop ignores the node
+		return nil // metadata that cannot be decoded: the event loop ignores the node
 	}
 	if !decoded.Identity.IsValid() || !n.options.Identity.ConflictsWith(decoded.Identity) {
 		return nil
--- a/cluster/gossip/foreign_test.go
+++ b/cluster/gossip/foreign_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// Instances without an identity, as of older versions, and with an added tenant must not be rejected as foreign, else a
+// An instance that has no identity, as in older versions, or has an added tenant must not be rejected as foreign, else a
 // cluster would split during an upgrade.
 func TestInstancesWithoutIdentityBelongToTheCluster(t *testing.T) {
 	t.Parallel()
--- a/cluster/gossip/gossip.go
+++ b/cluster/gossip/gossip.go
@@ -64,7 +64,7 @@
 	goroutines        sync.WaitGroup
 	sendSlots         chan struct{}
 	foreignLogLimiter *rate.Limiter
-	mustRepublish     atomic.Bool // another instance still has an ended incarnation of this one
+	mustRepublish     atomic.Bool // another instance may know only an ended incarnation of this one
 	rng               *rand.Rand  // used by the event loop only
 	events            eventBuffer
 	wake              chan struct{} // makes the event loop iterate at once
@@ -79,8 +79,8 @@
 	done      chan struct{} // closed once all goroutines have ended
 }
 
-// Start listens and begins to join the other instances in the background. The node ends by Leave or Close, or, without
-// telling the others, when ctx ends.
+// Start listens and begins to join the other instances in the background. The node runs until Leave or Close is called or ctx
+// ends. Only Leave tells the others.
 func Start(ctx context.Context, options Options) (*Node, error) {
 	listenAddr, err := checkOptions(options)
 	if err != nil {
--- a/cluster/gossip/helpers_test.go
+++ b/cluster/gossip/helpers_test.go
@@ -21,7 +21,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	leak := goleak.Find()
-	for deadline := time.Now().Add(awaitTimeout); leak != nil && time.Now().Before(deadline); { // memberlist's last probe is still ending
+	for deadline := time.Now().Add(awaitTimeout); leak != nil && time.Now().Before(deadline); { // memberlist's last probe may still be ending
 		leak = goleak.Find()
 	}
 	if code == 0 && leak != nil {
--- a/cluster/gossip/join.go
+++ b/cluster/gossip/join.go
@@ -11,8 +11,8 @@
 const (
 	joinInterval        = time.Second      // between attempts to join absent instances
 	maxConcurrentJoins  = 3                // instances joined at the same time
-	isolatedLogDelay    = 10 * time.Second // time without reaching any instance before the first such log line
-	isolatedLogInterval = time.Minute      // between further such lines
+	isolatedLogDelay    = 10 * time.Second // from the start to the first log line that no other instance has been reached
+	isolatedLogInterval = time.Minute      // between further lines that say so
 )
 
 // joinState is the event loop's state for joining absent instances.
@@ -24,6 +24,7 @@
 }
 
 func newJoinState(startedAt time.Time) joinState {
+	// isolatedLoggedAt is set so that the first log line is due isolatedLogDelay after the start.
 	return joinState{slot: make(chan struct{}, 1), isolatedLoggedAt: startedAt.Add(isolatedLogDelay - isolatedLogInterval)}
 }
 
--- a/cluster/gossip/listen.go
+++ b/cluster/gossip/listen.go
@@ -41,8 +41,8 @@
 	return &InvalidAddressError{addr.String(), lastErr}
 }
 
-// checkAddressFree returns an error if an address cannot be listened on. memberlist's own error reports that a port is in use
-// only in its text.
+// checkAddressFree returns an error if an address cannot be listened on. It is needed because memberlist's own error has no
+// type for a port in use; only its text says so.
 func checkAddressFree(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/cluster/gossip/memberlist_log.go
+++ b/cluster/gossip/memberlist_log.go
@@ -41,7 +41,7 @@
 	}
 	text = strings.TrimPrefix(text, "memberlist: ")
 	switch {
-	case strings.Contains(text, "ecrypt"): // the received data is encrypted with another key or not encrypted
+	case strings.Contains(text, "ecrypt"): // "Decrypt" or "decrypt": the received data is encrypted with another key or not encrypted
 		if l.keyMismatchLimiter.Allow() {
 			_, from, _ := strings.Cut(text, "from=")
 			l.logger.Warn(eventKeyMismatch, advice.LogAttrs(&KeyMismatchError{From: from})...)
--- a/cluster/gossip/relay_test.go
+++ b/cluster/gossip/relay_test.go
@@ -79,8 +79,8 @@
 	return addrs
 }
 
-// With an address override for each other instance, all traffic goes through relays. Instances that reach each other only so
-// must all see each other as alive and must stay alive.
+// Instances that reach each other only through relays, by address overrides, must all see each other as alive and must stay
+// alive.
 func TestAddrOverridesLeadThroughRelays(t *testing.T) {
 	t.Parallel()
 	key, addrs := bytes.Repeat([]byte{7}, 32), freeAddrs(t, 3)
--- a/cluster/gossip/shutdown.go
+++ b/cluster/gossip/shutdown.go
@@ -10,7 +10,7 @@
 
 const (
 	leaveTimeout = 500 * time.Millisecond // for each of the two broadcasts of Leave
-	// leaveDeadlineDivisor limits each of the broadcasts to this fraction of the time to the caller's deadline: a third.
+	// leaveDeadlineDivisor limits each of the broadcasts to a third of the time until the caller's deadline.
 	leaveDeadlineDivisor = 3
 )
 
@@ -51,7 +51,7 @@
 		n.mu.Lock()
 		n.closed = true
 		n.mu.Unlock()
-		_ = n.list.Shutdown() // an error is of no use: it only closes sockets that are no longer used
+		_ = n.list.Shutdown() // an error does not matter: Shutdown only closes sockets that are no longer used
 		n.goroutines.Wait()
 		close(n.done)
 	})
--- a/cluster/gossip/transport.go
+++ b/cluster/gossip/transport.go
@@ -14,8 +14,8 @@
 
 var errDropped = errors.New("dropped by Options.ShouldDrop")
 
-// transport is memberlist's transport on one TCP and UDP port. It replaces destinations by Options.AddrOverrides, also for
-// acknowledgements, which go to the address given in a ping, and counts the bytes sent.
+// transport is memberlist's transport on one TCP and UDP port. It counts the bytes sent and replaces destinations as
+// Options.AddrOverrides says. That includes acknowledgements, because they go to the address that the ping contains.
 type transport struct {
 	*memberlist.NetTransport
 	addrOverrides map[string]string
@@ -23,7 +23,7 @@
 	bytesSent     atomic.Int64
 }
 
-// destination returns the address to use in place of an address; false if what is sent to it has to be dropped.
+// destination returns the address to use in place of addr, and false if packets and connections to addr are dropped.
 func (t *transport) destination(addr string) (string, bool) {
 	if t.shouldDrop != nil && t.shouldDrop(addr) {
 		return "", false
--- a/cluster/membership/errors.go
+++ b/cluster/membership/errors.go
@@ -11,7 +11,7 @@
 
 // Advice tells an operator what to do.
 func (e *ForeignStoreError) Advice() string {
-	return "Set `fleet.store` to a file of this cluster's own and restart. If the file is this cluster's, and its tenants or `fleet.cluster` were renamed, " +
+	return "Set `fleet.store` to a file of this cluster's own and restart. If this cluster wrote the file before its tenants or `fleet.cluster` were renamed, " +
 		"move the file away: the other instances have copies of the shared data."
 }
 
--- a/cluster/membership/failure_detector.go
+++ b/cluster/membership/failure_detector.go
@@ -10,13 +10,14 @@
 // Times are in ticks of the caller's clock, which are tenths of a millisecond.
 const (
 	ticksPerMillisecond = 10
-	// PingInterval is the time between the pings of a probe round, each to another voter, and the initial time between
-	// pings of a suspect.
+	// PingInterval is the time between two pings of a probe round, which pings one voter after the other. It is also the
+	// initial time between pings of a suspect.
 	PingInterval = 500 * ticksPerMillisecond
 	// PingTimeout is how long an answer may take. It allows for the longest round trip on earth and a busy machine.
 	PingTimeout = 300 * ticksPerMillisecond
-	// sweepReuseTime is how long before the request of a sweep a ping may have been sent for its result to count for that
-	// sweep. It is shorter than the time that the gossip library takes to declare a node dead after a partition.
+	// sweepReuseTime limits which earlier pings a sweep reuses: a ping's result counts for the sweep if the ping was sent at
+	// most this long before the sweep was requested. It is shorter than the time that the gossip library takes to declare a
+	// node dead after a partition.
 	sweepReuseTime = 1500 * ticksPerMillisecond
 	// maxPingBackoffDoublings limits the time between pings of a node that stays suspect to 4 s.
 	maxPingBackoffDoublings = 3
@@ -31,8 +32,8 @@
 // own failure detector probes one node after the other, so an instance that is cut off from 300 others would count them as
 // alive for minutes. FailureDetector pings all voters at once, in a sweep, as soon as the first voter fails to answer, and
 // repeats the sweep while it finds new suspects. Voters that do not answer become suspect. A node that the library declares
-// dead becomes suspect too. It is declared dead only once a sweep requested after that has ended, if it has not answered and
-// a majority is alive: a minority declares no node dead. Nodes that are not voters are never pinged here.
+// dead becomes suspect too. FailureDetector itself declares it dead once a later sweep has ended without its answer, and only
+// while a majority is alive: a minority declares no node dead. Nodes that are not voters are never pinged here.
 //
 // A node is one incarnation of a member, under the name that the gossip library has for it. The methods are not safe for
 // concurrent use.
@@ -58,7 +59,7 @@
 	failedPings      int   // unanswered pings in a row
 	pingSentAt       int64 // when the ping in flight was sent, 0 if none is
 	retryPingAt      int64 // when to ping it outside the round, 0 for never
-	sweptAt          int64 // when the last ping with a result that counts for a sweep was sent
+	sweptAt          int64 // when the last ping was sent that was answered or left the node suspect; only such a ping counts for a sweep
 }
 
 // NewFailureDetector returns a failure detector that applies its results to a table.
@@ -75,7 +76,7 @@
 		}
 		node = &trackedNode{isVoter: d.table.IsVoter(m.Name)}
 		d.nodes[nodeName] = node
-	} else if node.member.Incarnation != m.Incarnation { // by its new incarnation the node reports that the old one has ended
+	} else if node.member.Incarnation != m.Incarnation { // the node has taken a new incarnation, so the old one has ended
 		d.table.ApplyUpdate(now, Member{Name: node.member.Name, Incarnation: node.member.Incarnation, State: Dead})
 	}
 	node.member = m
@@ -159,7 +160,7 @@
 		node.suspicionVersion++
 		d.updateTable(now, node)
 	}
-	if node.missingSince > d.sweepRequestedAt {
+	if node.missingSince > d.sweepRequestedAt { // it answered after the last sweep was requested; only a later sweep can declare it dead
 		d.requestSweep(now)
 	}
 }
@@ -184,7 +185,7 @@
 	d.declareDead(now)
 }
 
-// declareDead declares the missing nodes dead that have not answered the last sweep. It does so only with a majority:
+// declareDead declares dead the missing nodes that have not answered the last sweep. It does so only with a majority:
 // otherwise an instance in a minority would report all others as dead when the partition heals.
 func (d *FailureDetector) declareDead(now int64) {
 	if d.missingNodes == 0 || d.isSweeping() || !d.table.HasMajority(now) {
--- a/cluster/membership/failure_detector_test.go
+++ b/cluster/membership/failure_detector_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	testStep    = 100 * ticksPerMillisecond
-	testSeconds = 1000 * ticksPerMillisecond
+	testStep   = 100 * ticksPerMillisecond
+	testSecond = 1000 * ticksPerMillisecond
 )
 
 // detectorTest drives the failure detector of member a. The members in silent do not answer pings.
@@ -49,10 +49,10 @@
 	return state
 }
 
-// Each voter must be pinged once a probe round, and members that are not voters never.
+// Each voter must be pinged once per probe round, and members that are not voters must never be pinged.
 func TestDetectorPingsEachVoterInTurn(t *testing.T) {
 	d := newDetectorTest("b", "c", "x")
-	d.run(4 * testSeconds)
+	d.run(4 * testSecond)
 	require.InDelta(t, 4, d.pings[nodeName("b")], 1)
 	require.InDelta(t, 4, d.pings[nodeName("c")], 1)
 	require.Zero(t, d.pings[nodeName("x")], "x is not a voter")
@@ -63,16 +63,16 @@
 func TestSilentVoterIsSuspectUntilItAnswers(t *testing.T) {
 	d := newDetectorTest("b", "c", "d", "e")
 	d.silent["b"] = true
-	d.run(5 * testSeconds)
+	d.run(5 * testSecond)
 	require.Equal(t, Suspect, d.state("b"))
 	require.Equal(t, Alive, d.state("c"))
 	d.silent["b"] = false
-	d.run(5 * testSeconds)
+	d.run(5 * testSecond)
 	require.Equal(t, Alive, d.state("b"))
 }
 
-// An instance in a minority must not declare the nodes dead that it cannot reach: when the partition heals, the others would
-// be reported as dead.
+// An instance in a minority must not declare dead the nodes that it cannot reach: it would report them as dead to all others
+// when the partition heals.
 func TestOnlyAMajorityDeclaresMissingSilentNodesDead(t *testing.T) {
 	for _, test := range []struct {
 		silent []string
@@ -87,11 +87,11 @@
 			for _, name := range test.silent {
 				d.silent[name] = true
 			}
-			d.run(5 * testSeconds)
+			d.run(5 * testSecond)
 			for _, name := range test.silent {
 				d.detector.RecordNodeMissing(d.now, nodeName(name))
 			}
-			d.run(10 * testSeconds)
+			d.run(10 * testSecond)
 			for _, name := range test.silent {
 				require.Equal(t, test.want, d.state(name))
 			}
@@ -103,11 +103,11 @@
 // library reports it alive.
 func TestMissingNodeThatAnswersStaysSuspect(t *testing.T) {
 	d := newDetectorTest("b", "c", "d", "e")
-	d.run(testSeconds)
+	d.run(testSecond)
 	d.detector.RecordNodeMissing(d.now, nodeName("b"))
 	require.False(t, d.detector.IsPresent(nodeName("b")))
 	require.Empty(t, d.detector.NodeName("b"))
-	d.run(10 * testSeconds)
+	d.run(10 * testSecond)
 	require.Equal(t, Suspect, d.state("b"))
 	d.detector.RecordNodeAlive(d.now, nodeName("b"), member("b", 10, Alive))
 	require.Equal(t, Alive, d.state("b"))
@@ -118,16 +118,16 @@
 // sweep has ended.
 func TestNoOtherVoterCountsAfterAPauseUntilASweepHasEnded(t *testing.T) {
 	d := newDetectorTest("b", "c", "d", "e")
-	d.run(testSeconds)
+	d.run(testSecond)
 	require.True(t, d.table.HasMajority(d.now))
 	for _, name := range []string{"b", "c", "d", "e"} {
 		d.silent[name] = true
 	}
-	d.now += 10 * testSeconds
+	d.now += 10 * testSecond
 	d.detector.Tick(d.now)
 	require.False(t, d.table.HasMajority(d.now))
 	clear(d.silent)
-	d.run(testSeconds)
+	d.run(testSecond)
 	require.True(t, d.table.HasMajority(d.now))
 }
 
--- a/cluster/membership/identity.go
+++ b/cluster/membership/identity.go
@@ -38,7 +38,7 @@
 // IsSpecified reports whether the identity has a cluster name or tenants.
 func (id Identity) IsSpecified() bool { return id.Cluster != "" || len(id.Tenants) > 0 }
 
-// IsValid reports whether the identity is within the limits that NewIdentity keeps.
+// IsValid reports whether the length of the cluster's name and the number of tenants are within their limits.
 func (id Identity) IsValid() bool {
 	return len(id.Cluster) <= MaxClusterNameBytes && len(id.Tenants) <= maxTenantHashes
 }
--- a/cluster/membership/majority.go
+++ b/cluster/membership/majority.go
@@ -70,7 +70,7 @@
 // hasNameConflict reports whether two running instances claim a name: two of its incarnations that have not ended have
 // different addresses, or one incarnation has two addresses. Incarnations with the same address are no conflict: two
 // processes cannot listen on one address, so only the latest of them runs. For its own name, this instance counts as running
-// until it has left.
+// until it has left, and a later one that has not ended is a conflict even at the same address.
 func (t *Table) hasNameConflict(name string) bool {
 	isRunningSelf := name == t.self.Name && !t.hasLeft
 	addr, hasAddr := "", false
--- a/cluster/membership/member.go
+++ b/cluster/membership/member.go
@@ -40,7 +40,7 @@
 type Member struct {
 	Name               string
 	Incarnation        uint64 // never 0; a restarted instance takes a larger one
-	MetaVersion        uint64 // version of the metadata within the incarnation; one version never has two contents
+	MetaVersion        uint64 // version of the metadata within the incarnation; updates with the same version have the same metadata
 	SuspicionVersion   uint64 // counts an observer's changes between alive and suspect within one MetaVersion
 	Region             string
 	Zone               string
--- a/cluster/membership/probe_schedule.go
+++ b/cluster/membership/probe_schedule.go
@@ -54,7 +54,8 @@
 	})
 }
 
-// requestSweep requests a ping of all voters, except those with a ping result from within sweepReuseTime before now.
+// requestSweep requests a ping of all voters. A ping sent within sweepReuseTime before now is not repeated if its result
+// counts for the sweep.
 func (d *FailureDetector) requestSweep(now int64) { d.sweepRequestedAt = max(1, now) }
 
 // needsSweep reports whether the last requested sweep still lacks a node's ping result.
--- a/cluster/membership/record.go
+++ b/cluster/membership/record.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// record is what a table knows of one incarnation. Each field keeps the maximum of the values received, by an order of its
-// own, so that the result does not depend on the order in which updates arrive.
+// record is what a table knows of one incarnation. Of the metadata, the suspicion and the end it keeps the largest value
+// received, in an order defined for each of them, so that the result does not depend on the order in which updates arrive.
 type record struct {
-	incarnation      uint64
-	meta             Member // the update with the highest MetaVersion
-	hasMeta          bool   // false while only the end of the incarnation is known
-	metaVersion      uint64 // of the update that set suspicion
-	suspicionVersion uint64 // of the same update
-	suspicion        State  // Alive or Suspect, from the update with the highest (metaVersion, suspicionVersion)
-	end              State  // Dead or Left once the incarnation has ended, else Alive; Left wins because the member itself reported it
-	addrConflict     bool   // its updates have different addresses: two processes use one incarnation
-	stateSince       int64
+	incarnation          uint64
+	meta                 Member // the update with the highest MetaVersion
+	hasMeta              bool   // false while only the end of the incarnation is known
+	suspicionMetaVersion uint64 // MetaVersion of the update that set suspicion
+	suspicionVersion     uint64 // SuspicionVersion of the same update
+	suspicion            State  // Alive or Suspect, from the update with the highest (MetaVersion, SuspicionVersion)
+	end                  State  // Dead or Left once the incarnation has ended, else Alive; Left wins because the member itself reported it
+	addrConflict         bool   // its updates have different addresses: two processes use one incarnation
+	stateSince           int64
 }
 
 func (r *record) state() State {
@@ -28,7 +28,7 @@
 
 // apply merges an update and reports whether it changed the record.
 func (r *record) apply(update Member) (changed bool) {
-	if update.Addr != "" { // empty if the end is reported by an instance that never received the member's metadata
+	if update.Addr != "" { // empty in an update that only reports the end
 		changed = r.applyMeta(update)
 	}
 	if update.State.IsTerminal() {
@@ -36,10 +36,10 @@
 		r.end = max(r.end, update.State)
 		return changed
 	}
-	order := cmp.Or(cmp.Compare(update.MetaVersion, r.metaVersion), cmp.Compare(update.SuspicionVersion, r.suspicionVersion))
+	order := cmp.Or(cmp.Compare(update.MetaVersion, r.suspicionMetaVersion), cmp.Compare(update.SuspicionVersion, r.suspicionVersion))
 	if order > 0 || order == 0 && update.State > r.suspicion {
 		changed = changed || update.State != r.suspicion && !r.end.IsTerminal()
-		r.metaVersion, r.suspicionVersion, r.suspicion = update.MetaVersion, update.SuspicionVersion, update.State
+		r.suspicionMetaVersion, r.suspicionVersion, r.suspicion = update.MetaVersion, update.SuspicionVersion, update.State
 	}
 	return changed
 }
@@ -64,7 +64,7 @@
 	m := r.meta
 	m.Name, m.Incarnation = name, r.incarnation
 	m.State, m.StateSince = r.state(), r.stateSince
-	m.MetaVersion, m.SuspicionVersion = max(m.MetaVersion, r.metaVersion), r.suspicionVersion
+	m.MetaVersion, m.SuspicionVersion = max(m.MetaVersion, r.suspicionMetaVersion), r.suspicionVersion
 	return m
 }
 
--- a/cluster/membership/swimsim/cluster_test.go
+++ b/cluster/membership/swimsim/cluster_test.go
@@ -13,8 +13,8 @@
 	return func(from, to int) bool { return (from == isolated) != (to == isolated) }
 }
 
-// An instance that is cut off from a large cluster must lose its majority within seconds and declare no other dead, while
-// the others declare it dead. The gossip library's own probes, one node after the other, would need half a minute.
+// An instance that is cut off from a large cluster must lose its majority within seconds and declare no instance dead,
+// while the others declare it dead. The gossip library's own probes, one node after the other, would need half a minute.
 func TestIsolatedInstanceLosesItsMajorityWithinSeconds(t *testing.T) {
 	c := NewCluster(1, 60)
 	c.RunUntil(10 * Second)
--- a/cluster/membership/swimsim/history_test.go
+++ b/cluster/membership/swimsim/history_test.go
@@ -65,7 +65,7 @@
 
 func (h *history) checkIncarnations(t *rapid.T, observer *Instance) {
 	for _, m := range observer.Table.Members() {
-		member := observer.NodeName + " of " + m.Name
+		member := observer.NodeName + "'s record of " + m.Name
 		require.GreaterOrEqual(t, m.Incarnation, h.highest[member], "%s: an older incarnation replaced a newer one", member)
 		h.highest[member] = m.Incarnation
 		incarnation := fmt.Sprint(member, m.Incarnation)
--- a/cluster/membership/swimsim/instance.go
+++ b/cluster/membership/swimsim/instance.go
@@ -14,7 +14,7 @@
 	maxJoinsAtOnce  = 3
 	seedInstances   = 3 // number of instances that all others have as join addresses
 	rejectInterval  = 500 * ticksPerMillisecond
-	publishInterval = Second // between repeated broadcasts while another instance still has an ended incarnation of this one
+	publishInterval = Second // between repeated broadcasts while another instance may know only an ended incarnation of this one
 )
 
 // Instance is one simulated incarnation of a process.
@@ -35,7 +35,7 @@
 	broadcasts      []*broadcast     // pending
 	published       membership.Member
 	publishedAt     int64
-	mustRepublish   bool           // an instance still has an ended incarnation of this one
+	mustRepublish   bool           // another instance may know only an ended incarnation of this one
 	overdueTimers   []func()       // callbacks of timers that came due while it was paused
 	lastIndexes     map[string]int // by member name: index at which it was last seen, standing for its address
 }
--- a/cluster/membership/swimsim/network.go
+++ b/cluster/membership/swimsim/network.go
@@ -44,7 +44,7 @@
 	return to.NodeName == nodeName && i.canConnect(to)
 }
 
-// sendPacket sends a packet to the instance that runs at an index when it arrives. deliver is called only if it arrives.
+// sendPacket sends a packet to an index. If the packet arrives, deliver is called with the instance that runs there then.
 func (i *Instance) sendPacket(index, size int, deliver func(to *Instance)) {
 	c := i.cluster
 	i.BytesSent += int64(size)
--- a/cluster/membership/swimsim/protocol.go
+++ b/cluster/membership/swimsim/protocol.go
@@ -12,12 +12,12 @@
 	probeInterval       = 500 * ticksPerMillisecond
 	probeTimeout        = membership.PingTimeout
 	indirectProbes      = 3 // nodes asked to probe a node that did not answer
-	suspicionMultiplier = 3 // times log10 of the cluster's size times probeInterval is the time to refute a suspicion
+	suspicionMultiplier = 3 // the time to refute a suspicion is this times log10 of the cluster's size times probeInterval
 	gossipInterval      = 200 * ticksPerMillisecond
 	gossipNodes         = 3 // nodes to which broadcasts are sent at once
 	gossipToTheDeadTime = 30 * Second
 	pushPullInterval    = 15 * Second
-	// pushPullSlowdownLog2 is log2 of the cluster size above which push/pull exchanges become less frequent, 32 instances.
+	// pushPullSlowdownLog2 is log2 of 32, the number of instances above which push/pull exchanges become less frequent.
 	pushPullSlowdownLog2 = 5
 )
 
--- a/cluster/membership/table.go
+++ b/cluster/membership/table.go
@@ -17,7 +17,7 @@
 	// MaxMembers is the largest number of names in a table: three times the largest supported cluster.
 	MaxMembers = 1000
 	// maxIncarnationsPerName is how many incarnations of a name are kept, the latest ones. An instance in a crash loop
-	// has three while the end of two of them is not yet detected.
+	// can have three at a time: the running one and two whose end is not yet detected.
 	maxIncarnationsPerName = 8
 	// endedIncarnationsShared is how many of a name's latest incarnations are sent to other instances if they have ended.
 	endedIncarnationsShared = 2
@@ -90,7 +90,7 @@
 	if found {
 		return records[index]
 	}
-	if len(records) >= maxIncarnationsPerName { // the result, the latest ones, does not depend on the order of updates
+	if len(records) >= maxIncarnationsPerName { // keeps the latest ones, whatever the order of updates
 		if index == 0 {
 			return nil
 		}
--- a/cluster/membership/table_test.go
+++ b/cluster/membership/table_test.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// A member that was declared dead counts again only with a higher incarnation. An instance that is itself declared dead, or
-// whose previous incarnation is higher because a clock was set back, must take an incarnation above the ended one.
+// A member that was declared dead must become alive again only with a higher incarnation. An instance that is itself declared
+// dead, or whose previous incarnation is higher because a clock was set back, must take an incarnation above the ended one.
 func TestDeadMemberReturnsWithNewIncarnation(t *testing.T) {
 	table := newTestTable("b", "c")
 	require.True(t, table.ApplyUpdate(2, member("b", 10, Dead)))
