--- a/cmd/chalkring/residency_test.go
+++ b/cmd/chalkring/residency_test.go
@@ -130,7 +130,7 @@
 	c.writePolicy(strictPolicy + "- {block: 0, zones: [west]}\n")
 	for _, l := range all {
 		l.eventually("the stricter of both", func() bool { return !l.allows("west") && !l.allows("east") && l.guard.Policy().Generation == 2 })
-		l.eventually("the conflict is logged", func() bool { return strings.Contains(l.logText(), "with other words") })
+		l.eventually("the conflict is logged", func() bool { return strings.Contains(l.logText(), "with a different text") })
 	}
 	b.writePolicy(strings.Replace(strictPolicy, "generation: 2", "generation: 3", 1))
 	for _, l := range all {
--- a/control/residency/compiled_policy.go
+++ b/control/residency/compiled_policy.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// CompiledPolicy is what is in force: the compiled policies of a PolicyRegistry with the end of a lease. It never
-// changes, so it may be shared between goroutines. Its look-ups neither wait nor allocate.
+// CompiledPolicy holds all policies that apply, compiled for look-ups, and the expiry of the lease under which they are
+// enforced. It is immutable and may be shared between goroutines. Its look-ups neither block nor allocate.
 type CompiledPolicy struct {
-	Generation          uint64 // the newest known one
+	Generation          uint64 // newest known generation
 	LeaseDuration       int64
 	MaxClockSkew        int64
 	HostHoldDown        int64
 	EnforcementDeadline int64 // wall time; 0 for none
-	LeaseExpiry         int64 // wall time; math.MaxInt64 where no lease is needed
-	Incomplete          bool  // a required policy is not known here
+	LeaseExpiry         int64 // wall time; math.MaxInt64 if no lease is needed
+	Incomplete          bool  // a required policy is missing here, or more policies conflict than are kept
 
 	tables      []*policyTable
 	zoneIndexes map[string]int
 }
 
-// DenyAll returns what is in force while no policy is known: no shard request runs anywhere.
+// DenyAll returns the policy to enforce while none is known: no shard request may run anywhere.
 func DenyAll() *CompiledPolicy {
 	zoneIndexes := map[string]int{}
 	table := compilePolicy(&Policy{DenyByDefault: true}, zoneIndexes)
 	return &CompiledPolicy{LeaseExpiry: never, LeaseDuration: maxLeaseDuration, zoneIndexes: zoneIndexes, tables: []*policyTable{table}}
 }
 
-// WithLeaseExpiry returns the same policy with another end of the lease.
+// WithLeaseExpiry returns the same policy with a different lease expiry.
 func (p *CompiledPolicy) WithLeaseExpiry(leaseExpiry int64) *CompiledPolicy {
 	renewed := *p
 	renewed.LeaseExpiry = leaseExpiry
 	return &renewed
 }
 
-// DiffersOnlyInLease reports whether other, which may be nil, is the same policy but for the end of its lease.
+// DiffersOnlyInLease reports whether other, which may be nil, is the same policy apart from its lease expiry.
 func (p *CompiledPolicy) DiffersOnlyInLease(other *CompiledPolicy) bool {
 	return other != nil && p.Incomplete == other.Incomplete && len(p.tables) == len(other.tables) && &p.tables[0] == &other.tables[0]
 }
 
-// RuleFor returns what holds for a search of a tenant's class at a time: the strictest rule of all contracts that
-// apply. With a block number the contracts on that block apply too, with -1 none of them.
+// RuleFor returns the rule for a search of a tenant's class at the time now: the strictest combination of all
+// contracts that apply. These include the contracts on the given block; -1 stands for no block.
 func (p *CompiledPolicy) RuleFor(now int64, tenant, class string, block int) Rule {
 	rule := p.tables[0].ruleFor(now, tenant, class, block)
 	for _, table := range p.tables[1:] {
@@ -62,8 +62,8 @@
 	return !p.RuleFor(now, tenant, class, -1).Restricted
 }
 
-// ZoneIndex returns the index of a zone in a ZoneSet, -1 for a zone that no contract names and that no restricted
-// search may run in.
+// ZoneIndex returns the index of a zone in a ZoneSet, or -1 for a zone that no contract names: no restricted search may
+// run there.
 func (p *CompiledPolicy) ZoneIndex(name string) int {
 	if index, known := p.zoneIndexes[name]; known {
 		return index
@@ -71,9 +71,8 @@
 	return -1
 }
 
-// AllowsTenantData reports whether the stored data of a tenant's searches (names, predicates, entries) may be in a zone:
-// written there, or sent to an instance in it. The contracts on all classes of the tenant apply. Counts and digests are
-// not such data.
+// AllowsTenantData reports whether stored data about a tenant's searches (names, predicates, entries) may be written in a
+// zone or sent to an instance there. The contracts on all classes of the tenant apply. Counts and digests are exempt.
 func (p *CompiledPolicy) AllowsTenantData(now int64, tenant, zone string) bool {
 	index := p.ZoneIndex(zone)
 	rule := p.RuleFor(now, tenant, "", -1)
@@ -94,8 +93,8 @@
 	return true
 }
 
-// NextChangeAt returns the next time at which the rules change by themselves: a contract begins or ends, or the lease
-// expires. It is math.MaxInt64 where there is none.
+// NextChangeAt returns the next time at which the rules change without a new policy: a contract begins or ends, or the
+// lease expires. It returns math.MaxInt64 if no such change is ahead.
 func (p *CompiledPolicy) NextChangeAt(now int64) int64 {
 	next := int64(never)
 	if p.LeaseExpiry > now {
@@ -109,7 +108,7 @@
 	return next
 }
 
-// Tenants returns the tenants that some contract names, sorted.
+// Tenants returns the sorted names of all tenants that have contracts.
 func (p *CompiledPolicy) Tenants() []string {
 	tenants := map[string]bool{}
 	for _, table := range p.tables {
--- a/control/residency/compiled_policy_test.go
+++ b/control/residency/compiled_policy_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// compileTexts compiles policies that are added in this order.
+// compileTexts compiles a registry to which policies with these texts are added in order.
 func compileTexts(t require.TestingT, leaseExpiry int64, texts ...string) *CompiledPolicy {
 	var registry PolicyRegistry
 	for _, text := range texts {
@@ -24,7 +24,7 @@
 	return rule.AllowsZone(p.ZoneIndex(zone))
 }
 
-// permanentAndTemporaryContracts has contracts on tenants, a class and a block, some of them with a begin or an end.
+// permanentAndTemporaryContracts has contracts on tenants, a class and a block, some of them with a beginning or an end.
 const permanentAndTemporaryContracts = policyHeader + `contracts:
 - {tenant: acme, zones: [eu-1, eu-2], otherwise: part}
 - {tenant: acme, class: deep, zones: [eu-2, us-1]}
@@ -57,7 +57,7 @@
 		require.Equal(t, test.wantZones, strings.Join(zones, " "), test)
 	}
 	require.True(t, policy.RuleFor(now, "acme", "lookup", 0).AllowPartial)
-	require.False(t, policy.RuleFor(now, "acme", "deep", 0).AllowPartial, "one of both contracts refuses")
+	require.False(t, policy.RuleFor(now, "acme", "deep", 0).AllowPartial, "one of the two contracts does not allow partial answers")
 	require.False(t, policy.IsUnrestricted(now, "else", "deep"))
 }
 
@@ -65,7 +65,7 @@
 	policy := compileTexts(t, never, permanentAndTemporaryContracts)
 	now := wallTime("2026-12-01T00:00:00Z")
 	require.True(t, policy.AllowsTenantData(now, "acme", "eu-2"))
-	require.False(t, policy.AllowsTenantData(now, "acme", "eu-1"), "the class deep may not be there")
+	require.False(t, policy.AllowsTenantData(now, "acme", "eu-1"), "the contract on the class deep does not allow it")
 	require.True(t, policy.AllowsTenantData(now, "else", "us-9"))
 }
 
@@ -73,7 +73,7 @@
 	policy := compileTexts(t, never, permanentAndTemporaryContracts)
 	afterEnd := wallTime("2028-01-01T00:00:00Z")
 	require.True(t, policy.RuleFor(afterEnd, "bolt", "deep", 0).ContractEnded)
-	require.False(t, policy.allows(afterEnd, "bolt", "deep", 0, "eu-1"), "an end with nothing after it widens nothing")
+	require.False(t, policy.allows(afterEnd, "bolt", "deep", 0, "eu-1"), "nothing is allowed after an end that nothing follows")
 	require.True(t, policy.allows(afterEnd, "core", "deep", 0, "us-1"))
 	begin := wallTime("2026-06-01T00:00:00Z")
 	require.True(t, policy.allows(begin-policy.MaxClockSkew-1, "core", "deep", 0, "us-1"))
--- a/control/residency/contract_entry.go
+++ b/control/residency/contract_entry.go
@@ -12,14 +12,14 @@
 // maxNameBytes limits the name of a tenant, a class or a zone.
 const maxNameBytes = 200
 
-// Site is what a deployment plan knows of an installation. Contracts are checked against it; nil lists and a zero
-// Blocks are not checked.
+// Site lists the names that a deployment plan defines, and its number of blocks. Contracts may refer only to these. A nil
+// list or a Blocks of zero disables the check of that kind.
 type Site struct {
 	Tenants, Classes, Zones []string
 	Blocks                  int
 }
 
-// siteIndex is a Site with its names as sets; a nil set is not checked.
+// siteIndex is a Site with its names as sets; a nil set disables the check.
 type siteIndex struct {
 	tenants, classes, zones map[string]bool
 	blocks                  int
@@ -53,7 +53,7 @@
 	After     string   `yaml:"after"`
 }
 
-// normalize brings names into the form that settings and endpoint lists have.
+// normalize converts names to the form in which settings and endpoint lists have them.
 func (e *contractEntry) normalize() {
 	e.Tenant, e.Class = settings.FormatValue(e.Tenant), settings.FormatValue(e.Class)
 	for i, zone := range e.Zones {
@@ -64,7 +64,7 @@
 	}
 }
 
-// parseContract reads the contract at a path of the document.
+// parseContract parses and checks the contract at a path of the document.
 func (p *policyParser) parseContract(path string, entry contractEntry) Contract {
 	entry.normalize()
 	contract := Contract{Tenant: entry.Tenant, Class: entry.Class, Block: p.parseSubject(path, &entry), Zones: entry.Zones}
@@ -78,12 +78,12 @@
 	contract.KeepOnLeaseExpiry = p.parseChoice(path+".lease_ends", entry.LeaseEnds, "refuse", "keep")
 	contract.DefaultAfterEnd = p.parseChoice(path+".after", entry.After, "refuse", "default")
 	if contract.DefaultAfterEnd && contract.Until == never {
-		p.document.AddError(path+".after", "has no end to come after")
+		p.document.AddError(path+".after", "applies only to a contract with until")
 	}
 	return contract
 }
 
-// parseSubject checks whom or what a contract binds, and returns its block, -1 for a tenant's contract.
+// parseSubject checks what a contract applies to, and returns its block, or -1 for a contract on a tenant.
 func (p *policyParser) parseSubject(path string, entry *contractEntry) (block int) {
 	switch {
 	case entry.Block != nil && (entry.Tenant != "" || entry.Class != ""):
@@ -91,7 +91,7 @@
 	case entry.Block != nil:
 		return p.parseBlock(path, *entry.Block)
 	case entry.Tenant == "" && entry.Class != "":
-		p.document.AddError(path+".class", "a class without its tenant")
+		p.document.AddError(path+".class", "a class requires a tenant")
 	case entry.Tenant == "":
 		p.document.AddError(path, "names neither a tenant nor a block")
 	default:
@@ -105,16 +105,16 @@
 
 func (p *policyParser) parseBlock(path string, block int) int {
 	if block < 0 || p.site.blocks > 0 && block >= p.site.blocks {
-		p.document.AddError(path+".block", "%d is no block: there are %d, from 0 on", block, p.site.blocks)
+		p.document.AddError(path+".block", "%d is not a block number: there are %d blocks, numbered from 0", block, p.site.blocks)
 	}
 	return max(0, block)
 }
 
 func (p *policyParser) checkName(path, field, name string, known map[string]bool) {
 	if len(name) > maxNameBytes {
-		p.document.AddError(path+"."+field, "over %d bytes", maxNameBytes)
+		p.document.AddError(path+"."+field, "longer than %d bytes", maxNameBytes)
 	} else if known != nil && !known[name] {
-		p.document.AddError(path+"."+field, "unknown %s %.60q: the plan names none such", field, name)
+		p.document.AddError(path+"."+field, "unknown %s %.60q: it is not in the plan", field, name)
 	}
 }
 
@@ -126,11 +126,11 @@
 		zonePath := fmt.Sprintf("%s.zones[%d]", path, i)
 		switch {
 		case zone == "" || len(zone) > maxNameBytes:
-			p.document.AddError(zonePath, "a zone's name has 1 to %d bytes", maxNameBytes)
+			p.document.AddError(zonePath, "a zone name has 1 to %d bytes", maxNameBytes)
 		case p.site.zones != nil && !p.site.zones[zone]:
-			p.document.AddError(zonePath, "unknown zone %.60q: the plan names none such", zone)
+			p.document.AddError(zonePath, "unknown zone %.60q: it is not in the plan", zone)
 		case slices.Contains(zones[:i], zone):
-			p.document.AddError(zonePath, "zone %.60q is there twice", zone)
+			p.document.AddError(zonePath, "zone %.60q is listed twice", zone)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 		subject := p.Contracts[i].subject()
 		bySubject[subject] = append(bySubject[subject], i)
 	}
-	for i := range p.Contracts { // in the file's order, each subject at its first contract
+	for i := range p.Contracts { // in the order of the file, each subject at its first contract
 		subject := p.Contracts[i].subject()
 		if sequence := bySubject[subject]; sequence[0] == i {
 			p.checkContractSequence(subject, sequence)
@@ -150,7 +150,7 @@
 	}
 }
 
-// checkContractSequence checks the contracts on one subject, given by their indexes, which it sorts by time.
+// checkContractSequence checks the contracts on one subject. Sequence holds their indexes and is sorted by time here.
 func (p *Policy) checkContractSequence(subject contractSubject, sequence []int) {
 	slices.SortStableFunc(sequence, func(a, b int) int { return cmp.Compare(p.Contracts[a].From, p.Contracts[b].From) })
 	for n := 1; n < len(sequence); n++ {
@@ -159,9 +159,9 @@
 		previousLine, _ := p.ContractPosition(sequence[n-1])
 		switch {
 		case next.From < previous.Until:
-			p.document.AddError(path, "%s has two contracts at once: that of line %d has not ended", subject, previousLine)
+			p.document.AddError(path, "%s has two contracts at the same time: the one in line %d has not ended", subject, previousLine)
 		case next.From > previous.Until && !previous.DefaultAfterEnd:
-			p.document.AddError(path, "%s has a gap of %v after the contract of line %d", subject,
+			p.document.AddError(path, "%s has a gap of %v after the contract in line %d", subject,
 				durationFromTicks(next.From-previous.Until), previousLine)
 		}
 	}
--- a/control/residency/errors.go
+++ b/control/residency/errors.go
@@ -9,12 +9,12 @@
 	ReasonContractEnded  = "its contract has ended and none follows"
 )
 
-// SearchRejectedError reports a search that its tenant's contract keeps from running.
+// SearchRejectedError reports a search that the contracts do not allow to run.
 type SearchRejectedError struct {
 	Tenant, Class string
-	Block         int    // -1 where no single block is the cause
+	Block         int    // -1 if no single block is the cause
 	Reason        string // one of the Reason constants
-	Generation    uint64 // of the policy in force
+	Generation    uint64 // of the policy that is enforced
 }
 
 func (e *SearchRejectedError) Error() string {
@@ -29,11 +29,11 @@
 func (e *SearchRejectedError) Advice() string {
 	switch e.Reason {
 	case ReasonLeaseExpired:
-		return "Look at this instance's links to the others: it hears too few of the fleet, its clock is off, or it lacks a policy they have."
+		return "Check this instance's links to the others: it reaches too few members of the fleet, its clock is wrong, or it lacks a policy that they have."
 	case ReasonContractEnded:
-		return "Give the tenant a contract that goes on, or `after: default` in the one that has ended."
+		return "Add a contract that follows the one that has ended, or set `after: default` in it."
 	}
-	return "Bring a host of the contract's zones back that holds the block, or look at why its zone counts for none; `chalkring check` lists the blocks that a tenant cannot reach."
+	return "Bring back a host in the contract's zones that holds the block, or find out why such a host counts as in no zone; `chalkring check` lists the blocks that a tenant cannot reach."
 }
 
 // StalePolicyError reports a policy that is older than a known one.
@@ -43,12 +43,12 @@
 }
 
 func (e *StalePolicyError) Error() string {
-	return fmt.Sprintf("%s: policy generation %d, and %d is known", e.Source, e.Generation, e.NewestGeneration)
+	return fmt.Sprintf("%s: policy generation %d is older than the known generation %d", e.Source, e.Generation, e.NewestGeneration)
 }
 
 // Advice tells an operator what to do.
 func (e *StalePolicyError) Advice() string {
-	return fmt.Sprintf("Nothing of it holds: give the file a generation above %d, or take back the newer file.", e.NewestGeneration)
+	return fmt.Sprintf("The file is ignored: give it a generation above %d, or restore the newer file.", e.NewestGeneration)
 }
 
 // ConflictingPoliciesError reports two policies of one generation with different texts.
@@ -58,37 +58,37 @@
 }
 
 func (e *ConflictingPoliciesError) Error() string {
-	return fmt.Sprintf("%s: policy generation %d is known with other words", e.Source, e.Generation)
+	return fmt.Sprintf("%s: policy generation %d is already known with a different text", e.Source, e.Generation)
 }
 
 // Advice tells an operator what to do.
 func (e *ConflictingPoliciesError) Advice() string {
-	return "The stricter of both holds for each tenant; write one file with a higher generation and give it to all."
+	return "The stricter of both applies to each tenant; write one file with a higher generation and distribute it to all instances."
 }
 
-// MissingPolicyError reports a companion policy that another one requires and that is not known here.
+// MissingPolicyError reports a companion policy that another policy requires and that is not known here.
 type MissingPolicyError struct{ Generation, CompanionGeneration uint64 }
 
 func (e *MissingPolicyError) Error() string {
-	return fmt.Sprintf("policy generation %d stands beside %d, which is not known here", e.Generation, e.CompanionGeneration)
+	return fmt.Sprintf("policy generation %d requires its companion generation %d, which is not known here", e.Generation, e.CompanionGeneration)
 }
 
 // Advice tells an operator what to do.
 func (e *MissingPolicyError) Advice() string {
-	return fmt.Sprintf("Tenants under contract are refused until generation %d comes from another instance; if none has it, write one that stands beside nothing.", e.CompanionGeneration)
+	return fmt.Sprintf("Searches of tenants under contract are rejected until generation %d arrives from another instance; if none has it, write a new policy without `beside`.", e.CompanionGeneration)
 }
 
-// LeaseExpiredError reports an instance that can no longer know whether its contracts are the newest.
+// LeaseExpiredError reports that this instance can no longer be certain that its contracts are the newest.
 type LeaseExpiredError struct {
 	Generation        uint64
-	Reachable, Listed int // voting members that are reachable, and all of them
+	Reachable, Listed int // number of reachable voting members, and of all voting members
 	SkewedClocks      int // members whose clock differs too much from this instance's
 }
 
 func (e *LeaseExpiredError) Error() string {
-	text := fmt.Sprintf("policy generation %d: no word for a lease's time from more than half of the fleet; %d of %d are heard", e.Generation, e.Reachable, e.Listed)
+	text := fmt.Sprintf("policy generation %d: the lease expired without acknowledgements from more than half of the fleet; %d of %d voting members are reachable", e.Generation, e.Reachable, e.Listed)
 	if e.SkewedClocks > 0 {
-		text += fmt.Sprintf(", the clocks of %d are apart from this one's", e.SkewedClocks)
+		text += fmt.Sprintf(", the clocks of %d differ too much from this instance's", e.SkewedClocks)
 	}
 	return text
 }
@@ -96,31 +96,31 @@
 // Advice tells an operator what to do.
 func (e *LeaseExpiredError) Advice() string {
 	if e.SkewedClocks > 0 {
-		return "Set this machine's clock and restart the instance; until then it refuses the tenants whose contracts say so."
+		return "Set this machine's clock and restart the instance; until then it rejects searches of tenants under contract, unless their contracts have `lease_ends: keep`."
 	}
-	return "Look at the links from this instance to the others; until it hears them it refuses the tenants whose contracts say so."
+	return "Check the links from this instance to the others; until it reaches them it rejects searches of tenants under contract, unless their contracts have `lease_ends: keep`."
 }
 
-// EnforcementOverdueError reports a policy that was not in force everywhere by its stated deadline.
+// EnforcementOverdueError reports a policy that was not enforced everywhere by its stated deadline.
 type EnforcementOverdueError struct {
 	Generation uint64
 	Deadline   string
 }
 
 func (e *EnforcementOverdueError) Error() string {
-	return fmt.Sprintf("policy generation %d was to be in force everywhere by %s, and more than half of the fleet was not known to have it a lease before", e.Generation, e.Deadline)
+	return fmt.Sprintf("policy generation %d should be enforced everywhere by %s, but more than half of the fleet was not known to have it one lease duration before that", e.Generation, e.Deadline)
 }
 
 // Advice tells an operator what to do.
 func (e *EnforcementOverdueError) Advice() string {
-	return "Instances that hear the fleet keep to it by now and the others refuse its tenants; state a time at least a lease and a few seconds after the file is given out."
+	return "Instances that reach the fleet enforce it by now, and the others reject searches of its tenants; set `in_force_by` to at least one lease duration and a few seconds after the file is distributed."
 }
 
-// PoliciesUnreadableError reports a store whose policies could not be read at the start.
+// PoliciesUnreadableError reports that the stored policies could not be read at start-up.
 type PoliciesUnreadableError struct{ Err error }
 
 func (e *PoliciesUnreadableError) Error() string {
-	return "policies that were kept are not known: " + e.Err.Error()
+	return "stored policies could not be read: " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
@@ -128,14 +128,14 @@
 
 // Advice tells an operator what to do.
 func (e *PoliciesUnreadableError) Advice() string {
-	return "This instance's word counts again once it has heard more than half of the fleet; look at the disk of `fleet.store`."
+	return "This instance has no vote until it has reached more than half of the fleet; check the disk of `fleet.store`."
 }
 
-// UnreachableBlocksError reports, for `chalkring check`, the blocks that no host in a contract's zones holds.
+// UnreachableBlocksError lists the blocks that no host in a contract's zones holds. `chalkring check` reports it.
 type UnreachableBlocksError struct {
 	Source       string
 	Line, Column int    // of the contract
-	Subject      string // whom or what the contract binds
+	Subject      string // what the contract applies to
 	Blocks       []int  // in ascending order
 	AllowPartial bool
 }
@@ -143,7 +143,7 @@
 func (e *UnreachableBlocksError) Error() string {
 	consequence := "its searches there are refused"
 	if e.AllowPartial {
-		consequence = "its searches there lack them, or are refused"
+		consequence = "its searches there get partial answers or are refused"
 	}
 	return fmt.Sprintf("%s: [%d:%d] %s could not reach %s: %s", e.Source, e.Line, e.Column, e.Subject, formatBlocks(e.Blocks), consequence)
 }
@@ -153,7 +153,7 @@
 	return "Put hosts that hold these blocks into the contract's zones before it begins, or take the blocks out of what the tenant searches."
 }
 
-// formatBlocks lists ascending block numbers and joins consecutive ones to ranges: "blocks 0, 2-3".
+// formatBlocks lists ascending block numbers, with consecutive ones as ranges: "blocks 0, 2-3".
 func formatBlocks(blocks []int) string {
 	text := "block"
 	if len(blocks) > 1 {
--- a/control/residency/golden_stored_test.go
+++ b/control/residency/golden_stored_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A policy file with each of its keys is read to these values. Its text is the stored form: it is kept as it is.
+// Parses a policy file that has every key. Instances store its text as it is, so the parsed policy keeps it unchanged.
 func TestGoldenPolicyFile(t *testing.T) {
 	text := golden.Read(t, "policy.yaml")
 	require.True(t, IsPolicyFile(text))
@@ -33,56 +33,56 @@
 	require.False(t, p.DenyByDefault)
 	require.Zero(t, p.CompanionGeneration)
 	require.Zero(t, p.EnforcementDeadline)
-	require.Equal(t, []int64{5 * second, second / 2, 600 * second}, []int64{p.LeaseDuration, p.MaxClockSkew, p.HostHoldDown}, "where they are left out")
+	require.Equal(t, []int64{5 * second, second / 2, 600 * second}, []int64{p.LeaseDuration, p.MaxClockSkew, p.HostHoldDown}, "defaults")
 }
 
-// leaseStep is one event of a lease's history and the state that it leaves, which other instances are told.
+// leaseStep is one event of a lease's history and the state after it, which the lease shows to other instances.
 type leaseStep struct {
-	Event  string   `json:"event"`
-	Asks   []string `json:"asks,omitempty"`
-	Until  int64    `json:"until"`
-	Agreed uint64   `json:"agreed"`
-	Ahead  uint64   `json:"ahead"`
-	Sure   bool     `json:"sure"`
-	Apart  int      `json:"apart"`
+	Event                 string   `json:"event"`
+	Peers                 []string `json:"asks,omitempty"`
+	ExpiresAt             int64    `json:"until"`
+	MajorityGeneration    uint64   `json:"agreed"`
+	HighestSeenGeneration uint64   `json:"ahead"`
+	Voter                 bool     `json:"sure"`
+	SkewedClocks          int      `json:"apart"`
 }
 
-// The lease itself is never stored: an instance that starts begins without one. Its state over a history of rounds and
-// answers, with what a restart brings back, is the golden one.
+// A lease is never stored: an instance starts without one. The golden file has its state over a history of rounds and
+// acknowledgements, and after starts with and without stored policies.
 func TestGoldenLeaseState(t *testing.T) {
-	const second, span, slack = int64(10_000), int64(100_000), int64(10_000)
+	const second, leaseDuration, clockSkew = int64(10_000), int64(100_000), int64(10_000)
 	var got []leaseStep
 	listed := []string{"c", "a", "b", "e", "d"}
 	l := NewLease("a", listed, false)
-	note := func(event string, asks []string) {
-		got = append(got, leaseStep{event, asks, l.ExpiresAt(), l.MajorityGeneration(), l.HighestSeenGeneration(), l.IsVoter(), l.CountSkewedClocks()})
+	record := func(event string, peers []string) {
+		got = append(got, leaseStep{event, peers, l.ExpiresAt(), l.MajorityGeneration(), l.HighestSeenGeneration(), l.IsVoter(), l.CountSkewedClocks()})
 	}
-	answer := func(event, from string, now int64, nonce, generation uint64, wall int64, sure bool) {
-		l.HandleAcknowledgement(now, LeaseAcknowledgement{From: from, Nonce: nonce, Generation: generation, WallTime: wall, Voter: sure}, 2, span, slack, true)
-		note(event, nil)
+	acknowledge := func(event, from string, now int64, nonce, generation uint64, wallTime int64, voter bool) {
+		l.HandleAcknowledgement(now, LeaseAcknowledgement{From: from, Nonce: nonce, Generation: generation, WallTime: wallTime, Voter: voter}, 2, leaseDuration, clockSkew, true)
+		record(event, nil)
 	}
-	note("a start that has forgotten", nil)
+	record("a start that has forgotten", nil)
 	n := l.BeginRound(second)
-	note("first round", l.SelectPeers())
-	answer("a sure answer", "b", 2*second, n, 2, 2*second, true)
-	answer("the same again", "b", 2*second, n, 2, 2*second, true)
-	answer("a clock that is apart", "c", 2*second, n, 2, 9*second, true)
-	answer("another sure answer", "d", 2*second, n, 2, 2*second, true)
-	answer("a third, more than half", "e", 3*second, n, 2, 3*second, true)
+	record("first round", l.SelectPeers())
+	acknowledge("a sure answer", "b", 2*second, n, 2, 2*second, true)
+	acknowledge("the same again", "b", 2*second, n, 2, 2*second, true)
+	acknowledge("a clock that is apart", "c", 2*second, n, 2, 9*second, true)
+	acknowledge("another sure answer", "d", 2*second, n, 2, 2*second, true)
+	acknowledge("a third, more than half", "e", 3*second, n, 2, 3*second, true)
 	n = l.BeginRound(5 * second)
-	answer("an older generation", "b", 6*second, n, 1, 6*second, true)
-	answer("one that has not learned yet", "c", 6*second, n, 2, 6*second, false)
-	answer("a second sure one", "d", 6*second, n, 2, 6*second, true)
-	answer("a third, more than half have it", "e", 6*second, n, 2, 6*second, true)
+	acknowledge("an older generation", "b", 6*second, n, 1, 6*second, true)
+	acknowledge("one that has not learned yet", "c", 6*second, n, 2, 6*second, false)
+	acknowledge("a second sure one", "d", 6*second, n, 2, 6*second, true)
+	acknowledge("a third, more than half have it", "e", 6*second, n, 2, 6*second, true)
 	n = l.BeginRound(8 * second)
-	answer("a newer generation", "b", 9*second, n, 3, 9*second, true)
-	answer("an answer after it", "c", 9*second, n, 2, 9*second, true)
+	acknowledge("a newer generation", "b", 9*second, n, 3, 9*second, true)
+	acknowledge("an answer after it", "c", 9*second, n, 2, 9*second, true)
 	l = NewLease("a", listed, true)
-	note("a start that knows what it knew", nil)
+	record("a start that knows what it knew", nil)
 	l = NewLease("a", []string{"a"}, false)
-	l.RenewSoleMember(second, span)
+	l.RenewSoleMember(second, leaseDuration)
 	require.Empty(t, l.SelectPeers())
-	note("listed alone", nil)
+	record("listed alone", nil)
 	golden.RequireJSON(t, "lease-history.json", got)
-	require.Equal(t, span/3, RenewalInterval(span))
+	require.Equal(t, leaseDuration/3, RenewalInterval(leaseDuration))
 }
--- a/control/residency/golden_test.go
+++ b/control/residency/golden_test.go
@@ -16,7 +16,7 @@
 	"chalkring/internal/advice"
 )
 
-// Keys of a policy file, each with another value, and what holds where they are left out.
+// Parses a policy file that has every key, and one with as few keys as possible.
 func TestGoldenResidencyFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
@@ -43,8 +43,8 @@
 	require.Equal(t, &Policy{Source: "fewest_keys.yaml", Generation: 1, LeaseDuration: 50_000, MaxClockSkew: 5000, HostHoldDown: 6_000_000, Text: text}, p)
 }
 
-// Fault texts of policy files, with place and advice. A value of the wrong type is left out: the YAML package names Go
-// types in that text.
+// The golden file has the error texts of invalid policy files, with position and advice. A value of the wrong type is not
+// among them, since the YAML package names Go types in that text.
 func TestGoldenResidencyFileFaults(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every_key.yaml"))
 	require.NoError(t, err)
@@ -88,7 +88,8 @@
 	golden.Require(t, "file_faults.txt", all.String())
 }
 
-// Failures that stand in the log, in answers to clients and in what a check prints, with their advice.
+// The golden file has the errors that appear in the log, in responses to clients and in the output of `chalkring check`,
+// with their advice.
 func TestGoldenResidencyErrors(t *testing.T) {
 	var all strings.Builder
 	for _, err := range []error{
--- a/control/residency/host_zones.go
+++ b/control/residency/host_zones.go
@@ -4,29 +4,29 @@
 // hosts that have left are remembered too.
 const maxRemembered = 40_000
 
-// Host is an entry of the endpoint list in force.
+// Host is an entry of the current endpoint list.
 type Host struct {
 	ID, Addr, Zone string
 	ZoneConflict   bool // the sources of the list state different zones
 	Removed        bool
 }
 
-// HostZones tells which zone each host is in. A host is in no zone if its zone is unknown, differs between sources or
-// has changed within the hold-down time. The same holds for its address, so that a host which is renamed as it moves
-// does not escape the hold-down. It is not safe for concurrent use.
+// HostZones tracks which zone each host is in. A host is in no zone if its zone is unknown, differs between sources or
+// has changed within the hold-down time. Zones are tracked by address too, so that a host that is renamed when it moves
+// does not escape the hold-down. HostZones is not safe for concurrent use.
 type HostZones struct {
 	holdDown     int64
 	byID         map[string]*zoneRecord
 	byAddress    map[string]*zoneRecord
-	nextEnd      int64 // when the first hold-down ends, as computed last
-	nextEndDirty bool  // nextEnd has to be computed again
+	nextEnd      int64 // end of the first hold-down, as last computed
+	nextEndDirty bool  // nextEnd has to be recomputed
 }
 
 // zoneRecord is what is known of a host or an address.
 type zoneRecord struct {
 	address    string // of a host
 	zone       string // empty for none
-	changedAt  int64  // when the zone changed, 0 where it never did
+	changedAt  int64  // when the zone last changed, 0 if it never did
 	lastListed int64  // when the host was last in the list
 	listed     bool   // the host is in the list; not kept for addresses
 }
@@ -36,13 +36,13 @@
 	return &HostZones{holdDown: holdDown, byID: map[string]*zoneRecord{}, byAddress: map[string]*zoneRecord{}, nextEnd: never}
 }
 
-// SetHoldDown sets for how long a host whose zone has changed is in no zone.
+// SetHoldDown sets how long a host is in no zone after its zone has changed.
 func (h *HostZones) SetHoldDown(holdDown int64) {
 	h.nextEndDirty = h.nextEndDirty || holdDown != h.holdDown
 	h.holdDown = holdDown
 }
 
-// UpdateHosts takes a complete endpoint list, or the entries of it that have changed.
+// UpdateHosts records a complete endpoint list, or the entries of it that have changed.
 func (h *HostZones) UpdateHosts(now int64, complete bool, hosts []Host) {
 	var listedBefore map[string]bool
 	if complete {
@@ -111,8 +111,8 @@
 	}
 }
 
-// evictDeparted forgets hosts and addresses that are not listed: those whose hold-down would be over, and all of them
-// where too many are remembered.
+// evictDeparted forgets hosts and addresses that are not listed: those for which a hold-down would be over, or all of
+// them if too many are remembered.
 func (h *HostZones) evictDeparted(now int64) {
 	listedAddresses := make(map[string]bool, len(h.byID))
 	for id, record := range h.byID {
@@ -146,7 +146,7 @@
 	return record.changedAt != 0 && now < record.changedAt+h.holdDown
 }
 
-// NextHoldDownEnd returns when the next hold-down of a host or an address ends, math.MaxInt64 where there is none.
+// NextHoldDownEnd returns when the next hold-down of a host or an address ends, math.MaxInt64 if there is none.
 func (h *HostZones) NextHoldDownEnd(now int64) int64 {
 	if !h.nextEndDirty && now < h.nextEnd {
 		return h.nextEnd
--- a/control/residency/host_zones_test.go
+++ b/control/residency/host_zones_test.go
@@ -11,7 +11,7 @@
 	zones.UpdateHosts(10, true, []Host{{ID: "a", Addr: "1", Zone: "eu-1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3", Zone: "eu-1", ZoneConflict: true}})
 	require.Equal(t, "eu-1", zones.Zone(10, "a"))
 	require.Empty(t, zones.Zone(10, "b"), "its zone is unknown")
-	require.Empty(t, zones.Zone(10, "c"), "sources differ")
+	require.Empty(t, zones.Zone(10, "c"), "its sources differ")
 	require.Empty(t, zones.Zone(10, "d"), "it is not listed")
 }
 
@@ -28,10 +28,10 @@
 	listOnly(140, Host{ID: "a3", Addr: "1", Zone: "eu-1"})
 	require.Empty(t, zones.Zone(140, "a3"), "renamed and moved: its address is held down")
 	listOnly(150, Host{ID: "a2", Addr: "9", Zone: "eu-1"})
-	require.Empty(t, zones.Zone(150, "a2"), "away for a moment and back in another zone")
+	require.Empty(t, zones.Zone(150, "a2"), "it was unlisted for a moment and is back in another zone")
 	listOnly(500, Host{ID: "z", Addr: "7", Zone: "eu-1"})
 	listOnly(601, Host{ID: "z", Addr: "7", Zone: "eu-1"})
-	require.Len(t, zones.byID, 1, "those that left are forgotten after the hold-down")
+	require.Len(t, zones.byID, 1, "hosts that left are forgotten after the hold-down")
 	require.Len(t, zones.byAddress, 1)
 	zones.UpdateHosts(700, false, []Host{{ID: "z", Removed: true}})
 	zones.UpdateHosts(710, false, []Host{{ID: "z", Addr: "7", Zone: "us-1"}})
--- a/control/residency/lease.go
+++ b/control/residency/lease.go
@@ -3,32 +3,32 @@
 import "slices"
 
 const (
-	maxPendingRounds = 8 // rounds whose acknowledgements still count: a lease holds some three
-	roundsPerLease   = 3 // two may fail
+	maxPendingRounds = 8 // latest rounds whose acknowledgements still count; about three of them fall within a lease
+	roundsPerLease   = 3 // two of them may fail before the lease expires
 
-	// fullRoundPeers is the number of other members up to which a round asks all of them. Of more it asks a quorum and
-	// a quarter, since some do not answer.
+	// fullRoundPeers is the number of other members up to which a round asks all of them. In a larger fleet a round asks
+	// a quorum and a quarter more, since some do not answer.
 	fullRoundPeers = 32
 )
 
-// Lease tells until when this instance is certain that no newer policy is in force without it.
+// Lease states until when this instance is certain that no newer policy has taken effect without its knowledge.
 //
-// The instance asks the other members in rounds which generation they have. A round in which a quorum, itself counted,
-// names no generation above its own renews the lease from the moment at which the round began. So a generation that a
-// quorum has is known to every instance whose lease began later: a stricter policy is in force everywhere one lease
-// after a quorum has it.
+// The instance asks the other members in rounds which generation they have. If a quorum, counting this instance, names no
+// generation above its own, the lease is renewed from the time at which the round began. A generation that a quorum has
+// is therefore known to every instance whose lease began later, and a stricter policy is enforced everywhere one lease
+// duration after a quorum has it.
 //
-// Acknowledgements count if the clock of their sender is near this one's. Members that have started and not yet learned
-// what the others know may have forgotten a generation: they have no vote, unless all members acknowledge. A Lease is
-// not safe for concurrent use. Its times are wall times as this instance counts them on.
+// An acknowledgement counts only if its sender's clock is close to this instance's. Members that have started and not yet
+// learned what the others know may have forgotten a generation: they have no vote, unless all members acknowledge. A
+// Lease is not safe for concurrent use. Its times are this instance's monotonic wall time.
 type Lease struct {
 	self    string
 	members []string // sorted, each once
-	isVoter bool     // what this instance knew has survived its restart, or it has learned it anew
+	isVoter bool     // this instance has kept what it knew over its restart, or has learned it again
 
-	rounds    []leaseRound
-	lastNonce uint64
-	nextPeer  int // among the other members, where the next round begins
+	rounds     []leaseRound
+	lastNonce  uint64
+	peerOffset int // among the other members; where SelectPeers starts in a large fleet
 
 	expiresAt             int64
 	highestSeenGeneration uint64
@@ -36,36 +36,36 @@
 	skewedClocks          map[string]bool // members whose last acknowledgement had a clock that differs too much
 }
 
-// leaseRound is one round of questions to other members.
+// leaseRound is one round of questions to the other members.
 type leaseRound struct {
 	nonce         uint64
 	startedAt     int64
-	superseded    bool   // a member has named a newer generation
+	superseded    bool   // a member has named a newer generation, so the round renews nothing
 	acknowledged  []bool // by index among the members
 	votes         int
 	nonVoters     int    // acknowledgements without a vote
 	ownGeneration uint64 // of this instance, at the last acknowledgement
-	sameAsOwn     int    // votes that name ownGeneration
+	matchingVotes int    // votes that name ownGeneration
 }
 
 // LeaseAcknowledgement is a member's answer to a round.
 type LeaseAcknowledgement struct {
 	From       string
 	Nonce      uint64 // of the round
-	Generation uint64 // newest one that the member has stored
+	Generation uint64 // newest generation that the member has stored
 	WallTime   int64  // the member's clock
 	Voter      bool   // the member has a vote
 }
 
-// NewLease returns an expired lease for one of the voting members. Stored says that all this instance knew when it last
-// ended is known now, which gives it a vote from the start.
+// NewLease returns an expired lease for one of the voting members. Stored says that this instance still has all that it
+// knew when it last ended, which gives it a vote from the start.
 func NewLease(self string, members []string, stored bool) *Lease {
 	members = slices.Clone(members)
 	slices.Sort(members)
 	return &Lease{self: self, members: slices.Compact(members), isVoter: stored}
 }
 
-// QuorumSize returns how many members are more than half.
+// QuorumSize returns the smallest number of members that is more than half of them.
 func (l *Lease) QuorumSize() int { return len(l.members)/2 + 1 }
 
 // IsVoter reports whether this instance's own acknowledgements have a vote.
@@ -74,8 +74,8 @@
 // HighestSeenGeneration returns the newest generation that any acknowledgement has named.
 func (l *Lease) HighestSeenGeneration() uint64 { return l.highestSeenGeneration }
 
-// MajorityGeneration returns the newest generation that a quorum is known to have. It is in force everywhere one lease
-// after this method first returns it.
+// MajorityGeneration returns the newest generation that a quorum is known to have. It is enforced everywhere one lease
+// duration after this method first returns it.
 func (l *Lease) MajorityGeneration() uint64 { return l.majorityGeneration }
 
 // CountSkewedClocks returns how many members' clocks differed too much from this instance's at their last
@@ -88,16 +88,16 @@
 // RenewalInterval returns how long to wait between two rounds.
 func RenewalInterval(leaseDuration int64) int64 { return max(1, leaseDuration/roundsPerLease) }
 
-// SelectPeers returns the members that the next round asks. In a large fleet each call returns the next ones, so that
-// all are asked in time.
+// SelectPeers returns the members that the next round asks. In a large fleet each call returns the next group of them, so
+// that all members are asked in turn.
 func (l *Lease) SelectPeers() []string {
 	peers := slices.DeleteFunc(slices.Clone(l.members), func(name string) bool { return name == l.self })
 	if len(peers) <= fullRoundPeers {
 		return peers
 	}
 	count := min(len(peers), l.QuorumSize()+l.QuorumSize()/4)
-	l.nextPeer = (l.nextPeer + count) % len(peers)
-	return slices.Concat(peers[l.nextPeer:], peers[:l.nextPeer])[:count]
+	l.peerOffset = (l.peerOffset + count) % len(peers)
+	return slices.Concat(peers[l.peerOffset:], peers[:l.peerOffset])[:count]
 }
 
 // BeginRound begins a round and returns its nonce, which the questions to the peers carry.
@@ -112,9 +112,9 @@
 
 // HandleAcknowledgement counts a member's answer and reports whether the lease now ends later than before.
 //
-// OwnGeneration is the newest generation that this instance enforces, and duration the lease's. UniqueName says that no
-// other instance claims this one's name; without it nothing is renewed. The caller leaves out acknowledgements under
-// names that two instances claim.
+// OwnGeneration is the newest generation that this instance enforces, and duration is that of the lease. UniqueName says
+// that no other instance claims this one's name; otherwise nothing is renewed. The caller has to drop acknowledgements
+// under names that two instances claim.
 func (l *Lease) HandleAcknowledgement(now int64, ack LeaseAcknowledgement, ownGeneration uint64, duration, maxClockSkew int64, uniqueName bool) (renewed bool) {
 	l.highestSeenGeneration = max(l.highestSeenGeneration, ack.Generation)
 	roundIndex := slices.IndexFunc(l.rounds, func(r leaseRound) bool { return r.nonce == ack.Nonce })
@@ -126,7 +126,7 @@
 	if ack.Generation > ownGeneration {
 		round.superseded = true // the caller begins another round once it knows that generation
 	}
-	// Contracts begin and end by each member's own clock: one that is off enforces other rules.
+	// Contracts begin and end by each member's own clock: a member whose clock is wrong enforces other rules.
 	if ack.WallTime < round.startedAt-maxClockSkew || ack.WallTime > now+maxClockSkew {
 		l.recordSkewedClock(ack.From)
 		return false
@@ -137,7 +137,7 @@
 	}
 	round.acknowledged[member] = true
 	round.count(ack, ownGeneration)
-	if l.isVoter && round.sameAsOwn+1 >= l.QuorumSize() {
+	if l.isVoter && round.matchingVotes+1 >= l.QuorumSize() {
 		l.majorityGeneration = max(l.majorityGeneration, ownGeneration)
 	}
 	return l.renew(now, round, duration, uniqueName)
@@ -152,7 +152,7 @@
 
 func (r *leaseRound) count(ack LeaseAcknowledgement, ownGeneration uint64) {
 	if r.ownGeneration != ownGeneration {
-		r.ownGeneration, r.sameAsOwn = ownGeneration, 0
+		r.ownGeneration, r.matchingVotes = ownGeneration, 0
 	}
 	if !ack.Voter {
 		r.nonVoters++
@@ -160,11 +160,11 @@
 	}
 	r.votes++
 	if ack.Generation == ownGeneration {
-		r.sameAsOwn++
+		r.matchingVotes++
 	}
 }
 
-// RenewSoleMember renews the lease of an instance that is the only member, and reports whether it is one.
+// RenewSoleMember renews the lease if this instance is the only member, and reports whether it has renewed it.
 func (l *Lease) RenewSoleMember(now, duration int64) bool {
 	return len(l.members) == 1 && l.members[0] == l.self && l.renew(now, &leaseRound{startedAt: now}, duration, true)
 }
--- a/control/residency/lease_model_test.go
+++ b/control/residency/lease_model_test.go
@@ -16,8 +16,9 @@
 	modelStep  = second / 10
 )
 
-// leaseModel is a fleet whose instances ask each other over links that lose, double and delay messages. One instance is
-// given a stricter policy; the model checks since when no instance runs a shard request under the old one.
+// leaseModel simulates a fleet whose instances renew their leases over links that lose, duplicate and delay messages. One
+// instance is given a stricter policy; the model checks that one lease after a majority has it, no instance runs a shard
+// request that only the old policy allows.
 type leaseModel struct {
 	t      require.TestingT
 	rng    *rand.Rand
@@ -26,24 +27,24 @@
 	loose, strict *Policy // generations 1 and 2
 	compiled      map[uint64]*CompiledPolicy
 
-	now, calmFrom int64 // from then on all links and clocks but one are sound, and nobody restarts
-	names         []string
-	instances     []*modelInstance
-	messages      []modelMessage
-	cutOff        []bool // instances that receive nothing
-	side          []int  // of a partition
-	tightenAt     int64  // when the first instance is given the strict policy
-	tightened     bool
-	majoritySince int64 // when more than half had the strict policy; 0 before
+	now, faultsEndAt int64 // from faultsEndAt on all links work and no instance restarts; one clock may stay wrong
+	names            []string
+	instances        []*modelInstance
+	messages         []modelMessage
+	cutOff           []bool // instances that receive nothing
+	side             []int  // on which side of a partition each instance is
+	tightenAt        int64  // when the first instance is given the strict policy
+	tightened        bool
+	majoritySince    int64 // since when more than half of the instances have the strict policy; 0 before
 }
 
-// leaseModelCounts shows that the drawn histories reach what they are meant to reach.
+// leaseModelCounts counts events, to show that the drawn histories cover what they are meant to cover.
 type leaseModelCounts struct{ renewals, rejections, isolated int }
 
 type modelInstance struct {
 	lease       *Lease
 	registry    *PolicyRegistry
-	stored      *Policy // what its disk holds beside the loose policy
+	stored      *Policy // on its disk, besides the loose policy
 	clockOffset int64
 	nextRound   int64 // by its own clock
 	incarnation int
@@ -54,9 +55,9 @@
 	deliver   func()
 }
 
-func newLeaseModel(t require.TestingT, rng *rand.Rand, counts *leaseModelCounts, size int, calmFrom int64) *leaseModel {
+func newLeaseModel(t require.TestingT, rng *rand.Rand, counts *leaseModelCounts, size int, faultsEndAt int64) *leaseModel {
 	m := &leaseModel{
-		t: t, rng: rng, counts: counts, calmFrom: calmFrom, compiled: map[uint64]*CompiledPolicy{},
+		t: t, rng: rng, counts: counts, faultsEndAt: faultsEndAt, compiled: map[uint64]*CompiledPolicy{},
 		loose:     parsePolicy(t, "generation: 1\nlease: 3s\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-1, us-1]}"),
 		strict:    parsePolicy(t, "generation: 2\nlease: 3s\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-1]}"),
 		instances: make([]*modelInstance, size), cutOff: make([]bool, size), side: make([]int, size),
@@ -76,7 +77,7 @@
 	if size > 2 && rng.Intn(3) == 0 {
 		m.instances[size-1].clockOffset += 3600 * second
 	}
-	m.tightenAt = rng.Int63n(calmFrom / 2)
+	m.tightenAt = rng.Int63n(faultsEndAt / 2)
 	return m
 }
 
@@ -85,7 +86,7 @@
 	require.NoError(m.t, err)
 }
 
-// start starts an instance, with or without what its disk holds. The first one reads the operator's file.
+// start starts or restarts an instance, with or without its disk. The first instance reads the operator's file.
 func (m *leaseModel) start(i int, withDisk bool) {
 	instance := m.instances[i]
 	instance.incarnation++
@@ -99,21 +100,21 @@
 	}
 }
 
-// learn gives an instance the strict policy. It is on the disk before other instances are answered.
-func (m *leaseModel) learn(i int) {
+// learnStrict gives an instance the strict policy, which is on its disk before it answers other instances.
+func (m *leaseModel) learnStrict(i int) {
 	m.instances[i].stored = m.strict
 	m.add(m.instances[i].registry, m.strict)
 }
 
-// send sends a message once or twice. Each copy may be lost or late, and is lost where its receiver restarts meanwhile.
+// send sends a message once or twice. Each copy may be lost or late, and is lost if its receiver restarts meanwhile.
 func (m *leaseModel) send(sentAt int64, from, to int, deliver func()) {
 	for copies := 1 + m.rng.Intn(2); copies > 0; copies-- {
-		if m.side[from] != m.side[to] || m.cutOff[to] || sentAt <= m.calmFrom && m.rng.Intn(8) == 0 {
+		if m.side[from] != m.side[to] || m.cutOff[to] || sentAt <= m.faultsEndAt && m.rng.Intn(8) == 0 {
 			continue
 		}
 		incarnation := m.instances[to].incarnation
 		delay := m.rng.Int63n(2 * modelStep)
-		if sentAt < m.calmFrom && m.rng.Intn(10) == 0 {
+		if sentAt < m.faultsEndAt && m.rng.Intn(10) == 0 {
 			delay = m.rng.Int63n(2 * modelLease)
 		}
 		m.messages = append(m.messages, modelMessage{sentAt + delay, func() {
@@ -138,7 +139,7 @@
 
 // injectFaults partitions, heals, cuts off and restarts instances at random.
 func (m *leaseModel) injectFaults() {
-	if m.now > m.calmFrom {
+	if m.now > m.faultsEndAt {
 		clear(m.cutOff)
 		clear(m.side)
 	} else if m.rng.Intn(30) == 0 {
@@ -147,22 +148,22 @@
 			m.cutOff[i] = m.rng.Intn(6) == 0
 		}
 	}
-	if m.now < m.calmFrom && m.rng.Intn(60) == 0 {
+	if m.now < m.faultsEndAt && m.rng.Intn(60) == 0 {
 		size := len(m.instances)
 		i := m.rng.Intn(size)
 		m.start(i, m.rng.Intn(3) > 0 || size == 1 || m.instances[size-1].clockOffset > second)
 	}
 }
 
-// step lets every instance act once.
+// step advances the fleet by one time step, in which every instance acts once.
 func (m *leaseModel) step() {
 	m.injectFaults()
 	if !m.tightened && m.now >= m.tightenAt {
 		m.tightened = true
-		m.learn(0)
+		m.learnStrict(0)
 	}
 	m.deliverDue()
-	informed := 0
+	votersWithStrict := 0
 	for i, instance := range m.instances {
 		localTime := m.now + instance.clockOffset
 		if instance.lease.RenewSoleMember(localTime, modelLease) {
@@ -173,17 +174,17 @@
 			m.beginRound(i, localTime)
 		}
 		if instance.registry.NewestGeneration() == 2 && instance.lease.IsVoter() {
-			informed++
+			votersWithStrict++
 		}
 	}
-	if informed > len(m.instances)/2 && m.majoritySince == 0 {
+	if votersWithStrict > len(m.instances)/2 && m.majoritySince == 0 {
 		m.majoritySince = m.now
 	}
 	m.requireStrictPolicyAfterOneLease()
 }
 
-// beginRound has an instance ask its peers. An instance that lacks the strict policy gets it with a question, or now
-// and then with an acknowledgement.
+// beginRound has an instance ask its peers. An instance that lacks the strict policy gets it with a question, or at random
+// with an acknowledgement.
 func (m *leaseModel) beginRound(i int, localTime int64) {
 	askedAt, asker := m.now, m.instances[i]
 	nonce, generation := asker.lease.BeginRound(localTime), asker.registry.NewestGeneration()
@@ -191,14 +192,14 @@
 		j, _ := slices.BinarySearch(m.names, name)
 		m.send(askedAt, i, j, func() {
 			if generation == 2 && m.instances[j].registry.NewestGeneration() < 2 {
-				m.learn(j)
+				m.learnStrict(j)
 			}
 			m.acknowledge(askedAt, nonce, i, j)
 		})
 	}
 }
 
-// acknowledge has instance j answer instance i, by its clock at about the time of the question.
+// acknowledge has instance j answer instance i. The times on both clocks are those of the question.
 func (m *leaseModel) acknowledge(askedAt int64, nonce uint64, i, j int) {
 	asker, answerer := m.instances[i], m.instances[j]
 	ack := LeaseAcknowledgement{
@@ -207,7 +208,7 @@
 	}
 	m.send(askedAt, j, i, func() {
 		if ack.Generation == 2 && asker.registry.NewestGeneration() < 2 && m.rng.Intn(2) == 0 {
-			m.learn(i)
+			m.learnStrict(i)
 		}
 		if asker.lease.HandleAcknowledgement(askedAt+asker.clockOffset, ack, asker.registry.NewestGeneration(), modelLease, modelSkew, true) {
 			m.counts.renewals++
@@ -228,7 +229,7 @@
 	}
 }
 
-// requireRecovered checks that all instances have the strict policy, and that all serve but one with a wrong clock.
+// requireRecovered checks that all instances have the strict policy, and that all serve except one with a wrong clock.
 func (m *leaseModel) requireRecovered(end int64) {
 	for i, instance := range m.instances {
 		require.Equal(m.t, uint64(2), instance.registry.NewestGeneration(), "instance %d", i)
@@ -250,11 +251,11 @@
 	m.requireRecovered(end)
 }
 
-// Drawn histories of up to five instances, and one of 300: late, doubled and lost messages, partitions, clocks that
-// differ (one by an hour), ends and starts with and without a disk, while one instance is given a stricter policy. One
-// lease after more than half have it, no instance runs a shard request outside; at the end, with all links back, all
-// have it and serve again.
-func TestStricterPolicyIsInForceEverywhereAfterOneLease(t *testing.T) {
+// Guards against an instance that goes on serving by an old policy. Random histories of up to five instances, and one of
+// 300, have late, duplicated and lost messages, partitions, clocks that differ (one by an hour), and restarts with and
+// without a disk, while one instance is given a stricter policy. One lease after more than half have that policy, no
+// instance runs a shard request that it forbids; at the end, with all links working, all have it and serve again.
+func TestStricterPolicyIsEnforcedEverywhereAfterOneLease(t *testing.T) {
 	var counts leaseModelCounts
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
--- a/control/residency/lease_test.go
+++ b/control/residency/lease_test.go
@@ -10,13 +10,13 @@
 
 var threeMembers = []string{"a", "b", "c"}
 
-// acknowledge hands an answer to a's first round to its lease, while a enforces generation 1.
+// acknowledge passes an acknowledgement with a correct clock to the lease of instance a, which enforces generation 1.
 func acknowledge(lease *Lease, now int64, ack LeaseAcknowledgement) bool {
 	ack.WallTime = now
 	return lease.HandleAcknowledgement(now, ack, 1, testLeaseDuration, second, true)
 }
 
-// A late acknowledgement says nothing about the time since its question.
+// A late acknowledgement says nothing about the time after its question was sent.
 func TestLeaseCountsFromBeginOfRound(t *testing.T) {
 	lease := NewLease("a", threeMembers, true)
 	nonce := lease.BeginRound(second)
@@ -30,8 +30,8 @@
 	lease := NewLease("a", threeMembers, false)
 	nonce := lease.BeginRound(second)
 	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, Voter: true}))
-	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, Voter: true}), "it came twice")
-	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "x", Nonce: nonce, Generation: 1, Voter: true}), "no member")
+	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "b", Nonce: nonce, Generation: 1, Voter: true}), "it has counted already")
+	require.False(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "x", Nonce: nonce, Generation: 1, Voter: true}), "x is not a member")
 	require.True(t, acknowledge(lease, 2*second, LeaseAcknowledgement{From: "c", Nonce: nonce, Generation: 1}), "all have acknowledged")
 	require.False(t, acknowledge(lease, 3*second, LeaseAcknowledgement{From: "b", Nonce: lease.BeginRound(3 * second), Generation: 2, Voter: true}), "a newer generation is known")
 	require.Equal(t, uint64(2), lease.HighestSeenGeneration())
--- a/control/residency/policy.go
+++ b/control/residency/policy.go
@@ -7,18 +7,18 @@
 	"chalkring/config/strictyaml"
 )
 
-// Contract is one contract of a policy. It binds a tenant, one class of a tenant's searches, or a block.
+// Contract is one contract of a policy. It applies to a tenant, to one class of a tenant's searches, or to a block.
 type Contract struct {
 	Tenant, Class     string
-	Block             int // -1 where the contract binds a tenant
+	Block             int // -1 if the contract applies to a tenant
 	Zones             []string
-	From, Until       int64 // wall times; math.MinInt64 and math.MaxInt64 where left out
+	From, Until       int64 // wall times; math.MinInt64 and math.MaxInt64 if left out
 	AllowPartial      bool
 	KeepOnLeaseExpiry bool
-	DefaultAfterEnd   bool // the policy's default holds after the end; otherwise nothing runs then
+	DefaultAfterEnd   bool // after the end the policy's default applies; otherwise nothing may run then
 }
 
-// contractSubject is whom or what a contract binds. Contracts with one subject follow each other in time.
+// contractSubject is what a contract applies to. Contracts on the same subject follow each other in time.
 type contractSubject struct {
 	tenant, class string
 	block         int
@@ -38,23 +38,23 @@
 	return "tenant " + s.tenant
 }
 
-// Policy is a policy file that was read without faults. It is not changed afterwards.
+// Policy is a policy file without faults. It is immutable.
 type Policy struct {
 	Source              string // file or instance that it came from
 	Generation          uint64
-	CompanionGeneration uint64 // an older generation that holds too while this one is the newest; 0 for none
-	EnforcementDeadline int64  // wall time by which it is stated to be in force everywhere; 0 for none
+	CompanionGeneration uint64 // an older generation that also applies while this one is the newest; 0 for none
+	EnforcementDeadline int64  // wall time by which the file wants it enforced everywhere; 0 for none
 	DenyByDefault       bool   // tenants without a contract run nowhere; otherwise anywhere
 	LeaseDuration       int64
-	MaxClockSkew        int64 // by which the clocks of two instances may differ
-	HostHoldDown        int64 // for which a host whose zone has changed is in no zone
+	MaxClockSkew        int64 // maximum difference between the clocks of two instances
+	HostHoldDown        int64 // how long a host is in no zone after its zone has changed
 	Contracts           []Contract
-	Text                []byte // of the file, as it was read
+	Text                []byte // unchanged text of the file
 
 	document *strictyaml.Document // for positions in messages
 }
 
-// ContractPosition returns line and column of a contract in the file.
+// ContractPosition returns the line and column of a contract in the file.
 func (p *Policy) ContractPosition(index int) (line, column int) {
 	path := contractPath(index)
 	if line, column = p.document.Position(path + ".tenant"); line == 0 {
--- a/control/residency/policy_file.go
+++ b/control/residency/policy_file.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	maxFileBytes = 768 << 10 // 10,000 contracts fit; one message between instances holds it
-	maxContracts = 10_000    // of a file: as many as its bytes hold and as the look-up was measured with
+	maxFileBytes = 768 << 10 // fits 10,000 contracts, and itself fits into one message between instances
+	maxContracts = 10_000    // in a file: as many as fit into maxFileBytes and as BenchmarkLookup covers
 
-	defaultLeaseDuration = 5 * second    // a link that flaps for some seconds does not end it
-	minLeaseDuration     = 1 * second    // its three renewal rounds take a second
-	maxLeaseDuration     = 3600 * second // a stricter policy may take as long to be in force everywhere
+	defaultLeaseDuration = 5 * second    // does not expire when a link flaps for some seconds
+	minLeaseDuration     = 1 * second    // its three renewal rounds take one second
+	maxLeaseDuration     = 3600 * second // a stricter policy may take this long to be enforced everywhere
 
-	defaultClockSkew = second / 2  // NTP keeps clocks closer than that everywhere
+	defaultClockSkew = second / 2  // NTP keeps clocks closer together than that
 	maxClockSkew     = 60 * second // a clock that differs by more is unusable
 
-	defaultHostHoldDown = 600 * second    // sources of the endpoint list have caught up by then
+	defaultHostHoldDown = 600 * second    // by then all sources of the endpoint list know the new zone
 	maxHostHoldDown     = 86_400 * second // a day
 )
 
@@ -36,7 +36,7 @@
 	Contracts    *[]contractEntry `yaml:"contracts"`
 }
 
-// IsPolicyFile reports whether a YAML file is a policy: it has contracts or a generation at its top.
+// IsPolicyFile reports whether a YAML file is a policy: it has contracts or generation as a top-level key.
 func IsPolicyFile(text []byte) bool {
 	var top map[string]any
 	_, err := strictyaml.Decode(text, maxFileBytes, &top)
@@ -71,17 +71,17 @@
 func (p *policyParser) parseHeader(file *policyFile) *Policy {
 	policy := &Policy{Generation: file.Generation, CompanionGeneration: file.Beside}
 	if file.Generation == 0 || file.Generation == math.MaxUint64 {
-		p.document.AddError("$.generation", "%d: a number from 1 on that rises with each change is needed", file.Generation)
+		p.document.AddError("$.generation", "%d: must be a number from 1 on that rises with each change", file.Generation)
 	}
 	if file.Beside >= file.Generation && file.Beside > 0 {
-		p.document.AddError("$.beside", "%d is no generation before %d", file.Beside, file.Generation)
+		p.document.AddError("$.beside", "%d is not an earlier generation than %d", file.Beside, file.Generation)
 	}
 	switch file.Default {
 	case "anywhere":
 	case "nowhere":
 		policy.DenyByDefault = true
 	default:
-		p.document.AddError("$.default", "%.40q is neither anywhere nor nowhere: where tenants without a contract run has to be said", file.Default)
+		p.document.AddError("$.default", "%.40q is neither anywhere nor nowhere: state where tenants without a contract may run", file.Default)
 	}
 	policy.EnforcementDeadline = p.parseTime("$.in_force_by", file.InForceBy, 0)
 	policy.LeaseDuration = p.parseDuration("$.lease", file.Lease, durationLimits{defaultLeaseDuration, minLeaseDuration, maxLeaseDuration})
@@ -90,15 +90,15 @@
 	return policy
 }
 
-// parseContracts reads the list of contracts. A missing list is a fault: a truncated file is more likely than a file
-// that means no contracts at all.
+// parseContracts parses the list of contracts. A missing list is a fault, since a truncated file is more likely than one
+// that is meant to have no contracts.
 func (p *policyParser) parseContracts(entries *[]contractEntry) (contracts []Contract) {
 	if entries == nil {
-		p.document.AddError("$", "no contracts; none at all is contracts: []")
+		p.document.AddError("$", "no contracts; write contracts: [] if there are none")
 		return nil
 	}
 	if len(*entries) > maxContracts {
-		p.document.AddError("$.contracts", "%d contracts, %d at the most", len(*entries), maxContracts)
+		p.document.AddError("$.contracts", "%d contracts, but at most %d are allowed", len(*entries), maxContracts)
 		return nil
 	}
 	zones := map[string]bool{}
@@ -108,47 +108,47 @@
 		for _, zone := range contract.Zones {
 			zones[zone] = true
 			if len(zones) == maxZones+1 {
-				p.document.AddError(contractPath(i)+".zones", "over %d zones in a file", maxZones)
+				p.document.AddError(contractPath(i)+".zones", "more than %d zones in a file", maxZones)
 			}
 		}
 	}
 	return contracts
 }
 
-// parseTime reads a wall time. Missing is its value where the text is empty or wrong.
-func (p *policyParser) parseTime(path, text string, missing int64) int64 {
+// parseTime parses a wall time. It returns defaultTime if the text is empty or invalid.
+func (p *policyParser) parseTime(path, text string, defaultTime int64) int64 {
 	if text == "" {
-		return missing
+		return defaultTime
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil || t.Unix() <= 0 {
-		p.document.AddError(path, "%.40q is no time such as 2026-12-01T00:00:00Z", text)
-		return missing
+		p.document.AddError(path, "%.40q is not a time such as 2026-12-01T00:00:00Z", text)
+		return defaultTime
 	}
 	return ticksFromMicroseconds(t.UnixMicro())
 }
 
-// durationLimits are a setting's default and bounds, in ticks.
-type durationLimits struct{ missing, min, max int64 }
+// durationLimits are the default and the bounds of a duration, in ticks.
+type durationLimits struct{ defaultValue, min, max int64 }
 
 func (p *policyParser) parseDuration(path, text string, limits durationLimits) int64 {
 	if text == "" {
-		return limits.missing
+		return limits.defaultValue
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		p.document.AddError(path, "%.40q is no time such as 5s", text)
-		return limits.missing
+		p.document.AddError(path, "%.40q is not a duration such as 5s", text)
+		return limits.defaultValue
 	}
 	ticks := ticksFromMicroseconds(duration.Microseconds())
 	if ticks < limits.min || ticks > limits.max {
-		p.document.AddError(path, "%v is not from %v to %v", duration, durationFromTicks(limits.min), durationFromTicks(limits.max))
-		return limits.missing
+		p.document.AddError(path, "%v is not between %v and %v", duration, durationFromTicks(limits.min), durationFromTicks(limits.max))
+		return limits.defaultValue
 	}
 	return ticks
 }
 
-// parseChoice reports whether a text is the second of two keywords. An empty text is the first.
+// parseChoice reports whether a text is the second of two keywords. An empty text counts as the first.
 func (p *policyParser) parseChoice(path, text, first, second string) bool {
 	if text != "" && text != first && text != second {
 		p.document.AddError(path, "%.40q is neither %s nor %s", text, first, second)
--- a/control/residency/policy_file_test.go
+++ b/control/residency/policy_file_test.go
@@ -30,24 +30,24 @@
 
 func TestParsePolicyReportsEachFaultWithPositionAndAdvice(t *testing.T) {
 	for text, want := range map[string]string{
-		"default: anywhere\ncontracts: []":                                                            "generation: 0: a number from 1 on",
+		"default: anywhere\ncontracts: []":                                                            "generation: 0: must be a number from 1 on",
 		"generation: 3\ncontracts: []":                                                                "default: \"\" is neither",
 		policyHeader:                                                                                  "no contracts",
-		policyHeader + "beside: 3\ncontracts: []":                                                     "[3:9] beside: 3 is no generation before 3",
-		policyHeader + "lease: 10ms\ncontracts: []":                                                   "[3:8] lease: 10ms is not from 1s",
+		policyHeader + "beside: 3\ncontracts: []":                                                     "[3:9] beside: 3 is not an earlier generation than 3",
+		policyHeader + "lease: 10ms\ncontracts: []":                                                   "[3:8] lease: 10ms is not between 1s",
 		policyHeader + "contracts:\n- {tenant: acmee, zones: [eu-1]}":                                 "[4:12] contracts[0].tenant: unknown tenant \"acmee\"",
 		policyHeader + "contracts:\n- {tenant: acme, class: x, zones: [eu-1]}":                        "[4:25] contracts[0].class: unknown class \"x\"",
 		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1, eu-9]}":                            "[4:32] contracts[0].zones[1]: unknown zone \"eu-9\"",
-		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1, eu-1]}":                            "[4:32] contracts[0].zones[1]: zone \"eu-1\" is there twice",
+		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1, eu-1]}":                            "[4:32] contracts[0].zones[1]: zone \"eu-1\" is listed twice",
 		policyHeader + "contracts:\n- {tenant: acme}":                                                 "names no zones",
-		policyHeader + "contracts:\n- {block: 4, zones: [eu-1]}":                                      "[4:11] contracts[0].block: 4 is no block",
+		policyHeader + "contracts:\n- {block: 4, zones: [eu-1]}":                                      "[4:11] contracts[0].block: 4 is not a block number",
 		policyHeader + "contracts:\n- {block: 1, tenant: acme, zones: [eu-1]}":                        "not both",
 		policyHeader + "contracts:\n- {zones: [eu-1]}":                                                "neither a tenant nor a block",
-		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1], from: x}":                         "is no time such as",
+		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1], from: x}":                         "is not a time such as",
 		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1], otherwise: widen}":                "\"widen\" is neither refuse nor part",
-		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1], after: default}":                  "no end to come after",
-		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1]}\n- {tenant: acme, zones: [eu-2]}": "[5:3] contracts[1].from: tenant acme has two contracts at once: that of line 4",
-		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1], until: 2027-01-01T00:00:00Z}\n- {tenant: acme, zones: [eu-2], from: 2027-01-02T00:00:00Z}": "[5:39] contracts[1].from: tenant acme has a gap of 24h0m0s after the contract of line 4",
+		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1], after: default}":                  "after: applies only to a contract with until",
+		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1]}\n- {tenant: acme, zones: [eu-2]}": "[5:3] contracts[1].from: tenant acme has two contracts at the same time: the one in line 4",
+		policyHeader + "contracts:\n- {tenant: acme, zones: [eu-1], until: 2027-01-01T00:00:00Z}\n- {tenant: acme, zones: [eu-2], from: 2027-01-02T00:00:00Z}": "[5:39] contracts[1].from: tenant acme has a gap of 24h0m0s after the contract in line 4",
 		policyHeader + "contracts: []\nzone: x": "unknown field",
 	} {
 		_, err := ParsePolicy("file", []byte(text), testSite)
@@ -99,7 +99,7 @@
 	})
 	require.Len(t, unreachable, 3)
 	require.Equal(t, "file: [4:12] tenant acme could not reach blocks 0, 2-3: its searches there are refused", unreachable[0].Error())
-	require.Equal(t, "file: [5:11] block 3 could not reach block 3: its searches there lack them, or are refused", unreachable[1].Error())
+	require.Equal(t, "file: [5:11] block 3 could not reach block 3: its searches there get partial answers or are refused", unreachable[1].Error())
 	var asError *UnreachableBlocksError
 	require.True(t, errors.As(fmt.Errorf("x: %w", unreachable[2]), &asError))
 }
--- a/control/residency/policy_registry.go
+++ b/control/residency/policy_registry.go
@@ -6,22 +6,23 @@
 	"slices"
 )
 
-// maxConflictingPolicies limits the differing policies of one generation that are kept: one a region. With more of them
-// the generation counts as incomplete.
+// maxConflictingPolicies limits how many policies of one generation with different texts are kept: one per region. With
+// more of them the compiled policy is Incomplete.
 const maxConflictingPolicies = 4
 
-// PolicyRegistry keeps the policies that count: the newest generation, in each differing text that is known, and the
-// companion generations that it names. The same policies added in any order, once or often, leave the same registry.
-// It is not safe for concurrent use. The zero value is empty and ready.
+// PolicyRegistry holds the policies that apply: all known texts of the newest generation, and the companion generations
+// that these name. The order of additions does not matter, nor do repeated ones, but a companion that was stale when it
+// came has to be added again once a policy names it. A PolicyRegistry is not safe for concurrent use. The zero value is
+// empty and ready to use.
 type PolicyRegistry struct {
 	newest       uint64
-	byGeneration map[uint64][]*Policy // all differing policies of a generation, sorted by text
-	overflowed   map[uint64]bool      // generations with more differing policies than are kept
+	byGeneration map[uint64][]*Policy // known policies of each generation, sorted by text
+	overflowed   map[uint64]bool      // generations with more conflicting policies than are kept
 }
 
-// AddPolicy adds a policy and reports whether that changes what is in force. The error says what an operator has to
-// know: a StalePolicyError changes nothing; a policy with a ConflictingPoliciesError is kept beside the other one, so
-// that both hold.
+// AddPolicy adds a policy and reports whether that changes the rules. The error is meant for the operator. With a
+// StalePolicyError the policy is ignored. With a ConflictingPoliciesError it is kept together with the other policy of
+// its generation, up to maxConflictingPolicies, and both apply.
 func (r *PolicyRegistry) AddPolicy(policy *Policy) (changed bool, err error) {
 	if r.byGeneration == nil {
 		r.byGeneration, r.overflowed = map[uint64][]*Policy{}, map[uint64]bool{}
@@ -49,7 +50,7 @@
 	return true, err
 }
 
-// dropUnneeded removes the generations that no longer hold.
+// dropUnneeded removes the generations that no longer apply.
 func (r *PolicyRegistry) dropUnneeded() {
 	required := r.requiredGenerations()
 	for generation := range r.byGeneration {
@@ -60,7 +61,7 @@
 	}
 }
 
-// requiredGenerations are those that hold: the newest and the companions that its policies name.
+// requiredGenerations returns those that apply: the newest and the companions that its policies name.
 func (r *PolicyRegistry) requiredGenerations() map[uint64]bool {
 	required := map[uint64]bool{r.newest: true}
 	for _, policy := range r.byGeneration[r.newest] {
@@ -82,7 +83,7 @@
 	return policies
 }
 
-// MissingPolicy returns the oldest required policy that is not known, nil where there is none.
+// MissingPolicy returns an error for the oldest required generation that is not known, nil if all are known.
 func (r *PolicyRegistry) MissingPolicy() *MissingPolicyError {
 	for _, generation := range slices.Sorted(maps.Keys(r.requiredGenerations())) {
 		if len(r.byGeneration[generation]) == 0 && generation > 0 {
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// Compile returns what is in force while the lease lasts until leaseExpiry, nil while no policy is known. Where policies
-// state different durations the stricter one holds.
+// Compile compiles the policies that apply, with a lease that lasts until leaseExpiry. It returns nil while no policy is
+// known. If policies state different durations, the stricter one applies.
 func (r *PolicyRegistry) Compile(leaseExpiry int64) *CompiledPolicy {
 	if r.newest == 0 {
 		return nil
@@ -115,7 +116,7 @@
 	return compiled
 }
 
-// earlierDeadline returns the earlier of two deadlines, of which 0 stands for none.
+// earlierDeadline returns the earlier of two deadlines; 0 stands for no deadline.
 func earlierDeadline(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return max(a, b)
--- a/control/residency/policy_registry_test.go
+++ b/control/residency/policy_registry_test.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	oldZones = "generation: 3\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-1, eu-2]}"
-	newZones = "generation: 4\nbeside: 3\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-2, us-1]}\n- {tenant: bolt, zones: [us-1]}"
+	oldPolicy = "generation: 3\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-1, eu-2]}"
+	newPolicy = "generation: 4\nbeside: 3\ndefault: anywhere\ncontracts:\n- {tenant: acme, zones: [eu-2, us-1]}\n- {tenant: bolt, zones: [us-1]}"
 )
 
 func TestStricterOfCompanionPoliciesHolds(t *testing.T) {
-	policy := compileTexts(t, never, oldZones, newZones)
+	policy := compileTexts(t, never, oldPolicy, newPolicy)
 	require.True(t, policy.allows(1, "acme", "deep", 0, "eu-2"))
 	require.False(t, policy.allows(1, "acme", "deep", 0, "eu-1"))
 	require.False(t, policy.allows(1, "acme", "deep", 0, "us-1"))
 	require.False(t, policy.allows(1, "bolt", "deep", 0, "eu-1"))
-	withoutCompanion := strings.Replace(strings.Replace(newZones, "4", "5", 1), "beside: 3\n", "", 1)
-	policy = compileTexts(t, never, oldZones, newZones, withoutCompanion)
+	withoutCompanion := strings.Replace(strings.Replace(newPolicy, "4", "5", 1), "beside: 3\n", "", 1)
+	policy = compileTexts(t, never, oldPolicy, newPolicy, withoutCompanion)
 	require.True(t, policy.allows(1, "acme", "deep", 0, "us-1"))
 }
 
 func TestAddPolicyReportsMissingStaleAndConflictingPolicies(t *testing.T) {
 	var registry PolicyRegistry
-	changed, err := registry.AddPolicy(parsePolicy(t, newZones))
+	changed, err := registry.AddPolicy(parsePolicy(t, newPolicy))
 	require.NoError(t, err)
 	require.True(t, changed)
 	require.Equal(t, &MissingPolicyError{4, 3}, registry.MissingPolicy())
-	changed, err = registry.AddPolicy(parsePolicy(t, oldZones))
+	changed, err = registry.AddPolicy(parsePolicy(t, oldPolicy))
 	require.NoError(t, err)
 	require.True(t, changed)
 	require.Nil(t, registry.MissingPolicy())
-	_, err = registry.AddPolicy(parsePolicy(t, strings.Replace(oldZones, "3", "2", 1)))
+	_, err = registry.AddPolicy(parsePolicy(t, strings.Replace(oldPolicy, "3", "2", 1)))
 	require.True(t, advice.HasType[*StalePolicyError](err))
-	changed, err = registry.AddPolicy(parsePolicy(t, strings.Replace(newZones, "us-1", "eu-1", 1)))
+	changed, err = registry.AddPolicy(parsePolicy(t, strings.Replace(newPolicy, "us-1", "eu-1", 1)))
 	require.True(t, changed)
 	require.True(t, advice.HasType[*ConflictingPoliciesError](err))
 	require.False(t, registry.Compile(never).allows(1, "acme", "deep", 0, "us-1"))
 }
 
-// The newest generation never falls, and policies that are added in any order, once or often, give the same registry.
+// The newest generation never falls, and the order and number of additions of policies do not change the registry.
 func TestOrderOfPoliciesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policies := drawPolicies(t)
@@ -61,7 +61,7 @@
 	})
 }
 
-// drawPolicies draws up to two differing policies of each of five generations.
+// drawPolicies draws up to two different policies of each of five generations.
 func drawPolicies(t *rapid.T) (policies []*Policy) {
 	for generation := 1; generation <= 5; generation++ {
 		for n := rapid.IntRange(0, 2).Draw(t, "policies"); n > 0; n-- {
@@ -73,12 +73,12 @@
 	return policies
 }
 
-// addInOrder adds policies twice: a companion that came before the policy that names it is taken the second time.
+// addInOrder adds all policies twice, since a companion may be stale until the policy that names it has been added.
 func addInOrder(t *rapid.T, policies []*Policy) *PolicyRegistry {
 	registry := &PolicyRegistry{}
 	for _, policy := range policies {
 		before := registry.NewestGeneration()
-		_, _ = registry.AddPolicy(policy) // stale and conflicting ones are among them
+		_, _ = registry.AddPolicy(policy) // some are stale or conflicting
 		require.GreaterOrEqual(t, registry.NewestGeneration(), before)
 	}
 	for _, policy := range policies {
@@ -87,7 +87,7 @@
 	return registry
 }
 
-// requireNoPolicyIsStricter checks that what is in force allows nothing that one of its policies forbids.
+// requireNoPolicyIsStricter checks that the registry's compiled policy allows nothing that one of its policies forbids.
 func requireNoPolicyIsStricter(t *rapid.T, registry *PolicyRegistry) {
 	for _, zone := range testSite.Zones {
 		allowed := registry.Compile(never).allows(1, "acme", "deep", 0, zone)
--- a/control/residency/policy_table.go
+++ b/control/residency/policy_table.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// contractPeriod is the time of one contract with its rule.
+// contractPeriod is the period of one contract with its rule.
 type contractPeriod struct {
 	from, until     int64
 	rule            Rule
 	defaultAfterEnd bool
 }
 
-// contractTimeline holds the contracts on one subject in the order of time.
+// contractTimeline holds the contracts on one subject in order of time.
 type contractTimeline []contractPeriod
 
 // tenantContracts are the contracts on one tenant.
@@ -28,11 +28,11 @@
 	blocks       map[int]contractTimeline
 	defaultRule  Rule
 	maxClockSkew int64
-	changeTimes  []int64 // at which some contract begins or ends by some clock, in ascending order
+	changeTimes  []int64 // when a contract begins or ends by the fastest or slowest allowed clock, in ascending order
 }
 
-// compilePolicy makes the table of a policy. It adds the zones of its contracts to zoneIndexes, which the tables of all
-// policies in force share.
+// compilePolicy compiles a policy to a table. It adds the zones of its contracts to zoneIndexes, which all tables of a
+// CompiledPolicy share.
 func compilePolicy(policy *Policy, zoneIndexes map[string]int) *policyTable {
 	table := &policyTable{
 		tenants: map[string]*tenantContracts{}, blocks: map[int]contractTimeline{},
@@ -55,7 +55,7 @@
 		index, known := zoneIndexes[zone]
 		if !known {
 			index = len(zoneIndexes)
-			if index >= maxZones { // it is left out of the set, which only makes the rule stricter
+			if index >= maxZones { // left out of the set, which only makes the rule stricter
 				continue
 			}
 			zoneIndexes[zone] = index
@@ -107,8 +107,8 @@
 	slices.SortFunc(l, func(a, b contractPeriod) int { return cmp.Compare(a.from, b.from) })
 }
 
-// ruleAt returns the rule at one time. It does not exist where no contract has begun, or where the last contract says
-// that the default comes after it.
+// ruleAt returns the rule at the time now. No rule exists if no contract has begun, or if the last one has ended and the
+// policy's default applies after it.
 func (l contractTimeline) ruleAt(now int64) (rule Rule, exists bool) {
 	for i := len(l) - 1; i >= 0; i-- {
 		period := &l[i]
@@ -125,8 +125,8 @@
 	return Rule{}, false
 }
 
-// ruleAround returns the strictest of the rules shortly before and after a time, since other instances' clocks may be
-// behind or ahead by maxClockSkew.
+// ruleAround returns the strictest combination of the rules maxClockSkew before and after a time, since other instances'
+// clocks may be behind or ahead by as much.
 func (l contractTimeline) ruleAround(now, maxClockSkew int64) (rule Rule, exists bool) {
 	if len(l) == 0 {
 		return rule, false
@@ -139,13 +139,13 @@
 	return rule.strictest(later), exists || laterExists
 }
 
-// isPermanent reports whether the timeline is one contract without begin and end.
+// isPermanent reports whether the timeline is a single contract without a beginning or an end.
 func (l contractTimeline) isPermanent() bool {
 	return len(l) == 1 && l[0].from == math.MinInt64 && l[0].until == never
 }
 
-// ruleFor returns the strictest rule of all contracts of the policy that apply to a tenant's class and a block, -1 for
-// no block.
+// ruleFor returns the strictest combination of all contracts of the policy that apply to a tenant's class and to a block;
+// -1 stands for no block.
 func (t *policyTable) ruleFor(now int64, tenant, class string, block int) Rule {
 	rule, exists := Rule{}, false
 	if contracts := t.tenants[tenant]; contracts != nil {
--- a/control/residency/residency.go
+++ b/control/residency/residency.go
@@ -1,8 +1,9 @@
 // Package residency decides in which zones the shard requests of a tenant's searches may run.
 //
-// A Policy is an operator's file of contracts. A PolicyRegistry keeps the known policies, whose generations only rise,
-// and compiles them into a CompiledPolicy: an immutable table that answers in under 100 ns. A Lease tells until when the
-// newest known generation is certain to be the newest in the fleet. HostZones tells which zone a host is in.
+// A Policy is one version of the operator's file of contracts; its version number, the generation, rises with each
+// change. A PolicyRegistry holds the policies that apply and compiles them into a CompiledPolicy: an immutable table with
+// look-ups of under 100 ns. A Lease states until when the newest known generation is certain to be the newest in the
+// fleet. HostZones states which zone a host is in.
 //
 // The package has no I/O. All times and durations are in tenths of a millisecond (ticks); wall times count from 1970,
 // and clocks are passed in by the caller. Wherever the package cannot be certain, it denies. docs/residency.md states
@@ -17,7 +18,7 @@
 const (
 	tick   = 100 * time.Microsecond // unit of all times and durations of this package
 	second = 10_000                 // in ticks
-	never  = math.MaxInt64          // a time that does not come
+	never  = math.MaxInt64          // a time that is never reached
 )
 
 // ticksFromMicroseconds converts to the unit of this package.
--- a/control/residency/rule.go
+++ b/control/residency/rule.go
@@ -1,6 +1,6 @@
 package residency
 
-// maxZones limits the distinct zones that all policies in force name together: the bits of a ZoneSet.
+// maxZones limits the distinct zones that the policies of a CompiledPolicy name together: a ZoneSet has a bit for each.
 const maxZones = 256
 
 // ZoneSet is a set of zones, by the indexes that CompiledPolicy.ZoneIndex gives.
@@ -20,20 +20,20 @@
 	return z
 }
 
-// Rule is what holds for the shard requests of a search at one time.
+// Rule states where the shard requests of a search may run at one time.
 type Rule struct {
 	Zones             ZoneSet // where they may run, if Restricted
 	Restricted        bool    // some contract or the default limits the zones; otherwise they may run anywhere
-	AllowPartial      bool    // a partial answer will do where a block cannot be reached and the search type allows it
-	KeepOnLeaseExpiry bool    // the known policy goes on to hold after the lease has expired
-	ContractEnded     bool    // a contract has ended and nothing follows it
-	LeaseExpired      bool    // the lease has expired or a policy is missing: nothing runs
+	AllowPartial      bool    // a partial answer is acceptable if a block cannot be reached and the search type allows it
+	KeepOnLeaseExpiry bool    // the known policy still applies after the lease has expired
+	ContractEnded     bool    // a contract has ended and nothing follows it: nothing may run
+	LeaseExpired      bool    // the lease has expired or a policy is missing: nothing may run
 }
 
 // AllowsZone reports whether a shard request may run in a zone; -1 stands for no zone.
 func (r *Rule) AllowsZone(zone int) bool { return !r.Restricted || r.Zones.Contains(zone) }
 
-// strictest combines two rules so that both are kept.
+// strictest combines two rules so that both are met.
 func (r Rule) strictest(other Rule) Rule {
 	switch {
 	case !other.Restricted:
