--- a/control/shadow/comparator.go
+++ b/control/shadow/comparator.go
@@ -6,26 +6,26 @@
 	"chalkring/balancer"
 )
 
-// maxKeptTimes limits the times kept for a retry budget: many times what a coordinator handles within its window.
+// maxKeptTimes limits the times kept for a retry budget: many times the requests that a coordinator handles in its window.
 const maxKeptTimes = 1e6
 
-// firstStep is the step of a search whose parts and answers are compared.
+// firstStep is the only step of a search whose shard requests and answer are compared.
 const firstStep = 1
 
-// Comparator is a balancer whose decisions are compared. It forwards all calls in both directions unchanged. Like the
+// Comparator wraps a balancer and compares its decisions. It forwards all calls in both directions unchanged. Like the
 // balancer it belongs to one goroutine.
 type Comparator struct {
 	balancer.Balancer
-	actions       balancer.Actions
-	counts        *DivergenceCounts
-	inForce, next settings
-	now           int64
+	actions        balancer.Actions
+	counts         *DivergenceCounts
+	active, shadow settings
+	now            int64
 
 	searches         map[uint64]*search
 	searchesByNumber map[uint64]*search
 	shardRequests    map[uint64]*shardRequest
 	replicas         map[string]*replica
-	listed           map[string]bool // by the endpoint list that is being taken
+	listed           map[string]bool // hosts in the endpoint list that is being received
 	requestTimes     []int64
 	retryTimes       []int64
 }
@@ -49,14 +49,14 @@
 
 type replica struct {
 	startedAt     int64
-	drainingSince int64 // 0 where it does not drain
+	drainingSince int64 // 0 if it is not draining
 }
 
-// New returns a comparator around the balancer that newBalancer makes for it. InForce are the settings that the balancer
-// starts with, next those that its decisions are compared with. Actions carries the decisions out.
-func New(actions balancer.Actions, inForce, next map[string]string, counts *DivergenceCounts, newBalancer func(actions balancer.Actions) balancer.Balancer) *Comparator {
+// New returns a comparator around the balancer that newBalancer creates. Active are the settings that the balancer starts
+// with, and shadow those that its decisions are compared with. Actions carries out the decisions.
+func New(actions balancer.Actions, active, shadow map[string]string, counts *DivergenceCounts, newBalancer func(actions balancer.Actions) balancer.Balancer) *Comparator {
 	c := &Comparator{
-		actions: actions, counts: counts, inForce: inForce, next: next, searches: map[uint64]*search{}, searchesByNumber: map[uint64]*search{},
+		actions: actions, counts: counts, active: active, shadow: shadow, searches: map[uint64]*search{}, searchesByNumber: map[uint64]*search{},
 		shardRequests: map[uint64]*shardRequest{}, replicas: map[string]*replica{}, listed: map[string]bool{},
 	}
 	c.Balancer = newBalancer(c)
@@ -86,9 +86,10 @@
 	c.Balancer.AddEndpoint(id, zone, kind, cell, status, units, since)
 }
 
-// CommitEndpoints is part of balancer.Balancer. It forgets replicas that have left for longer than either grace period.
+// CommitEndpoints is part of balancer.Balancer. It forgets unlisted replicas once they have drained for twice the longer of
+// the two grace periods.
 func (c *Comparator) CommitEndpoints(how string, revision int64) {
-	grace := max(c.inForce.duration(drainGraceSetting), c.next.duration(drainGraceSetting))
+	grace := max(c.active.duration(drainGraceSetting), c.shadow.duration(drainGraceSetting))
 	isComplete := how != "Partial" && how != "Error"
 	for id, r := range c.replicas {
 		if c.listed[id] {
@@ -158,8 +159,8 @@
 			c.compareAnswer(s)
 		}
 		s.step++
-		hasSecondStep := c.inForce.floatAt(secondStepSetting, s.searchType, 0) != 0
-		if s.step > firstStep+1 || !hasSecondStep {
+		hasFollowUp := c.active.floatAt(followUpSetting, s.searchType, 0) != 0
+		if s.step > firstStep+1 || !hasFollowUp {
 			c.endSearch(s)
 		}
 	}
@@ -168,8 +169,8 @@
 
 // ShedSearch is part of balancer.Actions.
 func (c *Comparator) ShedSearch(id uint64, retryIn int64) {
-	c.countIf(KindRetryAfter, c.next.retryAfter(retryIn) != c.inForce.retryAfter(retryIn) ||
-		c.inForce.bool(retryAfterSetting) != c.next.bool(retryAfterSetting))
+	c.countIf(KindRetryAfter, c.shadow.retryAfter(retryIn) != c.active.retryAfter(retryIn) ||
+		c.active.bool(retryAfterSetting) != c.shadow.bool(retryAfterSetting))
 	c.endUnanswered(c.searches[id])
 	c.actions.ShedSearch(id, retryIn)
 }
@@ -198,10 +199,10 @@
 // LogMessage is part of balancer.Actions.
 func (c *Comparator) LogMessage(text string) { c.actions.LogMessage(text) }
 
-// appendNow appends the time of this iteration, and drops those that neither retry budget needs once they are more than
-// half of all.
+// appendNow appends the time of this iteration. It drops times that are outside the windows of both retry budgets once
+// they are more than half of all, and the oldest ones once maxKeptTimes are kept.
 func (c *Comparator) appendNow(times []int64) []int64 {
-	window := max(c.inForce.duration(retryWindowSetting), c.next.duration(retryWindowSetting))
+	window := max(c.active.duration(retryWindowSetting), c.shadow.duration(retryWindowSetting))
 	if window == 0 {
 		return times
 	}
@@ -212,7 +213,7 @@
 	return append(times, c.now)
 }
 
-// endUnanswered ends a search without an answer. What has arrived of it might have been answered.
+// endUnanswered ends a search without an answer. The shadow settings might have allowed one with what has arrived.
 func (c *Comparator) endUnanswered(s *search) {
 	if s != nil && s.step == firstStep {
 		c.compareAnswer(s)
--- a/control/shadow/comparison.go
+++ b/control/shadow/comparison.go
@@ -1,22 +1,22 @@
 package shadow
 
-// countIf counts a decision if it differs.
-func (c *Comparator) countIf(kind int, differs bool) {
-	if differs {
+// countIf counts a decision of a kind if it diverges.
+func (c *Comparator) countIf(kind int, diverges bool) {
+	if diverges {
 		c.counts[kind].Add(1)
 	}
 }
 
-// compare counts a decision if a check of it has different results under the two sets of settings.
+// compare counts a decision of a kind if a check of it has different results under the two sets of settings.
 func (c *Comparator) compare(kind int, check func(settings) bool) {
-	c.countIf(kind, check(c.inForce) != check(c.next))
+	c.countIf(kind, check(c.active) != check(c.shadow))
 }
 
 // compareAttempt compares the decision to send an attempt to a replica, nil for an unknown one.
 func (c *Comparator) compareAttempt(request *shardRequest, to *replica) {
 	search := request.search
 	if request.attempts == 0 && search.step == firstStep {
-		c.compare(KindExtraPart, func(s settings) bool {
+		c.compare(KindExtraShardRequest, func(s settings) bool {
 			return search.sentWeight < s.requiredWeight(search.searchType)-weightTolerance
 		})
 		search.sentWeight += request.weight
@@ -27,17 +27,17 @@
 		c.retryTimes = c.appendNow(c.retryTimes)
 	}
 	if request.inFlight > 0 {
-		c.compare(KindHedgedRequest, func(s settings) bool { return s.bool(hedgingSetting) })
+		c.compare(KindHedgedAttempt, func(s settings) bool { return s.bool(hedgingSetting) })
 	}
 	if to != nil {
-		c.compare(KindSlowStartShare, func(s settings) bool { return s.isWarmingUp(c.now, to.startedAt) })
+		c.compare(KindSlowStart, func(s settings) bool { return s.isWarmingUp(c.now, to.startedAt) })
 		c.compare(KindDraining, func(s settings) bool { return s.isPastDrainGrace(c.now, to.drainingSince) })
 	}
 }
 
-// compareAnswer compares what is answered of a search's parts.
+// compareAnswer compares whether a search's answered shard requests suffice for an answer, and for a complete one.
 func (c *Comparator) compareAnswer(s *search) {
-	allowed, complete := c.inForce.checkAnswer(s.searchType, s.answeredWeight)
-	nextAllowed, nextComplete := c.next.checkAnswer(s.searchType, s.answeredWeight)
-	c.countIf(KindPartialAnswer, allowed != nextAllowed || allowed && complete != nextComplete)
+	allowed, complete := c.active.checkAnswer(s.searchType, s.answeredWeight)
+	shadowAllowed, shadowComplete := c.shadow.checkAnswer(s.searchType, s.answeredWeight)
+	c.countIf(KindPartialAnswer, allowed != shadowAllowed || allowed && complete != shadowComplete)
 }
--- a/control/shadow/settings.go
+++ b/control/shadow/settings.go
@@ -10,7 +10,7 @@
 const (
 	requiredWeightSetting = "Specifics.NeedByClass" // for a complete answer, by search type
 	minimumWeightSetting  = "Specifics.ClassFloor"  // for a partial answer, by search type
-	secondStepSetting     = "Specifics.FollowUp"    // by search type
+	followUpSetting       = "Specifics.FollowUp"    // by search type
 	maxAttemptsSetting    = "Permissions.MaxAttempts"
 	hedgingSetting        = "Permissions.SecondCopies"
 	retryAfterSetting     = "Permissions.RetryAfter"
@@ -23,41 +23,41 @@
 )
 
 const (
-	// weightTolerance is by how much summed weights may miss a limit: the rules' own tolerance for rounding.
+	// weightTolerance is by how much sums of rounded weights may fall short of a limit; the balancer uses the same one.
 	weightTolerance = 1e-4
 
 	ticksPerMillisecond = 10 // settings are in milliseconds
 )
 
-// settings is one set of settings, as far as actions are checked against it.
+// settings is one set of settings, by name. Its methods check actions against them.
 type settings map[string]string
 
-func (s settings) float(name string, missing float64) float64 {
-	return parseFloat(s[name], missing)
+func (s settings) float(name string, defaultValue float64) float64 {
+	return parseFloat(s[name], defaultValue)
 }
 
-// floatAt returns an item of a list.
-func (s settings) floatAt(name string, index int, missing float64) float64 {
+// floatAt returns one item of a comma-separated list.
+func (s settings) floatAt(name string, index int, defaultValue float64) float64 {
 	items := strings.Split(s[name], ",")
 	if index >= len(items) {
-		return missing
+		return defaultValue
 	}
-	return parseFloat(items[index], missing)
+	return parseFloat(items[index], defaultValue)
 }
 
-func parseFloat(text string, missing float64) float64 {
+func parseFloat(text string, defaultValue float64) float64 {
 	if value, err := strconv.ParseFloat(text, 64); err == nil {
 		return value
 	}
-	return missing
+	return defaultValue
 }
 
 func (s settings) bool(name string) bool { return s[name] == "true" || s[name] == "1" }
 
-// duration returns a duration in tenths of a millisecond, 0 where it is missing.
+// duration returns a duration in tenths of a millisecond, 0 if it is missing.
 func (s settings) duration(name string) int64 { return int64(s.float(name, 0) * ticksPerMillisecond) }
 
-// retryAfter returns the time that the client of a shed search gets, of the intended one; 0 for none.
+// retryAfter returns the Retry-After that the client of a shed search gets if the balancer intends a given one; 0 for none.
 func (s settings) retryAfter(intended int64) int64 {
 	if !s.bool(retryAfterSetting) {
 		return 0
@@ -69,7 +69,7 @@
 	return s.floatAt(requiredWeightSetting, searchType, 1)
 }
 
-// checkAnswer reports whether parts of this weight may be answered, and whether they are a complete answer.
+// checkAnswer reports whether shard requests of a total weight allow an answer, and whether that answer is complete.
 func (s settings) checkAnswer(searchType int, weight float64) (allowed, complete bool) {
 	required, minimum := s.requiredWeight(searchType), s.floatAt(minimumWeightSetting, searchType, 1)
 	return weight > 0 && weight >= min(required, minimum)-weightTolerance, weight >= required-weightTolerance
@@ -80,12 +80,13 @@
 	return startedAt > 0 && now < startedAt+s.duration(slowStartSetting)
 }
 
-// isPastDrainGrace reports whether a replica that drains since a time, 0 for not, should get nothing more.
+// isPastDrainGrace reports whether a replica that has been draining since a time should get no more attempts. The time is 0
+// if it is not draining.
 func (s settings) isPastDrainGrace(now, drainingSince int64) bool {
 	return drainingSince > 0 && now > drainingSince+s.duration(drainGraceSetting)
 }
 
-// allowsRetry reports whether one more retry keeps to the budget, by the times of requests and of retries.
+// allowsRetry reports whether one more retry stays within the budget, given the times of earlier requests and retries.
 func (s settings) allowsRetry(now int64, requestTimes, retryTimes []int64) bool {
 	window := s.duration(retryWindowSetting)
 	if window == 0 {
--- a/control/shadow/shadow_test.go
+++ b/control/shadow/shadow_test.go
@@ -13,7 +13,7 @@
 	"chalkring/balancer"
 )
 
-// commonSettings are settings as plans have them: search type 0 needs six tenths of its parts, type 1 all.
+// commonSettings are settings like those of a plan: search type 0 needs six tenths of its shard requests, type 1 all.
 var commonSettings = map[string]string{
 	"Tick": "5", "Balancers": "2", "Specifics.Sets": "2", "Specifics.Reach": "1",
 	"Specifics.PerCall": "1", "Classes.count": "2", "Classes.0.Aim": "1500", "Classes.0.Effect": "retryable",
@@ -32,14 +32,14 @@
 	return changed
 }
 
-// recorder carries out a balancer's actions and records them. Attempts succeed, fail or time out at random, from the
-// seed alone: the same attempts have the same outcomes.
+// recorder carries out a balancer's actions and records them. Attempts succeed, fail or time out at random. Outcomes
+// depend on the seed alone: the same attempts have the same outcomes.
 type recorder struct {
 	balancer balancer.Balancer
 	rng      *rand.Rand
 	now      int64
 	actions  []string
-	events   []event // in the order of time
+	events   []event // in order of time
 	attempts map[uint64]int
 	ended    map[attemptID]bool
 }
@@ -132,17 +132,17 @@
 	r.balancer.CommitEndpoints(how, r.now)
 }
 
-// play plays a list with a rolling release, searches of both types and clients that leave. With nil for next the
-// balancer is not compared.
-func play(seed int64, inForce, next map[string]string) ([]string, *DivergenceCounts) {
+// runScenario runs a scenario with a rolling release of two replicas, searches of both types and clients that leave. With
+// nil for shadow the balancer runs without a comparator.
+func runScenario(seed int64, active, shadow map[string]string) ([]string, *DivergenceCounts) {
 	r, counts := newRecorder(seed, 100), &DivergenceCounts{}
-	if next == nil {
+	if shadow == nil {
 		r.balancer = balancer.New(r)
 	} else {
-		r.balancer = New(r, inForce, next, counts, balancer.New)
+		r.balancer = New(r, active, shadow, counts, balancer.New)
 	}
 	r.iterate(func() {
-		r.balancer.Configure(7, inForce)
+		r.balancer.Configure(7, active)
 		r.listEndpoints("Persisted", 0, "healthy", 8)
 	})
 	for i := range 130 {
@@ -170,13 +170,13 @@
 
 func TestComparisonChangesNoAction(t *testing.T) {
 	for seed := range int64(3) {
-		actions, _ := play(seed, commonSettings, nil)
+		actions, _ := runScenario(seed, commonSettings, nil)
 		require.Greater(t, len(actions), 400)
-		compared, counts := play(seed, commonSettings, withSettings("Permissions.SecondCopies", "false", "Permissions.RetryAfter", "false",
+		compared, counts := runScenario(seed, commonSettings, withSettings("Permissions.SecondCopies", "false", "Permissions.RetryAfter", "false",
 			"Specifics.ClassFloor", "0.2,0.2", "Safety.LookBack", "5000", "Safety.ExtraFloor", "1", "Safety.FurtherRatio", "0.01",
 			"Safety.Cold", "1000", "Permissions.MaxAttempts", "2", "Specifics.NeedByClass", "0.6,0.8"))
 		require.Equal(t, actions, compared)
-		for _, kind := range []int{KindRetryAfter, KindHedgedRequest, KindExtraPart, KindPartialAnswer, KindAttemptLimit, KindRetryBudget, KindSlowStartShare} {
+		for _, kind := range []int{KindRetryAfter, KindHedgedAttempt, KindExtraShardRequest, KindPartialAnswer, KindAttemptLimit, KindRetryBudget, KindSlowStart} {
 			require.Positive(t, counts[kind].Load(), KindNames[kind])
 		}
 	}
@@ -184,26 +184,26 @@
 
 func TestEqualSettingsCountNothing(t *testing.T) {
 	for seed := range int64(3) {
-		_, counts := play(seed, commonSettings, withSettings())
+		_, counts := runScenario(seed, commonSettings, withSettings())
 		require.Zero(t, counts.Total())
 	}
 }
 
 func TestEachSettingCountsItsKindAlone(t *testing.T) {
 	for kind, changes := range map[int][]string{
-		KindRetryAfter:     {"Permissions.RetryAfter", "false"},
-		KindHedgedRequest:  {"Permissions.SecondCopies", "false"},
-		KindPartialAnswer:  {"Specifics.ClassFloor", "0.6,0.3"},
-		KindAttemptLimit:   {"Permissions.MaxAttempts", "2"},
-		KindRetryBudget:    {"Safety.LookBack", "5000", "Safety.ExtraFloor", "1", "Safety.FurtherRatio", "0.01"},
-		KindSlowStartShare: {"Safety.Cold", "1000"},
+		KindRetryAfter:    {"Permissions.RetryAfter", "false"},
+		KindHedgedAttempt: {"Permissions.SecondCopies", "false"},
+		KindPartialAnswer: {"Specifics.ClassFloor", "0.6,0.3"},
+		KindAttemptLimit:  {"Permissions.MaxAttempts", "2"},
+		KindRetryBudget:   {"Safety.LookBack", "5000", "Safety.ExtraFloor", "1", "Safety.FurtherRatio", "0.01"},
+		KindSlowStart:     {"Safety.Cold", "1000"},
 	} {
-		_, counts := play(3, commonSettings, withSettings(changes...))
+		_, counts := runScenario(3, commonSettings, withSettings(changes...))
 		for other := range counts {
 			if count := counts[other].Load(); other == kind {
 				require.Positive(t, count, KindNames[kind])
 			} else {
-				require.Zero(t, count, "%s where only %s differs", KindNames[other], KindNames[kind])
+				require.Zero(t, count, "%s although only %s differs", KindNames[other], KindNames[kind])
 			}
 		}
 	}
@@ -220,17 +220,18 @@
 func (idleBalancer) RecordAttemptOutcome(uint64, int, string, int64, bool, map[string]float64) {}
 func (idleBalancer) CancelSearch(uint64)                                                       {}
 
-func newIdleComparator(next map[string]string, counts *DivergenceCounts) *Comparator {
+func newIdleComparator(shadow map[string]string, counts *DivergenceCounts) *Comparator {
 	r := newRecorder(1, 0)
-	c := New(r, commonSettings, next, counts, func(balancer.Actions) balancer.Balancer { return idleBalancer{} })
+	c := New(r, commonSettings, shadow, counts, func(balancer.Actions) balancer.Balancer { return idleBalancer{} })
 	r.balancer = c
 	return c
 }
 
-// newOpenSearch returns a comparator with replica a and a search of five shard requests, from 10 on, at time 1,000.
-func newOpenSearch(next map[string]string) (*Comparator, *DivergenceCounts) {
+// newComparatorWithSearch returns a comparator with replica a and an open search of five shard requests, with ids from 10
+// on, at time 1,000.
+func newComparatorWithSearch(shadow map[string]string) (*Comparator, *DivergenceCounts) {
 	counts := &DivergenceCounts{}
-	c := newIdleComparator(next, counts)
+	c := newIdleComparator(shadow, counts)
 	c.BeginIteration(1_000)
 	c.AddEndpoint("a", 0, 0, 0, "healthy", 1, 0)
 	c.CommitEndpoints("Complete", 1)
@@ -241,9 +242,9 @@
 	return c, counts
 }
 
-// A replica goes on draining after the list has dropped it; the longer grace period keeps it known.
+// A replica is still draining after the list has dropped it: the comparator remembers it for the longer grace period.
 func TestAttemptAtDrainingReplica(t *testing.T) {
-	c, counts := newOpenSearch(withSettings("Safety.DrainGrace", "250"))
+	c, counts := newComparatorWithSearch(withSettings("Safety.DrainGrace", "250"))
 	c.AddEndpoint("a", 0, 0, 0, "cordoned", 1, 0)
 	c.CommitEndpoints("Partial", 2)
 	c.BeginIteration(1_000 + 2_000)
@@ -253,23 +254,23 @@
 	c.SendAttempt(11, "a", 0) // 300 ms: past 250, within 1,000
 	require.EqualValues(t, 1, counts[KindDraining].Load())
 	c.BeginIteration(1_000 + 20_000)
-	c.SendAttempt(12, "a", 0) // past both: against the rules, under either set of settings
+	c.SendAttempt(12, "a", 0) // past both: neither set of settings allows it
 	require.EqualValues(t, 1, counts.Total())
 }
 
-func TestExtraPart(t *testing.T) {
-	c, counts := newOpenSearch(withSettings("Specifics.NeedByClass", "0.4,1"))
+func TestExtraShardRequest(t *testing.T) {
+	c, counts := newComparatorWithSearch(withSettings("Specifics.NeedByClass", "0.4,1"))
 	for shard := range uint64(5) {
 		c.SendAttempt(10+shard, "a", 0)
 	}
-	require.EqualValues(t, 1, counts[KindExtraPart].Load(), "the third of five parts")
+	require.EqualValues(t, 1, counts[KindExtraShardRequest].Load(), "the third of five shard requests")
 	require.EqualValues(t, 1, counts.Total())
 }
 
 func TestStateIsBoundedByOpenSearches(t *testing.T) {
-	next := withSettings("Safety.LookBack", "5000")
-	_, _ = play(1, commonSettings, next)
-	c := newIdleComparator(next, &DivergenceCounts{})
+	shadow := withSettings("Safety.LookBack", "5000")
+	_, _ = runScenario(1, commonSettings, shadow)
+	c := newIdleComparator(shadow, &DivergenceCounts{})
 	for i := range uint64(20_000) {
 		c.BeginIteration(int64(i) * 100)
 		c.AddEndpoint(fmt.Sprint("r", i), 0, 0, 0, "healthy", 1, 0)
