--- a/control/residency/compiled_policy.go
+++ b/control/residency/compiled_policy.go
@@ -34,12 +34,13 @@
 	return &renewed
 }
 
-// DiffersOnlyInLease reports whether other, which may be nil, is the same policy apart from its lease expiry.
+// DiffersOnlyInLease reports whether other, which may be nil, is the same policy apart from its lease expiry. Copies that
+// WithLeaseExpiry returns share one array of tables, so it compares where the arrays begin.
 func (p *CompiledPolicy) DiffersOnlyInLease(other *CompiledPolicy) bool {
 	return other != nil && p.Incomplete == other.Incomplete && len(p.tables) == len(other.tables) && &p.tables[0] == &other.tables[0]
 }
 
-// RuleFor returns the rule for a search of a tenant's class at the time now: the strictest combination of all
+// RuleFor returns the rule at the time now for a tenant's searches of a class: the strictest combination of all
 // contracts that apply. These include the contracts on the given block; -1 stands for no block.
 func (p *CompiledPolicy) RuleFor(now int64, tenant, class string, block int) Rule {
 	rule := p.tables[0].ruleFor(now, tenant, class, block)
@@ -52,7 +53,7 @@
 	return rule
 }
 
-// IsUnrestricted reports whether a search of a tenant's class may run anywhere, on any block.
+// IsUnrestricted reports whether a tenant's searches of a class may run anywhere, on any block.
 func (p *CompiledPolicy) IsUnrestricted(now int64, tenant, class string) bool {
 	for _, table := range p.tables {
 		if len(table.blocks) > 0 {
--- a/control/residency/compiled_policy_test.go
+++ b/control/residency/compiled_policy_test.go
@@ -77,7 +77,7 @@
 	require.True(t, policy.allows(afterEnd, "core", "deep", 0, "us-1"))
 	begin := wallTime("2026-06-01T00:00:00Z")
 	require.True(t, policy.allows(begin-policy.MaxClockSkew-1, "core", "deep", 0, "us-1"))
-	require.False(t, policy.allows(begin-policy.MaxClockSkew, "core", "deep", 0, "us-1"), "clocks may differ")
+	require.False(t, policy.allows(begin-policy.MaxClockSkew, "core", "deep", 0, "us-1"), "the contract has begun by an instance whose clock is ahead")
 	require.Equal(t, begin-policy.MaxClockSkew, policy.NextChangeAt(begin-second))
 }
 
@@ -121,7 +121,8 @@
 	return registry.Compile(never)
 }
 
-func lookupTenants() []string {
+// sampleTenantNames returns tenants to look up in the policy of compileMaxContracts. Some have no contract there.
+func sampleTenantNames() []string {
 	names := make([]string, 1000)
 	for i := range names {
 		names[i] = fmt.Sprintf("tenant-%d", i*17)
@@ -130,7 +131,7 @@
 }
 
 func TestLookupAllocatesNothing(t *testing.T) {
-	policy, names := compileMaxContracts(t), lookupTenants()
+	policy, names := compileMaxContracts(t), sampleTenantNames()
 	zone := policy.ZoneIndex("eu-9")
 	lookups, allowed := 0, 0
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
@@ -144,7 +145,7 @@
 }
 
 func BenchmarkLookup(b *testing.B) {
-	policy, names := compileMaxContracts(b), lookupTenants()
+	policy, names := compileMaxContracts(b), sampleTenantNames()
 	zone := policy.ZoneIndex("eu-9")
 	allowed := 0
 	b.ReportAllocs()
--- a/control/residency/contract_entry.go
+++ b/control/residency/contract_entry.go
@@ -12,14 +12,14 @@
 // maxNameBytes limits the name of a tenant, a class or a zone.
 const maxNameBytes = 200
 
-// Site lists the names that a deployment plan defines, and its number of blocks. Contracts may refer only to these. A nil
-// list or a Blocks of zero disables the check of that kind.
+// Site lists the names that a deployment plan defines, and its number of blocks. Contracts may refer only to these. Names
+// are not checked against a nil list, and block numbers have no upper limit if Blocks is 0.
 type Site struct {
 	Tenants, Classes, Zones []string
 	Blocks                  int
 }
 
-// siteIndex is a Site with its names as sets; a nil set disables the check.
+// siteIndex is a Site with its names as sets. Names are not checked against a nil set.
 type siteIndex struct {
 	tenants, classes, zones map[string]bool
 	blocks                  int
@@ -72,7 +72,7 @@
 	contract.From = p.parseTime(path+".from", entry.From, math.MinInt64)
 	contract.Until = p.parseTime(path+".until", entry.Until, never)
 	if contract.From >= contract.Until {
-		p.document.AddError(path+".until", "is not after from")
+		p.document.AddError(path+".until", "%.40q is not later than from, %.40q", entry.Until, entry.From)
 	}
 	contract.AllowPartial = p.parseChoice(path+".otherwise", entry.Otherwise, "refuse", "part")
 	contract.KeepOnLeaseExpiry = p.parseChoice(path+".lease_ends", entry.LeaseEnds, "refuse", "keep")
@@ -104,7 +104,10 @@
 }
 
 func (p *policyParser) parseBlock(path string, block int) int {
-	if block < 0 || p.site.blocks > 0 && block >= p.site.blocks {
+	switch {
+	case block < 0:
+		p.document.AddError(path+".block", "%d is not a block number: blocks are numbered from 0", block)
+	case p.site.blocks > 0 && block >= p.site.blocks:
 		p.document.AddError(path+".block", "%d is not a block number: there are %d blocks, numbered from 0", block, p.site.blocks)
 	}
 	return max(0, block)
@@ -112,7 +115,7 @@
 
 func (p *policyParser) checkName(path, field, name string, known map[string]bool) {
 	if len(name) > maxNameBytes {
-		p.document.AddError(path+"."+field, "longer than %d bytes", maxNameBytes)
+		p.document.AddError(path+"."+field, "has %d bytes, but at most %d are allowed", len(name), maxNameBytes)
 	} else if known != nil && !known[name] {
 		p.document.AddError(path+"."+field, "unknown %s %.60q: it is not in the plan", field, name)
 	}
@@ -126,7 +129,7 @@
 		zonePath := fmt.Sprintf("%s.zones[%d]", path, i)
 		switch {
 		case zone == "" || len(zone) > maxNameBytes:
-			p.document.AddError(zonePath, "a zone name has 1 to %d bytes", maxNameBytes)
+			p.document.AddError(zonePath, "a zone name has 1 to %d bytes, not %d", maxNameBytes, len(zone))
 		case p.site.zones != nil && !p.site.zones[zone]:
 			p.document.AddError(zonePath, "unknown zone %.60q: it is not in the plan", zone)
 		case slices.Contains(zones[:i], zone):
@@ -150,7 +153,8 @@
 	}
 }
 
-// checkContractSequence checks the contracts on one subject. Sequence holds their indexes and is sorted by time here.
+// checkContractSequence checks the contracts on one subject. Sequence holds their indexes in the file; it gets sorted by
+// the time at which they begin.
 func (p *Policy) checkContractSequence(subject contractSubject, sequence []int) {
 	slices.SortStableFunc(sequence, func(a, b int) int { return cmp.Compare(p.Contracts[a].From, p.Contracts[b].From) })
 	for n := 1; n < len(sequence); n++ {
--- a/control/residency/errors.go
+++ b/control/residency/errors.go
@@ -63,7 +63,7 @@
 
 // Advice tells an operator what to do.
 func (e *ConflictingPoliciesError) Advice() string {
-	return "The stricter of both applies to each tenant; write one file with a higher generation and distribute it to all instances."
+	return "For each tenant the stricter of the two applies; write one file with a higher generation and distribute it to all instances."
 }
 
 // MissingPolicyError reports a companion policy that another policy requires and that is not known here.
@@ -108,12 +108,12 @@
 }
 
 func (e *EnforcementOverdueError) Error() string {
-	return fmt.Sprintf("policy generation %d should be enforced everywhere by %s, but more than half of the fleet was not known to have it one lease duration before that", e.Generation, e.Deadline)
+	return fmt.Sprintf("policy generation %d should be enforced everywhere by %s, but one lease duration before that no majority of the fleet was known to have it", e.Generation, e.Deadline)
 }
 
 // Advice tells an operator what to do.
 func (e *EnforcementOverdueError) Advice() string {
-	return "Instances that reach the fleet enforce it by now, and the others reject searches of its tenants; set `in_force_by` to at least one lease duration and a few seconds after the file is distributed."
+	return "Instances that reach the fleet already enforce it, and the others reject searches of the tenants under its contracts; set `in_force_by` to at least one lease duration and a few seconds after the file is distributed."
 }
 
 // PoliciesUnreadableError reports that the stored policies could not be read at start-up.
--- a/control/residency/host_zones.go
+++ b/control/residency/host_zones.go
@@ -18,7 +18,7 @@
 	holdDown     int64
 	byID         map[string]*zoneRecord
 	byAddress    map[string]*zoneRecord
-	nextEnd      int64 // end of the first hold-down, as last computed
+	nextEnd      int64 // when the first hold-down ends, as last computed
 	nextEndDirty bool  // nextEnd has to be recomputed
 }
 
@@ -111,8 +111,8 @@
 	}
 }
 
-// evictDeparted forgets hosts and addresses that are not listed: those for which a hold-down would be over, or all of
-// them if too many are remembered.
+// evictDeparted forgets hosts and addresses that have not been listed for longer than the hold-down. If too many are
+// remembered, it forgets all that are not listed now.
 func (h *HostZones) evictDeparted(now int64) {
 	listedAddresses := make(map[string]bool, len(h.byID))
 	for id, record := range h.byID {
--- a/control/residency/host_zones_test.go
+++ b/control/residency/host_zones_test.go
@@ -11,7 +11,7 @@
 	zones.UpdateHosts(10, true, []Host{{ID: "a", Addr: "1", Zone: "eu-1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3", Zone: "eu-1", ZoneConflict: true}})
 	require.Equal(t, "eu-1", zones.Zone(10, "a"))
 	require.Empty(t, zones.Zone(10, "b"), "its zone is unknown")
-	require.Empty(t, zones.Zone(10, "c"), "its sources differ")
+	require.Empty(t, zones.Zone(10, "c"), "the sources of the list state different zones")
 	require.Empty(t, zones.Zone(10, "d"), "it is not listed")
 }
 
--- a/control/residency/lease.go
+++ b/control/residency/lease.go
@@ -13,22 +13,24 @@
 
 // Lease states until when this instance is certain that no newer policy has taken effect without its knowledge.
 //
-// The instance asks the other members in rounds which generation they have. If a quorum, counting this instance, names no
-// generation above its own, the lease is renewed from the time at which the round began. A generation that a quorum has
-// is therefore known to every instance whose lease began later, and a stricter policy is enforced everywhere one lease
-// duration after a quorum has it.
+// In each round the instance asks the other members which generation they have. If a quorum, counting this instance, has
+// answered and no answer names a generation above this instance's, the lease is renewed from the time at which the round
+// began. A generation that a quorum has is therefore known to every instance whose lease began later, and a stricter
+// policy is enforced everywhere one lease duration after a quorum has it.
 //
-// An acknowledgement counts only if its sender's clock is close to this instance's. Members that have started and not yet
-// learned what the others know may have forgotten a generation: they have no vote, unless all members acknowledge. A
-// Lease is not safe for concurrent use. Its times are this instance's monotonic wall time.
+// An acknowledgement counts only if its sender's clock is close to this instance's. A member that has started without
+// its stored state may have forgotten a generation, so it has no vote until it has learned what a quorum knows. But if all
+// members acknowledge a round, the lease is renewed whether or not they have a vote.
+//
+// A Lease is not safe for concurrent use. Its times are wall times of this instance that never go back (monotonic).
 type Lease struct {
 	self    string
 	members []string // sorted, each once
-	isVoter bool     // this instance has kept what it knew over its restart, or has learned it again
+	isVoter bool     // this instance still had its stored state when it started, or has since learned what a quorum knows
 
 	rounds     []leaseRound
 	lastNonce  uint64
-	peerOffset int // among the other members; where SelectPeers starts in a large fleet
+	peerOffset int // index among the other members at which SelectPeers starts in a large fleet
 
 	expiresAt             int64
 	highestSeenGeneration uint64
@@ -57,8 +59,8 @@
 	Voter      bool   // the member has a vote
 }
 
-// NewLease returns an expired lease for one of the voting members. Stored says that this instance still has all that it
-// knew when it last ended, which gives it a vote from the start.
+// NewLease returns an expired lease for the instance self, one of the given voting members of the fleet. Stored says that
+// the instance still has all that it knew when it last stopped; without it, the instance has no vote at first.
 func NewLease(self string, members []string, stored bool) *Lease {
 	members = slices.Clone(members)
 	slices.Sort(members)
@@ -169,7 +171,7 @@
 	return len(l.members) == 1 && l.members[0] == l.self && l.renew(now, &leaseRound{startedAt: now}, duration, true)
 }
 
-// renew extends the lease if the round allows it.
+// renew extends the lease if the acknowledgements of a round suffice, and reports whether it now ends later than before.
 func (l *Lease) renew(now int64, round *leaseRound, duration int64, uniqueName bool) bool {
 	if round.superseded || !uniqueName || !slices.Contains(l.members, l.self) {
 		return false
@@ -182,7 +184,7 @@
 	if votes < l.QuorumSize() && !allAcknowledged {
 		return false
 	}
-	l.isVoter = true // it knows what a quorum knows
+	l.isVoter = true // this instance now knows what a quorum knows
 	expiresAt := round.startedAt + duration
 	if expiresAt <= l.expiresAt || expiresAt <= now {
 		return false
--- a/control/residency/lease_model_test.go
+++ b/control/residency/lease_model_test.go
@@ -17,8 +17,8 @@
 )
 
 // leaseModel simulates a fleet whose instances renew their leases over links that lose, duplicate and delay messages. One
-// instance is given a stricter policy; the model checks that one lease after a majority has it, no instance runs a shard
-// request that only the old policy allows.
+// instance is given a stricter policy. The model checks that one lease duration after a majority has it, no instance runs
+// a shard request that only the old policy allows.
 type leaseModel struct {
 	t      require.TestingT
 	rng    *rand.Rand
@@ -137,7 +137,8 @@
 	}
 }
 
-// injectFaults partitions, heals, cuts off and restarts instances at random.
+// injectFaults partitions, heals, cuts off and restarts instances at random. A restart keeps the disk of an instance that
+// is alone, and of all instances if one clock is wrong, since all members' acknowledgements of a round then never count.
 func (m *leaseModel) injectFaults() {
 	if m.now > m.faultsEndAt {
 		clear(m.cutOff)
@@ -183,8 +184,8 @@
 	m.requireStrictPolicyAfterOneLease()
 }
 
-// beginRound has an instance ask its peers. An instance that lacks the strict policy gets it with a question, or at random
-// with an acknowledgement.
+// beginRound has an instance ask its peers. A peer that lacks the strict policy always gets it with a question; an asker
+// that lacks it gets it with some of the acknowledgements, drawn at random.
 func (m *leaseModel) beginRound(i int, localTime int64) {
 	askedAt, asker := m.now, m.instances[i]
 	nonce, generation := asker.lease.BeginRound(localTime), asker.registry.NewestGeneration()
@@ -199,7 +200,7 @@
 	}
 }
 
-// acknowledge has instance j answer instance i. The times on both clocks are those of the question.
+// acknowledge has instance j answer instance i. Both clocks are read at the time of the question, askedAt.
 func (m *leaseModel) acknowledge(askedAt int64, nonce uint64, i, j int) {
 	asker, answerer := m.instances[i], m.instances[j]
 	ack := LeaseAcknowledgement{
@@ -253,8 +254,9 @@
 
 // Guards against an instance that goes on serving by an old policy. Random histories of up to five instances, and one of
 // 300, have late, duplicated and lost messages, partitions, clocks that differ (one by an hour), and restarts with and
-// without a disk, while one instance is given a stricter policy. One lease after more than half have that policy, no
-// instance runs a shard request that it forbids; at the end, with all links working, all have it and serve again.
+// without a disk, while one instance is given a stricter policy. One lease duration after more than half have that
+// policy, no instance runs a shard request that it forbids. At the end, with all links working, all instances have it and
+// all serve again, except one with a wrong clock.
 func TestStricterPolicyIsEnforcedEverywhereAfterOneLease(t *testing.T) {
 	var counts leaseModelCounts
 	rapid.Check(t, func(t *rapid.T) {
--- a/control/residency/lease_test.go
+++ b/control/residency/lease_test.go
@@ -16,7 +16,8 @@
 	return lease.HandleAcknowledgement(now, ack, 1, testLeaseDuration, second, true)
 }
 
-// A late acknowledgement says nothing about the time after its question was sent.
+// Guards against a lease that counts from the arrival of a late acknowledgement: since the round began, a quorum may have
+// got a newer generation.
 func TestLeaseCountsFromBeginOfRound(t *testing.T) {
 	lease := NewLease("a", threeMembers, true)
 	nonce := lease.BeginRound(second)
@@ -25,7 +26,8 @@
 	require.Equal(t, uint64(1), lease.MajorityGeneration())
 }
 
-// A member that may have forgotten a generation has no vote, unless all members acknowledge.
+// Guards against a lease that is renewed too early after a start without stored state: this instance may have forgotten a
+// generation, so its own vote does not count. Without a quorum of other votes all members have to acknowledge.
 func TestMemberThatForgotNeedsAllAcknowledgements(t *testing.T) {
 	lease := NewLease("a", threeMembers, false)
 	nonce := lease.BeginRound(second)
--- a/control/residency/policy.go
+++ b/control/residency/policy.go
@@ -43,7 +43,7 @@
 	Source              string // file or instance that it came from
 	Generation          uint64
 	CompanionGeneration uint64 // an older generation that also applies while this one is the newest; 0 for none
-	EnforcementDeadline int64  // wall time by which the file wants it enforced everywhere; 0 for none
+	EnforcementDeadline int64  // wall time by which the policy should be enforced everywhere; 0 for none
 	DenyByDefault       bool   // tenants without a contract run nowhere; otherwise anywhere
 	LeaseDuration       int64
 	MaxClockSkew        int64 // maximum difference between the clocks of two instances
--- a/control/residency/policy_file.go
+++ b/control/residency/policy_file.go
@@ -11,10 +11,10 @@
 
 const (
 	maxFileBytes = 768 << 10 // fits 10,000 contracts, and itself fits into one message between instances
-	maxContracts = 10_000    // in a file: as many as fit into maxFileBytes and as BenchmarkLookup covers
+	maxContracts = 10_000    // in a file: this many fit into maxFileBytes, and BenchmarkLookup measures a policy with this many
 
 	defaultLeaseDuration = 5 * second    // does not expire when a link flaps for some seconds
-	minLeaseDuration     = 1 * second    // its three renewal rounds take one second
+	minLeaseDuration     = 1 * second    // its three renewal rounds together take one second, since they begin a third of a second apart
 	maxLeaseDuration     = 3600 * second // a stricter policy may take this long to be enforced everywhere
 
 	defaultClockSkew = second / 2  // NTP keeps clocks closer together than that
@@ -71,7 +71,7 @@
 func (p *policyParser) parseHeader(file *policyFile) *Policy {
 	policy := &Policy{Generation: file.Generation, CompanionGeneration: file.Beside}
 	if file.Generation == 0 || file.Generation == math.MaxUint64 {
-		p.document.AddError("$.generation", "%d: must be a number from 1 on that rises with each change", file.Generation)
+		p.document.AddError("$.generation", "%d is not a generation: write a number from 1 to %d that rises with each change", file.Generation, uint64(math.MaxUint64-1))
 	}
 	if file.Beside >= file.Generation && file.Beside > 0 {
 		p.document.AddError("$.beside", "%d is not an earlier generation than %d", file.Beside, file.Generation)
@@ -94,7 +94,7 @@
 // that is meant to have no contracts.
 func (p *policyParser) parseContracts(entries *[]contractEntry) (contracts []Contract) {
 	if entries == nil {
-		p.document.AddError("$", "no contracts; write contracts: [] if there are none")
+		p.document.AddError("$", "the list of contracts is missing; write contracts: [] if there are none")
 		return nil
 	}
 	if len(*entries) > maxContracts {
--- a/control/residency/policy_file_test.go
+++ b/control/residency/policy_file_test.go
@@ -30,9 +30,9 @@
 
 func TestParsePolicyReportsEachFaultWithPositionAndAdvice(t *testing.T) {
 	for text, want := range map[string]string{
-		"default: anywhere\ncontracts: []":                                                            "generation: 0: must be a number from 1 on",
+		"default: anywhere\ncontracts: []":                                                            "generation: 0 is not a generation: write a number from 1 to 18446744073709551614 that rises",
 		"generation: 3\ncontracts: []":                                                                "default: \"\" is neither",
-		policyHeader:                                                                                  "no contracts",
+		policyHeader:                                                                                  "the list of contracts is missing",
 		policyHeader + "beside: 3\ncontracts: []":                                                     "[3:9] beside: 3 is not an earlier generation than 3",
 		policyHeader + "lease: 10ms\ncontracts: []":                                                   "[3:8] lease: 10ms is not between 1s",
 		policyHeader + "contracts:\n- {tenant: acmee, zones: [eu-1]}":                                 "[4:12] contracts[0].tenant: unknown tenant \"acmee\"",
--- a/control/residency/policy_registry.go
+++ b/control/residency/policy_registry.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// maxConflictingPolicies limits how many policies of one generation with different texts are kept: one per region. With
-// more of them the compiled policy is Incomplete.
+// maxConflictingPolicies limits how many policies of one generation with different texts are kept: enough for one
+// per region. With more of them the compiled policy is Incomplete.
 const maxConflictingPolicies = 4
 
 // PolicyRegistry holds the policies that apply: all known texts of the newest generation, and the companion generations
-// that these name. The order of additions does not matter, nor do repeated ones, but a companion that was stale when it
-// came has to be added again once a policy names it. A PolicyRegistry is not safe for concurrent use. The zero value is
+// that these name. Policies may be added in any order, and repeatedly. But one that was ignored as stale has to be added
+// again once a newer policy names it as its companion. A PolicyRegistry is not safe for concurrent use. The zero value is
 // empty and ready to use.
 type PolicyRegistry struct {
 	newest       uint64
@@ -61,7 +61,7 @@
 	}
 }
 
-// requiredGenerations returns those that apply: the newest and the companions that its policies name.
+// requiredGenerations returns the generations that apply: the newest and the companions that its policies name.
 func (r *PolicyRegistry) requiredGenerations() map[uint64]bool {
 	required := map[uint64]bool{r.newest: true}
 	for _, policy := range r.byGeneration[r.newest] {
@@ -75,7 +75,7 @@
 // NewestGeneration returns the newest known generation, 0 for none.
 func (r *PolicyRegistry) NewestGeneration() uint64 { return r.newest }
 
-// Policies returns all kept policies, the older generation first.
+// Policies returns all kept policies, the oldest generation first.
 func (r *PolicyRegistry) Policies() (policies []*Policy) {
 	for _, generation := range slices.Sorted(maps.Keys(r.byGeneration)) {
 		policies = append(policies, r.byGeneration[generation]...)
--- a/control/residency/policy_registry_test.go
+++ b/control/residency/policy_registry_test.go
@@ -73,7 +73,8 @@
 	return policies
 }
 
-// addInOrder adds all policies twice, since a companion may be stale until the policy that names it has been added.
+// addInOrder adds all policies in order, and then once more: a companion may be stale until a policy that names it has
+// been added.
 func addInOrder(t *rapid.T, policies []*Policy) *PolicyRegistry {
 	registry := &PolicyRegistry{}
 	for _, policy := range policies {
--- a/control/residency/policy_table.go
+++ b/control/residency/policy_table.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// contractPeriod is the period of one contract with its rule.
+// contractPeriod is one contract as a table holds it: its rule and the period in which the rule applies.
 type contractPeriod struct {
 	from, until     int64
 	rule            Rule
@@ -125,8 +125,8 @@
 	return Rule{}, false
 }
 
-// ruleAround returns the strictest combination of the rules maxClockSkew before and after a time, since other instances'
-// clocks may be behind or ahead by as much.
+// ruleAround returns the strictest combination of the two rules that apply maxClockSkew before now and maxClockSkew after
+// it, since the clocks of other instances may be behind or ahead by that much.
 func (l contractTimeline) ruleAround(now, maxClockSkew int64) (rule Rule, exists bool) {
 	if len(l) == 0 {
 		return rule, false
--- a/control/residency/residency.go
+++ b/control/residency/residency.go
@@ -2,8 +2,8 @@
 //
 // A Policy is one version of the operator's file of contracts; its version number, the generation, rises with each
 // change. A PolicyRegistry holds the policies that apply and compiles them into a CompiledPolicy: an immutable table with
-// look-ups of under 100 ns. A Lease states until when the newest known generation is certain to be the newest in the
-// fleet. HostZones states which zone a host is in.
+// look-ups of under 100 ns. A Lease holds the time until which this instance is certain that no newer policy has taken
+// effect without its knowledge. HostZones states which zone a host is in.
 //
 // The package has no I/O. All times and durations are in tenths of a millisecond (ticks); wall times count from 1970,
 // and clocks are passed in by the caller. Wherever the package cannot be certain, it denies. docs/residency.md states
