--- a/control/shadow/comparator.go
+++ b/control/shadow/comparator.go
@@ -6,7 +6,8 @@
 	"chalkring/balancer"
 )
 
-// maxKeptTimes limits the times kept for a retry budget: many times the requests that a coordinator handles in its window.
+// maxKeptTimes limits the length of a list of times that is kept for a retry budget. A coordinator handles far fewer
+// requests in the budget's window.
 const maxKeptTimes = 1e6
 
 // firstStep is the only step of a search whose shard requests and answer are compared.
@@ -26,16 +27,16 @@
 	shardRequests    map[uint64]*shardRequest
 	replicas         map[string]*replica
 	listed           map[string]bool // hosts in the endpoint list that is being received
-	requestTimes     []int64
-	retryTimes       []int64
+	requestTimes     []int64         // when searches and shard requests were added, for the retry budget
+	retryTimes       []int64         // when retries were sent, for the retry budget
 }
 
 type search struct {
 	id, number     uint64
 	searchType     int
 	step           int
-	sentWeight     float64 // of the first step
-	answeredWeight float64 // of the first step
+	sentWeight     float64 // of the shard requests of the first step that have been sent
+	answeredWeight float64 // of the shard requests of the first step that have been answered
 	shardRequests  []uint64
 }
 
@@ -199,8 +200,8 @@
 // LogMessage is part of balancer.Actions.
 func (c *Comparator) LogMessage(text string) { c.actions.LogMessage(text) }
 
-// appendNow appends the time of this iteration. It drops times that are outside the windows of both retry budgets once
-// they are more than half of all, and the oldest ones once maxKeptTimes are kept.
+// appendNow appends the time of this iteration. Times that both retry budgets no longer look at are dropped once they
+// make up more than half of the list. At maxKeptTimes the oldest time is dropped in any case.
 func (c *Comparator) appendNow(times []int64) []int64 {
 	window := max(c.active.duration(retryWindowSetting), c.shadow.duration(retryWindowSetting))
 	if window == 0 {
@@ -213,7 +214,8 @@
 	return append(times, c.now)
 }
 
-// endUnanswered ends a search without an answer. The shadow settings might have allowed one with what has arrived.
+// endUnanswered ends a search without an answer. The shadow settings might have allowed one, given the shard requests
+// that have been answered.
 func (c *Comparator) endUnanswered(s *search) {
 	if s != nil && s.step == firstStep {
 		c.compareAnswer(s)
--- a/control/shadow/settings.go
+++ b/control/shadow/settings.go
@@ -29,7 +29,7 @@
 	ticksPerMillisecond = 10 // settings are in milliseconds
 )
 
-// settings is one set of settings, by name. Its methods check actions against them.
+// settings is one set of settings, by name. Its methods check the balancer's actions against this set.
 type settings map[string]string
 
 func (s settings) float(name string, defaultValue float64) float64 {
@@ -57,7 +57,8 @@
 // duration returns a duration in tenths of a millisecond, 0 if it is missing.
 func (s settings) duration(name string) int64 { return int64(s.float(name, 0) * ticksPerMillisecond) }
 
-// retryAfter returns the Retry-After that the client of a shed search gets if the balancer intends a given one; 0 for none.
+// retryAfter returns the Retry-After that the client of a shed search gets, given the one that the balancer chose; 0 for
+// none.
 func (s settings) retryAfter(intended int64) int64 {
 	if !s.bool(retryAfterSetting) {
 		return 0
@@ -69,19 +70,20 @@
 	return s.floatAt(requiredWeightSetting, searchType, 1)
 }
 
-// checkAnswer reports whether shard requests of a total weight allow an answer, and whether that answer is complete.
+// checkAnswer reports whether a search may be answered once shard requests with this total weight are answered, and
+// whether that answer is complete.
 func (s settings) checkAnswer(searchType int, weight float64) (allowed, complete bool) {
 	required, minimum := s.requiredWeight(searchType), s.floatAt(minimumWeightSetting, searchType, 1)
 	return weight > 0 && weight >= min(required, minimum)-weightTolerance, weight >= required-weightTolerance
 }
 
-// isWarmingUp reports whether a replica that started at a time is in its slow start.
+// isWarmingUp reports whether a replica that started at startedAt is in its slow start.
 func (s settings) isWarmingUp(now, startedAt int64) bool {
 	return startedAt > 0 && now < startedAt+s.duration(slowStartSetting)
 }
 
-// isPastDrainGrace reports whether a replica that has been draining since a time should get no more attempts. The time is 0
-// if it is not draining.
+// isPastDrainGrace reports whether a replica that has been draining since drainingSince should get no more attempts. The
+// time is 0 if it is not draining.
 func (s settings) isPastDrainGrace(now, drainingSince int64) bool {
 	return drainingSince > 0 && now > drainingSince+s.duration(drainGraceSetting)
 }
--- a/control/shadow/shadow.go
+++ b/control/shadow/shadow.go
@@ -13,7 +13,7 @@
 	KindRetryAfter        = iota // the Retry-After that the client of a shed search gets
 	KindHedgedAttempt            // an attempt while another one of the same shard request is in flight
 	KindExtraShardRequest        // a shard request beyond those that a complete answer needs
-	KindPartialAnswer            // whether a search is answered with the shard requests done, and whether that is complete
+	KindPartialAnswer            // whether the shard requests answered so far allow an answer, and whether it is complete
 	KindAttemptLimit             // an attempt beyond the maximum
 	KindRetryBudget              // a retry beyond the budget
 	KindSlowStart                // an attempt at a replica in its slow start
--- a/control/shadow/shadow_test.go
+++ b/control/shadow/shadow_test.go
@@ -251,7 +251,7 @@
 	c.SendAttempt(10, "a", 0) // 200 ms: within both grace periods
 	require.Zero(t, counts.Total())
 	c.BeginIteration(1_000 + 3_000)
-	c.SendAttempt(11, "a", 0) // 300 ms: past 250, within 1,000
+	c.SendAttempt(11, "a", 0) // 300 ms: past 250 ms, within 1,000 ms
 	require.EqualValues(t, 1, counts[KindDraining].Load())
 	c.BeginIteration(1_000 + 20_000)
 	c.SendAttempt(12, "a", 0) // past both: neither set of settings allows it
