--- a/control/residency/compiled_policy_test.go
+++ b/control/residency/compiled_policy_test.go
@@ -77,7 +77,7 @@
 	require.True(t, policy.allows(afterEnd, "core", "deep", 0, "us-1"))
 	begin := wallTime("2026-06-01T00:00:00Z")
 	require.True(t, policy.allows(begin-policy.MaxClockSkew-1, "core", "deep", 0, "us-1"))
-	require.False(t, policy.allows(begin-policy.MaxClockSkew, "core", "deep", 0, "us-1"), "the contract has begun by an instance whose clock is ahead")
+	require.False(t, policy.allows(begin-policy.MaxClockSkew, "core", "deep", 0, "us-1"), "by a clock that is ahead the contract has begun")
 	require.Equal(t, begin-policy.MaxClockSkew, policy.NextChangeAt(begin-second))
 }
 
