--- a/control/residency/contract_entry.go
+++ b/control/residency/contract_entry.go
@@ -72,7 +72,7 @@
 	contract.From = p.parseTime(path+".from", entry.From, math.MinInt64)
 	contract.Until = p.parseTime(path+".until", entry.Until, never)
 	if contract.From >= contract.Until {
-		p.document.AddError(path+".until", "%.40q is not later than from, %.40q", entry.Until, entry.From)
+		p.document.AddError(path+".until", "must be later than from")
 	}
 	contract.AllowPartial = p.parseChoice(path+".otherwise", entry.Otherwise, "refuse", "part")
 	contract.KeepOnLeaseExpiry = p.parseChoice(path+".lease_ends", entry.LeaseEnds, "refuse", "keep")
@@ -104,10 +104,7 @@
 }
 
 func (p *policyParser) parseBlock(path string, block int) int {
-	switch {
-	case block < 0:
-		p.document.AddError(path+".block", "%d is not a block number: blocks are numbered from 0", block)
-	case p.site.blocks > 0 && block >= p.site.blocks:
+	if block < 0 || p.site.blocks > 0 && block >= p.site.blocks {
 		p.document.AddError(path+".block", "%d is not a block number: there are %d blocks, numbered from 0", block, p.site.blocks)
 	}
 	return max(0, block)
@@ -115,7 +112,7 @@
 
 func (p *policyParser) checkName(path, field, name string, known map[string]bool) {
 	if len(name) > maxNameBytes {
-		p.document.AddError(path+"."+field, "has %d bytes, but at most %d are allowed", len(name), maxNameBytes)
+		p.document.AddError(path+"."+field, "longer than %d bytes", maxNameBytes)
 	} else if known != nil && !known[name] {
 		p.document.AddError(path+"."+field, "unknown %s %.60q: it is not in the plan", field, name)
 	}
@@ -129,7 +126,7 @@
 		zonePath := fmt.Sprintf("%s.zones[%d]", path, i)
 		switch {
 		case zone == "" || len(zone) > maxNameBytes:
-			p.document.AddError(zonePath, "a zone name has 1 to %d bytes, not %d", maxNameBytes, len(zone))
+			p.document.AddError(zonePath, "a zone name must have 1 to %d bytes", maxNameBytes)
 		case p.site.zones != nil && !p.site.zones[zone]:
 			p.document.AddError(zonePath, "unknown zone %.60q: it is not in the plan", zone)
 		case slices.Contains(zones[:i], zone):
--- a/control/residency/policy_file.go
+++ b/control/residency/policy_file.go
@@ -71,7 +71,7 @@
 func (p *policyParser) parseHeader(file *policyFile) *Policy {
 	policy := &Policy{Generation: file.Generation, CompanionGeneration: file.Beside}
 	if file.Generation == 0 || file.Generation == math.MaxUint64 {
-		p.document.AddError("$.generation", "%d is not a generation: write a number from 1 to %d that rises with each change", file.Generation, uint64(math.MaxUint64-1))
+		p.document.AddError("$.generation", "%d is not a generation: write a number from 1 to 2^64-2 that rises with each change", file.Generation)
 	}
 	if file.Beside >= file.Generation && file.Beside > 0 {
 		p.document.AddError("$.beside", "%d is not an earlier generation than %d", file.Beside, file.Generation)
--- a/control/residency/policy_file_test.go
+++ b/control/residency/policy_file_test.go
@@ -30,7 +30,7 @@
 
 func TestParsePolicyReportsEachFaultWithPositionAndAdvice(t *testing.T) {
 	for text, want := range map[string]string{
-		"default: anywhere\ncontracts: []":                                                            "generation: 0 is not a generation: write a number from 1 to 18446744073709551614 that rises",
+		"default: anywhere\ncontracts: []":                                                            "generation: 0 is not a generation: write a number from 1 to 2^64-2 that rises",
 		"generation: 3\ncontracts: []":                                                                "default: \"\" is neither",
 		policyHeader:                                                                                  "the list of contracts is missing",
 		policyHeader + "beside: 3\ncontracts: []":                                                     "[3:9] beside: 3 is not an earlier generation than 3",
