--- a/cluster/peerprotocol/client.go
+++ b/cluster/peerprotocol/client.go
@@ -11,28 +11,28 @@
 	"chalkring/cluster/peerreport"
 )
 
-// Client requests a report or the status of one peer. It is used for one request at a time.
+// Client requests a report or the status from one peer. It handles one request at a time.
 type Client struct {
-	PeerName    string // as the peer must call itself
+	PeerName    string // name that the peer must give in its report and its certificate
 	Addr        string // where the peer listens
 	LocalName   string
 	InstanceID  uint64
 	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	Credentials *Credentials // nil for plain TCP
 
-	// OnHeader and OnObservations receive a report in parts while it arrives; an error ends the request. They are called
-	// on the goroutine of FetchReport, and only FetchReport needs them.
+	// OnHeader and OnObservations are called with the parts of a report as they arrive, on the goroutine that called
+	// FetchReport; an error ends the request. FetchStatus does not use them.
 	OnHeader       func(header peerreport.ReportHeader) error
 	OnObservations func(observations []peerreport.Observation) error
 
-	// SpendBudget takes received bytes and used processor time from a budget and may wait, so that a large report is
-	// received slowly, and in time or not at all. Nil for no budget.
+	// SpendBudget charges received bytes and processor time to a budget. It may wait, so a large report is received
+	// slowly; the request's timeout still applies. Nil for no budget.
 	SpendBudget func(ctx context.Context, bytes int, cpu time.Duration) error
 }
 
-// FetchReport requests a report and returns once it is complete or cannot become so. deferral is the wait that the peer
-// asks for with peerreport.OutcomeDeferred. Whatever the peer does, the request ends within exchangeTimeout and holds
-// no more than one frame in memory.
+// FetchReport requests a report and returns when it is complete, or when the peer has deferred or rejected the request
+// or the request has failed. deferral is the wait that the peer asks for with peerreport.OutcomeDeferred. Whatever the
+// peer does, the request ends within exchangeTimeout and holds at most one frame in memory.
 func (c *Client) FetchReport(ctx context.Context) (outcome peerreport.Outcome, deferral time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -50,7 +50,7 @@
 	return result.outcome, result.deferral, result.err
 }
 
-// FetchStatus requests the status of a peer. It returns a RejectedError where the peer rejects the request.
+// FetchStatus requests the status of a peer. It returns a RejectedError if the peer rejects the request.
 func (c *Client) FetchStatus(ctx context.Context) (status Status, err error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -75,10 +75,10 @@
 	case kindRejection:
 		return Status{}, rejectionResult(item).err
 	}
-	return Status{}, fmt.Errorf("%w: frame %q", ErrInvalidMessage, kind)
+	return Status{}, fmt.Errorf("%w: got a frame of kind %q, expected a status or a rejection", ErrInvalidMessage, kind)
 }
 
-// connect dials the peer and does the TLS handshake where there are credentials.
+// connect dials the peer and, if the client has credentials, does the TLS handshake.
 func (c *Client) connect(ctx context.Context) (net.Conn, error) {
 	dialCtx, cancelDial := context.WithTimeout(ctx, dialTimeout)
 	defer cancelDial()
@@ -91,7 +91,7 @@
 	defer cancelHandshake()
 	if err := secured.HandshakeContext(handshakeCtx); err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("handshake: %w", err)
+		return nil, fmt.Errorf("TLS handshake: %w", err)
 	}
 	return secured, nil
 }
--- a/cluster/peerprotocol/client_test.go
+++ b/cluster/peerprotocol/client_test.go
@@ -14,7 +14,8 @@
 	"chalkring/cluster/peerreport"
 )
 
-// faultyPeers are the ways in which a peer can fail a request: what each does with a connection.
+// faultyPeers returns the ways in which a peer can fail a request, by name. Each function handles a connection after the
+// start of the request; nil stands for a peer that does not listen.
 func faultyPeers(t *testing.T) map[string]func(conn net.Conn) {
 	frame := func(kind byte, message any) []byte {
 		encoded, err := appendFrame(nil, kind, message)
@@ -23,7 +24,7 @@
 	}
 	header := frame(kindHeader, peerreport.ReportHeader{Peer: "b", HostCount: 1000})
 	chunk := frame(kindObservations, hostObservations(10))
-	// The tests look at what the client makes of it; a client that hangs up early is one of the right answers.
+	// Write errors are ignored: a client may close the connection as soon as it sees the fault.
 	send := func(parts ...[]byte) func(conn net.Conn) {
 		return func(conn net.Conn) { _, _ = conn.Write(slices.Concat(parts...)) }
 	}
@@ -64,7 +65,7 @@
 	}
 }
 
-// Whatever a peer does wrong, the request fails in time and has no other effect.
+// A faulty peer must neither hang a request nor have its report taken: whatever it does, the request fails in time.
 func TestFaultyPeers(t *testing.T) {
 	closed := listen(t)
 	closed.Close()
@@ -79,7 +80,7 @@
 			result := fetchReport(addr, func(c *Client) {
 				c.OnObservations = func(observations []peerreport.Observation) error {
 					if hostCount += len(observations); hostCount > 1000 {
-						return errors.New("more hosts than the header announces")
+						return errors.New("more hosts received than the header announced")
 					}
 					return nil
 				}
@@ -91,7 +92,7 @@
 	}
 }
 
-// startFaultyPeer accepts one connection, reads the first bytes of its request and then behaves as told.
+// startFaultyPeer accepts one connection, reads the first bytes of its request and then calls behave.
 func startFaultyPeer(t *testing.T, behave func(conn net.Conn)) (addr string) {
 	const requestStartBytes = 12
 	listener := listen(t)
--- a/cluster/peerprotocol/codec.go
+++ b/cluster/peerprotocol/codec.go
@@ -13,7 +13,7 @@
 const (
 	// checksumBytes is the length of a report's checksum.
 	checksumBytes = 8
-	// maxMapPairs bounds CBOR maps; the protocol has none of its own.
+	// maxMapPairs bounds the size of received CBOR maps; the protocol's messages contain none.
 	maxMapPairs = 16
 )
 
@@ -29,7 +29,7 @@
 	}.DecMode())
 )
 
-// mustMode panics where the options above contradict each other.
+// mustMode panics if the options above contradict each other.
 func mustMode[M any](mode M, err error) M {
 	if err != nil {
 		panic(err)
@@ -37,7 +37,7 @@
 	return mode
 }
 
-// decode reads one item. It returns an error that wraps ErrInvalidMessage.
+// decode decodes one CBOR item. It returns an error that wraps ErrInvalidMessage.
 func decode(item []byte, into any) error {
 	if err := decoder.Unmarshal(item, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// EncodeObservations encodes a chunk of a report as it travels.
+// EncodeObservations encodes a chunk of a report in its wire format.
 func EncodeObservations(observations []peerreport.Observation) ([]byte, error) {
 	return encoder.Marshal(observations)
 }
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if len(observations) > peerreport.MaxChunkObservations {
-		return nil, fmt.Errorf("%w: %d observations in a chunk", ErrInvalidMessage, len(observations))
+		return nil, fmt.Errorf("%w: %d observations in a chunk are too many", ErrInvalidMessage, len(observations))
 	}
 	for i := range observations {
 		if err := observations[i].Validate(); err != nil {
@@ -84,10 +84,10 @@
 func newChecksum() checksum { return checksum{digest: xxhash.New()} }
 
 func (c checksum) add(item []byte) {
-	_, _ = c.digest.Write(item) // a hash never fails to write
+	_, _ = c.digest.Write(item) // writing to a hash never fails
 }
 
-// bytes returns the checksum as it travels.
+// bytes returns the checksum as it is sent.
 func (c checksum) bytes() []byte { return binary.BigEndian.AppendUint64(nil, c.digest.Sum64()) }
 
 // verify compares the checksum with the item of a received kindEnd frame.
@@ -97,7 +97,7 @@
 		return err
 	}
 	if len(received) != checksumBytes || binary.BigEndian.Uint64(received) != c.digest.Sum64() {
-		return fmt.Errorf("%w: checksum", ErrInvalidMessage)
+		return fmt.Errorf("%w: the checksum does not match the received observations", ErrInvalidMessage)
 	}
 	return nil
 }
--- a/cluster/peerprotocol/codec_test.go
+++ b/cluster/peerprotocol/codec_test.go
@@ -10,12 +10,15 @@
 	"chalkring/cluster/peerreport"
 )
 
+// A frame that every receiver would reject for its size must fail at the sender already.
 func TestOversizedFrameIsNotSent(t *testing.T) {
 	_, err := appendFrame(nil, kindStatus, make([]byte, maxFrameBytes))
 	var tooLarge *FrameTooLargeError
 	require.ErrorAs(t, err, &tooLarge)
 }
 
+// Whatever bytes a peer sends, decoding must not panic. What is accepted stays within the bounds, decodes to the same
+// value after it is encoded again, and is accepted by a report store.
 func FuzzDecode(f *testing.F) {
 	chunk, err := EncodeObservations(hostObservations(3))
 	require.NoError(f, err)
@@ -44,15 +47,16 @@
 	})
 }
 
+// BenchmarkEncodeObservations measures the encoding of a large report and its encoded size per host.
 func BenchmarkEncodeObservations(b *testing.B) {
-	observations, bytes := hostObservations(10_000), 0
+	observations, encodedBytes := hostObservations(10_000), 0
 	for b.Loop() {
-		bytes = 0
+		encodedBytes = 0
 		for from := 0; from < len(observations); from += peerreport.MaxChunkObservations {
 			item, err := EncodeObservations(observations[from:min(len(observations), from+peerreport.MaxChunkObservations)])
 			require.NoError(b, err)
-			bytes += len(item)
+			encodedBytes += len(item)
 		}
 	}
-	b.ReportMetric(float64(bytes)/float64(len(observations)), "bytes/host")
+	b.ReportMetric(float64(encodedBytes)/float64(len(observations)), "bytes/host")
 }
--- a/cluster/peerprotocol/credentials.go
+++ b/cluster/peerprotocol/credentials.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-var errNoCertificate = errors.New("no certificate in it")
+var errNoCertificate = errors.New("the file contains no PEM certificate")
 
-// Credentials are a certificate, its key and the authorities that peers' certificates come from. The files are read
-// again when they have changed. While they cannot be used, for instance because only one of certificate and key has
-// been replaced yet, the last usable ones stay in force. All methods are safe for concurrent use.
+// Credentials hold a certificate, its key and the authorities that sign peers' certificates. Before each connection the
+// files are read again if they have changed. If they cannot be used, for instance because only one of certificate
+// and key has been replaced so far, the last usable ones stay active. All methods are safe for concurrent use.
 type Credentials struct {
 	certificateFile, keyFile, authoritiesFile string
 	onReloadError                             func(err error)
 
 	mu          sync.Mutex
-	versions    [3]fileVersion // of the files as they were last looked at
+	versions    [3]fileVersion // of the files when they were last checked
 	certificate tls.Certificate
 	authorities *x509.CertPool
 }
 
-// fileVersion tells whether a file has changed.
+// fileVersion is compared to detect that a file has changed.
 type fileVersion struct {
 	modifiedAt time.Time
 	size       int64
 }
 
-// NewCredentials reads the files. onReloadError is called once for each later change of them that cannot be used, on the
-// goroutine of a connection; it must not block. It returns a CredentialsError.
+// NewCredentials reads the files and returns a CredentialsError if they cannot be used. onReloadError is called once for
+// each later change of them that cannot be used, on the goroutine of a connection; it must not block.
 func NewCredentials(certificateFile, keyFile, authoritiesFile string, onReloadError func(err error)) (*Credentials, error) {
 	c := &Credentials{
 		certificateFile: certificateFile, keyFile: keyFile, authoritiesFile: authoritiesFile, onReloadError: onReloadError,
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// current returns the credentials in force after reading the files that have changed.
+// current returns the active credentials. It first reads the files again if any of them has changed.
 func (c *Credentials) current() (tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +90,8 @@
 	return c.certificate, c.authorities
 }
 
-// serverConfig is the configuration for one client's handshake. Its certificate must come from the authorities.
+// serverConfig returns the configuration for one client's handshake. The client's certificate must be signed by one of
+// the authorities.
 func (c *Credentials) serverConfig() *tls.Config {
 	certificate, authorities := c.current()
 	return &tls.Config{
@@ -99,7 +100,7 @@
 	}
 }
 
-// clientConfig is the configuration for a connection to a peer, whose certificate must bear its name.
+// clientConfig returns the configuration for a connection to a peer, whose certificate must contain the peer's name.
 func (c *Credentials) clientConfig(peer string) *tls.Config {
 	certificate, authorities := c.current()
 	return &tls.Config{
@@ -107,7 +108,7 @@
 	}
 }
 
-// certifiedNamesOf returns the names that a peer's certificate proves.
+// certifiedNamesOf returns the names in a peer's certificate: its common name and its DNS names.
 func certifiedNamesOf(state tls.ConnectionState) []string {
 	if len(state.PeerCertificates) == 0 {
 		return nil
--- a/cluster/peerprotocol/credentials_test.go
+++ b/cluster/peerprotocol/credentials_test.go
@@ -19,7 +19,7 @@
 	"chalkring/cluster/peerreport"
 )
 
-// testAuthority signs certificates and writes them to files.
+// testAuthority is a certificate authority that writes the certificates it signs to files.
 type testAuthority struct {
 	t           *testing.T
 	dir         string
@@ -73,6 +73,8 @@
 	return func(c *Client) { c.Credentials = credentials }
 }
 
+// With credentials, a report is sent only to a client whose certificate is signed by a known authority and contains the
+// name that the client gives, and accepted only from a server whose certificate contains the peer's name.
 func TestMutualTLS(t *testing.T) {
 	authority, otherAuthority := newTestAuthority(t), newTestAuthority(t)
 	authority.issue("a", "a", 2)
@@ -96,15 +98,15 @@
 	require.Eventually(t, func() bool { return strings.Contains(lastRejection(), "handshake") }, 10*time.Second, time.Millisecond)
 
 	result = fetchReport(addr, withCredentials(authority.credentials("b", nil)))
-	require.Equal(t, peerreport.OutcomeRejected, result.outcome, "the certificate of another name")
+	require.Equal(t, peerreport.OutcomeRejected, result.outcome, "the client's certificate contains another name")
 
 	result = fetchReport(addr, func(c *Client) { c.Credentials, c.PeerName = authority.credentials("a", nil), "c" })
-	require.Equal(t, peerreport.OutcomeFailed, result.outcome, "not the peer that was meant")
+	require.Equal(t, peerreport.OutcomeFailed, result.outcome, "the server's certificate contains another name")
 	require.Empty(t, reloadErrors)
 }
 
-// While the files cannot be used the last usable credentials stay in force, and that is reported once. Once they can be
-// used again the new ones are taken.
+// A half-replaced certificate must not cut off peers: while the files cannot be used, the last usable credentials stay
+// active and the error is reported once. When the files can be used again, the new credentials are loaded.
 func TestCredentialsAreReloaded(t *testing.T) {
 	authority := newTestAuthority(t)
 	authority.issue("a", "a", 2)
--- a/cluster/peerprotocol/errors.go
+++ b/cluster/peerprotocol/errors.go
@@ -6,15 +6,15 @@
 	"chalkring/internal/advice"
 )
 
-// ErrInvalidMessage is wrapped by the errors for anything received that breaks the protocol.
+// ErrInvalidMessage is wrapped by the errors for received messages that violate the protocol.
 var ErrInvalidMessage = advice.NewError("bad peer message",
-	"Compare the builds of the two instances, and see that the address is that of a peer's listener.")
+	"Compare the builds of the two instances, and check that the address is that of a peer's listener.")
 
-// FrameTooLargeError is a message that no peer would accept, so it is not sent.
+// FrameTooLargeError reports a message that is not sent, since its frame is larger than any peer accepts.
 type FrameTooLargeError struct{ Bytes int }
 
 func (e *FrameTooLargeError) Error() string {
-	return fmt.Sprintf("a frame of %d bytes, at most %d are allowed", e.Bytes, maxFrameBytes)
+	return fmt.Sprintf("frame of %d bytes, at most %d bytes are allowed", e.Bytes, maxFrameBytes)
 }
 
 // Advice implements advice.Provider.
@@ -22,13 +22,15 @@
 	return "Shorten the names of hosts, zones and instances."
 }
 
-// RejectedError is a peer's rejection of a request.
+// RejectedError reports that a peer has rejected a request.
 type RejectedError struct {
-	Code string // one of the protocol's codes, or of a later version's
-	Text string // as the peer has sent it
+	Code string // one of the protocol's codes, possibly of a later version
+	Text string // as sent by the peer
 }
 
-func (e *RejectedError) Error() string { return fmt.Sprintf("refused (%.20s): %.200s", e.Code, e.Text) }
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("peer refused the request (%.20s): %.200s", e.Code, e.Text)
+}
 
 // Advice implements advice.Provider.
 func (e *RejectedError) Advice() string {
@@ -36,18 +38,18 @@
 	case rejectedVersion:
 		return "Run builds of the same protocol version on both instances."
 	case rejectedName:
-		return "Put this instance's name under `allow` in the peer's installation file, and see that its certificate bears that name."
+		return "Add this instance's name to `allow` in the peer's installation file, and check that its certificate contains that name."
 	case rejectedSelf:
-		return "Take this instance out of its own list of peers."
+		return "Remove this instance from its own list of peers."
 	}
 	return "Compare the builds of the two instances."
 }
 
-// WrongPeerError is a report from a peer that gives another name than the one it was polled under.
+// WrongPeerError reports that a peer gives another name in its report than the one it was polled by.
 type WrongPeerError struct{ Got, Want string }
 
 func (e *WrongPeerError) Error() string {
-	return fmt.Sprintf("it calls itself %q, not %q", e.Got, e.Want)
+	return fmt.Sprintf("peer gives its name as %q, expected %q", e.Got, e.Want)
 }
 
 // Advice implements advice.Provider.
@@ -55,9 +57,9 @@
 	return "Correct the peer's name or address in the installation file."
 }
 
-// CredentialsError is a certificate, key or file of authorities that cannot be used.
+// CredentialsError reports a certificate, key or authorities file that cannot be used.
 type CredentialsError struct {
-	Files string // what the files hold, and their paths
+	Files string // kind and path of the files
 	Err   error
 }
 
--- a/cluster/peerprotocol/frame.go
+++ b/cluster/peerprotocol/frame.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// A frame is its length in four bytes, most significant first, which counts what follows; its kind in one byte; one
-	// CBOR item.
+	// A frame consists of a length of four bytes in big-endian order, which counts the bytes that follow it, a kind of one
+	// byte and one CBOR item.
 	frameLengthBytes = 4
 	frameKindBytes   = 1
 	frameHeaderBytes = frameLengthBytes + frameKindBytes
-	// readStep is the bytes by which the buffer of a received frame grows.
+	// readStep is the number of bytes by which the buffer of a received frame grows.
 	readStep = 4096
 )
 
-// appendFrame appends a frame with one message to dst. It returns a FrameTooLargeError beyond maxFrameBytes.
+// appendFrame appends a frame with one message to dst. It returns a FrameTooLargeError if the frame
+// exceeds maxFrameBytes.
 func appendFrame(dst []byte, kind byte, message any) ([]byte, error) {
 	item, err := encoder.Marshal(message)
 	if err != nil {
@@ -32,8 +33,8 @@
 	return append(dst, item...), nil
 }
 
-// readFrame reads one frame. The item is read into buffer, which grows with what is received and not with the length
-// that the peer states: a stated length alone takes no memory.
+// readFrame reads one frame. The item is read into buffer, which grows with the bytes received and not to the length
+// that the peer states, so that a large stated length alone takes no memory.
 func readFrame(source io.Reader, buffer []byte) (kind byte, item []byte, err error) {
 	var header [frameHeaderBytes]byte
 	if _, err = io.ReadFull(source, header[:]); err != nil {
--- a/cluster/peerprotocol/report_receiver.go
+++ b/cluster/peerprotocol/report_receiver.go
@@ -47,7 +47,7 @@
 // receive reads frames until one ends the response.
 func (r *reportReceiver) receive(ctx context.Context) *pollResult {
 	var item []byte
-	processing := time.Duration(0) // time spent on the frame before, which is taken from the budget with the next
+	processing := time.Duration(0) // time spent on the previous frame, charged to the budget with the next one
 	for {
 		r.conn.SetReadDeadline(time.Now().Add(frameTimeout))
 		var kind byte
@@ -66,11 +66,12 @@
 	}
 }
 
-// account counts the bytes of a frame towards the bounds of a response and the client's budget.
+// account counts the bytes of a frame towards the maximum size of a response, and charges them and the processing time to
+// the client's budget.
 func (r *reportReceiver) account(ctx context.Context, bytes int, processing time.Duration) error {
 	r.receivedBytes += bytes
 	if r.receivedBytes > maxResponseBytes {
-		return fmt.Errorf("%w: over %d bytes", ErrInvalidMessage, maxResponseBytes)
+		return fmt.Errorf("%w: response of more than %d bytes", ErrInvalidMessage, maxResponseBytes)
 	}
 	if r.client.SpendBudget == nil {
 		return nil
@@ -78,7 +79,7 @@
 	return r.client.SpendBudget(ctx, bytes, processing)
 }
 
-// handleFrame returns the result of the response if the frame ends it, else nil.
+// handleFrame handles one frame. It returns the result if the frame ends the response, else nil.
 func (r *reportReceiver) handleFrame(kind byte, item []byte) *pollResult {
 	if r.headerReceived {
 		return r.handleReportFrame(kind, item)
@@ -137,5 +138,5 @@
 }
 
 func unexpectedFrame(kind byte) *pollResult {
-	return failedResult(fmt.Errorf("%w: frame %q out of turn", ErrInvalidMessage, kind))
+	return failedResult(fmt.Errorf("%w: unexpected frame of kind %q", ErrInvalidMessage, kind))
 }
--- a/cluster/peerprotocol/server.go
+++ b/cluster/peerprotocol/server.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	// maxConnections bounds the clients connected at once; more wait in the system's backlog.
+	// maxConnections bounds the clients connected at once; further ones wait in the operating system's backlog.
 	maxConnections = 32
-	// connectionsPerSecond bounds the connections accepted, after a burst of maxConnections. It keeps a client that
-	// connects without pause from taking processor time from searches; other clients wait a little meanwhile.
+	// connectionsPerSecond limits the rate of accepted connections, after a burst of maxConnections. It keeps a client
+	// that connects in a loop from taking processor time from searches; other clients wait a little meanwhile.
 	connectionsPerSecond = 40
-	// acceptRetryDelay is the wait after a failed accept, for instance for lack of file descriptors.
+	// acceptRetryDelay is the wait after a failed accept, for instance when file descriptors have run out.
 	acceptRetryDelay = 100 * time.Millisecond
-	// failedReportDeferral is the wait given to a client when no report could be built.
+	// failedReportDeferral is the wait sent to a client when building the report has failed.
 	failedReportDeferral = time.Second
-	// maxDeferral bounds the wait given to a client.
+	// maxDeferral bounds the wait sent to a client.
 	maxDeferral = time.Hour
-	// requestBufferBytes is the read buffer of a connection, which carries one small request.
+	// requestBufferBytes is the size of the read buffer of a connection, on which one small request arrives.
 	requestBufferBytes = 512
 )
 
-// Server answers the requests of peers. Its functions are called on the goroutine of a connection, several at once, and
-// may wait.
+// Server answers the requests of peers. Its functions are called concurrently, on the goroutines of the connections, and
+// may block.
 type Server struct {
 	Name         string
 	InstanceID   uint64
 	AllowedNames []string     // of peers that are answered
-	Credentials  *Credentials // nil for plain TCP, where a client's name is believed
+	Credentials  *Credentials // nil for plain TCP, where clients' names are not verified
 
-	// Admit reports whether a client is sent a report now, or else the wait after which it should come back. Release
-	// follows each admission.
+	// Admit reports whether a client is sent a report now, or else the wait after which it should ask again. Release is
+	// called once for each admission, when the report has been sent or has failed.
 	Admit   func(name string) (admitted bool, deferral time.Duration)
 	Release func()
 
 	BuildReport func(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error)
 	BuildStatus func(ctx context.Context) (Status, error)
 
-	// SpendBudget takes the bytes of a report and the processor time used for it from a budget and may wait. Nil for no
+	// SpendBudget charges the bytes of a report and the processor time used for it to a budget. It may wait. Nil for no
 	// budget.
 	SpendBudget func(ctx context.Context, bytes int, cpu time.Duration) error
 
-	// OnRejected is called for each client that gets no answer. Unknown clients can cause that at will: its log line
-	// should be rate limited.
-	OnRejected func(addr, why string)
+	// OnRejected is called for each client that gets no answer. Unknown clients can cause as many calls as they like, so
+	// a log line written here should be rate limited.
+	OnRejected func(addr, reason string)
 }
 
-// Serve answers requests until ctx ends or the listener is closed. It returns nil, with no goroutine left behind.
+// Serve answers requests until ctx ends or the listener is closed. It returns nil after all its
+// goroutines have ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
@@ -109,7 +110,7 @@
 	clientAddr := conn.RemoteAddr().String()
 	secured, certifiedNames, err := s.secure(ctx, conn)
 	if err != nil {
-		s.OnRejected(clientAddr, "handshake: "+err.Error())
+		s.OnRejected(clientAddr, "TLS handshake: "+err.Error())
 		return
 	}
 	request, rejection, err := s.readRequest(secured, certifiedNames)
@@ -121,7 +122,8 @@
 	if rejection != nil && rejection.Code != rejectedSelf {
 		s.OnRejected(clientAddr, rejection.Text)
 	}
-	// What fails from here on is sending: the client has left or is too slow, and notices that itself.
+	// Errors from here on are not reported: in most cases the client has left or is too slow, and it notices the failure
+	// itself.
 	if rejection != nil {
 		_ = sendRejection(secured, rejection)
 		return
@@ -129,8 +131,7 @@
 	_ = s.respond(ctx, secured, request)
 }
 
-// secure does the TLS handshake where there are credentials, and returns the names that the client's certificate
-// proves.
+// secure does the TLS handshake if the server has credentials, and returns the names in the client's certificate.
 func (s *Server) secure(ctx context.Context, conn net.Conn) (secured net.Conn, certifiedNames []string, err error) {
 	if s.Credentials == nil {
 		return conn, nil, nil
@@ -142,8 +143,8 @@
 	return tlsConn, certifiedNamesOf(tlsConn.ConnectionState()), nil
 }
 
-// readRequest reads a client's request and returns why it is rejected, nil where it is not. An error means that the
-// client cannot be answered.
+// readRequest reads and checks a client's request. rejection is nil if there is no reason to reject it. An error means
+// that reading has failed, so that the client cannot be answered.
 func (s *Server) readRequest(conn net.Conn, certifiedNames []string) (request requestMessage, rejection *rejectionMessage, err error) {
 	kind, item, err := readFrame(bufio.NewReaderSize(conn, requestBufferBytes), nil)
 	if err == nil && kind == kindRequest {
@@ -197,7 +198,8 @@
 	return sendRejection(conn, &rejectionMessage{Code: rejectedUnusable, Text: textUnknownSubject})
 }
 
-// sendReport sends a report in chunks. Each is encoded once the one before has been sent, so that one is in memory.
+// sendReport sends a report in chunks. Each is encoded after the previous one has been sent, so that only one encoded
+// chunk is in memory.
 func (s *Server) sendReport(ctx context.Context, conn net.Conn) error {
 	header, observations, err := s.BuildReport(ctx)
 	if err != nil {
--- a/cluster/peerprotocol/server_test.go
+++ b/cluster/peerprotocol/server_test.go
@@ -34,10 +34,10 @@
 	return observations
 }
 
-// startServer answers as peer "b" with a report of so many hosts; configure changes the server before it starts.
-// lastRejection returns why the last client got no answer.
+// startServer starts a server that answers as peer "b" with a report of hostCount hosts. configure, if not nil, changes
+// the server before it starts. lastRejection returns the reason why the last rejected client got no answer.
 func startServer(t *testing.T, hostCount int, configure func(s *Server)) (addr string, lastRejection func() string) {
-	why := atomic.Value{}
+	rejection := atomic.Value{}
 	observations := hostObservations(hostCount)
 	s := &Server{
 		Name: "b", InstanceID: 7, AllowedNames: []string{"a"}, Release: func() {},
@@ -46,7 +46,7 @@
 			return peerreport.ReportHeader{Peer: "b", Serial: 1, HostCount: uint32(hostCount)}, observations, nil
 		},
 		BuildStatus: func(context.Context) (Status, error) { return Status{Name: "b", HostCount: uint32(hostCount)}, nil },
-		OnRejected:  func(_, reason string) { why.Store(reason) },
+		OnRejected:  func(_, reason string) { rejection.Store(reason) },
 	}
 	if configure != nil {
 		configure(s)
@@ -55,7 +55,7 @@
 	listener, ended := listen(t), make(chan error)
 	go func() { ended <- s.Serve(ctx, listener) }()
 	t.Cleanup(func() { cancel(); require.NoError(t, <-ended) })
-	return listener.Addr().String(), func() string { reason, _ := why.Load().(string); return reason }
+	return listener.Addr().String(), func() string { reason, _ := rejection.Load().(string); return reason }
 }
 
 // fetchResult is how a request for a report ended, and how many hosts were received.
@@ -66,7 +66,7 @@
 	err       error
 }
 
-// fetchReport requests a report as "a" from peer "b"; configure changes the client before it does.
+// fetchReport requests a report as "a" from peer "b". configure, if not nil, changes the client first.
 func fetchReport(addr string, configure func(c *Client)) (result fetchResult) {
 	c := &Client{
 		PeerName: "b", Addr: addr, LocalName: "a", InstanceID: 1, Dial: (&net.Dialer{}).DialContext,
@@ -83,6 +83,7 @@
 	return result
 }
 
+// A report of many chunks must arrive whole, and the status of the same server can be requested.
 func TestReportAndStatus(t *testing.T) {
 	addr, _ := startServer(t, 10_000, nil)
 	result := fetchReport(addr, nil)
@@ -94,6 +95,7 @@
 	require.Equal(t, uint32(10_000), status.HostCount)
 }
 
+// The wait that the server's Admit returns must reach the client unchanged.
 func TestClientIsDeferred(t *testing.T) {
 	addr, _ := startServer(t, 3, func(s *Server) {
 		s.Admit = func(string) (bool, time.Duration) { return false, 1500 * time.Millisecond }
@@ -104,6 +106,8 @@
 	require.Equal(t, 1500*time.Millisecond, result.deferral)
 }
 
+// A client that is not allowed is rejected with a code, and a client that polls its own instance gets OutcomeSelf. A
+// report from a peer of another name than expected must not be accepted.
 func TestClientIsRejected(t *testing.T) {
 	addr, lastRejection := startServer(t, 3, nil)
 	result := fetchReport(addr, func(c *Client) { c.LocalName = "stranger" })
@@ -123,6 +127,8 @@
 	require.ErrorAs(t, result.err, &wrongPeer)
 }
 
+// A request that cannot be decoded, or is of another version or an unknown client, must get a rejection with the right
+// code instead of a closed connection, so that the client can report the reason.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	addr, _ := startServer(t, 3, nil)
 	requestFrame := func(message any) string {
--- a/cluster/peerprotocol/wire_golden_test.go
+++ b/cluster/peerprotocol/wire_golden_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// respond returns all that a server sends to a client that has sent a request.
+// respond returns all bytes that a server sends in response to a request.
 func respond(s *Server, request []byte) ([]byte, error) {
 	client, server := net.Pipe()
 	defer client.Close()
@@ -64,7 +64,7 @@
 	return io.ReadAll(client)
 }
 
-// query runs a client against a recorded response and returns what it sent.
+// query runs a client against a recorded response and returns the request that the client sent.
 func query(client *Client, response []byte, run func() error) (request []byte, err error) {
 	near, far := net.Pipe()
 	client.Dial = func(context.Context, string, string) (net.Conn, error) { return near, nil }
@@ -95,8 +95,9 @@
 	failure      string
 }
 
-// Requests and whole responses of a connection, byte by byte: a client of this build reads what an earlier server sent, and a
-// server of this build answers an earlier client with the same bytes.
+// Guards against changes of the wire format that peers of another build would not understand. It compares requests and
+// whole responses byte by byte: a client of this build reads what an earlier server sent, and a server of this build
+// answers an earlier client with the same bytes.
 func TestGoldenPeerConnections(t *testing.T) {
 	request := func(name string, instance uint64, subject string) []byte {
 		b, err := appendFrame(nil, kindRequest, requestMessage{Version: protocolVersion, Name: name, Instance: instance, Subject: subject})
@@ -127,7 +128,7 @@
 			return err
 		})
 		if !bytes.Equal(sent, reportRequest) {
-			return nil, errors.New("the client sent another request")
+			return nil, errors.New("the client's request differs from the recorded one")
 		}
 		return result, nil
 	}
@@ -140,7 +141,7 @@
 			return nil, err
 		}
 		if kind != 'h' {
-			return nil, errors.New("no request")
+			return nil, errors.New("the frame is not a request")
 		}
 		var decoded requestMessage
 		err = decode(item, &decoded)
@@ -159,13 +160,13 @@
 		response("response-report", true, reportRequest, goldenResult{outcome: peerreport.OutcomeReceived, headers: []peerreport.ReportHeader{header}, observations: observations}),
 		response("response-later", false, reportRequest, goldenResult{outcome: peerreport.OutcomeDeferred, deferral: 1500 * time.Millisecond}),
 		response("response-unknown-name", true, unknownName,
-			goldenResult{outcome: peerreport.OutcomeRejected, failure: "refused (name): the name is not among those that may ask"}),
+			goldenResult{outcome: peerreport.OutcomeRejected, failure: "peer refused the request (name): the name is not among those that may ask"}),
 		response("response-own-instance", true, ownInstance,
-			goldenResult{outcome: peerreport.OutcomeSelf, failure: "refused (self): you are talking to yourself"}),
+			goldenResult{outcome: peerreport.OutcomeSelf, failure: "peer refused the request (self): you are talking to yourself"}),
 		response("response-other-version", true, otherVersion,
-			goldenResult{outcome: peerreport.OutcomeRejected, failure: "refused (version): version 1 is spoken here"}),
+			goldenResult{outcome: peerreport.OutcomeRejected, failure: "peer refused the request (version): version 1 is spoken here"}),
 		response("response-unknown-want", true, unknownSubject,
-			goldenResult{outcome: peerreport.OutcomeRejected, failure: "refused (unusable): nothing known is wanted"}),
+			goldenResult{outcome: peerreport.OutcomeRejected, failure: "peer refused the request (unusable): nothing known is wanted"}),
 		{
 			Name: "response-status", Encode: func() ([]byte, error) { return respond(goldenServer(true), statusRequest) },
 			Decode: func(encoded []byte) (any, error) {
@@ -173,7 +174,7 @@
 				var status Status
 				sent, err := query(client, encoded, func() (err error) { status, err = client.FetchStatus(context.Background()); return err })
 				if !bytes.Equal(sent, statusRequest) {
-					err = errors.Join(err, errors.New("the client sent another request"))
+					err = errors.Join(err, errors.New("the client's request differs from the recorded one"))
 				}
 				return status, err
 			}, Want: goldenStatus(),
@@ -189,7 +190,7 @@
 	})
 }
 
-// The numbers and codes of the protocol, and the bounds that a receiver checks.
+// Peers of other builds depend on the numbers and codes of the protocol and on the bounds that a receiver checks.
 func TestGoldenPeerConstants(t *testing.T) {
 	require.Equal(t, 1, protocolVersion)
 	require.Equal(t, "hlnrset", string([]byte{kindRequest, kindDeferral, kindRejection, kindHeader, kindObservations, kindEnd, kindStatus}))
--- a/cluster/peerreport/admission.go
+++ b/cluster/peerreport/admission.go
@@ -1,43 +1,46 @@
 package peerreport
 
 const (
-	// maxConcurrentReplies bounds the peers answered at once: each costs a buffer and a writing goroutine.
+	// maxConcurrentReplies bounds the peers answered at the same time: each costs a buffer and a writing goroutine.
 	maxConcurrentReplies = 2
-	// minPeerInterval is the wait between two answers to one peer: one that polls without pause does not crowd out others.
+	// minPeerInterval is the shortest time between two answers to one peer: a peer that polls in a loop does not crowd
+	// out others.
 	minPeerInterval = second
-	// maxRememberedPeers bounds the peers remembered for that; beyond it the oldest is forgotten.
+	// maxRememberedPeers bounds the peers whose last answer is remembered for that; beyond it the oldest is forgotten.
 	maxRememberedPeers = 256
-	// deferralInterval is the time between two waits that are given out, so that deferred peers come back one by one;
+	// deferralInterval is the time between the return times of two deferred peers, so that they come back one by one;
 	// four answers a second cost next to nothing.
 	deferralInterval = second / 4
-	// maxDeferralAhead is the longest wait given out; further peers get the same.
+	// maxDeferralAhead is the longest deferral; all further peers get the same.
 	maxDeferralAhead = 30 * second
-	// maxServingLoad is the share of its time for which the event loop is busy beyond which nobody is answered: searches
-	// go first.
+	// maxServingLoad is the load of the event loop above which no peer is answered, since searches take precedence. The
+	// load is the share of its time for which the event loop is busy.
 	maxServingLoad = 0.7
-	// minOverloadDeferral is the shortest wait given out beyond that load.
+	// minOverloadDeferral is the shortest deferral above that load.
 	minOverloadDeferral = 2 * second
-	// snapshotLifetime is the age up to which a snapshot is sent again: the event loop takes few, however many poll.
+	// snapshotLifetime is the age up to which a snapshot is sent again: however many peers poll, the event loop takes few
+	// snapshots.
 	snapshotLifetime = second / 2
-	// maxSnapshotRetakes bounds how often a snapshot is begun again because the endpoint list has changed meanwhile.
+	// maxSnapshotRetakes bounds how often a snapshot is restarted because the endpoint list changed while it was taken.
 	maxSnapshotRetakes = 3
 )
 
-// Admission decides which polling peers are answered: few at once, each only now and then, none while searches need
-// the event loop. The others are told when to come back, at times given out one after another. It keeps fifty instances
-// that restart together from overloading the one that they poll. An Admission is not safe for concurrent use.
+// Admission decides which polling peers are answered: few at the same time, each at most once in minPeerInterval, and
+// none while the event loop is busy with searches. The others are deferred and come back spread over time. This keeps
+// fifty instances that restart together from overloading the one that they poll. An Admission is not safe for
+// concurrent use.
 type Admission struct {
 	Admitted int // polls answered so far
 	Deferred int // polls deferred so far
 
 	load           float64
 	serving        int
-	lastDeferredTo int64            // the latest time given out
+	lastDeferredTo int64            // the latest return time given to a peer
 	lastAdmittedAt map[string]int64 // by peer
 	admittedOrder  []string         // peers in lastAdmittedAt, in the order in which they were first admitted
 
-	snapshotAt int64 // when the newest snapshot was begun; 0 for none
-	retakes    int   // of the snapshot being taken
+	snapshotAt int64 // start of the newest snapshot; 0 for none
+	retakes    int   // restarts of the snapshot being taken
 }
 
 // NewAdmission returns an Admission that has admitted nobody yet.
@@ -46,8 +49,8 @@
 // SetLoad records the share of its time, 0 to 1, for which the event loop is busy.
 func (a *Admission) SetLoad(share float64) { a.load = share }
 
-// Admit reports whether a peer is answered now, or else the wait after which it should poll again. Each admitted poll is
-// ended by Release.
+// Admit reports whether a peer is answered now, or else the wait after which it should poll again. The caller calls
+// Release at the end of each admitted poll.
 func (a *Admission) Admit(now int64, peer string) (admitted bool, deferral int64) {
 	lastAt, known := a.lastAdmittedAt[peer]
 	switch {
@@ -78,13 +81,13 @@
 	}
 }
 
-// nextDeferral gives out the next free time to come back, as a wait.
+// nextDeferral assigns the next free return time and returns the wait until then.
 func (a *Admission) nextDeferral(now int64) int64 {
 	a.lastDeferredTo = min(max(a.lastDeferredTo, now)+deferralInterval, now+maxDeferralAhead)
 	return a.lastDeferredTo - now
 }
 
-// Release records that an admitted poll has been answered or has broken off.
+// Release records that an admitted poll has been answered or aborted.
 func (a *Admission) Release() { a.serving = max(0, a.serving-1) }
 
 // IsSnapshotFresh reports whether the newest snapshot may be sent once more.
@@ -92,12 +95,12 @@
 	return a.snapshotAt > 0 && now-a.snapshotAt < snapshotLifetime
 }
 
-// RecordSnapshot records that a snapshot which was begun at startedAt is complete.
+// RecordSnapshot records that the snapshot started at startedAt is complete.
 func (a *Admission) RecordSnapshot(startedAt int64) { a.snapshotAt, a.retakes = startedAt, 0 }
 
-// AllowSnapshotRetake reports whether a snapshot should be begun again because the endpoint list changed while it was
-// taken, and counts that. After maxSnapshotRetakes it is sent as it is: each observation stands by itself, and of two
-// observations of one host the later counts.
+// AllowSnapshotRetake reports whether a snapshot should be restarted because the endpoint list changed while it was
+// taken, and counts the restart. After maxSnapshotRetakes it is sent as it is: each observation is valid on its own, and
+// of two observations of one host the later counts.
 func (a *Admission) AllowSnapshotRetake() bool {
 	a.retakes++
 	return a.retakes <= maxSnapshotRetakes
--- a/cluster/peerreport/admission_test.go
+++ b/cluster/peerreport/admission_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Fifty peers poll at one moment: a few are answered at a time, the others come back at spread times, and all are
-// answered in the end.
+// Guards against overload when many instances restart together: of fifty peers that poll at the same moment, few are
+// answered at a time, the others are deferred to different times, and all are answered in the end.
 func TestPeersThatPollTogetherAreSpread(t *testing.T) {
 	a := NewAdmission()
 	nextPollAt, answered, now := map[string]int64{}, map[string]bool{}, int64(0)
@@ -37,6 +37,7 @@
 	require.Less(t, now, int64(30*second))
 }
 
+// A peer that polls in a loop must not crowd out others: it is deferred until minPeerInterval is over.
 func TestPeerThatPollsAgainAtOnceIsDeferred(t *testing.T) {
 	a := NewAdmission()
 	admitted, _ := a.Admit(0, "n1")
@@ -49,14 +50,16 @@
 	require.True(t, admitted, "the interval is over")
 }
 
-func TestNobodyIsAnsweredUnderLoad(t *testing.T) {
+// Peer reports must not take time from searches: above maxServingLoad every poll is deferred.
+func TestNoPeerIsAnsweredUnderHighLoad(t *testing.T) {
 	a := NewAdmission()
 	a.SetLoad(0.9)
 	admitted, deferral := a.Admit(5*second, "n2")
-	require.False(t, admitted, "searches go first")
+	require.False(t, admitted, "searches take precedence")
 	require.GreaterOrEqual(t, deferral, int64(minOverloadDeferral))
 }
 
+// Polls by ever new peers must not let the memory for them grow without bound.
 func TestRememberedPeersAreBounded(t *testing.T) {
 	a := NewAdmission()
 	for i := range 4 * maxRememberedPeers {
--- a/cluster/peerreport/builder.go
+++ b/cluster/peerreport/builder.go
@@ -12,13 +12,13 @@
 	Header       ReportHeader
 	Observations []Observation
 
-	fleetLogLatency float64  // what slowdowns are relative to
+	fleetLogLatency float64  // mean logarithm of the fleet's answer times, which slowdowns are relative to
 	zoneNames       []string // by the balancer's zone index
 	startedAt       int64
 	listVersion     int64
 }
 
-// NewReportBuilder begins a report of a peer in a locality. zoneNames are the zones in the order of the settings.
+// NewReportBuilder starts a report of a peer in a locality. zoneNames are the zones in the order of the settings.
 func NewReportBuilder(now int64, peer, locality string, serial uint64, listVersion int64, zoneNames []string) *ReportBuilder {
 	return &ReportBuilder{
 		Header:    ReportHeader{Peer: peer, Locality: locality, Serial: serial, ListVersion: listVersion},
@@ -82,14 +82,14 @@
 	b.Observations = append(b.Observations, observation)
 }
 
-// ListChanged reports whether the endpoint list has changed since the report was begun. The report then mixes two
-// lists and should be begun again.
+// ListChanged reports whether the endpoint list has changed since the report was started. The report then mixes two
+// lists and should be restarted.
 func (b *ReportBuilder) ListChanged(listVersion int64) bool { return b.listVersion != listVersion }
 
-// AgeAt returns how long before now the report was begun.
+// AgeAt returns how long before now the report was started.
 func (b *ReportBuilder) AgeAt(now int64) int64 { return max(0, now-b.startedAt) }
 
-// HeaderAt returns the header of the report if it is sent now.
+// HeaderAt returns the header of a report that is sent at now.
 func (b *ReportBuilder) HeaderAt(now int64) ReportHeader {
 	header := b.Header
 	header.AgeMs = uint32(min(b.AgeAt(now)/tenthsPerMs, math.MaxUint32))
@@ -97,8 +97,8 @@
 	return header
 }
 
-// logSlowdown is a mean's distance from the fleet's, so that a peer under overload, to which all hosts are slow,
-// reports no single one as slow.
+// logSlowdown returns how much a mean exceeds the fleet's. To a peer under overload all hosts are slow; relative to its
+// fleet latency it reports none of them as slow.
 func (b *ReportBuilder) logSlowdown(mean balancer.DecayingMean) int16 {
 	if mean.Weight == 0 {
 		return 0
@@ -110,7 +110,7 @@
 	return uint16(quantize(mean.Weight, countScale, math.MaxUint16))
 }
 
-// quantize returns value in steps of 1/scale, bounded to limit on both sides; 0 for NaN.
+// quantize returns value as a number of steps of 1/scale, rounded and clamped to the range -limit to limit; 0 for NaN.
 func quantize(value, scale, limit float64) float64 {
 	if math.IsNaN(value) {
 		return 0
--- a/cluster/peerreport/builder_test.go
+++ b/cluster/peerreport/builder_test.go
@@ -10,8 +10,9 @@
 	"chalkring/balancer"
 )
 
-// To a peer under overload all hosts are slow. Since slowdowns are relative to its fleet latency, it reports none.
-func TestOverloadedPeerReportsTheSame(t *testing.T) {
+// To a peer under overload all hosts are slow. It must not report them as slow: slowdowns are relative to its fleet
+// latency, so overload does not change its report.
+func TestOverloadDoesNotChangeReportedSlowdowns(t *testing.T) {
 	observationsAt := func(overload float64) []Observation {
 		builder := NewReportBuilder(0, "a", "", 1, 1, nil)
 		fleet := balancer.DecayingMean{Weight: 100, Mean: math.Log(50 * overload)}
--- a/cluster/peerreport/combine.go
+++ b/cluster/peerreport/combine.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// outlierLifetime is the age from which a peer's outlier is ignored: by then the peer has probed the host itself.
+	// outlierLifetime is the age of a report from which its outliers are ignored: by then the peer has probed the host
+	// itself.
 	outlierLifetime = 20 * second
-	// maxVoteWeight bounds the answers that reports weigh: the balancer gives gossiped observations no more weight, so
+	// maxVoteWeight bounds the weight of reports, in answers: the balancer gives gossiped observations no more weight, so
 	// that three answers of its own outweigh them.
 	maxVoteWeight = 3.0
-	// minCombinedWeight is the weight, in answers, below which reports say nothing of a host's slowness.
+	// minCombinedWeight is the weight, in answers, below which reports of a host's slowness are ignored.
 	minCombinedWeight = 0.05
-	// minFleetSamples is the answers from which on a peer's fleet latency counts, as in the balancer.
+	// minFleetSamples is the number of answers from which a peer's fleet latency counts, the same as in the balancer.
 	minFleetSamples = 8.0
 )
 
-// windowVote is what one peer says of the slowness of a host or zone in one of the two windows. The zero value is the
-// vote of a peer that says nothing: as fast as the fleet, without weight.
+// windowVote is the slowness of a host or zone that one peer reports for one of the two windows. The zero value is the
+// vote of a peer that reports nothing about it: as fast as the fleet, without weight.
 type windowVote struct {
-	weight   float64 // answers
+	weight   float64 // in answers
 	slowdown float64 // mean logarithm of answer times, less the fleet's
 }
 
 // hostVotes are the votes of all peers on one host.
 type hostVotes struct {
 	short, long []windowVote
-	outlierFor  []int64 // for how long each peer's finding that it is an outlier counts; 0 where it does not
+	outlierFor  []int64 // for how long each peer's report of it as an outlier still counts; 0 if it does not
 }
 
 func (v *hostVotes) reset() {
@@ -43,16 +44,16 @@
 	v.outlierFor = append(v.outlierFor, outlierFor)
 }
 
-// Combine returns what all reports say at a time: of the fleet, of zones, of hosts. hostStart returns the start of a
-// host on this instance's endpoint list in Unix milliseconds; observations of a host with another start are ignored,
-// and so are hosts that are not listed. What an earlier call has returned of a host and no longer holds is in the
-// result without weight, so that the balancer drops it.
+// Combine merges all reports into one set of observations of the fleet, of zones and of hosts at the time now.
+// hostStart returns the start of a host on this instance's endpoint list in Unix milliseconds; observations of a host
+// with another start are ignored, and so are hosts that are not listed. If an earlier call has returned an observation
+// of a host that no longer holds, the result contains one without weight, so that the balancer drops it.
 //
-// The slowness of a host is the lower median of the peers' votes, one vote a peer whatever its weight: a mean follows a
-// single liar as far as it likes, a weighted median follows the freshest report. A peer that says nothing of a host
-// votes that it is as fast as the fleet, so that a host only one peer speaks of is not slow where others have reported.
-// The weight is the sum of the votes' weights, each bounded and decayed by its age: more age never weighs more. A host
-// is an outlier where more than half of the peers say so.
+// The slowness of a host is the lower median of the peers' votes, with one vote per peer whatever its weight: a single
+// lying peer could move a mean as far as it likes, and a weighted median would follow the freshest report. A peer that
+// reports nothing about a host votes that it is as fast as the fleet, so a host that only one of several peers reports
+// does not count as slow. The weight is the sum of the votes' weights, each bounded and decayed by the age of its
+// report: an older report never weighs more. A host is an outlier if more than half of the peers report it as one.
 func (s *ReportStore) Combine(now int64, hostStart func(host string) (startMs int64, listed bool)) []balancer.GossipedObservation {
 	s.ExpireReports(now)
 	peers := sortedKeys(s.reports) // a fixed order, since sums of floats depend on it
@@ -80,7 +81,7 @@
 	return combined
 }
 
-// mentionedHosts returns, in order, the hosts in any report and those that Combine has still to retract.
+// mentionedHosts returns, sorted, the hosts in any report and those that Combine may still have to retract.
 func (s *ReportStore) mentionedHosts() []string {
 	hosts := map[string]bool{}
 	for _, r := range s.reports {
@@ -121,9 +122,9 @@
 	}
 }
 
-// combine makes the observation that the votes on a host amount to. It reorders the votes.
+// combine returns the observation that results from the votes on a host. It reorders the votes.
 func (v *hostVotes) combine(host string, startMs int64) balancer.GossipedObservation {
-	outlierFor := lowerMedian(v.outlierFor) // over half of the peers call it an outlier for at least so long
+	outlierFor := lowerMedian(v.outlierFor) // the outlier reports of over half of the peers count for at least this long
 	return balancer.GossipedObservation{
 		Scope: balancer.ScopeReplica, Replica: host, ReplicaStart: startMs * tenthsPerMs,
 		ShortWindow: combineWindow(v.short), LongWindow: combineWindow(v.long),
@@ -131,8 +132,8 @@
 	}
 }
 
-// combineFleet returns the lower medians of the fleet latency and of the shortest latency. Only peers in the own
-// locality count: from elsewhere the distance is part of what they measure.
+// combineFleet returns the lower medians of the fleet latency and of the shortest latency. Only peers in this instance's
+// locality count: the latencies that others measure include the distance from their locality.
 func (s *ReportStore) combineFleet(peers []string) []balancer.GossipedObservation {
 	var fleetLatencies, minLatencies []float64
 	for _, peer := range peers {
@@ -153,7 +154,7 @@
 	}}
 }
 
-// combineZones returns the latencies to the zones that any peer in the own locality reports.
+// combineZones returns the latencies to the zones that any peer in this instance's locality reports.
 func (s *ReportStore) combineZones(now int64, peers []string) (combined []balancer.GossipedObservation) {
 	votes := map[int][]windowVote{}
 	voters := 0
@@ -187,14 +188,15 @@
 	return combined
 }
 
-// decayedWeight is a sample count of a report of some age, decayed and bounded, in answers. window is the time constant.
+// decayedWeight returns the weight, in answers, of a sample count in a report of a given age: bounded, and decayed with
+// window as the time constant.
 func decayedWeight(samples uint16, age int64, window float64) float64 {
 	return min(maxVoteWeight, float64(samples)/countScale) * math.Exp(-float64(age)/window)
 }
 
 // combineWindow returns the lower median of the slowdowns with the bounded sum of the weights. It returns the zero value
-// where that is no slowdown: reports only ever make a host look worse, so that instances that start together do not
-// all rush at one that is said to be fast.
+// if the median is no slowdown: reports only ever make a host look slower, so that instances that start together do not
+// all send their requests to one that is reported as fast.
 func combineWindow(votes []windowVote) balancer.DecayingMean {
 	totalWeight, slowdowns := 0.0, make([]float64, 0, len(votes))
 	for _, vote := range votes {
--- a/cluster/peerreport/combine_test.go
+++ b/cluster/peerreport/combine_test.go
@@ -23,8 +23,8 @@
 	}
 })
 
-// The same is combined of several peers' reports in any order. No host weighs more than the bound, none is made to look
-// faster than the fleet, and a report that comes again changes nothing.
+// The result must not depend on the order in which peers report, nor on a report that is received twice. No host gets
+// more weight than the bound, and none looks faster than the fleet.
 func TestCombineIsBoundedAndIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.SliceOfN(rapid.SliceOfN(anyObservation, 1, 8), 1, 5).Draw(t, "reports")
@@ -60,8 +60,8 @@
 	})
 }
 
-// Of two stores that differ only in the reports' ages, the older gives no host more weight and treats none as an
-// outlier for longer.
+// An old report must not outweigh a fresh one: of two stores that differ only in the ages of their reports, the older
+// gives no host more weight and treats none as an outlier for longer.
 func TestOlderReportsNeverWeighMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.SliceOfN(rapid.SliceOfN(anyObservation, 1, 8), 1, 4).Draw(t, "reports")
@@ -85,8 +85,8 @@
 	})
 }
 
-// Whatever one liar among three reports, a host's slowness stays between what the honest two report, and a host that
-// neither reports as an outlier is none.
+// A single faulty peer among three must not be able to discredit a host. Whatever it reports, a host is no slower than
+// the slower of the two honest reports, and no outlier if neither of them reports it as one.
 func TestOneLiarOfThreeIsOutvoted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := rapid.Int16Range(0, 3000).Draw(t, "first"), rapid.Int16Range(0, 3000).Draw(t, "second")
@@ -100,19 +100,21 @@
 			if observation.Replica == "h1" {
 				require.LessOrEqual(t, observation.ShortWindow.Mean, float64(max(first, second))/logScale)
 			} else {
-				require.Zero(t, observation.ShortWindow.Mean, "only the liar speaks of it")
+				require.Zero(t, observation.ShortWindow.Mean, "only the liar reports it")
 			}
 		}
 	})
 }
 
+// A minority of the peers must not make a host an outlier. An outlier ends when the reports are too old, and one that
+// loses its majority is retracted.
 func TestOutlierNeedsAMajority(t *testing.T) {
 	s := NewReportStore("", nil)
 	putReport(t, s, 0, "a", outlierHost("h1"), slowHost("h2", 0), slowHost("h3", 0), slowHost("h4", 0))
-	require.True(t, combinedHost(s.Combine(0, listAll), "h1").Outlier, "the only report there is")
+	require.True(t, combinedHost(s.Combine(0, listAll), "h1").Outlier, "the only report")
 	putReport(t, s, 0, "b", slowHost("h1", 0))
 	retracted := combinedHost(s.Combine(0, listAll), "h1")
-	require.Equal(t, "h1", retracted.Replica, "what was combined before and no longer holds is retracted")
+	require.Equal(t, "h1", retracted.Replica, "an earlier result that no longer holds is retracted")
 	require.False(t, retracted.Outlier, "one of two")
 	putReport(t, s, 0, "c", outlierHost("h1"))
 	require.True(t, combinedHost(s.Combine(0, listAll), "h1").Outlier, "two of three")
@@ -122,14 +124,16 @@
 	require.Zero(t, s.ReportCount())
 }
 
+// A peer to which most hosts are outliers probably has a fault of its own, and must not make others avoid these hosts.
 func TestOutliersOfAPeerThatIsItselfAtFaultAreIgnored(t *testing.T) {
 	s := NewReportStore("", nil)
 	putReport(t, s, 0, "a", outlierHost("h1"), outlierHost("h2"), outlierHost("h3"), slowHost("h4", 0))
 	require.Empty(t, s.Combine(0, listAll))
 }
 
-// The latency between a peer in another locality and a zone is taken out of its observations of hosts there. Zone and
-// fleet latencies count only from peers in the own locality.
+// A host must not look slow because the reporting peer is far away: the latency between a peer in another locality and a
+// zone is subtracted from its observations of hosts there. Zone and fleet latencies count only from peers in this
+// instance's locality.
 func TestReportsFromAnotherLocality(t *testing.T) {
 	observation := slowHost("h1", 1500)
 	observation.ZoneIndex = 1
@@ -152,6 +156,7 @@
 	require.InDelta(t, 0.1, combinedHost(combined, "h1").ShortWindow.Mean, 1e-9)
 }
 
+// BenchmarkCombine measures one call of Combine on three large reports.
 func BenchmarkCombine(b *testing.B) {
 	s := NewReportStore("", nil)
 	for peer := range 3 {
--- a/cluster/peerreport/errors.go
+++ b/cluster/peerreport/errors.go
@@ -6,14 +6,14 @@
 	"chalkring/internal/advice"
 )
 
-// InvalidReportError is a header or an observation from a peer that breaks a bound of the protocol.
+// InvalidReportError reports a header or an observation from a peer that violates a bound of the protocol.
 type InvalidReportError struct{ Reason string }
 
 func (e *InvalidReportError) Error() string { return "invalid peer report: " + e.Reason }
 
 // Advice implements advice.Provider.
 func (e *InvalidReportError) Advice() string {
-	return "Compare the peer's build and log with this instance's; its earlier report stays in force until it expires."
+	return "Compare the peer's build and log with this instance's; its previous report is used until it expires."
 }
 
 func invalidReport(format string, args ...any) error {
@@ -21,5 +21,5 @@
 }
 
 // ErrTooManyPeers rejects the report of a peer beyond the first MaxPeers.
-var ErrTooManyPeers = advice.NewError(fmt.Sprintf("%d peers have reported already", MaxPeers),
+var ErrTooManyPeers = advice.NewError(fmt.Sprintf("reports of %d peers are kept already, no more are allowed", MaxPeers),
 	fmt.Sprintf("Name at most %d peers in the installation file.", MaxPeers))
--- a/cluster/peerreport/poller.go
+++ b/cluster/peerreport/poller.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// learningPeriod is the time after the start in which peers are polled even without a refresh interval: later the
-	// instance's own answers say more.
+	// learningPeriod is the time after the start in which peers are polled even without a refresh interval. After it the
+	// instance's own observations are more accurate than reports.
 	learningPeriod = 30 * second
-	// learningInterval is the wait between two polls of one peer in that period. What a report holds decays with 4 s
-	// and 10 s.
+	// learningInterval is the wait between two polls of one peer in that period. The observations in a report decay with
+	// time constants of 4 s and 10 s.
 	learningInterval = 2 * second
-	// initialBackoff doubles with each consecutive failure up to maxBackoff. It is short since a peer that restarts is
-	// back within seconds.
+	// initialBackoff is the wait after the first failure. It doubles with each consecutive failure up to maxBackoff, and
+	// is short because a peer that restarts is back within seconds.
 	initialBackoff      = second / 2
 	maxBackoff          = 30 * second
-	maxBackoffDoublings = 10 // keeps the shift from overflowing; maxBackoff is reached before
-	// rejectedWait is the wait after a peer has rejected this instance: a person has to mend that.
+	maxBackoffDoublings = 10 // keeps the shift from overflowing; maxBackoff is reached earlier
+	// rejectedWait is the wait after a peer has rejected this instance: an operator has to fix that.
 	rejectedWait = 60 * second
 	// minDeferral and maxDeferral bound the wait that a peer may ask for.
 	minDeferral = second / 10
 	maxDeferral = 30 * second
-	// waitJitter is the random part added to each wait, as a share of it: instances that start together do not stay in
-	// step.
+	// waitJitter is the largest random part added to each wait, as a share of it, so that instances that start together do
+	// not keep polling at the same moments.
 	waitJitter = 0.2
 )
 
@@ -35,17 +35,17 @@
 	OutcomeReceived Outcome = iota // a complete report was received
 	OutcomeDeferred                // the peer asked to be polled later
 	OutcomeFailed                  // the peer was unreachable, silent or slow, or sent something invalid or incomplete
-	OutcomeRejected                // the peer does not allow this instance, or speaks another version
+	OutcomeRejected                // the peer does not allow this instance, has another protocol version or gives another name
 	OutcomeSelf                    // the peer is this very instance
 )
 
-// String returns the outcome as it stands in log lines and in the status that peers exchange.
+// String returns the outcome as it appears in log lines and in the status that peers exchange.
 func (o Outcome) String() string {
 	return [...]string{"told", "later", "failed", "refused", "myself"}[o]
 }
 
-// Poller decides when to poll which peer. An instance that has just started polls all of them at once and repeatedly;
-// later it polls at the refresh interval, if there is one. A Poller is not safe for concurrent use.
+// Poller decides when to poll which peer. In the learning period after the start, it polls all of them immediately and
+// then repeatedly; later it polls at the refresh interval, if one is set. A Poller is not safe for concurrent use.
 type Poller struct {
 	rng       *rand.Rand
 	startedAt int64
@@ -58,7 +58,7 @@
 	nextPollAt    int64
 	inFlight      bool
 	failures      int  // consecutive
-	isSelf        bool // it is this instance and is never polled again
+	isSelf        bool // the peer is this instance, which is never polled again
 	reportCount   int
 	lastOutcome   Outcome
 	lastOutcomeAt int64
@@ -69,12 +69,12 @@
 	Name          string
 	InFlight      bool // it is being polled
 	LastOutcome   Outcome
-	LastOutcomeAt int64 // 0 where it has not been polled yet
+	LastOutcomeAt int64 // 0 if it has not been polled yet
 	ReportCount   int   // reports received
 	NextPollAt    int64 // 0 for never
 }
 
-// NewPoller returns a poller to which all peers are due at once; those beyond MaxPeers are ignored.
+// NewPoller returns a Poller with all peers due immediately; peers beyond MaxPeers are ignored.
 func NewPoller(rng *rand.Rand, now, refresh int64, peers []string) *Poller {
 	p := &Poller{rng: rng, startedAt: now, refresh: refresh}
 	for _, name := range peers[:min(len(peers), MaxPeers)] {
@@ -83,7 +83,7 @@
 	return p
 }
 
-// DuePeers returns the peers to poll now, which count as being polled until RecordOutcome.
+// DuePeers returns the peers to poll now. Each counts as in flight until RecordOutcome is called for it.
 func (p *Poller) DuePeers(now int64) []string {
 	var names []string
 	for _, peer := range p.peers {
@@ -95,12 +95,13 @@
 	return names
 }
 
-// isPollingAt reports whether peers are polled at a time: always with a refresh interval, else in the learning period.
+// isPollingAt reports whether peers are polled at the time now: always if a refresh interval is set, else only in the
+// learning period.
 func (p *Poller) isPollingAt(now int64) bool {
 	return p.refresh > 0 || now-p.startedAt < learningPeriod
 }
 
-// NextPollAt returns when to call DuePeers again; 0 where nothing is due before a poll ends.
+// NextPollAt returns when to call DuePeers again; 0 if no peer becomes due before a poll in flight ends.
 func (p *Poller) NextPollAt(now int64) int64 {
 	next := int64(0)
 	for _, peer := range p.peers {
@@ -141,7 +142,7 @@
 	peer.nextPollAt = now + wait + int64(waitJitter*float64(wait)*p.rng.Float64())
 }
 
-// intervalAfter returns the wait after a report was received.
+// intervalAfter returns the wait after a report received at now.
 func (p *Poller) intervalAfter(now int64) int64 {
 	if p.refresh > 0 && now+learningInterval-p.startedAt >= learningPeriod {
 		return p.refresh
@@ -149,7 +150,7 @@
 	return learningInterval
 }
 
-// Statuses returns the status of all peers in the order in which they were named.
+// Statuses returns the status of all peers in the order in which NewPoller got them.
 func (p *Poller) Statuses(now int64) []PollStatus {
 	var statuses []PollStatus
 	for _, peer := range p.peers {
--- a/cluster/peerreport/poller_test.go
+++ b/cluster/peerreport/poller_test.go
@@ -11,10 +11,12 @@
 	return NewPoller(rand.New(rand.NewSource(1)), now, refresh, peers)
 }
 
+// The wait before the next poll must follow the last outcome: a peer that failed is polled again after the backoff, one
+// that deferred after the wait it asked for, and this instance itself never. A peer in flight is not polled twice.
 func TestPollsEachPeerByItsLastOutcome(t *testing.T) {
 	p := newTestPoller(100, 0, "a", "b", "c", "d")
-	require.Equal(t, []string{"a", "b", "c", "d"}, p.DuePeers(100), "all at once")
-	require.Empty(t, p.DuePeers(200), "they are being polled")
+	require.Equal(t, []string{"a", "b", "c", "d"}, p.DuePeers(100), "all are due immediately")
+	require.Empty(t, p.DuePeers(200), "all are in flight")
 	require.Zero(t, p.NextPollAt(200))
 	p.RecordOutcome(1000, "a", OutcomeReceived, 0)
 	p.RecordOutcome(1000, "b", OutcomeDeferred, 70*second)
@@ -44,6 +46,7 @@
 	}
 }
 
+// Without a refresh interval polls must end with the learning period; with one they continue at that interval.
 func TestPollsAfterTheLearningPeriodOnlyWithARefreshInterval(t *testing.T) {
 	require.Zero(t, newTestPoller(0, 0, "a").NextPollAt(learningPeriod))
 	p := newTestPoller(0, 60*second, "a")
--- a/cluster/peerreport/store.go
+++ b/cluster/peerreport/store.go
@@ -3,35 +3,36 @@
 const (
 	// reportLifetime is the age at which a report is dropped: most faults have passed by then.
 	reportLifetime = 30 * second
-	// repeatedReportSlack is how much younger a report may seem when the peer sends the same one again. Peers send one
-	// snapshot for half a second at most.
+	// repeatedReportSlack is how much younger a report may seem when the peer sends the same one again. A peer sends the
+	// same snapshot for at most half a second.
 	repeatedReportSlack = second
-	// A peer to which more than selfFaultShare of at least selfFaultMinHosts hosts are outliers is at fault itself.
+	// A peer that reports more than selfFaultShare of at least selfFaultMinHosts hosts as outliers is taken to be at fault
+	// itself.
 	selfFaultShare    = 0.5
 	selfFaultMinHosts = 4
 	// maxInvalidatedHosts bounds the hosts remembered by InvalidateHost; beyond it the oldest is forgotten.
 	maxInvalidatedHosts = 4096
 )
 
-// ReportStore keeps the last report of each peer and combines them; see Combine. A report is received in parts, and
-// replaces the one before only once it is complete. A ReportStore is not safe for concurrent use.
+// ReportStore keeps the last report of each peer and combines them; see Combine. A report is received in parts and
+// replaces the peer's previous one only when it is complete. A ReportStore is not safe for concurrent use.
 type ReportStore struct {
 	locality  string
-	zones     map[string]int     // the settings' index of each zone
-	reports   map[string]*report // complete ones, by peer
-	receiving map[string]*report // begun ones, by peer
+	zones     map[string]int     // index of each zone in the settings, by name
+	reports   map[string]*report // complete reports, by peer
+	receiving map[string]*report // reports being received, by peer
 
 	invalidatedAt    map[string]int64 // by host: older observations of it are ignored
-	invalidatedOrder []string         // hosts in invalidatedAt, oldest first
+	invalidatedOrder []string         // hosts in invalidatedAt, in the order in which they were added
 
-	// What Combine has returned and not yet retracted.
+	// Hosts and zones of which Combine has returned observations that it has not retracted yet.
 	combinedHosts map[string]bool
 	combinedZones map[int]bool
 }
 
 type report struct {
 	header       ReportHeader
-	takenAt      int64 // own time; no observation is older by this instance's clock
+	takenAt      int64 // on this instance's clock; no observation in the report is older
 	observations map[string]*Observation
 	selfFault    bool // the fault is probably the peer's own, so its outliers are ignored
 }
@@ -49,10 +50,11 @@
 	return s
 }
 
-// BeginReport begins to receive a report. polledAt is when the peer was polled: the report is dated to that time less
-// the age that the peer states. A report with the serial of the one before counts once, with the age it had.
+// BeginReport starts receiving a report. polledAt is when the peer was polled: the report is dated to that time less the
+// age that the peer states. A report with the same serial as the previous one is the same report sent again: a later date
+// is corrected to the previous one, by at most repeatedReportSlack.
 //
-// It returns an InvalidReportError, or ErrTooManyPeers.
+// It returns an InvalidReportError or ErrTooManyPeers.
 func (s *ReportStore) BeginReport(polledAt int64, header ReportHeader) error {
 	if err := header.Validate(); err != nil {
 		return err
@@ -69,12 +71,12 @@
 	return nil
 }
 
-// AddObservations adds observations to the report that a peer has begun. Of several observations of one host the last
-// counts. It returns an InvalidReportError.
+// AddObservations adds observations to the report that is being received from a peer. Of several observations of one host
+// the last counts. It returns an InvalidReportError.
 func (s *ReportStore) AddObservations(peer string, observations []Observation) error {
 	received := s.receiving[peer]
 	if received == nil {
-		return invalidReport("observations from %.40q without a header", peer)
+		return invalidReport("observations from peer %.40q before a report header", peer)
 	}
 	for _, observation := range observations {
 		if err := observation.Validate(); err != nil {
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// CompleteReport ends the report that a peer has begun and lets it take the place of the peer's previous one.
+// CompleteReport ends the report that is being received from a peer. It replaces the peer's previous one.
 func (s *ReportStore) CompleteReport(peer string) {
 	received := s.receiving[peer]
 	if received == nil {
@@ -99,7 +101,7 @@
 	s.reports[peer] = received
 }
 
-// isSelfFault reports whether so many hosts are outliers to a peer that the fault is more likely its own.
+// isSelfFault reports whether a peer reports so many hosts as outliers that the fault is more likely its own.
 func isSelfFault(observations map[string]*Observation) bool {
 	outliers := 0
 	for _, observation := range observations {
@@ -111,11 +113,11 @@
 	return hosts >= selfFaultMinHosts && float64(outliers) > selfFaultShare*float64(hosts)
 }
 
-// AbortReport drops what was received of a report that broke off. The peer's previous report stays in force.
+// AbortReport drops the incomplete report of a peer. The peer's previous report stays in use.
 func (s *ReportStore) AbortReport(peer string) { delete(s.receiving, peer) }
 
 // InvalidateHost records that a host has changed its address, has left or has come back: observations taken before now
-// are of another machine.
+// are of another machine and are ignored.
 func (s *ReportStore) InvalidateHost(now int64, host string) {
 	if _, known := s.invalidatedAt[host]; !known {
 		s.invalidatedOrder = append(s.invalidatedOrder, host)
@@ -144,10 +146,10 @@
 	return len(s.reports) > 0
 }
 
-// ReportCount returns how many peers' reports are in force.
+// ReportCount returns the number of peers whose reports are in use.
 func (s *ReportStore) ReportCount() int { return len(s.reports) }
 
-// observationOf returns a report's observation of a host that started at startMs; nil where it has none, or where its
+// observationOf returns a report's observation of a host that started at startMs; nil if it has none, or if its
 // observation is of an earlier or later process or machine.
 func (s *ReportStore) observationOf(r *report, host string, startMs int64) *Observation {
 	observation := r.observations[host]
@@ -161,7 +163,7 @@
 }
 
 // zoneLatency returns the part of an observation's slowdown that is the latency between the peer's locality and the
-// host's zone. It is 0 for peers in the own locality, where that latency is the same for this instance.
+// host's zone. It is 0 for peers in this instance's locality, since that latency is the same for this instance.
 func (s *ReportStore) zoneLatency(r *report, observation *Observation) float64 {
 	if r.header.Locality == s.locality || int(observation.ZoneIndex) >= len(r.header.Zones) {
 		return 0
--- a/cluster/peerreport/store_test.go
+++ b/cluster/peerreport/store_test.go
@@ -11,7 +11,8 @@
 	"chalkring/balancer"
 )
 
-// TestMain fixes the seed of the property tests, so that CI gives one verdict. Flags on the command line take precedence.
+// TestMain fixes the seed of the property tests, so that their result is reproducible. Flags on the command line take
+// precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -21,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// listAll is an endpoint list that holds every host, started long ago.
+// listAll stands for an endpoint list that contains every host, each started long ago.
 func listAll(string) (startMs int64, listed bool) { return 0, true }
 
 // putReport stores a complete report of observations.
@@ -45,7 +46,7 @@
 	return Observation{HostID: id, IsOutlier: true, UnansweredRequests: 5}
 }
 
-// combinedHost returns what was combined of one host; the zero value where nothing was.
+// combinedHost returns the combined observation of one host, or the zero value if there is none.
 func combinedHost(combined []balancer.GossipedObservation, id string) balancer.GossipedObservation {
 	for _, observation := range combined {
 		if observation.Scope == balancer.ScopeReplica && observation.Replica == id {
@@ -55,6 +56,8 @@
 	return balancer.GossipedObservation{}
 }
 
+// A report must not affect a host that has restarted, moved to another machine or left the endpoint list since the
+// observation was taken: it describes another process or machine.
 func TestObservationsOfAnotherProcessOrMachineAreIgnored(t *testing.T) {
 	startMs := map[string]int64{"h1": 0}
 	hostStart := func(id string) (int64, bool) { ms, listed := startMs[id]; return ms, listed }
@@ -66,8 +69,8 @@
 
 	startMs["h1"], startMs["h2"] = 500, 0
 	combined := s.Combine(1, hostStart)
-	require.True(t, combinedHost(combined, "h1").Outlier, "the list has followed")
-	require.True(t, combinedHost(combined, "h2").Outlier, "it was listed after the report")
+	require.True(t, combinedHost(combined, "h1").Outlier, "the endpoint list now has the same start")
+	require.True(t, combinedHost(combined, "h2").Outlier, "the host was listed after the report")
 
 	s.InvalidateHost(10, "h2")
 	combined = s.Combine(11, hostStart)
@@ -78,9 +81,10 @@
 	require.True(t, combinedHost(s.Combine(20, hostStart), "h2").Outlier, "a later observation counts")
 
 	delete(startMs, "h2")
-	require.False(t, combinedHost(s.Combine(20, hostStart), "h2").Outlier, "it has left the list")
+	require.False(t, combinedHost(s.Combine(20, hostStart), "h2").Outlier, "the host has left the list")
 }
 
+// Endpoint lists with ever new hosts must not let the memory for invalidated hosts grow without bound.
 func TestInvalidatedHostsAreBounded(t *testing.T) {
 	s := NewReportStore("", nil)
 	for i := range 3 * maxInvalidatedHosts {
@@ -89,16 +93,19 @@
 	require.LessOrEqual(t, len(s.invalidatedAt), maxInvalidatedHosts)
 }
 
+// A report that is still being received, or that ends early, must not replace or change the peer's previous report.
 func TestIncompleteReportLeavesThePreviousOne(t *testing.T) {
 	s := NewReportStore("", nil)
 	putReport(t, s, 0, "a", outlierHost("h1"), slowHost("h2", 0), slowHost("h3", 0))
 	require.NoError(t, s.BeginReport(10, ReportHeader{Peer: "a", Serial: 2, HostCount: 1}))
 	require.True(t, combinedHost(s.Combine(10, listAll), "h1").Outlier)
-	require.Error(t, s.AddObservations("a", []Observation{slowHost("h1", 0), slowHost("h2", 0)}), "more than announced")
+	require.Error(t, s.AddObservations("a", []Observation{slowHost("h1", 0), slowHost("h2", 0)}), "more hosts than announced")
 	s.AbortReport("a")
 	require.True(t, combinedHost(s.Combine(10, listAll), "h1").Outlier)
 }
 
+// Reports that violate the protocol, or come from more peers than allowed, must be rejected: they could use memory
+// without bound.
 func TestInvalidReportsAreRejected(t *testing.T) {
 	s := NewReportStore("", nil)
 	putReport(t, s, 0, "a", outlierHost("h1"))
--- a/cluster/peerreport/wire_golden_test.go
+++ b/cluster/peerreport/wire_golden_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A report's header and observations as peers of different builds exchange them. Package peerprotocol pins the frames around them.
+// Peers of different builds exchange reports, so the encoding of a report's header and observations must not change. The
+// tests of package peerprotocol pin the frames around them.
 func TestGoldenReport(t *testing.T) {
 	header := ReportHeader{
 		Peer: "gateway-1", Locality: "eu-west-1a", Serial: 3, ListVersion: 42, AgeMs: 1500, AnswerCount: 800, FleetLatency: 120, MinLatency: 35, HostCount: 2,
@@ -45,7 +46,8 @@
 	})
 }
 
-// Scales and bounds of the numbers that travel, and the texts for outcomes in a peer's status.
+// Peers of other builds depend on the scales and bounds of the numbers in a report and on the texts for outcomes in a
+// peer's status.
 func TestGoldenReportConstants(t *testing.T) {
 	require.Equal(t, uint32(math.MaxUint32), uint32(NeverAnswered))
 	require.Equal(t, []int{1000, 8, 10}, []int{logScale, countScale, tenthsPerMs})
