--- a/cluster/peerprotocol/frame.go
+++ b/cluster/peerprotocol/frame.go
@@ -17,8 +17,8 @@
 	readStep = 4096
 )
 
-// appendFrame appends a frame with one message to dst. It returns a FrameTooLargeError if the frame
-// exceeds maxFrameBytes.
+// appendFrame appends a frame with one message to dst. It returns a FrameTooLargeError if the frame exceeds
+// maxFrameBytes.
 func appendFrame(dst []byte, kind byte, message any) ([]byte, error) {
 	item, err := encoder.Marshal(message)
 	if err != nil {
--- a/cluster/peerprotocol/protocol.go
+++ b/cluster/peerprotocol/protocol.go
@@ -68,7 +68,7 @@
 	_        struct{} `cbor:",toarray"`
 	Version  uint16
 	Name     string
-	Instance uint64 // set at start: a server that receives its own has been asked by itself
+	Instance uint64 // set at start: a server that receives its own ID has polled itself
 	Subject  string
 }
 
--- a/cluster/peerprotocol/server.go
+++ b/cluster/peerprotocol/server.go
@@ -56,8 +56,8 @@
 	OnRejected func(addr, reason string)
 }
 
-// Serve answers requests until ctx ends or the listener is closed. It returns nil after all its
-// goroutines have ended.
+// Serve answers requests until ctx ends or the listener is closed. It returns nil after all its goroutines
+// have ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
--- a/cluster/peerreport/store_test.go
+++ b/cluster/peerreport/store_test.go
@@ -110,7 +110,7 @@
 	s := NewReportStore("", nil)
 	putReport(t, s, 0, "a", outlierHost("h1"))
 	for name, err := range map[string]error{
-		"no header begun":       s.AddObservations("a", []Observation{outlierHost("h1")}),
+		"no header received":    s.AddObservations("a", []Observation{outlierHost("h1")}),
 		"unknown peer":          s.AddObservations("nobody", nil),
 		"too many hosts":        s.BeginReport(0, ReportHeader{Peer: "b", HostCount: MaxHosts + 1}),
 		"blank in the name":     s.BeginReport(0, ReportHeader{Peer: "with blank "}),
