--- a/cluster/peerprotocol/client_test.go
+++ b/cluster/peerprotocol/client_test.go
@@ -14,8 +14,8 @@
 	"chalkring/cluster/peerreport"
 )
 
-// faultyPeers returns the ways in which a peer can fail a request, by name. Each function handles a connection after the
-// start of the request; nil stands for a peer that does not listen.
+// faultyPeers returns the ways in which a peer can fail a request, by name. Each function is called with a connection on
+// which the first bytes of the request have been read; nil stands for a peer that does not listen.
 func faultyPeers(t *testing.T) map[string]func(conn net.Conn) {
 	frame := func(kind byte, message any) []byte {
 		encoded, err := appendFrame(nil, kind, message)
@@ -65,7 +65,7 @@
 	}
 }
 
-// A faulty peer must neither hang a request nor have its report taken: whatever it does, the request fails in time.
+// A faulty peer must not block a request, and its report must not be accepted: whatever it does, the request fails in time.
 func TestFaultyPeers(t *testing.T) {
 	closed := listen(t)
 	closed.Close()
--- a/cluster/peerprotocol/credentials.go
+++ b/cluster/peerprotocol/credentials.go
@@ -32,7 +32,8 @@
 }
 
 // NewCredentials reads the files and returns a CredentialsError if they cannot be used. onReloadError is called once for
-// each later change of them that cannot be used, on the goroutine of a connection; it must not block.
+// each later change after which the files cannot be used. It is called on the goroutine of a connection and must not
+// block.
 func NewCredentials(certificateFile, keyFile, authoritiesFile string, onReloadError func(err error)) (*Credentials, error) {
 	c := &Credentials{
 		certificateFile: certificateFile, keyFile: keyFile, authoritiesFile: authoritiesFile, onReloadError: onReloadError,
--- a/cluster/peerprotocol/errors.go
+++ b/cluster/peerprotocol/errors.go
@@ -45,7 +45,7 @@
 	return "Compare the builds of the two instances."
 }
 
-// WrongPeerError reports that a peer gives another name in its report than the one it was polled by.
+// WrongPeerError reports that the name in a peer's report is not the name that the installation file gives to the peer.
 type WrongPeerError struct{ Got, Want string }
 
 func (e *WrongPeerError) Error() string {
--- a/cluster/peerprotocol/frame.go
+++ b/cluster/peerprotocol/frame.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// A frame consists of a length of four bytes in big-endian order, which counts the bytes that follow it, a kind of one
-	// byte and one CBOR item.
+	// A frame consists of a length (four bytes, big-endian), a kind (one byte) and one CBOR item. The length is the number
+	// of bytes that follow it.
 	frameLengthBytes = 4
 	frameKindBytes   = 1
 	frameHeaderBytes = frameLengthBytes + frameKindBytes
--- a/cluster/peerprotocol/protocol.go
+++ b/cluster/peerprotocol/protocol.go
@@ -23,7 +23,7 @@
 // Timeouts.
 const (
 	dialTimeout      = time.Second      // to establish a connection
-	handshakeTimeout = 2 * time.Second  // for the TLS handshake, and on the server for the request too
+	handshakeTimeout = 2 * time.Second  // for the TLS handshake; on the server, for the handshake and the request together
 	frameTimeout     = 2 * time.Second  // to receive or send one frame: cuts off a peer that sends only a byte now and then
 	exchangeTimeout  = 10 * time.Second // for request and response: 4 MiB at half a megabyte a second
 )
@@ -47,10 +47,10 @@
 
 // Codes of a rejection.
 const (
-	rejectedVersion  = "version"
-	rejectedName     = "name"
-	rejectedSelf     = "self"
-	rejectedUnusable = "unusable"
+	rejectedVersion  = "version"  // the client has another protocol version
+	rejectedName     = "name"     // the client's name is not allowed, or its certificate does not contain it
+	rejectedSelf     = "self"     // the client is the server's own instance
+	rejectedUnusable = "unusable" // the request cannot be decoded, or its subject is unknown
 )
 
 // Texts of a rejection, by what is wrong with the request. They are sent to the client.
@@ -68,7 +68,7 @@
 	_        struct{} `cbor:",toarray"`
 	Version  uint16
 	Name     string
-	Instance uint64 // set at start: a server that receives its own ID has polled itself
+	Instance uint64 // chosen when the client's instance starts; a server that receives its own ID has polled itself
 	Subject  string
 }
 
@@ -90,7 +90,7 @@
 	HostCount       uint32
 	ReportsServed   uint32 // requests answered with a report
 	ReportsDeferred uint32 // requests answered with a deferral
-	LoadPermille    uint16 // share of its time for which the event loop is busy, in thousandths
+	LoadPermille    uint16 // share of time during which the event loop is busy, in thousandths
 	WaitingJobs     uint16 // background jobs
 	RunningJobs     uint16
 	DeferredJobs    uint32 // how often a due job was deferred because of load
--- a/cluster/peerprotocol/report_receiver.go
+++ b/cluster/peerprotocol/report_receiver.go
@@ -94,7 +94,7 @@
 	case kindHeader:
 		return r.handleHeader(item)
 	}
-	return unexpectedFrame(kind)
+	return unexpectedFrame(kind, "a report header, a deferral or a rejection")
 }
 
 func (r *reportReceiver) handleHeader(item []byte) *pollResult {
@@ -134,9 +134,9 @@
 		}
 		return &pollResult{outcome: peerreport.OutcomeReceived}
 	}
-	return unexpectedFrame(kind)
+	return unexpectedFrame(kind, "observations or the end of the report")
 }
 
-func unexpectedFrame(kind byte) *pollResult {
-	return failedResult(fmt.Errorf("%w: unexpected frame of kind %q", ErrInvalidMessage, kind))
+func unexpectedFrame(kind byte, expected string) *pollResult {
+	return failedResult(fmt.Errorf("%w: got a frame of kind %q, expected %s", ErrInvalidMessage, kind, expected))
 }
--- a/cluster/peerprotocol/server.go
+++ b/cluster/peerprotocol/server.go
@@ -31,16 +31,16 @@
 	requestBufferBytes = 512
 )
 
-// Server answers the requests of peers. Its functions are called concurrently, on the goroutines of the connections, and
-// may block.
+// Server answers the requests of peers. The functions in its fields are called concurrently, on the goroutines of the
+// connections, and may block.
 type Server struct {
 	Name         string
 	InstanceID   uint64
 	AllowedNames []string     // of peers that are answered
 	Credentials  *Credentials // nil for plain TCP, where clients' names are not verified
 
-	// Admit reports whether a client is sent a report now, or else the wait after which it should ask again. Release is
-	// called once for each admission, when the report has been sent or has failed.
+	// Admit reports whether a client is sent a report now. If not, deferral is the wait after which the client should ask
+	// again. Release is called once for each admission, when the report has been sent or has failed.
 	Admit   func(name string) (admitted bool, deferral time.Duration)
 	Release func()
 
@@ -51,8 +51,9 @@
 	// budget.
 	SpendBudget func(ctx context.Context, bytes int, cpu time.Duration) error
 
-	// OnRejected is called for each client that gets no answer. Unknown clients can cause as many calls as they like, so
-	// a log line written here should be rate limited.
+	// OnRejected is called with the reason why a client's TLS handshake failed, its request could not be read or was
+	// rejected, or its report could not be encoded. Unknown clients can cause as many calls as they like, so a log line
+	// written here should be rate limited.
 	OnRejected func(addr, reason string)
 }
 
--- a/cluster/peerprotocol/server_test.go
+++ b/cluster/peerprotocol/server_test.go
@@ -35,7 +35,7 @@
 }
 
 // startServer starts a server that answers as peer "b" with a report of hostCount hosts. configure, if not nil, changes
-// the server before it starts. lastRejection returns the reason why the last rejected client got no answer.
+// the server before it starts. lastRejection returns the last reason that OnRejected was called with.
 func startServer(t *testing.T, hostCount int, configure func(s *Server)) (addr string, lastRejection func() string) {
 	rejection := atomic.Value{}
 	observations := hostObservations(hostCount)
--- a/cluster/peerreport/admission.go
+++ b/cluster/peerreport/admission.go
@@ -6,15 +6,16 @@
 	// minPeerInterval is the shortest time between two answers to one peer: a peer that polls in a loop does not crowd
 	// out others.
 	minPeerInterval = second
-	// maxRememberedPeers bounds the peers whose last answer is remembered for that; beyond it the oldest is forgotten.
+	// maxRememberedPeers bounds the peers whose last answer is remembered to enforce minPeerInterval; beyond it the oldest
+	// is forgotten.
 	maxRememberedPeers = 256
-	// deferralInterval is the time between the return times of two deferred peers, so that they come back one by one;
+	// deferralInterval is the time between the next polls of two deferred peers, so that they poll one after the other;
 	// four answers a second cost next to nothing.
 	deferralInterval = second / 4
 	// maxDeferralAhead is the longest deferral; all further peers get the same.
 	maxDeferralAhead = 30 * second
 	// maxServingLoad is the load of the event loop above which no peer is answered, since searches take precedence. The
-	// load is the share of its time for which the event loop is busy.
+	// load is the share of time during which the event loop is busy.
 	maxServingLoad = 0.7
 	// minOverloadDeferral is the shortest deferral above that load.
 	minOverloadDeferral = 2 * second
@@ -26,7 +27,7 @@
 )
 
 // Admission decides which polling peers are answered: few at the same time, each at most once in minPeerInterval, and
-// none while the event loop is busy with searches. The others are deferred and come back spread over time. This keeps
+// none while the event loop is busy with searches. The others are deferred to times spread apart. This keeps
 // fifty instances that restart together from overloading the one that they poll. An Admission is not safe for
 // concurrent use.
 type Admission struct {
@@ -35,7 +36,7 @@
 
 	load           float64
 	serving        int
-	lastDeferredTo int64            // the latest return time given to a peer
+	lastDeferredTo int64            // the latest time to which a peer has been deferred
 	lastAdmittedAt map[string]int64 // by peer
 	admittedOrder  []string         // peers in lastAdmittedAt, in the order in which they were first admitted
 
@@ -46,11 +47,11 @@
 // NewAdmission returns an Admission that has admitted nobody yet.
 func NewAdmission() *Admission { return &Admission{lastAdmittedAt: map[string]int64{}} }
 
-// SetLoad records the share of its time, 0 to 1, for which the event loop is busy.
+// SetLoad records the share of time, 0 to 1, during which the event loop is busy.
 func (a *Admission) SetLoad(share float64) { a.load = share }
 
-// Admit reports whether a peer is answered now, or else the wait after which it should poll again. The caller calls
-// Release at the end of each admitted poll.
+// Admit reports whether a peer is answered now. If not, deferral is the wait after which the peer should poll again. The
+// caller calls Release at the end of each admitted poll.
 func (a *Admission) Admit(now int64, peer string) (admitted bool, deferral int64) {
 	lastAt, known := a.lastAdmittedAt[peer]
 	switch {
@@ -81,7 +82,7 @@
 	}
 }
 
-// nextDeferral assigns the next free return time and returns the wait until then.
+// nextDeferral assigns the next free time for a poll to a deferred peer and returns the wait until then.
 func (a *Admission) nextDeferral(now int64) int64 {
 	a.lastDeferredTo = min(max(a.lastDeferredTo, now)+deferralInterval, now+maxDeferralAhead)
 	return a.lastDeferredTo - now
--- a/cluster/peerreport/builder.go
+++ b/cluster/peerreport/builder.go
@@ -97,8 +97,8 @@
 	return header
 }
 
-// logSlowdown returns how much a mean exceeds the fleet's. To a peer under overload all hosts are slow; relative to its
-// fleet latency it reports none of them as slow.
+// logSlowdown returns how much a mean exceeds the fleet's. A peer under overload sees all hosts as slow, but not relative
+// to its fleet latency, so it reports none of them as slow.
 func (b *ReportBuilder) logSlowdown(mean balancer.DecayingMean) int16 {
 	if mean.Weight == 0 {
 		return 0
--- a/cluster/peerreport/builder_test.go
+++ b/cluster/peerreport/builder_test.go
@@ -10,7 +10,7 @@
 	"chalkring/balancer"
 )
 
-// To a peer under overload all hosts are slow. It must not report them as slow: slowdowns are relative to its fleet
+// A peer under overload sees all hosts as slow, but must not report them as slow: slowdowns are relative to its fleet
 // latency, so overload does not change its report.
 func TestOverloadDoesNotChangeReportedSlowdowns(t *testing.T) {
 	observationsAt := func(overload float64) []Observation {
--- a/cluster/peerreport/combine.go
+++ b/cluster/peerreport/combine.go
@@ -12,8 +12,8 @@
 	// outlierLifetime is the age of a report from which its outliers are ignored: by then the peer has probed the host
 	// itself.
 	outlierLifetime = 20 * second
-	// maxVoteWeight bounds the weight of reports, in answers: the balancer gives gossiped observations no more weight, so
-	// that three answers of its own outweigh them.
+	// maxVoteWeight bounds the weight of reports, in answers. It is the bound that the balancer sets on gossiped
+	// observations, so that three answers of its own outweigh them.
 	maxVoteWeight = 3.0
 	// minCombinedWeight is the weight, in answers, below which reports of a host's slowness are ignored.
 	minCombinedWeight = 0.05
@@ -31,7 +31,7 @@
 // hostVotes are the votes of all peers on one host.
 type hostVotes struct {
 	short, long []windowVote
-	outlierFor  []int64 // for how long each peer's report of it as an outlier still counts; 0 if it does not
+	outlierFor  []int64 // for how much longer each peer's vote for an outlier counts; 0 if the peer has no such vote
 }
 
 func (v *hostVotes) reset() {
@@ -124,7 +124,7 @@
 
 // combine returns the observation that results from the votes on a host. It reorders the votes.
 func (v *hostVotes) combine(host string, startMs int64) balancer.GossipedObservation {
-	outlierFor := lowerMedian(v.outlierFor) // the outlier reports of over half of the peers count for at least this long
+	outlierFor := lowerMedian(v.outlierFor) // more than half of the peers vote for an outlier for at least this long
 	return balancer.GossipedObservation{
 		Scope: balancer.ScopeReplica, Replica: host, ReplicaStart: startMs * tenthsPerMs,
 		ShortWindow: combineWindow(v.short), LongWindow: combineWindow(v.long),
@@ -195,8 +195,8 @@
 }
 
 // combineWindow returns the lower median of the slowdowns with the bounded sum of the weights. It returns the zero value
-// if the median is no slowdown: reports only ever make a host look slower, so that instances that start together do not
-// all send their requests to one that is reported as fast.
+// if the median is not above 0: reports only ever make a host look slower, so that instances that start together do not
+// all send their requests to a host that is reported as fast.
 func combineWindow(votes []windowVote) balancer.DecayingMean {
 	totalWeight, slowdowns := 0.0, make([]float64, 0, len(votes))
 	for _, vote := range votes {
--- a/cluster/peerreport/combine_test.go
+++ b/cluster/peerreport/combine_test.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// An old report must not outweigh a fresh one: of two stores that differ only in the ages of their reports, the older
-// gives no host more weight and treats none as an outlier for longer.
+// An old report must not outweigh a fresh one: of two stores that differ only in the ages of their reports, the one with
+// the older reports gives no host more weight and treats none as an outlier for longer.
 func TestOlderReportsNeverWeighMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.SliceOfN(rapid.SliceOfN(anyObservation, 1, 8), 1, 4).Draw(t, "reports")
@@ -124,7 +124,7 @@
 	require.Zero(t, s.ReportCount())
 }
 
-// A peer to which most hosts are outliers probably has a fault of its own, and must not make others avoid these hosts.
+// A peer that reports most hosts as outliers probably has a fault of its own, and must not make others avoid these hosts.
 func TestOutliersOfAPeerThatIsItselfAtFaultAreIgnored(t *testing.T) {
 	s := NewReportStore("", nil)
 	putReport(t, s, 0, "a", outlierHost("h1"), outlierHost("h2"), outlierHost("h3"), slowHost("h4", 0))
--- a/cluster/peerreport/poller_test.go
+++ b/cluster/peerreport/poller_test.go
@@ -28,7 +28,7 @@
 
 	waits := []int64{}
 	now := int64(1000 + 2*initialBackoff)
-	for range 4 {
+	for range 4 { // in each round c fails once more, and a answers if it is due
 		p.RecordOutcome(now, "c", OutcomeFailed, 0)
 		next := p.NextPollAt(now)
 		for _, name := range p.DuePeers(next) {
--- a/cluster/peerreport/report.go
+++ b/cluster/peerreport/report.go
@@ -16,7 +16,7 @@
 	tenthsPerMs = 10
 )
 
-// Bounds of a report. They bound the memory that a peer can make this instance use.
+// Bounds of a report. They limit the memory that a peer can make this instance use.
 const (
 	MaxPeers             = 16     // peers that may be named in the installation file, and reports kept
 	MaxHosts             = 20_000 // observations in a report: twice the largest endpoint list expected
@@ -79,8 +79,10 @@
 // Validate checks a header that a peer has sent. It returns an InvalidReportError.
 func (h *ReportHeader) Validate() error {
 	switch {
-	case !isValidName(h.Peer) || len(h.Locality) > MaxNameBytes:
-		return invalidReport("peer name %.40q is invalid or locality %.40q is too long", h.Peer, h.Locality)
+	case !isValidName(h.Peer):
+		return invalidReport("peer name %.40q is empty, too long or contains blanks or control characters", h.Peer)
+	case len(h.Locality) > MaxNameBytes:
+		return invalidReport("locality %.40q of %d bytes, at most %d are allowed", h.Locality, len(h.Locality), MaxNameBytes)
 	case h.HostCount > MaxHosts:
 		return invalidReport("%d hosts, at most %d are allowed", h.HostCount, MaxHosts)
 	case len(h.Zones) > MaxZones:
--- a/cluster/peerreport/store.go
+++ b/cluster/peerreport/store.go
@@ -3,11 +3,11 @@
 const (
 	// reportLifetime is the age at which a report is dropped: most faults have passed by then.
 	reportLifetime = 30 * second
-	// repeatedReportSlack is how much younger a report may seem when the peer sends the same one again. A peer sends the
-	// same snapshot for at most half a second.
+	// repeatedReportSlack bounds the correction of a report's date when the peer sends the same report again; see
+	// BeginReport. A peer sends the same snapshot for at most half a second.
 	repeatedReportSlack = second
-	// A peer that reports more than selfFaultShare of at least selfFaultMinHosts hosts as outliers is taken to be at fault
-	// itself.
+	// A peer is taken to be at fault itself if it reports at least selfFaultMinHosts hosts, and more than selfFaultShare
+	// of them as outliers.
 	selfFaultShare    = 0.5
 	selfFaultMinHosts = 4
 	// maxInvalidatedHosts bounds the hosts remembered by InvalidateHost; beyond it the oldest is forgotten.
@@ -22,7 +22,7 @@
 	reports   map[string]*report // complete reports, by peer
 	receiving map[string]*report // reports being received, by peer
 
-	invalidatedAt    map[string]int64 // by host: older observations of it are ignored
+	invalidatedAt    map[string]int64 // by host: observations of it taken up to this time are ignored
 	invalidatedOrder []string         // hosts in invalidatedAt, in the order in which they were added
 
 	// Hosts and zones of which Combine has returned observations that it has not retracted yet.
@@ -50,9 +50,9 @@
 	return s
 }
 
-// BeginReport starts receiving a report. polledAt is when the peer was polled: the report is dated to that time less the
-// age that the peer states. A report with the same serial as the previous one is the same report sent again: a later date
-// is corrected to the previous one, by at most repeatedReportSlack.
+// BeginReport starts receiving a report. polledAt is when the peer was polled; the date of the report is that time less
+// the age that the peer states. A report with the serial of the previous one is the same report sent again: if its date is
+// later than the previous date, it is moved back to it, by at most repeatedReportSlack.
 //
 // It returns an InvalidReportError or ErrTooManyPeers.
 func (s *ReportStore) BeginReport(polledAt int64, header ReportHeader) error {
@@ -133,7 +133,7 @@
 	s.invalidatedOrder = s.invalidatedOrder[1:]
 }
 
-// ExpireReports drops the reports that are too old and reports whether any is left.
+// ExpireReports drops the reports that are older than reportLifetime. left tells whether any remain.
 func (s *ReportStore) ExpireReports(now int64) (left bool) {
 	for peer, r := range s.reports {
 		if now-r.takenAt > reportLifetime {
