--- a/cluster/peerprotocol/codec.go
+++ b/cluster/peerprotocol/codec.go
@@ -57,8 +57,7 @@
 		return nil, err
 	}
 	if len(observations) > peerreport.MaxChunkObservations {
-		return nil, fmt.Errorf("%w: %d observations in a chunk, at most %d are allowed", ErrInvalidMessage, len(observations),
-			peerreport.MaxChunkObservations)
+		return nil, fmt.Errorf("%w: %d observations in a chunk, more than allowed", ErrInvalidMessage, len(observations))
 	}
 	for i := range observations {
 		if err := observations[i].Validate(); err != nil {
@@ -98,8 +97,7 @@
 		return err
 	}
 	if len(received) != checksumBytes || binary.BigEndian.Uint64(received) != c.digest.Sum64() {
-		return fmt.Errorf("%w: got the checksum %.8x, expected %016x for the received observations", ErrInvalidMessage, received,
-			c.digest.Sum64())
+		return fmt.Errorf("%w: checksum does not match the received observations", ErrInvalidMessage)
 	}
 	return nil
 }
--- a/cluster/peerprotocol/report_receiver.go
+++ b/cluster/peerprotocol/report_receiver.go
@@ -94,7 +94,7 @@
 	case kindHeader:
 		return r.handleHeader(item)
 	}
-	return unexpectedFrame(kind, "a report header, a deferral or a rejection")
+	return unexpectedFrame(kind)
 }
 
 func (r *reportReceiver) handleHeader(item []byte) *pollResult {
@@ -134,9 +134,9 @@
 		}
 		return &pollResult{outcome: peerreport.OutcomeReceived}
 	}
-	return unexpectedFrame(kind, "observations or the end of the report")
+	return unexpectedFrame(kind)
 }
 
-func unexpectedFrame(kind byte, expected string) *pollResult {
-	return failedResult(fmt.Errorf("%w: got a frame of kind %q, expected %s", ErrInvalidMessage, kind, expected))
+func unexpectedFrame(kind byte) *pollResult {
+	return failedResult(fmt.Errorf("%w: frame of kind %q is not expected at this point of the response", ErrInvalidMessage, kind))
 }
--- a/cluster/peerreport/report.go
+++ b/cluster/peerreport/report.go
@@ -79,10 +79,8 @@
 // Validate checks a header that a peer has sent. It returns an InvalidReportError.
 func (h *ReportHeader) Validate() error {
 	switch {
-	case !isValidName(h.Peer):
-		return invalidReport("peer name %.40q is empty, too long or contains blanks or control characters", h.Peer)
-	case len(h.Locality) > MaxNameBytes:
-		return invalidReport("locality %.40q of %d bytes, at most %d are allowed", h.Locality, len(h.Locality), MaxNameBytes)
+	case !isValidName(h.Peer) || len(h.Locality) > MaxNameBytes:
+		return invalidReport("peer name %.40q is invalid or locality %.40q is too long", h.Peer, h.Locality)
 	case h.HostCount > MaxHosts:
 		return invalidReport("%d hosts, at most %d are allowed", h.HostCount, MaxHosts)
 	case len(h.Zones) > MaxZones:
