--- a/coordinator/keyed_requests_test.go
+++ b/coordinator/keyed_requests_test.go
@@ -115,6 +115,7 @@
 					class, name = "log", "u"
 				}
 				text := request(fmt.Sprintf("%s%d-%d", name, i, k), class, "", fourParts)
+				c.SetDeadline(time.Now().Add(patience)) // for this answer; one connection may serve hundreds of searches
 				c.send(strings.Replace(text, "X-Deadline: 8.000", "X-Deadline: 0.600", 1))
 				got, _, _, keep := c.readAnswer()
 				if status[i][got]++; !keep {
