--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -10,19 +10,19 @@
 	index        int32
 	neverRan     bool // never completely sent, or refused by the replica
 	replica      *replica
-	name         string // its id on the wire; of all attempts of the shard request
+	name         string // its id on the wire, the same for all attempts of the shard request
 	sentAt       int64
 	deadline     int64
 	batch        *batch
 	timeout      timer
-	inlineBatch  batch // the batch while the attempt opens one
+	inlineBatch  batch // the batch that the attempt opens, if any: saves an allocation
 }
 
 // fire handles the attempt's timeout. It implements timerHandler.
 func (a *attempt) fire(loop *eventLoop) { loop.giveUpAttempt(a, "TimedOut") }
 
-// SendAttempt starts an attempt; it is sent at the end of the iteration, batched with others to that replica. It
-// implements balancer.Actions.
+// SendAttempt starts an attempt. It is sent at the end of the iteration, in a batch with others to that replica.
+// It implements balancer.Actions.
 func (loop *eventLoop) SendAttempt(id uint64, to string, timeout int64) {
 	request, replica := loop.searches.shardRequests[id], loop.replicas.byID[to]
 	if request == nil {
@@ -66,7 +66,7 @@
 	return added
 }
 
-// addToBatch adds an attempt to the replica's last batch of this iteration, if it fits in, or else to a new one.
+// addToBatch adds an attempt to the replica's last batch of this iteration if it fits in, otherwise to a new batch.
 func (loop *eventLoop) addToBatch(replica *replica, added *attempt) {
 	if n := len(replica.batches); n > 0 {
 		last := replica.batches[n-1]
@@ -85,7 +85,7 @@
 	added.batch = opened
 }
 
-// CancelAttempt gives an attempt up. It implements balancer.Actions.
+// CancelAttempt gives up an attempt. It implements balancer.Actions.
 func (loop *eventLoop) CancelAttempt(id uint64, index int) {
 	if request := loop.searches.shardRequests[id]; request != nil && index < len(request.attempts) {
 		loop.giveUpAttempt(request.attempts[index], "Canceled")
@@ -100,12 +100,12 @@
 	conn := attempt.batch.connection
 	if batch := attempt.batch; loop.recallAttempt(attempt) {
 		if attempt.neverRan = true; outcome == "Canceled" {
-			outcome = "Ignored" // a canceled attempt may have run, this one was never sent
+			outcome = "Ignored" // Canceled means that the attempt may have run; this one was never sent
 		}
 	} else {
 		loop.detachAttempt(attempt)
 		conn.protocol.cancelAttempt(conn, attempt)
-		// Nothing may be sent after the final answer, and this attempt's frame may still be being written.
+		// Nothing may be sent after the final answer, and the write of this attempt's message may not have ended.
 		if write, search := (pendingWrite{conn.messageConn, batch.message}), attempt.shardRequest.search; !search.ended && !write.isWritten() {
 			search.pendingWrites = append(search.pendingWrites, write)
 		}
@@ -114,8 +114,8 @@
 			outcome = ""
 		}
 	}
-	// A replica that went silent would swallow one attempt after another on the open connection. A new one tells
-	// more: it connects or does not.
+	// A replica that has gone silent would swallow attempt after attempt on the open connection. A new connection shows
+	// whether the replica is reachable: it comes up or does not.
 	if conn != nil && conn.heardAt < attempt.sentAt && loop.now-attempt.sentAt > loop.silenceTimeout() {
 		loop.retireConnection(conn)
 	}
@@ -124,7 +124,8 @@
 	}
 }
 
-// recallAttempt takes an attempt off its batch if no byte of that may be out; the rest is sent without it.
+// recallAttempt takes an attempt off its batch, whose other attempts are sent without it. It returns false where bytes
+// of the batch may have been sent already.
 func (loop *eventLoop) recallAttempt(attempt *attempt) bool {
 	batch := attempt.batch
 	if batch.connection != nil && !batch.message.recall() {
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// handleAnswer handles a replica's answer. An answer to an attempt that is no longer in flight is dropped. One to an
-// attempt that never was on this connection is malformed: another waits for its own in vain.
+// handleAnswer handles a replica's answer. An answer to an attempt that is no longer in flight is dropped. An answer to
+// an attempt that never was on this connection counts as malformed: the attempt that it was meant for gets none.
 func (loop *eventLoop) handleAnswer(conn *replicaConnection, attemptName []byte, outcome string, score []byte, report map[string]float64,
 	value []byte, decoded any,
 ) {
@@ -185,12 +186,12 @@
 	}
 	if attempt == nil {
 		if _, isRecent := conn.recentIDs[string(attemptName)]; !isRecent {
-			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to "+string(attemptName))
+			loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", "answer to an attempt that was not sent on this connection: "+string(attemptName))
 			conn.closeNow(errMalformed)
 		}
 		return
 	}
-	if isAwaited && !loop.recallAttempt(attempt) { // a repeat that waits on this connection must not go out once the first is answered
+	if isAwaited && !loop.recallAttempt(attempt) { // a repeat that is still queued must not be sent once the first attempt is answered
 		loop.detachAttempt(attempt)
 	}
 	loop.replicas.averageLatency += (float64(loop.now-attempt.sentAt) - loop.replicas.averageLatency) / latencyAverageWeight
--- a/coordinator/attempts_test.go
+++ b/coordinator/attempts_test.go
@@ -16,10 +16,10 @@
 	"chalkring/balancer"
 )
 
-// A keyed shard request whose attempts have not run is sent on any connection, a new one too: it is no repeat.
-// Attempts that may have run bind it to a connection that was up before them.
+// A keyed shard request is a repeat, and bound to connections that were up before its first attempt, only once an
+// attempt may have run. Guards against taking it for a repeat after a refused dial, when it could be sent nowhere.
 func TestKeyedRequestThatNeverRanIsNoRepeat(t *testing.T) {
-	var hosts sync.Map // address: of cell 0
+	var hosts sync.Map // addresses of the hosts of cell 0
 	var dials atomic.Int32
 	r := startIn(t, nil, 256, func(settings map[string]any) {
 		class := settings["Classes"].([]any)[1].(map[string]any)
@@ -28,7 +28,7 @@
 	}, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if _, of := hosts.Load(addr); of && dials.Add(1) == 1 {
+			if _, ok := hosts.Load(addr); ok && dials.Add(1) == 1 {
 				return nil, errors.New("refused")
 			}
 			return own(ctx, network, addr)
@@ -46,11 +46,12 @@
 	r.shutDown()
 }
 
-// The outcomes of earlier attempts decide which attempts of a keyed shard request are repeats.
+// An attempt of a keyed shard request is a repeat if an earlier one may have run, by the earlier ones' outcomes. A wrong
+// answer would send a repeat to a replica that does not drop it, or hold back an attempt that is safe.
 func TestFirstSentAt(t *testing.T) {
 	for _, x := range []struct {
 		outcomes string
-		first    int64
+		want     int64
 	}{
 		{"Ignored", 0},
 		{"ConnectError", 0},
@@ -64,7 +65,7 @@
 		{"ResetByPeer ConnectError", 1},
 		{"QueueFull Failed Canceled", 2},
 	} {
-		loop := &eventLoop{rules: dispatchRules{keyedClasses: []bool{true, false}}, balancer: outcomeCounter{}, searches: searchTable{shardRequests: map[uint64]*shardRequest{}}}
+		loop := &eventLoop{rules: dispatchRules{keyedClasses: []bool{true, false}}, balancer: outcomeRecorder{}, searches: searchTable{shardRequests: map[uint64]*shardRequest{}}}
 		request := &shardRequest{search: &search{}}
 		for i, outcome := range strings.Fields(x.outcomes) {
 			current := &attempt{shardRequest: request, index: int32(i), sentAt: int64(i + 1)}
@@ -72,38 +73,38 @@
 			require.Equal(t, int64(0), loop.firstSentAt(&attempt{shardRequest: &shardRequest{search: &search{class: 1}, attempts: request.attempts}, index: 1}))
 			loop.recordOutcome(current, outcome, nil)
 		}
-		require.Equal(t, x.first, loop.firstSentAt(&attempt{shardRequest: request, index: int32(len(request.attempts))}), x.outcomes)
+		require.Equal(t, x.want, loop.firstSentAt(&attempt{shardRequest: request, index: int32(len(request.attempts))}), x.outcomes)
 	}
-	for stage, first := range map[int32]int64{stageQueued: 0, stageWriting: 7, stageWritten: 7} { // one that was given up
+	for stage, want := range map[int32]int64{stageQueued: 0, stageWriting: 7, stageWritten: 7} { // the earlier attempt was given up
 		loop, _, s := oneAttemptInFlight(stage)
 		loop.rules.keyedClasses = []bool{true}
 		request := s.shardRequests[0]
 		request.attempts[0].sentAt = 7
 		loop.CancelAttempt(request.id, 0)
-		require.Equal(t, first, loop.firstSentAt(&attempt{shardRequest: request, index: 1}), "stage %d", stage)
+		require.Equal(t, want, loop.firstSentAt(&attempt{shardRequest: request, index: 1}), "stage %d", stage)
 	}
 }
 
-// outcomeCounter is a balancer that does nothing at an outcome but record it, where told is not nil.
-type outcomeCounter struct {
+// outcomeRecorder is a balancer that only records outcomes, and not even those if its slice is nil.
+type outcomeRecorder struct {
 	balancer.Balancer
-	told *[]string
+	outcomes *[]string
 }
 
-func (d outcomeCounter) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
-	if d.told != nil {
-		*d.told = append(*d.told, ending)
+func (d outcomeRecorder) RecordAttemptOutcome(_ uint64, _ int, ending string, _ int64, _ bool, _ map[string]float64) {
+	if d.outcomes != nil {
+		*d.outcomes = append(*d.outcomes, ending)
 	}
 }
 
-// twoAttemptsInFlight is a search with two parts out on a connection that is up and has no writer: in one call, or in two of which the
-// second alone is written.
-func twoAttemptsInFlight(apart bool) (*eventLoop, *replicaConnection, *search) {
+// twoAttemptsInFlight returns a search with two attempts on a connection that is up and has no writer: queued in one
+// batch, or in two batches of which only the second is written.
+func twoAttemptsInFlight(twoBatches bool) (*eventLoop, *replicaConnection, *search) {
 	loop, conn, search := oneAttemptInFlight(stageQueued)
 	conn.connectedAt, loop.log = 1, newAsyncLogger(SystemClock{}, slog.DiscardHandler)
 	request := &shardRequest{id: 3, search: search, shard: 1, unreported: 1}
 	current := search.shardRequests[0].attempts[0].batch
-	if apart {
+	if twoBatches {
 		current = &batch{connection: conn, message: &outboundMessage{}}
 		current.message.stage.Store(stageWritten)
 		conn.openBatches++
@@ -114,7 +115,8 @@
 	return loop, conn, search
 }
 
-// A search that ends takes its attempts off a batch at once: no message with the rest of them is sent in between.
+// A search that ends takes all its attempts off a batch in one step. Taken off one by one, a message with the remaining
+// ones could be sent in between.
 func TestBatchIsRecalledTogether(t *testing.T) {
 	loop, conn, current := twoAttemptsInFlight(false)
 	require.Empty(t, loop.finishSearch(current))
@@ -123,7 +125,7 @@
 	require.Equal(t, []string{"Ignored", "Ignored"}, []string{loop.events.next[0].outcome, loop.events.next[1].outcome})
 	require.Zero(t, conn.openBatches)
 
-	loop, conn, current = twoAttemptsInFlight(false) // those of another search stay
+	loop, conn, current = twoAttemptsInFlight(false) // attempts of another search stay in the batch
 	other := &search{id: 9}
 	current.shardRequests[1].search, current.shardRequests = other, current.shardRequests[:1]
 	require.Empty(t, loop.finishSearch(current))
@@ -136,49 +138,51 @@
 	require.Contains(t, string(*message.buffer), "q.1")
 }
 
-// An attempt that is canceled before its write begins was never sent, and the balancer learns so: it may be retried
-// whatever its effect.
+// An attempt that is canceled before its write begins is reported as never sent, so that it may be retried whatever
+// effect its class has. Guards against reporting it as canceled, which means that it may have run.
 func TestCanceledBeforeSent(t *testing.T) {
-	for stage, outcome := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
+	for stage, want := range map[int32]string{stageQueued: "Ignored", stageWriting: "Canceled", stageWritten: "Canceled"} {
 		loop, _, _ := oneAttemptInFlight(stage)
 		loop.CancelAttempt(2, 0)
-		require.Equal(t, outcome, loop.events.next[0].outcome, "stage %d", stage)
+		require.Equal(t, want, loop.events.next[0].outcome, "stage %d", stage)
 	}
 }
 
-// A repeat that waits on the connection on which the first attempt is answered late is not sent.
+// A repeat that is still queued on the connection when the first attempt is answered late is not sent: it would run for
+// nothing.
 func TestAnswerWhileRepeatWaits(t *testing.T) {
-	for stage, left := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
-		var told []string
+	for stage, want := range map[int32]int32{stageQueued: stageRecalled, stageWriting: stageWriting, stageWritten: stageWritten} {
+		var outcomes []string
 		loop, conn, search := oneAttemptInFlight(stage)
-		loop.balancer = outcomeCounter{told: &told}
+		loop.balancer = outcomeRecorder{outcomes: &outcomes}
 		conn.recentIDs = map[string]uint64{"q.0": search.id}
-		parcel := search.shardRequests[0].attempts[0].batch.message
+		message := search.shardRequests[0].attempts[0].batch.message
 		loop.handleAnswer(conn, []byte("q.0"), "Ok", zeroScore, nil, []byte("v"), nil)
-		require.Equal(t, []string{"Ok"}, told)
+		require.Equal(t, []string{"Ok"}, outcomes)
 		require.True(t, search.shardRequests[0].completed)
-		require.Equal(t, left, parcel.stage.Load())
+		require.Equal(t, want, message.stage.Load())
 		require.Empty(t, conn.attempts)
 	}
 }
 
-// A malformed answer fails one of the attempts that were written, whatever waits before it.
+// A malformed answer fails one of the attempts that were written. Guards against failing one that is still queued ahead
+// of them, which cannot have caused it.
 func TestMalformedAnswerWhileAttemptWaits(t *testing.T) {
-	var told []string
+	var outcomes []string
 	loop, conn, _ := twoAttemptsInFlight(true)
-	loop.balancer = outcomeCounter{told: &told}
+	loop.balancer = outcomeRecorder{outcomes: &outcomes}
 	loop.handleConnectionEnd(conn, errMalformed, "x")
-	require.Equal(t, []string{"Ignored", "Failed"}, told)
+	require.Equal(t, []string{"Ignored", "Failed"}, outcomes)
 }
 
-// A keyed shard request's repeat that the writer comes to after its window is over is not sent, and the balancer
-// learns that.
+// A repeat of a keyed shard request that the writer reaches after the idempotency window is not sent, and is reported so
+// to the balancer: the replica may have forgotten the first attempt and would run the repeat.
 func TestRepeatsAreSentWithinTheirWindow(t *testing.T) {
 	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
-		var told []string
+		var outcomes []string
 		loop, conn, search := oneAttemptInFlight(stageWritten)
 		now := int64(1000)
-		loop.rules.keyedClasses, loop.rules.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, outcomeCounter{told: &told}, now
+		loop.rules.keyedClasses, loop.rules.repeatWindows, loop.balancer, loop.now = []bool{true}, []int64{3000}, outcomeRecorder{outcomes: &outcomes}, now
 		loop.ctx, loop.tasks = t.Context(), make(chan func(), 4)
 		conn.connectedAt, conn.clockTicks = 1, func() int64 { return now }
 		conn.onMissedDeadline = func(message *outboundMessage) { loop.submit(func() { loop.handleMissedDeadline(conn, message) }) }
@@ -193,7 +197,7 @@
 		loop.now = now
 		loop.queueBatch(current)
 		if late {
-			now += 90 // 10 ms before its end, less what is kept for its way
+			now += 90 // 1 ms before the end of the window, within repeatWindowMargin
 		}
 		var out strings.Builder
 		<-conn.queue // the cancel frame
@@ -208,20 +212,21 @@
 	}
 }
 
-// Two tenants and classes on one connection, with their requests in pieces one after another: each has its own limits,
-// timeout, retry mark and effect, and a header that a request lacks is not the one before's.
+// Requests of several tenants and classes follow one another on one connection, sent in pieces. Each search has the
+// class, tenant, key, timeout and retry mark of its own request. Guards against a header that a request lacks being
+// taken over from the request before it.
 func TestTenantsShareOneConnection(t *testing.T) {
 	r := start(t, 256, nil)
 	p := r.puppet()
-	type one struct {
+	type added struct {
 		qtype, tenant int
 		key           string
 		grace         int64
 		retry         bool
 	}
-	got := make(chan one, 64)
-	p.asked = func(_ uint64, qtype, tenant int, key string, grace int64, retry bool) {
-		got <- one{qtype, tenant, key, grace, retry}
+	got := make(chan added, 64)
+	p.onAddSearch = func(_ uint64, qtype, tenant int, key string, grace int64, retry bool) {
+		got <- added{qtype, tenant, key, grace, retry}
 	}
 	c := r.connect()
 	for i := range 30 {
@@ -246,7 +251,7 @@
 		}
 		id := (<-p.searches)[0]
 		a := <-got
-		require.Equal(t, one{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
+		require.Equal(t, added{class, tenant, key, a.grace, i%4 == 0}, a, "request %d", i)
 		require.LessOrEqual(t, a.grace, int64(seconds)*10_000)
 		require.Greater(t, a.grace, int64(seconds-1)*10_000, "request %d", i)
 		r.runInLoop(func(loop *eventLoop) { loop.ShedSearch(id, 0) })
--- a/coordinator/buffers.go
+++ b/coordinator/buffers.go
@@ -5,15 +5,16 @@
 	"sync"
 )
 
-const bufferSize = 16 << 10 // bytes of a buffer: a message head and most complete messages; 1,000 buffers take 16 MB
+const bufferSize = 16 << 10 // bytes of a buffer: holds a message head and most whole messages; 1,000 buffers take 16 MB
 
-// buffers and bufferedReaders have one size; a buffer that has outgrown it is left to the garbage collector.
+// buffers and bufferedReaders hold only buffers of bufferSize; one that has grown beyond it is left to the garbage
+// collector.
 var (
 	buffers         = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
 	bufferedReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 )
 
-// borrowBuffer returns an empty buffer.
+// borrowBuffer returns an empty buffer; returnBuffer takes it back.
 func borrowBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
 // returnBuffer gives a buffer back for reuse; the caller must not use it any more.
--- a/coordinator/connection_end.go
+++ b/coordinator/connection_end.go
@@ -8,24 +8,24 @@
 	"syscall"
 )
 
-// connectionEndError is why a connection ended. It is the error of all code on that connection.
+// connectionEndError is the reason why a connection ended. All code that serves a connection uses it as its error.
 type connectionEndError int
 
 // Reasons of a connection's end.
 const (
 	_                 connectionEndError = iota
 	errNotConnected                      // refused, or not connected in time
-	errNoDescriptors                     // not opened: no descriptor or port is left here
+	errNoDescriptors                     // not opened: the process has no descriptor or port left
 	errPeerClosed                        // the other side closed it between messages
 	errReset                             // reset, or cut inside a message
 	errWriteFailed                       // a write failed or did not end in time
-	errReadTimeout                       // a message began and did not end in time
+	errReadTimeout                       // a message began to arrive and was not complete in time
 	errMalformed                         // what was received is malformed
 	errRejectedByPeer                    // the other side could not use what was sent
-	errQueueFull                         // its queue was full
-	errIdle                              // closed here: idle for long
+	errQueueFull                         // closed here: the queue of messages to be written was full
+	errIdle                              // closed here: idle for too long
 	errRetired                           // closed here: its replica was removed or moved, or the connection is silent
-	errDisplaced                         // closed here: the longest idle one, whose descriptor another needed
+	errDisplaced                         // closed here: it was idle for longest, and another connection needed its descriptor
 	errClosing                           // closed here after a last answer, or at shutdown
 	errFault                             // closed here: handling what was received panicked
 )
@@ -38,10 +38,11 @@
 // Error implements error. The texts are values of log lines.
 func (e connectionEndError) Error() string { return connectionEndNames[e] }
 
-// attemptOutcome is the one place that translates a connection's end into an attempt's outcome. Where the other side
-// ended it, an attempt that was not completely written could not connect, or on a connection that had worked was just
-// not sent; any other was reset. Where this side ended it, an attempt was not sent, or canceled and may have run: the
-// replica is not down for that. A malformed answer fails one attempt alone, the first: it must not look like a crash.
+// attemptOutcome returns the outcome of an attempt that was on the connection when it ended; no other code derives it.
+// If the other side ended the connection, a completely written attempt was reset; one that was not could not connect,
+// or, if the connection had worked before, was merely not sent. If this side ended it, a written attempt was canceled
+// and may have run, any other was not sent: neither shows that the replica is down. A malformed answer fails only the
+// first written attempt: it must not look like a crash.
 func (e connectionEndError) attemptOutcome(written, first, worked bool) string {
 	switch e {
 	case errNotConnected, errPeerClosed, errReset, errWriteFailed:
@@ -62,8 +63,9 @@
 	return "Ignored"
 }
 
-// isCertain says whether, after a connection's end, no attempt on it runs any more at the other side: that side ended
-// it, or had just been heard. An end from here does not arrive over a connection that has fallen silent.
+// isCertain says whether it is certain, after this end of a connection, that no attempt on it still runs at the other
+// side: that side ended the connection, or something had just been received from it. An end from this side does not
+// arrive over a connection that has gone silent.
 func (e connectionEndError) isCertain() bool {
 	switch e {
 	case errNotConnected, errPeerClosed, errReset, errMalformed, errRejectedByPeer, errFault:
@@ -72,7 +74,7 @@
 	return false
 }
 
-// connectionEndOf returns the reason that an error of reading stands for.
+// connectionEndOf returns the reason that an error of a dial or a read stands for.
 func connectionEndOf(err error) connectionEndError {
 	var e connectionEndError
 	switch {
--- a/coordinator/connection_end_test.go
+++ b/coordinator/connection_end_test.go
@@ -10,8 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Each end of a connection has one outcome for its attempts. Guards against an end that makes a sound replica look down,
+// or that lets an attempt be retried although it may have run.
 func TestAttemptOutcomesOfConnectionEnds(t *testing.T) {
-	want := map[connectionEndError][3]string{} // frame not completely written; written, the first attempt; written, the others
+	want := map[connectionEndError][3]string{} // of attempts that are not completely written; of the first written one; of the other written ones
 	for _, e := range []connectionEndError{errNotConnected, errPeerClosed, errReset, errWriteFailed} {
 		want[e] = [3]string{"ConnectError", "ResetByPeer", "ResetByPeer"}
 	}
@@ -24,7 +26,7 @@
 	for e := errNotConnected; e <= errClosing; e++ {
 		require.Equal(t, want[e], [3]string{e.attemptOutcome(false, true, false), e.attemptOutcome(true, true, false), e.attemptOutcome(true, false, false)},
 			e.Error())
-		require.Equal(t, "Ignored", e.attemptOutcome(false, true, true), "it had worked: %s", e)
+		require.Equal(t, "Ignored", e.attemptOutcome(false, true, true), "on a connection that had worked: %s", e)
 		require.NotEmpty(t, e.Error())
 	}
 	require.Equal(t, errNoDescriptors, connectionEndOf(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
--- a/coordinator/connection_limiter.go
+++ b/coordinator/connection_limiter.go
@@ -5,10 +5,11 @@
 	"sync"
 )
 
-// connectionLimiter shares out the clients' descriptors. A connection is busy from a complete request to its answer;
-// otherwise it is idle, or a request is arriving. Connections that are not busy stand in a list, longest idle first.
-// With no descriptor left, a new connection displaces the longest idle one, or else the first whose request is
-// arriving; a busy one never. This keeps clients from using up descriptors with connections that they do not use.
+// connectionLimiter limits how many client connections are open. A connection is busy from a complete request to its
+// answer; otherwise it is idle, or a request is arriving. Connections that are not busy are kept in a list, longest
+// idle first. With no descriptor left, a new connection displaces the longest idle one or, if none is idle, the first
+// one in the list, whose request is arriving; never a busy one. This keeps clients from using up the descriptors with
+// connections that they do not use.
 type connectionLimiter struct {
 	limit   int
 	changed chan struct{} // a connection has left or become idle
@@ -19,9 +20,9 @@
 	displaced *clientConnection // asked to make room; its reader ends it, unless it has read something first
 }
 
-// newConnectionLimiter returns a limiter for so many connections, at least one.
-func newConnectionLimiter(most int) *connectionLimiter {
-	return &connectionLimiter{limit: max(1, most), changed: make(chan struct{}, 1)}
+// newConnectionLimiter returns a limiter for the given number of connections, at least one.
+func newConnectionLimiter(limit int) *connectionLimiter {
+	return &connectionLimiter{limit: max(1, limit), changed: make(chan struct{}, 1)}
 }
 
 // signalChanged wakes a connection that waits in admit.
@@ -32,16 +33,16 @@
 	}
 }
 
-// resize changes the number of connections; those that are open stay.
-func (g *connectionLimiter) resize(most int) {
+// resize changes the limit; connections that are open stay open.
+func (g *connectionLimiter) resize(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limit = max(1, most)
+	g.limit = max(1, limit)
 	g.signalChanged()
 }
 
 // admit blocks until there is room for a new connection, and returns false once canceled is closed.
-func (g *connectionLimiter) admit(client *clientConnection, given <-chan struct{}) bool {
+func (g *connectionLimiter) admit(client *clientConnection, canceled <-chan struct{}) bool {
 	for {
 		g.mu.Lock()
 		room := g.open < g.limit
@@ -57,13 +58,13 @@
 		}
 		select {
 		case <-g.changed:
-		case <-given:
+		case <-canceled:
 			return false
 		}
 	}
 }
 
-// displace asks the longest idle connection to make room, or else the first whose request is arriving.
+// displace asks the longest idle connection to make room or, if none is idle, the first one in the list.
 func (g *connectionLimiter) displace() {
 	for e := g.idle.Front(); e != nil; e = e.Next() {
 		if client := e.Value.(*clientConnection); g.displaced == nil || !client.requestBegun {
@@ -78,8 +79,8 @@
 	}
 }
 
-// markRequestBegun records that the first bytes of a request have been read. A connection that was just asked to make
-// room stays, since nothing that was read may be lost while another can make room.
+// markRequestBegun records that the first bytes of a request have been read. If the connection was just asked to make
+// room, it stays open: bytes that were read must not be lost while another connection can make room.
 func (g *connectionLimiter) markRequestBegun(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,7 +96,7 @@
 	g.cancelDisplacement(client)
 }
 
-// cancelDisplacement has another connection asked, if this one was.
+// cancelDisplacement lets a connection that was asked to make room stay open, so that another one is asked.
 func (g *connectionLimiter) cancelDisplacement(client *clientConnection) {
 	if g.displaced == client {
 		g.displaced = nil
@@ -104,7 +105,7 @@
 	}
 }
 
-// removeIdle takes a connection off the idle list, if it is there.
+// removeIdle takes a connection off the idle list if it is in it.
 func (g *connectionLimiter) removeIdle(client *clientConnection) {
 	if client.idleElement != nil {
 		g.idle.Remove(client.idleElement)
@@ -113,7 +114,7 @@
 	client.requestBegun = false
 }
 
-// markIdle records that an answer is written. After its last answer a connection is the first to make room.
+// markIdle records that an answer has been written. After its last answer, a connection is the first to make room.
 func (g *connectionLimiter) markIdle(client *clientConnection, last bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +125,7 @@
 	g.signalChanged()
 }
 
-// release gives a connection's place up.
+// release frees the place of a connection that has ended.
 func (g *connectionLimiter) release(client *clientConnection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coordinator/connection_limiter_test.go
+++ b/coordinator/connection_limiter_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// With no descriptor left, the longest idle connection makes room, and none with an open search.
+// With no descriptor left, the longest idle connection makes room. Guards against idle connections that keep clients out,
+// and against closing a connection with an open search.
 func TestDescriptorLimits(t *testing.T) {
 	r := start(t, 16, nil)
 	held := make(chan asked, 4)
@@ -19,17 +20,17 @@
 		s.SetHandler(func(a asked) { held <- a })
 	}
 	busy := r.connect().send(request("q", "all", "", fourParts))
-	r.eventually("parts are out", func() bool { return len(held) == 4 })
-	silent := r.connect()
-	for range 30 { // many times the room
+	r.eventually("the hosts have all shard requests", func() bool { return len(held) == 4 })
+	idle := r.connect()
+	for range 30 { // many times what there is room for
 		c := r.connect().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 200, status)
 	}
-	_, err := silent.Read(make([]byte, 1))
+	_, err := idle.Read(make([]byte, 1))
 	require.Equal(t, io.EOF, err)
 	r.logged("end=displaced")
-	require.LessOrEqual(t, strings.Count(r.log.String(), "end=displaced"), 2, "a line a second")
+	require.LessOrEqual(t, strings.Count(r.log.String(), "end=displaced"), 2, "at most one log line a second")
 	for range 4 {
 		(<-held).ReplyGood()
 	}
@@ -39,14 +40,15 @@
 	r.shutDown()
 }
 
-// With no descriptor left, a connection whose request is arriving makes no room while another is idle.
+// With no descriptor left, an idle connection makes room before one whose request is arriving: closing that one would
+// lose the request.
 func TestArrivingRequestsKeepTheirConnections(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.startPiped()
 	text := request("begun", "all", "", fourParts)
 	begun := call(nil).send(text[:len(text)-1])
 	head := call(nil).send(text[:1])
-	for range 30 { // many times the room
+	for range 30 { // many times what there is room for
 		call(nil)
 	}
 	status, _, _, _ := begun.send(text[len(text)-1:]).readAnswer()
@@ -56,7 +58,8 @@
 	end()
 }
 
-// With none idle, the connection whose request has been arriving for longest makes room.
+// With no connection idle, the one whose request has been arriving for longest makes room. Guards against clients that
+// send a first byte and no more keeping all others out.
 func TestArrivingRequestsMakeRoomLast(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.startPiped()
@@ -70,40 +73,40 @@
 	end()
 }
 
-// deadlineConn keeps what was read until the connection has been asked to make room.
+// deadlineConn holds back what it has read until the connection has been asked to make room.
 type deadlineConn struct {
 	net.Conn
-	read, told chan struct{}
-	once       sync.Once
+	read, askedToLeave chan struct{}
+	once               sync.Once
 }
 
 func (l *deadlineConn) Read(p []byte) (int, error) {
 	n, err := l.Conn.Read(p)
 	if n > 0 {
 		close(l.read)
-		<-l.told
+		<-l.askedToLeave
 	}
 	return n, err
 }
 
 func (l *deadlineConn) SetReadDeadline(at time.Time) error {
 	if !at.IsZero() && at.Before(time.Now()) {
-		l.once.Do(func() { close(l.told) })
+		l.once.Do(func() { close(l.askedToLeave) })
 	}
 	return l.Conn.SetReadDeadline(at)
 }
 
 func (l *deadlineConn) Close() error {
-	l.once.Do(func() { close(l.told) })
+	l.once.Do(func() { close(l.askedToLeave) })
 	return l.Conn.Close()
 }
 
-// A request that is complete in the moment in which its connection is asked to make room is answered; another
-// connection makes room.
+// A request that is complete at the moment its connection is asked to make room is answered, and another connection
+// makes room instead. Guards against closing the connection with the request already read.
 func TestRequestWhileItsConnectionIsDisplaced(t *testing.T) {
 	r := start(t, 16, nil)
 	call, end := r.startPiped()
-	at := &deadlineConn{read: make(chan struct{}), told: make(chan struct{})}
+	at := &deadlineConn{read: make(chan struct{}), askedToLeave: make(chan struct{})}
 	c := call(func(conn net.Conn) net.Conn { at.Conn = conn; return at })
 	c.send(request("read", "all", "", fourParts))
 	<-at.read
--- a/coordinator/dispatch_rules.go
+++ b/coordinator/dispatch_rules.go
@@ -7,16 +7,16 @@
 	"chalkring/coordinator/plan"
 )
 
-// dispatchRules are settings that the event loop reads once. Lists have one place for each class.
+// dispatchRules are the settings for sending attempts, read once at the start. Slices have one element per class.
 type dispatchRules struct {
 	blockCount           int
-	streamsPerConnection int // batches on one connection at once
+	streamsPerConnection int // batches in flight on one connection
 	attemptsPerBatch     int
 	maxAttempts          int     // of one shard request
-	allowsSecondCopies   bool    // a shard request may run twice at once
+	allowsSecondCopies   bool    // a shard request may run twice at the same time
 	keyedClasses         []bool  // replicas drop a repeat while they remember the first attempt
-	repeatWindows        []int64 // ticks for which they do
-	followUpCounts       []int   // shard requests of the second step; 0 where there is none
+	repeatWindows        []int64 // ticks for which they remember it
+	followUpCounts       []int   // shard requests of the second step; 0 for no second step
 }
 
 func newDispatchRules(initial *plan.Plan) dispatchRules {
--- a/coordinator/final_answer_test.go
+++ b/coordinator/final_answer_test.go
@@ -11,7 +11,7 @@
 	"chalkring/coordinator/plan"
 )
 
-// oneAttemptInFlight is a search with one attempt in flight, whose frame has reached a stage.
+// oneAttemptInFlight returns a search with one attempt in flight, whose message is at the given stage.
 func oneAttemptInFlight(stage int32) (*eventLoop, *replicaConnection, *search) {
 	loop := &eventLoop{plan: &plan.Plan{}, searches: searchTable{byID: map[uint64]*search{}, names: map[string]bool{}, shardRequests: map[uint64]*shardRequest{}}, rules: dispatchRules{allowsSecondCopies: true}}
 	conn := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
@@ -24,8 +24,8 @@
 	return loop, conn, current
 }
 
-// A final answer is not sent before a frame of its search whose write has begun is written; a write that does not end
-// in time ends its connection. Otherwise a stalled process could send attempts after the answer.
+// A final answer is not sent while a frame of its search is being written; a write that does not end in time ends its
+// connection. Otherwise a stalled process could send attempts after the answer.
 func TestFinalAnswerAwaitsPendingWrites(t *testing.T) {
 	own, other := net.Pipe() // a write lasts until the other side reads
 	defer other.Close()
@@ -35,50 +35,50 @@
 		ended <- l.serve(own, time.Minute, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
 			func(*outboundMessage) error { return nil })
 	}()
-	text := []byte("part")
+	text := []byte("frame")
 	message := &outboundMessage{buffer: &text}
 	l.enqueue(message)
 	require.Eventually(t, func() bool { return message.stage.Load() == stageWriting }, patience, time.Millisecond)
 	write := pendingWrite{l, message}
 	require.False(t, write.isWritten())
-	settled := make(chan bool, 1)
-	go func() { awaitWritten([]pendingWrite{write}); settled <- message.stage.Load() == stageWritten }()
+	written := make(chan bool, 1)
+	go func() { awaitWritten([]pendingWrite{write}); written <- message.stage.Load() == stageWritten }()
 	select {
-	case <-settled:
-		t.Fatal("not out yet")
+	case <-written:
+		t.Fatal("awaitWritten returned before the other side had read the frame")
 	case <-time.After(5 * time.Millisecond):
 	}
 	_, _ = other.Read(make([]byte, 16)) // blocks until something comes or the connection ends
-	require.True(t, <-settled, "out")
+	require.True(t, <-written, "awaitWritten returned, and the frame is not marked as written")
 
 	next := &outboundMessage{buffer: &text}
 	l.enqueue(next)
 	require.Eventually(t, func() bool { return next.stage.Load() == stageWriting }, patience, time.Millisecond)
-	awaitWritten([]pendingWrite{{l, next}}) // nobody reads: after a while its connection ends
+	awaitWritten([]pendingWrite{{l, next}}) // nobody reads: the connection ends after maxWriteWait
 	require.Equal(t, errRetired, <-ended)
 	require.True(t, l.writerEnded.Load())
 }
 
-// A final answer waits for frames of its search whose write has begun; a written one is not waited for, and its
-// connection stays.
+// A final answer waits for a frame of its search that is being written, and ends its connection if that takes too long.
+// A frame that is written already delays no answer, and its connection stays open.
 func TestNothingSentAfterFinalAnswer(t *testing.T) {
-	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
+	for stage, waits := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		loop, conn, search := oneAttemptInFlight(stage)
-		first := loop.finishSearch(search)
-		require.Equal(t, ends, len(first) == 1, "stage %d", stage)
+		pending := loop.finishSearch(search)
+		require.Equal(t, waits, len(pending) == 1, "stage %d", stage)
 		context.AfterFunc(conn.ctx, func() { conn.writerEnded.Store(true) }) // as its writer would
-		awaitWritten(first)
-		require.Equal(t, ends, conn.ctx.Err() != nil, "stage %d", stage)
+		awaitWritten(pending)
+		require.Equal(t, waits, conn.ctx.Err() != nil, "stage %d", stage)
 	}
 }
 
-// The same holds for a frame whose attempt was given up before, such as a second copy that is canceled when the first
-// has answered. One that is given up after the answer holds nothing.
+// A final answer waits for a frame that is being written also if its attempt has been given up, as a second copy is once
+// the first attempt is answered. An attempt that is given up after the answer adds no write to wait for.
 func TestNothingCanceledAfterFinalAnswer(t *testing.T) {
-	for stage, ends := range map[int32]bool{stageWriting: true, stageWritten: false} {
+	for stage, waits := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		loop, _, search := oneAttemptInFlight(stage)
 		loop.CancelAttempt(2, 0)
-		require.Equal(t, ends, len(loop.finishSearch(search)) == 1, "stage %d", stage)
+		require.Equal(t, waits, len(loop.finishSearch(search)) == 1, "stage %d", stage)
 
 		loop, _, search = oneAttemptInFlight(stage)
 		loop.finishSearch(search)
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	frameReadTimeout     = 300 * time.Millisecond // from a frame's first byte to its last: answers fit a few packets
+	frameReadTimeout     = 300 * time.Millisecond // from a frame's first byte to its last: answers fit into a few packets
 	maxLoggedRejectBytes = 200                    // bytes of a replica's reject text in a log line
-	frameParameterRoom   = 256                    // bytes of a shard request's parameters that need no allocation
+	frameParameterRoom   = 256                    // bytes of a shard request's parameters for which no memory is allocated
 )
 
-// frameProtocol is the platform's protocol: frames with several shard requests each, answered one by one.
+// frameProtocol is the platform's own protocol: a frame has one or more shard requests, each answered by a frame.
 type frameProtocol struct{}
 
 // attemptsPerBatch implements wireProtocol.
@@ -66,13 +66,13 @@
 }
 
 // zeroScore is the score of answers from hosts that give none.
-var zeroScore = []byte("0") // the score of hosts that tell none
+var zeroScore = []byte("0")
 
-// frameOutcomes are the balancer's outcomes by the word that ends an answer.
+// frameOutcomes maps the outcome word of an answer to the balancer's outcome.
 var frameOutcomes = map[string]string{"good": "Ok", "bad": "Failed", "later": "QueueFull"}
 
-// readAnswers implements wireProtocol. Once a frame has begun, its rest has to follow in time, in case its length says
-// more than is sent. Answers that arrive together are handled in one task.
+// readAnswers implements wireProtocol. Once a frame has begun, the rest of it has to arrive in time: its length may be
+// more than what is sent. Answers that arrive together are handled in one task.
 func (frameProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	src := bufferedReaders.Get().(*bufio.Reader)
 	src.Reset(conn)
@@ -87,21 +87,21 @@
 		if limited = !frame.IsBuffered(src); limited {
 			conn.SetReadDeadline(time.Now().Add(frameReadTimeout))
 		}
-		tell, err := readFrame(loop, connection, src)
+		handle, err := readFrame(loop, connection, src)
 		if err == nil && frame.IsBuffered(src) {
-			all := []func(){tell}
+			all := []func(){handle}
 			for err == nil && frame.IsBuffered(src) {
-				if tell, err = readFrame(loop, connection, src); tell != nil {
-					all = append(all, tell)
+				if handle, err = readFrame(loop, connection, src); handle != nil {
+					all = append(all, handle)
 				}
 			}
-			tell = func() {
-				for _, do := range all {
-					do()
+			handle = func() {
+				for _, handleOne := range all {
+					handleOne()
 				}
 			}
 		}
-		if tell != nil && !loop.submit(tell) {
+		if handle != nil && !loop.submit(handle) {
 			return errClosing
 		}
 		if err != nil {
@@ -111,42 +111,43 @@
 }
 
 // readFrame reads one frame and returns the task that handles it, or nil for a frame that cannot be used.
-func readFrame(loop *eventLoop, conn *replicaConnection, src *bufio.Reader) (tell func(), err error) {
-	letter, rest, err := frame.Read(src)
+func readFrame(loop *eventLoop, conn *replicaConnection, src *bufio.Reader) (handle func(), err error) {
+	frameType, payload, err := frame.Read(src)
 	if err != nil && !errors.Is(err, frame.ErrMalformed) {
 		return nil, connectionEndOf(err)
 	}
-	if letter == frame.TypeReject && err == nil {
-		loop.log.warnLimited("frame_refused", "frame_refused", "replica", conn.replica.id, "words", string(rest[:min(len(rest), maxLoggedRejectBytes)]))
+	if frameType == frame.TypeReject && err == nil {
+		loop.log.warnLimited("frame_refused", "frame_refused", "replica", conn.replica.id, "words", string(payload[:min(len(payload), maxLoggedRejectBytes)]))
 		return nil, errRejectedByPeer
 	}
-	if letter != frame.TypeAnswer && err == nil {
-		err = fmt.Errorf("%w: letter %q", frame.ErrMalformed, letter)
+	if frameType != frame.TypeAnswer && err == nil {
+		err = fmt.Errorf("%w: frame type %q, expected %q or %q", frame.ErrMalformed, frameType, frame.TypeAnswer, frame.TypeReject)
 	}
 	var attemptName, end, score, value []byte
 	var report map[string]float64
 	if err == nil {
-		own := bytes.Clone(rest) // the reader's buffer is overwritten by the next frame
+		own := bytes.Clone(payload) // the reader's buffer is overwritten by the next frame
 		attemptName, end, score, report, value, err = frame.ParseAnswer(own)
 	}
 	outcome := frameOutcomes[string(end)]
 	if err == nil && (outcome == "" || outcome == "Ok" && (score == nil || !utf8.Valid(value))) {
-		err = fmt.Errorf("%w: end %.20q, score %s, value %.40q", frame.ErrMalformed, end, score, value)
+		err = fmt.Errorf("%w: outcome %.20q, score %s, value %.40q; expected the outcome good, bad or later, and with good a score and a value in UTF-8",
+			frame.ErrMalformed, end, score, value)
 	}
 	if err != nil {
 		loop.log.warnLimited("bad_frame", "bad_frame", "replica", conn.replica.id, "error", err)
 		return nil, errMalformed
 	}
-	var read any
+	var decoded any
 	if outcome == "Ok" {
-		if read, err = loop.decoders.decode(attemptName, value); err != nil {
+		if decoded, err = loop.decoders.decode(attemptName, value); err != nil {
 			outcome = "Failed"
 			loop.log.warnLimited("bad_value", "bad_value", "replica", conn.replica.id, "error", err)
 		}
 	}
-	fits := frame.IsPlausibleReply(src)
+	isPlausible := frame.IsPlausibleReply(src)
 	return func() {
-		conn.closedToNew = conn.closedToNew || !fits // a good answer counts, whatever follows it
-		loop.handleAnswer(conn, attemptName, outcome, score, report, value, read)
+		conn.closedToNew = conn.closedToNew || !isPlausible // a good answer counts, whatever follows it
+		loop.handleAnswer(conn, attemptName, outcome, score, report, value, decoded)
 	}, nil
 }
