--- a/coordinator/keyed_requests_test.go
+++ b/coordinator/keyed_requests_test.go
@@ -16,14 +16,15 @@
 
 const repeatMemory = 400 * time.Millisecond // how long a host drops a repeat
 
-// effectRecorder are hosts that write down what took effect. Holders of a cell tell each other what came; each drops a repeat
-// while it remembers, and has forgotten once it started again. What became of a part is drawn.
+// effectRecorder plays all hosts and records which shard requests took effect. The hosts of a cell share what they have
+// received; each drops a repeat for as long as it remembers the first, and a restart makes it forget. What happens to a
+// shard request is drawn at random.
 type effectRecorder struct {
 	mu                sync.Mutex
-	chance            *rand.Rand
-	effects           map[string]int
+	random            *rand.Rand
+	effects           map[string]int // by the attempts' name
 	memory            map[*fake.Host]map[string]time.Time
-	ended             map[net.Conn]bool // of a host's earlier life
+	ended             map[net.Conn]bool // connections from before a host's restart
 	repeats, restarts int
 }
 
@@ -35,11 +36,11 @@
 	d.restarts++
 }
 
-// handle is what a host does with a part.
+// handle handles a shard request that a host has received.
 func (d *effectRecorder) handle(h *fake.Host, p asked) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	draw := d.chance.Intn(10_000)
+	draw := d.random.Intn(10_000)
 	if draw < 8 {
 		d.restart(h) // before the shard request is handled
 	}
@@ -47,16 +48,16 @@
 		return
 	}
 	switch {
-	case draw < 60: // neither taken nor refused
+	case draw < 60: // it does not take effect, and is not answered
 		p.Conn.Close()
 		return
 	case draw < 110:
 		p.Reply("later", "-", "")
 		return
 	}
-	came, known := d.memory[h][p.ID]
+	receivedAt, known := d.memory[h][p.ID]
 	d.repeats += min(1, d.effects[p.ID])
-	if keyed := strings.HasPrefix(p.ID, "k"); !keyed || !known || time.Since(came) > repeatMemory {
+	if keyed := strings.HasPrefix(p.ID, "k"); !keyed || !known || time.Since(receivedAt) > repeatMemory {
 		d.effects[p.ID]++
 		for other := range d.memory {
 			if keyed && other.Cell == h.Cell {
@@ -69,19 +70,20 @@
 		p.Conn.Close() // its answer is lost
 	case draw < 270:
 		p.Conn.Close()
-		time.AfterFunc(20*time.Millisecond, p.ReplyGood) // after the reset
+		time.AfterFunc(20*time.Millisecond, p.ReplyGood) // answered after the connection has closed
 	case draw < 320:
 		p.Reply("bad", "-", "")
 	case draw < 340: // never answers
 	case draw < 348:
-		d.restart(h) // after it took effect
+		d.restart(h) // after the shard request took effect
 	default:
 		time.AfterFunc(time.Duration(draw%4)*time.Millisecond, p.ReplyGood)
 	}
 }
 
-// No shard request takes effect twice, by the hosts' own records: keyed ones are retried only where and while a repeat
-// is dropped, unsafe ones only where the first cannot have run.
+// No shard request takes effect twice, by the hosts' own records. Keyed ones are retried only at a replica that drops
+// repeats and only as long as it does, unsafe ones only if the first attempt cannot have run. Guards against a retry
+// after a lost answer, a reset or a host's restart that takes effect again.
 func TestKeyedRequestsTakeEffectOnce(t *testing.T) {
 	const searches, callers = 10_000, 20
 	r := start(t, 512, func(settings map[string]any) {
@@ -89,12 +91,12 @@
 			map[string]any{"Name": "hold", "Aim": 300.0, "Deadline": 600.0, "Effect": "dedup", "RepeatWindow": 400.0, "LateShare": 0.5},
 			map[string]any{"Name": "log", "Aim": 300.0, "Deadline": 600.0, "Effect": "fragile", "LateShare": 0.5},
 		}
-		of, may := settings["Specifics"].(map[string]any), settings["Permissions"].(map[string]any)
-		of["NeedByClass"], of["ClassFloor"], of["FollowUp"] = []any{1.0, 1.0}, []any{1.0, 1.0}, []any{0, 0}
-		may["SecondCopies"], may["MaxAttempts"], may["DialTimeout"] = false, 4, 250.0
+		specifics, permissions := settings["Specifics"].(map[string]any), settings["Permissions"].(map[string]any)
+		specifics["NeedByClass"], specifics["ClassFloor"], specifics["FollowUp"] = []any{1.0, 1.0}, []any{1.0, 1.0}, []any{0, 0}
+		permissions["SecondCopies"], permissions["MaxAttempts"], permissions["DialTimeout"] = false, 4, 250.0
 	})
 	d := &effectRecorder{
-		chance: rand.New(rand.NewSource(32)), effects: map[string]int{}, ended: map[net.Conn]bool{},
+		random: rand.New(rand.NewSource(32)), effects: map[string]int{}, ended: map[net.Conn]bool{},
 		memory: map[*fake.Host]map[string]time.Time{},
 	}
 	for _, h := range r.replicas {
@@ -128,16 +130,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	total := map[int]int{}
-	for _, of := range status {
-		for code, n := range of {
+	for _, ofCaller := range status {
+		for code, n := range ofCaller {
 			total[code] += n
 		}
 	}
-	t.Log("answers", total, "parts", len(d.effects), "repeats", d.repeats, "restarts", d.restarts)
+	t.Log("answers by status", total, "shard requests", len(d.effects), "repeats", d.repeats, "restarts", d.restarts)
 	for effectID, n := range d.effects {
 		require.Equal(t, 1, n, "effects of %s", effectID)
 	}
-	// how many of each there are is the machine's load's; without one the test would show nothing
+	// the numbers depend on the load of the machine; without any of each the test would show nothing
 	require.Positive(t, total[200])
 	require.Positive(t, d.repeats, "the faults cause repeats")
 	require.Positive(t, d.restarts)
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	maxCoalescedBytes    = 8 << 10                // bytes of messages that are written at once: a buffer holds two such
-	maxCoalescedMessages = 64                     // messages written at once: one iteration's batches to one replica
-	maxWriteWait         = 20 * time.Millisecond  // for a message whose write has begun to be written: a socket takes one at once
-	writeWaitYields      = 16                     // checks of it that only yield the processor
-	writeWaitPoll        = 100 * time.Microsecond // between two checks after that
+	maxCoalescedBytes    = 8 << 10                // bytes of messages after which no more are added to a write: half a buffer
+	maxCoalescedMessages = 64                     // messages in one write: one iteration's batches to one replica
+	maxWriteWait         = 20 * time.Millisecond  // wait for a write that has begun: a socket takes a message at once
+	writeWaitYields      = 16                     // checks of such a write that only yield the processor in between
+	writeWaitPoll        = 100 * time.Microsecond // between two checks after those
 )
 
-// outboundMessage is one message on its way to a socket. Its stage goes from queued to writing to written, or to
-// recalled.
+// outboundMessage is one message on its way to a socket. Its stage goes from queued to writing and written, or from
+// queued to recalled.
 type outboundMessage struct {
 	buffer           *[]byte
 	closesConnection bool // the last message of its connection
 	leaseFenced      bool // its write may not begin once the residency lease has expired
-	hasDeadline      bool // its write may not begin after a time in the connection's deadlines
+	hasDeadline      bool // its write may not begin after its time in the connection's deadlines
 	stage            atomic.Int32
 }
 
@@ -37,29 +37,28 @@
 	stageRecalled // taken back before its write began
 )
 
-// recall takes a message back and returns false where bytes of it may be out.
+// recall takes a message back. It returns false where bytes of the message may have been sent already.
 func (p *outboundMessage) recall() bool { return p.stage.CompareAndSwap(stageQueued, stageRecalled) }
 
-// messageConn is one connection and the messages that wait to be written to it. What the writer may not send any more
-// it drops: messages that were recalled, that are past their deadline, or that need a residency lease which has
-// expired.
+// messageConn is one connection and the messages that wait to be written to it. The writer drops messages that may not
+// be sent any more: those that were recalled, are past their deadline, or need a residency lease that has expired.
 type messageConn struct {
 	queue chan *outboundMessage
 	end   context.CancelCauseFunc
 	ctx   context.Context
 
-	leaseExpired     func() bool              // checked for each leaseFenced message; nil where there is none
-	clockTicks       func() int64             // checked for each message with a deadline; nil where there is none
+	leaseExpired     func() bool              // checked for each leaseFenced message; nil if there are none
+	clockTicks       func() int64             // checked for each message with a deadline; nil if there are none
 	deadlines        sync.Map                 // by message: the time by which its write has to begin
-	onMissedDeadline func(p *outboundMessage) // is called for each message taken back for its deadline
+	onMissedDeadline func(p *outboundMessage) // is called for each message that is dropped for its deadline
 
-	log *asyncLogger // of panics; nil for none
+	log *asyncLogger // for panics; nil for no log
 
-	pendingWrites []pendingWrite // to be written before the next message; set by who enqueues that
+	pendingWrites []pendingWrite // of other connections, which have to end before the next message is written; set by the caller of enqueue
 	writerEnded   atomic.Bool    // the writer has returned
 }
 
-// newMessageConn returns a connection with room for so many waiting messages.
+// newMessageConn returns a connection whose queue has room for the given number of messages.
 func newMessageConn(ctx context.Context, room int) *messageConn {
 	l := &messageConn{queue: make(chan *outboundMessage, room)}
 	l.ctx, l.end = context.WithCancelCause(ctx)
@@ -75,15 +74,16 @@
 	}
 }
 
-// missedDeadline says whether the deadline of a message is over. It may be called once for each message.
+// missedDeadline says whether a message is past its deadline, which it forgets: call it once for each message.
 func (l *messageConn) missedDeadline(message *outboundMessage) bool {
 	by, _ := l.deadlines.LoadAndDelete(message)
 	return l.clockTicks() > by.(int64)
 }
 
-// serve runs a connection to its end, with a goroutine for reading and one for writing, and returns why it ended.
-// Deadlines of sockets are the system clock's.
-func (l *messageConn) serve(conn net.Conn, stall time.Duration, read func(context.Context) error,
+// serve runs a connection to its end, with a goroutine for reading and one for writing, and returns why it ended. A write
+// that takes longer than writeTimeout fails; wrote is called for each written message. Deadlines of sockets are in the
+// system clock's time.
+func (l *messageConn) serve(conn net.Conn, writeTimeout time.Duration, read func(context.Context) error,
 	wrote func(*outboundMessage) error,
 ) connectionEndError {
 	group, ctx := errgroup.WithContext(l.ctx)
@@ -92,18 +92,18 @@
 	defer conn.Close()
 	group.Go(func() error { return l.log.recoverPanic(func() error { return read(ctx) }) })
 	write := func() error {
-		var together []*outboundMessage
+		var room []*outboundMessage
 		defer l.writerEnded.Store(true)
 		for {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
 			case message := <-l.queue:
-				if ctx.Err() != nil { // no write begins after the reader has seen the end
+				if ctx.Err() != nil { // no write may begin after the reader has seen the connection's end
 					return ctx.Err()
 				}
-				conn.SetWriteDeadline(time.Now().Add(stall))
-				if err := l.writeCoalesced(conn, message, &together, wrote); err != nil {
+				conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+				if err := l.writeCoalesced(conn, message, &room, wrote); err != nil {
 					return err
 				}
 			}
@@ -115,11 +115,12 @@
 		err = cause // this side ended it, which made reads and writes fail
 	}
 	end := connectionEndOf(err)
-	l.end(end) // a context that is not canceled stays with its parent
+	l.end(end) // releases the context, which its parent would otherwise keep
 	return end
 }
 
-// writeCoalesced writes a message, and in the same write those that wait behind it while they are small.
+// writeCoalesced writes a message and, in the same write, messages queued behind it, up to the limits of collect. The
+// array at room is reused by each call.
 func (l *messageConn) writeCoalesced(conn net.Conn, message *outboundMessage, room *[]*outboundMessage, wrote func(*outboundMessage) error) error {
 	all := (*room)[:0]
 	defer func() {
@@ -161,17 +162,17 @@
 	return nil
 }
 
-// collect appends the messages of one write: the first and those that wait behind it while they are small, but for
-// those that may not be sent any more.
+// collect appends the messages of one write: the given one and those queued behind it, up to maxCoalescedBytes and
+// maxCoalescedMessages. It leaves out messages that may not be sent any more.
 func (l *messageConn) collect(message *outboundMessage, all []*outboundMessage) []*outboundMessage {
 	for size := 0; message != nil; {
-		switch { // the time may have passed in a stopped process or in a socket that took nothing
+		switch { // lease or deadline may have ended while the process was stalled or the socket took no bytes
 		case message.leaseFenced && l.leaseExpired():
 			message.recall()
 		case message.hasDeadline && l.missedDeadline(message) && message.recall():
 			l.onMissedDeadline(message)
 		}
-		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // right before the write: from here on bytes may be out
+		if message.stage.CompareAndSwap(stageQueued, stageWriting) { // right before the write: from here on bytes may have been sent
 			size += len(*message.buffer)
 			if all = append(all, message); message.closesConnection || size > maxCoalescedBytes || len(all) == maxCoalescedMessages {
 				break
@@ -199,9 +200,9 @@
 	return b.message.stage.Load() != stageWriting || b.conn.writerEnded.Load()
 }
 
-// awaitWritten blocks until all writes have ended. In a stalled process, a search's final answer could otherwise
-// overtake the write of an attempt. A write that does not end in time ends its connection. Most have ended already, so
-// this polls.
+// awaitWritten blocks until all writes have ended. Without it, a search's final answer could overtake the write of an
+// attempt in a stalled process. A write that does not end in time ends its connection. It polls, since most writes have
+// ended already.
 func awaitWritten(all []pendingWrite) {
 	for _, write := range all {
 		for tries := 0; !write.isWritten(); tries++ {
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	maxHostBodyBytes = 1 << 20         // bytes of an OpenSearch host's answer: hits of a deep page
-	hostBodyTimeout  = 2 * time.Second // from an answer's first byte to its last: a megabyte on a slow way
+	maxHostBodyBytes = 1 << 20         // bytes of an OpenSearch host's response body: hits of a deep page
+	hostBodyTimeout  = 2 * time.Second // from a response's first byte to its last: a megabyte over a slow network
 )
 
-// openSearchProtocol is the OpenSearch-style API: one shard request a request, one request a connection at a time.
-// Giving an attempt up ends its connection, which cancels it at the host.
+// openSearchProtocol is the OpenSearch-style API: each HTTP request has one shard request, and a connection has one
+// request in flight. Giving up an attempt ends its connection, which cancels it at the host.
 type openSearchProtocol struct{ HostKind }
 
 // attemptsPerBatch implements wireProtocol.
@@ -51,14 +51,14 @@
 	conn.closeNow(errRetired)
 }
 
-// classifyResponse is the one table from a host's response to the balancer's outcomes. A request that got 429 or 503
-// has not run; any other that is no good answer may have.
+// classifyResponse returns the balancer's outcome for a host's response; no other code derives it. A request that got
+// 429 or 503 has not run; any other without a good answer may have run.
 func (k openSearchProtocol) classifyResponse(status int, body []byte, shard int) (outcome string, err error) {
 	switch {
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		return "QueueFull", nil
 	case status != http.StatusOK:
-		return "Failed", fmt.Errorf("status %d", status)
+		return "Failed", fmt.Errorf("HTTP status %d, expected 200, 429 or 503", status)
 	}
 	if err := query.CheckResponse(k.Index, k.Placement, shard, body); err != nil {
 		return "Failed", err
@@ -66,8 +66,8 @@
 	return "Ok", nil
 }
 
-// readAnswers implements wireProtocol. Each response belongs to the one attempt on its connection; a response to
-// nothing, or one that cannot be parsed, ends the connection.
+// readAnswers implements wireProtocol. Each response belongs to the one attempt on its connection. A response without an
+// attempt, or one that cannot be parsed, ends the connection.
 func (k openSearchProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	source := bufferedReaders.Get().(*bufio.Reader)
 	source.Reset(conn)
@@ -86,7 +86,7 @@
 		n, err := io.Copy(&body, io.LimitReader(response.Body, maxHostBodyBytes+1))
 		response.Body.Close()
 		if err != nil || n > maxHostBodyBytes {
-			return k.readError(loop, connection, fmt.Errorf("%d bytes: %w", n, errors.Join(err, frame.ErrMalformed)))
+			return k.readError(loop, connection, fmt.Errorf("response body cut off or over %d bytes, after %d bytes: %w", maxHostBodyBytes, n, errors.Join(err, frame.ErrMalformed)))
 		}
 		if err := k.handleResponse(loop, connection, response, body.Bytes()); err != nil {
 			return err
@@ -109,12 +109,12 @@
 	}
 	answered, ok := <-onlyAttempt
 	if !ok {
-		return k.readError(loop, connection, errors.New("an answer to nothing"))
+		return k.readError(loop, connection, errors.New("response without an attempt in flight on the connection"))
 	}
-	name, shard := []byte(answered.name), answered.shardRequest.shard // neither field changes
+	name, shard := []byte(answered.name), answered.shardRequest.shard // may be read here: neither field ever changes
 	outcome, problem := k.classifyResponse(response.StatusCode, body, shard)
 	if outcome == "Ok" && !utf8.Valid(body) {
-		outcome, problem = "Failed", errors.New("no text")
+		outcome, problem = "Failed", errors.New("response body is not valid UTF-8")
 	}
 	var decoded any
 	if outcome == "Ok" {
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// retryAfterReport returns a Retry-After header in seconds as the load report that the balancer takes, in milliseconds;
-// nil for none.
+// retryAfterReport returns a Retry-After header, which is in seconds, as a load report for the balancer, in milliseconds;
+// nil for no usable header.
 func retryAfterReport(header string) map[string]float64 {
 	seconds, err := strconv.ParseFloat(header, 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
@@ -152,10 +152,10 @@
 	return map[string]float64{"RetryAfter": 1000 * min(seconds, maxClientTimeout.Seconds())}
 }
 
-// readError returns why a connection ends after a response that could not be read.
+// readError returns why a connection ends after a response that could not be used.
 func (openSearchProtocol) readError(loop *eventLoop, conn *replicaConnection, err error) error {
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return errReadTimeout
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -4,14 +4,14 @@
 	"slices"
 )
 
-const drainSendShare = 0.5 // of the drain grace in which a draining replica may get new frames: the list may be late
+const drainSendShare = 0.5 // of the drain grace, in which a draining replica may still get frames; the rest allows for a late list
 
-// replicaTable is the replicas of the endpoint list in force, and those of earlier lists that still have connections.
+// replicaTable is the replicas of the current endpoint list, and those of earlier lists that still have connections.
 type replicaTable struct {
 	byID           map[string]*replica
-	dispatchOrder  []*replica                     // with batches to go out at the end of the iteration
-	lastDispatchAt int64                          // the last iteration that sent batches
-	averageLatency float64                        // ticks that an answer has taken of late
+	dispatchOrder  []*replica                     // replicas with batches to be sent at the end of the iteration
+	lastDispatchAt int64                          // time of the last iteration that sent batches
+	averageLatency float64                        // ticks until an answer, a moving average
 	abandoned      map[*attempt]*abandonedAttempt // given up here and not yet reported to the balancer
 }
 
@@ -33,8 +33,8 @@
 	return frameProtocol{}
 }
 
-// placeReplica records a replica's address, kind and state. Connections to another address, or from before its start
-// (since, in ticks), take nothing new.
+// placeReplica records a replica's address, kind and state. Connections to another address, or from before the replica's
+// start (since, in ticks), get no new attempts.
 func (loop *eventLoop) placeReplica(hostID, addr, kind string, since int64, isRemoved, isDraining bool) {
 	current := loop.replicas.byID[hostID]
 	if current == nil {
@@ -48,7 +48,7 @@
 	hasMoved := current.addr != addr || current.protocol != protocol
 	for _, conn := range slices.Clone(current.connections) {
 		// A connection older than its replica's start leads to an earlier incarnation, which may have ended without closing
-		// it: what is sent there is lost.
+		// it: an attempt on it would be lost.
 		if isRemoved || hasMoved || conn.connectedAt > 0 && conn.connectedAt < since {
 			loop.retireConnection(conn)
 		}
@@ -70,9 +70,9 @@
 	}
 }
 
-// recallAfterGrace keeps attempts from going out to a draining, removed or moved replica once the time in which that
-// is allowed is over. Batches that wait for a connection wait until then, since most connect in time: recalling them
-// at once would cost each an attempt.
+// recallAfterGrace takes back the attempts that have not been sent to a draining, removed or moved replica once the time
+// in which that is allowed is over. Until then, batches go on waiting for their connections, since most come up in time:
+// recalling them at once would cost each shard request an attempt.
 func (loop *eventLoop) recallAfterGrace(replica *replica) {
 	grace := float64(loop.plan.Duration("Safety.DrainGrace") / tick)
 	loop.runAfter(int64(drainSendShare*grace), func() {
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	replicaQueueSize     = 512                    // frames that wait on a replica's connection: batches of 32 streams with their cancels
-	replicaIdleShare     = 0.7                    // of the time after which replicas close an idle connection: closing earlier avoids a race
-	minDoubtDelay        = 1000                   // ticks under an attempt without a byte from the connection before the next batch takes another one,
-	doubtLatencyFactor   = 4.0                    // or this multiple of the average latency, if that is longer
-	latencyAverageWeight = 100.0                  // answers that the average latency rests on
-	maxRecentIDs         = 256                    // ids of past attempts kept for a connection: some seconds of answers
-	maxRedialDelay       = 100 * time.Millisecond // for a connection to come up before a further dial: most take a few milliseconds
-	redialTimeoutParts   = 5                      // or this part of the dial timeout: the last dial has over half of the time left
-	maxParallelDials     = 3                      // dials for one connection: of those that are late one in three, one in 27 waits
+	replicaQueueSize     = 512                    // frames that wait to be written: batches of 32 streams and the cancels of their attempts
+	replicaIdleShare     = 0.7                    // of the time after which replicas close an idle connection: closing first avoids sending on one that they close
+	minDoubtDelay        = 1000                   // ticks without a byte received while an attempt is in flight, after which the next batch takes another connection,
+	doubtLatencyFactor   = 4.0                    // or this multiple of the average latency if that is longer
+	latencyAverageWeight = 100.0                  // divisor of a new answer's share in the average latency: about the number of answers that it covers
+	maxRecentIDs         = 256                    // names of past attempts that a connection keeps: some seconds of answers
+	maxRedialDelay       = 100 * time.Millisecond // wait for a connection before a further dial: most come up in a few milliseconds
+	redialTimeoutParts   = 5                      // or the dial timeout divided by this, if shorter: the last dial has over half of the time left
+	maxParallelDials     = 3                      // dials for one connection: if one in three is late, all three are in one case of 27
 	silenceDialTimeouts  = 2                      // dial timeouts of silence after which a connection counts as lost
 )
 
-// replicaConnection is one connection to a replica, as the event loop knows it.
+// replicaConnection is the event loop's state of one connection to a replica.
 type replicaConnection struct {
 	*messageConn
 	replica     *replica
 	protocol    wireProtocol
 	closedToNew bool  // takes no new batches
-	openBatches int   // with an attempt in flight
-	connectedAt int64 // ticks, 0 before
+	openBatches int   // batches with an attempt in flight
+	connectedAt int64 // ticks, 0 before the connection is up
 	attempts    []*attempt
-	heardAt     int64
+	heardAt     int64 // when the last answer was received; 0 before the first
 	usedAt      int64
-	recentIDs   map[string]uint64 // names of past attempts with their searches: answers may still come
+	recentIDs   map[string]uint64 // searches of past attempts by the attempts' names: answers may still arrive
 	recentOrder []string          // the same names; once there are maxRecentIDs, the oldest is at oldestIndex
 	oldestIndex int
 
-	abandoned []*abandonedAttempt // whose replica may still run them
+	abandoned []*abandonedAttempt // the replica may still run them
 }
 
-// openConnection opens a connection; batches on it wait until it is connected.
+// openConnection begins to open a connection; batches that it is given wait until it is up.
 func (loop *eventLoop) openConnection(replica *replica) *replicaConnection {
 	connection := &replicaConnection{messageConn: newMessageConn(loop.ctx, replicaQueueSize), replica: replica, protocol: replica.protocol, usedAt: loop.now}
 	connection.log, connection.clockTicks = loop.log, loop.clockTicks
@@ -74,16 +74,16 @@
 func (loop *eventLoop) handleConnected(conn *replicaConnection) {
 	conn.connectedAt = loop.now
 	for _, attempt := range slices.Clone(conn.attempts) {
-		if batch := attempt.batch; batch != nil && batch.message.buffer == nil { // the batch's first attempt has queued it
+		if batch := attempt.batch; batch != nil && batch.message.buffer == nil { // queued once, for the batch's first attempt
 			loop.queueBatch(batch)
 		}
 	}
 }
 
-// dialWithRetries opens a connection, and dials again beside a slow dial each time that wait has passed, up to
-// maxParallelDials dials. It handles lost connection requests to a sound replica, which would delay all that waits for
-// the connection. A silent replica is dialed three times instead of once, which uses two more descriptors until the
-// dial timeout; for all silent replicas together, at most maxExtra.
+// dialWithRetries opens a connection. If a dial is slow, it starts a further one beside it each time that wait has passed,
+// up to maxParallelDials dials, and uses the first that succeeds. A lost connection request to a sound replica would
+// otherwise delay all attempts that wait for the connection. A silent replica is dialed three times instead of once,
+// which uses two more descriptors until the dial timeout; all silent replicas together use at most maxExtra more.
 func (loop *eventLoop) dialWithRetries(ctx context.Context, addr string, wait time.Duration, maxExtra int64) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -131,7 +131,7 @@
 	err  error
 }
 
-// closeLateDials waits for the dials that are canceled, and closes those that have succeeded all the same.
+// closeLateDials waits for canceled dials and closes the connections of those that have succeeded nevertheless.
 func closeLateDials(results <-chan dialResult, running int) {
 	for range running {
 		if late := <-results; late.err == nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-// rememberID keeps the latest names of attempts that were on the connection.
+// rememberID keeps the name of an attempt that was on the connection, up to maxRecentIDs names.
 func (l *replicaConnection) rememberID(attempt *attempt) {
 	if l.recentIDs == nil {
 		l.recentIDs = map[string]uint64{}
@@ -156,7 +156,8 @@
 	l.recentIDs[attempt.name] = attempt.shardRequest.search.id
 }
 
-// silentFor returns how long the oldest attempt has been out among those since which nothing was received.
+// silentFor returns for how long the connection has been silent: the age of its oldest attempt since which no answer was
+// received, 0 for none.
 func (l *replicaConnection) silentFor(now int64) (age int64) {
 	for _, attempt := range l.attempts {
 		if l.heardAt < attempt.sentAt {
@@ -166,8 +167,8 @@
 	return age
 }
 
-// conflictsWith says whether the name of one of a batch's attempts is in use on the connection, or was for another
-// search: an answer to that one would be taken for this one's.
+// conflictsWith says whether the name of an attempt of a batch is in use on the connection, or was recently used for
+// another search: a late answer to the earlier attempt would be taken for an answer to the new one.
 func (l *replicaConnection) conflictsWith(batch *batch) bool {
 	return slices.ContainsFunc(batch.attempts, func(added *attempt) bool {
 		searchID, isRecent := l.recentIDs[added.name]
@@ -175,22 +176,22 @@
 	})
 }
 
-// silenceTimeout returns the ticks of silence after which a connection counts as lost.
+// silenceTimeout returns for how many ticks a connection may be silent before it counts as lost.
 func (loop *eventLoop) silenceTimeout() int64 {
 	return silenceDialTimeouts * int64(loop.plan.Duration("Permissions.DialTimeout")/tick)
 }
 
-// doubtDelay returns the ticks of silence under an attempt after which the next batch takes another connection.
+// doubtDelay returns for how many ticks a connection may be silent before the next batch takes another one.
 func (loop *eventLoop) doubtDelay() int64 {
 	return max(minDoubtDelay, int64(doubtLatencyFactor*loop.replicas.averageLatency))
 }
 
-// retireSilentConnections closes connections that have long been silent under attempts, once their replica has
-// answered a later attempt on another one: the connection is lost, and its attempts can be retried.
-func (loop *eventLoop) retireSilentConnections(answeredOn *replicaConnection, sent int64) {
+// retireSilentConnections closes connections that have long been silent, once their replica has answered an attempt that
+// was sent later, at sentAt, on another connection: the silent one is lost, and its attempts can be retried.
+func (loop *eventLoop) retireSilentConnections(answeredOn *replicaConnection, sentAt int64) {
 	for _, conn := range answeredOn.replica.connections {
 		age := conn.silentFor(loop.now)
-		if conn != answeredOn && !conn.closedToNew && loop.now-age < sent && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
+		if conn != answeredOn && !conn.closedToNew && loop.now-age < sentAt && age > max(loop.silenceTimeout(), loop.doubtDelay()) {
 			conn.closeNow(errRetired)
 		}
 	}
@@ -206,11 +207,11 @@
 		loop.log.warnLimited("replica "+end.Error(), "replica_connection_ended", "replica", conn.replica.id, "addr", addr, "end", end,
 			"parts", len(conn.attempts))
 	}
-	// All attempts are detached before the first outcome is reported: the balancer may answer it by canceling others
-	// that were on this connection, whose outcome is known too.
+	// All attempts are detached before the first outcome is reported: in response the balancer may cancel other attempts
+	// that were on this connection, and their outcomes are known already.
 	var reports []func()
 	isCertain := end.isCertain()
-	isFirst := true // of the written attempts
+	isFirst := true // no written attempt yet
 	for _, attempt := range slices.Clone(conn.attempts) {
 		isWritten := attempt.batch.message.stage.Load() == stageWritten
 		outcome := end.attemptOutcome(isWritten, isFirst, conn.heardAt > 0)
@@ -232,7 +233,8 @@
 	loop.forgetReplica(conn.replica)
 }
 
-// closeWhenIdle closes a connection that has been idle, before its replica would; until then it checks again.
+// closeWhenIdle closes a connection that has been idle for long, before its replica would; otherwise it checks again
+// later.
 func (loop *eventLoop) closeWhenIdle(conn *replicaConnection) {
 	if conn.closedToNew {
 		return
@@ -245,13 +247,13 @@
 	conn.closeNow(errIdle)
 }
 
-// closeNow ends a connection; it takes nothing new from now on.
+// closeNow ends a connection for a reason, whatever is in flight on it.
 func (l *replicaConnection) closeNow(e connectionEndError) {
 	l.closedToNew = true
 	l.end(e)
 }
 
-// retireConnection lets a connection end once nothing is in flight on it.
+// retireConnection gives a connection no new attempts and ends it once nothing is in flight on it.
 func (loop *eventLoop) retireConnection(conn *replicaConnection) {
 	conn.closedToNew = true
 	loop.closeIfUnused(conn)
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	maxDoubtedConnections = 2                    // silent connections to a replica that are passed over: a silent replica gets no more
-	repeatWindowMargin    = 2 * time.Millisecond // kept off the idempotency window when a repeat is sent: its way to the replica
+	maxDoubtedConnections = 2                    // silent connections of a replica that are passed over: a silent replica gets no further ones
+	repeatWindowMargin    = 2 * time.Millisecond // left of the idempotency window when a repeat is sent: time for its way to the replica
 )
 
-// batch is the attempts that travel as one message.
+// batch is the attempts that are sent in one message.
 type batch struct {
 	attempts   []*attempt
 	connection *replicaConnection
 	message    *outboundMessage
 
-	inlineAttempts [1]*attempt     // the array of attempts while there is one
-	inlineMessage  outboundMessage // the first message
+	inlineAttempts [1]*attempt     // the array of attempts while there is one: saves an allocation
+	inlineMessage  outboundMessage // the first message: saves an allocation
 }
 
-// canShareBatch says whether an attempt may be on one connection with those of a batch.
+// canShareBatch says whether an attempt may be in a batch with others: repeats need a connection that was up before their
+// first attempt.
 func (loop *eventLoop) canShareBatch(batched []*attempt, attempt *attempt) bool {
 	return len(batched) == 0 || loop.firstSentAt(attempt) == loop.firstSentAt(batched[0])
 }
 
-// dispatchBatches puts the iteration's batches on connections.
+// dispatchBatches assigns the iteration's batches to connections.
 func (loop *eventLoop) dispatchBatches() {
 	if len(loop.replicas.dispatchOrder) > 0 {
 		loop.replicas.lastDispatchAt = loop.now
@@ -36,7 +37,7 @@
 				continue
 			}
 			var conn *replicaConnection
-			if !replica.removed { // since the balancer chose it in this iteration
+			if !replica.removed { // it may have been, after the balancer chose it in this iteration
 				conn = loop.connectionFor(replica, batch)
 			}
 			if conn == nil {
@@ -58,8 +59,8 @@
 	loop.replicas.dispatchOrder = loop.replicas.dispatchOrder[:0]
 }
 
-// queueBatch encodes a batch that has a connection and hands it to the writer. Before the connection is up the batch
-// waits for handleConnected: an earlier message would tell replicas more time than is left to the client.
+// queueBatch encodes a batch that has a connection and hands it to the writer. Before the connection is up, the batch
+// waits for handleConnected: a message that is encoded earlier would state more time than the client has left.
 func (loop *eventLoop) queueBatch(batch *batch) {
 	if batch.connection == nil {
 		return
@@ -88,9 +89,9 @@
 	batch.connection.enqueue(batch.message)
 }
 
-// connectionFor finds a connection with room for a batch, or opens one. With no descriptor left, an idle connection of
-// another replica makes room, or one of this replica's takes the batch to wait there; nil where there is neither. So a
-// shortage here is not reported as a replica's fault.
+// connectionFor finds a connection with room for a batch, or opens one. With no descriptor left, it closes the longest
+// idle connection to any replica to make room; without one, the batch waits on a connection of this replica. It returns
+// nil if that is impossible too, and the attempts count as not sent: a shortage here is not the replica's fault.
 func (loop *eventLoop) connectionFor(replica *replica, batch *batch) *replicaConnection {
 	if since := loop.firstSentAt(batch.attempts[0]); since > 0 {
 		return replica.connectedSince(batch, since)
@@ -101,8 +102,8 @@
 		if conn.closedToNew || conn.conflictsWith(batch) {
 			continue
 		}
-		// A silent connection would swallow one attempt after another though its replica is sound, so the next batch
-		// takes another one. A replica that is silent on all of them is for the balancer to detect.
+		// A silent connection would swallow attempt after attempt although its replica is sound, so the next batch takes
+		// another one. Detecting a replica that is silent on all connections is up to the balancer.
 		isDoubted := conn.silentFor(loop.now) > loop.doubtDelay() && doubted < maxDoubtedConnections
 		if isDoubted {
 			doubted++
@@ -140,10 +141,10 @@
 	return longest
 }
 
-// connectedSince finds a connection that has been up since before a keyed shard request was first sent, or nil, and
-// then the repeat is not sent. A replica that has restarted has forgotten the requests that it would drop; only a
-// connection that was up all the while proves that it has not. A replica that was not connected gets no repeat, though
-// it may remember.
+// connectedSince finds a connection that has been up since before a keyed shard request was first sent; without one it
+// returns nil, and the repeat is not sent. A replica that has restarted has forgotten which repeats to drop, and only a
+// connection that was up all the time proves that it has not restarted. A replica without such a connection gets no
+// repeat, although it may remember.
 func (r *replica) connectedSince(batch *batch, since int64) (best *replicaConnection) {
 	for _, conn := range r.connections {
 		if !conn.closedToNew && conn.connectedAt > 0 && conn.connectedAt <= since && !conn.conflictsWith(batch) && (best == nil || conn.openBatches < best.openBatches) {
@@ -153,9 +154,8 @@
 	return best
 }
 
-// firstSentAt returns when a keyed shard request was first sent, if the attempt is a repeat of it; 0 for any other
-// attempt, and where none before it can have run. It is not kept in the batch, where eight more bytes cost 385 a
-// search.
+// firstSentAt returns when a keyed shard request was first sent if the attempt is a repeat; 0 for any other attempt, and
+// if no earlier one can have run. It is not stored in the batch, where eight more bytes cost 385 bytes per search.
 func (loop *eventLoop) firstSentAt(attempt *attempt) int64 {
 	if attempt.index == 0 || !loop.rules.keyedClasses[attempt.shardRequest.search.class] {
 		return 0
@@ -168,8 +168,8 @@
 	return 0
 }
 
-// repeatDeadline returns by when a keyed shard request's repeat has to be sent, since the decision for it and its
-// sending may lie on both sides of the end of its window; 0 for what is no repeat.
+// repeatDeadline returns the time by which a repeat of a keyed shard request has to be sent, 0 for an attempt that is no
+// repeat. The writer checks it: the idempotency window may end between the decision for a repeat and its sending.
 func (loop *eventLoop) repeatDeadline(attempt *attempt) int64 {
 	since := loop.firstSentAt(attempt)
 	if since == 0 {
@@ -178,8 +178,8 @@
 	return since + max(1, loop.rules.repeatWindows[attempt.shardRequest.search.class]-int64(repeatWindowMargin/tick))
 }
 
-// handleMissedDeadline reports the attempts of a message whose deadline was over before the writer came to it: none of
-// it was sent.
+// handleMissedDeadline reports the attempts of a message that the writer dropped because it was past its deadline: none
+// of them was sent.
 func (loop *eventLoop) handleMissedDeadline(conn *replicaConnection, message *outboundMessage) {
 	for _, attempt := range slices.Clone(conn.attempts) {
 		if attempt.batch != nil && attempt.batch.message == message {
@@ -189,9 +189,9 @@
 	}
 }
 
-// recallBatch takes a search's attempts off a batch, or all for a nil search, if no byte of it may be out; they count
-// as never sent. All go at once: one by one, the message of the rest could be sent in between. It returns false where
-// bytes may be out.
+// recallBatch takes a search's attempts off a batch, or all attempts for a nil search, and reports them as never sent. It
+// returns false, and changes nothing, where bytes of the batch may have been sent already. It takes them off in one step:
+// one by one, a message with the remaining ones could be sent in between.
 func (loop *eventLoop) recallBatch(batch *batch, only *search) bool {
 	if batch.connection != nil && !batch.message.recall() {
 		return false
