--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -32,6 +32,7 @@
 	return s.text[addr]
 }
 
+// recordedConn adds what is written on it to sentBytes.
 type recordedConn struct {
 	*net.TCPConn
 	addr string
@@ -60,19 +61,19 @@
 	}), sent
 }
 
-// What one replica gets for a shard request and for its cancelling has the bytes of the golden file; the milliseconds that are
-// left, of seven digits, are replaced by #.
+// The bytes that a replica receives for a shard request and its cancellation match the golden file; the remaining time, in
+// milliseconds of seven digits, is replaced by #. Guards against changes of the wire form.
 func TestGoldenReplicaConnection(t *testing.T) {
 	r, sent := startRecorded(t)
-	module := r.puppet()
+	scripted := r.puppet()
 	held := make(chan asked, 1)
 	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
 	c := r.connect().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
-	ids := <-module.searches
+	ids := <-scripted.searches
 	r.runInLoop(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
 	<-held
 	r.runInLoop(func(loop *eventLoop) { loop.CancelAttempt(ids[1], 0) })
-	r.eventually("the cancel is out", func() bool { _, given, _, _ := r.replicas["a0"].Observed(); return len(given) == 1 })
+	r.eventually("the cancel frame has arrived", func() bool { _, canceled, _, _ := r.replicas["a0"].Observed(); return len(canceled) == 1 })
 	r.runInLoop(func(loop *eventLoop) { loop.FailSearch(ids[0]) })
 	c.readAnswer()
 	text := regexp.MustCompile(`d=\d{7} `).ReplaceAllString(sent.at(r.replicas["a0"].Listener.Addr().String()), "d=# ")
@@ -80,17 +81,17 @@
 	r.shutDown()
 }
 
-// callOf is one call with shard requests of a search, which has so many tenths of a millisecond left.
-func callOf(addr string, left int64, parts ...*shardRequest) *batch {
+// batchOf returns a batch with an attempt for each shard request, each with ticksLeft ticks until its deadline.
+func batchOf(addr string, ticksLeft int64, shardRequests ...*shardRequest) *batch {
 	current := &batch{connection: &replicaConnection{replica: &replica{id: "h", addr: addr}}}
-	for _, request := range parts {
-		current.attempts = append(current.attempts, &attempt{shardRequest: request, name: string(request.appendName(nil)), deadline: 1000 + left})
+	for _, request := range shardRequests {
+		current.attempts = append(current.attempts, &attempt{shardRequest: request, name: string(request.appendName(nil)), deadline: 1000 + ticksLeft})
 	}
 	return current
 }
 
-// Calls in both wire protocols have the bytes of the golden file: a shard, two shards, second steps, and searches that have no
-// time left.
+// Batches in both wire protocols match the golden file byte by byte: one shard, two shards, second steps, and a search with
+// no time left. Guards against changes of the wire form.
 func TestGoldenReplicaCalls(t *testing.T) {
 	loop := &eventLoop{now: 1000}
 	first := &search{name: "q-1", text: []byte("two\nlines é")}
@@ -99,21 +100,22 @@
 	var out strings.Builder
 	for _, x := range []struct {
 		name string
-		c    *batch
+		sent *batch
 	}{
-		{"one shard", callOf("10.0.0.1:9200", 80_000, &shardRequest{search: first, step: 1, shard: 3})},
-		{"two shards of two searches", callOf("10.0.0.1:9200", 2_405, &shardRequest{search: first, step: 1, shard: 12}, &shardRequest{search: second, step: 1, shard: 0})},
-		{"second step, whole", callOf("10.0.0.1:9200", 2_405, &shardRequest{search: second, step: 2, shard: 12})},
-		{"second step, partial", callOf("[::1]:9200", 19, &shardRequest{search: partial, step: 2, shard: 7})},
-		{"no time left", callOf("10.0.0.1:9200", -5, &shardRequest{search: first, step: 1, shard: 3})},
+		{"one shard", batchOf("10.0.0.1:9200", 80_000, &shardRequest{search: first, step: 1, shard: 3})},
+		{"two shards of two searches", batchOf("10.0.0.1:9200", 2_405, &shardRequest{search: first, step: 1, shard: 12}, &shardRequest{search: second, step: 1, shard: 0})},
+		{"second step, whole", batchOf("10.0.0.1:9200", 2_405, &shardRequest{search: second, step: 2, shard: 12})},
+		{"second step, partial", batchOf("[::1]:9200", 19, &shardRequest{search: partial, step: 2, shard: 7})},
+		{"no time left", batchOf("10.0.0.1:9200", -5, &shardRequest{search: first, step: 1, shard: 3})},
 	} {
-		fmt.Fprintf(&out, "== %s\n%q\n", x.name, frameProtocol{}.appendBatch(loop, nil, x.c))
-		quotedLines(&out, "<", string(openSearchProtocol{HostKind{Index: "members of/é"}}.appendBatch(loop, nil, x.c)))
+		fmt.Fprintf(&out, "== %s\n%q\n", x.name, frameProtocol{}.appendBatch(loop, nil, x.sent))
+		quotedLines(&out, "<", string(openSearchProtocol{HostKind{Index: "members of/é"}}.appendBatch(loop, nil, x.sent)))
 	}
 	golden.Require(t, "replica_calls.golden", out.String())
 }
 
-// Answers of OpenSearch hosts count as the golden file says: status, body, and what the decision module is told.
+// The outcomes of hosts' answers match the golden file: by HTTP status, by body, and by the outcome word of a frame.
+// Guards against an answer that counts differently for the balancer.
 func TestGoldenHostOutcomes(t *testing.T) {
 	const good = `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":1,"relation":"eq"},"max_score":1,"hits":[{"_index":"members","_id":"a","_score":1,"sort":[1,"a"]}]}}`
@@ -135,17 +137,17 @@
 	golden.Require(t, "host_outcomes.golden", out.String())
 }
 
-// Requests to discovery have the bytes of the golden file: calls for changes, and the call for the whole list once versions
-// have begun again. The address is replaced by DISCOVERY.
+// Requests to discovery match the golden file byte by byte: requests for changes, and the one for the full list after
+// discovery's versions have started over. The address is replaced by DISCOVERY.
 func TestGoldenDiscoveryRequests(t *testing.T) {
 	r, sent := startRecorded(t)
-	whole := fmt.Sprintf(`"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
+	fullList := fmt.Sprintf(`"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
 	<-r.list.Targets
 	r.list.Responses <- `{"version":12,"full":false,"servers":[]}`
 	<-r.list.Targets
-	r.list.Responses <- `{"version":3,` + whole
+	r.list.Responses <- `{"version":3,` + fullList
 	<-r.list.Targets
-	r.list.Responses <- `{"version":3,` + whole
+	r.list.Responses <- `{"version":3,` + fullList
 	<-r.list.Targets
 	addr := r.list.Listener.Addr().String()
 	requests := strings.SplitAfter(strings.ReplaceAll(sent.at(addr), addr, "DISCOVERY"), "\r\n\r\n")
@@ -157,27 +159,28 @@
 	r.shutDown()
 }
 
-// toldEntries stands in the decision module's place and keeps what it is told of lists.
-type toldEntries struct {
+// endpointRecorder is a balancer that writes down the endpoint lists that it is given.
+type endpointRecorder struct {
 	balancer.Balancer
 	out *strings.Builder
 }
 
-func (m toldEntries) AddEndpoint(replica string, zone, kind, cell int, status string, units float64, since int64) {
+func (m endpointRecorder) AddEndpoint(replica string, zone, kind, cell int, status string, units float64, since int64) {
 	fmt.Fprintf(m.out, "  entry %q zone=%d kind=%d cell=%d %s weight=%g since=%d\n", replica, zone, kind, cell, status, units, since)
 }
 
-func (m toldEntries) CommitEndpoints(how string, version int64) {
+func (m endpointRecorder) CommitEndpoints(how string, version int64) {
 	fmt.Fprintf(m.out, "  list %s %d\n", how, version)
 }
 
-// Lists from discovery are read as the golden file says: each body, then what the decision module is told and where hosts are.
+// Endpoint lists from discovery are read as in the golden file: after each body come the hosts read from it, what the
+// balancer is given, and the resulting replicas. Guards against lists that are read differently.
 func TestGoldenListsRead(t *testing.T) {
 	initial, err := parsePlan(planOf(t, func(map[string]any) {}))
 	require.NoError(t, err)
 	var out strings.Builder
 	loop := &eventLoop{
-		plan: initial, replicas: replicaTable{byID: map[string]*replica{}}, balancer: toldEntries{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
+		plan: initial, replicas: replicaTable{byID: map[string]*replica{}}, balancer: endpointRecorder{out: &out}, log: newAsyncLogger(SystemClock{}, slog.DiscardHandler),
 		Options: Options{HostKinds: map[string]HostKind{"search": {Index: "members"}}}, timers: timerSet{balancer: map[uint64]*balancerTimer{}},
 	}
 	for body := range strings.Lines(string(golden.Read(t, "lists_in.golden"))) {
--- a/coordinator/replica_connection_test.go
+++ b/coordinator/replica_connection_test.go
@@ -17,11 +17,12 @@
 	"chalkring/internal/frame"
 )
 
-// Whatever a replica does to a connection, the shard request is retried elsewhere, and a malformed frame is no answer.
+// Whatever a replica does to a connection, the shard request is retried at another one and the search is answered in
+// full. Guards against a malformed frame that is taken for an answer, or that the search waits for.
 func TestMisbehavingReplicas(t *testing.T) {
 	raw := func(text string) func(a asked) { return func(a asked) { a.Conn.Write([]byte(text)) } }
-	framed := func(letter byte, text string) func(a asked) {
-		return func(a asked) { a.Conn.Write(frame.End(append(frame.Begin(nil, letter), text...), 0)) }
+	framed := func(frameType byte, text string) func(a asked) {
+		return func(a asked) { a.Conn.Write(frame.End(append(frame.Begin(nil, frameType), text...), 0)) }
 	}
 	for _, x := range []struct {
 		name string
@@ -30,18 +31,18 @@
 	}{
 		{"reset", func(a asked) { _ = reset(a.Conn) }, "end=broken"},
 		{"close", func(a asked) { a.Conn.Close() }, "end="},
-		{"no length", raw("\x00\x00\x00\x00"), "end=garbled"},
+		{"length 0", raw("\x00\x00\x00\x00"), "end=garbled"},
 		{"too long", raw("\x7f\x00\x00\x00q"), "end=garbled"},
 		{"cut off", func(a asked) { a.Conn.Write([]byte("\x00\x00\x00\x10qabc")); a.Conn.Close() }, "end=broken"},
-		{"unknown letter", framed('z', "x"), "end=garbled"},
-		{"no line", framed('q', "x"), "end=garbled"},
-		{"unknown end", func(a asked) { a.Reply("fine", "1", "x") }, "end=garbled"},
+		{"unknown frame type", framed('z', "x"), "end=garbled"},
+		{"no answer line", framed('q', "x"), "end=garbled"},
+		{"unknown outcome", func(a asked) { a.Reply("fine", "1", "x") }, "end=garbled"},
 		{"no score", func(a asked) { a.Reply("good", "-", "x") }, "end=garbled"},
 		{"bad score", func(a asked) { a.Reply("good", "1.5", "x") }, "end=garbled"},
 		{"long score", func(a asked) { a.Reply("good", strings.Repeat("9", 41), "x") }, "end=garbled"},
-		{"no text", func(a asked) { a.Reply("good", "1", "\xff") }, "end=garbled"},
-		{"another id", func(a asked) { a.ID += "0"; a.ReplyGood() }, "end=garbled"},
-		{"a length that does not come", raw("\x00\x00\x01\x00qabc"), "end=slow"},
+		{"value not UTF-8", func(a asked) { a.Reply("good", "1", "\xff") }, "end=garbled"},
+		{"unknown id", func(a asked) { a.ID += "0"; a.ReplyGood() }, "end=garbled"},
+		{"length longer than the frame", raw("\x00\x00\x01\x00qabc"), "end=slow"},
 		{"refused", framed('r', "what is that"), `event=frame_refused replica=a0 words="what is that"`},
 		{"bad", func(a asked) { a.Reply("bad", "-", "") }, ""},
 		{"later", func(a asked) { a.Reply("later", "-", "") }, ""},
@@ -51,7 +52,7 @@
 			r := start(t, 256, nil)
 			c := r.connect()
 			r.replicas["a0"].SetHandler(x.do)
-			for i := range 20 { // until one of them met a0
+			for i := range 20 { // until one of them reaches a0
 				c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
 				if parts, _, _, _ := r.replicas["a0"].Observed(); len(parts) > 0 {
 					break
@@ -63,17 +64,17 @@
 	}
 }
 
-// Malformed answers do not look like a crash: the search goes on, though they end two connections before any shard
-// request is completed, and the replicas get as much as before.
+// Malformed answers do not look like a crash under load: the search goes on although they end two connections before any
+// shard request is completed, and the replicas get as many searches as before.
 func TestMalformedAnswerIsNoCrash(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
 		r.entry("b1", "draining"))
 	r.logged("how=Partial")
-	var spoilt [2]atomic.Bool
+	var malformed [2]atomic.Bool
 	for i, hostID := range []string{"a0", "b0"} {
 		r.replicas[hostID].SetHandler(func(a asked) {
-			if spoilt[i].CompareAndSwap(false, true) {
+			if malformed[i].CompareAndSwap(false, true) {
 				a.Conn.Write([]byte("noise in place of an answer"))
 				return
 			}
@@ -88,9 +89,10 @@
 	r.shutDown()
 }
 
-// A good answer counts whatever follows it, and with a report that cannot be parsed.
+// A good answer counts whatever follows it, and even if its load report cannot be parsed. Otherwise its shard request
+// would be sent again.
 func TestAnswerFollowedByMalformedBytes(t *testing.T) {
-	for name, more := range map[string]func(a asked){
+	for name, after := range map[string]func(a asked){
 		"a copy":  func(a asked) { a.ReplyGood() },
 		"noise":   func(a asked) { a.Conn.Write([]byte("noise behind the answer")) },
 		"nothing": func(asked) {},
@@ -100,25 +102,26 @@
 			r := start(t, 256, nil)
 			for _, s := range r.replicas {
 				s.SetHandler(func(a asked) {
-					both := &strings.Builder{}
-					there := a.Conn
-					a.Conn = writes{there, both}
+					answer := &strings.Builder{}
+					conn := a.Conn
+					a.Conn = writes{conn, answer}
 					a.ReplyGood()
-					more(a)
-					there.Write([]byte(strings.ReplaceAll(both.String(), " -\n", " ?\n")))
+					after(a)
+					conn.Write([]byte(strings.ReplaceAll(answer.String(), " -\n", " ?\n")))
 				})
 			}
 			c := r.connect()
-			for i := range 8 { // the second step goes out as the answers come
+			for i := range 8 { // the second step is sent while more bytes arrive
 				c.expect(fmt.Sprint("q", i), "deep", 200, "")
 			}
-			require.Equal(t, 8*6, r.parts(), "no part goes out twice")
+			require.Equal(t, 8*6, r.parts(), "no shard request is sent twice")
 			r.shutDown()
 		})
 	}
 }
 
-// With unexpected bytes after an answer, the connection takes nothing new from that answer on.
+// If unexpected bytes follow an answer, the connection takes no new batches from that answer on. Guards against a batch
+// sent on a connection that is about to end.
 func TestBytesAfterAnswerCloseConnection(t *testing.T) {
 	here, there := net.Pipe()
 	defer here.Close()
@@ -128,24 +131,24 @@
 		asked{ID: "q.1", Conn: there}.ReplyGood()
 		asked{ID: "q.1", Conn: writesMore{there, []byte("noise")}}.ReplyGood()
 	}()
-	heard := make(chan error, 1)
-	go func() { heard <- frameProtocol{}.readAnswers(loop, conn, here) }()
+	ended := make(chan error, 1)
+	go func() { ended <- frameProtocol{}.readAnswers(loop, conn, here) }()
 	(<-loop.tasks)()
 	require.False(t, conn.closedToNew)
 	(<-loop.tasks)()
 	require.True(t, conn.closedToNew)
-	require.Equal(t, errMalformed, <-heard)
+	require.Equal(t, errMalformed, <-ended)
 }
 
-// A silent connection gets no more attempts, and is closed once its replica answers on another: its attempts are
-// retried.
+// A silent connection gets no more attempts, and is closed once its replica answers on another one, so that its attempts
+// are retried. Guards against a lost connection that swallows attempt after attempt of a sound replica.
 func TestSilentConnectionIsPassedOver(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Permissions"].(map[string]any)["DialTimeout"] = 100 })
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("how=Partial")
 	c, d := r.connect(), r.connect()
 	c.expect("first", "all", 200, completeAnswer)
-	var dead atomic.Value // the connection
+	var dead atomic.Value // the connection on which a0 never answers again
 	r.replicas["a0"].SetHandler(func(a asked) {
 		if dead.CompareAndSwap(nil, a.Conn) || dead.Load() == a.Conn {
 			return
@@ -153,7 +156,7 @@
 		a.ReplyGood()
 	})
 	c.send(request("swallowed", "all", "", fourParts))
-	r.eventually("it is out", func() bool { return dead.Load() != nil })
+	r.eventually("the search is on the dead connection", func() bool { return dead.Load() != nil })
 	for i := range 5 {
 		time.Sleep(120 * time.Millisecond) // over minDoubtDelay
 		d.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
@@ -164,14 +167,15 @@
 	r.shutDown()
 }
 
-// A search that crashes replicas is failed while more of its attempts were on the connection that ended.
+// A search that crashes replicas ends with status 503, even if more of its attempts were on the connection that ended; the replicas go
+// on with other searches. Guards against retries that would crash further replicas.
 func TestSearchThatCrashesReplicas(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
 		r.entry("b1", "draining"))
 	r.logged("how=Partial")
 	reset := func(a asked) {
-		_ = a.Conn.(*net.TCPConn).SetLinger(0) // fails on a closed connection alone
+		_ = a.Conn.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 		a.Conn.Close()
 	}
 	r.replicas["b0"].SetHandler(reset)
@@ -192,8 +196,8 @@
 	r.shutDown()
 }
 
-// A connection on which an attempt was given up after long silence takes nothing new and is closed; an idle one is
-// closed before its replica would.
+// A connection on which an attempt was given up after a long silence takes no new batches and is closed. An idle one is
+// closed before its replica would close it.
 func TestSilentAndIdleConnectionsClose(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) {
 		s["Permissions"].(map[string]any)["DialTimeout"] = 100
@@ -208,7 +212,7 @@
 		}
 	}
 	for _, s := range r.replicas {
-		r.eventually("closed", func() bool {
+		r.eventually("all connections are closed", func() bool {
 			_, _, conns, open := s.Observed()
 			return conns > 0 && open == 0
 		})
@@ -217,7 +221,7 @@
 	r.shutDown()
 }
 
-// A replica that refuses connections, and one that never was at its address, cost no search.
+// Searches are answered while a replica refuses connections, and the log names the replica.
 func TestReplicaDown(t *testing.T) {
 	r := start(t, 256, nil)
 	r.replicas["a0"].Listener.Close()
@@ -230,17 +234,17 @@
 	r.shutDown()
 }
 
-// A replica resets the connection during a write: a frame that is not completely written was never sent and is retried
-// whatever its effect; a written one may have run, and an unsafe one is not retried.
+// A replica resets the connection during a write. A frame that is not completely written cannot have run and is retried
+// whatever effect its class has; a completely written one may have run, and is not retried if that is unsafe.
 func TestReplicaResetDuringWrite(t *testing.T) {
 	for name, x := range map[string]struct {
 		whole  bool
-		part   func(p []byte) int // what is written before the reset
+		bytes  func(p []byte) int // how much is written before the reset
 		status int
 	}{
-		"before the first byte":  {false, func(p []byte) int { return 0 }, 200},
-		"behind half of it":      {false, func(p []byte) int { return len(p) / 2 }, 200},
-		"behind the whole frame": {true, func(p []byte) int { return len(p) }, 500},
+		"before the first byte": {false, func(p []byte) int { return 0 }, 200},
+		"after half of it":      {false, func(p []byte) int { return len(p) / 2 }, 200},
+		"after the whole frame": {true, func(p []byte) int { return len(p) }, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var armed atomic.Bool
@@ -261,12 +265,12 @@
 						return 0, false
 					}
 					before := h.CountRequests()
-					n, err := c.TCPConn.Write(p[:x.part(p)])
+					n, err := c.TCPConn.Write(p[:x.bytes(p)])
 					require.NoError(t, err)
-					for x.whole && h.CountRequests() == before { // its answer is held back
+					for x.whole && h.CountRequests() == before { // until the host has it; it does not answer
 						time.Sleep(time.Millisecond)
 					}
-					for taken := 0; taken == 0; _, _, _, taken = h.Observed() { // the host may not have it yet
+					for open := 0; open == 0; _, _, _, open = h.Observed() { // until the host has accepted the connection
 						time.Sleep(time.Millisecond)
 					}
 					h.ResetConnections()
@@ -281,10 +285,10 @@
 				}
 			}
 			mu.Unlock()
-			var met sync.Map
+			var seen sync.Map
 			for _, h := range r.replicas {
 				h.SetHandler(func(p asked) {
-					if _, before := met.LoadOrStore(p.ID, true); !before && x.whole && strings.HasSuffix(p.ID, ".0") {
+					if _, before := seen.LoadOrStore(p.ID, true); !before && x.whole && strings.HasSuffix(p.ID, ".0") {
 						return
 					}
 					p.ReplyGood()
@@ -294,42 +298,43 @@
 			c := r.connect().send(request("q", "all", "", `{"ranges":[{"range":0,"portion":1}],"predicate":"what"}`))
 			status, _, text, _ := c.readAnswer()
 			require.Equal(t, x.status, status, "%s\n%s", text, r.log)
-			require.Equal(t, 1, r.parts(), "it has run once at the most")
+			require.Equal(t, 1, r.parts(), "the shard request has run at most once")
 			r.shutDown()
 		})
 	}
 }
 
-// A socket that takes no bytes delays its own connection alone, and frames whose write has not begun have not run.
+// A socket that takes no bytes ends its own connection after the write timeout; messages behind the blocked one can be
+// recalled, and a full queue ends the connection. Guards against an event loop that waits for a socket.
 func TestBlockedReplicaSocket(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
 	l := newMessageConn(context.Background(), 2)
-	parcels := make([]*outboundMessage, 4)
-	for i := range parcels {
+	messages := make([]*outboundMessage, 4)
+	for i := range messages {
 		buffer := borrowBuffer()
 		*buffer = append(*buffer, "text"...)
-		parcels[i] = &outboundMessage{buffer: buffer}
+		messages[i] = &outboundMessage{buffer: buffer}
 	}
-	l.enqueue(parcels[0])
-	l.enqueue(parcels[1])
-	require.True(t, parcels[1].recall())
+	l.enqueue(messages[0])
+	l.enqueue(messages[1])
+	require.True(t, messages[1].recall())
 	end := l.serve(here, 20*time.Millisecond, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
 		func(*outboundMessage) error { return nil })
 	require.Equal(t, errWriteFailed, end)
-	require.Equal(t, errWriteFailed, context.Cause(l.ctx), "its context would stay with the parent's")
-	require.Equal(t, stageWriting, parcels[0].stage.Load())
-	require.False(t, parcels[0].recall())
-	require.Equal(t, stageRecalled, parcels[1].stage.Load())
+	require.Equal(t, errWriteFailed, context.Cause(l.ctx), "the context is canceled, or its parent would keep it")
+	require.Equal(t, stageWriting, messages[0].stage.Load())
+	require.False(t, messages[0].recall())
+	require.Equal(t, stageRecalled, messages[1].stage.Load())
 	l = newMessageConn(context.Background(), 2)
-	for _, message := range parcels[1:] {
+	for _, message := range messages[1:] {
 		l.enqueue(message)
 	}
 	require.Equal(t, errQueueFull, context.Cause(l.ctx))
 }
 
-// A replica that has restarted since a connection to it came up, by the list, is sent to on a new connection: the old
-// one may lead to an earlier incarnation.
+// If the endpoint list says that a replica has restarted since a connection to it came up, attempts go on a new
+// connection. The old one may lead to an earlier incarnation, where they would be lost.
 func TestRestartedHost(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
@@ -337,26 +342,26 @@
 	c.expect("first", "all", 200, completeAnswer)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("version=8 ")
-	c.expect("second", "all", 200, completeAnswer) // by a0
+	c.expect("second", "all", 200, completeAnswer) // uses a0, as a1 is draining
 	conns := func() int { _, _, n, _ := r.replicas["a0"].Observed(); return n }
 	before := conns()
-	time.Sleep(2 * time.Millisecond) // so that the start is after its connections
-	tell := func(version int, started time.Time) {
+	time.Sleep(2 * time.Millisecond) // so that the start is later than the connections to a0
+	listRestart := func(version int, started time.Time) {
 		r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version,
 			strings.Replace(r.entry("a0", "up"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, started.UnixMilli()), 1))
 		r.logged(fmt.Sprintf("version=%d ", version))
 	}
-	tell(9, time.Now())
+	listRestart(9, time.Now())
 	c.expect("third", "all", 200, completeAnswer)
 	require.Equal(t, before+1, conns())
-	tell(10, time.Now().Add(-time.Minute)) // a start from before leaves it
+	listRestart(10, time.Now().Add(-time.Minute)) // an earlier start keeps the connection
 	c.expect("fourth", "all", 200, completeAnswer)
 	require.Equal(t, before+1, conns())
 	r.shutDown()
 }
 
-// Another host at a removed host's address is sent to on a connection of its own, and attempts on the former host's
-// connection end with that.
+// A host that takes over a removed host's address gets a connection of its own. Attempts on the removed host's
+// connection are still answered there, and that host is forgotten afterwards.
 func TestAnotherHostAtSameAddress(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
@@ -382,7 +387,7 @@
 	require.Equal(t, 200, status)
 	require.JSONEq(t, completeAnswer, text)
 	r.runInLoop(func(loop *eventLoop) { require.NotNil(t, loop.replicas.byID["a9"]) })
-	r.eventually("the one that is gone is forgotten", func() (gone bool) {
+	r.eventually("the removed host is forgotten", func() (gone bool) {
 		r.runInLoop(func(loop *eventLoop) { gone = loop.replicas.byID["a0"] == nil })
 		return gone
 	})
--- a/coordinator/replica_dial_test.go
+++ b/coordinator/replica_dial_test.go
@@ -17,19 +17,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-type closeCounter struct {
+// closeRecorder records whether the connection was closed.
+type closeRecorder struct {
 	net.Conn
 	closed atomic.Bool
 }
 
-func (c *closeCounter) Close() error {
+func (c *closeRecorder) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
 
-func dialAfter(after time.Duration) func(context.Context) (net.Conn, error) {
-	return func(context.Context) (net.Conn, error) { // it is up whether or not it was called off
-		time.Sleep(after)
+// dialAfter returns a dial that succeeds after some time, even if it is canceled before.
+func dialAfter(wait time.Duration) func(context.Context) (net.Conn, error) {
+	return func(context.Context) (net.Conn, error) {
+		time.Sleep(wait)
 		here, _ := net.Pipe()
 		return here, nil
 	}
@@ -44,16 +46,17 @@
 	return nil, ctx.Err()
 }
 
-// The first connections to sound hosts never come up: searches do not wait for them.
+// The first dial to each sound host never succeeds: searches use the further dials beside it. Guards against a lost
+// connection request that delays searches until the dial timeout.
 func TestDialsThatNeverConnect(t *testing.T) {
 	var mu sync.Mutex
-	tried := map[string]int{}
+	dials := map[string]int{} // by address
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			mu.Lock()
-			tried[addr]++
-			first := tried[addr] == 1
+			dials[addr]++
+			first := dials[addr] == 1
 			mu.Unlock()
 			if first {
 				<-ctx.Done()
@@ -68,37 +71,38 @@
 	r.shutDown()
 }
 
-// A further dial starts only where none is up in time, the first that succeeds is used, and the others are closed.
+// A further dial starts only if no connection is up in time, the first one that is up is used, and the others are closed.
+// Guards against leaked descriptors, and against a refused dial that fails while others are running.
 func TestDialWithRetries(t *testing.T) {
-	gone := errors.New("refused")
-	type ways = [maxParallelDials]func(ctx context.Context) (net.Conn, error)
+	refused := errors.New("refused")
+	type dialList = [maxParallelDials]func(ctx context.Context) (net.Conn, error)
 	for name, x := range map[string]struct {
-		ways  [maxParallelDials]func(ctx context.Context) (net.Conn, error)
-		dials int
-		fails error
+		dials   dialList
+		want    int // dials that are started
+		wantErr error
 	}{
-		"quick":          {ways{dialAfter(0)}, 1, nil},
-		"refused":        {ways{dialFails(gone), dialAfter(0)}, 1, gone},
-		"late":           {ways{dialAfter(5 * maxRedialDelay), dialAfter(0)}, 2, nil},
-		"silent":         {ways{dialSilent, dialAfter(0)}, 2, nil},
-		"both silent":    {ways{dialSilent, dialSilent, dialAfter(0)}, 3, nil},
-		"all silent":     {ways{dialSilent, dialSilent, dialSilent}, 3, context.DeadlineExceeded},
-		"all late":       {ways{dialAfter(5 * maxRedialDelay), dialAfter(6 * maxRedialDelay), dialAfter(7 * maxRedialDelay)}, 3, nil},
-		"second refused": {ways{dialAfter(3 * maxRedialDelay / 2), dialFails(gone)}, 2, nil},
-		"third refused":  {ways{dialAfter(4 * maxRedialDelay), dialSilent, dialFails(gone)}, 3, nil},
-		"refused late":   {ways{dialSilent, dialFails(gone), dialFails(gone)}, 3, context.DeadlineExceeded},
+		"quick":          {dialList{dialAfter(0)}, 1, nil},
+		"refused":        {dialList{dialFails(refused), dialAfter(0)}, 1, refused},
+		"late":           {dialList{dialAfter(5 * maxRedialDelay), dialAfter(0)}, 2, nil},
+		"silent":         {dialList{dialSilent, dialAfter(0)}, 2, nil},
+		"both silent":    {dialList{dialSilent, dialSilent, dialAfter(0)}, 3, nil},
+		"all silent":     {dialList{dialSilent, dialSilent, dialSilent}, 3, context.DeadlineExceeded},
+		"all late":       {dialList{dialAfter(5 * maxRedialDelay), dialAfter(6 * maxRedialDelay), dialAfter(7 * maxRedialDelay)}, 3, nil},
+		"second refused": {dialList{dialAfter(3 * maxRedialDelay / 2), dialFails(refused)}, 2, nil},
+		"third refused":  {dialList{dialAfter(4 * maxRedialDelay), dialSilent, dialFails(refused)}, 3, nil},
+		"refused late":   {dialList{dialSilent, dialFails(refused), dialFails(refused)}, 3, context.DeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var dials atomic.Int32
+			var started atomic.Int32
 			var mu sync.Mutex
-			var made []*closeCounter
+			var made []*closeRecorder
 			group := &errgroup.Group{}
 			loop := &eventLoop{group: group, Options: Options{Clock: SystemClock{}, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
-				conn, err := x.ways[dials.Add(1)-1](ctx)
+				conn, err := x.dials[started.Add(1)-1](ctx)
 				if err != nil {
 					return nil, err
 				}
-				c := &closeCounter{Conn: conn}
+				c := &closeRecorder{Conn: conn}
 				mu.Lock()
 				made = append(made, c)
 				mu.Unlock()
@@ -108,26 +112,26 @@
 			defer cancel()
 			conn, err := loop.dialWithRetries(ctx, "x", maxRedialDelay, 5)
 			require.NoError(t, group.Wait())
-			require.EqualValues(t, x.dials, dials.Load())
-			require.ErrorIs(t, err, x.fails)
+			require.EqualValues(t, x.want, started.Load())
+			require.ErrorIs(t, err, x.wantErr)
 			for _, c := range made {
 				require.Equal(t, net.Conn(c) != conn, c.closed.Load())
 			}
-			if x.fails == nil {
+			if x.wantErr == nil {
 				require.NotNil(t, conn)
 			}
 		})
 	}
 }
 
-// A reload during slow dials changes the number of descriptors, which the event loop alone may read: for the race
-// detector.
+// A reload changes the descriptor limit during slow dials. Guards, with the race detector, against a dialing goroutine
+// that reads the limit, which only the event loop may do.
 func TestReloadDuringSlowDials(t *testing.T) {
-	var late atomic.Int32
+	var dials atomic.Int32
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if late.Add(1) <= 8 {
+			if dials.Add(1) <= 8 {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -136,11 +140,11 @@
 	})
 	c := r.connect()
 	c.send(request("q", "all", "", fourParts))
-	for n := 255; ; n-- { // one after another, until further connects have been tried
+	for n := 255; ; n-- { // reload after reload, until further dials have started
 		p := *r.plan
 		p.MaxSockets = n
 		r.plans <- &p
-		if late.Load() > 4 {
+		if dials.Load() > 4 {
 			break
 		}
 	}
@@ -149,7 +153,7 @@
 	r.shutDown()
 }
 
-// dialGates hold back connections: each that is opened waits until its address is let through.
+// dialGates hold back dials: each waits until the gate of its address is opened.
 type dialGates struct {
 	mu   sync.Mutex
 	open map[string]chan struct{}
@@ -164,18 +168,19 @@
 	return g.open[addr]
 }
 
-// Further dials beside slow ones keep to their share of the descriptors, however many dials are slow at once.
+// Further dials beside slow ones keep to their share of the descriptors, however many dials are slow at the same time.
+// Guards against silent replicas that use up the descriptors.
 func TestExtraDialsAreBounded(t *testing.T) {
 	const sockets = 64
-	var tried atomic.Int64 // now
+	var running atomic.Int64 // dials
 	r := startIn(t, nil, sockets, func(settings map[string]any) {
-		may := settings["Permissions"].(map[string]any)
-		may["DialTimeout"], may["StreamsPerConn"] = float64(patience/time.Millisecond), 1
+		permissions := settings["Permissions"].(map[string]any)
+		permissions["DialTimeout"], permissions["StreamsPerConn"] = float64(patience/time.Millisecond), 1
 		settings["Specifics"].(map[string]any)["PerCall"] = 1
 	}, nil, nil, func(m *Options) {
 		m.Dial = func(ctx context.Context, _, addr string) (net.Conn, error) {
-			tried.Add(1)
-			defer tried.Add(-1)
+			running.Add(1)
+			defer running.Add(-1)
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -183,19 +188,19 @@
 	for i := range 12 {
 		r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts))
 	}
-	lines := func() (n int) {
+	conns := func() (n int) {
 		r.runInLoop(func(loop *eventLoop) { n = loop.descriptors.replicaConnections })
 		return n
 	}
-	r.eventually("connections are late", func() bool { return float64(lines()) >= replicaDescriptorShare*sockets })
-	r.eventually("second ones are tried", func() bool { return r.loop.descriptors.extraDials.Load() >= int64(lines()) })
-	require.LessOrEqual(t, tried.Load(), int64(math.Ceil(replicaDescriptorShare*sockets+extraDialShare*sockets))+1) // one is discovery's
+	r.eventually("connections are being opened", func() bool { return float64(conns()) >= replicaDescriptorShare*sockets })
+	r.eventually("each has a further dial, running or held back", func() bool { return r.loop.descriptors.extraDials.Load() >= int64(conns()) })
+	require.LessOrEqual(t, running.Load(), int64(math.Ceil(replicaDescriptorShare*sockets+extraDialShare*sockets))+1) // one more for discovery
 	r.shutDown()
 	require.Zero(t, r.loop.descriptors.extraDials.Load())
 }
 
-// startGated starts one whose connections to the replicas of cell 0 wait at their gates.
-func startGated(t *testing.T, edit func(settings map[string]any)) (r *rig, let func(hostID string)) {
+// startGated starts a coordinator whose dials to a0 and a1 wait until open is called for the host.
+func startGated(t *testing.T, edit func(settings map[string]any)) (r *rig, open func(hostID string)) {
 	g, gated := &dialGates{open: map[string]chan struct{}{}}, make(chan map[string]bool, 1)
 	r = startIn(t, nil, 256, func(settings map[string]any) {
 		settings["Permissions"].(map[string]any)["DialTimeout"] = float64(patience / time.Millisecond)
@@ -205,9 +210,9 @@
 	}, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-			waits := <-gated
-			gated <- waits
-			if waits[addr] {
+			isGated := <-gated
+			gated <- isGated
+			if isGated[addr] {
 				select {
 				case <-g.at(addr):
 				case <-ctx.Done():
@@ -217,11 +222,11 @@
 			return own(ctx, network, addr)
 		}
 	})
-	waits := map[string]bool{}
+	isGated := map[string]bool{} // by address
 	for _, hostID := range []string{"a0", "a1"} {
-		waits[r.replicas[hostID].Listener.Addr().String()] = true
+		isGated[r.replicas[hostID].Listener.Addr().String()] = true
 	}
-	gated <- waits
+	gated <- isGated
 	return r, func(hostID string) { close(g.at(r.replicas[hostID].Listener.Addr().String())) }
 }
 
@@ -256,32 +261,33 @@
 	return is
 }
 
-// An attempt that waits for a slow connection tells its replica the time that is left to the client then.
+// An attempt that has waited for a slow connection states the time that the client has left when it is sent. Guards
+// against replicas that work for clients whose time is over.
 func TestRemainingTimeOnSlowConnection(t *testing.T) {
 	const late = 300 * time.Millisecond
-	r, let := startGated(t, nil)
+	r, open := startGated(t, nil)
 	c := r.connect().send(request("q", "all", "", fourParts))
-	r.eventually("parts wait", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2 })
+	r.eventually("attempts wait for their connections", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2 })
 	time.Sleep(late)
-	let("a0")
-	let("a1")
+	open("a0")
+	open("a1")
 	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, completeAnswer, text)
 	for _, hostID := range []string{"a0", "a1"} {
 		parts, _, _, _ := r.replicas[hostID].Observed()
 		for _, p := range parts {
-			told, err := strconv.Atoi(strings.TrimPrefix(p.List, "d="))
+			stated, err := strconv.Atoi(strings.TrimPrefix(p.List, "d="))
 			require.NoError(t, err)
-			require.LessOrEqual(t, told, 8000-int(late/time.Millisecond)+1, "%s of a client that gave 8 s", p.List)
-			require.Positive(t, told)
+			require.LessOrEqual(t, stated, 8000-int(late/time.Millisecond)+1, "%s for a client timeout of 8 s", p.List)
+			require.Positive(t, stated)
 		}
 	}
 	r.shutDown()
 }
 
-// An attempt that waits for a connection to a replica that begins to drain, is removed or moves is retried elsewhere
-// in time, and nothing is sent once the connection is up.
+// An attempt that waits for a connection to a replica is retried elsewhere in time if that replica begins to drain, is
+// removed or gets another address. Guards against attempts sent to such a replica once the connection comes up.
 func TestNothingWaitsForRemovedReplica(t *testing.T) {
 	for name, list := range map[string]func(r *rig, hostID, other string) string{
 		"drains": func(r *rig, hostID, _ string) string {
@@ -301,21 +307,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, let := startGated(t, func(settings map[string]any) { // no other way off a connection than what is tested
+			r, open := startGated(t, func(settings map[string]any) { // nothing but what is tested takes attempts off a connection
 				settings["Permissions"].(map[string]any)["SecondCopies"] = false
 				settings["Permissions"].(map[string]any)["Cancelling"] = false
 				settings["Classes"].([]any)[1].(map[string]any)["Effect"] = "fragile"
 			})
 			c := r.connect().send(request("q", "all", "", fourParts))
-			r.eventually("parts wait", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") == 2 })
+			r.eventually("attempts wait for their connections", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") == 2 })
 			hostID, other := "a0", "a1"
 			if r.waitingAttempts(hostID) == 0 {
 				hostID, other = other, hostID
 			}
-			let(other)
+			open(other)
 			r.list.Responses <- list(r, hostID, other)
-			r.eventually("they are taken back", func() bool { return r.waitingAttempts(hostID) == 0 })
-			let(hostID)
+			r.eventually("they are recalled", func() bool { return r.waitingAttempts(hostID) == 0 })
+			open(hostID)
 			status, _, text, _ := c.readAnswer()
 			require.Equal(t, 200, status)
 			require.JSONEq(t, completeAnswer, text)
@@ -326,23 +332,23 @@
 	}
 }
 
-// An attempt whose client leaves while it waits for a connection is not sent once that is up.
+// An attempt that waits for a connection is not sent if its client leaves before the connection is up.
 func TestClientLeavesDuringDial(t *testing.T) {
-	r, let := startGated(t, func(settings map[string]any) { // the balancer cancels nothing
-		may := settings["Permissions"].(map[string]any)
-		may["SecondCopies"], may["Cancelling"] = false, false
+	r, open := startGated(t, func(settings map[string]any) { // the balancer cancels nothing
+		permissions := settings["Permissions"].(map[string]any)
+		permissions["SecondCopies"], permissions["Cancelling"] = false, false
 	})
 	c := r.connect().send(request("q", "all", "", fourParts))
-	r.eventually("parts wait", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2 })
+	r.eventually("attempts wait for their connections", func() bool { return r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2 })
 	hostID := "a0"
 	if r.waitingAttempts(hostID) == 0 {
 		hostID = "a1"
 	}
 	c.Close()
 	r.eventually("its client has left", func() bool { return r.openClients() == 0 })
-	let(hostID)
+	open(hostID)
 	r.eventually("the connection is up", func() bool { return r.isConnected(hostID) })
-	r.connect().expect("next", "all", 200, completeAnswer) // by the same connection, behind what would have gone out
+	r.connect().expect("next", "all", 200, completeAnswer) // on the same connection, after what would have been sent on it
 	parts, _, _, _ := r.replicas[hostID].Observed()
 	require.Len(t, parts, 2)
 	for _, p := range parts {
--- a/coordinator/rig_test.go
+++ b/coordinator/rig_test.go
@@ -20,11 +20,11 @@
 	"chalkring/internal/http1"
 )
 
-// patience is how long a test waits for what has to come; no verdict rests on anything coming sooner.
+// patience is how long a test waits for something that has to happen; no test depends on it happening sooner.
 const patience = 20 * time.Second
 
-// Class some is complete with half of its shards; all needs every shard; deep needs all and has a second step
-// at two shards. Cell 0 holds the even shards, cell 1 the odd ones.
+// testSettings has three classes: some is complete with half of its shards, all needs every shard, and deep needs every
+// shard and has a second step at two shards. Cell 0 holds the even shards, cell 1 the odd ones.
 const testSettings = `{"Family":"fanout","Discovery":"subscribe","Balancers":1,"Tick":5.0,
 "FailureDomains":["z one"],"MachineTypes":["small"],"Clients":{"MarksRetry":true},
 "Classes":[{"Name":"some","Aim":4000.0,"Deadline":8000.0,"Effect":"retryable","LateShare":0.5},
@@ -37,9 +37,10 @@
 "SecondCopies":true,"Cancelling":true,"RetryAfter":true,"MaxRetryAfter":500.0},
 "Safety":{"Cold":1000.0,"ColdFrom":0.3,"FallMultiple":3.0,"Fall":2000.0,"DrainGrace":250.0,"AskWithin":500.0}}`
 
+// asked is a shard request as a host received it.
 type asked = fake.ShardRequest
 
-// writes collects what is written to a connection.
+// writes collects what is written to a connection instead of sending it.
 type writes struct {
 	net.Conn
 	to *strings.Builder
@@ -47,7 +48,7 @@
 
 func (w writes) Write(p []byte) (int, error) { return w.to.Write(p) }
 
-// writesMore writes more behind each message, in one piece with it.
+// writesMore adds more bytes to each write.
 type writesMore struct {
 	net.Conn
 	more []byte
@@ -57,7 +58,7 @@
 	return w.Conn.Write(append(append([]byte(nil), p...), w.more...))
 }
 
-// rig is one coordinator with fake hosts, clients and discovery.
+// rig is a coordinator under test with fake hosts, clients and discovery.
 type rig struct {
 	t        *testing.T
 	replicas map[string]*fake.Host
@@ -69,12 +70,13 @@
 	ended    chan error
 	log      *logBuffer
 	loop     *eventLoop
-	zones    map[string]string // of replicas that are not in z one
+	zones    map[string]string // of replicas that are not in zone z one
 
-	mu      sync.Mutex
-	callers []net.Conn
+	mu          sync.Mutex
+	clientConns []net.Conn
 }
 
+// logBuffer is a log that tests read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -92,11 +94,12 @@
 	return j.text.String()
 }
 
+// eventually waits until a condition holds; the test fails if it does not within patience.
 func (r *rig) eventually(why string, ok func() bool) {
 	require.Eventually(r.t, ok, patience, time.Millisecond, "%s\n%s", why, r.log)
 }
 
-// parts counts the shard requests that all replicas got.
+// parts returns how many shard requests all replicas have received.
 func (r *rig) parts() (n int) {
 	for _, s := range r.replicas {
 		parts, _, _, _ := s.Observed()
@@ -105,10 +108,12 @@
 	return n
 }
 
+// logged waits until the log contains a text.
 func (r *rig) logged(text string) {
 	r.eventually("log line "+text, func() bool { return strings.Contains(r.log.String(), text) })
 }
 
+// script returns a fake discovery whose responses the test sends.
 func script(t *testing.T) *fake.ScriptedDiscovery {
 	d, err := fake.NewScriptedDiscovery()
 	require.NoError(t, err)
@@ -123,13 +128,13 @@
 	return ln
 }
 
-// entry is a replica's line in discovery's form.
+// entry returns a replica's entry of an endpoint list, as discovery sends it.
 func (r *rig) entry(hostID, state string) string {
 	s := r.replicas[hostID]
 	return fake.Endpoint{ID: hostID, Addr: s.Listener.Addr().String(), Zone: cmp.Or(r.zones[hostID], "z one"), Kind: "small", Cell: s.Cell, State: state}.Encode()
 }
 
-// start sets up replicas a0 and a1 of cell 0, b0 and b1 of cell 1, and serves. edit changes the settings.
+// start starts a coordinator with the replicas a0 and a1 of cell 0, and b0 and b1 of cell 1; edit may change testSettings.
 func start(t *testing.T, sockets int, edit func(settings map[string]any)) *rig {
 	return startWith(t, sockets, edit, nil)
 }
@@ -138,27 +143,29 @@
 	return startPlan(t, sockets, edit, peers, nil, nil)
 }
 
-// startWithShadow starts one whose decisions are held against other settings too.
-func startWithShadow(t *testing.T, next map[string]string) *rig {
-	return startPlan(t, 256, nil, nil, nil, next)
+// startWithShadow starts a coordinator with shadow settings.
+func startWithShadow(t *testing.T, shadow map[string]string) *rig {
+	return startPlan(t, 256, nil, nil, nil, shadow)
 }
 
-// startWithOverrides starts one with settings over its plan's.
-func startWithOverrides(t *testing.T, over, next map[string]string) *rig {
-	return startPlan(t, 256, nil, nil, over, next)
+// startWithOverrides starts a coordinator with settings that replace those of its plan, and with shadow settings.
+func startWithOverrides(t *testing.T, overrides, shadow map[string]string) *rig {
+	return startPlan(t, 256, nil, nil, overrides, shadow)
 }
 
-func startPlan(t *testing.T, sockets int, edit func(settings map[string]any), peers *PeerOptions, over, next map[string]string) *rig {
-	return startIn(t, nil, sockets, edit, over, next, func(m *Options) { m.Peers = peers })
+func startPlan(t *testing.T, sockets int, edit func(settings map[string]any), peers *PeerOptions, overrides, shadow map[string]string) *rig {
+	return startIn(t, nil, sockets, edit, overrides, shadow, func(m *Options) { m.Peers = peers })
 }
 
-// parsePlan and readPlan are the plan package's, for tests with a variable of its name.
+// parsePlan and readPlan are functions of the package plan, for tests in which a variable hides its name.
 var (
 	parsePlan = plan.Parse
 	readPlan  = plan.Read
 )
 
-func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), over, next map[string]string,
+// startIn starts a coordinator with four replicas; all parameters but sockets may be nil, except more, which may change
+// the options.
+func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), overrides, shadow map[string]string,
 	more func(m *Options),
 ) *rig {
 	r := &rig{
@@ -184,33 +191,33 @@
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":{"version":7,"full":true,"servers":[%s]},
 		"settings":%s}`, ln.Addr(), r.list.Listener.Addr(), sockets, strings.Join(known, ","), text))
 	require.NoError(t, err)
-	initial, err = initial.WithSettings(over)
+	initial, err = initial.WithSettings(overrides)
 	require.NoError(t, err)
-	if next != nil {
-		initial, err = initial.WithShadowSettings(next)
+	if shadow != nil {
+		initial, err = initial.WithShadowSettings(shadow)
 		require.NoError(t, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.addr, r.stop, r.plan = ln.Addr().String(), cancel, initial
-	look := make(chan *eventLoop, 1)
+	started := make(chan *eventLoop, 1)
 	go func() {
 		options := Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, onStart: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), PlanUpdates: r.plans, onStart: started,
 		}
 		more(&options)
 		r.ended <- Serve(ctx, initial, options)
 	}()
-	r.loop = <-look
+	r.loop = <-started
 	t.Cleanup(cancel)
 	return r
 }
 
-// shutDown stops the coordinator, closes its clients' connections, and waits for its end.
+// shutDown stops the coordinator, closes the clients' connections, and waits until the coordinator has ended.
 func (r *rig) shutDown() {
 	r.stop()
 	r.mu.Lock()
-	for _, conn := range r.callers {
+	for _, conn := range r.clientConns {
 		conn.Close()
 	}
 	r.mu.Unlock()
@@ -218,11 +225,11 @@
 	case err := <-r.ended:
 		require.NoError(r.t, err)
 	case <-time.After(patience):
-		require.Fail(r.t, "does not end", r.log.String())
+		require.Fail(r.t, "the coordinator does not end after a stop", r.log.String())
 	}
 }
 
-// testClient is a client's connection.
+// testClient is the client's end of a connection.
 type testClient struct {
 	net.Conn
 	r  *rig
@@ -235,12 +242,12 @@
 	r.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(patience))
 	r.mu.Lock()
-	r.callers = append(r.callers, conn)
+	r.clientConns = append(r.clientConns, conn)
 	r.mu.Unlock()
 	return &testClient{conn, r, http1.NewReader(conn, make([]byte, bufferSize))}
 }
 
-// request is a search's text; head is added to its headers.
+// request returns the HTTP request of a search; head is added to its headers.
 func request(searchName, class, head, body string) string {
 	return fmt.Sprintf("POST /%s?k=7f HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: acme\r\n"+
 		"X-Deadline: 8.000\r\n%sContent-Length: %d\r\n\r\n%s", class, searchName, class, head, len(body), body)
@@ -261,7 +268,7 @@
 	return status, head, string(text), keep
 }
 
-// expect sends a search of four shards and checks the answer.
+// expect sends a search of four shards and checks the answer; an empty body stands for any.
 func (c *testClient) expect(searchName, class string, status int, body string) {
 	c.send(request(searchName, class, "", fourParts))
 	got, _, text, _ := c.readAnswer()
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -15,38 +15,39 @@
 const secondStepSuffix = ".r"
 
 const (
-	searchOverheadBytes       = 2 << 10 // that a search holds here and in the balancer, beside its text
-	shardRequestOverheadBytes = 1 << 10 // that each of its shard requests holds, beside its value
-	attemptNameExtra          = 24      // bytes of an attempt's name beyond its search's: a dot, a number, the step
+	searchOverheadBytes       = 2 << 10 // memory that a search takes here and in the balancer, besides its text
+	shardRequestOverheadBytes = 1 << 10 // memory that each of its shard requests takes, besides its value
+	attemptNameExtra          = 24      // bytes by which an attempt's name is longer than its search's: a dot, a number, the step
 )
 
-// searchTable is the open searches and what they hold. Only the event loop's goroutine touches it, but for unsentBytes.
+// searchTable is the open searches and the memory that they take. Only the event loop's goroutine may use it, except for
+// unsentBytes.
 type searchTable struct {
 	byID          map[uint64]*search
 	names         map[string]bool
 	shardRequests map[uint64]*shardRequest
 	lastID        uint64         // of searches and shard requests
-	pendingWrites []pendingWrite // room for what finishSearch returns
+	pendingWrites []pendingWrite // the array that finishSearch reuses for what it returns
 
 	memoryLimit float64      // bytes for open searches and their answers
-	heldBytes   int64        // held by searches
-	unsentBytes atomic.Int64 // of answers that clients have not taken
+	heldBytes   int64        // of all open searches
+	unsentBytes atomic.Int64 // of answers that are not completely written to their clients
 }
 
-// search is one search from its request to its final answer. Its frontend makes it and sets reply, which receives that
-// answer on the event loop's goroutine; all else is the event loop's once startSearch has been called.
+// search is one search from its request to its final answer. A frontend creates it and sets reply, which is called with
+// that answer on the event loop's goroutine. Once startSearch has been called, only the event loop may use the rest.
 type search struct {
 	name, key     string
 	text          []byte
 	class, tenant int
 	isRetry       bool
 	arrivedAt     time.Time
-	timeout       time.Duration // of the client, from arrivedAt
+	timeout       time.Duration // the client's, from arrivedAt
 	shards        []int
 	weights       []float64
 	reply         func(r searchOutcome)
-	client        *clientConnection // that waits for it; nil for other frontends
-	decodeValue   decodeFunc        // of a replica's values; nil for none
+	client        *clientConnection // that waits for the answer; nil for other frontends
+	decodeValue   decodeFunc        // checks and decodes a replica's values; nil for none
 
 	id                uint64
 	deadline          int64
@@ -56,13 +57,13 @@
 	shardRequests     []*shardRequest
 	ended             bool
 	heldBytes         int64
-	pendingWrites     []pendingWrite // of attempts that were given up while being written
+	pendingWrites     []pendingWrite // of attempts that were given up during their write
 
-	restricted bool                           // its shard requests may not run everywhere
-	refusal    *residency.SearchRejectedError // why some can run nowhere
+	restricted bool                           // a residency contract forbids some hosts for its shard requests
+	refusal    *residency.SearchRejectedError // why some of its shard requests can run on no host; nil if all can
 }
 
-// shardRequest is the part of a search's step that one shard answers.
+// shardRequest is the request of one step of a search to one shard.
 type shardRequest struct {
 	id         uint64
 	search     *search
@@ -74,10 +75,10 @@
 	decoded    any // what the search's decoder made of value
 	attempts   []*attempt
 	unreported int    // attempts whose outcome has not been reported to the balancer
-	name       string // of its attempts on the wire
+	name       string // the name of its attempts on the wire
 
-	firstAttempt   attempt // the first attempt, and the array of attempts while there is one
-	inlineAttempts [1]*attempt
+	firstAttempt   attempt     // the first attempt: saves an allocation
+	inlineAttempts [1]*attempt // the array of attempts while there is one: saves an allocation
 }
 
 // appendName appends the name that its attempts have on the wire.
@@ -95,15 +96,15 @@
 	return n
 }
 
-// isSettled says whether no more answers to it are needed.
+// isSettled says whether it needs no more answers.
 func (p *shardRequest) isSettled() bool {
 	return p.completed || p.search.ended || p.step != p.search.step
 }
 
-// startSearch hands a search to the balancer. The number of open searches is bounded by the clients' connections, of
-// which each has one.
+// startSearch hands a search to the balancer. The number of open searches is bounded by the number of client connections,
+// each of which has at most one.
 func (loop *eventLoop) startSearch(search *search) {
-	if loop.searches.names[search.name] { // replicas could not distinguish the attempts of the two
+	if loop.searches.names[search.name] { // replicas could not tell the attempts of the two searches apart
 		search.ended = true
 		search.reply(searchOutcome{outcome: outcomeDuplicateID})
 		return
@@ -121,7 +122,7 @@
 	loop.addShardRequests(search, search.shards, search.weights)
 }
 
-// addShardRequests adds the shard requests of a search's step, in as few allocations as there can be.
+// addShardRequests adds the shard requests of a search's step, with as few allocations as possible.
 func (loop *eventLoop) addShardRequests(search *search, shards []int, weights []float64) {
 	from, all := len(search.shardRequests), make([]shardRequest, len(shards))
 	search.shardRequests = slices.Grow(search.shardRequests, len(shards))
@@ -146,8 +147,8 @@
 	}
 }
 
-// holdBytes counts what a search holds. The balancer sheds searches when memory is short, which keeps the kernel from
-// ending the process over long answers.
+// holdBytes adds to the memory that a search takes. The balancer sheds searches when memory is short, so that the kernel
+// does not kill the process when answers are long.
 func (loop *eventLoop) holdBytes(search *search, n int) {
 	search.heldBytes += int64(n)
 	loop.searches.heldBytes += int64(n)
--- a/coordinator/search_api.go
+++ b/coordinator/search_api.go
@@ -13,22 +13,22 @@
 	"chalkring/coordinator/plan"
 )
 
-const maxClientTimeout = time.Hour // the longest client timeout that is honored: bounds what is held
+const maxClientTimeout = time.Hour // longer client timeouts are cut to this: bounds the memory for open searches
 
-const frontendDescriptorShare = 0.15 // of the descriptors go to other frontends, out of those for clients
+const frontendDescriptorShare = 0.15 // of all descriptors, for other frontends: part of the clients' share
 
-// Frontend is another way in for clients. Serve takes requests until stopping is done, finishes what it has, and
-// returns; it ends at once with ctx. It submits searches through the SearchAPI.
+// Frontend serves clients over another protocol and submits their searches through the SearchAPI. Serve accepts requests
+// until the context stopping is done, then finishes the open ones and returns; when ctx is done it returns at once.
 type Frontend interface {
 	Serve(ctx, stopping context.Context, d *SearchAPI) error
 }
 
-// SearchAPI submits other frontends' searches to the event loop, under the same rules as those of its own clients. It
-// is safe for concurrent use.
+// SearchAPI submits searches of other frontends to the event loop, which treats them like those of its own clients. It is
+// safe for concurrent use.
 type SearchAPI struct {
 	CoordinatorName string
-	MaxConnections  int  // that the frontend may hold
-	SendRetryAfter  bool // answers may have a Retry-After
+	MaxConnections  int  // how many the frontend may have open
+	SendRetryAfter  bool // answers may carry a Retry-After
 	LogEvent        func(kind, event string, v ...any)
 
 	loop                   *eventLoop
@@ -39,12 +39,12 @@
 	mu              sync.Mutex
 	cellByHost      map[string]int
 	addrByHost      map[string]string
-	hostCountByCell map[int]int // of listed hosts
+	hostCountByCell map[int]int // number of listed hosts
 }
 
-// SearchRequest is one search. DecodeValue checks a host's value for a shard before it counts as completed, on the
-// goroutine of the connection that it came on: a value that it refuses is a failed attempt. What it returns stands in
-// the result.
+// SearchRequest is one search. DecodeValue checks and decodes a host's value for a shard before the shard counts as
+// completed, on the goroutine that reads the host's connection: if it returns an error, the attempt has failed. The
+// decoded value is in the result.
 type SearchRequest struct {
 	ID          string // unique among open searches
 	Type        string
@@ -63,26 +63,26 @@
 	OutcomeFailed           = outcomeFailed
 	OutcomeDuplicateID      = outcomeDuplicateID
 	OutcomeResidencyRefused = outcomeResidencyRefused
-	OutcomeClientGone       = outcomeClientGone // in a SearchEnd alone
+	OutcomeClientGone       = outcomeClientGone // only in a SearchEnd
 )
 
 // SearchResult is a final answer.
 type SearchResult struct {
 	Outcome          int
 	Complete         bool
-	RetryAfter       time.Duration // of OutcomeShed, 0 for none
-	Dispatched       bool          // of OutcomeShed and OutcomeFailed: attempts were made
-	Parts            []PartResult  // completed
+	RetryAfter       time.Duration // with OutcomeShed; 0 for none
+	Dispatched       bool          // with OutcomeShed and OutcomeFailed: an attempt was made
+	Parts            []PartResult  // of the completed shards
 	ResidencyRefusal *residency.SearchRejectedError
 }
 
-// PartResult is a shard's answer: what DecodeValue returned for it.
+// PartResult is a shard's answer. Value is what DecodeValue returned.
 type PartResult struct {
 	Shard int
 	Value any
 }
 
-// ErrUnknownTypeOrTenant is a search whose type or tenant the plan does not have.
+// ErrUnknownTypeOrTenant is the error for a search whose type or tenant is not in the plan.
 var ErrUnknownTypeOrTenant = errors.New("no such type or partner")
 
 // newSearchAPI returns the API of an event loop.
@@ -101,7 +101,8 @@
 	return api
 }
 
-// ValidateTypeAndTenant returns an error for a type that the plan does not have, or a tenant, where it has any.
+// ValidateTypeAndTenant returns an error if the plan does not have the type, or does not have the tenant. A plan without
+// tenants allows any.
 func (d *SearchAPI) ValidateTypeAndTenant(qtype, tenant string) error {
 	if _, ok := d.classes[qtype]; !ok {
 		return fmt.Errorf("%w: type %q", ErrUnknownTypeOrTenant, qtype)
@@ -112,13 +113,13 @@
 	return nil
 }
 
-// SearchTimeout returns how long a search of a type may take at the most.
+// SearchTimeout returns how long a search of a type may take at most.
 func (d *SearchAPI) SearchTimeout(qtype string) time.Duration { return d.timeouts[d.classes[qtype]] }
 
-// BusyTime returns how much time the event loop has spent in iterations: background work waits by it.
+// BusyTime returns how much time the event loop has spent in iterations. Background work paces itself by it.
 func (d *SearchAPI) BusyTime() time.Duration { return time.Duration(d.loop.busyNanos.Load()) }
 
-// BlockCount returns how many blocks the data is in.
+// BlockCount returns into how many blocks the data is divided.
 func (d *SearchAPI) BlockCount() int { return d.loop.plan.BlockCount() }
 
 // HasBlockHost says whether a listed host holds a block.
@@ -133,7 +134,7 @@
 	return false
 }
 
-// BlockHosts returns the ids and addresses of the listed hosts that hold a block, by id.
+// BlockHosts returns the ids and addresses of the listed hosts that hold a block, sorted by id.
 func (d *SearchAPI) BlockHosts(block int) (names, addrs []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +157,7 @@
 	return len(d.cellByHost)
 }
 
-// updateHosts applies a list or changes of it.
+// updateHosts applies a full endpoint list, or changes of it.
 func (d *SearchAPI) updateHosts(full bool, hosts []plan.ListedHost) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,16 +176,16 @@
 	}
 }
 
-// Search submits a search and waits for its final answer. When ctx ends, the search is withdrawn: its client has left.
+// Search submits a search and waits for its final answer. When ctx is done, the search is withdrawn: its client has left.
 func (d *SearchAPI) Search(ctx context.Context, request SearchRequest) (SearchResult, error) {
 	if err := d.ValidateTypeAndTenant(request.Type, request.Tenant); err != nil {
 		return SearchResult{}, err
 	}
 	if !isPlainName(request.ID) || strings.ContainsRune(request.ID, '.') || len(request.Shards) == 0 {
-		return SearchResult{}, fmt.Errorf("a search named %.40q over %d blocks", request.ID, len(request.Shards))
+		return SearchResult{}, fmt.Errorf("invalid search: id %.40q, %d blocks; expected an id of plain characters without a dot, and at least one block", request.ID, len(request.Shards))
 	}
 	loop := d.loop
-	out, first := make(chan SearchResult, 1), []pendingWrite(nil)
+	out, pending := make(chan SearchResult, 1), []pendingWrite(nil)
 	now := loop.Clock.Now()
 	current := &search{
 		name: request.ID, text: request.Body, class: d.classes[request.Type], tenant: d.tenants[request.Tenant], isRetry: request.IsRetry,
@@ -194,7 +195,7 @@
 		current.weights = append(current.weights, 1/float64(len(request.Shards)))
 	}
 	current.reply = func(outcome searchOutcome) {
-		first = slices.Clone(outcome.pendingWrites)
+		pending = slices.Clone(outcome.pendingWrites)
 		result := SearchResult{Outcome: outcome.outcome, Complete: outcome.complete, RetryAfter: time.Duration(outcome.retryAfter) * tick, Dispatched: outcome.dispatched, ResidencyRefusal: outcome.refusal}
 		for _, shardReq := range outcome.parts {
 			result.Parts = append(result.Parts, PartResult{Shard: shardReq.shard, Value: shardReq.decoded})
@@ -206,7 +207,7 @@
 	}
 	select {
 	case result := <-out:
-		awaitWritten(first)
+		awaitWritten(pending)
 		return result, nil
 	case <-ctx.Done():
 		loop.submit(func() { loop.withdrawSearch(current) })
--- a/coordinator/search_end.go
+++ b/coordinator/search_end.go
@@ -13,9 +13,9 @@
 	outcome       int
 	complete      bool
 	retryAfter    int64
-	dispatched    bool            // an attempt was made for it
+	dispatched    bool            // an attempt was made
 	parts         []*shardRequest // completed, in the search's order
-	pendingWrites []pendingWrite  // to be written before the answer
+	pendingWrites []pendingWrite  // have to end before the answer is sent
 	refusal       *residency.SearchRejectedError
 }
 
@@ -24,12 +24,12 @@
 	outcomeAnswered = iota
 	outcomeShed
 	outcomeFailed
-	outcomeDuplicateID      // refused: an open search has its name
-	outcomeResidencyRefused // by a residency contract
-	outcomeClientGone       // of a SearchEnd alone: the client has left
+	outcomeDuplicateID      // refused: an open search has the same name
+	outcomeResidencyRefused // refused by a residency contract
+	outcomeClientGone       // only in a SearchEnd: the client has left
 )
 
-// AnswerSearch ends a search with an answer, complete or not, or starts its second step. It implements
+// AnswerSearch ends a search with an answer, complete or partial, or starts its second step. It implements
 // balancer.Actions.
 func (loop *eventLoop) AnswerSearch(id uint64, complete bool) {
 	search := loop.searches.byID[id]
@@ -51,9 +51,9 @@
 	search.reply(searchOutcome{outcome: outcomeAnswered, complete: complete, parts: completed, pendingWrites: pending})
 }
 
-// ShedSearch rejects a search; retryAfter, where it is above 0, is in ticks. It implements balancer.Actions.
-func (loop *eventLoop) ShedSearch(id uint64, retryIn int64) {
-	loop.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryIn})
+// ShedSearch rejects a search; retryAfter is in ticks, 0 for none. It implements balancer.Actions.
+func (loop *eventLoop) ShedSearch(id uint64, retryAfter int64) {
+	loop.endSearch(id, searchOutcome{outcome: outcomeShed, retryAfter: retryAfter})
 }
 
 // FailSearch ends a search with an error. It implements balancer.Actions.
@@ -86,8 +86,8 @@
 	return pending
 }
 
-// withdrawGoneClients withdraws the searches whose clients have closed their connections, though their readers have
-// not reported it yet.
+// withdrawGoneClients withdraws the searches of clients that have closed their connections, even if the connections'
+// readers have not reported it yet.
 func (loop *eventLoop) withdrawGoneClients() {
 	var gone []*search
 	for _, open := range loop.searches.byID {
@@ -101,14 +101,14 @@
 	}
 }
 
-// SearchEnd is how a search ended, for statistics beside the event loop.
+// SearchEnd is how a search ended, for statistics that are kept outside the event loop.
 type SearchEnd struct {
-	Type, Outcome int           // the class's position, and OutcomeAnswered, OutcomeShed and so on
+	Type, Outcome int           // index of the class in the plan; one of OutcomeAnswered, OutcomeShed and so on
 	Duration      time.Duration // since the search arrived
 	Attempts      int           // of all shard requests
 }
 
-// notifySearchEnd calls OnSearchEnd.
+// notifySearchEnd calls OnSearchEnd, if it is set.
 func (loop *eventLoop) notifySearchEnd(search *search, outcome int) {
 	if loop.OnSearchEnd == nil {
 		return
@@ -120,8 +120,8 @@
 	loop.OnSearchEnd(end)
 }
 
-// finishSearch forgets a search. It returns the writes that have to end before its final answer; the slice is valid
-// until the next call.
+// finishSearch forgets a search and ends its attempts. It returns the writes that have to end before the final answer is
+// sent; the slice is valid until the next call.
 func (loop *eventLoop) finishSearch(search *search) (pending []pendingWrite) {
 	pending = loop.searches.pendingWrites[:0]
 	defer func() { loop.searches.pendingWrites = pending }()
@@ -154,12 +154,12 @@
 		}
 		loop.dropShardRequest(request)
 	}
-	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // an idle connection keeps its last search
+	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // not kept in memory by an idle client connection, which refers to its last search
 	return pending
 }
 
-// dropShardRequest forgets a shard request once its search has ended and the balancer has all its outcomes: until then
-// the balancer may cancel its attempts.
+// dropShardRequest forgets a shard request once its search has ended and the balancer has the outcomes of all its
+// attempts. Until then, the balancer may cancel them.
 func (loop *eventLoop) dropShardRequest(request *shardRequest) {
 	if request.search.ended && request.unreported == 0 {
 		delete(loop.searches.shardRequests, request.id)
--- a/coordinator/search_test.go
+++ b/coordinator/search_test.go
@@ -16,6 +16,8 @@
 	"chalkring/internal/fake"
 )
 
+// Searches get complete answers over one client connection and one connection per host, also if requests arrive in
+// pieces; Connection: close ends the client's connection after the answer.
 func TestSearchesAreAnswered(t *testing.T) {
 	r := start(t, 256, nil)
 	c := r.connect()
@@ -27,14 +29,14 @@
 	c.expect("q2", "all", 200, completeAnswer) // the connection stays
 	for _, hostID := range []string{"a0", "a1", "b0", "b1"} {
 		parts, _, conns, _ := r.replicas[hostID].Observed()
-		require.LessOrEqual(t, conns, 1, "connections are used again")
+		require.LessOrEqual(t, conns, 1, "connections to hosts are reused")
 		for _, p := range parts {
 			require.Equal(t, r.replicas[hostID].Cell, p.Shard%2)
 			require.Equal(t, "what", p.Text)
 			require.Regexp(t, `^d=[1-9][0-9]{3}$`, p.List)
 		}
 	}
-	for i := range 30 { // a request split at any byte is one request
+	for i := range 30 { // a request that arrives in two pieces is one request
 		text := request(fmt.Sprint("s", i), "all", "", fourParts)
 		c.send(text[:i*9]).send(text[i*9:])
 		status, _, _, _ := c.readAnswer()
@@ -48,7 +50,8 @@
 	r.shutDown()
 }
 
-// A second step goes to the shards with the highest scores, the lower among equals, and names the completed ones.
+// The second step goes to the shards with the highest scores, the lower shard first among equals, and names the shards
+// completed in the first. Scores may be negative, or larger than 64 bits.
 func TestSecondStep(t *testing.T) {
 	r := start(t, 256, nil)
 	scores := []string{"5", "18446744073709551616", "-3", "5"}
@@ -77,7 +80,8 @@
 	r.shutDown()
 }
 
-// A search with the name of an open one is refused; the name is free again after the answer.
+// A search with the name of an open one is refused with status 409; the name is free again after the answer. Replicas
+// could not tell the attempts of the two apart.
 func TestDuplicateSearchNames(t *testing.T) {
 	r := start(t, 256, nil)
 	gate := make(chan struct{})
@@ -85,7 +89,7 @@
 		s.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	}
 	c := r.connect().send(request("same", "all", "", fourParts))
-	r.eventually("parts are out", func() bool { return r.parts() == 4 })
+	r.eventually("the hosts have all shard requests", func() bool { return r.parts() == 4 })
 	d := r.connect()
 	d.expect("same", "all", 409, "")
 	require.Equal(t, 4, r.parts())
@@ -97,7 +101,8 @@
 	r.shutDown()
 }
 
-// An answer to an attempt that was given up is dropped, and the connection stays in use.
+// An answer to an attempt that was given up is dropped, and the connection stays in use. Guards against taking it for a
+// malformed answer, which would end the connection.
 func TestLateAnswer(t *testing.T) {
 	r := start(t, 256, nil)
 	held, gate := make(chan asked, 1), make(chan struct{})
@@ -115,25 +120,25 @@
 	}
 	c := r.connect().send(request("q1", "some", "", fourParts))
 	a := <-held
-	// A host may have a frame before its writer here has noted that it is out.
-	r.eventually("all frames are noted as written", func() bool {
-		out := make(chan int, 1)
+	// A host may have a frame before the writer here has marked it as written.
+	r.eventually("all frames are marked as written", func() bool {
+		written := make(chan int, 1)
 		r.loop.submit(func() {
-			done := 0
+			n := 0
 			for _, shardReq := range r.loop.searches.shardRequests {
 				if len(shardReq.attempts) > 0 && shardReq.attempts[0].batch.message.stage.Load() == stageWritten {
-					done++
+					n++
 				}
 			}
-			out <- done
+			written <- n
 		})
-		return <-out == 4
+		return <-written == 4
 	})
 	close(gate)
 	status, _, _, _ := c.readAnswer()
 	require.Equal(t, 200, status)
 	a.ReplyGood()
-	a.Reply("good", "1", "unknown part")
+	a.Reply("good", "1", "second answer")
 	c.expect("q2", "all", 200, completeAnswer)
 	for _, s := range r.replicas {
 		_, _, conns, _ := s.Observed()
@@ -143,49 +148,50 @@
 	r.shutDown()
 }
 
-// randomRequest returns the text of a search named searchName and what it asks for: some are longer than the buffers, some
-// have to be escaped again, and some come in chunks.
-func randomRequest(chance *rand.Rand, searchName string, i int) (what, text string) {
-	what = searchName + strings.Repeat("/"+searchName, chance.Intn(40)*chance.Intn(40))
+// randomRequest returns the text of a search named searchName and its predicate as it stands in JSON: some are longer
+// than the buffers, some have characters to be escaped in the answer, and some requests are in chunks.
+func randomRequest(random *rand.Rand, searchName string, i int) (predicate, text string) {
+	predicate = searchName + strings.Repeat("/"+searchName, random.Intn(40)*random.Intn(40))
 	if i%7 == 0 {
-		what += `\"\u00fc`
+		predicate += `\"\u00fc`
 	}
-	body := strings.Replace(fourParts, `"what"`, `"`+what+`"`, 1)
+	body := strings.Replace(fourParts, `"what"`, `"`+predicate+`"`, 1)
 	text = request(searchName, "all", "", body)
 	if i%3 != 0 {
-		return what, text
+		return predicate, text
 	}
-	at := chance.Intn(len(body)) + 1
+	at := random.Intn(len(body)) + 1
 	text = strings.Replace(request(searchName, "all", "", ""), "Content-Length: 0\r\n\r\n", fmt.Sprintf(
 		"Transfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%s\r\n", at, body[:at]), 1)
 	if at < len(body) {
 		text += fmt.Sprintf("%x\r\n%s\r\n", len(body)-at, body[at:])
 	}
-	return what, text + "0\r\nT: 1\r\n\r\n"
+	return predicate, text + "0\r\nT: 1\r\n\r\n"
 }
 
-// Every answer has the values of its own request, whatever else is open, given up, refused or in pieces: reused
-// buffers never show another's. A client that leaves or pipelines costs the others nothing.
+// Every answer has the values of its own request, whatever other requests are open, given up, refused or sent in pieces.
+// Guards against reused buffers that show another search's bytes, and against clients that leave or pipeline and harm
+// the others.
 func TestAnswersBelongToTheirRequests(t *testing.T) {
 	const clients, each = 16, 60
 	r := start(t, 256, nil)
 	var g sync.WaitGroup
-	var sound atomic.Int32
+	var answered atomic.Int32
 	faults := make(chan string, clients*each)
 	for k := range clients {
-		chance := rand.New(rand.NewSource(int64(k)))
+		random := rand.New(rand.NewSource(int64(k)))
 		g.Go(func() {
 			c := r.connect()
 			for i := range each {
 				searchName := fmt.Sprintf("c%d-%d", k, i)
-				what, text := randomRequest(chance, searchName, i)
-				switch chance.Intn(8) {
+				predicate, text := randomRequest(random, searchName, i)
+				switch random.Intn(8) {
 				case 0: // leaves
 					c.Write([]byte(text))
 					c.Close()
 					c = r.connect()
 					continue
-				case 1: // sends ahead
+				case 1: // pipelines
 					c.Write([]byte(text + text))
 					c.Close()
 					c = r.connect()
@@ -197,7 +203,7 @@
 						return
 					}
 				}
-				for cut := chance.Intn(len(text)); text != ""; cut = len(text) {
+				for cut := random.Intn(len(text)); text != ""; cut = len(text) {
 					c.Write([]byte(text[:cut]))
 					text = text[cut:]
 				}
@@ -209,8 +215,8 @@
 					err = json.Unmarshal(answer, &got)
 				}
 				var want string
-				require.NoError(t, json.Unmarshal([]byte(`"`+what+`"`), &want))
-				if err == nil && status == 503 { // a machine that is busy enough
+				require.NoError(t, json.Unmarshal([]byte(`"`+predicate+`"`), &want))
+				if err == nil && status == 503 { // shed, on a busy machine
 					continue
 				}
 				if err != nil || status != 200 || len(got.Answers) != 4 {
@@ -223,7 +229,7 @@
 						return
 					}
 				}
-				sound.Add(1)
+				answered.Add(1)
 			}
 		})
 	}
@@ -232,11 +238,11 @@
 	for text := range faults {
 		t.Error(text)
 	}
-	require.Positive(t, sound.Load())
+	require.Positive(t, answered.Load())
 	r.shutDown()
 }
 
-// Each search's end is reported once, with its class and its attempts, also where its client leaves.
+// The end of each search is reported once, with its class and its number of attempts, also when its client leaves.
 func TestSearchEndNotifications(t *testing.T) {
 	r := start(t, 256, nil)
 	ends := make(chan SearchEnd, 4)
@@ -249,7 +255,7 @@
 		h.SetHandler(func(fake.ShardRequest) {})
 	}
 	c := r.connect().send(request("s2", "all", "", fourParts))
-	r.eventually("parts of the second search", func() bool { return r.parts() >= 8 })
+	r.eventually("the hosts have the second search's shard requests", func() bool { return r.parts() >= 8 })
 	c.Close()
 	e = <-ends
 	require.Equal(t, OutcomeClientGone, e.Outcome)
@@ -259,19 +265,19 @@
 	require.Empty(t, ends)
 }
 
-// Memory does not follow rate times client timeout: once clients that wait a minute have their answers, the event loop
-// holds no shard request, no timer of a search and no value.
+// Once searches are answered, the event loop keeps none of their shard requests and timers, though their clients would
+// wait for a minute. Guards against memory that grows with the request rate times the client timeout.
 func TestEndedSearchesHoldNothing(t *testing.T) {
 	r := start(t, 256, nil)
 	c := r.connect()
-	held := func() (wakes, timers, parts, searches, lines int) {
-		told := make(chan struct{})
+	held := func() (queued, balancerTimers, shardRequests, searches, conns int) {
+		done := make(chan struct{})
 		require.True(t, r.loop.submit(func() {
 			loop := r.loop
-			wakes, timers, parts, searches, lines = loop.timers.queue.Len(), len(loop.timers.balancer), len(loop.searches.shardRequests), len(loop.searches.byID), loop.descriptors.replicaConnections
-			close(told)
+			queued, balancerTimers, shardRequests, searches, conns = loop.timers.queue.Len(), len(loop.timers.balancer), len(loop.searches.shardRequests), len(loop.searches.byID), loop.descriptors.replicaConnections
+			close(done)
 		}))
-		<-told
+		<-done
 		return
 	}
 	for i := range 300 {
@@ -280,14 +286,14 @@
 		require.Equal(t, 200, status)
 	}
 	r.eventually("nothing of ended searches is held", func() bool {
-		wakes, timers, parts, searches, lines := held()
-		return timers <= 1 && parts == 0 && searches == 0 && wakes <= timers+2*lines // idle looks of connections
+		queued, balancerTimers, shardRequests, searches, conns := held()
+		return balancerTimers <= 1 && shardRequests == 0 && searches == 0 && queued <= balancerTimers+2*conns // idle checks of connections
 	})
 	r.shutDown()
 }
 
-// What open searches and untaken answers hold is bounded: without memory a search is shed at once with a Retry-After,
-// and there is memory again once answers are written.
+// The memory of open searches and unwritten answers is bounded: beyond the limit, a search is shed at once with a
+// Retry-After; once the answers are written, searches are served again. Guards against long answers that end the process.
 func TestShedsWithoutMemory(t *testing.T) {
 	r := start(t, 256, nil)
 	long := strings.Repeat("v", 20_000)
@@ -304,19 +310,19 @@
 			}
 		})
 	}
-	look := func() (bytes int64) {
-		told := make(chan struct{})
+	heldBytes := func() (bytes int64) {
+		done := make(chan struct{})
 		require.True(t, r.loop.submit(func() {
 			r.loop.searches.memoryLimit = 50_000
 			bytes = r.loop.searches.heldBytes + r.loop.searches.unsentBytes.Load()
-			close(told)
+			close(done)
 		}))
-		<-told
+		<-done
 		return bytes
 	}
 	first := r.connect().send(request("first", "all", "", fourParts))
 	a := <-held
-	r.eventually("values are held", func() bool { return look() > 50_000 })
+	r.eventually("values are held", func() bool { return heldBytes() > 50_000 })
 	status, head, _, _ := r.connect().send(request("second", "all", "", fourParts)).readAnswer()
 	require.Equal(t, 503, status)
 	require.NotEmpty(t, head["retry-after"])
@@ -324,14 +330,14 @@
 	status, _, text, _ := first.readAnswer()
 	require.Equal(t, 200, status)
 	require.Equal(t, 3, strings.Count(text, long))
-	r.eventually("all is released", func() bool { return look() == 0 })
+	r.eventually("all is released", func() bool { return heldBytes() == 0 })
 	r.connect().expect("third", "all", 200, completeAnswer)
 	r.shutDown()
 }
 
-// Two coordinators of one process whose settings give classes of one name other effects, positions and tenants handle
-// each search under their own, also when clients use both at once. A header that a request lacks is not the one
-// before's.
+// Two coordinators in one process have classes of the same names with different effects, positions and tenants. Each
+// handles its searches by its own settings, also when clients use both at the same time. Guards against state shared in
+// the process, and against a header that a request lacks being taken over from the request before it.
 func TestCoordinatorsOfOneProcessShareNoState(t *testing.T) {
 	serve := func(order []string, effects map[string]string, tenant string) *rig {
 		r := start(t, 256, func(settings map[string]any) {
@@ -339,16 +345,16 @@
 				settingAt(settings, "Classes", i)["Name"], settingAt(settings, "Classes", i)["Effect"] = name, effects[name]
 			}
 			settingAt(settings, "Tenants", 0)["Name"] = tenant
-			all := settings["Specifics"].(map[string]any)
-			all["NeedByClass"], all["ClassFloor"], all["FollowUp"] = []any{1, 1, 1}, []any{1, 1, 1}, []any{0, 0, 0}
+			specifics := settings["Specifics"].(map[string]any)
+			specifics["NeedByClass"], specifics["ClassFloor"], specifics["FollowUp"] = []any{1, 1, 1}, []any{1, 1, 1}, []any{0, 0, 0}
 		})
 		var mu sync.Mutex
-		met := map[string]bool{}
+		seen := map[string]bool{}
 		for _, h := range r.replicas {
-			h.SetHandler(func(p asked) { // the first attempt of each search at shard 0 may have run
+			h.SetHandler(func(p asked) { // the first attempt of each search at shard 0 fails, and may have run
 				mu.Lock()
-				first := p.Shard == 0 && !met[p.ID]
-				met[p.ID] = true
+				first := p.Shard == 0 && !seen[p.ID]
+				seen[p.ID] = true
 				mu.Unlock()
 				if first {
 					p.Reply("bad", "-", "")
@@ -361,7 +367,7 @@
 	}
 	one := serve([]string{"some", "all", "deep"}, map[string]string{"some": "fragile", "all": "retryable", "deep": "retryable"}, "acme")
 	two := serve([]string{"deep", "all", "some"}, map[string]string{"deep": "fragile", "all": "dedup", "some": "retryable"}, "globex")
-	for _, rounds := range []int{1, 12} { // connections are up before many come at once
+	for _, rounds := range []int{1, 12} { // the first round opens the connections before many requests arrive at once
 		var clients sync.WaitGroup
 		for n := range rounds {
 			var callers []*testClient
@@ -377,13 +383,13 @@
 						c.Write([]byte(text))
 						status, _, body, _, err := c.rd.ReadResponse()
 						if err != nil || status != want {
-							t.Errorf("co-ordinator %d, %s: %d %s %v, want %d", at, class, status, body, err, want)
+							t.Errorf("coordinator %d, %s: got status %d %s %v, want %d", at, class, status, body, err, want)
 						}
 						if other := "X-Tenant: " + []string{"globex", "acme"}[at]; i%4 == 0 {
 							for _, field := range []string{other, "X-Other: x"} {
 								c.Write([]byte(strings.Replace(text, "X-Tenant: "+tenant, field, 1)))
 								if status, _, _, _, err := c.rd.ReadResponse(); err != nil || status != 400 {
-									t.Errorf("co-ordinator %d, %s: %d %v", at, field, status, err)
+									t.Errorf("coordinator %d, %s: got status %d %v, want 400", at, field, status, err)
 								}
 							}
 						}
--- a/coordinator/socket_hooks_test.go
+++ b/coordinator/socket_hooks_test.go
@@ -11,14 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// hookedConn is a TCP connection that calls hooks at named moments; nil hooks are skipped.
+// hookedConn is a TCP connection that calls hooks before or after its operations; nil hooks are skipped.
 type hookedConn struct {
 	*net.TCPConn
-	read        func(n int)                       // some bytes are read, and not handed over yet
-	writes      func(p []byte) (n int, done bool) // a write begins; done if it has been dealt with
-	wrote       func(p []byte)                    // a write is out, and has not returned
-	closesWrite func()
-	closes      func()
+	read        func(n int)                       // n bytes have been read, and are not returned yet
+	writes      func(p []byte) (n int, done bool) // a write begins; done if the hook has handled it
+	wrote       func(p []byte)                    // a write has succeeded, and has not returned yet
+	closesWrite func()                            // CloseWrite begins
+	closes      func()                            // Close begins
 }
 
 func (c *hookedConn) Read(p []byte) (int, error) {
@@ -59,11 +59,11 @@
 	return c.TCPConn.Close()
 }
 
-// hookedListener is a TCP listener of hooked connections, which reports each deadline that it is given.
+// hookedListener is a TCP listener of hooked connections that also calls hooks.
 type hookedListener struct {
 	*net.TCPListener
-	made     func(c *hookedConn) // may be nil
-	deadline func()              // may be nil
+	made     func(c *hookedConn) // a connection is accepted; may be nil
+	deadline func()              // a deadline has been set; may be nil
 }
 
 func (a *hookedListener) Accept() (net.Conn, error) {
@@ -86,7 +86,7 @@
 	return err
 }
 
-// hookedClock is a clock whose waits of one length last until they are let go.
+// hookedClock is a clock whose waits of the length held last until the test sends to gate.
 type hookedClock struct {
 	SystemClock
 	held time.Duration
@@ -100,8 +100,8 @@
 	return c.SystemClock.After(d)
 }
 
-// startHooked starts a coordinator whose clients' and replicas' connections get hooks from accepts and dials; either
-// may be nil, and more too.
+// startHooked starts a coordinator with hooks on its connections: accepts sets those of client connections, dials those of
+// connections to replicas and discovery, and more may change the options. All three may be nil.
 func startHooked(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *hookedConn),
 	dials func(addr string, c *hookedConn), more func(m *Options),
 ) *rig {
@@ -125,32 +125,32 @@
 	})
 }
 
-// awaitArrival waits until the kernel has bytes of the other side's that are not read, or its reset.
+// awaitArrival waits until the kernel has received unread bytes, or a reset, from the other side.
 func awaitArrival(t *testing.T, conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		there := false
+		arrived := false
 		err := raw.Control(func(fd uintptr) {
 			n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
-			there = err == nil && n > 0
+			arrived = err == nil && n > 0
 			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil && info.State == 7 { // closed
-				there = true
+				arrived = true
 			}
 		})
-		return err != nil || there
+		return err != nil || arrived
 	}, patience, time.Millisecond)
 }
 
 // reset ends a connection with a reset.
 func reset(conn net.Conn) error {
-	_ = conn.(*net.TCPConn).SetLinger(0) // fails on a closed connection alone
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 	return conn.Close()
 }
 
 // awaitListenerClosed waits until the listener is closed.
 func (r *rig) awaitListenerClosed() {
-	r.eventually("no more connections are taken", func() bool {
+	r.eventually("no more connections are accepted", func() bool {
 		conn, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			conn.Close()
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -8,23 +8,23 @@
 
 const (
 	maxSpareTimers     = 4096                  // balancer timers kept for reuse: those of a few hundred open searches
-	stallCheckInterval = 50 * time.Millisecond // between checks of the time while searches are open: a client may be gone for 0.1 s
+	stallCheckInterval = 50 * time.Millisecond // between checks for a stall while searches are open: a client may have left 0.1 s before a stall is noticed
 	stallThreshold     = 50 * time.Millisecond // lateness of a timer that shows a stalled process: no iteration takes so long
 )
 
-// timerSet is the event loop's timers.
+// timerSet holds the event loop's timers.
 type timerSet struct {
 	queue      timerQueue
 	balancer   map[uint64]*balancerTimer // by the balancer's label
 	spare      []*balancerTimer          // stopped, for reuse
 	due        []*timer                  // empty; its array is reused by each iteration
-	alarm      <-chan time.Time          // that the event loop waits for: at or before the first timer
+	alarm      <-chan time.Time          // wakes the event loop, at or before the time of the first timer
 	alarmAt    int64
 	stall      stallDetector
 	caughtUpAt int64 // when sockets were last read before an iteration
 }
 
-// timer runs its handler at a time. It is reusable once it has fired or was stopped.
+// timer calls its handler at a given time. It may be used again once it has fired or been stopped.
 type timer struct {
 	at       int64
 	sequence uint64
@@ -77,19 +77,19 @@
 	return v
 }
 
-// runAfter runs a task after so many ticks.
+// runAfter runs a task after wait ticks.
 func (loop *eventLoop) runAfter(wait int64, do func()) {
 	loop.startTimer(&timer{}, wait, deferredTask(do))
 }
 
-// startTimer has a timer fire after so many ticks. The timer must not be running.
+// startTimer starts a timer, which fires after wait ticks. The timer must not be running.
 func (loop *eventLoop) startTimer(timer *timer, wait int64, do timerHandler) {
 	loop.timers.queue.sequence++
 	timer.at, timer.sequence, timer.handler = loop.now+max(wait, 0), loop.timers.queue.sequence, do
 	heap.Push(&loop.timers.queue, timer)
 }
 
-// stopTimer stops a timer and drops what it refers to. A timer that has fired or never ran stays as it is.
+// stopTimer stops a timer and drops its handler. It does nothing to a timer that was never started or is stopped.
 func (loop *eventLoop) stopTimer(timer *timer) {
 	if timer.handler == nil {
 		return
@@ -115,7 +115,7 @@
 	loop.balancer.HandleTimer(label)
 }
 
-// SetTimer has the balancer's timer of a label fire after so many ticks. It implements balancer.Actions.
+// SetTimer starts the balancer's timer with a label, which fires after wait ticks. It implements balancer.Actions.
 func (loop *eventLoop) SetTimer(wait int64, label uint64) {
 	var free *balancerTimer
 	if n := len(loop.timers.spare); n > 0 {
@@ -128,14 +128,14 @@
 	loop.startTimer(&free.timer, max(wait, 1), free)
 }
 
-// CancelTimer stops the balancer's timer of a label, if it runs. It implements balancer.Actions.
+// CancelTimer stops the balancer's timer with a label, if it is running. It implements balancer.Actions.
 func (loop *eventLoop) CancelTimer(label uint64) {
 	balancerTimer := loop.timers.balancer[label]
 	if balancerTimer == nil {
 		return
 	}
 	delete(loop.timers.balancer, label)
-	if balancerTimer.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // one that is due in this iteration is still in the due list
+	if balancerTimer.index >= 0 && len(loop.timers.spare) < maxSpareTimers { // a timer that is due in this iteration is not reused: the list due still refers to it
 		loop.timers.spare = append(loop.timers.spare, balancerTimer)
 	}
 	loop.stopTimer(&balancerTimer.timer)
@@ -153,7 +153,7 @@
 	}
 }
 
-// armStallDetector starts the stall detector unless it runs.
+// armStallDetector starts the stall detector unless it is running.
 func (loop *eventLoop) armStallDetector() {
 	if loop.timers.stall.handler == nil {
 		loop.startTimer(&loop.timers.stall.timer, int64(stallCheckInterval/tick), &loop.timers.stall)
--- a/coordinator/value_decoders.go
+++ b/coordinator/value_decoders.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// valueDecoders are the decoders of open searches that have one, by the search's name. Any goroutine may use them: the
-// readers of replica connections do.
+// valueDecoders are the decoders of the open searches that have one, by the search's name. They are safe for concurrent
+// use, as the readers of replica connections call them.
 type valueDecoders struct {
 	byName sync.Map
 	count  atomic.Int64
@@ -26,8 +26,8 @@
 	d.count.Add(-1)
 }
 
-// decode passes the value of an answer to the decoder of its search, where that has one. It handles a host that answers
-// in good form and leaves out what was asked: without it, its shard request would count as completed.
+// decode decodes the value of an answer with the decoder of its search; it returns nil if the search has none. It catches
+// a host whose answers are well-formed but lack what was requested: the shard request would count as completed.
 func (d *valueDecoders) decode(attemptName, value []byte) (any, error) {
 	if d.count.Load() == 0 {
 		return nil, nil
--- a/coordinator/wire_protocol.go
+++ b/coordinator/wire_protocol.go
@@ -6,28 +6,27 @@
 	"chalkring/opensearch/query"
 )
 
-// wireProtocol is the codec between the event loop and a kind of host: how attempts travel, how they are canceled, and
-// what an answer means. It is the only place that differs between kinds; which replica gets a shard request, when an
-// attempt is given up and what its end means do not depend on it. All methods but readAnswers run on the event loop's
-// goroutine.
+// wireProtocol is the codec between the event loop and a kind of host: how attempts are sent and canceled, and what an
+// answer means. Only this differs between kinds of hosts: which replica gets a shard request, when an attempt is given up
+// and what its end means do not depend on it. All methods except readAnswers run on the event loop's goroutine.
 type wireProtocol interface {
-	// attemptsPerBatch returns how many attempts may travel in one message.
+	// attemptsPerBatch returns how many attempts may be sent in one message.
 	attemptsPerBatch(loop *eventLoop) int
 	// batchesPerConnection returns how many batches may be in flight on a connection.
 	batchesPerConnection(loop *eventLoop) int
-	// allowsWaiting says whether a batch beyond those may wait on a connection, when no other can be opened.
+	// allowsWaiting says whether more batches than that may wait on a connection when no other can be opened.
 	allowsWaiting() bool
 	// appendBatch appends the message of a batch.
 	appendBatch(loop *eventLoop, dst []byte, batch *batch) []byte
 	// cancelAttempt cancels an attempt whose message may have been written.
 	cancelAttempt(conn *replicaConnection, attempt *attempt)
-	// readAnswers reads answers until the connection ends and returns why it did. It runs on the reading goroutine and
-	// submits what it has read to the event loop.
+	// readAnswers reads answers until the connection ends, and returns why it ended. It runs on the connection's reading
+	// goroutine and submits what it has read to the event loop.
 	readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error
 }
 
-// HostKind is a kind of host that speaks the OpenSearch-style API. Its members are in Index, placed in blocks by the
-// API's rule where Placement is set.
+// HostKind is a kind of host that speaks the OpenSearch-style API. Its documents are in Index. If Placement is set, they
+// are placed in blocks by the API's rule.
 type HostKind struct {
 	Index     string
 	Placement *query.Placement
