--- a/coordinator/abandoned_attempts_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -54,7 +54,7 @@
 	select {
 	case got := <-p.outcomes:
 		require.Equal(p.r.t, want, got)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(p.r.t, "no outcome", want)
 	}
 }
@@ -67,8 +67,8 @@
 	require.Empty(p.r.t, p.outcomes)
 }
 
-// puppet replaces the rig's balancer by a scripted one.
-func (r *rig) puppet() *scriptedBalancer {
+// useScriptedBalancer replaces the rig's balancer by a scripted one.
+func (r *rig) useScriptedBalancer() *scriptedBalancer {
 	p := &scriptedBalancer{r: r, searches: make(chan [2]uint64, 1024), outcomes: make(chan string, 1024)}
 	r.runInLoop(func(loop *eventLoop) { loop.balancer = p })
 	return p
@@ -83,7 +83,7 @@
 func TestAbandonedAttemptsWithoutSecondCopies(t *testing.T) {
 	type fixture struct {
 		*rig
-		held           chan asked // shard requests that a0 received and has not answered
+		held           chan receivedRequest // shard requests that a0 received and has not answered
 		p              *scriptedBalancer
 		shardRequestID uint64
 		conn           *replicaConnection
@@ -139,8 +139,8 @@
 			r := startHooked(t, 256, func(settings map[string]any) {
 				settings["Permissions"].(map[string]any)["SecondCopies"] = x.secondCopies
 			}, nil, nil, nil)
-			a := fixture{r, make(chan asked, 8), r.puppet(), 0, nil}
-			r.replicas["a0"].SetHandler(func(p asked) { a.held <- p })
+			a := fixture{r, make(chan receivedRequest, 8), r.useScriptedBalancer(), 0, nil}
+			r.replicas["a0"].SetHandler(func(p receivedRequest) { a.held <- p })
 			c := r.connect().send(request("q", "all", "", onePart))
 			a.shardRequestID = (<-a.p.searches)[1]
 			r.runInLoop(func(loop *eventLoop) { loop.SendAttempt(a.shardRequestID, "a0", 0) })
--- a/coordinator/attempts_test.go
+++ b/coordinator/attempts_test.go
@@ -21,7 +21,7 @@
 func TestKeyedRequestThatNeverRanIsNoRepeat(t *testing.T) {
 	var hosts sync.Map // addresses of the hosts of cell 0
 	var dials atomic.Int32
-	r := startIn(t, nil, 256, func(settings map[string]any) {
+	r := startWithOptions(t, nil, 256, func(settings map[string]any) {
 		class := settings["Classes"].([]any)[1].(map[string]any)
 		class["Effect"], class["RepeatWindow"] = "dedup", 4000.0
 		settings["Permissions"].(map[string]any)["SecondCopies"] = false
@@ -217,7 +217,7 @@
 // taken over from the request before it.
 func TestTenantsShareOneConnection(t *testing.T) {
 	r := start(t, 256, nil)
-	p := r.puppet()
+	p := r.useScriptedBalancer()
 	type added struct {
 		qtype, tenant int
 		key           string
--- a/coordinator/child_process_test.go
+++ b/coordinator/child_process_test.go
@@ -47,7 +47,7 @@
 
 // start starts the process; its output goes to out, or to its journal without one.
 func (l *childProcess) start(out *os.File, before ...string) {
-	ctx, cancel := context.WithTimeout(context.Background(), 6*patience) // the program is built first
+	ctx, cancel := context.WithTimeout(context.Background(), 6*testTimeout) // the program is built first
 	defer cancel()
 	path, err := fleet.BuildProgram(ctx)
 	require.NoError(l.t, err)
@@ -68,7 +68,7 @@
 func (l *childProcess) signal(s syscall.Signal) { require.NoError(l.t, l.cmd.Process.Signal(s)) }
 
 func (l *childProcess) eventually(why string, ok func() bool) {
-	require.Eventually(l.t, ok, patience, 5*time.Millisecond, "%s\n%s", why, l.log)
+	require.Eventually(l.t, ok, testTimeout, 5*time.Millisecond, "%s\n%s", why, l.log)
 }
 
 func (l *childProcess) logged(text string) {
@@ -110,7 +110,7 @@
 	conn, err := net.Dial("tcp", l.addr)
 	require.NoError(l.t, err)
 	l.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn, http1.NewReader(conn, make([]byte, 16<<10))
 }
 
@@ -127,10 +127,10 @@
 }
 
 // holdAttempts has all hosts not answer, and returns a channel of their shard requests.
-func (l *childProcess) holdAttempts() chan asked {
-	held := make(chan asked, 1024)
+func (l *childProcess) holdAttempts() chan receivedRequest {
+	held := make(chan receivedRequest, 1024)
 	for _, h := range l.hosts {
-		h.SetHandler(func(p asked) { held <- p })
+		h.SetHandler(func(p receivedRequest) { held <- p })
 	}
 	return held
 }
@@ -140,7 +140,7 @@
 	l := &childProcess{t: t, file: filepath.Join(t.TempDir(), "plan.json")}
 	var entries []fake.Endpoint
 	for _, hostID := range []string{"a0", "a1", "b0", "b1"} {
-		h, err := fake.NewHost(hostID, int(hostID[0]-'a'), true, asked.ReplyGood)
+		h, err := fake.NewHost(hostID, int(hostID[0]-'a'), true, receivedRequest.ReplyGood)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		l.hosts = append(l.hosts, h)
--- a/coordinator/client_answer_test.go
+++ b/coordinator/client_answer_test.go
@@ -96,7 +96,7 @@
 	select {
 	case err := <-ended:
 		require.NoError(t, err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "does not end")
 	}
 	r.shutDown()
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -35,7 +35,7 @@
 }
 
 // allow has the hosts answer, or be silent.
-func (r *rig) allow(do func(asked)) {
+func (r *rig) allow(do func(receivedRequest)) {
 	for _, s := range r.replicas {
 		s.SetHandler(do)
 	}
@@ -46,7 +46,7 @@
 	r := start(t, 256, nil)
 	var got atomic.Int32
 	for _, s := range r.replicas {
-		s.SetHandler(func(asked) { got.Add(1) })
+		s.SetHandler(func(receivedRequest) { got.Add(1) })
 	}
 	c := r.connect().send(request("q", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return got.Load() == 4 })
@@ -66,7 +66,7 @@
 func TestPipelinedRequest(t *testing.T) {
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
-		s.SetHandler(func(asked) {})
+		s.SetHandler(func(receivedRequest) {})
 	}
 	c := r.connect().send(request("first", "all", "", fourParts))
 	r.eventually("parts are out", func() bool { return r.parts() == 4 })
@@ -74,7 +74,7 @@
 	require.Equal(t, 400, status)
 	require.False(t, keep)
 	for hostID := range r.replicas {
-		r.replicas[hostID].SetHandler(asked.ReplyGood)
+		r.replicas[hostID].SetHandler(receivedRequest.ReplyGood)
 	}
 	r.connect().expect("last", "all", 200, completeAnswer)
 	require.Equal(t, 8, r.parts())
@@ -96,7 +96,7 @@
 		require.NoError(t, err)
 	}
 	f := &clientListener{stopping: context.Background()}
-	client := &clientConnection{clientListener: f, conn: here, answered: make(chan struct{}, 1), requestDeadline: time.Now().Add(patience)}
+	client := &clientConnection{clientListener: f, conn: here, answered: make(chan struct{}, 1), requestDeadline: time.Now().Add(testTimeout)}
 	client.interruptRead()
 	send()
 	n, err := client.Read(make([]byte, 1))
@@ -127,7 +127,7 @@
 	for how, leave := range waysToLeave {
 		t.Run(how, func(t *testing.T) {
 			r := start(t, 256, nil)
-			r.allow(func(asked) {})
+			r.allow(func(receivedRequest) {})
 			c := r.connect().send(request("open", "all", "", fourParts))
 			r.eventually("parts are out", func() bool { return r.parts() == 4 })
 			r.stop()
@@ -190,7 +190,7 @@
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		return &testClient{conn, r, http1.NewReader(conn, make([]byte, bufferSize))}
 	}
 	for how, leave := range waysToLeave {
@@ -242,7 +242,7 @@
 		p.conns <- other
 		callers = append(callers, own)
 		r.t.Cleanup(func() { own.Close() })
-		own.SetDeadline(time.Now().Add(patience))
+		own.SetDeadline(time.Now().Add(testTimeout))
 		return &testClient{own, r, http1.NewReader(own, make([]byte, bufferSize))}
 	}
 	return call, func() {
@@ -253,7 +253,7 @@
 		select {
 		case err := <-ended:
 			require.NoError(r.t, err)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			require.Fail(r.t, "does not end")
 		}
 		r.shutDown()
@@ -266,7 +266,7 @@
 	r := start(t, 16, nil)
 	call, end := r.startPiped()
 	gate := make(chan struct{})
-	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+	r.allow(func(a receivedRequest) { go func() { <-gate; a.ReplyGood() }() })
 	var busy []*testClient
 	for i := range 8 { // all the room
 		busy = append(busy, call(nil).send(request(fmt.Sprint("busy", i), "all", "", fourParts)))
@@ -311,7 +311,7 @@
 			r := start(t, 256, nil)
 			call, end := r.startPiped()
 			gate := make(chan struct{})
-			r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+			r.allow(func(a receivedRequest) { go func() { <-gate; a.ReplyGood() }() })
 			h := halfClosingConn{nil, make(chan struct{})}
 			c := call(func(conn net.Conn) net.Conn { h.Conn = conn; return h })
 			c.send(request("first", "all", x.head, fourParts))
--- a/coordinator/connection_limiter_test.go
+++ b/coordinator/connection_limiter_test.go
@@ -15,9 +15,9 @@
 // and against closing a connection with an open search.
 func TestDescriptorLimits(t *testing.T) {
 	r := start(t, 16, nil)
-	held := make(chan asked, 4)
+	held := make(chan receivedRequest, 4)
 	for _, s := range r.replicas {
-		s.SetHandler(func(a asked) { held <- a })
+		s.SetHandler(func(a receivedRequest) { held <- a })
 	}
 	busy := r.connect().send(request("q", "all", "", fourParts))
 	r.eventually("the hosts have all shard requests", func() bool { return len(held) == 4 })
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -25,7 +25,7 @@
 // Version 0 is a version: the first call waits for a newer one. An answer without changes that did not wait counts as
 // a failed call.
 func TestWatchThatDoesNotWaitFails(t *testing.T) {
-	list := script(t)
+	list := startDiscovery(t)
 	loop := &eventLoop{
 		plan: &plan.Plan{Discovery: list.Listener.Addr().String()}, ctx: context.Background(),
 		Options: Options{Dial: (&net.Dialer{}).DialContext},
@@ -43,7 +43,7 @@
 	<-r.list.Targets
 	began := time.Now()
 	<-r.list.Targets
-	require.Less(t, time.Since(began), 4*time.Second+patience/2)
+	require.Less(t, time.Since(began), 4*time.Second+testTimeout/2)
 	require.Contains(t, r.log.String(), "event=list_failed")
 	for n, want := range map[string]time.Duration{"1": 2, "3": 3, "150": 20} {
 		loop := &eventLoop{plan: &plan.Plan{Settings: map[string]string{"Balancers": n}}}
@@ -66,7 +66,7 @@
 // silent call for changes would wait long while nothing is served.
 func TestStartWithoutKnownHosts(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settings["Balancers"] = 300 })
-	ownPlan, other := *r.plan, script(t)
+	ownPlan, other := *r.plan, startDiscovery(t)
 	ownPlan.Known = plan.EndpointList{Version: ownPlan.Known.Version, Full: true}
 	ownPlan.Discovery = other.Listener.Addr().String()
 	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
@@ -184,7 +184,7 @@
 	old.Store(r.list.Listener.Addr().String())
 	r.list.Responses <- fmt.Sprintf(`{"version":99,"full":true,"servers":[%s]}`, r.entry("b0", "up"))
 	<-read
-	next := script(t)
+	next := startDiscovery(t)
 	p := *r.plan
 	p.Discovery = next.Listener.Addr().String()
 	r.plans <- &p
@@ -269,7 +269,7 @@
 
 // With several sources, changes from discovery that are refused are polled again until they are accepted.
 func TestRefusedChangesArePolledAgain(t *testing.T) {
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
+	r := startWithOptions(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	good := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a0", "draining"), r.entry("b1", "up"))
 	bad := strings.Replace(good, `"state":"up","weight":1.0`, `"state":"up","weight":-1.0`, 1)
--- a/coordinator/endpoint_list_test.go
+++ b/coordinator/endpoint_list_test.go
@@ -118,7 +118,7 @@
 	require.JSONEq(t, completeAnswer, text)
 	ownPlan := *r.plan
 	ownPlan.Known = plan.EndpointList{Version: 7, Full: true}
-	other := script(t)
+	other := startDiscovery(t)
 	ownPlan.Discovery = other.Listener.Addr().String()
 	r.shutDown()
 
@@ -159,7 +159,7 @@
 			t.Run(fmt.Sprint(name, " ", together), func(t *testing.T) {
 				r := start(t, 256, nil)
 				<-r.list.Targets
-				next, err := fake.NewHost("b1", 1, true, asked.ReplyGood)
+				next, err := fake.NewHost("b1", 1, true, receivedRequest.ReplyGood)
 				require.NoError(t, err)
 				t.Cleanup(next.Close)
 				version := 7
@@ -169,11 +169,11 @@
 					r.logged(fmt.Sprintf("version=%d ", version))
 				}
 				tell(r.entry("b0", "draining")) // so that b1 gets the part
-				held := make(chan asked, 16)
-				r.replicas["b1"].SetHandler(func(a asked) { held <- a })
+				held := make(chan receivedRequest, 16)
+				r.replicas["b1"].SetHandler(func(a receivedRequest) { held <- a })
 				c := r.connect().send(request("first", "all", "", fourParts))
 				a := <-held
-				r.replicas["b1"].SetHandler(asked.ReplyGood)
+				r.replicas["b1"].SetHandler(receivedRequest.ReplyGood)
 				entries := back(r, next.Listener.Addr().String())
 				if together {
 					tell(entries...)
@@ -228,7 +228,7 @@
 			var mu sync.Mutex
 			held := map[string]chan struct{}{} // connects that are not up, by address
 			dialed := make(chan string, 16)
-			r := startIn(t, nil, 256, func(s map[string]any) {
+			r := startWithOptions(t, nil, 256, func(s map[string]any) {
 				s["Permissions"].(map[string]any)["DialTimeout"] = 8000.0
 			}, nil, nil, func(m *Options) {
 				m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/coordinator/event_loop_test.go
+++ b/coordinator/event_loop_test.go
@@ -38,6 +38,6 @@
 		require.NoError(t, err, "%d", i)
 		require.Contains(t, []int{200, 503}, status)
 	}
-	r.eventually("none is left open", func() bool { return r.openClients() == 0 })
+	r.eventually("none is left open", func() bool { return r.openSearchCount() == 0 })
 	r.shutDown()
 }
--- a/coordinator/final_answer_test.go
+++ b/coordinator/final_answer_test.go
@@ -38,7 +38,7 @@
 	text := []byte("frame")
 	message := &outboundMessage{buffer: &text}
 	l.enqueue(message)
-	require.Eventually(t, func() bool { return message.stage.Load() == stageWriting }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return message.stage.Load() == stageWriting }, testTimeout, time.Millisecond)
 	write := pendingWrite{l, message}
 	require.False(t, write.isWritten())
 	written := make(chan bool, 1)
@@ -53,7 +53,7 @@
 
 	next := &outboundMessage{buffer: &text}
 	l.enqueue(next)
-	require.Eventually(t, func() bool { return next.stage.Load() == stageWriting }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return next.stage.Load() == stageWriting }, testTimeout, time.Millisecond)
 	awaitWritten([]pendingWrite{{l, next}}) // nobody reads: the connection ends after maxWriteWait
 	require.Equal(t, errRetired, <-ended)
 	require.True(t, l.writerEnded.Load())
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -48,7 +48,7 @@
 	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
-	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	return &rawConn{conn, t, bufio.NewReader(conn)}
 }
 
@@ -142,7 +142,7 @@
 
 // Before any host is known, the health request gets the bytes of the golden file.
 func TestGoldenHealthWithoutHosts(t *testing.T) {
-	list, ln := script(t), listen(t)
+	list, ln := startDiscovery(t), listen(t)
 	initial, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":0,"servers":[]},"settings":%s}`,
 		ln.Addr(), list.Listener.Addr(), testSettings))
@@ -197,7 +197,7 @@
 func TestGoldenClientResponses(t *testing.T) {
 	r := start(t, 1024, nil)
 	for _, host := range r.replicas {
-		host.SetHandler(func(p asked) {
+		host.SetHandler(func(p receivedRequest) {
 			switch {
 			case p.Text == "escaped":
 				p.Reply("good", "1", "quote \" backslash \\ line\nend\r tab\t bell\a del\x7f <&> é \u2028 🙂")
@@ -210,7 +210,7 @@
 			}
 		})
 	}
-	module := r.puppet()
+	module := r.useScriptedBalancer()
 	var out strings.Builder
 	for i, x := range []struct {
 		name, class, head, body string
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -66,7 +66,7 @@
 	r.connect().expect("a", "all", http.StatusOK, completeAnswer)
 	next, err := parsePlan(planOf(t, func(s map[string]any) { s["Added"] = 1 }))
 	require.NoError(t, err)
-	next.Discovery = script(t).Listener.Addr().String()
+	next.Discovery = startDiscovery(t).Listener.Addr().String()
 	r.plans <- next
 	r.logged("waits_for_restart=")
 	r.shutDown()
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -49,7 +49,7 @@
 // startRecorded starts a coordinator whose bytes to replicas and discovery are collected.
 func startRecorded(t *testing.T) (*rig, *sentBytes) {
 	sent := &sentBytes{text: map[string]string{}}
-	return startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
+	return startWithOptions(t, nil, 256, nil, nil, nil, func(m *Options) {
 		dial := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dial(ctx, network, addr)
@@ -65,9 +65,9 @@
 // milliseconds of seven digits, is replaced by #. Guards against changes of the wire form.
 func TestGoldenReplicaConnection(t *testing.T) {
 	r, sent := startRecorded(t)
-	scripted := r.puppet()
-	held := make(chan asked, 1)
-	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
+	scripted := r.useScriptedBalancer()
+	held := make(chan receivedRequest, 1)
+	r.replicas["a0"].SetHandler(func(p receivedRequest) { held <- p })
 	c := r.connect().send(strings.Replace(request("q", "all", "", onePart), "8.000", "3600.000", 1))
 	ids := <-scripted.searches
 	r.runInLoop(func(loop *eventLoop) { loop.SendAttempt(ids[1], "a0", 0) })
--- a/coordinator/keyed_requests_test.go
+++ b/coordinator/keyed_requests_test.go
@@ -37,7 +37,7 @@
 }
 
 // handle handles a shard request that a host has received.
-func (d *effectRecorder) handle(h *fake.Host, p asked) {
+func (d *effectRecorder) handle(h *fake.Host, p receivedRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	draw := d.random.Intn(10_000)
@@ -103,7 +103,7 @@
 		d.memory[h] = map[string]time.Time{}
 	}
 	for _, h := range r.replicas {
-		h.SetHandler(func(p asked) { d.handle(h, p) })
+		h.SetHandler(func(p receivedRequest) { d.handle(h, p) })
 	}
 	var g sync.WaitGroup
 	status := make([]map[int]int, callers)
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -147,7 +147,7 @@
 func TestListDelay(t *testing.T) {
 	const atOnce, afterWait, missed = time.Second, 4 * time.Second, 6 * time.Second
 	const busy = 500 * time.Millisecond // for a machine that is
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	var all errgroup.Group // each waits most of the time
 	for name, x := range map[string]struct {
@@ -205,7 +205,7 @@
 	t.Parallel()
 	a, next := newDiscoveryAgent(t), newDiscoveryAgent(t, "silent")
 	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	for range 3 { // versions there are ahead of the other agent's
 		a.setList(r.Endpoints("n"))
@@ -342,7 +342,7 @@
 				all.Go(group.Wait)
 			}
 			for clock.Now().Sub(began) < 12*time.Second {
-				require.Eventually(t, func() bool { return clock.waiting() == n }, patience, 50*time.Microsecond)
+				require.Eventually(t, func() bool { return clock.waiting() == n }, testTimeout, 50*time.Microsecond)
 				clock.next()
 			}
 			cancel()
--- a/coordinator/panic_test.go
+++ b/coordinator/panic_test.go
@@ -44,7 +44,7 @@
 // call.
 func TestPanicEndsOneReplicaConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
+	r := startWithOptions(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := own(ctx, network, addr)
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -183,7 +183,7 @@
 		return n
 	}
 	require.Equal(t, 1, heard())
-	other, err := fake.NewHost("a0", 0, true, asked.ReplyGood)
+	other, err := fake.NewHost("a0", 0, true, receivedRequest.ReplyGood)
 	require.NoError(t, err)
 	t.Cleanup(other.Close)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -29,7 +29,7 @@
 func (r *rig) restartWithStore(path string, options store.Options) *rig {
 	ln := listen(r.t)
 	ctx, cancel := context.WithCancel(context.Background())
-	more := &rig{t: r.t, replicas: r.replicas, list: script(r.t), addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1), log: &logBuffer{}}
+	more := &rig{t: r.t, replicas: r.replicas, list: startDiscovery(r.t), addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1), log: &logBuffer{}}
 	plan := *r.plan
 	plan.Discovery = more.list.Listener.Addr().String()
 	more.plan = &plan
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -27,7 +27,7 @@
 	if edit != nil {
 		edit(&s)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 6*patience) // the program is built first
+	ctx, cancel := context.WithTimeout(context.Background(), 6*testTimeout) // the program is built first
 	defer cancel()
 	r, err := fleet.New(ctx, s)
 	require.NoError(t, err)
@@ -74,7 +74,7 @@
 					}
 				}
 				ended := over(term)
-				conn.SetDeadline(time.Now().Add(patience))
+				conn.SetDeadline(time.Now().Add(testTimeout))
 				_, err := conn.Write([]byte(all.String()))
 				for range together {
 					var status int
@@ -104,14 +104,14 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
 	close(term)
 	require.Eventually(t, func() bool { // no new connection is taken any more
 		_, err := r.GetHealth(ctx, "n")
 		return errors.Is(err, syscall.ECONNREFUSED)
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 	mu.Lock()
 	before := answers[7]
 	mu.Unlock()
@@ -119,7 +119,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		return len(fates) > 0 || answers[7] >= before+12
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 	close(kill)
 	require.NoError(t, r.Kill(ctx, "n"))
 	g.Wait()
@@ -135,7 +135,7 @@
 	conn, err := net.Dial("tcp", r.Addresses("n").Client)
 	require.NoError(t, err)
 	defer conn.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, r.Terminate(ctx, "n"))
 	require.Contains(t, r.Log("n"), "event=stopped")
@@ -151,7 +151,7 @@
 		conn, err := net.Dial("tcp", r.Addresses("n").Client)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		conns, readers = append(conns, conn), append(readers, http1.NewReader(conn, make([]byte, 16<<10)))
 		return conn
 	}
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -22,7 +22,7 @@
 func TestReloadMovesDiscovery(t *testing.T) {
 	r := start(t, 256, nil)
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
-	next := script(t)
+	next := startDiscovery(t)
 	p := *r.plan
 	p.Discovery, p.MaxSockets = next.Listener.Addr().String(), 16
 	r.plans <- &p
@@ -78,7 +78,7 @@
 		write(x[0], x[1])
 		failed := strings.Count(out.String(), "event=reload_failed")
 		if signals <- syscall.SIGHUP; x[2] == "" {
-			require.Eventually(t, func() bool { return strings.Count(out.String(), "event=reload_failed") > failed }, patience,
+			require.Eventually(t, func() bool { return strings.Count(out.String(), "event=reload_failed") > failed }, testTimeout,
 				time.Millisecond)
 			continue
 		}
@@ -157,7 +157,7 @@
 			failed := strings.Count(out.String(), "event=reload_failed")
 			signals <- syscall.SIGHUP
 			if x.cut > 0 {
-				require.Eventually(t, func() bool { return strings.Count(out.String(), "event=reload_failed") > failed }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return strings.Count(out.String(), "event=reload_failed") > failed }, testTimeout, time.Millisecond)
 				continue
 			}
 			initial := <-plans
@@ -188,7 +188,7 @@
 		settingAt(s, "Tenants", 0)["Name"], settingAt(s, "Tenants", 1)["Name"] = "globex", "acme"
 	}))
 	require.NoError(t, err)
-	next.Discovery = script(t).Listener.Addr().String()
+	next.Discovery = startDiscovery(t).Listener.Addr().String()
 	r.plans <- next
 	r.logged("waits_for_restart=listen,settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name")
 	both("after")
--- a/coordinator/replica_connection_test.go
+++ b/coordinator/replica_connection_test.go
@@ -20,32 +20,34 @@
 // Whatever a replica does to a connection, the shard request is retried at another one and the search is answered in
 // full. Guards against a malformed frame that is taken for an answer, or that the search waits for.
 func TestMisbehavingReplicas(t *testing.T) {
-	raw := func(text string) func(a asked) { return func(a asked) { a.Conn.Write([]byte(text)) } }
-	framed := func(frameType byte, text string) func(a asked) {
-		return func(a asked) { a.Conn.Write(frame.End(append(frame.Begin(nil, frameType), text...), 0)) }
+	raw := func(text string) func(a receivedRequest) {
+		return func(a receivedRequest) { a.Conn.Write([]byte(text)) }
+	}
+	framed := func(frameType byte, text string) func(a receivedRequest) {
+		return func(a receivedRequest) { a.Conn.Write(frame.End(append(frame.Begin(nil, frameType), text...), 0)) }
 	}
 	for _, x := range []struct {
 		name string
-		do   func(a asked)
+		do   func(a receivedRequest)
 		log  string
 	}{
-		{"reset", func(a asked) { _ = reset(a.Conn) }, "end=broken"},
-		{"close", func(a asked) { a.Conn.Close() }, "end="},
+		{"reset", func(a receivedRequest) { _ = reset(a.Conn) }, "end=broken"},
+		{"close", func(a receivedRequest) { a.Conn.Close() }, "end="},
 		{"length 0", raw("\x00\x00\x00\x00"), "end=garbled"},
 		{"too long", raw("\x7f\x00\x00\x00q"), "end=garbled"},
-		{"cut off", func(a asked) { a.Conn.Write([]byte("\x00\x00\x00\x10qabc")); a.Conn.Close() }, "end=broken"},
+		{"cut off", func(a receivedRequest) { a.Conn.Write([]byte("\x00\x00\x00\x10qabc")); a.Conn.Close() }, "end=broken"},
 		{"unknown frame type", framed('z', "x"), "end=garbled"},
 		{"no answer line", framed('q', "x"), "end=garbled"},
-		{"unknown outcome", func(a asked) { a.Reply("fine", "1", "x") }, "end=garbled"},
-		{"no score", func(a asked) { a.Reply("good", "-", "x") }, "end=garbled"},
-		{"bad score", func(a asked) { a.Reply("good", "1.5", "x") }, "end=garbled"},
-		{"long score", func(a asked) { a.Reply("good", strings.Repeat("9", 41), "x") }, "end=garbled"},
-		{"value not UTF-8", func(a asked) { a.Reply("good", "1", "\xff") }, "end=garbled"},
-		{"unknown id", func(a asked) { a.ID += "0"; a.ReplyGood() }, "end=garbled"},
+		{"unknown outcome", func(a receivedRequest) { a.Reply("fine", "1", "x") }, "end=garbled"},
+		{"no score", func(a receivedRequest) { a.Reply("good", "-", "x") }, "end=garbled"},
+		{"bad score", func(a receivedRequest) { a.Reply("good", "1.5", "x") }, "end=garbled"},
+		{"long score", func(a receivedRequest) { a.Reply("good", strings.Repeat("9", 41), "x") }, "end=garbled"},
+		{"value not UTF-8", func(a receivedRequest) { a.Reply("good", "1", "\xff") }, "end=garbled"},
+		{"unknown id", func(a receivedRequest) { a.ID += "0"; a.ReplyGood() }, "end=garbled"},
 		{"length longer than the frame", raw("\x00\x00\x01\x00qabc"), "end=slow"},
 		{"refused", framed('r', "what is that"), `event=frame_refused replica=a0 words="what is that"`},
-		{"bad", func(a asked) { a.Reply("bad", "-", "") }, ""},
-		{"later", func(a asked) { a.Reply("later", "-", "") }, ""},
+		{"bad", func(a receivedRequest) { a.Reply("bad", "-", "") }, ""},
+		{"later", func(a receivedRequest) { a.Reply("later", "-", "") }, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -73,7 +75,7 @@
 	r.logged("how=Partial")
 	var malformed [2]atomic.Bool
 	for i, hostID := range []string{"a0", "b0"} {
-		r.replicas[hostID].SetHandler(func(a asked) {
+		r.replicas[hostID].SetHandler(func(a receivedRequest) {
 			if malformed[i].CompareAndSwap(false, true) {
 				a.Conn.Write([]byte("noise in place of an answer"))
 				return
@@ -92,16 +94,16 @@
 // A good answer counts whatever follows it, and even if its load report cannot be parsed. Otherwise its shard request
 // would be sent again.
 func TestAnswerFollowedByMalformedBytes(t *testing.T) {
-	for name, after := range map[string]func(a asked){
-		"a copy":  func(a asked) { a.ReplyGood() },
-		"noise":   func(a asked) { a.Conn.Write([]byte("noise behind the answer")) },
-		"nothing": func(asked) {},
+	for name, after := range map[string]func(a receivedRequest){
+		"a copy":  func(a receivedRequest) { a.ReplyGood() },
+		"noise":   func(a receivedRequest) { a.Conn.Write([]byte("noise behind the answer")) },
+		"nothing": func(receivedRequest) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 256, nil)
 			for _, s := range r.replicas {
-				s.SetHandler(func(a asked) {
+				s.SetHandler(func(a receivedRequest) {
 					answer := &strings.Builder{}
 					conn := a.Conn
 					a.Conn = writes{conn, answer}
@@ -128,8 +130,8 @@
 	loop := &eventLoop{tasks: make(chan func(), 4), ctx: context.Background(), log: newAsyncLogger(SystemClock{}, slog.DiscardHandler)}
 	conn := &replicaConnection{messageConn: newMessageConn(loop.ctx, 1), replica: &replica{id: "a0"}, recentIDs: map[string]uint64{"q.1": 1}}
 	go func() {
-		asked{ID: "q.1", Conn: there}.ReplyGood()
-		asked{ID: "q.1", Conn: writesMore{there, []byte("noise")}}.ReplyGood()
+		receivedRequest{ID: "q.1", Conn: there}.ReplyGood()
+		receivedRequest{ID: "q.1", Conn: writesMore{there, []byte("noise")}}.ReplyGood()
 	}()
 	ended := make(chan error, 1)
 	go func() { ended <- frameProtocol{}.readAnswers(loop, conn, here) }()
@@ -149,7 +151,7 @@
 	c, d := r.connect(), r.connect()
 	c.expect("first", "all", 200, completeAnswer)
 	var dead atomic.Value // the connection on which a0 never answers again
-	r.replicas["a0"].SetHandler(func(a asked) {
+	r.replicas["a0"].SetHandler(func(a receivedRequest) {
 		if dead.CompareAndSwap(nil, a.Conn) || dead.Load() == a.Conn {
 			return
 		}
@@ -174,12 +176,12 @@
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
 		r.entry("b1", "draining"))
 	r.logged("how=Partial")
-	reset := func(a asked) {
+	reset := func(a receivedRequest) {
 		_ = a.Conn.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 		a.Conn.Close()
 	}
 	r.replicas["b0"].SetHandler(reset)
-	r.replicas["a0"].SetHandler(func(a asked) {
+	r.replicas["a0"].SetHandler(func(a receivedRequest) {
 		if a.Shard == 2 {
 			r.logged("replica=b0")
 			reset(a)
@@ -190,8 +192,8 @@
 		{"range":2,"portion":0.4}],"predicate":"poison"}`))
 	status, _, _, _ := c.readAnswer()
 	require.Equal(t, 503, status)
-	r.replicas["a0"].SetHandler(asked.ReplyGood)
-	r.replicas["b0"].SetHandler(asked.ReplyGood)
+	r.replicas["a0"].SetHandler(receivedRequest.ReplyGood)
+	r.replicas["b0"].SetHandler(receivedRequest.ReplyGood)
 	c.expect("next", "all", 200, completeAnswer)
 	r.shutDown()
 }
@@ -203,7 +205,7 @@
 		s["Permissions"].(map[string]any)["DialTimeout"] = 100
 		s["Permissions"].(map[string]any)["ConnIdle"] = 100
 	})
-	r.replicas["a0"].SetHandler(func(asked) {})
+	r.replicas["a0"].SetHandler(func(receivedRequest) {})
 	c := r.connect()
 	for i := range 20 {
 		c.expect(fmt.Sprint("q", i), "all", 200, completeAnswer)
@@ -287,7 +289,7 @@
 			mu.Unlock()
 			var seen sync.Map
 			for _, h := range r.replicas {
-				h.SetHandler(func(p asked) {
+				h.SetHandler(func(p receivedRequest) {
 					if _, before := seen.LoadOrStore(p.ID, true); !before && x.whole && strings.HasSuffix(p.ID, ".0") {
 						return
 					}
@@ -367,11 +369,11 @@
 	<-r.list.Targets
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry("a1", "draining"))
 	r.logged("version=8 ")
-	held := make(chan asked, 16)
-	r.replicas["a0"].SetHandler(func(p asked) { held <- p })
+	held := make(chan receivedRequest, 16)
+	r.replicas["a0"].SetHandler(func(p receivedRequest) { held <- p })
 	c := r.connect().send(request("first", "all", "", fourParts))
 	first := <-held
-	r.replicas["a0"].SetHandler(asked.ReplyGood)
+	r.replicas["a0"].SetHandler(receivedRequest.ReplyGood)
 	conns := func() int { _, _, n, _ := r.replicas["a0"].Observed(); return n }
 	before := conns()
 	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s,%s]}`, r.entry("a0", "removed"),
--- a/coordinator/replica_dial_test.go
+++ b/coordinator/replica_dial_test.go
@@ -51,7 +51,7 @@
 func TestDialsThatNeverConnect(t *testing.T) {
 	var mu sync.Mutex
 	dials := map[string]int{} // by address
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
+	r := startWithOptions(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			mu.Lock()
@@ -128,7 +128,7 @@
 // that reads the limit, which only the event loop may do.
 func TestReloadDuringSlowDials(t *testing.T) {
 	var dials atomic.Int32
-	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
+	r := startWithOptions(t, nil, 256, nil, nil, nil, func(m *Options) {
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if dials.Add(1) <= 8 {
@@ -173,9 +173,9 @@
 func TestExtraDialsAreBounded(t *testing.T) {
 	const sockets = 64
 	var running atomic.Int64 // dials
-	r := startIn(t, nil, sockets, func(settings map[string]any) {
+	r := startWithOptions(t, nil, sockets, func(settings map[string]any) {
 		permissions := settings["Permissions"].(map[string]any)
-		permissions["DialTimeout"], permissions["StreamsPerConn"] = float64(patience/time.Millisecond), 1
+		permissions["DialTimeout"], permissions["StreamsPerConn"] = float64(testTimeout/time.Millisecond), 1
 		settings["Specifics"].(map[string]any)["PerCall"] = 1
 	}, nil, nil, func(m *Options) {
 		m.Dial = func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -202,8 +202,8 @@
 // startGated starts a coordinator whose dials to a0 and a1 wait until open is called for the host.
 func startGated(t *testing.T, edit func(settings map[string]any)) (r *rig, open func(hostID string)) {
 	g, gated := &dialGates{open: map[string]chan struct{}{}}, make(chan map[string]bool, 1)
-	r = startIn(t, nil, 256, func(settings map[string]any) {
-		settings["Permissions"].(map[string]any)["DialTimeout"] = float64(patience / time.Millisecond)
+	r = startWithOptions(t, nil, 256, func(settings map[string]any) {
+		settings["Permissions"].(map[string]any)["DialTimeout"] = float64(testTimeout / time.Millisecond)
 		if edit != nil {
 			edit(settings)
 		}
@@ -345,7 +345,7 @@
 		hostID = "a1"
 	}
 	c.Close()
-	r.eventually("its client has left", func() bool { return r.openClients() == 0 })
+	r.eventually("its client has left", func() bool { return r.openSearchCount() == 0 })
 	open(hostID)
 	r.eventually("the connection is up", func() bool { return r.isConnected(hostID) })
 	r.connect().expect("next", "all", 200, completeAnswer) // on the same connection, after what would have been sent on it
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -47,7 +47,7 @@
 	if zones == nil {
 		zones = map[string]string{"a0": "east", "b0": "east", "a1": "west", "b1": "west"}
 	}
-	z.rig = startIn(t, zones, 256, func(s map[string]any) { s["FailureDomains"] = []string{"east", "west"} }, nil, nil, func(m *Options) {
+	z.rig = startWithOptions(t, zones, 256, func(s map[string]any) { s["FailureDomains"] = []string{"east", "west"} }, nil, nil, func(m *Options) {
 		if m.Residency = z.in; several {
 			m.EndpointUpdates = z.lists
 		}
@@ -80,7 +80,7 @@
 // by the hosts' own records; others use all. The check before sending has nothing to stop.
 func TestAttemptsStayInAllowedZones(t *testing.T) {
 	z := startZoned(t, eastOnly)
-	z.replicas["a0"].SetHandler(func(p asked) { // the slow one inside is copied, and tried again, nowhere else
+	z.replicas["a0"].SetHandler(func(p receivedRequest) { // the slow one inside is copied, and tried again, nowhere else
 		if time.Sleep(400 * time.Millisecond); p.Shard == 0 {
 			p.Reply("bad", "0", "")
 			return
@@ -97,8 +97,8 @@
 		})
 	}
 	g.Wait()
-	z.replicas["a0"].SetHandler(asked.ReplyGood)
-	for n, until := 0, time.Now().Add(patience); ; n++ {
+	z.replicas["a0"].SetHandler(receivedRequest.ReplyGood)
+	for n, until := 0, time.Now().Add(testTimeout); ; n++ {
 		if status, _ := z.searchAs("acme", fmt.Sprint("acme-again", n), "all"); status == 200 {
 			break
 		}
@@ -172,13 +172,13 @@
 		t.Run(how, func(t *testing.T) {
 			z := startZoned(t, strings.Replace(eastOnly, "[east]", "[west]", 1))
 			for _, h := range z.replicas {
-				h.SetHandler(func(asked) {})
+				h.SetHandler(func(receivedRequest) {})
 			}
 			c := z.connect().send(request("acme1", "all", "", fourParts))
 			z.eventually("parts out", func() bool { return z.parts() == 4 })
 			require.Zero(t, z.attemptsOutside("a1", "b1"))
 			for _, h := range z.replicas {
-				h.SetHandler(asked.ReplyGood)
+				h.SetHandler(receivedRequest.ReplyGood)
 			}
 			want := 200
 			next := strings.Replace(eastOnly, "generation: 1", "generation: 2", 1)
@@ -225,7 +225,7 @@
 	z := startZonedWith(t, strings.Replace(eastOnly, "[east]", "[east, west]", 1),
 		map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	for _, h := range z.replicas {
-		h.SetHandler(func(p asked) {
+		h.SetHandler(func(p receivedRequest) {
 			if !strings.HasSuffix(p.ID, ".r") {
 				p.ReplyGood()
 			}
@@ -267,7 +267,7 @@
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "east", "b1": "east"}, true)
 	release := make(chan struct{})
 	for _, hostID := range []string{"a0", "a1"} {
-		z.replicas[hostID].SetHandler(func(p asked) { <-release; p.ReplyGood() })
+		z.replicas[hostID].SetHandler(func(p receivedRequest) { <-release; p.ReplyGood() })
 	}
 	c := z.connect().send(request("acme1", "all", "", fourParts))
 	z.eventually("parts out", func() bool { return z.parts() >= 4 })
--- a/coordinator/rig_test.go
+++ b/coordinator/rig_test.go
@@ -20,8 +20,8 @@
 	"chalkring/internal/http1"
 )
 
-// patience is how long a test waits for something that has to happen; no test depends on it happening sooner.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for something that has to happen; no test depends on it happening sooner.
+const testTimeout = 20 * time.Second
 
 // testSettings has three classes: some is complete with half of its shards, all needs every shard, and deep needs every
 // shard and has a second step at two shards. Cell 0 holds the even shards, cell 1 the odd ones.
@@ -37,8 +37,8 @@
 "SecondCopies":true,"Cancelling":true,"RetryAfter":true,"MaxRetryAfter":500.0},
 "Safety":{"Cold":1000.0,"ColdFrom":0.3,"FallMultiple":3.0,"Fall":2000.0,"DrainGrace":250.0,"AskWithin":500.0}}`
 
-// asked is a shard request as a host received it.
-type asked = fake.ShardRequest
+// receivedRequest is a shard request as a host received it.
+type receivedRequest = fake.ShardRequest
 
 // writes collects what is written to a connection instead of sending it.
 type writes struct {
@@ -94,9 +94,9 @@
 	return j.text.String()
 }
 
-// eventually waits until a condition holds; the test fails if it does not within patience.
+// eventually waits until a condition holds; the test fails if it does not within testTimeout.
 func (r *rig) eventually(why string, ok func() bool) {
-	require.Eventually(r.t, ok, patience, time.Millisecond, "%s\n%s", why, r.log)
+	require.Eventually(r.t, ok, testTimeout, time.Millisecond, "%s\n%s", why, r.log)
 }
 
 // parts returns how many shard requests all replicas have received.
@@ -113,8 +113,8 @@
 	r.eventually("log line "+text, func() bool { return strings.Contains(r.log.String(), text) })
 }
 
-// script returns a fake discovery whose responses the test sends.
-func script(t *testing.T) *fake.ScriptedDiscovery {
+// startDiscovery returns a fake discovery whose responses the test sends.
+func startDiscovery(t *testing.T) *fake.ScriptedDiscovery {
 	d, err := fake.NewScriptedDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
@@ -154,7 +154,7 @@
 }
 
 func startPlan(t *testing.T, sockets int, edit func(settings map[string]any), peers *PeerOptions, overrides, shadow map[string]string) *rig {
-	return startIn(t, nil, sockets, edit, overrides, shadow, func(m *Options) { m.Peers = peers })
+	return startWithOptions(t, nil, sockets, edit, overrides, shadow, func(m *Options) { m.Peers = peers })
 }
 
 // parsePlan and readPlan are functions of the package plan, for tests in which a variable hides its name.
@@ -163,18 +163,18 @@
 	readPlan  = plan.Read
 )
 
-// startIn starts a coordinator with four replicas; all parameters but sockets may be nil, except more, which may change
+// startWithOptions starts a coordinator with four replicas; all parameters but sockets may be nil, except more, which may change
 // the options.
-func startIn(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), overrides, shadow map[string]string,
+func startWithOptions(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), overrides, shadow map[string]string,
 	more func(m *Options),
 ) *rig {
 	r := &rig{
 		t: t, replicas: map[string]*fake.Host{}, log: &logBuffer{}, ended: make(chan error, 1),
-		list: script(t), plans: make(chan *plan.Plan), zones: zones,
+		list: startDiscovery(t), plans: make(chan *plan.Plan), zones: zones,
 	}
 	var known []string
 	for _, hostID := range []string{"a0", "a1", "b0", "b1"} {
-		s, err := fake.NewHost(hostID, int(hostID[0]-'a'), true, asked.ReplyGood)
+		s, err := fake.NewHost(hostID, int(hostID[0]-'a'), true, receivedRequest.ReplyGood)
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
 		r.replicas[hostID] = s
@@ -224,7 +224,7 @@
 	select {
 	case err := <-r.ended:
 		require.NoError(r.t, err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(r.t, "the coordinator does not end after a stop", r.log.String())
 	}
 }
@@ -240,7 +240,7 @@
 	conn, err := net.Dial("tcp", r.addr)
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	r.mu.Lock()
 	r.clientConns = append(r.clientConns, conn)
 	r.mu.Unlock()
--- a/coordinator/search_test.go
+++ b/coordinator/search_test.go
@@ -56,7 +56,7 @@
 	r := start(t, 256, nil)
 	scores := []string{"5", "18446744073709551616", "-3", "5"}
 	for _, s := range r.replicas {
-		s.SetHandler(func(a asked) {
+		s.SetHandler(func(a receivedRequest) {
 			if strings.HasSuffix(a.ID, ".r") {
 				a.ReplyGood()
 				return
@@ -86,7 +86,7 @@
 	r := start(t, 256, nil)
 	gate := make(chan struct{})
 	for _, s := range r.replicas {
-		s.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+		s.SetHandler(func(a receivedRequest) { go func() { <-gate; a.ReplyGood() }() })
 	}
 	c := r.connect().send(request("same", "all", "", fourParts))
 	r.eventually("the hosts have all shard requests", func() bool { return r.parts() == 4 })
@@ -105,9 +105,9 @@
 // malformed answer, which would end the connection.
 func TestLateAnswer(t *testing.T) {
 	r := start(t, 256, nil)
-	held, gate := make(chan asked, 1), make(chan struct{})
+	held, gate := make(chan receivedRequest, 1), make(chan struct{})
 	for _, s := range r.replicas {
-		s.SetHandler(func(a asked) {
+		s.SetHandler(func(a receivedRequest) {
 			switch {
 			case a.Shard == 3 && strings.HasPrefix(a.ID, "q1"):
 				held <- a
@@ -297,9 +297,9 @@
 func TestShedsWithoutMemory(t *testing.T) {
 	r := start(t, 256, nil)
 	long := strings.Repeat("v", 20_000)
-	held := make(chan asked, 1)
+	held := make(chan receivedRequest, 1)
 	for _, s := range r.replicas {
-		s.SetHandler(func(a asked) {
+		s.SetHandler(func(a receivedRequest) {
 			switch {
 			case !strings.HasPrefix(a.ID, "first"):
 				a.ReplyGood()
@@ -351,7 +351,7 @@
 		var mu sync.Mutex
 		seen := map[string]bool{}
 		for _, h := range r.replicas {
-			h.SetHandler(func(p asked) { // the first attempt of each search at shard 0 fails, and may have run
+			h.SetHandler(func(p receivedRequest) { // the first attempt of each search at shard 0 fails, and may have run
 				mu.Lock()
 				first := p.Shard == 0 && !seen[p.ID]
 				seen[p.ID] = true
--- a/coordinator/shadow_settings_test.go
+++ b/coordinator/shadow_settings_test.go
@@ -12,7 +12,7 @@
 func TestShadowSettings(t *testing.T) {
 	r := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false", "Specifics.ClassFloor": "0.5,0.5,0.5"})
 	for _, hostID := range []string{"a0", "a1"} {
-		r.replicas[hostID].SetHandler(func(asked) {})
+		r.replicas[hostID].SetHandler(func(receivedRequest) {})
 	}
 	c := r.connect()
 	c.send(strings.Replace(request("q1", "all", "", fourParts), "8.000", "1.000", 1))
@@ -59,7 +59,7 @@
 	next := map[string]string{"Permissions.SecondCopies": "false", "Permissions.MaxAttempts": "1", "Specifics.ClassFloor": "0.5,0.5,0.5"}
 	step := func(over, watched map[string]string) (copies, whole, short int, metrics string) {
 		r := startWithOverrides(t, over, watched)
-		r.replicas["a0"].SetHandler(func(asked) {})
+		r.replicas["a0"].SetHandler(func(receivedRequest) {})
 		c := r.connect()
 		for i := range 4 {
 			c.send(strings.Replace(request(fmt.Sprint("q", i), "all", "", fourParts), "8.000", "1.500", 1))
--- a/coordinator/sharded_test.go
+++ b/coordinator/sharded_test.go
@@ -49,7 +49,7 @@
 	own.eventually("all have the plan", func() bool { return strings.Count(log.String(), "event=reloaded") == 3 })
 	gate := make(chan struct{})
 	for _, h := range r.replicas {
-		h.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+		h.SetHandler(func(a receivedRequest) { go func() { <-gate; a.ReplyGood() }() })
 	}
 	last := []*testClient{own.connect(), own.connect(), own.connect()}
 	for i, c := range last {
@@ -66,7 +66,7 @@
 	select {
 	case err := <-ended:
 		require.NoError(t, err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "does not end", log.String())
 	}
 	r.shutDown()
--- a/coordinator/shutdown_test.go
+++ b/coordinator/shutdown_test.go
@@ -28,7 +28,7 @@
 	release := make(chan struct{})
 	var got atomic.Int32
 	for _, s := range r.replicas {
-		s.SetHandler(func(a asked) {
+		s.SetHandler(func(a receivedRequest) {
 			got.Add(1)
 			go func() { <-release; a.ReplyGood() }()
 		})
@@ -66,7 +66,7 @@
 	const busy = time.Second // that a crowded machine may be late by; without the bound it is four
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
-		s.SetHandler(func(asked) {})
+		s.SetHandler(func(receivedRequest) {})
 	}
 	late := r.connect()
 	late.expect("first", "none", 400, "") // the connection is taken before the end
@@ -93,7 +93,7 @@
 // a stalled process.
 func TestIdleConnectionsAtShutdown(t *testing.T) {
 	r := process(t, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
 	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
@@ -104,7 +104,7 @@
 		conn, err := net.Dial("tcp", r.Addresses("n").Client)
 		require.NoError(t, err)
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		_, err = conn.Write([]byte(fake.Search{
 			ID: fmt.Sprint("c", i), Type: "full-match", Shards: []int{0, 1, 2, 3},
 			Patience: 2 * time.Second, Tenant: "acme",
@@ -241,11 +241,11 @@
 		m.Listener.(*hookedListener).deadline = func() { closing <- struct{}{} }
 		m.Clock = hookedClock{held: stopIdleTimeout, gate: make(chan time.Time)} // which ends the wait for room
 	})
-	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+	r.allow(func(a receivedRequest) { go func() { <-gate; a.ReplyGood() }() })
 	var all []*testClient
 	for i := range room + more {
 		all = append(all, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
-		r.eventually("it is at work", func() bool { return r.openClients() == min(i+1, room) }) // one that is not would be displaced
+		r.eventually("it is at work", func() bool { return r.openSearchCount() == min(i+1, room) }) // one that is not would be displaced
 	}
 	r.stop()
 	<-closing
@@ -361,7 +361,7 @@
 		all = append(all, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
 	}
 	r.eventually("they are taken, and parts wait", func() bool {
-		return r.openClients() == clients && r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2
+		return r.openSearchCount() == clients && r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2
 	})
 	require.Less(t, r.parts(), 2*clients, "some searches wait")
 	r.stop()
@@ -410,7 +410,7 @@
 		require.True(t, errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "%d: %v", i, err)
 	}
 	for _, h := range l.hosts {
-		h.SetHandler(asked.ReplyGood)
+		h.SetHandler(receivedRequest.ReplyGood)
 	}
 	a.ReplyGood() // late, to a process that is gone
 	l.start(nil)
--- a/coordinator/socket_hooks_test.go
+++ b/coordinator/socket_hooks_test.go
@@ -105,7 +105,7 @@
 func startHooked(t *testing.T, sockets int, edit func(settings map[string]any), accepts func(c *hookedConn),
 	dials func(addr string, c *hookedConn), more func(m *Options),
 ) *rig {
-	return startIn(t, nil, sockets, edit, nil, nil, func(m *Options) {
+	return startWithOptions(t, nil, sockets, edit, nil, nil, func(m *Options) {
 		m.Listener = &hookedListener{TCPListener: m.Listener.(*net.TCPListener), made: accepts}
 		own := m.Dial
 		m.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -139,7 +139,7 @@
 			}
 		})
 		return err != nil || arrived
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
 // reset ends a connection with a reset.
@@ -159,8 +159,8 @@
 	})
 }
 
-// openClients counts the searches that are openClients.
-func (r *rig) openClients() (n int) {
+// openSearchCount returns how many searches are open.
+func (r *rig) openSearchCount() (n int) {
 	r.runInLoop(func(loop *eventLoop) { n = len(loop.searches.byID) })
 	return n
 }
