--- a/coordinator/final_answer_test.go
+++ b/coordinator/final_answer_test.go
@@ -35,7 +35,7 @@
 		ended <- l.serve(own, time.Minute, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() },
 			func(*outboundMessage) error { return nil })
 	}()
-	text := []byte("frame")
+	text := []byte("part")
 	message := &outboundMessage{buffer: &text}
 	l.enqueue(message)
 	require.Eventually(t, func() bool { return message.stage.Load() == stageWriting }, testTimeout, time.Millisecond)
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -121,7 +121,7 @@
 		return nil, errRejectedByPeer
 	}
 	if frameType != frame.TypeAnswer && err == nil {
-		err = fmt.Errorf("%w: frame type %q, expected %q or %q", frame.ErrMalformed, frameType, frame.TypeAnswer, frame.TypeReject)
+		err = fmt.Errorf("%w: frame type %q, expected an answer (q) or a rejection (r)", frame.ErrMalformed, frameType)
 	}
 	var attemptName, end, score, value []byte
 	var report map[string]float64
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -86,7 +86,7 @@
 		n, err := io.Copy(&body, io.LimitReader(response.Body, maxHostBodyBytes+1))
 		response.Body.Close()
 		if err != nil || n > maxHostBodyBytes {
-			return k.readError(loop, connection, fmt.Errorf("response body cut off or over %d bytes, after %d bytes: %w", maxHostBodyBytes, n, errors.Join(err, frame.ErrMalformed)))
+			return k.readError(loop, connection, fmt.Errorf("response body cut off or over the size limit, got %d bytes: %w", n, errors.Join(err, frame.ErrMalformed)))
 		}
 		if err := k.handleResponse(loop, connection, response, body.Bytes()); err != nil {
 			return err
--- a/coordinator/replica_dial_test.go
+++ b/coordinator/replica_dial_test.go
@@ -77,7 +77,7 @@
 	refused := errors.New("refused")
 	type dialList = [maxParallelDials]func(ctx context.Context) (net.Conn, error)
 	for name, x := range map[string]struct {
-		dials   dialList
+		dials   [maxParallelDials]func(ctx context.Context) (net.Conn, error)
 		want    int // dials that are started
 		wantErr error
 	}{
