--- a/coordinator/abandoned_attempts.go
+++ b/coordinator/abandoned_attempts.go
@@ -8,12 +8,12 @@
 type abandonedAttempt struct {
 	attempt    *attempt
 	connection *replicaConnection
-	outcome    string // with which it was given up
+	outcome    string // the one that it was given up with
 }
 
-// mayStillRun says whether an attempt that is given up has to be kept as abandoned, because no shard request may run
-// twice at the same time.
-func (loop *eventLoop) mayStillRun(attempt *attempt) bool {
+// mustAwaitEnd says whether the outcome of an attempt that is given up has to wait until the attempt has ended at its
+// replica: no shard request may run twice at the same time, and this one may still be retried.
+func (loop *eventLoop) mustAwaitEnd(attempt *attempt) bool {
 	return !loop.rules.allowsSecondCopies && !attempt.shardRequest.isSettled()
 }
 
--- a/coordinator/abandoned_attempts_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -78,8 +78,9 @@
 
 // Without second copies, the outcome of an attempt that was given up is reported only once the attempt is over at its
 // replica, since the balancer may retry from then on and the shard request could run twice. Writing the cancel frame,
-// receiving something else and closing the connection here do not count: over a silent connection neither frame nor
-// close arrives. A late answer counts as one. With second copies the outcome is reported at once.
+// receiving something else and closing the connection here do not show that it is over: over a silent connection neither
+// frame nor close arrives. If the replica answers late, the outcome is that of the answer. With second copies the outcome
+// is reported at once.
 func TestAbandonedAttemptsWithoutSecondCopies(t *testing.T) {
 	type fixture struct {
 		*rig
--- a/coordinator/attempts.go
+++ b/coordinator/attempts.go
@@ -35,17 +35,17 @@
 	}
 	current := request.newAttempt()
 	current.replica, current.sentAt, current.deadline = replica, loop.now, loop.now+timeout
-	early := ""
+	earlyOutcome := ""
 	switch {
 	case int(current.index) >= loop.rules.maxAttempts || request.isSettled():
-		early = "Ignored"
+		earlyOutcome = "Ignored"
 	case timeout <= 0:
-		early = "TimedOut"
+		earlyOutcome = "TimedOut"
 	case replica == nil:
-		early = "ConnectError"
+		earlyOutcome = "ConnectError"
 	}
-	if early != "" {
-		loop.deferAttemptOutcome(current, early)
+	if earlyOutcome != "" {
+		loop.deferAttemptOutcome(current, earlyOutcome)
 		return
 	}
 	loop.addToBatch(replica, current)
@@ -109,7 +109,7 @@
 		if write, search := (pendingWrite{conn.messageConn, batch.message}), attempt.shardRequest.search; !search.ended && !write.isWritten() {
 			search.pendingWrites = append(search.pendingWrites, write)
 		}
-		if loop.mayStillRun(attempt) {
+		if loop.mustAwaitEnd(attempt) {
 			loop.abandonAttempt(conn, attempt, outcome)
 			outcome = ""
 		}
@@ -124,8 +124,8 @@
 	}
 }
 
-// recallAttempt takes an attempt off its batch, whose other attempts are sent without it. It returns false where bytes
-// of the batch may have been sent already.
+// recallAttempt takes an attempt off its batch, whose other attempts are sent without it. It returns false if bytes of
+// the batch may have been sent already.
 func (loop *eventLoop) recallAttempt(attempt *attempt) bool {
 	batch := attempt.batch
 	if batch.connection != nil && !batch.message.recall() {
@@ -174,7 +174,8 @@
 }
 
 // handleAnswer handles a replica's answer. An answer to an attempt that is no longer in flight is dropped. An answer to
-// an attempt that never was on this connection counts as malformed: the attempt that it was meant for gets none.
+// an attempt that never was on this connection counts as malformed, since the attempt that it was meant for will get no
+// answer.
 func (loop *eventLoop) handleAnswer(conn *replicaConnection, attemptName []byte, outcome string, score []byte, report map[string]float64,
 	value []byte, decoded any,
 ) {
--- a/coordinator/attempts_test.go
+++ b/coordinator/attempts_test.go
@@ -16,8 +16,9 @@
 	"chalkring/balancer"
 )
 
-// A keyed shard request is a repeat, and bound to connections that were up before its first attempt, only once an
-// attempt may have run. Guards against taking it for a repeat after a refused dial, when it could be sent nowhere.
+// An attempt of a keyed shard request counts as a repeat only if an earlier attempt may have run; a repeat may use only
+// connections that were up before the first attempt. Guards against taking an attempt after a refused dial for a repeat:
+// no connection is that old, so it could be sent nowhere.
 func TestKeyedRequestThatNeverRanIsNoRepeat(t *testing.T) {
 	var hosts sync.Map // addresses of the hosts of cell 0
 	var dials atomic.Int32
@@ -46,8 +47,9 @@
 	r.shutDown()
 }
 
-// An attempt of a keyed shard request is a repeat if an earlier one may have run, by the earlier ones' outcomes. A wrong
-// answer would send a repeat to a replica that does not drop it, or hold back an attempt that is safe.
+// The outcomes of the earlier attempts of a keyed shard request decide whether the next attempt is a repeat: it is if one
+// of them may have run. Guards against sending a repeat to a replica that does not drop it, and against holding back an
+// attempt that is safe.
 func TestFirstSentAt(t *testing.T) {
 	for _, x := range []struct {
 		outcomes string
@@ -85,7 +87,7 @@
 	}
 }
 
-// outcomeRecorder is a balancer that only records outcomes, and not even those if its slice is nil.
+// outcomeRecorder is a balancer that records outcomes and does nothing else; with a nil slice it drops them.
 type outcomeRecorder struct {
 	balancer.Balancer
 	outcomes *[]string
@@ -97,8 +99,8 @@
 	}
 }
 
-// twoAttemptsInFlight returns a search with two attempts on a connection that is up and has no writer: queued in one
-// batch, or in two batches of which only the second is written.
+// twoAttemptsInFlight returns a search with two attempts on a connection that is up and has no writer. Both are queued in
+// one batch, or each is in its own batch, of which the first is queued and the second is written.
 func twoAttemptsInFlight(twoBatches bool) (*eventLoop, *replicaConnection, *search) {
 	loop, conn, search := oneAttemptInFlight(stageQueued)
 	conn.connectedAt, loop.log = 1, newAsyncLogger(SystemClock{}, slog.DiscardHandler)
@@ -109,14 +111,14 @@
 		current.message.stage.Store(stageWritten)
 		conn.openBatches++
 	}
-	sub := &attempt{shardRequest: request, name: "q.1", batch: current}
-	current.attempts, conn.attempts, request.attempts, search.shardRequests = append(current.attempts, sub), append(conn.attempts, sub), []*attempt{sub}, append(search.shardRequests, request)
+	second := &attempt{shardRequest: request, name: "q.1", batch: current}
+	current.attempts, conn.attempts, request.attempts, search.shardRequests = append(current.attempts, second), append(conn.attempts, second), []*attempt{second}, append(search.shardRequests, request)
 	loop.searches.shardRequests[3] = request
 	return loop, conn, search
 }
 
-// A search that ends takes all its attempts off a batch in one step. Taken off one by one, a message with the remaining
-// ones could be sent in between.
+// A search that ends takes all its attempts off a batch in one step. If they were taken off one by one, a message with
+// the remaining ones could be sent in between.
 func TestBatchIsRecalledTogether(t *testing.T) {
 	loop, conn, current := twoAttemptsInFlight(false)
 	require.Empty(t, loop.finishSearch(current))
@@ -175,8 +177,8 @@
 	require.Equal(t, []string{"Ignored", "Failed"}, outcomes)
 }
 
-// A repeat of a keyed shard request that the writer reaches after the idempotency window is not sent, and is reported so
-// to the balancer: the replica may have forgotten the first attempt and would run the repeat.
+// A repeat of a keyed shard request that the writer reaches after the idempotency window is not sent, and is reported
+// to the balancer as never sent: the replica may have forgotten the first attempt and would run the repeat.
 func TestRepeatsAreSentWithinTheirWindow(t *testing.T) {
 	for late, want := range map[bool]int32{false: stageWritten, true: stageRecalled} {
 		var outcomes []string
@@ -190,8 +192,8 @@
 		request.attempts[0].sentAt, request.attempts[0].replica = now, conn.replica
 		loop.CancelAttempt(request.id, 0)
 		current := &batch{connection: conn}
-		sub := &attempt{shardRequest: request, index: 1, name: "q.0", batch: current, deadline: 50_000, replica: conn.replica}
-		current.attempts, conn.attempts, request.attempts = []*attempt{sub}, []*attempt{sub}, append(request.attempts, sub)
+		repeat := &attempt{shardRequest: request, index: 1, name: "q.0", batch: current, deadline: 50_000, replica: conn.replica}
+		current.attempts, conn.attempts, request.attempts = []*attempt{repeat}, []*attempt{repeat}, append(request.attempts, repeat)
 		request.unreported, conn.openBatches = request.unreported+1, 1
 		now += 2900
 		loop.now = now
--- a/coordinator/connection_end.go
+++ b/coordinator/connection_end.go
@@ -38,11 +38,11 @@
 // Error implements error. The texts are values of log lines.
 func (e connectionEndError) Error() string { return connectionEndNames[e] }
 
-// attemptOutcome returns the outcome of an attempt that was on the connection when it ended; no other code derives it.
-// If the other side ended the connection, a completely written attempt was reset; one that was not could not connect,
-// or, if the connection had worked before, was merely not sent. If this side ended it, a written attempt was canceled
-// and may have run, any other was not sent: neither shows that the replica is down. A malformed answer fails only the
-// first written attempt: it must not look like a crash.
+// attemptOutcome returns the outcome of an attempt that was on the connection when it ended. It is the only code that
+// decides this. If the other side ended the connection, a completely written attempt counts as reset. Any other attempt
+// then counts as unable to connect or, if the connection had worked before, as never sent. If this side ended it, a
+// written attempt counts as canceled and may have run, and any other as never sent: neither shows that the replica is
+// down. A malformed answer fails only the first written attempt, so that it does not look like a crash.
 func (e connectionEndError) attemptOutcome(written, first, worked bool) string {
 	switch e {
 	case errNotConnected, errPeerClosed, errReset, errWriteFailed:
--- a/coordinator/connection_end_test.go
+++ b/coordinator/connection_end_test.go
@@ -13,7 +13,7 @@
 // Each end of a connection has one outcome for its attempts. Guards against an end that makes a sound replica look down,
 // or that lets an attempt be retried although it may have run.
 func TestAttemptOutcomesOfConnectionEnds(t *testing.T) {
-	want := map[connectionEndError][3]string{} // of attempts that are not completely written; of the first written one; of the other written ones
+	want := map[connectionEndError][3]string{} // outcomes of an attempt that is not completely written, of the first written one, and of another written one
 	for _, e := range []connectionEndError{errNotConnected, errPeerClosed, errReset, errWriteFailed} {
 		want[e] = [3]string{"ConnectError", "ResetByPeer", "ResetByPeer"}
 	}
--- a/coordinator/connection_limiter_test.go
+++ b/coordinator/connection_limiter_test.go
@@ -73,7 +73,8 @@
 	end()
 }
 
-// deadlineConn holds back what it has read until the connection has been asked to make room.
+// deadlineConn holds back what it has read until the connection has been asked to make room, which sets a read deadline
+// in the past.
 type deadlineConn struct {
 	net.Conn
 	read, askedToLeave chan struct{}
--- a/coordinator/final_answer_test.go
+++ b/coordinator/final_answer_test.go
@@ -17,10 +17,10 @@
 	conn := &replicaConnection{messageConn: newMessageConn(context.Background(), 2), replica: &replica{id: "a0"}, protocol: frameProtocol{}, openBatches: 1}
 	current := &search{id: 1, name: "q"}
 	request := &shardRequest{id: 2, search: current, unreported: 1}
-	sub := &attempt{shardRequest: request, name: "q.0", batch: &batch{connection: conn, message: &outboundMessage{}}}
-	sub.batch.attempts, conn.attempts, request.attempts, current.shardRequests = []*attempt{sub}, []*attempt{sub}, []*attempt{sub}, []*shardRequest{request}
+	inFlight := &attempt{shardRequest: request, name: "q.0", batch: &batch{connection: conn, message: &outboundMessage{}}}
+	inFlight.batch.attempts, conn.attempts, request.attempts, current.shardRequests = []*attempt{inFlight}, []*attempt{inFlight}, []*attempt{inFlight}, []*shardRequest{request}
 	loop.searches.byID[1], loop.searches.shardRequests[2] = current, request
-	sub.batch.message.stage.Store(stage)
+	inFlight.batch.message.stage.Store(stage)
 	return loop, conn, current
 }
 
@@ -72,8 +72,9 @@
 	}
 }
 
-// A final answer waits for a frame that is being written also if its attempt has been given up, as a second copy is once
-// the first attempt is answered. An attempt that is given up after the answer adds no write to wait for.
+// A final answer also waits for the frame of an attempt that was given up while the frame was being written, as happens to
+// a second copy when the first attempt is answered. An attempt that is given up after the answer adds no write to wait
+// for.
 func TestNothingCanceledAfterFinalAnswer(t *testing.T) {
 	for stage, waits := range map[int32]bool{stageWriting: true, stageWritten: false} {
 		loop, _, search := oneAttemptInFlight(stage)
--- a/coordinator/frame_protocol.go
+++ b/coordinator/frame_protocol.go
@@ -16,7 +16,7 @@
 const (
 	frameReadTimeout     = 300 * time.Millisecond // from a frame's first byte to its last: answers fit into a few packets
 	maxLoggedRejectBytes = 200                    // bytes of a replica's reject text in a log line
-	frameParameterRoom   = 256                    // bytes of a shard request's parameters for which no memory is allocated
+	frameParameterRoom   = 256                    // bytes of a shard request's parameters that fit without an allocation
 )
 
 // frameProtocol is the platform's own protocol: a frame has one or more shard requests, each answered by a frame.
@@ -38,22 +38,22 @@
 	dst = frame.Begin(dst, frame.TypeBatch)
 	var room [frameParameterRoom]byte
 	for _, attempt := range batch.attempts {
-		list := strconv.AppendInt(append(room[:0], "d="...), max(1, (attempt.deadline-loop.now)/10), 10)
+		parameters := strconv.AppendInt(append(room[:0], "d="...), max(1, (attempt.deadline-loop.now)/10), 10)
 		if search := attempt.shardRequest.search; attempt.shardRequest.step == 2 {
 			for i, shard := range search.firstStepShards {
-				word := "+"
+				separator := "+"
 				if i == 0 {
-					word = ",from="
+					separator = ",from="
 				}
-				list = strconv.AppendInt(append(list, word...), int64(shard), 10)
+				parameters = strconv.AppendInt(append(parameters, separator...), int64(shard), 10)
 			}
 			if search.firstStepComplete {
-				list = append(list, ",whole=1"...)
+				parameters = append(parameters, ",whole=1"...)
 			} else {
-				list = append(list, ",whole=0"...)
+				parameters = append(parameters, ",whole=0"...)
 			}
 		}
-		dst = frame.AppendShardRequest(dst, attempt.name, attempt.shardRequest.shard, list, attempt.shardRequest.search.text)
+		dst = frame.AppendShardRequest(dst, attempt.name, attempt.shardRequest.shard, parameters, attempt.shardRequest.search.text)
 	}
 	return frame.End(dst, 0)
 }
@@ -71,8 +71,8 @@
 // frameOutcomes maps the outcome word of an answer to the balancer's outcome.
 var frameOutcomes = map[string]string{"good": "Ok", "bad": "Failed", "later": "QueueFull"}
 
-// readAnswers implements wireProtocol. Once a frame has begun, the rest of it has to arrive in time: its length may be
-// more than what is sent. Answers that arrive together are handled in one task.
+// readAnswers implements wireProtocol. Once a frame has begun, the rest of it has to arrive in time: the length that
+// it states may be more than the replica sends. Answers that arrive together are handled in one task.
 func (frameProtocol) readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error {
 	src := bufferedReaders.Get().(*bufio.Reader)
 	src.Reset(conn)
--- a/coordinator/golden_replica_test.go
+++ b/coordinator/golden_replica_test.go
@@ -61,8 +61,8 @@
 	}), sent
 }
 
-// The bytes that a replica receives for a shard request and its cancellation match the golden file; the remaining time, in
-// milliseconds of seven digits, is replaced by #. Guards against changes of the wire form.
+// The bytes that a replica receives for a shard request and its cancellation match the golden file; the remaining time,
+// seven digits that count milliseconds, is replaced by #. Guards against changes of the wire form.
 func TestGoldenReplicaConnection(t *testing.T) {
 	r, sent := startRecorded(t)
 	scripted := r.useScriptedBalancer()
@@ -115,7 +115,7 @@
 }
 
 // The outcomes of hosts' answers match the golden file: by HTTP status, by body, and by the outcome word of a frame.
-// Guards against an answer that counts differently for the balancer.
+// Guards against changes of the outcome that the balancer gets for an answer.
 func TestGoldenHostOutcomes(t *testing.T) {
 	const good = `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":1,"relation":"eq"},"max_score":1,"hits":[{"_index":"members","_id":"a","_score":1,"sort":[1,"a"]}]}}`
@@ -138,7 +138,7 @@
 }
 
 // Requests to discovery match the golden file byte by byte: requests for changes, and the one for the full list after
-// discovery's versions have started over. The address is replaced by DISCOVERY.
+// discovery's versions have started over. The address is replaced by DISCOVERY. Guards against changes of the wire form.
 func TestGoldenDiscoveryRequests(t *testing.T) {
 	r, sent := startRecorded(t)
 	fullList := fmt.Sprintf(`"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
--- a/coordinator/keyed_requests_test.go
+++ b/coordinator/keyed_requests_test.go
@@ -139,7 +139,7 @@
 	for effectID, n := range d.effects {
 		require.Equal(t, 1, n, "effects of %s", effectID)
 	}
-	// the numbers depend on the load of the machine; without any of each the test would show nothing
+	// the numbers depend on the load of the machine; without at least one of each, the test would show nothing
 	require.Positive(t, total[200])
 	require.Positive(t, d.repeats, "the faults cause repeats")
 	require.Positive(t, d.restarts)
--- a/coordinator/message_conn.go
+++ b/coordinator/message_conn.go
@@ -15,7 +15,7 @@
 	maxCoalescedBytes    = 8 << 10                // bytes of messages after which no more are added to a write: half a buffer
 	maxCoalescedMessages = 64                     // messages in one write: one iteration's batches to one replica
 	maxWriteWait         = 20 * time.Millisecond  // wait for a write that has begun: a socket takes a message at once
-	writeWaitYields      = 16                     // checks of such a write that only yield the processor in between
+	writeWaitYields      = 16                     // checks of such a write between which the goroutine only yields the processor
 	writeWaitPoll        = 100 * time.Microsecond // between two checks after those
 )
 
@@ -37,7 +37,7 @@
 	stageRecalled // taken back before its write began
 )
 
-// recall takes a message back. It returns false where bytes of the message may have been sent already.
+// recall takes a message back. It returns false if bytes of the message may have been sent already.
 func (p *outboundMessage) recall() bool { return p.stage.CompareAndSwap(stageQueued, stageRecalled) }
 
 // messageConn is one connection and the messages that wait to be written to it. The writer drops messages that may not
@@ -54,7 +54,7 @@
 
 	log *asyncLogger // for panics; nil for no log
 
-	pendingWrites []pendingWrite // of other connections, which have to end before the next message is written; set by the caller of enqueue
+	pendingWrites []pendingWrite // writes on other connections that have to end before the next message is written; set by the caller of enqueue
 	writerEnded   atomic.Bool    // the writer has returned
 }
 
@@ -74,7 +74,8 @@
 	}
 }
 
-// missedDeadline says whether a message is past its deadline, which it forgets: call it once for each message.
+// missedDeadline says whether a message is past its deadline. It removes the deadline, so it may be called only once for
+// each message.
 func (l *messageConn) missedDeadline(message *outboundMessage) bool {
 	by, _ := l.deadlines.LoadAndDelete(message)
 	return l.clockTicks() > by.(int64)
--- a/coordinator/opensearch_protocol.go
+++ b/coordinator/opensearch_protocol.go
@@ -51,8 +51,8 @@
 	conn.closeNow(errRetired)
 }
 
-// classifyResponse returns the balancer's outcome for a host's response; no other code derives it. A request that got
-// 429 or 503 has not run; any other without a good answer may have run.
+// classifyResponse returns the balancer's outcome for a host's response. It is the only code that decides this. A request
+// that got 429 or 503 has not run; any other without a good answer may have run.
 func (k openSearchProtocol) classifyResponse(status int, body []byte, shard int) (outcome string, err error) {
 	switch {
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
--- a/coordinator/replica.go
+++ b/coordinator/replica.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-const drainSendShare = 0.5 // of the drain grace, in which a draining replica may still get frames; the rest allows for a late list
+const drainSendShare = 0.5 // share of the drain grace during which a draining replica may still get frames; the rest allows for a late endpoint list
 
 // replicaTable is the replicas of the current endpoint list, and those of earlier lists that still have connections.
 type replicaTable struct {
@@ -70,9 +70,9 @@
 	}
 }
 
-// recallAfterGrace takes back the attempts that have not been sent to a draining, removed or moved replica once the time
-// in which that is allowed is over. Until then, batches go on waiting for their connections, since most come up in time:
-// recalling them at once would cost each shard request an attempt.
+// recallAfterGrace takes back attempts that have not yet been sent to a draining, removed or moved replica, once
+// drainSendShare of the drain grace is over and they may no longer be sent. Until then, batches go on waiting for their
+// connections, since most come up in time: recalling them at once would cost each shard request an attempt.
 func (loop *eventLoop) recallAfterGrace(replica *replica) {
 	grace := float64(loop.plan.Duration("Safety.DrainGrace") / tick)
 	loop.runAfter(int64(drainSendShare*grace), func() {
--- a/coordinator/replica_connection.go
+++ b/coordinator/replica_connection.go
@@ -10,12 +10,12 @@
 const (
 	replicaQueueSize     = 512                    // frames that wait to be written: batches of 32 streams and the cancels of their attempts
 	replicaIdleShare     = 0.7                    // of the time after which replicas close an idle connection: closing first avoids sending on one that they close
-	minDoubtDelay        = 1000                   // ticks without a byte received while an attempt is in flight, after which the next batch takes another connection,
-	doubtLatencyFactor   = 4.0                    // or this multiple of the average latency if that is longer
+	minDoubtDelay        = 1000                   // least ticks for which a connection is silent, with an attempt in flight, before the next batch takes another one
+	doubtLatencyFactor   = 4.0                    // the same as a multiple of the average latency; the longer of the two counts
 	latencyAverageWeight = 100.0                  // divisor of a new answer's share in the average latency: about the number of answers that it covers
 	maxRecentIDs         = 256                    // names of past attempts that a connection keeps: some seconds of answers
 	maxRedialDelay       = 100 * time.Millisecond // wait for a connection before a further dial: most come up in a few milliseconds
-	redialTimeoutParts   = 5                      // or the dial timeout divided by this, if shorter: the last dial has over half of the time left
+	redialTimeoutParts   = 5                      // divisor of the dial timeout for the same wait; the shorter of the two counts, and leaves the last dial over half of the time
 	maxParallelDials     = 3                      // dials for one connection: if one in three is late, all three are in one case of 27
 	silenceDialTimeouts  = 2                      // dial timeouts of silence after which a connection counts as lost
 )
@@ -31,7 +31,7 @@
 	attempts    []*attempt
 	heardAt     int64 // when the last answer was received; 0 before the first
 	usedAt      int64
-	recentIDs   map[string]uint64 // searches of past attempts by the attempts' names: answers may still arrive
+	recentIDs   map[string]uint64 // ids of the searches of past attempts, by the attempts' names: answers may still arrive
 	recentOrder []string          // the same names; once there are maxRecentIDs, the oldest is at oldestIndex
 	oldestIndex int
 
@@ -48,19 +48,19 @@
 	if loop.enforcer != nil {
 		connection.leaseExpired = loop.enforcer.leaseHasExpired
 	}
-	addr, wait := replica.addr, loop.plan.Duration("Permissions.DialTimeout")
-	room := loop.descriptors.maxExtraDials()
+	addr, dialTimeout := replica.addr, loop.plan.Duration("Permissions.DialTimeout")
+	maxExtraDials := loop.descriptors.maxExtraDials()
 	loop.group.Go(func() error {
 		end := errNotConnected
-		ctx, cancel := context.WithTimeout(connection.ctx, wait)
-		conn, err := loop.dialWithRetries(ctx, addr, min(maxRedialDelay, wait/redialTimeoutParts), room)
+		ctx, cancel := context.WithTimeout(connection.ctx, dialTimeout)
+		conn, err := loop.dialWithRetries(ctx, addr, min(maxRedialDelay, dialTimeout/redialTimeoutParts), maxExtraDials)
 		cancel()
 		if connectionEndOf(err) == errNoDescriptors {
 			end = errNoDescriptors
 		}
 		if err == nil {
 			loop.submit(func() { loop.handleConnected(connection) })
-			end = connection.serve(conn, wait, func(context.Context) error { return connection.protocol.readAnswers(loop, connection, conn) },
+			end = connection.serve(conn, dialTimeout, func(context.Context) error { return connection.protocol.readAnswers(loop, connection, conn) },
 				func(*outboundMessage) error { return nil })
 		}
 		loop.submit(func() { loop.handleConnectionEnd(connection, end, addr) })
@@ -156,8 +156,8 @@
 	l.recentIDs[attempt.name] = attempt.shardRequest.search.id
 }
 
-// silentFor returns for how long the connection has been silent: the age of its oldest attempt since which no answer was
-// received, 0 for none.
+// silentFor returns for how long the connection has been silent: the age of the oldest attempt that was sent after the
+// last answer was received, 0 for none.
 func (l *replicaConnection) silentFor(now int64) (age int64) {
 	for _, attempt := range l.attempts {
 		if l.heardAt < attempt.sentAt {
@@ -217,7 +217,7 @@
 		outcome := end.attemptOutcome(isWritten, isFirst, conn.heardAt > 0)
 		isFirst = isFirst && !isWritten
 		loop.detachAttempt(attempt)
-		if isWritten && !isCertain && loop.mayStillRun(attempt) {
+		if isWritten && !isCertain && loop.mustAwaitEnd(attempt) {
 			loop.abandonAttempt(conn, attempt, outcome)
 			continue
 		}
--- a/coordinator/replica_connection_test.go
+++ b/coordinator/replica_connection_test.go
@@ -169,8 +169,8 @@
 	r.shutDown()
 }
 
-// A search that crashes replicas ends with status 503, even if more of its attempts were on the connection that ended; the replicas go
-// on with other searches. Guards against retries that would crash further replicas.
+// A search that crashes replicas ends with status 503, even if more of its attempts were on the connection that ended; the
+// replicas go on with other searches. Guards against retries that would crash further replicas.
 func TestSearchThatCrashesReplicas(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a1", "draining"),
--- a/coordinator/replica_dial_test.go
+++ b/coordinator/replica_dial_test.go
@@ -222,7 +222,7 @@
 			return own(ctx, network, addr)
 		}
 	})
-	isGated := map[string]bool{} // by address
+	isGated := map[string]bool{} // by address; dials wait until gated holds it
 	for _, hostID := range []string{"a0", "a1"} {
 		isGated[r.replicas[hostID].Listener.Addr().String()] = true
 	}
--- a/coordinator/replica_dispatch.go
+++ b/coordinator/replica_dispatch.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	maxDoubtedConnections = 2                    // silent connections of a replica that are passed over: a silent replica gets no further ones
+	maxDoubtedConnections = 2                    // silent connections of a replica that are passed over; limits how many a silent replica gets
 	repeatWindowMargin    = 2 * time.Millisecond // left of the idempotency window when a repeat is sent: time for its way to the replica
 )
 
@@ -90,8 +90,8 @@
 }
 
 // connectionFor finds a connection with room for a batch, or opens one. With no descriptor left, it closes the longest
-// idle connection to any replica to make room; without one, the batch waits on a connection of this replica. It returns
-// nil if that is impossible too, and the attempts count as not sent: a shortage here is not the replica's fault.
+// idle connection to any replica to make room; if none is idle, the batch waits on a connection of this replica. It
+// returns nil if that is impossible too, and the attempts count as not sent: a shortage here is not the replica's fault.
 func (loop *eventLoop) connectionFor(replica *replica, batch *batch) *replicaConnection {
 	if since := loop.firstSentAt(batch.attempts[0]); since > 0 {
 		return replica.connectedSince(batch, since)
@@ -190,8 +190,8 @@
 }
 
 // recallBatch takes a search's attempts off a batch, or all attempts for a nil search, and reports them as never sent. It
-// returns false, and changes nothing, where bytes of the batch may have been sent already. It takes them off in one step:
-// one by one, a message with the remaining ones could be sent in between.
+// returns false, and changes nothing, if bytes of the batch may have been sent already. It takes them off in one step: if
+// they were taken off one by one, a message with the remaining ones could be sent in between.
 func (loop *eventLoop) recallBatch(batch *batch, only *search) bool {
 	if batch.connection != nil && !batch.message.recall() {
 		return false
--- a/coordinator/rig_test.go
+++ b/coordinator/rig_test.go
@@ -163,8 +163,8 @@
 	readPlan  = plan.Read
 )
 
-// startWithOptions starts a coordinator with four replicas; all parameters but sockets may be nil, except more, which may change
-// the options.
+// startWithOptions starts a coordinator with four replicas. The parameters zones, edit, overrides and shadow may be nil;
+// more may change the options.
 func startWithOptions(t *testing.T, zones map[string]string, sockets int, edit func(settings map[string]any), overrides, shadow map[string]string,
 	more func(m *Options),
 ) *rig {
--- a/coordinator/search.go
+++ b/coordinator/search.go
@@ -134,9 +134,9 @@
 		loop.searches.shardRequests[request.id] = request
 		names = request.appendName(names)
 	}
-	text, own := string(names), [maxRequestIDBytes + attemptNameExtra]byte{}
+	text, scratch := string(names), [maxRequestIDBytes + attemptNameExtra]byte{}
 	for _, request := range search.shardRequests[from:] {
-		n := len(request.appendName(own[:0]))
+		n := len(request.appendName(scratch[:0]))
 		request.name, text = text[:n], text[n:]
 	}
 	for i, request := range search.shardRequests[from:] {
--- a/coordinator/search_end.go
+++ b/coordinator/search_end.go
@@ -95,7 +95,7 @@
 			gone = append(gone, open)
 		}
 	}
-	slices.SortFunc(gone, func(a, b *search) int { return cmp.Compare(a.id, b.id) }) // the balancer's actions follow the order of its calls
+	slices.SortFunc(gone, func(a, b *search) int { return cmp.Compare(a.id, b.id) }) // the order of the calls decides that of the balancer's actions, and a map has none
 	for _, search := range gone {
 		loop.withdrawSearch(search)
 	}
@@ -154,7 +154,7 @@
 		}
 		loop.dropShardRequest(request)
 	}
-	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // not kept in memory by an idle client connection, which refers to its last search
+	search.shardRequests, search.text, search.shards, search.weights, search.pendingWrites = nil, nil, nil, nil, nil // an idle client connection refers to its last search, and would keep these in memory
 	return pending
 }
 
--- a/coordinator/socket_hooks_test.go
+++ b/coordinator/socket_hooks_test.go
@@ -86,7 +86,7 @@
 	return err
 }
 
-// hookedClock is a clock whose waits of the length held last until the test sends to gate.
+// hookedClock is a clock on which a wait of exactly the length held ends only when the test sends to gate.
 type hookedClock struct {
 	SystemClock
 	held time.Duration
--- a/coordinator/value_decoders.go
+++ b/coordinator/value_decoders.go
@@ -27,7 +27,8 @@
 }
 
 // decode decodes the value of an answer with the decoder of its search; it returns nil if the search has none. It catches
-// a host whose answers are well-formed but lack what was requested: the shard request would count as completed.
+// a host whose answers are well-formed but lack what was requested: without it, the shard request would count as
+// completed.
 func (d *valueDecoders) decode(attemptName, value []byte) (any, error) {
 	if d.count.Load() == 0 {
 		return nil, nil
--- a/coordinator/wire_protocol.go
+++ b/coordinator/wire_protocol.go
@@ -7,8 +7,8 @@
 )
 
 // wireProtocol is the codec between the event loop and a kind of host: how attempts are sent and canceled, and what an
-// answer means. Only this differs between kinds of hosts: which replica gets a shard request, when an attempt is given up
-// and what its end means do not depend on it. All methods except readAnswers run on the event loop's goroutine.
+// answer means. Nothing else depends on the kind of host: not which replica gets a shard request, when an attempt is given
+// up, or what the attempt's end means. All methods except readAnswers run on the event loop's goroutine.
 type wireProtocol interface {
 	// attemptsPerBatch returns how many attempts may be sent in one message.
 	attemptsPerBatch(loop *eventLoop) int
@@ -25,8 +25,8 @@
 	readAnswers(loop *eventLoop, connection *replicaConnection, conn net.Conn) error
 }
 
-// HostKind is a kind of host that speaks the OpenSearch-style API. Its documents are in Index. If Placement is set, they
-// are placed in blocks by the API's rule.
+// HostKind is a kind of host that speaks the OpenSearch-style API. Its documents are in Index. If Placement is set, the
+// documents are placed in blocks by the API's rule.
 type HostKind struct {
 	Index     string
 	Placement *query.Placement
