--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	logQueueSize      = 1024            // lines that wait for the log: a burst of some for each connection
-	logFlushTimeout   = 2 * time.Second // for the lines that are left at the end: the process is to end soon
-	logRepeatInterval = time.Second     // between two lines of one kind that others can cause at will
+	logQueueSize      = 1024            // lines waiting to be written: room for a burst of several lines per connection
+	logFlushTimeout   = 2 * time.Second // to write the remaining lines at the end, short so that the process exits soon
+	logRepeatInterval = time.Second     // least time between two lines of a kind that clients or peers can cause at will
 )
 
-// asyncLogger is the log as the coordinator's goroutines write to it: none waits for it. Lines that find its queue
-// full are dropped and counted, so that a log that is not read does not stall the service.
+// asyncLogger is the logger of the coordinator's goroutines: logging never blocks them. Lines that do not fit into its
+// queue are dropped and counted, so that a log output that nobody reads does not stall the service.
 type asyncLogger struct {
 	*slog.Logger
 	clock     Clock
@@ -26,17 +26,17 @@
 	lostLines atomic.Int64
 
 	mu          sync.Mutex
-	lastWritten map[string]time.Time // by kind of line that others can cause at will
-	suppressed  map[string]int       // lines of the kind left out since; kinds are few
+	lastWritten map[string]time.Time // by kind, for lines written by warnLimited
+	suppressed  map[string]int       // lines of each kind left out since; there are few kinds
 }
 
-// logRecord is a line on its way to its handler.
+// logRecord is a queued line with the handler that writes it.
 type logRecord struct {
 	handler slog.Handler
 	record  slog.Record
 }
 
-// boundedHandler queues records without waiting.
+// boundedHandler queues records without blocking, and drops them while the queue is full.
 type boundedHandler struct {
 	logger  *asyncLogger
 	handler slog.Handler
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// newAsyncLogger returns a logger whose run writes its lines.
+// newAsyncLogger returns a logger whose lines are written by its run method.
 func newAsyncLogger(clock Clock, out slog.Handler) *asyncLogger {
 	n := &asyncLogger{
 		clock: clock, handler: out, records: make(chan logRecord, logQueueSize), lastWritten: map[string]time.Time{},
@@ -77,8 +77,8 @@
 	return n
 }
 
-// warnLimited logs what others can cause at will: one line of each kind in logRepeatInterval, with the count of those
-// left out.
+// warnLimited logs an event that clients or peers can cause at will: at most one line of each kind per
+// logRepeatInterval, with the number of lines left out since the previous one.
 func (n *asyncLogger) warnLimited(kind, event string, attrs ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,7 +91,7 @@
 	n.lastWritten[kind], n.suppressed[kind] = now, 0
 }
 
-// run writes the lines until ctx ends, and then what is left, for logFlushTimeout at the most.
+// run writes queued lines until ctx ends, and then the remaining ones for at most logFlushTimeout.
 func (n *asyncLogger) run(ctx context.Context) error {
 	for {
 		select {
@@ -111,7 +111,8 @@
 	}
 }
 
-// writeRecord writes a line, and after it how many before it were lost: dropped, or not taken by the log.
+// writeRecord writes a line, followed by the number of earlier lines that were lost: dropped, or not written by the
+// handler.
 func (n *asyncLogger) writeRecord(ctx context.Context, l logRecord) {
 	if l.handler.Handle(ctx, l.record) != nil {
 		n.lostLines.Add(1)
@@ -126,8 +127,8 @@
 	}
 }
 
-// recoverPanic has a panic end one connection alone, not the process and all that others wait for. What the panic
-// interrupts stays undone. The logger may be nil.
+// recoverPanic turns a panic in handle into an error, so that it ends one connection and not the process with all other
+// searches. Work that the panic interrupts stays undone. The logger may be nil.
 func (n *asyncLogger) recoverPanic(handle func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -9,7 +9,7 @@
 	"chalkring/internal/http1"
 )
 
-const responseHeadRoom = 512 // bytes for the head of an answer
+const responseHeadRoom = 512 // bytes reserved for the head of a response
 
 // writeAnswer sends a search's final answer. The event loop calls it.
 func (c *clientConnection) writeAnswer(outcome searchOutcome, keep bool) {
@@ -36,7 +36,7 @@
 			buffer = new([]byte)
 			*buffer = make([]byte, 0, size+responseHeadRoom)
 		}
-		if !plain { // the length of an escaped body is known only once it is written
+		if !plain { // the length of a body with escapes is known only after encoding it
 			*buffer = appendAnswerBody(*buffer, outcome)
 			c.respond(200, "", *buffer, keep)
 			returnBuffer(buffer)
@@ -56,20 +56,21 @@
 	c.sendAnswer(&outboundMessage{buffer: buffer, closesConnection: last})
 }
 
-// sendAnswer hands a response to the writer and counts its bytes until they are written.
+// sendAnswer queues a response for the writer and counts its bytes as unsent until they are written.
 func (c *clientConnection) sendAnswer(message *outboundMessage) {
 	c.addUnsent(len(*message.buffer))
 	c.enqueue(message)
 }
 
-// addUnsent counts bytes of answers that are not written.
+// addUnsent adds to the number of answer bytes that are not written yet.
 func (c *clientConnection) addUnsent(n int) {
 	c.unsentBytes.Add(int64(n))
 	c.loop.searches.unsentBytes.Add(int64(n))
 }
 
-// keepAlive returns what a response says of its connection: keep, that it stays open, and last, that it ends here.
-// During shutdown the client is told to close, and what it sends all the same is answered.
+// keepAlive returns whether a response announces that its connection stays open (keep), and whether the connection is
+// closed after it (last). During shutdown responses ask the client to close the connection, but requests that it sends
+// nevertheless are answered.
 func (c *clientConnection) keepAlive(keeps bool) (keep, last bool) {
 	if !keeps || c.stopping.Err() == nil {
 		return keeps, !keeps
@@ -78,7 +79,7 @@
 	return c.hasPipelined.Load() && !last, last
 }
 
-// handleWritten is called for each response that is completely written.
+// handleWritten is called after each completely written response.
 func (c *clientConnection) handleWritten(message *outboundMessage) error {
 	c.addUnsent(-len(*message.buffer))
 	if message.closesConnection {
@@ -94,7 +95,7 @@
 	case c.answered <- struct{}{}:
 	default:
 	}
-	switch { // last, since the reader that wakes here checks that the request is answered
+	switch { // last, since the reader woken here checks whether the request is answered
 	case message.closesConnection:
 	case c.hasPipelined.Load():
 		c.interruptRead()
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// answerBodySize returns the length of an answer's body. It is exact only if plain: values that have to be escaped
-// make the body longer.
+// answerBodySize returns the length of an answer's body. The size is exact only if plain is true; otherwise some values
+// need escapes, which make the body longer.
 func answerBodySize(outcome searchOutcome) (size int, plain bool) {
 	plain = true
 	size = len(`{"total":,"answers":[]}`) + len("false")
--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	requestReadTimeout = 2500 * time.Millisecond // for a request to arrive, the first from connecting: the platform owes under 3 s
-	clientIdleTimeout  = 3 * time.Second         // after which an idle client connection is closed: usual clients send several requests a second
-	finalReadGrace     = 50 * time.Millisecond   // for one more read after a request's time ran out: its bytes may be there already
-	stopIdleTimeout    = time.Second             // without a request during shutdown: the client has had time to close
-	lingerTimeout      = time.Second             // for a client to read its last answer and close
-	maxLingerBytes     = 256 << 10               // bytes read meanwhile: four of the longest bodies
+	requestReadTimeout = 2500 * time.Millisecond // to read a request, the first one counted from connecting; the platform requires less than 3 s
+	clientIdleTimeout  = 3 * time.Second         // after which an idle client connection is closed; typical clients send several requests a second
+	finalReadGrace     = 50 * time.Millisecond   // for one more read after a read timeout, since the bytes may have arrived already
+	stopIdleTimeout    = time.Second             // without a request during shutdown until a connection is closed; its client has had time to close it
+	lingerTimeout      = time.Second             // for a client to read its last answer and close the connection
+	maxLingerBytes     = 256 << 10               // bytes read during lingerTimeout: four bodies of the maximum size
 )
 
-// clientConnection is one client's connection. Its fields are the reading goroutine's, but for atomic ones and those
-// marked as the limiter's.
+// clientConnection is one client's connection. Its fields belong to the reading goroutine, except for atomic ones and
+// those marked as owned by the limiter.
 type clientConnection struct {
 	*clientListener
 	*messageConn
-	idleElement       *list.Element // in the limiter's list while no request is in progress; the limiter's
-	requestBegun      bool          // the first bytes of a request have been read; the limiter's
+	idleElement       *list.Element // in the limiter's list while no request is in progress; owned by the limiter
+	requestBegun      bool          // the first bytes of a request have been read; owned by the limiter
 	conn              net.Conn
 	reader            *http1.Reader
-	readAvailable     func(p []byte) (int, error) // reads without waiting; nil where the connection cannot
+	readAvailable     func(p []byte) (int, error) // reads without blocking; nil if the connection does not support it
 	firstDeadline     time.Time                   // for the first request; zero once it has been read
-	requestDeadline   time.Time                   // for the request that is being read
-	lastSearch        *search                     // nil before the first
+	requestDeadline   time.Time                   // for the request being read; zero between requests
+	lastSearch        *search                     // nil before the first search
 	awaitingAnswer    bool
-	stopReadDeadline  time.Time // for one more request during shutdown; zero while none is awaited
+	stopReadDeadline  time.Time // for the next request during shutdown; zero if none is set
 	extendedOnce      bool      // finalReadGrace has been used since the last request
 	answered          chan struct{}
-	lastAnswerWritten atomic.Bool  // the connection's last answer is written
-	hasPipelined      atomic.Bool  // bytes of the next request have arrived before the answer, during shutdown
-	askedToLeave      atomic.Bool  // to make room for a new connection; the limiter's
-	unsentBytes       atomic.Int64 // of answers that are not written
+	lastAnswerWritten atomic.Bool  // the answer after which the connection closes has been written
+	hasPipelined      atomic.Bool  // during shutdown: bytes of the next request arrived before the answer
+	askedToLeave      atomic.Bool  // by the limiter, to make room for a new connection
+	unsentBytes       atomic.Int64 // of answers that are not written yet
 }
 
-// isAwaitingAnswer says whether the last request is not answered yet.
+// isAwaitingAnswer reports whether the last request is not answered yet.
 func (c *clientConnection) isAwaitingAnswer() bool {
 	select {
 	case <-c.answered:
@@ -54,7 +54,7 @@
 	return c.awaitingAnswer
 }
 
-// Read implements io.Reader. It reads on past deadlines that others have set only to wake it.
+// Read implements io.Reader. It continues after read deadlines that other goroutines have set only to wake it.
 func (c *clientConnection) Read(p []byte) (int, error) {
 	for {
 		if c.hasPipelined.Load() && !c.isAwaitingAnswer() {
@@ -70,15 +70,15 @@
 	}
 }
 
-// handleReadDeadline decides what a read deadline that is over means. It returns bytes that were read after all, or an
-// error that ends the connection, or neither, and then sets another deadline to read on.
+// handleReadDeadline decides how to proceed after an expired read deadline. It returns bytes that could still be read,
+// or an error that ends the connection, or neither after setting a new deadline to continue reading.
 func (c *clientConnection) handleReadDeadline(p []byte) (int, error) {
 	now, isReading := time.Now(), !c.requestDeadline.IsZero()
 	switch {
 	case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
 		return 0, errClosing
-	case c.askedToLeave.Load() && !c.hasPipelined.Load(): // what has been read ahead is handled first
-		// A connection must not make room for the next one while its request has arrived and was not read.
+	case c.askedToLeave.Load() && !c.hasPipelined.Load(): // pipelined requests are handled first
+		// A connection must not be closed to make room while a request of it has arrived unread.
 		if c.readAvailable != nil {
 			if n, _ := c.readAvailable(p); n > 0 {
 				return n, nil
@@ -92,7 +92,7 @@
 	case !isReading && c.acceptsLateRequest(now):
 		c.setReadDeadline(c.stopReadDeadline)
 	case !c.extendedOnce:
-		// After a stall of the process, the request may have arrived without time to read it.
+		// After a stall of the process, a request may have arrived that there was no time to read.
 		c.extendedOnce = true
 		c.setReadDeadline(now.Add(finalReadGrace))
 	case isReading:
@@ -105,8 +105,8 @@
 	return 0, nil
 }
 
-// acceptsLateRequest says whether a request that arrives soon is still served during shutdown. Several goroutines may
-// wake the reader meanwhile.
+// acceptsLateRequest reports whether the connection still waits for a request during shutdown. The deadline is stored,
+// since several goroutines may wake the reader meanwhile.
 func (c *clientConnection) acceptsLateRequest(now time.Time) bool {
 	if c.stopping.Err() == nil {
 		return false
@@ -117,8 +117,8 @@
 	return now.Before(c.stopReadDeadline)
 }
 
-// readRequests reads one request after another. While a search is open it waits for the next request, and so sees the
-// client leave.
+// readRequests reads requests one after another. It keeps reading while a search is open, and so notices when the client
+// closes the connection.
 func (c *clientConnection) readRequests(ctx context.Context) error {
 	unhook := context.AfterFunc(c.stopping, c.interruptRead)
 	defer unhook()
@@ -137,7 +137,7 @@
 	}
 }
 
-// awaitRequest waits for the first bytes of the next request, and for the answer to the one before.
+// awaitRequest waits for the first bytes of the next request and for the answer to the previous one.
 func (c *clientConnection) awaitRequest(ctx context.Context, buffer []byte) error {
 	c.requestDeadline = time.Time{}
 	switch {
@@ -154,14 +154,14 @@
 	if c.isAwaitingAnswer() {
 		next := c.handlePipelined
 		if c.loop.isStopping() {
-			next = c.awaitTurn
+			next = c.awaitPreviousAnswer
 		}
 		if err := next(ctx); err != nil && !c.lastAnswerWritten.Load() {
 			return connectionEndOf(err)
 		}
 	}
-	// This check comes after awaiting the answer, which sets the flag. Without it, a request that was read after the
-	// last answer would be dispatched: that answer may be written between two checks.
+	// This check comes after awaiting the answer, which may set lastAnswerWritten in the meantime. Without it, a request
+	// that was read after the last answer would be dispatched.
 	if c.lastAnswerWritten.Load() {
 		c.linger(buffer)
 		return errClosing
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// readRequest reads one request whose first bytes have arrived, and starts to serve it; keep says whether its client
-// keeps the connection.
+// readRequest reads a request whose first bytes have arrived and starts to serve it. keep reports whether its client
+// keeps the connection open.
 func (c *clientConnection) readRequest() (keep bool, err error) {
 	c.limiter.markRequestBegun(c)
 	if c.requestDeadline = c.firstDeadline; c.firstDeadline.IsZero() {
@@ -190,12 +190,12 @@
 	return keep, err
 }
 
-// handleRequestError answers a request that could not be served. It returns nil where the next request can be read.
+// handleRequestError answers a request that could not be served. It returns nil if the next request can be read.
 func (c *clientConnection) handleRequestError(ctx context.Context, err error, keep bool, buffer []byte) error {
 	var rejected requestError
 	var invalid http1.InvalidMessageError
 	switch {
-	case errors.As(err, &rejected): // the next request's begin is known
+	case errors.As(err, &rejected): // the request was read completely, so the start of the next one is known
 		c.loop.log.warnLimited("refused", "refused", "client", c.conn.RemoteAddr().String(), "status", rejected.status,
 			"error", rejected.text)
 		c.respond(rejected.status, "", []byte("{}"), keep)
@@ -212,9 +212,9 @@
 	return nil
 }
 
-// handlePipelined handles bytes that arrived before the answer to the request before them. If that answer is being
-// written, its client may have it already. Otherwise the client pipelines, which the protocol rules out: the open
-// search is withdrawn and gets an error, so that a client cannot send hundreds of requests at once.
+// handlePipelined handles bytes that arrived before the answer to the previous request was completely written. If that
+// answer is being written, its client may have received it already. Otherwise the client pipelines, which the protocol
+// forbids: the open search is withdrawn and gets an error, so that a client cannot send hundreds of requests at once.
 func (c *clientConnection) handlePipelined(ctx context.Context) error {
 	search := c.lastSearch
 	c.loop.submit(func() {
@@ -227,10 +227,10 @@
 	return c.awaitAnswer(ctx)
 }
 
-// awaitTurn waits, during shutdown, for the answer to the request before, so that the next one is served after it: its
-// client may have sent it before it could know of the shutdown. It reads on meanwhile, as far as the buffer has room,
-// and so sees the client leave.
-func (c *clientConnection) awaitTurn(ctx context.Context) error {
+// awaitPreviousAnswer is called for pipelined bytes during shutdown. It waits for the answer to the previous request, so
+// that the next request is served after it: its client may have sent it before learning of the shutdown. Meanwhile it
+// reads ahead as far as the buffer has room, and so notices when the client closes the connection.
+func (c *clientConnection) awaitPreviousAnswer(ctx context.Context) error {
 	c.hasPipelined.Store(true)
 	defer c.hasPipelined.Store(false)
 	for c.isAwaitingAnswer() {
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// errNextRequest ends reading ahead: the awaited answer is written.
-var errNextRequest = errors.New("the next request follows")
+// errNextRequest ends reading ahead, since the awaited answer has been written.
+var errNextRequest = errors.New("previous request is answered; the next one can be read")
 
 // awaitAnswer blocks until the awaited answer is written.
 func (c *clientConnection) awaitAnswer(ctx context.Context) error {
@@ -264,7 +264,8 @@
 	return nil
 }
 
-// linger reads on for a while after a last answer, so that no reset cuts it off before the client has read it.
+// linger reads and discards bytes for a while after the last answer: closing with unread bytes would send a reset, which
+// can cut off the answer before the client has read it.
 func (c *clientConnection) linger(buf []byte) {
 	c.requestDeadline = time.Now().Add(lingerTimeout)
 	c.setReadDeadline(c.requestDeadline)
@@ -276,7 +277,7 @@
 	}
 }
 
-// setReadDeadline bounds reading, unless the connection was just asked to make room.
+// setReadDeadline sets the read deadline. If the connection has been asked to make room, the read is interrupted instead.
 func (c *clientConnection) setReadDeadline(at time.Time) {
 	c.conn.SetReadDeadline(at)
 	if c.askedToLeave.Load() {
@@ -284,7 +285,7 @@
 	}
 }
 
-// setIdleDeadline bounds how long the connection may be idle, unless a shutdown has just begun.
+// setIdleDeadline limits how long the connection may be idle. If a shutdown has begun, the read is interrupted instead.
 func (c *clientConnection) setIdleDeadline(limit time.Time) {
 	c.setReadDeadline(limit)
 	if c.stopping.Err() != nil {
@@ -292,8 +293,8 @@
 	}
 }
 
-// clearReadDeadline reads on for as long as an answer is awaited. If that was written just now, the deadline that its
-// writer set has been removed, and is set again.
+// clearReadDeadline removes the read deadline while an answer is awaited. If the answer has been written in the meantime,
+// the deadline that its writer set has been removed too, and is set again.
 func (c *clientConnection) clearReadDeadline() {
 	c.conn.SetReadDeadline(time.Time{})
 	switch {
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	acceptRetryDelay   = 100 * time.Millisecond // before the next accept when no descriptor is left: some will be free
-	clientWriteTimeout = 5 * time.Second        // for a client to take a byte of its answer; after that it counts as gone
-	clientQueueSize    = 4                      // answers that wait on a client's connection: clients send one request at a time
+	acceptRetryDelay   = 100 * time.Millisecond // before the next accept after a failed one, so that descriptors can become free
+	clientWriteTimeout = 5 * time.Second        // without a byte of an answer written, after which the client counts as gone
+	clientQueueSize    = 4                      // answers queued on a client's connection; clients send one request at a time
 )
 
 // clientTable is the event loop's view of clients and frontends.
 type clientTable struct {
 	connections    map[*messageConn]bool
-	listenerClosed bool // no new client connections come
-	openFrontends  int  // other frontends that have not finished
+	listenerClosed bool // no new client connections are accepted
+	openFrontends  int  // other frontends that still serve
 }
 
-// clientListener accepts clients' connections. It turns HTTP requests into searches of the event loop, and their
-// outcomes into responses.
+// clientListener accepts clients' connections, hands their HTTP requests to the event loop as searches, and sends the
+// outcomes as responses.
 type clientListener struct {
 	loop             *eventLoop
 	limiter          *connectionLimiter
 	classes, tenants map[string]int
-	stopping         context.Context // done once no new connections are taken, acceptAfterStop after the stop
+	stopping         context.Context // done once no new connections are accepted, acceptAfterStop after the stop
 }
 
-// newClientListener returns a listener that takes new connections until stopping is done.
+// newClientListener returns a listener for an event loop. stopping is done once no new connections are accepted.
 func newClientListener(loop *eventLoop, stopping context.Context) *clientListener {
 	return &clientListener{
 		loop: loop, limiter: newConnectionLimiter(clientDescriptors(loop.plan.MaxSockets)),
@@ -41,12 +41,13 @@
 // accept accepts clients' connections until the listener is closed.
 func (f *clientListener) accept() error {
 	loop := f.loop
-	for taken := false; ; { // a connection was accepted since the listener's last deadline
+	for acceptedOne := false; ; { // since the listener's last deadline
 		conn, err := loop.Listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) { // see acceptLast
-			// The wait for room may have outlasted the deadline: connections that have arrived would be reset by the close.
-			if taken {
-				taken = false
+			// Waiting for room may have taken longer than the deadline, so further connections may have arrived, which the
+			// close would reset.
+			if acceptedOne {
+				acceptedOne = false
 				loop.acceptLast()
 				continue
 			}
@@ -65,7 +66,7 @@
 			}
 			continue
 		}
-		taken = true
+		acceptedOne = true
 		client := &clientConnection{
 			clientListener: f, messageConn: newMessageConn(loop.ctx, clientQueueSize), conn: conn,
 			answered: make(chan struct{}, 1),
@@ -75,7 +76,7 @@
 			conn.Close()
 			return nil
 		}
-		client.firstDeadline = time.Now().Add(requestReadTimeout) // the wait for room does not count
+		client.firstDeadline = time.Now().Add(requestReadTimeout) // waiting for room does not count
 		loop.submit(func() { loop.clients.connections[client.messageConn] = true })
 		loop.group.Go(func() error {
 			f.serveClient(client)
@@ -84,7 +85,7 @@
 	}
 }
 
-// serveClient runs a client's connection to its end.
+// serveClient serves a client's connection until it ends, and then releases what it holds.
 func (f *clientListener) serveClient(client *clientConnection) {
 	loop := f.loop
 	end := client.serve(client.conn, clientWriteTimeout, client.readRequests, client.handleWritten)
@@ -92,7 +93,7 @@
 	loop.submit(func() {
 		delete(loop.clients.connections, client.messageConn)
 		loop.searches.unsentBytes.Add(-client.unsentBytes.Swap(0))
-		if client.lastSearch != nil { // an open search has lost its client, whatever ended the connection
+		if client.lastSearch != nil { // an open search has no client any more, whatever ended the connection
 			loop.withdrawSearch(client.lastSearch)
 		}
 	})
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-const maxRequestIDBytes = 128 // bytes of a request's id, which stands in each of its frames
+const maxRequestIDBytes = 128 // length limit of a request's id, which is part of each frame sent to replicas
 
-// requestError is a request that can be parsed and not be served, with the response's status.
+// requestError is the error of a well-formed request that cannot be served, with the status of the response.
 type requestError struct {
 	status int
 	text   string
@@ -33,11 +33,11 @@
 	loop := c.loop
 	path, key, err := parseTarget(target)
 	if err != nil {
-		return badRequest("target %.40q", target)
+		return badRequest("request target %.40q is not a valid URI", target)
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	_, isClass := c.classes[first]
-	if path == "/healthz" && (method == http.MethodGet || !isClass) { // a class may have that name
+	if path == "/healthz" && (method == http.MethodGet || !isClass) { // a class may be called healthz
 		return c.serveHealth(method, keep)
 	}
 	if path == "/metrics" && method == http.MethodGet && (loop.shadowCounts != nil || loop.enforcer != nil) {
@@ -47,9 +47,9 @@
 	}
 	switch {
 	case method != http.MethodPost && isClass:
-		return requestError{405, "method of a search"}
+		return requestError{405, fmt.Sprintf("a search needs the method POST, got %.40q", method)}
 	case method != http.MethodPost:
-		return requestError{404, "no such path"}
+		return requestError{404, fmt.Sprintf("no such path: %.40q", path)}
 	}
 	submitted, err := c.newSearch(first, key, head, arrivedAt)
 	if err != nil {
@@ -67,10 +67,10 @@
 	return nil
 }
 
-// serveHealth answers whether the coordinator has a list of hosts and is not stopping.
+// serveHealth answers with status 200 if the coordinator has an endpoint list and is not stopping, and 503 otherwise.
 func (c *clientConnection) serveHealth(method string, keep bool) error {
 	if method != http.MethodGet {
-		return requestError{405, "method of /healthz"}
+		return requestError{405, fmt.Sprintf("/healthz needs the method GET, got %.40q", method)}
 	}
 	loop := c.loop
 	loop.submit(func() {
@@ -87,31 +87,31 @@
 func (c *clientConnection) newSearch(pathClass, key string, head map[string]string, arrivedAt time.Time) (*search, error) {
 	class, ok := c.classes[head["x-class"]]
 	if !ok {
-		return nil, badRequest("X-Class %.40q", head["x-class"])
+		return nil, badRequest("X-Class %.40q is not a class of the settings", head["x-class"])
 	}
 	if pathClass != head["x-class"] {
-		return nil, badRequest("X-Class is not the path's")
+		return nil, badRequest("X-Class %.40q differs from the class in the path, %.40q", head["x-class"], pathClass)
 	}
 	created := &search{
 		name: head["x-request-id"], key: key, class: class, arrivedAt: arrivedAt,
 		isRetry: head["x-retry"] == "1",
 	}
 	if !isPlainName(created.name) {
-		return nil, badRequest("X-Request-Id %.40q", created.name)
+		return nil, badRequest("X-Request-Id %.40q: want 1 to %d visible ASCII characters", created.name, maxRequestIDBytes)
 	}
 	if created.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
-		return nil, badRequest("X-Tenant %.40q", head["x-tenant"])
+		return nil, badRequest("X-Tenant %.40q is not a tenant of the settings", head["x-tenant"])
 	}
 	seconds, err := strconv.ParseFloat(head["x-deadline"], 64)
 	if err != nil || strings.Trim(head["x-deadline"], "0123456789.") != "" || seconds <= 0 {
-		return nil, badRequest("X-Deadline %.40q", head["x-deadline"])
+		return nil, badRequest("X-Deadline %.40q: want seconds above 0 in decimal notation", head["x-deadline"])
 	}
 	timeout := time.Duration(math.Min(seconds, maxClientTimeout.Seconds()) * float64(time.Second))
 	created.timeout = c.loop.limitTimeout(timeout, arrivedAt)
 	return created, nil
 }
 
-// isPlainName says whether a text can stand in a line of a frame.
+// isPlainName reports whether a text can be a field of a frame's line: 1 to maxRequestIDBytes visible ASCII characters.
 func isPlainName(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] <= ' ' || text[i] >= 127 {
@@ -121,7 +121,8 @@
 	return text != "" && len(text) <= maxRequestIDBytes
 }
 
-// parseTarget splits a request's target into its path and its key.
+// parseTarget returns the path of a request's target and its key, the query parameter k. Plain targets are split without
+// allocation; all others go through net/url.
 func parseTarget(target string) (path, key string, err error) {
 	path, query, _ := strings.Cut(target, "?")
 	key, plain := strings.CutPrefix(query, "k=")
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -1,5 +1,6 @@
 // Package coordinator runs one chalkring coordinator on sockets: clients, replicas, discovery and peers. An event loop owns
-// the balancer, which decides; this package carries its decisions out. docs/architecture.md describes how the files fit.
+// the balancer, which makes the decisions; this package carries them out. docs/architecture.md describes how the files fit
+// together.
 package coordinator
 
 import (
@@ -17,7 +18,7 @@
 	"chalkring/endpoints"
 )
 
-// Clock is the time that a coordinator works by. Deadlines of sockets are the system's, whichever Clock there is.
+// Clock is a coordinator's source of time. Deadlines of sockets always use the system's clock, whatever the Clock.
 type Clock interface {
 	Now() time.Time
 	After(time.Duration) <-chan time.Time
@@ -26,34 +27,35 @@
 // SystemClock is the machine's clock.
 type SystemClock struct{}
 
-// Now returns the time of the machine.
+// Now returns the current time.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// After returns a channel that gets the time once d is over.
+// After returns a channel on which the current time is sent after d.
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// Options is what a coordinator works with. Listener, Dial, Clock and Logger are needed; all others may be nil or empty.
+// Options are the dependencies of a coordinator. Listener, Dial, Clock and Logger are required; all others may be nil or
+// empty.
 type Options struct {
-	Listener    net.Listener // of clients; Serve closes it
+	Listener    net.Listener // for clients; Serve closes it
 	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	Clock       Clock
-	Logger      *slog.Logger      // one goroutine alone calls its handler
-	PlanUpdates <-chan *plan.Plan // plans that follow the first, as Plan.WatchReloads sends them
+	Logger      *slog.Logger      // its handler is called by one goroutine only
+	PlanUpdates <-chan *plan.Plan // reloaded plans, as Plan.WatchReloads sends them
 
 	HostKinds       map[string]HostKind     // kinds of host that speak the OpenSearch-style API, by the endpoint list's kind
-	Frontends       []Frontend              // other ways in for clients
+	Frontends       []Frontend              // further APIs for clients
 	Peers           *PeerOptions            // coordinators that exchange observations
-	EndpointUpdates <-chan endpoints.Update // hosts from other sources than discovery; may be closed
-	Persistence     *Persistence            // state on disk; then EndpointUpdates is from its PrependStoredUpdate
+	EndpointUpdates <-chan endpoints.Update // hosts from sources other than discovery; may be closed
+	Persistence     *Persistence            // state on disk; if set, EndpointUpdates has to come from its PrependStoredUpdate
 
 	Residency   *ResidencyGuard // contracts on where shard requests may run
-	OnSearchEnd func(SearchEnd) // is called at each search's end on the event loop's goroutine, so it must not block
+	OnSearchEnd func(SearchEnd) // called at each search's end on the event loop's goroutine, so it must not block
 
-	onStart chan<- *eventLoop // for tests that count what is held
+	onStart chan<- *eventLoop // receives the event loop, for tests that inspect it
 }
 
-// Serve serves until ctx ends and every search is answered; then it returns nil, and no goroutine of it is left. An error
-// is a plan that the balancer cannot be configured with, or a fault in an iteration of the event loop.
+// Serve serves until ctx ends and every search is answered; then it returns nil, with all of its goroutines ended. It
+// returns an error if the balancer cannot be configured with the plan or an iteration of the event loop panics.
 func Serve(ctx context.Context, initial *plan.Plan, options Options) (err error) {
 	group, work := errgroup.WithContext(context.WithoutCancel(ctx))
 	stopping, stop := context.WithCancel(work)
@@ -106,7 +108,7 @@
 	return loop
 }
 
-// attachOptional adds what an installation has asked for beside the plan.
+// attachOptional sets up the parts of the coordinator that options enable: peers, residency and other frontends.
 func (loop *eventLoop) attachOptional(options Options) {
 	peers := options.Peers
 	if options.Persistence != nil {
@@ -123,8 +125,8 @@
 	}
 }
 
-// startGoroutines starts all goroutines of the coordinator. stopping is done once no new connections are taken; stop
-// ends it.
+// startGoroutines starts all goroutines of the coordinator. stopping is done once no new connections are accepted; stop
+// cancels it.
 func (loop *eventLoop) startGoroutines(ctx, stopping context.Context, stop context.CancelFunc, listener *clientListener,
 	options Options,
 ) {
--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	maxQueuedTasks  = 1024                   // tasks that wait for the event loop: several for each descriptor of a usual limit
-	catchUpWait     = 5 * time.Millisecond   // for sockets to be read events an iteration after a stall: decoding a long list takes several milliseconds
-	maxCatchUpWaits = 10                     // such waits in a row: what keeps coming after them is no backlog
-	catchUpInterval = 250 * time.Millisecond // between two catch-ups: an overloaded process is not delayed further by them
+	maxQueuedTasks  = 1024                   // tasks waiting for the event loop: several for each descriptor at a usual limit
+	catchUpWait     = 5 * time.Millisecond   // for sockets to be read before an iteration after a stall; decoding a long list takes several milliseconds
+	maxCatchUpWaits = 10                     // such waits in a row; tasks that keep arriving after them are not a backlog of the stall
+	catchUpInterval = 250 * time.Millisecond // between two catch-ups, so that they do not delay an overloaded process further
 )
 
-// eventLoop owns the balancer and all state of searches, replicas and clients. Only its own goroutine touches its fields,
-// but for tasks, log, ctx, the discovery requests and what is atomic. Client connections, replica connections and discovery
-// submit tasks to it. It waits for tasks and for its next timer alone, so they may wait for it. At most maxQueuedTasks
-// tasks wait; while there are so many, sockets are not read.
+// eventLoop owns the balancer and all state of searches, replicas and clients. Only its own goroutine accesses its fields,
+// except for tasks, log, ctx, the discovery requests and atomic fields. Client connections, replica connections and
+// discovery submit tasks to it. It blocks only on tasks and its next timer, so those goroutines may block on it without a
+// deadlock. At most maxQueuedTasks tasks are queued; while the queue is full, sockets are not read.
 type eventLoop struct {
 	Options
 	log      *asyncLogger
@@ -51,23 +51,23 @@
 	discovery   discoveryRequests
 	stop        stopState
 
-	hasEndpoints bool         // a list with hosts has been in force
+	hasEndpoints bool         // an endpoint list with hosts has been applied
 	busyNanos    atomic.Int64 // spent in iterations
 
-	peers        *peerExchange            // nil where peers are not allowed
-	sources      *endpointSources         // nil where discovery is the only source of lists
-	searchAPI    *SearchAPI               // nil where there is no other frontend
+	peers        *peerExchange            // nil without peers
+	sources      *endpointSources         // nil if discovery is the only source of endpoint lists
+	searchAPI    *SearchAPI               // nil without other frontends
 	shadowCounts *shadow.DivergenceCounts // nil without shadow settings
 	enforcer     *residencyEnforcer       // nil without residency contracts
 }
 
-// eventBuffer holds what the next iteration begins with.
+// eventBuffer holds the events that are handled at the start of the next iteration.
 type eventBuffer struct {
 	next  []iterationEvent
 	spare []iterationEvent // empty; its array is reused for the iteration after that
 }
 
-// iterationEvent is what an iteration begins with: a task, or an attempt that has ended.
+// iterationEvent is an event deferred to the next iteration: a task, or the outcome of an attempt.
 type iterationEvent struct {
 	task    func()
 	attempt *attempt
@@ -77,8 +77,8 @@
 // tick is the balancer's unit of time. Times of the event loop are ticks of Unix time.
 const tick = 100 * time.Microsecond
 
-// submit hands a task to the event loop and returns false once the coordinator has ended. It blocks while
-// maxQueuedTasks tasks wait. Any goroutine but the event loop's may call it.
+// submit queues a task for the event loop and returns false if the coordinator has ended. It blocks while maxQueuedTasks
+// tasks are queued. Any goroutine except the event loop's may call it.
 func (loop *eventLoop) submit(task func()) bool {
 	select {
 	case loop.tasks <- task:
@@ -88,17 +88,17 @@
 	}
 }
 
-// clockTicks returns monotonic Unix time in ticks: wall time is read at the start alone.
+// clockTicks returns Unix time in ticks. It is monotonic: wall time is read only at the start.
 func (loop *eventLoop) clockTicks() int64 {
 	return loop.startTicks + int64(loop.Clock.Now().Sub(loop.startedAt)/tick)
 }
 
-// startBalancer configures the balancer with the settings and the endpoint list as it was last known. An error is a
-// panic of the balancer.
+// startBalancer configures the balancer with the settings and the last known endpoint list. It returns an error if the
+// balancer panics.
 func (loop *eventLoop) startBalancer() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("the balancer: %v", r)
+			err = fmt.Errorf("balancer panicked while it was configured: %v", r)
 		}
 	}()
 	loop.now = loop.clockTicks()
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// run runs iterations until every search is answered after a stop. A panic in an iteration ends it with an error.
+// run runs iterations until, after a stop, every search is answered. A panic in an iteration ends it with an error.
 func (loop *eventLoop) run() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -151,8 +151,8 @@
 	}
 }
 
-// handleOverdueTimer runs an iteration if the first timer is due. Where it is not, it sets the alarm for it and returns
-// false. The stall detector alone needs no iteration, unless it is late.
+// handleOverdueTimer runs an iteration if the first timer is due and returns true. Otherwise it sets the alarm for that
+// timer and returns false. A due timer of the stall detector needs no iteration, unless it is late.
 func (loop *eventLoop) handleOverdueTimer() bool {
 	if loop.timers.queue.Len() == 0 {
 		return false
@@ -173,22 +173,22 @@
 	return true
 }
 
-// setAlarm makes the alarm wake the event loop after wait, which ends at the tick at. An alarm that is set already is kept
-// if it comes before that: most timers are stopped, and an early alarm does no harm.
+// setAlarm sets the alarm that wakes the event loop after wait, at the tick at. An alarm that is already set for an earlier
+// time is kept: most timers are stopped before they fire, and an early alarm does no harm.
 func (loop *eventLoop) setAlarm(at int64, wait time.Duration) {
 	if loop.timers.alarm == nil || at < loop.timers.alarmAt {
 		loop.timers.alarm, loop.timers.alarmAt = loop.Clock.After(wait), at
 	}
 }
 
-// isFinished says whether, after a stop, every client has left and every search is answered.
+// isFinished reports whether, after a stop, all clients have left and all searches are answered.
 func (loop *eventLoop) isFinished() bool {
 	clients := &loop.clients
 	return clients.listenerClosed && len(clients.connections) == 0 && clients.openFrontends == 0 && len(loop.searches.byID) == 0
 }
 
-// iterate runs one iteration: deferred events, first where it is not nil, all queued tasks, all timers that are due,
-// and the batches that the balancer has sent.
+// iterate runs one iteration: it handles deferred events, the task first if it is not nil, all queued tasks and all due
+// timers, and then dispatches the batches of attempts that the balancer has sent.
 func (loop *eventLoop) iterate(first func()) {
 	hasStalled := loop.catchUp()
 	began := time.Now()
@@ -217,7 +217,7 @@
 	loop.dispatchBatches()
 }
 
-// runDeferredEvents handles what earlier iterations have deferred to this one.
+// runDeferredEvents handles the events that were deferred to this iteration.
 func (loop *eventLoop) runDeferredEvents() {
 	events := loop.events.next
 	loop.events.next, loop.events.spare = loop.events.spare[:0], nil
@@ -232,14 +232,15 @@
 	loop.events.spare = events
 }
 
-// fireDueTimers fires the timers that are due at the begin; those that they start wait for the next iteration.
+// fireDueTimers fires the timers that are due when it is called. Timers that these start fire in the next iteration at
+// the earliest.
 func (loop *eventLoop) fireDueTimers() {
 	due := loop.timers.due[:0]
 	for loop.timers.queue.Len() > 0 && loop.timers.queue.timers[0].at <= loop.now {
 		due = append(due, heap.Pop(&loop.timers.queue).(*timer))
 	}
 	for _, dueTimer := range due {
-		if dueTimer.handler != nil { // an earlier one may have stopped it
+		if dueTimer.handler != nil { // an earlier timer may have stopped it
 			dueTimer.handler.fire(loop)
 		}
 	}
@@ -247,9 +248,10 @@
 	loop.timers.due = due
 }
 
-// catchUp waits, events an iteration that begins long after a timer was due, until sockets have been read. It handles
-// a stalled process: what clients, replicas and discovery did meanwhile is still unread while timers are due. Without
-// it, attempts would go out for clients that have left, to draining replicas and beside answers that have arrived.
+// catchUp waits until sockets have been read before an iteration that starts long after a timer was due, that is, after a
+// stall of the process: timers are due while messages that clients, replicas and discovery sent meanwhile are still unread.
+// Without it, attempts would be sent for clients that have left, to draining replicas, and although answers have
+// arrived.
 func (loop *eventLoop) catchUp() (hasStalled bool) {
 	now := loop.clockTicks()
 	if loop.timers.queue.Len() == 0 || now-loop.timers.queue.timers[0].at < int64(stallThreshold/tick) || now-loop.timers.caughtUpAt < int64(catchUpInterval/tick) {
@@ -266,7 +268,7 @@
 	return true
 }
 
-// runNextIteration runs a task at the begin of the next iteration.
+// runNextIteration defers a task to the start of the next iteration.
 func (loop *eventLoop) runNextIteration(task func()) {
 	loop.events.next = append(loop.events.next, iterationEvent{task: task})
 }
@@ -282,7 +284,7 @@
 	return loop.searches.lastID
 }
 
-// WatchEndpoints requests a subscription to the endpoint list. It implements balancer.Actions.
+// WatchEndpoints requests a watch call for changes of the endpoint list. It implements balancer.Actions.
 func (loop *eventLoop) WatchEndpoints() {
 	select {
 	case loop.discovery.polls <- struct{}{}:
@@ -297,5 +299,5 @@
 
 // LogMessage logs a message of the balancer. It implements balancer.Actions.
 func (loop *eventLoop) LogMessage(text string) {
-	loop.log.Info("note", "text", strings.ToValidUTF8(text, "?"))
+	loop.log.Info("balancer_message", "text", strings.ToValidUTF8(text, "?"))
 }
--- a/coordinator/logging.go
+++ b/coordinator/logging.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-const logWriteTimeout = time.Second // for a line to be taken: a reader that is only slow needs less
+const logWriteTimeout = time.Second // for one write; a reader that is merely slow takes less time
 
-// NewLogger returns a logger that writes lines of key=value text, or JSON objects: time, level, event and the event's
+// NewLogger returns a logger that writes lines of key=value text or of JSON objects: time, level, event and the event's
 // attributes.
 func NewLogger(output io.Writer, json bool, least slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: least, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
@@ -25,24 +25,24 @@
 	return slog.New(slog.NewTextHandler(output, opts))
 }
 
-// stallGuardWriter writes on a goroutine of its own and waits for it only so long.
+// stallGuardWriter writes on a separate goroutine and waits at most logWriteTimeout for each write.
 type stallGuardWriter struct {
 	mu      sync.Mutex
-	buffer  []byte // the writing goroutine's until it is done
+	buffer  []byte // owned by the writing goroutine during a write
 	writes  chan []byte
 	done    chan writeResult
 	stalled bool // the previous write has not returned
 }
 
-// writeResult is how a write has ended.
+// writeResult is the result of a finished write.
 type writeResult struct{ err error }
 
-// errStalled is a write that was given up.
-var errStalled = errors.New("the log is not read")
+// errStalled is the error of a write that did not finish in time or that follows one which has not finished.
+var errStalled = errors.New("log output is stalled: a write did not finish in time")
 
-// NewStallGuardWriter returns a writer to a file that may be read late or never, such as a pipe. What is not taken
-// within logWriteTimeout is given up with an error, and so is, at once, all that follows until it is taken. Without
-// it, a process whose output nobody reads could neither end nor reload. A Write that returns no error is complete.
+// NewStallGuardWriter returns a writer to a file that may be read late or never, such as a pipe. A write that does not
+// finish within logWriteTimeout returns an error, and until it has finished, all further writes fail at once. Without it,
+// a process whose output nobody reads could neither end nor reload. A Write that returns no error is complete.
 func NewStallGuardWriter(output io.Writer) io.Writer {
 	writer := &stallGuardWriter{writes: make(chan []byte), done: make(chan writeResult, 1)}
 	go func() {
--- a/coordinator/metrics.go
+++ b/coordinator/metrics.go
@@ -9,9 +9,9 @@
 	"chalkring/control/shadow"
 )
 
-const shadowLogInterval = 10 * time.Second // between log lines on what shadow settings would have decided otherwise
+const shadowLogInterval = 10 * time.Second // between log lines with the numbers of shadow divergences
 
-// metricsBody returns the response to /metrics.
+// metricsBody returns the body of the response to /metrics.
 func (loop *eventLoop) metricsBody() []byte {
 	var body bytes.Buffer
 	if loop.shadowCounts != nil {
@@ -23,8 +23,8 @@
 	return body.Bytes()
 }
 
-// logShadowCounts logs, each shadowLogInterval, what the shadow settings would have decided otherwise, if that has
-// grown from last.
+// logShadowCounts logs, every shadowLogInterval, how many decisions of each kind differ under the shadow settings, if the
+// total differs from last.
 func (loop *eventLoop) logShadowCounts(last int64) {
 	if n := loop.shadowCounts.Total(); n != last {
 		last = n
@@ -37,7 +37,7 @@
 	loop.runAfter(int64(shadowLogInterval/tick), func() { loop.logShadowCounts(last) })
 }
 
-// shadowMetrics returns the same counts in the Prometheus text form.
+// shadowMetrics returns the numbers of shadow divergences in the Prometheus text format.
 func shadowMetrics(counts *shadow.DivergenceCounts) []byte {
 	var text strings.Builder
 	text.WriteString("# HELP chalkring_shadow_differs_total Decisions that the shadow settings would have made otherwise.\n" +
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -12,21 +12,21 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-const weightTolerance = 0.01 // that weights may miss 1 by: rounding of a hundred parts
+const weightTolerance = 0.01 // by which the sum of weights may differ from 1: the rounding of a hundred shards' weights
 
-const maxInlineBlocks = 256 // blocks up to which those that were named are marked without room of their own
+const maxInlineBlocks = 256 // number of blocks up to which the set of those seen needs no allocation
 
 // bodyReaders are reused from request to request.
 var bodyReaders = sync.Pool{New: func() any { return &bodyReader{} }}
 
-// bodyReader decodes one JSON text at a time. Of names that occur twice the last counts, as in the platform's own
-// programs.
+// bodyReader decodes one JSON text at a time. If a member name occurs twice, the last one counts, as in the platform's
+// own programs.
 type bodyReader struct {
 	source  bytes.Reader
 	decoder jsontext.Decoder
 }
 
-// reset starts to decode a body.
+// reset prepares the reader for a body.
 func (b *bodyReader) reset(body []byte) {
 	b.source.Reset(body)
 	b.decoder.Reset(&b.source, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
@@ -44,11 +44,11 @@
 		return err
 	}
 	if len(s.shards) == 0 || !hasText {
-		return badRequest("body without ranges or predicate")
+		return badRequest("body needs ranges, a list with at least one object, and predicate, a string")
 	}
-	// Decoding replaces invalid text: replicas get the text as it arrived or not at all.
+	// Decoding replaces invalid UTF-8. Replicas must get the text exactly as it arrived, so such a body is rejected.
 	if !utf8.Valid(body) || strings.ContainsRune(text, utf8.RuneError) && !bytes.ContainsRune(body, utf8.RuneError) {
-		return badRequest("body is no text")
+		return badRequest("body is not valid UTF-8")
 	}
 	s.text = []byte(text)
 	sum := 0.0
@@ -56,20 +56,20 @@
 		sum += weight
 	}
 	if math.Abs(sum-1) > weightTolerance {
-		return badRequest("portions add up to %g", sum)
+		return badRequest("portions add up to %g, want 1", sum)
 	}
 	return nil
 }
 
-// readMembers reads the members of the one object that a body is.
+// readMembers reads the members of the JSON object that a body consists of.
 func (s *search) readMembers(decoder *jsontext.Decoder, shards int) (text string, hasText bool, err error) {
 	if token, err := decoder.ReadToken(); err != nil || token.Kind() != '{' {
-		return "", false, badRequest("body: not one JSON object")
+		return "", false, badRequest("body is not exactly one JSON object")
 	}
 	for decoder.PeekKind() != '}' {
 		name, err := readName(decoder)
 		if err != nil {
-			return "", false, badRequest("body: %v", err)
+			return "", false, badRequest("invalid body: %v", err)
 		}
 		switch {
 		case name == "ranges" && decoder.PeekKind() == '[':
@@ -87,19 +87,19 @@
 			err = decoder.SkipValue()
 		}
 		if err != nil {
-			return "", false, badRequest("body: %v", err)
+			return "", false, badRequest("invalid body: %v", err)
 		}
 	}
 	if _, err := decoder.ReadToken(); err != nil {
-		return "", false, badRequest("body: not one JSON object")
+		return "", false, badRequest("body is not exactly one JSON object")
 	}
 	if _, err := decoder.ReadToken(); !errors.Is(err, io.EOF) {
-		return "", false, badRequest("body: not one JSON object")
+		return "", false, badRequest("body is not exactly one JSON object")
 	}
 	return text, hasText, nil
 }
 
-// readName reads an object's member name. Names that matter here need no allocation.
+// readName reads an object's member name. The names of the request format need no allocation.
 func readName(decoder *jsontext.Decoder) (string, error) {
 	value, err := decoder.ReadValue()
 	switch string(value) {
@@ -113,13 +113,13 @@
 		return "predicate", nil
 	}
 	if err != nil || value.Kind() != '"' {
-		return "", errors.Join(err, errors.New("no name"))
+		return "", errors.Join(err, errors.New("object has a member name that is not a string"))
 	}
 	text, err := jsontext.AppendUnquote(nil, value)
 	return string(text), err
 }
 
-// readRanges reads the list of shards, in the place of one that came before.
+// readRanges reads the list of shards, and replaces one that was read before.
 func (s *search) readRanges(decoder *jsontext.Decoder, shards int) error {
 	s.shards, s.weights = s.shards[:0], s.weights[:0]
 	var few [maxInlineBlocks]bool
@@ -137,10 +137,10 @@
 		}
 		index := int(shard)
 		if shard != math.Trunc(shard) || shard < 0 || shard >= float64(shards) || seen[index] {
-			return badRequest("range %g", shard)
+			return badRequest("range %g: want a whole number from 0 to %d, each at most once", shard, shards-1)
 		}
 		if !isWeight(weight) {
-			return badRequest("portion %g", weight)
+			return badRequest("portion %g: want a number above 0 and at most 1", weight)
 		}
 		seen[index] = true
 		s.shards, s.weights = append(s.shards, index), append(s.weights, weight)
@@ -148,15 +148,15 @@
 	if token, err := decoder.ReadToken(); err != nil {
 		return err
 	} else if token.Kind() != ']' {
-		return badRequest("ranges are no objects")
+		return badRequest("ranges contains a value that is not an object")
 	}
 	return nil
 }
 
-// isWeight says whether a weight is a number above 0 and at most 1; NaN is none.
+// isWeight reports whether a weight is above 0 and at most 1, within weightTolerance. NaN is not a weight.
 func isWeight(weight float64) bool { return weight > 0 && weight <= 1+weightTolerance }
 
-// readRange reads one object of the list of shards; a member that is missing or no number is NaN.
+// readRange reads one object of the list of shards. A member that is missing or not a number is returned as NaN.
 func readRange(decoder *jsontext.Decoder) (shard, weight float64, err error) {
 	shard, weight = math.NaN(), math.NaN()
 	if _, err := decoder.ReadToken(); err != nil {
@@ -183,7 +183,7 @@
 	return shard, weight, err
 }
 
-// readNumber reads a number; any other value is skipped and counts as NaN.
+// readNumber reads a number. Any other value is skipped and stored as NaN.
 func readNumber(decoder *jsontext.Decoder, number *float64) (err error) {
 	if decoder.PeekKind() != '0' {
 		*number = math.NaN()
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -14,10 +14,10 @@
 	"chalkring/internal/advice"
 )
 
-const maxResidencyCheckDelay = time.Hour // after which a distant check is computed anew: the wall clock may have been set
+const maxResidencyCheckDelay = time.Hour // longest timer until a check: the wall clock may be set meanwhile
 
-// residencyEnforcer restricts one event loop's searches to the hosts that their contracts allow. It belongs to the
-// event loop's goroutine, but for leaseExpiry and closed.
+// residencyEnforcer restricts one event loop's searches to the hosts that their contracts allow. It is owned by the event
+// loop's goroutine, except for leaseExpiry and closed.
 type residencyEnforcer struct {
 	loop                *eventLoop
 	guard               *ResidencyGuard
@@ -25,14 +25,14 @@
 	hosts               *residency.HostZones
 	tenants, classes    []string // by position in the settings
 	restrictions        map[restrictionKey]*balancer.ReplicaRestriction
-	now, nextChangeAt   int64        // ticks of this iteration, and when the policy's effect changes by itself
-	leaseExpiry         atomic.Int64 // read by the connections' writers
+	now, nextChangeAt   int64        // ticks: of this iteration, and when the policy's effect next changes by time alone
+	leaseExpiry         atomic.Int64 // ticks; read by the connections' writers
 	closed              chan struct{}
 	checkTimer          timer
-	searchInRestriction *search // an end of it now is caused by its contract
+	searchInRestriction *search // being restricted; nil if none is. If it ends meanwhile, its contract is the cause
 }
 
-// restrictionKey is what searches with the same restriction have in common.
+// restrictionKey identifies searches that share a restriction, by positions in the settings.
 type restrictionKey struct{ tenant, class int }
 
 // newResidencyEnforcer registers an event loop with the guard.
@@ -56,8 +56,8 @@
 	return enforcer
 }
 
-// leaseHasExpired says whether the residency lease has expired, and counts it where it has. Connections' writers call
-// it.
+// leaseHasExpired reports whether the residency lease has expired, and if so counts a fenced message. Connections' writers
+// call it.
 func (b *residencyEnforcer) leaseHasExpired() bool {
 	if b.guard.clock() < b.leaseExpiry.Load() {
 		return false
@@ -66,7 +66,7 @@
 	return true
 }
 
-// close deregisters the event loop.
+// close removes the event loop from the guard.
 func (b *residencyEnforcer) close() {
 	b.guard.mu.Lock()
 	delete(b.guard.enforcers, b)
@@ -74,14 +74,15 @@
 	close(b.closed)
 }
 
-// beginIteration puts into force what has changed by time alone, before anything else happens in an iteration.
+// beginIteration applies changes of the policy's effect that are due by time alone, before anything else happens in an
+// iteration.
 func (b *residencyEnforcer) beginIteration() {
 	if b.now = max(b.now, b.guard.clock()); b.now >= b.nextChangeAt {
 		b.restrictAll()
 	}
 }
 
-// setPolicy puts a policy into force. A renewed lease changes nothing for open searches.
+// setPolicy applies a policy. If only an unexpired lease is renewed, open searches stay as they are.
 func (b *residencyEnforcer) setPolicy(policy *residency.CompiledPolicy) {
 	renewed := policy.DiffersOnlyInLease(b.policy) && b.now < b.policy.LeaseExpiry
 	b.policy = policy
@@ -94,7 +95,7 @@
 	b.restrictAll()
 }
 
-// updateHosts applies a list or changes of it, before anything is sent under it.
+// updateHosts applies an endpoint list, or changes of it if how is "Partial", before any attempt is sent under it.
 func (b *residencyEnforcer) updateHosts(how string, hosts []plan.ListedHost) {
 	listed := make([]residency.Host, 0, len(hosts))
 	for _, host := range hosts {
@@ -103,7 +104,7 @@
 	b.hosts.UpdateHosts(b.now, how != "Partial", listed)
 }
 
-// restrictAll computes the restrictions of all open searches anew, in the order of their ids.
+// restrictAll recomputes the restrictions of all open searches, in the order of their ids.
 func (b *residencyEnforcer) restrictAll() {
 	clear(b.restrictions)
 	for _, id := range slices.Sorted(maps.Keys(b.loop.searches.byID)) {
@@ -114,7 +115,7 @@
 	b.scheduleCheck()
 }
 
-// scheduleCheck has the policy checked when its effect changes by itself.
+// scheduleCheck sets the timer for the next change of the policy's effect by time alone.
 func (b *residencyEnforcer) scheduleCheck() {
 	b.nextChangeAt = min(b.policy.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
 	b.loop.stopTimer(&b.checkTimer)
@@ -123,7 +124,7 @@
 	}
 }
 
-// check is the check timer's task: the two clocks may differ a little.
+// check is the check timer's task. The timer may fire a little early, as the guard's clock and the timer's may differ.
 func (b *residencyEnforcer) check() {
 	if b.now >= b.nextChangeAt {
 		b.restrictAll()
@@ -132,7 +133,7 @@
 	}
 }
 
-// names returns the tenant's and the class's name of a search.
+// names returns the names of a search's tenant and class.
 func (b *residencyEnforcer) names(search *search) (tenant, class string) {
 	if search.tenant < len(b.tenants) {
 		tenant = b.tenants[search.tenant]
@@ -140,8 +141,8 @@
 	return tenant, b.classes[search.class]
 }
 
-// restrict tells the balancer which hosts a search may use. A search whose contract leaves no host for a block ends at
-// once.
+// restrict passes the hosts that a search may use to the balancer. The search ends at once if a block has no allowed host,
+// unless its contract is current and accepts a partial answer.
 func (b *residencyEnforcer) restrict(search *search) {
 	if search.ended {
 		return
@@ -193,15 +194,15 @@
 	return n
 }
 
-// allows says whether the policy allows a replica for a tenant's and class's shard.
+// allows reports whether the policy allows a replica for a shard of a tenant's search of a class.
 func (b *residencyEnforcer) allows(tenant, class string, shard int, replica string) bool {
 	rule := b.policy.RuleFor(b.now, tenant, class, shard)
 	return rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, replica)))
 }
 
-// removeForbidden is the check before sending: it removes from a batch what the contracts themselves forbid, whatever
-// the balancer was told. It handles a fault in all that comes before it; each attempt that it stops is one. It returns
-// whether the rest may not be sent after the lease's expiry.
+// removeForbidden is the check before sending: it removes the attempts from a batch that the contracts forbid, independent
+// of the balancer's restrictions. It guards against faults in the code before it: each attempt that it stops shows one. It
+// reports whether the rest of the batch must not be sent after the lease has expired.
 func (b *residencyEnforcer) removeForbidden(batch *batch) (fenced bool) {
 	for i := 0; i < len(batch.attempts); {
 		attempt := batch.attempts[i]
@@ -215,7 +216,7 @@
 		b.guard.blocked.Inc()
 		b.loop.log.warnLimited("residency_guard", "residency_guard", "tenant", tenant, "block", attempt.shardRequest.shard, "replica", attempt.replica.id,
 			"zone", b.hosts.Zone(b.now, attempt.replica.id))
-		b.loop.detachAttempt(attempt) // which removes it from batch.attempts
+		b.loop.detachAttempt(attempt) // also removes it from batch.attempts
 		b.loop.deferAttemptOutcome(attempt, "Ignored")
 	}
 	return fenced
--- a/coordinator/residency_guard.go
+++ b/coordinator/residency_guard.go
@@ -15,8 +15,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// ResidencyGuard holds the residency policy in force of a process, which it hands to each of its event loops, and
-// counts what it prevents. It is safe for concurrent use.
+// ResidencyGuard holds the current residency policy of a process, passes it to each event loop, and counts the attempts
+// and searches that it prevents. It is safe for concurrent use.
 type ResidencyGuard struct {
 	clock func() int64 // monotonic wall time in ticks
 
@@ -28,8 +28,8 @@
 	blocked, refused, canceled, policyUpdates, fenced *metrics.Counter
 }
 
-// NewResidencyGuard begins with the policy that is known at the start; nil allows nothing anywhere. clock returns
-// monotonic wall time in ticks.
+// NewResidencyGuard returns a guard with the policy known at the start; nil forbids everything. clock returns monotonic
+// wall time in ticks.
 func NewResidencyGuard(first *residency.CompiledPolicy, clock func() int64) *ResidencyGuard {
 	if first == nil {
 		first = residency.DenyAll()
@@ -42,7 +42,7 @@
 	guard.policyUpdates = guard.metricSet.NewCounter("chalkring_residency_standings_total")
 	guard.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(guard.Policy().Generation) })
 	guard.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
-		if in := guard.Policy(); in.LeaseExpiry < math.MaxInt64 { // a lease that never expires has no length
+		if in := guard.Policy(); in.LeaseExpiry < math.MaxInt64 { // a lease that never expires is shown as -1
 			return max(0, float64(in.LeaseExpiry-guard.clock())/10_000)
 		}
 		return -1
@@ -50,24 +50,24 @@
 	return guard
 }
 
-// Policy returns the policy in force.
+// Policy returns the current policy.
 func (r *ResidencyGuard) Policy() *residency.CompiledPolicy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.policy
 }
 
-// MayStoreInZone says whether data about a tenant's searches may be kept in a zone; counts and digests may be kept
-// anywhere.
+// MayStoreInZone reports whether data about a tenant's searches may be stored in a zone. It need not be asked for counts
+// and digests, which may be stored anywhere.
 func (r *ResidencyGuard) MayStoreInZone(tenant, zone string) bool {
 	return r.Policy().AllowsTenantData(r.clock(), settings.FormatValue(tenant), plan.ZoneName(zone))
 }
 
-// BlockedDispatches returns how many attempts the check before sending has stopped. Each is a fault of this program.
+// BlockedDispatches returns how many attempts the check before sending has stopped. Each one shows a bug in this program.
 func (r *ResidencyGuard) BlockedDispatches() uint64 { return r.blocked.Get() }
 
-// SetPolicy puts a policy into force and returns once every event loop of the process follows it: from then on nothing
-// that it forbids is sent, and what was in flight has been canceled.
+// SetPolicy applies a policy and returns once every event loop of the process follows it: from then on no attempt that it
+// forbids is sent, and those in flight have been canceled.
 func (r *ResidencyGuard) SetPolicy(policy *residency.CompiledPolicy) {
 	r.mu.Lock()
 	r.policy = policy
@@ -86,10 +86,11 @@
 	}
 }
 
-// writeMetrics writes the counters in the Prometheus text form.
+// writeMetrics writes the metrics in the Prometheus text format.
 func (r *ResidencyGuard) writeMetrics(output io.Writer) { r.metricSet.WritePrometheus(output) }
 
-// residencyRefusalBody returns the HTTP response to a refused search: 503 where another instance may have a lease.
+// residencyRefusalBody returns the HTTP status and body for a refused search: 503 if the lease has expired, since another
+// instance may have one, and 451 otherwise.
 func residencyRefusalBody(r *residency.SearchRejectedError) (status int, body []byte) {
 	if status = 451; r.Reason == residency.ReasonLeaseExpired {
 		status = 503
--- a/coordinator/shard_listener.go
+++ b/coordinator/shard_listener.go
@@ -15,7 +15,7 @@
 	open int
 }
 
-// shardListener is one event loop's part of a listener. It implements net.Listener.
+// shardListener is one event loop's share of a sharedListener. It implements net.Listener.
 type shardListener struct {
 	*sharedListener
 	accepted  chan acceptResult
@@ -23,13 +23,13 @@
 	closeOnce sync.Once
 }
 
-// acceptResult is one connection, or why there is none.
+// acceptResult is an accepted connection, or the error of a failed accept.
 type acceptResult struct {
 	conn net.Conn
 	err  error
 }
 
-// newSharedListener returns a listener for n event loops; distribute has to run.
+// newSharedListener returns a listener for n event loops. The caller has to run distribute.
 func newSharedListener(from net.Listener, n int) *sharedListener {
 	s := &sharedListener{listener: from, open: n}
 	for range n {
@@ -51,7 +51,7 @@
 // Addr implements net.Listener.
 func (d *shardListener) Addr() net.Addr { return d.listener.Addr() }
 
-// Close gives one event loop's part up; the last one closes the listener.
+// Close closes one event loop's share; closing the last one closes the listener.
 func (d *shardListener) Close() error {
 	last := false
 	d.closeOnce.Do(func() {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// distribute hands connections round-robin to an event loop that waits for one, so that one without room does not
-// delay the others. It returns once the listener is closed.
+// distribute hands accepted connections round-robin to event loops that are ready to accept, so that one without room does
+// not delay the others. It returns once the listener is closed.
 func (s *sharedListener) distribute() {
 	for next := 0; ; next++ {
 		conn, err := s.listener.Accept()
@@ -81,7 +81,8 @@
 	}
 }
 
-// handOver hands a connection over, to the event loop at first or else to the next that accepts.
+// handOver passes a connection to the event loop with index first if it is ready to accept, else to the next one that is. It
+// returns false if all shares are closed.
 func (s *sharedListener) handOver(result acceptResult, first int) bool {
 	n := len(s.shards)
 	for i := range n {
@@ -91,7 +92,7 @@
 		default:
 		}
 	}
-	for i := range n { // all are busy
+	for i := range n { // none is ready: wait for each in turn
 		d := s.shards[(first+i)%n]
 		select {
 		case d.accepted <- result:
--- a/coordinator/sharded.go
+++ b/coordinator/sharded.go
@@ -12,9 +12,9 @@
 	"chalkring/endpoints"
 )
 
-// ServeSharded serves with n event loops in one process, since one uses one core at the most. Each has a balancer of
-// its own and its part of the clients' connections, descriptors, memory and budget; to rules that all coordinators
-// keep together each counts as a coordinator. Other frontends, peers and persistence are the first one's.
+// ServeSharded serves with n event loops in one process, since one event loop uses at most one core. Each has its own
+// balancer and a share of the client connections, descriptors, memory and budget, and counts as a separate coordinator in
+// rules that coordinators follow together. Other frontends, peers and persistence belong to the first one.
 func ServeSharded(ctx context.Context, initial *plan.Plan, options Options, n int) error {
 	if n <= 1 {
 		return Serve(ctx, initial, options)
@@ -49,10 +49,10 @@
 	return group.Wait()
 }
 
-// shardUpdates are the channels on which each event loop gets new plans and endpoint lists.
+// shardUpdates holds the channels on which each event loop receives new plans and endpoint lists.
 type shardUpdates struct {
 	plans []chan *plan.Plan
-	lists []chan endpoints.Update // nil where there are no lists
+	lists []chan endpoints.Update // nil elements without EndpointUpdates
 }
 
 func newShardUpdates(n int, hasLists bool) *shardUpdates {
@@ -66,7 +66,7 @@
 	return updates
 }
 
-// optionsOf returns the options of one event loop, but for its listener.
+// optionsOf returns the options of one event loop, except for its listener.
 func (u *shardUpdates) optionsOf(index int, options Options) Options {
 	options.PlanUpdates = u.plans[index]
 	if u.lists[index] != nil {
@@ -79,7 +79,7 @@
 	return options
 }
 
-// forward passes new plans and endpoint lists on to all event loops until they have ended.
+// forward sends new plans and endpoint lists to all event loops until these have ended.
 func (u *shardUpdates) forward(done context.Context, lists <-chan endpoints.Update, plans <-chan *plan.Plan) {
 	for {
 		select {
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	acceptAfterStop = 500 * time.Millisecond // in which new connections are accepted after a stop: the platform sends for 0.4 s more
-	killMargin      = 200 * time.Millisecond // kept before SIGKILL: the signal's way here, the answer's way out
-	maxStopTime     = 20 * time.Second       // for answers on connections that stay open; after it each answer ends its connection
+	acceptAfterStop = 500 * time.Millisecond // for new connections after a stop, since the platform opens connections for another 0.4 s
+	killMargin      = 200 * time.Millisecond // before SIGKILL by which answers are due, as the signal and the answers take time to arrive
+	maxStopTime     = 20 * time.Second       // for serving connections that stay open; after it each answer closes its connection
 )
 
-// stopState is what a shutdown sets; both are nil or false before it. Any goroutine may read it.
+// stopState is the state of a shutdown: zero values before it. Any goroutine may read it.
 type stopState struct {
-	answerDeadline   atomic.Pointer[time.Time] // by which final answers have to be out
-	closeAfterAnswer atomic.Bool               // each answer ends its connection, as maxStopTime is over
+	answerDeadline   atomic.Pointer[time.Time] // by which final answers have to be sent
+	closeAfterAnswer atomic.Bool               // each answer closes its connection, since maxStopTime is over
 }
 
-// shutDown ends the coordinator once ctx is done. New connections are accepted for acceptAfterStop, since the platform
-// still sends. Open ones are served until their clients close them or send nothing for stopIdleTimeout, for
-// maxStopTime at the longest; the event loop ends with the last of them.
+// shutDown shuts the coordinator down once ctx is done. New connections are accepted for acceptAfterStop, since the
+// platform still opens some. Open connections are served until their clients close them or send nothing for
+// stopIdleTimeout, for at most maxStopTime; the event loop ends with the last of them.
 func (loop *eventLoop) shutDown(ctx context.Context, cancel context.CancelFunc) error {
 	defer cancel()
 	select {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// acceptLast has the listener closed once the connections that have arrived are accepted: those that wait in the
-// system's queue would be reset by the close. A listener without deadlines is closed at once.
+// acceptLast sets a deadline after which accept closes the listener, so that connections in the system's queue are accepted
+// first: the close would reset them. A listener without deadlines is closed at once.
 func (loop *eventLoop) acceptLast() {
 	ln, ok := loop.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok || ln.SetDeadline(time.Now().Add(finalReadGrace)) != nil {
@@ -61,18 +61,18 @@
 	}
 }
 
-// isStopping says whether a shutdown has begun.
+// isStopping reports whether a shutdown has begun.
 func (loop *eventLoop) isStopping() bool { return loop.stop.answerDeadline.Load() != nil }
 
-// limitTimeout returns how long a search that arrived at a time may take: during shutdown it has to be answered before
-// SIGKILL, whatever time its client gives.
-func (loop *eventLoop) limitTimeout(patience time.Duration, came time.Time) time.Duration {
+// limitTimeout returns the timeout of a search, given the client's timeout and the time of arrival: during shutdown the
+// search has to be answered before SIGKILL, even if its client allows more time.
+func (loop *eventLoop) limitTimeout(timeout time.Duration, arrivedAt time.Time) time.Duration {
 	by := loop.stop.answerDeadline.Load()
 	if by == nil {
-		return patience
+		return timeout
 	}
-	return max(time.Millisecond, min(patience, by.Sub(came)))
+	return max(time.Millisecond, min(timeout, by.Sub(arrivedAt)))
 }
 
-// errAllAnswered ends the coordinator's goroutines: a shutdown is complete.
-var errAllAnswered = errors.New("all is answered")
+// errAllAnswered ends the coordinator's goroutines at the end of a shutdown.
+var errAllAnswered = errors.New("all requests are answered")
--- a/coordinator/socket_state.go
+++ b/coordinator/socket_state.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawConnOf returns a connection's socket, or nil where it has none or is closed here.
+// rawConnOf returns a connection's socket, or nil if it has none or has been closed by this process.
 func rawConnOf(conn net.Conn) syscall.RawConn {
 	there, ok := conn.(syscall.Conn)
 	if !ok {
@@ -22,8 +22,8 @@
 	return raw
 }
 
-// checkClientGone checks once more, without waiting, whether the client has left: in a process that reads late, a
-// request would be dispatched for nobody.
+// checkClientGone checks without blocking whether the client has closed the connection since its request arrived, and
+// returns an error if it has. Otherwise a process that reads late would dispatch requests of clients that have left.
 func (c *clientConnection) checkClientGone() error {
 	if c.readAvailable == nil {
 		return nil
@@ -32,10 +32,10 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return connectionEndOf(err)
 	}
-	return nil // nothing more has arrived, or it is not known
+	return nil // nothing more has arrived, or the state is unknown
 }
 
-// hasHungUp says whether the client has closed its side of the connection, as far as the system knows.
+// hasHungUp reports whether the client has closed its side of the connection, as far as the system knows.
 func (c *clientConnection) hasHungUp() (ended bool) {
 	raw := rawConnOf(c.conn)
 	if raw == nil {
@@ -49,8 +49,8 @@
 	return ended || closed != nil
 }
 
-// nonBlockingRead returns a read of a connection that does not wait, allocated once for all its requests; nil where
-// the connection has no socket.
+// nonBlockingRead returns a function that reads from a connection without blocking, or nil if the connection has no socket.
+// It is allocated once for all requests of the connection.
 func nonBlockingRead(conn net.Conn) func(p []byte) (int, error) {
 	raw := rawConnOf(conn)
 	if raw == nil {
@@ -62,7 +62,7 @@
 	read := func(fd uintptr) { n, err = syscall.Read(int(fd), into) }
 	return func(p []byte) (int, error) {
 		into = p
-		if ended := raw.Control(read); ended != nil { // Read would fail once the connection's deadline is over
+		if ended := raw.Control(read); ended != nil { // not raw.Read, which fails after the connection's deadline
 			return 0, ended
 		}
 		if n == 0 && err == nil {
