--- a/coordinator/child_process_test.go
+++ b/coordinator/child_process_test.go
@@ -21,9 +21,9 @@
 	"chalkring/internal/http1"
 )
 
-const exitTimeout = 10 * time.Second // a process whose clients are gone; measured at under 2 s
+const exitTimeout = 10 * time.Second // for a process without clients, which needs under 2 s
 
-// childProcess is one process of the program over four hosts on loopback, with a plan in a file.
+// childProcess runs the program as a process with four fake hosts on loopback and its plan in a file.
 type childProcess struct {
 	t     *testing.T
 	hosts []*fake.Host
@@ -31,21 +31,23 @@
 	file  string
 	addr  string
 	cmd   *exec.Cmd
-	log   *logBuffer // what it wrote, where its output is not another's
+	log   *logBuffer // its output, unless start was given another file
 	ended chan error
 }
 
+// write writes the plan to its file.
 func (l *childProcess) write() {
 	text, err := json.Marshal(l.plan)
 	require.NoError(l.t, err)
 	require.NoError(l.t, os.WriteFile(l.file, text, 0o600))
 }
 
-func (l *childProcess) limit(name string, version float64) {
-	l.plan["limits"].(map[string]any)[name] = version
+func (l *childProcess) limit(name string, value float64) {
+	l.plan["limits"].(map[string]any)[name] = value
 }
 
-// start starts the process; its output goes to out, or to its journal without one.
+// start starts the process. Its output goes to out, or to l.log if out is nil. If before is not empty, it is a command that
+// gets the program's path as its last argument.
 func (l *childProcess) start(out *os.File, before ...string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 6*patience) // the program is built first
 	defer cancel()
@@ -75,7 +77,7 @@
 	l.eventually("log line "+text, func() bool { return strings.Contains(l.log.String(), text) })
 }
 
-// ready waits until it serves.
+// ready waits until the process answers health checks with status 200.
 func (l *childProcess) ready() {
 	l.eventually("ready", func() bool {
 		conn, err := net.DialTimeout("tcp", l.addr, time.Second)
@@ -90,7 +92,7 @@
 	})
 }
 
-// waitForExit waits for the end; code is the exit code that it has to have.
+// waitForExit waits until the process ends and checks its exit code.
 func (l *childProcess) waitForExit(code int) {
 	select {
 	case err := <-l.ended:
@@ -102,7 +104,7 @@
 			require.Equal(l.t, code, failed.ExitCode(), "%s", l.log)
 		}
 	case <-time.After(exitTimeout):
-		require.Fail(l.t, "does not end", "%s", l.log)
+		require.Fail(l.t, "process does not end", "%s", l.log)
 	}
 }
 
@@ -126,7 +128,7 @@
 	require.JSONEq(l.t, completeAnswer, string(body))
 }
 
-// holdAttempts has all hosts not answer, and returns a channel of their shard requests.
+// holdAttempts makes all hosts leave shard requests unanswered, and returns a channel on which these are sent.
 func (l *childProcess) holdAttempts() chan asked {
 	held := make(chan asked, 1024)
 	for _, h := range l.hosts {
@@ -135,7 +137,7 @@
 	return held
 }
 
-// newChildProcess prepares a process and does not start it.
+// newChildProcess prepares a process without starting it.
 func newChildProcess(t *testing.T) *childProcess {
 	l := &childProcess{t: t, file: filepath.Join(t.TempDir(), "plan.json")}
 	var entries []fake.Endpoint
--- a/coordinator/client_answer_test.go
+++ b/coordinator/client_answer_test.go
@@ -16,7 +16,8 @@
 	"chalkring/internal/http1"
 )
 
-// The length of an answer's body is computed before it is written, and is right for all values.
+// The length of an answer's body, which is computed before the body is encoded, is exact for all values without escapes; a
+// wrong Content-Length would cut the answer off or leave its client waiting.
 func TestAnswerBodySize(t *testing.T) {
 	for _, values := range [][]string{{}, {""}, {"a", "Grüße, 世界", "\x7f"}, {`"`}, {"a\nb", `\`}, {strings.Repeat("v", 40_000), "x"}} {
 		for _, whole := range []bool{true, false} {
@@ -39,7 +40,7 @@
 	}
 }
 
-// pipeListener are connections whose writes wait until the other side reads.
+// pipeListener accepts pipes, on which a write blocks until the other side reads.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -56,48 +57,48 @@
 
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A client that does not read its answer holds that answer and nothing else: others are served, its bytes are counted,
-// and are released when it reads or leaves.
+// A client that does not read its answer must not delay others. The bytes of its answer stay counted as unsent until it
+// reads them or leaves.
 func TestClientThatDoesNotReadHoldsItsAnswer(t *testing.T) {
 	r := start(t, 256, nil)
-	p, look, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
+	p, started, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: started,
 		})
 	}()
-	loop := <-look
+	loop := <-started
 	call := func() *testClient {
 		own, other := net.Pipe()
 		p.conns <- other
 		t.Cleanup(func() { own.Close() })
 		return &testClient{own, r, http1.NewReader(own, make([]byte, bufferSize))}
 	}
-	slow, gone, sound := call(), call(), call()
+	slow, gone, healthy := call(), call(), call()
 	slow.send(request("slow", "all", "", fourParts))
-	r.eventually("an answer is held", func() bool { return loop.searches.unsentBytes.Load() > 0 })
+	r.eventually("one answer is unsent", func() bool { return loop.searches.unsentBytes.Load() > 0 })
 	one := loop.searches.unsentBytes.Load()
 	gone.send(request("gone", "all", "", fourParts))
-	r.eventually("two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
+	r.eventually("two answers are unsent", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
 	for i := range 5 {
-		sound.expect(fmt.Sprint("sound", i), "all", 200, completeAnswer)
+		healthy.expect(fmt.Sprint("healthy", i), "all", 200, completeAnswer)
 	}
-	r.eventually("no more than two are", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
+	r.eventually("still two answers are unsent", func() bool { return loop.searches.unsentBytes.Load() == 2*one })
 	status, _, text, _ := slow.readAnswer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, completeAnswer, text)
-	r.eventually("one is", func() bool { return loop.searches.unsentBytes.Load() == one })
+	r.eventually("one answer is unsent again", func() bool { return loop.searches.unsentBytes.Load() == one })
 	gone.Close()
-	r.eventually("none is", func() bool { return loop.searches.unsentBytes.Load() == 0 })
+	r.eventually("no answer is unsent", func() bool { return loop.searches.unsentBytes.Load() == 0 })
 	cancel()
 	select {
 	case err := <-ended:
 		require.NoError(t, err)
 	case <-time.After(patience):
-		require.Fail(t, "does not end")
+		require.Fail(t, "the coordinator does not end")
 	}
 	r.shutDown()
 }
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -18,30 +18,30 @@
 	"chalkring/internal/http1"
 )
 
-// waysToLeave are the ways in which a client's connection ends.
+// waysToLeave are the ways in which a client can end its connection.
 var waysToLeave = map[string]func(conn *net.TCPConn) error{
 	"closed":      (*net.TCPConn).Close,
 	"half-closed": (*net.TCPConn).CloseWrite,
 	"reset":       func(conn *net.TCPConn) error { return reset(conn) },
 }
 
-// attemptCount counts the attempts that were canceled at hosts.
+// attemptCount returns the number of attempts that were canceled at hosts.
 func (r *rig) attemptCount() (n int) {
 	for _, s := range r.replicas {
-		_, given, _, _ := s.Observed()
-		n += len(given)
+		_, canceled, _, _ := s.Observed()
+		n += len(canceled)
 	}
 	return n
 }
 
-// allow has the hosts answer, or be silent.
-func (r *rig) allow(do func(asked)) {
+// allow sets the handler of shard requests at all hosts.
+func (r *rig) allow(handle func(asked)) {
 	for _, s := range r.replicas {
-		s.SetHandler(do)
+		s.SetHandler(handle)
 	}
 }
 
-// A client that leaves withdraws its search: its attempts are canceled at once.
+// When a client leaves, its search is withdrawn: the attempts are canceled at once, so that hosts do not work for nobody.
 func TestClientLeaves(t *testing.T) {
 	r := start(t, 256, nil)
 	var got atomic.Int32
@@ -49,27 +49,28 @@
 		s.SetHandler(func(asked) { got.Add(1) })
 	}
 	c := r.connect().send(request("q", "all", "", fourParts))
-	r.eventually("parts are out", func() bool { return got.Load() == 4 })
+	r.eventually("shard requests are sent", func() bool { return got.Load() == 4 })
 	c.Close()
-	r.eventually("parts are given up", func() bool {
+	r.eventually("attempts are canceled", func() bool {
 		n := 0
 		for _, s := range r.replicas {
-			_, given, _, _ := s.Observed()
-			n += len(given)
+			_, canceled, _, _ := s.Observed()
+			n += len(canceled)
 		}
 		return n == 4
 	})
 	r.shutDown()
 }
 
-// A client that sends a second request before the answer to the first gets an error for both.
+// A client that pipelines, that is, sends further requests before the answer to the first, gets one error and its
+// connection is closed; it must not get hundreds of searches served at once. Other clients are served.
 func TestPipelinedRequest(t *testing.T) {
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
 		s.SetHandler(func(asked) {})
 	}
 	c := r.connect().send(request("first", "all", "", fourParts))
-	r.eventually("parts are out", func() bool { return r.parts() == 4 })
+	r.eventually("shard requests are sent", func() bool { return r.parts() == 4 })
 	status, _, _, keep := c.send(strings.Repeat(request("next", "all", "", fourParts), 100)).readAnswer()
 	require.Equal(t, 400, status)
 	require.False(t, keep)
@@ -82,7 +83,8 @@
 	require.Equal(t, 1, strings.Count(r.log.String(), "event=request_pipelined"))
 }
 
-// A client that never finishes its request is closed after a bounded time; one whose read was interrupted reads on.
+// The connection of a client that never finishes its request is closed after a bounded time. A read that was interrupted
+// before its deadline continues, and bytes that have arrived by the deadline are still read.
 func TestSlowClient(t *testing.T) {
 	ln := listen(t)
 	there, err := net.Dial("tcp", ln.Addr().String())
@@ -113,7 +115,7 @@
 	cancel()
 	client.stopping = stopping
 	client.interruptRead()
-	send() // before the last look
+	send() // before the last read
 	n, err = client.Read(make([]byte, 1))
 	require.Equal(t, 1, n)
 	require.NoError(t, err)
@@ -121,32 +123,32 @@
 	require.Equal(t, errClosing, connectionEndOf(err))
 }
 
-// During shutdown, a client that has pipelined and leaves is noticed at once too: its open search is withdrawn, and
-// what it sent after that is not dispatched.
+// When a client that has pipelined during shutdown leaves, this is noticed at once too: its open search is withdrawn, and
+// the requests that it sent after it are not dispatched.
 func TestClientLeavesAfterPipelining(t *testing.T) {
 	for how, leave := range waysToLeave {
 		t.Run(how, func(t *testing.T) {
 			r := start(t, 256, nil)
 			r.allow(func(asked) {})
 			c := r.connect().send(request("open", "all", "", fourParts))
-			r.eventually("parts are out", func() bool { return r.parts() == 4 })
+			r.eventually("shard requests are sent", func() bool { return r.parts() == 4 })
 			r.stop()
 			r.logged("event=stopping")
 			c.send(request("behind", "all", "", fourParts) + request("part", "all", "", fourParts)[:90])
-			r.eventually("it is awaited", func() bool {
-				told := make(chan bool, 1)
-				r.loop.submit(func() { told <- len(r.loop.searches.byID) == 1 })
-				return <-told
+			r.eventually("the search is still open", func() bool {
+				open := make(chan bool, 1)
+				r.loop.submit(func() { open <- len(r.loop.searches.byID) == 1 })
+				return <-open
 			})
 			require.NoError(t, leave(c.Conn.(*net.TCPConn)))
-			r.eventually("parts are given up", func() bool { return r.attemptCount() == 4 })
+			r.eventually("attempts are canceled", func() bool { return r.attemptCount() == 4 })
 			r.shutDown()
 			require.Equal(t, 4, r.parts())
 		})
 	}
 }
 
-// gatedListener are connections that are accepted at once and handed on later, as by a process that is gatedListener up.
+// gatedListener accepts connections at once but returns them only after free is closed, like a process that is held up.
 type gatedListener struct {
 	net.Listener
 	free chan struct{}
@@ -160,7 +162,7 @@
 	return conn, err
 }
 
-// tcpState is what the kernel has a connection in.
+// tcpState returns the kernel's TCP state of a connection.
 func tcpState(t *testing.T, conn net.Conn) (state uint8) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
@@ -172,20 +174,20 @@
 	return state
 }
 
-// The request of a client that has left before it is read is not dispatched, however the client left.
+// If a client leaves before its request is read, the request is not dispatched, in whichever way the client left.
 func TestClientGoneBeforeDispatch(t *testing.T) {
-	const each, finWait2 = 40, 5 // of Linux's states: the other side has the end of what was sent
+	const each, finWait2 = 40, 5 // finWait2 is the Linux TCP state in which the other side has acknowledged the end of the stream
 	r := start(t, 256, nil)
-	ln, look, ended := gatedListener{listen(t), make(chan struct{})}, make(chan *eventLoop, 1), make(chan error, 1)
+	ln, started, ended := gatedListener{listen(t), make(chan struct{})}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: started,
 		})
 	}()
-	loop := <-look
+	loop := <-started
 	dial := func() *testClient {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
@@ -198,7 +200,7 @@
 			c := dial().send(request(fmt.Sprint(how, i), "all", "", fourParts))
 			if how != "reset" {
 				require.NoError(t, c.Conn.(*net.TCPConn).CloseWrite())
-				r.eventually("its end is there", func() bool { return tcpState(t, c.Conn) == finWait2 })
+				r.eventually("the end of the stream has arrived", func() bool { return tcpState(t, c.Conn) == finWait2 })
 			}
 			if how != "half-closed" {
 				require.NoError(t, leave(c.Conn.(*net.TCPConn)))
@@ -208,36 +210,37 @@
 	last := dial()
 	close(ln.free)
 	last.expect("last", "all", 200, completeAnswer)
-	r.eventually("the others have ended", func() bool {
-		told := make(chan int, 1)
-		loop.submit(func() { told <- len(loop.clients.connections) })
-		return <-told == 1
+	r.eventually("the other connections have ended", func() bool {
+		count := make(chan int, 1)
+		loop.submit(func() { count <- len(loop.clients.connections) })
+		return <-count == 1
 	})
-	require.Equal(t, 4, r.parts(), "those of the last alone")
+	require.Equal(t, 4, r.parts(), "only the last client's shard requests")
 	last.Close()
 	cancel()
 	require.NoError(t, <-ended)
 	r.shutDown()
 }
 
-// startPiped starts a further coordinator whose clients connect by pipes: a write returns once it has been read. made
-// changes the coordinator's side of a connection, and may be nil.
-func (r *rig) startPiped() (call func(made func(net.Conn) net.Conn) *testClient, end func()) {
-	p, look, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
+// startPiped starts another coordinator with the rig's plan whose clients connect through pipes, on which a write returns
+// only when it has been read. call connects a client; wrap, which may be nil, wraps the coordinator's side of the pipe.
+// end stops both coordinators.
+func (r *rig) startPiped() (call func(wrap func(net.Conn) net.Conn) *testClient, end func()) {
+	p, started, ended := &pipeListener{conns: make(chan net.Conn)}, make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.t.Cleanup(cancel)
 	go func() {
 		ended <- Serve(ctx, r.plan, Options{
 			Listener: p, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: look,
+			Logger: NewLogger(r.log, false, slog.LevelInfo), onStart: started,
 		})
 	}()
-	<-look
+	<-started
 	var callers []net.Conn
-	call = func(made func(net.Conn) net.Conn) *testClient {
+	call = func(wrap func(net.Conn) net.Conn) *testClient {
 		own, other := net.Pipe()
-		if made != nil {
-			other = made(other)
+		if wrap != nil {
+			other = wrap(other)
 		}
 		p.conns <- other
 		callers = append(callers, own)
@@ -254,13 +257,14 @@
 		case err := <-ended:
 			require.NoError(r.t, err)
 		case <-time.After(patience):
-			require.Fail(r.t, "does not end")
+			require.Fail(r.t, "the coordinator does not end")
 		}
 		r.shutDown()
 	}
 }
 
-// A connection that waited for room has the full time for its first request from then on.
+// A connection that waited for room gets the full time for its first request, counted from when it is admitted. Counted
+// from connecting, the time would be over before the first read.
 func TestFirstRequestAfterWaitingForRoom(t *testing.T) {
 	t.Parallel()
 	r := start(t, 16, nil)
@@ -268,10 +272,10 @@
 	gate := make(chan struct{})
 	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var busy []*testClient
-	for i := range 8 { // all the room
+	for i := range 8 { // takes all the room
 		busy = append(busy, call(nil).send(request(fmt.Sprint("busy", i), "all", "", fourParts)))
 	}
-	r.eventually("parts are out", func() bool { return r.parts() == 4*len(busy) })
+	r.eventually("shard requests are sent", func() bool { return r.parts() == 4*len(busy) })
 	c := call(nil)
 	time.Sleep(requestReadTimeout + finalReadGrace)
 	close(gate)
@@ -281,13 +285,13 @@
 	}
 	text := request("late", "all", "", fourParts)
 	c.send(text[:100])
-	time.Sleep(3 * finalReadGrace) // no verdict rests on its length: it is in the request's own time
+	time.Sleep(3 * finalReadGrace) // well within the request's own time, so the exact length does not matter
 	status, _, _, _ := c.send(text[100:]).readAnswer()
 	require.Equal(t, 200, status)
 	end()
 }
 
-// halfClosingConn is a pipe of which one direction can be shut.
+// halfClosingConn is a pipe that supports CloseWrite.
 type halfClosingConn struct {
 	net.Conn
 	shut chan struct{}
@@ -298,10 +302,11 @@
 	return nil
 }
 
-// After a last answer, what still arrives is read for a while, so that no reset overtakes the answer: after
-// pipelining, and when a client sends on. None of it is dispatched.
+// After the last answer on a connection, bytes that still arrive are read for a while, since closing with unread bytes sends
+// a reset that can overtake the answer. None of these requests is dispatched. The last answer is the error after
+// pipelining, or the answer to a request with Connection: close whose client continues to send.
 func TestLingersAfterLastAnswer(t *testing.T) {
-	more := strings.Repeat(request("next", "all", "", fourParts), 100) // several buffers
+	more := strings.Repeat(request("next", "all", "", fourParts), 100) // longer than several read buffers
 	for name, x := range map[string]struct {
 		head   string
 		ahead  bool
@@ -315,7 +320,7 @@
 			h := halfClosingConn{nil, make(chan struct{})}
 			c := call(func(conn net.Conn) net.Conn { h.Conn = conn; return h })
 			c.send(request("first", "all", x.head, fourParts))
-			r.eventually("parts are out", func() bool { return r.parts() == 4 })
+			r.eventually("shard requests are sent", func() bool { return r.parts() == 4 })
 			sent := make(chan error, 1)
 			send := func() {
 				_, err := c.Write([]byte(more))
@@ -343,18 +348,18 @@
 	}
 }
 
-// A stalled process whose clients leave meanwhile sends nothing for them when it goes on, though timers of their
+// When a process goes on after a stall, it sends no attempts for clients that left meanwhile, although timers of their
 // searches are due.
 func TestClientsThatLeaveDuringStall(t *testing.T) {
-	const lives, clients = 6, 24 // without what it holds, one life in three sends something
-	for i := range lives {
+	const runs, clients = 6, 24 // without the catch-up, one run in three sends an attempt
+	for i := range runs {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
 			l := newChildProcess(t)
 			l.start(nil)
 			l.ready()
 			l.holdAttempts()
-			took := func() (n int) {
+			received := func() (n int) {
 				for _, h := range l.hosts {
 					n += h.CountRequests()
 				}
@@ -367,9 +372,9 @@
 				require.NoError(t, err)
 				conns = append(conns, conn)
 			}
-			l.eventually("parts are out", func() bool { return took() >= 8 }) // of 16 that may be, on a machine that is busy
+			l.eventually("shard requests are sent", func() bool { return received() >= 8 }) // of up to 16, as a busy machine may be slow to send all
 			l.signal(syscall.SIGSTOP)
-			l.eventually("it stands still", func() bool {
+			l.eventually("the process is stopped", func() bool {
 				text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", l.cmd.Process.Pid))
 				require.NoError(t, err)
 				return strings.Contains(string(text), ") T ")
@@ -377,12 +382,12 @@
 			for _, conn := range conns {
 				conn.Close()
 			}
-			time.Sleep(time.Duration(400+200*i) * time.Millisecond) // an overdue part waits 500 ms for its copy
-			before := took()
+			time.Sleep(time.Duration(400+200*i) * time.Millisecond) // the hedged attempt of an overdue shard request is due after 500 ms
+			before := received()
 			l.signal(syscall.SIGCONT)
-			l.ready()                          // it goes on
-			time.Sleep(200 * time.Millisecond) // for what would go out
-			require.Equal(t, before, took(), "%s", l.log)
+			l.ready()                          // the process runs again
+			time.Sleep(200 * time.Millisecond) // for attempts that must not be sent
+			require.Equal(t, before, received(), "%s", l.log)
 			l.signal(syscall.SIGTERM)
 			l.waitForExit(0)
 		})
--- a/coordinator/client_request.go
+++ b/coordinator/client_request.go
@@ -47,9 +47,9 @@
 	}
 	switch {
 	case method != http.MethodPost && isClass:
-		return requestError{405, fmt.Sprintf("a search needs the method POST, got %.40q", method)}
+		return requestError{405, "a search needs the method POST"}
 	case method != http.MethodPost:
-		return requestError{404, fmt.Sprintf("no such path: %.40q", path)}
+		return requestError{404, "no such path"}
 	}
 	submitted, err := c.newSearch(first, key, head, arrivedAt)
 	if err != nil {
@@ -70,7 +70,7 @@
 // serveHealth answers with status 200 if the coordinator has an endpoint list and is not stopping, and 503 otherwise.
 func (c *clientConnection) serveHealth(method string, keep bool) error {
 	if method != http.MethodGet {
-		return requestError{405, fmt.Sprintf("/healthz needs the method GET, got %.40q", method)}
+		return requestError{405, "/healthz needs the method GET"}
 	}
 	loop := c.loop
 	loop.submit(func() {
@@ -90,14 +90,14 @@
 		return nil, badRequest("X-Class %.40q is not a class of the settings", head["x-class"])
 	}
 	if pathClass != head["x-class"] {
-		return nil, badRequest("X-Class %.40q differs from the class in the path, %.40q", head["x-class"], pathClass)
+		return nil, badRequest("X-Class differs from the class in the path")
 	}
 	created := &search{
 		name: head["x-request-id"], key: key, class: class, arrivedAt: arrivedAt,
 		isRetry: head["x-retry"] == "1",
 	}
 	if !isPlainName(created.name) {
-		return nil, badRequest("X-Request-Id %.40q: want 1 to %d visible ASCII characters", created.name, maxRequestIDBytes)
+		return nil, badRequest("X-Request-Id %.40q is empty, too long or not visible ASCII", created.name)
 	}
 	if created.tenant, ok = c.tenants[head["x-tenant"]]; !ok && len(c.tenants) > 0 {
 		return nil, badRequest("X-Tenant %.40q is not a tenant of the settings", head["x-tenant"])
--- a/coordinator/client_request_test.go
+++ b/coordinator/client_request_test.go
@@ -9,6 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Malformed and invalid requests get their error status, and no replica gets a shard request for them. After a malformed request the connection closes, since the start of the next one is unknown; after a
+// well-formed one it stays open.
 func TestInvalidRequests(t *testing.T) {
 	r := start(t, 1024, nil)
 	ok := request("id", "all", "", fourParts)
@@ -37,7 +39,7 @@
 		"POST /all HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n":    400,
 		"POST /all HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n":       413,
 		"POST /all HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n": 501,
-	}, true: { // these are well-formed: the next request's begin is known
+	}, true: { // well-formed HTTP, so the start of the next request is known
 		swap("X-Class: all", "X-Class: none"):                    400,
 		swap("X-Class: all", "X-Class: some"):                    400,
 		swap("X-Tenant: acme", "X-Tenant: nobody"):               400,
@@ -92,7 +94,8 @@
 	r.shutDown()
 }
 
-// A class may have the name of the health path: its searches are served, and health requests are answered too.
+// A class may be called healthz, like the path of the health check: its searches are served, and health checks are still
+// answered.
 func TestClassNamedAsHealth(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settingAt(settings, "Classes", 1)["Name"] = "healthz" })
 	c := r.connect()
@@ -103,8 +106,8 @@
 	r.shutDown()
 }
 
-// Requests name class and tenant as the settings spell them, with blanks, commas and letters of all languages, and
-// each is handled under its own.
+// Requests name class and tenant exactly as the settings do, with blanks, commas and non-ASCII letters, and each is
+// accepted and served.
 func TestRequestNamesAsInSettings(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) {
 		settingAt(settings, "Classes", 1)["Name"] = "all, größer"
@@ -123,11 +126,11 @@
 	post("a", "some", "some", "acme north")
 	post("b", "some", "some", "acme, south")
 	post("c", "all,%20gr%C3%B6%C3%9Fer", "all, größer", "acme north")
-	post("d", "some", "some", "acme_north") // the wire's form of it
+	post("d", "some", "some", "acme_north") // the wire form of acme north
 	r.shutDown()
 }
 
-// A target is parsed as the standard library would.
+// parseTarget returns the same path, key and validity as the standard library, although it parses plain targets itself.
 func FuzzParseTarget(f *testing.F) {
 	for _, text := range []string{
 		"/a?k=7f", "/a", "/a?k=", "/a?x=1&k=2", "/a%20b?k=%41", "/a?k=1&k=2", "/a?k=a+b", "*", "", "/a?k=1#f",
--- a/coordinator/event_loop_test.go
+++ b/coordinator/event_loop_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While the event loop's task queue is full, submitters wait and nothing is lost: requests are answered, and clients
-// that leave are noticed, once it goes on.
+// While the event loop's task queue is full, submitters block and nothing is lost: once the event loop goes on, requests
+// are answered and clients that left are noticed.
 func TestFullTaskQueue(t *testing.T) {
 	r := start(t, 256, nil)
 	r.connect().expect("first", "all", 200, completeAnswer)
-	gate, in := make(chan struct{}), make(chan struct{})
-	r.loop.submit(func() { close(in); <-gate })
-	<-in
+	gate, blocked := make(chan struct{}), make(chan struct{})
+	r.loop.submit(func() { close(blocked); <-gate })
+	<-blocked
 	var callers []*testClient
 	for i := range 40 {
 		callers = append(callers, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
@@ -26,7 +26,7 @@
 			full = true
 		}
 	}
-	for i := range 20 { // behind a queue that is full
+	for i := range 20 { // while the queue is full
 		callers = append(callers, r.connect().send(request(fmt.Sprint("p", i), "all", "", fourParts)))
 	}
 	for _, c := range callers[:5] {
@@ -38,6 +38,6 @@
 		require.NoError(t, err, "%d", i)
 		require.Contains(t, []int{200, 503}, status)
 	}
-	r.eventually("none is left open", func() bool { return r.openClients() == 0 })
+	r.eventually("no search is open", func() bool { return r.openClients() == 0 })
 	r.shutDown()
 }
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -23,8 +23,8 @@
 	"chalkring/control/residency"
 )
 
-// quotedLines writes bytes of the wire, a quoted line for each of theirs, behind a mark: > for what is sent, of which long
-// lines are cut, < for what comes back.
+// quotedLines writes each line of a request or response quoted and after a mark: > for sent lines, of which long ones are
+// cut, and < for received lines.
 func quotedLines(out *strings.Builder, mark, text string) {
 	for _, line := range strings.SplitAfter(text, "\r\n") {
 		switch {
@@ -37,7 +37,7 @@
 	}
 }
 
-// rawConn is a client's connection whose responses are taken as the bytes they are.
+// rawConn is a client's connection that returns responses as raw bytes.
 type rawConn struct {
 	net.Conn
 	t  *testing.T
@@ -58,8 +58,8 @@
 	return c
 }
 
-// response reads the bytes of one response, by its Content-Length; where it says that the connection closes, the end has to
-// follow.
+// response reads the bytes of one response, by its Content-Length. If the response announces that the connection closes, it
+// checks that the end of the stream follows.
 func (c *rawConn) response() string {
 	var text strings.Builder
 	length, closes := 0, false
@@ -86,8 +86,8 @@
 	return text.String()
 }
 
-// exchange writes a request and the response to it into the text of a golden file.
-func exchange(t *testing.T, out *strings.Builder, addr, name, text string) {
+// recordExchange sends a request on a new connection and appends it and its response to the text of a golden file.
+func recordExchange(t *testing.T, out *strings.Builder, addr, name, text string) {
 	c := dialRaw(t, addr)
 	defer c.Close()
 	response := c.send(text).response()
@@ -96,8 +96,8 @@
 	quotedLines(out, "<", response)
 }
 
-// Requests that are refused, and those that no search is made of, get the bytes of the golden file; each has a connection of
-// its own. Nothing is normalised.
+// Rejected requests, and requests other than searches, get exactly the response bytes of the golden file, without
+// normalisation. Each request has its own connection.
 func TestGoldenClientErrors(t *testing.T) {
 	r := start(t, 1024, nil)
 	ok := request("id", "all", "", fourParts)
@@ -134,13 +134,13 @@
 		{"other coding", "POST /all HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"},
 		{"other version", with("HTTP/1.1", "HTTP/2.0")},
 	} {
-		exchange(t, &out, r.addr, x[0], x[1])
+		recordExchange(t, &out, r.addr, x[0], x[1])
 	}
 	golden.Require(t, "client_errors.golden", out.String())
 	r.shutDown()
 }
 
-// Before any host is known, the health request gets the bytes of the golden file.
+// While no host is known, a health check gets exactly the response bytes of the golden file.
 func TestGoldenHealthWithoutHosts(t *testing.T) {
 	list, ln := script(t), listen(t)
 	initial, err := parsePlan(fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1f",
@@ -157,20 +157,20 @@
 		})
 	}()
 	var out strings.Builder
-	exchange(t, &out, ln.Addr().String(), "health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+	recordExchange(t, &out, ln.Addr().String(), "health", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	golden.Require(t, "health_without_hosts.golden", out.String())
 	cancel()
 	require.NoError(t, <-ended)
 }
 
-// searchUnderTest is a search whose decisions the test makes in the decision module's place.
+// searchUnderTest is a search for which the test decides instead of the balancer.
 type searchUnderTest struct {
 	*rig
-	module *scriptedBalancer
-	id     uint64
+	scripted *scriptedBalancer
+	id       uint64
 }
 
-// answerShards sends a step's shard requests out and waits until they are answered.
+// answerShards sends attempts for shard requests of a step and waits until they are answered.
 func (s searchUnderTest) answerShards(step int, shards ...int) {
 	for _, shard := range shards {
 		s.eventually("the step begins", func() (there bool) {
@@ -184,16 +184,18 @@
 			})
 			return there
 		})
-		s.module.expectOutcome("Ok")
+		s.scripted.expectOutcome("Ok")
 	}
 }
 
-func (s searchUnderTest) settle(whole bool) {
+// answer sends the final answer, or begins the next step if the search has one.
+func (s searchUnderTest) answer(whole bool) {
 	s.runInLoop(func(loop *eventLoop) { loop.AnswerSearch(s.id, whole) })
 }
 
-// Searches get the bytes of the golden file for each way in which they end: whole, in part, after two steps, shed, failed, and
-// never begun. The test makes the decisions, so that nothing is normalised.
+// Searches get exactly the response bytes of the golden file for each way in which they end: complete, partial, after two
+// steps, shed, failed, and rejected before they begin. The test makes the balancer's decisions, so that the bytes are the
+// same in each run and need no normalisation.
 func TestGoldenClientResponses(t *testing.T) {
 	r := start(t, 1024, nil)
 	for _, host := range r.replicas {
@@ -201,7 +203,7 @@
 			switch {
 			case p.Text == "escaped":
 				p.Reply("good", "1", "quote \" backslash \\ line\nend\r tab\t bell\a del\x7f <&> é \u2028 🙂")
-			case p.Shard == 0: // never among the highest, so that no second step has the shard that the puppet looks for
+			case p.Shard == 0: // never among the highest values, so that no second step has shard 0, by which the scripted balancer notices a new search
 				p.Reply("good", "-3", "zero")
 			case p.Shard == 2:
 				p.Reply("good", "7", "")
@@ -210,29 +212,29 @@
 			}
 		})
 	}
-	module := r.puppet()
+	scripted := r.puppet()
 	var out strings.Builder
 	for i, x := range []struct {
 		name, class, head, body string
 		then                    func(s searchUnderTest)
 	}{
-		{"whole", "all", "", fourParts, func(s searchUnderTest) { s.answerShards(1, 0, 1, 2, 3); s.settle(true) }},
-		{"whole with some of the shards", "some", "", fourParts, func(s searchUnderTest) { s.answerShards(1, 3, 0); s.settle(true) }},
-		{"partial", "some", "", fourParts, func(s searchUnderTest) { s.answerShards(1, 1); s.settle(false) }},
-		{"partial, close", "some", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.answerShards(1, 0, 1); s.settle(false) }},
-		{"partial without a shard", "some", "", fourParts, func(s searchUnderTest) { s.settle(false) }},
-		{"escaped values", "all", "", strings.Replace(onePart, "what", "escaped", 1), func(s searchUnderTest) { s.answerShards(1, 0); s.settle(true) }},
+		{"whole", "all", "", fourParts, func(s searchUnderTest) { s.answerShards(1, 0, 1, 2, 3); s.answer(true) }},
+		{"whole with some of the shards", "some", "", fourParts, func(s searchUnderTest) { s.answerShards(1, 3, 0); s.answer(true) }},
+		{"partial", "some", "", fourParts, func(s searchUnderTest) { s.answerShards(1, 1); s.answer(false) }},
+		{"partial, close", "some", "Connection: close\r\n", fourParts, func(s searchUnderTest) { s.answerShards(1, 0, 1); s.answer(false) }},
+		{"partial without a shard", "some", "", fourParts, func(s searchUnderTest) { s.answer(false) }},
+		{"escaped values", "all", "", strings.Replace(onePart, "what", "escaped", 1), func(s searchUnderTest) { s.answerShards(1, 0); s.answer(true) }},
 		{"two steps", "deep", "", fourParts, func(s searchUnderTest) {
 			s.answerShards(1, 0, 1, 2, 3)
-			s.settle(true)
+			s.answer(true)
 			s.answerShards(2, 3, 1)
-			s.settle(true)
+			s.answer(true)
 		}},
 		{"two steps, the second partial", "deep", "", fourParts, func(s searchUnderTest) {
 			s.answerShards(1, 3, 1)
-			s.settle(false)
+			s.answer(false)
 			s.answerShards(2, 1)
-			s.settle(false)
+			s.answer(false)
 		}},
 		{"shed", "all", "", fourParts, func(s searchUnderTest) { s.runInLoop(func(loop *eventLoop) { loop.ShedSearch(s.id, 0) }) }},
 		{"shed with a wait", "all", "", fourParts, func(s searchUnderTest) { s.runInLoop(func(loop *eventLoop) { loop.ShedSearch(s.id, 2500) }) }},
@@ -245,15 +247,15 @@
 	} {
 		text := request(fmt.Sprint("q", i), x.class, x.head, x.body)
 		c := dialRaw(t, r.addr).send(text)
-		x.then(searchUnderTest{r, module, (<-module.searches)[0]})
+		x.then(searchUnderTest{r, scripted, (<-scripted.searches)[0]})
 		fmt.Fprintf(&out, "== %s\n", x.name)
 		quotedLines(&out, ">", text)
 		quotedLines(&out, "<", c.response())
 		c.Close()
 	}
 	c := dialRaw(t, r.addr).send(request("same", "all", "", fourParts))
-	id := (<-module.searches)[0]
-	exchange(t, &out, r.addr, "request id that is in use", request("same", "all", "", fourParts))
+	id := (<-scripted.searches)[0]
+	recordExchange(t, &out, r.addr, "request id that is in use", request("same", "all", "", fourParts))
 	fmt.Fprintf(&out, "== sent ahead of the answer\n")
 	quotedLines(&out, "<", c.send("POST /all HTTP/1.1\r\n").response())
 	r.runInLoop(func(loop *eventLoop) { require.Nil(t, loop.searches.byID[id]) })
@@ -261,13 +263,13 @@
 	r.shutDown()
 }
 
-// Searches that a contract refuses get the bytes of the golden file; nothing is normalised.
+// Searches that a contract refuses get exactly the response bytes of the golden file, without normalisation.
 func TestGoldenContractErrors(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	var out strings.Builder
-	exchange(t, &out, z.addr, "no holder", request("q1", "all", "", fourParts))
+	recordExchange(t, &out, z.addr, "no holder", request("q1", "all", "", fourParts))
 	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
-	exchange(t, &out, z.addr, "lease ended", request("q2", "all", "Connection: close\r\n", fourParts))
+	recordExchange(t, &out, z.addr, "lease ended", request("q2", "all", "Connection: close\r\n", fourParts))
 	for _, why := range []string{residency.ReasonNoEligibleHost, residency.ReasonLeaseExpired, residency.ReasonContractEnded} {
 		status, body := residencyRefusalBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
 		fmt.Fprintf(&out, "== body\n< %d %q\n", status, body)
@@ -278,13 +280,14 @@
 
 var metricValues = regexp.MustCompile(`(?m) [-+.0-9e]+$`)
 
-// The metrics have the names, labels and help of the golden file: values and Content-Length are replaced by #.
+// The response to /metrics has the names, labels and help texts of the golden file. Values and Content-Length are replaced
+// by #.
 func TestGoldenMetricsResponse(t *testing.T) {
-	watching := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false"})
+	shadowed := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false"})
 	z := startZoned(t, eastOnly)
 	z.in.SetPolicy(z.policy(eastOnly, math.MaxInt64))
 	var out strings.Builder
-	for _, r := range []*rig{watching, z.rig} {
+	for _, r := range []*rig{shadowed, z.rig} {
 		c := dialRaw(t, r.addr)
 		text := c.send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").response()
 		c.Close()
@@ -298,6 +301,6 @@
 		fmt.Fprintln(&out, strings.Join(lines, "\n"))
 	}
 	golden.Require(t, "metrics_response.golden", out.String())
-	watching.shutDown()
+	shadowed.shutDown()
 	z.shutDown()
 }
--- a/coordinator/golden_log_test.go
+++ b/coordinator/golden_log_test.go
@@ -10,9 +10,10 @@
 	"chalkring/internal/golden"
 )
 
-var timeOfLine = regexp.MustCompile(`time=\S+ `)
+var lineTime = regexp.MustCompile(`time=\S+ `)
 
-// The log's forms: text and JSON.
+// Log lines in both formats, text and JSON, and at several levels have the form of the golden file: operators' tools parse
+// them.
 func TestGoldenLogForm(t *testing.T) {
 	var out bytes.Buffer
 	for _, json := range []bool{false, true} {
@@ -23,6 +24,6 @@
 			log.Error("third", "error", fmt.Errorf("it is %q", "x"))
 		}
 	}
-	text := timeOfLine.ReplaceAllString(out.String(), "time=TIME ")
+	text := lineTime.ReplaceAllString(out.String(), "time=TIME ")
 	golden.Require(t, "log_form.golden", regexp.MustCompile(`"time":"[^"]*"`).ReplaceAllString(text, `"time":"TIME"`))
 }
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// metricsWithoutValues reads /metrics and takes the numbers at the lines' ends away.
+// metricsWithoutValues returns the content type and body of /metrics with all values replaced.
 func metricsWithoutValues(t *testing.T, r *rig) string {
 	c := r.connect()
 	c.send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -23,18 +23,19 @@
 	return fmt.Sprintf("content-type: %s\n%s", head["content-type"], regexp.MustCompile(`(?m) [-+0-9.eE]+$`).ReplaceAllString(body, " VALUE"))
 }
 
-// The names, labels and help texts of all metrics of a co-ordinator, in their order.
+// The names, labels, help texts and order of all metrics of a coordinator are those of the golden file, since dashboards and
+// alerts depend on them.
 func TestGoldenMetrics(t *testing.T) {
-	watching := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false"})
-	text := "shadow settings\n" + metricsWithoutValues(t, watching)
-	watching.shutDown()
+	shadowed := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false"})
+	text := "shadow settings\n" + metricsWithoutValues(t, shadowed)
+	shadowed.shutDown()
 	zoned := startZoned(t, eastOnly)
 	text += "residency\n" + metricsWithoutValues(t, zoned.rig)
 	zoned.shutDown()
 	golden.Require(t, "metrics.golden", text)
 }
 
-// eventKeys are the events of a log with the keys beside them, each once, in alphabetical order; values are left out.
+// eventKeys lists each kind of line of a log once, in alphabetical order: its event, level and keys, without values.
 func eventKeys(log string) string {
 	key := regexp.MustCompile(`(?:^| )([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 	var all []string
@@ -58,7 +59,8 @@
 	return strings.Join(slices.Compact(all), "")
 }
 
-// The events and keys of the log that a start, a list, a changed plan, a search and a stop always write.
+// The events and keys that the log has after a start, an endpoint list, a changed plan, a search, a refused search and a stop
+// are those of the golden file, since operators' tools match them.
 func TestGoldenLogEvents(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
@@ -70,10 +72,10 @@
 	r.plans <- next
 	r.logged("waits_for_restart=")
 	r.shutDown()
-	served := map[string]bool{"serving": true, "stopped": true, "list": true, "reloaded": true}
+	expected := map[string]bool{"serving": true, "stopped": true, "list": true, "reloaded": true}
 	var kept []string
 	for _, line := range strings.Split(r.log.String(), "\n") {
-		if m := regexp.MustCompile(`event=(\S+)`).FindStringSubmatch(line); m != nil && served[m[1]] {
+		if m := regexp.MustCompile(`event=(\S+)`).FindStringSubmatch(line); m != nil && expected[m[1]] {
 			kept = append(kept, line)
 		}
 	}
--- a/coordinator/logging_test.go
+++ b/coordinator/logging_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A log whose reader has gone ends nothing: the process serves on, and ends when it is told to.
+// When the reader of the log's pipe exits, the process continues to serve and shuts down on SIGTERM; SIGPIPE or a write
+// error must not end it.
 func TestClosedLogReader(t *testing.T) {
 	l := newChildProcess(t)
 	rd, wr, err := os.Pipe()
@@ -20,14 +21,14 @@
 	wr.Close()
 	l.ready()
 	rd.Close()
-	l.signal(syscall.SIGHUP) // writes a line
+	l.signal(syscall.SIGHUP) // the reload writes a log line
 	time.Sleep(200 * time.Millisecond)
 	l.served("a")
 	l.signal(syscall.SIGTERM)
 	l.waitForExit(0)
 }
 
-// A log that nobody reads delays neither the start, nor reloads, nor the shutdown.
+// A log pipe that nobody reads, and that is full from the start, delays neither the start nor reloads nor the shutdown.
 func TestStalledLogReader(t *testing.T) {
 	l := newChildProcess(t)
 	rd, wr, err := os.Pipe()
@@ -46,7 +47,7 @@
 	l.ready()
 	l.plan["name"] = ""
 	l.write()
-	l.signal(syscall.SIGHUP) // a line on its failure
+	l.signal(syscall.SIGHUP) // the failed reload writes a log line
 	time.Sleep(100 * time.Millisecond)
 	l.served("a")
 	l.signal(syscall.SIGTERM)
--- a/coordinator/panic_test.go
+++ b/coordinator/panic_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// panickingConn is a connection on which reading panics, once its address has been set.
+// panickingConn is a connection whose Read panics after its remote address has been stored in at.
 type panickingConn struct {
 	net.Conn
 	at *atomic.Pointer[map[string]bool]
@@ -18,12 +18,12 @@
 func (s *panickingConn) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if at := s.at.Load(); at != nil && (*at)[s.RemoteAddr().String()] {
-		panic("a fault that these bytes bring out")
+		panic("panic while reading, caused by the test")
 	}
 	return n, err
 }
 
-// A panic over a client's bytes ends its connection; all others are served, and the log has the stack.
+// A panic while handling a client's bytes ends only that client's connection: others are served, and the panic is logged.
 func TestPanicEndsOneClientConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
 	r := start(t, 256, nil)
@@ -40,8 +40,8 @@
 	end()
 }
 
-// A panic over a replica's bytes ends that connection as a malformed answer does; one over discovery's is a failed
-// call.
+// A panic while handling a replica's bytes ends that connection, as a malformed answer does. A panic while handling
+// discovery's response makes the call fail. The process continues in both cases.
 func TestPanicEndsOneReplicaConnection(t *testing.T) {
 	var at atomic.Pointer[map[string]bool]
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) {
@@ -63,7 +63,7 @@
 	at.Store(&hosts)
 	c.send(request("while", "all", "", fourParts))
 	status, _, _, _ := c.readAnswer()
-	require.Contains(t, []int{500, 503}, status, "no part's answer can be read")
+	require.Contains(t, []int{500, 503}, status, "no replica's answer can be read")
 	at.Store(nil)
 	r.logged("event=connection_fault")
 	r.eventually("searches are served again", func() bool {
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -18,7 +18,7 @@
 	"chalkring/internal/http1"
 )
 
-// process starts a process of the program with two hosts a block.
+// process starts the program as a process with two hosts per block. edit, which may be nil, changes the configuration.
 func process(t *testing.T, edit func(s *fleet.Config)) *fleet.Cluster {
 	s := fleet.Config{Seed: 1, Instances: []fleet.Instance{{Name: "n"}}}
 	for i := range 2 * fleet.BlockCount {
@@ -35,17 +35,17 @@
 	return r
 }
 
-// Clients keep their connections open after SIGTERM and send on until SIGKILL, one request after another and several at
-// once: each request that was sent before has its final answer, none a connection that closes.
+// Clients may keep their connections open after SIGTERM and continue to send until SIGKILL, one request after another or
+// several at once. Each request that was sent before SIGKILL gets its final answer; no connection closes instead.
 func TestConnectionsThatStayOpenAtShutdown(t *testing.T) {
 	r := process(t, nil)
 	text := func(searchName string) string {
 		return fake.Search{ID: searchName, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Encode()
 	}
 	var mu sync.Mutex
-	answers, fates := map[int]int{}, []string(nil)
+	answers, failures := map[int]int{}, []string(nil)
 	term, kill := make(chan struct{}), make(chan struct{})
-	over := func(c <-chan struct{}) bool {
+	isClosed := func(c <-chan struct{}) bool {
 		select {
 		case <-c:
 			return true
@@ -60,36 +60,36 @@
 		defer conn.Close()
 		g.Go(func() {
 			rd := http1.NewReader(conn, make([]byte, 16<<10))
-			for i := 0; !over(kill); i++ {
-				together := 1
-				if k%2 == 1 && over(term) { // before the end that is an error by the protocol
-					together = 3
+			for i := 0; !isClosed(kill); i++ {
+				pipelined := 1
+				if k%2 == 1 && isClosed(term) { // pipelining before the shutdown is a protocol error
+					pipelined = 3
 				}
 				var all strings.Builder
-				for j := range together {
+				for j := range pipelined {
 					if k == 0 {
 						all.WriteString("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 					} else {
 						all.WriteString(text(fmt.Sprintf("c%d-%d-%d", k, i, j)))
 					}
 				}
-				ended := over(term)
+				isStopping := isClosed(term)
 				conn.SetDeadline(time.Now().Add(patience))
 				_, err := conn.Write([]byte(all.String()))
-				for range together {
+				for range pipelined {
 					var status int
 					if err == nil {
 						status, _, _, _, err = rd.ReadResponse()
 					}
 					mu.Lock()
 					switch {
-					case over(kill):
+					case isClosed(kill):
 					case err != nil:
-						fates = append(fates, fmt.Sprintf("connection %d, request %d: %v", k, i, err))
-					case k == 0 && ended && status != 503:
-						fates = append(fates, fmt.Sprintf("healthz says %d as it stops", status))
+						failures = append(failures, fmt.Sprintf("connection %d, request %d: %v", k, i, err))
+					case k == 0 && isStopping && status != 503:
+						failures = append(failures, fmt.Sprintf("/healthz answers %d during shutdown, want 503", status))
 					case k > 0 && status != 200:
-						fates = append(fates, fmt.Sprintf("connection %d, request %d: status %d", k, i, status))
+						failures = append(failures, fmt.Sprintf("connection %d, request %d: status %d", k, i, status))
 					default:
 						answers[k]++
 					}
@@ -98,7 +98,7 @@
 				if err != nil {
 					return
 				}
-				time.Sleep(time.Duration(1+8*k) * 5 * time.Millisecond) // as clients pause: the 20 ms of a last look and more
+				time.Sleep(time.Duration(1+8*k) * 5 * time.Millisecond) // pauses of 5 to 285 ms, shorter and longer than finalReadGrace
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 	defer cancel()
 	require.NoError(t, r.WaitLogged(ctx, "n", "event=stopping", 1))
 	close(term)
-	require.Eventually(t, func() bool { // no new connection is taken any more
+	require.Eventually(t, func() bool { // no new connections are accepted any more
 		_, err := r.GetHealth(ctx, "n")
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}, patience, 10*time.Millisecond)
@@ -118,18 +118,18 @@
 	require.Eventually(t, func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(fates) > 0 || answers[7] >= before+12
+		return len(failures) > 0 || answers[7] >= before+12
 	}, patience, 10*time.Millisecond)
 	close(kill)
 	require.NoError(t, r.Kill(ctx, "n"))
 	g.Wait()
-	require.Empty(t, fates[:min(5, len(fates))])
+	require.Empty(t, failures[:min(5, len(failures))])
 	for k := range 8 {
 		require.Greater(t, answers[k], 3)
 	}
 }
 
-// A process whose clients close, or stay silent, ends by itself after SIGTERM.
+// After SIGTERM a process ends by itself although a client keeps an idle connection open.
 func TestShutdownWithIdleConnections(t *testing.T) {
 	r := process(t, nil)
 	conn, err := net.Dial("tcp", r.Addresses("n").Client)
@@ -141,8 +141,9 @@
 	require.Contains(t, r.Log("n"), "event=stopped")
 }
 
-// A process that is stopped for longer than a connection may be idle, or a request may take, and then goes on, answers
-// each request that arrived meanwhile, on kept, arriving and new connections.
+// A process that goes on after SIGSTOP for longer than the idle and read timeouts answers each request that arrived
+// meanwhile: on idle connections, on those in the middle of a request and on new ones. The timeouts must not close them
+// unread.
 func TestRequestsDuringSIGSTOP(t *testing.T) {
 	r := process(t, nil)
 	var conns []net.Conn
@@ -174,7 +175,7 @@
 	for range 3 {
 		dial()
 	}
-	time.Sleep(50 * time.Millisecond) // all of it is taken in; one that is not is as good a case
+	time.Sleep(50 * time.Millisecond) // usually enough to read all of it; the test holds either way
 	require.NoError(t, r.Signal("n", syscall.SIGSTOP))
 	for i, conn := range conns {
 		switch {
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -137,7 +137,7 @@
 		}
 		index := int(shard)
 		if shard != math.Trunc(shard) || shard < 0 || shard >= float64(shards) || seen[index] {
-			return badRequest("range %g: want a whole number from 0 to %d, each at most once", shard, shards-1)
+			return badRequest("range %g is not the number of a block, or occurs twice", shard)
 		}
 		if !isWeight(weight) {
 			return badRequest("portion %g: want a number above 0 and at most 1", weight)
--- a/coordinator/request_body_test.go
+++ b/coordinator/request_body_test.go
@@ -13,7 +13,7 @@
 	"chalkring/coordinator/plan"
 )
 
-// readBodyWithMaps reads a body as it was read before, by maps: what FuzzReadBody holds the reader against.
+// readBodyWithMaps is a simple implementation of readBody that decodes into maps, as the reference for FuzzReadBody.
 func readBodyWithMaps(body []byte, shards int) (list []int, weights []float64, text string, ok bool) {
 	all, err := plan.DecodeObject(body)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return f, err == nil && !math.IsInf(f, 0)
 }
 
-// Whatever a client sends, the body reader accepts what a reader by maps accepts, and nothing else.
+// For any body, readBody accepts and returns the same as the simple implementation with maps.
 func FuzzReadBody(f *testing.F) {
 	for _, text := range []string{
 		fourParts, `{}`, `[]`, `{"ranges":[],"predicate":"x"}`, `{"ranges":[{"range":0,"portion":1}]}`,
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -18,12 +18,12 @@
 	"chalkring/endpoints"
 )
 
-// zonedRig has a0 and b0 in zone east, a1 and b1 in zone west, and contracts.
+// zonedRig is a rig with contracts. By default a0 and b0 are in zone east, a1 and b1 in zone west.
 type zonedRig struct {
 	*rig
 	in    *ResidencyGuard
 	book  residency.PolicyRegistry
-	ahead atomic.Int64 // of the clock that contracts go by
+	ahead atomic.Int64 // ticks by which the guard's clock is ahead of the machine's
 	lists chan endpoints.Update
 }
 
@@ -31,6 +31,7 @@
 
 func (z *zonedRig) clock() int64 { return time.Now().UnixMicro()/100 + z.ahead.Load() }
 
+// policy compiles contracts with a lease until the given tick.
 func (z *zonedRig) policy(text string, until int64) *residency.CompiledPolicy {
 	p, err := residency.ParsePolicy("contracts", []byte(text), residency.Site{})
 	require.NoError(z.t, err)
@@ -41,21 +42,21 @@
 
 func startZoned(t *testing.T, text string) *zonedRig { return startZonedWith(t, text, nil, false) }
 
-func startZonedWith(t *testing.T, text string, zones map[string]string, several bool) *zonedRig {
+func startZonedWith(t *testing.T, text string, zones map[string]string, hasUpdates bool) *zonedRig {
 	z := &zonedRig{rig: &rig{t: t}, lists: make(chan endpoints.Update)}
 	z.in = NewResidencyGuard(z.policy(text, math.MaxInt64), z.clock)
 	if zones == nil {
 		zones = map[string]string{"a0": "east", "b0": "east", "a1": "west", "b1": "west"}
 	}
 	z.rig = startIn(t, zones, 256, func(s map[string]any) { s["FailureDomains"] = []string{"east", "west"} }, nil, nil, func(m *Options) {
-		if m.Residency = z.in; several {
+		if m.Residency = z.in; hasUpdates {
 			m.EndpointUpdates = z.lists
 		}
 	})
 	return z
 }
 
-// attemptsOutside counts acme's attempts on hosts that are not named.
+// attemptsOutside counts acme's attempts at hosts other than those named.
 func (z *zonedRig) attemptsOutside(in ...string) (n int) {
 	for hostID, h := range z.replicas {
 		if parts, _, _, _ := h.Observed(); !strings.Contains(strings.Join(in, " "), hostID) {
@@ -76,11 +77,12 @@
 	return status, body
 }
 
-// First attempts, second steps, second copies and retries of a tenant with a contract go to hosts in its zones alone,
-// by the hosts' own records; others use all. The check before sending has nothing to stop.
+// First attempts, second steps, hedged attempts and retries of a tenant with a contract reach only hosts in its zones, as
+// the hosts themselves record; a tenant without one uses all hosts. The balancer alone ensures this: the check before
+// sending stops nothing.
 func TestAttemptsStayInAllowedZones(t *testing.T) {
 	z := startZoned(t, eastOnly)
-	z.replicas["a0"].SetHandler(func(p asked) { // the slow one inside is copied, and tried again, nowhere else
+	z.replicas["a0"].SetHandler(func(p asked) { // slow and failing, which causes hedged attempts and retries
 		if time.Sleep(400 * time.Millisecond); p.Shard == 0 {
 			p.Reply("bad", "0", "")
 			return
@@ -102,11 +104,11 @@
 		if status, _ := z.searchAs("acme", fmt.Sprint("acme-again", n), "all"); status == 200 {
 			break
 		}
-		require.True(t, time.Now().Before(until), "answers again\n%s", z.log)
+		require.True(t, time.Now().Before(until), "complete answers again\n%s", z.log)
 	}
 	require.Zero(t, z.attemptsOutside("a0", "b0"))
 	parts, _, _, _ := z.replicas["a1"].Observed()
-	require.NotEmpty(t, parts, "others use all")
+	require.NotEmpty(t, parts, "the tenant without a contract uses all hosts")
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
@@ -115,8 +117,8 @@
 
 func (unrestrictedBalancer) RestrictReplicas(uint64, *balancer.ReplicaRestriction, func(int) bool) {}
 
-// With the balancer's restriction broken on purpose, nothing is sent, each attempt is counted, and the search has one
-// final answer.
+// With a balancer that ignores restrictions, the check before sending stops and counts each forbidden attempt, none is sent,
+// and the search gets one final answer.
 func TestCheckBeforeSendingFailsClosed(t *testing.T) {
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north]", 1))
 	z.loop.submit(func() { z.loop.balancer = unrestrictedBalancer{z.loop.balancer} })
@@ -136,15 +138,15 @@
 	z.shutDown()
 }
 
-// A block without an allowed host: a refusal at once that names tenant and block; a partial answer where contract and
-// class allow it; a refusal too where the lease has expired or the contract has ended.
+// If a block has no allowed host, the search is refused at once with an error that names tenant and block, or gets a partial
+// answer if contract and class allow one. It is refused in any case once the lease has expired.
 func TestBlockWithoutAllowedHost(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	began := time.Now()
 	status, body := z.searchAs("acme", "acme1", "all")
 	require.Equal(t, 451, status)
 	require.JSONEq(t, `{"error":"residency","tenant":"acme","block":1,"why":"`+residency.ReasonNoEligibleHost+`"}`, body)
-	require.Less(t, time.Since(began), 6*time.Second, "its patience is 8 s")
+	require.Less(t, time.Since(began), 6*time.Second, "refused before its deadline of 8 s")
 	require.Zero(t, z.parts())
 	z.logged("event=residency_refused")
 	z.logged("block 1: " + residency.ReasonNoEligibleHost)
@@ -165,17 +167,18 @@
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-// A policy that tightens during a search cancels attempts elsewhere; nothing new goes there, and there is one answer:
-// complete from inside, or a refusal where a block has no host there. The same holds as a lease expires.
+// When a tighter policy is set during a search, its attempts at hosts that are now forbidden are canceled, no new ones are
+// sent there, and the search gets one answer: complete from allowed hosts, or a refusal if a block has none. The same holds
+// when the lease expires.
 func TestTightenedPolicyCancelsAttempts(t *testing.T) {
-	for _, how := range []string{"moves inside", "has nobody", "lease ends"} {
+	for _, how := range []string{"other hosts are allowed", "no host is allowed", "lease expires"} {
 		t.Run(how, func(t *testing.T) {
 			z := startZoned(t, strings.Replace(eastOnly, "[east]", "[west]", 1))
 			for _, h := range z.replicas {
 				h.SetHandler(func(asked) {})
 			}
 			c := z.connect().send(request("acme1", "all", "", fourParts))
-			z.eventually("parts out", func() bool { return z.parts() == 4 })
+			z.eventually("shard requests are sent", func() bool { return z.parts() == 4 })
 			require.Zero(t, z.attemptsOutside("a1", "b1"))
 			for _, h := range z.replicas {
 				h.SetHandler(asked.ReplyGood)
@@ -183,34 +186,34 @@
 			want := 200
 			next := strings.Replace(eastOnly, "generation: 1", "generation: 2", 1)
 			switch how {
-			case "moves inside":
+			case "other hosts are allowed":
 				z.in.SetPolicy(z.policy(next, math.MaxInt64))
-			case "has nobody":
+			case "no host is allowed":
 				want = 451
 				z.in.SetPolicy(z.policy(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
-			case "lease ends":
+			case "lease expires":
 				want = 503
 				z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() + 2_000))
 			}
-			if how != "lease ends" { // Put has returned: all is called off already
+			if how != "lease expires" { // SetPolicy has returned, so all attempts are canceled already
 				done := make(chan int)
 				z.loop.submit(func() { done <- z.loop.enforcer.inFlightOn("a1", "b1") })
 				require.Zero(t, <-done)
 			}
 			status, _, body, _ := c.readAnswer()
 			require.Equal(t, want, status, body)
-			z.eventually("called off at the hosts", func() bool {
+			z.eventually("attempts are canceled at the hosts", func() bool {
 				n := 0
 				for _, hostID := range []string{"a1", "b1"} {
-					_, given, _, _ := z.replicas[hostID].Observed()
-					n += len(given)
+					_, canceled, _, _ := z.replicas[hostID].Observed()
+					n += len(canceled)
 				}
 				return n == 4
 			})
 			if want == 200 {
 				require.JSONEq(t, completeAnswer, body)
 				require.Equal(t, 8, z.parts())
-				require.Equal(t, 4, z.attemptsOutside("a1", "b1"), "each went out again, inside")
+				require.Equal(t, 4, z.attemptsOutside("a1", "b1"), "each shard request is sent again, to an allowed host")
 			} else {
 				require.Equal(t, 4, z.parts())
 			}
@@ -219,8 +222,8 @@
 	}
 }
 
-// A second step one of whose hosts has become forbidden: its attempt is canceled, and as its block has no other host,
-// the search is refused at once.
+// When a host of a search's second step becomes forbidden, its attempt is canceled, and as its block has no other host, the
+// search is refused at once.
 func TestSecondStepOutsideAllowedZones(t *testing.T) {
 	z := startZonedWith(t, strings.Replace(eastOnly, "[east]", "[east, west]", 1),
 		map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
@@ -242,7 +245,7 @@
 		}
 		return n
 	}
-	z.eventually("the second step is out", func() bool { return second() == 2 })
+	z.eventually("the second step is sent", func() bool { return second() == 2 })
 	z.in.SetPolicy(z.policy(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
 	status, _, body, _ := c.readAnswer()
 	require.Equal(t, 451, status)
@@ -251,7 +254,7 @@
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
-// inFlightOn counts attempts in flight at hosts.
+// inFlightOn returns the number of attempts in flight at the given hosts.
 func (b *residencyEnforcer) inFlightOn(ids ...string) (n int) {
 	for _, hostID := range ids {
 		for _, conn := range b.loop.replicas.byID[hostID].connections {
@@ -261,8 +264,8 @@
 	return n
 }
 
-// A host that moves to another zone during a search is in none: attempts there are canceled and retried inside; one
-// that two sources put into different zones is in none from the first.
+// When a second source puts a host into another zone during a search, the host is in no zone any more, since its sources
+// conflict: attempts there are canceled and retried at allowed hosts, and no new ones are sent there.
 func TestHostChangesZoneDuringSearch(t *testing.T) {
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "east", "b1": "east"}, true)
 	release := make(chan struct{})
@@ -270,7 +273,7 @@
 		z.replicas[hostID].SetHandler(func(p asked) { <-release; p.ReplyGood() })
 	}
 	c := z.connect().send(request("acme1", "all", "", fourParts))
-	z.eventually("parts out", func() bool { return z.parts() >= 4 })
+	z.eventually("shard requests are sent", func() bool { return z.parts() >= 4 })
 	file := func(hostID, zone string, v int64) endpoints.Update {
 		h := z.replicas[hostID]
 		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{
@@ -283,7 +286,7 @@
 		z.loop.submit(func() { got <- z.loop.enforcer.hosts.Zone(z.loop.enforcer.now, hostID) })
 		return <-got
 	}
-	z.eventually("in no zone", func() bool { return zone("a0") == "" })
+	z.eventually("a0 is in no zone", func() bool { return zone("a0") == "" })
 	require.Equal(t, "east", zone("a1"))
 	before := len(first(z.replicas["a0"].Observed()))
 	close(release)
@@ -293,13 +296,14 @@
 		status, body = z.searchAs("acme", fmt.Sprint("acme-after", i), "all")
 		require.Equal(t, 200, status, body)
 	}
-	require.Len(t, first(z.replicas["a0"].Observed()), before, "nothing new for a host whose sources differ")
+	require.Len(t, first(z.replicas["a0"].Observed()), before, "no new attempts at a host whose sources conflict")
 	require.Zero(t, z.in.BlockedDispatches())
 }
 
+// first returns the first result of Host.Observed.
 func first[T any](value T, _ []string, _, _ int) T { return value }
 
-// A contract begins by the clock alone.
+// A contract takes effect at its from time without a new policy or an endpoint update.
 func TestContractBeginsDuringRun(t *testing.T) {
 	from := time.Now().Add(time.Hour).UTC().Format(time.RFC3339)
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north], from: "+from, 1))
@@ -310,12 +314,13 @@
 	require.Equal(t, 451, status)
 }
 
-// What waits in a connection's queue while the process is stopped is not written once the lease has expired meanwhile.
+// Fenced messages that are queued on a connection while the process is stopped are not written if the lease has expired in
+// the meantime; messages that are not fenced are.
 func TestExpiredLeaseStopsWaitingMessages(t *testing.T) {
-	l, up := newMessageConn(t.Context(), 4), false
-	l.leaseExpired = func() bool { return up }
+	l, expired := newMessageConn(t.Context(), 4), false
+	l.leaseExpired = func() bool { return expired }
 	var out strings.Builder
-	parcels := func() (all []*outboundMessage) {
+	newMessages := func() (all []*outboundMessage) {
 		for _, fenced := range []bool{true, false, true} {
 			buffer := borrowBuffer()
 			*buffer = fmt.Appendf(*buffer, "%t ", fenced)
@@ -323,12 +328,12 @@
 		}
 		return all
 	}
-	for _, up = range []bool{false, true} {
-		all := parcels()
+	for _, expired = range []bool{false, true} {
+		all := newMessages()
 		l.enqueue(all[1])
 		l.enqueue(all[2])
 		require.NoError(t, l.writeCoalesced(writes{to: &out}, all[0], new([]*outboundMessage), func(*outboundMessage) error { return nil }))
-		require.Equal(t, up, all[0].stage.Load() == stageRecalled)
+		require.Equal(t, expired, all[0].stage.Load() == stageRecalled)
 	}
 	require.Equal(t, "true false true false ", out.String())
 }
--- a/coordinator/sharded_test.go
+++ b/coordinator/sharded_test.go
@@ -16,10 +16,10 @@
 	"chalkring/coordinator/plan"
 )
 
-// Several event loops behind one listener answer each search once and completely, share clients, follow a reload, and
-// shut down together.
+// Several event loops behind one listener share the clients, answer each search completely and with one attempt per shard,
+// all apply a reloaded plan, and answer open searches before they shut down together.
 func TestServeSharded(t *testing.T) {
-	r := start(t, 256, nil) // its hosts and list serve the several too
+	r := start(t, 256, nil) // its hosts and endpoint list are also used by the sharded coordinator
 	ln := listen(t)
 	var log logBuffer
 	ctx, cancel := context.WithCancel(context.Background())
@@ -32,7 +32,7 @@
 		}, 3)
 	}()
 	own := &rig{t: t, addr: ln.Addr().String(), log: &log}
-	own.eventually("all serve", func() bool { return strings.Count(log.String(), "event=serving") == 3 })
+	own.eventually("all event loops serve", func() bool { return strings.Count(log.String(), "event=serving") == 3 })
 	var g sync.WaitGroup
 	for i := range 12 {
 		c := own.connect()
@@ -43,10 +43,10 @@
 		})
 	}
 	g.Wait()
-	require.Equal(t, 12*20*4, r.parts(), "each part of each search went out once")
+	require.Equal(t, 12*20*4, r.parts(), "each shard request of each search is sent once")
 	plans <- r.plan
 	own.logged("event=reloaded")
-	own.eventually("all have the plan", func() bool { return strings.Count(log.String(), "event=reloaded") == 3 })
+	own.eventually("all event loops have the new plan", func() bool { return strings.Count(log.String(), "event=reloaded") == 3 })
 	gate := make(chan struct{})
 	for _, h := range r.replicas {
 		h.SetHandler(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
@@ -55,7 +55,7 @@
 	for i, c := range last {
 		c.send(request(fmt.Sprint("last", i), "all", "", fourParts))
 	}
-	own.eventually("parts are out", func() bool { return r.parts() >= 12*20*4+12 })
+	own.eventually("shard requests are sent", func() bool { return r.parts() >= 12*20*4+12 })
 	cancel()
 	time.AfterFunc(50*time.Millisecond, func() { close(gate) })
 	for _, c := range last {
@@ -67,7 +67,7 @@
 	case err := <-ended:
 		require.NoError(t, err)
 	case <-time.After(patience):
-		require.Fail(t, "does not end", log.String())
+		require.Fail(t, "the coordinator does not end", log.String())
 	}
 	r.shutDown()
 }
--- a/coordinator/shutdown_test.go
+++ b/coordinator/shutdown_test.go
@@ -21,7 +21,8 @@
 	"chalkring/internal/http1"
 )
 
-// During shutdown open searches are finished and requests that still arrive are served; then nothing is left.
+// During shutdown open searches are finished, requests that still arrive are served, and idle connections are closed.
+// Afterwards no goroutine is left.
 func TestShutdown(t *testing.T) {
 	before := runtime.NumGoroutine()
 	r := start(t, 256, nil)
@@ -37,12 +38,12 @@
 	idle.expect("first", "none", 400, "")
 	idle = r.connect()
 	early.send(request("early", "all", "", fourParts))
-	r.eventually("parts are out", func() bool { return got.Load() == 4 })
+	r.eventually("shard requests are sent", func() bool { return got.Load() == 4 })
 	r.stop()
 	r.logged("event=stopping")
 	late.send(request("late", "all", "", fourParts))
-	r.eventually("the late one is taken", func() bool { return got.Load() == 8 })
-	_, err := idle.Read(make([]byte, 1)) // comes to an end once no more is awaited
+	r.eventually("the late search is dispatched", func() bool { return got.Load() == 8 })
+	_, err := idle.Read(make([]byte, 1)) // closed after the time for one more request
 	require.Equal(t, io.EOF, err)
 	close(release)
 	for _, c := range []*testClient{early, late} {
@@ -60,26 +61,26 @@
 	r.eventually("goroutines end", func() bool { return runtime.NumGoroutine() <= before+1 })
 }
 
-// A request that arrives more than 0.7 s after the stop has its final answer before SIGKILL, though no host answers
-// and its client would wait longer; so has one that arrives just before.
+// A request that arrives more than 0.7 s after the stop gets its final answer before SIGKILL, although no host answers and
+// its client would wait longer. So does a request that arrives just before SIGKILL.
 func TestAnswersBeforeSIGKILL(t *testing.T) {
-	const busy = time.Second // that a crowded machine may be late by; without the bound it is four
+	const busy = time.Second // tolerance for a busy machine; without the bound the answer is four seconds late
 	r := start(t, 256, nil)
 	for _, s := range r.replicas {
 		s.SetHandler(func(asked) {})
 	}
 	late := r.connect()
-	late.expect("first", "none", 400, "") // the connection is taken before the end
+	late.expect("first", "none", 400, "") // the connection is accepted before the stop
 	r.stop()
-	told := time.Now()
+	stoppedAt := time.Now()
 	r.logged("event=stopping")
-	kill := told.Add(r.plan.TerminationGrace())
-	require.Equal(t, plan.MaxTerminationGrace, kill.Sub(told))
-	time.Sleep(time.Until(told.Add(800 * time.Millisecond)))
+	kill := stoppedAt.Add(r.plan.TerminationGrace())
+	require.Equal(t, plan.MaxTerminationGrace, kill.Sub(stoppedAt))
+	time.Sleep(time.Until(stoppedAt.Add(800 * time.Millisecond)))
 	late.send(request("late", "all", "", fourParts))
 	status, _, _, _ := late.readAnswer()
 	require.Contains(t, []int{500, 503}, status)
-	require.Less(t, time.Until(kill), time.Second) // it was tried until then
+	require.Less(t, time.Until(kill), time.Second) // the search was tried until shortly before SIGKILL
 	require.Less(t, time.Since(kill), busy)
 	time.Sleep(time.Until(kill.Add(-killMargin)))
 	late.send(request("last", "all", "", fourParts))
@@ -89,8 +90,8 @@
 	r.shutDown()
 }
 
-// Connections that have arrived by the time at which no more are accepted are accepted, each with its request, also in
-// a stalled process.
+// Connections that arrive before the process stops accepting are accepted and their requests answered, even if the process
+// is stalled at that time. Closing the listener without accepting them would reset them.
 func TestIdleConnectionsAtShutdown(t *testing.T) {
 	r := process(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -121,12 +122,12 @@
 	}
 }
 
-// During shutdown, too, what arrived in time is read in a stalled process whose deadlines are over: a request's last
-// bytes, and a request on an idle connection.
+// During shutdown, after a stall in which read deadlines have passed, bytes that arrived in time are still read: the last
+// bytes of a request, and a request on an idle connection. The additional read happens only once.
 func TestFinalReadAtShutdown(t *testing.T) {
 	for name, client := range map[string]*clientConnection{
-		"a request": {requestDeadline: time.Now().Add(-time.Second)},
-		"at rest":   {stopReadDeadline: time.Now().Add(-time.Second)},
+		"during a request": {requestDeadline: time.Now().Add(-time.Second)},
+		"idle connection":  {stopReadDeadline: time.Now().Add(-time.Second)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
@@ -155,14 +156,14 @@
 	}
 }
 
-// During shutdown, more pipelined requests than the buffer holds are answered one after another, each once.
+// During shutdown, pipelined requests that are longer than the read buffer are answered in order, each once.
 func TestPipelinedRequestsAtShutdown(t *testing.T) {
 	r := start(t, 256, nil)
 	c := r.connect()
 	c.expect("first", "all", 200, completeAnswer)
 	r.stop()
 	r.logged("event=stopping")
-	const many = 170 // some 60 KB
+	const many = 170 // about 60 KB
 	var all strings.Builder
 	for i := range many {
 		what := strings.Replace(fourParts, `"what"`, fmt.Sprintf(`"what%d"`, i), 1)
@@ -179,10 +180,10 @@
 	require.Equal(t, 4*(many+1), r.parts())
 }
 
-// A request that arrives after the last answer on its connection is written, and is read before the connection closes,
-// is not dispatched: its client will see the end.
+// A request that is read after the last answer on its connection has been written, but before the connection closes, is
+// not dispatched: its client sees the connection close and may send the request again.
 func TestRequestBetweenLastAnswerAndClose(t *testing.T) {
-	for name, atStop := range map[string]bool{"a request that wants it": false, "the end of the stop": true} {
+	for name, atStop := range map[string]bool{"requested by the client": false, "after maxStopTime": true} {
 		t.Run(name, func(t *testing.T) {
 			answered, reads := make(chan struct{}), make(chan struct{}, 64)
 			r := startHooked(t, 256, nil, func(c *hookedConn) {
@@ -194,7 +195,7 @@
 							<-reads
 						}
 						close(answered)
-						<-reads // the next request is there, before the shutdown
+						<-reads // the next request has been read, before CloseWrite
 					}
 				}
 			}, nil, nil)
@@ -216,7 +217,7 @@
 			require.False(t, keep)
 			_, err := c.Read(make([]byte, 1))
 			require.Equal(t, io.EOF, err)
-			r.eventually("the connection has ended", func() bool { // its client stays
+			r.eventually("the connection has ended", func() bool { // although its client keeps it open
 				ended := make(chan bool, 1)
 				r.loop.submit(func() { ended <- len(r.loop.clients.connections) == 0 })
 				select {
@@ -227,29 +228,29 @@
 				}
 			})
 			r.shutDown()
-			require.Equal(t, 8, r.parts(), "those of the first and the last")
+			require.Equal(t, 8, r.parts(), "only the shard requests of the first and the last search")
 		})
 	}
 }
 
-// Connections that arrived before the listener closed and waited for room are answered once there is room: none is
-// reset in the system's queue.
+// Connections that arrived before the listener closes, but wait for room, are answered once there is room. None may be left
+// in the system's queue, where closing the listener resets it.
 func TestConnectionsWaitingForRoomAtShutdown(t *testing.T) {
 	const sockets, more, room = 16, 6, 8
 	gate, closing := make(chan struct{}), make(chan struct{}, 64)
 	r := startHooked(t, sockets, nil, nil, nil, func(m *Options) {
 		m.Listener.(*hookedListener).deadline = func() { closing <- struct{}{} }
-		m.Clock = hookedClock{held: stopIdleTimeout, gate: make(chan time.Time)} // which ends the wait for room
+		m.Clock = hookedClock{held: stopIdleTimeout, gate: make(chan time.Time)} // which would end the wait for room
 	})
 	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var all []*testClient
 	for i := range room + more {
 		all = append(all, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
-		r.eventually("it is at work", func() bool { return r.openClients() == min(i+1, room) }) // one that is not would be displaced
+		r.eventually("its search is open", func() bool { return r.openClients() == min(i+1, room) }) // a connection without a search would be displaced
 	}
 	r.stop()
 	<-closing
-	time.Sleep(2 * finalReadGrace) // the listener's time is over; no verdict rests on it
+	time.Sleep(2 * finalReadGrace) // so that the listener's deadline has passed; the test passes either way
 	close(gate)
 	for i, c := range all {
 		status, _, _, _, err := c.rd.ReadResponse()
@@ -259,8 +260,8 @@
 	r.shutDown()
 }
 
-// A request that arrives as its idle connection is closed is not dispatched, and its client sees an end without an
-// answer: it may send it again.
+// A request that arrives while its idle connection is being closed is not dispatched, and its client sees the connection
+// close without an answer, so that it may safely send the request again.
 func TestRequestWhileItsConnectionCloses(t *testing.T) {
 	for name, ends := range map[string]func(r *rig){
 		"unused": func(*rig) {},
@@ -297,12 +298,12 @@
 			require.Error(t, err)
 			require.False(t, errors.Is(err, syscall.ETIMEDOUT))
 			r.shutDown()
-			require.Equal(t, 4, r.parts(), "those of the first")
+			require.Equal(t, 4, r.parts(), "only the shard requests of the first search")
 		})
 	}
 }
 
-// An answer that is partly written as a shutdown begins is written completely.
+// An answer that is partly written when a shutdown begins is written completely.
 func TestPartlyWrittenAnswerAtShutdown(t *testing.T) {
 	half, gate := make(chan struct{}), make(chan struct{})
 	r := startHooked(t, 256, nil, func(c *hookedConn) {
@@ -329,7 +330,7 @@
 	r.shutDown()
 }
 
-// SIGTERM before the coordinator knows any host, while discovery is silent, ends it as ever.
+// SIGTERM ends the coordinator normally even if it knows no host yet and discovery does not respond.
 func TestShutdownDuringStart(t *testing.T) {
 	l, silent := newChildProcess(t), listen(t)
 	l.plan["discovery"] = silent.Addr().String()
@@ -347,23 +348,23 @@
 	require.Equal(t, 503, status)
 	l.signal(syscall.SIGTERM)
 	l.waitForExit(0)
-	_, _, _, _, err = rd.ReadResponse()          // of the one that asked nothing
-	require.ErrorIs(t, err, io.ErrUnexpectedEOF) // the end in good order, and no answer
+	_, _, _, _, err = rd.ReadResponse()          // on the connection that sent nothing
+	require.ErrorIs(t, err, io.ErrUnexpectedEOF) // closed in order, without an answer
 }
 
-// A shutdown with attempts that wait for connections and searches that wait for their turn answers them all,
-// completely.
+// During a shutdown with attempts that wait for a connection to be established and searches that wait in the queue, all
+// searches are answered, each completely or with 503.
 func TestShutdownDuringDials(t *testing.T) {
-	const clients = 30 // the slots are taken by the first few
+	const clients = 30 // more than can be in flight at once
 	r, let := startGated(t, nil)
 	var all []*testClient
 	for i := range clients {
 		all = append(all, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
 	}
-	r.eventually("they are taken, and parts wait", func() bool {
+	r.eventually("all searches are open, and attempts wait for connections", func() bool {
 		return r.openClients() == clients && r.waitingAttempts("a0")+r.waitingAttempts("a1") >= 2
 	})
-	require.Less(t, r.parts(), 2*clients, "some searches wait")
+	require.Less(t, r.parts(), 2*clients, "some searches are queued")
 	r.stop()
 	r.logged("event=stopping")
 	r.awaitListenerClosed()
@@ -379,8 +380,8 @@
 	r.shutDown()
 }
 
-// SIGKILL with requests in flight: no client gets a partial answer that looks complete, and the next process serves at
-// once, without stored state.
+// After SIGKILL with requests in flight, no client has received a partial answer that looks complete, and the next process
+// serves at once without stored state.
 func TestSIGKILLWithRequestsInFlight(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
@@ -403,7 +404,7 @@
 	case err := <-l.ended:
 		require.Error(t, err)
 	case <-time.After(exitTimeout):
-		require.Fail(t, "does not end")
+		require.Fail(t, "the process does not end")
 	}
 	for i, rd := range open {
 		_, _, _, _, err := rd.ReadResponse()
@@ -412,7 +413,7 @@
 	for _, h := range l.hosts {
 		h.SetHandler(asked.ReplyGood)
 	}
-	a.ReplyGood() // late, to a process that is gone
+	a.ReplyGood() // too late: the process is gone
 	l.start(nil)
 	l.ready()
 	l.served("next")
--- a/coordinator/start_stop_process_test.go
+++ b/coordinator/start_stop_process_test.go
@@ -13,8 +13,8 @@
 	"chalkring/internal/http1"
 )
 
-// Connections that arrived during a stall are accepted before the listener closes: a reset would lose what their
-// clients have sent.
+// Connections that arrived while the process was stalled during shutdown are accepted before the listener closes: closing
+// it first would reset them and lose the requests.
 func TestConnectionsWaitingWhileListenerCloses(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
@@ -39,7 +39,8 @@
 	l.waitForExit(0)
 }
 
-// A start while an earlier process has the address waits for it; if another keeps it, the error says so.
+// A process that starts while an earlier one still uses its address waits until that one ends. If another process keeps the
+// address, the start fails with an error that says so, and SIGTERM ends the wait.
 func TestStartWhileAddressIsInUse(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
@@ -57,7 +58,7 @@
 	require.Contains(t, other.log.String(), "event=no_start")
 	require.Contains(t, other.log.String(), "do=")
 	l.served("b")
-	other.start(nil) // stopped while it waits, it ends
+	other.start(nil) // is stopped while it waits
 	other.logged("event=address_in_use")
 	other.signal(syscall.SIGTERM)
 	other.waitForExit(0)
@@ -65,29 +66,28 @@
 	l.waitForExit(0)
 }
 
-// SIGTERM while replicas hang with attempts, clients are in the middle of a request or do not read, discovery is
-// silent and signals repeat: each request has one final answer before SIGKILL, nothing is sent after it, and the
-// process ends.
+// After SIGTERM while replicas do not answer attempts, a client is in the middle of a request and signals repeat, each request
+// gets one final answer before SIGKILL, no attempts are sent after the answers, and the process ends.
 func TestShutdownDuringSearches(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
 	l.ready()
 	held := l.holdAttempts()
-	type one struct {
+	type openRequest struct {
 		conn net.Conn
 		rd   *http1.Reader
 	}
-	var open []one
+	var open []openRequest
 	for i := range 12 {
 		conn, rd := l.dial()
 		text := strings.Replace(request(fmt.Sprint("h", i), "all", "", fourParts), "X-Deadline: 8.000", "X-Deadline: 3.000", 1)
 		conn.Write([]byte(text))
-		open = append(open, one{conn, rd})
+		open = append(open, openRequest{conn, rd})
 	}
 	half, halfRd := l.dial()
 	text := request("half", "all", "", fourParts)
 	half.Write([]byte(text[:len(text)/2]))
-	for range 8 { // two of each search are out
+	for range 8 { // at least eight attempts are sent
 		<-held
 	}
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP} {
@@ -95,7 +95,7 @@
 	}
 	l.logged("event=stopping")
 	half.Write([]byte(text[len(text)/2:]))
-	open = append(open, one{half, halfRd})
+	open = append(open, openRequest{half, halfRd})
 	for i, c := range open {
 		status, _, _, _, err := c.rd.ReadResponse()
 		require.NoError(t, err, "connection %d\n%s", i, l.log)
@@ -114,8 +114,8 @@
 	require.Equal(t, before, sent())
 }
 
-// With fewer descriptors than the plan grants, those that there are are shared out: idle clients make room, and
-// searches reach their replicas.
+// With a descriptor limit below the plan's, the process distributes the descriptors that it has: idle clients make room, and
+// searches reach their replicas, without errors for lack of descriptors.
 func TestDescriptorLimitBelowPlan(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil, "sh", "-c", `ulimit -n 64; exec "$0"`)
