--- a/coordinator/abandoned_attempts_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -96,13 +96,13 @@
 		"copies are allowed": {true, func(at) {}, "Canceled"},
 		"answered all the same": {false, func(a at) {
 			first := <-a.hold
-			a.eventually("the cancel frame has come", func() bool { return a.attemptCount() == 1 })
+			a.eventually("the cancel frame has come", func() bool { return a.canceledAttempts() == 1 })
 			a.p.expectNoOutcome()
 			first.ReplyGood()
 		}, "Ok"},
 		"refused all the same": {false, func(a at) {
 			first := <-a.hold
-			a.eventually("the cancel frame has come", func() bool { return a.attemptCount() == 1 })
+			a.eventually("the cancel frame has come", func() bool { return a.canceledAttempts() == 1 })
 			first.Reply("later", "-", "")
 		}, "QueueFull"},
 		"its connection is retired, and it is answered": {false, func(a at) {
--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -27,7 +27,7 @@
 
 	mu          sync.Mutex
 	lastWritten map[string]time.Time // by kind, for lines written by warnLimited
-	suppressed  map[string]int       // lines of each kind left out since; there are few kinds
+	leftOut  map[string]int       // lines of each kind left out since; there are few kinds
 }
 
 // logRecord is a queued line with the handler that writes it.
@@ -71,7 +71,7 @@
 func newAsyncLogger(clock Clock, out slog.Handler) *asyncLogger {
 	n := &asyncLogger{
 		clock: clock, handler: out, records: make(chan logRecord, logQueueSize), lastWritten: map[string]time.Time{},
-		suppressed: map[string]int{},
+		leftOut: map[string]int{},
 	}
 	n.Logger = slog.New(boundedHandler{n, out})
 	return n
@@ -84,11 +84,11 @@
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	if last, ok := n.lastWritten[kind]; ok && now.Sub(last) < logRepeatInterval {
-		n.suppressed[kind]++
+		n.leftOut[kind]++
 		return
 	}
-	n.Warn(event, append(attrs, "left_out", n.suppressed[kind])...)
-	n.lastWritten[kind], n.suppressed[kind] = now, 0
+	n.Warn(event, append(attrs, "left_out", n.leftOut[kind])...)
+	n.lastWritten[kind], n.leftOut[kind] = now, 0
 }
 
 // run writes queued lines until ctx ends, and then the remaining ones for at most logFlushTimeout.
--- a/coordinator/child_process_test.go
+++ b/coordinator/child_process_test.go
@@ -42,7 +42,7 @@
 	require.NoError(l.t, os.WriteFile(l.file, text, 0o600))
 }
 
-func (l *childProcess) limit(name string, value float64) {
+func (l *childProcess) setLimit(name string, value float64) {
 	l.plan["limits"].(map[string]any)[name] = value
 }
 
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -25,8 +25,8 @@
 	"reset":       func(conn *net.TCPConn) error { return reset(conn) },
 }
 
-// attemptCount returns the number of attempts that were canceled at hosts.
-func (r *rig) attemptCount() (n int) {
+// canceledAttempts returns the number of attempts that were canceled at hosts.
+func (r *rig) canceledAttempts() (n int) {
 	for _, s := range r.replicas {
 		_, canceled, _, _ := s.Observed()
 		n += len(canceled)
@@ -34,8 +34,8 @@
 	return n
 }
 
-// allow sets the handler of shard requests at all hosts.
-func (r *rig) allow(handle func(asked)) {
+// setHandlers sets the handler of shard requests at all hosts.
+func (r *rig) setHandlers(handle func(asked)) {
 	for _, s := range r.replicas {
 		s.SetHandler(handle)
 	}
@@ -129,7 +129,7 @@
 	for how, leave := range waysToLeave {
 		t.Run(how, func(t *testing.T) {
 			r := start(t, 256, nil)
-			r.allow(func(asked) {})
+			r.setHandlers(func(asked) {})
 			c := r.connect().send(request("open", "all", "", fourParts))
 			r.eventually("shard requests are sent", func() bool { return r.parts() == 4 })
 			r.stop()
@@ -141,7 +141,7 @@
 				return <-open
 			})
 			require.NoError(t, leave(c.Conn.(*net.TCPConn)))
-			r.eventually("attempts are canceled", func() bool { return r.attemptCount() == 4 })
+			r.eventually("attempts are canceled", func() bool { return r.canceledAttempts() == 4 })
 			r.shutDown()
 			require.Equal(t, 4, r.parts())
 		})
@@ -270,7 +270,7 @@
 	r := start(t, 16, nil)
 	call, end := r.startPiped()
 	gate := make(chan struct{})
-	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+	r.setHandlers(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var busy []*testClient
 	for i := range 8 { // takes all the room
 		busy = append(busy, call(nil).send(request(fmt.Sprint("busy", i), "all", "", fourParts)))
@@ -316,7 +316,7 @@
 			r := start(t, 256, nil)
 			call, end := r.startPiped()
 			gate := make(chan struct{})
-			r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+			r.setHandlers(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 			h := halfClosingConn{nil, make(chan struct{})}
 			c := call(func(conn net.Conn) net.Conn { h.Conn = conn; return h })
 			c.send(request("first", "all", x.head, fourParts))
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -268,7 +268,7 @@
 	z := startZonedWith(t, eastOnly, map[string]string{"a0": "east", "a1": "east", "b0": "west", "b1": "west"}, false)
 	var out strings.Builder
 	recordExchange(t, &out, z.addr, "no holder", request("q1", "all", "", fourParts))
-	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
+	z.guard.SetPolicy(z.guard.Policy().WithLeaseExpiry(z.clock() - 1))
 	recordExchange(t, &out, z.addr, "lease ended", request("q2", "all", "Connection: close\r\n", fourParts))
 	for _, why := range []string{residency.ReasonNoEligibleHost, residency.ReasonLeaseExpired, residency.ReasonContractEnded} {
 		status, body := residencyRefusalBody(&residency.SearchRejectedError{Tenant: "a \"b\" <é>", Class: "all", Block: -1, Reason: why, Generation: 7})
@@ -285,7 +285,7 @@
 func TestGoldenMetricsResponse(t *testing.T) {
 	shadowed := startWithShadow(t, map[string]string{"Permissions.SecondCopies": "false"})
 	z := startZoned(t, eastOnly)
-	z.in.SetPolicy(z.policy(eastOnly, math.MaxInt64))
+	z.guard.SetPolicy(z.policy(eastOnly, math.MaxInt64))
 	var out strings.Builder
 	for _, r := range []*rig{shadowed, z.rig} {
 		c := dialRaw(t, r.addr)
--- a/coordinator/golden_metrics_test.go
+++ b/coordinator/golden_metrics_test.go
@@ -85,7 +85,7 @@
 	status, _ := z.searchAs("acme", "acme1", "all")
 	require.Equal(t, http.StatusUnavailableForLegalReasons, status)
 	z.logged("event=residency_refused")
-	z.in.SetPolicy(z.policy(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
+	z.guard.SetPolicy(z.policy(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
 	z.shutDown()
 	kept = nil
 	for _, line := range strings.Split(z.log.String(), "\n") {
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -171,7 +171,7 @@
 		"a pushed list, over a watch that is silent": {[]string{"silent"}, 1, "automatic", afterWait, 0},
 	} {
 		a := newDiscoveryAgent(t, x.faults...)
-		r := process(t, func(s *fleet.Config) {
+		r := startProcess(t, func(s *fleet.Config) {
 			s.DiscoveryAddress, s.Settings = a.ln.Addr().String(), fleet.DefaultSettings(1, []string{"z"})
 			s.Settings["Discovery"] = x.by
 		})
@@ -204,7 +204,7 @@
 func TestListDelayAtStartAndAfterReload(t *testing.T) {
 	t.Parallel()
 	a, next := newDiscoveryAgent(t), newDiscoveryAgent(t, "silent")
-	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
+	r := startProcess(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
 	for range 3 { // versions there are ahead of the other agent's
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -18,8 +18,8 @@
 	"chalkring/internal/http1"
 )
 
-// process starts the program as a process with two hosts per block. edit, which may be nil, changes the configuration.
-func process(t *testing.T, edit func(s *fleet.Config)) *fleet.Cluster {
+// startProcess starts the program as a process with two hosts per block. edit, which may be nil, changes the configuration.
+func startProcess(t *testing.T, edit func(s *fleet.Config)) *fleet.Cluster {
 	s := fleet.Config{Seed: 1, Instances: []fleet.Instance{{Name: "n"}}}
 	for i := range 2 * fleet.BlockCount {
 		s.Hosts = append(s.Hosts, fleet.Host{ID: fmt.Sprint("h", i), Zone: "z", Cell: i % fleet.BlockCount})
@@ -38,7 +38,7 @@
 // Clients may keep their connections open after SIGTERM and continue to send until SIGKILL, one request after another or
 // several at once. Each request that was sent before SIGKILL gets its final answer; no connection closes instead.
 func TestConnectionsThatStayOpenAtShutdown(t *testing.T) {
-	r := process(t, nil)
+	r := startProcess(t, nil)
 	text := func(searchName string) string {
 		return fake.Search{ID: searchName, Type: "full-match", Shards: []int{0, 1, 2, 3}, Patience: 2 * time.Second, Tenant: "acme"}.Encode()
 	}
@@ -131,7 +131,7 @@
 
 // After SIGTERM a process ends by itself although a client keeps an idle connection open.
 func TestShutdownWithIdleConnections(t *testing.T) {
-	r := process(t, nil)
+	r := startProcess(t, nil)
 	conn, err := net.Dial("tcp", r.Addresses("n").Client)
 	require.NoError(t, err)
 	defer conn.Close()
@@ -145,7 +145,7 @@
 // meanwhile: on idle connections, on those in the middle of a request and on new ones. The timeouts must not close them
 // unread.
 func TestRequestsDuringSIGSTOP(t *testing.T) {
-	r := process(t, nil)
+	r := startProcess(t, nil)
 	var conns []net.Conn
 	var readers []*http1.Reader
 	dial := func() net.Conn {
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -241,7 +241,7 @@
 		}
 	}
 	l.logged("event=reload_failed")
-	l.limit("sockets", 128)
+	l.setLimit("sockets", 128)
 	l.write()
 	l.signal(syscall.SIGHUP)
 	l.logged("sockets=128")
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -29,7 +29,7 @@
 	leaseExpiry         atomic.Int64 // ticks; read by the connections' writers
 	closed              chan struct{}
 	checkTimer          timer
-	searchInRestriction *search // being restricted; nil if none is. If it ends meanwhile, its contract is the cause
+	beingRestricted *search // being restricted; nil if none is. If it ends meanwhile, its contract is the cause
 }
 
 // restrictionKey identifies searches that share a restriction, by positions in the settings.
@@ -162,7 +162,7 @@
 		b.restrictions[key] = restriction
 	}
 	search.restricted = true
-	b.searchInRestriction = search
+	b.beingRestricted = search
 	out := b.countOutstanding(search)
 	b.loop.balancer.RestrictReplicas(search.id, restriction, func(shard int) bool {
 		rule := b.policy.RuleFor(b.now, tenant, class, shard)
@@ -177,7 +177,7 @@
 		}
 		return !rule.AllowPartial || rule.LeaseExpired || rule.ContractEnded
 	})
-	if b.searchInRestriction = nil; out > 0 {
+	if b.beingRestricted = nil; out > 0 {
 		b.guard.canceled.Add(out - b.countOutstanding(search))
 	}
 }
@@ -224,7 +224,7 @@
 
 // refusalOf returns the refusal of a search that ends because of a contract, or nil.
 func (b *residencyEnforcer) refusalOf(search *search) *residency.SearchRejectedError {
-	if b == nil || b.searchInRestriction != search || search.refusal == nil {
+	if b == nil || b.beingRestricted != search || search.refusal == nil {
 		return nil
 	}
 	b.guard.refused.Inc()
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -21,36 +21,36 @@
 // zonedRig is a rig with contracts. By default a0 and b0 are in zone east, a1 and b1 in zone west.
 type zonedRig struct {
 	*rig
-	in    *ResidencyGuard
-	book  residency.PolicyRegistry
-	ahead atomic.Int64 // ticks by which the guard's clock is ahead of the machine's
-	lists chan endpoints.Update
+	guard    *ResidencyGuard
+	registry  residency.PolicyRegistry
+	clockOffset atomic.Int64 // ticks by which the guard's clock is ahead of the machine's
+	endpointUpdates chan endpoints.Update
 }
 
 const eastOnly = "generation: 1\ndefault: anywhere\nhost_rest: 1h\ncontracts:\n- {tenant: acme, zones: [east]}"
 
-func (z *zonedRig) clock() int64 { return time.Now().UnixMicro()/100 + z.ahead.Load() }
+func (z *zonedRig) clock() int64 { return time.Now().UnixMicro()/100 + z.clockOffset.Load() }
 
 // policy compiles contracts with a lease until the given tick.
 func (z *zonedRig) policy(text string, until int64) *residency.CompiledPolicy {
 	p, err := residency.ParsePolicy("contracts", []byte(text), residency.Site{})
 	require.NoError(z.t, err)
-	_, err = z.book.AddPolicy(p)
+	_, err = z.registry.AddPolicy(p)
 	require.NoError(z.t, err)
-	return z.book.Compile(until)
+	return z.registry.Compile(until)
 }
 
 func startZoned(t *testing.T, text string) *zonedRig { return startZonedWith(t, text, nil, false) }
 
 func startZonedWith(t *testing.T, text string, zones map[string]string, hasUpdates bool) *zonedRig {
-	z := &zonedRig{rig: &rig{t: t}, lists: make(chan endpoints.Update)}
-	z.in = NewResidencyGuard(z.policy(text, math.MaxInt64), z.clock)
+	z := &zonedRig{rig: &rig{t: t}, endpointUpdates: make(chan endpoints.Update)}
+	z.guard = NewResidencyGuard(z.policy(text, math.MaxInt64), z.clock)
 	if zones == nil {
 		zones = map[string]string{"a0": "east", "b0": "east", "a1": "west", "b1": "west"}
 	}
 	z.rig = startIn(t, zones, 256, func(s map[string]any) { s["FailureDomains"] = []string{"east", "west"} }, nil, nil, func(m *Options) {
-		if m.Residency = z.in; hasUpdates {
-			m.EndpointUpdates = z.lists
+		if m.Residency = z.guard; hasUpdates {
+			m.EndpointUpdates = z.endpointUpdates
 		}
 	})
 	return z
@@ -109,7 +109,7 @@
 	require.Zero(t, z.attemptsOutside("a0", "b0"))
 	parts, _, _, _ := z.replicas["a1"].Observed()
 	require.NotEmpty(t, parts, "the tenant without a contract uses all hosts")
-	require.Zero(t, z.in.BlockedDispatches())
+	require.Zero(t, z.guard.BlockedDispatches())
 }
 
 // unrestrictedBalancer is a balancer that ignores restrictions.
@@ -125,7 +125,7 @@
 	status, _ := z.searchAs("acme", "acme1", "all")
 	require.Contains(t, []int{500, 503}, status)
 	require.Zero(t, z.attemptsOutside())
-	require.Positive(t, z.in.BlockedDispatches())
+	require.Positive(t, z.guard.BlockedDispatches())
 	z.logged("event=residency_guard tenant=acme")
 	req, err := http.NewRequest(http.MethodGet, "http://"+z.addr+"/metrics", nil)
 	require.NoError(t, err)
@@ -134,7 +134,7 @@
 	require.NoError(t, err)
 	text, _ := io.ReadAll(res.Body)
 	res.Body.Close()
-	require.Contains(t, string(text), fmt.Sprintf("chalkring_residency_caught_total %d", z.in.BlockedDispatches()))
+	require.Contains(t, string(text), fmt.Sprintf("chalkring_residency_caught_total %d", z.guard.BlockedDispatches()))
 	z.shutDown()
 }
 
@@ -151,20 +151,20 @@
 	z.logged("event=residency_refused")
 	z.logged("block 1: " + residency.ReasonNoEligibleHost)
 	part := strings.Replace(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), "[east]", "[east], otherwise: part", 1)
-	z.in.SetPolicy(z.policy(part, math.MaxInt64))
+	z.guard.SetPolicy(z.policy(part, math.MaxInt64))
 	status, body = z.searchAs("acme", "acme2", "some") // half is enough
 	require.Equal(t, 200, status, body)
 	require.NotContains(t, body, `"range":1`)
 	status, _ = z.searchAs("acme", "acme3", "all")
 	require.Equal(t, 451, status)
-	z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() - 1))
+	z.guard.SetPolicy(z.guard.Policy().WithLeaseExpiry(z.clock() - 1))
 	status, body = z.searchAs("acme", "acme4", "some")
 	require.Equal(t, 503, status)
 	require.Contains(t, body, residency.ReasonLeaseExpired)
 	status, _ = z.searchAs("other", "other1", "all")
 	require.Equal(t, 200, status)
 	require.Zero(t, z.attemptsOutside("a0", "a1"))
-	require.Zero(t, z.in.BlockedDispatches())
+	require.Zero(t, z.guard.BlockedDispatches())
 }
 
 // When a tighter policy is set during a search, its attempts at hosts that are now forbidden are canceled, no new ones are
@@ -187,13 +187,13 @@
 			next := strings.Replace(eastOnly, "generation: 1", "generation: 2", 1)
 			switch how {
 			case "other hosts are allowed":
-				z.in.SetPolicy(z.policy(next, math.MaxInt64))
+				z.guard.SetPolicy(z.policy(next, math.MaxInt64))
 			case "no host is allowed":
 				want = 451
-				z.in.SetPolicy(z.policy(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
+				z.guard.SetPolicy(z.policy(strings.Replace(next, "[east]", "[north]", 1), math.MaxInt64))
 			case "lease expires":
 				want = 503
-				z.in.SetPolicy(z.in.Policy().WithLeaseExpiry(z.clock() + 2_000))
+				z.guard.SetPolicy(z.guard.Policy().WithLeaseExpiry(z.clock() + 2_000))
 			}
 			if how != "lease expires" { // SetPolicy has returned, so all attempts are canceled already
 				done := make(chan int)
@@ -217,7 +217,7 @@
 			} else {
 				require.Equal(t, 4, z.parts())
 			}
-			require.Zero(t, z.in.BlockedDispatches())
+			require.Zero(t, z.guard.BlockedDispatches())
 		})
 	}
 }
@@ -237,7 +237,7 @@
 	c := z.connect().send(request("acme1", "deep", "", fourParts))
 	second := func() (n int) {
 		for _, h := range z.replicas {
-			for _, p := range first(h.Observed()) {
+			for _, p := range firstResult(h.Observed()) {
 				if strings.HasSuffix(p.ID, ".r") {
 					n++
 				}
@@ -246,12 +246,12 @@
 		return n
 	}
 	z.eventually("the second step is sent", func() bool { return second() == 2 })
-	z.in.SetPolicy(z.policy(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
+	z.guard.SetPolicy(z.policy(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), math.MaxInt64))
 	status, _, body, _ := c.readAnswer()
 	require.Equal(t, 451, status)
 	require.Contains(t, body, `"block":1`)
 	require.Equal(t, 2, second())
-	require.Zero(t, z.in.BlockedDispatches())
+	require.Zero(t, z.guard.BlockedDispatches())
 }
 
 // inFlightOn returns the number of attempts in flight at the given hosts.
@@ -280,7 +280,7 @@
 			{ID: hostID, Addr: h.Listener.Addr().String(), Zone: zone, Kind: "small", Cell: h.Cell, Weight: 1},
 		}}
 	}
-	z.lists <- file("a0", "west", 1)
+	z.endpointUpdates <- file("a0", "west", 1)
 	zone := func(hostID string) string {
 		got := make(chan string)
 		z.loop.submit(func() { got <- z.loop.enforcer.hosts.Zone(z.loop.enforcer.now, hostID) })
@@ -288,7 +288,7 @@
 	}
 	z.eventually("a0 is in no zone", func() bool { return zone("a0") == "" })
 	require.Equal(t, "east", zone("a1"))
-	before := len(first(z.replicas["a0"].Observed()))
+	before := len(firstResult(z.replicas["a0"].Observed()))
 	close(release)
 	status, _, body, _ := c.readAnswer()
 	require.Equal(t, 200, status, body)
@@ -296,12 +296,12 @@
 		status, body = z.searchAs("acme", fmt.Sprint("acme-after", i), "all")
 		require.Equal(t, 200, status, body)
 	}
-	require.Len(t, first(z.replicas["a0"].Observed()), before, "no new attempts at a host whose sources conflict")
-	require.Zero(t, z.in.BlockedDispatches())
+	require.Len(t, firstResult(z.replicas["a0"].Observed()), before, "no new attempts at a host whose sources conflict")
+	require.Zero(t, z.guard.BlockedDispatches())
 }
 
-// first returns the first result of Host.Observed.
-func first[T any](value T, _ []string, _, _ int) T { return value }
+// firstResult returns the first result of Host.Observed.
+func firstResult[T any](value T, _ []string, _, _ int) T { return value }
 
 // A contract takes effect at its from time without a new policy or an endpoint update.
 func TestContractBeginsDuringRun(t *testing.T) {
@@ -309,7 +309,7 @@
 	z := startZoned(t, strings.Replace(eastOnly, "[east]", "[north], from: "+from, 1))
 	status, _ := z.searchAs("acme", "acme1", "all")
 	require.Equal(t, 200, status)
-	z.ahead.Store(3600 * 10_000)
+	z.clockOffset.Store(3600 * 10_000)
 	status, _ = z.searchAs("acme", "acme2", "all")
 	require.Equal(t, 451, status)
 }
--- a/coordinator/shutdown_test.go
+++ b/coordinator/shutdown_test.go
@@ -93,7 +93,7 @@
 // Connections that arrive before the process stops accepting are accepted and their requests answered, even if the process
 // is stalled at that time. Closing the listener without accepting them would reset them.
 func TestIdleConnectionsAtShutdown(t *testing.T) {
-	r := process(t, nil)
+	r := startProcess(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	require.NoError(t, r.Signal("n", syscall.SIGTERM))
@@ -242,7 +242,7 @@
 		m.Listener.(*hookedListener).deadline = func() { closing <- struct{}{} }
 		m.Clock = hookedClock{held: stopIdleTimeout, gate: make(chan time.Time)} // which would end the wait for room
 	})
-	r.allow(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
+	r.setHandlers(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var all []*testClient
 	for i := range room + more {
 		all = append(all, r.connect().send(request(fmt.Sprint("q", i), "all", "", fourParts)))
