--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -27,7 +27,7 @@
 
 	mu          sync.Mutex
 	lastWritten map[string]time.Time // by kind, for lines written by warnLimited
-	leftOut  map[string]int       // lines of each kind left out since; there are few kinds
+	leftOut     map[string]int       // lines of each kind left out since; there are few kinds
 }
 
 // logRecord is a queued line with the handler that writes it.
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -19,17 +19,17 @@
 // residencyEnforcer restricts one event loop's searches to the hosts that their contracts allow. It is owned by the event
 // loop's goroutine, except for leaseExpiry and closed.
 type residencyEnforcer struct {
-	loop                *eventLoop
-	guard               *ResidencyGuard
-	policy              *residency.CompiledPolicy
-	hosts               *residency.HostZones
-	tenants, classes    []string // by position in the settings
-	restrictions        map[restrictionKey]*balancer.ReplicaRestriction
-	now, nextChangeAt   int64        // ticks: of this iteration, and when the policy's effect next changes by time alone
-	leaseExpiry         atomic.Int64 // ticks; read by the connections' writers
-	closed              chan struct{}
-	checkTimer          timer
-	beingRestricted *search // being restricted; nil if none is. If it ends meanwhile, its contract is the cause
+	loop              *eventLoop
+	guard             *ResidencyGuard
+	policy            *residency.CompiledPolicy
+	hosts             *residency.HostZones
+	tenants, classes  []string // by position in the settings
+	restrictions      map[restrictionKey]*balancer.ReplicaRestriction
+	now, nextChangeAt int64        // ticks: of this iteration, and when the policy's effect next changes by time alone
+	leaseExpiry       atomic.Int64 // ticks; read by the connections' writers
+	closed            chan struct{}
+	checkTimer        timer
+	beingRestricted   *search // in restrict, nil otherwise; if it ends meanwhile, its contract is the cause
 }
 
 // restrictionKey identifies searches that share a restriction, by positions in the settings.
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -21,9 +21,9 @@
 // zonedRig is a rig with contracts. By default a0 and b0 are in zone east, a1 and b1 in zone west.
 type zonedRig struct {
 	*rig
-	guard    *ResidencyGuard
-	registry  residency.PolicyRegistry
-	clockOffset atomic.Int64 // ticks by which the guard's clock is ahead of the machine's
+	guard           *ResidencyGuard
+	registry        residency.PolicyRegistry
+	clockOffset     atomic.Int64 // ticks by which the guard's clock is ahead of the machine's
 	endpointUpdates chan endpoints.Update
 }
 
