--- a/coordinator/async_logger.go
+++ b/coordinator/async_logger.go
@@ -12,7 +12,7 @@
 
 const (
 	logQueueSize      = 1024            // lines waiting to be written: room for a burst of several lines per connection
-	logFlushTimeout   = 2 * time.Second // to write the remaining lines at the end, short so that the process exits soon
+	logFlushTimeout   = 2 * time.Second // for writing the remaining lines at exit; short, so that the process exits soon
 	logRepeatInterval = time.Second     // least time between two lines of a kind that clients or peers can cause at will
 )
 
@@ -27,7 +27,7 @@
 
 	mu          sync.Mutex
 	lastWritten map[string]time.Time // by kind, for lines written by warnLimited
-	leftOut     map[string]int       // lines of each kind left out since; there are few kinds
+	leftOut     map[string]int       // by kind, lines left out since the last one written; there are few kinds
 }
 
 // logRecord is a queued line with the handler that writes it.
@@ -128,7 +128,7 @@
 }
 
 // recoverPanic turns a panic in handle into an error, so that it ends one connection and not the process with all other
-// searches. Work that the panic interrupts stays undone. The logger may be nil.
+// searches. The interrupted work is not resumed. The logger may be nil.
 func (n *asyncLogger) recoverPanic(handle func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/coordinator/client_answer.go
+++ b/coordinator/client_answer.go
@@ -95,7 +95,7 @@
 	case c.answered <- struct{}{}:
 	default:
 	}
-	switch { // last, since the reader woken here checks whether the request is answered
+	switch { // after c.answered is sent, since the reader woken here checks whether the request is answered
 	case message.closesConnection:
 	case c.hasPipelined.Load():
 		c.interruptRead()
--- a/coordinator/client_answer_test.go
+++ b/coordinator/client_answer_test.go
@@ -20,8 +20,8 @@
 // wrong Content-Length would cut the answer off or leave its client waiting.
 func TestAnswerBodySize(t *testing.T) {
 	for _, values := range [][]string{{}, {""}, {"a", "Grüße, 世界", "\x7f"}, {`"`}, {"a\nb", `\`}, {strings.Repeat("v", 40_000), "x"}} {
-		for _, whole := range []bool{true, false} {
-			outcome := searchOutcome{complete: whole}
+		for _, complete := range []bool{true, false} {
+			outcome := searchOutcome{complete: complete}
 			for i, v := range values {
 				outcome.parts = append(outcome.parts, &shardRequest{shard: i * 37, value: []byte(v)})
 			}
--- a/coordinator/client_connection.go
+++ b/coordinator/client_connection.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	requestReadTimeout = 2500 * time.Millisecond // to read a request, the first one counted from connecting; the platform requires less than 3 s
+	requestReadTimeout = 2500 * time.Millisecond // to read a request, the first one counted from admitting the connection; the platform requires less than 3 s
 	clientIdleTimeout  = 3 * time.Second         // after which an idle client connection is closed; typical clients send several requests a second
 	finalReadGrace     = 50 * time.Millisecond   // for one more read after a read timeout, since the bytes may have arrived already
-	stopIdleTimeout    = time.Second             // without a request during shutdown until a connection is closed; its client has had time to close it
+	stopIdleTimeout    = time.Second             // after which, during shutdown, a connection without a request is closed; its client has had time to close it
 	lingerTimeout      = time.Second             // for a client to read its last answer and close the connection
 	maxLingerBytes     = 256 << 10               // bytes read during lingerTimeout: four bodies of the maximum size
 )
@@ -39,7 +39,7 @@
 	extendedOnce      bool      // finalReadGrace has been used since the last request
 	answered          chan struct{}
 	lastAnswerWritten atomic.Bool  // the answer after which the connection closes has been written
-	hasPipelined      atomic.Bool  // during shutdown: bytes of the next request arrived before the answer
+	hasPipelined      atomic.Bool  // during shutdown: bytes of the next request arrived before the previous one was answered
 	askedToLeave      atomic.Bool  // by the limiter, to make room for a new connection
 	unsentBytes       atomic.Int64 // of answers that are not written yet
 }
@@ -78,7 +78,7 @@
 	case c.lastAnswerWritten.Load() && !now.Before(c.requestDeadline):
 		return 0, errClosing
 	case c.askedToLeave.Load() && !c.hasPipelined.Load(): // pipelined requests are handled first
-		// A connection must not be closed to make room while a request of it has arrived unread.
+		// A connection must not be closed to make room while a request that has arrived on it is still unread.
 		if c.readAvailable != nil {
 			if n, _ := c.readAvailable(p); n > 0 {
 				return n, nil
@@ -92,7 +92,7 @@
 	case !isReading && c.acceptsLateRequest(now):
 		c.setReadDeadline(c.stopReadDeadline)
 	case !c.extendedOnce:
-		// After a stall of the process, a request may have arrived that there was no time to read.
+		// After a stall of the process, a request may have arrived in time and still be unread.
 		c.extendedOnce = true
 		c.setReadDeadline(now.Add(finalReadGrace))
 	case isReading:
@@ -227,9 +227,10 @@
 	return c.awaitAnswer(ctx)
 }
 
-// awaitPreviousAnswer is called for pipelined bytes during shutdown. It waits for the answer to the previous request, so
-// that the next request is served after it: its client may have sent it before learning of the shutdown. Meanwhile it
-// reads ahead as far as the buffer has room, and so notices when the client closes the connection.
+// awaitPreviousAnswer is called when, during shutdown, bytes of the next request arrive before the previous one is
+// answered. It waits for that answer, after which the next request is served, since the client may have sent it before
+// learning of the shutdown. Meanwhile it reads ahead as far as the buffer has room, and so notices when the client closes
+// the connection.
 func (c *clientConnection) awaitPreviousAnswer(ctx context.Context) error {
 	c.hasPipelined.Store(true)
 	defer c.hasPipelined.Store(false)
@@ -294,7 +295,7 @@
 }
 
 // clearReadDeadline removes the read deadline while an answer is awaited. If the answer has been written in the meantime,
-// the deadline that its writer set has been removed too, and is set again.
+// this also removes the deadline that its writer set, so that deadline is set again.
 func (c *clientConnection) clearReadDeadline() {
 	c.conn.SetReadDeadline(time.Time{})
 	switch {
--- a/coordinator/client_connection_test.go
+++ b/coordinator/client_connection_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// When a client leaves, its search is withdrawn: the attempts are canceled at once, so that hosts do not work for nobody.
+// When a client leaves, its search is withdrawn: its attempts are canceled at once, so that hosts do no work whose
+// result nobody awaits.
 func TestClientLeaves(t *testing.T) {
 	r := start(t, 256, nil)
 	var got atomic.Int32
@@ -87,18 +88,18 @@
 // before its deadline continues, and bytes that have arrived by the deadline are still read.
 func TestSlowClient(t *testing.T) {
 	ln := listen(t)
-	there, err := net.Dial("tcp", ln.Addr().String())
+	clientSide, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
-	defer there.Close()
-	here, err := ln.Accept()
+	defer clientSide.Close()
+	serverSide, err := ln.Accept()
 	require.NoError(t, err)
-	defer here.Close()
+	defer serverSide.Close()
 	send := func() {
-		_, err := there.Write([]byte("x"))
+		_, err := clientSide.Write([]byte("x"))
 		require.NoError(t, err)
 	}
 	f := &clientListener{stopping: context.Background()}
-	client := &clientConnection{clientListener: f, conn: here, answered: make(chan struct{}, 1), requestDeadline: time.Now().Add(patience)}
+	client := &clientConnection{clientListener: f, conn: serverSide, answered: make(chan struct{}, 1), requestDeadline: time.Now().Add(patience)}
 	client.interruptRead()
 	send()
 	n, err := client.Read(make([]byte, 1))
@@ -115,7 +116,7 @@
 	cancel()
 	client.stopping = stopping
 	client.interruptRead()
-	send() // before the last read
+	send() // within stopIdleTimeout, which begins with the next read
 	n, err = client.Read(make([]byte, 1))
 	require.Equal(t, 1, n)
 	require.NoError(t, err)
@@ -123,8 +124,8 @@
 	require.Equal(t, errClosing, connectionEndOf(err))
 }
 
-// When a client that has pipelined during shutdown leaves, this is noticed at once too: its open search is withdrawn, and
-// the requests that it sent after it are not dispatched.
+// During shutdown too, the departure of a client that has pipelined is noticed at once: its open search is withdrawn, and
+// the requests that it sent behind that search are not dispatched.
 func TestClientLeavesAfterPipelining(t *testing.T) {
 	for how, leave := range waysToLeave {
 		t.Run(how, func(t *testing.T) {
@@ -148,16 +149,16 @@
 	}
 }
 
-// gatedListener accepts connections at once but returns them only after free is closed, like a process that is held up.
+// gatedListener accepts connections at once but returns them only after gate is closed, as a stalled process would.
 type gatedListener struct {
 	net.Listener
-	free chan struct{}
+	gate chan struct{}
 }
 
 func (h gatedListener) Accept() (net.Conn, error) {
 	conn, err := h.Listener.Accept()
 	if err == nil {
-		<-h.free
+		<-h.gate
 	}
 	return conn, err
 }
@@ -208,7 +209,7 @@
 		}
 	}
 	last := dial()
-	close(ln.free)
+	close(ln.gate)
 	last.expect("last", "all", 200, completeAnswer)
 	r.eventually("the other connections have ended", func() bool {
 		count := make(chan int, 1)
@@ -372,7 +373,7 @@
 				require.NoError(t, err)
 				conns = append(conns, conn)
 			}
-			l.eventually("shard requests are sent", func() bool { return received() >= 8 }) // of up to 16, as a busy machine may be slow to send all
+			l.eventually("shard requests are sent", func() bool { return received() >= 8 }) // up to 16 are sent, but a busy machine may be slow to send them all
 			l.signal(syscall.SIGSTOP)
 			l.eventually("the process is stopped", func() bool {
 				text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", l.cmd.Process.Pid))
--- a/coordinator/client_listener.go
+++ b/coordinator/client_listener.go
@@ -27,7 +27,7 @@
 	loop             *eventLoop
 	limiter          *connectionLimiter
 	classes, tenants map[string]int
-	stopping         context.Context // done once no new connections are accepted, acceptAfterStop after the stop
+	stopping         context.Context // done when no new connections are accepted any more, acceptAfterStop after the stop
 }
 
 // newClientListener returns a listener for an event loop. stopping is done once no new connections are accepted.
@@ -41,7 +41,7 @@
 // accept accepts clients' connections until the listener is closed.
 func (f *clientListener) accept() error {
 	loop := f.loop
-	for acceptedOne := false; ; { // since the listener's last deadline
+	for acceptedOne := false; ; { // acceptedOne: since the listener's last deadline
 		conn, err := loop.Listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) { // see acceptLast
 			// Waiting for room may have taken longer than the deadline, so further connections may have arrived, which the
--- a/coordinator/client_request_test.go
+++ b/coordinator/client_request_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Malformed and invalid requests get their error status, and no replica gets a shard request for them. After a malformed request the connection closes, since the start of the next one is unknown; after a
-// well-formed one it stays open.
+// Malformed and invalid requests get their error status, and no replica gets a shard request for them. After a malformed
+// request the connection closes, since the start of the next one is unknown; after a well-formed one it stays open.
 func TestInvalidRequests(t *testing.T) {
 	r := start(t, 1024, nil)
 	ok := request("id", "all", "", fourParts)
--- a/coordinator/event_loop.go
+++ b/coordinator/event_loop.go
@@ -248,10 +248,10 @@
 	loop.timers.due = due
 }
 
-// catchUp waits until sockets have been read before an iteration that starts long after a timer was due, that is, after a
-// stall of the process: timers are due while messages that clients, replicas and discovery sent meanwhile are still unread.
-// Without it, attempts would be sent for clients that have left, to draining replicas, and although answers have
-// arrived.
+// catchUp waits for sockets to be read before an iteration that starts long after a timer was due, that is, after a stall
+// of the process. At that time timers are due while messages that clients, replicas and discovery sent meanwhile are still
+// unread. Without the wait, attempts would be sent for clients that have left, to replicas that are draining, and for shard
+// requests whose answers have arrived.
 func (loop *eventLoop) catchUp() (hasStalled bool) {
 	now := loop.clockTicks()
 	if loop.timers.queue.Len() == 0 || now-loop.timers.queue.timers[0].at < int64(stallThreshold/tick) || now-loop.timers.caughtUpAt < int64(catchUpInterval/tick) {
--- a/coordinator/golden_client_test.go
+++ b/coordinator/golden_client_test.go
@@ -23,8 +23,8 @@
 	"chalkring/control/residency"
 )
 
-// quotedLines writes each line of a request or response quoted and after a mark: > for sent lines, of which long ones are
-// cut, and < for received lines.
+// quotedLines writes each line of a request or response, quoted, behind a mark: > for a sent line, which is cut if it is
+// long, and < for a received line.
 func quotedLines(out *strings.Builder, mark, text string) {
 	for _, line := range strings.SplitAfter(text, "\r\n") {
 		switch {
@@ -173,24 +173,24 @@
 // answerShards sends attempts for shard requests of a step and waits until they are answered.
 func (s searchUnderTest) answerShards(step int, shards ...int) {
 	for _, shard := range shards {
-		s.eventually("the step begins", func() (there bool) {
+		s.eventually("the step begins", func() (found bool) {
 			s.runInLoop(func(loop *eventLoop) {
 				for _, request := range loop.searches.byID[s.id].shardRequests {
 					if request.step == step && request.shard == shard {
-						there = true
+						found = true
 						loop.SendAttempt(request.id, []string{"a0", "b0"}[shard%2], 0)
 					}
 				}
 			})
-			return there
+			return found
 		})
 		s.scripted.expectOutcome("Ok")
 	}
 }
 
 // answer sends the final answer, or begins the next step if the search has one.
-func (s searchUnderTest) answer(whole bool) {
-	s.runInLoop(func(loop *eventLoop) { loop.AnswerSearch(s.id, whole) })
+func (s searchUnderTest) answer(complete bool) {
+	s.runInLoop(func(loop *eventLoop) { loop.AnswerSearch(s.id, complete) })
 }
 
 // Searches get exactly the response bytes of the golden file for each way in which they end: complete, partial, after two
@@ -203,7 +203,7 @@
 			switch {
 			case p.Text == "escaped":
 				p.Reply("good", "1", "quote \" backslash \\ line\nend\r tab\t bell\a del\x7f <&> é \u2028 🙂")
-			case p.Shard == 0: // never among the highest values, so that no second step has shard 0, by which the scripted balancer notices a new search
+			case p.Shard == 0: // the lowest value, so that no second step has shard 0: the scripted balancer takes a request for shard 0 as a new search
 				p.Reply("good", "-3", "zero")
 			case p.Shard == 2:
 				p.Reply("good", "7", "")
--- a/coordinator/request_body.go
+++ b/coordinator/request_body.go
@@ -119,7 +119,7 @@
 	return string(text), err
 }
 
-// readRanges reads the list of shards, and replaces one that was read before.
+// readRanges reads the list of shards. It replaces an earlier list, since a body may have several members called ranges.
 func (s *search) readRanges(decoder *jsontext.Decoder, shards int) error {
 	s.shards, s.weights = s.shards[:0], s.weights[:0]
 	var few [maxInlineBlocks]bool
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -14,7 +14,7 @@
 	"chalkring/internal/advice"
 )
 
-const maxResidencyCheckDelay = time.Hour // longest timer until a check: the wall clock may be set meanwhile
+const maxResidencyCheckDelay = time.Hour // longest wait until the next check, since the wall clock may be set meanwhile
 
 // residencyEnforcer restricts one event loop's searches to the hosts that their contracts allow. It is owned by the event
 // loop's goroutine, except for leaseExpiry and closed.
@@ -25,11 +25,11 @@
 	hosts             *residency.HostZones
 	tenants, classes  []string // by position in the settings
 	restrictions      map[restrictionKey]*balancer.ReplicaRestriction
-	now, nextChangeAt int64        // ticks: of this iteration, and when the policy's effect next changes by time alone
+	now, nextChangeAt int64        // ticks: of this iteration, and of the next change that time alone causes (see NextChangeAt)
 	leaseExpiry       atomic.Int64 // ticks; read by the connections' writers
 	closed            chan struct{}
 	checkTimer        timer
-	beingRestricted   *search // in restrict, nil otherwise; if it ends meanwhile, its contract is the cause
+	beingRestricted   *search // the search that restrict handles, else nil; if it ends meanwhile, its contract is the cause
 }
 
 // restrictionKey identifies searches that share a restriction, by positions in the settings.
@@ -37,14 +37,14 @@
 
 // newResidencyEnforcer registers an event loop with the guard.
 func newResidencyEnforcer(loop *eventLoop, guard *ResidencyGuard) *residencyEnforcer {
-	name := func(list string) (names []string) {
+	namesIn := func(list string) (names []string) {
 		for i := range loop.plan.Count(list) {
 			names = append(names, loop.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
 		}
 		return names
 	}
 	enforcer := &residencyEnforcer{
-		loop: loop, guard: guard, now: guard.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
+		loop: loop, guard: guard, now: guard.clock(), tenants: namesIn("Tenants"), classes: namesIn("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
 		closed: make(chan struct{}),
 	}
 	guard.mu.Lock()
@@ -74,8 +74,8 @@
 	close(b.closed)
 }
 
-// beginIteration applies changes of the policy's effect that are due by time alone, before anything else happens in an
-// iteration.
+// beginIteration applies, before anything else happens in an iteration, the changes that time alone causes: a contract
+// begins or ends, the lease expires, or a host's hold-down ends.
 func (b *residencyEnforcer) beginIteration() {
 	if b.now = max(b.now, b.guard.clock()); b.now >= b.nextChangeAt {
 		b.restrictAll()
@@ -115,7 +115,7 @@
 	b.scheduleCheck()
 }
 
-// scheduleCheck sets the timer for the next change of the policy's effect by time alone.
+// scheduleCheck sets the timer for the next change that time alone causes.
 func (b *residencyEnforcer) scheduleCheck() {
 	b.nextChangeAt = min(b.policy.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
 	b.loop.stopTimer(&b.checkTimer)
@@ -163,7 +163,7 @@
 	}
 	search.restricted = true
 	b.beingRestricted = search
-	out := b.countOutstanding(search)
+	before := b.countOutstanding(search)
 	b.loop.balancer.RestrictReplicas(search.id, restriction, func(shard int) bool {
 		rule := b.policy.RuleFor(b.now, tenant, class, shard)
 		if search.refusal == nil {
@@ -177,8 +177,8 @@
 		}
 		return !rule.AllowPartial || rule.LeaseExpired || rule.ContractEnded
 	})
-	if b.beingRestricted = nil; out > 0 {
-		b.guard.canceled.Add(out - b.countOutstanding(search))
+	if b.beingRestricted = nil; before > 0 {
+		b.guard.canceled.Add(before - b.countOutstanding(search))
 	}
 }
 
@@ -201,8 +201,8 @@
 }
 
 // removeForbidden is the check before sending: it removes the attempts from a batch that the contracts forbid, independent
-// of the balancer's restrictions. It guards against faults in the code before it: each attempt that it stops shows one. It
-// reports whether the rest of the batch must not be sent after the lease has expired.
+// of the balancer's restrictions. Each attempt that it removes shows a bug in the code before it. It reports whether the
+// rest of the batch must not be sent after the lease has expired.
 func (b *residencyEnforcer) removeForbidden(batch *batch) (fenced bool) {
 	for i := 0; i < len(batch.attempts); {
 		attempt := batch.attempts[i]
--- a/coordinator/residency_guard.go
+++ b/coordinator/residency_guard.go
@@ -42,8 +42,8 @@
 	guard.policyUpdates = guard.metricSet.NewCounter("chalkring_residency_standings_total")
 	guard.metricSet.NewGauge("chalkring_residency_generation", func() float64 { return float64(guard.Policy().Generation) })
 	guard.metricSet.NewGauge("chalkring_residency_lease_seconds", func() float64 {
-		if in := guard.Policy(); in.LeaseExpiry < math.MaxInt64 { // a lease that never expires is shown as -1
-			return max(0, float64(in.LeaseExpiry-guard.clock())/10_000)
+		if current := guard.Policy(); current.LeaseExpiry < math.MaxInt64 { // a lease that never expires is shown as -1
+			return max(0, float64(current.LeaseExpiry-guard.clock())/10_000)
 		}
 		return -1
 	})
--- a/coordinator/residency_test.go
+++ b/coordinator/residency_test.go
@@ -152,7 +152,7 @@
 	z.logged("block 1: " + residency.ReasonNoEligibleHost)
 	part := strings.Replace(strings.Replace(eastOnly, "generation: 1", "generation: 2", 1), "[east]", "[east], otherwise: part", 1)
 	z.guard.SetPolicy(z.policy(part, math.MaxInt64))
-	status, body = z.searchAs("acme", "acme2", "some") // half is enough
+	status, body = z.searchAs("acme", "acme2", "some") // a partial answer with half of the shards is enough for this class
 	require.Equal(t, 200, status, body)
 	require.NotContains(t, body, `"range":1`)
 	status, _ = z.searchAs("acme", "acme3", "all")
--- a/coordinator/sharded.go
+++ b/coordinator/sharded.go
@@ -14,7 +14,7 @@
 
 // ServeSharded serves with n event loops in one process, since one event loop uses at most one core. Each has its own
 // balancer and a share of the client connections, descriptors, memory and budget, and counts as a separate coordinator in
-// rules that coordinators follow together. Other frontends, peers and persistence belong to the first one.
+// limits that all coordinators share. Other frontends, peers and persistence belong to the first one.
 func ServeSharded(ctx context.Context, initial *plan.Plan, options Options, n int) error {
 	if n <= 1 {
 		return Serve(ctx, initial, options)
--- a/coordinator/shutdown.go
+++ b/coordinator/shutdown.go
@@ -9,7 +9,7 @@
 
 const (
 	acceptAfterStop = 500 * time.Millisecond // for new connections after a stop, since the platform opens connections for another 0.4 s
-	killMargin      = 200 * time.Millisecond // before SIGKILL by which answers are due, as the signal and the answers take time to arrive
+	killMargin      = 200 * time.Millisecond // answers are due this long before SIGKILL, as the signal and the answers take time to arrive
 	maxStopTime     = 20 * time.Second       // for serving connections that stay open; after it each answer closes its connection
 )
 
--- a/coordinator/shutdown_test.go
+++ b/coordinator/shutdown_test.go
@@ -92,7 +92,7 @@
 
 // Connections that arrive before the process stops accepting are accepted and their requests answered, even if the process
 // is stalled at that time. Closing the listener without accepting them would reset them.
-func TestIdleConnectionsAtShutdown(t *testing.T) {
+func TestConnectionsDuringStallAtShutdown(t *testing.T) {
 	r := startProcess(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -131,22 +131,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
-			there, err := net.Dial("tcp", ln.Addr().String())
+			clientSide, err := net.Dial("tcp", ln.Addr().String())
 			require.NoError(t, err)
-			defer there.Close()
-			here, err := ln.Accept()
+			defer clientSide.Close()
+			serverSide, err := ln.Accept()
 			require.NoError(t, err)
-			defer here.Close()
+			defer serverSide.Close()
 			stopping, cancel := context.WithCancel(context.Background())
 			cancel()
-			client.clientListener, client.conn, client.answered = &clientListener{stopping: stopping}, here, make(chan struct{}, 1)
-			_, err = there.Write([]byte("x"))
+			client.clientListener, client.conn, client.answered = &clientListener{stopping: stopping}, serverSide, make(chan struct{}, 1)
+			_, err = clientSide.Write([]byte("x"))
 			require.NoError(t, err)
 			client.interruptRead()
 			n, err := client.Read(make([]byte, 2))
 			require.NoError(t, err)
 			require.Equal(t, 1, n)
-			_, err = client.Read(make([]byte, 2)) // once
+			_, err = client.Read(make([]byte, 2)) // the additional read is not repeated
 			want := errClosing
 			if !client.requestDeadline.IsZero() {
 				want = errReadTimeout
@@ -240,7 +240,7 @@
 	gate, closing := make(chan struct{}), make(chan struct{}, 64)
 	r := startHooked(t, sockets, nil, nil, nil, func(m *Options) {
 		m.Listener.(*hookedListener).deadline = func() { closing <- struct{}{} }
-		m.Clock = hookedClock{held: stopIdleTimeout, gate: make(chan time.Time)} // which would end the wait for room
+		m.Clock = hookedClock{held: stopIdleTimeout, gate: make(chan time.Time)} // stopIdleTimeout never ends, as its end would end the wait for room
 	})
 	r.setHandlers(func(a asked) { go func() { <-gate; a.ReplyGood() }() })
 	var all []*testClient
@@ -290,9 +290,9 @@
 			c := r.connect()
 			c.expect("first", "all", 200, completeAnswer)
 			ends(r)
-			here := <-closes
+			serverSide := <-closes
 			c.send(request("crosses", "all", "", fourParts))
-			awaitArrival(t, here)
+			awaitArrival(t, serverSide)
 			close(sent)
 			_, err := c.Read(make([]byte, 1))
 			require.Error(t, err)
--- a/coordinator/socket_state.go
+++ b/coordinator/socket_state.go
@@ -11,11 +11,11 @@
 
 // rawConnOf returns a connection's socket, or nil if it has none or has been closed by this process.
 func rawConnOf(conn net.Conn) syscall.RawConn {
-	there, ok := conn.(syscall.Conn)
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := there.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return nil
 	}
@@ -23,7 +23,8 @@
 }
 
 // checkClientGone checks without blocking whether the client has closed the connection since its request arrived, and
-// returns an error if it has. Otherwise a process that reads late would dispatch requests of clients that have left.
+// returns an error if it has. Without this check, a process that reads late would dispatch requests of clients that have
+// left.
 func (c *clientConnection) checkClientGone() error {
 	if c.readAvailable == nil {
 		return nil
@@ -41,12 +42,12 @@
 	if raw == nil {
 		return false
 	}
-	closed := raw.Control(func(fd uintptr) {
-		at := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(at, 0)
-		ended = err == nil && n > 0 && at[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	controlErr := raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		ended = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return ended || closed != nil
+	return ended || controlErr != nil
 }
 
 // nonBlockingRead returns a function that reads from a connection without blocking, or nil if the connection has no socket.
@@ -62,8 +63,8 @@
 	read := func(fd uintptr) { n, err = syscall.Read(int(fd), into) }
 	return func(p []byte) (int, error) {
 		into = p
-		if ended := raw.Control(read); ended != nil { // not raw.Read, which fails after the connection's deadline
-			return 0, ended
+		if controlErr := raw.Control(read); controlErr != nil { // not raw.Read, which fails after the connection's deadline
+			return 0, controlErr
 		}
 		if n == 0 && err == nil {
 			return 0, io.EOF
