--- a/coordinator/abandoned_attempts_test.go
+++ b/coordinator/abandoned_attempts_test.go
@@ -97,13 +97,13 @@
 		"second copies are allowed": {true, func(fixture) {}, "Canceled"},
 		"answered after the cancel frame": {false, func(a fixture) {
 			first := <-a.held
-			a.eventually("the cancel frame has arrived", func() bool { return a.attemptCount() == 1 })
+			a.eventually("the cancel frame has arrived", func() bool { return a.canceledAttempts() == 1 })
 			a.p.expectNoOutcome()
 			first.ReplyGood()
 		}, "Ok"},
 		"refused after the cancel frame": {false, func(a fixture) {
 			first := <-a.held
-			a.eventually("the cancel frame has arrived", func() bool { return a.attemptCount() == 1 })
+			a.eventually("the cancel frame has arrived", func() bool { return a.canceledAttempts() == 1 })
 			first.Reply("later", "-", "")
 		}, "QueueFull"},
 		"answered on a retired connection": {false, func(a fixture) {
--- a/coordinator/residency_enforcer.go
+++ b/coordinator/residency_enforcer.go
@@ -14,37 +14,37 @@
 	"chalkring/internal/advice"
 )
 
-const maxResidencyCheckDelay = time.Hour // after which a distant check is computed anew: the wall clock may have been set
+const maxResidencyCheckDelay = time.Hour // longest wait until the next check, since the wall clock may be set meanwhile
 
-// residencyEnforcer restricts one event loop's searches to the hosts that their contracts allow. It belongs to the
-// event loop's goroutine, but for leaseExpiry and closed.
+// residencyEnforcer restricts one event loop's searches to the hosts that their contracts allow. It is owned by the event
+// loop's goroutine, except for leaseExpiry and closed.
 type residencyEnforcer struct {
-	loop                *eventLoop
-	guard               *ResidencyGuard
-	policy              *residency.CompiledPolicy
-	hosts               *residency.HostZones
-	tenants, classes    []string // by position in the settings
-	restrictions        map[restrictionKey]*balancer.ReplicaRestriction
-	now, nextChangeAt   int64        // ticks of this iteration, and when the policy's effect changes by itself
-	leaseExpiry         atomic.Int64 // read by the connections' writers
-	closed              chan struct{}
-	checkTimer          timer
-	searchInRestriction *search // an end of it now is caused by its contract
-}
-
-// restrictionKey is what searches with the same restriction have in common.
+	loop              *eventLoop
+	guard             *ResidencyGuard
+	policy            *residency.CompiledPolicy
+	hosts             *residency.HostZones
+	tenants, classes  []string // by position in the settings
+	restrictions      map[restrictionKey]*balancer.ReplicaRestriction
+	now, nextChangeAt int64        // ticks: of this iteration, and of the next change that time alone causes (see NextChangeAt)
+	leaseExpiry       atomic.Int64 // ticks; read by the connections' writers
+	closed            chan struct{}
+	checkTimer        timer
+	beingRestricted   *search // the search that restrict handles, else nil; if it ends meanwhile, its contract is the cause
+}
+
+// restrictionKey identifies searches that share a restriction, by positions in the settings.
 type restrictionKey struct{ tenant, class int }
 
 // newResidencyEnforcer registers an event loop with the guard.
 func newResidencyEnforcer(loop *eventLoop, guard *ResidencyGuard) *residencyEnforcer {
-	name := func(list string) (names []string) {
+	namesIn := func(list string) (names []string) {
 		for i := range loop.plan.Count(list) {
 			names = append(names, loop.plan.Settings[fmt.Sprintf("%s.%d.Name", list, i)])
 		}
 		return names
 	}
 	enforcer := &residencyEnforcer{
-		loop: loop, guard: guard, now: guard.clock(), tenants: name("Tenants"), classes: name("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
+		loop: loop, guard: guard, now: guard.clock(), tenants: namesIn("Tenants"), classes: namesIn("Classes"), restrictions: map[restrictionKey]*balancer.ReplicaRestriction{},
 		closed: make(chan struct{}),
 	}
 	guard.mu.Lock()
@@ -56,8 +56,8 @@
 	return enforcer
 }
 
-// leaseHasExpired says whether the residency lease has expired, and counts it where it has. Connections' writers call
-// it.
+// leaseHasExpired reports whether the residency lease has expired, and if so counts a fenced message. Connections' writers
+// call it.
 func (b *residencyEnforcer) leaseHasExpired() bool {
 	if b.guard.clock() < b.leaseExpiry.Load() {
 		return false
@@ -66,7 +66,7 @@
 	return true
 }
 
-// close deregisters the event loop.
+// close removes the event loop from the guard.
 func (b *residencyEnforcer) close() {
 	b.guard.mu.Lock()
 	delete(b.guard.enforcers, b)
@@ -74,14 +74,15 @@
 	close(b.closed)
 }
 
-// beginIteration puts into force what has changed by time alone, before anything else happens in an iteration.
+// beginIteration applies, before anything else happens in an iteration, the changes that time alone causes: a contract
+// begins or ends, the lease expires, or a host's hold-down ends.
 func (b *residencyEnforcer) beginIteration() {
 	if b.now = max(b.now, b.guard.clock()); b.now >= b.nextChangeAt {
 		b.restrictAll()
 	}
 }
 
-// setPolicy puts a policy into force. A renewed lease changes nothing for open searches.
+// setPolicy applies a policy. If only an unexpired lease is renewed, open searches stay as they are.
 func (b *residencyEnforcer) setPolicy(policy *residency.CompiledPolicy) {
 	renewed := policy.DiffersOnlyInLease(b.policy) && b.now < b.policy.LeaseExpiry
 	b.policy = policy
@@ -94,7 +95,7 @@
 	b.restrictAll()
 }
 
-// updateHosts applies a list or changes of it, before anything is sent under it.
+// updateHosts applies an endpoint list, or changes of it if how is "Partial", before any attempt is sent under it.
 func (b *residencyEnforcer) updateHosts(how string, hosts []plan.ListedHost) {
 	listed := make([]residency.Host, 0, len(hosts))
 	for _, host := range hosts {
@@ -103,7 +104,7 @@
 	b.hosts.UpdateHosts(b.now, how != "Partial", listed)
 }
 
-// restrictAll computes the restrictions of all open searches anew, in the order of their ids.
+// restrictAll recomputes the restrictions of all open searches, in the order of their ids.
 func (b *residencyEnforcer) restrictAll() {
 	clear(b.restrictions)
 	for _, id := range slices.Sorted(maps.Keys(b.loop.searches.byID)) {
@@ -114,7 +115,7 @@
 	b.scheduleCheck()
 }
 
-// scheduleCheck has the policy checked when its effect changes by itself.
+// scheduleCheck sets the timer for the next change that time alone causes.
 func (b *residencyEnforcer) scheduleCheck() {
 	b.nextChangeAt = min(b.policy.NextChangeAt(b.now), b.hosts.NextHoldDownEnd(b.now))
 	b.loop.stopTimer(&b.checkTimer)
@@ -123,7 +124,7 @@
 	}
 }
 
-// check is the check timer's task: the two clocks may differ a little.
+// check is the check timer's task. The timer may fire a little early, as the guard's clock and the timer's may differ.
 func (b *residencyEnforcer) check() {
 	if b.now >= b.nextChangeAt {
 		b.restrictAll()
@@ -132,7 +133,7 @@
 	}
 }
 
-// names returns the tenant's and the class's name of a search.
+// names returns the names of a search's tenant and class.
 func (b *residencyEnforcer) names(search *search) (tenant, class string) {
 	if search.tenant < len(b.tenants) {
 		tenant = b.tenants[search.tenant]
@@ -140,8 +141,8 @@
 	return tenant, b.classes[search.class]
 }
 
-// restrict tells the balancer which hosts a search may use. A search whose contract leaves no host for a block ends at
-// once.
+// restrict passes the hosts that a search may use to the balancer. The search ends at once if a block has no allowed host,
+// unless its contract is current and accepts a partial answer.
 func (b *residencyEnforcer) restrict(search *search) {
 	if search.ended {
 		return
@@ -161,8 +162,8 @@
 		b.restrictions[key] = restriction
 	}
 	search.restricted = true
-	b.searchInRestriction = search
-	out := b.countOutstanding(search)
+	b.beingRestricted = search
+	before := b.countOutstanding(search)
 	b.loop.balancer.RestrictReplicas(search.id, restriction, func(shard int) bool {
 		rule := b.policy.RuleFor(b.now, tenant, class, shard)
 		if search.refusal == nil {
@@ -176,8 +177,8 @@
 		}
 		return !rule.AllowPartial || rule.LeaseExpired || rule.ContractEnded
 	})
-	if b.searchInRestriction = nil; out > 0 {
-		b.guard.canceled.Add(out - b.countOutstanding(search))
+	if b.beingRestricted = nil; before > 0 {
+		b.guard.canceled.Add(before - b.countOutstanding(search))
 	}
 }
 
@@ -193,15 +194,15 @@
 	return n
 }
 
-// allows says whether the policy allows a replica for a tenant's and class's shard.
+// allows reports whether the policy allows a replica for a shard of a tenant's search of a class.
 func (b *residencyEnforcer) allows(tenant, class string, shard int, replica string) bool {
 	rule := b.policy.RuleFor(b.now, tenant, class, shard)
 	return rule.AllowsZone(b.policy.ZoneIndex(b.hosts.Zone(b.now, replica)))
 }
 
-// removeForbidden is the check before sending: it removes from a batch what the contracts themselves forbid, whatever
-// the balancer was told. It handles a fault in all that comes before it; each attempt that it stops is one. It returns
-// whether the rest may not be sent after the lease's expiry.
+// removeForbidden is the check before sending: it removes the attempts from a batch that the contracts forbid, independent
+// of the balancer's restrictions. Each attempt that it removes shows a bug in the code before it. It reports whether the
+// rest of the batch must not be sent after the lease has expired.
 func (b *residencyEnforcer) removeForbidden(batch *batch) (fenced bool) {
 	for i := 0; i < len(batch.attempts); {
 		attempt := batch.attempts[i]
@@ -215,7 +216,7 @@
 		b.guard.blocked.Inc()
 		b.loop.log.warnLimited("residency_guard", "residency_guard", "tenant", tenant, "block", attempt.shardRequest.shard, "replica", attempt.replica.id,
 			"zone", b.hosts.Zone(b.now, attempt.replica.id))
-		b.loop.detachAttempt(attempt) // which removes it from batch.attempts
+		b.loop.detachAttempt(attempt) // also removes it from batch.attempts
 		b.loop.deferAttemptOutcome(attempt, "Ignored")
 	}
 	return fenced
@@ -223,7 +224,7 @@
 
 // refusalOf returns the refusal of a search that ends because of a contract, or nil.
 func (b *residencyEnforcer) refusalOf(search *search) *residency.SearchRejectedError {
-	if b == nil || b.searchInRestriction != search || search.refusal == nil {
+	if b == nil || b.beingRestricted != search || search.refusal == nil {
 		return nil
 	}
 	b.guard.refused.Inc()
