--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -299,11 +299,18 @@
 func TestBlockLeavesMeanwhile(t *testing.T) {
 	r := start(t)
 	release := make(chan struct{})
+	var lock sync.Mutex
+	searches := map[string]bool{} // searches with a shard request at a host; a hedged attempt adds none
 	for i, h := range r.hosts {
 		if i%4 == 3 {
 			h.SetHandler(func(fake.ShardRequest) {})
 		} else {
-			h.SetHandler(func(p fake.ShardRequest) { go func() { <-release; r.good(p) }() })
+			h.SetHandler(func(p fake.ShardRequest) {
+				lock.Lock()
+				searches[p.ID[:strings.LastIndexByte(p.ID, '.')]] = true
+				lock.Unlock()
+				go func() { <-release; r.good(p) }()
+			})
 		}
 	}
 	type end struct {
@@ -317,7 +324,11 @@
 			got <- end{s, m}
 		}()
 	}
-	require.Eventually(t, func() bool { return r.hosts[0].CountRequests()+r.hosts[4].CountRequests() >= 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool {
+		lock.Lock()
+		defer lock.Unlock()
+		return len(searches) == 2
+	}, 10*time.Second, time.Millisecond)
 	var left []fake.Endpoint
 	for i, h := range r.hosts {
 		if i%4 != 3 {
