--- a/cmd/chalkring/store_of_earlier_process_test.go
+++ b/cmd/chalkring/store_of_earlier_process_test.go
@@ -24,7 +24,7 @@
 	a := startInstance(t, dir, "a", addrs, true) // waits for the store as long as any start
 	runner := &rolloutRunner{clusterInstance: a.sharing}
 	runner.load()
-	require.Contains(t, a.logText(), "is held by another process")
+	require.Contains(t, a.logText(), "is locked by another process")
 	require.NoError(t, held.Close(t.Context()))
 	select {
 	case <-a.sharing.opened:
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -179,7 +179,7 @@
 	}
 	held, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
-	for want, at := range map[string]string{"held by another process": path, "no store": filepath.Join(filepath.Dir(path), "plan.json")} {
+	for want, at := range map[string]string{"locked by another process": path, "is not a store": filepath.Join(filepath.Dir(path), "plan.json")} {
 		if at != path {
 			text, _ := json.Marshal(list)
 			require.NoError(t, os.WriteFile(at, text, 0o600))
--- a/storage/recovery/endpoint_list.go
+++ b/storage/recovery/endpoint_list.go
@@ -3,11 +3,11 @@
 import "chalkring/endpoints"
 
 const (
-	maxListAgeMs = 7 * 24 * 3_600_000 // plans are renewed more often: an older list belongs to another plan
+	maxListAgeMs = 7 * 24 * 3_600_000 // plans are replaced more often: an older list belongs to another plan
 	tenthsPerMs  = 10                 // package endpoints counts ages in tenths of a millisecond
 )
 
-// EndpointList is the endpoint list in force, as it is stored.
+// EndpointList is the stored form of the current endpoint list.
 type EndpointList struct {
 	_                struct{} `cbor:",toarray"`
 	SavedAt          int64    // Unix milliseconds
@@ -17,7 +17,7 @@
 	Removals         []Removal
 }
 
-// Removal is a removal as it is stored. It has a time where endpoints.Removal has an age.
+// Removal is the stored form of endpoints.Removal, with a time instead of an age.
 type Removal struct {
 	_             struct{} `cbor:",toarray"`
 	ID, RemovedBy string
@@ -25,7 +25,7 @@
 	RemovedAt     int64 // Unix milliseconds
 }
 
-// NewEndpointList returns the stored form of a list. Its hosts have no line and column of the host file they came from.
+// NewEndpointList returns the stored form of a list. It omits the hosts' positions in host files.
 func NewEndpointList(now, planVersion, discoveryVersion int64, entries []endpoints.Endpoint, removals []endpoints.Removal) EndpointList {
 	list := EndpointList{SavedAt: now, PlanVersion: planVersion, DiscoveryVersion: discoveryVersion}
 	for _, entry := range entries {
@@ -41,8 +41,8 @@
 	return list
 }
 
-// toUpdate returns the list as an update of the store's source. A removal in the future, as after the clock has gone
-// back, counts as just made.
+// toUpdate returns the list as an update from the source SourceName. A removal with a time in the future, as after the
+// clock was set back, has age 0.
 func (l *EndpointList) toUpdate(now int64) *endpoints.Update {
 	update := &endpoints.Update{Source: SourceName, Rank: endpoints.RankStore, Version: 1, Confirmed: true, Hosts: l.Hosts}
 	for _, removal := range l.Removals {
--- a/storage/recovery/golden_stored_test.go
+++ b/storage/recovery/golden_stored_test.go
@@ -12,12 +12,14 @@
 	"chalkring/endpoints"
 )
 
+// Guards against an unintended change of the stored form of start records.
 func TestGoldenStarts(t *testing.T) {
 	golden.RequireCBOR(t, "starts.hex", StartRecord{RecentStarts: []int64{1_700_000_000_000, 1_700_000_030_000}, StoreQuarantined: true})
 	golden.RequireCBOR(t, "starts-after-planned-stop.hex", StartRecord{}.RecordPlannedStop())
 }
 
-// Every field of a kept host is set to a value of its own, and each of its states is there. Hosts are maps by name.
+// Guards against an unintended change of the stored form of endpoint lists. The hosts cover all states and have a
+// different value in each field; hosts are stored as maps by field name.
 func TestGoldenHostList(t *testing.T) {
 	golden.RequireCBOR(t, "host-list.hex", EndpointList{
 		SavedAt: 1_700_000_000_000, PlanVersion: 3, DiscoveryVersion: 9,
@@ -31,6 +33,7 @@
 	golden.RequireCBOR(t, "host-list-empty.hex", EndpointList{SavedAt: 1})
 }
 
+// Guards against an unintended change of the stored form of observations.
 func TestGoldenObservations(t *testing.T) {
 	golden.RequireCBOR(t, "observations.hex", Observations{
 		SavedAt: 1_700_000_000_000,
@@ -45,24 +48,25 @@
 	})
 }
 
-// What is believed of the golden list and observations names these sources and times.
-func TestGoldenBelieved(t *testing.T) {
+// Guards against a change that cannot restore what earlier versions stored, or that renames the sources and trust levels
+// in logs and events.
+func TestGoldenRestore(t *testing.T) {
 	read := func(name string, to any) {
 		require.NoError(t, cbor.Unmarshal(golden.ReadHex(t, name), to))
 	}
 	var list EndpointList
-	var notes Observations
+	var observations Observations
 	read("host-list.hex", &list)
-	read("observations.hex", &notes)
-	require.NoError(t, notes.Validate())
-	b := Restore(1_700_000_002_000, TrustAll, 3, &list, &notes)
-	require.Empty(t, b.Discarded)
-	require.Equal(t, "store", b.Update.Source)
+	read("observations.hex", &observations)
+	require.NoError(t, observations.Validate())
+	restored := Restore(1_700_000_002_000, TrustAll, 3, &list, &observations)
+	require.Empty(t, restored.Discarded)
+	require.Equal(t, "store", restored.Update.Source)
 	require.Equal(t, "#store", PeerName)
 	require.Equal(t, []string{"all", "no_notes", "no_list", "nothing"},
-		[]string{TrustAll.String(), TrustWithoutObservations.String(), TrustWithoutEndpoints.String(), TrustNothing.String()}, "as events and log lines have them")
-	require.Equal(t, list.Hosts, b.Update.Hosts)
-	require.Equal(t, []endpoints.Removal{{ID: "d0", RemovedBy: "discovery", StartedMS: 1_699_999_500_000, Age: 1_020_000}}, b.Update.Removals)
-	require.Equal(t, uint32(3200), b.Observations.Head.AgeMs)
-	require.Equal(t, notes.Entries, b.Observations.Entries)
+		[]string{TrustAll.String(), TrustWithoutObservations.String(), TrustWithoutEndpoints.String(), TrustNothing.String()}, "names in events and log lines")
+	require.Equal(t, list.Hosts, restored.Update.Hosts)
+	require.Equal(t, []endpoints.Removal{{ID: "d0", RemovedBy: "discovery", StartedMS: 1_699_999_500_000, Age: 1_020_000}}, restored.Update.Removals)
+	require.Equal(t, uint32(3200), restored.Observations.Head.AgeMs)
+	require.Equal(t, observations.Entries, restored.Observations.Entries)
 }
--- a/storage/recovery/recovery.go
+++ b/storage/recovery/recovery.go
@@ -1,10 +1,10 @@
-// Package recovery decides, when a coordinator starts, how much of the state that an earlier run has stored is still
+// Package recovery decides, when a coordinator starts, how much of the state that an earlier run stored is still
 // trusted. It does no I/O and has no clock: callers pass the time in Unix milliseconds of the machine's clock, the only
 // clock that two runs share.
 //
-// The start waits for no source. The plan is there at once; the store, host files, discovery and peers follow in any
-// order, and each counts from the moment it answers, by the ranks of package endpoints. The stored endpoint list ends
-// once discovery has answered. Stored observations of hosts count like the load report of a peer, by their age.
+// The start waits for no source. The plan is available at once; the store, host files, discovery and peers follow in any
+// order, and each is used as soon as it answers, by the ranks of package endpoints. The stored endpoint list is dropped
+// once discovery has answered. Stored observations of hosts are weighted by their age, like the report of a peer.
 // docs/recovery.md compares the designs that were considered.
 package recovery
 
@@ -15,20 +15,20 @@
 	"chalkring/endpoints"
 )
 
-// The store's names where it is one source among others.
+// The names of the store among other sources.
 const (
 	SourceName = "store"  // among the sources of the endpoint list
-	PeerName   = "#store" // among peers, whose names come from the installation file and cannot begin so
+	PeerName   = "#store" // among peers; their names in the installation file cannot start with #
 )
 
-// Restored is the part of the stored state that is trusted. Update and Observations are nil where they are not.
+// Restored is the trusted part of the stored state. Update or Observations is nil if that part was missing or discarded.
 type Restored struct {
 	Update       *endpoints.Update
 	Observations *Observations // with its age as of now
 	Discarded    []DiscardedItem
 }
 
-// DiscardedItem is a part of the stored state that is not trusted, and why. Both texts are for the log.
+// DiscardedItem names a part of the stored state that is not trusted, and the reason. Both texts are for the log.
 type DiscardedItem struct{ Item, Reason string }
 
 // Items of the stored state, as the log names them.
@@ -44,7 +44,7 @@
 	r.Discarded = append(r.Discarded, DiscardedItem{item, fmt.Sprintf(format, args...)})
 }
 
-// Restore decides what is trusted of a stored list and of stored observations; either may be nil. planVersion is the
+// Restore returns the trusted part of a stored list and of stored observations; either may be nil. planVersion is the
 // version of the plan's own list.
 func Restore(now int64, level TrustLevel, planVersion int64, list *EndpointList, observations *Observations) Restored {
 	var restored Restored
@@ -63,14 +63,14 @@
 	case level >= TrustWithoutEndpoints:
 		r.discard(itemList, reasonCrashLoop)
 	case ageMs > maxListAgeMs:
-		r.discard(itemList, "it is %v old", milliseconds(ageMs))
-	// A discovery service that was set up anew counts its versions from a low number, so either version may be the newer.
+		r.discard(itemList, "the list is %v old", milliseconds(ageMs))
+	// A new discovery service starts its versions at a low number, so either of the list's versions may be the newer one.
 	case planVersion > list.PlanVersion && planVersion > list.DiscoveryVersion:
-		r.discard(itemList, "the plan's version is %d, the list's is %d", planVersion, list.DiscoveryVersion)
+		r.discard(itemList, "the plan's version %d is newer than the list's discovery version %d", planVersion, list.DiscoveryVersion)
 	default:
 		r.Update = list.toUpdate(now)
 		if ageMs < 0 {
-			r.discard(itemRemovalAges, "the clock has gone back by %v", milliseconds(-ageMs))
+			r.discard(itemRemovalAges, "the clock was set back by %v", milliseconds(-ageMs))
 		}
 	}
 }
@@ -81,9 +81,9 @@
 	case level >= TrustWithoutObservations:
 		r.discard(itemNotes, reasonCrashLoop)
 	case ageMs < 0:
-		r.discard(itemNotes, "the clock has gone back by %v: their age is unknown", milliseconds(-ageMs))
+		r.discard(itemNotes, "the clock was set back by %v, so their age is unknown", milliseconds(-ageMs))
 	case ageMs+int64(observations.Head.AgeMs) > maxObservationAgeMs:
-		r.discard(itemNotes, "they are %v old", milliseconds(ageMs))
+		r.discard(itemNotes, "the observations are %v old", milliseconds(ageMs))
 	default:
 		aged := *observations
 		aged.SavedAt = now
--- a/storage/recovery/recovery_test.go
+++ b/storage/recovery/recovery_test.go
@@ -11,7 +11,7 @@
 
 const now = int64(1_800_000_000_000)
 
-// storedState is a state that was stored at now.
+// storedState returns a list and observations that were stored at now.
 func storedState() (*EndpointList, *Observations) {
 	list := NewEndpointList(now, 7, 8, []endpoints.Endpoint{{Host: endpoints.Host{ID: "h1", Addr: "a:1", Weight: 1, Line: 3}}},
 		[]endpoints.Removal{{ID: "h2", RemovedBy: "discovery", StartedMS: 5, Age: 20_000}})
@@ -23,6 +23,8 @@
 	return &list, observations
 }
 
+// Guards against stored state that is used although it is too old, older than the plan, or suspected of causing a crash
+// loop, and against state that is discarded without such a reason.
 func TestRestoreByAgeAndTrustLevel(t *testing.T) {
 	for _, c := range []struct {
 		name                           string
@@ -36,7 +38,7 @@
 		{"the age at writing counts too", now + maxObservationAgeMs - 200, TrustAll, 8, true, false},
 		{"weeks", now + 2*maxListAgeMs, TrustAll, 8, false, false},
 		{"a newer plan", now + 2000, TrustAll, 9, false, true},
-		{"the clock went back", now - 24*3_600_000, TrustAll, 8, true, false},
+		{"the clock was set back", now - 24*3_600_000, TrustAll, 8, true, false},
 		{"third start", now + 2000, TrustWithoutObservations, 8, true, false},
 		{"fourth start", now + 2000, TrustWithoutEndpoints, 8, false, false},
 	} {
@@ -51,6 +53,7 @@
 	require.Empty(t, Restore(now, TrustAll, 8, nil, nil))
 }
 
+// Guards against ages that leave out the time between the save and the restart.
 func TestRestoredAges(t *testing.T) {
 	list, observations := storedState()
 	restored := Restore(now+2000, TrustAll, 8, list, observations)
@@ -59,6 +62,7 @@
 	require.Zero(t, restored.Update.Hosts[0].Line)
 }
 
+// Guards against inconsistent stored observations that are used.
 func TestObservationsValidate(t *testing.T) {
 	list, observations := storedState()
 	require.NoError(t, Restore(now+2000, TrustAll, 8, list, observations).Observations.Validate())
@@ -66,7 +70,8 @@
 	require.Error(t, observations.Validate())
 }
 
-// A restored list is accepted by package endpoints, and a host that was removed in it stays removed.
+// Guards against a restored list that package endpoints rejects, and against a slower source that brings back a host
+// which was removed before the restart.
 func TestRegistryAcceptsRestoredList(t *testing.T) {
 	list, observations := storedState()
 	restored := Restore(now+2000, TrustAll, 8, list, observations)
--- a/storage/recovery/start_record.go
+++ b/storage/recovery/start_record.go
@@ -2,7 +2,7 @@
 
 const (
 	crashLoopWindowMs   = 60_000 // starts without a planned stop within this time count as a crash loop
-	crashLoopStarts     = 3      // starts in the window from which on less is trusted; two may be a kill and a coincidence
+	crashLoopStarts     = 3      // from this many starts in the window on, less is trusted; two may be a kill and a coincidence
 	maxRememberedStarts = 16
 )
 
@@ -13,8 +13,8 @@
 const (
 	TrustAll                 TrustLevel = iota
 	TrustWithoutObservations            // observations of hosts are discarded
-	TrustWithoutEndpoints               // so is the endpoint list
-	TrustNothing                        // the whole store is to be quarantined
+	TrustWithoutEndpoints               // the endpoint list is discarded as well
+	TrustNothing                        // the caller quarantines the whole store
 )
 
 // String returns the level's name in events and log lines.
@@ -22,21 +22,21 @@
 	return [...]string{"all", "no_notes", "no_list", "nothing"}[l]
 }
 
-// StartRecord remembers recent starts. It is on disk before any other stored state is used, so that a start which is
-// ended by that state counts as well.
+// StartRecord remembers recent starts. It is written before any other stored state is used, so that a start which that
+// state causes to crash is counted as well.
 type StartRecord struct {
 	_                struct{} `cbor:",toarray"`
 	RecentStarts     []int64  // Unix milliseconds of starts that no planned stop followed
-	StoreQuarantined bool     // the store has been quarantined in the present crash loop
+	StoreQuarantined bool     // the store has been quarantined in the current crash loop
 }
 
 // RecordStart adds a start and returns how much of the stored state is trusted. The caller must have written the new
-// record to disk before it uses that state. TrustNothing is returned once in a crash loop, and only if exclusive: what
-// others have in a shared store may be nowhere else.
+// record to disk before it uses that state. TrustNothing is returned at most once in a crash loop, and only if the store is
+// exclusive to this process: a shared store may have the only copy of other users' state.
 func (s StartRecord) RecordStart(now int64, exclusive bool) (StartRecord, TrustLevel) {
 	next := StartRecord{StoreQuarantined: s.StoreQuarantined}
 	for _, startedAt := range s.RecentStarts {
-		startedAt = min(startedAt, now) // a later start means that the clock has gone back: it counts as just now
+		startedAt = min(startedAt, now) // a start in the future means that the clock was set back: it counts as just now
 		if now-startedAt < crashLoopWindowMs {
 			next.RecentStarts = append(next.RecentStarts, startedAt)
 		}
@@ -48,7 +48,7 @@
 	next.RecentStarts = next.RecentStarts[max(0, len(next.RecentStarts)-maxRememberedStarts):]
 	level := trustAfterStarts(len(next.RecentStarts))
 	if level == TrustNothing {
-		// A store that was quarantined in this loop has only state of this loop: quarantining it again gains nothing.
+		// After a quarantine in this loop, the store has only state from this loop: a second one would gain nothing.
 		if next.StoreQuarantined || !exclusive {
 			return next, TrustWithoutEndpoints
 		}
@@ -57,7 +57,7 @@
 	return next, level
 }
 
-// trustAfterStarts lowers the trust by a level with each start from crashLoopStarts on.
+// trustAfterStarts lowers the trust by one level for each start from crashLoopStarts on.
 func trustAfterStarts(starts int) TrustLevel {
 	return min(TrustNothing, max(TrustAll, TrustLevel(starts-crashLoopStarts+1)))
 }
--- a/storage/recovery/start_record_test.go
+++ b/storage/recovery/start_record_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// Guards against a crash loop that never ends because each start uses the stored state that causes the crash.
 func TestCrashLoopLowersTrust(t *testing.T) {
 	var record StartRecord
 	var levels []string
@@ -18,16 +19,16 @@
 	}
 	require.Equal(t, []string{"all", "all", "no_notes", "no_list", "nothing", "no_list", "no_list", "no_list"}, levels)
 	_, level := record.RecordStart(now+8*5000+crashLoopWindowMs, true)
-	require.Equal(t, TrustAll, level, "over a minute later")
+	require.Equal(t, TrustAll, level, "more than a minute later")
 	_, level = record.RecordPlannedStop().RecordStart(now+41_000, true)
 	require.Equal(t, TrustAll, level, "after a planned stop")
 	record, level = record.RecordStart(now-24*3_600_000, true)
-	require.Equal(t, TrustWithoutEndpoints, level, "the clock went back: the starts are still recent")
+	require.Equal(t, TrustWithoutEndpoints, level, "the clock was set back: the starts still count as recent")
 	require.LessOrEqual(t, len(record.RecentStarts), maxRememberedStarts)
 }
 
-// Whatever the times of starts, less than all is trusted exactly after two others within a minute, the record is
-// bounded, and the store is quarantined at most once in a crash loop.
+// Guards against wrong counts of starts, whatever their times: trust is lowered exactly if two other starts were within
+// the last minute, the record is bounded, and the store is quarantined at most once in a crash loop.
 func TestStartsAtRandomTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var record StartRecord
--- a/storage/store/crash_test.go
+++ b/storage/store/crash_test.go
@@ -19,7 +19,7 @@
 	"chalkring/internal/advice"
 )
 
-// TestMain also runs the child processes of tests, which are killed or fill their disk.
+// TestMain also runs the child processes of tests: one that is killed, and one whose disk is full.
 func TestMain(m *testing.M) {
 	switch path := os.Getenv("STORE_CHILD_PATH"); os.Getenv("STORE_CHILD") {
 	case "":
@@ -45,9 +45,9 @@
 	return child, bufio.NewScanner(output)
 }
 
-const keysPerWrite = 9 // keys that a child's transaction sets to values of the same number
+const keysPerWrite = 9 // keys in each transaction of a child, all with values of the same number
 
-// writeUntilKilled writes rising numbers and prints each once Put has returned. It is a child process.
+// writeUntilKilled writes increasing numbers and prints each once Put has returned. It runs in a child process.
 func writeUntilKilled(path string) {
 	s, err := Open(path, Options{})
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// scanProgress reads one line of writeUntilKilled.
+// scanProgress parses one line that writeUntilKilled printed.
 func scanProgress(t *testing.T, line string) (number int) {
 	var kind string
 	_, err := fmt.Sscan(line, &kind, &number)
@@ -84,8 +84,8 @@
 	return number
 }
 
-// A process that is killed at any moment leaves the state of one transaction: the last that it was told is written, or
-// the one after it.
+// Guards against lost, half-written or mixed transactions after kill -9. A process that is killed at any moment must
+// leave the state of one transaction: the last for which Put returned, or the one after it.
 func TestStoreSurvivesKill(t *testing.T) {
 	path, rng, lastWritten := filepath.Join(t.TempDir(), "s"), rand.New(rand.NewSource(31)), 0
 	for range 100 {
@@ -93,14 +93,14 @@
 		for remaining := rng.Intn(6); remaining >= 0 && lines.Scan(); remaining-- {
 			lastWritten = max(lastWritten, scanProgress(t, lines.Text()))
 		}
-		time.Sleep(time.Duration(rng.Intn(3000)) * time.Microsecond) // the moment of the kill is what is drawn
+		time.Sleep(time.Duration(rng.Intn(3000)) * time.Microsecond) // kills at a random moment
 		require.NoError(t, child.Process.Kill())
 		for lines.Scan() {
 			if strings.HasPrefix(lines.Text(), "written ") {
 				lastWritten = scanProgress(t, lines.Text())
 			}
 		}
-		require.Error(t, child.Wait(), "it was killed")
+		require.Error(t, child.Wait(), "the child was killed")
 		s, reported := open(t, path, Options{})
 		require.Empty(t, reported)
 		values, numbers := loadAll(t, s, "n"), map[string]bool{}
@@ -112,7 +112,7 @@
 			require.Len(t, numbers, 1, "a mix of two transactions")
 			number, err := strconv.Atoi(values["k0"][:10])
 			require.NoError(t, err)
-			require.True(t, number == lastWritten || number == lastWritten+1, "%d was written, %d is there", lastWritten, number)
+			require.True(t, number == lastWritten || number == lastWritten+1, "last written: %d, stored: %d", lastWritten, number)
 			lastWritten = number
 		}
 		require.NoError(t, s.Close(background))
@@ -120,14 +120,14 @@
 	require.Greater(t, lastWritten, 100)
 }
 
-// setFileSizeLimit sets how large files of this process may get.
+// setFileSizeLimit sets how large the files of this process may become.
 func setFileSizeLimit(limit syscall.Rlimit) {
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit); err != nil {
 		panic(err)
 	}
 }
 
-// writeUntilDiskIsFull writes until its files may not grow, and once more when they may. It is a child process.
+// writeUntilDiskIsFull writes until a file size limit stops it, and once more without the limit. It runs in a child process.
 func writeUntilDiskIsFull(path string) {
 	signal.Ignore(syscall.SIGXFSZ)
 	s, err := Open(path, Options{})
@@ -153,6 +153,8 @@
 	fmt.Println("after", err, written)
 }
 
+// Guards against a full disk that damages the store or loses earlier writes: a write that does not fit is refused, stored
+// values stay readable, and writes succeed again once there is space.
 func TestFullDiskRefusesWritesAndLosesNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	child, lines := startChild(t, "full", path)
--- a/storage/store/damage_test.go
+++ b/storage/store/damage_test.go
@@ -17,14 +17,14 @@
 	"chalkring/internal/advice"
 )
 
-// snapshot is the content of a store's file and the values of bucket "a" in it.
+// snapshot is the content of a store's file and the values of its bucket "a".
 type snapshot struct {
 	file   []byte
 	values map[string]string
 }
 
-// consecutiveSnapshots are the states of a store before and after one write. It has some hundred keys in trees of two
-// levels, one small bucket, and free pages.
+// consecutiveSnapshots returns the states of a store before and after one write. The store has several hundred keys in a
+// tree of two levels, a small bucket, and free pages.
 func consecutiveSnapshots(t *testing.T) (before, after snapshot) {
 	path, rng := filepath.Join(t.TempDir(), "s"), rand.New(rand.NewSource(5))
 	s, _ := open(t, path, Options{})
@@ -50,7 +50,7 @@
 	return before, take()
 }
 
-// What becomes of a damaged file when it is opened.
+// The outcomes of opening a damaged file.
 const (
 	hasNewState = "new state"
 	hasOldState = "old state"
@@ -58,8 +58,8 @@
 	refused     = "refused"
 )
 
-// openDamaged opens a file with this content and returns what became of it. Any other outcome, as a state that was
-// never written, fails the test.
+// openDamaged opens a file with this content and returns the outcome. Any other outcome, such as a state that was never
+// written, fails the test.
 func openDamaged(t *testing.T, content []byte, before, after snapshot) (outcome string) {
 	path := filepath.Join(t.TempDir(), "s")
 	require.NoError(t, os.WriteFile(path, content, 0o600))
@@ -69,7 +69,7 @@
 		require.True(t, advice.HasType[*UnrecognizedFileError](err) || advice.HasType[*NewerFormatError](err), "%v", err)
 		left, readErr := os.ReadFile(path)
 		require.NoError(t, readErr)
-		require.Equal(t, content, left, "a file that is refused stays as it is")
+		require.Equal(t, content, left, "a refused file is left unchanged")
 		return refused
 	}
 	defer func() { require.NoError(t, s.Close(background)) }()
@@ -91,22 +91,24 @@
 	return outcome
 }
 
+// Guards against flipped bits that crash the process or are taken for stored values.
 func TestFlippedBits(t *testing.T) {
 	before, after := consecutiveSnapshots(t)
 	rng, outcomes := rand.New(rand.NewSource(7)), map[string]int{}
 	for i := range 400 {
 		content, offset := append([]byte(nil), after.file...), rng.Intn(len(after.file))
-		if i%2 == 0 { // page headers and first entries, where damage can lead the walk over the pages astray
+		if i%2 == 0 { // page headers and first entries, where damage can misdirect the walk over the pages
 			offset = rng.Intn(len(after.file)/4096)*4096 + rng.Intn(64)
 		}
 		content[offset] ^= 1 << rng.Intn(8)
 		outcomes[openDamaged(t, content, before, after)]++
 	}
 	require.Greater(t, outcomes[quarantined], 100, outcomes)
-	require.Greater(t, outcomes[hasNewState], 10, "free pages do not matter: %v", outcomes)
+	require.Greater(t, outcomes[hasNewState], 10, "damage in free pages has no effect: %v", outcomes)
 	t.Log(outcomes)
 }
 
+// Guards against a truncated file that crashes the process or is opened in an older state.
 func TestTruncatedFiles(t *testing.T) {
 	before, after := consecutiveSnapshots(t)
 	rng, outcomes := rand.New(rand.NewSource(8)), map[string]int{}
@@ -120,7 +122,8 @@
 	require.Greater(t, outcomes[quarantined], 30, outcomes)
 }
 
-// A loss of power leaves any of the pages that were written since the last sync, or none of them.
+// Guards against a mix of two states after a loss of power, which may leave any subset of the pages that were written
+// since the last sync.
 func TestTornPages(t *testing.T) {
 	before, after := consecutiveSnapshots(t)
 	before.file = append(before.file, make([]byte, max(0, len(after.file)-len(before.file)))...)
@@ -135,9 +138,10 @@
 		outcomes[openDamaged(t, content, before, after)]++
 	}
 	require.Greater(t, outcomes[hasOldState], 10, outcomes)
-	require.Greater(t, outcomes[quarantined], 10, "a meta page is there before its pages, as after a sync that did not happen: %v", outcomes)
+	require.Greater(t, outcomes[quarantined], 10, "files whose meta page was written before its other pages, as without a sync: %v", outcomes)
 }
 
+// Guards against a wrong store path that overwrites or renames an unrelated file or folder.
 func TestUnrecognizedFileIsRefused(t *testing.T) {
 	for _, content := range []string{"hosts: []\n", strings.Repeat("a plan of some kind ", 5000)} {
 		require.Equal(t, refused, openDamaged(t, []byte(content), snapshot{}, snapshot{}))
@@ -148,8 +152,9 @@
 	require.True(t, advice.HasType[*UnrecognizedFileError](err), "%v", err)
 }
 
+// Guards against a downgrade that misreads a newer file, and against one that refuses a file it could read.
 func TestNewerFormatIsRefusedUnlessReadable(t *testing.T) {
-	for minReader, refused := range map[uint32]bool{currentFormat: false, currentFormat + 1: true} {
+	for minReader, isRefused := range map[uint32]bool{currentFormat: false, currentFormat + 1: true} {
 		path := filepath.Join(t.TempDir(), "s")
 		s, _ := open(t, path, Options{})
 		require.NoError(t, s.Put(background, "a", map[string][]byte{"k": []byte("v")}, nil))
@@ -168,14 +173,15 @@
 		}))
 		require.NoError(t, db.Close())
 		s, err = Open(path, Options{})
-		require.Equal(t, refused, advice.HasType[*NewerFormatError](err), "%v", err)
-		if !refused {
+		require.Equal(t, isRefused, advice.HasType[*NewerFormatError](err), "%v", err)
+		if !isRefused {
 			require.Equal(t, map[string]string{"k": "v"}, loadAll(t, s, "a"))
 			require.NoError(t, s.Close(background))
 		}
 	}
 }
 
+// Guards against damage at every start that fills the disk with quarantined files.
 func TestQuarantinedFilesAreLimited(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	for n := range maxQuarantinedFiles + 1 {
@@ -195,8 +201,8 @@
 	}
 }
 
-// A file that is truncated while it is in use, by hand or by its disk, loses pages that are mapped. That is an error
-// and does not end the process; the next start quarantines the rest of the file.
+// Guards against a crash when an open file loses mapped pages because it was truncated. Calls must return errors, and
+// the next start must quarantine the rest of the file.
 func TestFileTruncatedWhileInUse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, _ := open(t, path, Options{})
--- a/storage/store/database.go
+++ b/storage/store/database.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	replacementSuffix = ".new" // of a file that is written beside the store and then takes its name
+	replacementSuffix = ".new" // of a file that is written beside the store and then renamed to its path
 
-	// The file may grow to the limit of keys and values times fileSizeFactor, plus fileSizeExtra bytes: pages may be
-	// half full, and a transaction writes the pages it changes anew before the old ones are free.
+	// The file may grow to fileSizeFactor times Options.MaxBytes plus fileSizeExtra bytes: pages may be half full, and a
+	// transaction writes new copies of the pages it changes before the old ones become free.
 	fileSizeFactor = 4
 	fileSizeExtra  = 1 << 20
 
-	minCompactionSize  = 1 << 20 // bytes of a file below which its unused pages are not worth a compaction
-	compactionFactor   = 4       // file size over bytes in use from which on Open compacts the file
+	minCompactionSize  = 1 << 20 // bytes; a smaller file is not compacted
+	compactionFactor   = 4       // Open compacts a file that is this many times larger than its used pages
 	compactionTxnBytes = 1 << 20 // bytes copied in one transaction of a compaction
 )
 
@@ -41,7 +41,7 @@
 	})
 }
 
-// createEmpty puts a store without values at the store's path.
+// createEmpty creates a store without values at the store's path.
 func (s *Store) createEmpty() error {
 	return s.replaceFile(func(db *bolt.DB) error {
 		return db.Update(func(tx *bolt.Tx) error {
@@ -54,8 +54,8 @@
 	})
 }
 
-// compact copies the values into a new file, which replaces the present one. No other call may use the store meanwhile.
-// After a failure s.db is nil if the present file has been closed.
+// compact copies the values into a new file, which replaces the current one. No other call may use the store meanwhile.
+// After a failure s.db is nil if the current file has been closed.
 func (s *Store) compact() error {
 	copyValues := func(db *bolt.DB) error { return bolt.Compact(db, s.db, compactionTxnBytes) }
 	if err := s.replaceFile(copyValues); err != nil {
@@ -69,8 +69,8 @@
 	return s.openDatabase()
 }
 
-// replaceFile has fill write a new database beside the store, syncs it and renames it to the store's path. A process
-// that is killed meanwhile leaves the store's path as it was.
+// replaceFile creates a database beside the store, calls fill to write it, syncs it and renames it to the store's path.
+// If the process is killed before the rename, the file at the store's path is unchanged.
 func (s *Store) replaceFile(fill func(db *bolt.DB) error) error {
 	replacement := s.path + replacementSuffix
 	db, err := bolt.Open(replacement, fileMode, s.boltOptions())
@@ -79,7 +79,7 @@
 	}
 	err = catchPageFaults(s.path, func() error { return fill(db) })
 	if err := errors.Join(err, db.Sync(), db.Close()); err != nil {
-		_ = os.Remove(replacement) // the next start removes it too; the error to report is the one above
+		_ = os.Remove(replacement) // the next Open removes it too; the error to report is the one above
 		return err
 	}
 	if err := os.Rename(replacement, s.path); err != nil {
@@ -98,14 +98,14 @@
 	return folder.Sync()
 }
 
-// catchPageFaults runs what reads or writes mapped pages, and returns a *CorruptedError where pages go bad while the
-// database is in use: bbolt panics on a page that it cannot make sense of, and a mapped page that the system cannot
-// read is a memory fault, which is turned into a panic here.
+// catchPageFaults calls do, which reads or writes mapped pages, and returns a *CorruptedError if a page turns out to be
+// damaged while the database is in use: bbolt panics on a page that it cannot decode, and a mapped page that the system
+// cannot read is a memory fault, which is converted into a panic here.
 func catchPageFaults(path string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = &CorruptedError{path, fmt.Sprint("while in use: ", cause)}
+			err = &CorruptedError{path, fmt.Sprint("found while in use: ", cause)}
 		}
 	}()
 	return do()
--- a/storage/store/errors_test.go
+++ b/storage/store/errors_test.go
@@ -17,7 +17,7 @@
 	"chalkring/internal/advice"
 )
 
-// Each error type of the package has advice and is listed in the page for engineers on call.
+// Guards against an error type without advice, or one that the page for engineers on call does not list.
 func TestErrorTypesAreDocumented(t *testing.T) {
 	cause := errors.New("any")
 	errorTypes := map[string]advice.Provider{}
@@ -48,6 +48,7 @@
 	require.Equal(t, len(errorTypes), found)
 }
 
+// Guards against a system or bbolt error that is reported with the wrong type, and so with the wrong advice.
 func TestClassifyError(t *testing.T) {
 	wrap := func(err error) error { return &fs.PathError{Op: "write", Path: "s", Err: err} }
 	for want, err := range map[string]error{
@@ -57,7 +58,7 @@
 	} {
 		require.Equal(t, want, fmt.Sprintf("%T", classifyError("s", fmt.Errorf("open: %w", err))))
 	}
-	require.IsType(t, &DiskFullError{}, classifyError("s", errors.New("file resize error: "+syscall.EFBIG.Error())), "bbolt formats some errors into texts")
+	require.IsType(t, &DiskFullError{}, classifyError("s", errors.New("file resize error: "+syscall.EFBIG.Error())), "bbolt formats some errors into its messages without wrapping them")
 	require.NoError(t, classifyError("s", nil))
 	own := errors.Join(&LockedError{})
 	require.Equal(t, own, classifyError("s", own))
--- a/storage/store/event_log.go
+++ b/storage/store/event_log.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxEvents is the default number of events that a log keeps: some weeks of an installation's faults, under 3 MB.
+// MaxEvents is the default number of events that a log keeps: some weeks of an installation's faults in under 3 MB.
 const MaxEvents = 10_000
 
 const (
@@ -20,17 +20,17 @@
 	sequenceBytes   = 8      // length of that value
 )
 
-// Event is something that happened, kept for an operator who looks back. It is stored as a CBOR array.
+// Event is an entry of the event log, from which operators see what happened earlier. It is stored as a CBOR array.
 type Event struct {
 	_        struct{} `cbor:",toarray"`
-	Sequence uint64   // rises by one with each event, also over restarts; Append sets it
+	Sequence uint64   // increases by one with each event, also across restarts; Append sets it
 	UnixMs   int64
 	Kind     string
 	Message  string
 }
 
-// EventLog is a ring of the newest events in one bucket: each event replaces the one that is maxEvents older. Its
-// methods may be called from any goroutine.
+// EventLog is a ring of the newest events in one bucket: each event replaces the one that was added maxEvents events
+// earlier. Its methods may be called from any goroutine.
 type EventLog struct {
 	store        *Store
 	bucket       string
@@ -39,8 +39,8 @@
 	nextSequence uint64
 }
 
-// NewEventLog opens the log in a bucket and continues its sequence numbers. It keeps maxEvents events, or MaxEvents
-// where that is 0; a log must be opened with the same number each time.
+// NewEventLog opens the log in a bucket and continues its sequence numbers. It keeps maxEvents events; 0 stands for the
+// constant MaxEvents. A log must be opened with the same number each time.
 func NewEventLog(s *Store, bucket string, maxEvents int) (*EventLog, error) {
 	l := &EventLog{store: s, bucket: bucket, maxEvents: uint64(cmp.Or(maxEvents, MaxEvents))}
 	value, found, err := s.Get(bucket, nextSequenceKey)
@@ -50,7 +50,7 @@
 	return l, err
 }
 
-// Append numbers the events and writes all of them or, with an error, none. Errors are those of Store.Put.
+// Append numbers the events and writes them in one transaction. Its errors are those of Store.Put.
 func (l *EventLog) Append(ctx context.Context, events []Event) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,8 +73,8 @@
 	return err
 }
 
-// ForEach calls visit with each event since a time in Unix milliseconds, the oldest first, until visit returns false.
-// An empty kind stands for all kinds.
+// ForEach calls visit with each event of a kind since a time in Unix milliseconds, oldest first, until visit returns
+// false. An empty kind stands for all kinds.
 func (l *EventLog) ForEach(sinceUnixMs int64, kind string, visit func(event Event) bool) error {
 	events, err := l.load(sinceUnixMs, kind)
 	if err != nil {
@@ -97,7 +97,7 @@
 		}
 		var event Event
 		if err := cbor.Unmarshal(value, &event); err != nil {
-			return &CorruptedError{l.store.path, fmt.Sprintf("event %s: %v", key, err)}
+			return &CorruptedError{l.store.path, fmt.Sprintf("event with key %s cannot be decoded: %v", key, err)}
 		}
 		if event.UnixMs >= sinceUnixMs && (kind == "" || event.Kind == kind) {
 			events = append(events, event)
--- a/storage/store/golden_stored_test.go
+++ b/storage/store/golden_stored_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	goldenFile   = "store-v1.db"
-	goldenNewer  = "store-v2-required.db"
-	goldenRecord = "store-v1.records.json"
+	goldenFile    = "store-v1.db"
+	goldenNewer   = "store-v2-required.db"
+	goldenRecords = "store-v1.records.json"
 )
 
 // goldenValues are the plain values in the golden store file, by bucket and key.
@@ -32,7 +32,7 @@
 	{Sequence: 5, UnixMs: 1_700_000_000_005, Kind: "list", Message: strings.Repeat("w", 240)},
 }
 
-// writeGoldenStore makes a store with overwritten and deleted keys, and a journal that has wrapped around.
+// writeGoldenStore creates a store with overwritten and deleted keys, and an event log that has wrapped around.
 func writeGoldenStore(t *testing.T, path string) {
 	s, err := Open(path, Options{})
 	require.NoError(t, err)
@@ -47,55 +47,56 @@
 		}
 		require.NoError(t, s.Put(background, bucket, puts, deletes))
 	}
-	j, err := NewEventLog(s, "events", 3)
+	log, err := NewEventLog(s, "events", 3)
 	require.NoError(t, err)
-	require.NoError(t, j.Append(background, []Event{
+	require.NoError(t, log.Append(background, []Event{
 		{UnixMs: 1_700_000_000_000, Kind: "start", Message: "a"},
 		{UnixMs: 1_700_000_000_001, Kind: "list", Message: "b"},
 		{UnixMs: 1_700_000_000_002, Kind: "list", Message: "c"},
 	}))
 	events := append([]Event(nil), goldenEvents...)
 	events[2].Message += "cut off"
-	require.NoError(t, j.Append(background, events))
+	require.NoError(t, log.Append(background, events))
 	require.NoError(t, s.Close(background))
 }
 
-// rawRecords are a file's bytes by bucket and key, read without package store; checksums are part of them.
+// rawRecords reads a file's records by bucket and key with bbolt alone. The records include their checksums.
 func rawRecords(t *testing.T, path string) map[string]map[string]string {
 	db, err := bolt.Open(path, 0o600, nil)
 	require.NoError(t, err)
 	defer db.Close()
-	all := map[string]map[string]string{}
+	records := map[string]map[string]string{}
 	require.NoError(t, db.View(func(tx *bolt.Tx) error {
 		return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
-			all[string(name)] = map[string]string{}
+			records[string(name)] = map[string]string{}
 			return b.ForEach(func(k, v []byte) error {
-				all[string(name)][string(k)] = hex.EncodeToString(v)
+				records[string(name)][string(k)] = hex.EncodeToString(v)
 				return nil
 			})
 		})
 	}))
-	return all
+	return records
 }
 
-// copyGolden copies a golden file to a place of its own: opening a store locks and may write it.
+// copyGolden copies a golden file to a temporary folder, since opening a store locks the file and may write it.
 func copyGolden(t *testing.T, name string) string {
 	path := filepath.Join(t.TempDir(), "store.db")
 	require.NoError(t, os.WriteFile(path, golden.Read(t, name), 0o600))
 	return path
 }
 
-// A store file of format 1 opens, is not set aside, and yields the values and the events it was written with.
+// Guards against a change that cannot read stores of earlier versions: a file of format 1 opens without recovery and has
+// the values and events that were written.
 func TestGoldenStoreFile(t *testing.T) {
 	if golden.Updating() {
 		path := filepath.Join(t.TempDir(), "store.db")
 		writeGoldenStore(t, path)
-		text, err := os.ReadFile(path)
+		content, err := os.ReadFile(path)
 		require.NoError(t, err)
-		golden.Write(t, goldenFile, text)
+		golden.Write(t, goldenFile, content)
 	}
 	path := copyGolden(t, goldenFile)
-	s, err := Open(path, Options{OnRecovery: func(err error) { t.Errorf("the golden file was reported: %v", err) }})
+	s, err := Open(path, Options{OnRecovery: func(err error) { t.Errorf("opening the golden file reported a recovery: %v", err) }})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
 	for bucket, values := range goldenValues {
@@ -106,30 +107,31 @@
 	_, found, err := s.Get("alpha", "gone")
 	require.NoError(t, err)
 	require.False(t, found)
-	j, err := NewEventLog(s, "events", 3)
+	log, err := NewEventLog(s, "events", 3)
 	require.NoError(t, err)
 	var events []Event
-	require.NoError(t, j.ForEach(0, "", func(e Event) bool { events = append(events, e); return true }))
+	require.NoError(t, log.ForEach(0, "", func(e Event) bool { events = append(events, e); return true }))
 	require.Equal(t, goldenEvents, events)
-	require.NoError(t, j.Append(background, []Event{{UnixMs: 1_700_000_000_006, Kind: "stop"}}))
+	require.NoError(t, log.Append(background, []Event{{UnixMs: 1_700_000_000_006, Kind: "stop"}}))
 	events = nil
-	require.NoError(t, j.ForEach(1_700_000_000_006, "stop", func(e Event) bool { events = append(events, e); return true }))
-	require.Equal(t, []Event{{Sequence: 6, UnixMs: 1_700_000_000_006, Kind: "stop"}}, events, "numbers go on")
+	require.NoError(t, log.ForEach(1_700_000_000_006, "stop", func(e Event) bool { events = append(events, e); return true }))
+	require.Equal(t, []Event{{Sequence: 6, UnixMs: 1_700_000_000_006, Kind: "stop"}}, events, "sequence numbers continue")
 	_, err = os.Stat(path + ".lock")
 	require.NoError(t, err, "the lock file's name")
 }
 
-// The same values written anew give the same records, byte for byte: buckets, keys, checksums, encoded events and the
-// file's state record. Page numbers and unused space are the library's and not compared.
+// Guards against an unintended change of the stored form: the same values written again give the same records, byte for
+// byte: buckets, keys, checksums, encoded events and the state record. Page numbers and unused space are up to bbolt and
+// not compared.
 func TestGoldenStoreRecords(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	writeGoldenStore(t, path)
 	got := rawRecords(t, path)
-	golden.RequireJSON(t, goldenRecord, got)
+	golden.RequireJSON(t, goldenRecords, got)
 	require.Equal(t, got, rawRecords(t, copyGolden(t, goldenFile)), "the golden file has the golden records")
 }
 
-// A file that needs format 2 is refused and left as it is.
+// Guards against a program that opens or changes a file which only programs with format 2 can read.
 func TestGoldenStoreFileThatNeedsNewerFormat(t *testing.T) {
 	if golden.Updating() {
 		path := copyGolden(t, goldenFile)
@@ -139,13 +141,13 @@
 			b := tx.Bucket([]byte("chalkring"))
 			record := append([]byte(nil), b.Get([]byte("state"))[8:]...)
 			record[0], record[4] = 2, 2
-			all, _ := encodeRecord("chalkring", "state", record)
-			return b.Put([]byte("state"), all)
+			newRecord, _ := encodeRecord("chalkring", "state", record)
+			return b.Put([]byte("state"), newRecord)
 		}))
 		require.NoError(t, db.Close())
-		text, err := os.ReadFile(path)
+		content, err := os.ReadFile(path)
 		require.NoError(t, err)
-		golden.Write(t, goldenNewer, text)
+		golden.Write(t, goldenNewer, content)
 	}
 	path := copyGolden(t, goldenNewer)
 	before, err := os.ReadFile(path)
@@ -160,30 +162,31 @@
 	require.Equal(t, before, after)
 }
 
-// A file with one flipped bit in a value is set aside as NAME.aside-1, its bytes unchanged.
+// Guards against a damaged value that is returned to callers, or a quarantined file that is changed: a file with a
+// flipped bit in a value is renamed to NAME.aside-1 with its bytes unchanged.
 func TestGoldenStoreFileDamaged(t *testing.T) {
 	path := copyGolden(t, goldenFile)
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	require.NoError(t, err)
 	flipped := 0
-	for at := 0; ; {
-		n := strings.Index(string(text[at:]), "another value")
-		if n < 0 {
+	for offset := 0; ; {
+		distance := strings.Index(string(content[offset:]), "another value")
+		if distance < 0 {
 			break
 		}
-		at += n
-		text[at] ^= 1
+		offset += distance
+		content[offset] ^= 1
 		flipped++
 	}
 	require.Positive(t, flipped)
-	require.NoError(t, os.WriteFile(path, text, 0o600))
-	var aside *QuarantinedError
-	s, err := Open(path, Options{OnRecovery: func(err error) { require.ErrorAs(t, err, &aside) }})
+	require.NoError(t, os.WriteFile(path, content, 0o600))
+	var reported *QuarantinedError
+	s, err := Open(path, Options{OnRecovery: func(err error) { require.ErrorAs(t, err, &reported) }})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
-	require.NotNil(t, aside)
-	kept, err := os.ReadFile(path + ".aside-1")
+	require.NotNil(t, reported)
+	quarantinedContent, err := os.ReadFile(path + ".aside-1")
 	require.NoError(t, err)
-	require.Equal(t, text, kept)
+	require.Equal(t, content, quarantinedContent)
 	require.NoError(t, s.Load("beta", func(key string, _ []byte) error { t.Errorf("%s is still there", key); return nil }))
 }
--- a/storage/store/inspect.go
+++ b/storage/store/inspect.go
@@ -6,31 +6,31 @@
 	"io"
 )
 
-// inspection reads a whole file with plain reads before bbolt maps it. bbolt trusts the pages it maps: a bad one ends
-// the process by a panic in a goroutine of its own, by an endless walk, or by a memory fault, none of which can be
-// caught. The inspection reads each page once and checks its number, its entries, the order of its keys and each
-// value's checksum.
+// inspection checks a whole file with plain reads before bbolt maps it. bbolt trusts the pages that it maps: a damaged
+// page causes a panic in one of bbolt's own goroutines, an endless walk or a memory fault, none of which can be caught.
+// The inspection reads each page once and checks its number, its entries, the order of its keys and each value's
+// checksum.
 type inspection struct {
 	file      io.ReaderAt
 	fileSize  int64
 	pageSize  uint64
-	pageCount uint64 // pages that are in use or have been
+	pageCount uint64 // pages that are in use or were in use earlier
 	freePages map[uint64]bool
 	usedPages map[uint64]bool
 
-	rolledBack bool         // only one of the two meta pages is sound, perhaps the older one
+	rolledBack bool         // only one of the two meta pages is valid, perhaps the older one
 	state      *stateRecord // as stored
-	counted    stateRecord  // Records, Checksum and Bytes as found
+	counted    stateRecord  // Records, Checksum and Bytes of the records that were read
 }
 
-// inspect checks the file and returns what it found, also together with an error. The errors are *CorruptedError,
+// inspect checks the file and returns what it found, even if it returns an error as well. The errors are *CorruptedError,
 // *UnrecognizedFileError and *NewerFormatError.
 func inspect(path string, file io.ReaderAt, fileSize int64) (*inspection, error) {
 	in := &inspection{file: file, fileSize: fileSize, freePages: map[uint64]bool{}, usedPages: map[uint64]bool{}}
 	meta, found := in.newestMeta()
 	if !found {
 		if in.resemblesStore() {
-			return in, &CorruptedError{path, "neither of its meta pages is sound"}
+			return in, &CorruptedError{path, "neither of its two meta pages is valid"}
 		}
 		return in, &UnrecognizedFileError{path, "it has no meta page"}
 	}
@@ -50,7 +50,7 @@
 // checkPages walks all pages that the meta page refers to, and reads the state record.
 func (in *inspection) checkPages(meta metaPage) error {
 	if int64(in.pageCount) > in.fileSize/int64(in.pageSize) {
-		return fmt.Errorf("%d pages of %d bytes exceed its %d bytes", in.pageCount, in.pageSize, in.fileSize)
+		return fmt.Errorf("its meta page counts %d pages of %d bytes, but the file has %d bytes", in.pageCount, in.pageSize, in.fileSize)
 	}
 	if err := in.readFreelist(meta.freelist); err != nil {
 		return fmt.Errorf("list of free pages: %w", err)
@@ -69,11 +69,11 @@
 	if state.Checksum == counted.Checksum && state.Records == counted.Records && state.Bytes == counted.Bytes {
 		return nil
 	}
-	return fmt.Errorf("it has %d records with checksum %x; the state record says %d with checksum %x",
+	return fmt.Errorf("it has %d records with checksum %x; its state record has %d with checksum %x",
 		counted.Records, counted.Checksum, state.Records, state.Checksum)
 }
 
-// checkRecord checks one key and value of a bucket, and adds them to the totals.
+// checkRecord checks one key and value of a bucket and adds them to the totals.
 func (in *inspection) checkRecord(bucket, key, record []byte) error {
 	value, sum, err := decodeRecord(bucket, key, record)
 	if err != nil {
@@ -90,7 +90,8 @@
 	return err
 }
 
-// needsCompaction tells whether most of the file is unused. A file that was missing has nothing to compact.
+// needsCompaction reports whether most of the file is unused. It is false for a file that was just created, for which
+// the inspection is nil or incomplete.
 func (in *inspection) needsCompaction() bool {
 	if in == nil || in.state == nil {
 		return false
--- a/storage/store/limits.go
+++ b/storage/store/limits.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// Limits of what a store takes, in bytes. A write that exceeds one is refused with a *SizeLimitError.
+// Limits of a store, in bytes. A write that exceeds one is refused with a *SizeLimitError.
 const (
 	MaxBytes            = 128 << 20 // all keys and values: 100,000 entries of a kilobyte
 	MaxKeyBytes         = 1 << 10   // a key, or the name of a bucket
 	MaxValueBytes       = 16 << 20  // a value: a list of 20,000 hosts is 4 MB
-	MaxTransactionBytes = 64 << 20  // one transaction, which is held in memory twice
+	MaxTransactionBytes = 64 << 20  // the keys and values of one transaction, which is in memory twice
 )
 
-// checkLimits checks what can be checked of a write before its transaction.
+// checkLimits checks the limits of a write that do not depend on what is already stored.
 func (s *Store) checkLimits(bucket string, puts map[string][]byte, deletes []string) error {
 	if bucket == "" || bucket == metadataBucket {
-		return &SizeLimitError{s.path, fmt.Sprintf("a bucket cannot be called %q", bucket)}
+		return &SizeLimitError{s.path, fmt.Sprintf("%q cannot be used as the name of a bucket", bucket)}
 	}
-	err := s.checkLimit("a bucket's name", len(bucket), MaxKeyBytes)
+	err := s.checkLimit("the name of a bucket", len(bucket), MaxKeyBytes)
 	totalBytes := 0
 	for _, key := range slices.Concat(deletes, slices.Collect(maps.Keys(puts))) {
 		if key == "" {
@@ -41,10 +41,10 @@
 	return &SizeLimitError{s.path, fmt.Sprintf("%s of %d bytes exceeds the limit of %d", what, size, limit)}
 }
 
-// checkTotal checks the size that the store would have after a write.
-func (s *Store) checkTotal(totalBytes uint64) error {
+// checkMaxBytes checks the size of all keys and values that the store would have after a write.
+func (s *Store) checkMaxBytes(totalBytes uint64) error {
 	if totalBytes <= uint64(s.options.MaxBytes) {
 		return nil
 	}
-	return &SizeLimitError{s.path, fmt.Sprintf("the write would bring it to %d bytes, the limit is %d", totalBytes, s.options.MaxBytes)}
+	return &SizeLimitError{s.path, fmt.Sprintf("the write would bring its keys and values to %d bytes; the limit is %d", totalBytes, s.options.MaxBytes)}
 }
--- a/storage/store/open.go
+++ b/storage/store/open.go
@@ -9,13 +9,13 @@
 	"chalkring/internal/advice"
 )
 
-// maxQuarantinedFiles limits the files beside a store that were quarantined: damage that returns with each start must
-// not fill the disk.
+// maxQuarantinedFiles limits the quarantined files beside a store: damage that returns at each start must not fill the
+// disk.
 const maxQuarantinedFiles = 8
 
 // openFile inspects the file at the store's path, quarantines or creates it where needed, and opens it.
 func (s *Store) openFile() error {
-	// The replacement file of a start or a compaction that was killed was never in use.
+	// A replacement file that is still there was never in use: the process was killed while it wrote the file.
 	if err := os.Remove(s.path + replacementSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -39,7 +39,7 @@
 	if !found.needsCompaction() {
 		return nil
 	}
-	// A compaction that fails, as on a full disk, has changed nothing as long as the database is still open.
+	// A compaction that fails, for instance on a full disk, has changed nothing if the database is still open.
 	if err := s.compact(); s.db == nil {
 		return err
 	}
--- a/storage/store/page.go
+++ b/storage/store/page.go
@@ -15,39 +15,39 @@
 	minPageSize = 1 << 10 // bytes; a file has the page size of the system that created it
 	maxPageSize = 1 << 16 // bytes
 
-	metaPages         = 2  // pages 0 and 1; transactions write them in turn
+	metaPages         = 2  // pages 0 and 1, which transactions write alternately
 	metaBytes         = 56 // the part of a meta page, after the page header, that its checksum covers
 	metaChecksumBytes = 8  // that checksum, which follows
 
 	pageHeaderBytes   = 16 // page number, flags, entry count, overflow
-	pageEntryBytes    = 16 // an entry of a leaf or branch page
+	pageEntryBytes    = 16 // header of an entry in a leaf or branch page
 	pageNumberBytes   = 8  // an entry of the list of free pages
 	bucketHeaderBytes = 16 // root page and sequence number, before a bucket's inline page
 
-	// Flags of a page say its kind.
+	// Flags of a page, which tell its kind.
 	branchPageFlag   = 1
 	leafPageFlag     = 2
 	metaPageFlag     = 4
 	freelistPageFlag = 16
 
-	bucketEntryFlag = 1 // flags of a leaf page's entry that is a bucket
+	bucketEntryFlag = 1 // flag of an entry in a leaf page that is a bucket
 
-	// freelistCountFollows is the entry count of a free list that is too long for that field: the count is its first entry.
+	// freelistCountFollows is the entry count of a free list whose length exceeds that field: its first entry is the count.
 	freelistCountFollows = 0xFFFF
 )
 
 var byteOrder = binary.NativeEndian
 
-// metaPage is the root of one state of the file.
+// metaPage is a decoded meta page: the root of one state of the file.
 type metaPage struct {
 	pageSize      uint64
 	root          uint64 // page number of the tree of buckets
 	freelist      uint64 // page number of the list of free pages
 	pageCount     uint64
-	transactionID uint64 // the higher one is the newer state
+	transactionID uint64 // the meta page with the higher one has the newer state
 }
 
-// pageHeader begins each page.
+// pageHeader is at the start of each page.
 type pageHeader struct {
 	number   uint64
 	flags    uint16
@@ -64,13 +64,13 @@
 	}
 }
 
-// newestMeta finds the newest meta page that is sound. The first is at the file's begin, the second behind one page
-// of a size that is not known yet.
+// newestMeta returns the newer of the valid meta pages. The first meta page is at the start of the file, the second
+// after one page, whose size is not known yet.
 func (in *inspection) newestMeta() (newest metaPage, found bool) {
-	soundPages := 0
+	validPages := 0
 	if meta, ok := in.readMeta(0); ok {
 		newest, found = meta, true
-		soundPages++
+		validPages++
 	}
 	for offset := int64(minPageSize); offset <= maxPageSize; offset *= 2 {
 		meta, ok := in.readMeta(offset)
@@ -80,10 +80,10 @@
 		if !found || meta.transactionID > newest.transactionID {
 			newest, found = meta, true
 		}
-		soundPages++
+		validPages++
 		break
 	}
-	in.rolledBack = found && soundPages < metaPages
+	in.rolledBack = found && validPages < metaPages
 	return newest, found
 }
 
@@ -109,8 +109,8 @@
 	return meta, ok
 }
 
-// resemblesStore tells whether a file without a sound meta page has been a store: bbolt's magic number or version is
-// at the place of a meta page, or the file is too short for one and begins with zeros, as a store's file does.
+// resemblesStore reports whether a file without a valid meta page seems to have been a store: bbolt's magic number or
+// version is at the position of a meta page, or the file is too short for one and starts with zeros, as a store does.
 func (in *inspection) resemblesStore() bool {
 	for offset := int64(0); offset <= maxPageSize; offset = max(minPageSize, 2*offset) {
 		var page [pageHeaderBytes + 8]byte
@@ -128,10 +128,10 @@
 	return false
 }
 
-// readPage reads a page with its overflow pages. Each page may be read once: a second reference to it is a fault.
+// readPage reads a page with its overflow pages. A page may be read only once: a second reference to it is an error.
 func (in *inspection) readPage(number uint64) (page []byte, header pageHeader, err error) {
 	if number < metaPages || number >= in.pageCount {
-		return nil, header, fmt.Errorf("page %d is not from %d to %d", number, metaPages, in.pageCount)
+		return nil, header, fmt.Errorf("page %d is not in the range from page %d to below page %d", number, metaPages, in.pageCount)
 	}
 	page = make([]byte, in.pageSize)
 	if _, err := in.file.ReadAt(page, int64(number*in.pageSize)); err != nil {
@@ -139,10 +139,10 @@
 	}
 	header = decodePageHeader(page)
 	if header.number != number {
-		return nil, header, fmt.Errorf("page %d has number %d", number, header.number)
+		return nil, header, fmt.Errorf("page %d has number %d in its header", number, header.number)
 	}
 	if header.overflow >= in.pageCount-number {
-		return nil, header, fmt.Errorf("page %d has %d overflow pages", number, header.overflow)
+		return nil, header, fmt.Errorf("page %d has %d overflow pages, which are not all in the file", number, header.overflow)
 	}
 	for used := number; used <= number+header.overflow; used++ {
 		if in.usedPages[used] || in.freePages[used] {
@@ -171,12 +171,12 @@
 		offset += pageNumberBytes
 	}
 	if header.flags != freelistPageFlag || count < 0 || count > (len(page)-offset)/pageNumberBytes {
-		return fmt.Errorf("flags %x, %d pages", header.flags, count)
+		return fmt.Errorf("invalid page header: flags %x, %d entries", header.flags, count)
 	}
 	for ; count > 0; count, offset = count-1, offset+pageNumberBytes {
 		free := byteOrder.Uint64(page[offset:])
 		if free < metaPages || free >= in.pageCount || in.freePages[free] || in.usedPages[free] {
-			return fmt.Errorf("page %d cannot be free", free)
+			return fmt.Errorf("page %d cannot be free: it is out of range, in use or listed twice", free)
 		}
 		in.freePages[free] = true
 	}
--- a/storage/store/page_tree.go
+++ b/storage/store/page_tree.go
@@ -5,21 +5,22 @@
 	"fmt"
 )
 
-// maxTreeDepth limits the pages from a root to a leaf: with two entries a page, a deeper tree would fill any disk.
+// maxTreeDepth limits the number of pages from a root to a leaf: with two entries per page, a deeper tree would fill any
+// disk.
 const maxTreeDepth = 32
 
-// keyRange is the range of the keys that a page may hold: from low on and below high. An empty low or a nil high is no
-// limit.
+// keyRange is the range of keys that a page may contain: low is included, high is excluded. An empty low or a nil high
+// is no limit.
 type keyRange struct{ low, high []byte }
 
 func (r keyRange) contains(key []byte) bool {
 	return bytes.Compare(key, r.low) >= 0 && (r.high == nil || bytes.Compare(key, r.high) < 0)
 }
 
-// checkOrder checks that a key follows the one before it, of which a page's first entry has none, and is in the range.
+// checkOrder checks that a key is in the range and, unless it is the first of its page, greater than the previous key.
 func (r keyRange) checkOrder(key, previous []byte, first bool) error {
 	if !first && bytes.Compare(key, previous) <= 0 || !r.contains(key) {
-		return fmt.Errorf("key %.40q is out of order", key)
+		return fmt.Errorf("key %.40q is out of order or outside of the page's key range", key)
 	}
 	return nil
 }
@@ -27,7 +28,7 @@
 // walkTree checks a page of a tree and all pages below it. bucket is nil in the tree of buckets.
 func (in *inspection) walkTree(number uint64, keys keyRange, depth int, bucket []byte) error {
 	if depth > maxTreeDepth {
-		return fmt.Errorf("a tree is deeper than %d", maxTreeDepth)
+		return fmt.Errorf("a tree is deeper than %d pages", maxTreeDepth)
 	}
 	page, header, err := in.readPage(number)
 	if err != nil {
@@ -39,7 +40,7 @@
 	case branchPageFlag:
 		return in.walkBranch(page, header, keys, depth, bucket)
 	}
-	return fmt.Errorf("page %d has flags %x", number, header.flags)
+	return fmt.Errorf("page %d has flags %x: it is neither a leaf nor a branch page", number, header.flags)
 }
 
 // branchEntry refers to a page whose keys begin with key.
@@ -67,7 +68,7 @@
 
 func decodeBranch(page []byte, header pageHeader, keys keyRange) ([]branchEntry, error) {
 	if header.count == 0 || header.count > maxEntries(page) {
-		return nil, fmt.Errorf("page %d has %d branches", header.number, header.count)
+		return nil, fmt.Errorf("page %d cannot have %d branch entries", header.number, header.count)
 	}
 	var entries []branchEntry
 	var previous []byte
@@ -87,21 +88,21 @@
 	return entries, nil
 }
 
-// maxEntries is how many entries have room on a page, if their keys and values took none.
+// maxEntries returns how many entries would fit on a page if their keys and values were empty.
 func maxEntries(page []byte) int { return (len(page) - pageHeaderBytes) / pageEntryBytes }
 
-// entryBytes is the key or value of an entry, whose offset counts from the entry's own place on the page.
+// entryBytes returns the key or value of an entry. offset counts from the entry's own position on the page.
 func entryBytes(page []byte, entryOffset int, offset, length uint64) ([]byte, error) {
 	offset += uint64(entryOffset)
 	if offset < pageHeaderBytes || offset > uint64(len(page)) || length > uint64(len(page))-offset {
-		return nil, fmt.Errorf("an entry of %d bytes is outside of its page", length)
+		return nil, fmt.Errorf("a key or value of %d bytes extends beyond its page", length)
 	}
 	return page[offset : offset+length : offset+length], nil
 }
 
 func (in *inspection) checkLeaf(page []byte, count int, keys keyRange, bucket []byte) error {
 	if count > maxEntries(page) {
-		return fmt.Errorf("a page of %d bytes has %d entries", len(page), count)
+		return fmt.Errorf("a page of %d bytes cannot have %d entries", len(page), count)
 	}
 	var previous []byte
 	for i := range count {
@@ -111,7 +112,7 @@
 			return err
 		}
 		if len(key) == 0 {
-			return fmt.Errorf("key %.40q is out of order", key)
+			return fmt.Errorf("key %.40q is empty", key)
 		}
 		if err := keys.checkOrder(key, previous, i == 0); err != nil {
 			return err
@@ -136,7 +137,8 @@
 	return key, value, err
 }
 
-// checkLeafEntry checks a bucket in the tree of buckets, a record in that of a bucket. Buckets are not nested.
+// checkLeafEntry checks an entry of a leaf page: a bucket in the tree of buckets, a record in the tree of a bucket. Buckets
+// are not nested.
 func (in *inspection) checkLeafEntry(flags uint32, bucket, key, value []byte) error {
 	switch {
 	case bucket == nil && flags == bucketEntryFlag:
@@ -144,24 +146,24 @@
 	case bucket != nil && flags == 0:
 		return in.checkRecord(bucket, key, value)
 	}
-	return fmt.Errorf("key %.40q has flags %x", key, flags)
+	return fmt.Errorf("key %.40q has unexpected flags %x", key, flags)
 }
 
-// checkBucket checks a bucket: its value refers to a tree, or has one small leaf page inline.
+// checkBucket checks a bucket, whose value either refers to the root page of a tree or contains one small leaf page.
 func (in *inspection) checkBucket(name, value []byte) error {
 	if len(value) < bucketHeaderBytes {
-		return fmt.Errorf("bucket %.40q has %d bytes", name, len(value))
+		return fmt.Errorf("bucket %.40q has %d bytes, too few for its header", name, len(value))
 	}
 	if root := byteOrder.Uint64(value); root != 0 {
 		return in.walkTree(root, keyRange{}, 0, name)
 	}
 	page := value[bucketHeaderBytes:]
 	if len(page) < pageHeaderBytes {
-		return fmt.Errorf("bucket %.40q has no inline page", name)
+		return fmt.Errorf("bucket %.40q has neither a root page nor an inline page", name)
 	}
 	header := decodePageHeader(page)
 	if header.number != 0 || header.flags != leafPageFlag || header.overflow != 0 {
-		return fmt.Errorf("bucket %.40q has no inline page", name)
+		return fmt.Errorf("bucket %.40q has an invalid inline page", name)
 	}
 	return in.checkLeaf(page, header.count, keyRange{}, name)
 }
--- a/storage/store/read.go
+++ b/storage/store/read.go
@@ -7,7 +7,7 @@
 )
 
 // Load calls visit with each key and value of a bucket, in the order of keys, and stops at the first error of visit,
-// which it returns. All values are those of one moment. They are copies, and visit may call the store.
+// which it returns. The values are copies from a single read transaction, and visit may call the store.
 func (s *Store) Load(bucketName string, visit func(key string, value []byte) error) error {
 	type entry struct {
 		key   string
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Get returns a copy of one value; found is false where the bucket does not have the key.
+// Get returns a copy of one value; found is false if the bucket does not have the key.
 func (s *Store) Get(bucketName, key string) (value []byte, found bool, err error) {
 	err = s.view(bucketName, func(bucket *bolt.Bucket) error {
 		record := bucket.Get([]byte(key))
@@ -52,7 +52,7 @@
 	return value, found, err
 }
 
-// view runs read in a read-only transaction if the bucket exists and belongs to callers.
+// view calls read in a read-only transaction, unless the bucket does not exist or is the store's own.
 func (s *Store) view(bucketName string, read func(bucket *bolt.Bucket) error) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/storage/store/record.go
+++ b/storage/store/record.go
@@ -16,10 +16,10 @@
 	checksumBytes    = 8           // length of the checksum before each value
 )
 
-// stateRecord describes all values of the store. Each transaction writes it anew, so that a page that is sound in
-// itself but older than the others, or one that is missing, shows as a difference.
+// stateRecord summarizes all values of the store. Each transaction rewrites it, so that a page that is valid in itself
+// but older than the others, or a missing one, is found as a difference.
 type stateRecord struct {
-	Format    uint32 // of the program that wrote the file last
+	Format    uint32 // of the program that last wrote the file
 	MinReader uint32 // the oldest format whose programs can read the file
 	Records   uint64 // number of values
 	Checksum  uint64 // sum of the checksums of all values, modulo 2^64
@@ -37,10 +37,10 @@
 	return binary.LittleEndian.AppendUint64(encoded, r.Writes)
 }
 
-// decodeState ignores what follows the fields of this format: a later format may add fields at the end.
+// decodeState ignores bytes after the fields of this format, since a later format may add fields at the end.
 func decodeState(encoded []byte) (*stateRecord, error) {
 	if len(encoded) < stateRecordBytes {
-		return nil, fmt.Errorf("the state record has %d bytes", len(encoded))
+		return nil, fmt.Errorf("the state record has %d bytes, too few for its fields", len(encoded))
 	}
 	return &stateRecord{
 		Format:    binary.LittleEndian.Uint32(encoded),
@@ -65,8 +65,8 @@
 	return metadata.Put([]byte(stateKey), record)
 }
 
-// encodeRecord puts a value's checksum before the value. The checksum covers bucket and key too, so that a value under
-// a wrong key is found.
+// encodeRecord puts a value's checksum before the value. The checksum covers bucket and key too, so that a value that is
+// stored under a wrong key is detected.
 func encodeRecord(bucket, key string, value []byte) (record []byte, sum uint64) {
 	sum = checksum([]byte(bucket), []byte(key), value)
 	record = binary.LittleEndian.AppendUint64(make([]byte, 0, checksumBytes+len(value)), sum)
@@ -76,16 +76,17 @@
 // decodeRecord returns a record's value, which shares the record's memory, and its checksum.
 func decodeRecord(bucket, key, record []byte) (value []byte, sum uint64, err error) {
 	if len(record) < checksumBytes {
-		return nil, 0, fmt.Errorf("the record of key %.40q has %d bytes", key, len(record))
+		return nil, 0, fmt.Errorf("the record of key %.40q has %d bytes, too few for its checksum", key, len(record))
 	}
 	value, sum = record[checksumBytes:], binary.LittleEndian.Uint64(record)
 	if sum != checksum(bucket, key, value) {
-		return nil, 0, fmt.Errorf("the checksum of key %.40q in bucket %.40q does not match", key, bucket)
+		return nil, 0, fmt.Errorf("the stored checksum of key %.40q in bucket %.40q does not match its value", key, bucket)
 	}
 	return value, sum, nil
 }
 
-// checksum begins with the lengths of bucket and key, so that bytes cannot move from one to the other unnoticed.
+// checksum starts with the lengths of bucket and key, so that different splits of the same bytes between the two have
+// different checksums.
 func checksum(bucket, key, value []byte) uint64 {
 	var lengths [16]byte
 	binary.LittleEndian.PutUint64(lengths[:], uint64(len(bucket)))
--- a/storage/store/store_test.go
+++ b/storage/store/store_test.go
@@ -20,7 +20,8 @@
 
 var background = context.Background()
 
-// open opens a store that is closed at the end of the test, and returns what Options.OnRecovery was called with.
+// open opens a store that is closed at the end of the test. It also returns the errors that Open passed to
+// Options.OnRecovery.
 func open(t testing.TB, path string, options Options) (*Store, []error) {
 	var reported []error
 	options.OnRecovery = func(err error) { reported = append(reported, err) }
@@ -36,6 +37,7 @@
 	return values
 }
 
+// Guards against two processes, or two Stores of one process, that write the same file.
 func TestOnlyOneProcessOpensAStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	child, lines := startChild(t, "write", path)
@@ -43,7 +45,7 @@
 	_, err := Open(path, Options{LockTimeout: 50 * time.Millisecond})
 	require.True(t, advice.HasType[*LockedError](err), "%v", err)
 	require.NoError(t, child.Process.Kill())
-	require.Error(t, child.Wait(), "it was killed")
+	require.Error(t, child.Wait(), "the child was killed")
 	s, _ := open(t, path, Options{})
 	_, err = Open(path, Options{LockTimeout: 50 * time.Millisecond})
 	require.True(t, advice.HasType[*LockedError](err), "%v", err)
@@ -51,6 +53,7 @@
 	require.Error(t, s.Put(background, "a", map[string][]byte{"k": nil}, nil))
 }
 
+// Guards against missing write permission that is reported as another error, whose advice would not help.
 func TestReadOnlyFolder(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.Chmod(filepath.Dir(folder), 0o755))
@@ -66,6 +69,7 @@
 	require.NotEmpty(t, advice.For(err))
 }
 
+// Guards against a disk that does not answer and blocks reads, Close or other writes beyond the end of their contexts.
 func TestSlowDiskDelaysNeitherReadsNorClose(t *testing.T) {
 	diskReady := make(chan struct{})
 	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{BeforeWrite: func(string) error { <-diskReady; return nil }})
@@ -74,7 +78,7 @@
 		t.Cleanup(cancel)
 		return ctx
 	}
-	for range 2 { // the first is in progress, the second waits for it
+	for range 2 { // the first write is in progress, the second waits for it
 		err := s.Put(shortContext(), "a", map[string][]byte{"k": []byte("v")}, nil)
 		require.True(t, advice.HasType[*WriteTimeoutError](err), "%v", err)
 	}
@@ -85,6 +89,7 @@
 	require.Equal(t, map[string]string{"k": "v", "l": "w"}, loadAll(t, s, "a"))
 }
 
+// Guards against unusable names and unlimited growth: a write beyond a limit is refused, and deletes make space again.
 func TestLimits(t *testing.T) {
 	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{MaxBytes: 1 << 20})
 	for _, name := range []struct{ bucket, key string }{{"", "k"}, {metadataBucket, "k"}, {"a", ""}, {"a", strings.Repeat("k", MaxKeyBytes+1)}} {
@@ -97,12 +102,12 @@
 		err = s.Put(background, "a", map[string][]byte{fmt.Sprint(puts): make([]byte, 50_000)}, nil)
 	}
 	require.True(t, advice.HasType[*SizeLimitError](err), "%v", err)
-	require.NoError(t, s.Put(background, "a", nil, []string{"0", "1", "2", "3", "4"}), "a full store takes deletes")
+	require.NoError(t, s.Put(background, "a", nil, []string{"0", "1", "2", "3", "4"}), "a full store accepts deletes")
 	require.Len(t, loadAll(t, s, "a"), puts-1-5)
 }
 
-// After any sequence of writes, disk failures and restarts a store has what was written, and its file passes the
-// inspection.
+// Guards against lost or resurrected values, and against false findings of the inspection, after any sequence of writes,
+// failed writes and restarts.
 func TestRandomHistories(t *testing.T) {
 	folder, runs := t.TempDir(), 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -153,6 +158,7 @@
 	return puts, deletes
 }
 
+// Guards against a file that stays large after most of its values were deleted.
 func TestOpenCompactsTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	fileSize := func() int64 {
--- a/storage/store/write.go
+++ b/storage/store/write.go
@@ -13,8 +13,8 @@
 )
 
 // Put stores the values of puts and deletes the keys of deletes in one transaction, deletes first. It returns nil once
-// the transaction is on the disk. With an error nothing has changed, except with *WriteTimeoutError: ctx has ended
-// first, and the transaction may still be committed or fail. The arguments must not be changed after the call.
+// the transaction is on the disk. After an error nothing has changed, except after a *WriteTimeoutError: ctx ended first,
+// and the transaction may still be committed or fail. The caller must not change the arguments after the call.
 func (s *Store) Put(ctx context.Context, bucket string, puts map[string][]byte, deletes []string) error {
 	if err := s.checkLimits(bucket, puts, deletes); err != nil {
 		return err
@@ -40,8 +40,8 @@
 	}
 }
 
-// write runs one transaction; the caller holds the writer slot. A failed transaction is remembered: what bbolt has in
-// memory may differ from what is on the disk then.
+// write runs one transaction; the caller holds the writer slot. It remembers a failure in s.writeErr, since what bbolt
+// has in memory may then differ from what is on the disk.
 func (s *Store) write(bucket string, puts map[string][]byte, deletes []string) error {
 	if err := s.reopenAfterFailure(); err != nil {
 		return err
@@ -58,12 +58,12 @@
 	defer s.mu.Unlock()
 	s.writeErr = err
 	if advice.HasType[*CorruptedError](err) {
-		s.fatalErr = err // bbolt's locks may never be released
+		s.fatalErr = err // bbolt panicked, and may never release its locks
 	}
 	return err
 }
 
-// reopenAfterFailure brings a store whose last write failed back to the state that is on the disk.
+// reopenAfterFailure inspects and reopens the file after a failed write, so that memory agrees with the disk again.
 func (s *Store) reopenAfterFailure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 		}
 		return err
 	}
-	// After an I/O error the system may hold pages in memory that never came to the disk and never will.
+	// After an I/O error the system's page cache may have pages that were never written to the disk and never will be.
 	if isErrno(s.writeErr, syscall.EIO) {
 		if err := s.compact(); err != nil {
 			return err
@@ -124,8 +124,8 @@
 		}
 		state.add(key, record, sum)
 	}
-	if len(puts) > 0 { // a store over its limit still takes deletes
-		if err := s.checkTotal(state.Bytes); err != nil {
+	if len(puts) > 0 { // a store over its limit still accepts deletes
+		if err := s.checkMaxBytes(state.Bytes); err != nil {
 			return err
 		}
 	}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// subtract takes the record that a key has before a write out of the totals; it is empty where the key is new.
+// subtract removes a key's previous record from the totals. The record is empty if the key is new.
 func (r *stateRecord) subtract(key string, record []byte) {
 	if len(record) < checksumBytes {
 		return
