--- a/endpoints/errors.go
+++ b/endpoints/errors.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// InvalidListError reports why an update, or a host file, is rejected.
+// InvalidListError reports why an update or a host file was rejected.
 type InvalidListError struct {
 	Source       string
-	HostID       string // empty where the reason concerns no single host
-	Line, Column int    // position in a file, 0 where it is not known
+	HostID       string // empty if the reason does not concern a single host
+	Line, Column int    // position in a file, 0 if it is not known
 	Reason       string
 }
 
@@ -21,7 +21,7 @@
 	return e.Source + ": " + position + e.Reason
 }
 
-// Advice tells an operator what to do.
+// Advice implements advice.Provider.
 func (e InvalidListError) Advice() string {
-	return "Correct the list of " + e.Source + "; until then its last list is in force."
+	return "Correct the list of " + e.Source + "; until then its last accepted list is used."
 }
--- a/endpoints/golden_errors_test.go
+++ b/endpoints/golden_errors_test.go
@@ -8,7 +8,8 @@
 	"chalkring/internal/golden"
 )
 
-// Errors of invalid updates, reasons for which an update is held back, and the numbers of states and ranks.
+// Guards against unintended changes of the errors of invalid updates, of the reasons for which an update is held back, and
+// of the numbers of states and ranks.
 func TestGoldenHostListErrors(t *testing.T) {
 	long := strings.Repeat("x", 201)
 	rules := Rules{Zones: []string{"east", "west"}, Kinds: []string{"std"}, BlockSets: 2, SetsPerHost: 1}
--- a/endpoints/guards.go
+++ b/endpoints/guards.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// maxDropShare is the share of a source's hosts that one update may drop without confirmation: one zone of three.
+	// maxDropShare is the share of a source's hosts that one update may drop without confirmation: one of three zones.
 	maxDropShare = 0.34
-	// maxFreeDrops is how many hosts may be dropped in any case: small clusters lose one or two.
+	// maxFreeDrops is how many hosts an update may always drop: a small cluster may lose one or two, above its share.
 	maxFreeDrops = 2
-	// holdBackTime is how long an update that drops more is held back: time for the next update, or for an operator.
+	// holdBackTime is how long an update that drops more is held back: time for a correction by the source or an operator.
 	holdBackTime = 30 * ticksPerSecond
 )
 
-// dropsTooMany reports whether dropping so many of a list's hosts at once is suspicious.
+// dropsTooMany reports whether dropping this many of a list's hosts at once is suspicious.
 func dropsTooMany(dropped, total int) bool {
 	return dropped > maxFreeDrops && float64(dropped) > maxDropShare*float64(total)
 }
 
-// holdBackReason returns why an update has to be held back, empty if it has not: it drops too many of its source's hosts at
-// once, or the last holder of a block set. Such a file may have been truncated at the end of a line, and such a source may
-// have lost its state.
+// holdBackReason returns why an update has to be held back: it drops too many of its source's hosts at once, or the last
+// holder of a block set. The file may have been truncated at the end of a line, or the source may have lost its state. The
+// reason is empty if the update need not be held back.
 func (r *Registry) holdBackReason(s *source, update Update) string {
 	hostsAfter := s.hostsAfter(update)
 	total, dropped := 0, 0
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// newlyUncoveredSet returns the first block set that has a holder now and would have none with these hosts of a source.
+// newlyUncoveredSet returns the first block set that has a holder now and would have none if the source had hostsAfter.
 func (r *Registry) newlyUncoveredSet(s *source, hostsAfter map[string]Host) (set int, found bool) {
 	uncoveredNow := r.UncoveredSets()
 	coveredAfter := r.coveredSets(func(yield func(Host) bool) {
@@ -72,7 +72,7 @@
 	return 0, false
 }
 
-// UncoveredSets returns the block sets that no host that is up holds, ascending.
+// UncoveredSets returns the block sets without a holder that is up, ascending.
 func (r *Registry) UncoveredSets() (sets []int) {
 	covered := r.coveredSets(func(yield func(Host) bool) {
 		for _, endpoint := range r.list {
@@ -102,7 +102,7 @@
 	return covered
 }
 
-// holdBack holds an update back. A later one takes its place and does not prolong the time.
+// holdBack holds an update back. It replaces an update that is already held, without extending the time.
 func (s *source) holdBack(now int64, update Update, reason string) {
 	if s.held == nil {
 		s.heldUntil = now + holdBackTime
@@ -110,7 +110,7 @@
 	s.held, s.heldReason = &update, reason
 }
 
-// mergeIntoHeld returns the source's held update with a later partial update applied to it, as one complete update.
+// mergeIntoHeld applies a later partial update to the source's held update, and returns the result as a complete update.
 func mergeIntoHeld(s *source, partial Update) Update {
 	hosts := map[string]Host{}
 	if s.held.Partial {
@@ -125,8 +125,8 @@
 	return merged
 }
 
-// HeldBackSources returns the sources whose last update is held back, and those that are about to be removed, with the
-// reason.
+// HeldBackSources returns the reason for each source whose last update is held back, and for each store that stays until
+// its removal time.
 func (r *Registry) HeldBackSources() map[string]string {
 	reasons := map[string]string{}
 	for name, s := range r.sources {
@@ -134,7 +134,7 @@
 		case s.held != nil:
 			reasons[name] = s.heldReason
 		case s.retireAt > 0:
-			reasons[name] = "lists hosts that no other source does"
+			reasons[name] = "is kept for now, since it lists many hosts that no other source lists"
 		}
 	}
 	return reasons
--- a/endpoints/hostfile/golden_host_file_test.go
+++ b/endpoints/hostfile/golden_host_file_test.go
@@ -15,10 +15,10 @@
 	"chalkring/endpoints"
 )
 
-// goName is the name of a Go type and field, which the YAML library puts into its text; it is no part of the form.
+// goName matches the name of a Go type or field in an error of the YAML library; the golden file leaves it out.
 var goName = regexp.MustCompile(`Go (struct field|value of type) \S+`)
 
-// describeHosts writes what a host file holds, value by value.
+// describeHosts writes each value of a host file, or its error.
 func describeHosts(out *strings.Builder, name, text string) {
 	update, err := Parse(name, []byte(text))
 	if err != nil {
@@ -56,7 +56,8 @@
 }
 `
 
-// Host files in all forms that are read: YAML, JSON, with a checksum line, and the sample of deploy/.
+// Guards against unintended changes in how host files are read: YAML, JSON, files with a checksum line, and the sample of
+// deploy/.
 func TestGoldenHostFiles(t *testing.T) {
 	sample, err := os.ReadFile("../../deploy/hosts.yaml")
 	require.NoError(t, err)
@@ -76,6 +77,7 @@
 	golden.Require(t, "host_files.golden", out.String())
 }
 
+// Guards against unintended changes of the errors of invalid host files.
 func TestGoldenHostFileErrors(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -99,7 +101,7 @@
 	golden.Require(t, "host_file_errors.golden", out.String())
 }
 
-// The checksum is XXH64 of all bytes after its line, in 16 lower-case hex digits.
+// Guards against a change of the checksum, which is XXH64 of all bytes after its line, in 16 lower-case hex digits.
 func TestGoldenHostFileChecksum(t *testing.T) {
 	text := fmt.Sprintf("# xxh64: %016x\n%s", xxhash.Sum64String(allHostKeysYAML), allHostKeysYAML)
 	golden.Require(t, "host_file_with_checksum.golden.yaml", text)
--- a/endpoints/hostfile/inode.go
+++ b/endpoints/hostfile/inode.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// inode returns the number that distinguishes a file from one that was renamed into its path, 0 where it is not known.
+// inode returns the file's inode number, which tells it from another file that was renamed to its path; 0 if unknown.
 func inode(info fs.FileInfo) uint64 {
 	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
 		return stat.Ino
--- a/endpoints/hostfile/inode_other.go
+++ b/endpoints/hostfile/inode_other.go
@@ -4,5 +4,5 @@
 
 import "io/fs"
 
-// inode returns 0: the system has no such number.
+// inode returns 0: this system has no inode numbers.
 func inode(fs.FileInfo) uint64 { return 0 }
--- a/endpoints/hostfile/notifications.go
+++ b/endpoints/hostfile/notifications.go
@@ -6,8 +6,8 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// notifications are the operating system's notifications of changes in directories. Where the system has none, both
-// channels stay silent and the watcher's poll finds the changes.
+// notifications are the operating system's notifications of changes in directories. If the system has none, both channels
+// are nil and the watcher finds the changes by polling.
 type notifications struct {
 	watcher *fsnotify.Watcher // nil without notifications
 	events  chan fsnotify.Event
@@ -23,7 +23,7 @@
 	return &notifications{watcher: watcher, events: watcher.Events, errors: watcher.Errors, watched: map[string]bool{}}
 }
 
-// watch adds directories. One that was removed and created again has to be added again.
+// watch adds the directories that are not watched yet, or no longer: one that was removed and created again.
 func (n *notifications) watch(directories []string) {
 	if n.watcher == nil {
 		return
@@ -37,6 +37,6 @@
 
 func (n *notifications) close() {
 	if n.watcher != nil {
-		_ = n.watcher.Close() // nothing can be done about it, and nothing was written
+		_ = n.watcher.Close() // there is nothing to do about an error, and nothing was written
 	}
 }
--- a/endpoints/hostfile/parse.go
+++ b/endpoints/hostfile/parse.go
@@ -1,5 +1,5 @@
-// Package hostfile reads host lists from files and watches the files for changes. A list is read as a whole or rejected;
-// package endpoints decides what is in force.
+// Package hostfile reads host lists from files and watches the files for changes. A file is accepted as a whole or
+// rejected; package endpoints merges its hosts with those of other sources.
 package hostfile
 
 import (
@@ -19,12 +19,12 @@
 )
 
 const (
-	maxFileBytes   = 16 << 20    // 20,000 hosts at some hundred bytes each, and room
-	checksumPrefix = "# xxh64: " // of a first line with the checksum of all that follows it
+	maxFileBytes   = 16 << 20    // 20,000 hosts of several hundred bytes each, and some to spare
+	checksumPrefix = "# xxh64: " // of an optional first line with the checksum of the rest of the file
 	defaultWeight  = 1.0
 )
 
-// fileContent is what a host file holds: YAML, or JSON, which is YAML too. docs/endpoints.md describes it.
+// fileContent is the content of a host file in YAML, or in JSON, which is also YAML. docs/endpoints.md describes it.
 type fileContent struct {
 	Confirmed bool         `yaml:"meant"`
 	Hosts     *[]hostEntry `yaml:"hosts"`
@@ -37,7 +37,7 @@
 	Kind      string   `yaml:"kind"`
 	Cell      int      `yaml:"cell"`
 	State     string   `yaml:"state"`
-	Weight    *float64 `yaml:"weight"` // defaultWeight where it is left out
+	Weight    *float64 `yaml:"weight"` // defaultWeight if it is left out
 	StartedMS int64    `yaml:"started_ms"`
 }
 
@@ -45,10 +45,10 @@
 	"": endpoints.StateUp, "up": endpoints.StateUp, "draining": endpoints.StateDraining, "removed": endpoints.StateRemoved,
 }
 
-// position is a line and column of a file, both 0 where they are not known.
+// position is a line and column in a file, both 0 if they are not known.
 type position struct{ line, column int }
 
-// parseFault is why a file is rejected.
+// parseFault is the reason why a file is rejected, with the position and host if they are known.
 type parseFault struct {
 	position
 	hostID string
@@ -59,7 +59,7 @@
 	return &parseFault{reason: fmt.Sprintf(format, values...)}
 }
 
-// Parse parses a file's text as an update of the source name. Its error is an endpoints.InvalidListError, with line and
+// Parse parses a file's text as an update from the source called name. Its error is an endpoints.InvalidListError, with line and
 // column where they are known.
 func Parse(name string, text []byte) (endpoints.Update, error) {
 	update, fault := parse(text)
@@ -74,7 +74,7 @@
 
 func parse(text []byte) (endpoints.Update, *parseFault) {
 	if len(text) > maxFileBytes {
-		return endpoints.Update{}, fileFault("over %d bytes", maxFileBytes)
+		return endpoints.Update{}, fileFault("the file is over the limit of %d bytes", maxFileBytes)
 	}
 	if fault := verifyChecksum(text); fault != nil {
 		return endpoints.Update{}, fault
@@ -99,7 +99,7 @@
 	return update, nil
 }
 
-// verifyChecksum compares a text with the checksum in its first line, if it has one.
+// verifyChecksum compares the text after the first line with the checksum in that line, if there is one.
 func verifyChecksum(text []byte) *parseFault {
 	firstLine, rest, hasRest := bytes.Cut(text, []byte("\n"))
 	if !hasRest || !bytes.HasPrefix(firstLine, []byte(checksumPrefix)) {
@@ -107,28 +107,28 @@
 	}
 	want := strings.TrimSpace(string(firstLine[len(checksumPrefix):]))
 	if got := fmt.Sprintf("%016x", xxhash.Sum64(rest)); got != want {
-		fault := fileFault("checksum %.40q, but what follows has %s", want, got)
+		fault := fileFault("the checksum line has %.40q, but the text after it has checksum %s", want, got)
 		fault.position = position{1, len(checksumPrefix) + 1}
 		return fault
 	}
 	return nil
 }
 
-// decode decodes a text and returns the positions of its hosts.
+// decode decodes a text and returns its content with the positions of its hosts.
 func decode(text []byte) (content fileContent, positions []position, fault *parseFault) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
 		return content, nil, fileFault("%s", firstLineOf(err))
 	}
 	if len(tree.Docs) != 1 || tree.Docs[0].Body == nil {
-		return content, nil, fileFault("%d documents; one with hosts is wanted", len(tree.Docs))
+		return content, nil, fileFault("got %d YAML documents; expected exactly one that is not empty", len(tree.Docs))
 	}
 	err = yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(&content)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return content, nil, fileFault("%s", firstLineOf(err))
 	}
-	if content.Hosts == nil { // an empty file is more likely truncated than meant
-		fault = fileFault("no hosts; an empty list is hosts: []")
+	if content.Hosts == nil { // an empty file is more likely truncated than intended
+		fault = fileFault("no hosts given; write an empty list as hosts: []")
 		fault.position = position{1, 1}
 		return content, nil, fault
 	}
@@ -139,14 +139,14 @@
 func (e hostEntry) toHost() (host endpoints.Host, reason string) {
 	state, isKnown := hostStates[e.State]
 	if !isKnown {
-		return host, fmt.Sprintf("state %.40q is none of up, draining and removed", e.State)
+		return host, fmt.Sprintf("state %.40q is unknown: expected up, draining or removed", e.State)
 	}
 	weight := defaultWeight
 	if e.Weight != nil {
 		weight = *e.Weight
 	}
 	if math.IsNaN(weight) || math.IsInf(weight, 0) {
-		return host, fmt.Sprintf("weight %g", weight)
+		return host, fmt.Sprintf("weight %g is not a finite number", weight)
 	}
 	return endpoints.Host{
 		ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
@@ -154,13 +154,14 @@
 	}, ""
 }
 
-// firstLineOf returns the first line of the YAML library's error, which has the position; more lines quote the text.
+// firstLineOf returns the first line of an error of the YAML library, which has the position. The other lines quote the
+// text.
 func firstLineOf(err error) string {
 	line, _, _ := strings.Cut(err.Error(), "\n")
 	return line
 }
 
-// hostPositions returns the positions of the hosts in their order.
+// hostPositions returns the positions of the hosts in the order of the file.
 func hostPositions(body ast.Node) (positions []position) {
 	var values []*ast.MappingValueNode
 	switch node := body.(type) {
--- a/endpoints/hostfile/parse_test.go
+++ b/endpoints/hostfile/parse_test.go
@@ -21,6 +21,7 @@
     started_ms: 7
 `
 
+// Guards against valid host files that are rejected or misread, in YAML and JSON, with and without a checksum.
 func TestParse(t *testing.T) {
 	update, err := Parse("f", []byte(validFile))
 	require.NoError(t, err)
@@ -40,6 +41,7 @@
 	require.Empty(t, empty.Hosts)
 }
 
+// Guards against invalid or truncated host files that are accepted, and errors that do not say what is wrong.
 func TestParseRejectsInvalidFiles(t *testing.T) {
 	withChecksum := fmt.Sprintf("%s%016x\n%s", checksumPrefix, xxhash.Sum64String(validFile), validFile)
 	for text, want := range map[string]string{
@@ -53,11 +55,11 @@
 		"hosts:\n  - {id: a, state: gone}\n":  `[2:6] host "a": state "gone"`,
 		"hosts:\n  - {id: a, weight: .nan}\n": `weight NaN`,
 		"hosts:\n  - {id: a, cell: x}\n":      `[2:19]`,
-		"hosts: []\n---\nhosts: []\n":         "2 documents",
-		strings.Replace(withChecksum, "id: b", "id: c", 1): "checksum",
+		"hosts: []\n---\nhosts: []\n":         "got 2 YAML documents",
+		strings.Replace(withChecksum, "id: b", "id: c", 1): "the checksum line has",
 		validFile[:40]:                      "f: ",
 		"hosts: [":                          "f: ",
-		strings.Repeat("x", maxFileBytes+1): "over",
+		strings.Repeat("x", maxFileBytes+1): "over the limit",
 	} {
 		_, err := Parse("f", []byte(text))
 		require.ErrorContains(t, err, want, "%.60q", text)
@@ -65,6 +67,7 @@
 	}
 }
 
+// Guards against texts that crash the parser, or that are rejected with another error type or with hosts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte(`{"hosts":[{"id":"a"}]}`))
--- a/endpoints/hostfile/watched_file.go
+++ b/endpoints/hostfile/watched_file.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// watchedFile is the state of one file at the last scan.
+// watchedFile is the state of one file as of the last scan.
 type watchedFile struct {
 	stamp        fileStamp
-	stampSince   time.Time // since when the stamp is the same
-	differsSince time.Time // since when the stamp differs from readStamp
-	readStamp    fileStamp // when the file was read last, zero for never
+	stampSince   time.Time // when the stamp last changed
+	differsSince time.Time // since when the stamp has differed from readStamp
+	readStamp    fileStamp // the stamp when the file was last read, zero if never
 	isMissing    bool
 }
 
-// fileStamp distinguishes the states of a file, also after a rename or after a symbolic link was replaced.
+// fileStamp distinguishes the contents of a path, also after a rename to it or after a symbolic link was replaced.
 type fileStamp struct {
 	size       int64
 	modifiedAt time.Time
-	identity   string // target of a symbolic link, and inode
+	identity   string // the path after resolving symbolic links, and the inode
 }
 
 func stampOf(path string) (fileStamp, error) {
@@ -28,7 +28,7 @@
 	if err != nil {
 		return fileStamp{}, err
 	}
-	target, _ := filepath.EvalSymlinks(path) // the file may vanish now; the next scan sees that
+	target, _ := filepath.EvalSymlinks(path) // the file may disappear now; the next scan notices that
 	return fileStamp{info.Size(), info.ModTime(), target + fmt.Sprint(inode(info))}, nil
 }
 
@@ -43,12 +43,13 @@
 	f.stamp, f.stampSince = stamp, now
 }
 
-// isSettled reports whether the file may be read: it has not changed for a while, or has changed for too long.
+// isSettled reports whether the file may be read: it has not changed for settleTime, or has kept changing for
+// maxSettleTime.
 func (f *watchedFile) isSettled(now time.Time) bool {
 	return now.Sub(f.stampSince) >= settleTime || now.Sub(f.differsSince) >= maxSettleTime
 }
 
-// discardRead records that the file has changed while it was read.
+// discardRead records that the file changed while it was read, so that what was read is not used.
 func (f *watchedFile) discardRead(now time.Time, stamp fileStamp) {
 	f.stamp, f.stampSince = stamp, now
 	if now.Sub(f.differsSince) >= maxSettleTime {
--- a/endpoints/hostfile/watcher.go
+++ b/endpoints/hostfile/watcher.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// pollInterval is the time between looks at all files, for file systems without notifications: a host that was
-	// dropped from a file has to be out of use within 2 s.
+	// pollInterval is the time between scans of all files, which find changes on file systems without notifications: a
+	// host that was dropped from a file has to be out of use within 2 s.
 	pollInterval = time.Second
-	// settleTime is how long a file's size and modification time have to stay the same before it is read.
+	// settleTime is how long a file's stamp has to stay the same before the file is read.
 	settleTime = 100 * time.Millisecond
-	// maxSettleTime is how long a file that changes all the time is waited for; it is read then, and again later.
+	// maxSettleTime is after how long a file that keeps changing is read anyway; it is read again after later changes.
 	maxSettleTime = 700 * time.Millisecond
 	maxFiles      = 256 // in all paths together
 )
 
-// Event reports a file's new content, or why there is none.
+// Event reports a file's new content, or why it cannot be used.
 type Event struct {
 	Path   string
 	Update endpoints.Update
-	Text   []byte // in place of Update where Watcher.RawText is set
+	Text   []byte // instead of Update if Watcher.RawText is set
 	Err    error
 }
 
 // Watcher watches files, and the files *.yaml, *.yml and *.json of directories. Its fields are set before Run.
 type Watcher struct {
 	Paths   []string
-	RawText bool          // the files are of another kind: events have their text, which is not parsed here
+	RawText bool          // the files are not host files: events have their text, which is not parsed
 	Notify  func(e Event) // called by Run's goroutine
 
 	files       map[string]*watchedFile // by path
 	updateCount int64
 }
 
-// Read reads and parses a file at once, without waiting until it has settled.
+// Read reads and parses a file immediately, without waiting until it has settled.
 func Read(path string) (endpoints.Update, error) {
 	text, err := ReadText(path)
 	if err != nil {
@@ -53,13 +53,13 @@
 	return Parse(path, text)
 }
 
-// ReadText reads a file's text. Of a file that is too large it returns one byte more than Parse accepts.
+// ReadText reads a file's text. If the file is too large, it returns one byte more than Parse accepts.
 func ReadText(path string) ([]byte, error) {
 	return strictyaml.ReadFile(path, maxFileBytes)
 }
 
-// Run notifies of each file that is there, and then of each change, until ctx ends. While a file is missing or invalid its
-// last content stays in force: each such state is notified once.
+// Run calls Notify for each file that exists, and then for each change, until ctx ends. It reports once that a file is
+// missing or invalid; the receiver is expected to use the file's last valid content meanwhile.
 func (w *Watcher) Run(ctx context.Context) {
 	w.files = map[string]*watchedFile{}
 	notifications := newNotifications()
@@ -92,7 +92,8 @@
 	}
 }
 
-// directories returns the directories to watch: of the files, and of what symbolic links point to.
+// directories returns the directories to watch: those that Paths names, and those that contain a path or the target of
+// its symbolic links.
 func (w *Watcher) directories() (directories []string) {
 	add := func(directory string) {
 		if !slices.Contains(directories, directory) {
@@ -111,7 +112,7 @@
 	return directories
 }
 
-// currentPaths returns the paths of the files: those that are named, whether they exist or not, and those in directories.
+// currentPaths returns the paths of the files: those in Paths, whether they exist or not, and those in its directories.
 func (w *Watcher) currentPaths() (paths []string) {
 	for _, path := range w.Paths {
 		info, err := os.Stat(path)
@@ -119,7 +120,7 @@
 			paths = append(paths, path)
 			continue
 		}
-		entries, _ := os.ReadDir(path) // what could be read of it; the next scan tries again
+		entries, _ := os.ReadDir(path) // uses what could be read; the next scan tries again
 		for _, entry := range entries {
 			if isHostFileName(entry.Name()) {
 				paths = append(paths, filepath.Join(path, entry.Name()))
@@ -133,12 +134,12 @@
 	return !strings.HasPrefix(name, ".") && slices.Contains([]string{".yaml", ".yml", ".json"}, filepath.Ext(name))
 }
 
-// scan reads the files that have changed and settled. It reports whether one has not settled yet.
+// scan reads the files that have changed and settled. It reports whether a file has not settled yet.
 func (w *Watcher) scan(now time.Time) (isUnsettled bool) {
 	paths := w.currentPaths()
 	for path, file := range w.files {
 		if !slices.Contains(paths, path) {
-			w.notifyMissing(file, path, fmt.Errorf("%s: %w", path, fs.ErrNotExist))
+			w.reportMissing(file, path, fmt.Errorf("%s: %w", path, fs.ErrNotExist))
 		}
 	}
 	for _, path := range paths {
@@ -157,7 +158,7 @@
 	}
 	stamp, err := stampOf(path)
 	if err != nil {
-		w.notifyMissing(file, path, err)
+		w.reportMissing(file, path, err)
 		return false
 	}
 	file.isMissing = false
@@ -174,12 +175,12 @@
 		return true
 	}
 	file.readStamp = stamp
-	w.notifyRead(event)
+	w.reportRead(event)
 	return false
 }
 
-// notifyMissing notifies once that a file is missing.
-func (w *Watcher) notifyMissing(file *watchedFile, path string, err error) {
+// reportMissing reports a missing file, once until it exists again.
+func (w *Watcher) reportMissing(file *watchedFile, path string, err error) {
 	if file.isMissing {
 		return
 	}
@@ -188,7 +189,7 @@
 	if w.RawText {
 		kind = "text"
 	}
-	w.Notify(Event{Path: path, Err: fmt.Errorf("%w; its last %s holds", err, kind)})
+	w.Notify(Event{Path: path, Err: fmt.Errorf("%w; its last %s remains in use", err, kind)})
 }
 
 func (w *Watcher) read(path string) Event {
@@ -201,8 +202,8 @@
 	return event
 }
 
-// notifyRead notifies that a file was read, with the path in the error and a version in the update.
-func (w *Watcher) notifyRead(event Event) {
+// reportRead reports a file that was read. It adds a version to an update, and the path to an error that has none.
+func (w *Watcher) reportRead(event Event) {
 	if event.Err != nil {
 		var invalid endpoints.InvalidListError
 		if !errors.As(event.Err, &invalid) {
--- a/endpoints/hostfile/watcher_test.go
+++ b/endpoints/hostfile/watcher_test.go
@@ -36,12 +36,12 @@
 
 func (l *eventLog) count() int { return len(l.all()) }
 
-// await waits until there are so many events and the last one is as wanted.
-func (l *eventLog) await(t *testing.T, count int, isWanted func(e Event) bool) {
+// await waits until there are at least count events, and one at least, and the last one matches.
+func (l *eventLog) await(t *testing.T, count int, matches func(e Event) bool) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		events := l.all()
-		return len(events) >= max(1, count) && isWanted(events[len(events)-1])
+		return len(events) >= max(1, count) && matches(events[len(events)-1])
 	}, 10*time.Second, 5*time.Millisecond)
 }
 
@@ -57,7 +57,7 @@
 	return log
 }
 
-// hostListText is a host file with these ids.
+// hostListText returns a host file with these ids.
 func hostListText(ids ...string) string {
 	var text strings.Builder
 	text.WriteString("hosts:\n")
@@ -78,7 +78,8 @@
 
 func hasError(e Event) bool { return e.Err != nil }
 
-func TestInvalidFileIsNotifiedOnceAndAValidOneSoon(t *testing.T) {
+// Guards against an invalid file that is reported again at each scan, or whose correction is noticed late.
+func TestInvalidFileIsReportedOnceAndItsCorrectionSoon(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "a.yaml")
 	writeFile(t, path, hostListText("x"))
@@ -89,14 +90,15 @@
 	log.await(t, before+1, hasError)
 	before = log.count()
 	time.Sleep(2 * pollInterval)
-	require.Equal(t, before, log.count(), "an invalid file is notified once")
+	require.Equal(t, before, log.count(), "an invalid file is reported once")
 	writtenAt := time.Now()
 	writeFile(t, path, hostListText("x", "y"))
 	log.await(t, before+1, hasHosts(path, 2))
 	require.Less(t, time.Since(writtenAt), 2*time.Second)
 }
 
-func TestRenamedAndRemovedFilesAreNotified(t *testing.T) {
+// Guards against changes that go unnoticed because they are a rename to the path, or the file's removal.
+func TestRenamedAndRemovedFilesAreReported(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "a.yaml")
 	writeFile(t, path, hostListText("x"))
@@ -109,11 +111,14 @@
 	log.await(t, before+1, hasHosts(path, 3))
 	before = log.count()
 	require.NoError(t, os.Remove(path))
-	log.await(t, before+1, func(e Event) bool { return hasError(e) && strings.Contains(e.Err.Error(), "its last list holds") })
+	log.await(t, before+1, func(e Event) bool {
+		return hasError(e) && strings.Contains(e.Err.Error(), "its last list remains in use")
+	})
 }
 
-// A symbolic link is replaced by one to another directory, as Kubernetes does with config maps.
-func TestReplacedLinksAreNotified(t *testing.T) {
+// Guards against changes that go unnoticed because a symbolic link is replaced by one to another directory, as Kubernetes
+// does with config maps.
+func TestReplacedLinksAreReported(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "a.yaml")
 	writeFile(t, path, hostListText("x", "y", "z"))
@@ -130,6 +135,7 @@
 	}
 }
 
+// Guards against a directory whose files are no longer read after it was removed and created again.
 func TestDirectoryThatWasRemovedAndCreatedAgainIsWatched(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "a.yaml")
@@ -144,7 +150,7 @@
 	log.await(t, before+2, hasHosts(path, 4))
 }
 
-// writeInPieces writes a file as a slow writer does.
+// writeInPieces writes a file in several small writes, as a slow writer does.
 func writeInPieces(t *testing.T, path, text string) {
 	t.Helper()
 	file, err := os.Create(path)
@@ -158,10 +164,10 @@
 	require.NoError(t, file.Close())
 }
 
-// A file that is rewritten all the time is never notified half written: the hosts of a list are of one writing. Texts that
-// were truncated inside a host are invalid; those truncated at the end of a line are left to package endpoints' guards, or
-// to a checksum.
-func TestFileThatNeverSettlesIsNotNotifiedHalfWritten(t *testing.T) {
+// Guards against a mix of two versions of a file that is rewritten all the time: all hosts of a list are from the same
+// version. A text that was truncated inside a host is invalid; one that was truncated at the end of a line is found by the
+// guards of package endpoints, or by a checksum.
+func TestFileThatNeverSettlesIsNotReportedHalfWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.yaml")
 	log := startWatcher(t, path)
 	until := time.Now().Add(1500 * time.Millisecond)
--- a/endpoints/merge.go
+++ b/endpoints/merge.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// rebuildList merges the hosts of all sources into the list in force and reports whether it has changed.
+// rebuildList merges the hosts of all sources and reports whether the merged list has changed.
 func (r *Registry) rebuildList(now int64) (changed bool) {
 	r.expireRemovals(now)
 	m := merger{list: map[string]Endpoint{}, idsByAddr: map[string]string{}}
@@ -25,14 +25,14 @@
 	return changed
 }
 
-// sourcesByPrecedence returns the sources with the highest rank first, by name within a rank.
+// sourcesByPrecedence returns the sources, the highest rank first, and by name within a rank.
 func (r *Registry) sourcesByPrecedence() []*source {
 	return slices.SortedFunc(maps.Values(r.sources), func(a, b *source) int {
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.name, b.name))
 	})
 }
 
-// merger builds a list from hosts that are added in the order of their sources' precedence.
+// merger builds the merged list from hosts that are added in the order of their sources' precedence.
 type merger struct {
 	list      map[string]Endpoint
 	idsByAddr map[string]string
@@ -59,7 +59,7 @@
 	m.list[host.ID] = endpoint
 }
 
-// markZoneConflict marks the endpoint at a host's address if the host is listed in another zone.
+// markZoneConflict marks the endpoint id, which has the address of host, if host is listed in another zone.
 func (m *merger) markZoneConflict(id string, host Host) {
 	endpoint := m.list[id]
 	if host.Zone != "" && endpoint.Zone != host.Zone {
@@ -68,7 +68,7 @@
 	}
 }
 
-// equalEndpoints compares two endpoints regardless of their position in a file.
+// equalEndpoints reports whether two endpoints are equal, regardless of their positions in files.
 func equalEndpoints(a, b Endpoint) bool {
 	a.Line, a.Column, b.Line, b.Column = 0, 0, 0, 0
 	return a.Host == b.Host && a.Source == b.Source && a.ZoneConflict == b.ZoneConflict && slices.Equal(a.DrainedBy, b.DrainedBy)
--- a/endpoints/property_test.go
+++ b/endpoints/property_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawUpdate draws an update with some of ten hosts.
+// drawUpdate draws an update that lists some of ten hosts.
 func drawUpdate(t *rapid.T, name string, rank Rank, version int64) Update {
 	update := Update{Source: name, Rank: rank, Version: version, Confirmed: rapid.Bool().Draw(t, "confirmed")}
 	for i := range 10 {
@@ -24,7 +24,8 @@
 	return update
 }
 
-// Apart from their precedence, it does not matter in which order sources send their first lists, once none is held back.
+// Guards against a merged list that depends on the order in which the sources first answer after a start. Lists may
+// differ only while one is held back.
 func TestOrderOfFirstUpdatesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var updates []Update
@@ -46,7 +47,7 @@
 	})
 }
 
-// sentHosts are all hosts that a source ever sent, by their content, with state up.
+// sentHosts are all hosts that each source ever sent, by source and content. Their states are set to up.
 type sentHosts map[string]map[string]Host
 
 func (s sentHosts) record(update Update) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// checkList checks that a source has sent each endpoint, that none is removed, and that no two have one address.
+// checkList checks that each endpoint was sent by its source, that none is removed, and that no two have the same address.
 func (s sentHosts) checkList(t *rapid.T, list []Endpoint) {
 	addrs := map[string]bool{}
 	for _, endpoint := range list {
@@ -73,8 +74,9 @@
 	}
 }
 
-// No sequence of valid and invalid updates, draining, removals and time leads to an endpoint that no source has sent or
-// that its source has removed, or to two at one address; and the generation changes exactly with the list.
+// Guards against an endpoint that no source has sent or that its source has removed, against two endpoints with the same
+// address, and against a generation that does not change exactly with the list, after any sequence of valid and invalid
+// updates, draining, removals and time.
 func TestListHoldsOnlyWhatSourcesSent(t *testing.T) {
 	ranks := map[string]Rank{"plan": RankPlan, "discovery": RankDiscovery, "hosts.yaml": RankFile}
 	rapid.Check(t, func(t *rapid.T) {
--- a/endpoints/registry.go
+++ b/endpoints/registry.go
@@ -7,23 +7,23 @@
 	"slices"
 )
 
-// noVersion is the version of a source that has sent no update.
+// noVersion is the version of a source of which no update has been accepted.
 const noVersion = math.MinInt64
 
-// source is what one source has sent.
+// source is the state of one source.
 type source struct {
 	name    string
 	rank    Rank
 	version int64
 	hosts   map[string]Host // by id
 
-	held       *Update // an update that is held back, nil for none
+	held       *Update // the update that is held back, nil if there is none
 	heldUntil  int64
 	heldReason string
-	retireAt   int64 // when the source no longer counts, 0 for never
+	retireAt   int64 // when the source is removed, 0 for never
 }
 
-// Registry has the updates of all sources and the list in force. Its methods are not safe for concurrent use.
+// Registry keeps the hosts of all sources and the merged list. Its methods are not safe for concurrent use.
 type Registry struct {
 	rules      Rules
 	sources    map[string]*source // by name
@@ -37,19 +37,19 @@
 	return &Registry{rules: rules, sources: map[string]*source{}, removals: map[string]removal{}, list: map[string]Endpoint{}}
 }
 
-// Generation counts the changes of the list in force.
+// Generation returns how often the merged list has changed.
 func (r *Registry) Generation() int64 { return r.generation }
 
-// List returns the list in force, sorted by id.
+// List returns the merged list, sorted by id.
 func (r *Registry) List() []Endpoint {
 	list := slices.Collect(maps.Values(r.list))
 	slices.SortFunc(list, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
-// Apply accepts a source's update as a whole, or rejects it with an InvalidListError, and reports whether the list in force
-// has changed. An update that is not above the source's last version changes nothing; one that the guards hold back comes
-// into force later (see Tick).
+// Apply accepts a source's update as a whole, or rejects it with an InvalidListError, and reports whether the merged list
+// has changed. An update whose version is not above the source's last one changes nothing; one that the guards hold back is
+// accepted later by Tick.
 func (r *Registry) Apply(now int64, update Update) (changed bool, err error) {
 	if err := r.validate(update); err != nil {
 		return false, err
@@ -59,10 +59,10 @@
 		return false, nil
 	}
 	if update.VersionReset && update.Partial {
-		return false, InvalidListError{Source: update.Source, Reason: "changes in place of the whole list"}
+		return false, InvalidListError{Source: update.Source, Reason: "a version reset needs a complete list, not a partial update"}
 	}
 	s.rank = update.Rank
-	if update.Partial && s.held != nil { // a partial update changes the source's last list, which is the held one
+	if update.Partial && s.held != nil { // the partial update's changes refer to the held update
 		update = mergeIntoHeld(s, update)
 	}
 	if reason := r.holdBackReason(s, update); reason != "" && !update.Confirmed {
@@ -72,8 +72,8 @@
 	s.held = nil
 	r.accept(now, s, update)
 	changed = r.rebuildList(now)
-	isSuccessorOfStore := update.Rank == RankDiscovery || update.Rank == RankStore
-	if isSuccessorOfStore && r.hasDiscoveryUpdate() && r.retireStores(now) {
+	mayReplaceStores := update.Rank == RankDiscovery || update.Rank == RankStore
+	if mayReplaceStores && r.hasDiscoveryUpdate() && r.retireStores(now) {
 		changed = r.rebuildList(now) || changed
 	}
 	return changed, nil
@@ -88,15 +88,15 @@
 	return s
 }
 
-// RemoveSource removes a source for good, such as a file that an operator has deleted on purpose. The last list of a
-// source that is only silent stays in force.
+// RemoveSource removes a source permanently, such as a file that an operator has deleted on purpose. Without this call,
+// the last list of a source that no longer answers remains in use.
 func (r *Registry) RemoveSource(now int64, name string) (changed bool) {
 	delete(r.sources, name)
 	return r.rebuildList(now)
 }
 
-// Tick accepts held updates whose time is over, and drops expired removals and sources. It reports whether the list in
-// force has changed.
+// Tick accepts held updates whose time is over, and drops expired removals and retired sources. It reports whether the
+// merged list has changed.
 func (r *Registry) Tick(now int64) (changed bool) {
 	for _, name := range slices.Sorted(maps.Keys(r.sources)) {
 		if s := r.sources[name]; s.held != nil && now >= s.heldUntil {
@@ -110,7 +110,7 @@
 	return r.rebuildList(now)
 }
 
-// NextTick returns when Tick has something to do, 0 for never.
+// NextTick returns the time of the next Tick that has something to do, 0 for never.
 func (r *Registry) NextTick() (next int64) {
 	consider := func(at int64) {
 		if next == 0 || at < next {
@@ -131,7 +131,7 @@
 	return next
 }
 
-// accept makes an update the source's list.
+// accept applies an update to its source.
 func (r *Registry) accept(now int64, s *source, update Update) {
 	hosts := s.hostsAfter(update)
 	r.recordRemovals(now, s, hosts)
@@ -139,7 +139,7 @@
 	r.adoptRemovals(now, update.Removals)
 }
 
-// hostsAfter returns what the source's hosts are after an update.
+// hostsAfter returns the hosts that the source would have after an update.
 func (s *source) hostsAfter(update Update) map[string]Host {
 	hosts := map[string]Host{}
 	if update.Partial {
@@ -160,9 +160,9 @@
 	return false
 }
 
-// retireStores removes the stores once discovery has sent a list, and reports whether it removed any: what only an earlier
-// run knew is outdated. Where many hosts would go with a store, discovery's first list may be truncated, so the store
-// counts for a while longer.
+// retireStores removes the stores once discovery has sent a list, since hosts that only an earlier run knew are outdated,
+// and reports whether it removed any. If many hosts would be dropped with a store, discovery's first list may be truncated,
+// so the store stays for holdBackTime.
 func (r *Registry) retireStores(now int64) (removed bool) {
 	for name, s := range r.sources {
 		if s.rank != RankStore || s.retireAt > 0 {
--- a/endpoints/registry_test.go
+++ b/endpoints/registry_test.go
@@ -22,7 +22,7 @@
 	return Host{ID: id, Addr: "127.0.0.1:" + id, Zone: "hall", Kind: "std", Cell: cell, Weight: 1}
 }
 
-// testHosts are h0, h1 and so on, spread over the four cells.
+// testHosts returns hosts h0, h1 and so on, spread over the four cells.
 func testHosts(count int) (hosts []Host) {
 	for i := range count {
 		hosts = append(hosts, testHost(fmt.Sprint("h", i), i%4))
@@ -59,23 +59,25 @@
 	return Update{Source: "hosts.yaml", Rank: RankFile, Version: version, Hosts: hosts}
 }
 
-func TestEntryOfTheHighestRankIsInForce(t *testing.T) {
+// Guards against a source that overrides one of a higher rank, and against an outdated version that is applied.
+func TestEntryOfTheHighestRankWins(t *testing.T) {
 	r := NewRegistry(testRules)
 	require.True(t, mustApply(t, r, 1, planUpdate(1, testHosts(8))))
 	require.EqualValues(t, 1, r.Generation())
-	require.False(t, mustApply(t, r, 2, planUpdate(1, testHosts(4))), "no newer version")
+	require.False(t, mustApply(t, r, 2, planUpdate(1, testHosts(4))), "an update that is not newer is ignored")
 	moved := testHosts(8)
 	moved[3].Addr, moved[3].Weight = "127.0.0.2:1", 2
 	require.True(t, mustApply(t, r, 3, fileUpdate(1, moved[3:4])))
 	require.Equal(t, "127.0.0.2:1", r.List()[3].Addr, "a file's entry wins over the plan's")
 	require.Equal(t, "hosts.yaml", r.List()[3].Source)
 	require.Equal(t, "plan", r.List()[2].Source)
-	require.False(t, mustApply(t, r, 4, discoveryUpdate(7, testHosts(8)[3:4])), "and over one of a rank between")
+	require.False(t, mustApply(t, r, 4, discoveryUpdate(7, testHosts(8)[3:4])), "and over that of a source with a rank between them")
 	require.True(t, r.RemoveSource(5, "hosts.yaml"))
 	require.Equal(t, "127.0.0.1:h3", r.List()[3].Addr)
 	require.EqualValues(t, 3, r.Generation())
 }
 
+// Guards against a draining host that gets searches again because another source lists it as up.
 func TestHostDrainsUntilTheSourceRevokesIt(t *testing.T) {
 	r := NewRegistry(testRules)
 	mustApply(t, r, 1, discoveryUpdate(1, testHosts(8)))
@@ -89,6 +91,7 @@
 	require.Equal(t, StateUp, r.List()[0].State)
 }
 
+// Guards against partial changes that are applied to a list which the source, since its restart, does not have.
 func TestVersionResetNeedsACompleteList(t *testing.T) {
 	r := NewRegistry(testRules)
 	mustApply(t, r, 1, planUpdate(1, testHosts(4)))
@@ -100,7 +103,8 @@
 	require.True(t, mustApply(t, r, 5, Update{Source: "plan", Version: 0, VersionReset: true, Hosts: heavier}))
 }
 
-// The store's hosts are dropped once discovery has sent a list: at once where those are few, else later.
+// Guards against outdated hosts of the store that stay, and against many hosts that are dropped at once because the first
+// list of discovery was truncated: few are dropped immediately, many only after the hold-back time.
 func TestStoreIsRetiredByDiscovery(t *testing.T) {
 	for _, isStoreFirst := range []bool{true, false} {
 		for _, dropsFew := range []bool{true, false} {
--- a/endpoints/removals.go
+++ b/endpoints/removals.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// removalMemory is how long a removal applies to other sources' entries of the host: slower sources have caught up by then.
+// removalMemory is how long a removal applies to other sources' entries of the host: slower sources catch up in that time.
 const removalMemory = 600 * ticksPerSecond
 
-// removal is a host that a source has removed.
+// removal records that a source has removed a host.
 type removal struct {
 	removedBy string
 	at        int64
@@ -25,8 +25,8 @@
 	return removals
 }
 
-// recordRemovals records the hosts that a source removes by replacing its hosts, takes them out of the new hosts, and
-// forgets removals that the new hosts revoke.
+// recordRemovals records the hosts that a source removes with its new hosts, deletes the removed ones from newHosts, and
+// forgets removals that newHosts revokes.
 func (r *Registry) recordRemovals(now int64, s *source, newHosts map[string]Host) {
 	for id, host := range s.hosts {
 		after, isListed := newHosts[id]
@@ -49,7 +49,7 @@
 	}
 }
 
-// adoptRemovals adds removals that a source remembers, as far as they still apply.
+// adoptRemovals adds those removals remembered by a source that still apply.
 func (r *Registry) adoptRemovals(now int64, removals []Removal) {
 	for _, adopted := range removals {
 		_, isKnown := r.removals[adopted.ID]
@@ -60,7 +60,8 @@
 	}
 }
 
-// isRevoked reports whether a removed host is listed again: by its remover, or by any source with a later start.
+// isRevoked reports whether a removed host is listed again: by the source that removed it, or by any source with a later
+// start of the host.
 func (r *Registry) isRevoked(removed Removal) bool {
 	for name, s := range r.sources {
 		host, isListed := s.hosts[removed.ID]
@@ -71,7 +72,7 @@
 	return false
 }
 
-// expireRemovals forgets old removals, and the oldest ones where a source has removed more names than a list may hold.
+// expireRemovals forgets removals that have expired, and the oldest ones if there are more than a list may have hosts.
 func (r *Registry) expireRemovals(now int64) {
 	for id, removed := range r.removals {
 		if now >= removed.at+removalMemory {
--- a/endpoints/removals_test.go
+++ b/endpoints/removals_test.go
@@ -6,9 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against a slower source that brings back a removed host, and against a removal that lasts forever.
 func TestRemovedHostReturns(t *testing.T) {
 	for name, bringBack := range map[string]func(t *testing.T, r *Registry){
-		"when its remover lists it": func(t *testing.T, r *Registry) {
+		"when the source that removed it lists it": func(t *testing.T, r *Registry) {
 			require.True(t, mustApply(t, r, 6, discoveryUpdate(3, testHosts(9))))
 		},
 		"when a source lists a later start": func(t *testing.T, r *Registry) {
@@ -37,7 +38,7 @@
 	}
 }
 
-// removalsOfEarlierRun are what a store remembers: discovery has removed h3 and h4, 100 s ago.
+// removalsOfEarlierRun returns removals as a store has them: discovery removed h3 and h4 100 s ago.
 func removalsOfEarlierRun(t *testing.T) []Removal {
 	r := NewRegistry(testRules)
 	mustApply(t, r, 1, discoveryUpdate(5, testHosts(8)))
@@ -58,6 +59,7 @@
 	return r
 }
 
+// Guards against a restart that starts the time of a removal again.
 func TestStoredRemovalExpiresByItsAge(t *testing.T) {
 	r := newRegistryWithStoredRemovals(t, removalsOfEarlierRun(t))
 	mustApply(t, r, 3, Update{Source: "slow.yaml", Rank: RankFile, Version: 1, Hosts: testHosts(8)})
@@ -67,19 +69,21 @@
 	require.Len(t, r.List(), 8)
 }
 
+// Guards against a stored removal that keeps out a host which was listed again or restarted.
 func TestStoredRemovalIsRevoked(t *testing.T) {
 	removals := removalsOfEarlierRun(t)
 	r := newRegistryWithStoredRemovals(t, removals)
 	mustApply(t, r, 3, discoveryUpdate(7, testHosts(8)[:4]))
-	require.Len(t, r.List(), 7, "its remover lists h3 again")
+	require.Len(t, r.List(), 7, "the source that removed h3 lists it again")
 	restarted := testHosts(8)
 	restarted[4].StartedMS = 7
 	mustApply(t, r, 4, Update{Source: "later.yaml", Rank: RankFile, Version: 1, Hosts: restarted})
 	require.Len(t, r.List(), 8, "h4 has a later start")
 	mustApply(t, r, 5, Update{Source: "late", Rank: RankStore, Version: 1, Confirmed: true, Removals: removals})
-	require.Len(t, r.List(), 8, "a removal that was revoked is not adopted")
+	require.Len(t, r.List(), 8, "a revoked removal is not adopted")
 }
 
+// Guards against an invalid removal that is remembered.
 func TestRemovalWithoutIDIsRejected(t *testing.T) {
 	r := NewRegistry(testRules)
 	_, err := r.Apply(6, Update{Source: "store", Rank: RankStore, Version: 2, Removals: []Removal{{RemovedBy: "x"}}})
