--- a/endpoints/hostfile/parse.go
+++ b/endpoints/hostfile/parse.go
@@ -59,8 +59,8 @@
 	return &parseFault{reason: fmt.Sprintf(format, values...)}
 }
 
-// Parse parses a file's text as an update from the source called name. Its error is an endpoints.InvalidListError, with line and
-// column where they are known.
+// Parse parses a file's text as an update from the source called name. Its error is an endpoints.InvalidListError, with
+// line and column if they are known.
 func Parse(name string, text []byte) (endpoints.Update, error) {
 	update, fault := parse(text)
 	if fault != nil {
--- a/storage/recovery/recovery.go
+++ b/storage/recovery/recovery.go
@@ -33,9 +33,9 @@
 
 // Items of the stored state, as the log names them.
 const (
-	itemList        = "list"
-	itemNotes       = "notes"
-	itemRemovalAges = "ages of removals"
+	itemList         = "list"
+	itemObservations = "notes"
+	itemRemovalAges  = "ages of removals"
 )
 
 const reasonCrashLoop = "several starts within a minute"
@@ -79,11 +79,11 @@
 	ageMs := now - observations.SavedAt
 	switch {
 	case level >= TrustWithoutObservations:
-		r.discard(itemNotes, reasonCrashLoop)
+		r.discard(itemObservations, reasonCrashLoop)
 	case ageMs < 0:
-		r.discard(itemNotes, "the clock was set back by %v, so their age is unknown", milliseconds(-ageMs))
+		r.discard(itemObservations, "the clock was set back by %v, so their age is unknown", milliseconds(-ageMs))
 	case ageMs+int64(observations.Head.AgeMs) > maxObservationAgeMs:
-		r.discard(itemNotes, "the observations are %v old", milliseconds(ageMs))
+		r.discard(itemObservations, "the observations are %v old", milliseconds(ageMs))
 	default:
 		aged := *observations
 		aged.SavedAt = now
--- a/storage/store/open.go
+++ b/storage/store/open.go
@@ -13,7 +13,7 @@
 // disk.
 const maxQuarantinedFiles = 8
 
-// openFile inspects the file at the store's path, quarantines or creates it where needed, and opens it.
+// openFile inspects the file at the store's path, quarantines or creates it if needed, and opens it.
 func (s *Store) openFile() error {
 	// A replacement file that is still there was never in use: the process was killed while it wrote the file.
 	if err := os.Remove(s.path + replacementSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/storage/store/page.go
+++ b/storage/store/page.go
@@ -7,7 +7,7 @@
 	"hash/fnv"
 )
 
-// The layout of a bbolt file, version 2, as far as the inspection needs it. Integers are in the machine's byte order.
+// The layout of a bbolt file, version 2: the parts that the inspection needs. Integers are in the machine's byte order.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
