--- a/endpoints/endpoints.go
+++ b/endpoints/endpoints.go
@@ -1,6 +1,6 @@
 // Package endpoints merges the host lists of several sources (the plan, the store, discovery, files) into one endpoint
 // list. A Registry accepts or rejects each source's update as a whole and keeps the merged list, with a generation. The
-// package does no I/O; times are in tenths of a millisecond, of a clock that callers read and pass in. docs/endpoints.md
+// package does no I/O; times are in tenths of a millisecond, of a clock that the caller reads. docs/endpoints.md
 // describes the precedence of sources and the guards against wrong lists.
 package endpoints
 
@@ -9,7 +9,7 @@
 
 	maxHostsPerSource = 20_000 // twice the largest supported cluster
 	maxTextBytes      = 200    // bytes of an id, address, zone or kind
-	maxWeight         = 1000.0 // relative to an ordinary host; a larger one is a typing error
+	maxWeight         = 1000.0 // relative to an ordinary host; a larger weight is taken for a typing error
 )
 
 // State is the state of a host according to one source. Its numbers are stored.
@@ -52,7 +52,7 @@
 	Partial      bool  // Hosts has only the changes to the source's last list
 	Confirmed    bool  // an operator has confirmed the list, so the guards do not hold it back
 	Hosts        []Host
-	Removals     []Removal // removals that the source remembers, also those by other sources
+	Removals     []Removal // removals that the source remembers, including those by other sources
 }
 
 // Removal is a host that a source has removed. While it is remembered, other sources' entries of the host are ignored.
@@ -62,8 +62,8 @@
 	Age           int64 // time since the removal
 }
 
-// Rules are the installation's limits for hosts. Zones, kinds and the highest cell are checked for files only: other
-// sources may already list hosts that are not in the plan yet.
+// Rules are the installation's limits for hosts. Zones, kinds and the highest cell come from the plan and are checked
+// for files only: other sources may already list hosts that are not in the plan yet.
 type Rules struct {
 	Zones, Kinds []string // the known ones; empty if any are allowed
 	BlockSets    int      // number of block sets; 0 turns off the check that each has a holder
--- a/endpoints/guards.go
+++ b/endpoints/guards.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxDropShare is the share of a source's hosts that one update may drop without confirmation: one of three zones.
+	// maxDropShare is the share of a source's hosts that one update may drop without confirmation: enough for one of three zones.
 	maxDropShare = 0.34
-	// maxFreeDrops is how many hosts an update may always drop: a small cluster may lose one or two, above its share.
+	// maxFreeDrops is how many hosts an update may always drop: in a small cluster, one or two may be above the share.
 	maxFreeDrops = 2
 	// holdBackTime is how long an update that drops more is held back: time for a correction by the source or an operator.
 	holdBackTime = 30 * ticksPerSecond
@@ -125,8 +125,8 @@
 	return merged
 }
 
-// HeldBackSources returns the reason for each source whose last update is held back, and for each store that stays until
-// its removal time.
+// HeldBackSources returns the reason for each source whose last update is held back, and for each source that is still kept
+// but will be removed at its retireAt.
 func (r *Registry) HeldBackSources() map[string]string {
 	reasons := map[string]string{}
 	for name, s := range r.sources {
--- a/endpoints/guards_test.go
+++ b/endpoints/guards_test.go
@@ -13,7 +13,7 @@
 	return r
 }
 
-// Guards against a truncated file or a source without its state that takes many hosts out of use at once, and against a
+// Guards against a truncated file or a source that lost its state taking many hosts out of use at once, and against a
 // correct list that is held back forever.
 func TestUpdateThatDropsManyHostsIsHeldBack(t *testing.T) {
 	t.Run("until the hold-back time is over", func(t *testing.T) {
--- a/endpoints/hostfile/notifications.go
+++ b/endpoints/hostfile/notifications.go
@@ -23,7 +23,8 @@
 	return &notifications{watcher: watcher, events: watcher.Events, errors: watcher.Errors, watched: map[string]bool{}}
 }
 
-// watch adds the directories that are not watched yet, or no longer: one that was removed and created again.
+// watch starts to watch the directories that are not watched yet, or no longer watched because they were removed and
+// created again.
 func (n *notifications) watch(directories []string) {
 	if n.watcher == nil {
 		return
--- a/endpoints/hostfile/parse_test.go
+++ b/endpoints/hostfile/parse_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Guards against texts that crash the parser, or that are rejected with another error type or with hosts.
+// Guards against texts that crash the parser, or whose rejection has another error type or still returns hosts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte(`{"hosts":[{"id":"a"}]}`))
--- a/endpoints/hostfile/watched_file.go
+++ b/endpoints/hostfile/watched_file.go
@@ -16,7 +16,8 @@
 	isMissing    bool
 }
 
-// fileStamp distinguishes the contents of a path, also after a rename to it or after a symbolic link was replaced.
+// fileStamp differs if the content at a path has changed, also if another file was renamed to the path or a symbolic link
+// was replaced.
 type fileStamp struct {
 	size       int64
 	modifiedAt time.Time
--- a/endpoints/hostfile/watcher.go
+++ b/endpoints/hostfile/watcher.go
@@ -21,7 +21,7 @@
 	pollInterval = time.Second
 	// settleTime is how long a file's stamp has to stay the same before the file is read.
 	settleTime = 100 * time.Millisecond
-	// maxSettleTime is after how long a file that keeps changing is read anyway; it is read again after later changes.
+	// maxSettleTime is the time after which a file that keeps changing is read anyway; it is read again after later changes.
 	maxSettleTime = 700 * time.Millisecond
 	maxFiles      = 256 // in all paths together
 )
--- a/endpoints/hostfile/watcher_test.go
+++ b/endpoints/hostfile/watcher_test.go
@@ -36,7 +36,7 @@
 
 func (l *eventLog) count() int { return len(l.all()) }
 
-// await waits until there are at least count events, and one at least, and the last one matches.
+// await waits until there are at least count events, but no fewer than one, and the last one matches.
 func (l *eventLog) await(t *testing.T, count int, matches func(e Event) bool) {
 	t.Helper()
 	require.Eventually(t, func() bool {
--- a/endpoints/merge.go
+++ b/endpoints/merge.go
@@ -59,7 +59,7 @@
 	m.list[host.ID] = endpoint
 }
 
-// markZoneConflict marks the endpoint id, which has the address of host, if host is listed in another zone.
+// markZoneConflict marks the endpoint with this id, which has the same address as host, if host is listed in another zone.
 func (m *merger) markZoneConflict(id string, host Host) {
 	endpoint := m.list[id]
 	if host.Zone != "" && endpoint.Zone != host.Zone {
--- a/endpoints/merge_test.go
+++ b/endpoints/merge_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a zone conflict that is missed, or that stays after the sources agree: they list a host, or its address,
-// in different zones.
+// Guards against a zone conflict that is missed, or that stays after the sources agree. Sources conflict if they list a
+// host, or its address, in different zones.
 func TestZoneConflictLastsUntilSourcesAgree(t *testing.T) {
 	r := NewRegistry(Rules{})
 	apply := func(source string, rank Rank, version int64, hosts ...Host) {
--- a/endpoints/property_test.go
+++ b/endpoints/property_test.go
@@ -25,7 +25,7 @@
 }
 
 // Guards against a merged list that depends on the order in which the sources first answer after a start. Lists may
-// differ only while one is held back.
+// differ only while an update is held back.
 func TestOrderOfFirstUpdatesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var updates []Update
@@ -75,8 +75,8 @@
 }
 
 // Guards against an endpoint that no source has sent or that its source has removed, against two endpoints with the same
-// address, and against a generation that does not change exactly with the list, after any sequence of valid and invalid
-// updates, draining, removals and time.
+// address, and against a generation that changes without the list or stays while the list changes, after any sequence of
+// valid and invalid updates, draining, removals and time.
 func TestListHoldsOnlyWhatSourcesSent(t *testing.T) {
 	ranks := map[string]Rank{"plan": RankPlan, "discovery": RankDiscovery, "hosts.yaml": RankFile}
 	rapid.Check(t, func(t *rapid.T) {
--- a/endpoints/registry.go
+++ b/endpoints/registry.go
@@ -72,8 +72,8 @@
 	s.held = nil
 	r.accept(now, s, update)
 	changed = r.rebuildList(now)
-	mayReplaceStores := update.Rank == RankDiscovery || update.Rank == RankStore
-	if mayReplaceStores && r.hasDiscoveryUpdate() && r.retireStores(now) {
+	mayRetireStores := update.Rank == RankDiscovery || update.Rank == RankStore
+	if mayRetireStores && r.hasDiscoveryUpdate() && r.retireStores(now) {
 		changed = r.rebuildList(now) || changed
 	}
 	return changed, nil
@@ -95,8 +95,8 @@
 	return r.rebuildList(now)
 }
 
-// Tick accepts held updates whose time is over, and drops expired removals and retired sources. It reports whether the
-// merged list has changed.
+// Tick accepts updates that have been held back long enough, and drops expired removals and retired sources. It reports
+// whether the merged list has changed.
 func (r *Registry) Tick(now int64) (changed bool) {
 	for _, name := range slices.Sorted(maps.Keys(r.sources)) {
 		if s := r.sources[name]; s.held != nil && now >= s.heldUntil {
@@ -160,9 +160,9 @@
 	return false
 }
 
-// retireStores removes the stores once discovery has sent a list, since hosts that only an earlier run knew are outdated,
-// and reports whether it removed any. If many hosts would be dropped with a store, discovery's first list may be truncated,
-// so the store stays for holdBackTime.
+// retireStores removes the sources of RankStore once discovery has sent a list, since hosts that only an earlier run knew
+// are outdated, and reports whether it removed any. If many hosts would be dropped with such a source, discovery's first
+// list may be truncated, so the source stays for holdBackTime.
 func (r *Registry) retireStores(now int64) (removed bool) {
 	for name, s := range r.sources {
 		if s.rank != RankStore || s.retireAt > 0 {
--- a/endpoints/registry_test.go
+++ b/endpoints/registry_test.go
@@ -71,7 +71,7 @@
 	require.Equal(t, "127.0.0.2:1", r.List()[3].Addr, "a file's entry wins over the plan's")
 	require.Equal(t, "hosts.yaml", r.List()[3].Source)
 	require.Equal(t, "plan", r.List()[2].Source)
-	require.False(t, mustApply(t, r, 4, discoveryUpdate(7, testHosts(8)[3:4])), "and over that of a source with a rank between them")
+	require.False(t, mustApply(t, r, 4, discoveryUpdate(7, testHosts(8)[3:4])), "a file's entry wins over discovery's, too")
 	require.True(t, r.RemoveSource(5, "hosts.yaml"))
 	require.Equal(t, "127.0.0.1:h3", r.List()[3].Addr)
 	require.EqualValues(t, 3, r.Generation())
@@ -91,7 +91,8 @@
 	require.Equal(t, StateUp, r.List()[0].State)
 }
 
-// Guards against partial changes that are applied to a list which the source, since its restart, does not have.
+// Guards against a partial update of a restarted source that is applied to the source's list from before its restart, and
+// against a lower version that is applied without a reset.
 func TestVersionResetNeedsACompleteList(t *testing.T) {
 	r := NewRegistry(testRules)
 	mustApply(t, r, 1, planUpdate(1, testHosts(4)))
--- a/endpoints/removals.go
+++ b/endpoints/removals.go
@@ -25,8 +25,8 @@
 	return removals
 }
 
-// recordRemovals records the hosts that a source removes with its new hosts, deletes the removed ones from newHosts, and
-// forgets removals that newHosts revokes.
+// recordRemovals records the removal of each host that newHosts, the source's new hosts, leaves out or lists as removed. It
+// deletes the removed hosts from newHosts, and forgets removals that newHosts revokes.
 func (r *Registry) recordRemovals(now int64, s *source, newHosts map[string]Host) {
 	for id, host := range s.hosts {
 		after, isListed := newHosts[id]
@@ -49,7 +49,7 @@
 	}
 }
 
-// adoptRemovals adds those removals remembered by a source that still apply.
+// adoptRemovals adds the removals that a source remembers, if they still apply and are not known yet.
 func (r *Registry) adoptRemovals(now int64, removals []Removal) {
 	for _, adopted := range removals {
 		_, isKnown := r.removals[adopted.ID]
@@ -72,7 +72,7 @@
 	return false
 }
 
-// expireRemovals forgets removals that have expired, and the oldest ones if there are more than a list may have hosts.
+// expireRemovals forgets removals that have expired, and the oldest ones until at most maxHostsPerSource are left.
 func (r *Registry) expireRemovals(now int64) {
 	for id, removed := range r.removals {
 		if now >= removed.at+removalMemory {
--- a/endpoints/removals_test.go
+++ b/endpoints/removals_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// removalsOfEarlierRun returns removals as a store has them: discovery removed h3 and h4 100 s ago.
+// removalsOfEarlierRun returns removals as a store keeps them: discovery removed h3 and h4 100 s ago.
 func removalsOfEarlierRun(t *testing.T) []Removal {
 	r := NewRegistry(testRules)
 	mustApply(t, r, 1, discoveryUpdate(5, testHosts(8)))
@@ -59,7 +59,7 @@
 	return r
 }
 
-// Guards against a restart that starts the time of a removal again.
+// Guards against a removal that lasts too long because a restart sets its age back to 0.
 func TestStoredRemovalExpiresByItsAge(t *testing.T) {
 	r := newRegistryWithStoredRemovals(t, removalsOfEarlierRun(t))
 	mustApply(t, r, 3, Update{Source: "slow.yaml", Rank: RankFile, Version: 1, Hosts: testHosts(8)})
@@ -83,7 +83,7 @@
 	require.Len(t, r.List(), 8, "a revoked removal is not adopted")
 }
 
-// Guards against an invalid removal that is remembered.
+// Guards against an invalid removal that is accepted and remembered.
 func TestRemovalWithoutIDIsRejected(t *testing.T) {
 	r := NewRegistry(testRules)
 	_, err := r.Apply(6, Update{Source: "store", Rank: RankStore, Version: 2, Removals: []Removal{{RemovedBy: "x"}}})
--- a/storage/recovery/endpoint_list.go
+++ b/storage/recovery/endpoint_list.go
@@ -41,8 +41,8 @@
 	return list
 }
 
-// toUpdate returns the list as an update from the source SourceName. A removal with a time in the future, as after the
-// clock was set back, has age 0.
+// toUpdate returns the list as an update from the source SourceName. A removal whose time is in the future, because the
+// clock was set back, gets age 0.
 func (l *EndpointList) toUpdate(now int64) *endpoints.Update {
 	update := &endpoints.Update{Source: SourceName, Rank: endpoints.RankStore, Version: 1, Confirmed: true, Hosts: l.Hosts}
 	for _, removal := range l.Removals {
--- a/storage/recovery/recovery.go
+++ b/storage/recovery/recovery.go
@@ -24,7 +24,7 @@
 // Restored is the trusted part of the stored state. Update or Observations is nil if that part was missing or discarded.
 type Restored struct {
 	Update       *endpoints.Update
-	Observations *Observations // with its age as of now
+	Observations *Observations // with their age as of now
 	Discarded    []DiscardedItem
 }
 
@@ -63,7 +63,7 @@
 	case level >= TrustWithoutEndpoints:
 		r.discard(itemList, reasonCrashLoop)
 	case ageMs > maxListAgeMs:
-		r.discard(itemList, "the list is %v old", milliseconds(ageMs))
+		r.discard(itemList, "the list is too old: it was saved %v ago", milliseconds(ageMs))
 	// A new discovery service starts its versions at a low number, so either of the list's versions may be the newer one.
 	case planVersion > list.PlanVersion && planVersion > list.DiscoveryVersion:
 		r.discard(itemList, "the plan's version %d is newer than the list's discovery version %d", planVersion, list.DiscoveryVersion)
@@ -83,7 +83,7 @@
 	case ageMs < 0:
 		r.discard(itemObservations, "the clock was set back by %v, so their age is unknown", milliseconds(-ageMs))
 	case ageMs+int64(observations.Head.AgeMs) > maxObservationAgeMs:
-		r.discard(itemObservations, "the observations are %v old", milliseconds(ageMs))
+		r.discard(itemObservations, "the observations are too old: they were saved %v ago", milliseconds(ageMs))
 	default:
 		aged := *observations
 		aged.SavedAt = now
--- a/storage/recovery/recovery_test.go
+++ b/storage/recovery/recovery_test.go
@@ -34,13 +34,13 @@
 		trustsList, trustsObservations bool
 	}{
 		{"fresh", now + 2000, TrustAll, 8, true, true},
-		{"a longer stop", now + 31_000, TrustAll, 8, true, false},
-		{"the age at writing counts too", now + maxObservationAgeMs - 200, TrustAll, 8, true, false},
-		{"weeks", now + 2*maxListAgeMs, TrustAll, 8, false, false},
+		{"a stop of 31 s", now + 31_000, TrustAll, 8, true, false},
+		{"the age of observations when they were saved counts too", now + maxObservationAgeMs - 200, TrustAll, 8, true, false},
+		{"a stop of two weeks", now + 2*maxListAgeMs, TrustAll, 8, false, false},
 		{"a newer plan", now + 2000, TrustAll, 9, false, true},
 		{"the clock was set back", now - 24*3_600_000, TrustAll, 8, true, false},
-		{"third start", now + 2000, TrustWithoutObservations, 8, true, false},
-		{"fourth start", now + 2000, TrustWithoutEndpoints, 8, false, false},
+		{"third start in a crash loop", now + 2000, TrustWithoutObservations, 8, true, false},
+		{"fourth start in a crash loop", now + 2000, TrustWithoutEndpoints, 8, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			list, observations := storedState()
@@ -62,7 +62,7 @@
 	require.Zero(t, restored.Update.Hosts[0].Line)
 }
 
-// Guards against inconsistent stored observations that are used.
+// Guards against stored observations that are used although their number differs from their header.
 func TestObservationsValidate(t *testing.T) {
 	list, observations := storedState()
 	require.NoError(t, Restore(now+2000, TrustAll, 8, list, observations).Observations.Validate())
--- a/storage/recovery/start_record.go
+++ b/storage/recovery/start_record.go
@@ -1,8 +1,9 @@
 package recovery
 
 const (
-	crashLoopWindowMs   = 60_000 // starts without a planned stop within this time count as a crash loop
-	crashLoopStarts     = 3      // from this many starts in the window on, less is trusted; two may be a kill and a coincidence
+	crashLoopWindowMs = 60_000 // starts without a planned stop within this time count as a crash loop
+	// From crashLoopStarts starts in the window on, less is trusted. Two may be a kill that came soon after a start by chance.
+	crashLoopStarts     = 3
 	maxRememberedStarts = 16
 )
 
@@ -22,8 +23,8 @@
 	return [...]string{"all", "no_notes", "no_list", "nothing"}[l]
 }
 
-// StartRecord remembers recent starts. It is written before any other stored state is used, so that a start which that
-// state causes to crash is counted as well.
+// StartRecord remembers recent starts. It is written before any other stored state is used, so that a start is
+// counted even if that state makes it crash.
 type StartRecord struct {
 	_                struct{} `cbor:",toarray"`
 	RecentStarts     []int64  // Unix milliseconds of starts that no planned stop followed
--- a/storage/store/crash_test.go
+++ b/storage/store/crash_test.go
@@ -19,7 +19,8 @@
 	"chalkring/internal/advice"
 )
 
-// TestMain also runs the child processes of tests: one that is killed, and one whose disk is full.
+// TestMain runs the tests, or, in a child process that a test has started, the child's part: one child writes until it is
+// killed, the other until its disk is full.
 func TestMain(m *testing.M) {
 	switch path := os.Getenv("STORE_CHILD_PATH"); os.Getenv("STORE_CHILD") {
 	case "":
@@ -45,7 +46,7 @@
 	return child, bufio.NewScanner(output)
 }
 
-const keysPerWrite = 9 // keys in each transaction of a child, all with values of the same number
+const keysPerWrite = 9 // keys in each transaction of a child; their values all start with the same number
 
 // writeUntilKilled writes increasing numbers and prints each once Put has returned. It runs in a child process.
 func writeUntilKilled(path string) {
--- a/storage/store/damage_test.go
+++ b/storage/store/damage_test.go
@@ -131,6 +131,7 @@
 	for i := range 200 {
 		content := append([]byte(nil), before.file...)
 		for offset := 0; offset < len(after.file); offset += 4096 {
+			// About half of the pages are new; every fourth file has both new meta pages.
 			if rng.Intn(2) == 0 || offset < 2*4096 && i%4 == 0 {
 				copy(content[offset:offset+4096], after.file[offset:])
 			}
@@ -181,7 +182,7 @@
 	}
 }
 
-// Guards against damage at every start that fills the disk with quarantined files.
+// Guards against a disk that fills up with quarantined files because the store is damaged at every start.
 func TestQuarantinedFilesAreLimited(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	for n := range maxQuarantinedFiles + 1 {
--- a/storage/store/database.go
+++ b/storage/store/database.go
@@ -79,7 +79,7 @@
 	}
 	err = catchPageFaults(s.path, func() error { return fill(db) })
 	if err := errors.Join(err, db.Sync(), db.Close()); err != nil {
-		_ = os.Remove(replacement) // the next Open removes it too; the error to report is the one above
+		_ = os.Remove(replacement) // if this fails, the next Open removes it; the error to report is the one above
 		return err
 	}
 	if err := os.Rename(replacement, s.path); err != nil {
--- a/storage/store/errors.go
+++ b/storage/store/errors.go
@@ -18,7 +18,7 @@
 
 // Advice implements advice.Provider.
 func (e *LockedError) Advice() string {
-	return "Give each process a store path of its own, or end the process that has locked this one (the lock is released with it)."
+	return "Give each process a store path of its own, or end the process that has locked this one; its lock is released when it ends."
 }
 
 // CorruptedError reports a store whose content differs from what was written.
@@ -68,7 +68,7 @@
 type RolledBackError struct{ Path string }
 
 func (e *RolledBackError) Error() string {
-	return e.Path + ": one of its two meta pages is damaged; the state of the other is used, at most one write older"
+	return e.Path + ": one of its two meta pages is damaged; the state of the other, which is at most one write older, is used"
 }
 
 // Advice implements advice.Provider.
@@ -115,7 +115,7 @@
 
 // Advice implements advice.Provider.
 func (e *DiskFullError) Advice() string {
-	return "Free space on the disk; the next write tries again by itself."
+	return "Make room on the disk; the next write tries again by itself."
 }
 
 // SizeLimitError reports a write that exceeds a limit of the store.
--- a/storage/store/event_log.go
+++ b/storage/store/event_log.go
@@ -20,7 +20,7 @@
 	sequenceBytes   = 8      // length of that value
 )
 
-// Event is an entry of the event log, from which operators see what happened earlier. It is stored as a CBOR array.
+// Event is an entry of the event log, in which operators see what happened earlier. It is stored as a CBOR array.
 type Event struct {
 	_        struct{} `cbor:",toarray"`
 	Sequence uint64   // increases by one with each event, also across restarts; Append sets it
--- a/storage/store/event_log_test.go
+++ b/storage/store/event_log_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an event log that grows without limit, or that starts its sequence numbers again after a restart.
+// Guards against an event log that grows without limit, or whose sequence numbers start at 0 again after a restart.
 func TestEventLogContinuesOverRestartsAndIsBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	for run := range 3 {
--- a/storage/store/inspect.go
+++ b/storage/store/inspect.go
@@ -69,7 +69,7 @@
 	if state.Checksum == counted.Checksum && state.Records == counted.Records && state.Bytes == counted.Bytes {
 		return nil
 	}
-	return fmt.Errorf("it has %d records with checksum %x; its state record has %d with checksum %x",
+	return fmt.Errorf("it has %d records with checksum %x; its state record counts %d with checksum %x",
 		counted.Records, counted.Checksum, state.Records, state.Checksum)
 }
 
--- a/storage/store/limits.go
+++ b/storage/store/limits.go
@@ -9,13 +9,13 @@
 
 // Limits of a store, in bytes. A write that exceeds one is refused with a *SizeLimitError.
 const (
-	MaxBytes            = 128 << 20 // all keys and values: 100,000 entries of a kilobyte
+	MaxBytes            = 128 << 20 // all keys and values: room for 100,000 entries of a kilobyte
 	MaxKeyBytes         = 1 << 10   // a key, or the name of a bucket
 	MaxValueBytes       = 16 << 20  // a value: a list of 20,000 hosts is 4 MB
 	MaxTransactionBytes = 64 << 20  // the keys and values of one transaction, which is in memory twice
 )
 
-// checkLimits checks the limits of a write that do not depend on what is already stored.
+// checkLimits checks a write against the limits that do not depend on what is already stored.
 func (s *Store) checkLimits(bucket string, puts map[string][]byte, deletes []string) error {
 	if bucket == "" || bucket == metadataBucket {
 		return &SizeLimitError{s.path, fmt.Sprintf("%q cannot be used as the name of a bucket", bucket)}
@@ -46,5 +46,5 @@
 	if totalBytes <= uint64(s.options.MaxBytes) {
 		return nil
 	}
-	return &SizeLimitError{s.path, fmt.Sprintf("the write would bring its keys and values to %d bytes; the limit is %d", totalBytes, s.options.MaxBytes)}
+	return &SizeLimitError{s.path, fmt.Sprintf("the write would bring the store's keys and values to %d bytes; the limit is %d", totalBytes, s.options.MaxBytes)}
 }
--- a/storage/store/open.go
+++ b/storage/store/open.go
@@ -9,7 +9,7 @@
 	"chalkring/internal/advice"
 )
 
-// maxQuarantinedFiles limits the quarantined files beside a store: damage that returns at each start must not fill the
+// maxQuarantinedFiles limits the quarantined files beside a store: damage that recurs at each start must not fill the
 // disk.
 const maxQuarantinedFiles = 8
 
@@ -39,7 +39,8 @@
 	if !found.needsCompaction() {
 		return nil
 	}
-	// A compaction that fails, for instance on a full disk, has changed nothing if the database is still open.
+	// A failed compaction, for instance on a full disk, is an error only if it has closed the database; otherwise it has
+	// changed nothing.
 	if err := s.compact(); s.db == nil {
 		return err
 	}
--- a/storage/store/page.go
+++ b/storage/store/page.go
@@ -17,7 +17,7 @@
 
 	metaPages         = 2  // pages 0 and 1, which transactions write alternately
 	metaBytes         = 56 // the part of a meta page, after the page header, that its checksum covers
-	metaChecksumBytes = 8  // that checksum, which follows
+	metaChecksumBytes = 8  // length of that checksum, which follows
 
 	pageHeaderBytes   = 16 // page number, flags, entry count, overflow
 	pageEntryBytes    = 16 // header of an entry in a leaf or branch page
@@ -30,9 +30,10 @@
 	metaPageFlag     = 4
 	freelistPageFlag = 16
 
-	bucketEntryFlag = 1 // flag of an entry in a leaf page that is a bucket
+	bucketEntryFlag = 1 // flag of a leaf page's entry that is a bucket
 
-	// freelistCountFollows is the entry count of a free list whose length exceeds that field: its first entry is the count.
+	// freelistCountFollows replaces the entry count of a free list that is too long for that field: the count is then its
+	// first entry.
 	freelistCountFollows = 0xFFFF
 )
 
@@ -65,7 +66,7 @@
 }
 
 // newestMeta returns the newer of the valid meta pages. The first meta page is at the start of the file, the second
-// after one page, whose size is not known yet.
+// after one page. The page size is not known yet, so the second is looked for at each possible size.
 func (in *inspection) newestMeta() (newest metaPage, found bool) {
 	validPages := 0
 	if meta, ok := in.readMeta(0); ok {
@@ -131,7 +132,7 @@
 // readPage reads a page with its overflow pages. A page may be read only once: a second reference to it is an error.
 func (in *inspection) readPage(number uint64) (page []byte, header pageHeader, err error) {
 	if number < metaPages || number >= in.pageCount {
-		return nil, header, fmt.Errorf("page %d is not in the range from page %d to below page %d", number, metaPages, in.pageCount)
+		return nil, header, fmt.Errorf("page %d is out of range: expected a page number from %d to below %d", number, metaPages, in.pageCount)
 	}
 	page = make([]byte, in.pageSize)
 	if _, err := in.file.ReadAt(page, int64(number*in.pageSize)); err != nil {
@@ -146,7 +147,7 @@
 	}
 	for used := number; used <= number+header.overflow; used++ {
 		if in.usedPages[used] || in.freePages[used] {
-			return nil, header, fmt.Errorf("page %d is used twice", used)
+			return nil, header, fmt.Errorf("page %d is used twice, or is in use and also listed as free", used)
 		}
 		in.usedPages[used] = true
 	}
--- a/storage/store/page_tree.go
+++ b/storage/store/page_tree.go
@@ -10,7 +10,7 @@
 const maxTreeDepth = 32
 
 // keyRange is the range of keys that a page may contain: low is included, high is excluded. An empty low or a nil high
-// is no limit.
+// sets no limit.
 type keyRange struct{ low, high []byte }
 
 func (r keyRange) contains(key []byte) bool {
@@ -43,7 +43,7 @@
 	return fmt.Errorf("page %d has flags %x: it is neither a leaf nor a branch page", number, header.flags)
 }
 
-// branchEntry refers to a page whose keys begin with key.
+// branchEntry refers to a child page, which has no key below key.
 type branchEntry struct {
 	key   []byte
 	child uint64
@@ -149,7 +149,8 @@
 	return fmt.Errorf("key %.40q has unexpected flags %x", key, flags)
 }
 
-// checkBucket checks a bucket, whose value either refers to the root page of a tree or contains one small leaf page.
+// checkBucket checks a bucket, whose value either refers to the root page of a tree or contains one small leaf page, the
+// inline page.
 func (in *inspection) checkBucket(name, value []byte) error {
 	if len(value) < bucketHeaderBytes {
 		return fmt.Errorf("bucket %.40q has %d bytes, too few for its header", name, len(value))
--- a/storage/store/read.go
+++ b/storage/store/read.go
@@ -7,7 +7,8 @@
 )
 
 // Load calls visit with each key and value of a bucket, in the order of keys, and stops at the first error of visit,
-// which it returns. The values are copies from a single read transaction, and visit may call the store.
+// which it returns. The values are copies from a single read transaction, which has ended by then, so visit may call the
+// store.
 func (s *Store) Load(bucketName string, visit func(key string, value []byte) error) error {
 	type entry struct {
 		key   string
--- a/storage/store/record.go
+++ b/storage/store/record.go
@@ -16,8 +16,8 @@
 	checksumBytes    = 8           // length of the checksum before each value
 )
 
-// stateRecord summarizes all values of the store. Each transaction rewrites it, so that a page that is valid in itself
-// but older than the others, or a missing one, is found as a difference.
+// stateRecord summarizes all values of the store, and each transaction rewrites it. If a page is missing, or is valid in
+// itself but older than the others, the summary differs from the values that are found.
 type stateRecord struct {
 	Format    uint32 // of the program that last wrote the file
 	MinReader uint32 // the oldest format whose programs can read the file
@@ -85,8 +85,8 @@
 	return value, sum, nil
 }
 
-// checksum starts with the lengths of bucket and key, so that different splits of the same bytes between the two have
-// different checksums.
+// checksum covers the lengths of bucket and key as well, so that the same bytes have another checksum if they are split
+// differently between the two.
 func checksum(bucket, key, value []byte) uint64 {
 	var lengths [16]byte
 	binary.LittleEndian.PutUint64(lengths[:], uint64(len(bucket)))
--- a/storage/store/store_test.go
+++ b/storage/store/store_test.go
@@ -89,7 +89,8 @@
 	require.Equal(t, map[string]string{"k": "v", "l": "w"}, loadAll(t, s, "a"))
 }
 
-// Guards against unusable names and unlimited growth: a write beyond a limit is refused, and deletes make space again.
+// Guards against names that cannot be stored and against unlimited growth: a write beyond a limit is refused, and
+// deletes make space again.
 func TestLimits(t *testing.T) {
 	s, _ := open(t, filepath.Join(t.TempDir(), "s"), Options{MaxBytes: 1 << 20})
 	for _, name := range []struct{ bucket, key string }{{"", "k"}, {metadataBucket, "k"}, {"a", ""}, {"a", strings.Repeat("k", MaxKeyBytes+1)}} {
@@ -106,8 +107,8 @@
 	require.Len(t, loadAll(t, s, "a"), puts-1-5)
 }
 
-// Guards against lost or resurrected values, and against false findings of the inspection, after any sequence of writes,
-// failed writes and restarts.
+// Guards against lost or resurrected values, and against an undamaged file that the inspection rejects, after any sequence
+// of writes, failed writes and restarts.
 func TestRandomHistories(t *testing.T) {
 	folder, runs := t.TempDir(), 0
 	rapid.Check(t, func(t *rapid.T) {
