--- a/coordinator/plan/endpoint_list.go
+++ b/coordinator/plan/endpoint_list.go
@@ -8,21 +8,21 @@
 	"chalkring/endpoints"
 )
 
-// ticksPerMillisecond converts to the balancer's unit of time, a tenth of a millisecond.
+// ticksPerMillisecond converts milliseconds to ticks, the balancer's unit of time: a tenth of a millisecond.
 const ticksPerMillisecond = 10
 
-// ErrInvalidEndpointList is a list without a version or without entries.
-var ErrInvalidEndpointList = errors.New("no version or no servers")
+// ErrInvalidEndpointList reports a list without a numeric version or without a list of entries.
+var ErrInvalidEndpointList = errors.New("the endpoint list needs a number as version and a list as servers")
 
 // endpointStates are the states that an entry may have on the wire.
 var endpointStates = map[string]endpoints.State{
 	"up": endpoints.StateUp, "draining": endpoints.StateDraining, "removed": endpoints.StateRemoved,
 }
 
-// EndpointList is a list of hosts, or changes of one, as a plan and the discovery service write it.
+// EndpointList is a list of hosts, or changes to one, in the form that plans and the discovery service use.
 type EndpointList struct {
 	Version float64
-	Full    bool // the whole list, not changes
+	Full    bool // the complete list, not changes
 	Hosts   []ListedHost
 }
 
@@ -30,8 +30,8 @@
 type ListedHost struct {
 	endpoints.Host
 	Removed      bool
-	ZoneConflict bool    // sources name different zones for it
-	ListedWeight float64 // the weight as the entry has it, 0 where it has none
+	ZoneConflict bool    // several sources list the host with different zones
+	ListedWeight float64 // the entry's own weight, 0 if it has none
 	StartedTicks int64   // start of the host, in the balancer's ticks
 }
 
--- a/coordinator/plan/environment.go
+++ b/coordinator/plan/environment.go
@@ -7,10 +7,11 @@
 	"os"
 )
 
-// MaxFileSize is the bytes of the largest plan that is read, one of 20,000 hosts: decoding takes 26 times as much memory.
+// MaxFileSize is the largest size in bytes of a plan file, enough for 20,000 hosts. Decoding takes 26 times as much
+// memory.
 const MaxFileSize = 4 << 20
 
-// Environment variables. The last three override the file's members of the same meaning.
+// Environment variables. The last three override the plan file's name, listen and discovery.
 const (
 	fileVariable      = "GW_CONFIG"
 	nameVariable      = "GW_NAME"
@@ -18,8 +19,8 @@
 	discoveryVariable = "GW_DISCOVERY"
 )
 
-// Read reads the plan from the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY, where they are set,
-// override the file.
+// Read reads the plan from the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY override the file if they
+// are set.
 func Read(env func(string) string) (*Plan, error) {
 	path := env(fileVariable)
 	if path == "" {
@@ -43,13 +44,14 @@
 			return nil, &MissingVariableError{Variable: variable, InFile: true}
 		}
 	}
-	// A file that leaves the address to the variable at a later reload names no new address by that.
+	// If the file leaves the discovery address to the variable, that address counts as the file's own, so that a
+	// later file without one does not look like a change of address at a reload.
 	parsed.discoveryInFile = cmp.Or(parsed.discoveryInFile, parsed.Discovery)
 	return parsed, nil
 }
 
-// readFile reads a plan's file. The limit handles GW_CONFIG naming a wrong file at SIGHUP, whose text alone would
-// exceed the memory limit.
+// readFile reads a plan file. The size limit guards against a GW_CONFIG that names a wrong file at SIGHUP, whose text
+// alone could exceed the memory limit.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/coordinator/plan/golden_plan_test.go
+++ b/coordinator/plan/golden_plan_test.go
@@ -22,7 +22,7 @@
 	"chalkring/internal/advice"
 )
 
-// goldenPlan has each key that a plan may have.
+// goldenPlan is a plan with every key that a plan may have.
 const goldenPlan = `{"name":"east 1","listen":"127.0.0.1:8001","discovery":"127.0.0.1:9001","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.5,"memory_mb":192,"sockets":256},
 "known":{"version":7,"full":true,"servers":[
@@ -43,6 +43,7 @@
 "Safety":{"Cold":1000.0,"ColdFrom":0.3,"FallMultiple":3.0,"Fall":2000.0,"DrainGrace":250.0,"AskWithin":500.0,
 "ExtraFloor":0.5,"FurtherRatio":0.1,"LookBack":10000}}`
 
+// describePlan writes all that can be read from a plan.
 func describePlan(out *strings.Builder, p *plan.Plan) {
 	line := func(key string, value any) { fmt.Fprintf(out, "  %s: %v\n", key, value) }
 	line("name", p.Name)
@@ -75,6 +76,7 @@
 	line("identity", p.Identity())
 }
 
+// The values that are read from a plan, with and without an installation's settings.
 func TestGoldenPlan(t *testing.T) {
 	var out strings.Builder
 	p, err := plan.Parse([]byte(goldenPlan))
@@ -91,7 +93,7 @@
 	golden.Require(t, "plan.golden", out.String())
 }
 
-// logLine is an error as the line that the service logs at start.
+// logLine returns the line that the service logs for an error at the start.
 func logLine(event string, err error) string {
 	var out bytes.Buffer
 	coordinator.NewLogger(&out, false, slog.LevelInfo).Error(event, advice.LogAttrs(err)...)
@@ -103,7 +105,7 @@
 	goName     = regexp.MustCompile(`Go (struct field|value of type) \S+`)
 )
 
-// Each case replaces one piece of a good plan; the golden file holds the error and the line that is logged.
+// Each case replaces one part of a valid plan; the golden file has the error and the line that is logged for it.
 func TestGoldenPlanErrors(t *testing.T) {
 	var out strings.Builder
 	write := func(title string, err error) {
@@ -168,7 +170,7 @@
 		{`"FollowUp":[0,2]`, `"FollowUp":[0]`},
 		{`"FollowUp":[0,2]`, `"FollowUp":[]`},
 	}
-	// each setting, missing and bad
+	// each setting, missing and with invalid values
 	for _, setting := range []string{
 		`"Balancers":2`, `"Tick":5.0`, `"Aim":4000.5`, `"Deadline":8000`, `"RepeatWindow":10`, `"Effect":"retryable"`,
 		`"LateShare":0.5`, `"QuotaPerS":1000.0`, `"Sets":2`, `"Reach":1`, `"Ranges":4`, `"PerCall":2`, `"NeedByClass":[0.5,1.0]`, `"ClassFloor":[0.25,1]`,
@@ -199,7 +201,7 @@
 	golden.Require(t, "plan_errors.golden", out.String())
 }
 
-// The environment variables: which hold over the file, and the errors that name them.
+// The environment variables: which override the file, and the errors that name them.
 func TestGoldenPlanEnvironment(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/coordinator/plan/plan.go
+++ b/coordinator/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan reads the installation plan of one coordinator: the JSON file that GW_CONFIG names, with its limits, its
-// settings and the endpoint list as it was last known. It validates all that the coordinator and its balancer need, so
-// that a faulty file ends the start and not a search.
+// Package plan reads the plan of one coordinator: the JSON file that GW_CONFIG names, with its limits, its settings and
+// the last known endpoint list. It validates everything that the coordinator and its balancer need, so that a faulty
+// file makes the start fail and not a search.
 package plan
 
 import (
@@ -16,15 +16,15 @@
 	"chalkring/config/settings"
 )
 
-// minSockets is the least number of descriptors that a plan may grant: some for clients, for replicas and for discovery.
+// minSockets is the smallest number of descriptors that a plan may grant: clients, replicas and discovery each need some.
 const minSockets = 16
 
-// Faults of a plan as a whole.
+// Errors that concern a plan as a whole.
 var (
-	ErrNotOneObject    = errors.New("not one JSON object")
-	ErrInvalidLimits   = errors.New("limits: cores, memory_mb and sockets (16 at least) are needed")
-	ErrMissingSettings = errors.New("settings are missing")
-	ErrMissingKnown    = errors.New("known is missing")
+	ErrNotOneObject    = errors.New("expected exactly one JSON object")
+	ErrInvalidLimits   = errors.New("limits: expected cores above 0, memory_mb of at least 1 and sockets of at least 16")
+	ErrMissingSettings = errors.New("settings: expected an object")
+	ErrMissingKnown    = errors.New("known: expected an object with an endpoint list")
 )
 
 // Plan is the configuration of one coordinator. It is read-only once it has been handed to a coordinator.
@@ -39,11 +39,11 @@
 	Seed           int64
 	Settings       map[string]string // flattened, by dotted name, in the balancer's form
 	ShadowSettings map[string]string // settings that decisions are compared with; nil for none
-	Known          EndpointList      // the endpoint list as it was last known
+	Known          EndpointList      // the last known endpoint list
 
-	discoveryInFile string              // Discovery as the file has it, without the environment variable
-	overrides       map[string]string   // settings that an installation file has put over the plan's
-	namesInFile     map[string][]string // names as the file spells them, by list and position
+	discoveryInFile string              // the file's own discovery address; the environment's if the file has none
+	overrides       map[string]string   // settings of an installation file that override the plan's
+	namesInFile     map[string][]string // names in the file's spelling, by list and position
 }
 
 // Parse reads a plan from JSON and validates it.
@@ -99,8 +99,8 @@
 	return p.readNames(values)
 }
 
-// WithSettings returns a copy of the plan with an installation's settings over its own, and an error where the result
-// is invalid.
+// WithSettings returns a copy of the plan whose settings are overridden by an installation's, and an error if the
+// result is invalid.
 func (p *Plan) WithSettings(overrides map[string]string) (*Plan, error) {
 	own := *p
 	own.overrides, own.Settings = overrides, maps.Clone(p.Settings)
@@ -108,8 +108,8 @@
 	return &own, own.validate()
 }
 
-// WithShadowSettings returns a copy of the plan with settings that its decisions are to be compared with: changes is
-// what differs from the settings in force.
+// WithShadowSettings returns a copy of the plan with shadow settings, under which decisions are made a second time for
+// comparison: the plan's own settings with some changes.
 func (p *Plan) WithShadowSettings(changes map[string]string) (*Plan, error) {
 	shadow, err := p.WithSettings(changes)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return &own, nil
 }
 
-// DecodeObject decodes a text that is one JSON object and nothing else. Numbers are json.Number.
+// DecodeObject decodes a text that has to be exactly one JSON object. Numbers are decoded as json.Number.
 func DecodeObject(text []byte) (map[string]any, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
 	decoder.UseNumber()
@@ -139,7 +139,7 @@
 	return text
 }
 
-// numberOf returns a JSON number that fits a float64; false for anything else.
+// numberOf returns a JSON number as a float64; false if the value is not a number or does not fit.
 func numberOf(value any) (float64, bool) {
 	number, ok := value.(json.Number)
 	if !ok {
--- a/coordinator/plan/reload.go
+++ b/coordinator/plan/reload.go
@@ -10,11 +10,11 @@
 	"chalkring/internal/advice"
 )
 
-// maxDifferences is how many settings a log line names.
+// maxDifferences is the largest number of settings that a log line lists.
 const maxDifferences = 8
 
-// WatchReloads reads the plan again at each signal and sends it to the channel that it returns; p is the first plan. A plan that cannot be
-// read or is invalid changes nothing. The runtime's limits follow a new plan at once.
+// WatchReloads reads the plan again at each signal and sends it to the returned channel; p is the first plan. A plan
+// that cannot be read or is invalid changes nothing. The runtime's limits follow a new plan at once.
 func (p *Plan) WatchReloads(ctx context.Context, signals <-chan os.Signal, env func(string) string,
 	log *slog.Logger,
 ) <-chan *Plan {
@@ -44,8 +44,8 @@
 	return plans
 }
 
-// reread reads the plan again, with the installation's settings of the first one. The environment's discovery address
-// overrides the file only while the file's own address is as it was at the start, or is left out.
+// reread reads the plan again and applies the installation's settings of the first one. The discovery address changes
+// only if the file's own address does: until then the environment's address overrides it.
 func reread(env func(string) string, first, last *Plan) (*Plan, error) {
 	next, err := Read(env)
 	if err != nil {
@@ -61,7 +61,8 @@
 	return next, nil
 }
 
-// RestartDifferences names, separated by commas, what of a new plan takes effect only at a restart.
+// RestartDifferences lists, separated by commas, the members of a new plan that differ and take effect only at a
+// restart.
 func (p *Plan) RestartDifferences(next *Plan) string {
 	var names []string
 	if p.Name != next.Name {
--- a/coordinator/plan/settings.go
+++ b/coordinator/plan/settings.go
@@ -10,16 +10,16 @@
 	"chalkring/config/settings"
 )
 
-// shardSeedStep is what the seeds of two event loops of one process differ by.
+// shardSeedStep is the difference between the seeds of two consecutive event loops of one process.
 const shardSeedStep = 1 << 32
 
-// Number returns a numeric setting, or 0 where it is not set.
+// Number returns a numeric setting, or 0 if it is not set.
 func (p *Plan) Number(name string) float64 {
 	value, _ := p.parseNumber(name)
 	return value
 }
 
-// Duration returns a setting in milliseconds, or 0 where it is not set.
+// Duration returns a setting that is given in milliseconds, or 0 if it is not set.
 func (p *Plan) Duration(name string) time.Duration {
 	return time.Duration(p.Number(name) * float64(time.Millisecond))
 }
@@ -35,7 +35,7 @@
 // Count returns how many objects a list of the settings has.
 func (p *Plan) Count(list string) int { return int(p.Number(list + ".count")) }
 
-// ClassDurations returns one duration of each class, 0 where it is not set.
+// ClassDurations returns a duration setting of each class, 0 for classes that do not set it.
 func (p *Plan) ClassDurations(name string) (durations []time.Duration) {
 	for i := range p.Count(classList) {
 		durations = append(durations, p.Duration(fmt.Sprintf("Classes.%d.%s", i, name)))
@@ -46,11 +46,11 @@
 // LatencyObjectives returns the latency objective of each class.
 func (p *Plan) LatencyObjectives() []time.Duration { return p.ClassDurations("Aim") }
 
-// BlockCount returns how many blocks the data is in.
+// BlockCount returns the number of blocks that the data is divided into.
 func (p *Plan) BlockCount() int { return int(p.Number("Specifics.Ranges")) }
 
-// PositionsByName returns the position of each name in a list of objects, under both of its forms: as the file spells
-// it, and as the balancer has it.
+// PositionsByName returns the position of each name in a list of objects. Each name is a key in both of its forms: in
+// the file's spelling and in the balancer's.
 func (p *Plan) PositionsByName(list string) map[string]int {
 	positions := map[string]int{}
 	for i, name := range p.namesInFile[list] {
@@ -59,8 +59,8 @@
 	return positions
 }
 
-// Identity distinguishes one deployment's coordinator from others: its name, and the names and places of its hosts and
-// searches.
+// Identity returns a text that distinguishes this deployment's coordinator from others: its name, its classes and
+// tenants, and the zones, machine types and block sets of its hosts.
 func (p *Plan) Identity() string {
 	return fmt.Sprintf("%q", []any{
 		p.Name, p.namesInFile[classList], p.namesInFile[tenantList], p.List(zoneList), p.List("MachineTypes"),
@@ -68,8 +68,8 @@
 	})
 }
 
-// ForShard returns the plan of one of n event loops in a process: a part of the descriptors, memory and budget, and a
-// seed of its own. To rules that all coordinators keep together each event loop counts as a coordinator.
+// ForShard returns the plan for one of n event loops in a process, with its part of the descriptors, memory and budget,
+// and its own seed. In rules that all coordinators follow together, each event loop counts as a coordinator.
 func (p *Plan) ForShard(index, n int) *Plan {
 	own := *p
 	own.MaxSockets, own.MemoryMB = p.MaxSockets/n, max(1, p.MemoryMB/n)
--- a/coordinator/plan/site.go
+++ b/coordinator/plan/site.go
@@ -6,7 +6,7 @@
 	"chalkring/endpoints"
 )
 
-// EndpointRules returns what the plan says of all hosts.
+// EndpointRules returns the plan's rules for entries of endpoint lists.
 func (p *Plan) EndpointRules() endpoints.Rules {
 	return endpoints.Rules{
 		Zones: p.List(zoneList), Kinds: p.List("MachineTypes"),
@@ -28,8 +28,8 @@
 	}
 }
 
-// ZoneHoldsBlockFunc returns a function that says whether a host of a zone holds a block, by the hosts that are up in
-// the plan's own list.
+// ZoneHoldsBlockFunc returns a function that says whether any host of a zone holds a block, according to the hosts that
+// are up in the plan's own endpoint list.
 func (p *Plan) ZoneHoldsBlockFunc() func(zone string, block int) bool {
 	rules := p.EndpointRules()
 	held := map[string]map[int]bool{}
@@ -48,7 +48,7 @@
 	return func(zone string, block int) bool { return held[zone][block%max(1, rules.BlockSets)] }
 }
 
-// ZoneName returns a zone's name in the form that settings have; a host without a zone has the empty name.
+// ZoneName returns a host's zone name in the settings' form; the name of a host without a zone stays empty.
 func ZoneName(name string) string {
 	if name == "" {
 		return ""
--- a/coordinator/plan/validate.go
+++ b/coordinator/plan/validate.go
@@ -21,9 +21,9 @@
 // namedSetting is a name and the setting that gives it.
 type namedSetting struct{ setting, name string }
 
-// readNames keeps the names of classes and tenants as the file spells them: requests carry that spelling, while the
-// balancer's form has no blanks and commas. It refuses two classes, tenants or zones that one name could mean in either
-// form: a request would be handled under the settings of another.
+// readNames stores the names of classes and tenants in the file's spelling, which requests use; the balancer's form has
+// no blanks or commas. It refuses two classes, tenants or zones whose names are the same in either form: a request
+// could be handled under the settings of another.
 func (p *Plan) readNames(values map[string]any) error {
 	p.namesInFile = map[string][]string{}
 	for _, list := range []string{classList, tenantList} {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// nameOf returns an object's name; numbers and booleans count as their text, anything else as none.
+// nameOf returns an object's name. Numbers and booleans are converted to text; any other value counts as no name.
 func nameOf(object map[string]any) string {
 	switch name := object["Name"].(type) {
 	case nil, map[string]any, []any:
@@ -76,7 +76,7 @@
 	for i, zone := range zones {
 		name, setting := stringOf(zone), fmt.Sprintf("%s.%d", zoneList, i)
 		other, exists := seen[settings.FormatValue(name)]
-		if exists && other.name != name { // the same spelling twice is one zone
+		if exists && other.name != name { // a zone may be listed twice in the same spelling
 			return &DuplicateNameError{setting, name, other.setting, other.name}
 		}
 		seen[settings.FormatValue(name)] = namedSetting{setting, name}
@@ -84,16 +84,17 @@
 	return nil
 }
 
-// validate looks for all settings that the coordinator reads, and for the ranges of all that the balancer reads.
+// validate checks that all settings that the coordinator reads are present, and that all that the balancer reads are in
+// range.
 func (p *Plan) validate() error {
 	if p.Settings["Family"] != "fanout" {
 		return &UnsupportedFamilyError{p.Settings["Family"]}
 	}
-	needed, err := p.neededNumbers()
+	required, err := p.requiredNumbers()
 	if err != nil {
 		return err
 	}
-	for _, name := range needed {
+	for _, name := range required {
 		if value, err := p.parseNumber(name); err != nil {
 			return err
 		} else if value <= 0 && strings.HasPrefix(name, "Specifics.") {
@@ -109,23 +110,23 @@
 	return settings.ValidateAll(p.Settings, classes)
 }
 
-// neededNumbers names the settings that have to be numbers; an error where a class has no name.
-func (p *Plan) neededNumbers() ([]string, error) {
-	needed := []string{
+// requiredNumbers returns the names of the settings that have to be numbers, and an error if a class has no name.
+func (p *Plan) requiredNumbers() ([]string, error) {
+	required := []string{
 		"Balancers", "Tick", "Specifics.Sets", "Specifics.Reach", "Specifics.Ranges",
 		"Specifics.PerCall", "Permissions.MaxAttempts", "Permissions.ConnIdle",
 		"Permissions.DialTimeout", "Permissions.StreamsPerConn", "Classes.count",
 	}
 	for i := range p.Count(classList) {
-		needed = append(needed, fmt.Sprintf("Classes.%d.Aim", i), fmt.Sprintf("Classes.%d.LateShare", i))
+		required = append(required, fmt.Sprintf("Classes.%d.Aim", i), fmt.Sprintf("Classes.%d.LateShare", i))
 		if name := fmt.Sprintf("Classes.%d.Name", i); p.Settings[name] == "" {
 			return nil, &MissingSettingError{name}
 		}
 	}
 	for i := range p.Count(tenantList) {
-		needed = append(needed, fmt.Sprintf("Tenants.%d.QuotaPerS", i))
+		required = append(required, fmt.Sprintf("Tenants.%d.QuotaPerS", i))
 	}
-	return needed, nil
+	return required, nil
 }
 
 func (p *Plan) parseNumber(name string) (float64, error) {
--- a/coordinator/plan_test.go
+++ b/coordinator/plan_test.go
@@ -16,7 +16,7 @@
 	"chalkring/internal/simwire"
 )
 
-// planOf is a plan's text with settings that edit has changed.
+// planOf returns the text of a plan whose settings edit has changed.
 func planOf(t *testing.T, edit func(settings map[string]any)) []byte {
 	settings := map[string]any{}
 	require.NoError(t, json.Unmarshal([]byte(testSettings), &settings))
@@ -27,11 +27,13 @@
 		"known":{"version":1,"servers":[]},"settings":%s}`, text)
 }
 
+// settingAt returns an object of a list of the settings.
 func settingAt(settings map[string]any, list string, i int) map[string]any {
 	return settings[list].([]any)[i].(map[string]any)
 }
 
-// The balancer gets the same names and texts from the plan as from the simulator's wire.
+// Guards against a balancer that is configured differently in the service than in the simulator: names and values read
+// from a plan equal those read from the simulator's wire.
 func TestPlanSettingsEqualSimulatorSettings(t *testing.T) {
 	initial, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":0,"servers":[]},"settings":` + strings.Replace(testSettings, `"Family"`, `"Names":[],"Void":null,"Family"`, 1) + `}`))
@@ -52,6 +54,7 @@
 	require.Equal(t, int64(-0x73e0cf2d85a4169c), initial.Seed)
 }
 
+// Each plan with one invalid or missing part is refused, and the error names that part.
 func TestInvalidPlans(t *testing.T) {
 	plan := `{"name":"n","listen":"l","discovery":"d","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":1,"servers":[]},"settings":` + testSettings + `}`
@@ -79,45 +82,46 @@
 		_, err := parsePlan([]byte(strings.Replace(plan, x[0], x[1], 1)))
 		require.ErrorContains(t, err, x[2])
 	}
-	none := func(string) string { return "" }
-	_, err = readPlan(none)
+	noVariables := func(string) string { return "" }
+	_, err = readPlan(noVariables)
 	require.ErrorContains(t, err, "GW_CONFIG")
 	_, err = readPlan(func(name string) string { return map[string]string{"GW_CONFIG": "/nowhere"}[name] })
 	require.ErrorContains(t, err, "/nowhere")
 }
 
-// Names under which a tenant would get another's settings are refused, and so are lists that are no lists of objects.
+// Names that would give a tenant the settings of another are refused. So are classes and tenants that are not lists of
+// objects.
 func TestAmbiguousNames(t *testing.T) {
 	for _, x := range []struct {
 		wrong string
 		edit  func(settings map[string]any)
 	}{
-		{`setting Classes.2.Name: "some" is Classes.0.Name too`, func(s map[string]any) { settingAt(s, "Classes", 2)["Name"] = "some" }},
-		{`setting Tenants.1.Name: "acme" is Tenants.0.Name too`, func(s map[string]any) { settingAt(s, "Tenants", 1)["Name"] = "acme" }},
-		{`setting Tenants.1.Name: "a b" cannot be told from "a_b" in Tenants.0.Name`, func(s map[string]any) {
+		{`setting Classes.2.Name: "some" is already the value of Classes.0.Name`, func(s map[string]any) { settingAt(s, "Classes", 2)["Name"] = "some" }},
+		{`setting Tenants.1.Name: "acme" is already the value of Tenants.0.Name`, func(s map[string]any) { settingAt(s, "Tenants", 1)["Name"] = "acme" }},
+		{`setting Tenants.1.Name: "a b" is indistinguishable from "a_b" in Tenants.0.Name`, func(s map[string]any) {
 			settingAt(s, "Tenants", 0)["Name"], settingAt(s, "Tenants", 1)["Name"] = "a_b", "a b"
 		}},
-		{`setting FailureDomains.2: "z,1" cannot be told from "z 1" in FailureDomains.1`, func(s map[string]any) {
+		{`setting FailureDomains.2: "z,1" is indistinguishable from "z 1" in FailureDomains.1`, func(s map[string]any) {
 			s["FailureDomains"] = []any{"z one", "z 1", "z,1"}
 		}},
 		{"setting Tenants.1.Name is missing", func(s map[string]any) { delete(settingAt(s, "Tenants", 1), "Name") }},
 		{"setting Tenants.0.Name is missing", func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = "" }},
 		{"setting Tenants.0.Name is missing", func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = nil }},
 		{"setting Classes.1.Name is missing", func(s map[string]any) { settingAt(s, "Classes", 1)["Name"] = nil }},
-		{"setting Tenants is no list of objects", func(s map[string]any) { s["Tenants"] = []any{"acme", "other"} }},
-		{"setting Tenants is no list of objects", func(s map[string]any) { s["Tenants"] = []any{s["Tenants"].([]any)[0], "other"} }},
-		{"setting Tenants is no list of objects", func(s map[string]any) { s["Tenants"] = map[string]any{"acme": map[string]any{"QuotaPerS": 5}} }},
-		{"setting Classes is no list of objects", func(s map[string]any) { s["Classes"] = "some" }},
+		{"setting Tenants is not a list of objects", func(s map[string]any) { s["Tenants"] = []any{"acme", "other"} }},
+		{"setting Tenants is not a list of objects", func(s map[string]any) { s["Tenants"] = []any{s["Tenants"].([]any)[0], "other"} }},
+		{"setting Tenants is not a list of objects", func(s map[string]any) { s["Tenants"] = map[string]any{"acme": map[string]any{"QuotaPerS": 5}} }},
+		{"setting Classes is not a list of objects", func(s map[string]any) { s["Classes"] = "some" }},
 	} {
 		_, err := parsePlan(planOf(t, x.edit))
 		require.ErrorContains(t, err, x.wrong)
 	}
 	for _, edit := range []func(s map[string]any){
-		func(s map[string]any) { delete(s, "Tenants") }, // some sites have none
+		func(s map[string]any) { delete(s, "Tenants") }, // some sites have no tenants
 		func(s map[string]any) { s["Tenants"] = []any{} },
 		func(s map[string]any) { s["Tenants"] = nil },
 		func(s map[string]any) { s["FailureDomains"] = []any{"z one", "z one"} }, // one zone
-		func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = "some" },   // as a class
+		func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = "some" },   // also the name of a class
 		func(s map[string]any) { settingAt(s, "Tenants", 0)["Name"] = 7 },
 	} {
 		_, err := parsePlan(planOf(t, edit))
@@ -125,8 +129,8 @@
 	}
 }
 
-// Numbers with which a start would succeed and searches, or the process, would fail are refused: half a set, no
-// attempts, no time to connect, connections idle at once.
+// Numbers are refused with which the start would succeed, but searches or the process would fail: half a set, zero
+// attempts, no time to connect, connections that are idle at once.
 func TestInvalidNumbers(t *testing.T) {
 	plan := string(planOf(t, func(map[string]any) {}))
 	for _, x := range [][3]string{
@@ -151,7 +155,7 @@
 	}
 }
 
-// A file that is far too long for a plan is not read to its end, and the error has advice.
+// A file that is too large for a plan is not read to its end, and the error has advice.
 func TestPlanTooLarge(t *testing.T) {
 	l := newChildProcess(t)
 	text, err := os.ReadFile(l.file)
@@ -161,14 +165,14 @@
 		padded := append(bytes.Repeat([]byte(" "), long-len(text)), text...)
 		require.NoError(t, os.WriteFile(l.file, padded, 0o600))
 		_, err := readPlan(env)
-		var no *plan.TooLargeError
-		require.Equal(t, !fits, errors.As(err, &no), "%v", err)
+		var tooLarge *plan.TooLargeError
+		require.Equal(t, !fits, errors.As(err, &tooLarge), "%v", err)
 		require.Equal(t, !fits, advice.For(err) != "")
 	}
 }
 
-// To rules that all coordinators keep together, several event loops are as many coordinators, with one's descriptors,
-// memory and budget between them.
+// Several event loops of one process divide its descriptors, memory and budget among them. In rules that all
+// coordinators follow together, each event loop counts as a coordinator.
 func TestPlanForShard(t *testing.T) {
 	initial := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
 	own := initial.ForShard(1, 4)
--- a/coordinator/start_stop_process_test.go
+++ b/coordinator/start_stop_process_test.go
@@ -120,7 +120,7 @@
 	l := newChildProcess(t)
 	l.start(nil, "sh", "-c", `ulimit -n 64; exec "$0"`)
 	l.ready()
-	l.logged("event=few_descriptors")
+	l.logged("event=descriptor_limit_low")
 	for range 100 {
 		l.dial()
 	}
