--- a/coordinator/descriptors.go
+++ b/coordinator/descriptors.go
@@ -3,17 +3,17 @@
 import "sync/atomic"
 
 const (
-	clientDescriptorShare  = 0.55 // of the descriptors go to clients; the rest is for replicas, discovery, log and runtime
-	replicaDescriptorShare = 0.35 // go to replicas: a search uses several, but attempts share connections
-	extraDialShare         = 0.05 // may go to further dials beside slow ones
+	clientDescriptorShare  = 0.55 // for client connections; the rest is for replicas, discovery, log and runtime
+	replicaDescriptorShare = 0.35 // for connections to replicas: a search uses several, but attempts share connections
+	extraDialShare         = 0.05 // for extra dials, started while another dial to the same replica is slow
 )
 
-// descriptorBudget shares out the descriptors that the plan grants. Only the event loop's goroutine touches it, but for
+// descriptorBudget divides the descriptors that the plan grants. The event loop's goroutine owns all fields except
 // extraDials.
 type descriptorBudget struct {
 	limit              int
 	replicaConnections int          // open, or being opened
-	extraDials         atomic.Int64 // further dials that run now, or are held back
+	extraDials         atomic.Int64 // extra dials that are running or held back by the limit
 }
 
 // hasReplicaRoom says whether another connection to a replica may be opened.
@@ -21,7 +21,7 @@
 	return float64(d.replicaConnections) < replicaDescriptorShare*float64(d.limit)
 }
 
-// maxExtraDials returns how many further dials may run at once.
+// maxExtraDials returns how many extra dials may run at once.
 func (d *descriptorBudget) maxExtraDials() int64 {
 	return int64(max(1, int(extraDialShare*float64(d.limit))))
 }
--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -17,50 +17,51 @@
 )
 
 const (
-	watchInterval            = time.Second            // between two calls of all coordinators together: bounds the load of discovery
-	maxWatchWait             = 20 * time.Second       // of one call for changes: a silent connection shows after it
-	fullListTimeout          = 2 * time.Second        // of a call for the complete list, which is answered at once
-	watchAnswerSlack         = time.Second            // for an answer after a call's wait
-	minPollBackoff           = 500 * time.Millisecond // first backoff before the list is polled again
-	maxPollBackoff           = 3 * time.Second        // longest backoff, half of it random: a missed change counts as known after 6 s
-	maxPollDelay             = 5 * time.Second        // from the start of a failed call to the next at the latest: a missed change counts as known after 6 s
-	lossSpreadPerCoordinator = 10 * time.Millisecond  // between the calls of all coordinators that lost discovery at once
-	maxLossSpread            = 2 * time.Second        // over which those calls are spread: a missed change counts as known after 6 s
+	watchInterval            = time.Second            // between two calls, over all coordinators: bounds the load on discovery
+	maxWatchWait             = 20 * time.Second       // longest wait of a call for changes: a silent connection is detected only after it
+	fullListTimeout          = 2 * time.Second        // of a call for the complete list, which discovery answers at once
+	watchAnswerSlack         = time.Second            // for the answer to arrive after the wait of a call
+	minPollBackoff           = 500 * time.Millisecond // first backoff before the next poll
+	maxPollBackoff           = 3 * time.Second        // longest backoff, half of it random: a missed change has to be known within 6 s
+	maxPollDelay             = 5 * time.Second        // longest time from the start of a failed call to the next: a missed change has to be known within 6 s
+	lossSpreadPerCoordinator = 10 * time.Millisecond  // between the calls of coordinators that lost discovery at the same time
+	maxLossSpread            = 2 * time.Second        // over which those calls are spread: a missed change has to be known within 6 s
 )
 
-// discoveryRequests are the event loop's and a reload's requests to the goroutine that follows discovery.
+// discoveryRequests carries requests to the goroutine that follows discovery, from the event loop and from reloads.
 type discoveryRequests struct {
-	polls chan struct{} // the balancer has asked for a subscription
-	moves chan string   // the address of discovery has changed
+	polls chan struct{} // the balancer requests a subscription
+	moves chan string   // discovery's new address
 }
 
 // discoveryState is what is known of the discovery service at one address.
 type discoveryState struct {
 	addr                 string
 	version              float64
-	needsFullList        bool // the complete list comes first: versions may have restarted
+	needsFullList        bool // the next call fetches the complete list, since versions may have restarted
 	lastCallFailed       bool
 	answeredSinceFailure bool
 
-	nextAttemptBy time.Time // by when the next call has to begin if this one fails
+	nextAttemptBy time.Time // latest start of the next call if this one fails
 }
 
-// remaining returns how long the next call may wait; the first backoff after a long call fits in.
+// remaining returns how long the next call may be delayed: until nextAttemptBy, but always long enough for the first
+// backoff after a long call.
 func (a *discoveryState) remaining() time.Duration {
 	return max(minPollBackoff*3/2, time.Until(a.nextAttemptBy))
 }
 
-// followDiscovery keeps the endpoint list up to date until the coordinator ends. Where the settings leave polling to
-// the balancer, each of its subscriptions lasts until a call fails, which is reported to it; elsewhere failures are
-// followed by a random exponential backoff. When discovery has moved, the complete list is polled at the new address
-// at once, under the subscription that there was, and backoffs begin again. In both modes the next call begins soon
-// enough that a missed change counts as known in time.
+// followDiscovery keeps the endpoint list up to date until the coordinator ends. If the settings leave polling to the
+// balancer, each of its subscriptions lasts until a call fails, and the failure is reported to it; otherwise a random
+// exponential backoff follows each failure. When the address of discovery changes, the complete list is polled at the
+// new address at once, under the existing subscription, and backoffs restart. In both modes the next call begins
+// soon enough to learn of a missed change in time.
 func (loop *eventLoop) followDiscovery() error {
 	follower := &discoveryFollower{
 		loop: loop, isSubscribed: loop.plan.Settings["Discovery"] == "subscribe",
 		random: rand.New(rand.NewSource(loop.plan.Seed)), backoff: minPollBackoff,
-		// A coordinator that knows no host asks for the complete list, which is answered at once: a watch call may wait
-		// for long, and nothing is served until a silent one has failed.
+		// A coordinator that knows no host polls for the complete list, which is answered at once. A call for changes
+		// may wait long, and if it got no answer, nothing would be served until it timed out.
 		state: discoveryState{
 			addr: loop.plan.Discovery, version: loop.plan.Known.Version, needsFullList: len(loop.plan.Known.Hosts) == 0,
 			nextAttemptBy: time.Now().Add(maxPollDelay),
@@ -83,19 +84,19 @@
 	}
 }
 
-// discoveryFollower is the state of followDiscovery, between one series of calls and the next.
+// discoveryFollower is the state that followDiscovery keeps between one series of calls and the next.
 type discoveryFollower struct {
 	loop         *eventLoop
 	state        discoveryState
 	random       *rand.Rand
-	isSubscribed bool // polling is left to the balancer
-	hasMoved     bool // discovery has another address since the last call
-	pollsAtOnce  bool
+	isSubscribed bool // the settings leave polling to the balancer
+	hasMoved     bool // the address of discovery has changed since the last call
+	pollsAtOnce  bool // the next call follows without a subscription or backoff
 	backoff      time.Duration
-	spread       time.Duration // over which the next call is spread
+	spread       time.Duration // the next call is delayed by a random part of it
 }
 
-// move follows discovery to another address.
+// move switches to a new address of discovery.
 func (f *discoveryFollower) move(addr string) {
 	f.state.addr, f.state.needsFullList, f.state.lastCallFailed = addr, true, false
 	if f.hasMoved, f.backoff = true, minPollBackoff; f.isSubscribed {
@@ -103,7 +104,7 @@
 	}
 }
 
-// resetBalancerBackoff commits changes that are none, after which the balancer's backoff begins again.
+// resetBalancerBackoff commits an empty change of the list, which makes the balancer restart its backoff.
 func (loop *eventLoop) resetBalancerBackoff(version float64) {
 	loop.submit(func() { loop.balancer.CommitEndpoints("Partial", int64(version)) })
 }
@@ -119,20 +120,21 @@
 	}
 }
 
-// awaitSubscription waits for the balancer's next subscription, but not for longer than a missed change may take: the
-// balancer's backoff does not count the time of a silent call.
+// awaitSubscription waits for the balancer's next subscription, but no longer than remaining allows: the balancer's
+// backoff does not count the time that an unanswered call took.
 func (f *discoveryFollower) awaitSubscription() {
-	late := time.NewTimer(f.state.remaining())
-	defer late.Stop()
+	limit := time.NewTimer(f.state.remaining())
+	defer limit.Stop()
 	select {
 	case <-f.loop.discovery.polls:
-	case <-late.C:
+	case <-limit.C:
 	case addr := <-f.loop.discovery.moves:
 		f.move(addr)
 	case <-f.loop.ctx.Done():
 	}
 }
 
+// wait waits for a time, or until discovery has moved.
 func (f *discoveryFollower) wait(d time.Duration) {
 	select {
 	case <-f.loop.Clock.After(d):
@@ -142,8 +144,8 @@
 	}
 }
 
-// watch makes calls until one fails, or until discovery has moved to another address; then err is of the
-// call that the move has ended.
+// watch makes calls until one fails or discovery moves to another address; in the latter case err comes from the call
+// that the move has cancelled.
 func (f *discoveryFollower) watch() (movedTo string, err error) {
 	failed := make(chan error, 1)
 	ctx, cancel := context.WithCancel(f.loop.ctx)
@@ -166,8 +168,8 @@
 	loop, state := f.loop, &f.state
 	loop.log.Warn("list_failed", "discovery", state.addr, "version", int64(state.version), "error", err)
 	f.spread = loop.lossSpread(err)
-	// The first call after a silent one follows at once: waiting on top of the silence would delay changes, which count
-	// as known soon. Calls of all coordinators fall silent one by one, so this does not gang up on discovery.
+	// The first call after a timeout follows at once: the timeout has already delayed changes that have to be known
+	// soon. The calls of several coordinators time out one by one, so they don't reach discovery all at once.
 	f.pollsAtOnce = isSilence(err) && !state.lastCallFailed
 	if state.lastCallFailed = true; state.answeredSinceFailure {
 		f.backoff = minPollBackoff
@@ -175,7 +177,7 @@
 	state.answeredSinceFailure = false
 	if f.isSubscribed {
 		select {
-		case <-loop.discovery.polls: // of an earlier subscription
+		case <-loop.discovery.polls: // left over from an earlier subscription
 		default:
 		}
 		loop.submit(func() { loop.balancer.CommitEndpoints("Error", 0) })
@@ -191,18 +193,19 @@
 	f.wait(delay)
 }
 
-// watchWait returns how long one call for changes may wait. It is bounded, since a silent connection shows only when
-// the call has failed, and grows with the number of coordinators, which together poll discovery at a fixed rate.
+// watchWait returns how long one call for changes may wait. It grows with the number of coordinators, so that all of
+// them together poll discovery at a fixed rate, and is bounded, since a silent connection is detected only when the
+// call times out.
 func (loop *eventLoop) watchWait() time.Duration {
 	return min(maxWatchWait, max(2*watchInterval, time.Duration(loop.plan.Number("Balancers")*float64(watchInterval))))
 }
 
-// isSilence says whether a call failed since no answer, or only a part of it, came in time.
+// isSilence says whether a call failed because no answer, or only a part of one, arrived in time.
 func isSilence(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // lossSpread returns the time over which the next calls of all coordinators are spread after a failure, since all may
-// have lost discovery at once. Silence is not spread: calls fall silent one by one, and what was missed meanwhile
-// counts as known soon.
+// have lost discovery at once. After a timeout there is no spread: calls time out one by one, and changes missed
+// meanwhile have to be known soon.
 func (loop *eventLoop) lossSpread(err error) time.Duration {
 	if isSilence(err) {
 		return 0
@@ -232,7 +235,7 @@
 	}
 }
 
-// discoveryWatch is a series of calls for changes.
+// discoveryWatch is a series of calls to discovery.
 type discoveryWatch struct {
 	loop           *eventLoop
 	state          *discoveryState
@@ -240,7 +243,7 @@
 	isSynchronized bool // the next call may begin together with those of other coordinators
 }
 
-// callRepeatedly makes calls on one connection, until one fails or discovery closes the connection.
+// callRepeatedly makes calls on one connection until one fails or discovery closes the connection.
 func (w *discoveryWatch) callRepeatedly(conn net.Conn) (err error) {
 	buffer := borrowBuffer()
 	defer returnBuffer(buffer)
@@ -275,7 +278,7 @@
 	hasChanges := state.version != before
 	w.isSynchronized = hasChanges
 	if err == nil && !full && !hasChanges && time.Since(started) < wait/2 {
-		err = errors.New("nothing new, and no wait") // a server that does not wait would be polled without pause
+		err = errors.New("answer without changes came before the wait was over") // a server that does not wait would be polled without pause
 	}
 	if err == nil {
 		w.recordSuccess(full, hasChanges)
@@ -289,17 +292,17 @@
 	switch {
 	case w.state.needsFullList:
 		return fullListTimeout
-	case w.state.lastCallFailed: // continued silence has to show soon
+	case w.state.lastCallFailed: // another timeout has to be noticed soon
 		return min(wait, 2*watchInterval)
 	case w.isSynchronized && wait > 2*watchInterval:
-		// One change ends the calls of all coordinators: the next ones end, or fall silent, one by one.
+		// A change ends the calls of all coordinators at once: random waits make the next ones end, or time out, one by one.
 		wait -= time.Duration(w.random.Int63n(int64(wait / 2)))
 	}
 	return wait
 }
 
-// recordSuccess records an answered call. The balancer learns of lists alone: where this one was none for it, its
-// backoff is reset.
+// recordSuccess records an answered call. The balancer restarts its backoff when a list is committed; if this answer
+// may not lead to a commit, the backoff is reset explicitly.
 func (w *discoveryWatch) recordSuccess(full, hasChanges bool) {
 	w.state.answeredSinceFailure, w.state.needsFullList = true, false
 	if w.state.lastCallFailed && (!hasChanges && !full || w.loop.sources != nil) {
@@ -308,14 +311,14 @@
 	w.state.lastCallFailed = false
 }
 
-// errVersionsRestarted is an answer that is older than the list in force. The complete list is polled next, whatever
-// its version: discovery may have lost its versions, and the list would stay as it is until they had caught up. An
-// answer that is merely late costs a call for the complete list.
-var errVersionsRestarted = errors.New("versions may have begun again")
+// errVersionsRestarted reports an answer that is older than the current list. The complete list is polled next and
+// accepted whatever its version: discovery may have lost its versions, and changes would be ignored until its versions
+// had caught up. An answer that was merely late costs one call for the complete list.
+var errVersionsRestarted = errors.New("discovery may have restarted its versions")
 
-// handleListAnswer applies one answer. One that is older than the list in force, or malformed, leaves the list as it
-// is. The first from a new address counts whatever its version, since versions may have restarted there.
-func (loop *eventLoop) handleListAnswer(body []byte, anew bool, version *float64) error {
+// handleListAnswer applies one answer. A malformed answer, or one older than the current list, leaves the list
+// unchanged. If versionReset is set, the answer has to be a complete list and counts whatever its version.
+func (loop *eventLoop) handleListAnswer(body []byte, versionReset bool, version *float64) error {
 	object, err := plan.DecodeObject(body)
 	if err != nil {
 		return err
@@ -326,13 +329,13 @@
 	}
 	received, full := list.Version, list.Full
 	switch {
-	case anew && !full:
-		return errors.New("changes in place of the whole list")
+	case versionReset && !full:
+		return errors.New("got changes, expected the complete list")
 	case received < *version && full && len(list.Hosts) == 0: // discovery has just started and knows no host yet
-		return fmt.Errorf("version %.0f after %.0f, and no hosts", received, *version)
-	case anew:
+		return fmt.Errorf("got an empty list of version %.0f, older than version %.0f", received, *version)
+	case versionReset:
 	case received < *version:
-		return fmt.Errorf("version %.0f after %.0f: %w", received, *version, errVersionsRestarted)
+		return fmt.Errorf("got version %.0f, older than version %.0f: %w", received, *version, errVersionsRestarted)
 	case received == *version:
 		return nil
 	}
@@ -341,7 +344,7 @@
 		how = "Complete"
 	}
 	if loop.sources != nil {
-		err := loop.sources.applyDiscovery(newEndpointUpdate("discovery", endpoints.RankDiscovery, int64(received), full, anew, list.Hosts))
+		err := loop.sources.applyDiscovery(newEndpointUpdate("discovery", endpoints.RankDiscovery, int64(received), full, versionReset, list.Hosts))
 		if err == nil {
 			*version = received
 		}
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -31,7 +31,7 @@
 		Options: Options{Dial: (&net.Dialer{}).DialContext},
 	}
 	list.Responses <- `{"version":0,"full":true,"servers":[]}`
-	require.ErrorContains(t, loop.watchDiscovery(loop.ctx, &discoveryState{addr: loop.plan.Discovery}, nil), "nothing new")
+	require.ErrorContains(t, loop.watchDiscovery(loop.ctx, &discoveryState{addr: loop.plan.Discovery}, nil), "answer without changes came before the wait was over")
 	require.Equal(t, "/v1/servers?index=0&wait=2000", <-list.Targets)
 	close(list.Responses)
 }
--- a/coordinator/endpoint_list.go
+++ b/coordinator/endpoint_list.go
@@ -8,12 +8,12 @@
 	"chalkring/endpoints"
 )
 
-// moduleStates are the balancer's names for the states of hosts.
-var moduleStates = map[endpoints.State]string{
+// balancerStates are the balancer's names for the states of hosts.
+var balancerStates = map[endpoints.State]string{
 	endpoints.StateUp: "healthy", endpoints.StateDraining: "cordoned", endpoints.StateRemoved: "deregistered",
 }
 
-// applyEndpointList puts a list, or changes of it, into force; how is Complete, Partial or Persisted.
+// applyEndpointList makes a list, or changes to it, the current list; how is Complete, Partial or Persisted.
 func (loop *eventLoop) applyEndpointList(how string, list plan.EndpointList) {
 	present := map[string]bool{}
 	steps := make([]func(), 0, len(list.Hosts))
@@ -22,15 +22,15 @@
 		present[host.ID] = !host.Removed
 		steps = append(steps, func() {
 			loop.placeReplica(host.ID, host.Addr, host.Kind, host.StartedTicks, host.Removed, host.State == endpoints.StateDraining)
-			loop.balancer.AddEndpoint(host.ID, zone, kind, host.Cell, moduleStates[host.State], host.ListedWeight, host.StartedTicks)
+			loop.balancer.AddEndpoint(host.ID, zone, kind, host.Cell, balancerStates[host.State], host.ListedWeight, host.StartedTicks)
 		})
 	}
-	loop.putListInForce(how, int64(list.Version), list.Hosts, present, steps)
+	loop.commitEndpointList(how, int64(list.Version), list.Hosts, present, steps)
 }
 
-// putListInForce applies a list or changes in one iteration: steps add its hosts, and hosts that are not present leave
-// unless how is Partial.
-func (loop *eventLoop) putListInForce(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
+// commitEndpointList applies a list or changes in one iteration: steps add its hosts, and hosts that are not present
+// are removed unless how is Partial.
+func (loop *eventLoop) commitEndpointList(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
 	for _, step := range steps {
 		step()
 	}
@@ -51,7 +51,8 @@
 	loop.log.Info("list", "how", how, "version", version, "entries", len(hosts))
 }
 
-// notifyEndpointList passes a list or changes to those that keep what they need of it beside the event loop.
+// notifyEndpointList passes a list or changes to the components outside the event loop that keep their own copy of
+// what they need from it.
 func (loop *eventLoop) notifyEndpointList(full bool, version int64, hosts []plan.ListedHost) {
 	if loop.peers != nil {
 		loop.peers.updateHosts(full, version, hosts)
@@ -61,7 +62,7 @@
 	}
 }
 
-// settingPosition returns the position of a name in a list of the settings; a name that is not there comes after all.
+// settingPosition returns the position of a name in a list setting; the length of the list if the name is not in it.
 func (loop *eventLoop) settingPosition(list, name string) int {
 	names := loop.plan.List(list)
 	if i := slices.Index(names, settings.FormatValue(name)); i >= 0 {
--- a/coordinator/endpoint_sources.go
+++ b/coordinator/endpoint_sources.go
@@ -9,41 +9,41 @@
 	"chalkring/endpoints"
 )
 
-// endpointSources makes one endpoint list of those of discovery, the plan and an installation's other sources. Its
-// goroutine owns the registry, so that the event loop gets each list complete and in one task: no search sees parts of
-// two.
+// endpointSources merges the endpoint lists of discovery, the plan and an installation's other sources into one. Its
+// goroutine owns the registry and hands each merged list to the event loop as a single task, so that no search sees
+// parts of two lists.
 type endpointSources struct {
 	loop             *eventLoop
 	registry         *endpoints.Registry
-	discoveryUpdates chan discoveryUpdate    // from discovery
-	updates          <-chan endpoints.Update // from other sources
-	loggedHolds      map[string]string       // reasons for lists held back, as last logged
+	discoveryUpdates chan discoveryUpdate
+	updates          <-chan endpoints.Update // from sources other than discovery
+	loggedHolds      map[string]string       // by source, the last logged reason why its list is held back
 }
 
-// discoveryUpdate is a list from discovery; result receives why it was refused, or nil.
+// discoveryUpdate is a list from discovery; result receives the reason it was refused, or nil if it was accepted.
 type discoveryUpdate struct {
 	endpoints.Update
 	result chan error
 }
 
-// newEndpointSources begins with the plan's list.
-func newEndpointSources(loop *eventLoop, more <-chan endpoints.Update, version int64, known []plan.ListedHost) *endpointSources {
-	m := &endpointSources{loop: loop, registry: endpoints.NewRegistry(loop.plan.EndpointRules()), discoveryUpdates: make(chan discoveryUpdate), updates: more, loggedHolds: map[string]string{}}
+// newEndpointSources returns sources that start with the plan's list.
+func newEndpointSources(loop *eventLoop, updates <-chan endpoints.Update, version int64, known []plan.ListedHost) *endpointSources {
+	m := &endpointSources{loop: loop, registry: endpoints.NewRegistry(loop.plan.EndpointRules()), discoveryUpdates: make(chan discoveryUpdate), updates: updates, loggedHolds: map[string]string{}}
 	_, _ = m.apply(newEndpointUpdate("plan", endpoints.RankPlan, version, true, false, known)) // apply logs a refusal
 	return m
 }
 
-// newEndpointUpdate returns a list in the registry's form.
-func newEndpointUpdate(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []plan.ListedHost) endpoints.Update {
-	update := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
+// newEndpointUpdate converts a list to the registry's form.
+func newEndpointUpdate(source string, rank endpoints.Rank, version int64, full, versionReset bool, hosts []plan.ListedHost) endpoints.Update {
+	update := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: versionReset}
 	for _, host := range hosts {
 		update.Hosts = append(update.Hosts, host.Host)
 	}
 	return update
 }
 
-// applyDiscovery hands discovery's list on and returns why it was refused. Its version counts as known only if it was
-// not: discovery does not send the changes again.
+// applyDiscovery applies a list from discovery and returns why it was refused, or nil. The caller records its version
+// as known only if it was accepted, since discovery does not send the same changes again.
 func (m *endpointSources) applyDiscovery(update endpoints.Update) error {
 	pending := discoveryUpdate{update, make(chan error, 1)}
 	select {
@@ -90,7 +90,7 @@
 	}
 }
 
-// apply hands a list to the registry, and logs it where it is refused or held back.
+// apply hands a list to the registry, and logs a refusal or a list that is held back.
 func (m *endpointSources) apply(update endpoints.Update) (changed bool, err error) {
 	for i := range update.Hosts {
 		update.Hosts[i].Zone, update.Hosts[i].Kind = settings.FormatValue(update.Hosts[i].Zone), settings.FormatValue(update.Hosts[i].Kind)
@@ -113,7 +113,8 @@
 	return changed, nil
 }
 
-// publish puts the registry's list into force, in one task; false once the coordinator has ended.
+// publish makes the registry's list the current one, in one task of the event loop. It returns false once the
+// coordinator has ended.
 func (m *endpointSources) publish() bool {
 	loop, generation := m.loop, m.registry.Generation()
 	var hosts []plan.ListedHost
@@ -136,7 +137,7 @@
 		loop.Persistence.recordList(list, m.registry.Removals(loop.clockTicks()))
 		loop.recordEvent("list", fmt.Sprintf("generation %d, %d hosts", generation, len(hosts)))
 	}
-	ok := loop.submit(func() { loop.putListInForce("Complete", generation, hosts, present, steps) })
+	ok := loop.submit(func() { loop.commitEndpointList("Complete", generation, hosts, present, steps) })
 	loop.notifyEndpointList(true, generation, hosts)
 	return ok
 }
--- a/coordinator/peer_reports.go
+++ b/coordinator/peer_reports.go
@@ -11,7 +11,8 @@
 	"chalkring/internal/scheduler"
 )
 
-// importReports combines all reports and imports the result into the balancer, chunk by chunk.
+// importReports combines all reports and imports the result into the balancer, chunk by chunk. It returns the number
+// of hosts in the combined report.
 func (l *peerExchange) importReports() (hosts int) {
 	l.importMu.Lock()
 	defer l.importMu.Unlock()
@@ -21,10 +22,10 @@
 		return ms, listed
 	})
 	l.mu.Unlock()
-	for part := range slices.Chunk(combined, peerreport.MaxChunkObservations) {
+	for chunk := range slices.Chunk(combined, peerreport.MaxChunkObservations) {
 		if l.runInLoop(func() {
-			for _, h := range part {
-				l.loop.balancer.ImportObservation(h)
+			for _, observation := range chunk {
+				l.loop.balancer.ImportObservation(observation)
 			}
 		}) != nil {
 			break
@@ -47,29 +48,29 @@
 	}
 }
 
-// updateHosts applies a list or changes of it. Reports about a host that has left or changed its address are about
-// another machine.
+// updateHosts applies a list or changes to it. Reports about a host that was removed or has a new address concern
+// another machine and are invalidated.
 func (l *peerExchange) updateHosts(full bool, version int64, hosts []plan.ListedHost) {
 	l.mu.Lock()
-	now, moved := l.loop.clockTicks(), false
+	now, changed := l.loop.clockTicks(), false
 	present := map[string]bool{}
-	move := func(hostID string) {
+	invalidate := func(hostID string) {
 		l.reports.InvalidateHost(now, hostID)
-		moved = true
+		changed = true
 	}
 	for _, host := range hosts {
 		old, known := l.addrs[host.ID]
 		if present[host.ID] = !host.Removed; host.Removed {
 			delete(l.startedMS, host.ID)
 			if delete(l.addrs, host.ID); known {
-				move(host.ID)
+				invalidate(host.ID)
 			}
 			continue
 		}
 		if known && old != host.Addr {
-			move(host.ID)
+			invalidate(host.ID)
 		}
-		moved = moved || !known || l.startedMS[host.ID] != host.StartedMS
+		changed = changed || !known || l.startedMS[host.ID] != host.StartedMS
 		l.startedMS[host.ID], l.addrs[host.ID] = host.StartedMS, host.Addr
 	}
 	if full {
@@ -77,19 +78,19 @@
 			if !present[hostID] {
 				delete(l.startedMS, hostID)
 				delete(l.addrs, hostID)
-				move(hostID)
+				invalidate(hostID)
 			}
 		}
 	}
-	feed := moved && l.reports.ReportCount() > 0
+	needsImport := changed && l.reports.ReportCount() > 0
 	l.mu.Unlock()
 	l.listVersion.Store(version)
-	if feed {
+	if needsImport {
 		l.loop.group.Go(func() error { l.importReports(); return nil })
 	}
 }
 
-// admit says whether a peer may poll now, or after how long. It is the peer server's Admit.
+// admit says whether a peer may poll now, and otherwise how long it has to wait. It is the peer server's Admit.
 func (l *peerExchange) admit(name string) (ok bool, later time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,14 +98,15 @@
 	return ok, time.Duration(wait) * tick
 }
 
-// release ends a peer's poll. It is the peer server's Release.
+// release records that a peer's poll has ended. It is the peer server's Release.
 func (l *peerExchange) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.admission.Release()
 }
 
-// currentReport returns a fresh snapshot, or takes one; peers that poll meanwhile wait for it and share it.
+// currentReport returns the last snapshot if it is fresh, and otherwise takes one; peers that poll meanwhile wait for
+// it and share it. It is the peer server's BuildReport.
 func (l *peerExchange) currentReport(ctx context.Context) (peerreport.ReportHeader, []peerreport.Observation, error) {
 	l.snapshotMu.Lock()
 	defer l.snapshotMu.Unlock()
@@ -119,8 +121,8 @@
 	return l.snapshot.HeaderAt(l.loop.clockTicks()), l.snapshot.Observations, nil
 }
 
-// takeSnapshot exports the balancer's observations, one chunk an iteration, and once more if the endpoint list changed
-// meanwhile.
+// takeSnapshot exports the balancer's observations, one chunk per iteration of the event loop. If the endpoint list
+// changed meanwhile, it starts over as often as the admission allows.
 func (l *peerExchange) takeSnapshot(ctx context.Context) error {
 	l.snapshotSerial++
 	for {
@@ -139,19 +141,20 @@
 			}
 		}
 		l.mu.Lock()
-		again := builder.ListChanged(l.listVersion.Load()) && l.admission.AllowSnapshotRetake()
-		if !again {
+		retake := builder.ListChanged(l.listVersion.Load()) && l.admission.AllowSnapshotRetake()
+		if !retake {
 			l.admission.RecordSnapshot(l.loop.clockTicks() - builder.AgeAt(l.loop.clockTicks()))
 		}
 		l.mu.Unlock()
-		if !again {
+		if !retake {
 			l.snapshot = builder
 			return nil
 		}
 	}
 }
 
-// spendAnswerBudget takes an answer's bytes and time from the budget of answers.
+// spendAnswerBudget charges an answer's bytes and CPU time to the budget for answers. It is the peer server's
+// SpendBudget.
 func (l *peerExchange) spendAnswerBudget(ctx context.Context, bytes int, cpu time.Duration) error {
 	done := make(chan error, 1)
 	_, err := l.pool.Add(scheduler.Job{Name: "answer", Kind: answerJobKind, Priority: scheduler.PriorityNormal, MaxFailures: 1},
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	loadSampleInterval = 100 * time.Millisecond // between samples of the load: several within the memory of the schedule
-	pollJobTimeout     = 12 * time.Second       // for a poll to start and end: a little over the peer's own bound
+	loadSampleInterval = 100 * time.Millisecond // between load samples: the scheduler averages over several of them
+	pollJobTimeout     = 12 * time.Second       // for a poll to start and end: a little over the peer's own limit
 	pollJobKind        = "ask"
 	pollJobPrefix      = "ask "
 	answerJobKind      = "answer"
 )
 
-// PeerOptions is what an installation sets for the exchange of observations between coordinators.
+// PeerOptions configures the exchange of observations between coordinators.
 type PeerOptions struct {
 	Name, Location  string
-	Listener        net.Listener // on which peers poll this coordinator; nil to answer nobody
+	Listener        net.Listener // on which peers poll this coordinator; nil to answer no polls
 	PollTargets     []PeerAddress
 	AllowedPeers    []string
 	Keys            *peerprotocol.Credentials // nil for plain TCP
@@ -40,8 +40,8 @@
 // PeerAddress is a peer's name and the address on which it answers.
 type PeerAddress struct{ Name, Addr string }
 
-// peerExchange exchanges observations of replicas with other coordinators. The event loop never waits for it: it
-// exports and imports observations through the event loop's tasks, a small chunk at a time.
+// peerExchange exchanges observations of replicas with other coordinators. The event loop never waits for it:
+// observations are exported and imported by tasks of the event loop, a small chunk at a time.
 type peerExchange struct {
 	loop       *eventLoop
 	options    *PeerOptions
@@ -54,14 +54,14 @@
 	reports        *peerreport.ReportStore
 	poller         *peerreport.Poller
 	admission      *peerreport.Admission
-	startedMS      map[string]int64 // of each listed host
-	addrs          map[string]string
-	snapshotMu     sync.Mutex // one snapshot at a time, shared by all peers that poll
+	startedMS      map[string]int64  // start of each listed host, by host ID
+	addrs          map[string]string // address of each listed host, by host ID
+	snapshotMu     sync.Mutex        // one snapshot at a time, shared by all peers that poll
 	snapshot       *peerreport.ReportBuilder
 	snapshotSerial uint64
 	load           float64
 
-	listVersion atomic.Int64 // of the list in force
+	listVersion atomic.Int64 // of the current endpoint list
 	importMu    sync.Mutex   // one import into the balancer at a time
 }
 
@@ -84,9 +84,9 @@
 	exchange.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(options.RefreshInterval/tick), names)
 	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), options.Budgets)
 	exchange.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
-		loop.log.warnLimited("job", "job_given_up", "job", job, "error", err)
+		loop.log.warnLimited("job", "job_failed", "job", job, "error", err)
 		if name, isPoll := strings.CutPrefix(job, pollJobPrefix); isPoll {
-			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not wait
+			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // not here: the pool must not block
 		}
 	})
 	return exchange
@@ -112,8 +112,8 @@
 	loop.group.Go(func() error { return server.Serve(loop.ctx, l.options.Listener) })
 }
 
-// sampleLoad measures the event loop's load, by which background work waits and polls of peers are deferred. A timer
-// that fires late shows a machine that is busy beside the event loop.
+// sampleLoad measures the event loop's load, which delays background jobs and defers polls from peers. A timer that
+// fires late indicates that the machine is busy with work outside the event loop.
 func (l *peerExchange) sampleLoad() error {
 	before, busy := time.Now(), l.loop.busyNanos.Load()
 	for {
@@ -122,15 +122,15 @@
 		case <-l.loop.ctx.Done():
 			return nil
 		}
-		now, turned := time.Now(), l.loop.busyNanos.Load()
-		share := float64(turned-busy) / float64(max(1, now.Sub(before)))
+		now, busyNow := time.Now(), l.loop.busyNanos.Load()
+		load := float64(busyNow-busy) / float64(max(1, now.Sub(before)))
 		late := float64(now.Sub(before)-loadSampleInterval) / float64(now.Sub(before))
-		before, busy = now, turned
-		share = min(1, max(share, late, float64(len(l.loop.tasks))/maxQueuedTasks))
-		l.pool.RecordLoad(share)
+		before, busy = now, busyNow
+		load = min(1, max(load, late, float64(len(l.loop.tasks))/maxQueuedTasks))
+		l.pool.RecordLoad(load)
 		l.mu.Lock()
-		l.load = share
-		l.admission.SetLoad(share)
+		l.load = load
+		l.admission.SetLoad(load)
 		l.reports.ExpireReports(l.loop.clockTicks())
 		l.mu.Unlock()
 	}
@@ -146,12 +146,12 @@
 		}
 		next := l.poller.NextPollAt(now)
 		l.mu.Unlock()
-		var alarm <-chan time.Time
+		var due <-chan time.Time
 		if next > 0 {
-			alarm = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
+			due = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
 		}
 		select {
-		case <-alarm:
+		case <-due:
 		case <-l.wakePoller:
 		case <-l.loop.ctx.Done():
 			return nil
@@ -165,10 +165,10 @@
 	peer := l.options.PollTargets[i]
 	job := scheduler.Job{Name: pollJobPrefix + name, Kind: pollJobKind, Priority: scheduler.PriorityUrgent, MaxFailures: 1, Deadline: int64(pollJobTimeout / tick)}
 	_, err := l.pool.Add(job, func(ctx context.Context, allowance *scheduler.Allowance) error {
-		how, later, err := l.pollPeer(ctx, peer, allowance)
+		outcome, retryAfter, err := l.pollPeer(ctx, peer, allowance)
 		began := time.Now()
-		l.handlePollEnd(peer.Name, how, later, err)
-		_ = allowance.Spend(ctx, 0, time.Since(began)) // the poll has ended; combining reports is charged to the poll's budget
+		l.handlePollEnd(peer.Name, outcome, retryAfter, err)
+		_ = allowance.Spend(ctx, 0, time.Since(began)) // charges the time for combining reports to the poll's budget, though the poll has ended
 		return nil
 	})
 	if err != nil {
@@ -178,33 +178,33 @@
 
 // pollPeer fetches one peer's report.
 func (l *peerExchange) pollPeer(ctx context.Context, peer PeerAddress, allowance *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
-	asked := l.loop.clockTicks()
+	polledAt := l.loop.clockTicks()
 	client := peerprotocol.Client{
 		PeerName: peer.Name, Addr: peer.Addr, LocalName: l.options.Name, InstanceID: l.instanceID, Dial: l.loop.Dial, Credentials: l.options.Keys,
 		OnHeader: func(header peerreport.ReportHeader) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.reports.BeginReport(asked, header)
+			return l.reports.BeginReport(polledAt, header)
 		},
-		OnObservations: func(notes []peerreport.Observation) error {
+		OnObservations: func(observations []peerreport.Observation) error {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.reports.AddObservations(peer.Name, notes)
+			return l.reports.AddObservations(peer.Name, observations)
 		},
 		SpendBudget: allowance.Spend,
 	}
 	return client.FetchReport(ctx)
 }
 
-// handlePollEnd records how a poll ended and imports a complete report.
-func (l *peerExchange) handlePollEnd(name string, how peerreport.Outcome, later time.Duration, err error) {
+// handlePollEnd records how a poll ended and, if it brought a complete report, imports it.
+func (l *peerExchange) handlePollEnd(name string, outcome peerreport.Outcome, retryAfter time.Duration, err error) {
 	l.mu.Lock()
-	if how == peerreport.OutcomeReceived {
+	if outcome == peerreport.OutcomeReceived {
 		l.reports.CompleteReport(name)
 	} else {
 		l.reports.AbortReport(name)
 	}
-	l.poller.RecordOutcome(l.loop.clockTicks(), name, how, int64(later/tick))
+	l.poller.RecordOutcome(l.loop.clockTicks(), name, outcome, int64(retryAfter/tick))
 	l.mu.Unlock()
 	select {
 	case l.wakePoller <- struct{}{}:
@@ -212,14 +212,12 @@
 	}
 	switch {
 	case l.loop.ctx.Err() != nil:
-	case how == peerreport.OutcomeReceived:
+	case outcome == peerreport.OutcomeReceived:
 		hosts := l.importReports()
-		l.loop.log.Info("learned", "peer", name, "hosts", hosts)
-	case how == peerreport.OutcomeDeferred:
-		l.loop.log.warnLimited("peer_later", "peer_later", "peer", name, "wait", later)
+		l.loop.log.Info("observations_imported", "peer", name, "hosts", hosts)
+	case outcome == peerreport.OutcomeDeferred:
+		l.loop.log.warnLimited("peer_later", "peer_later", "peer", name, "wait", retryAfter)
 	default:
-		l.loop.log.warnLimited("peer "+how.String(), "peer_failed", "peer", name, "how", how, "error", err)
+		l.loop.log.warnLimited("peer "+outcome.String(), "peer_failed", "peer", name, "how", outcome, "error", err)
 	}
 }
-
-// admit, done, report, status and reply are what the peers' server is given.
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -61,7 +61,7 @@
 	require.True(t, a.isSuspected("a0"))
 	pb := peerOptionsNamed(t, "b", pa.at())
 	b := startWith(t, 256, nil, pb)
-	b.logged("event=learned peer=a")
+	b.logged("event=observations_imported peer=a")
 	b.connect().expect("q", "all", 200, completeAnswer)
 	status, err := (&peerprotocol.Client{Addr: pb.at().Addr, LocalName: "a", Dial: (&net.Dialer{}).DialContext}).FetchStatus(context.Background())
 	require.NoError(t, err)
@@ -99,8 +99,8 @@
 	pa, pb := peerOptionsNamed(t, "a"), peerOptionsNamed(t, "b")
 	pa.PollTargets, pb.PollTargets = []PeerAddress{pb.at()}, []PeerAddress{pa.at()}
 	a, b := startWith(t, 256, nil, pa), startWith(t, 256, nil, pb)
-	a.logged("event=learned peer=b")
-	b.logged("event=learned peer=a")
+	a.logged("event=observations_imported peer=b")
+	b.logged("event=observations_imported peer=a")
 	for i := range 20 {
 		a.connect().expect(fmt.Sprint("x", i), "all", 200, completeAnswer)
 		b.connect().expect(fmt.Sprint("y", i), "some", 200, "")
@@ -113,7 +113,7 @@
 		c.connect().expect(fmt.Sprint("z", i), "all", 200, completeAnswer)
 	}
 	c.logged("how=Partial version=15")
-	c.logged("event=learned")
+	c.logged("event=observations_imported")
 	c.shutDown()
 	a.shutDown()
 	b.shutDown()
@@ -168,7 +168,7 @@
 	go func() { served <- server.Serve(ctx, ln) }()
 	options := peerOptionsNamed(t, "a", PeerAddress{"b", ln.Addr().String()})
 	r := startWith(t, 256, nil, options)
-	r.logged("event=learned peer=b hosts=1")
+	r.logged("event=observations_imported peer=b hosts=1")
 	cancel()
 	require.NoError(t, <-served)
 	exchange := r.loop.peers
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -20,17 +20,17 @@
 	"chalkring/storage/store"
 )
 
-// Times, limits and keys of what is kept on disk.
+// Job name, times and limits of writes to the store, and its buckets and keys.
 const (
 	persistJobKind      = "keep"                 // of the background job
-	persistInterval     = 2 * time.Second        // between two writes: observations are of use for half a minute
-	firstPersistDelay   = 5 * time.Second        // before the first: a run that ends sooner keeps what an earlier one stored
-	listRewriteInterval = time.Hour              // after which an unchanged list is written again, with its age
+	persistInterval     = 2 * time.Second        // between two writes: observations stay useful for half a minute
+	firstPersistDelay   = 5 * time.Second        // before the first write: a run that ends sooner leaves the state of an earlier run
+	listRewriteInterval = time.Hour              // after which an unchanged list is written again, with a new time
 	persistTimeout      = 30 * time.Second       // for one write: a slow disk takes 5 s, a stuck one longer than this
 	lastPersistTimeout  = 400 * time.Millisecond // for the last write: within the time in which requests are still served
-	storeRetryInterval  = 2 * time.Second        // between attempts to open a store that another process has, such as an earlier one that ends
-	storeCloseTimeout   = 200 * time.Millisecond // for the store to be closed: the end of the process closes it too
-	maxPendingEvents    = 256                    // events that wait to be written; more are counted and dropped
+	storeRetryInterval  = 2 * time.Second        // between attempts to open a store that another process holds, such as a predecessor that is ending
+	storeCloseTimeout   = 200 * time.Millisecond // for closing the store: the end of the process closes it in any case
+	maxPendingEvents    = 256                    // events waiting to be written; more are counted and dropped
 	stateBucket         = "kept"
 	eventBucket         = "events"
 	startsKey           = "starts"
@@ -39,19 +39,19 @@
 	identityKey         = "whose"
 )
 
-// Persistence keeps on disk what a restart can use: the endpoint list in force, observations of hosts, starts and
-// events. Nothing waits for it: it opens its store beside the start, what it restores arrives as one more source of
-// the list and one more peer's report, and background jobs write.
+// Persistence stores what a restart can use: the current endpoint list, observations of hosts, starts and events.
+// Nothing waits for it: the store is opened in the background, restored state arrives as one more source of endpoint
+// lists and one more peer report, and a background job writes.
 type Persistence struct {
 	path        string
-	exclusive   bool             // nothing else is kept in the store
+	exclusive   bool             // nothing else is stored there, so a crash loop may discard the whole store
 	budget      scheduler.Budget // of its writes
 	planVersion int64            // of the plan's endpoint list
 	identity    string           // of the deployment, as Plan.Identity returns it
 	clock       Clock
 	log         *asyncLogger
 	stopLog     context.CancelFunc
-	stopOpening context.CancelFunc // ends the retries of opening
+	stopOpening context.CancelFunc // ends the attempts to open the store
 	logWriter   sync.WaitGroup
 	opened      chan struct{} // closed once store and restored, or err, are set
 
@@ -60,7 +60,7 @@
 	restored recovery.Restored
 	events   *store.EventLog
 
-	currentList      atomic.Pointer[recovery.EndpointList] // in force; SavedAt is when it came into force
+	currentList      atomic.Pointer[recovery.EndpointList] // SavedAt is when it became the current list
 	discoveryVersion atomic.Int64                          // newest version from discovery
 	writeSlot        chan struct{}                         // holds a token during a write
 	writtenList      *recovery.EndpointList                // as last written
@@ -70,19 +70,19 @@
 	closeOnce        sync.Once
 }
 
-// NewPersistence begins to open the store at path in the background. Close it once the coordinator has ended.
-// exclusive says that nothing else is kept in the store, so that a crash loop may put all of it aside.
-func NewPersistence(path string, alone bool, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
-	return newPersistence(path, alone, store.Options{}, budget, initial, clock, log)
+// NewPersistence starts to open the store at path in the background. The caller closes it once the coordinator has
+// ended. exclusive says that nothing else is stored there, so that a crash loop may put the whole store aside.
+func NewPersistence(path string, exclusive bool, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+	return newPersistence(path, exclusive, store.Options{}, budget, initial, clock, log)
 }
 
-// newPersistence is NewPersistence with the store's options.
-func newPersistence(path string, alone bool, options store.Options, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
+// newPersistence is NewPersistence with options for the store.
+func newPersistence(path string, exclusive bool, options store.Options, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	ctx, cancel := context.WithCancel(context.Background())
-	opening, enough := context.WithCancel(ctx)
+	opening, stopOpening := context.WithCancel(ctx)
 	persistence := &Persistence{
-		path: path, exclusive: alone, budget: budget, planVersion: int64(initial.Known.Version), identity: initial.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
-		stopLog: cancel, stopOpening: enough, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
+		path: path, exclusive: exclusive, budget: budget, planVersion: int64(initial.Known.Version), identity: initial.Identity(), clock: clock, log: newAsyncLogger(clock, log.Handler()),
+		stopLog: cancel, stopOpening: stopOpening, opened: make(chan struct{}), writeSlot: make(chan struct{}, 1),
 	}
 	persistence.discoveryVersion.Store(persistence.planVersion)
 	persistence.logWriter.Go(func() { _ = persistence.log.run(ctx) }) // never fails
@@ -108,21 +108,22 @@
 	return persistence
 }
 
-// open opens the store, records the start on disk, and only then restores what is there.
+// open opens the store, records the start on disk, and only then restores the stored state: if restoring it crashes
+// the process, the next starts detect a crash loop.
 func (k *Persistence) open(path string, options store.Options) error {
 	options.OnRecovery = func(err error) {
 		k.log.Warn("store_recovered", advice.LogAttrs(err)...)
 		k.RecordEvent("store", err.Error())
 	}
-	began := k.clock.Now()
+	startedAt := k.clock.Now()
 	opened, err := store.Open(path, options)
 	if err != nil {
 		return err
 	}
-	starts, level := readStored[recovery.StartRecord](k, opened, startsKey).RecordStart(began.UnixMilli(), k.exclusive)
+	starts, level := readStored[recovery.StartRecord](k, opened, startsKey).RecordStart(startedAt.UnixMilli(), k.exclusive)
 	if level > recovery.TrustAll {
 		k.log.Warn("crash_loop", "starts", len(starts.RecentStarts), "believes", level.String(),
-			"do", "Look in the log for why the earlier runs ended; a planned stop, or a minute without a start, ends the loop.")
+			"do", "Check the log for why the earlier runs ended. A planned stop, or a minute without another start, ends the crash loop.")
 		k.RecordEvent("crash_loop", fmt.Sprintf("%d starts within a minute, believes %s", len(starts.RecentStarts), level))
 	}
 	if level == recovery.TrustNothing {
@@ -138,18 +139,20 @@
 		return errors.Join(err, opened.Close(context.Background()))
 	}
 	k.store = opened
-	k.restore(began, level)
+	k.restore(startedAt, level)
 	return nil
 }
 
-// claim records this start and the deployment's identity in the store. A store that another deployment has written
-// holds another customer's hosts, which are removed. One without an identity is older than this check and counts as
-// this deployment's. After classes, tenants or zones change, a start knows only its plan.
+// claim records this start and the deployment's identity in the store. A store written by another deployment holds
+// another customer's hosts, which are removed. A store without an identity was written before identities were stored
+// and counts as this deployment's. Since classes, tenants and zones are part of the identity, the first start after
+// they change restores nothing and knows only its plan.
 func (k *Persistence) claim(opened *store.Store, starts recovery.StartRecord) error {
 	var removed []string
 	if writer := readStored[string](k, opened, identityKey); writer != "" && writer != k.identity {
-		k.log.Warn("state_discarded", "what", "list and notes", "why", "another name or other classes, tenants, zones or sets wrote them",
-			"do", "Give each deployment a store of its own; this one is written anew from now on.")
+		k.log.Warn("state_discarded", "what", "endpoint list and observations",
+			"why", "written by a coordinator with another name or with other classes, tenants, zones or sets",
+			"do", "Give each deployment its own store; this deployment overwrites this one from now on.")
 		removed = []string{listKey, observationsKey}
 	}
 	startsText, err := cbor.Marshal(starts)
@@ -165,8 +168,8 @@
 	return err
 }
 
-// restore reads what an earlier run has stored, as far as it is trusted.
-func (k *Persistence) restore(began time.Time, level recovery.TrustLevel) {
+// restore reads the state that an earlier run has stored, as far as the trust level allows.
+func (k *Persistence) restore(startedAt time.Time, level recovery.TrustLevel) {
 	var list *recovery.EndpointList
 	if stored := readStored[recovery.EndpointList](k, k.store, listKey); stored.SavedAt > 0 {
 		list = &stored
@@ -175,23 +178,23 @@
 	if stored := readStored[recovery.Observations](k, k.store, observationsKey); stored.SavedAt > 0 && stored.Validate() == nil {
 		observations = &stored
 	}
-	k.restored = recovery.Restore(began.UnixMilli(), level, k.planVersion, list, observations)
+	k.restored = recovery.Restore(startedAt.UnixMilli(), level, k.planVersion, list, observations)
 	for _, discarded := range k.restored.Discarded {
 		k.log.Info("state_discarded", "what", discarded.Item, "why", discarded.Reason)
 	}
-	hosts, known := 0, 0
+	hosts, observed := 0, 0
 	if k.restored.Update != nil {
 		hosts = len(k.restored.Update.Hosts)
 	}
 	if k.restored.Observations != nil {
-		known = len(k.restored.Observations.Entries)
+		observed = len(k.restored.Observations.Entries)
 	}
-	k.log.Info("store", "path", k.path, "believes", level.String(), "listed", hosts, "notes", known,
-		"took", k.clock.Now().Sub(began).Round(time.Millisecond))
-	k.RecordEvent("start", fmt.Sprintf("believes %s: %d hosts listed, notes of %d", level, hosts, known))
+	k.log.Info("store", "path", k.path, "believes", level.String(), "listed", hosts, "notes", observed,
+		"took", k.clock.Now().Sub(startedAt).Round(time.Millisecond))
+	k.RecordEvent("start", fmt.Sprintf("believes %s: %d hosts listed, notes of %d", level, hosts, observed))
 }
 
-// readStored reads one stored value; one that is missing or in another form is the zero value.
+// readStored reads one stored value; it returns the zero value if the value is missing or cannot be decoded.
 func readStored[T any](persistence *Persistence, s *store.Store, key string) (value T) {
 	text, found, err := s.Get(stateBucket, key)
 	if err == nil && found {
@@ -205,10 +208,11 @@
 	return value
 }
 
-// Path returns where the store is.
+// Path returns the path of the store.
 func (k *Persistence) Path() string { return k.path }
 
-// WaitForStore blocks until the store is open, or cannot be opened; while another process has it, until that lets go.
+// WaitForStore blocks until the store is open or cannot be opened. While another process holds the store, it blocks
+// until that process releases it.
 func (k *Persistence) WaitForStore(ctx context.Context) (*store.Store, error) {
 	select {
 	case <-k.opened:
@@ -218,9 +222,9 @@
 	}
 }
 
-// PrependStoredUpdate returns a channel with the stored endpoint list, followed by the lists of updates, which may be
-// nil. It ends with ctx.
-func (k *Persistence) PrependStoredUpdate(ctx context.Context, more <-chan endpoints.Update) <-chan endpoints.Update {
+// PrependStoredUpdate returns a channel that merges the stored endpoint list, sent once the store is open, with
+// updates, which may be nil. The channel is closed when ctx ends.
+func (k *Persistence) PrependStoredUpdate(ctx context.Context, updates <-chan endpoints.Update) <-chan endpoints.Update {
 	out := make(chan endpoints.Update)
 	go func() {
 		defer close(out)
@@ -233,9 +237,9 @@
 					continue
 				}
 				update = *k.restored.Update
-			case next, ok := <-more:
+			case next, ok := <-updates:
 				if !ok {
-					more = nil
+					updates = nil
 					continue
 				}
 				update = next
@@ -252,10 +256,11 @@
 	return out
 }
 
-// Close closes the store. It waits a little for a write that is in progress, and not for one that is stuck.
+// Close closes the store. It waits at most storeCloseTimeout for a write in progress, so that a stuck one does not
+// delay the end of the process.
 func (k *Persistence) Close() { k.closeOnce.Do(k.closeStore) }
 
-// closeStore does what Close does, once.
+// closeStore implements Close, which calls it once.
 func (k *Persistence) closeStore() {
 	k.stopOpening()
 	ctx, cancel := context.WithTimeout(context.Background(), storeCloseTimeout)
@@ -269,7 +274,7 @@
 	k.logWriter.Wait()
 }
 
-// withBudget returns an installation's peer options, or empty ones, with a budget for writes.
+// withBudget returns a copy of an installation's peer options, or empty ones, with a budget for writes.
 func (k *Persistence) withBudget(options *PeerOptions) *PeerOptions {
 	own := PeerOptions{}
 	if options != nil {
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -106,7 +106,7 @@
 	cold.logged("event=store ")
 	require.Equal(t, "a0 a1 b0 b1 ", cold.hostsInForce())
 	r = first.restartWithStore(path, store.Options{})
-	r.logged("event=learned peer=#store")
+	r.logged("event=observations_imported peer=#store")
 	r.eventually("b1 stays off", func() bool { return r.hostsInForce() == "a0 a1 b0 " })
 	known, unknown := r.attemptsOn("a0", 6), cold.attemptsOn("a0", 6)
 	require.Less(t, known, unknown)
@@ -243,7 +243,7 @@
 	r.attemptsOn("a0", 8)
 	require.Equal(t, before, one.parts(), "parts at the other deployment's hosts")
 	r.shutDown()
-	require.Contains(t, r.log.String(), `what="list and notes"`)
+	require.Contains(t, r.log.String(), `what="endpoint list and observations"`)
 	r = two.restartWithStore(path, store.Options{}) // and is its own from then on
 	r.logged("believes=all listed=0 notes=4")
 	r.shutDown()
--- a/coordinator/persistence_write.go
+++ b/coordinator/persistence_write.go
@@ -15,19 +15,19 @@
 	"chalkring/storage/store"
 )
 
-// RecordEvent records something for the journal without waiting. Any goroutine may call it.
-func (k *Persistence) RecordEvent(kind, words string) {
+// RecordEvent queues an event for the event log without waiting. Any goroutine may call it.
+func (k *Persistence) RecordEvent(kind, message string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.pendingEvents) >= maxPendingEvents {
 		k.droppedEvents++
 		return
 	}
-	k.pendingEvents = append(k.pendingEvents, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: words})
+	k.pendingEvents = append(k.pendingEvents, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: kind, Message: message})
 }
 
-// run starts the coordinator's side: stored observations are imported as a peer's report, then jobs write. stopping
-// ends at the start of a planned stop.
+// run imports stored observations as a peer report once the store is open, and then starts the background job that
+// writes. stopping ends when a planned stop begins; the last write follows.
 func (k *Persistence) run(loop *eventLoop, stopping context.Context) {
 	loop.group.Go(func() error {
 		if _, err := k.WaitForStore(loop.ctx); err != nil {
@@ -43,7 +43,7 @@
 			return k.write(ctx, loop, allowance, false)
 		})
 		if err != nil {
-			loop.log.Warn("job_given_up", "job", "keep", "error", err)
+			loop.log.Warn("job_failed", "job", "keep", "error", err)
 		}
 		select {
 		case <-stopping.Done():
@@ -58,13 +58,13 @@
 	})
 }
 
-// importStoredObservations imports what an earlier run knew of hosts, as one peer's report.
+// importStoredObservations imports the observations of an earlier run as the report of one peer.
 func (k *Persistence) importStoredObservations(loop *eventLoop, observations *recovery.Observations) {
 	exchange, header := loop.peers, observations.Head
-	since := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // the wall clock covers the time between two runs
+	age := int64(k.clock.Now().Sub(time.UnixMilli(observations.SavedAt)) / tick) // by the wall clock, which covers the time between two runs
 	header.Peer, header.Locality = recovery.PeerName, exchange.options.Location
 	exchange.mu.Lock()
-	err := exchange.reports.BeginReport(loop.clockTicks()-max(0, since), header)
+	err := exchange.reports.BeginReport(loop.clockTicks()-max(0, age), header)
 	if err == nil {
 		err = exchange.reports.AddObservations(header.Peer, observations.Entries)
 	}
@@ -78,16 +78,17 @@
 		loop.log.Info("state_discarded", "what", observationsKey, "why", err.Error())
 		return
 	}
-	loop.log.Info("learned", "peer", recovery.PeerName, "hosts", exchange.importReports())
+	loop.log.Info("observations_imported", "peer", recovery.PeerName, "hosts", exchange.importReports())
 }
 
-// recordList records the endpoint list in force.
-func (k *Persistence) recordList(list []endpoints.Endpoint, gone []endpoints.Removal) {
-	l := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.planVersion, k.discoveryVersion.Load(), list, gone)
-	k.currentList.Store(&l)
+// recordList sets the current endpoint list, which the next write stores.
+func (k *Persistence) recordList(hosts []endpoints.Endpoint, removals []endpoints.Removal) {
+	list := recovery.NewEndpointList(k.clock.Now().UnixMilli(), k.planVersion, k.discoveryVersion.Load(), hosts, removals)
+	k.currentList.Store(&list)
 }
 
-// write writes what has changed. The last write also records that the stop was planned.
+// write stores current observations, the endpoint list if it has changed, and pending events. The last write also
+// records that the stop was planned.
 func (k *Persistence) write(ctx context.Context, loop *eventLoop, allowance *scheduler.Allowance, last bool) (err error) {
 	select {
 	case k.writeSlot <- struct{}{}:
@@ -106,20 +107,20 @@
 		puts[key] = text
 		return err
 	}
-	head, all, err := exchange.currentReport(ctx)
+	header, observations, err := exchange.currentReport(ctx)
 	if err != nil {
 		return err
 	}
 	now := k.clock.Now()
-	err = put(observationsKey, recovery.Observations{SavedAt: now.UnixMilli(), Head: head, Entries: all})
+	err = put(observationsKey, recovery.Observations{SavedAt: now.UnixMilli(), Head: header, Entries: observations})
 	list := k.currentList.Load()
 	changed := list != nil && (list != k.writtenList || now.Sub(time.UnixMilli(list.SavedAt)) > listRewriteInterval)
 	if changed {
 		if list == k.writtenList {
-			own := *list
-			own.SavedAt = now.UnixMilli()
-			k.currentList.CompareAndSwap(list, &own)
-			list = &own
+			renewed := *list
+			renewed.SavedAt = now.UnixMilli()
+			k.currentList.CompareAndSwap(list, &renewed)
+			list = &renewed
 		}
 		err = errors.Join(err, put(listKey, list))
 	}
@@ -145,14 +146,14 @@
 	return k.flushEvents(ctx)
 }
 
-// flushEvents writes the pending events, which stay pending if it fails.
+// flushEvents writes the pending events, which stay pending if the write fails.
 func (k *Persistence) flushEvents(ctx context.Context) error {
 	k.mu.Lock()
-	events, left := k.pendingEvents, k.droppedEvents
+	events, dropped := k.pendingEvents, k.droppedEvents
 	k.pendingEvents, k.droppedEvents = nil, 0
 	k.mu.Unlock()
-	if left > 0 {
-		events = append(events, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: "left_out", Message: fmt.Sprint(left, " events")})
+	if dropped > 0 {
+		events = append(events, store.Event{UnixMs: k.clock.Now().UnixMilli(), Kind: "left_out", Message: fmt.Sprint(dropped, " events")})
 	}
 	if len(events) == 0 {
 		return nil
@@ -167,9 +168,9 @@
 	return err
 }
 
-// recordEvent records an event where there is persistence.
-func (loop *eventLoop) recordEvent(kind, words string) {
+// recordEvent queues an event for the event log if the coordinator has persistence.
+func (loop *eventLoop) recordEvent(kind, message string) {
 	if loop.Persistence != nil {
-		loop.Persistence.RecordEvent(kind, words)
+		loop.Persistence.RecordEvent(kind, message)
 	}
 }
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -4,8 +4,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// reload applies new plans: the address of discovery, the number of descriptors, and the memory of searches. All else
-// waits for a restart, since the balancer is configured once.
+// reload applies new plans: the address of discovery, the number of descriptors, and the memory for searches. All
+// other changes need a restart, since the balancer is configured only at the start.
 func (f *clientListener) reload(plans <-chan *plan.Plan) error {
 	loop := f.loop
 	for {
@@ -13,11 +13,11 @@
 		case next := <-plans:
 			loop.log.Info("reloaded", "discovery", next.Discovery, "sockets", next.MaxSockets, "memory_mb", next.MemoryMB,
 				"waits_for_restart", loop.plan.RestartDifferences(next))
-			room := clientDescriptors(next.MaxSockets)
+			maxConnections := clientDescriptors(next.MaxSockets)
 			if loop.searchAPI != nil {
-				room -= loop.searchAPI.MaxConnections
+				maxConnections -= loop.searchAPI.MaxConnections
 			}
-			f.limiter.resize(room)
+			f.limiter.resize(maxConnections)
 			loop.submit(func() { loop.descriptors.limit, loop.searches.memoryLimit = next.MaxSockets, next.SearchMemory() })
 			select {
 			case loop.discovery.moves <- next.Discovery:
