--- a/coordinator/discovery_delay_test.go
+++ b/coordinator/discovery_delay_test.go
@@ -10,50 +10,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A list at another address, after a reload at a bad moment, is in force within 4 s, also where the first call there
-// fails.
+// After a reload moves discovery to another address, at whatever moment, the list from there is current within 4 s,
+// even if the first call there fails. Guards against a backoff or a wait of the former address that delays the first
+// calls to the new one.
 func TestListDelayAfterDiscoveryMoves(t *testing.T) {
 	down := slices.Repeat([]string{"lost"}, 40)
 	for name, x := range map[string]struct {
-		old    []string // what the old place does
-		faults int      // of these that have come before the move
-		pause  time.Duration
-		next   []string
-		places []string
+		oldFaults []string      // of the first address
+		seen      int           // how many of these come before the move
+		pause     time.Duration // after them, until the move
+		newFaults []string      // of the second address
+		moves     []string      // addresses moved to
 	}{
-		"while the old place is down":                     {down, 8, 0, nil, []string{"second"}},
-		"so, and the first call falls silent":             {down, 8, 0, []string{"silent"}, []string{"second"}},
-		"so, a while after an attempt":                    {down, 8, 2500 * time.Millisecond, []string{"silent"}, []string{"second"}},
-		"while a wait is over soon":                       {down, 1, 300 * time.Millisecond, []string{"silent"}, []string{"second"}},
-		"so, and the first connect is unanswered":         {down, 8, 0, []string{"unanswered"}, []string{"second"}},
-		"so, and the first connect is refused":            {down, 8, 0, []string{"refused"}, []string{"second"}},
-		"under a silent call":                             {[]string{"silent"}, 1, 0, []string{"silent"}, []string{"second"}},
-		"there and back and there again":                  {down, 8, 0, []string{"silent"}, []string{"second", "first", "second"}},
-		"twice to one place":                              {nil, 0, time.Second, []string{"silent"}, []string{"second", "second"}},
-		"back to where another version of the list began": {nil, 0, time.Second, nil, []string{"first", "second"}},
+		"while the first address is down":               {down, 8, 0, nil, []string{"second"}},
+		"and the first call times out":                  {down, 8, 0, []string{"silent"}, []string{"second"}},
+		"and that 2.5 s after an attempt":               {down, 8, 2500 * time.Millisecond, []string{"silent"}, []string{"second"}},
+		"during the first, short backoff":               {down, 1, 300 * time.Millisecond, []string{"silent"}, []string{"second"}},
+		"and the first connect is unanswered":           {down, 8, 0, []string{"unanswered"}, []string{"second"}},
+		"and the first connect is refused":              {down, 8, 0, []string{"refused"}, []string{"second"}},
+		"during an unanswered call":                     {[]string{"silent"}, 1, 0, []string{"silent"}, []string{"second"}},
+		"there, back and there again":                   {down, 8, 0, []string{"silent"}, []string{"second", "first", "second"}},
+		"twice to the same address":                     {nil, 0, time.Second, []string{"silent"}, []string{"second", "second"}},
+		"to the current address and then to the second": {nil, 0, time.Second, nil, []string{"first", "second"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, by := range []string{"subscribe", "automatic"} {
 				for _, n := range []int{1, 300} {
 					for seed := range 3 {
 						synctest.Test(t, func(t *testing.T) {
-							old, next := newFakeDiscovery(x.old...), newFakeDiscovery(x.next...)
-							next.version = 0 // behind the old place's
+							old, next := newFakeDiscovery(x.oldFaults...), newFakeDiscovery(x.newFaults...)
+							next.version = 0 // behind the first address's
 							f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": old, "second": next}, func(s map[string]any) {
 								s["Discovery"], s["Balancers"] = by, n
 							}, nil)
 							defer f.stop()
-							f.until("some attempts", func() bool { return len(x.old)-old.left() >= x.faults })
+							f.until("some attempts", func() bool { return len(x.oldFaults)-old.left() >= x.seen })
 							time.Sleep(x.pause)
-							for _, place := range x.places {
-								f.move(place)
+							for _, addr := range x.moves {
+								f.move(addr)
 							}
-							hup := time.Now()
-							took := f.told("how=Complete version=0 ").Sub(hup)
-							require.LessOrEqual(t, took, 4*time.Second, "%s, %d co-ordinators, seed %d", by, n, seed)
-							changed := time.Now() // and the watch there works
+							movedAt := time.Now()
+							took := f.loggedAt("how=Complete version=0 ").Sub(movedAt)
+							require.LessOrEqual(t, took, 4*time.Second, "%s, %d coordinators, seed %d", by, n, seed)
+							changed := time.Now() // calls for changes work at the new address
 							next.setList(5, hosts("10.0.0.3:1"))
-							require.Less(t, f.told("version=5 ").Sub(changed), time.Second)
+							require.Less(t, f.loggedAt("version=5 ").Sub(changed), time.Second)
 						})
 					}
 				}
@@ -62,8 +63,9 @@
 	}
 }
 
-// After calls that fail in a row, with 1 and with 300 coordinators, a change that discovery had when the last call
-// began is in force within 6 s, or 2 s after that call's wait.
+// After a number of failed calls in a row, with 1 and with 300 coordinators, a change that discovery had when the last
+// of them began is applied within 6 s, or 2 s after the wait of that call. Guards against backoffs and spreads that
+// add up to more than that.
 func TestListDelayAfterFailures(t *testing.T) {
 	for _, fault := range []string{"silent", "half", "trickle", "unanswered", "refused", "lost", "503", "empty", "unreadable", "same"} {
 		for _, within := range []any{10_000.0, 60_000.0, nil} { // the settings' poll interval, which the balancer's backoff follows
@@ -85,14 +87,14 @@
 									}
 								}, nil)
 								defer f.stop()
-								f.until("all failures", func() bool { return d.left() == 0 })
+								f.until("all calls have failed", func() bool { return d.left() == 0 })
 								began, limit := d.attempts[len(d.attempts)-1], 6*time.Second
-								if wait := f.owner.watchWait(); len(faults) == 1 {
+								if wait := f.loop.watchWait(); len(faults) == 1 {
 									limit = max(limit, wait+2*time.Second)
 								}
 								d.setList(101, hosts("10.0.0.2:1"))
-								took := f.told("version=101").Sub(began)
-								require.LessOrEqual(t, took, limit, "%s, %d co-ordinators, %d in a row", by, n, times)
+								took := f.loggedAt("version=101").Sub(began)
+								require.LessOrEqual(t, took, limit, "%s, %d coordinators, %d in a row", by, n, times)
 								if limit == 6*time.Second {
 									worst[times] = max(worst[times], took)
 								}
--- a/coordinator/discovery_follower_test.go
+++ b/coordinator/discovery_follower_test.go
@@ -25,31 +25,31 @@
 	"chalkring/internal/http1"
 )
 
-// fakeNetwork is a network within a test's own time: who listens at a name is dialed there, anyone else refuses.
+// fakeNetwork is an in-memory network for tests with synthetic time. Addresses without a server refuse connections.
 type fakeNetwork struct {
-	mu    sync.Mutex
-	up    map[string]func(conn net.Conn)
-	wires []net.Conn
+	mu      sync.Mutex
+	servers map[string]func(conn net.Conn) // by address
+	conns   []net.Conn                     // both ends of all connections
 }
 
-// dial fails as a socket does: at once where connects are refused, or when ctx ends where none is answered.
+// dial connects to the server at addr, and fails like a refused connect if there is none.
 func (p *fakeNetwork) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	p.mu.Lock()
-	serve := p.up[addr]
+	serve := p.servers[addr]
 	p.mu.Unlock()
 	if serve == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
 	near, far := net.Pipe()
 	p.mu.Lock()
-	p.wires = append(p.wires, near, far)
+	p.conns = append(p.conns, near, far)
 	p.mu.Unlock()
 	go serve(far)
 	return near, nil
 }
 
-// fakeDiscovery is discovery at one place, in a test's own time. What it does to the next attempts is named beforehand, one word
-// each; after that it works.
+// fakeDiscovery is a stand-in for discovery at one address, in synthetic time. faults says how it fails the next
+// connects and calls, one word each; after these it works.
 type fakeDiscovery struct {
 	mu       sync.Mutex
 	version  int
@@ -62,8 +62,8 @@
 	conns    []net.Conn
 }
 
-// lose ends all connections.
-func (d *fakeDiscovery) lose() {
+// closeConns closes all connections.
+func (d *fakeDiscovery) closeConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, conn := range d.conns {
@@ -72,6 +72,7 @@
 	d.conns = nil
 }
 
+// setList changes the list and its version, and ends the waits of calls for changes.
 func (d *fakeDiscovery) setList(version int, entries []fake.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +81,7 @@
 	d.changed = make(chan struct{})
 }
 
-// next takes the word for a connect or a call.
+// next removes and returns the next fault if it concerns a connect, or a call; "" if it does not or there is none.
 func (d *fakeDiscovery) next(connect bool) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,14 +97,15 @@
 	return f
 }
 
+// left returns how many faults are left.
 func (d *fakeDiscovery) left() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.faults)
 }
 
-// dialing fails a connect that is to fail.
-func (d *fakeDiscovery) dialing(ctx context.Context) error {
+// failDial fails a connect if the next fault says so.
+func (d *fakeDiscovery) failDial(ctx context.Context) error {
 	switch d.next(true) {
 	case "refused":
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// failCall ends a call without a complete answer, as the fault says.
+// failCall ends a call without a complete answer, in the way that the fault names.
 func (d *fakeDiscovery) failCall(conn net.Conn, fault string, index int) {
 	if fault == "lost" {
 		return
@@ -133,6 +135,7 @@
 	io.Copy(io.Discard, conn)
 }
 
+// serve answers the calls on one connection.
 func (d *fakeDiscovery) serve(conn net.Conn) {
 	defer conn.Close()
 	d.mu.Lock()
@@ -150,7 +153,7 @@
 		u, _ := url.Parse(target)
 		index, _ := strconv.Atoi(u.Query().Get("index"))
 		wait, _ := strconv.Atoi(u.Query().Get("wait"))
-		whole := u.Query().Get("index") == ""
+		full := u.Query().Get("index") == ""
 		text, status := "", 200
 		switch f := d.next(false); f {
 		case "silent", "lost", "half", "trickle":
@@ -173,7 +176,7 @@
 			d.mu.Lock()
 			version, changed, list := d.version, d.changed, fake.EncodeEndpointList(d.version, d.entries)
 			d.mu.Unlock()
-			if whole || version > index {
+			if full || version > index {
 				text = list
 				break
 			}
@@ -195,7 +198,7 @@
 	return &fakeDiscovery{version: 1, changed: make(chan struct{}), done: make(chan struct{}), faults: faults, entries: hosts("10.0.0.1:1")}
 }
 
-// hosts is a list whose first host is at an address.
+// hosts returns a list of two hosts, the first of them at addr.
 func hosts(addr string) []fake.Endpoint {
 	return []fake.Endpoint{
 		{ID: "a0", Addr: addr, Zone: "z one", Kind: "small", Cell: 0, State: "up"},
@@ -203,7 +206,7 @@
 	}
 }
 
-// timestampedLog is a log whose lines bear the test's time.
+// timestampedLog is a log that records the time of each line.
 type timestampedLog struct {
 	mu    sync.Mutex
 	lines []string
@@ -223,7 +226,7 @@
 	return strings.Join(s.lines, "")
 }
 
-// when is the time of the first line with all of some texts; zero for none.
+// when returns the time of the first line that contains all texts, or the zero time if there is none.
 func (s *timestampedLog) when(texts ...string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,39 +241,40 @@
 // discoveryRig is a coordinator that follows discovery on a fake network.
 type discoveryRig struct {
 	t     *testing.T
-	at    map[string]*fakeDiscovery
+	at    map[string]*fakeDiscovery // by address
 	log   *timestampedLog
 	plans chan *plan.Plan
 	plan  *plan.Plan
-	owner *eventLoop
+	loop  *eventLoop
 	stop  func()
 }
 
-// move hands on a plan with discovery at another place, as after SIGHUP.
-func (f *discoveryRig) move(place string) {
+// move sends a plan with another address of discovery, as after SIGHUP.
+func (f *discoveryRig) move(addr string) {
 	p := *f.plan
-	p.Discovery = place
+	p.Discovery = addr
 	f.plans <- &p
 }
 
-// until lets the test's time pass until something holds; it fails after five minutes of it.
-func (f *discoveryRig) until(why string, ok func() bool) {
+// until lets synthetic time pass until a condition holds, and fails the test after five minutes of it.
+func (f *discoveryRig) until(what string, ok func() bool) {
 	for end := time.Now().Add(5 * time.Minute); !ok(); {
 		if time.Now().After(end) {
-			require.Fail(f.t, why, "%s", f.log)
+			require.Fail(f.t, what, "%s", f.log)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// told returns when a line with some texts was logged first.
-func (f *discoveryRig) told(texts ...string) time.Time {
+// loggedAt waits for a log line that contains all texts and returns the time of the first one.
+func (f *discoveryRig) loggedAt(texts ...string) time.Time {
 	f.until(strings.Join(texts, " "), func() bool { return !f.log.when(texts...).IsZero() })
 	return f.log.when(texts...)
 }
 
-// startDiscoveryRig starts one; time.Now and all waits are the test's.
-func startDiscoveryRig(t *testing.T, seed int, at map[string]*fakeDiscovery, edit func(s map[string]any), more func(m *Options)) *discoveryRig {
+// startDiscoveryRig starts a coordinator in the synctest bubble of the caller, so that time.Now and all waits are
+// synthetic. edit changes the settings of its plan, adjust its options; both may be nil.
+func startDiscoveryRig(t *testing.T, seed int, at map[string]*fakeDiscovery, edit func(s map[string]any), adjust func(m *Options)) *discoveryRig {
 	settings := map[string]any{}
 	require.NoError(t, json.Unmarshal([]byte(testSettings), &settings))
 	settings["Safety"].(map[string]any)["AskWithin"] = 10000.0
@@ -283,25 +287,25 @@
 		fake.EncodeEndpointList(1, hosts("10.0.0.1:1")), text))
 	require.NoError(t, err)
 	f := &discoveryRig{t: t, at: at, log: &timestampedLog{}, plans: make(chan *plan.Plan), plan: initial}
-	way := &fakeNetwork{up: map[string]func(net.Conn){}}
-	for name, d := range at {
-		way.up[name] = d.serve
+	network := &fakeNetwork{servers: map[string]func(net.Conn){}}
+	for addr, d := range at {
+		network.servers[addr] = d.serve
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	look, ended := make(chan *eventLoop, 1), make(chan error, 1)
+	started, ended := make(chan *eventLoop, 1), make(chan error, 1)
 	options := Options{
-		Listener: &pipeListener{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: look,
-		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(way, at),
+		Listener: &pipeListener{conns: make(chan net.Conn)}, Clock: SystemClock{}, PlanUpdates: f.plans, onStart: started,
+		Logger: NewLogger(f.log, false, slog.LevelInfo), Dial: dialer(network, at),
 	}
-	if more != nil {
-		more(&options)
+	if adjust != nil {
+		adjust(&options)
 	}
 	go func() { ended <- Serve(ctx, initial, options) }()
-	f.owner = <-look
-	f.stop = func() { // so that nothing of the test's time is left
+	f.loop = <-started
+	f.stop = func() { // ends all goroutines of the bubble
 		cancel()
 		require.NoError(t, <-ended)
-		for _, conn := range way.wires {
+		for _, conn := range network.conns {
 			conn.Close()
 		}
 		for _, d := range at {
@@ -312,10 +316,11 @@
 	return f
 }
 
+// dialer returns a Dial function on a fake network, where discovery may fail connects.
 func dialer(n *fakeNetwork, at map[string]*fakeDiscovery) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if d := at[addr]; d != nil {
-			if err := d.dialing(ctx); err != nil {
+			if err := d.failDial(ctx); err != nil {
 				return nil, err
 			}
 		}
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -22,8 +22,8 @@
 	"chalkring/internal/http1"
 )
 
-// Version 0 is a version: the first call waits for a newer one. An answer without changes that did not wait counts as
-// a failed call.
+// An answer without changes that comes before the wait is over counts as a failed call. Guards against polling a server
+// that does not wait without pause. Version 0 is a valid version: the first call waits for a newer one.
 func TestWatchThatDoesNotWaitFails(t *testing.T) {
 	list := script(t)
 	loop := &eventLoop{
@@ -36,7 +36,8 @@
 	close(list.Responses)
 }
 
-// Silent discovery is polled again within seconds; many coordinators poll less often.
+// Discovery that does not answer a call is polled again within seconds. The more coordinators there are, the longer
+// each call waits, so that all of them together poll at a fixed rate.
 func TestSilentDiscovery(t *testing.T) {
 	t.Parallel()
 	r := start(t, 256, nil)
@@ -51,7 +52,7 @@
 	}
 }
 
-// Where the settings do not leave polling to the balancer, calls are made without it, and go on after failures.
+// If the settings do not leave polling to the balancer, calls need no subscription and continue after failures.
 func TestListWithoutSubscription(t *testing.T) {
 	r := start(t, 256, func(s map[string]any) { s["Discovery"] = "automatic" })
 	<-r.list.Targets
@@ -62,29 +63,29 @@
 	r.shutDown()
 }
 
-// A coordinator that knows no host polls for the complete list, which is answered at once, and not for changes: a
-// silent call for changes would wait long while nothing is served.
+// A coordinator that knows no host polls for the complete list, which is answered at once, and not for changes. Guards
+// against an unanswered call for changes, whose long wait would delay the first search.
 func TestStartWithoutKnownHosts(t *testing.T) {
 	r := start(t, 256, func(settings map[string]any) { settings["Balancers"] = 300 })
-	ownPlan, other := *r.plan, script(t)
-	ownPlan.Known = plan.EndpointList{Version: ownPlan.Known.Version, Full: true}
-	ownPlan.Discovery = other.Listener.Addr().String()
-	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
+	emptyPlan, other := *r.plan, script(t)
+	emptyPlan.Known = plan.EndpointList{Version: emptyPlan.Known.Version, Full: true}
+	emptyPlan.Discovery = other.Listener.Addr().String()
+	ln, started, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &logBuffer{}, stop: cancel, ended: ended, list: other}
 	go func() {
-		ended <- Serve(ctx, &ownPlan, Options{
+		ended <- Serve(ctx, &emptyPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
+			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: started,
 		})
 	}()
-	next.loop = <-look
-	require.Equal(t, "/v1/servers", <-other.Targets) // falls silent
+	next.loop = <-started
+	require.Equal(t, "/v1/servers", <-other.Targets) // gets no answer
 	began := time.Now()
 	require.Equal(t, "/v1/servers", <-other.Targets)
 	require.Less(t, time.Since(began), 6*time.Second)
-	other.Responses <- "" // to the silent call, whose connection has ended
+	other.Responses <- "" // to the unanswered call, whose connection has ended
 	other.Responses <- fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
 	next.logged("version=9 ")
 	require.Equal(t, "/v1/servers?index=9", strings.SplitN(<-other.Targets, "&", 2)[0])
@@ -93,18 +94,18 @@
 	r.shutDown()
 }
 
-// A list without a length ends with its connection: closed in good order it counts if it is complete, after a reset it
-// does not.
+// A list without a Content-Length ends with its connection. It counts if it is complete and the connection was closed
+// in good order; guards against applying a list that a connection reset has cut off.
 func TestListAnswerWithoutContentLength(t *testing.T) {
 	for name, x := range map[string]struct {
-		share  int // percent of it that comes
+		share  int // percent of the list that arrives
 		resets bool
 		counts bool
 	}{
-		"whole":            {100, false, true},
-		"shut in half":     {50, false, false},
-		"reset in half":    {50, true, false},
-		"reset at its end": {100, true, false},
+		"complete":             {100, false, true},
+		"closed halfway":       {50, false, false},
+		"reset halfway":        {50, true, false},
+		"reset after the list": {100, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
@@ -120,7 +121,7 @@
 				require.NoError(t, err)
 				conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" + body))
 				if resets {
-					time.Sleep(20 * time.Millisecond) // so that what was written is not lost with it
+					time.Sleep(20 * time.Millisecond) // until the client has read, since a reset discards unread bytes
 					_ = reset(conn)
 				}
 				conn.Close()
@@ -137,8 +138,8 @@
 	}
 }
 
-// A silent call is followed by the next at once in both modes of polling, and first calls of many coordinators that
-// begin together fall silent one by one.
+// After a call that was not answered, the next begins at once in both modes of polling. First calls that begin
+// together have random waits: guards against 300 coordinators whose calls time out at the same moment.
 func TestSilentCallIsRepeatedAtOnce(t *testing.T) {
 	for _, by := range []string{"subscribe", "automatic"} {
 		waits := map[string]bool{}
@@ -147,7 +148,7 @@
 				d := newFakeDiscovery("silent")
 				f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": d}, func(s map[string]any) { s["Discovery"], s["Balancers"] = by, 300 }, nil)
 				defer f.stop()
-				f.until("the first call falls silent", func() bool { return d.left() == 0 })
+				f.until("the first call has come", func() bool { return d.left() == 0 })
 				d.mu.Lock()
 				began, target := d.attempts[0], d.targets[0]
 				d.mu.Unlock()
@@ -157,7 +158,7 @@
 				require.NoError(t, err)
 				waits[target] = true
 				d.setList(9, hosts("10.0.0.2:1"))
-				took := f.told("version=9 ").Sub(began)
+				took := f.loggedAt("version=9 ").Sub(began)
 				require.LessOrEqual(t, took, wait+watchAnswerSlack+20*time.Millisecond, "%s, seed %d", by, seed)
 				require.GreaterOrEqual(t, wait, maxWatchWait/2)
 			})
@@ -166,8 +167,8 @@
 	}
 }
 
-// An answer of the former address that was read as a reload moved discovery does not outlast the list of the new
-// address, though its version is higher.
+// An answer from the former address that is being read while a reload moves discovery does not replace the list of the
+// new address, even though its version is higher.
 func TestAnswerFromFormerDiscoveryAddress(t *testing.T) {
 	read, gate := make(chan struct{}), make(chan struct{})
 	var old atomic.Value
@@ -199,23 +200,23 @@
 	r.shutDown()
 }
 
-// After discovery has lost its versions, its list is in force after the next call that waits to its end, or soon after
-// the connection is lost. Until discovery knows a host again, the last list stays. An answer that is merely late
-// changes nothing.
+// After discovery has restarted its versions, its list is applied once the next call has waited to its end, or soon
+// after the connection is lost. Until discovery knows a host again, the last list stays. An answer that is merely late
+// changes nothing. Guards against a list that stays out of date until the new versions have caught up with the old.
 func TestRestartedVersions(t *testing.T) {
 	for name, x := range map[string]struct {
-		lost    bool     // the watch is, as they do
-		faults  []string // after that
-		version int      // that discovery has from then on
-		hosts   []fake.Endpoint
-		later   time.Duration // after which it knows hosts again
-		limit   time.Duration // beside the wait of a call
+		lost       bool     // the connection is lost as versions restart
+		faults     []string // after that
+		version    int      // of the list after the restart
+		hosts      []fake.Endpoint
+		emptyFor   time.Duration // after which discovery knows hosts again
+		extraDelay time.Duration // allowed in addition to the wait of a call
 	}{
-		"the watch stays open":        {false, nil, 3, hosts("10.0.0.3:1"), 0, 4 * time.Second},
-		"the watch is lost":           {true, nil, 3, hosts("10.0.0.3:1"), 0, 6 * time.Second},
-		"it knows no one for a time":  {true, nil, 0, nil, 10 * time.Second, 6 * time.Second},
-		"an answer that is late":      {true, []string{"older"}, 51, hosts("10.0.0.3:1"), 0, 6 * time.Second},
-		"it knows no one, then loses": {true, []string{"older", "lost"}, 0, nil, 10 * time.Second, 6 * time.Second},
+		"the call stays open":                   {false, nil, 3, hosts("10.0.0.3:1"), 0, 4 * time.Second},
+		"the connection is lost":                {true, nil, 3, hosts("10.0.0.3:1"), 0, 6 * time.Second},
+		"no hosts known for a time":             {true, nil, 0, nil, 10 * time.Second, 6 * time.Second},
+		"a late answer, versions not restarted": {true, []string{"older"}, 51, hosts("10.0.0.3:1"), 0, 6 * time.Second},
+		"no hosts known, connection lost again": {true, []string{"older", "lost"}, 0, nil, 10 * time.Second, 6 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			worst := time.Duration(0)
@@ -230,34 +231,34 @@
 							defer f.stop()
 							time.Sleep(time.Second)
 							d.setList(50, hosts("10.0.0.2:1"))
-							f.told("version=50 ")
-							time.Sleep(100 * time.Millisecond) // the next call has come
-							wait := f.owner.watchWait()
+							f.loggedAt("version=50 ")
+							time.Sleep(100 * time.Millisecond) // until the next call has come
+							wait := f.loop.watchWait()
 							d.mu.Lock()
 							d.faults = slices.Clone(x.faults)
 							d.mu.Unlock()
 							if d.setList(x.version, x.hosts); x.lost {
-								d.lose()
+								d.closeConns()
 								wait = 2 * time.Second
 							}
 							began := time.Now()
-							if time.Sleep(x.later); x.later > 0 {
-								look := make(chan int)
-								f.owner.submit(func() { look <- len(f.owner.replicas.byID) })
-								require.Equal(t, 2, <-look, "the last list holds")
+							if time.Sleep(x.emptyFor); x.emptyFor > 0 {
+								known := make(chan int)
+								f.loop.submit(func() { known <- len(f.loop.replicas.byID) })
+								require.Equal(t, 2, <-known, "hosts of the last list")
 								d.setList(x.version+1, hosts("10.0.0.3:1"))
 								began = time.Now()
 							}
-							f.until("the new list is in force", func() bool {
-								look := make(chan string)
-								f.owner.submit(func() { look <- f.owner.replicas.byID["a0"].addr })
-								return <-look == "10.0.0.3:1"
+							f.until("the new list is applied", func() bool {
+								addr := make(chan string)
+								f.loop.submit(func() { addr <- f.loop.replicas.byID["a0"].addr })
+								return <-addr == "10.0.0.3:1"
 							})
 							took := time.Since(began)
 							worst = max(worst, took)
-							require.LessOrEqual(t, took, wait+x.limit, "%s, %d co-ordinators, seed %d", by, n, seed)
-							d.setList(x.version+2, hosts("10.0.0.4:1")) // and the watch works from there
-							require.NotZero(t, f.told(fmt.Sprintf("version=%d ", x.version+2)))
+							require.LessOrEqual(t, took, wait+x.extraDelay, "%s, %d coordinators, seed %d", by, n, seed)
+							d.setList(x.version+2, hosts("10.0.0.4:1")) // calls for changes work from there on
+							require.NotZero(t, f.loggedAt(fmt.Sprintf("version=%d ", x.version+2)))
 						})
 					}
 				}
@@ -267,17 +268,18 @@
 	}
 }
 
-// With several sources, changes from discovery that are refused are polled again until they are accepted.
+// With several sources, changes from discovery that are refused are polled again until they are accepted. Guards
+// against a refused version that counts as known: discovery would not send its changes again.
 func TestRefusedChangesArePolledAgain(t *testing.T) {
 	r := startIn(t, nil, 256, nil, nil, nil, func(m *Options) { m.EndpointUpdates = make(chan endpoints.Update) })
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
-	good := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a0", "draining"), r.entry("b1", "up"))
-	bad := strings.Replace(good, `"state":"up","weight":1.0`, `"state":"up","weight":-1.0`, 1)
-	require.NotEqual(t, good, bad)
-	r.list.Responses <- bad
+	valid := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s,%s]}`, r.entry("a0", "draining"), r.entry("b1", "up"))
+	invalid := strings.Replace(valid, `"state":"up","weight":1.0`, `"state":"up","weight":-1.0`, 1)
+	require.NotEqual(t, valid, invalid)
+	r.list.Responses <- invalid
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
 	r.logged("event=list_refused")
-	r.list.Responses <- good
+	r.list.Responses <- valid
 	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
 	c := r.connect()
 	for i := range 10 {
@@ -287,7 +289,8 @@
 	r.shutDown()
 }
 
-// The balancer's backoff is reset by an answered call, also with several sources and an unchanged list.
+// An answered call resets the balancer's backoff, even with several sources and an unchanged list. Guards against a
+// later failure that is followed by a long backoff.
 func TestBackoffResetsWithSeveralSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newFakeDiscovery()
@@ -297,19 +300,19 @@
 			d.mu.Lock()
 			d.faults = slices.Repeat([]string{"lost"}, times)
 			d.mu.Unlock()
-			d.lose()
-			f.until("failures", func() bool { return d.left() == 0 })
+			d.closeConns()
+			f.until("all calls have failed", func() bool { return d.left() == 0 })
 		}
 		time.Sleep(time.Second)
 		d.setList(50, hosts("10.0.0.2:1"))
-		f.told("how=Complete", "version=2 ")
+		f.loggedAt("how=Complete", "version=2 ")
 		fail(6)
-		d.setList(51, hosts("10.0.0.2:1")) // a version with no change in it
+		d.setList(51, hosts("10.0.0.2:1")) // a new version without a change
 		time.Sleep(10 * time.Second)
 		fail(1)
 		d.setList(101, hosts("10.0.0.3:1"))
 		began := time.Now()
-		took := f.told("how=Complete", "version=3 ").Sub(began)
+		took := f.loggedAt("how=Complete", "version=3 ").Sub(began)
 		t.Log(took)
 		require.LessOrEqual(t, took, 1500*time.Millisecond)
 	})
--- a/coordinator/endpoint_list_test.go
+++ b/coordinator/endpoint_list_test.go
@@ -17,14 +17,14 @@
 	"chalkring/internal/fake"
 )
 
-// Draining and removed replicas get nothing new; a malformed list changes nothing and is polled again.
+// Draining and removed replicas get no new attempts. A malformed list changes nothing and is polled again.
 func TestEndpointListChanges(t *testing.T) {
 	r := start(t, 256, nil)
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
-	said := func(version int, full bool, entries ...string) {
+	answer := func(version int, full bool, entries ...string) {
 		r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 	}
-	said(8, false, r.entry("a0", "draining"), r.entry("b1", "removed"))
+	answer(8, false, r.entry("a0", "draining"), r.entry("b1", "removed"))
 	require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets)
 	r.logged("how=Partial version=8")
 	c := r.connect()
@@ -40,19 +40,19 @@
 	for _, hostID := range []string{"a1", "b0"} { // attempts of one iteration on one replica share a batch
 		require.Equal(t, slices.Repeat([]int{2}, 10), r.replicas[hostID].BatchSizes())
 	}
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"","state":"up","cell":0}]}`,
 		`{"version":9,"full":false,"servers":[{"id":"a1","addr":"127.0.0.1:1","state":"odd","cell":0}]}`,
 		`{"version":9`, `{"version":6,"full":true,"servers":[]}`, `{"version":8,"full":false,"servers":[]}`,
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 nonsense\r\n\r\n", "",
 	} {
-		r.list.Responses <- bad
-		require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets, bad)
+		r.list.Responses <- invalid
+		require.Equal(t, "/v1/servers?index=8&wait=2000", <-r.list.Targets, invalid)
 	}
 	c.expect("still", "all", 200, completeAnswer)
 	require.Equal(t, 8, strings.Count(r.log.String(), "event=list_failed"))
-	said(12, true, r.entry("a0", "up"), r.entry("b0", "up")) // complete: a1 is removed, and its connection closes
-	r.eventually("a1 is left", func() bool { _, _, _, open := r.replicas["a1"].Observed(); return open == 0 })
+	answer(12, true, r.entry("a0", "up"), r.entry("b0", "up")) // complete: a1 is removed, and its connection closes
+	r.eventually("the connection to a1 is closed", func() bool { _, _, _, open := r.replicas["a1"].Observed(); return open == 0 })
 	c.expect("after", "all", 200, completeAnswer)
 	parts, _, _, _ := r.replicas["a0"].Observed()
 	require.Len(t, parts, 2)
@@ -60,23 +60,23 @@
 	require.NotContains(t, r.log.String(), "event=fault")
 }
 
-// An entry whose cell is no place of a set is refused, and the list in force stays.
+// An entry whose cell is not a whole number of at least 0 is refused.
 func TestInvalidCells(t *testing.T) {
 	for _, cell := range []string{"-1", "0.5", "true", `"1"`} {
-		all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":` + cell + `}]}`))
+		object, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":` + cell + `}]}`))
 		require.NoError(t, err)
-		_, err = plan.NewEndpointList(all)
+		_, err = plan.NewEndpointList(object)
 		require.ErrorContains(t, err, `entry id="s"`, cell)
 	}
-	all, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":2}]}`))
+	object, err := plan.DecodeObject([]byte(`{"version":1,"servers":[{"id":"s","addr":"h:1","state":"up","cell":2}]}`))
 	require.NoError(t, err)
-	list, err := plan.NewEndpointList(all)
+	list, err := plan.NewEndpointList(object)
 	require.NoError(t, err)
 	require.Equal(t, 2, list.Hosts[0].Cell)
 }
 
-// A list of the longest body that the protocol allows is applied; a longer one fails the call with a log line, and the
-// list stays.
+// A list with the longest body that the protocol allows is applied. A longer one fails the call with a log line, and
+// the current list stays.
 func TestLongestEndpointList(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
@@ -95,8 +95,8 @@
 	r.shutDown()
 }
 
-// A complete list without hosts is in force like any other: nothing is sent, health stays good, and the next list
-// brings all back. At a start health is bad until a host is known.
+// A complete list without hosts is applied like any other: no requests are sent, the health check stays good, and the
+// next list brings the hosts back. At a start the health check fails until a host is known.
 func TestEndpointListWithoutHosts(t *testing.T) {
 	r := start(t, 256, nil)
 	<-r.list.Targets
@@ -110,29 +110,29 @@
 	require.Equal(t, 200, health(r))
 	require.Zero(t, r.parts())
 	all := fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, strings.Replace(r.entry("a0", "up"), "1.0", "0", 1),
-		strings.Replace(r.entry("b0", "up"), "1.0", "-3", 1)) // weights are not this side's to judge
+		strings.Replace(r.entry("b0", "up"), "1.0", "-3", 1)) // the coordinator does not validate weights
 	r.list.Responses <- all
 	r.logged("version=9 entries=2")
 	status, _, text, _ := c.readAnswer()
 	require.Equal(t, 200, status)
 	require.JSONEq(t, completeAnswer, text)
-	ownPlan := *r.plan
-	ownPlan.Known = plan.EndpointList{Version: 7, Full: true}
+	emptyPlan := *r.plan
+	emptyPlan.Known = plan.EndpointList{Version: 7, Full: true}
 	other := script(t)
-	ownPlan.Discovery = other.Listener.Addr().String()
+	emptyPlan.Discovery = other.Listener.Addr().String()
 	r.shutDown()
 
-	ln, look, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
+	ln, started, ended := listen(t), make(chan *eventLoop, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	next := &rig{t: t, addr: ln.Addr().String(), log: &logBuffer{}, stop: cancel, ended: ended}
 	go func() {
-		ended <- Serve(ctx, &ownPlan, Options{
+		ended <- Serve(ctx, &emptyPlan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: look,
+			Logger: NewLogger(next.log, false, slog.LevelInfo), onStart: started,
 		})
 	}()
-	<-look
+	<-started
 	<-other.Targets
 	require.Equal(t, 503, health(next))
 	other.Responses <- all
@@ -141,45 +141,46 @@
 	next.shutDown()
 }
 
-// A host that is removed during an attempt and returns at once, at its address or another, is used at once, and the
-// end of its former connection does not drop it; also where one list names it twice, removed and up.
+// A host that is removed during an attempt and returns at once, at the same or another address, gets attempts at once,
+// even if one list has both entries, removed and up. Guards against the end of its former connection removing the
+// host that has returned.
 func TestHostReturnsDuringAttempt(t *testing.T) {
-	for name, back := range map[string]func(r *rig, moved string) []string{
-		"at its address": func(r *rig, moved string) []string {
+	for name, entriesOf := range map[string]func(r *rig, moved string) []string{
+		"at the same address": func(r *rig, moved string) []string {
 			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), `"started_ms":0`, `"started_ms":5`, 1)}
 		},
-		"at another": func(r *rig, moved string) []string {
+		"at another address": func(r *rig, moved string) []string {
 			return []string{r.entry("b1", "removed"), strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Listener.Addr().String(), moved, 1)}
 		},
-		"at another, never removed": func(r *rig, moved string) []string {
+		"at another address, not removed before": func(r *rig, moved string) []string {
 			return []string{strings.Replace(r.entry("b1", "up"), r.replicas["b1"].Listener.Addr().String(), moved, 1)}
 		},
 	} {
 		for _, together := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, " ", together), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", in one list ", together), func(t *testing.T) {
 				r := start(t, 256, nil)
 				<-r.list.Targets
 				next, err := fake.NewHost("b1", 1, true, asked.ReplyGood)
 				require.NoError(t, err)
 				t.Cleanup(next.Close)
 				version := 7
-				tell := func(entries ...string) {
+				answer := func(entries ...string) {
 					version++
 					r.list.Responses <- fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`, version, strings.Join(entries, ","))
 					r.logged(fmt.Sprintf("version=%d ", version))
 				}
-				tell(r.entry("b0", "draining")) // so that b1 gets the part
+				answer(r.entry("b0", "draining")) // so that b1 gets the attempt
 				held := make(chan asked, 16)
 				r.replicas["b1"].SetHandler(func(a asked) { held <- a })
 				c := r.connect().send(request("first", "all", "", fourParts))
 				a := <-held
 				r.replicas["b1"].SetHandler(asked.ReplyGood)
-				entries := back(r, next.Listener.Addr().String())
+				entries := entriesOf(r, next.Listener.Addr().String())
 				if together {
-					tell(entries...)
+					answer(entries...)
 				} else {
 					for _, e := range entries {
-						tell(e)
+						answer(e)
 					}
 				}
 				for i := range 5 {
@@ -192,13 +193,13 @@
 				status, _, text, _ := c.readAnswer()
 				require.Equal(t, 200, status, text)
 				require.JSONEq(t, completeAnswer, text)
-				for i := range 5 { // what was there before has ended
+				for i := range 5 { // the former connection has ended
 					r.connect().expect(fmt.Sprint("p", i), "all", 200, completeAnswer)
 				}
-				look := make(chan bool)
-				r.loop.submit(func() { h := r.loop.replicas.byID["b1"]; look <- h != nil && !h.removed })
-				require.True(t, <-look)
-				if name != "at its address" {
+				isListed := make(chan bool)
+				r.loop.submit(func() { h := r.loop.replicas.byID["b1"]; isListed <- h != nil && !h.removed })
+				require.True(t, <-isListed)
+				if name != "at the same address" {
 					require.Positive(t, next.CountRequests())
 				}
 				r.shutDown()
@@ -208,8 +209,8 @@
 	}
 }
 
-// An attempt waits for a slow connection whose replica begins to drain, is removed, or is missing in a complete list:
-// nothing is sent once the connection is up, and the other holder answers.
+// An attempt waits for a connection that is slow to open, and meanwhile its replica begins to drain, is removed, or is
+// missing in a complete list: nothing is sent once the connection is open, and another replica of the shard answers.
 func TestNothingSentToDrainingReplicaAfterGrace(t *testing.T) {
 	for name, answer := range map[string]func(r *rig, hostID string) string{
 		"drains": func(r *rig, hostID string) string {
@@ -218,7 +219,7 @@
 		"is removed": func(r *rig, hostID string) string {
 			return fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, r.entry(hostID, "removed"))
 		},
-		"is not named": func(r *rig, hostID string) string {
+		"is not listed": func(r *rig, hostID string) string {
 			other := map[string]string{"a0": "a1", "a1": "a0"}[hostID]
 			return fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s,%s]}`, r.entry(other, "up"), r.entry("b0", "up"), r.entry("b1", "up"))
 		},
@@ -226,7 +227,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			held := map[string]chan struct{}{} // connects that are not up, by address
+			held := map[string]chan struct{}{} // by address; a connect waits until its channel is closed
 			dialed := make(chan string, 16)
 			r := startIn(t, nil, 256, func(s map[string]any) {
 				s["Permissions"].(map[string]any)["DialTimeout"] = 8000.0
@@ -259,9 +260,9 @@
 			hostID := at[<-dialed]
 			r.list.Responses <- answer(r, hostID)
 			r.logged("version=8")
-			time.Sleep(300 * time.Millisecond) // longer than the grace
+			time.Sleep(300 * time.Millisecond) // longer than the drain grace
 			close(up[hostID])
-			time.Sleep(100 * time.Millisecond) // for what would go out
+			time.Sleep(100 * time.Millisecond) // for a request that would wrongly be sent
 			for other := range up {
 				if other != hostID {
 					close(up[other])
--- a/coordinator/endpoint_sources_test.go
+++ b/coordinator/endpoint_sources_test.go
@@ -19,65 +19,66 @@
 	"chalkring/endpoints/hostfile"
 )
 
-// withLists serves a second coordinator on a rig's hosts and list, with other sources of hosts too.
-func (r *rig) withLists(lists <-chan endpoints.Update) *rig {
+// withUpdates starts a second coordinator on the rig's hosts and discovery, with updates of other sources.
+func (r *rig) withUpdates(updates <-chan endpoints.Update) *rig {
 	ln := listen(r.t)
 	ctx, cancel := context.WithCancel(context.Background())
-	more := &rig{
+	second := &rig{
 		t: r.t, replicas: r.replicas, list: r.list, addr: ln.Addr().String(), stop: cancel, ended: make(chan error, 1),
 		log: &logBuffer{}, plan: r.plan,
 	}
-	look := make(chan *eventLoop, 1)
+	started := make(chan *eventLoop, 1)
 	go func() {
-		more.ended <- Serve(ctx, r.plan, Options{
+		second.ended <- Serve(ctx, r.plan, Options{
 			Listener: ln, Dial: (&net.Dialer{}).DialContext, Clock: SystemClock{},
-			Logger: NewLogger(more.log, false, slog.LevelInfo), EndpointUpdates: lists, onStart: look,
+			Logger: NewLogger(second.log, false, slog.LevelInfo), EndpointUpdates: updates, onStart: started,
 		})
 	}()
-	more.loop = <-look
+	second.loop = <-started
 	r.t.Cleanup(cancel)
-	more.logged("event=serving")
-	return more
+	second.logged("event=serving")
+	return second
 }
 
-func (r *rig) member(hostID string) endpoints.Host {
+// host returns a replica's entry in an endpoint list.
+func (r *rig) host(hostID string) endpoints.Host {
 	h := r.replicas[hostID]
 	return endpoints.Host{ID: hostID, Addr: h.Listener.Addr().String(), Zone: "z one", Kind: "small", Cell: h.Cell, Weight: 1}
 }
 
-// While lists change under load, each iteration of the event loop works with one list and never with parts of two;
-// each search has one complete answer.
+// While lists change under load, each iteration of the event loop sees one list, never parts of two, and each search
+// gets one complete answer.
 func TestListsAreNeverMixed(t *testing.T) {
 	first := start(t, 256, nil)
-	lists := make(chan endpoints.Update)
-	r := first.withLists(lists)
-	told := func(v int64, on, off string) endpoints.Update {
+	updates := make(chan endpoints.Update)
+	r := first.withUpdates(updates)
+	newUpdate := func(v int64, on, off string) endpoints.Update {
 		return endpoints.Update{Source: "hosts.yaml", Rank: endpoints.RankFile, Version: v, Confirmed: true, Hosts: []endpoints.Host{
-			r.member("a" + on),
-			r.member("b" + on),
+			r.host("a" + on),
+			r.host("b" + on),
 			{ID: "a" + off, State: endpoints.StateRemoved},
 			{ID: "b" + off, State: endpoints.StateRemoved},
 		}}
 	}
-	lists <- told(1, "0", "1")
+	updates <- newUpdate(1, "0", "1")
 	r.logged("entries=2")
-	over := make(chan struct{})
+	done := make(chan struct{})
 	var g sync.WaitGroup
 	g.Go(func() {
 		for v := int64(2); ; v++ {
-			update := told(v, "0", "1")
+			update := newUpdate(v, "0", "1")
 			if v%2 == 0 {
-				update = told(v, "1", "0")
+				update = newUpdate(v, "1", "0")
 			}
 			select {
-			case lists <- update:
-			case <-over:
+			case updates <- update:
+			case <-done:
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	})
-	seen := map[string]int{} // what was in force when it was looked at
+	seen := map[string]int{} // how often each set of hosts was current
 	g.Go(func() {
 		for {
 			found := make(chan string, 1)
@@ -95,7 +96,7 @@
 			}
 			seen[<-found]++
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-time.After(100 * time.Microsecond):
 			}
@@ -111,7 +112,7 @@
 		})
 	}
 	clients.Wait()
-	close(over)
+	close(done)
 	g.Wait()
 	require.Len(t, seen, 2, "%v", seen)
 	require.Positive(t, seen["a0+b0"])
@@ -120,8 +121,8 @@
 	first.shutDown()
 }
 
-// A host file that drops a host stops new work to it within two seconds; an invalid one changes nothing and is logged;
-// a file that has a host up which discovery drains does not bring it back.
+// A host that is removed from the host file gets no new attempts after two seconds. An invalid file changes nothing and
+// is logged. A file that lists a host as up does not bring it back while discovery drains it.
 func TestHostFiles(t *testing.T) {
 	first := start(t, 256, nil)
 	path := filepath.Join(t.TempDir(), "hosts.yaml")
@@ -130,72 +131,72 @@
 		var b strings.Builder
 		b.WriteString("hosts:\n")
 		for _, hostID := range ids {
-			h := first.member(hostID)
+			h := first.host(hostID)
 			fmt.Fprintf(&b, "  - {id: %s, address: %q, zone: %q, kind: small, cell: %d}\n", hostID, h.Addr, h.Zone, h.Cell)
 		}
 		return b.String()
 	}
 	write(text("a0", "a1", "b0", "b1"))
-	lists := make(chan endpoints.Update)
+	updates := make(chan endpoints.Update)
 	ctx, cancel := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
 		(&hostfile.Watcher{Paths: []string{path}, Notify: func(e hostfile.Event) {
 			if e.Err == nil {
 				select {
-				case lists <- e.Update:
+				case updates <- e.Update:
 				case <-ctx.Done():
 				}
 			}
 		}}).Run(ctx)
 	})
-	r := first.withLists(lists)
+	r := first.withUpdates(updates)
 	r.logged("how=Complete")
 	c, n := r.connect(), 0
-	ask := func() {
+	search := func() {
 		n++
 		c.expect(fmt.Sprint("f", n), "all", 200, completeAnswer)
 	}
-	r.eventually("all hosts take parts", func() bool {
-		ask()
+	r.eventually("all hosts get attempts", func() bool {
+		search()
 		return r.replicas["a0"].CountRequests() > 0 && r.replicas["a1"].CountRequests() > 0
 	})
 	write(text("a0", "b0", "b1"))
-	dropped := time.Now()
+	removedAt := time.Now()
 	last := r.replicas["a1"].CountRequests()
-	quiet := time.Now()
-	r.eventually("the dropped host takes no more", func() bool {
-		ask()
-		if took := r.replicas["a1"].CountRequests(); took != last {
-			last, quiet = took, time.Now()
+	lastAttemptAt := time.Now()
+	r.eventually("the removed host gets no more attempts", func() bool {
+		search()
+		if count := r.replicas["a1"].CountRequests(); count != last {
+			last, lastAttemptAt = count, time.Now()
 		}
-		return time.Since(quiet) > 2500*time.Millisecond
+		return time.Since(lastAttemptAt) > 2500*time.Millisecond
 	})
-	require.Less(t, quiet.Sub(dropped), 2*time.Second)
+	require.Less(t, lastAttemptAt.Sub(removedAt), 2*time.Second)
 	write(text("a0", "b0")[:40])
 	time.Sleep(300 * time.Millisecond)
 	write(text("a0", "a0"))
 	r.logged("list_refused")
 	require.Contains(t, r.log.String(), "[3:6]")
-	ask()
+	search()
 	before := r.replicas["b1"].CountRequests()
-	r.eventually("the last good list is in force", func() bool { ask(); return r.replicas["b1"].CountRequests() > before })
+	r.eventually("the last valid list stays", func() bool { search(); return r.replicas["b1"].CountRequests() > before })
 
 	drained := strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"draining"`)
 	answer := fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`, drained)
-	r.eventually("the drain is in force", func() bool {
-		select { // calls that have been given up take some
+	r.eventually("the host drains", func() bool {
+		select { // again and again, since calls that have timed out consume some answers
 		case r.list.Responses <- answer:
 		default:
 		}
-		ask()
+		search()
 		return strings.Count(r.log.String(), "event=list ") >= 4
 	})
 	write(text("a0", "b0", "b1") + "# again\n")
 	time.Sleep(500 * time.Millisecond)
 	before = r.replicas["b1"].CountRequests()
 	for range 20 {
-		ask()
+		search()
 	}
 	require.Equal(t, before, r.replicas["b1"].CountRequests())
 	r.shutDown()
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -27,16 +27,17 @@
 
 const goldenStore = "coordinator-store-v1.db"
 
-// goldenNow is when the golden store is opened: two seconds after its list and observations were written.
+// goldenNow is the time, in Unix milliseconds, at which the golden store is opened: two seconds after its list and
+// observations were written.
 const goldenNow = 1_700_000_002_000
 
-// fixedClock stands still.
+// fixedClock always returns goldenNow.
 type fixedClock struct{}
 
 func (fixedClock) Now() time.Time                       { return time.UnixMilli(goldenNow) }
 func (fixedClock) After(time.Duration) <-chan time.Time { return nil }
 
-// goldenDeployment is a plan of which all that tells its deployment from others is fixed.
+// goldenDeployment returns a plan in which everything that is part of a deployment's identity is fixed.
 func goldenDeployment(t *testing.T) *plan.Plan {
 	plan, err := parsePlan([]byte(`{"name":"golden","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":64},"known":{"version":3,"full":true,"servers":[
@@ -52,7 +53,7 @@
 	return plan
 }
 
-// goldenList and goldenNotes are what the golden store has of hosts.
+// goldenList returns the endpoint list in the golden store.
 func goldenList() recovery.EndpointList {
 	return recovery.EndpointList{
 		SavedAt: goldenNow - 2000, PlanVersion: 3, DiscoveryVersion: 9,
@@ -64,7 +65,8 @@
 	}
 }
 
-func goldenNotes() recovery.Observations {
+// goldenObservations returns the observations in the golden store.
+func goldenObservations() recovery.Observations {
 	return recovery.Observations{
 		SavedAt: goldenNow - 2000,
 		Head: peerreport.ReportHeader{
@@ -75,7 +77,8 @@
 	}
 }
 
-func openGoldenKeep(t *testing.T, path string) *Persistence {
+// openGoldenStore opens a store as a start of the golden deployment does.
+func openGoldenStore(t *testing.T, path string) *Persistence {
 	persistence := newPersistence(path, true, store.Options{}, scheduler.Budget{}, goldenDeployment(t), fixedClock{}, slog.New(slog.DiscardHandler))
 	t.Cleanup(persistence.Close)
 	_, err := persistence.WaitForStore(t.Context())
@@ -83,39 +86,40 @@
 	return persistence
 }
 
-// writeGoldenKeep makes a store as a run with a planned stop leaves it.
-func writeGoldenKeep(t *testing.T, path string) {
-	persistence := openGoldenKeep(t, path)
-	puts := map[string][]byte{}
-	for key, v := range map[string]any{"list": goldenList(), "notes": goldenNotes(), "starts": recovery.StartRecord{}.RecordPlannedStop()} {
+// writeGoldenStore creates a store as a run with a planned stop leaves it.
+func writeGoldenStore(t *testing.T, path string) {
+	persistence := openGoldenStore(t, path)
+	values := map[string][]byte{}
+	for key, v := range map[string]any{"list": goldenList(), "notes": goldenObservations(), "starts": recovery.StartRecord{}.RecordPlannedStop()} {
 		text, err := cbor.Marshal(v)
 		require.NoError(t, err)
-		puts[key] = text
+		values[key] = text
 	}
-	require.NoError(t, persistence.store.Put(t.Context(), "kept", puts, nil))
+	require.NoError(t, persistence.store.Put(t.Context(), "kept", values, nil))
 	persistence.RecordEvent("stop", "planned")
 	require.NoError(t, persistence.flushEvents(t.Context()))
 	persistence.Close()
 }
 
-// A store file that an earlier build has written is believed: its list, observations and events are there.
+// A store file that an earlier build has written is restored: its list, observations and events are there. Guards
+// against a change of the stored form that an upgrade could not read.
 func TestGoldenCoordinatorStore(t *testing.T) {
 	if golden.Updating() {
 		path := filepath.Join(t.TempDir(), "kept.db")
-		writeGoldenKeep(t, path)
+		writeGoldenStore(t, path)
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		golden.Write(t, goldenStore, text)
 	}
 	path := filepath.Join(t.TempDir(), "kept.db")
 	require.NoError(t, os.WriteFile(path, golden.Read(t, goldenStore), 0o600))
-	persistence := openGoldenKeep(t, path)
+	persistence := openGoldenStore(t, path)
 	require.Empty(t, persistence.restored.Discarded)
 	require.NotNil(t, persistence.restored.Update)
 	require.Equal(t, goldenList().Hosts, persistence.restored.Update.Hosts)
 	require.Equal(t, []endpoints.Removal{{ID: "c", RemovedBy: "discovery", Age: 120_000}}, persistence.restored.Update.Removals)
 	require.NotNil(t, persistence.restored.Observations)
-	require.Equal(t, goldenNotes().Entries, persistence.restored.Observations.Entries)
+	require.Equal(t, goldenObservations().Entries, persistence.restored.Observations.Entries)
 	require.NoError(t, persistence.flushEvents(t.Context()))
 	var events []store.Event
 	require.NoError(t, persistence.events.ForEach(0, "", func(event store.Event) bool { events = append(events, event); return true }))
@@ -126,9 +130,9 @@
 	}, events)
 }
 
-// A start writes these bytes under bucket kept, and its event under bucket events.
+// A start writes exactly these bytes to the bucket kept, and its event to the bucket events.
 func TestGoldenCoordinatorStart(t *testing.T) {
-	persistence := openGoldenKeep(t, filepath.Join(t.TempDir(), "kept.db"))
+	persistence := openGoldenStore(t, filepath.Join(t.TempDir(), "kept.db"))
 	require.NoError(t, persistence.flushEvents(t.Context()))
 	for bucket, keys := range map[string][]string{"kept": {"starts", "whose"}, "events": {"00000000", "next"}} {
 		var got []string
@@ -139,34 +143,34 @@
 		}))
 		require.Equal(t, keys, got, bucket)
 	}
-	whose, found, err := persistence.store.Get("kept", "whose")
+	identity, found, err := persistence.store.Get("kept", "whose")
 	require.NoError(t, err)
 	require.True(t, found)
 	var text string
-	require.NoError(t, cbor.Unmarshal(whose, &text))
+	require.NoError(t, cbor.Unmarshal(identity, &text))
 	require.Equal(t, persistence.identity, text)
 }
 
-// A running coordinator writes its list and observations under these keys, in these forms, and a planned stop ends the
-// record of starts.
+// A running coordinator writes its list and observations under these keys and in these forms, and a planned stop clears
+// the record of starts.
 func TestGoldenCoordinatorBucketOfARun(t *testing.T) {
 	first := start(t, 256, nil)
 	path := filepath.Join(t.TempDir(), "kept.db")
 	r := first.restartWithStore(path, store.Options{})
 	r.logged("event=store ")
 	r.list.Responses <- fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, strings.ReplaceAll(r.entry("b1", "up"), `"up"`, `"removed"`))
-	r.eventually("b1 is off", func() bool { return r.hostsInForce() == "a0 a1 b0 " })
+	r.eventually("b1 is removed", func() bool { return r.currentHosts() == "a0 a1 b0 " })
 	r.shutDown()
 	s, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	defer s.Close(context.Background())
-	all := map[string][]byte{}
-	require.NoError(t, s.Load("kept", func(key string, value []byte) error { all[key] = value; return nil }))
-	require.Len(t, all, 4)
-	require.Equal(t, "82f6f4", hex.EncodeToString(all["starts"]), "no starts, not emptied")
-	require.NotEmpty(t, all["whose"])
-	var list []any // at, plan's version, discovery's version, hosts, removals
-	require.NoError(t, cbor.Unmarshal(all["list"], &list))
+	values := map[string][]byte{}
+	require.NoError(t, s.Load("kept", func(key string, value []byte) error { values[key] = value; return nil }))
+	require.Len(t, values, 4)
+	require.Equal(t, "82f6f4", hex.EncodeToString(values["starts"]), "no starts, not emptied")
+	require.NotEmpty(t, values["whose"])
+	var list []any // time, the plan's version, discovery's version, hosts, removals
+	require.NoError(t, cbor.Unmarshal(values["list"], &list))
 	require.Len(t, list, 5)
 	hosts, ok := list[3].([]any)
 	require.True(t, ok)
@@ -178,14 +182,14 @@
 		require.Contains(t, host, name)
 	}
 	require.Equal(t, []any{uint64(7), uint64(9)}, list[1:3], "the versions of the plan and of discovery")
-	gone, ok := list[4].([]any)
+	removals, ok := list[4].([]any)
 	require.True(t, ok)
-	require.Len(t, gone, 1)
-	require.Equal(t, "b1", gone[0].([]any)[0])
-	var notes []any // at, head, observations
-	require.NoError(t, cbor.Unmarshal(all["notes"], &notes))
-	require.Len(t, notes, 3)
-	head, ok := notes[1].([]any)
+	require.Len(t, removals, 1)
+	require.Equal(t, "b1", removals[0].([]any)[0])
+	var observations []any // time, header, entries
+	require.NoError(t, cbor.Unmarshal(values["notes"], &observations))
+	require.Len(t, observations, 3)
+	header, ok := observations[1].([]any)
 	require.True(t, ok)
-	require.Len(t, head, 10)
+	require.Len(t, header, 10)
 }
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -27,10 +27,11 @@
 	"chalkring/internal/http1"
 )
 
-// discoveryAgent is discovery whose first calls fail in given ways, one after another; later ones are answered.
+// discoveryAgent is a stand-in for discovery whose first calls fail in given ways, one after another; later calls are
+// answered.
 type discoveryAgent struct {
 	ln    net.Listener
-	calls chan string // targets, as they come
+	calls chan string // targets of calls, in order
 
 	mu      sync.Mutex
 	version int
@@ -132,7 +133,7 @@
 	}
 }
 
-// setList changes the list.
+// setList changes the list and returns when.
 func (a *discoveryAgent) setList(entries []fake.Endpoint) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -142,33 +143,33 @@
 	return time.Now()
 }
 
-// The delay until a list is in force, by the process's own log: at most 6 s, or 2 s after the wait of the call (2 s
-// here); over a working call, none.
+// The delay until a changed list is applied, according to the log of a coordinator process: none if a call for changes
+// works, and otherwise at most 6 s, or 2 s after the wait of the call (2 s here).
 func TestListDelay(t *testing.T) {
 	const atOnce, afterWait, missed = time.Second, 4 * time.Second, 6 * time.Second
-	const busy = 500 * time.Millisecond // for a machine that is
+	const busy = 500 * time.Millisecond // allowance for a busy machine
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
-	var all errgroup.Group // each waits most of the time
+	var all errgroup.Group // the cases run in parallel, since each waits most of the time
 	for name, x := range map[string]struct {
-		faults  []string // of calls in their order
-		calls   int      // that have come when the list changes
-		by      string   // setting Discovery
-		limit   time.Duration
-		pending time.Duration // that the last of these calls has been open
+		faults  []string      // of the calls, in order
+		calls   int           // how many have come before the list changes
+		by      string        // setting Discovery
+		limit   time.Duration // of the delay
+		pending time.Duration // how long the last of these calls is open before the list changes
 	}{
-		"a call that works":                          {nil, 1, "subscribe", atOnce, 0},
-		"a watch that falls silent":                  {[]string{"silent"}, 1, "subscribe", afterWait, 0},
-		"one that was silent for some time":          {[]string{"silent"}, 1, "subscribe", afterWait, time.Second},
-		"silence again, after calls without news":    {[]string{"silent", "", "silent", "", "silent"}, 5, "subscribe", afterWait, 0},
-		"one that trickles half a list":              {[]string{"half"}, 1, "subscribe", afterWait, 0},
-		"one that says 200 with nothing":             {[]string{"empty", "empty"}, 2, "subscribe", missed, 0},
-		"one that says so again and again":           {slices.Repeat([]string{"empty"}, 5), 5, "subscribe", missed, 0},
-		"an indented list":                           {[]string{"indented"}, 1, "subscribe", atOnce, 0},
-		"a poll silent beyond its wait":              {[]string{"late"}, 1, "subscribe", afterWait, 0},
-		"a pushed list, no watch open":               {[]string{"lost"}, 1, "automatic", missed, 0},
-		"a pushed list, none open for some time":     {slices.Repeat([]string{"lost"}, 5), 5, "automatic", missed, 0},
-		"a pushed list, over a watch that is silent": {[]string{"silent"}, 1, "automatic", afterWait, 0},
+		"a call that works":                        {nil, 1, "subscribe", atOnce, 0},
+		"an unanswered call":                       {[]string{"silent"}, 1, "subscribe", afterWait, 0},
+		"a call unanswered for 1 s":                {[]string{"silent"}, 1, "subscribe", afterWait, time.Second},
+		"timeouts between answers without changes": {[]string{"silent", "", "silent", "", "silent"}, 5, "subscribe", afterWait, 0},
+		"half a list, byte by byte":                {[]string{"half"}, 1, "subscribe", afterWait, 0},
+		"empty answers with status 200":            {[]string{"empty", "empty"}, 2, "subscribe", missed, 0},
+		"many empty answers with status 200":       {slices.Repeat([]string{"empty"}, 5), 5, "subscribe", missed, 0},
+		"an indented list":                         {[]string{"indented"}, 1, "subscribe", atOnce, 0},
+		"an answer long after the wait":            {[]string{"late"}, 1, "subscribe", afterWait, 0},
+		"no subscription, a lost connection":       {[]string{"lost"}, 1, "automatic", missed, 0},
+		"no subscription, many lost connections":   {slices.Repeat([]string{"lost"}, 5), 5, "automatic", missed, 0},
+		"no subscription, an unanswered call":      {[]string{"silent"}, 1, "automatic", afterWait, 0},
 	} {
 		a := newDiscoveryAgent(t, x.faults...)
 		r := process(t, func(s *fleet.Config) {
@@ -180,7 +181,7 @@
 				select {
 				case <-a.calls:
 				case <-ctx.Done():
-					return fmt.Errorf("%s: a call did not come\n%s", name, r.Log("n"))
+					return fmt.Errorf("%s: expected %d calls, one of them did not come\n%s", name, x.calls, r.Log("n"))
 				}
 			}
 			time.Sleep(x.pending)
@@ -189,9 +190,9 @@
 				return fmt.Errorf("%s: %w", name, err)
 			}
 			took := time.Since(changed)
-			t.Logf("%s: told after %v, counts after %v", name, took.Round(time.Millisecond), x.limit)
+			t.Logf("%s: applied after %v, limit %v", name, took.Round(time.Millisecond), x.limit)
 			if took > x.limit+busy {
-				return fmt.Errorf("%s: told after %v, counts after %v", name, took, x.limit)
+				return fmt.Errorf("%s: list applied after %v, expected within %v", name, took, x.limit)
 			}
 			return nil
 		})
@@ -199,15 +200,15 @@
 	require.NoError(t, all.Wait())
 }
 
-// A list that discovery has at a start is in force at once; so is one that comes 4 s after a reload has moved
-// discovery to an address whose first call fell silent and whose versions restart.
+// A list that discovery has at a start is applied at once. So is a change that comes 4 s after a reload has moved
+// discovery to an address that did not answer its first call and whose versions are lower.
 func TestListDelayAtStartAndAfterReload(t *testing.T) {
 	t.Parallel()
 	a, next := newDiscoveryAgent(t), newDiscoveryAgent(t, "silent")
 	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
-	for range 3 { // versions there are ahead of the other agent's
+	for range 3 { // its versions are ahead of the other agent's
 		a.setList(r.Endpoints("n"))
 	}
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=4", 1))
@@ -216,22 +217,22 @@
 	require.NoError(t, r.Start(ctx, "n"))
 	began := time.Now()
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=5", 1))
-	t.Logf("told %v after it serves", time.Since(began).Round(time.Millisecond))
+	t.Logf("applied %v after the start", time.Since(began).Round(time.Millisecond))
 	require.Less(t, time.Since(began), time.Second)
 	next.entries = r.Endpoints("n")
 	require.NoError(t, r.ReplaceInFile("n", "plan.json", a.ln.Addr().String(), next.ln.Addr().String()))
 	require.NoError(t, r.Signal("n", syscall.SIGHUP))
-	hup := time.Now()
+	reloadedAt := time.Now()
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=1", 1))
-	t.Logf("the new agent's list is told %v after SIGHUP", time.Since(hup).Round(time.Millisecond))
-	require.Less(t, time.Since(hup), 6*time.Second)
-	time.Sleep(4*time.Second - time.Since(hup))
+	t.Logf("the new agent's list is applied %v after SIGHUP", time.Since(reloadedAt).Round(time.Millisecond))
+	require.Less(t, time.Since(reloadedAt), 6*time.Second)
+	time.Sleep(4*time.Second - time.Since(reloadedAt))
 	changed := next.setList(r.Endpoints("n"))
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=2", 1))
 	require.Less(t, time.Since(changed), time.Second)
 }
 
-// manualClock moves when a test says so.
+// manualClock is a clock that only next moves.
 type manualClock struct {
 	mu    sync.Mutex
 	now   time.Time
@@ -257,13 +258,14 @@
 	return c
 }
 
-// waiting counts the waits; next ends the first of them.
+// waiting returns the number of waits that have not ended.
 func (h *manualClock) waiting() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.waits)
 }
 
+// next moves the clock to the earliest end of a wait, and ends that wait.
 func (h *manualClock) next() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -279,29 +281,29 @@
 	w.c <- h.now
 }
 
-// pollingBalancer is a module that asks again as the real one does after failures.
+// pollingBalancer is a balancer that subscribes again after failures with the same backoff as the real one.
 type pollingBalancer struct {
 	balancer.Balancer
-	o      *eventLoop
-	chance *rand.Rand
+	loop   *eventLoop
+	random *rand.Rand
 	wait   time.Duration
 }
 
 func (m *pollingBalancer) CommitEndpoints(string, int64) {
-	wait := m.o.Clock.After(m.wait + time.Duration(m.chance.Int63n(int64(m.wait/4))))
+	wait := m.loop.Clock.After(m.wait + time.Duration(m.random.Int63n(int64(m.wait/4))))
 	m.wait = min(2*m.wait, 3*time.Second)
 	go func() {
 		select {
 		case <-wait:
-			m.o.discovery.polls <- struct{}{}
-		case <-m.o.ctx.Done():
+			m.loop.discovery.polls <- struct{}{}
+		case <-m.loop.ctx.Done():
 		}
 	}()
 }
 
-// All coordinators lose discovery at once, and it stays away: 1, 3 and 300 of them, on one clock, spread their next
-// calls. In any second at most N + 3 x root of N + 3 call first, N being an even share over the spread; each calls
-// within 6 s.
+// 1, 3 or 300 coordinators on one clock lose discovery at the same time, and it stays unreachable. Guards against all
+// of them polling at once. In any second at most N + 3*sqrt(N) + 3 make their first call, N being an even share over
+// the spread, and each calls at least every 6 s.
 func TestCoordinatorsSpreadCallsAfterLoss(t *testing.T) {
 	for _, by := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
@@ -326,7 +328,7 @@
 					dials[i] = append(dials[i], clock.Now().Sub(began))
 					return nil, syscall.ECONNREFUSED
 				}}
-				loop.balancer = &pollingBalancer{o: loop, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
+				loop.balancer = &pollingBalancer{loop: loop, random: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
 				loop.discovery.polls <- struct{}{}
 				group.Go(func() error {
 					for {
@@ -357,17 +359,17 @@
 					times, last = append(times, at), at
 				}
 			}
-			share := max(1, float64(n)/2) // a second's of the 2 s over which 300 are spread
+			share := max(1, float64(n)/2) // calls per second if 300 are spread evenly over 2 s
 			limit := share + 3*math.Sqrt(share) + 3
-			t.Logf("%s, %d: %d first ones in a second at the most, %.0f allowed; %d of all", by, n, within(first), limit, within(times))
-			require.LessOrEqual(t, float64(within(first)), limit)
-			require.LessOrEqual(t, within(times), n+n/2, "in an outage that goes on")
+			t.Logf("%s, %d coordinators: at most %d first calls in a second, limit %.0f; at most %d of all calls", by, n, mostPerSecond(first), limit, mostPerSecond(times))
+			require.LessOrEqual(t, float64(mostPerSecond(first)), limit)
+			require.LessOrEqual(t, mostPerSecond(times), n+n/2, "all calls during the outage")
 		}
 	}
 }
 
-// within is the most of some times that lie in one second.
-func within(at []time.Duration) (most int) {
+// mostPerSecond returns the largest number of times that lie within one second.
+func mostPerSecond(at []time.Duration) (most int) {
 	slices.Sort(at)
 	for i, from := 0, 0; i < len(at); i++ {
 		for at[i]-at[from] >= time.Second {
--- a/coordinator/peers_test.go
+++ b/coordinator/peers_test.go
@@ -28,29 +28,30 @@
 	}))
 }
 
-// peerOptionsNamed returns a coordinator's peer options, with a free port.
-func peerOptionsNamed(t *testing.T, name string, ask ...PeerAddress) *PeerOptions {
+// peerOptionsNamed returns the options of a coordinator that polls some peers and listens on a free port.
+func peerOptionsNamed(t *testing.T, name string, polled ...PeerAddress) *PeerOptions {
 	return &PeerOptions{
-		Name: name, Listener: listen(t), PollTargets: ask, AllowedPeers: []string{"a", "b", "c"},
+		Name: name, Listener: listen(t), PollTargets: polled, AllowedPeers: []string{"a", "b", "c"},
 		Budgets: map[string]scheduler.Budget{"ask": {MaxConcurrent: 4}, "answer": {MaxConcurrent: 4}},
 	}
 }
 
+// at returns the address at which other coordinators poll this one.
 func (p *PeerOptions) at() PeerAddress { return PeerAddress{p.Name, p.Listener.Addr().String()} }
 
-// isSuspected says whether the balancer has an observation of a host.
-func (r *rig) isSuspected(hostID string) (bad bool) {
-	told := make(chan struct{})
-	var all []string
+// hasObservation says whether the balancer has an observation of a host.
+func (r *rig) hasObservation(hostID string) bool {
+	exported := make(chan struct{})
+	var observed []string
 	require.True(r.t, r.loop.submit(func() {
-		r.loop.balancer.ExportObservations(0, 100, func(b balancer.Observation) { all = append(all, b.Replica) })
-		close(told)
+		r.loop.balancer.ExportObservations(0, 100, func(b balancer.Observation) { observed = append(observed, b.Replica) })
+		close(exported)
 	}))
-	<-told
-	return strings.Contains(strings.Join(all, " "), hostID)
+	<-exported
+	return strings.Contains(strings.Join(observed, " "), hostID)
 }
 
-// A coordinator that starts beside a running one imports its observations at once, and uses them.
+// A coordinator that starts while a peer is running imports the peer's observations at once.
 func TestImportsReportOfRunningPeer(t *testing.T) {
 	pa := peerOptionsNamed(t, "a")
 	a := startWith(t, 256, nil, pa)
@@ -58,7 +59,7 @@
 	for i := range 40 {
 		a.connect().expect(fmt.Sprint("w", i), "all", 200, "")
 	}
-	require.True(t, a.isSuspected("a0"))
+	require.True(t, a.hasObservation("a0"))
 	pb := peerOptionsNamed(t, "b", pa.at())
 	b := startWith(t, 256, nil, pb)
 	b.logged("event=observations_imported peer=a")
@@ -71,8 +72,8 @@
 	b.shutDown()
 }
 
-// Peers that fail in all ways: searches, health requests and reloads do not wait for them, and a shutdown during polls
-// ends.
+// Searches, health checks and reloads do not wait for peers that do not answer, cannot be reached or are this
+// coordinator itself, and a shutdown during polls ends.
 func TestFailingPeersDelayNothing(t *testing.T) {
 	deaf := listen(t)
 	gone := listen(t)
@@ -86,15 +87,16 @@
 	status, _, _, _ := c.readAnswer()
 	require.Equal(t, 200, status)
 	c.expect("q", "all", 200, completeAnswer)
-	require.Less(t, time.Since(began), 2*time.Second, "a deaf peer takes longer to give up")
-	r.plans <- r.plan // a new plan in the middle of asking
+	require.Less(t, time.Since(began), 2*time.Second, "less than the timeout of a poll that is not answered")
+	r.plans <- r.plan // a reload during polls
 	r.logged("event=reloaded")
 	r.logged("how=failed")
 	r.logged("how=myself")
 	r.shutDown()
 }
 
-// Two coordinators start without observations and poll each other, and a third imports from both while a list changes.
+// Two coordinators that start without observations poll each other, and a third imports from both while its endpoint
+// list changes.
 func TestStartingPeersPollEachOther(t *testing.T) {
 	pa, pb := peerOptionsNamed(t, "a"), peerOptionsNamed(t, "b")
 	pa.PollTargets, pb.PollTargets = []PeerAddress{pb.at()}, []PeerAddress{pa.at()}
@@ -119,8 +121,8 @@
 	b.shutDown()
 }
 
-// Fifty coordinators poll one at once: some are answered, the others deferred; its own searches are all answered, and
-// it shuts down while polls still come.
+// Fifty coordinators poll one at the same time: some are answered, the others deferred. The polled coordinator answers
+// all its searches meanwhile, and shuts down.
 func TestFiftyPeersPollOne(t *testing.T) {
 	options := peerOptionsNamed(t, "a")
 	for i := range 50 {
@@ -132,13 +134,13 @@
 	count := map[peerreport.Outcome]int{}
 	for i := range 50 {
 		g.Go(func() {
-			how, later, _ := (&peerprotocol.Client{
+			outcome, retryAfter, _ := (&peerprotocol.Client{
 				PeerName: "a", Addr: options.at().Addr, LocalName: fmt.Sprint("n", i), Dial: (&net.Dialer{}).DialContext,
 				OnHeader: func(peerreport.ReportHeader) error { return nil }, OnObservations: func([]peerreport.Observation) error { return nil },
 			}).FetchReport(context.Background())
 			mu.Lock()
 			defer mu.Unlock()
-			if count[how]++; how == peerreport.OutcomeDeferred && later <= 0 {
+			if count[outcome]++; outcome == peerreport.OutcomeDeferred && retryAfter <= 0 {
 				count[peerreport.OutcomeFailed]++
 			}
 		})
@@ -153,7 +155,7 @@
 	r.shutDown()
 }
 
-// A host whose address changed is another machine: observations of it are dropped.
+// A host whose address changes is another machine: observations of the former one are dropped.
 func TestReportsOfMovedHostAreDropped(t *testing.T) {
 	ln := listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,7 +174,7 @@
 	cancel()
 	require.NoError(t, <-served)
 	exchange := r.loop.peers
-	heard := func() (n int) {
+	outliers := func() (n int) {
 		exchange.mu.Lock()
 		defer exchange.mu.Unlock()
 		for _, h := range exchange.reports.Combine(r.loop.clockTicks(), func(string) (int64, bool) { return 0, true }) {
@@ -182,13 +184,13 @@
 		}
 		return n
 	}
-	require.Equal(t, 1, heard())
+	require.Equal(t, 1, outliers())
 	other, err := fake.NewHost("a0", 0, true, asked.ReplyGood)
 	require.NoError(t, err)
 	t.Cleanup(other.Close)
 	r.list.Responses <- fmt.Sprintf(`{"version":8,"full":false,"servers":[%s]}`,
 		strings.Replace(r.entry("a0", "up"), r.replicas["a0"].Listener.Addr().String(), other.Listener.Addr().String(), 1))
-	r.eventually("the older note counts no more", func() bool { return heard() == 0 })
+	r.eventually("the observation of the former machine is dropped", func() bool { return outliers() == 0 })
 	r.connect().expect("q", "all", 200, completeAnswer)
 	r.shutDown()
 }
--- a/coordinator/plan/golden_plan_test.go
+++ b/coordinator/plan/golden_plan_test.go
@@ -209,7 +209,7 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	whole := write("plan.json", goldenPlan)
+	complete := write("plan.json", goldenPlan)
 	var members map[string]any
 	require.NoError(t, json.Unmarshal([]byte(goldenPlan), &members))
 	without := func(key string) string {
@@ -226,9 +226,9 @@
 	}{
 		{"nothing", nil},
 		{"other variables alone", map[string]string{"GW_NAME": "n", "GW_LISTEN": "l", "GW_DISCOVERY": "d"}},
-		{"file alone", map[string]string{"GW_CONFIG": whole}},
-		{"all", map[string]string{"GW_CONFIG": whole, "GW_NAME": "n", "GW_LISTEN": "l", "GW_DISCOVERY": "d"}},
-		{"empty variables", map[string]string{"GW_CONFIG": whole, "GW_NAME": "", "GW_LISTEN": "", "GW_DISCOVERY": ""}},
+		{"file alone", map[string]string{"GW_CONFIG": complete}},
+		{"all", map[string]string{"GW_CONFIG": complete, "GW_NAME": "n", "GW_LISTEN": "l", "GW_DISCOVERY": "d"}},
+		{"empty variables", map[string]string{"GW_CONFIG": complete, "GW_NAME": "", "GW_LISTEN": "", "GW_DISCOVERY": ""}},
 		{"no name", map[string]string{"GW_CONFIG": without("name")}},
 		{"no listen", map[string]string{"GW_CONFIG": without("listen")}},
 		{"no discovery", map[string]string{"GW_CONFIG": without("discovery")}},
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -17,8 +17,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// After a reload the complete list is polled at the new address at once, whatever its version, and failures there are
-// retried there. Searches go on.
+// After a reload the complete list is polled at the new address at once and applied whatever its version, and failed
+// calls are retried there. Searches go on.
 func TestReloadMovesDiscovery(t *testing.T) {
 	r := start(t, 256, nil)
 	require.Equal(t, "/v1/servers?index=7&wait=2000", <-r.list.Targets)
@@ -37,7 +37,7 @@
 		parts, _, _, _ := r.replicas[hostID].Observed()
 		require.Len(t, parts, want, hostID)
 	}
-	for range 20 { // the new number of descriptors holds
+	for range 20 { // the new number of descriptors applies
 		r.connect()
 	}
 	r.logged("end=displaced")
@@ -47,8 +47,8 @@
 	r.shutDown()
 }
 
-// A signal has the file read again. Its discovery address overrides the environment once it has changed; an invalid
-// file changes nothing.
+// A signal makes the coordinator read the plan file again. The file's discovery address overrides the environment's
+// once it has changed. An invalid file changes nothing.
 func TestWatchReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	write := func(discovery, more string) {
@@ -90,12 +90,12 @@
 	require.Contains(t, out.String(), "setting Balancers: -1 is under 0")
 }
 
-// A file that no longer names a discovery address leaves the environment's in force, and one that names an address
-// again overrides it.
+// If a file no longer has a discovery address, the environment's applies; a later file with an address overrides it
+// again.
 func TestReloadWithoutDiscoveryAddress(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
-	write := func(place string) {
-		require.NoError(t, os.WriteFile(path, []byte(`{"name":"n","listen":"l",`+place+`"seed":"1f",
+	write := func(discovery string) {
+		require.NoError(t, os.WriteFile(path, []byte(`{"name":"n","listen":"l",`+discovery+`"seed":"1f",
 			"limits":{"cores":1,"memory_mb":192,"sockets":99},"known":{"version":1,"servers":[]},"settings":`+testSettings+`}`), 0o600))
 	}
 	env := func(name string) string {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A file that leaves discovery to the environment, at the start or at a reload, never removes the address; one that is
-// half written, or has another deployment's settings, moves nothing but discovery.
+// A file that leaves discovery to the environment, at the start or at a reload, never leaves the coordinator without an
+// address. A half-written file changes nothing, and one with another deployment's settings only the discovery address.
 func TestEnvironmentAtReload(t *testing.T) {
 	path, out := filepath.Join(t.TempDir(), "plan.json"), &logBuffer{}
 	write := func(discovery, settings string, cut int) {
@@ -134,8 +134,8 @@
 		return map[string]string{"GW_CONFIG": path, "GW_NAME": "n7", "GW_LISTEN": "l7", "GW_DISCOVERY": "variable"}[name]
 	}
 	other := strings.NewReplacer(`"some"`, `"all"`, `"all"`, `"some"`, `"acme"`, `"other"`, `"other"`, `"acme"`).Replace(testSettings)
-	for _, begins := range []string{"", `"discovery":"file",`} {
-		write(begins, testSettings, 0)
+	for _, atStart := range []string{"", `"discovery":"file",`} {
+		write(atStart, testSettings, 0)
 		first, err := readPlan(env)
 		require.NoError(t, err)
 		require.Equal(t, "variable", first.Discovery)
@@ -161,7 +161,7 @@
 				continue
 			}
 			initial := <-plans
-			require.Equal(t, x.want, initial.Discovery, "%s then %s", begins, x.discovery)
+			require.Equal(t, x.want, initial.Discovery, "%s then %s", atStart, x.discovery)
 			require.Equal(t, []string{"n7", "l7"}, []string{initial.Name, initial.Listen})
 			if x.settings == other {
 				require.Equal(t, "settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name", first.RestartDifferences(initial))
@@ -171,18 +171,19 @@
 	}
 }
 
-// A plan whose classes and tenants are in another order changes nothing for searches before a restart.
+// A new plan with classes and tenants in another order changes nothing for searches before a restart. Guards against
+// searches that are handled under the settings of another class or tenant.
 func TestReloadWithReorderedClasses(t *testing.T) {
 	r := start(t, 256, nil)
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	c := r.connect()
-	both := func(searchName string) {
-		c.expect(searchName+"a", "all", 200, completeAnswer) // in another order, some would be complete with half of its shards
+	search := func(searchName string) {
+		c.expect(searchName+"a", "all", 200, completeAnswer) // under the settings of class some, half of the shards would do
 		c.send(strings.Replace(request(searchName+"b", "all", "", fourParts), "acme", "globex", 1))
 		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 400, status)
 	}
-	both("before")
+	search("before")
 	next, err := parsePlan(planOf(t, func(s map[string]any) {
 		settingAt(s, "Classes", 0)["Name"], settingAt(s, "Classes", 1)["Name"] = "all", "some"
 		settingAt(s, "Tenants", 0)["Name"], settingAt(s, "Tenants", 1)["Name"] = "globex", "acme"
@@ -191,41 +192,41 @@
 	next.Discovery = script(t).Listener.Addr().String()
 	r.plans <- next
 	r.logged("waits_for_restart=listen,settings.Classes.0.Name,settings.Classes.1.Name,settings.Tenants.0.Name,settings.Tenants.1.Name")
-	both("after")
+	search("after")
 	r.shutDown()
 }
 
-// A new plan with other memory changes how much open searches may hold, as it changes the runtime's goal.
+// A new plan with another memory limit changes how much memory open searches may hold, along with the Go runtime's limit.
 func TestSearchMemoryFollowsReload(t *testing.T) {
 	r := start(t, 256, nil)
-	room := func() (now float64) {
-		told := make(chan struct{})
-		require.True(t, r.loop.submit(func() { now = r.loop.searches.memoryLimit; close(told) }))
-		<-told
-		return now
+	memoryLimit := func() (limit float64) {
+		done := make(chan struct{})
+		require.True(t, r.loop.submit(func() { limit = r.loop.searches.memoryLimit; close(done) }))
+		<-done
+		return limit
 	}
-	require.Equal(t, 48.0*(1<<20), room())
+	require.Equal(t, 48.0*(1<<20), memoryLimit())
 	for memory, want := range map[int]float64{64: 16 << 20, 4: 2 << 20, 512: 128 << 20} {
 		p := *r.plan
 		p.MemoryMB = memory
 		r.plans <- &p
-		r.eventually(fmt.Sprint("room of ", memory, " MB"), func() bool { return room() == want })
+		r.eventually(fmt.Sprint("the limit follows from ", memory, " MB"), func() bool { return memoryLimit() == want })
 	}
 	r.shutDown()
 }
 
-// Many signals, on plans that are complete, half written, missing, a folder or very long, change nothing but what the
-// last complete one says, and searches go on.
+// After many signals, with plan files that are complete, half written, missing, a folder or too large, the last complete
+// plan applies, and searches have gone on.
 func TestManyReloads(t *testing.T) {
 	l := newChildProcess(t)
 	l.start(nil)
 	l.ready()
-	whole, err := os.ReadFile(l.file)
+	complete, err := os.ReadFile(l.file)
 	require.NoError(t, err)
 	for i := range 1000 {
 		switch i {
 		case 100:
-			require.NoError(t, os.WriteFile(l.file, whole[:len(whole)/2], 0o600))
+			require.NoError(t, os.WriteFile(l.file, complete[:len(complete)/2], 0o600))
 		case 300:
 			require.NoError(t, os.Remove(l.file))
 		case 400:
