--- a/coordinator/plan/errors.go
+++ b/coordinator/plan/errors.go
@@ -101,6 +101,5 @@
 }
 
 func (e *InvalidEntryError) Error() string {
-	return fmt.Sprintf("entry id=%q addr=%q state=%q cell=%v: expected an id, a state of up, draining or removed, "+
-		"and, unless removed, an addr and a cell that is a whole number of 0 or more", e.ID, e.Addr, e.State, e.Cell)
+	return fmt.Sprintf("entry id=%q addr=%q state=%q cell=%v: expected an id, a state of up, draining or removed, and unless removed an addr and a whole number as cell", e.ID, e.Addr, e.State, e.Cell)
 }
