--- a/coordinator/discovery.go
+++ b/coordinator/discovery.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	watchInterval            = time.Second            // between two calls, over all coordinators: bounds the load on discovery
+	watchInterval            = time.Second            // mean time between two calls, those of all coordinators counted: limits the load on discovery
 	maxWatchWait             = 20 * time.Second       // longest wait of a call for changes: a silent connection is detected only after it
 	fullListTimeout          = 2 * time.Second        // of a call for the complete list, which discovery answers at once
 	watchAnswerSlack         = time.Second            // for the answer to arrive after the wait of a call
 	minPollBackoff           = 500 * time.Millisecond // first backoff before the next poll
 	maxPollBackoff           = 3 * time.Second        // longest backoff, half of it random: a missed change has to be known within 6 s
 	maxPollDelay             = 5 * time.Second        // longest time from the start of a failed call to the next: a missed change has to be known within 6 s
-	lossSpreadPerCoordinator = 10 * time.Millisecond  // between the calls of coordinators that lost discovery at the same time
-	maxLossSpread            = 2 * time.Second        // over which those calls are spread: a missed change has to be known within 6 s
+	lossSpreadPerCoordinator = 10 * time.Millisecond  // mean time between the calls of coordinators that lost discovery at the same time
+	maxLossSpread            = 2 * time.Second        // longest time over which those calls are spread: a missed change has to be known within 6 s
 )
 
 // discoveryRequests carries requests to the goroutine that follows discovery, from the event loop and from reloads.
@@ -52,10 +52,11 @@
 }
 
 // followDiscovery keeps the endpoint list up to date until the coordinator ends. If the settings leave polling to the
-// balancer, each of its subscriptions lasts until a call fails, and the failure is reported to it; otherwise a random
-// exponential backoff follows each failure. When the address of discovery changes, the complete list is polled at the
-// new address at once, under the existing subscription, and backoffs restart. In both modes the next call begins
-// soon enough to learn of a missed change in time.
+// balancer, calls are made one after another under its subscription until one fails; the failure is reported to the
+// balancer, which subscribes again after its own backoff. Otherwise a random exponential backoff follows each failure.
+// In both modes the delay after a failure is limited, so that a missed change is known in time. When the address of
+// discovery changes, the complete list is polled at the new address at once, under the existing subscription, and
+// backoffs restart.
 func (loop *eventLoop) followDiscovery() error {
 	follower := &discoveryFollower{
 		loop: loop, isSubscribed: loop.plan.Settings["Discovery"] == "subscribe",
@@ -169,7 +170,7 @@
 	loop.log.Warn("list_failed", "discovery", state.addr, "version", int64(state.version), "error", err)
 	f.spread = loop.lossSpread(err)
 	// The first call after a timeout follows at once: the timeout has already delayed changes that have to be known
-	// soon. The calls of several coordinators time out one by one, so they don't reach discovery all at once.
+	// soon. The calls of several coordinators time out one by one, so their next calls don't all come at the same time.
 	f.pollsAtOnce = isSilence(err) && !state.lastCallFailed
 	if state.lastCallFailed = true; state.answeredSinceFailure {
 		f.backoff = minPollBackoff
@@ -269,7 +270,7 @@
 	}
 	status, _, body, keep, err := reader.ReadResponse()
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("status %d", status)
+		err = fmt.Errorf("got status %d, expected 200", status)
 	}
 	if err == nil {
 		err = w.loop.handleListAnswer(body, full, &state.version)
@@ -278,7 +279,7 @@
 	hasChanges := state.version != before
 	w.isSynchronized = hasChanges
 	if err == nil && !full && !hasChanges && time.Since(started) < wait/2 {
-		err = errors.New("answer without changes came before the wait was over") // a server that does not wait would be polled without pause
+		err = errors.New("answer without changes came before the wait was over") // otherwise a server that does not wait would be polled without pause
 	}
 	if err == nil {
 		w.recordSuccess(full, hasChanges)
@@ -302,7 +303,7 @@
 }
 
 // recordSuccess records an answered call. The balancer restarts its backoff when a list is committed; if this answer
-// may not lead to a commit, the backoff is reset explicitly.
+// might not lead to a commit, the backoff is reset explicitly.
 func (w *discoveryWatch) recordSuccess(full, hasChanges bool) {
 	w.state.answeredSinceFailure, w.state.needsFullList = true, false
 	if w.state.lastCallFailed && (!hasChanges && !full || w.loop.sources != nil) {
@@ -312,8 +313,8 @@
 }
 
 // errVersionsRestarted reports an answer that is older than the current list. The complete list is polled next and
-// accepted whatever its version: discovery may have lost its versions, and changes would be ignored until its versions
-// had caught up. An answer that was merely late costs one call for the complete list.
+// accepted whatever its version: discovery may have lost its versions and begun again at a low one, and its changes
+// would be ignored until it had caught up with the current version. An answer that was merely late costs one call for the complete list.
 var errVersionsRestarted = errors.New("discovery may have restarted its versions")
 
 // handleListAnswer applies one answer. A malformed answer, or one older than the current list, leaves the list
--- a/coordinator/discovery_follower_test.go
+++ b/coordinator/discovery_follower_test.go
@@ -48,8 +48,8 @@
 	return near, nil
 }
 
-// fakeDiscovery is a stand-in for discovery at one address, in synthetic time. faults says how it fails the next
-// connects and calls, one word each; after these it works.
+// fakeDiscovery is a stand-in for discovery at one address, in synthetic time. faults names, one word each,
+// how the next connects and calls fail; after these all succeed.
 type fakeDiscovery struct {
 	mu       sync.Mutex
 	version  int
@@ -81,8 +81,9 @@
 	d.changed = make(chan struct{})
 }
 
-// next removes and returns the next fault if it concerns a connect, or a call; "" if it does not or there is none.
-func (d *fakeDiscovery) next(connect bool) string {
+// nextFault removes and returns the next fault if it is one of a connect and connect is true, or one of a call and
+// connect is false. Otherwise, or if no fault is left, it returns "".
+func (d *fakeDiscovery) nextFault(connect bool) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.faults) == 0 {
@@ -97,8 +98,8 @@
 	return f
 }
 
-// left returns how many faults are left.
-func (d *fakeDiscovery) left() int {
+// faultsLeft returns how many faults are left.
+func (d *fakeDiscovery) faultsLeft() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.faults)
@@ -106,7 +107,7 @@
 
 // failDial fails a connect if the next fault says so.
 func (d *fakeDiscovery) failDial(ctx context.Context) error {
-	switch d.next(true) {
+	switch d.nextFault(true) {
 	case "refused":
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	case "unanswered":
@@ -155,7 +156,7 @@
 		wait, _ := strconv.Atoi(u.Query().Get("wait"))
 		full := u.Query().Get("index") == ""
 		text, status := "", 200
-		switch f := d.next(false); f {
+		switch f := d.nextFault(false); f {
 		case "silent", "lost", "half", "trickle":
 			d.failCall(conn, f, index)
 			return
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -22,8 +22,8 @@
 	"chalkring/internal/http1"
 )
 
-// An answer without changes that comes before the wait is over counts as a failed call. Guards against polling a server
-// that does not wait without pause. Version 0 is a valid version: the first call waits for a newer one.
+// An answer without changes that comes before the wait is over counts as a failed call. Guards against a server that
+// does not wait and would be polled without pause. Version 0 is a valid version: the first call waits for a newer one.
 func TestWatchThatDoesNotWaitFails(t *testing.T) {
 	list := script(t)
 	loop := &eventLoop{
@@ -94,13 +94,13 @@
 	r.shutDown()
 }
 
-// A list without a Content-Length ends with its connection. It counts if it is complete and the connection was closed
-// in good order; guards against applying a list that a connection reset has cut off.
+// A list without a Content-Length ends with its connection. It is applied if it is complete and the connection was
+// closed without a reset; guards against applying a list that a connection reset has cut off.
 func TestListAnswerWithoutContentLength(t *testing.T) {
 	for name, x := range map[string]struct {
-		share  int // percent of the list that arrives
-		resets bool
-		counts bool
+		share   int // percent of the list that arrives
+		resets  bool
+		applied bool
 	}{
 		"complete":             {100, false, true},
 		"closed halfway":       {50, false, false},
@@ -130,9 +130,9 @@
 			list := fmt.Sprintf(`{"version":9,"full":true,"servers":[%s,%s]}`, r.entry("a0", "up"), r.entry("b0", "up"))
 			require.Equal(t, "/v1/servers", serve(list[:len(list)*x.share/100], x.resets))
 			next := serve(strings.Replace(list, `"version":9`, `"version":10`, 1), false)
-			require.Equal(t, !x.counts, next == "/v1/servers", next)
+			require.Equal(t, !x.applied, next == "/v1/servers", next)
 			r.logged("version=10 ")
-			require.Equal(t, x.counts, strings.Contains(r.log.String(), "version=9 "))
+			require.Equal(t, x.applied, strings.Contains(r.log.String(), "version=9 "))
 			r.shutDown()
 		})
 	}
@@ -141,14 +141,14 @@
 // After a call that was not answered, the next begins at once in both modes of polling. First calls that begin
 // together have random waits: guards against 300 coordinators whose calls time out at the same moment.
 func TestSilentCallIsRepeatedAtOnce(t *testing.T) {
-	for _, by := range []string{"subscribe", "automatic"} {
+	for _, mode := range []string{"subscribe", "automatic"} {
 		waits := map[string]bool{}
 		for seed := range 20 {
 			synctest.Test(t, func(t *testing.T) {
 				d := newFakeDiscovery("silent")
-				f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": d}, func(s map[string]any) { s["Discovery"], s["Balancers"] = by, 300 }, nil)
+				f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": d}, func(s map[string]any) { s["Discovery"], s["Balancers"] = mode, 300 }, nil)
 				defer f.stop()
-				f.until("the first call has come", func() bool { return d.left() == 0 })
+				f.until("the first call has come", func() bool { return d.faultsLeft() == 0 })
 				d.mu.Lock()
 				began, target := d.attempts[0], d.targets[0]
 				d.mu.Unlock()
@@ -159,7 +159,7 @@
 				waits[target] = true
 				d.setList(9, hosts("10.0.0.2:1"))
 				took := f.loggedAt("version=9 ").Sub(began)
-				require.LessOrEqual(t, took, wait+watchAnswerSlack+20*time.Millisecond, "%s, seed %d", by, seed)
+				require.LessOrEqual(t, took, wait+watchAnswerSlack+20*time.Millisecond, "%s, seed %d", mode, seed)
 				require.GreaterOrEqual(t, wait, maxWatchWait/2)
 			})
 		}
@@ -200,13 +200,13 @@
 	r.shutDown()
 }
 
-// After discovery has restarted its versions, its list is applied once the next call has waited to its end, or soon
-// after the connection is lost. Until discovery knows a host again, the last list stays. An answer that is merely late
+// After discovery has restarted its versions, its list is applied once the call in progress has waited to its end, or
+// soon after its connection is lost. Until discovery knows a host again, the last list stays. An answer that is merely late
 // changes nothing. Guards against a list that stays out of date until the new versions have caught up with the old.
 func TestRestartedVersions(t *testing.T) {
 	for name, x := range map[string]struct {
 		lost       bool     // the connection is lost as versions restart
-		faults     []string // after that
+		faults     []string // of the calls after the restart
 		version    int      // of the list after the restart
 		hosts      []fake.Endpoint
 		emptyFor   time.Duration // after which discovery knows hosts again
@@ -220,13 +220,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			worst := time.Duration(0)
-			for _, by := range []string{"subscribe", "automatic"} {
+			for _, mode := range []string{"subscribe", "automatic"} {
 				for _, n := range []int{1, 300} {
 					for seed := range 5 {
 						synctest.Test(t, func(t *testing.T) {
 							d := newFakeDiscovery()
 							f := startDiscoveryRig(t, seed, map[string]*fakeDiscovery{"first": d}, func(s map[string]any) {
-								s["Discovery"], s["Balancers"] = by, n
+								s["Discovery"], s["Balancers"] = mode, n
 							}, nil)
 							defer f.stop()
 							time.Sleep(time.Second)
@@ -256,8 +256,8 @@
 							})
 							took := time.Since(began)
 							worst = max(worst, took)
-							require.LessOrEqual(t, took, wait+x.extraDelay, "%s, %d coordinators, seed %d", by, n, seed)
-							d.setList(x.version+2, hosts("10.0.0.4:1")) // calls for changes work from there on
+							require.LessOrEqual(t, took, wait+x.extraDelay, "%s, %d coordinators, seed %d", mode, n, seed)
+							d.setList(x.version+2, hosts("10.0.0.4:1")) // calls for changes work from then on
 							require.NotZero(t, f.loggedAt(fmt.Sprintf("version=%d ", x.version+2)))
 						})
 					}
@@ -301,7 +301,7 @@
 			d.faults = slices.Repeat([]string{"lost"}, times)
 			d.mu.Unlock()
 			d.closeConns()
-			f.until("all calls have failed", func() bool { return d.left() == 0 })
+			f.until("all calls have failed", func() bool { return d.faultsLeft() == 0 })
 		}
 		time.Sleep(time.Second)
 		d.setList(50, hosts("10.0.0.2:1"))
--- a/coordinator/endpoint_list.go
+++ b/coordinator/endpoint_list.go
@@ -28,8 +28,8 @@
 	loop.commitEndpointList(how, int64(list.Version), list.Hosts, present, steps)
 }
 
-// commitEndpointList applies a list or changes in one iteration: steps add its hosts, and hosts that are not present
-// are removed unless how is Partial.
+// commitEndpointList applies a list or changes in one iteration: steps apply the entries, and unless how is Partial,
+// all replicas whose host ID is not in present are removed.
 func (loop *eventLoop) commitEndpointList(how string, version int64, hosts []plan.ListedHost, present map[string]bool, steps []func()) {
 	for _, step := range steps {
 		step()
--- a/coordinator/endpoint_sources.go
+++ b/coordinator/endpoint_sources.go
@@ -42,8 +42,8 @@
 	return update
 }
 
-// applyDiscovery applies a list from discovery and returns why it was refused, or nil. The caller records its version
-// as known only if it was accepted, since discovery does not send the same changes again.
+// applyDiscovery applies a list from discovery and returns why it was refused, or nil. The caller records the
+// version as known only if the list was accepted: discovery would not send the changes up to a known version again.
 func (s *endpointSources) applyDiscovery(update endpoints.Update) error {
 	pending := discoveryUpdate{update, make(chan error, 1)}
 	select {
--- a/coordinator/golden_stored_test.go
+++ b/coordinator/golden_stored_test.go
@@ -167,7 +167,7 @@
 	values := map[string][]byte{}
 	require.NoError(t, s.Load("kept", func(key string, value []byte) error { values[key] = value; return nil }))
 	require.Len(t, values, 4)
-	require.Equal(t, "82f6f4", hex.EncodeToString(values["starts"]), "no starts, not emptied")
+	require.Equal(t, "82f6f4", hex.EncodeToString(values["starts"]), "no starts, store not quarantined")
 	require.NotEmpty(t, values["whose"])
 	var list []any // time, the plan's version, discovery's version, hosts, removals
 	require.NoError(t, cbor.Unmarshal(values["list"], &list))
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -27,9 +27,9 @@
 	"chalkring/internal/http1"
 )
 
-// discoveryAgent is a stand-in for discovery whose first calls fail in given ways, one after another; later calls are
+// discoveryStandIn is a stand-in for discovery whose first calls fail in given ways, one after another; later calls are
 // answered.
-type discoveryAgent struct {
+type discoveryStandIn struct {
 	ln    net.Listener
 	calls chan string // targets of calls, in order
 
@@ -40,8 +40,8 @@
 	faults  []string
 }
 
-func newDiscoveryAgent(t *testing.T, faults ...string) *discoveryAgent {
-	a := &discoveryAgent{ln: listen(t), calls: make(chan string, 64), version: 1, changed: make(chan struct{}), faults: faults}
+func newDiscoveryStandIn(t *testing.T, faults ...string) *discoveryStandIn {
+	a := &discoveryStandIn{ln: listen(t), calls: make(chan string, 64), version: 1, changed: make(chan struct{}), faults: faults}
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	t.Cleanup(func() {
@@ -64,7 +64,7 @@
 	return a
 }
 
-func (a *discoveryAgent) serve(conn net.Conn, done chan struct{}) {
+func (a *discoveryStandIn) serve(conn net.Conn, done chan struct{}) {
 	defer conn.Close()
 	rd := http1.NewReader(conn, make([]byte, 16<<10))
 	for {
@@ -134,7 +134,7 @@
 }
 
 // setList changes the list and returns when.
-func (a *discoveryAgent) setList(entries []fake.Endpoint) time.Time {
+func (a *discoveryStandIn) setList(entries []fake.Endpoint) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version, a.entries = a.version+1, entries
@@ -143,8 +143,9 @@
 	return time.Now()
 }
 
-// The delay until a changed list is applied, according to the log of a coordinator process: none if a call for changes
-// works, and otherwise at most 6 s, or 2 s after the wait of the call (2 s here).
+// According to the log of a coordinator process, a changed list is applied at once if a call for changes works. If the
+// call times out, the list is applied within 2 s after the call's wait, which is 2 s here, and after other faults within
+// 6 s.
 func TestListDelay(t *testing.T) {
 	const atOnce, afterWait, missed = time.Second, 4 * time.Second, 6 * time.Second
 	const busy = 500 * time.Millisecond // allowance for a busy machine
@@ -154,7 +155,7 @@
 	for name, x := range map[string]struct {
 		faults  []string      // of the calls, in order
 		calls   int           // how many have come before the list changes
-		by      string        // setting Discovery
+		mode    string        // setting Discovery
 		limit   time.Duration // of the delay
 		pending time.Duration // how long the last of these calls is open before the list changes
 	}{
@@ -171,10 +172,10 @@
 		"no subscription, many lost connections":   {slices.Repeat([]string{"lost"}, 5), 5, "automatic", missed, 0},
 		"no subscription, an unanswered call":      {[]string{"silent"}, 1, "automatic", afterWait, 0},
 	} {
-		a := newDiscoveryAgent(t, x.faults...)
+		a := newDiscoveryStandIn(t, x.faults...)
 		r := process(t, func(s *fleet.Config) {
 			s.DiscoveryAddress, s.Settings = a.ln.Addr().String(), fleet.DefaultSettings(1, []string{"z"})
-			s.Settings["Discovery"] = x.by
+			s.Settings["Discovery"] = x.mode
 		})
 		all.Go(func() error {
 			for range x.calls {
@@ -204,11 +205,11 @@
 // discovery to an address that did not answer its first call and whose versions are lower.
 func TestListDelayAtStartAndAfterReload(t *testing.T) {
 	t.Parallel()
-	a, next := newDiscoveryAgent(t), newDiscoveryAgent(t, "silent")
+	a, next := newDiscoveryStandIn(t), newDiscoveryStandIn(t, "silent")
 	r := process(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
-	for range 3 { // its versions are ahead of the other agent's
+	for range 3 { // its versions are ahead of the other stand-in's
 		a.setList(r.Endpoints("n"))
 	}
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=4", 1))
@@ -224,7 +225,7 @@
 	require.NoError(t, r.Signal("n", syscall.SIGHUP))
 	reloadedAt := time.Now()
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=1", 1))
-	t.Logf("the new agent's list is applied %v after SIGHUP", time.Since(reloadedAt).Round(time.Millisecond))
+	t.Logf("the second stand-in's list is applied %v after SIGHUP", time.Since(reloadedAt).Round(time.Millisecond))
 	require.Less(t, time.Since(reloadedAt), 6*time.Second)
 	time.Sleep(4*time.Second - time.Since(reloadedAt))
 	changed := next.setList(r.Endpoints("n"))
@@ -232,7 +233,7 @@
 	require.Less(t, time.Since(changed), time.Second)
 }
 
-// manualClock is a clock that only next moves.
+// manualClock is a clock that moves only when next is called.
 type manualClock struct {
 	mu    sync.Mutex
 	now   time.Time
@@ -302,10 +303,10 @@
 }
 
 // 1, 3 or 300 coordinators on one clock lose discovery at the same time, and it stays unreachable. Guards against all
-// of them polling at once. In any second at most N + 3*sqrt(N) + 3 make their first call, N being an even share over
-// the spread, and each calls at least every 6 s.
+// of them polling at once. In any second at most S + 3*sqrt(S) + 3 of them make their first call, where S of them would
+// if the calls were spread evenly; and each calls at least every 6 s.
 func TestCoordinatorsSpreadCallsAfterLoss(t *testing.T) {
-	for _, by := range []string{"subscribe", "automatic"} {
+	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
 			clock := &manualClock{now: time.Unix(1_700_000_000, 0)}
 			ctx, cancel := context.WithCancel(context.Background())
@@ -318,7 +319,7 @@
 				loop := &eventLoop{
 					group: group, ctx: work, discovery: discoveryRequests{polls: make(chan struct{}, 1), moves: make(chan string)}, tasks: make(chan func(), maxQueuedTasks),
 					log: newAsyncLogger(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
-						"Discovery": by,
+						"Discovery": mode,
 						"Balancers": fmt.Sprint(n),
 					}, Known: plan.EndpointList{Version: 1}},
 				}
@@ -361,7 +362,7 @@
 			}
 			share := max(1, float64(n)/2) // calls per second if 300 are spread evenly over 2 s
 			limit := share + 3*math.Sqrt(share) + 3
-			t.Logf("%s, %d coordinators: at most %d first calls in a second, limit %.0f; at most %d of all calls", by, n, mostPerSecond(first), limit, mostPerSecond(times))
+			t.Logf("%s, %d coordinators: at most %d first calls in a second, limit %.0f; at most %d of all calls", mode, n, mostPerSecond(first), limit, mostPerSecond(times))
 			require.LessOrEqual(t, float64(mostPerSecond(first)), limit)
 			require.LessOrEqual(t, mostPerSecond(times), n+n/2, "all calls during the outage")
 		}
--- a/coordinator/peer_reports.go
+++ b/coordinator/peer_reports.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// updateHosts applies a list or changes to it. Reports about a host that was removed or has a new address concern
+// updateHosts takes over the hosts of an endpoint list, or changes to it. Reports about a host that was removed or has a new address concern
 // another machine and are invalidated.
 func (e *peerExchange) updateHosts(full bool, version int64, hosts []plan.ListedHost) {
 	e.mu.Lock()
@@ -91,7 +91,7 @@
 }
 
 // admit says whether a peer may poll now, and otherwise how long it has to wait. It is the peer server's Admit.
-func (e *peerExchange) admit(name string) (ok bool, later time.Duration) {
+func (e *peerExchange) admit(name string) (ok bool, retryAfter time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ok, wait := e.admission.Admit(e.loop.clockTicks(), name)
@@ -185,14 +185,14 @@
 		LoadPermille: uint16(1000 * min(1, max(load, e.load))), WaitingJobs: uint16(waiting), RunningJobs: uint16(running), DeferredJobs: uint32(counts.Deferred),
 	}
 	for _, peer := range e.poller.Statuses(now) {
-		one := peerprotocol.PeerStatus{Name: peer.Name, ReportCount: uint32(peer.ReportCount)}
+		peerStatus := peerprotocol.PeerStatus{Name: peer.Name, ReportCount: uint32(peer.ReportCount)}
 		if peer.LastOutcomeAt > 0 {
-			one.LastOutcome, one.LastOutcomeAgoMs = peer.LastOutcome.String(), uint64((now-peer.LastOutcomeAt)/10)
+			peerStatus.LastOutcome, peerStatus.LastOutcomeAgoMs = peer.LastOutcome.String(), uint64((now-peer.LastOutcomeAt)/10)
 		}
 		if peer.NextPollAt > now {
-			one.NextPollInMs = uint64((peer.NextPollAt - now) / 10)
+			peerStatus.NextPollInMs = uint64((peer.NextPollAt - now) / 10)
 		}
-		status.Peers = append(status.Peers, one)
+		status.Peers = append(status.Peers, peerStatus)
 	}
 	return status, nil
 }
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -82,11 +82,11 @@
 		names = append(names, peer.Name)
 	}
 	exchange.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(options.RefreshInterval/tick), names)
-	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), options.Budgets)
-	exchange.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
+	schedule := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), options.Budgets)
+	exchange.pool = scheduler.NewPool(loop.Clock, schedule, func(job string, err error) {
 		loop.log.warnLimited("job", "job_failed", "job", job, "error", err)
 		if name, isPoll := strings.CutPrefix(job, pollJobPrefix); isPoll {
-			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // not here: the pool must not block
+			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // in a goroutine of its own: the pool must not block
 		}
 	})
 	return exchange
@@ -159,7 +159,7 @@
 	}
 }
 
-// startPoll adds a job that polls one peer.
+// startPoll adds a job that polls one peer. The caller holds mu.
 func (e *peerExchange) startPoll(name string) {
 	i := slices.IndexFunc(e.options.PollTargets, func(peer PeerAddress) bool { return peer.Name == name })
 	peer := e.options.PollTargets[i]
@@ -172,7 +172,7 @@
 		return nil
 	})
 	if err != nil {
-		e.loop.group.Go(func() error { e.handlePollEnd(peer.Name, peerreport.OutcomeFailed, 0, err); return nil }) // startPoll is called with the lock held
+		e.loop.group.Go(func() error { e.handlePollEnd(peer.Name, peerreport.OutcomeFailed, 0, err); return nil }) // in a goroutine of its own: it locks mu, which the caller of startPoll holds
 	}
 }
 
--- a/coordinator/persistence.go
+++ b/coordinator/persistence.go
@@ -20,9 +20,9 @@
 	"chalkring/storage/store"
 )
 
-// Job name, times and limits of writes to the store, and its buckets and keys.
+// The job that writes to the store, its times and limits, and the store's buckets and keys.
 const (
-	persistJobKind      = "keep"                 // of the background job
+	persistJobKind      = "keep"                 // kind of the background job that writes
 	persistInterval     = 2 * time.Second        // between two writes: observations stay useful for half a minute
 	firstPersistDelay   = 5 * time.Second        // before the first write: a run that ends sooner leaves the state of an earlier run
 	listRewriteInterval = time.Hour              // after which an unchanged list is written again, with a new time
@@ -44,7 +44,7 @@
 // lists and one more peer report, and a background job writes.
 type Persistence struct {
 	path        string
-	exclusive   bool             // nothing else is stored there, so a crash loop may put the whole store aside
+	exclusive   bool             // nothing else is stored there, so that the whole store may be quarantined in a crash loop
 	budget      scheduler.Budget // of its writes
 	planVersion int64            // of the plan's endpoint list
 	identity    string           // of the deployment, as Plan.Identity returns it
@@ -71,7 +71,7 @@
 }
 
 // NewPersistence starts to open the store at path in the background. The caller closes it once the coordinator has
-// ended. exclusive says that nothing else is stored there, so that a crash loop may put the whole store aside.
+// ended. exclusive says that nothing else is stored there, so that the whole store may be quarantined in a crash loop.
 func NewPersistence(path string, exclusive bool, budget scheduler.Budget, initial *plan.Plan, clock Clock, log *slog.Logger) *Persistence {
 	return newPersistence(path, exclusive, store.Options{}, budget, initial, clock, log)
 }
@@ -143,24 +143,25 @@
 	return nil
 }
 
-// claim records this start and the deployment's identity in the store. A store written by another deployment holds
-// another customer's hosts, which are removed. A store without an identity was written before identities were stored
-// and counts as this deployment's. Since classes, tenants and zones are part of the identity, the first start after
-// they change restores nothing and knows only its plan.
+// claim records this start and the deployment's identity in the store. From a store that another
+// deployment has written, the endpoint list and observations are deleted: they concern another customer's hosts. A
+// store without an identity was written before identities were stored and counts as this deployment's. Since classes,
+// tenants and zones are part of the identity, the first start after they change restores nothing and knows only the
+// hosts of its plan.
 func (p *Persistence) claim(opened *store.Store, starts recovery.StartRecord) error {
 	var removed []string
 	if writer := readStored[string](p, opened, identityKey); writer != "" && writer != p.identity {
 		p.log.Warn("state_discarded", "what", "endpoint list and observations",
 			"why", "written by a coordinator with another name or with other classes, tenants, zones or sets",
-			"do", "Give each deployment its own store; this deployment overwrites this one from now on.")
+			"do", "Give each deployment its own store; this deployment overwrites this store from now on.")
 		removed = []string{listKey, observationsKey}
 	}
-	startsText, err := cbor.Marshal(starts)
-	identityText, identityErr := cbor.Marshal(p.identity)
+	encodedStarts, err := cbor.Marshal(starts)
+	encodedIdentity, identityErr := cbor.Marshal(p.identity)
 	if err = errors.Join(err, identityErr); err != nil {
 		return err
 	}
-	values := map[string][]byte{startsKey: startsText, identityKey: identityText}
+	values := map[string][]byte{startsKey: encodedStarts, identityKey: encodedIdentity}
 	if err := opened.Put(context.Background(), stateBucket, values, removed); err != nil {
 		return err
 	}
@@ -196,9 +197,9 @@
 
 // readStored reads one stored value; it returns the zero value if the value is missing or cannot be decoded.
 func readStored[T any](persistence *Persistence, s *store.Store, key string) (value T) {
-	text, found, err := s.Get(stateBucket, key)
+	encoded, found, err := s.Get(stateBucket, key)
 	if err == nil && found {
-		err = cbor.Unmarshal(text, &value)
+		err = cbor.Unmarshal(encoded, &value)
 	}
 	if err != nil {
 		persistence.log.Warn("state_discarded", "what", key, "why", err.Error())
@@ -222,8 +223,8 @@
 	}
 }
 
-// PrependStoredUpdate returns a channel that merges the stored endpoint list, sent once the store is open, with
-// updates, which may be nil. The channel is closed when ctx ends.
+// PrependStoredUpdate returns a channel that delivers the given updates and, once the store is open, the stored
+// endpoint list. updates may be nil. The channel is closed when ctx ends.
 func (p *Persistence) PrependStoredUpdate(ctx context.Context, updates <-chan endpoints.Update) <-chan endpoints.Update {
 	out := make(chan endpoints.Update)
 	go func() {
--- a/coordinator/persistence_write.go
+++ b/coordinator/persistence_write.go
@@ -27,7 +27,7 @@
 }
 
 // run imports stored observations as a peer report once the store is open, and then starts the background job that
-// writes. stopping ends when a planned stop begins; the last write follows.
+// writes. stopping is cancelled when a planned stop begins; then the last write follows.
 func (p *Persistence) run(loop *eventLoop, stopping context.Context) {
 	loop.group.Go(func() error {
 		if _, err := p.WaitForStore(loop.ctx); err != nil {
@@ -103,8 +103,8 @@
 	}()
 	exchange, began, puts := loop.peers, time.Now(), map[string][]byte{}
 	put := func(key string, v any) error {
-		text, err := cbor.Marshal(v)
-		puts[key] = text
+		encoded, err := cbor.Marshal(v)
+		puts[key] = encoded
 		return err
 	}
 	header, observations, err := exchange.currentReport(ctx)
@@ -128,8 +128,8 @@
 		err = errors.Join(err, put(startsKey, recovery.StartRecord{}.RecordPlannedStop()))
 	}
 	bytes := 0
-	for _, text := range puts {
-		bytes += len(text)
+	for _, encoded := range puts {
+		bytes += len(encoded)
 	}
 	if allowance != nil {
 		err = errors.Join(err, allowance.Spend(ctx, bytes, time.Since(began)))
--- a/coordinator/plan/environment.go
+++ b/coordinator/plan/environment.go
@@ -44,14 +44,14 @@
 			return nil, &MissingVariableError{Variable: variable, InFile: true}
 		}
 	}
-	// If the file leaves the discovery address to the variable, that address counts as the file's own, so that a
-	// later file without one does not look like a change of address at a reload.
+	// If the file has no discovery address, the variable's counts as the file's own, so that another file without one
+	// does not look like a change of address at a reload.
 	parsed.discoveryInFile = cmp.Or(parsed.discoveryInFile, parsed.Discovery)
 	return parsed, nil
 }
 
-// readFile reads a plan file. The size limit guards against a GW_CONFIG that names a wrong file at SIGHUP, whose text
-// alone could exceed the memory limit.
+// readFile reads a plan file. The size limit protects a running coordinator: if GW_CONFIG names a wrong file when the
+// plan is read again at SIGHUP, the file's text alone could exceed the memory limit.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/coordinator/plan/errors.go
+++ b/coordinator/plan/errors.go
@@ -101,5 +101,5 @@
 }
 
 func (e *InvalidEntryError) Error() string {
-	return fmt.Sprintf("entry id=%q addr=%q state=%q cell=%v: expected an id, a state of up, draining or removed, and unless removed an addr and a whole number as cell", e.ID, e.Addr, e.State, e.Cell)
+	return fmt.Sprintf("entry id=%q addr=%q state=%q cell=%v: expected an id and a state of up, draining or removed; if the state is not removed, also an addr and a whole number as cell", e.ID, e.Addr, e.State, e.Cell)
 }
--- a/coordinator/plan/golden_plan_test.go
+++ b/coordinator/plan/golden_plan_test.go
@@ -57,9 +57,9 @@
 		line("settings", name+"="+p.Settings[name])
 	}
 	for _, list := range []string{"Classes", "Tenants"} {
-		places := p.PositionsByName(list)
-		for _, name := range slices.Sorted(maps.Keys(places)) {
-			line(list, fmt.Sprintf("%q is %d", name, places[name]))
+		positions := p.PositionsByName(list)
+		for _, name := range slices.Sorted(maps.Keys(positions)) {
+			line(list, fmt.Sprintf("%q is %d", name, positions[name]))
 		}
 	}
 	line("aims", p.LatencyObjectives())
@@ -197,7 +197,7 @@
 	_, err = p.WithSettings(map[string]string{"Specifics.ClassFloor": "1"})
 	write("an installation's list", err)
 	_, err = p.WithShadowSettings(map[string]string{"Safety.ColdFrom": "2"})
-	write("a setting that is watched", err)
+	write("a shadow setting", err)
 	golden.Require(t, "plan_errors.golden", out.String())
 }
 
--- a/coordinator/plan/plan.go
+++ b/coordinator/plan/plan.go
@@ -38,7 +38,7 @@
 
 	Seed           int64
 	Settings       map[string]string // flattened, by dotted name, in the balancer's form
-	ShadowSettings map[string]string // settings that decisions are compared with; nil for none
+	ShadowSettings map[string]string // settings under which decisions are made a second time, for comparison; nil for none
 	Known          EndpointList      // the last known endpoint list
 
 	discoveryInFile string              // the file's own discovery address; the environment's if the file has none
@@ -99,7 +99,7 @@
 	return p.readNames(values)
 }
 
-// WithSettings returns a copy of the plan whose settings are overridden by an installation's, and an error if the
+// WithSettings returns a copy of the plan in which an installation's settings override the plan's, and an error if the
 // result is invalid.
 func (p *Plan) WithSettings(overrides map[string]string) (*Plan, error) {
 	own := *p
--- a/coordinator/plan/settings.go
+++ b/coordinator/plan/settings.go
@@ -69,7 +69,7 @@
 }
 
 // ForShard returns the plan for one of n event loops in a process, with its part of the descriptors, memory and budget,
-// and its own seed. In rules that all coordinators follow together, each event loop counts as a coordinator.
+// and its own seed. In rules that depend on the number of coordinators, each event loop counts as a coordinator.
 func (p *Plan) ForShard(index, n int) *Plan {
 	own := *p
 	own.MaxSockets, own.MemoryMB = p.MaxSockets/n, max(1, p.MemoryMB/n)
--- a/coordinator/plan_test.go
+++ b/coordinator/plan_test.go
@@ -32,8 +32,8 @@
 	return settings[list].([]any)[i].(map[string]any)
 }
 
-// Guards against a balancer that is configured differently in the service than in the simulator: names and values read
-// from a plan equal those read from the simulator's wire.
+// Names and values of settings read from a plan equal those read from the simulator's messages. Guards against a
+// balancer that is configured differently in the service than in the simulator.
 func TestPlanSettingsEqualSimulatorSettings(t *testing.T) {
 	initial, err := parsePlan([]byte(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":99},
 		"known":{"version":0,"servers":[]},"settings":` + strings.Replace(testSettings, `"Family"`, `"Names":[],"Void":null,"Family"`, 1) + `}`))
@@ -93,8 +93,8 @@
 // objects.
 func TestAmbiguousNames(t *testing.T) {
 	for _, x := range []struct {
-		wrong string
-		edit  func(settings map[string]any)
+		wantError string
+		edit      func(settings map[string]any)
 	}{
 		{`setting Classes.2.Name: "some" is already the value of Classes.0.Name`, func(s map[string]any) { settingAt(s, "Classes", 2)["Name"] = "some" }},
 		{`setting Tenants.1.Name: "acme" is already the value of Tenants.0.Name`, func(s map[string]any) { settingAt(s, "Tenants", 1)["Name"] = "acme" }},
@@ -114,7 +114,7 @@
 		{"setting Classes is not a list of objects", func(s map[string]any) { s["Classes"] = "some" }},
 	} {
 		_, err := parsePlan(planOf(t, x.edit))
-		require.ErrorContains(t, err, x.wrong)
+		require.ErrorContains(t, err, x.wantError)
 	}
 	for _, edit := range []func(s map[string]any){
 		func(s map[string]any) { delete(s, "Tenants") }, // some sites have no tenants
@@ -129,8 +129,8 @@
 	}
 }
 
-// Numbers are refused with which the start would succeed, but searches or the process would fail: half a set, zero
-// attempts, no time to connect, connections that are idle at once.
+// Plans with certain numbers are refused: half a set, zero attempts, no time to connect, connections that are idle at
+// once. With these the start would succeed, but searches or the process would fail later.
 func TestInvalidNumbers(t *testing.T) {
 	plan := string(planOf(t, func(map[string]any) {}))
 	for _, x := range [][3]string{
@@ -171,8 +171,8 @@
 	}
 }
 
-// Several event loops of one process divide its descriptors, memory and budget among them. In rules that all
-// coordinators follow together, each event loop counts as a coordinator.
+// Several event loops of one process divide its descriptors, memory and budget among them. In rules that
+// depend on the number of coordinators, each event loop counts as a coordinator.
 func TestPlanForShard(t *testing.T) {
 	initial := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
 	own := initial.ForShard(1, 4)
--- a/coordinator/reload.go
+++ b/coordinator/reload.go
@@ -4,8 +4,8 @@
 	"chalkring/coordinator/plan"
 )
 
-// reload applies new plans: the address of discovery, the number of descriptors, and the memory for searches. All
-// other changes need a restart, since the balancer is configured only at the start.
+// reload applies three parts of each new plan: the address of discovery, the number of descriptors, and the memory for
+// searches. All other changes need a restart, since the balancer is configured only at the start.
 func (f *clientListener) reload(plans <-chan *plan.Plan) error {
 	loop := f.loop
 	for {
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -122,7 +122,8 @@
 }
 
 // A file that leaves discovery to the environment, at the start or at a reload, never leaves the coordinator without an
-// address. A half-written file changes nothing, and one with another deployment's settings only the discovery address.
+// address. A half-written file changes nothing, and a file with another deployment's settings changes only the discovery
+// address.
 func TestEnvironmentAtReload(t *testing.T) {
 	path, out := filepath.Join(t.TempDir(), "plan.json"), &logBuffer{}
 	write := func(discovery, settings string, cut int) {
@@ -178,7 +179,7 @@
 	r.list.Responses <- `{"version":8,"full":false,"servers":[]}`
 	c := r.connect()
 	search := func(searchName string) {
-		c.expect(searchName+"a", "all", 200, completeAnswer) // under the settings of class some, half of the shards would do
+		c.expect(searchName+"a", "all", 200, completeAnswer) // under the settings of class some, half of the shards would be enough
 		c.send(strings.Replace(request(searchName+"b", "all", "", fourParts), "acme", "globex", 1))
 		status, _, _, _ := c.readAnswer()
 		require.Equal(t, 400, status)
