--- a/coordinator/discovery_delay_test.go
+++ b/coordinator/discovery_delay_test.go
@@ -65,8 +65,7 @@
 
 // With 1 and with 300 coordinators and after a number of failed calls in a row, a change that discovery already had when
 // the last of these calls began is applied within 6 s of that moment; after a single call with a long wait, within the
-// wait and 2 s more. Guards against backoffs and spreads that
-// add up to more than that.
+// wait and 2 s more. Guards against backoffs and spreads that add up to more than that.
 func TestListDelayAfterFailures(t *testing.T) {
 	for _, fault := range []string{"silent", "half", "trickle", "unanswered", "refused", "lost", "503", "empty", "unreadable", "same"} {
 		for _, within := range []any{10_000.0, 60_000.0, nil} { // the settings' poll interval, which the balancer's backoff follows
--- a/coordinator/discovery_follower_test.go
+++ b/coordinator/discovery_follower_test.go
@@ -48,8 +48,8 @@
 	return near, nil
 }
 
-// fakeDiscovery is a stand-in for discovery at one address, in synthetic time. faults names, one word each,
-// how the next connects and calls fail; after these all succeed.
+// fakeDiscovery is a stand-in for discovery at one address, in synthetic time. faults names, one word each, how
+// the next connects and calls fail; after these all succeed.
 type fakeDiscovery struct {
 	mu       sync.Mutex
 	version  int
--- a/coordinator/discovery_test.go
+++ b/coordinator/discovery_test.go
@@ -201,8 +201,8 @@
 }
 
 // After discovery has restarted its versions, its list is applied once the call in progress has waited to its end, or
-// soon after its connection is lost. Until discovery knows a host again, the last list stays. An answer that is merely late
-// changes nothing. Guards against a list that stays out of date until the new versions have caught up with the old.
+// soon after its connection is lost. Until discovery knows a host again, the last list stays. An answer that is merely
+// late changes nothing. Guards against a list that stays out of date until the new versions have caught up with the old.
 func TestRestartedVersions(t *testing.T) {
 	for name, x := range map[string]struct {
 		lost       bool     // the connection is lost as versions restart
--- a/coordinator/endpoint_sources_test.go
+++ b/coordinator/endpoint_sources_test.go
@@ -19,8 +19,8 @@
 	"chalkring/endpoints/hostfile"
 )
 
-// withUpdates starts a second coordinator on the rig's hosts and discovery, with updates from other
-// sources of endpoint lists.
+// withUpdates starts a second coordinator on the rig's hosts and discovery, with updates from other sources of
+// endpoint lists.
 func (r *rig) withUpdates(updates <-chan endpoints.Update) *rig {
 	ln := listen(r.t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -27,8 +27,8 @@
 	"chalkring/internal/http1"
 )
 
-// discoveryStandIn is a stand-in for discovery whose first calls fail in given ways, one after another; later calls are
-// answered.
+// discoveryStandIn is a stand-in for discovery whose first calls fail in given ways, one after another; later calls
+// are answered.
 type discoveryStandIn struct {
 	ln    net.Listener
 	calls chan string // targets of calls, in order
@@ -303,8 +303,8 @@
 }
 
 // 1, 3 or 300 coordinators on one clock lose discovery at the same time, and it stays unreachable. Guards against all
-// of them polling at once. In any second at most S + 3*sqrt(S) + 3 of them make their first call, where S of them would
-// if the calls were spread evenly; and each calls at least every 6 s.
+// of them polling at once. In any second at most S + 3*sqrt(S) + 3 of them make their first call, S being the number if
+// the calls were spread evenly, and each calls at least every 6 s.
 func TestCoordinatorsSpreadCallsAfterLoss(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
--- a/coordinator/persistence_test.go
+++ b/coordinator/persistence_test.go
@@ -25,8 +25,8 @@
 	"chalkring/storage/store"
 )
 
-// restartWithStore starts another coordinator on the rig's hosts, with a store at path and a stand-in for
-// discovery that gives only the answers that the test sends.
+// restartWithStore starts another coordinator on the rig's hosts, with a store at path and a stand-in for discovery
+// that gives only the answers that the test sends.
 func (r *rig) restartWithStore(path string, options store.Options) *rig {
 	ln := listen(r.t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/coordinator/plan_test.go
+++ b/coordinator/plan_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// Several event loops of one process divide its descriptors, memory and budget among them. In rules that
-// depend on the number of coordinators, each event loop counts as a coordinator.
+// Several event loops of one process divide its descriptors, memory and budget among them. In rules that depend on
+// the number of coordinators, each event loop counts as a coordinator.
 func TestPlanForShard(t *testing.T) {
 	initial := &plan.Plan{MaxSockets: 100, MemoryMB: 190, Seed: 5, Settings: map[string]string{"Balancers": "3", "Safety.ExtraFloor": "6"}}
 	own := initial.ForShard(1, 4)
