--- a/coordinator/endpoint_sources.go
+++ b/coordinator/endpoint_sources.go
@@ -9,117 +9,118 @@
 	"chalkring/endpoints"
 )
 
-// endpointSources makes one endpoint list of those of discovery, the plan and an installation's other sources. Its
-// goroutine owns the registry, so that the event loop gets each list complete and in one task: no search sees parts of
-// two.
+// endpointSources merges the endpoint lists of discovery, the plan and an installation's other sources into one. Its
+// goroutine owns the registry and hands each merged list to the event loop as a single task, so that no search sees
+// parts of two lists.
 type endpointSources struct {
 	loop             *eventLoop
 	registry         *endpoints.Registry
-	discoveryUpdates chan discoveryUpdate    // from discovery
-	updates          <-chan endpoints.Update // from other sources
-	loggedHolds      map[string]string       // reasons for lists held back, as last logged
+	discoveryUpdates chan discoveryUpdate
+	updates          <-chan endpoints.Update // from sources other than discovery
+	loggedHolds      map[string]string       // by source, the last logged reason why its list is held back
 }
 
-// discoveryUpdate is a list from discovery; result receives why it was refused, or nil.
+// discoveryUpdate is a list from discovery; result receives the reason it was refused, or nil if it was accepted.
 type discoveryUpdate struct {
 	endpoints.Update
 	result chan error
 }
 
-// newEndpointSources begins with the plan's list.
-func newEndpointSources(loop *eventLoop, more <-chan endpoints.Update, version int64, known []plan.ListedHost) *endpointSources {
-	m := &endpointSources{loop: loop, registry: endpoints.NewRegistry(loop.plan.EndpointRules()), discoveryUpdates: make(chan discoveryUpdate), updates: more, loggedHolds: map[string]string{}}
-	_, _ = m.apply(newEndpointUpdate("plan", endpoints.RankPlan, version, true, false, known)) // apply logs a refusal
-	return m
+// newEndpointSources returns sources that start with the plan's list.
+func newEndpointSources(loop *eventLoop, updates <-chan endpoints.Update, version int64, known []plan.ListedHost) *endpointSources {
+	s := &endpointSources{loop: loop, registry: endpoints.NewRegistry(loop.plan.EndpointRules()), discoveryUpdates: make(chan discoveryUpdate), updates: updates, loggedHolds: map[string]string{}}
+	_, _ = s.apply(newEndpointUpdate("plan", endpoints.RankPlan, version, true, false, known)) // apply logs a refusal
+	return s
 }
 
-// newEndpointUpdate returns a list in the registry's form.
-func newEndpointUpdate(source string, rank endpoints.Rank, version int64, full, anew bool, hosts []plan.ListedHost) endpoints.Update {
-	update := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: anew}
+// newEndpointUpdate converts a list to the registry's form.
+func newEndpointUpdate(source string, rank endpoints.Rank, version int64, full, versionReset bool, hosts []plan.ListedHost) endpoints.Update {
+	update := endpoints.Update{Source: source, Rank: rank, Version: version, Partial: !full, VersionReset: versionReset}
 	for _, host := range hosts {
 		update.Hosts = append(update.Hosts, host.Host)
 	}
 	return update
 }
 
-// applyDiscovery hands discovery's list on and returns why it was refused. Its version counts as known only if it was
-// not: discovery does not send the changes again.
-func (m *endpointSources) applyDiscovery(update endpoints.Update) error {
+// applyDiscovery applies a list from discovery and returns why it was refused, or nil. The caller records the
+// version as known only if the list was accepted: discovery would not send the changes up to a known version again.
+func (s *endpointSources) applyDiscovery(update endpoints.Update) error {
 	pending := discoveryUpdate{update, make(chan error, 1)}
 	select {
-	case m.discoveryUpdates <- pending:
-	case <-m.loop.ctx.Done():
+	case s.discoveryUpdates <- pending:
+	case <-s.loop.ctx.Done():
 		return errClosing
 	}
 	select {
 	case err := <-pending.result:
 		return err
-	case <-m.loop.ctx.Done():
+	case <-s.loop.ctx.Done():
 		return errClosing
 	}
 }
 
 // run applies lists from all sources until the coordinator ends.
-func (m *endpointSources) run() error {
-	loop := m.loop
+func (s *endpointSources) run() error {
+	loop := s.loop
 	for {
 		var due <-chan time.Time
-		if at := m.registry.NextTick(); at > 0 {
+		if at := s.registry.NextTick(); at > 0 {
 			due = loop.Clock.After(time.Duration(max(at-loop.clockTicks(), 1)) * tick)
 		}
 		changed := false
 		select {
-		case pending := <-m.discoveryUpdates:
+		case pending := <-s.discoveryUpdates:
 			var err error
-			changed, err = m.apply(pending.Update)
+			changed, err = s.apply(pending.Update)
 			pending.result <- err
-		case update, ok := <-m.updates:
+		case update, ok := <-s.updates:
 			if !ok {
-				m.updates = nil
+				s.updates = nil
 				continue
 			}
-			changed, _ = m.apply(update)
+			changed, _ = s.apply(update)
 		case <-due:
-			changed = m.registry.Tick(loop.clockTicks())
+			changed = s.registry.Tick(loop.clockTicks())
 		case <-loop.ctx.Done():
 			return nil
 		}
-		if changed && !m.publish() {
+		if changed && !s.publish() {
 			return nil
 		}
 	}
 }
 
-// apply hands a list to the registry, and logs it where it is refused or held back.
-func (m *endpointSources) apply(update endpoints.Update) (changed bool, err error) {
+// apply hands a list to the registry, and logs a refusal or a list that is held back.
+func (s *endpointSources) apply(update endpoints.Update) (changed bool, err error) {
 	for i := range update.Hosts {
 		update.Hosts[i].Zone, update.Hosts[i].Kind = settings.FormatValue(update.Hosts[i].Zone), settings.FormatValue(update.Hosts[i].Kind)
 	}
-	changed, err = m.registry.Apply(m.loop.clockTicks(), update)
+	changed, err = s.registry.Apply(s.loop.clockTicks(), update)
 	if err != nil {
-		m.loop.log.warnLimited("list_refused "+update.Source, "list_refused", "source", update.Source, "error", err)
-		m.loop.recordEvent("list_refused", update.Source+": "+err.Error())
+		s.loop.log.warnLimited("list_refused "+update.Source, "list_refused", "source", update.Source, "error", err)
+		s.loop.recordEvent("list_refused", update.Source+": "+err.Error())
 		return false, err
 	}
-	held := m.registry.HeldBackSources()
-	if why := held[update.Source]; why != "" && why != m.loggedHolds[update.Source] {
-		m.loop.log.warnLimited("list_held "+update.Source, "list_held", "source", update.Source, "why", why)
-		m.loop.recordEvent("list_held", update.Source+": "+why)
+	held := s.registry.HeldBackSources()
+	if why := held[update.Source]; why != "" && why != s.loggedHolds[update.Source] {
+		s.loop.log.warnLimited("list_held "+update.Source, "list_held", "source", update.Source, "why", why)
+		s.loop.recordEvent("list_held", update.Source+": "+why)
 	}
-	if m.loop.Persistence != nil && update.Rank == endpoints.RankDiscovery && held[update.Source] == "" {
-		m.loop.Persistence.discoveryVersion.Store(update.Version)
+	if s.loop.Persistence != nil && update.Rank == endpoints.RankDiscovery && held[update.Source] == "" {
+		s.loop.Persistence.discoveryVersion.Store(update.Version)
 	}
-	m.loggedHolds = held
+	s.loggedHolds = held
 	return changed, nil
 }
 
-// publish puts the registry's list into force, in one task; false once the coordinator has ended.
-func (m *endpointSources) publish() bool {
-	loop, generation := m.loop, m.registry.Generation()
+// publish makes the registry's list the current one, in one task of the event loop. It returns false once the
+// coordinator has ended.
+func (s *endpointSources) publish() bool {
+	loop, generation := s.loop, s.registry.Generation()
 	var hosts []plan.ListedHost
 	var steps []func()
 	present := map[string]bool{}
-	list := m.registry.List()
+	list := s.registry.List()
 	for _, endpoint := range list {
 		present[endpoint.ID] = true
 		hosts = append(hosts, plan.ListedHost{Host: endpoint.Host, ZoneConflict: endpoint.ZoneConflict})
@@ -133,10 +134,10 @@
 		})
 	}
 	if loop.Persistence != nil {
-		loop.Persistence.recordList(list, m.registry.Removals(loop.clockTicks()))
+		loop.Persistence.recordList(list, s.registry.Removals(loop.clockTicks()))
 		loop.recordEvent("list", fmt.Sprintf("generation %d, %d hosts", generation, len(hosts)))
 	}
-	ok := loop.submit(func() { loop.putListInForce("Complete", generation, hosts, present, steps) })
+	ok := loop.submit(func() { loop.commitEndpointList("Complete", generation, hosts, present, steps) })
 	loop.notifyEndpointList(true, generation, hosts)
 	return ok
 }
--- a/coordinator/list_delay_test.go
+++ b/coordinator/list_delay_test.go
@@ -27,10 +27,11 @@
 	"chalkring/internal/http1"
 )
 
-// discoveryAgent is discovery whose first calls fail in given ways, one after another; later ones are answered.
-type discoveryAgent struct {
+// discoveryStandIn is a stand-in for discovery whose first calls fail in given ways, one after another; later calls
+// are answered.
+type discoveryStandIn struct {
 	ln    net.Listener
-	calls chan string // targets, as they come
+	calls chan string // targets of calls, in order
 
 	mu      sync.Mutex
 	version int
@@ -39,8 +40,8 @@
 	faults  []string
 }
 
-func newDiscoveryAgent(t *testing.T, faults ...string) *discoveryAgent {
-	a := &discoveryAgent{ln: listen(t), calls: make(chan string, 64), version: 1, changed: make(chan struct{}), faults: faults}
+func newDiscoveryStandIn(t *testing.T, faults ...string) *discoveryStandIn {
+	a := &discoveryStandIn{ln: listen(t), calls: make(chan string, 64), version: 1, changed: make(chan struct{}), faults: faults}
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	t.Cleanup(func() {
@@ -63,7 +64,7 @@
 	return a
 }
 
-func (a *discoveryAgent) serve(conn net.Conn, done chan struct{}) {
+func (a *discoveryStandIn) serve(conn net.Conn, done chan struct{}) {
 	defer conn.Close()
 	rd := http1.NewReader(conn, make([]byte, 16<<10))
 	for {
@@ -132,8 +133,8 @@
 	}
 }
 
-// setList changes the list.
-func (a *discoveryAgent) setList(entries []fake.Endpoint) time.Time {
+// setList changes the list and returns when.
+func (a *discoveryStandIn) setList(entries []fake.Endpoint) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version, a.entries = a.version+1, entries
@@ -142,45 +143,46 @@
 	return time.Now()
 }
 
-// The delay until a list is in force, by the process's own log: at most 6 s, or 2 s after the wait of the call (2 s
-// here); over a working call, none.
+// According to the log of a coordinator process, a changed list is applied at once if a call for changes works. If the
+// call times out, the list is applied within 2 s after the call's wait, which is 2 s here, and after other faults within
+// 6 s.
 func TestListDelay(t *testing.T) {
 	const atOnce, afterWait, missed = time.Second, 4 * time.Second, 6 * time.Second
-	const busy = 500 * time.Millisecond // for a machine that is
+	const busy = 500 * time.Millisecond // allowance for a busy machine
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
-	var all errgroup.Group // each waits most of the time
+	var all errgroup.Group // the cases run in parallel, since each waits most of the time
 	for name, x := range map[string]struct {
-		faults  []string // of calls in their order
-		calls   int      // that have come when the list changes
-		by      string   // setting Discovery
-		limit   time.Duration
-		pending time.Duration // that the last of these calls has been open
+		faults  []string      // of the calls, in order
+		calls   int           // how many have come before the list changes
+		mode    string        // setting Discovery
+		limit   time.Duration // of the delay
+		pending time.Duration // how long the last of these calls is open before the list changes
 	}{
-		"a call that works":                          {nil, 1, "subscribe", atOnce, 0},
-		"a watch that falls silent":                  {[]string{"silent"}, 1, "subscribe", afterWait, 0},
-		"one that was silent for some time":          {[]string{"silent"}, 1, "subscribe", afterWait, time.Second},
-		"silence again, after calls without news":    {[]string{"silent", "", "silent", "", "silent"}, 5, "subscribe", afterWait, 0},
-		"one that trickles half a list":              {[]string{"half"}, 1, "subscribe", afterWait, 0},
-		"one that says 200 with nothing":             {[]string{"empty", "empty"}, 2, "subscribe", missed, 0},
-		"one that says so again and again":           {slices.Repeat([]string{"empty"}, 5), 5, "subscribe", missed, 0},
-		"an indented list":                           {[]string{"indented"}, 1, "subscribe", atOnce, 0},
-		"a poll silent beyond its wait":              {[]string{"late"}, 1, "subscribe", afterWait, 0},
-		"a pushed list, no watch open":               {[]string{"lost"}, 1, "automatic", missed, 0},
-		"a pushed list, none open for some time":     {slices.Repeat([]string{"lost"}, 5), 5, "automatic", missed, 0},
-		"a pushed list, over a watch that is silent": {[]string{"silent"}, 1, "automatic", afterWait, 0},
+		"a call that works":                        {nil, 1, "subscribe", atOnce, 0},
+		"an unanswered call":                       {[]string{"silent"}, 1, "subscribe", afterWait, 0},
+		"a call unanswered for 1 s":                {[]string{"silent"}, 1, "subscribe", afterWait, time.Second},
+		"timeouts between answers without changes": {[]string{"silent", "", "silent", "", "silent"}, 5, "subscribe", afterWait, 0},
+		"half a list, byte by byte":                {[]string{"half"}, 1, "subscribe", afterWait, 0},
+		"empty answers with status 200":            {[]string{"empty", "empty"}, 2, "subscribe", missed, 0},
+		"many empty answers with status 200":       {slices.Repeat([]string{"empty"}, 5), 5, "subscribe", missed, 0},
+		"an indented list":                         {[]string{"indented"}, 1, "subscribe", atOnce, 0},
+		"an answer long after the wait":            {[]string{"late"}, 1, "subscribe", afterWait, 0},
+		"no subscription, a lost connection":       {[]string{"lost"}, 1, "automatic", missed, 0},
+		"no subscription, many lost connections":   {slices.Repeat([]string{"lost"}, 5), 5, "automatic", missed, 0},
+		"no subscription, an unanswered call":      {[]string{"silent"}, 1, "automatic", afterWait, 0},
 	} {
-		a := newDiscoveryAgent(t, x.faults...)
+		a := newDiscoveryStandIn(t, x.faults...)
 		r := startProcess(t, func(s *fleet.Config) {
 			s.DiscoveryAddress, s.Settings = a.ln.Addr().String(), fleet.DefaultSettings(1, []string{"z"})
-			s.Settings["Discovery"] = x.by
+			s.Settings["Discovery"] = x.mode
 		})
 		all.Go(func() error {
 			for range x.calls {
 				select {
 				case <-a.calls:
 				case <-ctx.Done():
-					return fmt.Errorf("%s: a call did not come\n%s", name, r.Log("n"))
+					return fmt.Errorf("%s: an expected call did not come\n%s", name, r.Log("n"))
 				}
 			}
 			time.Sleep(x.pending)
@@ -189,9 +191,9 @@
 				return fmt.Errorf("%s: %w", name, err)
 			}
 			took := time.Since(changed)
-			t.Logf("%s: told after %v, counts after %v", name, took.Round(time.Millisecond), x.limit)
+			t.Logf("%s: applied after %v, limit %v", name, took.Round(time.Millisecond), x.limit)
 			if took > x.limit+busy {
-				return fmt.Errorf("%s: told after %v, counts after %v", name, took, x.limit)
+				return fmt.Errorf("%s: list applied after %v, expected within %v", name, took, x.limit)
 			}
 			return nil
 		})
@@ -199,15 +201,15 @@
 	require.NoError(t, all.Wait())
 }
 
-// A list that discovery has at a start is in force at once; so is one that comes 4 s after a reload has moved
-// discovery to an address whose first call fell silent and whose versions restart.
+// A list that discovery has at a start is applied at once. So is a change that comes 4 s after a reload has moved
+// discovery to an address that did not answer its first call and whose versions are lower.
 func TestListDelayAtStartAndAfterReload(t *testing.T) {
 	t.Parallel()
-	a, next := newDiscoveryAgent(t), newDiscoveryAgent(t, "silent")
+	a, next := newDiscoveryStandIn(t), newDiscoveryStandIn(t, "silent")
 	r := startProcess(t, func(s *fleet.Config) { s.DiscoveryAddress = a.ln.Addr().String() })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
-	for range 3 { // versions there are ahead of the other agent's
+	for range 3 { // its versions are ahead of the other stand-in's
 		a.setList(r.Endpoints("n"))
 	}
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=4", 1))
@@ -216,22 +218,22 @@
 	require.NoError(t, r.Start(ctx, "n"))
 	began := time.Now()
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=5", 1))
-	t.Logf("told %v after it serves", time.Since(began).Round(time.Millisecond))
+	t.Logf("applied %v after the start", time.Since(began).Round(time.Millisecond))
 	require.Less(t, time.Since(began), time.Second)
 	next.entries = r.Endpoints("n")
 	require.NoError(t, r.ReplaceInFile("n", "plan.json", a.ln.Addr().String(), next.ln.Addr().String()))
 	require.NoError(t, r.Signal("n", syscall.SIGHUP))
-	hup := time.Now()
+	reloadedAt := time.Now()
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=1", 1))
-	t.Logf("the new agent's list is told %v after SIGHUP", time.Since(hup).Round(time.Millisecond))
-	require.Less(t, time.Since(hup), 6*time.Second)
-	time.Sleep(4*time.Second - time.Since(hup))
+	t.Logf("the second stand-in's list is applied %v after SIGHUP", time.Since(reloadedAt).Round(time.Millisecond))
+	require.Less(t, time.Since(reloadedAt), 6*time.Second)
+	time.Sleep(4*time.Second - time.Since(reloadedAt))
 	changed := next.setList(r.Endpoints("n"))
 	require.NoError(t, r.WaitLogged(ctx, "n", "how=Complete version=2", 1))
 	require.Less(t, time.Since(changed), time.Second)
 }
 
-// manualClock moves when a test says so.
+// manualClock is a clock that moves only when next is called.
 type manualClock struct {
 	mu    sync.Mutex
 	now   time.Time
@@ -243,67 +245,68 @@
 	c  chan time.Time
 }
 
-func (h *manualClock) Now() time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.now
+func (c *manualClock) Now() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
 }
 
-func (h *manualClock) After(d time.Duration) <-chan time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	c := make(chan time.Time, 1)
-	h.waits = append(h.waits, manualWait{h.now.Add(d), c})
-	return c
+func (c *manualClock) After(d time.Duration) <-chan time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ended := make(chan time.Time, 1)
+	c.waits = append(c.waits, manualWait{c.now.Add(d), ended})
+	return ended
 }
 
-// waiting counts the waits; next ends the first of them.
-func (h *manualClock) waiting() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.waits)
+// waiting returns the number of waits that have not ended.
+func (c *manualClock) waiting() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.waits)
 }
 
-func (h *manualClock) next() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// next moves the clock to the earliest end of a wait, and ends that wait.
+func (c *manualClock) next() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	i := 0
-	for k := range h.waits {
-		if h.waits[k].at.Before(h.waits[i].at) {
+	for k := range c.waits {
+		if c.waits[k].at.Before(c.waits[i].at) {
 			i = k
 		}
 	}
-	w := h.waits[i]
-	h.waits = slices.Delete(h.waits, i, i+1)
-	h.now = w.at
-	w.c <- h.now
+	w := c.waits[i]
+	c.waits = slices.Delete(c.waits, i, i+1)
+	c.now = w.at
+	w.c <- c.now
 }
 
-// pollingBalancer is a module that asks again as the real one does after failures.
+// pollingBalancer is a balancer that subscribes again after failures with the same backoff as the real one.
 type pollingBalancer struct {
 	balancer.Balancer
-	o      *eventLoop
-	chance *rand.Rand
+	loop   *eventLoop
+	random *rand.Rand
 	wait   time.Duration
 }
 
 func (m *pollingBalancer) CommitEndpoints(string, int64) {
-	wait := m.o.Clock.After(m.wait + time.Duration(m.chance.Int63n(int64(m.wait/4))))
+	wait := m.loop.Clock.After(m.wait + time.Duration(m.random.Int63n(int64(m.wait/4))))
 	m.wait = min(2*m.wait, 3*time.Second)
 	go func() {
 		select {
 		case <-wait:
-			m.o.discovery.polls <- struct{}{}
-		case <-m.o.ctx.Done():
+			m.loop.discovery.polls <- struct{}{}
+		case <-m.loop.ctx.Done():
 		}
 	}()
 }
 
-// All coordinators lose discovery at once, and it stays away: 1, 3 and 300 of them, on one clock, spread their next
-// calls. In any second at most N + 3 x root of N + 3 call first, N being an even share over the spread; each calls
-// within 6 s.
+// 1, 3 or 300 coordinators on one clock lose discovery at the same time, and it stays unreachable. Guards against all
+// of them polling at once. In any second at most S + 3*sqrt(S) + 3 of them make their first call, S being the number if
+// the calls were spread evenly, and each calls at least every 6 s.
 func TestCoordinatorsSpreadCallsAfterLoss(t *testing.T) {
-	for _, by := range []string{"subscribe", "automatic"} {
+	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, n := range []int{1, 3, 300} {
 			clock := &manualClock{now: time.Unix(1_700_000_000, 0)}
 			ctx, cancel := context.WithCancel(context.Background())
@@ -316,7 +319,7 @@
 				loop := &eventLoop{
 					group: group, ctx: work, discovery: discoveryRequests{polls: make(chan struct{}, 1), moves: make(chan string)}, tasks: make(chan func(), maxQueuedTasks),
 					log: newAsyncLogger(clock, slog.DiscardHandler), plan: &plan.Plan{Seed: int64(i), Settings: map[string]string{
-						"Discovery": by,
+						"Discovery": mode,
 						"Balancers": fmt.Sprint(n),
 					}, Known: plan.EndpointList{Version: 1}},
 				}
@@ -326,7 +329,7 @@
 					dials[i] = append(dials[i], clock.Now().Sub(began))
 					return nil, syscall.ECONNREFUSED
 				}}
-				loop.balancer = &pollingBalancer{o: loop, chance: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
+				loop.balancer = &pollingBalancer{loop: loop, random: rand.New(rand.NewSource(int64(i))), wait: 500 * time.Millisecond}
 				loop.discovery.polls <- struct{}{}
 				group.Go(func() error {
 					for {
@@ -357,17 +360,17 @@
 					times, last = append(times, at), at
 				}
 			}
-			share := max(1, float64(n)/2) // a second's of the 2 s over which 300 are spread
+			share := max(1, float64(n)/2) // calls per second if 300 are spread evenly over 2 s
 			limit := share + 3*math.Sqrt(share) + 3
-			t.Logf("%s, %d: %d first ones in a second at the most, %.0f allowed; %d of all", by, n, within(first), limit, within(times))
-			require.LessOrEqual(t, float64(within(first)), limit)
-			require.LessOrEqual(t, within(times), n+n/2, "in an outage that goes on")
+			t.Logf("%s, %d coordinators: at most %d first calls in a second, limit %.0f; at most %d of all calls", mode, n, mostPerSecond(first), limit, mostPerSecond(times))
+			require.LessOrEqual(t, float64(mostPerSecond(first)), limit)
+			require.LessOrEqual(t, mostPerSecond(times), n+n/2, "all calls during the outage")
 		}
 	}
 }
 
-// within is the most of some times that lie in one second.
-func within(at []time.Duration) (most int) {
+// mostPerSecond returns the largest number of times that lie within one second.
+func mostPerSecond(at []time.Duration) (most int) {
 	slices.Sort(at)
 	for i, from := 0, 0; i < len(at); i++ {
 		for at[i]-at[from] >= time.Second {
--- a/coordinator/peers.go
+++ b/coordinator/peers.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	loadSampleInterval = 100 * time.Millisecond // between samples of the load: several within the memory of the schedule
-	pollJobTimeout     = 12 * time.Second       // for a poll to start and end: a little over the peer's own bound
+	loadSampleInterval = 100 * time.Millisecond // between load samples: the scheduler averages over several of them
+	pollJobTimeout     = 12 * time.Second       // for a poll to start and end: a little over the peer's own limit
 	pollJobKind        = "ask"
 	pollJobPrefix      = "ask "
 	answerJobKind      = "answer"
 )
 
-// PeerOptions is what an installation sets for the exchange of observations between coordinators.
+// PeerOptions configures the exchange of observations between coordinators.
 type PeerOptions struct {
 	Name, Location  string
-	Listener        net.Listener // on which peers poll this coordinator; nil to answer nobody
+	Listener        net.Listener // on which peers poll this coordinator; nil to answer no polls
 	PollTargets     []PeerAddress
 	AllowedPeers    []string
 	Keys            *peerprotocol.Credentials // nil for plain TCP
@@ -40,8 +40,8 @@
 // PeerAddress is a peer's name and the address on which it answers.
 type PeerAddress struct{ Name, Addr string }
 
-// peerExchange exchanges observations of replicas with other coordinators. The event loop never waits for it: it
-// exports and imports observations through the event loop's tasks, a small chunk at a time.
+// peerExchange exchanges observations of replicas with other coordinators. The event loop never waits for it:
+// observations are exported and imported by tasks of the event loop, a small chunk at a time.
 type peerExchange struct {
 	loop       *eventLoop
 	options    *PeerOptions
@@ -54,14 +54,14 @@
 	reports        *peerreport.ReportStore
 	poller         *peerreport.Poller
 	admission      *peerreport.Admission
-	startedMS      map[string]int64 // of each listed host
-	addrs          map[string]string
-	snapshotMu     sync.Mutex // one snapshot at a time, shared by all peers that poll
+	startedMS      map[string]int64  // start of each listed host, by host ID
+	addrs          map[string]string // address of each listed host, by host ID
+	snapshotMu     sync.Mutex        // one snapshot at a time, shared by all peers that poll
 	snapshot       *peerreport.ReportBuilder
 	snapshotSerial uint64
 	load           float64
 
-	listVersion atomic.Int64 // of the list in force
+	listVersion atomic.Int64 // of the current endpoint list
 	importMu    sync.Mutex   // one import into the balancer at a time
 }
 
@@ -82,144 +82,142 @@
 		names = append(names, peer.Name)
 	}
 	exchange.poller = peerreport.NewPoller(rand.New(rand.NewSource(loop.plan.Seed+1)), now, int64(options.RefreshInterval/tick), names)
-	plan := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), options.Budgets)
-	exchange.pool = scheduler.NewPool(loop.Clock, plan, func(job string, err error) {
-		loop.log.warnLimited("job", "job_given_up", "job", job, "error", err)
+	schedule := scheduler.NewSchedule(rand.New(rand.NewSource(loop.plan.Seed+2)), options.Budgets)
+	exchange.pool = scheduler.NewPool(loop.Clock, schedule, func(job string, err error) {
+		loop.log.warnLimited("job", "job_failed", "job", job, "error", err)
 		if name, isPoll := strings.CutPrefix(job, pollJobPrefix); isPoll {
-			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // the pool must not wait
+			loop.group.Go(func() error { exchange.handlePollEnd(name, peerreport.OutcomeFailed, 0, err); return nil }) // in a goroutine of its own: the pool must not block
 		}
 	})
 	return exchange
 }
 
 // run starts the exchange's goroutines.
-func (l *peerExchange) run() {
-	loop := l.loop
-	loop.group.Go(func() error { return l.pool.Run(loop.ctx) })
-	loop.group.Go(l.pollPeers)
-	loop.group.Go(l.sampleLoad)
-	if l.options.Listener == nil {
+func (e *peerExchange) run() {
+	loop := e.loop
+	loop.group.Go(func() error { return e.pool.Run(loop.ctx) })
+	loop.group.Go(e.pollPeers)
+	loop.group.Go(e.sampleLoad)
+	if e.options.Listener == nil {
 		return
 	}
 	server := &peerprotocol.Server{
-		Name: l.options.Name, InstanceID: l.instanceID, AllowedNames: l.options.AllowedPeers, Credentials: l.options.Keys, Admit: l.admit,
-		Release: l.release, BuildReport: l.currentReport, BuildStatus: l.status, SpendBudget: l.spendAnswerBudget,
+		Name: e.options.Name, InstanceID: e.instanceID, AllowedNames: e.options.AllowedPeers, Credentials: e.options.Keys, Admit: e.admit,
+		Release: e.release, BuildReport: e.currentReport, BuildStatus: e.status, SpendBudget: e.spendAnswerBudget,
 		OnRejected: func(addr, why string) {
 			loop.log.warnLimited("peer_refused", "peer_refused", "client", addr, "why", why)
 		},
 	}
-	loop.log.Info("peers", "listen", l.options.Listener.Addr().String(), "name", l.options.Name, "asks", len(l.options.PollTargets))
-	loop.group.Go(func() error { return server.Serve(loop.ctx, l.options.Listener) })
+	loop.log.Info("peers", "listen", e.options.Listener.Addr().String(), "name", e.options.Name, "asks", len(e.options.PollTargets))
+	loop.group.Go(func() error { return server.Serve(loop.ctx, e.options.Listener) })
 }
 
-// sampleLoad measures the event loop's load, by which background work waits and polls of peers are deferred. A timer
-// that fires late shows a machine that is busy beside the event loop.
-func (l *peerExchange) sampleLoad() error {
-	before, busy := time.Now(), l.loop.busyNanos.Load()
+// sampleLoad measures the event loop's load, which delays background jobs and defers polls from peers. A timer that
+// fires late indicates that the machine is busy with work outside the event loop.
+func (e *peerExchange) sampleLoad() error {
+	before, busy := time.Now(), e.loop.busyNanos.Load()
 	for {
 		select {
-		case <-l.loop.Clock.After(loadSampleInterval):
-		case <-l.loop.ctx.Done():
+		case <-e.loop.Clock.After(loadSampleInterval):
+		case <-e.loop.ctx.Done():
 			return nil
 		}
-		now, turned := time.Now(), l.loop.busyNanos.Load()
-		share := float64(turned-busy) / float64(max(1, now.Sub(before)))
+		now, busyNow := time.Now(), e.loop.busyNanos.Load()
+		load := float64(busyNow-busy) / float64(max(1, now.Sub(before)))
 		late := float64(now.Sub(before)-loadSampleInterval) / float64(now.Sub(before))
-		before, busy = now, turned
-		share = min(1, max(share, late, float64(len(l.loop.tasks))/maxQueuedTasks))
-		l.pool.RecordLoad(share)
-		l.mu.Lock()
-		l.load = share
-		l.admission.SetLoad(share)
-		l.reports.ExpireReports(l.loop.clockTicks())
-		l.mu.Unlock()
+		before, busy = now, busyNow
+		load = min(1, max(load, late, float64(len(e.loop.tasks))/maxQueuedTasks))
+		e.pool.RecordLoad(load)
+		e.mu.Lock()
+		e.load = load
+		e.admission.SetLoad(load)
+		e.reports.ExpireReports(e.loop.clockTicks())
+		e.mu.Unlock()
 	}
 }
 
 // pollPeers starts the polls that are due, until the coordinator ends.
-func (l *peerExchange) pollPeers() error {
+func (e *peerExchange) pollPeers() error {
 	for {
-		l.mu.Lock()
-		now := l.loop.clockTicks()
-		for _, name := range l.poller.DuePeers(now) {
-			l.startPoll(name)
+		e.mu.Lock()
+		now := e.loop.clockTicks()
+		for _, name := range e.poller.DuePeers(now) {
+			e.startPoll(name)
 		}
-		next := l.poller.NextPollAt(now)
-		l.mu.Unlock()
-		var alarm <-chan time.Time
+		next := e.poller.NextPollAt(now)
+		e.mu.Unlock()
+		var due <-chan time.Time
 		if next > 0 {
-			alarm = l.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
+			due = e.loop.Clock.After(time.Duration(max(1, next-now)) * tick)
 		}
 		select {
-		case <-alarm:
-		case <-l.wakePoller:
-		case <-l.loop.ctx.Done():
+		case <-due:
+		case <-e.wakePoller:
+		case <-e.loop.ctx.Done():
 			return nil
 		}
 	}
 }
 
-// startPoll adds a job that polls one peer.
-func (l *peerExchange) startPoll(name string) {
-	i := slices.IndexFunc(l.options.PollTargets, func(peer PeerAddress) bool { return peer.Name == name })
-	peer := l.options.PollTargets[i]
+// startPoll adds a job that polls one peer. The caller holds mu.
+func (e *peerExchange) startPoll(name string) {
+	i := slices.IndexFunc(e.options.PollTargets, func(peer PeerAddress) bool { return peer.Name == name })
+	peer := e.options.PollTargets[i]
 	job := scheduler.Job{Name: pollJobPrefix + name, Kind: pollJobKind, Priority: scheduler.PriorityUrgent, MaxFailures: 1, Deadline: int64(pollJobTimeout / tick)}
-	_, err := l.pool.Add(job, func(ctx context.Context, allowance *scheduler.Allowance) error {
-		how, later, err := l.pollPeer(ctx, peer, allowance)
+	_, err := e.pool.Add(job, func(ctx context.Context, allowance *scheduler.Allowance) error {
+		outcome, retryAfter, err := e.pollPeer(ctx, peer, allowance)
 		began := time.Now()
-		l.handlePollEnd(peer.Name, how, later, err)
-		_ = allowance.Spend(ctx, 0, time.Since(began)) // the poll has ended; combining reports is charged to the poll's budget
+		e.handlePollEnd(peer.Name, outcome, retryAfter, err)
+		_ = allowance.Spend(ctx, 0, time.Since(began)) // charges the time for combining reports to the poll's budget, though the poll has ended
 		return nil
 	})
 	if err != nil {
-		l.loop.group.Go(func() error { l.handlePollEnd(peer.Name, peerreport.OutcomeFailed, 0, err); return nil }) // startPoll is called with the lock held
+		e.loop.group.Go(func() error { e.handlePollEnd(peer.Name, peerreport.OutcomeFailed, 0, err); return nil }) // in a goroutine of its own: it locks mu, which the caller of startPoll holds
 	}
 }
 
 // pollPeer fetches one peer's report.
-func (l *peerExchange) pollPeer(ctx context.Context, peer PeerAddress, allowance *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
-	asked := l.loop.clockTicks()
+func (e *peerExchange) pollPeer(ctx context.Context, peer PeerAddress, allowance *scheduler.Allowance) (peerreport.Outcome, time.Duration, error) {
+	polledAt := e.loop.clockTicks()
 	client := peerprotocol.Client{
-		PeerName: peer.Name, Addr: peer.Addr, LocalName: l.options.Name, InstanceID: l.instanceID, Dial: l.loop.Dial, Credentials: l.options.Keys,
+		PeerName: peer.Name, Addr: peer.Addr, LocalName: e.options.Name, InstanceID: e.instanceID, Dial: e.loop.Dial, Credentials: e.options.Keys,
 		OnHeader: func(header peerreport.ReportHeader) error {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			return l.reports.BeginReport(asked, header)
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			return e.reports.BeginReport(polledAt, header)
 		},
-		OnObservations: func(notes []peerreport.Observation) error {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			return l.reports.AddObservations(peer.Name, notes)
+		OnObservations: func(observations []peerreport.Observation) error {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			return e.reports.AddObservations(peer.Name, observations)
 		},
 		SpendBudget: allowance.Spend,
 	}
 	return client.FetchReport(ctx)
 }
 
-// handlePollEnd records how a poll ended and imports a complete report.
-func (l *peerExchange) handlePollEnd(name string, how peerreport.Outcome, later time.Duration, err error) {
-	l.mu.Lock()
-	if how == peerreport.OutcomeReceived {
-		l.reports.CompleteReport(name)
+// handlePollEnd records how a poll ended and, if it brought a complete report, imports it.
+func (e *peerExchange) handlePollEnd(name string, outcome peerreport.Outcome, retryAfter time.Duration, err error) {
+	e.mu.Lock()
+	if outcome == peerreport.OutcomeReceived {
+		e.reports.CompleteReport(name)
 	} else {
-		l.reports.AbortReport(name)
+		e.reports.AbortReport(name)
 	}
-	l.poller.RecordOutcome(l.loop.clockTicks(), name, how, int64(later/tick))
-	l.mu.Unlock()
+	e.poller.RecordOutcome(e.loop.clockTicks(), name, outcome, int64(retryAfter/tick))
+	e.mu.Unlock()
 	select {
-	case l.wakePoller <- struct{}{}:
+	case e.wakePoller <- struct{}{}:
 	default:
 	}
 	switch {
-	case l.loop.ctx.Err() != nil:
-	case how == peerreport.OutcomeReceived:
-		hosts := l.importReports()
-		l.loop.log.Info("learned", "peer", name, "hosts", hosts)
-	case how == peerreport.OutcomeDeferred:
-		l.loop.log.warnLimited("peer_later", "peer_later", "peer", name, "wait", later)
+	case e.loop.ctx.Err() != nil:
+	case outcome == peerreport.OutcomeReceived:
+		hosts := e.importReports()
+		e.loop.log.Info("observations_imported", "peer", name, "hosts", hosts)
+	case outcome == peerreport.OutcomeDeferred:
+		e.loop.log.warnLimited("peer_later", "peer_later", "peer", name, "wait", retryAfter)
 	default:
-		l.loop.log.warnLimited("peer "+how.String(), "peer_failed", "peer", name, "how", how, "error", err)
+		e.loop.log.warnLimited("peer "+outcome.String(), "peer_failed", "peer", name, "how", outcome, "error", err)
 	}
 }
-
-// admit, done, report, status and reply are what the peers' server is given.
