--- a/cmd/chalkring/plan_mismatch_test.go
+++ b/cmd/chalkring/plan_mismatch_test.go
@@ -26,7 +26,7 @@
 		{map[string]string{"Classes.0.Aim": "5", "Classes.0.Name": "lookup", "Tenants.0.QuotaPerS": "5"}, ""},
 		{map[string]string{"Classes.7.Aim": "5"}, "Classes.7.Aim the plan has 1 classes, counted from 0"},
 		{map[string]string{"Tenants.1.QuotaPerS": "5"}, "Tenants.1.QuotaPerS the plan has 1 tenants"},
-		{map[string]string{"Classes.0.Aim": "5", "Classes.0.Name": "full-match"}, `Classes.0.Name is "full-match", the plan has "lookup"`},
+		{map[string]string{"Classes.0.Aim": "5", "Classes.0.Name": "full-match"}, `Classes.0.Name is "full-match", but the plan has "lookup"`},
 	} {
 		runner := &rolloutRunner{state: rolloutState{Running: &rollout.Change{Number: 4, Settings: test.settings}}}
 		applied, err := runner.applyTo(&config.File{}, plan)
--- a/config/background.go
+++ b/config/background.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// minBytesPerSecond is the rate below which no report is received within its timeout.
+	// minBytesPerSecond: at a lower rate no report arrives within its timeout.
 	minBytesPerSecond = 1024
-	// maxCPUPerSecond is seconds of processor time per second: one core is what an event loop has.
+	// maxCPUPerSecond is in seconds of CPU time per second: an event loop has one core.
 	maxCPUPerSecond = 1.0
-	// maxConcurrentJobs bounds the jobs of a kind that run at once.
+	// maxConcurrentJobs is the largest allowed WorkBudget.MaxConcurrent.
 	maxConcurrentJobs = 64
 
-	defaultBytesPerSecond = 4 << 20 // a report of 10,000 hosts, 380 KB, in a tenth of a second
-	defaultCPUPerSecond   = 0.2     // searches keep the rest
+	defaultBytesPerSecond = 4 << 20 // enough for a report of 10,000 hosts, 380 KB, in a tenth of a second
+	defaultCPUPerSecond   = 0.2     // the rest is left to searches
 	defaultConcurrentJobs = 4
 )
 
-// WorkBudget bounds one kind of background work. A bound of 0 means its default.
+// WorkBudget limits one kind of background work. A value of 0 means the default.
 type WorkBudget struct {
 	BytesPerSecond float64 `yaml:"bytes_per_second"`
-	CPUPerSecond   float64 `yaml:"cpu_per_second"` // seconds of processor time
+	CPUPerSecond   float64 `yaml:"cpu_per_second"` // seconds of CPU time
 	MaxConcurrent  int     `yaml:"concurrent"`
 }
 
-// BackgroundKinds are the kinds of background work that can be bounded: polling peers, answering them, saving state.
+// BackgroundKinds are the kinds of background work that can be limited: polling peers, answering their polls, saving
+// state.
 var BackgroundKinds = []string{"ask", "answer", "keep"}
 
-// checkBackground checks the budgets and puts one in place for each kind.
+// checkBackground checks the budgets and fills in the defaults for every kind.
 func (c *checker) checkBackground(file *File) {
 	for _, kind := range slices.Sorted(maps.Keys(file.Background)) {
 		c.checkWorkBudget("$.background."+kind, kind, file.Background[kind])
@@ -42,16 +43,16 @@
 }
 
 func (c *checker) checkWorkBudget(path, kind string, budget WorkBudget) {
-	// The bounds are stated as what is valid, so that a NaN is not.
+	// The conditions say what is valid rather than what is not, so that NaN is rejected.
 	isValidRate := budget.BytesPerSecond == 0 || budget.BytesPerSecond >= minBytesPerSecond
 	isValidCPU := budget.CPUPerSecond == 0 || budget.CPUPerSecond > 0 && budget.CPUPerSecond <= maxCPUPerSecond
 	switch {
 	case !slices.Contains(BackgroundKinds, kind):
-		c.addError(path, "no such kind of work; there are %s", strings.Join(BackgroundKinds, " and "))
+		c.addError(path, "unknown kind of background work; expected one of %s", strings.Join(BackgroundKinds, ", "))
 	case !isValidRate:
-		c.addError(path+".bytes_per_second", "%g is under %d", budget.BytesPerSecond, minBytesPerSecond)
+		c.addError(path+".bytes_per_second", "%g is less than the minimum of %d", budget.BytesPerSecond, minBytesPerSecond)
 	case !isValidCPU:
-		c.addError(path+".cpu_per_second", "%g is not above 0 and up to %g", budget.CPUPerSecond, maxCPUPerSecond)
+		c.addError(path+".cpu_per_second", "%g is not greater than 0 and at most %g", budget.CPUPerSecond, maxCPUPerSecond)
 	case budget.MaxConcurrent < 0 || budget.MaxConcurrent > maxConcurrentJobs:
 		c.addError(path+".concurrent", "%d is not from 1 to %d", budget.MaxConcurrent, maxConcurrentJobs)
 	}
--- a/config/checker.go
+++ b/config/checker.go
@@ -10,18 +10,19 @@
 	"chalkring/config/strictyaml"
 )
 
-// TLS names the files of a certificate, its key and the authorities of the other side.
+// TLS holds the paths of a certificate, its key and the certificates of the authorities that the other side's certificate
+// is verified with.
 type TLS struct {
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
 	Authorities string `yaml:"authorities"`
 }
 
-// checker checks a decoded file and adds what is wrong to its document. Paths are those of strictyaml, such as
+// checker checks a decoded file and adds errors to its document. Paths of keys have the form of strictyaml, such as
 // $.peers.ask[0].address.
 type checker struct {
 	document *strictyaml.Document
-	dir      string // what relative names of files are relative to
+	dir      string // the folder that relative file paths are resolved against
 }
 
 func (c *checker) addError(path, format string, args ...any) {
@@ -34,14 +35,14 @@
 
 func (c *checker) checkAddress(path, text string) {
 	if address, err := netip.ParseAddrPort(text); err != nil || address.Port() == 0 {
-		c.addError(path, "%q is no address with a port, such as 127.0.0.1:7400", text)
+		c.addError(path, "%q is not an IP address with a port, such as 127.0.0.1:7400", text)
 	}
 }
 
 func (c *checker) checkName(path, text string) {
-	isNoLetter := func(r rune) bool { return r <= ' ' || r > '~' }
-	if text == "" || len(text) > peerreport.MaxNameBytes || strings.ContainsFunc(text, isNoLetter) {
-		c.addError(path, "%.40q is no name: 1 to %d letters without blanks", text, peerreport.MaxNameBytes)
+	isInvalid := func(r rune) bool { return r <= ' ' || r > '~' }
+	if text == "" || len(text) > peerreport.MaxNameBytes || strings.ContainsFunc(text, isInvalid) {
+		c.addError(path, "%.40q is not a valid name; expected 1 to %d printable ASCII characters without spaces", text, peerreport.MaxNameBytes)
 	}
 }
 
@@ -51,17 +52,17 @@
 	}
 }
 
-// nameSet finds names that are given twice.
+// nameSet holds the names seen so far, to find duplicates.
 type nameSet map[string]bool
 
 func (c *checker) checkUnique(path, name string, seen nameSet) {
 	if seen[name] {
-		c.addError(path, "%q is there twice", name)
+		c.addError(path, "%q is given more than once", name)
 	}
 	seen[name] = true
 }
 
-// checkTLS checks that the required files are named, by their keys, and resolves all.
+// checkTLS checks that the files of the required keys are given, and resolves the paths of all files.
 func (c *checker) checkTLS(path string, files *TLS, required ...string) {
 	if files == nil {
 		return
@@ -77,7 +78,7 @@
 	}
 }
 
-// resolvePaths makes relative names of files relative to the process; empty ones stay empty.
+// resolvePaths resolves relative file paths against the checker's folder; empty ones stay empty.
 func (c *checker) resolvePaths(files ...*string) {
 	for _, file := range files {
 		if *file != "" && !filepath.IsAbs(*file) {
--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -17,10 +17,11 @@
 	"chalkring/opensearch/query"
 )
 
-// goName matches the name of a Go type and field, which the YAML library puts into its errors; it is not pinned.
+// goName matches the Go type and field that the YAML library names in its errors. The golden file leaves them out, so that
+// renaming a field does not change it.
 var goName = regexp.MustCompile(`Go (struct field|value of type) \S+`)
 
-// allKeys sets each key that an installation file may have.
+// allKeys sets every key that an installation file may have.
 const allKeys = `peers:
   name: n0
   place: hall 1
@@ -72,7 +73,7 @@
 log: {format: json, level: warn}
 `
 
-// describe writes what was read from a file, key by key.
+// describe writes the decoded values of a file, one line per key.
 func describe(out *strings.Builder, file *File) {
 	line := func(key string, value any) { fmt.Fprintf(out, "  %s: %v\n", key, value) }
 	quoted := func(all []string) string { return fmt.Sprintf("%q", all) }
@@ -134,6 +135,7 @@
 	line("log", file.Log.Format+" "+file.Log.Level)
 }
 
+// Guards against a changed key, default or path resolution of the installation file, which operators' files rely on.
 func TestGoldenInstallation(t *testing.T) {
 	var out strings.Builder
 	for _, x := range [][2]string{{"all keys", allKeys}, {"empty", ""}, {"empty objects", "peers: {}\nlog: {}\nbackground: {}\nhosts: {}\n"}} {
@@ -153,7 +155,8 @@
 	golden.Require(t, "installation.golden", out.String())
 }
 
-// Each text has one thing wrong, or several whose errors come in the order of the file.
+// Guards against an invalid file that is accepted, and against changed error texts, positions and advice. Each text has
+// one fault, or several faults, which are reported in the order of the checks.
 func TestGoldenInstallationErrors(t *testing.T) {
 	const peers, opensearch, fleet = "peers:\n  listen: 127.0.0.1:7400\n", "opensearch:\n  listen: 127.0.0.1:9200\n",
 		"fleet:\n  listen: 127.0.0.1:7500\n  listed: [a, b]\n"
@@ -179,9 +182,9 @@
 		fmt.Fprintf(&out, "  advice: %s\n", advice.For(err))
 	}
 	for _, text := range []string{
-		// the file as a whole
+		// file as a whole
 		"peers: [1\n", "peers: 7\n", "- 1\n", "other: 1\n", "Peers: {}\n", "log: {}\n---\nlog: {}\n", "log: {}\nlog: {}\n",
-		// keys that are not known, one a section
+		// unknown keys, one for each section
 		"peers: {names: x}\n", "peers: {ask: [{adress: x}]}\n", "peers: {tls: {cert: x}}\n", "opensearch: {index: x}\n", //nolint:misspell // A misspelled key is the case.
 		"opensearch: {indices: [{shards: 1}]}\n", "opensearch: {indices: [{placed: {shards: 1}}]}\n", "hosts: {a: {placing: 1}}\n",
 		"background: {ask: {rate: 1}}\n", "members: {file: x}\n", "shadow: {setting: {}}\n", "fleet: {quorum: 1}\n", "log: {colour: x}\n",
@@ -241,7 +244,7 @@
 	golden.Require(t, "installation_errors.golden", out.String())
 }
 
-// Settings that do not fit the plan's classes and tenants.
+// Guards against settings for classes or tenants that the plan does not have: without an error they would have no effect.
 func TestGoldenInstallationPlanErrors(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
--- a/config/installation.go
+++ b/config/installation.go
@@ -1,9 +1,9 @@
-// Package config reads the installation file: the YAML file in which an operator turns on what the platform's plan, a JSON
-// file, does not know. deploy/installation.yaml and deploy/fleet.yaml show all keys; docs/peer-reports.md, docs/cluster.md
-// and docs/opensearch.md explain them.
+// Package config reads the installation file: the YAML file in which an operator turns on features that the platform's
+// plan, a JSON file, has no settings for. deploy/installation.yaml and deploy/fleet.yaml show all keys;
+// docs/peer-reports.md, docs/cluster.md and docs/opensearch.md explain them.
 //
 // Read checks the whole file and returns all errors together, each a strictyaml.InvalidFileError with line and column.
-// Names of files in it are relative to its folder.
+// Relative file paths in it are relative to its folder.
 package config
 
 import (
@@ -16,43 +16,43 @@
 )
 
 const (
-	// maxFileBytes bounds the file: a thousand times what one needs.
+	// maxFileBytes limits the size of the file: a thousand times what a file needs.
 	maxFileBytes = 1 << 20
-	// maxEndpointSources bounds the files and folders of hosts.
+	// maxEndpointSources limits the files and folders in EndpointSources.
 	maxEndpointSources = 64
-	// maxEventLoops bounds the event loops of a process: no machine in use has more cores.
+	// maxEventLoops limits the event loops of a process: no machine in use has more cores.
 	maxEventLoops = 64
 )
 
-// File is an installation file. The Go names of fields are free; the YAML keys are what operators write.
+// File is an installation file. Only the YAML keys are fixed, because operators write them; the Go names may change.
 type File struct {
 	Peers           *Peers                `yaml:"peers"`
 	OpenSearch      *OpenSearch           `yaml:"opensearch"`
-	Hosts           map[string]HostKind   `yaml:"hosts"` // by the kind in the endpoint list: hosts that do not speak the platform's frames
+	Hosts           map[string]HostKind   `yaml:"hosts"` // hosts that do not speak the platform's frame protocol, keyed by their kind in the endpoint list
 	Background      map[string]WorkBudget `yaml:"background"`
 	EndpointSources *EndpointSources      `yaml:"members"`
-	Store           string                `yaml:"store"`    // the file that keeps state for the next start; empty for none
-	Settings        map[string]any        `yaml:"settings"` // replace the plan's, in the plan's form
+	Store           string                `yaml:"store"`    // file that keeps state across restarts; empty means none
+	Settings        map[string]any        `yaml:"settings"` // override the plan's settings and have the same form
 	Shadow          *Shadow               `yaml:"shadow"`
 	Cluster         *Cluster              `yaml:"fleet"`
-	EventLoops      int                   `yaml:"owners"` // event loops in the process, one for each core that it has; 0 means 1
+	EventLoops      int                   `yaml:"owners"` // event loops of the process, one for each core it may use; 0 means 1
 	Log             Log                   `yaml:"log"`
 
-	document *strictyaml.Document // the file that it was read from; nil for none
+	document *strictyaml.Document // what the file was decoded from; nil if it was not decoded
 }
 
-// EndpointSources are sources of the endpoint list beside discovery.
+// EndpointSources are sources of the endpoint list in addition to discovery.
 type EndpointSources struct {
-	Files []string `yaml:"files"` // files, and folders of them
+	Files []string `yaml:"files"` // host files, and folders of host files
 }
 
-// Log says how the log is written.
+// Log selects the format and the level of the log.
 type Log struct {
 	Format string `yaml:"format"` // text, json or terminal
 	Level  string `yaml:"level"`  // debug, info, warn or error
 }
 
-// Defaults and choices of Log.
+// Defaults of Log.
 const (
 	defaultLogFormat = "text"
 	defaultLogLevel  = "info"
@@ -76,7 +76,7 @@
 	return file, nil
 }
 
-// Parse decodes and checks a file's text, fills in defaults, and resolves the relative names of files in it against dir.
+// Parse decodes and checks a file's text, fills in defaults, and resolves the relative file paths in it against dir.
 func Parse(text []byte, dir string) (*File, error) {
 	file := &File{}
 	document, err := strictyaml.Decode(text, maxFileBytes, file)
@@ -114,7 +114,7 @@
 		return
 	}
 	if count := len(sources.Files); count == 0 || count > maxEndpointSources {
-		c.addError("$.members.files", "%d files and folders, 1 to %d are wanted", count, maxEndpointSources)
+		c.addError("$.members.files", "%d files and folders; expected 1 to %d", count, maxEndpointSources)
 	}
 	for i := range sources.Files {
 		if sources.Files[i] == "" {
--- a/config/peers.go
+++ b/config/peers.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// minRefresh: a peer answers one name once a second. maxRefresh: a longer interval is more likely a mistake.
+	// minRefresh: a peer answers each name once a second. maxRefresh: a longer interval is probably a mistake.
 	minRefresh = time.Second
 	maxRefresh = 24 * time.Hour
 )
 
-// Peers are the instances that this one exchanges load reports with.
+// Peers configures the exchange of load reports with other instances.
 type Peers struct {
-	Name            string        `yaml:"name"`    // this instance's; the plan's where it is left out
-	Locality        string        `yaml:"place"`   // latencies to zones count from peers in the same locality only
-	Listen          string        `yaml:"listen"`  // where peers poll this instance; empty for not at all
+	Name            string        `yaml:"name"`    // this instance's name; the plan's name if left out
+	Locality        string        `yaml:"place"`   // latencies to zones are taken only from peers in the same locality
+	Listen          string        `yaml:"listen"`  // the address at which peers poll this instance; empty means they cannot
 	PollTargets     []Peer        `yaml:"ask"`     // peers to poll
 	AllowedPeers    []string      `yaml:"allow"`   // names of the peers that may poll
-	RefreshText     string        `yaml:"refresh"` // interval of polls after the first half minute, such as 30s; 0s for no more
-	RefreshInterval time.Duration `yaml:"-"`       // RefreshText parsed
-	TLS             *TLS          `yaml:"tls"`     // nil for plain TCP, where names are believed
+	RefreshText     string        `yaml:"refresh"` // interval of polls after the first half minute, such as 30s; 0s means no further polls
+	RefreshInterval time.Duration `yaml:"-"`       // parsed from RefreshText
+	TLS             *TLS          `yaml:"tls"`     // nil means plain TCP, where peers' names are not verified
 }
 
 // Peer is an instance to poll.
@@ -37,13 +37,13 @@
 	}
 	c.checkOptionalName("$.peers.name", peers.Name)
 	if len(peers.Locality) > peerreport.MaxNameBytes {
-		c.addError("$.peers.place", "over %d letters", peerreport.MaxNameBytes)
+		c.addError("$.peers.place", "longer than %d bytes", peerreport.MaxNameBytes)
 	}
 	if peers.Listen != "" {
 		c.checkAddress("$.peers.listen", peers.Listen)
 	}
 	if peers.Listen == "" && len(peers.AllowedPeers) > 0 {
-		c.addError("$.peers.allow", "names are allowed, but nothing listens")
+		c.addError("$.peers.allow", "peers are allowed to poll, but listen is not set")
 	}
 	c.checkPollTargets(peers.PollTargets)
 	for i, name := range peers.AllowedPeers {
@@ -55,7 +55,7 @@
 
 func (c *checker) checkPollTargets(targets []Peer) {
 	if len(targets) > peerreport.MaxPeers {
-		c.addError("$.peers.ask", "%d peers, %d at the most", len(targets), peerreport.MaxPeers)
+		c.addError("$.peers.ask", "%d peers; at most %d are allowed", len(targets), peerreport.MaxPeers)
 	}
 	seen := nameSet{}
 	for i, target := range targets {
@@ -73,7 +73,7 @@
 	}
 	interval, err := time.ParseDuration(peers.RefreshText)
 	if err != nil {
-		c.addError("$.peers.refresh", "%.40q is no time such as 30s", peers.RefreshText)
+		c.addError("$.peers.refresh", "%.40q is not a duration such as 30s", peers.RefreshText)
 		return
 	}
 	peers.RefreshInterval = interval
--- a/config/settings.go
+++ b/config/settings.go
@@ -11,7 +11,7 @@
 	"chalkring/config/settings"
 )
 
-// Shadow holds settings that are not in force. Decisions that they would change are counted.
+// Shadow holds settings that are evaluated but not applied: the decisions that they would change are counted.
 type Shadow struct {
 	Settings map[string]any `yaml:"settings"`
 }
@@ -19,12 +19,13 @@
 var (
 	// flatIndex matches the index into a list in a setting's flat name, as in Classes.0.Aim.
 	flatIndex = regexp.MustCompile(`\.(\d+)`)
-	// planListItem matches a setting of an item of one of the plan's lists: the list, the index, what it sets there.
+	// planListItem matches a setting of an item in one of the plan's lists. Its groups are the list, the index and the
+	// setting of the item.
 	planListItem = regexp.MustCompile(`^(Classes|Tenants)\.(\d+)\.(.+)$`)
 )
 
-// FlattenSettings names a file's settings as the plan's are named. A list of objects in an installation file sets some of
-// the plan's items, so its length is left out.
+// FlattenSettings returns a file's settings under the flat names that the plan's settings have. It leaves out the length
+// of a list of objects, because an installation file may set only some of the plan's items.
 func FlattenSettings(values map[string]any) map[string]string {
 	flat := map[string]string{}
 	_ = settings.Flatten(flat, "", values) // Parse reports duplicates
@@ -32,12 +33,12 @@
 	return flat
 }
 
-// settingPath is the path of a flat name below the settings at path, where it was given in nested objects and lists.
+// settingPath is the path in the file of a setting that was given in nested objects and lists below path.
 func settingPath(path, flatName string) string {
 	return path + "." + flatIndex.ReplaceAllString(flatName, "[$1]")
 }
 
-// checkSettings checks each setting by itself. Lists by search class are checked against the plan when it is known.
+// checkSettings checks each setting on its own. Lists by search class are checked later, when the plan is known.
 func (c *checker) checkSettings(path string, values map[string]any) {
 	if err := settings.Flatten(map[string]string{}, "", values); err != nil {
 		c.addError(path, "%v", err)
@@ -58,13 +59,14 @@
 	}
 	c.checkSettings("$.shadow.settings", shadow.Settings)
 	if len(shadow.Settings) == 0 {
-		c.addError("$.shadow", "names no settings to hold decisions against")
+		c.addError("$.shadow", "has no settings to compare decisions with")
 	}
 }
 
-// MisplacedSettings returns, by flat name, why settings do not fit a plan with these classes and tenants, in the plan's
-// order: an index that the plan does not have, or one at which the plan has another name than the setting `Name` states.
-// Such settings would be ignored silently, or would apply to another class where a plan has another order.
+// MisplacedSettings returns the settings that do not fit a plan with these classes and tenants, which are given in the
+// plan's order, and the reason for each, keyed by flat name. The plan has no item at the index of the setting, or the
+// setting `Name` differs from the name of that item. Such a setting would be ignored silently, or would apply to another
+// class than intended if the plan has another order.
 func MisplacedSettings(flat map[string]string, classes, tenants []string) map[string]string {
 	misplaced := map[string]string{}
 	for name, value := range flat {
@@ -82,14 +84,14 @@
 		case err != nil || index >= len(names):
 			misplaced[name] = fmt.Sprintf("the plan has %d %s, counted from 0", len(names), noun)
 		case field == "Name" && value != names[index]:
-			misplaced[name] = fmt.Sprintf("is %q, the plan has %q at this place", value, names[index])
+			misplaced[name] = fmt.Sprintf("is %q, but the plan has %q at this index", value, names[index])
 		}
 	}
 	return misplaced
 }
 
-// CheckAgainstPlan checks that the file's settings, and those of Shadow, fit a plan with these classes and tenants. It
-// returns the file's other errors too.
+// CheckAgainstPlan checks that the file's settings, including those of Shadow, fit a plan with these classes and tenants.
+// If the file has other errors, it returns those and does not check.
 func (f *File) CheckAgainstPlan(classes, tenants []string) error {
 	if f.document == nil {
 		return nil
@@ -97,14 +99,14 @@
 	if err := f.document.Err(); err != nil {
 		return err
 	}
-	f.checkPlacesAgainstPlan("$.settings", f.Settings, classes, tenants)
+	f.checkIndicesAgainstPlan("$.settings", f.Settings, classes, tenants)
 	if f.Shadow != nil {
-		f.checkPlacesAgainstPlan("$.shadow.settings", f.Shadow.Settings, classes, tenants)
+		f.checkIndicesAgainstPlan("$.shadow.settings", f.Shadow.Settings, classes, tenants)
 	}
 	return f.document.Err()
 }
 
-func (f *File) checkPlacesAgainstPlan(path string, values map[string]any, classes, tenants []string) {
+func (f *File) checkIndicesAgainstPlan(path string, values map[string]any, classes, tenants []string) {
 	misplaced := MisplacedSettings(FlattenSettings(values), classes, tenants)
 	for _, name := range slices.Sorted(maps.Keys(misplaced)) {
 		errorPath := settingPath(path, name)
--- a/config/settings/errors.go
+++ b/config/settings/errors.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// The errors of this package say what is wrong in their text. They give no advice of their own: each caller names the
-// place in its file, and a plan's errors are logged without advice.
+// The errors of this package say in their text what is wrong. They give no advice: callers that read a file add the
+// position in it, and errors of a plan are logged without advice.
 
-// InvalidSettingError is a setting with a value that the balancer cannot use.
+// InvalidSettingError reports a setting whose value the balancer cannot use.
 type InvalidSettingError struct{ Setting, Problem string }
 
 func (e *InvalidSettingError) Error() string {
 	return fmt.Sprintf("setting %s: %s", e.Setting, e.Problem)
 }
 
-// ListLengthError is a list by search class that has not one place for each class.
+// ListLengthError reports a list by search class that does not have exactly one value for each class.
 type ListLengthError struct {
 	Setting         string
-	Places, Classes int
+	Values, Classes int
 }
 
 func (e *ListLengthError) Error() string {
-	return fmt.Sprintf("setting %s has %d places for %d classes", e.Setting, e.Places, e.Classes)
+	return fmt.Sprintf("setting %s has %d values for %d classes", e.Setting, e.Values, e.Classes)
 }
 
-// DuplicateSettingError is a setting that is given both in an object and by its flat name.
+// DuplicateSettingError reports a setting that is given both in an object and by its flat name.
 type DuplicateSettingError struct{ Setting string }
 
 func (e *DuplicateSettingError) Error() string {
-	return fmt.Sprintf("setting %s is there twice", e.Setting)
+	return fmt.Sprintf("setting %s is given more than once", e.Setting)
 }
--- a/config/settings/flatten.go
+++ b/config/settings/flatten.go
@@ -11,9 +11,10 @@
 // CountSuffix ends the name under which Flatten puts the length of a list of objects.
 const CountSuffix = ".count"
 
-// Flatten adds a decoded JSON or YAML value to flat under the names and in the texts of the simulator's wire: nested
-// objects as paths, lists of plain values joined by commas, lists of objects by index with their count. It returns a
-// DuplicateSettingError for the first setting that is also given by its flat name; flat then holds one of both values.
+// Flatten adds a decoded JSON or YAML value to flat, with names and values in the form that the simulator's protocol uses:
+// nested objects become paths, lists of plain values are joined by commas, and lists of objects are written by index with
+// their count. It returns a DuplicateSettingError for the first setting that is also given by its flat name; flat then
+// holds one of the two values.
 func Flatten(flat map[string]string, path string, value any) error {
 	switch value := value.(type) {
 	case map[string]any:
@@ -68,10 +69,11 @@
 	return nil
 }
 
-// sortedNames gives a fixed order, so that of several errors the same one is returned each time.
+// sortedNames gives a fixed order, so that with several errors the same one is returned each time.
 func sortedNames[V any](values map[string]V) []string { return slices.Sorted(maps.Keys(values)) }
 
-// FormatValue returns a plain value as the simulator's wire has it: without blanks and commas, "-" for null.
+// FormatValue returns a plain value in the form that the simulator's protocol uses: without spaces and commas, and "-" for
+// null.
 func FormatValue(value any) string {
 	switch value := value.(type) {
 	case nil:
--- a/config/settings/flatten_test.go
+++ b/config/settings/flatten_test.go
@@ -6,15 +6,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A setting given by its flat name and in an object as well is an error, whatever the order in which a map is iterated:
-// else either value could be in force after a start. Given by its flat name alone it is valid.
+// Guards against a setting that is accepted both by its flat name and in an object: which of the two values is active
+// after a start would depend on the iteration order of a map. Given by its flat name alone, a setting is valid.
 func TestDuplicateSettingsAreRejected(t *testing.T) {
 	classes := []any{map[string]any{"Aim": 100, "Name": "a"}}
 	for range 50 {
 		for wantError, values := range map[string]map[string]any{
-			"setting Classes.0.Aim is there twice": {"Classes": classes, "Classes.0.Aim": 900, "Classes.0.Name": "b"},
-			"setting Classes.count is there twice": {"Classes": classes, "Classes.count": 2},
-			"setting Safety.Cold is there twice":   {"Safety": map[string]any{"Cold": 1}, "Safety.Cold": 2},
+			"setting Classes.0.Aim is given more than once": {"Classes": classes, "Classes.0.Aim": 900, "Classes.0.Name": "b"},
+			"setting Classes.count is given more than once": {"Classes": classes, "Classes.count": 2},
+			"setting Safety.Cold is given more than once":   {"Safety": map[string]any{"Cold": 1}, "Safety.Cold": 2},
 		} {
 			require.EqualError(t, Flatten(map[string]string{}, "", values), wantError)
 		}
--- a/config/settings/golden_settings_test.go
+++ b/config/settings/golden_settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// settingNames are the settings that the balancer reads.
+// settingNames are the settings that the balancer reads; a star stands for an index.
 var settingNames = []string{
 	"Balancers", "Tick",
 	"Specifics.Sets", "Specifics.Reach", "Specifics.Ranges", "Specifics.PerCall", "Specifics.NeedByClass",
@@ -26,6 +26,7 @@
 	"Tenants.*.QuotaPerS",
 }
 
+// Guards against a setting without a rule, and against misspelled names that count as known.
 func TestGoldenSettingNames(t *testing.T) {
 	require.ElementsMatch(t, settingNames, slices.Collect(maps.Keys(rules)))
 	for _, name := range settingNames {
@@ -35,7 +36,7 @@
 	}
 }
 
-// Each setting is checked against texts that separate the kinds of check; the golden file holds the errors.
+// Guards against a setting that gets another rule or error text. The texts include one that each kind of rule rejects.
 func TestGoldenSettingErrors(t *testing.T) {
 	texts := []string{
 		"", "-1", "0", "0.5", "1", "1.5", "7", "2147483647", "2147483648", "1e400", "NaN", "Inf", "many",
@@ -51,6 +52,7 @@
 	golden.Require(t, "setting_errors.golden", out.String())
 }
 
+// Guards against a list by search class whose length is not checked against the number of classes.
 func TestGoldenSettingListErrors(t *testing.T) {
 	var out strings.Builder
 	for _, name := range settingNames {
@@ -63,7 +65,7 @@
 	golden.Require(t, "setting_list_errors.golden", out.String())
 }
 
-// The flat names and texts of settings as JSON holds them.
+// Guards against changed flat names and texts of settings decoded from JSON, which the simulator's protocol relies on.
 func TestGoldenFlatSettings(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
--- a/config/settings/rules.go
+++ b/config/settings/rules.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// rule checks the text of a setting. It returns the empty string for a valid one.
+// rule checks the text of a setting. It returns the empty string if the text is valid.
 type rule func(text string) (problem string)
 
 // rules are the settings that the balancer reads, by name. A star stands for the index into a list of objects.
@@ -53,19 +53,19 @@
 	"Tenants.*.QuotaPerS": nonNegative,
 }
 
-// listsByClass are the settings that have a place for each search class.
+// listsByClass are the settings that have one value for each search class.
 var listsByClass = []string{
 	"Specifics.NeedByClass", "Specifics.ClassFloor", "Specifics.ShortWorth", "Specifics.FollowUp",
 }
 
-// parseNonNegative returns the number and "", or what is wrong with the text.
+// parseNonNegative returns the number and "", or 0 and a description of the problem.
 func parseNonNegative(text string) (value float64, problem string) {
 	value, err := strconv.ParseFloat(text, 64)
 	switch {
 	case err != nil || math.IsNaN(value) || math.IsInf(value, 0):
-		return 0, fmt.Sprintf("%q is no number", text)
+		return 0, fmt.Sprintf("%q is not a finite number", text)
 	case value < 0:
-		return 0, fmt.Sprintf("%s is under 0", text)
+		return 0, fmt.Sprintf("%s is less than 0", text)
 	}
 	return value, ""
 }
@@ -78,16 +78,16 @@
 func positive(text string) string {
 	value, problem := parseNonNegative(text)
 	if problem == "" && value == 0 {
-		return fmt.Sprintf("%s is not above 0", text)
+		return fmt.Sprintf("%s is not greater than 0", text)
 	}
 	return problem
 }
 
-// integer is for counts, of which the balancer would ignore a fractional part.
+// integer is for counts: the balancer would ignore a fractional part.
 func integer(text string) string {
 	value, problem := parseNonNegative(text)
 	if problem == "" && (value != math.Trunc(value) || value > math.MaxInt32) {
-		return fmt.Sprintf("%s is no whole number", text)
+		return fmt.Sprintf("%s is not a whole number of at most 2147483647", text)
 	}
 	return problem
 }
@@ -103,7 +103,7 @@
 func fraction(text string) string {
 	value, problem := parseNonNegative(text)
 	if problem == "" && value > 1 {
-		return fmt.Sprintf("%s is over 1", text)
+		return fmt.Sprintf("%s is greater than 1", text)
 	}
 	return problem
 }
@@ -121,16 +121,16 @@
 		if slices.Contains(values, text) {
 			return ""
 		}
-		return fmt.Sprintf("%q is none of %s", text, strings.Join(values, ", "))
+		return fmt.Sprintf("%q is not one of %s", text, strings.Join(values, ", "))
 	}
 }
 
-// listOf is a list whose items, separated by commas, are each checked by a rule.
+// listOf is for lists: it applies a rule to each of the items, which are separated by commas.
 func listOf(item rule) rule {
 	return func(text string) string {
 		for i, value := range strings.Split(text, ",") {
 			if problem := item(value); problem != "" {
-				return fmt.Sprintf("place %d: %s", i, problem)
+				return fmt.Sprintf("item %d: %s", i, problem)
 			}
 		}
 		return ""
--- a/config/settings/rules_test.go
+++ b/config/settings/rules_test.go
@@ -6,26 +6,28 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against a value that the balancer cannot use being accepted at the start.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, c := range []struct{ name, text, wantError string }{
-		{"Specifics.NeedByClass", "0.5", "setting Specifics.NeedByClass has 1 places for 2 classes"},
-		{"Specifics.ClassFloor", "0.5,0.5,0.5", "setting Specifics.ClassFloor has 3 places for 2 classes"},
-		{"Specifics.NeedByClass", "0.5,-0.1", "setting Specifics.NeedByClass: place 1: -0.1 is under 0"},
-		{"Specifics.ClassFloor", "1.5,1", "setting Specifics.ClassFloor: place 0: 1.5 is over 1"},
-		{"Specifics.ShortWorth", "0.5,much", `setting Specifics.ShortWorth: place 1: "much" is no number`},
-		{"Specifics.ShortWorth", "NaN,1", `setting Specifics.ShortWorth: place 0: "NaN" is no number`},
+		{"Specifics.NeedByClass", "0.5", "setting Specifics.NeedByClass has 1 values for 2 classes"},
+		{"Specifics.ClassFloor", "0.5,0.5,0.5", "setting Specifics.ClassFloor has 3 values for 2 classes"},
+		{"Specifics.NeedByClass", "0.5,-0.1", "setting Specifics.NeedByClass: item 1: -0.1 is less than 0"},
+		{"Specifics.ClassFloor", "1.5,1", "setting Specifics.ClassFloor: item 0: 1.5 is greater than 1"},
+		{"Specifics.ShortWorth", "0.5,much", `setting Specifics.ShortWorth: item 1: "much" is not a finite number`},
+		{"Specifics.ShortWorth", "NaN,1", `setting Specifics.ShortWorth: item 0: "NaN" is not a finite number`},
 		{"Permissions.SecondCopies", "maybe", `setting Permissions.SecondCopies: "maybe" is neither true nor false`},
 		{"Permissions.RetryAfter", "", `setting Permissions.RetryAfter: "" is neither true nor false`},
-		{"Classes.1.Deadline", "-5", "setting Classes.1.Deadline: -5 is under 0"},
-		{"Classes.0.LateShare", "1.1", "setting Classes.0.LateShare: 1.1 is over 1"},
-		{"Classes.0.Effect", "odd", `setting Classes.0.Effect: "odd" is none of retryable, dedup, fragile`},
-		{"Safety.FallMultiple", "Inf", `setting Safety.FallMultiple: "Inf" is no number`},
+		{"Classes.1.Deadline", "-5", "setting Classes.1.Deadline: -5 is less than 0"},
+		{"Classes.0.LateShare", "1.1", "setting Classes.0.LateShare: 1.1 is greater than 1"},
+		{"Classes.0.Effect", "odd", `setting Classes.0.Effect: "odd" is not one of retryable, dedup, fragile`},
+		{"Safety.FallMultiple", "Inf", `setting Safety.FallMultiple: "Inf" is not a finite number`},
 	} {
 		require.EqualError(t, ValidateAll(map[string]string{c.name: c.text}, 2), c.wantError)
 	}
 }
 
-// A floor above the need is usual, and settings that the balancer does not read are allowed.
+// Guards against valid settings being rejected: a floor above the need is common, and settings that the balancer does not
+// read are allowed.
 func TestFlattenedSettingsAreValid(t *testing.T) {
 	flat := map[string]string{}
 	require.NoError(t, Flatten(flat, "", map[string]any{
--- a/config/settings/settings.go
+++ b/config/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings knows which settings the balancer reads and which values each may have. A plan and an installation
-// file are checked against it before anything starts, so that a bad setting ends the start and not a search. All
-// functions are pure.
+// Package settings defines which settings the balancer reads and which values are valid for each. Plans and installation
+// files are checked with it before anything starts, so that an invalid setting makes the start fail rather than a search.
+// All functions are pure.
 //
-// Settings are named by paths as on the simulator's wire: Specifics.NeedByClass, Classes.0.Aim. Flatten makes such names
-// from nested objects.
+// Settings are named by paths as in the simulator's protocol: Specifics.NeedByClass, Classes.0.Aim. Flatten makes such
+// names from nested objects.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// listIndex matches the index into a list of objects in a setting's name.
+// listIndex matches the index of an item in a list of objects, within a setting's name.
 var listIndex = regexp.MustCompile(`\.\d+\.`)
 
 func ruleFor(name string) rule { return rules[listIndex.ReplaceAllString(name, ".*.")] }
@@ -20,7 +20,7 @@
 // IsKnown reports whether the balancer reads a setting of this name.
 func IsKnown(name string) bool { return ruleFor(name) != nil }
 
-// Validate checks one setting. A setting that the balancer does not read may have any value. It returns an
+// Validate checks one setting. A setting that the balancer does not read may have any value. The error is an
 // InvalidSettingError.
 func Validate(name, text string) error {
 	check := ruleFor(name)
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// ValidateAll checks all settings, and that lists by search class have a place for each of classCount classes. It returns
-// an InvalidSettingError or a ListLengthError for the first bad setting in the order of names.
+// ValidateAll checks all settings, and that lists by search class have one value for each of classCount classes. It
+// returns an InvalidSettingError or a ListLengthError for the first invalid setting in the order of names.
 func ValidateAll(values map[string]string, classCount int) error {
 	for _, name := range sortedNames(values) {
 		if err := Validate(name, values[name]); err != nil {
@@ -43,8 +43,8 @@
 		if !slices.Contains(listsByClass, name) {
 			continue
 		}
-		if places := strings.Count(values[name], ",") + 1; places != classCount {
-			return &ListLengthError{Setting: name, Places: places, Classes: classCount}
+		if count := strings.Count(values[name], ",") + 1; count != classCount {
+			return &ListLengthError{Setting: name, Values: count, Classes: classCount}
 		}
 	}
 	return nil
--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against settings and shadow settings that get other flat names than the plan's.
 func TestSettingsAndShadowSettings(t *testing.T) {
 	file, err := Parse([]byte("settings: {Permissions: {RetryAfter: false}}\nshadow:\n  settings:\n    Specifics: {ClassFloor: [0.5, 1]}\n"+
 		"    Classes: [{Deadline: 4000}]\n"), "")
@@ -14,17 +15,18 @@
 	require.Equal(t, map[string]string{"Specifics.ClassFloor": "0.5,1", "Classes.0.Deadline": "4000"}, FlattenSettings(file.Shadow.Settings))
 }
 
-// A setting given in an object and by its flat name is rejected, in force or in shadow.
+// Guards against a setting that is accepted both in an object and by its flat name, as an active or a shadow setting.
 func TestDuplicateSettingsAreRejected(t *testing.T) {
 	for _, section := range []string{"settings: {", "shadow:\n  settings: {"} {
 		_, err := Parse([]byte(section+"Safety: {Cold: 1}, Safety.Cold: 2}\n"), "")
-		require.ErrorContains(t, err, "setting Safety.Cold is there twice")
+		require.ErrorContains(t, err, "setting Safety.Cold is given more than once")
 		_, err = Parse([]byte(section+"Safety.Cold: 2}\n"), "")
 		require.NoError(t, err)
 	}
 }
 
-// A setting at an index that the plan does not have is reported with its position, given flat or in a list.
+// Guards against a setting for an index that the plan does not have: it is reported with its position, whether it is
+// given by its flat name or in a list.
 func TestSettingsAreCheckedAgainstThePlan(t *testing.T) {
 	classes, tenants := []string{"lookup", "full", "more"}, []string{"acme"}
 	for text, want := range map[string]string{
@@ -37,7 +39,7 @@
 	} {
 		file, err := Parse([]byte(text), "")
 		require.NoError(t, err, text)
-		for range 2 { // a second check finds the same
+		for range 2 { // a second check returns the same error
 			if err = file.CheckAgainstPlan(classes, tenants); want == "" {
 				require.NoError(t, err, text)
 			} else {
@@ -49,11 +51,11 @@
 	require.NoError(t, (&File{}).CheckAgainstPlan(nil, nil))
 }
 
-// A setting may state which class it means.
+// Guards against a setting that applies to another class than the one it names.
 func TestSettingsOfAnotherName(t *testing.T) {
 	plan := []string{"full", "lookup"}
 	require.Empty(t, MisplacedSettings(map[string]string{"Classes.1.Name": "lookup", "Classes.1.Aim": "5", "Specifics.FollowUp": "0,0", "Classes.count": "9"}, plan, nil))
-	require.Equal(t, map[string]string{"Classes.0.Name": `is "lookup", the plan has "full" at this place`},
+	require.Equal(t, map[string]string{"Classes.0.Name": `is "lookup", but the plan has "full" at this index`},
 		MisplacedSettings(map[string]string{"Classes.0.Name": "lookup", "Classes.0.Aim": "5"}, plan, nil))
 	require.Contains(t, MisplacedSettings(map[string]string{"Classes.99999999999999999999.Aim": "5"}, plan, nil), "Classes.99999999999999999999.Aim")
 }
--- a/config/strictyaml/golden_errors_test.go
+++ b/config/strictyaml/golden_errors_test.go
@@ -10,10 +10,12 @@
 	"chalkring/internal/golden"
 )
 
-// goField matches the name of a Go struct and field, which the YAML library puts into its errors; it is not pinned.
+// goField matches the Go struct and field that the YAML library names in its errors. The golden file leaves them out, so
+// that renaming a field does not change it.
 var goField = regexp.MustCompile(`Go struct field \S+`)
 
-// Errors and advice for texts that cannot be read, and for errors that a caller reports at paths.
+// Guards the error texts, positions and advice that operators see: for texts that cannot be decoded, for errors that a
+// caller adds at paths in the file and at paths missing from it, and for a missing file.
 func TestGoldenErrors(t *testing.T) {
 	type item struct {
 		Share float64 `yaml:"share"`
--- a/config/strictyaml/strictyaml.go
+++ b/config/strictyaml/strictyaml.go
@@ -1,8 +1,8 @@
 // Package strictyaml reads an operator's YAML file strictly: one document, bounded in size, without unknown or repeated
-// keys. Each error names line, column and path, and says what to do.
+// keys. Each error gives the line, the column and the path, and advice for the operator.
 //
-// Decode fills a value from the file. The caller then checks what only it knows, reports what is wrong by AddError, and
-// returns Err: an operator sees all errors of a file at once.
+// Decode fills a value from the file. The caller then makes its own checks, reports each fault by AddError, and returns
+// Err, so that an operator sees all errors of a file at once.
 package strictyaml
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// defaultRemedy is the advice of errors whose text says what to mend.
-const defaultRemedy = "Mend the place that is named; `chalkring check FILE` looks at the file again."
+// defaultRemedy is the advice of errors whose text already says what to correct.
+const defaultRemedy = "Correct the file at the place that the error names, then run `chalkring check FILE`."
 
-// InvalidFileError is one thing wrong with a file.
+// InvalidFileError describes one fault in a file.
 type InvalidFileError struct {
-	Line, Column int    // 0 where the file as a whole is meant
-	Path         string // such as contracts[0].zones; empty for the file as a whole
+	Line, Column int    // 0 if the error concerns the file as a whole or has no position
+	Path         string // such as contracts[0].zones; empty if the error concerns the file as a whole
 	Problem      string
 	Remedy       string // the advice
 }
@@ -43,14 +43,14 @@
 // Advice implements advice.Provider.
 func (e *InvalidFileError) Advice() string { return e.Remedy }
 
-// Document is a decoded file and the errors that were found in it. It is not safe for concurrent use.
+// Document is a decoded file and the errors found in it. It is not safe for concurrent use.
 type Document struct {
 	tree   *ast.File
 	errors []error
 }
 
-// ReadFile reads a file for Decode with the same limit. Of a larger file it returns one byte more than the limit, so that
-// Decode rejects it, whatever the file's size.
+// ReadFile reads a file for Decode with the same limit. It reads at most one byte beyond the limit, however large the
+// file is; that byte makes Decode reject the text.
 func ReadFile(path string, maxBytes int) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -60,12 +60,12 @@
 	return io.ReadAll(io.LimitReader(file, int64(maxBytes)+1))
 }
 
-// Decode reads text of at most maxBytes into the value that target points at; an empty text leaves it as it is. It
-// returns an InvalidFileError where the text cannot be decoded, so that nothing more can be checked.
+// Decode reads text of at most maxBytes into the value that target points at; an empty text leaves it unchanged. It
+// returns an InvalidFileError if the text cannot be decoded, in which case the caller has nothing to check.
 func Decode(text []byte, maxBytes int, target any) (*Document, error) {
 	if len(text) > maxBytes {
 		return nil, &InvalidFileError{
-			Problem: fmt.Sprintf("over %d bytes", maxBytes), Remedy: "Split the file, or look whether it is the right one.",
+			Problem: fmt.Sprintf("the file is larger than %d bytes", maxBytes), Remedy: "Split the file, or check that it is the right one.",
 		}
 	}
 	tree, err := parser.ParseBytes(text, 0)
@@ -74,7 +74,7 @@
 	}
 	if len(tree.Docs) > 1 {
 		return nil, &InvalidFileError{
-			Problem: "more than one document", Remedy: "Keep one document; take out the lines of three dashes.",
+			Problem: "the file has more than one document", Remedy: "Keep one document: remove the lines of three dashes.",
 		}
 	}
 	err = yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(target)
@@ -84,20 +84,20 @@
 	return &Document{tree: tree}, nil
 }
 
-// newSyntaxError takes the first line of the YAML library's error, which has position and problem. The lines after it
-// show the source.
+// newSyntaxError keeps the first line of the YAML library's error, which has the position and the problem. The lines
+// after it quote the source.
 func newSyntaxError(err error) error {
 	firstLine, _, _ := strings.Cut(err.Error(), "\n")
 	return &InvalidFileError{Problem: strings.TrimSpace(firstLine), Remedy: defaultRemedy}
 }
 
-// AddError reports what is wrong at a path such as $.peers.ask[0].address. The error has the position of that path, or of
-// the nearest one above it that is in the file.
+// AddError adds an error for a path such as $.peers.ask[0].address. The error has the position of that path, or of its
+// nearest ancestor that is in the file.
 func (d *Document) AddError(path, format string, args ...any) {
 	d.AddErrorWithRemedy(path, defaultRemedy, format, args...)
 }
 
-// AddErrorWithRemedy is AddError with advice of its own.
+// AddErrorWithRemedy is AddError with the given advice in place of defaultRemedy.
 func (d *Document) AddErrorWithRemedy(path, remedy, format string, args ...any) {
 	invalid := &InvalidFileError{
 		Path: strings.TrimPrefix(path, "$."), Problem: fmt.Sprintf(format, args...), Remedy: remedy,
@@ -109,7 +109,7 @@
 	d.errors = append(d.errors, invalid)
 }
 
-// Position returns line and column of a path, both from 1; 0, 0 where it is not in the file.
+// Position returns the line and column of a path, both counted from 1, or 0, 0 if the path is not in the file.
 func (d *Document) Position(path string) (line, column int) {
 	yamlPath, err := yaml.PathString(path)
 	if err != nil {
@@ -123,5 +123,5 @@
 	return position.Line, position.Column
 }
 
-// Err joins all errors that were added, in their order; nil for none.
+// Err joins all errors added so far, in the order of their addition. It returns nil if there are none.
 func (d *Document) Err() error { return errors.Join(d.errors...) }
--- a/config/strictyaml/strictyaml_test.go
+++ b/config/strictyaml/strictyaml_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against errors without a position: an error at a missing key has the position of its parent.
 func TestErrorsHaveTheirPosition(t *testing.T) {
 	var target struct {
 		Stages []struct{ Share float64 }
@@ -21,6 +22,8 @@
 	require.NotEmpty(t, invalid.Advice())
 }
 
+// Guards against a text that is accepted although it has an unknown key, two documents, a syntax error or too many bytes,
+// and against such an error without advice.
 func TestInvalidTextIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"unknown key": "other: 1\n", "two documents": "a: 1\n---\na: 2\n", "syntax": "a: [1\n",
--- a/coordinator/plan_test.go
+++ b/coordinator/plan_test.go
@@ -130,20 +130,20 @@
 func TestInvalidNumbers(t *testing.T) {
 	plan := string(planOf(t, func(map[string]any) {}))
 	for _, x := range [][3]string{
-		{`"Sets":2`, `"Sets":0.5`, "Specifics.Sets: 0.5 is no whole number"},
-		{`"Reach":1`, `"Reach":1.5`, "Specifics.Reach: 1.5 is no whole number"},
-		{`"Ranges":4`, `"Ranges":1e12`, "Specifics.Ranges: 1e12 is no whole number"},
-		{`"PerCall":2`, `"PerCall":0.5`, "Specifics.PerCall: 0.5 is no whole number"},
-		{`"FollowUp":[0,0,2]`, `"FollowUp":[0,0.5,2]`, "Specifics.FollowUp: place 1: 0.5 is no whole number"},
-		{`"MaxAttempts":3`, `"MaxAttempts":0`, "Permissions.MaxAttempts: 0 is not above 0"},
+		{`"Sets":2`, `"Sets":0.5`, "Specifics.Sets: 0.5 is not a whole number"},
+		{`"Reach":1`, `"Reach":1.5`, "Specifics.Reach: 1.5 is not a whole number"},
+		{`"Ranges":4`, `"Ranges":1e12`, "Specifics.Ranges: 1e12 is not a whole number"},
+		{`"PerCall":2`, `"PerCall":0.5`, "Specifics.PerCall: 0.5 is not a whole number"},
+		{`"FollowUp":[0,0,2]`, `"FollowUp":[0,0.5,2]`, "Specifics.FollowUp: item 1: 0.5 is not a whole number"},
+		{`"MaxAttempts":3`, `"MaxAttempts":0`, "Permissions.MaxAttempts: 0 is not greater than 0"},
 		{`"MaxAttempts":3`, `"MaxAttempts":true`, `Permissions.MaxAttempts: "true" is no number`},
-		{`"StreamsPerConn":8`, `"StreamsPerConn":0.5`, "Permissions.StreamsPerConn: 0.5 is no whole number"},
-		{`"ConnIdle":60000`, `"ConnIdle":0`, "Permissions.ConnIdle: 0 is not above 0"},
-		{`"DialTimeout":2000`, `"DialTimeout":0`, "Permissions.DialTimeout: 0 is not above 0"},
-		{`"Balancers":1`, `"Balancers":0`, "Balancers: 0 is not above 0"},
+		{`"StreamsPerConn":8`, `"StreamsPerConn":0.5`, "Permissions.StreamsPerConn: 0.5 is not a whole number"},
+		{`"ConnIdle":60000`, `"ConnIdle":0`, "Permissions.ConnIdle: 0 is not greater than 0"},
+		{`"DialTimeout":2000`, `"DialTimeout":0`, "Permissions.DialTimeout: 0 is not greater than 0"},
+		{`"Balancers":1`, `"Balancers":0`, "Balancers: 0 is not greater than 0"},
 		{`"Aim":4000`, `"Aim":false`, `Classes.0.Aim: "false" is no number`},
 		{`"SecondCopies":true`, `"SecondCopies":2`, "Permissions.SecondCopies"},
-		{`"Effect":"retryable"`, `"Effect":"Dedup"`, `Classes.0.Effect: "Dedup" is none of`},
+		{`"Effect":"retryable"`, `"Effect":"Dedup"`, `Classes.0.Effect: "Dedup" is not one of`},
 	} {
 		require.Contains(t, plan, x[0])
 		_, err := parsePlan([]byte(strings.Replace(plan, x[0], x[1], 1)))
--- a/coordinator/reload_test.go
+++ b/coordinator/reload_test.go
@@ -87,7 +87,7 @@
 		require.Equal(t, strings.Contains(x[1], "Added"), first.RestartDifferences(initial) == "settings.Added", x[1])
 	}
 	require.Equal(t, 2, strings.Count(out.String(), "event=reload_failed"))
-	require.Contains(t, out.String(), "setting Balancers: -1 is under 0")
+	require.Contains(t, out.String(), "setting Balancers: -1 is less than 0")
 }
 
 // A file that no longer names a discovery address leaves the environment's in force, and one that names an address
--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -1,8 +1,8 @@
-// Package advice lets an error say what an operator can do about it.
+// Package advice lets an error tell an operator what to do about it.
 //
-// Each package defines its own error types. A type that implements Provider is found here however deeply it is
-// wrapped, so the log, `chalkring check` and `chalkring serve` all present its advice in the same way. NewError is for
-// sentinel values that need no type of their own. All functions are pure and safe for use by any goroutine.
+// Each package defines its own error types. This package finds every error that implements Provider, however deeply it
+// is wrapped, so the log, `chalkring check` and `chalkring serve` all present advice in the same way. NewError is for
+// sentinel values that need no type of their own. All functions are pure and safe for concurrent use.
 package advice
 
 import (
@@ -11,11 +11,11 @@
 	"strings"
 )
 
-// maxSentences bounds the advice given for one error. A file with a hundred faults lists them in the error text; an
-// operator does not need a hundred sentences of advice besides.
+// maxSentences limits the advice given for one error. A file with a hundred faults lists them in the error text; an
+// operator does not need a hundred sentences of advice as well.
 const maxSentences = 8
 
-// logKey is the key under which advice stands in a log line. Operators search for it: docs/oncall.md names it.
+// logKey is the key of the advice in a log line. Operators search for it: docs/oncall.md names it.
 const logKey = "do"
 
 // Provider is an error with one sentence on what an operator can do about it.
@@ -33,7 +33,7 @@
 func (e *adviceError) Advice() string { return e.advice }
 
 // For returns the advice of all Providers in err's tree in the order of errors.Join, each sentence once, separated by
-// blanks. It returns the empty string where err is nil or nothing in it has advice.
+// spaces. It returns the empty string if err is nil or nothing in it has advice.
 func For(err error) string {
 	var sentences []string
 	forEachProvider(err, func(provider Provider) {
@@ -46,13 +46,13 @@
 	return strings.Join(sentences, " ")
 }
 
-// forEachProvider visits the Providers in err's tree, depth first. It does not descend below a Provider: an error that
-// gives advice speaks for what it wraps.
+// forEachProvider visits the Providers in err's tree, depth first. It does not descend below a Provider, whose advice
+// covers the errors that it wraps.
 func forEachProvider(err error, visit func(Provider)) {
 	if err == nil {
 		return
 	}
-	//nolint:errorlint // This walk unwraps by itself; errors.As would find only the first match.
+	//nolint:errorlint // This function unwraps errors itself; errors.As would find only the first match.
 	switch e := err.(type) {
 	case Provider:
 		visit(e)
@@ -65,7 +65,7 @@
 	}
 }
 
-// LogAttrs returns attrs, the error and its advice, if it has any, as the key-value pairs of a log line.
+// LogAttrs returns the key-value pairs of a log line: attrs, the error, and its advice if it has any.
 func LogAttrs(err error, attrs ...any) []any {
 	attrs = append(attrs, "error", err)
 	if sentences := For(err); sentences != "" {
@@ -74,7 +74,7 @@
 	return attrs
 }
 
-// Describe returns the error's text and its advice for a person who reads it on a terminal.
+// Describe returns the error's text and its advice, formatted for a terminal.
 func Describe(err error) string {
 	if sentences := For(err); sentences != "" {
 		return err.Error() + "\n  what to do: " + sentences
@@ -82,7 +82,7 @@
 	return err.Error()
 }
 
-// HasType reports whether err's tree holds an error of type T.
+// HasType reports whether err's tree contains an error of type T.
 func HasType[T error](err error) bool {
 	var target T
 	return errors.As(err, &target)
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -13,6 +13,7 @@
 func (e *diskFullError) Error() string  { return e.path + " is full" }
 func (e *diskFullError) Advice() string { return "Make room on " + e.path + "." }
 
+// Guards against advice that is lost or repeated when its errors are wrapped and joined.
 func TestAdviceIsFoundThroughWrappedErrors(t *testing.T) {
 	first, second := &diskFullError{"/a"}, &diskFullError{"/b"}
 	err := fmt.Errorf("start: %w", errors.Join(fmt.Errorf("one: %w", first), errors.New("plain"), second, first))
@@ -25,6 +26,7 @@
 	require.Empty(t, For(nil))
 }
 
+// Guards against a log line or terminal flooded with advice when a file has many faults.
 func TestAdviceIsBounded(t *testing.T) {
 	var faults []error
 	for i := range 3 * maxSentences {
@@ -33,6 +35,7 @@
 	require.Equal(t, "Mend a. Mend b. Mend c. Mend d. Mend e. Mend f. Mend g. Mend h.", For(errors.Join(faults...)))
 }
 
+// Guards against two sentinel errors with the same text and advice being taken for the same error by errors.Is.
 func TestNewErrorValuesAreDistinct(t *testing.T) {
 	first, second := NewError("text", "Do this."), NewError("text", "Do this.")
 	require.EqualError(t, first, "text")
--- a/internal/scheduler/budget.go
+++ b/internal/scheduler/budget.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// budgetBurst is how much of a budget may be spent at once, as the time in which it accrues.
+// budgetBurst is the capacity of a token bucket: what accrues in this time may be spent at once.
 const budgetBurst = second
 
-// Budget bounds the jobs of one kind.
+// Budget limits the jobs of one kind.
 type Budget struct {
-	MaxConcurrent  int     // jobs that run at once; 0 means one
-	BytesPerSecond float64 // 0 means no bound
-	CPUPerSecond   float64 // seconds of processor time per second; 0 means no bound
+	MaxConcurrent  int     // jobs running at the same time; 0 means 1
+	BytesPerSecond float64 // 0 means no limit
+	CPUPerSecond   float64 // seconds of CPU time per second; 0 means no limit
 }
 
-// tokenBucket accrues tokens at a constant rate. Spending may overdraw it: the amount is often known only afterwards,
-// and whoever spends next waits until the debt is paid off.
+// tokenBucket accrues tokens at a constant rate. Spending may overdraw it, because the amount is often known only
+// afterwards; the next job that spends waits until the bucket is no longer overdrawn.
 type tokenBucket struct {
 	tokens    float64
-	rate      float64 // tokens per tick; 0 means no bound
+	rate      float64 // tokens per tick; 0 means no limit
 	updatedAt int64
 }
 
@@ -49,7 +49,7 @@
 	return int64(math.Ceil(-b.tokens / b.rate))
 }
 
-// kindState is a budget and what the jobs of its kind have taken from it.
+// kindState is the budget of a kind of jobs and what those jobs have taken from it.
 type kindState struct {
 	maxConcurrent int
 	running       int
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -6,48 +6,48 @@
 	"chalkring/internal/advice"
 )
 
-// Priority orders jobs; the smaller value runs first.
+// Priority orders jobs: those with the smallest value run first.
 type Priority int
 
-// Priorities of jobs. Each states up to which load of the event loop its jobs start.
+// Priorities of jobs. Each has a limit on the load of the event loop above which its jobs do not start.
 const (
-	// PriorityUrgent is for jobs that a start waits for. They start unless the event loop is saturated.
+	// PriorityUrgent is for jobs that the start of the process waits for. They start unless the event loop is saturated.
 	PriorityUrgent Priority = iota
 	// PriorityNormal jobs wait while the event loop is busy.
 	PriorityNormal
-	// PriorityIdle jobs start only while the event loop has ample time.
+	// PriorityIdle jobs start only while the event loop has a low load.
 	PriorityIdle
 )
 
 // Job describes work that runs once or periodically. Durations are in ticks.
 type Job struct {
 	Name           string
-	Kind           string // the budget it spends from
+	Kind           string // selects the budget that the job spends from
 	Priority       Priority
 	Delay          int64 // wait before the first run
-	Jitter         int64 // upper bound of a random wait added to Delay
-	Deadline       int64 // from Add on; a job that has not started by then is abandoned. 0 means no deadline
+	Jitter         int64 // upper limit of a random wait added to Delay
+	Deadline       int64 // counted from Add; a job that has not started by then is abandoned. 0 means no deadline
 	Interval       int64 // wait after a successful run before the next one; 0 means the job runs once
-	InitialBackoff int64 // wait after the first failure, doubled by each further one; 0 means defaultInitialBackoff
+	InitialBackoff int64 // wait after the first failure, doubled after each further one; 0 means defaultInitialBackoff
 	MaxFailures    int   // consecutive failures after which the job is abandoned; 0 means it is never abandoned
 }
 
-// JobID identifies a job in its Schedule.
+// JobID identifies a job within its Schedule.
 type JobID uint64
 
 // Reasons why a job is rejected or abandoned.
 var (
 	ErrDeadlinePassed = advice.NewError("deadline passed before the job could start",
-		"If it repeats, look at the load of this instance: background jobs wait while searches need its time.")
+		"If this recurs, check the load of this instance: background jobs wait while searches keep it busy.")
 	ErrTooManyFailures = advice.NewError("job failed too often",
-		"Mend the cause that follows; the job is not attempted again by itself.")
+		"Correct the cause given in the error; the job is not retried automatically.")
 	ErrTooManyJobs = advice.NewError(fmt.Sprintf("%d jobs are waiting or running already", MaxJobs),
-		"Look at the load of this instance: background jobs wait while searches need its time.")
+		"Check the load of this instance: background jobs wait while searches keep it busy.")
 )
 
-// Counts holds the totals of a Schedule since it was created.
+// Counts holds totals of a Schedule since its creation.
 type Counts struct {
 	Started, Completed, Failed, Abandoned, Canceled int
 	Deferred                                        int // times a due job was held back because of load
-	Starved                                         int // jobs that load has held back for longer than starvationAge
+	Starved                                         int // times a job was held back by load for longer than starvationAge
 }
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -16,31 +16,31 @@
 // tick is the unit of time of a Schedule.
 const tick = 100 * time.Microsecond
 
-// JobFunc is the work of a job. It returns soon after ctx ends, and takes from its allowance what it spends.
+// JobFunc is the work of a job. It has to return soon after ctx ends, and to report what it spends to its allowance.
 type JobFunc func(ctx context.Context, allowance *Allowance) error
 
-// Pool runs the jobs of a Schedule, each run on a goroutine of its own. All methods are safe for concurrent use, and
-// none but Run waits for a job.
+// Pool runs the jobs of a Schedule, each run on its own goroutine. All methods are safe for concurrent use, and only Run
+// waits for jobs.
 type Pool struct {
 	clock     Clock
 	startedAt time.Time
 	onAbandon func(name string, err error)
-	changed   chan struct{} // signals Run that the schedule has to be looked at
+	changed   chan struct{} // signals Run to check the schedule again
 
 	mu       sync.Mutex
 	schedule *Schedule
 	jobs     map[JobID]*pooledJob
 }
 
-// pooledJob is a job's work. cancel ends its present run; it is nil while there is none.
+// pooledJob is a job's work. cancel ends its current run; it is nil while the job is not running.
 type pooledJob struct {
 	name   string
 	work   JobFunc
 	cancel context.CancelFunc
 }
 
-// NewPool returns a pool for a schedule, which the pool owns from then on. onAbandon is called for each job that is
-// abandoned, while the pool is locked: it must neither block nor call the pool.
+// NewPool returns a pool that takes ownership of a schedule. onAbandon is called for each abandoned job while the pool is
+// locked, so it must neither block nor call the pool.
 func NewPool(clock Clock, schedule *Schedule, onAbandon func(name string, err error)) *Pool {
 	return &Pool{
 		clock: clock, startedAt: clock.Now(), onAbandon: onAbandon, changed: make(chan struct{}, 1),
@@ -48,7 +48,7 @@
 	}
 }
 
-// now returns the schedule's time. It begins at 1, since 0 means never there.
+// now returns the schedule's time. It starts at 1, because a Schedule uses 0 for never.
 func (p *Pool) now() int64 { return 1 + int64(p.clock.Now().Sub(p.startedAt)/tick) }
 
 func (p *Pool) signalChange() {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Add accepts a job. It returns ErrTooManyJobs where MaxJobs wait or run.
+// Add accepts a job. It returns ErrTooManyJobs if MaxJobs jobs are waiting or running.
 func (p *Pool) Add(job Job, work JobFunc) (JobID, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +70,7 @@
 	return id, err
 }
 
-// Cancel removes a job and cancels the context of its present run, without waiting for the run to end.
+// Cancel removes a job and cancels the context of its current run, without waiting for the run to end.
 func (p *Pool) Cancel(id JobID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,21 +83,21 @@
 	p.signalChange()
 }
 
-// RecordLoad records the share of its time, 0 to 1, for which the event loop is busy; jobs are held back by it.
+// RecordLoad records the share of time, 0 to 1, for which the event loop is busy. A high load holds jobs back.
 func (p *Pool) RecordLoad(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.schedule.RecordLoad(p.now(), share)
 }
 
-// Counts returns the totals so far, how many jobs wait and run now, and the load average.
+// Counts returns the totals so far, the numbers of jobs that are waiting and running, and the load average.
 func (p *Pool) Counts() (totals Counts, waiting, running int, load float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.schedule.Counts()
 }
 
-// Run starts jobs until ctx ends, then cancels those that run, waits for them and returns nil.
+// Run starts jobs until ctx ends. It then cancels the running jobs, waits for them and returns nil.
 func (p *Pool) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var runs sync.WaitGroup
@@ -114,7 +114,8 @@
 	}
 }
 
-// startDue starts the jobs that are due and returns a timer for the next look, nil where none is needed.
+// startDue starts the jobs that are due. It returns a timer for the next check of the schedule, or nil if only a change
+// of the schedule makes a check necessary.
 func (p *Pool) startDue(ctx context.Context, runs *sync.WaitGroup) <-chan time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +136,7 @@
 	return p.clock.After(time.Duration(max(1, nextAt-p.now())) * tick)
 }
 
-// runJob does one run of a job and records its result.
+// runJob runs a job once and records the result.
 func (p *Pool) runJob(ctx context.Context, id JobID, job *pooledJob) {
 	err := callRecovered(ctx, job.work, &Allowance{pool: p, id: id})
 	canceled := ctx.Err() != nil
@@ -152,7 +153,7 @@
 	p.signalChange()
 }
 
-// callRecovered turns a panic into an error: a job that panics has failed, and nothing else is affected.
+// callRecovered calls work and turns a panic into an error: a job that panics counts as failed and affects nothing else.
 func callRecovered(ctx context.Context, work JobFunc, allowance *Allowance) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -168,7 +169,7 @@
 	id   JobID
 }
 
-// Spend takes bytes and processor time from the budget and waits until the budget has recovered or ctx ends.
+// Spend takes bytes and CPU time from the budget, then waits until the budget is no longer overdrawn or ctx ends.
 func (a *Allowance) Spend(ctx context.Context, bytes int, cpu time.Duration) error {
 	a.pool.mu.Lock()
 	wait := a.pool.schedule.Spend(a.pool.now(), a.id, bytes, cpu.Seconds())
--- a/internal/scheduler/pool_test.go
+++ b/internal/scheduler/pool_test.go
@@ -18,7 +18,7 @@
 func (systemClock) Now() time.Time                         { return time.Now() }
 func (systemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// runningPool is a pool whose Run has been started; stop ends it and checks that Run returns no error.
+// runningPool starts a pool. stop ends its Run and checks that Run returns no error.
 func runningPool(t *testing.T) (add func(job Job, work JobFunc) JobID, pool *Pool, abandoned chan string, stop func()) {
 	abandoned = make(chan string, 8)
 	pool = NewPool(systemClock{}, newSchedule(map[string]Budget{"": {MaxConcurrent: 8, BytesPerSecond: 1000}}),
@@ -34,6 +34,8 @@
 	return add, pool, abandoned, func() { cancel(); require.NoError(t, <-ended) }
 }
 
+// Guards against a job that is not run or not retried after a failure, and against a panic of one job that stops the
+// others or goes unreported.
 func TestPoolRunsRetriesAndRecovers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	add, _, abandoned, stop := runningPool(t)
@@ -55,6 +57,7 @@
 	require.Empty(t, abandoned)
 }
 
+// Guards against a job that spends more than its budget without a wait.
 func TestPoolJobOverItsBudgetWaits(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	add, _, abandoned, stop := runningPool(t)
@@ -69,7 +72,8 @@
 	require.Empty(t, abandoned)
 }
 
-// Canceling a job ends its run, and ending the pool ends all runs. Neither counts as an abandoned job.
+// Guards against runs that outlive the cancellation of their job or the end of the pool, and against reporting such jobs
+// as abandoned.
 func TestPoolEndsRuns(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	add, pool, abandoned, stop := runningPool(t)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// agingStep is the wait that raises a job by one priority, so that the lowest is not starved by the highest.
+	// agingStep is the wait that raises a due job by one priority, so that jobs of high priority cannot starve the others.
 	agingStep = 5 * second
 
 	defaultInitialBackoff = second / 2
 	maxBackoff            = 60 * second
-	// maxBackoffDoublings keeps the shift from overflowing; maxBackoff is reached long before.
+	// maxBackoffDoublings keeps the shift from overflowing; maxBackoff is reached long before that.
 	maxBackoffDoublings = 16
-	// noDeadline is the deadline of a job without one.
+	// noDeadline is the deadlineAt of a job without a deadline.
 	noDeadline = math.MaxInt64
 )
 
@@ -23,21 +23,21 @@
 	Job
 	id                JobID
 	startAt           int64 // earliest start
-	dueSince          int64 // earliest start before any deferral: its age counts from here
+	dueSince          int64 // earliest start before any deferral; the job's age is counted from it
 	deadlineAt        int64
 	failures          int // consecutive
 	running           bool
-	starvationCounted bool // it is in Counts.Starved already
+	starvationCounted bool // already counted in Counts.Starved
 	canceled          bool
-	queueIndex        int // position in the jobQueue, -1 after it was popped
+	queueIndex        int // position in the jobQueue, or -1 after the job was popped
 }
 
-// effectivePriority is the job's priority raised by how long it has been due.
+// effectivePriority is the job's priority, raised by the time for which the job has been due. The smallest goes first.
 func (j *scheduledJob) effectivePriority(now int64) float64 {
 	return float64(j.Priority) - float64(max(0, now-j.dueSince))/agingStep
 }
 
-// recordFailure counts a failure and returns the backoff that follows it.
+// recordFailure counts a failure and returns the backoff before the next run.
 func (j *scheduledJob) recordFailure() (backoff int64) {
 	initial := j.InitialBackoff
 	if initial <= 0 {
@@ -83,7 +83,7 @@
 	return job
 }
 
-// popDue removes and returns the jobs whose start has come.
+// popDue removes and returns the jobs whose earliest start has passed.
 func (q *jobQueue) popDue(now int64) (due []*scheduledJob) {
 	for len(*q) > 0 && (*q)[0].startAt <= now {
 		due = append(due, heap.Pop(q).(*scheduledJob))
@@ -91,7 +91,7 @@
 	return due
 }
 
-// remove takes a job out of the queue if it is in it.
+// remove removes a job from the queue, if it is there.
 func (q *jobQueue) remove(job *scheduledJob) {
 	if i := job.queueIndex; i >= 0 && i < len(*q) && (*q)[i] == job {
 		heap.Remove(q, i)
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -1,10 +1,10 @@
-// Package scheduler runs background jobs beside the searches: polling peers, answering them, saving state, exchanging
-// replicated data.
+// Package scheduler runs background jobs alongside the searches: polling peers, answering their polls, saving state,
+// exchanging replicated data.
 //
 // A Schedule decides which job may start: by priority, within the budget of its kind, before its deadline, with jitter
 // and with backoff after failures. Searches go first: jobs wait while the event loop is loaded. A Schedule has no clock
-// and no I/O; times are handed in as ticks of a tenth of a millisecond. A Pool runs the jobs of a Schedule on
-// goroutines. docs/peer-reports.md weighs the options.
+// and does no I/O; callers pass times in ticks of a tenth of a millisecond. A Pool runs the jobs of a Schedule on
+// goroutines. docs/peer-reports.md compares the design options.
 package scheduler
 
 import (
@@ -15,16 +15,16 @@
 )
 
 const (
-	// second is the ticks of a second.
+	// second is one second in ticks.
 	second = 10_000
-	// MaxJobs bounds the jobs that wait or run; more are rejected, so that memory stays bounded.
+	// MaxJobs limits the jobs that wait or run; further ones are rejected, so that memory stays bounded.
 	MaxJobs = 1024
-	// backoffJitter is the random part added to each interval and backoff, as a share of it: it keeps the jobs of
-	// instances that started together from running together.
+	// backoffJitter is the largest random part added to each interval and backoff, as a share of it. It spreads out the
+	// jobs of instances that started at the same time.
 	backoffJitter = 0.2
-	// starvationAge is how long load may hold a due job back before the job counts as starved.
+	// starvationAge is how long a due job may be held back by load before it counts as starved.
 	starvationAge = 30 * second
-	// deferralStep is the wait before a job that load holds back is looked at again.
+	// deferralStep is the wait before another attempt to start a job that was held back by load.
 	deferralStep = loadWindow / 4
 )
 
@@ -39,8 +39,7 @@
 	counts Counts
 }
 
-// NewSchedule returns an empty schedule. A kind that budgets does not name runs one job at a time and has no other
-// bound.
+// NewSchedule returns an empty schedule. A kind that is not in budgets runs one job at a time and has no other limit.
 func NewSchedule(rng *rand.Rand, budgets map[string]Budget) *Schedule {
 	s := &Schedule{rng: rng, kinds: map[string]*kindState{}, jobs: map[JobID]*scheduledJob{}}
 	for name, budget := range budgets {
@@ -56,7 +55,7 @@
 	return s.kinds[name]
 }
 
-// Add accepts a job. It returns ErrTooManyJobs where MaxJobs wait or run.
+// Add accepts a job. It returns ErrTooManyJobs if MaxJobs jobs are waiting or running.
 func (s *Schedule) Add(now int64, job Job) (JobID, error) {
 	if len(s.jobs) >= MaxJobs {
 		return 0, ErrTooManyJobs
@@ -79,7 +78,7 @@
 	return s.rng.Int63n(limit)
 }
 
-// Cancel removes a job. One that is running stays until RecordResult reports its end, which then has no other effect.
+// Cancel removes a job. A running job stays until RecordResult records its end; it is neither rescheduled nor abandoned.
 func (s *Schedule) Cancel(id JobID) {
 	job := s.jobs[id]
 	if job == nil {
@@ -97,12 +96,12 @@
 	s.queue.remove(job)
 }
 
-// RecordLoad records the share of its time, 0 to 1, for which the event loop is busy.
+// RecordLoad records the share of time, 0 to 1, for which the event loop is busy.
 func (s *Schedule) RecordLoad(now int64, share float64) { s.load.record(now, share) }
 
 // StartDue returns the jobs that start now, which count as running from then on, and those that are abandoned because
-// their deadline has passed. It has to be called again at nextAt, and whenever a job is added or ends; nextAt is 0
-// where only that can change something.
+// their deadline has passed. It has to be called again at nextAt, and whenever a job is added or ends. nextAt is 0 if
+// no job can start before then.
 func (s *Schedule) StartDue(now int64) (start, abandoned []JobID, nextAt int64) {
 	due := s.queue.popDue(now)
 	if len(s.queue) > 0 {
@@ -132,8 +131,8 @@
 	return start, abandoned, nextAt
 }
 
-// tryStart starts a due job if its budget and the load allow it, else returns when to try again; 0 where it is enough
-// to try when another job of its kind ends.
+// tryStart starts a due job if its budget and the load allow it. Otherwise it returns when to try again, or 0 if there
+// is nothing to try before another job of the same kind ends.
 func (s *Schedule) tryStart(now int64, job *scheduledJob) (started bool, retryAt int64) {
 	kind := s.kind(job.Kind)
 	wait := kind.wait(now)
@@ -160,7 +159,7 @@
 	}
 }
 
-// earliest returns the earlier of two times of which 0 means never.
+// earliest returns the earlier of two times; 0 means never.
 func earliest(a, b int64) int64 {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -168,8 +167,8 @@
 	return a
 }
 
-// Spend takes bytes and seconds of processor time from the budget of a job's kind. It returns how long to wait before
-// more is spent.
+// Spend takes bytes and seconds of CPU time from the budget of a job's kind. It returns how long to wait before spending
+// more.
 func (s *Schedule) Spend(now int64, id JobID, bytes int, cpuSeconds float64) (wait int64) {
 	job := s.jobs[id]
 	if job == nil {
@@ -181,7 +180,7 @@
 }
 
 // RecordResult records how a run ended and schedules the next one, if there is one. done reports that the job has left
-// the schedule; reason is why, where it was abandoned.
+// the schedule; reason says why, if the job was abandoned.
 func (s *Schedule) RecordResult(now int64, id JobID, err error) (done bool, reason error) {
 	job := s.jobs[id]
 	if job == nil || !job.running {
@@ -207,7 +206,7 @@
 	return s.reschedule(now, job, wait)
 }
 
-// reschedule queues a job again after a wait, unless that is beyond its deadline.
+// reschedule queues a job to start after a wait, or abandons it if that start would be past its deadline.
 func (s *Schedule) reschedule(now int64, job *scheduledJob, wait int64) (done bool, reason error) {
 	job.startAt = now + wait + s.randomUpTo(int64(backoffJitter*float64(wait)))
 	job.dueSince = job.startAt
@@ -225,7 +224,7 @@
 	return reason
 }
 
-// Counts returns the totals so far, how many jobs wait and run now, and the load average.
+// Counts returns the totals so far, the numbers of jobs that are waiting and running, and the load average.
 func (s *Schedule) Counts() (totals Counts, waiting, running int, load float64) {
 	for _, kind := range s.kinds {
 		running += kind.running
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the property tests, so that CI gives one verdict. Flags on the command line take precedence.
+// TestMain fixes the seed of the property tests, so that CI results are reproducible. Flags on the command line take
+// precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -31,6 +32,7 @@
 	return id
 }
 
+// Guards against jobs of one kind that start out of the order of their priorities or exceed the default of one at a time.
 func TestMostUrgentJobStartsFirst(t *testing.T) {
 	s := newSchedule(nil)
 	idle := mustAdd(t, s, 0, Job{Priority: PriorityIdle})
@@ -38,13 +40,14 @@
 	urgent := mustAdd(t, s, 0, Job{Priority: PriorityUrgent})
 	for _, want := range []JobID{urgent, normal, idle} {
 		start, _, _ := s.StartDue(10)
-		require.Equal(t, []JobID{want}, start, "one of a kind at a time, the most urgent first")
+		require.Equal(t, []JobID{want}, start, "one job of a kind at a time, the most urgent first")
 		done, reason := s.RecordResult(20, want, nil)
 		require.True(t, done)
 		require.NoError(t, reason)
 	}
 }
 
+// Guards against a job of low priority that is starved by later jobs of high priority.
 func TestWaitingRaisesPriority(t *testing.T) {
 	s := newSchedule(nil)
 	old := mustAdd(t, s, 0, Job{Priority: PriorityIdle})
@@ -58,8 +61,8 @@
 	require.Equal(t, []JobID{recent}, start)
 }
 
-// Under load jobs are held back and counted. Urgent ones still start on a busy event loop, none on a saturated one,
-// and all do when the load is over.
+// Guards against jobs that take time from searches under load, or that stay held back when the load has ended. Jobs held
+// back are counted. On a busy event loop only urgent jobs start, on a saturated one none.
 func TestLoadHoldsJobsBack(t *testing.T) {
 	s := newSchedule(map[string]Budget{"": {MaxConcurrent: 9}})
 	s.RecordLoad(0, 0.8)
@@ -86,6 +89,7 @@
 	require.Contains(t, start, normal)
 }
 
+// Guards against a job that waits for its budget past its deadline, and against a nextAt after that deadline.
 func TestJobPastItsDeadlineIsAbandoned(t *testing.T) {
 	s := newSchedule(nil)
 	first := mustAdd(t, s, 0, Job{})
@@ -97,6 +101,7 @@
 	require.Equal(t, []JobID{late}, abandoned)
 }
 
+// Guards against a failing job that is retried at a constant rate or without end.
 func TestBackoffGrowsUntilTheJobIsAbandoned(t *testing.T) {
 	s := newSchedule(nil)
 	failing := mustAdd(t, s, 0, Job{Interval: 10 * second, InitialBackoff: second, MaxFailures: 3})
@@ -116,6 +121,7 @@
 	}
 }
 
+// Guards against a periodic job that is not rescheduled within its interval and jitter, or that stays after Cancel.
 func TestPeriodicJobRunsUntilCanceled(t *testing.T) {
 	s := newSchedule(nil)
 	now := int64(2 * second)
@@ -132,6 +138,7 @@
 	s.Cancel(periodic)
 }
 
+// Guards against unbounded memory: a job beyond MaxJobs is rejected.
 func TestJobsAreBounded(t *testing.T) {
 	s := newSchedule(nil)
 	for range MaxJobs {
@@ -141,21 +148,22 @@
 	require.Equal(t, ErrTooManyJobs, err)
 }
 
-// Whatever is done to a schedule: no kind has more jobs running than its budget allows, the bytes spent stay within
-// what the budget gives over the time plus one burst and one overdraft per running job, and every job ends once.
+// Guards against jobs that exceed their budget. After any sequence of calls, no kind has more jobs running than its
+// budget allows; the bytes spent are at most what accrued in the elapsed time, plus one burst and one overdraft per
+// running job; and every job ends once.
 func TestBudgetsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxConcurrent := rapid.IntRange(1, 4).Draw(t, "concurrent")
 		rate := rapid.Float64Range(100, 1e6).Draw(t, "rate")
 		s := newSchedule(map[string]Budget{"k": {MaxConcurrent: maxConcurrent, BytesPerSecond: rate}})
 		now, spent, largest := int64(0), 0.0, 0.0
-		running := map[JobID]int64{} // the time until which each has to wait before it spends more
+		running := map[JobID]int64{} // the time from which each running job may spend again
 		ended := map[JobID]bool{}
 		for range 200 {
 			now += rapid.Int64Range(0, second/4).Draw(t, "step")
 			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
-				// Past MaxJobs this is rejected, which is as good a case as any.
+				// Beyond MaxJobs this is rejected, which is a valid case too.
 				_, _ = s.Add(now, Job{
 					Kind: "k", Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
 					Delay: rapid.Int64Range(0, second).Draw(t, "delay"),
