--- a/config/background.go
+++ b/config/background.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// minBytesPerSecond: at a lower rate no report arrives within its timeout.
+	// minBytesPerSecond is the lowest allowed rate: below it, a report would not arrive within its timeout.
 	minBytesPerSecond = 1024
-	// maxCPUPerSecond is in seconds of CPU time per second: an event loop has one core.
+	// maxCPUPerSecond is the largest allowed WorkBudget.CPUPerSecond: an event loop uses at most one core.
 	maxCPUPerSecond = 1.0
 	// maxConcurrentJobs is the largest allowed WorkBudget.MaxConcurrent.
 	maxConcurrentJobs = 64
@@ -22,7 +22,7 @@
 // WorkBudget limits one kind of background work. A value of 0 means the default.
 type WorkBudget struct {
 	BytesPerSecond float64 `yaml:"bytes_per_second"`
-	CPUPerSecond   float64 `yaml:"cpu_per_second"` // seconds of CPU time
+	CPUPerSecond   float64 `yaml:"cpu_per_second"` // seconds of CPU time per second
 	MaxConcurrent  int     `yaml:"concurrent"`
 }
 
--- a/config/checker.go
+++ b/config/checker.go
@@ -10,8 +10,8 @@
 	"chalkring/config/strictyaml"
 )
 
-// TLS holds the paths of a certificate, its key and the certificates of the authorities that the other side's certificate
-// is verified with.
+// TLS holds file paths: of a certificate, of its private key, and of the certificates of the authorities that may have
+// signed the other side's certificate.
 type TLS struct {
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
@@ -62,7 +62,7 @@
 	seen[name] = true
 }
 
-// checkTLS checks that the files of the required keys are given, and resolves the paths of all files.
+// checkTLS checks that each required key of the section has a file path, and resolves all its file paths.
 func (c *checker) checkTLS(path string, files *TLS, required ...string) {
 	if files == nil {
 		return
--- a/config/cluster.go
+++ b/config/cluster.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxJoinAddresses limits the addresses to join by: a few are enough, since any one that is up will do.
+	// maxJoinAddresses limits Cluster.Join. A few addresses are enough: joining needs only one instance that is up.
 	maxJoinAddresses = 64
 	// maxAddressOverrides is the largest allowed number of Cluster.AddressOverrides.
 	maxAddressOverrides = membership.MaxMembers
 )
 
-// Cluster is the section `fleet`: this instance's membership in the cluster of instances that make decisions together.
+// Cluster is the section `fleet`. It makes this instance a member of a cluster, whose instances make decisions together.
 // docs/cluster.md and deploy/fleet.yaml explain the keys.
 type Cluster struct {
 	ClusterName      string            `yaml:"cluster"` // the same on all instances; derived from the plan's tenants if left out
@@ -24,8 +24,8 @@
 	Region           string            `yaml:"region"`
 	Zone             string            `yaml:"zone"`
 	Listen           string            `yaml:"listen"` // for TCP and UDP; the address at which other instances reach this one
-	Join             []string          `yaml:"join"`   // addresses of instances to join by; this one may be among them
-	AddressOverrides map[string]string `yaml:"via"`    // keyed by another instance's address: the address to reach it at instead
+	Join             []string          `yaml:"join"`   // addresses of instances to join through; may include this one
+	AddressOverrides map[string]string `yaml:"via"`    // maps the listen address of another instance to the address to reach it at
 	VotingMembers    []string          `yaml:"listed"` // names of all instances that count towards a majority
 	KeyFile          string            `yaml:"key"`    // encryption keys; empty means plain text
 	StoreFile        string            `yaml:"store"`  // keeps replicated data; empty means in memory only
@@ -46,8 +46,8 @@
 // Advice implements advice.Provider.
 func (e *NotListedError) Advice() string { return notListedAdvice }
 
-// ForInstance returns the section for an instance whose plan has the given name, which is used if the file gives none. It
-// returns a NotListedError if the instance is not a voting member.
+// ForInstance returns the section with Name set to planName, the name in the instance's plan, if the file gives no name.
+// It returns a NotListedError if the instance is not a voting member.
 func (c *Cluster) ForInstance(planName string) (Cluster, error) {
 	section := *c
 	if section.Name == "" {
--- a/config/cluster_test.go
+++ b/config/cluster_test.go
@@ -9,7 +9,8 @@
 	"chalkring/internal/advice"
 )
 
-// Guards against an example file in deploy/ that is no longer valid, and against lost keys, names and paths of the section.
+// Guards against an example file in deploy/ that is no longer valid, and against a section that loses its name, address
+// overrides or file paths when it is read.
 func TestExampleOfACluster(t *testing.T) {
 	file, err := Read("../deploy/fleet.yaml")
 	require.NoError(t, err)
@@ -20,8 +21,8 @@
 	require.Contains(t, section.StoreFile, "../deploy/")
 }
 
-// Guards against an invalid section that is accepted, or reported without its position or without advice. The page for
-// operators has to list NotListedError.
+// Guards against an invalid section that is accepted, or reported without its position or without advice, and against a
+// NotListedError that docs/oncall.md does not list.
 func TestClusterErrors(t *testing.T) {
 	const valid = "fleet:\n  listen: 127.0.0.1:7500\n  listed: [a, b]\n"
 	file, err := Parse([]byte(valid), "")
--- a/config/golden_file_test.go
+++ b/config/golden_file_test.go
@@ -155,8 +155,8 @@
 	golden.Require(t, "installation.golden", out.String())
 }
 
-// Guards against an invalid file that is accepted, and against changed error texts, positions and advice. Each text has
-// one fault, or several faults, which are reported in the order of the checks.
+// Guards against an invalid file that is accepted, and against changed error texts, positions and advice. If a
+// text has several faults, they are reported in the order of the checks.
 func TestGoldenInstallationErrors(t *testing.T) {
 	const peers, opensearch, fleet = "peers:\n  listen: 127.0.0.1:7400\n", "opensearch:\n  listen: 127.0.0.1:9200\n",
 		"fleet:\n  listen: 127.0.0.1:7500\n  listed: [a, b]\n"
--- a/config/installation.go
+++ b/config/installation.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// maxFileBytes limits the size of the file: a thousand times what a file needs.
+	// maxFileBytes limits the size of the file. It is a thousand times what an installation file needs.
 	maxFileBytes = 1 << 20
 	// maxEndpointSources limits the files and folders in EndpointSources.
 	maxEndpointSources = 64
@@ -38,7 +38,7 @@
 	EventLoops      int                   `yaml:"owners"` // event loops of the process, one for each core it may use; 0 means 1
 	Log             Log                   `yaml:"log"`
 
-	document *strictyaml.Document // what the file was decoded from; nil if it was not decoded
+	document *strictyaml.Document // collects the errors that checks find; nil if the File was not made by Parse
 }
 
 // EndpointSources are sources of the endpoint list in addition to discovery.
--- a/config/opensearch.go
+++ b/config/opensearch.go
@@ -18,19 +18,19 @@
 	Indices []Index `yaml:"indices"`
 }
 
-// Index maps an index to the class, tenant and blocks that its searches are balanced by.
+// Index gives the class and the tenant of the searches of an index, and the blocks that they search.
 type Index struct {
 	Name   string `yaml:"name"`
 	Type   string `yaml:"type"`    // search class, by its name in the plan's settings
 	Tenant string `yaml:"partner"` // tenant, by its name in the plan's settings; empty if the plan names none
 	Blocks []int  `yaml:"blocks"`  // blocks that hold the index's documents
 
-	Placement *query.Placement `yaml:"placed"` // how documents are assigned to blocks; nil if not by the API's rule
+	Placement *query.Placement `yaml:"placed"` // how documents are assigned to blocks; nil if not by the API's routing rule
 }
 
 // HostKind configures a kind of hosts that speak the OpenSearch-style API.
 type HostKind struct {
-	Index     string           `yaml:"index"`  // the index that the hosts keep the documents in
+	Index     string           `yaml:"index"`  // name of the index on these hosts that holds the documents
 	Placement *query.Placement `yaml:"placed"` // as in Index
 }
 
--- a/config/peers.go
+++ b/config/peers.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// minRefresh: a peer answers each name once a second. maxRefresh: a longer interval is probably a mistake.
+	// minRefresh is the shortest allowed interval: a peer answers polls under one name at most once a second.
 	minRefresh = time.Second
+	// maxRefresh is the longest allowed interval: a longer one is probably a mistake.
 	maxRefresh = 24 * time.Hour
 )
 
 // Peers configures the exchange of load reports with other instances.
 type Peers struct {
 	Name            string        `yaml:"name"`    // this instance's name; the plan's name if left out
-	Locality        string        `yaml:"place"`   // latencies to zones are taken only from peers in the same locality
+	Locality        string        `yaml:"place"`   // zone latencies are used only if they come from peers in the same locality
 	Listen          string        `yaml:"listen"`  // the address at which peers poll this instance; empty means they cannot
 	PollTargets     []Peer        `yaml:"ask"`     // peers to poll
 	AllowedPeers    []string      `yaml:"allow"`   // names of the peers that may poll
--- a/config/settings.go
+++ b/config/settings.go
@@ -25,7 +25,7 @@
 )
 
 // FlattenSettings returns a file's settings under the flat names that the plan's settings have. It leaves out the length
-// of a list of objects, because an installation file may set only some of the plan's items.
+// of a list of objects, because an installation file may have settings for only some of the plan's classes and tenants.
 func FlattenSettings(values map[string]any) map[string]string {
 	flat := map[string]string{}
 	_ = settings.Flatten(flat, "", values) // Parse reports duplicates
@@ -33,12 +33,14 @@
 	return flat
 }
 
-// settingPath is the path in the file of a setting that was given in nested objects and lists below path.
+// settingPath returns the path in the file of a setting that the file gives in nested objects and lists, which begin at
+// path.
 func settingPath(path, flatName string) string {
 	return path + "." + flatIndex.ReplaceAllString(flatName, "[$1]")
 }
 
-// checkSettings checks each setting on its own. Lists by search class are checked later, when the plan is known.
+// checkSettings checks each setting on its own. It cannot check that lists by search class have a value for each class,
+// because the plan is not known yet.
 func (c *checker) checkSettings(path string, values map[string]any) {
 	if err := settings.Flatten(map[string]string{}, "", values); err != nil {
 		c.addError(path, "%v", err)
@@ -63,10 +65,10 @@
 	}
 }
 
-// MisplacedSettings returns the settings that do not fit a plan with these classes and tenants, which are given in the
-// plan's order, and the reason for each, keyed by flat name. The plan has no item at the index of the setting, or the
-// setting `Name` differs from the name of that item. Such a setting would be ignored silently, or would apply to another
-// class than intended if the plan has another order.
+// MisplacedSettings returns the settings that do not fit a plan with these classes and tenants, given in the plan's order.
+// The result maps the flat name of each such setting to the reason. A setting does not fit if the plan has no item at its
+// index, or if it is a `Name` other than that of the plan's item. Without this check, a setting for a missing item would
+// be ignored silently, and one written for another order of the classes would apply to the wrong class.
 func MisplacedSettings(flat map[string]string, classes, tenants []string) map[string]string {
 	misplaced := map[string]string{}
 	for name, value := range flat {
@@ -91,7 +93,7 @@
 }
 
 // CheckAgainstPlan checks that the file's settings, including those of Shadow, fit a plan with these classes and tenants.
-// If the file has other errors, it returns those and does not check.
+// If the file already has errors, it returns those without this check.
 func (f *File) CheckAgainstPlan(classes, tenants []string) error {
 	if f.document == nil {
 		return nil
@@ -110,7 +112,7 @@
 	misplaced := MisplacedSettings(FlattenSettings(values), classes, tenants)
 	for _, name := range slices.Sorted(maps.Keys(misplaced)) {
 		errorPath := settingPath(path, name)
-		if _, isFlatInFile := values[name]; isFlatInFile {
+		if _, isGivenByFlatName := values[name]; isGivenByFlatName {
 			errorPath = path + ".'" + name + "'"
 		}
 		f.document.AddError(errorPath, "%s", misplaced[name])
--- a/config/settings/errors.go
+++ b/config/settings/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// The errors of this package say in their text what is wrong. They give no advice: callers that read a file add the
-// position in it, and errors of a plan are logged without advice.
+// The errors of this package have no advice of their own. For a setting in an installation file, the caller adds the
+// position and the advice; for a setting in a plan, the error is logged without advice.
 
 // InvalidSettingError reports a setting whose value the balancer cannot use.
 type InvalidSettingError struct{ Setting, Problem string }
--- a/config/settings/flatten.go
+++ b/config/settings/flatten.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// CountSuffix ends the name under which Flatten puts the length of a list of objects.
+// CountSuffix follows the name of a list of objects in the name of the setting that holds the list's length.
 const CountSuffix = ".count"
 
 // Flatten adds a decoded JSON or YAML value to flat, with names and values in the form that the simulator's protocol uses:
-// nested objects become paths, lists of plain values are joined by commas, and lists of objects are written by index with
-// their count. It returns a DuplicateSettingError for the first setting that is also given by its flat name; flat then
-// holds one of the two values.
+// names in nested objects are joined by dots, lists of plain values are joined by commas, and items of a list of objects
+// are named by their index, with the list's length under CountSuffix. It returns a DuplicateSettingError for the first
+// setting that is given both in an object and by its flat name; flat then holds one of the two values.
 func Flatten(flat map[string]string, path string, value any) error {
 	switch value := value.(type) {
 	case map[string]any:
@@ -69,11 +69,11 @@
 	return nil
 }
 
-// sortedNames gives a fixed order, so that with several errors the same one is returned each time.
+// sortedNames returns the names in order, so that of several errors the same one is returned each time.
 func sortedNames[V any](values map[string]V) []string { return slices.Sorted(maps.Keys(values)) }
 
-// FormatValue returns a plain value in the form that the simulator's protocol uses: without spaces and commas, and "-" for
-// null.
+// FormatValue returns a plain value in the form that the simulator's protocol uses: with underscores in place of spaces
+// and commas, and "-" for null.
 func FormatValue(value any) string {
 	switch value := value.(type) {
 	case nil:
--- a/config/settings/golden_settings_test.go
+++ b/config/settings/golden_settings_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// Guards against a setting that gets another rule or error text. The texts include one that each kind of rule rejects.
+// Guards against a setting that gets another rule or error text. For each kind of
+// rule, the texts include one that it rejects.
 func TestGoldenSettingErrors(t *testing.T) {
 	texts := []string{
 		"", "-1", "0", "0.5", "1", "1.5", "7", "2147483647", "2147483648", "1e400", "NaN", "Inf", "many",
--- a/config/settings/rules.go
+++ b/config/settings/rules.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// rule checks the text of a setting. It returns the empty string if the text is valid.
+// rule returns what is wrong with the text of a setting, or the empty string if the text is valid.
 type rule func(text string) (problem string)
 
 // rules are the settings that the balancer reads, by name. A star stands for the index into a list of objects.
@@ -83,7 +83,7 @@
 	return problem
 }
 
-// integer is for counts: the balancer would ignore a fractional part.
+// integer accepts whole numbers that are not negative. It is for counts, whose fractional part the balancer would ignore.
 func integer(text string) string {
 	value, problem := parseNonNegative(text)
 	if problem == "" && (value != math.Trunc(value) || value > math.MaxInt32) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// listOf is for lists: it applies a rule to each of the items, which are separated by commas.
+// listOf returns a rule for lists separated by commas that applies the given rule to each item.
 func listOf(item rule) rule {
 	return func(text string) string {
 		for i, value := range strings.Split(text, ",") {
--- a/config/settings/rules_test.go
+++ b/config/settings/rules_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a value that the balancer cannot use being accepted at the start.
+// Guards against accepting a value that the balancer cannot use.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, c := range []struct{ name, text, wantError string }{
 		{"Specifics.NeedByClass", "0.5", "setting Specifics.NeedByClass has 1 values for 2 classes"},
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against valid settings being rejected: a floor above the need is common, and settings that the balancer does not
-// read are allowed.
+// Guards against rejecting valid settings: a ClassFloor above NeedByClass, which is common, and settings that the balancer
+// does not read, which are allowed.
 func TestFlattenedSettingsAreValid(t *testing.T) {
 	flat := map[string]string{}
 	require.NoError(t, Flatten(flat, "", map[string]any{
--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against settings and shadow settings that get other flat names than the plan's.
+// Guards against settings and shadow settings whose flat names differ from those of the plan's settings.
 func TestSettingsAndShadowSettings(t *testing.T) {
 	file, err := Parse([]byte("settings: {Permissions: {RetryAfter: false}}\nshadow:\n  settings:\n    Specifics: {ClassFloor: [0.5, 1]}\n"+
 		"    Classes: [{Deadline: 4000}]\n"), "")
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards against a setting for an index that the plan does not have: it is reported with its position, whether it is
-// given by its flat name or in a list.
+// Guards against accepting a setting for an index that the plan does not have. The error has to give the setting's
+// position, whether the file gives the setting by its flat name or in a list.
 func TestSettingsAreCheckedAgainstThePlan(t *testing.T) {
 	classes, tenants := []string{"lookup", "full", "more"}, []string{"acme"}
 	for text, want := range map[string]string{
@@ -51,8 +51,8 @@
 	require.NoError(t, (&File{}).CheckAgainstPlan(nil, nil))
 }
 
-// Guards against a setting that applies to another class than the one it names.
-func TestSettingsOfAnotherName(t *testing.T) {
+// Guards against settings that apply to a class other than the one that their `Name` gives.
+func TestSettingsNamedForAnotherClassAreMisplaced(t *testing.T) {
 	plan := []string{"full", "lookup"}
 	require.Empty(t, MisplacedSettings(map[string]string{"Classes.1.Name": "lookup", "Classes.1.Aim": "5", "Specifics.FollowUp": "0,0", "Classes.count": "9"}, plan, nil))
 	require.Equal(t, map[string]string{"Classes.0.Name": `is "lookup", but the plan has "full" at this index`},
--- a/config/strictyaml/golden_errors_test.go
+++ b/config/strictyaml/golden_errors_test.go
@@ -14,8 +14,8 @@
 // that renaming a field does not change it.
 var goField = regexp.MustCompile(`Go struct field \S+`)
 
-// Guards the error texts, positions and advice that operators see: for texts that cannot be decoded, for errors that a
-// caller adds at paths in the file and at paths missing from it, and for a missing file.
+// Guards against changes to the error texts, positions and advice that operators see: for texts that cannot be decoded,
+// for errors that a caller adds at paths in the file and at paths missing from it, and for a missing file.
 func TestGoldenErrors(t *testing.T) {
 	type item struct {
 		Share float64 `yaml:"share"`
--- a/config/strictyaml/strictyaml.go
+++ b/config/strictyaml/strictyaml.go
@@ -49,8 +49,8 @@
 	errors []error
 }
 
-// ReadFile reads a file for Decode with the same limit. It reads at most one byte beyond the limit, however large the
-// file is; that byte makes Decode reject the text.
+// ReadFile reads a file that is then passed to Decode with the same maxBytes. However large the file is, it reads at most
+// one byte more than maxBytes; with that extra byte, Decode rejects the text as too large.
 func ReadFile(path string, maxBytes int) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, newSyntaxError(err)
+		return nil, newDecodeError(err)
 	}
 	if len(tree.Docs) > 1 {
 		return nil, &InvalidFileError{
@@ -79,14 +79,14 @@
 	}
 	err = yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(target)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return nil, newSyntaxError(err)
+		return nil, newDecodeError(err)
 	}
 	return &Document{tree: tree}, nil
 }
 
-// newSyntaxError keeps the first line of the YAML library's error, which has the position and the problem. The lines
+// newDecodeError keeps the first line of the YAML library's error, which has the position and the problem. The lines
 // after it quote the source.
-func newSyntaxError(err error) error {
+func newDecodeError(err error) error {
 	firstLine, _, _ := strings.Cut(err.Error(), "\n")
 	return &InvalidFileError{Problem: strings.TrimSpace(firstLine), Remedy: defaultRemedy}
 }
--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -32,8 +32,8 @@
 func (e *adviceError) Error() string  { return e.text }
 func (e *adviceError) Advice() string { return e.advice }
 
-// For returns the advice of all Providers in err's tree in the order of errors.Join, each sentence once, separated by
-// spaces. It returns the empty string if err is nil or nothing in it has advice.
+// For returns the advice of the Providers in err's tree, depth first: each sentence once, at most maxSentences of them,
+// separated by spaces. It returns the empty string if err is nil or nothing in it has advice.
 func For(err error) string {
 	var sentences []string
 	forEachProvider(err, func(provider Provider) {
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -13,7 +13,7 @@
 func (e *diskFullError) Error() string  { return e.path + " is full" }
 func (e *diskFullError) Advice() string { return "Make room on " + e.path + "." }
 
-// Guards against advice that is lost or repeated when its errors are wrapped and joined.
+// Guards against advice that is lost or repeated when the errors that have it are wrapped and joined.
 func TestAdviceIsFoundThroughWrappedErrors(t *testing.T) {
 	first, second := &diskFullError{"/a"}, &diskFullError{"/b"}
 	err := fmt.Errorf("start: %w", errors.Join(fmt.Errorf("one: %w", first), errors.New("plain"), second, first))
--- a/internal/scheduler/budget.go
+++ b/internal/scheduler/budget.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// budgetBurst is the capacity of a token bucket: what accrues in this time may be spent at once.
+// budgetBurst is the time in which an empty token bucket fills up. A full bucket may be spent at once.
 const budgetBurst = second
 
 // Budget limits the jobs of one kind.
@@ -13,7 +13,7 @@
 }
 
 // tokenBucket accrues tokens at a constant rate. Spending may overdraw it, because the amount is often known only
-// afterwards; the next job that spends waits until the bucket is no longer overdrawn.
+// after the work is done; the next job that spends waits until the bucket is no longer overdrawn.
 type tokenBucket struct {
 	tokens    float64
 	rate      float64 // tokens per tick; 0 means no limit
@@ -71,5 +71,5 @@
 	k.cpu.spend(now, cpuSeconds)
 }
 
-// wait returns the ticks until neither budget is overdrawn.
+// wait returns the ticks until neither the bytes nor the CPU time of the budget are overdrawn.
 func (k *kindState) wait(now int64) int64 { return max(k.bytes.wait(now), k.cpu.wait(now)) }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -9,7 +9,7 @@
 // Priority orders jobs: those with the smallest value run first.
 type Priority int
 
-// Priorities of jobs. Each has a limit on the load of the event loop above which its jobs do not start.
+// Priorities of jobs. Jobs of each priority start only while the load of the event loop is below a limit.
 const (
 	// PriorityUrgent is for jobs that the start of the process waits for. They start unless the event loop is saturated.
 	PriorityUrgent Priority = iota
@@ -26,7 +26,7 @@
 	Priority       Priority
 	Delay          int64 // wait before the first run
 	Jitter         int64 // upper limit of a random wait added to Delay
-	Deadline       int64 // counted from Add; a job that has not started by then is abandoned. 0 means no deadline
+	Deadline       int64 // counted from Add; a job whose first or next run cannot start by then is abandoned. 0 means no deadline
 	Interval       int64 // wait after a successful run before the next one; 0 means the job runs once
 	InitialBackoff int64 // wait after the first failure, doubled after each further one; 0 means defaultInitialBackoff
 	MaxFailures    int   // consecutive failures after which the job is abandoned; 0 means it is never abandoned
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -16,7 +16,8 @@
 // tick is the unit of time of a Schedule.
 const tick = 100 * time.Microsecond
 
-// JobFunc is the work of a job. It has to return soon after ctx ends, and to report what it spends to its allowance.
+// JobFunc is the work of a job. It has to return soon after ctx ends, and to call allowance.Spend for the bytes and the
+// CPU time that it uses.
 type JobFunc func(ctx context.Context, allowance *Allowance) error
 
 // Pool runs the jobs of a Schedule, each run on its own goroutine. All methods are safe for concurrent use, and only Run
@@ -114,8 +115,8 @@
 	}
 }
 
-// startDue starts the jobs that are due. It returns a timer for the next check of the schedule, or nil if only a change
-// of the schedule makes a check necessary.
+// startDue starts the jobs that are due. It returns a timer for the next check of the schedule, or nil if the next
+// check is needed only after the schedule changes.
 func (p *Pool) startDue(ctx context.Context, runs *sync.WaitGroup) <-chan time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scheduler/pool_test.go
+++ b/internal/scheduler/pool_test.go
@@ -57,7 +57,7 @@
 	require.Empty(t, abandoned)
 }
 
-// Guards against a job that spends more than its budget without a wait.
+// Guards against a job that overdraws its budget and does not have to wait.
 func TestPoolJobOverItsBudgetWaits(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	add, _, abandoned, stop := runningPool(t)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -23,7 +23,7 @@
 	Job
 	id                JobID
 	startAt           int64 // earliest start
-	dueSince          int64 // earliest start before any deferral; the job's age is counted from it
+	dueSince          int64 // time at which the job was due first, from which its wait is counted for aging and starvation
 	deadlineAt        int64
 	failures          int // consecutive
 	running           bool
@@ -32,7 +32,8 @@
 	queueIndex        int // position in the jobQueue, or -1 after the job was popped
 }
 
-// effectivePriority is the job's priority, raised by the time for which the job has been due. The smallest goes first.
+// effectivePriority is the job's priority, less one for each agingStep for which the job has been due. The job with the
+// smallest value starts first.
 func (j *scheduledJob) effectivePriority(now int64) float64 {
 	return float64(j.Priority) - float64(max(0, now-j.dueSince))/agingStep
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -19,8 +19,8 @@
 	second = 10_000
 	// MaxJobs limits the jobs that wait or run; further ones are rejected, so that memory stays bounded.
 	MaxJobs = 1024
-	// backoffJitter is the largest random part added to each interval and backoff, as a share of it. It spreads out the
-	// jobs of instances that started at the same time.
+	// backoffJitter limits the random wait added to each interval and backoff, as a share of that interval or backoff. It
+	// spreads out the jobs of instances that started at the same time.
 	backoffJitter = 0.2
 	// starvationAge is how long a due job may be held back by load before it counts as starved.
 	starvationAge = 30 * second
@@ -101,7 +101,7 @@
 
 // StartDue returns the jobs that start now, which count as running from then on, and those that are abandoned because
 // their deadline has passed. It has to be called again at nextAt, and whenever a job is added or ends. nextAt is 0 if
-// no job can start before then.
+// no call is needed until a job is added or ends.
 func (s *Schedule) StartDue(now int64) (start, abandoned []JobID, nextAt int64) {
 	due := s.queue.popDue(now)
 	if len(s.queue) > 0 {
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -32,7 +32,8 @@
 	return id
 }
 
-// Guards against jobs of one kind that start out of the order of their priorities or exceed the default of one at a time.
+// Guards against jobs of one kind that do not start in the order of their priorities, or that run at the same time although
+// the default is one at a time.
 func TestMostUrgentJobStartsFirst(t *testing.T) {
 	s := newSchedule(nil)
 	idle := mustAdd(t, s, 0, Job{Priority: PriorityIdle})
@@ -62,7 +63,7 @@
 }
 
 // Guards against jobs that take time from searches under load, or that stay held back when the load has ended. Jobs held
-// back are counted. On a busy event loop only urgent jobs start, on a saturated one none.
+// back have to be counted. On a busy event loop only urgent jobs start, on a saturated one none.
 func TestLoadHoldsJobsBack(t *testing.T) {
 	s := newSchedule(map[string]Budget{"": {MaxConcurrent: 9}})
 	s.RecordLoad(0, 0.8)
@@ -89,7 +90,8 @@
 	require.Contains(t, start, normal)
 }
 
-// Guards against a job that waits for its budget past its deadline, and against a nextAt after that deadline.
+// Guards against a job that still waits for its turn after its deadline, and against a nextAt later than the first tick
+// after the deadline.
 func TestJobPastItsDeadlineIsAbandoned(t *testing.T) {
 	s := newSchedule(nil)
 	first := mustAdd(t, s, 0, Job{})
