--- a/opensearch/query/answer.go
+++ b/opensearch/query/answer.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	fewHits  = 32 // hits up to which each is held against each: a page, cheaper than a map
-	hitLeast = 64 // bytes of a hit, about: room is made for no more than can be there
+	maxPairwiseHits  = 32 // hits up to which each is held against each: a page, cheaper than a map
+	minHitBytes = 64 // bytes of a hit, about: room is made for no more than can be there
 )
 
-// answerReader takes a host's answer apart in one pass, without reflection. What it gives lies in the answer's own bytes
+// responseReader takes a host's answer apart in one pass, without reflection. What it gives lies in the answer's own bytes
 // where it may.
-type answerReader struct {
+type responseReader struct {
 	d jx.Decoder
-	answerRead
+	responseFields
 }
 
-type answerRead struct {
-	copied string  // the answer
-	from   uintptr // where its bytes lie: only told apart, never followed
+type responseFields struct {
+	text string  // the answer
+	base   uintptr // where its bytes lie: only told apart, never followed
 
-	timedOut, shards, hits bool // there
-	late, early            bool
+	hasTimedOut, hasShards, hasHits bool // there
+	timedOut, terminatedEarly            bool
 	total                  int // -1 for none
 	relation               string
-	part                   [3]int // _shards: total, successful, failed
-	found                  []Hit
-	sorts                  []SortValue // room for those of all hits
+	shardCounts                   [3]int // _shards: total, successful, failed
+	hits                  []Hit
+	sortValues                  []SortValue // room for those of all hits
 	scores                 []float64   // likewise
-	aggs                   []byte
+	rawAggs                   []byte
 	full                   bool // more of a hit is wanted than its names
 }
 
-// answers are readers, kept for the next.
-var answers = sync.Pool{New: func() any { return &answerReader{} }}
+// responseReaders are readers, kept for the next.
+var responseReaders = sync.Pool{New: func() any { return &responseReader{} }}
 
 // release gives up what a reader holds of its answer.
-func (r *answerReader) release() {
-	r.answerRead = answerRead{}
+func (r *responseReader) release() {
+	r.responseFields = responseFields{}
 	r.d.ResetBytes(nil)
-	answers.Put(r)
+	responseReaders.Put(r)
 }
 
 // field is a name that is read, as a bit.
@@ -111,16 +111,16 @@
 	return 0
 }
 
-// object walks an object's fields. Guards against two of one name, of which one would be read.
-func (r *answerReader) object(take func(f field) error) error {
+// readObject walks an readObject's fields. Guards against two of one name, of which one would be read.
+func (r *responseReader) readObject(take func(f field) error) error {
 	if r.d.Next() != jx.Object {
-		return spoilt("no object where one is wanted")
+		return invalidResponse("no object where one is wanted")
 	}
 	seen := field(0)
 	return r.d.ObjBytes(func(_ *jx.Decoder, name []byte) error {
 		f := fieldOf(name)
 		if seen&f != 0 {
-			return spoilt("%.60q is there twice", name)
+			return invalidResponse("%.60q is there twice", name)
 		}
 		seen |= f
 		return take(f)
@@ -128,85 +128,85 @@
 }
 
 // read reads an answer.
-func (r *answerReader) read(text []byte, full bool) error {
-	r.full, r.total, r.copied = full, -1, string(text)
+func (r *responseReader) read(text []byte, full bool) error {
+	r.full, r.total, r.text = full, -1, string(text)
 	if len(text) > 0 {
-		r.from = uintptr(unsafe.Pointer(&text[0]))
+		r.base = uintptr(unsafe.Pointer(&text[0]))
 	}
 	r.d.ResetBytes(text)
-	if err := r.object(r.top); err != nil {
-		return spoilt("%v", err)
+	if err := r.readObject(r.readTopField); err != nil {
+		return invalidResponse("%v", err)
 	}
 	if r.d.Next() == jx.Invalid {
 		if err := r.d.Skip(); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
 	}
-	return spoilt("something stands behind the end")
+	return invalidResponse("something stands behind the end")
 }
 
-func (r *answerReader) top(f field) (err error) {
+func (r *responseReader) readTopField(f field) (err error) {
 	switch {
 	case r.d.Next() == jx.Null:
 		return r.d.Skip()
 	case f == fTimedOut:
-		r.late, err = r.d.Bool()
-		r.timedOut = true
+		r.timedOut, err = r.d.Bool()
+		r.hasTimedOut = true
 	case f == fEarly:
-		r.early, err = r.d.Bool()
+		r.terminatedEarly, err = r.d.Bool()
 	case f == fShards:
-		r.shards = true
-		return r.object(func(f field) error {
+		r.hasShards = true
+		return r.readObject(func(f field) error {
 			switch f {
 			case fTotal:
-				return r.whole(&r.part[0])
+				return r.readInt(&r.shardCounts[0])
 			case fSuccessful:
-				return r.whole(&r.part[1])
+				return r.readInt(&r.shardCounts[1])
 			case fFailed:
-				return r.whole(&r.part[2])
+				return r.readInt(&r.shardCounts[2])
 			}
 			return r.d.Skip()
 		})
 	case f == fHits:
-		r.hits = true
-		return r.object(r.page)
+		r.hasHits = true
+		return r.readObject(r.readHitsField)
 	case f == fAggs:
-		r.aggs, err = r.d.Raw()
+		r.rawAggs, err = r.d.Raw()
 	default:
 		return r.d.Skip()
 	}
 	return err
 }
 
-// word reads a string, nothing where null stands.
-func (r *answerReader) word() (string, error) {
+// readStringOrNull reads a string, nothing where null stands.
+func (r *responseReader) readStringOrNull() (string, error) {
 	if r.d.Next() == jx.Null {
 		return "", r.d.Skip()
 	}
-	return r.text()
+	return r.readString()
 }
 
-func (r *answerReader) text() (string, error) {
+func (r *responseReader) readString() (string, error) {
 	b, err := r.d.StrBytes()
-	return r.of(b), err
+	return r.toString(b), err
 }
 
-// of is bytes as a string: where they lie in the answer, a piece of the one string of it.
-func (r *answerReader) of(b []byte) string {
+// toString is bytes as a string: where they lie in the answer, a piece toString the one string toString it.
+func (r *responseReader) toString(b []byte) string {
 	if len(b) == 0 {
 		return ""
 	}
-	if at := uintptr(unsafe.Pointer(&b[0])) - r.from; at+uintptr(len(b)) <= uintptr(len(r.copied)) && at < uintptr(len(r.copied)) {
-		return r.copied[at:][:len(b)]
+	if at := uintptr(unsafe.Pointer(&b[0])) - r.base; at+uintptr(len(b)) <= uintptr(len(r.text)) && at < uintptr(len(r.text)) {
+		return r.text[at:][:len(b)]
 	}
 	return string(b) // it had escapes
 }
 
-func (r *answerReader) whole(into *int) error {
+func (r *responseReader) readInt(into *int) error {
 	if r.d.Next() == jx.Null {
 		return r.d.Skip()
 	}
-	n, err := r.number()
+	n, err := r.readNumber()
 	if err != nil {
 		return err
 	}
@@ -214,13 +214,13 @@
 	return err
 }
 
-// number reads a number as it stands. The decoder takes some for numbers that are none.
-func (r *answerReader) number() (string, error) {
+// readNumber reads a readNumber as it stands. The decoder takes some for numbers that are none.
+func (r *responseReader) readNumber() (string, error) {
 	raw, err := r.d.Raw()
 	if err == nil && !isNumber(raw) {
-		err = spoilt("no number")
+		err = invalidResponse("no number")
 	}
-	return r.of(raw), err
+	return r.toString(raw), err
 }
 
 // isNumber tells whether a text is a number as JSON has it.
@@ -253,48 +253,48 @@
 	return len(b) == 0
 }
 
-// page reads total and hits.
-func (r *answerReader) page(f field) error {
+// readHitsField reads total and hits.
+func (r *responseReader) readHitsField(f field) error {
 	switch next := r.d.Next(); {
 	case f == fTotal && next == jx.Object:
-		return r.object(func(f field) (err error) {
+		return r.readObject(func(f field) (err error) {
 			switch f {
 			case fValue:
-				return r.whole(&r.total)
+				return r.readInt(&r.total)
 			case fRelation:
-				r.relation, err = r.word()
+				r.relation, err = r.readStringOrNull()
 				return err
 			}
 			return r.d.Skip()
 		})
 	case f == fTotal:
 		r.relation = "eq"
-		return r.whole(&r.total)
+		return r.readInt(&r.total)
 	case f == fHits && next != jx.Null:
 		return r.d.Arr(func(*jx.Decoder) error {
-			r.found = append(r.found, Hit{})
-			return r.object(r.hit)
+			r.hits = append(r.hits, Hit{})
+			return r.readObject(r.readHitField)
 		})
 	}
 	return r.d.Skip()
 }
 
-// hit reads a field of the last hit.
-func (r *answerReader) hit(f field) (err error) {
-	n := len(r.found) - 1
-	h := &r.found[n]
+// readHitField reads a field of the last readHitField.
+func (r *responseReader) readHitField(f field) (err error) {
+	n := len(r.hits) - 1
+	h := &r.hits[n]
 	switch {
 	case f == fIndex:
-		h.Index, err = r.text()
+		h.Index, err = r.readString()
 	case f == fID:
-		h.ID, err = r.text()
+		h.ID, err = r.readString()
 	case f == fRouting:
-		h.routing, err = r.word()
+		h.routing, err = r.readStringOrNull()
 	case f == fScore && r.full && r.d.Next() != jx.Null:
-		n, wrong := r.number()
+		n, wrong := r.readNumber()
 		v, odd := strconv.ParseFloat(n, 64)
 		if errors.Join(wrong, odd) != nil {
-			return spoilt("a score that is no number")
+			return invalidResponse("a score that is no number")
 		}
 		r.scores = append(r.scores, v)
 		h.Score = &r.scores[len(r.scores)-1]
@@ -303,26 +303,26 @@
 		raw, err = r.d.Raw()
 		h.Source = json.RawMessage(raw)
 	case f == fSort && r.full:
-		from := len(r.sorts)
-		err = r.d.Arr(r.sort)
-		h.Sort = r.sorts[from:len(r.sorts):len(r.sorts)]
+		from := len(r.sortValues)
+		err = r.d.Arr(r.readSortValue)
+		h.Sort = r.sortValues[from:len(r.sortValues):len(r.sortValues)]
 	default:
 		return r.d.Skip()
 	}
 	return err
 }
 
-// sort reads a plain value, into one piece for all hits.
-func (r *answerReader) sort(*jx.Decoder) (err error) {
+// readSortValue reads a plain value, into one piece for all hits.
+func (r *responseReader) readSortValue(*jx.Decoder) (err error) {
 	one := SortValue{}
 	switch r.d.Next() {
 	case jx.String:
 		one.kind = '"'
-		one.text, err = r.text()
+		one.text, err = r.readString()
 	case jx.Number:
 		one.kind = '0'
-		if one.text, err = r.number(); err == nil {
-			one.f, err = strconv.ParseFloat(one.text, 64)
+		if one.text, err = r.readNumber(); err == nil {
+			one.number, err = strconv.ParseFloat(one.text, 64)
 		}
 	case jx.Bool:
 		var v bool
@@ -333,21 +333,21 @@
 	case jx.Null:
 		one.kind, err = 'n', r.d.Skip()
 	default:
-		return spoilt("a sort value is no plain value")
+		return invalidResponse("a sort value is no plain value")
 	}
-	r.sorts = append(r.sorts, one)
+	r.sortValues = append(r.sortValues, one)
 	return err
 }
 
 // check looks that the one part that was asked is there, in time and whole.
-func (r *answerReader) check() error {
+func (r *responseReader) check() error {
 	switch {
-	case !r.timedOut || !r.shards || !r.hits:
-		return spoilt("no timed_out, _shards or hits")
-	case r.late:
-		return spoilt("timed_out")
-	case r.part != [3]int{1, 1, 0}:
-		return spoilt("_shards: %d of %d, %d failed", r.part[1], r.part[0], r.part[2])
+	case !r.hasTimedOut || !r.hasShards || !r.hasHits:
+		return invalidResponse("no timed_out, _shards or hits")
+	case r.timedOut:
+		return invalidResponse("timed_out")
+	case r.shardCounts != [3]int{1, 1, 0}:
+		return invalidResponse("_shards: %d of %d, %d failed", r.shardCounts[1], r.shardCounts[0], r.shardCounts[2])
 	}
 	return nil
 }
@@ -357,43 +357,43 @@
 // them in no order or more than were asked for, gives scores that are no numbers, or a total below its hits. What it
 // gives holds the text, which must not change.
 func (q *Request) ParseResponse(shard int, index string, text []byte) (*ShardResponse, error) {
-	if len(text) > answerMost {
-		return nil, spoilt("%d bytes", len(text))
+	if len(text) > maxResponseBytes {
+		return nil, invalidResponse("%d bytes", len(text))
 	}
-	r := answers.Get().(*answerReader)
+	r := responseReaders.Get().(*responseReader)
 	defer r.release()
-	hits := min(q.From+q.Size, len(text)/hitLeast)
-	r.found, r.sorts, r.scores = make([]Hit, 0, hits), make([]SortValue, 0, hits*len(q.Sort)), make([]float64, 0, hits)
+	hits := min(q.From+q.Size, len(text)/minHitBytes)
+	r.hits, r.sortValues, r.scores = make([]Hit, 0, hits), make([]SortValue, 0, hits*len(q.Sort)), make([]float64, 0, hits)
 	if err := r.read(text, true); err != nil {
 		return nil, err
 	}
 	if err := r.check(); err != nil {
 		return nil, err
 	}
-	if len(r.found) > q.From+q.Size {
-		return nil, spoilt("%d hits, %d were asked for", len(r.found), q.From+q.Size)
+	if len(r.hits) > q.From+q.Size {
+		return nil, invalidResponse("%d hits, %d were asked for", len(r.hits), q.From+q.Size)
 	}
-	out := &ShardResponse{Shard: shard, ShardCount: 1, Hits: r.found, TerminatedEarly: r.early}
+	out := &ShardResponse{Shard: shard, ShardCount: 1, Hits: r.hits, TerminatedEarly: r.terminatedEarly}
 	var aggs map[string]any
-	if len(r.aggs) > 0 {
-		d := json.NewDecoder(bytes.NewReader(r.aggs))
+	if len(r.rawAggs) > 0 {
+		d := json.NewDecoder(bytes.NewReader(r.rawAggs))
 		d.UseNumber()
 		if err := d.Decode(&aggs); err != nil {
-			return nil, spoilt("%v", err)
+			return nil, invalidResponse("%v", err)
 		}
 	}
 	switch {
 	case q.TrackTotalHits == 0:
 		out.Total, out.TotalIsLowerBound = len(out.Hits), true
 	case r.total < len(out.Hits) || r.relation != "eq" && r.relation != "gte":
-		return nil, spoilt("a total of %d %.20q for %d hits", r.total, r.relation, len(out.Hits))
+		return nil, invalidResponse("a total of %d %.20q for %d hits", r.total, r.relation, len(out.Hits))
 	default:
 		out.Total, out.TotalIsLowerBound = r.total, r.relation == "gte"
 	}
 	if err := q.checkHits(out.Hits, shard, index); err != nil {
 		return nil, err
 	}
-	out.aggs = []partAnswer{{shard, aggs}}
+	out.aggs = []shardAggsResult{{shard, aggs}}
 	if len(q.Aggregations) == 0 {
 		return out, nil
 	}
@@ -402,7 +402,7 @@
 
 func (q *Request) checkHits(hits []Hit, shard int, index string) error {
 	seen := map[string]bool(nil)
-	if len(hits) > fewHits {
+	if len(hits) > maxPairwiseHits {
 		seen = make(map[string]bool, len(hits))
 	}
 	for i := range hits {
@@ -414,17 +414,17 @@
 		}
 		switch {
 		case h.ID == "" || doubled:
-			return spoilt("hit %.60q is there twice or has no id", h.ID)
+			return invalidResponse("hit %.60q is there twice or has no id", h.ID)
 		case index != "" && h.Index != index:
-			return spoilt("a hit of index %.60q", h.Index)
+			return invalidResponse("a hit of index %.60q", h.Index)
 		case len(h.Sort) != len(q.Sort):
-			return spoilt("%d sort values for %d keys", len(h.Sort), len(q.Sort))
+			return invalidResponse("%d sort values for %d keys", len(h.Sort), len(q.Sort))
 		case h.Score != nil && (math.IsNaN(*h.Score) || math.IsInf(*h.Score, 0)):
-			return spoilt("a score that is no number")
+			return invalidResponse("a score that is no number")
 		case h.Sort[len(h.Sort)-1].text != h.ID:
-			return spoilt("hit %.60q is sorted as %.60q", h.ID, h.Sort[len(h.Sort)-1].text)
+			return invalidResponse("hit %.60q is sorted as %.60q", h.ID, h.Sort[len(h.Sort)-1].text)
 		case i > 0 && q.compare(hits[i-1].Sort, h.Sort) >= 0:
-			return spoilt("hits in no order")
+			return invalidResponse("hits in no order")
 		}
 		if seen != nil {
 			seen[h.ID] = true
@@ -436,7 +436,7 @@
 // CheckResponse looks at a host's answer apart from what was asked: that it is one, in time, of one part that did not
 // fail, of the right index and, where a placement is known, of the right block.
 func CheckResponse(index string, placed *Placement, shard int, text []byte) error {
-	r := answers.Get().(*answerReader)
+	r := responseReaders.Get().(*responseReader)
 	defer r.release()
 	if err := r.read(text, false); err != nil {
 		return err
@@ -444,11 +444,11 @@
 	if err := r.check(); err != nil {
 		return err
 	}
-	for i := range r.found {
-		if index != "" && r.found[i].Index != index {
-			return spoilt("a hit of index %.60q", r.found[i].Index)
+	for i := range r.hits {
+		if index != "" && r.hits[i].Index != index {
+			return invalidResponse("a hit of index %.60q", r.hits[i].Index)
 		}
-		if err := placed.holds(shard, r.found[i].ID, r.found[i].routing); err != nil {
+		if err := placed.checkHit(shard, r.hits[i].ID, r.hits[i].routing); err != nil {
 			return err
 		}
 	}
--- a/opensearch/query/json.go
+++ b/opensearch/query/json.go
@@ -19,19 +19,19 @@
 
 // Bounds of one search. Each is far beyond what member searches need.
 const (
-	textMost        = 1 << 20 // bytes of a body
-	depthMost       = 64      // objects and lists within one another
-	nodesMost       = 50_000  // values in a body
-	clausesMost     = 1024    // clauses of a query: the API's own bound
-	termsMost       = 10_000  // values of a terms or ids clause: less than the API's, since each part carries them
+	maxBodyBytes        = 1 << 20 // bytes of a body
+	maxDepth       = 64      // objects and lists within one another
+	maxNodes       = 50_000  // values in a body
+	maxClauses     = 1024    // clauses of a query: the API's own bound
+	maxTerms       = 10_000  // values of a terms or ids clause: less than the API's, since each part carries them
 	MaxResultWindow = 10_000  // from and size together: the API's own bound; search_after goes on beyond it
-	sortMost        = 8       // sort keys
-	aggsMost        = 64      // aggregations
-	aggDepth        = 4       // of them within one another
-	bucketsMost     = 1_000   // buckets of a terms aggregation
-	nameMost        = 256     // bytes of a field's or aggregation's name
-	nodesRoom       = 16      // values that get room together: a small search's
-	fewNames        = 16      // names of an object up to which each is held against each
+	maxSortKeys        = 8       // sort keys
+	maxAggs        = 64      // aggregations
+	maxAggDepth        = 4       // of them within one another
+	maxBuckets     = 1_000   // buckets of a terms aggregation
+	maxNameBytes        = 256     // bytes of a field's or aggregation's name
+	nodesPerAllocation       = 16      // values that get room together: a small search's
+	maxPairwiseNames        = 16      // names of an object up to which each is held against each
 )
 
 // APIError is a refusal in the API's own form.
@@ -64,44 +64,44 @@
 
 // node is one value of a body with its place.
 type node struct {
-	at     int // bytes before it
+	offset     int // bytes before it
 	kind   byte
 	text   string // of a string or number, or true and false
-	names  []name
+	names  []fieldName
 	fields []*node
 	items  []*node
 }
 
-type name struct {
+type fieldName struct {
 	text string
-	at   int
+	offset   int
 }
 
 const (
-	object = '{'
-	list   = '['
-	str    = '"'
-	num    = '0'
-	truth  = 't'
-	null   = 'n'
+	kindObject = '{'
+	kindArray   = '['
+	kindString    = '"'
+	kindNumber    = '0'
+	kindBool  = 't'
+	kindNull   = 'n'
 )
 
-var kindWords = map[byte]string{
-	object: "an object", list: "an array", str: "a string", num: "a number",
-	truth: "true or false", null: "null",
+var kindNames = map[byte]string{
+	kindObject: "an object", kindArray: "an array", kindString: "a string", kindNumber: "a number",
+	kindBool: "true or false", kindNull: "null",
 }
 
-// reader makes nodes of a text and faults with their place.
-type reader struct {
+// parser makes nodes of a text and faults with their place.
+type parser struct {
 	src   []byte
 	text  string // the same
 	d     *jsontext.Decoder
-	count int
-	spare []node // room for the next ones
+	nodeCount int
+	spareNodes []node // room for the next ones
 }
 
-// fault is a parsing_exception at a place.
-func (r *reader) fault(at int, format string, v ...any) *APIError {
+// parsingError is a parsing_exception at a place.
+func (r *parser) parsingError(at int, format string, v ...any) *APIError {
 	before := r.src[:min(at, len(r.src))]
 	return &APIError{
 		Status: 400, Type: "parsing_exception", Reason: fmt.Sprintf(format, v...),
@@ -109,18 +109,18 @@
 	}
 }
 
-func illegal(format string, v ...any) *APIError {
+func illegalArgument(format string, v ...any) *APIError {
 	return &APIError{Status: 400, Type: "illegal_argument_exception", Reason: fmt.Sprintf(format, v...)}
 }
 
-// read makes the tree of a whole body; an empty one is an empty object. Guards against nesting without end, duplicate
+// readTree makes the tree of a whole body; an empty one is an empty object. Guards against nesting without end, duplicate
 // names, broken UTF-8 and what stands behind the end.
-func read(text []byte) (*reader, *node, error) {
-	r := &reader{src: text}
-	if len(text) > textMost {
+func readTree(text []byte) (*parser, *node, error) {
+	r := &parser{src: text}
+	if len(text) > maxBodyBytes {
 		return nil, nil, &APIError{
 			Status: 413, Type: "illegal_argument_exception",
-			Reason: fmt.Sprintf("a body of %d bytes, %d at the most", len(text), textMost),
+			Reason: fmt.Sprintf("a body of %d bytes, %d at the most", len(text), maxBodyBytes),
 		}
 	}
 	if !utf8.Valid(text) {
@@ -132,45 +132,45 @@
 			}
 			at += n
 		}
-		return nil, nil, r.fault(at, "the body is no UTF-8")
+		return nil, nil, r.parsingError(at, "the body is no UTF-8")
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
-		return r, &node{kind: object}, nil
+		return r, &node{kind: kindObject}, nil
 	}
-	b := bodies.Get().(*bodyReader)
+	b := decoders.Get().(*pooledDecoder)
 	defer b.release()
 	b.src = *bytes.NewBuffer(text)
 	b.d.Reset(&b.src, jsontext.AllowDuplicateNames(true)) // they are found here, with their place
 	r.d, r.text = &b.d, string(text)
-	n, err := r.value(0)
+	n, err := r.readNode(0)
 	if err != nil {
 		return nil, nil, err
 	}
 	if _, err := r.d.ReadToken(); err != io.EOF {
-		return nil, nil, r.fault(int(r.d.InputOffset()), "something stands behind the end of the body")
+		return nil, nil, r.parsingError(int(r.d.InputOffset()), "something stands behind the end of the body")
 	}
-	if n.kind != object {
-		return nil, nil, r.fault(n.at, "the body is %s, not an object", kindWords[n.kind])
+	if n.kind != kindObject {
+		return nil, nil, r.parsingError(n.offset, "the body is %s, not an object", kindNames[n.kind])
 	}
 	return r, n, nil
 }
 
-// bodies are readers of bodies, kept for the next.
-var bodies = sync.Pool{New: func() any { return &bodyReader{} }}
+// decoders are readers of decoders, kept for the next.
+var decoders = sync.Pool{New: func() any { return &pooledDecoder{} }}
 
-type bodyReader struct {
+type pooledDecoder struct {
 	src bytes.Buffer
 	d   jsontext.Decoder
 }
 
-func (b *bodyReader) release() {
+func (b *pooledDecoder) release() {
 	b.src = bytes.Buffer{}
 	b.d.Reset(&b.src)
-	bodies.Put(b)
+	decoders.Put(b)
 }
 
-// next is where the next token begins.
-func (r *reader) next() int {
+// nextOffset is where the nextOffset token begins.
+func (r *parser) nextOffset() int {
 	at := int(r.d.InputOffset())
 	for at < len(r.src) && strings.IndexByte(" \t\r\n,:", r.src[at]) >= 0 {
 		at++
@@ -178,19 +178,19 @@
 	return at
 }
 
-func (r *reader) failed(err error, at int) error {
+func (r *parser) syntaxError(err error, at int) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
-		return r.fault(len(r.src), "the body ends in the middle")
+		return r.parsingError(len(r.src), "the body ends in the middle")
 	}
-	return r.fault(at, "not JSON: %v", err)
+	return r.parsingError(at, "not JSON: %v", err)
 }
 
-// plainText is a string, number or truth that was just read, a string without its quotes. What has nothing escaped lies
+// scalarText is a string, number or truth that was just read, a string without its quotes. What has nothing escaped lies
 // in the body.
-func (r *reader) plainText(v jsontext.Value) (string, error) {
+func (r *parser) scalarText(v jsontext.Value) (string, error) {
 	end := int(r.d.InputOffset())
 	switch {
-	case v.Kind() != str:
+	case v.Kind() != kindString:
 		return r.text[end-len(v) : end], nil
 	case bytes.IndexByte(v, '\\') < 0:
 		return r.text[end-len(v)+1 : end-1], nil
@@ -199,75 +199,75 @@
 	return string(b), err
 }
 
-// value reads the next value whole.
-func (r *reader) value(depth int) (*node, error) {
-	at := r.next()
+// readNode reads the next readNode whole.
+func (r *parser) readNode(depth int) (*node, error) {
+	at := r.nextOffset()
 	kind := byte(r.d.PeekKind())
 	if kind == 'f' {
-		kind = truth
+		kind = kindBool
 	}
-	if r.count++; r.count > nodesMost {
-		return nil, r.fault(at, "over %d values", nodesMost)
+	if r.nodeCount++; r.nodeCount > maxNodes {
+		return nil, r.parsingError(at, "over %d values", maxNodes)
 	}
-	if depth > depthMost {
-		return nil, r.fault(at, "nested over %d deep", depthMost)
+	if depth > maxDepth {
+		return nil, r.parsingError(at, "nested over %d deep", maxDepth)
 	}
-	if len(r.spare) == 0 {
-		r.spare = make([]node, nodesRoom)
+	if len(r.spareNodes) == 0 {
+		r.spareNodes = make([]node, nodesPerAllocation)
 	}
-	n := &r.spare[0]
-	r.spare = r.spare[1:]
-	n.at, n.kind = at, kind
-	if kind != object && kind != list {
+	n := &r.spareNodes[0]
+	r.spareNodes = r.spareNodes[1:]
+	n.offset, n.kind = at, kind
+	if kind != kindObject && kind != kindArray {
 		v, err := r.d.ReadValue()
-		if err == nil && kind != null {
-			n.text, err = r.plainText(v)
+		if err == nil && kind != kindNull {
+			n.text, err = r.scalarText(v)
 		}
 		if err != nil {
-			return nil, r.failed(err, at)
+			return nil, r.syntaxError(err, at)
 		}
 		return n, nil
 	}
 	if _, err := r.d.ReadToken(); err != nil {
-		return nil, r.failed(err, at)
+		return nil, r.syntaxError(err, at)
 	}
 	seen := map[string]bool(nil)
 	for r.d.PeekKind() != '}' && r.d.PeekKind() != ']' {
-		if kind == object {
-			at := r.next()
+		if kind == kindObject {
+			at := r.nextOffset()
 			v, err := r.d.ReadValue()
 			if err != nil {
-				return nil, r.failed(err, at)
+				return nil, r.syntaxError(err, at)
 			}
-			word, err := r.plainText(v)
+			word, err := r.scalarText(v)
 			if err != nil {
-				return nil, r.failed(err, at)
+				return nil, r.syntaxError(err, at)
 			}
-			if len(n.names) == fewNames { // more are looked up: guards against time that goes with their square
-				seen = make(map[string]bool, 2*fewNames)
+			if len(n.names) == maxPairwiseNames { // more are looked up: guards against time that goes with their square
+				seen = make(map[string]bool, 2*maxPairwiseNames)
 				for _, one := range n.names {
 					seen[one.text] = true
 				}
 			}
 			if seen == nil && n.get(word) != nil || seen[word] {
-				return nil, r.fault(at, "duplicate name %.100q", word)
+				return nil, r.parsingError(at, "duplicate name %.100q", word)
 			}
-			if n.names = append(n.names, name{word, at}); seen != nil {
+			if n.names = append(n.names, fieldName{word, at}); seen != nil {
 				seen[word] = true
 			}
 		}
-		v, err := r.value(depth + 1)
+		v, err := r.readNode(depth + 1)
 		if err != nil {
 			return nil, err
 		}
-		if kind == object {
+		if kind == kindObject {
 			n.fields = append(n.fields, v)
 		} else {
 			n.items = append(n.items, v)
 		}
 	}
 	if _, err := r.d.ReadToken(); err != nil {
-		return nil, r.failed(err, r.next())
+		return nil, r.syntaxError(err, r.nextOffset())
 	}
 	return n, nil
 }
@@ -282,49 +282,49 @@
 	return nil
 }
 
-// raw is a plain value as any: string, json.Number, bool or nil.
-func (n *node) raw() any {
+// scalar is a plain value as any: string, json.Number, bool or nil.
+func (n *node) scalar() any {
 	switch n.kind {
-	case str:
+	case kindString:
 		return n.text
-	case num:
+	case kindNumber:
 		return json.Number(n.text)
-	case truth:
+	case kindBool:
 		return n.text == "true"
 	}
 	return nil
 }
 
-func (r *reader) want(n *node, kind byte, what string) error {
+func (r *parser) requireKind(n *node, kind byte, what string) error {
 	if n.kind != kind {
-		return r.fault(n.at, "[%s] is %s where %s is wanted", what, kindWords[n.kind], kindWords[kind])
+		return r.parsingError(n.offset, "[%s] is %s where %s is wanted", what, kindNames[n.kind], kindNames[kind])
 	}
 	return nil
 }
 
-// plain is a string, number or truth.
-func (r *reader) plain(n *node, what string) (any, error) {
-	if n.kind == object || n.kind == list || n.kind == null {
-		return nil, r.fault(n.at, "[%s] is %s where a plain value is wanted", what, kindWords[n.kind])
+// scalar is a string, number or truth.
+func (r *parser) scalar(n *node, what string) (any, error) {
+	if n.kind == kindObject || n.kind == kindArray || n.kind == kindNull {
+		return nil, r.parsingError(n.offset, "[%s] is %s where a plain value is wanted", what, kindNames[n.kind])
 	}
-	return n.raw(), nil
+	return n.scalar(), nil
 }
 
-func (r *reader) whole(n *node, what string, least, most int) (int, error) {
+func (r *parser) integer(n *node, what string, least, most int) (int, error) {
 	v, err := json.Number(n.text).Int64()
-	if n.kind != num || err != nil {
-		return 0, r.fault(n.at, "[%s] is no whole number", what)
+	if n.kind != kindNumber || err != nil {
+		return 0, r.parsingError(n.offset, "[%s] is no whole number", what)
 	}
 	if v < int64(least) || v > int64(most) {
-		return 0, r.fault(n.at, "[%s] is %d, not from %d to %d", what, v, least, most)
+		return 0, r.parsingError(n.offset, "[%s] is %d, not from %d to %d", what, v, least, most)
 	}
 	return int(v), nil
 }
 
-func (r *reader) number(n *node, what string) (float64, error) {
+func (r *parser) number(n *node, what string) (float64, error) {
 	v, err := json.Number(n.text).Float64()
-	if n.kind != num || err != nil {
-		return 0, r.fault(n.at, "[%s] is no number", what)
+	if n.kind != kindNumber || err != nil {
+		return 0, r.parsingError(n.offset, "[%s] is no number", what)
 	}
 	return v, nil
 }
--- a/opensearch/query/merge.go
+++ b/opensearch/query/merge.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	compression = 1000 // of a digest: a thousandth of the ranks in the middle, less at the ends
-	exactKeys   = keysMost
+	digestCompression = 1000 // of a digest: a thousandth of the ranks in the middle, less at the ends
+	maxExactKeys   = maxCardinalityKeys
 )
 
 // ShardFailure is a part that is not in, and why.
@@ -39,8 +39,8 @@
 // A member on two parts counts once, as the part with the lower number has it. Totals and aggregations of less than
 // all parts are told as such: the relation of the total is gte, and _shards tells how many are in.
 func (q *Request) MergeResponses(o SearchOutcome) []byte {
-	whole := q.join(o.Responses)
-	merged, doubled := q.all(o.Responses)
+	whole := q.joinTotals(o.Responses)
+	merged, doubled := q.mergeHits(o.Responses)
 	whole.DuplicateHits += doubled
 	hits, total, atLeast := merged[:min(len(merged), q.From+q.Size)], whole.Total, whole.TotalIsLowerBound
 	atLeast = atLeast || len(o.Failures)+o.Skipped > 0
@@ -151,8 +151,8 @@
 // JoinResponses puts answers together so that they can be joined or merged further: whatever the order and the grouping, the
 // result is the same. All hits stay, since one that is beyond the page may be there twice in what comes later.
 func (q *Request) JoinResponses(answers ...*ShardResponse) *ShardResponse {
-	out := q.join(answers)
-	hits, doubled := q.all(answers)
+	out := q.joinTotals(answers)
+	hits, doubled := q.mergeHits(answers)
 	out.DuplicateHits += doubled
 	for _, h := range hits {
 		out.Hits = append(out.Hits, *h)
@@ -160,8 +160,8 @@
 	return out
 }
 
-// join adds up all but the hits.
-func (q *Request) join(answers []*ShardResponse) *ShardResponse {
+// joinTotals adds up all but the hits.
+func (q *Request) joinTotals(answers []*ShardResponse) *ShardResponse {
 	out := &ShardResponse{Shard: math.MaxInt}
 	for _, a := range answers {
 		out.Shard = min(out.Shard, a.Shard)
@@ -169,28 +169,28 @@
 		out.TotalIsLowerBound, out.TerminatedEarly = out.TotalIsLowerBound || a.TotalIsLowerBound, out.TerminatedEarly || a.TerminatedEarly
 		out.aggs = append(out.aggs, a.aggs...)
 	}
-	slices.SortStableFunc(out.aggs, func(x, y partAnswer) int { return x.shard - y.shard })
+	slices.SortStableFunc(out.aggs, func(x, y shardAggsResult) int { return x.shard - y.shard })
 	return out
 }
 
-// cursors are lists of hits as far as they have been taken, a heap by their first ones.
-type cursors struct {
+// hitHeap are lists of hits as far as they have been taken, a heap by their first ones.
+type hitHeap struct {
 	q    *Request
-	list [][]Hit
+	lists [][]Hit
 }
 
-func (c *cursors) less(i, j int) bool {
-	if by := c.q.compare(c.list[i][0].Sort, c.list[j][0].Sort); by != 0 {
+func (c *hitHeap) less(i, j int) bool {
+	if by := c.q.compare(c.lists[i][0].Sort, c.lists[j][0].Sort); by != 0 {
 		return by < 0
 	}
-	return c.list[i][0].shard < c.list[j][0].shard
+	return c.lists[i][0].shard < c.lists[j][0].shard
 }
 
-// down puts the list at a place where it belongs.
-func (c *cursors) down(i int) {
+// siftDown puts the list at a place where it belongs.
+func (c *hitHeap) siftDown(i int) {
 	for {
 		least := i
-		for j := 2*i + 1; j <= 2*i+2 && j < len(c.list); j++ {
+		for j := 2*i + 1; j <= 2*i+2 && j < len(c.lists); j++ {
 			if c.less(j, least) {
 				least = j
 			}
@@ -198,34 +198,34 @@
 		if least == i {
 			return
 		}
-		c.list[i], c.list[least] = c.list[least], c.list[i]
+		c.lists[i], c.lists[least] = c.lists[least], c.lists[i]
 		i = least
 	}
 }
 
-// all merges the hits of all answers, a member that is there twice as its first, and counts the others. The heap holds
+// mergeHits merges the hits of mergeHits answers, a member that is there twice as its first, and counts the others. The heap holds
 // a list an answer, so that no more is held than the answers themselves.
-func (q *Request) all(answers []*ShardResponse) (hits []*Hit, doubled int) {
-	c := cursors{q, make([][]Hit, 0, len(answers))}
+func (q *Request) mergeHits(answers []*ShardResponse) (hits []*Hit, doubled int) {
+	c := hitHeap{q, make([][]Hit, 0, len(answers))}
 	n := 0
 	for _, a := range answers {
 		if n += len(a.Hits); len(a.Hits) > 0 {
-			c.list = append(c.list, a.Hits)
+			c.lists = append(c.lists, a.Hits)
 		}
 	}
-	for i := len(c.list)/2 - 1; i >= 0; i-- {
-		c.down(i)
+	for i := len(c.lists)/2 - 1; i >= 0; i-- {
+		c.siftDown(i)
 	}
 	hits = make([]*Hit, 0, n)
 	seen := make(map[string]struct{}, n)
-	for last := len(c.list) - 1; last >= 0; {
-		h := &c.list[0][0]
-		if c.list[0] = c.list[0][1:]; len(c.list[0]) == 0 {
-			c.list[0], c.list = c.list[last], c.list[:last]
+	for last := len(c.lists) - 1; last >= 0; {
+		h := &c.lists[0][0]
+		if c.lists[0] = c.lists[0][1:]; len(c.lists[0]) == 0 {
+			c.lists[0], c.lists = c.lists[last], c.lists[:last]
 			last--
 		}
 		if last > 0 {
-			c.down(0)
+			c.siftDown(0)
 		}
 		if _, there := seen[h.ID]; there {
 			doubled++
@@ -250,13 +250,13 @@
 		}
 		switch a.Kind {
 		case "terms":
-			out[a.Name] = mergeTerms(a, of(asTerms))
+			out[a.Name] = mergeTerms(a, of(suffixTerms))
 		case "cardinality":
-			out[a.Name] = mergeKeys(of(asKeys))
+			out[a.Name] = mergeCardinality(of(suffixKeys))
 		case "percentiles":
-			out[a.Name] = mergePoints(a, of(asPoints), of(asCount))
+			out[a.Name] = mergePercentiles(a, of(suffixPoints), of(suffixCount))
 		default:
-			out[a.Name] = mergeStats(a.Kind, of(asStats))
+			out[a.Name] = mergeStats(a.Kind, of(suffixStats))
 		}
 	}
 	return out
@@ -337,7 +337,7 @@
 		if !a.OrderByKey && x.count != y.count {
 			return int(y.count - x.count)
 		}
-		return order(x.key, y.key, SortKey{Descending: a.OrderByKey && !a.Ascending})
+		return compareKeys(x.key, y.key, SortKey{Descending: a.OrderByKey && !a.Ascending})
 	})
 	out := []any{}
 	for i, b := range list {
@@ -356,9 +356,9 @@
 	return map[string]any{"doc_count_error_upper_bound": bound, "sum_other_doc_count": others, "buckets": out}
 }
 
-// mergeKeys counts different keys: exactly while they are few, by a sketch beyond. A part that could not tell all its
+// mergeCardinality counts different keys: exactly while they are few, by a sketch beyond. A part that could not tell all its
 // keys makes the value a lower bound, and that is told.
-func mergeKeys(all []map[string]any) map[string]any {
+func mergeCardinality(all []map[string]any) map[string]any {
 	keys, cut := map[string]bool{}, false
 	for _, one := range all {
 		rest, _ := number(one["sum_other_doc_count"])
@@ -368,9 +368,9 @@
 		}
 	}
 	value := uint64(len(keys))
-	if len(keys) > exactKeys {
+	if len(keys) > maxExactKeys {
 		sketch := hyperloglog.New16()
-		for _, k := range sortedNames(keys) {
+		for _, k := range sortedKeys(keys) {
 			sketch.Insert([]byte(k))
 		}
 		value = sketch.Estimate()
@@ -382,9 +382,9 @@
 	return out
 }
 
-// mergePoints puts the parts' quantiles into one digest, each point with the weight of its part.
-func mergePoints(a Aggregation, points, counts []map[string]any) map[string]any {
-	digest := tdigest.NewWithCompression(compression)
+// mergePercentiles puts the parts' quantiles into one digest, each point with the weight of its part.
+func mergePercentiles(a Aggregation, points, counts []map[string]any) map[string]any {
+	digest := tdigest.NewWithCompression(digestCompression)
 	total := 0.0
 	for i, one := range points {
 		n := 0.0
@@ -419,7 +419,7 @@
 	return map[string]any{"values": out}
 }
 
-func sortedNames(m map[string]bool) []string {
+func sortedKeys(m map[string]bool) []string {
 	all := make([]string, 0, len(m))
 	for k := range m {
 		all = append(all, k)
--- a/opensearch/query/part.go
+++ b/opensearch/query/part.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	keysMost   = 10_000  // keys that a part tells of a cardinality; beyond, the value is told as a lower bound
-	shardExtra = 10      // buckets a part tells beyond half as many again as are wanted: the API's rule
-	answerMost = 8 << 20 // bytes of a host's answer
+	maxCardinalityKeys   = 10_000  // keys that a part tells of a cardinality; beyond, the value is told as a lower bound
+	extraShardBuckets = 10      // buckets a part tells beyond half as many again as are wanted: the API's rule
+	maxResponseBytes = 8 << 20 // bytes of a host's answer
 )
 
 // The suffixes under which a part asks hosts for what an aggregation is put together from.
 const (
-	asStats  = "#stats"
-	asKeys   = "#keys"
-	asPoints = "#points"
-	asCount  = "#count"
-	asTerms  = "#terms"
+	suffixStats  = "#stats"
+	suffixKeys   = "#keys"
+	suffixPoints = "#points"
+	suffixCount  = "#count"
+	suffixTerms  = "#terms"
 )
 
 // ShardRequestBody is the body that a part asks a host with: the same for all parts of a search. Each asks for all hits that the
@@ -37,7 +37,7 @@
 		dst = append(appendTexts(append(dst, `,"includes":`...), q.SourceIncludes), `},`...)
 	}
 	if len(q.Aggregations) > 0 {
-		text, _ := json.Marshal(partAggs(q.Aggregations))
+		text, _ := json.Marshal(shardAggs(q.Aggregations))
 		dst = append(append(append(dst, `"aggs":`...), text...), ',')
 	}
 	if q.MinScore != nil {
@@ -179,13 +179,13 @@
 	return append(dst, ']')
 }
 
-func partAggs(aggs []Aggregation) map[string]any {
+func shardAggs(aggs []Aggregation) map[string]any {
 	out := map[string]any{}
 	for _, a := range aggs {
 		switch a.Kind {
 		case "terms":
 			order := map[string]any{"_count": "desc"}
-			size := a.Size + a.Size/2 + shardExtra
+			size := a.Size + a.Size/2 + extraShardBuckets
 			if a.OrderByKey {
 				order = map[string]any{"_key": "desc"}
 				if a.Ascending {
@@ -195,12 +195,12 @@
 			}
 			one := map[string]any{"terms": map[string]any{"field": a.Field, "size": size, "order": order}}
 			if len(a.SubAggregations) > 0 {
-				one["aggs"] = partAggs(a.SubAggregations)
+				one["aggs"] = shardAggs(a.SubAggregations)
 			}
-			out[a.Name+asTerms] = one
+			out[a.Name+suffixTerms] = one
 		case "cardinality":
-			out[a.Name+asKeys] = map[string]any{"terms": map[string]any{
-				"field": a.Field, "size": keysMost,
+			out[a.Name+suffixKeys] = map[string]any{"terms": map[string]any{
+				"field": a.Field, "size": maxCardinalityKeys,
 				"order": map[string]any{"_key": "asc"},
 			}}
 		case "percentiles":
@@ -208,10 +208,10 @@
 			for i := range points {
 				points[i] = float64(i)
 			}
-			out[a.Name+asPoints] = map[string]any{"percentiles": map[string]any{"field": a.Field, "percents": points}}
-			out[a.Name+asCount] = map[string]any{"value_count": map[string]any{"field": a.Field}}
+			out[a.Name+suffixPoints] = map[string]any{"percentiles": map[string]any{"field": a.Field, "percents": points}}
+			out[a.Name+suffixCount] = map[string]any{"value_count": map[string]any{"field": a.Field}}
 		default:
-			out[a.Name+asStats] = map[string]any{"stats": map[string]any{"field": a.Field}}
+			out[a.Name+suffixStats] = map[string]any{"stats": map[string]any{"field": a.Field}}
 		}
 	}
 	return out
@@ -233,7 +233,7 @@
 type SortValue struct {
 	kind byte
 	text string
-	f    float64
+	number    float64
 }
 
 // MarshalJSON writes the value as it came.
@@ -260,11 +260,11 @@
 	TotalIsLowerBound bool // the total is a lower bound
 	TerminatedEarly   bool // a host stopped at terminate_after
 	Hits              []Hit
-	aggs              []partAnswer
+	aggs              []shardAggsResult
 }
 
-// partAnswer is what one part told for the aggregations.
-type partAnswer struct {
+// shardAggsResult is what one part told for the aggregations.
+type shardAggsResult struct {
 	shard int
 	aggs  map[string]any
 }
@@ -272,7 +272,7 @@
 // CheckPlacement looks that all hits are of the block that was asked, by the rule that places them.
 func (a *ShardResponse) CheckPlacement(p *Placement) error {
 	for _, h := range a.Hits {
-		if err := p.holds(a.Shard, h.ID, h.routing); err != nil {
+		if err := p.checkHit(a.Shard, h.ID, h.routing); err != nil {
 			return err
 		}
 	}
@@ -282,41 +282,41 @@
 // ErrInvalidResponse is a host's answer that cannot be used. The part may have run; the host has failed it.
 var ErrInvalidResponse = errors.New("a host's answer that cannot be used")
 
-func spoilt(format string, v ...any) error {
+func invalidResponse(format string, v ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalidResponse, fmt.Sprintf(format, v...))
 }
 
 // checkAggs looks that all that was asked for is there in its form.
 func (q *Request) checkAggs(aggs []Aggregation, got map[string]any) error {
-	for name, asked := range partAggs(aggs) {
+	for name, asked := range shardAggs(aggs) {
 		one, _ := got[name].(map[string]any)
 		if one == nil {
-			return spoilt("aggregation %.60q is missing", name)
+			return invalidResponse("aggregation %.60q is missing", name)
 		}
 		for kind := range asked.(map[string]any) {
 			switch kind {
 			case "terms":
 				buckets, ok := one["buckets"].([]any)
 				if !ok {
-					return spoilt("aggregation %.60q has no buckets", name)
+					return invalidResponse("aggregation %.60q has no buckets", name)
 				}
 				for _, b := range buckets {
 					m, _ := b.(map[string]any)
 					if n, ok := number(m["doc_count"]); !ok || n < 0 || m["key"] == nil {
-						return spoilt("a bucket of %.60q without key or count", name)
+						return invalidResponse("a bucket of %.60q without key or count", name)
 					}
 				}
 			case "stats":
 				if _, ok := number(one["count"]); !ok {
-					return spoilt("aggregation %.60q has no count", name)
+					return invalidResponse("aggregation %.60q has no count", name)
 				}
 			case "value_count":
 				if _, ok := number(one["value"]); !ok {
-					return spoilt("aggregation %.60q has no value", name)
+					return invalidResponse("aggregation %.60q has no value", name)
 				}
 			case "percentiles":
 				if _, ok := one["values"].(map[string]any); !ok {
-					return spoilt("aggregation %.60q has no values", name)
+					return invalidResponse("aggregation %.60q has no values", name)
 				}
 			}
 		}
@@ -325,7 +325,7 @@
 		if len(a.SubAggregations) == 0 {
 			continue
 		}
-		for _, b := range got[a.Name+asTerms].(map[string]any)["buckets"].([]any) {
+		for _, b := range got[a.Name+suffixTerms].(map[string]any)["buckets"].([]any) {
 			if err := q.checkAggs(a.SubAggregations, b.(map[string]any)); err != nil {
 				return err
 			}
@@ -364,8 +364,8 @@
 	case v.kind != '0':
 		c = strings.Compare(v.text, w.text)
 	default:
-		if c = cmp.Compare(v.f, w.f); c == 0 && v.text != w.text {
-			c = exact(json.Number(v.text), json.Number(w.text))
+		if c = cmp.Compare(v.number, w.number); c == 0 && v.text != w.text {
+			c = compareIntegers(json.Number(v.text), json.Number(w.text))
 		}
 	}
 	if k.Descending {
@@ -374,8 +374,8 @@
 	return c
 }
 
-// order compares two keys of buckets: missing ones first or last as the key says, numbers before texts.
-func order(a, b any, k SortKey) int {
+// compareKeys compares two keys of buckets: missing ones first or last as the key says, numbers before texts.
+func compareKeys(a, b any, k SortKey) int {
 	if a == nil || b == nil {
 		c := 0
 		if a == nil && b != nil {
@@ -394,7 +394,7 @@
 	switch {
 	case isX && isY:
 		if c = cmp.Compare(x, y); c == 0 {
-			c = exact(a, b)
+			c = compareIntegers(a, b)
 		}
 	case isX != isY:
 		if c = 1; isX {
@@ -409,8 +409,8 @@
 	return c
 }
 
-// exact compares whole numbers that are equal as floats: beyond 2^53 they may differ.
-func exact(a, b any) int {
+// compareIntegers compares whole numbers that are equal as floats: beyond 2^53 they may differ.
+func compareIntegers(a, b any) int {
 	x, ok1 := a.(json.Number)
 	y, ok2 := b.(json.Number)
 	if !ok1 || !ok2 {
--- a/opensearch/query/place.go
+++ b/opensearch/query/place.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	splitsLog = 10   // the API's default lets an index of one block be split up to 1,024 ways: 2^10
-	slotsMost = 1024 // blocks that an index may have: the API's bound
+	defaultSplitsLog2 = 10   // the API's default lets an index of one block be split up to 1,024 ways: 2^10
+	maxShards = 1024 // blocks that an index may have: the API's bound
 )
 
 // Placement is the API's published rule by which the members of an index are in its blocks: the hash of a member's
@@ -26,13 +26,13 @@
 	if p.RoutingShards > 0 {
 		return p.RoutingShards
 	}
-	splits := max(1, splitsLog-bits.Len(uint(p.Shards-1)))
+	splits := max(1, defaultSplitsLog2-bits.Len(uint(p.Shards-1)))
 	return p.Shards << splits
 }
 
 // IsValid looks at the numbers: the API wants the one to be a multiple of the other.
 func (p Placement) IsValid() bool {
-	return p.Shards > 0 && p.Shards <= slotsMost && p.RoutingShards >= 0 && p.EffectiveRoutingShards()%p.Shards == 0
+	return p.Shards > 0 && p.Shards <= maxShards && p.RoutingShards >= 0 && p.EffectiveRoutingShards()%p.Shards == 0
 }
 
 // ShardFor is where the member with this routing value is.
@@ -49,9 +49,9 @@
 	return slot / (slots / p.Shards)
 }
 
-// holds looks that a hit is of the block that was asked. Guards against a host that sends another block's hits in
+// checkHit looks that a hit is of the block that was asked. Guards against a host that sends another block's hits in
 // good form: members would be counted for a block that was not read.
-func (p *Placement) holds(shard int, id, routing string) error {
+func (p *Placement) checkHit(shard int, id, routing string) error {
 	if routing == "" {
 		routing = id
 	}
@@ -59,7 +59,7 @@
 		return nil
 	}
 	if own := p.ShardFor(routing); own != shard {
-		return spoilt("hit %.60q is of block %d, %d was asked", id, own, shard)
+		return invalidResponse("hit %.60q is of block %d, %d was asked", id, own, shard)
 	}
 	return nil
 }
