--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -533,8 +533,8 @@
 		"/_search":                                      "name one",
 		"/members,picks/_search":                        "not done here",
 		"/nothing/here":                                 "no handler found",
-		"/members/_search?timeout=-1":                   "is no time",
-		"/members/_search?cancel_after_time_interval=x": "is no time",
+		"/members/_search?timeout=-1":                   "is not a duration such as",
+		"/members/_search?cancel_after_time_interval=x": "is not a duration such as",
 	} {
 		status, m, _ := r.do("POST", path, `{}`)
 		require.Contains(t, []int{400, 404}, status, path)
--- a/opensearch/query/answer.go
+++ b/opensearch/query/answer.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	maxPairwiseHits  = 32 // hits up to which each is held against each: a page, cheaper than a map
-	minHitBytes = 64 // bytes of a hit, about: room is made for no more than can be there
+	maxPairwiseHits = 32 // hits of a response up to which duplicates are searched pairwise: cheaper than a map for one page
+	minHitBytes     = 64 // approximate bytes of a hit: bounds the capacity allocated for a response
 )
 
-// responseReader takes a host's answer apart in one pass, without reflection. What it gives lies in the answer's own bytes
-// where it may.
+// responseReader decodes a host's response in one pass, without reflection. Where possible, the values that it returns
+// share the memory of the response or of its one copy as a string.
 type responseReader struct {
 	d jx.Decoder
 	responseFields
 }
 
 type responseFields struct {
-	text string  // the answer
-	base   uintptr // where its bytes lie: only told apart, never followed
+	text string  // a copy of the response
+	base uintptr // address of the response's bytes: only compared, never dereferenced
 
-	hasTimedOut, hasShards, hasHits bool // there
-	timedOut, terminatedEarly            bool
-	total                  int // -1 for none
-	relation               string
-	shardCounts                   [3]int // _shards: total, successful, failed
-	hits                  []Hit
-	sortValues                  []SortValue // room for those of all hits
-	scores                 []float64   // likewise
-	rawAggs                   []byte
-	full                   bool // more of a hit is wanted than its names
+	hasTimedOut, hasShards, hasHits bool // whether the response has these fields
+	timedOut, terminatedEarly       bool
+	total                           int // -1 for none
+	relation                        string
+	shardCounts                     [3]int // _shards: total, successful, failed
+	hits                            []Hit
+	sortValues                      []SortValue // backing array for the sort values of all hits
+	scores                          []float64   // backing array for the scores of all hits
+	rawAggs                         []byte
+	full                            bool // whether _score, _source and sort of a hit are read, not only _index, _id and _routing
 }
 
-// responseReaders are readers, kept for the next.
+// responseReaders pools readers for reuse.
 var responseReaders = sync.Pool{New: func() any { return &responseReader{} }}
 
-// release gives up what a reader holds of its answer.
+// release drops a reader's references to its response and returns it to the pool.
 func (r *responseReader) release() {
 	r.responseFields = responseFields{}
 	r.d.ResetBytes(nil)
 	responseReaders.Put(r)
 }
 
-// field is a name that is read, as a bit.
+// field is a field name that is read, as one bit of a set.
 type field uint32
 
 const (
@@ -111,23 +111,24 @@
 	return 0
 }
 
-// readObject walks an readObject's fields. Guards against two of one name, of which one would be read.
+// readObject calls take for each field of an object. A field name that appears twice is an error: otherwise only one of
+// the two would count.
 func (r *responseReader) readObject(take func(f field) error) error {
 	if r.d.Next() != jx.Object {
-		return invalidResponse("no object where one is wanted")
+		return invalidResponse("expected an object, got another type")
 	}
 	seen := field(0)
 	return r.d.ObjBytes(func(_ *jx.Decoder, name []byte) error {
 		f := fieldOf(name)
 		if seen&f != 0 {
-			return invalidResponse("%.60q is there twice", name)
+			return invalidResponse("field %.60q appears more than once", name)
 		}
 		seen |= f
 		return take(f)
 	})
 }
 
-// read reads an answer.
+// read reads a response; full says whether _score, _source and sort of the hits are read too.
 func (r *responseReader) read(text []byte, full bool) error {
 	r.full, r.total, r.text = full, -1, string(text)
 	if len(text) > 0 {
@@ -142,7 +143,7 @@
 			return nil
 		}
 	}
-	return invalidResponse("something stands behind the end")
+	return invalidResponse("unexpected data after the end of the response")
 }
 
 func (r *responseReader) readTopField(f field) (err error) {
@@ -178,7 +179,7 @@
 	return err
 }
 
-// readStringOrNull reads a string, nothing where null stands.
+// readStringOrNull reads a string; null gives an empty string.
 func (r *responseReader) readStringOrNull() (string, error) {
 	if r.d.Next() == jx.Null {
 		return "", r.d.Skip()
@@ -191,7 +192,8 @@
 	return r.toString(b), err
 }
 
-// toString is bytes as a string: where they lie in the answer, a piece toString the one string toString it.
+// toString returns bytes as a string. If they lie in the response, it is a substring of the response's copy, without a
+// further allocation.
 func (r *responseReader) toString(b []byte) string {
 	if len(b) == 0 {
 		return ""
@@ -199,7 +201,7 @@
 	if at := uintptr(unsafe.Pointer(&b[0])) - r.base; at+uintptr(len(b)) <= uintptr(len(r.text)) && at < uintptr(len(r.text)) {
 		return r.text[at:][:len(b)]
 	}
-	return string(b) // it had escapes
+	return string(b) // the value had escapes, so the decoder copied it
 }
 
 func (r *responseReader) readInt(into *int) error {
@@ -214,16 +216,16 @@
 	return err
 }
 
-// readNumber reads a readNumber as it stands. The decoder takes some for numbers that are none.
+// readNumber returns the text of a number. It checks the syntax itself, since the decoder accepts some invalid numbers.
 func (r *responseReader) readNumber() (string, error) {
 	raw, err := r.d.Raw()
 	if err == nil && !isNumber(raw) {
-		err = invalidResponse("no number")
+		err = invalidResponse("expected a number, got another value")
 	}
 	return r.toString(raw), err
 }
 
-// isNumber tells whether a text is a number as JSON has it.
+// isNumber reports whether a text is a number in JSON syntax.
 func isNumber(b []byte) bool {
 	digits := func() bool {
 		n := 0
@@ -253,7 +255,7 @@
 	return len(b) == 0
 }
 
-// readHitsField reads total and hits.
+// readHitsField reads one field of the object hits: total or the list of hits.
 func (r *responseReader) readHitsField(f field) error {
 	switch next := r.d.Next(); {
 	case f == fTotal && next == jx.Object:
@@ -279,7 +281,7 @@
 	return r.d.Skip()
 }
 
-// readHitField reads a field of the last readHitField.
+// readHitField reads one field of the last hit.
 func (r *responseReader) readHitField(f field) (err error) {
 	n := len(r.hits) - 1
 	h := &r.hits[n]
@@ -291,10 +293,10 @@
 	case f == fRouting:
 		h.routing, err = r.readStringOrNull()
 	case f == fScore && r.full && r.d.Next() != jx.Null:
-		n, wrong := r.readNumber()
-		v, odd := strconv.ParseFloat(n, 64)
-		if errors.Join(wrong, odd) != nil {
-			return invalidResponse("a score that is no number")
+		n, syntaxErr := r.readNumber()
+		v, rangeErr := strconv.ParseFloat(n, 64)
+		if errors.Join(syntaxErr, rangeErr) != nil {
+			return invalidResponse("_score of a hit is not a number")
 		}
 		r.scores = append(r.scores, v)
 		h.Score = &r.scores[len(r.scores)-1]
@@ -312,53 +314,53 @@
 	return err
 }
 
-// readSortValue reads a plain value, into one piece for all hits.
+// readSortValue reads a plain value and appends it to the sort values of all hits.
 func (r *responseReader) readSortValue(*jx.Decoder) (err error) {
-	one := SortValue{}
+	value := SortValue{}
 	switch r.d.Next() {
 	case jx.String:
-		one.kind = '"'
-		one.text, err = r.readString()
+		value.kind = '"'
+		value.text, err = r.readString()
 	case jx.Number:
-		one.kind = '0'
-		if one.text, err = r.readNumber(); err == nil {
-			one.number, err = strconv.ParseFloat(one.text, 64)
+		value.kind = '0'
+		if value.text, err = r.readNumber(); err == nil {
+			value.number, err = strconv.ParseFloat(value.text, 64)
 		}
 	case jx.Bool:
 		var v bool
 		v, err = r.d.Bool()
-		if one.kind = 'f'; v {
-			one.kind = 't'
+		if value.kind = 'f'; v {
+			value.kind = 't'
 		}
 	case jx.Null:
-		one.kind, err = 'n', r.d.Skip()
+		value.kind, err = 'n', r.d.Skip()
 	default:
-		return invalidResponse("a sort value is no plain value")
+		return invalidResponse("a sort value is not a string, number, boolean or null")
 	}
-	r.sortValues = append(r.sortValues, one)
+	r.sortValues = append(r.sortValues, value)
 	return err
 }
 
-// check looks that the one part that was asked is there, in time and whole.
+// check checks that the response did not time out and is of exactly one shard, which succeeded.
 func (r *responseReader) check() error {
 	switch {
 	case !r.hasTimedOut || !r.hasShards || !r.hasHits:
-		return invalidResponse("no timed_out, _shards or hits")
+		return invalidResponse("timed_out, _shards or hits is missing")
 	case r.timedOut:
-		return invalidResponse("timed_out")
+		return invalidResponse("timed_out is true, expected false")
 	case r.shardCounts != [3]int{1, 1, 0}:
-		return invalidResponse("_shards: %d of %d, %d failed", r.shardCounts[1], r.shardCounts[0], r.shardCounts[2])
+		return invalidResponse("_shards: %d of %d successful, %d failed; expected 1 of 1 successful, 0 failed", r.shardCounts[1], r.shardCounts[0], r.shardCounts[2])
 	}
 	return nil
 }
 
-// ParseResponse takes a host's answer to a part apart and looks at all that a whole rests on. Guards against a host that
-// answers in valid syntax and leaves its part out, ran out of time, speaks of another index, doubles a hit, sends
-// them in no order or more than were asked for, gives scores that are no numbers, or a total below its hits. What it
-// gives holds the text, which must not change.
+// ParseResponse decodes a host's response to a shard request and checks everything that merging relies on. Syntax alone
+// isn't enough: a response can leave out its shard, have timed out, name another index, repeat a hit, return unsorted hits
+// or more than were requested, have scores that are not numbers, or a total lower than its number of hits. The result
+// refers to text, which must not change afterwards.
 func (q *Request) ParseResponse(shard int, index string, text []byte) (*ShardResponse, error) {
 	if len(text) > maxResponseBytes {
-		return nil, invalidResponse("%d bytes", len(text))
+		return nil, invalidResponse("response of %d bytes exceeds the size limit", len(text))
 	}
 	r := responseReaders.Get().(*responseReader)
 	defer r.release()
@@ -371,7 +373,7 @@
 		return nil, err
 	}
 	if len(r.hits) > q.From+q.Size {
-		return nil, invalidResponse("%d hits, %d were asked for", len(r.hits), q.From+q.Size)
+		return nil, invalidResponse("response has %d hits, requested at most %d", len(r.hits), q.From+q.Size)
 	}
 	out := &ShardResponse{Shard: shard, ShardCount: 1, Hits: r.hits, TerminatedEarly: r.terminatedEarly}
 	var aggs map[string]any
@@ -379,14 +381,14 @@
 		d := json.NewDecoder(bytes.NewReader(r.rawAggs))
 		d.UseNumber()
 		if err := d.Decode(&aggs); err != nil {
-			return nil, invalidResponse("%v", err)
+			return nil, invalidResponse("aggregations: %v", err)
 		}
 	}
 	switch {
 	case q.TrackTotalHits == 0:
 		out.Total, out.TotalIsLowerBound = len(out.Hits), true
 	case r.total < len(out.Hits) || r.relation != "eq" && r.relation != "gte":
-		return nil, invalidResponse("a total of %d %.20q for %d hits", r.total, r.relation, len(out.Hits))
+		return nil, invalidResponse("total %d with relation %.20q for %d hits, expected at least the number of hits and relation eq or gte", r.total, r.relation, len(out.Hits))
 	default:
 		out.Total, out.TotalIsLowerBound = r.total, r.relation == "gte"
 	}
@@ -408,23 +410,23 @@
 	for i := range hits {
 		h := &hits[i]
 		h.shard = shard
-		doubled := seen[h.ID]
+		duplicate := seen[h.ID]
 		for j := 0; j < i && seen == nil; j++ {
-			doubled = doubled || hits[j].ID == h.ID
+			duplicate = duplicate || hits[j].ID == h.ID
 		}
 		switch {
-		case h.ID == "" || doubled:
-			return invalidResponse("hit %.60q is there twice or has no id", h.ID)
+		case h.ID == "" || duplicate:
+			return invalidResponse("hit %.60q is a duplicate or has no _id", h.ID)
 		case index != "" && h.Index != index:
-			return invalidResponse("a hit of index %.60q", h.Index)
+			return invalidResponse("hit is from index %.60q, not from the requested one", h.Index)
 		case len(h.Sort) != len(q.Sort):
-			return invalidResponse("%d sort values for %d keys", len(h.Sort), len(q.Sort))
+			return invalidResponse("hit has %d sort values, expected %d", len(h.Sort), len(q.Sort))
 		case h.Score != nil && (math.IsNaN(*h.Score) || math.IsInf(*h.Score, 0)):
-			return invalidResponse("a score that is no number")
+			return invalidResponse("_score of a hit is not a finite number")
 		case h.Sort[len(h.Sort)-1].text != h.ID:
-			return invalidResponse("hit %.60q is sorted as %.60q", h.ID, h.Sort[len(h.Sort)-1].text)
+			return invalidResponse("hit %.60q has %.60q as last sort value, expected its _id", h.ID, h.Sort[len(h.Sort)-1].text)
 		case i > 0 && q.compare(hits[i-1].Sort, h.Sort) >= 0:
-			return invalidResponse("hits in no order")
+			return invalidResponse("hits are not in the requested order")
 		}
 		if seen != nil {
 			seen[h.ID] = true
@@ -433,8 +435,8 @@
 	return nil
 }
 
-// CheckResponse looks at a host's answer apart from what was asked: that it is one, in time, of one part that did not
-// fail, of the right index and, where a placement is known, of the right block.
+// CheckResponse checks a host's response without the request that it answers: its syntax, that it did not time out, that
+// it is of one shard that succeeded, of the right index and, if a placement is known, of the right shard.
 func CheckResponse(index string, placed *Placement, shard int, text []byte) error {
 	r := responseReaders.Get().(*responseReader)
 	defer r.release()
@@ -446,7 +448,7 @@
 	}
 	for i := range r.hits {
 		if index != "" && r.hits[i].Index != index {
-			return invalidResponse("a hit of index %.60q", r.hits[i].Index)
+			return invalidResponse("hit is from index %.60q, not from the requested one", r.hits[i].Index)
 		}
 		if err := placed.checkHit(shard, r.hits[i].ID, r.hits[i].routing); err != nil {
 			return err
--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -28,7 +28,7 @@
 	`{"query":{"bool":{"should":[{"term":{"town":{"value":"red","boost":1.5}}}],"minimum_should_match":1}},"sort":["_score","town"]}`,
 }
 
-// The bodies that hosts are asked with have the bytes of the golden file: a request, and below it the body for its shards.
+// The bodies of shard requests must equal the golden file byte for byte: a request, and below it the body for its shards.
 func TestGoldenShardRequests(t *testing.T) {
 	var out strings.Builder
 	for _, text := range goldenRequests {
@@ -37,25 +37,25 @@
 	golden.Require(t, "shard_requests.golden", out.String())
 }
 
-// Hosts' answers to a request are read and merged into the bytes of the golden file: the request, the answers of two shards,
-// the whole answer, the partial answer of one shard with a failure of the other.
+// Merged answers must equal the golden file byte for byte: the request, the responses of two shards, the complete answer, the
+// partial answer of one shard with a failure of the other, and the answer with skipped shards.
 func TestGoldenMergedAnswers(t *testing.T) {
 	var out strings.Builder
-	all := members(3, 24)
+	all := randomDocuments(3, 24)
 	for _, text := range goldenRequests {
 		q := parse(t, text)
 		fmt.Fprintf(&out, "request %s\n", text)
 		var answers []*query.ShardResponse
 		for shard := range 2 {
-			block := membersOf(all[shard*12 : shard*12+12])
-			told, err := block.Search(q.ShardRequestBody())
+			block := shardOf(all[shard*12 : shard*12+12])
+			response, err := block.Search(q.ShardRequestBody())
 			if err != nil {
 				fmt.Fprintf(&out, "no answer by the stand-in\n")
 				continue
 			}
-			fmt.Fprintf(&out, "shard %d %s\n", shard, told)
-			answer, err := q.ParseResponse(shard, block.Index, told)
-			require.NoError(t, err, "%s", told)
+			fmt.Fprintf(&out, "shard %d %s\n", shard, response)
+			answer, err := q.ParseResponse(shard, block.Index, response)
+			require.NoError(t, err, "%s", response)
 			answers = append(answers, answer)
 		}
 		if len(answers) < 2 {
@@ -71,7 +71,7 @@
 	golden.Require(t, "merged_answers.golden", out.String())
 }
 
-// Requests that are refused get the bodies of the golden file: the request, status and body.
+// The error bodies of rejected requests must equal the golden file: the request, status and body.
 func TestGoldenRequestErrors(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -86,14 +86,14 @@
 		"{\"query\":{\"term\":{\"a\":\"\xff\"}}}", `{"a":` + strings.Repeat(" ", 1<<20) + `1}`,
 	} {
 		_, err := query.ParseRequest([]byte(text))
-		var refused *query.APIError
-		require.ErrorAs(t, err, &refused, "%.80s", text)
-		fmt.Fprintf(&out, "%.100q\n%d %s\n", text, refused.Status, refused.ResponseBody())
+		var apiError *query.APIError
+		require.ErrorAs(t, err, &apiError, "%.80s", text)
+		fmt.Fprintf(&out, "%.100q\n%d %s\n", text, apiError.Status, apiError.ResponseBody())
 	}
 	golden.Require(t, "request_errors.golden", out.String())
 }
 
-// Members are placed in shards as the golden file says: the numbers of shards and routing shards, and the shard of each id.
+// Placement must not change: the golden file has the numbers of shards and routing shards, and the shard of each id.
 func TestGoldenPlacement(t *testing.T) {
 	var out strings.Builder
 	for _, p := range []query.Placement{{Shards: 1}, {Shards: 3}, {Shards: 8}, {Shards: 5, RoutingShards: 30}} {
@@ -106,6 +106,6 @@
 	golden.Require(t, "placement.golden", out.String())
 }
 
-func membersOf(all []fake.Document) fake.ShardDocuments {
+func shardOf(all []fake.Document) fake.ShardDocuments {
 	return fake.ShardDocuments{Index: "members", Documents: all}
 }
--- a/opensearch/query/json.go
+++ b/opensearch/query/json.go
@@ -1,7 +1,8 @@
-// Package query is the OpenSearch-style query language: Parse reads and checks a search, Request.Part is what one
-// part of it asks a host, Merger puts the parts' answers together. It has no I/O and no clock. docs/opensearch.md has
-// the table of what is done and what is not. What is known and not done is refused by name, what is unknown with its
-// line and column; nothing is left out in silence.
+// Package query implements the OpenSearch-style query language: ParseRequest reads and checks a search,
+// Request.ShardRequestBody returns the request that is sent to a host for one shard, and Request.MergeResponses merges the
+// shards' responses. The package does no I/O and has no clock. docs/opensearch.md has the table of supported and
+// unsupported features. An unsupported feature is rejected by name, an unknown one with its line and column; nothing is
+// ignored silently.
 package query
 
 import (
@@ -17,29 +18,29 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Bounds of one search. Each is far beyond what member searches need.
+// Limits of one search. Each is far beyond what searches for members need.
 const (
-	maxBodyBytes        = 1 << 20 // bytes of a body
-	maxDepth       = 64      // objects and lists within one another
-	maxNodes       = 50_000  // values in a body
-	maxClauses     = 1024    // clauses of a query: the API's own bound
-	maxTerms       = 10_000  // values of a terms or ids clause: less than the API's, since each part carries them
-	MaxResultWindow = 10_000  // from and size together: the API's own bound; search_after goes on beyond it
+	maxBodyBytes       = 1 << 20 // bytes of a body
+	maxDepth           = 64      // nesting levels of objects and arrays
+	maxNodes           = 50_000  // values in a body
+	maxClauses         = 1024    // clauses of a query: the API's own limit
+	maxTerms           = 10_000  // values of a terms or ids clause: less than the API's, since each shard request carries them
+	MaxResultWindow    = 10_000  // from and size together: the API's own limit; search_after continues beyond it
 	maxSortKeys        = 8       // sort keys
-	maxAggs        = 64      // aggregations
-	maxAggDepth        = 4       // of them within one another
-	maxBuckets     = 1_000   // buckets of a terms aggregation
-	maxNameBytes        = 256     // bytes of a field's or aggregation's name
-	nodesPerAllocation       = 16      // values that get room together: a small search's
-	maxPairwiseNames        = 16      // names of an object up to which each is held against each
+	maxAggs            = 64      // aggregations
+	maxAggDepth        = 4       // nesting levels of aggregations
+	maxBuckets         = 1_000   // buckets of a terms aggregation
+	maxNameBytes       = 256     // bytes of a field's or aggregation's name
+	nodesPerAllocation = 16      // nodes that are allocated together: enough for a small search
+	maxPairwiseNames   = 16      // names of an object up to which duplicates are searched pairwise
 )
 
-// APIError is a refusal in the API's own form.
+// APIError is the error of a rejected request in the API's own form.
 type APIError struct {
 	Status       int
 	Type         string
 	Reason       string
-	Line, Column int // 0 where the place says nothing
+	Line, Column int // 0 if the error has no position
 }
 
 func (e *APIError) Error() string {
@@ -49,7 +50,7 @@
 	return e.Reason
 }
 
-// ResponseBody is the error as the API answers it.
+// ResponseBody returns the error as a response body of the API.
 func (e *APIError) ResponseBody() []byte {
 	cause := map[string]any{"type": e.Type, "reason": e.Reason}
 	if e.Line > 0 {
@@ -62,27 +63,27 @@
 	return b
 }
 
-// node is one value of a body with its place.
+// node is one value of a request body with its position.
 type node struct {
-	offset     int // bytes before it
+	offset int // of the value in the body, in bytes
 	kind   byte
-	text   string // of a string or number, or true and false
+	text   string // of a string, number or boolean
 	names  []fieldName
 	fields []*node
 	items  []*node
 }
 
 type fieldName struct {
-	text string
-	offset   int
+	text   string
+	offset int
 }
 
 const (
 	kindObject = '{'
-	kindArray   = '['
-	kindString    = '"'
-	kindNumber    = '0'
-	kindBool  = 't'
+	kindArray  = '['
+	kindString = '"'
+	kindNumber = '0'
+	kindBool   = 't'
 	kindNull   = 'n'
 )
 
@@ -91,16 +92,16 @@
 	kindBool: "true or false", kindNull: "null",
 }
 
-// parser makes nodes of a text and faults with their place.
+// parser builds the nodes of a request body, and errors with their position.
 type parser struct {
-	src   []byte
-	text  string // the same
-	d     *jsontext.Decoder
-	nodeCount int
-	spareNodes []node // room for the next ones
+	src        []byte
+	text       string // src as a string
+	d          *jsontext.Decoder
+	nodeCount  int
+	spareNodes []node // allocated and not yet used
 }
 
-// parsingError is a parsing_exception at a place.
+// parsingError returns a parsing_exception with the line and column of a byte offset.
 func (r *parser) parsingError(at int, format string, v ...any) *APIError {
 	before := r.src[:min(at, len(r.src))]
 	return &APIError{
@@ -113,14 +114,14 @@
 	return &APIError{Status: 400, Type: "illegal_argument_exception", Reason: fmt.Sprintf(format, v...)}
 }
 
-// readTree makes the tree of a whole body; an empty one is an empty object. Guards against nesting without end, duplicate
-// names, broken UTF-8 and what stands behind the end.
+// readTree returns the tree of a whole body; an empty body is an empty object. It rejects unbounded nesting, duplicate
+// names, invalid UTF-8 and data after the end.
 func readTree(text []byte) (*parser, *node, error) {
 	r := &parser{src: text}
 	if len(text) > maxBodyBytes {
 		return nil, nil, &APIError{
 			Status: 413, Type: "illegal_argument_exception",
-			Reason: fmt.Sprintf("a body of %d bytes, %d at the most", len(text), maxBodyBytes),
+			Reason: fmt.Sprintf("the body is %d bytes, the maximum is %d", len(text), maxBodyBytes),
 		}
 	}
 	if !utf8.Valid(text) {
@@ -132,7 +133,7 @@
 			}
 			at += n
 		}
-		return nil, nil, r.parsingError(at, "the body is no UTF-8")
+		return nil, nil, r.parsingError(at, "the body is not valid UTF-8")
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
 		return r, &node{kind: kindObject}, nil
@@ -140,22 +141,22 @@
 	b := decoders.Get().(*pooledDecoder)
 	defer b.release()
 	b.src = *bytes.NewBuffer(text)
-	b.d.Reset(&b.src, jsontext.AllowDuplicateNames(true)) // they are found here, with their place
+	b.d.Reset(&b.src, jsontext.AllowDuplicateNames(true)) // readNode finds duplicates itself, with their position
 	r.d, r.text = &b.d, string(text)
 	n, err := r.readNode(0)
 	if err != nil {
 		return nil, nil, err
 	}
 	if _, err := r.d.ReadToken(); err != io.EOF {
-		return nil, nil, r.parsingError(int(r.d.InputOffset()), "something stands behind the end of the body")
+		return nil, nil, r.parsingError(int(r.d.InputOffset()), "unexpected data after the end of the body")
 	}
 	if n.kind != kindObject {
-		return nil, nil, r.parsingError(n.offset, "the body is %s, not an object", kindNames[n.kind])
+		return nil, nil, r.parsingError(n.offset, "the body is %s, expected an object", kindNames[n.kind])
 	}
 	return r, n, nil
 }
 
-// decoders are readers of decoders, kept for the next.
+// decoders pools decoders of request bodies for reuse.
 var decoders = sync.Pool{New: func() any { return &pooledDecoder{} }}
 
 type pooledDecoder struct {
@@ -169,7 +170,7 @@
 	decoders.Put(b)
 }
 
-// nextOffset is where the nextOffset token begins.
+// nextOffset returns the offset at which the next token begins.
 func (r *parser) nextOffset() int {
 	at := int(r.d.InputOffset())
 	for at < len(r.src) && strings.IndexByte(" \t\r\n,:", r.src[at]) >= 0 {
@@ -180,13 +181,13 @@
 
 func (r *parser) syntaxError(err error, at int) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
-		return r.parsingError(len(r.src), "the body ends in the middle")
+		return r.parsingError(len(r.src), "unexpected end of the body")
 	}
-	return r.parsingError(at, "not JSON: %v", err)
+	return r.parsingError(at, "invalid JSON: %v", err)
 }
 
-// scalarText is a string, number or truth that was just read, a string without its quotes. What has nothing escaped lies
-// in the body.
+// scalarText returns the text of a string, number or boolean that was just read, a string without its quotes. A value
+// without escapes shares the memory of the body.
 func (r *parser) scalarText(v jsontext.Value) (string, error) {
 	end := int(r.d.InputOffset())
 	switch {
@@ -199,7 +200,7 @@
 	return string(b), err
 }
 
-// readNode reads the next readNode whole.
+// readNode reads the next value with everything in it.
 func (r *parser) readNode(depth int) (*node, error) {
 	at := r.nextOffset()
 	kind := byte(r.d.PeekKind())
@@ -207,10 +208,10 @@
 		kind = kindBool
 	}
 	if r.nodeCount++; r.nodeCount > maxNodes {
-		return nil, r.parsingError(at, "over %d values", maxNodes)
+		return nil, r.parsingError(at, "the body has more than %d values", maxNodes)
 	}
 	if depth > maxDepth {
-		return nil, r.parsingError(at, "nested over %d deep", maxDepth)
+		return nil, r.parsingError(at, "the body is nested more than %d levels deep", maxDepth)
 	}
 	if len(r.spareNodes) == 0 {
 		r.spareNodes = make([]node, nodesPerAllocation)
@@ -239,21 +240,21 @@
 			if err != nil {
 				return nil, r.syntaxError(err, at)
 			}
-			word, err := r.scalarText(v)
+			name, err := r.scalarText(v)
 			if err != nil {
 				return nil, r.syntaxError(err, at)
 			}
-			if len(n.names) == maxPairwiseNames { // more are looked up: guards against time that goes with their square
+			if len(n.names) == maxPairwiseNames { // beyond it a map is used: pairwise comparison takes quadratic time
 				seen = make(map[string]bool, 2*maxPairwiseNames)
 				for _, one := range n.names {
 					seen[one.text] = true
 				}
 			}
-			if seen == nil && n.get(word) != nil || seen[word] {
-				return nil, r.parsingError(at, "duplicate name %.100q", word)
+			if seen == nil && n.get(name) != nil || seen[name] {
+				return nil, r.parsingError(at, "duplicate name %.100q", name)
 			}
-			if n.names = append(n.names, fieldName{word, at}); seen != nil {
-				seen[word] = true
+			if n.names = append(n.names, fieldName{name, at}); seen != nil {
+				seen[name] = true
 			}
 		}
 		v, err := r.readNode(depth + 1)
@@ -272,17 +273,17 @@
 	return n, nil
 }
 
-// get is a field of an object, nil where there is none.
-func (n *node) get(word string) *node {
+// get returns a field of an object, nil if the object doesn't have it.
+func (n *node) get(name string) *node {
 	for i := range n.names {
-		if n.names[i].text == word {
+		if n.names[i].text == name {
 			return n.fields[i]
 		}
 	}
 	return nil
 }
 
-// scalar is a plain value as any: string, json.Number, bool or nil.
+// scalar returns a plain value as any: string, json.Number, bool or nil.
 func (n *node) scalar() any {
 	switch n.kind {
 	case kindString:
@@ -297,15 +298,15 @@
 
 func (r *parser) requireKind(n *node, kind byte, what string) error {
 	if n.kind != kind {
-		return r.parsingError(n.offset, "[%s] is %s where %s is wanted", what, kindNames[n.kind], kindNames[kind])
+		return r.parsingError(n.offset, "[%s] is %s, expected %s", what, kindNames[n.kind], kindNames[kind])
 	}
 	return nil
 }
 
-// scalar is a string, number or truth.
+// scalar returns the value of a string, number or boolean; other kinds are errors.
 func (r *parser) scalar(n *node, what string) (any, error) {
 	if n.kind == kindObject || n.kind == kindArray || n.kind == kindNull {
-		return nil, r.parsingError(n.offset, "[%s] is %s where a plain value is wanted", what, kindNames[n.kind])
+		return nil, r.parsingError(n.offset, "[%s] is %s, expected a plain value", what, kindNames[n.kind])
 	}
 	return n.scalar(), nil
 }
@@ -313,10 +314,10 @@
 func (r *parser) integer(n *node, what string, least, most int) (int, error) {
 	v, err := json.Number(n.text).Int64()
 	if n.kind != kindNumber || err != nil {
-		return 0, r.parsingError(n.offset, "[%s] is no whole number", what)
+		return 0, r.parsingError(n.offset, "[%s] is not a whole number", what)
 	}
 	if v < int64(least) || v > int64(most) {
-		return 0, r.parsingError(n.offset, "[%s] is %d, not from %d to %d", what, v, least, most)
+		return 0, r.parsingError(n.offset, "[%s] is %d, expected a number from %d to %d", what, v, least, most)
 	}
 	return int(v), nil
 }
@@ -324,7 +325,7 @@
 func (r *parser) number(n *node, what string) (float64, error) {
 	v, err := json.Number(n.text).Float64()
 	if n.kind != kindNumber || err != nil {
-		return 0, r.parsingError(n.offset, "[%s] is no number", what)
+		return 0, r.parsingError(n.offset, "[%s] is not a number", what)
 	}
 	return v, nil
 }
--- a/opensearch/query/merge.go
+++ b/opensearch/query/merge.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	digestCompression = 1000 // of a digest: a thousandth of the ranks in the middle, less at the ends
-	maxExactKeys   = maxCardinalityKeys
+	digestCompression = 1000 // of a t-digest: errors up to a thousandth of the ranks in the middle, less at the ends
+	maxExactKeys      = maxCardinalityKeys
 )
 
-// ShardFailure is a part that is not in, and why.
+// ShardFailure is a shard without a usable response, and the reason.
 type ShardFailure struct {
 	Shard  int
 	Index  string
@@ -26,42 +26,43 @@
 	Reason string
 }
 
-// SearchOutcome is what a search has come to: the parts that are in, and those that are not.
+// SearchOutcome is the outcome of a search: the shards with a response, and those without one.
 type SearchOutcome struct {
 	Responses  []*ShardResponse
 	Failures   []ShardFailure
-	Skipped    int   // parts that were not needed
+	Skipped    int   // shards that were not needed
 	TookMillis int64 // ms
 	TimedOut   bool
 }
 
-// MergeResponses puts the parts' answers together as the API answers a search. It does not depend on the order they came in.
-// A member on two parts counts once, as the part with the lower number has it. Totals and aggregations of less than
-// all parts are told as such: the relation of the total is gte, and _shards tells how many are in.
+// MergeResponses merges the shards' responses into the API's answer to a search. The result doesn't depend on the order
+// of the responses. If two shards return the same document, it counts once and the copy that sorts first is used; of equal
+// copies that of the lower shard number. A partial answer says so: the relation of the total is gte, and _shards has the
+// number of shards that responded.
 func (q *Request) MergeResponses(o SearchOutcome) []byte {
-	whole := q.joinTotals(o.Responses)
-	merged, doubled := q.mergeHits(o.Responses)
-	whole.DuplicateHits += doubled
-	hits, total, atLeast := merged[:min(len(merged), q.From+q.Size)], whole.Total, whole.TotalIsLowerBound
-	atLeast = atLeast || len(o.Failures)+o.Skipped > 0
-	var best *float64
+	totals := q.joinTotals(o.Responses)
+	merged, duplicates := q.mergeHits(o.Responses)
+	totals.DuplicateHits += duplicates
+	hits, total, isLowerBound := merged[:min(len(merged), q.From+q.Size)], totals.Total, totals.TotalIsLowerBound
+	isLowerBound = isLowerBound || len(o.Failures)+o.Skipped > 0
+	var maxScore *float64
 	if k := q.Sort[0]; k.Field == "_score" && k.Descending && len(hits) > 0 && len(q.SearchAfter) == 0 {
-		best = hits[0].Score
+		maxScore = hits[0].Score
 	}
-	if total -= whole.DuplicateHits; q.TrackTotalHits < math.MaxInt && total > q.TrackTotalHits {
-		total, atLeast = q.TrackTotalHits, true
+	if total -= totals.DuplicateHits; q.TrackTotalHits < math.MaxInt && total > q.TrackTotalHits {
+		total, isLowerBound = q.TrackTotalHits, true
 	}
 	if len(hits) > q.From {
 		hits = hits[q.From:]
 	} else {
 		hits = nil
 	}
-	// Names in the order of their bytes, as maps are written: equal outcomes have equal texts.
-	room := 256 + 128*len(o.Failures)
+	// Field names are written in byte order, as for an encoded map, so that equal outcomes give equal texts.
+	capacity := 256 + 128*len(o.Failures)
 	for i := range hits {
-		room += 128 + len(hits[i].Source) + len(hits[i].Index) + len(hits[i].ID)
+		capacity += 128 + len(hits[i].Source) + len(hits[i].Index) + len(hits[i].ID)
 	}
-	dst := append(make([]byte, 0, room), `{"_shards":{"failed":`...)
+	dst := append(make([]byte, 0, capacity), `{"_shards":{"failed":`...)
 	dst = strconv.AppendInt(dst, int64(len(o.Failures)), 10)
 	for i, f := range o.Failures {
 		dst = append(dst, [...]string{`,"failures":[`, `,`}[min(i, 1)]...)
@@ -74,12 +75,12 @@
 		dst = append(dst, ']')
 	}
 	dst = strconv.AppendInt(append(dst, `,"skipped":`...), int64(o.Skipped), 10)
-	dst = strconv.AppendInt(append(dst, `,"successful":`...), int64(whole.ShardCount+o.Skipped), 10)
-	dst = strconv.AppendInt(append(dst, `,"total":`...), int64(whole.ShardCount+len(o.Failures)+o.Skipped), 10)
+	dst = strconv.AppendInt(append(dst, `,"successful":`...), int64(totals.ShardCount+o.Skipped), 10)
+	dst = strconv.AppendInt(append(dst, `,"total":`...), int64(totals.ShardCount+len(o.Failures)+o.Skipped), 10)
 	dst = append(dst, '}')
 	if len(q.Aggregations) > 0 {
 		var got []map[string]any
-		for _, p := range whole.aggs {
+		for _, p := range totals.aggs {
 			got = append(got, p.aggs)
 		}
 		text, _ := json.Marshal(mergeAggs(q.Aggregations, got))
@@ -92,24 +93,24 @@
 		}
 		dst = hits[i].append(dst, q.SortRequested)
 	}
-	dst = appendScore(append(dst, `],"max_score":`...), best)
+	dst = appendScore(append(dst, `],"max_score":`...), maxScore)
 	if q.TrackTotalHits > 0 {
 		relation := "eq"
-		if atLeast {
+		if isLowerBound {
 			relation = "gte"
 		}
 		dst = append(append(append(dst, `,"total":{"relation":"`...), relation...), `","value":`...)
 		dst = append(strconv.AppendInt(dst, int64(total), 10), '}')
 	}
 	dst = append(dst, '}')
-	if whole.TerminatedEarly {
+	if totals.TerminatedEarly {
 		dst = append(dst, `,"terminated_early":true`...)
 	}
 	dst = strconv.AppendBool(append(dst, `,"timed_out":`...), o.TimedOut)
 	return append(strconv.AppendInt(append(dst, `,"took":`...), o.TookMillis, 10), '}')
 }
 
-// append writes a hit: what its host gave as the source, byte for byte.
+// append writes a hit, with its _source byte for byte as the host sent it.
 func (h *Hit) append(dst []byte, sorted bool) []byte {
 	dst = appendText(append(dst, `{"_index":`...), h.Index)
 	dst = appendText(append(dst, `,"_id":`...), h.ID)
@@ -139,7 +140,7 @@
 	return dst
 }
 
-// appendScore writes a score as the API does, null for none.
+// appendScore writes a score as the API does; nil is written as null.
 func appendScore(dst []byte, v *float64) []byte {
 	if v == nil {
 		return append(dst, "null"...)
@@ -148,19 +149,19 @@
 	return append(dst, text...)
 }
 
-// JoinResponses puts answers together so that they can be joined or merged further: whatever the order and the grouping, the
-// result is the same. All hits stay, since one that is beyond the page may be there twice in what comes later.
+// JoinResponses joins responses into one that can be joined or merged further. The result doesn't depend on order or
+// grouping. All hits are kept, also those beyond the page: a later response may repeat one of them.
 func (q *Request) JoinResponses(answers ...*ShardResponse) *ShardResponse {
 	out := q.joinTotals(answers)
-	hits, doubled := q.mergeHits(answers)
-	out.DuplicateHits += doubled
+	hits, duplicates := q.mergeHits(answers)
+	out.DuplicateHits += duplicates
 	for _, h := range hits {
 		out.Hits = append(out.Hits, *h)
 	}
 	return out
 }
 
-// joinTotals adds up all but the hits.
+// joinTotals joins everything but the hits.
 func (q *Request) joinTotals(answers []*ShardResponse) *ShardResponse {
 	out := &ShardResponse{Shard: math.MaxInt}
 	for _, a := range answers {
@@ -173,9 +174,9 @@
 	return out
 }
 
-// hitHeap are lists of hits as far as they have been taken, a heap by their first ones.
+// hitHeap is a heap of the remaining hits of each response, ordered by the first hit of each.
 type hitHeap struct {
-	q    *Request
+	q     *Request
 	lists [][]Hit
 }
 
@@ -186,7 +187,7 @@
 	return c.lists[i][0].shard < c.lists[j][0].shard
 }
 
-// siftDown puts the list at a place where it belongs.
+// siftDown moves the list at index i down until the heap is ordered again.
 func (c *hitHeap) siftDown(i int) {
 	for {
 		least := i
@@ -203,9 +204,9 @@
 	}
 }
 
-// mergeHits merges the hits of mergeHits answers, a member that is there twice as its first, and counts the others. The heap holds
-// a list an answer, so that no more is held than the answers themselves.
-func (q *Request) mergeHits(answers []*ShardResponse) (hits []*Hit, doubled int) {
+// mergeHits merges the hits of all responses. Of a document that appears more than once it keeps the first hit and counts
+// the others. The heap holds one list for each response and so needs no copy of the hits.
+func (q *Request) mergeHits(answers []*ShardResponse) (hits []*Hit, duplicates int) {
 	c := hitHeap{q, make([][]Hit, 0, len(answers))}
 	n := 0
 	for _, a := range answers {
@@ -227,14 +228,14 @@
 		if last > 0 {
 			c.siftDown(0)
 		}
-		if _, there := seen[h.ID]; there {
-			doubled++
+		if _, found := seen[h.ID]; found {
+			duplicates++
 			continue
 		}
 		seen[h.ID] = struct{}{}
 		hits = append(hits, h)
 	}
-	return hits, doubled
+	return hits, duplicates
 }
 
 func mergeAggs(aggs []Aggregation, got []map[string]any) map[string]any {
@@ -263,19 +264,19 @@
 }
 
 func mergeStats(kind string, all []map[string]any) map[string]any {
-	count, sum, least, most := 0.0, 0.0, math.Inf(1), math.Inf(-1)
+	count, sum, minimum, maximum := 0.0, 0.0, math.Inf(1), math.Inf(-1)
 	for _, one := range all {
-		n, _ := number(one["count"])
+		n, _ := toFloat(one["count"])
 		if n == 0 {
 			continue
 		}
-		s, _ := number(one["sum"])
+		s, _ := toFloat(one["sum"])
 		count, sum = count+n, sum+s
-		if v, ok := number(one["min"]); ok {
-			least = min(least, v)
+		if v, ok := toFloat(one["min"]); ok {
+			minimum = min(minimum, v)
 		}
-		if v, ok := number(one["max"]); ok {
-			most = max(most, v)
+		if v, ok := toFloat(one["max"]); ok {
+			maximum = max(maximum, v)
 		}
 	}
 	var v any
@@ -289,14 +290,14 @@
 	case kind == "avg":
 		v = sum / count
 	case kind == "min":
-		v = least
+		v = minimum
 	case kind == "max":
-		v = most
+		v = maximum
 	}
 	return map[string]any{"value": v}
 }
 
-// bucket is one key of a terms aggregation over the parts.
+// bucket is one key of a terms aggregation, merged over the shards.
 type bucket struct {
 	key   any
 	count int64
@@ -304,21 +305,21 @@
 	subs []map[string]any
 }
 
-// mergeTerms adds up buckets. A part whose list was cut may hold up to its last count of any key that it did not
-// tell: that is the error bound of the whole, as the API tells it.
+// mergeTerms adds up the buckets of a terms aggregation. A shard whose list was cut may hold, of any key that it did not
+// return, as many documents as its last bucket. The sum over these shards is the API's doc_count_error_upper_bound.
 func mergeTerms(a Aggregation, all []map[string]any) map[string]any {
-	buckets, others, bound := map[string]*bucket{}, int64(0), int64(0)
+	buckets, otherDocs, errorBound := map[string]*bucket{}, int64(0), int64(0)
 	for _, one := range all {
-		rest, _ := number(one["sum_other_doc_count"])
-		others += int64(rest)
+		shardOther, _ := toFloat(one["sum_other_doc_count"])
+		otherDocs += int64(shardOther)
 		list := one["buckets"].([]any)
-		if n := len(list); rest > 0 && n > 0 && !a.OrderByKey {
-			last, _ := number(list[n-1].(map[string]any)["doc_count"])
-			bound += int64(last)
+		if n := len(list); shardOther > 0 && n > 0 && !a.OrderByKey {
+			last, _ := toFloat(list[n-1].(map[string]any)["doc_count"])
+			errorBound += int64(last)
 		}
 		for _, item := range list {
 			m := item.(map[string]any)
-			n, _ := number(m["doc_count"])
+			n, _ := toFloat(m["doc_count"])
 			name := fmt.Sprintf("%T%v", m["key"], m["key"])
 			b := buckets[name]
 			if b == nil {
@@ -342,7 +343,7 @@
 	out := []any{}
 	for i, b := range list {
 		if i >= a.Size {
-			others += b.count
+			otherDocs += b.count
 			continue
 		}
 		m := map[string]any{"key": b.key, "doc_count": b.count}
@@ -353,16 +354,16 @@
 		}
 		out = append(out, m)
 	}
-	return map[string]any{"doc_count_error_upper_bound": bound, "sum_other_doc_count": others, "buckets": out}
+	return map[string]any{"doc_count_error_upper_bound": errorBound, "sum_other_doc_count": otherDocs, "buckets": out}
 }
 
-// mergeCardinality counts different keys: exactly while they are few, by a sketch beyond. A part that could not tell all its
-// keys makes the value a lower bound, and that is told.
+// mergeCardinality counts distinct keys: exactly up to maxExactKeys, by a HyperLogLog sketch beyond. If a shard did not
+// return all its keys, the value is a lower bound and is marked as one.
 func mergeCardinality(all []map[string]any) map[string]any {
-	keys, cut := map[string]bool{}, false
+	keys, truncated := map[string]bool{}, false
 	for _, one := range all {
-		rest, _ := number(one["sum_other_doc_count"])
-		cut = cut || rest > 0
+		shardOther, _ := toFloat(one["sum_other_doc_count"])
+		truncated = truncated || shardOther > 0
 		for _, item := range one["buckets"].([]any) {
 			keys[fmt.Sprintf("%T%v", item.(map[string]any)["key"], item.(map[string]any)["key"])] = true
 		}
@@ -376,20 +377,20 @@
 		value = sketch.Estimate()
 	}
 	out := map[string]any{"value": value}
-	if cut {
+	if truncated {
 		out["lower_bound"] = true
 	}
 	return out
 }
 
-// mergePercentiles puts the parts' quantiles into one digest, each point with the weight of its part.
+// mergePercentiles adds the shards' percentiles to one t-digest, each weighted by the document count of its shard.
 func mergePercentiles(a Aggregation, points, counts []map[string]any) map[string]any {
 	digest := tdigest.NewWithCompression(digestCompression)
 	total := 0.0
 	for i, one := range points {
 		n := 0.0
 		if i < len(counts) {
-			n, _ = number(counts[i]["value"])
+			n, _ = toFloat(counts[i]["value"])
 		}
 		if n == 0 {
 			continue
@@ -397,7 +398,7 @@
 		total += n
 		values := one["values"].(map[string]any)
 		for p := range 101 {
-			if v, ok := number(values[fmt.Sprintf("%d.0", p)]); ok {
+			if v, ok := toFloat(values[fmt.Sprintf("%d.0", p)]); ok {
 				weight := n / 100
 				if p == 0 || p == 100 {
 					weight /= 2
--- a/opensearch/query/parse.go
+++ b/opensearch/query/parse.go
@@ -10,26 +10,26 @@
 	"unicode/utf8"
 )
 
-// Clause is one clause of a query, checked.
+// Clause is one checked clause of a query.
 type Clause struct {
 	Kind               string
 	Field              string
 	Values             []any                // of term, terms, ids, prefix and match
 	Bounds             map[string]any       // of range: gt, gte, lt, lte
-	MatchAll           bool                 // of match: every word has to be there
+	MatchAll           bool                 // of match: every word must match
 	Clauses            map[string][]*Clause // of bool: must, filter, should, must_not; of constant_score: filter
-	MinimumShouldMatch int                  // of bool: should clauses that have to match
+	MinimumShouldMatch int                  // of bool: number of should clauses that must match
 	Boost              float64
 }
 
-// SortKey is one key of a sort; Missing is "_first" or "_last", or a value that stands for a missing one.
+// SortKey is one key of a sort; Missing is "_first" or "_last", or a value that replaces a missing one.
 type SortKey struct {
 	Field      string
 	Descending bool
 	Missing    any
 }
 
-// Aggregation is one aggregation.
+// Aggregation is one checked aggregation; Kind is its type in the API.
 type Aggregation struct {
 	Name, Kind, Field     string
 	Size                  int       // of terms
@@ -38,17 +38,17 @@
 	SubAggregations       []Aggregation
 }
 
-// Request is a search, checked and normalised.
+// Request is a checked and normalised search.
 type Request struct {
 	Query          *Clause
 	From, Size     int
 	Sort           []SortKey // the last is _id
-	SortRequested  bool      // the client named a sort: hits carry their sort values
+	SortRequested  bool      // the client gave a sort: hits of the answer have their sort values
 	SearchAfter    []any
 	IncludeSource  bool
 	SourceIncludes []string
 	SourceExcludes []string
-	TrackTotalHits int // hits counted at least; math.MaxInt for all, 0 for none
+	TrackTotalHits int // number up to which hits are counted; math.MaxInt for all, 0 for none
 	MinScore       *float64
 	Timeout        time.Duration // 0 for none
 	TerminateAfter int
@@ -56,23 +56,23 @@
 }
 
 const (
-	defaultSize  = 10     // hits where a search names no size: the API's
-	defaultTrackTotalHits = 10_000 // hits counted where a search does not say: the API's
-	defaultTermsSize = 10     // buckets where an aggregation names no size: the API's
+	defaultSize           = 10     // hits if a search has no size: the API's default
+	defaultTrackTotalHits = 10_000 // hits counted if a search has no track_total_hits: the API's default
+	defaultTermsSize      = 10     // buckets if an aggregation has no size: the API's default
 )
 
-var defaultPercents = []float64{1, 5, 25, 50, 75, 95, 99} // the API's
+var defaultPercents = []float64{1, 5, 25, 50, 75, 95, 99} // the API's default
 
-// Known words of the API that are not done here: they are refused by name, not as unknown.
+// Names of the API that are not supported here: they are rejected by name, not as unknown.
 var (
-	unsupportedFields = words("highlight suggest collapse rescore script_fields stored_fields docvalue_fields fields explain version " +
+	unsupportedFields = wordSet("highlight suggest collapse rescore script_fields stored_fields docvalue_fields fields explain version " +
 		"seq_no_primary_term indices_boost post_filter profile pit slice stats runtime_mappings knn ext derived search_pipeline " +
 		"include_named_queries_score verbose_pipeline")
-	unsupportedClauses = words("fuzzy wildcard regexp match_phrase match_phrase_prefix match_bool_prefix multi_match query_string " +
+	unsupportedClauses = wordSet("fuzzy wildcard regexp match_phrase match_phrase_prefix match_bool_prefix multi_match query_string " +
 		"simple_query_string nested has_child has_parent parent_id geo_distance geo_bounding_box geo_polygon geo_shape " +
 		"function_score script script_score dis_max boosting more_like_this percolate terms_set distance_feature rank_feature " +
 		"intervals knn neural hybrid pinned wrapper span_term span_near span_or span_not span_first span_multi xy_shape template")
-	knownAggs = words("stats extended_stats date_histogram histogram range date_range ip_range filter filters global missing nested " +
+	unsupportedAggs = wordSet("stats extended_stats date_histogram histogram range date_range ip_range filter filters global missing nested " +
 		"reverse_nested children parent significant_terms significant_text sampler diversified_sampler composite top_hits " +
 		"geohash_grid geotile_grid geo_bounds geo_centroid matrix_stats median_absolute_deviation percentile_ranks rare_terms " +
 		"scripted_metric weighted_avg variable_width_histogram auto_date_histogram adjacency_matrix multi_terms avg_bucket " +
@@ -80,7 +80,7 @@
 		"bucket_sort serial_diff moving_avg moving_fn")
 )
 
-func words(text string) map[string]bool {
+func wordSet(text string) map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(text) {
 		m[w] = true
@@ -88,12 +88,12 @@
 	return m
 }
 
-// unsupportedOrUnknown tells a known word that is not done from an unknown one.
-func (r *parser) unsupportedOrUnknown(known map[string]bool, word string, at int, what string) error {
-	if known[word] {
-		return illegalArgument("%s [%s] is known to the API and not done here", what, word)
+// unsupportedOrUnknown returns the error for a name that is not supported: whether the API has it or it is unknown.
+func (r *parser) unsupportedOrUnknown(known map[string]bool, name string, at int, what string) error {
+	if known[name] {
+		return illegalArgument("%s [%s] is part of the API but not supported here", what, name)
 	}
-	return r.parsingError(at, "unknown %s [%.100s]", what, word)
+	return r.parsingError(at, "unknown %s [%.100s]", what, name)
 }
 
 // ParseRequest reads and checks a search's body.
@@ -105,14 +105,14 @@
 	q := &Request{Query: &Clause{Kind: "match_all", Boost: 1}, Size: defaultSize, IncludeSource: true, TrackTotalHits: defaultTrackTotalHits}
 	clauses := 0
 	for i, f := range n.fields {
-		word := n.names[i].text
-		switch word {
+		name := n.names[i].text
+		switch name {
 		case "query":
 			q.Query, err = r.clause(f, &clauses)
 		case "from":
-			q.From, err = r.integer(f, word, 0, MaxResultWindow)
+			q.From, err = r.integer(f, name, 0, MaxResultWindow)
 		case "size":
-			q.Size, err = r.integer(f, word, 0, MaxResultWindow)
+			q.Size, err = r.integer(f, name, 0, MaxResultWindow)
 		case "sort":
 			err = r.sort(f, q)
 		case "search_after":
@@ -123,33 +123,33 @@
 			err = r.trackTotalHits(f, q)
 		case "min_score":
 			var v float64
-			v, err = r.number(f, word)
+			v, err = r.number(f, name)
 			q.MinScore = &v
 		case "track_scores":
-			err = r.requireKind(f, kindBool, word)
+			err = r.requireKind(f, kindBool, name)
 		case "timeout":
 			q.Timeout, err = r.timeout(f)
 		case "terminate_after":
-			q.TerminateAfter, err = r.integer(f, word, 0, math.MaxInt32)
+			q.TerminateAfter, err = r.integer(f, name, 0, math.MaxInt32)
 		case "aggs", "aggregations":
 			if len(q.Aggregations) > 0 {
-				err = r.parsingError(n.names[i].offset, "both aggs and aggregations")
+				err = r.parsingError(n.names[i].offset, "only one of [aggs] and [aggregations] is allowed")
 				break
 			}
 			count := 0
 			q.Aggregations, err = r.aggs(f, 1, &count)
 		default:
-			err = r.unsupportedOrUnknown(unsupportedFields, word, n.names[i].offset, "part of a search")
+			err = r.unsupportedOrUnknown(unsupportedFields, name, n.names[i].offset, "search field")
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	return q, q.check()
+	return q, q.normalize()
 }
 
-// check looks at what belongs together.
-func (q *Request) check() error {
+// normalize checks the fields that depend on one another and fills in the sort.
+func (q *Request) normalize() error {
 	if q.From+q.Size > MaxResultWindow {
 		return illegalArgument("Result window is too large, from + size must be less than or equal to: [%d] but was [%d]. "+
 			"Use search_after beyond it.", MaxResultWindow, q.From+q.Size)
@@ -159,7 +159,7 @@
 	}
 	if len(q.SearchAfter) > 0 {
 		if !q.SortRequested {
-			return illegalArgument("search_after needs a sort")
+			return illegalArgument("[search_after] requires a [sort]")
 		}
 		if q.From > 0 {
 			return illegalArgument("`from` parameter must be set to 0 when `search_after` is used.")
@@ -170,13 +170,13 @@
 	}
 	for i, k := range q.Sort {
 		if k.Field == "_id" && i < len(q.Sort)-1 {
-			return illegalArgument("sort by [_id] comes last: no two members share one")
+			return illegalArgument("sort by [_id] must come last: no two documents share an _id")
 		}
 	}
 	if q.Sort[len(q.Sort)-1].Field != "_id" {
 		q.Sort = append(q.Sort, SortKey{Field: "_id", Missing: "_last"})
 	}
-	if n := len(q.SearchAfter); n > 0 && n < len(q.Sort) { // behind all members that share the values told, as the API has it
+	if n := len(q.SearchAfter); n > 0 && n < len(q.Sort) { // continue after all documents with the given values, as the API does
 		q.SearchAfter = append(q.SearchAfter, string(utf8.MaxRune))
 	}
 	return nil
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	if len(n.names) != 1 {
-		return nil, r.parsingError(n.offset, "a clause has one name, this has %d", len(n.names))
+		return nil, r.parsingError(n.offset, "a clause must have exactly one name, got %d", len(n.names))
 	}
 	kind, body := n.names[0].text, n.fields[0]
 	c := &Clause{Kind: kind, Boost: 1}
@@ -209,8 +209,8 @@
 	case "exists":
 		err = r.requireKind(body, kindObject, kind)
 		if err == nil {
-			err = r.parseFields(body, kind, c, func(word string, f *node) (bool, error) {
-				if word != "field" {
+			err = r.parseFields(body, kind, c, func(name string, f *node) (bool, error) {
+				if name != "field" {
 					return false, nil
 				}
 				c.Field = f.text
@@ -218,13 +218,13 @@
 			})
 		}
 		if err == nil && c.Field == "" {
-			err = r.parsingError(body.offset, "[exists] names no field")
+			err = r.parsingError(body.offset, "[exists] requires a [field]")
 		}
 	case "ids":
 		err = r.requireKind(body, kindObject, kind)
 		if err == nil {
-			err = r.parseFields(body, kind, c, func(word string, f *node) (bool, error) {
-				if word != "values" {
+			err = r.parseFields(body, kind, c, func(name string, f *node) (bool, error) {
+				if name != "values" {
 					return false, nil
 				}
 				var err error
@@ -233,8 +233,8 @@
 			})
 		}
 		for _, v := range c.Values {
-			if _, text := v.(string); !text && err == nil {
-				err = r.parsingError(body.offset, "an id is no string")
+			if _, isString := v.(string); !isString && err == nil {
+				err = r.parsingError(body.offset, "[ids] has a value that is not a string")
 			}
 		}
 	case "bool":
@@ -243,17 +243,17 @@
 		c.Clauses = map[string][]*Clause{}
 		err = r.requireKind(body, kindObject, kind)
 		if err == nil {
-			err = r.parseFields(body, kind, c, func(word string, f *node) (bool, error) {
-				if word != "filter" {
+			err = r.parseFields(body, kind, c, func(name string, f *node) (bool, error) {
+				if name != "filter" {
 					return false, nil
 				}
 				sub, err := r.clause(f, count)
-				c.Clauses[word] = []*Clause{sub}
+				c.Clauses[name] = []*Clause{sub}
 				return true, err
 			})
 		}
 		if err == nil && len(c.Clauses["filter"]) == 0 {
-			err = r.parsingError(body.offset, "[constant_score] has no filter")
+			err = r.parsingError(body.offset, "[constant_score] requires a [filter]")
 		}
 	default:
 		err = r.unsupportedOrUnknown(unsupportedClauses, kind, n.names[0].offset, "query")
@@ -261,23 +261,24 @@
 	return c, err
 }
 
-// parseFields walks an object's fields: boost and _name everywhere, the rest by take; what it does not take is unknown.
-func (r *parser) parseFields(n *node, what string, c *Clause, take func(word string, f *node) (bool, error)) error {
+// parseFields parses the fields of a clause's object: boost itself, the others by take, which reports whether it knows the
+// field. Any other field is rejected as unsupported or unknown.
+func (r *parser) parseFields(n *node, what string, c *Clause, take func(name string, f *node) (bool, error)) error {
 	for i, f := range n.fields {
-		word := n.names[i].text
-		if word == "boost" {
-			v, err := r.number(f, word)
+		name := n.names[i].text
+		if name == "boost" {
+			v, err := r.number(f, name)
 			if err != nil {
 				return err
 			}
 			if v < 0 {
-				return r.parsingError(f.offset, "[boost] is under 0")
+				return r.parsingError(f.offset, "[boost] is negative")
 			}
 			c.Boost = v
 			continue
 		}
 		if take != nil {
-			taken, err := take(word, f)
+			taken, err := take(name, f)
 			if err != nil {
 				return err
 			}
@@ -288,28 +289,28 @@
 		if slices.Contains([]string{
 			"_name", "case_insensitive", "fuzziness", "analyzer", "zero_terms_query", "format",
 			"relation", "time_zone", "rewrite", "minimum_should_match", "lenient", "value_type",
-		}, word) {
-			return illegalArgument("[%s] of [%s] is known to the API and not done here", word, what)
+		}, name) {
+			return illegalArgument("[%s] of [%s] is part of the API but not supported here", name, what)
 		}
-		return r.parsingError(n.names[i].offset, "[%s] does not know [%.100s]", what, word)
+		return r.parsingError(n.names[i].offset, "[%s] has an unknown field [%.100s]", what, name)
 	}
 	return nil
 }
 
-// singleField gives the field that a clause such as term names.
+// singleField returns the name and value of the one field that a clause such as term has.
 func (r *parser) singleField(n *node, what string) (string, *node, error) {
 	if err := r.requireKind(n, kindObject, what); err != nil {
 		return "", nil, err
 	}
 	if len(n.names) != 1 {
-		return "", nil, r.parsingError(n.offset, "[%s] names %d fields, not one", what, len(n.names))
+		return "", nil, r.parsingError(n.offset, "[%s] names %d fields, expected one", what, len(n.names))
 	}
 	return n.names[0].text, n.fields[0], r.checkFieldName(n.names[0])
 }
 
 func (r *parser) checkFieldName(n fieldName) error {
 	if n.text == "" || len(n.text) > maxNameBytes {
-		return r.parsingError(n.offset, "a field's name of %d bytes, 1 to %d are wanted", len(n.text), maxNameBytes)
+		return r.parsingError(n.offset, "field name of %d bytes, expected 1 to %d", len(n.text), maxNameBytes)
 	}
 	return nil
 }
@@ -321,19 +322,19 @@
 	}
 	c.Field = field
 	if f.kind == kindObject {
-		word := map[string]string{"term": "value", "prefix": "value", "match": "query"}[c.Kind]
-		err = r.parseFields(f, c.Kind, c, func(w string, g *node) (bool, error) {
-			if c.Kind == "match" && w == "operator" {
+		valueName := map[string]string{"term": "value", "prefix": "value", "match": "query"}[c.Kind]
+		err = r.parseFields(f, c.Kind, c, func(name string, g *node) (bool, error) {
+			if c.Kind == "match" && name == "operator" {
 				op := strings.ToLower(g.text)
 				if c.MatchAll = op == "and"; op != "and" && op != "or" {
-					return true, r.parsingError(g.offset, "[operator] is neither and nor or")
+					return true, r.parsingError(g.offset, "[operator] must be [and] or [or]")
 				}
 				return true, nil
 			}
-			if w != word {
+			if name != valueName {
 				return false, nil
 			}
-			v, err := r.scalar(g, w)
+			v, err := r.scalar(g, name)
 			c.Values = []any{v}
 			return true, err
 		})
@@ -343,15 +344,15 @@
 		c.Values = []any{v}
 	}
 	if err == nil && len(c.Values) == 0 {
-		err = r.parsingError(f.offset, "[%s] has no value", c.Kind)
+		err = r.parsingError(f.offset, "[%s] requires a value", c.Kind)
 	}
-	if _, text := first(c.Values).(string); err == nil && c.Kind == "prefix" && !text {
-		err = r.parsingError(f.offset, "[prefix] wants a string")
+	if _, isString := firstValue(c.Values).(string); err == nil && c.Kind == "prefix" && !isString {
+		err = r.parsingError(f.offset, "[prefix] requires a string")
 	}
 	return err
 }
 
-func first(all []any) any {
+func firstValue(all []any) any {
 	if len(all) == 0 {
 		return nil
 	}
@@ -363,7 +364,7 @@
 		return nil, err
 	}
 	if len(n.items) > maxTerms {
-		return nil, illegalArgument("[%s] has %d values, %d at the most", what, len(n.items), maxTerms)
+		return nil, illegalArgument("[%s] has %d values, the maximum is %d", what, len(n.items), maxTerms)
 	}
 	var all []any
 	for _, item := range n.items {
@@ -380,16 +381,16 @@
 	if err := r.requireKind(n, kindObject, c.Kind); err != nil {
 		return err
 	}
-	return r.parseFields(n, c.Kind, c, func(word string, f *node) (bool, error) {
+	return r.parseFields(n, c.Kind, c, func(name string, f *node) (bool, error) {
 		if f.kind == kindObject {
-			return true, illegalArgument("a lookup in [terms] is known to the API and not done here")
+			return true, illegalArgument("a lookup in [terms] is part of the API but not supported here")
 		}
 		if c.Field != "" {
-			return true, r.parsingError(f.offset, "[terms] names two fields")
+			return true, r.parsingError(f.offset, "[terms] names more than one field")
 		}
-		c.Field = word
+		c.Field = name
 		var err error
-		c.Values, err = r.values(f, word)
+		c.Values, err = r.values(f, name)
 		return true, err
 	})
 }
@@ -403,15 +404,15 @@
 		return err
 	}
 	c.Field, c.Bounds = field, map[string]any{}
-	return r.parseFields(f, c.Kind, c, func(word string, g *node) (bool, error) {
-		if !slices.Contains([]string{"gt", "gte", "lt", "lte"}, word) {
+	return r.parseFields(f, c.Kind, c, func(name string, g *node) (bool, error) {
+		if !slices.Contains([]string{"gt", "gte", "lt", "lte"}, name) {
 			return false, nil
 		}
-		if g.kind == kindNull { // the API's 'no bound'
+		if g.kind == kindNull { // null means no bound in the API
 			return true, nil
 		}
-		v, err := r.scalar(g, word)
-		c.Bounds[word] = v
+		v, err := r.scalar(g, name)
+		c.Bounds[name] = v
 		return true, err
 	})
 }
@@ -421,9 +422,9 @@
 		return err
 	}
 	c.Clauses = map[string][]*Clause{}
-	var least *node
-	err := r.parseFields(n, c.Kind, c, func(word string, f *node) (bool, error) {
-		switch word {
+	var minimum *node
+	err := r.parseFields(n, c.Kind, c, func(name string, f *node) (bool, error) {
+		switch name {
 		case "must", "filter", "should", "must_not":
 			all := f.items
 			if f.kind != kindArray {
@@ -434,11 +435,11 @@
 				if err != nil {
 					return true, err
 				}
-				c.Clauses[word] = append(c.Clauses[word], sub)
+				c.Clauses[name] = append(c.Clauses[name], sub)
 			}
 			return true, nil
 		case "minimum_should_match":
-			least = f
+			minimum = f
 			return true, nil
 		}
 		return false, nil
@@ -450,22 +451,22 @@
 	if c.MinimumShouldMatch = 0; should > 0 && len(c.Clauses["must"])+len(c.Clauses["filter"]) == 0 {
 		c.MinimumShouldMatch = 1
 	}
-	if least == nil {
+	if minimum == nil {
 		return nil
 	}
-	text, percent := least.text, false
-	if least.kind == kindString {
+	text, percent := minimum.text, false
+	if minimum.kind == kindString {
 		text, percent = strings.CutSuffix(text, "%")
 	}
 	v, err := strconv.Atoi(text)
-	if err != nil || least.kind != kindString && least.kind != kindNumber {
-		return illegalArgument("minimum_should_match [%.40s] is known to the API and not done here: a whole number or a percentage", least.text)
+	if err != nil || minimum.kind != kindString && minimum.kind != kindNumber {
+		return illegalArgument("minimum_should_match [%.40s] is part of the API but not supported here: expected a whole number or a percentage", minimum.text)
 	}
 	if percent {
 		if v < -100 || v > 100 {
-			return r.parsingError(least.offset, "[minimum_should_match] is no percentage")
+			return r.parsingError(minimum.offset, "[minimum_should_match] must be a percentage from -100 to 100")
 		}
-		v = int(float64(v) / 100 * float64(should)) // towards nothing, as the API rounds
+		v = int(float64(v) / 100 * float64(should)) // rounded towards zero, as in the API
 	}
 	if v < 0 {
 		v = should + v
@@ -480,7 +481,7 @@
 		all = []*node{n}
 	}
 	if len(all) > maxSortKeys {
-		return illegalArgument("%d sort keys, %d at the most", len(all), maxSortKeys)
+		return illegalArgument("%d sort keys, the maximum is %d", len(all), maxSortKeys)
 	}
 	for _, item := range all {
 		k := SortKey{Missing: "_last"}
@@ -499,33 +500,33 @@
 				return err
 			}
 			for i, g := range f.fields {
-				switch word := f.names[i].text; word {
+				switch name := f.names[i].text; name {
 				case "order":
 					if k.Descending = g.text == "desc"; g.kind != kindString || g.text != "asc" && g.text != "desc" {
-						return r.parsingError(g.offset, "[order] is neither asc nor desc")
+						return r.parsingError(g.offset, "[order] must be [asc] or [desc]")
 					}
 				case "missing":
-					v, err := r.scalar(g, word)
+					v, err := r.scalar(g, name)
 					if err != nil {
 						return err
 					}
 					k.Missing = v
 				case "mode", "nested", "unmapped_type", "numeric_type", "format":
-					return illegalArgument("[%s] of [sort] is known to the API and not done here", word)
+					return illegalArgument("[%s] of [sort] is part of the API but not supported here", name)
 				default:
-					return r.parsingError(f.names[i].offset, "[sort] does not know [%.100s]", word)
+					return r.parsingError(f.names[i].offset, "[sort] has an unknown field [%.100s]", name)
 				}
 			}
 		default:
-			return r.parsingError(item.offset, "a sort key is a name or an object with one")
+			return r.parsingError(item.offset, "a sort key must be a name or an object with exactly one name")
 		}
 		switch {
 		case k.Field == "" || len(k.Field) > maxNameBytes:
-			return r.parsingError(item.offset, "a sort key without a proper name")
+			return r.parsingError(item.offset, "sort key name is empty or too long")
 		case k.Field == "_script" || k.Field == "_geo_distance" || k.Field == "_doc":
-			return illegalArgument("sort by [%s] is known to the API and not done here", k.Field)
+			return illegalArgument("sort by [%s] is part of the API but not supported here", k.Field)
 		case slices.ContainsFunc(q.Sort, func(o SortKey) bool { return o.Field == k.Field }):
-			return r.parsingError(item.offset, "sort key [%.100s] is there twice", k.Field)
+			return r.parsingError(item.offset, "duplicate sort key [%.100s]", k.Field)
 		}
 		q.Sort, q.SortRequested = append(q.Sort, k), true
 	}
@@ -538,18 +539,18 @@
 	}
 	for _, item := range n.items {
 		if item.kind == kindObject || item.kind == kindArray {
-			return r.parsingError(item.offset, "[search_after] holds plain values")
+			return r.parsingError(item.offset, "[search_after] must hold plain values only")
 		}
 		q.SearchAfter = append(q.SearchAfter, item.scalar())
 	}
 	if len(q.SearchAfter) == 0 || len(q.SearchAfter) > maxSortKeys+1 {
-		return r.parsingError(n.offset, "[search_after] has %d values", len(q.SearchAfter))
+		return r.parsingError(n.offset, "[search_after] has %d values, expected one for each sort key", len(q.SearchAfter))
 	}
 	return nil
 }
 
 func (r *parser) source(n *node, q *Request) error {
-	strs := func(n *node) ([]string, error) {
+	stringList := func(n *node) ([]string, error) {
 		all := n.items
 		if n.kind != kindArray {
 			all = []*node{n}
@@ -568,23 +569,23 @@
 	case kindBool:
 		q.IncludeSource = n.text == "true"
 	case kindString, kindArray:
-		q.SourceIncludes, err = strs(n)
+		q.SourceIncludes, err = stringList(n)
 	case kindObject:
 		for i, f := range n.fields {
 			switch n.names[i].text {
 			case "includes", "include":
-				q.SourceIncludes, err = strs(f)
+				q.SourceIncludes, err = stringList(f)
 			case "excludes", "exclude":
-				q.SourceExcludes, err = strs(f)
+				q.SourceExcludes, err = stringList(f)
 			default:
-				err = r.parsingError(n.names[i].offset, "[_source] does not know [%.100s]", n.names[i].text)
+				err = r.parsingError(n.names[i].offset, "[_source] has an unknown field [%.100s]", n.names[i].text)
 			}
 			if err != nil {
 				return err
 			}
 		}
 	default:
-		err = r.parsingError(n.offset, "[_source] is %s", kindNames[n.kind])
+		err = r.parsingError(n.offset, "[_source] is %s, expected a boolean, a string, an array or an object", kindNames[n.kind])
 	}
 	return err
 }
@@ -612,11 +613,11 @@
 	return d, nil
 }
 
-// ParseDuration reads a time in the API's units: nanos, micros, ms, s, m, h, d.
+// ParseDuration parses a duration in the API's units: nanos, micros, ms, s, m, h, d.
 func ParseDuration(text string) (time.Duration, error) {
 	for _, u := range []struct {
-		word string
-		each time.Duration
+		suffix string
+		unit   time.Duration
 	}{
 		{"nanos", time.Nanosecond},
 		{"micros", time.Microsecond},
@@ -626,18 +627,18 @@
 		{"h", time.Hour},
 		{"d", 24 * time.Hour},
 	} {
-		if digits, ok := strings.CutSuffix(text, u.word); ok {
+		if digits, ok := strings.CutSuffix(text, u.suffix); ok {
 			v, err := strconv.ParseUint(digits, 10, 31)
 			if err != nil {
 				continue
 			}
-			if float64(v)*float64(u.each) > float64(math.MaxInt64/2) {
+			if float64(v)*float64(u.unit) > float64(math.MaxInt64/2) {
 				break
 			}
-			return time.Duration(v) * u.each, nil
+			return time.Duration(v) * u.unit, nil
 		}
 	}
-	return 0, illegalArgument("[%.40s] is no time such as 500ms or 2s", text)
+	return 0, illegalArgument("[%.40s] is not a duration such as 500ms or 2s", text)
 }
 
 func (r *parser) aggs(n *node, depth int, count *int) ([]Aggregation, error) {
@@ -645,44 +646,44 @@
 		return nil, err
 	}
 	if depth > maxAggDepth {
-		return nil, illegalArgument("aggregations over %d deep", maxAggDepth)
+		return nil, illegalArgument("aggregations are nested more than %d levels deep", maxAggDepth)
 	}
 	var all []Aggregation
 	for i, f := range n.fields {
 		if *count++; *count > maxAggs {
-			return nil, illegalArgument("over %d aggregations", maxAggs)
+			return nil, illegalArgument("more than %d aggregations", maxAggs)
 		}
 		a := Aggregation{Name: n.names[i].text}
 		if a.Name == "" || len(a.Name) > maxNameBytes || strings.ContainsAny(a.Name, "[]>") {
-			return nil, r.parsingError(n.names[i].offset, "[%.100s] is no name for an aggregation", a.Name)
+			return nil, r.parsingError(n.names[i].offset, "[%.100s] is not a valid aggregation name", a.Name)
 		}
 		if err := r.requireKind(f, kindObject, "aggs"); err != nil {
 			return nil, err
 		}
 		var subs *node
 		for j, g := range f.fields {
-			word := f.names[j].text
-			if word == "aggs" || word == "aggregations" {
+			name := f.names[j].text
+			if name == "aggs" || name == "aggregations" {
 				subs = g
 				continue
 			}
-			if word == "meta" {
-				return nil, illegalArgument("[meta] of an aggregation is known to the API and not done here")
+			if name == "meta" {
+				return nil, illegalArgument("[meta] of an aggregation is part of the API but not supported here")
 			}
 			if a.Kind != "" {
-				return nil, r.parsingError(f.names[j].offset, "[%.100s] has two kinds", a.Name)
+				return nil, r.parsingError(f.names[j].offset, "aggregation [%.100s] has more than one type", a.Name)
 			}
-			a.Kind = word
+			a.Kind = name
 			if err := r.agg(g, &a, f.names[j].offset); err != nil {
 				return nil, err
 			}
 		}
 		if a.Kind == "" {
-			return nil, r.parsingError(f.offset, "[%.100s] has no kind", a.Name)
+			return nil, r.parsingError(f.offset, "aggregation [%.100s] has no type", a.Name)
 		}
 		if subs != nil {
 			if a.Kind != "terms" {
-				return nil, r.parsingError(subs.offset, "[%s] takes no aggregations of its own", a.Kind)
+				return nil, r.parsingError(subs.offset, "[%s] does not support sub-aggregations", a.Kind)
 			}
 			var err error
 			if a.SubAggregations, err = r.aggs(subs, depth+1, count); err != nil {
@@ -698,7 +699,7 @@
 	switch a.Kind {
 	case "terms", "min", "max", "sum", "avg", "value_count", "cardinality", "percentiles":
 	default:
-		return r.unsupportedOrUnknown(knownAggs, a.Kind, at, "aggregation")
+		return r.unsupportedOrUnknown(unsupportedAggs, a.Kind, at, "aggregation")
 	}
 	if err := r.requireKind(n, kindObject, a.Kind); err != nil {
 		return err
@@ -706,47 +707,47 @@
 	a.Size, a.Percentiles = defaultTermsSize, defaultPercents
 	var err error
 	for i, f := range n.fields {
-		word := n.names[i].text
+		name := n.names[i].text
 		switch {
-		case word == "field":
-			a.Field, err = f.text, r.requireKind(f, kindString, word)
-		case word == "size" && a.Kind == "terms":
-			a.Size, err = r.integer(f, word, 1, maxBuckets)
-		case word == "order" && a.Kind == "terms":
+		case name == "field":
+			a.Field, err = f.text, r.requireKind(f, kindString, name)
+		case name == "size" && a.Kind == "terms":
+			a.Size, err = r.integer(f, name, 1, maxBuckets)
+		case name == "order" && a.Kind == "terms":
 			err = r.order(f, a)
-		case word == "percents" && a.Kind == "percentiles":
+		case name == "percents" && a.Kind == "percentiles":
 			err = r.percents(f, a)
 		case slices.Contains([]string{
 			"missing", "script", "format", "shard_size", "min_doc_count", "include", "exclude", "keyed",
 			"precision_threshold", "tdigest", "hdr", "show_term_doc_count_error", "collect_mode", "execution_hint",
 			"value_type", "shard_min_doc_count",
-		}, word):
-			err = illegalArgument("[%s] of [%s] is known to the API and not done here", word, a.Kind)
+		}, name):
+			err = illegalArgument("[%s] of [%s] is part of the API but not supported here", name, a.Kind)
 		default:
-			err = r.parsingError(n.names[i].offset, "[%s] does not know [%.100s]", a.Kind, word)
+			err = r.parsingError(n.names[i].offset, "[%s] has an unknown field [%.100s]", a.Kind, name)
 		}
 		if err != nil {
 			return err
 		}
 	}
 	if a.Field == "" || len(a.Field) > maxNameBytes {
-		return r.parsingError(n.offset, "[%s] names no proper field", a.Kind)
+		return r.parsingError(n.offset, "[%s] requires a [field] that is not empty or too long", a.Kind)
 	}
 	return nil
 }
 
 func (r *parser) order(n *node, a *Aggregation) error {
 	if n.kind != kindObject || len(n.names) != 1 {
-		return illegalArgument("an order of several keys is known to the API and not done here")
+		return illegalArgument("an order of several keys is part of the API but not supported here")
 	}
 	if a.OrderByKey = n.names[0].text == "_key"; !a.OrderByKey && n.names[0].text != "_count" {
-		return illegalArgument("order by [%.100s] is known to the API and not done here; by _count or _key is", n.names[0].text)
+		return illegalArgument("order by [%.100s] is part of the API but not supported here; use _count or _key", n.names[0].text)
 	}
 	if a.Ascending = n.fields[0].text == "asc"; !a.Ascending && n.fields[0].text != "desc" {
-		return r.parsingError(n.fields[0].offset, "[order] is neither asc nor desc")
+		return r.parsingError(n.fields[0].offset, "[order] must be [asc] or [desc]")
 	}
 	if a.Ascending && !a.OrderByKey {
-		return illegalArgument("order by rising _count is known to the API and not done here: its errors have no bound")
+		return illegalArgument("order by ascending _count is part of the API but not supported here: its error has no upper bound")
 	}
 	return nil
 }
@@ -762,18 +763,18 @@
 			return err
 		}
 		if v < 0 || v > 100 {
-			return r.parsingError(item.offset, "a percent of %g", v)
+			return r.parsingError(item.offset, "percent %g, expected 0 to 100", v)
 		}
 		a.Percentiles = append(a.Percentiles, v)
 	}
 	if len(a.Percentiles) == 0 || len(a.Percentiles) > 100 {
-		return r.parsingError(n.offset, "%d percents", len(a.Percentiles))
+		return r.parsingError(n.offset, "[percents] has %d values, expected 1 to 100", len(a.Percentiles))
 	}
 	return nil
 }
 
-// number is a JSON number or any float as a float.
-func number(v any) (float64, bool) {
+// toFloat returns a json.Number or float64 as a float64; false for any other value.
+func toFloat(v any) (float64, bool) {
 	switch v := v.(type) {
 	case json.Number:
 		f, err := v.Float64()
--- a/opensearch/query/part.go
+++ b/opensearch/query/part.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	maxCardinalityKeys   = 10_000  // keys that a part tells of a cardinality; beyond, the value is told as a lower bound
-	extraShardBuckets = 10      // buckets a part tells beyond half as many again as are wanted: the API's rule
-	maxResponseBytes = 8 << 20 // bytes of a host's answer
+	maxCardinalityKeys = 10_000  // keys that a shard returns for a cardinality; beyond it the value is marked as a lower bound
+	extraShardBuckets  = 10      // buckets requested from a shard on top of 1.5 times the requested size: the API's rule
+	maxResponseBytes   = 8 << 20 // bytes of a host's response
 )
 
-// The suffixes under which a part asks hosts for what an aggregation is put together from.
+// Suffixes of the names of the aggregations in a shard request, from which the requested aggregation is merged.
 const (
 	suffixStats  = "#stats"
 	suffixKeys   = "#keys"
@@ -25,10 +25,10 @@
 	suffixTerms  = "#terms"
 )
 
-// ShardRequestBody is the body that a part asks a host with: the same for all parts of a search. Each asks for all hits that the
-// whole may need, under one fixed order that ends with _id, and for what its aggregations are put together from.
+// ShardRequestBody returns the body of a shard request, the same for all shards of a search. It requests all hits that the
+// answer may need, in a fixed order that ends with _id, and the aggregations from which those of the answer are merged.
 func (q *Request) ShardRequestBody() []byte {
-	dst := append(make([]byte, 0, 512), '{') // names come sorted: equal searches have equal texts
+	dst := append(make([]byte, 0, 512), '{') // names are sorted, so that equal searches give equal texts
 	switch {
 	case !q.IncludeSource:
 		dst = append(dst, `"_source":false,`...)
@@ -83,19 +83,19 @@
 	return append(dst, '}')
 }
 
-// append writes a clause as the API has it.
+// append writes a clause in the API's form.
 func (c *Clause) append(dst []byte) []byte {
 	dst = append(appendText(append(dst, '{'), c.Kind), `:{`...)
-	inner := c.Kind == "term" || c.Kind == "prefix" || c.Kind == "match" || c.Kind == "range"
-	if inner {
+	hasField := c.Kind == "term" || c.Kind == "prefix" || c.Kind == "match" || c.Kind == "range"
+	if hasField {
 		dst = append(appendText(dst, c.Field), `:{`...)
 	}
 	from := len(dst)
-	field := func(word string) {
+	field := func(name string) {
 		if len(dst) > from {
 			dst = append(dst, ',')
 		}
-		dst = append(appendText(dst, word), ':')
+		dst = append(appendText(dst, name), ':')
 	}
 	if c.Boost != 1 {
 		field("boost")
@@ -122,9 +122,9 @@
 		field("field")
 		dst = appendText(dst, c.Field)
 	case "range":
-		for _, word := range []string{"gt", "gte", "lt", "lte"} {
-			if v, ok := c.Bounds[word]; ok {
-				field(word)
+		for _, name := range []string{"gt", "gte", "lt", "lte"} {
+			if v, ok := c.Bounds[name]; ok {
+				field(name)
 				dst = appendValue(dst, v)
 			}
 		}
@@ -136,21 +136,21 @@
 			field("minimum_should_match")
 			dst = strconv.AppendInt(dst, int64(c.MinimumShouldMatch), 10)
 		}
-		for _, word := range []string{"filter", "must", "must_not", "should"} {
-			if c.Clauses[word] == nil {
+		for _, name := range []string{"filter", "must", "must_not", "should"} {
+			if c.Clauses[name] == nil {
 				continue
 			}
-			field(word)
-			dst = appendList(dst, c.Clauses[word], func(dst []byte, sub *Clause) []byte { return sub.append(dst) })
+			field(name)
+			dst = appendList(dst, c.Clauses[name], func(dst []byte, sub *Clause) []byte { return sub.append(dst) })
 		}
 	}
-	if dst = append(dst, `}}`...); inner {
+	if dst = append(dst, `}}`...); hasField {
 		dst = append(dst, '}')
 	}
 	return dst
 }
 
-// appendValue writes a plain value as it came.
+// appendValue writes a plain value unchanged, a number with all its digits.
 func appendValue(dst []byte, v any) []byte {
 	switch v := v.(type) {
 	case string:
@@ -191,7 +191,7 @@
 				if a.Ascending {
 					order["_key"] = "asc"
 				}
-				size = a.Size // by key, no part can miss a bucket that belongs to the whole
+				size = a.Size // in key order, every shard returns all of its buckets that the answer needs
 			}
 			one := map[string]any{"terms": map[string]any{"field": a.Field, "size": size, "order": order}}
 			if len(a.SubAggregations) > 0 {
@@ -217,7 +217,7 @@
 	return out
 }
 
-// Hit is one member that matches, as a host gave it.
+// Hit is one matching document, as a host returned it.
 type Hit struct {
 	Index  string          `json:"_index"`
 	ID     string          `json:"_id"`
@@ -226,17 +226,17 @@
 	Sort   []SortValue     `json:"sort,omitempty"`
 
 	routing string
-	shard   int // the part it came with
+	shard   int // the shard that returned it
 }
 
-// SortValue is one value that a hit is sorted by: a number with all its digits, a text, a truth or nothing.
+// SortValue is one sort value of a hit: a number with all its digits, a string, a boolean or null.
 type SortValue struct {
-	kind byte
-	text string
-	number    float64
+	kind   byte
+	text   string
+	number float64
 }
 
-// MarshalJSON writes the value as it came.
+// MarshalJSON returns the value as the host sent it.
 func (v SortValue) MarshalJSON() ([]byte, error) {
 	switch v.kind {
 	case '"':
@@ -251,25 +251,25 @@
 	return []byte("null"), nil
 }
 
-// ShardResponse is what a host answered to a part, checked, or several such joined.
+// ShardResponse is a host's checked response to a shard request, or several of them joined.
 type ShardResponse struct {
-	Shard             int // the lowest of those that are joined
-	ShardCount        int // how many are
+	Shard             int // the lowest shard number of the joined responses
+	ShardCount        int // the number of joined responses
 	Total             int
-	DuplicateHits     int  // hits that were there more than once
-	TotalIsLowerBound bool // the total is a lower bound
-	TerminatedEarly   bool // a host stopped at terminate_after
+	DuplicateHits     int  // repeated hits that were dropped
+	TotalIsLowerBound bool // whether Total is a lower bound
+	TerminatedEarly   bool // whether a host stopped at terminate_after
 	Hits              []Hit
 	aggs              []shardAggsResult
 }
 
-// shardAggsResult is what one part told for the aggregations.
+// shardAggsResult is the aggregations of one shard's response.
 type shardAggsResult struct {
 	shard int
 	aggs  map[string]any
 }
 
-// CheckPlacement looks that all hits are of the block that was asked, by the rule that places them.
+// CheckPlacement checks that all hits belong to the requested shard by the placement rule.
 func (a *ShardResponse) CheckPlacement(p *Placement) error {
 	for _, h := range a.Hits {
 		if err := p.checkHit(a.Shard, h.ID, h.routing); err != nil {
@@ -279,14 +279,15 @@
 	return nil
 }
 
-// ErrInvalidResponse is a host's answer that cannot be used. The part may have run; the host has failed it.
-var ErrInvalidResponse = errors.New("a host's answer that cannot be used")
+// ErrInvalidResponse is wrapped by the errors for a host's unusable response. The shard request may have been executed; it
+// counts as a failure of the host.
+var ErrInvalidResponse = errors.New("invalid response from host")
 
 func invalidResponse(format string, v ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalidResponse, fmt.Sprintf(format, v...))
 }
 
-// checkAggs looks that all that was asked for is there in its form.
+// checkAggs checks that all requested aggregations are present and have the expected form.
 func (q *Request) checkAggs(aggs []Aggregation, got map[string]any) error {
 	for name, asked := range shardAggs(aggs) {
 		one, _ := got[name].(map[string]any)
@@ -302,16 +303,16 @@
 				}
 				for _, b := range buckets {
 					m, _ := b.(map[string]any)
-					if n, ok := number(m["doc_count"]); !ok || n < 0 || m["key"] == nil {
-						return invalidResponse("a bucket of %.60q without key or count", name)
+					if n, ok := toFloat(m["doc_count"]); !ok || n < 0 || m["key"] == nil {
+						return invalidResponse("a bucket of aggregation %.60q has no key or no valid doc_count", name)
 					}
 				}
 			case "stats":
-				if _, ok := number(one["count"]); !ok {
+				if _, ok := toFloat(one["count"]); !ok {
 					return invalidResponse("aggregation %.60q has no count", name)
 				}
 			case "value_count":
-				if _, ok := number(one["value"]); !ok {
+				if _, ok := toFloat(one["value"]); !ok {
 					return invalidResponse("aggregation %.60q has no value", name)
 				}
 			case "percentiles":
@@ -344,7 +345,7 @@
 	return 0
 }
 
-// compare orders two sort values: missing ones first or last as the key says, numbers before texts.
+// compare orders two sort values: missing values first or last as the sort key says, numbers before strings.
 func (v SortValue) compare(w SortValue, k *SortKey) (c int) {
 	if v.kind == 'n' || w.kind == 'n' {
 		if v.kind == w.kind {
@@ -374,7 +375,7 @@
 	return c
 }
 
-// compareKeys compares two keys of buckets: missing ones first or last as the key says, numbers before texts.
+// compareKeys compares two bucket keys: missing keys first or last as the sort key says, numbers before strings.
 func compareKeys(a, b any, k SortKey) int {
 	if a == nil || b == nil {
 		c := 0
@@ -388,8 +389,8 @@
 		}
 		return c
 	}
-	x, isX := number(a)
-	y, isY := number(b)
+	x, isX := toFloat(a)
+	y, isY := toFloat(b)
 	c := 0
 	switch {
 	case isX && isY:
@@ -409,7 +410,7 @@
 	return c
 }
 
-// compareIntegers compares whole numbers that are equal as floats: beyond 2^53 they may differ.
+// compareIntegers compares integers that are equal as floats: beyond 2^53 they may still differ.
 func compareIntegers(a, b any) int {
 	x, ok1 := a.(json.Number)
 	y, ok2 := b.(json.Number)
--- a/opensearch/query/place.go
+++ b/opensearch/query/place.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	defaultSplitsLog2 = 10   // the API's default lets an index of one block be split up to 1,024 ways: 2^10
-	maxShards = 1024 // blocks that an index may have: the API's bound
+	defaultSplitsLog2 = 10   // by the API's default, an index of one shard can be split into up to 1,024 shards: 2^10
+	maxShards         = 1024 // shards of an index: the API's limit
 )
 
-// Placement is the API's published rule by which the members of an index are in its blocks: the hash of a member's
-// routing value, which is its _id where none is given, names one of RoutingShards slots, and each block has equally
-// many of them in turn. RoutingShards 0 stands for the API's default.
+// Placement is the API's published rule that assigns the documents of an index to its shards. The hash of a document's
+// routing value, by default its _id, selects one of RoutingShards slots, and each shard has an equal range of consecutive
+// slots. RoutingShards 0 stands for the API's default.
 type Placement struct {
 	Shards        int `yaml:"number_of_shards"`
 	RoutingShards int `yaml:"number_of_routing_shards"`
 }
 
-// EffectiveRoutingShards are the routing shards in force.
+// EffectiveRoutingShards returns RoutingShards, or the API's default if it is 0.
 func (p Placement) EffectiveRoutingShards() int {
 	if p.RoutingShards > 0 {
 		return p.RoutingShards
@@ -30,12 +30,12 @@
 	return p.Shards << splits
 }
 
-// IsValid looks at the numbers: the API wants the one to be a multiple of the other.
+// IsValid checks the two numbers: the API requires the routing shards to be a multiple of the shards.
 func (p Placement) IsValid() bool {
 	return p.Shards > 0 && p.Shards <= maxShards && p.RoutingShards >= 0 && p.EffectiveRoutingShards()%p.Shards == 0
 }
 
-// ShardFor is where the member with this routing value is.
+// ShardFor returns the shard of the document with this routing value.
 func (p Placement) ShardFor(routing string) int {
 	var text []byte
 	for _, unit := range utf16.Encode([]rune(routing)) {
@@ -49,8 +49,8 @@
 	return slot / (slots / p.Shards)
 }
 
-// checkHit looks that a hit is of the block that was asked. Guards against a host that sends another block's hits in
-// good form: members would be counted for a block that was not read.
+// checkHit checks that a hit belongs to the requested shard. Otherwise a host could return well-formed hits of another
+// shard, which would be counted for a shard that was not searched.
 func (p *Placement) checkHit(shard int, id, routing string) error {
 	if routing == "" {
 		routing = id
@@ -58,8 +58,8 @@
 	if p == nil {
 		return nil
 	}
-	if own := p.ShardFor(routing); own != shard {
-		return invalidResponse("hit %.60q is of block %d, %d was asked", id, own, shard)
+	if actual := p.ShardFor(routing); actual != shard {
+		return invalidResponse("hit %.60q belongs to shard %d, requested shard %d", id, actual, shard)
 	}
 	return nil
 }
--- a/opensearch/query/query_test.go
+++ b/opensearch/query/query_test.go
@@ -20,7 +20,8 @@
 	"chalkring/opensearch/query"
 )
 
-// TestMain has property tests draw the same each time: CI gives one verdict. A flag on the command line holds over it.
+// TestMain fixes the seed of the property tests, so that each run of CI tests the same cases. A flag on the command line
+// overrides it.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.nofailfile", "true")
@@ -33,8 +34,8 @@
 	return q
 }
 
-// members draws some with fields of all kinds, missing ones and lists among them.
-func members(seed int64, n int) []fake.Document {
+// randomDocuments returns n documents with fields of all types, some missing and some with a list of values.
+func randomDocuments(seed int64, n int) []fake.Document {
 	chance := rand.New(rand.NewSource(seed))
 	words := strings.Fields("red green blue chess tango hiking opera jazz")
 	var all []fake.Document
@@ -54,8 +55,8 @@
 	return all
 }
 
-// draw makes a query's text.
-func draw(c *rand.Rand, depth int) string {
+// randomQuery returns the text of a random query clause.
+func randomQuery(c *rand.Rand, depth int) string {
 	words := strings.Fields("red green blue chess tango hiking opera jazz")
 	w := func() string { return words[c.Intn(len(words))] }
 	kinds := 9
@@ -82,19 +83,19 @@
 	case 8:
 		return `{"match_none":{}}`
 	case 9:
-		return fmt.Sprintf(`{"constant_score":{"filter":%s,"boost":1.5}}`, draw(c, depth-1))
+		return fmt.Sprintf(`{"constant_score":{"filter":%s,"boost":1.5}}`, randomQuery(c, depth-1))
 	}
 	list := func() string {
 		var all []string
 		for range c.Intn(3) {
-			all = append(all, draw(c, depth-1))
+			all = append(all, randomQuery(c, depth-1))
 		}
 		return "[" + strings.Join(all, ",") + "]"
 	}
 	return fmt.Sprintf(`{"bool":{"must":%s,"filter":%s,"should":%s,"must_not":%s}}`, list(), list(), list(), list())
 }
 
-func search(c *rand.Rand) string {
+func randomRequest(c *rand.Rand) string {
 	sort := []string{
 		`[{"rank":{"order":"desc","missing":"_first"}},"age"]`, `["_score","town"]`, `[{"town":"desc"}]`,
 		`["_score"]`,
@@ -104,14 +105,14 @@
 		"likes":{"terms":{"field":"likes","order":{"_key":"asc"},"size":4}},
 		"mean":{"avg":{"field":"age"}},"sum":{"sum":{"field":"rank"}},"n":{"value_count":{"field":"rank"}},
 		"least":{"min":{"field":"rank"}},"kinds":{"cardinality":{"field":"likes"}},
-		"p":{"percentiles":{"field":"age","percents":[50]}}}}`, draw(c, 2), c.Intn(4), c.Intn(30), sort)
+		"p":{"percentiles":{"field":"age","percents":[50]}}}}`, randomQuery(c, 2), c.Intn(4), c.Intn(30), sort)
 }
 
-// split deals members to parts and answers each; the result is in no fixed order.
-func split(t require.TestingT, q *query.Request, all []fake.Document, parts int, c *rand.Rand) []*query.ShardResponse {
-	blocks := make([]fake.ShardDocuments, parts)
+// searchShards distributes documents over shards, searches each and returns the responses in random order.
+func searchShards(t require.TestingT, q *query.Request, all []fake.Document, shards int, c *rand.Rand) []*query.ShardResponse {
+	blocks := make([]fake.ShardDocuments, shards)
 	for _, m := range all {
-		b := &blocks[c.Intn(parts)]
+		b := &blocks[c.Intn(shards)]
 		if !slices.ContainsFunc(b.Documents, func(other fake.Document) bool { return other.ID == m.ID }) {
 			b.Documents = append(b.Documents, m)
 		}
@@ -129,26 +130,26 @@
 	return answers
 }
 
-func decoded(t require.TestingT, text []byte) map[string]any {
+func decodeJSON(t require.TestingT, text []byte) map[string]any {
 	var m map[string]any
 	require.NoError(t, json.Unmarshal(text, &m))
 	return m
 }
 
-// Whatever the split, and in whatever order the parts come, the whole is what one block with all members answers:
-// hits to the letter, counts and exact aggregations too, percentiles nearly, and a cut list within the bound it tells.
+// The merged answer must not depend on how documents are distributed over shards, nor on the order of the responses: it
+// equals that of one shard with all documents. Hits, counts and exact aggregations are equal, percentiles nearly.
 func TestSplittingAndMerging(t *testing.T) {
-	all := members(1, 200)
-	count := 500 // CI's share; CHALKRING_QUERIES=10000 is the whole of it
+	all := randomDocuments(1, 200)
+	count := 500 // for CI; CHALKRING_QUERIES=10000 is the full test
 	if n, err := strconv.Atoi(os.Getenv("CHALKRING_QUERIES")); err == nil {
 		count = n
 	}
 	for i := range count {
 		c := rand.New(rand.NewSource(int64(i)))
-		text := search(c)
+		text := randomRequest(c)
 		q := parse(t, text)
-		one := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 1, c)}))
-		more := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 1+c.Intn(12), c)}))
+		one := decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: searchShards(t, q, all, 1, c)}))
+		more := decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: searchShards(t, q, all, 1+c.Intn(12), c)}))
 		require.Equal(t, one["hits"], more["hits"], text)
 		a, b := one["aggregations"].(map[string]any), more["aggregations"].(map[string]any)
 		p, r := a["p"], b["p"]
@@ -162,11 +163,11 @@
 		if n := one["hits"].(map[string]any)["total"].(map[string]any)["value"].(float64); okX && n > 60 {
 			require.InDelta(t, x, y, 6, text)
 		}
-		// An independent look at totals and the order of hits.
+		// Totals and the order of hits are also compared with the stand-in's own response.
 		ref := fake.ShardDocuments{Index: "members", Documents: all}
 		got, err := ref.Search(q.ShardRequestBody())
 		require.NoError(t, err)
-		want := decoded(t, got)["hits"].(map[string]any)
+		want := decodeJSON(t, got)["hits"].(map[string]any)
 		require.Equal(t, want["total"], more["hits"].(map[string]any)["total"])
 		ids := func(list any) []any {
 			out := []any{}
@@ -179,15 +180,15 @@
 	}
 }
 
-// Merging is associative: parts joined in whatever groups, and groups of groups, are the whole to the letter; members
-// that are on several parts too.
+// Joining responses is associative: in whatever groups, and groups of groups, they are joined, the merged answer is the
+// same byte for byte, also with documents that are on several shards.
 func TestJoiningIsAssociative(t *testing.T) {
-	all := members(3, 120)
+	all := randomDocuments(3, 120)
 	rapid.Check(t, func(t *rapid.T) {
 		c := rand.New(rand.NewSource(int64(rapid.IntRange(0, 1<<20).Draw(t, "seed"))))
-		q := parse(t, search(c))
+		q := parse(t, randomRequest(c))
 		twice := append(slices.Clone(all), all[:c.Intn(40)]...)
-		parts := split(t, q, twice, 1+c.Intn(9), c)
+		parts := searchShards(t, q, twice, 1+c.Intn(9), c)
 		want := string(q.MergeResponses(query.SearchOutcome{Responses: parts}))
 		for len(parts) > 1 {
 			i := c.Intn(len(parts) - 1)
@@ -199,7 +200,8 @@
 	})
 }
 
-// The API's own numbers for its placement rule.
+// Placement must agree with the API's published hash values, and a hit of a shard other than the requested one is rejected:
+// a wrong rule would reject correct responses or count hits for a shard that was not searched.
 func TestPlacement(t *testing.T) {
 	for text, hash := range map[string]uint32{
 		"hell": 0x5a0cb7c3, "hello": 0xd7c31989, "hello w": 0x22ab2984,
@@ -221,21 +223,22 @@
 	}
 	p := &query.Placement{Shards: 2, RoutingShards: 2}
 	own, other := p.ShardFor("hello"), p.ShardFor("hello w")
-	require.NotEqual(t, own, other, "the test wants two texts of two blocks")
+	require.NotEqual(t, own, other, "the test needs two routing values of different shards")
 	require.NoError(t, query.CheckResponse("i", p, own, hit("")))
 	require.ErrorIs(t, query.CheckResponse("i", p, other, hit("")), query.ErrInvalidResponse)
 	require.NoError(t, query.CheckResponse("i", p, other, hit(`,"_routing":"hello w"`)))
 }
 
-// Pages by search_after, one after another, are all members once.
-func TestPages(t *testing.T) {
-	all := members(2, 150)
+// Paging by search_after must return every document exactly once. Without an _id in search_after, paging continues after
+// all documents with the given sort values.
+func TestPagesBySearchAfter(t *testing.T) {
+	all := randomDocuments(2, 150)
 	c := rand.New(rand.NewSource(1))
 	var got []string
 	after := ""
 	for range 20 {
 		q := parse(t, `{"size":10,"sort":[{"town":"asc"},{"rank":{"missing":"_first"}}]`+after+`}`)
-		hits := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any)
+		hits := decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: searchShards(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any)
 		if len(hits) == 0 {
 			break
 		}
@@ -246,26 +249,27 @@
 		after = `,"search_after":` + string(last)
 	}
 	require.Len(t, got, 150)
-	q := parse(t, `{"size":100,"sort":["town"],"search_after":["green"]}`) // without the id: none of that town again
-	for _, h := range decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any) {
+	q := parse(t, `{"size":100,"sort":["town"],"search_after":["green"]}`) // without the _id: no further document of that town
+	for _, h := range decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: searchShards(t, q, all, 5, c)}))["hits"].(map[string]any)["hits"].([]any) {
 		require.Equal(t, "red", h.(map[string]any)["_source"].(map[string]any)["town"])
 	}
 	slices.Sort(got)
 	require.Len(t, slices.Compact(got), 150)
 }
 
-// A member on two parts counts once, and less than all parts is told as such.
-func TestHonest(t *testing.T) {
+// A document on two shards must count once, and a partial answer must say so by the relation gte and by _shards: otherwise
+// clients take its total for exact.
+func TestDuplicateHitsAndPartialAnswer(t *testing.T) {
 	q := parse(t, `{"track_total_hits":true}`)
-	block := fake.ShardDocuments{Index: "members", Documents: members(1, 5)}
+	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 5)}
 	text, _ := block.Search(q.ShardRequestBody())
 	a, err := q.ParseResponse(0, "members", text)
 	require.NoError(t, err)
 	b, _ := q.ParseResponse(1, "members", text)
-	whole := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{b, a}}))
+	whole := decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{b, a}}))
 	require.Equal(t, map[string]any{"value": 5.0, "relation": "eq"}, whole["hits"].(map[string]any)["total"])
 	require.Len(t, whole["hits"].(map[string]any)["hits"], 5)
-	part := decoded(t, q.MergeResponses(query.SearchOutcome{
+	part := decodeJSON(t, q.MergeResponses(query.SearchOutcome{
 		Responses: []*query.ShardResponse{a}, Skipped: 1,
 		Failures: []query.ShardFailure{{Shard: 2, Index: "members", Type: "timed_out", Reason: "late"}},
 	}))
@@ -275,43 +279,44 @@
 	require.Len(t, shards["failures"], 1)
 }
 
-func TestRefusals(t *testing.T) {
+// Every invalid or unsupported request must be rejected by an APIError that names the fault, with valid JSON as its body.
+func TestInvalidRequests(t *testing.T) {
 	deep := strings.Repeat(`{"bool":{"must":`, 1000) + `{"match_all":{}}` + strings.Repeat(`}}`, 1000)
 	many := strings.Repeat(`{"match_all":{}},`, 10_000)
 	for text, want := range map[string]string{
-		`{"query":{"match_all":{}}`:                                       "[1:26] the body ends in the middle",
-		"{\n \"qery\":{}}":                                                "[2:2] unknown part of a search [qery]",
-		`{"highlight":{}}`:                                                "part of a search [highlight] is known to the API and not done here",
-		`{"query":{"wildcard":{"a":"b*"}}}`:                               "query [wildcard] is known to the API and not done here",
+		`{"query":{"match_all":{}}`:                                       "[1:26] unexpected end of the body",
+		"{\n \"qery\":{}}":                                                "[2:2] unknown search field [qery]",
+		`{"highlight":{}}`:                                                "search field [highlight] is part of the API but not supported here",
+		`{"query":{"wildcard":{"a":"b*"}}}`:                               "query [wildcard] is part of the API but not supported here",
 		"{\"query\":\n{\"trm\":{}}}":                                      "[2:2] unknown query [trm]",
-		`{"query":{"term":{"a":1},"terms":{}}}`:                           "a clause has one name",
-		`{"query":{"term":{"a":{"valu":1}}}}`:                             "[1:24] [term] does not know [valu]",
-		`{"query":{"term":{"a":[1]}}}`:                                    "where a plain value is wanted",
-		`{"query":{"term":{"a":{"value":1,"case_insensitive":true}}}}`:    "not done here",
-		`{"query":{"range":{"a":{"from":1}}}}`:                            "does not know [from]",
-		`{"query":{"ids":{"values":[1]}}}`:                                "an id is no string",
+		`{"query":{"term":{"a":1},"terms":{}}}`:                           "a clause must have exactly one name",
+		`{"query":{"term":{"a":{"valu":1}}}}`:                             "[1:24] [term] has an unknown field [valu]",
+		`{"query":{"term":{"a":[1]}}}`:                                    "expected a plain value",
+		`{"query":{"term":{"a":{"value":1,"case_insensitive":true}}}}`:    "not supported here",
+		`{"query":{"range":{"a":{"from":1}}}}`:                            "has an unknown field [from]",
+		`{"query":{"ids":{"values":[1]}}}`:                                "[ids] has a value that is not a string",
 		`{"size":1,"size":2}`:                                             "[1:11] duplicate name \"size\"",
 		`{"from":9999,"size":2}`:                                          "Result window is too large",
 		`{"size":-1}`:                                                     "[size] is -1",
-		`{"size":1e3}`:                                                    "[size] is no whole number",
-		`{"search_after":[1]}`:                                            "search_after needs a sort",
+		`{"size":1e3}`:                                                    "[size] is not a whole number",
+		`{"search_after":[1]}`:                                            "[search_after] requires a [sort]",
 		`{"sort":["a"],"search_after":[1,2,3]}`:                           "search_after has 3 value(s) but sort has 1",
-		`{"sort":["a","a"]}`:                                              "is there twice",
-		`{"sort":["_id","a"]}`:                                            "sort by [_id] comes last",
-		`{"sort":[{"_script":{}}]}`:                                       "not done here",
-		`{"timeout":"soon"}`:                                              "is no time such as",
-		`{"timeout":5}`:                                                   "where a string is wanted",
-		`{"aggs":{"a":{"histogram":{"field":"x"}}}}`:                      "aggregation [histogram] is known to the API and not done here",
+		`{"sort":["a","a"]}`:                                              "duplicate sort key",
+		`{"sort":["_id","a"]}`:                                            "sort by [_id] must come last",
+		`{"sort":[{"_script":{}}]}`:                                       "not supported here",
+		`{"timeout":"soon"}`:                                              "is not a duration such as",
+		`{"timeout":5}`:                                                   "[timeout] is a number, expected a string",
+		`{"aggs":{"a":{"histogram":{"field":"x"}}}}`:                      "aggregation [histogram] is part of the API but not supported here",
 		`{"aggs":{"a":{"maxx":{"field":"x"}}}}`:                           "unknown aggregation [maxx]",
-		`{"aggs":{"a":{"max":{}}}}`:                                       "names no proper field",
-		`{"aggs":{"a":{"max":{"field":"x"},"aggs":{}}}}`:                  "takes no aggregations of its own",
-		`{"aggs":{"a":{"terms":{"field":"x","order":{"_count":"asc"}}}}}`: "not done here",
-		`{"query":` + deep + `}`:                                          "nested over",
+		`{"aggs":{"a":{"max":{}}}}`:                                       "[max] requires a [field] that is not empty or too long",
+		`{"aggs":{"a":{"max":{"field":"x"},"aggs":{}}}}`:                  "does not support sub-aggregations",
+		`{"aggs":{"a":{"terms":{"field":"x","order":{"_count":"asc"}}}}}`: "not supported here",
+		`{"query":` + deep + `}`:                                          "the body is nested more than",
 		`{"query":{"bool":{"must":[` + many[:len(many)-1] + `]}}}`:        "maxClauseCount",
-		"{\"query\":{\"term\":{\"a\":\"\xff\"}}}":                         "[1:24] the body is no UTF-8",
+		"{\"query\":{\"term\":{\"a\":\"\xff\"}}}":                         "[1:24] the body is not valid UTF-8",
 		`[]`:    "the body is an array",
-		`{} {}`: "behind the end",
-		`{"a":` + strings.Repeat(" ", 1<<20) + `1}`: "a body of",
+		`{} {}`: "unexpected data after the end of the body",
+		`{"a":` + strings.Repeat(" ", 1<<20) + `1}`: "the body is 1048583 bytes",
 	} {
 		_, err := query.ParseRequest([]byte(text))
 		assert.ErrorContains(t, err, want, "%.80s", text)
@@ -322,7 +327,7 @@
 	}
 }
 
-// Numbers beyond 2^53 keep their digits and their order.
+// Integers beyond 2^53 must keep all digits and their order: as float64, neighbouring ones would be equal.
 func TestLargeNumbers(t *testing.T) {
 	q := parse(t, `{"query":{"term":{"a":9007199254740993}},"sort":["a"],"search_after":[9007199254740993]}`)
 	require.Contains(t, string(q.ShardRequestBody()), `"value":9007199254740993`)
@@ -336,39 +341,40 @@
 	require.Error(t, answer("9007199254740994", "9007199254740993"))
 }
 
-// Every answer that a whole must not rest on.
-func TestSpoiltAnswers(t *testing.T) {
+// Every response that is incomplete, inconsistent or malformed must be rejected: merged, it would give a wrong answer that
+// looks complete.
+func TestInvalidResponses(t *testing.T) {
 	q := parse(t, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"},"aggs":{"m":{"max":{"field":"age"}}}}}}`)
-	block := fake.ShardDocuments{Index: "members", Documents: members(1, 9)}
+	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
 	good, err := block.Search(q.ShardRequestBody())
 	require.NoError(t, err)
 	_, err = q.ParseResponse(0, "members", good)
 	require.NoError(t, err)
 	edit := func(do func(m, hits map[string]any)) []byte {
-		m := decoded(t, good)
+		m := decodeJSON(t, good)
 		do(m, m["hits"].(map[string]any))
 		text, _ := json.Marshal(m)
 		return text
 	}
 	for name, text := range map[string][]byte{
-		"cut":          good[:len(good)/2],
-		"empty":        []byte(`{}`),
-		"no JSON":      []byte(`hello`),
-		"timed out":    edit(func(m, _ map[string]any) { m["timed_out"] = true }),
-		"a part less":  edit(func(m, _ map[string]any) { m["_shards"] = map[string]any{"total": 1, "successful": 0, "failed": 1} }),
-		"no part":      edit(func(m, _ map[string]any) { m["_shards"] = map[string]any{"total": 0, "successful": 0, "failed": 0} }),
-		"doubled":      edit(func(_, h map[string]any) { l := h["hits"].([]any); h["hits"] = []any{l[0], l[0]} }),
-		"unsorted":     edit(func(_, h map[string]any) { l := h["hits"].([]any); h["hits"] = []any{l[1], l[0]} }),
-		"too many":     edit(func(_, h map[string]any) { h["hits"] = append(h["hits"].([]any), h["hits"].([]any)...) }),
-		"total lies":   edit(func(_, h map[string]any) { h["total"] = map[string]any{"value": 1, "relation": "eq"} }),
-		"no total":     edit(func(_, h map[string]any) { delete(h, "total") }),
-		"other index":  edit(func(_, h map[string]any) { h["hits"].([]any)[0].(map[string]any)["_index"] = "other" }),
-		"two verdicts": []byte(strings.Replace(string(good), `"timed_out":false`, `"timed_out":true,"timed_out":false`, 1)),
-		"two ids":      []byte(strings.Replace(string(good), `"_id":`, `"_id":"other","_id":`, 1)),
-		"more behind":  append(slices.Clone(good), '}'),
-		"bad score":    []byte(strings.Replace(string(good), `"_score":1`, `"_score":"x"`, 1)),
-		"no sort":      edit(func(_, h map[string]any) { delete(h["hits"].([]any)[0].(map[string]any), "sort") }),
-		"no buckets":   edit(func(m, _ map[string]any) { m["aggregations"] = map[string]any{} }),
+		"cut":           good[:len(good)/2],
+		"empty":         []byte(`{}`),
+		"not JSON":      []byte(`hello`),
+		"timed out":     edit(func(m, _ map[string]any) { m["timed_out"] = true }),
+		"failed shard":  edit(func(m, _ map[string]any) { m["_shards"] = map[string]any{"total": 1, "successful": 0, "failed": 1} }),
+		"no shard":      edit(func(m, _ map[string]any) { m["_shards"] = map[string]any{"total": 0, "successful": 0, "failed": 0} }),
+		"duplicate":     edit(func(_, h map[string]any) { l := h["hits"].([]any); h["hits"] = []any{l[0], l[0]} }),
+		"unsorted":      edit(func(_, h map[string]any) { l := h["hits"].([]any); h["hits"] = []any{l[1], l[0]} }),
+		"too many":      edit(func(_, h map[string]any) { h["hits"] = append(h["hits"].([]any), h["hits"].([]any)...) }),
+		"low total":     edit(func(_, h map[string]any) { h["total"] = map[string]any{"value": 1, "relation": "eq"} }),
+		"no total":      edit(func(_, h map[string]any) { delete(h, "total") }),
+		"other index":   edit(func(_, h map[string]any) { h["hits"].([]any)[0].(map[string]any)["_index"] = "other" }),
+		"two timed_out": []byte(strings.Replace(string(good), `"timed_out":false`, `"timed_out":true,"timed_out":false`, 1)),
+		"two ids":       []byte(strings.Replace(string(good), `"_id":`, `"_id":"other","_id":`, 1)),
+		"data after":    append(slices.Clone(good), '}'),
+		"bad score":     []byte(strings.Replace(string(good), `"_score":1`, `"_score":"x"`, 1)),
+		"no sort":       edit(func(_, h map[string]any) { delete(h["hits"].([]any)[0].(map[string]any), "sort") }),
+		"no buckets":    edit(func(m, _ map[string]any) { m["aggregations"] = map[string]any{} }),
 		"no subs": edit(func(m, _ map[string]any) {
 			b := m["aggregations"].(map[string]any)["t#terms"].(map[string]any)["buckets"].([]any)[0].(map[string]any)
 			delete(b, "m#stats")
@@ -379,10 +385,11 @@
 	}
 }
 
-// An answer with a byte changed, left out or put in is read only if it is JSON still, also where it is passed over.
-func TestBrokenAnswers(t *testing.T) {
+// A response with one byte changed, removed or inserted may be accepted only if it is still valid JSON, also in fields that
+// are skipped: the lenient decoder would otherwise let corrupted responses through.
+func TestCorruptedResponses(t *testing.T) {
 	q := parse(t, `{"size":3,"sort":["age"]}`)
-	block := fake.ShardDocuments{Index: "members", Documents: members(1, 9)}
+	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
 	good, _ := block.Search(q.ShardRequestBody())
 	c, read := rand.New(rand.NewSource(1)), 0
 	for range 60_000 {
@@ -404,8 +411,9 @@
 	require.Positive(t, read)
 }
 
-// What a part asks is what it would ask if it were asked itself, and equal searches have equal texts.
-func TestPartText(t *testing.T) {
+// A shard request parsed as a search must give the same shard request again, and white space must not change it:
+// otherwise a clause is lost or changed on the way to the host.
+func TestShardRequestBody(t *testing.T) {
 	for _, text := range []string{
 		`{}`, `{"size":0,"track_total_hits":true}`, `{"_source":["a*"],"sort":["_score"],"min_score":0.5}`,
 		`{"query":{"bool":{"must":[{"term":{"a":1}}],"must_not":[{"exists":{"field":"b"}}],"should":[{"prefix":{"c":"<x"}},
@@ -424,7 +432,9 @@
 		"operator":"and"}}}],"boost":2}},"sort":[{"age":"desc"}],"_source":{"includes":["a"],"excludes":["b"]}}`).ShardRequestBody()))
 }
 
-func TestTermsBound(t *testing.T) {
+// The count of each merged bucket must be within doc_count_error_upper_bound of the true count, although shards return only
+// their largest buckets, and no document is lost between the buckets and sum_other_doc_count.
+func TestTermsErrorBound(t *testing.T) {
 	q := parse(t, `{"size":0,"aggs":{"t":{"terms":{"field":"k","size":3}}}}`)
 	rapid.Check(t, func(t *rapid.T) {
 		counts := map[string]float64{}
@@ -435,45 +445,48 @@
 			all = append(all, fake.Document{ID: fmt.Sprint(i), Fields: map[string]any{"k": key}})
 		}
 		c := rand.New(rand.NewSource(rapid.Int64().Draw(t, "split")))
-		got := decoded(t, q.MergeResponses(query.SearchOutcome{Responses: split(t, q, all, 4, c)}))["aggregations"].(map[string]any)["t"].(map[string]any)
+		got := decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: searchShards(t, q, all, 4, c)}))["aggregations"].(map[string]any)["t"].(map[string]any)
 		sum := got["sum_other_doc_count"].(float64)
 		for _, b := range got["buckets"].([]any) {
 			m := b.(map[string]any)
 			sum += m["doc_count"].(float64)
 			require.LessOrEqual(t, math.Abs(counts[m["key"].(string)]-m["doc_count"].(float64)), got["doc_count_error_upper_bound"])
 		}
-		require.Equal(t, float64(len(all)), sum, "no member is lost between buckets and the rest")
+		require.Equal(t, float64(len(all)), sum, "buckets and sum_other_doc_count together count every document")
 	})
 }
 
-func FuzzParse(f *testing.F) {
+// The shard request of any accepted search must itself be accepted as a search, except one with aggregations: a shard
+// request may use the type stats, which searches may not.
+func FuzzParseRequest(f *testing.F) {
 	for i := range 20 {
-		f.Add([]byte(search(rand.New(rand.NewSource(int64(i))))))
+		f.Add([]byte(randomRequest(rand.New(rand.NewSource(int64(i))))))
 	}
 	f.Add([]byte(`{"query":{"bool":{"should":{"match_all":{}},"minimum_should_match":"-50%"}}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if q, err := query.ParseRequest(text); err == nil {
 			_, err := query.ParseRequest(q.ShardRequestBody())
-			require.True(t, err == nil || len(q.Aggregations) > 0, "what is asked of a host is of the language too: %v", err)
+			require.True(t, err == nil || len(q.Aggregations) > 0, "the shard request of an accepted search is rejected: %v", err)
 		}
 	})
 }
 
-func FuzzAnswer(f *testing.F) {
+// No invalid JSON may be accepted as a response, and an accepted one must merge into valid JSON.
+func FuzzParseResponse(f *testing.F) {
 	q := parse(f, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"}},"p":{"percentiles":{"field":"age"}}}}`)
-	block := fake.ShardDocuments{Index: "members", Documents: members(1, 9)}
+	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
 	good, _ := block.Search(q.ShardRequestBody())
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if a, err := q.ParseResponse(0, "members", text); err == nil {
-			require.True(t, json.Valid(text), "what is no JSON is refused, also where it is passed over")
+			require.True(t, json.Valid(text), "invalid JSON was accepted as a response")
 			require.True(t, json.Valid(q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{a}})))
 		}
 	})
 }
 
-func BenchmarkParse(b *testing.B) {
-	text := []byte(search(rand.New(rand.NewSource(3))))
+func BenchmarkParseRequest(b *testing.B) {
+	text := []byte(randomRequest(rand.New(rand.NewSource(3))))
 	for b.Loop() {
 		query.ParseRequest(text)
 	}
@@ -481,15 +494,15 @@
 
 func BenchmarkMerge30Of100(b *testing.B) {
 	q := parse(b, `{"size":100}`)
-	answers := split(b, q, members(1, 9000), 30, rand.New(rand.NewSource(1)))
+	answers := searchShards(b, q, randomDocuments(1, 9000), 30, rand.New(rand.NewSource(1)))
 	for b.Loop() {
 		q.MergeResponses(query.SearchOutcome{Responses: answers})
 	}
 }
 
-func BenchmarkReadAnswer(b *testing.B) {
+func BenchmarkParseResponse(b *testing.B) {
 	q := parse(b, `{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}}],"track_total_hits":true}`)
-	block := fake.ShardDocuments{Index: "members", Documents: members(1, 200)}
+	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 200)}
 	text, _ := block.Search(q.ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
@@ -497,10 +510,10 @@
 	}
 }
 
-// What the language costs of one search over eight parts, hosts apart.
-func BenchmarkWhole(b *testing.B) {
+// BenchmarkSearch measures the cost of one search over eight shards without the hosts' own work.
+func BenchmarkSearch(b *testing.B) {
 	body := []byte(`{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}},{"_id":{}}],"track_total_hits":true}`)
-	block := fake.ShardDocuments{Index: "members", Documents: members(1, 200)}
+	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 200)}
 	text, _ := block.Search(parse(b, string(body)).ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
