--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -47,14 +47,14 @@
 		fmt.Fprintf(&out, "request %s\n", text)
 		var answers []*query.ShardResponse
 		for shard := range 2 {
-			block := shardOf(all[shard*12 : shard*12+12])
-			response, err := block.Search(q.ShardRequestBody())
+			documents := shardOf(all[shard*12 : shard*12+12])
+			response, err := documents.Search(q.ShardRequestBody())
 			if err != nil {
 				fmt.Fprintf(&out, "no answer by the stand-in\n")
 				continue
 			}
 			fmt.Fprintf(&out, "shard %d %s\n", shard, response)
-			answer, err := q.ParseResponse(shard, block.Index, response)
+			answer, err := q.ParseResponse(shard, documents.Index, response)
 			require.NoError(t, err, "%s", response)
 			answers = append(answers, answer)
 		}
--- a/opensearch/query/merge.go
+++ b/opensearch/query/merge.go
@@ -151,9 +151,9 @@
 
 // JoinResponses joins responses into one that can be joined or merged further. The result doesn't depend on order or
 // grouping. All hits are kept, also those beyond the page: a later response may repeat one of them.
-func (q *Request) JoinResponses(answers ...*ShardResponse) *ShardResponse {
-	out := q.joinTotals(answers)
-	hits, duplicates := q.mergeHits(answers)
+func (q *Request) JoinResponses(responses ...*ShardResponse) *ShardResponse {
+	out := q.joinTotals(responses)
+	hits, duplicates := q.mergeHits(responses)
 	out.DuplicateHits += duplicates
 	for _, h := range hits {
 		out.Hits = append(out.Hits, *h)
@@ -162,9 +162,9 @@
 }
 
 // joinTotals joins everything but the hits.
-func (q *Request) joinTotals(answers []*ShardResponse) *ShardResponse {
+func (q *Request) joinTotals(responses []*ShardResponse) *ShardResponse {
 	out := &ShardResponse{Shard: math.MaxInt}
-	for _, a := range answers {
+	for _, a := range responses {
 		out.Shard = min(out.Shard, a.Shard)
 		out.ShardCount, out.Total, out.DuplicateHits = out.ShardCount+a.ShardCount, out.Total+a.Total, out.DuplicateHits+a.DuplicateHits
 		out.TotalIsLowerBound, out.TerminatedEarly = out.TotalIsLowerBound || a.TotalIsLowerBound, out.TerminatedEarly || a.TerminatedEarly
@@ -206,10 +206,10 @@
 
 // mergeHits merges the hits of all responses. Of a document that appears more than once it keeps the first hit and counts
 // the others. The heap holds one list for each response and so needs no copy of the hits.
-func (q *Request) mergeHits(answers []*ShardResponse) (hits []*Hit, duplicates int) {
-	c := hitHeap{q, make([][]Hit, 0, len(answers))}
+func (q *Request) mergeHits(responses []*ShardResponse) (hits []*Hit, duplicates int) {
+	c := hitHeap{q, make([][]Hit, 0, len(responses))}
 	n := 0
-	for _, a := range answers {
+	for _, a := range responses {
 		if n += len(a.Hits); len(a.Hits) > 0 {
 			c.lists = append(c.lists, a.Hits)
 		}
--- a/opensearch/query/query_test.go
+++ b/opensearch/query/query_test.go
@@ -110,24 +110,24 @@
 
 // searchShards distributes documents over shards, searches each and returns the responses in random order.
 func searchShards(t require.TestingT, q *query.Request, all []fake.Document, shards int, c *rand.Rand) []*query.ShardResponse {
-	blocks := make([]fake.ShardDocuments, shards)
+	shardDocuments := make([]fake.ShardDocuments, shards)
 	for _, m := range all {
-		b := &blocks[c.Intn(shards)]
+		b := &shardDocuments[c.Intn(shards)]
 		if !slices.ContainsFunc(b.Documents, func(other fake.Document) bool { return other.ID == m.ID }) {
 			b.Documents = append(b.Documents, m)
 		}
 	}
-	var answers []*query.ShardResponse
-	for i := range blocks {
-		blocks[i].Index = "members"
-		text, err := blocks[i].Search(q.ShardRequestBody())
+	var responses []*query.ShardResponse
+	for i := range shardDocuments {
+		shardDocuments[i].Index = "members"
+		text, err := shardDocuments[i].Search(q.ShardRequestBody())
 		require.NoError(t, err)
 		a, err := q.ParseResponse(i, "members", text)
 		require.NoError(t, err, "%s\n%s", q.ShardRequestBody(), text)
-		answers = append(answers, a)
+		responses = append(responses, a)
 	}
-	c.Shuffle(len(answers), func(i, j int) { answers[i], answers[j] = answers[j], answers[i] })
-	return answers
+	c.Shuffle(len(responses), func(i, j int) { responses[i], responses[j] = responses[j], responses[i] })
+	return responses
 }
 
 func decodeJSON(t require.TestingT, text []byte) map[string]any {
@@ -187,15 +187,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := rand.New(rand.NewSource(int64(rapid.IntRange(0, 1<<20).Draw(t, "seed"))))
 		q := parse(t, randomRequest(c))
-		twice := append(slices.Clone(all), all[:c.Intn(40)]...)
-		parts := searchShards(t, q, twice, 1+c.Intn(9), c)
-		want := string(q.MergeResponses(query.SearchOutcome{Responses: parts}))
-		for len(parts) > 1 {
-			i := c.Intn(len(parts) - 1)
-			n := 1 + c.Intn(len(parts)-i)
-			joined := q.JoinResponses(parts[i : i+n]...)
-			parts = append(append(slices.Clone(parts[:i]), parts[i+n:]...), joined)
-			require.Equal(t, want, string(q.MergeResponses(query.SearchOutcome{Responses: parts})))
+		repeated := append(slices.Clone(all), all[:c.Intn(40)]...)
+		responses := searchShards(t, q, repeated, 1+c.Intn(9), c)
+		want := string(q.MergeResponses(query.SearchOutcome{Responses: responses}))
+		for len(responses) > 1 {
+			i := c.Intn(len(responses) - 1)
+			n := 1 + c.Intn(len(responses)-i)
+			joined := q.JoinResponses(responses[i : i+n]...)
+			responses = append(append(slices.Clone(responses[:i]), responses[i+n:]...), joined)
+			require.Equal(t, want, string(q.MergeResponses(query.SearchOutcome{Responses: responses})))
 		}
 	})
 }
@@ -261,20 +261,20 @@
 // clients take its total for exact.
 func TestDuplicateHitsAndPartialAnswer(t *testing.T) {
 	q := parse(t, `{"track_total_hits":true}`)
-	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 5)}
-	text, _ := block.Search(q.ShardRequestBody())
+	documents := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 5)}
+	text, _ := documents.Search(q.ShardRequestBody())
 	a, err := q.ParseResponse(0, "members", text)
 	require.NoError(t, err)
 	b, _ := q.ParseResponse(1, "members", text)
-	whole := decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{b, a}}))
-	require.Equal(t, map[string]any{"value": 5.0, "relation": "eq"}, whole["hits"].(map[string]any)["total"])
-	require.Len(t, whole["hits"].(map[string]any)["hits"], 5)
-	part := decodeJSON(t, q.MergeResponses(query.SearchOutcome{
+	complete := decodeJSON(t, q.MergeResponses(query.SearchOutcome{Responses: []*query.ShardResponse{b, a}}))
+	require.Equal(t, map[string]any{"value": 5.0, "relation": "eq"}, complete["hits"].(map[string]any)["total"])
+	require.Len(t, complete["hits"].(map[string]any)["hits"], 5)
+	partial := decodeJSON(t, q.MergeResponses(query.SearchOutcome{
 		Responses: []*query.ShardResponse{a}, Skipped: 1,
 		Failures: []query.ShardFailure{{Shard: 2, Index: "members", Type: "timed_out", Reason: "late"}},
 	}))
-	require.Equal(t, "gte", part["hits"].(map[string]any)["total"].(map[string]any)["relation"])
-	shards := part["_shards"].(map[string]any)
+	require.Equal(t, "gte", partial["hits"].(map[string]any)["total"].(map[string]any)["relation"])
+	shards := partial["_shards"].(map[string]any)
 	require.Equal(t, []any{3.0, 2.0, 1.0, 1.0}, []any{shards["total"], shards["successful"], shards["skipped"], shards["failed"]})
 	require.Len(t, shards["failures"], 1)
 }
@@ -345,8 +345,8 @@
 // looks complete.
 func TestInvalidResponses(t *testing.T) {
 	q := parse(t, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"},"aggs":{"m":{"max":{"field":"age"}}}}}}`)
-	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
-	good, err := block.Search(q.ShardRequestBody())
+	documents := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
+	good, err := documents.Search(q.ShardRequestBody())
 	require.NoError(t, err)
 	_, err = q.ParseResponse(0, "members", good)
 	require.NoError(t, err)
@@ -389,8 +389,8 @@
 // are skipped: the lenient decoder would otherwise let corrupted responses through.
 func TestCorruptedResponses(t *testing.T) {
 	q := parse(t, `{"size":3,"sort":["age"]}`)
-	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
-	good, _ := block.Search(q.ShardRequestBody())
+	documents := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
+	good, _ := documents.Search(q.ShardRequestBody())
 	c, read := rand.New(rand.NewSource(1)), 0
 	for range 60_000 {
 		text, at := slices.Clone(good), c.Intn(len(good))
@@ -474,8 +474,8 @@
 // No invalid JSON may be accepted as a response, and an accepted one must merge into valid JSON.
 func FuzzParseResponse(f *testing.F) {
 	q := parse(f, `{"size":2,"sort":["age"],"aggs":{"t":{"terms":{"field":"town"}},"p":{"percentiles":{"field":"age"}}}}`)
-	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
-	good, _ := block.Search(q.ShardRequestBody())
+	documents := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 9)}
+	good, _ := documents.Search(q.ShardRequestBody())
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if a, err := q.ParseResponse(0, "members", text); err == nil {
@@ -494,16 +494,16 @@
 
 func BenchmarkMerge30Of100(b *testing.B) {
 	q := parse(b, `{"size":100}`)
-	answers := searchShards(b, q, randomDocuments(1, 9000), 30, rand.New(rand.NewSource(1)))
+	responses := searchShards(b, q, randomDocuments(1, 9000), 30, rand.New(rand.NewSource(1)))
 	for b.Loop() {
-		q.MergeResponses(query.SearchOutcome{Responses: answers})
+		q.MergeResponses(query.SearchOutcome{Responses: responses})
 	}
 }
 
 func BenchmarkParseResponse(b *testing.B) {
 	q := parse(b, `{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}}],"track_total_hits":true}`)
-	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 200)}
-	text, _ := block.Search(q.ShardRequestBody())
+	documents := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 200)}
+	text, _ := documents.Search(q.ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
 		q.ParseResponse(0, "", text)
@@ -513,8 +513,8 @@
 // BenchmarkSearch measures the cost of one search over eight shards without the hosts' own work.
 func BenchmarkSearch(b *testing.B) {
 	body := []byte(`{"query":{"range":{"age":{"gte":20}}},"size":10,"sort":[{"age":{"order":"desc"}},{"_id":{}}],"track_total_hits":true}`)
-	block := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 200)}
-	text, _ := block.Search(parse(b, string(body)).ShardRequestBody())
+	documents := fake.ShardDocuments{Index: "members", Documents: randomDocuments(1, 200)}
+	text, _ := documents.Search(parse(b, string(body)).ShardRequestBody())
 	b.ReportAllocs()
 	for b.Loop() {
 		q := parse(b, string(body))
