--- a/opensearch/query/answer.go
+++ b/opensearch/query/answer.go
@@ -14,49 +14,49 @@
 )
 
 const (
-	fewHits  = 32 // hits up to which each is held against each: a page, cheaper than a map
-	hitLeast = 64 // bytes of a hit, about: room is made for no more than can be there
+	maxPairwiseHits = 32 // hits of a response whose duplicates are found by comparing all pairs: cheaper than a map for one page
+	minHitBytes     = 64 // approximate bytes of a hit: bounds the capacity allocated for a response
 )
 
-// answerReader takes a host's answer apart in one pass, without reflection. What it gives lies in the answer's own bytes
-// where it may.
-type answerReader struct {
+// responseReader decodes a host's response in one pass, without reflection. Where possible, the values that it returns
+// share the memory of the response or of its one copy as a string.
+type responseReader struct {
 	d jx.Decoder
-	answerRead
+	responseFields
 }
 
-type answerRead struct {
-	copied string  // the answer
-	from   uintptr // where its bytes lie: only told apart, never followed
+type responseFields struct {
+	text string  // a copy of the response
+	base uintptr // address of the response's bytes: only compared, never dereferenced
 
-	timedOut, shards, hits bool // there
-	late, early            bool
-	total                  int // -1 for none
-	relation               string
-	part                   [3]int // _shards: total, successful, failed
-	found                  []Hit
-	sorts                  []SortValue // room for those of all hits
-	scores                 []float64   // likewise
-	aggs                   []byte
-	full                   bool // more of a hit is wanted than its names
+	hasTimedOut, hasShards, hasHits bool // whether the response has these fields
+	timedOut, terminatedEarly       bool
+	total                           int // -1 for none
+	relation                        string
+	shardCounts                     [3]int // _shards: total, successful, failed
+	hits                            []Hit
+	sortValues                      []SortValue // backing array for the sort values of all hits
+	scores                          []float64   // backing array for the scores of all hits
+	rawAggs                         []byte
+	full                            bool // whether _score, _source and sort of a hit are read, not only _index, _id and _routing
 }
 
-// answers are readers, kept for the next.
-var answers = sync.Pool{New: func() any { return &answerReader{} }}
+// responseReaders pools readers for reuse.
+var responseReaders = sync.Pool{New: func() any { return &responseReader{} }}
 
-// release gives up what a reader holds of its answer.
-func (r *answerReader) release() {
-	r.answerRead = answerRead{}
+// release drops a reader's references to its response and returns it to the pool.
+func (r *responseReader) release() {
+	r.responseFields = responseFields{}
 	r.d.ResetBytes(nil)
-	answers.Put(r)
+	responseReaders.Put(r)
 }
 
-// field is a name that is read, as a bit.
+// field is a known field name of a response, as one bit of a set of names; 0 is any other name.
 type field uint32
 
 const (
 	fTimedOut field = 1 << iota
-	fEarly
+	fTerminatedEarly
 	fShards
 	fHits
 	fAggs
@@ -90,7 +90,7 @@
 	case "timed_out":
 		return fTimedOut
 	case "terminated_early":
-		return fEarly
+		return fTerminatedEarly
 	case "_shards":
 		return fShards
 	case "hits":
@@ -111,102 +111,105 @@
 	return 0
 }
 
-// object walks an object's fields. Guards against two of one name, of which one would be read.
-func (r *answerReader) object(take func(f field) error) error {
+// readObject calls readField for each field of an object. A known field name that appears twice is an error: otherwise only
+// one of the two would count.
+func (r *responseReader) readObject(readField func(f field) error) error {
 	if r.d.Next() != jx.Object {
-		return spoilt("no object where one is wanted")
+		return invalidResponse("expected an object, got another type")
 	}
 	seen := field(0)
 	return r.d.ObjBytes(func(_ *jx.Decoder, name []byte) error {
 		f := fieldOf(name)
 		if seen&f != 0 {
-			return spoilt("%.60q is there twice", name)
+			return invalidResponse("field %.60q appears more than once", name)
 		}
 		seen |= f
-		return take(f)
+		return readField(f)
 	})
 }
 
-// read reads an answer.
-func (r *answerReader) read(text []byte, full bool) error {
-	r.full, r.total, r.copied = full, -1, string(text)
+// read reads a response; full says whether _score, _source and sort of the hits are read too.
+func (r *responseReader) read(text []byte, full bool) error {
+	r.full, r.total, r.text = full, -1, string(text)
 	if len(text) > 0 {
-		r.from = uintptr(unsafe.Pointer(&text[0]))
+		r.base = uintptr(unsafe.Pointer(&text[0]))
 	}
 	r.d.ResetBytes(text)
-	if err := r.object(r.top); err != nil {
-		return spoilt("%v", err)
+	if err := r.readObject(r.readTopField); err != nil {
+		return invalidResponse("%v", err)
 	}
-	if r.d.Next() == jx.Invalid {
+	if r.d.Next() == jx.Invalid { // no further value: either the end of the text or a stray character
 		if err := r.d.Skip(); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
 	}
-	return spoilt("something stands behind the end")
+	return invalidResponse("unexpected data after the end of the response")
 }
 
-func (r *answerReader) top(f field) (err error) {
+func (r *responseReader) readTopField(f field) (err error) {
 	switch {
 	case r.d.Next() == jx.Null:
 		return r.d.Skip()
 	case f == fTimedOut:
-		r.late, err = r.d.Bool()
-		r.timedOut = true
-	case f == fEarly:
-		r.early, err = r.d.Bool()
+		r.timedOut, err = r.d.Bool()
+		r.hasTimedOut = true
+	case f == fTerminatedEarly:
+		r.terminatedEarly, err = r.d.Bool()
 	case f == fShards:
-		r.shards = true
-		return r.object(func(f field) error {
+		r.hasShards = true
+		return r.readObject(func(f field) error {
 			switch f {
 			case fTotal:
-				return r.whole(&r.part[0])
+				return r.readInt(&r.shardCounts[0])
 			case fSuccessful:
-				return r.whole(&r.part[1])
+				return r.readInt(&r.shardCounts[1])
 			case fFailed:
-				return r.whole(&r.part[2])
+				return r.readInt(&r.shardCounts[2])
 			}
 			return r.d.Skip()
 		})
 	case f == fHits:
-		r.hits = true
-		return r.object(r.page)
+		r.hasHits = true
+		return r.readObject(r.readHitsField)
 	case f == fAggs:
-		r.aggs, err = r.d.Raw()
+		r.rawAggs, err = r.d.Raw()
 	default:
 		return r.d.Skip()
 	}
 	return err
 }
 
-// word reads a string, nothing where null stands.
-func (r *answerReader) word() (string, error) {
+// readStringOrNull reads a string; null gives an empty string.
+func (r *responseReader) readStringOrNull() (string, error) {
 	if r.d.Next() == jx.Null {
 		return "", r.d.Skip()
 	}
-	return r.text()
+	return r.readString()
 }
 
-func (r *answerReader) text() (string, error) {
+func (r *responseReader) readString() (string, error) {
 	b, err := r.d.StrBytes()
-	return r.of(b), err
+	return r.toString(b), err
 }
 
-// of is bytes as a string: where they lie in the answer, a piece of the one string of it.
-func (r *answerReader) of(b []byte) string {
+// toString returns bytes as a string. If they lie in the response, it is a substring of the response's copy, without a
+// further allocation.
+func (r *responseReader) toString(b []byte) string {
 	if len(b) == 0 {
 		return ""
 	}
-	if at := uintptr(unsafe.Pointer(&b[0])) - r.from; at+uintptr(len(b)) <= uintptr(len(r.copied)) && at < uintptr(len(r.copied)) {
-		return r.copied[at:][:len(b)]
+	if at := uintptr(unsafe.Pointer(&b[0])) - r.base; at+uintptr(len(b)) <= uintptr(len(r.text)) && at < uintptr(len(r.text)) {
+		return r.text[at:][:len(b)]
 	}
-	return string(b) // it had escapes
+	return string(b) // the value had escapes, so the decoder copied it
 }
 
-func (r *answerReader) whole(into *int) error {
+// readInt reads a whole number; null leaves *into as it is.
+func (r *responseReader) readInt(into *int) error {
 	if r.d.Next() == jx.Null {
 		return r.d.Skip()
 	}
-	n, err := r.number()
+	n, err := r.readNumber()
 	if err != nil {
 		return err
 	}
@@ -214,16 +217,16 @@
 	return err
 }
 
-// number reads a number as it stands. The decoder takes some for numbers that are none.
-func (r *answerReader) number() (string, error) {
+// readNumber returns the text of a number. It checks the syntax itself, since the decoder accepts some invalid numbers.
+func (r *responseReader) readNumber() (string, error) {
 	raw, err := r.d.Raw()
 	if err == nil && !isNumber(raw) {
-		err = spoilt("no number")
+		err = invalidResponse("expected a number, got another value")
 	}
-	return r.of(raw), err
+	return r.toString(raw), err
 }
 
-// isNumber tells whether a text is a number as JSON has it.
+// isNumber reports whether a text is a number in JSON syntax.
 func isNumber(b []byte) bool {
 	digits := func() bool {
 		n := 0
@@ -253,48 +256,48 @@
 	return len(b) == 0
 }
 
-// page reads total and hits.
-func (r *answerReader) page(f field) error {
+// readHitsField reads one field of the object hits: total or the list of hits.
+func (r *responseReader) readHitsField(f field) error {
 	switch next := r.d.Next(); {
 	case f == fTotal && next == jx.Object:
-		return r.object(func(f field) (err error) {
+		return r.readObject(func(f field) (err error) {
 			switch f {
 			case fValue:
-				return r.whole(&r.total)
+				return r.readInt(&r.total)
 			case fRelation:
-				r.relation, err = r.word()
+				r.relation, err = r.readStringOrNull()
 				return err
 			}
 			return r.d.Skip()
 		})
 	case f == fTotal:
 		r.relation = "eq"
-		return r.whole(&r.total)
+		return r.readInt(&r.total)
 	case f == fHits && next != jx.Null:
 		return r.d.Arr(func(*jx.Decoder) error {
-			r.found = append(r.found, Hit{})
-			return r.object(r.hit)
+			r.hits = append(r.hits, Hit{})
+			return r.readObject(r.readHitField)
 		})
 	}
 	return r.d.Skip()
 }
 
-// hit reads a field of the last hit.
-func (r *answerReader) hit(f field) (err error) {
-	n := len(r.found) - 1
-	h := &r.found[n]
+// readHitField reads one field of the last hit.
+func (r *responseReader) readHitField(f field) (err error) {
+	n := len(r.hits) - 1
+	h := &r.hits[n]
 	switch {
 	case f == fIndex:
-		h.Index, err = r.text()
+		h.Index, err = r.readString()
 	case f == fID:
-		h.ID, err = r.text()
+		h.ID, err = r.readString()
 	case f == fRouting:
-		h.routing, err = r.word()
+		h.routing, err = r.readStringOrNull()
 	case f == fScore && r.full && r.d.Next() != jx.Null:
-		n, wrong := r.number()
-		v, odd := strconv.ParseFloat(n, 64)
-		if errors.Join(wrong, odd) != nil {
-			return spoilt("a score that is no number")
+		text, syntaxErr := r.readNumber()
+		v, rangeErr := strconv.ParseFloat(text, 64)
+		if errors.Join(syntaxErr, rangeErr) != nil {
+			return invalidResponse("_score of a hit is not a number")
 		}
 		r.scores = append(r.scores, v)
 		h.Score = &r.scores[len(r.scores)-1]
@@ -303,128 +306,129 @@
 		raw, err = r.d.Raw()
 		h.Source = json.RawMessage(raw)
 	case f == fSort && r.full:
-		from := len(r.sorts)
-		err = r.d.Arr(r.sort)
-		h.Sort = r.sorts[from:len(r.sorts):len(r.sorts)]
+		from := len(r.sortValues)
+		err = r.d.Arr(r.readSortValue)
+		h.Sort = r.sortValues[from:len(r.sortValues):len(r.sortValues)]
 	default:
 		return r.d.Skip()
 	}
 	return err
 }
 
-// sort reads a plain value, into one piece for all hits.
-func (r *answerReader) sort(*jx.Decoder) (err error) {
-	one := SortValue{}
+// readSortValue reads a plain value and appends it to the sort values of all hits.
+func (r *responseReader) readSortValue(*jx.Decoder) (err error) {
+	value := SortValue{}
 	switch r.d.Next() {
 	case jx.String:
-		one.kind = '"'
-		one.text, err = r.text()
+		value.kind = '"'
+		value.text, err = r.readString()
 	case jx.Number:
-		one.kind = '0'
-		if one.text, err = r.number(); err == nil {
-			one.f, err = strconv.ParseFloat(one.text, 64)
+		value.kind = '0'
+		if value.text, err = r.readNumber(); err == nil {
+			value.number, err = strconv.ParseFloat(value.text, 64)
 		}
 	case jx.Bool:
 		var v bool
 		v, err = r.d.Bool()
-		if one.kind = 'f'; v {
-			one.kind = 't'
+		if value.kind = 'f'; v {
+			value.kind = 't'
 		}
 	case jx.Null:
-		one.kind, err = 'n', r.d.Skip()
+		value.kind, err = 'n', r.d.Skip()
 	default:
-		return spoilt("a sort value is no plain value")
+		return invalidResponse("a sort value is not a string, number, boolean or null")
 	}
-	r.sorts = append(r.sorts, one)
+	r.sortValues = append(r.sortValues, value)
 	return err
 }
 
-// check looks that the one part that was asked is there, in time and whole.
-func (r *answerReader) check() error {
+// check checks that the response did not time out and is of exactly one shard, which succeeded.
+func (r *responseReader) check() error {
 	switch {
-	case !r.timedOut || !r.shards || !r.hits:
-		return spoilt("no timed_out, _shards or hits")
-	case r.late:
-		return spoilt("timed_out")
-	case r.part != [3]int{1, 1, 0}:
-		return spoilt("_shards: %d of %d, %d failed", r.part[1], r.part[0], r.part[2])
+	case !r.hasTimedOut || !r.hasShards || !r.hasHits:
+		return invalidResponse("timed_out, _shards or hits is missing")
+	case r.timedOut:
+		return invalidResponse("timed_out is true, expected false")
+	case r.shardCounts != [3]int{1, 1, 0}:
+		return invalidResponse("_shards: %d of %d successful, %d failed; expected 1 of 1 successful, 0 failed", r.shardCounts[1], r.shardCounts[0], r.shardCounts[2])
 	}
 	return nil
 }
 
-// ParseResponse takes a host's answer to a part apart and looks at all that a whole rests on. Guards against a host that
-// answers in valid syntax and leaves its part out, ran out of time, speaks of another index, doubles a hit, sends
-// them in no order or more than were asked for, gives scores that are no numbers, or a total below its hits. What it
-// gives holds the text, which must not change.
+// ParseResponse decodes a host's response to a shard request and checks everything that merging relies on. Syntax alone
+// isn't enough: a response can leave out its shard, have timed out, name another index, repeat a hit, return unsorted hits
+// or more than were requested, have scores that are not numbers, or a total lower than its number of hits. The result
+// refers to text, which must not change afterwards.
 func (q *Request) ParseResponse(shard int, index string, text []byte) (*ShardResponse, error) {
-	if len(text) > answerMost {
-		return nil, spoilt("%d bytes", len(text))
+	if len(text) > maxResponseBytes {
+		return nil, invalidResponse("response of %d bytes exceeds the size limit", len(text))
 	}
-	r := answers.Get().(*answerReader)
+	r := responseReaders.Get().(*responseReader)
 	defer r.release()
-	hits := min(q.From+q.Size, len(text)/hitLeast)
-	r.found, r.sorts, r.scores = make([]Hit, 0, hits), make([]SortValue, 0, hits*len(q.Sort)), make([]float64, 0, hits)
+	hits := min(q.From+q.Size, len(text)/minHitBytes)
+	r.hits, r.sortValues, r.scores = make([]Hit, 0, hits), make([]SortValue, 0, hits*len(q.Sort)), make([]float64, 0, hits)
 	if err := r.read(text, true); err != nil {
 		return nil, err
 	}
 	if err := r.check(); err != nil {
 		return nil, err
 	}
-	if len(r.found) > q.From+q.Size {
-		return nil, spoilt("%d hits, %d were asked for", len(r.found), q.From+q.Size)
+	if len(r.hits) > q.From+q.Size {
+		return nil, invalidResponse("response has %d hits, requested at most %d", len(r.hits), q.From+q.Size)
 	}
-	out := &ShardResponse{Shard: shard, ShardCount: 1, Hits: r.found, TerminatedEarly: r.early}
+	out := &ShardResponse{Shard: shard, ShardCount: 1, Hits: r.hits, TerminatedEarly: r.terminatedEarly}
 	var aggs map[string]any
-	if len(r.aggs) > 0 {
-		d := json.NewDecoder(bytes.NewReader(r.aggs))
+	if len(r.rawAggs) > 0 {
+		d := json.NewDecoder(bytes.NewReader(r.rawAggs))
 		d.UseNumber()
 		if err := d.Decode(&aggs); err != nil {
-			return nil, spoilt("%v", err)
+			return nil, invalidResponse("aggregations: %v", err)
 		}
 	}
 	switch {
 	case q.TrackTotalHits == 0:
 		out.Total, out.TotalIsLowerBound = len(out.Hits), true
 	case r.total < len(out.Hits) || r.relation != "eq" && r.relation != "gte":
-		return nil, spoilt("a total of %d %.20q for %d hits", r.total, r.relation, len(out.Hits))
+		return nil, invalidResponse("total %d with relation %.20q for %d hits, expected at least the number of hits and relation eq or gte", r.total, r.relation, len(out.Hits))
 	default:
 		out.Total, out.TotalIsLowerBound = r.total, r.relation == "gte"
 	}
 	if err := q.checkHits(out.Hits, shard, index); err != nil {
 		return nil, err
 	}
-	out.aggs = []partAnswer{{shard, aggs}}
+	out.aggs = []shardAggsResult{{shard, aggs}}
 	if len(q.Aggregations) == 0 {
 		return out, nil
 	}
 	return out, q.checkAggs(q.Aggregations, aggs)
 }
 
+// checkHits checks the hits of a shard's response and sets their shard.
 func (q *Request) checkHits(hits []Hit, shard int, index string) error {
 	seen := map[string]bool(nil)
-	if len(hits) > fewHits {
+	if len(hits) > maxPairwiseHits {
 		seen = make(map[string]bool, len(hits))
 	}
 	for i := range hits {
 		h := &hits[i]
 		h.shard = shard
-		doubled := seen[h.ID]
+		duplicate := seen[h.ID]
 		for j := 0; j < i && seen == nil; j++ {
-			doubled = doubled || hits[j].ID == h.ID
+			duplicate = duplicate || hits[j].ID == h.ID
 		}
 		switch {
-		case h.ID == "" || doubled:
-			return spoilt("hit %.60q is there twice or has no id", h.ID)
+		case h.ID == "" || duplicate:
+			return invalidResponse("hit %.60q is a duplicate or has no _id", h.ID)
 		case index != "" && h.Index != index:
-			return spoilt("a hit of index %.60q", h.Index)
+			return invalidResponse("hit is from index %.60q, not from the requested one", h.Index)
 		case len(h.Sort) != len(q.Sort):
-			return spoilt("%d sort values for %d keys", len(h.Sort), len(q.Sort))
+			return invalidResponse("hit has %d sort values, expected %d", len(h.Sort), len(q.Sort))
 		case h.Score != nil && (math.IsNaN(*h.Score) || math.IsInf(*h.Score, 0)):
-			return spoilt("a score that is no number")
+			return invalidResponse("_score of a hit is not a finite number")
 		case h.Sort[len(h.Sort)-1].text != h.ID:
-			return spoilt("hit %.60q is sorted as %.60q", h.ID, h.Sort[len(h.Sort)-1].text)
+			return invalidResponse("hit %.60q has %.60q as last sort value, expected its _id", h.ID, h.Sort[len(h.Sort)-1].text)
 		case i > 0 && q.compare(hits[i-1].Sort, h.Sort) >= 0:
-			return spoilt("hits in no order")
+			return invalidResponse("hits are not in the requested order")
 		}
 		if seen != nil {
 			seen[h.ID] = true
@@ -433,10 +437,10 @@
 	return nil
 }
 
-// CheckResponse looks at a host's answer apart from what was asked: that it is one, in time, of one part that did not
-// fail, of the right index and, where a placement is known, of the right block.
-func CheckResponse(index string, placed *Placement, shard int, text []byte) error {
-	r := answers.Get().(*answerReader)
+// CheckResponse checks a host's response without the request that it answers: its syntax, that it did not time out, that
+// it is of one shard that succeeded, of the requested index and, if placement is not nil, of the requested shard.
+func CheckResponse(index string, placement *Placement, shard int, text []byte) error {
+	r := responseReaders.Get().(*responseReader)
 	defer r.release()
 	if err := r.read(text, false); err != nil {
 		return err
@@ -444,11 +448,11 @@
 	if err := r.check(); err != nil {
 		return err
 	}
-	for i := range r.found {
-		if index != "" && r.found[i].Index != index {
-			return spoilt("a hit of index %.60q", r.found[i].Index)
+	for i := range r.hits {
+		if index != "" && r.hits[i].Index != index {
+			return invalidResponse("hit is from index %.60q, not from the requested one", r.hits[i].Index)
 		}
-		if err := placed.holds(shard, r.found[i].ID, r.found[i].routing); err != nil {
+		if err := placement.checkHit(shard, r.hits[i].ID, r.hits[i].routing); err != nil {
 			return err
 		}
 	}
--- a/opensearch/query/golden_forms_test.go
+++ b/opensearch/query/golden_forms_test.go
@@ -28,7 +28,8 @@
 	`{"query":{"bool":{"should":[{"term":{"town":{"value":"red","boost":1.5}}}],"minimum_should_match":1}},"sort":["_score","town"]}`,
 }
 
-// The bodies that hosts are asked with have the bytes of the golden file: a request, and below it the body for its shards.
+// The bodies of shard requests must not change: they equal the golden file byte for byte. It has each search and, on the
+// line below, the body of its shard requests.
 func TestGoldenShardRequests(t *testing.T) {
 	var out strings.Builder
 	for _, text := range goldenRequests {
@@ -37,41 +38,43 @@
 	golden.Require(t, "shard_requests.golden", out.String())
 }
 
-// Hosts' answers to a request are read and merged into the bytes of the golden file: the request, the answers of two shards,
-// the whole answer, the partial answer of one shard with a failure of the other.
+// Merged answers must not change: they equal the golden file byte for byte. It has each search, the responses of two shards
+// and three answers: whole is the complete one, partial is of one shard with a failure of the other, skipped is of one
+// shard with three skipped.
 func TestGoldenMergedAnswers(t *testing.T) {
 	var out strings.Builder
-	all := members(3, 24)
+	all := randomDocuments(3, 24)
 	for _, text := range goldenRequests {
 		q := parse(t, text)
 		fmt.Fprintf(&out, "request %s\n", text)
-		var answers []*query.ShardResponse
+		var responses []*query.ShardResponse
 		for shard := range 2 {
-			block := membersOf(all[shard*12 : shard*12+12])
-			told, err := block.Search(q.ShardRequestBody())
+			documents := shardOf(all[shard*12 : shard*12+12])
+			raw, err := documents.Search(q.ShardRequestBody())
 			if err != nil {
 				fmt.Fprintf(&out, "no answer by the stand-in\n")
 				continue
 			}
-			fmt.Fprintf(&out, "shard %d %s\n", shard, told)
-			answer, err := q.ParseResponse(shard, block.Index, told)
-			require.NoError(t, err, "%s", told)
-			answers = append(answers, answer)
+			fmt.Fprintf(&out, "shard %d %s\n", shard, raw)
+			response, err := q.ParseResponse(shard, documents.Index, raw)
+			require.NoError(t, err, "%s", raw)
+			responses = append(responses, response)
 		}
-		if len(answers) < 2 {
+		if len(responses) < 2 {
 			continue
 		}
-		fmt.Fprintf(&out, "whole %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers, TookMillis: 12}))
+		fmt.Fprintf(&out, "whole %s\n", q.MergeResponses(query.SearchOutcome{Responses: responses, TookMillis: 12}))
 		fmt.Fprintf(&out, "partial %s\n", q.MergeResponses(query.SearchOutcome{
-			Responses: answers[:1], TookMillis: 1999, TimedOut: true,
+			Responses: responses[:1], TookMillis: 1999, TimedOut: true,
 			Failures: []query.ShardFailure{{Shard: 1, Index: "members", Type: "timeout_exception", Reason: "no answer \"in\" time"}},
 		}))
-		fmt.Fprintf(&out, "skipped %s\n", q.MergeResponses(query.SearchOutcome{Responses: answers[1:], Skipped: 3}))
+		fmt.Fprintf(&out, "skipped %s\n", q.MergeResponses(query.SearchOutcome{Responses: responses[1:], Skipped: 3}))
 	}
 	golden.Require(t, "merged_answers.golden", out.String())
 }
 
-// Requests that are refused get the bodies of the golden file: the request, status and body.
+// The errors of rejected requests must not change. The golden file has each request and, on the line below, the status and
+// the body of its error.
 func TestGoldenRequestErrors(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -86,14 +89,14 @@
 		"{\"query\":{\"term\":{\"a\":\"\xff\"}}}", `{"a":` + strings.Repeat(" ", 1<<20) + `1}`,
 	} {
 		_, err := query.ParseRequest([]byte(text))
-		var refused *query.APIError
-		require.ErrorAs(t, err, &refused, "%.80s", text)
-		fmt.Fprintf(&out, "%.100q\n%d %s\n", text, refused.Status, refused.ResponseBody())
+		var apiError *query.APIError
+		require.ErrorAs(t, err, &apiError, "%.80s", text)
+		fmt.Fprintf(&out, "%.100q\n%d %s\n", text, apiError.Status, apiError.ResponseBody())
 	}
 	golden.Require(t, "request_errors.golden", out.String())
 }
 
-// Members are placed in shards as the golden file says: the numbers of shards and routing shards, and the shard of each id.
+// Placement must not change: the golden file has the numbers of shards and routing shards, and the shard of each id.
 func TestGoldenPlacement(t *testing.T) {
 	var out strings.Builder
 	for _, p := range []query.Placement{{Shards: 1}, {Shards: 3}, {Shards: 8}, {Shards: 5, RoutingShards: 30}} {
@@ -106,6 +109,6 @@
 	golden.Require(t, "placement.golden", out.String())
 }
 
-func membersOf(all []fake.Document) fake.ShardDocuments {
+func shardOf(all []fake.Document) fake.ShardDocuments {
 	return fake.ShardDocuments{Index: "members", Documents: all}
 }
--- a/opensearch/query/merge.go
+++ b/opensearch/query/merge.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	compression = 1000 // of a digest: a thousandth of the ranks in the middle, less at the ends
-	exactKeys   = keysMost
+	digestCompression = 1000 // of a t-digest: a percentile is off by up to a thousandth of all ranks in the middle, by less at the ends
+	maxExactKeys      = maxCardinalityKeys
 )
 
-// ShardFailure is a part that is not in, and why.
+// ShardFailure is a shard without a usable response, and the reason.
 type ShardFailure struct {
 	Shard  int
 	Index  string
@@ -26,44 +26,45 @@
 	Reason string
 }
 
-// SearchOutcome is what a search has come to: the parts that are in, and those that are not.
+// SearchOutcome is the outcome of a search: the shards with a response, and those without one.
 type SearchOutcome struct {
 	Responses  []*ShardResponse
 	Failures   []ShardFailure
-	Skipped    int   // parts that were not needed
+	Skipped    int   // shards that were not needed
 	TookMillis int64 // ms
 	TimedOut   bool
 }
 
-// MergeResponses puts the parts' answers together as the API answers a search. It does not depend on the order they came in.
-// A member on two parts counts once, as the part with the lower number has it. Totals and aggregations of less than
-// all parts are told as such: the relation of the total is gte, and _shards tells how many are in.
+// MergeResponses merges the shards' responses into the API's answer to a search. The result doesn't depend on the order
+// of the responses. If two shards return the same document, it counts once and the copy that sorts first is used; of equal
+// copies that of the lower shard number. A partial answer says so: the relation of the total is gte, and _shards has the
+// number of shards that responded.
 func (q *Request) MergeResponses(o SearchOutcome) []byte {
-	whole := q.join(o.Responses)
-	merged, doubled := q.all(o.Responses)
-	whole.DuplicateHits += doubled
-	hits, total, atLeast := merged[:min(len(merged), q.From+q.Size)], whole.Total, whole.TotalIsLowerBound
-	atLeast = atLeast || len(o.Failures)+o.Skipped > 0
-	var best *float64
+	totals := q.joinTotals(o.Responses)
+	merged, duplicates := q.mergeHits(o.Responses)
+	totals.DuplicateHits += duplicates
+	hits, total, isLowerBound := merged[:min(len(merged), q.From+q.Size)], totals.Total, totals.TotalIsLowerBound
+	isLowerBound = isLowerBound || len(o.Failures)+o.Skipped > 0
+	var maxScore *float64
 	if k := q.Sort[0]; k.Field == "_score" && k.Descending && len(hits) > 0 && len(q.SearchAfter) == 0 {
-		best = hits[0].Score
+		maxScore = hits[0].Score
 	}
-	if total -= whole.DuplicateHits; q.TrackTotalHits < math.MaxInt && total > q.TrackTotalHits {
-		total, atLeast = q.TrackTotalHits, true
+	if total -= totals.DuplicateHits; q.TrackTotalHits < math.MaxInt && total > q.TrackTotalHits {
+		total, isLowerBound = q.TrackTotalHits, true
 	}
 	if len(hits) > q.From {
 		hits = hits[q.From:]
 	} else {
 		hits = nil
 	}
-	// Names in the order of their bytes, as maps are written: equal outcomes have equal texts.
-	room := 256 + 128*len(o.Failures)
+	// Field names are written in byte order, as for an encoded map, so that equal outcomes give equal texts.
+	capacity := 256 + 128*len(o.Failures)
 	for i := range hits {
-		room += 128 + len(hits[i].Source) + len(hits[i].Index) + len(hits[i].ID)
+		capacity += 128 + len(hits[i].Source) + len(hits[i].Index) + len(hits[i].ID)
 	}
-	dst := append(make([]byte, 0, room), `{"_shards":{"failed":`...)
+	dst := append(make([]byte, 0, capacity), `{"_shards":{"failed":`...)
 	dst = strconv.AppendInt(dst, int64(len(o.Failures)), 10)
-	for i, f := range o.Failures {
+	for i, f := range o.Failures { // the first one opens the list
 		dst = append(dst, [...]string{`,"failures":[`, `,`}[min(i, 1)]...)
 		dst = appendText(append(dst, `{"index":`...), f.Index)
 		dst = appendText(append(dst, `,"node":null,"reason":{"reason":`...), f.Reason)
@@ -74,12 +75,12 @@
 		dst = append(dst, ']')
 	}
 	dst = strconv.AppendInt(append(dst, `,"skipped":`...), int64(o.Skipped), 10)
-	dst = strconv.AppendInt(append(dst, `,"successful":`...), int64(whole.ShardCount+o.Skipped), 10)
-	dst = strconv.AppendInt(append(dst, `,"total":`...), int64(whole.ShardCount+len(o.Failures)+o.Skipped), 10)
+	dst = strconv.AppendInt(append(dst, `,"successful":`...), int64(totals.ShardCount+o.Skipped), 10)
+	dst = strconv.AppendInt(append(dst, `,"total":`...), int64(totals.ShardCount+len(o.Failures)+o.Skipped), 10)
 	dst = append(dst, '}')
 	if len(q.Aggregations) > 0 {
 		var got []map[string]any
-		for _, p := range whole.aggs {
+		for _, p := range totals.aggs {
 			got = append(got, p.aggs)
 		}
 		text, _ := json.Marshal(mergeAggs(q.Aggregations, got))
@@ -92,33 +93,33 @@
 		}
 		dst = hits[i].append(dst, q.SortRequested)
 	}
-	dst = appendScore(append(dst, `],"max_score":`...), best)
+	dst = appendScore(append(dst, `],"max_score":`...), maxScore)
 	if q.TrackTotalHits > 0 {
 		relation := "eq"
-		if atLeast {
+		if isLowerBound {
 			relation = "gte"
 		}
 		dst = append(append(append(dst, `,"total":{"relation":"`...), relation...), `","value":`...)
 		dst = append(strconv.AppendInt(dst, int64(total), 10), '}')
 	}
 	dst = append(dst, '}')
-	if whole.TerminatedEarly {
+	if totals.TerminatedEarly {
 		dst = append(dst, `,"terminated_early":true`...)
 	}
 	dst = strconv.AppendBool(append(dst, `,"timed_out":`...), o.TimedOut)
 	return append(strconv.AppendInt(append(dst, `,"took":`...), o.TookMillis, 10), '}')
 }
 
-// append writes a hit: what its host gave as the source, byte for byte.
-func (h *Hit) append(dst []byte, sorted bool) []byte {
+// append writes a hit, with its _source byte for byte as the host sent it; withSort adds its sort values.
+func (h *Hit) append(dst []byte, withSort bool) []byte {
 	dst = appendText(append(dst, `{"_index":`...), h.Index)
 	dst = appendText(append(dst, `,"_id":`...), h.ID)
 	dst = appendScore(append(dst, `,"_score":`...), h.Score)
 	if len(h.Source) > 0 {
 		dst = append(append(dst, `,"_source":`...), h.Source...)
 	}
-	if sorted {
-		for i, v := range h.Sort {
+	if withSort {
+		for i, v := range h.Sort { // the first one opens the list
 			dst = append(dst, [...]string{`,"sort":[`, `,`}[min(i, 1)]...)
 			if v.kind == '"' {
 				dst = appendText(dst, v.text)
@@ -139,7 +140,7 @@
 	return dst
 }
 
-// appendScore writes a score as the API does, null for none.
+// appendScore writes a score as the API does; nil is written as null.
 func appendScore(dst []byte, v *float64) []byte {
 	if v == nil {
 		return append(dst, "null"...)
@@ -148,49 +149,49 @@
 	return append(dst, text...)
 }
 
-// JoinResponses puts answers together so that they can be joined or merged further: whatever the order and the grouping, the
-// result is the same. All hits stay, since one that is beyond the page may be there twice in what comes later.
-func (q *Request) JoinResponses(answers ...*ShardResponse) *ShardResponse {
-	out := q.join(answers)
-	hits, doubled := q.all(answers)
-	out.DuplicateHits += doubled
+// JoinResponses joins responses into one that can be joined or merged further. The result doesn't depend on order or
+// grouping. All hits are kept, also those beyond the page: a later response may repeat one of them.
+func (q *Request) JoinResponses(responses ...*ShardResponse) *ShardResponse {
+	out := q.joinTotals(responses)
+	hits, duplicates := q.mergeHits(responses)
+	out.DuplicateHits += duplicates
 	for _, h := range hits {
 		out.Hits = append(out.Hits, *h)
 	}
 	return out
 }
 
-// join adds up all but the hits.
-func (q *Request) join(answers []*ShardResponse) *ShardResponse {
+// joinTotals joins everything but the hits.
+func (q *Request) joinTotals(responses []*ShardResponse) *ShardResponse {
 	out := &ShardResponse{Shard: math.MaxInt}
-	for _, a := range answers {
+	for _, a := range responses {
 		out.Shard = min(out.Shard, a.Shard)
 		out.ShardCount, out.Total, out.DuplicateHits = out.ShardCount+a.ShardCount, out.Total+a.Total, out.DuplicateHits+a.DuplicateHits
 		out.TotalIsLowerBound, out.TerminatedEarly = out.TotalIsLowerBound || a.TotalIsLowerBound, out.TerminatedEarly || a.TerminatedEarly
 		out.aggs = append(out.aggs, a.aggs...)
 	}
-	slices.SortStableFunc(out.aggs, func(x, y partAnswer) int { return x.shard - y.shard })
+	slices.SortStableFunc(out.aggs, func(x, y shardAggsResult) int { return x.shard - y.shard })
 	return out
 }
 
-// cursors are lists of hits as far as they have been taken, a heap by their first ones.
-type cursors struct {
-	q    *Request
-	list [][]Hit
+// hitHeap is a heap of lists: the remaining hits of each response, in order. On top is the list whose first hit comes first.
+type hitHeap struct {
+	q     *Request
+	lists [][]Hit
 }
 
-func (c *cursors) less(i, j int) bool {
-	if by := c.q.compare(c.list[i][0].Sort, c.list[j][0].Sort); by != 0 {
-		return by < 0
+func (c *hitHeap) less(i, j int) bool {
+	if order := c.q.compare(c.lists[i][0].Sort, c.lists[j][0].Sort); order != 0 {
+		return order < 0
 	}
-	return c.list[i][0].shard < c.list[j][0].shard
+	return c.lists[i][0].shard < c.lists[j][0].shard
 }
 
-// down puts the list at a place where it belongs.
-func (c *cursors) down(i int) {
+// siftDown moves the list at index i down until the heap is ordered again.
+func (c *hitHeap) siftDown(i int) {
 	for {
 		least := i
-		for j := 2*i + 1; j <= 2*i+2 && j < len(c.list); j++ {
+		for j := 2*i + 1; j <= 2*i+2 && j < len(c.lists); j++ {
 			if c.less(j, least) {
 				least = j
 			}
@@ -198,49 +199,49 @@
 		if least == i {
 			return
 		}
-		c.list[i], c.list[least] = c.list[least], c.list[i]
+		c.lists[i], c.lists[least] = c.lists[least], c.lists[i]
 		i = least
 	}
 }
 
-// all merges the hits of all answers, a member that is there twice as its first, and counts the others. The heap holds
-// a list an answer, so that no more is held than the answers themselves.
-func (q *Request) all(answers []*ShardResponse) (hits []*Hit, doubled int) {
-	c := cursors{q, make([][]Hit, 0, len(answers))}
+// mergeHits merges the hits of all responses. Of a document that appears more than once it keeps the first hit and counts
+// the others. The heap holds one list for each response and so needs no copy of the hits.
+func (q *Request) mergeHits(responses []*ShardResponse) (hits []*Hit, duplicates int) {
+	c := hitHeap{q, make([][]Hit, 0, len(responses))}
 	n := 0
-	for _, a := range answers {
+	for _, a := range responses {
 		if n += len(a.Hits); len(a.Hits) > 0 {
-			c.list = append(c.list, a.Hits)
+			c.lists = append(c.lists, a.Hits)
 		}
 	}
-	for i := len(c.list)/2 - 1; i >= 0; i-- {
-		c.down(i)
+	for i := len(c.lists)/2 - 1; i >= 0; i-- {
+		c.siftDown(i)
 	}
 	hits = make([]*Hit, 0, n)
 	seen := make(map[string]struct{}, n)
-	for last := len(c.list) - 1; last >= 0; {
-		h := &c.list[0][0]
-		if c.list[0] = c.list[0][1:]; len(c.list[0]) == 0 {
-			c.list[0], c.list = c.list[last], c.list[:last]
+	for last := len(c.lists) - 1; last >= 0; {
+		h := &c.lists[0][0]
+		if c.lists[0] = c.lists[0][1:]; len(c.lists[0]) == 0 {
+			c.lists[0], c.lists = c.lists[last], c.lists[:last]
 			last--
 		}
 		if last > 0 {
-			c.down(0)
+			c.siftDown(0)
 		}
-		if _, there := seen[h.ID]; there {
-			doubled++
+		if _, found := seen[h.ID]; found {
+			duplicates++
 			continue
 		}
 		seen[h.ID] = struct{}{}
 		hits = append(hits, h)
 	}
-	return hits, doubled
+	return hits, duplicates
 }
 
 func mergeAggs(aggs []Aggregation, got []map[string]any) map[string]any {
 	out := map[string]any{}
 	for _, a := range aggs {
-		of := func(suffix string) (all []map[string]any) {
+		withSuffix := func(suffix string) (all []map[string]any) {
 			for _, g := range got {
 				if one, ok := g[a.Name+suffix].(map[string]any); ok {
 					all = append(all, one)
@@ -250,32 +251,32 @@
 		}
 		switch a.Kind {
 		case "terms":
-			out[a.Name] = mergeTerms(a, of(asTerms))
+			out[a.Name] = mergeTerms(a, withSuffix(suffixTerms))
 		case "cardinality":
-			out[a.Name] = mergeKeys(of(asKeys))
+			out[a.Name] = mergeCardinality(withSuffix(suffixKeys))
 		case "percentiles":
-			out[a.Name] = mergePoints(a, of(asPoints), of(asCount))
+			out[a.Name] = mergePercentiles(a, withSuffix(suffixPoints), withSuffix(suffixCount))
 		default:
-			out[a.Name] = mergeStats(a.Kind, of(asStats))
+			out[a.Name] = mergeStats(a.Kind, withSuffix(suffixStats))
 		}
 	}
 	return out
 }
 
 func mergeStats(kind string, all []map[string]any) map[string]any {
-	count, sum, least, most := 0.0, 0.0, math.Inf(1), math.Inf(-1)
+	count, sum, minimum, maximum := 0.0, 0.0, math.Inf(1), math.Inf(-1)
 	for _, one := range all {
-		n, _ := number(one["count"])
+		n, _ := toFloat(one["count"])
 		if n == 0 {
 			continue
 		}
-		s, _ := number(one["sum"])
+		s, _ := toFloat(one["sum"])
 		count, sum = count+n, sum+s
-		if v, ok := number(one["min"]); ok {
-			least = min(least, v)
+		if v, ok := toFloat(one["min"]); ok {
+			minimum = min(minimum, v)
 		}
-		if v, ok := number(one["max"]); ok {
-			most = max(most, v)
+		if v, ok := toFloat(one["max"]); ok {
+			maximum = max(maximum, v)
 		}
 	}
 	var v any
@@ -289,36 +290,37 @@
 	case kind == "avg":
 		v = sum / count
 	case kind == "min":
-		v = least
+		v = minimum
 	case kind == "max":
-		v = most
+		v = maximum
 	}
 	return map[string]any{"value": v}
 }
 
-// bucket is one key of a terms aggregation over the parts.
+// bucket is one key of a terms aggregation, merged over the shards.
 type bucket struct {
 	key   any
 	count int64
 
-	subs []map[string]any
+	shardBuckets []map[string]any // the shards' buckets of this key, with their sub-aggregations
 }
 
-// mergeTerms adds up buckets. A part whose list was cut may hold up to its last count of any key that it did not
-// tell: that is the error bound of the whole, as the API tells it.
+// mergeTerms adds up the buckets of a terms aggregation. If a shard did not return all its buckets, each key that is
+// missing may have up to as many documents there as the last bucket returned. The sum of these numbers over the shards is
+// the API's doc_count_error_upper_bound.
 func mergeTerms(a Aggregation, all []map[string]any) map[string]any {
-	buckets, others, bound := map[string]*bucket{}, int64(0), int64(0)
+	buckets, otherDocs, errorBound := map[string]*bucket{}, int64(0), int64(0)
 	for _, one := range all {
-		rest, _ := number(one["sum_other_doc_count"])
-		others += int64(rest)
+		shardOther, _ := toFloat(one["sum_other_doc_count"])
+		otherDocs += int64(shardOther)
 		list := one["buckets"].([]any)
-		if n := len(list); rest > 0 && n > 0 && !a.OrderByKey {
-			last, _ := number(list[n-1].(map[string]any)["doc_count"])
-			bound += int64(last)
+		if n := len(list); shardOther > 0 && n > 0 && !a.OrderByKey {
+			last, _ := toFloat(list[n-1].(map[string]any)["doc_count"])
+			errorBound += int64(last)
 		}
 		for _, item := range list {
 			m := item.(map[string]any)
-			n, _ := number(m["doc_count"])
+			n, _ := toFloat(m["doc_count"])
 			name := fmt.Sprintf("%T%v", m["key"], m["key"])
 			b := buckets[name]
 			if b == nil {
@@ -326,7 +328,7 @@
 				buckets[name] = b
 			}
 			b.count += int64(n)
-			b.subs = append(b.subs, m)
+			b.shardBuckets = append(b.shardBuckets, m)
 		}
 	}
 	list := make([]*bucket, 0, len(buckets))
@@ -337,59 +339,59 @@
 		if !a.OrderByKey && x.count != y.count {
 			return int(y.count - x.count)
 		}
-		return order(x.key, y.key, SortKey{Descending: a.OrderByKey && !a.Ascending})
+		return compareKeys(x.key, y.key, SortKey{Descending: a.OrderByKey && !a.Ascending})
 	})
 	out := []any{}
 	for i, b := range list {
 		if i >= a.Size {
-			others += b.count
+			otherDocs += b.count
 			continue
 		}
 		m := map[string]any{"key": b.key, "doc_count": b.count}
 		if len(a.SubAggregations) > 0 {
-			for name, v := range mergeAggs(a.SubAggregations, b.subs) {
+			for name, v := range mergeAggs(a.SubAggregations, b.shardBuckets) {
 				m[name] = v
 			}
 		}
 		out = append(out, m)
 	}
-	return map[string]any{"doc_count_error_upper_bound": bound, "sum_other_doc_count": others, "buckets": out}
+	return map[string]any{"doc_count_error_upper_bound": errorBound, "sum_other_doc_count": otherDocs, "buckets": out}
 }
 
-// mergeKeys counts different keys: exactly while they are few, by a sketch beyond. A part that could not tell all its
-// keys makes the value a lower bound, and that is told.
-func mergeKeys(all []map[string]any) map[string]any {
-	keys, cut := map[string]bool{}, false
+// mergeCardinality counts distinct keys: exactly up to maxExactKeys, by a HyperLogLog sketch beyond. If a shard did not
+// return all its keys, the value is a lower bound and is marked as one.
+func mergeCardinality(all []map[string]any) map[string]any {
+	keys, truncated := map[string]bool{}, false
 	for _, one := range all {
-		rest, _ := number(one["sum_other_doc_count"])
-		cut = cut || rest > 0
+		shardOther, _ := toFloat(one["sum_other_doc_count"])
+		truncated = truncated || shardOther > 0
 		for _, item := range one["buckets"].([]any) {
 			keys[fmt.Sprintf("%T%v", item.(map[string]any)["key"], item.(map[string]any)["key"])] = true
 		}
 	}
 	value := uint64(len(keys))
-	if len(keys) > exactKeys {
+	if len(keys) > maxExactKeys {
 		sketch := hyperloglog.New16()
-		for _, k := range sortedNames(keys) {
+		for _, k := range sortedKeys(keys) {
 			sketch.Insert([]byte(k))
 		}
 		value = sketch.Estimate()
 	}
 	out := map[string]any{"value": value}
-	if cut {
+	if truncated {
 		out["lower_bound"] = true
 	}
 	return out
 }
 
-// mergePoints puts the parts' quantiles into one digest, each point with the weight of its part.
-func mergePoints(a Aggregation, points, counts []map[string]any) map[string]any {
-	digest := tdigest.NewWithCompression(compression)
+// mergePercentiles adds the shards' percentiles to one t-digest, each weighted by the number of values in its shard.
+func mergePercentiles(a Aggregation, points, counts []map[string]any) map[string]any {
+	digest := tdigest.NewWithCompression(digestCompression)
 	total := 0.0
 	for i, one := range points {
 		n := 0.0
 		if i < len(counts) {
-			n, _ = number(counts[i]["value"])
+			n, _ = toFloat(counts[i]["value"])
 		}
 		if n == 0 {
 			continue
@@ -397,9 +399,9 @@
 		total += n
 		values := one["values"].(map[string]any)
 		for p := range 101 {
-			if v, ok := number(values[fmt.Sprintf("%d.0", p)]); ok {
+			if v, ok := toFloat(values[fmt.Sprintf("%d.0", p)]); ok {
 				weight := n / 100
-				if p == 0 || p == 100 {
+				if p == 0 || p == 100 { // each end has values on one side only
 					weight /= 2
 				}
 				digest.Add(v, weight)
@@ -419,7 +421,7 @@
 	return map[string]any{"values": out}
 }
 
-func sortedNames(m map[string]bool) []string {
+func sortedKeys(m map[string]bool) []string {
 	all := make([]string, 0, len(m))
 	for k := range m {
 		all = append(all, k)
--- a/opensearch/query/parse.go
+++ b/opensearch/query/parse.go
@@ -10,26 +10,26 @@
 	"unicode/utf8"
 )
 
-// Clause is one clause of a query, checked.
+// Clause is one checked clause of a query.
 type Clause struct {
 	Kind               string
 	Field              string
 	Values             []any                // of term, terms, ids, prefix and match
 	Bounds             map[string]any       // of range: gt, gte, lt, lte
-	MatchAll           bool                 // of match: every word has to be there
+	MatchAll           bool                 // of match: every word must match
 	Clauses            map[string][]*Clause // of bool: must, filter, should, must_not; of constant_score: filter
-	MinimumShouldMatch int                  // of bool: should clauses that have to match
+	MinimumShouldMatch int                  // of bool: number of should clauses that must match
 	Boost              float64
 }
 
-// SortKey is one key of a sort; Missing is "_first" or "_last", or a value that stands for a missing one.
+// SortKey is one key of a sort; Missing is "_first" or "_last", or a value that replaces a missing one.
 type SortKey struct {
 	Field      string
 	Descending bool
 	Missing    any
 }
 
-// Aggregation is one aggregation.
+// Aggregation is one checked aggregation; Kind is its type in the API.
 type Aggregation struct {
 	Name, Kind, Field     string
 	Size                  int       // of terms
@@ -38,17 +38,17 @@
 	SubAggregations       []Aggregation
 }
 
-// Request is a search, checked and normalised.
+// Request is a checked and normalised search.
 type Request struct {
 	Query          *Clause
 	From, Size     int
 	Sort           []SortKey // the last is _id
-	SortRequested  bool      // the client named a sort: hits carry their sort values
+	SortRequested  bool      // whether the client gave a sort: only then do the hits of the answer have their sort values
 	SearchAfter    []any
 	IncludeSource  bool
 	SourceIncludes []string
 	SourceExcludes []string
-	TrackTotalHits int // hits counted at least; math.MaxInt for all, 0 for none
+	TrackTotalHits int // number up to which hits are counted; math.MaxInt for all, 0 for none
 	MinScore       *float64
 	Timeout        time.Duration // 0 for none
 	TerminateAfter int
@@ -56,23 +56,23 @@
 }
 
 const (
-	sizeUsual  = 10     // hits where a search names no size: the API's
-	trackUsual = 10_000 // hits counted where a search does not say: the API's
-	termsUsual = 10     // buckets where an aggregation names no size: the API's
+	defaultSize           = 10     // hits if a search has no size: the API's default
+	defaultTrackTotalHits = 10_000 // hits counted if a search has no track_total_hits: the API's default
+	defaultTermsSize      = 10     // buckets if an aggregation has no size: the API's default
 )
 
-var percentsUsual = []float64{1, 5, 25, 50, 75, 95, 99} // the API's
+var defaultPercents = []float64{1, 5, 25, 50, 75, 95, 99} // the API's default
 
-// Known words of the API that are not done here: they are refused by name, not as unknown.
+// Names that the API has but that are not supported here. The error says so; any other name is called unknown.
 var (
-	knownBody = words("highlight suggest collapse rescore script_fields stored_fields docvalue_fields fields explain version " +
+	unsupportedFields = wordSet("highlight suggest collapse rescore script_fields stored_fields docvalue_fields fields explain version " +
 		"seq_no_primary_term indices_boost post_filter profile pit slice stats runtime_mappings knn ext derived search_pipeline " +
 		"include_named_queries_score verbose_pipeline")
-	knownClauses = words("fuzzy wildcard regexp match_phrase match_phrase_prefix match_bool_prefix multi_match query_string " +
+	unsupportedClauses = wordSet("fuzzy wildcard regexp match_phrase match_phrase_prefix match_bool_prefix multi_match query_string " +
 		"simple_query_string nested has_child has_parent parent_id geo_distance geo_bounding_box geo_polygon geo_shape " +
 		"function_score script script_score dis_max boosting more_like_this percolate terms_set distance_feature rank_feature " +
 		"intervals knn neural hybrid pinned wrapper span_term span_near span_or span_not span_first span_multi xy_shape template")
-	knownAggs = words("stats extended_stats date_histogram histogram range date_range ip_range filter filters global missing nested " +
+	unsupportedAggs = wordSet("stats extended_stats date_histogram histogram range date_range ip_range filter filters global missing nested " +
 		"reverse_nested children parent significant_terms significant_text sampler diversified_sampler composite top_hits " +
 		"geohash_grid geotile_grid geo_bounds geo_centroid matrix_stats median_absolute_deviation percentile_ranks rare_terms " +
 		"scripted_metric weighted_avg variable_width_histogram auto_date_histogram adjacency_matrix multi_terms avg_bucket " +
@@ -80,7 +80,7 @@
 		"bucket_sort serial_diff moving_avg moving_fn")
 )
 
-func words(text string) map[string]bool {
+func wordSet(text string) map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(text) {
 		m[w] = true
@@ -88,70 +88,71 @@
 	return m
 }
 
-// notDone tells a known word that is not done from an unknown one.
-func (r *reader) notDone(known map[string]bool, word string, at int, what string) error {
-	if known[word] {
-		return illegal("%s [%s] is known to the API and not done here", what, word)
+// unsupportedOrUnknown returns the error for a name that can't be used here: not supported if the set unsupported has it,
+// else unknown.
+func (r *parser) unsupportedOrUnknown(unsupported map[string]bool, name string, at int, what string) error {
+	if unsupported[name] {
+		return illegalArgument("%s [%s] is part of the API but not supported here", what, name)
 	}
-	return r.fault(at, "unknown %s [%.100s]", what, word)
+	return r.parsingError(at, "unknown %s [%.100s]", what, name)
 }
 
 // ParseRequest reads and checks a search's body.
 func ParseRequest(text []byte) (*Request, error) {
-	r, n, err := read(text)
+	r, n, err := readTree(text)
 	if err != nil {
 		return nil, err
 	}
-	q := &Request{Query: &Clause{Kind: "match_all", Boost: 1}, Size: sizeUsual, IncludeSource: true, TrackTotalHits: trackUsual}
+	q := &Request{Query: &Clause{Kind: "match_all", Boost: 1}, Size: defaultSize, IncludeSource: true, TrackTotalHits: defaultTrackTotalHits}
 	clauses := 0
 	for i, f := range n.fields {
-		word := n.names[i].text
-		switch word {
+		name := n.names[i].text
+		switch name {
 		case "query":
 			q.Query, err = r.clause(f, &clauses)
 		case "from":
-			q.From, err = r.whole(f, word, 0, MaxResultWindow)
+			q.From, err = r.integer(f, name, 0, MaxResultWindow)
 		case "size":
-			q.Size, err = r.whole(f, word, 0, MaxResultWindow)
+			q.Size, err = r.integer(f, name, 0, MaxResultWindow)
 		case "sort":
 			err = r.sort(f, q)
 		case "search_after":
-			err = r.after(f, q)
+			err = r.searchAfter(f, q)
 		case "_source":
 			err = r.source(f, q)
 		case "track_total_hits":
-			err = r.track(f, q)
+			err = r.trackTotalHits(f, q)
 		case "min_score":
 			var v float64
-			v, err = r.number(f, word)
+			v, err = r.number(f, name)
 			q.MinScore = &v
 		case "track_scores":
-			err = r.want(f, truth, word)
+			err = r.requireKind(f, kindBool, name)
 		case "timeout":
-			q.Timeout, err = r.span(f)
+			q.Timeout, err = r.timeout(f)
 		case "terminate_after":
-			q.TerminateAfter, err = r.whole(f, word, 0, math.MaxInt32)
+			q.TerminateAfter, err = r.integer(f, name, 0, math.MaxInt32)
 		case "aggs", "aggregations":
 			if len(q.Aggregations) > 0 {
-				err = r.fault(n.names[i].at, "both aggs and aggregations")
+				err = r.parsingError(n.names[i].offset, "only one of [aggs] and [aggregations] is allowed")
 				break
 			}
 			count := 0
 			q.Aggregations, err = r.aggs(f, 1, &count)
 		default:
-			err = r.notDone(knownBody, word, n.names[i].at, "part of a search")
+			err = r.unsupportedOrUnknown(unsupportedFields, name, n.names[i].offset, "search field")
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	return q, q.check()
+	return q, q.normalize()
 }
 
-// check looks at what belongs together.
-func (q *Request) check() error {
+// normalize checks the fields that depend on one another and fills in the sort.
+func (q *Request) normalize() error {
 	if q.From+q.Size > MaxResultWindow {
-		return illegal("Result window is too large, from + size must be less than or equal to: [%d] but was [%d]. "+
+		return illegalArgument("Result window is too large, from + size must be less than or equal to: [%d] but was [%d]. "+
 			"Use search_after beyond it.", MaxResultWindow, q.From+q.Size)
 	}
 	if len(q.Sort) == 0 {
@@ -159,46 +160,47 @@
 	}
 	if len(q.SearchAfter) > 0 {
 		if !q.SortRequested {
-			return illegal("search_after needs a sort")
+			return illegalArgument("[search_after] requires a [sort]")
 		}
 		if q.From > 0 {
-			return illegal("`from` parameter must be set to 0 when `search_after` is used.")
+			return illegalArgument("`from` parameter must be set to 0 when `search_after` is used.")
 		}
 		if n := len(q.Sort); len(q.SearchAfter) != n && !(len(q.SearchAfter) == n+1 && q.Sort[n-1].Field != "_id") {
-			return illegal("search_after has %d value(s) but sort has %d.", len(q.SearchAfter), n)
+			return illegalArgument("search_after has %d value(s) but sort has %d.", len(q.SearchAfter), n)
 		}
 	}
 	for i, k := range q.Sort {
 		if k.Field == "_id" && i < len(q.Sort)-1 {
-			return illegal("sort by [_id] comes last: no two members share one")
+			return illegalArgument("sort by [_id] must come last: no two documents share an _id")
 		}
 	}
 	if q.Sort[len(q.Sort)-1].Field != "_id" {
 		q.Sort = append(q.Sort, SortKey{Field: "_id", Missing: "_last"})
 	}
-	if n := len(q.SearchAfter); n > 0 && n < len(q.Sort) { // behind all members that share the values told, as the API has it
+	if n := len(q.SearchAfter); n > 0 && n < len(q.Sort) { // no _id given: continue after all documents with the given values, as the API does
 		q.SearchAfter = append(q.SearchAfter, string(utf8.MaxRune))
 	}
 	return nil
 }
 
-func (r *reader) clause(n *node, count *int) (*Clause, error) {
-	if *count++; *count > clausesMost {
-		return nil, &APIError{Status: 400, Type: "too_many_clauses", Reason: "maxClauseCount is set to " + strconv.Itoa(clausesMost)}
+// clause parses a clause and the clauses in it; count is the number of clauses so far in the whole query.
+func (r *parser) clause(n *node, count *int) (*Clause, error) {
+	if *count++; *count > maxClauses {
+		return nil, &APIError{Status: 400, Type: "too_many_clauses", Reason: "maxClauseCount is set to " + strconv.Itoa(maxClauses)}
 	}
-	if err := r.want(n, object, "query"); err != nil {
+	if err := r.requireKind(n, kindObject, "query"); err != nil {
 		return nil, err
 	}
 	if len(n.names) != 1 {
-		return nil, r.fault(n.at, "a clause has one name, this has %d", len(n.names))
+		return nil, r.parsingError(n.offset, "a clause must have exactly one name, got %d", len(n.names))
 	}
 	kind, body := n.names[0].text, n.fields[0]
 	c := &Clause{Kind: kind, Boost: 1}
 	var err error
 	switch kind {
 	case "match_all", "match_none":
-		if err = r.want(body, object, kind); err == nil {
-			err = r.only(body, kind, c, nil)
+		if err = r.requireKind(body, kindObject, kind); err == nil {
+			err = r.parseFields(body, kind, c, nil)
 		}
 	case "term", "prefix", "match":
 		err = r.fieldClause(body, c)
@@ -207,24 +209,24 @@
 	case "range":
 		err = r.rangeClause(body, c)
 	case "exists":
-		err = r.want(body, object, kind)
+		err = r.requireKind(body, kindObject, kind)
 		if err == nil {
-			err = r.only(body, kind, c, func(word string, f *node) (bool, error) {
-				if word != "field" {
+			err = r.parseFields(body, kind, c, func(name string, f *node) (bool, error) {
+				if name != "field" {
 					return false, nil
 				}
 				c.Field = f.text
-				return true, r.want(f, str, "field")
+				return true, r.requireKind(f, kindString, "field")
 			})
 		}
 		if err == nil && c.Field == "" {
-			err = r.fault(body.at, "[exists] names no field")
+			err = r.parsingError(body.offset, "[exists] requires a [field]")
 		}
 	case "ids":
-		err = r.want(body, object, kind)
+		err = r.requireKind(body, kindObject, kind)
 		if err == nil {
-			err = r.only(body, kind, c, func(word string, f *node) (bool, error) {
-				if word != "values" {
+			err = r.parseFields(body, kind, c, func(name string, f *node) (bool, error) {
+				if name != "values" {
 					return false, nil
 				}
 				var err error
@@ -233,141 +235,143 @@
 			})
 		}
 		for _, v := range c.Values {
-			if _, text := v.(string); !text && err == nil {
-				err = r.fault(body.at, "an id is no string")
+			if _, isString := v.(string); !isString && err == nil {
+				err = r.parsingError(body.offset, "[ids] has a value that is not a string")
 			}
 		}
 	case "bool":
 		err = r.boolClause(body, c, count)
 	case "constant_score":
 		c.Clauses = map[string][]*Clause{}
-		err = r.want(body, object, kind)
+		err = r.requireKind(body, kindObject, kind)
 		if err == nil {
-			err = r.only(body, kind, c, func(word string, f *node) (bool, error) {
-				if word != "filter" {
+			err = r.parseFields(body, kind, c, func(name string, f *node) (bool, error) {
+				if name != "filter" {
 					return false, nil
 				}
 				sub, err := r.clause(f, count)
-				c.Clauses[word] = []*Clause{sub}
+				c.Clauses[name] = []*Clause{sub}
 				return true, err
 			})
 		}
 		if err == nil && len(c.Clauses["filter"]) == 0 {
-			err = r.fault(body.at, "[constant_score] has no filter")
+			err = r.parsingError(body.offset, "[constant_score] requires a [filter]")
 		}
 	default:
-		err = r.notDone(knownClauses, kind, n.names[0].at, "query")
+		err = r.unsupportedOrUnknown(unsupportedClauses, kind, n.names[0].offset, "query")
 	}
 	return c, err
 }
 
-// only walks an object's fields: boost and _name everywhere, the rest by take; what it does not take is unknown.
-func (r *reader) only(n *node, what string, c *Clause, take func(word string, f *node) (bool, error)) error {
+// parseFields parses the fields of a clause's object. It parses boost itself and passes each other field to parseField,
+// which reports whether it knows the field. One that it doesn't know is rejected as unsupported or unknown.
+func (r *parser) parseFields(n *node, what string, c *Clause, parseField func(name string, f *node) (bool, error)) error {
 	for i, f := range n.fields {
-		word := n.names[i].text
-		if word == "boost" {
-			v, err := r.number(f, word)
+		name := n.names[i].text
+		if name == "boost" {
+			v, err := r.number(f, name)
 			if err != nil {
 				return err
 			}
 			if v < 0 {
-				return r.fault(f.at, "[boost] is under 0")
+				return r.parsingError(f.offset, "[boost] is negative")
 			}
 			c.Boost = v
 			continue
 		}
-		if take != nil {
-			taken, err := take(word, f)
+		if parseField != nil {
+			known, err := parseField(name, f)
 			if err != nil {
 				return err
 			}
-			if taken {
+			if known {
 				continue
 			}
 		}
 		if slices.Contains([]string{
 			"_name", "case_insensitive", "fuzziness", "analyzer", "zero_terms_query", "format",
 			"relation", "time_zone", "rewrite", "minimum_should_match", "lenient", "value_type",
-		}, word) {
-			return illegal("[%s] of [%s] is known to the API and not done here", word, what)
+		}, name) {
+			return illegalArgument("[%s] of [%s] is part of the API but not supported here", name, what)
 		}
-		return r.fault(n.names[i].at, "[%s] does not know [%.100s]", what, word)
+		return r.parsingError(n.names[i].offset, "[%s] has an unknown field [%.100s]", what, name)
 	}
 	return nil
 }
 
-// one gives the field that a clause such as term names.
-func (r *reader) one(n *node, what string) (string, *node, error) {
-	if err := r.want(n, object, what); err != nil {
+// singleField returns the name and value of the one field that a clause such as term has.
+func (r *parser) singleField(n *node, what string) (string, *node, error) {
+	if err := r.requireKind(n, kindObject, what); err != nil {
 		return "", nil, err
 	}
 	if len(n.names) != 1 {
-		return "", nil, r.fault(n.at, "[%s] names %d fields, not one", what, len(n.names))
+		return "", nil, r.parsingError(n.offset, "[%s] names %d fields, expected one", what, len(n.names))
 	}
-	return n.names[0].text, n.fields[0], r.field(n.names[0])
+	return n.names[0].text, n.fields[0], r.checkFieldName(n.names[0])
 }
 
-func (r *reader) field(n name) error {
-	if n.text == "" || len(n.text) > nameMost {
-		return r.fault(n.at, "a field's name of %d bytes, 1 to %d are wanted", len(n.text), nameMost)
+func (r *parser) checkFieldName(n fieldName) error {
+	if n.text == "" || len(n.text) > maxNameBytes {
+		return r.parsingError(n.offset, "field name of %d bytes, expected 1 to %d", len(n.text), maxNameBytes)
 	}
 	return nil
 }
 
-func (r *reader) fieldClause(n *node, c *Clause) error {
-	field, f, err := r.one(n, c.Kind)
+// fieldClause parses a term, prefix or match clause.
+func (r *parser) fieldClause(n *node, c *Clause) error {
+	field, f, err := r.singleField(n, c.Kind)
 	if err != nil {
 		return err
 	}
 	c.Field = field
-	if f.kind == object {
-		word := map[string]string{"term": "value", "prefix": "value", "match": "query"}[c.Kind]
-		err = r.only(f, c.Kind, c, func(w string, g *node) (bool, error) {
-			if c.Kind == "match" && w == "operator" {
+	if f.kind == kindObject {
+		valueName := map[string]string{"term": "value", "prefix": "value", "match": "query"}[c.Kind]
+		err = r.parseFields(f, c.Kind, c, func(name string, g *node) (bool, error) {
+			if c.Kind == "match" && name == "operator" {
 				op := strings.ToLower(g.text)
 				if c.MatchAll = op == "and"; op != "and" && op != "or" {
-					return true, r.fault(g.at, "[operator] is neither and nor or")
+					return true, r.parsingError(g.offset, "[operator] must be [and] or [or]")
 				}
 				return true, nil
 			}
-			if w != word {
+			if name != valueName {
 				return false, nil
 			}
-			v, err := r.plain(g, w)
+			v, err := r.scalar(g, name)
 			c.Values = []any{v}
 			return true, err
 		})
 	} else {
 		var v any
-		v, err = r.plain(f, field)
+		v, err = r.scalar(f, field)
 		c.Values = []any{v}
 	}
 	if err == nil && len(c.Values) == 0 {
-		err = r.fault(f.at, "[%s] has no value", c.Kind)
+		err = r.parsingError(f.offset, "[%s] requires a value", c.Kind)
 	}
-	if _, text := first(c.Values).(string); err == nil && c.Kind == "prefix" && !text {
-		err = r.fault(f.at, "[prefix] wants a string")
+	if _, isString := firstValue(c.Values).(string); err == nil && c.Kind == "prefix" && !isString {
+		err = r.parsingError(f.offset, "[prefix] requires a string")
 	}
 	return err
 }
 
-func first(all []any) any {
+func firstValue(all []any) any {
 	if len(all) == 0 {
 		return nil
 	}
 	return all[0]
 }
 
-func (r *reader) values(n *node, what string) ([]any, error) {
-	if err := r.want(n, list, what); err != nil {
+func (r *parser) values(n *node, what string) ([]any, error) {
+	if err := r.requireKind(n, kindArray, what); err != nil {
 		return nil, err
 	}
-	if len(n.items) > termsMost {
-		return nil, illegal("[%s] has %d values, %d at the most", what, len(n.items), termsMost)
+	if len(n.items) > maxTerms {
+		return nil, illegalArgument("[%s] has %d values, the maximum is %d", what, len(n.items), maxTerms)
 	}
 	var all []any
 	for _, item := range n.items {
-		v, err := r.plain(item, what)
+		v, err := r.scalar(item, what)
 		if err != nil {
 			return nil, err
 		}
@@ -376,57 +380,57 @@
 	return all, nil
 }
 
-func (r *reader) terms(n *node, c *Clause) error {
-	if err := r.want(n, object, c.Kind); err != nil {
+func (r *parser) terms(n *node, c *Clause) error {
+	if err := r.requireKind(n, kindObject, c.Kind); err != nil {
 		return err
 	}
-	return r.only(n, c.Kind, c, func(word string, f *node) (bool, error) {
-		if f.kind == object {
-			return true, illegal("a lookup in [terms] is known to the API and not done here")
+	return r.parseFields(n, c.Kind, c, func(name string, f *node) (bool, error) {
+		if f.kind == kindObject {
+			return true, illegalArgument("a lookup in [terms] is part of the API but not supported here")
 		}
 		if c.Field != "" {
-			return true, r.fault(f.at, "[terms] names two fields")
+			return true, r.parsingError(f.offset, "[terms] names more than one field")
 		}
-		c.Field = word
+		c.Field = name
 		var err error
-		c.Values, err = r.values(f, word)
+		c.Values, err = r.values(f, name)
 		return true, err
 	})
 }
 
-func (r *reader) rangeClause(n *node, c *Clause) error {
-	field, f, err := r.one(n, c.Kind)
+func (r *parser) rangeClause(n *node, c *Clause) error {
+	field, f, err := r.singleField(n, c.Kind)
 	if err == nil {
-		err = r.want(f, object, c.Kind)
+		err = r.requireKind(f, kindObject, c.Kind)
 	}
 	if err != nil {
 		return err
 	}
 	c.Field, c.Bounds = field, map[string]any{}
-	return r.only(f, c.Kind, c, func(word string, g *node) (bool, error) {
-		if !slices.Contains([]string{"gt", "gte", "lt", "lte"}, word) {
+	return r.parseFields(f, c.Kind, c, func(name string, g *node) (bool, error) {
+		if !slices.Contains([]string{"gt", "gte", "lt", "lte"}, name) {
 			return false, nil
 		}
-		if g.kind == null { // the API's 'no bound'
+		if g.kind == kindNull { // null means no bound in the API
 			return true, nil
 		}
-		v, err := r.plain(g, word)
-		c.Bounds[word] = v
+		v, err := r.scalar(g, name)
+		c.Bounds[name] = v
 		return true, err
 	})
 }
 
-func (r *reader) boolClause(n *node, c *Clause, count *int) error {
-	if err := r.want(n, object, c.Kind); err != nil {
+func (r *parser) boolClause(n *node, c *Clause, count *int) error {
+	if err := r.requireKind(n, kindObject, c.Kind); err != nil {
 		return err
 	}
 	c.Clauses = map[string][]*Clause{}
-	var least *node
-	err := r.only(n, c.Kind, c, func(word string, f *node) (bool, error) {
-		switch word {
+	var minimum *node
+	err := r.parseFields(n, c.Kind, c, func(name string, f *node) (bool, error) {
+		switch name {
 		case "must", "filter", "should", "must_not":
 			all := f.items
-			if f.kind != list {
+			if f.kind != kindArray {
 				all = []*node{f}
 			}
 			for _, item := range all {
@@ -434,11 +438,11 @@
 				if err != nil {
 					return true, err
 				}
-				c.Clauses[word] = append(c.Clauses[word], sub)
+				c.Clauses[name] = append(c.Clauses[name], sub)
 			}
 			return true, nil
 		case "minimum_should_match":
-			least = f
+			minimum = f
 			return true, nil
 		}
 		return false, nil
@@ -450,113 +454,113 @@
 	if c.MinimumShouldMatch = 0; should > 0 && len(c.Clauses["must"])+len(c.Clauses["filter"]) == 0 {
 		c.MinimumShouldMatch = 1
 	}
-	if least == nil {
+	if minimum == nil {
 		return nil
 	}
-	text, percent := least.text, false
-	if least.kind == str {
+	text, percent := minimum.text, false
+	if minimum.kind == kindString {
 		text, percent = strings.CutSuffix(text, "%")
 	}
 	v, err := strconv.Atoi(text)
-	if err != nil || least.kind != str && least.kind != num {
-		return illegal("minimum_should_match [%.40s] is known to the API and not done here: a whole number or a percentage", least.text)
+	if err != nil || minimum.kind != kindString && minimum.kind != kindNumber {
+		return illegalArgument("minimum_should_match [%.40s] is part of the API but not supported here: expected a whole number or a percentage", minimum.text)
 	}
 	if percent {
 		if v < -100 || v > 100 {
-			return r.fault(least.at, "[minimum_should_match] is no percentage")
+			return r.parsingError(minimum.offset, "[minimum_should_match] must be a percentage from -100 to 100")
 		}
-		v = int(float64(v) / 100 * float64(should)) // towards nothing, as the API rounds
+		v = int(float64(v) / 100 * float64(should)) // rounded towards zero, as in the API
 	}
-	if v < 0 {
+	if v < 0 { // a negative number is how many should clauses need not match
 		v = should + v
 	}
 	c.MinimumShouldMatch = max(0, v)
 	return nil
 }
 
-func (r *reader) sort(n *node, q *Request) error {
+func (r *parser) sort(n *node, q *Request) error {
 	all := n.items
-	if n.kind != list {
+	if n.kind != kindArray {
 		all = []*node{n}
 	}
-	if len(all) > sortMost {
-		return illegal("%d sort keys, %d at the most", len(all), sortMost)
+	if len(all) > maxSortKeys {
+		return illegalArgument("%d sort keys, the maximum is %d", len(all), maxSortKeys)
 	}
 	for _, item := range all {
 		k := SortKey{Missing: "_last"}
 		switch {
-		case item.kind == str:
+		case item.kind == kindString:
 			k.Field = item.text
 			k.Descending = k.Field == "_score"
-		case item.kind == object && len(item.names) == 1:
+		case item.kind == kindObject && len(item.names) == 1:
 			k.Field = item.names[0].text
 			k.Descending = k.Field == "_score"
 			f := item.fields[0]
-			if f.kind == str {
-				f = &node{kind: object, at: f.at, names: []name{{"order", f.at}}, fields: []*node{f}}
+			if f.kind == kindString {
+				f = &node{kind: kindObject, offset: f.offset, names: []fieldName{{"order", f.offset}}, fields: []*node{f}}
 			}
-			if err := r.want(f, object, "sort"); err != nil {
+			if err := r.requireKind(f, kindObject, "sort"); err != nil {
 				return err
 			}
 			for i, g := range f.fields {
-				switch word := f.names[i].text; word {
+				switch name := f.names[i].text; name {
 				case "order":
-					if k.Descending = g.text == "desc"; g.kind != str || g.text != "asc" && g.text != "desc" {
-						return r.fault(g.at, "[order] is neither asc nor desc")
+					if k.Descending = g.text == "desc"; g.kind != kindString || g.text != "asc" && g.text != "desc" {
+						return r.parsingError(g.offset, "[order] must be [asc] or [desc]")
 					}
 				case "missing":
-					v, err := r.plain(g, word)
+					v, err := r.scalar(g, name)
 					if err != nil {
 						return err
 					}
 					k.Missing = v
 				case "mode", "nested", "unmapped_type", "numeric_type", "format":
-					return illegal("[%s] of [sort] is known to the API and not done here", word)
+					return illegalArgument("[%s] of [sort] is part of the API but not supported here", name)
 				default:
-					return r.fault(f.names[i].at, "[sort] does not know [%.100s]", word)
+					return r.parsingError(f.names[i].offset, "[sort] has an unknown field [%.100s]", name)
 				}
 			}
 		default:
-			return r.fault(item.at, "a sort key is a name or an object with one")
+			return r.parsingError(item.offset, "a sort key must be a name or an object with exactly one name")
 		}
 		switch {
-		case k.Field == "" || len(k.Field) > nameMost:
-			return r.fault(item.at, "a sort key without a proper name")
+		case k.Field == "" || len(k.Field) > maxNameBytes:
+			return r.parsingError(item.offset, "sort key name is empty or too long")
 		case k.Field == "_script" || k.Field == "_geo_distance" || k.Field == "_doc":
-			return illegal("sort by [%s] is known to the API and not done here", k.Field)
+			return illegalArgument("sort by [%s] is part of the API but not supported here", k.Field)
 		case slices.ContainsFunc(q.Sort, func(o SortKey) bool { return o.Field == k.Field }):
-			return r.fault(item.at, "sort key [%.100s] is there twice", k.Field)
+			return r.parsingError(item.offset, "duplicate sort key [%.100s]", k.Field)
 		}
 		q.Sort, q.SortRequested = append(q.Sort, k), true
 	}
 	return nil
 }
 
-func (r *reader) after(n *node, q *Request) error {
-	if err := r.want(n, list, "search_after"); err != nil {
+func (r *parser) searchAfter(n *node, q *Request) error {
+	if err := r.requireKind(n, kindArray, "search_after"); err != nil {
 		return err
 	}
 	for _, item := range n.items {
-		if item.kind == object || item.kind == list {
-			return r.fault(item.at, "[search_after] holds plain values")
+		if item.kind == kindObject || item.kind == kindArray {
+			return r.parsingError(item.offset, "[search_after] must hold plain values only")
 		}
-		q.SearchAfter = append(q.SearchAfter, item.raw())
+		q.SearchAfter = append(q.SearchAfter, item.scalar())
 	}
-	if len(q.SearchAfter) == 0 || len(q.SearchAfter) > sortMost+1 {
-		return r.fault(n.at, "[search_after] has %d values", len(q.SearchAfter))
+	if len(q.SearchAfter) == 0 || len(q.SearchAfter) > maxSortKeys+1 {
+		return r.parsingError(n.offset, "[search_after] has %d values, expected one for each sort key", len(q.SearchAfter))
 	}
 	return nil
 }
 
-func (r *reader) source(n *node, q *Request) error {
-	strs := func(n *node) ([]string, error) {
+func (r *parser) source(n *node, q *Request) error {
+	stringList := func(n *node) ([]string, error) {
 		all := n.items
-		if n.kind != list {
+		if n.kind != kindArray {
 			all = []*node{n}
 		}
 		var out []string
 		for _, item := range all {
-			if err := r.want(item, str, "_source"); err != nil {
+			if err := r.requireKind(item, kindString, "_source"); err != nil {
 				return nil, err
 			}
 			out = append(out, item.text)
@@ -565,58 +569,58 @@
 	}
 	var err error
 	switch n.kind {
-	case truth:
+	case kindBool:
 		q.IncludeSource = n.text == "true"
-	case str, list:
-		q.SourceIncludes, err = strs(n)
-	case object:
+	case kindString, kindArray:
+		q.SourceIncludes, err = stringList(n)
+	case kindObject:
 		for i, f := range n.fields {
 			switch n.names[i].text {
 			case "includes", "include":
-				q.SourceIncludes, err = strs(f)
+				q.SourceIncludes, err = stringList(f)
 			case "excludes", "exclude":
-				q.SourceExcludes, err = strs(f)
+				q.SourceExcludes, err = stringList(f)
 			default:
-				err = r.fault(n.names[i].at, "[_source] does not know [%.100s]", n.names[i].text)
+				err = r.parsingError(n.names[i].offset, "[_source] has an unknown field [%.100s]", n.names[i].text)
 			}
 			if err != nil {
 				return err
 			}
 		}
 	default:
-		err = r.fault(n.at, "[_source] is %s", kindWords[n.kind])
+		err = r.parsingError(n.offset, "[_source] is %s, expected a boolean, a string, an array or an object", kindNames[n.kind])
 	}
 	return err
 }
 
-func (r *reader) track(n *node, q *Request) (err error) {
+func (r *parser) trackTotalHits(n *node, q *Request) (err error) {
 	switch {
-	case n.kind == truth && n.text == "true":
+	case n.kind == kindBool && n.text == "true":
 		q.TrackTotalHits = math.MaxInt
-	case n.kind == truth:
+	case n.kind == kindBool:
 		q.TrackTotalHits = 0
 	default:
-		q.TrackTotalHits, err = r.whole(n, "track_total_hits", 1, math.MaxInt32)
+		q.TrackTotalHits, err = r.integer(n, "track_total_hits", 1, math.MaxInt32)
 	}
 	return err
 }
 
-func (r *reader) span(n *node) (time.Duration, error) {
-	if err := r.want(n, str, "timeout"); err != nil {
+func (r *parser) timeout(n *node) (time.Duration, error) {
+	if err := r.requireKind(n, kindString, "timeout"); err != nil {
 		return 0, err
 	}
 	d, err := ParseDuration(n.text)
 	if err != nil {
-		return 0, r.fault(n.at, "%v", err)
+		return 0, r.parsingError(n.offset, "%v", err)
 	}
 	return d, nil
 }
 
-// ParseDuration reads a time in the API's units: nanos, micros, ms, s, m, h, d.
+// ParseDuration parses a duration in the API's units: nanos, micros, ms, s, m, h, d.
 func ParseDuration(text string) (time.Duration, error) {
 	for _, u := range []struct {
-		word string
-		each time.Duration
+		suffix string
+		unit   time.Duration
 	}{
 		{"nanos", time.Nanosecond},
 		{"micros", time.Microsecond},
@@ -626,63 +630,64 @@
 		{"h", time.Hour},
 		{"d", 24 * time.Hour},
 	} {
-		if digits, ok := strings.CutSuffix(text, u.word); ok {
+		if digits, ok := strings.CutSuffix(text, u.suffix); ok {
 			v, err := strconv.ParseUint(digits, 10, 31)
 			if err != nil {
 				continue
 			}
-			if float64(v)*float64(u.each) > float64(math.MaxInt64/2) {
+			if float64(v)*float64(u.unit) > float64(math.MaxInt64/2) {
 				break
 			}
-			return time.Duration(v) * u.each, nil
+			return time.Duration(v) * u.unit, nil
 		}
 	}
-	return 0, illegal("[%.40s] is no time such as 500ms or 2s", text)
+	return 0, illegalArgument("[%.40s] is not a duration such as 500ms or 2s", text)
 }
 
-func (r *reader) aggs(n *node, depth int, count *int) ([]Aggregation, error) {
-	if err := r.want(n, object, "aggs"); err != nil {
+// aggs parses an object of aggregations; count is the number of aggregations so far in the whole search.
+func (r *parser) aggs(n *node, depth int, count *int) ([]Aggregation, error) {
+	if err := r.requireKind(n, kindObject, "aggs"); err != nil {
 		return nil, err
 	}
-	if depth > aggDepth {
-		return nil, illegal("aggregations over %d deep", aggDepth)
+	if depth > maxAggDepth {
+		return nil, illegalArgument("aggregations are nested more than %d levels deep", maxAggDepth)
 	}
 	var all []Aggregation
 	for i, f := range n.fields {
-		if *count++; *count > aggsMost {
-			return nil, illegal("over %d aggregations", aggsMost)
+		if *count++; *count > maxAggs {
+			return nil, illegalArgument("more than %d aggregations", maxAggs)
 		}
 		a := Aggregation{Name: n.names[i].text}
-		if a.Name == "" || len(a.Name) > nameMost || strings.ContainsAny(a.Name, "[]>") {
-			return nil, r.fault(n.names[i].at, "[%.100s] is no name for an aggregation", a.Name)
+		if a.Name == "" || len(a.Name) > maxNameBytes || strings.ContainsAny(a.Name, "[]>") {
+			return nil, r.parsingError(n.names[i].offset, "[%.100s] is not a valid aggregation name", a.Name)
 		}
-		if err := r.want(f, object, "aggs"); err != nil {
+		if err := r.requireKind(f, kindObject, "aggs"); err != nil {
 			return nil, err
 		}
 		var subs *node
 		for j, g := range f.fields {
-			word := f.names[j].text
-			if word == "aggs" || word == "aggregations" {
+			name := f.names[j].text
+			if name == "aggs" || name == "aggregations" {
 				subs = g
 				continue
 			}
-			if word == "meta" {
-				return nil, illegal("[meta] of an aggregation is known to the API and not done here")
+			if name == "meta" {
+				return nil, illegalArgument("[meta] of an aggregation is part of the API but not supported here")
 			}
 			if a.Kind != "" {
-				return nil, r.fault(f.names[j].at, "[%.100s] has two kinds", a.Name)
+				return nil, r.parsingError(f.names[j].offset, "aggregation [%.100s] has more than one type", a.Name)
 			}
-			a.Kind = word
-			if err := r.agg(g, &a, f.names[j].at); err != nil {
+			a.Kind = name
+			if err := r.agg(g, &a, f.names[j].offset); err != nil {
 				return nil, err
 			}
 		}
 		if a.Kind == "" {
-			return nil, r.fault(f.at, "[%.100s] has no kind", a.Name)
+			return nil, r.parsingError(f.offset, "aggregation [%.100s] has no type", a.Name)
 		}
 		if subs != nil {
 			if a.Kind != "terms" {
-				return nil, r.fault(subs.at, "[%s] takes no aggregations of its own", a.Kind)
+				return nil, r.parsingError(subs.offset, "[%s] does not support sub-aggregations", a.Kind)
 			}
 			var err error
 			if a.SubAggregations, err = r.aggs(subs, depth+1, count); err != nil {
@@ -694,65 +699,65 @@
 	return all, nil
 }
 
-func (r *reader) agg(n *node, a *Aggregation, at int) error {
+func (r *parser) agg(n *node, a *Aggregation, at int) error {
 	switch a.Kind {
 	case "terms", "min", "max", "sum", "avg", "value_count", "cardinality", "percentiles":
 	default:
-		return r.notDone(knownAggs, a.Kind, at, "aggregation")
+		return r.unsupportedOrUnknown(unsupportedAggs, a.Kind, at, "aggregation")
 	}
-	if err := r.want(n, object, a.Kind); err != nil {
+	if err := r.requireKind(n, kindObject, a.Kind); err != nil {
 		return err
 	}
-	a.Size, a.Percentiles = termsUsual, percentsUsual
+	a.Size, a.Percentiles = defaultTermsSize, defaultPercents
 	var err error
 	for i, f := range n.fields {
-		word := n.names[i].text
+		name := n.names[i].text
 		switch {
-		case word == "field":
-			a.Field, err = f.text, r.want(f, str, word)
-		case word == "size" && a.Kind == "terms":
-			a.Size, err = r.whole(f, word, 1, bucketsMost)
-		case word == "order" && a.Kind == "terms":
+		case name == "field":
+			a.Field, err = f.text, r.requireKind(f, kindString, name)
+		case name == "size" && a.Kind == "terms":
+			a.Size, err = r.integer(f, name, 1, maxBuckets)
+		case name == "order" && a.Kind == "terms":
 			err = r.order(f, a)
-		case word == "percents" && a.Kind == "percentiles":
+		case name == "percents" && a.Kind == "percentiles":
 			err = r.percents(f, a)
 		case slices.Contains([]string{
 			"missing", "script", "format", "shard_size", "min_doc_count", "include", "exclude", "keyed",
 			"precision_threshold", "tdigest", "hdr", "show_term_doc_count_error", "collect_mode", "execution_hint",
 			"value_type", "shard_min_doc_count",
-		}, word):
-			err = illegal("[%s] of [%s] is known to the API and not done here", word, a.Kind)
+		}, name):
+			err = illegalArgument("[%s] of [%s] is part of the API but not supported here", name, a.Kind)
 		default:
-			err = r.fault(n.names[i].at, "[%s] does not know [%.100s]", a.Kind, word)
+			err = r.parsingError(n.names[i].offset, "[%s] has an unknown field [%.100s]", a.Kind, name)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if a.Field == "" || len(a.Field) > nameMost {
-		return r.fault(n.at, "[%s] names no proper field", a.Kind)
+	if a.Field == "" || len(a.Field) > maxNameBytes {
+		return r.parsingError(n.offset, "[%s] requires a [field] that is not empty or too long", a.Kind)
 	}
 	return nil
 }
 
-func (r *reader) order(n *node, a *Aggregation) error {
-	if n.kind != object || len(n.names) != 1 {
-		return illegal("an order of several keys is known to the API and not done here")
+func (r *parser) order(n *node, a *Aggregation) error {
+	if n.kind != kindObject || len(n.names) != 1 {
+		return illegalArgument("an order of several keys is part of the API but not supported here")
 	}
 	if a.OrderByKey = n.names[0].text == "_key"; !a.OrderByKey && n.names[0].text != "_count" {
-		return illegal("order by [%.100s] is known to the API and not done here; by _count or _key is", n.names[0].text)
+		return illegalArgument("order by [%.100s] is part of the API but not supported here; use _count or _key", n.names[0].text)
 	}
 	if a.Ascending = n.fields[0].text == "asc"; !a.Ascending && n.fields[0].text != "desc" {
-		return r.fault(n.fields[0].at, "[order] is neither asc nor desc")
+		return r.parsingError(n.fields[0].offset, "[order] must be [asc] or [desc]")
 	}
 	if a.Ascending && !a.OrderByKey {
-		return illegal("order by rising _count is known to the API and not done here: its errors have no bound")
+		return illegalArgument("order by ascending _count is part of the API but not supported here: its error has no upper bound")
 	}
 	return nil
 }
 
-func (r *reader) percents(n *node, a *Aggregation) error {
-	if err := r.want(n, list, "percents"); err != nil {
+func (r *parser) percents(n *node, a *Aggregation) error {
+	if err := r.requireKind(n, kindArray, "percents"); err != nil {
 		return err
 	}
 	a.Percentiles = nil
@@ -762,18 +767,18 @@
 			return err
 		}
 		if v < 0 || v > 100 {
-			return r.fault(item.at, "a percent of %g", v)
+			return r.parsingError(item.offset, "percent %g, expected 0 to 100", v)
 		}
 		a.Percentiles = append(a.Percentiles, v)
 	}
 	if len(a.Percentiles) == 0 || len(a.Percentiles) > 100 {
-		return r.fault(n.at, "%d percents", len(a.Percentiles))
+		return r.parsingError(n.offset, "[percents] has %d values, expected 1 to 100", len(a.Percentiles))
 	}
 	return nil
 }
 
-// number is a JSON number or any float as a float.
-func number(v any) (float64, bool) {
+// toFloat returns a json.Number or float64 as a float64; false for any other value.
+func toFloat(v any) (float64, bool) {
 	switch v := v.(type) {
 	case json.Number:
 		f, err := v.Float64()
--- a/opensearch/query/part.go
+++ b/opensearch/query/part.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	keysMost   = 10_000  // keys that a part tells of a cardinality; beyond, the value is told as a lower bound
-	shardExtra = 10      // buckets a part tells beyond half as many again as are wanted: the API's rule
-	answerMost = 8 << 20 // bytes of a host's answer
+	maxCardinalityKeys = 10_000  // keys that a shard returns at most for a cardinality; if it has more, the value is marked as a lower bound
+	extraShardBuckets  = 10      // buckets requested from a shard on top of 1.5 times the requested size: the API's rule
+	maxResponseBytes   = 8 << 20 // bytes of a host's response
 )
 
-// The suffixes under which a part asks hosts for what an aggregation is put together from.
+// A shard request names an aggregation after the requested one, with a suffix for what the shard returns. The requested
+// aggregation is merged from the results under these names.
 const (
-	asStats  = "#stats"
-	asKeys   = "#keys"
-	asPoints = "#points"
-	asCount  = "#count"
-	asTerms  = "#terms"
+	suffixStats  = "#stats"
+	suffixKeys   = "#keys"
+	suffixPoints = "#points"
+	suffixCount  = "#count"
+	suffixTerms  = "#terms"
 )
 
-// ShardRequestBody is the body that a part asks a host with: the same for all parts of a search. Each asks for all hits that the
-// whole may need, under one fixed order that ends with _id, and for what its aggregations are put together from.
+// ShardRequestBody returns the body of a shard request, the same for all shards of a search. It requests all hits that the
+// answer may need, sorted with _id as the last key, and the aggregations from which those of the answer are merged.
 func (q *Request) ShardRequestBody() []byte {
-	dst := append(make([]byte, 0, 512), '{') // names come sorted: equal searches have equal texts
+	dst := append(make([]byte, 0, 512), '{') // names are sorted, so that equal searches give equal texts
 	switch {
 	case !q.IncludeSource:
 		dst = append(dst, `"_source":false,`...)
@@ -37,7 +38,7 @@
 		dst = append(appendTexts(append(dst, `,"includes":`...), q.SourceIncludes), `},`...)
 	}
 	if len(q.Aggregations) > 0 {
-		text, _ := json.Marshal(partAggs(q.Aggregations))
+		text, _ := json.Marshal(shardAggs(q.Aggregations))
 		dst = append(append(append(dst, `"aggs":`...), text...), ',')
 	}
 	if q.MinScore != nil {
@@ -48,14 +49,14 @@
 		dst = appendValues(append(dst, `,"search_after":`...), q.SearchAfter)
 	}
 	dst = append(strconv.AppendInt(append(dst, `,"size":`...), int64(q.From+q.Size), 10), `,"sort":[`...)
-	scores := false
+	sortsByScore := false
 	for i, k := range q.Sort {
 		if i > 0 {
 			dst = append(dst, ',')
 		}
 		dst = append(appendText(append(dst, '{'), k.Field), `:{`...)
 		if k.Field == "_score" {
-			scores = true
+			sortsByScore = true
 		} else if k.Field != "_id" {
 			dst = append(appendValue(append(dst, `"missing":`...), k.Missing), ',')
 		}
@@ -69,7 +70,7 @@
 	if q.TerminateAfter > 0 {
 		dst = strconv.AppendInt(append(dst, `,"terminate_after":`...), int64(q.TerminateAfter), 10)
 	}
-	if scores {
+	if sortsByScore {
 		dst = append(dst, `,"track_scores":true`...)
 	}
 	switch dst = append(dst, `,"track_total_hits":`...); q.TrackTotalHits {
@@ -83,74 +84,74 @@
 	return append(dst, '}')
 }
 
-// append writes a clause as the API has it.
+// append writes a clause in the API's form.
 func (c *Clause) append(dst []byte) []byte {
 	dst = append(appendText(append(dst, '{'), c.Kind), `:{`...)
-	inner := c.Kind == "term" || c.Kind == "prefix" || c.Kind == "match" || c.Kind == "range"
-	if inner {
+	hasField := c.Kind == "term" || c.Kind == "prefix" || c.Kind == "match" || c.Kind == "range"
+	if hasField {
 		dst = append(appendText(dst, c.Field), `:{`...)
 	}
-	from := len(dst)
-	field := func(word string) {
-		if len(dst) > from {
+	start := len(dst)
+	appendName := func(name string) {
+		if len(dst) > start {
 			dst = append(dst, ',')
 		}
-		dst = append(appendText(dst, word), ':')
+		dst = append(appendText(dst, name), ':')
 	}
 	if c.Boost != 1 {
-		field("boost")
+		appendName("boost")
 		dst = appendValue(dst, c.Boost)
 	}
 	switch c.Kind {
 	case "term", "prefix":
-		field("value")
+		appendName("value")
 		dst = appendValue(dst, c.Values[0])
 	case "match":
 		if c.MatchAll {
-			field("operator")
+			appendName("operator")
 			dst = append(dst, `"and"`...)
 		}
-		field("query")
+		appendName("query")
 		dst = appendValue(dst, c.Values[0])
 	case "terms":
-		field(c.Field)
+		appendName(c.Field)
 		dst = appendValues(dst, c.Values)
 	case "ids":
-		field("values")
+		appendName("values")
 		dst = appendValues(dst, c.Values)
 	case "exists":
-		field("field")
+		appendName("field")
 		dst = appendText(dst, c.Field)
 	case "range":
-		for _, word := range []string{"gt", "gte", "lt", "lte"} {
-			if v, ok := c.Bounds[word]; ok {
-				field(word)
+		for _, name := range []string{"gt", "gte", "lt", "lte"} {
+			if v, ok := c.Bounds[name]; ok {
+				appendName(name)
 				dst = appendValue(dst, v)
 			}
 		}
 	case "constant_score":
-		field("filter")
+		appendName("filter")
 		dst = c.Clauses["filter"][0].append(dst)
 	case "bool":
 		if len(c.Clauses["should"]) > 0 {
-			field("minimum_should_match")
+			appendName("minimum_should_match")
 			dst = strconv.AppendInt(dst, int64(c.MinimumShouldMatch), 10)
 		}
-		for _, word := range []string{"filter", "must", "must_not", "should"} {
-			if c.Clauses[word] == nil {
+		for _, name := range []string{"filter", "must", "must_not", "should"} {
+			if c.Clauses[name] == nil {
 				continue
 			}
-			field(word)
-			dst = appendList(dst, c.Clauses[word], func(dst []byte, sub *Clause) []byte { return sub.append(dst) })
+			appendName(name)
+			dst = appendList(dst, c.Clauses[name], func(dst []byte, sub *Clause) []byte { return sub.append(dst) })
 		}
 	}
-	if dst = append(dst, `}}`...); inner {
+	if dst = append(dst, `}}`...); hasField {
 		dst = append(dst, '}')
 	}
 	return dst
 }
 
-// appendValue writes a plain value as it came.
+// appendValue writes a plain value unchanged, a number with all its digits.
 func appendValue(dst []byte, v any) []byte {
 	switch v := v.(type) {
 	case string:
@@ -168,39 +169,40 @@
 
 func appendTexts(dst []byte, all []string) []byte { return appendList(dst, all, appendText) }
 
-func appendList[T any](dst []byte, all []T, one func(dst []byte, v T) []byte) []byte {
+func appendList[T any](dst []byte, all []T, appendItem func(dst []byte, v T) []byte) []byte {
 	dst = append(dst, '[')
 	for i, v := range all {
 		if i > 0 {
 			dst = append(dst, ',')
 		}
-		dst = one(dst, v)
+		dst = appendItem(dst, v)
 	}
 	return append(dst, ']')
 }
 
-func partAggs(aggs []Aggregation) map[string]any {
+// shardAggs returns the aggregations of a shard request, by name, for the requested ones.
+func shardAggs(aggs []Aggregation) map[string]any {
 	out := map[string]any{}
 	for _, a := range aggs {
 		switch a.Kind {
 		case "terms":
 			order := map[string]any{"_count": "desc"}
-			size := a.Size + a.Size/2 + shardExtra
+			size := a.Size + a.Size/2 + extraShardBuckets
 			if a.OrderByKey {
 				order = map[string]any{"_key": "desc"}
 				if a.Ascending {
 					order["_key"] = "asc"
 				}
-				size = a.Size // by key, no part can miss a bucket that belongs to the whole
+				size = a.Size // in key order, every shard returns all of its buckets that the answer needs
 			}
 			one := map[string]any{"terms": map[string]any{"field": a.Field, "size": size, "order": order}}
 			if len(a.SubAggregations) > 0 {
-				one["aggs"] = partAggs(a.SubAggregations)
+				one["aggs"] = shardAggs(a.SubAggregations)
 			}
-			out[a.Name+asTerms] = one
+			out[a.Name+suffixTerms] = one
 		case "cardinality":
-			out[a.Name+asKeys] = map[string]any{"terms": map[string]any{
-				"field": a.Field, "size": keysMost,
+			out[a.Name+suffixKeys] = map[string]any{"terms": map[string]any{
+				"field": a.Field, "size": maxCardinalityKeys,
 				"order": map[string]any{"_key": "asc"},
 			}}
 		case "percentiles":
@@ -208,16 +210,16 @@
 			for i := range points {
 				points[i] = float64(i)
 			}
-			out[a.Name+asPoints] = map[string]any{"percentiles": map[string]any{"field": a.Field, "percents": points}}
-			out[a.Name+asCount] = map[string]any{"value_count": map[string]any{"field": a.Field}}
+			out[a.Name+suffixPoints] = map[string]any{"percentiles": map[string]any{"field": a.Field, "percents": points}}
+			out[a.Name+suffixCount] = map[string]any{"value_count": map[string]any{"field": a.Field}}
 		default:
-			out[a.Name+asStats] = map[string]any{"stats": map[string]any{"field": a.Field}}
+			out[a.Name+suffixStats] = map[string]any{"stats": map[string]any{"field": a.Field}}
 		}
 	}
 	return out
 }
 
-// Hit is one member that matches, as a host gave it.
+// Hit is one matching document, as a host returned it.
 type Hit struct {
 	Index  string          `json:"_index"`
 	ID     string          `json:"_id"`
@@ -226,17 +228,17 @@
 	Sort   []SortValue     `json:"sort,omitempty"`
 
 	routing string
-	shard   int // the part it came with
+	shard   int // the shard that returned it
 }
 
-// SortValue is one value that a hit is sorted by: a number with all its digits, a text, a truth or nothing.
+// SortValue is one sort value of a hit: a number with all its digits, a string, a boolean or null.
 type SortValue struct {
-	kind byte
-	text string
-	f    float64
+	kind   byte // '0' for a number, '"' for a string, 't' or 'f' for a boolean, 'n' for null
+	text   string
+	number float64
 }
 
-// MarshalJSON writes the value as it came.
+// MarshalJSON returns the value as the host sent it.
 func (v SortValue) MarshalJSON() ([]byte, error) {
 	switch v.kind {
 	case '"':
@@ -251,72 +253,73 @@
 	return []byte("null"), nil
 }
 
-// ShardResponse is what a host answered to a part, checked, or several such joined.
+// ShardResponse is a host's checked response to a shard request, or several of them joined.
 type ShardResponse struct {
-	Shard             int // the lowest of those that are joined
-	ShardCount        int // how many are
+	Shard             int // the lowest shard number of the joined responses
+	ShardCount        int // the number of joined responses
 	Total             int
-	DuplicateHits     int  // hits that were there more than once
-	TotalIsLowerBound bool // the total is a lower bound
-	TerminatedEarly   bool // a host stopped at terminate_after
+	DuplicateHits     int  // repeated hits that were dropped
+	TotalIsLowerBound bool // whether Total is a lower bound
+	TerminatedEarly   bool // whether a host stopped at terminate_after
 	Hits              []Hit
-	aggs              []partAnswer
+	aggs              []shardAggsResult
 }
 
-// partAnswer is what one part told for the aggregations.
-type partAnswer struct {
+// shardAggsResult is the aggregations of one shard's response.
+type shardAggsResult struct {
 	shard int
 	aggs  map[string]any
 }
 
-// CheckPlacement looks that all hits are of the block that was asked, by the rule that places them.
+// CheckPlacement checks that all hits belong to the requested shard by the placement rule.
 func (a *ShardResponse) CheckPlacement(p *Placement) error {
 	for _, h := range a.Hits {
-		if err := p.holds(a.Shard, h.ID, h.routing); err != nil {
+		if err := p.checkHit(a.Shard, h.ID, h.routing); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ErrInvalidResponse is a host's answer that cannot be used. The part may have run; the host has failed it.
-var ErrInvalidResponse = errors.New("a host's answer that cannot be used")
+// ErrInvalidResponse is wrapped by the errors for a host's unusable response. Such a response counts as a failure of the
+// host, although the host may have executed the shard request.
+var ErrInvalidResponse = errors.New("invalid response from host")
 
-func spoilt(format string, v ...any) error {
+func invalidResponse(format string, v ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalidResponse, fmt.Sprintf(format, v...))
 }
 
-// checkAggs looks that all that was asked for is there in its form.
+// checkAggs checks that all requested aggregations are present and have the expected form.
 func (q *Request) checkAggs(aggs []Aggregation, got map[string]any) error {
-	for name, asked := range partAggs(aggs) {
+	for name, requested := range shardAggs(aggs) {
 		one, _ := got[name].(map[string]any)
 		if one == nil {
-			return spoilt("aggregation %.60q is missing", name)
+			return invalidResponse("aggregation %.60q is missing", name)
 		}
-		for kind := range asked.(map[string]any) {
+		for kind := range requested.(map[string]any) {
 			switch kind {
 			case "terms":
 				buckets, ok := one["buckets"].([]any)
 				if !ok {
-					return spoilt("aggregation %.60q has no buckets", name)
+					return invalidResponse("aggregation %.60q has no buckets", name)
 				}
 				for _, b := range buckets {
 					m, _ := b.(map[string]any)
-					if n, ok := number(m["doc_count"]); !ok || n < 0 || m["key"] == nil {
-						return spoilt("a bucket of %.60q without key or count", name)
+					if n, ok := toFloat(m["doc_count"]); !ok || n < 0 || m["key"] == nil {
+						return invalidResponse("a bucket of aggregation %.60q has no key or no valid doc_count", name)
 					}
 				}
 			case "stats":
-				if _, ok := number(one["count"]); !ok {
-					return spoilt("aggregation %.60q has no count", name)
+				if _, ok := toFloat(one["count"]); !ok {
+					return invalidResponse("aggregation %.60q has no count", name)
 				}
 			case "value_count":
-				if _, ok := number(one["value"]); !ok {
-					return spoilt("aggregation %.60q has no value", name)
+				if _, ok := toFloat(one["value"]); !ok {
+					return invalidResponse("aggregation %.60q has no value", name)
 				}
 			case "percentiles":
 				if _, ok := one["values"].(map[string]any); !ok {
-					return spoilt("aggregation %.60q has no values", name)
+					return invalidResponse("aggregation %.60q has no values", name)
 				}
 			}
 		}
@@ -325,7 +328,7 @@
 		if len(a.SubAggregations) == 0 {
 			continue
 		}
-		for _, b := range got[a.Name+asTerms].(map[string]any)["buckets"].([]any) {
+		for _, b := range got[a.Name+suffixTerms].(map[string]any)["buckets"].([]any) {
 			if err := q.checkAggs(a.SubAggregations, b.(map[string]any)); err != nil {
 				return err
 			}
@@ -344,7 +347,8 @@
 	return 0
 }
 
-// compare orders two sort values: missing ones first or last as the key says, numbers before texts.
+// compare orders two sort values: missing values first or last as the sort key says, numbers before strings and strings
+// before booleans.
 func (v SortValue) compare(w SortValue, k *SortKey) (c int) {
 	if v.kind == 'n' || w.kind == 'n' {
 		if v.kind == w.kind {
@@ -364,8 +368,8 @@
 	case v.kind != '0':
 		c = strings.Compare(v.text, w.text)
 	default:
-		if c = cmp.Compare(v.f, w.f); c == 0 && v.text != w.text {
-			c = exact(json.Number(v.text), json.Number(w.text))
+		if c = cmp.Compare(v.number, w.number); c == 0 && v.text != w.text {
+			c = compareIntegers(json.Number(v.text), json.Number(w.text))
 		}
 	}
 	if k.Descending {
@@ -374,8 +378,8 @@
 	return c
 }
 
-// order compares two keys of buckets: missing ones first or last as the key says, numbers before texts.
-func order(a, b any, k SortKey) int {
+// compareKeys compares two bucket keys: missing keys first or last as the sort key says, numbers before strings.
+func compareKeys(a, b any, k SortKey) int {
 	if a == nil || b == nil {
 		c := 0
 		if a == nil && b != nil {
@@ -388,13 +392,13 @@
 		}
 		return c
 	}
-	x, isX := number(a)
-	y, isY := number(b)
+	x, isX := toFloat(a)
+	y, isY := toFloat(b)
 	c := 0
 	switch {
 	case isX && isY:
 		if c = cmp.Compare(x, y); c == 0 {
-			c = exact(a, b)
+			c = compareIntegers(a, b)
 		}
 	case isX != isY:
 		if c = 1; isX {
@@ -409,8 +413,8 @@
 	return c
 }
 
-// exact compares whole numbers that are equal as floats: beyond 2^53 they may differ.
-func exact(a, b any) int {
+// compareIntegers compares integers that are equal as floats: beyond 2^53 they may still differ.
+func compareIntegers(a, b any) int {
 	x, ok1 := a.(json.Number)
 	y, ok2 := b.(json.Number)
 	if !ok1 || !ok2 {
