--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -22,8 +22,8 @@
 	"chalkring/internal/fake"
 )
 
-// What differs from run to run is replaced by #: the date, the time taken, ports, start and running times, and the
-// Content-Length of a body in which something was replaced.
+// volatile matches what differs from run to run and is replaced by #: the date, the time taken, ports, start and running
+// times. The Content-Length of a body in which something was replaced is replaced too.
 var volatile = []*regexp.Regexp{
 	regexp.MustCompile(`(\r\nDate: )[^\r]*()`), regexp.MustCompile(`("took":)\d+()`),
 	regexp.MustCompile(`(127\.0\.0\.1:)\d+()`), regexp.MustCompile(`("start_time_in_millis":)\d+()`),
@@ -44,8 +44,8 @@
 	return head + "\r\n\r\n" + fixed
 }
 
-// exchange sends a request on a connection of its own, which closes behind the response, and writes both into the text of a
-// golden file.
+// exchange sends a request on its own connection, which closes after the response, and appends both to the text of a golden
+// file.
 func (r *rig) exchange(out *strings.Builder, name, method, path, body string, head ...string) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	require.NoError(r.t, err)
@@ -79,7 +79,7 @@
 	return b.String()
 }
 
-// Requests of the OpenSearch-style API get the bytes of the golden file.
+// Guards against unintended changes of the API's responses: each request gets exactly the bytes of the golden file.
 func TestGoldenResponses(t *testing.T) {
 	r := start(t)
 	const sorted = `{"query":{"range":{"age":{"gte":60}}},"size":2,"sort":[{"age":"desc"},"town"],"track_total_hits":true}`
@@ -97,23 +97,23 @@
 		{"aggregations", "POST", "/members/_search", `{"size":0,"aggs":{"towns":{"terms":{"field":"town"}},"mean":{"avg":{"field":"age"}}}}`, ""},
 		{"count", "POST", "/members/_count", `{"query":{"term":{"town":"oslo"}}}`, ""},
 		{"several searches", "POST", "/members/_msearch", "{}\n{\"size\":1}\n{\"index\":\"nowhere\"}\n{}\n{}\n{\"size\":-1}\n", ""},
-		{"validated", "POST", "/members/_validate/query", `{"query":{"match_all":{}}}`, ""},
-		{"not valid", "POST", "/members/_validate/query", `{"query":{"wildcard":{"a":"b"}}}`, ""},
+		{"valid query", "POST", "/members/_validate/query", `{"query":{"match_all":{}}}`, ""},
+		{"invalid query", "POST", "/members/_validate/query", `{"query":{"wildcard":{"a":"b"}}}`, ""},
 		{"refused query", "POST", "/members/_search", `{"query":{"wildcard":{"a":"b"}}}`, ""},
 		{"unknown index", "POST", "/nowhere/_search", `{}`, ""},
 		{"no index", "POST", "/_search", `{}`, ""},
 		{"wildcard", "POST", "/mem*/_search", `{}`, ""},
 		{"unknown shard", "POST", "/members/_search?preference=_shards:9", `{}`, ""},
-		{"preference not done", "POST", "/members/_search?preference=_local", `{}`, ""},
-		{"parameter not done", "POST", "/members/_search?scroll=1m", `{}`, ""},
+		{"unsupported preference", "POST", "/members/_search?preference=_local", `{}`, ""},
+		{"unsupported parameter", "POST", "/members/_search?scroll=1m", `{}`, ""},
 		{"unknown parameter", "POST", "/members/_search?sizes=1", `{}`, ""},
-		{"method", "DELETE", "/members/_search", "", ""},
+		{"method not allowed", "DELETE", "/members/_search", "", ""},
 		{"no handler", "POST", "/members/_doc/1", "{}", ""},
 		{"unknown task", "POST", "/_tasks/n0:999/_cancel", "", ""},
-		{"odd lines", "POST", "/members/_msearch", "{}\n", ""},
-		{"no gzip", "POST", "/members/_search", "{}", "Content-Encoding: gzip"},
-		{"other coding", "POST", "/members/_search", "{}", "Content-Encoding: br"},
-		{"long body", "POST", "/members/_search", packed(t, strings.Repeat("x", bodyMost+1)), "Content-Encoding: gzip"},
+		{"odd number of lines", "POST", "/members/_msearch", "{}\n", ""},
+		{"invalid gzip", "POST", "/members/_search", "{}", "Content-Encoding: gzip"},
+		{"unsupported encoding", "POST", "/members/_search", "{}", "Content-Encoding: br"},
+		{"body too long", "POST", "/members/_search", packed(t, strings.Repeat("x", maxBodyBytes+1)), "Content-Encoding: gzip"},
 	} {
 		var head []string
 		if x.head != "" {
@@ -124,8 +124,8 @@
 	golden.Require(t, "responses.golden", out.String())
 }
 
-// Searches that lack shards get the bytes of the golden file: one that is whole with some of the shards, one of shards that
-// answer, and one whose hosts all fail.
+// Guards against unintended changes of responses when hosts fail: a search that is complete with some of the shards, one of
+// only the shards that answer, and one whose hosts all fail get exactly the bytes of the golden file.
 func TestGoldenPartialResponses(t *testing.T) {
 	r := start(t)
 	for _, i := range []int{0, 4} { // both holders of two shards
@@ -133,8 +133,8 @@
 	}
 	var out strings.Builder
 	const body = `{"size":0,"track_total_hits":true}`
-	r.exchange(&out, "whole with some of the shards", "POST", "/picks/_search", body)
-	r.exchange(&out, "shards that answer", "POST", "/members/_search?preference=_shards:1,2", body)
+	r.exchange(&out, "complete with some of the shards", "POST", "/picks/_search", body)
+	r.exchange(&out, "only shards that answer", "POST", "/members/_search?preference=_shards:1,2", body)
 	for _, h := range r.hosts {
 		h.SetHandler(func(p fake.ShardRequest) { p.Reply("bad", "-", "") })
 	}
@@ -142,10 +142,10 @@
 	golden.Require(t, "partial_responses.golden", out.String())
 }
 
-// A search beyond those that may be open gets the bytes of the golden file, Retry-After among them.
+// Guards against unintended changes of the 429 response, Retry-After included, to a search beyond the limit of open searches.
 func TestGoldenTooManySearches(t *testing.T) {
 	f := &Server{Indices: []Index{{Name: "members"}}, tasks: map[uint64]*task{}}
-	for id := range uint64(tasksMost) {
+	for id := range uint64(maxOpenTasks) {
 		f.tasks[id] = &task{id: id}
 	}
 	w := httptest.NewRecorder()
@@ -155,7 +155,8 @@
 	golden.Require(t, "too_many_searches.golden", fmt.Sprintf("%d\n%q\n%q\n", w.Code, head.String(), w.Body.String()))
 }
 
-// Open tasks, their cancelling and its effect have the bytes of the golden file.
+// Guards against unintended changes of the task list, of the response to a cancel request and of the cancelled search's own
+// response.
 func TestGoldenTasks(t *testing.T) {
 	r := start(t)
 	for _, h := range r.hosts {
@@ -177,21 +178,22 @@
 	golden.Require(t, "tasks.golden", out.String()+search.String())
 }
 
-// A search that a contract refuses gets the bytes of the golden file; so do errors that no request brings about at will.
+// Guards against unintended changes of the response to a search that a contract refuses, and of errors that no request can
+// cause reliably.
 func TestGoldenRefusals(t *testing.T) {
 	p, err := residency.ParsePolicy("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
 	require.NoError(t, err)
-	var book residency.PolicyRegistry
-	_, err = book.AddPolicy(p)
+	var registry residency.PolicyRegistry
+	_, err = registry.AddPolicy(p)
 	require.NoError(t, err)
-	r := startFull(t, false, nil, func(m *coordinator.Options) {
-		m.Residency = coordinator.NewResidencyGuard(book.Compile(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
+	r := startWithOptions(t, false, nil, func(m *coordinator.Options) {
+		m.Residency = coordinator.NewResidencyGuard(registry.Compile(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
 	})
 	var out strings.Builder
 	r.exchange(&out, "contract", "POST", "/scarce/_search", "{}")
-	refused := fault(429, "rejected_execution_exception", "there is no room for this search now")
-	fmt.Fprintf(&out, "== no room\n< %d %q\n", refused.status, refused.body)
-	plain := faultOf(io.ErrUnexpectedEOF)
+	refused := errorReply(429, "rejected_execution_exception", "there is no capacity for this search now")
+	fmt.Fprintf(&out, "== no capacity\n< %d %q\n", refused.status, refused.body)
+	plain := errorReplyOf(io.ErrUnexpectedEOF)
 	fmt.Fprintf(&out, "== plain error\n< %d %q\n", plain.status, plain.body)
 	golden.Require(t, "refusals.golden", out.String())
 }
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -47,89 +47,91 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a co-ordinator with the front, eight blocks of members on two hosts each.
+// rig is a coordinator with this frontend and eight blocks of the index members, each on two hosts.
 type rig struct {
-	t      *testing.T
-	url    string
-	hosts  []*fake.Host
-	search []*fake.SearchHost // in their place, where hosts speak the API
-	own    string             // address of the own front
-	blocks []*fake.ShardDocuments
-	all    fake.ShardDocuments
-	list   *fake.DiscoveryServer
-	stop   context.CancelFunc
-	ended  chan error
-	client *http.Client
-	final  atomic.Int64
+	t           *testing.T
+	url         string
+	hosts       []*fake.Host
+	searchHosts []*fake.SearchHost // used instead of hosts if the hosts speak the OpenSearch API
+	nativeAddr  string             // address of the native frontend
+	blocks      []*fake.ShardDocuments
+	whole       fake.ShardDocuments
+	discovery   *fake.DiscoveryServer
+	stop        context.CancelFunc
+	ended       chan error
+	client      *http.Client
+	responses   atomic.Int64
 }
 
-func start(t *testing.T) *rig { return startWith(t, false) }
+func start(t *testing.T) *rig { return startWithHosts(t, false) }
 
-func startWith(t *testing.T, speak bool) *rig { return startFull(t, speak, nil) }
+func startWithHosts(t *testing.T, openSearch bool) *rig {
+	return startWithOptions(t, openSearch, nil)
+}
 
-func startFull(t *testing.T, speak bool, conf *tls.Config, more ...func(m *coordinator.Options)) *rig {
+func startWithOptions(t *testing.T, openSearch bool, conf *tls.Config, edits ...func(m *coordinator.Options)) *rig {
 	r := &rig{t: t, ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
-	chance := rand.New(rand.NewSource(7))
-	r.all.Index = "members"
-	placed := &query.Placement{Shards: 8}
+	rng := rand.New(rand.NewSource(7))
+	r.whole.Index = "members"
+	placement := &query.Placement{Shards: 8}
 	for range 8 {
 		r.blocks = append(r.blocks, &fake.ShardDocuments{Index: "members"})
 	}
 	towns := []string{"oslo", "bergen", "hamar"}
 	for i := range 400 {
-		m := fake.Document{ID: fmt.Sprintf("m%03d", i), Fields: map[string]any{"town": towns[chance.Intn(3)], "age": float64(18 + chance.Intn(50))}}
-		r.all.Documents = append(r.all.Documents, m)
-		b := r.blocks[placed.ShardFor(m.ID)]
+		m := fake.Document{ID: fmt.Sprintf("m%03d", i), Fields: map[string]any{"town": towns[rng.Intn(3)], "age": float64(18 + rng.Intn(50))}}
+		r.whole.Documents = append(r.whole.Documents, m)
+		b := r.blocks[placement.ShardFor(m.ID)]
 		b.Documents = append(b.Documents, m)
 	}
 	var entries []fake.Endpoint
 	for i := range 8 {
-		if speak {
+		if openSearch {
 			held := map[int]*fake.ShardDocuments{i % 4: r.blocks[i%4], i%4 + 4: r.blocks[i%4+4]}
 			h, err := fake.NewSearchHost(fmt.Sprintf("h%d", i), i%4, held)
 			require.NoError(t, err)
 			t.Cleanup(h.Close)
-			r.search = append(r.search, h)
+			r.searchHosts = append(r.searchHosts, h)
 			entries = append(entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "search", State: "up", Cell: h.Cell})
 			continue
 		}
-		h, err := fake.NewHost(fmt.Sprintf("h%d", i), i%4, false, r.good)
+		h, err := fake.NewHost(fmt.Sprintf("h%d", i), i%4, false, r.replyCorrectly)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		r.hosts = append(r.hosts, h)
 		entries = append(entries, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 	}
 	var err error
-	r.list, err = fake.NewDiscoveryServer(entries)
+	r.discovery, err = fake.NewDiscoveryServer(entries)
 	require.NoError(t, err)
-	t.Cleanup(r.list.Close)
+	t.Cleanup(r.discovery.Close)
 	listen := func() net.Listener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		return ln
 	}
-	own, other := listen(), listen()
-	r.own = own.Addr().String()
+	native, openSearchListener := listen(), listen()
+	r.nativeAddr = native.Addr().String()
 	plan, err := plan.Parse(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, own.Addr(), r.list.Listener.Addr(),
-		r.list.KnownEndpoints(), settings))
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, native.Addr(), r.discovery.Listener.Addr(),
+		r.discovery.KnownEndpoints(), settings))
 	require.NoError(t, err)
 	eight := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	front := &Server{Listener: other, TLSConfig: conf, Indices: []Index{
-		{"members", "full-match", "acme", eight, placed},
-		{"picks", "quick-picks", "acme", eight, placed},
-		{"scarce", "full-match", "scarce", eight, placed},
+	front := &Server{Listener: openSearchListener, TLSConfig: conf, Indices: []Index{
+		{"members", "full-match", "acme", eight, placement},
+		{"picks", "quick-picks", "acme", eight, placement},
+		{"scarce", "full-match", "scarce", eight, placement},
 	}}
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop, r.url = stop, "http://"+other.Addr().String()
+	r.stop, r.url = stop, "http://"+openSearchListener.Addr().String()
 	go func() {
 		m := coordinator.Options{
-			Listener: own, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
+			Listener: native, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
 			Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Frontends: []coordinator.Frontend{front},
-			HostKinds: map[string]coordinator.HostKind{"search": {Index: "members", Placement: placed}},
+			HostKinds: map[string]coordinator.HostKind{"search": {Index: "members", Placement: placement}},
 		}
-		for _, do := range more {
-			do(&m)
+		for _, edit := range edits {
+			edit(&m)
 		}
 		r.ended <- coordinator.Serve(ctx, plan, m)
 	}()
@@ -140,13 +142,13 @@
 		case err := <-r.ended:
 			require.NoError(t, err)
 		case <-time.After(20 * time.Second):
-			t.Error("does not end")
+			t.Error("the coordinator did not end within 20 s of its stop")
 		}
 	})
 	return r
 }
 
-// answer is what a sound host says to a part; index names are the search's own.
+// answer is a correct host's response to a shard request.
 func (r *rig) answer(p fake.ShardRequest) []byte {
 	b := *r.blocks[p.Shard]
 	text, err := b.Search([]byte(p.Text))
@@ -156,7 +158,7 @@
 	return text
 }
 
-func (r *rig) good(p fake.ShardRequest) { p.Reply("good", "1", string(r.answer(p))) }
+func (r *rig) replyCorrectly(p fake.ShardRequest) { p.Reply("good", "1", string(r.answer(p))) }
 
 func (r *rig) do(method, path, body string, head ...string) (int, map[string]any, http.Header) {
 	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
@@ -169,7 +171,7 @@
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
 	require.NoError(r.t, err)
-	r.final.Add(1)
+	r.responses.Add(1)
 	if res.Header.Get("Content-Encoding") == "gzip" {
 		z, err := gzip.NewReader(bytes.NewReader(text))
 		require.NoError(r.t, err)
@@ -192,7 +194,8 @@
 
 func reason(m map[string]any) string { return fmt.Sprint(m["error"].(map[string]any)["reason"]) }
 
-// Whole answers are what one block with all members says, also with a host that hangs and one that spoils its answers.
+// Guards against wrong merges: complete answers equal those of one block with all documents, even if one host hangs and
+// another returns malformed responses.
 func TestSearches(t *testing.T) {
 	r := start(t)
 	r.hosts[0].SetHandler(func(fake.ShardRequest) {})
@@ -203,7 +206,7 @@
 			body := fmt.Sprintf(`{"query":{"range":{"age":{"gte":%d}}},"size":15,"sort":[{"age":"desc"},"town"],"track_total_hits":true}`, 20+i)
 			status, m, _ := r.do("POST", "/members/_search", body)
 			require.Equal(t, 200, status, "%v", m)
-			text, _ := r.all.Search([]byte(strings.Replace(body, `[{"age":"desc"},"town"]`,
+			text, _ := r.whole.Search([]byte(strings.Replace(body, `[{"age":"desc"},"town"]`,
 				`[{"age":{"order":"desc"}},{"town":{}},{"_id":{}}]`, 1)))
 			var want map[string]any
 			require.NoError(t, json.Unmarshal([]byte(text), &want))
@@ -214,11 +217,11 @@
 		})
 	}
 	g.Wait()
-	require.Equal(t, int64(40), r.final.Load())
+	require.Equal(t, int64(40), r.responses.Load())
 	status, m, _ := r.do("GET", "/members/_count", `{"query":{"term":{"town":"oslo"}}}`)
 	require.Equal(t, 200, status)
 	n := 0.0
-	for _, one := range r.all.Documents {
+	for _, one := range r.whole.Documents {
 		if one.Fields["town"] == "oslo" {
 			n++
 		}
@@ -226,10 +229,11 @@
 	require.Equal(t, n, m["count"])
 }
 
-// quick-picks is whole at six of eight blocks and says so; full-match never is, and what is given up says that too.
-func TestPartsThatLack(t *testing.T) {
+// Guards against partial answers that look complete: quick-picks is complete with six of eight blocks and lists the other two
+// as failures; full-match is refused without all eight.
+func TestMissingBlocks(t *testing.T) {
 	r := start(t)
-	for _, i := range []int{0, 4} { // both holders of two blocks
+	for _, i := range []int{0, 4} { // both hosts of two blocks
 		r.hosts[i].SetHandler(func(fake.ShardRequest) {})
 	}
 	status, m, _ := r.do("POST", "/nowhere/_search", `{}`)
@@ -238,7 +242,7 @@
 	require.Equal(t, 200, status, "%v", m)
 	shards := m["_shards"].(map[string]any)
 	require.Equal(t, []any{8.0, 6.0, 2.0}, []any{shards["total"], shards["successful"], shards["failed"]})
-	require.Contains(t, fmt.Sprint(shards["failures"]), "called off")
+	require.Contains(t, fmt.Sprint(shards["failures"]), "cancelled: enough blocks")
 	require.Equal(t, "gte", m["hits"].(map[string]any)["total"].(map[string]any)["relation"])
 	began := time.Now()
 	status, m, head := r.do("POST", "/members/_search?timeout=700ms", `{}`, "X-Opaque-Id", "mine")
@@ -247,14 +251,15 @@
 	require.Less(t, time.Since(began), 3*time.Second)
 }
 
-// A host of the own protocol that answers with another block's members in good form has failed its part.
-func TestAnotherBlock(t *testing.T) {
+// Guards against wrong documents in an answer: a well-formed response of a native-protocol host with another block's documents
+// counts as a failed attempt, and the block's other host answers.
+func TestHostAnswersFromAnotherBlock(t *testing.T) {
 	r := start(t)
 	r.hosts[0].SetHandler(func(p fake.ShardRequest) {
 		text, _ := r.blocks[(p.Shard+4)%8].Search([]byte(p.Text))
 		p.Reply("good", "1", string(text))
 	})
-	text, _ := r.all.Search([]byte(`{"size":30,"sort":[{"age":{"order":"asc"}},{"_id":{}}]}`))
+	text, _ := r.whole.Search([]byte(`{"size":30,"sort":[{"age":{"order":"asc"}},{"_id":{}}]}`))
 	var want map[string]any
 	require.NoError(t, json.Unmarshal(text, &want))
 	for range 5 {
@@ -264,8 +269,9 @@
 	}
 }
 
-// A block that no listed host holds is told before anything is sent.
-func TestUnknownBlocks(t *testing.T) {
+// Guards against shard requests for searches that cannot succeed: a search of a block that no listed host holds gets 404 before
+// anything is sent.
+func TestBlocksWithoutHosts(t *testing.T) {
 	r := start(t)
 	var left []fake.Endpoint
 	for i, h := range r.hosts {
@@ -273,7 +279,7 @@
 			left = append(left, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
-	r.list.SetEndpoints(left)
+	r.discovery.SetEndpoints(left)
 	require.Eventually(t, func() bool { s, _, _ := r.do("POST", "/members/_search", `{}`); return s == 404 }, 10*time.Second, 5*time.Millisecond)
 	before := 0
 	for _, h := range r.hosts {
@@ -295,7 +301,8 @@
 	require.Contains(t, m["text"], "members 3 p UNASSIGNED")
 }
 
-// A block that was known when a search came and leaves the list while it waits: its part fails, and the rest says so.
+// Guards against incomplete answers that look complete when all hosts of a block leave the endpoint list during a search:
+// quick-picks lists the block as failed, and full-match is refused.
 func TestBlockLeavesMeanwhile(t *testing.T) {
 	r := start(t)
 	release := make(chan struct{})
@@ -309,7 +316,7 @@
 				lock.Lock()
 				searches[p.ID[:strings.LastIndexByte(p.ID, '.')]] = true
 				lock.Unlock()
-				go func() { <-release; r.good(p) }()
+				go func() { <-release; r.replyCorrectly(p) }()
 			})
 		}
 	}
@@ -335,20 +342,21 @@
 			left = append(left, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
-	r.list.SetEndpoints(left)
+	r.discovery.SetEndpoints(left)
 	close(release)
 	for range 2 {
 		e := <-got
-		if e.status == 200 { // quick-picks, whole without the block
+		if e.status == 200 { // quick-picks, complete without the block
 			failures := fmt.Sprint(e.m["_shards"].(map[string]any)["failures"])
 			require.Contains(t, failures, "shard:3")
 			require.Equal(t, 6.0, e.m["_shards"].(map[string]any)["successful"])
 			continue
 		}
-		require.Contains(t, []int{429, 503, 504}, e.status, "full-match is never answered from less: %v", e.m)
+		require.Contains(t, []int{429, 503, 504}, e.status, "full-match must not be answered without all blocks: %v", e.m)
 	}
 }
 
+// Guards against one bad search of a msearch failing the others, and against searches that stay open when their client leaves.
 func TestMultiSearch(t *testing.T) {
 	r := start(t)
 	var lines []string
@@ -364,7 +372,7 @@
 			lines = append(lines, `{"index":"members"}`, fmt.Sprintf(`{"query":{"ids":{"values":["m%03d"]}}}`, i))
 		}
 	}
-	text := strings.Join(lines, "\n") // without its last line end
+	text := strings.Join(lines, "\n") // without the final newline
 	status, m, _ := r.do("POST", "/_msearch", text)
 	require.Equal(t, 200, status)
 	for i, one := range m["responses"].([]any) {
@@ -384,7 +392,7 @@
 	status, _, _ = r.do("POST", "/_msearch", "{}\n")
 	require.Equal(t, 400, status)
 
-	// A client that leaves in the middle of fifty takes all of them along.
+	// A client that disconnects during a msearch of fifty searches ends all of them.
 	for _, h := range r.hosts {
 		h.SetHandler(func(fake.ShardRequest) {})
 	}
@@ -408,6 +416,7 @@
 	require.Eventually(t, func() bool { return open() == 0 }, 10*time.Second, 5*time.Millisecond)
 }
 
+// Guards against searches that _tasks does not list or cannot cancel, also if several have the same X-Opaque-Id.
 func TestTasks(t *testing.T) {
 	r := start(t)
 	for _, h := range r.hosts {
@@ -418,7 +427,7 @@
 		m      map[string]any
 	}
 	ended := make(chan end, 2)
-	for range 2 { // two with one X-Opaque-Id
+	for range 2 { // both with the same X-Opaque-Id
 		go func() {
 			s, m, _ := r.do("POST", "/members/_search", `{}`, "X-Opaque-Id", "same")
 			ended <- end{s, m}
@@ -445,8 +454,8 @@
 	require.Equal(t, 404, status)
 }
 
-// Beyond its partner's share a search is refused at once, with a time to come back, and no host hears of it.
-func TestRefusedForRoom(t *testing.T) {
+// Guards against searches beyond the tenant's quota that wait or are refused without Retry-After: they get 429.
+func TestRefusedBeyondQuota(t *testing.T) {
 	r := start(t)
 	began := time.Now()
 	var g sync.WaitGroup
@@ -472,15 +481,16 @@
 	require.Less(t, time.Since(began), 10*time.Second)
 }
 
-// A tenant whose contract leaves no host is refused with its name; another tenant's index is not touched.
+// Guards against residency contracts that affect other tenants: a tenant whose contract leaves no eligible host gets 403 with its
+// name in the reason, and another tenant's search succeeds.
 func TestRefusedByContract(t *testing.T) {
 	p, err := residency.ParsePolicy("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
 	require.NoError(t, err)
-	var book residency.PolicyRegistry
-	_, err = book.AddPolicy(p)
+	var registry residency.PolicyRegistry
+	_, err = registry.AddPolicy(p)
 	require.NoError(t, err)
-	r := startFull(t, false, nil, func(m *coordinator.Options) {
-		m.Residency = coordinator.NewResidencyGuard(book.Compile(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
+	r := startWithOptions(t, false, nil, func(m *coordinator.Options) {
+		m.Residency = coordinator.NewResidencyGuard(registry.Compile(math.MaxInt64), func() int64 { return time.Now().UnixMicro() / 100 })
 	})
 	status, m, _ := r.do("POST", "/scarce/_search", `{}`)
 	require.Equal(t, 403, status)
@@ -489,11 +499,12 @@
 	require.Equal(t, 200, status)
 }
 
-// With TLS the front speaks it, and asks for certificates where authorities are named.
+// Guards against TLS that is configured but not used: the frontend serves HTTPS, and requires client certificates if authorities
+// are configured.
 func TestTLS(t *testing.T) {
 	_, err := LoadTLS("nowhere.pem", "nowhere.key", "")
 	require.Error(t, err)
-	s := httptest.NewTLSServer(nil) // brings a certificate for loopback
+	s := httptest.NewTLSServer(nil) // has a certificate for the loopback addresses
 	defer s.Close()
 	dir := t.TempDir()
 	key, err := x509.MarshalPKCS8PrivateKey(s.TLS.Certificates[0].PrivateKey)
@@ -510,7 +521,7 @@
 	require.Equal(t, tls.RequireAndVerifyClientCert, strict.ClientAuth)
 	_, err = LoadTLS(file("c.pem"), file("c.key"), file("c.key"))
 	require.Error(t, err)
-	r := startFull(t, false, conf)
+	r := startWithOptions(t, false, conf)
 	r.client = s.Client()
 	r.client.Transport.(*http.Transport).DisableCompression = true
 	defer r.client.CloseIdleConnections()
@@ -519,7 +530,8 @@
 	require.Equal(t, 200, status, "%v", m)
 }
 
-func TestEdges(t *testing.T) {
+// Guards against errors in compressed bodies, size limits, refused parameters, error positions and the status endpoints.
+func TestRequestsAndErrors(t *testing.T) {
 	r := start(t)
 	pack := func(text string) string {
 		var b bytes.Buffer
@@ -533,16 +545,16 @@
 	require.Equal(t, "gzip", head.Get("Content-Encoding"))
 	require.Len(t, ids(m), 200)
 	status, _, _ = r.do("POST", "/members/_search", pack(strings.Repeat(" ", 50<<20)), "Content-Encoding", "gzip")
-	require.Equal(t, 413, status, "a small body that grows without end")
+	require.Equal(t, 413, status, "a small body that decompresses to 50 MiB")
 	for path, want := range map[string]string{
 		"/members/_search?bogus=1":                      "unrecognized parameter: [bogus]",
-		"/members/_search?q=a":                          "parameter [q] is known to the API and not done here",
-		"/members/_search?preference=_local":            "not done here",
+		"/members/_search?q=a":                          "parameter [q] is part of the API but not supported here",
+		"/members/_search?preference=_local":            "not supported here",
 		"/members/_search?preference=_shards:9":         "no such shard [members][9]",
-		"/members/_search?routing=x":                    "is no number of a block",
-		"/members/_search?size=99999":                   "is no whole number from 0",
+		"/members/_search?routing=x":                    "is not a block number",
+		"/members/_search?size=99999":                   "is not a whole number from 0",
 		"/_search":                                      "name one",
-		"/members,picks/_search":                        "not done here",
+		"/members,picks/_search":                        "not supported here",
 		"/nothing/here":                                 "no handler found",
 		"/members/_search?timeout=-1":                   "is no time",
 		"/members/_search?cancel_after_time_interval=x": "is no time",
@@ -570,12 +582,13 @@
 	require.Contains(t, m["text"], "members open 8 full-match")
 }
 
-// A search that is held while the stop comes has its answer; after it nothing is taken.
+// Guards against a shutdown that drops open searches: a search that is open when the stop comes gets its answer, and new
+// connections are refused.
 func TestStop(t *testing.T) {
 	r := start(t)
 	release := make(chan struct{})
 	for _, h := range r.hosts {
-		h.SetHandler(func(p fake.ShardRequest) { go func() { <-release; r.good(p) }() })
+		h.SetHandler(func(p fake.ShardRequest) { go func() { <-release; r.replyCorrectly(p) }() })
 	}
 	got := make(chan int)
 	go func() { s, _, _ := r.do("POST", "/members/_search", `{}`); got <- s }()
@@ -592,14 +605,14 @@
 	require.Equal(t, 200, <-got)
 }
 
-// Own clients with hosts that speak the API: the parts' values are the hosts' answers.
-func (r *rig) asOwn(id, class, query string) (int, map[string]any) {
+// searchNative sends a search of all blocks to the native frontend.
+func (r *rig) searchNative(id, class, query string) (int, map[string]any) {
 	var parts []string
 	for b := range 8 {
 		parts = append(parts, fmt.Sprintf(`{"range":%d,"portion":0.125}`, b))
 	}
 	text, _ := json.Marshal(query)
-	req, err := http.NewRequest("POST", "http://"+r.own+"/"+class, strings.NewReader(
+	req, err := http.NewRequest("POST", "http://"+r.nativeAddr+"/"+class, strings.NewReader(
 		fmt.Sprintf(`{"ranges":[%s],"predicate":%s}`, strings.Join(parts, ","), text)))
 	require.NoError(r.t, err)
 	for name, v := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Tenant": "acme", "X-Deadline": "6.000"} {
@@ -613,9 +626,10 @@
 	return res.StatusCode, m
 }
 
-// All that a host can do to a part: searches are whole all the same, from its block's other holder.
-func TestHostsThatSpeakIt(t *testing.T) {
-	r := startWith(t, true)
+// Guards against a faulty OpenSearch host spoiling answers: whatever it responds to a shard request, searches are complete from
+// its block's other host.
+func TestFaultySearchHosts(t *testing.T) {
+	r := startWithHosts(t, true)
 	edit := func(old, new string) func(http.ResponseWriter, *http.Request, []byte) {
 		return func(w http.ResponseWriter, _ *http.Request, good []byte) {
 			w.Write([]byte(strings.Replace(string(good), old, new, 1)))
@@ -625,33 +639,33 @@
 		return func(w http.ResponseWriter, _ *http.Request, _ []byte) { http.Error(w, `{}`, code) }
 	}
 	body := `{"size":30,"sort":[{"age":{"order":"asc"}}],"track_total_hits":true}`
-	text, _ := r.all.Search([]byte(`{"size":30,"sort":[{"age":{"order":"asc"}},{"_id":{}}],"track_total_hits":true}`))
+	text, _ := r.whole.Search([]byte(`{"size":30,"sort":[{"age":{"order":"asc"}},{"_id":{}}],"track_total_hits":true}`))
 	var want map[string]any
 	require.NoError(t, json.Unmarshal(text, &want))
 	q, err := query.ParseRequest([]byte(body))
 	require.NoError(t, err)
 	for name, do := range map[string]func(http.ResponseWriter, *http.Request, []byte){
-		"sound": nil,
+		"correct": nil,
 		"another block": func(w http.ResponseWriter, req *http.Request, _ []byte) {
 			var block int
 			fmt.Sscanf(req.URL.Query().Get("preference"), "_shards:%d", &block)
 			text, _ := r.blocks[(block+4)%8].Search(q.ShardRequestBody())
 			w.Write(text)
 		},
-		"429":             status(429),
-		"503":             status(503),
-		"500":             status(500),
-		"404":             status(404),
-		"timed out":       edit(`"timed_out":false`, `"timed_out":true`),
-		"failed shard":    edit(`"failed":0`, `"failed":1`),
-		"left out":        edit(`"total":1`, `"total":0`),
-		"another index":   edit(`"_index":"members"`, `"_index":"others"`),
-		"score no number": edit(`"_score":1`, `"_score":"NaN"`),
-		"cut off":         func(w http.ResponseWriter, _ *http.Request, good []byte) { w.Write(good[:len(good)/2]) },
-		"unsorted":        edit(`"sort":[`, `"sort":[9999,`),
-		"lying total":     edit(`"value":`, `"value":0,"was":`),
-		"no JSON":         func(w http.ResponseWriter, _ *http.Request, _ []byte) { w.Write([]byte("hello")) },
-		"hangs":           func(_ http.ResponseWriter, r *http.Request, _ []byte) { <-r.Context().Done() },
+		"429":               status(429),
+		"503":               status(503),
+		"500":               status(500),
+		"404":               status(404),
+		"timed out":         edit(`"timed_out":false`, `"timed_out":true`),
+		"failed shard":      edit(`"failed":0`, `"failed":1`),
+		"no shard searched": edit(`"total":1`, `"total":0`),
+		"another index":     edit(`"_index":"members"`, `"_index":"others"`),
+		"non-numeric score": edit(`"_score":1`, `"_score":"NaN"`),
+		"cut off":           func(w http.ResponseWriter, _ *http.Request, good []byte) { w.Write(good[:len(good)/2]) },
+		"unsorted":          edit(`"sort":[`, `"sort":[9999,`),
+		"lying total":       edit(`"value":`, `"value":0,"was":`),
+		"not JSON":          func(w http.ResponseWriter, _ *http.Request, _ []byte) { w.Write([]byte("hello")) },
+		"hangs":             func(_ http.ResponseWriter, r *http.Request, _ []byte) { <-r.Context().Done() },
 		"closes": func(w http.ResponseWriter, _ *http.Request, _ []byte) {
 			conn, _, _ := w.(http.Hijacker).Hijack()
 			conn.Close()
@@ -661,7 +675,7 @@
 			conn.Write([]byte("noise in place of an answer\r\n\r\n"))
 			conn.Close()
 		},
-		"says more": func(w http.ResponseWriter, _ *http.Request, good []byte) {
+		"second response": func(w http.ResponseWriter, _ *http.Request, good []byte) {
 			conn, _, _ := w.(http.Hijacker).Hijack()
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%sHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", len(good), good)
 			conn.Close()
@@ -678,24 +692,24 @@
 			}
 		},
 	} {
-		r.search[0].SetHandler(do)
+		r.searchHosts[0].SetHandler(do)
 		for range 3 {
 			code, m, _ := r.do("POST", "/members/_search", body)
 			require.Equal(t, 200, code, "%s: %v", name, m)
 			require.Equal(t, want["hits"].(map[string]any)["total"], m["hits"].(map[string]any)["total"], name)
 			require.Equal(t, ids(want), ids(m), name)
 		}
-		code, m := r.asOwn(strings.ReplaceAll("own "+name, " ", "-"), "full-match", `{"size":3,"sort":[{"_id":{}}]}`)
+		code, m := r.searchNative(strings.ReplaceAll("native "+name, " ", "-"), "full-match", `{"size":3,"sort":[{"_id":{}}]}`)
 		require.Equal(t, 200, code, name)
 		require.Equal(t, true, m["total"])
 		require.Len(t, m["answers"], 8)
 	}
-	// A part that is given up ends its connection, and its host sees that.
-	r.search[0].SetHandler(func(_ http.ResponseWriter, req *http.Request, _ []byte) { <-req.Context().Done() })
-	_, before := r.search[0].CountRequests()
+	// An attempt that is abandoned closes its connection, and the host notices.
+	r.searchHosts[0].SetHandler(func(_ http.ResponseWriter, req *http.Request, _ []byte) { <-req.Context().Done() })
+	_, before := r.searchHosts[0].CountRequests()
 	require.Eventually(t, func() bool {
 		code, _, _ := r.do("POST", "/picks/_search", `{}`)
-		_, left := r.search[0].CountRequests()
+		_, left := r.searchHosts[0].CountRequests()
 		return code == 200 && left > before
 	}, 15*time.Second, 10*time.Millisecond)
 }
--- a/opensearch/frontend/search.go
+++ b/opensearch/frontend/search.go
@@ -20,38 +20,39 @@
 	"chalkring/opensearch/query"
 )
 
-// asked is one search with what its URL or header line says.
-type asked struct {
-	index   Index
-	q       *query.Request
-	blocks  []int
-	partial bool          // less than the whole is wanted too
-	within  time.Duration // cancel_after_time_interval, 0 for none
-	count   bool
-	opaque  string
-	retry   bool
+// parsedSearch is one search: its body and the parameters of its URL or msearch header line.
+type parsedSearch struct {
+	index        Index
+	q            *query.Request
+	blocks       []int
+	allowPartial bool          // allow_partial_search_results
+	cancelAfter  time.Duration // cancel_after_time_interval; 0 for none
+	countOnly    bool
+	opaqueID     string
+	isRetry      bool
 }
 
 var (
-	taken = []string{
+	supportedParams = []string{
 		"allow_partial_search_results", "cancel_after_time_interval", "preference", "routing", "pretty", "size", "from",
 		"timeout", "track_total_hits", "sort", "max_concurrent_searches", "index", "ignore_unavailable", "rest_total_hits_as_int",
 		"error_trace", "human", "typed_keys", "search_type", "request_cache",
 	}
-	known = []string{
+	unsupportedParams = []string{
 		"q", "df", "analyzer", "default_operator", "scroll", "batched_reduce_size", "ccs_minimize_roundtrips",
 		"pre_filter_shard_size", "max_concurrent_shard_requests", "stored_fields", "docvalue_fields", "_source", "_source_includes",
 		"_source_excludes", "explain", "version", "lenient", "terminate_after", "expand_wildcards", "allow_no_indices",
 		"filter_path", "search_pipeline", "phase_took", "seq_no_primary_term", "stats", "suggest_field", "min_score", "rewrite",
 		"all_shards",
 	}
-	// Words that change nothing of what is answered here, or not for the worse.
-	idle = []string{"pretty", "error_trace", "human", "ignore_unavailable", "max_concurrent_searches", "index", "request_cache"}
+	// Parameters that are accepted and ignored: they do not change the answer, or not to the client's disadvantage.
+	ignoredParams = []string{"pretty", "error_trace", "human", "ignore_unavailable", "max_concurrent_searches", "index", "request_cache"}
 )
 
-// read makes a search of a body and what stands in its URL or header line.
-func (f *Server) read(index string, values url.Values, text []byte) (*asked, error) {
-	x, err := f.find(index)
+// parseSearch makes a search from a body and the parameters of its URL or header line. A search of a block that no listed
+// host holds is refused here, before anything is sent.
+func (f *Server) parseSearch(index string, values url.Values, text []byte) (*parsedSearch, error) {
+	x, err := f.findIndex(index)
 	if err != nil {
 		return nil, err
 	}
@@ -59,25 +60,25 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &asked{index: x, q: q, blocks: x.Blocks, partial: true}
+	a := &parsedSearch{index: x, q: q, blocks: x.Blocks, allowPartial: true}
 	for name, all := range values {
 		v := all[len(all)-1]
 		switch {
-		case slices.Contains(idle, name):
-		case slices.Contains(known, name):
-			err = fmt.Errorf("parameter [%s] is known to the API and not done here", name)
-		case !slices.Contains(taken, name):
+		case slices.Contains(ignoredParams, name):
+		case slices.Contains(unsupportedParams, name):
+			err = fmt.Errorf("parameter [%s] is part of the API but not supported here", name)
+		case !slices.Contains(supportedParams, name):
 			err = fmt.Errorf("request contains unrecognized parameter: [%.100s]", name)
 		case name == "allow_partial_search_results":
-			a.partial, err = strconv.ParseBool(v)
+			a.allowPartial, err = strconv.ParseBool(v)
 		case name == "cancel_after_time_interval":
-			a.within, err = query.ParseDuration(v)
+			a.cancelAfter, err = query.ParseDuration(v)
 		case name == "timeout":
 			q.Timeout, err = query.ParseDuration(v)
 		case name == "size":
-			q.Size, err = bounded(v, query.MaxResultWindow-q.From)
+			q.Size, err = parseBounded(v, query.MaxResultWindow-q.From)
 		case name == "from":
-			q.From, err = bounded(v, query.MaxResultWindow-q.Size)
+			q.From, err = parseBounded(v, query.MaxResultWindow-q.Size)
 		case name == "track_total_hits":
 			switch v {
 			case "true":
@@ -85,15 +86,15 @@
 			case "false":
 				q.TrackTotalHits = 0
 			default:
-				q.TrackTotalHits, err = bounded(v, math.MaxInt32)
+				q.TrackTotalHits, err = parseBounded(v, math.MaxInt32)
 			}
 		case name == "preference":
-			err = a.prefer(v)
+			err = a.applyPreference(v)
 		case name == "routing":
-			err = a.route(v)
+			err = a.applyRouting(v)
 		case name == "search_type" && v == "query_then_fetch":
 		default:
-			err = fmt.Errorf("parameter [%s] with [%.40s] is known to the API and not done here", name, v)
+			err = fmt.Errorf("parameter [%s] with value [%.40s] is part of the API but not supported here", name, v)
 		}
 		if err != nil {
 			var e *query.APIError
@@ -104,43 +105,44 @@
 		}
 	}
 	for _, b := range a.blocks {
-		if !f.d.HasBlockHost(b) {
-			return nil, notFound(x.Name, "no such shard [%s][%d]: no listed host holds it", x.Name, b)
+		if !f.api.HasBlockHost(b) {
+			return nil, indexNotFound(x.Name, "no such shard [%s][%d]: no listed host holds it", x.Name, b)
 		}
 	}
 	return a, nil
 }
 
-func bounded(text string, most int) (int, error) {
+func parseBounded(text string, limit int) (int, error) {
 	v, err := strconv.Atoi(text)
-	if err != nil || v < 0 || v > most {
-		return 0, fmt.Errorf("[%.40s] is no whole number from 0 to %d", text, most)
+	if err != nil || v < 0 || v > limit {
+		return 0, fmt.Errorf("[%.40s] is not a whole number from 0 to %d", text, limit)
 	}
 	return v, nil
 }
 
-// prefer takes preference=_shards:1,2; other preferences choose hosts, which is the module's.
-func (a *asked) prefer(v string) error {
+// applyPreference handles preference=_shards:1,2. Other preferences select hosts, which only the coordinator does.
+func (a *parsedSearch) applyPreference(v string) error {
 	list, ok := strings.CutPrefix(v, "_shards:")
 	if !ok {
-		return fmt.Errorf("preference [%.40s] is known to the API and not done here; _shards: is", v)
+		return fmt.Errorf("preference [%.40s] is part of the API but not supported here; only _shards: is", v)
 	}
 	list, _, more := strings.Cut(list, "|")
 	if more {
-		return fmt.Errorf("a second preference behind _shards: is known to the API and not done here")
+		return fmt.Errorf("a second preference after _shards: is part of the API but not supported here")
 	}
-	return a.only(strings.Split(list, ","))
+	return a.restrictBlocks(strings.Split(list, ","))
 }
 
-// route takes routing as numbers of blocks: where a member is, its partner knows.
-func (a *asked) route(v string) error { return a.only(strings.Split(v, ",")) }
+// applyRouting takes the routing values as block numbers: the partner knows which block holds a document.
+func (a *parsedSearch) applyRouting(v string) error { return a.restrictBlocks(strings.Split(v, ",")) }
 
-func (a *asked) only(list []string) error {
+// restrictBlocks limits the search to the listed blocks of its index.
+func (a *parsedSearch) restrictBlocks(list []string) error {
 	var blocks []int
 	for _, one := range list {
 		b, err := strconv.Atoi(one)
 		if err != nil {
-			return fmt.Errorf("[%.40s] is no number of a block", one)
+			return fmt.Errorf("[%.40s] is not a block number", one)
 		}
 		if !slices.Contains(a.index.Blocks, b) {
 			return &query.APIError{
@@ -153,99 +155,99 @@
 		}
 	}
 	if len(blocks) == 0 {
-		return errors.New("no block is left to search")
+		return errors.New("preference and routing have no block in common")
 	}
 	a.blocks = blocks
 	return nil
 }
 
 func (f *Server) search(r *http.Request, index string, count bool) reply {
-	text, err := body(r, bodyMost)
+	text, err := readBody(r, maxBodyBytes)
 	if err != nil {
-		return faultOf(err)
+		return errorReplyOf(err)
 	}
-	a, err := f.read(index, r.URL.Query(), text)
+	a, err := f.parseSearch(index, r.URL.Query(), text)
 	if err != nil {
-		return faultOf(err)
+		return errorReplyOf(err)
 	}
-	a.opaque, a.retry = r.Header.Get("X-Opaque-Id"), r.Header.Get("X-Retry") == "1"
-	if a.count = count; count {
+	a.opaqueID, a.isRetry = r.Header.Get("X-Opaque-Id"), r.Header.Get("X-Retry") == "1"
+	if a.countOnly = count; count {
 		a.q.Size, a.q.From, a.q.TrackTotalHits, a.q.Aggregations = 0, 0, math.MaxInt, nil
 	}
-	return f.run(r.Context(), a)
+	return f.runSearch(r.Context(), a)
 }
 
-// run hands a search in and makes its final answer.
-func (f *Server) run(ctx context.Context, a *asked) reply {
+// runSearch passes a search to the coordinator and turns its result into the response.
+func (f *Server) runSearch(ctx context.Context, a *parsedSearch) reply {
 	action := "indices:data/read/search"
-	ctx, t, err := f.open(ctx, action, a.opaque, a.index.Name)
+	ctx, t, err := f.openTask(ctx, action, a.opaqueID, a.index.Name)
 	if err != nil {
-		out := faultOf(err)
-		out.wait = time.Second
+		out := errorReplyOf(err)
+		out.retryAfter = time.Second
 		return out
 	}
-	defer f.close(t)
-	patience := f.d.SearchTimeout(a.index.SearchType)
-	for _, v := range []time.Duration{a.q.Timeout, a.within} {
+	defer f.closeTask(t)
+	timeout := f.api.SearchTimeout(a.index.SearchType)
+	for _, v := range []time.Duration{a.q.Timeout, a.cancelAfter} {
 		if v > 0 {
-			patience = min(patience, max(v, partLong))
+			timeout = min(timeout, max(v, minTimeout))
 		}
 	}
-	given, err := f.d.Search(ctx, coordinator.SearchRequest{
-		ID:   f.prefix + strconv.FormatUint(t.id, 10),
-		Type: a.index.SearchType, Tenant: a.index.Tenant, Body: a.q.ShardRequestBody(), Shards: a.blocks, Timeout: patience, IsRetry: a.retry,
-		DecodeValue: a.check,
+	result, err := f.api.Search(ctx, coordinator.SearchRequest{
+		ID:   f.idPrefix + strconv.FormatUint(t.id, 10),
+		Type: a.index.SearchType, Tenant: a.index.Tenant, Body: a.q.ShardRequestBody(), Shards: a.blocks, Timeout: timeout, IsRetry: a.isRetry,
+		DecodeValue: a.decodeResponse,
 	})
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
-		return fault(400, "task_cancelled_exception", "%v", errCancelled)
+		return errorReply(400, "task_cancelled_exception", "%v", errCancelled)
 	case err != nil:
-		return fault(503, "search_phase_execution_exception", "the co-ordinator is stopping")
-	case given.Outcome == coordinator.OutcomeResidencyRefused:
-		return fault(403, "security_exception", "residency: %v", given.ResidencyRefusal)
-	case given.Outcome == coordinator.OutcomeShed && given.Dispatched: // not for want of room: hosts failed it
-		return fault(503, "search_phase_execution_exception", "not enough blocks could be asked; trying again is harmless")
-	case given.Outcome == coordinator.OutcomeShed:
-		out := fault(429, "rejected_execution_exception", "there is no room for this search now")
-		if f.d.SendRetryAfter {
-			out.wait = max(given.RetryAfter, time.Millisecond) // whole seconds on the wire: one at least
+		return errorReply(503, "search_phase_execution_exception", "the coordinator is stopping")
+	case result.Outcome == coordinator.OutcomeResidencyRefused:
+		return errorReply(403, "security_exception", "residency: %v", result.ResidencyRefusal)
+	case result.Outcome == coordinator.OutcomeShed && result.Dispatched: // hosts failed; not a lack of capacity
+		return errorReply(503, "search_phase_execution_exception", "not enough blocks could be searched; the request can be retried safely")
+	case result.Outcome == coordinator.OutcomeShed:
+		out := errorReply(429, "rejected_execution_exception", "there is no capacity for this search now")
+		if f.api.SendRetryAfter {
+			out.retryAfter = max(result.RetryAfter, time.Millisecond) // rounded up to whole seconds in the header, so at least 1
 		}
 		return out
-	case given.Outcome != coordinator.OutcomeAnswered && time.Since(t.began) >= patience-2*partLong:
-		return fault(504, "timeout_exception", "not enough blocks answered within %v", patience)
-	case given.Outcome != coordinator.OutcomeAnswered:
-		return fault(503, "search_phase_execution_exception", "not enough blocks answered")
-	case !given.Complete && !a.partial:
-		return fault(503, "search_phase_execution_exception",
-			"Partial shards failure: %d of %d blocks answered, and the whole is asked for", len(given.Parts), len(a.blocks))
-	}
-	return a.answer(given, time.Since(t.began))
+	case result.Outcome != coordinator.OutcomeAnswered && time.Since(t.startedAt) >= timeout-2*minTimeout:
+		return errorReply(504, "timeout_exception", "not enough blocks answered within %v", timeout)
+	case result.Outcome != coordinator.OutcomeAnswered:
+		return errorReply(503, "search_phase_execution_exception", "not enough blocks answered")
+	case !result.Complete && !a.allowPartial:
+		return errorReply(503, "search_phase_execution_exception",
+			"Partial shards failure: %d of %d blocks answered, but allow_partial_search_results is false", len(result.Parts), len(a.blocks))
+	}
+	return a.mergedReply(result, time.Since(t.startedAt))
 }
 
-// check looks at a host's value for a part. What its host calls the index is the hosts' side's to look at; towards the
-// client a hit is of the index that was asked.
-func (a *asked) check(shard int, value []byte) (any, error) {
-	read, err := a.q.ParseResponse(shard, "", value)
+// decodeResponse parses a host's response to a shard request and checks that its hits belong to the shard. The index name that
+// the host gives is checked by the coordinator's host client; the client gets the name of the index that it searched.
+func (a *parsedSearch) decodeResponse(shard int, value []byte) (any, error) {
+	response, err := a.q.ParseResponse(shard, "", value)
 	if err == nil {
-		err = read.CheckPlacement(a.index.Placement)
+		err = response.CheckPlacement(a.index.Placement)
 	}
 	if err != nil {
 		return nil, err
 	}
-	for i := range read.Hits {
-		read.Hits[i].Index = a.index.Name
+	for i := range response.Hits {
+		response.Hits[i].Index = a.index.Name
 	}
-	return read, nil
+	return response, nil
 }
 
-// answer puts together what a search has come to. Blocks that are not in stand among the failures, those that were
-// not needed too: what they hold is not in the answer.
-func (a *asked) answer(given coordinator.SearchResult, took time.Duration) reply {
-	o := query.SearchOutcome{TookMillis: took.Milliseconds(), TimedOut: !given.Complete}
+// mergedReply merges the shard responses into the API's answer. Blocks without a response are listed as failures, also
+// those that were no longer needed: their documents are missing from the answer.
+func (a *parsedSearch) mergedReply(result coordinator.SearchResult, took time.Duration) reply {
+	o := query.SearchOutcome{TookMillis: took.Milliseconds(), TimedOut: !result.Complete}
 	in := map[int]bool{}
-	for _, p := range given.Parts {
-		if read, ok := p.Value.(*query.ShardResponse); ok {
-			o.Responses = append(o.Responses, read)
+	for _, p := range result.Parts {
+		if response, ok := p.Value.(*query.ShardResponse); ok {
+			o.Responses = append(o.Responses, response)
 			in[p.Shard] = true
 		}
 	}
@@ -253,14 +255,14 @@
 		if in[b] {
 			continue
 		}
-		failure := query.ShardFailure{Shard: b, Index: a.index.Name, Type: "timeout_exception", Reason: "no answer in time"}
-		if given.Complete {
-			failure.Type, failure.Reason = "task_cancelled_exception", "called off: enough blocks for a "+a.index.SearchType+" search were in"
+		failure := query.ShardFailure{Shard: b, Index: a.index.Name, Type: "timeout_exception", Reason: "the block did not answer in time"}
+		if result.Complete {
+			failure.Type, failure.Reason = "task_cancelled_exception", "cancelled: enough blocks for a "+a.index.SearchType+" search had answered"
 		}
 		o.Failures = append(o.Failures, failure)
 	}
 	text := a.q.MergeResponses(o)
-	if !a.count {
+	if !a.countOnly {
 		return reply{status: 200, body: text}
 	}
 	var m struct {
@@ -272,36 +274,36 @@
 		} `json:"hits"`
 	}
 	json.Unmarshal(text, &m)
-	return encoded(map[string]any{"count": m.Hits.Total.Value, "_shards": m.Shards})
+	return jsonReply(map[string]any{"count": m.Hits.Total.Value, "_shards": m.Shards})
 }
 
-// multi runs the searches of a msearch, each by itself: each has one final answer, in order.
-func (f *Server) multi(r *http.Request, index string) reply {
-	text, err := body(r, multiMost)
+// multiSearch runs the searches of a msearch independently of each other and returns their answers in order.
+func (f *Server) multiSearch(r *http.Request, index string) reply {
+	text, err := readBody(r, maxMultiSearchBytes)
 	if err != nil {
-		return faultOf(err)
+		return errorReplyOf(err)
 	}
 	lines := bytes.Split(bytes.TrimSuffix(text, []byte("\n")), []byte("\n"))
 	if len(lines)%2 != 0 || len(bytes.TrimSpace(text)) == 0 {
-		return fault(400, "illegal_argument_exception", "a msearch has pairs of lines: a header and a body; this has %d lines", len(lines))
+		return errorReply(400, "illegal_argument_exception", "a msearch must have pairs of lines, a header and a body each, but this one has %d lines", len(lines))
 	}
-	if len(lines)/2 > searchesMost {
-		return fault(400, "illegal_argument_exception", "%d searches, %d at the most", len(lines)/2, searchesMost)
+	if len(lines)/2 > maxMultiSearches {
+		return errorReply(400, "illegal_argument_exception", "a msearch of %d searches exceeds the limit of %d", len(lines)/2, maxMultiSearches)
 	}
 	values := r.URL.Query()
-	atOnce := atOnceUsual
+	concurrent := defaultConcurrentSearches
 	if v := values.Get("max_concurrent_searches"); v != "" {
-		if atOnce, err = bounded(v, math.MaxInt32); err != nil || atOnce == 0 {
-			return fault(400, "illegal_argument_exception", "max_concurrent_searches [%.40s]", v)
+		if concurrent, err = parseBounded(v, math.MaxInt32); err != nil || concurrent == 0 {
+			return errorReply(400, "illegal_argument_exception", "max_concurrent_searches [%.40s] is not a positive whole number", v)
 		}
-		atOnce = min(atOnce, atOnceMost)
+		concurrent = min(concurrent, maxConcurrentSearches)
 	}
 	began, out := time.Now(), make([]reply, len(lines)/2)
 	var g errgroup.Group
-	g.SetLimit(atOnce)
+	g.SetLimit(concurrent)
 	for i := range out {
 		g.Go(func() error {
-			out[i] = f.one(r, index, values, lines[2*i], lines[2*i+1])
+			out[i] = f.searchOfLines(r, index, values, lines[2*i], lines[2*i+1])
 			return nil
 		})
 	}
@@ -322,8 +324,8 @@
 	return reply{status: 200, body: all.Bytes()}
 }
 
-// one is one search of a msearch. What is wrong with its lines spoils it alone.
-func (f *Server) one(r *http.Request, index string, values url.Values, head, text []byte) reply {
+// searchOfLines runs one search of a msearch. An error in its lines fails this search alone.
+func (f *Server) searchOfLines(r *http.Request, index string, values url.Values, head, text []byte) reply {
 	own := url.Values{}
 	for name, v := range values {
 		own[name] = v
@@ -331,7 +333,7 @@
 	if len(bytes.TrimSpace(head)) > 0 {
 		var fields map[string]any
 		if err := json.Unmarshal(head, &fields); err != nil {
-			return fault(400, "parsing_exception", "the header line is no JSON object: %v", err)
+			return errorReply(400, "parsing_exception", "the header line is not a JSON object: %v", err)
 		}
 		for name, v := range fields {
 			if text, ok := v.(string); ok && name == "index" {
@@ -339,29 +341,29 @@
 			} else if list, ok := v.([]any); ok && name == "index" && len(list) == 1 {
 				index = fmt.Sprint(list[0])
 			} else if name == "index" {
-				return fault(400, "illegal_argument_exception", "several indices are known to the API and not done here")
+				return errorReply(400, "illegal_argument_exception", "several indices are part of the API but not supported here")
 			} else {
 				own.Set(name, fmt.Sprint(v))
 			}
 		}
 	}
-	a, err := f.read(index, own, text)
+	a, err := f.parseSearch(index, own, text)
 	if err != nil {
-		return faultOf(err)
+		return errorReplyOf(err)
 	}
-	a.opaque, a.retry = r.Header.Get("X-Opaque-Id"), r.Header.Get("X-Retry") == "1"
-	return f.run(r.Context(), a)
+	a.opaqueID, a.isRetry = r.Header.Get("X-Opaque-Id"), r.Header.Get("X-Retry") == "1"
+	return f.runSearch(r.Context(), a)
 }
 
-// validate tells whether a query can be used, without sending anything.
+// validate reports whether a query is valid, without sending it to any host.
 func (f *Server) validate(r *http.Request, index string) reply {
-	text, err := body(r, bodyMost)
+	text, err := readBody(r, maxBodyBytes)
 	if err != nil {
-		return faultOf(err)
+		return errorReplyOf(err)
 	}
-	x, err := f.find(index)
+	x, err := f.findIndex(index)
 	if err != nil {
-		return faultOf(err)
+		return errorReplyOf(err)
 	}
 	explain := r.URL.Query().Get("explain") != "" && r.URL.Query().Get("explain") != "false"
 	_, err = query.ParseRequest(text)
@@ -373,5 +375,5 @@
 		}
 		out["explanations"] = []any{one}
 	}
-	return encoded(out)
+	return jsonReply(out)
 }
--- a/opensearch/frontend/server.go
+++ b/opensearch/frontend/server.go
@@ -1,6 +1,6 @@
-// Package frontend is the OpenSearch-style way in for clients: it turns the API's requests into searches for the
-// owner and their results into the API's answers. It decides nothing about hosts: package query reads and merges, the
-// module behind the door picks, repeats and sheds. docs/opensearch.md has the table of what is done.
+// Package frontend serves the OpenSearch-style API: it turns the API's requests into searches of the coordinator and
+// their results into the API's answers. It decides nothing about hosts: package query parses requests and merges shard
+// responses; the coordinator chooses hosts, retries and sheds. docs/opensearch.md has the table of what is supported.
 package frontend
 
 import (
@@ -30,28 +30,28 @@
 )
 
 const (
-	headTime     = 2500 * time.Millisecond // for a request's head to come: as on the own front
-	bodyTime     = 5 * time.Second         // for a whole request: a msearch of 4 MiB
-	idleTime     = 3 * time.Second         // a connection at rest is closed
-	headMost     = 8 << 10                 // bytes of a head
-	bodyMost     = 1 << 20                 // bytes of a search, unpacked too
-	multiMost    = 4 << 20                 // bytes of a msearch
-	searchesMost = 100                     // searches of a msearch
-	atOnceUsual  = 8                       // of them at once, where the request does not say
-	atOnceMost   = 32                      // and at the most
-	tasksMost    = 4096                    // searches that are open: more are refused before they are read
-	packLeast    = 1 << 10                 // bytes of an answer worth packing
-	answerStall  = 5 * time.Second         // for a client to take its answer
-	partLong     = 10 * time.Millisecond   // shortest patience that a search is taken with
-	opaqueMost   = 256                     // bytes of an X-Opaque-Id that are kept
-	productWords = "chalkring: OpenSearch-style queries"
+	headTimeout               = 2500 * time.Millisecond // for reading a request's head, as on the native frontend
+	bodyTimeout               = 5 * time.Second         // for reading a whole request, up to a msearch of 4 MiB
+	idleTimeout               = 3 * time.Second         // after which an idle connection is closed
+	maxHeadBytes              = 8 << 10                 // of a request's head
+	maxBodyBytes              = 1 << 20                 // of a search's body, before and after decompression
+	maxMultiSearchBytes       = 4 << 20                 // of a msearch's body
+	maxMultiSearches          = 100                     // in one msearch
+	defaultConcurrentSearches = 8                       // of one msearch, if the request sets no max_concurrent_searches
+	maxConcurrentSearches     = 32                      // upper limit for max_concurrent_searches
+	maxOpenTasks              = 4096                    // open searches; further ones are refused before they are dispatched
+	minGzipBytes              = 1 << 10                 // smaller answers are sent uncompressed
+	writeTimeout              = 5 * time.Second         // for writing an answer to the client
+	minTimeout                = 10 * time.Millisecond   // shorter timeouts of a request are raised to this
+	maxOpaqueIDBytes          = 256                     // longer X-Opaque-Id values are cut to this
+	tagline                   = "chalkring: OpenSearch-style queries"
 )
 
-// Index is one index of the installation: what its searches are to the module.
+// Index is one index of the installation, with the search type, tenant and blocks that its searches have in the coordinator.
 type Index struct {
 	Name, SearchType, Tenant string
 	Blocks                   []int
-	Placement                *query.Placement // the rule by which members are in them, nil where it is not the API's
+	Placement                *query.Placement // the rule that assigns documents to blocks; nil if it is not the OpenSearch rule
 }
 
 // Server serves the API on a listener.
@@ -60,56 +60,56 @@
 	TLSConfig *tls.Config // nil for plain HTTP
 	Indices   []Index
 
-	d      *coordinator.SearchAPI
-	prefix string // of its searches' names: no other start has the same
+	api      *coordinator.SearchAPI
+	idPrefix string // of the searches' IDs; differs at each start
 
-	mu    sync.Mutex
-	tasks map[uint64]*task
-	last  uint64
+	mu         sync.Mutex
+	tasks      map[uint64]*task
+	lastTaskID uint64
 }
 
 // task is one open search.
 type task struct {
-	id     uint64
-	action string
-	opaque string
-	index  string
-	began  time.Time
-	stop   context.CancelCauseFunc
+	id        uint64
+	action    string
+	opaqueID  string
+	index     string
+	startedAt time.Time
+	cancel    context.CancelCauseFunc
 }
 
 var (
 	errCancelled = errors.New("cancelled by a task request")
-	errLeft      = errors.New("the client has left")
+	errEnded     = errors.New("the search has ended")
 )
 
 // Serve implements coordinator.Frontend.
-func (f *Server) Serve(ctx, stopping context.Context, d *coordinator.SearchAPI) error {
-	f.d, f.prefix, f.tasks = d, fmt.Sprintf("os-%s-%d-", d.CoordinatorName, time.Now().UnixNano()), map[uint64]*task{}
+func (f *Server) Serve(ctx, stopping context.Context, api *coordinator.SearchAPI) error {
+	f.api, f.idPrefix, f.tasks = api, fmt.Sprintf("os-%s-%d-", api.CoordinatorName, time.Now().UnixNano()), map[uint64]*task{}
 	for _, x := range f.Indices {
-		if err := d.ValidateTypeAndTenant(x.SearchType, x.Tenant); err != nil {
+		if err := api.ValidateTypeAndTenant(x.SearchType, x.Tenant); err != nil {
 			f.Listener.Close()
 			return fmt.Errorf("index %s: %w", x.Name, err)
 		}
 		for _, b := range x.Blocks {
-			if b < 0 || b >= d.BlockCount() {
+			if b < 0 || b >= api.BlockCount() {
 				f.Listener.Close()
-				return fmt.Errorf("index %s: there is no block %d, %d are known", x.Name, b, d.BlockCount())
+				return fmt.Errorf("index %s: block %d does not exist, the number of blocks is %d", x.Name, b, api.BlockCount())
 			}
 		}
 	}
 	s := &http.Server{
-		Handler: f, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, IdleTimeout: idleTime,
-		MaxHeaderBytes: headMost, TLSConfig: f.TLSConfig, ErrorLog: nil, BaseContext: func(net.Listener) context.Context { return ctx },
+		Handler: f, ReadHeaderTimeout: headTimeout, ReadTimeout: bodyTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeadBytes, TLSConfig: f.TLSConfig, ErrorLog: nil, BaseContext: func(net.Listener) context.Context { return ctx },
 	}
-	ln := netutil.LimitListener(f.Listener, d.MaxConnections)
+	ln := netutil.LimitListener(f.Listener, api.MaxConnections)
 	if f.TLSConfig != nil {
 		ln = tls.NewListener(ln, f.TLSConfig)
 	}
 	var g errgroup.Group
 	g.Go(func() error {
 		<-stopping.Done()
-		if s.Shutdown(ctx) != nil { // ctx ended first
+		if s.Shutdown(ctx) != nil { // ctx ended before the open requests did
 			s.Close()
 		}
 		return nil
@@ -121,42 +121,42 @@
 	return g.Wait()
 }
 
-// reply is an answer on its way.
+// reply is an HTTP response that is yet to be written.
 type reply struct {
-	status int
-	body   []byte
-	wait   time.Duration // Retry-After, 0 for none
-	text   bool
+	status     int
+	body       []byte
+	retryAfter time.Duration // Retry-After header; 0 for none
+	plainText  bool
 }
 
-func fault(status int, kind, format string, v ...any) reply {
+func errorReply(status int, kind, format string, v ...any) reply {
 	e := &query.APIError{Status: status, Type: kind, Reason: fmt.Sprintf(format, v...)}
 	return reply{status: status, body: e.ResponseBody()}
 }
 
-func faultOf(err error) reply {
+func errorReplyOf(err error) reply {
 	var e *query.APIError
 	if errors.As(err, &e) {
 		return reply{status: e.Status, body: e.ResponseBody()}
 	}
-	return fault(400, "illegal_argument_exception", "%v", err)
+	return errorReply(400, "illegal_argument_exception", "%v", err)
 }
 
 // ServeHTTP answers one request.
 func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if opaque := r.Header.Get("X-Opaque-Id"); opaque != "" {
-		w.Header().Set("X-Opaque-Id", opaque[:min(len(opaque), opaqueMost)])
+		w.Header().Set("X-Opaque-Id", opaque[:min(len(opaque), maxOpaqueIDBytes)])
 	}
 	out := f.route(r)
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerStall))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
-	if h.Set("Content-Type", "application/json; charset=UTF-8"); out.text {
+	if h.Set("Content-Type", "application/json; charset=UTF-8"); out.plainText {
 		h.Set("Content-Type", "text/plain; charset=UTF-8")
 	}
-	if out.wait > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(out.wait.Seconds())))) // whole seconds: what HTTP's clients read
+	if out.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(out.retryAfter.Seconds())))) // HTTP clients expect whole seconds
 	}
-	if len(out.body) >= packLeast && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
+	if len(out.body) >= minGzipBytes && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		h.Set("Content-Encoding", "gzip")
 		w.WriteHeader(out.status)
 		z := gzip.NewWriter(w)
@@ -169,7 +169,7 @@
 	w.Write(out.body)
 }
 
-// route finds what a request asks for.
+// route dispatches a request by its path and method.
 func (f *Server) route(r *http.Request) reply {
 	path := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	get, post := r.Method == http.MethodGet || r.Method == http.MethodHead, r.Method == http.MethodPost
@@ -180,7 +180,7 @@
 	where := strings.Join(path, "/")
 	allow := func(ok bool, do func() reply) reply {
 		if !ok {
-			return fault(405, "method_not_allowed", "method [%s] is not allowed for [%s]", r.Method, r.URL.Path)
+			return errorReply(405, "method_not_allowed", "method [%s] is not allowed for [%s]", r.Method, r.URL.Path)
 		}
 		return do()
 	}
@@ -192,7 +192,7 @@
 	case where == "_count":
 		return allow(get || post, func() reply { return f.search(r, index, true) })
 	case where == "_msearch":
-		return allow(get || post, func() reply { return f.multi(r, index) })
+		return allow(get || post, func() reply { return f.multiSearch(r, index) })
 	case where == "_validate/query":
 		return allow(get || post, func() reply { return f.validate(r, index) })
 	case where == "_cluster/health" && index == "":
@@ -206,107 +206,108 @@
 	case len(path) == 3 && path[0] == "_tasks" && path[2] == "_cancel":
 		return allow(post, func() reply { return f.cancelTask(path[1]) })
 	}
-	return fault(400, "illegal_argument_exception", "no handler found for uri [%.200s] and method [%s]", r.URL.Path, r.Method)
+	return errorReply(400, "illegal_argument_exception", "no handler found for uri [%.200s] and method [%s]", r.URL.Path, r.Method)
 }
 
-// body reads a request's body, unpacked. Guards against one that grows without end when it is unpacked.
-func body(r *http.Request, most int64) ([]byte, error) {
-	var in io.Reader = http.MaxBytesReader(nil, r.Body, most)
+// readBody reads a request's body and decompresses it. The limit holds before and after decompression, against small
+// bodies that decompress to huge ones.
+func readBody(r *http.Request, limit int64) ([]byte, error) {
+	var in io.Reader = http.MaxBytesReader(nil, r.Body, limit)
 	switch packed := r.Header.Get("Content-Encoding"); packed {
 	case "", "identity":
 	case "gzip":
 		z, err := gzip.NewReader(in)
 		if err != nil {
-			return nil, &query.APIError{Status: 400, Type: "parse_exception", Reason: "the body is no gzip"}
+			return nil, &query.APIError{Status: 400, Type: "parse_exception", Reason: "Content-Encoding is gzip, but the body is not valid gzip"}
 		}
 		in = z
 	default:
-		return nil, &query.APIError{Status: 415, Type: "illegal_argument_exception", Reason: fmt.Sprintf("Content-Encoding [%.40s]", packed)}
+		return nil, &query.APIError{Status: 415, Type: "illegal_argument_exception", Reason: fmt.Sprintf("Content-Encoding [%.40s] is not supported: expected gzip or identity", packed)}
 	}
-	text, err := io.ReadAll(io.LimitReader(in, most+1))
+	text, err := io.ReadAll(io.LimitReader(in, limit+1))
 	var large *http.MaxBytesError
 	var late net.Error
 	switch {
-	case errors.As(err, &large) || int64(len(text)) > most:
-		return nil, &query.APIError{Status: 413, Type: "illegal_argument_exception", Reason: fmt.Sprintf("a body of over %d bytes", most)}
+	case errors.As(err, &large) || int64(len(text)) > limit:
+		return nil, &query.APIError{Status: 413, Type: "illegal_argument_exception", Reason: fmt.Sprintf("the body is longer than %d bytes", limit)}
 	case errors.As(err, &late) && late.Timeout():
-		return nil, &query.APIError{Status: 408, Type: "timeout_exception", Reason: "the body did not come in time"}
+		return nil, &query.APIError{Status: 408, Type: "timeout_exception", Reason: "the body did not arrive in time"}
 	case err != nil:
 		return nil, &query.APIError{Status: 400, Type: "parse_exception", Reason: "the body cannot be read"}
 	}
 	return text, nil
 }
 
-// find gives the index of a name, the only one where none is named. A block that no listed host holds ends a search
-// before anything is sent.
-func (f *Server) find(name string) (Index, error) {
+// findIndex returns the index with this name; without a name, or with _all or *, the only index of the installation.
+func (f *Server) findIndex(name string) (Index, error) {
 	if name == "" || name == "_all" || name == "*" {
 		if len(f.Indices) == 1 {
 			return f.Indices[0], nil
 		}
 		return Index{}, &query.APIError{
 			Status: 400, Type: "illegal_argument_exception",
-			Reason: "a search over several indices is known to the API and not done here: name one",
+			Reason: "a search over several indices is part of the API but not supported here: name one index",
 		}
 	}
 	if strings.ContainsAny(name, ",*") {
 		return Index{}, &query.APIError{
 			Status: 400, Type: "illegal_argument_exception",
-			Reason: fmt.Sprintf("index [%.100s]: lists and wildcards are known to the API and not done here", name),
+			Reason: fmt.Sprintf("index [%.100s]: lists and wildcards are part of the API but not supported here", name),
 		}
 	}
 	i := slices.IndexFunc(f.Indices, func(x Index) bool { return x.Name == name })
 	if i < 0 {
-		return Index{}, notFound(name, "no such index [%.100s]", name)
+		return Index{}, indexNotFound(name, "no such index [%.100s]", name)
 	}
 	return f.Indices[i], nil
 }
 
-func notFound(index, format string, v ...any) error {
+func indexNotFound(index, format string, v ...any) error {
 	return &query.APIError{Status: 404, Type: "index_not_found_exception", Reason: fmt.Sprintf(format, v...)}
 }
 
-// open registers a search; its context ends by a task request too.
-func (f *Server) open(ctx context.Context, action, opaque, index string) (context.Context, *task, error) {
+// openTask registers a search. The returned context also ends when a _tasks request cancels the search.
+func (f *Server) openTask(ctx context.Context, action, opaque, index string) (context.Context, *task, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.tasks) >= tasksMost {
+	if len(f.tasks) >= maxOpenTasks {
 		return nil, nil, &query.APIError{Status: 429, Type: "rejected_execution_exception", Reason: "too many searches are open"}
 	}
-	f.last++
-	ctx, stop := context.WithCancelCause(ctx)
-	t := &task{id: f.last, action: action, opaque: opaque[:min(len(opaque), opaqueMost)], index: index, began: time.Now(), stop: stop}
+	f.lastTaskID++
+	ctx, cancel := context.WithCancelCause(ctx)
+	t := &task{id: f.lastTaskID, action: action, opaqueID: opaque[:min(len(opaque), maxOpaqueIDBytes)], index: index, startedAt: time.Now(), cancel: cancel}
 	f.tasks[t.id] = t
 	return ctx, t, nil
 }
 
-func (f *Server) close(t *task) {
+func (f *Server) closeTask(t *task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t.stop(errLeft)
+	t.cancel(errEnded)
 	delete(f.tasks, t.id)
 }
 
-func encoded(v any) reply {
+func jsonReply(v any) reply {
 	text, _ := json.Marshal(v)
 	return reply{status: 200, body: text}
 }
 
 func (f *Server) root() reply {
-	return encoded(map[string]any{
-		"name": f.d.CoordinatorName, "cluster_name": "chalkring", "tagline": productWords,
+	return jsonReply(map[string]any{
+		"name": f.api.CoordinatorName, "cluster_name": "chalkring", "tagline": tagline,
 		"version": map[string]any{"distribution": "chalkring", "number": "2.0.0", "minimum_wire_compatibility_version": "2.0.0"},
 	})
 }
 
-// health is green where every block of every index has two holders, yellow with one, red with none.
+// health reports green if each block of each index has at least two hosts, yellow if one has a single host, and red if one
+// has none.
 func (f *Server) health() reply {
-	status, active, lacking := "green", 0, 0
+	status, active, unassigned := "green", 0, 0
 	for _, x := range f.Indices {
 		for _, b := range x.Blocks {
-			switch names, _ := f.d.BlockHosts(b); len(names) {
+			switch names, _ := f.api.BlockHosts(b); len(names) {
 			case 0:
-				status, lacking = "red", lacking+1
+				status, unassigned = "red", unassigned+1
 			case 1:
 				if active++; status == "green" {
 					status = "yellow"
@@ -316,15 +317,15 @@
 			}
 		}
 	}
-	return encoded(map[string]any{
+	return jsonReply(map[string]any{
 		"cluster_name": "chalkring", "status": status, "timed_out": false,
-		"number_of_nodes": f.d.HostCount(), "number_of_data_nodes": f.d.HostCount(), "active_primary_shards": active,
-		"active_shards": active, "relocating_shards": 0, "initializing_shards": 0, "unassigned_shards": lacking,
+		"number_of_nodes": f.api.HostCount(), "number_of_data_nodes": f.api.HostCount(), "active_primary_shards": active,
+		"active_shards": active, "relocating_shards": 0, "initializing_shards": 0, "unassigned_shards": unassigned,
 	})
 }
 
-// table answers a _cat request: lines of text, or JSON where that is asked for.
-func table(r *http.Request, names []string, rows [][]string) reply {
+// catReply answers a _cat request with lines of text, or with JSON for format=json.
+func catReply(r *http.Request, names []string, rows [][]string) reply {
 	if r.URL.Query().Get("format") == "json" {
 		all := []map[string]string{}
 		for _, row := range rows {
@@ -334,7 +335,7 @@
 			}
 			all = append(all, m)
 		}
-		return encoded(all)
+		return jsonReply(all)
 	}
 	var b strings.Builder
 	if r.URL.Query().Has("v") {
@@ -343,14 +344,14 @@
 	for _, row := range rows {
 		fmt.Fprintln(&b, strings.Join(row, " "))
 	}
-	return reply{status: 200, body: []byte(b.String()), text: true}
+	return reply{status: 200, body: []byte(b.String()), plainText: true}
 }
 
 func (f *Server) catShards(r *http.Request) reply {
 	var rows [][]string
 	for _, x := range f.Indices {
 		for _, b := range x.Blocks {
-			names, addrs := f.d.BlockHosts(b)
+			names, addrs := f.api.BlockHosts(b)
 			if len(names) == 0 {
 				rows = append(rows, []string{x.Name, strconv.Itoa(b), "p", "UNASSIGNED", "-", "-"})
 			}
@@ -359,7 +360,7 @@
 			}
 		}
 	}
-	return table(r, []string{"index", "shard", "prirep", "state", "ip", "node"}, rows)
+	return catReply(r, []string{"index", "shard", "prirep", "state", "ip", "node"}, rows)
 }
 
 func (f *Server) catIndices(r *http.Request) reply {
@@ -367,7 +368,7 @@
 	for _, x := range f.Indices {
 		rows = append(rows, []string{x.Name, "open", strconv.Itoa(len(x.Blocks)), x.SearchType})
 	}
-	return table(r, []string{"index", "status", "pri", "type"}, rows)
+	return catReply(r, []string{"index", "status", "pri", "type"}, rows)
 }
 
 func (f *Server) listTasks() reply {
@@ -376,16 +377,16 @@
 	all := map[string]any{}
 	for id, t := range f.tasks {
 		headers := map[string]string{}
-		if t.opaque != "" {
-			headers["X-Opaque-Id"] = t.opaque
+		if t.opaqueID != "" {
+			headers["X-Opaque-Id"] = t.opaqueID
 		}
-		all[fmt.Sprintf("%s:%d", f.d.CoordinatorName, id)] = map[string]any{
-			"node": f.d.CoordinatorName, "id": id, "action": t.action,
+		all[fmt.Sprintf("%s:%d", f.api.CoordinatorName, id)] = map[string]any{
+			"node": f.api.CoordinatorName, "id": id, "action": t.action,
 			"description": "indices[" + t.index + "]", "cancellable": true, "headers": headers,
-			"start_time_in_millis": t.began.UnixMilli(), "running_time_in_nanos": time.Since(t.began).Nanoseconds(),
+			"start_time_in_millis": t.startedAt.UnixMilli(), "running_time_in_nanos": time.Since(t.startedAt).Nanoseconds(),
 		}
 	}
-	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{"name": f.d.CoordinatorName, "tasks": all}}})
+	return jsonReply(map[string]any{"nodes": map[string]any{f.api.CoordinatorName: map[string]any{"name": f.api.CoordinatorName, "tasks": all}}})
 }
 
 func (f *Server) cancelTask(name string) reply {
@@ -394,17 +395,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.tasks[id]
-	if err != nil || node != f.d.CoordinatorName || t == nil {
-		return fault(404, "resource_not_found_exception", "task [%.100s] is not open", name)
+	if err != nil || node != f.api.CoordinatorName || t == nil {
+		return errorReply(404, "resource_not_found_exception", "task [%.100s] is not open", name)
 	}
-	t.stop(errCancelled)
-	return encoded(map[string]any{"nodes": map[string]any{f.d.CoordinatorName: map[string]any{
-		"name":  f.d.CoordinatorName,
-		"tasks": map[string]any{name: map[string]any{"node": f.d.CoordinatorName, "id": id, "action": t.action, "cancelled": true}},
+	t.cancel(errCancelled)
+	return jsonReply(map[string]any{"nodes": map[string]any{f.api.CoordinatorName: map[string]any{
+		"name":  f.api.CoordinatorName,
+		"tasks": map[string]any{name: map[string]any{"node": f.api.CoordinatorName, "id": id, "action": t.action, "cancelled": true}},
 	}}})
 }
 
-// LoadTLS reads the files of a front with LoadTLS; with authorities, clients need a certificate that comes from them.
+// LoadTLS reads a listener's certificate and key files. With authorities, clients must present a certificate issued by one of
+// them.
 func LoadTLS(certificate, key, authorities string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
@@ -420,7 +422,7 @@
 	}
 	conf.ClientCAs, conf.ClientAuth = x509.NewCertPool(), tls.RequireAndVerifyClientCert
 	if !conf.ClientCAs.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("authorities %s: no certificate in it", authorities)
+		return nil, fmt.Errorf("authorities %s: the file has no PEM certificate", authorities)
 	}
 	return conf, nil
 }
