--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -481,8 +481,8 @@
 	require.Less(t, time.Since(began), 10*time.Second)
 }
 
-// Guards against residency contracts that affect other tenants: a tenant whose contract leaves no eligible host gets 403 with its
-// name in the reason, and another tenant's search succeeds.
+// Guards against residency contracts that affect other tenants: a tenant whose contract leaves no eligible host gets 403
+// with its name in the reason, and another tenant's search succeeds.
 func TestRefusedByContract(t *testing.T) {
 	p, err := residency.ParsePolicy("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
 	require.NoError(t, err)
@@ -499,8 +499,8 @@
 	require.Equal(t, 200, status)
 }
 
-// Guards against TLS that is configured but not used: the frontend serves HTTPS, and requires client certificates if authorities
-// are configured.
+// Guards against TLS that is configured but not used: the frontend serves HTTPS, and requires client certificates
+// if authorities are configured.
 func TestTLS(t *testing.T) {
 	_, err := LoadTLS("nowhere.pem", "nowhere.key", "")
 	require.Error(t, err)
--- a/opensearch/frontend/search.go
+++ b/opensearch/frontend/search.go
@@ -224,8 +224,9 @@
 	return a.mergedReply(result, time.Since(t.startedAt))
 }
 
-// decodeResponse parses a host's response to a shard request and checks that its hits belong to the shard. The index name that
-// the host gives is checked by the coordinator's host client; the client gets the name of the index that it searched.
+// decodeResponse parses a host's response to a shard request and checks that its hits belong to the shard. The
+// coordinator's OpenSearch protocol code checks the index name that the host gives; the client gets the name of the index
+// that it searched.
 func (a *parsedSearch) decodeResponse(shard int, value []byte) (any, error) {
 	response, err := a.q.ParseResponse(shard, "", value)
 	if err == nil {
