--- a/internal/frame/answer.go
+++ b/internal/frame/answer.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// maxScoreBytes bounds a score: no machine's integers have so many digits.
+	// maxScoreBytes bounds a score, with room for any integer of a fixed-width type.
 	maxScoreBytes = 40
-	// absent stands for a score or a load report that an answer does not have.
+	// absent is written in place of a missing score or load report.
 	absent = "-"
 )
 
-// ParseAnswer parses the payload of a TypeAnswer frame: a line of id, end, score and load report, then the value. id, end,
-// score and value are parts of payload. score is a decimal integer, and nil where the answer has none. report is nil
-// where the answer has none or one that cannot be parsed: load reports are not worth losing an answer for.
+// ParseAnswer parses the payload of a TypeAnswer frame: a line of id, end, score and load report, then the value. end
+// tells how the shard request ended. id, end, score and value are subslices of payload. score is a decimal integer, or
+// nil if the answer has none. report is nil if the answer has none or an invalid one: an invalid load report does not
+// invalidate the answer.
 //
 // It returns an error that wraps ErrMalformed.
 func ParseAnswer(payload []byte) (id, end, score []byte, report map[string]float64, value []byte, err error) {
@@ -27,12 +28,12 @@
 	score, reportText, hasReport := bytes.Cut(rest, []byte(" "))
 	isComplete := hasLine && hasEnd && hasScore && hasReport
 	if !isComplete || len(id) == 0 || bytes.IndexByte(reportText, ' ') >= 0 {
-		return nil, nil, nil, nil, nil, fmt.Errorf("%w: answer line %.60q", ErrMalformed, line)
+		return nil, nil, nil, nil, nil, fmt.Errorf("%w: answer line %.60q, expected id, end, score and load report", ErrMalformed, line)
 	}
 	if string(score) == absent {
 		score = nil
 	} else if !isInteger(score) {
-		return nil, nil, nil, nil, nil, fmt.Errorf("%w: score %.60q", ErrMalformed, score)
+		return nil, nil, nil, nil, nil, fmt.Errorf("%w: score %.60q, expected a decimal integer or -", ErrMalformed, score)
 	}
 	if string(reportText) != absent {
 		report = parseLoadReport(string(reportText))
@@ -40,7 +41,7 @@
 	return id, end, score, report, value, nil
 }
 
-// isInteger reports whether text is a decimal integer with or without a sign, of any size up to maxScoreBytes.
+// isInteger reports whether text is a decimal integer of at most maxScoreBytes bytes, with or without a sign.
 func isInteger(text []byte) bool {
 	digits := text
 	if len(text) > 0 && (text[0] == '-' || text[0] == '+') {
@@ -54,7 +55,7 @@
 	return len(digits) > 0 && len(text) <= maxScoreBytes
 }
 
-// parseLoadReport parses name:value or name=value pairs, separated by commas. It returns nil where one is invalid.
+// parseLoadReport parses name:value or name=value pairs, separated by commas. It returns nil if any pair is invalid.
 func parseLoadReport(text string) map[string]float64 {
 	report := map[string]float64{}
 	for _, pair := range strings.Split(text, ",") {
--- a/internal/frame/append.go
+++ b/internal/frame/append.go
@@ -15,7 +15,7 @@
 }
 
 // AppendShardRequest appends a shard request to an open TypeBatch frame: a line of id, shard, attributes and the length
-// of the text, then the text. attributes must have no blanks.
+// of the text, then the text. attributes must not contain blanks.
 func AppendShardRequest(dst []byte, id string, shard int, attributes, text []byte) []byte {
 	dst = append(dst, id...)
 	dst = append(dst, ' ')
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,7 +1,8 @@
-// Package frame reads and writes the frames between coordinators and replicas. It knows no sockets and decides nothing.
+// Package frame reads and writes the frames between coordinators and replicas. It opens no connections and contains no
+// policy.
 //
-// A frame is its length in four bytes, most significant first, which counts what follows; its type in one byte; its
-// payload.
+// A frame consists of a length in four bytes, most significant byte first; a type in one byte; and a payload. The
+// length counts the type and the payload.
 package frame
 
 import (
@@ -18,28 +19,28 @@
 // Types of frames.
 const (
 	TypeBatch  = 'm' // coordinator: shard requests for a replica
-	TypeCancel = 'n' // coordinator: a shard request that is not wanted any more
+	TypeCancel = 'n' // coordinator: cancels a shard request
 	TypeAnswer = 'q' // replica: how a shard request ended
-	TypeReject = 'r' // replica: it could not use the frame before, and why
+	TypeReject = 'r' // replica: the reason why it could not use the preceding frame
 )
 
 const (
 	lengthBytes = 4
 	typeBytes   = 1
 	headerBytes = lengthBytes + typeBytes
-	// maxFrameBytes bounds the length that a frame states: several times the longest body that clients may send.
+	// maxFrameBytes bounds the length that a frame states: several times the longest body that clients may send
 	maxFrameBytes = 256 << 10
 )
 
-// ErrMalformed is wrapped by the errors for a frame that cannot be used.
-var ErrMalformed = advice.NewError("bad frame",
+// ErrMalformed is wrapped by all errors about malformed frames.
+var ErrMalformed = advice.NewError("malformed frame",
 	"Compare the replica's version with this program's; the connection was closed, and its shard requests are retried.")
 
-// Read reads one frame. The payload lies in source's buffer where the frame fits into it, and is valid until source is
-// read again. The memory for a longer frame grows with what is received and not with the length that it states.
+// Read reads one frame. If the frame fits into source's buffer, the payload is a part of that buffer and is valid until
+// source is read again. For a longer frame, memory is allocated as bytes are received, not by the stated length.
 //
-// It returns io.EOF where source ends before a frame, io.ErrUnexpectedEOF where it ends within one, and an error that
-// wraps ErrMalformed for an impossible length.
+// It returns io.EOF if source ends before a frame, io.ErrUnexpectedEOF if it ends within one, and an error that wraps
+// ErrMalformed for a length of zero or over the limit.
 func Read(source *bufio.Reader) (frameType byte, payload []byte, err error) {
 	header, err := source.Peek(lengthBytes)
 	if err != nil {
@@ -49,8 +50,8 @@
 		return 0, nil, err
 	}
 	length := binary.BigEndian.Uint32(header)
-	if !isPossibleLength(length) {
-		return 0, nil, fmt.Errorf("%w: length %d", ErrMalformed, length)
+	if !isValidLength(length) {
+		return 0, nil, fmt.Errorf("%w: length %d is zero or over the limit", ErrMalformed, length)
 	}
 	var frame []byte
 	if lengthBytes+int(length) <= source.Size() {
@@ -64,7 +65,7 @@
 	return frame[0], frame[typeBytes:], nil
 }
 
-// readBuffered returns type and payload of a frame that fits into source's buffer, without copying them.
+// readBuffered returns the type and payload of a frame that fits into source's buffer, without copying them.
 func readBuffered(source *bufio.Reader, length int) ([]byte, error) {
 	frame, err := source.Peek(lengthBytes + length)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return frame[lengthBytes:], err
 }
 
-// readCopied returns type and payload of a frame that does not fit into source's buffer.
+// readCopied returns the type and payload of a frame that does not fit into source's buffer, as a copy.
 func readCopied(source *bufio.Reader, length int) ([]byte, error) {
 	if _, err := source.Discard(lengthBytes); err != nil {
 		return nil, err
@@ -84,7 +85,7 @@
 	return frame.Bytes(), err
 }
 
-func isPossibleLength(length uint32) bool { return length > 0 && length <= maxFrameBytes }
+func isValidLength(length uint32) bool { return length > 0 && length <= maxFrameBytes }
 
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
@@ -93,26 +94,28 @@
 	return err
 }
 
-// IsBuffered reports whether Read would return without waiting: with a complete frame, or with a malformed one.
+// IsBuffered reports whether Read would return without waiting, because a complete frame or an invalid length is
+// buffered.
 func IsBuffered(source *bufio.Reader) bool {
 	if source.Buffered() < lengthBytes {
 		return false
 	}
 	header, _ := source.Peek(lengthBytes)
 	length := binary.BigEndian.Uint32(header)
-	return !isPossibleLength(length) || source.Buffered() >= lengthBytes+int(length)
+	return !isValidLength(length) || source.Buffered() >= lengthBytes+int(length)
 }
 
-// IsPlausibleReply reports whether what is buffered can be the beginning of an answer or a rejection. No byte at all can.
+// IsPlausibleReply reports whether the buffered bytes can be the beginning of a TypeAnswer or TypeReject frame. An
+// empty buffer can.
 func IsPlausibleReply(source *bufio.Reader) bool {
 	header, _ := source.Peek(min(headerBytes, source.Buffered()))
 	if len(header) == 0 {
 		return true
 	}
-	if header[0] != 0 { // no possible length has a first byte other than 0
+	if header[0] != 0 { // lengths up to maxFrameBytes have 0 as their first byte
 		return false
 	}
-	if len(header) >= lengthBytes && !isPossibleLength(binary.BigEndian.Uint32(header)) {
+	if len(header) >= lengthBytes && !isValidLength(binary.BigEndian.Uint32(header)) {
 		return false
 	}
 	return len(header) < headerBytes || header[lengthBytes] == TypeAnswer || header[lengthBytes] == TypeReject
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -10,6 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against panics and unexpected kinds of errors on arbitrary input, and against answers whose id is empty or
+// whose value is not the end of the payload.
 func FuzzRead(f *testing.F) {
 	f.Add(End(append(Begin(nil, TypeAnswer), "q.1 good 1840277719 -\nvalue"...), 0))
 	f.Add(End(append(Begin(nil, TypeAnswer), "q.1 later - a:1,b=2\n"...), 0))
@@ -32,6 +34,7 @@
 	})
 }
 
+// Guards against a change in the bytes of written frames, and against frames that the reader splits differently.
 func TestWrittenFramesAreRead(t *testing.T) {
 	stream := AppendShardRequest(Begin(nil, TypeBatch), "q.3", 3, []byte("d=240"), []byte("two\nlines"))
 	stream = AppendShardRequest(stream, "q.9", 9, []byte("d=1"), nil)
@@ -49,6 +52,7 @@
 	require.Equal(t, io.EOF, err)
 }
 
+// Guards against mixing up the parts of an answer, and against a value that loses its leading line break.
 func TestParseAnswer(t *testing.T) {
 	id, end, score, report, value, err := ParseAnswer([]byte("q.1 good -5 queue:2,x=1.5\n\nv"))
 	require.NoError(t, err)
@@ -56,6 +60,7 @@
 	require.Equal(t, map[string]float64{"queue": 2, "x": 1.5}, report)
 }
 
+// Guards against accepting answers with missing or surplus parts or with a score that is not an integer.
 func TestMalformedAnswersAreRejected(t *testing.T) {
 	for _, payload := range []string{"", "q.1 good 5 -", "q.1 good 5\n", " good 5 -\n", "q.1 good x -\n", "q.1 good  -\n", "q.1 good 5 - -\n", "q.1 good 1_0 -\n"} {
 		_, _, _, _, _, err := ParseAnswer([]byte(payload))
@@ -63,6 +68,7 @@
 	}
 }
 
+// Guards against losing an answer because its load report is invalid, and against using infinite or NaN values.
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	for _, invalid := range []string{"-", "", "load", "a:b", "a:nan", "a:1,b:-inf", "=,=", "%%%"} {
 		_, _, _, report, value, err := ParseAnswer([]byte("q.1 good 5 " + invalid + "\nv"))
@@ -72,6 +78,7 @@
 	}
 }
 
+// Guards against rejecting a partly received reply, and against taking other bytes for the beginning of one.
 func TestIsPlausibleReply(t *testing.T) {
 	for buffered, want := range map[string]bool{
 		"": true, "\x00": true, "\x00\x00\x00\x05": true,
--- a/internal/frame/golden_frames_test.go
+++ b/internal/frame/golden_frames_test.go
@@ -13,11 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenFrames are the frames that a coordinator writes, by name. Each line of the golden file is a name and the quoted
-// bytes of the frame.
+// goldenFrames returns frames as a coordinator writes them. Each line is a name and the quoted bytes of the frames.
 func goldenFrames() string {
 	var out strings.Builder
-	add := func(name string, text []byte) { fmt.Fprintf(&out, "%s %q\n", name, text) }
+	add := func(name string, frames []byte) { fmt.Fprintf(&out, "%s %q\n", name, frames) }
 	one := AppendShardRequest(Begin(nil, TypeBatch), "q-1.0", 0, []byte("d=240"), []byte("town:oslo"))
 	add("call-one-shard", End(one, 0))
 	two := AppendShardRequest(Begin(nil, TypeBatch), "q-1.3", 3, []byte("d=240"), []byte("two\nlines é"))
@@ -28,16 +27,19 @@
 	return out.String()
 }
 
-// Frames to replicas are written with the bytes of the golden file.
+// Guards against a change in the bytes of frames to replicas.
 func TestGoldenFramesWritten(t *testing.T) {
 	golden.Require(t, "frames_written.golden", goldenFrames())
 }
 
-// Frames from replicas are read as the golden file says: a line is the frame's quoted bytes, behind it what is read of it.
+// Guards against a change in how frames from replicas are parsed. Each line of the golden file is the quoted bytes of a
+// frame, followed by the parsed parts or the kind of error.
 func TestGoldenFramesRead(t *testing.T) {
-	framed := func(letter byte, rest string) string { return string(End(append(Begin(nil, letter), rest...), 0)) }
+	framed := func(frameType byte, payload string) string {
+		return string(End(append(Begin(nil, frameType), payload...), 0))
+	}
 	var out strings.Builder
-	for _, text := range []string{
+	for _, stream := range []string{
 		"\x00\x00\x00\x1eqq-1.0 good 1840277719 -\nvalue", "\x00\x00\x00\x0fqq good -5 -\n\n\n",
 		framed(TypeAnswer, "q.1 good +7 queue:2,x=1.5\nvalue\nof lines"), framed(TypeAnswer, "q.1 good 18446744073709551616 -\n"),
 		framed(TypeAnswer, "q.1 bad - -\n"), framed(TypeAnswer, "q.1 later - RetryAfter:250,load=0.5\n"),
@@ -46,18 +48,18 @@
 		framed(TypeBatch, "q.1 3 d=240 4\ntext"), framed(TypeCancel, "q.1"),
 		"\x00\x00\x00\x00", "\x00\x04\x00\x01q", "\x00\x00\x00\x09qshort", "\x00\x00",
 	} {
-		letter, rest, err := Read(bufio.NewReader(strings.NewReader(text)))
-		fmt.Fprintf(&out, "%q", text)
+		frameType, payload, err := Read(bufio.NewReader(strings.NewReader(stream)))
+		fmt.Fprintf(&out, "%q", stream)
 		if err != nil {
 			fmt.Fprintf(&out, " unreadable\n")
 			continue
 		}
-		fmt.Fprintf(&out, " letter=%c", letter)
-		if letter != TypeAnswer {
-			fmt.Fprintf(&out, " rest=%q\n", rest)
+		fmt.Fprintf(&out, " letter=%c", frameType)
+		if frameType != TypeAnswer {
+			fmt.Fprintf(&out, " rest=%q\n", payload)
 			continue
 		}
-		id, end, score, report, value, err := ParseAnswer(rest)
+		id, end, score, report, value, err := ParseAnswer(payload)
 		if err != nil {
 			fmt.Fprintf(&out, " unusable\n")
 			continue
@@ -72,24 +74,24 @@
 	golden.Require(t, "frames_read.golden", out.String())
 }
 
-// The golden bytes of frames that a coordinator writes are read again.
+// Guards against a reader that splits the frames of the golden file differently from how they were written.
 func TestGoldenFramesReadBack(t *testing.T) {
-	var letters []string
+	var got []string
 	for line := range strings.Lines(string(golden.Read(t, "frames_written.golden"))) {
 		name, quoted, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
 		frames, err := strconv.Unquote(quoted)
 		require.NoError(t, err)
-		src := bufio.NewReader(strings.NewReader(frames))
+		source := bufio.NewReader(strings.NewReader(frames))
 		for {
-			letter, rest, err := Read(src)
+			frameType, payload, err := Read(source)
 			if err != nil {
 				break
 			}
-			letters = append(letters, fmt.Sprintf("%s %c %d", name, letter, len(rest)))
+			got = append(got, fmt.Sprintf("%s %c %d", name, frameType, len(payload)))
 		}
 	}
 	require.Equal(t, []string{
 		"call-one-shard m 25", "call-two-shards m 65", "cancel n 8", "cancel-behind-call m 13",
 		"cancel-behind-call n 3",
-	}, letters)
+	}, got)
 }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -7,27 +7,28 @@
 	"strings"
 )
 
-// maxBodyBytes bounds a body: the limit of the service's protocol.
+// maxBodyBytes is the longest body that the service's protocol allows.
 const maxBodyBytes = 64 << 10
 
-// hasBody reports whether a head announces a body. A response without that may still have one, up to the end.
+// hasBody reports whether the header fields announce a body. A response that announces none may still have one, which
+// lasts until the end of the stream.
 func hasBody(fields map[string]string) bool {
 	_, hasLength := fields[fieldContentLength]
 	_, hasCoding := fields[fieldTransferEncoding]
 	return hasLength || hasCoding
 }
 
-// readBody reads a body that a head announces. A head that could be understood in two ways is an error: whoever forwarded
-// the message may have understood it in the other.
+// readBody reads a body that the header fields announce. Ambiguous framing is an error: a proxy that forwarded the
+// message may have understood it in another way, which allows request smuggling.
 func (r *Reader) readBody(fields map[string]string) ([]byte, error) {
 	length, hasLength := fields[fieldContentLength]
 	coding, hasCoding := fields[fieldTransferEncoding]
 	if hasLength && hasCoding {
-		return nil, invalidMessage(statusBadRequest, "both a length and a transfer coding")
+		return nil, invalidMessage(statusBadRequest, "message has both Content-Length and Transfer-Encoding, expected one of them")
 	}
 	if hasCoding {
 		if !strings.EqualFold(coding, "chunked") {
-			return nil, invalidMessage(statusNotImplemented, "transfer coding %.20q", coding)
+			return nil, invalidMessage(statusNotImplemented, "transfer coding %.20q is not supported, expected chunked", coding)
 		}
 		return r.readChunks()
 	}
@@ -35,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.end-r.start >= n && n > 0 { // received completely: no copy
+	if r.end-r.start >= n && n > 0 { // received completely: not copied
 		r.start += n
 		return r.buffer[r.start-n : r.start : r.start], nil
 	}
@@ -47,7 +48,7 @@
 	const bits = 62 // fits an int on every machine that runs this
 	n, err := strconv.ParseUint(text, base, bits)
 	if err != nil && !errors.Is(err, strconv.ErrRange) {
-		return 0, invalidMessage(statusBadRequest, "length %.20q", text)
+		return 0, invalidMessage(statusBadRequest, "invalid length %.20q, expected digits only", text)
 	}
 	if n > maxBodyBytes {
 		return 0, bodyTooLarge()
@@ -59,7 +60,8 @@
 	return invalidMessage(statusContentTooLarge, "body over %d bytes", maxBodyBytes)
 }
 
-// appendBody appends the next n bytes to body, whose memory grows with what is received.
+// appendBody appends the next n bytes of the stream to body. Memory is allocated as bytes are received, not for n in
+// advance.
 func (r *Reader) appendBody(body []byte, n int) ([]byte, error) {
 	for n > 0 {
 		if r.start == r.end {
@@ -79,7 +81,7 @@
 	return body, nil
 }
 
-// readToEnd reads a body that the end of the stream ends.
+// readToEnd reads a body that lasts until the end of the stream.
 func (r *Reader) readToEnd() (body []byte, err error) {
 	for {
 		if r.start == r.end {
@@ -97,8 +99,8 @@
 	}
 }
 
-// readChunks reads a body in chunks. It is copied from the start: reading on behind a chunk may move what the buffer
-// holds, or overwrite it.
+// readChunks reads a chunked body. Every chunk is copied, because reading beyond a chunk may move or overwrite the
+// contents of the buffer.
 func (r *Reader) readChunks() ([]byte, error) {
 	body := []byte{}
 	for {
@@ -123,12 +125,12 @@
 			return nil, err
 		}
 		if line != "" {
-			return nil, invalidMessage(statusBadRequest, "a chunk longer than it says")
+			return nil, invalidMessage(statusBadRequest, "chunk data is longer than the stated chunk size")
 		}
 	}
 }
 
-// skipTrailers reads trailers. They mean nothing here, and leave the fields of the head as they are.
+// skipTrailers reads trailers and ignores them. The header fields stay unchanged.
 func (r *Reader) skipTrailers() error {
 	fields := r.fields
 	r.fields = nil
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The status codes of this package.
+// Status codes that this package reports or treats specially.
 const (
 	statusOK                  = 200
 	statusNoContent           = 204
@@ -16,9 +16,9 @@
 	statusVersionNotSupported = 505
 )
 
-// InvalidMessageError is a message that cannot be used.
+// InvalidMessageError reports a message that is malformed, too long or uses an unsupported feature.
 type InvalidMessageError struct {
-	Status  int // the status code for its sender
+	Status  int // the status code for the sender of the message
 	Message string
 }
 
@@ -26,7 +26,7 @@
 
 // Advice implements advice.Provider.
 func (e InvalidMessageError) Advice() string {
-	return "Ask the owner of the program that sent the message to mend it."
+	return "Ask the owner of the program that sent the message to fix it."
 }
 
 func invalidMessage(status int, format string, args ...any) error {
--- a/internal/http1/golden_heads_test.go
+++ b/internal/http1/golden_heads_test.go
@@ -11,7 +11,7 @@
 	"chalkring/internal/golden"
 )
 
-// Heads and complete messages are written with the bytes of the golden file; a line is the quoted message.
+// Guards against a change in the bytes of written heads and messages. Each line of the golden file is a quoted message.
 func TestGoldenMessagesWritten(t *testing.T) {
 	var out strings.Builder
 	for _, status := range []int{200, 400, 404, 405, 408, 409, 411, 413, 431, 451, 500, 501, 503, 505, 599} {
@@ -25,27 +25,29 @@
 	golden.Require(t, "messages_written.golden", out.String())
 }
 
-func fieldsText(head map[string]string) string {
+func fieldsText(fields map[string]string) string {
 	var out strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(head)) {
-		fmt.Fprintf(&out, " %s=%q", name, head[name])
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
+		fmt.Fprintf(&out, " %s=%q", name, fields[name])
 	}
 	return out.String()
 }
 
-// errorText is the status that the sender of an unusable message gets; "ends" stands for an end inside the message.
+// errorText returns the status for the sender of an invalid message, or "ends" where the stream ends within the
+// message.
 func errorText(err error) string {
-	var bad InvalidMessageError
-	if errors.As(err, &bad) {
-		return fmt.Sprint("status ", bad.Status)
+	var invalid InvalidMessageError
+	if errors.As(err, &invalid) {
+		return fmt.Sprint("status ", invalid.Status)
 	}
 	return "ends"
 }
 
-// Requests and responses are read as the golden file says: the quoted message, and behind it what is read of it.
+// Guards against a change in how requests and responses are parsed. Each line of the golden file is a quoted message,
+// followed by the parsed fields or the error.
 func TestGoldenMessagesRead(t *testing.T) {
 	var out strings.Builder
-	buf := make([]byte, 16<<10)
+	buffer := make([]byte, 16<<10)
 	for _, text := range []string{
 		"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", "GET / HTTP/1.0\r\n\r\n", "\r\n\r\nGET / HTTP/1.1\nHost: x\n\n",
 		"POST /a?k=7f HTTP/1.1\r\nHost: x\r\nX-Class: a\r\nx-CLASS:  b \r\nContent-Length: 2\r\n\r\n{}",
@@ -64,26 +66,26 @@
 		"GET / HTTP/1.1\r\nHost: x\r\nbad name: 1\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\nA: \x01\r\n\r\n", "GET / HTTP/1.1\r\nHost",
 		"GET / HTTP/1.1\r\nHost: x\r\nLong: " + strings.Repeat("a", 8200) + "\r\n\r\n",
 	} {
-		method, target, head, body, keep, err := NewReader(strings.NewReader(text), buf).ReadRequest()
+		method, target, fields, body, keepAlive, err := NewReader(strings.NewReader(text), buffer).ReadRequest()
 		fmt.Fprintf(&out, "request %.200q", text)
 		if err != nil {
 			fmt.Fprintf(&out, " %s\n", errorText(err))
 			continue
 		}
-		fmt.Fprintf(&out, " %s %s%s body=%q keep=%t\n", method, target, fieldsText(head), body, keep)
+		fmt.Fprintf(&out, " %s %s%s body=%q keep=%t\n", method, target, fieldsText(fields), body, keepAlive)
 	}
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}",
 		"HTTP/1.0 200 OK\r\n\r\nup to the end", "HTTP/1.1 304 Not Modified\r\nX-A: b\r\n\r\n", "HTTP/1.1 503\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", "HTTP/1.1 20 OK\r\n\r\n", "SMTP 200 OK\r\n\r\n",
 	} {
-		status, head, body, keep, err := NewReader(strings.NewReader(text), buf).ReadResponse()
+		status, fields, body, keepAlive, err := NewReader(strings.NewReader(text), buffer).ReadResponse()
 		fmt.Fprintf(&out, "response %q", text)
 		if err != nil {
 			fmt.Fprintf(&out, " %s\n", errorText(err))
 			continue
 		}
-		fmt.Fprintf(&out, " %d%s body=%q keep=%t\n", status, fieldsText(head), body, keep)
+		fmt.Fprintf(&out, " %d%s body=%q keep=%t\n", status, fieldsText(fields), body, keepAlive)
 	}
 	golden.Require(t, "messages_read.golden", out.String())
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// maxHeadBytes bounds a start line with its header fields, and trailers: what servers commonly accept.
+// maxHeadBytes bounds a start line together with its header fields, and the trailers of a body. Servers commonly accept
+// this much.
 const maxHeadBytes = 8 << 10
 
-// Names of header fields that frame messages, in small letters as in the maps of fields.
+// Names of the header fields that the framing of messages depends on, in lower case as in the maps of fields.
 const (
 	fieldHost             = "host"
 	fieldConnection       = "connection"
@@ -16,10 +17,10 @@
 	fieldTransferEncoding = "transfer-encoding"
 )
 
-const del = 127 // the ASCII control character above the printable ones
+const del = 127 // the only ASCII control character above the printable ones
 
-// beginHead prepares for a head. One that has been received completely is taken as one string, of which its lines and
-// fields are then parts: one allocation for all.
+// beginHead prepares for reading a head. A head that has been received completely is copied into one string; its lines
+// and fields are substrings of it, which saves an allocation for each.
 func (r *Reader) beginHead() {
 	r.headBytesLeft = maxHeadBytes
 	r.head = ""
@@ -29,7 +30,7 @@
 	}
 }
 
-// readLine consumes one line of a head and returns it without its end.
+// readLine consumes one line of a head and returns it without its line end.
 func (r *Reader) readLine() (string, error) {
 	if i := strings.IndexByte(r.head, '\n'); i >= 0 {
 		line := r.head[:i]
@@ -70,8 +71,8 @@
 	return invalidMessage(statusHeadTooLarge, "head over %d bytes", maxHeadBytes)
 }
 
-// readFields consumes header lines up to the empty one. Names are in small letters; the values of repeated fields are
-// joined by commas. The map is valid until the next head is read.
+// readFields consumes header lines up to and including the empty line. Names are in lower case; the values of repeated
+// fields are joined by commas. The map is valid until the next head is read.
 func (r *Reader) readFields() (map[string]string, error) {
 	if r.fields == nil {
 		r.fields = map[string]string{}
@@ -101,18 +102,18 @@
 func parseField(line string) (name, value string, err error) {
 	name, value, hasColon := strings.Cut(line, ":")
 	if !hasColon || !isToken(name) {
-		return "", "", invalidMessage(statusBadRequest, "header line %.40q", line)
+		return "", "", invalidMessage(statusBadRequest, "malformed header line %.40q, expected a name, a colon and a value", line)
 	}
 	name, value = lowerName(name), strings.Trim(value, " \t")
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == del {
-			return "", "", invalidMessage(statusBadRequest, "header %s holds a control character", name)
+			return "", "", invalidMessage(statusBadRequest, "header %s contains a control character", name)
 		}
 	}
 	return name, value, nil
 }
 
-// isToken reports whether text is a token as HTTP defines it: the names of methods and header fields.
+// isToken reports whether text is a token as HTTP defines it. The names of methods and header fields are tokens.
 func isToken(text string) bool {
 	for i := range len(text) {
 		c := text[i]
@@ -124,8 +125,8 @@
 	return text != ""
 }
 
-// lowerNames are the names of fields that clients and discovery send, as most of them write them. Finding a name here
-// saves the allocation of its copy in small letters.
+// lowerNames maps the field names that clients and discovery commonly send, in their usual spelling, to lower case. A
+// name found here needs no allocation of a lower-case copy.
 var lowerNames = map[string]string{
 	"Host": "host", "X-Request-Id": "x-request-id", "X-Class": "x-class", "X-Tenant": "x-tenant",
 	"X-Deadline": "x-deadline", "X-Retry": "x-retry", "Content-Length": "content-length", "Content-Type": "content-type",
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -12,11 +12,11 @@
 	statusDigits = 3
 )
 
-// ReadRequest reads one request. keepAlive reports whether the client keeps the connection. Fields and body are valid
-// until the next call.
+// ReadRequest reads one request. keepAlive reports whether the client keeps the connection open. fields and body are
+// valid until the next call.
 //
-// It returns an InvalidMessageError for a request that cannot be used, io.ErrUnexpectedEOF where the stream ends before a
-// complete request, and other errors of the stream. After an error the stream cannot be read on.
+// It returns an InvalidMessageError for an invalid request, io.ErrUnexpectedEOF if the stream ends within a
+// request, and otherwise the error of the stream. After an error, no further message can be read from the stream.
 func (r *Reader) ReadRequest() (method, target string, fields map[string]string, body []byte, keepAlive bool, err error) {
 	r.beginHead()
 	method, target, version, err := r.readRequestLine()
@@ -27,13 +27,13 @@
 		return method, target, nil, nil, false, err
 	}
 	if _, hasHost := fields[fieldHost]; !hasHost && version == version11 {
-		return method, target, fields, nil, false, invalidMessage(statusBadRequest, "no Host")
+		return method, target, fields, nil, false, invalidMessage(statusBadRequest, "missing Host header, expected one in an HTTP/1.1 request")
 	}
 	keepAlive = keepsAlive(version, fields)
 	if hasBody(fields) {
 		body, err = r.readBody(fields)
 	} else if method == "POST" {
-		err = invalidMessage(statusLengthRequired, "a body has a length or comes in chunks")
+		err = invalidMessage(statusLengthRequired, "POST request without a body length, expected Content-Length or chunked Transfer-Encoding")
 	}
 	return method, target, fields, body, keepAlive, err
 }
@@ -48,16 +48,16 @@
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, _ = strings.Cut(rest, " ")
 	if !isToken(method) || target == "" || !strings.HasPrefix(version, "HTTP/") || strings.Contains(version, " ") {
-		return "", "", "", invalidMessage(statusBadRequest, "request line %.40q", line)
+		return "", "", "", invalidMessage(statusBadRequest, "malformed request line %.40q, expected a method, a target and an HTTP version", line)
 	}
 	if version != version11 && version != version10 {
-		return "", "", "", invalidMessage(statusVersionNotSupported, "version %.20q", version)
+		return "", "", "", invalidMessage(statusVersionNotSupported, "unsupported version %.20q, expected HTTP/1.1 or HTTP/1.0", version)
 	}
 	return method, target, version, nil
 }
 
-// ReadResponse reads one response to a request other than HEAD. Fields and body are valid until the next call. Errors are
-// those of ReadRequest.
+// ReadResponse reads one response to a request other than HEAD. fields and body are valid until the next call. The
+// errors are the same as those of ReadRequest.
 func (r *Reader) ReadResponse() (status int, fields map[string]string, body []byte, keepAlive bool, err error) {
 	r.beginHead()
 	line, err := r.readLine()
@@ -68,7 +68,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
 	if err != nil || len(code) != statusDigits || !strings.HasPrefix(version, "HTTP/1.") {
-		return 0, nil, nil, false, invalidMessage(statusBadGateway, "status line %.40q", line)
+		return 0, nil, nil, false, invalidMessage(statusBadGateway, "malformed status line %.40q, expected an HTTP/1 version and a status of three digits", line)
 	}
 	if fields, err = r.readFields(); err != nil {
 		return status, nil, nil, false, err
@@ -85,7 +85,7 @@
 	return status, fields, body, keepAlive, err
 }
 
-// keepsAlive reports whether the sender of a message keeps the connection.
+// keepsAlive reports whether the sender of a message keeps the connection open.
 func keepsAlive(version string, fields map[string]string) bool {
 	byDefault := version == version11
 	if fields[fieldConnection] == "" {
--- a/internal/http1/message_test.go
+++ b/internal/http1/message_test.go
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bufferBytes holds a head and a body of usual size.
+// bufferBytes is large enough for a head and a body of usual size.
 const bufferBytes = 16 << 10
 
 func newTestReader(source io.Reader) *Reader { return NewReader(source, make([]byte, bufferBytes)) }
 
-// Whatever is received, reading ends with a message within the limits or an error, and the same however the stream is
-// split.
+// Guards against a request reader that exceeds its limits, fails with an unexpected kind of error, or whose result
+// depends on where the stream is split between reads.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("\r\nPOST /a?k=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.0\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n0\r\nT: 1\r\n\r\n"))
@@ -41,6 +41,7 @@
 	})
 }
 
+// Guards against a response reader that returns a body over the limit or panics on arbitrary input.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 204 No\r\n\r\n"))
 	f.Add([]byte("HTTP/1.0 200\r\n\r\nto the end"))
@@ -60,6 +61,7 @@
 	})
 }
 
+// Guards against a writer whose response this package's reader understands differently.
 func TestWrittenResponseIsRead(t *testing.T) {
 	message := AppendResponse(nil, 503, "Retry-After: 0.0500", []byte("{}"), false)
 	status, fields, body, keepAlive, err := newTestReader(iotest.OneByteReader(bytes.NewReader(message))).ReadResponse()
@@ -70,6 +72,7 @@
 	require.False(t, keepAlive)
 }
 
+// Guards against losing or cutting off bodies without a Content-Length, and against reading one without a limit.
 func TestBodiesWithoutALength(t *testing.T) {
 	for message, want := range map[string]string{
 		"HTTP/1.0 200 OK\r\n\r\nto the end":                                                   "to the end",
@@ -84,7 +87,7 @@
 	require.ErrorContains(t, err, "body over")
 }
 
-// pieceReader returns its texts one after another, at most one with each read.
+// pieceReader returns its texts one after another, at most one per read.
 type pieceReader []string
 
 func (p *pieceReader) Read(buffer []byte) (int, error) {
@@ -98,8 +101,8 @@
 	return n, nil
 }
 
-// A body in chunks is the same wherever the stream is cut, also where the bytes behind a complete chunk, or the next
-// message, are received later and are longer than all before them.
+// Guards against a chunked body that is overwritten in the buffer when later bytes are read: where
+// the bytes after a complete chunk, or the next message, arrive later and are longer than everything before them.
 func TestChunkedBodyInPieces(t *testing.T) {
 	first, second, next := strings.Repeat("a", 100), strings.Repeat("b", 3000), strings.Repeat("c", 3000)
 	head := "Transfer-Encoding: chunked\r\n\r\n"
@@ -127,7 +130,7 @@
 	}
 }
 
-// Each form of framing that could be understood in two ways is an error.
+// Guards against request smuggling: framing that another program could understand differently has to be an error.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	for fields, status := range map[string]int{
 		"Content-Length: 5, 5":                                           400,
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,7 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages. It knows no sockets and decides nothing.
+// Package http1 parses and writes HTTP/1.1 messages. It opens no connections and contains no policy.
 //
-// It exists beside net/http because the event loop reads messages of many connections through borrowed buffers, with no
-// goroutine and next to no allocation for each.
+// It is used instead of net/http where the event loop reads messages of many connections through borrowed buffers,
+// without a goroutine and almost without allocations per connection.
 package http1
 
 import (
@@ -9,26 +9,29 @@
 	"io"
 )
 
-// ErrBufferFull is returned where the buffer has no room to read on. It is a state of the connection, not a fault.
-var ErrBufferFull = errors.New("the buffer is full")
+// ErrBufferFull reports that the buffer has no room for further bytes. It is a normal state of a connection, not a
+// failure.
+var ErrBufferFull = errors.New("read buffer is full")
 
 // Reader reads messages from a stream, which may be split at any byte. It is not safe for concurrent use.
 type Reader struct {
 	source     io.Reader
-	buffer     []byte // as lent to NewReader
-	start, end int    // what is received and not consumed: buffer[start:end]
+	buffer     []byte // the caller's, passed to NewReader
+	start, end int    // buffer[start:end] is received and not yet consumed
 
-	headBytesLeft int               // what the present head, or the present trailers, may still have
-	head          string            // the rest of the present head where it was received completely, else empty
+	headBytesLeft int               // how many more bytes the current head, or the current trailers, may have
+	head          string            // the unread rest of the current head if it was received completely, otherwise empty
 	fields        map[string]string // of the last head, reused for the next
 }
 
-// NewReader returns a reader that uses buffer, which nobody else may use meanwhile and which must hold more than a head.
+// NewReader returns a reader that uses buffer. Nothing else may use buffer at the same time, and it must be larger than
+// the longest head.
 func NewReader(source io.Reader, buffer []byte) *Reader {
 	return &Reader{source: source, buffer: buffer}
 }
 
-// AwaitMessage returns once the first byte of the next message has been received. It skips empty lines before it.
+// AwaitMessage waits until the first byte of the next message has been received. It skips empty lines before the
+// message.
 func (r *Reader) AwaitMessage() error {
 	for {
 		for ; r.start < r.end; r.start++ {
@@ -42,8 +45,8 @@
 	}
 }
 
-// ReadAhead reads on while no message is being read, so that the end of the stream is noticed. It returns ErrBufferFull
-// once there is no room. What the last message returned is not valid any more.
+// ReadAhead reads further bytes between messages, so that the end of the stream is noticed. It returns ErrBufferFull
+// once there is no room. It invalidates the fields and body of the last message.
 func (r *Reader) ReadAhead() error {
 	if r.start == 0 && r.end == len(r.buffer) {
 		return ErrBufferFull
@@ -51,8 +54,9 @@
 	return r.fill()
 }
 
-// ReadAvailable reads what has been received behind the last message, by a function that does not wait and returns an
-// error when there is no more. What the last message returned stays valid. It returns that error, or ErrBufferFull.
+// ReadAvailable reads the bytes that have already arrived after the last message. read must not wait, and must return
+// an error when no more bytes are available; ReadAvailable returns that error, or ErrBufferFull. The fields and body of
+// the last message stay valid.
 func (r *Reader) ReadAvailable(read func(p []byte) (int, error)) error {
 	for r.end < len(r.buffer) {
 		n, err := read(r.buffer[r.end:])
@@ -64,7 +68,8 @@
 	return ErrBufferFull
 }
 
-// fill reads once, after making room by moving what is not consumed to the front.
+// fill reads once from the source. If the buffer has no room at its end, it first moves the unconsumed bytes to the
+// front.
 func (r *Reader) fill() error {
 	if r.start == r.end {
 		r.start, r.end = 0, 0
@@ -74,7 +79,7 @@
 	n, err := r.source.Read(r.buffer[r.end:])
 	r.end += n
 	if n > 0 {
-		return nil // an error with it comes again with the next read
+		return nil // the source returns an accompanying error again at the next read
 	}
 	if err == nil {
 		return io.ErrNoProgress
@@ -82,7 +87,7 @@
 	return err
 }
 
-// unexpectedEOF is for errors within a message, where the end of the stream cuts it off.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, for errors within a message.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -15,20 +15,21 @@
 	startedAt        int64   // tenths of a millisecond
 }
 
-// Parts of events.
+// Values and sizes of events.
 const (
-	listError      = "Error" // of a members event: the list could not be had, and none follows
-	retryBit       = 2       // of an inbound event's bits: the client has sent the search before
+	listError      = "Error" // of a members event: discovery failed, and the event refers to no list
+	retryBit       = 2       // of an inbound event's flags: the search is a client retry
 	startHeadParts = 3       // parts of a start event before the settings: name, instance, seed
 )
 
-// instanceEvent is a kind of event of one instance.
+// instanceEvent describes a kind of event that is addressed to one instance.
 type instanceEvent struct {
 	valueCount int
 	handle     func(s *session, i *instance, v values)
 }
 
-// instanceEvents are the events of one instance by name. Their first value is the instance.
+// instanceEvents holds the events that are addressed to one instance, by name. Their first value is the instance's
+// number.
 var instanceEvents = map[string]instanceEvent{
 	"members":    {4, (*session).handleMembers},
 	"inbound":    {11, (*session).handleInbound},
@@ -36,11 +37,11 @@
 	"checked":    {5, (*session).handleChecked},
 	"withdrawn":  {2, (*session).handleWithdrawn},
 	"fired":      {2, (*session).handleFired},
-	"first_byte": {5, (*session).ignoreEvent}, // no type of search is streamed
+	"first_byte": {5, (*session).ignoreEvent}, // answers are not streamed for any type of search
 	"mail":       {3, (*session).ignoreEvent}, // instances have no peers here
 }
 
-// readEvents handles the events of a batch up to its end.
+// readEvents reads and handles the events of a batch up to its "eob" line.
 func (s *session) readEvents() {
 	for {
 		line := s.mustReadLine()
@@ -64,7 +65,7 @@
 func (s *session) readList(v values) {
 	count := v.integer(1)
 	if count < 0 {
-		failMalformed("a list of fewer than none")
+		failMalformed("census has a negative number of entries")
 	}
 	var list []endpoint
 	for ; count > 0; count-- {
@@ -77,11 +78,11 @@
 	s.lists[int(v.integer(0))] = list
 }
 
-// startInstance starts an instance with a new balancer. One of the same number that runs is stopped.
+// startInstance starts an instance with a new balancer. A running instance with the same number is stopped.
 func (s *session) startInstance(line string) {
 	parts := strings.Split(line, " ")
 	if len(parts) < startHeadParts {
-		failMalformed("start has too few values")
+		failMalformed("start has too few values, expected an instance and a seed")
 	}
 	v := values(parts[1:])
 	number, seed := int(v.integer(0)), v.integer(1)
@@ -92,7 +93,7 @@
 	i := &instance{number: number}
 	i.balancer = balancer.New(i)
 	s.instances[number] = i
-	s.touch(i)
+	s.ensureIteration(i)
 	i.runGuarded(func() { i.balancer.Configure(seed, settings) })
 }
 
@@ -104,13 +105,13 @@
 	delete(s.instances, number)
 }
 
-// touch begins the balancer's iteration at the instance's first event of a batch.
-func (s *session) touch(i *instance) {
+// ensureIteration begins the balancer's iteration if this is the instance's first event of the batch.
+func (s *session) ensureIteration(i *instance) {
 	if i.inIteration {
 		return
 	}
 	i.inIteration = true
-	s.touched = append(s.touched, i)
+	s.activeInstances = append(s.activeInstances, i)
 	i.runGuarded(func() { i.balancer.BeginIteration(s.now) })
 }
 
@@ -122,18 +123,18 @@
 	v := splitLine(line, name, event.valueCount)
 	i := s.instances[int(v.integer(0))]
 	if i == nil {
-		failMalformed("%s for instance %s, which does not run", name, v[0])
+		failMalformed("%s for instance %s, which is not running", name, v[0])
 	}
-	s.touch(i)
+	s.ensureIteration(i)
 	event.handle(s, i, v)
 }
 
 func (s *session) handleMembers(i *instance, v values) {
-	how, revision := v.text(1), v.integer(2)
-	if how != listError {
+	kind, revision := v.text(1), v.integer(2)
+	if kind != listError {
 		list, known := s.lists[int(v.integer(3))]
 		if !known {
-			failMalformed("no list number %s", v[3])
+			failMalformed("members refers to list %s, which no census event has sent", v[3])
 		}
 		for _, e := range list {
 			i.runGuarded(func() {
@@ -141,21 +142,22 @@
 			})
 		}
 	}
-	i.runGuarded(func() { i.balancer.CommitEndpoints(how, revision) })
+	i.runGuarded(func() { i.balancer.CommitEndpoints(kind, revision) })
 }
 
-// handleInbound handles a search, whose shard is under 0, or one of the shard requests that follow it.
+// handleInbound handles a search, marked by a negative shard, or one of the shard requests that follow it. The value at
+// index 9 is the number of shards of a search, or the weight of a shard request.
 func (s *session) handleInbound(i *instance, v values) {
 	id, number, shard := v.id(1), uint64(v.integer(7)), int(v.integer(8))
-	class, tenant, grace, bits := int(v.integer(2)), int(v.integer(3)), v.time(5), v.integer(10)
-	v.float(6) // has to be a number
-	amount := v.float(9)
+	class, tenant, timeLeft, flags := int(v.integer(2)), int(v.integer(3)), v.time(5), v.integer(10)
+	v.float(6) // unused, but checked to be a number
+	countOrWeight := v.float(9)
 	if shard < 0 {
-		shardCount, isRetry := int(amount), bits&retryBit != 0
-		i.runGuarded(func() { i.balancer.AddSearch(id, class, tenant, v[4], grace, number, shardCount, isRetry) })
+		shardCount, isRetry := int(countOrWeight), flags&retryBit != 0
+		i.runGuarded(func() { i.balancer.AddSearch(id, class, tenant, v[4], timeLeft, number, shardCount, isRetry) })
 		return
 	}
-	i.runGuarded(func() { i.balancer.AddShardRequest(id, number, shard, amount) })
+	i.runGuarded(func() { i.balancer.AddShardRequest(id, number, shard, countOrWeight) })
 }
 
 func (s *session) handleReturned(i *instance, v values) {
--- a/internal/simwire/golden_wire_test.go
+++ b/internal/simwire/golden_wire_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every action that an instance can send to the simulator is written with the bytes of the golden file.
+// Guards against a change in the bytes of any action that an instance can send to the simulator.
 func TestGoldenActions(t *testing.T) {
 	i := &instance{number: 7}
 	i.SendAttempt(11, "10.0.0.1:7003", 29999)
@@ -28,8 +28,8 @@
 	golden.Require(t, "actions.golden", string(i.actions))
 }
 
-// The golden input is answered with the golden output: starts, lists, searches, outcomes, probes, kills and instances that
-// fail, with all events of the simulator among them.
+// Guards against a change in the actions that answer recorded batches. The input contains every event of the simulator:
+// starts, lists, searches, outcomes, probes, kills and instances that fail among them.
 func TestGoldenBatches(t *testing.T) {
 	if golden.Updating() {
 		input := batch(1, startEvents(3, 4)...) + batch(2, append(searchEvents(3, 10), searchEvents(4, 10)...)...) +
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -7,17 +7,18 @@
 	"chalkring/balancer"
 )
 
-// instance is a simulated instance: its balancer and the actions of the present batch. It implements balancer.Actions.
+// instance is a simulated instance: its balancer and the actions of the current batch. It implements balancer.Actions.
 type instance struct {
 	number      int
 	balancer    balancer.Balancer
 	inIteration bool
-	hasFailed   bool   // its balancer has panicked: nothing more is passed to it
-	isStopped   bool   // it was killed or started anew: its actions of this batch are dropped
+	hasFailed   bool   // its balancer has panicked and is not called any more
+	isStopped   bool   // it was killed or replaced by a new start: its actions of this batch are dropped
 	actions     []byte // lines to write at the end of the batch
 }
 
-// runGuarded calls the balancer. A panic of the balancer ends this instance alone, and the simulator is told.
+// runGuarded calls the balancer. A panic of the balancer ends only this instance, which reports it to the simulator by
+// a "die" action.
 func (i *instance) runGuarded(call func()) {
 	if i.hasFailed || i.isStopped {
 		return
@@ -34,7 +35,7 @@
 	call()
 }
 
-// addAction adds a line of the action's name, the instance and the values.
+// addAction adds a line of the action's name, the instance's number and the values.
 func (i *instance) addAction(name string, values ...any) {
 	i.actions = fmt.Appendf(i.actions, "%s %d", name, i.number)
 	for _, value := range values {
@@ -75,7 +76,8 @@
 	i.addAction("notify_me", formatMs(wait), label)
 }
 
-// CancelTimer implements balancer.Actions. The simulator cannot cancel a timer; the balancer ignores one that fires.
+// CancelTimer implements balancer.Actions. The simulator cannot cancel a timer; the balancer ignores a canceled one
+// that fires.
 func (i *instance) CancelTimer(uint64) {}
 
 // ProbeReplica implements balancer.Actions.
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -1,8 +1,9 @@
 // Package simwire connects balancers to the simulator: it reads the simulator's batches of events, passes them to the
-// balancer of each simulated instance, and writes the balancers' actions. It decides nothing.
+// balancer of each simulated instance, and writes the balancers' actions. It contains no policy.
 //
-// A batch is a line with time and number, events, one a line, and a line "eob". It is answered by actions, one a line, and
-// a line "finished". Values are separated by blanks; "-" stands for none.
+// A batch consists of a "clock" line with time and number, one line per event, and a line "eob". The answer to a batch
+// consists of one line per action and a line "finished". Values are separated by blanks; "-" stands for a missing
+// value.
 package simwire
 
 import (
@@ -16,20 +17,20 @@
 // bufferBytes is the size of the buffers of input and output.
 const bufferBytes = 64 << 10
 
-// session is the state of one Serve.
+// session is the state of one call of Serve.
 type session struct {
-	input     *bufio.Reader
-	output    *bufio.Writer
-	line      int    // number of the last line read, from 1
-	batch     string // the present batch as the simulator names it, "-" before the first
-	now       int64  // time of the present batch, in tenths of a millisecond
-	lists     map[int][]endpoint
-	instances map[int]*instance
-	touched   []*instance // instances with events in the present batch, in the order of their first
+	input           *bufio.Reader
+	output          *bufio.Writer
+	line            int    // number of the last line read, from 1
+	batch           string // the simulator's number of the current batch, "-" before the first
+	now             int64  // time of the current batch, in tenths of a millisecond
+	lists           map[int][]endpoint
+	instances       map[int]*instance
+	activeInstances []*instance // instances with events in the current batch, in the order of their first event
 }
 
-// Serve answers batches until the input ends. It returns a MalformedInputError at the first line that it cannot read;
-// the present batch is then not answered.
+// Serve answers batches until the input ends. It returns a MalformedInputError at the first line that it cannot parse;
+// the current batch is then not answered.
 func Serve(input io.Reader, output io.Writer) (err error) {
 	s := &session{
 		input: bufio.NewReaderSize(input, bufferBytes), output: bufio.NewWriterSize(output, bufferBytes),
@@ -60,14 +61,14 @@
 	s.now, s.batch = values.time(0), values.text(1)
 	values.integer(1)
 	s.readEvents()
-	for _, i := range s.touched {
+	for _, i := range s.activeInstances {
 		i.runGuarded(i.balancer.EndIteration)
 		if !i.isStopped {
-			_, _ = s.output.Write(i.actions) // an error of the buffered output is returned by Flush
+			_, _ = s.output.Write(i.actions) // Flush returns the error of an earlier write
 		}
 		i.actions, i.inIteration = i.actions[:0], false
 	}
-	s.touched = s.touched[:0]
+	s.activeInstances = s.activeInstances[:0]
 	_, _ = fmt.Fprintf(s.output, "finished %s\n", s.batch)
 	return s.output.Flush()
 }
@@ -80,16 +81,16 @@
 	}
 	s.line++
 	if err != nil {
-		failMalformed("the input ends inside a line")
+		failMalformed("the input ends inside a line, expected a line break")
 	}
 	return strings.TrimSuffix(line, "\n"), true
 }
 
-// mustReadLine returns the next line of a batch.
+// mustReadLine returns the next line of a batch. The end of the input is malformed input here.
 func (s *session) mustReadLine() string {
 	line, more := s.readLine()
 	if !more {
-		failMalformed("the input ends inside a batch")
+		failMalformed("the input ends inside a batch, expected an eob line")
 	}
 	return line
 }
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -13,12 +13,12 @@
 	"Classes.0.Effect=retryable Specifics.Sets=1 Specifics.Reach=1 Permissions.MaxAttempts=3 " +
 	"Permissions.SecondCopies=true Permissions.Cancelling=true Novel.Thing=7"
 
-// batch is batch n, at n tenths of a second, with these events.
+// batch returns batch n, at n tenths of a second plus 0.25 ms, with these events.
 func batch(n int, events ...string) string {
 	return fmt.Sprintf("clock %d.25 %d\n%seob\n", n*100, n, strings.Join(append(events, ""), "\n"))
 }
 
-// startEvents starts instances and gives each a list of two replicas.
+// startEvents returns the events that start instances and give each a list of two replicas.
 func startEvents(instances ...int) (events []string) {
 	for _, i := range instances {
 		events = append(events, fmt.Sprintf("start %d 42 %s", i, testSettings), "census 0 2",
@@ -28,7 +28,7 @@
 	return events
 }
 
-// searchEvents is a search with two shard requests: their ids are the search's and the two after it.
+// searchEvents returns the events of a search with two shard requests, whose ids are the two after the search's.
 func searchEvents(instance, search int) []string {
 	return []string{
 		fmt.Sprintf("inbound %d %d 0 0 - 3000.0 - %d -1 2 0", instance, search, search),
@@ -43,6 +43,7 @@
 	return out.String()
 }
 
+// Guards against a search that gets no attempts or no answer, and against a batch without events that is not finished.
 func TestSearchIsAnswered(t *testing.T) {
 	require.Equal(t, "finished 1\nfinished 2\n", serve(t, batch(1)+batch(2)))
 	out := serve(t, batch(1, startEvents(3)...)+batch(2, searchEvents(3, 10)...)+
@@ -53,7 +54,7 @@
 	require.Contains(t, out, "finished 3\nsettle_query 3 10 1\nfinished 4\n")
 }
 
-// Events of ended searches, stale timers and unknown ids are ignored, and a killed instance sends nothing.
+// Guards against acting on events of ended searches, stale timers and unknown ids.
 func TestStaleEventsAreIgnored(t *testing.T) {
 	out := serve(t, batch(1, startEvents(3)...)+batch(2, append(searchEvents(3, 10), "withdrawn 3 10", "withdrawn 3 77",
 		"fired 3 12345", "returned 3 11 0 10.0.0.1:7003 Canceled 1 1 -", "checked 3 Ok 10.0.0.1:7003 2.0 -",
@@ -62,7 +63,7 @@
 	require.NotContains(t, out, "settle_query")
 }
 
-// Actions of an instance from before a kill and a new start in the same batch are not sent.
+// Guards against sending the actions of an instance that was killed and started again in the same batch.
 func TestActionsBeforeARestartAreDropped(t *testing.T) {
 	out := serve(t, batch(1, append(startEvents(1), searchEvents(1, 10)...)...)+batch(2, append(append([]string{
 		"returned 1 11 0 10.0.0.1:7003 Failed 1 0 -", "returned 1 12 0 10.0.0.2:7003 Ok 1 1 -", "withdrawn 1 10",
@@ -74,18 +75,19 @@
 	require.NotContains(t, second, " 12 ")
 }
 
+// Guards against malformed input that is answered, or whose error doesn't name the line or the problem.
 func TestMalformedInputIsRejected(t *testing.T) {
 	for input, want := range map[string]string{
 		"clock 1.0\n":                                                    "batch -, line 1",
-		"clock x 1\neob\n":                                               "no number",
+		"clock x 1\neob\n":                                               "not a number",
 		batch(1, "novel 3"):                                              `batch 1, line 2: unknown event "novel"`,
-		batch(1, "fired 3 1"):                                            "does not run",
+		batch(1, "fired 3 1"):                                            "not running",
 		batch(1, "census 0 1", "m a 0 0"):                                "line 3: m has 3 values",
 		batch(1, "census 0 -1"):                                          "line 2",
-		batch(1, append(startEvents(3), "fired 3 x")...):                 "no whole number",
+		batch(1, append(startEvents(3), "fired 3 x")...):                 "not a whole number",
 		batch(1, append(startEvents(3), "fired 3")...):                   "fired has 1 values",
-		batch(1, append(startEvents(3), "withdrawn 3 -")...):             "no id",
-		batch(1, append(startEvents(3), "members 3 Partial 2 9")...):     "no list number",
+		batch(1, append(startEvents(3), "withdrawn 3 -")...):             "not an id",
+		batch(1, append(startEvents(3), "members 3 Partial 2 9")...):     "refers to list 9",
 		batch(1, append(startEvents(3), "returned 3 1 0 a Ok 1 2 -")...): "neither 1 nor 0",
 		batch(1, append(startEvents(3), "checked 3 Ok a 1 x")...):        "load report",
 		batch(1, "start 3 42 Broken"):                                    "has no value",
@@ -101,7 +103,7 @@
 	}
 }
 
-// An instance whose settings cannot be used ends alone.
+// Guards against one instance with invalid settings that ends the others too.
 func TestInstanceThatFailsEndsAlone(t *testing.T) {
 	out := serve(t, batch(1, append(startEvents(1), "start 2 42 Classes.count=1 Specifics.Sets=x")...)+
 		batch(2, searchEvents(1, 10)...))
@@ -110,6 +112,7 @@
 	require.Contains(t, out, "route 1")
 }
 
+// Guards against instances that share state: an instance has to act the same alone and beside others.
 func TestInstancesAreIndependent(t *testing.T) {
 	run := func(instances ...int) string {
 		input := batch(1, startEvents(instances...)...)
--- a/internal/simwire/values.go
+++ b/internal/simwire/values.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// absent stands for a value that an event does not have.
+	// absent is written in place of a missing value.
 	absent = "-"
-	// tenthsPerMs: the simulator's times are milliseconds, the balancer's tenths of them.
+	// tenthsPerMs converts the simulator's times, in milliseconds, to the balancer's, in tenths of a millisecond.
 	tenthsPerMs = 10
-	// roundingSlack keeps a time that is a whole number of tenths but for rounding from being rounded down to the tenth
-	// before.
+	// roundingSlack, in tenths, is added before rounding down, so that a whole number of tenths that is slightly too
+	// low by floating-point error is not rounded to the tenth below.
 	roundingSlack = 1e-6
 )
 
-// MalformedInputError is a line of the simulator that cannot be read.
+// MalformedInputError reports a line of the simulator that cannot be parsed.
 type MalformedInputError struct {
-	Batch   string // as the simulator names it, "-" before the first
-	Line    int    // of the whole input, from 1
+	Batch   string // the simulator's number of the batch, "-" before the first
+	Line    int    // number of the line in the whole input, from 1
 	Problem string
 }
 
@@ -33,23 +33,24 @@
 	return "Compare the simulator's version with the one that this program was built for."
 }
 
-// malformed is what parsing panics with; Serve recovers it. Parsing of a line is many small steps, none of which has
-// anything to do after a failure.
+// malformed is the value that parsing panics with; Serve recovers it. A panic spares an error check after each of the
+// many small steps of parsing a line, none of which has anything to clean up.
 type malformed string
 
 func failMalformed(format string, args ...any) { panic(malformed(fmt.Sprintf(format, args...))) }
 
-// values are the values of one line, after its name. Methods take the index of a value, from 0, and panic with malformed.
+// values holds the values of one line, after its name. Methods take the index of a value, from 0, and panic with
+// malformed if the value is invalid.
 type values []string
 
-// splitLine splits a line with that name and so many values.
+// splitLine returns the values of a line, which must have the given name and count of values.
 func splitLine(line, name string, count int) values {
 	parts := strings.Split(line, " ")
 	if parts[0] != name {
-		failMalformed("%q where %s should stand", parts[0], name)
+		failMalformed("got %q, expected %s", parts[0], name)
 	}
 	if got := len(parts) - 1; got != count {
-		failMalformed("%s has %d values, not %d", name, got, count)
+		failMalformed("%s has %d values, expected %d", name, got, count)
 	}
 	return parts[1:]
 }
@@ -67,7 +68,7 @@
 	}
 	value, err := strconv.ParseFloat(v[i], 64)
 	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
-		failMalformed("value %d, %q, is no number", i+1, v[i])
+		failMalformed("value %d, %q, is not a number", i+1, v[i])
 	}
 	return value
 }
@@ -81,7 +82,7 @@
 	}
 	value, err := strconv.ParseInt(v[i], 10, 64)
 	if err != nil {
-		failMalformed("value %d, %q, is no whole number", i+1, v[i])
+		failMalformed("value %d, %q, is not a whole number", i+1, v[i])
 	}
 	return value
 }
@@ -89,7 +90,7 @@
 func (v values) id(i int) uint64 {
 	value, err := strconv.ParseUint(v[i], 10, 32)
 	if err != nil {
-		failMalformed("value %d, %q, is no id", i+1, v[i])
+		failMalformed("value %d, %q, is not an id", i+1, v[i])
 	}
 	return value
 }
@@ -105,7 +106,7 @@
 	return false
 }
 
-// loadReport returns name:value pairs; nil for none. Unknown names are for the balancer to ignore.
+// loadReport parses name:value pairs, and returns nil if there are none. The balancer ignores unknown names.
 func (v values) loadReport(i int) map[string]float64 {
 	if v[i] == absent || v[i] == "" {
 		return nil
@@ -115,28 +116,28 @@
 		name, text, hasValue := strings.Cut(pair, ":")
 		value, err := strconv.ParseFloat(text, 64)
 		if !hasValue || err != nil {
-			failMalformed("load report %q", pair)
+			failMalformed("load report has the pair %q, expected a name, a colon and a number", pair)
 		}
 		report[name] = value
 	}
 	return report
 }
 
-// ParseSettings returns name=value pairs of the wire as the balancer takes them. It panics where a pair has no value;
-// within Serve that becomes a MalformedInputError.
+// ParseSettings parses name=value pairs into the form that the balancer takes. It panics if a pair has no value; Serve
+// turns that into a MalformedInputError.
 func ParseSettings(pairs []string) map[string]string {
 	settings := map[string]string{}
 	for _, pair := range pairs {
 		name, value, hasValue := strings.Cut(pair, "=")
 		if !hasValue {
-			failMalformed("setting %q has no value", pair)
+			failMalformed("setting %q has no value, expected name=value", pair)
 		}
 		settings[name] = value
 	}
 	return settings
 }
 
-// formatMs returns tenths of a millisecond in the simulator's milliseconds.
+// formatMs formats a time in tenths of a millisecond as milliseconds, the unit of the simulator.
 func formatMs(tenths int64) string {
 	return strconv.FormatFloat(float64(tenths)/tenthsPerMs, 'f', 1, 64)
 }
