--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -28,7 +28,7 @@
 	lengthBytes = 4
 	typeBytes   = 1
 	headerBytes = lengthBytes + typeBytes
-	// maxFrameBytes bounds the length that a frame states: several times the longest body that clients may send
+	// maxFrameBytes bounds the length that a frame states: several times the longest body that clients may send.
 	maxFrameBytes = 256 << 10
 )
 
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -54,7 +54,8 @@
 	require.Contains(t, out, "finished 3\nsettle_query 3 10 1\nfinished 4\n")
 }
 
-// Guards against acting on events of ended searches, stale timers and unknown ids.
+// Guards against acting on events of ended searches, stale timers and unknown ids, and against actions of a killed
+// instance.
 func TestStaleEventsAreIgnored(t *testing.T) {
 	out := serve(t, batch(1, startEvents(3)...)+batch(2, append(searchEvents(3, 10), "withdrawn 3 10", "withdrawn 3 77",
 		"fired 3 12345", "returned 3 11 0 10.0.0.1:7003 Canceled 1 1 -", "checked 3 Ok 10.0.0.1:7003 2.0 -",
