--- a/internal/frame/answer.go
+++ b/internal/frame/answer.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxScoreBytes bounds a score, with room for any integer of a fixed-width type.
+	// maxScoreBytes is the maximum length of a score. An integer of up to 128 bits fits, with its sign.
 	maxScoreBytes = 40
 	// absent is written in place of a missing score or load report.
 	absent = "-"
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -28,7 +28,7 @@
 	lengthBytes = 4
 	typeBytes   = 1
 	headerBytes = lengthBytes + typeBytes
-	// maxFrameBytes bounds the length that a frame states: several times the longest body that clients may send.
+	// maxFrameBytes is the maximum of a frame's length field: several times the longest body that clients may send.
 	maxFrameBytes = 256 << 10
 )
 
@@ -37,7 +37,8 @@
 	"Compare the replica's version with this program's; the connection was closed, and its shard requests are retried.")
 
 // Read reads one frame. If the frame fits into source's buffer, the payload is a part of that buffer and is valid until
-// source is read again. For a longer frame, memory is allocated as bytes are received, not by the stated length.
+// source is read again. A longer frame is copied; its memory is allocated as bytes arrive, not in advance by the length
+// field.
 //
 // It returns io.EOF if source ends before a frame, io.ErrUnexpectedEOF if it ends within one, and an error that wraps
 // ErrMalformed for a length of zero or over the limit.
@@ -105,8 +106,8 @@
 	return !isValidLength(length) || source.Buffered() >= lengthBytes+int(length)
 }
 
-// IsPlausibleReply reports whether the buffered bytes can be the beginning of a TypeAnswer or TypeReject frame. An
-// empty buffer can.
+// IsPlausibleReply reports whether the buffered bytes can be the beginning of a TypeAnswer or TypeReject frame. It
+// returns true if nothing is buffered.
 func IsPlausibleReply(source *bufio.Reader) bool {
 	header, _ := source.Peek(min(headerBytes, source.Buffered()))
 	if len(header) == 0 {
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// Guards against a change in the bytes of written frames, and against frames that the reader splits differently.
+// Guards against a change in the bytes of written frames, and against a reader that finds other frame boundaries.
 func TestWrittenFramesAreRead(t *testing.T) {
 	stream := AppendShardRequest(Begin(nil, TypeBatch), "q.3", 3, []byte("d=240"), []byte("two\nlines"))
 	stream = AppendShardRequest(stream, "q.9", 9, []byte("d=1"), nil)
--- a/internal/http1/append.go
+++ b/internal/http1/append.go
@@ -13,15 +13,15 @@
 	503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }
 
-// AppendResponse appends a response with a JSON body. extraField is one more header line without its line
-// end, or empty.
+// AppendResponse appends a response with a JSON body. extraField is an additional header line without its line
+// break; if it is empty, none is added.
 func AppendResponse(dst []byte, status int, extraField string, body []byte, keepAlive bool) []byte {
 	dst = AppendResponseHead(dst, status, extraField, len(body), keepAlive)
 	return append(dst, body...)
 }
 
-// AppendResponseHead appends the head of a response, which the caller follows with a JSON body of contentLength
-// bytes.
+// AppendResponseHead appends the head of a response. The caller then appends a JSON body of contentLength bytes.
+// extraField is the same as for AppendResponse.
 func AppendResponseHead(dst []byte, status int, extraField string, contentLength int, keepAlive bool) []byte {
 	dst = append(dst, version11+" "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.end-r.start >= n && n > 0 { // received completely: not copied
+	if r.end-r.start >= n && n > 0 { // the buffer holds the whole body: return it without a copy
 		r.start += n
 		return r.buffer[r.start-n : r.start : r.start], nil
 	}
@@ -45,7 +45,7 @@
 
 // parseLength parses the length of a body or chunk. It accepts digits only.
 func parseLength(text string, base int) (int, error) {
-	const bits = 62 // fits an int on every machine that runs this
+	const bits = 62 // fits an int on every platform that the program runs on
 	n, err := strconv.ParseUint(text, base, bits)
 	if err != nil && !errors.Is(err, strconv.ErrRange) {
 		return 0, invalidMessage(statusBadRequest, "invalid length %.20q, expected digits only", text)
@@ -60,8 +60,8 @@
 	return invalidMessage(statusContentTooLarge, "body over %d bytes", maxBodyBytes)
 }
 
-// appendBody appends the next n bytes of the stream to body. Memory is allocated as bytes are received, not for n in
-// advance.
+// appendBody appends the next n bytes of the stream to body. Memory is allocated as bytes arrive, not for all n bytes
+// in advance.
 func (r *Reader) appendBody(body []byte, n int) ([]byte, error) {
 	for n > 0 {
 		if r.start == r.end {
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -18,7 +18,7 @@
 
 // InvalidMessageError reports a message that is malformed, too long or uses an unsupported feature.
 type InvalidMessageError struct {
-	Status  int // the status code for the sender of the message
+	Status  int // the status code to answer an invalid request with, or 502 for an invalid status line
 	Message string
 }
 
--- a/internal/http1/golden_heads_test.go
+++ b/internal/http1/golden_heads_test.go
@@ -33,7 +33,7 @@
 	return out.String()
 }
 
-// errorText returns the status for the sender of an invalid message, or "ends" where the stream ends within the
+// errorText returns the status of an InvalidMessageError, or "ends" for any other error: the stream ends within the
 // message.
 func errorText(err error) string {
 	var invalid InvalidMessageError
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// maxHeadBytes bounds a start line together with its header fields, and the trailers of a body. Servers commonly accept
-// this much.
+// maxHeadBytes is the maximum length of a head, which is a start line and its header fields. It also limits a chunk's
+// size line and the trailers of a body. Servers commonly accept heads of this length.
 const maxHeadBytes = 8 << 10
 
-// Names of the header fields that the framing of messages depends on, in lower case as in the maps of fields.
+// Names of the header fields that this package interprets, in lower case like the keys of the field maps.
 const (
 	fieldHost             = "host"
 	fieldConnection       = "connection"
@@ -125,8 +125,8 @@
 	return text != ""
 }
 
-// lowerNames maps the field names that clients and discovery commonly send, in their usual spelling, to lower case. A
-// name found here needs no allocation of a lower-case copy.
+// lowerNames maps the field names that clients and discovery commonly send, in their usual spelling, to lower case. For
+// these names, no lower-case copy is allocated.
 var lowerNames = map[string]string{
 	"Host": "host", "X-Request-Id": "x-request-id", "X-Class": "x-class", "X-Tenant": "x-tenant",
 	"X-Deadline": "x-deadline", "X-Retry": "x-retry", "Content-Length": "content-length", "Content-Type": "content-type",
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -15,7 +15,7 @@
 // ReadRequest reads one request. keepAlive reports whether the client keeps the connection open. fields and body are
 // valid until the next call.
 //
-// It returns an InvalidMessageError for an invalid request, io.ErrUnexpectedEOF if the stream ends within a
+// It returns an InvalidMessageError for an invalid request, io.ErrUnexpectedEOF if the stream ends before a complete
 // request, and otherwise the error of the stream. After an error, no further message can be read from the stream.
 func (r *Reader) ReadRequest() (method, target string, fields map[string]string, body []byte, keepAlive bool, err error) {
 	r.beginHead()
@@ -75,7 +75,7 @@
 	}
 	keepAlive = keepsAlive(version, fields)
 	switch {
-	case status < statusOK || status == statusNoContent || status == statusNotModified:
+	case status < statusOK || status == statusNoContent || status == statusNotModified: // never has a body
 	case hasBody(fields):
 		body, err = r.readBody(fields)
 	default:
--- a/internal/http1/message_test.go
+++ b/internal/http1/message_test.go
@@ -101,8 +101,9 @@
 	return n, nil
 }
 
-// Guards against a chunked body that is overwritten in the buffer when later bytes are read: where
-// the bytes after a complete chunk, or the next message, arrive later and are longer than everything before them.
+// Guards against a chunked body that is overwritten in the buffer when later bytes are read. This can happen if a
+// complete chunk has been received, and the bytes after it, or the next message, arrive later and are longer than
+// everything before them.
 func TestChunkedBodyInPieces(t *testing.T) {
 	first, second, next := strings.Repeat("a", 100), strings.Repeat("b", 3000), strings.Repeat("c", 3000)
 	head := "Transfer-Encoding: chunked\r\n\r\n"
@@ -136,7 +137,7 @@
 		"Content-Length: 5, 5":                                           400,
 		"Content-Length: 5\r\nContent-Length: 5":                         400,
 		"Content-Length : 5":                                             400,
-		"Content-Length: 5\r\n 5":                                        400, // folded
+		"Content-Length: 5\r\n 5":                                        400, // line folding
 		"X: a\r\n\tContent-Length: 5":                                    400,
 		"Content-Length: 0x5":                                            400,
 		"Content-Length: 5_0":                                            400,
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,7 +1,7 @@
 // Package http1 parses and writes HTTP/1.1 messages. It opens no connections and contains no policy.
 //
-// It is used instead of net/http where the event loop reads messages of many connections through borrowed buffers,
-// without a goroutine and almost without allocations per connection.
+// It replaces net/http where the event loop serves many connections. It reads into buffers that the caller provides,
+// needs no goroutine per connection, and makes almost no allocations per connection.
 package http1
 
 import (
@@ -13,13 +13,14 @@
 // failure.
 var ErrBufferFull = errors.New("read buffer is full")
 
-// Reader reads messages from a stream, which may be split at any byte. It is not safe for concurrent use.
+// Reader reads messages from a stream, whose bytes may arrive in pieces of any length. It is not safe for concurrent
+// use.
 type Reader struct {
 	source     io.Reader
-	buffer     []byte // the caller's, passed to NewReader
+	buffer     []byte // owned by the caller of NewReader
 	start, end int    // buffer[start:end] is received and not yet consumed
 
-	headBytesLeft int               // how many more bytes the current head, or the current trailers, may have
+	headBytesLeft int               // how many more bytes the current head, chunk size line or trailers may have
 	head          string            // the unread rest of the current head if it was received completely, otherwise empty
 	fields        map[string]string // of the last head, reused for the next
 }
@@ -45,8 +46,8 @@
 	}
 }
 
-// ReadAhead reads further bytes between messages, so that the end of the stream is noticed. It returns ErrBufferFull
-// once there is no room. It invalidates the fields and body of the last message.
+// ReadAhead reads further bytes between messages, so that the caller notices the end of the stream. It returns
+// ErrBufferFull if the buffer has no room. It invalidates the fields and body of the last message.
 func (r *Reader) ReadAhead() error {
 	if r.start == 0 && r.end == len(r.buffer) {
 		return ErrBufferFull
@@ -79,7 +80,7 @@
 	n, err := r.source.Read(r.buffer[r.end:])
 	r.end += n
 	if n > 0 {
-		return nil // the source returns an accompanying error again at the next read
+		return nil // an error that came with bytes is returned again by the next read
 	}
 	if err == nil {
 		return io.ErrNoProgress
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,17 +8,17 @@
 
 // endpoint is one entry of an endpoint list.
 type endpoint struct {
-	replica          string
-	zone, kind, cell int
-	status           string
-	units            float64 // capacity
-	startedAt        int64   // tenths of a millisecond
+	replica              string
+	zone, kind, shardSet int
+	status               string
+	capacity             float64
+	startedAt            int64 // tenths of a millisecond
 }
 
 // Values and sizes of events.
 const (
-	listError      = "Error" // of a members event: discovery failed, and the event refers to no list
-	retryBit       = 2       // of an inbound event's flags: the search is a client retry
+	listError      = "Error" // kind of a members event: discovery failed, and the event refers to no list
+	retryBit       = 2       // flag of an inbound event: the search is a client retry
 	startHeadParts = 3       // parts of a start event before the settings: name, instance, seed
 )
 
@@ -38,7 +38,7 @@
 	"withdrawn":  {2, (*session).handleWithdrawn},
 	"fired":      {2, (*session).handleFired},
 	"first_byte": {5, (*session).ignoreEvent}, // answers are not streamed for any type of search
-	"mail":       {3, (*session).ignoreEvent}, // instances have no peers here
+	"mail":       {3, (*session).ignoreEvent}, // simulated instances exchange no messages
 }
 
 // readEvents reads and handles the events of a batch up to its "eob" line.
@@ -61,7 +61,7 @@
 	}
 }
 
-// readList reads a numbered endpoint list, which members events refer to.
+// readList reads an endpoint list and stores it under its number, by which members events refer to it.
 func (s *session) readList(v values) {
 	count := v.integer(1)
 	if count < 0 {
@@ -71,8 +71,8 @@
 	for ; count > 0; count-- {
 		entry := splitLine(s.mustReadLine(), "m", 7)
 		list = append(list, endpoint{
-			replica: entry.text(0), zone: int(entry.integer(1)), kind: int(entry.integer(2)), cell: int(entry.integer(3)),
-			status: entry.text(4), units: entry.float(5), startedAt: entry.time(6),
+			replica: entry.text(0), zone: int(entry.integer(1)), kind: int(entry.integer(2)), shardSet: int(entry.integer(3)),
+			status: entry.text(4), capacity: entry.float(5), startedAt: entry.time(6),
 		})
 	}
 	s.lists[int(v.integer(0))] = list
@@ -138,7 +138,7 @@
 		}
 		for _, e := range list {
 			i.runGuarded(func() {
-				i.balancer.AddEndpoint(e.replica, e.zone, e.kind, e.cell, e.status, e.units, e.startedAt)
+				i.balancer.AddEndpoint(e.replica, e.zone, e.kind, e.shardSet, e.status, e.capacity, e.startedAt)
 			})
 		}
 	}
--- a/internal/simwire/golden_wire_test.go
+++ b/internal/simwire/golden_wire_test.go
@@ -28,8 +28,8 @@
 	golden.Require(t, "actions.golden", string(i.actions))
 }
 
-// Guards against a change in the actions that answer recorded batches. The input contains every event of the simulator:
-// starts, lists, searches, outcomes, probes, kills and instances that fail among them.
+// Guards against a change in the actions that answer recorded batches. The input contains every event of the simulator,
+// and instances that fail.
 func TestGoldenBatches(t *testing.T) {
 	if golden.Updating() {
 		input := batch(1, startEvents(3, 4)...) + batch(2, append(searchEvents(3, 10), searchEvents(4, 10)...)...) +
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -57,9 +57,9 @@
 }
 
 func (s *session) serveBatch(firstLine string) error {
-	values := splitLine(firstLine, "clock", 2)
-	s.now, s.batch = values.time(0), values.text(1)
-	values.integer(1)
+	v := splitLine(firstLine, "clock", 2)
+	s.now, s.batch = v.time(0), v.text(1)
+	v.integer(1) // the batch's number is kept as text, but checked to be an integer
 	s.readEvents()
 	for _, i := range s.activeInstances {
 		i.runGuarded(i.balancer.EndIteration)
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -28,7 +28,7 @@
 	return events
 }
 
-// searchEvents returns the events of a search with two shard requests, whose ids are the two after the search's.
+// searchEvents returns the events of a search and its two shard requests, whose ids are search+1 and search+2.
 func searchEvents(instance, search int) []string {
 	return []string{
 		fmt.Sprintf("inbound %d %d 0 0 - 3000.0 - %d -1 2 0", instance, search, search),
@@ -43,7 +43,8 @@
 	return out.String()
 }
 
-// Guards against a search that gets no attempts or no answer, and against a batch without events that is not finished.
+// Guards against a search that gets no attempts or no answer, and against a batch without events that gets no
+// "finished" line.
 func TestSearchIsAnswered(t *testing.T) {
 	require.Equal(t, "finished 1\nfinished 2\n", serve(t, batch(1)+batch(2)))
 	out := serve(t, batch(1, startEvents(3)...)+batch(2, searchEvents(3, 10)...)+
@@ -104,7 +105,7 @@
 	}
 }
 
-// Guards against one instance with invalid settings that ends the others too.
+// Guards against a failure of one instance, here by invalid settings, that also ends the others.
 func TestInstanceThatFailsEndsAlone(t *testing.T) {
 	out := serve(t, batch(1, append(startEvents(1), "start 2 42 Classes.count=1 Specifics.Sets=x")...)+
 		batch(2, searchEvents(1, 10)...))
--- a/internal/simwire/values.go
+++ b/internal/simwire/values.go
@@ -12,8 +12,8 @@
 	absent = "-"
 	// tenthsPerMs converts the simulator's times, in milliseconds, to the balancer's, in tenths of a millisecond.
 	tenthsPerMs = 10
-	// roundingSlack, in tenths, is added before rounding down, so that a whole number of tenths that is slightly too
-	// low by floating-point error is not rounded to the tenth below.
+	// roundingSlack, in tenths, is added before rounding down, so that floating-point error does not turn a whole
+	// number of tenths into the next lower one.
 	roundingSlack = 1e-6
 )
 
@@ -39,7 +39,7 @@
 
 func failMalformed(format string, args ...any) { panic(malformed(fmt.Sprintf(format, args...))) }
 
-// values holds the values of one line, after its name. Methods take the index of a value, from 0, and panic with
+// values holds the values that follow the name on one line. Methods take the index of a value, from 0, and panic with
 // malformed if the value is invalid.
 type values []string
 
@@ -73,7 +73,7 @@
 	return value
 }
 
-// time returns milliseconds as whole tenths, rounded down.
+// time parses a time in milliseconds and returns it in tenths of a millisecond, rounded down.
 func (v values) time(i int) int64 { return int64(math.Floor(v.float(i)*tenthsPerMs + roundingSlack)) }
 
 func (v values) integer(i int) int64 {
