--- a/opensearch/frontend/golden_responses_test.go
+++ b/opensearch/frontend/golden_responses_test.go
@@ -22,8 +22,8 @@
 	"chalkring/internal/fake"
 )
 
-// volatile matches what differs from run to run and is replaced by #: the date, the time taken, ports, start and running
-// times. The Content-Length of a body in which something was replaced is replaced too.
+// volatile matches the parts of a response that differ from run to run: the date, the time taken, ports, start and running
+// times. The golden files have # in their place. If anything in a body is replaced, so is its Content-Length.
 var volatile = []*regexp.Regexp{
 	regexp.MustCompile(`(\r\nDate: )[^\r]*()`), regexp.MustCompile(`("took":)\d+()`),
 	regexp.MustCompile(`(127\.0\.0\.1:)\d+()`), regexp.MustCompile(`("start_time_in_millis":)\d+()`),
@@ -44,8 +44,8 @@
 	return head + "\r\n\r\n" + fixed
 }
 
-// exchange sends a request on its own connection, which closes after the response, and appends both to the text of a golden
-// file.
+// exchange sends a request on its own connection, which closes after the response, and appends the request and the response
+// to the text of a golden file.
 func (r *rig) exchange(out *strings.Builder, name, method, path, body string, head ...string) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	require.NoError(r.t, err)
@@ -124,11 +124,11 @@
 	golden.Require(t, "responses.golden", out.String())
 }
 
-// Guards against unintended changes of responses when hosts fail: a search that is complete with some of the shards, one of
-// only the shards that answer, and one whose hosts all fail get exactly the bytes of the golden file.
+// Guards against unintended changes of responses when hosts fail: a search that needs only some of the shards, a search of
+// only those shards that answer, and a search whose hosts all fail get exactly the bytes of the golden file.
 func TestGoldenPartialResponses(t *testing.T) {
 	r := start(t)
-	for _, i := range []int{0, 4} { // both holders of two shards
+	for _, i := range []int{0, 4} { // both hosts of two shards
 		r.hosts[i].SetHandler(func(fake.ShardRequest) {})
 	}
 	var out strings.Builder
--- a/opensearch/frontend/opensearch_test.go
+++ b/opensearch/frontend/opensearch_test.go
@@ -55,7 +55,7 @@
 	searchHosts []*fake.SearchHost // used instead of hosts if the hosts speak the OpenSearch API
 	nativeAddr  string             // address of the native frontend
 	blocks      []*fake.ShardDocuments
-	whole       fake.ShardDocuments
+	whole       fake.ShardDocuments // all documents in a single block, which gives the expected answers
 	discovery   *fake.DiscoveryServer
 	stop        context.CancelFunc
 	ended       chan error
@@ -116,24 +116,24 @@
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":%s,"settings":%s}`, native.Addr(), r.discovery.Listener.Addr(),
 		r.discovery.KnownEndpoints(), settings))
 	require.NoError(t, err)
-	eight := []int{0, 1, 2, 3, 4, 5, 6, 7}
+	allBlocks := []int{0, 1, 2, 3, 4, 5, 6, 7}
 	front := &Server{Listener: openSearchListener, TLSConfig: conf, Indices: []Index{
-		{"members", "full-match", "acme", eight, placement},
-		{"picks", "quick-picks", "acme", eight, placement},
-		{"scarce", "full-match", "scarce", eight, placement},
+		{"members", "full-match", "acme", allBlocks, placement},
+		{"picks", "quick-picks", "acme", allBlocks, placement},
+		{"scarce", "full-match", "scarce", allBlocks, placement},
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop, r.url = stop, "http://"+openSearchListener.Addr().String()
 	go func() {
-		m := coordinator.Options{
+		options := coordinator.Options{
 			Listener: native, Dial: (&net.Dialer{}).DialContext, Clock: coordinator.SystemClock{},
 			Logger: coordinator.NewLogger(io.Discard, false, slog.LevelError), Frontends: []coordinator.Frontend{front},
 			HostKinds: map[string]coordinator.HostKind{"search": {Index: "members", Placement: placement}},
 		}
 		for _, edit := range edits {
-			edit(&m)
+			edit(&options)
 		}
-		r.ended <- coordinator.Serve(ctx, plan, m)
+		r.ended <- coordinator.Serve(ctx, plan, options)
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -148,8 +148,8 @@
 	return r
 }
 
-// answer is a correct host's response to a shard request.
-func (r *rig) answer(p fake.ShardRequest) []byte {
+// correctResponse returns the response of a correct host to a shard request.
+func (r *rig) correctResponse(p fake.ShardRequest) []byte {
 	b := *r.blocks[p.Shard]
 	text, err := b.Search([]byte(p.Text))
 	if err != nil {
@@ -158,7 +158,7 @@
 	return text
 }
 
-func (r *rig) replyCorrectly(p fake.ShardRequest) { p.Reply("good", "1", string(r.answer(p))) }
+func (r *rig) replyCorrectly(p fake.ShardRequest) { p.Reply("good", "1", string(r.correctResponse(p))) }
 
 func (r *rig) do(method, path, body string, head ...string) (int, map[string]any, http.Header) {
 	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
@@ -194,8 +194,8 @@
 
 func reason(m map[string]any) string { return fmt.Sprint(m["error"].(map[string]any)["reason"]) }
 
-// Guards against wrong merges: complete answers equal those of one block with all documents, even if one host hangs and
-// another returns malformed responses.
+// Guards against wrong merges: a complete answer equals that of a single block with all documents, even if one host hangs
+// and another returns malformed responses.
 func TestSearches(t *testing.T) {
 	r := start(t)
 	r.hosts[0].SetHandler(func(fake.ShardRequest) {})
@@ -251,8 +251,8 @@
 	require.Less(t, time.Since(began), 3*time.Second)
 }
 
-// Guards against wrong documents in an answer: a well-formed response of a native-protocol host with another block's documents
-// counts as a failed attempt, and the block's other host answers.
+// Guards against wrong documents in an answer: if a host of the native protocol responds well-formed but with another block's
+// documents, the attempt counts as failed, and the block's other host answers.
 func TestHostAnswersFromAnotherBlock(t *testing.T) {
 	r := start(t)
 	r.hosts[0].SetHandler(func(p fake.ShardRequest) {
@@ -273,13 +273,13 @@
 // anything is sent.
 func TestBlocksWithoutHosts(t *testing.T) {
 	r := start(t)
-	var left []fake.Endpoint
+	var remaining []fake.Endpoint
 	for i, h := range r.hosts {
 		if i%4 != 3 {
-			left = append(left, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+			remaining = append(remaining, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
-	r.discovery.SetEndpoints(left)
+	r.discovery.SetEndpoints(remaining)
 	require.Eventually(t, func() bool { s, _, _ := r.do("POST", "/members/_search", `{}`); return s == 404 }, 10*time.Second, 5*time.Millisecond)
 	before := 0
 	for _, h := range r.hosts {
@@ -307,7 +307,7 @@
 	r := start(t)
 	release := make(chan struct{})
 	var lock sync.Mutex
-	searches := map[string]bool{} // searches with a shard request at a host; a hedged attempt adds none
+	searches := map[string]bool{} // IDs of searches whose shard requests have reached a host; a hedged attempt adds no ID
 	for i, h := range r.hosts {
 		if i%4 == 3 {
 			h.SetHandler(func(fake.ShardRequest) {})
@@ -336,13 +336,13 @@
 		defer lock.Unlock()
 		return len(searches) == 2
 	}, 10*time.Second, time.Millisecond)
-	var left []fake.Endpoint
+	var remaining []fake.Endpoint
 	for i, h := range r.hosts {
 		if i%4 != 3 {
-			left = append(left, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
+			remaining = append(remaining, fake.Endpoint{ID: h.ID, Addr: h.Listener.Addr().String(), Zone: "hall", Kind: "std", State: "up", Cell: h.Cell})
 		}
 	}
-	r.discovery.SetEndpoints(left)
+	r.discovery.SetEndpoints(remaining)
 	close(release)
 	for range 2 {
 		e := <-got
@@ -356,7 +356,8 @@
 	}
 }
 
-// Guards against one bad search of a msearch failing the others, and against searches that stay open when their client leaves.
+// Guards against one bad search of a msearch failing the others, and against searches that stay open when their client
+// disconnects.
 func TestMultiSearch(t *testing.T) {
 	r := start(t)
 	var lines []string
@@ -396,23 +397,23 @@
 	for _, h := range r.hosts {
 		h.SetHandler(func(fake.ShardRequest) {})
 	}
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, "POST", r.url+"/_msearch", strings.NewReader(text))
-	left := make(chan error)
+	requestErr := make(chan error)
 	go func() {
 		res, err := r.client.Do(req)
 		if err == nil {
 			res.Body.Close()
 		}
-		left <- err
+		requestErr <- err
 	}()
 	open := func() int {
 		_, m, _ := r.do("GET", "/_tasks", "")
 		return len(m["nodes"].(map[string]any)["n0"].(map[string]any)["tasks"].(map[string]any))
 	}
 	require.Eventually(t, func() bool { return open() == 8 }, 10*time.Second, 5*time.Millisecond)
-	leave()
-	require.Error(t, <-left)
+	disconnect()
+	require.Error(t, <-requestErr)
 	require.Eventually(t, func() bool { return open() == 0 }, 10*time.Second, 5*time.Millisecond)
 }
 
@@ -454,7 +455,8 @@
 	require.Equal(t, 404, status)
 }
 
-// Guards against searches beyond the tenant's quota that wait or are refused without Retry-After: they get 429.
+// Guards against a search beyond its tenant's quota that waits or is refused without Retry-After: it gets 429 with
+// that header.
 func TestRefusedBeyondQuota(t *testing.T) {
 	r := start(t)
 	began := time.Now()
@@ -482,7 +484,7 @@
 }
 
 // Guards against residency contracts that affect other tenants: a tenant whose contract leaves no eligible host gets 403
-// with its name in the reason, and another tenant's search succeeds.
+// with the tenant's name in the reason, and another tenant's search succeeds.
 func TestRefusedByContract(t *testing.T) {
 	p, err := residency.ParsePolicy("contracts", []byte("generation: 1\ndefault: anywhere\ncontracts:\n- {tenant: scarce, zones: [moon]}"), residency.Site{})
 	require.NoError(t, err)
@@ -530,7 +532,8 @@
 	require.Equal(t, 200, status, "%v", m)
 }
 
-// Guards against errors in compressed bodies, size limits, refused parameters, error positions and the status endpoints.
+// Guards against mistakes in reading compressed bodies, in enforcing size limits, in refusing parameters, in the positions
+// that errors report and in the status endpoints.
 func TestRequestsAndErrors(t *testing.T) {
 	r := start(t)
 	pack := func(text string) string {
@@ -582,7 +585,7 @@
 	require.Contains(t, m["text"], "members open 8 full-match")
 }
 
-// Guards against a shutdown that drops open searches: a search that is open when the stop comes gets its answer, and new
+// Guards against a shutdown that drops open searches: a search that is open when the shutdown begins gets its answer, and new
 // connections are refused.
 func TestStop(t *testing.T) {
 	r := start(t)
@@ -626,8 +629,8 @@
 	return res.StatusCode, m
 }
 
-// Guards against a faulty OpenSearch host spoiling answers: whatever it responds to a shard request, searches are complete from
-// its block's other host.
+// Guards against a faulty OpenSearch host spoiling answers: whatever it responds to a shard request, the block's other host
+// completes the search.
 func TestFaultySearchHosts(t *testing.T) {
 	r := startWithHosts(t, true)
 	edit := func(old, new string) func(http.ResponseWriter, *http.Request, []byte) {
@@ -704,7 +707,7 @@
 		require.Equal(t, true, m["total"])
 		require.Len(t, m["answers"], 8)
 	}
-	// An attempt that is abandoned closes its connection, and the host notices.
+	// An abandoned attempt closes its connection, and the host detects that.
 	r.searchHosts[0].SetHandler(func(_ http.ResponseWriter, req *http.Request, _ []byte) { <-req.Context().Done() })
 	_, before := r.searchHosts[0].CountRequests()
 	require.Eventually(t, func() bool {
--- a/opensearch/frontend/search.go
+++ b/opensearch/frontend/search.go
@@ -33,7 +33,8 @@
 }
 
 var (
-	supportedParams = []string{
+	// Parameters that are not refused as unrecognized. Those without a case in parseSearch are refused as not supported.
+	recognizedParams = []string{
 		"allow_partial_search_results", "cancel_after_time_interval", "preference", "routing", "pretty", "size", "from",
 		"timeout", "track_total_hits", "sort", "max_concurrent_searches", "index", "ignore_unavailable", "rest_total_hits_as_int",
 		"error_trace", "human", "typed_keys", "search_type", "request_cache",
@@ -45,7 +46,7 @@
 		"filter_path", "search_pipeline", "phase_took", "seq_no_primary_term", "stats", "suggest_field", "min_score", "rewrite",
 		"all_shards",
 	}
-	// Parameters that are accepted and ignored: they do not change the answer, or not to the client's disadvantage.
+	// Parameters that are accepted and ignored: without them the answer is the same, or no worse for the client.
 	ignoredParams = []string{"pretty", "error_trace", "human", "ignore_unavailable", "max_concurrent_searches", "index", "request_cache"}
 )
 
@@ -67,7 +68,7 @@
 		case slices.Contains(ignoredParams, name):
 		case slices.Contains(unsupportedParams, name):
 			err = fmt.Errorf("parameter [%s] is part of the API but not supported here", name)
-		case !slices.Contains(supportedParams, name):
+		case !slices.Contains(recognizedParams, name):
 			err = fmt.Errorf("request contains unrecognized parameter: [%.100s]", name)
 		case name == "allow_partial_search_results":
 			a.allowPartial, err = strconv.ParseBool(v)
@@ -120,7 +121,7 @@
 	return v, nil
 }
 
-// applyPreference handles preference=_shards:1,2. Other preferences select hosts, which only the coordinator does.
+// applyPreference handles preference=_shards:1,2. Other preferences choose hosts, but only the coordinator may do that.
 func (a *parsedSearch) applyPreference(v string) error {
 	list, ok := strings.CutPrefix(v, "_shards:")
 	if !ok {
@@ -136,7 +137,7 @@
 // applyRouting takes the routing values as block numbers: the partner knows which block holds a document.
 func (a *parsedSearch) applyRouting(v string) error { return a.restrictBlocks(strings.Split(v, ",")) }
 
-// restrictBlocks limits the search to the listed blocks of its index.
+// restrictBlocks limits the search to the listed blocks. After a second call, the blocks that are in both lists remain.
 func (a *parsedSearch) restrictBlocks(list []string) error {
 	var blocks []int
 	for _, one := range list {
@@ -210,7 +211,7 @@
 	case result.Outcome == coordinator.OutcomeShed:
 		out := errorReply(429, "rejected_execution_exception", "there is no capacity for this search now")
 		if f.api.SendRetryAfter {
-			out.retryAfter = max(result.RetryAfter, time.Millisecond) // rounded up to whole seconds in the header, so at least 1
+			out.retryAfter = max(result.RetryAfter, time.Millisecond) // the header rounds it up to whole seconds, so to at least 1
 		}
 		return out
 	case result.Outcome != coordinator.OutcomeAnswered && time.Since(t.startedAt) >= timeout-2*minTimeout:
@@ -224,9 +225,9 @@
 	return a.mergedReply(result, time.Since(t.startedAt))
 }
 
-// decodeResponse parses a host's response to a shard request and checks that its hits belong to the shard. The
-// coordinator's OpenSearch protocol code checks the index name that the host gives; the client gets the name of the index
-// that it searched.
+// decodeResponse parses a host's response to a shard request and checks that its hits belong to the shard. It does not
+// check the index name in the hits, because the coordinator's OpenSearch protocol code does, but replaces it by the name of
+// the index that the client searched.
 func (a *parsedSearch) decodeResponse(shard int, value []byte) (any, error) {
 	response, err := a.q.ParseResponse(shard, "", value)
 	if err == nil {
@@ -241,19 +242,19 @@
 	return response, nil
 }
 
-// mergedReply merges the shard responses into the API's answer. Blocks without a response are listed as failures, also
-// those that were no longer needed: their documents are missing from the answer.
+// mergedReply merges the shard responses into the API's answer. Each block without a response is listed as a failure,
+// even if the search was complete without it, because its documents are missing from the answer.
 func (a *parsedSearch) mergedReply(result coordinator.SearchResult, took time.Duration) reply {
 	o := query.SearchOutcome{TookMillis: took.Milliseconds(), TimedOut: !result.Complete}
-	in := map[int]bool{}
+	answered := map[int]bool{}
 	for _, p := range result.Parts {
 		if response, ok := p.Value.(*query.ShardResponse); ok {
 			o.Responses = append(o.Responses, response)
-			in[p.Shard] = true
+			answered[p.Shard] = true
 		}
 	}
 	for _, b := range a.blocks {
-		if in[b] {
+		if answered[b] {
 			continue
 		}
 		failure := query.ShardFailure{Shard: b, Index: a.index.Name, Type: "timeout_exception", Reason: "the block did not answer in time"}
@@ -304,7 +305,7 @@
 	g.SetLimit(concurrent)
 	for i := range out {
 		g.Go(func() error {
-			out[i] = f.searchOfLines(r, index, values, lines[2*i], lines[2*i+1])
+			out[i] = f.searchFromLines(r, index, values, lines[2*i], lines[2*i+1])
 			return nil
 		})
 	}
@@ -325,11 +326,11 @@
 	return reply{status: 200, body: all.Bytes()}
 }
 
-// searchOfLines runs one search of a msearch. An error in its lines fails this search alone.
-func (f *Server) searchOfLines(r *http.Request, index string, values url.Values, head, text []byte) reply {
-	own := url.Values{}
+// searchFromLines runs one search of a msearch. An error in its lines fails this search alone.
+func (f *Server) searchFromLines(r *http.Request, index string, values url.Values, head, text []byte) reply {
+	params := url.Values{}
 	for name, v := range values {
-		own[name] = v
+		params[name] = v
 	}
 	if len(bytes.TrimSpace(head)) > 0 {
 		var fields map[string]any
@@ -344,11 +345,11 @@
 			} else if name == "index" {
 				return errorReply(400, "illegal_argument_exception", "several indices are part of the API but not supported here")
 			} else {
-				own.Set(name, fmt.Sprint(v))
+				params.Set(name, fmt.Sprint(v))
 			}
 		}
 	}
-	a, err := f.parseSearch(index, own, text)
+	a, err := f.parseSearch(index, params, text)
 	if err != nil {
 		return errorReplyOf(err)
 	}
@@ -370,11 +371,11 @@
 	_, err = query.ParseRequest(text)
 	out := map[string]any{"valid": err == nil, "_shards": map[string]any{"total": 1, "successful": 1, "failed": 0}}
 	if explain {
-		one := map[string]any{"index": x.Name, "valid": err == nil}
+		explanation := map[string]any{"index": x.Name, "valid": err == nil}
 		if err != nil {
-			one["error"] = err.Error()
+			explanation["error"] = err.Error()
 		}
-		out["explanations"] = []any{one}
+		out["explanations"] = []any{explanation}
 	}
 	return jsonReply(out)
 }
--- a/opensearch/frontend/server.go
+++ b/opensearch/frontend/server.go
@@ -1,6 +1,7 @@
 // Package frontend serves the OpenSearch-style API: it turns the API's requests into searches of the coordinator and
-// their results into the API's answers. It decides nothing about hosts: package query parses requests and merges shard
-// responses; the coordinator chooses hosts, retries and sheds. docs/opensearch.md has the table of what is supported.
+// their results into the API's answers. Package query parses the requests and merges the shard responses; the coordinator
+// chooses hosts, retries and sheds, so this package decides nothing about hosts. docs/opensearch.md has the table of what
+// is supported.
 package frontend
 
 import (
@@ -31,7 +32,7 @@
 
 const (
 	headTimeout               = 2500 * time.Millisecond // for reading a request's head, as on the native frontend
-	bodyTimeout               = 5 * time.Second         // for reading a whole request, up to a msearch of 4 MiB
+	bodyTimeout               = 5 * time.Second         // for reading a whole request, at most a msearch of 4 MiB
 	idleTimeout               = 3 * time.Second         // after which an idle connection is closed
 	maxHeadBytes              = 8 << 10                 // of a request's head
 	maxBodyBytes              = 1 << 20                 // of a search's body, before and after decompression
@@ -51,7 +52,7 @@
 type Index struct {
 	Name, SearchType, Tenant string
 	Blocks                   []int
-	Placement                *query.Placement // the rule that assigns documents to blocks; nil if it is not the OpenSearch rule
+	Placement                *query.Placement // the rule that assigns documents to blocks; nil if it is another rule than OpenSearch's
 }
 
 // Server serves the API on a listener.
@@ -61,7 +62,7 @@
 	Indices   []Index
 
 	api      *coordinator.SearchAPI
-	idPrefix string // of the searches' IDs; differs at each start
+	idPrefix string // of the searches' IDs; a new one at each start
 
 	mu         sync.Mutex
 	tasks      map[uint64]*task
@@ -172,12 +173,12 @@
 // route dispatches a request by its path and method.
 func (f *Server) route(r *http.Request) reply {
 	path := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
-	get, post := r.Method == http.MethodGet || r.Method == http.MethodHead, r.Method == http.MethodPost
+	getOrHead, post := r.Method == http.MethodGet || r.Method == http.MethodHead, r.Method == http.MethodPost
 	index := ""
 	if len(path) > 1 && !strings.HasPrefix(path[0], "_") {
 		index, path = path[0], path[1:]
 	}
-	where := strings.Join(path, "/")
+	apiPath := strings.Join(path, "/")
 	allow := func(ok bool, do func() reply) reply {
 		if !ok {
 			return errorReply(405, "method_not_allowed", "method [%s] is not allowed for [%s]", r.Method, r.URL.Path)
@@ -185,35 +186,35 @@
 		return do()
 	}
 	switch {
-	case where == "" && index == "":
-		return allow(get, f.root)
-	case where == "_search":
-		return allow(get || post, func() reply { return f.search(r, index, false) })
-	case where == "_count":
-		return allow(get || post, func() reply { return f.search(r, index, true) })
-	case where == "_msearch":
-		return allow(get || post, func() reply { return f.multiSearch(r, index) })
-	case where == "_validate/query":
-		return allow(get || post, func() reply { return f.validate(r, index) })
-	case where == "_cluster/health" && index == "":
-		return allow(get, f.health)
-	case where == "_cat/shards" && index == "":
-		return allow(get, func() reply { return f.catShards(r) })
-	case where == "_cat/indices" && index == "":
-		return allow(get, func() reply { return f.catIndices(r) })
-	case where == "_tasks" && index == "":
-		return allow(get, f.listTasks)
+	case apiPath == "" && index == "":
+		return allow(getOrHead, f.root)
+	case apiPath == "_search":
+		return allow(getOrHead || post, func() reply { return f.search(r, index, false) })
+	case apiPath == "_count":
+		return allow(getOrHead || post, func() reply { return f.search(r, index, true) })
+	case apiPath == "_msearch":
+		return allow(getOrHead || post, func() reply { return f.multiSearch(r, index) })
+	case apiPath == "_validate/query":
+		return allow(getOrHead || post, func() reply { return f.validate(r, index) })
+	case apiPath == "_cluster/health" && index == "":
+		return allow(getOrHead, f.health)
+	case apiPath == "_cat/shards" && index == "":
+		return allow(getOrHead, func() reply { return f.catShards(r) })
+	case apiPath == "_cat/indices" && index == "":
+		return allow(getOrHead, func() reply { return f.catIndices(r) })
+	case apiPath == "_tasks" && index == "":
+		return allow(getOrHead, f.listTasks)
 	case len(path) == 3 && path[0] == "_tasks" && path[2] == "_cancel":
 		return allow(post, func() reply { return f.cancelTask(path[1]) })
 	}
 	return errorReply(400, "illegal_argument_exception", "no handler found for uri [%.200s] and method [%s]", r.URL.Path, r.Method)
 }
 
-// readBody reads a request's body and decompresses it. The limit holds before and after decompression, against small
-// bodies that decompress to huge ones.
+// readBody reads a request's body and decompresses it. The limit applies before and after decompression, so that a small
+// body cannot decompress to a huge one.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	var in io.Reader = http.MaxBytesReader(nil, r.Body, limit)
-	switch packed := r.Header.Get("Content-Encoding"); packed {
+	switch encoding := r.Header.Get("Content-Encoding"); encoding {
 	case "", "identity":
 	case "gzip":
 		z, err := gzip.NewReader(in)
@@ -222,15 +223,15 @@
 		}
 		in = z
 	default:
-		return nil, &query.APIError{Status: 415, Type: "illegal_argument_exception", Reason: fmt.Sprintf("Content-Encoding [%.40s] is not supported: expected gzip or identity", packed)}
+		return nil, &query.APIError{Status: 415, Type: "illegal_argument_exception", Reason: fmt.Sprintf("Content-Encoding [%.40s] is not supported: expected gzip or identity", encoding)}
 	}
 	text, err := io.ReadAll(io.LimitReader(in, limit+1))
-	var large *http.MaxBytesError
-	var late net.Error
+	var tooLarge *http.MaxBytesError
+	var netErr net.Error
 	switch {
-	case errors.As(err, &large) || int64(len(text)) > limit:
+	case errors.As(err, &tooLarge) || int64(len(text)) > limit:
 		return nil, &query.APIError{Status: 413, Type: "illegal_argument_exception", Reason: fmt.Sprintf("the body is longer than %d bytes", limit)}
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return nil, &query.APIError{Status: 408, Type: "timeout_exception", Reason: "the body did not arrive in time"}
 	case err != nil:
 		return nil, &query.APIError{Status: 400, Type: "parse_exception", Reason: "the body cannot be read"}
@@ -238,7 +239,8 @@
 	return text, nil
 }
 
-// findIndex returns the index with this name; without a name, or with _all or *, the only index of the installation.
+// findIndex returns the index with this name. Without a name, or with _all or *, it returns the installation's only index,
+// and an error if there are several.
 func (f *Server) findIndex(name string) (Index, error) {
 	if name == "" || name == "_all" || name == "*" {
 		if len(f.Indices) == 1 {
@@ -405,8 +407,8 @@
 	}}})
 }
 
-// LoadTLS reads a listener's certificate and key files. With authorities, clients must present a certificate issued by one of
-// them.
+// LoadTLS reads a listener's certificate and key files. If authorities names a file, clients must present a
+// certificate issued by one of the authorities in it.
 func LoadTLS(certificate, key, authorities string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
